--- a/internal/judge/member/ledger.go
+++ b/internal/judge/member/ledger.go
@@ -404,15 +404,15 @@
 // Standing is what a leader knows of one name, for people.
 type Standing struct {
 	Name   string
-	Life   uint64
-	Epoch  version.Epoch
-	Right  version.Epoch
-	Heard  float64 // seconds ago
-	Behind float64 // seconds for which it is not on its version, 0 where it is
-	Stuck  string
-	Out    string
+	Life   uint64        `json:"Life"`
+	Epoch  version.Epoch `json:"Epoch"`
+	Right  version.Epoch `json:"Right"`
+	Heard  float64       `json:"Heard"`  // seconds ago
+	Behind float64       `json:"Behind"` // seconds for which it is not on its version, 0 where it is
+	Stuck  string        `json:"Stuck"`
+	Out    string        `json:"Out"`
 	Build  string
-	Known  bool // it was heard in this leader's term
+	Known  bool `json:"Known"` // it was heard in this leader's term
 }
 
 // Standings lists every name that is held, by name.
--- a/internal/judge/replica/standing.go
+++ b/internal/judge/replica/standing.go
@@ -8,21 +8,21 @@
 
 // Standing is how a server's copies stand, and what became of its claims.
 type Standing struct {
-	Plan       uint64 // digest of the terms that it was told
-	Holder     bool
-	Cold       int // slots for which this holder may not answer yet
-	Differ     int // slots of which it waits to be told by another
-	Learned    int // slots whose truth it was told by others
-	Aged       int // slots whose truth came by waiting: what was granted before is not known, and past
-	Mended     int // records that a comparison mended
-	Alarms     int // keys with two results
-	Records    int
-	Bytes      int
-	Dropped    int // results that were dropped to make room
-	Flipped    int // records that had changed where they were held
-	Claims     int // under way, those of running tasks included
-	Promised   int // results that most holders have
-	Unpromised int // results that they did not note in time
+	Plan       uint64 `json:"Plan"` // digest of the terms that it was told
+	Holder     bool   `json:"Holder"`
+	Cold       int    `json:"Cold"`    // slots for which this holder may not answer yet
+	Differ     int    `json:"Differ"`  // slots of which it waits to be told by another
+	Learned    int    `json:"Learned"` // slots whose truth it was told by others
+	Aged       int    `json:"Aged"`    // slots whose truth came by waiting: what was granted before is not known, and past
+	Mended     int    `json:"Mended"`  // records that a comparison mended
+	Alarms     int    `json:"Alarms"`  // keys with two results
+	Records    int    `json:"Records"`
+	Bytes      int    `json:"Bytes"`
+	Dropped    int    `json:"Dropped"`    // results that were dropped to make room
+	Flipped    int    `json:"Flipped"`    // records that had changed where they were held
+	Claims     int    `json:"Claims"`     // under way, those of running tasks included
+	Promised   int    `json:"Promised"`   // results that most holders have
+	Unpromised int    `json:"Unpromised"` // results that they did not note in time
 }
 
 // Tell adds what a claimant knows.
--- a/internal/judge/shared/budget/granter.go
+++ b/internal/judge/shared/budget/granter.go
@@ -232,12 +232,12 @@
 // Account is how one budget stands, for people.
 type Account struct {
 	Name    string
-	Most    float64
-	Given   float64 // that counts as given out, floors not among it
+	Most    float64 `json:"Most"`
+	Given   float64 `json:"Given"` // that counts as given out, floors not among it
 	Pool    float64 // of which it is given
 	Servers int     // that are known to hold a part, or to want one
 	Wanted  float64 // beyond the floors
-	Known   bool    // all that was given before this leader is over
+	Known   bool    `json:"Known"` // all that was given before this leader is over
 }
 
 // Accounts lists how budgets stand that anybody holds or wants, by name, at most so many.
--- a/internal/judge/shared/budget/holder.go
+++ b/internal/judge/shared/budget/holder.go
@@ -26,10 +26,12 @@
 
 // Allowed is what a server may use of a budget: Part and the floor until Until, the floor alone from then on.
 type Allowed struct {
-	Name              string
-	Most              float64 // of the whole fleet
-	Floor, Part, Till float64
-	Answer            uint64 // that gave the part, see Use
+	Name   string
+	Most   float64 `json:"Most"` // of the whole fleet
+	Floor  float64
+	Part   float64 `json:"Part"`
+	Till   float64 `json:"Till"`
+	Answer uint64  `json:"Answer"` // that gave the part, see Use
 }
 
 // At is what may be used at a moment.
--- a/internal/judge/shared/counts/keeper.go
+++ b/internal/judge/shared/counts/keeper.go
@@ -401,21 +401,21 @@
 
 // Late is a server of which nothing was heard lately.
 type Late struct {
-	Name   string
-	Silent float64 // seconds
-	Rate   float64 // tasks a second that it told of before
+	Name   string  `json:"Name"`
+	Silent float64 `json:"Silent"` // seconds
+	Rate   float64 `json:"Rate"`   // tasks a second that it told of before
 }
 
 // Report is what a keeper knows. Everything in it was counted, so what is true is no less; what it may lack is told.
 type Report struct {
 	Total   []stance.Count // since the fleet's founding
-	Minute  []stance.Count // told in the last minute
-	Rows    int            // lives that told, and are not closed
-	Late    []Late         // those heard of for the last time some seconds ago, the longest silent first
-	Lacks   float64        // tasks that those, and those between two words, may have had asked of them since, at their rates
-	Cold    bool           // it does not know all that others know yet
-	Holes   int            // times that this keeper began without enough others that knew all; once at the fleet's first start
-	Refused int            // words that can't be true
+	Minute  []stance.Count `json:"Minute"`  // told in the last minute
+	Rows    int            `json:"Rows"`    // lives that told, and are not closed
+	Late    []Late         `json:"Late"`    // those heard of for the last time some seconds ago, the longest silent first
+	Lacks   float64        `json:"Lacks"`   // tasks that those, and those between two words, may have had asked of them since, at their rates
+	Cold    bool           `json:"Cold"`    // it does not know all that others know yet
+	Holes   int            `json:"Holes"`   // times that this keeper began without enough others that knew all; once at the fleet's first start
+	Refused int            `json:"Refused"` // words that can't be true
 }
 
 // maxLate names are told.
--- a/internal/judge/stance/stance.go
+++ b/internal/judge/stance/stance.go
@@ -87,7 +87,10 @@
 }
 
 // Cell is what counts are kept by: one tenant's tasks in one stage. The zero Cell is for all that have no room of their own.
-type Cell struct{ Tenant, Stage string }
+type Cell struct {
+	Tenant string
+	Stage  string `json:"Stage"`
+}
 
 // Compare orders cells.
 func (c Cell) Compare(o Cell) int {
@@ -95,7 +98,12 @@
 }
 
 // Tally counts tasks: how many were asked for, and how they ended.
-type Tally struct{ Asked, Finished, Rejected, Abandoned uint64 }
+type Tally struct {
+	Asked     uint64 `json:"Asked"`
+	Finished  uint64
+	Rejected  uint64
+	Abandoned uint64
+}
 
 // Plus adds two tallies.
 func (t Tally) Plus(o Tally) Tally {
--- a/internal/peers/budgets.go
+++ b/internal/peers/budgets.go
@@ -137,9 +137,9 @@
 type BudgetState struct {
 	Now     float64 // of the fleet's clock here
 	Leader  string
-	Leads   bool
-	Here    []budget.Allowed `json:",omitempty"` // where a part is held, by the fleet's clock
-	Granted []budget.Account `json:",omitempty"` // at the voter that leads
+	Leads   bool             `json:"Leads"`
+	Here    []budget.Allowed `json:"Here,omitempty"` // where a part is held, by the fleet's clock
+	Granted []budget.Account `json:",omitempty"`     // at the voter that leads
 	Epoch   version.Epoch
 }
 
--- a/internal/peers/control.go
+++ b/internal/peers/control.go
@@ -16,18 +16,18 @@
 // State is what a server says to an operator who asks.
 type State struct {
 	Name      string
-	Life      uint64
-	Standing  string
-	Why       string
-	Acts      version.Epoch
-	Right     version.Epoch
+	Life      uint64        `json:"Life"`
+	Standing  string        `json:"Standing"`
+	Why       string        `json:"Why"`
+	Acts      version.Epoch `json:"Acts"`
+	Right     version.Epoch `json:"Right"`
 	Leader    string
-	MayLeave  bool   // should it hear nothing, see fleet-silent
-	Lost      uint64 // messages without room, or that could not be read
-	Order     *version.Order
-	Standings []member.Standing
-	Report    audit.Report
-	Copies    map[string]*replica.Standing // of all servers that keep or claim any and answered
+	MayLeave  bool                         `json:"MayLeave"` // should it hear nothing, see fleet-silent
+	Lost      uint64                       `json:"Lost"`     // messages without room, or that could not be read
+	Order     *version.Order               `json:"Order"`
+	Standings []member.Standing            `json:"Standings"`
+	Report    audit.Report                 `json:"Report"`
+	Copies    map[string]*replica.Standing `json:"Copies"` // of all servers that keep or claim any and answered
 }
 
 // State gathers what the fleet knows.
--- a/internal/peers/counts.go
+++ b/internal/peers/counts.go
@@ -157,12 +157,12 @@
 // CountsState is what a server knows of the fleet's counts.
 type CountsState struct {
 	Name     string
-	Keepers  []string       // who know what all counted
-	Life     string         // of this process
-	Here     []stance.Count // what it counted that is not closed
-	Agreed   bool           // most keepers have all of that
+	Keepers  []string       `json:"Keepers"` // who know what all counted
+	Life     string         `json:"Life"`    // of this process
+	Here     []stance.Count `json:"Here"`    // what it counted that is not closed
+	Agreed   bool           `json:"Agreed"`  // most keepers have all of that
 	Unplaced uint64
-	Known    *counts.Report // nil where it is no keeper
+	Known    *counts.Report `json:"Known"` // nil where it is no keeper
 }
 
 // Counted tells what is known here of the fleet's counts.
--- a/internal/peers/plans.go
+++ b/internal/peers/plans.go
@@ -107,10 +107,10 @@
 type PlanState struct {
 	Name   string
 	Leader string
-	Holds  plan.Number   // that a forwarder goes by, or went by last
-	Till   float64       // for how many seconds it is fresh, under 0 where it ages
+	Holds  plan.Number   `json:"Holds"` // that a forwarder goes by, or went by last
+	Till   float64       `json:"Till"`  // for how many seconds it is fresh, under 0 where it ages
 	Stale  int           // parts of plans that were not taken
-	Makes  *plan.Account // nil where this one makes none
+	Makes  *plan.Account `json:"Makes"` // nil where this one makes none
 }
 
 // Planned tells it.
