--- a/cmd/swiftcourse-fleet/budgets.go
+++ b/cmd/swiftcourse-fleet/budgets.go
@@ -68,7 +68,7 @@
 			return p.terms
 		},
 		Hear: func(list []budget.Allowed) {
-			here := make([]stance.Allowed, 0, len(list))
+			here := make([]stance.Allowance, 0, len(list))
 			for _, a := range list {
 				tenant := -1
 				if a.Name != calls {
@@ -78,7 +78,7 @@
 					}
 					tenant = at
 				}
-				here = append(here, stance.Allowed{Name: a.Name, Most: a.Most, Tenant: tenant, Floor: a.Floor, Part: a.Part, Till: clock.Back(a.Till), Depth: budget.Depth, Answer: a.Answer})
+				here = append(here, stance.Allowance{Name: a.Name, FleetMax: a.Most, Tenant: tenant, Guaranteed: a.Floor, LeasedShare: a.Part, LeaseExpiry: clock.Back(a.Till), BurstSeconds: budget.Depth, GrantNumber: a.Answer})
 			}
 			p.allow(func() { p.parted = here })
 		},
@@ -92,17 +92,17 @@
 	change()
 	list := slices.Clone(p.parted)
 	for _, a := range p.planned { // a budget binds as it is
-		if !slices.ContainsFunc(list, func(b stance.Allowed) bool { return b.Tenant == a.Tenant }) {
+		if !slices.ContainsFunc(list, func(b stance.Allowance) bool { return b.Tenant == a.Tenant }) {
 			list = append(list, a)
 		}
 	}
 	if !math.IsInf(p.held.Most, 1) {
-		i := slices.IndexFunc(list, func(a stance.Allowed) bool { return a.Tenant < 0 })
+		i := slices.IndexFunc(list, func(a stance.Allowance) bool { return a.Tenant < 0 })
 		if i < 0 {
-			list = append(list, stance.Allowed{Name: "below", Tenant: -1, Most: math.MaxInt32, Floor: math.MaxInt32})
+			list = append(list, stance.Allowance{Name: "below", Tenant: -1, FleetMax: math.MaxInt32, Guaranteed: math.MaxInt32})
 			i = len(list) - 1
 		}
-		list[i].Capped, list[i].Cap, list[i].Try = true, p.held.Most, p.held.Try
+		list[i].Capped, list[i].Cap, list[i].ProbeNumber = true, p.held.Most, p.held.Try
 	}
 	p.server.Allow(list)
 }
--- a/cmd/swiftcourse-fleet/command.go
+++ b/cmd/swiftcourse-fleet/command.go
@@ -192,15 +192,15 @@
 	t := table()
 	fmt.Fprintln(t, "server\tlife\tacts on\tshould\theard s ago\tbuild\tnote")
 	for _, m := range s.Standings {
-		note := m.Out
+		note := m.EjectionReason
 		if note != "" {
 			note = "shut out: " + note
-		} else if m.Behind > 0 {
-			note = fmt.Sprintf("behind for %.1f s %s", m.Behind, m.Stuck)
-		} else if !m.Known {
+		} else if m.SecondsBehind > 0 {
+			note = fmt.Sprintf("behind for %.1f s %s", m.SecondsBehind, m.BlockedBy)
+		} else if !m.Reported {
 			note = "not heard"
 		}
-		fmt.Fprintf(t, "%s\t%x\t%s\t%s\t%.1f\t%s\t%s\n", m.Name, m.Life, m.Epoch, m.Right, m.Heard, m.Build, note)
+		fmt.Fprintf(t, "%s\t%x\t%s\t%s\t%.1f\t%s\t%s\n", m.Name, m.Incarnation, m.ActiveEpoch, m.AssignedEpoch, m.SecondsSinceHeard, m.Build, note)
 	}
 	t.Flush()
 }
--- a/cmd/swiftcourse-fleet/counts.go
+++ b/cmd/swiftcourse-fleet/counts.go
@@ -23,24 +23,24 @@
 	if s.Known != nil {
 		list, of = s.Known.Total, "by all servers since the fleet's founding"
 	}
-	minute := map[stance.Cell]uint64{}
+	minute := map[stance.CounterKey]uint64{}
 	if s.Known != nil {
 		for _, n := range s.Known.Minute {
-			minute[n.Cell] = n.Asked
+			minute[n.CounterKey] = n.Received
 		}
 	}
 	t := table()
 	fmt.Fprintln(t, "tenant\tstage\tasked\tfinished\trejected\tabandoned\topen or taken back\ta second, lately")
 	for _, n := range append(list, all(list)) {
-		rate := float64(minute[n.Cell]) / 60
-		if n.Stage == everything {
+		rate := float64(minute[n.CounterKey]) / 60
+		if n.Class == everything {
 			rate = 0
 			for _, m := range minute {
 				rate += float64(m) / 60
 			}
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%.1f\n", n.Tenant, n.Stage, n.Asked, n.Finished, n.Rejected, n.Abandoned,
-			int64(n.Asked)-int64(n.Finished+n.Rejected+n.Abandoned), rate)
+		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%.1f\n", n.Tenant, n.Class, n.Received, n.Finished, n.Rejected, n.Abandoned,
+			int64(n.Received)-int64(n.Finished+n.Rejected+n.Abandoned), rate)
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -70,10 +70,10 @@
 // everything is the name of the line that sums all.
 const everything = "all"
 
-func all(list []stance.Count) (sum stance.Count) {
-	sum.Cell = stance.Cell{Stage: everything}
+func all(list []stance.CounterCell) (sum stance.CounterCell) {
+	sum.CounterKey = stance.CounterKey{Class: everything}
 	for _, n := range list {
-		sum.Tally = sum.Plus(n.Tally)
+		sum.RequestCounts = sum.Add(n.RequestCounts)
 	}
 	return sum
 }
--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -78,11 +78,11 @@
 
 // rates is what a plan lets in of each tenant. Once it is over all may come in again, hence a floor without bound and a part that takes it away until
 // then: what workers can't do they turn away themselves.
-func rates(part *plan.Part, start *life.Start, till float64) (list []stance.Allowed) {
+func rates(part *plan.Part, start *life.Start, till float64) (list []stance.Allowance) {
 	for _, d := range part.Rates {
 		if at, known := start.Tenants[d.Tenant]; known {
-			list = append(list, stance.Allowed{Name: "plan/" + d.Tenant, Tenant: at, Most: math.MaxInt32, Floor: math.MaxInt32, Part: d.Rate - math.MaxInt32, Till: till,
-				Depth: budget.Depth})
+			list = append(list, stance.Allowance{Name: "plan/" + d.Tenant, Tenant: at, FleetMax: math.MaxInt32, Guaranteed: math.MaxInt32, LeasedShare: d.Rate - math.MaxInt32, LeaseExpiry: till,
+				BurstSeconds: budget.Depth})
 		}
 	}
 	return list
@@ -108,12 +108,12 @@
 		return err
 	}
 	f, err := peers.Start(peers.Plan{Name: name, Listen: own.FleetListen, Voters: voters, Join: own.FleetJoin, Terms: memberTerms(own), Rollout: rollout(own),
-		Silent: stance.Serve, Plans: &peers.Plans{Makes: true}, Counts: own.Counts, Seed: from.UnixNano(), Build: build(), Now: clock.Now, Unix: clock.Unix, Via: via,
+		Silent: stance.ModeNormal, Plans: &peers.Plans{Makes: true}, Counts: own.Counts, Seed: from.UnixNano(), Build: build(), Now: clock.Now, Unix: clock.Unix, Via: via,
 		Apply: func(text string) error {
 			_, err := own.With("released", text)
 			return err
 		},
-		Publish: func(*stance.Standing) {}})
+		Publish: func(*stance.Directive) {}})
 	if err != nil {
 		return err
 	}
--- a/cmd/swiftcourse-fleet/main.go
+++ b/cmd/swiftcourse-fleet/main.go
@@ -39,10 +39,10 @@
 	start    *life.Start
 	terms    budget.Terms // of the budgets that all share, as own and released say
 
-	parted []stance.Allowed // parts of budgets
-	held   peers.Held       // calls below
+	parted []stance.Allowance // parts of budgets
+	held   peers.Held         // calls below
 
-	planned    []stance.Allowed    // what a plan lets in
+	planned    []stance.Allowance  // what a plan lets in
 	dispatcher *forward.Dispatcher // nil for who forwards nothing
 }
 
@@ -74,7 +74,7 @@
 	if err != nil {
 		return err
 	}
-	silent := map[string]stance.Stance{"keep": member.KeepOn, "shield": member.ShieldOn, "leave": member.LeaveThen}[own.FleetSilent]
+	silent := map[string]stance.Mode{"keep": member.FallbackNormal, "shield": member.FallbackSafeDefaults, "leave": member.FallbackOutOfService}[own.FleetSilent]
 	kept, err := copies(start, own, server)
 	if err != nil {
 		return err
@@ -93,9 +93,9 @@
 	f, err := peers.Start(peers.Plan{Callers: callers, Copies: kept, Budgets: shared, Health: p.below(), Counts: own.Counts, Name: start.Name, Listen: own.FleetListen, Voters: voters, Join: own.FleetJoin,
 		Plans: p.plans(start, clock), Terms: memberTerms(own), Silent: silent, Rollout: rollout(own), Seed: start.Seed, Build: build(),
 		Now: clock.Now, Unix: clock.Unix, Via: via, Passes: dieAt(), Apply: p.apply,
-		Publish: func(to *stance.Standing) {
+		Publish: func(to *stance.Directive) {
 			here := *to
-			here.Until = clock.Back(to.Until)
+			here.ChangesAt = clock.Back(to.ChangesAt)
 			server.Stand(&here)
 		}})
 	if err != nil {
@@ -116,7 +116,7 @@
 		slog.Info("fleet_budgets", "budgets", len(own.Budgets), "floor", float64(own.BudgetFloor), "servers", own.BudgetServers)
 	}
 	if p.dispatcher != nil {
-		server.Tally(func(list []stance.Count) bool {
+		server.Tally(func(list []stance.CounterCell) bool {
 			told := !own.Counts || f.Tallied(list)
 			if told {
 				p.dispatcher.Asked(list)
@@ -158,8 +158,8 @@
 	return voters, nil
 }
 
-func memberTerms(own *life.Conf) member.Terms {
-	return member.Terms{Lease: own.FleetLease.Seconds(), Behind: own.FleetBehind.Seconds(), MaxOut: float64(own.FleetMostOut), Forget: own.FleetForget.Seconds()}
+func memberTerms(own *life.Conf) member.Config {
+	return member.Config{Duration: own.FleetLease.Seconds(), CatchUpTimeout: own.FleetBehind.Seconds(), MaxUnavailable: float64(own.FleetMostOut), ForgetAfter: own.FleetForget.Seconds()}
 }
 
 func rollout(own *life.Conf) version.Rollout {
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -156,11 +156,11 @@
 }
 
 // Asked takes what the server was asked for, also what it turned away itself.
-func (d *Dispatcher) Asked(list []stance.Count) {
+func (d *Dispatcher) Asked(list []stance.CounterCell) {
 	select {
 	case d.inbox <- event{ask: func() {
 		for _, n := range list {
-			d.demand[n.Tenant] += float64(n.Asked)
+			d.demand[n.Tenant] += float64(n.Received)
 		}
 	}}:
 	default: // the demand looks smaller for one report
--- a/internal/judge/audit/audit.go
+++ b/internal/judge/audit/audit.go
@@ -200,7 +200,7 @@
 
 // Make holds accounts against the order and what the leader knows. alive tells which lives told of themselves just now; since leaves out
 // what ended before that epoch.
-func Make(o *version.Order, standings []member.Standing, accounts []Account, alive map[uint64]bool, since version.Epoch) Report {
+func Make(o *version.Order, standings []member.ServerStatus, accounts []Account, alive map[uint64]bool, since version.Epoch) Report {
 	r := Report{Newest: o.Newest()}
 	all := NewBook("", 0, 0)
 	for _, a := range accounts {
@@ -249,20 +249,20 @@
 		}
 	}
 	for _, s := range standings {
-		if !slices.ContainsFunc(all.others[s.Name], func(a Account) bool { return a.Life == s.Life }) {
-			r.Holes = append(r.Holes, Hole{Name: s.Name, Life: s.Life, Why: "nobody who answered has its account"})
+		if !slices.ContainsFunc(all.others[s.Name], func(a Account) bool { return a.Life == s.Incarnation }) {
+			r.Holes = append(r.Holes, Hole{Name: s.Name, Life: s.Incarnation, Why: "nobody who answered has its account"})
 		}
-		b := Behind{Name: s.Name, Life: s.Life, On: s.Epoch, Right: s.Right, For: s.Behind}
+		b := Behind{Name: s.Name, Life: s.Incarnation, On: s.ActiveEpoch, Right: s.AssignedEpoch, For: s.SecondsBehind}
 		switch {
-		case s.Out != "":
-			b.Why = "shut out: " + s.Out
-		case !s.Known:
+		case s.EjectionReason != "":
+			b.Why = "shut out: " + s.EjectionReason
+		case !s.Reported:
 			b.Why = "not heard since this leader leads"
-		case s.Heard > fresh:
-			b.Why, b.Absent = "absent or cut off", s.Heard
-		case s.Epoch != s.Right && s.Stuck != "":
-			b.Why = s.Stuck
-		case s.Epoch != s.Right:
+		case s.SecondsSinceHeard > fresh:
+			b.Why, b.Absent = "absent or cut off", s.SecondsSinceHeard
+		case s.ActiveEpoch != s.AssignedEpoch && s.BlockedBy != "":
+			b.Why = s.BlockedBy
+		case s.ActiveEpoch != s.AssignedEpoch:
 			b.Why = "on its way"
 		default:
 			continue
--- a/internal/judge/audit/audit_test.go
+++ b/internal/judge/audit/audit_test.go
@@ -21,8 +21,8 @@
 		return Account{Name: name, Life: life, Started: started, Seen: started + 10, Intervals: list}
 	}
 	good := Interval{Epoch: first.Epoch, Digest: first.Digest, From: 1, To: 2}
-	standings := []member.Standing{{Name: "n1", Life: 1, Epoch: first.Epoch, Right: first.Epoch, Known: true},
-		{Name: "n2", Life: 2, Epoch: 0, Right: first.Epoch, Known: true, Stuck: "its limits"}, {Name: "n3", Life: 3, Right: first.Epoch}}
+	standings := []member.ServerStatus{{Name: "n1", Incarnation: 1, ActiveEpoch: first.Epoch, AssignedEpoch: first.Epoch, Reported: true},
+		{Name: "n2", Incarnation: 2, ActiveEpoch: 0, AssignedEpoch: first.Epoch, Reported: true, BlockedBy: "its limits"}, {Name: "n3", Incarnation: 3, AssignedEpoch: first.Epoch}}
 	r := Make(o, standings, []Account{on("n1", 1, 100, good), on("n1", 9, 50, good), on("n2", 2, 0)}, map[uint64]bool{1: true, 2: true}, 0)
 	if len(r.Alarms) != 0 || len(r.Accounts) != 3 || r.Accounts[0].Life != 9 {
 		t.Errorf("%+v", r)
--- a/internal/judge/member/ledger.go
+++ b/internal/judge/member/ledger.go
@@ -7,12 +7,12 @@
 	"swiftcourse/internal/judge/version"
 )
 
-// Terms are what the operator set for all.
-type Terms struct {
-	Lease  float64 // seconds
-	Behind float64 // seconds in which one that is not on its version has to get there before it is shut out
-	MaxOut float64 // part of the fleet that may be off the roster for want of talk, or as it is late
-	Forget float64 // seconds after which a name that says nothing is nobody's
+// Config are what the operator set for all.
+type Config struct {
+	Duration       float64 // seconds
+	CatchUpTimeout float64 // seconds in which one that is not on its version has to get there before it is shut out
+	MaxUnavailable float64 // part of the fleet that may be off the roster for want of talk, or as it is late
+	ForgetAfter    float64 // seconds after which a name that says nothing is nobody's
 }
 
 // drift is how much slower than the leader's a server's clock may run, as a part: far over any crystal's, and over the 1% that is played.
@@ -21,9 +21,9 @@
 // liftOver spreads the numbers to which an order is lifted over a quarter of an hour of foundings, so that two lost groups hardly ever meet.
 const liftOver = 900
 
-// ConfirmedFor is how long ago, in seconds, a majority may have confirmed a leader whose word still counts: four times the pause between two
+// LeaderConfirmationWindow is how long ago, in seconds, a majority may have confirmed a leader whose word still counts: four times the pause between two
 // confirmations.
-const ConfirmedFor = 1.0
+const LeaderConfirmationWindow = 1.0
 
 // record is what a leader knows of a server; it dies with the leader's term.
 type record struct {
@@ -46,10 +46,10 @@
 	allowed uint64 // number of the latest question whose answer said so
 }
 
-// Ledger is the leader's side. It belongs to one term: a new leader makes a new one, which takes every lease for given that a leader
+// Grantor is the leader's side. It belongs to one term: a new leader makes a new one, which takes every lease for given that a leader
 // before could have.
-type Ledger struct {
-	terms     Terms
+type Grantor struct {
+	terms     Config
 	homes     map[string]string // names that only a server which listens at this address can have: the voters'
 	from      float64
 	records   map[string]*record
@@ -68,8 +68,8 @@
 // proof is a number that a life was told, and shows that it is there by saying it.
 type proof struct{ life, number uint64 }
 
-// Ended tells how a command ended that this leader or anybody asked for.
-func (l *Ledger) Ended(c *version.Command) {
+// HandleCommandResult tells how a command ended that this leader or anybody asked for.
+func (l *Grantor) HandleCommandResult(c *version.Command) {
 	if r := l.records[c.Name]; r != nil && c.Kind == version.Hold && c.Author == author && c.ID != 0 && c.ID == r.fence && c.Life == r.life {
 		r.leaving, r.fence = false, 0
 	}
@@ -78,19 +78,19 @@
 // author of what a leader asks for on its own account.
 const author = "leader"
 
-// NewLedger makes the ledger of a leader whose term begins. Its commands have to go straight into its own log: what another leader would carry
+// NewGrantor makes the ledger of a leader whose term begins. Its commands have to go straight into its own log: what another leader would carry
 // out may not be passed on. homes are the voters' names and where they listen; a process that is told to listen elsewhere doesn't start under one.
-func NewLedger(terms Terms, homes map[string]string, now float64) *Ledger {
-	return &Ledger{terms: terms, homes: homes, from: now, records: map[string]*record{}, asked: map[string]float64{}, proofs: map[string]proof{}, acted: math.Inf(-1), fences: uint64(now * 1e6)}
+func NewGrantor(terms Config, homes map[string]string, now float64) *Grantor {
+	return &Grantor{terms: terms, homes: homes, from: now, records: map[string]*record{}, asked: map[string]float64{}, proofs: map[string]proof{}, acted: math.Inf(-1), fences: uint64(now * 1e6)}
 }
 
 // whole is a lease as the giver has to count it.
-func (l *Ledger) whole() float64 { return l.terms.Lease * (1 + drift) }
+func (l *Grantor) whole() float64 { return l.terms.Duration * (1 + drift) }
 
 // before is when every lease is over that a leader before gave: the last that it may have given is from ConfirmedFor after this one came.
-func (l *Ledger) before() float64 { return l.from + ConfirmedFor + l.whole() }
+func (l *Grantor) before() float64 { return l.from + LeaderConfirmationWindow + l.whole() }
 
-func (l *Ledger) old(now float64) bool { return now > l.before() }
+func (l *Grantor) old(now float64) bool { return now > l.before() }
 
 // maxRecords bounds the table: four times the largest fleet that is played.
 const maxRecords = 4096
@@ -98,43 +98,43 @@
 // askAgain is how often a command about one name is asked for, as it may be lost: a few times what a majority takes.
 const askAgain = 0.5
 
-// Read answers a question. commands are to be asked for of the voters. confirmed tells that a majority confirmed the leader within
+// HandleRequest answers a question. commands are to be asked for of the voters. confirmed tells that a majority confirmed the leader within
 // ConfirmedFor.
-func (l *Ledger) Read(now float64, q *Question, o *version.Order, confirmed bool) (a Answer, commands []version.Command) {
-	a = Answer{Life: q.Life, Number: q.Number, Right: o.For(q.Name).Epoch}
-	if !confirmed || q.Name == "" || q.Life == 0 {
+func (l *Grantor) HandleRequest(now float64, q *Request, o *version.Order, confirmed bool) (a Reply, commands []version.Command) {
+	a = Reply{Incarnation: q.Incarnation, Number: q.Number, AssignedEpoch: o.For(q.Name).Epoch}
+	if !confirmed || q.Name == "" || q.Incarnation == 0 {
 		return a, nil
 	}
 	r := l.records[q.Name]
-	if q.Epoch > o.Newest() {
-		a.Why = "it acts on what a lost group of voters released"
-		beyond := uint64(q.Epoch.Founding()) + 1 + q.Life%liftOver
+	if q.ActiveEpoch > o.Newest() {
+		a.Reason = "it acts on what a lost group of voters released"
+		beyond := uint64(q.ActiveEpoch.Founding()) + 1 + q.Incarnation%liftOver
 		return a, l.command(now, " lift", version.Command{Kind: version.Lift, On: o.Newest(), Was: beyond})
 	}
 	holder, held := o.Holds[q.Name]
-	if !held || holder != q.Life {
+	if !held || holder != q.Incarnation {
 		if held && !l.over(now, q.Name, holder) {
 			if !l.succeeds(q, r, holder) {
-				a.Verdict, a.Why = NotName, "the name belongs to another life, which may still act"
+				a.Verdict, a.Reason = VerdictNameTaken, "the name belongs to another life, which may still act"
 				return a, nil
 			}
-			if a.Proof = l.prove(q); a.Proof != 0 {
+			if a.Nonce = l.prove(q); a.Nonce != 0 {
 				return a, nil
 			}
 		}
-		commands = l.command(now, q.Name, version.Command{Kind: version.Hold, Name: q.Name, Life: q.Life, Was: holder})
+		commands = l.command(now, q.Name, version.Command{Kind: version.Hold, Name: q.Name, Life: q.Incarnation, Was: holder})
 		if held && commands != nil { // else its fence would never be carried out while others ask for the name
 			l.leave(now, q.Name, holder)
 		}
 		return a, commands
 	}
 	delete(l.proofs, q.Name) // it has what it proved for; who comes after it is told another number
-	if r == nil || r.life != q.Life {
+	if r == nil || r.life != q.Incarnation {
 		if len(l.records) >= maxRecords && r == nil {
-			a.Why = "there are too many servers"
+			a.Reason = "there are too many servers"
 			return a, nil
 		}
-		r = &record{life: q.Life, behind: -1, until: now}
+		r = &record{life: q.Incarnation, behind: -1, until: now}
 		if l.counted == o.Count {
 			l.leavers-- // it counted as one that may leave while nothing was heard of it
 		}
@@ -143,44 +143,44 @@
 		}
 		l.records[q.Name] = r
 	}
-	r.addr, r.heard, r.epoch, r.stuck, r.tolls, r.build = q.Addr, now, q.Epoch, q.Stuck, q.Toll, q.Build
-	right := a.Right
-	if q.Epoch == right {
+	r.addr, r.heard, r.epoch, r.stuck, r.tolls, r.build = q.Addr, now, q.ActiveEpoch, q.BlockedBy, q.ErrorTally, q.Build
+	right := a.AssignedEpoch
+	if q.ActiveEpoch == right {
 		r.behind = -1
 	} else if r.behind < 0 {
 		r.behind = now
 	}
 	out, isOut := o.Out[q.Name]
-	isOut = isOut && (out.Life == 0 || out.Life == q.Life)
+	isOut = isOut && (out.Life == 0 || out.Life == q.Incarnation)
 	switch {
 	case isOut && out.Life == 0:
-		a.Verdict, a.Why = Barred, out.Why
+		a.Verdict, a.Reason = VerdictEjected, out.Why
 	case r.leaving && !isOut:
-		a.Why = "a change of its standing is under way"
+		a.Reason = "a change of its standing is under way"
 		l.fences++
-		if commands = l.command(now, q.Name, version.Command{Kind: version.Hold, ID: l.fences, Name: q.Name, Life: q.Life, Was: q.Life}); commands != nil {
+		if commands = l.command(now, q.Name, version.Command{Kind: version.Hold, ID: l.fences, Name: q.Name, Life: q.Incarnation, Was: q.Incarnation}); commands != nil {
 			r.fence = l.fences
 		}
 	case isOut && r.behind < 0:
-		a.Why, r.leaving = "brought up", false
+		a.Reason, r.leaving = "brought up", false
 		return a, l.command(now, q.Name, version.Command{Kind: version.Admit, Name: q.Name})
 	case isOut:
-		a.Verdict, a.Why = Late, late(r)
-	case r.behind >= 0 && now > r.behind+l.terms.Behind && l.mayBeOut(o, q.Name):
-		a.Verdict, a.Why = Late, late(r)
+		a.Verdict, a.Reason = VerdictLagging, late(r)
+	case r.behind >= 0 && now > r.behind+l.terms.CatchUpTimeout && l.mayBeOut(o, q.Name):
+		a.Verdict, a.Reason = VerdictLagging, late(r)
 		if now > r.until { // it can't act any more, so that nobody sees it shut out while it acts
 			r.leaving, r.fence = true, 0
-			commands = l.command(now, q.Name, version.Command{Kind: version.Shut, Name: q.Name, Life: q.Life, Why: a.Why})
+			commands = l.command(now, q.Name, version.Command{Kind: version.Shut, Name: q.Name, Life: q.Incarnation, Why: a.Reason})
 		}
 	default:
-		a.Verdict, a.For, a.MayLeave = Lease, l.terms.Lease, l.mayLeave(now, o, r, q)
+		a.Verdict, a.Duration, a.MayGoOutOfService = VerdictGranted, l.terms.Duration, l.mayLeave(now, o, r, q)
 		r.until = now + l.whole()
 	}
 	return a, commands
 }
 
 // leave has a life have no lease until it is known how a command ended that may take its name.
-func (l *Ledger) leave(now float64, name string, life uint64) {
+func (l *Grantor) leave(now float64, name string, life uint64) {
 	r := l.records[name]
 	if r == nil || r.life != life {
 		r = &record{life: life, behind: -1, until: now, heard: now}
@@ -198,7 +198,7 @@
 
 // over tells whether a name's holder can't act any more, as its lease is over. One that took the name from another has a lease's time to ask for its
 // first: else several processes of one name would take it from one another for ever.
-func (l *Ledger) over(now float64, name string, holder uint64) bool {
+func (l *Grantor) over(now float64, name string, holder uint64) bool {
 	r := l.records[name]
 	switch {
 	case r == nil:
@@ -212,7 +212,7 @@
 
 // succeeds tells whether who asks listens where the holder of the name listened: the system lets no two listen there, so one of them is gone.
 // A new leader knows where voters listen, which all are told.
-func (l *Ledger) succeeds(q *Question, r *record, holder uint64) bool {
+func (l *Grantor) succeeds(q *Request, r *record, holder uint64) bool {
 	home := l.homes[q.Name]
 	if home == "" && r != nil && r.life == holder {
 		home = r.addr
@@ -222,14 +222,14 @@
 
 // prove tells a number that the asker has to say before it counts as its holder's successor, 0 where it said it. It guards against a late
 // question of a life that is gone, which came from the same address; it costs a successor one more question.
-func (l *Ledger) prove(q *Question) uint64 {
+func (l *Grantor) prove(q *Request) uint64 {
 	p := l.proofs[q.Name]
-	if p.life != q.Life {
+	if p.life != q.Incarnation {
 		l.fences++
-		p = proof{q.Life, l.fences}
+		p = proof{q.Incarnation, l.fences}
 		l.proofs[q.Name] = p
 	}
-	if q.Proof == p.number {
+	if q.Nonce == p.number {
 		return 0
 	}
 	return p.number
@@ -238,7 +238,7 @@
 // maxAsked bounds the commands that are under way: with more names than that, the rest is asked for later.
 const maxAsked = 256
 
-func (l *Ledger) command(now float64, name string, c version.Command) []version.Command {
+func (l *Grantor) command(now float64, name string, c version.Command) []version.Command {
 	if at, asked := l.asked[name]; asked && now < at+askAgain {
 		return nil
 	}
@@ -258,10 +258,12 @@
 }
 
 // most is how many of the fleet may be off the roster.
-func (l *Ledger) most(o *version.Order) int { return int(l.terms.MaxOut * float64(len(o.Holds))) }
+func (l *Grantor) most(o *version.Order) int {
+	return int(l.terms.MaxUnavailable * float64(len(o.Holds)))
+}
 
 // mayBeOut tells whether one more may be shut out as it is late: those that are, and those that have no lease as they are late, count.
-func (l *Ledger) mayBeOut(o *version.Order, name string) bool {
+func (l *Grantor) mayBeOut(o *version.Order, name string) bool {
 	n := 0
 	for other, out := range o.Out {
 		if out.Life != 0 && o.Holds[other] == out.Life {
@@ -287,7 +289,7 @@
 // mayLeave tells whether a server is among the few that may go off the roster when they hear nothing. One that may keeps that, also while it
 // says nothing; a leader that follows hears of it from the server itself, and takes those that it has not heard for such. So those who
 // leave together are never more than most, as long as the fleet does not shrink meanwhile.
-func (l *Ledger) mayLeave(now float64, o *version.Order, r *record, q *Question) bool {
+func (l *Grantor) mayLeave(now float64, o *version.Order, r *record, q *Request) bool {
 	if l.counted != o.Count || now > l.countedAt+tendEvery {
 		l.counted, l.countedAt, l.leavers = o.Count, now, 0
 		for name, life := range o.Holds {
@@ -298,10 +300,10 @@
 	}
 	most := l.most(o)
 	switch {
-	case q.MayLeave && !r.leaver:
+	case q.MayGoOutOfService && !r.leaver:
 		r.leaver, r.allowed = true, q.Number
 		l.leavers++
-	case r.leaver && !q.MayLeave && q.Number >= r.allowed+maxWaiting: // no answer that said so is waited for any more
+	case r.leaver && !q.MayGoOutOfService && q.Number >= r.allowed+maxPending: // no answer that said so is waited for any more
 		r.leaver = false
 		l.leavers--
 	}
@@ -324,28 +326,28 @@
 // settled is the part of a wave's servers that have to act on the release before the next one: not all, as one of many may be absent.
 const settled = 0.9
 
-// Tend tells what is to be asked for on the leader's own account: names to forget, waves to widen, a release to roll back.
-func (l *Ledger) Tend(now float64, o *version.Order, roll version.Rollout) (commands []version.Command) {
+// Maintain tells what is to be asked for on the leader's own account: names to forget, waves to widen, a release to roll back.
+func (l *Grantor) Maintain(now float64, o *version.Order, roll version.Rollout) (commands []version.Command) {
 	if now < l.acted+tendEvery {
 		return nil
 	}
 	l.acted = now
 	for name, r := range l.records {
 		if o.Holds[name] != r.life {
-			if now > r.heard+l.terms.Forget {
+			if now > r.heard+l.terms.ForgetAfter {
 				delete(l.records, name)
 			}
 			continue
 		}
-		if r.behind < 0 || now > r.until+l.terms.Lease { // one that says nothing is not late but absent
+		if r.behind < 0 || now > r.until+l.terms.Duration { // one that says nothing is not late but absent
 			r.refused = ""
 		}
 	}
-	if now > l.from+l.terms.Forget+l.whole() {
+	if now > l.from+l.terms.ForgetAfter+l.whole() {
 		for name, life := range o.Holds {
-			if r := l.records[name]; r == nil || now > r.heard+l.terms.Forget {
+			if r := l.records[name]; r == nil || now > r.heard+l.terms.ForgetAfter {
 				if ask := l.command(now, name, version.Command{Kind: version.Forget, Name: name, Life: life}); ask != nil {
-					l.leave(now-l.terms.Forget-1, name, life)
+					l.leave(now-l.terms.ForgetAfter-1, name, life)
 					commands = append(commands, ask...)
 				}
 			}
@@ -361,7 +363,7 @@
 }
 
 // roll looks after the release on its way.
-func (l *Ledger) roll(now float64, o *version.Order, roll version.Rollout) []version.Command {
+func (l *Grantor) roll(now float64, o *version.Order, roll version.Rollout) []version.Command {
 	if o.Next == nil {
 		l.waveOf = 0
 		return nil
@@ -373,7 +375,7 @@
 	var on, off version.Toll
 	in, there := 0, 0
 	for name, r := range l.records {
-		if o.Holds[name] != r.life || now > r.heard+l.terms.Lease {
+		if o.Holds[name] != r.life || now > r.heard+l.terms.Duration {
 			continue
 		}
 		if r.epoch == next {
@@ -401,37 +403,37 @@
 	return l.command(now, " release", version.Command{Kind: version.Widen, On: next})
 }
 
-// Standing is what a leader knows of one name, for people.
-type Standing struct {
-	Name   string
-	Life   uint64        `json:"Life"`
-	Epoch  version.Epoch `json:"Epoch"`
-	Right  version.Epoch `json:"Right"`
-	Heard  float64       `json:"Heard"`  // seconds ago
-	Behind float64       `json:"Behind"` // seconds for which it is not on its version, 0 where it is
-	Stuck  string        `json:"Stuck"`
-	Out    string        `json:"Out"`
-	Build  string
-	Known  bool `json:"Known"` // it was heard in this leader's term
+// ServerStatus is what a leader knows of one name, for people.
+type ServerStatus struct {
+	Name              string
+	Incarnation       uint64        `json:"Life"`
+	ActiveEpoch       version.Epoch `json:"Epoch"`
+	AssignedEpoch     version.Epoch `json:"Right"`
+	SecondsSinceHeard float64       `json:"Heard"`  // seconds ago
+	SecondsBehind     float64       `json:"Behind"` // seconds for which it is not on its version, 0 where it is
+	BlockedBy         string        `json:"Stuck"`
+	EjectionReason    string        `json:"Out"`
+	Build             string
+	Reported          bool `json:"Known"` // it was heard in this leader's term
 }
 
-// Standings lists every name that is held, by name.
-func (l *Ledger) Standings(now float64, o *version.Order) []Standing {
-	list := make([]Standing, 0, len(o.Holds))
+// ServerStatuses lists every name that is held, by name.
+func (l *Grantor) ServerStatuses(now float64, o *version.Order) []ServerStatus {
+	list := make([]ServerStatus, 0, len(o.Holds))
 	for name, life := range o.Holds {
-		s := Standing{Name: name, Life: life, Right: o.For(name).Epoch}
+		s := ServerStatus{Name: name, Incarnation: life, AssignedEpoch: o.For(name).Epoch}
 		if out, is := o.Out[name]; is && (out.Life == 0 || out.Life == life) {
-			s.Out = out.Why
+			s.EjectionReason = out.Why
 		}
 		if r := l.records[name]; r != nil && r.life == life {
-			s.Known, s.Epoch, s.Heard, s.Stuck, s.Build = true, r.epoch, now-r.heard, r.stuck, r.build
+			s.Reported, s.ActiveEpoch, s.SecondsSinceHeard, s.BlockedBy, s.Build = true, r.epoch, now-r.heard, r.stuck, r.build
 			if r.behind >= 0 {
-				s.Behind = now - r.behind
+				s.SecondsBehind = now - r.behind
 			}
 		}
 		list = append(list, s)
 	}
-	slices.SortFunc(list, func(a, b Standing) int {
+	slices.SortFunc(list, func(a, b ServerStatus) int {
 		if a.Name < b.Name {
 			return -1
 		}
@@ -440,9 +442,9 @@
 	return list
 }
 
-// Word judges whether another server's word counts, its reports and what it asks to be acted on: only who holds its name, is not shut
+// CheckReporter judges whether another server's word counts, its reports and what it asks to be acted on: only who holds its name, is not shut
 // out, and acts on its version. Else it tells the version that would be right, and why.
-func Word(o *version.Order, name string, life uint64, epoch version.Epoch) (right version.Epoch, why string) {
+func CheckReporter(o *version.Order, name string, life uint64, epoch version.Epoch) (right version.Epoch, why string) {
 	right = o.For(name).Epoch
 	out, isOut := o.Out[name]
 	switch {
--- a/internal/judge/member/member_test.go
+++ b/internal/judge/member/member_test.go
@@ -10,7 +10,7 @@
 	"swiftcourse/internal/judge/version"
 )
 
-var terms = Terms{Lease: 3, Behind: 5, MaxOut: 0.25, Forget: 60}
+var terms = Config{Duration: 3, CatchUpTimeout: 5, MaxUnavailable: 0.25, ForgetAfter: 60}
 
 // homes are of the first server alone, so that the drawn schedules have names with a home and names without.
 var homes = map[string]string{"n0": "addr0"}
@@ -34,13 +34,13 @@
 }
 
 type boss struct {
-	ledger *Ledger
+	ledger *Grantor
 	order  *version.Order // as it knows it; nil for the newest
 	until  float64        // when its last confirmation is over
 }
 
 type served struct {
-	self    *Self
+	self    *Holder
 	name    string
 	life    uint64
 	addr    string
@@ -51,7 +51,7 @@
 	acts    version.Epoch
 	heard   version.Epoch
 	cut     bool
-	view    View // what its loop goes by, which it may read long after
+	view    Snapshot // what its loop goes by, which it may read long after
 }
 
 type letter struct {
@@ -59,7 +59,7 @@
 	do func()
 }
 
-func newFleet(t interface{ Fatalf(string, ...any) }, seed uint64, n int, silent Stance) *fleet {
+func newFleet(t interface{ Fatalf(string, ...any) }, seed uint64, n int, silent Mode) *fleet {
 	f := &fleet{t: t, chance: rand.New(rand.NewPCG(seed, 3)), slow: 0.1}
 	f.order = version.Found(&version.Order{}, 7, map[uint64]string{1: "v"})
 	f.lead()
@@ -69,10 +69,10 @@
 	return f
 }
 
-func (f *fleet) add(name, addr string, silent Stance) *served {
+func (f *fleet) add(name, addr string, silent Mode) *served {
 	f.lives++
 	s := &served{name: name, life: f.lives, addr: addr, rate: 0.99 + 0.02*f.chance.Float64(), off: 1e4 * f.chance.Float64()}
-	s.self = NewSelf(name, s.life, addr, "", silent, terms.Lease, s.clock(f.now))
+	s.self = NewHolder(name, s.life, addr, "", silent, terms.Duration, s.clock(f.now))
 	f.servers = append(f.servers, s)
 	return s
 }
@@ -85,9 +85,9 @@
 			c.do()
 		}
 		f.log = nil
-		f.old = &boss{f.leader.ledger, f.order.Clone(), f.now + ConfirmedFor}
+		f.old = &boss{f.leader.ledger, f.order.Clone(), f.now + LeaderConfirmationWindow}
 	}
-	f.leader = &boss{ledger: NewLedger(terms, homes, f.now)}
+	f.leader = &boss{ledger: NewGrantor(terms, homes, f.now)}
 }
 
 func (f *fleet) commit(commands []version.Command) {
@@ -95,7 +95,7 @@
 		ledger := f.leader.ledger
 		f.log = append(f.log, letter{f.now + 0.02 + f.slow*f.chance.Float64(), func() {
 			_ = f.order.Apply(&c)
-			ledger.Ended(&c)
+			ledger.HandleCommandResult(&c)
 		}})
 	}
 }
@@ -109,7 +109,7 @@
 }
 
 func (f *fleet) ask(s *served) {
-	q := s.self.Ask(s.clock(f.now))
+	q := s.self.NewRequest(s.clock(f.now))
 	to := f.leader
 	if f.old != nil && f.now < f.old.until && f.chance.IntN(2) == 0 {
 		to = f.old
@@ -122,15 +122,15 @@
 		if o == nil || to == f.leader {
 			o = f.order
 		}
-		a, commands := to.ledger.Read(f.now, &q, o, to == f.leader || f.now < to.until)
+		a, commands := to.ledger.HandleRequest(f.now, &q, o, to == f.leader || f.now < to.until)
 		if to == f.leader {
 			f.commit(commands)
 		}
 		f.send(func() {
 			if !s.asleep && !s.cut && !f.deaf {
-				s.self.Read(s.clock(f.now), &a)
-				s.heard = max(s.heard, a.Right)
-				s.view = s.self.View()
+				s.self.HandleReply(s.clock(f.now), &a)
+				s.heard = max(s.heard, a.AssignedEpoch)
+				s.view = s.self.Snapshot()
 			}
 		})
 	})
@@ -152,7 +152,7 @@
 				f.mail = append(f.mail, m)
 			}
 		}
-		f.commit(f.leader.ledger.Tend(f.now, f.order, version.Rollout{WaveFor: 1, Sure: 0.9999}))
+		f.commit(f.leader.ledger.Maintain(f.now, f.order, version.Rollout{WaveFor: 1, Sure: 0.9999}))
 		for _, s := range f.servers {
 			if s.asleep {
 				continue
@@ -165,12 +165,12 @@
 			if s.refuses && s.heard > s.acts {
 				stuck = "it refuses the file"
 			}
-			s.self.Acts(s.acts, stuck)
-			s.self.Tick(now)
-			if s.self.Next() <= now {
+			s.self.SetActiveEpoch(s.acts, stuck)
+			s.self.Expire(now)
+			if s.self.NextWakeup() <= now {
 				f.ask(s)
 			}
-			s.view = s.self.View()
+			s.view = s.self.Snapshot()
 		}
 		f.check()
 	}
@@ -181,8 +181,8 @@
 	acting := map[string]uint64{}
 	away := 0
 	for _, s := range f.servers {
-		stance := s.view.At(s.clock(f.now))
-		leased := s.view.State == Acting && s.clock(f.now) < s.view.Until
+		stance := s.view.ModeAt(s.clock(f.now))
+		leased := s.view.State == StateLeased && s.clock(f.now) < s.view.ChangesAt
 		if leased {
 			if other := acting[s.name]; other != 0 {
 				f.t.Fatalf("%s: lives %d and %d both have a lease at %.2f", s.name, other, s.life, f.now)
@@ -192,11 +192,11 @@
 				f.t.Fatalf("%s acts while it is shut out at %.2f", s.name, f.now)
 			}
 		}
-		if stance == Away && !s.refuses && s.view.State == Silent && f.order.Holds[s.name] == s.life { // else its name is another's
+		if stance == ModeOutOfService && !s.refuses && s.view.State == StateExpired && f.order.Holds[s.name] == s.life { // else its name is another's
 			away++
 		}
 	}
-	if most := int(terms.MaxOut * float64(max(len(f.order.Holds), len(f.servers)))); away > most {
+	if most := int(terms.MaxUnavailable * float64(max(len(f.order.Holds), len(f.servers)))); away > most {
 		f.t.Fatalf("%d of %d are off the roster for want of talk, %d may be", away, len(f.servers), most)
 	}
 }
@@ -208,14 +208,14 @@
 func (f *fleet) allActing(t *testing.T) {
 	t.Helper()
 	for _, s := range f.servers {
-		if state, _, why := s.self.State(); state != Acting || s.acts != f.order.For(s.name).Epoch {
+		if state, _, why := s.self.State(); state != StateLeased || s.acts != f.order.For(s.name).Epoch {
 			t.Errorf("%s is %s on %s, not acting on %s: %s", s.name, state, s.acts, f.order.For(s.name).Epoch, why)
 		}
 	}
 }
 
 func TestAReleaseGoesInWavesToAll(t *testing.T) {
-	f := newFleet(t, 1, 10, Serve)
+	f := newFleet(t, 1, 10, ModeNormal)
 	f.run(3)
 	f.release("x", 0.1, 0.5)
 	f.run(12)
@@ -226,19 +226,19 @@
 }
 
 func TestAStragglerIsShutOutAndBroughtUp(t *testing.T) {
-	f := newFleet(t, 2, 8, Serve)
+	f := newFleet(t, 2, 8, ModeNormal)
 	f.run(3)
 	late := f.servers[3]
 	late.refuses = true
 	f.release("x")
-	f.run(terms.Behind + 2*terms.Lease)
-	if state, _, why := late.self.State(); state != Out || why != "it refuses the file" || late.self.View().Now != Away {
+	f.run(terms.CatchUpTimeout + 2*terms.Duration)
+	if state, _, why := late.self.State(); state != StateFenced || why != "it refuses the file" || late.self.Snapshot().Mode != ModeOutOfService {
 		t.Errorf("it is %s: %q", state, why)
 	}
 	if _, out := f.order.Out[late.name]; !out {
 		t.Error("the order does not know of it")
 	}
-	if right, why := Word(f.order, late.name, late.life, late.acts); why != "it is shut out" || right != f.order.Base.Epoch {
+	if right, why := CheckReporter(f.order, late.name, late.life, late.acts); why != "it is shut out" || right != f.order.Base.Epoch {
 		t.Errorf("its word: %s, %q", right, why)
 	}
 	late.refuses = false
@@ -250,44 +250,44 @@
 }
 
 func TestMoreStragglersThanMayBeOut(t *testing.T) {
-	f := newFleet(t, 3, 8, Serve)
+	f := newFleet(t, 3, 8, ModeNormal)
 	f.run(3)
 	for _, s := range f.servers[:6] {
 		s.refuses = true
 	}
 	f.release("x")
-	f.run(terms.Behind + 5*terms.Lease)
+	f.run(terms.CatchUpTimeout + 5*terms.Duration)
 	if n := len(f.order.Out); n != 2 {
 		t.Errorf("%d of 8 are shut out, 2 may be", n)
 	}
 }
 
 func TestASecondProcessOfOneName(t *testing.T) {
-	f := newFleet(t, 4, 3, Serve)
+	f := newFleet(t, 4, 3, ModeNormal)
 	f.run(3)
-	twin := f.add("n1", "elsewhere", Serve)
+	twin := f.add("n1", "elsewhere", ModeNormal)
 	f.run(5)
-	if state, _, why := twin.self.State(); state != Taken || why == "" {
+	if state, _, why := twin.self.State(); state != StateSuperseded || why == "" {
 		t.Errorf("the second is %s: %q", state, why)
 	}
-	if state, _, _ := f.servers[1].self.State(); state != Acting {
+	if state, _, _ := f.servers[1].self.State(); state != StateLeased {
 		t.Errorf("the first is %s", state)
 	}
 	f.servers[1].asleep = true // for longer than its lease
-	f.run(3 * terms.Lease)
-	if state, _, _ := twin.self.State(); state != Acting {
+	f.run(3 * terms.Duration)
+	if state, _, _ := twin.self.State(); state != StateLeased {
 		t.Errorf("the first said nothing for three leases, and the second is %s", state)
 	}
 	f.servers[1].asleep = false
 	f.run(2)
-	if state, _, _ := f.servers[1].self.State(); state != Taken {
+	if state, _, _ := f.servers[1].self.State(); state != StateSuperseded {
 		t.Errorf("awake, the first is %s", state)
 	}
-	cold := f.add("n2", f.servers[2].addr, Serve) // a restart: nobody else can listen there
+	cold := f.add("n2", f.servers[2].addr, ModeNormal) // a restart: nobody else can listen there
 	f.servers[2] = cold
 	f.servers = f.servers[:len(f.servers)-1]
 	at := f.now
-	for f.now < at+terms.Lease && cold.view.State != Acting {
+	for f.now < at+terms.Duration && cold.view.State != StateLeased {
 		f.run(0.1)
 	}
 	if took := f.now - at; took > 2 {
@@ -296,16 +296,16 @@
 }
 
 func TestSilenceTakesFewOffTheRoster(t *testing.T) {
-	for _, silent := range []Stance{KeepOn, ShieldOn, LeaveThen} {
+	for _, silent := range []Mode{FallbackNormal, FallbackSafeDefaults, FallbackOutOfService} {
 		f := newFleet(t, 5, 8, silent)
-		f.run(3 * terms.Lease)
+		f.run(3 * terms.Duration)
 		f.deaf = true
-		f.run(3 * terms.Lease)
-		stances := map[Stance]int{}
+		f.run(3 * terms.Duration)
+		stances := map[Mode]int{}
 		for _, s := range f.servers {
-			stances[s.view.At(s.clock(f.now))]++
+			stances[s.view.ModeAt(s.clock(f.now))]++
 		}
-		want := map[Stance]map[Stance]int{KeepOn: {Serve: 8}, ShieldOn: {Shield: 8}, LeaveThen: {Away: 2, Shield: 6}}[silent]
+		want := map[Mode]map[Mode]int{FallbackNormal: {ModeNormal: 8}, FallbackSafeDefaults: {ModeSafeDefaults: 8}, FallbackOutOfService: {ModeOutOfService: 2, ModeSafeDefaults: 6}}[silent]
 		if fmt.Sprint(stances) != fmt.Sprint(want) {
 			t.Errorf("%s: %v, not %v", silent, stances, want)
 		}
@@ -313,39 +313,39 @@
 }
 
 func TestAnOldAnswerChangesNothing(t *testing.T) {
-	s := NewSelf("n", 9, "a", "", Serve, 3, 100)
-	first, second := s.Ask(100), s.Ask(101)
-	lease := func(q Question, verdict Verdict) *Answer {
-		return &Answer{Life: 9, Number: q.Number, Verdict: verdict, For: 3, Right: 5}
+	s := NewHolder("n", 9, "a", "", ModeNormal, 3, 100)
+	first, second := s.NewRequest(100), s.NewRequest(101)
+	lease := func(q Request, verdict Verdict) *Reply {
+		return &Reply{Incarnation: 9, Number: q.Number, Verdict: verdict, Duration: 3, AssignedEpoch: 5}
 	}
 	for _, step := range []struct {
 		what  string
-		a     *Answer
+		a     *Reply
 		at    float64
 		state State
 	}{
-		{"of an earlier life", &Answer{Life: 8, Number: second.Number, Verdict: Lease, For: 3}, 101, Fresh},
-		{"to no question", &Answer{Life: 9, Number: 77, Verdict: Lease, For: 3}, 101, Fresh},
-		{"that came when its lease is over", lease(second, Lease), 104, Fresh},
+		{"of an earlier life", &Reply{Incarnation: 8, Number: second.Number, Verdict: VerdictGranted, Duration: 3}, 101, StateInitial},
+		{"to no question", &Reply{Incarnation: 9, Number: 77, Verdict: VerdictGranted, Duration: 3}, 101, StateInitial},
+		{"that came when its lease is over", lease(second, VerdictGranted), 104, StateInitial},
 	} {
-		if s.Read(step.at, step.a); s.state != step.state {
+		if s.HandleReply(step.at, step.a); s.state != step.state {
 			t.Errorf("an answer %s: %s", step.what, s.state)
 		}
 	}
-	third, fourth := s.Ask(105), s.Ask(106)
-	if s.Read(106.5, lease(fourth, Lease)); s.state != Acting || s.until != 109 {
+	third, fourth := s.NewRequest(105), s.NewRequest(106)
+	if s.HandleReply(106.5, lease(fourth, VerdictGranted)); s.state != StateLeased || s.until != 109 {
 		t.Errorf("a lease: %s until %g", s.state, s.until)
 	}
-	if s.Read(106.6, lease(third, Barred)); s.state != Acting {
+	if s.HandleReply(106.6, lease(third, VerdictEjected)); s.state != StateLeased {
 		t.Error("an older answer that came later shut it out")
 	}
-	if s.Read(106.6, lease(first, Barred)); s.state != Acting {
+	if s.HandleReply(106.6, lease(first, VerdictEjected)); s.state != StateLeased {
 		t.Error("an answer of long ago shut it out")
 	}
-	if v := s.View(); v.At(108.9) != Serve || v.Until != 109 {
+	if v := s.Snapshot(); v.ModeAt(108.9) != ModeNormal || v.ChangesAt != 109 {
 		t.Error("it has a lease until 109")
 	}
-	if s.Tick(109); s.state != Silent {
+	if s.Expire(109); s.state != StateExpired {
 		t.Errorf("after its lease it is %s", s.state)
 	}
 }
@@ -353,7 +353,7 @@
 // TestNobodyActsOutOfTurn plays drawn schedules; what is checked is in check. Once all is healed everybody acts on its version.
 func TestNobodyActsOutOfTurn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		silent := rapid.SampledFrom([]Stance{KeepOn, ShieldOn, LeaveThen}).Draw(t, "silent")
+		silent := rapid.SampledFrom([]Mode{FallbackNormal, FallbackSafeDefaults, FallbackOutOfService}).Draw(t, "silent")
 		f := newFleet(t, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 9).Draw(t, "servers"), silent)
 		first := len(f.servers)
 		for i := range rapid.IntRange(1, 15).Draw(t, "steps") {
@@ -391,7 +391,7 @@
 		for _, s := range f.servers {
 			s.asleep, s.cut, s.refuses = false, false, false
 		}
-		f.run(6 * terms.Lease)
+		f.run(6 * terms.Duration)
 		wrong := f.wrong()
 		for range 10 { // an answer that takes a second comes a few times in a thousand, and a lease may run out by it
 			if wrong != "" {
@@ -409,13 +409,13 @@
 func (f *fleet) wrong() string {
 	names := map[string]int{}
 	for _, s := range f.servers {
-		if s.view.State == Acting {
+		if s.view.State == StateLeased {
 			names[s.name]++
 			if s.acts != f.order.For(s.name).Epoch {
 				return fmt.Sprintf("%s acts on %s, not %s", s.name, s.acts, f.order.For(s.name).Epoch)
 			}
-		} else if s.view.State != Taken {
-			return fmt.Sprintf("%s is %s: %s", s.name, s.view.State, s.view.Why)
+		} else if s.view.State != StateSuperseded {
+			return fmt.Sprintf("%s is %s: %s", s.name, s.view.State, s.view.Reason)
 		}
 	}
 	for _, s := range f.servers {
@@ -428,23 +428,23 @@
 
 func BenchmarkQuestionAmongAThousand(b *testing.B) {
 	o := version.Found(&version.Order{}, 7, nil)
-	l := NewLedger(terms, homes, 0)
+	l := NewGrantor(terms, homes, 0)
 	for i := range 1000 {
 		_ = o.Apply(&version.Command{Kind: version.Hold, Name: fmt.Sprint("n", i), Life: 1})
 	}
-	q := Question{Name: "n7", Life: 1, Addr: "a", Epoch: o.Base.Epoch}
+	q := Request{Name: "n7", Incarnation: 1, Addr: "a", ActiveEpoch: o.Base.Epoch}
 	b.ReportAllocs()
 	for b.Loop() {
 		q.Number++
-		l.Read(float64(q.Number)/1000, &q, o, true)
+		l.HandleRequest(float64(q.Number)/1000, &q, o, true)
 	}
 }
 
 // TestAServerAheadOfAFoundedOrder: all voters forgot while it was cut off, and founded under a lower number.
 func TestAServerAheadOfAFoundedOrder(t *testing.T) {
-	f := newFleet(t, 8, 4, Serve)
+	f := newFleet(t, 8, 4, ModeNormal)
 	f.servers[2].acts, f.servers[2].heard = version.At(50, 3), version.At(50, 3) // the order is of founding 7
-	f.run(3 * terms.Lease)
+	f.run(3 * terms.Duration)
 	f.allActing(t)
 	if e := f.order.Base.Epoch; e.Founding() <= 50 {
 		t.Errorf("epochs go on from %s", e)
@@ -457,17 +457,17 @@
 // TestAPlaceToLeaveOutlivesItsLeader: with room for all to leave the roster, a new leader takes no place away from anybody, also not for a moment.
 func TestAPlaceToLeaveOutlivesItsLeader(t *testing.T) {
 	was := terms
-	terms.MaxOut = 1
+	terms.MaxUnavailable = 1
 	defer func() { terms = was }()
 	for seed := range uint64(20) {
-		f := newFleet(t, seed, 5, LeaveThen)
-		f.run(4 * terms.Lease)
+		f := newFleet(t, seed, 5, FallbackOutOfService)
+		f.run(4 * terms.Duration)
 		f.lead()
 		for range 100 {
 			f.run(0.05)
 			for _, s := range f.servers {
-				if !s.self.MayLeave() {
-					t.Fatalf("seed %d: %s may not leave any more, %.2f s after its leader changed", seed, s.name, f.now-4*terms.Lease)
+				if !s.self.MayGoOutOfService() {
+					t.Fatalf("seed %d: %s may not leave any more, %.2f s after its leader changed", seed, s.name, f.now-4*terms.Duration)
 				}
 			}
 		}
@@ -476,39 +476,39 @@
 
 // TestALeaderThatRestartsHasItsNameAtOnce: the one that follows knows nothing of its former life but where that listened.
 func TestALeaderThatRestartsHasItsNameAtOnce(t *testing.T) {
-	f := newFleet(t, 11, 3, Serve)
-	f.run(2 * terms.Lease)
+	f := newFleet(t, 11, 3, ModeNormal)
+	f.run(2 * terms.Duration)
 	f.lead()
 	f.run(0.5)
 	for _, i := range []int{0, 1} { // with a home, and without
-		f.servers[i] = f.add(f.servers[i].name, f.servers[i].addr, Serve)
+		f.servers[i] = f.add(f.servers[i].name, f.servers[i].addr, ModeNormal)
 		f.servers = f.servers[:len(f.servers)-1]
 	}
 	f.run(1.5)
-	if state, _, why := f.servers[0].self.State(); state != Acting {
+	if state, _, why := f.servers[0].self.State(); state != StateLeased {
 		t.Errorf("1.5 s after its restart the voter is %s: %s", state, why)
 	}
-	f.run(2 * terms.Lease)
+	f.run(2 * terms.Duration)
 	f.allActing(t)
 }
 
 // TestALateQuestionOfADeadLifeTakesNoName: it comes from the address at which its successor listens, which acts.
 func TestALateQuestionOfADeadLifeTakesNoName(t *testing.T) {
 	for _, leader := range []string{"the same", "a new one"} {
-		f := newFleet(t, 12, 3, Serve)
-		f.run(terms.Lease)
+		f := newFleet(t, 12, 3, ModeNormal)
+		f.run(terms.Duration)
 		for _, i := range []int{0, 1} { // with a home, and without
 			dead := f.servers[i]
-			late := dead.self.Ask(dead.clock(f.now))
-			f.servers[i] = f.add(dead.name, dead.addr, Serve)
+			late := dead.self.NewRequest(dead.clock(f.now))
+			f.servers[i] = f.add(dead.name, dead.addr, ModeNormal)
 			f.servers = f.servers[:len(f.servers)-1]
-			f.run(terms.Lease)
+			f.run(terms.Duration)
 			if leader != "the same" {
 				f.lead()
 				f.run(0.5)
 			}
 			for range 3 {
-				_, commands := f.leader.ledger.Read(f.now, &late, f.order, true)
+				_, commands := f.leader.ledger.HandleRequest(f.now, &late, f.order, true)
 				f.commit(commands)
 				f.run(0.3)
 			}
--- a/internal/judge/replica/asker.go
+++ b/internal/judge/replica/asker.go
@@ -11,7 +11,7 @@
 // Told is how a claim came out.
 type Told struct {
 	ID     string
-	Ruling stance.Ruling
+	Ruling stance.ClaimVerdict
 	Result []byte
 	Took   float64 // seconds since it was asked for
 }
@@ -148,7 +148,7 @@
 func (s *Asker) Begin(now float64, id string, key state.Key, until float64) {
 	typical := s.Typical(now)
 	if s.claims[id] != nil || len(s.claims) >= maxClaims || until-now <= typical {
-		s.told = append(s.told, Told{ID: id, Ruling: stance.NoQuorum})
+		s.told = append(s.told, Told{ID: id, Ruling: stance.ClaimNoQuorum})
 		return
 	}
 	c := &claim{id: id, key: key, group: s.place.Group(key.Slot()), began: now, until: min(until, now+s.place.Longest)}
@@ -294,24 +294,24 @@
 	s.step(c, known, now)
 }
 
-func (s *Asker) tell(c *claim, r stance.Ruling, now float64) {
+func (s *Asker) tell(c *claim, r stance.ClaimVerdict, now float64) {
 	s.told = append(s.told, Told{ID: c.id, Ruling: r, Result: c.try.Result, Took: now - c.began})
 }
 
 func (s *Asker) mayRun(c *claim, now float64) {
 	s.took.At(now).Add(now - c.began)
-	s.tell(c, stance.MayRun, now)
+	s.tell(c, stance.ClaimGranted, now)
 }
-func (s *Asker) tellKnown(c *claim, now float64)   { s.tell(c, stance.Known, now) }
-func (s *Asker) tellMayHave(c *claim, now float64) { s.tell(c, stance.MayHave, now) }
+func (s *Asker) tellKnown(c *claim, now float64)   { s.tell(c, stance.ClaimCached, now) }
+func (s *Asker) tellMayHave(c *claim, now float64) { s.tell(c, stance.ClaimOutcomeUnknown, now) }
 
 // tellLate tells that no quorum came. Where another claim was seen its task may run: then nobody should try it again at once.
 func (s *Asker) tellLate(c *claim, now float64) {
 	if c.rivals {
-		s.tell(c, stance.MayHave, now)
+		s.tell(c, stance.ClaimOutcomeUnknown, now)
 		return
 	}
-	s.tell(c, stance.NoQuorum, now)
+	s.tell(c, stance.ClaimNoQuorum, now)
 }
 
 // withdraw has the holders know that a claim never ran: it is told to no task any more, and one that would come with it later is not heeded.
--- a/internal/judge/replica/history_test.go
+++ b/internal/judge/replica/history_test.go
@@ -33,9 +33,9 @@
 		switch {
 		case in.gives:
 			return holds == in.id, ""
-		case out.Ruling == stance.MayRun:
+		case out.Ruling == stance.ClaimGranted:
 			return holds == "", in.id
-		case out.Ruling == stance.Known:
+		case out.Ruling == stance.ClaimCached:
 			return string(out.Result) == "result of "+holds.(string), holds
 		}
 		return true, holds // told that nobody can tell
@@ -63,10 +63,10 @@
 	if operations < 5000 {
 		t.Errorf("%d operations: too few to show anything", operations)
 	}
-	taken := func(key byte, id string, ruling stance.Ruling, at int64) porcupine.Operation {
+	taken := func(key byte, id string, ruling stance.ClaimVerdict, at int64) porcupine.Operation {
 		return porcupine.Operation{Input: claimed{key: state.Key{key}, id: id}, Call: at, Output: Told{Ruling: ruling}, Return: at + 1}
 	}
-	if porcupine.CheckOperations(register, []porcupine.Operation{taken(1, "a", stance.MayRun, 1), taken(1, "b", stance.MayRun, 3)}) {
+	if porcupine.CheckOperations(register, []porcupine.Operation{taken(1, "a", stance.ClaimGranted, 1), taken(1, "b", stance.ClaimGranted, 3)}) {
 		t.Error("two runs of one key pass")
 	}
 }
--- a/internal/judge/replica/replica_test.go
+++ b/internal/judge/replica/replica_test.go
@@ -207,7 +207,7 @@
 	w.history = append(w.history, porcupine.Operation{Input: claimed{key: key, id: told.ID}, Call: w.began[told.ID], Output: told, Return: w.ticks})
 	w.say("node %d task %s key %x: %s %q", n.i, told.ID, key[:2], told.Ruling, told.Result)
 	switch told.Ruling {
-	case stance.MayRun:
+	case stance.ClaimGranted:
 		if w.chance.IntN(8) == 0 { // judged anew, it has too little time left
 			w.history = append(w.history, porcupine.Operation{Input: claimed{key, told.ID, true}, Call: w.ticks + 1, Output: Told{}, Return: w.ticks + 2})
 			w.ticks += 2
@@ -221,7 +221,7 @@
 		}
 		w.ran[key] = append(w.ran[key], run{w.now, fmt.Sprintf("result of %s", told.ID), told.ID})
 		n.running[told.ID] = w.now + 0.3*w.chance.Float64()
-	case stance.Known:
+	case stance.ClaimCached:
 		ran := w.ran[key]
 		if len(ran) == 0 || !slices.ContainsFunc(ran, func(r run) bool { return r.result == string(told.Result) }) {
 			w.fail("key %x has the result %q, which nobody had: %v", key[:2], told.Result, ran)
@@ -348,14 +348,14 @@
 }
 
 func TestNoKeyRunsTwice(t *testing.T) {
-	outcomes := map[stance.Ruling]int{}
+	outcomes := map[stance.ClaimVerdict]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		w := play(t, rapid.Uint64().Draw(t, "seed"))
 		for _, told := range w.told {
 			outcomes[told.Ruling]++
 		}
 	})
-	for _, o := range []stance.Ruling{stance.MayRun, stance.Known, stance.MayHave, stance.NoQuorum} {
+	for _, o := range []stance.ClaimVerdict{stance.ClaimGranted, stance.ClaimCached, stance.ClaimOutcomeUnknown, stance.ClaimNoQuorum} {
 		if outcomes[o] == 0 {
 			t.Errorf("no task was ever told %s: %v", o, outcomes)
 		}
@@ -382,13 +382,13 @@
 			t.Fatalf("copies differ 30 s after the last fault")
 		}
 		// One claim may still fail for good reason: its task has little time, or a message is an old one. Five in a row may not.
-		ruling := stance.NoQuorum
-		for i := 0; i < 5 && ruling != stance.MayRun; i++ {
+		ruling := stance.ClaimNoQuorum
+		for i := 0; i < 5 && ruling != stance.ClaimGranted; i++ {
 			id := w.claim(w.nodes[0], state.KeyOf("ping", fmt.Sprint("fresh", i)))
 			w.step(1.1)
 			ruling = w.told[id].Ruling
 		}
-		if ruling != stance.MayRun {
+		if ruling != stance.ClaimGranted {
 			t.Fatalf("healed, five new keys in a row are not granted, the last is told %s", ruling)
 		}
 	})
--- a/internal/judge/replica/rules_test.go
+++ b/internal/judge/replica/rules_test.go
@@ -351,7 +351,7 @@
 		t.Fatalf("told %v by one holder under each list", told)
 	}
 	say(2, Granted, after...)
-	if told := s.Rulings(); len(told) != 1 || told[0].Ruling != stance.MayRun {
+	if told := s.Rulings(); len(told) != 1 || told[0].Ruling != stance.ClaimGranted {
 		t.Errorf("told %v", told)
 	}
 }
--- a/internal/judge/shared/counts/counts.go
+++ b/internal/judge/shared/counts/counts.go
@@ -22,8 +22,8 @@
 	Base   uint64 // the number after which Cells has all that changed; 0 where it has all there is
 	Closes bool   // from a keeper: the row is to be closed, and Stands is the highest number that was ever said to be there
 	Stands uint64
-	Sits   Sits           // of the keepers, as who tells knows them
-	Cells  []stance.Count // as they stand in the row, in order
+	Sits   Sits                 // of the keepers, as who tells knows them
+	Cells  []stance.CounterCell // as they stand in the row, in order
 }
 
 // Heard is a keeper's answer.
@@ -66,15 +66,15 @@
 	MaxCells = 1024
 )
 
-type cells map[stance.Cell]stance.Tally
+type cells map[stance.CounterKey]stance.RequestCounts
 
 // Sorted lists cells in their order.
-func Sorted(of map[stance.Cell]stance.Tally) []stance.Count {
-	list := make([]stance.Count, 0, len(of))
+func Sorted(of map[stance.CounterKey]stance.RequestCounts) []stance.CounterCell {
+	list := make([]stance.CounterCell, 0, len(of))
 	for cell, t := range of {
-		list = append(list, stance.Count{Cell: cell, Tally: t})
+		list = append(list, stance.CounterCell{CounterKey: cell, RequestCounts: t})
 	}
-	slices.SortFunc(list, func(a, b stance.Count) int { return a.Cell.Compare(b.Cell) })
+	slices.SortFunc(list, func(a, b stance.CounterCell) int { return a.CounterKey.Compare(b.CounterKey) })
 	return list
 }
 
@@ -82,7 +82,7 @@
 func (c cells) without(o cells) cells {
 	left := cells{}
 	for cell, t := range c {
-		if t = t.Less(o[cell]); t != (stance.Tally{}) {
+		if t = t.Sub(o[cell]); t != (stance.RequestCounts{}) {
 			left[cell] = t
 		}
 	}
@@ -121,13 +121,13 @@
 func (t *Teller) row() uint64 { return t.life + t.rows }
 
 // Add counts tasks.
-func (t *Teller) Add(list []stance.Count) {
+func (t *Teller) Add(list []stance.CounterCell) {
 	for _, n := range list {
-		cell := n.Cell
+		cell := n.CounterKey
 		if _, known := t.all[cell]; !known && len(t.all) >= MaxCells {
-			cell = stance.Cell{}
+			cell = stance.CounterKey{}
 		}
-		t.all[cell] = t.all[cell].Plus(n.Tally)
+		t.all[cell] = t.all[cell].Add(n.RequestCounts)
 		t.news = true
 	}
 }
@@ -214,11 +214,11 @@
 	}
 	if h.Number+1 < t.number { // most keepers had the one after, and lost it
 		for cell := range t.last {
-			t.Unplaced += t.last[cell].Asked
+			t.Unplaced += t.last[cell].Received
 		}
 	}
 	for cell, n := range counted {
-		t.before[cell] = t.before[cell].Plus(n)
+		t.before[cell] = t.before[cell].Add(n)
 	}
 	t.rows++
 	t.number, t.now, t.last, t.news, t.next = 0, cells{}, cells{}, true, now
@@ -238,6 +238,6 @@
 }
 
 // Row is what the present row has, what of it most keepers are known to have, and whether that is all.
-func (t *Teller) Row() (list []stance.Count, agreed bool) {
+func (t *Teller) Row() (list []stance.CounterCell, agreed bool) {
 	return Sorted(t.all.without(t.before)), t.agreed() && !t.news
 }
--- a/internal/judge/shared/counts/counts_test.go
+++ b/internal/judge/shared/counts/counts_test.go
@@ -99,7 +99,7 @@
 	if w.chance.IntN(3) == 0 {
 		n := uint64(w.chance.IntN(5))
 		s.truth += n
-		s.teller.Add([]stance.Count{{Cell: stance.Cell{Tenant: "acme", Stage: fmt.Sprint(w.chance.IntN(3))}, Tally: stance.Tally{Asked: n}}})
+		s.teller.Add([]stance.CounterCell{{CounterKey: stance.CounterKey{Tenant: "acme", Class: fmt.Sprint(w.chance.IntN(3))}, RequestCounts: stance.RequestCounts{Received: n}}})
 	}
 	for _, l := range s.teller.Due(w.now) {
 		told, teller := *l.Told, s.teller
@@ -123,14 +123,14 @@
 	if all {
 		s.sure = sum(row)
 		for _, t := range s.teller.before {
-			s.sure += t.Asked
+			s.sure += t.Received
 		}
 	}
 }
 
-func sum(list []stance.Count) (n uint64) {
+func sum(list []stance.CounterCell) (n uint64) {
 	for _, c := range list {
-		n += c.Asked
+		n += c.Received
 	}
 	return n
 }
@@ -288,10 +288,12 @@
 
 // TestARowThatIsClosedUnderItsServer: it is taken for gone while it has news on the way, and goes on as another row.
 func TestARowThatIsClosedUnderItsServer(t *testing.T) {
-	cell := stance.Cell{Tenant: "acme", Stage: "ping"}
+	cell := stance.CounterKey{Tenant: "acme", Class: "ping"}
 	for _, closed := range []uint64{1, 2} {
 		s := NewTeller("a", 100, []string{"k0"}, 0)
-		add := func(n uint64) { s.Add([]stance.Count{{Cell: cell, Tally: stance.Tally{Asked: n}}}) }
+		add := func(n uint64) {
+			s.Add([]stance.CounterCell{{CounterKey: cell, RequestCounts: stance.RequestCounts{Received: n}}})
+		}
 		add(5)
 		s.Due(0)
 		s.Read(0, "k0", &Heard{Row: 100, Number: 1, Sits: Sits{1}})
@@ -309,11 +311,11 @@
 // TestNonsenseIsRefused: a row that shrinks, jumps or names a cell twice changes nothing.
 func TestNonsenseIsRefused(t *testing.T) {
 	k := NewKeeper("k0", []string{"k0"}, 1, func(uint64) (uint64, bool) { return 0, false }, 0)
-	of := func(stage string, n uint64) stance.Count {
-		return stance.Count{Cell: stance.Cell{Stage: stage}, Tally: stance.Tally{Asked: n}}
+	of := func(stage string, n uint64) stance.CounterCell {
+		return stance.CounterCell{CounterKey: stance.CounterKey{Class: stage}, RequestCounts: stance.RequestCounts{Received: n}}
 	}
-	k.Read(0, &Told{Name: "a", Life: 1, Row: 1, Number: 1, Cells: []stance.Count{of("x", 10), of("y", 5)}})
-	for _, cells := range [][]stance.Count{{of("x", 9), of("y", 5)}, {of("x", 11)}, {of("x", 10), of("x", 10), of("y", 5)}, {of("x", 1<<60), of("y", 5)}} {
+	k.Read(0, &Told{Name: "a", Life: 1, Row: 1, Number: 1, Cells: []stance.CounterCell{of("x", 10), of("y", 5)}})
+	for _, cells := range [][]stance.CounterCell{{of("x", 9), of("y", 5)}, {of("x", 11)}, {of("x", 10), of("x", 10), of("y", 5)}, {of("x", 1<<60), of("y", 5)}} {
 		if h := k.Read(1, &Told{Name: "a", Life: 1, Row: 1, Number: 2, Cells: cells}); h.Number != 1 {
 			t.Errorf("%v is taken", cells)
 		}
@@ -321,7 +323,7 @@
 	if r := k.Report(1, nil); sum(r.Total) != 15 || r.Refused != 4 {
 		t.Errorf("it knows %+v", r)
 	}
-	if h := k.Read(2, &Told{Name: "a", Life: 1, Row: 1, Number: 2, Base: 1, Cells: []stance.Count{of("y", 6)}}); h.Number != 2 {
+	if h := k.Read(2, &Told{Name: "a", Life: 1, Row: 1, Number: 2, Base: 1, Cells: []stance.CounterCell{of("y", 6)}}); h.Number != 2 {
 		t.Errorf("what changed is not taken: %+v", h)
 	}
 	if r := k.Report(14, nil); sum(r.Total) != 16 || len(r.Late) != 1 || r.Late[0].Silent != 12 || r.Lacks != 6 {
@@ -333,12 +335,12 @@
 	k := NewKeeper("k0", []string{"k0"}, 1, func(uint64) (uint64, bool) { return 0, false }, 0)
 	t := &Told{Name: "a", Life: 1, Row: 1}
 	for i := range 40 {
-		t.Cells = append(t.Cells, stance.Count{Cell: stance.Cell{Tenant: "acme", Stage: fmt.Sprint(i)}})
+		t.Cells = append(t.Cells, stance.CounterCell{CounterKey: stance.CounterKey{Tenant: "acme", Class: fmt.Sprint(i)}})
 	}
 	for b.Loop() {
 		t.Number++
 		for i := range t.Cells {
-			t.Cells[i].Asked++
+			t.Cells[i].Received++
 		}
 		k.Read(float64(t.Number), t)
 	}
--- a/internal/judge/shared/counts/keeper.go
+++ b/internal/judge/shared/counts/keeper.go
@@ -163,16 +163,16 @@
 	more, held := cells{}, 0
 	var sum uint64
 	for _, n := range t.Cells {
-		was, known := r.cells[n.Cell]
+		was, known := r.cells[n.CounterKey]
 		if known {
 			held++
 		}
-		if _, twice := more[n.Cell]; twice || !n.Tally.Holds(was) {
+		if _, twice := more[n.CounterKey]; twice || !n.RequestCounts.Covers(was) {
 			k.refused++
 			return r
 		}
-		more[n.Cell] = n.Tally.Less(was)
-		sum += more[n.Cell].Asked
+		more[n.CounterKey] = n.RequestCounts.Sub(was)
+		sum += more[n.CounterKey].Received
 	}
 	first := r.Number == 0
 	if t.Base == 0 && held < len(r.cells) || len(r.cells)+len(more)-held > MaxCells+1 || !first && float64(sum) > burst+maxRate*max(0, now-r.grew) {
@@ -185,9 +185,9 @@
 		*bucket = cells{}
 	}
 	for cell, n := range more {
-		r.cells[cell] = r.cells[cell].Plus(n)
+		r.cells[cell] = r.cells[cell].Add(n)
 		if !first || t.Number == 1 {
-			(*bucket)[cell] = (*bucket)[cell].Plus(n)
+			(*bucket)[cell] = (*bucket)[cell].Add(n)
 		}
 	}
 	if !first || t.Number == 1 {
@@ -408,24 +408,24 @@
 
 // Report is what a keeper knows. Everything in it was counted, so what is true is no less; what it may lack is told.
 type Report struct {
-	Total   []stance.Count // since the fleet's founding
-	Minute  []stance.Count `json:"Minute"`  // told in the last minute
-	Rows    int            `json:"Rows"`    // lives that told, and are not closed
-	Late    []Late         `json:"Late"`    // those heard of for the last time some seconds ago, the longest silent first
-	Lacks   float64        `json:"Lacks"`   // tasks that those, and those between two words, may have had asked of them since, at their rates
-	Cold    bool           `json:"Cold"`    // it does not know all that others know yet
-	Holes   int            `json:"Holes"`   // times that this keeper began without enough others that knew all; once at the fleet's first start
-	Refused int            `json:"Refused"` // words that can't be true
+	Total   []stance.CounterCell // since the fleet's founding
+	Minute  []stance.CounterCell `json:"Minute"`  // told in the last minute
+	Rows    int                  `json:"Rows"`    // lives that told, and are not closed
+	Late    []Late               `json:"Late"`    // those heard of for the last time some seconds ago, the longest silent first
+	Lacks   float64              `json:"Lacks"`   // tasks that those, and those between two words, may have had asked of them since, at their rates
+	Cold    bool                 `json:"Cold"`    // it does not know all that others know yet
+	Holes   int                  `json:"Holes"`   // times that this keeper began without enough others that knew all; once at the fleet's first start
+	Refused int                  `json:"Refused"` // words that can't be true
 }
 
 // maxLate names are told.
 const maxLate = 64
 
 // Report adds up; sums are those of rows that are over.
-func (k *Keeper) Report(now float64, sums []stance.Count) *Report {
+func (k *Keeper) Report(now float64, sums []stance.CounterCell) *Report {
 	total, minute := cells{}, cells{}
 	for _, n := range sums {
-		total[n.Cell] = n.Tally
+		total[n.CounterKey] = n.RequestCounts
 	}
 	rated, known, unrated := 0.0, 0.0, 0.0
 	rep := &Report{Rows: len(k.rows), Cold: k.cold, Holes: k.holes, Refused: k.refused}
@@ -436,7 +436,7 @@
 			continue // it is among the sums
 		}
 		for cell, n := range r.cells {
-			total[cell] = total[cell].Plus(n)
+			total[cell] = total[cell].Add(n)
 		}
 		if r.rate >= 0 {
 			rated, known = rated+r.rate, known+1
@@ -458,7 +458,7 @@
 	rep.Late = rep.Late[:min(len(rep.Late), maxLate)]
 	k.window.All(now, func(c *cells) {
 		for cell, n := range *c {
-			minute[cell] = minute[cell].Plus(n)
+			minute[cell] = minute[cell].Add(n)
 		}
 	})
 	rep.Total, rep.Minute = Sorted(total), Sorted(minute)
--- a/internal/judge/stance/stance.go
+++ b/internal/judge/stance/stance.go
@@ -7,53 +7,53 @@
 	"sync/atomic"
 )
 
-// Stance is what a server does with tasks.
-type Stance uint8
+// Mode is what a server does with tasks.
+type Mode uint8
 
 const (
-	Serve  Stance = iota // on its version
-	Shield               // on the safe figures that are built in
-	Away                 // off the roster: what runs is finished, the rest rejected unstarted
+	ModeNormal       Mode = iota // on its version
+	ModeSafeDefaults             // on the safe figures that are built in
+	ModeOutOfService             // off the roster: what runs is finished, the rest rejected unstarted
 )
 
-func (s Stance) String() string { return [...]string{"serve", "shield", "away", "?"}[min(s, 3)] }
+func (s Mode) String() string { return [...]string{"serve", "shield", "away", "?"}[min(s, 3)] }
 
-// Ruling is how the fleet rules on a task that bears a key.
-type Ruling uint8
+// ClaimVerdict is how the fleet rules on a task that bears a key.
+type ClaimVerdict uint8
 
 const (
-	MayRun   Ruling = iota // most holders granted it: it may run, here and nowhere else
-	Known                  // it ran before, and its result is there
-	MayHave                // it ran, or may have, and no result is known: it never runs again in its window
-	NoQuorum               // too few holders answered in time: it did not run
+	ClaimGranted        ClaimVerdict = iota // most holders granted it: it may run, here and nowhere else
+	ClaimCached                             // it ran before, and its result is there
+	ClaimOutcomeUnknown                     // it ran, or may have, and no result is known: it never runs again in its window
+	ClaimNoQuorum                           // too few holders answered in time: it did not run
 )
 
-func (r Ruling) String() string {
+func (r ClaimVerdict) String() string {
 	return [...]string{"may_run", "known", "may_have", "no_quorum", "?"}[min(r, 4)]
 }
 
-// Stamp counts what was decided under one version.
-type Stamp struct{ Batches, Tasks, Ended, Harmed atomic.Uint64 }
-
-// Allowed is what a server may use of a budget that all servers share.
-type Allowed struct {
-	Name        string  // of the budget
-	Most        float64 // of all servers together
-	Tenant      int     // whose tasks a second; -1 for calls out at a time
-	Floor, Part float64 // of it: at all times; beyond that, until Till
-	Till        float64 // seconds of the loop's clock
-	Depth       float64 // seconds of a rate that may be saved up
-	Capped      bool    // no more than Cap, whatever else is so
-	Cap         float64
-	Try         int64  // not 0 where the cap is for one call, and for no other with this number
-	Answer      uint64 // a number of who hands it over, who hears by which one the loop goes
+// VersionStats counts what was decided under one version.
+type VersionStats struct{ Batches, Requests, Completed, Failed atomic.Uint64 }
+
+// Allowance is what a server may use of a budget that all servers share.
+type Allowance struct {
+	Name                    string  // of the budget
+	FleetMax                float64 // of all servers together
+	Tenant                  int     // whose tasks a second; -1 for calls out at a time
+	Guaranteed, LeasedShare float64 // of it: at all times; beyond that, until Till
+	LeaseExpiry             float64 // seconds of the loop's clock
+	BurstSeconds            float64 // seconds of a rate that may be saved up
+	Capped                  bool    // no more than Cap, whatever else is so
+	Cap                     float64
+	ProbeNumber             int64  // not 0 where the cap is for one call, and for no other with this number
+	GrantNumber             uint64 // a number of who hands it over, who hears by which one the loop goes
 }
 
-// At is what may be used at a moment.
-func (a *Allowed) At(now float64) float64 {
-	may := a.Floor
-	if now < a.Till {
-		may += a.Part
+// LimitAt is what may be used at a moment.
+func (a *Allowance) LimitAt(now float64) float64 {
+	may := a.Guaranteed
+	if now < a.LeaseExpiry {
+		may += a.LeasedShare
 	}
 	if a.Capped {
 		return min(may, a.Cap)
@@ -61,67 +61,67 @@
 	return may
 }
 
-// Calls is what became of calls below in a while.
-type Calls struct {
-	Well, Lost int
-	Took       float64 // seconds that those that went well took together
-	Out        int     // at its end
+// CallStats is what became of calls below in a while.
+type CallStats struct {
+	Succeeded, Failed int
+	TotalSeconds      float64 // seconds that those that went well took together
+	InFlight          int     // at its end
 }
 
-// Standing is how a server stands from now on. The loop goes by it and by its own clock, also when whoever made it is stopped.
-type Standing struct {
-	Epoch uint64  // of the version on which it acts
-	Until float64 // when Now is over and Then begins, in seconds of the loop's clock
-	Now   Stance
-	Then  Stance
-	Why   string
-	Stamp *Stamp // where batches are counted
+// Directive is how a server stands from now on. The loop goes by it and by its own clock, also when whoever made it is stopped.
+type Directive struct {
+	Epoch     uint64  // of the version on which it acts
+	ChangesAt float64 // when Now is over and Then begins, in seconds of the loop's clock
+	Mode      Mode
+	NextMode  Mode
+	Reason    string
+	Stats     *VersionStats // where batches are counted
 }
 
-// At is the stance at a moment.
-func (s *Standing) At(now float64) Stance {
-	if now < s.Until {
-		return s.Now
+// ModeAt is the stance at a moment.
+func (s *Directive) ModeAt(now float64) Mode {
+	if now < s.ChangesAt {
+		return s.Mode
 	}
-	return s.Then
+	return s.NextMode
 }
 
-// Cell is what counts are kept by: one tenant's tasks in one stage. The zero Cell is for all that have no room of their own.
-type Cell struct {
+// CounterKey is what counts are kept by: one tenant's tasks in one stage. The zero Cell is for all that have no room of their own.
+type CounterKey struct {
 	Tenant string
-	Stage  string `json:"Stage"`
+	Class  string `json:"Stage"`
 }
 
 // Compare orders cells.
-func (c Cell) Compare(o Cell) int {
-	return cmp.Or(cmp.Compare(c.Tenant, o.Tenant), cmp.Compare(c.Stage, o.Stage))
+func (c CounterKey) Compare(o CounterKey) int {
+	return cmp.Or(cmp.Compare(c.Tenant, o.Tenant), cmp.Compare(c.Class, o.Class))
 }
 
-// Tally counts tasks: how many were asked for, and how they ended.
-type Tally struct {
-	Asked     uint64 `json:"Asked"`
+// RequestCounts counts tasks: how many were asked for, and how they ended.
+type RequestCounts struct {
+	Received  uint64 `json:"Asked"`
 	Finished  uint64
 	Rejected  uint64
 	Abandoned uint64
 }
 
-// Plus adds two tallies.
-func (t Tally) Plus(o Tally) Tally {
-	return Tally{t.Asked + o.Asked, t.Finished + o.Finished, t.Rejected + o.Rejected, t.Abandoned + o.Abandoned}
+// Add adds two tallies.
+func (t RequestCounts) Add(o RequestCounts) RequestCounts {
+	return RequestCounts{t.Received + o.Received, t.Finished + o.Finished, t.Rejected + o.Rejected, t.Abandoned + o.Abandoned}
 }
 
-// Less takes another tally away, which is no larger in any of its numbers.
-func (t Tally) Less(o Tally) Tally {
-	return Tally{t.Asked - o.Asked, t.Finished - o.Finished, t.Rejected - o.Rejected, t.Abandoned - o.Abandoned}
+// Sub takes another tally away, which is no larger in any of its numbers.
+func (t RequestCounts) Sub(o RequestCounts) RequestCounts {
+	return RequestCounts{t.Received - o.Received, t.Finished - o.Finished, t.Rejected - o.Rejected, t.Abandoned - o.Abandoned}
 }
 
-// Holds tells whether no number of another tally is larger.
-func (t Tally) Holds(o Tally) bool {
-	return t.Asked >= o.Asked && t.Finished >= o.Finished && t.Rejected >= o.Rejected && t.Abandoned >= o.Abandoned
+// Covers tells whether no number of another tally is larger.
+func (t RequestCounts) Covers(o RequestCounts) bool {
+	return t.Received >= o.Received && t.Finished >= o.Finished && t.Rejected >= o.Rejected && t.Abandoned >= o.Abandoned
 }
 
-// Count is one cell's.
-type Count struct {
-	Cell
-	Tally
+// CounterCell is one cell's.
+type CounterCell struct {
+	CounterKey
+	RequestCounts
 }
--- a/internal/judge/version/order.go
+++ b/internal/judge/version/order.go
@@ -121,7 +121,7 @@
 // Row is what one server counted, see internal/judge/shared/counts, as it was told under a number.
 type Row struct {
 	Row, Number uint64
-	Cells       []stance.Count // none where only the numbers matter
+	Cells       []stance.CounterCell // none where only the numbers matter
 }
 
 // Mark is what is kept of a version once it is over.
@@ -154,10 +154,10 @@
 	Past  []Mark    // the latest, oldest first
 	Holds map[string]uint64
 	Out   map[string]Outed
-	Done  map[string]uint64 // the latest command of each author, see Command.ID
-	Seats map[uint64]string // the voters' lives, by name
-	Over  []Row             // the latest rows of counts that are over, without their cells, oldest first
-	Sums  []stance.Count    // what those rows came to, in the order of cells
+	Done  map[string]uint64    // the latest command of each author, see Command.ID
+	Seats map[uint64]string    // the voters' lives, by name
+	Over  []Row                // the latest rows of counts that are over, without their cells, oldest first
+	Sums  []stance.CounterCell // what those rows came to, in the order of cells
 }
 
 // Found makes the first order of a founding from the newest that anybody knew, the zero Order where nobody knew any. What was on its way is
@@ -282,7 +282,7 @@
 	for _, r := range c.Rows {
 		cells += len(r.Cells)
 		for _, n := range r.Cells {
-			if len(n.Tenant) > maxName || len(n.Stage) > maxName || !(stance.Tally{Asked: maxTally, Finished: maxTally, Rejected: maxTally, Abandoned: maxTally}).Holds(n.Tally) {
+			if len(n.Tenant) > maxName || len(n.Class) > maxName || !(stance.RequestCounts{Received: maxTally, Finished: maxTally, Rejected: maxTally, Abandoned: maxTally}).Covers(n.RequestCounts) {
 				return false
 			}
 		}
@@ -399,19 +399,19 @@
 	}
 	o.Over = append(o.Over, Row{Row: r.Row, Number: r.Number})
 	for _, n := range r.Cells {
-		at, known := slices.BinarySearchFunc(o.Sums, n.Cell, compareCell)
+		at, known := slices.BinarySearchFunc(o.Sums, n.CounterKey, compareCell)
 		if !known && len(o.Sums) >= maxCells {
-			n.Cell = stance.Cell{}
-			at, known = slices.BinarySearchFunc(o.Sums, n.Cell, compareCell)
+			n.CounterKey = stance.CounterKey{}
+			at, known = slices.BinarySearchFunc(o.Sums, n.CounterKey, compareCell)
 		}
 		if !known {
-			o.Sums = slices.Insert(o.Sums, at, stance.Count{Cell: n.Cell})
+			o.Sums = slices.Insert(o.Sums, at, stance.CounterCell{CounterKey: n.CounterKey})
 		}
-		o.Sums[at].Tally = o.Sums[at].Plus(n.Tally)
+		o.Sums[at].RequestCounts = o.Sums[at].Add(n.RequestCounts)
 	}
 }
 
-func compareCell(n stance.Count, c stance.Cell) int { return n.Cell.Compare(c) }
+func compareCell(n stance.CounterCell, c stance.CounterKey) int { return n.CounterKey.Compare(c) }
 
 func (o *Order) release(c *Command) error {
 	switch {
--- a/internal/lab/emulate/budgets.go
+++ b/internal/lab/emulate/budgets.go
@@ -74,7 +74,7 @@
 // spender is a server's loop, as far as it uses the budget.
 type spender struct {
 	*talker
-	may    stance.Allowed
+	may    stance.Allowance
 	demand float64
 }
 
@@ -90,14 +90,14 @@
 func RunShared(p *Shared) SharedRow {
 	s := &sharing{talks: newTalks(&Versions{Servers: p.Servers, Voters: p.Voters, Seconds: p.Seconds, Seed: p.Seed}), plan: p, most: perServer * float64(p.Servers),
 		row: SharedRow{Seed: p.Seed, Servers: p.Servers}}
-	terms := budget.Terms{Lease: versionTerms.Lease, Floor: sharedFloor, Servers: p.Servers, Bounds: []budget.Bound{{Name: sharedName, Most: s.most}}}
+	terms := budget.Terms{Lease: versionTerms.Duration, Floor: sharedFloor, Servers: p.Servers, Bounds: []budget.Bound{{Name: sharedName, Most: s.most}}}
 	for _, t := range s.servers {
 		sp := &spender{talker: t}
 		s.spenders = append(s.spenders, sp)
 		t.budgets = func(clock *peers.Clock) *peers.Budgets {
 			return &peers.Budgets{Terms: func() budget.Terms { return terms }, Hear: func(list []budget.Allowed) {
 				a := list[0]
-				sp.may = stance.Allowed{Floor: a.Floor, Part: a.Part, Till: clock.Back(a.Till), Answer: a.Answer}
+				sp.may = stance.Allowance{Guaranteed: a.Floor, LeasedShare: a.Part, LeaseExpiry: clock.Back(a.Till), GrantNumber: a.Answer}
 			}}
 		}
 	}
@@ -135,7 +135,7 @@
 // use has a loop say what it used, again and again.
 func (sp *spender) use() {
 	if sp.alive && !sp.asleep {
-		sp.part.HeedUses(sp.part.Now(), []peers.Use{{Name: sharedName, Demand: sp.demand, Answer: sp.may.Answer}})
+		sp.part.HeedUses(sp.part.Now(), []peers.Use{{Name: sharedName, Demand: sp.demand, Answer: sp.may.GrantNumber}})
 		sp.turn()
 	}
 	sp.after(sharedEvery, sp.use)
@@ -145,7 +145,7 @@
 	if !sp.alive || sp.asleep {
 		return 0
 	}
-	return min(sp.demand, sp.may.At(sp.now))
+	return min(sp.demand, sp.may.LimitAt(sp.now))
 }
 
 // look holds the bound against what all may use, also those who are stopped and would go by what they last had.
@@ -153,7 +153,7 @@
 	all := 0.0
 	for _, sp := range s.spenders {
 		if sp.alive {
-			all += sp.may.At(s.now)
+			all += sp.may.LimitAt(s.now)
 		}
 	}
 	if over := all/s.most - 1; over > 1e-9 {
@@ -234,7 +234,7 @@
 			heard += sp.demand
 		}
 	}
-	s.run(s.now + 2*versionTerms.Lease)
+	s.run(s.now + 2*versionTerms.Duration)
 	s.row.UsedCut = s.mean(sharedPhase, everybody)
 	silent, _ := s.used(third)
 	s.row.Silent = silent / max(whole, 1e-9)
--- a/internal/lab/emulate/claims.go
+++ b/internal/lab/emulate/claims.go
@@ -80,7 +80,7 @@
 	if l == nil {
 		return nil
 	}
-	return &peers.Copies{Place: l.place, Entries: 100_000, Bytes: 64 << 20, Rate: 4 << 20, Rule: func(id string, r stance.Ruling, result []byte) {
+	return &peers.Copies{Place: l.place, Entries: 100_000, Bytes: 64 << 20, Rate: 4 << 20, Rule: func(id string, r stance.ClaimVerdict, result []byte) {
 		s.after(0, func() { s.ruled(id, r, string(result)) }) // as the loop, which takes it later
 	}}
 }
@@ -103,7 +103,7 @@
 }
 
 // ruled does with a try what a server does.
-func (s *talker) ruled(id string, r stance.Ruling, result string) {
+func (s *talker) ruled(id string, r stance.ClaimVerdict, result string) {
 	l := s.ledger
 	try := l.tries[id]
 	if !s.alive || try == nil || try.life != s.part.Life() {
@@ -112,7 +112,7 @@
 	try.told = true
 	l.row.Told[r]++
 	switch r {
-	case stance.MayRun:
+	case stance.ClaimGranted:
 		l.grants = append(l.grants, s.now-try.at)
 		if s.asleep || s.now > try.at+keyLongest { // woken past its due moment: the module rejects it
 			s.word(peers.Word{ID: id, Never: true})
@@ -132,7 +132,7 @@
 				s.word(peers.Word{ID: id, Ended: true, Well: true, Result: []byte(out)})
 			}
 		})
-	case stance.Known:
+	case stance.ClaimCached:
 		if !slices.ContainsFunc(l.runs[try.key], func(run keyRun) bool { return run.result == result }) {
 			l.row.Wrong++
 		}
--- a/internal/lab/emulate/counts.go
+++ b/internal/lab/emulate/counts.go
@@ -132,11 +132,11 @@
 			life.sure = life.truth
 		}
 		if !c.quiet {
-			var list []stance.Count
+			var list []stance.CounterCell
 			for range c.poisson(countedRate * countEvery) {
 				life.truth++
-				cell := stance.Cell{Tenant: "acme", Stage: fmt.Sprint(c.chance.IntN(countedCells))}
-				list = append(list, stance.Count{Cell: cell, Tally: stance.Tally{Asked: 1, Finished: 1}})
+				cell := stance.CounterKey{Tenant: "acme", Class: fmt.Sprint(c.chance.IntN(countedCells))}
+				list = append(list, stance.CounterCell{CounterKey: cell, RequestCounts: stance.RequestCounts{Received: 1, Finished: 1}})
 			}
 			s.part.HeedTallies(list)
 		}
@@ -206,9 +206,9 @@
 	c.after(0.1, c.watch)
 }
 
-func sum(list []stance.Count) (n float64) {
+func sum(list []stance.CounterCell) (n float64) {
 	for _, one := range list {
-		n += float64(one.Asked)
+		n += float64(one.Received)
 	}
 	return n
 }
--- a/internal/lab/emulate/versions.go
+++ b/internal/lab/emulate/versions.go
@@ -66,7 +66,7 @@
 }
 
 // Terms of the emulated fleets: those of the operator's file where it says nothing.
-var versionTerms = member.Terms{Lease: 6, Behind: 10, MaxOut: 0.25, Forget: 600}
+var versionTerms = member.Config{Duration: 6, CatchUpTimeout: 10, MaxUnavailable: 0.25, ForgetAfter: 600}
 
 const (
 	// healWithin is how long a healed fleet has to agree: some leases, and a founding.
@@ -87,7 +87,7 @@
 	held    [][]byte
 	timer   memory.Timer
 	armed   bool
-	view    stance.Standing
+	view    stance.Directive
 	state   member.State
 	refuses bool // can't apply what is released
 	acts    version.Epoch
@@ -196,7 +196,7 @@
 	if s.plans != nil {
 		plans = s.plans(clock)
 	}
-	s.part = peers.NewPart(peers.Plan{Plans: plans, Budgets: shared, Counts: s.counts, Name: s.name, Listen: s.name, Voters: s.voters, Terms: versionTerms, Silent: member.LeaveThen,
+	s.part = peers.NewPart(peers.Plan{Plans: plans, Budgets: shared, Counts: s.counts, Name: s.name, Listen: s.name, Voters: s.voters, Terms: versionTerms, Silent: member.FallbackOutOfService,
 		Copies: s.copies(), Rollout: version.Rollout{WaveFor: 1, Sure: 1}, Build: "b", Say: func(string, ...any) {}, Now: clock.Now, Unix: clock.Unix,
 		Apply: func(string) error {
 			if s.refuses {
@@ -204,9 +204,9 @@
 			}
 			return nil
 		},
-		Publish: func(to *stance.Standing) {
+		Publish: func(to *stance.Directive) {
 			s.view = *to
-			s.view.Until = clock.Back(to.Until)
+			s.view.ChangesAt = clock.Back(to.ChangesAt)
 		}}, s.chance.Uint64()|1, s, s.chance)
 	s.turn()
 }
@@ -413,17 +413,17 @@
 			if !s.alive {
 				continue
 			}
-			leased := s.state == member.Acting && t.now < s.view.Until
+			leased := s.state == member.StateLeased && t.now < s.view.ChangesAt
 			out, is := o.Out[s.name]
 			if leased && is && out.Life == s.part.Life() && living.Out[s.name].Life == out.Life {
 				t.row.ActedOut++
 			}
-			quiet := s.state == member.Silent || s.state == member.Acting && t.now >= s.view.Until
-			if quiet && s.view.At(t.now) == stance.Away && o.Holds[s.name] == s.part.Life() {
+			quiet := s.state == member.StateExpired || s.state == member.StateLeased && t.now >= s.view.ChangesAt
+			if quiet && s.view.ModeAt(t.now) == stance.ModeOutOfService && o.Holds[s.name] == s.part.Life() {
 				away++
 			}
 		}
-		if away > int(versionTerms.MaxOut*float64(len(t.servers))) {
+		if away > int(versionTerms.MaxUnavailable*float64(len(t.servers))) {
 			t.row.TooMany++
 		}
 	}
@@ -446,7 +446,7 @@
 		o := t.living()
 		t.row.Unhealed = 0
 		for _, s := range t.servers {
-			if o == nil || o.Next != nil || s.state != member.Acting || s.acts != o.Base.Epoch {
+			if o == nil || o.Next != nil || s.state != member.StateLeased || s.acts != o.Base.Epoch {
 				t.row.Unhealed++
 			}
 		}
--- a/internal/lab/faults/counts_test.go
+++ b/internal/lab/faults/counts_test.go
@@ -14,27 +14,27 @@
 )
 
 // tally is what callers asked for and were told, of the servers named, of all where none is.
-func (d *Demand) tally(names ...string) (t stance.Tally) {
+func (d *Demand) tally(names ...string) (t stance.RequestCounts) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for name, ends := range d.counts {
 		if len(names) > 0 && !slices.Contains(names, name) {
 			continue
 		}
-		t = t.Plus(stance.Tally{Asked: uint64(d.asked[name]), Finished: uint64(ends[rpc.Finished]), Rejected: uint64(ends[rpc.Rejected]), Abandoned: uint64(ends[rpc.Abandoned])})
+		t = t.Add(stance.RequestCounts{Received: uint64(d.asked[name]), Finished: uint64(ends[rpc.Finished]), Rejected: uint64(ends[rpc.Rejected]), Abandoned: uint64(ends[rpc.Abandoned])})
 	}
 	return t
 }
 
 // counted is what a voter knows that all were asked for, and by how many lives that are not closed.
-func (f *Fleet) counted(name string) (t stance.Tally, rows int) {
+func (f *Fleet) counted(name string) (t stance.RequestCounts, rows int) {
 	s, err := peers.AskCounts(f.control[name])
 	if err != nil || s.Known == nil {
 		return t, -1
 	}
 	for _, n := range s.Known.Total {
-		if n.Tenant == "acme" && n.Stage == Ping {
-			t = t.Plus(n.Tally)
+		if n.Tenant == "acme" && n.Class == Ping {
+			t = t.Add(n.RequestCounts)
 		}
 	}
 	return t, s.Known.Rows
@@ -59,7 +59,7 @@
 			truth := d.tally()
 			for _, name := range []string{"n1", "n2", "n3"} {
 				got, rows := f.counted(name)
-				if rows != len(f.Names) || !truth.Holds(got) || !got.Plus(stance.Tally{Asked: untold, Finished: untold, Rejected: untold, Abandoned: untold}).Holds(truth) {
+				if rows != len(f.Names) || !truth.Covers(got) || !got.Add(stance.RequestCounts{Received: untold, Finished: untold, Rejected: untold, Abandoned: untold}).Covers(truth) {
 					last = fmt.Sprintf("%s knows %+v of %d lives, callers %+v", name, got, rows, truth)
 					return false
 				}
@@ -83,7 +83,7 @@
 	d.Set(0, "n5") // what it would find when it wakes is too old to be a task
 	f.await(t, "all that n5 was asked for is answered", func() bool {
 		t := d.tally("n5") // the others are asked on: of all some are always open
-		return t.Asked == t.Finished+t.Rejected+t.Abandoned
+		return t.Received == t.Finished+t.Rejected+t.Abandoned
 	})
 	if err := f.Stop("n5"); err != nil {
 		t.Fatal(err)
--- a/internal/peers/control.go
+++ b/internal/peers/control.go
@@ -25,7 +25,7 @@
 	MayLeave  bool                         `json:"MayLeave"` // should it hear nothing, see fleet-silent
 	Lost      uint64                       `json:"Lost"`     // messages without room, or that could not be read
 	Order     *version.Order               `json:"Order"`
-	Standings []member.Standing            `json:"Standings"`
+	Standings []member.ServerStatus        `json:"Standings"`
 	Report    audit.Report                 `json:"Report"`
 	Copies    map[string]*replica.Standing `json:"Copies"` // of all servers that keep or claim any and answered
 }
@@ -40,7 +40,7 @@
 	done := make(chan struct{})
 	if err := f.do(func(float64) {
 		state, _, why := f.self.State()
-		s.Life, s.Standing, s.Why, s.Acts, s.Right, s.Leader, s.MayLeave = f.life, state.String(), why, f.acts.Epoch, f.self.Right(), f.self.Leader(), f.self.MayLeave()
+		s.Life, s.Standing, s.Why, s.Acts, s.Right, s.Leader, s.MayLeave = f.life, state.String(), why, f.acts.Epoch, f.self.AssignedEpoch(), f.self.Leader(), f.self.MayGoOutOfService()
 		close(done)
 	}); err != nil {
 		return nil, err
--- a/internal/peers/copies.go
+++ b/internal/peers/copies.go
@@ -19,7 +19,7 @@
 	Bytes   int     // and bytes of them
 	Rate    float64 // bytes a second that it takes in to catch up
 	// Rule hands the serving loop the fleet's word on a task that it claimed a key for.
-	Rule func(id string, r stance.Ruling, result []byte)
+	Rule func(id string, r stance.ClaimVerdict, result []byte)
 
 	unsaid atomic.Int64 // words of the loop, and ends that holders have not noted, for whoever leaves
 }
@@ -223,7 +223,7 @@
 	c.saying = c.asker.Saying()
 	for _, t := range c.asker.Rulings() {
 		c.Rule(t.ID, t.Ruling, t.Result)
-		if t.Ruling == stance.MayRun {
+		if t.Ruling == stance.ClaimGranted {
 			f.passes("begun")
 		}
 	}
--- a/internal/peers/counts.go
+++ b/internal/peers/counts.go
@@ -28,7 +28,7 @@
 const maxTallies = 4
 
 // Tallied takes what the serving loop counted, from any goroutine; false where it has to be told again.
-func (f *Peers) Tallied(list []stance.Count) bool {
+func (f *Peers) Tallied(list []stance.CounterCell) bool {
 	select {
 	case f.tallies <- list:
 		return true
@@ -66,7 +66,7 @@
 }
 
 // HeedTallies takes what the loop counted.
-func (f *Part) HeedTallies(list []stance.Count) {
+func (f *Part) HeedTallies(list []stance.CounterCell) {
 	if c := f.counts; c != nil {
 		c.teller.Add(list)
 	}
@@ -157,10 +157,10 @@
 // CountsState is what a server knows of the fleet's counts.
 type CountsState struct {
 	Name     string
-	Keepers  []string       `json:"Keepers"` // who know what all counted
-	Life     string         `json:"Life"`    // of this process
-	Here     []stance.Count `json:"Here"`    // what it counted that is not closed
-	Agreed   bool           `json:"Agreed"`  // most keepers have all of that
+	Keepers  []string             `json:"Keepers"` // who know what all counted
+	Life     string               `json:"Life"`    // of this process
+	Here     []stance.CounterCell `json:"Here"`    // what it counted that is not closed
+	Agreed   bool                 `json:"Agreed"`  // most keepers have all of that
 	Unplaced uint64
 	Known    *counts.Report `json:"Known"` // nil where it is no keeper
 }
--- a/internal/peers/health.go
+++ b/internal/peers/health.go
@@ -44,7 +44,7 @@
 )
 
 // Called takes what became of the loop's calls, from any goroutine.
-func (f *Peers) Called(c stance.Calls) {
+func (f *Peers) Called(c stance.CallStats) {
 	select {
 	case f.calls <- c:
 	default:
@@ -58,9 +58,9 @@
 }
 
 // HeedCalls takes what became of the loop's calls.
-func (f *Part) HeedCalls(now float64, c stance.Calls) {
+func (f *Part) HeedCalls(now float64, c stance.CallStats) {
 	if b := f.below; b != nil {
-		b.judge.Own(now, health.Tally{Well: c.Well, Lost: c.Lost, Took: c.Took}, float64(c.Out))
+		b.judge.Own(now, health.Tally{Well: c.Succeeded, Lost: c.Failed, Took: c.TotalSeconds}, float64(c.InFlight))
 	}
 }
 
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -33,8 +33,8 @@
 	Listen  string            // for peers, TCP and UDP
 	Voters  map[string]string // names and where they listen
 	Join    []string          // where some others listen, beside the voters
-	Terms   member.Terms
-	Silent  member.Stance
+	Terms   member.Config
+	Silent  member.Mode
 	Rollout version.Rollout
 	Seed    int64
 	Build   string
@@ -54,7 +54,7 @@
 	// Say writes a log line; nil writes it where all go.
 	Say func(event string, args ...any)
 	// Publish hands the serving loop how the server stands from now on.
-	Publish func(*stance.Standing)
+	Publish func(*stance.Directive)
 }
 
 const (
@@ -86,13 +86,13 @@
 	life   uint64
 	net    Network
 	voter  *version.Voter // nil where this is none
-	self   *member.Self
-	ledger *member.Ledger
+	self   *member.Holder
+	ledger *member.Grantor
 	book   *audit.Book
 
 	order     *version.Order // a copy, also at those who don't vote
 	orderAt   float64
-	stamp     *stance.Stamp
+	stamp     *stance.VersionStats
 	counted   [2]uint64 // of the stamp, that the book has
 	acts      version.Version
 	stuck     string
@@ -101,7 +101,7 @@
 	forgetAt  float64
 	eager     int           // brief accounts that follow one another sooner, as there is news
 	rumoured  version.Epoch // the newest that anybody was heard to act on
-	published member.View
+	published member.Snapshot
 	voters    []string // names, sorted
 	ask       int      // which voter is asked next where no leader is known
 	pending   map[uint64]*pending
@@ -122,11 +122,11 @@
 	talk     *network
 	inbox    chan *wire.Message
 	asks     chan func(now float64)
-	words    chan Word          // of the serving loop about its claims
-	earnings chan []door.Earned // of its door
-	uses     chan []Use         // of the loop, of budgets
-	calls    chan stance.Calls  // of the loop, of the service below
-	tallies  chan []stance.Count
+	words    chan Word             // of the serving loop about its claims
+	earnings chan []door.Earned    // of its door
+	uses     chan []Use            // of the loop, of budgets
+	calls    chan stance.CallStats // of the loop, of the service below
+	tallies  chan []stance.CounterCell
 	quit     chan struct{}
 	ended    chan struct{}
 	lost     atomic.Uint64 // messages that had no room, or could not be read
@@ -147,7 +147,7 @@
 	accounts []audit.Account
 	alive    map[uint64]bool
 	order    *version.Order
-	standing []member.Standing
+	standing []member.ServerStatus
 	copies   map[string]*replica.Standing
 	tell     func(*gather)
 }
@@ -157,7 +157,7 @@
 	chance := rand.New(rand.NewPCG(uint64(p.Seed), uint64(time.Now().UnixNano()))) // a restart in the same instant is another life all the same
 	f := &Peers{inbox: make(chan *wire.Message, maxInbox), asks: make(chan func(float64), 16),
 		words: make(chan Word, maxWords), earnings: make(chan []door.Earned, maxEarnings), uses: make(chan []Use, maxUses),
-		calls: make(chan stance.Calls, maxCounts), tallies: make(chan []stance.Count, maxTallies), quit: make(chan struct{}), ended: make(chan struct{})}
+		calls: make(chan stance.CallStats, maxCounts), tallies: make(chan []stance.CounterCell, maxTallies), quit: make(chan struct{}), ended: make(chan struct{})}
 	life := chance.Uint64() | 1
 	var err error
 	if f.talk, err = listen(&p, life, f.receive); err != nil {
@@ -173,7 +173,7 @@
 	if p.Say == nil {
 		p.Say = slog.Info
 	}
-	f := &Part{Plan: p, life: life, net: net, chance: chance, order: (&version.Order{}).Clone(), stamp: &stance.Stamp{},
+	f := &Part{Plan: p, life: life, net: net, chance: chance, order: (&version.Order{}).Clone(), stamp: &stance.VersionStats{},
 		pending: map[uint64]*pending{}, gathers: map[uint64]*gather{}}
 	for name := range p.Voters {
 		f.voters = append(f.voters, name)
@@ -183,7 +183,7 @@
 	if _, votes := f.Voters[f.Name]; votes {
 		f.voter = version.NewVoter(f.Name, f.voters, int64(f.chance.Uint64()>>1), wire.Codec{}, now, f.Unix())
 	}
-	f.self = member.NewSelf(f.Name, f.life, f.Listen, f.Build, f.Silent, f.Terms.Lease, now)
+	f.self = member.NewHolder(f.Name, f.life, f.Listen, f.Build, f.Silent, f.Terms.Duration, now)
 	f.book = audit.NewBook(f.Name, f.life, f.Unix())
 	f.book.Begin(f.Unix(), 0, "", "started")
 	f.publish()
@@ -278,12 +278,12 @@
 
 // Next is when Due is to be called.
 func (f *Part) Next() float64 {
-	next := min(f.self.Next(), f.published.Until, f.briefAt+f.briefPause())
+	next := min(f.self.NextWakeup(), f.published.ChangesAt, f.briefAt+f.briefPause())
 	if f.voter != nil {
 		next = min(next, f.voter.Next())
 	}
 	next = min(next, f.nextCopies(f.Now()), f.nextCallers(f.Now()), f.nextBudgets(), f.nextHealth(), f.nextCounts(), f.nextPlans())
-	if len(f.pending) > 0 || len(f.gathers) > 0 || f.self.Right() > f.acts.Epoch {
+	if len(f.pending) > 0 || len(f.gathers) > 0 || f.self.AssignedEpoch() > f.acts.Epoch {
 		next = min(next, f.Now()+0.1)
 	}
 	return next
@@ -299,9 +299,9 @@
 	case m.Question != nil:
 		f.answer(now, m.Question)
 	case m.Answer != nil:
-		if f.self.Read(now, m.Answer) {
+		if f.self.HandleReply(now, m.Answer) {
 			state, _, why := f.self.State()
-			f.Say("fleet_standing", "state", state, "why", why, "right", f.self.Right())
+			f.Say("fleet_standing", "state", state, "why", why, "right", f.self.AssignedEpoch())
 		}
 	case m.Want != 0:
 		if v := f.order.Version(m.Want); v != nil {
@@ -354,9 +354,9 @@
 
 // rumour hears that others act on something newer: the leader is asked soon, once for each epoch, and not by all in one instant.
 func (f *Part) rumour(now float64, a *audit.Account) {
-	if n := len(a.Intervals); n > 0 && a.Intervals[n-1].Epoch > max(f.rumoured, f.self.Right()) {
+	if n := len(a.Intervals); n > 0 && a.Intervals[n-1].Epoch > max(f.rumoured, f.self.AssignedEpoch()) {
 		f.rumoured = a.Intervals[n-1].Epoch
-		f.self.Soon(now + rumourWithin*f.chance.Float64())
+		f.self.RequestBy(now + rumourWithin*f.chance.Float64())
 	}
 }
 
@@ -384,25 +384,25 @@
 
 // confirmed tells whether this process leads, as a majority confirmed lately.
 func (f *Part) confirmed(now float64) bool {
-	return f.voter != nil && f.voter.Leads(now-member.ConfirmedFor)
+	return f.voter != nil && f.voter.Leads(now-member.LeaderConfirmationWindow)
 }
 
 // answer answers a server that asks how it stands.
-func (f *Part) answer(now float64, q *member.Question) {
-	a := member.Answer{Life: q.Life, Number: q.Number, Verdict: member.Ask}
+func (f *Part) answer(now float64, q *member.Request) {
+	a := member.Reply{Incarnation: q.Incarnation, Number: q.Number, Verdict: member.VerdictRetry}
 	if f.voter != nil {
-		f.voter.Beyond(q.Epoch.Founding())
+		f.voter.Beyond(q.ActiveEpoch.Founding())
 		a.Leader = f.voter.Leader()
 	}
 	if f.confirmed(now) && f.ledger != nil {
 		var commands []version.Command
-		a, commands = f.ledger.Read(now, q, f.order, true)
+		a, commands = f.ledger.HandleRequest(now, q, f.order, true)
 		a.Leader = f.Name
 		f.propose(commands)
 	} else if a.Leader == f.Name {
 		a.Leader = ""
 	}
-	if q.Name == f.Name && q.Life == f.life {
+	if q.Name == f.Name && q.Incarnation == f.life {
 		f.Take(now, &wire.Message{Answer: &a})
 		return
 	}
@@ -422,13 +422,13 @@
 		f.voter.Tick(now)
 		f.lead(now)
 	}
-	if f.self.Tick(now) {
+	if f.self.Expire(now) {
 		_, _, why := f.self.State()
-		f.Say("fleet_standing", "state", member.Silent, "why", why, "right", f.self.Right())
+		f.Say("fleet_standing", "state", member.StateExpired, "why", why, "right", f.self.AssignedEpoch())
 	}
 	f.bringUp(now)
 	f.count()
-	if f.self.Next() <= now {
+	if f.self.NextWakeup() <= now {
 		f.inquire(now)
 	}
 	f.follow(now)
@@ -458,14 +458,14 @@
 // lead does what a leader does.
 func (f *Part) lead(now float64) {
 	f.order = f.voter.Order()
-	if newest := f.order.Newest(); newest > max(f.rumoured, f.self.Right()) {
+	if newest := f.order.Newest(); newest > max(f.rumoured, f.self.AssignedEpoch()) {
 		f.rumoured = newest
-		f.self.Soon(now)
+		f.self.RequestBy(now)
 	}
 	leads := f.confirmed(now)
 	switch {
 	case leads && f.ledger == nil:
-		f.ledger = member.NewLedger(f.Terms, f.Voters, now)
+		f.ledger = member.NewGrantor(f.Terms, f.Voters, now)
 		f.Say("fleet_leads", "newest", f.order.Newest())
 	case !leads && f.ledger != nil && f.voter.Leader() != f.Name:
 		f.ledger = nil
@@ -475,7 +475,7 @@
 	f.leadPlans(now)
 	for _, e := range f.voter.Outcomes() {
 		if f.ledger != nil {
-			f.ledger.Ended(e.Command)
+			f.ledger.HandleCommandResult(e.Command)
 		}
 		if e.Command.Kind != version.Hold || e.Err != nil && e.Err != version.ErrTaken {
 			f.Say("fleet_order", "command", e.Command.Kind, "by", e.Command.Author, "name", e.Command.Name, "why", e.Command.Why,
@@ -487,7 +487,7 @@
 		}
 	}
 	if leads && f.ledger != nil {
-		f.propose(f.ledger.Tend(now, f.order, f.Rollout))
+		f.propose(f.ledger.Maintain(now, f.order, f.Rollout))
 	}
 }
 
@@ -501,7 +501,7 @@
 
 // inquire asks the leader how this server stands, or some voter who leads.
 func (f *Part) inquire(now float64) {
-	q := f.self.Ask(now)
+	q := f.self.NewRequest(now)
 	name := f.self.Leader()
 	if _, votes := f.Voters[name]; !votes {
 		if len(f.voters) == 0 {
@@ -509,8 +509,8 @@
 		}
 		name = f.voters[f.ask%len(f.voters)]
 		f.ask++
-	} else if f.self.Unheard() > maxUnheard {
-		f.self.Lost(now)
+	} else if f.self.Unanswered() > maxUnheard {
+		f.self.HandleLeaderUnreachable(now)
 	}
 	if name == f.Name {
 		f.answer(now, &q)
@@ -524,7 +524,7 @@
 
 // bringUp gets the version that this server has to act on.
 func (f *Part) bringUp(now float64) {
-	right := f.self.Right()
+	right := f.self.AssignedEpoch()
 	if right <= f.acts.Epoch {
 		return
 	}
@@ -547,7 +547,7 @@
 
 // catchUp acts on a version, where it is whole and the right one.
 func (f *Part) catchUp(now float64, v *version.Version, why string) {
-	if v.Epoch != f.self.Right() || v.Epoch <= f.acts.Epoch || !v.Whole() || f.stuck != "" && now < f.wantAt+1 {
+	if v.Epoch != f.self.AssignedEpoch() || v.Epoch <= f.acts.Epoch || !v.Whole() || f.stuck != "" && now < f.wantAt+1 {
 		return
 	}
 	f.wantAt = now
@@ -562,14 +562,14 @@
 			f.Say("fleet_stuck", "epoch", v.Epoch, "err", err)
 		}
 		f.stuck = err.Error()
-		f.self.Acts(f.acts.Epoch, f.stuck)
+		f.self.SetActiveEpoch(f.acts.Epoch, f.stuck)
 		return
 	}
 	f.count()
 	f.acts, f.stuck = *v, ""
-	f.stamp, f.counted = &stance.Stamp{}, [2]uint64{}
+	f.stamp, f.counted = &stance.VersionStats{}, [2]uint64{}
 	f.book.Begin(f.Unix(), v.Epoch, v.Digest, why)
-	f.self.Acts(v.Epoch, "")
+	f.self.SetActiveEpoch(v.Epoch, "")
 	f.heedBudgets(now)
 	f.briefAt, f.eager = math.Inf(-1), eagerBriefs // others hear of it at once
 	f.Say("fleet_acts", "epoch", v.Epoch, "digest", v.Digest, "author", v.Author, "why", why)
@@ -577,10 +577,10 @@
 
 // count takes over what the loop counted.
 func (f *Part) count() {
-	batches, tasks := f.stamp.Batches.Load(), f.stamp.Tasks.Load()
+	batches, tasks := f.stamp.Batches.Load(), f.stamp.Requests.Load()
 	f.book.Count(f.Unix(), batches-f.counted[0], tasks-f.counted[1])
 	f.counted = [2]uint64{batches, tasks}
-	f.self.Toll(version.Toll{Ended: float64(f.stamp.Ended.Load()), Harmed: float64(min(f.stamp.Harmed.Load(), f.stamp.Ended.Load()))})
+	f.self.SetErrorTally(version.Toll{Ended: float64(f.stamp.Completed.Load()), Harmed: float64(min(f.stamp.Failed.Load(), f.stamp.Completed.Load()))})
 }
 
 // follow keeps a copy of the order, from which others' words are judged and a lost group of voters starts again: a voter that is cold asks some of
@@ -599,7 +599,7 @@
 	}
 	f.orderAt = now
 	ask := &wire.Message{Ask: &wire.Ask{Names: []string{""}, Founding: f.order.Base.Epoch.Founding(), Count: f.order.Count}}
-	if !cold && (f.self.Right() != f.order.Newest() || f.chance.IntN(8) == 0) { // a copy from the voters themselves now and then
+	if !cold && (f.self.AssignedEpoch() != f.order.Newest() || f.chance.IntN(8) == 0) { // a copy from the voters themselves now and then
 		f.send(f.Voters[f.voters[f.chance.IntN(len(f.voters))]], ask)
 		return
 	}
@@ -610,11 +610,11 @@
 
 // publish hands the loop what has changed.
 func (f *Part) publish() {
-	v := f.self.View()
-	v.Stamp = f.stamp
+	v := f.self.Snapshot()
+	v.Stats = f.stamp
 	if v != f.published {
 		f.published = v
-		f.Publish(&v.Standing)
+		f.Publish(&v.Directive)
 	}
 }
 
@@ -687,7 +687,7 @@
 	}
 	if f.voter != nil && f.voter.Seated() {
 		if m.Ask.Number != 0 && f.ledger != nil && f.confirmed(now) {
-			t.Standings = f.ledger.Standings(now, f.order)
+			t.Standings = f.ledger.ServerStatuses(now, f.order)
 		}
 	}
 	f.reply(m, &wire.Message{Told: t})
@@ -759,7 +759,7 @@
 	if f.voter != nil && f.voter.Seated() {
 		g.order = f.order
 		if f.ledger != nil && f.confirmed(now) {
-			g.standing = f.ledger.Standings(now, f.order)
+			g.standing = f.ledger.ServerStatuses(now, f.order)
 		}
 	}
 	f.gathers[f.numbers] = g
@@ -825,7 +825,7 @@
 func (f *Part) Known() *version.Order { return f.order }
 
 // Standing is how this process stands, and on which version it acts.
-func (f *Part) Standing() (member.View, version.Version) { return f.published, f.acts }
+func (f *Part) Standing() (member.Snapshot, version.Version) { return f.published, f.acts }
 
 // Clock is a process's clock for its fleet. For tests it may be off, or run at another rate.
 type Clock struct {
--- a/internal/serve/budgets.go
+++ b/internal/serve/budgets.go
@@ -21,16 +21,16 @@
 
 // budgets is what the loop knows of them.
 type budgets struct {
-	list  []stance.Allowed
+	list  []stance.Allowance
 	told  []float64 // that the module was told of each, under 0 where it was told nothing
 	asked []int     // by tenant, since the last count
 	rates []float64 // by tenant, of the last half second or so
 	lapse float64   // when the next part is over
 	tell  func([]Used)
-	below func(stance.Calls) // nil where nobody judges the service below
-	calls stance.Calls       // since the last count
-	tried int64              // number of the latest try that was made
-	try   int64              // that may be made, 0 for none
+	below func(stance.CallStats) // nil where nobody judges the service below
+	calls stance.CallStats       // since the last count
+	tried int64                  // number of the latest try that was made
+	try   int64                  // that may be made, 0 for none
 }
 
 const (
@@ -53,7 +53,7 @@
 }
 
 // Below has what became of calls below told, after Budget.
-func (s *Server) Below(tell func(stance.Calls)) { s.budgets.below = tell }
+func (s *Server) Below(tell func(stance.CallStats)) { s.budgets.below = tell }
 
 // callEnded counts a call.
 func (s *Server) callEnded(outcome choice.Outcome, took float64) {
@@ -64,15 +64,15 @@
 	switch {
 	case b == nil:
 	case outcome == choice.Finished:
-		b.calls.Well++
-		b.calls.Took += took
+		b.calls.Succeeded++
+		b.calls.TotalSeconds += took
 	default:
-		b.calls.Lost++
+		b.calls.Failed++
 	}
 }
 
 // Allow hands over what may be used of all budgets, from any goroutine. The loop goes by it from its next batch on.
-func (s *Server) Allow(list []stance.Allowed) {
+func (s *Server) Allow(list []stance.Allowance) {
 	s.allowed.Store(&list)
 	select {
 	case <-s.looping:
@@ -93,7 +93,7 @@
 		return
 	}
 	if fresh {
-		if !slices.EqualFunc(list, b.list, func(x, y stance.Allowed) bool { return x.Name == y.Name }) {
+		if !slices.EqualFunc(list, b.list, func(x, y stance.Allowance) bool { return x.Name == y.Name }) {
 			b.told = make([]float64, len(list))
 			for i := range b.told {
 				b.told[i] = -1
@@ -109,18 +109,18 @@
 	var events []choice.Event
 	for i := range list {
 		a := &list[i]
-		if now < a.Till {
-			b.lapse = min(b.lapse, a.Till)
+		if now < a.LeaseExpiry {
+			b.lapse = min(b.lapse, a.LeaseExpiry)
 		}
-		may := a.At(now)
-		if a.Try != 0 && a.Try == b.tried {
+		may := a.LimitAt(now)
+		if a.ProbeNumber != 0 && a.ProbeNumber == b.tried {
 			may = 0
 		} else if may > 0 {
-			b.try = max(b.try, a.Try)
+			b.try = max(b.try, a.ProbeNumber)
 		}
 		if may != b.told[i] {
 			b.told[i] = may
-			events = append(events, choice.Event{Kind: choice.Allow, Allowance: &choice.Allowance{Tenant: a.Tenant, Most: may, Depth: a.Depth}})
+			events = append(events, choice.Event{Kind: choice.Allow, Allowance: &choice.Allowance{Tenant: a.Tenant, Most: may, Depth: a.BurstSeconds}})
 		}
 	}
 	if events != nil {
@@ -129,9 +129,9 @@
 }
 
 // unbind has the module hear of budgets that are no more: what they bound is as good as unbound.
-func (s *Server) unbind(was, is []stance.Allowed) {
+func (s *Server) unbind(was, is []stance.Allowance) {
 	for _, a := range was {
-		if !slices.ContainsFunc(is, func(x stance.Allowed) bool { return x.Tenant == a.Tenant }) {
+		if !slices.ContainsFunc(is, func(x stance.Allowance) bool { return x.Tenant == a.Tenant }) {
 			s.events = append([]choice.Event{{Kind: choice.Allow, Allowance: &choice.Allowance{Tenant: a.Tenant, Most: math.MaxInt32, Depth: 1}}}, s.events...)
 		}
 	}
@@ -151,7 +151,7 @@
 		if a.Tenant >= 0 {
 			// More than the whole budget tells nothing, and would take long to be forgotten once demand is elsewhere.
 			rate := &b.rates[a.Tenant]
-			if *rate += useWeight * (min(float64(b.asked[a.Tenant])/useEvery, a.Most) - *rate); *rate < leastUse {
+			if *rate += useWeight * (min(float64(b.asked[a.Tenant])/useEvery, a.FleetMax) - *rate); *rate < leastUse {
 				*rate = 0
 			}
 		}
@@ -161,13 +161,13 @@
 		return
 	}
 	if b.below != nil {
-		b.calls.Out, _ = s.module.Calls()
+		b.calls.InFlight, _ = s.module.Calls()
 		b.below(b.calls)
-		b.calls = stance.Calls{}
+		b.calls = stance.CallStats{}
 	}
 	var used []Used
 	for i := range b.list {
-		u := Used{Name: b.list[i].Name, Answer: b.list[i].Answer}
+		u := Used{Name: b.list[i].Name, Answer: b.list[i].GrantNumber}
 		if tenant := b.list[i].Tenant; tenant >= 0 {
 			u.Demand = b.rates[tenant]
 		} else {
@@ -177,7 +177,7 @@
 				u.Demand = min(u.Demand, b.list[i].Cap)
 			}
 		}
-		if u.Demand > 0 || u.Open > 0 || b.list[i].Till > s.now() {
+		if u.Demand > 0 || u.Open > 0 || b.list[i].LeaseExpiry > s.now() {
 			used = append(used, u)
 		}
 	}
--- a/internal/serve/budgets_test.go
+++ b/internal/serve/budgets_test.go
@@ -20,8 +20,8 @@
 				}
 			}
 		})
-		s.Allow([]stance.Allowed{{Name: "calls", Tenant: -1, Floor: 1, Answer: 3},
-			{Name: "acme", Most: 1000, Tenant: 0, Part: 1000, Till: s.Now() + 1, Depth: 0.5, Answer: 7}})
+		s.Allow([]stance.Allowance{{Name: "calls", Tenant: -1, Guaranteed: 1, GrantNumber: 3},
+			{Name: "acme", FleetMax: 1000, Tenant: 0, LeasedShare: 1000, LeaseExpiry: s.Now() + 1, BurstSeconds: 0.5, GrantNumber: 7}})
 	})
 	says := func(what string, ok func(Used) bool) {
 		t.Helper()
@@ -46,8 +46,8 @@
 	below.expect("FETCH a1 ")
 	w.processor.ask(2, "a2", "c")
 	says("that one call is out and another waits", func(u Used) bool { return u.Name == "calls" && u.Open == 1 && u.Demand == 2 && u.Answer == 3 })
-	w.server.Allow([]stance.Allowed{{Name: "calls", Tenant: -1, Floor: 1, Part: 1, Till: w.server.Now() + 60, Answer: 4},
-		{Name: "acme", Most: 1000, Tenant: 0, Answer: 8}}) // its part is over, and it has no floor
+	w.server.Allow([]stance.Allowance{{Name: "calls", Tenant: -1, Guaranteed: 1, LeasedShare: 1, LeaseExpiry: w.server.Now() + 60, GrantNumber: 4},
+		{Name: "acme", FleetMax: 1000, Tenant: 0, GrantNumber: 8}}) // its part is over, and it has no floor
 	accept(t, w.catalogues).expect("FETCH a2 ")
 	b.send("%s", frame(3, "a3", "x"))
 	if a := b.next(); a.Number != 3 || a.End != rpc.Rejected {
@@ -68,7 +68,7 @@
 func TestAPartThatIsOverIsOverWithoutAWord(t *testing.T) {
 	w := buildWith(t, nil, nil, func(s *Server) {
 		s.Budget(func([]Used) {})
-		s.Allow([]stance.Allowed{{Name: "acme", Tenant: 0, Part: 1e6, Till: s.Now() + 0.5, Depth: 0.5}})
+		s.Allow([]stance.Allowance{{Name: "acme", Tenant: 0, LeasedShare: 1e6, LeaseExpiry: s.Now() + 0.5, BurstSeconds: 0.5}})
 	})
 	time.Sleep(600 * time.Millisecond) // past its end
 	b := w.balancer()
--- a/internal/serve/claims.go
+++ b/internal/serve/claims.go
@@ -69,12 +69,12 @@
 	}
 	k.waiting[t.ID] = *read
 	id := t.ID
-	s.timers.Add(now+max(0, left)+lateRule, func() { s.rule(id, stance.MayHave, nil) }) // what is ruled by then changes nothing
+	s.timers.Add(now+max(0, left)+lateRule, func() { s.rule(id, stance.ClaimOutcomeUnknown, nil) }) // what is ruled by then changes nothing
 	return true
 }
 
 // Rule takes the fleet's word on a task, from any goroutine.
-func (s *Server) Rule(id string, r stance.Ruling, result []byte) {
+func (s *Server) Rule(id string, r stance.ClaimVerdict, result []byte) {
 	<-s.looping
 	_ = s.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		s.rule(id, r, result)
@@ -82,7 +82,7 @@
 	}))
 }
 
-func (s *Server) rule(id string, r stance.Ruling, result []byte) {
+func (s *Server) rule(id string, r stance.ClaimVerdict, result []byte) {
 	k := s.keyed
 	read, waits := k.waiting[id]
 	if !waits { // it is over, and the fleet was told so
@@ -94,16 +94,16 @@
 	switch {
 	case t == nil || t.Answered:
 		k.fleet.Never(id)
-	case r == stance.MayRun:
+	case r == stance.ClaimGranted:
 		k.granted[id] = true
 		if read.Task.Earlier = s.kept.Earlier(t.Stage, t.Subject, t.Came, now); read.Task.Earlier != "" {
 			s.unclaim(t)
 		}
 		s.happens(read)
-	case r == stance.Known:
+	case r == stance.ClaimCached:
 		read.Task.Earlier = s.kept.Adopt(t, result, now+s.start.Site.Stages[t.Stage].Window)
 		s.happens(read)
-	case r == stance.NoQuorum:
+	case r == stance.ClaimNoQuorum:
 		s.counts.ungranted++
 		s.reject(t, s.awayFor(), false)
 	default:
--- a/internal/serve/peer.go
+++ b/internal/serve/peer.go
@@ -261,7 +261,7 @@
 	s.asks(tenant)
 	s.tallyAsked(tenant, stage)
 	if to := s.standing.Load(); to != nil {
-		to.Stamp.Tasks.Add(1)
+		to.Stats.Requests.Add(1)
 	}
 	read := choice.Event{Kind: choice.Read, ID: t.ID, Task: choice.Task{Stage: stage, Tenant: tenant,
 		Caller: m.Caller, Memory: m.Memory, Rank: m.Rank, Marked: m.Subject != "", Again: m.Again, Hint: m.Hint,
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -78,10 +78,10 @@
 
 	say             rpc.Say // goes with every answer
 	well            bool
-	standing        atomic.Pointer[stance.Standing] // in the fleet, nil where there is none
-	stance          stance.Stance
+	standing        atomic.Pointer[stance.Directive] // in the fleet, nil where there is none
+	stance          stance.Mode
 	keyed           *keyed // nil where no stage's tasks are claimed
-	allowed         atomic.Pointer[[]stance.Allowed]
+	allowed         atomic.Pointer[[]stance.Allowance]
 	budgets         *budgets    // nil where none are shared
 	forwarding      *forwarding // nil where tasks run at a processor
 	tallies         *tallies    // nil where nothing is counted for a fleet
@@ -276,7 +276,7 @@
 			s.freshen(&batch[i], now)
 		}
 		if standing != nil {
-			standing.Stamp.Batches.Add(1)
+			standing.Stats.Batches.Add(1)
 		}
 		s.carryOut(s.module.Decide(now, batch), now)
 		s.spare = batch
@@ -285,8 +285,8 @@
 	s.flush()
 	s.tendMuted(now)
 	next := min(s.timers.Next(), s.door.Next())
-	if standing != nil && now < standing.Until {
-		next = min(next, standing.Until)
+	if standing != nil && now < standing.ChangesAt {
+		next = min(next, standing.ChangesAt)
 	}
 	if s.budgets != nil {
 		next = min(next, s.budgets.lapse)
@@ -448,7 +448,7 @@
 		s.tellDoor()
 	}
 	if to := s.standing.Load(); to != nil {
-		slog.Info("standing", "stance", s.stance, "why", to.Why, "away", c.away, "ungranted", c.ungranted, "lapsed", c.lapsed)
+		slog.Info("standing", "stance", s.stance, "why", to.Reason, "away", c.away, "ungranted", c.ungranted, "lapsed", c.lapsed)
 	}
 	*c = counts{}
 }
--- a/internal/serve/standing.go
+++ b/internal/serve/standing.go
@@ -21,9 +21,9 @@
 func (s *Server) Now() float64 { return s.now() }
 
 // Stand tells the server, from any goroutine, how it stands from now on. The loop goes by it from its next batch on.
-func (s *Server) Stand(to *stance.Standing) {
+func (s *Server) Stand(to *stance.Directive) {
 	was := s.standing.Swap(to)
-	if was != nil && was.Now == to.Now && was.Then == to.Then {
+	if was != nil && was.Mode == to.Mode && was.NextMode == to.NextMode {
 		return // a lease that goes on, or another version: the next batch is early enough
 	}
 	select {
@@ -37,36 +37,36 @@
 // for longer than its lease reads tasks before its first turn.
 func (s *Server) awayAt(now float64) bool {
 	to := s.standing.Load()
-	return to != nil && to.At(now) == stance.Away
+	return to != nil && to.ModeAt(now) == stance.ModeOutOfService
 }
 
 // stampEnd counts the end of a task under the present version: harmed where it was rejected or abandoned.
 func (s *Server) stampEnd(harmed bool) {
 	if to := s.standing.Load(); to != nil {
-		to.Stamp.Ended.Add(1)
+		to.Stats.Completed.Add(1)
 		if harmed {
-			to.Stamp.Harmed.Add(1)
+			to.Stats.Failed.Add(1)
 		}
 	}
 }
 
 // isWell is the health that is told: the module's, and that the fleet lets this server act.
-func (s *Server) isWell() bool { return s.well && s.stance != stance.Away }
+func (s *Server) isWell() bool { return s.well && s.stance != stance.ModeOutOfService }
 
 // stand carries out a change of stance, before the batch is decided.
-func (s *Server) stand(to *stance.Standing, now float64) {
-	is := to.At(now)
+func (s *Server) stand(to *stance.Directive, now float64) {
+	is := to.ModeAt(now)
 	if is == s.stance {
 		return
 	}
 	was := s.stance
 	s.stance = is
-	slog.Info("stance", "is", is, "was", was, "why", to.Why, "open", s.tasks.Open())
-	if is == stance.Away {
+	slog.Info("stance", "is", is, "was", was, "why", to.Reason, "open", s.tasks.Open())
+	if is == stance.ModeOutOfService {
 		s.sendAllAway(now)
 	}
-	if conf := s.conf; conf != nil && (is == stance.Shield || was == stance.Shield) {
-		if is == stance.Shield {
+	if conf := s.conf; conf != nil && (is == stance.ModeSafeDefaults || was == stance.ModeSafeDefaults) {
+		if is == stance.ModeSafeDefaults {
 			conf = shielded(conf)
 		}
 		s.heed(conf)
@@ -142,7 +142,7 @@
 		return errors.New("door-prefix-ipv4, door-prefix-ipv6, door-lobby or door-remember: can't be changed while serving")
 	}
 	s.conf = conf
-	if s.stance != stance.Shield {
+	if s.stance != stance.ModeSafeDefaults {
 		s.heed(conf)
 	}
 	return nil
--- a/internal/serve/standing_test.go
+++ b/internal/serve/standing_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-func (w *world) stand(now stance.Stance, until float64, then stance.Stance) *stance.Stamp {
-	stamp := &stance.Stamp{}
-	w.server.Stand(&stance.Standing{Epoch: 3, Now: now, Until: until, Then: then, Why: "a test", Stamp: stamp})
+func (w *world) stand(now stance.Mode, until float64, then stance.Mode) *stance.VersionStats {
+	stamp := &stance.VersionStats{}
+	w.server.Stand(&stance.Directive{Epoch: 3, Mode: now, ChangesAt: until, NextMode: then, Reason: "a test", Stats: stamp})
 	return stamp
 }
 
@@ -89,13 +89,13 @@
 	const tasks = 20 // more than two cores take at once
 	begun, finish := make(chan string, tasks+1), make(chan struct{})
 	w.work(begun, finish)
-	before := w.stand(stance.Serve, math.Inf(1), stance.Serve)
+	before := w.stand(stance.ModeNormal, math.Inf(1), stance.ModeNormal)
 	b := w.balancer()
 	for i := range tasks {
 		b.send("%s", frame(byte(i+1), fmt.Sprintf("%016x", i+1), "x"))
 	}
 	<-begun
-	stamp := w.stand(stance.Away, math.Inf(1), stance.Away)
+	stamp := w.stand(stance.ModeOutOfService, math.Inf(1), stance.ModeOutOfService)
 	w.listed(false)
 	close(finish)
 	finished, rejected, told := 0, 0, 0 // the module may have rejected some before, with its own advice
@@ -115,10 +115,10 @@
 	if runs := len(begun) + 1; finished != runs || told == 0 {
 		t.Errorf("%d runs, %d finished, %d rejected, %d of these told when to come back", runs, finished, rejected, told)
 	}
-	if n, m := before.Ended.Load(), stamp.Ended.Load(); n+m > tasks || m == 0 || int(n+m) < tasks-told { // those that came after it are none of any version's
+	if n, m := before.Completed.Load(), stamp.Completed.Load(); n+m > tasks || m == 0 || int(n+m) < tasks-told { // those that came after it are none of any version's
 		t.Errorf("%d ends are counted before, %d after, of %d", n, m, tasks)
 	}
-	w.stand(stance.Serve, math.Inf(1), stance.Serve)
+	w.stand(stance.ModeNormal, math.Inf(1), stance.ModeNormal)
 	w.listed(true)
 	b.send("%s", frame(99, "0000000000000099", "x"))
 	if a := b.next(); a.End != rpc.Finished {
@@ -131,13 +131,13 @@
 	w := build(t, nil)
 	begun, finish := make(chan string, 1), make(chan struct{})
 	w.work(begun, finish)
-	stamp := w.stand(stance.Serve, w.server.Now()-1, stance.Away) // published before it was stopped, read after
+	stamp := w.stand(stance.ModeNormal, w.server.Now()-1, stance.ModeOutOfService) // published before it was stopped, read after
 	b := w.balancer()
 	b.send("%s", frame(1, "0000000000000001", "x"))
 	if a := b.next(); a.End != rpc.Rejected {
 		t.Errorf("it answers %+v", a)
 	}
-	if n := stamp.Tasks.Load(); n != 0 || len(begun) != 0 {
+	if n := stamp.Requests.Load(); n != 0 || len(begun) != 0 {
 		t.Errorf("%d tasks were taken in, %d begun", n, len(begun))
 	}
 	w.listed(false)
--- a/internal/serve/tally.go
+++ b/internal/serve/tally.go
@@ -10,17 +10,17 @@
 // tallies is what was counted since it was last told.
 type tallies struct {
 	stages int
-	list   []stance.Tally // by tenant, and in it by stage
-	names  []stance.Cell  // the same
+	list   []stance.RequestCounts // by tenant, and in it by stage
+	names  []stance.CounterKey    // the same
 	some   bool
-	tell   func([]stance.Count) bool
+	tell   func([]stance.CounterCell) bool
 }
 
 // tellTallies is how often, in seconds, it is told: more often than others hear of it.
 const tellTallies = 0.5
 
 // Tally has tasks counted and what was counted told, from the loop; what could not be told is told with the next. It is called before Run.
-func (s *Server) Tally(tell func([]stance.Count) bool) {
+func (s *Server) Tally(tell func([]stance.CounterCell) bool) {
 	tenants := make([]string, max(1, len(s.start.Site.Tenants)))
 	for name, i := range s.start.Tenants {
 		tenants[i] = name
@@ -28,10 +28,10 @@
 	t := &tallies{stages: len(s.start.StageNames), tell: tell}
 	for _, tenant := range tenants {
 		for _, stage := range s.start.StageNames {
-			t.names = append(t.names, stance.Cell{Tenant: tenant, Stage: stage})
+			t.names = append(t.names, stance.CounterKey{Tenant: tenant, Class: stage})
 		}
 	}
-	t.list = make([]stance.Tally, len(t.names))
+	t.list = make([]stance.RequestCounts, len(t.names))
 	s.tallies = t
 	var again func()
 	again = func() {
@@ -45,10 +45,10 @@
 	if !t.some {
 		return
 	}
-	var list []stance.Count
+	var list []stance.CounterCell
 	for i, n := range t.list {
-		if n != (stance.Tally{}) {
-			list = append(list, stance.Count{Cell: t.names[i], Tally: n})
+		if n != (stance.RequestCounts{}) {
+			list = append(list, stance.CounterCell{CounterKey: t.names[i], RequestCounts: n})
 		}
 	}
 	if t.tell(list) {
@@ -58,7 +58,7 @@
 }
 
 // of is the tally of a tenant's tasks in a stage.
-func (t *tallies) of(tenant, stage int) *stance.Tally {
+func (t *tallies) of(tenant, stage int) *stance.RequestCounts {
 	t.some = true
 	return &t.list[tenant*t.stages+stage]
 }
@@ -66,7 +66,7 @@
 // tallyAsked counts a task that came.
 func (s *Server) tallyAsked(tenant, stage int) {
 	if t := s.tallies; t != nil {
-		t.of(tenant, stage).Asked++
+		t.of(tenant, stage).Received++
 	}
 }
 
@@ -74,7 +74,7 @@
 func (s *Server) tallyAway(tenant, stage int) {
 	if t := s.tallies; t != nil {
 		n := t.of(tenant, stage)
-		n.Asked++
+		n.Received++
 		n.Rejected++
 	}
 }
--- a/internal/wire/fleet/counts.go
+++ b/internal/wire/fleet/counts.go
@@ -10,25 +10,25 @@
 
 // This file is what servers and keepers say of what they counted.
 
-func putCounts(list []stance.Count) (to []*Count) {
+func putCounts(list []stance.CounterCell) (to []*Count) {
 	for _, n := range list {
-		to = append(to, &Count{Tenant: n.Tenant, Stage: n.Stage, Asked: n.Asked, Finished: n.Finished, Rejected: n.Rejected, Abandoned: n.Abandoned})
+		to = append(to, &Count{Tenant: n.Tenant, Stage: n.Class, Asked: n.Received, Finished: n.Finished, Rejected: n.Rejected, Abandoned: n.Abandoned})
 	}
 	return to
 }
 
 // readCounts reads cells, which stand in their order and each once.
-func readCounts(p []*Count) (list []stance.Count, err error) {
+func readCounts(p []*Count) (list []stance.CounterCell, err error) {
 	if len(p) > maxLongList+1 {
 		return nil, errSize
 	}
 	for i, n := range p {
-		c := stance.Count{Cell: stance.Cell{Tenant: n.GetTenant(), Stage: n.GetStage()},
-			Tally: stance.Tally{Asked: n.GetAsked(), Finished: n.GetFinished(), Rejected: n.GetRejected(), Abandoned: n.GetAbandoned()}}
-		if err := short(c.Tenant, c.Stage); err != nil {
+		c := stance.CounterCell{CounterKey: stance.CounterKey{Tenant: n.GetTenant(), Class: n.GetStage()},
+			RequestCounts: stance.RequestCounts{Received: n.GetAsked(), Finished: n.GetFinished(), Rejected: n.GetRejected(), Abandoned: n.GetAbandoned()}}
+		if err := short(c.Tenant, c.Class); err != nil {
 			return nil, err
 		}
-		if i > 0 && list[i-1].Cell.Compare(c.Cell) >= 0 {
+		if i > 0 && list[i-1].CounterKey.Compare(c.CounterKey) >= 0 {
 			return nil, errValue
 		}
 		list = append(list, c)
--- a/internal/wire/fleet/fleet.go
+++ b/internal/wire/fleet/fleet.go
@@ -36,8 +36,8 @@
 	Life       uint64
 	Addr       string // where it listens
 	Voting     *version.Message
-	Question   *member.Question
-	Answer     *member.Answer
+	Question   *member.Request
+	Answer     *member.Reply
 	Want       version.Epoch
 	Version    *version.Version
 	Do         *version.Command
@@ -84,7 +84,7 @@
 	Number    uint64
 	Accounts  []audit.Account
 	Order     *version.Order
-	Standings []member.Standing
+	Standings []member.ServerStatus
 	Copies    *replica.Standing // nil where it keeps and claims nothing
 }
 
@@ -106,12 +106,12 @@
 		p.Body = &Packet_Voting{v}
 	case m.Question != nil:
 		q := m.Question
-		p.Body = &Packet_Question{&Question{Name: q.Name, Life: q.Life, Number: q.Number, Addr: q.Addr, Epoch: uint64(q.Epoch), Stuck: clip(q.Stuck),
-			Ended: q.Toll.Ended, Harmed: q.Toll.Harmed, Build: q.Build, MayLeave: q.MayLeave, Proof: q.Proof}}
+		p.Body = &Packet_Question{&Question{Name: q.Name, Life: q.Incarnation, Number: q.Number, Addr: q.Addr, Epoch: uint64(q.ActiveEpoch), Stuck: clip(q.BlockedBy),
+			Ended: q.ErrorTally.Ended, Harmed: q.ErrorTally.Harmed, Build: q.Build, MayLeave: q.MayGoOutOfService, Proof: q.Nonce}}
 	case m.Answer != nil:
 		a := m.Answer
-		p.Body = &Packet_Answer{&Answer{Life: a.Life, Number: a.Number, Verdict: uint32(a.Verdict), For: a.For, Right: uint64(a.Right),
-			MayLeave: a.MayLeave, Leader: a.Leader, Why: clip(a.Why), Proof: a.Proof}}
+		p.Body = &Packet_Answer{&Answer{Life: a.Incarnation, Number: a.Number, Verdict: uint32(a.Verdict), For: a.Duration, Right: uint64(a.AssignedEpoch),
+			MayLeave: a.MayGoOutOfService, Leader: a.Leader, Why: clip(a.Reason), Proof: a.Nonce}}
 	case m.Want != 0:
 		p.Body = &Packet_Want{&Want{Epoch: uint64(m.Want)}}
 	case m.Version != nil:
@@ -130,8 +130,8 @@
 			t.Accounts = append(t.Accounts, putAccount(&m.Told.Accounts[i]))
 		}
 		for _, s := range m.Told.Standings {
-			t.Standings = append(t.Standings, &Standing{Name: s.Name, Life: s.Life, Epoch: uint64(s.Epoch), Right: uint64(s.Right), Heard: s.Heard,
-				Behind: s.Behind, Stuck: clip(s.Stuck), Out: clip(s.Out), Build: s.Build, Known: s.Known})
+			t.Standings = append(t.Standings, &Standing{Name: s.Name, Life: s.Incarnation, Epoch: uint64(s.ActiveEpoch), Right: uint64(s.AssignedEpoch), Heard: s.SecondsSinceHeard,
+				Behind: s.SecondsBehind, Stuck: clip(s.BlockedBy), Out: clip(s.EjectionReason), Build: s.Build, Known: s.Reported})
 		}
 		p.Body = &Packet_Told{t}
 	default:
@@ -168,13 +168,13 @@
 		m.Voting, err = voting(body.Voting)
 	case *Packet_Question:
 		q := body.Question
-		m.Question = &member.Question{Name: q.Name, Life: q.Life, Number: q.Number, Addr: q.Addr, Epoch: version.Epoch(q.Epoch), Stuck: q.Stuck,
-			Toll: version.Toll{Ended: q.Ended, Harmed: q.Harmed}, Build: q.Build, MayLeave: q.MayLeave, Proof: q.Proof}
+		m.Question = &member.Request{Name: q.Name, Incarnation: q.Life, Number: q.Number, Addr: q.Addr, ActiveEpoch: version.Epoch(q.Epoch), BlockedBy: q.Stuck,
+			ErrorTally: version.Toll{Ended: q.Ended, Harmed: q.Harmed}, Build: q.Build, MayGoOutOfService: q.MayLeave, Nonce: q.Proof}
 		err = errors.Join(short(q.Name, q.Addr, q.Stuck, q.Build), count(q.Ended), count(q.Harmed), notOver(q.Harmed, q.Ended))
 	case *Packet_Answer:
 		a := body.Answer
-		m.Answer = &member.Answer{Life: a.Life, Number: a.Number, Verdict: member.Verdict(min(a.Verdict, 255)), For: a.For, Right: version.Epoch(a.Right),
-			MayLeave: a.MayLeave, Leader: a.Leader, Why: a.Why, Proof: a.Proof}
+		m.Answer = &member.Reply{Incarnation: a.Life, Number: a.Number, Verdict: member.Verdict(min(a.Verdict, 255)), Duration: a.For, AssignedEpoch: version.Epoch(a.Right),
+			MayGoOutOfService: a.MayLeave, Leader: a.Leader, Reason: a.Why, Nonce: a.Proof}
 		err = errors.Join(short(a.Leader, a.Why), count(a.For))
 	case *Packet_Want:
 		if m.Want = version.Epoch(body.Want.Epoch); m.Want == 0 {
@@ -253,8 +253,8 @@
 		if err := errors.Join(short(s.Name, s.Stuck, s.Out, s.Build), finite(s.Heard), finite(s.Behind)); err != nil {
 			return nil, err
 		}
-		m.Standings = append(m.Standings, member.Standing{Name: s.Name, Life: s.Life, Epoch: version.Epoch(s.Epoch), Right: version.Epoch(s.Right),
-			Heard: s.Heard, Behind: s.Behind, Stuck: s.Stuck, Out: s.Out, Build: s.Build, Known: s.Known})
+		m.Standings = append(m.Standings, member.ServerStatus{Name: s.Name, Incarnation: s.Life, ActiveEpoch: version.Epoch(s.Epoch), AssignedEpoch: version.Epoch(s.Right),
+			SecondsSinceHeard: s.Heard, SecondsBehind: s.Behind, BlockedBy: s.Stuck, EjectionReason: s.Out, Build: s.Build, Reported: s.Known})
 	}
 	if t.Copies != nil {
 		m.Copies = standing(t.Copies)
--- a/internal/wire/fleet/fleet_test.go
+++ b/internal/wire/fleet/fleet_test.go
@@ -38,8 +38,8 @@
 	return o
 }
 
-func countsOf(n uint64) []stance.Count {
-	return []stance.Count{{}, {Cell: stance.Cell{Tenant: "acme", Stage: "ping"}, Tally: stance.Tally{Asked: n, Finished: 1, Rejected: 2, Abandoned: 3}}}
+func countsOf(n uint64) []stance.CounterCell {
+	return []stance.CounterCell{{}, {CounterKey: stance.CounterKey{Tenant: "acme", Class: "ping"}, RequestCounts: stance.RequestCounts{Received: n, Finished: 1, Rejected: 2, Abandoned: 3}}}
 }
 
 // samples has one message of each kind.
@@ -56,13 +56,13 @@
 		{Voting: &version.Message{From: 5, To: 6, Ask: true}},
 		{Voting: &version.Message{From: 5, To: 6, Tell: o}},
 		{Voting: &version.Message{From: 5, To: 6, Founding: 7, Raft: beat}},
-		{Question: &member.Question{Name: "n1", Life: 5, Number: 8, Addr: "127.0.0.1:1", Epoch: 3, Stuck: "s", Toll: version.Toll{Ended: 3, Harmed: 1},
-			Build: "b", MayLeave: true}},
-		{Answer: &member.Answer{Life: 5, Number: 8, Verdict: member.Late, For: 6, Right: 4, MayLeave: true, Leader: "v1", Why: "w"}},
+		{Question: &member.Request{Name: "n1", Incarnation: 5, Number: 8, Addr: "127.0.0.1:1", ActiveEpoch: 3, BlockedBy: "s", ErrorTally: version.Toll{Ended: 3, Harmed: 1},
+			Build: "b", MayGoOutOfService: true}},
+		{Answer: &member.Reply{Incarnation: 5, Number: 8, Verdict: member.VerdictLagging, Duration: 6, AssignedEpoch: 4, MayGoOutOfService: true, Leader: "v1", Reason: "w"}},
 		{Want: 4}, {Version: &o.Base}, {Do: &version.Command{Kind: version.Widen, ID: 3, Author: "a", On: 4, Waves: []float64{0.5}}},
 		{Done: &Done{ID: 3, Refused: "no", Newest: 5}}, {Brief: &account}, {Ask: &Ask{Number: 4, Names: []string{"n1"}, Founding: 7, Count: 9}},
-		{Told: &Told{Number: 4, Accounts: []audit.Account{account}, Order: o, Standings: []member.Standing{{Name: "n1", Life: 5, Epoch: 3, Right: 4,
-			Heard: 1, Behind: 2, Stuck: "s", Out: "o", Build: "b", Known: true}},
+		{Told: &Told{Number: 4, Accounts: []audit.Account{account}, Order: o, Standings: []member.ServerStatus{{Name: "n1", Incarnation: 5, ActiveEpoch: 3, AssignedEpoch: 4,
+			SecondsSinceHeard: 1, SecondsBehind: 2, BlockedBy: "s", EjectionReason: "o", Build: "b", Reported: true}},
 			Copies: &replica.Standing{Plan: 1, Holder: true, Cold: 2, Differ: 3, Learned: 4, Aged: 5, Mended: 6, Alarms: 7, Records: 8, Bytes: 9, Dropped: 10,
 				Flipped: 11, Claims: 12, Promised: 13, Unpromised: 14}}},
 		{PlanReport: &plan.Report{Name: "f1", Life: 3, Number: 4, For: 0.5, Holds: plan.Number{Founding: 1, Term: 2, Seq: 3}, Demand: []plan.Demand{{Tenant: "acme", Rate: 2}},
@@ -116,11 +116,11 @@
 	}
 	for i, m := range []*Message{
 		{From: long, Want: 3},
-		{Question: &member.Question{Name: long}},
-		{Question: &member.Question{Toll: version.Toll{Ended: math.NaN()}}},
-		{Question: &member.Question{Toll: version.Toll{Ended: 1, Harmed: 2}}},
-		{Question: &member.Question{Toll: version.Toll{Ended: -1, Harmed: -1}}},
-		{Answer: &member.Answer{For: math.Inf(1)}},
+		{Question: &member.Request{Name: long}},
+		{Question: &member.Request{ErrorTally: version.Toll{Ended: math.NaN()}}},
+		{Question: &member.Request{ErrorTally: version.Toll{Ended: 1, Harmed: 2}}},
+		{Question: &member.Request{ErrorTally: version.Toll{Ended: -1, Harmed: -1}}},
+		{Answer: &member.Reply{Duration: math.Inf(1)}},
 		{Version: &version.Version{Text: strings.Repeat("t", maxText+1)}},
 		{Do: &version.Command{At: math.Inf(-1)}},
 		{Do: &version.Command{Waves: make([]float64, maxShortList+1)}},
