--- a/cmd/swiftcourse-fleet/command.go
+++ b/cmd/swiftcourse-fleet/command.go
@@ -246,8 +246,8 @@
 		fmt.Fprintln(out, "server\tholds\tcold\tdiffer\tlearned\taged\tmended\trecords\tKB\tdropped\tclaims\tpromised\tnot in time")
 		for _, name := range slices.Sorted(maps.Keys(s.Copies)) {
 			c := s.Copies[name]
-			fmt.Fprintf(out, "%s\t%t\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", name, c.Holder, c.Cold, c.Differ, c.Learned, c.Aged, c.Mended, c.Records,
-				c.Bytes>>10, c.Dropped, c.Claims, c.Promised, c.Unpromised)
+			fmt.Fprintf(out, "%s\t%t\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", name, c.IsReplica, c.CatchingUp, c.OutOfSync, c.CaughtUpByPeers, c.CaughtUpByTimeout, c.RepairedRecords, c.Records,
+				c.Bytes>>10, c.DroppedResults, c.ActiveClaims, c.ReplicatedResults, c.UnreplicatedResults)
 		}
 		err = out.Flush()
 		for _, line := range wrong {
--- a/cmd/swiftcourse-fleet/main.go
+++ b/cmd/swiftcourse-fleet/main.go
@@ -103,7 +103,7 @@
 	}
 	if kept != nil {
 		server.Key(f, own.ReplicaKeyed, own.ReplicaWindow.Seconds())
-		slog.Info("fleet_replica", "holders", len(kept.Place.Members), "copies", kept.Place.Copies, "need", kept.Place.Need, "keyed", strings.Join(own.ReplicaKeyed, ","))
+		slog.Info("fleet_replica", "holders", len(kept.Place.Members), "copies", kept.Place.ReplicationFactor, "need", kept.Place.Quorum, "keyed", strings.Join(own.ReplicaKeyed, ","))
 	}
 	if shared != nil || own.Below || p.dispatcher != nil {
 		server.Budget(func(list []serve.Used) { f.Used(uses(list)) })
@@ -130,7 +130,7 @@
 		slog.Info("fleet_counts", "keepers", len(voters))
 	}
 	if callers != nil {
-		server.Vouch(f.Earned, replica.MaxEarned)
+		server.Vouch(f.Earned, replica.MaxTrustedClients)
 	}
 	if own.FleetControl != "" {
 		if _, err := f.Control(own.FleetControl); err != nil {
@@ -174,7 +174,7 @@
 		}
 		return nil, nil
 	}
-	terms := replica.Terms{Copies: own.ReplicaCopies, Window: own.ReplicaWindow.Seconds()}
+	terms := replica.Config{ReplicationFactor: own.ReplicaCopies, RetentionWindow: own.ReplicaWindow.Seconds()}
 	for _, text := range own.ReplicaHolders {
 		words := strings.Split(text, "/")
 		m := replica.Member{Name: words[0], Weight: 1}
@@ -194,10 +194,10 @@
 		if i < 0 {
 			return nil, fmt.Errorf("replica-keyed: there is no stage %q", name)
 		}
-		terms.Longest = max(terms.Longest, start.Site.Stages[i].TimeLimit)
+		terms.MaxClaimDuration = max(terms.MaxClaimDuration, start.Site.Stages[i].TimeLimit)
 	}
-	terms.Longest = max(terms.Longest, 1) // a holder that serves no such stage itself must be told the same: see docs/replication.md
-	place, err := replica.NewPlace(terms)
+	terms.MaxClaimDuration = max(terms.MaxClaimDuration, 1) // a holder that serves no such stage itself must be told the same: see docs/replication.md
+	place, err := replica.NewPlacement(terms)
 	if err != nil {
 		return nil, fmt.Errorf("replica-holders: %w", err)
 	}
--- a/internal/judge/replica/asker.go
+++ b/internal/judge/replica/asker.go
@@ -8,159 +8,159 @@
 	"swiftcourse/internal/ring"
 )
 
-// Told is how a claim came out.
-type Told struct {
-	ID     string
-	Ruling stance.ClaimVerdict
-	Result []byte
-	Took   float64 // seconds since it was asked for
+// Outcome is how a claim came out.
+type Outcome struct {
+	RequestID string
+	Verdict   stance.ClaimVerdict
+	Result    []byte
+	Latency   float64 // seconds since it was asked for
 }
 
 // phase is where a claim stands.
 type phase uint8
 
 const (
-	asking    phase = iota // holders are asked to grant it
-	following              // another claim of the key is before it; what becomes of that is looked after
-	holding                // granted: its task may run
-	over
+	phaseRequesting phase = iota // holders are asked to grant it
+	phaseFollowing               // another claim of the key is before it; what becomes of that is looked after
+	phaseGranted                 // granted: its task may run
+	phaseDone
 )
 
-// input is what happens to a claim.
-type input uint8
+// event is what happens to a claim.
+type event uint8
 
 const (
-	quorum input = iota // most holders granted it
-	known               // a result is there
-	spoilt              // a run without a result is there
-	beaten              // another claim is before it
-	freed               // no claim stands in its way any more
-	late                // its time to be granted is over
-	never               // its task is over and never began
-	ended               // its run ended, as the try says
+	eventQuorum      event = iota // most holders granted it
+	eventResultKnown              // a result is there
+	eventRunFailed                // a run without a result is there
+	eventOutranked                // another claim is before it
+	eventUnblocked                // no claim stands in its way any more
+	eventTimedOut                 // its time to be granted is over
+	eventCanceled                 // its task is over and never began
+	eventRunEnded                 // its run ended, as the try says
 )
 
-// ways is the whole life of a claim; what no row names changes nothing.
-var ways = []struct {
+// transitions is the whole life of a claim; what no row names changes nothing.
+var transitions = []struct {
 	in   phase
-	on   input
+	on   event
 	next phase
-	do   func(*Asker, *claim, float64)
+	do   func(*Coordinator, *claim, float64)
 }{
-	{asking, quorum, holding, (*Asker).mayRun},
-	{asking, known, over, both((*Asker).withdraw, (*Asker).tellKnown)},
-	{asking, spoilt, over, both((*Asker).withdraw, (*Asker).tellMayHave)},
-	{asking, beaten, following, (*Asker).withdraw},
-	{asking, late, over, both((*Asker).withdraw, (*Asker).tellLate)},
-	{asking, never, over, (*Asker).withdraw},
-	{following, known, over, (*Asker).tellKnown},
-	{following, spoilt, over, (*Asker).tellMayHave},
-	{following, freed, asking, (*Asker).anew},
-	{following, late, over, (*Asker).tellMayHave},
-	{following, never, over, nil},
-	{holding, never, over, (*Asker).withdraw},
-	{holding, ended, over, (*Asker).sayEnd},
+	{phaseRequesting, eventQuorum, phaseGranted, (*Coordinator).notifyGranted},
+	{phaseRequesting, eventResultKnown, phaseDone, chain((*Coordinator).withdraw, (*Coordinator).notifyResultKnown)},
+	{phaseRequesting, eventRunFailed, phaseDone, chain((*Coordinator).withdraw, (*Coordinator).notifyMayHaveRun)},
+	{phaseRequesting, eventOutranked, phaseFollowing, (*Coordinator).withdraw},
+	{phaseRequesting, eventTimedOut, phaseDone, chain((*Coordinator).withdraw, (*Coordinator).notifyTimedOut)},
+	{phaseRequesting, eventCanceled, phaseDone, (*Coordinator).withdraw},
+	{phaseFollowing, eventResultKnown, phaseDone, (*Coordinator).notifyResultKnown},
+	{phaseFollowing, eventRunFailed, phaseDone, (*Coordinator).notifyMayHaveRun},
+	{phaseFollowing, eventUnblocked, phaseRequesting, (*Coordinator).restart},
+	{phaseFollowing, eventTimedOut, phaseDone, (*Coordinator).notifyMayHaveRun},
+	{phaseFollowing, eventCanceled, phaseDone, nil},
+	{phaseGranted, eventCanceled, phaseDone, (*Coordinator).withdraw},
+	{phaseGranted, eventRunEnded, phaseDone, (*Coordinator).reportRunEnd},
 }
 
-func both(a, b func(*Asker, *claim, float64)) func(*Asker, *claim, float64) {
-	return func(s *Asker, c *claim, now float64) { a(s, c, now); b(s, c, now) }
+func chain(a, b func(*Coordinator, *claim, float64)) func(*Coordinator, *claim, float64) {
+	return func(s *Coordinator, c *claim, now float64) { a(s, c, now); b(s, c, now) }
 }
 
 // claim is one task's.
 type claim struct {
-	id      string
-	key     state.Key
-	group   []int
-	phase   phase
-	try     state.Try
-	began   float64
-	until   float64 // when it has to be told
-	giveUp  float64 // when asking is over, unless somebody is followed
-	again   float64 // when holders are asked anew
-	sits    []Sitting
-	grants  []bool        // by the group's order, under sits
-	free    []bool        // those who said that nobody stands in the way
-	by      []state.Claim // whose claim stands in its way there
-	rounds  int
-	rivals  bool // another claim was seen
-	claimed int  // how often it was claimed
-}
-
-// saying is what came of a claim, on its way to the holders.
-type saying struct {
-	key   state.Key
-	try   state.Try
-	group []int
-	noted []bool
-	again float64
-	until float64
-	told  bool // most holders have it
+	requestID string
+	key       state.Key
+	replicas  []int
+	phase     phase
+	attempt   state.Attempt
+	startedAt float64
+	deadline  float64 // when it has to be told
+	giveUpAt  float64 // when asking is over, unless somebody is followed
+	retryAt   float64 // when holders are asked anew
+	terms     []Term
+	granted   []bool          // by the group's order, under sits
+	unclaimed []bool          // those who said that nobody stands in the way
+	blockedBy []state.ClaimID // whose claim stands in its way there
+	rounds    int
+	sawRival  bool // another claim was seen
+	claimed   int  // how often it was claimed
+}
+
+// report is what came of a claim, on its way to the holders.
+type report struct {
+	key        state.Key
+	attempt    state.Attempt
+	replicas   []int
+	recorded   []bool
+	retryAt    float64
+	expiresAt  float64
+	replicated bool // most holders have it
 }
 
 const (
 	// maxClaims bounds the claims under way, maxSayings what is still to be said. At 1 ms a claim that is two million a second.
-	maxClaims, maxSayings = 2048, 4096
-	// askAgain and lookAgain are how often holders are asked again: at once for a packet that was lost, more slowly for a run to end. Both double.
-	askAgain, lookAgain, maxAgain = 0.02, 0.05, 0.5
-	// leastPatience is for how long holders are waited for at the least, and patience the multiple of what claims typically take: a task whose
+	maxClaims, maxReports = 2048, 4096
+	// claimRetryInterval and lookAgain are how often holders are asked again: at once for a packet that was lost, more slowly for a run to end. Both double.
+	claimRetryInterval, queryRetryInterval, maxRetryInterval = 0.02, 0.05, 0.5
+	// minReplyWait is for how long holders are waited for at the least, and patience the multiple of what claims typically take: a task whose
 	// holders don't answer is told so while its caller has time to go elsewhere.
-	leastPatience, patience = 0.25, 8
-	// sayAgain and sayFor are how often, and for how long, an end is said to holders that did not note it. After that the comparison of copies has it.
-	sayAgain, sayFor = 0.1, 5.0
+	minReplyWait, replyWaitFactor = 0.25, 8
+	// reportRetryInterval and sayFor are how often, and for how long, an end is said to holders that did not note it. After that the comparison of copies has it.
+	reportRetryInterval, reportLifetime = 0.1, 5.0
 	// maxRounds of one claim: a storm of holders that come and go must not become one of questions.
 	maxRounds = 64
 )
 
-// Asker is the part of one server that asks for its tasks.
-type Asker struct {
-	place   *Place
-	sits    Sittings
-	life    uint64
-	number  uint64
-	unix    func() float64
-	claims  map[string]*claim
-	byTry   map[state.Claim]*claim
-	says    map[state.Claim]*saying
-	order   []*claim // in the order in which they began, so that a schedule repeats itself
-	saying  []*saying
-	took    *ring.Ring[ring.Spread]
-	letters []Letter
-	told    []Told
-
-	Promised, Unpromised int // ends that most holders noted; that they did not in time
-}
-
-// NewAsker makes the asker of a life; unix tells the time of day, by which claims are put in order.
-func NewAsker(p *Place, sits Sittings, life uint64, unix func() float64, now float64) *Asker {
-	return &Asker{place: p, sits: sits, life: life, unix: unix, claims: map[string]*claim{}, byTry: map[state.Claim]*claim{}, says: map[state.Claim]*saying{},
-		took: ring.New[ring.Spread](8, 1, now)}
-}
-
-// Typical is how long claims lately took, 0 where there were none.
-func (s *Asker) Typical(now float64) float64 {
+// Coordinator is the part of one server that asks for its tasks.
+type Coordinator struct {
+	placement       *Placement
+	terms           TermTable
+	incarnation     uint64
+	lastSequence    uint64
+	unixTime        func() float64
+	claimsByRequest map[string]*claim
+	claimsByID      map[state.ClaimID]*claim
+	reportsByClaim  map[state.ClaimID]*report
+	claimOrder      []*claim // in the order in which they began, so that a schedule repeats itself
+	reports         []*report
+	latencies       *ring.Ring[ring.Spread]
+	outbox          []Envelope
+	outcomes        []Outcome
+
+	ReplicatedResults, UnreplicatedResults int // ends that most holders noted; that they did not in time
+}
+
+// NewCoordinator makes the asker of a life; unix tells the time of day, by which claims are put in order.
+func NewCoordinator(p *Placement, sits TermTable, life uint64, unix func() float64, now float64) *Coordinator {
+	return &Coordinator{placement: p, terms: sits, incarnation: life, unixTime: unix, claimsByRequest: map[string]*claim{}, claimsByID: map[state.ClaimID]*claim{}, reportsByClaim: map[state.ClaimID]*report{},
+		latencies: ring.New[ring.Spread](8, 1, now)}
+}
+
+// TypicalLatency is how long claims lately took, 0 where there were none.
+func (s *Coordinator) TypicalLatency(now float64) float64 {
 	var all ring.Spread
-	s.took.All(now, all.Merge)
+	s.latencies.All(now, all.Merge)
 	return all.Median()
 }
 
-// Begin claims a key for a task, which has to be told by until. It is refused at once where less is left than claims typically take, as a task is
+// StartClaim claims a key for a task, which has to be told by until. It is refused at once where less is left than claims typically take, as a task is
 // where less is left than a run.
-func (s *Asker) Begin(now float64, id string, key state.Key, until float64) {
-	typical := s.Typical(now)
-	if s.claims[id] != nil || len(s.claims) >= maxClaims || until-now <= typical {
-		s.told = append(s.told, Told{ID: id, Ruling: stance.ClaimNoQuorum})
+func (s *Coordinator) StartClaim(now float64, id string, key state.Key, until float64) {
+	typical := s.TypicalLatency(now)
+	if s.claimsByRequest[id] != nil || len(s.claimsByRequest) >= maxClaims || until-now <= typical {
+		s.outcomes = append(s.outcomes, Outcome{RequestID: id, Verdict: stance.ClaimNoQuorum})
 		return
 	}
-	c := &claim{id: id, key: key, group: s.place.Group(key.Slot()), began: now, until: min(until, now+s.place.Longest)}
-	s.claims[id] = c
-	s.order = append(s.order, c)
-	c.giveUp = min(c.until, now+max(leastPatience, patience*typical))
-	s.anew(c, now)
+	c := &claim{requestID: id, key: key, replicas: s.placement.Replicas(key.Slot()), startedAt: now, deadline: min(until, now+s.placement.MaxClaimDuration)}
+	s.claimsByRequest[id] = c
+	s.claimOrder = append(s.claimOrder, c)
+	c.giveUpAt = min(c.deadline, now+max(minReplyWait, replyWaitFactor*typical))
+	s.restart(c, now)
 }
 
-// step feeds one input to a claim.
-func (s *Asker) step(c *claim, on input, now float64) {
-	for _, w := range ways {
+// applyEvent feeds one input to a claim.
+func (s *Coordinator) applyEvent(c *claim, on event, now float64) {
+	for _, w := range transitions {
 		if w.in != c.phase || w.on != on {
 			continue
 		}
@@ -168,110 +168,110 @@
 		if w.do != nil {
 			w.do(s, c, now)
 		}
-		if c.phase == over {
-			delete(s.claims, c.id)
-			delete(s.byTry, c.try.Claim)
+		if c.phase == phaseDone {
+			delete(s.claimsByRequest, c.requestID)
+			delete(s.claimsByID, c.attempt.ClaimID)
 		}
 		return
 	}
 }
 
-// anew claims the key under a number that was never used.
-func (s *Asker) anew(c *claim, now float64) {
-	delete(s.byTry, c.try.Claim)
-	s.number++
-	c.try = state.Try{Claim: state.Claim{At: int64(s.unix() * 1000), Who: s.life, N: s.number}}
-	s.byTry[c.try.Claim] = c
+// restart claims the key under a number that was never used.
+func (s *Coordinator) restart(c *claim, now float64) {
+	delete(s.claimsByID, c.attempt.ClaimID)
+	s.lastSequence++
+	c.attempt = state.Attempt{ClaimID: state.ClaimID{UnixMilli: int64(s.unixTime() * 1000), Incarnation: s.incarnation, Sequence: s.lastSequence}}
+	s.claimsByID[c.attempt.ClaimID] = c
 	c.claimed++
-	c.giveUp = max(c.giveUp, min(c.until, now+leastPatience))
-	s.under(c)
-	s.ask(c, now)
+	c.giveUpAt = max(c.giveUpAt, min(c.deadline, now+minReplyWait))
+	s.resetGrants(c)
+	s.sendRequests(c, now)
 }
 
-// under begins to count grants anew, under the sittings as they are known now.
-func (s *Asker) under(c *claim) {
-	c.sits = s.sits.Of(c.group)
-	c.grants, c.free, c.by = make([]bool, len(c.group)), make([]bool, len(c.group)), make([]state.Claim, len(c.group))
+// resetGrants begins to count grants anew, under the sittings as they are known now.
+func (s *Coordinator) resetGrants(c *claim) {
+	c.terms = s.terms.Select(c.replicas)
+	c.granted, c.unclaimed, c.blockedBy = make([]bool, len(c.replicas)), make([]bool, len(c.replicas)), make([]state.ClaimID, len(c.replicas))
 }
 
-// ask asks the holders that did not answer.
-func (s *Asker) ask(c *claim, now float64) {
-	verb, pause := Run, askAgain
-	if c.phase == following {
-		verb, pause = Look, lookAgain
-		clear(c.free)
+// sendRequests asks the holders that did not answer.
+func (s *Coordinator) sendRequests(c *claim, now float64) {
+	verb, pause := OpClaim, claimRetryInterval
+	if c.phase == phaseFollowing {
+		verb, pause = OpQuery, queryRetryInterval
+		clear(c.unclaimed)
 	}
-	c.again = now + min(maxAgain, pause*float64(int(1)<<min(c.rounds, 5)))
+	c.retryAt = now + min(maxRetryInterval, pause*float64(int(1)<<min(c.rounds, 5)))
 	if c.rounds++; c.rounds > maxRounds {
-		c.again = c.until
+		c.retryAt = c.deadline
 	}
-	for j, i := range c.group {
-		if verb == Look || !c.grants[j] {
-			s.letters = append(s.letters, Letter{To: i, Ask: &Ask{Plan: s.place.Digest, Verb: verb, Key: c.key, Try: c.try, Sits: c.sits}})
+	for j, i := range c.replicas {
+		if verb == OpQuery || !c.granted[j] {
+			s.outbox = append(s.outbox, Envelope{To: i, Claim: &ClaimRequest{ConfigDigest: s.placement.ConfigDigest, Operation: verb, Key: c.key, Attempt: c.attempt, Terms: c.terms}})
 		}
 	}
 }
 
-// Read takes a holder's answer in.
-func (s *Asker) Read(now float64, from int, a *Answer) {
-	if a.Verb == Say {
-		s.noted(from, a)
+// HandleReply takes a holder's answer in.
+func (s *Coordinator) HandleReply(now float64, from int, a *ClaimReply) {
+	if a.Operation == OpReport {
+		s.handleReportReply(from, a)
 		return
 	}
-	c := s.byTry[a.Claim]
-	if c == nil || c.key != a.Key || c.phase == holding || (a.Verb == Look) != (c.phase == following) {
+	c := s.claimsByID[a.ClaimID]
+	if c == nil || c.key != a.Key || c.phase == phaseGranted || (a.Operation == OpQuery) != (c.phase == phaseFollowing) {
 		return
 	}
-	j := slices.Index(c.group, from)
+	j := slices.Index(c.replicas, from)
 	if j < 0 {
 		return
 	}
-	news := s.sits.Hear(c.group, a.Sits)
-	r := &state.Record{Key: a.Key, Tries: a.Tries}
-	if t := r.Ended(); t != nil {
+	news := s.terms.Observe(c.replicas, a.Terms)
+	r := &state.Record{Key: a.Key, Attempts: a.Attempts}
+	if t := r.FinishedAttempt(); t != nil {
 		if t.Result == nil { // dropped there; another may have it
-			c.rivals = true
+			c.sawRival = true
 		} else {
-			s.tellWith(c, t.Result, now)
+			s.resolveWithResult(c, t.Result, now)
 			return
 		}
 	}
-	if t := r.Live(); t != nil && t.Claim != c.try.Claim {
-		c.rivals = true
-		if t.State == state.Spoilt {
-			s.step(c, spoilt, now)
+	if t := r.BlockingAttempt(); t != nil && t.ClaimID != c.attempt.ClaimID {
+		c.sawRival = true
+		if t.State == state.StateFailed {
+			s.applyEvent(c, eventRunFailed, now)
 			return
 		}
 	}
 	switch {
-	case c.phase == following:
-		if c.free[j] = a.Verdict == Free; trues(c.free) >= s.place.Need {
-			s.step(c, freed, now)
+	case c.phase == phaseFollowing:
+		if c.unclaimed[j] = a.Status == ReplyUnclaimed; countTrue(c.unclaimed) >= s.placement.Quorum {
+			s.applyEvent(c, eventUnblocked, now)
 		}
-	case a.Verdict == Granted && slices.Equal(a.Sits, c.sits):
-		if c.grants[j] = true; trues(c.grants) >= s.place.Need {
-			s.step(c, quorum, now)
+	case a.Status == ReplyGranted && slices.Equal(a.Terms, c.terms):
+		if c.granted[j] = true; countTrue(c.granted) >= s.placement.Quorum {
+			s.applyEvent(c, eventQuorum, now)
 		}
-	case a.Verdict == Held:
+	case a.Status == ReplyConflict:
 		// The earlier claim stays, the later gives way, so that of two each with a part of the holders one comes through. A later one that
 		// too many hold to let this one through has run, or may.
-		t := r.Live()
+		t := r.BlockingAttempt()
 		if t == nil {
 			return
 		}
-		c.by[j] = t.Claim
-		if t.Claim.Compare(c.try.Claim) < 0 || c.heldBy(t.Claim) > len(c.group)-s.place.Need {
-			s.step(c, beaten, now)
+		c.blockedBy[j] = t.ClaimID
+		if t.ClaimID.Compare(c.attempt.ClaimID) < 0 || c.blockedCount(t.ClaimID) > len(c.replicas)-s.placement.Quorum {
+			s.applyEvent(c, eventOutranked, now)
 		}
 	case news && c.rounds < maxRounds:
-		s.under(c)
-		s.ask(c, now)
+		s.resetGrants(c)
+		s.sendRequests(c, now)
 	}
 }
 
-// heldBy counts the holders at which a claim stands in the way of this one.
-func (c *claim) heldBy(other state.Claim) (n int) {
-	for _, o := range c.by {
+// blockedCount counts the holders at which a claim stands in the way of this one.
+func (c *claim) blockedCount(other state.ClaimID) (n int) {
+	for _, o := range c.blockedBy {
 		if o == other {
 			n++
 		}
@@ -279,7 +279,7 @@
 	return n
 }
 
-func trues(list []bool) (n int) {
+func countTrue(list []bool) (n int) {
 	for _, b := range list {
 		if b {
 			n++
@@ -288,166 +288,170 @@
 	return n
 }
 
-// tellWith ends a claim with a result that a holder has.
-func (s *Asker) tellWith(c *claim, result []byte, now float64) {
-	c.try.Result = result
-	s.step(c, known, now)
+// resolveWithResult ends a claim with a result that a holder has.
+func (s *Coordinator) resolveWithResult(c *claim, result []byte, now float64) {
+	c.attempt.Result = result
+	s.applyEvent(c, eventResultKnown, now)
 }
 
-func (s *Asker) tell(c *claim, r stance.ClaimVerdict, now float64) {
-	s.told = append(s.told, Told{ID: c.id, Ruling: r, Result: c.try.Result, Took: now - c.began})
+func (s *Coordinator) addOutcome(c *claim, r stance.ClaimVerdict, now float64) {
+	s.outcomes = append(s.outcomes, Outcome{RequestID: c.requestID, Verdict: r, Result: c.attempt.Result, Latency: now - c.startedAt})
 }
 
-func (s *Asker) mayRun(c *claim, now float64) {
-	s.took.At(now).Add(now - c.began)
-	s.tell(c, stance.ClaimGranted, now)
+func (s *Coordinator) notifyGranted(c *claim, now float64) {
+	s.latencies.At(now).Add(now - c.startedAt)
+	s.addOutcome(c, stance.ClaimGranted, now)
+}
+func (s *Coordinator) notifyResultKnown(c *claim, now float64) {
+	s.addOutcome(c, stance.ClaimCached, now)
+}
+func (s *Coordinator) notifyMayHaveRun(c *claim, now float64) {
+	s.addOutcome(c, stance.ClaimOutcomeUnknown, now)
 }
-func (s *Asker) tellKnown(c *claim, now float64)   { s.tell(c, stance.ClaimCached, now) }
-func (s *Asker) tellMayHave(c *claim, now float64) { s.tell(c, stance.ClaimOutcomeUnknown, now) }
 
-// tellLate tells that no quorum came. Where another claim was seen its task may run: then nobody should try it again at once.
-func (s *Asker) tellLate(c *claim, now float64) {
-	if c.rivals {
-		s.tell(c, stance.ClaimOutcomeUnknown, now)
+// notifyTimedOut tells that no quorum came. Where another claim was seen its task may run: then nobody should try it again at once.
+func (s *Coordinator) notifyTimedOut(c *claim, now float64) {
+	if c.sawRival {
+		s.addOutcome(c, stance.ClaimOutcomeUnknown, now)
 		return
 	}
-	s.tell(c, stance.ClaimNoQuorum, now)
+	s.addOutcome(c, stance.ClaimNoQuorum, now)
 }
 
 // withdraw has the holders know that a claim never ran: it is told to no task any more, and one that would come with it later is not heeded.
-func (s *Asker) withdraw(c *claim, now float64) {
-	s.say(c, state.Try{Claim: c.try.Claim, State: state.Withdrawn}, now)
+func (s *Coordinator) withdraw(c *claim, now float64) {
+	s.startReport(c, state.Attempt{ClaimID: c.attempt.ClaimID, State: state.StateWithdrawn}, now)
 }
 
-func (s *Asker) sayEnd(c *claim, now float64) { s.say(c, c.try, now) }
+func (s *Coordinator) reportRunEnd(c *claim, now float64) { s.startReport(c, c.attempt, now) }
 
-func (s *Asker) say(c *claim, t state.Try, now float64) {
-	if len(s.saying) >= maxSayings { // the oldest goes unsaid: its claim stands as one that may have run
-		s.quit(s.saying[0])
+func (s *Coordinator) startReport(c *claim, t state.Attempt, now float64) {
+	if len(s.reports) >= maxReports { // the oldest goes unsaid: its claim stands as one that may have run
+		s.dropReport(s.reports[0])
 	}
-	w := &saying{key: c.key, try: t, group: c.group, noted: make([]bool, len(c.group)), until: now + sayFor}
-	s.says[t.Claim] = w
-	s.saying = append(s.saying, w)
-	s.put(w, now)
+	w := &report{key: c.key, attempt: t, replicas: c.replicas, recorded: make([]bool, len(c.replicas)), expiresAt: now + reportLifetime}
+	s.reportsByClaim[t.ClaimID] = w
+	s.reports = append(s.reports, w)
+	s.sendReport(w, now)
 }
 
-func (s *Asker) put(w *saying, now float64) {
-	w.again = now + sayAgain
-	for j, i := range w.group {
-		if !w.noted[j] {
-			s.letters = append(s.letters, Letter{To: i, Ask: &Ask{Plan: s.place.Digest, Verb: Say, Key: w.key, Try: w.try, Sits: s.sits.Of(w.group)}})
+func (s *Coordinator) sendReport(w *report, now float64) {
+	w.retryAt = now + reportRetryInterval
+	for j, i := range w.replicas {
+		if !w.recorded[j] {
+			s.outbox = append(s.outbox, Envelope{To: i, Claim: &ClaimRequest{ConfigDigest: s.placement.ConfigDigest, Operation: OpReport, Key: w.key, Attempt: w.attempt, Terms: s.terms.Select(w.replicas)}})
 		}
 	}
 }
 
-func (s *Asker) noted(from int, a *Answer) {
-	w := s.says[a.Claim]
-	if w == nil || a.Verdict != Noted && a.Verdict != Full {
+func (s *Coordinator) handleReportReply(from int, a *ClaimReply) {
+	w := s.reportsByClaim[a.ClaimID]
+	if w == nil || a.Status != ReplyRecorded && a.Status != ReplyFull {
 		return
 	}
-	j := slices.Index(w.group, from)
+	j := slices.Index(w.replicas, from)
 	if j < 0 {
 		return
 	}
-	s.sits.Hear(w.group, a.Sits)
-	w.noted[j] = a.Verdict == Noted
-	n := trues(w.noted)
-	if n >= s.place.Need && !w.told {
-		w.told = true
-		if w.try.State == state.Finished {
-			s.Promised++
+	s.terms.Observe(w.replicas, a.Terms)
+	w.recorded[j] = a.Status == ReplyRecorded
+	n := countTrue(w.recorded)
+	if n >= s.placement.Quorum && !w.replicated {
+		w.replicated = true
+		if w.attempt.State == state.StateFinished {
+			s.ReplicatedResults++
 		}
 	}
-	if n == len(w.group) {
-		s.quit(w)
+	if n == len(w.replicas) {
+		s.dropReport(w)
 	}
 }
 
-func (s *Asker) quit(w *saying) {
-	if !w.told && w.try.State == state.Finished {
-		s.Unpromised++
+func (s *Coordinator) dropReport(w *report) {
+	if !w.replicated && w.attempt.State == state.StateFinished {
+		s.UnreplicatedResults++
 	}
-	delete(s.says, w.try.Claim)
-	s.saying = slices.DeleteFunc(s.saying, func(o *saying) bool { return o == w })
+	delete(s.reportsByClaim, w.attempt.ClaimID)
+	s.reports = slices.DeleteFunc(s.reports, func(o *report) bool { return o == w })
 }
 
-// Never tells that a task that was granted its run is over, and never began.
-func (s *Asker) Never(now float64, id string) {
-	if c := s.claims[id]; c != nil {
-		s.step(c, never, now)
+// CancelClaim tells that a task that was granted its run is over, and never began.
+func (s *Coordinator) CancelClaim(now float64, id string) {
+	if c := s.claimsByRequest[id]; c != nil {
+		s.applyEvent(c, eventCanceled, now)
 	}
 }
 
-// Ended tells that a run ended, with a result or without one.
-func (s *Asker) Ended(now float64, id string, well bool, result []byte) {
-	c := s.claims[id]
+// FinishClaim tells that a run ended, with a result or without one.
+func (s *Coordinator) FinishClaim(now float64, id string, well bool, result []byte) {
+	c := s.claimsByRequest[id]
 	if c == nil {
 		return
 	}
-	if c.try = (state.Try{Claim: c.try.Claim, State: state.Spoilt}); well {
-		c.try = state.Finish(c.try.Claim, result)
+	if c.attempt = (state.Attempt{ClaimID: c.attempt.ClaimID, State: state.StateFailed}); well {
+		c.attempt = state.NewFinishedAttempt(c.attempt.ClaimID, result)
 	}
-	s.step(c, ended, now)
+	s.applyEvent(c, eventRunEnded, now)
 }
 
-// Due does what is due.
-func (s *Asker) Due(now float64) {
-	s.order = slices.DeleteFunc(s.order, func(c *claim) bool { return c.phase == over })
-	for _, c := range s.order {
+// Maintain does what is due.
+func (s *Coordinator) Maintain(now float64) {
+	s.claimOrder = slices.DeleteFunc(s.claimOrder, func(c *claim) bool { return c.phase == phaseDone })
+	for _, c := range s.claimOrder {
 		switch {
-		case c.phase == holding || c.phase == over:
-		case now >= c.until, c.phase == asking && now >= c.giveUp:
-			s.step(c, late, now)
-		case now >= c.again:
-			if c.phase == asking && !slices.Equal(c.sits, s.sits.Of(c.group)) {
-				s.under(c)
+		case c.phase == phaseGranted || c.phase == phaseDone:
+		case now >= c.deadline, c.phase == phaseRequesting && now >= c.giveUpAt:
+			s.applyEvent(c, eventTimedOut, now)
+		case now >= c.retryAt:
+			if c.phase == phaseRequesting && !slices.Equal(c.terms, s.terms.Select(c.replicas)) {
+				s.resetGrants(c)
 			}
-			s.ask(c, now)
+			s.sendRequests(c, now)
 		}
 	}
-	for _, w := range slices.Clone(s.saying) {
+	for _, w := range slices.Clone(s.reports) {
 		switch {
-		case now >= w.until:
-			s.quit(w)
-		case now >= w.again:
-			s.put(w, now)
+		case now >= w.expiresAt:
+			s.dropReport(w)
+		case now >= w.retryAt:
+			s.sendReport(w, now)
 		}
 	}
 }
 
-// Next is when Due is to be called.
-func (s *Asker) Next() float64 {
+// NextWakeup is when Due is to be called.
+func (s *Coordinator) NextWakeup() float64 {
 	next := 1e18
-	for _, c := range s.order {
+	for _, c := range s.claimOrder {
 		switch c.phase {
-		case asking:
-			next = min(next, c.again, c.giveUp)
-		case following:
-			next = min(next, c.again, c.until)
+		case phaseRequesting:
+			next = min(next, c.retryAt, c.giveUpAt)
+		case phaseFollowing:
+			next = min(next, c.retryAt, c.deadline)
 		}
 	}
-	for _, w := range s.saying {
-		next = min(next, w.again)
+	for _, w := range s.reports {
+		next = min(next, w.retryAt)
 	}
 	return next
 }
 
-// Letters takes what there is to send, and Rulings what there is to tell.
-func (s *Asker) Letters() []Letter {
-	l := s.letters
-	s.letters = nil
+// TakeOutbox takes what there is to send, and Rulings what there is to tell.
+func (s *Coordinator) TakeOutbox() []Envelope {
+	l := s.outbox
+	s.outbox = nil
 	return l
 }
 
-// Rulings takes how claims came out.
-func (s *Asker) Rulings() []Told {
-	t := s.told
-	s.told = nil
+// TakeOutcomes takes how claims came out.
+func (s *Coordinator) TakeOutcomes() []Outcome {
+	t := s.outcomes
+	s.outcomes = nil
 	return t
 }
 
-// Saying counts the ends that not all holders have noted and that are still said to them.
-func (s *Asker) Saying() int { return len(s.saying) }
+// PendingReports counts the ends that not all holders have noted and that are still said to them.
+func (s *Coordinator) PendingReports() int { return len(s.reports) }
 
-// Len counts the claims under way, those of running tasks included.
-func (s *Asker) Len() int { return len(s.claims) }
+// ActiveClaims counts the claims under way, those of running tasks included.
+func (s *Coordinator) ActiveClaims() int { return len(s.claimsByRequest) }
--- a/internal/judge/replica/callers.go
+++ b/internal/judge/replica/callers.go
@@ -9,86 +9,86 @@
 	"swiftcourse/internal/judge/door"
 )
 
-// MaxEarned is how many callers one server tells of: those that earned most there. A server hardly has more that come back within a restart.
-const MaxEarned = 256
+// MaxTrustedClients is how many callers one server tells of: those that earned most there. A server hardly has more that come back within a restart.
+const MaxTrustedClients = 256
 
-// maxTellers bounds whose words are held.
-const maxTellers = 128
+// maxTrustServers bounds whose words are held.
+const maxTrustServers = 128
 
-// Voucher is a server's word on the callers that earned being known at its door.
-type Voucher struct {
-	Name   string
-	Life   uint64
-	Number uint64 // grows with each word of a name: milliseconds of its time of day
-	Earned []door.Earned
+// TrustRecord is a server's word on the callers that earned being known at its door.
+type TrustRecord struct {
+	Name        string
+	Incarnation uint64
+	Sequence    uint64 // grows with each word of a name: milliseconds of its time of day
+	Clients     []door.Earned
 }
 
 // newer tells which word of one name counts, whatever order they come in.
-func (v *Voucher) newer(than *Voucher) bool {
-	return cmp.Or(cmp.Compare(v.Number, than.Number), cmp.Compare(v.Life, than.Life)) > 0
+func (v *TrustRecord) newer(than *TrustRecord) bool {
+	return cmp.Or(cmp.Compare(v.Sequence, than.Sequence), cmp.Compare(v.Incarnation, than.Incarnation)) > 0
 }
 
-// Vouchers are the words of servers of a fleet, the newest of each.
-type Vouchers struct {
-	forget float64
-	by     map[string]*Voucher
-	heard  map[string]float64
+// TrustTable are the words of servers of a fleet, the newest of each.
+type TrustTable struct {
+	retention  float64
+	records    map[string]*TrustRecord
+	receivedAt map[string]float64
 }
 
-// NewVouchers makes an empty table, in which a word is kept for so many seconds.
-func NewVouchers(forget float64) *Vouchers {
-	return &Vouchers{forget: forget, by: map[string]*Voucher{}, heard: map[string]float64{}}
+// NewTrustTable makes an empty table, in which a word is kept for so many seconds.
+func NewTrustTable(forget float64) *TrustTable {
+	return &TrustTable{retention: forget, records: map[string]*TrustRecord{}, receivedAt: map[string]float64{}}
 }
 
-// Hear takes a word in, and tells whether it is news. One that is older than what is there, or comes twice, changes nothing.
-func (v *Vouchers) Hear(now float64, w Voucher) bool {
-	if was := v.by[w.Name]; was != nil && !w.newer(was) {
+// Observe takes a word in, and tells whether it is news. One that is older than what is there, or comes twice, changes nothing.
+func (v *TrustTable) Observe(now float64, w TrustRecord) bool {
+	if was := v.records[w.Name]; was != nil && !w.newer(was) {
 		return false
 	}
-	if v.by[w.Name] == nil && len(v.by) >= maxTellers {
-		oldest := slices.MinFunc(slices.Sorted(maps.Keys(v.heard)), func(a, b string) int { return cmp.Compare(v.heard[a], v.heard[b]) })
-		v.drop(oldest)
+	if v.records[w.Name] == nil && len(v.records) >= maxTrustServers {
+		oldest := slices.MinFunc(slices.Sorted(maps.Keys(v.receivedAt)), func(a, b string) int { return cmp.Compare(v.receivedAt[a], v.receivedAt[b]) })
+		v.remove(oldest)
 	}
-	w.Earned = w.Earned[:min(len(w.Earned), MaxEarned)]
-	v.by[w.Name], v.heard[w.Name] = &w, now
+	w.Clients = w.Clients[:min(len(w.Clients), MaxTrustedClients)]
+	v.records[w.Name], v.receivedAt[w.Name] = &w, now
 	return true
 }
 
-func (v *Vouchers) drop(name string) {
-	delete(v.by, name)
-	delete(v.heard, name)
+func (v *TrustTable) remove(name string) {
+	delete(v.records, name)
+	delete(v.receivedAt, name)
 }
 
-// Some lists words to tell one who is new: what is held of its own name first, then others by name, at most so many.
-func (v *Vouchers) Some(now float64, name string, most int) (list []Voucher) {
-	v.age(now)
-	if own := v.by[name]; own != nil {
+// RecordsFor lists words to tell one who is new: what is held of its own name first, then others by name, at most so many.
+func (v *TrustTable) RecordsFor(now float64, name string, most int) (list []TrustRecord) {
+	v.expire(now)
+	if own := v.records[name]; own != nil {
 		list = append(list, *own)
 	}
-	for _, other := range slices.Sorted(maps.Keys(v.by)) {
+	for _, other := range slices.Sorted(maps.Keys(v.records)) {
 		if other != name && len(list) < most {
-			list = append(list, *v.by[other])
+			list = append(list, *v.records[other])
 		}
 	}
 	return list
 }
 
-func (v *Vouchers) age(now float64) {
-	for name, at := range v.heard {
-		if now > at+v.forget {
-			v.drop(name)
+func (v *TrustTable) expire(now float64) {
+	for name, at := range v.receivedAt {
+		if now > at+v.retention {
+			v.remove(name)
 		}
 	}
 }
 
-// Merged is what all words come to, at most so many callers. Those of whom two servers or more say so come first, with the second highest of what they
+// MergedClients is what all words come to, at most so many callers. Those of whom two servers or more say so come first, with the second highest of what they
 // said; of the rest each server has an even part of the places, so that one with a long list of its own making displaces nobody else's.
-func (v *Vouchers) Merged(now float64, most int) (list []door.Earned) {
-	v.age(now)
+func (v *TrustTable) MergedClients(now float64, most int) (list []door.Earned) {
+	v.expire(now)
 	told := map[netip.Addr][]float64{}
-	names := slices.Sorted(maps.Keys(v.by))
+	names := slices.Sorted(maps.Keys(v.records))
 	for _, name := range names {
-		for _, e := range v.by[name].Earned {
+		for _, e := range v.records[name].Clients {
 			told[e.Addr] = append(told[e.Addr], e.Credit)
 		}
 	}
@@ -103,7 +103,7 @@
 	left := most - len(list)
 	for i, name := range names {
 		part := left / (len(names) - i)
-		for _, e := range v.by[name].Earned {
+		for _, e := range v.records[name].Clients {
 			if part > 0 && len(told[e.Addr]) == 1 {
 				list = append(list, e)
 				part--
--- a/internal/judge/replica/holder.go
+++ b/internal/judge/replica/holder.go
@@ -6,546 +6,546 @@
 	state "swiftcourse/internal/replica"
 )
 
-// Verb is what a claimant asks of a holder.
-type Verb uint8
+// Operation is what a claimant asks of a holder.
+type Operation uint8
 
 const (
-	Run  Verb = iota // may this claim run?
-	Look             // what is known?
-	Say              // this came of the claim
+	OpClaim  Operation = iota // may this claim run?
+	OpQuery                   // what is known?
+	OpReport                  // this came of the claim
 )
 
-// Ask is from a claimant to a holder.
-type Ask struct {
-	Plan uint64 // digest of the terms that it was told
-	Verb Verb
-	Key  state.Key
-	Try  state.Try // the claim, and with Say what came of it
-	Sits []Sitting // the key's holders, in the group's order, as it knows them
+// ClaimRequest is from a claimant to a holder.
+type ClaimRequest struct {
+	ConfigDigest uint64 // digest of the terms that it was told
+	Operation    Operation
+	Key          state.Key
+	Attempt      state.Attempt // the claim, and with Say what came of it
+	Terms        []Term        // the key's holders, in the group's order, as it knows them
 }
 
-// Verdict is what a holder answers.
-type Verdict uint8
+// ReplyStatus is what a holder answers.
+type ReplyStatus uint8
 
 const (
-	Granted Verdict = iota // the claim stands here, and no other does
-	Held                   // others stand in its way, as the record tells
-	Free                   // nobody does
-	Noted                  // what was said is entered
-	Stale                  // a holder is another one by now, as the sittings tell
-	Cold                   // it does not know the key's truth yet
-	Full                   // it has no place left
-	Other                  // it was told other terms, or does not hold the key
+	ReplyGranted    ReplyStatus = iota // the claim stands here, and no other does
+	ReplyConflict                      // others stand in its way, as the record tells
+	ReplyUnclaimed                     // nobody does
+	ReplyRecorded                      // what was said is entered
+	ReplyStaleTerm                     // a holder is another one by now, as the sittings tell
+	ReplyCatchingUp                    // it does not know the key's truth yet
+	ReplyFull                          // it has no place left
+	ReplyMisrouted                     // it was told other terms, or does not hold the key
 )
 
-func (v Verdict) String() string {
+func (v ReplyStatus) String() string {
 	return [...]string{"granted", "held", "free", "noted", "stale", "cold", "full", "other", "?"}[min(v, 8)]
 }
 
-// Answer is a holder's.
-type Answer struct {
-	Key     state.Key
-	Claim   state.Claim // which was asked about
-	Verb    Verb
-	Verdict Verdict
-	Sits    []Sitting
-	Tries   []state.Try // of the record, where there is one
+// ClaimReply is a holder's.
+type ClaimReply struct {
+	Key       state.Key
+	ClaimID   state.ClaimID // which was asked about
+	Operation Operation
+	Status    ReplyStatus
+	Terms     []Term
+	Attempts  []state.Attempt // of the record, where there is one
 }
 
-// Pull asks another holder for what it knows of some slots, in their order, the first from after a key on.
-type Pull struct {
-	Plan   uint64
-	Number uint64  // given once by who asks
-	Sit    Sitting // of who asks
-	Slots  []int
-	After  state.Key
-	Begun  bool // After counts
+// PullRequest asks another holder for what it knows of some slots, in their order, the first from after a key on.
+type PullRequest struct {
+	ConfigDigest uint64
+	Sequence     uint64 // given once by who asks
+	Term         Term   // of who asks
+	Slots        []int
+	AfterKey     state.Key
+	Resumes      bool // After counts
 }
 
-// Copy is a record on its way; Left is how long it is still kept, in seconds, as clocks differ.
-type Copy struct {
-	Record *state.Record
-	Left   float64
+// RecordCopy is a record on its way; Left is how long it is still kept, in seconds, as clocks differ.
+type RecordCopy struct {
+	Record     *state.Record
+	TimeToLive float64
 }
 
-// Part is what a Slice has of one slot.
-type Part struct {
-	Slot   int
-	Warm   bool // the teller knows its truth
-	All    bool // nothing of it is left to tell
-	Copies []Copy
+// SlotRecords is what a Slice has of one slot.
+type SlotRecords struct {
+	Slot     int
+	CaughtUp bool // the teller knows its truth
+	Complete bool // nothing of it is left to tell
+	Copies   []RecordCopy
 }
 
-// Slice answers a Pull, as far as it goes.
-type Slice struct {
-	Plan   uint64
-	Number uint64  // of the Pull
-	Sit    Sitting // of who tells
-	Yours  Sitting // of who asked, as this one knows it
-	Parts  []Part
+// PullReply answers a Pull, as far as it goes.
+type PullReply struct {
+	ConfigDigest  uint64
+	Sequence      uint64 // of the Pull
+	Term          Term   // of who tells
+	RequesterTerm Term   // of who asked, as this one knows it
+	Slots         []SlotRecords
 }
 
-// Sums are a holder's sums of the slots that it shares with another: one sum over all of them, and where that is not the other's, each.
-type Sums struct {
-	Plan  uint64
-	Sit   Sitting
-	Slots []int
-	Sums  []uint64
+// Checksums are a holder's sums of the slots that it shares with another: one sum over all of them, and where that is not the other's, each.
+type Checksums struct {
+	ConfigDigest uint64
+	Term         Term
+	Slots        []int
+	Values       []uint64
 }
 
-// Letter goes to the holder of that index.
-type Letter struct {
-	To    int
-	Ask   *Ask
-	Pull  *Pull
-	Sums  *Sums
-	Slice *Slice
+// Envelope goes to the holder of that index.
+type Envelope struct {
+	To        int
+	Claim     *ClaimRequest
+	Pull      *PullRequest
+	Checksums *Checksums
+	Slice     *PullReply
 }
 
 const (
-	// sliceBytes is how much of the records one answer to a Pull tells: some tens of packets, a millisecond of a holder's time.
-	sliceBytes = 32 << 10
-	// maxPulled slots go in one Pull: empty ones cost little, so that a round trip does for many.
-	maxPulled = 64
-	// pullAgain is after how long a Pull without an answer is repeated: some of the longest delays among servers that hear one another.
-	pullAgain = 0.5
-	// coldAgain is after how long a holder that was cold itself is asked again.
-	coldAgain = 0.25
-	// compareEvery is how often a holder tells another one its sums: of three holders each pair has compared within some seconds.
-	compareEvery = 1.0
-	// maxAged records are forgotten in one go.
-	maxAged = 256
+	// maxPullReplyBytes is how much of the records one answer to a Pull tells: some tens of packets, a millisecond of a holder's time.
+	maxPullReplyBytes = 32 << 10
+	// maxPullSlots slots go in one Pull: empty ones cost little, so that a round trip does for many.
+	maxPullSlots = 64
+	// pullRetryInterval is after how long a Pull without an answer is repeated: some of the longest delays among servers that hear one another.
+	pullRetryInterval = 0.5
+	// catchingUpRetryInterval is after how long a holder that was cold itself is asked again.
+	catchingUpRetryInterval = 0.25
+	// compareInterval is how often a holder tells another one its sums: of three holders each pair has compared within some seconds.
+	compareInterval = 1.0
+	// maxExpiredPerCall records are forgotten in one go.
+	maxExpiredPerCall = 256
 )
 
-// learning is how far a slot that is cold, or differs, has been told by the others.
-type learning struct {
-	told map[int]Sitting // by whom all of it, who was warm
-}
-
-// pulling is what is asked of one holder.
-type pulling struct {
-	wants  map[int]bool // slots
-	asked  []int
-	number uint64
-	last   *Pull // what is under way
-	after  state.Key
-	begun  bool
-	sit    Sitting // of the one that is told from, since the first slice of the slot at hand
-	sent   float64 // when; 0 where nothing is under way
-	next   float64 // not before
-}
-
-// Holder is the part of one server that holds copies.
-type Holder struct {
-	place   *Place
-	me      int
-	sits    Sittings
-	store   *state.Store
-	cold    map[int]*learning
-	since   float64 // when it sat down, or last lost its memory
-	pulls   map[int]*pulling
-	rate    float64 // bytes a second that it takes in to catch up
-	compare float64
-	turn    int
-	numbers uint64
-	letters []Letter
-	chosen  []int // the others that share a slot
-
-	Aged, Learned int // slots whose truth came by waiting, by being told
-	Differed      int // records that a comparison mended
-	Alarms        int // keys with two results
-}
-
-// NewHolder makes the holder of a life that begins, with nothing but what its store has, which counts as hearsay. Rate is in bytes a second.
-func NewHolder(p *Place, me int, sits Sittings, store *state.Store, rate, now float64) *Holder {
-	h := &Holder{place: p, me: me, sits: sits, store: store, rate: rate, pulls: map[int]*pulling{}, cold: map[int]*learning{}}
-	for _, slot := range p.Slots(me) {
-		for _, i := range p.Group(slot) {
-			if i != me && h.pulls[i] == nil {
-				h.pulls[i] = &pulling{wants: map[int]bool{}}
-				h.chosen = append(h.chosen, i)
+// slotCatchUp is how far a slot that is cold, or differs, has been told by the others.
+type slotCatchUp struct {
+	toldBy map[int]Term // by whom all of it, who was warm
+}
+
+// peerSync is what is asked of one holder.
+type peerSync struct {
+	wanted    map[int]bool // slots
+	requested []int
+	sequence  uint64
+	request   *PullRequest // what is under way
+	afterKey  state.Key
+	resumes   bool
+	peerTerm  Term    // of the one that is told from, since the first slice of the slot at hand
+	sentAt    float64 // when; 0 where nothing is under way
+	notBefore float64 // not before
+}
+
+// Replica is the part of one server that holds copies.
+type Replica struct {
+	placement     *Placement
+	self          int
+	terms         TermTable
+	store         *state.Store
+	catchingUp    map[int]*slotCatchUp
+	catchUpSince  float64 // when it sat down, or last lost its memory
+	peers         map[int]*peerSync
+	catchUpRate   float64 // bytes a second that it takes in to catch up
+	nextCompareAt float64
+	compareTurn   int
+	lastSequence  uint64
+	outbox        []Envelope
+	peerOrder     []int // the others that share a slot
+
+	CaughtUpByTimeout, CaughtUpByPeers int // slots whose truth came by waiting, by being told
+	RepairedRecords                    int // records that a comparison mended
+	ConflictingResults                 int // keys with two results
+}
+
+// NewReplica makes the holder of a life that begins, with nothing but what its store has, which counts as hearsay. Rate is in bytes a second.
+func NewReplica(p *Placement, me int, sits TermTable, store *state.Store, rate, now float64) *Replica {
+	h := &Replica{placement: p, self: me, terms: sits, store: store, catchUpRate: rate, peers: map[int]*peerSync{}, catchingUp: map[int]*slotCatchUp{}}
+	for _, slot := range p.SlotsOf(me) {
+		for _, i := range p.Replicas(slot) {
+			if i != me && h.peers[i] == nil {
+				h.peers[i] = &peerSync{wanted: map[int]bool{}}
+				h.peerOrder = append(h.peerOrder, i)
 			}
 		}
 	}
-	slices.Sort(h.chosen)
-	h.forget(now, p.Slots(me))
+	slices.Sort(h.peerOrder)
+	h.startCatchUp(now, p.SlotsOf(me))
 	return h
 }
 
-// forget has it learn slots anew: it may not answer for them before.
-func (h *Holder) forget(now float64, slots []int) {
-	h.since = now
+// startCatchUp has it learn slots anew: it may not answer for them before.
+func (h *Replica) startCatchUp(now float64, slots []int) {
+	h.catchUpSince = now
 	for _, slot := range slots {
-		h.cold[slot] = &learning{told: map[int]Sitting{}}
-		for _, i := range h.place.Group(slot) {
-			if i != h.me {
-				p := h.pulls[i]
-				p.wants[slot] = true
-				p.sent, p.begun = 0, false // what is under way was asked for from the sitting before
+		h.catchingUp[slot] = &slotCatchUp{toldBy: map[int]Term{}}
+		for _, i := range h.placement.Replicas(slot) {
+			if i != h.self {
+				p := h.peers[i]
+				p.wanted[slot] = true
+				p.sentAt, p.resumes = 0, false // what is under way was asked for from the sitting before
 			}
 		}
 	}
 }
 
-// Warm tells whether it may answer for a slot.
-func (h *Holder) Warm(slot int) bool { return h.cold[slot] == nil }
+// CaughtUp tells whether it may answer for a slot.
+func (h *Replica) CaughtUp(slot int) bool { return h.catchingUp[slot] == nil }
 
-// Cold counts the slots for which it may not answer yet.
-func (h *Holder) Cold() int { return len(h.cold) }
+// CatchingUp counts the slots for which it may not answer yet.
+func (h *Replica) CatchingUp() int { return len(h.catchingUp) }
 
-// hear takes over others' sittings. Where somebody knows a later one at its own place it was taken for gone, or this is a life that began with a
+// observeTerms takes over others' sittings. Where somebody knows a later one at its own place it was taken for gone, or this is a life that began with a
 // clock behind: it sits down anew, above that, and with nothing known.
-func (h *Holder) hear(now float64, of []int, told []Sitting) {
-	mine := h.sits[h.me]
-	h.sits.Hear(of, told)
-	if late := h.sits[h.me]; late != mine {
-		h.sits[h.me] = Sitting{N: late.N + 1, Life: mine.Life}
-		h.forget(now, h.place.Slots(h.me))
+func (h *Replica) observeTerms(now float64, of []int, told []Term) {
+	mine := h.terms[h.self]
+	h.terms.Observe(of, told)
+	if late := h.terms[h.self]; late != mine {
+		h.terms[h.self] = Term{Number: late.Number + 1, Incarnation: mine.Incarnation}
+		h.startCatchUp(now, h.placement.SlotsOf(h.self))
 	}
 }
 
-// lost sits down anew as a slot's records can't be trusted: a claimant that counts on what was granted before has to ask again.
-func (h *Holder) lost(now float64, slot int) {
-	h.sits[h.me].N++
-	h.store.Clear(slot)
-	h.forget(now, []int{slot})
+// resetSlot sits down anew as a slot's records can't be trusted: a claimant that counts on what was granted before has to ask again.
+func (h *Replica) resetSlot(now float64, slot int) {
+	h.terms[h.self].Number++
+	h.store.ClearSlot(slot)
+	h.startCatchUp(now, []int{slot})
 }
 
-// Read answers a claimant.
-func (h *Holder) Read(now float64, q *Ask) Answer {
-	a := Answer{Key: q.Key, Claim: q.Try.Claim, Verb: q.Verb, Verdict: Other}
+// HandleClaim answers a claimant.
+func (h *Replica) HandleClaim(now float64, q *ClaimRequest) ClaimReply {
+	a := ClaimReply{Key: q.Key, ClaimID: q.Attempt.ClaimID, Operation: q.Operation, Status: ReplyMisrouted}
 	slot := q.Key.Slot()
-	group := h.place.Group(slot)
-	if q.Plan != h.place.Digest || !slices.Contains(group, h.me) {
+	group := h.placement.Replicas(slot)
+	if q.ConfigDigest != h.placement.ConfigDigest || !slices.Contains(group, h.self) {
 		return a
 	}
-	h.store.Age(now, maxAged)
-	h.hear(now, group, q.Sits)
+	h.store.Expire(now, maxExpiredPerCall)
+	h.observeTerms(now, group, q.Terms)
 	r, sound := h.store.Get(q.Key)
 	if !sound {
-		h.lost(now, slot)
+		h.resetSlot(now, slot)
 	}
 	switch {
-	case q.Verb == Say:
-		a.Verdict = h.enter(now, r, q)
-	case q.Verb == Run && !slices.Equal(q.Sits, h.sits.Of(group)):
-		a.Verdict = Stale
-	case !h.Warm(slot):
-		a.Verdict = Cold
-	case q.Verb == Run:
-		a.Verdict = h.grant(now, r, q)
-	case r.Live() != nil:
-		a.Verdict = Held
+	case q.Operation == OpReport:
+		a.Status = h.recordReport(now, r, q)
+	case q.Operation == OpClaim && !slices.Equal(q.Terms, h.terms.Select(group)):
+		a.Status = ReplyStaleTerm
+	case !h.CaughtUp(slot):
+		a.Status = ReplyCatchingUp
+	case q.Operation == OpClaim:
+		a.Status = h.grant(now, r, q)
+	case r.BlockingAttempt() != nil:
+		a.Status = ReplyConflict
 	default:
-		a.Verdict = Free
+		a.Status = ReplyUnclaimed
 	}
-	a.Sits = h.sits.Of(group)
+	a.Terms = h.terms.Select(group)
 	if r != nil {
-		a.Tries = r.Tries
+		a.Attempts = r.Attempts
 	}
 	return a
 }
 
 // grant lets a claim stand where no other does.
-func (h *Holder) grant(now float64, r *state.Record, q *Ask) Verdict {
+func (h *Replica) grant(now float64, r *state.Record, q *ClaimRequest) ReplyStatus {
 	if r != nil {
-		if i := slices.IndexFunc(r.Tries, func(t state.Try) bool { return t.Claim == q.Try.Claim }); i >= 0 {
-			if r.Tries[i].State == state.Claimed && r.Live() == &r.Tries[i] && lives(r) == 1 {
-				return Granted // asked again
+		if i := slices.IndexFunc(r.Attempts, func(t state.Attempt) bool { return t.ClaimID == q.Attempt.ClaimID }); i >= 0 {
+			if r.Attempts[i].State == state.StateClaimed && r.BlockingAttempt() == &r.Attempts[i] && countBlocking(r) == 1 {
+				return ReplyGranted // asked again
 			}
-			return Held
+			return ReplyConflict
 		}
-		if r.Live() != nil {
-			return Held
+		if r.BlockingAttempt() != nil {
+			return ReplyConflict
 		}
-		if len(r.Tries) >= maxTries { // none is live: the first is forgotten
+		if len(r.Attempts) >= maxAttempts { // none is live: the first is forgotten
 			short := *r
-			short.Tries = r.Tries[1:]
+			short.Attempts = r.Attempts[1:]
 			r = &short
 		}
 	}
-	return h.put(r, &state.Record{Key: q.Key, Until: now + h.place.Longest + h.place.Window, Tries: []state.Try{{Claim: q.Try.Claim}}}, Granted)
+	return h.mergeIntoStore(r, &state.Record{Key: q.Key, ExpiresAt: now + h.placement.MaxClaimDuration + h.placement.RetentionWindow, Attempts: []state.Attempt{{ClaimID: q.Attempt.ClaimID}}}, ReplyGranted)
 }
 
-func lives(r *state.Record) (n int) {
-	for i := range r.Tries {
-		if r.Tries[i].State.Live() {
+func countBlocking(r *state.Record) (n int) {
+	for i := range r.Attempts {
+		if r.Attempts[i].State.Blocks() {
 			n++
 		}
 	}
 	return n
 }
 
-// enter takes what came of a claim, whoever granted it: also while cold, as it is no answer.
-func (h *Holder) enter(now float64, r *state.Record, q *Ask) Verdict {
-	return h.put(r, &state.Record{Key: q.Key, Until: now + h.place.Window, Tries: []state.Try{q.Try}}, Noted)
+// recordReport takes what came of a claim, whoever granted it: also while cold, as it is no answer.
+func (h *Replica) recordReport(now float64, r *state.Record, q *ClaimRequest) ReplyStatus {
+	return h.mergeIntoStore(r, &state.Record{Key: q.Key, ExpiresAt: now + h.placement.RetentionWindow, Attempts: []state.Attempt{q.Attempt}}, ReplyRecorded)
 }
 
-// put merges a record into the one that is held.
-func (h *Holder) put(old, told *state.Record, well Verdict) Verdict {
+// mergeIntoStore merges a record into the one that is held.
+func (h *Replica) mergeIntoStore(old, told *state.Record, well ReplyStatus) ReplyStatus {
 	m := *told
 	if old != nil {
 		m = Merge(old, told)
 	}
-	if Two(&m) && !Two(old) {
-		h.Alarms++
+	if HasConflictingResults(&m) && !HasConflictingResults(old) {
+		h.ConflictingResults++
 	}
 	if !h.store.Put(m) {
-		return Full
+		return ReplyFull
 	}
 	return well
 }
 
-// Pulled answers another holder, who is known to sit there from then on: what is granted after it counts on its new sitting.
-func (h *Holder) Pulled(now float64, from int, q *Pull) *Slice {
-	if q.Plan != h.place.Digest || from < 0 {
+// HandlePull answers another holder, who is known to sit there from then on: what is granted after it counts on its new sitting.
+func (h *Replica) HandlePull(now float64, from int, q *PullRequest) *PullReply {
+	if q.ConfigDigest != h.placement.ConfigDigest || from < 0 {
 		return nil
 	}
-	h.hear(now, []int{from}, []Sitting{q.Sit})
-	s := &Slice{Plan: h.place.Digest, Number: q.Number, Sit: h.sits[h.me], Yours: h.sits[from]}
-	if s.Yours != q.Sit {
+	h.observeTerms(now, []int{from}, []Term{q.Term})
+	s := &PullReply{ConfigDigest: h.placement.ConfigDigest, Sequence: q.Sequence, Term: h.terms[h.self], RequesterTerm: h.terms[from]}
+	if s.RequesterTerm != q.Term {
 		return s // a later one sits there
 	}
-	left := sliceBytes
+	left := maxPullReplyBytes
 	for n, slot := range q.Slots {
-		if n == maxPulled || left <= 0 && n > 0 {
+		if n == maxPullSlots || left <= 0 && n > 0 {
 			break
 		}
-		group := h.place.Group(slot)
-		if !slices.Contains(group, h.me) || !slices.Contains(group, from) {
+		group := h.placement.Replicas(slot)
+		if !slices.Contains(group, h.self) || !slices.Contains(group, from) {
 			continue
 		}
-		list, all, sound := h.store.Slice(slot, q.After, n > 0 || !q.Begun, left)
+		list, all, sound := h.store.Scan(slot, q.AfterKey, n > 0 || !q.Resumes, left)
 		if !sound {
-			h.lost(now, slot)
+			h.resetSlot(now, slot)
 		}
-		p := Part{Slot: slot, Warm: h.Warm(slot), All: all}
+		p := SlotRecords{Slot: slot, CaughtUp: h.CaughtUp(slot), Complete: all}
 		for _, r := range list {
-			p.Copies = append(p.Copies, Copy{Record: r, Left: max(0, r.Until-now)})
-			left -= 64 + 48*len(r.Tries)
-			for i := range r.Tries {
-				left -= len(r.Tries[i].Result)
+			p.Copies = append(p.Copies, RecordCopy{Record: r, TimeToLive: max(0, r.ExpiresAt-now)})
+			left -= 64 + 48*len(r.Attempts)
+			for i := range r.Attempts {
+				left -= len(r.Attempts[i].Result)
 			}
 		}
-		s.Parts = append(s.Parts, p)
+		s.Slots = append(s.Slots, p)
 		if !all {
 			break
 		}
 	}
-	s.Sit = h.sits[h.me]
+	s.Term = h.terms[h.self]
 	return s
 }
 
-// Told takes in what another holder knows. Bytes is the size of its message.
-func (h *Holder) Told(now float64, from int, s *Slice, bytes int) {
-	p := h.pulls[from]
-	if p == nil || s.Plan != h.place.Digest || p.sent == 0 || s.Number != p.number {
+// HandlePullReply takes in what another holder knows. Bytes is the size of its message.
+func (h *Replica) HandlePullReply(now float64, from int, s *PullReply, bytes int) {
+	p := h.peers[from]
+	if p == nil || s.ConfigDigest != h.placement.ConfigDigest || p.sentAt == 0 || s.Sequence != p.sequence {
 		return // also a late one, told before the teller knew that this one sits here
 	}
-	if mine := h.sits[h.me]; s.Yours.Compare(mine) > 0 {
-		h.hear(now, []int{h.me}, []Sitting{s.Yours})
-		p.sent, p.begun = 0, false
+	if mine := h.terms[h.self]; s.RequesterTerm.Compare(mine) > 0 {
+		h.observeTerms(now, []int{h.self}, []Term{s.RequesterTerm})
+		p.sentAt, p.resumes = 0, false
 		return
 	}
-	if p.begun && s.Sit != p.sit { // it is another by now: the slot at hand from its beginning
-		p.begun = false
-		p.sent, p.next = 0, now
-		h.hear(now, []int{from}, []Sitting{s.Sit})
+	if p.resumes && s.Term != p.peerTerm { // it is another by now: the slot at hand from its beginning
+		p.resumes = false
+		p.sentAt, p.notBefore = 0, now
+		h.observeTerms(now, []int{from}, []Term{s.Term})
 		return
 	}
-	h.hear(now, []int{from}, []Sitting{s.Sit})
-	p.sent, p.next = 0, now+float64(bytes)/h.rate
-	if len(s.Parts) == 0 {
-		p.next = now + coldAgain
+	h.observeTerms(now, []int{from}, []Term{s.Term})
+	p.sentAt, p.notBefore = 0, now+float64(bytes)/h.catchUpRate
+	if len(s.Slots) == 0 {
+		p.notBefore = now + catchingUpRetryInterval
 		return
 	}
-	for _, part := range s.Parts {
-		if !slices.Contains(p.asked, part.Slot) {
+	for _, part := range s.Slots {
+		if !slices.Contains(p.requested, part.Slot) {
 			continue
 		}
 		for _, c := range part.Copies {
-			h.takeOver(now, part.Slot, c)
+			h.mergeCopy(now, part.Slot, c)
 		}
-		if !part.All {
+		if !part.Complete {
 			if n := len(part.Copies); n > 0 {
-				p.after, p.begun, p.sit = part.Copies[n-1].Record.Key, true, s.Sit
+				p.afterKey, p.resumes, p.peerTerm = part.Copies[n-1].Record.Key, true, s.Term
 			}
 			continue
 		}
-		p.begun = false
-		if !part.Warm && h.cold[part.Slot] != nil {
-			p.next = max(p.next, now+coldAgain) // it stays wanted: the other may know it by then
+		p.resumes = false
+		if !part.CaughtUp && h.catchingUp[part.Slot] != nil {
+			p.notBefore = max(p.notBefore, now+catchingUpRetryInterval) // it stays wanted: the other may know it by then
 			continue
 		}
-		delete(p.wants, part.Slot)
-		if l := h.cold[part.Slot]; l != nil {
-			if l.told[from] = s.Sit; len(l.told) >= h.place.Learn {
-				h.warm(part.Slot)
-				h.Learned++
+		delete(p.wanted, part.Slot)
+		if l := h.catchingUp[part.Slot]; l != nil {
+			if l.toldBy[from] = s.Term; len(l.toldBy) >= h.placement.CatchUpQuorum {
+				h.markCaughtUp(part.Slot)
+				h.CaughtUpByPeers++
 			}
 		}
 	}
 }
 
-func (h *Holder) warm(slot int) {
-	delete(h.cold, slot)
-	for _, i := range h.place.Group(slot) {
-		if i != h.me {
-			delete(h.pulls[i].wants, slot)
+func (h *Replica) markCaughtUp(slot int) {
+	delete(h.catchingUp, slot)
+	for _, i := range h.placement.Replicas(slot) {
+		if i != h.self {
+			delete(h.peers[i].wanted, slot)
 		}
 	}
 }
 
-// takeOver merges a copy.
-func (h *Holder) takeOver(now float64, slot int, c Copy) {
-	if c.Record.Key.Slot() != slot || !(c.Left > 0) {
+// mergeCopy merges a copy.
+func (h *Replica) mergeCopy(now float64, slot int, c RecordCopy) {
+	if c.Record.Key.Slot() != slot || !(c.TimeToLive > 0) {
 		return
 	}
 	// A copy is never kept longer than a fresh one would be, whatever its teller's clock or a late message makes of it.
-	c.Record.Until = now + min(c.Left, h.place.Longest+h.place.Window)
+	c.Record.ExpiresAt = now + min(c.TimeToLive, h.placement.MaxClaimDuration+h.placement.RetentionWindow)
 	old, sound := h.store.Get(c.Record.Key)
 	if !sound {
-		h.lost(now, slot)
+		h.resetSlot(now, slot)
 		return
 	}
 	if old != nil {
-		if m := Merge(old, c.Record); same(&m, old) {
+		if m := Merge(old, c.Record); sameAttempts(&m, old) {
 			return
 		}
 	}
-	if h.cold[slot] == nil {
-		h.Differed++
+	if h.catchingUp[slot] == nil {
+		h.RepairedRecords++
 	}
-	h.put(old, c.Record, Noted)
+	h.mergeIntoStore(old, c.Record, ReplyRecorded)
 }
 
-// Compared holds another's sums against its own, and has what differs told.
-func (h *Holder) Compared(now float64, from int, s *Sums) {
-	p := h.pulls[from]
-	if p == nil || s.Plan != h.place.Digest {
+// HandleChecksums holds another's sums against its own, and has what differs told.
+func (h *Replica) HandleChecksums(now float64, from int, s *Checksums) {
+	p := h.peers[from]
+	if p == nil || s.ConfigDigest != h.placement.ConfigDigest {
 		return
 	}
-	h.hear(now, []int{from}, []Sitting{s.Sit})
+	h.observeTerms(now, []int{from}, []Term{s.Term})
 	if len(s.Slots) == 0 {
-		if mine := h.sums(from); len(mine.Slots) > 0 && len(s.Sums) == 1 && s.Sums[0] != total(mine) {
-			h.letters = append(h.letters, Letter{To: from, Sums: mine})
+		if mine := h.sharedChecksums(from); len(mine.Slots) > 0 && len(s.Values) == 1 && s.Values[0] != combineChecksums(mine) {
+			h.outbox = append(h.outbox, Envelope{To: from, Checksums: mine})
 		}
 		return
 	}
 	for n, slot := range s.Slots {
-		if n < len(s.Sums) && slices.Contains(h.place.Group(slot), h.me) && h.store.Sum(slot) != s.Sums[n] {
-			p.wants[slot] = true
+		if n < len(s.Values) && slices.Contains(h.placement.Replicas(slot), h.self) && h.store.Checksum(slot) != s.Values[n] {
+			p.wanted[slot] = true
 		}
 	}
 }
 
-// Differs lists the slots of which it waits to be told by another.
-func (h *Holder) Differs() int {
+// OutOfSync lists the slots of which it waits to be told by another.
+func (h *Replica) OutOfSync() int {
 	slots := map[int]bool{}
-	for _, p := range h.pulls {
-		for slot := range p.wants {
+	for _, p := range h.peers {
+		for slot := range p.wanted {
 			slots[slot] = true
 		}
 	}
 	return len(slots)
 }
 
-// Due does what is due: catching up, comparing, forgetting.
-func (h *Holder) Due(now float64) {
-	h.store.Age(now, maxAged)
-	if len(h.cold) > 0 && now >= h.since+h.place.Window+2*h.place.Longest {
-		for slot := range h.cold { // whatever was granted before it sat down is past
-			h.warm(slot)
-			h.Aged++
+// Maintain does what is due: catching up, comparing, forgetting.
+func (h *Replica) Maintain(now float64) {
+	h.store.Expire(now, maxExpiredPerCall)
+	if len(h.catchingUp) > 0 && now >= h.catchUpSince+h.placement.RetentionWindow+2*h.placement.MaxClaimDuration {
+		for slot := range h.catchingUp { // whatever was granted before it sat down is past
+			h.markCaughtUp(slot)
+			h.CaughtUpByTimeout++
 		}
 	}
-	for _, i := range h.chosen {
-		p := h.pulls[i]
-		if len(p.wants) == 0 || now < p.next || p.sent > 0 && now < p.sent+pullAgain {
+	for _, i := range h.peerOrder {
+		p := h.peers[i]
+		if len(p.wanted) == 0 || now < p.notBefore || p.sentAt > 0 && now < p.sentAt+pullRetryInterval {
 			continue
 		}
-		h.pull(now, i, p)
-	}
-	if now >= h.compare && len(h.chosen) > 0 {
-		h.compare = now + compareEvery
-		h.turn++
-		i := h.chosen[h.turn%len(h.chosen)]
-		if s := h.sums(i); len(s.Slots) > 0 {
-			h.letters = append(h.letters, Letter{To: i, Sums: &Sums{Plan: s.Plan, Sit: s.Sit, Sums: []uint64{total(s)}}})
+		h.sendPull(now, i, p)
+	}
+	if now >= h.nextCompareAt && len(h.peerOrder) > 0 {
+		h.nextCompareAt = now + compareInterval
+		h.compareTurn++
+		i := h.peerOrder[h.compareTurn%len(h.peerOrder)]
+		if s := h.sharedChecksums(i); len(s.Slots) > 0 {
+			h.outbox = append(h.outbox, Envelope{To: i, Checksums: &Checksums{ConfigDigest: s.ConfigDigest, Term: s.Term, Values: []uint64{combineChecksums(s)}}})
 		}
 	}
 }
 
-// sums lists those of the slots that it shares with another, as far as it knows their truth.
-func (h *Holder) sums(with int) *Sums {
-	s := &Sums{Plan: h.place.Digest, Sit: h.sits[h.me]}
-	for _, slot := range h.place.Slots(h.me) {
-		if h.Warm(slot) && slices.Contains(h.place.Group(slot), with) {
-			s.Slots, s.Sums = append(s.Slots, slot), append(s.Sums, h.store.Sum(slot))
+// sharedChecksums lists those of the slots that it shares with another, as far as it knows their truth.
+func (h *Replica) sharedChecksums(with int) *Checksums {
+	s := &Checksums{ConfigDigest: h.placement.ConfigDigest, Term: h.terms[h.self]}
+	for _, slot := range h.placement.SlotsOf(h.self) {
+		if h.CaughtUp(slot) && slices.Contains(h.placement.Replicas(slot), with) {
+			s.Slots, s.Values = append(s.Slots, slot), append(s.Values, h.store.Checksum(slot))
 		}
 	}
 	return s
 }
 
-// total is one sum over all: 0 where there is nothing.
-func total(s *Sums) (all uint64) {
-	for _, sum := range s.Sums {
+// combineChecksums is one sum over all: 0 where there is nothing.
+func combineChecksums(s *Checksums) (all uint64) {
+	for _, sum := range s.Values {
 		all ^= sum
 	}
 	return all
 }
 
-// pull asks for what is wanted, or once more for what is under way: by the same number, so that an answer that takes long is heeded all the same.
-func (h *Holder) pull(now float64, to int, p *pulling) {
-	if p.sent > 0 {
-		p.sent = now
-		h.letters = append(h.letters, Letter{To: to, Pull: p.last})
+// sendPull asks for what is wanted, or once more for what is under way: by the same number, so that an answer that takes long is heeded all the same.
+func (h *Replica) sendPull(now float64, to int, p *peerSync) {
+	if p.sentAt > 0 {
+		p.sentAt = now
+		h.outbox = append(h.outbox, Envelope{To: to, Pull: p.request})
 		return
 	}
-	asked := make([]int, 0, len(p.wants))
-	for slot := range p.wants {
+	asked := make([]int, 0, len(p.wanted))
+	for slot := range p.wanted {
 		asked = append(asked, slot)
 	}
 	slices.Sort(asked)
-	if p.begun {
-		if at := slices.Index(asked, p.after.Slot()); at >= 0 {
+	if p.resumes {
+		if at := slices.Index(asked, p.afterKey.Slot()); at >= 0 {
 			asked = slices.Concat(asked[at:at+1], asked[:at], asked[at+1:]) // the slot at hand first
 		} else {
-			p.begun = false
+			p.resumes = false
 		}
 	}
-	p.asked = asked[:min(len(asked), maxPulled)]
-	h.numbers++
-	p.sent, p.number = now, h.numbers
-	p.last = &Pull{Plan: h.place.Digest, Number: p.number, Sit: h.sits[h.me], Slots: p.asked, After: p.after, Begun: p.begun}
-	h.letters = append(h.letters, Letter{To: to, Pull: p.last})
+	p.requested = asked[:min(len(asked), maxPullSlots)]
+	h.lastSequence++
+	p.sentAt, p.sequence = now, h.lastSequence
+	p.request = &PullRequest{ConfigDigest: h.placement.ConfigDigest, Sequence: p.sequence, Term: h.terms[h.self], Slots: p.requested, AfterKey: p.afterKey, Resumes: p.resumes}
+	h.outbox = append(h.outbox, Envelope{To: to, Pull: p.request})
 }
 
-// Next is when Due is to be called.
-func (h *Holder) Next(now float64) float64 {
-	next := min(h.compare, h.store.Next())
-	if len(h.cold) > 0 {
-		next = min(next, h.since+h.place.Window+2*h.place.Longest)
+// NextWakeup is when Due is to be called.
+func (h *Replica) NextWakeup(now float64) float64 {
+	next := min(h.nextCompareAt, h.store.NextExpiry())
+	if len(h.catchingUp) > 0 {
+		next = min(next, h.catchUpSince+h.placement.RetentionWindow+2*h.placement.MaxClaimDuration)
 	}
-	for _, p := range h.pulls {
-		if len(p.wants) == 0 {
+	for _, p := range h.peers {
+		if len(p.wanted) == 0 {
 			continue
 		}
-		if p.sent > 0 {
-			next = min(next, p.sent+pullAgain)
+		if p.sentAt > 0 {
+			next = min(next, p.sentAt+pullRetryInterval)
 		} else {
-			next = min(next, max(now, p.next))
+			next = min(next, max(now, p.notBefore))
 		}
 	}
 	return next
 }
 
-// Letters takes what there is to send.
-func (h *Holder) Letters() []Letter {
-	l := h.letters
-	h.letters = nil
+// TakeOutbox takes what there is to send.
+func (h *Replica) TakeOutbox() []Envelope {
+	l := h.outbox
+	h.outbox = nil
 	return l
 }
 
 // Sums is this holder's sum of a slot, for those who compare copies from outside.
-func (h *Holder) Sum(slot int) uint64 { return h.store.Sum(slot) }
+func (h *Replica) Checksum(slot int) uint64 { return h.store.Checksum(slot) }
--- a/internal/judge/replica/place.go
+++ b/internal/judge/replica/place.go
@@ -21,74 +21,74 @@
 	Weight float64 // its part of the keys against the others'; over 0
 }
 
-// Terms are what all holders and claimants must be told alike.
-type Terms struct {
-	Members []Member
-	Copies  int     // of each key
-	Window  float64 // seconds for which a key is kept after its last word: a repeat within it never runs again
-	Longest float64 // seconds that a claim may be under way: the longest time limit of a stage that bears keys
+// Config are what all holders and claimants must be told alike.
+type Config struct {
+	Members           []Member
+	ReplicationFactor int     // of each key
+	RetentionWindow   float64 // seconds for which a key is kept after its last word: a repeat within it never runs again
+	MaxClaimDuration  float64 // seconds that a claim may be under way: the longest time limit of a stage that bears keys
 }
 
 // MaxMembers and MaxCopies bound a plan, and with it each message's list of sittings.
 const (
-	MaxMembers = 64
-	MaxCopies  = 7
+	MaxMembers           = 64
+	MaxReplicationFactor = 7
 )
 
-// bound is how much over its even part of the slots a holder may get: with a quarter of slack few slots move when one holder more or less is named.
-const bound = 1.25
-
-// Place tells who holds which slot. It follows from the terms alone, so all servers that were told the same agree.
-type Place struct {
-	Terms
-	Digest uint64 // of the terms: who was told others is not understood
-	Need   int    // holders of a key that have to grant it: most of them
-	Learn  int    // warm ones that a cold one has to hear, so that each key that was granted is known to one of them
-	groups [state.Slots][]int
-	index  map[string]int
+// maxLoadFactor is how much over its even part of the slots a holder may get: with a quarter of slack few slots move when one holder more or less is named.
+const maxLoadFactor = 1.25
+
+// Placement tells who holds which slot. It follows from the terms alone, so all servers that were told the same agree.
+type Placement struct {
+	Config
+	ConfigDigest   uint64 // of the terms: who was told others is not understood
+	Quorum         int    // holders of a key that have to grant it: most of them
+	CatchUpQuorum  int    // warm ones that a cold one has to hear, so that each key that was granted is known to one of them
+	replicasBySlot [state.SlotCount][]int
+	indexByName    map[string]int
 }
 
-// NewPlace works out who holds what.
-func NewPlace(t Terms) (*Place, error) {
+// NewPlacement works out who holds what.
+func NewPlacement(t Config) (*Placement, error) {
 	if len(t.Members) == 0 || len(t.Members) > MaxMembers {
 		return nil, fmt.Errorf("%d holders; there may be 1 to %d", len(t.Members), MaxMembers)
 	}
-	if t.Copies < 1 || t.Copies > MaxCopies || !(t.Window > 0) || !(t.Longest > 0) {
-		return nil, fmt.Errorf("%d copies for %g s; there may be 1 to %d, for longer than 0", t.Copies, t.Window, MaxCopies)
+	if t.ReplicationFactor < 1 || t.ReplicationFactor > MaxReplicationFactor || !(t.RetentionWindow > 0) || !(t.MaxClaimDuration > 0) {
+		return nil, fmt.Errorf("%d copies for %g s; there may be 1 to %d, for longer than 0", t.ReplicationFactor, t.RetentionWindow, MaxReplicationFactor)
 	}
-	p := &Place{Terms: t, index: map[string]int{}}
+	p := &Placement{Config: t, indexByName: map[string]int{}}
 	p.Members = slices.SortedFunc(slices.Values(t.Members), func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
-	p.Copies = min(t.Copies, len(t.Members))
-	text, all := fmt.Sprintf("%d %g %g", p.Copies, t.Window, t.Longest), 0.0
+	p.ReplicationFactor = min(t.ReplicationFactor, len(t.Members))
+	text, all := fmt.Sprintf("%d %g %g", p.ReplicationFactor, t.RetentionWindow, t.MaxClaimDuration), 0.0
 	for i, m := range p.Members {
-		if _, twice := p.index[m.Name]; twice || m.Name == "" {
+		if _, twice := p.indexByName[m.Name]; twice || m.Name == "" {
 			return nil, fmt.Errorf("holder %q: a name that is there already, or none", m.Name)
 		}
 		if !(m.Weight > 0) || m.Weight > 1000 {
 			return nil, errors.New("a weight is over 0 and at most 1000")
 		}
-		p.index[m.Name] = i
+		p.indexByName[m.Name] = i
 		all += m.Weight
 		text += fmt.Sprintf("\n%q %q %g", m.Name, m.Zone, m.Weight)
 	}
-	p.Digest = xxhash.Sum64String(text)
-	p.Need = p.Copies/2 + 1
-	p.Learn = p.Copies - p.Need + 1
+	p.ConfigDigest = xxhash.Sum64String(text)
+	p.Quorum = p.ReplicationFactor/2 + 1
+	p.CatchUpQuorum = p.ReplicationFactor - p.Quorum + 1
 	most, has := make([]int, len(p.Members)), make([]int, len(p.Members))
 	for i, m := range p.Members {
-		most[i] = int(math.Ceil(bound * state.Slots * float64(p.Copies) * m.Weight / all))
+		most[i] = int(math.Ceil(maxLoadFactor * state.SlotCount * float64(p.ReplicationFactor) * m.Weight / all))
 	}
-	for slot := range p.groups {
-		p.groups[slot] = p.draw(slot, func(i int) bool { return has[i] < most[i] })
-		for _, i := range p.groups[slot] {
+	for slot := range p.replicasBySlot {
+		p.replicasBySlot[slot] = p.selectReplicas(slot, func(i int) bool { return has[i] < most[i] })
+		for _, i := range p.replicasBySlot[slot] {
 			has[i]++
 		}
 	}
 	return p, nil
 }
 
-// draw picks a slot's holders: those that win a weighted draw (rendezvous hashing), of other zones first, that have room.
-func (p *Place) draw(slot int, room func(int) bool) (group []int) {
+// selectReplicas picks a slot's holders: those that win a weighted draw (rendezvous hashing), of other zones first, that have room.
+func (p *Placement) selectReplicas(slot int, room func(int) bool) (group []int) {
 	order := make([]int, len(p.Members))
 	score := make([]float64, len(p.Members))
 	for i, m := range p.Members {
@@ -100,7 +100,7 @@
 	zones := map[string]bool{}
 	for _, strict := range []struct{ zone, room bool }{{true, true}, {false, true}, {false, false}} {
 		for _, i := range order {
-			if len(group) < p.Copies && !slices.Contains(group, i) && (!strict.zone || !zones[p.Members[i].Zone]) && (!strict.room || room(i)) {
+			if len(group) < p.ReplicationFactor && !slices.Contains(group, i) && (!strict.zone || !zones[p.Members[i].Zone]) && (!strict.room || room(i)) {
 				group = append(group, i)
 				zones[p.Members[i].Zone] = true
 			}
@@ -110,20 +110,20 @@
 	return group
 }
 
-// Group lists the holders of a slot by their index among the members. It is not to be changed.
-func (p *Place) Group(slot int) []int { return p.groups[slot] }
+// Replicas lists the holders of a slot by their index among the members. It is not to be changed.
+func (p *Placement) Replicas(slot int) []int { return p.replicasBySlot[slot] }
 
-// Index is a name's among the members, under 0 where it holds nothing.
-func (p *Place) Index(name string) int {
-	if i, is := p.index[name]; is {
+// MemberIndex is a name's among the members, under 0 where it holds nothing.
+func (p *Placement) MemberIndex(name string) int {
+	if i, is := p.indexByName[name]; is {
 		return i
 	}
 	return -1
 }
 
-// Slots lists what a holder holds.
-func (p *Place) Slots(i int) (slots []int) {
-	for slot, group := range p.groups {
+// SlotsOf lists what a holder holds.
+func (p *Placement) SlotsOf(i int) (slots []int) {
+	for slot, group := range p.replicasBySlot {
 		if slices.Contains(group, i) {
 			slots = append(slots, slot)
 		}
@@ -131,19 +131,19 @@
 	return slots
 }
 
-// Sitting is one life of a holder at its place. Of two the higher is the later, whatever order word of them comes in.
-type Sitting struct{ N, Life uint64 }
+// Term is one life of a holder at its place. Of two the higher is the later, whatever order word of them comes in.
+type Term struct{ Number, Incarnation uint64 }
 
 // Compare orders sittings.
-func (s Sitting) Compare(o Sitting) int {
-	return cmp.Or(cmp.Compare(s.N, o.N), cmp.Compare(s.Life, o.Life))
+func (s Term) Compare(o Term) int {
+	return cmp.Or(cmp.Compare(s.Number, o.Number), cmp.Compare(s.Incarnation, o.Incarnation))
 }
 
-// Sittings are those that a server last heard of, by the members' index.
-type Sittings []Sitting
+// TermTable are those that a server last heard of, by the members' index.
+type TermTable []Term
 
-// Hear takes over later ones and tells whether there was one.
-func (s Sittings) Hear(of []int, told []Sitting) (news bool) {
+// Observe takes over later ones and tells whether there was one.
+func (s TermTable) Observe(of []int, told []Term) (news bool) {
 	for j, i := range of {
 		if j < len(told) && told[j].Compare(s[i]) > 0 {
 			s[i], news = told[j], true
@@ -152,9 +152,9 @@
 	return news
 }
 
-// Of lists those of a group.
-func (s Sittings) Of(group []int) []Sitting {
-	list := make([]Sitting, len(group))
+// Select lists those of a group.
+func (s TermTable) Select(group []int) []Term {
+	list := make([]Term, len(group))
 	for j, i := range group {
 		list[j] = s[i]
 	}
--- a/internal/judge/replica/standing.go
+++ b/internal/judge/replica/standing.go
@@ -6,42 +6,42 @@
 	"slices"
 )
 
-// Standing is how a server's copies stand, and what became of its claims.
-type Standing struct {
-	Plan       uint64 `json:"Plan"` // digest of the terms that it was told
-	Holder     bool   `json:"Holder"`
-	Cold       int    `json:"Cold"`    // slots for which this holder may not answer yet
-	Differ     int    `json:"Differ"`  // slots of which it waits to be told by another
-	Learned    int    `json:"Learned"` // slots whose truth it was told by others
-	Aged       int    `json:"Aged"`    // slots whose truth came by waiting: what was granted before is not known, and past
-	Mended     int    `json:"Mended"`  // records that a comparison mended
-	Alarms     int    `json:"Alarms"`  // keys with two results
-	Records    int    `json:"Records"`
-	Bytes      int    `json:"Bytes"`
-	Dropped    int    `json:"Dropped"`    // results that were dropped to make room
-	Flipped    int    `json:"Flipped"`    // records that had changed where they were held
-	Claims     int    `json:"Claims"`     // under way, those of running tasks included
-	Promised   int    `json:"Promised"`   // results that most holders have
-	Unpromised int    `json:"Unpromised"` // results that they did not note in time
+// Status is how a server's copies stand, and what became of its claims.
+type Status struct {
+	ConfigDigest        uint64 `json:"Plan"` // digest of the terms that it was told
+	IsReplica           bool   `json:"Holder"`
+	CatchingUp          int    `json:"Cold"`    // slots for which this holder may not answer yet
+	OutOfSync           int    `json:"Differ"`  // slots of which it waits to be told by another
+	CaughtUpByPeers     int    `json:"Learned"` // slots whose truth it was told by others
+	CaughtUpByTimeout   int    `json:"Aged"`    // slots whose truth came by waiting: what was granted before is not known, and past
+	RepairedRecords     int    `json:"Mended"`  // records that a comparison mended
+	ConflictingResults  int    `json:"Alarms"`  // keys with two results
+	Records             int    `json:"Records"`
+	Bytes               int    `json:"Bytes"`
+	DroppedResults      int    `json:"Dropped"`    // results that were dropped to make room
+	CorruptedRecords    int    `json:"Flipped"`    // records that had changed where they were held
+	ActiveClaims        int    `json:"Claims"`     // under way, those of running tasks included
+	ReplicatedResults   int    `json:"Promised"`   // results that most holders have
+	UnreplicatedResults int    `json:"Unpromised"` // results that they did not note in time
 }
 
-// Tell adds what a claimant knows.
-func (s *Asker) Tell(to *Standing) {
-	to.Claims, to.Promised, to.Unpromised = s.Len(), s.Promised, s.Unpromised
+// FillStatus adds what a claimant knows.
+func (s *Coordinator) FillStatus(to *Status) {
+	to.ActiveClaims, to.ReplicatedResults, to.UnreplicatedResults = s.ActiveClaims(), s.ReplicatedResults, s.UnreplicatedResults
 }
 
-// Tell adds what a holder knows.
-func (h *Holder) Tell(to *Standing) {
-	to.Holder, to.Cold, to.Differ, to.Learned, to.Aged, to.Mended, to.Alarms = true, h.Cold(), h.Differs(), h.Learned, h.Aged, h.Differed, h.Alarms
-	to.Records, to.Bytes, to.Dropped, to.Flipped = h.store.Len(), h.store.Bytes(), h.store.Dropped, h.store.Flipped
+// FillStatus adds what a holder knows.
+func (h *Replica) FillStatus(to *Status) {
+	to.IsReplica, to.CatchingUp, to.OutOfSync, to.CaughtUpByPeers, to.CaughtUpByTimeout, to.RepairedRecords, to.ConflictingResults = true, h.CatchingUp(), h.OutOfSync(), h.CaughtUpByPeers, h.CaughtUpByTimeout, h.RepairedRecords, h.ConflictingResults
+	to.Records, to.Bytes, to.DroppedResults, to.CorruptedRecords = h.store.Len(), h.store.Bytes(), h.store.DroppedResults, h.store.CorruptedRecords
 }
 
 // Faults lists what is wrong with a fleet's copies, by how its servers say that they stand; alarm where it must never be. A server that was told
 // other terms than most is named, as nobody understands it.
-func Faults(of map[string]*Standing) (list []string, alarm bool) {
+func Faults(of map[string]*Status) (list []string, alarm bool) {
 	plans := map[uint64]int{}
 	for _, s := range of {
-		plans[s.Plan]++
+		plans[s.ConfigDigest]++
 	}
 	most := slices.MaxFunc(slices.Sorted(maps.Keys(plans)), func(a, b uint64) int { return plans[a] - plans[b] })
 	for _, name := range slices.Sorted(maps.Keys(of)) {
@@ -51,12 +51,12 @@
 				list = append(list, name+": "+fmt.Sprintf(format, a...))
 			}
 		}
-		say(s.Plan != most, "it was told other holders, copies, windows or stages than most servers")
-		say(s.Cold > 0, "it may not answer for %d slots yet", s.Cold)
-		say(s.Differ > 0, "%d slots differ, or are not yet learned", s.Differ)
-		say(s.Alarms > 0, "ALARM: %d keys have two results", s.Alarms)
-		say(s.Flipped > 0, "%d records changed in its memory", s.Flipped)
-		alarm = alarm || s.Alarms > 0
+		say(s.ConfigDigest != most, "it was told other holders, copies, windows or stages than most servers")
+		say(s.CatchingUp > 0, "it may not answer for %d slots yet", s.CatchingUp)
+		say(s.OutOfSync > 0, "%d slots differ, or are not yet learned", s.OutOfSync)
+		say(s.ConflictingResults > 0, "ALARM: %d keys have two results", s.ConflictingResults)
+		say(s.CorruptedRecords > 0, "%d records changed in its memory", s.CorruptedRecords)
+		alarm = alarm || s.ConflictingResults > 0
 	}
 	return list, alarm
 }
--- a/internal/lab/copies/copies.go
+++ b/internal/lab/copies/copies.go
@@ -102,7 +102,7 @@
 	*Plan
 	fleet  *faults.Fleet
 	ledger *faults.Ledger
-	place  *replica.Place
+	place  *replica.Placement
 	row    Row
 	wait   sync.WaitGroup
 
@@ -130,7 +130,7 @@
 func Run(ctx context.Context, p *Plan) (Row, error) {
 	r := &run{Plan: p, ledger: faults.NewLedger(), where: map[string]string{}, row: Row{Seed: p.Seed, Servers: p.Servers}}
 	shape := faults.Small(p.Program)
-	terms := replica.Terms{Copies: p.Copies, Window: window.Seconds(), Longest: shape.Told.Stages[0].TimeLimitMs / 1000}
+	terms := replica.Config{ReplicationFactor: p.Copies, RetentionWindow: window.Seconds(), MaxClaimDuration: shape.Told.Stages[0].TimeLimitMs / 1000}
 	shape.Log = p.Log
 	names := make([]string, p.Servers)
 	for i := range names {
@@ -138,7 +138,7 @@
 		terms.Members = append(terms.Members, replica.Member{Name: names[i], Weight: 1})
 	}
 	var err error
-	if r.place, err = replica.NewPlace(terms); err != nil {
+	if r.place, err = replica.NewPlacement(terms); err != nil {
 		return r.row, err
 	}
 	conf := fmt.Sprintf("door on\nfleet-lease 2s\nfleet-behind 2s\nreplica-holders %s\nreplica-copies %d\nreplica-keyed %s\nreplica-window %s\n",
@@ -394,14 +394,14 @@
 	r.row.RunsMax, _ = r.ledger.Most(window)
 	for _, c := range r.cuts {
 		r.row.MinorityRan += r.ledger.Count(func(id, key string, at time.Time) bool {
-			return slices.Contains(c.names, r.where[id]) && at.After(c.from.Add(settled)) && at.Before(c.to) && r.holders(key, c.names) < r.place.Need
+			return slices.Contains(c.names, r.where[id]) && at.After(c.from.Add(settled)) && at.Before(c.to) && r.holders(key, c.names) < r.place.Quorum
 		})
 	}
 }
 
 // holders counts those of a key among some servers.
 func (r *run) holders(key string, names []string) (n int) {
-	for _, i := range r.place.Group(state.KeyOf(faults.Ping, key).Slot()) {
+	for _, i := range r.place.Replicas(state.KeyOf(faults.Ping, key).Slot()) {
 		if slices.Contains(names, r.place.Members[i].Name) {
 			n++
 		}
@@ -416,7 +416,7 @@
 		return 1
 	}
 	for _, c := range s.Copies {
-		n += c.Cold + c.Differ
+		n += c.CatchingUp + c.OutOfSync
 	}
 	return n
 }
--- a/internal/lab/emulate/claims.go
+++ b/internal/lab/emulate/claims.go
@@ -41,7 +41,7 @@
 // ledger is an account of the keys apart from the fleet's own.
 type ledger struct {
 	row    KeysRow
-	place  *replica.Place
+	place  *replica.Placement
 	keys   []string
 	runs   map[string][]keyRun
 	tries  map[string]*keyTry
@@ -63,11 +63,11 @@
 
 // newLedger makes one for a fleet's servers.
 func newLedger(names []string) *ledger {
-	terms := replica.Terms{Copies: keyCopies, Window: keyWindow, Longest: keyLongest}
+	terms := replica.Config{ReplicationFactor: keyCopies, RetentionWindow: keyWindow, MaxClaimDuration: keyLongest}
 	for i, name := range names[:min(len(names), maxHolders)] {
 		terms.Members = append(terms.Members, replica.Member{Name: name, Zone: fmt.Sprint(i % 3), Weight: 1})
 	}
-	place, err := replica.NewPlace(terms)
+	place, err := replica.NewPlacement(terms)
 	if err != nil {
 		panic(err) // the terms are this file's own
 	}
@@ -155,8 +155,8 @@
 	l.row.Differ, l.row.Alarms = 0, 0
 	for _, s := range t.servers {
 		c := s.part.CopiesState()
-		l.row.Differ += c.Cold + c.Differ
-		l.row.Alarms += c.Alarms
+		l.row.Differ += c.CatchingUp + c.OutOfSync
+		l.row.Alarms += c.ConflictingResults
 	}
 	slices.Sort(l.grants)
 	if n := len(l.grants); n > 0 {
--- a/internal/peers/callers.go
+++ b/internal/peers/callers.go
@@ -21,8 +21,8 @@
 // callers is the part's state of them.
 type callers struct {
 	*Callers
-	vouchers *replica.Vouchers
-	own      replica.Voucher
+	vouchers *replica.TrustTable
+	own      replica.TrustRecord
 	began    float64
 	askAt    float64
 	tellAt   float64
@@ -55,12 +55,12 @@
 	if f.Callers == nil {
 		return
 	}
-	f.callers = &callers{Callers: f.Plan.Callers, vouchers: replica.NewVouchers(f.Plan.Callers.Forget), began: now, askAt: math.Inf(-1), tellAt: now}
+	f.callers = &callers{Callers: f.Plan.Callers, vouchers: replica.NewTrustTable(f.Plan.Callers.Forget), began: now, askAt: math.Inf(-1), tellAt: now}
 }
 
 func (f *Part) earned(list []door.Earned) {
 	if c := f.callers; c != nil {
-		c.own = replica.Voucher{Name: f.Name, Life: f.life, Number: uint64(max(0, f.Unix()*1000)), Earned: list}
+		c.own = replica.TrustRecord{Name: f.Name, Incarnation: f.life, Sequence: uint64(max(0, f.Unix()*1000)), Clients: list}
 	}
 }
 
@@ -77,9 +77,9 @@
 	}
 	if now >= c.tellAt+tellEvery {
 		c.tellAt = now
-		if len(c.own.Earned) > 0 {
+		if len(c.own.Clients) > 0 {
 			for _, addr := range f.net.Some(briefTo, f.chance) {
-				f.send(addr, &wire.Message{Vouchers: []replica.Voucher{c.own}})
+				f.send(addr, &wire.Message{Vouchers: []replica.TrustRecord{c.own}})
 			}
 		}
 	}
@@ -103,8 +103,8 @@
 		return
 	}
 	if m.AskCallers {
-		list := c.vouchers.Some(now, m.From, maxVouchers-1)
-		if len(c.own.Earned) > 0 {
+		list := c.vouchers.RecordsFor(now, m.From, maxVouchers-1)
+		if len(c.own.Clients) > 0 {
 			list = append(list, c.own)
 		}
 		if len(list) > 0 {
@@ -114,10 +114,10 @@
 	}
 	news := false
 	for _, v := range m.Vouchers {
-		news = c.vouchers.Hear(now, v) || news
+		news = c.vouchers.Observe(now, v) || news
 	}
 	if news && now < c.began+newFor {
 		c.heard = true
-		c.Hear(c.vouchers.Merged(now, c.Most))
+		c.Hear(c.vouchers.MergedClients(now, c.Most))
 	}
 }
--- a/internal/peers/control.go
+++ b/internal/peers/control.go
@@ -22,12 +22,12 @@
 	Acts      version.Epoch `json:"Acts"`
 	Right     version.Epoch `json:"Right"`
 	Leader    string
-	MayLeave  bool                         `json:"MayLeave"` // should it hear nothing, see fleet-silent
-	Lost      uint64                       `json:"Lost"`     // messages without room, or that could not be read
-	Order     *version.Order               `json:"Order"`
-	Standings []member.ServerStatus        `json:"Standings"`
-	Report    audit.Report                 `json:"Report"`
-	Copies    map[string]*replica.Standing `json:"Copies"` // of all servers that keep or claim any and answered
+	MayLeave  bool                       `json:"MayLeave"` // should it hear nothing, see fleet-silent
+	Lost      uint64                     `json:"Lost"`     // messages without room, or that could not be read
+	Order     *version.Order             `json:"Order"`
+	Standings []member.ServerStatus      `json:"Standings"`
+	Report    audit.Report               `json:"Report"`
+	Copies    map[string]*replica.Status `json:"Copies"` // of all servers that keep or claim any and answered
 }
 
 // State gathers what the fleet knows.
--- a/internal/peers/copies.go
+++ b/internal/peers/copies.go
@@ -14,7 +14,7 @@
 
 // Copies is what a process is told of them.
 type Copies struct {
-	Place   *replica.Place
+	Place   *replica.Placement
 	Entries int     // most records
 	Bytes   int     // and bytes of them
 	Rate    float64 // bytes a second that it takes in to catch up
@@ -27,16 +27,16 @@
 // copies is the part's state of them.
 type copies struct {
 	*Copies
-	sits    replica.Sittings
-	asker   *replica.Asker
-	holder  *replica.Holder // nil where this server is none
+	sits    replica.TermTable
+	asker   *replica.Coordinator
+	holder  *replica.Replica // nil where this server is none
 	store   *state.Store
 	me      int
 	saying  int               // ends that holders have not noted, as they were last counted
 	addrs   map[string]string // where others listen
 	addrsAt float64
 	heard   map[string]string // where holders said that they listen
-	told    replica.Standing  // as it was last written to the log
+	told    replica.Status    // as it was last written to the log
 }
 
 // Word is what the serving loop says of a task that bears a key: that it is to be claimed, or how it ended.
@@ -98,13 +98,13 @@
 		return
 	}
 	f.Plan.Copies.unsaid.Store(0) // a part that begins anew owes nothing
-	c := &copies{Copies: f.Plan.Copies, me: f.Plan.Copies.Place.Index(f.Name)}
-	c.sits, c.heard = make(replica.Sittings, len(c.Place.Members)), map[string]string{}
-	c.asker = replica.NewAsker(c.Place, c.sits, f.life, f.Unix, now)
+	c := &copies{Copies: f.Plan.Copies, me: f.Plan.Copies.Place.MemberIndex(f.Name)}
+	c.sits, c.heard = make(replica.TermTable, len(c.Place.Members)), map[string]string{}
+	c.asker = replica.NewCoordinator(c.Place, c.sits, f.life, f.Unix, now)
 	if c.me >= 0 {
-		c.sits[c.me] = replica.Sitting{N: uint64(max(0, f.Unix()*1000)), Life: f.life}
+		c.sits[c.me] = replica.Term{Number: uint64(max(0, f.Unix()*1000)), Incarnation: f.life}
 		c.store = state.NewStore(c.Entries, c.Bytes)
-		c.holder = replica.NewHolder(c.Place, c.me, c.sits, c.store, c.Rate, now)
+		c.holder = replica.NewReplica(c.Place, c.me, c.sits, c.store, c.Rate, now)
 	}
 	f.copies = c
 }
@@ -115,12 +115,12 @@
 	switch {
 	case c == nil:
 	case w.Ended:
-		c.asker.Ended(now, w.ID, w.Well, w.Result)
+		c.asker.FinishClaim(now, w.ID, w.Well, w.Result)
 	case w.Never:
-		c.asker.Never(now, w.ID)
+		c.asker.CancelClaim(now, w.ID)
 	default:
 		f.passes("claiming")
-		c.asker.Begin(now, w.ID, state.KeyOf(w.Stage, w.Key), now+w.Left)
+		c.asker.StartClaim(now, w.ID, state.KeyOf(w.Stage, w.Key), now+w.Left)
 	}
 	f.flushCopies(now)
 	if c != nil {
@@ -140,22 +140,22 @@
 	if c == nil {
 		return
 	}
-	from := c.Place.Index(m.From)
+	from := c.Place.MemberIndex(m.From)
 	if from >= 0 {
 		c.heard[m.From] = m.Addr
 	}
 	switch {
 	case m.Claimed != nil:
-		c.asker.Read(now, from, m.Claimed)
+		c.asker.HandleReply(now, from, m.Claimed)
 	case c.holder == nil:
 	case m.Claiming != nil:
-		a := c.holder.Read(now, m.Claiming)
-		says := m.Claiming.Verb == replica.Say
+		a := c.holder.HandleClaim(now, m.Claiming)
+		says := m.Claiming.Operation == replica.OpReport
 		f.passes(map[bool]string{false: "granting", true: "noting"}[says])
 		f.reply(m, &wire.Message{Claimed: &a})
 		f.passes(map[bool]string{false: "granted", true: "noted"}[says])
 	case m.Pull != nil:
-		s := c.holder.Pulled(now, from, m.Pull)
+		s := c.holder.HandlePull(now, from, m.Pull)
 		f.passes("pulling")
 		if s != nil {
 			f.reply(m, &wire.Message{Slice: s})
@@ -163,10 +163,10 @@
 		f.passes("pulled")
 	case m.Slice != nil:
 		f.passes("taking")
-		c.holder.Told(now, from, m.Slice, m.Size)
+		c.holder.HandlePullReply(now, from, m.Slice, m.Size)
 		f.passes("taken")
 	case m.Sums != nil:
-		c.holder.Compared(now, from, m.Sums)
+		c.holder.HandleChecksums(now, from, m.Sums)
 	}
 	f.flushCopies(now)
 }
@@ -177,14 +177,14 @@
 	if c == nil {
 		return
 	}
-	c.asker.Due(now)
+	c.asker.Maintain(now)
 	if c.holder != nil {
-		c.holder.Due(now)
+		c.holder.Maintain(now)
 	}
 	f.flushCopies(now)
 	is := f.CopiesState()
-	if is.Holder != c.told.Holder || (is.Cold == 0) != (c.told.Cold == 0) || is.Alarms != c.told.Alarms || is.Flipped != c.told.Flipped {
-		f.Say("fleet_copies", "cold", is.Cold, "learned", is.Learned, "aged", is.Aged, "records", is.Records, "alarms", is.Alarms, "flipped", is.Flipped)
+	if is.IsReplica != c.told.IsReplica || (is.CatchingUp == 0) != (c.told.CatchingUp == 0) || is.ConflictingResults != c.told.ConflictingResults || is.CorruptedRecords != c.told.CorruptedRecords {
+		f.Say("fleet_copies", "cold", is.CatchingUp, "learned", is.CaughtUpByPeers, "aged", is.CaughtUpByTimeout, "records", is.Records, "alarms", is.ConflictingResults, "flipped", is.CorruptedRecords)
 		c.told = *is
 	}
 }
@@ -194,9 +194,9 @@
 	if c == nil {
 		return now + 3600
 	}
-	next := c.asker.Next()
+	next := c.asker.NextWakeup()
 	if c.holder != nil {
-		next = min(next, c.holder.Next(now))
+		next = min(next, c.holder.NextWakeup(now))
 	}
 	return next
 }
@@ -205,9 +205,9 @@
 func (f *Part) flushCopies(now float64) {
 	c := f.copies
 	for c != nil {
-		letters := c.asker.Letters()
+		letters := c.asker.TakeOutbox()
 		if c.holder != nil {
-			letters = append(letters, c.holder.Letters()...)
+			letters = append(letters, c.holder.TakeOutbox()...)
 		}
 		if len(letters) == 0 {
 			break
@@ -219,23 +219,23 @@
 	if c == nil {
 		return
 	}
-	c.unsaid.Add(int64(c.asker.Saying() - c.saying))
-	c.saying = c.asker.Saying()
-	for _, t := range c.asker.Rulings() {
-		c.Rule(t.ID, t.Ruling, t.Result)
-		if t.Ruling == stance.ClaimGranted {
+	c.unsaid.Add(int64(c.asker.PendingReports() - c.saying))
+	c.saying = c.asker.PendingReports()
+	for _, t := range c.asker.TakeOutcomes() {
+		c.Rule(t.RequestID, t.Verdict, t.Result)
+		if t.Verdict == stance.ClaimGranted {
 			f.passes("begun")
 		}
 	}
 }
 
 // post brings a letter to its holder, who may be here.
-func (f *Part) post(now float64, l replica.Letter) {
+func (f *Part) post(now float64, l replica.Envelope) {
 	c := f.copies
 	if l.To == c.me {
-		if l.Ask != nil {
-			a := c.holder.Read(now, l.Ask)
-			c.asker.Read(now, c.me, &a)
+		if l.Claim != nil {
+			a := c.holder.HandleClaim(now, l.Claim)
+			c.asker.HandleReply(now, c.me, &a)
 		}
 		return
 	}
@@ -243,19 +243,19 @@
 	if now >= c.addrsAt+addrsEvery {
 		c.addrs, c.addrsAt = f.net.All(), now
 	}
-	f.send(cmp.Or(c.addrs[name], f.Voters[name], c.heard[name]), &wire.Message{Claiming: l.Ask, Pull: l.Pull, Sums: l.Sums})
+	f.send(cmp.Or(c.addrs[name], f.Voters[name], c.heard[name]), &wire.Message{Claiming: l.Claim, Pull: l.Pull, Sums: l.Checksums})
 }
 
 // CopiesState is how the copies stand, nil where there are none.
-func (f *Part) CopiesState() *replica.Standing {
+func (f *Part) CopiesState() *replica.Status {
 	c := f.copies
 	if c == nil {
 		return nil
 	}
-	s := &replica.Standing{Plan: c.Place.Digest}
-	c.asker.Tell(s)
+	s := &replica.Status{ConfigDigest: c.Place.ConfigDigest}
+	c.asker.FillStatus(s)
 	if c.holder != nil {
-		c.holder.Tell(s)
+		c.holder.FillStatus(s)
 	}
 	return s
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -148,7 +148,7 @@
 	alive    map[uint64]bool
 	order    *version.Order
 	standing []member.ServerStatus
-	copies   map[string]*replica.Standing
+	copies   map[string]*replica.Status
 	tell     func(*gather)
 }
 
@@ -750,7 +750,7 @@
 // gather asks everybody what they acted on.
 func (f *Part) gather(now float64, tell func(*gather)) {
 	f.numbers++
-	g := &gather{until: now + gatherFor, wait: map[string]bool{}, alive: map[uint64]bool{f.life: true}, copies: map[string]*replica.Standing{}, tell: tell}
+	g := &gather{until: now + gatherFor, wait: map[string]bool{}, alive: map[uint64]bool{f.life: true}, copies: map[string]*replica.Status{}, tell: tell}
 	if own := f.CopiesState(); own != nil {
 		g.copies[f.Name] = own
 	}
--- a/internal/replica/record.go
+++ b/internal/replica/record.go
@@ -11,9 +11,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Slots divide the keys: all keys of one have the same holders. 256 spread evenly over the tens of holders that a fleet has, and a list of one
+// SlotCount divide the keys: all keys of one have the same holders. 256 spread evenly over the tens of holders that a fleet has, and a list of one
 // sum for each is 2 KB.
-const Slots = 256
+const SlotCount = 256
 
 // Key names what a deduplicated task is about.
 type Key [16]byte
@@ -33,116 +33,116 @@
 	return cmp.Or(cmp.Compare(binary.BigEndian.Uint64(k[:]), binary.BigEndian.Uint64(o[:])), cmp.Compare(binary.BigEndian.Uint64(k[8:]), binary.BigEndian.Uint64(o[8:])))
 }
 
-// Claim tells one try at running a key from all others. The order of claims is that of these numbers: it settles who gives way, so a clock that is
+// ClaimID tells one try at running a key from all others. The order of claims is that of these numbers: it settles who gives way, so a clock that is
 // off costs its server or the others a race, and nothing else.
-type Claim struct {
-	At  int64  // milliseconds of the claimant's clock
-	Who uint64 // its life
-	N   uint64 // a number that it gave once
+type ClaimID struct {
+	UnixMilli   int64  // milliseconds of the claimant's clock
+	Incarnation uint64 // its life
+	Sequence    uint64 // a number that it gave once
 }
 
 // Compare orders claims.
-func (c Claim) Compare(o Claim) int {
-	return cmp.Or(cmp.Compare(c.At, o.At), cmp.Compare(c.Who, o.Who), cmp.Compare(c.N, o.N))
+func (c ClaimID) Compare(o ClaimID) int {
+	return cmp.Or(cmp.Compare(c.UnixMilli, o.UnixMilli), cmp.Compare(c.Incarnation, o.Incarnation), cmp.Compare(c.Sequence, o.Sequence))
 }
 
 // State is what is known of a claim. A higher one replaces a lower.
 type State uint8
 
 const (
-	Claimed   State = iota // it may run, or have run
-	Withdrawn              // it never ran, and never will
-	Spoilt                 // it ran, and has no result
-	Finished               // it ran, with a result
+	StateClaimed   State = iota // it may run, or have run
+	StateWithdrawn              // it never ran, and never will
+	StateFailed                 // it ran, and has no result
+	StateFinished               // it ran, with a result
 )
 
 func (s State) String() string {
 	return [...]string{"claimed", "withdrawn", "spoilt", "finished", "?"}[min(s, 4)]
 }
 
-// Live tells whether it stands in the way of another claim.
-func (s State) Live() bool { return s != Withdrawn }
+// Blocks tells whether it stands in the way of another claim.
+func (s State) Blocks() bool { return s != StateWithdrawn }
 
-// Try is a claim and what came of it.
-type Try struct {
-	Claim
-	State  State
-	Sum    uint64 // of the result, which may be dropped to make room
-	Result []byte
+// Attempt is a claim and what came of it.
+type Attempt struct {
+	ClaimID
+	State          State
+	ResultChecksum uint64 // of the result, which may be dropped to make room
+	Result         []byte
 }
 
-// Finish is a try that ended with a result.
-func Finish(c Claim, result []byte) Try {
-	return Try{Claim: c, State: Finished, Sum: xxhash.Sum64(result), Result: append([]byte{}, result...)}
+// NewFinishedAttempt is a try that ended with a result.
+func NewFinishedAttempt(c ClaimID, result []byte) Attempt {
+	return Attempt{ClaimID: c, State: StateFinished, ResultChecksum: xxhash.Sum64(result), Result: append([]byte{}, result...)}
 }
 
-// Whole tells whether the result is the one that was entered.
-func (t *Try) Whole() bool {
-	return t.State != Finished || t.Result == nil || xxhash.Sum64(t.Result) == t.Sum
+// Intact tells whether the result is the one that was entered.
+func (t *Attempt) Intact() bool {
+	return t.State != StateFinished || t.Result == nil || xxhash.Sum64(t.Result) == t.ResultChecksum
 }
 
 // Record is all that is known of a key. Its tries are in the order of claims.
 type Record struct {
-	Key   Key
-	Until float64 // when it is forgotten, by its holder's clock; a copy is told how long that is off
-	Tries []Try
+	Key       Key
+	ExpiresAt float64 // when it is forgotten, by its holder's clock; a copy is told how long that is off
+	Attempts  []Attempt
 }
 
-// Live is the first try that stands in the way of another, nil where there is none.
-func (r *Record) Live() *Try {
+// BlockingAttempt is the first try that stands in the way of another, nil where there is none.
+func (r *Record) BlockingAttempt() *Attempt {
 	if r == nil {
 		return nil
 	}
-	for i := range r.Tries {
-		if r.Tries[i].State.Live() {
-			return &r.Tries[i]
+	for i := range r.Attempts {
+		if r.Attempts[i].State.Blocks() {
+			return &r.Attempts[i]
 		}
 	}
 	return nil
 }
 
-// Ended is the first try, in the order of claims, that ended with a result, nil where there is none.
-func (r *Record) Ended() *Try {
+// FinishedAttempt is the first try, in the order of claims, that ended with a result, nil where there is none.
+func (r *Record) FinishedAttempt() *Attempt {
 	if r == nil {
 		return nil
 	}
-	for i := range r.Tries {
-		if r.Tries[i].State == Finished {
-			return &r.Tries[i]
+	for i := range r.Attempts {
+		if r.Attempts[i].State == StateFinished {
+			return &r.Attempts[i]
 		}
 	}
 	return nil
 }
 
-// bytes is what a record takes, in bytes: measured with 100,000 of them, see BenchmarkStore.
-func (r *Record) bytes() int {
-	n := 240 + 72*len(r.Tries)
-	for i := range r.Tries {
-		n += len(r.Tries[i].Result)
+// sizeInBytes is what a record takes, in bytes: measured with 100,000 of them, see BenchmarkStore.
+func (r *Record) sizeInBytes() int {
+	n := 240 + 72*len(r.Attempts)
+	for i := range r.Attempts {
+		n += len(r.Attempts[i].Result)
 	}
 	return n
 }
 
-// put appends what all copies of a record have in common.
-func (r *Record) put(b []byte) []byte {
+// appendEncoding appends what all copies of a record have in common.
+func (r *Record) appendEncoding(b []byte) []byte {
 	b = append(b, r.Key[:]...)
-	for i := range r.Tries {
-		t := &r.Tries[i]
-		for _, n := range [...]uint64{uint64(t.At), t.Who, t.N, uint64(t.State), t.Sum} {
+	for i := range r.Attempts {
+		t := &r.Attempts[i]
+		for _, n := range [...]uint64{uint64(t.UnixMilli), t.Incarnation, t.Sequence, uint64(t.State), t.ResultChecksum} {
 			b = binary.LittleEndian.AppendUint64(b, n)
 		}
 	}
 	return b
 }
 
-// sum is the same for all copies that agree.
-func (r *Record) sum(scratch []byte) uint64 { return xxhash.Sum64(r.put(scratch)) }
+// checksum is the same for all copies that agree.
+func (r *Record) checksum(scratch []byte) uint64 { return xxhash.Sum64(r.appendEncoding(scratch)) }
 
-// check guards a record against bits that change where it is held.
-func (r *Record) check(scratch []byte) uint32 {
-	c := crc32.ChecksumIEEE(r.put(scratch))
-	for i := range r.Tries {
-		c = crc32.Update(c, crc32.IEEETable, r.Tries[i].Result)
+// corruptionCheck guards a record against bits that change where it is held.
+func (r *Record) corruptionCheck(scratch []byte) uint32 {
+	c := crc32.ChecksumIEEE(r.appendEncoding(scratch))
+	for i := range r.Attempts {
+		c = crc32.Update(c, crc32.IEEETable, r.Attempts[i].Result)
 	}
 	return c
 }
--- a/internal/replica/store.go
+++ b/internal/replica/store.go
@@ -9,32 +9,32 @@
 // entry is a record as it is held.
 type entry struct {
 	Record
-	crc   uint32 // over all of it, so that a changed bit is found before it is told to anyone
-	sum   uint64 // its part of the slot's
-	size  int
-	index int // in the queue
+	crc       uint32 // over all of it, so that a changed bit is found before it is told to anyone
+	checksum  uint64 // its part of the slot's
+	bytes     int
+	heapIndex int // in the queue
 }
 
 // Store holds records, bounded in number and bytes.
 type Store struct {
-	slots            [Slots]map[Key]*entry
-	sums             [Slots]uint64
-	queue            queue // by when they are forgotten
-	bytes            int
-	maxEntries, most int
-	scratch          []byte
-	Dropped          int // results that were dropped to make room
-	Flipped          int // records that had changed where they were held
+	slots                [SlotCount]map[Key]*entry
+	checksums            [SlotCount]uint64
+	expiryQueue          expiryHeap // by when they are forgotten
+	usedBytes            int
+	maxEntries, maxBytes int
+	scratch              []byte
+	DroppedResults       int // results that were dropped to make room
+	CorruptedRecords     int // records that had changed where they were held
 }
 
 // NewStore makes an empty one.
 func NewStore(maxEntries, maxBytes int) *Store {
-	return &Store{maxEntries: maxEntries, most: maxBytes}
+	return &Store{maxEntries: maxEntries, maxBytes: maxBytes}
 }
 
 // Len counts the records, Bytes what they take.
-func (s *Store) Len() int   { return len(s.queue) }
-func (s *Store) Bytes() int { return s.bytes }
+func (s *Store) Len() int   { return len(s.expiryQueue) }
+func (s *Store) Bytes() int { return s.usedBytes }
 
 // Get gives the record of a key, nil where there is none. It is not to be changed. Where it is not as it was entered it is taken out, and ok is false:
 // what was known of the key is lost here then.
@@ -43,9 +43,9 @@
 	if e == nil {
 		return nil, true
 	}
-	if e.check(s.scratch[:0]) != e.crc {
-		s.Flipped++
-		s.drop(e)
+	if e.corruptionCheck(s.scratch[:0]) != e.crc {
+		s.CorruptedRecords++
+		s.remove(e)
 		return nil, false
 	}
 	return &e.Record, true
@@ -55,92 +55,92 @@
 // Where bytes run out the oldest results go, and only they: that a key ran is never forgotten before its time.
 func (s *Store) Put(r Record) bool {
 	old := s.slots[r.Key.Slot()][r.Key]
-	e := &entry{Record: r, size: r.bytes()}
-	grows := e.size
+	e := &entry{Record: r, bytes: r.sizeInBytes()}
+	grows := e.bytes
 	if old != nil {
-		grows -= old.size
-	} else if len(s.queue) >= s.maxEntries {
+		grows -= old.bytes
+	} else if len(s.expiryQueue) >= s.maxEntries {
 		return false
 	}
-	if over := s.bytes + grows - s.most; over > 0 && !s.shed(over, r.Key) && old == nil {
+	if over := s.usedBytes + grows - s.maxBytes; over > 0 && !s.shedResults(over, r.Key) && old == nil {
 		return false
 	}
 	if old != nil {
-		s.drop(old)
+		s.remove(old)
 	}
-	s.seal(e)
+	s.updateChecksums(e)
 	slot := r.Key.Slot()
 	if s.slots[slot] == nil {
 		s.slots[slot] = map[Key]*entry{}
 	}
 	s.slots[slot][r.Key] = e
-	s.sums[slot] ^= e.sum
-	s.bytes += e.size
-	heap.Push(&s.queue, e)
+	s.checksums[slot] ^= e.checksum
+	s.usedBytes += e.bytes
+	heap.Push(&s.expiryQueue, e)
 	return true
 }
 
-func (s *Store) seal(e *entry) {
-	e.crc = e.check(s.scratch[:0])
-	s.scratch = e.put(s.scratch[:0])
-	e.sum = e.Record.sum(s.scratch[:0])
+func (s *Store) updateChecksums(e *entry) {
+	e.crc = e.corruptionCheck(s.scratch[:0])
+	s.scratch = e.appendEncoding(s.scratch[:0])
+	e.checksum = e.Record.checksum(s.scratch[:0])
 }
 
-// maxLooked bounds how many records are looked through for results to drop, so that a full store costs each newcomer little.
-const maxLooked = 256
+// maxShedScan bounds how many records are looked through for results to drop, so that a full store costs each newcomer little.
+const maxShedScan = 256
 
-// shed drops results, those next to be forgotten first, until so many bytes are free.
-func (s *Store) shed(over int, but Key) bool {
-	for i := 0; i < len(s.queue) && i < maxLooked && over > 0; i++ { // the front of a heap is roughly its oldest part
-		e := s.queue[i]
+// shedResults drops results, those next to be forgotten first, until so many bytes are free.
+func (s *Store) shedResults(over int, but Key) bool {
+	for i := 0; i < len(s.expiryQueue) && i < maxShedScan && over > 0; i++ { // the front of a heap is roughly its oldest part
+		e := s.expiryQueue[i]
 		if e.Key == but {
 			continue
 		}
-		for j := range e.Tries {
-			if t := &e.Tries[j]; t.Result != nil {
+		for j := range e.Attempts {
+			if t := &e.Attempts[j]; t.Result != nil {
 				over -= len(t.Result)
-				s.bytes -= len(t.Result)
-				e.size -= len(t.Result)
-				e.Tries = slices.Clone(e.Tries)
-				e.Tries[j].Result = nil
-				s.Dropped++
+				s.usedBytes -= len(t.Result)
+				e.bytes -= len(t.Result)
+				e.Attempts = slices.Clone(e.Attempts)
+				e.Attempts[j].Result = nil
+				s.DroppedResults++
 			}
 		}
-		s.seal(e)
+		s.updateChecksums(e)
 	}
 	return over <= 0
 }
 
-func (s *Store) drop(e *entry) {
+func (s *Store) remove(e *entry) {
 	slot := e.Key.Slot()
 	delete(s.slots[slot], e.Key)
-	s.sums[slot] ^= e.sum
-	s.bytes -= e.size
-	heap.Remove(&s.queue, e.index)
+	s.checksums[slot] ^= e.checksum
+	s.usedBytes -= e.bytes
+	heap.Remove(&s.expiryQueue, e.heapIndex)
 }
 
-// Age forgets what has run out, at most so many.
-func (s *Store) Age(now float64, most int) (n int) {
-	for ; n < most && len(s.queue) > 0 && s.queue[0].Until <= now; n++ {
-		s.drop(s.queue[0])
+// Expire forgets what has run out, at most so many.
+func (s *Store) Expire(now float64, most int) (n int) {
+	for ; n < most && len(s.expiryQueue) > 0 && s.expiryQueue[0].ExpiresAt <= now; n++ {
+		s.remove(s.expiryQueue[0])
 	}
 	return n
 }
 
-// Next is when the next record runs out.
-func (s *Store) Next() float64 {
-	if len(s.queue) == 0 {
+// NextExpiry is when the next record runs out.
+func (s *Store) NextExpiry() float64 {
+	if len(s.expiryQueue) == 0 {
 		return math.Inf(1)
 	}
-	return s.queue[0].Until
+	return s.expiryQueue[0].ExpiresAt
 }
 
-// Sum is a slot's: two holders whose sums are the same know the same of it.
-func (s *Store) Sum(slot int) uint64 { return s.sums[slot] }
+// Checksum is a slot's: two holders whose sums are the same know the same of it.
+func (s *Store) Checksum(slot int) uint64 { return s.checksums[slot] }
 
-// Slice lists records of a slot in the order of keys, from after a key on, for so many bytes at most, and tells whether that was all. A record that is
+// Scan lists records of a slot in the order of keys, from after a key on, for so many bytes at most, and tells whether that was all. A record that is
 // not as it was entered is left out and taken out; ok is false then.
-func (s *Store) Slice(slot int, after Key, first bool, bytes int) (list []*Record, all, ok bool) {
+func (s *Store) Scan(slot int, after Key, first bool, bytes int) (list []*Record, all, ok bool) {
 	ok = true
 	var keys []Key
 	for k := range s.slots[slot] {
@@ -158,45 +158,45 @@
 			ok = false
 			continue
 		}
-		bytes -= r.bytes()
+		bytes -= r.sizeInBytes()
 		list = append(list, r)
 	}
 	return list, true, ok
 }
 
-// Clear forgets a slot.
-func (s *Store) Clear(slot int) {
+// ClearSlot forgets a slot.
+func (s *Store) ClearSlot(slot int) {
 	for _, e := range s.slots[slot] {
-		s.drop(e)
+		s.remove(e)
 	}
 }
 
-// Flip changes a bit of a record where it is held, for tests.
-func (s *Store) Flip(k Key) {
-	if e := s.slots[k.Slot()][k]; e != nil && len(e.Tries) > 0 {
-		e.Tries = slices.Clone(e.Tries)
-		e.Tries[0].State ^= 2
+// FlipBit changes a bit of a record where it is held, for tests.
+func (s *Store) FlipBit(k Key) {
+	if e := s.slots[k.Slot()][k]; e != nil && len(e.Attempts) > 0 {
+		e.Attempts = slices.Clone(e.Attempts)
+		e.Attempts[0].State ^= 2
 	}
 }
 
-// queue is a heap of entries by when they are forgotten.
-type queue []*entry
+// expiryHeap is a heap of entries by when they are forgotten.
+type expiryHeap []*entry
 
-func (q queue) Len() int           { return len(q) }
-func (q queue) Less(i, j int) bool { return q[i].Until < q[j].Until }
-func (q queue) Swap(i, j int) {
+func (q expiryHeap) Len() int           { return len(q) }
+func (q expiryHeap) Less(i, j int) bool { return q[i].ExpiresAt < q[j].ExpiresAt }
+func (q expiryHeap) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
-	q[i].index, q[j].index = i, j
+	q[i].heapIndex, q[j].heapIndex = i, j
 }
 
 // Push and Pop are for container/heap.
-func (q *queue) Push(x any) {
+func (q *expiryHeap) Push(x any) {
 	e := x.(*entry)
-	e.index = len(*q)
+	e.heapIndex = len(*q)
 	*q = append(*q, e)
 }
 
-func (q *queue) Pop() any {
+func (q *expiryHeap) Pop() any {
 	old := *q
 	e := old[len(old)-1]
 	old[len(old)-1] = nil
--- a/internal/wire/fleet/copies.go
+++ b/internal/wire/fleet/copies.go
@@ -19,23 +19,23 @@
 const (
 	maxResult = 64 << 10 // bytes of a result
 	maxTries  = 256      // of a record, merged from all of its holders
-	maxParts  = state.Slots
+	maxParts  = state.SlotCount
 	maxCopies = 4096 // records in a slice
 )
 
-func putSit(s replica.Sitting) *Sitting { return &Sitting{N: s.N, Life: s.Life} }
+func putSit(s replica.Term) *Sitting { return &Sitting{N: s.Number, Life: s.Incarnation} }
 
-func sit(p *Sitting) replica.Sitting { return replica.Sitting{N: p.GetN(), Life: p.GetLife()} }
+func sit(p *Sitting) replica.Term { return replica.Term{Number: p.GetN(), Incarnation: p.GetLife()} }
 
-func putSits(list []replica.Sitting) (to []*Sitting) {
+func putSits(list []replica.Term) (to []*Sitting) {
 	for _, s := range list {
 		to = append(to, putSit(s))
 	}
 	return to
 }
 
-func sits(p []*Sitting) (list []replica.Sitting, err error) {
-	if len(p) > replica.MaxCopies {
+func sits(p []*Sitting) (list []replica.Term, err error) {
+	if len(p) > replica.MaxReplicationFactor {
 		return nil, errSize
 	}
 	for _, s := range p {
@@ -44,11 +44,11 @@
 	return list, nil
 }
 
-func putTry(t *state.Try) *Try {
-	return &Try{At: t.At, Who: t.Who, N: t.N, State: uint32(t.State), Sum: t.Sum, Result: t.Result}
+func putTry(t *state.Attempt) *Try {
+	return &Try{At: t.UnixMilli, Who: t.Incarnation, N: t.Sequence, State: uint32(t.State), Sum: t.ResultChecksum, Result: t.Result}
 }
 
-func putTries(list []state.Try) (to []*Try) {
+func putTries(list []state.Attempt) (to []*Try) {
 	for i := range list {
 		to = append(to, putTry(&list[i]))
 	}
@@ -56,24 +56,24 @@
 }
 
 // try reads a try. A result that is not the one that was entered does not come in.
-func try(p *Try) (t state.Try, err error) {
+func try(p *Try) (t state.Attempt, err error) {
 	if p == nil {
 		return t, errEmpty
 	}
-	t = state.Try{Claim: state.Claim{At: p.At, Who: p.Who, N: p.N}, State: state.State(min(p.State, 255)), Sum: p.Sum, Result: p.Result}
+	t = state.Attempt{ClaimID: state.ClaimID{UnixMilli: p.At, Incarnation: p.Who, Sequence: p.N}, State: state.State(min(p.State, 255)), ResultChecksum: p.Sum, Result: p.Result}
 	switch {
 	case len(p.Result) > maxResult:
 		err = errSize
-	case t.State > state.Finished, t.State != state.Finished && (t.Result != nil || t.Sum != 0):
+	case t.State > state.StateFinished, t.State != state.StateFinished && (t.Result != nil || t.ResultChecksum != 0):
 		err = errValue
-	case !t.Whole():
+	case !t.Intact():
 		err = fmt.Errorf("a result that is not the one that was entered: %w", errValue)
 	}
 	return t, err
 }
 
 // tries reads those of a record, which stand in the order of claims.
-func tries(p []*Try) (list []state.Try, err error) {
+func tries(p []*Try) (list []state.Attempt, err error) {
 	if len(p) > maxTries {
 		return nil, errSize
 	}
@@ -82,7 +82,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if i > 0 && list[i-1].Compare(t.Claim) >= 0 {
+		if i > 0 && list[i-1].Compare(t.ClaimID) >= 0 {
 			return nil, errValue
 		}
 		list = append(list, t)
@@ -99,11 +99,11 @@
 }
 
 func slotNumbers(p []uint32) (slots []int, err error) {
-	if len(p) > state.Slots {
+	if len(p) > state.SlotCount {
 		return nil, errSize
 	}
 	for _, n := range p {
-		if n >= state.Slots {
+		if n >= state.SlotCount {
 			return nil, errValue
 		}
 		slots = append(slots, int(n))
@@ -132,25 +132,25 @@
 	switch {
 	case m.Claiming != nil:
 		q := m.Claiming
-		p.Body = &Packet_Claiming{&Claiming{Plan: q.Plan, Verb: uint32(q.Verb), Key: q.Key[:], Try: putTry(&q.Try), Sits: putSits(q.Sits)}}
+		p.Body = &Packet_Claiming{&Claiming{Plan: q.ConfigDigest, Verb: uint32(q.Operation), Key: q.Key[:], Try: putTry(&q.Attempt), Sits: putSits(q.Terms)}}
 	case m.Claimed != nil:
 		a := m.Claimed
-		p.Body = &Packet_Claimed{&Claimed{Key: a.Key[:], Claim: putTry(&state.Try{Claim: a.Claim}), Verb: uint32(a.Verb), Verdict: uint32(a.Verdict),
-			Sits: putSits(a.Sits), Tries: putTries(a.Tries)}}
+		p.Body = &Packet_Claimed{&Claimed{Key: a.Key[:], Claim: putTry(&state.Attempt{ClaimID: a.ClaimID}), Verb: uint32(a.Operation), Verdict: uint32(a.Status),
+			Sits: putSits(a.Terms), Tries: putTries(a.Attempts)}}
 	case m.Pull != nil:
 		q := m.Pull
-		to := &Pulling{Plan: q.Plan, Number: q.Number, Sit: putSit(q.Sit), Slots: putSlots(q.Slots)}
-		if q.Begun {
-			to.After = q.After[:]
+		to := &Pulling{Plan: q.ConfigDigest, Number: q.Sequence, Sit: putSit(q.Term), Slots: putSlots(q.Slots)}
+		if q.Resumes {
+			to.After = q.AfterKey[:]
 		}
 		p.Body = &Packet_Pulling{to}
 	case m.Slice != nil:
 		s := m.Slice
-		to := &Slice{Plan: s.Plan, Number: s.Number, Sit: putSit(s.Sit), Yours: putSit(s.Yours)}
-		for _, part := range s.Parts {
-			one := &SlotPart{Slot: uint32(part.Slot), Warm: part.Warm, All: part.All}
+		to := &Slice{Plan: s.ConfigDigest, Number: s.Sequence, Sit: putSit(s.Term), Yours: putSit(s.RequesterTerm)}
+		for _, part := range s.Slots {
+			one := &SlotPart{Slot: uint32(part.Slot), Warm: part.CaughtUp, All: part.Complete}
 			for _, c := range part.Copies {
-				r := &Record{Key: c.Record.Key[:], Left: c.Left, Tries: putTries(c.Record.Tries)}
+				r := &Record{Key: c.Record.Key[:], Left: c.TimeToLive, Tries: putTries(c.Record.Attempts)}
 				r.Check = check(r)
 				one.Records = append(one.Records, r)
 			}
@@ -158,15 +158,15 @@
 		}
 		p.Body = &Packet_Slice{to}
 	case m.Sums != nil:
-		p.Body = &Packet_Sums{&Sums{Plan: m.Sums.Plan, Sit: putSit(m.Sums.Sit), Slots: putSlots(m.Sums.Slots), Sums: m.Sums.Sums}}
+		p.Body = &Packet_Sums{&Sums{Plan: m.Sums.ConfigDigest, Sit: putSit(m.Sums.Term), Slots: putSlots(m.Sums.Slots), Sums: m.Sums.Values}}
 	case m.AskCallers:
 		p.Body = &Packet_AskCallers{&AskCallers{}}
 	case m.Vouchers != nil:
 		to := &Vouchers{}
 		for i := range m.Vouchers {
 			v := &m.Vouchers[i]
-			one := &Voucher{Name: v.Name, Life: v.Life, Number: v.Number}
-			for _, e := range v.Earned {
+			one := &Voucher{Name: v.Name, Life: v.Incarnation, Number: v.Sequence}
+			for _, e := range v.Clients {
 				addr := e.Addr.As16()
 				one.Callers = append(one.Callers, &Caller{Addr: addr[:], Credit: float32(e.Credit)})
 			}
@@ -199,16 +199,16 @@
 }
 
 // vouchers reads servers' words on callers.
-func vouchers(p *Vouchers) (list []replica.Voucher, err error) {
+func vouchers(p *Vouchers) (list []replica.TrustRecord, err error) {
 	if len(p.Vouchers) > maxShortList {
 		return nil, errSize
 	}
-	list = []replica.Voucher{}
+	list = []replica.TrustRecord{}
 	for _, v := range p.Vouchers {
-		if len(v.Callers) > replica.MaxEarned {
+		if len(v.Callers) > replica.MaxTrustedClients {
 			return nil, errSize
 		}
-		one := replica.Voucher{Name: v.Name, Life: v.Life, Number: v.Number}
+		one := replica.TrustRecord{Name: v.Name, Incarnation: v.Life, Sequence: v.Number}
 		for _, c := range v.Callers {
 			if len(c.Addr) != 16 {
 				return nil, errSize
@@ -216,7 +216,7 @@
 			if err := count(float64(c.Credit)); err != nil {
 				return nil, err
 			}
-			one.Earned = append(one.Earned, door.Earned{Addr: netip.AddrFrom16([16]byte(c.Addr)).Unmap(), Credit: float64(c.Credit)})
+			one.Clients = append(one.Clients, door.Earned{Addr: netip.AddrFrom16([16]byte(c.Addr)).Unmap(), Credit: float64(c.Credit)})
 		}
 		if err := short(v.Name); err != nil {
 			return nil, err
@@ -233,17 +233,17 @@
 	case *Packet_Claimed:
 		m.Claimed, err = claimed(body.Claimed)
 	case *Packet_Pulling:
-		q := &replica.Pull{Plan: body.Pulling.Plan, Number: body.Pulling.Number, Sit: sit(body.Pulling.Sit)}
+		q := &replica.PullRequest{ConfigDigest: body.Pulling.Plan, Sequence: body.Pulling.Number, Term: sit(body.Pulling.Sit)}
 		if q.Slots, err = slotNumbers(body.Pulling.Slots); err == nil && body.Pulling.After != nil {
-			q.After, err = key(body.Pulling.After)
-			q.Begun = true
+			q.AfterKey, err = key(body.Pulling.After)
+			q.Resumes = true
 		}
 		m.Pull = q
 	case *Packet_Slice:
 		m.Slice, err = slice(body.Slice)
 	case *Packet_Sums:
-		s := &replica.Sums{Plan: body.Sums.Plan, Sit: sit(body.Sums.Sit), Sums: body.Sums.Sums}
-		if s.Slots, err = slotNumbers(body.Sums.Slots); err == nil && len(s.Sums) != max(1, len(s.Slots)) {
+		s := &replica.Checksums{ConfigDigest: body.Sums.Plan, Term: sit(body.Sums.Sit), Values: body.Sums.Sums}
+		if s.Slots, err = slotNumbers(body.Sums.Slots); err == nil && len(s.Values) != max(1, len(s.Slots)) {
 			err = errSize
 		}
 		m.Sums = s
@@ -266,51 +266,51 @@
 	return err
 }
 
-func claiming(p *Claiming) (q *replica.Ask, err error) {
-	if p.Verb > uint32(replica.Say) {
+func claiming(p *Claiming) (q *replica.ClaimRequest, err error) {
+	if p.Verb > uint32(replica.OpReport) {
 		return nil, errValue
 	}
-	q = &replica.Ask{Plan: p.Plan, Verb: replica.Verb(p.Verb)}
+	q = &replica.ClaimRequest{ConfigDigest: p.Plan, Operation: replica.Operation(p.Verb)}
 	if q.Key, err = key(p.Key); err != nil {
 		return nil, err
 	}
-	if q.Try, err = try(p.Try); err != nil {
+	if q.Attempt, err = try(p.Try); err != nil {
 		return nil, err
 	}
-	if q.Verb == replica.Say && q.Try.State == state.Claimed || q.Verb != replica.Say && q.Try.State != state.Claimed {
+	if q.Operation == replica.OpReport && q.Attempt.State == state.StateClaimed || q.Operation != replica.OpReport && q.Attempt.State != state.StateClaimed {
 		return nil, errValue
 	}
-	q.Sits, err = sits(p.Sits)
+	q.Terms, err = sits(p.Sits)
 	return q, err
 }
 
-func claimed(p *Claimed) (a *replica.Answer, err error) {
-	if p.Verb > uint32(replica.Say) || p.Verdict > uint32(replica.Other) || p.Claim == nil {
+func claimed(p *Claimed) (a *replica.ClaimReply, err error) {
+	if p.Verb > uint32(replica.OpReport) || p.Verdict > uint32(replica.ReplyMisrouted) || p.Claim == nil {
 		return nil, errValue
 	}
-	a = &replica.Answer{Claim: state.Claim{At: p.Claim.At, Who: p.Claim.Who, N: p.Claim.N}, Verb: replica.Verb(p.Verb), Verdict: replica.Verdict(p.Verdict)}
+	a = &replica.ClaimReply{ClaimID: state.ClaimID{UnixMilli: p.Claim.At, Incarnation: p.Claim.Who, Sequence: p.Claim.N}, Operation: replica.Operation(p.Verb), Status: replica.ReplyStatus(p.Verdict)}
 	if a.Key, err = key(p.Key); err != nil {
 		return nil, err
 	}
-	if a.Sits, err = sits(p.Sits); err != nil {
+	if a.Terms, err = sits(p.Sits); err != nil {
 		return nil, err
 	}
-	a.Tries, err = tries(p.Tries)
+	a.Attempts, err = tries(p.Tries)
 	return a, err
 }
 
 // slice reads one whole: a record that changed on its way makes all of it unheard, as what is missing would be taken for unknown.
-func slice(p *Slice) (*replica.Slice, error) {
-	s := &replica.Slice{Plan: p.Plan, Number: p.Number, Sit: sit(p.Sit), Yours: sit(p.Yours)}
+func slice(p *Slice) (*replica.PullReply, error) {
+	s := &replica.PullReply{ConfigDigest: p.Plan, Sequence: p.Number, Term: sit(p.Sit), RequesterTerm: sit(p.Yours)}
 	n := 0
 	if len(p.Parts) > maxParts {
 		return nil, errSize
 	}
 	for _, part := range p.Parts {
-		if n += len(part.Records); part.Slot >= state.Slots || n > maxCopies {
+		if n += len(part.Records); part.Slot >= state.SlotCount || n > maxCopies {
 			return nil, errSize
 		}
-		to := replica.Part{Slot: int(part.Slot), Warm: part.Warm, All: part.All}
+		to := replica.SlotRecords{Slot: int(part.Slot), CaughtUp: part.Warm, Complete: part.All}
 		for _, r := range part.Records {
 			k, err := key(r.Key)
 			if err != nil {
@@ -326,26 +326,26 @@
 			if err := count(r.Left); err != nil {
 				return nil, err
 			}
-			to.Copies = append(to.Copies, replica.Copy{Record: &state.Record{Key: k, Tries: list}, Left: r.Left})
+			to.Copies = append(to.Copies, replica.RecordCopy{Record: &state.Record{Key: k, Attempts: list}, TimeToLive: r.Left})
 		}
-		s.Parts = append(s.Parts, to)
+		s.Slots = append(s.Slots, to)
 	}
 	return s, nil
 }
 
-func putStanding(s *replica.Standing) *CopiesState {
+func putStanding(s *replica.Status) *CopiesState {
 	if s == nil {
 		return nil
 	}
-	return &CopiesState{Cold: uint32(s.Cold), Differ: uint32(s.Differ), Learned: uint64(s.Learned), Aged: uint64(s.Aged), Mended: uint64(s.Mended),
-		Alarms: uint64(s.Alarms), Records: uint64(s.Records), Bytes: uint64(s.Bytes), Dropped: uint64(s.Dropped), Flipped: uint64(s.Flipped),
-		Claims: uint64(s.Claims), Promised: uint64(s.Promised), Unpromised: uint64(s.Unpromised), Holder: s.Holder, Plan: s.Plan}
+	return &CopiesState{Cold: uint32(s.CatchingUp), Differ: uint32(s.OutOfSync), Learned: uint64(s.CaughtUpByPeers), Aged: uint64(s.CaughtUpByTimeout), Mended: uint64(s.RepairedRecords),
+		Alarms: uint64(s.ConflictingResults), Records: uint64(s.Records), Bytes: uint64(s.Bytes), Dropped: uint64(s.DroppedResults), Flipped: uint64(s.CorruptedRecords),
+		Claims: uint64(s.ActiveClaims), Promised: uint64(s.ReplicatedResults), Unpromised: uint64(s.UnreplicatedResults), Holder: s.IsReplica, Plan: s.ConfigDigest}
 }
 
-func standing(p *CopiesState) *replica.Standing {
-	return &replica.Standing{Cold: int(p.Cold), Differ: int(p.Differ), Learned: int(p.Learned), Aged: int(p.Aged), Mended: int(p.Mended), Alarms: int(p.Alarms),
-		Records: int(p.Records), Bytes: int(p.Bytes), Dropped: int(p.Dropped), Flipped: int(p.Flipped), Claims: int(p.Claims), Promised: int(p.Promised),
-		Unpromised: int(p.Unpromised), Holder: p.Holder, Plan: p.Plan}
+func standing(p *CopiesState) *replica.Status {
+	return &replica.Status{CatchingUp: int(p.Cold), OutOfSync: int(p.Differ), CaughtUpByPeers: int(p.Learned), CaughtUpByTimeout: int(p.Aged), RepairedRecords: int(p.Mended), ConflictingResults: int(p.Alarms),
+		Records: int(p.Records), Bytes: int(p.Bytes), DroppedResults: int(p.Dropped), CorruptedRecords: int(p.Flipped), ActiveClaims: int(p.Claims), ReplicatedResults: int(p.Promised),
+		UnreplicatedResults: int(p.Unpromised), IsReplica: p.Holder, ConfigDigest: p.Plan}
 }
 
 // wishing reads a server's question about budgets. What it says of them the granter bounds; here only what is no number is refused.
--- a/internal/wire/fleet/fleet.go
+++ b/internal/wire/fleet/fleet.go
@@ -45,12 +45,12 @@
 	Brief      *audit.Account
 	Ask        *Ask
 	Told       *Told
-	Claiming   *replica.Ask
-	Claimed    *replica.Answer
-	Pull       *replica.Pull
-	Slice      *replica.Slice
-	Sums       *replica.Sums
-	Vouchers   []replica.Voucher
+	Claiming   *replica.ClaimRequest
+	Claimed    *replica.ClaimReply
+	Pull       *replica.PullRequest
+	Slice      *replica.PullReply
+	Sums       *replica.Checksums
+	Vouchers   []replica.TrustRecord
 	AskCallers bool
 	Wishes     *budget.Question
 	Grants     *budget.Answer
@@ -85,7 +85,7 @@
 	Accounts  []audit.Account
 	Order     *version.Order
 	Standings []member.ServerStatus
-	Copies    *replica.Standing // nil where it keeps and claims nothing
+	Copies    *replica.Status // nil where it keeps and claims nothing
 }
 
 var (
--- a/internal/wire/fleet/fleet_test.go
+++ b/internal/wire/fleet/fleet_test.go
@@ -45,7 +45,7 @@
 // samples has one message of each kind.
 func samples() []*Message {
 	o, k := fullOrder(), state.KeyOf("s", "k")
-	ran := state.Finish(state.Claim{At: -3, Who: 4, N: 5}, []byte("r"))
+	ran := state.NewFinishedAttempt(state.ClaimID{UnixMilli: -3, Incarnation: 4, Sequence: 5}, []byte("r"))
 	account := audit.Account{Name: "n1", Life: 5, Started: 1, Seen: 9, Dropped: 2, Intervals: []audit.Interval{{N: 2, Epoch: 3, Digest: "d", From: 1, To: 2,
 		Batches: 4, Tasks: 5, Why: "released"}}}
 	beat := &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: new(uint64(5)), To: new(uint64(6)), Term: new(uint64(2))}
@@ -63,8 +63,8 @@
 		{Done: &Done{ID: 3, Refused: "no", Newest: 5}}, {Brief: &account}, {Ask: &Ask{Number: 4, Names: []string{"n1"}, Founding: 7, Count: 9}},
 		{Told: &Told{Number: 4, Accounts: []audit.Account{account}, Order: o, Standings: []member.ServerStatus{{Name: "n1", Incarnation: 5, ActiveEpoch: 3, AssignedEpoch: 4,
 			SecondsSinceHeard: 1, SecondsBehind: 2, BlockedBy: "s", EjectionReason: "o", Build: "b", Reported: true}},
-			Copies: &replica.Standing{Plan: 1, Holder: true, Cold: 2, Differ: 3, Learned: 4, Aged: 5, Mended: 6, Alarms: 7, Records: 8, Bytes: 9, Dropped: 10,
-				Flipped: 11, Claims: 12, Promised: 13, Unpromised: 14}}},
+			Copies: &replica.Status{ConfigDigest: 1, IsReplica: true, CatchingUp: 2, OutOfSync: 3, CaughtUpByPeers: 4, CaughtUpByTimeout: 5, RepairedRecords: 6, ConflictingResults: 7, Records: 8, Bytes: 9, DroppedResults: 10,
+				CorruptedRecords: 11, ActiveClaims: 12, ReplicatedResults: 13, UnreplicatedResults: 14}}},
 		{PlanReport: &plan.Report{Name: "f1", Life: 3, Number: 4, For: 0.5, Holds: plan.Number{Founding: 1, Term: 2, Seq: 3}, Demand: []plan.Demand{{Tenant: "acme", Rate: 2}},
 			Workers: []plan.Seen{{Name: "w1", Linked: true, Open: 1, Finished: 2, Rejected: 3, Lost: 4}}}},
 		{PlanPart: &plan.Part{Number: plan.Number{Founding: 1, Term: 2, Seq: 3}, For: 3, Answers: 4, Lease: 2, Weights: []plan.Weight{{Name: "w1", Part: 0.5}},
@@ -72,13 +72,13 @@
 		{Row: &counts.Told{Name: "n1", Life: 5, Row: 6, Number: 3, Base: 2, Closes: true, Stands: 1, Cells: countsOf(4), Sits: []uint64{7, 8}}},
 		{RowHeard: &counts.Heard{Row: 6, Number: 3, Over: true, Sits: []uint64{7}}}, {AskRows: &counts.Ask{Number: 2, Rows: []counts.Heard{{Row: 6, Number: 1}}, All: true, After: 7, Sits: []uint64{7, 9}}},
 		{Rows: &counts.Said{Number: 2, Cold: true, More: true, Sits: []uint64{1}, Rows: []counts.Told{{Name: "n1", Life: 5, Row: 6, Number: 3, Cells: countsOf(4)}}}},
-		{Claiming: &replica.Ask{Plan: 3, Verb: replica.Say, Key: k, Try: ran, Sits: []replica.Sitting{{N: 4, Life: 5}, {}}}},
-		{Claimed: &replica.Answer{Key: k, Claim: ran.Claim, Verb: replica.Look, Verdict: replica.Held, Sits: []replica.Sitting{{N: 4, Life: 5}}, Tries: []state.Try{ran}}},
-		{Pull: &replica.Pull{Plan: 3, Number: 2, Sit: replica.Sitting{N: 4, Life: 5}, Slots: []int{0, 255}, After: k, Begun: true}},
-		{Slice: &replica.Slice{Plan: 3, Number: 2, Sit: replica.Sitting{N: 4, Life: 5}, Yours: replica.Sitting{N: 1, Life: 2}, Parts: []replica.Part{{Slot: 7, Warm: true,
-			Copies: []replica.Copy{{Record: &state.Record{Key: k, Tries: []state.Try{ran}}, Left: 2.5}}}, {Slot: 8, All: true}}}},
-		{Sums: &replica.Sums{Plan: 3, Sit: replica.Sitting{N: 4, Life: 5}, Slots: []int{9}, Sums: []uint64{10}}}, {AskCallers: true},
-		{Vouchers: []replica.Voucher{{Name: "n1", Life: 5, Number: 6, Earned: []door.Earned{{Addr: netip.MustParseAddr("10.0.0.1"), Credit: 3}}}}},
+		{Claiming: &replica.ClaimRequest{ConfigDigest: 3, Operation: replica.OpReport, Key: k, Attempt: ran, Terms: []replica.Term{{Number: 4, Incarnation: 5}, {}}}},
+		{Claimed: &replica.ClaimReply{Key: k, ClaimID: ran.ClaimID, Operation: replica.OpQuery, Status: replica.ReplyConflict, Terms: []replica.Term{{Number: 4, Incarnation: 5}}, Attempts: []state.Attempt{ran}}},
+		{Pull: &replica.PullRequest{ConfigDigest: 3, Sequence: 2, Term: replica.Term{Number: 4, Incarnation: 5}, Slots: []int{0, 255}, AfterKey: k, Resumes: true}},
+		{Slice: &replica.PullReply{ConfigDigest: 3, Sequence: 2, Term: replica.Term{Number: 4, Incarnation: 5}, RequesterTerm: replica.Term{Number: 1, Incarnation: 2}, Slots: []replica.SlotRecords{{Slot: 7, CaughtUp: true,
+			Copies: []replica.RecordCopy{{Record: &state.Record{Key: k, Attempts: []state.Attempt{ran}}, TimeToLive: 2.5}}}, {Slot: 8, Complete: true}}}},
+		{Sums: &replica.Checksums{ConfigDigest: 3, Term: replica.Term{Number: 4, Incarnation: 5}, Slots: []int{9}, Values: []uint64{10}}}, {AskCallers: true},
+		{Vouchers: []replica.TrustRecord{{Name: "n1", Incarnation: 5, Sequence: 6, Clients: []door.Earned{{Addr: netip.MustParseAddr("10.0.0.1"), Credit: 3}}}}},
 		{Wishes: &budget.Question{Life: 77, Number: 3, Terms: 4, Granter: 5, Wishes: []budget.Wish{{Name: "calls", Demand: 1.5, Open: 2, Part: 3, Left: 0.5, Answer: 2}}}},
 		{Health: []health.Word{{Name: "n1", Zone: "z", Life: 5, Number: 6, Age: 0.5, Tally: health.Tally{Well: 3, Lost: 1, Took: 0.25}}}},
 		{Grants: &budget.Answer{Life: 77, Number: 3, Granter: 5, Grants: []budget.Grant{{Name: "calls", Part: 2.5}}}},
