--- a/cmd/swiftcourse-fleet/budgets.go
+++ b/cmd/swiftcourse-fleet/budgets.go
@@ -24,8 +24,8 @@
 )
 
 // termsOf reads the budgets of a file; none where budget-servers is not there.
-func termsOf(conf *life.Conf, start *life.Start) (budget.Terms, error) {
-	t := budget.Terms{Lease: conf.FleetLease.Seconds(), Floor: float64(conf.BudgetFloor), Servers: conf.BudgetServers}
+func termsOf(conf *life.Conf, start *life.Start) (budget.Config, error) {
+	t := budget.Config{LeaseSeconds: conf.FleetLease.Seconds(), FloorFraction: float64(conf.BudgetFloor), MaxServers: conf.BudgetServers}
 	if conf.BudgetServers == 0 {
 		if len(conf.Budgets) > 0 {
 			return t, errors.New("budget: needs budget-servers")
@@ -42,13 +42,13 @@
 		if !ok || err != nil || name != calls && !strings.HasPrefix(name, tenantBudget) {
 			return t, fmt.Errorf("budget: %q is neither tenant/NAME=RATE nor calls=NUMBER", text)
 		}
-		b := budget.Bound{Name: name, Most: most}
+		b := budget.Limit{Name: name, Max: most}
 		if name == calls { // a call ends with its task, and lingers below for as long as the platform says
-			b.Open, b.Linger = true, longest+start.Site.CallLinger
+			b.Concurrent, b.LingerSeconds = true, longest+start.Site.CallLinger
 		}
-		t.Bounds = append(t.Bounds, b)
+		t.Limits = append(t.Limits, b)
 	}
-	if err := t.Check(); err != nil {
+	if err := t.Validate(); err != nil {
 		return t, fmt.Errorf("budget: %w", err)
 	}
 	return t, nil
@@ -62,12 +62,12 @@
 	}
 	p.terms = terms
 	return &peers.Budgets{
-		Terms: func() budget.Terms {
+		Terms: func() budget.Config {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			return p.terms
 		},
-		Hear: func(list []budget.Allowed) {
+		Hear: func(list []budget.Allowance) {
 			here := make([]stance.Allowance, 0, len(list))
 			for _, a := range list {
 				tenant := -1
@@ -78,7 +78,7 @@
 					}
 					tenant = at
 				}
-				here = append(here, stance.Allowance{Name: a.Name, FleetMax: a.Most, Tenant: tenant, Guaranteed: a.Floor, LeasedShare: a.Part, LeaseExpiry: clock.Back(a.Till), BurstSeconds: budget.Depth, GrantNumber: a.Answer})
+				here = append(here, stance.Allowance{Name: a.Name, FleetMax: a.FleetMax, Tenant: tenant, Guaranteed: a.Floor, LeasedShare: a.LeasedShare, LeaseExpiry: clock.Back(a.LeaseExpiry), BurstSeconds: budget.BurstSeconds, GrantNumber: a.GrantNumber})
 			}
 			p.allow(func() { p.parted = here })
 		},
--- a/cmd/swiftcourse-fleet/command.go
+++ b/cmd/swiftcourse-fleet/command.go
@@ -272,16 +272,16 @@
 	t := table()
 	fmt.Fprintln(t, "held here\tfloor\tpart\tfor s")
 	for _, a := range s.Here {
-		fmt.Fprintf(t, "%s\t%.2f\t%.2f\t%.1f\n", a.Name, a.Floor, a.Part, a.Till-s.Now)
+		fmt.Fprintf(t, "%s\t%.2f\t%.2f\t%.1f\n", a.Name, a.Floor, a.LeasedShare, a.LeaseExpiry-s.Now)
 	}
 	if s.Leads {
 		fmt.Fprintln(t, "given by this server\tbudget\tgiven\tof\twanted\tservers\tnote")
 		for _, a := range s.Granted {
 			note := ""
-			if !a.Known {
+			if !a.PriorLeasesExpired {
 				note = "what was given before it led is not known yet: nobody gets more"
 			}
-			fmt.Fprintf(t, "%s\t%.2f\t%.2f\t%.2f\t%.2f\t%d\t%s\n", a.Name, a.Most, a.Given, a.Pool, a.Wanted, a.Servers, note)
+			fmt.Fprintf(t, "%s\t%.2f\t%.2f\t%.2f\t%.2f\t%d\t%s\n", a.Name, a.Max, a.Leased, a.Pool, a.Wanted, a.Servers, note)
 		}
 	}
 	if err := t.Flush(); err != nil {
--- a/cmd/swiftcourse-fleet/counts.go
+++ b/cmd/swiftcourse-fleet/counts.go
@@ -25,7 +25,7 @@
 	}
 	minute := map[stance.CounterKey]uint64{}
 	if s.Known != nil {
-		for _, n := range s.Known.Minute {
+		for _, n := range s.Known.LastMinute {
 			minute[n.CounterKey] = n.Received
 		}
 	}
@@ -51,18 +51,18 @@
 		fmt.Println("what all counted is known to", strings.Join(s.Keepers, ", "))
 		return nil
 	}
-	fmt.Printf("%d lives tell; about %.0f tasks may have come since they last did\n", k.Rows, k.Lacks)
-	for _, l := range k.Late {
-		fmt.Printf("%s has said nothing for %.0f s; it was asked for %.1f a second\n", l.Name, l.Silent, l.Rate)
+	fmt.Printf("%d lives tell; about %.0f tasks may have come since they last did\n", k.OpenRows, k.MaxMissing)
+	for _, l := range k.LateReports {
+		fmt.Printf("%s has said nothing for %.0f s; it was asked for %.1f a second\n", l.Server, l.SilentSeconds, l.RequestsPerSecond)
 	}
-	if k.Cold {
+	if k.Recovering {
 		fmt.Println("this one has just begun, and may not know all that the others know yet")
 	}
-	if k.Holes > 0 {
-		fmt.Printf("%d times it began without enough others to learn from: rows of servers that were gone by then may be missing\n", k.Holes)
+	if k.IncompleteRecoveries > 0 {
+		fmt.Printf("%d times it began without enough others to learn from: rows of servers that were gone by then may be missing\n", k.IncompleteRecoveries)
 	}
-	if k.Refused > 0 {
-		fmt.Printf("%d words could not be true, and were not taken\n", k.Refused)
+	if k.RejectedReports > 0 {
+		fmt.Printf("%d words could not be true, and were not taken\n", k.RejectedReports)
 	}
 	return nil
 }
--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -82,7 +82,7 @@
 	for _, d := range part.Rates {
 		if at, known := start.Tenants[d.Tenant]; known {
 			list = append(list, stance.Allowance{Name: "plan/" + d.Tenant, Tenant: at, FleetMax: math.MaxInt32, Guaranteed: math.MaxInt32, LeasedShare: d.Rate - math.MaxInt32, LeaseExpiry: till,
-				BurstSeconds: budget.Depth})
+				BurstSeconds: budget.BurstSeconds})
 		}
 	}
 	return list
--- a/cmd/swiftcourse-fleet/main.go
+++ b/cmd/swiftcourse-fleet/main.go
@@ -37,7 +37,7 @@
 	released string
 	server   *serve.Server
 	start    *life.Start
-	terms    budget.Terms // of the budgets that all share, as own and released say
+	terms    budget.Config // of the budgets that all share, as own and released say
 
 	parted []stance.Allowance // parts of budgets
 	held   peers.Held         // calls below
--- a/internal/judge/shared/budget/budget.go
+++ b/internal/judge/shared/budget/budget.go
@@ -13,114 +13,116 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bound is what the whole fleet may use of one thing.
-type Bound struct {
+// Limit is what the whole fleet may use of one thing.
+type Limit struct {
 	Name string
-	Most float64 // units a second, or units open at a time
+	Max  float64 // units a second, or units open at a time
 	// Open tells that units are open for a time, no longer than Linger seconds, rather than used up at once.
-	Open   bool
-	Linger float64
+	Concurrent    bool
+	LingerSeconds float64
 }
 
-// Terms are what all servers are told alike, by one version.
-type Terms struct {
-	Lease   float64 // seconds
-	Floor   float64 // part of each bound that is set aside for floors
-	Servers int     // at most so many processes at a time have floors
-	Bounds  []Bound
+// Config are what all servers are told alike, by one version.
+type Config struct {
+	LeaseSeconds  float64 // seconds
+	FloorFraction float64 // part of each bound that is set aside for floors
+	MaxServers    int     // at most so many processes at a time have floors
+	Limits        []Limit
 }
 
 const (
-	// Depth is how many seconds of a rate may be saved up: a tenth of a second's swing of a hundred tasks a second passes, and the fleet's slack is
+	// BurstSeconds is how many seconds of a rate may be saved up: a tenth of a second's swing of a hundred tasks a second passes, and the fleet's slack is
 	// no more than half a second of its bound. A unit may always be saved up, or a small part would never come to one.
-	Depth = 0.5
-	// drift is how much slower than the granter's a server's clock may run, as a part: far over any crystal's, and over the 1% that is played.
-	drift = 0.02
-	// ConfirmedFor is for how long, in seconds, a leader that is followed may still give parts: see package member.
-	ConfirmedFor = 1.0
-	// MaxBounds and MaxName bound the terms.
-	MaxBounds, MaxName = 16384, 96
+	BurstSeconds = 0.5
+	// maxClockDrift is how much slower than the granter's a server's clock may run, as a part: far over any crystal's, and over the 1% that is played.
+	maxClockDrift = 0.02
+	// leaderLeaseSeconds is for how long, in seconds, a leader that is followed may still give parts: see package member.
+	leaderLeaseSeconds = 1.0
+	// maxLimits and MaxName bound the terms.
+	maxLimits, maxNameLength = 16384, 96
 	// MaxEntries is how many budgets one message speaks of: under 20 KB.
 	MaxEntries = 128
 )
 
-// FloorOf is what each server may use of a bound without a word from anybody.
-func (t *Terms) FloorOf(b *Bound) float64 { return t.Floor * b.Most / float64(max(1, t.Servers)) }
+// FloorPerServer is what each server may use of a bound without a word from anybody.
+func (t *Config) FloorPerServer(b *Limit) float64 {
+	return t.FloorFraction * b.Max / float64(max(1, t.MaxServers))
+}
 
 // pool is what is given out in parts.
-func (t *Terms) pool(b *Bound) float64 { return (1 - t.Floor) * b.Most }
+func (t *Config) pool(b *Limit) float64 { return (1 - t.FloorFraction) * b.Max }
 
-// Slack is what may be used of a bound within any time beyond its rate times that time; 0 for what is open.
-func (t *Terms) Slack(b *Bound) float64 {
-	if b.Open {
+// MaxBurst is what may be used of a bound within any time beyond its rate times that time; 0 for what is open.
+func (t *Config) MaxBurst(b *Limit) float64 {
+	if b.Concurrent {
 		return 0
 	}
-	return Depth*b.Most + float64(t.Servers)
+	return BurstSeconds*b.Max + float64(t.MaxServers)
 }
 
-// Sum tells terms apart.
-func (t *Terms) Sum() uint64 {
+// Hash tells terms apart.
+func (t *Config) Hash() uint64 {
 	h := xxhash.New()
-	_, _ = fmt.Fprintln(h, t.Lease, t.Floor, t.Servers)
-	for _, b := range t.Bounds {
-		_, _ = fmt.Fprintln(h, b.Name, b.Most, b.Open, b.Linger)
+	_, _ = fmt.Fprintln(h, t.LeaseSeconds, t.FloorFraction, t.MaxServers)
+	for _, b := range t.Limits {
+		_, _ = fmt.Fprintln(h, b.Name, b.Max, b.Concurrent, b.LingerSeconds)
 	}
 	return h.Sum64()
 }
 
-// Check tells what is wrong with terms.
-func (t *Terms) Check() error {
-	if len(t.Bounds) > MaxBounds {
-		return fmt.Errorf("%d budgets, %d at most", len(t.Bounds), MaxBounds)
+// Validate tells what is wrong with terms.
+func (t *Config) Validate() error {
+	if len(t.Limits) > maxLimits {
+		return fmt.Errorf("%d budgets, %d at most", len(t.Limits), maxLimits)
 	}
-	if !(t.Lease > 0) || !(t.Floor > 0 && t.Floor < 1) || t.Servers < 1 {
+	if !(t.LeaseSeconds > 0) || !(t.FloorFraction > 0 && t.FloorFraction < 1) || t.MaxServers < 1 {
 		return fmt.Errorf("budgets need a lease, a floor over 0%% and under 100%%, and the number of servers")
 	}
 	seen := map[string]bool{}
-	for i := range t.Bounds {
-		b := &t.Bounds[i]
-		switch floor := t.FloorOf(b); {
-		case b.Name == "" || len(b.Name) > MaxName || seen[b.Name]:
+	for i := range t.Limits {
+		b := &t.Limits[i]
+		switch floor := t.FloorPerServer(b); {
+		case b.Name == "" || len(b.Name) > maxNameLength || seen[b.Name]:
 			return fmt.Errorf("budget %q: no name, one that is too long, or there already", b.Name)
-		case !(b.Most >= 0) || math.IsInf(b.Most, 0) || b.Open != (b.Linger > 0):
-			return fmt.Errorf("budget %s: %g is no bound", b.Name, b.Most)
-		case b.Open && b.Most > 0 && floor < 1:
-			return fmt.Errorf("budget %s: the floor, %g%% of %g over %d servers, is under one at a time", b.Name, 100*t.Floor, b.Most, t.Servers)
+		case !(b.Max >= 0) || math.IsInf(b.Max, 0) || b.Concurrent != (b.LingerSeconds > 0):
+			return fmt.Errorf("budget %s: %g is no bound", b.Name, b.Max)
+		case b.Concurrent && b.Max > 0 && floor < 1:
+			return fmt.Errorf("budget %s: the floor, %g%% of %g over %d servers, is under one at a time", b.Name, 100*t.FloorFraction, b.Max, t.MaxServers)
 		}
 		seen[b.Name] = true
 	}
 	return nil
 }
 
-// Wish is what a server says of one budget.
-type Wish struct {
-	Name   string
-	Demand float64 // units a second asked for, or open and turned away, lately
-	Open   float64 // units open now, 0 for a rate
-	Part   float64 // beyond the floor, that it may use
-	Left   float64 // seconds for which it may, by its clock
-	Answer uint64  // number of the question whose answer gave Part, 0 for none
+// Demand is what a server says of one budget.
+type Demand struct {
+	Name             string
+	Requested        float64 // units a second asked for, or open and turned away, lately
+	InUse            float64 // units open now, 0 for a rate
+	LeasedShare      float64 // beyond the floor, that it may use
+	RemainingSeconds float64 // seconds for which it may, by its clock
+	GrantNumber      uint64  // number of the question whose answer gave Part, 0 for none
 }
 
-// Question is what a server asks of the granter.
-type Question struct {
-	Life, Number uint64
-	Terms        uint64 // the sum of its terms: those who go by others than the granter have their floors
-	Granter      uint64 // whose answer came last, 0 for none
-	Wishes       []Wish
+// Request is what a server asks of the granter.
+type Request struct {
+	Incarnation, Number uint64
+	ConfigHash          uint64 // the sum of its terms: those who go by others than the granter have their floors
+	GrantorID           uint64 // whose answer came last, 0 for none
+	Demands             []Demand
 }
 
 // Grant is a part of one budget beyond the floor.
 type Grant struct {
-	Name string
-	Part float64
+	Name        string
+	LeasedShare float64
 }
 
-// Answer is the granter's to one question. Parts last Lease from when it was asked.
-type Answer struct {
-	Life, Number uint64
-	Granter      uint64 // a number of the granter's own
-	Grants       []Grant
+// Reply is the granter's to one question. Parts last Lease from when it was asked.
+type Reply struct {
+	Incarnation, Number uint64
+	GrantorID           uint64 // a number of the granter's own
+	Grants              []Grant
 }
 
 // sane makes a number that somebody said one that can be reckoned with.
--- a/internal/judge/shared/budget/budget_test.go
+++ b/internal/judge/shared/budget/budget_test.go
@@ -14,9 +14,9 @@
 	t        interface{ Fatalf(string, ...any) }
 	chance   *rand.Rand
 	now      float64
-	terms    Terms
-	granter  *Granter
-	old      *Granter // its term is over, yet it answers until
+	terms    Config
+	granter  *Grantor
+	old      *Grantor // its term is over, yet it answers until
 	oldUntil float64
 	servers  []*server
 	mail     []letter
@@ -47,24 +47,24 @@
 	asleep bool
 	cut    bool
 	demand float64
-	heeds  Terms
-	said   map[string]Allowed // to its loop
-	may    map[string]Allowed // what that goes by
+	heeds  Config
+	said   map[string]Allowance // to its loop
+	may    map[string]Allowance // what that goes by
 }
 
 func (s *server) clock(now float64) float64 { return s.off + s.rate*now }
 
 func (s *server) at(name string, now float64) float64 {
 	a := s.may[name]
-	return a.At(s.clock(now))
+	return a.LimitAt(s.clock(now))
 }
 
-var twoBounds = []Bound{{Name: "rate", Most: 100}, {Name: "open", Most: 60, Open: true, Linger: 1.5}}
+var twoBounds = []Limit{{Name: "rate", Max: 100}, {Name: "open", Max: 60, Concurrent: true, LingerSeconds: 1.5}}
 
 func newWorld(t interface{ Fatalf(string, ...any) }, seed uint64, n int) *world {
 	w := &world{t: t, chance: rand.New(rand.NewPCG(seed, 5)), delay: 0.05,
-		terms: Terms{Lease: 3, Floor: 0.1, Servers: max(n, 6), Bounds: twoBounds}}
-	if err := w.terms.Check(); err != nil {
+		terms: Config{LeaseSeconds: 3, FloorFraction: 0.1, MaxServers: max(n, 6), Limits: twoBounds}}
+	if err := w.terms.Validate(); err != nil {
 		t.Fatalf("%v", err)
 	}
 	w.lead()
@@ -85,8 +85,8 @@
 }
 
 func (s *server) publish() {
-	if list := s.holder.Changed(); list != nil {
-		s.said = map[string]Allowed{}
+	if list := s.holder.TakeChanges(); list != nil {
+		s.said = map[string]Allowance{}
 		for _, a := range list {
 			s.said[a.Name] = a
 		}
@@ -96,9 +96,9 @@
 // lead has another voter lead; the one before answers for as long as its last confirmation counts.
 func (w *world) lead() {
 	if w.granter != nil {
-		w.old, w.oldUntil = w.granter, w.now+ConfirmedFor
+		w.old, w.oldUntil = w.granter, w.now+leaderLeaseSeconds
 	}
-	w.granter = NewGranter(w.terms, w.chance.Uint64(), w.now)
+	w.granter = NewGrantor(w.terms, w.chance.Uint64(), w.now)
 	w.dead = false
 }
 
@@ -111,7 +111,7 @@
 }
 
 func (w *world) ask(s *server) {
-	q := s.holder.Ask(s.clock(w.now))
+	q := s.holder.NextRequest(s.clock(w.now))
 	if q == nil || s.cut {
 		return
 	}
@@ -121,13 +121,13 @@
 	}
 	life := s.life
 	w.send(func() {
-		a := to.Read(w.now, q, !old && !w.dead && to == w.granter || to == w.old && w.now < w.oldUntil)
+		a := to.HandleRequest(w.now, q, !old && !w.dead && to == w.granter || to == w.old && w.now < w.oldUntil)
 		if a == nil {
 			return
 		}
 		w.send(func() {
 			if !s.asleep && !s.cut && s.life == life {
-				s.holder.Read(s.clock(w.now), a)
+				s.holder.HandleReply(s.clock(w.now), a)
 				s.publish()
 			}
 		})
@@ -171,11 +171,11 @@
 			}
 			for float64(mine)+1 <= min(s.at("open", w.now), s.demand) {
 				mine++
-				w.open = append(w.open, unit{s, w.now + (0.05+0.95*w.chance.Float64())*w.terms.Bounds[1].Linger})
+				w.open = append(w.open, unit{s, w.now + (0.05+0.95*w.chance.Float64())*w.terms.Limits[1].LingerSeconds})
 			}
-			s.holder.Use(now, "rate", s.demand, 0, s.may["rate"].Answer)
-			s.holder.Use(now, "open", s.demand, float64(mine), s.may["open"].Answer)
-			if s.holder.Next() <= now {
+			s.holder.RecordUsage(now, "rate", s.demand, 0, s.may["rate"].GrantNumber)
+			s.holder.RecordUsage(now, "open", s.demand, float64(mine), s.may["open"].GrantNumber)
+			if s.holder.NextWakeup() <= now {
 				w.ask(s)
 			}
 			s.publish()
@@ -190,20 +190,20 @@
 	for _, s := range w.servers {
 		sum += s.at("rate", w.now)
 	}
-	if most := max(w.out, w.terms.Bounds[0].Most); sum > most*(1+1e-9) {
+	if most := max(w.out, w.terms.Limits[0].Max); sum > most*(1+1e-9) {
 		w.t.Fatalf("at %.2f all may use %.3f of %.0f", w.now, sum, most)
 	}
-	if most := w.terms.Bounds[1].Most; float64(len(w.open)) > most {
+	if most := w.terms.Limits[1].Max; float64(len(w.open)) > most {
 		w.t.Fatalf("at %.2f %d of %.0f are open", w.now, len(w.open), most)
 	}
 }
 
 // ideal is what could be used of a rate by one who sees all and keeps the floors.
-func (w *world) ideal(b *Bound) float64 {
+func (w *world) ideal(b *Limit) float64 {
 	floors, more := 0.0, 0.0
 	for _, s := range w.servers {
-		floors += min(s.demand, w.terms.FloorOf(b))
-		more += max(0, s.demand-w.terms.FloorOf(b))
+		floors += min(s.demand, w.terms.FloorPerServer(b))
+		more += max(0, s.demand-w.terms.FloorPerServer(b))
 	}
 	return floors + min(more, w.terms.pool(b))
 }
@@ -249,7 +249,7 @@
 		for _, s := range w.servers {
 			s.asleep, s.cut = false, false
 		}
-		w.run(3*w.terms.Lease + 3*twoBounds[1].Linger)
+		w.run(3*w.terms.LeaseSeconds + 3*twoBounds[1].LingerSeconds)
 		for tries := 0; w.unused() != ""; tries++ { // a late question of a dead life may have taken a part for a lease meanwhile
 			if tries == 10 {
 				t.Fatalf("healed, %s", w.unused())
@@ -261,8 +261,8 @@
 
 // unused tells of which budget less is used than could be.
 func (w *world) unused() string {
-	for i := range w.terms.Bounds {
-		b := &w.terms.Bounds[i]
+	for i := range w.terms.Limits {
+		b := &w.terms.Limits[i]
 		if used, ideal := w.used(b.Name), w.ideal(b); used < 0.98*ideal-0.01 {
 			return fmt.Sprintf("%.3f of %s is used, %.3f could be", used, b.Name, ideal)
 		}
@@ -298,8 +298,8 @@
 	for _, s := range w.servers[:2] {
 		s.cut = true
 	}
-	w.run(2 * w.terms.Lease)
-	floor := w.terms.FloorOf(&w.terms.Bounds[0])
+	w.run(2 * w.terms.LeaseSeconds)
+	floor := w.terms.FloorPerServer(&w.terms.Limits[0])
 	for i, s := range w.servers[:2] {
 		if got := s.at("rate", w.now); got != floor {
 			t.Errorf("silent server %d may use %.3f, its floor is %.3f", i, got, floor)
@@ -325,10 +325,10 @@
 	}
 	w.run(8)
 	for _, most := range []float64{50, 0, 100} {
-		w.terms.Bounds = []Bound{{Name: "rate", Most: most}, twoBounds[1]}
-		w.granter.Heed(w.terms)
+		w.terms.Limits = []Limit{{Name: "rate", Max: most}, twoBounds[1]}
+		w.granter.ApplyConfig(w.terms)
 		for _, s := range w.servers {
-			s.holder.Heed(w.terms, s.clock(w.now))
+			s.holder.ApplyConfig(w.terms, s.clock(w.now))
 			s.publish()
 		}
 		sum := func() (sum float64) {
@@ -338,7 +338,7 @@
 			return sum
 		}
 		w.out = 100 // what is out counts on for a lease
-		w.run(w.terms.Lease * (1 + 2*drift))
+		w.run(w.terms.LeaseSeconds * (1 + 2*maxClockDrift))
 		w.out = 0
 		if got := sum(); got > most*(1+1e-9) || got < 0.95*most {
 			t.Errorf("a lease after it became %.0f, all may use %.3f", most, got)
@@ -357,11 +357,11 @@
 		w.lead()
 		life := uint64(1000 + round)
 		for n := uint64(1); n < 60; n++ {
-			q := &Question{Life: life, Number: n, Terms: w.terms.Sum(), Granter: w.granter.id, Wishes: []Wish{{"rate", x, x, x, x, n - 1}, {"open", x, x, x, x, n}, {"none", x, x, x, x, n}}}
-			if a := w.granter.Read(w.now, q, true); a != nil {
+			q := &Request{Incarnation: life, Number: n, ConfigHash: w.terms.Hash(), GrantorID: w.granter.id, Demands: []Demand{{"rate", x, x, x, x, n - 1}, {"open", x, x, x, x, n}, {"none", x, x, x, x, n}}}
+			if a := w.granter.HandleRequest(w.now, q, true); a != nil {
 				for _, g := range a.Grants {
-					if !(g.Part >= 0 && g.Part <= 90) {
-						t.Fatalf("%g: it was granted %g of %s", x, g.Part, g.Name)
+					if !(g.LeasedShare >= 0 && g.LeasedShare <= 90) {
+						t.Fatalf("%g: it was granted %g of %s", x, g.LeasedShare, g.Name)
 					}
 				}
 			}
@@ -376,14 +376,14 @@
 
 // TestALateQuestionBringsNoPartBack: sent while its server held a part, it reaches the next leader when that part is over and given to another server.
 func TestALateQuestionBringsNoPartBack(t *testing.T) {
-	terms := Terms{Lease: 3, Floor: 0.1, Servers: 2, Bounds: twoBounds}
-	first := NewGranter(terms, 1, -100)
+	terms := Config{LeaseSeconds: 3, FloorFraction: 0.1, MaxServers: 2, Limits: twoBounds}
+	first := NewGrantor(terms, 1, -100)
 	x, y := NewHolder(7, terms, 0), NewHolder(8, terms, 0)
-	ask := func(h *Holder, g *Granter, now float64) {
-		h.Use(now, "rate", 500, 0, h.parts["rate"].answer)
-		if q := h.Ask(now); q != nil {
-			if a := g.Read(now, q, true); a != nil {
-				h.Read(now, a)
+	ask := func(h *Holder, g *Grantor, now float64) {
+		h.RecordUsage(now, "rate", 500, 0, h.parts["rate"].answer)
+		if q := h.NextRequest(now); q != nil {
+			if a := g.HandleRequest(now, q, true); a != nil {
+				h.HandleReply(now, a)
 			}
 		}
 	}
@@ -395,17 +395,17 @@
 	if got := part(x, 0.3); got != 95 {
 		t.Fatalf("alone it has %.1f", got)
 	}
-	x.Use(3.2, "rate", 500, 0, x.parts["rate"].answer)
-	late := x.Ask(3.2)
-	second := NewGranter(terms, 2, 3.2)
+	x.RecordUsage(3.2, "rate", 500, 0, x.parts["rate"].answer)
+	late := x.NextRequest(3.2)
+	second := NewGrantor(terms, 2, 3.2)
 	for now := 3.3; now < 4.1; now += 0.3 { // the first is still believed
 		ask(y, first, now)
 	}
 	if got := part(y, 4); got != 95 {
 		t.Fatalf("after the first's lease the second has %.1f", got)
 	}
-	if a := second.Read(4.3, late, true); a != nil {
-		x.Read(4.3, a)
+	if a := second.HandleRequest(4.3, late, true); a != nil {
+		x.HandleReply(4.3, a)
 	}
 	if all := part(x, 4.3) + part(y, 4.3); all > 100 {
 		t.Errorf("all may use %.1f of 100", all)
@@ -414,47 +414,47 @@
 
 // TestTermsAreChecked: each fault names its budget.
 func TestTermsAreChecked(t *testing.T) {
-	good := Terms{Lease: 3, Floor: 0.1, Servers: 4, Bounds: twoBounds}
-	if err := good.Check(); err != nil {
+	good := Config{LeaseSeconds: 3, FloorFraction: 0.1, MaxServers: 4, Limits: twoBounds}
+	if err := good.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	for name, change := range map[string]func(*Terms){
-		"no floor":         func(x *Terms) { x.Floor = 0 },
-		"all floor":        func(x *Terms) { x.Floor = 1 },
-		"no servers":       func(x *Terms) { x.Servers = 0 },
-		"no lease":         func(x *Terms) { x.Lease = math.NaN() },
-		"twice":            func(x *Terms) { x.Bounds = append([]Bound{x.Bounds[0]}, x.Bounds...) },
-		"no name":          func(x *Terms) { x.Bounds = []Bound{{Most: 1}} },
-		"negative":         func(x *Terms) { x.Bounds = []Bound{{Name: "a", Most: -1}} },
-		"endless":          func(x *Terms) { x.Bounds = []Bound{{Name: "a", Most: math.Inf(1)}} },
-		"open for ever":    func(x *Terms) { x.Bounds = []Bound{{Name: "a", Most: 50, Open: true}} },
-		"floor under one":  func(x *Terms) { x.Bounds = []Bound{{Name: "a", Most: 30, Open: true, Linger: 1}} },
-		"a name too long":  func(x *Terms) { x.Bounds = []Bound{{Name: fmt.Sprintf("%099d", 1), Most: 1}} },
-		"more than it may": func(x *Terms) { x.Bounds = make([]Bound, MaxBounds+1) },
+	for name, change := range map[string]func(*Config){
+		"no floor":         func(x *Config) { x.FloorFraction = 0 },
+		"all floor":        func(x *Config) { x.FloorFraction = 1 },
+		"no servers":       func(x *Config) { x.MaxServers = 0 },
+		"no lease":         func(x *Config) { x.LeaseSeconds = math.NaN() },
+		"twice":            func(x *Config) { x.Limits = append([]Limit{x.Limits[0]}, x.Limits...) },
+		"no name":          func(x *Config) { x.Limits = []Limit{{Max: 1}} },
+		"negative":         func(x *Config) { x.Limits = []Limit{{Name: "a", Max: -1}} },
+		"endless":          func(x *Config) { x.Limits = []Limit{{Name: "a", Max: math.Inf(1)}} },
+		"open for ever":    func(x *Config) { x.Limits = []Limit{{Name: "a", Max: 50, Concurrent: true}} },
+		"floor under one":  func(x *Config) { x.Limits = []Limit{{Name: "a", Max: 30, Concurrent: true, LingerSeconds: 1}} },
+		"a name too long":  func(x *Config) { x.Limits = []Limit{{Name: fmt.Sprintf("%099d", 1), Max: 1}} },
+		"more than it may": func(x *Config) { x.Limits = make([]Limit, maxLimits+1) },
 	} {
 		x := good
 		change(&x)
-		if x.Check() == nil {
+		if x.Validate() == nil {
 			t.Errorf("%s: it is taken for right", name)
 		}
 	}
 }
 
 func benchmark(b *testing.B, budgets, servers int) {
-	terms := Terms{Lease: 6, Floor: 0.1, Servers: servers}
+	terms := Config{LeaseSeconds: 6, FloorFraction: 0.1, MaxServers: servers}
 	for i := range budgets {
-		terms.Bounds = append(terms.Bounds, Bound{Name: fmt.Sprint("tenant/", i), Most: 100})
+		terms.Limits = append(terms.Limits, Limit{Name: fmt.Sprint("tenant/", i), Max: 100})
 	}
-	g := NewGranter(terms, 1, 0)
-	q := &Question{Terms: terms.Sum(), Granter: 1}
+	g := NewGrantor(terms, 1, 0)
+	q := &Request{ConfigHash: terms.Hash(), GrantorID: 1}
 	for i := range min(budgets, MaxEntries) {
-		q.Wishes = append(q.Wishes, Wish{Name: terms.Bounds[i*budgets/min(budgets, MaxEntries)].Name, Demand: 3})
+		q.Demands = append(q.Demands, Demand{Name: terms.Limits[i*budgets/min(budgets, MaxEntries)].Name, Requested: 3})
 	}
 	b.ReportAllocs()
 	n := 0
 	for b.Loop() {
-		q.Life, q.Number = uint64(1+n%servers), uint64(1+n/servers)
-		g.Read(100+float64(n)*6/3/float64(servers), q, true)
+		q.Incarnation, q.Number = uint64(1+n%servers), uint64(1+n/servers)
+		g.HandleRequest(100+float64(n)*6/3/float64(servers), q, true)
 		n++
 	}
 }
@@ -468,14 +468,14 @@
 // TestShortSequencesExhaustively plays every order of seven steps of two servers, two leaders and their questions, from a moment at which one server
 // has all and its lease is nearly over.
 func TestShortSequencesExhaustively(t *testing.T) {
-	terms := Terms{Lease: 3, Floor: 0.1, Servers: 2, Bounds: twoBounds[:1]}
+	terms := Config{LeaseSeconds: 3, FloorFraction: 0.1, MaxServers: 2, Limits: twoBounds[:1]}
 	const length, choices = 7, 7
 	all := 1
 	for range length {
 		all *= choices
 	}
 	for n := range all {
-		granters := [2]*Granter{NewGranter(terms, 1, -100), nil}
+		granters := [2]*Grantor{NewGrantor(terms, 1, -100), nil}
 		holders := [2]*Holder{NewHolder(7, terms, 0), NewHolder(8, terms, 0)}
 		now, followed, left := 0.0, math.Inf(1), n
 		var mail []func(to int)
@@ -483,12 +483,12 @@
 			h := holders[i]
 			p := h.parts["rate"]
 			p.asked = math.Inf(-1) // due again, whatever it said before
-			h.Use(now, "rate", 500, 0, p.answer)
-			q := h.Ask(now)
+			h.RecordUsage(now, "rate", 500, 0, p.answer)
+			q := h.NextRequest(now)
 			mail = append(mail, func(to int) {
 				if g := granters[to]; g != nil {
-					if a := g.Read(now, q, to == 1 || now < followed+ConfirmedFor); a != nil {
-						h.Read(now, a)
+					if a := g.HandleRequest(now, q, to == 1 || now < followed+leaderLeaseSeconds); a != nil {
+						h.HandleReply(now, a)
 					}
 				}
 			})
@@ -518,7 +518,7 @@
 			case 5:
 				now += 1.2
 			case 6:
-				granters[1], followed = NewGranter(terms, 2, now), now
+				granters[1], followed = NewGrantor(terms, 2, now), now
 			}
 			sum := 0.0
 			for _, h := range holders {
--- a/internal/judge/shared/budget/holder.go
+++ b/internal/judge/shared/budget/holder.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// part is what a server holds of one budget.
-type part struct {
-	bound    *Bound
+// leasedShare is what a server holds of one budget.
+type leasedShare struct {
+	bound    *Limit
 	size     float64 // beyond the floor
 	until    float64 // -Inf where none is held
 	answer   uint64  // number of the question whose answer gave it
@@ -24,30 +24,30 @@
 	starving bool    // more is asked for than it may use
 }
 
-// Allowed is what a server may use of a budget: Part and the floor until Until, the floor alone from then on.
-type Allowed struct {
-	Name   string
-	Most   float64 `json:"Most"` // of the whole fleet
-	Floor  float64
-	Part   float64 `json:"Part"`
-	Till   float64 `json:"Till"`
-	Answer uint64  `json:"Answer"` // that gave the part, see Use
+// Allowance is what a server may use of a budget: Part and the floor until Until, the floor alone from then on.
+type Allowance struct {
+	Name        string
+	FleetMax    float64 `json:"Most"` // of the whole fleet
+	Floor       float64
+	LeasedShare float64 `json:"Part"`
+	LeaseExpiry float64 `json:"Till"`
+	GrantNumber uint64  `json:"Answer"` // that gave the part, see Use
 }
 
-// At is what may be used at a moment.
-func (a *Allowed) At(now float64) float64 {
-	if now < a.Till {
-		return a.Floor + a.Part
+// LimitAt is what may be used at a moment.
+func (a *Allowance) LimitAt(now float64) float64 {
+	if now < a.LeaseExpiry {
+		return a.Floor + a.LeasedShare
 	}
 	return a.Floor
 }
 
 // Holder is a server's own side.
 type Holder struct {
-	terms  Terms
+	terms  Config
 	sum    uint64 // of the terms
 	life   uint64
-	parts  map[string]*part
+	parts  map[string]*leasedShare
 	names  []string // of the parts, in order
 	turn   int      // where in names the next question goes on
 	number uint64
@@ -75,22 +75,22 @@
 )
 
 // NewHolder makes the side of a server that has just started: it has the floors.
-func NewHolder(life uint64, terms Terms, now float64) *Holder {
+func NewHolder(life uint64, terms Config, now float64) *Holder {
 	h := &Holder{life: life, next: now}
-	h.Heed(terms, now)
+	h.ApplyConfig(terms, now)
 	return h
 }
 
-// Heed goes over to new terms. What is held stays until its lease is over, as far as the new bound goes; floors change at once.
-func (h *Holder) Heed(terms Terms, now float64) {
+// ApplyConfig goes over to new terms. What is held stays until its lease is over, as far as the new bound goes; floors change at once.
+func (h *Holder) ApplyConfig(terms Config, now float64) {
 	was := h.parts
-	terms.Bounds = slices.Clone(terms.Bounds)
-	h.sum = terms.Sum()
-	h.terms, h.parts, h.names, h.turn = terms, make(map[string]*part, len(terms.Bounds)), h.names[:0], 0
-	for i := range terms.Bounds {
-		b := &terms.Bounds[i]
-		p := &part{bound: b, until: math.Inf(-1), loopTill: math.Inf(-1), asked: math.Inf(-1)}
-		if old := was[b.Name]; old != nil && old.bound.Open == b.Open {
+	terms.Limits = slices.Clone(terms.Limits)
+	h.sum = terms.Hash()
+	h.terms, h.parts, h.names, h.turn = terms, make(map[string]*leasedShare, len(terms.Limits)), h.names[:0], 0
+	for i := range terms.Limits {
+		b := &terms.Limits[i]
+		p := &leasedShare{bound: b, until: math.Inf(-1), loopTill: math.Inf(-1), asked: math.Inf(-1)}
+		if old := was[b.Name]; old != nil && old.bound.Concurrent == b.Concurrent {
 			*p = *old
 			p.bound = b
 			if size := min(p.size, terms.pool(b)); size < p.size {
@@ -103,9 +103,9 @@
 	h.changed, h.next = true, now
 }
 
-// Use tells what was asked for of a budget lately: units a second, or units open and turned away; how many are open; and by which Answer the serving
+// RecordUsage tells what was asked for of a budget lately: units a second, or units open and turned away; how many are open; and by which Answer the serving
 // loop goes. Nobody is told that a part was put down before the loop says so.
-func (h *Holder) Use(now float64, name string, demand, open float64, answer uint64) {
+func (h *Holder) RecordUsage(now float64, name string, demand, open float64, answer uint64) {
 	p := h.parts[name]
 	if p == nil {
 		return
@@ -114,24 +114,24 @@
 		p.loop, p.loopSize, p.loopTill = answer, p.size, p.until
 		p.shrunk, p.owes = p.shrunk || p.owes, false
 	}
-	p.demand, p.open = sane(demand, p.bound.Most), sane(open, p.bound.Most)
+	p.demand, p.open = sane(demand, p.bound.Max), sane(open, p.bound.Max)
 	p.starving = p.demand > h.may(p, now)
 	if h.tell(p, now) {
 		h.next = min(h.next, max(now, p.asked+askSoon))
 	}
 }
 
-func (h *Holder) may(p *part, now float64) float64 {
+func (h *Holder) may(p *leasedShare, now float64) float64 {
 	if now < p.until {
-		return h.terms.FloorOf(p.bound) + p.size
+		return h.terms.FloorPerServer(p.bound) + p.size
 	}
-	return h.terms.FloorOf(p.bound)
+	return h.terms.FloorPerServer(p.bound)
 }
 
 // tell tells whether a budget is due to be spoken of.
-func (h *Holder) tell(p *part, now float64) bool {
+func (h *Holder) tell(p *leasedShare, now float64) bool {
 	held := now < p.until
-	wants := p.demand > h.terms.FloorOf(p.bound)
+	wants := p.demand > h.terms.FloorPerServer(p.bound)
 	switch {
 	case now < p.asked+askSoon:
 		return false
@@ -139,18 +139,18 @@
 		return true
 	case !held && !wants:
 		return false
-	case now >= p.asked+renewPart*h.terms.Lease:
+	case now >= p.asked+renewPart*h.terms.LeaseSeconds:
 		return true
 	}
 	spare := h.may(p, now) - (1+headroom)*p.demand
 	return held && p.size > 0 && spare > news*p.size && p.demand < (1-news)*p.told // others may want it
 }
 
-// Next is when Ask is to be called.
-func (h *Holder) Next() float64 { return h.next }
+// NextWakeup is when Ask is to be called.
+func (h *Holder) NextWakeup() float64 { return h.next }
 
-// Ask makes the next question; nil where there is nothing to say.
-func (h *Holder) Ask(now float64) *Question {
+// NextRequest makes the next question; nil where there is nothing to say.
+func (h *Holder) NextRequest(now float64) *Request {
 	h.next = math.Inf(1)
 	var due []string
 	for i := range h.names {
@@ -163,8 +163,8 @@
 				break
 			}
 			due = append(due, name)
-		} else if now < p.until || p.demand > h.terms.FloorOf(p.bound) {
-			h.next = min(h.next, max(now+askSoon, p.asked+renewPart*h.terms.Lease))
+		} else if now < p.until || p.demand > h.terms.FloorPerServer(p.bound) {
+			h.next = min(h.next, max(now+askSoon, p.asked+renewPart*h.terms.LeaseSeconds))
 		}
 	}
 	if due == nil {
@@ -172,32 +172,32 @@
 	}
 	h.number++
 	h.sent[h.number%maxSent].number, h.sent[h.number%maxSent].at = h.number, now
-	q := &Question{Life: h.life, Number: h.number, Terms: h.sum, Granter: h.granter}
+	q := &Request{Incarnation: h.life, Number: h.number, ConfigHash: h.sum, GrantorID: h.granter}
 	for _, name := range due {
 		p := h.parts[name]
-		w := Wish{Name: name, Demand: p.demand, Open: p.open}
+		w := Demand{Name: name, Requested: p.demand, InUse: p.open}
 		if now < p.until {
-			w.Part, w.Left, w.Answer = p.size, p.until-now, p.loop
+			w.LeasedShare, w.RemainingSeconds, w.GrantNumber = p.size, p.until-now, p.loop
 			if now < p.loopTill {
-				w.Part = max(w.Part, p.loopSize)
+				w.LeasedShare = max(w.LeasedShare, p.loopSize)
 			}
 		}
 		p.asked, p.told, p.shrunk = now, p.demand, false
-		q.Wishes = append(q.Wishes, w)
+		q.Demands = append(q.Demands, w)
 	}
 	h.next = min(h.next, now+askSoon)
 	return q
 }
 
-// Read takes an answer. One to an earlier life, to a question that is not waited for, or older than one that counted changes nothing.
-func (h *Holder) Read(now float64, a *Answer) {
+// HandleReply takes an answer. One to an earlier life, to a question that is not waited for, or older than one that counted changes nothing.
+func (h *Holder) HandleReply(now float64, a *Reply) {
 	w := h.sent[a.Number%maxSent]
-	if a.Life != h.life || a.Number == 0 || w.number != a.Number || a.Number <= h.latest {
+	if a.Incarnation != h.life || a.Number == 0 || w.number != a.Number || a.Number <= h.latest {
 		return
 	}
 	h.latest = a.Number
-	if a.Granter != h.granter { // it wants to hear again, now that it is heard
-		h.granter, h.next = a.Granter, now
+	if a.GrantorID != h.granter { // it wants to hear again, now that it is heard
+		h.granter, h.next = a.GrantorID, now
 		for _, p := range h.parts {
 			if now < p.until {
 				p.asked = math.Inf(-1)
@@ -209,7 +209,7 @@
 		if p == nil || a.Number <= p.answer {
 			continue
 		}
-		size, until := sane(g.Part, h.terms.pool(p.bound)), w.at+h.terms.Lease
+		size, until := sane(g.LeasedShare, h.terms.pool(p.bound)), w.at+h.terms.LeaseSeconds
 		if now < p.until && size < p.size {
 			p.owes = true
 		}
@@ -219,27 +219,27 @@
 	}
 }
 
-// Held lists the budgets of which a part is held at this moment.
-func (h *Holder) Held(now float64) (list []Allowed) {
+// ActiveLeases lists the budgets of which a part is held at this moment.
+func (h *Holder) ActiveLeases(now float64) (list []Allowance) {
 	for _, name := range h.names {
 		if p := h.parts[name]; now < p.until {
-			list = append(list, Allowed{Name: name, Most: p.bound.Most, Floor: h.terms.FloorOf(p.bound), Part: p.size, Till: p.until, Answer: p.answer})
+			list = append(list, Allowance{Name: name, FleetMax: p.bound.Max, Floor: h.terms.FloorPerServer(p.bound), LeasedShare: p.size, LeaseExpiry: p.until, GrantNumber: p.answer})
 		}
 	}
 	return list
 }
 
-// Changed lists what may be used where that changed since the last call, nil where it did not.
-func (h *Holder) Changed() []Allowed {
+// TakeChanges lists what may be used where that changed since the last call, nil where it did not.
+func (h *Holder) TakeChanges() []Allowance {
 	if !h.changed {
 		return nil
 	}
 	h.changed = false
-	list := make([]Allowed, 0, len(h.names))
+	list := make([]Allowance, 0, len(h.names))
 	for _, name := range h.names {
 		p := h.parts[name]
-		list = append(list, Allowed{Name: name, Most: p.bound.Most, Floor: h.terms.FloorOf(p.bound), Part: p.size, Till: p.until, Answer: p.answer})
+		list = append(list, Allowance{Name: name, FleetMax: p.bound.Max, Floor: h.terms.FloorPerServer(p.bound), LeasedShare: p.size, LeaseExpiry: p.until, GrantNumber: p.answer})
 	}
-	slices.SortFunc(list, func(a, b Allowed) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(list, func(a, b Allowance) int { return cmp.Compare(a.Name, b.Name) })
 	return list
 }
--- a/internal/judge/shared/counts/counts.go
+++ b/internal/judge/shared/counts/counts.go
@@ -13,33 +13,33 @@
 	"swiftcourse/internal/judge/stance"
 )
 
-// Told is a server's word on a row, or a keeper's who passes it on.
-type Told struct {
-	Name   string // of the server
-	Life   uint64 // of it
-	Row    uint64
-	Number uint64 // from 1 on
-	Base   uint64 // the number after which Cells has all that changed; 0 where it has all there is
-	Closes bool   // from a keeper: the row is to be closed, and Stands is the highest number that was ever said to be there
-	Stands uint64
-	Sits   Sits                 // of the keepers, as who tells knows them
-	Cells  []stance.CounterCell // as they stand in the row, in order
-}
-
-// Heard is a keeper's answer.
-type Heard struct {
-	Row    uint64
-	Number uint64 // that it has, 0 for nothing
-	Over   bool   // the row was closed under that number
-	Sits   Sits
-}
-
-// Sits are the lives of the keepers, in the order of their names, as one of them knows them: of one keeper's two the higher is the later. Keepers forget
+// RowReport is a server's word on a row, or a keeper's who passes it on.
+type RowReport struct {
+	Server         string // of the server
+	Incarnation    uint64 // of it
+	RowID          uint64
+	Sequence       uint64 // from 1 on
+	BaseSequence   uint64 // the number after which Cells has all that changed; 0 where it has all there is
+	Closing        bool   // from a keeper: the row is to be closed, and Stands is the highest number that was ever said to be there
+	FrozenSequence uint64
+	Aggregators    Incarnations         // of the keepers, as who tells knows them
+	Cells          []stance.CounterCell // as they stand in the row, in order
+}
+
+// RowAck is a keeper's answer.
+type RowAck struct {
+	RowID       uint64
+	Sequence    uint64 // that it has, 0 for nothing
+	Closed      bool   // the row was closed under that number
+	Aggregators Incarnations
+}
+
+// Incarnations are the lives of the keepers, in the order of their names, as one of them knows them: of one keeper's two the higher is the later. Keepers forget
 // when they die: what two of them say makes a majority only where both knew the same lives, so that neither speaks for one that is gone.
-type Sits []uint64
+type Incarnations []uint64
 
-// hear takes over later ones, and tells whether there was one.
-func (s Sits) hear(o Sits) (news bool) {
+// merge takes over later ones, and tells whether there was one.
+func (s Incarnations) merge(o Incarnations) (news bool) {
 	for i := range s {
 		if len(o) == len(s) && o[i] > s[i] {
 			s[i], news = o[i], true
@@ -48,11 +48,11 @@
 	return news
 }
 
-// Letter goes to the keeper of that name.
-type Letter struct {
-	To   string
-	Told *Told
-	Ask  *Ask
+// Envelope goes to the keeper of that name.
+type Envelope struct {
+	To     string
+	Report *RowReport
+	Query  *RowQuery
 }
 
 const (
@@ -62,14 +62,14 @@
 	tellAgain, maxAgain = 0.4, 6.0
 	// idleEvery is how often it is told that there is nothing new, so that keepers know that they lack nothing.
 	idleEvery = 5.0
-	// MaxCells of a row have a number of their own; the rest goes into one. Sixty stages of sixteen tenants have room.
-	MaxCells = 1024
+	// maxCells of a row have a number of their own; the rest goes into one. Sixty stages of sixteen tenants have room.
+	maxCells = 1024
 )
 
 type cells map[stance.CounterKey]stance.RequestCounts
 
-// Sorted lists cells in their order.
-func Sorted(of map[stance.CounterKey]stance.RequestCounts) []stance.CounterCell {
+// sortedCells lists cells in their order.
+func sortedCells(of map[stance.CounterKey]stance.RequestCounts) []stance.CounterCell {
 	list := make([]stance.CounterCell, 0, len(of))
 	for cell, t := range of {
 		list = append(list, stance.CounterCell{CounterKey: cell, RequestCounts: t})
@@ -89,8 +89,8 @@
 	return left
 }
 
-// Teller is a server's part in telling what it counted.
-type Teller struct {
+// Reporter is a server's part in telling what it counted.
+type Reporter struct {
 	name    string
 	life    uint64
 	keepers []string
@@ -99,32 +99,32 @@
 	all    cells // counted since the life began
 	before cells // of it, in rows of this life that are over
 	rows   uint64
-	number uint64           // under which the row was told last
-	now    cells            // the row as it is under that number
-	last   cells            // and under the one before, which most keepers had
-	has    map[string]Heard // what each keeper said last
-	sits   Sits
+	number uint64            // under which the row was told last
+	now    cells             // the row as it is under that number
+	last   cells             // and under the one before, which most keepers had
+	has    map[string]RowAck // what each keeper said last
+	sits   Incarnations
 	news   bool // there is something to be told under the next number
 	next   float64
 	again  float64
 	pause  float64
 
-	Unplaced uint64 // tasks, at most, of rows that were closed under a number that most keepers had forgotten
+	Unaccounted uint64 // tasks, at most, of rows that were closed under a number that most keepers had forgotten
 }
 
-// NewTeller begins the first row of a life.
-func NewTeller(name string, life uint64, keepers []string, now float64) *Teller {
-	return &Teller{name: name, life: life, keepers: keepers, need: len(keepers)/2 + 1, all: cells{}, before: cells{}, now: cells{}, last: cells{}, has: map[string]Heard{}, sits: make(Sits, len(keepers)), next: now}
+// NewReporter begins the first row of a life.
+func NewReporter(name string, life uint64, keepers []string, now float64) *Reporter {
+	return &Reporter{name: name, life: life, keepers: keepers, need: len(keepers)/2 + 1, all: cells{}, before: cells{}, now: cells{}, last: cells{}, has: map[string]RowAck{}, sits: make(Incarnations, len(keepers)), next: now}
 }
 
 // row is the number of the present row: lives are drawn, so rows of two are never the same.
-func (t *Teller) row() uint64 { return t.life + t.rows }
+func (t *Reporter) row() uint64 { return t.life + t.rows }
 
 // Add counts tasks.
-func (t *Teller) Add(list []stance.CounterCell) {
+func (t *Reporter) Add(list []stance.CounterCell) {
 	for _, n := range list {
 		cell := n.CounterKey
-		if _, known := t.all[cell]; !known && len(t.all) >= MaxCells {
+		if _, known := t.all[cell]; !known && len(t.all) >= maxCells {
 			cell = stance.CounterKey{}
 		}
 		t.all[cell] = t.all[cell].Add(n.RequestCounts)
@@ -133,7 +133,7 @@
 }
 
 // agreed tells whether most keepers have the row as it was told last.
-func (t *Teller) agreed() bool {
+func (t *Reporter) agreed() bool {
 	n := 0
 	for _, k := range t.keepers {
 		if t.hasIt(k) {
@@ -144,13 +144,13 @@
 }
 
 // hasIt tells whether a keeper said that it has the row, and knew the keepers as they are known now.
-func (t *Teller) hasIt(k string) bool {
+func (t *Reporter) hasIt(k string) bool {
 	h, said := t.has[k]
-	return said && h.Number >= t.number && slices.Equal(h.Sits, t.sits)
+	return said && h.Sequence >= t.number && slices.Equal(h.Aggregators, t.sits)
 }
 
-// Due tells the keepers what is due.
-func (t *Teller) Due(now float64) (list []Letter) {
+// DueReports tells the keepers what is due.
+func (t *Reporter) DueReports(now float64) (list []Envelope) {
 	switch {
 	case t.agreed() && now >= t.tellAt():
 		t.news, t.next = false, now+tellEvery
@@ -165,14 +165,14 @@
 	t.again = now + t.pause
 	for _, k := range t.keepers {
 		if !t.hasIt(k) {
-			list = append(list, Letter{To: k, Told: t.tell(t.has[k].Number)})
+			list = append(list, Envelope{To: k, Report: t.tell(t.has[k].Sequence)})
 		}
 	}
 	return list
 }
 
 // tellAt is when the next number is due, as long as most keepers have the last.
-func (t *Teller) tellAt() float64 {
+func (t *Reporter) tellAt() float64 {
 	switch {
 	case t.news:
 		return t.next
@@ -183,38 +183,38 @@
 }
 
 // tell is the row for a keeper that has it under another number.
-func (t *Teller) tell(has uint64) *Told {
-	told := &Told{Name: t.name, Life: t.life, Row: t.row(), Number: t.number, Sits: slices.Clone(t.sits)}
+func (t *Reporter) tell(has uint64) *RowReport {
+	told := &RowReport{Server: t.name, Incarnation: t.life, RowID: t.row(), Sequence: t.number, Aggregators: slices.Clone(t.sits)}
 	of := t.now
 	if has > 0 && has >= t.number-1 {
-		told.Base, of = t.number-1, cells{}
+		told.BaseSequence, of = t.number-1, cells{}
 		for cell, n := range t.now {
 			if n != t.last[cell] {
 				of[cell] = n
 			}
 		}
 	}
-	told.Cells = Sorted(of)
+	told.Cells = sortedCells(of)
 	return told
 }
 
-// Read takes a keeper's answer. A row that was closed while its server lived goes on as another: what it counted beyond the number it was closed under.
-func (t *Teller) Read(now float64, from string, h *Heard) {
-	if h.Row != t.row() || h.Number > t.number || !slices.Contains(t.keepers, from) {
+// HandleAck takes a keeper's answer. A row that was closed while its server lived goes on as another: what it counted beyond the number it was closed under.
+func (t *Reporter) HandleAck(now float64, from string, h *RowAck) {
+	if h.RowID != t.row() || h.Sequence > t.number || !slices.Contains(t.keepers, from) {
 		return
 	}
-	if !h.Over {
-		t.sits.hear(h.Sits)
+	if !h.Closed {
+		t.sits.merge(h.Aggregators)
 		t.has[from] = *h
 		return
 	}
 	counted := t.now
-	if h.Number < t.number {
+	if h.Sequence < t.number {
 		counted = t.last
 	}
-	if h.Number+1 < t.number { // most keepers had the one after, and lost it
+	if h.Sequence+1 < t.number { // most keepers had the one after, and lost it
 		for cell := range t.last {
-			t.Unplaced += t.last[cell].Received
+			t.Unaccounted += t.last[cell].Received
 		}
 	}
 	for cell, n := range counted {
@@ -225,8 +225,8 @@
 	clear(t.has)
 }
 
-// Next is when Due is to be called.
-func (t *Teller) Next() float64 {
+// NextWakeup is when Due is to be called.
+func (t *Reporter) NextWakeup() float64 {
 	next := 1e18
 	if t.agreed() {
 		next = t.tellAt()
@@ -237,7 +237,7 @@
 	return next
 }
 
-// Row is what the present row has, what of it most keepers are known to have, and whether that is all.
-func (t *Teller) Row() (list []stance.CounterCell, agreed bool) {
-	return Sorted(t.all.without(t.before)), t.agreed() && !t.news
+// CurrentRow is what the present row has, what of it most keepers are known to have, and whether that is all.
+func (t *Reporter) CurrentRow() (list []stance.CounterCell, agreed bool) {
+	return sortedCells(t.all.without(t.before)), t.agreed() && !t.news
 }
--- a/internal/judge/shared/counts/counts_test.go
+++ b/internal/judge/shared/counts/counts_test.go
@@ -35,7 +35,7 @@
 type server struct {
 	name   string
 	life   uint64
-	teller *Teller
+	teller *Reporter
 	truth  uint64
 	sure   uint64 // that most keepers had, as it knew
 	cut    bool
@@ -44,7 +44,7 @@
 
 type keeper struct {
 	name   string
-	keeper *Keeper
+	keeper *Aggregator
 	life   int
 	sees   *version.Order // may be behind
 	deaf   bool           // to servers
@@ -71,13 +71,13 @@
 func (w *world) cold(k *keeper) {
 	k.life++
 	k.sees = w.order.Clone()
-	k.keeper = NewKeeper(k.name, names[:len(w.keepers)], uint64(w.now*10)+uint64(k.life), func(row uint64) (uint64, bool) { return k.sees.Closed(row) }, w.now)
+	k.keeper = NewAggregator(k.name, names[:len(w.keepers)], uint64(w.now*10)+uint64(k.life), func(row uint64) (uint64, bool) { return k.sees.Closed(row) }, w.now)
 }
 
 func (w *world) born(s *server) {
 	w.lives++
 	s.life, s.truth, s.sure = w.lives<<16, 0, 0
-	s.teller = NewTeller(s.name, s.life, names[:len(w.keepers)], w.now)
+	s.teller = NewReporter(s.name, s.life, names[:len(w.keepers)], w.now)
 	w.order.Holds[s.name] = s.life
 }
 
@@ -101,8 +101,8 @@
 		s.truth += n
 		s.teller.Add([]stance.CounterCell{{CounterKey: stance.CounterKey{Tenant: "acme", Class: fmt.Sprint(w.chance.IntN(3))}, RequestCounts: stance.RequestCounts{Received: n}}})
 	}
-	for _, l := range s.teller.Due(w.now) {
-		told, teller := *l.Told, s.teller
+	for _, l := range s.teller.DueReports(w.now) {
+		told, teller := *l.Report, s.teller
 		if s.cut {
 			continue
 		}
@@ -111,15 +111,15 @@
 			if k.deaf {
 				return
 			}
-			h, from := k.keeper.Read(w.now, &told), k.name
+			h, from := k.keeper.HandleReport(w.now, &told), k.name
 			w.send(func() {
 				if s.teller == teller && !s.asleep && !s.cut {
-					teller.Read(w.now, from, &h)
+					teller.HandleAck(w.now, from, &h)
 				}
 			})
 		})
 	}
-	row, all := s.teller.Row()
+	row, all := s.teller.CurrentRow()
 	if all {
 		s.sure = sum(row)
 		for _, t := range s.teller.before {
@@ -135,11 +135,11 @@
 	return n
 }
 
-func (w *world) propose(ripe []Told) {
+func (w *world) propose(ripe []RowReport) {
 	if ripe != nil {
 		c := version.Command{Kind: version.Close}
 		for _, t := range ripe {
-			c.Rows = append(c.Rows, version.Row{Row: t.Row, Number: t.Number, Cells: t.Cells})
+			c.Rows = append(c.Rows, version.Row{Row: t.RowID, Number: t.Sequence, Cells: t.Cells})
 		}
 		w.asked = append(w.asked, c)
 	}
@@ -147,16 +147,16 @@
 
 func (w *world) keep(k *keeper) {
 	gone := func(name string, life uint64) bool { return w.order.Holds[name] != life }
-	letters, ripe := k.keeper.Due(w.now, w.chance.IntN(3) > 0, gone) // often more than one believes that it leads
+	letters, ripe := k.keeper.Maintain(w.now, w.chance.IntN(3) > 0, gone) // often more than one believes that it leads
 	w.propose(ripe)
 	for _, l := range letters {
-		life, ask := k.life, *l.Ask
+		life, ask := k.life, *l.Query
 		w.send(func() {
 			to := w.keeperOf(l.To)
-			said := to.keeper.Asked(w.now, &ask)
+			said := to.keeper.HandleQuery(w.now, &ask)
 			w.send(func() {
 				if k.life == life {
-					w.propose(k.keeper.Said(w.now, to.name, said))
+					w.propose(k.keeper.HandleQueryReply(w.now, to.name, said))
 				}
 			})
 		})
@@ -202,7 +202,7 @@
 	s := w.servers[w.chance.IntN(len(w.servers))]
 	k, cold := w.keepers[w.chance.IntN(len(w.keepers))], 0
 	for _, o := range w.keepers {
-		if o != k && o.keeper.Cold() {
+		if o != k && o.keeper.Recovering() {
 			cold++
 		}
 	}
@@ -245,13 +245,13 @@
 	}
 	w.step(30, false)
 	for _, k := range w.keepers {
-		if k.keeper.Cold() || k.keeper.refused > 0 {
-			t.Fatalf("%s is cold: %v; it refused %d words", k.name, k.keeper.Cold(), k.keeper.refused)
+		if k.keeper.Recovering() || k.keeper.refused > 0 {
+			t.Fatalf("%s is cold: %v; it refused %d words", k.name, k.keeper.Recovering(), k.keeper.refused)
 		}
 	}
 	for _, s := range w.servers {
-		if s.teller.Unplaced > 0 {
-			t.Fatalf("%s has %d tasks unplaced", s.name, s.teller.Unplaced)
+		if s.teller.Unaccounted > 0 {
+			t.Fatalf("%s has %d tasks unplaced", s.name, s.teller.Unaccounted)
 		}
 	}
 	// No more is counted from here on, so that what is left of this second reaches the keepers.
@@ -268,15 +268,15 @@
 	for range 60 {
 		for _, s := range quietly {
 			s.teller.next = min(s.teller.next, w.now)
-			for _, l := range s.teller.Due(w.now) {
-				h := w.keeperOf(l.To).keeper.Read(w.now, l.Told)
-				s.teller.Read(w.now, l.To, &h)
+			for _, l := range s.teller.DueReports(w.now) {
+				h := w.keeperOf(l.To).keeper.HandleReport(w.now, l.Report)
+				s.teller.HandleAck(w.now, l.To, &h)
 			}
 		}
 		w.step(0.5, false)
 	}
 	for _, k := range w.keepers {
-		if got := sum(k.keeper.Report(w.now, k.sees.Sums).Total); got < low || got > high {
+		if got := sum(k.keeper.Summary(w.now, k.sees.Sums).Total); got < low || got > high {
 			t.Fatalf("%s counts %d, the truth is from %d to %d (%d dead)", k.name, got, low, high, len(w.dead))
 		}
 	}
@@ -290,19 +290,19 @@
 func TestARowThatIsClosedUnderItsServer(t *testing.T) {
 	cell := stance.CounterKey{Tenant: "acme", Class: "ping"}
 	for _, closed := range []uint64{1, 2} {
-		s := NewTeller("a", 100, []string{"k0"}, 0)
+		s := NewReporter("a", 100, []string{"k0"}, 0)
 		add := func(n uint64) {
 			s.Add([]stance.CounterCell{{CounterKey: cell, RequestCounts: stance.RequestCounts{Received: n}}})
 		}
 		add(5)
-		s.Due(0)
-		s.Read(0, "k0", &Heard{Row: 100, Number: 1, Sits: Sits{1}})
+		s.DueReports(0)
+		s.HandleAck(0, "k0", &RowAck{RowID: 100, Sequence: 1, Aggregators: Incarnations{1}})
 		add(3)
-		s.Due(3)
+		s.DueReports(3)
 		add(2)
-		s.Read(3.1, "k0", &Heard{Row: 100, Number: closed, Over: true})
-		l := s.Due(3.2)
-		if want := []uint64{0, 5, 2}[closed]; len(l) != 1 || l[0].Told.Row != 101 || l[0].Told.Number != 1 || sum(l[0].Told.Cells) != want || s.Unplaced != 0 {
+		s.HandleAck(3.1, "k0", &RowAck{RowID: 100, Sequence: closed, Closed: true})
+		l := s.DueReports(3.2)
+		if want := []uint64{0, 5, 2}[closed]; len(l) != 1 || l[0].Report.RowID != 101 || l[0].Report.Sequence != 1 || sum(l[0].Report.Cells) != want || s.Unaccounted != 0 {
 			t.Errorf("closed under %d it tells %+v, of %d", closed, l, want)
 		}
 	}
@@ -310,38 +310,38 @@
 
 // TestNonsenseIsRefused: a row that shrinks, jumps or names a cell twice changes nothing.
 func TestNonsenseIsRefused(t *testing.T) {
-	k := NewKeeper("k0", []string{"k0"}, 1, func(uint64) (uint64, bool) { return 0, false }, 0)
+	k := NewAggregator("k0", []string{"k0"}, 1, func(uint64) (uint64, bool) { return 0, false }, 0)
 	of := func(stage string, n uint64) stance.CounterCell {
 		return stance.CounterCell{CounterKey: stance.CounterKey{Class: stage}, RequestCounts: stance.RequestCounts{Received: n}}
 	}
-	k.Read(0, &Told{Name: "a", Life: 1, Row: 1, Number: 1, Cells: []stance.CounterCell{of("x", 10), of("y", 5)}})
+	k.HandleReport(0, &RowReport{Server: "a", Incarnation: 1, RowID: 1, Sequence: 1, Cells: []stance.CounterCell{of("x", 10), of("y", 5)}})
 	for _, cells := range [][]stance.CounterCell{{of("x", 9), of("y", 5)}, {of("x", 11)}, {of("x", 10), of("x", 10), of("y", 5)}, {of("x", 1<<60), of("y", 5)}} {
-		if h := k.Read(1, &Told{Name: "a", Life: 1, Row: 1, Number: 2, Cells: cells}); h.Number != 1 {
+		if h := k.HandleReport(1, &RowReport{Server: "a", Incarnation: 1, RowID: 1, Sequence: 2, Cells: cells}); h.Sequence != 1 {
 			t.Errorf("%v is taken", cells)
 		}
 	}
-	if r := k.Report(1, nil); sum(r.Total) != 15 || r.Refused != 4 {
+	if r := k.Summary(1, nil); sum(r.Total) != 15 || r.RejectedReports != 4 {
 		t.Errorf("it knows %+v", r)
 	}
-	if h := k.Read(2, &Told{Name: "a", Life: 1, Row: 1, Number: 2, Base: 1, Cells: []stance.CounterCell{of("y", 6)}}); h.Number != 2 {
+	if h := k.HandleReport(2, &RowReport{Server: "a", Incarnation: 1, RowID: 1, Sequence: 2, BaseSequence: 1, Cells: []stance.CounterCell{of("y", 6)}}); h.Sequence != 2 {
 		t.Errorf("what changed is not taken: %+v", h)
 	}
-	if r := k.Report(14, nil); sum(r.Total) != 16 || len(r.Late) != 1 || r.Late[0].Silent != 12 || r.Lacks != 6 {
+	if r := k.Summary(14, nil); sum(r.Total) != 16 || len(r.LateReports) != 1 || r.LateReports[0].SilentSeconds != 12 || r.MaxMissing != 6 {
 		t.Errorf("it knows %+v", r)
 	}
 }
 
 func BenchmarkAWord(b *testing.B) {
-	k := NewKeeper("k0", []string{"k0"}, 1, func(uint64) (uint64, bool) { return 0, false }, 0)
-	t := &Told{Name: "a", Life: 1, Row: 1}
+	k := NewAggregator("k0", []string{"k0"}, 1, func(uint64) (uint64, bool) { return 0, false }, 0)
+	t := &RowReport{Server: "a", Incarnation: 1, RowID: 1}
 	for i := range 40 {
 		t.Cells = append(t.Cells, stance.CounterCell{CounterKey: stance.CounterKey{Tenant: "acme", Class: fmt.Sprint(i)}})
 	}
 	for b.Loop() {
-		t.Number++
+		t.Sequence++
 		for i := range t.Cells {
 			t.Cells[i].Received++
 		}
-		k.Read(float64(t.Number), t)
+		k.HandleReport(float64(t.Sequence), t)
 	}
 }
--- a/internal/judge/shared/counts/keeper.go
+++ b/internal/judge/shared/counts/keeper.go
@@ -9,22 +9,22 @@
 	"swiftcourse/internal/ring"
 )
 
-// Ask is one keeper's question to another: what it has of some rows that are to be closed, or, from one that knows nothing yet, of all.
-type Ask struct {
-	Number uint64
-	Rows   []Heard // with what the asker has of each
-	All    bool    // in place of them all rows after one
-	After  uint64
-	Sits   Sits
+// RowQuery is one keeper's question to another: what it has of some rows that are to be closed, or, from one that knows nothing yet, of all.
+type RowQuery struct {
+	Number      uint64
+	Rows        []RowAck // with what the asker has of each
+	All         bool     // in place of them all rows after one
+	After       uint64
+	Aggregators Incarnations
 }
 
-// Said answers: whatever is newer than what the asker has.
-type Said struct {
-	Number uint64
-	Cold   bool // who answers does not know all yet itself: what it lacks means nothing
-	Rows   []Told
-	More   bool // there are more rows, after the last one
-	Sits   Sits
+// RowQueryReply answers: whatever is newer than what the asker has.
+type RowQueryReply struct {
+	Number      uint64
+	Recovering  bool // who answers does not know all yet itself: what it lacks means nothing
+	Rows        []RowReport
+	More        bool // there are more rows, after the last one
+	Aggregators Incarnations
 }
 
 const (
@@ -52,7 +52,7 @@
 
 // kept is a row.
 type kept struct {
-	Told
+	RowReport
 	cells  cells
 	since  float64 // when this keeper heard of it first
 	heard  float64 // when its server told of it
@@ -63,11 +63,11 @@
 	// another. Whoever leads sees to it that it is added up.
 }
 
-// Keeper is a voter's part: it holds the rows of all who are there.
-type Keeper struct {
+// Aggregator is a voter's part: it holds the rows of all who are there.
+type Aggregator struct {
 	names  []string
 	me     int
-	sits   Sits
+	sits   Incarnations
 	need   int // keepers, itself among them, that are most
 	over   func(row uint64) (number uint64, over bool)
 	rows   map[uint64]*kept
@@ -76,12 +76,12 @@
 	asks   uint64 // number of the last question
 	asked  float64
 
-	cold  bool
-	after map[string]uint64 // how far each other has told all
-	done  map[string]bool   // those who have: true for those who know all themselves
+	recovering bool
+	after      map[string]uint64 // how far each other has told all
+	done       map[string]bool   // those who have: true for those who know all themselves
 
-	closing []uint64 // rows that are to be closed
-	under   Sits     // as they were known when others were asked
+	closing []uint64     // rows that are to be closed
+	under   Incarnations // as they were known when others were asked
 	sure    map[string]bool
 	closed  float64
 
@@ -89,47 +89,47 @@
 	holes   int // times that it took itself for one that knows all without having heard enough others
 }
 
-// NewKeeper makes a keeper that knows nothing. Its sit is higher than those of its lives before, as far as clocks tell. Over tells what is closed.
-func NewKeeper(name string, keepers []string, sit uint64, over func(uint64) (uint64, bool), now float64) *Keeper {
-	k := &Keeper{names: slices.Sorted(slices.Values(keepers)), need: len(keepers)/2 + 1, over: over, rows: map[uint64]*kept{}, window: ring.New[cells](windowMany, windowWide, now)}
-	k.me, k.sits = slices.Index(k.names, name), make(Sits, len(keepers))
+// NewAggregator makes a keeper that knows nothing. Its sit is higher than those of its lives before, as far as clocks tell. Over tells what is closed.
+func NewAggregator(name string, keepers []string, sit uint64, over func(uint64) (uint64, bool), now float64) *Aggregator {
+	k := &Aggregator{names: slices.Sorted(slices.Values(keepers)), need: len(keepers)/2 + 1, over: over, rows: map[uint64]*kept{}, window: ring.New[cells](windowMany, windowWide, now)}
+	k.me, k.sits = slices.Index(k.names, name), make(Incarnations, len(keepers))
 	k.sits[k.me], k.asks = sit, sit // and no answer to a life before is one to this
 	k.forget(now)
 	return k
 }
 
 // forget has it learn anew what there is.
-func (k *Keeper) forget(now float64) {
-	k.cold, k.began, k.asked = len(k.names) > 1, now, math.Inf(-1)
+func (k *Aggregator) forget(now float64) {
+	k.recovering, k.began, k.asked = len(k.names) > 1, now, math.Inf(-1)
 	k.after, k.done, k.sure, k.closing = map[string]uint64{}, map[string]bool{}, map[string]bool{}, nil
 }
 
 // hear takes over later lives of keepers. Where somebody knows a later one of its own, it is one that began with a clock behind, and begins anew above that.
-func (k *Keeper) hear(now float64, told Sits) {
+func (k *Aggregator) hear(now float64, told Incarnations) {
 	mine := k.sits[k.me]
-	k.sits.hear(told)
+	k.sits.merge(told)
 	if late := k.sits[k.me]; late != mine {
 		k.sits[k.me] = late + 1
 		k.forget(now)
 	}
 }
 
-// Cold tells whether it may lack rows that most keepers had.
-func (k *Keeper) Cold() bool { return k.cold }
+// Recovering tells whether it may lack rows that most keepers had.
+func (k *Aggregator) Recovering() bool { return k.recovering }
 
-// Holes counts how often it took itself for one that knows all without having heard enough others.
-func (k *Keeper) Holes() int { return k.holes }
+// IncompleteRecoveries counts how often it took itself for one that knows all without having heard enough others.
+func (k *Aggregator) IncompleteRecoveries() int { return k.holes }
 
-// Read takes a server's word.
-func (k *Keeper) Read(now float64, t *Told) Heard {
-	k.hear(now, t.Sits)
-	h := Heard{Row: t.Row, Sits: slices.Clone(k.sits)}
-	if h.Number, h.Over = k.over(t.Row); h.Over {
-		delete(k.rows, t.Row)
+// HandleReport takes a server's word.
+func (k *Aggregator) HandleReport(now float64, t *RowReport) RowAck {
+	k.hear(now, t.Aggregators)
+	h := RowAck{RowID: t.RowID, Aggregators: slices.Clone(k.sits)}
+	if h.Sequence, h.Closed = k.over(t.RowID); h.Closed {
+		delete(k.rows, t.RowID)
 		return h
 	}
-	r := k.rows[t.Row]
-	if r == nil || !r.Closes {
+	r := k.rows[t.RowID]
+	if r == nil || !r.Closing {
 		r = k.take(now, t)
 	}
 	if r == nil {
@@ -137,28 +137,28 @@
 	}
 	r.heard, r.passed = now, false
 	switch {
-	case k.cold: // what closes may not be known here yet
-	case r.Closes:
-		h.Number = r.Stands
+	case k.recovering: // what closes may not be known here yet
+	case r.Closing:
+		h.Sequence = r.FrozenSequence
 	default:
-		h.Number = r.Number
+		h.Sequence = r.Sequence
 	}
 	return h
 }
 
 // take merges a row: of two the one with the higher number is the later.
-func (k *Keeper) take(now float64, t *Told) *kept {
-	r := k.rows[t.Row]
+func (k *Aggregator) take(now float64, t *RowReport) *kept {
+	r := k.rows[t.RowID]
 	if r == nil {
-		if t.Base != 0 || t.Number == 0 || t.Name == "" || len(k.rows) >= maxRows || len(t.Cells) > MaxCells+1 {
+		if t.BaseSequence != 0 || t.Sequence == 0 || t.Server == "" || len(k.rows) >= maxRows || len(t.Cells) > maxCells+1 {
 			return nil
 		}
-		r = k.open(now, t.Row)
+		r = k.open(now, t.RowID)
 	}
-	if t.Number <= r.Number || t.Base > r.Number || r.Number > 0 && (t.Name != r.Name || t.Life != r.Life) {
+	if t.Sequence <= r.Sequence || t.BaseSequence > r.Sequence || r.Sequence > 0 && (t.Server != r.Server || t.Incarnation != r.Incarnation) {
 		return r
 	}
-	r.Name, r.Life = t.Name, t.Life
+	r.Server, r.Incarnation = t.Server, t.Incarnation
 	// Whoever has all that is told has it in order and once; a row only grows, and not by more than a server can do.
 	more, held := cells{}, 0
 	var sum uint64
@@ -174,8 +174,8 @@
 		more[n.CounterKey] = n.RequestCounts.Sub(was)
 		sum += more[n.CounterKey].Received
 	}
-	first := r.Number == 0
-	if t.Base == 0 && held < len(r.cells) || len(r.cells)+len(more)-held > MaxCells+1 || !first && float64(sum) > burst+maxRate*max(0, now-r.grew) {
+	first := r.Sequence == 0
+	if t.BaseSequence == 0 && held < len(r.cells) || len(r.cells)+len(more)-held > maxCells+1 || !first && float64(sum) > burst+maxRate*max(0, now-r.grew) {
 		k.refused++
 		return r
 	}
@@ -186,39 +186,39 @@
 	}
 	for cell, n := range more {
 		r.cells[cell] = r.cells[cell].Add(n)
-		if !first || t.Number == 1 {
+		if !first || t.Sequence == 1 {
 			(*bucket)[cell] = (*bucket)[cell].Add(n)
 		}
 	}
-	if !first || t.Number == 1 {
+	if !first || t.Sequence == 1 {
 		r.rate = float64(sum) / max(now-r.grew, tellEvery)
 	}
-	r.Number, r.grew = t.Number, now
+	r.Sequence, r.grew = t.Sequence, now
 	return r
 }
 
 // open begins to keep a row of which nothing is known.
-func (k *Keeper) open(now float64, row uint64) *kept {
-	r := &kept{Told: Told{Row: row}, cells: cells{}, since: now, heard: now, grew: now, rate: -1, passed: true}
+func (k *Aggregator) open(now float64, row uint64) *kept {
+	r := &kept{RowReport: RowReport{RowID: row}, cells: cells{}, since: now, heard: now, grew: now, rate: -1, passed: true}
 	k.rows[row] = r
 	return r
 }
 
 // close has a row stand as it is, also one of which nothing is known here.
-func (k *Keeper) close(now float64, row uint64) {
+func (k *Aggregator) close(now float64, row uint64) {
 	r := k.rows[row]
 	if r == nil {
 		r = k.open(now, row)
 	}
-	if !r.Closes {
-		r.Closes, r.Stands = true, r.Number
+	if !r.Closing {
+		r.Closing, r.FrozenSequence = true, r.Sequence
 	}
 }
 
-// Asked answers another keeper.
-func (k *Keeper) Asked(now float64, q *Ask) *Said {
-	k.hear(now, q.Sits)
-	s := &Said{Number: q.Number, Cold: k.cold, Sits: slices.Clone(k.sits)}
+// HandleQuery answers another keeper.
+func (k *Aggregator) HandleQuery(now float64, q *RowQuery) *RowQueryReply {
+	k.hear(now, q.Aggregators)
+	s := &RowQueryReply{Number: q.Number, Recovering: k.recovering, Aggregators: slices.Clone(k.sits)}
 	left := maxSlice
 	put := func(r *kept) bool {
 		if left -= 1 + len(r.cells); left < 0 && len(s.Rows) > 0 {
@@ -237,35 +237,35 @@
 		return s
 	}
 	for _, h := range q.Rows {
-		if _, over := k.over(h.Row); over || k.cold || len(k.rows) >= maxRows {
-			s.Cold = s.Cold || !over
+		if _, over := k.over(h.RowID); over || k.recovering || len(k.rows) >= maxRows {
+			s.Recovering = s.Recovering || !over
 			continue
 		}
-		k.close(now, h.Row)
-		if r := k.rows[h.Row]; r.Number > h.Number && !put(r) {
-			s.Cold = true // it is not all: another time
+		k.close(now, h.RowID)
+		if r := k.rows[h.RowID]; r.Sequence > h.Sequence && !put(r) {
+			s.Recovering = true // it is not all: another time
 			break
 		}
 	}
 	return s
 }
 
-// Said takes another keeper's answer. It tells the rows that are to be closed now, none as long as too few have answered.
-func (k *Keeper) Said(now float64, from string, s *Said) []Told {
-	k.hear(now, s.Sits)
+// HandleQueryReply takes another keeper's answer. It tells the rows that are to be closed now, none as long as too few have answered.
+func (k *Aggregator) HandleQueryReply(now float64, from string, s *RowQueryReply) []RowReport {
+	k.hear(now, s.Aggregators)
 	if s.Number != k.asks || !slices.Contains(k.names, from) {
 		return nil
 	}
 	for i := range s.Rows {
-		if _, over := k.over(s.Rows[i].Row); !over {
+		if _, over := k.over(s.Rows[i].RowID); !over {
 			k.pass(now, &s.Rows[i])
 		}
 	}
-	if k.cold {
+	if k.recovering {
 		k.learn(from, s)
 		return nil
 	}
-	if s.Cold || k.closing == nil || !slices.Equal(k.sits, k.under) || !slices.Equal(k.sits, s.Sits) {
+	if s.Recovering || k.closing == nil || !slices.Equal(k.sits, k.under) || !slices.Equal(k.sits, s.Aggregators) {
 		return nil
 	}
 	if k.sure[from] = true; 1+len(k.sure) < k.need {
@@ -275,35 +275,35 @@
 }
 
 // pass takes a row that another keeper has, and how it stands there.
-func (k *Keeper) pass(now float64, t *Told) {
-	r := k.rows[t.Row]
-	if t.Number > 0 {
+func (k *Aggregator) pass(now float64, t *RowReport) {
+	r := k.rows[t.RowID]
+	if t.Sequence > 0 {
 		r = k.take(now, t)
-	} else if r == nil && t.Closes && len(k.rows) < maxRows {
-		r = k.open(now, t.Row)
+	} else if r == nil && t.Closing && len(k.rows) < maxRows {
+		r = k.open(now, t.RowID)
 	}
-	if r == nil || !t.Closes {
+	if r == nil || !t.Closing {
 		return
 	}
-	if !r.Closes || t.Stands < r.Stands {
-		r.Closes, r.Stands = true, t.Stands
+	if !r.Closing || t.FrozenSequence < r.FrozenSequence {
+		r.Closing, r.FrozenSequence = true, t.FrozenSequence
 	}
 }
 
 // told is the row as it is passed on.
-func (r *kept) told() Told {
-	t := r.Told
-	t.Cells = Sorted(r.cells)
+func (r *kept) told() RowReport {
+	t := r.RowReport
+	t.Cells = sortedCells(r.cells)
 	return t
 }
 
 // learn notes how far another has told all it has.
-func (k *Keeper) learn(from string, s *Said) {
+func (k *Aggregator) learn(from string, s *RowQueryReply) {
 	if s.More {
-		k.after[from] = s.Rows[len(s.Rows)-1].Row
+		k.after[from] = s.Rows[len(s.Rows)-1].RowID
 		return
 	}
-	k.done[from] = !s.Cold
+	k.done[from] = !s.Recovering
 	knowing := 0
 	for _, knows := range k.done {
 		if knows {
@@ -313,15 +313,15 @@
 	// Each row that most keepers had is at one at least of these; where all others have told what they have there is no more.
 	switch {
 	case knowing >= len(k.names)-k.need+1:
-		k.cold = false
+		k.recovering = false
 	case len(k.done) == len(k.names)-1: // as at a fleet's first start
-		k.cold = false
+		k.recovering = false
 		k.holes++
 	}
 }
 
 // ripe are the rows to be closed, as they are known now.
-func (k *Keeper) ripe() (list []Told) {
+func (k *Aggregator) ripe() (list []RowReport) {
 	for _, row := range k.closing {
 		if r := k.rows[row]; r != nil {
 			list = append(list, r.told())
@@ -331,12 +331,12 @@
 	return list
 }
 
-// Due does what is due: a cold one asks the others, one that leads looks for rows whose servers are gone. Gone tells whether a name belongs to another
+// Maintain does what is due: a cold one asks the others, one that leads looks for rows whose servers are gone. Gone tells whether a name belongs to another
 // life by now, or to none. It tells rows that are to be closed, as Said does.
-func (k *Keeper) Due(now float64, leads bool, gone func(name string, life uint64) bool) (letters []Letter, ripe []Told) {
-	if k.cold {
+func (k *Aggregator) Maintain(now float64, leads bool, gone func(name string, life uint64) bool) (letters []Envelope, ripe []RowReport) {
+	if k.recovering {
 		if now >= k.began+learnFor {
-			k.cold = false
+			k.recovering = false
 			k.holes++
 			return nil, nil
 		}
@@ -345,7 +345,7 @@
 			k.asks++
 			for i, to := range k.names {
 				if i != k.me && !k.done[to] {
-					letters = append(letters, Letter{To: to, Ask: &Ask{Number: k.asks, All: true, After: k.after[to], Sits: slices.Clone(k.sits)}})
+					letters = append(letters, Envelope{To: to, Query: &RowQuery{Number: k.asks, All: true, After: k.after[to], Aggregators: slices.Clone(k.sits)}})
 				}
 			}
 		}
@@ -360,17 +360,17 @@
 	if !leads {
 		return nil, nil
 	}
-	q, many := &Ask{Number: k.asks + 1}, 0
+	q, many := &RowQuery{Number: k.asks + 1}, 0
 	for _, row := range slices.Sorted(maps.Keys(k.rows)) {
 		r := k.rows[row]
-		old := now >= r.since+max(renewLeast, renewEach*float64(len(k.rows))) && slices.Contains(k.names, r.Name)
-		if r.Closes || old || (r.passed || now >= r.heard+quiet) && gone(r.Name, r.Life) {
+		old := now >= r.since+max(renewLeast, renewEach*float64(len(k.rows))) && slices.Contains(k.names, r.Server)
+		if r.Closing || old || (r.passed || now >= r.heard+quiet) && gone(r.Server, r.Incarnation) {
 			if many += len(r.cells); len(q.Rows) >= maxClosed || many > maxClosedCells && len(q.Rows) > 0 {
 				break
 			}
 			k.close(now, row)
 			k.closing = append(k.closing, row)
-			q.Rows = append(q.Rows, Heard{Row: row, Number: r.Number})
+			q.Rows = append(q.Rows, RowAck{RowID: row, Sequence: r.Sequence})
 		}
 	}
 	if k.closing == nil {
@@ -382,57 +382,57 @@
 		return nil, k.ripe()
 	}
 	k.under = slices.Clone(k.sits)
-	q.Sits = k.under
+	q.Aggregators = k.under
 	for i, to := range k.names {
 		if i != k.me {
-			letters = append(letters, Letter{To: to, Ask: q})
+			letters = append(letters, Envelope{To: to, Query: q})
 		}
 	}
 	return letters, nil
 }
 
-// Next is when Due is to be called.
-func (k *Keeper) Next() float64 {
-	if k.cold {
+// NextWakeup is when Due is to be called.
+func (k *Aggregator) NextWakeup() float64 {
+	if k.recovering {
 		return min(k.asked+learnEvery, k.began+learnFor)
 	}
 	return k.closed + closeEvery
 }
 
-// Late is a server of which nothing was heard lately.
-type Late struct {
-	Name   string  `json:"Name"`
-	Silent float64 `json:"Silent"` // seconds
-	Rate   float64 `json:"Rate"`   // tasks a second that it told of before
+// LateReport is a server of which nothing was heard lately.
+type LateReport struct {
+	Server            string  `json:"Name"`
+	SilentSeconds     float64 `json:"Silent"` // seconds
+	RequestsPerSecond float64 `json:"Rate"`   // tasks a second that it told of before
 }
 
-// Report is what a keeper knows. Everything in it was counted, so what is true is no less; what it may lack is told.
-type Report struct {
-	Total   []stance.CounterCell // since the fleet's founding
-	Minute  []stance.CounterCell `json:"Minute"`  // told in the last minute
-	Rows    int                  `json:"Rows"`    // lives that told, and are not closed
-	Late    []Late               `json:"Late"`    // those heard of for the last time some seconds ago, the longest silent first
-	Lacks   float64              `json:"Lacks"`   // tasks that those, and those between two words, may have had asked of them since, at their rates
-	Cold    bool                 `json:"Cold"`    // it does not know all that others know yet
-	Holes   int                  `json:"Holes"`   // times that this keeper began without enough others that knew all; once at the fleet's first start
-	Refused int                  `json:"Refused"` // words that can't be true
+// Summary is what a keeper knows. Everything in it was counted, so what is true is no less; what it may lack is told.
+type Summary struct {
+	Total                []stance.CounterCell // since the fleet's founding
+	LastMinute           []stance.CounterCell `json:"Minute"`  // told in the last minute
+	OpenRows             int                  `json:"Rows"`    // lives that told, and are not closed
+	LateReports          []LateReport         `json:"Late"`    // those heard of for the last time some seconds ago, the longest silent first
+	MaxMissing           float64              `json:"Lacks"`   // tasks that those, and those between two words, may have had asked of them since, at their rates
+	Recovering           bool                 `json:"Cold"`    // it does not know all that others know yet
+	IncompleteRecoveries int                  `json:"Holes"`   // times that this keeper began without enough others that knew all; once at the fleet's first start
+	RejectedReports      int                  `json:"Refused"` // words that can't be true
 }
 
 // maxLate names are told.
 const maxLate = 64
 
-// Report adds up; sums are those of rows that are over.
-func (k *Keeper) Report(now float64, sums []stance.CounterCell) *Report {
+// Summary adds up; sums are those of rows that are over.
+func (k *Aggregator) Summary(now float64, sums []stance.CounterCell) *Summary {
 	total, minute := cells{}, cells{}
 	for _, n := range sums {
 		total[n.CounterKey] = n.RequestCounts
 	}
 	rated, known, unrated := 0.0, 0.0, 0.0
-	rep := &Report{Rows: len(k.rows), Cold: k.cold, Holes: k.holes, Refused: k.refused}
+	rep := &Summary{OpenRows: len(k.rows), Recovering: k.recovering, IncompleteRecoveries: k.holes, RejectedReports: k.refused}
 	for _, row := range slices.Sorted(maps.Keys(k.rows)) {
 		r := k.rows[row]
 		if _, over := k.over(row); over {
-			rep.Rows--
+			rep.OpenRows--
 			continue // it is among the sums
 		}
 		for cell, n := range r.cells {
@@ -440,27 +440,27 @@
 		}
 		if r.rate >= 0 {
 			rated, known = rated+r.rate, known+1
-			rep.Lacks += r.rate * max(0, now-r.grew)
+			rep.MaxMissing += r.rate * max(0, now-r.grew)
 		} else {
 			unrated += max(0, now-r.grew)
 		}
 		if now > r.grew+lateAfter {
-			rep.Late = append(rep.Late, Late{Name: r.Name, Silent: now - r.grew, Rate: max(0, r.rate)})
+			rep.LateReports = append(rep.LateReports, LateReport{Server: r.Server, SilentSeconds: now - r.grew, RequestsPerSecond: max(0, r.rate)})
 		}
 	}
-	rep.Lacks += unrated * rated / max(1, known) // those of whom nothing is known are taken for such as the others
-	slices.SortStableFunc(rep.Late, func(a, b Late) int {
-		if a.Silent > b.Silent {
+	rep.MaxMissing += unrated * rated / max(1, known) // those of whom nothing is known are taken for such as the others
+	slices.SortStableFunc(rep.LateReports, func(a, b LateReport) int {
+		if a.SilentSeconds > b.SilentSeconds {
 			return -1
 		}
 		return 1
 	})
-	rep.Late = rep.Late[:min(len(rep.Late), maxLate)]
+	rep.LateReports = rep.LateReports[:min(len(rep.LateReports), maxLate)]
 	k.window.All(now, func(c *cells) {
 		for cell, n := range *c {
 			minute[cell] = minute[cell].Add(n)
 		}
 	})
-	rep.Total, rep.Minute = Sorted(total), Sorted(minute)
+	rep.Total, rep.LastMinute = sortedCells(total), sortedCells(minute)
 	return rep
 }
--- a/internal/judge/shared/health/health.go
+++ b/internal/judge/shared/health/health.go
@@ -22,11 +22,11 @@
 type State uint8
 
 const (
-	Well State = iota
-	Slow
-	Sick      // half of the calls or more are lost
-	Dead      // hardly any comes back
-	Returning // it does again, and gets more step by step
+	Closed State = iota
+	Degraded
+	Throttled // half of the calls or more are lost
+	Open      // hardly any comes back
+	HalfOpen  // it does again, and gets more step by step
 	states
 )
 
@@ -52,20 +52,20 @@
 	input evidence
 	next  State
 }{
-	{Well, drags, Slow},
-	{Well, fails, Sick},
-	{Well, gone, Dead},
-	{Slow, fine, Well},
-	{Slow, fails, Sick},
-	{Slow, gone, Dead},
-	{Sick, fine, Returning},
-	{Sick, drags, Returning},
-	{Sick, gone, Dead},
-	{Dead, fine, Returning},
-	{Dead, drags, Returning},
-	{Returning, fails, Sick},
-	{Returning, gone, Dead},
-	{Returning, whole, Well},
+	{Closed, drags, Degraded},
+	{Closed, fails, Throttled},
+	{Closed, gone, Open},
+	{Degraded, fine, Closed},
+	{Degraded, fails, Throttled},
+	{Degraded, gone, Open},
+	{Throttled, fine, HalfOpen},
+	{Throttled, drags, HalfOpen},
+	{Throttled, gone, Open},
+	{Open, fine, HalfOpen},
+	{Open, drags, HalfOpen},
+	{HalfOpen, fails, Throttled},
+	{HalfOpen, gone, Open},
+	{HalfOpen, whole, Closed},
 }
 
 func step(s State, in evidence) State {
@@ -79,37 +79,37 @@
 
 // Tally is what became of calls.
 type Tally struct {
-	Well, Lost int
-	Took       float64 // seconds that those that went well took together
+	Succeeded, Failed int
+	SuccessSeconds    float64 // seconds that those that went well took together
 }
 
 func (t *Tally) add(o Tally) {
-	t.Well += o.Well
-	t.Lost += o.Lost
-	t.Took += o.Took
+	t.Succeeded += o.Succeeded
+	t.Failed += o.Failed
+	t.SuccessSeconds += o.SuccessSeconds
 }
 
-func (t *Tally) calls() int { return t.Well + t.Lost }
+func (t *Tally) calls() int { return t.Succeeded + t.Failed }
 
-// Word is what a server says of its calls of the last Window seconds.
-type Word struct {
-	Name   string
-	Zone   string
-	Life   uint64
-	Number uint64  // grows with each word of a life
-	Age    float64 // seconds since it was said, as those who passed it on held it
-	Tally  Tally
+// Report is what a server says of its calls of the last Window seconds.
+type Report struct {
+	Server      string
+	Zone        string
+	Incarnation uint64
+	Sequence    uint64  // grows with each word of a life
+	AgeSeconds  float64 // seconds since it was said, as those who passed it on held it
+	Tally       Tally
 }
 
 const (
-	// Window is for how long calls count, in seconds, and in how many buckets: the fleet has to know of a service within a second of its death.
-	Window, buckets = 0.8, 4
+	// windowSeconds is for how long calls count, in seconds, and in how many buckets: the fleet has to know of a service within a second of its death.
+	windowSeconds, buckets = 0.8, 4
 	// enough own calls in the window decide alone: with half of them lost by chance at one in ten, ten say so once in a thousand windows.
 	enough = 10
 	// told is how many calls a word must tell of to have a voice, and voices how many are needed.
 	told, voices = 1, 3
-	// MaxWords bounds whose words are held: of more the voices would say the same.
-	MaxWords = 128
+	// MaxReports bounds whose words are held: of more the voices would say the same.
+	MaxReports = 128
 	// maxCalls is what a word may tell of: a million a second. More is nonsense.
 	maxCalls = 2e6
 	// dragging is how many times the least mean of half a minute calls take that drag.
@@ -123,8 +123,8 @@
 	failing, going = 0.5, 0.9
 )
 
-// Judge is one server's judgement on one service.
-type Judge struct {
+// Breaker is one server's judgement on one service.
+type Breaker struct {
 	name, zone string
 	log        *ring.Ring[Tally]
 	lowest     ring.Lowest
@@ -139,91 +139,91 @@
 }
 
 type heard struct {
-	Word
+	Report
 	at float64
 }
 
 // New makes a judge that knows nothing: the service is well.
-func New(name, zone string, now float64) *Judge {
-	j := &Judge{name: name, zone: zone, lowest: ring.NewLowest(6, 5, now), words: map[string]*heard{}, since: now}
+func New(name, zone string, now float64) *Breaker {
+	j := &Breaker{name: name, zone: zone, lowest: ring.NewLowest(6, 5, now), words: map[string]*heard{}, since: now}
 	j.forget(now)
 	return j
 }
 
 // forget drops what was seen of calls: it tells of the time before.
-func (j *Judge) forget(now float64) {
-	j.log = ring.New[Tally](buckets, Window/buckets, now)
+func (j *Breaker) forget(now float64) {
+	j.log = ring.New[Tally](buckets, windowSeconds/buckets, now)
 	clear(j.words)
 }
 
-// Own takes in what became of calls of this server since the last time, and how many are out.
-func (j *Judge) Own(now float64, t Tally, out float64) {
+// RecordCalls takes in what became of calls of this server since the last time, and how many are out.
+func (j *Breaker) RecordCalls(now float64, t Tally, out float64) {
 	j.log.At(now).add(t)
-	if t.Well > 0 {
-		j.lowest.Take(now, t.Took/float64(t.Well))
+	if t.Succeeded > 0 {
+		j.lowest.Take(now, t.SuccessSeconds/float64(t.Succeeded))
 	}
 	if out > 0 || t.calls() > 0 {
 		j.tried = int64(now / slot)
 	}
-	if j.state == Well {
+	if j.state == Closed {
 		j.usual += 0.1 * (out - j.usual) // some tens of counts
 	}
 }
 
-// Hear takes another server's word, and tells whether it counts. One that is older than what is there, or can't be, changes nothing.
-func (j *Judge) Hear(now float64, w Word) bool {
+// HandleReport takes another server's word, and tells whether it counts. One that is older than what is there, or can't be, changes nothing.
+func (j *Breaker) HandleReport(now float64, w Report) bool {
 	t := &w.Tally
-	if w.Name == "" || w.Name == j.name || t.Well < 0 || t.Lost < 0 || t.Well > maxCalls || t.Lost > maxCalls || !(t.Took >= 0) || math.IsInf(t.Took, 0) ||
-		!(w.Age >= 0 && w.Age < Window) || w.Age > now-j.since && j.state == Returning {
+	if w.Server == "" || w.Server == j.name || t.Succeeded < 0 || t.Failed < 0 || t.Succeeded > maxCalls || t.Failed > maxCalls || !(t.SuccessSeconds >= 0) || math.IsInf(t.SuccessSeconds, 0) ||
+		!(w.AgeSeconds >= 0 && w.AgeSeconds < windowSeconds) || w.AgeSeconds > now-j.since && j.state == HalfOpen {
 		return false
 	}
-	was := j.words[w.Name]
-	if was != nil && was.Life == w.Life && w.Number <= was.Number {
+	was := j.words[w.Server]
+	if was != nil && was.Incarnation == w.Incarnation && w.Sequence <= was.Sequence {
 		return false
 	}
-	if was == nil && len(j.words) >= MaxWords {
+	if was == nil && len(j.words) >= MaxReports {
 		j.age(now)
-		if len(j.words) >= MaxWords {
+		if len(j.words) >= MaxReports {
 			return false
 		}
 	}
-	j.words[w.Name] = &heard{w, now - w.Age}
+	j.words[w.Server] = &heard{w, now - w.AgeSeconds}
 	return true
 }
 
-func (j *Judge) age(now float64) {
+func (j *Breaker) age(now float64) {
 	for name, w := range j.words {
-		if now > w.at+Window {
+		if now > w.at+windowSeconds {
 			delete(j.words, name)
 		}
 	}
 }
 
-// Say lists words to pass on, at most so many: this server's own, where it made calls lately, and the newest of others.
-func (j *Judge) Say(now float64, life uint64, most int) (list []Word) {
+// GossipReports lists words to pass on, at most so many: this server's own, where it made calls lately, and the newest of others.
+func (j *Breaker) GossipReports(now float64, life uint64, most int) (list []Report) {
 	if t := j.own(now); t.calls() >= told {
 		j.number++
-		list = append(list, Word{Name: j.name, Zone: j.zone, Life: life, Number: j.number, Tally: t})
+		list = append(list, Report{Server: j.name, Zone: j.zone, Incarnation: life, Sequence: j.number, Tally: t})
 	}
 	j.age(now)
-	others := slices.SortedFunc(maps.Values(j.words), func(a, b *heard) int { return cmp.Or(cmp.Compare(b.at, a.at), cmp.Compare(a.Name, b.Name)) })
+	others := slices.SortedFunc(maps.Values(j.words), func(a, b *heard) int { return cmp.Or(cmp.Compare(b.at, a.at), cmp.Compare(a.Server, b.Server)) })
 	for _, w := range others[:min(len(others), max(0, most-len(list)))] {
-		word := w.Word
-		word.Age = max(0, now-w.at)
+		word := w.Report
+		word.AgeSeconds = max(0, now-w.at)
 		list = append(list, word)
 	}
 	return list
 }
 
-func (j *Judge) own(now float64) (t Tally) {
+func (j *Breaker) own(now float64) (t Tally) {
 	j.log.All(now, func(b *Tally) { t.add(*b) })
 	return t
 }
 
 // of is what a tally says.
-func (j *Judge) of(now float64, t *Tally) evidence {
+func (j *Breaker) of(now float64, t *Tally) evidence {
 	n := float64(t.calls())
-	switch lost := float64(t.Lost); {
+	switch lost := float64(t.Failed); {
 	case n == 0:
 		return quiet
 	case lost >= going*n:
@@ -231,14 +231,14 @@
 	case lost >= failing*n:
 		return fails
 	}
-	if least := j.lowest.Min(now); least > 0 && t.Took > dragging*least*float64(t.Well) {
+	if least := j.lowest.Min(now); least > 0 && t.SuccessSeconds > dragging*least*float64(t.Succeeded) {
 		return drags
 	}
 	return fine
 }
 
 // evidence puts own calls and others' words together.
-func (j *Judge) evidence(now float64) evidence {
+func (j *Breaker) evidence(now float64) evidence {
 	own := j.own(now)
 	if own.calls() >= enough {
 		return j.of(now, &own)
@@ -246,7 +246,7 @@
 	j.age(now)
 	mine := j.of(now, &own)
 	heard := [][]evidence{j.votes(now, true), j.votes(now, false)}
-	if j.zone != "" && j.state != Well && j.state != Slow {
+	if j.zone != "" && j.state != Closed && j.state != Degraded {
 		heard = heard[:1] // it may be well for the others, and yet not for this zone
 	}
 	for _, votes := range heard {
@@ -262,9 +262,9 @@
 }
 
 // votes are what others' words come to, one each; of this server's zone alone where zones are told.
-func (j *Judge) votes(now float64, near bool) (votes []evidence) {
+func (j *Breaker) votes(now float64, near bool) (votes []evidence) {
 	for _, w := range j.words {
-		if w.Tally.calls() >= told && now <= w.at+Window && (!near || j.zone != "" && w.Zone == j.zone) {
+		if w.Tally.calls() >= told && now <= w.at+windowSeconds && (!near || j.zone != "" && w.Zone == j.zone) {
 			votes = append(votes, j.of(now, &w.Tally))
 		}
 	}
@@ -273,9 +273,9 @@
 
 // Decide judges anew. It tells how many calls may be out, +Inf for as many as without it, and whether the state changed. names lists the
 // servers of its zone, this one among them or not: each slot draws a few that try a dead service. It is asked for only then.
-func (j *Judge) Decide(now float64, names func() []string) (most float64, changed bool) {
+func (j *Breaker) Decide(now float64, names func() []string) (most float64, changed bool) {
 	in := j.evidence(now)
-	if j.state == Returning && (in == fine || in == drags) && now >= j.stepAt+stepEvery {
+	if j.state == HalfOpen && (in == fine || in == drags) && now >= j.stepAt+stepEvery {
 		j.stepAt = now
 		if j.level *= stepUp; j.level >= j.usual {
 			in = whole
@@ -284,9 +284,9 @@
 	next := step(j.state, in)
 	changed = next != j.state
 	if changed {
-		if next == Returning {
+		if next == HalfOpen {
 			j.level, j.stepAt = backPart*j.usual, now
-			if j.state == Sick {
+			if j.state == Throttled {
 				j.level = sickPart * j.usual
 			}
 			j.forget(now)
@@ -294,18 +294,18 @@
 		j.state, j.since = next, now
 	}
 	switch j.state {
-	case Sick:
+	case Throttled:
 		return j.let(now, sickPart*j.usual, names), changed
-	case Dead:
+	case Open:
 		return j.let(now, 0, names), changed
-	case Returning:
+	case HalfOpen:
 		return j.let(now, j.level, names), changed
 	}
 	return math.Inf(1), changed
 }
 
 // let is how many calls may be out where it is so many in the mean of all servers: under one, some servers have one in each slot, and a few always.
-func (j *Judge) let(now, level float64, names func() []string) float64 {
+func (j *Breaker) let(now, level float64, names func() []string) float64 {
 	switch {
 	case level >= 1:
 		return math.Floor(level)
@@ -317,8 +317,8 @@
 
 // tries tells whether this server is one of those that try in the present slot: with one call, once it is dead. All who know of the same servers
 // draw the same; who knows of none, or of few, is always one.
-func (j *Judge) tries(now float64, names func() []string) bool {
-	if j.state == Dead && j.tried == int64(now/slot) {
+func (j *Breaker) tries(now float64, names func() []string) bool {
+	if j.state == Open && j.tried == int64(now/slot) {
 		return false
 	}
 	mine := draw(j.name, now)
@@ -335,21 +335,21 @@
 	return crc32.ChecksumIEEE([]byte(strconv.FormatInt(int64(now/slot), 10) + " " + name))
 }
 
-// Try numbers the slot where a call that may be out is a try, of which one is to be made in it; 0 where it is not.
-func (j *Judge) Try(now float64) int64 {
-	if j.state == Dead {
+// ProbeSlot numbers the slot where a call that may be out is a try, of which one is to be made in it; 0 where it is not.
+func (j *Breaker) ProbeSlot(now float64) int64 {
+	if j.state == Open {
 		return int64(now/slot) + 1
 	}
 	return 0
 }
 
 // State is how the service stands, and since when.
-func (j *Judge) State() (State, float64) { return j.state, j.since }
+func (j *Breaker) State() (State, float64) { return j.state, j.since }
 
-// Next is when Decide is to be called, at the latest.
-func (j *Judge) Next(now float64) float64 {
-	if j.state == Returning {
+// NextWakeup is when Decide is to be called, at the latest.
+func (j *Breaker) NextWakeup(now float64) float64 {
+	if j.state == HalfOpen {
 		return max(now, j.stepAt+stepEvery)
 	}
-	return now + Window/buckets
+	return now + windowSeconds/buckets
 }
--- a/internal/judge/shared/health/health_test.go
+++ b/internal/judge/shared/health/health_test.go
@@ -11,7 +11,7 @@
 type world struct {
 	chance *rand.Rand
 	now    float64
-	judges []*Judge
+	judges []*Breaker
 	zones  [3][]string
 	hears  func(from, to int) bool
 	rate   float64 // calls a second that each server wants
@@ -51,10 +51,10 @@
 				case c.at > w.now:
 					left = append(left, c)
 				case c.well:
-					t.Well++
-					t.Took += c.took
+					t.Succeeded++
+					t.SuccessSeconds += c.took
 				default:
-					t.Lost++
+					t.Failed++
 				}
 			}
 			w.ends[i] = left
@@ -65,13 +65,13 @@
 					w.tries++
 				}
 			}
-			j.Own(w.now, t, float64(len(w.ends[i])))
+			j.RecordCalls(w.now, t, float64(len(w.ends[i])))
 			w.most[i], _ = j.Decide(w.now, func() []string { return w.zones[i%3] })
 			if w.chance.IntN(5) == 0 {
 				for range 3 {
 					if to := w.chance.IntN(len(w.judges)); to != i && w.hears(i, to) {
-						for _, word := range j.Say(w.now, uint64(i+1), 16) {
-							w.judges[to].Hear(w.now, word)
+						for _, word := range j.GossipReports(w.now, uint64(i+1), 16) {
+							w.judges[to].HandleReport(w.now, word)
 						}
 					}
 				}
@@ -94,16 +94,16 @@
 	for _, n := range []int{20, 150} {
 		w := newWorld(n, 5)
 		w.run(20)
-		if w.in(Well) != n {
-			t.Fatalf("%d of %d know it well", w.in(Well), n)
+		if w.in(Closed) != n {
+			t.Fatalf("%d of %d know it well", w.in(Closed), n)
 		}
 		w.fate = func(int) (bool, float64) { return false, 0.1 }
 		w.run(1)
-		if found := w.in(Dead) + w.in(Sick); found < n*9/10 {
+		if found := w.in(Open) + w.in(Throttled); found < n*9/10 {
 			t.Errorf("after a second %d of %d know that it is sick, at five calls a second each", found, n)
 		}
 		w.run(2)
-		if dead := w.in(Dead); dead < n*9/10 {
+		if dead := w.in(Open); dead < n*9/10 {
 			t.Errorf("after three %d of %d know it dead", dead, n)
 		}
 		w.tries = 0
@@ -114,7 +114,7 @@
 		w.fate = func(int) (bool, float64) { return true, 0.02 }
 		from := w.now
 		w.tries = 0
-		for w.in(Returning) == 0 && w.now < from+10 {
+		for w.in(HalfOpen) == 0 && w.now < from+10 {
 			w.run(0.05)
 		}
 		w.tries = 0
@@ -123,8 +123,8 @@
 			t.Errorf("%d servers make %.0f calls in its first half second", n, herd)
 		}
 		w.run(8)
-		if w.in(Well) != n {
-			t.Errorf("8 s after it came back %d of %d know it well", w.in(Well), n)
+		if w.in(Closed) != n {
+			t.Errorf("8 s after it came back %d of %d know it well", w.in(Closed), n)
 		}
 	}
 }
@@ -137,20 +137,20 @@
 	lie := func(tally Tally) {
 		for step := range 100 {
 			for _, j := range w.judges {
-				j.Hear(w.now, Word{Name: "liar", Life: 1, Number: uint64(w.now * 1000), Tally: tally})
-				j.Hear(w.now, Word{Name: fmt.Sprint("x", step), Zone: "z0", Life: 1, Number: 1, Tally: Tally{Well: -5}})
+				j.HandleReport(w.now, Report{Server: "liar", Incarnation: 1, Sequence: uint64(w.now * 1000), Tally: tally})
+				j.HandleReport(w.now, Report{Server: fmt.Sprint("x", step), Zone: "z0", Incarnation: 1, Sequence: 1, Tally: Tally{Succeeded: -5}})
 			}
 			w.run(0.05)
 		}
 	}
-	lie(Tally{Lost: 1e6})
-	if shut := w.in(Dead) + w.in(Sick); shut > 1 {
+	lie(Tally{Failed: 1e6})
+	if shut := w.in(Open) + w.in(Throttled); shut > 1 {
 		t.Errorf("one that lies and one with a bad link have %d of 12 shut it out", shut)
 	}
 	w.fate = func(int) (bool, float64) { return false, 0.05 }
 	w.run(2)
-	lie(Tally{Well: 1e6, Took: 1e4})
-	if dead := w.in(Dead); dead < 11 {
+	lie(Tally{Succeeded: 1e6, SuccessSeconds: 1e4})
+	if dead := w.in(Open); dead < 11 {
 		t.Errorf("one that lies keeps it in: %d of 12 know it dead", dead)
 	}
 }
@@ -162,7 +162,7 @@
 	w.fate = func(i int) (bool, float64) { return i%3 != 0, 0.05 }
 	w.run(4)
 	for i, j := range w.judges {
-		if out := j.state == Dead || j.state == Sick; out != (i%3 == 0) {
+		if out := j.state == Open || j.state == Throttled; out != (i%3 == 0) {
 			t.Errorf("%s in zone %s knows it %s", j.name, j.zone, j.state)
 		}
 	}
@@ -171,15 +171,15 @@
 	w.run(5)
 	w.fate = func(i int) (bool, float64) { return i != 2, 0.05 }
 	w.run(3)
-	if w.judges[2].state != Dead || w.in(Well) != 5 {
-		t.Errorf("alone it knows it %s; %d others know it well", w.judges[2].state, w.in(Well))
+	if w.judges[2].state != Open || w.in(Closed) != 5 {
+		t.Errorf("alone it knows it %s; %d others know it well", w.judges[2].state, w.in(Closed))
 	}
 	clear(w.zones[:]) // it knows of nobody
 	w.tries = 0
 	w.fate = func(i int) (bool, float64) { return true, 0.02 }
 	w.run(6)
-	if w.in(Well) != 6 {
-		t.Errorf("%d of 6 know it well again", w.in(Well))
+	if w.in(Closed) != 6 {
+		t.Errorf("%d of 6 know it well again", w.in(Closed))
 	}
 }
 
@@ -189,7 +189,7 @@
 	w.run(10)
 	w.fate = func(int) (bool, float64) { return true, 0.25 }
 	w.run(4)
-	if slow := w.in(Slow); slow < 9 || !math.IsInf(w.most[0], 1) {
+	if slow := w.in(Degraded); slow < 9 || !math.IsInf(w.most[0], 1) {
 		t.Errorf("%d of 10 know it slow, %g may be out", slow, w.most[0])
 	}
 	w.fate = func(int) (bool, float64) { return true, 0.02 }
@@ -214,8 +214,8 @@
 	for _, n := range []int{10, 1000} {
 		b.Run(fmt.Sprint(n, " servers"), func(b *testing.B) {
 			w := newWorld(n, 1)
-			for i := range MaxWords {
-				w.judges[0].Hear(0, Word{Name: fmt.Sprint("n", i+1), Life: 1, Number: 1, Tally: Tally{Well: 3, Took: 0.1}})
+			for i := range MaxReports {
+				w.judges[0].HandleReport(0, Report{Server: fmt.Sprint("n", i+1), Incarnation: 1, Sequence: 1, Tally: Tally{Succeeded: 3, SuccessSeconds: 0.1}})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/lab/budgets/budgets.go
+++ b/internal/lab/budgets/budgets.go
@@ -94,8 +94,8 @@
 // Run plays a seed.
 func Run(ctx context.Context, p *Plan) (Row, error) {
 	most := perServer * float64(p.Servers)
-	terms := budget.Terms{Lease: lease.Seconds(), Floor: floor, Servers: p.Servers, Bounds: []budget.Bound{{Name: tenant, Most: most}}}
-	r := &run{Plan: p, most: most, row: Row{Seed: p.Seed, Servers: p.Servers, Slack: terms.Slack(&terms.Bounds[0])}}
+	terms := budget.Config{LeaseSeconds: lease.Seconds(), FloorFraction: floor, MaxServers: p.Servers, Limits: []budget.Limit{{Name: tenant, Max: most}}}
+	r := &run{Plan: p, most: most, row: Row{Seed: p.Seed, Servers: p.Servers, Slack: terms.MaxBurst(&terms.Limits[0])}}
 	shape := faults.Small(p.Program)
 	shape.Log = p.Log
 	f, err := faults.Start(ctx, faults.Plan{Shape: shape, Servers: p.Servers, Voters: 3, Seed: p.Seed, Tenants: []shale.Tenant{{Name: tenant, RatePerS: 1e6}},
--- a/internal/lab/emulate/budgets.go
+++ b/internal/lab/emulate/budgets.go
@@ -90,14 +90,14 @@
 func RunShared(p *Shared) SharedRow {
 	s := &sharing{talks: newTalks(&Versions{Servers: p.Servers, Voters: p.Voters, Seconds: p.Seconds, Seed: p.Seed}), plan: p, most: perServer * float64(p.Servers),
 		row: SharedRow{Seed: p.Seed, Servers: p.Servers}}
-	terms := budget.Terms{Lease: versionTerms.Duration, Floor: sharedFloor, Servers: p.Servers, Bounds: []budget.Bound{{Name: sharedName, Most: s.most}}}
+	terms := budget.Config{LeaseSeconds: versionTerms.Duration, FloorFraction: sharedFloor, MaxServers: p.Servers, Limits: []budget.Limit{{Name: sharedName, Max: s.most}}}
 	for _, t := range s.servers {
 		sp := &spender{talker: t}
 		s.spenders = append(s.spenders, sp)
 		t.budgets = func(clock *peers.Clock) *peers.Budgets {
-			return &peers.Budgets{Terms: func() budget.Terms { return terms }, Hear: func(list []budget.Allowed) {
+			return &peers.Budgets{Terms: func() budget.Config { return terms }, Hear: func(list []budget.Allowance) {
 				a := list[0]
-				sp.may = stance.Allowance{Guaranteed: a.Floor, LeasedShare: a.Part, LeaseExpiry: clock.Back(a.Till), GrantNumber: a.Answer}
+				sp.may = stance.Allowance{Guaranteed: a.Floor, LeasedShare: a.LeasedShare, LeaseExpiry: clock.Back(a.LeaseExpiry), GrantNumber: a.GrantNumber}
 			}}
 		}
 	}
--- a/internal/lab/emulate/counts.go
+++ b/internal/lab/emulate/counts.go
@@ -187,7 +187,7 @@
 		if !v.alive || v.asleep {
 			continue
 		}
-		if k := v.part.Counted(v.part.Now()).Known; k != nil && !k.Cold {
+		if k := v.part.Counted(v.part.Now()).Known; k != nil && !k.Recovering {
 			stand++
 			c.reporter = v
 		}
@@ -199,7 +199,7 @@
 		low, _ := c.bounds()
 		c.looks++
 		// What its loop has counted and not told, and what is on the way, is half a second's of all.
-		if sum(k.Total)+2*k.Lacks+countedRate*float64(len(c.servers)) < float64(low) {
+		if sum(k.Total)+2*k.MaxMissing+countedRate*float64(len(c.servers)) < float64(low) {
 			c.short++
 		}
 	}
@@ -228,7 +228,7 @@
 			c.row.Over = max(c.row.Over, got-min(got, high))
 			c.row.Under = max(c.row.Under, low-min(got, low))
 			c.row.Closed = len(v.part.Known().Over)
-			open = open || k.Rows > len(c.servers) || k.Cold
+			open = open || k.OpenRows > len(c.servers) || k.Recovering
 		}
 		if c.row.SettledIn = c.now - from; !open && c.row.Over == 0 && c.row.Under == 0 {
 			break
--- a/internal/lab/faults/counts_test.go
+++ b/internal/lab/faults/counts_test.go
@@ -37,7 +37,7 @@
 			t = t.Add(n.RequestCounts)
 		}
 	}
-	return t, s.Known.Rows
+	return t, s.Known.OpenRows
 }
 
 // TestCountsHoldThroughFaults: five processes count what they are asked for; servers are cut off, stopped, killed, and taken for another life, the leader
--- a/internal/peers/budgets.go
+++ b/internal/peers/budgets.go
@@ -15,8 +15,8 @@
 
 // Budgets is what a process does with them.
 type Budgets struct {
-	Terms func() budget.Terms    // as the version says on which the server acts
-	Hear  func([]budget.Allowed) // hands the serving loop what it may use, by the fleet's clock
+	Terms func() budget.Config     // as the version says on which the server acts
+	Hear  func([]budget.Allowance) // hands the serving loop what it may use, by the fleet's clock
 }
 
 // Use is what the serving loop used of a budget lately.
@@ -33,7 +33,7 @@
 type budgets struct {
 	*Budgets
 	holder  *budget.Holder
-	granter *budget.Granter // nil where this process does not lead
+	granter *budget.Grantor // nil where this process does not lead
 }
 
 // Used takes what the serving loop used, from any goroutine.
@@ -56,7 +56,7 @@
 func (f *Part) HeedUses(now float64, list []Use) {
 	if b := f.budgets; b != nil {
 		for _, u := range list {
-			b.holder.Use(now, u.Name, u.Demand, u.Open, u.Answer)
+			b.holder.RecordUsage(now, u.Name, u.Demand, u.Open, u.Answer)
 		}
 	}
 }
@@ -65,9 +65,9 @@
 func (f *Part) heedBudgets(now float64) {
 	if b := f.budgets; b != nil {
 		terms := b.Terms()
-		b.holder.Heed(terms, now)
+		b.holder.ApplyConfig(terms, now)
 		if b.granter != nil {
-			b.granter.Heed(terms)
+			b.granter.ApplyConfig(terms)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 	case f.ledger == nil:
 		b.granter = nil
 	case b.granter == nil:
-		b.granter = budget.NewGranter(b.Terms(), f.chance.Uint64()|1, now)
+		b.granter = budget.NewGrantor(b.Terms(), f.chance.Uint64()|1, now)
 	}
 }
 
@@ -89,9 +89,9 @@
 	if b == nil {
 		return
 	}
-	if b.holder.Next() <= now {
+	if b.holder.NextWakeup() <= now {
 		name := f.self.Leader()
-		if q := b.holder.Ask(now); q != nil && name == f.Name {
+		if q := b.holder.NextRequest(now); q != nil && name == f.Name {
 			f.takeBudgets(now, &wire.Message{Wishes: q, From: f.Name, Life: f.life})
 		} else if q != nil && f.Voters[name] != "" {
 			f.send(f.Voters[name], &wire.Message{Wishes: q})
@@ -101,7 +101,7 @@
 }
 
 func (f *Part) tellBudgets() {
-	if list := f.budgets.holder.Changed(); list != nil {
+	if list := f.budgets.holder.TakeChanges(); list != nil {
 		f.budgets.Hear(list)
 	}
 }
@@ -110,7 +110,7 @@
 	if f.budgets == nil {
 		return math.Inf(1)
 	}
-	return f.budgets.holder.Next()
+	return f.budgets.holder.NextWakeup()
 }
 
 // takeBudgets answers a server's question, or takes an answer in. Only who holds its name has parts: others have the floor at most.
@@ -119,14 +119,14 @@
 	switch {
 	case b == nil:
 	case m.Grants != nil:
-		b.holder.Read(now, m.Grants)
+		b.holder.HandleReply(now, m.Grants)
 	case b.granter != nil && f.order.Holds[m.From] == m.Life:
-		a := b.granter.Read(now, m.Wishes, f.confirmed(now))
+		a := b.granter.HandleRequest(now, m.Wishes, f.confirmed(now))
 		if a == nil {
 			return
 		}
 		if m.From == f.Name && m.Life == f.life {
-			b.holder.Read(now, a)
+			b.holder.HandleReply(now, a)
 			return
 		}
 		f.reply(m, &wire.Message{Grants: a})
@@ -137,9 +137,9 @@
 type BudgetState struct {
 	Now     float64 // of the fleet's clock here
 	Leader  string
-	Leads   bool             `json:"Leads"`
-	Here    []budget.Allowed `json:"Here,omitempty"` // where a part is held, by the fleet's clock
-	Granted []budget.Account `json:",omitempty"`     // at the voter that leads
+	Leads   bool                 `json:"Leads"`
+	Here    []budget.Allowance   `json:"Here,omitempty"` // where a part is held, by the fleet's clock
+	Granted []budget.LimitStatus `json:",omitempty"`     // at the voter that leads
 	Epoch   version.Epoch
 }
 
@@ -152,13 +152,13 @@
 	err := f.do(func(now float64) {
 		s := &BudgetState{Now: now, Leader: f.self.Leader(), Epoch: f.acts.Epoch}
 		if b := f.budgets; b != nil {
-			for _, a := range b.holder.Held(now) {
+			for _, a := range b.holder.ActiveLeases(now) {
 				if len(s.Here) < maxBudgetsTold {
 					s.Here = append(s.Here, a)
 				}
 			}
 			if s.Leads = b.granter != nil && f.confirmed(now); s.Leads {
-				s.Granted = b.granter.Accounts(now, maxBudgetsTold)
+				s.Granted = b.granter.Status(now, maxBudgetsTold)
 			}
 		}
 		done <- s
--- a/internal/peers/counts.go
+++ b/internal/peers/counts.go
@@ -17,8 +17,8 @@
 
 // counting is the part's state of it.
 type counting struct {
-	teller *counts.Teller
-	keeper *counts.Keeper // nil where this is no voter
+	teller *counts.Reporter
+	keeper *counts.Aggregator // nil where this is no voter
 	over   map[uint64]uint64
 	count  uint64 // of the order from which over was made
 	said   bool   // the log was told that it may lack something
@@ -42,11 +42,11 @@
 	if !f.Counts {
 		return
 	}
-	c := &counting{teller: counts.NewTeller(f.Name, f.life, f.voters, now), over: map[uint64]uint64{}, count: math.MaxUint64}
+	c := &counting{teller: counts.NewReporter(f.Name, f.life, f.voters, now), over: map[uint64]uint64{}, count: math.MaxUint64}
 	f.counts = c
 	if f.voter != nil {
 		sit := uint64(max(0, f.Unix()*1000))<<16 | f.life>>48
-		c.keeper = counts.NewKeeper(f.Name, f.voters, sit, func(row uint64) (uint64, bool) {
+		c.keeper = counts.NewAggregator(f.Name, f.voters, sit, func(row uint64) (uint64, bool) {
 			f.indexClosed()
 			number, over := c.over[row]
 			return number, over
@@ -77,23 +77,23 @@
 	if c == nil {
 		return
 	}
-	if c.teller.Next() <= now {
-		f.mailCounts(now, c.teller.Due(now))
+	if c.teller.NextWakeup() <= now {
+		f.mailCounts(now, c.teller.DueReports(now))
 	}
-	if k := c.keeper; k != nil && k.Next() <= now {
-		letters, ripe := k.Due(now, f.ledger != nil && f.confirmed(now), func(name string, life uint64) bool { return f.order.Holds[name] != life })
+	if k := c.keeper; k != nil && k.NextWakeup() <= now {
+		letters, ripe := k.Maintain(now, f.ledger != nil && f.confirmed(now), func(name string, life uint64) bool { return f.order.Holds[name] != life })
 		f.mailCounts(now, letters)
 		f.closeRows(ripe)
-		if k.Holes() > 0 && !c.said {
+		if k.IncompleteRecoveries() > 0 && !c.said {
 			c.said = true
-			f.Say("fleet_counts", "holes", k.Holes(), "why", "too few keepers that knew all were there when this one began")
+			f.Say("fleet_counts", "holes", k.IncompleteRecoveries(), "why", "too few keepers that knew all were there when this one began")
 		}
 	}
 }
 
-func (f *Part) mailCounts(now float64, list []counts.Letter) {
+func (f *Part) mailCounts(now float64, list []counts.Envelope) {
 	for _, l := range list {
-		m := &wire.Message{Row: l.Told, AskRows: l.Ask, From: f.Name, Life: f.life}
+		m := &wire.Message{Row: l.Report, AskRows: l.Query, From: f.Name, Life: f.life}
 		if l.To == f.Name {
 			f.takeCounts(now, m)
 		} else {
@@ -103,13 +103,13 @@
 }
 
 // closeRows has the voters add rows up that are over. A command that is lost is asked for again.
-func (f *Part) closeRows(ripe []counts.Told) {
+func (f *Part) closeRows(ripe []counts.RowReport) {
 	if len(ripe) == 0 || f.ledger == nil {
 		return
 	}
 	c := version.Command{Kind: version.Close, Author: "leader"}
 	for _, t := range ripe {
-		c.Rows = append(c.Rows, version.Row{Row: t.Row, Number: t.Number, Cells: t.Cells})
+		c.Rows = append(c.Rows, version.Row{Row: t.RowID, Number: t.Sequence, Cells: t.Cells})
 	}
 	f.propose([]version.Command{c})
 }
@@ -130,15 +130,15 @@
 	}
 	switch {
 	case m.RowHeard != nil:
-		c.teller.Read(now, m.From, m.RowHeard)
+		c.teller.HandleAck(now, m.From, m.RowHeard)
 	case c.keeper == nil:
 	case m.Row != nil:
-		h := c.keeper.Read(now, m.Row)
+		h := c.keeper.HandleReport(now, m.Row)
 		answer(&wire.Message{RowHeard: &h})
 	case m.AskRows != nil:
-		answer(&wire.Message{Rows: c.keeper.Asked(now, m.AskRows)})
+		answer(&wire.Message{Rows: c.keeper.HandleQuery(now, m.AskRows)})
 	case m.Rows != nil:
-		f.closeRows(c.keeper.Said(now, m.From, m.Rows))
+		f.closeRows(c.keeper.HandleQueryReply(now, m.From, m.Rows))
 	}
 }
 
@@ -147,9 +147,9 @@
 	if c == nil {
 		return math.Inf(1)
 	}
-	next := c.teller.Next()
+	next := c.teller.NextWakeup()
 	if c.keeper != nil {
-		next = min(next, c.keeper.Next())
+		next = min(next, c.keeper.NextWakeup())
 	}
 	return next
 }
@@ -162,7 +162,7 @@
 	Here     []stance.CounterCell `json:"Here"`    // what it counted that is not closed
 	Agreed   bool                 `json:"Agreed"`  // most keepers have all of that
 	Unplaced uint64
-	Known    *counts.Report `json:"Known"` // nil where it is no keeper
+	Known    *counts.Summary `json:"Known"` // nil where it is no keeper
 }
 
 // Counted tells what is known here of the fleet's counts.
@@ -171,10 +171,10 @@
 	if c == nil {
 		return nil
 	}
-	s := &CountsState{Name: f.Name, Keepers: f.voters, Life: strconv.FormatUint(f.life, 16), Unplaced: c.teller.Unplaced}
-	s.Here, s.Agreed = c.teller.Row()
+	s := &CountsState{Name: f.Name, Keepers: f.voters, Life: strconv.FormatUint(f.life, 16), Unplaced: c.teller.Unaccounted}
+	s.Here, s.Agreed = c.teller.CurrentRow()
 	if c.keeper != nil {
-		s.Known = c.keeper.Report(now, f.order.Sums)
+		s.Known = c.keeper.Summary(now, f.order.Sums)
 	}
 	return s
 }
--- a/internal/peers/health.go
+++ b/internal/peers/health.go
@@ -26,7 +26,7 @@
 // belowState is the part's state of it.
 type belowState struct {
 	*Health
-	judge *health.Judge
+	judge *health.Breaker
 	next  float64
 	sayAt float64
 	held  Held
@@ -60,7 +60,7 @@
 // HeedCalls takes what became of the loop's calls.
 func (f *Part) HeedCalls(now float64, c stance.CallStats) {
 	if b := f.below; b != nil {
-		b.judge.Own(now, health.Tally{Well: c.Succeeded, Lost: c.Failed, Took: c.TotalSeconds}, float64(c.InFlight))
+		b.judge.RecordCalls(now, health.Tally{Succeeded: c.Succeeded, Failed: c.Failed, SuccessSeconds: c.TotalSeconds}, float64(c.InFlight))
 	}
 }
 
@@ -70,8 +70,8 @@
 		return
 	}
 	for _, w := range m.Health {
-		if b.judge.Hear(now, w) && (len(b.zones) < maxZones || b.zones[w.Name] != "") {
-			b.zones[w.Name] = w.Zone
+		if b.judge.HandleReport(now, w) && (len(b.zones) < maxZones || b.zones[w.Server] != "") {
+			b.zones[w.Server] = w.Zone
 		}
 	}
 }
@@ -98,7 +98,7 @@
 			state, _ := b.judge.State()
 			f.Say("fleet_below", "is", state, "most", most)
 		}
-		if held := (Held{most, b.judge.Try(now)}); held != b.held {
+		if held := (Held{most, b.judge.ProbeSlot(now)}); held != b.held {
 			b.held = held
 			b.Hear(held)
 		}
@@ -108,7 +108,7 @@
 		if len(b.zones) >= maxZones {
 			clear(b.zones) // names come and go for ever; those that are there say it again
 		}
-		if words := b.judge.Say(now, f.life, maxPassed); len(words) > 0 {
+		if words := b.judge.GossipReports(now, f.life, maxPassed); len(words) > 0 {
 			for _, addr := range f.net.Some(briefTo, f.chance) {
 				f.send(addr, &wire.Message{Health: words})
 			}
--- a/internal/wire/fleet/copies.go
+++ b/internal/wire/fleet/copies.go
@@ -174,22 +174,22 @@
 		}
 		p.Body = &Packet_Vouchers{to}
 	case m.Wishes != nil:
-		q := &Wishing{Number: m.Wishes.Number, Terms: m.Wishes.Terms, Granter: m.Wishes.Granter}
-		for _, w := range m.Wishes.Wishes {
-			q.Wishes = append(q.Wishes, &Wish{Name: w.Name, Demand: w.Demand, Open: w.Open, Part: w.Part, Left: w.Left, Answer: w.Answer})
+		q := &Wishing{Number: m.Wishes.Number, Terms: m.Wishes.ConfigHash, Granter: m.Wishes.GrantorID}
+		for _, w := range m.Wishes.Demands {
+			q.Wishes = append(q.Wishes, &Wish{Name: w.Name, Demand: w.Requested, Open: w.InUse, Part: w.LeasedShare, Left: w.RemainingSeconds, Answer: w.GrantNumber})
 		}
 		p.Body = &Packet_Wishing{q}
 	case m.Grants != nil:
-		a := &Granting{Life: m.Grants.Life, Number: m.Grants.Number, Granter: m.Grants.Granter}
+		a := &Granting{Life: m.Grants.Incarnation, Number: m.Grants.Number, Granter: m.Grants.GrantorID}
 		for _, g := range m.Grants.Grants {
-			a.Grants = append(a.Grants, &Grant{Name: g.Name, Part: g.Part})
+			a.Grants = append(a.Grants, &Grant{Name: g.Name, Part: g.LeasedShare})
 		}
 		p.Body = &Packet_Granting{a}
 	case m.Health != nil:
 		h := &Healths{}
 		for _, w := range m.Health {
-			h.Words = append(h.Words, &Health{Name: w.Name, Zone: w.Zone, Life: w.Life, Number: w.Number, Age: w.Age, Well: uint32(w.Tally.Well),
-				Lost: uint32(w.Tally.Lost), Took: w.Tally.Took})
+			h.Words = append(h.Words, &Health{Name: w.Server, Zone: w.Zone, Life: w.Incarnation, Number: w.Sequence, Age: w.AgeSeconds, Well: uint32(w.Tally.Succeeded),
+				Lost: uint32(w.Tally.Failed), Took: w.Tally.SuccessSeconds})
 		}
 		p.Body = &Packet_Healths{h}
 	default:
@@ -254,7 +254,7 @@
 	case *Packet_Wishing:
 		m.Wishes, err = wishing(body.Wishing)
 		if m.Wishes != nil {
-			m.Wishes.Life = p.Life
+			m.Wishes.Incarnation = p.Life
 		}
 	case *Packet_Granting:
 		m.Grants, err = granting(body.Granting)
@@ -349,45 +349,45 @@
 }
 
 // wishing reads a server's question about budgets. What it says of them the granter bounds; here only what is no number is refused.
-func wishing(p *Wishing) (*budget.Question, error) {
+func wishing(p *Wishing) (*budget.Request, error) {
 	if len(p.Wishes) > budget.MaxEntries {
 		return nil, errSize
 	}
-	q := &budget.Question{Number: p.Number, Terms: p.Terms, Granter: p.Granter}
+	q := &budget.Request{Number: p.Number, ConfigHash: p.Terms, GrantorID: p.Granter}
 	for _, w := range p.Wishes {
 		if err := errors.Join(short(w.Name), count(w.Demand), count(w.Open), count(w.Part), count(w.Left)); err != nil {
 			return nil, err
 		}
-		q.Wishes = append(q.Wishes, budget.Wish{Name: w.Name, Demand: w.Demand, Open: w.Open, Part: w.Part, Left: w.Left, Answer: w.Answer})
+		q.Demands = append(q.Demands, budget.Demand{Name: w.Name, Requested: w.Demand, InUse: w.Open, LeasedShare: w.Part, RemainingSeconds: w.Left, GrantNumber: w.Answer})
 	}
 	return q, nil
 }
 
-func healths(p *Healths) ([]health.Word, error) {
-	if len(p.Words) > health.MaxWords {
+func healths(p *Healths) ([]health.Report, error) {
+	if len(p.Words) > health.MaxReports {
 		return nil, errSize
 	}
-	list := []health.Word{}
+	list := []health.Report{}
 	for _, w := range p.Words {
 		if err := errors.Join(short(w.Name, w.Zone), count(w.Age), count(w.Took)); err != nil {
 			return nil, err
 		}
-		list = append(list, health.Word{Name: w.Name, Zone: w.Zone, Life: w.Life, Number: w.Number, Age: w.Age,
-			Tally: health.Tally{Well: int(w.Well), Lost: int(w.Lost), Took: w.Took}})
+		list = append(list, health.Report{Server: w.Name, Zone: w.Zone, Incarnation: w.Life, Sequence: w.Number, AgeSeconds: w.Age,
+			Tally: health.Tally{Succeeded: int(w.Well), Failed: int(w.Lost), SuccessSeconds: w.Took}})
 	}
 	return list, nil
 }
 
-func granting(p *Granting) (*budget.Answer, error) {
+func granting(p *Granting) (*budget.Reply, error) {
 	if len(p.Grants) > budget.MaxEntries {
 		return nil, errSize
 	}
-	a := &budget.Answer{Life: p.Life, Number: p.Number, Granter: p.Granter}
+	a := &budget.Reply{Incarnation: p.Life, Number: p.Number, GrantorID: p.Granter}
 	for _, g := range p.Grants {
 		if err := errors.Join(short(g.Name), count(g.Part)); err != nil {
 			return nil, err
 		}
-		a.Grants = append(a.Grants, budget.Grant{Name: g.Name, Part: g.Part})
+		a.Grants = append(a.Grants, budget.Grant{Name: g.Name, LeasedShare: g.Part})
 	}
 	return a, nil
 }
--- a/internal/wire/fleet/counts.go
+++ b/internal/wire/fleet/counts.go
@@ -36,16 +36,16 @@
 	return list, nil
 }
 
-func putRow(t *counts.Told) *Row {
-	return &Row{Name: t.Name, Life: t.Life, Row: t.Row, Number: t.Number, Base: t.Base, Closes: t.Closes, Stands: t.Stands, Cells: putCounts(t.Cells), Sits: t.Sits}
+func putRow(t *counts.RowReport) *Row {
+	return &Row{Name: t.Server, Life: t.Incarnation, Row: t.RowID, Number: t.Sequence, Base: t.BaseSequence, Closes: t.Closing, Stands: t.FrozenSequence, Cells: putCounts(t.Cells), Sits: t.Aggregators}
 }
 
-func readRow(p *Row) (t *counts.Told, err error) {
-	t = &counts.Told{Name: p.GetName(), Life: p.GetLife(), Row: p.GetRow(), Number: p.GetNumber(), Base: p.GetBase(), Closes: p.GetCloses(), Stands: p.GetStands(), Sits: p.GetSits()}
-	if err = errors.Join(short(t.Name), few(t.Sits)); err == nil {
+func readRow(p *Row) (t *counts.RowReport, err error) {
+	t = &counts.RowReport{Server: p.GetName(), Incarnation: p.GetLife(), RowID: p.GetRow(), Sequence: p.GetNumber(), BaseSequence: p.GetBase(), Closing: p.GetCloses(), FrozenSequence: p.GetStands(), Aggregators: p.GetSits()}
+	if err = errors.Join(short(t.Server), few(t.Aggregators)); err == nil {
 		t.Cells, err = readCounts(p.GetCells())
 	}
-	if err == nil && (t.Base > t.Number || t.Stands > t.Number) {
+	if err == nil && (t.BaseSequence > t.Sequence || t.FrozenSequence > t.Sequence) {
 		err = errValue
 	}
 	return t, err
@@ -68,20 +68,20 @@
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, version.Row{Row: t.Row, Number: t.Number, Cells: t.Cells})
+		list = append(list, version.Row{Row: t.RowID, Number: t.Sequence, Cells: t.Cells})
 	}
 	return list, nil
 }
 
-func putHeard(h counts.Heard) *RowHeard {
-	return &RowHeard{Row: h.Row, Number: h.Number, Over: h.Over, Sits: h.Sits}
+func putHeard(h counts.RowAck) *RowHeard {
+	return &RowHeard{Row: h.RowID, Number: h.Sequence, Over: h.Closed, Sits: h.Aggregators}
 }
 
-func heard(p *RowHeard) counts.Heard {
-	return counts.Heard{Row: p.GetRow(), Number: p.GetNumber(), Over: p.GetOver(), Sits: p.GetSits()}
+func heard(p *RowHeard) counts.RowAck {
+	return counts.RowAck{RowID: p.GetRow(), Sequence: p.GetNumber(), Closed: p.GetOver(), Aggregators: p.GetSits()}
 }
 
-func few(sits counts.Sits) error {
+func few(sits counts.Incarnations) error {
 	if len(sits) > maxShortList {
 		return errSize
 	}
@@ -96,13 +96,13 @@
 	case m.RowHeard != nil:
 		p.Body = &Packet_RowHeard{putHeard(*m.RowHeard)}
 	case m.AskRows != nil:
-		q := &AskRows{Number: m.AskRows.Number, All: m.AskRows.All, After: m.AskRows.After, Sits: m.AskRows.Sits}
+		q := &AskRows{Number: m.AskRows.Number, All: m.AskRows.All, After: m.AskRows.After, Sits: m.AskRows.Aggregators}
 		for _, h := range m.AskRows.Rows {
 			q.Rows = append(q.Rows, putHeard(h))
 		}
 		p.Body = &Packet_AskRows{q}
 	case m.Rows != nil:
-		s := &Rows{Number: m.Rows.Number, Cold: m.Rows.Cold, More: m.Rows.More, Sits: m.Rows.Sits}
+		s := &Rows{Number: m.Rows.Number, Cold: m.Rows.Recovering, More: m.Rows.More, Sits: m.Rows.Aggregators}
 		for i := range m.Rows.Rows {
 			s.Rows = append(s.Rows, putRow(&m.Rows.Rows[i]))
 		}
@@ -120,9 +120,9 @@
 		m.Row, err = readRow(body.Row)
 	case *Packet_RowHeard:
 		h := heard(body.RowHeard)
-		m.RowHeard, err = &h, few(h.Sits)
+		m.RowHeard, err = &h, few(h.Aggregators)
 	case *Packet_AskRows:
-		m.AskRows = &counts.Ask{Number: body.AskRows.Number, All: body.AskRows.All, After: body.AskRows.After, Sits: body.AskRows.Sits}
+		m.AskRows = &counts.RowQuery{Number: body.AskRows.Number, All: body.AskRows.All, After: body.AskRows.After, Aggregators: body.AskRows.Sits}
 		if len(body.AskRows.Rows) > maxShortList {
 			return errSize
 		}
@@ -131,7 +131,7 @@
 			m.AskRows.Rows = append(m.AskRows.Rows, heard(h))
 		}
 	case *Packet_Rows:
-		m.Rows = &counts.Said{Number: body.Rows.Number, Cold: body.Rows.Cold, More: body.Rows.More, Sits: body.Rows.Sits}
+		m.Rows = &counts.RowQueryReply{Number: body.Rows.Number, Recovering: body.Rows.Cold, More: body.Rows.More, Aggregators: body.Rows.Sits}
 		if len(body.Rows.Sits) > maxShortList || len(body.Rows.Rows) > maxLongList || body.Rows.More && len(body.Rows.Rows) == 0 {
 			return errSize
 		}
--- a/internal/wire/fleet/fleet.go
+++ b/internal/wire/fleet/fleet.go
@@ -52,13 +52,13 @@
 	Sums       *replica.Checksums
 	Vouchers   []replica.TrustRecord
 	AskCallers bool
-	Wishes     *budget.Question
-	Grants     *budget.Answer
-	Health     []health.Word
-	Row        *counts.Told
-	RowHeard   *counts.Heard
-	AskRows    *counts.Ask
-	Rows       *counts.Said
+	Wishes     *budget.Request
+	Grants     *budget.Reply
+	Health     []health.Report
+	Row        *counts.RowReport
+	RowHeard   *counts.RowAck
+	AskRows    *counts.RowQuery
+	Rows       *counts.RowQueryReply
 	PlanReport *plan.Report
 	PlanPart   *plan.Part
 	Size       int // bytes that it came in, set by who received it
