--- a/cmd/swiftcourse-fleet/command.go
+++ b/cmd/swiftcourse-fleet/command.go
@@ -99,11 +99,11 @@
 	case "release":
 		err = o.release(author)
 	case "rollback":
-		err = o.command(version.Command{Kind: version.Revert, Author: author, Why: o.Rollback.Why})
+		err = o.command(version.Command{Kind: version.KindRollback, Author: author, Reason: o.Rollback.Why})
 	case "evict":
-		err = o.command(version.Command{Kind: version.Shut, Author: author, Name: o.Evict.Name, Why: o.Evict.Why})
+		err = o.command(version.Command{Kind: version.KindEject, Author: author, Name: o.Evict.Name, Reason: o.Evict.Why})
 	case "admit":
-		err = o.command(version.Command{Kind: version.Admit, Author: author, Name: o.Admit.Name})
+		err = o.command(version.Command{Kind: version.KindReadmit, Author: author, Name: o.Admit.Name})
 	}
 	if errors.Is(err, errAlarm) {
 		os.Exit(2)
@@ -138,7 +138,7 @@
 	if _, err := life.Defaults().With(o.Release.File, string(text)); err != nil {
 		return err
 	}
-	c := version.Command{Kind: version.Release, Author: author, Text: life.Canonical(string(text)), Build: o.Release.Build}
+	c := version.Command{Kind: version.KindRelease, Author: author, Text: life.Canonical(string(text)), Build: o.Release.Build}
 	c.Digest = version.Digest(c.Text, c.Build)
 	for _, w := range o.Release.Waves {
 		part, err := strconv.ParseFloat(strings.TrimSuffix(w, "%"), 64)
@@ -150,7 +150,7 @@
 		}
 	}
 	if o.Release.On != "" {
-		if c.On, err = version.ParseEpoch(o.Release.On); err != nil {
+		if c.ExpectedEpoch, err = version.ParseEpoch(o.Release.On); err != nil {
 			return err
 		}
 	}
@@ -187,7 +187,7 @@
 func tellStatus(s *peers.State) {
 	fmt.Printf("%s (life %x) is %s, acts on %s; newest is %s; leader %s\n", s.Name, s.Life, s.Standing, s.Acts, s.Report.Newest, s.Leader)
 	if n := s.Order.Next; n != nil {
-		fmt.Printf("on its way: %s by %s, wave %d of %d\n", n.Epoch, n.Author, s.Order.Wave+1, len(s.Order.Waves))
+		fmt.Printf("on its way: %s by %s, wave %d of %d\n", n.Epoch, n.Author, s.Order.WaveIndex+1, len(s.Order.Waves))
 	}
 	t := table()
 	fmt.Fprintln(t, "server\tlife\tacts on\tshould\theard s ago\tbuild\tnote")
--- a/cmd/swiftcourse-fleet/main.go
+++ b/cmd/swiftcourse-fleet/main.go
@@ -162,8 +162,8 @@
 	return member.Config{Duration: own.FleetLease.Seconds(), CatchUpTimeout: own.FleetBehind.Seconds(), MaxUnavailable: float64(own.FleetMostOut), ForgetAfter: own.FleetForget.Seconds()}
 }
 
-func rollout(own *life.Conf) version.Rollout {
-	return version.Rollout{WaveFor: own.FleetWave.Seconds(), Sure: float64(own.FleetHalt)}
+func rollout(own *life.Conf) version.RolloutPolicy {
+	return version.RolloutPolicy{WaveSeconds: own.FleetWave.Seconds(), HaltConfidence: float64(own.FleetHalt)}
 }
 
 // copies is what the operator's file says of the state that several servers keep, nil where it says nothing.
--- a/internal/judge/audit/audit.go
+++ b/internal/judge/audit/audit.go
@@ -200,8 +200,8 @@
 
 // Make holds accounts against the order and what the leader knows. alive tells which lives told of themselves just now; since leaves out
 // what ended before that epoch.
-func Make(o *version.Order, standings []member.ServerStatus, accounts []Account, alive map[uint64]bool, since version.Epoch) Report {
-	r := Report{Newest: o.Newest()}
+func Make(o *version.Log, standings []member.ServerStatus, accounts []Account, alive map[uint64]bool, since version.Epoch) Report {
+	r := Report{Newest: o.NewestEpoch()}
 	all := NewBook("", 0, 0)
 	for _, a := range accounts {
 		all.Hear(a)
@@ -215,12 +215,12 @@
 			known[e][digest] = append(known[e][digest], who)
 		}
 	}
-	for _, v := range []*version.Version{&o.Base, o.Next, o.Prior} {
+	for _, v := range []*version.Version{&o.Current, o.Next, o.Previous} {
 		if v != nil {
 			say(v.Epoch, v.Digest, "the order")
 		}
 	}
-	for _, m := range o.Past {
+	for _, m := range o.History {
 		say(m.Epoch, m.Digest, "the order")
 	}
 	for _, name := range slices.Sorted(maps.Keys(all.others)) {
--- a/internal/judge/audit/audit_test.go
+++ b/internal/judge/audit/audit_test.go
@@ -12,11 +12,11 @@
 )
 
 func TestAnAuditTellsHolesAndAlarms(t *testing.T) {
-	o := version.Found(&version.Order{}, 7, nil)
+	o := version.BootstrapLog(&version.Log{}, 7, nil)
 	for i, name := range []string{"n1", "n2", "n3"} {
-		_ = o.Apply(&version.Command{Kind: version.Hold, Name: name, Life: uint64(i + 1)})
+		_ = o.Apply(&version.Command{Kind: version.KindRegister, Name: name, Incarnation: uint64(i + 1)})
 	}
-	first := o.Base
+	first := o.Current
 	on := func(name string, life uint64, started float64, list ...Interval) Account {
 		return Account{Name: name, Life: life, Started: started, Seen: started + 10, Intervals: list}
 	}
--- a/internal/judge/member/ledger.go
+++ b/internal/judge/member/ledger.go
@@ -34,7 +34,7 @@
 	epoch   version.Epoch
 	behind  float64 // since when it is not on its version, -1 where it is
 	stuck   string
-	tolls   version.Toll
+	tolls   version.ErrorTally
 	build   string
 	refused string
 	// leaving: a command that takes its name or its standing from this life was asked for, so the life has no lease until it is known
@@ -70,7 +70,7 @@
 
 // HandleCommandResult tells how a command ended that this leader or anybody asked for.
 func (l *Grantor) HandleCommandResult(c *version.Command) {
-	if r := l.records[c.Name]; r != nil && c.Kind == version.Hold && c.Author == author && c.ID != 0 && c.ID == r.fence && c.Life == r.life {
+	if r := l.records[c.Name]; r != nil && c.Kind == version.KindRegister && c.Author == author && c.ID != 0 && c.ID == r.fence && c.Incarnation == r.life {
 		r.leaving, r.fence = false, 0
 	}
 }
@@ -100,18 +100,18 @@
 
 // HandleRequest answers a question. commands are to be asked for of the voters. confirmed tells that a majority confirmed the leader within
 // ConfirmedFor.
-func (l *Grantor) HandleRequest(now float64, q *Request, o *version.Order, confirmed bool) (a Reply, commands []version.Command) {
-	a = Reply{Incarnation: q.Incarnation, Number: q.Number, AssignedEpoch: o.For(q.Name).Epoch}
+func (l *Grantor) HandleRequest(now float64, q *Request, o *version.Log, confirmed bool) (a Reply, commands []version.Command) {
+	a = Reply{Incarnation: q.Incarnation, Number: q.Number, AssignedEpoch: o.VersionFor(q.Name).Epoch}
 	if !confirmed || q.Name == "" || q.Incarnation == 0 {
 		return a, nil
 	}
 	r := l.records[q.Name]
-	if q.ActiveEpoch > o.Newest() {
+	if q.ActiveEpoch > o.NewestEpoch() {
 		a.Reason = "it acts on what a lost group of voters released"
-		beyond := uint64(q.ActiveEpoch.Founding()) + 1 + q.Incarnation%liftOver
-		return a, l.command(now, " lift", version.Command{Kind: version.Lift, On: o.Newest(), Was: beyond})
+		beyond := uint64(q.ActiveEpoch.ClusterID()) + 1 + q.Incarnation%liftOver
+		return a, l.command(now, " lift", version.Command{Kind: version.KindBumpEpoch, ExpectedEpoch: o.NewestEpoch(), Previous: beyond})
 	}
-	holder, held := o.Holds[q.Name]
+	holder, held := o.Members[q.Name]
 	if !held || holder != q.Incarnation {
 		if held && !l.over(now, q.Name, holder) {
 			if !l.succeeds(q, r, holder) {
@@ -122,7 +122,7 @@
 				return a, nil
 			}
 		}
-		commands = l.command(now, q.Name, version.Command{Kind: version.Hold, Name: q.Name, Life: q.Incarnation, Was: holder})
+		commands = l.command(now, q.Name, version.Command{Kind: version.KindRegister, Name: q.Name, Incarnation: q.Incarnation, Previous: holder})
 		if held && commands != nil { // else its fence would never be carried out while others ask for the name
 			l.leave(now, q.Name, holder)
 		}
@@ -135,7 +135,7 @@
 			return a, nil
 		}
 		r = &record{life: q.Incarnation, behind: -1, until: now}
-		if l.counted == o.Count {
+		if l.counted == o.AppliedCount {
 			l.leavers-- // it counted as one that may leave while nothing was heard of it
 		}
 		if !l.old(now) {
@@ -150,27 +150,27 @@
 	} else if r.behind < 0 {
 		r.behind = now
 	}
-	out, isOut := o.Out[q.Name]
-	isOut = isOut && (out.Life == 0 || out.Life == q.Incarnation)
+	out, isOut := o.Ejected[q.Name]
+	isOut = isOut && (out.Incarnation == 0 || out.Incarnation == q.Incarnation)
 	switch {
-	case isOut && out.Life == 0:
-		a.Verdict, a.Reason = VerdictEjected, out.Why
+	case isOut && out.Incarnation == 0:
+		a.Verdict, a.Reason = VerdictEjected, out.Reason
 	case r.leaving && !isOut:
 		a.Reason = "a change of its standing is under way"
 		l.fences++
-		if commands = l.command(now, q.Name, version.Command{Kind: version.Hold, ID: l.fences, Name: q.Name, Life: q.Incarnation, Was: q.Incarnation}); commands != nil {
+		if commands = l.command(now, q.Name, version.Command{Kind: version.KindRegister, ID: l.fences, Name: q.Name, Incarnation: q.Incarnation, Previous: q.Incarnation}); commands != nil {
 			r.fence = l.fences
 		}
 	case isOut && r.behind < 0:
 		a.Reason, r.leaving = "brought up", false
-		return a, l.command(now, q.Name, version.Command{Kind: version.Admit, Name: q.Name})
+		return a, l.command(now, q.Name, version.Command{Kind: version.KindReadmit, Name: q.Name})
 	case isOut:
 		a.Verdict, a.Reason = VerdictLagging, late(r)
 	case r.behind >= 0 && now > r.behind+l.terms.CatchUpTimeout && l.mayBeOut(o, q.Name):
 		a.Verdict, a.Reason = VerdictLagging, late(r)
 		if now > r.until { // it can't act any more, so that nobody sees it shut out while it acts
 			r.leaving, r.fence = true, 0
-			commands = l.command(now, q.Name, version.Command{Kind: version.Shut, Name: q.Name, Life: q.Incarnation, Why: a.Reason})
+			commands = l.command(now, q.Name, version.Command{Kind: version.KindEject, Name: q.Name, Incarnation: q.Incarnation, Reason: a.Reason})
 		}
 	default:
 		a.Verdict, a.Duration, a.MayGoOutOfService = VerdictGranted, l.terms.Duration, l.mayLeave(now, o, r, q)
@@ -258,15 +258,15 @@
 }
 
 // most is how many of the fleet may be off the roster.
-func (l *Grantor) most(o *version.Order) int {
-	return int(l.terms.MaxUnavailable * float64(len(o.Holds)))
+func (l *Grantor) most(o *version.Log) int {
+	return int(l.terms.MaxUnavailable * float64(len(o.Members)))
 }
 
 // mayBeOut tells whether one more may be shut out as it is late: those that are, and those that have no lease as they are late, count.
-func (l *Grantor) mayBeOut(o *version.Order, name string) bool {
+func (l *Grantor) mayBeOut(o *version.Log, name string) bool {
 	n := 0
-	for other, out := range o.Out {
-		if out.Life != 0 && o.Holds[other] == out.Life {
+	for other, out := range o.Ejected {
+		if out.Incarnation != 0 && o.Members[other] == out.Incarnation {
 			if other == name {
 				return true
 			}
@@ -274,12 +274,12 @@
 		}
 	}
 	for other, r := range l.records {
-		if _, is := o.Out[other]; !is && other != name && r.refused != "" && o.Holds[other] == r.life {
+		if _, is := o.Ejected[other]; !is && other != name && r.refused != "" && o.Members[other] == r.life {
 			n++
 		}
 	}
 	r := l.records[name]
-	if most := max(l.most(o), min(1, len(o.Holds)/2)); r.refused != "" || n < most { // one may be in any fleet that has another
+	if most := max(l.most(o), min(1, len(o.Members)/2)); r.refused != "" || n < most { // one may be in any fleet that has another
 		r.refused = "late"
 		return true
 	}
@@ -289,10 +289,10 @@
 // mayLeave tells whether a server is among the few that may go off the roster when they hear nothing. One that may keeps that, also while it
 // says nothing; a leader that follows hears of it from the server itself, and takes those that it has not heard for such. So those who
 // leave together are never more than most, as long as the fleet does not shrink meanwhile.
-func (l *Grantor) mayLeave(now float64, o *version.Order, r *record, q *Request) bool {
-	if l.counted != o.Count || now > l.countedAt+tendEvery {
-		l.counted, l.countedAt, l.leavers = o.Count, now, 0
-		for name, life := range o.Holds {
+func (l *Grantor) mayLeave(now float64, o *version.Log, r *record, q *Request) bool {
+	if l.counted != o.AppliedCount || now > l.countedAt+tendEvery {
+		l.counted, l.countedAt, l.leavers = o.AppliedCount, now, 0
+		for name, life := range o.Members {
 			if other := l.records[name]; other == nil || other.life != life || other.leaver {
 				l.leavers++
 			}
@@ -327,13 +327,13 @@
 const settled = 0.9
 
 // Maintain tells what is to be asked for on the leader's own account: names to forget, waves to widen, a release to roll back.
-func (l *Grantor) Maintain(now float64, o *version.Order, roll version.Rollout) (commands []version.Command) {
+func (l *Grantor) Maintain(now float64, o *version.Log, roll version.RolloutPolicy) (commands []version.Command) {
 	if now < l.acted+tendEvery {
 		return nil
 	}
 	l.acted = now
 	for name, r := range l.records {
-		if o.Holds[name] != r.life {
+		if o.Members[name] != r.life {
 			if now > r.heard+l.terms.ForgetAfter {
 				delete(l.records, name)
 			}
@@ -344,9 +344,9 @@
 		}
 	}
 	if now > l.from+l.terms.ForgetAfter+l.whole() {
-		for name, life := range o.Holds {
+		for name, life := range o.Members {
 			if r := l.records[name]; r == nil || now > r.heard+l.terms.ForgetAfter {
-				if ask := l.command(now, name, version.Command{Kind: version.Forget, Name: name, Life: life}); ask != nil {
+				if ask := l.command(now, name, version.Command{Kind: version.KindUnregister, Name: name, Incarnation: life}); ask != nil {
 					l.leave(now-l.terms.ForgetAfter-1, name, life)
 					commands = append(commands, ask...)
 				}
@@ -363,44 +363,44 @@
 }
 
 // roll looks after the release on its way.
-func (l *Grantor) roll(now float64, o *version.Order, roll version.Rollout) []version.Command {
+func (l *Grantor) roll(now float64, o *version.Log, roll version.RolloutPolicy) []version.Command {
 	if o.Next == nil {
 		l.waveOf = 0
 		return nil
 	}
 	next := o.Next.Epoch
-	if l.waveOf != next || l.wave != o.Wave {
-		l.waveOf, l.wave, l.waveAt = next, o.Wave, now
+	if l.waveOf != next || l.wave != o.WaveIndex {
+		l.waveOf, l.wave, l.waveAt = next, o.WaveIndex, now
 	}
-	var on, off version.Toll
+	var on, off version.ErrorTally
 	in, there := 0, 0
 	for name, r := range l.records {
-		if o.Holds[name] != r.life || now > r.heard+l.terms.Duration {
+		if o.Members[name] != r.life || now > r.heard+l.terms.Duration {
 			continue
 		}
 		if r.epoch == next {
 			on = on.Add(r.tolls)
-		} else if r.epoch == o.Base.Epoch {
+		} else if r.epoch == o.Current.Epoch {
 			off = off.Add(r.tolls)
 		}
-		if o.For(name).Epoch == next {
+		if o.VersionFor(name).Epoch == next {
 			in++
 			if r.epoch == next {
 				there++
 			}
 		}
 	}
-	if sure := version.Harm(on, off); sure > roll.Sure {
-		return l.command(now, " release", version.Command{Kind: version.Revert, On: next, Why: "it does harm: more tasks rejected or abandoned"})
+	if sure := version.HarmConfidence(on, off); sure > roll.HaltConfidence {
+		return l.command(now, " release", version.Command{Kind: version.KindRollback, ExpectedEpoch: next, Reason: "it does harm: more tasks rejected or abandoned"})
 	}
 	if float64(there) < settled*float64(in) {
 		l.waveAt = now
 		return nil
 	}
-	if now < l.waveAt+roll.WaveFor {
+	if now < l.waveAt+roll.WaveSeconds {
 		return nil
 	}
-	return l.command(now, " release", version.Command{Kind: version.Widen, On: next})
+	return l.command(now, " release", version.Command{Kind: version.KindAdvanceRollout, ExpectedEpoch: next})
 }
 
 // ServerStatus is what a leader knows of one name, for people.
@@ -418,12 +418,12 @@
 }
 
 // ServerStatuses lists every name that is held, by name.
-func (l *Grantor) ServerStatuses(now float64, o *version.Order) []ServerStatus {
-	list := make([]ServerStatus, 0, len(o.Holds))
-	for name, life := range o.Holds {
-		s := ServerStatus{Name: name, Incarnation: life, AssignedEpoch: o.For(name).Epoch}
-		if out, is := o.Out[name]; is && (out.Life == 0 || out.Life == life) {
-			s.EjectionReason = out.Why
+func (l *Grantor) ServerStatuses(now float64, o *version.Log) []ServerStatus {
+	list := make([]ServerStatus, 0, len(o.Members))
+	for name, life := range o.Members {
+		s := ServerStatus{Name: name, Incarnation: life, AssignedEpoch: o.VersionFor(name).Epoch}
+		if out, is := o.Ejected[name]; is && (out.Incarnation == 0 || out.Incarnation == life) {
+			s.EjectionReason = out.Reason
 		}
 		if r := l.records[name]; r != nil && r.life == life {
 			s.Reported, s.ActiveEpoch, s.SecondsSinceHeard, s.BlockedBy, s.Build = true, r.epoch, now-r.heard, r.stuck, r.build
@@ -444,13 +444,13 @@
 
 // CheckReporter judges whether another server's word counts, its reports and what it asks to be acted on: only who holds its name, is not shut
 // out, and acts on its version. Else it tells the version that would be right, and why.
-func CheckReporter(o *version.Order, name string, life uint64, epoch version.Epoch) (right version.Epoch, why string) {
-	right = o.For(name).Epoch
-	out, isOut := o.Out[name]
+func CheckReporter(o *version.Log, name string, life uint64, epoch version.Epoch) (right version.Epoch, why string) {
+	right = o.VersionFor(name).Epoch
+	out, isOut := o.Ejected[name]
 	switch {
-	case o.Holds[name] != life:
+	case o.Members[name] != life:
 		return right, "another life has that name"
-	case isOut && (out.Life == 0 || out.Life == life):
+	case isOut && (out.Incarnation == 0 || out.Incarnation == life):
 		return right, "it is shut out"
 	case epoch < right:
 		return right, "it acts on an old version"
--- a/internal/judge/member/member_test.go
+++ b/internal/judge/member/member_test.go
@@ -21,7 +21,7 @@
 	t       interface{ Fatalf(string, ...any) }
 	chance  *rand.Rand
 	now     float64
-	order   *version.Order
+	order   *version.Log
 	leader  *boss
 	old     *boss
 	servers []*served
@@ -35,8 +35,8 @@
 
 type boss struct {
 	ledger *Grantor
-	order  *version.Order // as it knows it; nil for the newest
-	until  float64        // when its last confirmation is over
+	order  *version.Log // as it knows it; nil for the newest
+	until  float64      // when its last confirmation is over
 }
 
 type served struct {
@@ -61,7 +61,7 @@
 
 func newFleet(t interface{ Fatalf(string, ...any) }, seed uint64, n int, silent Mode) *fleet {
 	f := &fleet{t: t, chance: rand.New(rand.NewPCG(seed, 3)), slow: 0.1}
-	f.order = version.Found(&version.Order{}, 7, map[uint64]string{1: "v"})
+	f.order = version.BootstrapLog(&version.Log{}, 7, map[uint64]string{1: "v"})
 	f.lead()
 	for i := range n {
 		f.add(fmt.Sprint("n", i), fmt.Sprint("addr", i), silent)
@@ -152,7 +152,7 @@
 				f.mail = append(f.mail, m)
 			}
 		}
-		f.commit(f.leader.ledger.Maintain(f.now, f.order, version.Rollout{WaveFor: 1, Sure: 0.9999}))
+		f.commit(f.leader.ledger.Maintain(f.now, f.order, version.RolloutPolicy{WaveSeconds: 1, HaltConfidence: 0.9999}))
 		for _, s := range f.servers {
 			if s.asleep {
 				continue
@@ -188,28 +188,28 @@
 				f.t.Fatalf("%s: lives %d and %d both have a lease at %.2f", s.name, other, s.life, f.now)
 			}
 			acting[s.name] = s.life
-			if out, is := f.order.Out[s.name]; is && out.Life == s.life {
+			if out, is := f.order.Ejected[s.name]; is && out.Incarnation == s.life {
 				f.t.Fatalf("%s acts while it is shut out at %.2f", s.name, f.now)
 			}
 		}
-		if stance == ModeOutOfService && !s.refuses && s.view.State == StateExpired && f.order.Holds[s.name] == s.life { // else its name is another's
+		if stance == ModeOutOfService && !s.refuses && s.view.State == StateExpired && f.order.Members[s.name] == s.life { // else its name is another's
 			away++
 		}
 	}
-	if most := int(terms.MaxUnavailable * float64(max(len(f.order.Holds), len(f.servers)))); away > most {
+	if most := int(terms.MaxUnavailable * float64(max(len(f.order.Members), len(f.servers)))); away > most {
 		f.t.Fatalf("%d of %d are off the roster for want of talk, %d may be", away, len(f.servers), most)
 	}
 }
 
 func (f *fleet) release(text string, waves ...float64) {
-	_ = f.order.Apply(&version.Command{Kind: version.Release, On: f.order.Newest(), Text: text, Digest: version.Digest(text, ""), Waves: waves})
+	_ = f.order.Apply(&version.Command{Kind: version.KindRelease, ExpectedEpoch: f.order.NewestEpoch(), Text: text, Digest: version.Digest(text, ""), Waves: waves})
 }
 
 func (f *fleet) allActing(t *testing.T) {
 	t.Helper()
 	for _, s := range f.servers {
-		if state, _, why := s.self.State(); state != StateLeased || s.acts != f.order.For(s.name).Epoch {
-			t.Errorf("%s is %s on %s, not acting on %s: %s", s.name, state, s.acts, f.order.For(s.name).Epoch, why)
+		if state, _, why := s.self.State(); state != StateLeased || s.acts != f.order.VersionFor(s.name).Epoch {
+			t.Errorf("%s is %s on %s, not acting on %s: %s", s.name, state, s.acts, f.order.VersionFor(s.name).Epoch, why)
 		}
 	}
 }
@@ -219,8 +219,8 @@
 	f.run(3)
 	f.release("x", 0.1, 0.5)
 	f.run(12)
-	if f.order.Next != nil || f.order.Base.Text != "x" {
-		t.Errorf("the release is still on its way, wave %d", f.order.Wave)
+	if f.order.Next != nil || f.order.Current.Text != "x" {
+		t.Errorf("the release is still on its way, wave %d", f.order.WaveIndex)
 	}
 	f.allActing(t)
 }
@@ -235,16 +235,16 @@
 	if state, _, why := late.self.State(); state != StateFenced || why != "it refuses the file" || late.self.Snapshot().Mode != ModeOutOfService {
 		t.Errorf("it is %s: %q", state, why)
 	}
-	if _, out := f.order.Out[late.name]; !out {
+	if _, out := f.order.Ejected[late.name]; !out {
 		t.Error("the order does not know of it")
 	}
-	if right, why := CheckReporter(f.order, late.name, late.life, late.acts); why != "it is shut out" || right != f.order.Base.Epoch {
+	if right, why := CheckReporter(f.order, late.name, late.life, late.acts); why != "it is shut out" || right != f.order.Current.Epoch {
 		t.Errorf("its word: %s, %q", right, why)
 	}
 	late.refuses = false
 	f.run(3)
 	f.allActing(t)
-	if len(f.order.Out) != 0 {
+	if len(f.order.Ejected) != 0 {
 		t.Error("it is still out")
 	}
 }
@@ -257,7 +257,7 @@
 	}
 	f.release("x")
 	f.run(terms.CatchUpTimeout + 5*terms.Duration)
-	if n := len(f.order.Out); n != 2 {
+	if n := len(f.order.Ejected); n != 2 {
 		t.Errorf("%d of 8 are shut out, 2 may be", n)
 	}
 }
@@ -411,8 +411,8 @@
 	for _, s := range f.servers {
 		if s.view.State == StateLeased {
 			names[s.name]++
-			if s.acts != f.order.For(s.name).Epoch {
-				return fmt.Sprintf("%s acts on %s, not %s", s.name, s.acts, f.order.For(s.name).Epoch)
+			if s.acts != f.order.VersionFor(s.name).Epoch {
+				return fmt.Sprintf("%s acts on %s, not %s", s.name, s.acts, f.order.VersionFor(s.name).Epoch)
 			}
 		} else if s.view.State != StateSuperseded {
 			return fmt.Sprintf("%s is %s: %s", s.name, s.view.State, s.view.Reason)
@@ -427,12 +427,12 @@
 }
 
 func BenchmarkQuestionAmongAThousand(b *testing.B) {
-	o := version.Found(&version.Order{}, 7, nil)
+	o := version.BootstrapLog(&version.Log{}, 7, nil)
 	l := NewGrantor(terms, homes, 0)
 	for i := range 1000 {
-		_ = o.Apply(&version.Command{Kind: version.Hold, Name: fmt.Sprint("n", i), Life: 1})
+		_ = o.Apply(&version.Command{Kind: version.KindRegister, Name: fmt.Sprint("n", i), Incarnation: 1})
 	}
-	q := Request{Name: "n7", Incarnation: 1, Addr: "a", ActiveEpoch: o.Base.Epoch}
+	q := Request{Name: "n7", Incarnation: 1, Addr: "a", ActiveEpoch: o.Current.Epoch}
 	b.ReportAllocs()
 	for b.Loop() {
 		q.Number++
@@ -443,14 +443,14 @@
 // TestAServerAheadOfAFoundedOrder: all voters forgot while it was cut off, and founded under a lower number.
 func TestAServerAheadOfAFoundedOrder(t *testing.T) {
 	f := newFleet(t, 8, 4, ModeNormal)
-	f.servers[2].acts, f.servers[2].heard = version.At(50, 3), version.At(50, 3) // the order is of founding 7
+	f.servers[2].acts, f.servers[2].heard = version.NewEpoch(50, 3), version.NewEpoch(50, 3) // the order is of founding 7
 	f.run(3 * terms.Duration)
 	f.allActing(t)
-	if e := f.order.Base.Epoch; e.Founding() <= 50 {
+	if e := f.order.Current.Epoch; e.ClusterID() <= 50 {
 		t.Errorf("epochs go on from %s", e)
 	}
-	if len(f.order.Out) != 0 {
-		t.Errorf("shut out: %v", f.order.Out)
+	if len(f.order.Ejected) != 0 {
+		t.Errorf("shut out: %v", f.order.Ejected)
 	}
 }
 
@@ -512,7 +512,7 @@
 				f.commit(commands)
 				f.run(0.3)
 			}
-			if holder := f.order.Holds[dead.name]; holder != f.servers[i].life {
+			if holder := f.order.Members[dead.name]; holder != f.servers[i].life {
 				t.Errorf("%s of %s leader: the name went from life %d to %d, which is gone", dead.name, leader, f.servers[i].life, holder)
 			}
 		}
--- a/internal/judge/member/self.go
+++ b/internal/judge/member/self.go
@@ -92,10 +92,10 @@
 	Name              string
 	Incarnation       uint64
 	Number            uint64
-	Addr              string        // where it listens to the others: two processes can't listen on one
-	ActiveEpoch       version.Epoch // on which it acts
-	BlockedBy         string        // what hinders it from acting on a newer one, "" for nothing
-	ErrorTally        version.Toll  // of tasks since it has acted on Epoch
+	Addr              string             // where it listens to the others: two processes can't listen on one
+	ActiveEpoch       version.Epoch      // on which it acts
+	BlockedBy         string             // what hinders it from acting on a newer one, "" for nothing
+	ErrorTally        version.ErrorTally // of tasks since it has acted on Epoch
 	Build             string
 	MayGoOutOfService bool   // that it is among the few, see Answer
 	Nonce             uint64 // the latest that it was told, see Answer
@@ -142,7 +142,7 @@
 	right    version.Epoch
 	acts     version.Epoch
 	stuck    string
-	toll     version.Toll
+	toll     version.ErrorTally
 	mayLeave bool
 	why      string
 	leader   string
@@ -249,14 +249,14 @@
 // SetActiveEpoch tells on which version the server acts from now on, and what hinders it from another one.
 func (s *Holder) SetActiveEpoch(e version.Epoch, stuck string) {
 	if e != s.acts {
-		s.toll = version.Toll{}
+		s.toll = version.ErrorTally{}
 		s.next = math.Inf(-1) // it is told at once
 	}
 	s.acts, s.stuck = e, stuck
 }
 
 // SetErrorTally tells what the tasks under the present version came to so far.
-func (s *Holder) SetErrorTally(t version.Toll) { s.toll = t }
+func (s *Holder) SetErrorTally(t version.ErrorTally) { s.toll = t }
 
 // Unanswered is how many questions in a row had no answer that counted.
 func (s *Holder) Unanswered() uint64 { return s.number - max(s.latest, s.redirected) }
--- a/internal/judge/shared/counts/counts_test.go
+++ b/internal/judge/shared/counts/counts_test.go
@@ -22,7 +22,7 @@
 	servers []*server
 	dead    []*server
 	keepers []*keeper
-	order   *version.Order
+	order   *version.Log
 	asked   []version.Command // proposed, and not committed yet
 	lives   uint64
 }
@@ -46,14 +46,14 @@
 	name   string
 	keeper *Aggregator
 	life   int
-	sees   *version.Order // may be behind
-	deaf   bool           // to servers
+	sees   *version.Log // may be behind
+	deaf   bool         // to servers
 }
 
 var names = []string{"k0", "k1", "k2", "k3", "k4"}
 
 func newWorld(seed uint64, keepers, servers int) *world {
-	w := &world{chance: rand.New(rand.NewPCG(seed, 3)), order: (&version.Order{}).Clone()}
+	w := &world{chance: rand.New(rand.NewPCG(seed, 3)), order: (&version.Log{}).Clone()}
 	for i := range keepers {
 		w.keepers = append(w.keepers, &keeper{name: names[i]})
 	}
@@ -71,14 +71,14 @@
 func (w *world) cold(k *keeper) {
 	k.life++
 	k.sees = w.order.Clone()
-	k.keeper = NewAggregator(k.name, names[:len(w.keepers)], uint64(w.now*10)+uint64(k.life), func(row uint64) (uint64, bool) { return k.sees.Closed(row) }, w.now)
+	k.keeper = NewAggregator(k.name, names[:len(w.keepers)], uint64(w.now*10)+uint64(k.life), func(row uint64) (uint64, bool) { return k.sees.ClosedRow(row) }, w.now)
 }
 
 func (w *world) born(s *server) {
 	w.lives++
 	s.life, s.truth, s.sure = w.lives<<16, 0, 0
 	s.teller = NewReporter(s.name, s.life, names[:len(w.keepers)], w.now)
-	w.order.Holds[s.name] = s.life
+	w.order.Members[s.name] = s.life
 }
 
 // send brings something, or does not, once or twice.
@@ -137,16 +137,16 @@
 
 func (w *world) propose(ripe []RowReport) {
 	if ripe != nil {
-		c := version.Command{Kind: version.Close}
+		c := version.Command{Kind: version.KindCloseCounters}
 		for _, t := range ripe {
-			c.Rows = append(c.Rows, version.Row{Row: t.RowID, Number: t.Sequence, Cells: t.Cells})
+			c.CounterRows = append(c.CounterRows, version.CounterRow{ID: t.RowID, Sequence: t.Sequence, Cells: t.Cells})
 		}
 		w.asked = append(w.asked, c)
 	}
 }
 
 func (w *world) keep(k *keeper) {
-	gone := func(name string, life uint64) bool { return w.order.Holds[name] != life }
+	gone := func(name string, life uint64) bool { return w.order.Members[name] != life }
 	letters, ripe := k.keeper.Maintain(w.now, w.chance.IntN(3) > 0, gone) // often more than one believes that it leads
 	w.propose(ripe)
 	for _, l := range letters {
@@ -216,10 +216,10 @@
 	case 2:
 		s.asleep = !s.asleep
 	case 3: // its name is taken for nobody's, and it is there again
-		if w.order.Holds[s.name] == s.life {
-			delete(w.order.Holds, s.name)
+		if w.order.Members[s.name] == s.life {
+			delete(w.order.Members, s.name)
 		} else {
-			w.order.Holds[s.name] = s.life
+			w.order.Members[s.name] = s.life
 		}
 	case 4:
 		w.loss = 0.6 * w.chance.Float64() * float64(w.chance.IntN(2))
@@ -276,7 +276,7 @@
 		w.step(0.5, false)
 	}
 	for _, k := range w.keepers {
-		if got := sum(k.keeper.Summary(w.now, k.sees.Sums).Total); got < low || got > high {
+		if got := sum(k.keeper.Summary(w.now, k.sees.ClosedTotals).Total); got < low || got > high {
 			t.Fatalf("%s counts %d, the truth is from %d to %d (%d dead)", k.name, got, low, high, len(w.dead))
 		}
 	}
--- a/internal/judge/version/order.go
+++ b/internal/judge/version/order.go
@@ -23,11 +23,11 @@
 // newer. It is written as two numbers with a point between.
 type Epoch uint64
 
-// At puts an epoch together.
-func At(founding, count uint32) Epoch { return Epoch(founding)<<32 | Epoch(count) }
+// NewEpoch puts an epoch together.
+func NewEpoch(founding, count uint32) Epoch { return Epoch(founding)<<32 | Epoch(count) }
 
-// Founding is the founding that an epoch belongs to.
-func (e Epoch) Founding() uint32 { return uint32(e >> 32) }
+// ClusterID is the founding that an epoch belongs to.
+func (e Epoch) ClusterID() uint32 { return uint32(e >> 32) }
 
 func (e Epoch) String() string { return fmt.Sprintf("%d.%d", uint32(e>>32), uint32(e)) }
 
@@ -39,17 +39,17 @@
 	if !ok || err1 != nil || err2 != nil {
 		return 0, fmt.Errorf("%q is no epoch such as 3.17", text)
 	}
-	return At(uint32(founding), uint32(count)), nil
+	return NewEpoch(uint32(founding), uint32(count)), nil
 }
 
 // Version is one version of what decisions depend on.
 type Version struct {
-	Epoch  Epoch
-	Digest string  // of Text and Build, see Digest
-	Author string  // who released it
-	At     float64 // when, in Unix seconds by the author's clock: for people, nothing is decided by it
-	Text   string  // in its canonical form; "" leaves each server to its own file
-	Build  string  // of the program that it is meant for, "" for any
+	Epoch      Epoch
+	Digest     string  // of Text and Build, see Digest
+	Author     string  // who released it
+	ReleasedAt float64 // when, in Unix seconds by the author's clock: for people, nothing is decided by it
+	Text       string  // in its canonical form; "" leaves each server to its own file
+	Build      string  // of the program that it is meant for, "" for any
 }
 
 // Digest is the hexadecimal SHA-256 of a version's text and build.
@@ -58,8 +58,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Whole tells whether a version is as its digest says.
-func (v *Version) Whole() bool { return v.Digest == Digest(v.Text, v.Build) }
+// DigestMatches tells whether a version is as its digest says.
+func (v *Version) DigestMatches() bool { return v.Digest == Digest(v.Text, v.Build) }
 
 // Bounds of the order, so that its copies fit a small server: about half a megabyte with all of them reached.
 const (
@@ -79,22 +79,22 @@
 type Kind uint8
 
 const (
-	Release Kind = iota // a new version, in waves
-	Widen               // the version on its way goes to the next wave, from the last wave to all
-	Revert              // what held before becomes a new version for all, see revert
-	Hold                // a name belongs to a life
-	Shut                // a name is shut out
-	Admit               // it is not any more
-	Forget              // a name belongs to nobody
-	Lift                // epochs go on from a founding that a lost group reached, see lift
-	Close               // rows of counts are over and added up
-	kinds
+	KindRelease        Kind = iota // a new version, in waves
+	KindAdvanceRollout             // the version on its way goes to the next wave, from the last wave to all
+	KindRollback                   // what held before becomes a new version for all, see revert
+	KindRegister                   // a name belongs to a life
+	KindEject                      // a name is shut out
+	KindReadmit                    // it is not any more
+	KindUnregister                 // a name belongs to nobody
+	KindBumpEpoch                  // epochs go on from a founding that a lost group reached, see lift
+	KindCloseCounters              // rows of counts are over and added up
+	kindCount
 )
 
-var kindNames = [kinds]string{"release", "widen", "revert", "hold", "shut", "admit", "forget", "lift", "close"}
+var kindNames = [kindCount]string{"release", "widen", "revert", "hold", "shut", "admit", "forget", "lift", "close"}
 
 func (k Kind) String() string {
-	if k < kinds {
+	if k < kindCount {
 		return kindNames[k]
 	}
 	return "kind " + strconv.Itoa(int(k))
@@ -102,138 +102,138 @@
 
 // Command asks for a change of the order. Which fields count follows from its kind.
 type Command struct {
-	Kind   Kind
-	ID     uint64    // drawn by who asks; a repeat of the latest from the same author changes nothing and succeeds
-	Author string    // all
-	At     float64   // all: Unix seconds, for people
-	On     Epoch     // Release, Widen, Revert, Lift: the newest that the author knew; another one refuses it
-	Text   string    // Release
-	Build  string    // Release
-	Digest string    // Release
-	Waves  []float64 // Release: parts of the fleet, rising, the last below 1 or 1; none for all at once
-	Name   string    // Hold, Shut, Admit, Forget
-	Life   uint64    // Hold; Shut, Forget: 0 for any
-	Was    uint64    // Hold: the life that had the name, 0 for nobody. Lift: the founding that epochs go on from
-	Why    string    // Shut, Revert
-	Rows   []Row     // Close
+	Kind          Kind
+	ID            uint64       // drawn by who asks; a repeat of the latest from the same author changes nothing and succeeds
+	Author        string       // all
+	IssuedAt      float64      // all: Unix seconds, for people
+	ExpectedEpoch Epoch        // Release, Widen, Revert, Lift: the newest that the author knew; another one refuses it
+	Text          string       // Release
+	Build         string       // Release
+	Digest        string       // Release
+	Waves         []float64    // Release: parts of the fleet, rising, the last below 1 or 1; none for all at once
+	Name          string       // Hold, Shut, Admit, Forget
+	Incarnation   uint64       // Hold; Shut, Forget: 0 for any
+	Previous      uint64       // Hold: the life that had the name, 0 for nobody. Lift: the founding that epochs go on from
+	Reason        string       // Shut, Revert
+	CounterRows   []CounterRow // Close
 }
 
-// Row is what one server counted, see internal/judge/shared/counts, as it was told under a number.
-type Row struct {
-	Row, Number uint64
-	Cells       []stance.CounterCell // none where only the numbers matter
+// CounterRow is what one server counted, see internal/judge/shared/counts, as it was told under a number.
+type CounterRow struct {
+	ID, Sequence uint64
+	Cells        []stance.CounterCell // none where only the numbers matter
 }
 
-// Mark is what is kept of a version once it is over.
-type Mark struct {
-	Epoch  Epoch
-	Digest string
-	Author string
-	At     float64
-	Fate   string // what became of it
+// Entry is what is kept of a version once it is over.
+type Entry struct {
+	Epoch      Epoch
+	Digest     string
+	Author     string
+	ReleasedAt float64
+	Outcome    string // what became of it
 }
 
-// Outed tells why a name is shut out.
-type Outed struct {
-	Life uint64 // 0 where every life of that name is
-	By   string
-	Why  string
-	On   Epoch // what held then
-	At   float64
+// Ejection tells why a name is shut out.
+type Ejection struct {
+	Incarnation uint64 // 0 where every life of that name is
+	Author      string
+	Reason      string
+	Epoch       Epoch // what held then
+	EjectedAt   float64
 }
 
-// Order is what the committed commands come to. All copies that applied the same commands are equal; Apply is its only change.
-type Order struct {
-	Count uint64 // of the commands applied, refused ones too, over all foundings
-	Base  Version
-	Prior *Version  // what Base followed, for rolling back, nil where nothing is kept
-	Next  *Version  // on its way in waves, nil where none is
-	Waves []float64 // of Next
-	Wave  int       // that Next has reached
-	Upto  uint32    // whose point is at most this acts on Next
-	Past  []Mark    // the latest, oldest first
-	Holds map[string]uint64
-	Out   map[string]Outed
-	Done  map[string]uint64    // the latest command of each author, see Command.ID
-	Seats map[uint64]string    // the voters' lives, by name
-	Over  []Row                // the latest rows of counts that are over, without their cells, oldest first
-	Sums  []stance.CounterCell // what those rows came to, in the order of cells
+// Log is what the committed commands come to. All copies that applied the same commands are equal; Apply is its only change.
+type Log struct {
+	AppliedCount   uint64 // of the commands applied, refused ones too, over all foundings
+	Current        Version
+	Previous       *Version  // what Base followed, for rolling back, nil where nothing is kept
+	Next           *Version  // on its way in waves, nil where none is
+	Waves          []float64 // of Next
+	WaveIndex      int       // that Next has reached
+	WaveLimit      uint32    // whose point is at most this acts on Next
+	History        []Entry   // the latest, oldest first
+	Members        map[string]uint64
+	Ejected        map[string]Ejection
+	LastCommandIDs map[string]uint64    // the latest command of each author, see Command.ID
+	Voters         map[uint64]string    // the voters' lives, by name
+	ClosedRows     []CounterRow         // the latest rows of counts that are over, without their cells, oldest first
+	ClosedTotals   []stance.CounterCell // what those rows came to, in the order of cells
 }
 
-// Found makes the first order of a founding from the newest that anybody knew, the zero Order where nobody knew any. What was on its way is
+// BootstrapLog makes the first order of a founding from the newest that anybody knew, the zero Order where nobody knew any. What was on its way is
 // over; what held for most holds again, as a new version, for all.
-func Found(known *Order, founding uint32, seats map[uint64]string) *Order {
+func BootstrapLog(known *Log, founding uint32, seats map[uint64]string) *Log {
 	o := known.Clone()
-	o.Seats = maps.Clone(seats)
-	if o.Base.Digest == "" {
-		o.Base.Digest, o.Base.Author = Digest("", ""), "founding"
+	o.Voters = maps.Clone(seats)
+	if o.Current.Digest == "" {
+		o.Current.Digest, o.Current.Author = Digest("", ""), "founding"
 	}
 	o.over("lost with the voters that knew of it", "the voters founded their group anew")
-	o.Base.Epoch = At(founding, 1)
+	o.Current.Epoch = NewEpoch(founding, 1)
 	// Who was late may have been let in again by the group that was lost, and act. It is looked at anew; what an operator said stays.
-	maps.DeleteFunc(o.Out, func(_ string, out Outed) bool { return out.Life != 0 })
-	o.Count++
+	maps.DeleteFunc(o.Ejected, func(_ string, out Ejection) bool { return out.Incarnation != 0 })
+	o.AppliedCount++
 	return o
 }
 
 // Clone copies an order.
-func (o *Order) Clone() *Order {
+func (o *Log) Clone() *Log {
 	c := *o
-	for _, v := range []**Version{&c.Next, &c.Prior} {
+	for _, v := range []**Version{&c.Next, &c.Previous} {
 		if *v != nil {
 			kept := **v
 			*v = &kept
 		}
 	}
-	c.Waves, c.Past = slices.Clone(o.Waves), slices.Clone(o.Past)
-	c.Holds, c.Out, c.Done, c.Seats = maps.Clone(o.Holds), maps.Clone(o.Out), maps.Clone(o.Done), maps.Clone(o.Seats)
-	c.Over, c.Sums = slices.Clone(o.Over), slices.Clone(o.Sums)
-	if c.Holds == nil {
-		c.Holds = map[string]uint64{}
+	c.Waves, c.History = slices.Clone(o.Waves), slices.Clone(o.History)
+	c.Members, c.Ejected, c.LastCommandIDs, c.Voters = maps.Clone(o.Members), maps.Clone(o.Ejected), maps.Clone(o.LastCommandIDs), maps.Clone(o.Voters)
+	c.ClosedRows, c.ClosedTotals = slices.Clone(o.ClosedRows), slices.Clone(o.ClosedTotals)
+	if c.Members == nil {
+		c.Members = map[string]uint64{}
 	}
-	if c.Out == nil {
-		c.Out = map[string]Outed{}
+	if c.Ejected == nil {
+		c.Ejected = map[string]Ejection{}
 	}
-	if c.Done == nil {
-		c.Done = map[string]uint64{}
+	if c.LastCommandIDs == nil {
+		c.LastCommandIDs = map[string]uint64{}
 	}
-	if c.Seats == nil {
-		c.Seats = map[uint64]string{}
+	if c.Voters == nil {
+		c.Voters = map[uint64]string{}
 	}
 	return &c
 }
 
-// Newest is the highest epoch that was given out.
-func (o *Order) Newest() Epoch {
+// NewestEpoch is the highest epoch that was given out.
+func (o *Log) NewestEpoch() Epoch {
 	if o.Next != nil {
 		return o.Next.Epoch
 	}
-	return o.Base.Epoch
+	return o.Current.Epoch
 }
 
-// After tells whether an order knows more than another one.
-func (o *Order) After(other *Order) bool {
-	if a, b := o.Base.Epoch.Founding(), other.Base.Epoch.Founding(); a != b {
+// NewerThan tells whether an order knows more than another one.
+func (o *Log) NewerThan(other *Log) bool {
+	if a, b := o.Current.Epoch.ClusterID(), other.Current.Epoch.ClusterID(); a != b {
 		return a > b
 	}
-	return o.Count > other.Count
+	return o.AppliedCount > other.AppliedCount
 }
 
-// For is the version on which a server has to act. It never goes back from one command to the next.
-func (o *Order) For(name string) *Version {
-	if o.Next != nil && point(name, o.Next.Epoch) <= o.Upto {
+// VersionFor is the version on which a server has to act. It never goes back from one command to the next.
+func (o *Log) VersionFor(name string) *Version {
+	if o.Next != nil && point(name, o.Next.Epoch) <= o.WaveLimit {
 		return o.Next
 	}
-	return &o.Base
+	return &o.Current
 }
 
-// Version finds a version that is in force.
-func (o *Order) Version(e Epoch) *Version {
+// FindVersion finds a version that is in force.
+func (o *Log) FindVersion(e Epoch) *Version {
 	switch {
 	case o.Next != nil && o.Next.Epoch == e:
 		return o.Next
-	case o.Base.Epoch == e:
-		return &o.Base
+	case o.Current.Epoch == e:
+		return &o.Current
 	}
 	return nil
 }
@@ -242,12 +242,12 @@
 func point(name string, e Epoch) uint32 { return crc32.ChecksumIEEE([]byte(e.String() + " " + name)) }
 
 // upto is the point up to which a part of the named servers is, at least one server's where there is any: it only rises with the part.
-func (o *Order) upto(e Epoch, part float64) uint32 {
+func (o *Log) upto(e Epoch, part float64) uint32 {
 	if part >= 1 {
 		return math.MaxUint32
 	}
-	points := make([]uint32, 0, len(o.Holds))
-	for name := range o.Holds {
+	points := make([]uint32, 0, len(o.Members))
+	for name := range o.Members {
 		points = append(points, point(name, e))
 	}
 	if len(points) == 0 {
@@ -259,14 +259,14 @@
 
 // The causes for which a command is refused; each says what to do.
 var (
-	ErrStale   = errors.New("somebody else changed the version meanwhile; look at it and ask again")
-	ErrOnWay   = errors.New("a release is on its way; wait for its end or roll it back")
-	ErrNoneWay = errors.New("no release is on its way, and nothing before this version is kept")
-	ErrNotSame = errors.New("the digest is not that of the text and build")
-	ErrTaken   = errors.New("the name belongs to another life")
-	ErrFull    = errors.New("there are too many names; forget those that are gone")
-	ErrBounds  = errors.New("a part of the command is too long or out of range")
-	ErrNoName  = errors.New("nobody of that name is there")
+	ErrStaleEpoch        = errors.New("somebody else changed the version meanwhile; look at it and ask again")
+	ErrRolloutInProgress = errors.New("a release is on its way; wait for its end or roll it back")
+	ErrNoRollout         = errors.New("no release is on its way, and nothing before this version is kept")
+	ErrDigestMismatch    = errors.New("the digest is not that of the text and build")
+	ErrNameTaken         = errors.New("the name belongs to another life")
+	ErrTooManyNames      = errors.New("there are too many names; forget those that are gone")
+	ErrOutOfBounds       = errors.New("a part of the command is too long or out of range")
+	ErrUnknownName       = errors.New("nobody of that name is there")
 )
 
 // bounded tells whether a command keeps to the bounds.
@@ -279,7 +279,7 @@
 		rising = w
 	}
 	cells := 0
-	for _, r := range c.Rows {
+	for _, r := range c.CounterRows {
 		cells += len(r.Cells)
 		for _, n := range r.Cells {
 			if len(n.Tenant) > maxName || len(n.Class) > maxName || !(stance.RequestCounts{Received: maxTally, Finished: maxTally, Rejected: maxTally, Abandoned: maxTally}).Covers(n.RequestCounts) {
@@ -287,201 +287,201 @@
 			}
 		}
 	}
-	return len(c.Rows) <= maxRows && cells <= maxCells && c.Kind < kinds && len(c.Text) <= maxText && len(c.Build) <= maxName && len(c.Author) <= maxName && len(c.Name) <= maxName &&
-		len(c.Why) <= maxWhy && len(c.Waves) <= maxWaves && !math.IsNaN(c.At) && !math.IsInf(c.At, 0)
+	return len(c.CounterRows) <= maxRows && cells <= maxCells && c.Kind < kindCount && len(c.Text) <= maxText && len(c.Build) <= maxName && len(c.Author) <= maxName && len(c.Name) <= maxName &&
+		len(c.Reason) <= maxWhy && len(c.Waves) <= maxWaves && !math.IsNaN(c.IssuedAt) && !math.IsInf(c.IssuedAt, 0)
 }
 
 // Apply makes one committed command's change. A refused one changes nothing but the count; the error is the same on every copy.
-func (o *Order) Apply(c *Command) error {
-	o.Count++
+func (o *Log) Apply(c *Command) error {
+	o.AppliedCount++
 	if !c.bounded() {
-		return ErrBounds
+		return ErrOutOfBounds
 	}
-	if c.ID != 0 && o.Done[c.Author] == c.ID {
+	if c.ID != 0 && o.LastCommandIDs[c.Author] == c.ID {
 		return nil
 	}
 	if err := o.apply(c); err != nil {
 		return err
 	}
 	if c.ID != 0 {
-		if _, known := o.Done[c.Author]; !known && len(o.Done) >= maxPast { // any will do: a repeat follows within seconds
-			delete(o.Done, slices.Min(slices.Collect(maps.Keys(o.Done))))
+		if _, known := o.LastCommandIDs[c.Author]; !known && len(o.LastCommandIDs) >= maxPast { // any will do: a repeat follows within seconds
+			delete(o.LastCommandIDs, slices.Min(slices.Collect(maps.Keys(o.LastCommandIDs))))
 		}
-		o.Done[c.Author] = c.ID
+		o.LastCommandIDs[c.Author] = c.ID
 	}
 	return nil
 }
 
-func (o *Order) apply(c *Command) error {
+func (o *Log) apply(c *Command) error {
 	switch c.Kind {
-	case Release, Widen, Revert, Lift:
-		if c.On != o.Newest() {
-			return ErrStale
+	case KindRelease, KindAdvanceRollout, KindRollback, KindBumpEpoch:
+		if c.ExpectedEpoch != o.NewestEpoch() {
+			return ErrStaleEpoch
 		}
 	}
 	switch c.Kind {
-	case Release:
+	case KindRelease:
 		return o.release(c)
-	case Widen:
+	case KindAdvanceRollout:
 		if o.Next == nil {
-			return ErrNoneWay
+			return ErrNoRollout
 		}
-		if o.Wave++; o.Wave < len(o.Waves) {
-			o.Upto = max(o.Upto, o.upto(o.Next.Epoch, o.Waves[o.Wave]))
+		if o.WaveIndex++; o.WaveIndex < len(o.Waves) {
+			o.WaveLimit = max(o.WaveLimit, o.upto(o.Next.Epoch, o.Waves[o.WaveIndex]))
 			return nil
 		}
 		o.follow(*o.Next)
-		o.Next, o.Waves, o.Wave, o.Upto = nil, nil, 0, 0
-	case Revert:
+		o.Next, o.Waves, o.WaveIndex, o.WaveLimit = nil, nil, 0, 0
+	case KindRollback:
 		return o.revert(c)
-	case Lift:
+	case KindBumpEpoch:
 		return o.lift(c)
-	case Hold:
-		holder, held := o.Holds[c.Name]
+	case KindRegister:
+		holder, held := o.Members[c.Name]
 		switch {
-		case c.Name == "" || c.Life == 0:
-			return ErrBounds
-		case held && holder != c.Was && holder != c.Life:
-			return ErrTaken
-		case !held && len(o.Holds) >= maxNames:
-			return ErrFull
+		case c.Name == "" || c.Incarnation == 0:
+			return ErrOutOfBounds
+		case held && holder != c.Previous && holder != c.Incarnation:
+			return ErrNameTaken
+		case !held && len(o.Members) >= maxNames:
+			return ErrTooManyNames
 		}
-		o.Holds[c.Name] = c.Life
-		if out, is := o.Out[c.Name]; is && out.Life != 0 && out.Life != c.Life {
-			delete(o.Out, c.Name) // another life was
+		o.Members[c.Name] = c.Incarnation
+		if out, is := o.Ejected[c.Name]; is && out.Incarnation != 0 && out.Incarnation != c.Incarnation {
+			delete(o.Ejected, c.Name) // another life was
 		}
-	case Shut:
-		if _, known := o.Out[c.Name]; !known && len(o.Out) >= maxNames {
-			return ErrFull
+	case KindEject:
+		if _, known := o.Ejected[c.Name]; !known && len(o.Ejected) >= maxNames {
+			return ErrTooManyNames
 		}
-		if c.Life != 0 && o.Holds[c.Name] != c.Life {
-			return ErrNoName // it is not that life's any more
+		if c.Incarnation != 0 && o.Members[c.Name] != c.Incarnation {
+			return ErrUnknownName // it is not that life's any more
 		}
-		o.Out[c.Name] = Outed{Life: c.Life, By: c.Author, Why: c.Why, On: o.Newest(), At: c.At}
-	case Admit:
-		if _, out := o.Out[c.Name]; !out {
-			return ErrNoName
+		o.Ejected[c.Name] = Ejection{Incarnation: c.Incarnation, Author: c.Author, Reason: c.Reason, Epoch: o.NewestEpoch(), EjectedAt: c.IssuedAt}
+	case KindReadmit:
+		if _, out := o.Ejected[c.Name]; !out {
+			return ErrUnknownName
 		}
-		delete(o.Out, c.Name)
-	case Forget:
-		if holder, held := o.Holds[c.Name]; !held || c.Life != 0 && holder != c.Life {
-			return ErrNoName
+		delete(o.Ejected, c.Name)
+	case KindUnregister:
+		if holder, held := o.Members[c.Name]; !held || c.Incarnation != 0 && holder != c.Incarnation {
+			return ErrUnknownName
 		}
-		delete(o.Holds, c.Name)
-		if out := o.Out[c.Name]; out.Life != 0 {
-			delete(o.Out, c.Name)
+		delete(o.Members, c.Name)
+		if out := o.Ejected[c.Name]; out.Incarnation != 0 {
+			delete(o.Ejected, c.Name)
 		}
-	case Close:
-		for _, r := range c.Rows {
+	case KindCloseCounters:
+		for _, r := range c.CounterRows {
 			o.close(r)
 		}
 	}
 	return nil
 }
 
-// Closed tells whether a row of counts is over, and under which number it was added up.
-func (o *Order) Closed(row uint64) (number uint64, over bool) {
-	for i := len(o.Over) - 1; i >= 0; i-- {
-		if o.Over[i].Row == row {
-			return o.Over[i].Number, true
+// ClosedRow tells whether a row of counts is over, and under which number it was added up.
+func (o *Log) ClosedRow(row uint64) (number uint64, over bool) {
+	for i := len(o.ClosedRows) - 1; i >= 0; i-- {
+		if o.ClosedRows[i].ID == row {
+			return o.ClosedRows[i].Sequence, true
 		}
 	}
 	return 0, false
 }
 
 // close adds a row up, once.
-func (o *Order) close(r Row) {
-	if _, over := o.Closed(r.Row); over {
+func (o *Log) close(r CounterRow) {
+	if _, over := o.ClosedRow(r.ID); over {
 		return
 	}
-	if len(o.Over) >= maxOver { // its server was gone for thousands of restarts: see docs/shared.md
-		o.Over = append(o.Over[:0], o.Over[1:]...)
+	if len(o.ClosedRows) >= maxOver { // its server was gone for thousands of restarts: see docs/shared.md
+		o.ClosedRows = append(o.ClosedRows[:0], o.ClosedRows[1:]...)
 	}
-	o.Over = append(o.Over, Row{Row: r.Row, Number: r.Number})
+	o.ClosedRows = append(o.ClosedRows, CounterRow{ID: r.ID, Sequence: r.Sequence})
 	for _, n := range r.Cells {
-		at, known := slices.BinarySearchFunc(o.Sums, n.CounterKey, compareCell)
-		if !known && len(o.Sums) >= maxCells {
+		at, known := slices.BinarySearchFunc(o.ClosedTotals, n.CounterKey, compareCell)
+		if !known && len(o.ClosedTotals) >= maxCells {
 			n.CounterKey = stance.CounterKey{}
-			at, known = slices.BinarySearchFunc(o.Sums, n.CounterKey, compareCell)
+			at, known = slices.BinarySearchFunc(o.ClosedTotals, n.CounterKey, compareCell)
 		}
 		if !known {
-			o.Sums = slices.Insert(o.Sums, at, stance.CounterCell{CounterKey: n.CounterKey})
+			o.ClosedTotals = slices.Insert(o.ClosedTotals, at, stance.CounterCell{CounterKey: n.CounterKey})
 		}
-		o.Sums[at].RequestCounts = o.Sums[at].Add(n.RequestCounts)
+		o.ClosedTotals[at].RequestCounts = o.ClosedTotals[at].Add(n.RequestCounts)
 	}
 }
 
 func compareCell(n stance.CounterCell, c stance.CounterKey) int { return n.CounterKey.Compare(c) }
 
-func (o *Order) release(c *Command) error {
+func (o *Log) release(c *Command) error {
 	switch {
 	case o.Next != nil:
-		return ErrOnWay
+		return ErrRolloutInProgress
 	case c.Digest != Digest(c.Text, c.Build):
-		return ErrNotSame
+		return ErrDigestMismatch
 	}
-	next := Version{Epoch: o.Newest() + 1, Digest: c.Digest, Author: c.Author, At: c.At, Text: c.Text, Build: c.Build}
+	next := Version{Epoch: o.NewestEpoch() + 1, Digest: c.Digest, Author: c.Author, ReleasedAt: c.IssuedAt, Text: c.Text, Build: c.Build}
 	if len(c.Waves) == 0 || c.Waves[0] >= 1 {
 		o.follow(next)
 		return nil
 	}
-	o.Next, o.Waves, o.Wave = &next, slices.Clone(c.Waves), 0
-	o.Upto = o.upto(next.Epoch, o.Waves[0])
+	o.Next, o.Waves, o.WaveIndex = &next, slices.Clone(c.Waves), 0
+	o.WaveLimit = o.upto(next.Epoch, o.Waves[0])
 	return nil
 }
 
 // follow has a version hold for all.
-func (o *Order) follow(next Version) {
-	o.mark(&o.Base, "followed by "+next.Epoch.String())
-	prior := o.Base
-	o.Prior, o.Base = &prior, next
+func (o *Log) follow(next Version) {
+	o.mark(&o.Current, "followed by "+next.Epoch.String())
+	prior := o.Current
+	o.Previous, o.Current = &prior, next
 }
 
 // revert never goes back: the text that held before has a new, higher epoch. What is on its way is over; where nothing is, the base is.
-func (o *Order) revert(c *Command) error {
+func (o *Log) revert(c *Command) error {
 	if o.Next != nil {
-		o.over("rolled back: "+c.Why, c.Author)
-		o.Base.At = c.At
+		o.over("rolled back: "+c.Reason, c.Author)
+		o.Current.ReleasedAt = c.IssuedAt
 		return nil
 	}
-	if o.Prior == nil {
-		return ErrNoneWay
+	if o.Previous == nil {
+		return ErrNoRollout
 	}
-	again := *o.Prior
-	again.Epoch, again.Author, again.At = o.Base.Epoch+1, c.Author, c.At
+	again := *o.Previous
+	again.Epoch, again.Author, again.ReleasedAt = o.Current.Epoch+1, c.Author, c.IssuedAt
 	o.follow(again)
-	o.Past[len(o.Past)-1].Fate = "rolled back: " + c.Why
+	o.History[len(o.History)-1].Outcome = "rolled back: " + c.Reason
 	return nil
 }
 
 // lift has what holds go on under a founding's number above one that a lost group reached. It guards against a server that was cut off while all
 // voters forgot, and whose clock was ahead of theirs: it would be ahead of every version for ever, as no server goes back.
-func (o *Order) lift(c *Command) error {
-	if c.Was <= uint64(o.Base.Epoch.Founding()) || c.Was > math.MaxUint32 {
-		return ErrBounds
+func (o *Log) lift(c *Command) error {
+	if c.Previous <= uint64(o.Current.Epoch.ClusterID()) || c.Previous > math.MaxUint32 {
+		return ErrOutOfBounds
 	}
 	o.over("lifted over what a lost group released", c.Author)
-	o.Base.Epoch, o.Base.At = At(uint32(c.Was), 1), c.At
+	o.Current.Epoch, o.Current.ReleasedAt = NewEpoch(uint32(c.Previous), 1), c.IssuedAt
 	return nil
 }
 
 // over ends what is on its way, or else only gives the base a new epoch.
-func (o *Order) over(fate, author string) {
-	epoch := o.Newest() + 1
+func (o *Log) over(fate, author string) {
+	epoch := o.NewestEpoch() + 1
 	if o.Next != nil {
 		o.mark(o.Next, fate)
-		o.Next, o.Waves, o.Wave, o.Upto = nil, nil, 0, 0
+		o.Next, o.Waves, o.WaveIndex, o.WaveLimit = nil, nil, 0, 0
 	}
-	o.mark(&o.Base, "again as "+epoch.String())
-	o.Base.Epoch, o.Base.Author = epoch, author
+	o.mark(&o.Current, "again as "+epoch.String())
+	o.Current.Epoch, o.Current.Author = epoch, author
 }
 
-func (o *Order) mark(v *Version, fate string) {
+func (o *Log) mark(v *Version, fate string) {
 	if v.Epoch == 0 {
 		return
 	}
-	if len(o.Past) >= maxPast {
-		o.Past = append(o.Past[:0], o.Past[1:]...)
+	if len(o.History) >= maxPast {
+		o.History = append(o.History[:0], o.History[1:]...)
 	}
-	o.Past = append(o.Past, Mark{Epoch: v.Epoch, Digest: v.Digest, Author: v.Author, At: v.At, Fate: fate})
+	o.History = append(o.History, Entry{Epoch: v.Epoch, Digest: v.Digest, Author: v.Author, ReleasedAt: v.ReleasedAt, Outcome: fate})
 }
--- a/internal/judge/version/voter.go
+++ b/internal/judge/version/voter.go
@@ -12,49 +12,49 @@
 
 // Codec writes commands and orders as bytes for the consensus library, which carries them without a look. Reading checks all bounds.
 type Codec interface {
-	PutCommand(*Command) []byte
-	Command([]byte) (*Command, error)
-	PutOrder(*Order) []byte
-	Order([]byte) (*Order, error)
+	MarshalCommand(*Command) []byte
+	UnmarshalCommand([]byte) (*Command, error)
+	MarshalLog(*Log) []byte
+	UnmarshalLog([]byte) (*Log, error)
 }
 
-// Beacon is what voters tell one another several times a second.
-type Beacon struct {
-	Name     string
-	Life     uint64            // drawn at the start and whenever a seat is left; never used again
-	Founding uint32            // of the group that it sits in, 0 while it is cold
-	Known    uint32            // founding of the newest order that it knows
-	Count    uint64            // of that order
-	Heard    map[string]uint64 // cold voters of whom it heard lately, itself too, by name
-	Seats    map[string]uint64 // of its group, by name; none while it is cold
+// Heartbeat is what voters tell one another several times a second.
+type Heartbeat struct {
+	Name            string
+	Incarnation     uint64            // drawn at the start and whenever a seat is left; never used again
+	ClusterID       uint32            // of the group that it sits in, 0 while it is cold
+	NewestClusterID uint32            // founding of the newest order that it knows
+	AppliedCount    uint64            // of that order
+	DetachedVoters  map[string]uint64 // cold voters of whom it heard lately, itself too, by name
+	Voters          map[string]uint64 // of its group, by name; none while it is cold
 }
 
-// Foundation opens a group: whoever sits in it starts from the same order.
-type Foundation struct {
-	Founding uint32
-	Seats    map[uint64]string
-	Order    *Order
+// Bootstrap opens a group: whoever sits in it starts from the same order.
+type Bootstrap struct {
+	ClusterID  uint32
+	Voters     map[uint64]string
+	ReleaseLog *Log
 }
 
 // Message goes between two voters; one of its parts is there.
 type Message struct {
-	From, To uint64 // lives; To is 0 where any may read it
-	Founding uint32 // of Raft
-	Beacon   *Beacon
-	Found    *Foundation
-	Ask      bool   // tell me the order that you know
-	Tell     *Order // the answer
-	Raft     *pb.Message
+	From, To          uint64 // lives; To is 0 where any may read it
+	ClusterID         uint32 // of Raft
+	Heartbeat         *Heartbeat
+	Bootstrap         *Bootstrap
+	RequestReleaseLog bool // tell me the order that you know
+	ReleaseLog        *Log // the answer
+	Raft              *pb.Message
 }
 
-// Letter is a message and the name of the voter that it is for.
-type Letter struct {
+// Envelope is a message and the name of the voter that it is for.
+type Envelope struct {
 	To      string
 	Message Message
 }
 
-// Outcome is how a command ended that was asked for here or elsewhere.
-type Outcome struct {
+// CommandResult is how a command ended that was asked for here or elsewhere.
+type CommandResult struct {
 	Command *Command
 	Err     error // a refusal
 }
@@ -88,7 +88,7 @@
 )
 
 type heard struct {
-	Beacon
+	Heartbeat
 	at   float64 // the latest beacon
 	from float64 // since when it has this life
 }
@@ -106,7 +106,7 @@
 	clock  float64 // Unix seconds less now, for the numbers of foundings
 	others map[string]*heard
 
-	order    *Order // the newest that is known
+	order    *Log   // the newest that is known
 	founding uint32 // 0 while cold
 	beyond   uint32 // the highest founding that anybody was heard to act on
 	coldAt   float64
@@ -122,8 +122,8 @@
 	confirms float64 // until when this leader knew that it led
 
 	nextTick, nextBeacon, nextConfirm float64
-	out                               []Letter
-	ended                             []Outcome
+	out                               []Envelope
+	ended                             []CommandResult
 }
 
 // NewVoter makes a voter that has just started. unix is the time in Unix seconds at now.
@@ -131,7 +131,7 @@
 	names := slices.Clone(voters)
 	slices.Sort(names)
 	v := &Voter{name: name, seed: seed, names: slices.Compact(names), codec: codec, clock: unix - now, others: map[string]*heard{},
-		order: (&Order{}).Clone()}
+		order: (&Log{}).Clone()}
 	v.cold(now)
 	return v
 }
@@ -156,17 +156,17 @@
 	v.coldAt, v.asked = now, nil
 }
 
-// Life is this voter's present life.
-func (v *Voter) Life() uint64 { return v.life }
+// Incarnation is this voter's present life.
+func (v *Voter) Incarnation() uint64 { return v.life }
 
-// Seated tells whether it sits in a group.
-func (v *Voter) Seated() bool { return v.node != nil }
+// Joined tells whether it sits in a group.
+func (v *Voter) Joined() bool { return v.node != nil }
 
-// Order is the newest order that it knows; it is not to be changed.
-func (v *Voter) Order() *Order { return v.order }
+// ReleaseLog is the newest order that it knows; it is not to be changed.
+func (v *Voter) ReleaseLog() *Log { return v.order }
 
-// Leads tells whether a majority confirmed, for what it knew at some time after since, that this voter leads.
-func (v *Voter) Leads(since float64) bool {
+// IsLeader tells whether a majority confirmed, for what it knew at some time after since, that this voter leads.
+func (v *Voter) IsLeader(since float64) bool {
 	return v.node != nil && v.confirms > since && v.lead == v.life
 }
 
@@ -175,53 +175,53 @@
 	if v.node == nil {
 		return 0, 0
 	}
-	return v.order.Base.Epoch.Founding(), v.node.BasicStatus().GetTerm()
+	return v.order.Current.Epoch.ClusterID(), v.node.BasicStatus().GetTerm()
 }
 
 // Leader is the name of the leader as far as it is known, "" where it is not.
-func (v *Voter) Leader() string { return v.order.Seats[v.lead] }
+func (v *Voter) Leader() string { return v.order.Voters[v.lead] }
 
-// Learn tells of an order that somebody else knows: a cold group starts from the newest.
-func (v *Voter) Learn(o *Order) {
-	if v.node == nil && o.After(v.order) {
+// ObserveReleaseLog tells of an order that somebody else knows: a cold group starts from the newest.
+func (v *Voter) ObserveReleaseLog(o *Log) {
+	if v.node == nil && o.NewerThan(v.order) {
 		v.order = o.Clone()
 	}
 }
 
-// Beyond tells that somebody acts on a version of that founding: the next one is above it.
-func (v *Voter) Beyond(founding uint32) { v.beyond = max(v.beyond, founding) }
+// ObserveClusterID tells that somebody acts on a version of that founding: the next one is above it.
+func (v *Voter) ObserveClusterID(founding uint32) { v.beyond = max(v.beyond, founding) }
 
 // Propose asks for a command. It may be lost, so who asks repeats it, with the same ID, until Outcomes has it.
 func (v *Voter) Propose(c *Command) {
 	if v.node != nil && v.lead != 0 {
-		_ = v.node.Propose(v.codec.PutCommand(c)) // refused while a leader is being chosen: it is repeated
+		_ = v.node.Propose(v.codec.MarshalCommand(c)) // refused while a leader is being chosen: it is repeated
 	}
 }
 
-// ProposeOwn asks for a command of the leader's own, straight into its log: false, and nothing is asked for, where this voter does not lead.
-func (v *Voter) ProposeOwn(c *Command) bool {
+// ProposeAsLeader asks for a command of the leader's own, straight into its log: false, and nothing is asked for, where this voter does not lead.
+func (v *Voter) ProposeAsLeader(c *Command) bool {
 	if v.node == nil || v.node.BasicStatus().RaftState != raft.StateLeader {
 		return false
 	}
-	return v.node.Propose(v.codec.PutCommand(c)) == nil
+	return v.node.Propose(v.codec.MarshalCommand(c)) == nil
 }
 
-// Letters hands over what is to be sent; the slice is good until the next call.
-func (v *Voter) Letters() []Letter {
+// TakeOutbox hands over what is to be sent; the slice is good until the next call.
+func (v *Voter) TakeOutbox() []Envelope {
 	out := v.out
 	v.out = nil
 	return out
 }
 
-// Outcomes hands over how commands ended since the last call.
-func (v *Voter) Outcomes() []Outcome {
+// TakeResults hands over how commands ended since the last call.
+func (v *Voter) TakeResults() []CommandResult {
 	ended := v.ended
 	v.ended = nil
 	return ended
 }
 
-// Next tells when Tick is to be called again.
-func (v *Voter) Next() float64 { return min(v.nextTick, v.nextBeacon) }
+// NextWakeup tells when Tick is to be called again.
+func (v *Voter) NextWakeup() float64 { return min(v.nextTick, v.nextBeacon) }
 
 // Tick does what is due.
 func (v *Voter) Tick(now float64) {
@@ -255,23 +255,23 @@
 	v.patience = electLeast + electMore*float64(v.draw()>>11)/(1<<53)
 }
 
-// Read takes a message from another voter. What is for another life, or of another group, is left unread: that life is over.
-func (v *Voter) Read(now float64, m *Message) {
+// HandleMessage takes a message from another voter. What is for another life, or of another group, is left unread: that life is over.
+func (v *Voter) HandleMessage(now float64, m *Message) {
 	if m.To != 0 && m.To != v.life {
 		return
 	}
 	switch {
-	case m.Beacon != nil:
-		v.hear(now, m.Beacon)
-	case m.Ask:
+	case m.Heartbeat != nil:
+		v.hear(now, m.Heartbeat)
+	case m.RequestReleaseLog:
 		if from := v.nameOf(m.From); from != "" {
-			v.send(from, Message{From: v.life, To: m.From, Tell: v.order})
+			v.send(from, Message{From: v.life, To: m.From, ReleaseLog: v.order})
 		}
-	case m.Tell != nil:
-		v.Learn(m.Tell)
-	case m.Found != nil:
-		if v.node == nil && m.Found.Seats[v.life] == v.name {
-			v.sit(now, m.Found)
+	case m.ReleaseLog != nil:
+		v.ObserveReleaseLog(m.ReleaseLog)
+	case m.Bootstrap != nil:
+		if v.node == nil && m.Bootstrap.Voters[v.life] == v.name {
+			v.sit(now, m.Bootstrap)
 		}
 	case m.Raft != nil:
 		v.readRaft(now, m)
@@ -280,11 +280,11 @@
 }
 
 func (v *Voter) readRaft(now float64, m *Message) {
-	if v.node == nil && m.Founding != 0 { // whoever writes to this life took it in: it starts with nothing, and is told all
-		v.founding = m.Founding
+	if v.node == nil && m.ClusterID != 0 { // whoever writes to this life took it in: it starts with nothing, and is told all
+		v.founding = m.ClusterID
 		v.start(now, raft.NewMemoryStorage())
 	}
-	if v.node == nil || m.Founding != v.founding || m.Raft.GetTo() != v.life {
+	if v.node == nil || m.ClusterID != v.founding || m.Raft.GetTo() != v.life {
 		return
 	}
 	switch m.Raft.GetType() {
@@ -302,14 +302,14 @@
 // nameOf is the voter whose life was heard lately.
 func (v *Voter) nameOf(life uint64) string {
 	for name, h := range v.others {
-		if h.Life == life {
+		if h.Incarnation == life {
 			return name
 		}
 	}
 	return ""
 }
 
-func (v *Voter) send(to string, m Message) { v.out = append(v.out, Letter{to, m}) }
+func (v *Voter) send(to string, m Message) { v.out = append(v.out, Envelope{to, m}) }
 
 // seatOf turns a group's seats about.
 func seatOf(seats map[uint64]string) map[string]uint64 {
@@ -321,25 +321,25 @@
 }
 
 func (v *Voter) beacon(now float64) {
-	b := &Beacon{Name: v.name, Life: v.life, Founding: v.founding, Known: v.order.Base.Epoch.Founding(), Count: v.order.Count}
+	b := &Heartbeat{Name: v.name, Incarnation: v.life, ClusterID: v.founding, NewestClusterID: v.order.Current.Epoch.ClusterID(), AppliedCount: v.order.AppliedCount}
 	if v.node == nil {
-		b.Heard = map[string]uint64{v.name: v.life}
+		b.DetachedVoters = map[string]uint64{v.name: v.life}
 		for name, h := range v.others {
-			if h.Founding == 0 && now < h.at+freshFor {
-				b.Heard[name] = h.Life
+			if h.ClusterID == 0 && now < h.at+freshFor {
+				b.DetachedVoters[name] = h.Incarnation
 			}
 		}
 	} else {
-		b.Seats = seatOf(v.order.Seats)
+		b.Voters = seatOf(v.order.Voters)
 	}
 	for _, name := range v.names {
 		if name != v.name {
-			v.send(name, Message{From: v.life, Beacon: b})
+			v.send(name, Message{From: v.life, Heartbeat: b})
 		}
 	}
 }
 
-func (v *Voter) hear(now float64, b *Beacon) {
+func (v *Voter) hear(now float64, b *Heartbeat) {
 	if b.Name == v.name || !slices.Contains(v.names, b.Name) {
 		return // nobody whom the operator named, or a second process of this name: that one is told elsewhere
 	}
@@ -348,12 +348,12 @@
 	case h == nil:
 		h = &heard{from: now}
 		v.others[b.Name] = h
-	case h.Life != b.Life && now < h.at+deadAfter && h.Founding != 0:
+	case h.Incarnation != b.Incarnation && now < h.at+deadAfter && h.ClusterID != 0:
 		return // the life that sits there is still heard
-	case h.Life != b.Life:
+	case h.Incarnation != b.Incarnation:
 		h.from = now
 	}
-	h.Beacon, h.at = *b, now
+	h.Heartbeat, h.at = *b, now
 }
 
 // survey looks at who is there: a group that can't be any more is left, a voter that came back is taken in, and a group is founded where
@@ -364,12 +364,12 @@
 		return
 	}
 	// One that was just taken in knows it only from the copy that it is sent; before that, those who don't know of it yet tell it nothing.
-	mine := v.order.Seats[v.life] == v.name
+	mine := v.order.Voters[v.life] == v.name
 	if !mine && now > v.seatedAt+joinWithin {
 		v.cold(now)
 		return
 	}
-	lives := seatOf(v.order.Seats)
+	lives := seatOf(v.order.Voters)
 	gone := map[uint64]bool{} // lives that will never be heard again, or sit elsewhere
 	for _, name := range v.names {
 		h := v.others[name]
@@ -377,16 +377,16 @@
 			continue
 		}
 		switch life, sits := lives[name]; {
-		case mine && h.Founding == v.founding && h.Count > v.order.Count && h.Seats[v.name] != 0 && h.Seats[v.name] != v.life:
+		case mine && h.ClusterID == v.founding && h.AppliedCount > v.order.AppliedCount && h.Voters[v.name] != 0 && h.Voters[v.name] != v.life:
 			v.cold(now) // the group took another life in for this one
 			return
-		case sits && (h.Life != life || h.Founding != 0 && h.Founding != v.founding):
+		case sits && (h.Incarnation != life || h.ClusterID != 0 && h.ClusterID != v.founding):
 			gone[life] = true
-			if h.Life != life && h.Founding == 0 && v.lead == v.life && now > h.from+deadAfter && len(v.conf.GetVotersOutgoing()) == 0 {
-				v.takeIn(name, life, h.Life)
+			if h.Incarnation != life && h.ClusterID == 0 && v.lead == v.life && now > h.from+deadAfter && len(v.conf.GetVotersOutgoing()) == 0 {
+				v.takeIn(name, life, h.Incarnation)
 			}
-		case !sits && h.Founding == 0 && v.lead == v.life && len(v.conf.GetVotersOutgoing()) == 0:
-			v.takeIn(name, 0, h.Life) // named since the founding
+		case !sits && h.ClusterID == 0 && v.lead == v.life && len(v.conf.GetVotersOutgoing()) == 0:
+			v.takeIn(name, 0, h.Incarnation) // named since the founding
 		}
 	}
 	if now > v.seatedAt+deadAfter && (v.lost(v.conf.GetVoters(), gone) || v.lost(v.conf.GetVotersOutgoing(), gone)) {
@@ -398,7 +398,7 @@
 func (v *Voter) lost(lives []uint64, gone map[uint64]bool) bool {
 	left := 0
 	for _, life := range lives {
-		if v.order.Seats[life] != "" && !gone[life] {
+		if v.order.Voters[life] != "" && !gone[life] {
 			left++
 		}
 	}
@@ -422,15 +422,15 @@
 		return
 	}
 	seats := map[uint64]string{v.life: v.name}
-	number := max(v.order.Base.Epoch.Founding()+1, v.beyond+1, uint32(max(1, now+v.clock-epochStart)))
+	number := max(v.order.Current.Epoch.ClusterID()+1, v.beyond+1, uint32(max(1, now+v.clock-epochStart)))
 	for _, name := range v.names[1:] {
 		h := v.others[name]
-		if h == nil || now > h.at+freshFor || h.Founding != 0 {
+		if h == nil || now > h.at+freshFor || h.ClusterID != 0 {
 			return
 		}
-		seats[h.Life] = name
-		if known := h.Known; known > v.order.Base.Epoch.Founding() || known == v.order.Base.Epoch.Founding() && h.Count > v.order.Count {
-			v.send(name, Message{From: v.life, To: h.Life, Ask: true})
+		seats[h.Incarnation] = name
+		if known := h.NewestClusterID; known > v.order.Current.Epoch.ClusterID() || known == v.order.Current.Epoch.ClusterID() && h.AppliedCount > v.order.AppliedCount {
+			v.send(name, Message{From: v.life, To: h.Incarnation, RequestReleaseLog: true})
 			return
 		}
 	}
@@ -439,25 +439,25 @@
 		return
 	}
 	for _, name := range v.names[1:] {
-		if !maps.Equal(v.others[name].Heard, lives) {
+		if !maps.Equal(v.others[name].DetachedVoters, lives) {
 			return
 		}
 	}
-	f := &Foundation{Founding: number, Seats: seats, Order: Found(v.order, number, seats)}
+	f := &Bootstrap{ClusterID: number, Voters: seats, ReleaseLog: BootstrapLog(v.order, number, seats)}
 	for _, name := range v.names[1:] {
-		v.send(name, Message{From: v.life, To: lives[name], Found: f})
+		v.send(name, Message{From: v.life, To: lives[name], Bootstrap: f})
 	}
 	v.sit(now, f)
 }
 
 // sit takes a seat at a founding.
-func (v *Voter) sit(now float64, f *Foundation) {
-	v.founding = f.Founding
-	v.order = f.Order.Clone()
+func (v *Voter) sit(now float64, f *Bootstrap) {
+	v.founding = f.ClusterID
+	v.order = f.ReleaseLog.Clone()
 	store := raft.NewMemoryStorage()
 	index, term := uint64(1), uint64(1)
-	conf := &pb.ConfState{Voters: slices.Sorted(maps.Keys(f.Seats))}
-	_ = store.ApplySnapshot(&pb.Snapshot{Data: v.codec.PutOrder(v.order), // a new store has none that could be newer
+	conf := &pb.ConfState{Voters: slices.Sorted(maps.Keys(f.Voters))}
+	_ = store.ApplySnapshot(&pb.Snapshot{Data: v.codec.MarshalLog(v.order), // a new store has none that could be newer
 		Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: &index, Term: &term}})
 	_ = store.SetHardState(&pb.HardState{Term: &term, Commit: &index, Vote: new(uint64)})
 	v.conf = conf
@@ -492,7 +492,7 @@
 			_ = v.store.SetHardState(rd.HardState)
 		}
 		if !raft.IsEmptySnap(rd.Snapshot) {
-			o, err := v.codec.Order(rd.Snapshot.GetData())
+			o, err := v.codec.UnmarshalLog(rd.Snapshot.GetData())
 			if err != nil || v.store.ApplySnapshot(rd.Snapshot) != nil {
 				v.cold(now) // a copy that can't be read is worth nothing; another life asks for it again
 				return
@@ -519,7 +519,7 @@
 }
 
 func (v *Voter) post(m *pb.Message) {
-	name := v.order.Seats[m.GetTo()]
+	name := v.order.Voters[m.GetTo()]
 	if name == "" {
 		name = v.nameOf(m.GetTo())
 	}
@@ -527,7 +527,7 @@
 		v.node.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 	}
 	if name != "" {
-		v.send(name, Message{From: v.life, To: m.GetTo(), Founding: v.founding, Raft: m})
+		v.send(name, Message{From: v.life, To: m.GetTo(), ClusterID: v.founding, Raft: m})
 	}
 }
 
@@ -544,25 +544,25 @@
 		o := v.order.Clone()
 		for _, change := range c.GetChanges() {
 			if change.GetType() == pb.ConfChangeAddNode {
-				o.Seats[change.GetNodeId()] = string(c.GetContext())
+				o.Voters[change.GetNodeId()] = string(c.GetContext())
 			} else {
-				delete(o.Seats, change.GetNodeId())
+				delete(o.Voters, change.GetNodeId())
 			}
 		}
-		o.Count++
+		o.AppliedCount++
 		v.order = o
 	default:
 		if len(e.GetData()) == 0 {
 			return // a new leader's first
 		}
-		c, err := v.codec.Command(e.GetData())
+		c, err := v.codec.UnmarshalCommand(e.GetData())
 		if err != nil {
 			return // on every copy alike
 		}
 		o := v.order.Clone()
 		err = o.Apply(c)
 		v.order = o
-		v.ended = append(v.ended, Outcome{c, err})
+		v.ended = append(v.ended, CommandResult{c, err})
 	}
 }
 
@@ -576,7 +576,7 @@
 	if last < v.since+compactAfter && !seats {
 		return
 	}
-	if _, err := v.store.CreateSnapshot(last, v.conf, v.codec.PutOrder(v.order)); err == nil && v.store.Compact(last) == nil {
+	if _, err := v.store.CreateSnapshot(last, v.conf, v.codec.MarshalLog(v.order)); err == nil && v.store.Compact(last) == nil {
 		v.since = last
 	}
 }
--- a/internal/judge/version/voter_test.go
+++ b/internal/judge/version/voter_test.go
@@ -18,14 +18,14 @@
 // plain is a codec for tests.
 type plain struct{}
 
-func (plain) PutCommand(c *Command) []byte { b, _ := json.Marshal(c); return b }
-func (plain) PutOrder(o *Order) []byte     { b, _ := json.Marshal(o); return b }
-func (plain) Command(b []byte) (*Command, error) {
+func (plain) MarshalCommand(c *Command) []byte { b, _ := json.Marshal(c); return b }
+func (plain) MarshalLog(o *Log) []byte         { b, _ := json.Marshal(o); return b }
+func (plain) UnmarshalCommand(b []byte) (*Command, error) {
 	c := &Command{}
 	return c, json.Unmarshal(b, c)
 }
-func (plain) Order(b []byte) (*Order, error) {
-	o := &Order{}
+func (plain) UnmarshalLog(b []byte) (*Log, error) {
+	o := &Log{}
 	return o, json.Unmarshal(b, o)
 }
 
@@ -81,7 +81,7 @@
 
 func (h *hall) collect(name string) {
 	v := h.voters[name]
-	for _, l := range v.Letters() {
+	for _, l := range v.TakeOutbox() {
 		for range 1 + h.chance.IntN(11)/10 { // one in eleven is doubled
 			if h.cut[[2]string{name, l.To}] || h.chance.Float64() < h.loss {
 				continue
@@ -89,17 +89,17 @@
 			h.mail = append(h.mail, posted{h.now + 0.001 + 0.02*h.chance.ExpFloat64(), name, l.To, copied(l.Message)})
 		}
 	}
-	for _, e := range v.Outcomes() {
+	for _, e := range v.TakeResults() {
 		if e.Command.ID != 0 {
 			h.done[e.Command.ID] = e.Err
 		}
 	}
-	h.watch(v.Order())
+	h.watch(v.ReleaseLog())
 }
 
 // watch holds what a voter knows against all that any voter ever knew.
-func (h *hall) watch(o *Order) {
-	for _, v := range []*Version{&o.Base, o.Next} {
+func (h *hall) watch(o *Log) {
+	for _, v := range []*Version{&o.Current, o.Next} {
 		if v == nil || v.Epoch == 0 {
 			continue
 		}
@@ -108,8 +108,8 @@
 		}
 		h.texts[v.Epoch] = v.Digest
 	}
-	place := fmt.Sprintf("%d/%d", o.Base.Epoch.Founding(), o.Count)
-	text := string(plain{}.PutOrder(o))
+	place := fmt.Sprintf("%d/%d", o.Current.Epoch.ClusterID(), o.AppliedCount)
+	text := string(plain{}.MarshalLog(o))
 	if was, seen := h.copies[place]; seen && was != text {
 		h.t.Fatalf("place %s has two copies at %.3f:\n%s\n%s", place, h.now, was, text)
 	}
@@ -134,12 +134,12 @@
 					h.held[p.to] = append(h.held[p.to], p.m)
 				}
 			default:
-				v.Read(h.now, &p.m)
+				v.HandleMessage(h.now, &p.m)
 				h.collect(p.to)
 			}
 		}
 		for _, name := range h.names {
-			if v := h.voters[name]; v != nil && !h.asleep[name] && v.Next() <= h.now {
+			if v := h.voters[name]; v != nil && !h.asleep[name] && v.NextWakeup() <= h.now {
 				v.Tick(h.now)
 				h.collect(name)
 			}
@@ -151,7 +151,7 @@
 	h.asleep[name] = false
 	for _, m := range h.held[name] {
 		if v := h.voters[name]; v != nil {
-			v.Read(h.now, &m)
+			v.HandleMessage(h.now, &m)
 			h.collect(name)
 		}
 	}
@@ -172,10 +172,10 @@
 		h.run(0.2)
 		leaders, seated := 0, 0
 		for _, v := range h.voters {
-			if v.Seated() {
+			if v.Joined() {
 				seated++
 			}
-			if v.Leads(h.now - 1) {
+			if v.IsLeader(h.now - 1) {
 				leaders++
 			}
 		}
@@ -190,7 +190,7 @@
 	var b strings.Builder
 	for _, name := range h.names {
 		if v := h.voters[name]; v != nil {
-			fmt.Fprintf(&b, "%s life %x founding %d lead %x count %d seats %v; ", name, v.life, v.founding, v.lead, v.order.Count, v.order.Seats)
+			fmt.Fprintf(&b, "%s life %x founding %d lead %x count %d seats %v; ", name, v.life, v.founding, v.lead, v.order.AppliedCount, v.order.Voters)
 		}
 	}
 	return b.String()
@@ -206,7 +206,7 @@
 	if v == nil {
 		return nil, false
 	}
-	c := &Command{Kind: Release, ID: id, Author: "operator " + name, On: v.Order().Newest(), Text: text, Digest: Digest(text, "")}
+	c := &Command{Kind: KindRelease, ID: id, Author: "operator " + name, ExpectedEpoch: v.ReleaseLog().NewestEpoch(), Text: text, Digest: Digest(text, "")}
 	for end := h.now + seconds; h.now < end; h.run(0.3) {
 		if err, ended := h.done[id]; ended {
 			return err, true
@@ -228,8 +228,8 @@
 		}
 		h.run(1)
 		for name, v := range h.voters {
-			if v.Order().Base.Text != "door on" {
-				t.Errorf("%d voters: %s has %q", n, name, v.Order().Base.Text)
+			if v.ReleaseLog().Current.Text != "door on" {
+				t.Errorf("%d voters: %s has %q", n, name, v.ReleaseLog().Current.Text)
 			}
 		}
 	}
@@ -238,10 +238,10 @@
 func TestTwoOperatorsReleaseAtOnce(t *testing.T) {
 	h := newHall(t, 11, 3)
 	h.heal()
-	on := h.voters["v1"].Order().Newest()
+	on := h.voters["v1"].ReleaseLog().NewestEpoch()
 	for i, name := range h.names[:2] {
 		text := fmt.Sprint("door-lobby ", i+1)
-		h.voters[name].Propose(&Command{Kind: Release, ID: uint64(1e6 + i), Author: name, On: on, Text: text, Digest: Digest(text, "")})
+		h.voters[name].Propose(&Command{Kind: KindRelease, ID: uint64(1e6 + i), Author: name, ExpectedEpoch: on, Text: text, Digest: Digest(text, "")})
 		h.collect(name)
 	}
 	h.run(3)
@@ -266,12 +266,12 @@
 	if err, ended := h.release("v4", "door-lobby 9", 6); err != nil || !ended {
 		t.Fatalf("three of five did not: %v, %v", ended, err)
 	}
-	if h.voters["v1"].Leads(h.now - 1.5) {
+	if h.voters["v1"].IsLeader(h.now - 1.5) {
 		t.Error("a voter in the minority still takes itself for a confirmed leader")
 	}
 	h.heal()
 	h.run(2)
-	if got := h.voters["v1"].Order().Base.Text; got != "door-lobby 9" {
+	if got := h.voters["v1"].ReleaseLog().Current.Text; got != "door-lobby 9" {
 		t.Errorf("after the cut v1 has %q", got)
 	}
 }
@@ -283,22 +283,22 @@
 		t.Fatal(ended, err)
 	}
 	h.run(0.5)
-	before := h.voters["v1"].Order().Base.Epoch
+	before := h.voters["v1"].ReleaseLog().Current.Epoch
 	h.start("v1") // its log is gone
 	h.heal()
-	if o := h.voters["v1"].Order(); o.Base.Text != "door on" || o.Base.Epoch != before {
-		t.Errorf("back cold, v1 has %s %q, not %s", o.Base.Epoch, o.Base.Text, before)
+	if o := h.voters["v1"].ReleaseLog(); o.Current.Text != "door on" || o.Current.Epoch != before {
+		t.Errorf("back cold, v1 has %s %q, not %s", o.Current.Epoch, o.Current.Text, before)
 	}
-	known := h.voters["v3"].Order()
+	known := h.voters["v3"].ReleaseLog()
 	for _, name := range h.names {
 		h.start(name)
 	}
-	h.voters["v2"].Learn(known) // a follower that lived on told one of them
+	h.voters["v2"].ObserveReleaseLog(known) // a follower that lived on told one of them
 	h.heal()
 	h.run(1)
 	for name, v := range h.voters {
-		if o := v.Order(); o.Base.Text != "door on" || o.Base.Epoch <= before || o.Base.Epoch.Founding() == before.Founding() {
-			t.Errorf("after all were cold %s has %s %q", name, o.Base.Epoch, o.Base.Text)
+		if o := v.ReleaseLog(); o.Current.Text != "door on" || o.Current.Epoch <= before || o.Current.Epoch.ClusterID() == before.ClusterID() {
+			t.Errorf("after all were cold %s has %s %q", name, o.Current.Epoch, o.Current.Text)
 		}
 	}
 	if err, ended := h.release("v3", "door off", 5); err != nil || !ended {
@@ -335,14 +335,14 @@
 			case 8:
 				if name := pick("at"); h.voters[name] != nil && !h.asleep[name] {
 					text := fmt.Sprint("door-lobby ", i+1)
-					h.voters[name].Propose(&Command{Kind: Release, Author: name, On: h.voters[name].Order().Newest(), Text: text, Digest: Digest(text, "")})
+					h.voters[name].Propose(&Command{Kind: KindRelease, Author: name, ExpectedEpoch: h.voters[name].ReleaseLog().NewestEpoch(), Text: text, Digest: Digest(text, "")})
 					h.collect(name)
 				}
 			}
 			h.run(rapid.SampledFrom([]float64{0.01, 0.1, 1, 5}).Draw(t, "wait"))
 		}
 		h.heal()
-		if err, ended := h.release(h.names[0], "door on", 20); err != nil && err != ErrStale || !ended {
+		if err, ended := h.release(h.names[0], "door on", 20); err != nil && err != ErrStaleEpoch || !ended {
 			t.Fatalf("healed, a release ended %v with %v: %s", ended, err, h.state())
 		}
 	})
--- a/internal/lab/emulate/counts.go
+++ b/internal/lab/emulate/counts.go
@@ -227,7 +227,7 @@
 			got := uint64(sum(k.Total))
 			c.row.Over = max(c.row.Over, got-min(got, high))
 			c.row.Under = max(c.row.Under, low-min(got, low))
-			c.row.Closed = len(v.part.Known().Over)
+			c.row.Closed = len(v.part.Known().ClosedRows)
 			open = open || k.OpenRows > len(c.servers) || k.Recovering
 		}
 		if c.row.SettledIn = c.now - from; !open && c.row.Over == 0 && c.row.Under == 0 {
--- a/internal/lab/emulate/versions.go
+++ b/internal/lab/emulate/versions.go
@@ -112,7 +112,7 @@
 	digests  map[version.Epoch]string
 	released map[version.Epoch]float64
 	took     []float64
-	newest   *version.Order // that any voter ever carried out: what a leader did that died at once was done all the same
+	newest   *version.Log // that any voter ever carried out: what a leader did that died at once was done all the same
 	row      VersionsRow
 	ledger   *ledger // nil where no keys are claimed
 }
@@ -197,7 +197,7 @@
 		plans = s.plans(clock)
 	}
 	s.part = peers.NewPart(peers.Plan{Plans: plans, Budgets: shared, Counts: s.counts, Name: s.name, Listen: s.name, Voters: s.voters, Terms: versionTerms, Silent: member.FallbackOutOfService,
-		Copies: s.copies(), Rollout: version.Rollout{WaveFor: 1, Sure: 1}, Build: "b", Say: func(string, ...any) {}, Now: clock.Now, Unix: clock.Unix,
+		Copies: s.copies(), Rollout: version.RolloutPolicy{WaveSeconds: 1, HaltConfidence: 1}, Build: "b", Say: func(string, ...any) {}, Now: clock.Now, Unix: clock.Unix,
 		Apply: func(string) error {
 			if s.refuses {
 				return errors.New("its limits differ")
@@ -220,7 +220,7 @@
 	s.part.Due(now)
 	view, acts := s.part.Standing()
 	s.state = view.State
-	if o := s.part.Known(); s.number < s.plan.Voters && o.Count > 0 && (s.newest == nil || o.After(s.newest)) {
+	if o := s.part.Known(); s.number < s.plan.Voters && o.AppliedCount > 0 && (s.newest == nil || o.NewerThan(s.newest)) {
 		s.newest = o
 	}
 	if acts.Epoch != s.acts {
@@ -370,7 +370,7 @@
 func (t *talks) release(s *talker) {
 	text := fmt.Sprintf("door-come-back %gs\n", 1+math.Floor(t.now))
 	waves := [][]float64{nil, {0.01, 0.1, 0.5}}[t.chance.IntN(2)]
-	s.part.Order(s.part.Now(), version.Command{Kind: version.Release, Author: s.name, Text: text, Digest: version.Digest(text, ""), Waves: waves},
+	s.part.Order(s.part.Now(), version.Command{Kind: version.KindRelease, Author: s.name, Text: text, Digest: version.Digest(text, ""), Waves: waves},
 		func(d wire.Done) {
 			if d.Refused == "" {
 				t.row.Releases++
@@ -396,9 +396,9 @@
 }
 
 // living is the order of the living voter that knows most: what a lost group did that nobody knows of any more is not in it.
-func (t *talks) living() (o *version.Order) {
+func (t *talks) living() (o *version.Log) {
 	for _, v := range t.servers[:t.plan.Voters] {
-		if v.alive && (o == nil || v.part.Known().After(o)) {
+		if v.alive && (o == nil || v.part.Known().NewerThan(o)) {
 			o = v.part.Known()
 		}
 	}
@@ -414,12 +414,12 @@
 				continue
 			}
 			leased := s.state == member.StateLeased && t.now < s.view.ChangesAt
-			out, is := o.Out[s.name]
-			if leased && is && out.Life == s.part.Life() && living.Out[s.name].Life == out.Life {
+			out, is := o.Ejected[s.name]
+			if leased && is && out.Incarnation == s.part.Life() && living.Ejected[s.name].Incarnation == out.Incarnation {
 				t.row.ActedOut++
 			}
 			quiet := s.state == member.StateExpired || s.state == member.StateLeased && t.now >= s.view.ChangesAt
-			if quiet && s.view.ModeAt(t.now) == stance.ModeOutOfService && o.Holds[s.name] == s.part.Life() {
+			if quiet && s.view.ModeAt(t.now) == stance.ModeOutOfService && o.Members[s.name] == s.part.Life() {
 				away++
 			}
 		}
@@ -446,7 +446,7 @@
 		o := t.living()
 		t.row.Unhealed = 0
 		for _, s := range t.servers {
-			if o == nil || o.Next != nil || s.state != member.StateLeased || s.acts != o.Base.Epoch {
+			if o == nil || o.Next != nil || s.state != member.StateLeased || s.acts != o.Current.Epoch {
 				t.row.Unhealed++
 			}
 		}
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -190,7 +190,7 @@
 		}
 	}
 	next := f.release(t, "n2", "door-come-back 450ms\n")
-	if next.Founding() == e.Founding() {
+	if next.ClusterID() == e.ClusterID() {
 		t.Errorf("founded anew, the epoch is %s after %s", next, e)
 	}
 	f.await(t, "all act on a release of the new founding", func() bool { return f.AllOn(next, f.Names...) })
@@ -199,7 +199,7 @@
 // seated tells whether a voter says that it knows the order.
 func (f *Fleet) seated(name string) bool {
 	s, err := f.State(name)
-	return err == nil && s.Order != nil && s.Order.Count > 0 && len(s.Standings) > 0
+	return err == nil && s.Order != nil && s.Order.AppliedCount > 0 && len(s.Standings) > 0
 }
 
 func TestAServerThatCanNotApplyIsShutOutAndTold(t *testing.T) {
@@ -222,7 +222,7 @@
 	if f.Server("n5").Roster.Takes("n5") {
 		t.Error("n5 is still on the roster's list")
 	}
-	if _, err := f.Command("n4", version.Command{Kind: version.Revert, Author: "test", Why: "n5"}); err != nil {
+	if _, err := f.Command("n4", version.Command{Kind: version.KindRollback, Author: "test", Reason: "n5"}); err != nil {
 		t.Fatal(err)
 	}
 	f.await(t, "n5 is brought up by what it can apply, and serves", func() bool {
@@ -362,7 +362,7 @@
 	callers.Wait()
 	f.await(t, "all act on the version after it", func() bool {
 		s, err := f.State("n1")
-		return err == nil && s.Order.Next == nil && s.Order.Base.Text == "" && f.AllOn(s.Order.Base.Epoch, f.Names...)
+		return err == nil && s.Order.Next == nil && s.Order.Current.Text == "" && f.AllOn(s.Order.Current.Epoch, f.Names...)
 	})
 }
 
@@ -418,7 +418,7 @@
 		f.await(t, strings.Join(step.words, " "), func() bool { return say(step.want, step.words...) })
 	}
 	s, err := f.State("n1")
-	if err != nil || len(s.Order.Past) < 2 || s.Order.Past[len(s.Order.Past)-1].Fate != "rolled back: by a test" || s.Order.Base.Text != "" {
+	if err != nil || len(s.Order.History) < 2 || s.Order.History[len(s.Order.History)-1].Outcome != "rolled back: by a test" || s.Order.Current.Text != "" {
 		t.Errorf("%+v, %v", s, err)
 	}
 	if say("", "release", program) {
@@ -433,7 +433,7 @@
 	for _, line := range []string{"event=fleet", "event=fleet_copies cold=256", "event=fleet_copies cold=0", "event=fleet_acts epoch=1.7"} {
 		f.hear("n1", line)
 	}
-	if !f.Warm("n1") || f.ActsOn("n1") != version.At(1, 7) {
+	if !f.Warm("n1") || f.ActsOn("n1") != version.NewEpoch(1, 7) {
 		t.Errorf("before its end: warm %v, on %s", f.Warm("n1"), f.ActsOn("n1"))
 	}
 	f.lives["n1"] = len(f.said)
--- a/internal/lab/faults/fleet.go
+++ b/internal/lab/faults/fleet.go
@@ -319,7 +319,7 @@
 
 // Release asks a server for a release.
 func (f *Fleet) Release(name, text string, waves ...float64) (version.Epoch, error) {
-	return f.Command(name, version.Command{Kind: version.Release, Author: name, Text: text, Digest: version.Digest(text, ""), Waves: waves})
+	return f.Command(name, version.Command{Kind: version.KindRelease, Author: name, Text: text, Digest: version.Digest(text, ""), Waves: waves})
 }
 
 // Until waits for something to be so, and tells whether it came.
--- a/internal/lab/versions/versions.go
+++ b/internal/lab/versions/versions.go
@@ -260,14 +260,14 @@
 		if s, err = f.State(r.names[0]); err != nil {
 			return false
 		}
-		return s.Order.Next == nil && len(s.Standings) >= len(r.names) && f.AllOn(s.Order.Base.Epoch, r.names...)
+		return s.Order.Next == nil && len(s.Standings) >= len(r.names) && f.AllOn(s.Order.Current.Epoch, r.names...)
 	})
 	if err != nil {
 		return err
 	}
 	if !healed {
 		for _, name := range r.names {
-			if f.ActsOn(name) < s.Order.Newest() {
+			if f.ActsOn(name) < s.Order.NewestEpoch() {
 				r.row.Unhealed++
 			}
 		}
--- a/internal/peers/budgets.go
+++ b/internal/peers/budgets.go
@@ -120,7 +120,7 @@
 	case b == nil:
 	case m.Grants != nil:
 		b.holder.HandleReply(now, m.Grants)
-	case b.granter != nil && f.order.Holds[m.From] == m.Life:
+	case b.granter != nil && f.order.Members[m.From] == m.Life:
 		a := b.granter.HandleRequest(now, m.Wishes, f.confirmed(now))
 		if a == nil {
 			return
--- a/internal/peers/control.go
+++ b/internal/peers/control.go
@@ -24,7 +24,7 @@
 	Leader    string
 	MayLeave  bool                       `json:"MayLeave"` // should it hear nothing, see fleet-silent
 	Lost      uint64                     `json:"Lost"`     // messages without room, or that could not be read
-	Order     *version.Order             `json:"Order"`
+	Order     *version.Log               `json:"Order"`
 	Standings []member.ServerStatus      `json:"Standings"`
 	Report    audit.Report               `json:"Report"`
 	Copies    map[string]*replica.Status `json:"Copies"` // of all servers that keep or claim any and answered
--- a/internal/peers/counts.go
+++ b/internal/peers/counts.go
@@ -56,11 +56,11 @@
 
 // indexClosed keeps the closed rows of the order where they are found at once.
 func (f *Part) indexClosed() {
-	if c := f.counts; c.count != f.order.Count {
-		c.count = f.order.Count
+	if c := f.counts; c.count != f.order.AppliedCount {
+		c.count = f.order.AppliedCount
 		clear(c.over)
-		for _, r := range f.order.Over {
-			c.over[r.Row] = r.Number
+		for _, r := range f.order.ClosedRows {
+			c.over[r.ID] = r.Sequence
 		}
 	}
 }
@@ -81,7 +81,7 @@
 		f.mailCounts(now, c.teller.DueReports(now))
 	}
 	if k := c.keeper; k != nil && k.NextWakeup() <= now {
-		letters, ripe := k.Maintain(now, f.ledger != nil && f.confirmed(now), func(name string, life uint64) bool { return f.order.Holds[name] != life })
+		letters, ripe := k.Maintain(now, f.ledger != nil && f.confirmed(now), func(name string, life uint64) bool { return f.order.Members[name] != life })
 		f.mailCounts(now, letters)
 		f.closeRows(ripe)
 		if k.IncompleteRecoveries() > 0 && !c.said {
@@ -107,9 +107,9 @@
 	if len(ripe) == 0 || f.ledger == nil {
 		return
 	}
-	c := version.Command{Kind: version.Close, Author: "leader"}
+	c := version.Command{Kind: version.KindCloseCounters, Author: "leader"}
 	for _, t := range ripe {
-		c.Rows = append(c.Rows, version.Row{Row: t.RowID, Number: t.Sequence, Cells: t.Cells})
+		c.CounterRows = append(c.CounterRows, version.CounterRow{ID: t.RowID, Sequence: t.Sequence, Cells: t.Cells})
 	}
 	f.propose([]version.Command{c})
 }
@@ -174,7 +174,7 @@
 	s := &CountsState{Name: f.Name, Keepers: f.voters, Life: strconv.FormatUint(f.life, 16), Unplaced: c.teller.Unaccounted}
 	s.Here, s.Agreed = c.teller.CurrentRow()
 	if c.keeper != nil {
-		s.Known = c.keeper.Summary(now, f.order.Sums)
+		s.Known = c.keeper.Summary(now, f.order.ClosedTotals)
 	}
 	return s
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -35,7 +35,7 @@
 	Join    []string          // where some others listen, beside the voters
 	Terms   member.Config
 	Silent  member.Mode
-	Rollout version.Rollout
+	Rollout version.RolloutPolicy
 	Seed    int64
 	Build   string
 	Now     func() float64 // seconds, moves forward; the serving loop reads Standing by the same clock
@@ -90,7 +90,7 @@
 	ledger *member.Grantor
 	book   *audit.Book
 
-	order     *version.Order // a copy, also at those who don't vote
+	order     *version.Log // a copy, also at those who don't vote
 	orderAt   float64
 	stamp     *stance.VersionStats
 	counted   [2]uint64 // of the stamp, that the book has
@@ -146,7 +146,7 @@
 	wait     map[string]bool // lives that have not answered, by node
 	accounts []audit.Account
 	alive    map[uint64]bool
-	order    *version.Order
+	order    *version.Log
 	standing []member.ServerStatus
 	copies   map[string]*replica.Status
 	tell     func(*gather)
@@ -173,7 +173,7 @@
 	if p.Say == nil {
 		p.Say = slog.Info
 	}
-	f := &Part{Plan: p, life: life, net: net, chance: chance, order: (&version.Order{}).Clone(), stamp: &stance.VersionStats{},
+	f := &Part{Plan: p, life: life, net: net, chance: chance, order: (&version.Log{}).Clone(), stamp: &stance.VersionStats{},
 		pending: map[uint64]*pending{}, gathers: map[uint64]*gather{}}
 	for name := range p.Voters {
 		f.voters = append(f.voters, name)
@@ -280,7 +280,7 @@
 func (f *Part) Next() float64 {
 	next := min(f.self.NextWakeup(), f.published.ChangesAt, f.briefAt+f.briefPause())
 	if f.voter != nil {
-		next = min(next, f.voter.Next())
+		next = min(next, f.voter.NextWakeup())
 	}
 	next = min(next, f.nextCopies(f.Now()), f.nextCallers(f.Now()), f.nextBudgets(), f.nextHealth(), f.nextCounts(), f.nextPlans())
 	if len(f.pending) > 0 || len(f.gathers) > 0 || f.self.AssignedEpoch() > f.acts.Epoch {
@@ -294,7 +294,7 @@
 	switch {
 	case m.Voting != nil:
 		if f.voter != nil {
-			f.voter.Read(now, m.Voting)
+			f.voter.HandleMessage(now, m.Voting)
 		}
 	case m.Question != nil:
 		f.answer(now, m.Question)
@@ -304,7 +304,7 @@
 			f.Say("fleet_standing", "state", state, "why", why, "right", f.self.AssignedEpoch())
 		}
 	case m.Want != 0:
-		if v := f.order.Version(m.Want); v != nil {
+		if v := f.order.FindVersion(m.Want); v != nil {
 			f.reply(m, &wire.Message{Version: v})
 		}
 	case m.Version != nil:
@@ -384,14 +384,14 @@
 
 // confirmed tells whether this process leads, as a majority confirmed lately.
 func (f *Part) confirmed(now float64) bool {
-	return f.voter != nil && f.voter.Leads(now-member.LeaderConfirmationWindow)
+	return f.voter != nil && f.voter.IsLeader(now-member.LeaderConfirmationWindow)
 }
 
 // answer answers a server that asks how it stands.
 func (f *Part) answer(now float64, q *member.Request) {
 	a := member.Reply{Incarnation: q.Incarnation, Number: q.Number, Verdict: member.VerdictRetry}
 	if f.voter != nil {
-		f.voter.Beyond(q.ActiveEpoch.Founding())
+		f.voter.ObserveClusterID(q.ActiveEpoch.ClusterID())
 		a.Leader = f.voter.Leader()
 	}
 	if f.confirmed(now) && f.ledger != nil {
@@ -411,8 +411,8 @@
 
 func (f *Part) propose(commands []version.Command) {
 	for i := range commands {
-		commands[i].At = f.Unix()
-		f.voter.ProposeOwn(&commands[i])
+		commands[i].IssuedAt = f.Unix()
+		f.voter.ProposeAsLeader(&commands[i])
 	}
 }
 
@@ -440,9 +440,9 @@
 			f.send(addr, &wire.Message{Brief: &brief})
 		}
 	}
-	if now >= f.forgetAt+forgetEvery && len(f.order.Holds) > 0 {
+	if now >= f.forgetAt+forgetEvery && len(f.order.Members) > 0 {
 		f.forgetAt = now
-		f.book.Forget(func(name string) bool { _, held := f.order.Holds[name]; return held || f.net.Knows(name) })
+		f.book.Forget(func(name string) bool { _, held := f.order.Members[name]; return held || f.net.Knows(name) })
 	}
 	f.again(now)
 	f.dueCopies(now)
@@ -457,8 +457,8 @@
 
 // lead does what a leader does.
 func (f *Part) lead(now float64) {
-	f.order = f.voter.Order()
-	if newest := f.order.Newest(); newest > max(f.rumoured, f.self.AssignedEpoch()) {
+	f.order = f.voter.ReleaseLog()
+	if newest := f.order.NewestEpoch(); newest > max(f.rumoured, f.self.AssignedEpoch()) {
 		f.rumoured = newest
 		f.self.RequestBy(now)
 	}
@@ -466,24 +466,24 @@
 	switch {
 	case leads && f.ledger == nil:
 		f.ledger = member.NewGrantor(f.Terms, f.Voters, now)
-		f.Say("fleet_leads", "newest", f.order.Newest())
+		f.Say("fleet_leads", "newest", f.order.NewestEpoch())
 	case !leads && f.ledger != nil && f.voter.Leader() != f.Name:
 		f.ledger = nil
 		f.Say("fleet_follows", "leader", f.voter.Leader())
 	}
 	f.leadBudgets(now)
 	f.leadPlans(now)
-	for _, e := range f.voter.Outcomes() {
+	for _, e := range f.voter.TakeResults() {
 		if f.ledger != nil {
 			f.ledger.HandleCommandResult(e.Command)
 		}
-		if e.Command.Kind != version.Hold || e.Err != nil && e.Err != version.ErrTaken {
-			f.Say("fleet_order", "command", e.Command.Kind, "by", e.Command.Author, "name", e.Command.Name, "why", e.Command.Why,
-				"newest", f.order.Newest(), "refused", fmt.Sprint(e.Err))
+		if e.Command.Kind != version.KindRegister || e.Err != nil && e.Err != version.ErrNameTaken {
+			f.Say("fleet_order", "command", e.Command.Kind, "by", e.Command.Author, "name", e.Command.Name, "why", e.Command.Reason,
+				"newest", f.order.NewestEpoch(), "refused", fmt.Sprint(e.Err))
 		}
 		if p := f.pending[e.Command.ID]; p != nil && e.Command.ID != 0 {
 			delete(f.pending, e.Command.ID)
-			p.tell(ending(e, f.order.Newest()))
+			p.tell(ending(e, f.order.NewestEpoch()))
 		}
 	}
 	if leads && f.ledger != nil {
@@ -491,7 +491,7 @@
 	}
 }
 
-func ending(e version.Outcome, newest version.Epoch) wire.Done {
+func ending(e version.CommandResult, newest version.Epoch) wire.Done {
 	d := wire.Done{ID: e.Command.ID, Newest: newest}
 	if e.Err != nil {
 		d.Refused = e.Err.Error()
@@ -528,7 +528,7 @@
 	if right <= f.acts.Epoch {
 		return
 	}
-	if v := f.order.Version(right); v != nil {
+	if v := f.order.FindVersion(right); v != nil {
 		f.catchUp(now, v, "released")
 		return
 	}
@@ -547,7 +547,7 @@
 
 // catchUp acts on a version, where it is whole and the right one.
 func (f *Part) catchUp(now float64, v *version.Version, why string) {
-	if v.Epoch != f.self.AssignedEpoch() || v.Epoch <= f.acts.Epoch || !v.Whole() || f.stuck != "" && now < f.wantAt+1 {
+	if v.Epoch != f.self.AssignedEpoch() || v.Epoch <= f.acts.Epoch || !v.DigestMatches() || f.stuck != "" && now < f.wantAt+1 {
 		return
 	}
 	f.wantAt = now
@@ -580,13 +580,13 @@
 	batches, tasks := f.stamp.Batches.Load(), f.stamp.Requests.Load()
 	f.book.Count(f.Unix(), batches-f.counted[0], tasks-f.counted[1])
 	f.counted = [2]uint64{batches, tasks}
-	f.self.SetErrorTally(version.Toll{Ended: float64(f.stamp.Completed.Load()), Harmed: float64(min(f.stamp.Failed.Load(), f.stamp.Completed.Load()))})
+	f.self.SetErrorTally(version.ErrorTally{Completed: float64(f.stamp.Completed.Load()), Failed: float64(min(f.stamp.Failed.Load(), f.stamp.Completed.Load()))})
 }
 
 // follow keeps a copy of the order, from which others' words are judged and a lost group of voters starts again: a voter that is cold asks some of
 // the others for theirs. What is asked says what is known, so that only news costs more than a few bytes.
 func (f *Part) follow(now float64) {
-	cold := f.voter != nil && !f.voter.Seated()
+	cold := f.voter != nil && !f.voter.Joined()
 	if f.voter != nil && !cold || len(f.voters) == 0 {
 		return
 	}
@@ -598,8 +598,8 @@
 		return
 	}
 	f.orderAt = now
-	ask := &wire.Message{Ask: &wire.Ask{Names: []string{""}, Founding: f.order.Base.Epoch.Founding(), Count: f.order.Count}}
-	if !cold && (f.self.AssignedEpoch() != f.order.Newest() || f.chance.IntN(8) == 0) { // a copy from the voters themselves now and then
+	ask := &wire.Message{Ask: &wire.Ask{Names: []string{""}, Founding: f.order.Current.Epoch.ClusterID(), Count: f.order.AppliedCount}}
+	if !cold && (f.self.AssignedEpoch() != f.order.NewestEpoch() || f.chance.IntN(8) == 0) { // a copy from the voters themselves now and then
 		f.send(f.Voters[f.voters[f.chance.IntN(len(f.voters))]], ask)
 		return
 	}
@@ -623,7 +623,7 @@
 	if f.voter == nil {
 		return
 	}
-	for _, l := range f.voter.Letters() {
+	for _, l := range f.voter.TakeOutbox() {
 		f.send(f.Voters[l.To], &wire.Message{Voting: &l.Message})
 	}
 }
@@ -648,10 +648,10 @@
 		switch {
 		case now > p.until:
 			delete(f.pending, id)
-			p.tell(wire.Done{ID: id, Refused: "no majority of the voters answered in time; it may still be carried out", Newest: f.order.Newest()})
+			p.tell(wire.Done{ID: id, Refused: "no majority of the voters answered in time; it may still be carried out", Newest: f.order.NewestEpoch()})
 		case now >= p.again:
 			p.again = now + 0.5
-			if f.voter != nil && f.voter.Seated() {
+			if f.voter != nil && f.voter.Joined() {
 				f.voter.Propose(p.command)
 			} else if len(f.voters) > 0 {
 				name := cmp.Or(f.self.Leader(), f.voters[f.chance.IntN(len(f.voters))])
@@ -678,14 +678,14 @@
 			t.Accounts = t.Accounts[len(t.Accounts)-maxTold:]
 		}
 	}
-	known := &version.Order{Base: version.Version{Epoch: version.At(m.Ask.Founding, 0)}, Count: m.Ask.Count}
-	if f.order.After(known) && (f.voter != nil || m.Ask.Number == 0) {
+	known := &version.Log{Current: version.Version{Epoch: version.NewEpoch(m.Ask.Founding, 0)}, AppliedCount: m.Ask.Count}
+	if f.order.NewerThan(known) && (f.voter != nil || m.Ask.Number == 0) {
 		t.Order = f.order
 	}
 	if m.Ask.Number == 0 && t.Order == nil {
 		return // nothing new
 	}
-	if f.voter != nil && f.voter.Seated() {
+	if f.voter != nil && f.voter.Joined() {
 		if m.Ask.Number != 0 && f.ledger != nil && f.confirmed(now) {
 			t.Standings = f.ledger.ServerStatuses(now, f.order)
 		}
@@ -699,11 +699,11 @@
 func (f *Part) gathered(m *wire.Message) {
 	t := m.Told
 	switch {
-	case t.Order == nil || !t.Order.After(f.order):
+	case t.Order == nil || !t.Order.NewerThan(f.order):
 	case f.voter == nil:
 		f.order = t.Order
 	default:
-		f.voter.Learn(t.Order)
+		f.voter.ObserveReleaseLog(t.Order)
 	}
 	g := f.gathers[t.Number]
 	if g == nil {
@@ -719,7 +719,7 @@
 		}
 		g.accounts = append(g.accounts, a)
 	}
-	if t.Order != nil && (g.order == nil || t.Order.After(g.order)) {
+	if t.Order != nil && (g.order == nil || t.Order.NewerThan(g.order)) {
 		g.order = t.Order
 	}
 	if t.Standings != nil {
@@ -756,7 +756,7 @@
 	}
 	f.count()
 	g.accounts = append(f.book.Heard(nil), f.book.Own())
-	if f.voter != nil && f.voter.Seated() {
+	if f.voter != nil && f.voter.Joined() {
 		g.order = f.order
 		if f.ledger != nil && f.confirmed(now) {
 			g.standing = f.ledger.ServerStatuses(now, f.order)
@@ -764,7 +764,7 @@
 	}
 	f.gathers[f.numbers] = g
 	var gone []string
-	for name := range f.order.Holds {
+	for name := range f.order.Members {
 		if name != f.Name && !f.net.Knows(name) && len(gone) < maxTold {
 			gone = append(gone, name)
 		}
@@ -814,15 +814,15 @@
 		tell(wire.Done{Refused: "too many commands are under way"})
 		return
 	}
-	c.ID, c.At = f.chance.Uint64()|1, f.Unix()
-	if c.On == 0 {
-		c.On = f.order.Newest()
+	c.ID, c.IssuedAt = f.chance.Uint64()|1, f.Unix()
+	if c.ExpectedEpoch == 0 {
+		c.ExpectedEpoch = f.order.NewestEpoch()
 	}
 	f.pending[c.ID] = &pending{command: &c, until: now + maxWait, tell: tell}
 }
 
 // Known is the order as this process knows it; it is not to be changed.
-func (f *Part) Known() *version.Order { return f.order }
+func (f *Part) Known() *version.Log { return f.order }
 
 // Standing is how this process stands, and on which version it acts.
 func (f *Part) Standing() (member.Snapshot, version.Version) { return f.published, f.acts }
--- a/internal/wire/fleet/counts.go
+++ b/internal/wire/fleet/counts.go
@@ -52,14 +52,14 @@
 }
 
 // putClosed are rows as the order and its commands have them.
-func putClosed(list []version.Row) (to []*Row) {
+func putClosed(list []version.CounterRow) (to []*Row) {
 	for _, r := range list {
-		to = append(to, &Row{Row: r.Row, Number: r.Number, Cells: putCounts(r.Cells)})
+		to = append(to, &Row{Row: r.ID, Number: r.Sequence, Cells: putCounts(r.Cells)})
 	}
 	return to
 }
 
-func closed(p []*Row) (list []version.Row, err error) {
+func closed(p []*Row) (list []version.CounterRow, err error) {
 	if len(p) > maxLongList {
 		return nil, errSize
 	}
@@ -68,7 +68,7 @@
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, version.Row{Row: t.RowID, Number: t.Sequence, Cells: t.Cells})
+		list = append(list, version.CounterRow{ID: t.RowID, Sequence: t.Sequence, Cells: t.Cells})
 	}
 	return list, nil
 }
--- a/internal/wire/fleet/fleet.go
+++ b/internal/wire/fleet/fleet.go
@@ -83,7 +83,7 @@
 type Told struct {
 	Number    uint64
 	Accounts  []audit.Account
-	Order     *version.Order
+	Order     *version.Log
 	Standings []member.ServerStatus
 	Copies    *replica.Status // nil where it keeps and claims nothing
 }
@@ -107,7 +107,7 @@
 	case m.Question != nil:
 		q := m.Question
 		p.Body = &Packet_Question{&Question{Name: q.Name, Life: q.Incarnation, Number: q.Number, Addr: q.Addr, Epoch: uint64(q.ActiveEpoch), Stuck: clip(q.BlockedBy),
-			Ended: q.ErrorTally.Ended, Harmed: q.ErrorTally.Harmed, Build: q.Build, MayLeave: q.MayGoOutOfService, Proof: q.Nonce}}
+			Ended: q.ErrorTally.Completed, Harmed: q.ErrorTally.Failed, Build: q.Build, MayLeave: q.MayGoOutOfService, Proof: q.Nonce}}
 	case m.Answer != nil:
 		a := m.Answer
 		p.Body = &Packet_Answer{&Answer{Life: a.Incarnation, Number: a.Number, Verdict: uint32(a.Verdict), For: a.Duration, Right: uint64(a.AssignedEpoch),
@@ -169,7 +169,7 @@
 	case *Packet_Question:
 		q := body.Question
 		m.Question = &member.Request{Name: q.Name, Incarnation: q.Life, Number: q.Number, Addr: q.Addr, ActiveEpoch: version.Epoch(q.Epoch), BlockedBy: q.Stuck,
-			ErrorTally: version.Toll{Ended: q.Ended, Harmed: q.Harmed}, Build: q.Build, MayGoOutOfService: q.MayLeave, Nonce: q.Proof}
+			ErrorTally: version.ErrorTally{Completed: q.Ended, Failed: q.Harmed}, Build: q.Build, MayGoOutOfService: q.MayLeave, Nonce: q.Proof}
 		err = errors.Join(short(q.Name, q.Addr, q.Stuck, q.Build), count(q.Ended), count(q.Harmed), notOver(q.Harmed, q.Ended))
 	case *Packet_Answer:
 		a := body.Answer
@@ -290,12 +290,12 @@
 }
 
 func putVoting(m *version.Message) (*Voting, error) {
-	v := &Voting{From: m.From, To: m.To, Founding: m.Founding, Ask: m.Ask, Tell: putOrder(m.Tell)}
-	if b := m.Beacon; b != nil {
-		v.Beacon = &Beacon{Name: b.Name, Life: b.Life, Founding: b.Founding, Known: b.Known, Count: b.Count, Heard: b.Heard, Seats: b.Seats}
+	v := &Voting{From: m.From, To: m.To, Founding: m.ClusterID, Ask: m.RequestReleaseLog, Tell: putOrder(m.ReleaseLog)}
+	if b := m.Heartbeat; b != nil {
+		v.Beacon = &Beacon{Name: b.Name, Life: b.Incarnation, Founding: b.ClusterID, Known: b.NewestClusterID, Count: b.AppliedCount, Heard: b.DetachedVoters, Seats: b.Voters}
 	}
-	if f := m.Found; f != nil {
-		v.Found = &Foundation{Founding: f.Founding, Seats: f.Seats, Order: putOrder(f.Order)}
+	if f := m.Bootstrap; f != nil {
+		v.Found = &Foundation{Founding: f.ClusterID, Seats: f.Voters, Order: putOrder(f.ReleaseLog)}
 	}
 	if m.Raft != nil {
 		var err error
@@ -307,25 +307,25 @@
 }
 
 func voting(v *Voting) (*version.Message, error) {
-	m := &version.Message{From: v.From, To: v.To, Founding: v.Founding, Ask: v.Ask}
+	m := &version.Message{From: v.From, To: v.To, ClusterID: v.Founding, RequestReleaseLog: v.Ask}
 	var err error
 	if b := v.Beacon; b != nil {
 		if len(b.Heard) > maxShortList || len(b.Seats) > maxShortList || len(b.Name) > maxWord {
 			return nil, errSize
 		}
-		m.Beacon = &version.Beacon{Name: b.Name, Life: b.Life, Founding: b.Founding, Known: b.Known, Count: b.Count, Heard: b.Heard, Seats: b.Seats}
+		m.Heartbeat = &version.Heartbeat{Name: b.Name, Incarnation: b.Life, ClusterID: b.Founding, NewestClusterID: b.Known, AppliedCount: b.Count, DetachedVoters: b.Heard, Voters: b.Seats}
 	}
 	if f := v.Found; f != nil {
 		if len(f.Seats) > maxShortList || f.Order == nil || f.Founding == 0 {
 			return nil, errSize
 		}
-		m.Found = &version.Foundation{Founding: f.Founding, Seats: f.Seats}
-		if m.Found.Order, err = order(f.Order); err != nil {
+		m.Bootstrap = &version.Bootstrap{ClusterID: f.Founding, Voters: f.Seats}
+		if m.Bootstrap.ReleaseLog, err = order(f.Order); err != nil {
 			return nil, err
 		}
 	}
 	if v.Tell != nil {
-		if m.Tell, err = order(v.Tell); err != nil {
+		if m.ReleaseLog, err = order(v.Tell); err != nil {
 			return nil, err
 		}
 	}
@@ -338,7 +338,7 @@
 			return nil, errValue
 		}
 	}
-	if m.Beacon == nil && m.Found == nil && m.Tell == nil && m.Raft == nil && !m.Ask {
+	if m.Heartbeat == nil && m.Bootstrap == nil && m.ReleaseLog == nil && m.Raft == nil && !m.RequestReleaseLog {
 		return nil, errEmpty
 	}
 	return m, nil
@@ -348,48 +348,48 @@
 	if v == nil {
 		return nil
 	}
-	return &Version{Epoch: uint64(v.Epoch), Digest: v.Digest, Author: v.Author, At: v.At, Text: v.Text, Build: v.Build}
+	return &Version{Epoch: uint64(v.Epoch), Digest: v.Digest, Author: v.Author, At: v.ReleasedAt, Text: v.Text, Build: v.Build}
 }
 
 func readVersion(p *Version) (*version.Version, error) {
-	v := &version.Version{Epoch: version.Epoch(p.Epoch), Digest: p.Digest, Author: p.Author, At: p.At, Text: p.Text, Build: p.Build}
+	v := &version.Version{Epoch: version.Epoch(p.Epoch), Digest: p.Digest, Author: p.Author, ReleasedAt: p.At, Text: p.Text, Build: p.Build}
 	if len(p.Text) > maxText {
 		return nil, errSize
 	}
 	return v, errors.Join(short(p.Digest, p.Author, p.Build), finite(p.At))
 }
 
-func putOrder(o *version.Order) *Order {
+func putOrder(o *version.Log) *Order {
 	if o == nil {
 		return nil
 	}
-	p := &Order{Count: o.Count, Base: putVersion(&o.Base), Prior: putVersion(o.Prior), Next: putVersion(o.Next), Waves: o.Waves, Wave: uint32(o.Wave),
-		Upto: o.Upto, Holds: o.Holds, Done: o.Done, Seats: o.Seats, Out: map[string]*Outed{}}
-	for _, m := range o.Past {
-		p.Past = append(p.Past, &Mark{Epoch: uint64(m.Epoch), Digest: m.Digest, Author: m.Author, At: m.At, Fate: clip(m.Fate)})
+	p := &Order{Count: o.AppliedCount, Base: putVersion(&o.Current), Prior: putVersion(o.Previous), Next: putVersion(o.Next), Waves: o.Waves, Wave: uint32(o.WaveIndex),
+		Upto: o.WaveLimit, Holds: o.Members, Done: o.LastCommandIDs, Seats: o.Voters, Out: map[string]*Outed{}}
+	for _, m := range o.History {
+		p.Past = append(p.Past, &Mark{Epoch: uint64(m.Epoch), Digest: m.Digest, Author: m.Author, At: m.ReleasedAt, Fate: clip(m.Outcome)})
 	}
-	p.Over, p.Sums = putClosed(o.Over), putCounts(o.Sums)
-	for name, out := range o.Out {
-		p.Out[name] = &Outed{Life: out.Life, By: out.By, Why: out.Why, On: uint64(out.On), At: out.At}
+	p.Over, p.Sums = putClosed(o.ClosedRows), putCounts(o.ClosedTotals)
+	for name, out := range o.Ejected {
+		p.Out[name] = &Outed{Life: out.Incarnation, By: out.Author, Why: out.Reason, On: uint64(out.Epoch), At: out.EjectedAt}
 	}
 	return p
 }
 
-func order(p *Order) (*version.Order, error) {
+func order(p *Order) (*version.Log, error) {
 	if len(p.Waves) > maxShortList || len(p.Past) > maxShortList || len(p.Holds) > maxLongList || len(p.Out) > maxLongList || len(p.Done) > maxShortList ||
 		len(p.Seats) > maxShortList || p.Base == nil || p.Wave > maxShortList {
 		return nil, errSize
 	}
-	o := (&version.Order{Count: p.Count, Waves: p.Waves, Wave: int(p.Wave), Upto: p.Upto, Holds: p.Holds, Done: p.Done, Seats: p.Seats}).Clone()
+	o := (&version.Log{AppliedCount: p.Count, Waves: p.Waves, WaveIndex: int(p.Wave), WaveLimit: p.Upto, Members: p.Holds, LastCommandIDs: p.Done, Voters: p.Seats}).Clone()
 	base, err := readVersion(p.Base)
 	if err != nil {
 		return nil, err
 	}
-	o.Base = *base
+	o.Current = *base
 	for _, part := range []struct {
 		from *Version
 		to   **version.Version
-	}{{p.Prior, &o.Prior}, {p.Next, &o.Next}} {
+	}{{p.Prior, &o.Previous}, {p.Next, &o.Next}} {
 		if part.from != nil {
 			if *part.to, err = readVersion(part.from); err != nil {
 				return nil, err
@@ -400,21 +400,21 @@
 		if err := errors.Join(short(m.Digest, m.Author, m.Fate), finite(m.At)); err != nil {
 			return nil, err
 		}
-		o.Past = append(o.Past, version.Mark{Epoch: version.Epoch(m.Epoch), Digest: m.Digest, Author: m.Author, At: m.At, Fate: m.Fate})
+		o.History = append(o.History, version.Entry{Epoch: version.Epoch(m.Epoch), Digest: m.Digest, Author: m.Author, ReleasedAt: m.At, Outcome: m.Fate})
 	}
-	if o.Over, err = closed(p.Over); err != nil {
+	if o.ClosedRows, err = closed(p.Over); err != nil {
 		return nil, err
 	}
-	if o.Sums, err = readCounts(p.Sums); err != nil {
+	if o.ClosedTotals, err = readCounts(p.Sums); err != nil {
 		return nil, err
 	}
 	for name, out := range p.Out {
 		if err := errors.Join(short(name, out.GetBy(), out.GetWhy()), finite(out.GetAt())); err != nil {
 			return nil, err
 		}
-		o.Out[name] = version.Outed{Life: out.GetLife(), By: out.GetBy(), Why: out.GetWhy(), On: version.Epoch(out.GetOn()), At: out.GetAt()}
+		o.Ejected[name] = version.Ejection{Incarnation: out.GetLife(), Author: out.GetBy(), Reason: out.GetWhy(), Epoch: version.Epoch(out.GetOn()), EjectedAt: out.GetAt()}
 	}
-	for name := range o.Holds {
+	for name := range o.Members {
 		if len(name) > maxWord {
 			return nil, errSize
 		}
@@ -423,34 +423,37 @@
 }
 
 func putCommand(c *version.Command) *Command {
-	return &Command{Kind: uint32(c.Kind), Id: c.ID, Author: c.Author, At: c.At, On: uint64(c.On), Text: c.Text, Build: c.Build, Digest: c.Digest,
-		Waves: c.Waves, Name: c.Name, Life: c.Life, Was: c.Was, Why: clip(c.Why), Rows: putClosed(c.Rows)}
+	return &Command{Kind: uint32(c.Kind), Id: c.ID, Author: c.Author, At: c.IssuedAt, On: uint64(c.ExpectedEpoch), Text: c.Text, Build: c.Build, Digest: c.Digest,
+		Waves: c.Waves, Name: c.Name, Life: c.Incarnation, Was: c.Previous, Why: clip(c.Reason), Rows: putClosed(c.CounterRows)}
 }
 
 func command(p *Command) (*version.Command, error) {
 	if p == nil {
 		return nil, errEmpty
 	}
-	c := &version.Command{Kind: version.Kind(min(p.Kind, 255)), ID: p.Id, Author: p.Author, At: p.At, On: version.Epoch(p.On), Text: p.Text,
-		Build: p.Build, Digest: p.Digest, Waves: p.Waves, Name: p.Name, Life: p.Life, Was: p.Was, Why: p.Why}
+	c := &version.Command{Kind: version.Kind(min(p.Kind, 255)), ID: p.Id, Author: p.Author, IssuedAt: p.At, ExpectedEpoch: version.Epoch(p.On), Text: p.Text,
+		Build: p.Build, Digest: p.Digest, Waves: p.Waves, Name: p.Name, Incarnation: p.Life, Previous: p.Was, Reason: p.Why}
 	if len(p.Text) > maxText || len(p.Waves) > maxShortList {
 		return nil, errSize
 	}
 	var err error
-	if c.Rows, err = closed(p.Rows); err != nil {
+	if c.CounterRows, err = closed(p.Rows); err != nil {
 		return nil, err
 	}
-	return c, errors.Join(short(c.Author, c.Build, c.Digest, c.Name, c.Why), finite(c.At))
+	return c, errors.Join(short(c.Author, c.Build, c.Digest, c.Name, c.Reason), finite(c.IssuedAt))
 }
 
 // Codec writes commands and orders for the voters' log.
 type Codec struct{}
 
-// PutCommand writes a command.
-func (Codec) PutCommand(c *version.Command) []byte { b, _ := proto.Marshal(putCommand(c)); return b } // no error: all strings are checked
+// MarshalCommand writes a command.
+func (Codec) MarshalCommand(c *version.Command) []byte {
+	b, _ := proto.Marshal(putCommand(c))
+	return b
+} // no error: all strings are checked
 
-// Command reads one.
-func (Codec) Command(b []byte) (*version.Command, error) {
+// UnmarshalCommand reads one.
+func (Codec) UnmarshalCommand(b []byte) (*version.Command, error) {
 	p := &Command{}
 	if err := proto.Unmarshal(b, p); err != nil {
 		return nil, err
@@ -458,11 +461,11 @@
 	return command(p)
 }
 
-// PutOrder writes an order.
-func (Codec) PutOrder(o *version.Order) []byte { b, _ := proto.Marshal(putOrder(o)); return b }
+// MarshalLog writes an order.
+func (Codec) MarshalLog(o *version.Log) []byte { b, _ := proto.Marshal(putOrder(o)); return b }
 
-// Order reads one.
-func (Codec) Order(b []byte) (*version.Order, error) {
+// UnmarshalLog reads one.
+func (Codec) UnmarshalLog(b []byte) (*version.Log, error) {
 	p := &Order{}
 	if err := proto.Unmarshal(b, p); err != nil {
 		return nil, err
--- a/internal/wire/fleet/fleet_test.go
+++ b/internal/wire/fleet/fleet_test.go
@@ -23,13 +23,13 @@
 	state "swiftcourse/internal/replica"
 )
 
-func fullOrder() *version.Order {
-	o := version.Found(&version.Order{}, 7, map[uint64]string{1: "v1", 2: "v2"})
+func fullOrder() *version.Log {
+	o := version.BootstrapLog(&version.Log{}, 7, map[uint64]string{1: "v1", 2: "v2"})
 	for _, c := range []version.Command{
-		{Kind: version.Close, Rows: []version.Row{{Row: 4, Number: 2, Cells: countsOf(3)}, {Row: 8}}},
-		{Kind: version.Hold, Name: "n1", Life: 5}, {Kind: version.Shut, Name: "n1", Life: 5, Why: "late", At: 3},
-		{Kind: version.Release, On: o.Newest(), Text: "a", Digest: version.Digest("a", ""), ID: 9, Author: "x"},
-		{Kind: version.Release, On: o.Newest() + 1, Text: "b", Digest: version.Digest("b", ""), Waves: []float64{0.5, 0.9}},
+		{Kind: version.KindCloseCounters, CounterRows: []version.CounterRow{{ID: 4, Sequence: 2, Cells: countsOf(3)}, {ID: 8}}},
+		{Kind: version.KindRegister, Name: "n1", Incarnation: 5}, {Kind: version.KindEject, Name: "n1", Incarnation: 5, Reason: "late", IssuedAt: 3},
+		{Kind: version.KindRelease, ExpectedEpoch: o.NewestEpoch(), Text: "a", Digest: version.Digest("a", ""), ID: 9, Author: "x"},
+		{Kind: version.KindRelease, ExpectedEpoch: o.NewestEpoch() + 1, Text: "b", Digest: version.Digest("b", ""), Waves: []float64{0.5, 0.9}},
 	} {
 		if err := o.Apply(&c); err != nil {
 			panic(err)
@@ -50,16 +50,16 @@
 		Batches: 4, Tasks: 5, Why: "released"}}}
 	beat := &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: new(uint64(5)), To: new(uint64(6)), Term: new(uint64(2))}
 	return []*Message{
-		{Voting: &version.Message{From: 5, Beacon: &version.Beacon{Name: "v1", Life: 5, Founding: 7, Known: 7, Count: 3,
-			Heard: map[string]uint64{"v1": 5}, Seats: map[string]uint64{"v2": 2}}}},
-		{Voting: &version.Message{From: 5, To: 6, Found: &version.Foundation{Founding: 7, Seats: map[uint64]string{5: "v1"}, Order: o}}},
-		{Voting: &version.Message{From: 5, To: 6, Ask: true}},
-		{Voting: &version.Message{From: 5, To: 6, Tell: o}},
-		{Voting: &version.Message{From: 5, To: 6, Founding: 7, Raft: beat}},
-		{Question: &member.Request{Name: "n1", Incarnation: 5, Number: 8, Addr: "127.0.0.1:1", ActiveEpoch: 3, BlockedBy: "s", ErrorTally: version.Toll{Ended: 3, Harmed: 1},
+		{Voting: &version.Message{From: 5, Heartbeat: &version.Heartbeat{Name: "v1", Incarnation: 5, ClusterID: 7, NewestClusterID: 7, AppliedCount: 3,
+			DetachedVoters: map[string]uint64{"v1": 5}, Voters: map[string]uint64{"v2": 2}}}},
+		{Voting: &version.Message{From: 5, To: 6, Bootstrap: &version.Bootstrap{ClusterID: 7, Voters: map[uint64]string{5: "v1"}, ReleaseLog: o}}},
+		{Voting: &version.Message{From: 5, To: 6, RequestReleaseLog: true}},
+		{Voting: &version.Message{From: 5, To: 6, ReleaseLog: o}},
+		{Voting: &version.Message{From: 5, To: 6, ClusterID: 7, Raft: beat}},
+		{Question: &member.Request{Name: "n1", Incarnation: 5, Number: 8, Addr: "127.0.0.1:1", ActiveEpoch: 3, BlockedBy: "s", ErrorTally: version.ErrorTally{Completed: 3, Failed: 1},
 			Build: "b", MayGoOutOfService: true}},
 		{Answer: &member.Reply{Incarnation: 5, Number: 8, Verdict: member.VerdictLagging, Duration: 6, AssignedEpoch: 4, MayGoOutOfService: true, Leader: "v1", Reason: "w"}},
-		{Want: 4}, {Version: &o.Base}, {Do: &version.Command{Kind: version.Widen, ID: 3, Author: "a", On: 4, Waves: []float64{0.5}}},
+		{Want: 4}, {Version: &o.Current}, {Do: &version.Command{Kind: version.KindAdvanceRollout, ID: 3, Author: "a", ExpectedEpoch: 4, Waves: []float64{0.5}}},
 		{Done: &Done{ID: 3, Refused: "no", Newest: 5}}, {Brief: &account}, {Ask: &Ask{Number: 4, Names: []string{"n1"}, Founding: 7, Count: 9}},
 		{Told: &Told{Number: 4, Accounts: []audit.Account{account}, Order: o, Standings: []member.ServerStatus{{Name: "n1", Incarnation: 5, ActiveEpoch: 3, AssignedEpoch: 4,
 			SecondsSinceHeard: 1, SecondsBehind: 2, BlockedBy: "s", EjectionReason: "o", Build: "b", Reported: true}},
@@ -117,16 +117,16 @@
 	for i, m := range []*Message{
 		{From: long, Want: 3},
 		{Question: &member.Request{Name: long}},
-		{Question: &member.Request{ErrorTally: version.Toll{Ended: math.NaN()}}},
-		{Question: &member.Request{ErrorTally: version.Toll{Ended: 1, Harmed: 2}}},
-		{Question: &member.Request{ErrorTally: version.Toll{Ended: -1, Harmed: -1}}},
+		{Question: &member.Request{ErrorTally: version.ErrorTally{Completed: math.NaN()}}},
+		{Question: &member.Request{ErrorTally: version.ErrorTally{Completed: 1, Failed: 2}}},
+		{Question: &member.Request{ErrorTally: version.ErrorTally{Completed: -1, Failed: -1}}},
 		{Answer: &member.Reply{Duration: math.Inf(1)}},
 		{Version: &version.Version{Text: strings.Repeat("t", maxText+1)}},
-		{Do: &version.Command{At: math.Inf(-1)}},
+		{Do: &version.Command{IssuedAt: math.Inf(-1)}},
 		{Do: &version.Command{Waves: make([]float64, maxShortList+1)}},
 		{Brief: &audit.Account{Intervals: make([]audit.Interval, maxShortList+1)}},
 		{Ask: &Ask{Names: make([]string, maxLongList+1)}},
-		{Voting: &version.Message{Beacon: &version.Beacon{Name: "v", Heard: many}}},
+		{Voting: &version.Message{Heartbeat: &version.Heartbeat{Name: "v", DetachedVoters: many}}},
 		{Wishes: &budget.Request{Demands: make([]budget.Demand, budget.MaxEntries+1)}},
 		{Wishes: &budget.Request{Demands: []budget.Demand{{Name: "calls", Requested: -1}}}},
 		{Wishes: &budget.Request{Demands: []budget.Demand{{Name: long}}}},
