--- a/choice/choice.go
+++ b/choice/choice.go
@@ -55,32 +55,32 @@
 	in   state
 	on   input
 	next state
-	do   func(*Server, *task)
+	do   func(*Controller, *task)
 }{
-	{held, room, running, (*Server).start},
-	{held, repeats, sharing, act(Reuse)},
-	{held, short | due, over, (*Server).sendBack},
-	{held, noRoom, over, (*Server).sendAway},
-	{held | sharing, gone, over, (*Server).forget},
-	{sharing, due, over, (*Server).abandon},
+	{held, room, running, (*Controller).start},
+	{held, repeats, sharing, act(ReuseResult)},
+	{held, short | due, over, (*Controller).sendBack},
+	{held, noRoom, over, (*Controller).sendAway},
+	{held | sharing, gone, over, (*Controller).forget},
+	{sharing, due, over, (*Controller).abandon},
 	{sharing | running | answered, ended, over, nil},
-	{sharing | running, stopped, over, (*Server).abandon},
+	{sharing | running, stopped, over, (*Controller).abandon},
 	{running, parked, atCall, nil},
-	{running, due, answered, both((*Server).abandon, (*Server).takeOff)},
-	{running, gone, answered, (*Server).takeOff},
-	{atCall, letOut, calling, (*Server).invoke},
-	{atCall, leaveOut, running, act(Skip)},
-	{atCall, due, answered, (*Server).abandon},
+	{running, due, answered, both((*Controller).abandon, (*Controller).takeOff)},
+	{running, gone, answered, (*Controller).takeOff},
+	{atCall, letOut, calling, (*Controller).invoke},
+	{atCall, leaveOut, running, act(Degrade)},
+	{atCall, due, answered, (*Controller).abandon},
 	{atCall, gone, answered, nil},
 	{calling, back, running, nil},
 	{calling, callLost, atCall, nil},
-	{calling, due, answered, both((*Server).abandon, (*Server).linger)},
-	{calling, gone, answered, (*Server).linger},
+	{calling, due, answered, both((*Controller).abandon, (*Controller).linger)},
+	{calling, gone, answered, (*Controller).linger},
 	{answered, stopped, over, nil},
 }
 
 // step feeds one input to a task's life, books what follows from states and tells whether a row fitted.
-func (s *Server) step(t *task, on input) bool {
+func (s *Controller) step(t *task, on input) bool {
 	for _, r := range life {
 		if t == nil || r.in&t.state == 0 || r.on&on == 0 {
 			continue
@@ -111,7 +111,7 @@
 }
 
 // weight is the memory that a task takes in its state.
-func (s *Server) weight(t *task) float64 {
+func (s *Controller) weight(t *task) float64 {
 	if t.state&(held|sharing) != 0 {
 		return t.memory
 	}
@@ -119,7 +119,7 @@
 }
 
 // n counts the tasks in any of the states.
-func (s *Server) n(in state) (n float64) {
+func (s *Controller) n(in state) (n float64) {
 	for _, t := range s.tasks {
 		if t.state&in != 0 {
 			n++
@@ -145,7 +145,7 @@
 }
 
 // mayCall tells whether a call of it may go out: one that may have had its effect is not repeated.
-func (t *task) mayCall() bool { return t.tries == 0 || t.proven || t.stage.Effect == Idempotent }
+func (t *task) mayCall() bool { return t.tries == 0 || t.proven || t.stage.Idempotency == Idempotent }
 
 // tenant is what one of those who share the service may have done here; bound tells that it is a part of a
 // budget that holds for all servers together, so that what is over it may not run at all.
@@ -173,7 +173,7 @@
 }
 
 type stage struct {
-	Stage
+	Class
 	learned
 	floor float64 // typical own run
 	vain  float64 // part of the runs whose caller had left before their end
@@ -182,8 +182,8 @@
 	runs  float64 // part of its tasks that were run rather than turned away, of the last 50 or so
 }
 
-// Server is one server's instance.
-type Server struct {
+// Controller is one server's instance.
+type Controller struct {
 	seed, draws                                int64
 	cores, crowd, coldFrom, coldFor            float64 // coldFor is 0 where it was born warm
 	memoryLimit, runFactor, keyMemory          float64
@@ -193,8 +193,8 @@
 	callLinger, creditFull, patience           float64 // patience is a sixth of the shortest due time
 	callers, maxIdle, idle, rest               float64 // idle: connections silent for so long are closed
 	tellsWait, byWork, tier                    bool
-	stopping                                   Stopping
-	free                                       Free
+	stopping                                   Preemption
+	free                                       Backpressure
 
 	now, memory                     float64
 	acts                            []Action
@@ -220,32 +220,32 @@
 }
 
 // New makes an instance for a server that starts now.
-func New(seed int64, site Site) *Server {
-	s := &Server{
-		seed: seed, byID: map[string]*task{}, cores: max(1, float64(site.Cores)), crowd: max(1, site.Crowd),
-		coldFrom: site.ColdFrom, coldFor: site.ColdFor, memoryLimit: site.Memory, adviceMax: site.AdviceMax,
-		runFactor: max(1, site.RunFactor), keyMemory: site.KeyMemory, drainGrace: site.DrainGrace,
-		overShare: site.OverShare, callLinger: site.CallLinger, stopping: site.Stopping, free: site.Free,
-		reuseFor: site.ReuseFor, tellsWait: site.TellsWait, byWork: site.UtilityByWork, typical: 0.25,
-		maxCallTime: math.Inf(1), tier: site.Below == Tier, patience: math.Inf(1),
+func New(seed int64, site Settings) *Controller {
+	s := &Controller{
+		seed: seed, byID: map[string]*task{}, cores: max(1, float64(site.Cores)), crowd: max(1, site.ConcurrencyLimit),
+		coldFrom: site.SlowStartSpeed, coldFor: site.SlowStartDuration, memoryLimit: site.MemoryLimit, adviceMax: site.MaxRetryAfter,
+		runFactor: max(1, site.RunningMemoryFactor), keyMemory: site.KeyMemory, drainGrace: site.DrainGracePeriod,
+		overShare: site.OverQuotaValue, callLinger: site.AbandonedCallLifetime, stopping: site.Preemption, free: site.Backpressure,
+		reuseFor: site.ResultCacheTTL, tellsWait: site.DeadlinePropagation, byWork: site.ValueByWork, typical: 0.25,
+		maxCallTime: math.Inf(1), tier: site.Downstream == ServerTier, patience: math.Inf(1),
 		gauges:     Gauges{Runnable: -1},
 		callsBound: math.Inf(1),
-		callers:    float64(site.Callers), maxIdle: site.Idle, idle: site.Idle, rest: 1,
+		callers:    float64(site.Clients), maxIdle: site.IdleTimeout, idle: site.IdleTimeout, rest: 1,
 		share: 1, shareTold: 1, armed: math.Inf(1), drainAt: math.Inf(1), killAt: math.Inf(1),
 	}
-	s.creditFull = 16 * s.cores / max(1, float64(site.Callers)) // no limit in use, spread over the callers
+	s.creditFull = 16 * s.cores / max(1, float64(site.Clients)) // no limit in use, spread over the callers
 	// A tier has its own guard: only a flood is kept from it. A shared dependency gets sluggish long
 	// before it falls: a quarter of the share is let out however slow it is, and never all of it, as
 	// calls of the dead and those whose end is not known yet count too.
 	s.leastCalls, s.maxCalls, s.callCap = s.cores, 16*s.cores, 2*s.cores
-	if site.Below == Shared {
-		s.leastCalls, s.maxCalls, s.callCap = site.CallShare/4, 0.8*site.CallShare, site.CallShare/2
+	if site.Downstream == SharedDependency {
+		s.leastCalls, s.maxCalls, s.callCap = site.CallLimit/4, 0.8*site.CallLimit, site.CallLimit/2
 		// Where one call is over the share it must be short, to keep the window's mean.
-		s.maxCallTime = site.CallShare * site.CallFor / 4
+		s.maxCallTime = site.CallLimit * site.CallWindow / 4
 	}
-	for _, st := range site.Stages {
-		s.stages = append(s.stages, stage{Stage: st, runs: 1})
-		s.patience = min(s.patience, st.DueTime/6)
+	for _, st := range site.Classes {
+		s.stages = append(s.stages, stage{Class: st, runs: 1})
+		s.patience = min(s.patience, st.SoftDeadline/6)
 	}
 	for _, tn := range site.Tenants {
 		// A server sees about its part of a tenant's traffic; half as much again covers uneven callers.
@@ -258,18 +258,18 @@
 }
 
 // begin sets what needs the time of the first batch.
-func (s *Server) begin() {
+func (s *Controller) begin() {
 	s.born, s.lastEnd, s.lastTimely, s.callBooked, s.lastRead = s.now, s.now, s.now, s.now, s.now
 	for i := range s.stages {
 		// 8 s: some tens of runs on a busy server, yet a slow-down of a few seconds still shows.
 		s.stages[i].learned = newLearned(s.now, 8)
 	}
 	s.call, s.runCap = newLearned(s.now, 5), s.cores
-	s.act(Action{Kind: Health, Flag: true})
+	s.act(Action{Kind: SetHealth, Flag: true})
 }
 
 // Decide takes one batch of the server's events and returns what to do.
-func (s *Server) Decide(now float64, events []Event) []Action {
+func (s *Controller) Decide(now float64, events []Event) []Action {
 	s.now, s.acts = now, s.acts[:0]
 	if s.call.log == nil {
 		s.begin()
@@ -292,71 +292,71 @@
 	return s.acts
 }
 
-func (s *Server) act(a Action) { s.acts = append(s.acts, a) }
+func (s *Controller) act(a Action) { s.acts = append(s.acts, a) }
 
 // act is the effect that is one plain action.
-func act(kind ActionKind) func(*Server, *task) {
-	return func(s *Server, t *task) { s.act(Action{Kind: kind, ID: t.id}) }
+func act(kind ActionKind) func(*Controller, *task) {
+	return func(s *Controller, t *task) { s.act(Action{Kind: kind, RequestID: t.id}) }
 }
 
-func both(f, g func(*Server, *task)) func(*Server, *task) {
-	return func(s *Server, t *task) { f(s, t); g(s, t) }
+func both(f, g func(*Controller, *task)) func(*Controller, *task) {
+	return func(s *Controller, t *task) { f(s, t); g(s, t) }
 }
 
-func (s *Server) see(e *Event) {
-	t := s.byID[e.ID]
+func (s *Controller) see(e *Event) {
+	t := s.byID[e.RequestID]
 	switch {
-	case e.Kind == Read:
+	case e.Kind == Arrived:
 		s.read(e)
-	case e.Kind == Drain:
-		s.drainAt, s.killAt = s.now, s.now+e.Took
-		s.act(Action{Kind: Health, Flag: false})
+	case e.Kind == DrainStarted:
+		s.drainAt, s.killAt = s.now, s.now+e.Duration
+		s.act(Action{Kind: SetHealth, Flag: false})
 		for _, t := range s.tasks {
 			t.dueAt = min(t.dueAt, s.lastAnswer())
 		}
-	case e.Kind == Allow:
+	case e.Kind == AllowanceChanged:
 		s.allow(e.Allowance)
-	case e.Kind == Timer:
+	case e.Kind == TimerFired:
 		s.gauges = e.Gauges
 		if s.now >= s.armed-1e-4 {
 			s.armed = math.Inf(1)
 		}
 	case t == nil: // it is over
-	case e.Kind == Ended:
+	case e.Kind == RunEnded:
 		s.runEnded(t, e)
-	case e.Kind == Parked:
+	case e.Kind == AwaitingDownstream:
 		s.lastEnd, t.tries = s.now, 0 // another call than the last
 		s.step(t, parked)
-	case e.Kind == CallDone && t.state == calling:
+	case e.Kind == CallReturned && t.state == calling:
 		s.callDone(t, e)
-	case e.Kind == Gone:
+	case e.Kind == ClientGone:
 		s.step(t, gone)
 	}
 }
 
-func (s *Server) draining() bool { return !math.IsInf(s.killAt, 1) }
+func (s *Controller) draining() bool { return !math.IsInf(s.killAt, 1) }
 
 // lastAnswer is when a draining server must have answered all, several ticks of any site before the kill.
-func (s *Server) lastAnswer() float64 { return s.killAt - 0.03 }
+func (s *Controller) lastAnswer() float64 { return s.killAt - 0.03 }
 
 // read takes a task in. Its due moment never changes but for a drain.
-func (s *Server) read(e *Event) {
-	in := &e.Task
-	st := &s.stages[min(max(in.Stage, 0), len(s.stages)-1)]
-	t := &task{id: e.ID, stage: st, arrived: s.now - in.Age, since: s.now, memory: in.Memory,
-		value: st.Utility, state: held}
-	t.dueAt = t.arrived + st.TimeLimit
-	if in.Wait > 0 || s.tellsWait { // an honest wait never passes the time limit of all tries together
-		t.dueAt = min(s.now+in.Wait, t.dueAt)
+func (s *Controller) read(e *Event) {
+	in := &e.Request
+	st := &s.stages[min(max(in.Class, 0), len(s.stages)-1)]
+	t := &task{id: e.RequestID, stage: st, arrived: s.now - in.Age, since: s.now, memory: in.Memory,
+		value: st.Value, state: held}
+	t.dueAt = t.arrived + st.Timeout
+	if in.RemainingBudget > 0 || s.tellsWait { // an honest wait never passes the time limit of all tries together
+		t.dueAt = min(s.now+in.RemainingBudget, t.dueAt)
 	}
 	t.dueAt = min(max(t.dueAt, s.now), s.lastAnswer())
-	t.goal = t.arrived + min(st.DueTime+st.DueStretch*in.Hint, st.TimeLimit)
+	t.goal = t.arrived + min(st.SoftDeadline+st.SoftDeadlineStretch*in.ExpectedWork, st.Timeout)
 	t.end = t.dueAt
-	if st.LateUtility < 0.5 { // exception: answers after the due time block what earns more
+	if st.LateValue < 0.5 { // exception: answers after the due time block what earns more
 		t.end = min(t.goal, t.dueAt)
 	}
-	if s.byWork && in.Hint > 0 {
-		t.value *= in.Hint
+	if s.byWork && in.ExpectedWork > 0 {
+		t.value *= in.ExpectedWork
 	}
 	over := false
 	if in.Tenant >= 0 && in.Tenant < len(s.tenants) {
@@ -374,43 +374,43 @@
 	s.lag += 0.05 * (in.Age - s.lag)
 	s.gap += 0.02 * (s.now - s.lastRead - s.gap)
 	s.lastRead = s.now
-	s.bySubject = s.bySubject || in.Marked
+	s.bySubject = s.bySubject || in.HasSubject
 	s.byID[t.id] = t
 	s.tasks = append(s.tasks, t)
 	s.memory += t.memory
-	shares := s.reuseFor > 0 && st.Effect == Idempotent && !in.Write
-	t.repeated = in.Earlier != "" && st.Effect == Deduplicated
+	shares := s.reuseFor > 0 && st.Idempotency == Idempotent && !in.Write
+	t.repeated = in.DuplicateOf != "" && st.Idempotency == Deduplicated
 	switch {
 	case t.arrived > s.drainAt+s.drainGrace, s.used() > 0.95*s.memoryLimit:
 		s.step(t, noRoom)
-	case in.Earlier != "" && (t.repeated || shares):
+	case in.DuplicateOf != "" && (t.repeated || shares):
 		s.step(t, repeats)
 	case over:
 		s.step(t, noRoom)
-	case st.Effect == Deduplicated && s.used()+s.keyMemory > 0.9*s.memoryLimit:
+	case st.Idempotency == Deduplicated && s.used()+s.keyMemory > 0.9*s.memoryLimit:
 		s.step(t, noRoom) // without its entry a repeat would bear no mark and run too: no entry, no run
-	case st.Effect == Deduplicated:
-		s.keep(t, st.Window)
-	case shares && in.Marked && s.used()+s.keyMemory < 0.5*s.memoryLimit:
+	case st.Idempotency == Deduplicated:
+		s.keep(t, st.DeduplicationWindow)
+	case shares && in.HasSubject && s.used()+s.keyMemory < 0.5*s.memoryLimit:
 		s.keep(t, t.dueAt-s.now+s.reuseFor) // only a saving: it takes no memory that tasks need
 	}
 }
 
-func (s *Server) keep(t *task, lasts float64) {
-	s.act(Action{Kind: Keep, ID: t.id, For: lasts})
+func (s *Controller) keep(t *task, lasts float64) {
+	s.act(Action{Kind: StoreKey, RequestID: t.id, Duration: lasts})
 	s.keys.Add(t.id, s.now+lasts+0.01)
 }
 
-func (s *Server) used() float64 { return s.memory + float64(len(s.keys))*s.keyMemory }
+func (s *Controller) used() float64 { return s.memory + float64(len(s.keys))*s.keyMemory }
 
-func (s *Server) runEnded(t *task, e *Event) {
+func (s *Controller) runEnded(t *task, e *Event) {
 	s.lastEnd = s.now
 	was, on := t.state, ended
 	t.stage.vain *= 0.95 // the last 20 runs tell
 	if was == answered && s.now >= t.dueAt {
 		t.stage.vain += 0.05
 	}
-	if e.Outcome == Stopped || e.Outcome == NeverStarted {
+	if e.Outcome == Cancelled || e.Outcome == NeverStarted {
 		on = stopped
 	}
 	s.step(t, on)
@@ -426,7 +426,7 @@
 }
 
 // refresh works out a stage's floor and means anew.
-func (s *Server) refresh(st *stage) {
+func (s *Controller) refresh(st *stage) {
 	st.learned.refresh(s.now)
 	if st.all.N >= 4 { // fewer say little of a median
 		st.floor = st.all.Median()
@@ -438,37 +438,37 @@
 	}
 	// Exception for thin waits, which pass the floor and yet run out at calls or in long runs: as far as one
 	// run in three ends in vain, the time at calls and a second run must be left too, unless cores are free.
-	st.need = min(st.floor+min(1, 3*st.vain)*(st.mean+st.calls*s.call.mean), st.TimeLimit/2)
+	st.need = min(st.floor+min(1, 3*st.vain)*(st.mean+st.calls*s.call.mean), st.Timeout/2)
 }
 
 // allow takes the server's part of a budget over. Exception: what all servers share is not guessed then.
-func (s *Server) allow(a *Allowance) {
+func (s *Controller) allow(a *Allowance) {
 	switch {
 	case a.Tenant < 0:
-		s.callsBound = max(a.Most, 0.01) // none go out below one, and the cap, which is divided by, is not 0
+		s.callsBound = max(a.Limit, 0.01) // none go out below one, and the cap, which is divided by, is not 0
 	case a.Tenant < len(s.tenants):
 		of := &s.tenants[a.Tenant]
 		if !of.bound { // what its own guess saved up is not of the budget
 			of.Allowance = ring.NewAllowance(0, 0)
 		}
 		of.bound = true
-		of.Set(s.now, a.Most, max(min(1, math.Ceil(a.Most)), a.Depth*a.Most)) // of none, none is saved up
+		of.Set(s.now, a.Limit, max(min(1, math.Ceil(a.Limit)), a.BurstDuration*a.Limit)) // of none, none is saved up
 	}
 }
 
-// Calls tells how many calls below are out and how many tasks wait for one.
-func (s *Server) Calls() (out, waiting int) { return int(s.out()), int(s.n(atCall)) }
+// DownstreamCalls tells how many calls below are out and how many tasks wait for one.
+func (s *Controller) DownstreamCalls() (out, waiting int) { return int(s.out()), int(s.n(atCall)) }
 
 // crowdLimit is what the cores survive, cold or warm: a ceiling. A fifth is kept free.
-func (s *Server) crowdLimit() float64 {
+func (s *Controller) crowdLimit() float64 {
 	speed := s.coldFrom + (1-s.coldFrom)*min(1, (s.now-s.born+1e-9)/max(s.coldFor, 1e-9))
 	return max(1, 0.8*s.cores*(1+(s.crowd-1)*speed))
 }
 
 // crowdRoom tells whether one more may come to the cores, should all calls return at once.
-func (s *Server) crowdRoom() bool { return s.n(onCore|calling)+1 <= s.crowdLimit() }
+func (s *Controller) crowdRoom() bool { return s.n(onCore|calling)+1 <= s.crowdLimit() }
 
-func (s *Server) tick() {
+func (s *Controller) tick() {
 	s.tickAt = s.now + 0.1 // a tenth of the shortest memory that matters; its cost is not felt
 	// Halted: the cores are taken yet nothing got on for 4 runs, or tasks wait unread for long and none ended
 	// in time for 0.5 s. Without that last test all servers would leave together under plain overload.
@@ -479,7 +479,7 @@
 		s.lag, s.lastTimely = 0, s.now
 	}
 	if halted != s.halted && !s.draining() {
-		s.act(Action{Kind: Health, Flag: !halted})
+		s.act(Action{Kind: SetHealth, Flag: !halted})
 	}
 	s.halted = halted
 	s.typical = 0.25 // where little is known, or runs are so short that a pause of the cores shows
@@ -498,7 +498,7 @@
 // that: connections rest for longer and longer, as a try that gets none costs nothing here, and one that is
 // read and turned away a handshake and a read. That guards against storms of retries and also meets bursts
 // and slow cores; it may hurt where those kept out bring what pays best.
-func (s *Server) tuneIdle() {
+func (s *Controller) tuneIdle() {
 	idle := s.maxIdle
 	if s.gap*s.callers > 8 { // both cost about the same near 5 s, where some tens of callers share a server
 		idle = 0.05 // the shortest that was tried, and the best on busy days
@@ -511,13 +511,13 @@
 	idle = min(s.maxIdle, idle*s.rest)
 	if idle > 1.2*s.idle || idle < s.idle/1.2 { // smaller steps would only add messages
 		s.idle = idle
-		s.act(Action{Kind: Idle, For: idle})
+		s.act(Action{Kind: SetIdleTimeout, Duration: idle})
 	}
 }
 
 // tuneRunCap climbs fast while cores are free and work is held. How many may crowd each core beyond
 // that is what the two arms try: one a core, or half as many again.
-func (s *Server) tuneRunCap() {
+func (s *Controller) tuneRunCap() {
 	g := s.gauges
 	s.gauges.Runnable = -1 // each reading counts once
 	waiting := s.n(held) > 0
@@ -542,7 +542,7 @@
 
 // tuneShare says how much of the usual traffic is wanted: less at once when tasks are turned away, more
 // again in small steps. Reading costs too, so tasks read too late to run count like those turned away.
-func (s *Server) tuneShare() {
+func (s *Controller) tuneShare() {
 	switch {
 	case s.draining():
 		s.share = 0
@@ -555,25 +555,25 @@
 	}
 	s.unmet, s.reads = 0, 0
 	told := math.Round(s.share*50) / 50 // smaller steps would only add messages
-	if s.free != NoFree && told != s.shareTold {
+	if s.free != NoBackpressure && told != s.shareTold {
 		s.shareTold = told
-		values := map[Free]float64{Level: 1 - told, Credit: told * s.creditFull, Odds: told}
-		s.act(Action{Kind: SetFree, Value: values[s.free]})
+		values := map[Backpressure]float64{BackpressureLevel: 1 - told, BackpressureCredit: told * s.creditFull, BackpressureWeight: told}
+		s.act(Action{Kind: ReportLoad, Value: values[s.free]})
 	}
 }
 
 // chance is a draw from 0 to under 1.
-func (s *Server) chance() float64 {
+func (s *Controller) chance() float64 {
 	s.draws++
 	return float64(crc32.ChecksumIEEE(fmt.Appendf(nil, "%d %d", s.seed, s.draws))) / (1 << 32)
 }
 
 // judgeDue gives up what is due, what can earn nothing, and what is short of time.
-func (s *Server) judgeDue() {
+func (s *Controller) judgeDue() {
 	for _, t := range s.tasks {
-		vain := t.stage.LateUtility == 0 && s.now > t.goal
+		vain := t.stage.LateValue == 0 && s.now > t.goal
 		switch {
-		case s.now >= t.dueAt-1e-3, vain && (s.stopping != NoStop || t.state == atCall):
+		case s.now >= t.dueAt-1e-3, vain && (s.stopping != NoPreemption || t.state == atCall):
 			s.step(t, due)
 		case t.end-s.now < t.stage.floor, t.end-s.now < t.stage.need && s.n(onCore)+1 >= s.cores:
 			s.step(t, short)
@@ -582,7 +582,7 @@
 }
 
 // first returns the task that passes ok and comes before all others that do.
-func (s *Server) first(ok func(*task) bool, order func(a, b *task) int) *task {
+func (s *Controller) first(ok func(*task) bool, order func(a, b *task) int) *task {
 	var best *task
 	for _, t := range s.tasks {
 		if ok(t) && (best == nil || order(t, best) < 0) {
@@ -596,16 +596,16 @@
 func byGoal(a, b *task) int { return cmp.Or(cmp.Compare(a.over, b.over), cmp.Compare(a.goal, b.goal)) }
 
 // judgeRoom starts held tasks by due time while the cap, the crowd and the memory allow.
-func (s *Server) judgeRoom() {
+func (s *Controller) judgeRoom() {
 	for s.n(onCore) < s.runCap && s.crowdRoom() && s.step(s.first(s.startable, byGoal), room) {
 	}
 }
 
-func (s *Server) startable(t *task) bool {
+func (s *Controller) startable(t *task) bool {
 	fits := s.used()+t.memory*(s.runFactor-1) <= 0.95*s.memoryLimit
 	// While many wait to be let out, more of their kind would be work begun in vain, unless they can do
 	// without.
-	vain := t.stage.Calls && t.stage.SkipUtility == 0 && s.n(atCall) >= max(2, s.callCap)
+	vain := t.stage.CallsDownstream && t.stage.DegradedValue == 0 && s.n(atCall) >= max(2, s.callCap)
 	// What is over its tenant's share leaves room for another, as it can't be taken off for them.
 	spare := t.over == 0 || s.n(onCore) < max(1, s.runCap-1)
 	return t.state == held && fits && !vain && spare
@@ -613,7 +613,7 @@
 
 // judgeHold goes through the hold by due time and turns away what the cores, or the calls, can't reach
 // in time: of all up to the one that would be late, the one that brings least for what it takes.
-func (s *Server) judgeHold() {
+func (s *Controller) judgeHold() {
 	line := slices.DeleteFunc(slices.Clone(s.tasks), func(t *task) bool { return t.state != held })
 	slices.SortStableFunc(line, byGoal)
 	ahead, aheadCalls := 0.0, s.n(atCall)*s.call.mean
@@ -645,40 +645,40 @@
 }
 
 // away is how long a run of the stage has to be at calls; none where it can do without.
-func (st *stage) away(s *Server) float64 {
-	if st.SkipUtility > 0 {
+func (st *stage) away(s *Controller) float64 {
+	if st.DegradedValue > 0 {
 		return 0
 	}
 	return st.calls * s.call.mean
 }
 
 // gain is what the call of a task adds to what it brings.
-func (t *task) gain() float64 { return t.value * (1 - t.stage.SkipUtility) }
+func (t *task) gain() float64 { return t.value * (1 - t.stage.DegradedValue) }
 
 func byGain(a, b *task) int { return cmp.Or(cmp.Compare(b.gain(), a.gain()), byGoal(a, b)) }
 
 // density is what a task brings for what it takes of cores and calls; it counts for more the fewer of its
 // stage are run, or the least useful stage alone would be turned away.
-func (s *Server) density(t *task) float64 {
+func (s *Controller) density(t *task) float64 {
 	takes := t.stage.mean/s.runCap + t.stage.away(s)/s.callCap
 	return t.value / max(takes*t.stage.runs, 1e-4)
 }
 
 // out counts the calls in hand, those included that were given up but may still be held below.
-func (s *Server) out() float64 { return s.n(calling) + float64(len(s.lingering)) }
+func (s *Controller) out() float64 { return s.n(calling) + float64(len(s.lingering)) }
 
 // bookCalls keeps what was left unused of a cap that is no whole number: it lets one more out at times.
-func (s *Server) bookCalls() {
+func (s *Controller) bookCalls() {
 	unused := s.callCap - s.out()
 	s.callCredit = min(s.callCap, 1, s.callCredit+unused*(s.now-s.callBooked))
 	s.callBooked = s.now
 }
 
-func (s *Server) callDone(t *task, e *Event) {
+func (s *Controller) callDone(t *task, e *Event) {
 	s.lastEnd = s.now
 	b := s.call.log.At(s.now)
 	if e.Outcome == Finished {
-		b.Add(e.Took)
+		b.Add(e.Duration)
 		t.calls++
 		s.step(t, back)
 		return
@@ -687,14 +687,14 @@
 	if e.Outcome == TimedOut {
 		s.linger(t)
 	}
-	t.proven = e.Outcome == Bounced || e.Outcome == Unreachable
+	t.proven = e.Outcome == Rejected || e.Outcome == Unreachable
 	t.tries++
 	t.notTill = s.now + 0.02*float64(t.tries)*(1+s.chance()) // a short breath, not in step with others
 	s.step(t, callLost)
 }
 
 // learnCalls learns how long calls take and how many may be out.
-func (s *Server) learnCalls() {
+func (s *Controller) learnCalls() {
 	s.call.refresh(s.now)
 	if s.call.all.N >= 4 {
 		s.call.lowest.Take(s.now, s.call.mean)
@@ -710,22 +710,22 @@
 }
 
 // slow tells that calls take twice what they lately took at best.
-func (s *Server) slow() bool { return s.call.mean > 2*s.call.lowest.Min(s.now) }
+func (s *Controller) slow() bool { return s.call.mean > 2*s.call.lowest.Min(s.now) }
 
 const slush = 0.01 // the design's upper value: answers still have to be written and sent
 
 // judgeCalls lets calls out by due time, or by utility when they have turned slow.
-func (s *Server) judgeCalls() {
+func (s *Controller) judgeCalls() {
 	for _, t := range s.tasks {
 		if t.state != atCall {
 			continue
 		}
-		late, poorer := s.now+s.call.mean/2 > t.end, t.stage.SkipUtility
+		late, poorer := s.now+s.call.mean/2 > t.end, t.stage.DegradedValue
 		switch {
 		case poorer > 0 && s.crowdRoom() &&
-			(!t.mayCall() || t.tries > 2 || late && poorer > t.stage.LateUtility):
+			(!t.mayCall() || t.tries > 2 || late && poorer > t.stage.LateValue):
 			s.step(t, leaveOut)
-		case poorer == 0 && (!t.mayCall() || late && (s.slow() || t.stage.LateUtility == 0)),
+		case poorer == 0 && (!t.mayCall() || late && (s.slow() || t.stage.LateValue == 0)),
 			t.dueAt-s.now <= slush:
 			s.step(t, due)
 		}
@@ -749,27 +749,27 @@
 
 // judgeWaits goes through those that wait for calls, which are scarce, in the order in which a call adds
 // most, and has the others do without where their wait would be too long, by the measure of the hold.
-func (s *Server) judgeWaits() {
+func (s *Controller) judgeWaits() {
 	line := slices.DeleteFunc(slices.Clone(s.tasks), func(t *task) bool { return t.state != atCall })
 	slices.SortStableFunc(line, byGain)
 	for i, t := range line {
 		wait := float64(i+1) * s.call.mean / s.callCap
-		if t.stage.SkipUtility > 0 && wait > 0.25*(t.end-s.now-s.call.mean) && s.crowdRoom() {
+		if t.stage.DegradedValue > 0 && wait > 0.25*(t.end-s.now-s.call.mean) && s.crowdRoom() {
 			s.step(t, leaveOut)
 		}
 	}
 }
 
-func (s *Server) start(t *task) {
+func (s *Controller) start(t *task) {
 	t.ran = true
 	t.stage.runs += 0.02 * (1 - t.stage.runs)
-	s.act(Action{Kind: Start, ID: t.id})
+	s.act(Action{Kind: StartRun, RequestID: t.id})
 }
 
-func (s *Server) sendBack(t *task) { s.turnAway(t, 0) }
+func (s *Controller) sendBack(t *task) { s.turnAway(t, 0) }
 
 // sendAway says when to come back: when the hold as it stands has been run.
-func (s *Server) sendAway(t *task) {
+func (s *Controller) sendAway(t *task) {
 	t.stage.runs *= 0.98
 	s.turnAway(t, min(s.adviceMax, max(0.1, s.n(held)*s.typical/s.runCap)))
 }
@@ -777,7 +777,7 @@
 // turnAway rejects a task that never ran. It asks not to try elsewhere while tasks wait unread for long or
 // little is wanted: the others fare alike and reads take from runs. Where a try opens a connection, always,
 // unless callers pick by subject. It may hurt where only this server is slow or crowded.
-func (s *Server) turnAway(t *task, advice float64) {
+func (s *Controller) turnAway(t *task, advice float64) {
 	if t.repeated { // another try of it may have run
 		s.abandon(t)
 		return
@@ -786,43 +786,43 @@
 		s.unmet++
 	}
 	s.forget(t)
-	s.act(Action{Kind: Reject, ID: t.id, For: advice,
+	s.act(Action{Kind: Reject, RequestID: t.id, Duration: advice,
 		Flag: t.over > 0 || s.lag > s.patience || s.share < 0.4 ||
 			s.share < 0.95 && !s.bySubject && s.idle < s.maxIdle})
 }
 
-func (s *Server) forget(t *task) {
+func (s *Controller) forget(t *task) {
 	if s.keys.Remove(t.id) {
-		s.act(Action{Kind: Forget, ID: t.id})
+		s.act(Action{Kind: DeleteKey, RequestID: t.id})
 	}
 }
 
-func (s *Server) abandon(t *task) {
+func (s *Controller) abandon(t *task) {
 	s.unmet++
-	s.act(Action{Kind: Abandon, ID: t.id})
+	s.act(Action{Kind: Fail, RequestID: t.id})
 }
 
-func (s *Server) takeOff(t *task) {
-	if s.stopping != NoStop && t.stage.Effect != Deduplicated { // a repeat may still want the answer of that
-		s.act(Action{Kind: TakeOff, ID: t.id})
+func (s *Controller) takeOff(t *task) {
+	if s.stopping != NoPreemption && t.stage.Idempotency != Deduplicated { // a repeat may still want the answer of that
+		s.act(Action{Kind: CancelRun, RequestID: t.id})
 	}
 }
 
 // invoke lets a call out with the time left less the slush. Exception: in a tier that is not slow, four mean
 // calls where twice that is left and it may go again: a server there that died unseen would hold it for all.
-func (s *Server) invoke(t *task) {
+func (s *Controller) invoke(t *task) {
 	lasts, first := min(t.dueAt-s.now-slush, s.maxCallTime), 4*s.call.mean
-	if s.tier && t.stage.Effect == Idempotent && s.call.all.N >= 20 && !s.slow() && lasts > 2*first {
+	if s.tier && t.stage.Idempotency == Idempotent && s.call.all.N >= 20 && !s.slow() && lasts > 2*first {
 		lasts = first
 	}
-	s.act(Action{Kind: Call, ID: t.id, For: lasts})
+	s.act(Action{Kind: DispatchCall, RequestID: t.id, Duration: lasts})
 }
 
 // linger counts a call that was given up for as long as it may still be held below.
-func (s *Server) linger(t *task) { s.lingering.Add(t.id, s.now+s.callLinger) }
+func (s *Controller) linger(t *task) { s.lingering.Add(t.id, s.now+s.callLinger) }
 
 // setTimer keeps one timer armed for whatever comes first.
-func (s *Server) setTimer() {
+func (s *Controller) setTimer() {
 	next := s.tickAt
 	for _, t := range s.tasks {
 		if t.state&(answered|over) == 0 {
@@ -831,6 +831,6 @@
 	}
 	if next < s.armed {
 		s.armed = next
-		s.act(Action{Kind: SetTimer, For: max(0, next-s.now), Label: "next"})
+		s.act(Action{Kind: SetTimer, Duration: max(0, next-s.now), Label: "next"})
 	}
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -22,7 +22,7 @@
 
 // instance is one server's module and what a batch holds for it.
 type instance struct {
-	server *choice.Server
+	server *choice.Controller
 	events []choice.Event
 }
 
@@ -48,7 +48,7 @@
 			case shale.Born:
 				s := &instance{server: choice.New(e.Seed, life.Site(e.Told))}
 				servers[e.Who] = s
-				s.events = append(s.events, choice.Event{Kind: choice.Born})
+				s.events = append(s.events, choice.Event{Kind: choice.Started})
 				order = append(order, e.Who)
 				continue
 			}
--- a/cmd/swiftcourse-fleet/budgets.go
+++ b/cmd/swiftcourse-fleet/budgets.go
@@ -33,8 +33,8 @@
 		return t, nil
 	}
 	longest := 0.0
-	for _, stage := range start.Site.Stages {
-		longest = max(longest, stage.TimeLimit)
+	for _, stage := range start.Site.Classes {
+		longest = max(longest, stage.Timeout)
 	}
 	for _, text := range conf.Budgets {
 		name, number, ok := strings.Cut(text, "=")
@@ -44,7 +44,7 @@
 		}
 		b := budget.Limit{Name: name, Max: most}
 		if name == calls { // a call ends with its task, and lingers below for as long as the platform says
-			b.Concurrent, b.LingerSeconds = true, longest+start.Site.CallLinger
+			b.Concurrent, b.LingerSeconds = true, longest+start.Site.AbandonedCallLifetime
 		}
 		t.Limits = append(t.Limits, b)
 	}
--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -38,8 +38,8 @@
 	if start.Site.Cores *= len(workers); own.ForwardSlots > 0 {
 		start.Site.Cores = own.ForwardSlots
 	}
-	p.dispatcher = forward.Start(forward.Shape{Workers: workers, Stages: start.Site.Stages, Seed: forward.SeedOf(start.Name, start.Seed),
-		ColdFrom: start.Site.ColdFrom, ColdFor: start.WorkersColdFor, Now: server.Now,
+	p.dispatcher = forward.Start(forward.Shape{Workers: workers, Stages: start.Site.Classes, Seed: forward.SeedOf(start.Name, start.Seed),
+		ColdFrom: start.Site.SlowStartSpeed, ColdFor: start.WorkersColdFor, Now: server.Now,
 		Return: func(list []forward.Back) {
 			backs := make([]serve.Back, len(list))
 			for i, b := range list {
--- a/cmd/swiftcourse-fleet/main.go
+++ b/cmd/swiftcourse-fleet/main.go
@@ -194,7 +194,7 @@
 		if i < 0 {
 			return nil, fmt.Errorf("replica-keyed: there is no stage %q", name)
 		}
-		terms.MaxClaimDuration = max(terms.MaxClaimDuration, start.Site.Stages[i].TimeLimit)
+		terms.MaxClaimDuration = max(terms.MaxClaimDuration, start.Site.Classes[i].Timeout)
 	}
 	terms.MaxClaimDuration = max(terms.MaxClaimDuration, 1) // a holder that serves no such stage itself must be told the same: see docs/replication.md
 	place, err := replica.NewPlacement(terms)
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -44,7 +44,7 @@
 // Shape is what a dispatcher is told.
 type Shape struct {
 	Workers           []Worker
-	Stages            []choice.Stage
+	Stages            []choice.Class
 	Seed              int64
 	ColdFrom, ColdFor float64        // how workers start, see route.Cold
 	Now               func() float64 // the serving loop's clock: Unix seconds that move forward
@@ -225,7 +225,7 @@
 		if t := d.tries[e.drop]; t != nil {
 			d.recall(t)
 			d.leave(now, t, route.Dropped, 0)
-			d.settle(t, choice.Stopped, nil, 0)
+			d.settle(t, choice.Cancelled, nil, 0)
 		}
 	case e.plan != nil:
 		d.router.Plan(now, e.plan, e.until)
@@ -240,7 +240,7 @@
 func (d *Dispatcher) begin(now float64, out *Out) {
 	d.counts.begun++
 	if d.tries[out.ID] != nil || len(d.tries) >= maxTries {
-		d.backs = append(d.backs, Back{ID: out.ID, Outcome: choice.Bounced})
+		d.backs = append(d.backs, Back{ID: out.ID, Outcome: choice.Rejected})
 		return
 	}
 	t := &try{out: *out, until: now + out.Left}
@@ -250,7 +250,7 @@
 }
 
 // safe tells whether a task may run twice.
-func (d *Dispatcher) safe(t *try) bool { return d.Stages[t.out.Stage].Effect == choice.Idempotent }
+func (d *Dispatcher) safe(t *try) bool { return d.Stages[t.out.Stage].Idempotency == choice.Idempotent }
 
 // place sends a task to a worker, or gives it back where none may have it; advice is the last worker's.
 func (d *Dispatcher) place(now float64, t *try, advice float64) {
@@ -258,7 +258,7 @@
 		name, back := d.router.Pick(now, d.safe(t), t.tried...)
 		if name == "" {
 			d.counts.bounced++
-			d.settle(t, choice.Bounced, nil, max(advice, back))
+			d.settle(t, choice.Rejected, nil, max(advice, back))
 			return
 		}
 		l := d.links[name]
@@ -273,7 +273,7 @@
 		d.leave(now, t, route.Unsent, 0) // its line is full: it never left
 		if !d.router.Again(route.Unsent, len(t.tried), d.safe(t), t.until-now, d.usual(now, t.out.Stage)) {
 			d.counts.bounced++
-			d.settle(t, choice.Bounced, nil, 0)
+			d.settle(t, choice.Rejected, nil, 0)
 			return
 		}
 	}
@@ -333,7 +333,7 @@
 	case rpc.Abandoned:
 		d.leave(now, t, route.Errored, 0)
 		d.counts.errored++
-		d.settle(t, choice.Errored, nil, 0)
+		d.settle(t, choice.Failed, nil, 0)
 	}
 }
 
@@ -345,10 +345,10 @@
 		d.place(now, t, advice)
 	case end.Proven():
 		d.counts.bounced++
-		d.settle(t, choice.Bounced, nil, advice)
+		d.settle(t, choice.Rejected, nil, advice)
 	default:
 		d.counts.cut++
-		d.settle(t, choice.Errored, nil, 0)
+		d.settle(t, choice.Failed, nil, 0)
 	}
 }
 
@@ -390,7 +390,7 @@
 		d.counts.late++
 		d.recall(t)
 		d.leave(now, t, route.Late, 0)
-		d.settle(t, choice.Stopped, nil, 0)
+		d.settle(t, choice.Cancelled, nil, 0)
 	}
 	if now >= d.learned+learnEvery {
 		d.router.Learn(now - d.learned)
--- a/internal/lab/emulate/scenario.go
+++ b/internal/lab/emulate/scenario.go
@@ -140,18 +140,18 @@
 )
 
 // site is what each server is told.
-func (s *Scenario) site(cold bool) choice.Site {
-	site := choice.Site{Servers: s.Servers, Callers: 1, Cores: s.Cores, DrainGrace: grace, AnswerSlack: answerSlack, Crowd: crowd,
-		CrowdFor: crowdFor, Memory: serverMemory, RunFactor: 1, TellsWait: true, AdviceMax: 1, Idle: 60}
+func (s *Scenario) site(cold bool) choice.Settings {
+	site := choice.Settings{Servers: s.Servers, Clients: 1, Cores: s.Cores, DrainGracePeriod: grace, DeadlineTolerance: answerSlack, ConcurrencyLimit: crowd,
+		ConcurrencyWindow: crowdFor, MemoryLimit: serverMemory, RunningMemoryFactor: 1, DeadlinePropagation: true, MaxRetryAfter: 1, IdleTimeout: 60}
 	if s.Below.Cores > 0 {
-		site.Below, site.CallFor = choice.Shared, 1
-		site.CallShare = crowd * float64(s.Below.Cores) / float64(s.Servers)
+		site.Downstream, site.CallWindow = choice.SharedDependency, 1
+		site.CallLimit = crowd * float64(s.Below.Cores) / float64(s.Servers)
 	}
 	if cold {
-		site.ColdFrom, site.ColdFor = s.ColdFrom, s.ColdFor
+		site.SlowStartSpeed, site.SlowStartDuration = s.ColdFrom, s.ColdFor
 	}
 	for _, st := range s.Stages {
-		site.Stages = append(site.Stages, choice.Stage{DueTime: st.Due, TimeLimit: st.Limit, Utility: st.Utility, LateUtility: 0.2, Calls: st.Calls})
+		site.Classes = append(site.Classes, choice.Class{SoftDeadline: st.Due, Timeout: st.Limit, Value: st.Utility, LateValue: 0.2, CallsDownstream: st.Calls})
 	}
 	return site
 }
--- a/internal/lab/emulate/server.go
+++ b/internal/lab/emulate/server.go
@@ -16,7 +16,7 @@
 	well    bool // as it says
 	listed  bool // as balancers have heard
 	open    int  // tries of balancers that have no end yet
-	module  *choice.Server
+	module  *choice.Controller
 	machine *machine
 	tries   map[string]*try
 	over    float64 // since when there have been more runs than it survives, -1 where there are not
@@ -58,7 +58,7 @@
 			}
 		})
 	}
-	s.happens(choice.Event{Kind: choice.Born})
+	s.happens(choice.Event{Kind: choice.Started})
 	s.list()
 }
 
@@ -104,7 +104,7 @@
 	}
 	s.leaving = true
 	life := s.life
-	s.happens(choice.Event{Kind: choice.Drain, Took: stopIn})
+	s.happens(choice.Event{Kind: choice.DrainStarted, Duration: stopIn})
 	s.after(stopIn, func() {
 		if s.life != life || !s.alive {
 			return
@@ -126,8 +126,8 @@
 	}
 	t.life, t.came = s.life, s.now
 	s.tries[t.id] = t
-	s.happens(choice.Event{Kind: choice.Read, ID: t.id, Task: choice.Task{Stage: t.task.stage, Caller: 0, Memory: taskMemory,
-		Wait: t.due - s.now}})
+	s.happens(choice.Event{Kind: choice.Arrived, RequestID: t.id, Request: choice.Request{Class: t.task.stage, Client: 0, Memory: taskMemory,
+		RemainingBudget: t.due - s.now}})
 	s.after(t.due-s.now+answerSlack+enough, func() {
 		if s.alive && s.life == t.life && !t.answered && !t.gone {
 			s.broken(t, "no answer by its due moment")
@@ -139,7 +139,7 @@
 func (s *server) forget(t *try) {
 	if s.alive && s.life == t.life && !t.answered {
 		t.gone = true
-		s.happens(choice.Event{Kind: choice.Gone, ID: t.id})
+		s.happens(choice.Event{Kind: choice.ClientGone, RequestID: t.id})
 		s.drop(t)
 	}
 }
@@ -152,7 +152,7 @@
 	if t.parked {
 		t.parked = false
 		s.hangUp(t)
-		s.happens(choice.Event{Kind: choice.Ended, ID: t.id, Outcome: choice.Stopped, Took: s.now - t.began})
+		s.happens(choice.Event{Kind: choice.RunEnded, RequestID: t.id, Outcome: choice.Cancelled, Duration: s.now - t.began})
 	}
 	delete(s.tries, t.id)
 }
@@ -178,42 +178,42 @@
 func (s *server) carryOut(actions []choice.Action) {
 	for _, a := range actions {
 		switch a.Kind {
-		case choice.Health:
+		case choice.SetHealth:
 			if s.well != a.Flag {
 				s.well = a.Flag
 				s.list()
 			}
 		case choice.SetTimer:
 			life, label := s.life, a.Label
-			s.after(a.For, func() {
+			s.after(a.Duration, func() {
 				if s.alive && s.life == life {
-					s.happens(choice.Event{Kind: choice.Timer, Label: label, Gauges: s.gauges()})
+					s.happens(choice.Event{Kind: choice.TimerFired, Label: label, Gauges: s.gauges()})
 				}
 			})
-		case choice.Start:
-			if t := s.tries[a.ID]; t != nil {
+		case choice.StartRun:
+			if t := s.tries[a.RequestID]; t != nil {
 				s.begin(t)
 			}
-		case choice.Call:
-			if t := s.tries[a.ID]; t != nil && t.parked && t.called == nil {
-				s.call(t, a.For)
+		case choice.DispatchCall:
+			if t := s.tries[a.RequestID]; t != nil && t.parked && t.called == nil {
+				s.call(t, a.Duration)
 			}
-		case choice.Skip:
-			if t := s.tries[a.ID]; t != nil && t.parked {
+		case choice.Degrade:
+			if t := s.tries[a.RequestID]; t != nil && t.parked {
 				s.hangUp(t)
 				s.goOn(t)
 			}
 		case choice.Reject:
-			s.answer(a.ID, rejected, a.For, a.Flag)
-		case choice.Abandon:
-			s.answer(a.ID, abandoned, 0, false)
+			s.answer(a.RequestID, rejected, a.Duration, a.Flag)
+		case choice.Fail:
+			s.answer(a.RequestID, abandoned, 0, false)
 		}
 	}
 }
 
 func (s *server) gauges() choice.Gauges {
 	n := float64(s.machine.runs.Len())
-	return choice.Gauges{Busy: min(1, n/s.machine.cores), Runnable: n, Memory: -1, Conns: -1}
+	return choice.Gauges{Utilization: min(1, n/s.machine.cores), Runnable: n, Memory: -1, Connections: -1}
 }
 
 func (s *server) begin(t *try) {
@@ -233,11 +233,11 @@
 		t.job = nil
 		if t.parked = !t.answered && !t.gone; !t.parked { // it is over at its call
 			s.report.wasted += t.work / 2
-			s.happens(choice.Event{Kind: choice.Ended, ID: t.id, Outcome: choice.Stopped, Took: s.now - t.began})
+			s.happens(choice.Event{Kind: choice.RunEnded, RequestID: t.id, Outcome: choice.Cancelled, Duration: s.now - t.began})
 			s.drop(t)
 			return
 		}
-		s.happens(choice.Event{Kind: choice.Parked, ID: t.id})
+		s.happens(choice.Event{Kind: choice.AwaitingDownstream, RequestID: t.id})
 	})
 }
 
@@ -249,7 +249,7 @@
 			s.report.wasted += t.work
 		}
 		s.answer(t.id, finished, 0, false)
-		s.happens(choice.Event{Kind: choice.Ended, ID: t.id, Outcome: choice.Finished, Took: s.now - t.began})
+		s.happens(choice.Event{Kind: choice.RunEnded, RequestID: t.id, Outcome: choice.Finished, Duration: s.now - t.began})
 		s.drop(t)
 	})
 }
@@ -273,7 +273,7 @@
 		if outcome == choice.Finished {
 			s.goOn(t)
 		}
-		s.happens(choice.Event{Kind: choice.CallDone, ID: t.id, Outcome: outcome, Took: s.now - began})
+		s.happens(choice.Event{Kind: choice.CallReturned, RequestID: t.id, Outcome: outcome, Duration: s.now - began})
 	}
 	t.called = s.below.run(s.exponential(s.scenario.Below.Work), func() { s.after(s.delay(), func() { over(choice.Finished) }) })
 	if s.belowDead {
--- a/internal/lab/faults/budget_test.go
+++ b/internal/lab/faults/budget_test.go
@@ -209,7 +209,7 @@
 	f := begin(t, Plan{Servers: 5, Seed: 37, Conf: "fleet-below on\n", Fate: func(string, int, catalogue.Call) standin.Fate {
 		calls.Add(1)
 		if dead.Load() {
-			return standin.Fate{After: reply, Outcome: choice.Errored}
+			return standin.Fate{After: reply, Outcome: choice.Failed}
 		}
 		return standin.Fate{After: reply, Outcome: choice.Finished, Body: []byte("r")}
 	}})
@@ -246,7 +246,7 @@
 	var mine atomic.Pointer[string]
 	f := begin(t, Plan{Servers: 5, Seed: 38, Conf: "fleet-below on\n", Fate: func(name string, _ int, _ catalogue.Call) standin.Fate {
 		if bad := mine.Load(); bad != nil && *bad == name {
-			return standin.Fate{After: 20 * time.Millisecond, Outcome: choice.Errored}
+			return standin.Fate{After: 20 * time.Millisecond, Outcome: choice.Failed}
 		}
 		return standin.Fate{After: 20 * time.Millisecond, Outcome: choice.Finished, Body: []byte("r")}
 	}})
--- a/internal/life/start.go
+++ b/internal/life/start.go
@@ -23,20 +23,20 @@
 	Name   string `key:"name"`
 	Listen string `key:"listen"`
 	Addresses
-	Seed           int64          `key:"seed"`
-	Stop           float64        `key:"stop_ms"` // seconds from the notice to leave to the kill
-	Cores          float64        `key:"limits"`  // what this program may use, as are the two below
-	Memory         int64          `key:"limits"`  // bytes
-	Sockets        int            `key:"limits"`
-	Forwards       bool           // tasks go on to workers, so there is no processor, and nothing below is called from here
-	Site           choice.Site    `key:"settings"`
-	ColdFor        float64        `key:"settings"` // how long a cold processor takes to warm up
-	WorkersColdFor float64        `key:"settings"` // of a forwarder: how long its workers' processors do
-	Stages         map[string]int `key:"settings"` // by name, as are the tenants
-	Tenants        map[string]int `key:"settings"`
-	StageNames     []string       `key:"settings"`
-	Gauges         []string       `key:"settings"`
-	Unused         []string       `key:"settings"` // keys of what the site allows and this protocol has no word for; it is done without
+	Seed           int64           `key:"seed"`
+	Stop           float64         `key:"stop_ms"` // seconds from the notice to leave to the kill
+	Cores          float64         `key:"limits"`  // what this program may use, as are the two below
+	Memory         int64           `key:"limits"`  // bytes
+	Sockets        int             `key:"limits"`
+	Forwards       bool            // tasks go on to workers, so there is no processor, and nothing below is called from here
+	Site           choice.Settings `key:"settings"`
+	ColdFor        float64         `key:"settings"` // how long a cold processor takes to warm up
+	WorkersColdFor float64         `key:"settings"` // of a forwarder: how long its workers' processors do
+	Stages         map[string]int  `key:"settings"` // by name, as are the tenants
+	Tenants        map[string]int  `key:"settings"`
+	StageNames     []string        `key:"settings"`
+	Gauges         []string        `key:"settings"`
+	Unused         []string        `key:"settings"` // keys of what the site allows and this protocol has no word for; it is done without
 }
 
 // Addresses are where the other parties are, the part of the configuration that may change while serving.
@@ -155,8 +155,8 @@
 	}
 	site := Site(s)
 	var unused []string
-	if site.Stopping != choice.NoStop { // the processor takes no command to stop a run: it goes on to its end or its next call
-		site.Stopping, unused = choice.NoStop, append(unused, "settings.familyInfo.preemption")
+	if site.Preemption != choice.NoPreemption { // the processor takes no command to stop a run: it goes on to its end or its next call
+		site.Preemption, unused = choice.NoPreemption, append(unused, "settings.familyInfo.preemption")
 	}
 	start := &Start{Name: f.Name, Listen: f.Listen,
 		Addresses: Addresses{Processor: f.Processor, Roster: f.Roster, Catalogue: f.Catalog},
@@ -165,8 +165,8 @@
 		Stages: map[string]int{}, Tenants: map[string]int{}, Forwards: forwards}
 	if forwards {
 		start.WorkersColdFor, start.ColdFor = start.ColdFor, 0
-		for i := range start.Site.Stages {
-			start.Site.Stages[i].Calls = false
+		for i := range start.Site.Classes {
+			start.Site.Classes[i].CallsDownstream = false
 		}
 	}
 	for i, stage := range s.Stages {
@@ -266,7 +266,7 @@
 		return errors.New("settings.familyInfo.cores: under 1")
 	case f.MemoryKb <= 0:
 		return errors.New("settings.familyInfo.memLimitKb: not over 0")
-	case belows[f.Below] != choice.Nothing && catalog == "":
+	case belows[f.Below] != choice.NoDownstream && catalog == "":
 		return fmt.Errorf("catalog: missing, though settings.familyInfo.below is %q", f.Below)
 	}
 	for i, c := range s.Stages {
--- a/internal/life/start_test.go
+++ b/internal/life/start_test.go
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	if s.Stop != 3.2 || s.Seed != -8349901503567500956 || s.ColdFor != 17 || s.Stages["a"] != 0 ||
-		s.Tenants["t"] != 0 || s.Site.AdviceMax != 1 || s.Memory != 192<<20 {
+		s.Tenants["t"] != 0 || s.Site.MaxRetryAfter != 1 || s.Memory != 192<<20 {
 		t.Errorf("%+v", s)
 	}
 	text := strings.NewReplacer(`"stop_ms":3200,`, ``, `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, ``).Replace(good)
@@ -85,12 +85,12 @@
 func TestWhatTheProtocolLacksIsDoneWithout(t *testing.T) {
 	for _, word := range []string{"drop", "pause"} {
 		s, err := Parse([]byte(strings.Replace(good, `"cores":6`, `"cores":6,"preemption":"`+word+`"`, 1)), "n3", "")
-		if err != nil || s.Site.Stopping != choice.NoStop || fmt.Sprint(s.Unused) != "[settings.familyInfo.preemption]" {
+		if err != nil || s.Site.Preemption != choice.NoPreemption || fmt.Sprint(s.Unused) != "[settings.familyInfo.preemption]" {
 			t.Errorf("%s: %+v, %v", word, s, err)
 		}
 	}
 	s, err := Parse([]byte(strings.Replace(good, "idempotent", "deduplicated", 1)), "n3", "")
-	if err != nil || s.Site.Stages[0].Effect != choice.Deduplicated || s.Site.Stages[0].Window != 2 || s.Unused != nil {
+	if err != nil || s.Site.Classes[0].Idempotency != choice.Deduplicated || s.Site.Classes[0].DeduplicationWindow != 2 || s.Unused != nil {
 		t.Errorf("%+v, %v", s, err)
 	}
 }
@@ -101,8 +101,8 @@
 "below":"shared","say":"weight","preemption":"pause","cores":6}}`), &told); err != nil {
 		t.Fatal(err)
 	}
-	if s := Site(&told); s.Below != choice.Shared || s.Free != choice.Odds || s.Stopping != choice.Pause ||
-		s.Cores != 6 || s.Stages[0].Effect != choice.Deduplicated || s.Stages[0].Window != 2 || s.ColdFor != 0 {
+	if s := Site(&told); s.Downstream != choice.SharedDependency || s.Backpressure != choice.BackpressureWeight || s.Preemption != choice.PreemptByPause ||
+		s.Cores != 6 || s.Classes[0].Idempotency != choice.Deduplicated || s.Classes[0].DeduplicationWindow != 2 || s.SlowStartDuration != 0 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -130,10 +130,10 @@
 	for _, key := range start.Unused {
 		slog.Info("setting_unused", "key", key, "why", "this protocol has no command for it")
 	}
-	for i, stage := range start.Site.Stages {
-		slog.Info("stage", "name", start.StageNames[i], "due_s", stage.DueTime, "limit_s", stage.TimeLimit,
-			"utility", stage.Utility, "late_utility", stage.LateUtility, "skip_utility", stage.SkipUtility,
-			"calls", stage.Calls)
+	for i, stage := range start.Site.Classes {
+		slog.Info("stage", "name", start.StageNames[i], "due_s", stage.SoftDeadline, "limit_s", stage.Timeout,
+			"utility", stage.Value, "late_utility", stage.LateValue, "skip_utility", stage.DegradedValue,
+			"calls", stage.CallsDownstream)
 	}
 	server := serve.New(start, conf)
 	signals.Follow(server.Leave, func() {
--- a/internal/serve/actions.go
+++ b/internal/serve/actions.go
@@ -16,50 +16,50 @@
 	for i := range actions {
 		a := &actions[i]
 		switch a.Kind {
-		case choice.Health:
+		case choice.SetHealth:
 			s.setWell(a.Flag)
 			continue
-		case choice.SetFree:
+		case choice.ReportLoad:
 			s.setFree(a.Value)
 			continue
-		case choice.Idle:
-			if a.For <= 0 {
-				a.For = s.start.Site.Idle
+		case choice.SetIdleTimeout:
+			if a.Duration <= 0 {
+				a.Duration = s.start.Site.IdleTimeout
 			}
-			s.door.Idle(a.For)
+			s.door.Idle(a.Duration)
 			continue
 		case choice.SetTimer:
 			label := a.Label
-			s.timers.Add(now+max(0, a.For-gaugeLead), s.processor.asking)
-			s.timers.Add(now+a.For, func() { s.happens(choice.Event{Kind: choice.Timer, Label: label}) })
+			s.timers.Add(now+max(0, a.Duration-gaugeLead), s.processor.asking)
+			s.timers.Add(now+a.Duration, func() { s.happens(choice.Event{Kind: choice.TimerFired, Label: label}) })
 			continue
-		case choice.Note:
+		case choice.LogLine:
 			slog.Info("note", "text", a.Label)
 			continue
 		}
-		t := s.tasks.Get(a.ID)
+		t := s.tasks.Get(a.RequestID)
 		if t == nil { // it is over
-			if a.Kind == choice.Forget {
-				s.kept.Forget(a.ID)
+			if a.Kind == choice.DeleteKey {
+				s.kept.Forget(a.RequestID)
 			}
 			continue
 		}
 		switch a.Kind {
-		case choice.Start:
+		case choice.StartRun:
 			s.startRun(t)
 		case choice.Reject:
-			s.reject(t, a.For, a.Flag)
-		case choice.Abandon:
+			s.reject(t, a.Duration, a.Flag)
+		case choice.Fail:
 			s.abandon(t)
-		case choice.Call:
-			s.call(t, a.For)
-		case choice.Skip:
+		case choice.DispatchCall:
+			s.call(t, a.Duration)
+		case choice.Degrade:
 			s.processor.reply(t, nil, true)
-		case choice.Keep:
-			s.kept.Keep(t, now+a.For, s.runsOnce(t.Stage))
-		case choice.Forget:
+		case choice.StoreKey:
+			s.kept.Keep(t, now+a.Duration, s.runsOnce(t.Stage))
+		case choice.DeleteKey:
 			s.kept.Forget(t.ID)
-		case choice.Reuse:
+		case choice.ReuseResult:
 			s.reuse(t, now)
 		}
 	}
@@ -71,7 +71,7 @@
 	case memory.Done:
 		s.shared(t, result, choice.Finished, 0)
 	case memory.Missing, memory.Spent:
-		s.shared(t, nil, choice.Errored, 0)
+		s.shared(t, nil, choice.Failed, 0)
 	}
 }
 
@@ -84,10 +84,10 @@
 	case choice.Finished:
 		s.finish(t, result)
 	default:
-		outcome = choice.Errored
+		outcome = choice.Failed
 		s.abandon(t)
 	}
-	s.happens(choice.Event{Kind: choice.Ended, ID: t.ID, Outcome: outcome, Took: took})
+	s.happens(choice.Event{Kind: choice.RunEnded, RequestID: t.ID, Outcome: outcome, Duration: took})
 }
 
 func (s *Server) setWell(well bool) {
--- a/internal/serve/budgets.go
+++ b/internal/serve/budgets.go
@@ -120,7 +120,7 @@
 		}
 		if may != b.told[i] {
 			b.told[i] = may
-			events = append(events, choice.Event{Kind: choice.Allow, Allowance: &choice.Allowance{Tenant: a.Tenant, Most: may, Depth: a.BurstSeconds}})
+			events = append(events, choice.Event{Kind: choice.AllowanceChanged, Allowance: &choice.Allowance{Tenant: a.Tenant, Limit: may, BurstDuration: a.BurstSeconds}})
 		}
 	}
 	if events != nil {
@@ -132,7 +132,7 @@
 func (s *Server) unbind(was, is []stance.Allowance) {
 	for _, a := range was {
 		if !slices.ContainsFunc(is, func(x stance.Allowance) bool { return x.Tenant == a.Tenant }) {
-			s.events = append([]choice.Event{{Kind: choice.Allow, Allowance: &choice.Allowance{Tenant: a.Tenant, Most: math.MaxInt32, Depth: 1}}}, s.events...)
+			s.events = append([]choice.Event{{Kind: choice.AllowanceChanged, Allowance: &choice.Allowance{Tenant: a.Tenant, Limit: math.MaxInt32, BurstDuration: 1}}}, s.events...)
 		}
 	}
 }
@@ -161,7 +161,7 @@
 		return
 	}
 	if b.below != nil {
-		b.calls.InFlight, _ = s.module.Calls()
+		b.calls.InFlight, _ = s.module.DownstreamCalls()
 		b.below(b.calls)
 		b.calls = stance.CallStats{}
 	}
@@ -171,7 +171,7 @@
 		if tenant := b.list[i].Tenant; tenant >= 0 {
 			u.Demand = b.rates[tenant]
 		} else {
-			out, waiting := s.module.Calls()
+			out, waiting := s.module.DownstreamCalls()
 			u.Demand, u.Open = float64(out+waiting), float64(out)
 			if b.list[i].Capped { // it can't use more
 				u.Demand = min(u.Demand, b.list[i].Cap)
--- a/internal/serve/catalogue.go
+++ b/internal/serve/catalogue.go
@@ -91,7 +91,7 @@
 // effect would matter the pooled connection is new: one that was idle may break in a way that tells nothing of the call.
 func (s *Server) route(c *call) {
 	now, from := s.now(), &s.connPool
-	mayBreak := s.start.Site.Stages[c.task.Stage].Effect == choice.Idempotent && !c.again
+	mayBreak := s.start.Site.Classes[c.task.Stage].Idempotency == choice.Idempotent && !c.again
 	for i := len(from.idle) - 1; i >= 0 && mayBreak; i-- {
 		l := from.idle[i]
 		if now-l.quiet <= restFor && !slices.Contains(l.carried, c.task.ID) {
@@ -139,7 +139,7 @@
 func (s *Server) callDone(c *call, outcome choice.Outcome) {
 	took := s.now() - c.began
 	s.callEnded(outcome, took)
-	s.happens(choice.Event{Kind: choice.CallDone, ID: c.task.ID, Outcome: outcome, Took: took})
+	s.happens(choice.Event{Kind: choice.CallReturned, RequestID: c.task.ID, Outcome: outcome, Duration: took})
 }
 
 // drop takes a call off that has no answer. Its pooled connection ends with it, which gives the call up on the other side:
--- a/internal/serve/claims.go
+++ b/internal/serve/claims.go
@@ -46,8 +46,8 @@
 	for i, name := range s.start.StageNames {
 		if slices.Contains(stages, name) {
 			s.keyed.stages[i] = true
-			s.start.Site.Stages[i].Effect = choice.Deduplicated
-			s.start.Site.Stages[i].Window = window
+			s.start.Site.Classes[i].Idempotency = choice.Deduplicated
+			s.start.Site.Classes[i].DeduplicationWindow = window
 		}
 	}
 }
@@ -55,10 +55,10 @@
 // claims tells whether a task that was read has to be granted first, and asks for it.
 func (s *Server) claims(t *memory.Task, read *choice.Event, now float64) bool {
 	k := s.keyed
-	if k == nil || !k.stages[t.Stage] || t.Subject == "" || read.Task.Earlier != "" {
+	if k == nil || !k.stages[t.Stage] || t.Subject == "" || read.Request.DuplicateOf != "" {
 		return false
 	}
-	limit := s.start.Site.Stages[t.Stage].TimeLimit
+	limit := s.start.Site.Classes[t.Stage].Timeout
 	if t.Wait != 0 {
 		limit = min(limit, t.Wait)
 	}
@@ -96,12 +96,12 @@
 		k.fleet.Never(id)
 	case r == stance.ClaimGranted:
 		k.granted[id] = true
-		if read.Task.Earlier = s.kept.Earlier(t.Stage, t.Subject, t.Came, now); read.Task.Earlier != "" {
+		if read.Request.DuplicateOf = s.kept.Earlier(t.Stage, t.Subject, t.Came, now); read.Request.DuplicateOf != "" {
 			s.unclaim(t)
 		}
 		s.happens(read)
 	case r == stance.ClaimCached:
-		read.Task.Earlier = s.kept.Adopt(t, result, now+s.start.Site.Stages[t.Stage].Window)
+		read.Request.DuplicateOf = s.kept.Adopt(t, result, now+s.start.Site.Classes[t.Stage].DeduplicationWindow)
 		s.happens(read)
 	case r == stance.ClaimNoQuorum:
 		s.counts.ungranted++
@@ -141,7 +141,7 @@
 // freshFor is how long a result may serve repeats.
 func (s *Server) freshFor(stage int) float64 {
 	if k := s.keyed; k != nil && k.stages[stage] {
-		return s.start.Site.Stages[stage].Window
+		return s.start.Site.Classes[stage].DeduplicationWindow
 	}
-	return s.start.Site.ReuseFor
+	return s.start.Site.ResultCacheTTL
 }
--- a/internal/serve/forward.go
+++ b/internal/serve/forward.go
@@ -90,7 +90,7 @@
 		return
 	}
 	t.Begun = true
-	wait := s.start.Site.Stages[t.Stage].TimeLimit
+	wait := s.start.Site.Classes[t.Stage].Timeout
 	if t.Wait > 0 {
 		wait = min(wait, t.Wait)
 	}
@@ -98,7 +98,7 @@
 	out := Out{ID: t.ID, Stage: t.Stage, Message: *f.told[t.ID], Left: t.Came + wait - now - slush}
 	out.Message.Body = append([]byte(nil), t.Body...) // the buffer may be used again before a second try
 	if out.Left <= 0 || !f.begin(out) {
-		s.returned(&Back{ID: t.ID, Outcome: choice.Bounced, Advice: s.start.Site.AdviceMax})
+		s.returned(&Back{ID: t.ID, Outcome: choice.Rejected, Advice: s.start.Site.MaxRetryAfter})
 	}
 }
 
@@ -122,12 +122,12 @@
 	switch outcome {
 	case choice.Finished:
 		s.finish(t, b.Body)
-	case choice.Errored:
+	case choice.Failed:
 		s.abandon(t)
-	case choice.Bounced:
+	case choice.Rejected:
 		outcome = choice.NeverStarted
 		if !t.Answered {
-			s.reject(t, min(b.Advice, s.start.Site.AdviceMax), false)
+			s.reject(t, min(b.Advice, s.start.Site.MaxRetryAfter), false)
 		}
 	}
 	s.runEnded(t, outcome, b.Body, b.Took)
--- a/internal/serve/guard.go
+++ b/internal/serve/guard.go
@@ -20,10 +20,10 @@
 // newDoor makes the door as the operator's file says.
 func (s *Server) newDoor(conf *life.Conf) *door.Door {
 	if conf == nil || !conf.Door {
-		return door.New(s.start.Site.Idle)
+		return door.New(s.start.Site.IdleTimeout)
 	}
 	s.lobby = conf.Lobby
-	return door.NewGuarded(s.start.Site.Idle, s.rules(conf))
+	return door.NewGuarded(s.start.Site.IdleTimeout, s.rules(conf))
 }
 
 // lobbyPlaces are as many as the file says, and at most a sixteenth of the descriptors for balancers; so many connections may be on their
@@ -112,7 +112,7 @@
 		advice = s.door.Advice(slot, now)
 	}
 	say := s.say
-	say.Advice = min(advice, s.start.Site.AdviceMax)
+	say.Advice = min(advice, s.start.Site.MaxRetryAfter)
 	s.door.Tell(slot, door.Spoke, now)
 	s.scratch = rpc.PutRejected(s.scratch[:0], number, say)
 	s.write(&p.line, s.scratch)
--- a/internal/serve/guard_test.go
+++ b/internal/serve/guard_test.go
@@ -97,7 +97,7 @@
 }
 
 func TestWhoIsTurnedAwayHasAnAnswer(t *testing.T) {
-	w := buildWith(t, func(s *life.Start) { s.Site.AdviceMax = 5 }, conf(t, "door-per-address 1"))
+	w := buildWith(t, func(s *life.Start) { s.Site.MaxRetryAfter = 5 }, conf(t, "door-per-address 1"))
 	first, err := w.from("127.6.0.1")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/serve/idle_test.go
+++ b/internal/serve/idle_test.go
@@ -57,8 +57,8 @@
 
 // alone is a server without a loop, whose turns the test takes.
 func alone(idle float64) *Server {
-	s := New(&life.Start{Sockets: 1000, Stages: map[string]int{"quote": 0}, Tenants: map[string]int{"acme": 0}, Site: choice.Site{Idle: idle}}, nil)
-	s.loop, s.module = stillLoop{}, choice.New(1, choice.Site{})
+	s := New(&life.Start{Sockets: 1000, Stages: map[string]int{"quote": 0}, Tenants: map[string]int{"acme": 0}, Site: choice.Settings{IdleTimeout: idle}}, nil)
+	s.loop, s.module = stillLoop{}, choice.New(1, choice.Settings{})
 	s.alarm = time.AfterFunc(time.Hour, func() {})
 	return s
 }
@@ -189,7 +189,7 @@
 
 func TestAStormOfReconnectsAfterAMassClose(t *testing.T) {
 	const n = 1500
-	w := build(t, func(s *life.Start) { s.Sockets, s.Site.Idle = 4000, 0.4 })
+	w := build(t, func(s *life.Start) { s.Sockets, s.Site.IdleTimeout = 4000, 0.4 })
 	for _, heeds := range []bool{true, false, true} {
 		crowd := w.crowd(n, heeds)
 		busy := w.balancer()
--- a/internal/serve/keyed_test.go
+++ b/internal/serve/keyed_test.go
@@ -20,7 +20,7 @@
 
 // deduplicated makes the only stage one whose tasks bear a key and may run once in a window of 20 s.
 func deduplicated(s *life.Start) {
-	s.Site.Stages[0].Effect, s.Site.Stages[0].Window = choice.Deduplicated, 20
+	s.Site.Classes[0].Idempotency, s.Site.Classes[0].DeduplicationWindow = choice.Deduplicated, 20
 }
 
 // onLoop has the server's loop do something, and waits until it has.
--- a/internal/serve/leave.go
+++ b/internal/serve/leave.go
@@ -34,7 +34,7 @@
 	s.drainAt, s.killAt = at, at+s.start.Stop-min(heardLate, s.start.Stop/10)
 	slog.Info("notice", "kill_in_s", watch.Round(s.killAt-s.now(), 3), "open", s.tasks.Open())
 	if s.module != nil { // else it has nothing to do with it, see born
-		s.happens(choice.Event{Kind: choice.Drain, Took: s.killAt - s.now()})
+		s.happens(choice.Event{Kind: choice.DrainStarted, Duration: s.killAt - s.now()})
 	}
 	s.tryExit()
 }
@@ -96,7 +96,7 @@
 	if s.module == nil {
 		return s.drainAt
 	}
-	return min(s.drainAt+s.start.Site.DrainGrace+0.1, s.killAt-partBefore)
+	return min(s.drainAt+s.start.Site.DrainGracePeriod+0.1, s.killAt-partBefore)
 }
 
 func (s *Server) exit(cause string) {
--- a/internal/serve/leave_test.go
+++ b/internal/serve/leave_test.go
@@ -94,7 +94,7 @@
 
 // The processor comes up after the notice: nothing begins, and the server ends at once.
 func TestToldToLeaveBeforeTheProcessorIsUp(t *testing.T) {
-	w := begin(t, func(s *life.Start) { s.Stop, s.Site.DrainGrace = 20, 10 }, nil)
+	w := begin(t, func(s *life.Start) { s.Stop, s.Site.DrainGracePeriod = 20, 10 }, nil)
 	b := w.balancer()
 	b.send("%s", frame(1, "a1", "x"))
 	b.expect(answerTo(1) + "\x92\xa4Busy")
@@ -168,10 +168,10 @@
 	const late = 0.12
 	for _, stop := range []float64{0.5, 4.5} {
 		s := New(&life.Start{Stop: stop}, nil)
-		s.module = choice.New(1, choice.Site{})
+		s.module = choice.New(1, choice.Settings{})
 		sent := s.now() - min(late, 0.9*stop/10)
 		s.leave(s.now())
-		if s.killAt > sent+stop || len(s.events) != 1 || s.events[0].Kind != choice.Drain || s.now()+s.events[0].Took > sent+stop {
+		if s.killAt > sent+stop || len(s.events) != 1 || s.events[0].Kind != choice.DrainStarted || s.now()+s.events[0].Duration > sent+stop {
 			t.Errorf("stop %g: kill at %.3f, events %+v, sent at %.3f", stop, s.killAt, s.events, sent)
 		}
 	}
--- a/internal/serve/link.go
+++ b/internal/serve/link.go
@@ -45,7 +45,7 @@
 	case unsent:
 		return choice.Unreachable
 	case sent:
-		return choice.Cut
+		return choice.Disconnected
 	}
 	return choice.TimedOut
 }
--- a/internal/serve/peer.go
+++ b/internal/serve/peer.go
@@ -211,7 +211,7 @@
 		bad = fmt.Errorf("unknown stage %.40q", m.Stage)
 	case !belongs && len(s.start.Tenants) > 0:
 		bad = fmt.Errorf("unknown tenant %.40q", m.Tenant)
-	case m.NoWait && s.start.Site.TellsWait:
+	case m.NoWait && s.start.Site.DeadlinePropagation:
 		bad = errors.New("its wait is missing")
 	case len(p.open) >= maxOpen:
 		bad = fmt.Errorf("over %d tasks open", maxOpen)
@@ -263,12 +263,12 @@
 	if to := s.standing.Load(); to != nil {
 		to.Stats.Requests.Add(1)
 	}
-	read := choice.Event{Kind: choice.Read, ID: t.ID, Task: choice.Task{Stage: stage, Tenant: tenant,
-		Caller: m.Caller, Memory: m.Memory, Rank: m.Rank, Marked: m.Subject != "", Again: m.Again, Hint: m.Hint,
-		Earlier: s.kept.Earlier(stage, t.Subject, m.Came, now)}}
+	read := choice.Event{Kind: choice.Arrived, RequestID: t.ID, Request: choice.Request{Class: stage, Tenant: tenant,
+		Client: m.Caller, Memory: m.Memory, Priority: m.Rank, HasSubject: m.Subject != "", Retry: m.Again, ExpectedWork: m.Hint,
+		DuplicateOf: s.kept.Earlier(stage, t.Subject, m.Came, now)}}
 	if !s.claims(t, &read, now) {
-		if s.runsOnce(stage) && read.Task.Earlier == "" { // a second try may come in this very turn, before the module keeps this one
-			s.kept.Keep(t, t.Came+s.start.Site.Stages[stage].Window, true)
+		if s.runsOnce(stage) && read.Request.DuplicateOf == "" { // a second try may come in this very turn, before the module keeps this one
+			s.kept.Keep(t, t.Came+s.start.Site.Classes[stage].DeduplicationWindow, true)
 		}
 		s.happens(read)
 	}
@@ -277,16 +277,16 @@
 
 // runsOnce tells whether the repeats of a stage's tasks have to be known.
 func (s *Server) runsOnce(stage int) bool {
-	stages := s.start.Site.Stages
-	return stage < len(stages) && stages[stage].Effect == choice.Deduplicated
+	stages := s.start.Site.Classes
+	return stage < len(stages) && stages[stage].Idempotency == choice.Deduplicated
 }
 
 // readLate is for how long past its window a task that may run once is remembered: a repeat that came in time may be read later, as
 // after a pause, though not when its caller has left.
 func (s *Server) readLate() (longest float64) {
-	for i, st := range s.start.Site.Stages {
+	for i, st := range s.start.Site.Classes {
 		if s.runsOnce(i) {
-			longest = max(longest, st.TimeLimit)
+			longest = max(longest, st.Timeout)
 		}
 	}
 	return longest
@@ -307,7 +307,7 @@
 		return
 	}
 	s.counts.gone++
-	s.happens(choice.Event{Kind: choice.Gone, ID: t.ID})
+	s.happens(choice.Event{Kind: choice.ClientGone, RequestID: t.ID})
 	s.settle(t)
 }
 
@@ -319,7 +319,7 @@
 	if !t.Begun { // dropped without a run: who waits for its answer gets none
 		s.unclaim(t)
 		for _, id := range s.kept.Ended(t.ID, false, false, nil, 0) {
-			s.shared(s.tasks.Get(id), nil, choice.Errored, 0)
+			s.shared(s.tasks.Get(id), nil, choice.Failed, 0)
 		}
 	}
 	s.tasks.Drop(&s.pool, t)
--- a/internal/serve/peer_test.go
+++ b/internal/serve/peer_test.go
@@ -79,7 +79,7 @@
 }
 
 func TestWhoIsOwedSomethingDoesNotGoForANewcomer(t *testing.T) {
-	s := New(&life.Start{Site: choice.Site{Idle: 30}}, nil)
+	s := New(&life.Start{Site: choice.Settings{IdleTimeout: 30}}, nil)
 	add := func(unsent bool) *peer {
 		name, p := s.peers.Add()
 		p.server, p.name, p.conn, p.unsent = s, name, broken{}, unsent
@@ -113,7 +113,7 @@
 
 func TestNothingIsReadFromAConnectionThatEnds(t *testing.T) {
 	s := New(&life.Start{Sockets: 256, Stages: map[string]int{"quote": 0}, Tenants: map[string]int{"acme": 0}}, nil)
-	s.loop, s.module = stillLoop{}, choice.New(1, choice.Site{})
+	s.loop, s.module = stillLoop{}, choice.New(1, choice.Settings{})
 	for _, ends := range []bool{false, true} {
 		name, p := s.peers.Add()
 		p.server, p.name = s, name
@@ -138,7 +138,7 @@
 }
 
 func TestSilentConnectionsAreAskedToCloseThenClosed(t *testing.T) {
-	w := build(t, func(s *life.Start) { s.Site.Idle = 0.05 })
+	w := build(t, func(s *life.Start) { s.Site.IdleTimeout = 0.05 })
 	b := w.balancer()
 	b.send("\x94\x00\x01\xa6isWell\x91\x80")
 	b.expect("goaway\x90")
--- a/internal/serve/processor.go
+++ b/internal/serve/processor.go
@@ -121,7 +121,7 @@
 		switch n.Outcome {
 		case choice.Finished:
 			s.finish(t, n.Body)
-		case choice.Errored:
+		case choice.Failed:
 			s.abandon(t)
 		}
 		s.runEnded(t, n.Outcome, n.Body, n.Took)
@@ -132,7 +132,7 @@
 		s.pool.Put(t.Ask)
 		s.pool.Put(t.Reply)
 		t.Asked, t.Ask, t.Reply, t.Replied = n.Number, s.pool.Keep(n.Body), nil, false
-		s.happens(choice.Event{Kind: choice.Parked, ID: n.ID})
+		s.happens(choice.Event{Kind: choice.AwaitingDownstream, RequestID: n.ID})
 	}
 }
 
@@ -165,7 +165,7 @@
 	for _, t := range s.tasks.InOrder() {
 		switch {
 		case !t.Begun || t.Sent <= l.confirmed:
-		case t.Asked == 0 && s.start.Site.Stages[t.Stage].Effect == choice.Idempotent:
+		case t.Asked == 0 && s.start.Site.Classes[t.Stage].Idempotency == choice.Idempotent:
 			l.sendBegin(t)
 		case t.Replied:
 			l.sendReply(t)
@@ -230,7 +230,7 @@
 // ended tells the module that a run is over.
 func (s *Server) ended(t *memory.Task, outcome choice.Outcome, took float64) {
 	t.Begun = false
-	s.happens(choice.Event{Kind: choice.Ended, ID: t.ID, Outcome: outcome, Took: took})
+	s.happens(choice.Event{Kind: choice.RunEnded, RequestID: t.ID, Outcome: outcome, Duration: took})
 	s.tasks.Drop(&s.pool, t)
 }
 
@@ -241,18 +241,18 @@
 		return
 	}
 	site := s.start.Site
-	site.ColdFor = 0
+	site.SlowStartDuration = 0
 	slog.Info("born", "cold", cold, "ago_s", watch.Round(ago, 3))
 	at := s.now()
 	if cold { // a warm one's age tells nothing
-		site.ColdFor = s.start.ColdFor
-		at -= min(ago, site.ColdFor)
+		site.SlowStartDuration = s.start.ColdFor
+		at -= min(ago, site.SlowStartDuration)
 	}
 	s.module = choice.New(s.start.Seed, site)
 	if s.budgets != nil {
 		s.budgets.list = nil // it is told all of them
 	}
-	s.carryOut(s.module.Decide(at, []choice.Event{{Kind: choice.Born}}), at)
+	s.carryOut(s.module.Decide(at, []choice.Event{{Kind: choice.Started}}), at)
 	s.sweep()
 	s.wake()
 }
--- a/internal/serve/processor_test.go
+++ b/internal/serve/processor_test.go
@@ -53,8 +53,8 @@
 
 // Whether a begin that has no proof was read nobody can tell, and where running twice is ruled out it is not sent again.
 func TestABeginThatMayBeLostIsNotSentAgainWhereItMayRunOnce(t *testing.T) {
-	for _, effect := range []choice.Effect{choice.AtMostOnce, choice.Deduplicated} {
-		w := build(t, func(s *life.Start) { s.Site.Stages[0].Effect, s.Site.Stages[0].Window = effect, 20 })
+	for _, effect := range []choice.Idempotency{choice.AtMostOnce, choice.Deduplicated} {
+		w := build(t, func(s *life.Start) { s.Site.Classes[0].Idempotency, s.Site.Classes[0].DeduplicationWindow = effect, 20 })
 		b := w.balancer()
 		b.send("%s%s", frame(1, "a1", "x", wait(2), key("k")), frame(2, "a2", "x", key("l")))
 		w.processor.wants("begin", "a1")
@@ -99,10 +99,10 @@
 	now := s.now()
 	s.tasks.Add(&memory.Task{ID: "a", Came: now - 2, Wait: 5})
 	s.tasks.Add(&memory.Task{ID: "b", Came: now + 1}) // by a clock ahead of ours; its wait is not told
-	for id, want := range map[string]choice.Task{"a": {Age: 2, Wait: 3}, "b": {}} {
-		e := choice.Event{Kind: choice.Read, ID: id}
-		if s.freshen(&e, now); e.Task != want {
-			t.Errorf("%s: %+v", id, e.Task)
+	for id, want := range map[string]choice.Request{"a": {Age: 2, RemainingBudget: 3}, "b": {}} {
+		e := choice.Event{Kind: choice.Arrived, RequestID: id}
+		if s.freshen(&e, now); e.Request != want {
+			t.Errorf("%s: %+v", id, e.Request)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 	s := New(&life.Start{Gauges: []string{"runnable"}}, nil)
 	s.processor.measured(&processor.Notice{Gauges: []float64{3}})
 	for after, want := range map[float64]float64{0.01: 3, 2: -1} {
-		e := choice.Event{Kind: choice.Timer}
+		e := choice.Event{Kind: choice.TimerFired}
 		if s.freshen(&e, s.gaugesAt+after); e.Gauges.Runnable != want {
 			t.Errorf("after %g s: %+v", after, e.Gauges)
 		}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -44,10 +44,10 @@
 	turning bool // a turn is on its way
 	run     gnet.Runnable
 
-	module        *choice.Server // nil until the processor is up
-	events, spare []choice.Event // of the next batch; of the last
-	gauges        choice.Gauges  // the latest
-	gaugesAt      float64        // when they were read
+	module        *choice.Controller // nil until the processor is up
+	events, spare []choice.Event     // of the next batch; of the last
+	gauges        choice.Gauges      // the latest
+	gaugesAt      float64            // when they were read
 	timers        memory.Timers
 	tasks         *memory.Tasks
 	kept          *memory.Kept
@@ -314,21 +314,23 @@
 // so an older one means that the processor did not answer, which is no news of its load.
 const gaugesFor = 0.1
 
-func noGauges() choice.Gauges { return choice.Gauges{Busy: -1, Runnable: -1, Memory: -1, Conns: -1} }
+func noGauges() choice.Gauges {
+	return choice.Gauges{Utilization: -1, Runnable: -1, Memory: -1, Connections: -1}
+}
 
 // freshen sets what an event says of the present.
 func (s *Server) freshen(e *choice.Event, now float64) {
 	switch e.Kind {
-	case choice.Read:
-		if t := s.tasks.Get(e.ID); t != nil {
-			e.Task.Age = max(0, now-t.Came)
-			s.counts.unread += e.Task.Age
-			s.counts.longest = max(s.counts.longest, e.Task.Age)
+	case choice.Arrived:
+		if t := s.tasks.Get(e.RequestID); t != nil {
+			e.Request.Age = max(0, now-t.Came)
+			s.counts.unread += e.Request.Age
+			s.counts.longest = max(s.counts.longest, e.Request.Age)
 			if t.Wait != 0 {
-				e.Task.Wait = t.Wait - e.Task.Age
+				e.Request.RemainingBudget = t.Wait - e.Request.Age
 			}
 		}
-	case choice.Timer:
+	case choice.TimerFired:
 		if age := now - s.gaugesAt; age <= gaugesFor {
 			e.Gauges = s.gauges
 			s.counts.gaugeAge = max(s.counts.gaugeAge, age)
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -143,10 +143,10 @@
 	start := &life.Start{Name: "n1", Listen: addr, Addresses: w.addresses(), Stop: 4, Sockets: 256, Memory: 64 << 20,
 		Stages: map[string]int{"quote": 0}, Tenants: map[string]int{"acme": 0}, StageNames: []string{"quote"},
 		Gauges: []string{"cpu_busy", "runnable"},
-		Site: choice.Site{Cores: 2, Servers: 1, Callers: 1, Crowd: 8, CrowdFor: 1, Memory: 1e6, RunFactor: 1,
-			Below: choice.Tier, TellsWait: true, Idle: 30, DrainGrace: 0.1, AnswerSlack: 0.05,
+		Site: choice.Settings{Cores: 2, Servers: 1, Clients: 1, ConcurrencyLimit: 8, ConcurrencyWindow: 1, MemoryLimit: 1e6, RunningMemoryFactor: 1,
+			Downstream: choice.ServerTier, DeadlinePropagation: true, IdleTimeout: 30, DrainGracePeriod: 0.1, DeadlineTolerance: 0.05,
 			Tenants: []choice.Tenant{{Rate: 1000}},
-			Stages:  []choice.Stage{{DueTime: 30, TimeLimit: 60, Utility: 1, LateUtility: 1, Calls: true}}}}
+			Classes: []choice.Class{{SoftDeadline: 30, Timeout: 60, Value: 1, LateValue: 1, CallsDownstream: true}}}}
 	if change != nil {
 		change(start)
 	}
@@ -271,7 +271,7 @@
 // A site may not tell how long callers wait: the time limit stands in. Where it does, a task without is refused.
 func TestWaitsThatAreNotTold(t *testing.T) {
 	untold := func(m *rpc.Message) { m.NoWait = true }
-	w := build(t, func(s *life.Start) { s.Site.TellsWait, s.Site.Stages[0].TimeLimit = false, 0.4 })
+	w := build(t, func(s *life.Start) { s.Site.DeadlinePropagation, s.Site.Classes[0].Timeout = false, 0.4 })
 	b := w.balancer()
 	b.send("%s", frame(1, "a1", "x", untold))
 	w.processor.wants("begin", "a1")
@@ -306,7 +306,7 @@
 }
 
 func TestRepeatsShareAnAnswer(t *testing.T) {
-	w := build(t, func(s *life.Start) { s.Site.ReuseFor, s.Site.KeyMemory = 60, 1 })
+	w := build(t, func(s *life.Start) { s.Site.ResultCacheTTL, s.Site.KeyMemory = 60, 1 })
 	b := w.balancer()
 	b.send("%s", frame(1, "a1", "x", about("k")))
 	w.processor.wants("begin", "a1")
@@ -322,11 +322,11 @@
 
 func TestASecondNoticeChangesNothing(t *testing.T) {
 	s := New(&life.Start{Stop: 5}, nil)
-	s.module = choice.New(1, choice.Site{})
+	s.module = choice.New(1, choice.Settings{})
 	s.leave(s.now())
 	killAt := s.killAt
 	s.leave(s.now() + 1)
-	if len(s.events) != 1 || s.events[0].Kind != choice.Drain || s.killAt != killAt {
+	if len(s.events) != 1 || s.events[0].Kind != choice.DrainStarted || s.killAt != killAt {
 		t.Errorf("%+v, kill at %g, then %g", s.events, killAt, s.killAt)
 	}
 }
@@ -335,7 +335,7 @@
 	watch.To(io.Discard)
 	s := New(&life.Start{Addresses: life.Addresses{Roster: "127.0.0.9:1"}}, nil)
 	s.loop = stillLoop{}
-	s.module = choice.New(1, choice.Site{})
+	s.module = choice.New(1, choice.Settings{})
 	s.roster.conn = broken{}
 	reports := func() int { return bytes.Count(bytes.Join(s.roster.out.Parts(), nil), []byte("PUT ")) }
 	s.setWell(true)
--- a/internal/serve/standing.go
+++ b/internal/serve/standing.go
@@ -80,7 +80,7 @@
 		if t.Answered || t.Begun {
 			continue
 		}
-		s.happens(choice.Event{Kind: choice.Gone, ID: t.ID}) // the module drops it, as nobody waits for it any more
+		s.happens(choice.Event{Kind: choice.ClientGone, RequestID: t.ID}) // the module drops it, as nobody waits for it any more
 		s.reject(t, s.awayFor(), false)
 	}
 }
@@ -88,7 +88,7 @@
 // awayLeast is when to come back to a server that may not act: it asks for its standing a few times a second.
 const awayLeast = 1.0
 
-func (s *Server) awayFor() float64 { return min(awayLeast, s.start.Site.AdviceMax) }
+func (s *Server) awayFor() float64 { return min(awayLeast, s.start.Site.MaxRetryAfter) }
 
 // sendAway rejects a task that came while the server may not act: it never ran.
 func (p *peer) sendAway(number uint64, now float64) {
--- a/internal/serve/standing_test.go
+++ b/internal/serve/standing_test.go
@@ -85,7 +85,7 @@
 }
 
 func TestAServerThatMayNotActFinishesWhatRunsAndRejectsTheRest(t *testing.T) {
-	w := build(t, func(s *life.Start) { s.Site.AdviceMax = 5 })
+	w := build(t, func(s *life.Start) { s.Site.MaxRetryAfter = 5 })
 	const tasks = 20 // more than two cores take at once
 	begun, finish := make(chan string, tasks+1), make(chan struct{})
 	w.work(begun, finish)
--- a/internal/standin/processor/processor.go
+++ b/internal/standin/processor/processor.go
@@ -232,7 +232,7 @@
 				if p.runs[r.id] == r && r.asked == asked {
 					p.end(r)
 					p.notify(func(b []byte, serial int64) []byte {
-						return processor.PutEnded(b, serial, r.id, choice.Stopped, time.Since(r.began).Seconds(), nil)
+						return processor.PutEnded(b, serial, r.id, choice.Cancelled, time.Since(r.began).Seconds(), nil)
 					})
 				}
 			})
--- a/internal/wire/catalogue/catalogue.go
+++ b/internal/wire/catalogue/catalogue.go
@@ -25,8 +25,8 @@
 }
 
 // What each word proves: only the first two of the others say that the call never ran.
-var ends = map[string]choice.Outcome{"DATA": choice.Finished, "LATER": choice.Bounced, "NOUSE": choice.Bounced,
-	"FAULT": choice.Errored, "TOOSLOW": choice.TimedOut}
+var ends = map[string]choice.Outcome{"DATA": choice.Finished, "LATER": choice.Rejected, "NOUSE": choice.Rejected,
+	"FAULT": choice.Failed, "TOOSLOW": choice.TimedOut}
 
 // Next reads the reply at the start of b and tells how long it is: 0 while it is not whole.
 func Next(b []byte) (r Reply, n int, err error) {
--- a/internal/wire/catalogue/catalogue_test.go
+++ b/internal/wire/catalogue/catalogue_test.go
@@ -20,9 +20,9 @@
 	for text, want := range map[string]Reply{
 		"a DATA 4\r\n\r\nxy\r\n": {"a", choice.Finished, []byte("\r\nxy")},
 		"a DATA 0\r\n\r\n":       {"a", choice.Finished, []byte{}},
-		"a LATER\r\n":            {"a", choice.Bounced, nil},
-		"a NOUSE\r\n":            {"a", choice.Bounced, nil},
-		"a FAULT\r\n":            {"a", choice.Errored, nil},
+		"a LATER\r\n":            {"a", choice.Rejected, nil},
+		"a NOUSE\r\n":            {"a", choice.Rejected, nil},
+		"a FAULT\r\n":            {"a", choice.Failed, nil},
 		"a TOOSLOW\r\n":          {"a", choice.TimedOut, nil},
 	} {
 		for cut := range text {
--- a/internal/wire/catalogue/far.go
+++ b/internal/wire/catalogue/far.go
@@ -61,7 +61,7 @@
 	case choice.Finished:
 		b = strconv.AppendInt(append(b, "DATA "...), int64(len(body)), 10)
 		b = append(append(b, "\r\n"...), body...)
-	case choice.Bounced:
+	case choice.Rejected:
 		b = append(b, "LATER"...)
 	case choice.TimedOut:
 		b = append(b, "TOOSLOW"...)
--- a/internal/wire/processor/far_test.go
+++ b/internal/wire/processor/far_test.go
@@ -37,8 +37,8 @@
 	}{
 		{PutUp(nil, true, 0.5), Notice{Kind: Up, Cold: true, Word: "fresh", Took: 0.5}},
 		{PutEnded(nil, 4, "a1", choice.Finished, 0.25, []byte("r")), Notice{Kind: Ended, Number: 4, ID: "a1", Word: "done", Took: 0.25, Body: []byte("r")}},
-		{PutEnded(nil, 5, "a1", choice.Stopped, 0, nil), Notice{Kind: Ended, Number: 5, ID: "a1", Word: "aborted", Outcome: choice.Stopped, Body: []byte{}}},
-		{PutEnded(nil, 5, "a1", choice.Errored, 0, nil), Notice{Kind: Ended, Number: 5, ID: "a1", Word: "crashed", Outcome: choice.Errored, Body: []byte{}}},
+		{PutEnded(nil, 5, "a1", choice.Cancelled, 0, nil), Notice{Kind: Ended, Number: 5, ID: "a1", Word: "aborted", Outcome: choice.Cancelled, Body: []byte{}}},
+		{PutEnded(nil, 5, "a1", choice.Failed, 0, nil), Notice{Kind: Ended, Number: 5, ID: "a1", Word: "crashed", Outcome: choice.Failed, Body: []byte{}}},
 		{PutParked(nil, 6, "a1", []byte("c")), Notice{Kind: Parked, Number: 6, ID: "a1", Body: []byte("c")}},
 		{PutMeasured(nil, "t", []float64{0.5, 3}), Notice{Kind: Measured, Tag: "t", Gauges: []float64{0.5, 3}}},
 		{PutRejection(nil, Begin, "a1"), Notice{Kind: Rejection, ID: "a1", Word: "begin"}},
--- a/internal/wire/processor/processor.go
+++ b/internal/wire/processor/processor.go
@@ -32,8 +32,8 @@
 var kinds = map[string]Kind{"hi": Up, "complete": Ended, "ask": Parked, "used": Measured, "reject": Rejection,
 	"remark": Remark}
 
-var ends = map[string]choice.Outcome{"done": choice.Finished, "crashed": choice.Errored,
-	"aborted": choice.Stopped, "stale": choice.NeverStarted}
+var ends = map[string]choice.Outcome{"done": choice.Finished, "crashed": choice.Failed,
+	"aborted": choice.Cancelled, "stale": choice.NeverStarted}
 
 // Notice is one line from the processor.
 type Notice struct {
@@ -74,7 +74,7 @@
 	case Ended:
 		var known bool
 		if n.Outcome, known = ends[n.Word]; !known {
-			n.Outcome = choice.Errored // a word not known yet proves nothing, as an error does
+			n.Outcome = choice.Failed // a word not known yet proves nothing, as an error does
 		}
 	case Measured:
 		r.gauges = r.gauges[:0]
--- a/internal/wire/shale/wire.go
+++ b/internal/wire/shale/wire.go
@@ -106,8 +106,8 @@
 }
 
 var outcomes = map[string]choice.Outcome{
-	"ok": choice.Finished, "error": choice.Errored, "full": choice.Bounced, "timeout": choice.TimedOut,
-	"connect_failed": choice.Unreachable, "reset": choice.Cut, "cancelled": choice.Stopped,
+	"ok": choice.Finished, "error": choice.Failed, "full": choice.Rejected, "timeout": choice.TimedOut,
+	"connect_failed": choice.Unreachable, "reset": choice.Disconnected, "cancelled": choice.Cancelled,
 	"moot": choice.NeverStarted,
 }
 
@@ -116,7 +116,7 @@
 	if text(f, 0) == "" || text(f, 1) == "" {
 		return errors.New("lacks a name or an instance")
 	}
-	e := Event{Who: text(f, 1), Event: choice.Event{ID: text(f, 2)}}
+	e := Event{Who: text(f, 1), Event: choice.Event{RequestID: text(f, 2)}}
 	switch name := text(f, 0); name {
 	case "BORN":
 		if len(f) < 4 {
@@ -132,33 +132,33 @@
 		e.Change = Wiped
 	case "REQ":
 		bits := int(number(f, 3))
-		e.Event.Kind = choice.Read
-		e.Event.Task = choice.Task{Memory: number(f, 4), Age: number(f, 5) / 1000, Hint: number(f, 6) / 1000,
-			Stage: int(number(f, 7)), Marked: text(f, 8) != "", Caller: int(number(f, 9)),
-			Wait: number(f, 10) / 1000, Rank: number(f, 11), Tenant: int(number(f, 12)), Earlier: text(f, 13),
-			Again: bits&2 != 0, Write: bits&4 != 0}
+		e.Event.Kind = choice.Arrived
+		e.Event.Request = choice.Request{Memory: number(f, 4), Age: number(f, 5) / 1000, ExpectedWork: number(f, 6) / 1000,
+			Class: int(number(f, 7)), HasSubject: text(f, 8) != "", Client: int(number(f, 9)),
+			RemainingBudget: number(f, 10) / 1000, Priority: number(f, 11), Tenant: int(number(f, 12)), DuplicateOf: text(f, 13),
+			Retry: bits&2 != 0, Write: bits&4 != 0}
 		if bits&1 == 0 {
-			e.Event.Task.Hint = 0
+			e.Event.Request.ExpectedWork = 0
 		}
 	case "RUN_OVER", "CALL_ENDED":
-		e.Event.Kind = choice.Ended
+		e.Event.Kind = choice.RunEnded
 		if name == "CALL_ENDED" {
-			e.Event.Kind = choice.CallDone
+			e.Event.Kind = choice.CallReturned
 		}
 		outcome, ok := outcomes[text(f, 3)]
 		if !ok {
-			outcome = choice.Errored // a word not known yet proves nothing, as an error does
+			outcome = choice.Failed // a word not known yet proves nothing, as an error does
 		}
-		e.Event.Outcome, e.Event.Took = outcome, number(f, 4)/1000
+		e.Event.Outcome, e.Event.Duration = outcome, number(f, 4)/1000
 	case "AT_CALL":
-		e.Event.Kind = choice.Parked
+		e.Event.Kind = choice.AwaitingDownstream
 	case "ABANDONED":
-		e.Event.Kind = choice.Gone
+		e.Event.Kind = choice.ClientGone
 	case "DRAIN":
-		e.Event.Kind, e.Event.ID, e.Event.Took = choice.Drain, "", number(f, 2)/1000
+		e.Event.Kind, e.Event.RequestID, e.Event.Duration = choice.DrainStarted, "", number(f, 2)/1000
 	case "DEADLINE_HIT":
-		e.Event.Kind, e.Event.Label, e.Event.ID = choice.Timer, text(f, 2), ""
-		e.Event.Gauges = choice.Gauges{Busy: -1, Runnable: -1, Memory: -1, Conns: -1}
+		e.Event.Kind, e.Event.Label, e.Event.RequestID = choice.TimerFired, text(f, 2), ""
+		e.Event.Gauges = choice.Gauges{Utilization: -1, Runnable: -1, Memory: -1, Connections: -1}
 		r.readGauges(&e, f)
 	default:
 		return nil
@@ -183,13 +183,13 @@
 func SetGauge(g *choice.Gauges, name string, value float64) {
 	switch name {
 	case "cpu_busy":
-		g.Busy = value
+		g.Utilization = value
 	case "runnable":
 		g.Runnable = value
 	case "mem_used":
 		g.Memory = value
 	case "sockets":
-		g.Conns = value
+		g.Connections = value
 	}
 }
 
@@ -220,10 +220,10 @@
 }
 
 var names = map[choice.ActionKind]string{
-	choice.Start: "BEGIN", choice.TakeOff: "TAKE_OFF", choice.Reject: "BUSY", choice.Abandon: "LOSE",
-	choice.Call: "INVOKE", choice.Skip: "DEGRADE", choice.Keep: "PIN", choice.Forget: "EVICT",
-	choice.Reuse: "REUSE", choice.Health: "STATUS", choice.SetFree: "HINT_OUT", choice.Idle: "REAP_AFTER",
-	choice.SetTimer: "SCHEDULE", choice.Note: "LOG",
+	choice.StartRun: "BEGIN", choice.CancelRun: "TAKE_OFF", choice.Reject: "BUSY", choice.Fail: "LOSE",
+	choice.DispatchCall: "INVOKE", choice.Degrade: "DEGRADE", choice.StoreKey: "PIN", choice.DeleteKey: "EVICT",
+	choice.ReuseResult: "REUSE", choice.SetHealth: "STATUS", choice.ReportLoad: "HINT_OUT", choice.SetIdleTimeout: "REAP_AFTER",
+	choice.SetTimer: "SCHEDULE", choice.LogLine: "LOG",
 }
 
 // Add adds an instance's actions to the reply.
@@ -231,24 +231,24 @@
 	for i := range actions {
 		a := &actions[i]
 		w.open(names[a.Kind], who)
-		if a.ID != "" {
-			w.text(a.ID)
+		if a.RequestID != "" {
+			w.text(a.RequestID)
 		}
 		switch a.Kind {
 		case choice.Reject:
-			w.millis(a.For)
+			w.millis(a.Duration)
 			w.flag(a.Flag)
-		case choice.Call, choice.Keep, choice.Idle:
-			w.millis(a.For)
+		case choice.DispatchCall, choice.StoreKey, choice.SetIdleTimeout:
+			w.millis(a.Duration)
 		case choice.SetTimer:
-			w.millis(a.For)
+			w.millis(a.Duration)
 			w.text(a.Label)
-		case choice.Note:
+		case choice.LogLine:
 			w.text(a.Label)
-		case choice.Health:
+		case choice.SetHealth:
 			w.flag(a.Flag)
 			w.flag(true)
-		case choice.SetFree:
+		case choice.ReportLoad:
 			w.buf = strconv.AppendFloat(append(w.buf, ','), a.Value, 'f', -1, 64)
 		}
 		w.buf = append(w.buf, ']')
