--- a/choice/cases_test.go
+++ b/choice/cases_test.go
@@ -333,7 +333,7 @@
 		{SoftDeadline: 2, Timeout: 4, Value: 1, CallsDownstream: true}, {SoftDeadline: 2, Timeout: 4, Value: 1, CallsDownstream: true, DegradedValue: 0.5}}})
 	for _, s := range []*Controller{p.a, p.b} {
 		for range 8 {
-			s.call.log.At(p.now).Add(0.5)
+			s.call.log.Current(p.now).Add(0.5)
 		}
 	}
 	p.till(t, p.now+0.2)
@@ -357,9 +357,9 @@
 	p = warm(t, Settings{Cores: 6, Downstream: SharedDependency, CallLimit: 1, Classes: []Class{
 		{SoftDeadline: 30, Timeout: 40, Value: 1, CallsDownstream: true}, {SoftDeadline: 20, Timeout: 40, Value: 1, CallsDownstream: true, DegradedValue: 0.5}}})
 	for _, s := range []*Controller{p.a, p.b} {
-		s.call.lowest.Take(p.now, 0.1)
+		s.call.lowest.Observe(p.now, 0.1)
 		for range 8 {
-			s.call.log.At(p.now).Add(0.5)
+			s.call.log.Current(p.now).Add(0.5)
 		}
 	}
 	p.till(t, p.now+0.2)
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -88,7 +88,7 @@
 		s.bookCalls()
 		if t.of != nil && t.state == held { // what was not run, or is another's answer, took nothing
 			if r.next != running {
-				t.of.Give()
+				t.of.Refund()
 			}
 			t.of = nil
 		}
@@ -150,25 +150,25 @@
 // tenant is what one of those who share the service may have done here; bound tells that it is a part of a
 // budget that holds for all servers together, so that what is over it may not run at all.
 type tenant struct {
-	ring.Allowance
+	ring.TokenBucket
 	bound bool
 }
 
 // learned is what the last seconds taught of runs or calls, and the lowest of that in the last 30 s.
 type learned struct {
-	log    *ring.Ring[ring.Spread]
-	lowest ring.Lowest
-	all    ring.Spread
+	log    *ring.Buckets[ring.Histogram]
+	lowest ring.Minimum
+	all    ring.Histogram
 	mean   float64
 }
 
 func newLearned(now, lasts float64) learned {
-	return learned{log: ring.New[ring.Spread](8, lasts/8, now), lowest: ring.NewLowest(6, 5, now)}
+	return learned{log: ring.New[ring.Histogram](8, lasts/8, now), lowest: ring.NewMinimum(6, 5, now)}
 }
 
 func (l *learned) refresh(now float64) {
-	l.all = ring.Spread{}
-	l.log.All(now, l.all.Merge)
+	l.all = ring.Histogram{}
+	l.log.ForEach(now, l.all.Merge)
 	l.mean = l.all.Mean(l.mean)
 }
 
@@ -202,7 +202,7 @@
 	tenants                         []tenant
 	tasks                           []*task // in order of reading
 	byID                            map[string]*task
-	keys, lingering                 ring.Expiring // entries kept; given-up calls still held below
+	keys, lingering                 ring.ExpiringNames // entries kept; given-up calls still held below
 	born, drainAt, killAt           float64
 	tickAt, armed                   float64 // armed is when the earliest timer goes off
 	lastEnd, lastTimely, typical    float64 // when work last got on, and paid; the longest mean run
@@ -252,7 +252,7 @@
 		rate := 1.5 * tn.Rate / max(1, float64(site.Servers))
 		// Two seconds of it may come at once, and six tasks however few they are: one whose tasks come by
 		// chance and that keeps to its share is over such a one for 1% of them.
-		s.tenants = append(s.tenants, tenant{Allowance: ring.NewAllowance(rate, max(6, 2*rate))})
+		s.tenants = append(s.tenants, tenant{TokenBucket: ring.NewTokenBucket(rate, max(6, 2*rate))})
 	}
 	return s
 }
@@ -278,8 +278,8 @@
 		s.see(&events[i])
 	}
 	s.bookCalls()
-	s.keys.Drop(now)
-	s.lingering.Drop(now)
+	s.keys.Expire(now)
+	s.lingering.Expire(now)
 	if now >= s.tickAt-1e-4 {
 		s.tick()
 	}
@@ -416,7 +416,7 @@
 	s.step(t, on)
 	// A quick error or a run cut short would teach too low a floor; one cut after the floor is a bound.
 	if t.ran && t.state == over && (e.Outcome == Finished || t.own > t.stage.floor) {
-		t.stage.log.At(s.now).Add(t.own)
+		t.stage.log.Current(s.now).Add(t.own)
 		t.stage.calls += 0.05 * (float64(t.calls) - t.stage.calls) // the last 20 tell
 	}
 	if e.Outcome == Finished && was != answered && s.now <= t.goal {
@@ -428,13 +428,13 @@
 // refresh works out a stage's floor and means anew.
 func (s *Controller) refresh(st *stage) {
 	st.learned.refresh(s.now)
-	if st.all.N >= 4 { // fewer say little of a median
+	if st.all.Count >= 4 { // fewer say little of a median
 		st.floor = st.all.Median()
-		st.lowest.Take(s.now, st.floor)
+		st.lowest.Observe(s.now, st.floor)
 	} else if !s.halted {
 		// Few ends: back towards the lowest of 30 s, in about 2 s. Not while work is halted: there
 		// are no ends then because none can end, and a lower floor would let in what cannot either.
-		st.floor += 0.05 * min(st.lowest.Min(s.now)-st.floor, 0)
+		st.floor += 0.05 * min(st.lowest.Value(s.now)-st.floor, 0)
 	}
 	// Exception for thin waits, which pass the floor and yet run out at calls or in long runs: as far as one
 	// run in three ends in vain, the time at calls and a second run must be left too, unless cores are free.
@@ -449,10 +449,10 @@
 	case a.Tenant < len(s.tenants):
 		of := &s.tenants[a.Tenant]
 		if !of.bound { // what its own guess saved up is not of the budget
-			of.Allowance = ring.NewAllowance(0, 0)
+			of.TokenBucket = ring.NewTokenBucket(0, 0)
 		}
 		of.bound = true
-		of.Set(s.now, a.Limit, max(min(1, math.Ceil(a.Limit)), a.BurstDuration*a.Limit)) // of none, none is saved up
+		of.SetRate(s.now, a.Limit, max(min(1, math.Ceil(a.Limit)), a.BurstDuration*a.Limit)) // of none, none is saved up
 	}
 }
 
@@ -676,14 +676,14 @@
 
 func (s *Controller) callDone(t *task, e *Event) {
 	s.lastEnd = s.now
-	b := s.call.log.At(s.now)
+	b := s.call.log.Current(s.now)
 	if e.Outcome == Finished {
 		b.Add(e.Duration)
 		t.calls++
 		s.step(t, back)
 		return
 	}
-	b.Lost++
+	b.Untimed++
 	if e.Outcome == TimedOut {
 		s.linger(t)
 	}
@@ -696,12 +696,12 @@
 // learnCalls learns how long calls take and how many may be out.
 func (s *Controller) learnCalls() {
 	s.call.refresh(s.now)
-	if s.call.all.N >= 4 {
-		s.call.lowest.Take(s.now, s.call.mean)
+	if s.call.all.Count >= 4 {
+		s.call.lowest.Observe(s.now, s.call.mean)
 	}
 	// Halved in 1.4 s while calls are slow or one in four is lost; doubled as fast while all are in use.
 	switch {
-	case s.slow() || 3*s.call.all.Lost > s.call.all.N+3:
+	case s.slow() || 3*s.call.all.Untimed > s.call.all.Count+3:
 		s.callCap *= 0.95
 	case s.n(atCall) > 0:
 		s.callCap *= 1.05
@@ -710,7 +710,7 @@
 }
 
 // slow tells that calls take twice what they lately took at best.
-func (s *Controller) slow() bool { return s.call.mean > 2*s.call.lowest.Min(s.now) }
+func (s *Controller) slow() bool { return s.call.mean > 2*s.call.lowest.Value(s.now) }
 
 const slush = 0.01 // the design's upper value: answers still have to be written and sent
 
@@ -812,7 +812,7 @@
 // calls where twice that is left and it may go again: a server there that died unseen would hold it for all.
 func (s *Controller) invoke(t *task) {
 	lasts, first := min(t.dueAt-s.now-slush, s.maxCallTime), 4*s.call.mean
-	if s.tier && t.stage.Idempotency == Idempotent && s.call.all.N >= 20 && !s.slow() && lasts > 2*first {
+	if s.tier && t.stage.Idempotency == Idempotent && s.call.all.Count >= 20 && !s.slow() && lasts > 2*first {
 		lasts = first
 	}
 	s.act(Action{Kind: DispatchCall, RequestID: t.id, Duration: lasts})
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -46,7 +46,7 @@
 				delete(servers, e.Who)
 				continue
 			case shale.Born:
-				s := &instance{server: choice.New(e.Seed, life.Site(e.Told))}
+				s := &instance{server: choice.New(e.Seed, life.AdmissionSettings(e.Told))}
 				servers[e.Who] = s
 				s.events = append(s.events, choice.Event{Kind: choice.Started})
 				order = append(order, e.Who)
--- a/cmd/swiftcourse-fleet/budgets.go
+++ b/cmd/swiftcourse-fleet/budgets.go
@@ -24,7 +24,7 @@
 )
 
 // termsOf reads the budgets of a file; none where budget-servers is not there.
-func termsOf(conf *life.Conf, start *life.Start) (budget.Config, error) {
+func termsOf(conf *life.OperatorSettings, start *life.Startup) (budget.Config, error) {
 	t := budget.Config{LeaseSeconds: conf.FleetLease.Seconds(), FloorFraction: float64(conf.BudgetFloor), MaxServers: conf.BudgetServers}
 	if conf.BudgetServers == 0 {
 		if len(conf.Budgets) > 0 {
@@ -33,7 +33,7 @@
 		return t, nil
 	}
 	longest := 0.0
-	for _, stage := range start.Site.Classes {
+	for _, stage := range start.Settings.Classes {
 		longest = max(longest, stage.Timeout)
 	}
 	for _, text := range conf.Budgets {
@@ -44,7 +44,7 @@
 		}
 		b := budget.Limit{Name: name, Max: most}
 		if name == calls { // a call ends with its task, and lingers below for as long as the platform says
-			b.Concurrent, b.LingerSeconds = true, longest+start.Site.AbandonedCallLifetime
+			b.Concurrent, b.LingerSeconds = true, longest+start.Settings.AbandonedCallLifetime
 		}
 		t.Limits = append(t.Limits, b)
 	}
@@ -55,7 +55,7 @@
 }
 
 // budgets is what the fleet's part needs to know of them, nil where none are shared.
-func (p *parts) budgets(start *life.Start, clock *peers.Clock) (*peers.Budgets, error) {
+func (p *parts) budgets(start *life.Startup, clock *peers.Clock) (*peers.Budgets, error) {
 	terms, err := termsOf(p.own, start)
 	if err != nil || p.own.BudgetServers == 0 {
 		return nil, err
@@ -72,7 +72,7 @@
 			for _, a := range list {
 				tenant := -1
 				if a.Name != calls {
-					at, known := start.Tenants[strings.TrimPrefix(a.Name, tenantBudget)]
+					at, known := start.TenantIndex[strings.TrimPrefix(a.Name, tenantBudget)]
 					if !known { // this server has no tasks of that tenant
 						continue
 					}
--- a/cmd/swiftcourse-fleet/command.go
+++ b/cmd/swiftcourse-fleet/command.go
@@ -135,10 +135,10 @@
 	if err != nil {
 		return err
 	}
-	if _, err := life.Defaults().With(o.Release.File, string(text)); err != nil {
+	if _, err := life.DefaultOperatorSettings().WithRelease(o.Release.File, string(text)); err != nil {
 		return err
 	}
-	c := version.Command{Kind: version.KindRelease, Author: author, Text: life.Canonical(string(text)), Build: o.Release.Build}
+	c := version.Command{Kind: version.KindRelease, Author: author, Text: life.CanonicalText(string(text)), Build: o.Release.Build}
 	c.Digest = version.Digest(c.Text, c.Build)
 	for _, w := range o.Release.Waves {
 		part, err := strconv.ParseFloat(strings.TrimSuffix(w, "%"), 64)
--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -23,7 +23,7 @@
 // This file is the two-level fleet's part of the wiring: a forwarder's workers, and a planner.
 
 // Forward has a server pass its tasks on to the workers that the operator's file names.
-func (p *parts) Forward(start *life.Start, own *life.Conf, server *serve.Server) error {
+func (p *parts) Forward(start *life.Startup, own *life.OperatorSettings, server *serve.Server) error {
 	if len(own.ForwardTo) == 0 {
 		return errors.New("forward-to: names no workers")
 	}
@@ -35,11 +35,11 @@
 		}
 		workers = append(workers, forward.Worker{Name: name, Addr: addr})
 	}
-	if start.Site.Cores *= len(workers); own.ForwardSlots > 0 {
-		start.Site.Cores = own.ForwardSlots
+	if start.Settings.Cores *= len(workers); own.ForwardSlots > 0 {
+		start.Settings.Cores = own.ForwardSlots
 	}
-	p.dispatcher = forward.Start(forward.Shape{Workers: workers, Stages: start.Site.Classes, Seed: forward.SeedOf(start.Name, start.Seed),
-		ColdFrom: start.Site.SlowStartSpeed, ColdFor: start.WorkersColdFor, Now: server.Now,
+	p.dispatcher = forward.Start(forward.Shape{Workers: workers, Stages: start.Settings.Classes, Seed: forward.SeedOf(start.Name, start.Seed),
+		ColdFrom: start.Settings.SlowStartSpeed, ColdFor: start.WorkerSlowStartDuration, Now: server.Now,
 		Return: func(list []forward.Back) {
 			backs := make([]serve.Back, len(list))
 			for i, b := range list {
@@ -48,12 +48,12 @@
 			server.Return(backs)
 		}, Linked: server.Reachable})
 	server.Forward(func(out serve.Out) bool { return p.dispatcher.Begin(forward.Out(out)) }, p.dispatcher.Quit)
-	slog.Info("forwarder", "workers", len(workers), "slots", start.Site.Cores)
+	slog.Info("forwarder", "workers", len(workers), "slots", start.Settings.Cores)
 	return nil
 }
 
 // plans is a forwarder's part in plans, nil for who forwards nothing.
-func (p *parts) plans(start *life.Start, clock *peers.Clock) *peers.Plans {
+func (p *parts) plans(start *life.Startup, clock *peers.Clock) *peers.Plans {
 	if p.dispatcher == nil {
 		return nil
 	}
@@ -78,9 +78,9 @@
 
 // rates is what a plan lets in of each tenant. Once it is over all may come in again, hence a floor without bound and a part that takes it away until
 // then: what workers can't do they turn away themselves.
-func rates(part *plan.Part, start *life.Start, till float64) (list []stance.Allowance) {
+func rates(part *plan.Part, start *life.Startup, till float64) (list []stance.Allowance) {
 	for _, d := range part.Rates {
-		if at, known := start.Tenants[d.Tenant]; known {
+		if at, known := start.TenantIndex[d.Tenant]; known {
 			list = append(list, stance.Allowance{Name: "plan/" + d.Tenant, Tenant: at, FleetMax: math.MaxInt32, Guaranteed: math.MaxInt32, LeasedShare: d.Rate - math.MaxInt32, LeaseExpiry: till,
 				BurstSeconds: budget.BurstSeconds})
 		}
@@ -89,7 +89,7 @@
 }
 
 // Plan is a planner: a voter of the fleet that serves nothing.
-func (p *parts) Plan(name string, own *life.Conf, signals life.Signals) error {
+func (p *parts) Plan(name string, own *life.OperatorSettings, signals life.Signals) error {
 	if !own.Fleet {
 		return errors.New("fleet: a planner needs it on")
 	}
@@ -110,7 +110,7 @@
 	f, err := peers.Start(peers.Plan{Name: name, Listen: own.FleetListen, Voters: voters, Join: own.FleetJoin, Terms: memberTerms(own), Rollout: rollout(own),
 		Silent: stance.ModeNormal, Plans: &peers.Plans{Makes: true}, Counts: own.Counts, Seed: from.UnixNano(), Build: build(), Now: clock.Now, Unix: clock.Unix, Via: via,
 		Apply: func(text string) error {
-			_, err := own.With("released", text)
+			_, err := own.WithRelease("released", text)
 			return err
 		},
 		Publish: func(*stance.Directive) {}})
@@ -124,7 +124,7 @@
 	}
 	slog.Info("fleet", "name", name, "listen", own.FleetListen, "control", own.FleetControl, "voters", len(voters), "build", build(), "plans", true)
 	done := make(chan struct{})
-	signals.Follow(func() { close(done) }, func() {}, func() {})
+	signals.Handle(func() { close(done) }, func() {}, func() {})
 	<-done
 	f.Stop()
 	return nil
--- a/cmd/swiftcourse-fleet/main.go
+++ b/cmd/swiftcourse-fleet/main.go
@@ -33,10 +33,10 @@
 // parts are the fleet's parts of this process.
 type parts struct {
 	mu       sync.Mutex // own and released change by an operator's signal and by a release
-	own      *life.Conf
+	own      *life.OperatorSettings
 	released string
 	server   *serve.Server
-	start    *life.Start
+	start    *life.Startup
 	terms    budget.Config // of the budgets that all share, as own and released say
 
 	parted []stance.Allowance // parts of budgets
@@ -62,7 +62,7 @@
 }
 
 // Start begins the fleet's part.
-func (p *parts) Start(start *life.Start, own *life.Conf, server *serve.Server) error {
+func (p *parts) Start(start *life.Startup, own *life.OperatorSettings, server *serve.Server) error {
 	p.own, p.server, p.start, p.held.Most = own, server, start, math.Inf(1)
 	// One more than Fit gives: a message from a peer must not wait for the loop's turn, nor a turn for it.
 	runtime.GOMAXPROCS(runtime.GOMAXPROCS(0) + 1)
@@ -143,7 +143,7 @@
 }
 
 // votersOf are the voters that the operator's file of a process names, and where they listen.
-func votersOf(name string, own *life.Conf) (map[string]string, error) {
+func votersOf(name string, own *life.OperatorSettings) (map[string]string, error) {
 	voters := map[string]string{}
 	for _, v := range own.FleetVoters {
 		voter, addr, ok := strings.Cut(v, "=")
@@ -158,16 +158,16 @@
 	return voters, nil
 }
 
-func memberTerms(own *life.Conf) member.Config {
+func memberTerms(own *life.OperatorSettings) member.Config {
 	return member.Config{Duration: own.FleetLease.Seconds(), CatchUpTimeout: own.FleetBehind.Seconds(), MaxUnavailable: float64(own.FleetMostOut), ForgetAfter: own.FleetForget.Seconds()}
 }
 
-func rollout(own *life.Conf) version.RolloutPolicy {
+func rollout(own *life.OperatorSettings) version.RolloutPolicy {
 	return version.RolloutPolicy{WaveSeconds: own.FleetWave.Seconds(), HaltConfidence: float64(own.FleetHalt)}
 }
 
 // copies is what the operator's file says of the state that several servers keep, nil where it says nothing.
-func copies(start *life.Start, own *life.Conf, server *serve.Server) (*peers.Copies, error) {
+func copies(start *life.Startup, own *life.OperatorSettings, server *serve.Server) (*peers.Copies, error) {
 	if len(own.ReplicaHolders) == 0 {
 		if len(own.ReplicaKeyed) > 0 {
 			return nil, errors.New("replica-keyed: needs replica-holders")
@@ -190,11 +190,11 @@
 		terms.Members = append(terms.Members, m)
 	}
 	for _, name := range own.ReplicaKeyed {
-		i := slices.Index(start.StageNames, name)
+		i := slices.Index(start.ClassNames, name)
 		if i < 0 {
 			return nil, fmt.Errorf("replica-keyed: there is no stage %q", name)
 		}
-		terms.MaxClaimDuration = max(terms.MaxClaimDuration, start.Site.Classes[i].Timeout)
+		terms.MaxClaimDuration = max(terms.MaxClaimDuration, start.Settings.Classes[i].Timeout)
 	}
 	terms.MaxClaimDuration = max(terms.MaxClaimDuration, 1) // a holder that serves no such stage itself must be told the same: see docs/replication.md
 	place, err := replica.NewPlacement(terms)
@@ -208,7 +208,7 @@
 func (p *parts) apply(text string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	conf, err := p.own.With("released", text)
+	conf, err := p.own.WithRelease("released", text)
 	if err != nil {
 		return err
 	}
@@ -227,10 +227,10 @@
 }
 
 // Reread takes this server's own file again, under what is released.
-func (p *parts) Reread(own *life.Conf) {
+func (p *parts) Reread(own *life.OperatorSettings) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	conf, err := own.With("released", p.released)
+	conf, err := own.WithRelease("released", p.released)
 	if err == nil {
 		err = p.server.Act(conf)
 	}
--- a/internal/judge/door/guard.go
+++ b/internal/judge/door/guard.go
@@ -76,12 +76,12 @@
 	busyStrangers       int    // of these, those with a task open whose address is not known
 	turns               uint32 // chance drawn so far
 	turned              [causeCount]int
-	changed             bool        // who is known, since KnownClients
-	told                int         // places, as the rules say; Most are fewer after a squeeze
-	easedAt             float64     // when the last place was given back
-	costs               ring.Lowest // seconds of a core that an arrival took
-	arrivals            int         // since cost was told last
-	spent               float64     // of a core, when it was
+	changed             bool         // who is known, since KnownClients
+	told                int          // places, as the rules say; Most are fewer after a squeeze
+	easedAt             float64      // when the last place was given back
+	costs               ring.Minimum // seconds of a core that an arrival took
+	arrivals            int          // since cost was told last
+	spent               float64      // of a core, when it was
 }
 
 // NewGuarded makes a door that goes by rules.
@@ -89,7 +89,7 @@
 	d := New(idle)
 	places := rules.Most + 4*rules.Lobby + 64 // those known may overflow the lobby for a moment
 	d.guard = &guard{Rules: rules, told: rules.Most, addresses: newBook(places, rules.Remember), prefixes: newBook(places, rules.Remember),
-		costs: ring.NewLowest(costBuckets, costFor, 0)}
+		costs: ring.NewMinimum(costBuckets, costFor, 0)}
 	return d
 }
 
@@ -536,7 +536,7 @@
 // spent on each of some in a row, with all that was done beside. In a storm hardly anything else is.
 func (d *Door) Spent(spent, now float64) {
 	if g := d.guard; g.arrivals >= costOf {
-		g.costs.Take(now, max(1e-6, (spent-g.spent)/float64(g.arrivals)))
+		g.costs.Observe(now, max(1e-6, (spent-g.spent)/float64(g.arrivals)))
 		g.arrivals, g.spent = 0, spent
 	} else if g.arrivals == 0 {
 		g.spent = spent
@@ -546,7 +546,7 @@
 // Pace is how many arrivals a second may be accepted: what the told share of a core does, at what an arrival costs.
 func (d *Door) Pace(now float64) float64 {
 	cost := firstCost
-	if least := d.costs.Min(now); least > 0 {
+	if least := d.costs.Value(now); least > 0 {
 		cost = min(cost, least)
 	}
 	return d.Share / cost
--- a/internal/judge/replica/asker.go
+++ b/internal/judge/replica/asker.go
@@ -123,7 +123,7 @@
 	reportsByClaim  map[state.ClaimID]*report
 	claimOrder      []*claim // in the order in which they began, so that a schedule repeats itself
 	reports         []*report
-	latencies       *ring.Ring[ring.Spread]
+	latencies       *ring.Buckets[ring.Histogram]
 	outbox          []Envelope
 	outcomes        []Outcome
 
@@ -133,13 +133,13 @@
 // NewCoordinator makes the asker of a life; unix tells the time of day, by which claims are put in order.
 func NewCoordinator(p *Placement, sits TermTable, life uint64, unix func() float64, now float64) *Coordinator {
 	return &Coordinator{placement: p, terms: sits, incarnation: life, unixTime: unix, claimsByRequest: map[string]*claim{}, claimsByID: map[state.ClaimID]*claim{}, reportsByClaim: map[state.ClaimID]*report{},
-		latencies: ring.New[ring.Spread](8, 1, now)}
+		latencies: ring.New[ring.Histogram](8, 1, now)}
 }
 
 // TypicalLatency is how long claims lately took, 0 where there were none.
 func (s *Coordinator) TypicalLatency(now float64) float64 {
-	var all ring.Spread
-	s.latencies.All(now, all.Merge)
+	var all ring.Histogram
+	s.latencies.ForEach(now, all.Merge)
 	return all.Median()
 }
 
@@ -299,7 +299,7 @@
 }
 
 func (s *Coordinator) notifyGranted(c *claim, now float64) {
-	s.latencies.At(now).Add(now - c.startedAt)
+	s.latencies.Current(now).Add(now - c.startedAt)
 	s.addOutcome(c, stance.ClaimGranted, now)
 }
 func (s *Coordinator) notifyResultKnown(c *claim, now float64) {
--- a/internal/judge/shared/counts/keeper.go
+++ b/internal/judge/shared/counts/keeper.go
@@ -71,7 +71,7 @@
 	need   int // keepers, itself among them, that are most
 	over   func(row uint64) (number uint64, over bool)
 	rows   map[uint64]*kept
-	window *ring.Ring[cells]
+	window *ring.Buckets[cells]
 	began  float64
 	asks   uint64 // number of the last question
 	asked  float64
@@ -180,7 +180,7 @@
 		return r
 	}
 	// What was counted before this keeper knew of the row is not of the window, but for a row that has just begun.
-	bucket := k.window.At(now)
+	bucket := k.window.Current(now)
 	if *bucket == nil {
 		*bucket = cells{}
 	}
@@ -456,7 +456,7 @@
 		return 1
 	})
 	rep.LateReports = rep.LateReports[:min(len(rep.LateReports), maxLate)]
-	k.window.All(now, func(c *cells) {
+	k.window.ForEach(now, func(c *cells) {
 		for cell, n := range *c {
 			minute[cell] = minute[cell].Add(n)
 		}
--- a/internal/judge/shared/health/health.go
+++ b/internal/judge/shared/health/health.go
@@ -126,8 +126,8 @@
 // Breaker is one server's judgement on one service.
 type Breaker struct {
 	name, zone string
-	log        *ring.Ring[Tally]
-	lowest     ring.Lowest
+	log        *ring.Buckets[Tally]
+	lowest     ring.Minimum
 	words      map[string]*heard
 	state      State
 	since      float64
@@ -145,7 +145,7 @@
 
 // New makes a judge that knows nothing: the service is well.
 func New(name, zone string, now float64) *Breaker {
-	j := &Breaker{name: name, zone: zone, lowest: ring.NewLowest(6, 5, now), words: map[string]*heard{}, since: now}
+	j := &Breaker{name: name, zone: zone, lowest: ring.NewMinimum(6, 5, now), words: map[string]*heard{}, since: now}
 	j.forget(now)
 	return j
 }
@@ -158,9 +158,9 @@
 
 // RecordCalls takes in what became of calls of this server since the last time, and how many are out.
 func (j *Breaker) RecordCalls(now float64, t Tally, out float64) {
-	j.log.At(now).add(t)
+	j.log.Current(now).add(t)
 	if t.Succeeded > 0 {
-		j.lowest.Take(now, t.SuccessSeconds/float64(t.Succeeded))
+		j.lowest.Observe(now, t.SuccessSeconds/float64(t.Succeeded))
 	}
 	if out > 0 || t.calls() > 0 {
 		j.tried = int64(now / slot)
@@ -216,7 +216,7 @@
 }
 
 func (j *Breaker) own(now float64) (t Tally) {
-	j.log.All(now, func(b *Tally) { t.add(*b) })
+	j.log.ForEach(now, func(b *Tally) { t.add(*b) })
 	return t
 }
 
@@ -231,7 +231,7 @@
 	case lost >= failing*n:
 		return fails
 	}
-	if least := j.lowest.Min(now); least > 0 && t.SuccessSeconds > dragging*least*float64(t.Succeeded) {
+	if least := j.lowest.Value(now); least > 0 && t.SuccessSeconds > dragging*least*float64(t.Succeeded) {
 		return drags
 	}
 	return fine
--- a/internal/lab/emulate/versions.go
+++ b/internal/lab/emulate/versions.go
@@ -235,7 +235,7 @@
 	}
 	wait := max(0.001, s.part.Next()-now)
 	if s.armed {
-		s.timers.Drop(s.timer)
+		s.timers.Cancel(s.timer)
 	}
 	s.armed = true
 	s.timer = s.after(wait, func() {
--- a/internal/lab/emulate/world.go
+++ b/internal/lab/emulate/world.go
@@ -13,7 +13,7 @@
 // world is simulated time and chance.
 type world struct {
 	now    float64
-	timers memory.Timers
+	timers memory.Wheel
 	chance *rand.Rand
 	events int
 }
@@ -22,20 +22,20 @@
 
 // after has do called so many seconds from now.
 func (w *world) after(seconds float64, do func()) memory.Timer {
-	return w.timers.Add(w.now+max(0, seconds), do)
+	return w.timers.Schedule(w.now+max(0, seconds), do)
 }
 
 // run lets time pass until then.
 func (w *world) run(until float64) {
 	for {
-		next := w.timers.Next()
+		next := w.timers.NextWakeup()
 		if next > until {
 			w.now = until
 			return
 		}
 		w.now = max(w.now, next)
 		before := w.timers.Len()
-		w.timers.Ripe(w.now, math.MaxInt32/64)
+		w.timers.Advance(w.now, math.MaxInt32/64)
 		w.events += max(1, before-w.timers.Len())
 	}
 }
@@ -154,12 +154,12 @@
 		m.crowded(m.runs.Len())
 	}
 	if m.runs.Len() == 0 {
-		m.w.timers.Drop(m.timer)
+		m.w.timers.Cancel(m.timer)
 		return
 	}
 	when := m.at + max(0, m.runs.jobs[0].finish-m.had)/m.rate()
-	if !m.w.timers.Move(m.timer, when) {
-		m.timer = m.w.timers.Add(when, m.fire)
+	if !m.w.timers.Reschedule(m.timer, when) {
+		m.timer = m.w.timers.Schedule(when, m.fire)
 	}
 }
 
--- a/internal/life/conf.go
+++ b/internal/life/conf.go
@@ -17,12 +17,12 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// Conf is the operator's file: what may be set beyond what the platform tells. Without it, or without a key, all of it is off or
+// OperatorSettings is the operator's file: what may be set beyond what the platform tells. Without it, or without a key, all of it is off or
 // as the default says. A field's tag names its key; `validate` is what the library checks, and `right` tells people what would be right.
-type Conf struct {
+type OperatorSettings struct {
 	Door         bool           `key:"door" right:"on or off"`
 	Known        []netip.Prefix `key:"door-known" validate:"max=256" right:"prefixes such as 10.1.0.0/16, at most 256; the key may be repeated"`
-	Reserve      Share          `key:"door-reserve" default:"25%" validate:"gte=0,lte=0.9" right:"a part of the places, from 0% to 90%"`
+	Reserve      Fraction       `key:"door-reserve" default:"25%" validate:"gte=0,lte=0.9" right:"a part of the places, from 0% to 90%"`
 	PerAddress   int            `key:"door-per-address" default:"0" validate:"gte=0,lte=1000000" right:"a number of connections, 0 for no cap"`
 	PerPrefix    int            `key:"door-per-prefix" default:"0" validate:"gte=0,lte=1000000" right:"a number of connections, 0 for no cap"`
 	RateAddress  float64        `key:"door-arrivals-per-address" default:"50" validate:"gte=0,lte=1000000" right:"arrivals a second, 0 for no cap"`
@@ -35,7 +35,7 @@
 	Forget       time.Duration  `key:"door-forget" default:"10m" validate:"gte=1s,lte=24h" right:"a time such as 10m, from 1s to 24h"`
 	ComeBack     time.Duration  `key:"door-come-back" default:"200ms" validate:"gte=1ms,lte=1h" right:"a time such as 200ms, from 1ms to 1h"`
 	ComeBackMost time.Duration  `key:"door-come-back-most" default:"10s" validate:"gtefield=ComeBack,lte=1h" right:"a time from door-come-back to 1h"`
-	Share        Share          `key:"door-share" default:"10%" validate:"gte=0.01,lte=1" right:"a part of a core, from 1% to 100%"`
+	Share        Fraction       `key:"door-share" default:"10%" validate:"gte=0.01,lte=1" right:"a part of a core, from 1% to 100%"`
 
 	Fleet        bool          `key:"fleet" right:"on or off"`
 	FleetListen  string        `key:"fleet-listen" validate:"required_if=Fleet true,omitempty,tcp_addr" right:"an address such as 10.0.0.4:7946"`
@@ -45,10 +45,10 @@
 	FleetLease   time.Duration `key:"fleet-lease" default:"6s" validate:"gte=1s,lte=10m" right:"a time such as 6s, from 1s to 10m"`
 	FleetBehind  time.Duration `key:"fleet-behind" default:"10s" validate:"gte=1s,lte=1h" right:"a time such as 10s, from 1s to 1h"`
 	FleetSilent  string        `key:"fleet-silent" default:"keep" validate:"oneof=keep shield leave" right:"keep, shield or leave"`
-	FleetMostOut Share         `key:"fleet-most-out" default:"25%" validate:"gte=0,lte=1" right:"a part of the fleet, from 0% to 100%"`
+	FleetMostOut Fraction      `key:"fleet-most-out" default:"25%" validate:"gte=0,lte=1" right:"a part of the fleet, from 0% to 100%"`
 	FleetForget  time.Duration `key:"fleet-forget" default:"10m" validate:"gtefield=FleetLease,lte=24h" right:"a time from fleet-lease to 24h"`
 	FleetWave    time.Duration `key:"fleet-wave" default:"30s" validate:"gte=0s,lte=1h" right:"a time such as 30s, up to 1h"`
-	FleetHalt    Share         `key:"fleet-halt" default:"99.99%" validate:"gte=0.5,lte=1" right:"how sure harm has to be, from 50% to 100%"`
+	FleetHalt    Fraction      `key:"fleet-halt" default:"99.99%" validate:"gte=0.5,lte=1" right:"how sure harm has to be, from 50% to 100%"`
 
 	ReplicaHolders []string      `key:"replica-holders" validate:"max=64" right:"names, with zone and weight where they matter, such as n1 n2/east n3/west/2, at most 64; the key may be repeated"`
 	ReplicaKeyed   []string      `key:"replica-keyed" validate:"max=64" right:"stages whose tasks bear an idempotency key as their subject; the key may be repeated"`
@@ -61,7 +61,7 @@
 	Below          bool          `key:"fleet-below" right:"on or off"`
 	Counts         bool          `key:"fleet-counts" right:"on or off"`
 	Zone           string        `key:"fleet-zone" validate:"max=64" right:"a name of at most 64 letters"`
-	BudgetFloor    Share         `key:"budget-floor" default:"10%" validate:"gte=0.01,lte=0.9" right:"a part of each budget, from 1% to 90%"`
+	BudgetFloor    Fraction      `key:"budget-floor" default:"10%" validate:"gte=0.01,lte=0.9" right:"a part of each budget, from 1% to 90%"`
 	BudgetServers  int           `key:"budget-servers" default:"0" validate:"gte=0,lte=4096" right:"the most processes that there may be at a time, from 1 to 4096"`
 
 	ForwardTo    []string `key:"forward-to" validate:"max=4096" right:"workers with addresses, such as w1=10.0.0.9:8000; the key may be repeated"`
@@ -70,43 +70,43 @@
 	ReplicaRate int `key:"replica-rate-kb" default:"4096" validate:"gte=16,lte=1048576" right:"kilobytes a second, from 16 to 1048576"`
 }
 
-// Share is a part of something; it is written as a number of percent.
-type Share float64
+// Fraction is a part of something; it is written as a number of percent.
+type Fraction float64
 
-// confVariable names the file where the command line does not.
-const confVariable = "SWIFTCOURSE_CONF"
+// operatorFileVariable names the file where the command line does not.
+const operatorFileVariable = "SWIFTCOURSE_CONF"
 
-// ConfPath is the operator's file: what the command line says, or else the environment; "" is none.
-func ConfPath(flag string, getenv func(string) string) string {
+// OperatorFilePath is the operator's file: what the command line says, or else the environment; "" is none.
+func OperatorFilePath(flag string, getenv func(string) string) string {
 	if flag != "" {
 		return flag
 	}
-	return getenv(confVariable)
+	return getenv(operatorFileVariable)
 }
 
-// ReadConf reads the operator's file; "" gives the defaults, with all off. The error tells everything that is wrong, a line each.
-func ReadConf(path string) (*Conf, error) {
+// LoadOperatorSettings reads the operator's file; "" gives the defaults, with all off. The error tells everything that is wrong, a line each.
+func LoadOperatorSettings(path string) (*OperatorSettings, error) {
 	if path == "" {
-		return Defaults(), nil // unchecked, which a test does: the checks' library stays out of a server that has no file
+		return DefaultOperatorSettings(), nil // unchecked, which a test does: the checks' library stays out of a server that has no file
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	return ParseConf(path, text)
+	return ParseOperatorSettings(path, text)
 }
 
-// ParseConf reads the text of the operator's file: a key and its values on each line, # begins a comment.
-func ParseConf(file string, text []byte) (*Conf, error) {
-	c := Defaults()
+// ParseOperatorSettings reads the text of the operator's file: a key and its values on each line, # begins a comment.
+func ParseOperatorSettings(file string, text []byte) (*OperatorSettings, error) {
+	c := DefaultOperatorSettings()
 	err := c.read(file, text)
 	return c, err
 }
 
-// Defaults is what holds where no file says anything.
-func Defaults() *Conf {
-	c := &Conf{}
-	for _, f := range reflect.VisibleFields(reflect.TypeFor[Conf]()) {
+// DefaultOperatorSettings is what holds where no file says anything.
+func DefaultOperatorSettings() *OperatorSettings {
+	c := &OperatorSettings{}
+	for _, f := range reflect.VisibleFields(reflect.TypeFor[OperatorSettings]()) {
 		if given, ok := f.Tag.Lookup("default"); ok {
 			if err := set(reflect.ValueOf(c).Elem().FieldByIndex(f.Index), []string{given}); err != nil {
 				panic(fmt.Sprintf("default of %s: %v", f.Tag.Get("key"), err)) // the tags are the program's own
@@ -116,8 +116,8 @@
 	return c
 }
 
-// With is the file with a released text over it: the keys that the text has replace the file's own.
-func (c *Conf) With(epoch, text string) (*Conf, error) {
+// WithRelease is the file with a released text over it: the keys that the text has replace the file's own.
+func (c *OperatorSettings) WithRelease(epoch, text string) (*OperatorSettings, error) {
 	over := *c
 	if text == "" {
 		return &over, nil
@@ -138,9 +138,9 @@
 	return &over, err
 }
 
-// Canonical is a text of settings as a version carries it: no comments, single blanks, the keys in order, so that two texts that say the same
+// CanonicalText is a text of settings as a version carries it: no comments, single blanks, the keys in order, so that two texts that say the same
 // have one digest. Lines of one key keep their order.
-func Canonical(text string) string {
+func CanonicalText(text string) string {
 	var lines []string
 	for line := range strings.Lines(text) {
 		line, _, _ = strings.Cut(line, "#")
@@ -160,10 +160,10 @@
 }
 
 // read takes a text over what is there. The error tells everything that is wrong, a line each.
-func (c *Conf) read(file string, text []byte) error {
+func (c *OperatorSettings) read(file string, text []byte) error {
 	fields, lines := map[string]reflect.StructField{}, map[string]int{}
 	var keys []string
-	for _, f := range reflect.VisibleFields(reflect.TypeFor[Conf]()) {
+	for _, f := range reflect.VisibleFields(reflect.TypeFor[OperatorSettings]()) {
 		key := f.Tag.Get("key")
 		fields[key], keys = f, append(keys, key)
 	}
@@ -202,7 +202,7 @@
 	var faults validator.ValidationErrors
 	if err := validator.New().Struct(c); errors.As(err, &faults) {
 		for _, fault := range faults {
-			f, _ := reflect.TypeFor[Conf]().FieldByName(fault.StructField())
+			f, _ := reflect.TypeFor[OperatorSettings]().FieldByName(fault.StructField())
 			wrong(lines[f.Tag.Get("key")], f.Tag.Get("key"), "%v is out of range; right would be %s", fault.Value(), f.Tag.Get("right"))
 		}
 	} else if err != nil {
@@ -228,13 +228,13 @@
 		if *to, err = strconv.ParseFloat(one, 64); err != nil || *to != *to {
 			err = fmt.Errorf("%q is no number", one)
 		}
-	case *Share:
+	case *Fraction:
 		text, percent := strings.CutSuffix(one, "%")
 		part, err := strconv.ParseFloat(text, 64)
 		if err != nil || !percent || part != part {
 			return fmt.Errorf("%q is no number of percent", one)
 		}
-		*to = Share(part / 100)
+		*to = Fraction(part / 100)
 	case *time.Duration:
 		if *to, err = time.ParseDuration(one); err != nil {
 			err = fmt.Errorf("%q is no time with a unit", one)
--- a/internal/life/conf_test.go
+++ b/internal/life/conf_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestTheOperatorsFile(t *testing.T) {
-	c, err := ParseConf("f", []byte(`
+	c, err := ParseOperatorSettings("f", []byte(`
 # who is let in
 door on
 door-known 10.1.0.0/16 10.2.0.1   # and
@@ -24,24 +24,24 @@
 		c.V4 != 24 || c.ComeBackMost != 10*time.Second || c.Share != 0.1 {
 		t.Errorf("%+v", c)
 	}
-	if c, err := ReadConf(""); err != nil || c.Door {
+	if c, err := LoadOperatorSettings(""); err != nil || c.Door {
 		t.Errorf("without a file: %+v, %v", c, err)
 	}
 	path := filepath.Join(t.TempDir(), "conf")
 	if err := os.WriteFile(path, []byte("door on"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	env := func(key string) string { return map[string]string{confVariable: path}[key] }
-	if c, err := ReadConf(ConfPath("", env)); err != nil || !c.Door {
+	env := func(key string) string { return map[string]string{operatorFileVariable: path}[key] }
+	if c, err := LoadOperatorSettings(OperatorFilePath("", env)); err != nil || !c.Door {
 		t.Errorf("%+v, %v", c, err)
 	}
-	if got := ConfPath("other", env); got != "other" {
+	if got := OperatorFilePath("other", env); got != "other" {
 		t.Errorf("the command line says other, not %s", got)
 	}
 }
 
 func TestTheFileInDeployIsRight(t *testing.T) {
-	if c, err := ReadConf("../../deploy/swiftcourse.conf"); err != nil || c.Door {
+	if c, err := LoadOperatorSettings("../../deploy/swiftcourse.conf"); err != nil || c.Door {
 		t.Errorf("%+v, %v", c, err)
 	}
 }
@@ -64,35 +64,35 @@
 		"door-arrivals-per-address -1":    "f:1: door-arrivals-per-address: -1 is out of range",
 		"door-prefix-ipv4 64\ndoor maybe": "f:1: door-prefix-ipv4: 64 is out of range; right would be bits, from 8 to 32",
 	} {
-		_, err := ParseConf("f", []byte(text))
+		_, err := ParseOperatorSettings("f", []byte(text))
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %s", text, err, want)
 		}
 	}
-	if _, err := ParseConf("f", []byte("door-prefix-ipv4 64\ndoor maybe\nnothing 1")); err == nil || len(strings.Split(err.Error(), "\n")) != 3 {
+	if _, err := ParseOperatorSettings("f", []byte("door-prefix-ipv4 64\ndoor maybe\nnothing 1")); err == nil || len(strings.Split(err.Error(), "\n")) != 3 {
 		t.Errorf("not all at once: %v", err)
 	}
 }
 
 func TestAReleasedTextLiesOverTheFile(t *testing.T) {
-	own, err := ParseConf("f", []byte("door on\ndoor-known 10.0.0.1\ndoor-earn 5"))
+	own, err := ParseOperatorSettings("f", []byte("door on\ndoor-known 10.0.0.1\ndoor-earn 5"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	with, err := own.With("3.1", "door-known 10.0.0.2\ndoor-known 10.0.0.3\ndoor-come-back 1s")
+	with, err := own.WithRelease("3.1", "door-known 10.0.0.2\ndoor-known 10.0.0.3\ndoor-come-back 1s")
 	if err != nil || len(with.Known) != 2 || with.Known[0].String() != "10.0.0.2/32" || with.Earn != 5 || with.ComeBack != time.Second {
 		t.Errorf("%+v, %v", with, err)
 	}
 	if len(own.Known) != 1 || own.ComeBack != 200*time.Millisecond {
 		t.Errorf("the file itself changed: %+v", own)
 	}
-	if _, err := own.With("3.1", "door maybe"); err == nil || !strings.HasPrefix(err.Error(), "3.1:1: door: ") {
+	if _, err := own.WithRelease("3.1", "door maybe"); err == nil || !strings.HasPrefix(err.Error(), "3.1:1: door: ") {
 		t.Errorf("%v", err)
 	}
-	if _, err := ParseConf("", nil); err != nil {
+	if _, err := ParseOperatorSettings("", nil); err != nil {
 		t.Errorf("the defaults, which are not checked when there is no file, are wrong: %v", err)
 	}
-	a, b := Canonical("# x\ndoor   on # y\n\ndoor-earn 3\ndoor-known b\ndoor-known a\n"), Canonical("door-known b\ndoor-earn 3\ndoor-known a\ndoor on")
+	a, b := CanonicalText("# x\ndoor   on # y\n\ndoor-earn 3\ndoor-known b\ndoor-known a\n"), CanonicalText("door-known b\ndoor-earn 3\ndoor-known a\ndoor on")
 	if a != b || a != "door on\ndoor-earn 3\ndoor-known b\ndoor-known a\n" {
 		t.Errorf("%q and %q", a, b)
 	}
--- a/internal/life/site.go
+++ b/internal/life/site.go
@@ -7,26 +7,26 @@
 
 // The words that settings choose from, and what each means.
 var (
-	belows = map[string]choice.Downstream{"": choice.NoDownstream, "none": choice.NoDownstream, "shared": choice.SharedDependency,
+	downstreamKinds = map[string]choice.Downstream{"": choice.NoDownstream, "none": choice.NoDownstream, "shared": choice.SharedDependency,
 		"tier": choice.ServerTier}
-	stoppings = map[string]choice.Preemption{"": choice.NoPreemption, "none": choice.NoPreemption, "drop": choice.PreemptByDrop,
+	preemptionKinds = map[string]choice.Preemption{"": choice.NoPreemption, "none": choice.NoPreemption, "drop": choice.PreemptByDrop,
 		"pause": choice.PreemptByPause}
-	frees = map[string]choice.Backpressure{"": choice.NoBackpressure, "none": choice.NoBackpressure, "level": choice.BackpressureLevel,
+	backpressureKinds = map[string]choice.Backpressure{"": choice.NoBackpressure, "none": choice.NoBackpressure, "level": choice.BackpressureLevel,
 		"credit": choice.BackpressureCredit, "weight": choice.BackpressureWeight}
-	effects = map[string]choice.Idempotency{"": choice.Idempotent, "idempotent": choice.Idempotent,
+	idempotencyKinds = map[string]choice.Idempotency{"": choice.Idempotent, "idempotent": choice.Idempotent,
 		"deduplicated": choice.Deduplicated, "at_most_once": choice.AtMostOnce}
 )
 
-// Site puts the settings in the module's words. A word not known maps to the zero value of its type.
-func Site(told *shale.Told) choice.Settings {
+// AdmissionSettings puts the settings in the module's words. A word not known maps to the zero value of its type.
+func AdmissionSettings(told *shale.Told) choice.Settings {
 	f, c := &told.Own, &told.Contract
 	site := choice.Settings{
 		OverQuotaValue: told.OverShareUtility, Servers: told.Servers, Clients: f.Callers, Cores: f.Cores,
 		SlowStartSpeed: c.ColdFrom, DrainGracePeriod: c.DrainGraceMs / 1000, DeadlineTolerance: c.AnswerSlackMs / 1000,
 		ConcurrencyLimit: c.Crowd, ConcurrencyWindow: c.CrowdForMs / 1000,
-		MemoryLimit: f.MemoryKb, RunningMemoryFactor: f.RunFactor, KeyMemory: f.KeyMemoryKb, Downstream: belows[f.Below],
+		MemoryLimit: f.MemoryKb, RunningMemoryFactor: f.RunFactor, KeyMemory: f.KeyMemoryKb, Downstream: downstreamKinds[f.Below],
 		CallLimit: f.CallShare, CallWindow: f.CallForMs / 1000, AbandonedCallLifetime: f.CallLingerMs / 1000,
-		Preemption: stoppings[f.Stopping], Backpressure: frees[f.Free],
+		Preemption: preemptionKinds[f.Stopping], Backpressure: backpressureKinds[f.Free],
 		ResultCacheTTL: f.ReuseForMs / 1000, DeadlinePropagation: f.TellsWait, IdleTimeout: f.IdleMs / 1000,
 		ValueByWork: told.ValueBy == "work",
 	}
@@ -37,7 +37,7 @@
 		site.MaxRetryAfter = told.Caps.AdviceMaxMs / 1000
 	}
 	for i, c := range told.Stages {
-		st := choice.Class{Idempotency: effects[c.Effect], SoftDeadline: c.DueTimeMs / 1000, SoftDeadlineStretch: c.DueStretch,
+		st := choice.Class{Idempotency: idempotencyKinds[c.Effect], SoftDeadline: c.DueTimeMs / 1000, SoftDeadlineStretch: c.DueStretch,
 			Timeout: c.TimeLimitMs / 1000, Value: c.Utility, LateValue: c.LateUtility, DeduplicationWindow: c.WindowMs / 1000}
 		if i < len(f.StageCalls) {
 			st.CallsDownstream = f.StageCalls[i]
--- a/internal/life/start.go
+++ b/internal/life/start.go
@@ -18,29 +18,29 @@
 	"swiftcourse/internal/wire/shale"
 )
 
-// Start is all that the server was told, checked and in our words.
-type Start struct { // a field's key is what sets it
+// Startup is all that the server was told, checked and in our words.
+type Startup struct { // a field's key is what sets it
 	Name   string `key:"name"`
 	Listen string `key:"listen"`
 	Addresses
-	Seed           int64           `key:"seed"`
-	Stop           float64         `key:"stop_ms"` // seconds from the notice to leave to the kill
-	Cores          float64         `key:"limits"`  // what this program may use, as are the two below
-	Memory         int64           `key:"limits"`  // bytes
-	Sockets        int             `key:"limits"`
-	Forwards       bool            // tasks go on to workers, so there is no processor, and nothing below is called from here
-	Site           choice.Settings `key:"settings"`
-	ColdFor        float64         `key:"settings"` // how long a cold processor takes to warm up
-	WorkersColdFor float64         `key:"settings"` // of a forwarder: how long its workers' processors do
-	Stages         map[string]int  `key:"settings"` // by name, as are the tenants
-	Tenants        map[string]int  `key:"settings"`
-	StageNames     []string        `key:"settings"`
-	Gauges         []string        `key:"settings"`
-	Unused         []string        `key:"settings"` // keys of what the site allows and this protocol has no word for; it is done without
+	Seed                    int64           `key:"seed"`
+	StopTimeout             float64         `key:"stop_ms"` // seconds from the notice to leave to the kill
+	Cores                   float64         `key:"limits"`  // what this program may use, as are the two below
+	MemoryBytes             int64           `key:"limits"`  // bytes
+	MaxSockets              int             `key:"limits"`
+	Forwarder               bool            // tasks go on to workers, so there is no processor, and nothing below is called from here
+	Settings                choice.Settings `key:"settings"`
+	SlowStartDuration       float64         `key:"settings"` // how long a cold processor takes to warm up
+	WorkerSlowStartDuration float64         `key:"settings"` // of a forwarder: how long its workers' processors do
+	ClassIndex              map[string]int  `key:"settings"` // by name, as are the tenants
+	TenantIndex             map[string]int  `key:"settings"`
+	ClassNames              []string        `key:"settings"`
+	Gauges                  []string        `key:"settings"`
+	UnsupportedKeys         []string        `key:"settings"` // keys of what the site allows and this protocol has no word for; it is done without
 }
 
 // Addresses are where the other parties are, the part of the configuration that may change while serving.
-type Addresses struct{ Processor, Roster, Catalogue string } // no Catalogue at the last tier
+type Addresses struct{ Executor, Registry, Upstream string } // no Catalogue at the last tier
 
 // file is the configuration as it is written.
 type file struct {
@@ -59,13 +59,13 @@
 	Settings *shale.Told `json:"settings"`
 }
 
-// Read reads the configuration from the environment and the file that it names.
-func Read(getenv func(string) string) (*Start, error) { return read(getenv, false) }
+// Load reads the configuration from the environment and the file that it names.
+func Load(getenv func(string) string) (*Startup, error) { return read(getenv, false) }
 
-// ReadForwarder reads a forwarder's, which may lack processor and catalog.
-func ReadForwarder(getenv func(string) string) (*Start, error) { return read(getenv, true) }
+// LoadForwarder reads a forwarder's, which may lack processor and catalog.
+func LoadForwarder(getenv func(string) string) (*Startup, error) { return read(getenv, true) }
 
-func read(getenv func(string) string, forwards bool) (*Start, error) {
+func read(getenv func(string) string, forwards bool) (*Startup, error) {
 	path := getenv("RELAY_CONFIG")
 	if path == "" {
 		return nil, errors.New("RELAY_CONFIG: not set")
@@ -78,17 +78,17 @@
 	if err != nil {
 		return nil, err
 	}
-	if start.Sockets = min(start.Sockets, descriptors()); start.Sockets < leastSockets { // else accept would fail, and end the loop
-		return nil, fmt.Errorf("limits.sockets: the system gives %d, under %d", start.Sockets, leastSockets)
+	if start.MaxSockets = min(start.MaxSockets, maxOpenFiles()); start.MaxSockets < minSockets { // else accept would fail, and end the loop
+		return nil, fmt.Errorf("limits.sockets: the system gives %d, under %d", start.MaxSockets, minSockets)
 	}
 	return start, nil
 }
 
-// leastSockets leave balancers half of themselves.
-const leastSockets = 64
+// minSockets leave balancers half of themselves.
+const minSockets = 64
 
-// descriptors is how many this process may have.
-func descriptors() int {
+// maxOpenFiles is how many this process may have.
+func maxOpenFiles() int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return math.MaxInt32
@@ -97,9 +97,11 @@
 }
 
 // Parse checks the configuration's text; name and listen are what the environment says, or "".
-func Parse(text []byte, name, listen string) (*Start, error) { return parse(text, name, listen, false) }
+func Parse(text []byte, name, listen string) (*Startup, error) {
+	return parse(text, name, listen, false)
+}
 
-func parse(text []byte, name, listen string, forwards bool) (*Start, error) {
+func parse(text []byte, name, listen string, forwards bool) (*Startup, error) {
 	var f file
 	// The defaults: the largest limits that are ever given, and a stop that leaves a second after a grace of 2 s.
 	f.StopMs, f.Limits.Cores, f.Limits.MemoryMb, f.Limits.Sockets = 3000, 1, 192, 1024
@@ -110,8 +112,8 @@
 		}
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	if err := errors.Join(agree("name", "RELAY_NAME", &f.Name, name),
-		agree("listen", "RELAY_LISTEN", &f.Listen, listen)); err != nil {
+	if err := errors.Join(mergeEnvironment("name", "RELAY_NAME", &f.Name, name),
+		mergeEnvironment("listen", "RELAY_LISTEN", &f.Listen, listen)); err != nil {
 		return nil, err
 	}
 	for _, a := range []struct{ key, value string }{{"listen", f.Listen}, {"processor", f.Processor},
@@ -143,51 +145,51 @@
 		err = fmt.Errorf("limits.cores: %g is not over 0 and at most 1024", f.Limits.Cores)
 	case f.Limits.MemoryMb < 24 || f.Limits.MemoryMb > 1<<20:
 		err = fmt.Errorf("limits.memory_mb: %g is not from 24 to %d", f.Limits.MemoryMb, 1<<20)
-	case f.Limits.Sockets < leastSockets:
-		err = fmt.Errorf("limits.sockets: %d is under %d", f.Limits.Sockets, leastSockets)
+	case f.Limits.Sockets < minSockets:
+		err = fmt.Errorf("limits.sockets: %d is under %d", f.Limits.Sockets, minSockets)
 	default:
-		if err = inRange("settings", reflect.ValueOf(s).Elem(), math.Inf(1)); err == nil {
-			err = fits(s, f.Catalog)
+		if err = checkRanges("settings", reflect.ValueOf(s).Elem(), math.Inf(1)); err == nil {
+			err = checkSettings(s, f.Catalog)
 		}
 	}
 	if err != nil {
 		return nil, err
 	}
-	site := Site(s)
+	site := AdmissionSettings(s)
 	var unused []string
 	if site.Preemption != choice.NoPreemption { // the processor takes no command to stop a run: it goes on to its end or its next call
 		site.Preemption, unused = choice.NoPreemption, append(unused, "settings.familyInfo.preemption")
 	}
-	start := &Start{Name: f.Name, Listen: f.Listen,
-		Addresses: Addresses{Processor: f.Processor, Roster: f.Roster, Catalogue: f.Catalog},
-		Seed:      int64(seed), Stop: f.StopMs / 1000, Cores: f.Limits.Cores, Memory: int64(f.Limits.MemoryMb * (1 << 20)),
-		Sockets: f.Limits.Sockets, Site: site, ColdFor: s.Contract.ColdMs / 1000, Gauges: s.Own.Gauges, Unused: unused,
-		Stages: map[string]int{}, Tenants: map[string]int{}, Forwards: forwards}
+	start := &Startup{Name: f.Name, Listen: f.Listen,
+		Addresses: Addresses{Executor: f.Processor, Registry: f.Roster, Upstream: f.Catalog},
+		Seed:      int64(seed), StopTimeout: f.StopMs / 1000, Cores: f.Limits.Cores, MemoryBytes: int64(f.Limits.MemoryMb * (1 << 20)),
+		MaxSockets: f.Limits.Sockets, Settings: site, SlowStartDuration: s.Contract.ColdMs / 1000, Gauges: s.Own.Gauges, UnsupportedKeys: unused,
+		ClassIndex: map[string]int{}, TenantIndex: map[string]int{}, Forwarder: forwards}
 	if forwards {
-		start.WorkersColdFor, start.ColdFor = start.ColdFor, 0
-		for i := range start.Site.Classes {
-			start.Site.Classes[i].CallsDownstream = false
+		start.WorkerSlowStartDuration, start.SlowStartDuration = start.SlowStartDuration, 0
+		for i := range start.Settings.Classes {
+			start.Settings.Classes[i].CallsDownstream = false
 		}
 	}
 	for i, stage := range s.Stages {
-		if _, twice := start.Stages[stage.Name]; twice || stage.Name == "" {
-			return nil, fmt.Errorf("%s[%d].name: %q is empty or there twice", stagesKey, i, stage.Name)
+		if _, twice := start.ClassIndex[stage.Name]; twice || stage.Name == "" {
+			return nil, fmt.Errorf("%s[%d].name: %q is empty or there twice", classesKey, i, stage.Name)
 		}
-		start.Stages[stage.Name], start.StageNames = i, append(start.StageNames, stage.Name)
+		start.ClassIndex[stage.Name], start.ClassNames = i, append(start.ClassNames, stage.Name)
 	}
 	for i, tenant := range s.Tenants {
-		if _, twice := start.Tenants[tenant.Name]; twice || tenant.Name == "" {
+		if _, twice := start.TenantIndex[tenant.Name]; twice || tenant.Name == "" {
 			return nil, fmt.Errorf("settings.tenants[%d].name: %q is empty or there twice", i, tenant.Name)
 		}
-		start.Tenants[tenant.Name] = i
+		start.TenantIndex[tenant.Name] = i
 	}
 	return start, nil
 }
 
-// Again reads the configuration once more. It gives the addresses that hold now, and the keys that say
+// Reload reads the configuration once more. It gives the addresses that hold now, and the keys that say
 // something else than at the start although they can't change while serving.
-func (s *Start) Again(getenv func(string) string) (to Addresses, ignored []string, err error) {
-	next, err := read(getenv, s.Forwards)
+func (s *Startup) Reload(getenv func(string) string) (to Addresses, ignored []string, err error) {
+	next, err := read(getenv, s.Forwarder)
 	if err != nil {
 		return to, nil, err
 	}
@@ -201,8 +203,8 @@
 	return next.Addresses, slices.Compact(ignored), nil
 }
 
-// agree takes what the environment says where the file says nothing; they may not differ.
-func agree(key, variable string, value *string, env string) error {
+// mergeEnvironment takes what the environment says where the file says nothing; they may not differ.
+func mergeEnvironment(key, variable string, value *string, env string) error {
 	switch {
 	case *value == "":
 		*value = env
@@ -212,8 +214,8 @@
 	return nil
 }
 
-// inRange checks every number of the settings, and names the key of the first that is out of its range.
-func inRange(key string, v reflect.Value, most float64) error {
+// checkRanges checks every number of the settings, and names the key of the first that is out of its range.
+func checkRanges(key string, v reflect.Value, most float64) error {
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
@@ -222,13 +224,13 @@
 			if tag, has := field.Tag.Lookup("most"); has {
 				top, _ = strconv.ParseFloat(tag, 64) // the tags are the program's own
 			}
-			if err := inRange(key+"."+field.Tag.Get("json"), v.Field(i), top); err != nil {
+			if err := checkRanges(key+"."+field.Tag.Get("json"), v.Field(i), top); err != nil {
 				return err
 			}
 		}
 	case reflect.Slice:
 		for i := range v.Len() {
-			if err := inRange(fmt.Sprintf("%s[%d]", key, i), v.Index(i), most); err != nil {
+			if err := checkRanges(fmt.Sprintf("%s[%d]", key, i), v.Index(i), most); err != nil {
 				return err
 			}
 		}
@@ -240,11 +242,11 @@
 	return nil
 }
 
-// stagesKey is where the settings list the stages.
-const stagesKey = "settings." + shale.StagesKey
+// classesKey is where the settings list the stages.
+const classesKey = "settings." + shale.StagesKey
 
-// fits checks what has to be there, the words, and what the sockets' protocol can't carry out.
-func fits(s *shale.Told, catalog string) error {
+// checkSettings checks what has to be there, the words, and what the sockets' protocol can't carry out.
+func checkSettings(s *shale.Told, catalog string) error {
 	f := &s.Own
 	word := func(key, word string, known bool) error {
 		if known {
@@ -252,26 +254,26 @@
 		}
 		return fmt.Errorf("settings.%s: %q is not known", key, word)
 	}
-	_, below := belows[f.Below]
-	_, stopping := stoppings[f.Stopping]
-	_, free := frees[f.Free]
+	_, below := downstreamKinds[f.Below]
+	_, stopping := preemptionKinds[f.Stopping]
+	_, free := backpressureKinds[f.Free]
 	if err := errors.Join(word("familyInfo.below", f.Below, below),
 		word("familyInfo.preemption", f.Stopping, stopping), word("familyInfo.say", f.Free, free)); err != nil {
 		return err
 	}
 	switch {
 	case len(s.Stages) == 0:
-		return fmt.Errorf("%s: empty", stagesKey)
+		return fmt.Errorf("%s: empty", classesKey)
 	case f.Cores < 1:
 		return errors.New("settings.familyInfo.cores: under 1")
 	case f.MemoryKb <= 0:
 		return errors.New("settings.familyInfo.memLimitKb: not over 0")
-	case belows[f.Below] != choice.NoDownstream && catalog == "":
+	case downstreamKinds[f.Below] != choice.NoDownstream && catalog == "":
 		return fmt.Errorf("catalog: missing, though settings.familyInfo.below is %q", f.Below)
 	}
 	for i, c := range s.Stages {
-		key := fmt.Sprintf("%s[%d].", stagesKey, i)
-		effect, known := effects[c.Effect]
+		key := fmt.Sprintf("%s[%d].", classesKey, i)
+		effect, known := idempotencyKinds[c.Effect]
 		switch {
 		case !known:
 			return fmt.Errorf("%seffect: %q is not known", key, c.Effect)
--- a/internal/life/start_test.go
+++ b/internal/life/start_test.go
@@ -36,13 +36,13 @@
 		{`"memory_mb":192`, `"memory_mb":1`, "limits.memory_mb"},
 		{`"sockets":1024`, `"sockets":4`, "limits.sockets"},
 		{`"settings"`, `"setting"`, "settings"},
-		{`"` + shale.StagesKey + `"`, `"stages"`, stagesKey},
-		{`"name":"a"`, `"name":""`, stagesKey + "[0].name"},
-		{`idempotent`, `twice`, stagesKey + "[0].effect"},
+		{`"` + shale.StagesKey + `"`, `"stages"`, classesKey},
+		{`"name":"a"`, `"name":""`, classesKey + "[0].name"},
+		{`idempotent`, `twice`, classesKey + "[0].effect"},
 		{`"effect":"idempotent","hardLimitMs":4500,"objectiveMs":1800,"windowMs":2000`,
-			`"effect":"deduplicated","hardLimitMs":4500,"objectiveMs":1800`, stagesKey + "[0].windowMs"},
-		{`"hardLimitMs":4500`, `"hardLimitMs":0`, stagesKey + "[0].hardLimitMs"},
-		{`"lateWorth":0.2`, `"lateWorth":2`, stagesKey + "[0].lateWorth"},
+			`"effect":"deduplicated","hardLimitMs":4500,"objectiveMs":1800`, classesKey + "[0].windowMs"},
+		{`"hardLimitMs":4500`, `"hardLimitMs":0`, classesKey + "[0].hardLimitMs"},
+		{`"lateWorth":0.2`, `"lateWorth":2`, classesKey + "[0].lateWorth"},
 		{`"coldFrom":0.2`, `"coldFrom":-1`, "settings.contract.coldFrom"},
 		{`"cores":6`, `"cores":0`, "settings.familyInfo.cores"},
 		{`"cores":6`, `"cores":"six"`, "settings.familyInfo.cores"},
@@ -61,7 +61,7 @@
 			t.Errorf("%s for %s: error %v does not name %s", c.new, c.old, err, c.key)
 		}
 	}
-	if _, err := Read(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
+	if _, err := Load(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
 		t.Errorf("without a file: %v", err)
 	}
 }
@@ -71,12 +71,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Stop != 3.2 || s.Seed != -8349901503567500956 || s.ColdFor != 17 || s.Stages["a"] != 0 ||
-		s.Tenants["t"] != 0 || s.Site.MaxRetryAfter != 1 || s.Memory != 192<<20 {
+	if s.StopTimeout != 3.2 || s.Seed != -8349901503567500956 || s.SlowStartDuration != 17 || s.ClassIndex["a"] != 0 ||
+		s.TenantIndex["t"] != 0 || s.Settings.MaxRetryAfter != 1 || s.MemoryBytes != 192<<20 {
 		t.Errorf("%+v", s)
 	}
 	text := strings.NewReplacer(`"stop_ms":3200,`, ``, `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, ``).Replace(good)
-	if s, err = Parse([]byte(text), "n3", ""); err != nil || s.Stop != 3 || s.Sockets != 1024 || s.Cores != 1 {
+	if s, err = Parse([]byte(text), "n3", ""); err != nil || s.StopTimeout != 3 || s.MaxSockets != 1024 || s.Cores != 1 {
 		t.Errorf("defaults: %+v, %v", s, err)
 	}
 }
@@ -85,12 +85,12 @@
 func TestWhatTheProtocolLacksIsDoneWithout(t *testing.T) {
 	for _, word := range []string{"drop", "pause"} {
 		s, err := Parse([]byte(strings.Replace(good, `"cores":6`, `"cores":6,"preemption":"`+word+`"`, 1)), "n3", "")
-		if err != nil || s.Site.Preemption != choice.NoPreemption || fmt.Sprint(s.Unused) != "[settings.familyInfo.preemption]" {
+		if err != nil || s.Settings.Preemption != choice.NoPreemption || fmt.Sprint(s.UnsupportedKeys) != "[settings.familyInfo.preemption]" {
 			t.Errorf("%s: %+v, %v", word, s, err)
 		}
 	}
 	s, err := Parse([]byte(strings.Replace(good, "idempotent", "deduplicated", 1)), "n3", "")
-	if err != nil || s.Site.Classes[0].Idempotency != choice.Deduplicated || s.Site.Classes[0].DeduplicationWindow != 2 || s.Unused != nil {
+	if err != nil || s.Settings.Classes[0].Idempotency != choice.Deduplicated || s.Settings.Classes[0].DeduplicationWindow != 2 || s.UnsupportedKeys != nil {
 		t.Errorf("%+v, %v", s, err)
 	}
 }
@@ -101,7 +101,7 @@
 "below":"shared","say":"weight","preemption":"pause","cores":6}}`), &told); err != nil {
 		t.Fatal(err)
 	}
-	if s := Site(&told); s.Downstream != choice.SharedDependency || s.Backpressure != choice.BackpressureWeight || s.Preemption != choice.PreemptByPause ||
+	if s := AdmissionSettings(&told); s.Downstream != choice.SharedDependency || s.Backpressure != choice.BackpressureWeight || s.Preemption != choice.PreemptByPause ||
 		s.Cores != 6 || s.Classes[0].Idempotency != choice.Deduplicated || s.Classes[0].DeduplicationWindow != 2 || s.SlowStartDuration != 0 {
 		t.Errorf("%+v", s)
 	}
@@ -121,7 +121,7 @@
 		}
 	}
 	write("", "")
-	start, err := Read(env)
+	start, err := Load(env)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,8 +134,8 @@
 		{`{`, ``, "", "[]", "configuration"},
 	} {
 		write(c.old, c.new)
-		to, ignored, err := start.Again(env)
-		if to.Processor != c.processor || fmt.Sprint(ignored) != c.ignored ||
+		to, ignored, err := start.Reload(env)
+		if to.Executor != c.processor || fmt.Sprint(ignored) != c.ignored ||
 			(err != nil) != (c.err != "") || err != nil && !strings.Contains(err.Error(), c.err) {
 			t.Errorf("%s for %s: %+v, %v, %v", c.new, c.old, to, ignored, err)
 		}
@@ -143,14 +143,14 @@
 }
 
 func TestHangupsNeverEndTheProcess(t *testing.T) {
-	signals := Hear()
+	signals := CatchSignals()
 	self, _ := os.FindProcess(os.Getpid())
 	for range 3 { // before anybody follows
 		_ = self.Signal(syscall.SIGHUP)
 	}
 	_ = self.Signal(syscall.SIGUSR1)
 	left, reloaded, told := make(chan bool, 9), make(chan bool, 9), make(chan bool, 9)
-	signals.Follow(func() { left <- true }, func() { reloaded <- true }, func() { told <- true })
+	signals.Handle(func() { left <- true }, func() { reloaded <- true }, func() { told <- true })
 	<-told
 	<-reloaded
 	_ = self.Signal(syscall.SIGTERM)
--- a/internal/memory/pool.go
+++ b/internal/memory/pool.go
@@ -8,7 +8,7 @@
 type Pool struct {
 	free  [][]byte
 	lists [][][]byte // of the buffers of one Out, empty
-	Out   int        // buffers given and not back yet
+	InUse int        // buffers given and not back yet
 }
 
 // maxFree bounds the buffers kept for use again: 2 MiB, about what a burst of 200 tasks takes.
@@ -16,7 +16,7 @@
 
 // Get gives an empty buffer.
 func (p *Pool) Get() []byte {
-	p.Out++
+	p.InUse++
 	if n := len(p.free); n > 0 {
 		b := p.free[n-1]
 		p.free = p.free[:n-1]
@@ -30,25 +30,25 @@
 	if cap(b) != Size {
 		return
 	}
-	p.Out--
+	p.InUse--
 	if len(p.free) < maxFree {
 		p.free = append(p.free, b[:0])
 	}
 }
 
-// Keep gives a copy of b, in a buffer where it fits into one.
-func (p *Pool) Keep(b []byte) []byte {
+// Copy gives a copy of b, in a buffer where it fits into one.
+func (p *Pool) Copy(b []byte) []byte {
 	if len(b) > Size {
 		return append(make([]byte, 0, len(b)), b...)
 	}
 	return append(p.Get(), b...)
 }
 
-// Out gathers what is to be written on one connection, in buffers of the pool.
-type Out struct{ parts [][]byte }
+// WriteBuffer gathers what is to be written on one connection, in buffers of the pool.
+type WriteBuffer struct{ parts [][]byte }
 
-// Add puts b behind what is there.
-func (o *Out) Add(p *Pool, b []byte) {
+// Append puts b behind what is there.
+func (o *WriteBuffer) Append(p *Pool, b []byte) {
 	for len(b) > 0 {
 		if n := len(p.lists); o.parts == nil && n > 0 {
 			o.parts, p.lists = p.lists[n-1], p.lists[:n-1]
@@ -62,11 +62,11 @@
 	}
 }
 
-// Parts is all that was added, in order.
-func (o *Out) Parts() [][]byte { return o.parts }
+// Buffers is all that was added, in order.
+func (o *WriteBuffer) Buffers() [][]byte { return o.parts }
 
-// Clear gives the buffers back, and the list of them, so that nothing is kept for what has nothing to write.
-func (o *Out) Clear(p *Pool) {
+// Release gives the buffers back, and the list of them, so that nothing is kept for what has nothing to write.
+func (o *WriteBuffer) Release(p *Pool) {
 	for i, b := range o.parts {
 		p.Put(b)
 		o.parts[i] = nil
@@ -80,21 +80,21 @@
 // maxParts bounds the lists kept for use again: what a burst made longer is let go.
 const maxParts = 32
 
-// Shelf gives short lists of tasks and takes them back. The zero Shelf is empty.
-type Shelf struct{ free [][]*Task }
+// ListPool gives short lists of tasks and takes them back. The zero Shelf is empty.
+type ListPool struct{ free [][]*Request }
 
 // Get gives an empty list.
-func (s *Shelf) Get() []*Task {
+func (s *ListPool) Get() []*Request {
 	if n := len(s.free); n > 0 {
 		l := s.free[n-1]
 		s.free = s.free[:n-1]
 		return l
 	}
-	return make([]*Task, 0, 4)
+	return make([]*Request, 0, 4)
 }
 
 // Put takes a list back; nil is let go, and so is one that a burst made long.
-func (s *Shelf) Put(l []*Task) {
+func (s *ListPool) Put(l []*Request) {
 	if l != nil && cap(l) <= 32 && len(s.free) < maxFree {
 		clear(l)
 		s.free = append(s.free, l[:0])
--- a/internal/memory/table.go
+++ b/internal/memory/table.go
@@ -6,11 +6,11 @@
 // uses, many enough that the collector has a hundredth of the objects to look at.
 const chunk = 64
 
-// Name names an entry of a table, and never another one later. The zero Name names none.
-type Name uint64
+// Handle names an entry of a table, and never another one later. The zero Name names none.
+type Handle uint64
 
 // Slot is the entry's place in the table, from 0 up; a later entry may have the same.
-func (n Name) Slot() int32 { return int32(uint32(n)) }
+func (n Handle) Slot() int32 { return int32(uint32(n)) }
 
 // Table holds entries that stay where they are in memory, so that pointers to them hold. Adding, finding and dropping cost the
 // same however many there are. The lowest free place is used first and chunks without an entry are let go, so a
@@ -33,7 +33,7 @@
 func (t *Table[T]) Len() int { return t.n }
 
 // Add makes an entry of the zero T.
-func (t *Table[T]) Add() (Name, *T) {
+func (t *Table[T]) Add() (Handle, *T) {
 	at := t.lowest()
 	if at == len(t.chunks) {
 		t.chunks = append(t.chunks, nil)
@@ -53,7 +53,7 @@
 	t.turn++
 	p.turns[in] = t.turn
 	t.n++
-	return Name(uint64(t.turn)<<32 | uint64(at*chunk+in)), &p.of[in]
+	return Handle(uint64(t.turn)<<32 | uint64(at*chunk+in)), &p.of[in]
 }
 
 // lowest is the first chunk with a free place; a chunk that is not there has all of them.
@@ -89,7 +89,7 @@
 }
 
 // Get finds an entry, or gives nil.
-func (t *Table[T]) Get(name Name) *T {
+func (t *Table[T]) Get(name Handle) *T {
 	p, in := t.place(name)
 	if p == nil || p.turns[in] != uint32(name>>32) {
 		return nil
@@ -97,15 +97,15 @@
 	return &p.of[in]
 }
 
-// At gives the entry at a slot, or nil.
-func (t *Table[T]) At(slot int32) *T {
-	if p, in := t.place(Name(slot)); p != nil {
+// AtSlot gives the entry at a slot, or nil.
+func (t *Table[T]) AtSlot(slot int32) *T {
+	if p, in := t.place(Handle(slot)); p != nil {
 		return &p.of[in]
 	}
 	return nil
 }
 
-func (t *Table[T]) place(name Name) (*places[T], int) {
+func (t *Table[T]) place(name Handle) (*places[T], int) {
 	at, in := int(name.Slot())/chunk, int(name.Slot())%chunk
 	if at >= len(t.chunks) || t.chunks[at] == nil || t.chunks[at].taken>>in&1 == 0 {
 		return nil, 0
@@ -113,8 +113,8 @@
 	return t.chunks[at], in
 }
 
-// Drop takes an entry out, where it is there. Its memory must not be used any more.
-func (t *Table[T]) Drop(name Name) {
+// Remove takes an entry out, where it is there. Its memory must not be used any more.
+func (t *Table[T]) Remove(name Handle) {
 	if t.Get(name) == nil {
 		return
 	}
@@ -134,12 +134,12 @@
 	}
 }
 
-// All calls f on every entry, in the order of their slots; f may drop it.
-func (t *Table[T]) All(f func(Name, *T)) {
+// ForEach calls f on every entry, in the order of their slots; f may drop it.
+func (t *Table[T]) ForEach(f func(Handle, *T)) {
 	for at := 0; at < len(t.chunks); at++ {
 		for in := 0; at < len(t.chunks) && t.chunks[at] != nil && in < chunk; in++ {
 			if p := t.chunks[at]; p.taken>>in&1 == 1 {
-				f(Name(uint64(p.turns[in])<<32|uint64(at*chunk+in)), &p.of[in])
+				f(Handle(uint64(p.turns[in])<<32|uint64(at*chunk+in)), &p.of[in])
 			}
 		}
 	}
--- a/internal/memory/table_test.go
+++ b/internal/memory/table_test.go
@@ -13,18 +13,18 @@
 func TestTableDoesAsAMapDoes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table[int]
-		model, gone, pointers := map[Name]int{}, []Name(nil), map[Name]*int{}
+		model, gone, pointers := map[Handle]int{}, []Handle(nil), map[Handle]*int{}
 		for i := range rapid.IntRange(1, 400).Draw(t, "steps") {
 			if names := slices.Sorted(maps.Keys(model)); len(names) > 0 && rapid.IntRange(0, 2).Draw(t, "step") == 0 {
 				name := rapid.SampledFrom(names).Draw(t, "dropped")
-				table.Drop(name)
-				table.Drop(name) // a second time changes nothing
+				table.Remove(name)
+				table.Remove(name) // a second time changes nothing
 				delete(model, name)
 				gone = append(gone, name)
 				continue
 			}
 			name, p := table.Add()
-			if *p != 0 || table.At(name.Slot()) != p {
+			if *p != 0 || table.AtSlot(name.Slot()) != p {
 				t.Fatalf("%d from the start, or not at its slot", *p)
 			}
 			*p, model[name], pointers[name] = i+1, i+1, p
@@ -42,10 +42,10 @@
 				t.Fatalf("%x is still there", name)
 			}
 		}
-		seen := map[Name]int{}
-		table.All(func(name Name, p *int) {
+		seen := map[Handle]int{}
+		table.ForEach(func(name Handle, p *int) {
 			seen[name] = *p
-			table.Drop(name)
+			table.Remove(name)
 		})
 		if !maps.Equal(seen, model) || table.Len() != 0 || len(table.chunks) > 0 {
 			t.Fatalf("saw %v, want %v; %d left in %d chunks", len(seen), len(model), table.Len(), len(table.chunks))
@@ -55,13 +55,13 @@
 
 func TestACrowdThatLeftTakesNoMemory(t *testing.T) {
 	var table Table[[64]byte]
-	var names []Name
+	var names []Handle
 	for range 20_000 {
 		name, _ := table.Add()
 		names = append(names, name)
 	}
 	for _, name := range names[10:] {
-		table.Drop(name)
+		table.Remove(name)
 	}
 	if len(table.chunks) != 1 {
 		t.Errorf("%d chunks for %d entries", len(table.chunks), table.Len())
@@ -76,7 +76,7 @@
 	for _, n := range []int{100, 10_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var table Table[[96]byte]
-			names, r := make([]Name, n), rand.New(rand.NewPCG(1, 2))
+			names, r := make([]Handle, n), rand.New(rand.NewPCG(1, 2))
 			for i := range names {
 				names[i], _ = table.Add()
 			}
@@ -87,7 +87,7 @@
 				if table.Get(names[i]) == nil {
 					b.Fatal("lost")
 				}
-				table.Drop(names[i])
+				table.Remove(names[i])
 				names[i], _ = table.Add()
 			}
 		})
--- a/internal/memory/wheel.go
+++ b/internal/memory/wheel.go
@@ -47,14 +47,14 @@
 	turn       uint32 // of its place: how many timers had it before
 }
 
-// Timers is a hierarchical timing wheel: it holds what is to be done at its time. Adding, moving and dropping a
+// Wheel is a hierarchical timing wheel: it holds what is to be done at its time. Adding, moving and dropping a
 // timer costs the same however many there are, and moving one allocates nothing. They go off in the order of their times,
 // and of equal times in the order of adding or moving. (Varghese and Lauck, 1987; the level of a timer is that of
 // the highest bit in which its time differs from the wheel's.)
 //
 // The zero Timers is empty. Times are in seconds, 0 or more, on any clock; the clock that Ripe is told may stand still or
 // leap forward, and a time it goes back to counts as the latest it was.
-type Timers struct {
+type Wheel struct {
 	places []timer
 	free   int32 // first free place, counted from 1
 	n      int
@@ -73,10 +73,10 @@
 }
 
 // Len counts them.
-func (t *Timers) Len() int { return t.n }
+func (t *Wheel) Len() int { return t.n }
 
-// Add has do called at or after when.
-func (t *Timers) Add(when float64, do func()) Timer {
+// Schedule has do called at or after when.
+func (t *Wheel) Schedule(when float64, do func()) Timer {
 	i := t.free - 1
 	if i >= 0 {
 		t.free = t.places[i].next
@@ -91,9 +91,9 @@
 	return Timer{i + 1, p.turn}
 }
 
-// Move gives a timer that has not gone off yet another time, as if it were added now. It tells whether there was
+// Reschedule gives a timer that has not gone off yet another time, as if it were added now. It tells whether there was
 // such a timer. A timer may move itself while it goes off: it stays, with the same name.
-func (t *Timers) Move(name Timer, when float64) bool {
+func (t *Wheel) Reschedule(name Timer, when float64) bool {
 	i, ok := t.find(name)
 	if !ok {
 		return false
@@ -103,8 +103,8 @@
 	return true
 }
 
-// Drop takes a timer out and tells whether it was there.
-func (t *Timers) Drop(name Timer) bool {
+// Cancel takes a timer out and tells whether it was there.
+func (t *Wheel) Cancel(name Timer) bool {
 	i, ok := t.find(name)
 	if !ok {
 		return false
@@ -118,15 +118,15 @@
 	return true
 }
 
-// Has tells whether a timer is still there: it has not gone off, or does so now.
-func (t *Timers) Has(name Timer) bool {
+// Contains tells whether a timer is still there: it has not gone off, or does so now.
+func (t *Wheel) Contains(name Timer) bool {
 	_, ok := t.find(name)
 	return ok
 }
 
-// Next is a time at which Ripe should be called: that of the first timer, or one before it where that is far away or
+// NextWakeup is a time at which Ripe should be called: that of the first timer, or one before it where that is far away or
 // has many beside it; infinite where there is none. It never is later than the first timer's.
-func (t *Timers) Next() float64 {
+func (t *Wheel) NextWakeup() float64 {
 	next := math.Inf(1)
 	if len(t.heap) > 0 {
 		next = t.places[t.heap[0]].when
@@ -155,9 +155,9 @@
 	return next
 }
 
-// Ripe does what is due at now, at most so many of them, and tells whether all of it was done; what is left goes
+// Advance does what is due at now, at most so many of them, and tells whether all of it was done; what is left goes
 // first the next time. What is added or moved meanwhile waits for the next time, also if it is due.
-func (t *Timers) Ripe(now float64, most int) (all bool) {
+func (t *Wheel) Advance(now float64, most int) (all bool) {
 	t.busy, t.now = true, now
 	all = t.ripe(now, most)
 	t.busy = false
@@ -168,7 +168,7 @@
 	return all
 }
 
-func (t *Timers) ripe(now float64, most int) (all bool) {
+func (t *Wheel) ripe(now float64, most int) (all bool) {
 	until := tick(now)
 	for moves := most * movesAFiring; ; {
 		if t.draining == 0 && (len(t.heap) == 0 || t.places[t.heap[0]].when > now) && !t.step(until) {
@@ -191,7 +191,7 @@
 	}
 }
 
-func (t *Timers) fire(i int32) {
+func (t *Wheel) fire(i int32) {
 	t.take(i)
 	p := &t.places[i]
 	p.slot = firing
@@ -202,7 +202,7 @@
 }
 
 // step moves on to the next slot that is due by until, and has it emptied.
-func (t *Timers) step(until int64) bool {
+func (t *Wheel) step(until int64) bool {
 	level, slot, start := t.first()
 	if level < 0 || start > until {
 		t.elapsed = max(t.elapsed, until)
@@ -214,7 +214,7 @@
 }
 
 // drain takes one timer out of the slot that is being emptied, to a lower level or to those that are next.
-func (t *Timers) drain() {
+func (t *Wheel) drain() {
 	slot := t.draining - 1
 	if i := t.ends[slot].first - 1; i >= 0 {
 		t.take(i)
@@ -226,7 +226,7 @@
 }
 
 // first finds the first slot that is not empty, and the tick at which it starts. Its level is -1 where there is none.
-func (t *Timers) first() (level, slot int32, start int64) {
+func (t *Wheel) first() (level, slot int32, start int64) {
 	for level := range int32(levels) {
 		if full := t.full[level]; full != 0 {
 			shift := level * levelBits
@@ -238,7 +238,7 @@
 	return -1, 0, 0
 }
 
-func (t *Timers) find(name Timer) (int32, bool) {
+func (t *Wheel) find(name Timer) (int32, bool) {
 	i := name.at - 1
 	if i < 0 || int(i) >= len(t.places) || t.places[i].turn != name.turn || t.places[i].slot == nowhere {
 		return 0, false
@@ -246,7 +246,7 @@
 	return i, true
 }
 
-func (t *Timers) put(i int32, when float64) {
+func (t *Wheel) put(i int32, when float64) {
 	p := &t.places[i]
 	t.order++
 	p.when, p.order = when, t.order
@@ -259,7 +259,7 @@
 }
 
 // place puts a timer where its time belongs.
-func (t *Timers) place(i int32) {
+func (t *Wheel) place(i int32) {
 	p := &t.places[i]
 	at := tick(p.when)
 	if at <= t.elapsed {
@@ -283,7 +283,7 @@
 }
 
 // take takes a timer out of where it is.
-func (t *Timers) take(i int32) {
+func (t *Wheel) take(i int32) {
 	p := &t.places[i]
 	switch p.slot {
 	case firing:
@@ -322,7 +322,7 @@
 }
 
 // release frees a timer's place.
-func (t *Timers) release(i int32) {
+func (t *Wheel) release(i int32) {
 	p := &t.places[i]
 	*p = timer{slot: nowhere, next: t.free, turn: p.turn + 1}
 	t.free = i + 1
@@ -332,17 +332,17 @@
 }
 
 // before tells which of two goes first.
-func (t *Timers) before(a, b int32) bool {
+func (t *Wheel) before(a, b int32) bool {
 	p, q := &t.places[a], &t.places[b]
 	return p.when < q.when || p.when == q.when && p.order < q.order
 }
 
-func (t *Timers) swap(a, b int32) {
+func (t *Wheel) swap(a, b int32) {
 	t.heap[a], t.heap[b] = t.heap[b], t.heap[a]
 	t.places[t.heap[a]].heapAt, t.places[t.heap[b]].heapAt = a, b
 }
 
-func (t *Timers) rise(at int32) {
+func (t *Wheel) rise(at int32) {
 	for at > 0 {
 		up := (at - 1) / 4
 		if !t.before(t.heap[at], t.heap[up]) {
@@ -353,7 +353,7 @@
 	}
 }
 
-func (t *Timers) sink(at int32) {
+func (t *Wheel) sink(at int32) {
 	for {
 		least := at
 		for c := 4*at + 1; c <= 4*at+4 && int(c) < len(t.heap); c++ {
--- a/internal/memory/wheel_test.go
+++ b/internal/memory/wheel_test.go
@@ -55,18 +55,18 @@
 
 func TestTimersDoAsASortedListDoes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var ts Timers
+		var ts Wheel
 		var model sorted
 		now := rapid.SampledFrom([]float64{0, 1.7e9}).Draw(t, "start")
 		names, did, ids := map[int]Timer{}, []int(nil), 0
 		add := func(when float64, chain int) {
 			id := ids
 			ids++
-			names[id] = ts.Add(when, func() {
+			names[id] = ts.Schedule(when, func() {
 				did = append(did, id)
 				if chain > 0 { // goes on while it goes off, at times in the past
 					when := now + 0.05*float64(chain-1)
-					ts.Move(names[id], when)
+					ts.Reschedule(names[id], when)
 					model.add(when, id)
 					chain--
 				}
@@ -86,14 +86,14 @@
 					if there {
 						model.add(when, id)
 					}
-					if ts.Move(names[id], when) != there {
+					if ts.Reschedule(names[id], when) != there {
 						t.Fatalf("move of %d: not %t", id, there)
 					}
 				}
 			case 3:
 				if ids > 0 {
 					id := rapid.IntRange(0, ids-1).Draw(t, "dropped")
-					if there := model.drop(id); ts.Drop(names[id]) != there || ts.Has(names[id]) {
+					if there := model.drop(id); ts.Cancel(names[id]) != there || ts.Contains(names[id]) {
 						t.Fatalf("drop of %d: not %t", id, there)
 					}
 				}
@@ -110,7 +110,7 @@
 						want = append(want, e.id)
 					}
 				}
-				all := ts.Ripe(now, most)
+				all := ts.Advance(now, most)
 				if all != (len(did) == len(want)) || len(did) > most || !slices.Equal(did, want[:len(did)]) {
 					t.Fatalf("at %v did %v, all %t, want %v", now, did, all, want)
 				}
@@ -119,7 +119,7 @@
 					model.line = slices.Delete(model.line, i, i+1)
 				}
 			}
-			next := ts.Next()
+			next := ts.NextWakeup()
 			if len(model.line) != ts.Len() || len(model.line) > 0 && next > model.line[0].when {
 				t.Fatalf("%d timers, next %v; want %+v", ts.Len(), next, model.line)
 			}
@@ -129,9 +129,9 @@
 		}
 		// Whoever calls Ripe at each Next comes to every end, in a bounded number of calls.
 		for calls := 0; len(model.line) > 0 && model.line[0].when < math.Inf(1); calls++ {
-			now = max(now, ts.Next())
+			now = max(now, ts.NextWakeup())
 			did = nil
-			ts.Ripe(now, 1000)
+			ts.Advance(now, 1000)
 			for _, id := range did {
 				i := slices.IndexFunc(model.line, func(e entryOf) bool { return e.id == id })
 				if model.line[i].when > now || slices.ContainsFunc(model.line[:i], func(e entryOf) bool { return e.when < model.line[i].when }) {
@@ -147,43 +147,43 @@
 }
 
 func TestATimerMayChangeOthersWhileItGoesOff(t *testing.T) {
-	var ts Timers
+	var ts Wheel
 	var did []string
 	say := func(s string) func() { return func() { did = append(did, s) } }
 	var self Timer
-	later := ts.Add(1, say("dropped by the first"))
-	moved := ts.Add(1, say("moved by the first"))
-	ts.Drop(later)
+	later := ts.Schedule(1, say("dropped by the first"))
+	moved := ts.Schedule(1, say("moved by the first"))
+	ts.Cancel(later)
 	later = Timer{}
-	self = ts.Add(0.5, func() {
+	self = ts.Schedule(0.5, func() {
 		did = append(did, "first")
-		ts.Drop(later)
-		ts.Move(moved, 2)
-		ts.Add(0, say("added in the past"))
-		if !ts.Drop(self) || ts.Drop(self) {
+		ts.Cancel(later)
+		ts.Reschedule(moved, 2)
+		ts.Schedule(0, say("added in the past"))
+		if !ts.Cancel(self) || ts.Cancel(self) {
 			t.Error("dropping itself")
 		}
 	})
-	later = ts.Add(0.7, say("never"))
-	ts.Add(1, say("second"))
-	if ts.Ripe(1, 100); fmt.Sprint(did) != "[first second]" { // what is added in the past keeps nobody from its turn
+	later = ts.Schedule(0.7, say("never"))
+	ts.Schedule(1, say("second"))
+	if ts.Advance(1, 100); fmt.Sprint(did) != "[first second]" { // what is added in the past keeps nobody from its turn
 		t.Errorf("%q", did)
 	}
-	if ts.Ripe(1, 100); fmt.Sprint(did) != "[first second added in the past]" || ts.Len() != 1 {
+	if ts.Advance(1, 100); fmt.Sprint(did) != "[first second added in the past]" || ts.Len() != 1 {
 		t.Errorf("%q, %d", did, ts.Len())
 	}
-	if ts.Ripe(2, 100); len(did) != 4 || ts.Len() != 0 || !math.IsInf(ts.Next(), 1) {
+	if ts.Advance(2, 100); len(did) != 4 || ts.Len() != 0 || !math.IsInf(ts.NextWakeup(), 1) {
 		t.Errorf("%q, %d", did, ts.Len())
 	}
 }
 
 func TestThousandsOfOneInstantAreDoneInParts(t *testing.T) {
-	var ts Timers
+	var ts Wheel
 	const n, part = 100_000, 64
 	for _, when := range []float64{3, 500_000} { // near, and so far that they come down level by level
 		var did int
 		for i := range n {
-			ts.Add(when, func() {
+			ts.Schedule(when, func() {
 				if did != i {
 					t.Fatalf("%d before %d", i, did)
 				}
@@ -191,9 +191,9 @@
 			})
 		}
 		turns := 0
-		for before := 0; !ts.Ripe(when, part); before = did {
-			if did-before > part || ts.Next() > when {
-				t.Fatalf("%d done at once, next %v", did-before, ts.Next())
+		for before := 0; !ts.Advance(when, part); before = did {
+			if did-before > part || ts.NextWakeup() > when {
+				t.Fatalf("%d done at once, next %v", did-before, ts.NextWakeup())
 			}
 			turns++
 		}
@@ -207,13 +207,13 @@
 }
 
 func TestMovingATimerAllocatesNothing(t *testing.T) {
-	var ts Timers
-	name := ts.Add(1, func() {})
+	var ts Wheel
+	name := ts.Schedule(1, func() {})
 	now := 0.0
 	if n := testing.AllocsPerRun(1000, func() {
 		now += 0.01
-		ts.Move(name, now+3)
-		ts.Ripe(now, 10)
+		ts.Reschedule(name, now+3)
+		ts.Advance(now, 10)
 	}); n != 0 {
 		t.Errorf("%v allocations", n)
 	}
@@ -222,10 +222,10 @@
 // BenchmarkTimers tells what one operation costs among so many timers that are up to a minute away.
 func BenchmarkTimers(b *testing.B) {
 	for _, n := range []int{100, 10_000, 1_000_000} {
-		fill := func() (*Timers, []Timer, *rand.Rand) {
-			ts, names, r := &Timers{}, make([]Timer, n), rand.New(rand.NewPCG(1, 2))
+		fill := func() (*Wheel, []Timer, *rand.Rand) {
+			ts, names, r := &Wheel{}, make([]Timer, n), rand.New(rand.NewPCG(1, 2))
 			for i := range names {
-				names[i] = ts.Add(60*r.Float64(), func() {})
+				names[i] = ts.Schedule(60*r.Float64(), func() {})
 			}
 			return ts, names, r
 		}
@@ -234,7 +234,7 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				ts.Move(names[i%n], 60*r.Float64())
+				ts.Reschedule(names[i%n], 60*r.Float64())
 			}
 		})
 		b.Run(fmt.Sprint("add-drop/", n), func(b *testing.B) {
@@ -242,23 +242,23 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				ts.Drop(ts.Add(60*r.Float64(), nil))
+				ts.Cancel(ts.Schedule(60*r.Float64(), nil))
 			}
 		})
 		b.Run(fmt.Sprint("fire-again/", n), func(b *testing.B) { // what goes off comes back a minute later
-			ts, r, now, fired := &Timers{}, rand.New(rand.NewPCG(1, 2)), 0.0, 0
+			ts, r, now, fired := &Wheel{}, rand.New(rand.NewPCG(1, 2)), 0.0, 0
 			for range n {
 				var name Timer
-				name = ts.Add(60*r.Float64(), func() {
+				name = ts.Schedule(60*r.Float64(), func() {
 					fired++
-					ts.Move(name, now+60*r.Float64())
+					ts.Reschedule(name, now+60*r.Float64())
 				})
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
 			for fired < b.N {
-				now = max(now, ts.Next())
-				ts.Ripe(now, 64)
+				now = max(now, ts.NextWakeup())
+				ts.Advance(now, 64)
 			}
 		})
 	}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -27,13 +27,13 @@
 // Parts are what a server has of its fleet.
 type Parts interface {
 	// Start begins the fleet's part of a server; own is the operator's file of this server.
-	Start(start *life.Start, own *life.Conf, server *serve.Server) error
+	Start(start *life.Startup, own *life.OperatorSettings, server *serve.Server) error
 	// Forward has a server pass its tasks on to workers; it is called before Start.
-	Forward(start *life.Start, own *life.Conf, server *serve.Server) error
+	Forward(start *life.Startup, own *life.OperatorSettings, server *serve.Server) error
 	// Plan makes plans under a name until the end.
-	Plan(name string, own *life.Conf, signals life.Signals) error
+	Plan(name string, own *life.OperatorSettings, signals life.Signals) error
 	// Reread takes the operator's file of this server again.
-	Reread(own *life.Conf)
+	Reread(own *life.OperatorSettings)
 	// Command carries the words after "fleet" out.
 	Command(words []string) error
 }
@@ -75,7 +75,7 @@
 	if h.parts == nil {
 		return become()
 	}
-	return c.run(signals, h, life.ReadForwarder)
+	return c.run(signals, h, life.LoadForwarder)
 }
 
 type planCommand struct {
@@ -87,7 +87,7 @@
 	if h.parts == nil {
 		return become()
 	}
-	conf, err := life.ReadConf(life.ConfPath(c.Conf, os.Getenv))
+	conf, err := life.LoadOperatorSettings(life.OperatorFilePath(c.Conf, os.Getenv))
 	if err != nil {
 		return err
 	}
@@ -99,46 +99,46 @@
 }
 
 func (c *checkCommand) Run() error {
-	if _, err := life.ReadConf(c.File); err != nil {
+	if _, err := life.LoadOperatorSettings(c.File); err != nil {
 		return err
 	}
 	fmt.Println(c.File, "is right")
 	return nil
 }
 
-func (c *serveCommand) Run(signals life.Signals, h *host) error { return c.run(signals, h, life.Read) }
+func (c *serveCommand) Run(signals life.Signals, h *host) error { return c.run(signals, h, life.Load) }
 
-func (c *serveCommand) run(signals life.Signals, h *host, read func(func(string) string) (*life.Start, error)) error {
+func (c *serveCommand) run(signals life.Signals, h *host, read func(func(string) string) (*life.Startup, error)) error {
 	parts := h.parts
 	start, err := read(os.Getenv)
 	if err != nil {
 		watch.Fatal("bad_configuration", "err", err)
 	}
-	path := life.ConfPath(c.Conf, os.Getenv)
-	conf, err := life.ReadConf(path)
+	path := life.OperatorFilePath(c.Conf, os.Getenv)
+	conf, err := life.LoadOperatorSettings(path)
 	if err != nil {
 		watch.Fatal("bad_conf", "err", err)
 	}
 	if conf.Fleet && parts == nil {
 		watch.Fatal("end", "err", become())
 	}
-	life.Fit(start)
-	slog.Info("start", "name", start.Name, "listen", start.Listen, "processor", start.Processor,
-		"catalogue", start.Catalogue, "roster", start.Roster, "stop_s", start.Stop, "cores", start.Cores,
-		"memory_mb", start.Memory>>20, "sockets", start.Sockets, "stages", len(start.Stages),
-		"tenants", len(start.Tenants), "conf", path, "door", conf.Door)
-	for _, key := range start.Unused {
+	life.ApplyLimits(start)
+	slog.Info("start", "name", start.Name, "listen", start.Listen, "processor", start.Executor,
+		"catalogue", start.Upstream, "roster", start.Registry, "stop_s", start.StopTimeout, "cores", start.Cores,
+		"memory_mb", start.MemoryBytes>>20, "sockets", start.MaxSockets, "stages", len(start.ClassIndex),
+		"tenants", len(start.TenantIndex), "conf", path, "door", conf.Door)
+	for _, key := range start.UnsupportedKeys {
 		slog.Info("setting_unused", "key", key, "why", "this protocol has no command for it")
 	}
-	for i, stage := range start.Site.Classes {
-		slog.Info("stage", "name", start.StageNames[i], "due_s", stage.SoftDeadline, "limit_s", stage.Timeout,
+	for i, stage := range start.Settings.Classes {
+		slog.Info("stage", "name", start.ClassNames[i], "due_s", stage.SoftDeadline, "limit_s", stage.Timeout,
 			"utility", stage.Value, "late_utility", stage.LateValue, "skip_utility", stage.DegradedValue,
 			"calls", stage.CallsDownstream)
 	}
 	server := serve.New(start, conf)
-	signals.Follow(server.Leave, func() {
-		to, ignored, err := start.Again(os.Getenv)
-		next, err2 := life.ReadConf(path)
+	signals.Handle(server.Leave, func() {
+		to, ignored, err := start.Reload(os.Getenv)
+		next, err2 := life.LoadOperatorSettings(path)
 		if err != nil || err2 != nil {
 			for _, err := range []error{err, err2} {
 				if err != nil {
@@ -150,7 +150,7 @@
 		for _, key := range ignored {
 			slog.Info("reload_ignores", "key", key)
 		}
-		slog.Info("reload", "processor", to.Processor, "catalogue", to.Catalogue, "roster", to.Roster, "door", next.Door)
+		slog.Info("reload", "processor", to.Executor, "catalogue", to.Upstream, "roster", to.Registry, "door", next.Door)
 		server.Move(to)
 		if conf.Fleet && parts != nil {
 			parts.Reread(next)
@@ -158,7 +158,7 @@
 		}
 		server.Heed(next)
 	}, server.Tell)
-	if start.Forwards {
+	if start.Forwarder {
 		if err := parts.Forward(start, conf, server); err != nil {
 			watch.Fatal("bad_conf", "err", err)
 		}
@@ -176,8 +176,8 @@
 
 // Main runs a program; parts are nil in one without a fleet's.
 func Main(parts Parts) {
-	signals := life.Hear() // before all else, so that none ends the process
-	watch.To(os.Stderr)
+	signals := life.CatchSignals() // before all else, so that none ends the process
+	watch.SetOutput(os.Stderr)
 	var p program
 	if len(os.Args) == 1 { // no words: it serves, and what reads words stays out of memory
 		if err := p.Serve.Run(signals, &host{parts}); err != nil {
--- a/internal/ring/expiring.go
+++ b/internal/ring/expiring.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Expiring is a list of names, each of which runs out at its time.
-type Expiring []expiring
+// ExpiringNames is a list of names, each of which runs out at its time.
+type ExpiringNames []expiring
 
 type expiring struct {
 	name  string
@@ -11,47 +11,49 @@
 }
 
 // Add puts a name in.
-func (l *Expiring) Add(name string, until float64) { *l = append(*l, expiring{name, until}) }
+func (l *ExpiringNames) Add(name string, until float64) { *l = append(*l, expiring{name, until}) }
 
-// Drop takes out what has run out by now.
-func (l *Expiring) Drop(now float64) {
+// Expire takes out what has run out by now.
+func (l *ExpiringNames) Expire(now float64) {
 	*l = slices.DeleteFunc(*l, func(e expiring) bool { return e.until <= now })
 }
 
 // Remove takes a name out and tells whether it was there.
-func (l *Expiring) Remove(name string) bool {
+func (l *ExpiringNames) Remove(name string) bool {
 	n := len(*l)
 	*l = slices.DeleteFunc(*l, func(e expiring) bool { return e.name == name })
 	return len(*l) < n
 }
 
-// Allowance grows at Rate a second up to Most and is used up one by one.
-type Allowance struct{ Rate, Most, left, at float64 }
+// TokenBucket grows at Rate a second up to Most and is used up one by one.
+type TokenBucket struct{ Rate, Capacity, tokens, updatedAt float64 }
 
-// NewAllowance returns a full allowance.
-func NewAllowance(rate, most float64) Allowance { return Allowance{Rate: rate, Most: most, left: most} }
+// NewTokenBucket returns a full allowance.
+func NewTokenBucket(rate, most float64) TokenBucket {
+	return TokenBucket{Rate: rate, Capacity: most, tokens: most}
+}
 
-// Set has it grow at another rate, up to another most, from now on; what is there stays as far as that goes.
-func (a *Allowance) Set(now, rate, most float64) {
-	if a.at > 0 {
-		a.left = min(a.Most, a.left+(now-a.at)*a.Rate)
+// SetRate has it grow at another rate, up to another most, from now on; what is there stays as far as that goes.
+func (a *TokenBucket) SetRate(now, rate, most float64) {
+	if a.updatedAt > 0 {
+		a.tokens = min(a.Capacity, a.tokens+(now-a.updatedAt)*a.Rate)
 	}
-	a.Rate, a.Most, a.at = rate, most, now
-	a.left = min(a.left, most)
+	a.Rate, a.Capacity, a.updatedAt = rate, most, now
+	a.tokens = min(a.tokens, most)
 }
 
-// Give puts one back that was not used.
-func (a *Allowance) Give() { a.left = min(a.Most, a.left+1) }
+// Refund puts one back that was not used.
+func (a *TokenBucket) Refund() { a.tokens = min(a.Capacity, a.tokens+1) }
 
 // Take uses one up and tells whether there was one.
-func (a *Allowance) Take(now float64) bool {
-	if a.at > 0 {
-		a.left = min(a.Most, a.left+(now-a.at)*a.Rate)
+func (a *TokenBucket) Take(now float64) bool {
+	if a.updatedAt > 0 {
+		a.tokens = min(a.Capacity, a.tokens+(now-a.updatedAt)*a.Rate)
 	}
-	a.at = now
-	if a.left < 1 {
+	a.updatedAt = now
+	if a.tokens < 1 {
 		return false
 	}
-	a.left--
+	a.tokens--
 	return true
 }
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,20 +1,20 @@
 // Package ring keeps what is measured over time in fixed buckets that are used again in a ring.
 package ring
 
-// Ring holds the latest buckets of Width seconds each. The zero bucket is an empty one.
-type Ring[T any] struct {
+// Buckets holds the latest buckets of Width seconds each. The zero bucket is an empty one.
+type Buckets[T any] struct {
 	width   float64
 	buckets []T
 	newest  int64 // number of the newest bucket since time 0
 }
 
 // New returns a ring of n empty buckets, each width seconds long, the newest holding now.
-func New[T any](n int, width, now float64) *Ring[T] {
-	return &Ring[T]{width: width, buckets: make([]T, n), newest: int64(now / width)}
+func New[T any](n int, width, now float64) *Buckets[T] {
+	return &Buckets[T]{width: width, buckets: make([]T, n), newest: int64(now / width)}
 }
 
-// At empties the buckets that have run out by now and returns the one that now falls in.
-func (r *Ring[T]) At(now float64) *T {
+// Current empties the buckets that have run out by now and returns the one that now falls in.
+func (r *Buckets[T]) Current(now float64) *T {
 	number, n := int64(now/r.width), int64(len(r.buckets))
 	if number-r.newest > n {
 		r.newest = number - n
@@ -26,9 +26,9 @@
 	return &r.buckets[r.newest%n]
 }
 
-// All calls f on every bucket still in the ring, in no order that means anything.
-func (r *Ring[T]) All(now float64, f func(*T)) {
-	r.At(now)
+// ForEach calls f on every bucket still in the ring, in no order that means anything.
+func (r *Buckets[T]) ForEach(now float64, f func(*T)) {
+	r.Current(now)
 	for i := range r.buckets {
 		f(&r.buckets[i])
 	}
--- a/internal/serve/actions.go
+++ b/internal/serve/actions.go
@@ -24,14 +24,14 @@
 			continue
 		case choice.SetIdleTimeout:
 			if a.Duration <= 0 {
-				a.Duration = s.start.Site.IdleTimeout
+				a.Duration = s.start.Settings.IdleTimeout
 			}
 			s.door.Idle(a.Duration)
 			continue
 		case choice.SetTimer:
 			label := a.Label
-			s.timers.Add(now+max(0, a.Duration-gaugeLead), s.processor.asking)
-			s.timers.Add(now+a.Duration, func() { s.happens(choice.Event{Kind: choice.TimerFired, Label: label}) })
+			s.timers.Schedule(now+max(0, a.Duration-gaugeLead), s.processor.asking)
+			s.timers.Schedule(now+a.Duration, func() { s.happens(choice.Event{Kind: choice.TimerFired, Label: label}) })
 			continue
 		case choice.LogLine:
 			slog.Info("note", "text", a.Label)
@@ -40,7 +40,7 @@
 		t := s.tasks.Get(a.RequestID)
 		if t == nil { // it is over
 			if a.Kind == choice.DeleteKey {
-				s.kept.Forget(a.RequestID)
+				s.kept.Remove(a.RequestID)
 			}
 			continue
 		}
@@ -56,9 +56,9 @@
 		case choice.Degrade:
 			s.processor.reply(t, nil, true)
 		case choice.StoreKey:
-			s.kept.Keep(t, now+a.Duration, s.runsOnce(t.Stage))
+			s.kept.Track(t, now+a.Duration, s.runsOnce(t.Class))
 		case choice.DeleteKey:
-			s.kept.Forget(t.ID)
+			s.kept.Remove(t.ID)
 		case choice.ReuseResult:
 			s.reuse(t, now)
 		}
@@ -66,17 +66,17 @@
 }
 
 // reuse answers a task with what the kept one it repeats came to, now or at that one's end.
-func (s *Server) reuse(t *memory.Task, now float64) {
-	switch result, state := s.kept.Wait(t, now); state {
-	case memory.Done:
+func (s *Server) reuse(t *memory.Request, now float64) {
+	switch result, state := s.kept.LookupOrWait(t, now); state {
+	case memory.Available:
 		s.shared(t, result, choice.Finished, 0)
-	case memory.Missing, memory.Spent:
+	case memory.Missing, memory.Unrepeatable:
 		s.shared(t, nil, choice.Failed, 0)
 	}
 }
 
 // shared ends a task that took another's answer.
-func (s *Server) shared(t *memory.Task, result []byte, outcome choice.Outcome, took float64) {
+func (s *Server) shared(t *memory.Request, result []byte, outcome choice.Outcome, took float64) {
 	if t == nil || t.Answered {
 		return
 	}
--- a/internal/serve/budgets.go
+++ b/internal/serve/budgets.go
@@ -43,13 +43,13 @@
 
 // Budget has parts of budgets bind from the first task on, and what is used told. It is called before Run.
 func (s *Server) Budget(tell func([]Used)) {
-	s.budgets = &budgets{asked: make([]int, len(s.start.Site.Tenants)), rates: make([]float64, len(s.start.Site.Tenants)), lapse: math.Inf(1), tell: tell}
+	s.budgets = &budgets{asked: make([]int, len(s.start.Settings.Tenants)), rates: make([]float64, len(s.start.Settings.Tenants)), lapse: math.Inf(1), tell: tell}
 	var again func()
 	again = func() {
 		s.countUse()
-		s.timers.Add(s.now()+useEvery, again)
+		s.timers.Schedule(s.now()+useEvery, again)
 	}
-	s.timers.Add(s.now()+useEvery, again)
+	s.timers.Schedule(s.now()+useEvery, again)
 }
 
 // Below has what became of calls below told, after Budget.
--- a/internal/serve/callers.go
+++ b/internal/serve/callers.go
@@ -19,9 +19,9 @@
 	var again func()
 	again = func() {
 		tell(s.door.Earnings(s.now(), most))
-		s.timers.Add(s.now()+tellCallersEvery, again)
+		s.timers.Schedule(s.now()+tellCallersEvery, again)
 	}
-	s.timers.Add(s.now()+tellCallersEvery, again)
+	s.timers.Schedule(s.now()+tellCallersEvery, again)
 }
 
 // Heard has the door know callers that earned it at other servers, from any goroutine.
--- a/internal/serve/catalogue.go
+++ b/internal/serve/catalogue.go
@@ -29,7 +29,7 @@
 
 // call is a call on its way.
 type call struct {
-	task   *memory.Task
+	task   *memory.Request
 	pooled *pooledConn // nil while it waits for one
 	began  float64
 	until  float64
@@ -63,18 +63,18 @@
 
 // maxPooled is a quarter of the descriptors, as balancers may open half of them, and at most as many as a server of 1,024
 // descriptors has: more calls than that are never in hand on one core.
-func (s *Server) maxPooled() int { return min(s.start.Sockets/4, 256) }
+func (s *Server) maxPooled() int { return min(s.start.MaxSockets/4, 256) }
 
 // call lets a task's call out.
-func (s *Server) call(t *memory.Task, wait float64) {
-	if t.Asked == 0 || t.Replied || t.Answered {
+func (s *Server) call(t *memory.Request, wait float64) {
+	if t.CallNotice == 0 || t.CallSettled || t.Answered {
 		return
 	}
 	now := s.now()
 	c := &call{task: t, began: now, until: now + wait}
 	s.counts.calls++
 	s.calls[t.ID] = c
-	s.timers.Add(c.until+callGrace, func() {
+	s.timers.Schedule(c.until+callGrace, func() {
 		if c.over {
 			return
 		}
@@ -91,7 +91,7 @@
 // effect would matter the pooled connection is new: one that was idle may break in a way that tells nothing of the call.
 func (s *Server) route(c *call) {
 	now, from := s.now(), &s.connPool
-	mayBreak := s.start.Site.Classes[c.task.Stage].Idempotency == choice.Idempotent && !c.again
+	mayBreak := s.start.Settings.Classes[c.task.Class].Idempotency == choice.Idempotent && !c.again
 	for i := len(from.idle) - 1; i >= 0 && mayBreak; i-- {
 		l := from.idle[i]
 		if now-l.quiet <= restFor && !slices.Contains(l.carried, c.task.ID) {
@@ -125,7 +125,7 @@
 func (l *pooledConn) send() {
 	s, c := l.server, l.call
 	c.reach = sent
-	s.scratch = catalogue.PutCall(s.scratch[:0], c.task.ID, c.until-s.now(), c.task.Ask)
+	s.scratch = catalogue.PutCall(s.scratch[:0], c.task.ID, c.until-s.now(), c.task.CallBody)
 	s.write(&l.line, s.scratch)
 }
 
@@ -154,7 +154,7 @@
 }
 
 // quit gives up the call of a task that needs it no more, without an event.
-func (s *Server) quit(t *memory.Task) {
+func (s *Server) quit(t *memory.Request) {
 	if c := s.calls[t.ID]; c != nil {
 		s.drop(c)
 	}
@@ -225,8 +225,8 @@
 	now := s.now()
 	if now > s.connPool.lost+1 { // one line a second, however many are tried
 		s.connPool.lost = now
-		slog.Info("link_lost", "link", "catalogue", "rested_s", watch.Round(l.rested, 3),
-			"after_s", watch.Round(now-c.began, 3), "err", &attemptError{c.reach, err})
+		slog.Info("link_lost", "link", "catalogue", "rested_s", watch.FormatDecimal(l.rested, 3),
+			"after_s", watch.FormatDecimal(now-c.began, 3), "err", &attemptError{c.reach, err})
 	}
 	c.pooled = nil
 	// A pooled connection that had been idle and breaks before its reply was most likely forgotten on the other side. Only calls
--- a/internal/serve/catalogue_test.go
+++ b/internal/serve/catalogue_test.go
@@ -116,7 +116,7 @@
 }
 
 func TestCallsWaitForAPooledConnection(t *testing.T) {
-	w := build(t, func(s *life.Start) { s.Sockets, s.Site.Cores = 64, 32 })
+	w := build(t, func(s *life.Startup) { s.MaxSockets, s.Settings.Cores = 64, 32 })
 	b := w.balancer()
 	most := w.server.maxPooled()
 	for i := range most + 1 {
--- a/internal/serve/claims.go
+++ b/internal/serve/claims.go
@@ -42,34 +42,34 @@
 
 // Key has the tasks of some stages claimed by their subject before they run. It is called before Run.
 func (s *Server) Key(fleet Fleet, stages []string, window float64) {
-	s.keyed = &keyed{fleet: fleet, stages: make([]bool, len(s.start.StageNames)), waiting: map[string]choice.Event{}, granted: map[string]bool{}}
-	for i, name := range s.start.StageNames {
+	s.keyed = &keyed{fleet: fleet, stages: make([]bool, len(s.start.ClassNames)), waiting: map[string]choice.Event{}, granted: map[string]bool{}}
+	for i, name := range s.start.ClassNames {
 		if slices.Contains(stages, name) {
 			s.keyed.stages[i] = true
-			s.start.Site.Classes[i].Idempotency = choice.Deduplicated
-			s.start.Site.Classes[i].DeduplicationWindow = window
+			s.start.Settings.Classes[i].Idempotency = choice.Deduplicated
+			s.start.Settings.Classes[i].DeduplicationWindow = window
 		}
 	}
 }
 
 // claims tells whether a task that was read has to be granted first, and asks for it.
-func (s *Server) claims(t *memory.Task, read *choice.Event, now float64) bool {
+func (s *Server) claims(t *memory.Request, read *choice.Event, now float64) bool {
 	k := s.keyed
-	if k == nil || !k.stages[t.Stage] || t.Subject == "" || read.Request.DuplicateOf != "" {
+	if k == nil || !k.stages[t.Class] || t.Subject == "" || read.Request.DuplicateOf != "" {
 		return false
 	}
-	limit := s.start.Site.Classes[t.Stage].Timeout
-	if t.Wait != 0 {
-		limit = min(limit, t.Wait)
+	limit := s.start.Settings.Classes[t.Class].Timeout
+	if t.Timeout != 0 {
+		limit = min(limit, t.Timeout)
 	}
-	left := limit - max(0, now-t.Came) - ruleSlush
-	if len(k.waiting) >= maxWaiting || !k.fleet.Claim(t.ID, s.start.StageNames[t.Stage], t.Subject, left) {
+	left := limit - max(0, now-t.ArrivedAt) - ruleSlush
+	if len(k.waiting) >= maxWaiting || !k.fleet.Claim(t.ID, s.start.ClassNames[t.Class], t.Subject, left) {
 		s.reject(t, s.awayFor(), false)
 		return true
 	}
 	k.waiting[t.ID] = *read
 	id := t.ID
-	s.timers.Add(now+max(0, left)+lateRule, func() { s.rule(id, stance.ClaimOutcomeUnknown, nil) }) // what is ruled by then changes nothing
+	s.timers.Schedule(now+max(0, left)+lateRule, func() { s.rule(id, stance.ClaimOutcomeUnknown, nil) }) // what is ruled by then changes nothing
 	return true
 }
 
@@ -96,12 +96,12 @@
 		k.fleet.Never(id)
 	case r == stance.ClaimGranted:
 		k.granted[id] = true
-		if read.Request.DuplicateOf = s.kept.Earlier(t.Stage, t.Subject, t.Came, now); read.Request.DuplicateOf != "" {
+		if read.Request.DuplicateOf = s.kept.Original(t.Class, t.Subject, t.ArrivedAt, now); read.Request.DuplicateOf != "" {
 			s.unclaim(t)
 		}
 		s.happens(read)
 	case r == stance.ClaimCached:
-		read.Request.DuplicateOf = s.kept.Adopt(t, result, now+s.start.Site.Classes[t.Stage].DeduplicationWindow)
+		read.Request.DuplicateOf = s.kept.Import(t, result, now+s.start.Settings.Classes[t.Class].DeduplicationWindow)
 		s.happens(read)
 	case r == stance.ClaimNoQuorum:
 		s.counts.ungranted++
@@ -114,7 +114,7 @@
 }
 
 // unclaim tells the fleet that a task that was claimed is over and never began.
-func (s *Server) unclaim(t *memory.Task) {
+func (s *Server) unclaim(t *memory.Request) {
 	k := s.keyed
 	if k == nil {
 		return
@@ -128,7 +128,7 @@
 }
 
 // claimEnded tells the fleet how the run of a task ended.
-func (s *Server) claimEnded(t *memory.Task, well bool, result []byte) {
+func (s *Server) claimEnded(t *memory.Request, well bool, result []byte) {
 	if k := s.keyed; k != nil && k.granted[t.ID] {
 		delete(k.granted, t.ID)
 		k.fleet.Ended(t.ID, well, append([]byte(nil), result...))
@@ -141,7 +141,7 @@
 // freshFor is how long a result may serve repeats.
 func (s *Server) freshFor(stage int) float64 {
 	if k := s.keyed; k != nil && k.stages[stage] {
-		return s.start.Site.Classes[stage].DeduplicationWindow
+		return s.start.Settings.Classes[stage].DeduplicationWindow
 	}
-	return s.start.Site.ResultCacheTTL
+	return s.start.Settings.ResultCacheTTL
 }
--- a/internal/serve/closing.go
+++ b/internal/serve/closing.go
@@ -76,7 +76,7 @@
 	c := &closing{server: s, conn: conn, until: s.now() + closeFor}
 	conn.SetContext(c)
 	if s.closing = append(s.closing, c); len(s.closing) == 1 {
-		s.timers.Add(c.until, s.endClosing)
+		s.timers.Schedule(c.until, s.endClosing)
 		s.wake()
 	}
 	if len(s.closing) > maxClosing && !s.parting {
@@ -91,13 +91,13 @@
 		s.closing[0].end()
 	}
 	if len(s.closing) > 0 {
-		s.timers.Add(s.closing[0].until, s.endClosing)
+		s.timers.Schedule(s.closing[0].until, s.endClosing)
 	}
 }
 
 // muted is a peer that sent what is no message.
 type muted struct {
-	name  memory.Name
+	name  memory.Handle
 	until float64 // s.now() until which its answers may lie unread; 0 while a task of it is open
 }
 
@@ -123,7 +123,7 @@
 			p.shutDown()
 		case m.until == 0:
 			m.until = now + flushFor
-			s.timers.Add(m.until, s.wake)
+			s.timers.Schedule(m.until, s.wake)
 		case now >= m.until:
 			p.end()
 		}
@@ -133,7 +133,7 @@
 // shutDownAll shuts, just before the kill, whatever is owed nothing and has nothing to write.
 func (s *Server) shutDownAll() {
 	s.flush()
-	s.peers.All(func(_ memory.Name, p *peer) {
+	s.peers.ForEach(func(_ memory.Handle, p *peer) {
 		if len(p.open) == 0 && p.conn != nil && p.conn.OutboundBuffered() == 0 {
 			p.shutDown()
 		}
--- a/internal/serve/forward.go
+++ b/internal/serve/forward.go
@@ -71,7 +71,7 @@
 }
 
 // keepsToForward keeps what goes on with a task.
-func (s *Server) keepsToForward(t *memory.Task, m *rpc.Message) {
+func (s *Server) keepsToForward(t *memory.Request, m *rpc.Message) {
 	if f := s.forwarding; f != nil {
 		kept := *m
 		kept.Body, kept.Bad, kept.Number = nil, nil, 0 // the body is the task's
@@ -80,33 +80,33 @@
 }
 
 // startRun runs a task: at a worker, or at the processor.
-func (s *Server) startRun(t *memory.Task) {
+func (s *Server) startRun(t *memory.Request) {
 	f := s.forwarding
 	if f == nil {
 		s.processor.begin(t)
 		return
 	}
-	if t.Begun || t.Answered {
+	if t.Running || t.Answered {
 		return
 	}
-	t.Begun = true
-	wait := s.start.Site.Classes[t.Stage].Timeout
-	if t.Wait > 0 {
-		wait = min(wait, t.Wait)
+	t.Running = true
+	wait := s.start.Settings.Classes[t.Class].Timeout
+	if t.Timeout > 0 {
+		wait = min(wait, t.Timeout)
 	}
 	now := s.now()
-	out := Out{ID: t.ID, Stage: t.Stage, Message: *f.told[t.ID], Left: t.Came + wait - now - slush}
+	out := Out{ID: t.ID, Stage: t.Class, Message: *f.told[t.ID], Left: t.ArrivedAt + wait - now - slush}
 	out.Message.Body = append([]byte(nil), t.Body...) // the buffer may be used again before a second try
 	if out.Left <= 0 || !f.begin(out) {
-		s.returned(&Back{ID: t.ID, Outcome: choice.Rejected, Advice: s.start.Site.MaxRetryAfter})
+		s.returned(&Back{ID: t.ID, Outcome: choice.Rejected, Advice: s.start.Settings.MaxRetryAfter})
 	}
 }
 
 // leaves tells that nobody waits for a task any more.
-func (s *Server) leaves(t *memory.Task) {
+func (s *Server) leaves(t *memory.Request) {
 	if f := s.forwarding; f != nil {
 		delete(f.told, t.ID)
-		if t.Begun {
+		if t.Running {
 			f.quit(t.ID)
 		}
 	}
@@ -115,7 +115,7 @@
 // returned ends a run.
 func (s *Server) returned(b *Back) {
 	t := s.tasks.Get(b.ID)
-	if t == nil || !t.Begun {
+	if t == nil || !t.Running {
 		return
 	}
 	outcome := b.Outcome
@@ -127,15 +127,15 @@
 	case choice.Rejected:
 		outcome = choice.NeverStarted
 		if !t.Answered {
-			s.reject(t, min(b.Advice, s.start.Site.MaxRetryAfter), false)
+			s.reject(t, min(b.Advice, s.start.Settings.MaxRetryAfter), false)
 		}
 	}
 	s.runEnded(t, outcome, b.Body, b.Took)
 }
 
 // runEnded tells all who wait for a run how it ended.
-func (s *Server) runEnded(t *memory.Task, outcome choice.Outcome, body []byte, took float64) {
-	for _, id := range s.kept.Ended(t.ID, outcome != choice.NeverStarted, outcome == choice.Finished, body, s.now()+s.freshFor(t.Stage)) {
+func (s *Server) runEnded(t *memory.Request, outcome choice.Outcome, body []byte, took float64) {
+	for _, id := range s.kept.Finish(t.ID, outcome != choice.NeverStarted, outcome == choice.Finished, body, s.now()+s.freshFor(t.Class)) {
 		s.shared(s.tasks.Get(id), body, outcome, took)
 	}
 	s.claimEnded(t, outcome == choice.Finished, body)
--- a/internal/serve/guard.go
+++ b/internal/serve/guard.go
@@ -18,12 +18,12 @@
 // This file is the way of a connection and its tasks through a guarded door.
 
 // newDoor makes the door as the operator's file says.
-func (s *Server) newDoor(conf *life.Conf) *door.Door {
+func (s *Server) newDoor(conf *life.OperatorSettings) *door.Door {
 	if conf == nil || !conf.Door {
-		return door.New(s.start.Site.IdleTimeout)
+		return door.New(s.start.Settings.IdleTimeout)
 	}
 	s.lobby = conf.Lobby
-	return door.NewGuarded(s.start.Site.IdleTimeout, s.rules(conf))
+	return door.NewGuarded(s.start.Settings.IdleTimeout, s.rules(conf))
 }
 
 // lobbyPlaces are as many as the file says, and at most a sixteenth of the descriptors for balancers; so many connections may be on their
@@ -34,7 +34,7 @@
 }
 
 // rules are the door's, in its words.
-func (s *Server) rules(c *life.Conf) door.Rules {
+func (s *Server) rules(c *life.OperatorSettings) door.Rules {
 	places := s.lobbyPlaces()
 	most, _ := s.maxPeers()
 	most -= 4 * places // twice in the lobby, and twice on their way
@@ -45,7 +45,7 @@
 }
 
 // Heed tells the server, from any goroutine, that the operator's file was read again.
-func (s *Server) Heed(conf *life.Conf) {
+func (s *Server) Heed(conf *life.OperatorSettings) {
 	go func() {
 		<-s.looping
 		_ = s.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
@@ -60,7 +60,7 @@
 }
 
 // heed has the door go by the operator's file, as far as it can change while serving.
-func (s *Server) heed(conf *life.Conf) {
+func (s *Server) heed(conf *life.OperatorSettings) {
 	if conf.Door && !s.door.Heed(s.rules(conf)) {
 		slog.Info("reload_ignores", "key", "door-prefix-ipv4, door-prefix-ipv6, door-lobby, door-remember")
 	}
@@ -112,7 +112,7 @@
 		advice = s.door.Advice(slot, now)
 	}
 	say := s.say
-	say.Advice = min(advice, s.start.Site.MaxRetryAfter)
+	say.Advice = min(advice, s.start.Settings.MaxRetryAfter)
 	s.door.Tell(slot, door.Spoke, now)
 	s.scratch = rpc.PutRejected(s.scratch[:0], number, say)
 	s.write(&p.line, s.scratch)
@@ -124,5 +124,5 @@
 	slog.Info("door", "in", k.In, "most", k.Most, "lobby", s.door.Count(door.Lobby), "strangers_busy", k.BusyStrangers,
 		"turned_rate", s.door.Turned(door.OverRate), "turned_cap", s.door.Turned(door.OverCap), "turned_place", s.door.Turned(door.NoPlace),
 		"unheard", s.door.Turned(door.NoLobby), "tasks_turned", s.counts.turned, "addresses", k.Addresses,
-		"known", k.Known, "pace", watch.Round(s.door.Pace(s.now()), 0), "over_rate", s.acceptor.overRate.Load(), "accepts_failed", s.acceptor.failed.Load())
+		"known", k.Known, "pace", watch.FormatDecimal(s.door.Pace(s.now()), 0), "over_rate", s.acceptor.overRate.Load(), "accepts_failed", s.acceptor.failed.Load())
 }
--- a/internal/serve/guard_test.go
+++ b/internal/serve/guard_test.go
@@ -18,8 +18,8 @@
 	"swiftcourse/internal/standin/balancer"
 )
 
-func conf(t *testing.T, text string) *life.Conf {
-	c, err := life.ParseConf("test", []byte("door on\ndoor-arrivals-per-address 0\n"+text))
+func conf(t *testing.T, text string) *life.OperatorSettings {
+	c, err := life.ParseOperatorSettings("test", []byte("door on\ndoor-arrivals-per-address 0\n"+text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +66,7 @@
 }
 
 func TestKnownOnesGetInDuringAFlood(t *testing.T) {
-	w := buildWith(t, func(s *life.Start) { s.Sockets = 128 }, conf(t, "door-known 127.7.0.0/16"))
+	w := buildWith(t, func(s *life.Startup) { s.MaxSockets = 128 }, conf(t, "door-known 127.7.0.0/16"))
 	busy, err := w.from("127.8.0.1") // a stranger whose task is open all the while
 	if err != nil {
 		t.Fatal(err)
@@ -97,7 +97,7 @@
 }
 
 func TestWhoIsTurnedAwayHasAnAnswer(t *testing.T) {
-	w := buildWith(t, func(s *life.Start) { s.Site.MaxRetryAfter = 5 }, conf(t, "door-per-address 1"))
+	w := buildWith(t, func(s *life.Startup) { s.Settings.MaxRetryAfter = 5 }, conf(t, "door-per-address 1"))
 	first, err := w.from("127.6.0.1")
 	if err != nil {
 		t.Fatal(err)
@@ -136,7 +136,7 @@
 	for i, lack := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENOMEM} {
 		var fails atomic.Bool
 		var times atomic.Int64
-		var door *life.Conf
+		var door *life.OperatorSettings
 		if i < 4 {
 			door = conf(t, "")
 		} // and the plain server
@@ -191,7 +191,7 @@
 
 // Accept fails for good as the server is told to leave: it ends all the same.
 func TestAServerWhoseAcceptFailsLeaves(t *testing.T) {
-	w := buildWith(t, func(s *life.Start) { s.Stop = 10 }, nil, func(s *Server) {
+	w := buildWith(t, func(s *life.Startup) { s.StopTimeout = 10 }, nil, func(s *Server) {
 		s.acceptBy = func(func() (acceptedSocket, error)) func() (acceptedSocket, error) {
 			return func() (acceptedSocket, error) { return acceptedSocket{}, syscall.ENFILE }
 		}
@@ -260,7 +260,7 @@
 
 func TestHalfOfAllBalancersReturnAtOnce(t *testing.T) {
 	const n = 200
-	w := buildWith(t, func(s *life.Start) { s.Sockets = 1024 }, conf(t, ""))
+	w := buildWith(t, func(s *life.Startup) { s.MaxSockets = 1024 }, conf(t, ""))
 	for range 2 {
 		crowd, err := balancer.Hold(w.server.start.Listen, n, true)
 		if err != nil {
@@ -278,7 +278,7 @@
 }
 
 func TestAGuardedServerLeavesDuringAFlood(t *testing.T) {
-	w := buildWith(t, func(s *life.Start) { s.Sockets, s.Stop = 256, 8 }, conf(t, ""))
+	w := buildWith(t, func(s *life.Startup) { s.MaxSockets, s.StopTimeout = 256, 8 }, conf(t, ""))
 	b := w.balancer()
 	b.send("%s", frame(1, "a1", "x"))
 	w.processor.wants("begin", "a1")
--- a/internal/serve/idle_bench_test.go
+++ b/internal/serve/idle_bench_test.go
@@ -23,7 +23,7 @@
 	if runtime.MemProfileRate != 1 {
 		b.Skip("it needs -memprofilerate 1")
 	}
-	watch.To(io.Discard)
+	watch.SetOutput(io.Discard)
 	const n = 4000
 	front, err := net.Listen("tcp", "127.0.0.9:0")
 	if err != nil {
@@ -31,7 +31,7 @@
 	}
 	addr := front.Addr().String()
 	front.Close()
-	s := New(&life.Start{Listen: addr, Sockets: 3 * n, Stop: 4, Addresses: life.Addresses{Processor: "127.0.0.9:1", Roster: "127.0.0.9:1"}}, nil)
+	s := New(&life.Startup{Listen: addr, MaxSockets: 3 * n, StopTimeout: 4, Addresses: life.Addresses{Executor: "127.0.0.9:1", Registry: "127.0.0.9:1"}}, nil)
 	s.door.Idle(1e9)
 	done := make(chan error, 1)
 	go func() { done <- s.Run() }()
--- a/internal/serve/idle_test.go
+++ b/internal/serve/idle_test.go
@@ -57,7 +57,7 @@
 
 // alone is a server without a loop, whose turns the test takes.
 func alone(idle float64) *Server {
-	s := New(&life.Start{Sockets: 1000, Stages: map[string]int{"quote": 0}, Tenants: map[string]int{"acme": 0}, Site: choice.Settings{IdleTimeout: idle}}, nil)
+	s := New(&life.Startup{MaxSockets: 1000, ClassIndex: map[string]int{"quote": 0}, TenantIndex: map[string]int{"acme": 0}, Settings: choice.Settings{IdleTimeout: idle}}, nil)
 	s.loop, s.module = stillLoop{}, choice.New(1, choice.Settings{})
 	s.alarm = time.AfterFunc(time.Hour, func() {})
 	return s
@@ -68,7 +68,7 @@
 	const n = 10_000
 	did := 0
 	for range n {
-		s.timers.Add(s.now(), func() { did++ })
+		s.timers.Schedule(s.now(), func() { did++ })
 	}
 	turns := 0
 	for before := 0; did < n; before = did {
@@ -114,7 +114,7 @@
 }
 
 func TestAConnectionThatWakesWhileItIsClosedHasItsAnswer(t *testing.T) {
-	watch.To(io.Discard)
+	watch.SetOutput(io.Discard)
 	for _, wakes := range []bool{true, false} {
 		s := alone(30)
 		s.door.Idle(0)
@@ -153,7 +153,7 @@
 		}
 		s.tend(now + 100) // a task is open
 		s.reject(s.tasks.Get("a1"), 0, false)
-		if got := fmt.Sprintf("%q", s.peers.Get(name).out.Parts()); s.tasks.Open() != 0 || s.counts.rejected != 1 || len(got) < 10 {
+		if got := fmt.Sprintf("%q", s.peers.Get(name).out.Buffers()); s.tasks.Unanswered() != 0 || s.counts.rejected != 1 || len(got) < 10 {
 			t.Errorf("its answer: %s", got)
 		}
 		if _, err := unix.Read(c.fd, make([]byte, 4096)); err != nil { // as gnet would have before OnTraffic
@@ -163,7 +163,7 @@
 }
 
 func TestHalfAMessageAndADaysSilence(t *testing.T) {
-	watch.To(io.Discard)
+	watch.SetOutput(io.Discard)
 	for _, spoke := range []bool{false, true} {
 		s := alone(1e9)
 		name, p := s.peers.Add()
@@ -189,7 +189,7 @@
 
 func TestAStormOfReconnectsAfterAMassClose(t *testing.T) {
 	const n = 1500
-	w := build(t, func(s *life.Start) { s.Sockets, s.Site.IdleTimeout = 4000, 0.4 })
+	w := build(t, func(s *life.Startup) { s.MaxSockets, s.Settings.IdleTimeout = 4000, 0.4 })
 	for _, heeds := range []bool{true, false, true} {
 		crowd := w.crowd(n, heeds)
 		busy := w.balancer()
@@ -210,7 +210,7 @@
 
 func TestADrainWithThousandsOfIdleConnectionsEndsByItself(t *testing.T) {
 	const n = 3000
-	w := build(t, func(s *life.Start) { s.Sockets, s.Stop = 8000, 15 })
+	w := build(t, func(s *life.Startup) { s.MaxSockets, s.StopTimeout = 8000, 15 })
 	crowd := w.crowd(n, false) // which heeds nothing
 	b := w.balancer()
 	b.send("%s", frame(1, "a1", "x"))
@@ -232,7 +232,7 @@
 
 func TestIdleConnectionsOutliveAReload(t *testing.T) {
 	const n = 500
-	w := build(t, func(s *life.Start) { s.Sockets = 4000 })
+	w := build(t, func(s *life.Startup) { s.MaxSockets = 4000 })
 	crowd := w.crowd(n, true)
 	w.processors = listen(t)
 	w.server.Move(w.addresses())
@@ -256,7 +256,7 @@
 			next = "ahead"
 		}
 		return fmt.Sprintf("%d peers, %d known, %d busy, %d buffers, next %s", s.peers.Len(), s.door.Count(door.Known), s.door.Count(door.Busy),
-			s.pool.Out, next)
+			s.pool.InUse, next)
 	})
 	if timers := ask(w, func(s *Server) int { return s.timers.Len() }); timers > 10 {
 		t.Errorf("%d timers left", timers)
@@ -271,7 +271,7 @@
 		becauseOf string
 	}{{512, 64 << 20, 352, "descriptors"}, {384, 48 << 20, 256, "descriptors"}, {20000, 192 << 20, 19712, "descriptors"},
 		{20000, 48 << 20, 48 << 20 / 4 / idleCost, "memory"}} {
-		s := New(&life.Start{Sockets: c.sockets, Memory: c.memory}, nil)
+		s := New(&life.Startup{MaxSockets: c.sockets, MemoryBytes: c.memory}, nil)
 		if most, by := s.maxPeers(); most != c.want || by != c.becauseOf {
 			t.Errorf("%d descriptors, %d bytes: %d by %s", c.sockets, c.memory, most, by)
 		}
--- a/internal/serve/keyed_test.go
+++ b/internal/serve/keyed_test.go
@@ -19,8 +19,8 @@
 const failed = "\x92\xa6Failed"
 
 // deduplicated makes the only stage one whose tasks bear a key and may run once in a window of 20 s.
-func deduplicated(s *life.Start) {
-	s.Site.Classes[0].Idempotency, s.Site.Classes[0].DeduplicationWindow = choice.Deduplicated, 20
+func deduplicated(s *life.Startup) {
+	s.Settings.Classes[0].Idempotency, s.Settings.Classes[0].DeduplicationWindow = choice.Deduplicated, 20
 }
 
 // onLoop has the server's loop do something, and waits until it has.
@@ -152,11 +152,11 @@
 
 // A forwarder's worker has to know a repeat too: all that a task came with goes on with it.
 func TestAForwarderPassesTheKeyOn(t *testing.T) {
-	s := New(&life.Start{}, nil)
+	s := New(&life.Startup{}, nil)
 	s.Forward(func(Out) bool { return true }, func(string) {})
 	m := rpc.Message{Kind: rpc.Task, Number: 7, ID: "a1", Stage: "quote", Tenant: "acme", Subject: "s", Key: "k", Again: true, Hint: 0.2, Came: 1, Wait: 2,
 		NoWait: true, Caller: 3, Memory: 4, Rank: 0.5, Body: []byte("x")}
-	s.keepsToForward(&memory.Task{ID: "a1"}, &m)
+	s.keepsToForward(&memory.Request{ID: "a1"}, &m)
 	got, want := *s.forwarding.told["a1"], m
 	want.Number, want.Body = 0, nil
 	if !reflect.DeepEqual(got, want) {
--- a/internal/serve/leave.go
+++ b/internal/serve/leave.go
@@ -31,8 +31,8 @@
 		slog.Info("notice", "again", true)
 		return
 	}
-	s.drainAt, s.killAt = at, at+s.start.Stop-min(heardLate, s.start.Stop/10)
-	slog.Info("notice", "kill_in_s", watch.Round(s.killAt-s.now(), 3), "open", s.tasks.Open())
+	s.drainAt, s.killAt = at, at+s.start.StopTimeout-min(heardLate, s.start.StopTimeout/10)
+	slog.Info("notice", "kill_in_s", watch.FormatDecimal(s.killAt-s.now(), 3), "open", s.tasks.Unanswered())
 	if s.module != nil { // else it has nothing to do with it, see born
 		s.happens(choice.Event{Kind: choice.DrainStarted, Duration: s.killAt - s.now()})
 	}
@@ -65,9 +65,9 @@
 	now := s.now()
 	if now >= s.partAt() && !s.parting {
 		s.parting = true
-		slog.Info("parting", "conns", s.peers.Len(), "open", s.tasks.Open(), "kill_in_s", watch.Round(s.killAt-now, 3))
+		slog.Info("parting", "conns", s.peers.Len(), "open", s.tasks.Unanswered(), "kill_in_s", watch.FormatDecimal(s.killAt-now, 3))
 		for _, slot := range s.door.LeaveAll() {
-			s.askToPart(s.peers.At(slot))
+			s.askToPart(s.peers.AtSlot(slot))
 		}
 		s.acceptor.close()
 	}
@@ -75,7 +75,7 @@
 		s.shutDownAll()
 	}
 	switch {
-	case s.parting && s.acceptor.quiet() && s.tasks.Open() == 0 && s.peers.Len() == 0 && len(s.closing) == 0 && !s.owesHolders():
+	case s.parting && s.acceptor.quiet() && s.tasks.Unanswered() == 0 && s.peers.Len() == 0 && len(s.closing) == 0 && !s.owesHolders():
 		s.exit("all_closed")
 	case now >= s.killAt-exitBefore:
 		s.exit("time_is_up")
@@ -86,7 +86,7 @@
 				next = min(next, at)
 			}
 		}
-		s.timers.Add(next, s.tryExit)
+		s.timers.Schedule(next, s.tryExit)
 		s.wake()
 	}
 }
@@ -96,12 +96,12 @@
 	if s.module == nil {
 		return s.drainAt
 	}
-	return min(s.drainAt+s.start.Site.DrainGracePeriod+0.1, s.killAt-partBefore)
+	return min(s.drainAt+s.start.Settings.DrainGracePeriod+0.1, s.killAt-partBefore)
 }
 
 func (s *Server) exit(cause string) {
 	s.flush()
-	slog.Info("exit", "cause", cause, "open", s.tasks.Open(), "conns", s.peers.Len())
+	slog.Info("exit", "cause", cause, "open", s.tasks.Unanswered(), "conns", s.peers.Len())
 	s.over()
 }
 
--- a/internal/serve/leave_test.go
+++ b/internal/serve/leave_test.go
@@ -34,7 +34,7 @@
 
 // Tasks are open until the very end; that must not keep the connections open for new ones until then.
 func TestConnectionsAreAskedToCloseWhileTheirTasksRun(t *testing.T) {
-	w, b := running(t, func(s *life.Start) { s.Stop = 10 })
+	w, b := running(t, func(s *life.Startup) { s.StopTimeout = 10 })
 	w.server.Leave()
 	b.expect("goaway\x90") // its task still runs
 	w.refused()
@@ -55,7 +55,7 @@
 // Connections lie in the system's queue, with tasks on them, as the listener is to close.
 func TestWhoWaitsToBeAcceptedHasAnAnswer(t *testing.T) {
 	gate := make(chan struct{}, 1)
-	w := buildWith(t, func(s *life.Start) { s.Stop, s.Site.Cores = 20, 4 }, nil, func(s *Server) {
+	w := buildWith(t, func(s *life.Startup) { s.StopTimeout, s.Settings.Cores = 20, 4 }, nil, func(s *Server) {
 		s.acceptBy = func(accept func() (acceptedSocket, error)) func() (acceptedSocket, error) {
 			return func() (acceptedSocket, error) {
 				<-gate
@@ -94,7 +94,7 @@
 
 // The processor comes up after the notice: nothing begins, and the server ends at once.
 func TestToldToLeaveBeforeTheProcessorIsUp(t *testing.T) {
-	w := begin(t, func(s *life.Start) { s.Stop, s.Site.DrainGracePeriod = 20, 10 }, nil)
+	w := begin(t, func(s *life.Startup) { s.StopTimeout, s.Settings.DrainGracePeriod = 20, 10 }, nil)
 	b := w.balancer()
 	b.send("%s", frame(1, "a1", "x"))
 	b.expect(answerTo(1) + "\x92\xa4Busy")
@@ -138,12 +138,12 @@
 
 // A server that is over dials nobody any more, nor does a pooled connection whose call is over.
 func TestDialsEndWithWhatTheyAreFor(t *testing.T) {
-	s := New(&life.Start{Addresses: life.Addresses{Processor: "127.0.0.9:1"}}, nil) // where nothing listens
+	s := New(&life.Startup{Addresses: life.Addresses{Executor: "127.0.0.9:1"}}, nil) // where nothing listens
 	l := listen(t)
 	never := func(context.Context) (<-chan gnet.RegisteredResult, error) { t.Error("dialled"); return nil, nil }
 	ctx, giveUp := context.WithCancel(s.living)
 	giveUp()
-	s.Move(life.Addresses{Processor: l.Addr().String()})
+	s.Move(life.Addresses{Executor: l.Addr().String()})
 	s.dialOn(ctx, never, toProcessor, s.processor, 0)
 	s.over()
 	s.dialOn(s.living, never, toProcessor, s.processor, 0) // both return
@@ -167,7 +167,7 @@
 func TestANoticeThatIsHeardLate(t *testing.T) {
 	const late = 0.12
 	for _, stop := range []float64{0.5, 4.5} {
-		s := New(&life.Start{Stop: stop}, nil)
+		s := New(&life.Startup{StopTimeout: stop}, nil)
 		s.module = choice.New(1, choice.Settings{})
 		sent := s.now() - min(late, 0.9*stop/10)
 		s.leave(s.now())
@@ -182,7 +182,7 @@
 	l := listen(t)
 	addr := l.Addr().String()
 	l.Close()
-	s := New(&life.Start{Listen: addr, Addresses: life.Addresses{Processor: "127.0.0.9:1", Roster: "127.0.0.9:1"}, Stop: 5}, nil)
+	s := New(&life.Startup{Listen: addr, Addresses: life.Addresses{Executor: "127.0.0.9:1", Registry: "127.0.0.9:1"}, StopTimeout: 5}, nil)
 	ended := make(chan error)
 	go func() { ended <- s.Run() }()
 	s.Leave()
@@ -193,7 +193,7 @@
 
 // What arrives with the word to close, or in part before it, is answered: a whole pipeline, and half a message.
 func TestWhatCrossesTheWordToCloseIsAnswered(t *testing.T) {
-	w := build(t, func(s *life.Start) { s.Stop = 10 })
+	w := build(t, func(s *life.Startup) { s.StopTimeout = 10 })
 	b, c := w.balancer(), w.balancer()
 	b.send("%s", frame(1, "a1", "x"))
 	w.processor.wants("begin", "a1")
@@ -218,7 +218,7 @@
 	w.processor.ask(1, "a1", "c")
 	accept(t, w.catalogues).expect("\r\nc\r\n")
 	w.onLoop(func(s *Server) {
-		for name, c := range map[string]gnet.Conn{"balancer": s.peers.At(0).conn, "processor": s.processor.conn, "catalogue": s.connPool.all[0].conn} {
+		for name, c := range map[string]gnet.Conn{"balancer": s.peers.AtSlot(0).conn, "processor": s.processor.conn, "catalogue": s.connPool.all[0].conn} {
 			if on, err := unix.GetsockoptInt(c.Fd(), unix.IPPROTO_TCP, unix.TCP_NODELAY); on == 0 || err != nil {
 				t.Errorf("%s: %d, %v", name, on, err)
 			}
@@ -234,7 +234,7 @@
 	below := accept(t, w.catalogues)
 	below.expect("\r\nc\r\n")
 	dead := w.addresses()
-	dead.Processor, dead.Catalogue = "127.0.0.9:1", "127.0.0.9:1"
+	dead.Executor, dead.Upstream = "127.0.0.9:1", "127.0.0.9:1"
 	w.server.Move(dead)
 	w.server.Move(w.addresses())
 	below.send("a1 DATA 1\r\nd\r\n") // calls in hand end where they are
--- a/internal/serve/link.go
+++ b/internal/serve/link.go
@@ -79,9 +79,9 @@
 	return &endpoints{a, ctx, burn}
 }
 
-func toProcessor(b *endpoints) string { return b.Processor }
-func toCatalogue(b *endpoints) string { return b.Catalogue }
-func toRoster(b *endpoints) string    { return b.Roster }
+func toProcessor(b *endpoints) string { return b.Executor }
+func toCatalogue(b *endpoints) string { return b.Upstream }
+func toRoster(b *endpoints) string    { return b.Registry }
 
 // Move tells the server, from any goroutine, where the other parties are now. Nothing new goes to where they
 // were; calls in hand may still end there.
@@ -102,14 +102,14 @@
 
 func (s *Server) move() {
 	b := s.endpoints.Load()
-	if l := s.processor; l.conn != nil && l.to != b.Processor {
+	if l := s.processor; l.conn != nil && l.to != b.Executor {
 		l.leave()
 	}
-	if r := s.roster; r.conn != nil && r.to != b.Roster {
+	if r := s.roster; r.conn != nil && r.to != b.Registry {
 		r.leave(errMoved)
 	}
 	for _, l := range slices.Clone(s.connPool.all) {
-		if l.conn != nil && l.to != b.Catalogue {
+		if l.conn != nil && l.to != b.Upstream {
 			l.leave()
 		}
 	}
--- a/internal/serve/link_test.go
+++ b/internal/serve/link_test.go
@@ -54,7 +54,7 @@
 }
 
 func TestADialGoesToTheAddressOfTheMoment(t *testing.T) {
-	s := New(&life.Start{Addresses: life.Addresses{Processor: "127.0.0.9:1"}}, nil) // where nothing listens
+	s := New(&life.Startup{Addresses: life.Addresses{Executor: "127.0.0.9:1"}}, nil) // where nothing listens
 	to := make(chan string, 1)
 	s.dialBy(func(ctx context.Context) (<-chan gnet.RegisteredResult, error) {
 		c, _ := gnet.FromNetConnContext(ctx)
@@ -62,14 +62,14 @@
 		return nil, c.Close()
 	}, toProcessor, s.processor, 0)
 	l := listen(t)
-	s.Move(life.Addresses{Processor: l.Addr().String()})
+	s.Move(life.Addresses{Executor: l.Addr().String()})
 	if got := <-to; got != l.Addr().String() {
 		t.Errorf("dialled %s", got)
 	}
 }
 
 func TestALinkOfOursMayLeaveMoreUnread(t *testing.T) {
-	s := New(&life.Start{}, nil)
+	s := New(&life.Startup{}, nil)
 	s.loop = stillLoop{}
 	for _, to := range []string{"", "127.0.0.9:1"} {
 		c := &unread{}
@@ -82,8 +82,8 @@
 }
 
 func TestWhatWasUnsentDoesNotReachTheNextLink(t *testing.T) {
-	watch.To(io.Discard)
-	s := New(&life.Start{Addresses: life.Addresses{Processor: "127.0.0.9:1", Roster: "127.0.0.9:1"}}, nil)
+	watch.SetOutput(io.Discard)
+	s := New(&life.Startup{Addresses: life.Addresses{Executor: "127.0.0.9:1", Registry: "127.0.0.9:1"}}, nil)
 	s.loop = stillLoop{}
 	s.processor.conn, s.roster.conn = broken{}, broken{}
 	s.write(&s.processor.line, []byte("old"))
@@ -92,10 +92,10 @@
 	s.roster.closed(nil)
 	_ = s.processor.opened(broken{}, "")
 	_ = s.roster.opened(broken{}, "")
-	if got := bytes.Join(s.processor.out.Parts(), nil); string(got) != `{"msg":"hello","serial":0}`+"\n" {
+	if got := bytes.Join(s.processor.out.Buffers(), nil); string(got) != `{"msg":"hello","serial":0}`+"\n" {
 		t.Errorf("to the processor: %q", got)
 	}
-	if got := s.roster.out.Parts(); len(got) != 0 {
+	if got := s.roster.out.Buffers(); len(got) != 0 {
 		t.Errorf("to the roster: %q", got)
 	}
 }
--- a/internal/serve/peer.go
+++ b/internal/serve/peer.go
@@ -23,10 +23,10 @@
 type peer struct {
 	line
 	server *Server
-	name   memory.Name    // in the table of peers; its slot is its name at the door
-	open   []*memory.Task // from spareOpen, nil where none is
-	advice float64        // when to come back, in seconds, where it was not let in
-	muted  bool           // it sent what is no message: nothing more is read, see closing.go
+	name   memory.Handle     // in the table of peers; its slot is its name at the door
+	open   []*memory.Request // from spareOpen, nil where none is
+	advice float64           // when to come back, in seconds, where it was not let in
+	muted  bool              // it sent what is no message: nothing more is read, see closing.go
 }
 
 const (
@@ -47,8 +47,8 @@
 // maxPeers is how many connections balancers may hold, and what bounds it: what is left of the descriptors, which is over half, as
 // balancers may open that; or memory.
 func (s *Server) maxPeers() (most int, by string) {
-	most, by = s.start.Sockets-spareSockets-s.maxPooled(), "descriptors"
-	if n := int(s.start.Memory / 4 / idleCost); n < most && s.start.Memory > 0 {
+	most, by = s.start.MaxSockets-spareSockets-s.maxPooled(), "descriptors"
+	if n := int(s.start.MemoryBytes / 4 / idleCost); n < most && s.start.MemoryBytes > 0 {
 		return n, "memory"
 	}
 	return most, by
@@ -83,7 +83,7 @@
 func (s *Server) firstFree(slots iter.Seq[int32], newcomer *peer) *peer {
 	tried := 0
 	for slot := range slots {
-		p := s.peers.At(slot)
+		p := s.peers.AtSlot(slot)
 		if tried == maxTried {
 			break
 		}
@@ -128,7 +128,7 @@
 	}
 	p.shut(&s.pool)
 	s.door.Leave(p.name.Slot())
-	s.peers.Drop(p.name) // p is another's from here on
+	s.peers.Remove(p.name) // p is another's from here on
 	for _, t := range open {
 		s.gone(t)
 	}
@@ -174,9 +174,9 @@
 }
 
 // find gives the open task of a message, or nil.
-func (p *peer) find(number uint64) *memory.Task {
+func (p *peer) find(number uint64) *memory.Request {
 	for _, t := range p.open {
-		if t.Number == number {
+		if t.MessageNumber == number {
 			return t
 		}
 	}
@@ -184,7 +184,7 @@
 }
 
 // over takes a task off the connection.
-func (p *peer) over(t *memory.Task, now float64) {
+func (p *peer) over(t *memory.Request, now float64) {
 	s := p.server
 	if i := slices.Index(p.open, t); i >= 0 {
 		p.open = slices.Delete(p.open, i, i+1)
@@ -202,16 +202,16 @@
 	if p.find(m.Number) != nil { // an answer would be taken for the other's
 		return fmt.Errorf("message id %d is open already", m.Number)
 	}
-	stage, known := s.start.Stages[m.Stage]
-	tenant, belongs := s.start.Tenants[m.Tenant]
+	stage, known := s.start.ClassIndex[m.Stage]
+	tenant, belongs := s.start.TenantIndex[m.Tenant]
 	bad := m.Bad
 	switch {
 	case bad != nil:
 	case !known:
 		bad = fmt.Errorf("unknown stage %.40q", m.Stage)
-	case !belongs && len(s.start.Tenants) > 0:
+	case !belongs && len(s.start.TenantIndex) > 0:
 		bad = fmt.Errorf("unknown tenant %.40q", m.Tenant)
-	case m.NoWait && s.start.Site.DeadlinePropagation:
+	case m.NoWait && s.start.Settings.DeadlinePropagation:
 		bad = errors.New("its wait is missing")
 	case len(p.open) >= maxOpen:
 		bad = fmt.Errorf("over %d tasks open", maxOpen)
@@ -221,7 +221,7 @@
 		bad = fmt.Errorf("the id of another task")
 	case s.runsOnce(stage) && s.subjectOf(stage, m) == "": // no repeat of it could be known, so it may not run
 		bad = fmt.Errorf("stage %.40q bears no idempotency key", m.Stage)
-	case s.runsOnce(stage) && s.kept.Differs(stage, s.subjectOf(stage, m), m.Body, m.Came): // or it would be told what another's run came to
+	case s.runsOnce(stage) && s.kept.IsConflicting(stage, s.subjectOf(stage, m), m.Body, m.Came): // or it would be told what another's run came to
 		bad = errors.New("its key is that of a request with another body")
 	case s.module == nil: // no processor yet: it can't have run
 		s.tallyAway(tenant, stage)
@@ -248,8 +248,8 @@
 		s.write(&p.line, s.scratch)
 		return nil
 	}
-	t := &memory.Task{ID: m.ID, Peer: p.name, Number: m.Number, Stage: stage, Tenant: int32(tenant), Subject: s.subjectOf(stage, m),
-		Came: m.Came, Wait: m.Wait, Body: s.pool.Keep(m.Body)}
+	t := &memory.Request{ID: m.ID, Connection: p.name, MessageNumber: m.Number, Class: stage, Tenant: int32(tenant), Subject: s.subjectOf(stage, m),
+		ArrivedAt: m.Came, Timeout: m.Wait, Body: s.pool.Copy(m.Body)}
 	if p.open == nil {
 		p.open = s.spareOpen.Get()
 	}
@@ -265,10 +265,10 @@
 	}
 	read := choice.Event{Kind: choice.Arrived, RequestID: t.ID, Request: choice.Request{Class: stage, Tenant: tenant,
 		Client: m.Caller, Memory: m.Memory, Priority: m.Rank, HasSubject: m.Subject != "", Retry: m.Again, ExpectedWork: m.Hint,
-		DuplicateOf: s.kept.Earlier(stage, t.Subject, m.Came, now)}}
+		DuplicateOf: s.kept.Original(stage, t.Subject, m.Came, now)}}
 	if !s.claims(t, &read, now) {
 		if s.runsOnce(stage) && read.Request.DuplicateOf == "" { // a second try may come in this very turn, before the module keeps this one
-			s.kept.Keep(t, t.Came+s.start.Site.Classes[stage].DeduplicationWindow, true)
+			s.kept.Track(t, t.ArrivedAt+s.start.Settings.Classes[stage].DeduplicationWindow, true)
 		}
 		s.happens(read)
 	}
@@ -277,14 +277,14 @@
 
 // runsOnce tells whether the repeats of a stage's tasks have to be known.
 func (s *Server) runsOnce(stage int) bool {
-	stages := s.start.Site.Classes
+	stages := s.start.Settings.Classes
 	return stage < len(stages) && stages[stage].Idempotency == choice.Deduplicated
 }
 
 // readLate is for how long past its window a task that may run once is remembered: a repeat that came in time may be read later, as
 // after a pause, though not when its caller has left.
 func (s *Server) readLate() (longest float64) {
-	for i, st := range s.start.Site.Classes {
+	for i, st := range s.start.Settings.Classes {
 		if s.runsOnce(i) {
 			longest = max(longest, st.Timeout)
 		}
@@ -302,7 +302,7 @@
 }
 
 // gone tells the module that nobody waits for a task any more.
-func (s *Server) gone(t *memory.Task) {
+func (s *Server) gone(t *memory.Request) {
 	if t.Answered {
 		return
 	}
@@ -312,47 +312,47 @@
 }
 
 // settle books that a task is owed no answer any more; a call of it is given up.
-func (s *Server) settle(t *memory.Task) {
+func (s *Server) settle(t *memory.Request) {
 	t.Answered = true
 	s.quit(t)
 	s.leaves(t)
-	if !t.Begun { // dropped without a run: who waits for its answer gets none
+	if !t.Running { // dropped without a run: who waits for its answer gets none
 		s.unclaim(t)
-		for _, id := range s.kept.Ended(t.ID, false, false, nil, 0) {
+		for _, id := range s.kept.Finish(t.ID, false, false, nil, 0) {
 			s.shared(s.tasks.Get(id), nil, choice.Failed, 0)
 		}
 	}
-	s.tasks.Drop(&s.pool, t)
+	s.tasks.RemoveIfDone(&s.pool, t)
 }
 
 // answer gives a task its final answer, put by put; the first one wins.
-func (s *Server) answer(t *memory.Task, count *int, put func(b []byte, id uint64) []byte) {
+func (s *Server) answer(t *memory.Request, count *int, put func(b []byte, id uint64) []byte) {
 	if t.Answered {
 		return
 	}
 	*count++
 	s.stampEnd(count != &s.counts.finished)
 	s.tallyEnd(t, count)
-	if p := s.peers.Get(t.Peer); p != nil {
+	if p := s.peers.Get(t.Connection); p != nil {
 		p.over(t, s.now())
-		s.scratch = put(s.scratch[:0], t.Number)
+		s.scratch = put(s.scratch[:0], t.MessageNumber)
 		s.write(&p.line, s.scratch)
 	}
 	s.settle(t)
 }
 
-func (s *Server) finish(t *memory.Task, result []byte) {
-	if p := s.peers.Get(t.Peer); p != nil && !t.Answered {
+func (s *Server) finish(t *memory.Request, result []byte) {
+	if p := s.peers.Get(t.Connection); p != nil && !t.Answered {
 		s.door.Finished(p.name.Slot(), s.now())
 	}
 	s.answer(t, &s.counts.finished, func(b []byte, id uint64) []byte { return rpc.PutResult(b, id, result, s.say) })
 }
 
-func (s *Server) abandon(t *memory.Task) {
+func (s *Server) abandon(t *memory.Request) {
 	s.answer(t, &s.counts.abandoned, func(b []byte, id uint64) []byte { return rpc.PutAbandoned(b, id, s.say) })
 }
 
-func (s *Server) reject(t *memory.Task, advice float64, last bool) {
+func (s *Server) reject(t *memory.Request, advice float64, last bool) {
 	say := s.say
 	say.Advice, say.Last = advice, last
 	s.answer(t, &s.counts.rejected, func(b []byte, id uint64) []byte { return rpc.PutRejected(b, id, say) })
@@ -363,7 +363,7 @@
 // tend does what the door says of connections: a few a turn.
 func (s *Server) tend(now float64) {
 	for _, v := range s.door.Due(now) {
-		p := s.peers.At(v.Slot)
+		p := s.peers.AtSlot(v.Slot)
 		switch {
 		case v.Do == door.Ask:
 			s.askToPart(p)
@@ -398,12 +398,12 @@
 		l.lags = n > 0
 		return n == 0
 	})
-	if worst != nil && unread > int(s.start.Memory/8) {
+	if worst != nil && unread > int(s.start.MemoryBytes/8) {
 		if p, ok := worst.conn.Context().(*peer); ok {
 			p.end()
 		}
 	}
 	s.rest(now)
-	s.kept.Sweep(now - s.readLate())
-	s.timers.Add(now+sweepEvery, s.sweeping)
+	s.kept.Expire(now - s.readLate())
+	s.timers.Schedule(now+sweepEvery, s.sweeping)
 }
--- a/internal/serve/peer_test.go
+++ b/internal/serve/peer_test.go
@@ -61,7 +61,7 @@
 }
 
 func TestWhoOnlyHoldsConnectionsKeepsNobodyOut(t *testing.T) {
-	w := build(t, func(s *life.Start) { s.Sockets = 64 })
+	w := build(t, func(s *life.Startup) { s.MaxSockets = 64 })
 	check := "\x94\x00\x01\xa6isWell\x91\x80"
 	busy := w.balancer()
 	busy.send("%s", frame(1, "a1", "x"))
@@ -79,7 +79,7 @@
 }
 
 func TestWhoIsOwedSomethingDoesNotGoForANewcomer(t *testing.T) {
-	s := New(&life.Start{Site: choice.Settings{IdleTimeout: 30}}, nil)
+	s := New(&life.Startup{Settings: choice.Settings{IdleTimeout: 30}}, nil)
 	add := func(unsent bool) *peer {
 		name, p := s.peers.Add()
 		p.server, p.name, p.conn, p.unsent = s, name, broken{}, unsent
@@ -112,7 +112,7 @@
 func (*sending) Discard(int) (int, error) { return 0, nil }
 
 func TestNothingIsReadFromAConnectionThatEnds(t *testing.T) {
-	s := New(&life.Start{Sockets: 256, Stages: map[string]int{"quote": 0}, Tenants: map[string]int{"acme": 0}}, nil)
+	s := New(&life.Startup{MaxSockets: 256, ClassIndex: map[string]int{"quote": 0}, TenantIndex: map[string]int{"acme": 0}}, nil)
 	s.loop, s.module = stillLoop{}, choice.New(1, choice.Settings{})
 	for _, ends := range []bool{false, true} {
 		name, p := s.peers.Add()
@@ -138,7 +138,7 @@
 }
 
 func TestSilentConnectionsAreAskedToCloseThenClosed(t *testing.T) {
-	w := build(t, func(s *life.Start) { s.Site.IdleTimeout = 0.05 })
+	w := build(t, func(s *life.Startup) { s.Settings.IdleTimeout = 0.05 })
 	b := w.balancer()
 	b.send("\x94\x00\x01\xa6isWell\x91\x80")
 	b.expect("goaway\x90")
@@ -199,9 +199,9 @@
 func (broken) closed(error) {}
 
 func TestAPanicStopsAtItsConnection(t *testing.T) {
-	watch.To(t.Output())
-	defer watch.To(io.Discard)
-	if action := New(&life.Start{}, nil).OnTraffic(broken{}); action != gnet.Close {
+	watch.SetOutput(t.Output())
+	defer watch.SetOutput(io.Discard)
+	if action := New(&life.Startup{}, nil).OnTraffic(broken{}); action != gnet.Close {
 		t.Errorf("action %v", action)
 	}
 }
--- a/internal/serve/processor.go
+++ b/internal/serve/processor.go
@@ -110,12 +110,12 @@
 		if s.counts.unrun++; s.mayComplain() { // tasks that no balancer sent make these by hundreds
 			slog.Info("command_rejected", "command", n.Word, "call", n.ID)
 		}
-		if t != nil && t.Begun && t.Asked == 0 { // only its begin can be meant: it never ran
+		if t != nil && t.Running && t.CallNotice == 0 { // only its begin can be meant: it never ran
 			s.unclaim(t)
 			s.ended(t, choice.NeverStarted, 0)
 		}
 	case processor.Ended:
-		if t == nil || !t.Begun {
+		if t == nil || !t.Running {
 			return
 		}
 		switch n.Outcome {
@@ -126,12 +126,12 @@
 		}
 		s.runEnded(t, n.Outcome, n.Body, n.Took)
 	case processor.Parked:
-		if t == nil || !t.Begun {
+		if t == nil || !t.Running {
 			return
 		}
-		s.pool.Put(t.Ask)
-		s.pool.Put(t.Reply)
-		t.Asked, t.Ask, t.Reply, t.Replied = n.Number, s.pool.Keep(n.Body), nil, false
+		s.pool.Put(t.CallBody)
+		s.pool.Put(t.CallReply)
+		t.CallNotice, t.CallBody, t.CallReply, t.CallSettled = n.Number, s.pool.Copy(n.Body), nil, false
 		s.happens(choice.Event{Kind: choice.AwaitingDownstream, RequestID: n.ID})
 	}
 }
@@ -162,12 +162,12 @@
 // task waits for a notice of its run, and fails at its due moment where none comes.
 func (l *processorLink) repeat() {
 	s := l.server
-	for _, t := range s.tasks.InOrder() {
+	for _, t := range s.tasks.InArrivalOrder() {
 		switch {
-		case !t.Begun || t.Sent <= l.confirmed:
-		case t.Asked == 0 && s.start.Site.Classes[t.Stage].Idempotency == choice.Idempotent:
+		case !t.Running || t.LastCommand <= l.confirmed:
+		case t.CallNotice == 0 && s.start.Settings.Classes[t.Class].Idempotency == choice.Idempotent:
 			l.sendBegin(t)
-		case t.Replied:
+		case t.CallSettled:
 			l.sendReply(t)
 		}
 	}
@@ -180,7 +180,7 @@
 func (l *processorLink) askGauges() {
 	now := l.server.now()
 	if l.up && l.asked > 0 && now > l.asked+silentFor {
-		slog.Info("link_silent", "link", "processor", "for_s", watch.Round(now-l.asked, 3))
+		slog.Info("link_silent", "link", "processor", "for_s", watch.FormatDecimal(now-l.asked, 3))
 		l.leave()
 		return
 	}
@@ -193,45 +193,45 @@
 	}
 }
 
-func (l *processorLink) begin(t *memory.Task) {
-	if !t.Begun && !t.Answered {
-		t.Begun = true
+func (l *processorLink) begin(t *memory.Request) {
+	if !t.Running && !t.Answered {
+		t.Running = true
 		l.sendBegin(t)
 	}
 }
 
-func (l *processorLink) sendBegin(t *memory.Task) {
-	t.Sent = l.command(func(b []byte) []byte {
-		return processor.PutStart(b, t.ID, l.server.start.StageNames[t.Stage], t.Body)
+func (l *processorLink) sendBegin(t *memory.Request) {
+	t.LastCommand = l.command(func(b []byte) []byte {
+		return processor.PutStart(b, t.ID, l.server.start.ClassNames[t.Class], t.Body)
 	})
 }
 
 // reply settles the call that a run waits for, with the reply or without one.
-func (l *processorLink) reply(t *memory.Task, body []byte, skip bool) {
-	if t.Asked == 0 || t.Replied {
+func (l *processorLink) reply(t *memory.Request, body []byte, skip bool) {
+	if t.CallNotice == 0 || t.CallSettled {
 		return
 	}
-	t.Replied = true
+	t.CallSettled = true
 	if !skip {
-		t.Reply = l.server.pool.Keep(body)
+		t.CallReply = l.server.pool.Copy(body)
 	}
 	l.sendReply(t)
 }
 
-func (l *processorLink) sendReply(t *memory.Task) {
-	t.Sent = l.command(func(b []byte) []byte {
-		if t.Reply == nil {
-			return processor.PutSkip(b, t.ID, t.Asked)
+func (l *processorLink) sendReply(t *memory.Request) {
+	t.LastCommand = l.command(func(b []byte) []byte {
+		if t.CallReply == nil {
+			return processor.PutSkip(b, t.ID, t.CallNotice)
 		}
-		return processor.PutReply(b, t.ID, t.Reply)
+		return processor.PutReply(b, t.ID, t.CallReply)
 	})
 }
 
 // ended tells the module that a run is over.
-func (s *Server) ended(t *memory.Task, outcome choice.Outcome, took float64) {
-	t.Begun = false
+func (s *Server) ended(t *memory.Request, outcome choice.Outcome, took float64) {
+	t.Running = false
 	s.happens(choice.Event{Kind: choice.RunEnded, RequestID: t.ID, Outcome: outcome, Duration: took})
-	s.tasks.Drop(&s.pool, t)
+	s.tasks.RemoveIfDone(&s.pool, t)
 }
 
 // born starts the module's life: at the processor's own start, so that it warms up with it.
@@ -240,12 +240,12 @@
 		slog.Info("born", "cold", cold, "leaving", true)
 		return
 	}
-	site := s.start.Site
+	site := s.start.Settings
 	site.SlowStartDuration = 0
-	slog.Info("born", "cold", cold, "ago_s", watch.Round(ago, 3))
+	slog.Info("born", "cold", cold, "ago_s", watch.FormatDecimal(ago, 3))
 	at := s.now()
 	if cold { // a warm one's age tells nothing
-		site.SlowStartDuration = s.start.ColdFor
+		site.SlowStartDuration = s.start.SlowStartDuration
 		at -= min(ago, site.SlowStartDuration)
 	}
 	s.module = choice.New(s.start.Seed, site)
--- a/internal/serve/processor_test.go
+++ b/internal/serve/processor_test.go
@@ -54,7 +54,9 @@
 // Whether a begin that has no proof was read nobody can tell, and where running twice is ruled out it is not sent again.
 func TestABeginThatMayBeLostIsNotSentAgainWhereItMayRunOnce(t *testing.T) {
 	for _, effect := range []choice.Idempotency{choice.AtMostOnce, choice.Deduplicated} {
-		w := build(t, func(s *life.Start) { s.Site.Classes[0].Idempotency, s.Site.Classes[0].DeduplicationWindow = effect, 20 })
+		w := build(t, func(s *life.Startup) {
+			s.Settings.Classes[0].Idempotency, s.Settings.Classes[0].DeduplicationWindow = effect, 20
+		})
 		b := w.balancer()
 		b.send("%s%s", frame(1, "a1", "x", wait(2), key("k")), frame(2, "a2", "x", key("l")))
 		w.processor.wants("begin", "a1")
@@ -95,10 +97,10 @@
 }
 
 func TestAgeAndWaitAreThoseOfTheBatch(t *testing.T) {
-	s := New(&life.Start{}, nil)
+	s := New(&life.Startup{}, nil)
 	now := s.now()
-	s.tasks.Add(&memory.Task{ID: "a", Came: now - 2, Wait: 5})
-	s.tasks.Add(&memory.Task{ID: "b", Came: now + 1}) // by a clock ahead of ours; its wait is not told
+	s.tasks.Add(&memory.Request{ID: "a", ArrivedAt: now - 2, Timeout: 5})
+	s.tasks.Add(&memory.Request{ID: "b", ArrivedAt: now + 1}) // by a clock ahead of ours; its wait is not told
 	for id, want := range map[string]choice.Request{"a": {Age: 2, RemainingBudget: 3}, "b": {}} {
 		e := choice.Event{Kind: choice.Arrived, RequestID: id}
 		if s.freshen(&e, now); e.Request != want {
@@ -108,7 +110,7 @@
 }
 
 func TestAnOldReadingOfTheGaugesIsNone(t *testing.T) {
-	s := New(&life.Start{Gauges: []string{"runnable"}}, nil)
+	s := New(&life.Startup{Gauges: []string{"runnable"}}, nil)
 	s.processor.measured(&processor.Notice{Gauges: []float64{3}})
 	for after, want := range map[float64]float64{0.01: 3, 2: -1} {
 		e := choice.Event{Kind: choice.TimerFired}
--- a/internal/serve/roster.go
+++ b/internal/serve/roster.go
@@ -77,7 +77,7 @@
 
 func (r *rosterLink) tick() {
 	s := r.server
-	s.timers.Add(s.now()+reportEvery, func() {
+	s.timers.Schedule(s.now()+reportEvery, func() {
 		r.tell()
 		r.tick()
 	})
--- a/internal/serve/roster_test.go
+++ b/internal/serve/roster_test.go
@@ -13,7 +13,7 @@
 // A roster answers with nonsense, without end, or in pieces: the server goes on reporting, over a new link where it has to.
 func TestARosterThatAnswersStrangely(t *testing.T) {
 	reports := listen(t)
-	w := begin(t, func(s *life.Start) { s.Roster = reports.Addr().String() }, nil)
+	w := begin(t, func(s *life.Startup) { s.Registry = reports.Addr().String() }, nil)
 	w.up()
 	for _, answer := range []string{"nonsense\r\n\r\n", "HTTP/1.1 204 " + strings.Repeat("x", 20<<10), "HTTP/1.1 204 No\r\nContent-Length: -1\r\n\r\n", "\xff\x00\r\n\r\n"} {
 		r := accept(t, reports)
@@ -33,7 +33,7 @@
 
 // A roster that is down from the start keeps nobody from being served, and is reported to once it is there.
 func TestARosterThatIsDownFromTheStart(t *testing.T) {
-	w := begin(t, func(s *life.Start) { s.Roster = "127.0.0.9:1" }, nil)
+	w := begin(t, func(s *life.Startup) { s.Registry = "127.0.0.9:1" }, nil)
 	w.up()
 	becomes(w, true, func(s *Server) bool { return s.module != nil })
 	b := w.balancer()
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -30,7 +30,7 @@
 // Server is one real server.
 type Server struct {
 	gnet.BuiltinEventEngine
-	start     *life.Start
+	start     *life.Startup
 	endpoints atomic.Pointer[endpoints] // where the other parties are, for the goroutines that dial too
 	anchor    time.Time                 // when the clock was set, by the Unix clock's unix seconds
 	unix      float64
@@ -48,18 +48,18 @@
 	events, spare []choice.Event     // of the next batch; of the last
 	gauges        choice.Gauges      // the latest
 	gaugesAt      float64            // when they were read
-	timers        memory.Timers
-	tasks         *memory.Tasks
-	kept          *memory.Kept
+	timers        memory.Wheel
+	tasks         *memory.Requests
+	kept          *memory.Cache
 	pool          memory.Pool
 	scratch       []byte
 	unsent        []*line // have something to write at the end of the turn
 
 	peers     memory.Table[peer]
 	door      *door.Door
-	lobby     int        // places in it, as the operator's file says
-	conf      *life.Conf // the operator's file, with what was released
-	spareOpen memory.Shelf
+	lobby     int                    // places in it, as the operator's file says
+	conf      *life.OperatorSettings // the operator's file, with what was released
+	spareOpen memory.ListPool
 	acceptBy  func(accept func() (acceptedSocket, error)) func() (acceptedSocket, error) // for tests, in which accept fails
 	acceptor  *acceptor
 	finished  chan struct{}   // closed at the end, for the acceptor
@@ -111,10 +111,10 @@
 const keptPart = 8
 
 // New makes a server that has not started yet; conf is the operator's file.
-func New(start *life.Start, conf *life.Conf) *Server {
+func New(start *life.Startup, conf *life.OperatorSettings) *Server {
 	now := time.Now()
 	s := &Server{start: start, anchor: now, unix: float64(now.UnixMicro()) / 1e6, looping: make(chan struct{}),
-		alarmAt: math.Inf(1), tasks: memory.NewTasks(), kept: memory.NewKept(int(start.Memory / keptPart)),
+		alarmAt: math.Inf(1), tasks: memory.NewRequests(), kept: memory.NewCache(int(start.MemoryBytes / keptPart)),
 		calls: map[string]*call{}, finished: make(chan struct{}),
 		drainAt: math.Inf(1), killAt: math.Inf(1),
 		gauges: noGauges(), gaugesAt: math.Inf(-1)}
@@ -161,7 +161,7 @@
 	if s.loop == nil {
 		s.loop = c.EventLoop()
 		s.alarm = time.AfterFunc(time.Hour, func() { _ = s.loop.Execute(context.Background(), s.run) })
-		s.timers.Add(s.now()+countEvery, s.counting)
+		s.timers.Schedule(s.now()+countEvery, s.counting)
 		if s.forwarding == nil {
 			s.dial(toRoster, s.roster, 0)
 		}
@@ -262,7 +262,7 @@
 	if now >= s.alarmAt {
 		s.alarmAt = math.Inf(1)
 	}
-	more := !s.timers.Ripe(now, maxTimers)
+	more := !s.timers.Advance(now, maxTimers)
 	standing := s.standing.Load()
 	if standing != nil {
 		s.stand(standing, now)
@@ -284,7 +284,7 @@
 	s.tend(now)
 	s.flush()
 	s.tendMuted(now)
-	next := min(s.timers.Next(), s.door.Next())
+	next := min(s.timers.NextWakeup(), s.door.Next())
 	if standing != nil && now < standing.ChangesAt {
 		next = min(next, standing.ChangesAt)
 	}
@@ -323,11 +323,11 @@
 	switch e.Kind {
 	case choice.Arrived:
 		if t := s.tasks.Get(e.RequestID); t != nil {
-			e.Request.Age = max(0, now-t.Came)
+			e.Request.Age = max(0, now-t.ArrivedAt)
 			s.counts.unread += e.Request.Age
 			s.counts.longest = max(s.counts.longest, e.Request.Age)
-			if t.Wait != 0 {
-				e.Request.RemainingBudget = t.Wait - e.Request.Age
+			if t.Timeout != 0 {
+				e.Request.RemainingBudget = t.Timeout - e.Request.Age
 			}
 		}
 	case choice.TimerFired:
@@ -344,7 +344,7 @@
 // line is a connection, while it is open, and what waits to be written on it.
 type line struct {
 	conn   gnet.Conn
-	out    memory.Out
+	out    memory.WriteBuffer
 	unsent bool
 	ours   bool // we dialled it
 	lags   bool // in lagging
@@ -364,7 +364,7 @@
 // shut books that the connection is closed; what was still to be written must not reach the next one.
 func (l *line) shut(p *memory.Pool) {
 	l.conn = nil
-	l.out.Clear(p)
+	l.out.Release(p)
 }
 
 // maxUnread bounds what waits for a peer that does not read: 32 results of 4 KiB and what goes with them. All
@@ -380,7 +380,7 @@
 	if l.conn == nil {
 		return
 	}
-	l.out.Add(&s.pool, b)
+	l.out.Append(&s.pool, b)
 	if !l.unsent {
 		l.unsent = true
 		s.unsent = append(s.unsent, l)
@@ -393,12 +393,12 @@
 	s.unsent = nil
 	for _, l := range lines {
 		l.unsent = false
-		if c := l.conn; c != nil && len(l.out.Parts()) > 0 {
+		if c := l.conn; c != nil && len(l.out.Buffers()) > 0 {
 			most := maxUnread
 			if l.ours {
 				most = maxUnreadOurs
 			}
-			_, err := c.Writev(l.out.Parts())
+			_, err := c.Writev(l.out.Buffers())
 			if left := c.OutboundBuffered(); err == nil && left > most {
 				slog.Info("closing", "peer", c.RemoteAddr(), "err", "it does not read")
 				_ = c.Close()
@@ -407,7 +407,7 @@
 				s.lagging = append(s.lagging, l)
 			}
 		}
-		l.out.Clear(&s.pool)
+		l.out.Release(&s.pool)
 	}
 	if s.unsent == nil {
 		s.unsent = lines[:0]
@@ -429,7 +429,7 @@
 
 func (s *Server) count() {
 	s.tell()
-	s.timers.Add(s.now()+countEvery, s.counting)
+	s.timers.Schedule(s.now()+countEvery, s.counting)
 }
 
 // tell writes the line of counts and begins anew.
@@ -438,14 +438,14 @@
 	most, by := s.maxPeers()
 	slog.Info("counts", "read", c.read, "finished", c.finished, "rejected", c.rejected,
 		"abandoned", c.abandoned, "gone", c.gone, "invalid", c.invalid, "malformed", c.malformed, "unrun", c.unrun,
-		"calls", c.calls, "turns", c.turns, "turn_ms", watch.Round(1000*c.turn, 2),
-		"unread_ms", watch.Round(1000*c.unread/max(1, float64(c.read)), 1),
-		"longest_ms", watch.Round(1000*c.longest, 1), "open", s.tasks.Open(), "tasks", s.tasks.Len(),
+		"calls", c.calls, "turns", c.turns, "turn_ms", watch.FormatDecimal(1000*c.turn, 2),
+		"unread_ms", watch.FormatDecimal(1000*c.unread/max(1, float64(c.read)), 1),
+		"longest_ms", watch.FormatDecimal(1000*c.longest, 1), "open", s.tasks.Unanswered(), "tasks", s.tasks.Len(),
 		"kept", s.kept.Len(), "conns", s.peers.Len(), "strangers", s.door.Count(door.Stranger),
 		"parting", s.door.Count(door.Parting), "max_conns", most, "max_by", by, "pooled_conns", len(s.connPool.all),
 		"parted", c.parted, "evicted", c.evicted, "unspoken", c.unspoken,
-		"gauge_ms", watch.Round(1000*c.gaugeAge, 1), "blind", c.blind, "timers", s.timers.Len(),
-		"buffers", s.pool.Out, "memory_kb", residentKB(), "heap_kb", liveKB(), "well", s.isWell(), "load", s.say.Free)
+		"gauge_ms", watch.FormatDecimal(1000*c.gaugeAge, 1), "blind", c.blind, "timers", s.timers.Len(),
+		"buffers", s.pool.InUse, "memory_kb", residentKB(), "heap_kb", liveKB(), "well", s.isWell(), "load", s.say.Free)
 	if s.door.Guarded() {
 		s.tellDoor()
 	}
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -121,10 +121,10 @@
 }
 
 // build starts a server; change alters what it is told.
-func build(t *testing.T, change func(*life.Start)) *world { return buildWith(t, change, nil) }
+func build(t *testing.T, change func(*life.Startup)) *world { return buildWith(t, change, nil) }
 
 // buildWith is build with an operator's file.
-func buildWith(t *testing.T, change func(*life.Start), conf *life.Conf, prepare ...func(*Server)) *world {
+func buildWith(t *testing.T, change func(*life.Startup), conf *life.OperatorSettings, prepare ...func(*Server)) *world {
 	w := begin(t, change, conf, prepare...)
 	w.processor.send(`{"msg":"hi","how":"seasoned","duration":3600000}` + "\n")
 	if report := <-w.roster.Reports(); !report.Takes {
@@ -134,16 +134,16 @@
 }
 
 // begin starts a server whose processor has accepted its link and is not up yet.
-func begin(t *testing.T, change func(*life.Start), conf *life.Conf, prepare ...func(*Server)) *world {
-	watch.To(t.Output())
+func begin(t *testing.T, change func(*life.Startup), conf *life.OperatorSettings, prepare ...func(*Server)) *world {
+	watch.SetOutput(t.Output())
 	w := &world{T: t, ended: make(chan error, 1), processors: listen(t), catalogues: listen(t), roster: aRoster(t)}
 	front := listen(t)
 	addr := front.Addr().String()
 	front.Close()
-	start := &life.Start{Name: "n1", Listen: addr, Addresses: w.addresses(), Stop: 4, Sockets: 256, Memory: 64 << 20,
-		Stages: map[string]int{"quote": 0}, Tenants: map[string]int{"acme": 0}, StageNames: []string{"quote"},
+	start := &life.Startup{Name: "n1", Listen: addr, Addresses: w.addresses(), StopTimeout: 4, MaxSockets: 256, MemoryBytes: 64 << 20,
+		ClassIndex: map[string]int{"quote": 0}, TenantIndex: map[string]int{"acme": 0}, ClassNames: []string{"quote"},
 		Gauges: []string{"cpu_busy", "runnable"},
-		Site: choice.Settings{Cores: 2, Servers: 1, Clients: 1, ConcurrencyLimit: 8, ConcurrencyWindow: 1, MemoryLimit: 1e6, RunningMemoryFactor: 1,
+		Settings: choice.Settings{Cores: 2, Servers: 1, Clients: 1, ConcurrencyLimit: 8, ConcurrencyWindow: 1, MemoryLimit: 1e6, RunningMemoryFactor: 1,
 			Downstream: choice.ServerTier, DeadlinePropagation: true, IdleTimeout: 30, DrainGracePeriod: 0.1, DeadlineTolerance: 0.05,
 			Tenants: []choice.Tenant{{Rate: 1000}},
 			Classes: []choice.Class{{SoftDeadline: 30, Timeout: 60, Value: 1, LateValue: 1, CallsDownstream: true}}}}
@@ -162,13 +162,13 @@
 	t.Cleanup(func() {
 		w.server.over()
 		<-w.ended
-		watch.To(io.Discard)
+		watch.SetOutput(io.Discard)
 	})
 	return w
 }
 
 // running is a server on which a balancer's task a1, message 1 of its connection, runs.
-func running(t *testing.T, change func(*life.Start)) (*world, *end) {
+func running(t *testing.T, change func(*life.Startup)) (*world, *end) {
 	w := build(t, change)
 	b := w.balancer()
 	b.send("%s", frame(1, "a1", "x"))
@@ -177,8 +177,8 @@
 }
 
 func (w *world) addresses() life.Addresses {
-	return life.Addresses{Processor: w.processors.Addr().String(), Roster: w.roster.Addr(),
-		Catalogue: w.catalogues.Addr().String()}
+	return life.Addresses{Executor: w.processors.Addr().String(), Registry: w.roster.Addr(),
+		Upstream: w.catalogues.Addr().String()}
 }
 
 // aRoster hangs up after each report, at times before its answer.
@@ -271,7 +271,7 @@
 // A site may not tell how long callers wait: the time limit stands in. Where it does, a task without is refused.
 func TestWaitsThatAreNotTold(t *testing.T) {
 	untold := func(m *rpc.Message) { m.NoWait = true }
-	w := build(t, func(s *life.Start) { s.Site.DeadlinePropagation, s.Site.Classes[0].Timeout = false, 0.4 })
+	w := build(t, func(s *life.Startup) { s.Settings.DeadlinePropagation, s.Settings.Classes[0].Timeout = false, 0.4 })
 	b := w.balancer()
 	b.send("%s", frame(1, "a1", "x", untold))
 	w.processor.wants("begin", "a1")
@@ -282,7 +282,7 @@
 }
 
 func TestDrainAnswersAllAndEnds(t *testing.T) {
-	w, b := running(t, func(s *life.Start) { s.Stop = 10 })
+	w, b := running(t, func(s *life.Startup) { s.StopTimeout = 10 })
 	w.server.Leave()
 	for report := range w.roster.Reports() {
 		if !report.Takes {
@@ -306,7 +306,7 @@
 }
 
 func TestRepeatsShareAnAnswer(t *testing.T) {
-	w := build(t, func(s *life.Start) { s.Site.ResultCacheTTL, s.Site.KeyMemory = 60, 1 })
+	w := build(t, func(s *life.Startup) { s.Settings.ResultCacheTTL, s.Settings.KeyMemory = 60, 1 })
 	b := w.balancer()
 	b.send("%s", frame(1, "a1", "x", about("k")))
 	w.processor.wants("begin", "a1")
@@ -321,7 +321,7 @@
 }
 
 func TestASecondNoticeChangesNothing(t *testing.T) {
-	s := New(&life.Start{Stop: 5}, nil)
+	s := New(&life.Startup{StopTimeout: 5}, nil)
 	s.module = choice.New(1, choice.Settings{})
 	s.leave(s.now())
 	killAt := s.killAt
@@ -332,12 +332,12 @@
 }
 
 func TestHealthIsReportedAtOnceAndOneReportAtATime(t *testing.T) {
-	watch.To(io.Discard)
-	s := New(&life.Start{Addresses: life.Addresses{Roster: "127.0.0.9:1"}}, nil)
+	watch.SetOutput(io.Discard)
+	s := New(&life.Startup{Addresses: life.Addresses{Registry: "127.0.0.9:1"}}, nil)
 	s.loop = stillLoop{}
 	s.module = choice.New(1, choice.Settings{})
 	s.roster.conn = broken{}
-	reports := func() int { return bytes.Count(bytes.Join(s.roster.out.Parts(), nil), []byte("PUT ")) }
+	reports := func() int { return bytes.Count(bytes.Join(s.roster.out.Buffers(), nil), []byte("PUT ")) }
 	s.setWell(true)
 	s.setWell(true) // nothing new
 	if reports() != 1 {
@@ -348,7 +348,7 @@
 	}
 	off := func(n int) {
 		t.Helper()
-		if text := string(bytes.Join(s.roster.out.Parts(), nil)); reports() != n || !strings.HasSuffix(text, `{"duty":"off"}`) {
+		if text := string(bytes.Join(s.roster.out.Buffers(), nil)); reports() != n || !strings.HasSuffix(text, `{"duty":"off"}`) {
 			t.Errorf("%q", text)
 		}
 	}
@@ -372,7 +372,7 @@
 		t.Fatal(err)
 	}
 	defer below.Close()
-	w.server.Move(life.Addresses{Processor: w.processors.Addr().String(), Roster: w.roster.Addr(), Catalogue: below.Addr()})
+	w.server.Move(life.Addresses{Executor: w.processors.Addr().String(), Registry: w.roster.Addr(), Upstream: below.Addr()})
 	serial := 0
 	next := func() int { serial++; return serial }
 	for i := range 150 {
@@ -410,7 +410,7 @@
 		_ = w.server.loop.Execute(t.Context(), gnet.RunnableFunc(func(context.Context) error {
 			s := w.server
 			told <- fmt.Sprintf("%d tasks, %d kept, %d calls, %d pooled connections, %d peers, %d buffers, %d events", s.tasks.Len(),
-				s.kept.Len(), len(s.calls), len(s.connPool.all)+len(s.connPool.waiting), s.peers.Len(), s.pool.Out, len(s.events))
+				s.kept.Len(), len(s.calls), len(s.connPool.all)+len(s.connPool.waiting), s.peers.Len(), s.pool.InUse, len(s.events))
 			if n := s.timers.Len(); n > 10 {
 				told <- fmt.Sprint(n, " timers")
 			}
--- a/internal/serve/standing.go
+++ b/internal/serve/standing.go
@@ -61,7 +61,7 @@
 	}
 	was := s.stance
 	s.stance = is
-	slog.Info("stance", "is", is, "was", was, "why", to.Reason, "open", s.tasks.Open())
+	slog.Info("stance", "is", is, "was", was, "why", to.Reason, "open", s.tasks.Unanswered())
 	if is == stance.ModeOutOfService {
 		s.sendAllAway(now)
 	}
@@ -76,8 +76,8 @@
 
 // sendAllAway rejects every task that has not begun: none of them ran. What runs is finished.
 func (s *Server) sendAllAway(now float64) {
-	for _, t := range s.tasks.InOrder() {
-		if t.Answered || t.Begun {
+	for _, t := range s.tasks.InArrivalOrder() {
+		if t.Answered || t.Running {
 			continue
 		}
 		s.happens(choice.Event{Kind: choice.ClientGone, RequestID: t.ID}) // the module drops it, as nobody waits for it any more
@@ -88,7 +88,7 @@
 // awayLeast is when to come back to a server that may not act: it asks for its standing a few times a second.
 const awayLeast = 1.0
 
-func (s *Server) awayFor() float64 { return min(awayLeast, s.start.Site.MaxRetryAfter) }
+func (s *Server) awayFor() float64 { return min(awayLeast, s.start.Settings.MaxRetryAfter) }
 
 // sendAway rejects a task that came while the server may not act: it never ran.
 func (p *peer) sendAway(number uint64, now float64) {
@@ -102,8 +102,8 @@
 }
 
 // shielded is the operator's file with the defaults in place of what was released: a door that is on stays on, with its own figures.
-func shielded(conf *life.Conf) *life.Conf {
-	safe := life.Defaults()
+func shielded(conf *life.OperatorSettings) *life.OperatorSettings {
+	safe := life.DefaultOperatorSettings()
 	safe.Door, safe.V4, safe.V6, safe.Lobby, safe.Remember = conf.Door, conf.V4, conf.V6, conf.Lobby, conf.Remember
 	return safe
 }
@@ -115,7 +115,7 @@
 const actFor = 2 * time.Second
 
 // Act has the server act on settings, whole or not at all, from any goroutine but the loop's.
-func (s *Server) Act(conf *life.Conf) error {
+func (s *Server) Act(conf *life.OperatorSettings) error {
 	select {
 	case <-s.looping:
 	case <-time.After(actFor):
@@ -134,7 +134,7 @@
 	}
 }
 
-func (s *Server) act(conf *life.Conf) error {
+func (s *Server) act(conf *life.OperatorSettings) error {
 	switch {
 	case conf.Door != s.door.Guarded():
 		return errors.New("door: can't be switched while serving")
--- a/internal/serve/standing_test.go
+++ b/internal/serve/standing_test.go
@@ -85,7 +85,7 @@
 }
 
 func TestAServerThatMayNotActFinishesWhatRunsAndRejectsTheRest(t *testing.T) {
-	w := build(t, func(s *life.Start) { s.Site.MaxRetryAfter = 5 })
+	w := build(t, func(s *life.Startup) { s.Settings.MaxRetryAfter = 5 })
 	const tasks = 20 // more than two cores take at once
 	begun, finish := make(chan string, tasks+1), make(chan struct{})
 	w.work(begun, finish)
@@ -144,7 +144,7 @@
 }
 
 func TestSettingsAreTakenWholeOrNotAtAll(t *testing.T) {
-	conf, err := life.ParseConf("f", []byte("door on"))
+	conf, err := life.ParseOperatorSettings("f", []byte("door on"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -159,7 +159,7 @@
 		"door-lobby 3\ndoor-earn 5": "can't be changed while serving",
 	} {
 		before := *w.server.conf
-		next, err := conf.With("released", text)
+		next, err := conf.WithRelease("released", text)
 		if err == nil {
 			err = w.server.Act(next)
 		}
--- a/internal/serve/tally.go
+++ b/internal/serve/tally.go
@@ -21,13 +21,13 @@
 
 // Tally has tasks counted and what was counted told, from the loop; what could not be told is told with the next. It is called before Run.
 func (s *Server) Tally(tell func([]stance.CounterCell) bool) {
-	tenants := make([]string, max(1, len(s.start.Site.Tenants)))
-	for name, i := range s.start.Tenants {
+	tenants := make([]string, max(1, len(s.start.Settings.Tenants)))
+	for name, i := range s.start.TenantIndex {
 		tenants[i] = name
 	}
-	t := &tallies{stages: len(s.start.StageNames), tell: tell}
+	t := &tallies{stages: len(s.start.ClassNames), tell: tell}
 	for _, tenant := range tenants {
-		for _, stage := range s.start.StageNames {
+		for _, stage := range s.start.ClassNames {
 			t.names = append(t.names, stance.CounterKey{Tenant: tenant, Class: stage})
 		}
 	}
@@ -36,9 +36,9 @@
 	var again func()
 	again = func() {
 		t.told()
-		s.timers.Add(s.now()+tellTallies, again)
+		s.timers.Schedule(s.now()+tellTallies, again)
 	}
-	s.timers.Add(s.now()+tellTallies, again)
+	s.timers.Schedule(s.now()+tellTallies, again)
 }
 
 func (t *tallies) told() {
@@ -80,12 +80,12 @@
 }
 
 // tallyEnd counts a task's answer, by the count of the server's own that it went to.
-func (s *Server) tallyEnd(task *memory.Task, count *int) {
+func (s *Server) tallyEnd(task *memory.Request, count *int) {
 	t := s.tallies
 	if t == nil {
 		return
 	}
-	switch n := t.of(int(task.Tenant), task.Stage); count {
+	switch n := t.of(int(task.Tenant), task.Class); count {
 	case &s.counts.finished:
 		n.Finished++
 	case &s.counts.abandoned:
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -8,9 +8,9 @@
 	"os"
 )
 
-// To has all log lines written to out from now on: a time, the event's name, and what belongs to it. The level is there
+// SetOutput has all log lines written to out from now on: a time, the event's name, and what belongs to it. The level is there
 // where it is not that of everyday.
-func To(out io.Writer) {
+func SetOutput(out io.Writer) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{
 		ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
 			switch {
@@ -32,5 +32,5 @@
 	os.Exit(1)
 }
 
-// Round keeps so many digits after the point, for a line that people read.
-func Round(x float64, digits int) string { return fmt.Sprintf("%.*f", digits, x) }
+// FormatDecimal keeps so many digits after the point, for a line that people read.
+func FormatDecimal(x float64, digits int) string { return fmt.Sprintf("%.*f", digits, x) }
