--- a/cmd/swiftcourse-fleet/budgets.go
+++ b/cmd/swiftcourse-fleet/budgets.go
@@ -104,7 +104,7 @@
 		}
 		list[i].Capped, list[i].Cap, list[i].ProbeNumber = true, p.held.Most, p.held.Try
 	}
-	p.server.Allow(list)
+	p.server.SetAllowances(list)
 }
 
 // below is what the fleet's part needs to judge the service below, nil where it does not.
@@ -116,7 +116,7 @@
 }
 
 // uses passes on what the loop used.
-func uses(list []serve.Used) []peers.Use {
+func uses(list []serve.QuotaUsage) []peers.Use {
 	to := make([]peers.Use, len(list))
 	for i, u := range list {
 		to[i] = peers.Use(u)
--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -41,13 +41,13 @@
 	p.dispatcher = forward.Start(forward.Shape{Workers: workers, Stages: start.Settings.Classes, Seed: forward.SeedOf(start.Name, start.Seed),
 		ColdFrom: start.Settings.SlowStartSpeed, ColdFor: start.WorkerSlowStartDuration, Now: server.Now,
 		Return: func(list []forward.Back) {
-			backs := make([]serve.Back, len(list))
+			backs := make([]serve.ForwardResult, len(list))
 			for i, b := range list {
-				backs[i] = serve.Back(b)
+				backs[i] = serve.ForwardResult(b)
 			}
-			server.Return(backs)
-		}, Linked: server.Reachable})
-	server.Forward(func(out serve.Out) bool { return p.dispatcher.Begin(forward.Out(out)) }, p.dispatcher.Quit)
+			server.HandleForwardResults(backs)
+		}, Linked: server.HandleWorkerAvailable})
+	server.EnableForwarding(func(out serve.ForwardRequest) bool { return p.dispatcher.Begin(forward.Out(out)) }, p.dispatcher.Quit)
 	slog.Info("forwarder", "workers", len(workers), "slots", start.Settings.Cores)
 	return nil
 }
--- a/cmd/swiftcourse-fleet/main.go
+++ b/cmd/swiftcourse-fleet/main.go
@@ -84,7 +84,7 @@
 		if !own.Door {
 			return errors.New("replica-callers: needs door on")
 		}
-		callers = &peers.Callers{Forget: own.Forget.Seconds(), Most: own.Remember / 4, Hear: server.Heard}
+		callers = &peers.Callers{Forget: own.Forget.Seconds(), Most: own.Remember / 4, Hear: server.AddTrustedClients}
 	}
 	shared, err := p.budgets(start, clock)
 	if err != nil {
@@ -96,27 +96,27 @@
 		Publish: func(to *stance.Directive) {
 			here := *to
 			here.ChangesAt = clock.Back(to.ChangesAt)
-			server.Stand(&here)
+			server.SetDirective(&here)
 		}})
 	if err != nil {
 		return err
 	}
 	if kept != nil {
-		server.Key(f, own.ReplicaKeyed, own.ReplicaWindow.Seconds())
+		server.EnableKeyClaims(f, own.ReplicaKeyed, own.ReplicaWindow.Seconds())
 		slog.Info("fleet_replica", "holders", len(kept.Place.Members), "copies", kept.Place.ReplicationFactor, "need", kept.Place.Quorum, "keyed", strings.Join(own.ReplicaKeyed, ","))
 	}
 	if shared != nil || own.Below || p.dispatcher != nil {
-		server.Budget(func(list []serve.Used) { f.Used(uses(list)) })
+		server.EnableQuota(func(list []serve.QuotaUsage) { f.Used(uses(list)) })
 	}
 	if own.Below {
-		server.Below(f.Called)
+		server.ReportUpstreamCalls(f.Called)
 		slog.Info("fleet_below", "is", "judged", "zone", own.Zone)
 	}
 	if shared != nil {
 		slog.Info("fleet_budgets", "budgets", len(own.Budgets), "floor", float64(own.BudgetFloor), "servers", own.BudgetServers)
 	}
 	if p.dispatcher != nil {
-		server.Tally(func(list []stance.CounterCell) bool {
+		server.ReportCounters(func(list []stance.CounterCell) bool {
 			told := !own.Counts || f.Tallied(list)
 			if told {
 				p.dispatcher.Asked(list)
@@ -124,13 +124,13 @@
 			return told
 		})
 	} else if own.Counts {
-		server.Tally(f.Tallied)
+		server.ReportCounters(f.Tallied)
 	}
 	if own.Counts {
 		slog.Info("fleet_counts", "keepers", len(voters))
 	}
 	if callers != nil {
-		server.Vouch(f.Earned, replica.MaxTrustedClients)
+		server.ReportTrustedClients(f.Earned, replica.MaxTrustedClients)
 	}
 	if own.FleetControl != "" {
 		if _, err := f.Control(own.FleetControl); err != nil {
@@ -201,7 +201,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("replica-holders: %w", err)
 	}
-	return &peers.Copies{Place: place, Entries: own.ReplicaRecords, Bytes: own.ReplicaMemory << 20, Rate: float64(own.ReplicaRate) * 1024, Rule: server.Rule}, nil
+	return &peers.Copies{Place: place, Entries: own.ReplicaRecords, Bytes: own.ReplicaMemory << 20, Rate: float64(own.ReplicaRate) * 1024, Rule: server.HandleClaimVerdict}, nil
 }
 
 // apply has the server act on a released text over its own file.
@@ -219,7 +219,7 @@
 	if err != nil {
 		return err
 	}
-	if err := p.server.Act(conf); err != nil {
+	if err := p.server.ApplyConfig(conf); err != nil {
 		return err
 	}
 	p.released, p.terms = text, terms
@@ -232,7 +232,7 @@
 	defer p.mu.Unlock()
 	conf, err := own.WithRelease("released", p.released)
 	if err == nil {
-		err = p.server.Act(conf)
+		err = p.server.ApplyConfig(conf)
 	}
 	if err != nil {
 		slog.Info("reload_rejected", "err", err)
--- a/internal/peers/copies.go
+++ b/internal/peers/copies.go
@@ -60,16 +60,16 @@
 	return f.put(Word{ID: id, Stage: stage, Key: key, Left: left})
 }
 
-// Never tells that a task is over that never began.
-func (f *Peers) Never(id string) { f.put(Word{ID: id, Never: true}) }
+// ReleaseClaim tells that a task is over that never began.
+func (f *Peers) ReleaseClaim(id string) { f.put(Word{ID: id, Never: true}) }
 
-// Ended tells how the run of a task ended that was granted.
-func (f *Peers) Ended(id string, well bool, result []byte) {
+// CompleteClaim tells how the run of a task ended that was granted.
+func (f *Peers) CompleteClaim(id string, well bool, result []byte) {
 	f.put(Word{ID: id, Ended: true, Well: well, Result: result})
 }
 
-// Unsaid counts what the holders have not noted yet, from any goroutine.
-func (f *Peers) Unsaid() int { return int(f.Plan.Copies.unsaid.Load()) }
+// UnreportedClaims counts what the holders have not noted yet, from any goroutine.
+func (f *Peers) UnreportedClaims() int { return int(f.Plan.Copies.unsaid.Load()) }
 
 func (f *Peers) put(w Word) bool {
 	f.Plan.Copies.unsaid.Add(1)
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -136,7 +136,7 @@
 			"calls", stage.CallsDownstream)
 	}
 	server := serve.New(start, conf)
-	signals.Handle(server.Leave, func() {
+	signals.Handle(server.Drain, func() {
 		to, ignored, err := start.Reload(os.Getenv)
 		next, err2 := life.LoadOperatorSettings(path)
 		if err != nil || err2 != nil {
@@ -151,13 +151,13 @@
 			slog.Info("reload_ignores", "key", key)
 		}
 		slog.Info("reload", "processor", to.Executor, "catalogue", to.Upstream, "roster", to.Registry, "door", next.Door)
-		server.Move(to)
+		server.SetEndpoints(to)
 		if conf.Fleet && parts != nil {
 			parts.Reread(next)
 			return
 		}
-		server.Heed(next)
-	}, server.Tell)
+		server.ReloadConfig(next)
+	}, server.LogStatistics)
 	if start.Forwarder {
 		if err := parts.Forward(start, conf, server); err != nil {
 			watch.Fatal("bad_conf", "err", err)
--- a/internal/serve/accept.go
+++ b/internal/serve/accept.go
@@ -24,54 +24,54 @@
 // or of memory, and its listener lives as long as the engine; this one waits and goes on, and closes alone. Its goroutine decides
 // nothing but when to wait.
 type acceptor struct {
-	server       *Server
-	listener     net.Listener
-	fd           int                            // the listener's
-	ending       atomic.Bool                    // it is to close
-	bell         int                            // an event descriptor, rung to have it look at that
-	ended        chan struct{}                  // closed once the listener is
-	accept       func() (acceptedSocket, error) // acceptOne; a test has it fail
-	spare        *os.File                       // a descriptor to give up when there is no other
-	pace         atomic.Uint64                  // strangers a second, as the bits of a float64, from the door
-	knownClients atomic.Pointer[knownClients]   // who goes past that, from the door
-	pending      chan struct{}                  // has a place for each connection on its way to the loop
-	failed       atomic.Int64                   // accepts that failed for want of something
-	overRate     atomic.Int64                   // strangers over the pace, closed here
-	said         time.Time
-	learnt       float64 // when the loop told the door last what was spent
+	server          *Server
+	listener        net.Listener
+	fd              int                            // the listener's
+	closeRequested  atomic.Bool                    // it is to close
+	wakeFD          int                            // an event descriptor, rung to have it look at that
+	done            chan struct{}                  // closed once the listener is
+	accept          func() (acceptedSocket, error) // acceptOne; a test has it fail
+	spareFile       *os.File                       // a descriptor to give up when there is no other
+	untrustedRate   atomic.Uint64                  // strangers a second, as the bits of a float64, from the door
+	trusted         atomic.Pointer[trustedClients] // who goes past that, from the door
+	pending         chan struct{}                  // has a place for each connection on its way to the loop
+	failures        atomic.Int64                   // accepts that failed for want of something
+	rateLimited     atomic.Int64                   // strangers over the pace, closed here
+	failureLoggedAt time.Time
+	sampledAt       float64 // when the loop told the door last what was spent
 }
 
 // acceptedSocket is a connection that was accepted, as its bare descriptor: most of them in a flood are closed again at once, and what the
 // net package makes of each would be half of the cost.
 type acceptedSocket struct {
-	fd   int
-	from netip.Addr
+	fd     int
+	remote netip.Addr
 }
 
-// knownClients are those whom the acceptor lets past the pace.
-type knownClients struct {
-	named []netip.Prefix
-	known map[netip.Addr]bool
+// trustedClients are those whom the acceptor lets past the pace.
+type trustedClients struct {
+	named  []netip.Prefix
+	earned map[netip.Addr]bool
 }
 
-func (r *knownClients) has(addr netip.Addr) bool {
-	return r.known[addr] || slices.ContainsFunc(r.named, func(p netip.Prefix) bool { return p.Contains(addr) })
+func (r *trustedClients) has(addr netip.Addr) bool {
+	return r.earned[addr] || slices.ContainsFunc(r.named, func(p netip.Prefix) bool { return p.Contains(addr) })
 }
 
 const (
-	// backOff is how long to wait after a vain accept, doubled up to maxBackOff: short beside a second, in which those known are to get
+	// minAcceptBackoff is how long to wait after a vain accept, doubled up to maxBackOff: short beside a second, in which those known are to get
 	// in, and long beside what a try costs.
-	backOff    = 2 * time.Millisecond
-	maxBackOff = 50 * time.Millisecond
-	// hearFor is how long one that is accepted by the spare descriptor has for its first message.
-	hearFor = 10 * time.Millisecond
-	// paceBurst is for how long, in seconds, the pace is saved up: half of all balancers may return together, and
+	minAcceptBackoff = 2 * time.Millisecond
+	maxAcceptBackoff = 50 * time.Millisecond
+	// refusalReadTimeout is how long one that is accepted by the spare descriptor has for its first message.
+	refusalReadTimeout = 10 * time.Millisecond
+	// acceptBurst is for how long, in seconds, the pace is saved up: half of all balancers may return together, and
 	// after a restart none of them is known.
-	paceBurst = 1.0
+	acceptBurst = 1.0
 )
 
-// listenAs opens the server's listener. Like gnet's it leaves the address open to a successor.
-func listenAs(addr string) (*acceptor, error) {
+// newAcceptor opens the server's listener. Like gnet's it leaves the address open to a successor.
+func newAcceptor(addr string) (*acceptor, error) {
 	config := net.ListenConfig{KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
 		var err error
 		return errors.Join(raw.Control(func(fd uintptr) {
@@ -82,53 +82,53 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &acceptor{listener: l, ended: make(chan struct{})}
-	a.accept = a.acceptOne
+	a := &acceptor{listener: l, done: make(chan struct{})}
+	a.accept = a.acceptBlocking
 	raw, err := l.(*net.TCPListener).SyscallConn()
 	if err == nil {
 		err = raw.Control(func(fd uintptr) { a.fd = int(fd) }) // it stays open as long as the listener does
 	}
 	if err == nil {
-		a.bell, err = unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK)
+		a.wakeFD, err = unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK)
 	}
 	if err != nil {
 		_ = l.Close()
 		return nil, err
 	}
-	a.takeSpare()
+	a.reserveSpare()
 	return a, nil
 }
 
-// onTheWay is how many connections may be between the acceptor and the loop where the door has no lobby: each takes up to three
+// maxPendingAccepts is how many connections may be between the acceptor and the loop where the door has no lobby: each takes up to three
 // descriptors there, of the spareSockets.
-const onTheWay = 4
+const maxPendingAccepts = 4
 
 // Run serves until the server is told to leave and has answered all.
 func (s *Server) Run() error {
-	a, err := listenAs(s.start.Listen)
+	a, err := newAcceptor(s.startup.Listen)
 	if err != nil {
 		return err
 	}
 	a.server = s
-	if s.door.Guarded() {
-		a.pending = make(chan struct{}, s.lobbyPlaces())
-		a.pace.Store(math.Float64bits(s.door.Pace(s.now())))
-		a.knownClients.Store(&knownClients{named: s.door.Named})
+	if s.connLimiter.Guarded() {
+		a.pending = make(chan struct{}, s.holdingSlots())
+		a.untrustedRate.Store(math.Float64bits(s.connLimiter.Pace(s.now())))
+		a.trusted.Store(&trustedClients{named: s.connLimiter.Named})
 	} else {
-		a.pending = make(chan struct{}, onTheWay)
-		a.pace.Store(math.Float64bits(math.Inf(1)))
-		a.knownClients.Store(&knownClients{})
+		a.pending = make(chan struct{}, maxPendingAccepts)
+		a.untrustedRate.Store(math.Float64bits(math.Inf(1)))
+		a.trusted.Store(&trustedClients{})
 	}
 	if s.acceptBy != nil {
 		a.accept = s.acceptBy(a.accept)
 	}
 	s.acceptor = a
 	loops, err := gnet.NewClient(s, gnet.WithNumEventLoop(1), gnet.WithTicker(true), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
-		gnet.WithLogger(logger{}), gnet.WithLogLevel(logging.WarnLevel))
+		gnet.WithLogger(gnetLogger{}), gnet.WithLogLevel(logging.WarnLevel))
 	if err != nil {
 		return err
 	}
-	s.first = func(ctx context.Context) (<-chan gnet.RegisteredResult, error) { // the engine's own needs a listener of its own
+	s.registerFirst = func(ctx context.Context) (<-chan gnet.RegisteredResult, error) { // the engine's own needs a listener of its own
 		c, _ := gnet.FromNetConnContext(ctx)
 		_, err := loops.EnrollContext(c, gnet.FromContext(ctx))
 		return nil, err
@@ -136,130 +136,130 @@
 	if err := loops.Start(); err != nil {
 		return err
 	}
-	slog.Info("listening", "addr", s.start.Listen)
+	slog.Info("listening", "addr", s.startup.Listen)
 	go a.run()
-	<-s.finished
+	<-s.stopped
 	a.close()
-	<-a.ended
+	<-a.done
 	return loops.Stop()
 }
 
 // run accepts until the listener closes. All is accepted at once, as who is known waits in the same queue of the system as strangers do;
 // strangers over the pace are closed here, which costs about half of what it does on the loop.
 func (a *acceptor) run() {
-	defer close(a.ended)
-	defer a.shut()
+	defer close(a.done)
+	defer a.release()
 	select {
-	case <-a.server.looping: // the first link to be dialled makes the loop known
-	case <-a.server.finished:
+	case <-a.server.loopReady: // the first link to be dialled makes the loop known
+	case <-a.server.stopped:
 		return
 	}
 
-	wait, tokens, at := backOff, math.Inf(1), time.Now() // full
+	wait, tokens, at := minAcceptBackoff, math.Inf(1), time.Now() // full
 	for {
 		g, err := a.accept()
 		switch {
 		case err == nil:
-			wait = backOff
-			pace, now := math.Float64frombits(a.pace.Load()), time.Now()
+			wait = minAcceptBackoff
+			pace, now := math.Float64frombits(a.untrustedRate.Load()), time.Now()
 			if !math.IsInf(pace, 1) {
-				tokens = min(max(1, pace*paceBurst), tokens+now.Sub(at).Seconds()*pace)
+				tokens = min(max(1, pace*acceptBurst), tokens+now.Sub(at).Seconds()*pace)
 			}
 			at = now
 			switch {
-			case a.knownClients.Load().has(g.from):
+			case a.trusted.Load().has(g.remote):
 			case tokens >= 1:
 				tokens--
 			default:
-				a.overRate.Add(1)
-				politely(g, 0)
+				a.rateLimited.Add(1)
+				refuse(g, 0)
 				continue
 			}
 			a.pending <- struct{}{}
-			a.hand(g)
+			a.handOver(g)
 			continue
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.Is(err, syscall.ECONNABORTED) || errors.Is(err, syscall.EINTR): // it went away while it waited; a signal came
 			continue
 		}
-		if a.ending.Load() { // who still waits can't be taken
+		if a.closeRequested.Load() { // who still waits can't be taken
 			return
 		}
-		a.failed.Add(1)
-		if time.Since(a.said) > time.Second {
-			a.said = time.Now()
-			slog.Info("accept_waits", "err", err, "times", a.failed.Load())
+		a.failures.Add(1)
+		if time.Since(a.failureLoggedAt) > time.Second {
+			a.failureLoggedAt = time.Now()
+			slog.Info("accept_waits", "err", err, "times", a.failures.Load())
 		}
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-			a.squeeze()
+			a.evictForDescriptors()
 		}
-		if g, ok := a.bySpare(err); ok {
-			politely(g, hearFor)
+		if g, ok := a.acceptWithSpare(err); ok {
+			refuse(g, refusalReadTimeout)
 		}
 		time.Sleep(wait)
-		wait = min(2*wait, maxBackOff)
+		wait = min(2*wait, maxAcceptBackoff)
 	}
 }
 
-// learnEvery is how often, in seconds, the system is asked what was spent: a call of a microsecond.
-const learnEvery = 0.05
+// cpuSampleInterval is how often, in seconds, the system is asked what was spent: a call of a microsecond.
+const cpuSampleInterval = 0.05
 
-// learn sets the pace by what arrivals cost, on the loop.
-func (a *acceptor) learn(now float64) {
-	if now < a.learnt+learnEvery {
+// sampleCPU sets the pace by what arrivals cost, on the loop.
+func (a *acceptor) sampleCPU(now float64) {
+	if now < a.sampledAt+cpuSampleInterval {
 		return
 	}
-	a.learnt = now
+	a.sampledAt = now
 	var used unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &used); err == nil {
-		a.server.door.Spent(float64(used.Utime.Nano()+used.Stime.Nano())/1e9, now)
+		a.server.connLimiter.Spent(float64(used.Utime.Nano()+used.Stime.Nano())/1e9, now)
 	}
-	a.pace.Store(math.Float64bits(a.server.door.Pace(now)))
-	if known, changed := a.server.door.KnownClients(); changed {
-		a.knownClients.Store(&knownClients{a.server.door.Named, known})
+	a.untrustedRate.Store(math.Float64bits(a.server.connLimiter.Pace(now)))
+	if known, changed := a.server.connLimiter.KnownClients(); changed {
+		a.trusted.Store(&trustedClients{a.server.connLimiter.Named, known})
 	}
 }
 
-func (a *acceptor) takeSpare() {
-	if a.spare == nil {
-		a.spare, _ = os.Open(os.DevNull) // none to be had: the next accept that succeeds tries again
+func (a *acceptor) reserveSpare() {
+	if a.spareFile == nil {
+		a.spareFile, _ = os.Open(os.DevNull) // none to be had: the next accept that succeeds tries again
 	}
 }
 
-// bySpare accepts with the spare descriptor, where that is what lacks: who waits for longest would else wait for ever, and the
+// acceptWithSpare accepts with the spare descriptor, where that is what lacks: who waits for longest would else wait for ever, and the
 // listener would be ready at every look.
-func (a *acceptor) bySpare(err error) (acceptedSocket, bool) {
-	if a.spare == nil || !errors.Is(err, syscall.EMFILE) && !errors.Is(err, syscall.ENFILE) {
-		a.takeSpare()
+func (a *acceptor) acceptWithSpare(err error) (acceptedSocket, bool) {
+	if a.spareFile == nil || !errors.Is(err, syscall.EMFILE) && !errors.Is(err, syscall.ENFILE) {
+		a.reserveSpare()
 		return acceptedSocket{}, false
 	}
-	_ = a.spare.Close()
-	a.spare = nil
-	g, err := a.acceptNow()
+	_ = a.spareFile.Close()
+	a.spareFile = nil
+	g, err := a.acceptNonblocking()
 	if err != nil { // the system says that it lacks descriptors also where nobody waits
-		a.takeSpare()
+		a.reserveSpare()
 	}
 	return g, err == nil
 }
 
-// acceptOne waits for a connection, on a thread of its own: what is accepted is a bare descriptor, and the listener's own way to
+// acceptBlocking waits for a connection, on a thread of its own: what is accepted is a bare descriptor, and the listener's own way to
 // wait gives none.
-func (a *acceptor) acceptOne() (acceptedSocket, error) {
+func (a *acceptor) acceptBlocking() (acceptedSocket, error) {
 	for {
-		g, err := a.acceptNow()
+		g, err := a.acceptNonblocking()
 		if err != unix.EAGAIN {
 			return g, err
 		}
-		if a.ending.Load() { // and nobody waits
+		if a.closeRequested.Load() { // and nobody waits
 			return g, net.ErrClosed
 		}
-		_, _ = unix.Poll([]unix.PollFd{{Fd: int32(a.fd), Events: unix.POLLIN}, {Fd: int32(a.bell), Events: unix.POLLIN}}, -1)
+		_, _ = unix.Poll([]unix.PollFd{{Fd: int32(a.fd), Events: unix.POLLIN}, {Fd: int32(a.wakeFD), Events: unix.POLLIN}}, -1)
 	}
 }
 
-// acceptNow accepts a connection where one waits.
-func (a *acceptor) acceptNow() (g acceptedSocket, err error) {
+// acceptNonblocking accepts a connection where one waits.
+func (a *acceptor) acceptNonblocking() (g acceptedSocket, err error) {
 	fd, from, err := unix.Accept4(a.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	if err != nil {
 		return g, err
@@ -267,17 +267,17 @@
 	g.fd = fd
 	switch at := from.(type) {
 	case *unix.SockaddrInet4:
-		g.from = netip.AddrFrom4(at.Addr)
+		g.remote = netip.AddrFrom4(at.Addr)
 	case *unix.SockaddrInet6:
-		g.from = netip.AddrFrom16(at.Addr).Unmap()
+		g.remote = netip.AddrFrom16(at.Addr).Unmap()
 	}
 	return g, nil
 }
 
-// politely answers what has come on a connection that can't be let in, or comes in so long, and closes it. A task is rejected: it
+// refuse answers what has come on a connection that can't be let in, or comes in so long, and closes it. A task is rejected: it
 // never ran. What is there beyond that is read too, as a close over bytes that nobody read would reset the connection and with it the
 // answers that are on their way.
-func politely(g acceptedSocket, wait time.Duration) {
+func refuse(g acceptedSocket, wait time.Duration) {
 	defer unix.Close(g.fd)
 	var held [4 << 10]byte
 	b, said, deaf := held[:0], 0, false
@@ -296,7 +296,7 @@
 			continue
 		}
 		b = b[:len(b)+n]
-		answers, rest, err := refusals(b)
+		answers, rest, err := refusalsFor(b)
 		if len(answers) > 0 { // a fresh connection takes so little at once, or its peer is gone
 			_, _ = unix.Write(g.fd, answers)
 			said++
@@ -311,8 +311,8 @@
 // bodies of 2 KiB take.
 const maxRefusedReads = 32
 
-// refusals are the answers to the whole messages at the start of b, and what of it is no whole message yet.
-func refusals(b []byte) (answers, rest []byte, err error) {
+// refusalsFor are the answers to the whole messages at the start of b, and what of it is no whole message yet.
+func refusalsFor(b []byte) (answers, rest []byte, err error) {
 	for {
 		m, size, err := rpc.Next(b)
 		if err != nil || size == 0 {
@@ -328,21 +328,21 @@
 	}
 }
 
-// maxSqueezes bounds how often others have to go for one.
-const maxSqueezes = 5
+// maxEvictionRounds bounds how often others have to go for one.
+const maxEvictionRounds = 5
 
-// hand gives a connection to the loop, where OnOpen meets it. Where there is no descriptor for that, others have to go first.
-func (a *acceptor) hand(g acceptedSocket) {
-	a.takeSpare()
-	c, err := connOf(g)
+// handOver gives a connection to the loop, where OnOpen meets it. Where there is no descriptor for that, others have to go first.
+func (a *acceptor) handOver(g acceptedSocket) {
+	a.reserveSpare()
+	c, err := duplicateConn(g)
 	for n := 0; err != nil; n++ {
-		if n == maxSqueezes {
-			politely(g, 0)
+		if n == maxEvictionRounds {
+			refuse(g, 0)
 			<-a.pending
 			return
 		}
-		a.squeeze()
-		c, err = connOf(g)
+		a.evictForDescriptors()
+		c, err = duplicateConn(g)
 	}
 	_ = unix.Close(g.fd)
 	done, err := a.server.loop.Enroll(gnet.NewContext(gnet.NewNetConnContext(context.Background(), c), a), c)
@@ -358,11 +358,11 @@
 	}()
 }
 
-// squeeze has the loop close what has to go, and waits until it has.
-func (a *acceptor) squeeze() {
+// evictForDescriptors has the loop close what has to go, and waits until it has.
+func (a *acceptor) evictForDescriptors() {
 	s, done := a.server, make(chan struct{})
 	if err := s.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-		s.squeeze()
+		s.evictUnderPressure()
 		// gnet closes them in turn; this comes behind.
 		return s.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 			close(done)
@@ -373,33 +373,33 @@
 	}
 	select {
 	case <-done:
-	case <-time.After(maxBackOff): // the server ends, or stands still
+	case <-time.After(maxAcceptBackoff): // the server ends, or stands still
 	}
 }
 
-// squeeze has some connections go, as there are fewer descriptors than was told.
-func (s *Server) squeeze() {
+// evictUnderPressure has some connections go, as there are fewer descriptors than was told.
+func (s *Server) evictUnderPressure() {
 	now := s.now()
-	if !s.door.Guarded() {
-		if worst := s.leastWanted(nil); worst != nil {
-			s.counts.evicted++
-			worst.end()
+	if !s.connLimiter.Guarded() {
+		if worst := s.evictionCandidate(nil); worst != nil {
+			s.statistics.evicted++
+			worst.closeNow()
 		}
 		return
 	}
-	s.door.Squeeze(now)
-	for s.door.Over() > 0 {
-		worst := s.firstFree(s.door.Excess(now), nil)
+	s.connLimiter.Squeeze(now)
+	for s.connLimiter.Over() > 0 {
+		worst := s.firstEvictable(s.connLimiter.Excess(now), nil)
 		if worst == nil {
 			break // all have tasks open
 		}
-		s.counts.evicted++
-		worst.end()
+		s.statistics.evicted++
+		worst.closeNow()
 	}
 }
 
-// connOf makes of a descriptor what gnet takes, beside it: so it is still there where a descriptor for that lacks.
-func connOf(g acceptedSocket) (net.Conn, error) {
+// duplicateConn makes of a descriptor what gnet takes, beside it: so it is still there where a descriptor for that lacks.
+func duplicateConn(g acceptedSocket) (net.Conn, error) {
 	_ = unix.SetsockoptInt(g.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // slower without, no worse
 	fd, err := unix.FcntlInt(uintptr(g.fd), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
@@ -413,26 +413,26 @@
 // close has the acceptor take who still waits and then close the listener: from then on the system refuses connections, which proves
 // to who asks that nothing ran. It returns at once; ended tells when that is done.
 func (a *acceptor) close() {
-	a.ending.Store(true)
+	a.closeRequested.Store(true)
 	var one [8]byte
 	one[0] = 1
-	_, _ = unix.Write(a.bell, one[:])
+	_, _ = unix.Write(a.wakeFD, one[:])
 }
 
-// quiet tells whether no connection can come any more: the listener is closed, and the loop has all that it gave.
-func (a *acceptor) quiet() bool {
+// drained tells whether no connection can come any more: the listener is closed, and the loop has all that it gave.
+func (a *acceptor) drained() bool {
 	select {
-	case <-a.ended:
+	case <-a.done:
 		return len(a.pending) == 0
 	default:
 		return false
 	}
 }
 
-func (a *acceptor) shut() {
+func (a *acceptor) release() {
 	_ = a.listener.Close()
-	_ = unix.Close(a.bell)
-	if a.spare != nil {
-		_ = a.spare.Close()
+	_ = unix.Close(a.wakeFD)
+	if a.spareFile != nil {
+		_ = a.spareFile.Close()
 	}
 }
--- a/internal/serve/actions.go
+++ b/internal/serve/actions.go
@@ -11,36 +11,36 @@
 // when the timer goes off, and still fresh.
 const gaugeLead = 0.004
 
-// carryOut does what the module decided, in order.
-func (s *Server) carryOut(actions []choice.Action, now float64) {
+// execute does what the module decided, in order.
+func (s *Server) execute(actions []choice.Action, now float64) {
 	for i := range actions {
 		a := &actions[i]
 		switch a.Kind {
 		case choice.SetHealth:
-			s.setWell(a.Flag)
+			s.setHealthy(a.Flag)
 			continue
 		case choice.ReportLoad:
-			s.setFree(a.Value)
+			s.setLoadReport(a.Value)
 			continue
 		case choice.SetIdleTimeout:
 			if a.Duration <= 0 {
-				a.Duration = s.start.Settings.IdleTimeout
+				a.Duration = s.startup.Settings.IdleTimeout
 			}
-			s.door.Idle(a.Duration)
+			s.connLimiter.Idle(a.Duration)
 			continue
 		case choice.SetTimer:
 			label := a.Label
-			s.timers.Schedule(now+max(0, a.Duration-gaugeLead), s.processor.asking)
-			s.timers.Schedule(now+a.Duration, func() { s.happens(choice.Event{Kind: choice.TimerFired, Label: label}) })
+			s.timers.Schedule(now+max(0, a.Duration-gaugeLead), s.executor.gaugeTimer)
+			s.timers.Schedule(now+a.Duration, func() { s.queueEvent(choice.Event{Kind: choice.TimerFired, Label: label}) })
 			continue
 		case choice.LogLine:
 			slog.Info("note", "text", a.Label)
 			continue
 		}
-		t := s.tasks.Get(a.RequestID)
+		t := s.requests.Get(a.RequestID)
 		if t == nil { // it is over
 			if a.Kind == choice.DeleteKey {
-				s.kept.Remove(a.RequestID)
+				s.results.Remove(a.RequestID)
 			}
 			continue
 		}
@@ -52,31 +52,31 @@
 		case choice.Fail:
 			s.abandon(t)
 		case choice.DispatchCall:
-			s.call(t, a.Duration)
+			s.startCall(t, a.Duration)
 		case choice.Degrade:
-			s.processor.reply(t, nil, true)
+			s.executor.reply(t, nil, true)
 		case choice.StoreKey:
-			s.kept.Track(t, now+a.Duration, s.runsOnce(t.Class))
+			s.results.Track(t, now+a.Duration, s.runsAtMostOnce(t.Class))
 		case choice.DeleteKey:
-			s.kept.Remove(t.ID)
+			s.results.Remove(t.ID)
 		case choice.ReuseResult:
-			s.reuse(t, now)
+			s.answerFromCache(t, now)
 		}
 	}
 }
 
-// reuse answers a task with what the kept one it repeats came to, now or at that one's end.
-func (s *Server) reuse(t *memory.Request, now float64) {
-	switch result, state := s.kept.LookupOrWait(t, now); state {
+// answerFromCache answers a task with what the kept one it repeats came to, now or at that one's end.
+func (s *Server) answerFromCache(t *memory.Request, now float64) {
+	switch result, state := s.results.LookupOrWait(t, now); state {
 	case memory.Available:
-		s.shared(t, result, choice.Finished, 0)
+		s.answerShared(t, result, choice.Finished, 0)
 	case memory.Missing, memory.Unrepeatable:
-		s.shared(t, nil, choice.Failed, 0)
+		s.answerShared(t, nil, choice.Failed, 0)
 	}
 }
 
-// shared ends a task that took another's answer.
-func (s *Server) shared(t *memory.Request, result []byte, outcome choice.Outcome, took float64) {
+// answerShared ends a task that took another's answer.
+func (s *Server) answerShared(t *memory.Request, result []byte, outcome choice.Outcome, took float64) {
 	if t == nil || t.Answered {
 		return
 	}
@@ -87,13 +87,13 @@
 		outcome = choice.Failed
 		s.abandon(t)
 	}
-	s.happens(choice.Event{Kind: choice.RunEnded, RequestID: t.ID, Outcome: outcome, Duration: took})
+	s.queueEvent(choice.Event{Kind: choice.RunEnded, RequestID: t.ID, Outcome: outcome, Duration: took})
 }
 
-func (s *Server) setWell(well bool) {
-	if s.well != well {
+func (s *Server) setHealthy(well bool) {
+	if s.healthy != well {
 		slog.Info("health", "well", well)
 	}
-	s.well = well
-	s.roster.tell()
+	s.healthy = well
+	s.registry.report()
 }
--- a/internal/serve/budgets.go
+++ b/internal/serve/budgets.go
@@ -12,54 +12,54 @@
 // This file is what the server does with its parts of budgets that all servers share: the module hears of a change at the head of the next batch,
 // and of a lease that is over by the loop's own clock, also when whoever renews it is stopped. Without a fleet none of it is reached.
 
-// Used is what was asked of a budget lately, and by which word on it the loop goes.
-type Used struct {
+// QuotaUsage is what was asked of a budget lately, and by which word on it the loop goes.
+type QuotaUsage struct {
 	Name         string
 	Demand, Open float64
 	Answer       uint64
 }
 
-// budgets is what the loop knows of them.
-type budgets struct {
-	list  []stance.Allowance
-	told  []float64 // that the module was told of each, under 0 where it was told nothing
-	asked []int     // by tenant, since the last count
-	rates []float64 // by tenant, of the last half second or so
-	lapse float64   // when the next part is over
-	tell  func([]Used)
-	below func(stance.CallStats) // nil where nobody judges the service below
-	calls stance.CallStats       // since the last count
-	tried int64                  // number of the latest try that was made
-	try   int64                  // that may be made, 0 for none
+// quotas is what the loop knows of them.
+type quotas struct {
+	allowances  []stance.Allowance
+	applied     []float64 // that the module was told of each, under 0 where it was told nothing
+	received    []int     // by tenant, since the last count
+	rates       []float64 // by tenant, of the last half second or so
+	nextExpiry  float64   // when the next part is over
+	report      func([]QuotaUsage)
+	reportCalls func(stance.CallStats) // nil where nobody judges the service below
+	calls       stance.CallStats       // since the last count
+	usedProbe   int64                  // number of the latest try that was made
+	probe       int64                  // that may be made, 0 for none
 }
 
 const (
-	// useEvery is how often, in seconds, it is counted and told what was used, and useWeight what the latest count weighs: half a second or so tells. With a
+	// usageInterval is how often, in seconds, it is counted and told what was used, and useWeight what the latest count weighs: half a second or so tells. With a
 	// weight of 0.3 swings of small demands took 1.5% of a budget from the large one.
-	useEvery, useWeight = 0.1, 0.2
-	// leastUse is a rate that is none any more.
-	leastUse = 0.01
+	usageInterval, usageWeight = 0.1, 0.2
+	// minUsageRate is a rate that is none any more.
+	minUsageRate = 0.01
 )
 
-// Budget has parts of budgets bind from the first task on, and what is used told. It is called before Run.
-func (s *Server) Budget(tell func([]Used)) {
-	s.budgets = &budgets{asked: make([]int, len(s.start.Settings.Tenants)), rates: make([]float64, len(s.start.Settings.Tenants)), lapse: math.Inf(1), tell: tell}
+// EnableQuota has parts of budgets bind from the first task on, and what is used told. It is called before Run.
+func (s *Server) EnableQuota(tell func([]QuotaUsage)) {
+	s.quotas = &quotas{received: make([]int, len(s.startup.Settings.Tenants)), rates: make([]float64, len(s.startup.Settings.Tenants)), nextExpiry: math.Inf(1), report: tell}
 	var again func()
 	again = func() {
-		s.countUse()
-		s.timers.Schedule(s.now()+useEvery, again)
+		s.reportQuotaUsage()
+		s.timers.Schedule(s.now()+usageInterval, again)
 	}
-	s.timers.Schedule(s.now()+useEvery, again)
+	s.timers.Schedule(s.now()+usageInterval, again)
 }
 
-// Below has what became of calls below told, after Budget.
-func (s *Server) Below(tell func(stance.CallStats)) { s.budgets.below = tell }
+// ReportUpstreamCalls has what became of calls below told, after Budget.
+func (s *Server) ReportUpstreamCalls(tell func(stance.CallStats)) { s.quotas.reportCalls = tell }
 
-// callEnded counts a call.
-func (s *Server) callEnded(outcome choice.Outcome, took float64) {
-	b := s.budgets
-	if b != nil && b.try != 0 { // it was made: no other goes out, also before who judges hears of it
-		b.tried, b.try, b.lapse = b.try, 0, math.Inf(-1)
+// countUpstreamCall counts a call.
+func (s *Server) countUpstreamCall(outcome choice.Outcome, took float64) {
+	b := s.quotas
+	if b != nil && b.probe != 0 { // it was made: no other goes out, also before who judges hears of it
+		b.usedProbe, b.probe, b.nextExpiry = b.probe, 0, math.Inf(-1)
 	}
 	switch {
 	case b == nil:
@@ -71,117 +71,117 @@
 	}
 }
 
-// Allow hands over what may be used of all budgets, from any goroutine. The loop goes by it from its next batch on.
-func (s *Server) Allow(list []stance.Allowance) {
-	s.allowed.Store(&list)
+// SetAllowances hands over what may be used of all budgets, from any goroutine. The loop goes by it from its next batch on.
+func (s *Server) SetAllowances(list []stance.Allowance) {
+	s.allowances.Store(&list)
 	select {
-	case <-s.looping:
-		_ = s.loop.Execute(context.Background(), s.run)
+	case <-s.loopReady:
+		_ = s.loop.Execute(context.Background(), s.turnRunnable)
 	default: // its first turn sees it
 	}
 }
 
-// heedBudgets puts what has changed at the head of the batch.
-func (s *Server) heedBudgets(now float64) {
-	b, given := s.budgets, s.allowed.Load()
-	if b == nil || given == nil || s.module == nil {
+// applyAllowances puts what has changed at the head of the batch.
+func (s *Server) applyAllowances(now float64) {
+	b, given := s.quotas, s.allowances.Load()
+	if b == nil || given == nil || s.controller == nil {
 		return
 	}
 	list := *given
-	fresh := len(list) != len(b.list) || len(list) > 0 && &list[0] != &b.list[0]
-	if !fresh && now < b.lapse {
+	fresh := len(list) != len(b.allowances) || len(list) > 0 && &list[0] != &b.allowances[0]
+	if !fresh && now < b.nextExpiry {
 		return
 	}
 	if fresh {
-		if !slices.EqualFunc(list, b.list, func(x, y stance.Allowance) bool { return x.Name == y.Name }) {
-			b.told = make([]float64, len(list))
-			for i := range b.told {
-				b.told[i] = -1
+		if !slices.EqualFunc(list, b.allowances, func(x, y stance.Allowance) bool { return x.Name == y.Name }) {
+			b.applied = make([]float64, len(list))
+			for i := range b.applied {
+				b.applied[i] = -1
 			}
-			s.unbind(b.list, list)
+			s.removeAllowances(b.allowances, list)
 		}
-		b.list = list
+		b.allowances = list
 	}
-	if !fresh && !math.IsInf(b.lapse, -1) {
-		s.counts.lapsed++
+	if !fresh && !math.IsInf(b.nextExpiry, -1) {
+		s.statistics.quotaExpired++
 	}
-	b.lapse, b.try = math.Inf(1), 0
+	b.nextExpiry, b.probe = math.Inf(1), 0
 	var events []choice.Event
 	for i := range list {
 		a := &list[i]
 		if now < a.LeaseExpiry {
-			b.lapse = min(b.lapse, a.LeaseExpiry)
+			b.nextExpiry = min(b.nextExpiry, a.LeaseExpiry)
 		}
 		may := a.LimitAt(now)
-		if a.ProbeNumber != 0 && a.ProbeNumber == b.tried {
+		if a.ProbeNumber != 0 && a.ProbeNumber == b.usedProbe {
 			may = 0
 		} else if may > 0 {
-			b.try = max(b.try, a.ProbeNumber)
+			b.probe = max(b.probe, a.ProbeNumber)
 		}
-		if may != b.told[i] {
-			b.told[i] = may
+		if may != b.applied[i] {
+			b.applied[i] = may
 			events = append(events, choice.Event{Kind: choice.AllowanceChanged, Allowance: &choice.Allowance{Tenant: a.Tenant, Limit: may, BurstDuration: a.BurstSeconds}})
 		}
 	}
 	if events != nil {
-		s.events = append(events, s.events...)
+		s.pendingEvents = append(events, s.pendingEvents...)
 	}
 }
 
-// unbind has the module hear of budgets that are no more: what they bound is as good as unbound.
-func (s *Server) unbind(was, is []stance.Allowance) {
+// removeAllowances has the module hear of budgets that are no more: what they bound is as good as unbound.
+func (s *Server) removeAllowances(was, is []stance.Allowance) {
 	for _, a := range was {
 		if !slices.ContainsFunc(is, func(x stance.Allowance) bool { return x.Tenant == a.Tenant }) {
-			s.events = append([]choice.Event{{Kind: choice.AllowanceChanged, Allowance: &choice.Allowance{Tenant: a.Tenant, Limit: math.MaxInt32, BurstDuration: 1}}}, s.events...)
+			s.pendingEvents = append([]choice.Event{{Kind: choice.AllowanceChanged, Allowance: &choice.Allowance{Tenant: a.Tenant, Limit: math.MaxInt32, BurstDuration: 1}}}, s.pendingEvents...)
 		}
 	}
 }
 
-// asks counts a task of a tenant.
-func (s *Server) asks(tenant int) {
-	if b := s.budgets; b != nil && tenant < len(b.asked) {
-		b.asked[tenant]++
+// countQuotaDemand counts a task of a tenant.
+func (s *Server) countQuotaDemand(tenant int) {
+	if b := s.quotas; b != nil && tenant < len(b.received) {
+		b.received[tenant]++
 	}
 }
 
-// countUse tells what was asked for and what is open.
-func (s *Server) countUse() {
-	b := s.budgets
-	for _, a := range b.list {
+// reportQuotaUsage tells what was asked for and what is open.
+func (s *Server) reportQuotaUsage() {
+	b := s.quotas
+	for _, a := range b.allowances {
 		if a.Tenant >= 0 {
 			// More than the whole budget tells nothing, and would take long to be forgotten once demand is elsewhere.
 			rate := &b.rates[a.Tenant]
-			if *rate += useWeight * (min(float64(b.asked[a.Tenant])/useEvery, a.FleetMax) - *rate); *rate < leastUse {
+			if *rate += usageWeight * (min(float64(b.received[a.Tenant])/usageInterval, a.FleetMax) - *rate); *rate < minUsageRate {
 				*rate = 0
 			}
 		}
 	}
-	clear(b.asked)
-	if s.module == nil {
+	clear(b.received)
+	if s.controller == nil {
 		return
 	}
-	if b.below != nil {
-		b.calls.InFlight, _ = s.module.DownstreamCalls()
-		b.below(b.calls)
+	if b.reportCalls != nil {
+		b.calls.InFlight, _ = s.controller.DownstreamCalls()
+		b.reportCalls(b.calls)
 		b.calls = stance.CallStats{}
 	}
-	var used []Used
-	for i := range b.list {
-		u := Used{Name: b.list[i].Name, Answer: b.list[i].GrantNumber}
-		if tenant := b.list[i].Tenant; tenant >= 0 {
+	var used []QuotaUsage
+	for i := range b.allowances {
+		u := QuotaUsage{Name: b.allowances[i].Name, Answer: b.allowances[i].GrantNumber}
+		if tenant := b.allowances[i].Tenant; tenant >= 0 {
 			u.Demand = b.rates[tenant]
 		} else {
-			out, waiting := s.module.DownstreamCalls()
+			out, waiting := s.controller.DownstreamCalls()
 			u.Demand, u.Open = float64(out+waiting), float64(out)
-			if b.list[i].Capped { // it can't use more
-				u.Demand = min(u.Demand, b.list[i].Cap)
+			if b.allowances[i].Capped { // it can't use more
+				u.Demand = min(u.Demand, b.allowances[i].Cap)
 			}
 		}
-		if u.Demand > 0 || u.Open > 0 || b.list[i].LeaseExpiry > s.now() {
+		if u.Demand > 0 || u.Open > 0 || b.allowances[i].LeaseExpiry > s.now() {
 			used = append(used, u)
 		}
 	}
 	if used != nil {
-		b.tell(used)
+		b.report(used)
 	}
 }
--- a/internal/serve/callers.go
+++ b/internal/serve/callers.go
@@ -11,27 +11,27 @@
 
 // This file is what a guarded door tells other servers of a fleet of the callers it knows, and hears of them after a restart.
 
-// tellCallersEvery is how often, in seconds, the door's known callers are told: what was earned takes three seconds and lasts for minutes.
-const tellCallersEvery = 2.0
+// trustReportInterval is how often, in seconds, the door's known callers are told: what was earned takes three seconds and lasts for minutes.
+const trustReportInterval = 2.0
 
-// Vouch has the callers that are known here told again and again, at most so many. It is called before Run.
-func (s *Server) Vouch(tell func([]door.Earned), most int) {
+// ReportTrustedClients has the callers that are known here told again and again, at most so many. It is called before Run.
+func (s *Server) ReportTrustedClients(tell func([]door.Earned), most int) {
 	var again func()
 	again = func() {
-		tell(s.door.Earnings(s.now(), most))
-		s.timers.Schedule(s.now()+tellCallersEvery, again)
+		tell(s.connLimiter.Earnings(s.now(), most))
+		s.timers.Schedule(s.now()+trustReportInterval, again)
 	}
-	s.timers.Schedule(s.now()+tellCallersEvery, again)
+	s.timers.Schedule(s.now()+trustReportInterval, again)
 }
 
-// Heard has the door know callers that earned it at other servers, from any goroutine.
-func (s *Server) Heard(list []door.Earned) {
+// AddTrustedClients has the door know callers that earned it at other servers, from any goroutine.
+func (s *Server) AddTrustedClients(list []door.Earned) {
 	go func() { // the loop begins once the processor is up
-		<-s.looping
+		<-s.loopReady
 		_ = s.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-			if n := s.door.Heard(list, s.now()); n > 0 {
+			if n := s.connLimiter.Heard(list, s.now()); n > 0 {
 				slog.Info("fleet_heard", "callers", n)
-				s.wake()
+				s.scheduleTurn()
 			}
 			return nil
 		}))
--- a/internal/serve/catalogue.go
+++ b/internal/serve/catalogue.go
@@ -13,266 +13,266 @@
 	"swiftcourse/internal/wire/catalogue"
 )
 
-// pooledConn is a connection to the catalogue. It carries one call at a time, so that whatever comes back spoilt,
+// upstreamConn is a connection to the catalogue. It carries one call at a time, so that whatever comes back spoilt,
 // late or never costs that call alone, and no two calls of one task, so that a second copy of a reply, however
 // late, is never taken for that of the task's next call.
-type pooledConn struct {
-	link
-	server  *Server
-	call    *call    // on its way over it, or waiting for it to open
-	carried []string // the tasks whose calls went over it
-	quiet   float64  // since when it has been idle
-	rested  float64  // how long it had been idle when its call went out
-	left    bool     // takes no further call
-	giveUp  func()   // ends its dial, where that is still under way
+type upstreamConn struct {
+	dialedConn
+	server     *Server
+	call       *upstreamCall // on its way over it, or waiting for it to open
+	requestIDs []string      // the tasks whose calls went over it
+	idleSince  float64       // since when it has been idle
+	idleFor    float64       // how long it had been idle when its call went out
+	retired    bool          // takes no further call
+	cancelDial func()        // ends its dial, where that is still under way
 }
 
-// call is a call on its way.
-type call struct {
-	task   *memory.Request
-	pooled *pooledConn // nil while it waits for one
-	began  float64
-	until  float64
-	reach  reach
-	again  bool // it was let out a second time, as its pooled connection had been idle and broke
-	over   bool
+// upstreamCall is a call on its way.
+type upstreamCall struct {
+	request   *memory.Request
+	conn      *upstreamConn // nil while it waits for one
+	startedAt float64
+	deadline  float64
+	progress  attemptProgress
+	retried   bool // it was let out a second time, as its pooled connection had been idle and broke
+	done      bool
 }
 
-// connPool is the connections to the catalogue.
-type connPool struct {
-	all, idle []*pooledConn // the latest idle one comes last, and is used first
-	waiting   []*call       // for a pooled connection, when there are as many as may be
-	lost      float64       // when it was last logged that one broke
+// upstreamPool is the connections to the catalogue.
+type upstreamPool struct {
+	all, idle    []*upstreamConn // the latest idle one comes last, and is used first
+	waiting      []*upstreamCall // for a pooled connection, when there are as many as may be
+	lossLoggedAt float64         // when it was last logged that one broke
 }
 
 const (
-	// maxCarried bounds what a pooled connection remembers of its calls; a dial for every 32nd call is not felt.
-	maxCarried = 32
-	// restFor is how long an idle pooled connection is kept: the other side may forget it, and a call that finds that out
+	// maxCallsPerConn bounds what a pooled connection remembers of its calls; a dial for every 32nd call is not felt.
+	maxCallsPerConn = 32
+	// upstreamIdleTimeout is how long an idle pooled connection is kept: the other side may forget it, and a call that finds that out
 	// is cut. It closes all after 10 s; under traffic the latest ones are used within a tenth of a second.
-	restFor = 1.0
-	// callGrace is how much longer than told we wait: the catalogue's own word proves as much and should win.
-	callGrace = 0.005
+	upstreamIdleTimeout = 1.0
+	// callTimeoutGrace is how much longer than told we wait: the catalogue's own word proves as much and should win.
+	callTimeoutGrace = 0.005
 )
 
 var (
-	errTimeUp  = errors.New("its time is up")
-	errNoCall  = errors.New("no call is left for it")
-	errUnasked = errors.New("more than was asked for")
+	errCallTimeout     = errors.New("its time is up")
+	errNoPendingCall   = errors.New("no call is left for it")
+	errUnexpectedReply = errors.New("more than was asked for")
 )
 
-// maxPooled is a quarter of the descriptors, as balancers may open half of them, and at most as many as a server of 1,024
+// maxUpstreamConns is a quarter of the descriptors, as balancers may open half of them, and at most as many as a server of 1,024
 // descriptors has: more calls than that are never in hand on one core.
-func (s *Server) maxPooled() int { return min(s.start.MaxSockets/4, 256) }
+func (s *Server) maxUpstreamConns() int { return min(s.startup.MaxSockets/4, 256) }
 
-// call lets a task's call out.
-func (s *Server) call(t *memory.Request, wait float64) {
+// startCall lets a task's call out.
+func (s *Server) startCall(t *memory.Request, wait float64) {
 	if t.CallNotice == 0 || t.CallSettled || t.Answered {
 		return
 	}
 	now := s.now()
-	c := &call{task: t, began: now, until: now + wait}
-	s.counts.calls++
-	s.calls[t.ID] = c
-	s.timers.Schedule(c.until+callGrace, func() {
-		if c.over {
+	c := &upstreamCall{request: t, startedAt: now, deadline: now + wait}
+	s.statistics.calls++
+	s.upstreamCalls[t.ID] = c
+	s.timers.Schedule(c.deadline+callTimeoutGrace, func() {
+		if c.done {
 			return
 		}
-		err := &attemptError{c.reach, errTimeUp}
-		if c.reach == sent {
-			err.reach = maybeRun
+		err := &attemptError{c.progress, errCallTimeout}
+		if c.progress == sent {
+			err.progress = mayHaveRun
 		}
-		s.endCall(c, err)
+		s.failCall(c, err)
 	})
-	s.route(c)
+	s.assignCall(c)
 }
 
-// route gives a call an idle pooled connection, or a new one; it waits where there are as many as may be. Where a second
+// assignCall gives a call an idle pooled connection, or a new one; it waits where there are as many as may be. Where a second
 // effect would matter the pooled connection is new: one that was idle may break in a way that tells nothing of the call.
-func (s *Server) route(c *call) {
-	now, from := s.now(), &s.connPool
-	mayBreak := s.start.Settings.Classes[c.task.Class].Idempotency == choice.Idempotent && !c.again
+func (s *Server) assignCall(c *upstreamCall) {
+	now, from := s.now(), &s.upstream
+	mayBreak := s.startup.Settings.Classes[c.request.Class].Idempotency == choice.Idempotent && !c.retried
 	for i := len(from.idle) - 1; i >= 0 && mayBreak; i-- {
 		l := from.idle[i]
-		if now-l.quiet <= restFor && !slices.Contains(l.carried, c.task.ID) {
+		if now-l.idleSince <= upstreamIdleTimeout && !slices.Contains(l.requestIDs, c.request.ID) {
 			from.idle = slices.Delete(from.idle, i, i+1)
-			l.rested = now - l.quiet
-			l.carry(c)
+			l.idleFor = now - l.idleSince
+			l.assign(c)
 			return
 		}
 	}
-	if len(from.all) >= s.maxPooled() && len(from.idle) > 0 { // none of them will do
-		from.idle[0].leave()
+	if len(from.all) >= s.maxUpstreamConns() && len(from.idle) > 0 { // none of them will do
+		from.idle[0].retire()
 	}
-	if len(from.all) >= s.maxPooled() {
+	if len(from.all) >= s.maxUpstreamConns() {
 		from.waiting = append(from.waiting, c)
 		return
 	}
-	l := &pooledConn{server: s}
+	l := &upstreamConn{server: s}
 	from.all = append(from.all, l)
-	l.carry(c)
-	l.giveUp = s.dial(toCatalogue, l, once)
+	l.assign(c)
+	l.cancelDial = s.dial(upstreamAddress, l, singleAttempt)
 }
 
-func (l *pooledConn) carry(c *call) {
-	l.call, c.pooled = c, l
-	l.carried = append(l.carried, c.task.ID)
+func (l *upstreamConn) assign(c *upstreamCall) {
+	l.call, c.conn = c, l
+	l.requestIDs = append(l.requestIDs, c.request.ID)
 	if l.conn != nil {
 		l.send()
 	}
 }
 
-func (l *pooledConn) send() {
+func (l *upstreamConn) send() {
 	s, c := l.server, l.call
-	c.reach = sent
-	s.scratch = catalogue.PutCall(s.scratch[:0], c.task.ID, c.until-s.now(), c.task.CallBody)
-	s.write(&l.line, s.scratch)
+	c.progress = sent
+	s.scratch = catalogue.PutCall(s.scratch[:0], c.request.ID, c.deadline-s.now(), c.request.CallBody)
+	s.write(&l.bufferedConn, s.scratch)
 }
 
-// endCall ends a call that got no answer, and tells the module how far it had come.
-func (s *Server) endCall(c *call, err *attemptError) {
-	s.drop(c)
-	s.callDone(c, err.outcome())
+// failCall ends a call that got no answer, and tells the module how far it had come.
+func (s *Server) failCall(c *upstreamCall, err *attemptError) {
+	s.dropCall(c)
+	s.reportCallDone(c, err.outcome())
 }
 
-// callDone tells the module what became of a call.
-func (s *Server) callDone(c *call, outcome choice.Outcome) {
-	took := s.now() - c.began
-	s.callEnded(outcome, took)
-	s.happens(choice.Event{Kind: choice.CallReturned, RequestID: c.task.ID, Outcome: outcome, Duration: took})
+// reportCallDone tells the module what became of a call.
+func (s *Server) reportCallDone(c *upstreamCall, outcome choice.Outcome) {
+	took := s.now() - c.startedAt
+	s.countUpstreamCall(outcome, took)
+	s.queueEvent(choice.Event{Kind: choice.CallReturned, RequestID: c.request.ID, Outcome: outcome, Duration: took})
 }
 
-// drop takes a call off that has no answer. Its pooled connection ends with it, which gives the call up on the other side:
+// dropCall takes a call off that has no answer. Its pooled connection ends with it, which gives the call up on the other side:
 // a pooled connection that owes a reply may be dead.
-func (s *Server) drop(c *call) {
-	c.over = true
-	delete(s.calls, c.task.ID)
-	if l := c.pooled; l != nil {
+func (s *Server) dropCall(c *upstreamCall) {
+	c.done = true
+	delete(s.upstreamCalls, c.request.ID)
+	if l := c.conn; l != nil {
 		l.call = nil
-		l.leave()
+		l.retire()
 	}
 }
 
-// quit gives up the call of a task that needs it no more, without an event.
-func (s *Server) quit(t *memory.Request) {
-	if c := s.calls[t.ID]; c != nil {
-		s.drop(c)
+// cancelCall gives up the call of a task that needs it no more, without an event.
+func (s *Server) cancelCall(t *memory.Request) {
+	if c := s.upstreamCalls[t.ID]; c != nil {
+		s.dropCall(c)
 	}
 }
 
-// leave has a pooled connection take no further call; one without a call closes.
-func (l *pooledConn) leave() {
-	l.left = true
+// retire has a pooled connection take no further call; one without a call closes.
+func (l *upstreamConn) retire() {
+	l.retired = true
 	if l.call == nil {
 		l.remove()
 		if l.conn != nil {
 			_ = l.conn.Close()
-		} else if l.giveUp != nil {
-			l.giveUp() // a dial that hangs would hold a descriptor, which nobody counts any more
+		} else if l.cancelDial != nil {
+			l.cancelDial() // a dial that hangs would hold a descriptor, which nobody counts any more
 		}
 	}
 }
 
 // remove takes a pooled connection out of the tables, and lets a call that waits have its place.
-func (l *pooledConn) remove() {
-	s, from := l.server, &l.server.connPool
-	same := func(other *pooledConn) bool { return other == l }
+func (l *upstreamConn) remove() {
+	s, from := l.server, &l.server.upstream
+	same := func(other *upstreamConn) bool { return other == l }
 	n := len(from.all)
 	from.all = slices.DeleteFunc(from.all, same)
 	from.idle = slices.DeleteFunc(from.idle, same)
 	if len(from.all) < n {
-		s.routeWaiting()
+		s.assignWaitingCall()
 	}
 }
 
-func (s *Server) routeWaiting() {
-	for w := &s.connPool.waiting; len(*w) > 0; {
+func (s *Server) assignWaitingCall() {
+	for w := &s.upstream.waiting; len(*w) > 0; {
 		c := (*w)[0]
 		*w = (*w)[1:]
-		if !c.over {
-			s.route(c)
+		if !c.done {
+			s.assignCall(c)
 			return
 		}
 	}
 }
 
-// rest closes the pooled connections that were idle for long.
-func (s *Server) rest(now float64) {
-	for _, l := range slices.Clone(s.connPool.idle) {
-		if now-l.quiet > restFor {
-			l.leave()
+// closeIdleUpstream closes the pooled connections that were idle for long.
+func (s *Server) closeIdleUpstream(now float64) {
+	for _, l := range slices.Clone(s.upstream.idle) {
+		if now-l.idleSince > upstreamIdleTimeout {
+			l.retire()
 		}
 	}
 }
 
-func (l *pooledConn) opened(c gnet.Conn, to string) error {
-	l.stands(c, to)
+func (l *upstreamConn) handleOpen(c gnet.Conn, to string) error {
+	l.attach(c, to)
 	if l.call == nil {
-		return errNoCall
+		return errNoPendingCall
 	}
 	l.send()
 	return nil
 }
 
-func (l *pooledConn) closed(err error) {
+func (l *upstreamConn) handleClose(err error) {
 	s, c := l.server, l.call
-	l.shut(&s.pool)
-	l.left, l.call = true, nil
+	l.release(&s.buffers)
+	l.retired, l.call = true, nil
 	l.remove()
 	if c == nil {
 		return // idle or left
 	}
 	now := s.now()
-	if now > s.connPool.lost+1 { // one line a second, however many are tried
-		s.connPool.lost = now
-		slog.Info("link_lost", "link", "catalogue", "rested_s", watch.FormatDecimal(l.rested, 3),
-			"after_s", watch.FormatDecimal(now-c.began, 3), "err", &attemptError{c.reach, err})
+	if now > s.upstream.lossLoggedAt+1 { // one line a second, however many are tried
+		s.upstream.lossLoggedAt = now
+		slog.Info("link_lost", "link", "catalogue", "rested_s", watch.FormatDecimal(l.idleFor, 3),
+			"after_s", watch.FormatDecimal(now-c.startedAt, 3), "err", &attemptError{c.progress, err})
 	}
-	c.pooled = nil
+	c.conn = nil
 	// A pooled connection that had been idle and breaks before its reply was most likely forgotten on the other side. Only calls
 	// that may run twice go over such pooled connections, so the call goes out once more, over a new one.
-	if l.rested > 0 && !c.again {
-		c.again, c.reach = true, unsent
-		s.route(c)
+	if l.idleFor > 0 && !c.retried {
+		c.retried, c.progress = true, notSent
+		s.assignCall(c)
 		return
 	}
-	s.endCall(c, &attemptError{c.reach, err})
+	s.failCall(c, &attemptError{c.progress, err})
 }
 
-func (l *pooledConn) take(b []byte) (n int, err error) {
+func (l *upstreamConn) handleData(b []byte) (n int, err error) {
 	for n < len(b) && l.call != nil {
 		r, size, err := catalogue.Next(b[n:])
 		if err != nil || size == 0 {
 			return n, err
 		}
 		n += size
-		if ours := r.ID == l.call.task.ID; !ours || n < len(b) {
-			l.left = true // it brings more than was asked for: not used again
+		if ours := r.ID == l.call.request.ID; !ours || n < len(b) {
+			l.retired = true // it brings more than was asked for: not used again
 			if !ours {
 				continue
 			}
 		}
-		l.answered(l.call, r)
+		l.handleReply(l.call, r)
 	}
-	if n < len(b) && !l.left {
-		return n, errUnasked
+	if n < len(b) && !l.retired {
+		return n, errUnexpectedReply
 	}
 	return len(b), nil
 }
 
-// answered ends a call with its reply and frees the pooled connection, first for a call that waits.
-func (l *pooledConn) answered(c *call, r catalogue.Reply) {
+// handleReply ends a call with its reply and frees the pooled connection, first for a call that waits.
+func (l *upstreamConn) handleReply(c *upstreamCall, r catalogue.Reply) {
 	s := l.server
-	c.over, l.call, l.quiet = true, nil, s.now()
-	delete(s.calls, c.task.ID)
+	c.done, l.call, l.idleSince = true, nil, s.now()
+	delete(s.upstreamCalls, c.request.ID)
 	if r.Outcome == choice.Finished {
-		s.processor.reply(c.task, r.Body, false)
+		s.executor.reply(c.request, r.Body, false)
 	}
-	s.callDone(c, r.Outcome)
-	if l.left || len(l.carried) >= maxCarried {
-		l.leave()
+	s.reportCallDone(c, r.Outcome)
+	if l.retired || len(l.requestIDs) >= maxCallsPerConn {
+		l.retire()
 		return
 	}
-	s.connPool.idle = append(s.connPool.idle, l)
-	s.routeWaiting()
+	s.upstream.idle = append(s.upstream.idle, l)
+	s.assignWaitingCall()
 }
--- a/internal/serve/closing.go
+++ b/internal/serve/closing.go
@@ -25,47 +25,47 @@
 // its caller sends it once more.
 
 const (
-	// closeFor is how long, in seconds, a connection whose side of ours is shut may take to end: twice the 50 ms in which something may
+	// lingerTimeout is how long, in seconds, a connection whose side of ours is shut may take to end: twice the 50 ms in which something may
 	// cross a close.
-	closeFor = 0.1
-	// flushFor is for how long, in seconds, answers to one that sent what is no message may lie unread.
-	flushFor = 1.0
-	// maxClosing bounds the descriptors that connections hold while they close: half of the spare ones. Past it the oldest is closed at
+	lingerTimeout = 0.1
+	// mutedFlushTimeout is for how long, in seconds, answers to one that sent what is no message may lie unread.
+	mutedFlushTimeout = 1.0
+	// maxLingering bounds the descriptors that connections hold while they close: half of the spare ones. Past it the oldest is closed at
 	// once, which resets it at the worst; a server that leaves needs none of them.
-	maxClosing = spareSockets / 2
+	maxLingering = reservedDescriptors / 2
 )
 
-// closing is a connection that has left the table of peers and whose own end is awaited.
-type closing struct {
-	server *Server
-	conn   gnet.Conn
-	until  float64 // s.now() at which it is closed whatever its peer does
+// lingeringConn is a connection that has left the table of peers and whose own end is awaited.
+type lingeringConn struct {
+	server   *Server
+	conn     gnet.Conn
+	deadline float64 // s.now() at which it is closed whatever its peer does
 }
 
-func (c *closing) opened(gnet.Conn, string) error { return nil }
+func (c *lingeringConn) handleOpen(gnet.Conn, string) error { return nil }
 
-func (c *closing) has(conn gnet.Conn) bool { return c.conn == conn }
+func (c *lingeringConn) owns(conn gnet.Conn) bool { return c.conn == conn }
 
-// take throws away what came across the close.
-func (c *closing) take(b []byte) (int, error) { return len(b), nil }
+// handleData throws away what came across the close.
+func (c *lingeringConn) handleData(b []byte) (int, error) { return len(b), nil }
 
-func (c *closing) closed(error) {
+func (c *lingeringConn) handleClose(error) {
 	s := c.server
 	c.conn = nil
-	s.closing = slices.DeleteFunc(s.closing, func(other *closing) bool { return other == c })
+	s.lingering = slices.DeleteFunc(s.lingering, func(other *lingeringConn) bool { return other == c })
 }
 
-// end closes it now.
-func (c *closing) end() {
+// closeNow closes it now.
+func (c *lingeringConn) closeNow() {
 	conn := c.conn
-	c.closed(nil)
+	c.handleClose(nil)
 	_ = conn.Close()
 }
 
-// shutDown ends a connection that is owed nothing and has nothing to write: its place is free at once.
-func (p *peer) shutDown() {
+// closeGracefully ends a connection that is owed nothing and has nothing to write: its place is free at once.
+func (p *clientConn) closeGracefully() {
 	s, conn := p.server, p.conn
-	p.closed(nil)
+	p.handleClose(nil)
 	if conn == nil {
 		return
 	}
@@ -73,69 +73,69 @@
 		_ = conn.Close()
 		return
 	}
-	c := &closing{server: s, conn: conn, until: s.now() + closeFor}
+	c := &lingeringConn{server: s, conn: conn, deadline: s.now() + lingerTimeout}
 	conn.SetContext(c)
-	if s.closing = append(s.closing, c); len(s.closing) == 1 {
-		s.timers.Schedule(c.until, s.endClosing)
-		s.wake()
+	if s.lingering = append(s.lingering, c); len(s.lingering) == 1 {
+		s.timers.Schedule(c.deadline, s.expireLingering)
+		s.scheduleTurn()
 	}
-	if len(s.closing) > maxClosing && !s.parting {
-		s.closing[0].end()
+	if len(s.lingering) > maxLingering && !s.closingGracefully {
+		s.lingering[0].closeNow()
 	}
 }
 
-// endClosing closes those whose time is over; they are in the order in which they began.
-func (s *Server) endClosing() {
+// expireLingering closes those whose time is over; they are in the order in which they began.
+func (s *Server) expireLingering() {
 	now := s.now()
-	for len(s.closing) > 0 && s.closing[0].until <= now {
-		s.closing[0].end()
+	for len(s.lingering) > 0 && s.lingering[0].deadline <= now {
+		s.lingering[0].closeNow()
 	}
-	if len(s.closing) > 0 {
-		s.timers.Schedule(s.closing[0].until, s.endClosing)
+	if len(s.lingering) > 0 {
+		s.timers.Schedule(s.lingering[0].deadline, s.expireLingering)
 	}
 }
 
-// muted is a peer that sent what is no message.
-type muted struct {
-	name  memory.Handle
-	until float64 // s.now() until which its answers may lie unread; 0 while a task of it is open
+// mutedConn is a peer that sent what is no message.
+type mutedConn struct {
+	id       memory.Handle
+	deadline float64 // s.now() until which its answers may lie unread; 0 while a task of it is open
 }
 
 // mute has nothing more read from a connection: where its messages end is unknown. What was read before is answered.
-func (p *peer) mute() {
+func (p *clientConn) mute() {
 	p.muted = true
-	p.server.muted = append(p.server.muted, muted{name: p.name})
-	p.server.wake()
+	p.server.muted = append(p.server.muted, mutedConn{id: p.id})
+	p.server.scheduleTurn()
 }
 
-// tendMuted ends those that have all they are owed. It is called behind the turn's writes.
-func (s *Server) tendMuted(now float64) {
+// maintainMuted ends those that have all they are owed. It is called behind the turn's writes.
+func (s *Server) maintainMuted(now float64) {
 	if len(s.muted) == 0 {
 		return
 	}
-	s.muted = slices.DeleteFunc(s.muted, func(m muted) bool { return s.peers.Get(m.name) == nil })
+	s.muted = slices.DeleteFunc(s.muted, func(m mutedConn) bool { return s.clients.Get(m.id) == nil })
 	for i := range s.muted { // those that end here leave the list in the next turn
 		m := &s.muted[i]
-		p := s.peers.Get(m.name)
+		p := s.clients.Get(m.id)
 		switch {
-		case len(p.open) > 0:
+		case len(p.requests) > 0:
 		case !p.unsent && p.conn.OutboundBuffered() == 0:
-			p.shutDown()
-		case m.until == 0:
-			m.until = now + flushFor
-			s.timers.Schedule(m.until, s.wake)
-		case now >= m.until:
-			p.end()
+			p.closeGracefully()
+		case m.deadline == 0:
+			m.deadline = now + mutedFlushTimeout
+			s.timers.Schedule(m.deadline, s.scheduleTurn)
+		case now >= m.deadline:
+			p.closeNow()
 		}
 	}
 }
 
-// shutDownAll shuts, just before the kill, whatever is owed nothing and has nothing to write.
-func (s *Server) shutDownAll() {
+// closeAllGracefully shuts, just before the kill, whatever is owed nothing and has nothing to write.
+func (s *Server) closeAllGracefully() {
 	s.flush()
-	s.peers.ForEach(func(_ memory.Handle, p *peer) {
-		if len(p.open) == 0 && p.conn != nil && p.conn.OutboundBuffered() == 0 {
-			p.shutDown()
+	s.clients.ForEach(func(_ memory.Handle, p *clientConn) {
+		if len(p.requests) == 0 && p.conn != nil && p.conn.OutboundBuffered() == 0 {
+			p.closeGracefully()
 		}
 	})
 }
--- a/internal/serve/forward.go
+++ b/internal/serve/forward.go
@@ -15,16 +15,16 @@
 // the module decides what is let in and when, by the learned typical run, which is that through the fleet. In a server that forwards nothing none of it
 // is reached.
 
-// Out is a task on its way to a worker.
-type Out struct {
+// ForwardRequest is a task on its way to a worker.
+type ForwardRequest struct {
 	ID      string
 	Stage   int
 	Message rpc.Message // as it goes on, but for its number and its times
 	Left    float64     // seconds in which it has to be back
 }
 
-// Back is how that ended.
-type Back struct {
+// ForwardResult is how that ended.
+type ForwardResult struct {
 	ID      string
 	Outcome choice.Outcome // Finished, Errored, Bounced where no worker took it, Stopped where nobody waits any more
 	Body    []byte
@@ -34,48 +34,48 @@
 
 // forwarding is what the loop needs for it.
 type forwarding struct {
-	told  map[string]*rpc.Message // of tasks that are not over, what goes on with them
-	begin func(Out) bool
-	quit  func(id string)
+	messages map[string]*rpc.Message // of tasks that are not over, what goes on with them
+	dispatch func(ForwardRequest) bool
+	cancel   func(id string)
 }
 
-// slush is what a hop keeps of the time that is left: as for calls below.
-const slush = 0.010
+// forwardSafetyMargin is what a hop keeps of the time that is left: as for calls below.
+const forwardSafetyMargin = 0.010
 
-// Forward has tasks go to begin in place of a processor; false where it can't take one: it never left. Quit tells of one that nobody waits for any more.
+// EnableForwarding has tasks go to begin in place of a processor; false where it can't take one: it never left. Quit tells of one that nobody waits for any more.
 // It is called before Run.
-func (s *Server) Forward(begin func(Out) bool, quit func(id string)) {
-	s.forwarding = &forwarding{told: map[string]*rpc.Message{}, begin: begin, quit: quit}
-	s.processor.asking = func() {} // there are no gauges: what workers can do is learned from what they say
+func (s *Server) EnableForwarding(begin func(ForwardRequest) bool, quit func(id string)) {
+	s.forwarding = &forwarding{messages: map[string]*rpc.Message{}, dispatch: begin, cancel: quit}
+	s.executor.gaugeTimer = func() {} // there are no gauges: what workers can do is learned from what they say
 }
 
-// Reachable tells, from any goroutine, that there is a worker: the server serves from then on.
-func (s *Server) Reachable() {
-	<-s.looping
+// HandleWorkerAvailable tells, from any goroutine, that there is a worker: the server serves from then on.
+func (s *Server) HandleWorkerAvailable() {
+	<-s.loopReady
 	_ = s.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-		if s.module == nil {
-			s.born(false, math.Inf(1))
+		if s.controller == nil {
+			s.startController(false, math.Inf(1))
 		}
 		return nil
 	}))
 }
 
-// Return takes tasks back, from any goroutine.
-func (s *Server) Return(list []Back) {
+// HandleForwardResults takes tasks back, from any goroutine.
+func (s *Server) HandleForwardResults(list []ForwardResult) {
 	_ = s.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		for i := range list {
-			s.returned(&list[i])
+			s.handleForwardResult(&list[i])
 		}
 		return nil
 	}))
 }
 
-// keepsToForward keeps what goes on with a task.
-func (s *Server) keepsToForward(t *memory.Request, m *rpc.Message) {
+// keepForForwarding keeps what goes on with a task.
+func (s *Server) keepForForwarding(t *memory.Request, m *rpc.Message) {
 	if f := s.forwarding; f != nil {
 		kept := *m
 		kept.Body, kept.Bad, kept.Number = nil, nil, 0 // the body is the task's
-		f.told[t.ID] = &kept
+		f.messages[t.ID] = &kept
 	}
 }
 
@@ -83,38 +83,38 @@
 func (s *Server) startRun(t *memory.Request) {
 	f := s.forwarding
 	if f == nil {
-		s.processor.begin(t)
+		s.executor.start(t)
 		return
 	}
 	if t.Running || t.Answered {
 		return
 	}
 	t.Running = true
-	wait := s.start.Settings.Classes[t.Class].Timeout
+	wait := s.startup.Settings.Classes[t.Class].Timeout
 	if t.Timeout > 0 {
 		wait = min(wait, t.Timeout)
 	}
 	now := s.now()
-	out := Out{ID: t.ID, Stage: t.Class, Message: *f.told[t.ID], Left: t.ArrivedAt + wait - now - slush}
+	out := ForwardRequest{ID: t.ID, Stage: t.Class, Message: *f.messages[t.ID], Left: t.ArrivedAt + wait - now - forwardSafetyMargin}
 	out.Message.Body = append([]byte(nil), t.Body...) // the buffer may be used again before a second try
-	if out.Left <= 0 || !f.begin(out) {
-		s.returned(&Back{ID: t.ID, Outcome: choice.Rejected, Advice: s.start.Settings.MaxRetryAfter})
+	if out.Left <= 0 || !f.dispatch(out) {
+		s.handleForwardResult(&ForwardResult{ID: t.ID, Outcome: choice.Rejected, Advice: s.startup.Settings.MaxRetryAfter})
 	}
 }
 
-// leaves tells that nobody waits for a task any more.
-func (s *Server) leaves(t *memory.Request) {
+// cancelForward tells that nobody waits for a task any more.
+func (s *Server) cancelForward(t *memory.Request) {
 	if f := s.forwarding; f != nil {
-		delete(f.told, t.ID)
+		delete(f.messages, t.ID)
 		if t.Running {
-			f.quit(t.ID)
+			f.cancel(t.ID)
 		}
 	}
 }
 
-// returned ends a run.
-func (s *Server) returned(b *Back) {
-	t := s.tasks.Get(b.ID)
+// handleForwardResult ends a run.
+func (s *Server) handleForwardResult(b *ForwardResult) {
+	t := s.requests.Get(b.ID)
 	if t == nil || !t.Running {
 		return
 	}
@@ -127,17 +127,17 @@
 	case choice.Rejected:
 		outcome = choice.NeverStarted
 		if !t.Answered {
-			s.reject(t, min(b.Advice, s.start.Settings.MaxRetryAfter), false)
+			s.reject(t, min(b.Advice, s.startup.Settings.MaxRetryAfter), false)
 		}
 	}
-	s.runEnded(t, outcome, b.Body, b.Took)
+	s.finishRun(t, outcome, b.Body, b.Took)
 }
 
-// runEnded tells all who wait for a run how it ended.
-func (s *Server) runEnded(t *memory.Request, outcome choice.Outcome, body []byte, took float64) {
-	for _, id := range s.kept.Finish(t.ID, outcome != choice.NeverStarted, outcome == choice.Finished, body, s.now()+s.freshFor(t.Class)) {
-		s.shared(s.tasks.Get(id), body, outcome, took)
+// finishRun tells all who wait for a run how it ended.
+func (s *Server) finishRun(t *memory.Request, outcome choice.Outcome, body []byte, took float64) {
+	for _, id := range s.results.Finish(t.ID, outcome != choice.NeverStarted, outcome == choice.Finished, body, s.now()+s.resultLifetime(t.Class)) {
+		s.answerShared(s.requests.Get(id), body, outcome, took)
 	}
-	s.claimEnded(t, outcome == choice.Finished, body)
-	s.ended(t, outcome, took)
+	s.completeClaim(t, outcome == choice.Finished, body)
+	s.reportRunEnded(t, outcome, took)
 }
--- a/internal/serve/guard_test.go
+++ b/internal/serve/guard_test.go
@@ -18,7 +18,7 @@
 	"swiftcourse/internal/standin/balancer"
 )
 
-func conf(t *testing.T, text string) *life.OperatorSettings {
+func guardedConfig(t *testing.T, text string) *life.OperatorSettings {
 	c, err := life.ParseOperatorSettings("test", []byte("door on\ndoor-arrivals-per-address 0\n"+text))
 	if err != nil {
 		t.Fatal(err)
@@ -26,32 +26,32 @@
 	return c
 }
 
-// from dials the server from an address of loopback.
-func (w *world) from(addr string) (*end, error) {
-	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(addr)}, Timeout: patience}
-	c, err := d.Dial("tcp", w.server.start.Listen)
+// dialFrom dials the server from an address of loopback.
+func (w *fixture) dialFrom(addr string) (*testConn, error) {
+	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(addr)}, Timeout: testTimeout}
+	c, err := d.Dial("tcp", w.server.startup.Listen)
 	if err != nil {
 		return nil, err
 	}
-	return wrap(w.T, c), nil
+	return newTestConn(w.T, c), nil
 }
 
-const isWell = "\x94\x00\x01\xa6isWell\x91\x80"
+const healthCheckFrame = "\x94\x00\x01\xa6isWell\x91\x80"
 
-// flood has strangers hold connections and do a health check on each, from ever new addresses, until it is stopped.
-func (w *world) flood(ctx context.Context, prefix string) *atomic.Int64 {
+// floodWithConnections has strangers hold connections and do a health check on each, from ever new addresses, until it is stopped.
+func (w *fixture) floodWithConnections(ctx context.Context, prefix string) *atomic.Int64 {
 	var tries atomic.Int64
 	for i := range 8 {
 		go func() {
 			var held []net.Conn
 			for n := 0; ctx.Err() == nil; n++ {
 				d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(fmt.Sprintf("%s.%d.%d", prefix, i, n%250+1))}, Timeout: time.Second}
-				c, err := d.DialContext(ctx, "tcp", w.server.start.Listen)
+				c, err := d.DialContext(ctx, "tcp", w.server.startup.Listen)
 				tries.Add(1)
 				if err != nil {
 					continue
 				}
-				_, _ = io.WriteString(c, isWell)
+				_, _ = io.WriteString(c, healthCheckFrame)
 				if held = append(held, c); len(held) > 100 {
 					held[0].Close()
 					held = held[1:]
@@ -66,68 +66,68 @@
 }
 
 func TestKnownOnesGetInDuringAFlood(t *testing.T) {
-	w := buildWith(t, func(s *life.Startup) { s.MaxSockets = 128 }, conf(t, "door-known 127.7.0.0/16"))
-	busy, err := w.from("127.8.0.1") // a stranger whose task is open all the while
+	w := startServerWith(t, func(s *life.Startup) { s.MaxSockets = 128 }, guardedConfig(t, "door-known 127.7.0.0/16"))
+	busy, err := w.dialFrom("127.8.0.1") // a stranger whose task is open all the while
 	if err != nil {
 		t.Fatal(err)
 	}
-	busy.send("%s", frame(1, "b1", "x"))
-	w.processor.wants("begin", "b1")
+	busy.send("%s", requestFrame(1, "b1", "x"))
+	w.executor.expectCommand("begin", "b1")
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	tries := w.flood(ctx, "127.6")
+	tries := w.floodWithConnections(ctx, "127.6")
 	for tries.Load() < 500 {
 		time.Sleep(time.Millisecond)
 	}
 	for i := range 20 {
-		b, err := w.from(fmt.Sprintf("127.7.0.%d", i+1))
+		b, err := w.dialFrom(fmt.Sprintf("127.7.0.%d", i+1))
 		if err != nil {
 			t.Fatalf("known one %d: %v", i, err)
 		}
 		id := fmt.Sprint("k", i)
-		b.send("%s", frame(1, id, "x"))
-		w.processor.wants("begin", id)
-		w.processor.complete(i+1, id, "done", "r")
-		b.expect(answerTo(1) + finished + "\x01r\x80")
+		b.send("%s", requestFrame(1, id, "x"))
+		w.executor.expectCommand("begin", id)
+		w.executor.sendCompletion(i+1, id, "done", "r")
+		b.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
 	}
 	stop()
-	w.processor.complete(21, "b1", "done", "r")
-	busy.expect(answerTo(1) + finished + "\x01r\x80")
+	w.executor.sendCompletion(21, "b1", "done", "r")
+	busy.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
 	busy.Close()
 }
 
 func TestWhoIsTurnedAwayHasAnAnswer(t *testing.T) {
-	w := buildWith(t, func(s *life.Startup) { s.Settings.MaxRetryAfter = 5 }, conf(t, "door-per-address 1"))
-	first, err := w.from("127.6.0.1")
+	w := startServerWith(t, func(s *life.Startup) { s.Settings.MaxRetryAfter = 5 }, guardedConfig(t, "door-per-address 1"))
+	first, err := w.dialFrom("127.6.0.1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	first.send(isWell)
+	first.send(healthCheckFrame)
 	first.expect("\xc3\x80")
-	second, err := w.from("127.6.0.1")
+	second, err := w.dialFrom("127.6.0.1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	second.send("%s", frame(1, "a1", "x"))
-	if got := second.expect("Busy"); !strings.HasPrefix(got, answerTo(1)) {
+	second.send("%s", requestFrame(1, "a1", "x"))
+	if got := second.expect("Busy"); !strings.HasPrefix(got, answerPrefix(1)) {
 		t.Errorf("%q", got)
 	}
 	second.expect("pushback")
 	if _, err := io.ReadAll(second.in); err != nil { // and then its close
 		t.Error(err)
 	}
-	silent, err := w.from("127.6.0.1") // brings nothing: closed all the same
+	silent, err := w.dialFrom("127.6.0.1") // brings nothing: closed all the same
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.ReadAll(silent.in); err != nil {
 		t.Error(err)
 	}
-	first.send("%s", frame(2, "a2", "x")) // the one that is in goes on
-	w.processor.wants("begin", "a2")
-	w.processor.complete(1, "a2", "done", "r")
-	first.expect(answerTo(2) + finished + "\x01r\x80")
-	if turned := ask(w, func(s *Server) int { return s.door.Turned(door.OverCap) }); turned != 2 {
+	first.send("%s", requestFrame(2, "a2", "x")) // the one that is in goes on
+	w.executor.expectCommand("begin", "a2")
+	w.executor.sendCompletion(1, "a2", "done", "r")
+	first.expect(answerPrefix(2) + resultPrefix + "\x01r\x80")
+	if turned := query(w, func(s *Server) int { return s.connLimiter.Turned(door.OverCap) }); turned != 2 {
 		t.Errorf("%d turned away", turned)
 	}
 }
@@ -138,10 +138,10 @@
 		var times atomic.Int64
 		var door *life.OperatorSettings
 		if i < 4 {
-			door = conf(t, "")
+			door = guardedConfig(t, "")
 		} // and the plain server
 		recovered := make(chan struct{}, 1) // it waits again, and takes nobody by the spare descriptor any more
-		w := buildWith(t, nil, door, func(s *Server) {
+		w := startServerWith(t, nil, door, func(s *Server) {
 			s.acceptBy = func(accept func() (acceptedSocket, error)) func() (acceptedSocket, error) {
 				return func() (acceptedSocket, error) {
 					if fails.Load() {
@@ -158,19 +158,19 @@
 				}
 			}
 		})
-		b := w.balancer()
-		b.send("%s", frame(2, "a2", "x")) // with its task open it can't go for another
-		w.processor.wants("begin", "a2")
+		b := w.dialClient()
+		b.send("%s", requestFrame(2, "a2", "x")) // with its task open it can't go for another
+		w.executor.expectCommand("begin", "a2")
 		fails.Store(true)
-		w.balancer().Close() // wakes the accept that is under way
-		late := w.balancer()
-		late.send("%s", frame(1, "a1", "x"))
-		b.send("%s", frame(3, "a3", "x")) // those that are in go on
-		w.processor.wants("begin", "a3")
-		w.processor.complete(1, "a3", "done", "s")
-		b.expect(answerTo(3) + finished + "\x01s\x80")
-		w.processor.complete(2, "a2", "done", "r")
-		b.expect(answerTo(2) + finished + "\x01r\x80")
+		w.dialClient().Close() // wakes the accept that is under way
+		late := w.dialClient()
+		late.send("%s", requestFrame(1, "a1", "x"))
+		b.send("%s", requestFrame(3, "a3", "x")) // those that are in go on
+		w.executor.expectCommand("begin", "a3")
+		w.executor.sendCompletion(1, "a3", "done", "s")
+		b.expect(answerPrefix(3) + resultPrefix + "\x01s\x80")
+		w.executor.sendCompletion(2, "a2", "done", "r")
+		b.expect(answerPrefix(2) + resultPrefix + "\x01r\x80")
 		time.Sleep(200 * time.Millisecond)
 		if n := times.Load(); n == 0 || n > 100 {
 			t.Errorf("%v: %d tries in a fifth of a second", lack, n)
@@ -179,66 +179,66 @@
 			late.expect("Busy")
 			fails.Store(false)
 			<-recovered
-			late = w.balancer()
-			late.send("%s", frame(1, "a1", "x"))
+			late = w.dialClient()
+			late.send("%s", requestFrame(1, "a1", "x"))
 		}
 		fails.Store(false)
-		w.processor.wants("begin", "a1")
-		w.processor.complete(3, "a1", "done", "r")
-		late.expect(answerTo(1) + finished + "\x01r\x80")
+		w.executor.expectCommand("begin", "a1")
+		w.executor.sendCompletion(3, "a1", "done", "r")
+		late.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
 	}
 }
 
 // Accept fails for good as the server is told to leave: it ends all the same.
 func TestAServerWhoseAcceptFailsLeaves(t *testing.T) {
-	w := buildWith(t, func(s *life.Startup) { s.StopTimeout = 10 }, nil, func(s *Server) {
+	w := startServerWith(t, func(s *life.Startup) { s.StopTimeout = 10 }, nil, func(s *Server) {
 		s.acceptBy = func(func() (acceptedSocket, error)) func() (acceptedSocket, error) {
 			return func() (acceptedSocket, error) { return acceptedSocket{}, syscall.ENFILE }
 		}
 	})
-	w.server.Leave()
-	if err := <-w.ended; err != nil {
+	w.server.Drain()
+	if err := <-w.runResult; err != nil {
 		t.Error(err)
 	}
 	if left := w.server.killAt - w.server.now(); left < 1 {
 		t.Errorf("it ended %.3f s before the kill", left)
 	}
-	w.ended <- nil
+	w.runResult <- nil
 }
 
 func TestTheSpareDescriptorAnswersPolitely(t *testing.T) {
-	a, err := listenAs("127.0.0.9:0")
+	a, err := newAcceptor("127.0.0.9:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer a.listener.Close()
-	for _, first := range []string{frame(1, "a1", "x"), isWell, ""} {
+	for _, first := range []string{requestFrame(1, "a1", "x"), healthCheckFrame, ""} {
 		c, err := net.Dial("tcp", a.listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		e := wrap(t, c)
+		e := newTestConn(t, c)
 		e.send("%s", first)
 		time.Sleep(time.Millisecond)
-		given, ok := a.bySpare(syscall.EMFILE)
-		if !ok || a.spare != nil {
+		given, ok := a.acceptWithSpare(syscall.EMFILE)
+		if !ok || a.spareFile != nil {
 			t.Fatal("the spare descriptor is not given up")
 		}
-		politely(given, hearFor)
+		refuse(given, refusalReadTimeout)
 		got, err := io.ReadAll(e.in)
 		if err != nil || strings.Contains(string(got), "Busy") != strings.Contains(first, "quote") || (len(got) > 0) != (first != "") {
 			t.Errorf("%q to %q, %v", got, first, err)
 		}
-		a.takeSpare()
+		a.reserveSpare()
 	}
 	// All that was sent has an answer, and what is no message resets nothing.
 	c, err := net.Dial("tcp", a.listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := wrap(t, c)
-	e.send("%s%s%s\xc1%s", frame(1, "a1", "x"), isWell, frame(2, "a2", "x"), strings.Repeat("x", 20<<10))
-	given, ok := a.bySpare(syscall.EMFILE)
+	e := newTestConn(t, c)
+	e.send("%s%s%s\xc1%s", requestFrame(1, "a1", "x"), healthCheckFrame, requestFrame(2, "a2", "x"), strings.Repeat("x", 20<<10))
+	given, ok := a.acceptWithSpare(syscall.EMFILE)
 	if !ok {
 		t.Fatal("nobody to be accepted")
 	}
@@ -247,22 +247,22 @@
 			t.Fatal(err)
 		}
 	}
-	politely(given, hearFor)
+	refuse(given, refusalReadTimeout)
 	got, err := io.ReadAll(e.in)
 	if err != nil || strings.Count(string(got), "Busy") != 2 || !strings.Contains(string(got), "\xc0\x92\xc3") {
 		t.Errorf("%q, %v", got, err)
 	}
-	a.takeSpare()
-	if _, ok := a.bySpare(syscall.ENOBUFS); ok || a.spare == nil {
+	a.reserveSpare()
+	if _, ok := a.acceptWithSpare(syscall.ENOBUFS); ok || a.spareFile == nil {
 		t.Error("given up for what it does not help")
 	}
 }
 
 func TestHalfOfAllBalancersReturnAtOnce(t *testing.T) {
 	const n = 200
-	w := buildWith(t, func(s *life.Startup) { s.MaxSockets = 1024 }, conf(t, ""))
+	w := startServerWith(t, func(s *life.Startup) { s.MaxSockets = 1024 }, guardedConfig(t, ""))
 	for range 2 {
-		crowd, err := balancer.Hold(w.server.start.Listen, n, true)
+		crowd, err := balancer.Hold(w.server.startup.Listen, n, true)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -270,60 +270,60 @@
 			t.Errorf("%d of %d are in", crowd.Len(), n)
 		}
 		crowd.Leave()
-		becomes(w, 0, conns)
+		waitUntil(w, 0, clientCount)
 	}
-	if k := ask(w, func(s *Server) door.Tally { return s.door.Known() }); k.In != 0 || k.BusyStrangers != 0 {
+	if k := query(w, func(s *Server) door.Tally { return s.connLimiter.Known() }); k.In != 0 || k.BusyStrangers != 0 {
 		t.Errorf("%+v", k)
 	}
 }
 
 func TestAGuardedServerLeavesDuringAFlood(t *testing.T) {
-	w := buildWith(t, func(s *life.Startup) { s.MaxSockets, s.StopTimeout = 256, 8 }, conf(t, ""))
-	b := w.balancer()
-	b.send("%s", frame(1, "a1", "x"))
-	w.processor.wants("begin", "a1")
+	w := startServerWith(t, func(s *life.Startup) { s.MaxSockets, s.StopTimeout = 256, 8 }, guardedConfig(t, ""))
+	b := w.dialClient()
+	b.send("%s", requestFrame(1, "a1", "x"))
+	w.executor.expectCommand("begin", "a1")
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	w.flood(ctx, "127.6")
-	w.server.Leave()
-	w.processor.complete(1, "a1", "done", "r")
-	b.expect(answerTo(1) + finished + "\x01r")
-	if err := <-w.ended; err != nil {
+	w.floodWithConnections(ctx, "127.6")
+	w.server.Drain()
+	w.executor.sendCompletion(1, "a1", "done", "r")
+	b.expect(answerPrefix(1) + resultPrefix + "\x01r")
+	if err := <-w.runResult; err != nil {
 		t.Error(err)
 	}
 	if w.server.killAt-w.server.now() < 0 {
 		t.Error("after the kill")
 	}
-	w.ended <- nil
+	w.runResult <- nil
 }
 
 func TestRulesAreTakenAgainWhileServing(t *testing.T) {
-	w := buildWith(t, nil, conf(t, "door-per-address 1"))
+	w := startServerWith(t, nil, guardedConfig(t, "door-per-address 1"))
 	in := func() bool {
-		b, err := w.from("127.6.0.1")
+		b, err := w.dialFrom("127.6.0.1")
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.send("%s", frame(1, "a1", "x"))
-		becomes(w, true, func(s *Server) bool { return s.tasks.Len() > 0 || s.counts.turned > 0 })
-		is := ask(w, func(s *Server) bool { return s.tasks.Len() > 0 })
+		b.send("%s", requestFrame(1, "a1", "x"))
+		waitUntil(w, true, func(s *Server) bool { return s.requests.Len() > 0 || s.statistics.rejectedAtLimit > 0 })
+		is := query(w, func(s *Server) bool { return s.requests.Len() > 0 })
 		if is {
-			w.processor.wants("begin", "a1")
+			w.executor.expectCommand("begin", "a1")
 		}
 		return is
 	}
-	first, err := w.from("127.6.0.1")
+	first, err := w.dialFrom("127.6.0.1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	first.send(isWell)
+	first.send(healthCheckFrame)
 	first.expect("\xc3\x80")
 	if in() {
 		t.Error("over its cap")
 	}
-	w.server.Heed(conf(t, "door-known 127.6.0.0/16\ndoor-remember 128"))
-	becomes(w, true, func(s *Server) bool { return len(s.door.Named) > 0 })
-	ask(w, func(s *Server) bool { s.counts.turned = 0; return true })
+	w.server.ReloadConfig(guardedConfig(t, "door-known 127.6.0.0/16\ndoor-remember 128"))
+	waitUntil(w, true, func(s *Server) bool { return len(s.connLimiter.Named) > 0 })
+	query(w, func(s *Server) bool { s.statistics.rejectedAtLimit = 0; return true })
 	if !in() {
 		t.Error("a named one is not let in")
 	}
--- a/internal/serve/idle_bench_test.go
+++ b/internal/serve/idle_bench_test.go
@@ -32,7 +32,7 @@
 	addr := front.Addr().String()
 	front.Close()
 	s := New(&life.Startup{Listen: addr, MaxSockets: 3 * n, StopTimeout: 4, Addresses: life.Addresses{Executor: "127.0.0.9:1", Registry: "127.0.0.9:1"}}, nil)
-	s.door.Idle(1e9)
+	s.connLimiter.Idle(1e9)
 	done := make(chan error, 1)
 	go func() { done <- s.Run() }()
 	var open []net.Conn
@@ -56,7 +56,7 @@
 	count, _ := runtime.MemProfile(records, false)
 	kept := map[string]float64{}
 	for _, r := range records[:count] {
-		if whose := owner(r.Stack()); whose != "" {
+		if whose := allocationOwner(r.Stack()); whose != "" {
 			kept[whose] += float64(r.InUseBytes()) / n
 		}
 	}
@@ -67,12 +67,12 @@
 	for _, c := range open {
 		c.Close()
 	}
-	s.over()
+	s.stop()
 	<-done
 }
 
-// owner tells whose an allocation on the server's loop is: that of the innermost function that is gnet's or the server's.
-func owner(stack []uintptr) string {
+// allocationOwner tells whose an allocation on the server's loop is: that of the innermost function that is gnet's or the server's.
+func allocationOwner(stack []uintptr) string {
 	var whose string
 	onLoop := false
 	for frames := runtime.CallersFrames(stack); ; {
--- a/internal/serve/leave.go
+++ b/internal/serve/leave.go
@@ -10,31 +10,31 @@
 	"swiftcourse/internal/watch"
 )
 
-// Leave tells the server, from any goroutine, that it will be killed after its stop time.
-func (s *Server) Leave() {
+// Drain tells the server, from any goroutine, that it will be killed after its stop time.
+func (s *Server) Drain() {
 	at := s.now()
 	select {
-	case <-s.looping:
+	case <-s.loopReady:
 	default: // not a single connection yet, so nothing to answer
 		slog.Info("exit", "cause", "never_connected")
-		s.over()
+		s.stop()
 		return
 	}
 	_ = s.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-		s.leave(at)
+		s.startDrain(at)
 		return nil
 	}))
 }
 
-func (s *Server) leave(at float64) {
+func (s *Server) startDrain(at float64) {
 	if s.draining() {
 		slog.Info("notice", "again", true)
 		return
 	}
-	s.drainAt, s.killAt = at, at+s.start.StopTimeout-min(heardLate, s.start.StopTimeout/10)
-	slog.Info("notice", "kill_in_s", watch.FormatDecimal(s.killAt-s.now(), 3), "open", s.tasks.Unanswered())
-	if s.module != nil { // else it has nothing to do with it, see born
-		s.happens(choice.Event{Kind: choice.DrainStarted, Duration: s.killAt - s.now()})
+	s.drainAt, s.killAt = at, at+s.startup.StopTimeout-min(signalDelayMargin, s.startup.StopTimeout/10)
+	slog.Info("notice", "kill_in_s", watch.FormatDecimal(s.killAt-s.now(), 3), "open", s.requests.Unanswered())
+	if s.controller != nil { // else it has nothing to do with it, see born
+		s.queueEvent(choice.Event{Kind: choice.DrainStarted, Duration: s.killAt - s.now()})
 	}
 	s.tryExit()
 }
@@ -42,20 +42,20 @@
 func (s *Server) draining() bool { return s.drainAt < s.killAt }
 
 const (
-	// heardLate is how much later than it was sent a notice may be heard, as a signal waits for the process's part of a core. Of 314
+	// signalDelayMargin is how much later than it was sent a notice may be heard, as a signal waits for the process's part of a core. Of 314
 	// notices on the bench's clock that could be compared with others of the same moment, one came 30 and one 80 ms later; this is twice
 	// the latter. What is lost is the work that would end in the last moments of a drain.
-	heardLate = 0.16
-	exitEvery = 0.02 // how often it is looked whether all is answered
-	// exitBefore is how long before the kill the process ends whatever is open; the module has answered all
+	signalDelayMargin = 0.16
+	exitCheckInterval = 0.02 // how often it is looked whether all is answered
+	// exitMargin is how long before the kill the process ends whatever is open; the module has answered all
 	// 30 ms before it.
-	exitBefore = 0.015
-	// shutBefore is how long before the kill our side of what is still open is shut: after the module's last answers, and 10 ms before the
+	exitMargin = 0.015
+	// halfCloseMargin is how long before the kill our side of what is still open is shut: after the module's last answers, and 10 ms before the
 	// end, which is what a close has to cross a machine.
-	shutBefore = 0.025
-	// partBefore leaves time to ask all balancers to close, and to close those that do not: five times the 50 ms in which something
+	halfCloseMargin = 0.025
+	// gracefulCloseMargin leaves time to ask all balancers to close, and to close those that do not: five times the 50 ms in which something
 	// may cross that.
-	partBefore = 0.25
+	gracefulCloseMargin = 0.25
 )
 
 // tryExit ends the process once all is answered and nothing more can come. From the moment on at which nothing new may run, tasks open
@@ -63,52 +63,52 @@
 // connection refused proves that nothing ran. So nothing is on its way here when the last answers are given, just before the kill.
 func (s *Server) tryExit() {
 	now := s.now()
-	if now >= s.partAt() && !s.parting {
-		s.parting = true
-		slog.Info("parting", "conns", s.peers.Len(), "open", s.tasks.Unanswered(), "kill_in_s", watch.FormatDecimal(s.killAt-now, 3))
-		for _, slot := range s.door.LeaveAll() {
-			s.askToPart(s.peers.AtSlot(slot))
+	if now >= s.gracefulCloseAt() && !s.closingGracefully {
+		s.closingGracefully = true
+		slog.Info("parting", "conns", s.clients.Len(), "open", s.requests.Unanswered(), "kill_in_s", watch.FormatDecimal(s.killAt-now, 3))
+		for _, slot := range s.connLimiter.LeaveAll() {
+			s.askToClose(s.clients.AtSlot(slot))
 		}
 		s.acceptor.close()
 	}
-	if now >= s.killAt-shutBefore {
-		s.shutDownAll()
+	if now >= s.killAt-halfCloseMargin {
+		s.closeAllGracefully()
 	}
 	switch {
-	case s.parting && s.acceptor.quiet() && s.tasks.Unanswered() == 0 && s.peers.Len() == 0 && len(s.closing) == 0 && !s.owesHolders():
+	case s.closingGracefully && s.acceptor.drained() && s.requests.Unanswered() == 0 && s.clients.Len() == 0 && len(s.lingering) == 0 && !s.hasPendingClaimReports():
 		s.exit("all_closed")
-	case now >= s.killAt-exitBefore:
+	case now >= s.killAt-exitMargin:
 		s.exit("time_is_up")
 	default:
-		next := now + exitEvery
-		for _, at := range []float64{s.killAt - shutBefore, s.killAt - exitBefore} {
+		next := now + exitCheckInterval
+		for _, at := range []float64{s.killAt - halfCloseMargin, s.killAt - exitMargin} {
 			if now < at {
 				next = min(next, at)
 			}
 		}
 		s.timers.Schedule(next, s.tryExit)
-		s.wake()
+		s.scheduleTurn()
 	}
 }
 
-// partAt is when nothing new may run any more; at once where nothing ever could.
-func (s *Server) partAt() float64 {
-	if s.module == nil {
+// gracefulCloseAt is when nothing new may run any more; at once where nothing ever could.
+func (s *Server) gracefulCloseAt() float64 {
+	if s.controller == nil {
 		return s.drainAt
 	}
-	return min(s.drainAt+s.start.Settings.DrainGracePeriod+0.1, s.killAt-partBefore)
+	return min(s.drainAt+s.startup.Settings.DrainGracePeriod+0.1, s.killAt-gracefulCloseMargin)
 }
 
 func (s *Server) exit(cause string) {
 	s.flush()
-	slog.Info("exit", "cause", cause, "open", s.tasks.Unanswered(), "conns", s.peers.Len())
-	s.over()
+	slog.Info("exit", "cause", cause, "open", s.requests.Unanswered(), "conns", s.clients.Len())
+	s.stop()
 }
 
-// over ends Run, and the dials under way.
-func (s *Server) over() {
-	s.once.Do(func() {
-		close(s.finished)
-		s.endLife()
+// stop ends Run, and the dials under way.
+func (s *Server) stop() {
+	s.stopOnce.Do(func() {
+		close(s.stopped)
+		s.cancelRun()
 	})
 }
--- a/internal/serve/link.go
+++ b/internal/serve/link.go
@@ -15,19 +15,19 @@
 	"swiftcourse/internal/life"
 )
 
-// reach tells how far an attempt had come when it ended.
-type reach uint8
+// attemptProgress tells how far an attempt had come when it ended.
+type attemptProgress uint8
 
 const (
-	unsent   reach = iota // nothing left this server: it never ran
-	sent                  // it left, and the connection broke before the answer
-	maybeRun              // it left, and the other side had its time to run it
+	notSent    attemptProgress = iota // nothing left this server: it never ran
+	sent                              // it left, and the connection broke before the answer
+	mayHaveRun                        // it left, and the other side had its time to run it
 )
 
 // attemptError is the end of an attempt without an answer.
 type attemptError struct {
-	reach reach
-	cause error
+	progress attemptProgress
+	cause    error
 }
 
 func (e *attemptError) Error() string {
@@ -41,8 +41,8 @@
 
 // outcome is what the module hears of a call that ended so.
 func (e *attemptError) outcome() choice.Outcome {
-	switch e.reach {
-	case unsent:
+	switch e.progress {
+	case notSent:
 		return choice.Unreachable
 	case sent:
 		return choice.Disconnected
@@ -50,13 +50,13 @@
 	return choice.TimedOut
 }
 
-// once, in place of a count, has a dial tried once.
-const once = -1
+// singleAttempt, in place of a count, has a dial tried once.
+const singleAttempt = -1
 
-// pause is how long to wait before a dial after n vain ones: not at all, then a little, then some quarter of a second, so that a link is
+// dialBackoff is how long to wait before a dial after n vain ones: not at all, then a little, then some quarter of a second, so that a link is
 // back as soon as the other side is, at no cost that is felt. Each server's own part of that, half to all, is drawn from its
 // seed, or servers that lost the same party at once would all come back to it in step.
-func pause(seed int64, n int) time.Duration {
+func dialBackoff(seed int64, n int) time.Duration {
 	if n <= 0 {
 		return 0
 	}
@@ -64,14 +64,14 @@
 	return time.Duration(float64(most) * (1 + rand.New(rand.NewPCG(uint64(seed), 0)).Float64()) / 2)
 }
 
-// dialFor bounds one dial: on one machine or its network an answer takes far less.
-const dialFor = time.Second
+// dialTimeout bounds one dial: on one machine or its network an answer takes far less.
+const dialTimeout = time.Second
 
 // endpoints is where the other parties are; its context ends, with the dials under way, when they move.
 type endpoints struct {
 	life.Addresses
-	ctx  context.Context
-	burn context.CancelFunc
+	ctx    context.Context
+	cancel context.CancelFunc
 }
 
 func newEndpoints(living context.Context, a life.Addresses) *endpoints {
@@ -79,48 +79,48 @@
 	return &endpoints{a, ctx, burn}
 }
 
-func toProcessor(b *endpoints) string { return b.Executor }
-func toCatalogue(b *endpoints) string { return b.Upstream }
-func toRoster(b *endpoints) string    { return b.Registry }
+func executorAddress(b *endpoints) string { return b.Executor }
+func upstreamAddress(b *endpoints) string { return b.Upstream }
+func registryAddress(b *endpoints) string { return b.Registry }
 
-// Move tells the server, from any goroutine, where the other parties are now. Nothing new goes to where they
+// SetEndpoints tells the server, from any goroutine, where the other parties are now. Nothing new goes to where they
 // were; calls in hand may still end there.
-func (s *Server) Move(to life.Addresses) {
-	s.endpoints.Swap(newEndpoints(s.living, to)).burn()
+func (s *Server) SetEndpoints(to life.Addresses) {
+	s.endpoints.Swap(newEndpoints(s.runContext, to)).cancel()
 	go func() {
 		select {
-		case <-s.looping:
-		case <-s.living.Done():
+		case <-s.loopReady:
+		case <-s.runContext.Done():
 			return
 		}
 		_ = s.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-			s.move()
+			s.leaveOldEndpoints()
 			return nil
 		}))
 	}()
 }
 
-func (s *Server) move() {
+func (s *Server) leaveOldEndpoints() {
 	b := s.endpoints.Load()
-	if l := s.processor; l.conn != nil && l.to != b.Executor {
-		l.leave()
+	if l := s.executor; l.conn != nil && l.address != b.Executor {
+		l.reconnect()
 	}
-	if r := s.roster; r.conn != nil && r.to != b.Registry {
-		r.leave(errMoved)
+	if r := s.registry; r.conn != nil && r.address != b.Registry {
+		r.reconnect(errMoved)
 	}
-	for _, l := range slices.Clone(s.connPool.all) {
-		if l.conn != nil && l.to != b.Upstream {
-			l.leave()
+	for _, l := range slices.Clone(s.upstream.all) {
+		if l.conn != nil && l.address != b.Upstream {
+			l.retire()
 		}
 	}
 }
 
-// dialled is a connection that we opened, on its way to the loop.
-type dialled struct {
+// dialedTarget is a connection that we opened, on its way to the loop.
+type dialedTarget struct {
 	connHandler
-	link func(*endpoints) string
-	to   string
-	vain int
+	addressOf func(*endpoints) string
+	address   string
+	failures  int
 }
 
 var errMoved = errors.New("the other side has a new address")
@@ -129,29 +129,29 @@
 // the links before that led nowhere; with once there is one dial, and p.closed hears if it leads nowhere. What it returns gives it up.
 func (s *Server) dial(link func(*endpoints) string, p connHandler, vain int) (giveUp func()) {
 	loop := s.loop
-	return s.dialBy(func(ctx context.Context) (<-chan gnet.RegisteredResult, error) {
+	return s.dialWith(func(ctx context.Context) (<-chan gnet.RegisteredResult, error) {
 		c, _ := gnet.FromNetConnContext(ctx)
 		return loop.Enroll(ctx, c)
 	}, link, p, vain)
 }
 
-type register func(context.Context) (<-chan gnet.RegisteredResult, error)
+type registerFunc func(context.Context) (<-chan gnet.RegisteredResult, error)
 
-// dialBy is dial where the loop is not known yet. The engine's own register is not made for two at once.
-func (s *Server) dialBy(hand register, link func(*endpoints) string, p connHandler, vain int) (giveUp func()) {
-	ctx, giveUp := context.WithCancel(s.living)
+// dialWith is dial where the loop is not known yet. The engine's own register is not made for two at once.
+func (s *Server) dialWith(hand registerFunc, link func(*endpoints) string, p connHandler, vain int) (giveUp func()) {
+	ctx, giveUp := context.WithCancel(s.runContext)
 	go func() {
 		defer giveUp()
-		s.dialOn(ctx, hand, link, p, vain)
+		s.dialUntilDone(ctx, hand, link, p, vain)
 	}()
 	return giveUp
 }
 
-// dialOn is dialBy on the caller's goroutine, until ctx is over.
-func (s *Server) dialOn(ctx context.Context, hand register, link func(*endpoints) string, p connHandler, vain int) {
+// dialUntilDone is dialBy on the caller's goroutine, until ctx is over.
+func (s *Server) dialUntilDone(ctx context.Context, hand registerFunc, link func(*endpoints) string, p connHandler, vain int) {
 	for n := vain; ; n++ {
 		select {
-		case <-time.After(pause(s.start.Seed, n)):
+		case <-time.After(dialBackoff(s.startup.Seed, n)):
 		case <-ctx.Done():
 		}
 		if ctx.Err() != nil {
@@ -159,7 +159,7 @@
 		}
 		b := s.endpoints.Load()
 		addr := link(b)
-		c, err := dialOnce(ctx, b.ctx, addr)
+		c, err := dialAddress(ctx, b.ctx, addr)
 		switch {
 		case err != nil && ctx.Err() != nil: // nobody wants it any more
 			return
@@ -167,20 +167,20 @@
 			n-- // it moved: the dial led nowhere for no fault of the new address
 			continue
 		case err == nil:
-			to := gnet.NewContext(gnet.NewNetConnContext(context.Background(), c), &dialled{p, link, addr, vain})
+			to := gnet.NewContext(gnet.NewNetConnContext(context.Background(), c), &dialedTarget{p, link, addr, vain})
 			if _, err = hand(to); err == nil {
 				return
 			}
 			_ = c.Close()
 		}
-		if vain == once {
+		if vain == singleAttempt {
 			select {
-			case <-s.looping:
+			case <-s.loopReady:
 			case <-ctx.Done():
 				return
 			}
 			_ = s.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-				p.closed(&attemptError{unsent, err})
+				p.handleClose(&attemptError{notSent, err})
 				return nil
 			}))
 			return
@@ -191,10 +191,10 @@
 	}
 }
 
-// dialOnce dials while both contexts last.
-func dialOnce(ctx, other context.Context, addr string) (net.Conn, error) {
+// dialAddress dials while both contexts last.
+func dialAddress(ctx, other context.Context, addr string) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(other, cancel)()
-	return (&net.Dialer{Timeout: dialFor}).DialContext(ctx, "tcp", addr)
+	return (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", addr)
 }
--- a/internal/serve/link_test.go
+++ b/internal/serve/link_test.go
@@ -15,40 +15,40 @@
 )
 
 func TestNewAddressesTakeAllThatIsNew(t *testing.T) {
-	w, b := running(t, nil)
-	w.processor.ask(1, "a1", "c")
-	old := accept(t, w.catalogues)
+	w, b := startRunningRequest(t, nil)
+	w.executor.sendCall(1, "a1", "c")
+	old := acceptConn(t, w.upstreamListener)
 	old.expect("\r\nc\r\n")
-	before, oldProcessor := *w, w.processor
+	before, oldProcessor := *w, w.executor
 	for range 2 { // the second before the first can have come through
-		w.processors, w.catalogues, w.roster = listen(t), listen(t), aRoster(t)
-		w.server.Move(w.addresses())
+		w.executorListener, w.upstreamListener, w.registry = listenLoopback(t), listenLoopback(t), newFakeRegistry(t)
+		w.server.SetEndpoints(w.addresses())
 	}
-	w.processor = accept(t, w.processors)
-	if hello := w.processor.command(false); hello["msg"] != "hello" || hello["serial"] != 1.0 {
+	w.executor = acceptConn(t, w.executorListener)
+	if hello := w.executor.readCommand(false); hello["msg"] != "hello" || hello["serial"] != 1.0 {
 		t.Fatal(hello)
 	}
-	w.processor.send(`{"msg":"hi","how":"seasoned","duration":3600000}` + "\n")
-	w.processor.command(true)
+	w.executor.send(`{"msg":"hi","how":"seasoned","duration":3600000}` + "\n")
+	w.executor.readCommand(true)
 	if _, err := io.ReadAll(oldProcessor.in); err != nil {
 		t.Errorf("the old link ends with %v", err)
 	}
 	old.send("a1 DATA 1\r\nd\r\n") // a call in hand ends where it was made
-	w.processor.wants("answer", "a1")
-	w.processor.ask(2, "a1", "e") // and the next one goes to the new address
-	below := accept(t, w.catalogues)
+	w.executor.expectCommand("answer", "a1")
+	w.executor.sendCall(2, "a1", "e") // and the next one goes to the new address
+	below := acceptConn(t, w.upstreamListener)
 	below.expect("\r\ne\r\n")
 	below.send("a1 DATA 1\r\nf\r\n")
-	w.processor.wants("answer", "a1")
-	w.processor.complete(3, "a1", "done", "r")
-	b.expect(answerTo(1) + finished + "\x01r\x80")
-	for _, l := range []net.Listener{before.processors, before.catalogues} {
+	w.executor.expectCommand("answer", "a1")
+	w.executor.sendCompletion(3, "a1", "done", "r")
+	b.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
+	for _, l := range []net.Listener{before.executorListener, before.upstreamListener} {
 		_ = l.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Millisecond))
 		if _, err := l.Accept(); err == nil {
 			t.Error("dialled at an old address")
 		}
 	}
-	if report := <-w.roster.Reports(); !report.Takes { // at the new roster
+	if report := <-w.registry.Reports(); !report.Takes { // at the new roster
 		t.Error(report)
 	}
 }
@@ -56,13 +56,13 @@
 func TestADialGoesToTheAddressOfTheMoment(t *testing.T) {
 	s := New(&life.Startup{Addresses: life.Addresses{Executor: "127.0.0.9:1"}}, nil) // where nothing listens
 	to := make(chan string, 1)
-	s.dialBy(func(ctx context.Context) (<-chan gnet.RegisteredResult, error) {
+	s.dialWith(func(ctx context.Context) (<-chan gnet.RegisteredResult, error) {
 		c, _ := gnet.FromNetConnContext(ctx)
 		to <- c.RemoteAddr().String()
 		return nil, c.Close()
-	}, toProcessor, s.processor, 0)
-	l := listen(t)
-	s.Move(life.Addresses{Executor: l.Addr().String()})
+	}, executorAddress, s.executor, 0)
+	l := listenLoopback(t)
+	s.SetEndpoints(life.Addresses{Executor: l.Addr().String()})
 	if got := <-to; got != l.Addr().String() {
 		t.Errorf("dialled %s", got)
 	}
@@ -70,10 +70,10 @@
 
 func TestALinkOfOursMayLeaveMoreUnread(t *testing.T) {
 	s := New(&life.Startup{}, nil)
-	s.loop = stillLoop{}
+	s.loop = idleLoop{}
 	for _, to := range []string{"", "127.0.0.9:1"} {
-		c := &unread{}
-		l := &line{conn: c, ours: to != ""}
+		c := &fakeUnread{}
+		l := &bufferedConn{conn: c, dialed: to != ""}
 		s.write(l, []byte("x"))
 		if s.flush(); c.closed != (to == "") {
 			t.Errorf("to %q: closed %v", to, c.closed)
@@ -84,46 +84,46 @@
 func TestWhatWasUnsentDoesNotReachTheNextLink(t *testing.T) {
 	watch.SetOutput(io.Discard)
 	s := New(&life.Startup{Addresses: life.Addresses{Executor: "127.0.0.9:1", Registry: "127.0.0.9:1"}}, nil)
-	s.loop = stillLoop{}
-	s.processor.conn, s.roster.conn = broken{}, broken{}
-	s.write(&s.processor.line, []byte("old"))
-	s.write(&s.roster.line, []byte("old"))
-	s.processor.closed(nil)
-	s.roster.closed(nil)
-	_ = s.processor.opened(broken{}, "")
-	_ = s.roster.opened(broken{}, "")
-	if got := bytes.Join(s.processor.out.Buffers(), nil); string(got) != `{"msg":"hello","serial":0}`+"\n" {
+	s.loop = idleLoop{}
+	s.executor.conn, s.registry.conn = brokenConn{}, brokenConn{}
+	s.write(&s.executor.bufferedConn, []byte("old"))
+	s.write(&s.registry.bufferedConn, []byte("old"))
+	s.executor.handleClose(nil)
+	s.registry.handleClose(nil)
+	_ = s.executor.handleOpen(brokenConn{}, "")
+	_ = s.registry.handleOpen(brokenConn{}, "")
+	if got := bytes.Join(s.executor.out.Buffers(), nil); string(got) != `{"msg":"hello","serial":0}`+"\n" {
 		t.Errorf("to the processor: %q", got)
 	}
-	if got := s.roster.out.Buffers(); len(got) != 0 {
+	if got := s.registry.out.Buffers(); len(got) != 0 {
 		t.Errorf("to the roster: %q", got)
 	}
 }
 
-// stillLoop runs nothing.
-type stillLoop struct{ gnet.EventLoop }
+// idleLoop runs nothing.
+type idleLoop struct{ gnet.EventLoop }
 
-func (stillLoop) Execute(context.Context, gnet.Runnable) error { return nil }
+func (idleLoop) Execute(context.Context, gnet.Runnable) error { return nil }
 
 func TestLinksThatLeadNowhereAreDialledEverMoreSlowly(t *testing.T) {
-	if pause(7, once) > 0 || pause(7, 0) != 0 || pause(7, 1) <= 0 || pause(7, 2) <= pause(7, 1) || pause(7, 1000) != pause(7, 100) {
+	if dialBackoff(7, singleAttempt) > 0 || dialBackoff(7, 0) != 0 || dialBackoff(7, 1) <= 0 || dialBackoff(7, 2) <= dialBackoff(7, 1) || dialBackoff(7, 1000) != dialBackoff(7, 100) {
 		t.Error("pauses do not grow to a bound")
 	}
-	w := build(t, nil)
-	w.processor.Close()
+	w := startServer(t, nil)
+	w.executor.Close()
 	for range 3 {
-		accept(t, w.processors).Close()
+		acceptConn(t, w.executorListener).Close()
 	}
-	p := accept(t, w.processors)
-	p.command(false)
+	p := acceptConn(t, w.executorListener)
+	p.readCommand(false)
 	p.send(`{"msg":"hi","how":"seasoned","duration":1}` + "\n")
-	p.command(true)
-	b := w.balancer()
-	b.send("%s", frame(1, "a1", "x"))
-	p.wants("begin", "a1")
+	p.readCommand(true)
+	b := w.dialClient()
+	b.send("%s", requestFrame(1, "a1", "x"))
+	p.expectCommand("begin", "a1")
 	vain := make(chan int)
 	_ = w.server.loop.Execute(t.Context(), gnet.RunnableFunc(func(context.Context) error {
-		vain <- w.server.processor.vain
+		vain <- w.server.executor.failedLinks
 		return nil
 	}))
 	if n := <-vain; n != 0 {
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -30,108 +30,108 @@
 // Server is one real server.
 type Server struct {
 	gnet.BuiltinEventEngine
-	start     *life.Startup
-	endpoints atomic.Pointer[endpoints] // where the other parties are, for the goroutines that dial too
-	anchor    time.Time                 // when the clock was set, by the Unix clock's unix seconds
-	unix      float64
-
-	first   register // hands the first link to the loop
-	ticked  bool     // by gnet's ticker, which alone looks at it
-	loop    gnet.EventLoop
-	looping chan struct{} // closed once loop is set
-	alarm   *time.Timer
-	alarmAt float64
-	turning bool // a turn is on its way
-	run     gnet.Runnable
-
-	module        *choice.Controller // nil until the processor is up
-	events, spare []choice.Event     // of the next batch; of the last
-	gauges        choice.Gauges      // the latest
-	gaugesAt      float64            // when they were read
-	timers        memory.Wheel
-	tasks         *memory.Requests
-	kept          *memory.Cache
-	pool          memory.Pool
-	scratch       []byte
-	unsent        []*line // have something to write at the end of the turn
-
-	peers     memory.Table[peer]
-	door      *door.Door
-	lobby     int                    // places in it, as the operator's file says
-	conf      *life.OperatorSettings // the operator's file, with what was released
-	spareOpen memory.ListPool
-	acceptBy  func(accept func() (acceptedSocket, error)) func() (acceptedSocket, error) // for tests, in which accept fails
-	acceptor  *acceptor
-	finished  chan struct{}   // closed at the end, for the acceptor
-	living    context.Context // done then, for dials
-	endLife   func()
-	once      sync.Once // for that
-	lagging   []*line   // balancers' that may have left something unread
-	muted     []muted
-	closing   []*closing // in the order in which they began
-	sweeping  func()     // sweep and count, made once for all their timers
-	counting  func()
-	processor *processorLink
-	connPool  connPool
-	calls     map[string]*call // by the task they are made for
-	roster    *rosterLink
-
-	say             rpc.Say // goes with every answer
-	well            bool
-	standing        atomic.Pointer[stance.Directive] // in the fleet, nil where there is none
-	stance          stance.Mode
-	keyed           *keyed // nil where no stage's tasks are claimed
-	allowed         atomic.Pointer[[]stance.Allowance]
-	budgets         *budgets    // nil where none are shared
-	forwarding      *forwarding // nil where tasks run at a processor
-	tallies         *tallies    // nil where nothing is counted for a fleet
-	drainAt, killAt float64
-	parting         bool // all connections are asked to close, as the server leaves
-	counts          counts
-	complained      float64 // when a line about a peer's nonsense was last written
+	startup    *life.Startup
+	endpoints  atomic.Pointer[endpoints] // where the other parties are, for the goroutines that dial too
+	anchor     time.Time                 // when the clock was set, by the Unix clock's unix seconds
+	anchorUnix float64
+
+	registerFirst registerFunc // hands the first link to the loop
+	ticked        bool         // by gnet's ticker, which alone looks at it
+	loop          gnet.EventLoop
+	loopReady     chan struct{} // closed once loop is set
+	wakeupTimer   *time.Timer
+	wakeupAt      float64
+	turnScheduled bool // a turn is on its way
+	turnRunnable  gnet.Runnable
+
+	controller                 *choice.Controller // nil until the processor is up
+	pendingEvents, spareEvents []choice.Event     // of the next batch; of the last
+	gauges                     choice.Gauges      // the latest
+	gaugesAt                   float64            // when they were read
+	timers                     memory.Wheel
+	requests                   *memory.Requests
+	results                    *memory.Cache
+	buffers                    memory.Pool
+	scratch                    []byte
+	unflushed                  []*bufferedConn // have something to write at the end of the turn
+
+	clients          memory.Table[clientConn]
+	connLimiter      *door.Door
+	holdingArea      int                    // places in it, as the operator's file says
+	operatorSettings *life.OperatorSettings // the operator's file, with what was released
+	requestLists     memory.ListPool
+	acceptBy         func(accept func() (acceptedSocket, error)) func() (acceptedSocket, error) // for tests, in which accept fails
+	acceptor         *acceptor
+	stopped          chan struct{}   // closed at the end, for the acceptor
+	runContext       context.Context // done then, for dials
+	cancelRun        func()
+	stopOnce         sync.Once       // for that
+	lagging          []*bufferedConn // balancers' that may have left something unread
+	muted            []mutedConn
+	lingering        []*lingeringConn // in the order in which they began
+	sweepTimer       func()           // sweep and count, made once for all their timers
+	statisticsTimer  func()
+	executor         *executorLink
+	upstream         upstreamPool
+	upstreamCalls    map[string]*upstreamCall // by the task they are made for
+	registry         *registryLink
+
+	loadReport        rpc.Say // goes with every answer
+	healthy           bool
+	directive         atomic.Pointer[stance.Directive] // in the fleet, nil where there is none
+	servingMode       stance.Mode
+	keyClaims         *keyClaims // nil where no stage's tasks are claimed
+	allowances        atomic.Pointer[[]stance.Allowance]
+	quotas            *quotas          // nil where none are shared
+	forwarding        *forwarding      // nil where tasks run at a processor
+	counters          *requestCounters // nil where nothing is counted for a fleet
+	drainAt, killAt   float64
+	closingGracefully bool // all connections are asked to close, as the server leaves
+	statistics        statistics
+	peerFaultLoggedAt float64 // when a line about a peer's nonsense was last written
 }
 
-// counts is what happened since the last line of counts.
-type counts struct {
-	read, finished, rejected, abandoned, gone, invalid, calls, turns int
-	malformed, unrun                                                 int // connections closed for their bytes; commands not carried out
-	turned                                                           int // tasks rejected at the door
-	away                                                             int // tasks rejected as the fleet does not let this server act
-	lapsed                                                           int // times at which a part of a budget ran out, as nobody renewed it
-	ungranted                                                        int // tasks rejected or abandoned as the fleet did not grant their keys
-	evicted, unspoken, parted                                        int // connections closed for another's sake, or as they brought nothing; asked to close
-
-	unread, longest float64 // seconds that tasks waited unread, in all and at most
-	gaugeAge        float64 // the oldest reading that a timer came with
-	blind           int     // timers that came with none
-	turn            float64 // seconds that a turn took, at most
+// statistics is what happened since the last line of counts.
+type statistics struct {
+	read, finished, rejected, abandoned, clientGone, invalid, calls, turns int
+	malformed, commandsRejected                                            int // connections closed for their bytes; commands not carried out
+	rejectedAtLimit                                                        int // tasks rejected at the door
+	rejectedOutOfService                                                   int // tasks rejected as the fleet does not let this server act
+	quotaExpired                                                           int // times at which a part of a budget ran out, as nobody renewed it
+	claimsFailed                                                           int // tasks rejected or abandoned as the fleet did not grant their keys
+	evicted, silent, askedToClose                                          int // connections closed for another's sake, or as they brought nothing; asked to close
+
+	unreadSeconds, longestUnread float64 // seconds that tasks waited unread, in all and at most
+	gaugeAge                     float64 // the oldest reading that a timer came with
+	timersWithoutGauges          int     // timers that came with none
+	longestTurn                  float64 // seconds that a turn took, at most
 }
 
-// keptPart of the memory is for results that repeats may still want: as much as answers that peers leave unread.
-const keptPart = 8
+// resultCacheShare of the memory is for results that repeats may still want: as much as answers that peers leave unread.
+const resultCacheShare = 8
 
 // New makes a server that has not started yet; conf is the operator's file.
 func New(start *life.Startup, conf *life.OperatorSettings) *Server {
 	now := time.Now()
-	s := &Server{start: start, anchor: now, unix: float64(now.UnixMicro()) / 1e6, looping: make(chan struct{}),
-		alarmAt: math.Inf(1), tasks: memory.NewRequests(), kept: memory.NewCache(int(start.MemoryBytes / keptPart)),
-		calls: map[string]*call{}, finished: make(chan struct{}),
+	s := &Server{startup: start, anchor: now, anchorUnix: float64(now.UnixMicro()) / 1e6, loopReady: make(chan struct{}),
+		wakeupAt: math.Inf(1), requests: memory.NewRequests(), results: memory.NewCache(int(start.MemoryBytes / resultCacheShare)),
+		upstreamCalls: map[string]*upstreamCall{}, stopped: make(chan struct{}),
 		drainAt: math.Inf(1), killAt: math.Inf(1),
-		gauges: noGauges(), gaugesAt: math.Inf(-1)}
-	s.conf = conf
-	s.door = s.newDoor(conf)
-	s.living, s.endLife = context.WithCancel(context.Background())
-	s.endpoints.Store(newEndpoints(s.living, start.Addresses))
-	s.run = gnet.RunnableFunc(func(context.Context) error { return s.turn() })
-	s.sweeping, s.counting = s.sweep, s.count
-	s.processor = &processorLink{server: s}
-	s.processor.asking = s.processor.askGauges
-	s.roster = &rosterLink{server: s}
+		gauges: unknownGauges(), gaugesAt: math.Inf(-1)}
+	s.operatorSettings = conf
+	s.connLimiter = s.newConnLimiter(conf)
+	s.runContext, s.cancelRun = context.WithCancel(context.Background())
+	s.endpoints.Store(newEndpoints(s.runContext, start.Addresses))
+	s.turnRunnable = gnet.RunnableFunc(func(context.Context) error { return s.runTurn() })
+	s.sweepTimer, s.statisticsTimer = s.sweep, s.logStatisticsPeriodically
+	s.executor = &executorLink{server: s}
+	s.executor.gaugeTimer = s.executor.askGauges
+	s.registry = &registryLink{server: s}
 	return s
 }
 
 // now is the server's clock: Unix seconds as they were read once, and from there the monotonic clock.
-func (s *Server) now() float64 { return s.unix + time.Since(s.anchor).Seconds() }
+func (s *Server) now() float64 { return s.anchorUnix + time.Since(s.anchor).Seconds() }
 
 // OnTick opens the first link. It is called on a goroutine of its own once the loop is there; before that,
 // nothing can be registered on it.
@@ -139,9 +139,9 @@
 	if !s.ticked {
 		s.ticked = true
 		if s.forwarding != nil {
-			s.dialBy(s.first, toRoster, s.roster, 0)
+			s.dialWith(s.registerFirst, registryAddress, s.registry, 0)
 		} else {
-			s.dialBy(s.first, toProcessor, s.processor, 0)
+			s.dialWith(s.registerFirst, executorAddress, s.executor, 0)
 		}
 	}
 	return time.Hour, gnet.None
@@ -149,44 +149,44 @@
 
 // connHandler is who is at the other end of a connection.
 type connHandler interface {
-	opened(c gnet.Conn, to string) error // to is where we dialled it, "" where it was opened to us
-	take(b []byte) (int, error)          // reads whole messages off the start of b, and tells how much that was
-	closed(err error)
-	has(c gnet.Conn) bool // c is its connection, not one that it left
+	handleOpen(c gnet.Conn, to string) error // to is where we dialled it, "" where it was opened to us
+	handleData(b []byte) (int, error)        // reads whole messages off the start of b, and tells how much that was
+	handleClose(err error)
+	owns(c gnet.Conn) bool // c is its connection, not one that it left
 }
 
 // OnOpen meets a new connection: one of our links, or a balancer.
 func (s *Server) OnOpen(c gnet.Conn) (_ []byte, action gnet.Action) {
-	defer s.guard(c, &action)
+	defer s.recoverPanic(c, &action)
 	if s.loop == nil {
 		s.loop = c.EventLoop()
-		s.alarm = time.AfterFunc(time.Hour, func() { _ = s.loop.Execute(context.Background(), s.run) })
-		s.timers.Schedule(s.now()+countEvery, s.counting)
+		s.wakeupTimer = time.AfterFunc(time.Hour, func() { _ = s.loop.Execute(context.Background(), s.turnRunnable) })
+		s.timers.Schedule(s.now()+statisticsInterval, s.statisticsTimer)
 		if s.forwarding == nil {
-			s.dial(toRoster, s.roster, 0)
+			s.dial(registryAddress, s.registry, 0)
 		}
-		close(s.looping)
+		close(s.loopReady)
 	}
 	var p connHandler
 	to := ""
-	if d, ours := c.Context().(*dialled); ours {
+	if d, ours := c.Context().(*dialedTarget); ours {
 		c.SetContext(d.connHandler)
-		if d.link(s.endpoints.Load()) != d.to { // moved meanwhile
-			s.dial(d.link, d.connHandler, d.vain)
+		if d.addressOf(s.endpoints.Load()) != d.address { // moved meanwhile
+			s.dial(d.addressOf, d.connHandler, d.failures)
 			return nil, gnet.Close
 		}
-		p, to = d.connHandler, d.to
+		p, to = d.connHandler, d.address
 	} else {
 		if a, byUs := c.Context().(*acceptor); byUs {
 			<-a.pending
 		}
-		name, fresh := s.peers.Add()
-		fresh.server, fresh.name = s, name
+		name, fresh := s.clients.Add()
+		fresh.server, fresh.id = s, name
 		p = fresh
 		c.SetContext(p)
 	}
-	if err := p.opened(c, to); err != nil {
-		if s.mayComplain() {
+	if err := p.handleOpen(c, to); err != nil {
+		if s.mayLogPeerFault() {
 			slog.Info("closing", "peer", c.RemoteAddr(), "err", err)
 		}
 		return nil, gnet.Close
@@ -196,25 +196,25 @@
 
 // OnTraffic reads what has come on a connection.
 func (s *Server) OnTraffic(c gnet.Conn) (action gnet.Action) {
-	defer s.guard(c, &action)
+	defer s.recoverPanic(c, &action)
 	p, ok := c.Context().(connHandler)
-	if !ok || !p.has(c) {
+	if !ok || !p.owns(c) {
 		return gnet.Close
 	}
 	b, err := c.Peek(-1)
 	if err != nil || len(b) == 0 {
 		return gnet.None
 	}
-	n, err := p.take(b)
+	n, err := p.handleData(b)
 	if n > 0 {
 		_, _ = c.Discard(n) // n is no more than what is there
 	}
 	if err != nil {
-		s.counts.malformed++
-		if s.mayComplain() {
+		s.statistics.malformed++
+		if s.mayLogPeerFault() {
 			slog.Info("bad_input", "peer", c.RemoteAddr(), "err", err)
 		}
-		if balancer, ok := p.(*peer); ok {
+		if balancer, ok := p.(*clientConn); ok {
 			balancer.mute()
 			_, _ = c.Discard(len(b) - n)
 			return gnet.None
@@ -226,233 +226,233 @@
 
 // OnClose parts with a connection.
 func (s *Server) OnClose(c gnet.Conn, err error) (action gnet.Action) {
-	defer s.guard(c, &action)
-	if p, ok := c.Context().(connHandler); ok && p.has(c) {
-		p.closed(err)
+	defer s.recoverPanic(c, &action)
+	if p, ok := c.Context().(connHandler); ok && p.owns(c) {
+		p.handleClose(err)
 	}
 	return gnet.None
 }
 
-// guard stops a panic at the connection whose handling raised it.
-func (s *Server) guard(c gnet.Conn, action *gnet.Action) {
+// recoverPanic stops a panic at the connection whose handling raised it.
+func (s *Server) recoverPanic(c gnet.Conn, action *gnet.Action) {
 	if p := recover(); p != nil {
 		slog.Info("panic", "peer", c.RemoteAddr(), "cause", fmt.Sprint(p), "stack", debug.Stack())
 		*action = gnet.Close
 	}
 }
 
-// happens puts an event in the next batch.
-func (s *Server) happens(e choice.Event) {
-	s.events = append(s.events, e)
-	s.wake()
+// queueEvent puts an event in the next batch.
+func (s *Server) queueEvent(e choice.Event) {
+	s.pendingEvents = append(s.pendingEvents, e)
+	s.scheduleTurn()
 }
 
-// wake has a turn follow as soon as all that is ready has been read.
-func (s *Server) wake() {
-	if !s.turning && s.loop != nil {
-		s.turning = true
-		_ = s.loop.Execute(context.Background(), s.run) // no error but when the engine is down
+// scheduleTurn has a turn follow as soon as all that is ready has been read.
+func (s *Server) scheduleTurn() {
+	if !s.turnScheduled && s.loop != nil {
+		s.turnScheduled = true
+		_ = s.loop.Execute(context.Background(), s.turnRunnable) // no error but when the engine is down
 	}
 }
 
-// turn is one turn of the loop: a batch, what follows from it, and what is to be written.
-func (s *Server) turn() error {
-	s.turning = false
+// runTurn is one turn of the loop: a batch, what follows from it, and what is to be written.
+func (s *Server) runTurn() error {
+	s.turnScheduled = false
 	now := s.now()
-	if now >= s.alarmAt {
-		s.alarmAt = math.Inf(1)
+	if now >= s.wakeupAt {
+		s.wakeupAt = math.Inf(1)
 	}
-	more := !s.timers.Advance(now, maxTimers)
-	standing := s.standing.Load()
+	more := !s.timers.Advance(now, maxTimersPerTurn)
+	standing := s.directive.Load()
 	if standing != nil {
-		s.stand(standing, now)
+		s.applyDirective(standing, now)
 	}
-	s.heedBudgets(now)
-	if len(s.events) > 0 && s.module != nil {
-		s.counts.turns++
-		batch := s.events
-		s.events = s.spare[:0]
+	s.applyAllowances(now)
+	if len(s.pendingEvents) > 0 && s.controller != nil {
+		s.statistics.turns++
+		batch := s.pendingEvents
+		s.pendingEvents = s.spareEvents[:0]
 		for i := range batch {
-			s.freshen(&batch[i], now)
+			s.refreshEvent(&batch[i], now)
 		}
 		if standing != nil {
 			standing.Stats.Batches.Add(1)
 		}
-		s.carryOut(s.module.Decide(now, batch), now)
-		s.spare = batch
+		s.execute(s.controller.Decide(now, batch), now)
+		s.spareEvents = batch
 	}
-	s.tend(now)
+	s.maintainConnections(now)
 	s.flush()
-	s.tendMuted(now)
-	next := min(s.timers.NextWakeup(), s.door.Next())
+	s.maintainMuted(now)
+	next := min(s.timers.NextWakeup(), s.connLimiter.Next())
 	if standing != nil && now < standing.ChangesAt {
 		next = min(next, standing.ChangesAt)
 	}
-	if s.budgets != nil {
-		next = min(next, s.budgets.lapse)
+	if s.quotas != nil {
+		next = min(next, s.quotas.nextExpiry)
 	}
 	if more {
 		next = now
 	}
-	s.counts.turn = max(s.counts.turn, s.now()-now)
-	if s.door.Guarded() {
-		s.acceptor.learn(now)
+	s.statistics.longestTurn = max(s.statistics.longestTurn, s.now()-now)
+	if s.connLimiter.Guarded() {
+		s.acceptor.sampleCPU(now)
 	}
-	if next < s.alarmAt {
-		s.alarmAt = next
-		s.alarm.Reset(time.Duration((next - s.now()) * float64(time.Second)))
+	if next < s.wakeupAt {
+		s.wakeupAt = next
+		s.wakeupTimer.Reset(time.Duration((next - s.now()) * float64(time.Second)))
 	}
 	return nil
 }
 
-// maxTimers bounds the timers of one turn, so that thousands of one instant hold up nobody: at 1 to 3 us each it stays
+// maxTimersPerTurn bounds the timers of one turn, so that thousands of one instant hold up nobody: at 1 to 3 us each it stays
 // under a fifth of a millisecond. The rest have the next turns, each after what was read meanwhile: by the alarm and
 // not by wake, as gnet carries out what is queued in its loop before it looks for input.
-const maxTimers = 64
+const maxTimersPerTurn = 64
 
-// gaugesFor is how long a reading of the gauges tells of the present: one is asked for just before each timer,
+// gaugeMaxAge is how long a reading of the gauges tells of the present: one is asked for just before each timer,
 // so an older one means that the processor did not answer, which is no news of its load.
-const gaugesFor = 0.1
+const gaugeMaxAge = 0.1
 
-func noGauges() choice.Gauges {
+func unknownGauges() choice.Gauges {
 	return choice.Gauges{Utilization: -1, Runnable: -1, Memory: -1, Connections: -1}
 }
 
-// freshen sets what an event says of the present.
-func (s *Server) freshen(e *choice.Event, now float64) {
+// refreshEvent sets what an event says of the present.
+func (s *Server) refreshEvent(e *choice.Event, now float64) {
 	switch e.Kind {
 	case choice.Arrived:
-		if t := s.tasks.Get(e.RequestID); t != nil {
+		if t := s.requests.Get(e.RequestID); t != nil {
 			e.Request.Age = max(0, now-t.ArrivedAt)
-			s.counts.unread += e.Request.Age
-			s.counts.longest = max(s.counts.longest, e.Request.Age)
+			s.statistics.unreadSeconds += e.Request.Age
+			s.statistics.longestUnread = max(s.statistics.longestUnread, e.Request.Age)
 			if t.Timeout != 0 {
 				e.Request.RemainingBudget = t.Timeout - e.Request.Age
 			}
 		}
 	case choice.TimerFired:
-		if age := now - s.gaugesAt; age <= gaugesFor {
+		if age := now - s.gaugesAt; age <= gaugeMaxAge {
 			e.Gauges = s.gauges
-			s.counts.gaugeAge = max(s.counts.gaugeAge, age)
+			s.statistics.gaugeAge = max(s.statistics.gaugeAge, age)
 		} else {
-			e.Gauges = noGauges()
-			s.counts.blind++
+			e.Gauges = unknownGauges()
+			s.statistics.timersWithoutGauges++
 		}
 	}
 }
 
-// line is a connection, while it is open, and what waits to be written on it.
-type line struct {
-	conn   gnet.Conn
-	out    memory.WriteBuffer
-	unsent bool
-	ours   bool // we dialled it
-	lags   bool // in lagging
+// bufferedConn is a connection, while it is open, and what waits to be written on it.
+type bufferedConn struct {
+	conn    gnet.Conn
+	out     memory.WriteBuffer
+	unsent  bool
+	dialed  bool // we dialled it
+	lagging bool // in lagging
 }
 
-// link is a line that we dialled.
-type link struct {
-	line
-	to string
+// dialedConn is a line that we dialled.
+type dialedConn struct {
+	bufferedConn
+	address string
 }
 
-// stands books that the link is open.
-func (l *link) stands(c gnet.Conn, to string) { l.conn, l.to, l.ours = c, to, true }
+// attach books that the link is open.
+func (l *dialedConn) attach(c gnet.Conn, to string) { l.conn, l.address, l.dialed = c, to, true }
 
-func (l *line) has(c gnet.Conn) bool { return l.conn == c }
+func (l *bufferedConn) owns(c gnet.Conn) bool { return l.conn == c }
 
-// shut books that the connection is closed; what was still to be written must not reach the next one.
-func (l *line) shut(p *memory.Pool) {
+// release books that the connection is closed; what was still to be written must not reach the next one.
+func (l *bufferedConn) release(p *memory.Pool) {
 	l.conn = nil
 	l.out.Release(p)
 }
 
-// maxUnread bounds what waits for a peer that does not read: 32 results of 4 KiB and what goes with them. All
+// maxClientBacklog bounds what waits for a peer that does not read: 32 results of 4 KiB and what goes with them. All
 // together may leave an eighth of the memory unread, see sweep.
-const maxUnread = 136 << 10
+const maxClientBacklog = 136 << 10
 
-// maxUnreadOurs is that for the links we dialled: the commands for some hundred tasks, as after a pause of the
+// maxDialedBacklog is that for the links we dialled: the commands for some hundred tasks, as after a pause of the
 // other side, which a new link would only have to repeat.
-const maxUnreadOurs = 1 << 20
+const maxDialedBacklog = 1 << 20
 
 // write puts bytes on a connection at the end of the turn.
-func (s *Server) write(l *line, b []byte) {
+func (s *Server) write(l *bufferedConn, b []byte) {
 	if l.conn == nil {
 		return
 	}
-	l.out.Append(&s.pool, b)
+	l.out.Append(&s.buffers, b)
 	if !l.unsent {
 		l.unsent = true
-		s.unsent = append(s.unsent, l)
-		s.wake()
+		s.unflushed = append(s.unflushed, l)
+		s.scheduleTurn()
 	}
 }
 
 func (s *Server) flush() {
-	lines := s.unsent
-	s.unsent = nil
+	lines := s.unflushed
+	s.unflushed = nil
 	for _, l := range lines {
 		l.unsent = false
 		if c := l.conn; c != nil && len(l.out.Buffers()) > 0 {
-			most := maxUnread
-			if l.ours {
-				most = maxUnreadOurs
+			most := maxClientBacklog
+			if l.dialed {
+				most = maxDialedBacklog
 			}
 			_, err := c.Writev(l.out.Buffers())
 			if left := c.OutboundBuffered(); err == nil && left > most {
 				slog.Info("closing", "peer", c.RemoteAddr(), "err", "it does not read")
 				_ = c.Close()
-			} else if err == nil && left > 0 && !l.ours && !l.lags {
-				l.lags = true
+			} else if err == nil && left > 0 && !l.dialed && !l.lagging {
+				l.lagging = true
 				s.lagging = append(s.lagging, l)
 			}
 		}
-		l.out.Release(&s.pool)
+		l.out.Release(&s.buffers)
 	}
-	if s.unsent == nil {
-		s.unsent = lines[:0]
+	if s.unflushed == nil {
+		s.unflushed = lines[:0]
 	}
 }
 
-// mayComplain bounds what a peer that sends nonsense costs the log: one line a second; the counts have the rest.
-func (s *Server) mayComplain() bool {
+// mayLogPeerFault bounds what a peer that sends nonsense costs the log: one line a second; the counts have the rest.
+func (s *Server) mayLogPeerFault() bool {
 	now := s.now()
-	if now < s.complained+1 {
+	if now < s.peerFaultLoggedAt+1 {
 		return false
 	}
-	s.complained = now
+	s.peerFaultLoggedAt = now
 	return true
 }
 
-// countEvery is how often the line of counts is written: seldom enough to be read by people.
-const countEvery = 10
+// statisticsInterval is how often the line of counts is written: seldom enough to be read by people.
+const statisticsInterval = 10
 
-func (s *Server) count() {
-	s.tell()
-	s.timers.Schedule(s.now()+countEvery, s.counting)
+func (s *Server) logStatisticsPeriodically() {
+	s.logStatistics()
+	s.timers.Schedule(s.now()+statisticsInterval, s.statisticsTimer)
 }
 
-// tell writes the line of counts and begins anew.
-func (s *Server) tell() {
-	c := &s.counts
-	most, by := s.maxPeers()
+// logStatistics writes the line of counts and begins anew.
+func (s *Server) logStatistics() {
+	c := &s.statistics
+	most, by := s.maxClients()
 	slog.Info("counts", "read", c.read, "finished", c.finished, "rejected", c.rejected,
-		"abandoned", c.abandoned, "gone", c.gone, "invalid", c.invalid, "malformed", c.malformed, "unrun", c.unrun,
-		"calls", c.calls, "turns", c.turns, "turn_ms", watch.FormatDecimal(1000*c.turn, 2),
-		"unread_ms", watch.FormatDecimal(1000*c.unread/max(1, float64(c.read)), 1),
-		"longest_ms", watch.FormatDecimal(1000*c.longest, 1), "open", s.tasks.Unanswered(), "tasks", s.tasks.Len(),
-		"kept", s.kept.Len(), "conns", s.peers.Len(), "strangers", s.door.Count(door.Stranger),
-		"parting", s.door.Count(door.Parting), "max_conns", most, "max_by", by, "pooled_conns", len(s.connPool.all),
-		"parted", c.parted, "evicted", c.evicted, "unspoken", c.unspoken,
-		"gauge_ms", watch.FormatDecimal(1000*c.gaugeAge, 1), "blind", c.blind, "timers", s.timers.Len(),
-		"buffers", s.pool.InUse, "memory_kb", residentKB(), "heap_kb", liveKB(), "well", s.isWell(), "load", s.say.Free)
-	if s.door.Guarded() {
-		s.tellDoor()
+		"abandoned", c.abandoned, "gone", c.clientGone, "invalid", c.invalid, "malformed", c.malformed, "unrun", c.commandsRejected,
+		"calls", c.calls, "turns", c.turns, "turn_ms", watch.FormatDecimal(1000*c.longestTurn, 2),
+		"unread_ms", watch.FormatDecimal(1000*c.unreadSeconds/max(1, float64(c.read)), 1),
+		"longest_ms", watch.FormatDecimal(1000*c.longestUnread, 1), "open", s.requests.Unanswered(), "tasks", s.requests.Len(),
+		"kept", s.results.Len(), "conns", s.clients.Len(), "strangers", s.connLimiter.Count(door.Stranger),
+		"parting", s.connLimiter.Count(door.Parting), "max_conns", most, "max_by", by, "pooled_conns", len(s.upstream.all),
+		"parted", c.askedToClose, "evicted", c.evicted, "unspoken", c.silent,
+		"gauge_ms", watch.FormatDecimal(1000*c.gaugeAge, 1), "blind", c.timersWithoutGauges, "timers", s.timers.Len(),
+		"buffers", s.buffers.InUse, "memory_kb", residentKB(), "heap_kb", liveHeapKB(), "well", s.isHealthy(), "load", s.loadReport.Free)
+	if s.connLimiter.Guarded() {
+		s.logConnStatistics()
 	}
-	if to := s.standing.Load(); to != nil {
-		slog.Info("standing", "stance", s.stance, "why", to.Reason, "away", c.away, "ungranted", c.ungranted, "lapsed", c.lapsed)
+	if to := s.directive.Load(); to != nil {
+		slog.Info("standing", "stance", s.servingMode, "why", to.Reason, "away", c.rejectedOutOfService, "ungranted", c.claimsFailed, "lapsed", c.quotaExpired)
 	}
-	*c = counts{}
+	*c = statistics{}
 }
 
 // residentKB is the memory of this process, 0 where the system does not tell.
@@ -465,34 +465,34 @@
 	return resident * os.Getpagesize() / 1024
 }
 
-// liveKB is the heap that was in use after the latest collection.
-func liveKB() uint64 {
+// liveHeapKB is the heap that was in use after the latest collection.
+func liveHeapKB() uint64 {
 	live := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
 	metrics.Read(live)
 	return live[0].Value.Uint64() / 1024
 }
 
-// Tell writes the line of counts now, from any goroutine, after a collection, so that it tells what is really in use.
-func (s *Server) Tell() {
+// LogStatistics writes the line of counts now, from any goroutine, after a collection, so that it tells what is really in use.
+func (s *Server) LogStatistics() {
 	runtime.GC()
-	<-s.looping
+	<-s.loopReady
 	_ = s.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-		s.tell()
+		s.logStatistics()
 		return nil
 	}))
 }
 
-// logger passes the library's warnings on in our form.
-type logger struct{}
+// gnetLogger passes the library's warnings on in our form.
+type gnetLogger struct{}
 
-func (logger) Debugf(string, ...any) {}
-func (logger) Infof(string, ...any)  {}
-func (logger) Warnf(f string, a ...any) {
+func (gnetLogger) Debugf(string, ...any) {}
+func (gnetLogger) Infof(string, ...any)  {}
+func (gnetLogger) Warnf(f string, a ...any) {
 	slog.Info("library", "level", "warn", "text", fmt.Sprintf(f, a...))
 }
-func (logger) Errorf(f string, a ...any) {
+func (gnetLogger) Errorf(f string, a ...any) {
 	slog.Info("library", "level", "error", "text", fmt.Sprintf(f, a...))
 }
-func (logger) Fatalf(f string, a ...any) {
+func (gnetLogger) Fatalf(f string, a ...any) {
 	watch.Fatal("library", "level", "fatal", "text", fmt.Sprintf(f, a...))
 }
--- a/internal/serve/standing_test.go
+++ b/internal/serve/standing_test.go
@@ -14,8 +14,8 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// next reads the next answer that a balancer gets.
-func (e *end) next() rpc.Answer {
+// readAnswer reads the next answer that a balancer gets.
+func (e *testConn) readAnswer() rpc.Answer {
 	e.t.Helper()
 	var got []byte
 	for {
@@ -34,36 +34,36 @@
 	}
 }
 
-func (w *world) stand(now stance.Mode, until float64, then stance.Mode) *stance.VersionStats {
+func (w *fixture) setDirective(now stance.Mode, until float64, then stance.Mode) *stance.VersionStats {
 	stamp := &stance.VersionStats{}
-	w.server.Stand(&stance.Directive{Epoch: 3, Mode: now, ChangesAt: until, NextMode: then, Reason: "a test", Stats: stamp})
+	w.server.SetDirective(&stance.Directive{Epoch: 3, Mode: now, ChangesAt: until, NextMode: then, Reason: "a test", Stats: stamp})
 	return stamp
 }
 
-// listed waits for a report that says so.
-func (w *world) listed(takes bool) {
+// waitForReport waits for a report that says so.
+func (w *fixture) waitForReport(takes bool) {
 	w.Helper()
-	for report := range w.roster.Reports() {
+	for report := range w.registry.Reports() {
 		if report.Takes == takes {
 			return
 		}
 	}
 }
 
-// work runs what is begun: it tells of each begin, and ends them all once finish is closed.
-func (w *world) work(begun chan<- string, finish <-chan struct{}) {
+// runRequests runs what is begun: it tells of each begin, and ends them all once finish is closed.
+func (w *fixture) runRequests(begun chan<- string, finish <-chan struct{}) {
 	ends := make(chan string, cap(begun))
 	go func() { // notices go in the order of their numbers
 		<-finish
 		for end := range ends {
-			_, _ = io.WriteString(w.processor, end) // the test ends where this fails
+			_, _ = io.WriteString(w.executor, end) // the test ends where this fails
 		}
 	}()
 	go func() {
 		defer close(ends)
 		serial := 0
 		for {
-			line, err := w.processor.in.ReadString('\n')
+			line, err := w.executor.in.ReadString('\n')
 			if err != nil {
 				return
 			}
@@ -73,7 +73,7 @@
 			}
 			switch m.Msg {
 			case "usage":
-				fmt.Fprintf(w.processor, `{"msg":"used","cookie":"%s","stats":[0.5,1]}`+"\n", m.Cookie)
+				fmt.Fprintf(w.executor, `{"msg":"used","cookie":"%s","stats":[0.5,1]}`+"\n", m.Cookie)
 			case "begin":
 				begun <- m.Call
 				serial++
@@ -85,27 +85,27 @@
 }
 
 func TestAServerThatMayNotActFinishesWhatRunsAndRejectsTheRest(t *testing.T) {
-	w := build(t, func(s *life.Startup) { s.Settings.MaxRetryAfter = 5 })
+	w := startServer(t, func(s *life.Startup) { s.Settings.MaxRetryAfter = 5 })
 	const tasks = 20 // more than two cores take at once
 	begun, finish := make(chan string, tasks+1), make(chan struct{})
-	w.work(begun, finish)
-	before := w.stand(stance.ModeNormal, math.Inf(1), stance.ModeNormal)
-	b := w.balancer()
+	w.runRequests(begun, finish)
+	before := w.setDirective(stance.ModeNormal, math.Inf(1), stance.ModeNormal)
+	b := w.dialClient()
 	for i := range tasks {
-		b.send("%s", frame(byte(i+1), fmt.Sprintf("%016x", i+1), "x"))
+		b.send("%s", requestFrame(byte(i+1), fmt.Sprintf("%016x", i+1), "x"))
 	}
 	<-begun
-	stamp := w.stand(stance.ModeOutOfService, math.Inf(1), stance.ModeOutOfService)
-	w.listed(false)
+	stamp := w.setDirective(stance.ModeOutOfService, math.Inf(1), stance.ModeOutOfService)
+	w.waitForReport(false)
 	close(finish)
 	finished, rejected, told := 0, 0, 0 // the module may have rejected some before, with its own advice
 	for finished+rejected < tasks {
-		switch a := b.next(); a.End {
+		switch a := b.readAnswer(); a.End {
 		case rpc.Finished:
 			finished++
 		case rpc.Rejected:
 			rejected++
-			if a.Say.Advice == awayLeast {
+			if a.Say.Advice == outOfServiceRetryAfter {
 				told++
 			}
 		default:
@@ -118,29 +118,29 @@
 	if n, m := before.Completed.Load(), stamp.Completed.Load(); n+m > tasks || m == 0 || int(n+m) < tasks-told { // those that came after it are none of any version's
 		t.Errorf("%d ends are counted before, %d after, of %d", n, m, tasks)
 	}
-	w.stand(stance.ModeNormal, math.Inf(1), stance.ModeNormal)
-	w.listed(true)
-	b.send("%s", frame(99, "0000000000000099", "x"))
-	if a := b.next(); a.End != rpc.Finished {
+	w.setDirective(stance.ModeNormal, math.Inf(1), stance.ModeNormal)
+	w.waitForReport(true)
+	b.send("%s", requestFrame(99, "0000000000000099", "x"))
+	if a := b.readAnswer(); a.End != rpc.Finished {
 		t.Errorf("back, it answers %+v", a)
 	}
 }
 
 // TestAServerGoesByItsOwnClock: nobody tells it that its lease is over, as when all of it was stopped, and yet it takes nothing in.
 func TestAServerGoesByItsOwnClock(t *testing.T) {
-	w := build(t, nil)
+	w := startServer(t, nil)
 	begun, finish := make(chan string, 1), make(chan struct{})
-	w.work(begun, finish)
-	stamp := w.stand(stance.ModeNormal, w.server.Now()-1, stance.ModeOutOfService) // published before it was stopped, read after
-	b := w.balancer()
-	b.send("%s", frame(1, "0000000000000001", "x"))
-	if a := b.next(); a.End != rpc.Rejected {
+	w.runRequests(begun, finish)
+	stamp := w.setDirective(stance.ModeNormal, w.server.Now()-1, stance.ModeOutOfService) // published before it was stopped, read after
+	b := w.dialClient()
+	b.send("%s", requestFrame(1, "0000000000000001", "x"))
+	if a := b.readAnswer(); a.End != rpc.Rejected {
 		t.Errorf("it answers %+v", a)
 	}
 	if n := stamp.Requests.Load(); n != 0 || len(begun) != 0 {
 		t.Errorf("%d tasks were taken in, %d begun", n, len(begun))
 	}
-	w.listed(false)
+	w.waitForReport(false)
 }
 
 func TestSettingsAreTakenWholeOrNotAtAll(t *testing.T) {
@@ -148,7 +148,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := buildWith(t, nil, conf)
+	w := startServerWith(t, nil, conf)
 	for text, want := range map[string]string{
 		"door off":                  "can't be switched while serving",
 		"door-remember 1000000":     "can't be changed while serving",
@@ -158,15 +158,15 @@
 		"fleet-lease 3s":            "belongs to each server's own file",
 		"door-lobby 3\ndoor-earn 5": "can't be changed while serving",
 	} {
-		before := *w.server.conf
+		before := *w.server.operatorSettings
 		next, err := conf.WithRelease("released", text)
 		if err == nil {
-			err = w.server.Act(next)
+			err = w.server.ApplyConfig(next)
 		}
 		if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
-		if err != nil && !reflect.DeepEqual(before, *w.server.conf) {
+		if err != nil && !reflect.DeepEqual(before, *w.server.operatorSettings) {
 			t.Errorf("%q was refused and changed something", text)
 		}
 	}
--- a/internal/serve/tally.go
+++ b/internal/serve/tally.go
@@ -7,88 +7,88 @@
 
 // This file is what the server counts for the fleet: its tasks by tenant and stage, and how they ended. Without a fleet none of it is reached.
 
-// tallies is what was counted since it was last told.
-type tallies struct {
-	stages int
-	list   []stance.RequestCounts // by tenant, and in it by stage
-	names  []stance.CounterKey    // the same
-	some   bool
-	tell   func([]stance.CounterCell) bool
+// requestCounters is what was counted since it was last told.
+type requestCounters struct {
+	classCount int
+	counts     []stance.RequestCounts // by tenant, and in it by stage
+	cells      []stance.CounterKey    // the same
+	dirty      bool
+	report     func([]stance.CounterCell) bool
 }
 
-// tellTallies is how often, in seconds, it is told: more often than others hear of it.
-const tellTallies = 0.5
+// counterReportInterval is how often, in seconds, it is told: more often than others hear of it.
+const counterReportInterval = 0.5
 
-// Tally has tasks counted and what was counted told, from the loop; what could not be told is told with the next. It is called before Run.
-func (s *Server) Tally(tell func([]stance.CounterCell) bool) {
-	tenants := make([]string, max(1, len(s.start.Settings.Tenants)))
-	for name, i := range s.start.TenantIndex {
+// ReportCounters has tasks counted and what was counted told, from the loop; what could not be told is told with the next. It is called before Run.
+func (s *Server) ReportCounters(tell func([]stance.CounterCell) bool) {
+	tenants := make([]string, max(1, len(s.startup.Settings.Tenants)))
+	for name, i := range s.startup.TenantIndex {
 		tenants[i] = name
 	}
-	t := &tallies{stages: len(s.start.ClassNames), tell: tell}
+	t := &requestCounters{classCount: len(s.startup.ClassNames), report: tell}
 	for _, tenant := range tenants {
-		for _, stage := range s.start.ClassNames {
-			t.names = append(t.names, stance.CounterKey{Tenant: tenant, Class: stage})
+		for _, stage := range s.startup.ClassNames {
+			t.cells = append(t.cells, stance.CounterKey{Tenant: tenant, Class: stage})
 		}
 	}
-	t.list = make([]stance.RequestCounts, len(t.names))
-	s.tallies = t
+	t.counts = make([]stance.RequestCounts, len(t.cells))
+	s.counters = t
 	var again func()
 	again = func() {
-		t.told()
-		s.timers.Schedule(s.now()+tellTallies, again)
+		t.flush()
+		s.timers.Schedule(s.now()+counterReportInterval, again)
 	}
-	s.timers.Schedule(s.now()+tellTallies, again)
+	s.timers.Schedule(s.now()+counterReportInterval, again)
 }
 
-func (t *tallies) told() {
-	if !t.some {
+func (t *requestCounters) flush() {
+	if !t.dirty {
 		return
 	}
 	var list []stance.CounterCell
-	for i, n := range t.list {
+	for i, n := range t.counts {
 		if n != (stance.RequestCounts{}) {
-			list = append(list, stance.CounterCell{CounterKey: t.names[i], RequestCounts: n})
+			list = append(list, stance.CounterCell{CounterKey: t.cells[i], RequestCounts: n})
 		}
 	}
-	if t.tell(list) {
-		clear(t.list)
-		t.some = false
+	if t.report(list) {
+		clear(t.counts)
+		t.dirty = false
 	}
 }
 
-// of is the tally of a tenant's tasks in a stage.
-func (t *tallies) of(tenant, stage int) *stance.RequestCounts {
-	t.some = true
-	return &t.list[tenant*t.stages+stage]
+// at is the tally of a tenant's tasks in a stage.
+func (t *requestCounters) at(tenant, stage int) *stance.RequestCounts {
+	t.dirty = true
+	return &t.counts[tenant*t.classCount+stage]
 }
 
-// tallyAsked counts a task that came.
-func (s *Server) tallyAsked(tenant, stage int) {
-	if t := s.tallies; t != nil {
-		t.of(tenant, stage).Received++
+// countReceived counts a task that came.
+func (s *Server) countReceived(tenant, stage int) {
+	if t := s.counters; t != nil {
+		t.at(tenant, stage).Received++
 	}
 }
 
-// tallyAway counts a task that came and was turned away at once.
-func (s *Server) tallyAway(tenant, stage int) {
-	if t := s.tallies; t != nil {
-		n := t.of(tenant, stage)
+// countRejectedAtOnce counts a task that came and was turned away at once.
+func (s *Server) countRejectedAtOnce(tenant, stage int) {
+	if t := s.counters; t != nil {
+		n := t.at(tenant, stage)
 		n.Received++
 		n.Rejected++
 	}
 }
 
-// tallyEnd counts a task's answer, by the count of the server's own that it went to.
-func (s *Server) tallyEnd(task *memory.Request, count *int) {
-	t := s.tallies
+// countAnswered counts a task's answer, by the count of the server's own that it went to.
+func (s *Server) countAnswered(task *memory.Request, count *int) {
+	t := s.counters
 	if t == nil {
 		return
 	}
-	switch n := t.of(int(task.Tenant), task.Class); count {
-	case &s.counts.finished:
+	switch n := t.at(int(task.Tenant), task.Class); count {
+	case &s.statistics.finished:
 		n.Finished++
-	case &s.counts.abandoned:
+	case &s.statistics.abandoned:
 		n.Abandoned++
 	default:
 		n.Rejected++
