--- a/cmd/swiftcourse-fleet/budgets.go
+++ b/cmd/swiftcourse-fleet/budgets.go
@@ -55,19 +55,19 @@
 }
 
 // budgets is what the fleet's part needs to know of them, nil where none are shared.
-func (p *parts) budgets(start *life.Startup, clock *peers.Clock) (*peers.Budgets, error) {
+func (p *parts) budgets(start *life.Startup, clock *peers.Clock) (*peers.QuotaConfig, error) {
 	terms, err := termsOf(p.own, start)
 	if err != nil || p.own.BudgetServers == 0 {
 		return nil, err
 	}
 	p.terms = terms
-	return &peers.Budgets{
-		Terms: func() budget.Config {
+	return &peers.QuotaConfig{
+		Settings: func() budget.Config {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			return p.terms
 		},
-		Hear: func(list []budget.Allowance) {
+		OnAllowances: func(list []budget.Allowance) {
 			here := make([]stance.Allowance, 0, len(list))
 			for _, a := range list {
 				tenant := -1
@@ -78,7 +78,7 @@
 					}
 					tenant = at
 				}
-				here = append(here, stance.Allowance{Name: a.Name, FleetMax: a.FleetMax, Tenant: tenant, Guaranteed: a.Floor, LeasedShare: a.LeasedShare, LeaseExpiry: clock.Back(a.LeaseExpiry), BurstSeconds: budget.BurstSeconds, GrantNumber: a.GrantNumber})
+				here = append(here, stance.Allowance{Name: a.Name, FleetMax: a.FleetMax, Tenant: tenant, Guaranteed: a.Floor, LeasedShare: a.LeasedShare, LeaseExpiry: clock.ToSource(a.LeaseExpiry), BurstSeconds: budget.BurstSeconds, GrantNumber: a.GrantNumber})
 			}
 			p.allow(func() { p.parted = here })
 		},
@@ -96,30 +96,30 @@
 			list = append(list, a)
 		}
 	}
-	if !math.IsInf(p.held.Most, 1) {
+	if !math.IsInf(p.held.MaxInFlight, 1) {
 		i := slices.IndexFunc(list, func(a stance.Allowance) bool { return a.Tenant < 0 })
 		if i < 0 {
 			list = append(list, stance.Allowance{Name: "below", Tenant: -1, FleetMax: math.MaxInt32, Guaranteed: math.MaxInt32})
 			i = len(list) - 1
 		}
-		list[i].Capped, list[i].Cap, list[i].ProbeNumber = true, p.held.Most, p.held.Try
+		list[i].Capped, list[i].Cap, list[i].ProbeNumber = true, p.held.MaxInFlight, p.held.Probe
 	}
 	p.server.SetAllowances(list)
 }
 
 // below is what the fleet's part needs to judge the service below, nil where it does not.
-func (p *parts) below() *peers.Health {
+func (p *parts) below() *peers.HealthConfig {
 	if !p.own.Below {
 		return nil
 	}
-	return &peers.Health{Zone: p.own.Zone, Hear: func(held peers.Held) { p.allow(func() { p.held = held }) }}
+	return &peers.HealthConfig{Zone: p.own.Zone, OnLimit: func(held peers.CallLimit) { p.allow(func() { p.held = held }) }}
 }
 
 // uses passes on what the loop used.
-func uses(list []serve.QuotaUsage) []peers.Use {
-	to := make([]peers.Use, len(list))
+func uses(list []serve.QuotaUsage) []peers.Usage {
+	to := make([]peers.Usage, len(list))
 	for i, u := range list {
-		to[i] = peers.Use(u)
+		to[i] = peers.Usage(u)
 	}
 	return to
 }
--- a/cmd/swiftcourse-fleet/command.go
+++ b/cmd/swiftcourse-fleet/command.go
@@ -122,7 +122,7 @@
 }
 
 func (o *operator) command(c version.Command) error {
-	newest, err := peers.AskCommand(o.At, c)
+	newest, err := peers.SendCommand(o.At, c)
 	if err != nil {
 		return err
 	}
@@ -158,7 +158,7 @@
 }
 
 func (o *operator) look(what string) error {
-	s, err := peers.AskState(o.At, o.Audit.Since)
+	s, err := peers.FetchStatus(o.At, o.Audit.Since)
 	if err != nil {
 		return err
 	}
@@ -173,8 +173,8 @@
 	} else {
 		tellAudit(s)
 	}
-	if len(s.Report.Alarms) > 0 {
-		for _, a := range s.Report.Alarms {
+	if len(s.Audit.Alarms) > 0 {
+		for _, a := range s.Audit.Alarms {
 			fmt.Fprintln(os.Stderr, "ALARM:", a)
 		}
 		return errAlarm
@@ -184,14 +184,14 @@
 
 func table() *tabwriter.Writer { return tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0) }
 
-func tellStatus(s *peers.State) {
-	fmt.Printf("%s (life %x) is %s, acts on %s; newest is %s; leader %s\n", s.Name, s.Life, s.Standing, s.Acts, s.Report.Newest, s.Leader)
-	if n := s.Order.Next; n != nil {
-		fmt.Printf("on its way: %s by %s, wave %d of %d\n", n.Epoch, n.Author, s.Order.WaveIndex+1, len(s.Order.Waves))
+func tellStatus(s *peers.Status) {
+	fmt.Printf("%s (life %x) is %s, acts on %s; newest is %s; leader %s\n", s.Name, s.Incarnation, s.LeaseState, s.ActiveEpoch, s.Audit.Newest, s.Leader)
+	if n := s.ReleaseLog.Next; n != nil {
+		fmt.Printf("on its way: %s by %s, wave %d of %d\n", n.Epoch, n.Author, s.ReleaseLog.WaveIndex+1, len(s.ReleaseLog.Waves))
 	}
 	t := table()
 	fmt.Fprintln(t, "server\tlife\tacts on\tshould\theard s ago\tbuild\tnote")
-	for _, m := range s.Standings {
+	for _, m := range s.Servers {
 		note := m.EjectionReason
 		if note != "" {
 			note = "shut out: " + note
@@ -212,40 +212,40 @@
 	return time.UnixMilli(int64(unix * 1000)).UTC().Format("2006-01-02T15:04:05.000")
 }
 
-func tellAudit(s *peers.State) {
+func tellAudit(s *peers.Status) {
 	t := table()
 	fmt.Fprintln(t, "server\tlife\tepoch\tdigest\tfrom (own clock)\tto\tbatches\ttasks\twhy")
-	for _, a := range s.Report.Accounts {
+	for _, a := range s.Audit.Accounts {
 		for _, i := range a.Intervals {
 			fmt.Fprintf(t, "%s\t%x\t%s\t%.12s\t%s\t%s\t%d\t%d\t%s\n", a.Name, a.Life, i.Epoch, i.Digest, moment(i.From), moment(i.To), i.Batches, i.Tasks, i.Why)
 		}
 	}
 	t.Flush()
-	for _, b := range s.Report.Behind {
+	for _, b := range s.Audit.Behind {
 		fmt.Printf("behind: %s (life %x) on %s, should be on %s, for %.1f s: %s\n", b.Name, b.Life, b.On, b.Right, max(b.For, b.Absent), b.Why)
 	}
-	for _, h := range s.Report.Holes {
+	for _, h := range s.Audit.Holes {
 		fmt.Printf("hole: %s (life %x) from %s to %s: %s\n", h.Name, h.Life, moment(h.From), moment(h.To), h.Why)
 	}
 }
 
 // diff tells how the copies of all servers stand, and what is wrong with them.
 func (o *operator) diff() error {
-	s, err := peers.AskState(o.At, "")
+	s, err := peers.FetchStatus(o.At, "")
 	if err != nil {
 		return err
 	}
-	if len(s.Copies) == 0 {
+	if len(s.Replicas) == 0 {
 		return errors.New("no server keeps copies: replica-holders names none")
 	}
-	wrong, alarm := replica.Faults(s.Copies)
+	wrong, alarm := replica.Faults(s.Replicas)
 	if o.Diff.JSON {
-		err = json.NewEncoder(os.Stdout).Encode(map[string]any{"servers": s.Copies, "faults": wrong, "alarm": alarm})
+		err = json.NewEncoder(os.Stdout).Encode(map[string]any{"servers": s.Replicas, "faults": wrong, "alarm": alarm})
 	} else {
 		out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 		fmt.Fprintln(out, "server\tholds\tcold\tdiffer\tlearned\taged\tmended\trecords\tKB\tdropped\tclaims\tpromised\tnot in time")
-		for _, name := range slices.Sorted(maps.Keys(s.Copies)) {
-			c := s.Copies[name]
+		for _, name := range slices.Sorted(maps.Keys(s.Replicas)) {
+			c := s.Replicas[name]
 			fmt.Fprintf(out, "%s\t%t\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", name, c.IsReplica, c.CatchingUp, c.OutOfSync, c.CaughtUpByPeers, c.CaughtUpByTimeout, c.RepairedRecords, c.Records,
 				c.Bytes>>10, c.DroppedResults, c.ActiveClaims, c.ReplicatedResults, c.UnreplicatedResults)
 		}
@@ -262,7 +262,7 @@
 
 // budgets tells how the budgets stand at one server.
 func (o *operator) budgets() error {
-	s, err := peers.AskBudgets(o.At)
+	s, err := peers.FetchQuotas(o.At)
 	if err != nil {
 		return err
 	}
@@ -271,10 +271,10 @@
 	}
 	t := table()
 	fmt.Fprintln(t, "held here\tfloor\tpart\tfor s")
-	for _, a := range s.Here {
+	for _, a := range s.Held {
 		fmt.Fprintf(t, "%s\t%.2f\t%.2f\t%.1f\n", a.Name, a.Floor, a.LeasedShare, a.LeaseExpiry-s.Now)
 	}
-	if s.Leads {
+	if s.IsLeader {
 		fmt.Fprintln(t, "given by this server\tbudget\tgiven\tof\twanted\tservers\tnote")
 		for _, a := range s.Granted {
 			note := ""
@@ -287,7 +287,7 @@
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	if !s.Leads {
+	if !s.IsLeader {
 		fmt.Println("who was given what is told by", s.Leader)
 	}
 	return nil
--- a/cmd/swiftcourse-fleet/counts.go
+++ b/cmd/swiftcourse-fleet/counts.go
@@ -12,20 +12,20 @@
 
 // counts tells what all servers were asked for, and how sure that is.
 func (o *operator) counts() error {
-	s, err := peers.AskCounts(o.At)
+	s, err := peers.FetchCounters(o.At)
 	if err != nil {
 		return err
 	}
 	if o.Counts.JSON {
 		return json.NewEncoder(os.Stdout).Encode(s)
 	}
-	list, of := s.Here, "by this server since its start"
-	if s.Known != nil {
-		list, of = s.Known.Total, "by all servers since the fleet's founding"
+	list, of := s.Unreported, "by this server since its start"
+	if s.Totals != nil {
+		list, of = s.Totals.Total, "by all servers since the fleet's founding"
 	}
 	minute := map[stance.CounterKey]uint64{}
-	if s.Known != nil {
-		for _, n := range s.Known.LastMinute {
+	if s.Totals != nil {
+		for _, n := range s.Totals.LastMinute {
 			minute[n.CounterKey] = n.Received
 		}
 	}
@@ -46,9 +46,9 @@
 		return err
 	}
 	fmt.Println("counted", of)
-	k := s.Known
+	k := s.Totals
 	if k == nil {
-		fmt.Println("what all counted is known to", strings.Join(s.Keepers, ", "))
+		fmt.Println("what all counted is known to", strings.Join(s.Aggregators, ", "))
 		return nil
 	}
 	fmt.Printf("%d lives tell; about %.0f tasks may have come since they last did\n", k.OpenRows, k.MaxMissing)
--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -53,14 +53,14 @@
 }
 
 // plans is a forwarder's part in plans, nil for who forwards nothing.
-func (p *parts) plans(start *life.Startup, clock *peers.Clock) *peers.Plans {
+func (p *parts) plans(start *life.Startup, clock *peers.Clock) *peers.LoadPlanConfig {
 	if p.dispatcher == nil {
 		return nil
 	}
 	var last plan.Number
-	return &peers.Plans{
-		Tell: func(float64) *plan.Report { return p.dispatcher.Report() },
-		Hear: func(part *plan.Part, until float64) {
+	return &peers.LoadPlanConfig{
+		Report: func(float64) *plan.Report { return p.dispatcher.Report() },
+		OnShare: func(part *plan.Part, until float64) {
 			if part.Founding != last.Founding || part.Term != last.Term {
 				slog.Info("fleet_plan", "founding", part.Founding, "term", part.Term, "seq", part.Seq, "weights", len(part.Weights), "rates", len(part.Rates))
 			}
@@ -69,7 +69,7 @@
 			for _, w := range part.Weights {
 				weights[w.Name] = w.Part
 			}
-			till := clock.Back(until)
+			till := clock.ToSource(until)
 			p.dispatcher.Plan(weights, till)
 			p.allow(func() { p.planned = rates(part, start, till) })
 		},
@@ -107,8 +107,8 @@
 	if err != nil {
 		return err
 	}
-	f, err := peers.Start(peers.Plan{Name: name, Listen: own.FleetListen, Voters: voters, Join: own.FleetJoin, Terms: memberTerms(own), Rollout: rollout(own),
-		Silent: stance.ModeNormal, Plans: &peers.Plans{Makes: true}, Counts: own.Counts, Seed: from.UnixNano(), Build: build(), Now: clock.Now, Unix: clock.Unix, Via: via,
+	f, err := peers.Start(peers.Config{Name: name, ListenAddr: own.FleetListen, Voters: voters, JoinAddrs: own.FleetJoin, LeaseTerms: memberTerms(own), Rollout: rollout(own),
+		OnLeaseExpiry: stance.ModeNormal, LoadPlan: &peers.LoadPlanConfig{IsPlanner: true}, CountersEnabled: own.Counts, Seed: from.UnixNano(), Build: build(), Now: clock.Now, UnixNow: clock.UnixNow, RelayAddrs: via,
 		Apply: func(text string) error {
 			_, err := own.WithRelease("released", text)
 			return err
@@ -118,7 +118,7 @@
 		return err
 	}
 	if own.FleetControl != "" {
-		if _, err := f.Control(own.FleetControl); err != nil {
+		if _, err := f.ServeControl(own.FleetControl); err != nil {
 			return fmt.Errorf("fleet-control: %w", err)
 		}
 	}
@@ -132,7 +132,7 @@
 
 // plans tells how plans stand at one process.
 func (o *operator) plans() error {
-	s, err := peers.AskPlans(o.At)
+	s, err := peers.FetchLoadPlan(o.At)
 	if err != nil {
 		return err
 	}
@@ -140,7 +140,7 @@
 		return json.NewEncoder(os.Stdout).Encode(s)
 	}
 	number := func(n plan.Number) string { return fmt.Sprintf("%d.%d.%d", n.Founding, n.Term, n.Seq) }
-	if m := s.Makes; m != nil {
+	if m := s.Planner; m != nil {
 		t := table()
 		fmt.Fprintln(t, "forwarder\theard s ago\tasked for, a second\tgoes by")
 		for _, f := range m.Forwarders {
@@ -159,8 +159,8 @@
 		fmt.Printf("%s leads, its plan is %s; %d not solved in their bounds, %d reports refused\n", s.Name, number(m.Number), m.Fallbacks, m.Refused)
 		return nil
 	}
-	if s.Holds != (plan.Number{}) {
-		fmt.Printf("%s goes by plan %s, fresh for %.1f s; %d parts of plans were stale\n", s.Name, number(s.Holds), s.Till, s.Stale)
+	if s.Current != (plan.Number{}) {
+		fmt.Printf("%s goes by plan %s, fresh for %.1f s; %d parts of plans were stale\n", s.Name, number(s.Current), s.FreshFor, s.Stale)
 	}
 	fmt.Println("plans are made by", s.Leader)
 	return nil
--- a/cmd/swiftcourse-fleet/main.go
+++ b/cmd/swiftcourse-fleet/main.go
@@ -40,7 +40,7 @@
 	terms    budget.Config // of the budgets that all share, as own and released say
 
 	parted []stance.Allowance // parts of budgets
-	held   peers.Held         // calls below
+	held   peers.CallLimit    // calls below
 
 	planned    []stance.Allowance  // what a plan lets in
 	dispatcher *forward.Dispatcher // nil for who forwards nothing
@@ -63,7 +63,7 @@
 
 // Start begins the fleet's part.
 func (p *parts) Start(start *life.Startup, own *life.OperatorSettings, server *serve.Server) error {
-	p.own, p.server, p.start, p.held.Most = own, server, start, math.Inf(1)
+	p.own, p.server, p.start, p.held.MaxInFlight = own, server, start, math.Inf(1)
 	// One more than Fit gives: a message from a peer must not wait for the loop's turn, nor a turn for it.
 	runtime.GOMAXPROCS(runtime.GOMAXPROCS(0) + 1)
 	voters, err := votersOf(start.Name, own)
@@ -79,23 +79,23 @@
 	if err != nil {
 		return err
 	}
-	var callers *peers.Callers
+	var callers *peers.TrustConfig
 	if own.ReplicaCallers {
 		if !own.Door {
 			return errors.New("replica-callers: needs door on")
 		}
-		callers = &peers.Callers{Forget: own.Forget.Seconds(), Most: own.Remember / 4, Hear: server.AddTrustedClients}
+		callers = &peers.TrustConfig{Retention: own.Forget.Seconds(), MaxClients: own.Remember / 4, OnTrusted: server.AddTrustedClients}
 	}
 	shared, err := p.budgets(start, clock)
 	if err != nil {
 		return err
 	}
-	f, err := peers.Start(peers.Plan{Callers: callers, Copies: kept, Budgets: shared, Health: p.below(), Counts: own.Counts, Name: start.Name, Listen: own.FleetListen, Voters: voters, Join: own.FleetJoin,
-		Plans: p.plans(start, clock), Terms: memberTerms(own), Silent: silent, Rollout: rollout(own), Seed: start.Seed, Build: build(),
-		Now: clock.Now, Unix: clock.Unix, Via: via, Passes: dieAt(), Apply: p.apply,
+	f, err := peers.Start(peers.Config{Trust: callers, Replication: kept, Quotas: shared, Health: p.below(), CountersEnabled: own.Counts, Name: start.Name, ListenAddr: own.FleetListen, Voters: voters, JoinAddrs: own.FleetJoin,
+		LoadPlan: p.plans(start, clock), LeaseTerms: memberTerms(own), OnLeaseExpiry: silent, Rollout: rollout(own), Seed: start.Seed, Build: build(),
+		Now: clock.Now, UnixNow: clock.UnixNow, RelayAddrs: via, OnTracePoint: dieAt(), Apply: p.apply,
 		Publish: func(to *stance.Directive) {
 			here := *to
-			here.ChangesAt = clock.Back(to.ChangesAt)
+			here.ChangesAt = clock.ToSource(to.ChangesAt)
 			server.SetDirective(&here)
 		}})
 	if err != nil {
@@ -103,13 +103,13 @@
 	}
 	if kept != nil {
 		server.EnableKeyClaims(f, own.ReplicaKeyed, own.ReplicaWindow.Seconds())
-		slog.Info("fleet_replica", "holders", len(kept.Place.Members), "copies", kept.Place.ReplicationFactor, "need", kept.Place.Quorum, "keyed", strings.Join(own.ReplicaKeyed, ","))
+		slog.Info("fleet_replica", "holders", len(kept.Placement.Members), "copies", kept.Placement.ReplicationFactor, "need", kept.Placement.Quorum, "keyed", strings.Join(own.ReplicaKeyed, ","))
 	}
 	if shared != nil || own.Below || p.dispatcher != nil {
-		server.EnableQuota(func(list []serve.QuotaUsage) { f.Used(uses(list)) })
+		server.EnableQuota(func(list []serve.QuotaUsage) { f.ReportUsage(uses(list)) })
 	}
 	if own.Below {
-		server.ReportUpstreamCalls(f.Called)
+		server.ReportUpstreamCalls(f.ReportCalls)
 		slog.Info("fleet_below", "is", "judged", "zone", own.Zone)
 	}
 	if shared != nil {
@@ -117,27 +117,27 @@
 	}
 	if p.dispatcher != nil {
 		server.ReportCounters(func(list []stance.CounterCell) bool {
-			told := !own.Counts || f.Tallied(list)
+			told := !own.Counts || f.ReportCounts(list)
 			if told {
 				p.dispatcher.Asked(list)
 			}
 			return told
 		})
 	} else if own.Counts {
-		server.ReportCounters(f.Tallied)
+		server.ReportCounters(f.ReportCounts)
 	}
 	if own.Counts {
 		slog.Info("fleet_counts", "keepers", len(voters))
 	}
 	if callers != nil {
-		server.ReportTrustedClients(f.Earned, replica.MaxTrustedClients)
+		server.ReportTrustedClients(f.ReportTrusted, replica.MaxTrustedClients)
 	}
 	if own.FleetControl != "" {
-		if _, err := f.Control(own.FleetControl); err != nil {
+		if _, err := f.ServeControl(own.FleetControl); err != nil {
 			return fmt.Errorf("fleet-control: %w", err)
 		}
 	}
-	slog.Info("fleet", "name", start.Name, "life", strconv.FormatUint(f.Life(), 16), "listen", own.FleetListen, "control", own.FleetControl,
+	slog.Info("fleet", "name", start.Name, "life", strconv.FormatUint(f.Incarnation(), 16), "listen", own.FleetListen, "control", own.FleetControl,
 		"voters", len(voters), "silent", own.FleetSilent, "build", build())
 	return nil
 }
@@ -167,7 +167,7 @@
 }
 
 // copies is what the operator's file says of the state that several servers keep, nil where it says nothing.
-func copies(start *life.Startup, own *life.OperatorSettings, server *serve.Server) (*peers.Copies, error) {
+func copies(start *life.Startup, own *life.OperatorSettings, server *serve.Server) (*peers.ReplicationConfig, error) {
 	if len(own.ReplicaHolders) == 0 {
 		if len(own.ReplicaKeyed) > 0 {
 			return nil, errors.New("replica-keyed: needs replica-holders")
@@ -201,7 +201,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("replica-holders: %w", err)
 	}
-	return &peers.Copies{Place: place, Entries: own.ReplicaRecords, Bytes: own.ReplicaMemory << 20, Rate: float64(own.ReplicaRate) * 1024, Rule: server.HandleClaimVerdict}, nil
+	return &peers.ReplicationConfig{Placement: place, MaxRecords: own.ReplicaRecords, MaxBytes: own.ReplicaMemory << 20, CatchUpRate: float64(own.ReplicaRate) * 1024, OnVerdict: server.HandleClaimVerdict}, nil
 }
 
 // apply has the server act on a released text over its own file.
--- a/internal/lab/copies/copies.go
+++ b/internal/lab/copies/copies.go
@@ -177,7 +177,7 @@
 	chance := rand.New(rand.NewPCG(r.Seed, 19))
 	die := map[string]string{}
 	for range 2 {
-		point := peers.Points[chance.IntN(len(peers.Points))]
+		point := peers.TracePoints[chance.IntN(len(peers.TracePoints))]
 		die[names[chance.IntN(len(names))]] = fmt.Sprintf("%s,%d,%g", point, 1+chance.IntN(30), window.Seconds()+6)
 	}
 	return die
@@ -412,10 +412,10 @@
 // differ counts the slots of all holders that they may not answer for, or know to differ.
 func (r *run) differ() (n int) {
 	s, err := r.fleet.State(r.fleet.Names[0])
-	if err != nil || len(s.Copies) < len(r.fleet.Names) {
+	if err != nil || len(s.Replicas) < len(r.fleet.Names) {
 		return 1
 	}
-	for _, c := range s.Copies {
+	for _, c := range s.Replicas {
 		n += c.CatchingUp + c.OutOfSync
 	}
 	return n
--- a/internal/lab/emulate/budgets.go
+++ b/internal/lab/emulate/budgets.go
@@ -94,10 +94,10 @@
 	for _, t := range s.servers {
 		sp := &spender{talker: t}
 		s.spenders = append(s.spenders, sp)
-		t.budgets = func(clock *peers.Clock) *peers.Budgets {
-			return &peers.Budgets{Terms: func() budget.Config { return terms }, Hear: func(list []budget.Allowance) {
+		t.budgets = func(clock *peers.Clock) *peers.QuotaConfig {
+			return &peers.QuotaConfig{Settings: func() budget.Config { return terms }, OnAllowances: func(list []budget.Allowance) {
 				a := list[0]
-				sp.may = stance.Allowance{Guaranteed: a.Floor, LeasedShare: a.LeasedShare, LeaseExpiry: clock.Back(a.LeaseExpiry), GrantNumber: a.GrantNumber}
+				sp.may = stance.Allowance{Guaranteed: a.Floor, LeasedShare: a.LeasedShare, LeaseExpiry: clock.ToSource(a.LeaseExpiry), GrantNumber: a.GrantNumber}
 			}}
 		}
 	}
@@ -135,7 +135,7 @@
 // use has a loop say what it used, again and again.
 func (sp *spender) use() {
 	if sp.alive && !sp.asleep {
-		sp.part.HeedUses(sp.part.Now(), []peers.Use{{Name: sharedName, Demand: sp.demand, Answer: sp.may.GrantNumber}})
+		sp.part.ObserveUsage(sp.part.Now(), []peers.Usage{{Name: sharedName, Demand: sp.demand, Answer: sp.may.GrantNumber}})
 		sp.turn()
 	}
 	sp.after(sharedEvery, sp.use)
--- a/internal/lab/emulate/claims.go
+++ b/internal/lab/emulate/claims.go
@@ -75,12 +75,12 @@
 }
 
 // copies is a server's part in it, nil where no keys are claimed.
-func (s *talker) copies() *peers.Copies {
+func (s *talker) copies() *peers.ReplicationConfig {
 	l := s.ledger
 	if l == nil {
 		return nil
 	}
-	return &peers.Copies{Place: l.place, Entries: 100_000, Bytes: 64 << 20, Rate: 4 << 20, Rule: func(id string, r stance.ClaimVerdict, result []byte) {
+	return &peers.ReplicationConfig{Placement: l.place, MaxRecords: 100_000, MaxBytes: 64 << 20, CatchUpRate: 4 << 20, OnVerdict: func(id string, r stance.ClaimVerdict, result []byte) {
 		s.after(0, func() { s.ruled(id, r, string(result)) }) // as the loop, which takes it later
 	}}
 }
@@ -95,8 +95,8 @@
 	if s := t.servers[t.chance.IntN(len(t.servers))]; s.alive && !s.asleep {
 		l.row.Tries++
 		id := fmt.Sprintf("t%d", l.row.Tries)
-		l.tries[id] = &keyTry{key: key, at: t.now, by: s, life: s.part.Life()}
-		s.part.Heed(s.part.Now(), peers.Word{ID: id, Stage: "s", Key: key, Left: keyLongest})
+		l.tries[id] = &keyTry{key: key, at: t.now, by: s, life: s.part.Incarnation()}
+		s.part.HandleClaimEvent(s.part.Now(), peers.ClaimEvent{ID: id, Class: "s", Key: key, Timeout: keyLongest})
 		s.turn()
 	}
 	t.after(t.exponential(1/t.plan.Keys), t.claim)
@@ -106,7 +106,7 @@
 func (s *talker) ruled(id string, r stance.ClaimVerdict, result string) {
 	l := s.ledger
 	try := l.tries[id]
-	if !s.alive || try == nil || try.life != s.part.Life() {
+	if !s.alive || try == nil || try.life != s.part.Incarnation() {
 		return
 	}
 	try.told = true
@@ -115,7 +115,7 @@
 	case stance.ClaimGranted:
 		l.grants = append(l.grants, s.now-try.at)
 		if s.asleep || s.now > try.at+keyLongest { // woken past its due moment: the module rejects it
-			s.word(peers.Word{ID: id, Never: true})
+			s.word(peers.ClaimEvent{ID: id, Canceled: true})
 			return
 		}
 		l.row.Runs++
@@ -128,8 +128,8 @@
 		l.runs[try.key] = append(l.runs[try.key], keyRun{s.now, out})
 		life := try.life
 		s.after(0.02+s.exponential(0.05), func() {
-			if s.alive && s.part.Life() == life {
-				s.word(peers.Word{ID: id, Ended: true, Well: true, Result: []byte(out)})
+			if s.alive && s.part.Incarnation() == life {
+				s.word(peers.ClaimEvent{ID: id, Finished: true, Succeeded: true, Result: []byte(out)})
 			}
 		})
 	case stance.ClaimCached:
@@ -139,8 +139,8 @@
 	}
 }
 
-func (s *talker) word(w peers.Word) {
-	s.part.Heed(s.part.Now(), w)
+func (s *talker) word(w peers.ClaimEvent) {
+	s.part.HandleClaimEvent(s.part.Now(), w)
 	s.turn()
 }
 
@@ -148,13 +148,13 @@
 func (l *ledger) sum(t *talks) {
 	l.row.Keys = len(l.keys)
 	for _, try := range l.tries {
-		if !try.told && try.by.alive && try.by.part.Life() == try.life && t.now > try.at+2*keyLongest {
+		if !try.told && try.by.alive && try.by.part.Incarnation() == try.life && t.now > try.at+2*keyLongest {
 			l.row.Untold++
 		}
 	}
 	l.row.Differ, l.row.Alarms = 0, 0
 	for _, s := range t.servers {
-		c := s.part.CopiesState()
+		c := s.part.ReplicationStatus()
 		l.row.Differ += c.CatchingUp + c.OutOfSync
 		l.row.Alarms += c.ConflictingResults
 	}
--- a/internal/lab/emulate/counts.go
+++ b/internal/lab/emulate/counts.go
@@ -122,13 +122,13 @@
 // ask has a loop count what it was asked for.
 func (c *tallying) ask(s *talker) {
 	if s.alive && !s.asleep {
-		life := c.lives[s.part.Life()]
+		life := c.lives[s.part.Incarnation()]
 		if life == nil {
 			life = &counted{}
-			c.lives[s.part.Life()] = life
+			c.lives[s.part.Incarnation()] = life
 		}
-		state := s.part.Counted(s.part.Now())
-		if life.unplaced = state.Unplaced; state.Agreed {
+		state := s.part.CounterStatus(s.part.Now())
+		if life.unplaced = state.Unplaced; state.Acknowledged {
 			life.sure = life.truth
 		}
 		if !c.quiet {
@@ -138,7 +138,7 @@
 				cell := stance.CounterKey{Tenant: "acme", Class: fmt.Sprint(c.chance.IntN(countedCells))}
 				list = append(list, stance.CounterCell{CounterKey: cell, RequestCounts: stance.RequestCounts{Received: 1, Finished: 1}})
 			}
-			s.part.HeedTallies(list)
+			s.part.ObserveCounts(list)
 		}
 		s.turn()
 	}
@@ -166,7 +166,7 @@
 	alive := map[uint64]bool{}
 	for _, s := range c.servers {
 		if s.alive {
-			alive[s.part.Life()] = true
+			alive[s.part.Incarnation()] = true
 		}
 	}
 	for number, life := range c.lives {
@@ -187,7 +187,7 @@
 		if !v.alive || v.asleep {
 			continue
 		}
-		if k := v.part.Counted(v.part.Now()).Known; k != nil && !k.Recovering {
+		if k := v.part.CounterStatus(v.part.Now()).Totals; k != nil && !k.Recovering {
 			stand++
 			c.reporter = v
 		}
@@ -195,7 +195,7 @@
 	if stand <= c.plan.Voters/2 {
 		c.row.Lost++
 	} else if v := c.reporter; c.row.Lost == 0 && v != nil && v.alive && !v.asleep {
-		k := v.part.Counted(v.part.Now()).Known
+		k := v.part.CounterStatus(v.part.Now()).Totals
 		low, _ := c.bounds()
 		c.looks++
 		// What its loop has counted and not told, and what is on the way, is half a second's of all.
@@ -223,11 +223,11 @@
 		c.row.Over, c.row.Under, c.row.Closed = 0, 0, 0
 		open := false
 		for _, v := range c.servers[:c.plan.Voters] {
-			k := v.part.Counted(v.part.Now()).Known
+			k := v.part.CounterStatus(v.part.Now()).Totals
 			got := uint64(sum(k.Total))
 			c.row.Over = max(c.row.Over, got-min(got, high))
 			c.row.Under = max(c.row.Under, low-min(got, low))
-			c.row.Closed = len(v.part.Known().ClosedRows)
+			c.row.Closed = len(v.part.ReleaseLog().ClosedRows)
 			open = open || k.OpenRows > len(c.servers) || k.Recovering
 		}
 		if c.row.SettledIn = c.now - from; !open && c.row.Over == 0 && c.row.Under == 0 {
--- a/internal/lab/emulate/levels.go
+++ b/internal/lab/emulate/levels.go
@@ -126,7 +126,7 @@
 	}
 	for i, s := range l.servers {
 		if i < p.Planners {
-			s.plans = func(*peers.Clock) *peers.Plans { return &peers.Plans{Makes: true} }
+			s.plans = func(*peers.Clock) *peers.LoadPlanConfig { return &peers.LoadPlanConfig{IsPlanner: true} }
 		} else {
 			l.forward(s, i-p.Planners, p.Load*can*weights[i-p.Planners]/sum)
 		}
@@ -164,7 +164,7 @@
 		}
 	}
 	for _, f := range l.forwarders {
-		l.row.Refusals += f.part.Planned(f.part.Now()).Stale
+		l.row.Refusals += f.part.LoadPlanStatus(f.part.Now()).Stale
 	}
 	l.row.Untold = l.row.Asked - l.settled
 	l.row.Service = float64(len(l.took)) / float64(max(1, l.row.Asked))
@@ -189,9 +189,9 @@
 		}
 	}
 	l.forwarders = append(l.forwarders, f)
-	s.plans = func(clock *peers.Clock) *peers.Plans {
-		return &peers.Plans{
-			Tell: func(float64) *plan.Report {
+	s.plans = func(clock *peers.Clock) *peers.LoadPlanConfig {
+		return &peers.LoadPlanConfig{
+			Report: func(float64) *plan.Report {
 				r := &plan.Report{For: max(l.now-f.since, 1e-3), Demand: []plan.Demand{{Rate: float64(f.asked) / max(l.now-f.since, 1e-3)}}}
 				f.since, f.asked = l.now, 0
 				for _, w := range f.router.Tell() {
@@ -199,7 +199,7 @@
 				}
 				return r
 			},
-			Hear: func(p *plan.Part, until float64) {
+			OnShare: func(p *plan.Part, until float64) {
 				if p.Number.Compare(f.holds) < 0 {
 					l.row.Stale++
 				}
@@ -208,7 +208,7 @@
 				for _, w := range p.Weights {
 					weights[w.Name] = w.Part
 				}
-				f.router.Plan(l.now, weights, clock.Back(until))
+				f.router.Plan(l.now, weights, clock.ToSource(until))
 			},
 		}
 	}
--- a/internal/lab/emulate/versions.go
+++ b/internal/lab/emulate/versions.go
@@ -80,7 +80,7 @@
 	*talks
 	name    string
 	number  int
-	part    *peers.Part
+	part    *peers.Agent
 	chance  *rand.Rand
 	alive   bool
 	asleep  bool
@@ -93,10 +93,10 @@
 	acts    version.Epoch
 	sent    int
 	bytes   int
-	hurt    float64                           // until when it may be hindered
-	budgets func(*peers.Clock) *peers.Budgets // nil where none are shared
+	hurt    float64                               // until when it may be hindered
+	budgets func(*peers.Clock) *peers.QuotaConfig // nil where none are shared
 	counts  bool
-	plans   func(*peers.Clock) *peers.Plans // nil where there are none
+	plans   func(*peers.Clock) *peers.LoadPlanConfig // nil where there are none
 }
 
 // talks is a run.
@@ -188,16 +188,16 @@
 	rate, off := 0.99+0.02*s.chance.Float64(), 7200*s.chance.Float64()-3600
 	from := s.now
 	clock := peers.NewClock(func() float64 { return s.now }, 1.8e9+from, off, rate)
-	var shared *peers.Budgets
+	var shared *peers.QuotaConfig
 	if s.budgets != nil {
 		shared = s.budgets(clock)
 	}
-	var plans *peers.Plans
+	var plans *peers.LoadPlanConfig
 	if s.plans != nil {
 		plans = s.plans(clock)
 	}
-	s.part = peers.NewPart(peers.Plan{Plans: plans, Budgets: shared, Counts: s.counts, Name: s.name, Listen: s.name, Voters: s.voters, Terms: versionTerms, Silent: member.FallbackOutOfService,
-		Copies: s.copies(), Rollout: version.RolloutPolicy{WaveSeconds: 1, HaltConfidence: 1}, Build: "b", Say: func(string, ...any) {}, Now: clock.Now, Unix: clock.Unix,
+	s.part = peers.NewPart(peers.Config{LoadPlan: plans, Quotas: shared, CountersEnabled: s.counts, Name: s.name, ListenAddr: s.name, Voters: s.voters, LeaseTerms: versionTerms, OnLeaseExpiry: member.FallbackOutOfService,
+		Replication: s.copies(), Rollout: version.RolloutPolicy{WaveSeconds: 1, HaltConfidence: 1}, Build: "b", Log: func(string, ...any) {}, Now: clock.Now, UnixNow: clock.UnixNow,
 		Apply: func(string) error {
 			if s.refuses {
 				return errors.New("its limits differ")
@@ -206,7 +206,7 @@
 		},
 		Publish: func(to *stance.Directive) {
 			s.view = *to
-			s.view.ChangesAt = clock.Back(to.ChangesAt)
+			s.view.ChangesAt = clock.ToSource(to.ChangesAt)
 		}}, s.chance.Uint64()|1, s, s.chance)
 	s.turn()
 }
@@ -217,10 +217,10 @@
 		return
 	}
 	now := s.part.Now()
-	s.part.Due(now)
-	view, acts := s.part.Standing()
+	s.part.Tick(now)
+	view, acts := s.part.ServingState()
 	s.state = view.State
-	if o := s.part.Known(); s.number < s.plan.Voters && o.AppliedCount > 0 && (s.newest == nil || o.NewerThan(s.newest)) {
+	if o := s.part.ReleaseLog(); s.number < s.plan.Voters && o.AppliedCount > 0 && (s.newest == nil || o.NewerThan(s.newest)) {
 		s.newest = o
 	}
 	if acts.Epoch != s.acts {
@@ -233,7 +233,7 @@
 			s.took = append(s.took, s.now-at)
 		}
 	}
-	wait := max(0.001, s.part.Next()-now)
+	wait := max(0.001, s.part.NextWakeup()-now)
 	if s.armed {
 		s.timers.Cancel(s.timer)
 	}
@@ -267,17 +267,17 @@
 		}
 		return
 	}
-	if m, err := wire.Read(b); err == nil {
-		s.part.Take(s.part.Now(), m)
+	if m, err := wire.Decode(b); err == nil {
+		s.part.HandleMessage(s.part.Now(), m)
 		s.turn()
 	}
 }
 
-// Where, All, Some and Knows tell who is there, rightly.
-func (s *talker) Where(name string, _ uint64, _ string) string { return name }
+// AddrOf, All, Some and Knows tell who is there, rightly.
+func (s *talker) AddrOf(name string, _ uint64, _ string) string { return name }
 
-// All lists the others.
-func (s *talker) All() map[string]string {
+// Members lists the others.
+func (s *talker) Members() map[string]string {
 	all := map[string]string{}
 	for _, o := range s.servers {
 		if o.alive && o != s {
@@ -287,8 +287,8 @@
 	return all
 }
 
-// Some draws some.
-func (s *talker) Some(most int, chance *rand.Rand) (addrs []string) {
+// Sample draws some.
+func (s *talker) Sample(most int, chance *rand.Rand) (addrs []string) {
 	for range most {
 		if o := s.servers[chance.IntN(len(s.servers))]; o != s && o.alive {
 			addrs = append(addrs, o.name)
@@ -297,8 +297,8 @@
 	return addrs
 }
 
-// Knows tells whether one is there.
-func (s *talker) Knows(name string) bool { return s.names[name] != nil && s.names[name].alive }
+// HasMember tells whether one is there.
+func (s *talker) HasMember(name string) bool { return s.names[name] != nil && s.names[name].alive }
 
 // hurts notes that servers may be hindered for so long, and a little longer.
 func (t *talks) hurts(seconds float64, servers ...*talker) {
@@ -370,19 +370,19 @@
 func (t *talks) release(s *talker) {
 	text := fmt.Sprintf("door-come-back %gs\n", 1+math.Floor(t.now))
 	waves := [][]float64{nil, {0.01, 0.1, 0.5}}[t.chance.IntN(2)]
-	s.part.Order(s.part.Now(), version.Command{Kind: version.KindRelease, Author: s.name, Text: text, Digest: version.Digest(text, ""), Waves: waves},
-		func(d wire.Done) {
-			if d.Refused == "" {
+	s.part.SubmitCommand(s.part.Now(), version.Command{Kind: version.KindRelease, Author: s.name, Text: text, Digest: version.Digest(text, ""), Waves: waves},
+		func(d wire.CommandResult) {
+			if d.RejectReason == "" {
 				t.row.Releases++
 				if waves == nil {
-					t.released[d.Newest] = t.now
+					t.released[d.NewestEpoch] = t.now
 				}
 			}
 		})
 	s.turn()
 }
 
-func (s *talker) wake(life *peers.Part) {
+func (s *talker) wake(life *peers.Agent) {
 	if s.part != life || !s.asleep {
 		return
 	}
@@ -398,8 +398,8 @@
 // living is the order of the living voter that knows most: what a lost group did that nobody knows of any more is not in it.
 func (t *talks) living() (o *version.Log) {
 	for _, v := range t.servers[:t.plan.Voters] {
-		if v.alive && (o == nil || v.part.Known().NewerThan(o)) {
-			o = v.part.Known()
+		if v.alive && (o == nil || v.part.ReleaseLog().NewerThan(o)) {
+			o = v.part.ReleaseLog()
 		}
 	}
 	return o
@@ -415,11 +415,11 @@
 			}
 			leased := s.state == member.StateLeased && t.now < s.view.ChangesAt
 			out, is := o.Ejected[s.name]
-			if leased && is && out.Incarnation == s.part.Life() && living.Ejected[s.name].Incarnation == out.Incarnation {
+			if leased && is && out.Incarnation == s.part.Incarnation() && living.Ejected[s.name].Incarnation == out.Incarnation {
 				t.row.ActedOut++
 			}
 			quiet := s.state == member.StateExpired || s.state == member.StateLeased && t.now >= s.view.ChangesAt
-			if quiet && s.view.ModeAt(t.now) == stance.ModeOutOfService && o.Members[s.name] == s.part.Life() {
+			if quiet && s.view.ModeAt(t.now) == stance.ModeOutOfService && o.Members[s.name] == s.part.Incarnation() {
 				away++
 			}
 		}
--- a/internal/lab/faults/budget_test.go
+++ b/internal/lab/faults/budget_test.go
@@ -58,8 +58,8 @@
 	d.Set(1, "n1")
 	d.Set(300, "n4")
 	f.has(t, d, "n4", 0.8*shared)
-	s, err := peers.AskBudgets(f.control[f.leader(t)])
-	if err != nil || !s.Leads || len(s.Granted) != 1 || s.Granted[0].Leased > s.Granted[0].Pool+1e-9 || s.Granted[0].Leased < 0.5*s.Granted[0].Pool {
+	s, err := peers.FetchQuotas(f.control[f.leader(t)])
+	if err != nil || !s.IsLeader || len(s.Granted) != 1 || s.Granted[0].Leased > s.Granted[0].Pool+1e-9 || s.Granted[0].Leased < 0.5*s.Granted[0].Pool {
 		t.Errorf("an operator hears %+v, %v", s, err)
 	}
 	if r := d.Rate("n4", time.Second) + d.Rate("n1", time.Second); r > 1.5*shared+sharedSlack {
--- a/internal/lab/faults/counts_test.go
+++ b/internal/lab/faults/counts_test.go
@@ -28,16 +28,16 @@
 
 // counted is what a voter knows that all were asked for, and by how many lives that are not closed.
 func (f *Fleet) counted(name string) (t stance.RequestCounts, rows int) {
-	s, err := peers.AskCounts(f.control[name])
-	if err != nil || s.Known == nil {
+	s, err := peers.FetchCounters(f.control[name])
+	if err != nil || s.Totals == nil {
 		return t, -1
 	}
-	for _, n := range s.Known.Total {
+	for _, n := range s.Totals.Total {
 		if n.Tenant == "acme" && n.Class == Ping {
 			t = t.Add(n.RequestCounts)
 		}
 	}
-	return t, s.Known.OpenRows
+	return t, s.Totals.OpenRows
 }
 
 // TestCountsHoldThroughFaults: five processes count what they are asked for; servers are cut off, stopped, killed, and taken for another life, the leader
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -107,11 +107,11 @@
 	f.await(t, "all act on the release", func() bool { return f.AllOn(e, f.Names...) })
 	f.await(t, "the audit knows it", func() bool {
 		s, err := f.State("n4")
-		if err != nil || len(s.Report.Alarms) > 0 || len(s.Report.Behind) > 0 || len(s.Report.Holes) > 0 {
+		if err != nil || len(s.Audit.Alarms) > 0 || len(s.Audit.Behind) > 0 || len(s.Audit.Holes) > 0 {
 			return false
 		}
 		on := 0
-		for _, a := range s.Report.Accounts {
+		for _, a := range s.Audit.Accounts {
 			if n := len(a.Intervals); n > 0 && a.Intervals[n-1].Epoch == e {
 				on++
 			}
@@ -199,7 +199,7 @@
 // seated tells whether a voter says that it knows the order.
 func (f *Fleet) seated(name string) bool {
 	s, err := f.State(name)
-	return err == nil && s.Order != nil && s.Order.AppliedCount > 0 && len(s.Standings) > 0
+	return err == nil && s.ReleaseLog != nil && s.ReleaseLog.AppliedCount > 0 && len(s.Servers) > 0
 }
 
 func TestAServerThatCanNotApplyIsShutOutAndTold(t *testing.T) {
@@ -211,7 +211,7 @@
 		if err != nil {
 			return false
 		}
-		for _, b := range s.Report.Behind {
+		for _, b := range s.Audit.Behind {
 			if b.Name == "n5" && strings.HasPrefix(b.Why, "shut out: ") && strings.Contains(b.Why, "can't be changed while serving") {
 				return true
 			}
@@ -249,7 +249,7 @@
 	}
 	defer twin.Kill()
 	f.await(t, "the second process is told that its name is taken", f.hasSaid("n4", "fleet_standing", "state", "taken"))
-	if s, err := f.State("n4"); err != nil || s.Standing != "acting" {
+	if s, err := f.State("n4"); err != nil || s.LeaseState != "acting" {
 		t.Errorf("the first process: %+v, %v", s, err)
 	}
 }
@@ -266,7 +266,7 @@
 	f.await(t, "all act on it", func() bool { return f.AllOn(e, f.Names...) })
 	f.await(t, "the audit has holes where lives ended, and no alarm", func() bool {
 		s, err := f.State("n1")
-		return err == nil && len(s.Report.Alarms) == 0 && len(s.Report.Holes) >= 1 && len(s.Report.Accounts) > 5
+		return err == nil && len(s.Audit.Alarms) == 0 && len(s.Audit.Holes) >= 1 && len(s.Audit.Accounts) > 5
 	})
 }
 
@@ -283,7 +283,7 @@
 // lease is over: what had not begun is rejected, and it takes nothing in until it hears its leader again, which is after the answers here.
 func TestAStoppedServerWakesPastItsLease(t *testing.T) {
 	f := begin(t, Plan{Servers: 5, Seed: 9, Conf: "fleet-silent leave\nfleet-most-out 100%\n"})
-	f.await(t, "n5 may leave", func() bool { s, err := f.State("n5"); return err == nil && s.MayLeave })
+	f.await(t, "n5 may leave", func() bool { s, err := f.State("n5"); return err == nil && s.MayGoOutOfService })
 	c, answers := f.balancer(t, "n5")
 	if err := f.Stop("n5"); err != nil {
 		t.Fatal(err)
@@ -362,7 +362,7 @@
 	callers.Wait()
 	f.await(t, "all act on the version after it", func() bool {
 		s, err := f.State("n1")
-		return err == nil && s.Order.Next == nil && s.Order.Current.Text == "" && f.AllOn(s.Order.Current.Epoch, f.Names...)
+		return err == nil && s.ReleaseLog.Next == nil && s.ReleaseLog.Current.Text == "" && f.AllOn(s.ReleaseLog.Current.Epoch, f.Names...)
 	})
 }
 
@@ -418,7 +418,7 @@
 		f.await(t, strings.Join(step.words, " "), func() bool { return say(step.want, step.words...) })
 	}
 	s, err := f.State("n1")
-	if err != nil || len(s.Order.History) < 2 || s.Order.History[len(s.Order.History)-1].Outcome != "rolled back: by a test" || s.Order.Current.Text != "" {
+	if err != nil || len(s.ReleaseLog.History) < 2 || s.ReleaseLog.History[len(s.ReleaseLog.History)-1].Outcome != "rolled back: by a test" || s.ReleaseLog.Current.Text != "" {
 		t.Errorf("%+v, %v", s, err)
 	}
 	if say("", "release", program) {
--- a/internal/lab/faults/fleet.go
+++ b/internal/lab/faults/fleet.go
@@ -308,13 +308,13 @@
 }
 
 // State asks a server what it knows of the fleet.
-func (f *Fleet) State(name string) (*peers.State, error) {
-	return peers.AskState(f.control[name], "")
+func (f *Fleet) State(name string) (*peers.Status, error) {
+	return peers.FetchStatus(f.control[name], "")
 }
 
 // Command asks a server for a command, and tells the newest epoch after it.
 func (f *Fleet) Command(name string, c version.Command) (version.Epoch, error) {
-	return peers.AskCommand(f.control[name], c)
+	return peers.SendCommand(f.control[name], c)
 }
 
 // Release asks a server for a release.
--- a/internal/lab/versions/versions.go
+++ b/internal/lab/versions/versions.go
@@ -254,20 +254,20 @@
 func (r *run) judge() error {
 	f := r.fleet
 	r.releasing.Wait()
-	var s *peers.State
+	var s *peers.Status
 	var err error
 	healed := faults.Until(healIn, func() bool {
 		if s, err = f.State(r.names[0]); err != nil {
 			return false
 		}
-		return s.Order.Next == nil && len(s.Standings) >= len(r.names) && f.AllOn(s.Order.Current.Epoch, r.names...)
+		return s.ReleaseLog.Next == nil && len(s.Servers) >= len(r.names) && f.AllOn(s.ReleaseLog.Current.Epoch, r.names...)
 	})
 	if err != nil {
 		return err
 	}
 	if !healed {
 		for _, name := range r.names {
-			if f.ActsOn(name) < s.Order.NewestEpoch() {
+			if f.ActsOn(name) < s.ReleaseLog.NewestEpoch() {
 				r.row.Unhealed++
 			}
 		}
@@ -326,13 +326,13 @@
 }
 
 // disagrees counts where the audit says other than the servers did: an interval that was not, or one that was and is neither told nor in a hole.
-func (r *run) disagrees(s *peers.State) (wrong, holes int) {
+func (r *run) disagrees(s *peers.Status) (wrong, holes int) {
 	for _, name := range r.names {
 		ids, acts := lives(r.fleet, name)
 		for i, id := range ids {
 			told := map[string]bool{}
-			hole := slices.ContainsFunc(s.Report.Holes, func(h audit.Hole) bool { return h.Name == name && h.Life == id })
-			for _, a := range s.Report.Accounts {
+			hole := slices.ContainsFunc(s.Audit.Holes, func(h audit.Hole) bool { return h.Name == name && h.Life == id })
+			for _, a := range s.Audit.Accounts {
 				if a.Name != name || a.Life != id {
 					continue
 				}
--- a/internal/peers/callers.go
+++ b/internal/peers/callers.go
@@ -10,114 +10,114 @@
 
 // This file is what a process tells others of the callers known at its door, and is told of them when it is new.
 
-// Callers is what a process does with them.
-type Callers struct {
-	Forget float64 // seconds for which others' words are kept
-	Most   int     // callers that a door takes over
+// TrustConfig is what a process does with them.
+type TrustConfig struct {
+	Retention  float64 // seconds for which others' words are kept
+	MaxClients int     // callers that a door takes over
 	// Hear hands the serving loop callers that earned being known elsewhere.
-	Hear func([]door.Earned)
+	OnTrusted func([]door.Earned)
 }
 
-// callers is the part's state of them.
-type callers struct {
-	*Callers
-	vouchers *replica.TrustTable
-	own      replica.TrustRecord
-	began    float64
-	askAt    float64
-	tellAt   float64
-	heard    bool
+// trustState is the part's state of them.
+type trustState struct {
+	*TrustConfig
+	records     *replica.TrustTable
+	own         replica.TrustRecord
+	started     float64
+	lastRequest float64
+	lastReport  float64
+	received    bool
 }
 
 const (
-	// newFor is how long after its start a server takes others' words for its door: then its callers have had time to earn it, and whoever lies to it
+	// acceptFor is how long after its start a server takes others' words for its door: then its callers have had time to earn it, and whoever lies to it
 	// later bends nothing.
-	newFor = 30.0
-	// askCallersEvery and askCallersFor: some others are asked at once, and again until one has answered.
-	askCallersEvery, askCallersFor = 0.2, 5.0
-	// tellEvery is how often others are told, and briefTo of them: with three, a caller known to one server is known to a fourth of what is left after two die.
-	tellEvery = 4.0
-	// maxVouchers go in one answer: 16 lists of 256 callers are 100 KB.
-	maxVouchers = 16
-	// maxEarnings wait for the goroutine; a newer list comes soon.
-	maxEarnings = 2
+	acceptFor = 30.0
+	// trustRequestEvery and askCallersFor: some others are asked at once, and again until one has answered.
+	trustRequestEvery, trustRequestFor = 0.2, 5.0
+	// trustReportEvery is how often others are told, and briefTo of them: with three, a caller known to one server is known to a fourth of what is left after two die.
+	trustReportEvery = 4.0
+	// maxTrustRecords go in one answer: 16 lists of 256 callers are 100 KB.
+	maxTrustRecords = 16
+	// maxTrustedLists wait for the goroutine; a newer list comes soon.
+	maxTrustedLists = 2
 )
 
-// Earned takes the callers known at this server's door, from the serving loop.
-func (f *Peers) Earned(list []door.Earned) {
+// ReportTrusted takes the callers known at this server's door, from the serving loop.
+func (f *Node) ReportTrusted(list []door.Earned) {
 	select {
-	case f.earnings <- list:
+	case f.trustedClients <- list:
 	default:
 	}
 }
 
-func (f *Part) beginCallers(now float64) {
-	if f.Callers == nil {
+func (f *Agent) beginCallers(now float64) {
+	if f.Trust == nil {
 		return
 	}
-	f.callers = &callers{Callers: f.Plan.Callers, vouchers: replica.NewTrustTable(f.Plan.Callers.Forget), began: now, askAt: math.Inf(-1), tellAt: now}
+	f.trust = &trustState{TrustConfig: f.Config.Trust, records: replica.NewTrustTable(f.Config.Trust.Retention), started: now, lastRequest: math.Inf(-1), lastReport: now}
 }
 
-func (f *Part) earned(list []door.Earned) {
-	if c := f.callers; c != nil {
-		c.own = replica.TrustRecord{Name: f.Name, Incarnation: f.life, Sequence: uint64(max(0, f.Unix()*1000)), Clients: list}
+func (f *Agent) earned(list []door.Earned) {
+	if c := f.trust; c != nil {
+		c.own = replica.TrustRecord{Name: f.Name, Incarnation: f.incarnation, Sequence: uint64(max(0, f.UnixNow()*1000)), Clients: list}
 	}
 }
 
-func (f *Part) dueCallers(now float64) {
-	c := f.callers
+func (f *Agent) dueCallers(now float64) {
+	c := f.trust
 	if c == nil {
 		return
 	}
-	if !c.heard && now < c.began+askCallersFor && now >= c.askAt+askCallersEvery {
-		c.askAt = now
-		for _, addr := range f.net.Some(briefTo, f.chance) {
-			f.send(addr, &wire.Message{AskCallers: true})
+	if !c.received && now < c.started+trustRequestFor && now >= c.lastRequest+trustRequestEvery {
+		c.lastRequest = now
+		for _, addr := range f.network.Sample(gossipFanout, f.random) {
+			f.send(addr, &wire.Envelope{TrustRequest: true})
 		}
 	}
-	if now >= c.tellAt+tellEvery {
-		c.tellAt = now
+	if now >= c.lastReport+trustReportEvery {
+		c.lastReport = now
 		if len(c.own.Clients) > 0 {
-			for _, addr := range f.net.Some(briefTo, f.chance) {
-				f.send(addr, &wire.Message{Vouchers: []replica.TrustRecord{c.own}})
+			for _, addr := range f.network.Sample(gossipFanout, f.random) {
+				f.send(addr, &wire.Envelope{TrustRecords: []replica.TrustRecord{c.own}})
 			}
 		}
 	}
 }
 
-func (f *Part) nextCallers(now float64) float64 {
-	c := f.callers
+func (f *Agent) nextCallers(now float64) float64 {
+	c := f.trust
 	if c == nil {
 		return math.Inf(1)
 	}
-	if !c.heard && now < c.began+askCallersFor {
-		return c.askAt + askCallersEvery
+	if !c.received && now < c.started+trustRequestFor {
+		return c.lastRequest + trustRequestEvery
 	}
-	return c.tellAt + tellEvery
+	return c.lastReport + trustReportEvery
 }
 
 // takeCallers answers one who is new, or takes others' words in.
-func (f *Part) takeCallers(now float64, m *wire.Message) {
-	c := f.callers
+func (f *Agent) takeCallers(now float64, m *wire.Envelope) {
+	c := f.trust
 	if c == nil {
 		return
 	}
-	if m.AskCallers {
-		list := c.vouchers.RecordsFor(now, m.From, maxVouchers-1)
+	if m.TrustRequest {
+		list := c.records.RecordsFor(now, m.From, maxTrustRecords-1)
 		if len(c.own.Clients) > 0 {
 			list = append(list, c.own)
 		}
 		if len(list) > 0 {
-			f.reply(m, &wire.Message{Vouchers: list})
+			f.reply(m, &wire.Envelope{TrustRecords: list})
 		}
 		return
 	}
 	news := false
-	for _, v := range m.Vouchers {
-		news = c.vouchers.Observe(now, v) || news
+	for _, v := range m.TrustRecords {
+		news = c.records.Observe(now, v) || news
 	}
-	if news && now < c.began+newFor {
-		c.heard = true
-		c.Hear(c.vouchers.MergedClients(now, c.Most))
+	if news && now < c.started+acceptFor {
+		c.received = true
+		c.OnTrusted(c.records.MergedClients(now, c.MaxClients))
 	}
 }
--- a/internal/peers/control.go
+++ b/internal/peers/control.go
@@ -13,34 +13,34 @@
 	"swiftcourse/internal/judge/version"
 )
 
-// State is what a server says to an operator who asks.
-type State struct {
-	Name      string
-	Life      uint64        `json:"Life"`
-	Standing  string        `json:"Standing"`
-	Why       string        `json:"Why"`
-	Acts      version.Epoch `json:"Acts"`
-	Right     version.Epoch `json:"Right"`
-	Leader    string
-	MayLeave  bool                       `json:"MayLeave"` // should it hear nothing, see fleet-silent
-	Lost      uint64                     `json:"Lost"`     // messages without room, or that could not be read
-	Order     *version.Log               `json:"Order"`
-	Standings []member.ServerStatus      `json:"Standings"`
-	Report    audit.Report               `json:"Report"`
-	Copies    map[string]*replica.Status `json:"Copies"` // of all servers that keep or claim any and answered
+// Status is what a server says to an operator who asks.
+type Status struct {
+	Name              string
+	Incarnation       uint64        `json:"Life"`
+	LeaseState        string        `json:"Standing"`
+	Reason            string        `json:"Why"`
+	ActiveEpoch       version.Epoch `json:"Acts"`
+	AssignedEpoch     version.Epoch `json:"Right"`
+	Leader            string
+	MayGoOutOfService bool                       `json:"MayLeave"` // should it hear nothing, see fleet-silent
+	DroppedMessages   uint64                     `json:"Lost"`     // messages without room, or that could not be read
+	ReleaseLog        *version.Log               `json:"Order"`
+	Servers           []member.ServerStatus      `json:"Standings"`
+	Audit             audit.Report               `json:"Report"`
+	Replicas          map[string]*replica.Status `json:"Copies"` // of all servers that keep or claim any and answered
 }
 
-// State gathers what the fleet knows.
-func (f *Peers) State(since version.Epoch) (*State, error) {
+// QueryStatus gathers what the fleet knows.
+func (f *Node) QueryStatus(since version.Epoch) (*Status, error) {
 	report, g, err := f.Audit(since)
 	if err != nil {
 		return nil, err
 	}
-	s := &State{Name: f.Name, Lost: f.lost.Load(), Order: g.order, Standings: g.standing, Report: report, Copies: g.copies}
+	s := &Status{Name: f.Name, DroppedMessages: f.dropped.Load(), ReleaseLog: g.releaseLog, Servers: g.servers, Audit: report, Replicas: g.replicas}
 	done := make(chan struct{})
-	if err := f.do(func(float64) {
-		state, _, why := f.self.State()
-		s.Life, s.Standing, s.Why, s.Acts, s.Right, s.Leader, s.MayLeave = f.life, state.String(), why, f.acts.Epoch, f.self.AssignedEpoch(), f.self.Leader(), f.self.MayGoOutOfService()
+	if err := f.call(func(float64) {
+		state, _, why := f.leaseHolder.State()
+		s.Incarnation, s.LeaseState, s.Reason, s.ActiveEpoch, s.AssignedEpoch, s.Leader, s.MayGoOutOfService = f.incarnation, state.String(), why, f.active.Epoch, f.leaseHolder.AssignedEpoch(), f.leaseHolder.Leader(), f.leaseHolder.MayGoOutOfService()
 		close(done)
 	}); err != nil {
 		return nil, err
@@ -55,18 +55,18 @@
 
 // Times and sizes of the operators' door. It has no sign-in: it listens where the operator says, which is meant to be the machine itself.
 const (
-	controlTimeout = 20 * time.Second
-	maxControl     = 128 << 10 // bytes of a command
-	maxControls    = 8         // requests at a time
+	controlTimeout     = 20 * time.Second
+	maxCommand         = 128 << 10 // bytes of a command
+	maxControlRequests = 8         // requests at a time
 )
 
-// Control answers operators' requests, as JSON over HTTP: GET /state?since=EPOCH, GET /budgets, GET /counts, GET /plans, POST /command.
-func (f *Peers) Control(addr string) (stop func(), err error) {
+// ServeControl answers operators' requests, as JSON over HTTP: GET /state?since=EPOCH, GET /budgets, GET /counts, GET /plans, POST /command.
+func (f *Node) ServeControl(addr string) (stop func(), err error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	places := make(chan struct{}, maxControls)
+	places := make(chan struct{}, maxControlRequests)
 	answer := func(w http.ResponseWriter, what any, err error) {
 		w.Header().Set("Content-Type", "application/json")
 		if err != nil {
@@ -85,28 +85,28 @@
 				return
 			}
 		}
-		s, err := f.State(since)
+		s, err := f.QueryStatus(since)
 		answer(w, s, err)
 	})
 	mux.HandleFunc("GET /budgets", func(w http.ResponseWriter, _ *http.Request) {
-		s, err := f.BudgetState()
+		s, err := f.QueryQuotas()
 		answer(w, s, err)
 	})
 	mux.HandleFunc("GET /counts", func(w http.ResponseWriter, _ *http.Request) {
-		s, err := f.CountsState()
+		s, err := f.QueryCounters()
 		answer(w, s, err)
 	})
 	mux.HandleFunc("GET /plans", func(w http.ResponseWriter, _ *http.Request) {
-		s, err := f.PlanState()
+		s, err := f.QueryLoadPlan()
 		answer(w, s, err)
 	})
 	mux.HandleFunc("POST /command", func(w http.ResponseWriter, r *http.Request) {
 		var c version.Command
-		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxControl)).Decode(&c); err != nil {
+		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCommand)).Decode(&c); err != nil {
 			answer(w, nil, err)
 			return
 		}
-		newest, err := f.Command(c)
+		newest, err := f.ExecuteCommand(c)
 		answer(w, map[string]version.Epoch{"newest": newest}, err)
 	})
 	server := &http.Server{ReadTimeout: controlTimeout, WriteTimeout: controlTimeout, MaxHeaderBytes: 8 << 10,
--- a/internal/peers/copies.go
+++ b/internal/peers/copies.go
@@ -12,202 +12,202 @@
 
 // This file is what a process does for the state that several servers keep: it asks holders for its own tasks, and is one, where it is named.
 
-// Copies is what a process is told of them.
-type Copies struct {
-	Place   *replica.Placement
-	Entries int     // most records
-	Bytes   int     // and bytes of them
-	Rate    float64 // bytes a second that it takes in to catch up
+// ReplicationConfig is what a process is told of them.
+type ReplicationConfig struct {
+	Placement   *replica.Placement
+	MaxRecords  int     // most records
+	MaxBytes    int     // and bytes of them
+	CatchUpRate float64 // bytes a second that it takes in to catch up
 	// Rule hands the serving loop the fleet's word on a task that it claimed a key for.
-	Rule func(id string, r stance.ClaimVerdict, result []byte)
+	OnVerdict func(id string, r stance.ClaimVerdict, result []byte)
 
-	unsaid atomic.Int64 // words of the loop, and ends that holders have not noted, for whoever leaves
+	pendingReports atomic.Int64 // words of the loop, and ends that holders have not noted, for whoever leaves
 }
 
-// copies is the part's state of them.
-type copies struct {
-	*Copies
-	sits    replica.TermTable
-	asker   *replica.Coordinator
-	holder  *replica.Replica // nil where this server is none
-	store   *state.Store
-	me      int
-	saying  int               // ends that holders have not noted, as they were last counted
-	addrs   map[string]string // where others listen
-	addrsAt float64
-	heard   map[string]string // where holders said that they listen
-	told    replica.Status    // as it was last written to the log
+// replicationState is the part's state of them.
+type replicationState struct {
+	*ReplicationConfig
+	terms          replica.TermTable
+	coordinator    *replica.Coordinator
+	replica        *replica.Replica // nil where this server is none
+	store          *state.Store
+	index          int
+	unacknowledged int               // ends that holders have not noted, as they were last counted
+	memberAddrs    map[string]string // where others listen
+	lastAddrLookup float64
+	reportedAddrs  map[string]string // where holders said that they listen
+	logged         replica.Status    // as it was last written to the log
 }
 
-// Word is what the serving loop says of a task that bears a key: that it is to be claimed, or how it ended.
-type Word struct {
-	ID, Stage, Key     string
-	Left               float64 // seconds in which it has to be told
-	Never, Ended, Well bool
-	Result             []byte
+// ClaimEvent is what the serving loop says of a task that bears a key: that it is to be claimed, or how it ended.
+type ClaimEvent struct {
+	ID, Class, Key                string
+	Timeout                       float64 // seconds in which it has to be told
+	Canceled, Finished, Succeeded bool
+	Result                        []byte
 }
 
 const (
-	// maxWords wait for the goroutine: two for each claim that the loop may have under way, so that there is always room.
-	maxWords = 4096
-	// addrsEvery is how often it is looked up where holders listen, in seconds.
-	addrsEvery = 0.5
+	// maxClaimEvents wait for the goroutine: two for each claim that the loop may have under way, so that there is always room.
+	maxClaimEvents = 4096
+	// addrLookupEvery is how often it is looked up where holders listen, in seconds.
+	addrLookupEvery = 0.5
 )
 
 // Claim asks for the right to run a task that bears a key, from the serving loop. Copies.Rule is told within left seconds. False where nothing more
 // can be asked: it did not run.
-func (f *Peers) Claim(id, stage, key string, left float64) bool {
-	return f.put(Word{ID: id, Stage: stage, Key: key, Left: left})
+func (f *Node) Claim(id, stage, key string, left float64) bool {
+	return f.enqueueClaim(ClaimEvent{ID: id, Class: stage, Key: key, Timeout: left})
 }
 
 // ReleaseClaim tells that a task is over that never began.
-func (f *Peers) ReleaseClaim(id string) { f.put(Word{ID: id, Never: true}) }
+func (f *Node) ReleaseClaim(id string) { f.enqueueClaim(ClaimEvent{ID: id, Canceled: true}) }
 
 // CompleteClaim tells how the run of a task ended that was granted.
-func (f *Peers) CompleteClaim(id string, well bool, result []byte) {
-	f.put(Word{ID: id, Ended: true, Well: well, Result: result})
+func (f *Node) CompleteClaim(id string, well bool, result []byte) {
+	f.enqueueClaim(ClaimEvent{ID: id, Finished: true, Succeeded: well, Result: result})
 }
 
 // UnreportedClaims counts what the holders have not noted yet, from any goroutine.
-func (f *Peers) UnreportedClaims() int { return int(f.Plan.Copies.unsaid.Load()) }
+func (f *Node) UnreportedClaims() int { return int(f.Config.Replication.pendingReports.Load()) }
 
-func (f *Peers) put(w Word) bool {
-	f.Plan.Copies.unsaid.Add(1)
+func (f *Node) enqueueClaim(w ClaimEvent) bool {
+	f.Config.Replication.pendingReports.Add(1)
 	select {
-	case f.words <- w:
+	case f.claimEvents <- w:
 		return true
 	default: // its claim stands then as one that may have run
-		f.Plan.Copies.unsaid.Add(-1)
-		f.lost.Add(1)
+		f.Config.Replication.pendingReports.Add(-1)
+		f.dropped.Add(1)
 		return false
 	}
 }
 
-// Points at which a test may have a process end, in the order in which a claim, and then a copy, passes them.
-var Points = []string{"claiming", "asked", "granting", "granted", "begun", "ending", "noting", "noted", "pulling", "pulled", "taking", "taken"}
+// TracePoints at which a test may have a process end, in the order in which a claim, and then a copy, passes them.
+var TracePoints = []string{"claiming", "asked", "granting", "granted", "begun", "ending", "noting", "noted", "pulling", "pulled", "taking", "taken"}
 
-func (f *Part) passes(point string) {
-	if f.Passes != nil {
-		f.Passes(point)
+func (f *Agent) passes(point string) {
+	if f.OnTracePoint != nil {
+		f.OnTracePoint(point)
 	}
 }
 
 // beginCopies makes the part's claimant, and its holder where it is one.
-func (f *Part) beginCopies(now float64) {
-	if f.Copies == nil {
+func (f *Agent) beginCopies(now float64) {
+	if f.Replication == nil {
 		return
 	}
-	f.Plan.Copies.unsaid.Store(0) // a part that begins anew owes nothing
-	c := &copies{Copies: f.Plan.Copies, me: f.Plan.Copies.Place.MemberIndex(f.Name)}
-	c.sits, c.heard = make(replica.TermTable, len(c.Place.Members)), map[string]string{}
-	c.asker = replica.NewCoordinator(c.Place, c.sits, f.life, f.Unix, now)
-	if c.me >= 0 {
-		c.sits[c.me] = replica.Term{Number: uint64(max(0, f.Unix()*1000)), Incarnation: f.life}
-		c.store = state.NewStore(c.Entries, c.Bytes)
-		c.holder = replica.NewReplica(c.Place, c.me, c.sits, c.store, c.Rate, now)
+	f.Config.Replication.pendingReports.Store(0) // a part that begins anew owes nothing
+	c := &replicationState{ReplicationConfig: f.Config.Replication, index: f.Config.Replication.Placement.MemberIndex(f.Name)}
+	c.terms, c.reportedAddrs = make(replica.TermTable, len(c.Placement.Members)), map[string]string{}
+	c.coordinator = replica.NewCoordinator(c.Placement, c.terms, f.incarnation, f.UnixNow, now)
+	if c.index >= 0 {
+		c.terms[c.index] = replica.Term{Number: uint64(max(0, f.UnixNow()*1000)), Incarnation: f.incarnation}
+		c.store = state.NewStore(c.MaxRecords, c.MaxBytes)
+		c.replica = replica.NewReplica(c.Placement, c.index, c.terms, c.store, c.CatchUpRate, now)
 	}
-	f.copies = c
+	f.replication = c
 }
 
-// Heed takes a word of the serving loop.
-func (f *Part) Heed(now float64, w Word) {
-	c := f.copies
+// HandleClaimEvent takes a word of the serving loop.
+func (f *Agent) HandleClaimEvent(now float64, w ClaimEvent) {
+	c := f.replication
 	switch {
 	case c == nil:
-	case w.Ended:
-		c.asker.FinishClaim(now, w.ID, w.Well, w.Result)
-	case w.Never:
-		c.asker.CancelClaim(now, w.ID)
+	case w.Finished:
+		c.coordinator.FinishClaim(now, w.ID, w.Succeeded, w.Result)
+	case w.Canceled:
+		c.coordinator.CancelClaim(now, w.ID)
 	default:
 		f.passes("claiming")
-		c.asker.StartClaim(now, w.ID, state.KeyOf(w.Stage, w.Key), now+w.Left)
+		c.coordinator.StartClaim(now, w.ID, state.KeyOf(w.Class, w.Key), now+w.Timeout)
 	}
 	f.flushCopies(now)
 	if c != nil {
-		c.unsaid.Add(-1)
+		c.pendingReports.Add(-1)
 	}
 	switch {
-	case w.Ended:
+	case w.Finished:
 		f.passes("ending")
-	case !w.Never:
+	case !w.Canceled:
 		f.passes("asked")
 	}
 }
 
 // takeCopies takes what others say of copies.
-func (f *Part) takeCopies(now float64, m *wire.Message) {
-	c := f.copies
+func (f *Agent) takeCopies(now float64, m *wire.Envelope) {
+	c := f.replication
 	if c == nil {
 		return
 	}
-	from := c.Place.MemberIndex(m.From)
+	from := c.Placement.MemberIndex(m.From)
 	if from >= 0 {
-		c.heard[m.From] = m.Addr
+		c.reportedAddrs[m.From] = m.Addr
 	}
 	switch {
-	case m.Claimed != nil:
-		c.asker.HandleReply(now, from, m.Claimed)
-	case c.holder == nil:
-	case m.Claiming != nil:
-		a := c.holder.HandleClaim(now, m.Claiming)
-		says := m.Claiming.Operation == replica.OpReport
+	case m.ClaimReply != nil:
+		c.coordinator.HandleReply(now, from, m.ClaimReply)
+	case c.replica == nil:
+	case m.ClaimRequest != nil:
+		a := c.replica.HandleClaim(now, m.ClaimRequest)
+		says := m.ClaimRequest.Operation == replica.OpReport
 		f.passes(map[bool]string{false: "granting", true: "noting"}[says])
-		f.reply(m, &wire.Message{Claimed: &a})
+		f.reply(m, &wire.Envelope{ClaimReply: &a})
 		f.passes(map[bool]string{false: "granted", true: "noted"}[says])
-	case m.Pull != nil:
-		s := c.holder.HandlePull(now, from, m.Pull)
+	case m.PullRequest != nil:
+		s := c.replica.HandlePull(now, from, m.PullRequest)
 		f.passes("pulling")
 		if s != nil {
-			f.reply(m, &wire.Message{Slice: s})
+			f.reply(m, &wire.Envelope{PullReply: s})
 		}
 		f.passes("pulled")
-	case m.Slice != nil:
+	case m.PullReply != nil:
 		f.passes("taking")
-		c.holder.HandlePullReply(now, from, m.Slice, m.Size)
+		c.replica.HandlePullReply(now, from, m.PullReply, m.Size)
 		f.passes("taken")
-	case m.Sums != nil:
-		c.holder.HandleChecksums(now, from, m.Sums)
+	case m.Checksums != nil:
+		c.replica.HandleChecksums(now, from, m.Checksums)
 	}
 	f.flushCopies(now)
 }
 
 // dueCopies does what is due.
-func (f *Part) dueCopies(now float64) {
-	c := f.copies
+func (f *Agent) dueCopies(now float64) {
+	c := f.replication
 	if c == nil {
 		return
 	}
-	c.asker.Maintain(now)
-	if c.holder != nil {
-		c.holder.Maintain(now)
+	c.coordinator.Maintain(now)
+	if c.replica != nil {
+		c.replica.Maintain(now)
 	}
 	f.flushCopies(now)
-	is := f.CopiesState()
-	if is.IsReplica != c.told.IsReplica || (is.CatchingUp == 0) != (c.told.CatchingUp == 0) || is.ConflictingResults != c.told.ConflictingResults || is.CorruptedRecords != c.told.CorruptedRecords {
-		f.Say("fleet_copies", "cold", is.CatchingUp, "learned", is.CaughtUpByPeers, "aged", is.CaughtUpByTimeout, "records", is.Records, "alarms", is.ConflictingResults, "flipped", is.CorruptedRecords)
-		c.told = *is
+	is := f.ReplicationStatus()
+	if is.IsReplica != c.logged.IsReplica || (is.CatchingUp == 0) != (c.logged.CatchingUp == 0) || is.ConflictingResults != c.logged.ConflictingResults || is.CorruptedRecords != c.logged.CorruptedRecords {
+		f.Log("fleet_copies", "cold", is.CatchingUp, "learned", is.CaughtUpByPeers, "aged", is.CaughtUpByTimeout, "records", is.Records, "alarms", is.ConflictingResults, "flipped", is.CorruptedRecords)
+		c.logged = *is
 	}
 }
 
-func (f *Part) nextCopies(now float64) float64 {
-	c := f.copies
+func (f *Agent) nextCopies(now float64) float64 {
+	c := f.replication
 	if c == nil {
 		return now + 3600
 	}
-	next := c.asker.NextWakeup()
-	if c.holder != nil {
-		next = min(next, c.holder.NextWakeup(now))
+	next := c.coordinator.NextWakeup()
+	if c.replica != nil {
+		next = min(next, c.replica.NextWakeup(now))
 	}
 	return next
 }
 
 // flushCopies sends what claimant and holder have to say, and hands the loop what there is to tell it.
-func (f *Part) flushCopies(now float64) {
-	c := f.copies
+func (f *Agent) flushCopies(now float64) {
+	c := f.replication
 	for c != nil {
-		letters := c.asker.TakeOutbox()
-		if c.holder != nil {
-			letters = append(letters, c.holder.TakeOutbox()...)
+		letters := c.coordinator.TakeOutbox()
+		if c.replica != nil {
+			letters = append(letters, c.replica.TakeOutbox()...)
 		}
 		if len(letters) == 0 {
 			break
@@ -219,10 +219,10 @@
 	if c == nil {
 		return
 	}
-	c.unsaid.Add(int64(c.asker.PendingReports() - c.saying))
-	c.saying = c.asker.PendingReports()
-	for _, t := range c.asker.TakeOutcomes() {
-		c.Rule(t.RequestID, t.Verdict, t.Result)
+	c.pendingReports.Add(int64(c.coordinator.PendingReports() - c.unacknowledged))
+	c.unacknowledged = c.coordinator.PendingReports()
+	for _, t := range c.coordinator.TakeOutcomes() {
+		c.OnVerdict(t.RequestID, t.Verdict, t.Result)
 		if t.Verdict == stance.ClaimGranted {
 			f.passes("begun")
 		}
@@ -230,32 +230,32 @@
 }
 
 // post brings a letter to its holder, who may be here.
-func (f *Part) post(now float64, l replica.Envelope) {
-	c := f.copies
-	if l.To == c.me {
+func (f *Agent) post(now float64, l replica.Envelope) {
+	c := f.replication
+	if l.To == c.index {
 		if l.Claim != nil {
-			a := c.holder.HandleClaim(now, l.Claim)
-			c.asker.HandleReply(now, c.me, &a)
+			a := c.replica.HandleClaim(now, l.Claim)
+			c.coordinator.HandleReply(now, c.index, &a)
 		}
 		return
 	}
-	name := c.Place.Members[l.To].Name
-	if now >= c.addrsAt+addrsEvery {
-		c.addrs, c.addrsAt = f.net.All(), now
+	name := c.Placement.Members[l.To].Name
+	if now >= c.lastAddrLookup+addrLookupEvery {
+		c.memberAddrs, c.lastAddrLookup = f.network.Members(), now
 	}
-	f.send(cmp.Or(c.addrs[name], f.Voters[name], c.heard[name]), &wire.Message{Claiming: l.Claim, Pull: l.Pull, Sums: l.Checksums})
+	f.send(cmp.Or(c.memberAddrs[name], f.Voters[name], c.reportedAddrs[name]), &wire.Envelope{ClaimRequest: l.Claim, PullRequest: l.Pull, Checksums: l.Checksums})
 }
 
-// CopiesState is how the copies stand, nil where there are none.
-func (f *Part) CopiesState() *replica.Status {
-	c := f.copies
+// ReplicationStatus is how the copies stand, nil where there are none.
+func (f *Agent) ReplicationStatus() *replica.Status {
+	c := f.replication
 	if c == nil {
 		return nil
 	}
-	s := &replica.Status{ConfigDigest: c.Place.ConfigDigest}
-	c.asker.FillStatus(s)
-	if c.holder != nil {
-		c.holder.FillStatus(s)
+	s := &replica.Status{ConfigDigest: c.Placement.ConfigDigest}
+	c.coordinator.FillStatus(s)
+	if c.replica != nil {
+		c.replica.FillStatus(s)
 	}
 	return s
 }
--- a/internal/peers/counts.go
+++ b/internal/peers/counts.go
@@ -15,22 +15,22 @@
 // This file is a process's part in counting what the whole fleet was asked for: what its loop counted goes to the keepers, who are the voters; one of
 // them holds others' rows, and the voter that leads has the rows of those closed who are gone.
 
-// counting is the part's state of it.
-type counting struct {
-	teller *counts.Reporter
-	keeper *counts.Aggregator // nil where this is no voter
-	over   map[uint64]uint64
-	count  uint64 // of the order from which over was made
-	said   bool   // the log was told that it may lack something
+// counterState is the part's state of it.
+type counterState struct {
+	reporter   *counts.Reporter
+	aggregator *counts.Aggregator // nil where this is no voter
+	closedRows map[uint64]uint64
+	indexedAt  uint64 // of the order from which over was made
+	gapLogged  bool   // the log was told that it may lack something
 }
 
-// maxTallies lists of the loop wait for the goroutine. It keeps what finds no room, and tells it with the next.
-const maxTallies = 4
+// maxCountLists lists of the loop wait for the goroutine. It keeps what finds no room, and tells it with the next.
+const maxCountLists = 4
 
-// Tallied takes what the serving loop counted, from any goroutine; false where it has to be told again.
-func (f *Peers) Tallied(list []stance.CounterCell) bool {
+// ReportCounts takes what the serving loop counted, from any goroutine; false where it has to be told again.
+func (f *Node) ReportCounts(list []stance.CounterCell) bool {
 	select {
-	case f.tallies <- list:
+	case f.requestCounts <- list:
 		return true
 	default:
 		return false
@@ -38,62 +38,62 @@
 }
 
 // beginCounts begins a row of this life. What the one before of this process told is its own.
-func (f *Part) beginCounts(now float64) {
-	if !f.Counts {
+func (f *Agent) beginCounts(now float64) {
+	if !f.CountersEnabled {
 		return
 	}
-	c := &counting{teller: counts.NewReporter(f.Name, f.life, f.voters, now), over: map[uint64]uint64{}, count: math.MaxUint64}
-	f.counts = c
+	c := &counterState{reporter: counts.NewReporter(f.Name, f.incarnation, f.voterNames, now), closedRows: map[uint64]uint64{}, indexedAt: math.MaxUint64}
+	f.counters = c
 	if f.voter != nil {
-		sit := uint64(max(0, f.Unix()*1000))<<16 | f.life>>48
-		c.keeper = counts.NewAggregator(f.Name, f.voters, sit, func(row uint64) (uint64, bool) {
+		sit := uint64(max(0, f.UnixNow()*1000))<<16 | f.incarnation>>48
+		c.aggregator = counts.NewAggregator(f.Name, f.voterNames, sit, func(row uint64) (uint64, bool) {
 			f.indexClosed()
-			number, over := c.over[row]
+			number, over := c.closedRows[row]
 			return number, over
 		}, now)
 	}
 }
 
 // indexClosed keeps the closed rows of the order where they are found at once.
-func (f *Part) indexClosed() {
-	if c := f.counts; c.count != f.order.AppliedCount {
-		c.count = f.order.AppliedCount
-		clear(c.over)
-		for _, r := range f.order.ClosedRows {
-			c.over[r.ID] = r.Sequence
+func (f *Agent) indexClosed() {
+	if c := f.counters; c.indexedAt != f.releaseLog.AppliedCount {
+		c.indexedAt = f.releaseLog.AppliedCount
+		clear(c.closedRows)
+		for _, r := range f.releaseLog.ClosedRows {
+			c.closedRows[r.ID] = r.Sequence
 		}
 	}
 }
 
-// HeedTallies takes what the loop counted.
-func (f *Part) HeedTallies(list []stance.CounterCell) {
-	if c := f.counts; c != nil {
-		c.teller.Add(list)
+// ObserveCounts takes what the loop counted.
+func (f *Agent) ObserveCounts(list []stance.CounterCell) {
+	if c := f.counters; c != nil {
+		c.reporter.Add(list)
 	}
 }
 
-func (f *Part) dueCounts(now float64) {
-	c := f.counts
+func (f *Agent) dueCounts(now float64) {
+	c := f.counters
 	if c == nil {
 		return
 	}
-	if c.teller.NextWakeup() <= now {
-		f.mailCounts(now, c.teller.DueReports(now))
+	if c.reporter.NextWakeup() <= now {
+		f.mailCounts(now, c.reporter.DueReports(now))
 	}
-	if k := c.keeper; k != nil && k.NextWakeup() <= now {
-		letters, ripe := k.Maintain(now, f.ledger != nil && f.confirmed(now), func(name string, life uint64) bool { return f.order.Members[name] != life })
+	if k := c.aggregator; k != nil && k.NextWakeup() <= now {
+		letters, ripe := k.Maintain(now, f.leaseTable != nil && f.confirmed(now), func(name string, life uint64) bool { return f.releaseLog.Members[name] != life })
 		f.mailCounts(now, letters)
 		f.closeRows(ripe)
-		if k.IncompleteRecoveries() > 0 && !c.said {
-			c.said = true
-			f.Say("fleet_counts", "holes", k.IncompleteRecoveries(), "why", "too few keepers that knew all were there when this one began")
+		if k.IncompleteRecoveries() > 0 && !c.gapLogged {
+			c.gapLogged = true
+			f.Log("fleet_counts", "holes", k.IncompleteRecoveries(), "why", "too few keepers that knew all were there when this one began")
 		}
 	}
 }
 
-func (f *Part) mailCounts(now float64, list []counts.Envelope) {
+func (f *Agent) mailCounts(now float64, list []counts.Envelope) {
 	for _, l := range list {
-		m := &wire.Message{Row: l.Report, AskRows: l.Query, From: f.Name, Life: f.life}
+		m := &wire.Envelope{CounterReport: l.Report, CounterSyncRequest: l.Query, From: f.Name, Incarnation: f.incarnation}
 		if l.To == f.Name {
 			f.takeCounts(now, m)
 		} else {
@@ -103,8 +103,8 @@
 }
 
 // closeRows has the voters add rows up that are over. A command that is lost is asked for again.
-func (f *Part) closeRows(ripe []counts.RowReport) {
-	if len(ripe) == 0 || f.ledger == nil {
+func (f *Agent) closeRows(ripe []counts.RowReport) {
+	if len(ripe) == 0 || f.leaseTable == nil {
 		return
 	}
 	c := version.Command{Kind: version.KindCloseCounters, Author: "leader"}
@@ -115,74 +115,74 @@
 }
 
 // takeCounts takes a row, or what keepers say to one another.
-func (f *Part) takeCounts(now float64, m *wire.Message) {
-	c := f.counts
+func (f *Agent) takeCounts(now float64, m *wire.Envelope) {
+	c := f.counters
 	if c == nil {
 		return
 	}
-	answer := func(a *wire.Message) {
-		if m.From == f.Name && m.Life == f.life {
-			a.From, a.Life = f.Name, f.life
+	answer := func(a *wire.Envelope) {
+		if m.From == f.Name && m.Incarnation == f.incarnation {
+			a.From, a.Incarnation = f.Name, f.incarnation
 			f.takeCounts(now, a)
 			return
 		}
 		f.reply(m, a)
 	}
 	switch {
-	case m.RowHeard != nil:
-		c.teller.HandleAck(now, m.From, m.RowHeard)
-	case c.keeper == nil:
-	case m.Row != nil:
-		h := c.keeper.HandleReport(now, m.Row)
-		answer(&wire.Message{RowHeard: &h})
-	case m.AskRows != nil:
-		answer(&wire.Message{Rows: c.keeper.HandleQuery(now, m.AskRows)})
-	case m.Rows != nil:
-		f.closeRows(c.keeper.HandleQueryReply(now, m.From, m.Rows))
+	case m.CounterAck != nil:
+		c.reporter.HandleAck(now, m.From, m.CounterAck)
+	case c.aggregator == nil:
+	case m.CounterReport != nil:
+		h := c.aggregator.HandleReport(now, m.CounterReport)
+		answer(&wire.Envelope{CounterAck: &h})
+	case m.CounterSyncRequest != nil:
+		answer(&wire.Envelope{CounterSyncReply: c.aggregator.HandleQuery(now, m.CounterSyncRequest)})
+	case m.CounterSyncReply != nil:
+		f.closeRows(c.aggregator.HandleQueryReply(now, m.From, m.CounterSyncReply))
 	}
 }
 
-func (f *Part) nextCounts() float64 {
-	c := f.counts
+func (f *Agent) nextCounts() float64 {
+	c := f.counters
 	if c == nil {
 		return math.Inf(1)
 	}
-	next := c.teller.NextWakeup()
-	if c.keeper != nil {
-		next = min(next, c.keeper.NextWakeup())
+	next := c.reporter.NextWakeup()
+	if c.aggregator != nil {
+		next = min(next, c.aggregator.NextWakeup())
 	}
 	return next
 }
 
-// CountsState is what a server knows of the fleet's counts.
-type CountsState struct {
-	Name     string
-	Keepers  []string             `json:"Keepers"` // who know what all counted
-	Life     string               `json:"Life"`    // of this process
-	Here     []stance.CounterCell `json:"Here"`    // what it counted that is not closed
-	Agreed   bool                 `json:"Agreed"`  // most keepers have all of that
-	Unplaced uint64
-	Known    *counts.Summary `json:"Known"` // nil where it is no keeper
+// CounterStatus is what a server knows of the fleet's counts.
+type CounterStatus struct {
+	Name         string
+	Aggregators  []string             `json:"Keepers"` // who know what all counted
+	Incarnation  string               `json:"Life"`    // of this process
+	Unreported   []stance.CounterCell `json:"Here"`    // what it counted that is not closed
+	Acknowledged bool                 `json:"Agreed"`  // most keepers have all of that
+	Unplaced     uint64
+	Totals       *counts.Summary `json:"Known"` // nil where it is no keeper
 }
 
-// Counted tells what is known here of the fleet's counts.
-func (f *Part) Counted(now float64) *CountsState {
-	c := f.counts
+// CounterStatus tells what is known here of the fleet's counts.
+func (f *Agent) CounterStatus(now float64) *CounterStatus {
+	c := f.counters
 	if c == nil {
 		return nil
 	}
-	s := &CountsState{Name: f.Name, Keepers: f.voters, Life: strconv.FormatUint(f.life, 16), Unplaced: c.teller.Unaccounted}
-	s.Here, s.Agreed = c.teller.CurrentRow()
-	if c.keeper != nil {
-		s.Known = c.keeper.Summary(now, f.order.ClosedTotals)
+	s := &CounterStatus{Name: f.Name, Aggregators: f.voterNames, Incarnation: strconv.FormatUint(f.incarnation, 16), Unplaced: c.reporter.Unaccounted}
+	s.Unreported, s.Acknowledged = c.reporter.CurrentRow()
+	if c.aggregator != nil {
+		s.Totals = c.aggregator.Summary(now, f.releaseLog.ClosedTotals)
 	}
 	return s
 }
 
-// CountsState tells it from any goroutine.
-func (f *Peers) CountsState() (*CountsState, error) {
-	done := make(chan *CountsState, 1)
-	if err := f.do(func(now float64) { done <- f.Counted(now) }); err != nil {
+// QueryCounters tells it from any goroutine.
+func (f *Node) QueryCounters() (*CounterStatus, error) {
+	done := make(chan *CounterStatus, 1)
+	if err := f.call(func(now float64) { done <- f.CounterStatus(now) }); err != nil {
 		return nil, err
 	}
 	select {
--- a/internal/peers/network.go
+++ b/internal/peers/network.go
@@ -14,9 +14,9 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// network is the talk itself, by memberlist: who is there by gossip with indirect probes, and messages to one by UDP, or by TCP where they are
+// gossipNetwork is the talk itself, by memberlist: who is there by gossip with indirect probes, and messages to one by UDP, or by TCP where they are
 // larger than a packet. A life is a member of its own, so that a restart is never taken for what was there before.
-type network struct {
+type gossipNetwork struct {
 	list *memberlist.Memberlist
 	name string // this member's
 	mu   sync.Mutex
@@ -38,8 +38,8 @@
 	return name
 }
 
-func listen(p *Plan, life uint64, receive func([]byte)) (*network, error) {
-	ip, port, err := split(p.Listen)
+func joinGossip(p *Config, life uint64, receive func([]byte)) (*gossipNetwork, error) {
+	ip, port, err := resolveAddr(p.ListenAddr)
 	if err != nil {
 		return nil, err
 	}
@@ -51,33 +51,33 @@
 	c.GossipToTheDeadTime = 10 * time.Second
 	c.LogOutput = io.Discard
 	c.Logger = nil
-	c.Delegate = heard{receive}
-	c.Events = comings{}
+	c.Delegate = messageDelegate{receive}
+	c.Events = membershipLogger{}
 	transport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{ip.String()}, BindPort: port,
 		Logger: log.New(io.Discard, "", 0)})
 	if err != nil {
 		return nil, err
 	}
-	c.Transport = &through{transport, p.Via}
+	c.Transport = &relayTransport{transport, p.RelayAddrs}
 	list, err := memberlist.Create(c)
 	if err != nil {
 		_ = transport.Shutdown()
 		return nil, err
 	}
-	n := &network{list: list, name: c.Name, busy: map[string]int{}}
+	n := &gossipNetwork{list: list, name: c.Name, busy: map[string]int{}}
 	go n.join(p)
 	return n, nil
 }
 
 // join looks for others until there are some, and again whenever there are none.
-func (n *network) join(p *Plan) {
+func (n *gossipNetwork) join(p *Config) {
 	var others []string
 	for _, addr := range p.Voters {
-		if addr != p.Listen {
+		if addr != p.ListenAddr {
 			others = append(others, addr)
 		}
 	}
-	others = append(others, p.Join...)
+	others = append(others, p.JoinAddrs...)
 	for wait := 100 * time.Millisecond; len(others) > 0; {
 		if n.list.NumMembers() <= 1+len(others)/2 { // a cut heals from whichever side
 			_, _ = n.list.Join(others)
@@ -90,18 +90,18 @@
 	}
 }
 
-func (n *network) close() {
+func (n *gossipNetwork) close() {
 	_ = n.list.Leave(200 * time.Millisecond)
 	_ = n.list.Shutdown()
 }
 
 // Send brings a message on its way; it may be lost, as on any network.
-func (n *network) Send(addr string, b []byte) {
+func (n *gossipNetwork) Send(addr string, b []byte) {
 	if len(b) <= maxPacket {
 		_ = n.list.SendToAddress(memberlist.Address{Addr: addr}, b)
 		return
 	}
-	ip, port, err := split(addr)
+	ip, port, err := resolveAddr(addr)
 	if err != nil {
 		return
 	}
@@ -123,8 +123,8 @@
 	}()
 }
 
-// Where is the address of a life, else where its name is said to listen.
-func (n *network) Where(name string, life uint64, said string) string {
+// AddrOf is the address of a life, else where its name is said to listen.
+func (n *gossipNetwork) AddrOf(name string, life uint64, said string) string {
 	for _, m := range n.list.Members() {
 		if m.Name == memberName(name, life) {
 			return m.Address()
@@ -133,8 +133,8 @@
 	return said
 }
 
-// All lists the others that are there, by name.
-func (n *network) All() map[string]string {
+// Members lists the others that are there, by name.
+func (n *gossipNetwork) Members() map[string]string {
 	others := map[string]string{}
 	for _, m := range n.list.Members() {
 		if m.Name != n.name {
@@ -144,7 +144,7 @@
 	return others
 }
 
-func (n *network) Knows(name string) bool {
+func (n *gossipNetwork) HasMember(name string) bool {
 	for _, m := range n.list.Members() {
 		if nameOf(m.Name) == name {
 			return true
@@ -153,8 +153,8 @@
 	return false
 }
 
-// Some draws so many of the others.
-func (n *network) Some(most int, chance *rand.Rand) (addrs []string) {
+// Sample draws so many of the others.
+func (n *gossipNetwork) Sample(most int, chance *rand.Rand) (addrs []string) {
 	members := n.list.Members()
 	chance.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 	for _, m := range members {
@@ -165,50 +165,50 @@
 	return addrs
 }
 
-// heard is what memberlist asks for; only messages to one are used.
-type heard struct{ receive func([]byte) }
+// messageDelegate is what memberlist asks for; only messages to one are used.
+type messageDelegate struct{ receive func([]byte) }
 
-func (heard) NodeMeta(int) []byte             { return nil }
-func (h heard) NotifyMsg(b []byte)            { h.receive(b) }
-func (heard) GetBroadcasts(int, int) [][]byte { return nil }
-func (heard) LocalState(bool) []byte          { return nil }
-func (heard) MergeRemoteState([]byte, bool)   {}
+func (messageDelegate) NodeMeta(int) []byte             { return nil }
+func (h messageDelegate) NotifyMsg(b []byte)            { h.receive(b) }
+func (messageDelegate) GetBroadcasts(int, int) [][]byte { return nil }
+func (messageDelegate) LocalState(bool) []byte          { return nil }
+func (messageDelegate) MergeRemoteState([]byte, bool)   {}
 
-type comings struct{}
+type membershipLogger struct{}
 
-func (comings) NotifyJoin(m *memberlist.Node) {
+func (membershipLogger) NotifyJoin(m *memberlist.Node) {
 	slog.Info("fleet_member", "name", m.Name, "addr", m.Address(), "there", true)
 }
-func (comings) NotifyLeave(m *memberlist.Node) {
+func (membershipLogger) NotifyLeave(m *memberlist.Node) {
 	slog.Info("fleet_member", "name", m.Name, "addr", m.Address(), "there", false)
 }
-func (comings) NotifyUpdate(*memberlist.Node) {}
+func (membershipLogger) NotifyUpdate(*memberlist.Node) {}
 
-// through has peers reached elsewhere than where they listen, for tests that put relays between them.
-type through struct {
+// relayTransport has peers reached elsewhere than where they listen, for tests that put relays between them.
+type relayTransport struct {
 	*memberlist.NetTransport
-	via map[string]string
+	relays map[string]string
 }
 
-func (t *through) to(addr string) string {
-	if via, is := t.via[addr]; is {
+func (t *relayTransport) relayFor(addr string) string {
+	if via, is := t.relays[addr]; is {
 		return via
 	}
 	return addr
 }
 
-func (t *through) WriteTo(b []byte, addr string) (time.Time, error) {
-	return t.NetTransport.WriteTo(b, t.to(addr))
+func (t *relayTransport) WriteTo(b []byte, addr string) (time.Time, error) {
+	return t.NetTransport.WriteTo(b, t.relayFor(addr))
 }
 
-func (t *through) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	return t.NetTransport.WriteTo(b, t.to(a.Addr))
+func (t *relayTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+	return t.NetTransport.WriteTo(b, t.relayFor(a.Addr))
 }
 
-func (t *through) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
-	return t.NetTransport.DialTimeout(t.to(addr), timeout)
+func (t *relayTransport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	return t.NetTransport.DialTimeout(t.relayFor(addr), timeout)
 }
 
-func (t *through) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	return t.NetTransport.DialTimeout(t.to(a.Addr), timeout)
+func (t *relayTransport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	return t.NetTransport.DialTimeout(t.relayFor(a.Addr), timeout)
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -27,46 +27,46 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// Plan is what a process is told of its fleet.
-type Plan struct {
-	Name    string
-	Listen  string            // for peers, TCP and UDP
-	Voters  map[string]string // names and where they listen
-	Join    []string          // where some others listen, beside the voters
-	Terms   member.Config
-	Silent  member.Mode
-	Rollout version.RolloutPolicy
-	Seed    int64
-	Build   string
-	Now     func() float64 // seconds, moves forward; the serving loop reads Standing by the same clock
-	Unix    func() float64
-	Via     map[string]string  // for tests: where a peer is reached instead of where it listens
-	Passes  func(point string) // for tests: told of each point of a claim or a copy's way that is passed; nil for nobody
-	Callers *Callers           // the known callers of its door; nil where they are told to nobody
-	Copies  *Copies            // what of the fleet's state is kept by several servers; nil for nothing
-	Budgets *Budgets           // budgets that all share; nil for none
-	Health  *Health            // the service below, judged by all; nil for not
-	Plans   *Plans             // what planners have forwarders do; nil for none
-	Counts  bool               // what all are asked for is counted
+// Config is what a process is told of its fleet.
+type Config struct {
+	Name            string
+	ListenAddr      string            // for peers, TCP and UDP
+	Voters          map[string]string // names and where they listen
+	JoinAddrs       []string          // where some others listen, beside the voters
+	LeaseTerms      member.Config
+	OnLeaseExpiry   member.Mode
+	Rollout         version.RolloutPolicy
+	Seed            int64
+	Build           string
+	Now             func() float64 // seconds, moves forward; the serving loop reads Standing by the same clock
+	UnixNow         func() float64
+	RelayAddrs      map[string]string  // for tests: where a peer is reached instead of where it listens
+	OnTracePoint    func(point string) // for tests: told of each point of a claim or a copy's way that is passed; nil for nobody
+	Trust           *TrustConfig       // the known callers of its door; nil where they are told to nobody
+	Replication     *ReplicationConfig // what of the fleet's state is kept by several servers; nil for nothing
+	Quotas          *QuotaConfig       // budgets that all share; nil for none
+	Health          *HealthConfig      // the service below, judged by all; nil for not
+	LoadPlan        *LoadPlanConfig    // what planners have forwarders do; nil for none
+	CountersEnabled bool               // what all are asked for is counted
 
 	// Apply has the server act on a version's text, whole or not at all. It may take some time, but not for ever.
 	Apply func(text string) error
 	// Say writes a log line; nil writes it where all go.
-	Say func(event string, args ...any)
+	Log func(event string, args ...any)
 	// Publish hands the serving loop how the server stands from now on.
 	Publish func(*stance.Directive)
 }
 
 const (
-	maxInbox    = 1024 // messages that wait for the goroutine; what comes beyond that is dropped, as the network may
-	maxDone     = 64   // commands of operators that wait for their end
-	briefEvery  = 2.0  // seconds between two brief accounts
-	briefTo     = 3    // others that are told of each: with as many holders of the last word, two may die with it
-	wantEvery   = 0.3
-	orderEvery  = 2.0  // a follower's copy of the order, where it is behind
-	learnEvery  = 0.25 // a cold voter asks others for their copy of the order, so some times before it could found a group
-	learnFrom   = 4    // as many of them each time
-	forgetEvery = 60.0 // looking through the book for names that are nobody's
+	maxInbox           = 1024 // messages that wait for the goroutine; what comes beyond that is dropped, as the network may
+	maxPendingCommands = 64   // commands of operators that wait for their end
+	summaryEvery       = 2.0  // seconds between two brief accounts
+	gossipFanout       = 3    // others that are told of each: with as many holders of the last word, two may die with it
+	versionFetchEvery  = 0.3
+	logFetchEvery      = 2.0  // a follower's copy of the order, where it is behind
+	coldLogFetchEvery  = 0.25 // a cold voter asks others for their copy of the order, so some times before it could found a group
+	coldLogFetchFanout = 4    // as many of them each time
+	forgetEvery        = 60.0 // looking through the book for names that are nobody's
 	// restartAfter is how long a panic keeps the fleet's part down: it stops there, and what it knew is lost, as after a restart.
 	restartAfter = time.Second
 )
@@ -74,118 +74,118 @@
 // Network brings messages to others. They may be lost, doubled, late; nothing waits for one.
 type Network interface {
 	Send(addr string, b []byte)
-	Where(name string, life uint64, said string) string // a life's address, else the one that was said
-	All() map[string]string                             // the others that are there: their names, and where they listen
-	Some(most int, chance *rand.Rand) []string          // addresses of some of them, drawn
-	Knows(name string) bool
-}
-
-// Part is what decides in one process's part of the fleet. It has no goroutine and no clock of its own: who owns it tells it what came and when.
-type Part struct {
-	Plan
-	life   uint64
-	net    Network
-	voter  *version.Voter // nil where this is none
-	self   *member.Holder
-	ledger *member.Grantor
-	book   *audit.Book
-
-	order     *version.Log // a copy, also at those who don't vote
-	orderAt   float64
-	stamp     *stance.VersionStats
-	counted   [2]uint64 // of the stamp, that the book has
-	acts      version.Version
-	stuck     string
-	wantAt    float64
-	briefAt   float64
-	forgetAt  float64
-	eager     int           // brief accounts that follow one another sooner, as there is news
-	rumoured  version.Epoch // the newest that anybody was heard to act on
-	published member.Snapshot
-	voters    []string // names, sorted
-	ask       int      // which voter is asked next where no leader is known
-	pending   map[uint64]*pending
-	gathers   map[uint64]*gather
-	numbers   uint64
-	chance    *rand.Rand
-	copies    *copies  // nil where there are none
-	callers   *callers // likewise
-	budgets   *budgets // likewise
-	below     *belowState
-	counts    *counting
-	plans     *planning
-}
-
-// Peers is the part of one process at work: a goroutine owns a Part, and the network feeds it.
-type Peers struct {
-	*Part
-	talk     *network
-	inbox    chan *wire.Message
-	asks     chan func(now float64)
-	words    chan Word             // of the serving loop about its claims
-	earnings chan []door.Earned    // of its door
-	uses     chan []Use            // of the loop, of budgets
-	calls    chan stance.CallStats // of the loop, of the service below
-	tallies  chan []stance.CounterCell
-	quit     chan struct{}
-	ended    chan struct{}
-	lost     atomic.Uint64 // messages that had no room, or could not be read
-}
-
-// pending is an operator's command on its way.
-type pending struct {
-	command *version.Command
-	again   float64
-	until   float64
-	tell    func(wire.Done)
-}
-
-// gather is an audit that waits for others' accounts.
-type gather struct {
-	until    float64
-	wait     map[string]bool // lives that have not answered, by node
-	accounts []audit.Account
-	alive    map[uint64]bool
-	order    *version.Log
-	standing []member.ServerStatus
-	copies   map[string]*replica.Status
-	tell     func(*gather)
+	AddrOf(name string, life uint64, said string) string // a life's address, else the one that was said
+	Members() map[string]string                          // the others that are there: their names, and where they listen
+	Sample(most int, chance *rand.Rand) []string         // addresses of some of them, drawn
+	HasMember(name string) bool
+}
+
+// Agent is what decides in one process's part of the fleet. It has no goroutine and no clock of its own: who owns it tells it what came and when.
+type Agent struct {
+	Config
+	incarnation uint64
+	network     Network
+	voter       *version.Voter // nil where this is none
+	leaseHolder *member.Holder
+	leaseTable  *member.Grantor
+	auditLog    *audit.Book
+
+	releaseLog       *version.Log // a copy, also at those who don't vote
+	lastLogFetch     float64
+	loopStats        *stance.VersionStats
+	audited          [2]uint64 // of the stamp, that the book has
+	active           version.Version
+	applyError       string
+	lastVersionFetch float64
+	lastSummary      float64
+	lastForget       float64
+	urgentSummaries  int           // brief accounts that follow one another sooner, as there is news
+	newestHeard      version.Epoch // the newest that anybody was heard to act on
+	published        member.Snapshot
+	voterNames       []string // names, sorted
+	nextVoter        int      // which voter is asked next where no leader is known
+	pending          map[uint64]*pendingCommand
+	audits           map[uint64]*auditRun
+	lastAuditID      uint64
+	random           *rand.Rand
+	replication      *replicationState // nil where there are none
+	trust            *trustState       // likewise
+	quotas           *quotaState       // likewise
+	health           *healthState
+	counters         *counterState
+	loadPlan         *loadPlanState
+}
+
+// Node is the part of one process at work: a goroutine owns a Part, and the network feeds it.
+type Node struct {
+	*Agent
+	gossip         *gossipNetwork
+	inbox          chan *wire.Envelope
+	requests       chan func(now float64)
+	claimEvents    chan ClaimEvent       // of the serving loop about its claims
+	trustedClients chan []door.Earned    // of its door
+	usage          chan []Usage          // of the loop, of budgets
+	callStats      chan stance.CallStats // of the loop, of the service below
+	requestCounts  chan []stance.CounterCell
+	quit           chan struct{}
+	done           chan struct{}
+	dropped        atomic.Uint64 // messages that had no room, or could not be read
+}
+
+// pendingCommand is an operator's command on its way.
+type pendingCommand struct {
+	command     *version.Command
+	nextAttempt float64
+	deadline    float64
+	done        func(wire.CommandResult)
+}
+
+// auditRun is an audit that waits for others' accounts.
+type auditRun struct {
+	deadline   float64
+	awaiting   map[string]bool // lives that have not answered, by node
+	accounts   []audit.Account
+	alive      map[uint64]bool
+	releaseLog *version.Log
+	servers    []member.ServerStatus
+	replicas   map[string]*replica.Status
+	done       func(*auditRun)
 }
 
 // Start begins to listen, and to talk. The life is drawn from the seed, which is new with each start.
-func Start(p Plan) (*Peers, error) {
+func Start(p Config) (*Node, error) {
 	chance := rand.New(rand.NewPCG(uint64(p.Seed), uint64(time.Now().UnixNano()))) // a restart in the same instant is another life all the same
-	f := &Peers{inbox: make(chan *wire.Message, maxInbox), asks: make(chan func(float64), 16),
-		words: make(chan Word, maxWords), earnings: make(chan []door.Earned, maxEarnings), uses: make(chan []Use, maxUses),
-		calls: make(chan stance.CallStats, maxCounts), tallies: make(chan []stance.CounterCell, maxTallies), quit: make(chan struct{}), ended: make(chan struct{})}
+	f := &Node{inbox: make(chan *wire.Envelope, maxInbox), requests: make(chan func(float64), 16),
+		claimEvents: make(chan ClaimEvent, maxClaimEvents), trustedClients: make(chan []door.Earned, maxTrustedLists), usage: make(chan []Usage, maxUsageLists),
+		callStats: make(chan stance.CallStats, maxCallStats), requestCounts: make(chan []stance.CounterCell, maxCountLists), quit: make(chan struct{}), done: make(chan struct{})}
 	life := chance.Uint64() | 1
 	var err error
-	if f.talk, err = listen(&p, life, f.receive); err != nil {
-		return nil, fmt.Errorf("fleet-listen %s: %w", p.Listen, err)
+	if f.gossip, err = joinGossip(&p, life, f.receive); err != nil {
+		return nil, fmt.Errorf("fleet-listen %s: %w", p.ListenAddr, err)
 	}
-	f.Part = NewPart(p, life, f.talk, chance)
+	f.Agent = NewPart(p, life, f.gossip, chance)
 	go f.run()
 	return f, nil
 }
 
 // NewPart makes the part of a life that begins.
-func NewPart(p Plan, life uint64, net Network, chance *rand.Rand) *Part {
-	if p.Say == nil {
-		p.Say = slog.Info
+func NewPart(p Config, life uint64, net Network, chance *rand.Rand) *Agent {
+	if p.Log == nil {
+		p.Log = slog.Info
 	}
-	f := &Part{Plan: p, life: life, net: net, chance: chance, order: (&version.Log{}).Clone(), stamp: &stance.VersionStats{},
-		pending: map[uint64]*pending{}, gathers: map[uint64]*gather{}}
+	f := &Agent{Config: p, incarnation: life, network: net, random: chance, releaseLog: (&version.Log{}).Clone(), loopStats: &stance.VersionStats{},
+		pending: map[uint64]*pendingCommand{}, audits: map[uint64]*auditRun{}}
 	for name := range p.Voters {
-		f.voters = append(f.voters, name)
+		f.voterNames = append(f.voterNames, name)
 	}
-	slices.Sort(f.voters)
+	slices.Sort(f.voterNames)
 	now := p.Now()
 	if _, votes := f.Voters[f.Name]; votes {
-		f.voter = version.NewVoter(f.Name, f.voters, int64(f.chance.Uint64()>>1), wire.Codec{}, now, f.Unix())
+		f.voter = version.NewVoter(f.Name, f.voterNames, int64(f.random.Uint64()>>1), wire.Codec{}, now, f.UnixNow())
 	}
-	f.self = member.NewHolder(f.Name, f.life, f.Listen, f.Build, f.Silent, f.Terms.Duration, now)
-	f.book = audit.NewBook(f.Name, f.life, f.Unix())
-	f.book.Begin(f.Unix(), 0, "", "started")
+	f.leaseHolder = member.NewHolder(f.Name, f.incarnation, f.ListenAddr, f.Build, f.OnLeaseExpiry, f.LeaseTerms.Duration, now)
+	f.auditLog = audit.NewBook(f.Name, f.incarnation, f.UnixNow())
+	f.auditLog.Begin(f.UnixNow(), 0, "", "started")
 	f.publish()
 	f.beginCopies(now)
 	f.beginCallers(now)
@@ -197,21 +197,21 @@
 }
 
 // Stop leaves the fleet.
-func (f *Peers) Stop() {
+func (f *Node) Stop() {
 	close(f.quit)
-	<-f.ended
-	f.talk.close()
+	<-f.done
+	f.gossip.close()
 }
 
-// Life is this process's life.
-func (f *Part) Life() uint64 { return f.life }
+// Incarnation is this process's life.
+func (f *Agent) Incarnation() uint64 { return f.incarnation }
 
 // receive reads a message as it comes, on the network's goroutines.
-func (f *Peers) receive(b []byte) {
-	m, err := wire.Read(b)
+func (f *Node) receive(b []byte) {
+	m, err := wire.Decode(b)
 	if err != nil {
-		if f.lost.Add(1)%1000 == 1 {
-			slog.Info("fleet_bad_message", "err", err, "times", f.lost.Load())
+		if f.dropped.Add(1)%1000 == 1 {
+			slog.Info("fleet_bad_message", "err", err, "times", f.dropped.Load())
 		}
 		return
 	}
@@ -219,24 +219,24 @@
 	select {
 	case f.inbox <- m:
 	default:
-		f.lost.Add(1)
+		f.dropped.Add(1)
 	}
 }
 
-func (f *Peers) run() {
-	defer close(f.ended)
-	for f.turns() {
+func (f *Node) run() {
+	defer close(f.done)
+	for f.loop() {
 		select {
 		case <-f.quit:
 			return
 		case <-time.After(restartAfter):
-			f.Part = NewPart(f.Plan, f.chance.Uint64()|1, f.talk, f.chance)
+			f.Agent = NewPart(f.Config, f.random.Uint64()|1, f.gossip, f.random)
 		}
 	}
 }
 
-// turns runs until the end, or until a panic, which stops here: the server goes on, and its part in the fleet begins anew under another life.
-func (f *Peers) turns() (again bool) {
+// loop runs until the end, or until a panic, which stops here: the server goes on, and its part in the fleet begins anew under another life.
+func (f *Node) loop() (again bool) {
 	defer func() {
 		if p := recover(); p != nil {
 			slog.Error("fleet_panic", "cause", fmt.Sprint(p), "stack", string(debug.Stack()))
@@ -250,613 +250,616 @@
 		case <-f.quit:
 			return false
 		case m := <-f.inbox:
-			f.Take(f.Now(), m)
+			f.HandleMessage(f.Now(), m)
 			for range len(f.inbox) { // what is there already goes with it
-				f.Take(f.Now(), <-f.inbox)
+				f.HandleMessage(f.Now(), <-f.inbox)
 			}
-		case do := <-f.asks:
+		case do := <-f.requests:
 			do(f.Now())
-		case list := <-f.earnings:
+		case list := <-f.trustedClients:
 			f.earned(list)
-		case c := <-f.calls:
-			f.HeedCalls(f.Now(), c)
-		case list := <-f.tallies:
-			f.HeedTallies(list)
-		case list := <-f.uses:
-			f.HeedUses(f.Now(), list)
-		case w := <-f.words:
-			f.Heed(f.Now(), w)
-			for range len(f.words) {
-				f.Heed(f.Now(), <-f.words)
+		case c := <-f.callStats:
+			f.ObserveCalls(f.Now(), c)
+		case list := <-f.requestCounts:
+			f.ObserveCounts(list)
+		case list := <-f.usage:
+			f.ObserveUsage(f.Now(), list)
+		case w := <-f.claimEvents:
+			f.HandleClaimEvent(f.Now(), w)
+			for range len(f.claimEvents) {
+				f.HandleClaimEvent(f.Now(), <-f.claimEvents)
 			}
 		case <-alarm.C:
 		}
-		f.Due(f.Now())
-		alarm.Reset(max(time.Millisecond, time.Duration((f.Next()-f.Now())*float64(time.Second))))
+		f.Tick(f.Now())
+		alarm.Reset(max(time.Millisecond, time.Duration((f.NextWakeup()-f.Now())*float64(time.Second))))
 	}
 }
 
-// Next is when Due is to be called.
-func (f *Part) Next() float64 {
-	next := min(f.self.NextWakeup(), f.published.ChangesAt, f.briefAt+f.briefPause())
+// NextWakeup is when Due is to be called.
+func (f *Agent) NextWakeup() float64 {
+	next := min(f.leaseHolder.NextWakeup(), f.published.ChangesAt, f.lastSummary+f.summaryInterval())
 	if f.voter != nil {
 		next = min(next, f.voter.NextWakeup())
 	}
 	next = min(next, f.nextCopies(f.Now()), f.nextCallers(f.Now()), f.nextBudgets(), f.nextHealth(), f.nextCounts(), f.nextPlans())
-	if len(f.pending) > 0 || len(f.gathers) > 0 || f.self.AssignedEpoch() > f.acts.Epoch {
+	if len(f.pending) > 0 || len(f.audits) > 0 || f.leaseHolder.AssignedEpoch() > f.active.Epoch {
 		next = min(next, f.Now()+0.1)
 	}
 	return next
 }
 
-// Take carries one message to the judge that it is for.
-func (f *Part) Take(now float64, m *wire.Message) {
+// HandleMessage carries one message to the judge that it is for.
+func (f *Agent) HandleMessage(now float64, m *wire.Envelope) {
 	switch {
-	case m.Voting != nil:
+	case m.Consensus != nil:
 		if f.voter != nil {
-			f.voter.HandleMessage(now, m.Voting)
+			f.voter.HandleMessage(now, m.Consensus)
 		}
-	case m.Question != nil:
-		f.answer(now, m.Question)
-	case m.Answer != nil:
-		if f.self.HandleReply(now, m.Answer) {
-			state, _, why := f.self.State()
-			f.Say("fleet_standing", "state", state, "why", why, "right", f.self.AssignedEpoch())
+	case m.LeaseRequest != nil:
+		f.handleLeaseRequest(now, m.LeaseRequest)
+	case m.LeaseReply != nil:
+		if f.leaseHolder.HandleReply(now, m.LeaseReply) {
+			state, _, why := f.leaseHolder.State()
+			f.Log("fleet_standing", "state", state, "why", why, "right", f.leaseHolder.AssignedEpoch())
 		}
-	case m.Want != 0:
-		if v := f.order.FindVersion(m.Want); v != nil {
-			f.reply(m, &wire.Message{Version: v})
+	case m.VersionRequest != 0:
+		if v := f.releaseLog.FindVersion(m.VersionRequest); v != nil {
+			f.reply(m, &wire.Envelope{Version: v})
 		}
 	case m.Version != nil:
-		f.catchUp(now, m.Version, "caught up")
-	case m.Do != nil:
-		f.forward(now, m)
-	case m.Done != nil:
-		if p := f.pending[m.Done.ID]; p != nil {
-			delete(f.pending, m.Done.ID)
-			p.tell(*m.Done)
+		f.applyVersion(now, m.Version, "caught up")
+	case m.Command != nil:
+		f.acceptCommand(now, m)
+	case m.CommandResult != nil:
+		if p := f.pending[m.CommandResult.ID]; p != nil {
+			delete(f.pending, m.CommandResult.ID)
+			p.done(*m.CommandResult)
 		}
-	case m.Brief != nil:
-		f.book.Hear(*m.Brief)
-		f.rumour(now, m.Brief)
-	case m.Ask != nil:
-		f.tellAll(now, m)
-	case m.Told != nil:
-		f.gathered(m)
-	case m.AskCallers || m.Vouchers != nil:
+	case m.AccountSummary != nil:
+		f.auditLog.Hear(*m.AccountSummary)
+		f.noteNewestEpoch(now, m.AccountSummary)
+	case m.StateRequest != nil:
+		f.handleStateRequest(now, m)
+	case m.StateReply != nil:
+		f.handleStateReply(m)
+	case m.TrustRequest || m.TrustRecords != nil:
 		f.takeCallers(now, m)
-	case m.Wishes != nil || m.Grants != nil:
+	case m.QuotaRequest != nil || m.QuotaReply != nil:
 		f.takeBudgets(now, m)
-	case m.Row != nil || m.RowHeard != nil || m.AskRows != nil || m.Rows != nil:
+	case m.CounterReport != nil || m.CounterAck != nil || m.CounterSyncRequest != nil || m.CounterSyncReply != nil:
 		f.takeCounts(now, m)
-	case m.PlanReport != nil || m.PlanPart != nil:
+	case m.ForwarderReport != nil || m.PlanShare != nil:
 		f.takePlans(now, m)
-	case m.Health != nil:
+	case m.HealthReports != nil:
 		f.takeHealth(now, m)
 	default:
 		f.takeCopies(now, m)
 	}
 }
 
-// briefPause is how long after a brief account the next one is due.
-func (f *Part) briefPause() float64 {
-	if f.eager > 0 {
-		return eagerEvery
+// summaryInterval is how long after a brief account the next one is due.
+func (f *Agent) summaryInterval() float64 {
+	if f.urgentSummaries > 0 {
+		return urgentSummaryEvery
 	}
-	return briefEvery
+	return summaryEvery
 }
 
-// eagerBriefs follow a change, so soon after one another: with three others told each time, one in e^9 hears of it only by its own question.
+// urgentSummaryCount follow a change, so soon after one another: with three others told each time, one in e^9 hears of it only by its own question.
 const (
-	eagerBriefs = 3
-	eagerEvery  = 0.15
+	urgentSummaryCount = 3
+	urgentSummaryEvery = 0.15
 )
 
-// rumour hears that others act on something newer: the leader is asked soon, once for each epoch, and not by all in one instant.
-func (f *Part) rumour(now float64, a *audit.Account) {
-	if n := len(a.Intervals); n > 0 && a.Intervals[n-1].Epoch > max(f.rumoured, f.self.AssignedEpoch()) {
-		f.rumoured = a.Intervals[n-1].Epoch
-		f.self.RequestBy(now + rumourWithin*f.chance.Float64())
+// noteNewestEpoch hears that others act on something newer: the leader is asked soon, once for each epoch, and not by all in one instant.
+func (f *Agent) noteNewestEpoch(now float64, a *audit.Account) {
+	if n := len(a.Intervals); n > 0 && a.Intervals[n-1].Epoch > max(f.newestHeard, f.leaseHolder.AssignedEpoch()) {
+		f.newestHeard = a.Intervals[n-1].Epoch
+		f.leaseHolder.RequestBy(now + leaseRequestJitter*f.random.Float64())
 	}
 }
 
-// rumourWithin spreads the questions that follow a rumour, in seconds: a thousand servers that hear of one at once are 5,000 questions a second then,
+// leaseRequestJitter spreads the questions that follow a rumour, in seconds: a thousand servers that hear of one at once are 5,000 questions a second then,
 // a thousandth of what a leader answers.
-const rumourWithin = 0.2
+const leaseRequestJitter = 0.2
 
 // reply sends a message back to where one came from.
-func (f *Part) reply(to, m *wire.Message) {
-	f.send(f.net.Where(to.From, to.Life, cmp.Or(f.Voters[to.From], to.Addr)), m)
+func (f *Agent) reply(to, m *wire.Envelope) {
+	f.send(f.network.AddrOf(to.From, to.Incarnation, cmp.Or(f.Voters[to.From], to.Addr)), m)
 }
 
-func (f *Part) send(addr string, m *wire.Message) {
+func (f *Agent) send(addr string, m *wire.Envelope) {
 	if addr == "" {
 		return
 	}
-	m.From, m.Life, m.Addr = f.Name, f.life, f.Listen
-	b, err := wire.Put(m)
+	m.From, m.Incarnation, m.Addr = f.Name, f.incarnation, f.ListenAddr
+	b, err := wire.Encode(m)
 	if err != nil {
-		f.Say("fleet_unsent", "err", err)
+		f.Log("fleet_unsent", "err", err)
 		return
 	}
-	f.net.Send(addr, b)
+	f.network.Send(addr, b)
 }
 
 // confirmed tells whether this process leads, as a majority confirmed lately.
-func (f *Part) confirmed(now float64) bool {
+func (f *Agent) confirmed(now float64) bool {
 	return f.voter != nil && f.voter.IsLeader(now-member.LeaderConfirmationWindow)
 }
 
-// answer answers a server that asks how it stands.
-func (f *Part) answer(now float64, q *member.Request) {
+// handleLeaseRequest answers a server that asks how it stands.
+func (f *Agent) handleLeaseRequest(now float64, q *member.Request) {
 	a := member.Reply{Incarnation: q.Incarnation, Number: q.Number, Verdict: member.VerdictRetry}
 	if f.voter != nil {
 		f.voter.ObserveClusterID(q.ActiveEpoch.ClusterID())
 		a.Leader = f.voter.Leader()
 	}
-	if f.confirmed(now) && f.ledger != nil {
+	if f.confirmed(now) && f.leaseTable != nil {
 		var commands []version.Command
-		a, commands = f.ledger.HandleRequest(now, q, f.order, true)
+		a, commands = f.leaseTable.HandleRequest(now, q, f.releaseLog, true)
 		a.Leader = f.Name
 		f.propose(commands)
 	} else if a.Leader == f.Name {
 		a.Leader = ""
 	}
-	if q.Name == f.Name && q.Incarnation == f.life {
-		f.Take(now, &wire.Message{Answer: &a})
+	if q.Name == f.Name && q.Incarnation == f.incarnation {
+		f.HandleMessage(now, &wire.Envelope{LeaseReply: &a})
 		return
 	}
-	f.send(q.Addr, &wire.Message{Answer: &a})
+	f.send(q.Addr, &wire.Envelope{LeaseReply: &a})
 }
 
-func (f *Part) propose(commands []version.Command) {
+func (f *Agent) propose(commands []version.Command) {
 	for i := range commands {
-		commands[i].IssuedAt = f.Unix()
+		commands[i].IssuedAt = f.UnixNow()
 		f.voter.ProposeAsLeader(&commands[i])
 	}
 }
 
-// Due does what is due, and sends what there is to say.
-func (f *Part) Due(now float64) {
+// Tick does what is due, and sends what there is to say.
+func (f *Agent) Tick(now float64) {
 	if f.voter != nil {
 		f.voter.Tick(now)
-		f.lead(now)
-	}
-	if f.self.Expire(now) {
-		_, _, why := f.self.State()
-		f.Say("fleet_standing", "state", member.StateExpired, "why", why, "right", f.self.AssignedEpoch())
-	}
-	f.bringUp(now)
-	f.count()
-	if f.self.NextWakeup() <= now {
-		f.inquire(now)
-	}
-	f.follow(now)
-	if now >= f.briefAt+f.briefPause() {
-		f.briefAt = now
-		f.eager = max(0, f.eager-1)
-		brief := f.book.Brief()
-		for _, addr := range f.net.Some(briefTo, f.chance) {
-			f.send(addr, &wire.Message{Brief: &brief})
+		f.runLeader(now)
+	}
+	if f.leaseHolder.Expire(now) {
+		_, _, why := f.leaseHolder.State()
+		f.Log("fleet_standing", "state", member.StateExpired, "why", why, "right", f.leaseHolder.AssignedEpoch())
+	}
+	f.fetchAssignedVersion(now)
+	f.auditLoopStats()
+	if f.leaseHolder.NextWakeup() <= now {
+		f.requestLease(now)
+	}
+	f.fetchReleaseLog(now)
+	if now >= f.lastSummary+f.summaryInterval() {
+		f.lastSummary = now
+		f.urgentSummaries = max(0, f.urgentSummaries-1)
+		brief := f.auditLog.Brief()
+		for _, addr := range f.network.Sample(gossipFanout, f.random) {
+			f.send(addr, &wire.Envelope{AccountSummary: &brief})
 		}
 	}
-	if now >= f.forgetAt+forgetEvery && len(f.order.Members) > 0 {
-		f.forgetAt = now
-		f.book.Forget(func(name string) bool { _, held := f.order.Members[name]; return held || f.net.Knows(name) })
+	if now >= f.lastForget+forgetEvery && len(f.releaseLog.Members) > 0 {
+		f.lastForget = now
+		f.auditLog.Forget(func(name string) bool {
+			_, held := f.releaseLog.Members[name]
+			return held || f.network.HasMember(name)
+		})
 	}
-	f.again(now)
+	f.retryCommands(now)
 	f.dueCopies(now)
 	f.dueCallers(now)
 	f.dueBudgets(now)
 	f.dueHealth(now)
 	f.dueCounts(now)
 	f.duePlans(now)
-	f.flush()
+	f.sendVoterMessages()
 	f.publish()
 }
 
-// lead does what a leader does.
-func (f *Part) lead(now float64) {
-	f.order = f.voter.ReleaseLog()
-	if newest := f.order.NewestEpoch(); newest > max(f.rumoured, f.self.AssignedEpoch()) {
-		f.rumoured = newest
-		f.self.RequestBy(now)
+// runLeader does what a leader does.
+func (f *Agent) runLeader(now float64) {
+	f.releaseLog = f.voter.ReleaseLog()
+	if newest := f.releaseLog.NewestEpoch(); newest > max(f.newestHeard, f.leaseHolder.AssignedEpoch()) {
+		f.newestHeard = newest
+		f.leaseHolder.RequestBy(now)
 	}
 	leads := f.confirmed(now)
 	switch {
-	case leads && f.ledger == nil:
-		f.ledger = member.NewGrantor(f.Terms, f.Voters, now)
-		f.Say("fleet_leads", "newest", f.order.NewestEpoch())
-	case !leads && f.ledger != nil && f.voter.Leader() != f.Name:
-		f.ledger = nil
-		f.Say("fleet_follows", "leader", f.voter.Leader())
+	case leads && f.leaseTable == nil:
+		f.leaseTable = member.NewGrantor(f.LeaseTerms, f.Voters, now)
+		f.Log("fleet_leads", "newest", f.releaseLog.NewestEpoch())
+	case !leads && f.leaseTable != nil && f.voter.Leader() != f.Name:
+		f.leaseTable = nil
+		f.Log("fleet_follows", "leader", f.voter.Leader())
 	}
 	f.leadBudgets(now)
 	f.leadPlans(now)
 	for _, e := range f.voter.TakeResults() {
-		if f.ledger != nil {
-			f.ledger.HandleCommandResult(e.Command)
+		if f.leaseTable != nil {
+			f.leaseTable.HandleCommandResult(e.Command)
 		}
 		if e.Command.Kind != version.KindRegister || e.Err != nil && e.Err != version.ErrNameTaken {
-			f.Say("fleet_order", "command", e.Command.Kind, "by", e.Command.Author, "name", e.Command.Name, "why", e.Command.Reason,
-				"newest", f.order.NewestEpoch(), "refused", fmt.Sprint(e.Err))
+			f.Log("fleet_order", "command", e.Command.Kind, "by", e.Command.Author, "name", e.Command.Name, "why", e.Command.Reason,
+				"newest", f.releaseLog.NewestEpoch(), "refused", fmt.Sprint(e.Err))
 		}
 		if p := f.pending[e.Command.ID]; p != nil && e.Command.ID != 0 {
 			delete(f.pending, e.Command.ID)
-			p.tell(ending(e, f.order.NewestEpoch()))
+			p.done(commandResult(e, f.releaseLog.NewestEpoch()))
 		}
 	}
-	if leads && f.ledger != nil {
-		f.propose(f.ledger.Maintain(now, f.order, f.Rollout))
+	if leads && f.leaseTable != nil {
+		f.propose(f.leaseTable.Maintain(now, f.releaseLog, f.Rollout))
 	}
 }
 
-func ending(e version.CommandResult, newest version.Epoch) wire.Done {
-	d := wire.Done{ID: e.Command.ID, Newest: newest}
+func commandResult(e version.CommandResult, newest version.Epoch) wire.CommandResult {
+	d := wire.CommandResult{ID: e.Command.ID, NewestEpoch: newest}
 	if e.Err != nil {
-		d.Refused = e.Err.Error()
+		d.RejectReason = e.Err.Error()
 	}
 	return d
 }
 
-// inquire asks the leader how this server stands, or some voter who leads.
-func (f *Part) inquire(now float64) {
-	q := f.self.NewRequest(now)
-	name := f.self.Leader()
+// requestLease asks the leader how this server stands, or some voter who leads.
+func (f *Agent) requestLease(now float64) {
+	q := f.leaseHolder.NewRequest(now)
+	name := f.leaseHolder.Leader()
 	if _, votes := f.Voters[name]; !votes {
-		if len(f.voters) == 0 {
+		if len(f.voterNames) == 0 {
 			return
 		}
-		name = f.voters[f.ask%len(f.voters)]
-		f.ask++
-	} else if f.self.Unanswered() > maxUnheard {
-		f.self.HandleLeaderUnreachable(now)
+		name = f.voterNames[f.nextVoter%len(f.voterNames)]
+		f.nextVoter++
+	} else if f.leaseHolder.Unanswered() > maxUnanswered {
+		f.leaseHolder.HandleLeaderUnreachable(now)
 	}
 	if name == f.Name {
-		f.answer(now, &q)
+		f.handleLeaseRequest(now, &q)
 		return
 	}
-	f.send(f.Voters[name], &wire.Message{Question: &q})
+	f.send(f.Voters[name], &wire.Envelope{LeaseRequest: &q})
 }
 
-// maxUnheard questions to one leader have no answer before another voter is asked.
-const maxUnheard = 2
+// maxUnanswered questions to one leader have no answer before another voter is asked.
+const maxUnanswered = 2
 
-// bringUp gets the version that this server has to act on.
-func (f *Part) bringUp(now float64) {
-	right := f.self.AssignedEpoch()
-	if right <= f.acts.Epoch {
+// fetchAssignedVersion gets the version that this server has to act on.
+func (f *Agent) fetchAssignedVersion(now float64) {
+	right := f.leaseHolder.AssignedEpoch()
+	if right <= f.active.Epoch {
 		return
 	}
-	if v := f.order.FindVersion(right); v != nil {
-		f.catchUp(now, v, "released")
+	if v := f.releaseLog.FindVersion(right); v != nil {
+		f.applyVersion(now, v, "released")
 		return
 	}
-	if now < f.wantAt+wantEvery {
+	if now < f.lastVersionFetch+versionFetchEvery {
 		return
 	}
-	f.wantAt = now
-	name := f.self.Leader()
-	if f.Voters[name] == "" || f.chance.IntN(4) == 0 { // or whoever has it
-		name = f.voters[f.chance.IntN(len(f.voters))]
+	f.lastVersionFetch = now
+	name := f.leaseHolder.Leader()
+	if f.Voters[name] == "" || f.random.IntN(4) == 0 { // or whoever has it
+		name = f.voterNames[f.random.IntN(len(f.voterNames))]
 	}
 	if name != f.Name {
-		f.send(f.Voters[name], &wire.Message{Want: right})
+		f.send(f.Voters[name], &wire.Envelope{VersionRequest: right})
 	}
 }
 
-// catchUp acts on a version, where it is whole and the right one.
-func (f *Part) catchUp(now float64, v *version.Version, why string) {
-	if v.Epoch != f.self.AssignedEpoch() || v.Epoch <= f.acts.Epoch || !v.DigestMatches() || f.stuck != "" && now < f.wantAt+1 {
+// applyVersion acts on a version, where it is whole and the right one.
+func (f *Agent) applyVersion(now float64, v *version.Version, why string) {
+	if v.Epoch != f.leaseHolder.AssignedEpoch() || v.Epoch <= f.active.Epoch || !v.DigestMatches() || f.applyError != "" && now < f.lastVersionFetch+1 {
 		return
 	}
-	f.wantAt = now
+	f.lastVersionFetch = now
 	err := error(nil)
 	if v.Build != "" && v.Build != f.Build {
 		err = fmt.Errorf("it is meant for build %s, this is %s", v.Build, f.Build)
-	} else if v.Text != f.acts.Text || f.acts.Epoch == 0 {
+	} else if v.Text != f.active.Text || f.active.Epoch == 0 {
 		err = f.Apply(v.Text)
 	}
 	if err != nil {
-		if f.stuck != err.Error() {
-			f.Say("fleet_stuck", "epoch", v.Epoch, "err", err)
+		if f.applyError != err.Error() {
+			f.Log("fleet_stuck", "epoch", v.Epoch, "err", err)
 		}
-		f.stuck = err.Error()
-		f.self.SetActiveEpoch(f.acts.Epoch, f.stuck)
+		f.applyError = err.Error()
+		f.leaseHolder.SetActiveEpoch(f.active.Epoch, f.applyError)
 		return
 	}
-	f.count()
-	f.acts, f.stuck = *v, ""
-	f.stamp, f.counted = &stance.VersionStats{}, [2]uint64{}
-	f.book.Begin(f.Unix(), v.Epoch, v.Digest, why)
-	f.self.SetActiveEpoch(v.Epoch, "")
+	f.auditLoopStats()
+	f.active, f.applyError = *v, ""
+	f.loopStats, f.audited = &stance.VersionStats{}, [2]uint64{}
+	f.auditLog.Begin(f.UnixNow(), v.Epoch, v.Digest, why)
+	f.leaseHolder.SetActiveEpoch(v.Epoch, "")
 	f.heedBudgets(now)
-	f.briefAt, f.eager = math.Inf(-1), eagerBriefs // others hear of it at once
-	f.Say("fleet_acts", "epoch", v.Epoch, "digest", v.Digest, "author", v.Author, "why", why)
+	f.lastSummary, f.urgentSummaries = math.Inf(-1), urgentSummaryCount // others hear of it at once
+	f.Log("fleet_acts", "epoch", v.Epoch, "digest", v.Digest, "author", v.Author, "why", why)
 }
 
-// count takes over what the loop counted.
-func (f *Part) count() {
-	batches, tasks := f.stamp.Batches.Load(), f.stamp.Requests.Load()
-	f.book.Count(f.Unix(), batches-f.counted[0], tasks-f.counted[1])
-	f.counted = [2]uint64{batches, tasks}
-	f.self.SetErrorTally(version.ErrorTally{Completed: float64(f.stamp.Completed.Load()), Failed: float64(min(f.stamp.Failed.Load(), f.stamp.Completed.Load()))})
+// auditLoopStats takes over what the loop counted.
+func (f *Agent) auditLoopStats() {
+	batches, tasks := f.loopStats.Batches.Load(), f.loopStats.Requests.Load()
+	f.auditLog.Count(f.UnixNow(), batches-f.audited[0], tasks-f.audited[1])
+	f.audited = [2]uint64{batches, tasks}
+	f.leaseHolder.SetErrorTally(version.ErrorTally{Completed: float64(f.loopStats.Completed.Load()), Failed: float64(min(f.loopStats.Failed.Load(), f.loopStats.Completed.Load()))})
 }
 
-// follow keeps a copy of the order, from which others' words are judged and a lost group of voters starts again: a voter that is cold asks some of
+// fetchReleaseLog keeps a copy of the order, from which others' words are judged and a lost group of voters starts again: a voter that is cold asks some of
 // the others for theirs. What is asked says what is known, so that only news costs more than a few bytes.
-func (f *Part) follow(now float64) {
+func (f *Agent) fetchReleaseLog(now float64) {
 	cold := f.voter != nil && !f.voter.Joined()
-	if f.voter != nil && !cold || len(f.voters) == 0 {
+	if f.voter != nil && !cold || len(f.voterNames) == 0 {
 		return
 	}
-	every, from := orderEvery, 1
+	every, from := logFetchEvery, 1
 	if cold {
-		every, from = learnEvery, learnFrom
+		every, from = coldLogFetchEvery, coldLogFetchFanout
 	}
-	if now < f.orderAt+every {
+	if now < f.lastLogFetch+every {
 		return
 	}
-	f.orderAt = now
-	ask := &wire.Message{Ask: &wire.Ask{Names: []string{""}, Founding: f.order.Current.Epoch.ClusterID(), Count: f.order.AppliedCount}}
-	if !cold && (f.self.AssignedEpoch() != f.order.NewestEpoch() || f.chance.IntN(8) == 0) { // a copy from the voters themselves now and then
-		f.send(f.Voters[f.voters[f.chance.IntN(len(f.voters))]], ask)
+	f.lastLogFetch = now
+	ask := &wire.Envelope{StateRequest: &wire.StateRequest{Names: []string{""}, ClusterID: f.releaseLog.Current.Epoch.ClusterID(), AppliedCount: f.releaseLog.AppliedCount}}
+	if !cold && (f.leaseHolder.AssignedEpoch() != f.releaseLog.NewestEpoch() || f.random.IntN(8) == 0) { // a copy from the voters themselves now and then
+		f.send(f.Voters[f.voterNames[f.random.IntN(len(f.voterNames))]], ask)
 		return
 	}
-	for _, addr := range f.net.Some(from, f.chance) {
+	for _, addr := range f.network.Sample(from, f.random) {
 		f.send(addr, ask)
 	}
 }
 
 // publish hands the loop what has changed.
-func (f *Part) publish() {
-	v := f.self.Snapshot()
-	v.Stats = f.stamp
+func (f *Agent) publish() {
+	v := f.leaseHolder.Snapshot()
+	v.Stats = f.loopStats
 	if v != f.published {
 		f.published = v
 		f.Publish(&v.Directive)
 	}
 }
 
-// flush sends what the voter says.
-func (f *Part) flush() {
+// sendVoterMessages sends what the voter says.
+func (f *Agent) sendVoterMessages() {
 	if f.voter == nil {
 		return
 	}
 	for _, l := range f.voter.TakeOutbox() {
-		f.send(f.Voters[l.To], &wire.Message{Voting: &l.Message})
+		f.send(f.Voters[l.To], &wire.Envelope{Consensus: &l.Message})
 	}
 }
 
-// forward takes an operator's command that came by another server, or here.
-func (f *Part) forward(now float64, m *wire.Message) {
-	c := m.Do
-	if f.pending[c.ID] != nil || c.ID == 0 || len(f.pending) >= maxDone {
+// acceptCommand takes an operator's command that came by another server, or here.
+func (f *Agent) acceptCommand(now float64, m *wire.Envelope) {
+	c := m.Command
+	if f.pending[c.ID] != nil || c.ID == 0 || len(f.pending) >= maxPendingCommands {
 		return
 	}
 	from := *m
-	f.pending[c.ID] = &pending{command: c, until: now + maxWait, tell: func(d wire.Done) { f.reply(&from, &wire.Message{Done: &d}) }}
+	f.pending[c.ID] = &pendingCommand{command: c, deadline: now + commandTimeout, done: func(d wire.CommandResult) { f.reply(&from, &wire.Envelope{CommandResult: &d}) }}
 }
 
-// maxWait is how long an operator waits for a command.
-const maxWait = 10.0
+// commandTimeout is how long an operator waits for a command.
+const commandTimeout = 10.0
 
-// again repeats commands until their end is known.
-func (f *Part) again(now float64) {
+// retryCommands repeats commands until their end is known.
+func (f *Agent) retryCommands(now float64) {
 	for _, id := range slices.Sorted(maps.Keys(f.pending)) { // in an order, so that a schedule repeats itself
 		p := f.pending[id]
 		switch {
-		case now > p.until:
+		case now > p.deadline:
 			delete(f.pending, id)
-			p.tell(wire.Done{ID: id, Refused: "no majority of the voters answered in time; it may still be carried out", Newest: f.order.NewestEpoch()})
-		case now >= p.again:
-			p.again = now + 0.5
+			p.done(wire.CommandResult{ID: id, RejectReason: "no majority of the voters answered in time; it may still be carried out", NewestEpoch: f.releaseLog.NewestEpoch()})
+		case now >= p.nextAttempt:
+			p.nextAttempt = now + 0.5
 			if f.voter != nil && f.voter.Joined() {
 				f.voter.Propose(p.command)
-			} else if len(f.voters) > 0 {
-				name := cmp.Or(f.self.Leader(), f.voters[f.chance.IntN(len(f.voters))])
-				f.send(f.Voters[name], &wire.Message{Do: p.command})
+			} else if len(f.voterNames) > 0 {
+				name := cmp.Or(f.leaseHolder.Leader(), f.voterNames[f.random.IntN(len(f.voterNames))])
+				f.send(f.Voters[name], &wire.Envelope{Command: p.command})
 			}
 		}
 	}
-	for number, g := range f.gathers {
-		if now > g.until || len(g.wait) == 0 && g.order != nil {
-			delete(f.gathers, number)
-			g.tell(g)
+	for number, g := range f.audits {
+		if now > g.deadline || len(g.awaiting) == 0 && g.releaseLog != nil {
+			delete(f.audits, number)
+			g.done(g)
 		}
 	}
 }
 
-// tellAll answers who asks for accounts. A voter tells the order too, a leader how all stand.
-func (f *Part) tellAll(now float64, m *wire.Message) {
-	t := &wire.Told{Number: m.Ask.Number}
-	if m.Ask.Number != 0 {
-		f.count()
-		t.Copies = f.CopiesState()
-		t.Accounts = append(f.book.Heard(m.Ask.Names), f.book.Own())
-		if len(t.Accounts) > maxTold {
-			t.Accounts = t.Accounts[len(t.Accounts)-maxTold:]
+// handleStateRequest answers who asks for accounts. A voter tells the order too, a leader how all stand.
+func (f *Agent) handleStateRequest(now float64, m *wire.Envelope) {
+	t := &wire.StateReply{RequestID: m.StateRequest.RequestID}
+	if m.StateRequest.RequestID != 0 {
+		f.auditLoopStats()
+		t.Replication = f.ReplicationStatus()
+		t.Accounts = append(f.auditLog.Heard(m.StateRequest.Names), f.auditLog.Own())
+		if len(t.Accounts) > maxAccountsInReply {
+			t.Accounts = t.Accounts[len(t.Accounts)-maxAccountsInReply:]
 		}
 	}
-	known := &version.Log{Current: version.Version{Epoch: version.NewEpoch(m.Ask.Founding, 0)}, AppliedCount: m.Ask.Count}
-	if f.order.NewerThan(known) && (f.voter != nil || m.Ask.Number == 0) {
-		t.Order = f.order
+	known := &version.Log{Current: version.Version{Epoch: version.NewEpoch(m.StateRequest.ClusterID, 0)}, AppliedCount: m.StateRequest.AppliedCount}
+	if f.releaseLog.NewerThan(known) && (f.voter != nil || m.StateRequest.RequestID == 0) {
+		t.ReleaseLog = f.releaseLog
 	}
-	if m.Ask.Number == 0 && t.Order == nil {
+	if m.StateRequest.RequestID == 0 && t.ReleaseLog == nil {
 		return // nothing new
 	}
 	if f.voter != nil && f.voter.Joined() {
-		if m.Ask.Number != 0 && f.ledger != nil && f.confirmed(now) {
-			t.Standings = f.ledger.ServerStatuses(now, f.order)
+		if m.StateRequest.RequestID != 0 && f.leaseTable != nil && f.confirmed(now) {
+			t.Servers = f.leaseTable.ServerStatuses(now, f.releaseLog)
 		}
 	}
-	f.reply(m, &wire.Message{Told: t})
+	f.reply(m, &wire.Envelope{StateReply: t})
 }
 
-// maxTold accounts go in one answer.
-const maxTold = 500
+// maxAccountsInReply accounts go in one answer.
+const maxAccountsInReply = 500
 
-func (f *Part) gathered(m *wire.Message) {
-	t := m.Told
+func (f *Agent) handleStateReply(m *wire.Envelope) {
+	t := m.StateReply
 	switch {
-	case t.Order == nil || !t.Order.NewerThan(f.order):
+	case t.ReleaseLog == nil || !t.ReleaseLog.NewerThan(f.releaseLog):
 	case f.voter == nil:
-		f.order = t.Order
+		f.releaseLog = t.ReleaseLog
 	default:
-		f.voter.ObserveReleaseLog(t.Order)
+		f.voter.ObserveReleaseLog(t.ReleaseLog)
 	}
-	g := f.gathers[t.Number]
+	g := f.audits[t.RequestID]
 	if g == nil {
 		return
 	}
-	if !g.wait[m.From] {
+	if !g.awaiting[m.From] {
 		return
 	}
-	delete(g.wait, m.From)
+	delete(g.awaiting, m.From)
 	for _, a := range t.Accounts {
-		if a.Name == m.From && a.Life == m.Life {
+		if a.Name == m.From && a.Life == m.Incarnation {
 			g.alive[a.Life] = true
 		}
 		g.accounts = append(g.accounts, a)
 	}
-	if t.Order != nil && (g.order == nil || t.Order.NewerThan(g.order)) {
-		g.order = t.Order
+	if t.ReleaseLog != nil && (g.releaseLog == nil || t.ReleaseLog.NewerThan(g.releaseLog)) {
+		g.releaseLog = t.ReleaseLog
 	}
-	if t.Standings != nil {
-		g.standing = t.Standings
+	if t.Servers != nil {
+		g.servers = t.Servers
 	}
-	if t.Copies != nil {
-		g.copies[m.From] = t.Copies
+	if t.Replication != nil {
+		g.replicas[m.From] = t.Replication
 	}
 }
 
 // Audit asks everybody what they acted on, and waits for the answers as long as it takes, at most some seconds.
-func (f *Peers) Audit(since version.Epoch) (audit.Report, *gather, error) {
-	done := make(chan *gather, 1)
-	if err := f.do(func(now float64) { f.gather(now, func(g *gather) { done <- g }) }); err != nil {
+func (f *Node) Audit(since version.Epoch) (audit.Report, *auditRun, error) {
+	done := make(chan *auditRun, 1)
+	if err := f.call(func(now float64) { f.startAudit(now, func(g *auditRun) { done <- g }) }); err != nil {
 		return audit.Report{}, nil, err
 	}
 	select {
 	case g := <-done:
-		if g.order == nil {
+		if g.releaseLog == nil {
 			return audit.Report{}, nil, errors.New("no voter answered that sits in a group: nobody knows the order")
 		}
-		return audit.Make(g.order, g.standing, g.accounts, g.alive, since), g, nil
-	case <-time.After(time.Duration((gatherFor + 2) * float64(time.Second))):
+		return audit.Make(g.releaseLog, g.servers, g.accounts, g.alive, since), g, nil
+	case <-time.After(time.Duration((auditTimeout + 2) * float64(time.Second))):
 		return audit.Report{}, nil, errors.New("the fleet's part of this server is down")
 	}
 }
 
-// gather asks everybody what they acted on.
-func (f *Part) gather(now float64, tell func(*gather)) {
-	f.numbers++
-	g := &gather{until: now + gatherFor, wait: map[string]bool{}, alive: map[uint64]bool{f.life: true}, copies: map[string]*replica.Status{}, tell: tell}
-	if own := f.CopiesState(); own != nil {
-		g.copies[f.Name] = own
+// startAudit asks everybody what they acted on.
+func (f *Agent) startAudit(now float64, tell func(*auditRun)) {
+	f.lastAuditID++
+	g := &auditRun{deadline: now + auditTimeout, awaiting: map[string]bool{}, alive: map[uint64]bool{f.incarnation: true}, replicas: map[string]*replica.Status{}, done: tell}
+	if own := f.ReplicationStatus(); own != nil {
+		g.replicas[f.Name] = own
 	}
-	f.count()
-	g.accounts = append(f.book.Heard(nil), f.book.Own())
+	f.auditLoopStats()
+	g.accounts = append(f.auditLog.Heard(nil), f.auditLog.Own())
 	if f.voter != nil && f.voter.Joined() {
-		g.order = f.order
-		if f.ledger != nil && f.confirmed(now) {
-			g.standing = f.ledger.ServerStatuses(now, f.order)
+		g.releaseLog = f.releaseLog
+		if f.leaseTable != nil && f.confirmed(now) {
+			g.servers = f.leaseTable.ServerStatuses(now, f.releaseLog)
 		}
 	}
-	f.gathers[f.numbers] = g
+	f.audits[f.lastAuditID] = g
 	var gone []string
-	for name := range f.order.Members {
-		if name != f.Name && !f.net.Knows(name) && len(gone) < maxTold {
+	for name := range f.releaseLog.Members {
+		if name != f.Name && !f.network.HasMember(name) && len(gone) < maxAccountsInReply {
 			gone = append(gone, name)
 		}
 	}
 	if gone == nil {
 		gone = []string{""} // an empty list would ask for all
 	}
-	for name, addr := range f.net.All() {
-		g.wait[name] = true
-		f.send(addr, &wire.Message{Ask: &wire.Ask{Number: f.numbers, Names: gone}})
+	for name, addr := range f.network.Members() {
+		g.awaiting[name] = true
+		f.send(addr, &wire.Envelope{StateRequest: &wire.StateRequest{RequestID: f.lastAuditID, Names: gone}})
 	}
 }
 
-// gatherFor is how long an audit waits for those that don't answer.
-const gatherFor = 2.0
+// auditTimeout is how long an audit waits for those that don't answer.
+const auditTimeout = 2.0
 
-// do has the goroutine that owns everything do something.
-func (f *Peers) do(what func(now float64)) error {
+// call has the goroutine that owns everything do something.
+func (f *Node) call(what func(now float64)) error {
 	select {
-	case f.asks <- what:
+	case f.requests <- what:
 		return nil
 	case <-time.After(2 * time.Second):
 		return errors.New("the fleet's part of this server is busy")
 	}
 }
 
-// Command asks for a command and waits for its end. Where on is 0 it is meant for the newest version that this server knows of.
-func (f *Peers) Command(c version.Command) (version.Epoch, error) {
-	done := make(chan wire.Done, 1)
-	if err := f.do(func(now float64) { f.Order(now, c, func(d wire.Done) { done <- d }) }); err != nil {
+// ExecuteCommand asks for a command and waits for its end. Where on is 0 it is meant for the newest version that this server knows of.
+func (f *Node) ExecuteCommand(c version.Command) (version.Epoch, error) {
+	done := make(chan wire.CommandResult, 1)
+	if err := f.call(func(now float64) { f.SubmitCommand(now, c, func(d wire.CommandResult) { done <- d }) }); err != nil {
 		return 0, err
 	}
 	select {
 	case d := <-done:
-		if d.Refused != "" {
-			return d.Newest, errors.New(d.Refused)
+		if d.RejectReason != "" {
+			return d.NewestEpoch, errors.New(d.RejectReason)
 		}
-		return d.Newest, nil
-	case <-time.After(time.Duration((maxWait + 2) * float64(time.Second))):
+		return d.NewestEpoch, nil
+	case <-time.After(time.Duration((commandTimeout + 2) * float64(time.Second))):
 		return 0, errors.New("the fleet's part of this server is down")
 	}
 }
 
-// Order asks for an operator's command, and tells how it ended.
-func (f *Part) Order(now float64, c version.Command, tell func(wire.Done)) {
-	if len(f.pending) >= maxDone {
-		tell(wire.Done{Refused: "too many commands are under way"})
+// SubmitCommand asks for an operator's command, and tells how it ended.
+func (f *Agent) SubmitCommand(now float64, c version.Command, tell func(wire.CommandResult)) {
+	if len(f.pending) >= maxPendingCommands {
+		tell(wire.CommandResult{RejectReason: "too many commands are under way"})
 		return
 	}
-	c.ID, c.IssuedAt = f.chance.Uint64()|1, f.Unix()
+	c.ID, c.IssuedAt = f.random.Uint64()|1, f.UnixNow()
 	if c.ExpectedEpoch == 0 {
-		c.ExpectedEpoch = f.order.NewestEpoch()
+		c.ExpectedEpoch = f.releaseLog.NewestEpoch()
 	}
-	f.pending[c.ID] = &pending{command: &c, until: now + maxWait, tell: tell}
+	f.pending[c.ID] = &pendingCommand{command: &c, deadline: now + commandTimeout, done: tell}
 }
 
-// Known is the order as this process knows it; it is not to be changed.
-func (f *Part) Known() *version.Log { return f.order }
+// ReleaseLog is the order as this process knows it; it is not to be changed.
+func (f *Agent) ReleaseLog() *version.Log { return f.releaseLog }
 
-// Standing is how this process stands, and on which version it acts.
-func (f *Part) Standing() (member.Snapshot, version.Version) { return f.published, f.acts }
+// ServingState is how this process stands, and on which version it acts.
+func (f *Agent) ServingState() (member.Snapshot, version.Version) { return f.published, f.active }
 
 // Clock is a process's clock for its fleet. For tests it may be off, or run at another rate.
 type Clock struct {
-	Base func() float64 // seconds, moves forward
-	Off  float64        // seconds that the Unix clock is off
-	Rate float64
-	from float64
-	unix float64
+	Source      func() float64 // seconds, moves forward
+	Offset      float64        // seconds that the Unix clock is off
+	Rate        float64
+	sourceStart float64
+	unixStart   float64
 }
 
 // NewClock makes a clock that is right from a clock of the process and its Unix time.
 func NewClock(base func() float64, unix, off, rate float64) *Clock {
-	return &Clock{Base: base, Off: off, Rate: rate, from: base(), unix: unix}
+	return &Clock{Source: base, Offset: off, Rate: rate, sourceStart: base(), unixStart: unix}
 }
 
 // Now moves forward.
-func (c *Clock) Now() float64 { return c.from + (c.Base()-c.from)*c.Rate }
+func (c *Clock) Now() float64 { return c.sourceStart + (c.Source()-c.sourceStart)*c.Rate }
 
-// Unix is the time of day.
-func (c *Clock) Unix() float64 { return c.unix + c.Off + (c.Base()-c.from)*c.Rate }
+// UnixNow is the time of day.
+func (c *Clock) UnixNow() float64 { return c.unixStart + c.Offset + (c.Source()-c.sourceStart)*c.Rate }
 
-// Back turns a time of this clock into one of the process's.
-func (c *Clock) Back(t float64) float64 {
+// ToSource turns a time of this clock into one of the process's.
+func (c *Clock) ToSource(t float64) float64 {
 	if math.IsInf(t, 0) {
 		return t
 	}
-	return c.from + (t-c.from)/c.Rate
+	return c.sourceStart + (t-c.sourceStart)/c.Rate
 }
 
-// split reads an address.
-func split(addr string) (net.IP, int, error) {
+// resolveAddr reads an address.
+func resolveAddr(addr string) (net.IP, int, error) {
 	a, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
 		return nil, 0, err
--- a/internal/peers/plans.go
+++ b/internal/peers/plans.go
@@ -11,32 +11,32 @@
 
 // This file is a process's part in plans: a forwarder reports to the voter that leads, and hands the answer to its loop; a planner that leads makes them.
 
-// Plans is what a process does with them.
-type Plans struct {
-	Makes bool                              // it is a planner: of those the voter that leads makes plans
-	Tell  func(now float64) *plan.Report    // a forwarder's report, nil where there is none now; nil for who is no forwarder
-	Hear  func(p *plan.Part, until float64) // hands the loop its part, and by this clock until when it holds
+// LoadPlanConfig is what a process does with them.
+type LoadPlanConfig struct {
+	IsPlanner bool                              // it is a planner: of those the voter that leads makes plans
+	Report    func(now float64) *plan.Report    // a forwarder's report, nil where there is none now; nil for who is no forwarder
+	OnShare   func(p *plan.Part, until float64) // hands the loop its part, and by this clock until when it holds
 }
 
-// planning is the part's state of it.
-type planning struct {
-	*Plans
-	holder  *plan.Holder
-	planner *plan.Planner // nil where this process does not lead
-	next    float64
-	until   float64 // the part that was taken last is fresh till then
+// loadPlanState is the part's state of it.
+type loadPlanState struct {
+	*LoadPlanConfig
+	holder     *plan.Holder
+	planner    *plan.Planner // nil where this process does not lead
+	nextReport float64
+	freshUntil float64 // the part that was taken last is fresh till then
 }
 
-func (f *Part) beginPlans(now float64) {
-	if f.Plans != nil {
-		f.plans = &planning{Plans: f.Plan.Plans, holder: plan.NewHolder(f.life), next: now}
+func (f *Agent) beginPlans(now float64) {
+	if f.LoadPlan != nil {
+		f.loadPlan = &loadPlanState{LoadPlanConfig: f.Config.LoadPlan, holder: plan.NewHolder(f.incarnation), nextReport: now}
 	}
 }
 
 // leadPlans begins and ends with the term in which this process leads: a planner that leads again has another term.
-func (f *Part) leadPlans(now float64) {
-	p := f.plans
-	if p == nil || !p.Makes || f.voter == nil {
+func (f *Agent) leadPlans(now float64) {
+	p := f.loadPlan
+	if p == nil || !p.IsPlanner || f.voter == nil {
 		return
 	}
 	if !f.confirmed(now) {
@@ -50,85 +50,85 @@
 		}
 	}
 	p.planner = plan.New(founding, term, now)
-	f.Say("fleet_plans", "founding", founding, "term", term)
+	f.Log("fleet_plans", "founding", founding, "term", term)
 }
 
-func (f *Part) duePlans(now float64) {
-	p := f.plans
-	if p == nil || p.Tell == nil || now < p.next {
+func (f *Agent) duePlans(now float64) {
+	p := f.loadPlan
+	if p == nil || p.Report == nil || now < p.nextReport {
 		return
 	}
-	p.next = now + plan.Every
-	r := p.Tell(now)
+	p.nextReport = now + plan.Every
+	r := p.Report(now)
 	if r == nil {
 		return
 	}
 	r.Name = f.Name
 	p.holder.Report(now, r)
-	name := f.self.Leader()
+	name := f.leaseHolder.Leader()
 	if name == f.Name {
-		f.takePlans(now, &wire.Message{PlanReport: r, From: f.Name, Life: f.life})
+		f.takePlans(now, &wire.Envelope{ForwarderReport: r, From: f.Name, Incarnation: f.incarnation})
 	} else if f.Voters[name] != "" {
-		f.send(f.Voters[name], &wire.Message{PlanReport: r})
+		f.send(f.Voters[name], &wire.Envelope{ForwarderReport: r})
 	}
 }
 
-func (f *Part) nextPlans() float64 {
-	if f.plans == nil || f.plans.Tell == nil {
+func (f *Agent) nextPlans() float64 {
+	if f.loadPlan == nil || f.loadPlan.Report == nil {
 		return math.Inf(1)
 	}
-	return f.plans.next
+	return f.loadPlan.nextReport
 }
 
 // takePlans answers a forwarder's report, or takes an answer in.
-func (f *Part) takePlans(now float64, m *wire.Message) {
-	p := f.plans
+func (f *Agent) takePlans(now float64, m *wire.Envelope) {
+	p := f.loadPlan
 	switch {
 	case p == nil:
-	case m.PlanPart != nil:
-		if until := p.holder.Take(now, m.PlanPart); until > now && p.Hear != nil {
-			p.until = until
-			p.Hear(m.PlanPart, until)
+	case m.PlanShare != nil:
+		if until := p.holder.Take(now, m.PlanShare); until > now && p.OnShare != nil {
+			p.freshUntil = until
+			p.OnShare(m.PlanShare, until)
 		}
-	case p.planner != nil && f.confirmed(now) && m.PlanReport.Name == m.From && m.PlanReport.Life == m.Life:
-		a := p.planner.Read(now, m.PlanReport)
+	case p.planner != nil && f.confirmed(now) && m.ForwarderReport.Name == m.From && m.ForwarderReport.Life == m.Incarnation:
+		a := p.planner.Read(now, m.ForwarderReport)
 		if a == nil {
 			return
 		}
-		if m.From == f.Name && m.Life == f.life {
-			f.takePlans(now, &wire.Message{PlanPart: a})
+		if m.From == f.Name && m.Incarnation == f.incarnation {
+			f.takePlans(now, &wire.Envelope{PlanShare: a})
 			return
 		}
-		f.reply(m, &wire.Message{PlanPart: a})
+		f.reply(m, &wire.Envelope{PlanShare: a})
 	}
 }
 
-// PlanState is how plans stand at a process.
-type PlanState struct {
-	Name   string
-	Leader string
-	Holds  plan.Number   `json:"Holds"` // that a forwarder goes by, or went by last
-	Till   float64       `json:"Till"`  // for how many seconds it is fresh, under 0 where it ages
-	Stale  int           // parts of plans that were not taken
-	Makes  *plan.Account `json:"Makes"` // nil where this one makes none
+// LoadPlanStatus is how plans stand at a process.
+type LoadPlanStatus struct {
+	Name     string
+	Leader   string
+	Current  plan.Number   `json:"Holds"` // that a forwarder goes by, or went by last
+	FreshFor float64       `json:"Till"`  // for how many seconds it is fresh, under 0 where it ages
+	Stale    int           // parts of plans that were not taken
+	Planner  *plan.Account `json:"Makes"` // nil where this one makes none
 }
 
-// Planned tells it.
-func (f *Part) Planned(now float64) *PlanState {
-	s := &PlanState{Name: f.Name, Leader: f.self.Leader()}
-	if p := f.plans; p != nil {
-		s.Holds, s.Stale, s.Till = p.holder.Holds(), p.holder.Stale, p.until-now
+// LoadPlanStatus tells it.
+func (f *Agent) LoadPlanStatus(now float64) *LoadPlanStatus {
+	s := &LoadPlanStatus{Name: f.Name, Leader: f.leaseHolder.Leader()}
+	if p := f.loadPlan; p != nil {
+		s.Current, s.Stale, s.FreshFor = p.holder.Holds(), p.holder.Stale, p.freshUntil-now
 		if p.planner != nil && f.confirmed(now) {
-			s.Makes = p.planner.Account(now)
+			s.Planner = p.planner.Account(now)
 		}
 	}
 	return s
 }
 
-// PlanState tells it from any goroutine.
-func (f *Peers) PlanState() (*PlanState, error) {
-	done := make(chan *PlanState, 1)
-	if err := f.do(func(now float64) { done <- f.Planned(now) }); err != nil {
+// QueryLoadPlan tells it from any goroutine.
+func (f *Node) QueryLoadPlan() (*LoadPlanStatus, error) {
+	done := make(chan *LoadPlanStatus, 1)
+	if err := f.call(func(now float64) { done <- f.LoadPlanStatus(now) }); err != nil {
 		return nil, err
 	}
 	select {
