--- a/choice/cases_test.go
+++ b/admission/cases_test.go
@@ -1,4 +1,4 @@
-package choice
+package admission
 
 import (
 	"fmt"
--- a/choice/choice.go
+++ b/admission/choice.go
@@ -1,4 +1,4 @@
-package choice
+package admission
 
 // How it is called: New(seed, site) makes one server's instance; Decide(now, events) takes the time and
 // the server's events of one batch, in order, and returns what to do, in order. The slice is good until
--- a/choice/types.go
+++ b/admission/types.go
@@ -1,6 +1,6 @@
-// Package choice decides, inside one server, which tasks run, wait, call below or are turned away.
+// Package admission decides, inside one server, which tasks run, wait, call below or are turned away.
 // This file is its interface only; every decision is in choice.go. Nothing here is tied to a protocol.
-package choice
+package admission
 
 // Idempotency tells what running a task twice would do.
 type Idempotency uint8
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -8,7 +8,7 @@
 	"io"
 	"os"
 
-	"swiftcourse/choice"
+	"swiftcourse/admission"
 	"swiftcourse/internal/life"
 	"swiftcourse/internal/wire/shale"
 )
@@ -22,8 +22,8 @@
 
 // instance is one server's module and what a batch holds for it.
 type instance struct {
-	server *choice.Controller
-	events []choice.Event
+	server *admission.Controller
+	events []admission.Event
 }
 
 func host(in io.Reader, out io.Writer) error {
@@ -46,9 +46,9 @@
 				delete(servers, e.Who)
 				continue
 			case shale.Born:
-				s := &instance{server: choice.New(e.Seed, life.AdmissionSettings(e.Told))}
+				s := &instance{server: admission.New(e.Seed, life.AdmissionSettings(e.Told))}
 				servers[e.Who] = s
-				s.events = append(s.events, choice.Event{Kind: choice.Started})
+				s.events = append(s.events, admission.Event{Kind: admission.Started})
 				order = append(order, e.Who)
 				continue
 			}
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -13,7 +13,7 @@
 	"runtime/debug"
 	"time"
 
-	"swiftcourse/choice"
+	"swiftcourse/admission"
 	"swiftcourse/internal/judge/plan"
 	"swiftcourse/internal/judge/route"
 	"swiftcourse/internal/judge/stance"
@@ -35,7 +35,7 @@
 // Back is how that ended.
 type Back struct {
 	ID      string
-	Outcome choice.Outcome // Finished, Errored, Bounced where no worker took it, Stopped where nobody waits any more
+	Outcome admission.Outcome // Finished, Errored, Bounced where no worker took it, Stopped where nobody waits any more
 	Body    []byte
 	Took    float64
 	Advice  float64 // with Bounced: when to come back, in seconds
@@ -44,7 +44,7 @@
 // Shape is what a dispatcher is told.
 type Shape struct {
 	Workers           []Worker
-	Stages            []choice.Class
+	Stages            []admission.Class
 	Seed              int64
 	ColdFrom, ColdFor float64        // how workers start, see route.Cold
 	Now               func() float64 // the serving loop's clock: Unix seconds that move forward
@@ -225,7 +225,7 @@
 		if t := d.tries[e.drop]; t != nil {
 			d.recall(t)
 			d.leave(now, t, route.Dropped, 0)
-			d.settle(t, choice.Cancelled, nil, 0)
+			d.settle(t, admission.Cancelled, nil, 0)
 		}
 	case e.plan != nil:
 		d.router.Plan(now, e.plan, e.until)
@@ -240,7 +240,7 @@
 func (d *Dispatcher) begin(now float64, out *Out) {
 	d.counts.begun++
 	if d.tries[out.ID] != nil || len(d.tries) >= maxTries {
-		d.backs = append(d.backs, Back{ID: out.ID, Outcome: choice.Rejected})
+		d.backs = append(d.backs, Back{ID: out.ID, Outcome: admission.Rejected})
 		return
 	}
 	t := &try{out: *out, until: now + out.Left}
@@ -250,7 +250,9 @@
 }
 
 // safe tells whether a task may run twice.
-func (d *Dispatcher) safe(t *try) bool { return d.Stages[t.out.Stage].Idempotency == choice.Idempotent }
+func (d *Dispatcher) safe(t *try) bool {
+	return d.Stages[t.out.Stage].Idempotency == admission.Idempotent
+}
 
 // place sends a task to a worker, or gives it back where none may have it; advice is the last worker's.
 func (d *Dispatcher) place(now float64, t *try, advice float64) {
@@ -258,7 +260,7 @@
 		name, back := d.router.Pick(now, d.safe(t), t.tried...)
 		if name == "" {
 			d.counts.bounced++
-			d.settle(t, choice.Rejected, nil, max(advice, back))
+			d.settle(t, admission.Rejected, nil, max(advice, back))
 			return
 		}
 		l := d.links[name]
@@ -273,7 +275,7 @@
 		d.leave(now, t, route.Unsent, 0) // its line is full: it never left
 		if !d.router.Again(route.Unsent, len(t.tried), d.safe(t), t.until-now, d.usual(now, t.out.Stage)) {
 			d.counts.bounced++
-			d.settle(t, choice.Rejected, nil, 0)
+			d.settle(t, admission.Rejected, nil, 0)
 			return
 		}
 	}
@@ -304,7 +306,7 @@
 }
 
 // settle gives a task back.
-func (d *Dispatcher) settle(t *try, outcome choice.Outcome, body []byte, advice float64) {
+func (d *Dispatcher) settle(t *try, outcome admission.Outcome, body []byte, advice float64) {
 	delete(d.tries, t.out.ID)
 	heap.Remove(&d.due, t.index)
 	d.backs = append(d.backs, Back{ID: t.out.ID, Outcome: outcome, Body: body, Took: d.Now() - (t.until - t.out.Left), Advice: advice})
@@ -326,14 +328,14 @@
 		d.leave(now, t, route.Finished, 0)
 		d.typical[t.out.Stage].Current(now).Add(took)
 		d.counts.finished++
-		d.settle(t, choice.Finished, a.Result, 0)
+		d.settle(t, admission.Finished, a.Result, 0)
 	case rpc.Rejected:
 		d.leave(now, t, route.Rejected, a.Say.Advice)
 		d.again(now, t, route.Rejected, a.Say.Advice)
 	case rpc.Abandoned:
 		d.leave(now, t, route.Errored, 0)
 		d.counts.errored++
-		d.settle(t, choice.Failed, nil, 0)
+		d.settle(t, admission.Failed, nil, 0)
 	}
 }
 
@@ -345,10 +347,10 @@
 		d.place(now, t, advice)
 	case end.Proven():
 		d.counts.bounced++
-		d.settle(t, choice.Rejected, nil, advice)
+		d.settle(t, admission.Rejected, nil, advice)
 	default:
 		d.counts.cut++
-		d.settle(t, choice.Failed, nil, 0)
+		d.settle(t, admission.Failed, nil, 0)
 	}
 }
 
@@ -390,7 +392,7 @@
 		d.counts.late++
 		d.recall(t)
 		d.leave(now, t, route.Late, 0)
-		d.settle(t, choice.Cancelled, nil, 0)
+		d.settle(t, admission.Cancelled, nil, 0)
 	}
 	if now >= d.learned+learnEvery {
 		d.router.Learn(now - d.learned)
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"swiftcourse/choice"
-	"swiftcourse/internal/lab/fleet"
+	"swiftcourse/admission"
+	labfleet "swiftcourse/internal/lab/fleet"
 	"swiftcourse/internal/standin/balancer"
 	"swiftcourse/internal/standin/catalogue"
 	"swiftcourse/internal/standin/processor"
@@ -115,17 +115,17 @@
 
 // Run plays it.
 func Run(ctx context.Context, p *Plan) ([]Row, error) {
-	servers, err := fleet.Start(ctx, 1, fleet.Shape{Program: p.Program, Core: -1, Cores: 1, MemoryMB: 64, Sockets: 512,
+	servers, err := labfleet.Start(ctx, 1, labfleet.Shape{Program: p.Program, Core: -1, Cores: 1, MemoryMB: 64, Sockets: 512,
 		Stop: 5 * time.Second, Told: told(), Log: p.Log,
 		Work: processor.Plan{Cores: cores, Work: work, Calls: func(name, _ string) bool { return name == "price" },
 			Gauges: func(busy, waiting int) []float64 { return []float64{float64(busy) / cores, float64(busy + waiting)} }},
 		Fate: func(int, wire.Call) catalogue.Fate {
-			return catalogue.Fate{After: replyIn, Outcome: choice.Finished, Body: []byte("a reply")}
+			return catalogue.Fate{After: replyIn, Outcome: admission.Finished, Body: []byte("a reply")}
 		}})
 	if err != nil {
 		return nil, err
 	}
-	defer fleet.End(servers)
+	defer labfleet.End(servers)
 	fmt.Fprintf(p.Say, "a server with %d cores listens on %s; it can do %.0f tasks a second\n", cores, servers[0].Addr, capacity())
 	callers, err := dial(ctx, servers[0].Addr)
 	if err != nil {
--- a/internal/lab/entry/entry.go
+++ b/internal/lab/entry/entry.go
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"swiftcourse/internal/lab/fleet"
+	labfleet "swiftcourse/internal/lab/fleet"
 	"swiftcourse/internal/standin/processor"
 	"swiftcourse/internal/wire/rpc"
 	"swiftcourse/internal/wire/shale"
@@ -113,14 +113,14 @@
 }
 
 func (p *Plan) row(ctx context.Context, door string) (row Row, err error) {
-	servers, err := fleet.Start(ctx, 1, fleet.Shape{Program: p.Program, Core: p.Core, Cores: 1, MemoryMB: 64, Sockets: p.Sockets, Real: p.Real,
+	servers, err := labfleet.Start(ctx, 1, labfleet.Shape{Program: p.Program, Core: p.Core, Cores: 1, MemoryMB: 64, Sockets: p.Sockets, Real: p.Real,
 		Stop: 3 * time.Second, Told: settings(), Conf: "door " + door + "\n", Log: p.Log,
 		Work: processor.Plan{Cores: 4, Work: func(string, string) float64 { return work },
 			Gauges: func(busy, _ int) []float64 { return []float64{float64(busy) / 4, float64(busy)} }}})
 	if err != nil {
 		return row, err
 	}
-	defer fleet.End(servers)
+	defer labfleet.End(servers)
 	s := servers[0]
 	row = Row{Door: door, Known: p.Known}
 	ctx, stop := context.WithCancel(ctx)
--- a/internal/lab/faults/shape.go
+++ b/internal/lab/faults/shape.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"swiftcourse/internal/lab/fleet"
+	labfleet "swiftcourse/internal/lab/fleet"
 	"swiftcourse/internal/standin/processor"
 	"swiftcourse/internal/wire/shale"
 )
@@ -15,7 +15,7 @@
 )
 
 // Small is the shape of the servers of tests and experiments: one stage that may be repeated, no calls.
-func Small(program string) fleet.Shape {
+func Small(program string) labfleet.Shape {
 	var t shale.Told
 	t.Servers = 5
 	t.Stages = []shale.Stage{{Name: Ping, Effect: "idempotent", TimeLimitMs: 2000, DueTimeMs: 1000, Utility: 1, LateUtility: 0.5}}
@@ -24,7 +24,7 @@
 	own := &t.Own
 	own.Cores, own.MemoryKb, own.RunFactor, own.Callers, own.TellsWait = 4, 1e6, 1, 1, true
 	own.Gauges, own.IdleMs = []string{"cpu_busy", "runnable"}, 60_000
-	return fleet.Shape{Program: program, Core: -1, Cores: 1, MemoryMB: 64, Sockets: 256, Stop: 3 * time.Second, Told: t,
+	return labfleet.Shape{Program: program, Core: -1, Cores: 1, MemoryMB: 64, Sockets: 256, Stop: 3 * time.Second, Told: t,
 		Work: processor.Plan{Cores: 4, Work: func(string, string) float64 { return PingFor },
 			Gauges: func(busy, _ int) []float64 { return []float64{float64(busy) / 4, float64(busy)} }}}
 }
--- a/internal/lab/idle/idle.go
+++ b/internal/lab/idle/idle.go
@@ -15,7 +15,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"swiftcourse/internal/lab/fleet"
+	labfleet "swiftcourse/internal/lab/fleet"
 	"swiftcourse/internal/lab/load"
 	"swiftcourse/internal/standin/processor"
 	"swiftcourse/internal/wire/shale"
@@ -146,7 +146,7 @@
 // bench is a fleet and what is held to it.
 type bench struct {
 	plan    *Plan
-	servers []*fleet.Server
+	servers []*labfleet.Server
 	addrs   []string
 	holders []*Holder
 	seed    uint64
@@ -155,7 +155,7 @@
 func (p *Plan) start(ctx context.Context, idle time.Duration) (*bench, error) {
 	var limit unix.Rlimit
 	_ = unix.Getrlimit(unix.RLIMIT_NOFILE, &limit) // Check has had it
-	servers, err := fleet.Start(ctx, p.Servers, fleet.Shape{Program: p.Program, Core: p.Core, Cores: 1, MemoryMB: 192,
+	servers, err := labfleet.Start(ctx, p.Servers, labfleet.Shape{Program: p.Program, Core: p.Core, Cores: 1, MemoryMB: 192,
 		Sockets: int(min(limit.Max, 1<<20)), Stop: 5 * time.Second, Told: settings(idle),
 		Work: processor.Plan{Cores: 4, Gauges: func(busy, _ int) []float64 { return []float64{float64(busy) / 4, float64(busy)} }}})
 	if err != nil {
@@ -170,7 +170,7 @@
 
 func (b *bench) end() {
 	b.release()
-	fleet.End(b.servers)
+	labfleet.End(b.servers)
 }
 
 func (b *bench) load(ctx context.Context) (*load.Load, error) {
@@ -236,10 +236,10 @@
 			if err != nil {
 				return all, err
 			}
-			all.heap += 1024 * fleet.Number(counts, "heap_kb")
-			all.timers += fleet.Number(counts, "timers")
-			all.turn = max(all.turn, fleet.Number(counts, "turn_ms"))
-			all.conns += fleet.Number(counts, "conns")
+			all.heap += 1024 * labfleet.Number(counts, "heap_kb")
+			all.timers += labfleet.Number(counts, "timers")
+			all.turn = max(all.turn, labfleet.Number(counts, "turn_ms"))
+			all.conns += labfleet.Number(counts, "conns")
 		}
 		resident, err := s.Resident()
 		if err != nil {
--- a/internal/lab/ready/ready.go
+++ b/internal/lab/ready/ready.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"swiftcourse/internal/lab/faults"
-	"swiftcourse/internal/lab/fleet"
+	labfleet "swiftcourse/internal/lab/fleet"
 	"swiftcourse/internal/standin/balancer"
 	"swiftcourse/internal/standin/processor"
 	"swiftcourse/internal/standin/roster"
@@ -70,11 +70,11 @@
 // Run measures with nobody late, then the processors, the rosters, and both.
 func (p *Plan) Run(ctx context.Context) (rows []Row, err error) {
 	shape := faults.Small(p.Program)
-	servers, err := fleet.Start(ctx, p.Servers, shape)
+	servers, err := labfleet.Start(ctx, p.Servers, shape)
 	if err != nil {
 		return nil, err
 	}
-	defer fleet.End(servers)
+	defer labfleet.End(servers)
 	for _, late := range []string{"", "processor", "roster", "processor and roster"} {
 		row := Row{Late: late, Starts: p.Servers * p.Rounds}
 		if late != "" {
@@ -96,7 +96,7 @@
 }
 
 // round restarts all servers at once, and waits until each is ready and listed.
-func (p *Plan) round(ctx context.Context, servers []*fleet.Server, shape fleet.Shape, late string) (ready, listed []float64, err error) {
+func (p *Plan) round(ctx context.Context, servers []*labfleet.Server, shape labfleet.Shape, late string) (ready, listed []float64, err error) {
 	var wait sync.WaitGroup
 	for _, s := range servers {
 		wait.Go(s.Kill)
@@ -117,7 +117,7 @@
 }
 
 // restart restarts one, with new parties at the old addresses.
-func (p *Plan) restart(ctx context.Context, s *fleet.Server, shape fleet.Shape, late string) (ready, listed float64, err error) {
+func (p *Plan) restart(ctx context.Context, s *labfleet.Server, shape labfleet.Shape, late string) (ready, listed float64, err error) {
 	work, list := s.Processor.Addr(), s.Roster.Addr()
 	s.Processor.Close()
 	s.Roster.Close()
--- a/internal/life/site.go
+++ b/internal/life/site.go
@@ -1,26 +1,26 @@
 package life
 
 import (
-	"swiftcourse/choice"
+	"swiftcourse/admission"
 	"swiftcourse/internal/wire/shale"
 )
 
 // The words that settings choose from, and what each means.
 var (
-	downstreamKinds = map[string]choice.Downstream{"": choice.NoDownstream, "none": choice.NoDownstream, "shared": choice.SharedDependency,
-		"tier": choice.ServerTier}
-	preemptionKinds = map[string]choice.Preemption{"": choice.NoPreemption, "none": choice.NoPreemption, "drop": choice.PreemptByDrop,
-		"pause": choice.PreemptByPause}
-	backpressureKinds = map[string]choice.Backpressure{"": choice.NoBackpressure, "none": choice.NoBackpressure, "level": choice.BackpressureLevel,
-		"credit": choice.BackpressureCredit, "weight": choice.BackpressureWeight}
-	idempotencyKinds = map[string]choice.Idempotency{"": choice.Idempotent, "idempotent": choice.Idempotent,
-		"deduplicated": choice.Deduplicated, "at_most_once": choice.AtMostOnce}
+	downstreamKinds = map[string]admission.Downstream{"": admission.NoDownstream, "none": admission.NoDownstream, "shared": admission.SharedDependency,
+		"tier": admission.ServerTier}
+	preemptionKinds = map[string]admission.Preemption{"": admission.NoPreemption, "none": admission.NoPreemption, "drop": admission.PreemptByDrop,
+		"pause": admission.PreemptByPause}
+	backpressureKinds = map[string]admission.Backpressure{"": admission.NoBackpressure, "none": admission.NoBackpressure, "level": admission.BackpressureLevel,
+		"credit": admission.BackpressureCredit, "weight": admission.BackpressureWeight}
+	idempotencyKinds = map[string]admission.Idempotency{"": admission.Idempotent, "idempotent": admission.Idempotent,
+		"deduplicated": admission.Deduplicated, "at_most_once": admission.AtMostOnce}
 )
 
 // AdmissionSettings puts the settings in the module's words. A word not known maps to the zero value of its type.
-func AdmissionSettings(told *shale.Told) choice.Settings {
+func AdmissionSettings(told *shale.Told) admission.Settings {
 	f, c := &told.Own, &told.Contract
-	site := choice.Settings{
+	site := admission.Settings{
 		OverQuotaValue: told.OverShareUtility, Servers: told.Servers, Clients: f.Callers, Cores: f.Cores,
 		SlowStartSpeed: c.ColdFrom, DrainGracePeriod: c.DrainGraceMs / 1000, DeadlineTolerance: c.AnswerSlackMs / 1000,
 		ConcurrencyLimit: c.Crowd, ConcurrencyWindow: c.CrowdForMs / 1000,
@@ -37,7 +37,7 @@
 		site.MaxRetryAfter = told.Caps.AdviceMaxMs / 1000
 	}
 	for i, c := range told.Stages {
-		st := choice.Class{Idempotency: idempotencyKinds[c.Effect], SoftDeadline: c.DueTimeMs / 1000, SoftDeadlineStretch: c.DueStretch,
+		st := admission.Class{Idempotency: idempotencyKinds[c.Effect], SoftDeadline: c.DueTimeMs / 1000, SoftDeadlineStretch: c.DueStretch,
 			Timeout: c.TimeLimitMs / 1000, Value: c.Utility, LateValue: c.LateUtility, DeduplicationWindow: c.WindowMs / 1000}
 		if i < len(f.StageCalls) {
 			st.CallsDownstream = f.StageCalls[i]
@@ -48,7 +48,7 @@
 		site.Classes = append(site.Classes, st)
 	}
 	for _, t := range told.Tenants {
-		site.Tenants = append(site.Tenants, choice.Tenant{Rate: t.RatePerS})
+		site.Tenants = append(site.Tenants, admission.Tenant{Rate: t.RatePerS})
 	}
 	return site
 }
--- a/internal/life/start.go
+++ b/internal/life/start.go
@@ -14,7 +14,7 @@
 	"strconv"
 	"syscall"
 
-	"swiftcourse/choice"
+	"swiftcourse/admission"
 	"swiftcourse/internal/wire/shale"
 )
 
@@ -23,20 +23,20 @@
 	Name   string `key:"name"`
 	Listen string `key:"listen"`
 	Addresses
-	Seed                    int64           `key:"seed"`
-	StopTimeout             float64         `key:"stop_ms"` // seconds from the notice to leave to the kill
-	Cores                   float64         `key:"limits"`  // what this program may use, as are the two below
-	MemoryBytes             int64           `key:"limits"`  // bytes
-	MaxSockets              int             `key:"limits"`
-	Forwarder               bool            // tasks go on to workers, so there is no processor, and nothing below is called from here
-	Settings                choice.Settings `key:"settings"`
-	SlowStartDuration       float64         `key:"settings"` // how long a cold processor takes to warm up
-	WorkerSlowStartDuration float64         `key:"settings"` // of a forwarder: how long its workers' processors do
-	ClassIndex              map[string]int  `key:"settings"` // by name, as are the tenants
-	TenantIndex             map[string]int  `key:"settings"`
-	ClassNames              []string        `key:"settings"`
-	Gauges                  []string        `key:"settings"`
-	UnsupportedKeys         []string        `key:"settings"` // keys of what the site allows and this protocol has no word for; it is done without
+	Seed                    int64              `key:"seed"`
+	StopTimeout             float64            `key:"stop_ms"` // seconds from the notice to leave to the kill
+	Cores                   float64            `key:"limits"`  // what this program may use, as are the two below
+	MemoryBytes             int64              `key:"limits"`  // bytes
+	MaxSockets              int                `key:"limits"`
+	Forwarder               bool               // tasks go on to workers, so there is no processor, and nothing below is called from here
+	Settings                admission.Settings `key:"settings"`
+	SlowStartDuration       float64            `key:"settings"` // how long a cold processor takes to warm up
+	WorkerSlowStartDuration float64            `key:"settings"` // of a forwarder: how long its workers' processors do
+	ClassIndex              map[string]int     `key:"settings"` // by name, as are the tenants
+	TenantIndex             map[string]int     `key:"settings"`
+	ClassNames              []string           `key:"settings"`
+	Gauges                  []string           `key:"settings"`
+	UnsupportedKeys         []string           `key:"settings"` // keys of what the site allows and this protocol has no word for; it is done without
 }
 
 // Addresses are where the other parties are, the part of the configuration that may change while serving.
@@ -157,8 +157,8 @@
 	}
 	site := AdmissionSettings(s)
 	var unused []string
-	if site.Preemption != choice.NoPreemption { // the processor takes no command to stop a run: it goes on to its end or its next call
-		site.Preemption, unused = choice.NoPreemption, append(unused, "settings.familyInfo.preemption")
+	if site.Preemption != admission.NoPreemption { // the processor takes no command to stop a run: it goes on to its end or its next call
+		site.Preemption, unused = admission.NoPreemption, append(unused, "settings.familyInfo.preemption")
 	}
 	start := &Startup{Name: f.Name, Listen: f.Listen,
 		Addresses: Addresses{Executor: f.Processor, Registry: f.Roster, Upstream: f.Catalog},
@@ -268,7 +268,7 @@
 		return errors.New("settings.familyInfo.cores: under 1")
 	case f.MemoryKb <= 0:
 		return errors.New("settings.familyInfo.memLimitKb: not over 0")
-	case downstreamKinds[f.Below] != choice.NoDownstream && catalog == "":
+	case downstreamKinds[f.Below] != admission.NoDownstream && catalog == "":
 		return fmt.Errorf("catalog: missing, though settings.familyInfo.below is %q", f.Below)
 	}
 	for i, c := range s.Stages {
@@ -277,7 +277,7 @@
 		switch {
 		case !known:
 			return fmt.Errorf("%seffect: %q is not known", key, c.Effect)
-		case effect == choice.Deduplicated && c.WindowMs <= 0:
+		case effect == admission.Deduplicated && c.WindowMs <= 0:
 			return fmt.Errorf("%swindowMs: not over 0, though %seffect is %q", key, key, c.Effect)
 		case c.TimeLimitMs <= 0 || c.DueTimeMs <= 0:
 			return fmt.Errorf("%shardLimitMs or objectiveMs: not over 0", key)
--- a/internal/serve/actions.go
+++ b/internal/serve/actions.go
@@ -3,7 +3,7 @@
 import (
 	"log/slog"
 
-	"swiftcourse/choice"
+	"swiftcourse/admission"
 	"swiftcourse/internal/memory"
 )
 
@@ -12,54 +12,54 @@
 const gaugeLead = 0.004
 
 // execute does what the module decided, in order.
-func (s *Server) execute(actions []choice.Action, now float64) {
+func (s *Server) execute(actions []admission.Action, now float64) {
 	for i := range actions {
 		a := &actions[i]
 		switch a.Kind {
-		case choice.SetHealth:
+		case admission.SetHealth:
 			s.setHealthy(a.Flag)
 			continue
-		case choice.ReportLoad:
+		case admission.ReportLoad:
 			s.setLoadReport(a.Value)
 			continue
-		case choice.SetIdleTimeout:
+		case admission.SetIdleTimeout:
 			if a.Duration <= 0 {
 				a.Duration = s.startup.Settings.IdleTimeout
 			}
 			s.connLimiter.Idle(a.Duration)
 			continue
-		case choice.SetTimer:
+		case admission.SetTimer:
 			label := a.Label
 			s.timers.Schedule(now+max(0, a.Duration-gaugeLead), s.executor.gaugeTimer)
-			s.timers.Schedule(now+a.Duration, func() { s.queueEvent(choice.Event{Kind: choice.TimerFired, Label: label}) })
+			s.timers.Schedule(now+a.Duration, func() { s.queueEvent(admission.Event{Kind: admission.TimerFired, Label: label}) })
 			continue
-		case choice.LogLine:
+		case admission.LogLine:
 			slog.Info("note", "text", a.Label)
 			continue
 		}
 		t := s.requests.Get(a.RequestID)
 		if t == nil { // it is over
-			if a.Kind == choice.DeleteKey {
+			if a.Kind == admission.DeleteKey {
 				s.results.Remove(a.RequestID)
 			}
 			continue
 		}
 		switch a.Kind {
-		case choice.StartRun:
+		case admission.StartRun:
 			s.startRun(t)
-		case choice.Reject:
+		case admission.Reject:
 			s.reject(t, a.Duration, a.Flag)
-		case choice.Fail:
+		case admission.Fail:
 			s.abandon(t)
-		case choice.DispatchCall:
+		case admission.DispatchCall:
 			s.startCall(t, a.Duration)
-		case choice.Degrade:
+		case admission.Degrade:
 			s.executor.reply(t, nil, true)
-		case choice.StoreKey:
+		case admission.StoreKey:
 			s.results.Track(t, now+a.Duration, s.runsAtMostOnce(t.Class))
-		case choice.DeleteKey:
+		case admission.DeleteKey:
 			s.results.Remove(t.ID)
-		case choice.ReuseResult:
+		case admission.ReuseResult:
 			s.answerFromCache(t, now)
 		}
 	}
@@ -69,25 +69,25 @@
 func (s *Server) answerFromCache(t *memory.Request, now float64) {
 	switch result, state := s.results.LookupOrWait(t, now); state {
 	case memory.Available:
-		s.answerShared(t, result, choice.Finished, 0)
+		s.answerShared(t, result, admission.Finished, 0)
 	case memory.Missing, memory.Unrepeatable:
-		s.answerShared(t, nil, choice.Failed, 0)
+		s.answerShared(t, nil, admission.Failed, 0)
 	}
 }
 
 // answerShared ends a task that took another's answer.
-func (s *Server) answerShared(t *memory.Request, result []byte, outcome choice.Outcome, took float64) {
+func (s *Server) answerShared(t *memory.Request, result []byte, outcome admission.Outcome, took float64) {
 	if t == nil || t.Answered {
 		return
 	}
 	switch outcome {
-	case choice.Finished:
+	case admission.Finished:
 		s.finish(t, result)
 	default:
-		outcome = choice.Failed
+		outcome = admission.Failed
 		s.abandon(t)
 	}
-	s.queueEvent(choice.Event{Kind: choice.RunEnded, RequestID: t.ID, Outcome: outcome, Duration: took})
+	s.queueEvent(admission.Event{Kind: admission.RunEnded, RequestID: t.ID, Outcome: outcome, Duration: took})
 }
 
 func (s *Server) setHealthy(well bool) {
--- a/internal/serve/budgets.go
+++ b/internal/serve/budgets.go
@@ -5,7 +5,7 @@
 	"math"
 	"slices"
 
-	"swiftcourse/choice"
+	"swiftcourse/admission"
 	"swiftcourse/internal/judge/stance"
 )
 
@@ -56,14 +56,14 @@
 func (s *Server) ReportUpstreamCalls(tell func(stance.CallStats)) { s.quotas.reportCalls = tell }
 
 // countUpstreamCall counts a call.
-func (s *Server) countUpstreamCall(outcome choice.Outcome, took float64) {
+func (s *Server) countUpstreamCall(outcome admission.Outcome, took float64) {
 	b := s.quotas
 	if b != nil && b.probe != 0 { // it was made: no other goes out, also before who judges hears of it
 		b.usedProbe, b.probe, b.nextExpiry = b.probe, 0, math.Inf(-1)
 	}
 	switch {
 	case b == nil:
-	case outcome == choice.Finished:
+	case outcome == admission.Finished:
 		b.calls.Succeeded++
 		b.calls.TotalSeconds += took
 	default:
@@ -106,7 +106,7 @@
 		s.statistics.quotaExpired++
 	}
 	b.nextExpiry, b.probe = math.Inf(1), 0
-	var events []choice.Event
+	var events []admission.Event
 	for i := range list {
 		a := &list[i]
 		if now < a.LeaseExpiry {
@@ -120,7 +120,7 @@
 		}
 		if may != b.applied[i] {
 			b.applied[i] = may
-			events = append(events, choice.Event{Kind: choice.AllowanceChanged, Allowance: &choice.Allowance{Tenant: a.Tenant, Limit: may, BurstDuration: a.BurstSeconds}})
+			events = append(events, admission.Event{Kind: admission.AllowanceChanged, Allowance: &admission.Allowance{Tenant: a.Tenant, Limit: may, BurstDuration: a.BurstSeconds}})
 		}
 	}
 	if events != nil {
@@ -132,7 +132,7 @@
 func (s *Server) removeAllowances(was, is []stance.Allowance) {
 	for _, a := range was {
 		if !slices.ContainsFunc(is, func(x stance.Allowance) bool { return x.Tenant == a.Tenant }) {
-			s.pendingEvents = append([]choice.Event{{Kind: choice.AllowanceChanged, Allowance: &choice.Allowance{Tenant: a.Tenant, Limit: math.MaxInt32, BurstDuration: 1}}}, s.pendingEvents...)
+			s.pendingEvents = append([]admission.Event{{Kind: admission.AllowanceChanged, Allowance: &admission.Allowance{Tenant: a.Tenant, Limit: math.MaxInt32, BurstDuration: 1}}}, s.pendingEvents...)
 		}
 	}
 }
--- a/internal/serve/catalogue.go
+++ b/internal/serve/catalogue.go
@@ -7,7 +7,7 @@
 
 	"github.com/panjf2000/gnet/v2"
 
-	"swiftcourse/choice"
+	"swiftcourse/admission"
 	"swiftcourse/internal/memory"
 	"swiftcourse/internal/watch"
 	"swiftcourse/internal/wire/catalogue"
@@ -91,7 +91,7 @@
 // effect would matter the pooled connection is new: one that was idle may break in a way that tells nothing of the call.
 func (s *Server) assignCall(c *upstreamCall) {
 	now, from := s.now(), &s.upstream
-	mayBreak := s.startup.Settings.Classes[c.request.Class].Idempotency == choice.Idempotent && !c.retried
+	mayBreak := s.startup.Settings.Classes[c.request.Class].Idempotency == admission.Idempotent && !c.retried
 	for i := len(from.idle) - 1; i >= 0 && mayBreak; i-- {
 		l := from.idle[i]
 		if now-l.idleSince <= upstreamIdleTimeout && !slices.Contains(l.requestIDs, c.request.ID) {
@@ -136,10 +136,10 @@
 }
 
 // reportCallDone tells the module what became of a call.
-func (s *Server) reportCallDone(c *upstreamCall, outcome choice.Outcome) {
+func (s *Server) reportCallDone(c *upstreamCall, outcome admission.Outcome) {
 	took := s.now() - c.startedAt
 	s.countUpstreamCall(outcome, took)
-	s.queueEvent(choice.Event{Kind: choice.CallReturned, RequestID: c.request.ID, Outcome: outcome, Duration: took})
+	s.queueEvent(admission.Event{Kind: admission.CallReturned, RequestID: c.request.ID, Outcome: outcome, Duration: took})
 }
 
 // dropCall takes a call off that has no answer. Its pooled connection ends with it, which gives the call up on the other side:
@@ -265,7 +265,7 @@
 	s := l.server
 	c.done, l.call, l.idleSince = true, nil, s.now()
 	delete(s.upstreamCalls, c.request.ID)
-	if r.Outcome == choice.Finished {
+	if r.Outcome == admission.Finished {
 		s.executor.reply(c.request, r.Body, false)
 	}
 	s.reportCallDone(c, r.Outcome)
--- a/internal/serve/claims.go
+++ b/internal/serve/claims.go
@@ -6,7 +6,7 @@
 
 	"github.com/panjf2000/gnet/v2"
 
-	"swiftcourse/choice"
+	"swiftcourse/admission"
 	"swiftcourse/internal/judge/stance"
 	"swiftcourse/internal/memory"
 )
@@ -29,7 +29,7 @@
 type keyClaims struct {
 	claimer KeyClaimer
 	classes []bool
-	waiting map[string]choice.Event // reads that the module has not heard of, by task
+	waiting map[string]admission.Event // reads that the module has not heard of, by task
 	granted map[string]bool
 }
 
@@ -42,18 +42,18 @@
 
 // EnableKeyClaims has the tasks of some stages claimed by their subject before they run. It is called before Run.
 func (s *Server) EnableKeyClaims(fleet KeyClaimer, stages []string, window float64) {
-	s.keyClaims = &keyClaims{claimer: fleet, classes: make([]bool, len(s.startup.ClassNames)), waiting: map[string]choice.Event{}, granted: map[string]bool{}}
+	s.keyClaims = &keyClaims{claimer: fleet, classes: make([]bool, len(s.startup.ClassNames)), waiting: map[string]admission.Event{}, granted: map[string]bool{}}
 	for i, name := range s.startup.ClassNames {
 		if slices.Contains(stages, name) {
 			s.keyClaims.classes[i] = true
-			s.startup.Settings.Classes[i].Idempotency = choice.Deduplicated
+			s.startup.Settings.Classes[i].Idempotency = admission.Deduplicated
 			s.startup.Settings.Classes[i].DeduplicationWindow = window
 		}
 	}
 }
 
 // claimKey tells whether a task that was read has to be granted first, and asks for it.
-func (s *Server) claimKey(t *memory.Request, read *choice.Event, now float64) bool {
+func (s *Server) claimKey(t *memory.Request, read *admission.Event, now float64) bool {
 	k := s.keyClaims
 	if k == nil || !k.classes[t.Class] || t.Subject == "" || read.Request.DuplicateOf != "" {
 		return false
--- a/internal/serve/forward.go
+++ b/internal/serve/forward.go
@@ -6,7 +6,7 @@
 
 	"github.com/panjf2000/gnet/v2"
 
-	"swiftcourse/choice"
+	"swiftcourse/admission"
 	"swiftcourse/internal/memory"
 	"swiftcourse/internal/wire/rpc"
 )
@@ -26,7 +26,7 @@
 // ForwardResult is how that ended.
 type ForwardResult struct {
 	ID      string
-	Outcome choice.Outcome // Finished, Errored, Bounced where no worker took it, Stopped where nobody waits any more
+	Outcome admission.Outcome // Finished, Errored, Bounced where no worker took it, Stopped where nobody waits any more
 	Body    []byte
 	Took    float64
 	Advice  float64 // with Bounced: when to come back, in seconds
@@ -98,7 +98,7 @@
 	out := ForwardRequest{ID: t.ID, Stage: t.Class, Message: *f.messages[t.ID], Left: t.ArrivedAt + wait - now - forwardSafetyMargin}
 	out.Message.Body = append([]byte(nil), t.Body...) // the buffer may be used again before a second try
 	if out.Left <= 0 || !f.dispatch(out) {
-		s.handleForwardResult(&ForwardResult{ID: t.ID, Outcome: choice.Rejected, Advice: s.startup.Settings.MaxRetryAfter})
+		s.handleForwardResult(&ForwardResult{ID: t.ID, Outcome: admission.Rejected, Advice: s.startup.Settings.MaxRetryAfter})
 	}
 }
 
@@ -120,12 +120,12 @@
 	}
 	outcome := b.Outcome
 	switch outcome {
-	case choice.Finished:
+	case admission.Finished:
 		s.finish(t, b.Body)
-	case choice.Failed:
+	case admission.Failed:
 		s.abandon(t)
-	case choice.Rejected:
-		outcome = choice.NeverStarted
+	case admission.Rejected:
+		outcome = admission.NeverStarted
 		if !t.Answered {
 			s.reject(t, min(b.Advice, s.startup.Settings.MaxRetryAfter), false)
 		}
@@ -134,10 +134,10 @@
 }
 
 // finishRun tells all who wait for a run how it ended.
-func (s *Server) finishRun(t *memory.Request, outcome choice.Outcome, body []byte, took float64) {
-	for _, id := range s.results.Finish(t.ID, outcome != choice.NeverStarted, outcome == choice.Finished, body, s.now()+s.resultLifetime(t.Class)) {
+func (s *Server) finishRun(t *memory.Request, outcome admission.Outcome, body []byte, took float64) {
+	for _, id := range s.results.Finish(t.ID, outcome != admission.NeverStarted, outcome == admission.Finished, body, s.now()+s.resultLifetime(t.Class)) {
 		s.answerShared(s.requests.Get(id), body, outcome, took)
 	}
-	s.completeClaim(t, outcome == choice.Finished, body)
+	s.completeClaim(t, outcome == admission.Finished, body)
 	s.reportRunEnded(t, outcome, took)
 }
--- a/internal/serve/leave.go
+++ b/internal/serve/leave.go
@@ -6,7 +6,7 @@
 
 	"github.com/panjf2000/gnet/v2"
 
-	"swiftcourse/choice"
+	"swiftcourse/admission"
 	"swiftcourse/internal/watch"
 )
 
@@ -34,7 +34,7 @@
 	s.drainAt, s.killAt = at, at+s.startup.StopTimeout-min(signalDelayMargin, s.startup.StopTimeout/10)
 	slog.Info("notice", "kill_in_s", watch.FormatDecimal(s.killAt-s.now(), 3), "open", s.requests.Unanswered())
 	if s.controller != nil { // else it has nothing to do with it, see born
-		s.queueEvent(choice.Event{Kind: choice.DrainStarted, Duration: s.killAt - s.now()})
+		s.queueEvent(admission.Event{Kind: admission.DrainStarted, Duration: s.killAt - s.now()})
 	}
 	s.tryExit()
 }
--- a/internal/serve/link.go
+++ b/internal/serve/link.go
@@ -11,7 +11,7 @@
 
 	"github.com/panjf2000/gnet/v2"
 
-	"swiftcourse/choice"
+	"swiftcourse/admission"
 	"swiftcourse/internal/life"
 )
 
@@ -40,14 +40,14 @@
 func (e *attemptError) Unwrap() error { return e.cause }
 
 // outcome is what the module hears of a call that ended so.
-func (e *attemptError) outcome() choice.Outcome {
+func (e *attemptError) outcome() admission.Outcome {
 	switch e.progress {
 	case notSent:
-		return choice.Unreachable
+		return admission.Unreachable
 	case sent:
-		return choice.Disconnected
+		return admission.Disconnected
 	}
-	return choice.TimedOut
+	return admission.TimedOut
 }
 
 // singleAttempt, in place of a count, has a dial tried once.
--- a/internal/serve/peer.go
+++ b/internal/serve/peer.go
@@ -12,7 +12,7 @@
 	"github.com/panjf2000/gnet/v2"
 	"golang.org/x/sys/unix"
 
-	"swiftcourse/choice"
+	"swiftcourse/admission"
 	"swiftcourse/internal/judge/door"
 	"swiftcourse/internal/memory"
 	"swiftcourse/internal/wire/rpc"
@@ -263,7 +263,7 @@
 	if to := s.directive.Load(); to != nil {
 		to.Stats.Requests.Add(1)
 	}
-	read := choice.Event{Kind: choice.Arrived, RequestID: t.ID, Request: choice.Request{Class: stage, Tenant: tenant,
+	read := admission.Event{Kind: admission.Arrived, RequestID: t.ID, Request: admission.Request{Class: stage, Tenant: tenant,
 		Client: m.Caller, Memory: m.Memory, Priority: m.Rank, HasSubject: m.Subject != "", Retry: m.Again, ExpectedWork: m.Hint,
 		DuplicateOf: s.results.Original(stage, t.Subject, m.Came, now)}}
 	if !s.claimKey(t, &read, now) {
@@ -278,7 +278,7 @@
 // runsAtMostOnce tells whether the repeats of a stage's tasks have to be known.
 func (s *Server) runsAtMostOnce(stage int) bool {
 	stages := s.startup.Settings.Classes
-	return stage < len(stages) && stages[stage].Idempotency == choice.Deduplicated
+	return stage < len(stages) && stages[stage].Idempotency == admission.Deduplicated
 }
 
 // maxReadDelay is for how long past its window a task that may run once is remembered: a repeat that came in time may be read later, as
@@ -307,7 +307,7 @@
 		return
 	}
 	s.statistics.clientGone++
-	s.queueEvent(choice.Event{Kind: choice.ClientGone, RequestID: t.ID})
+	s.queueEvent(admission.Event{Kind: admission.ClientGone, RequestID: t.ID})
 	s.settle(t)
 }
 
@@ -319,7 +319,7 @@
 	if !t.Running { // dropped without a run: who waits for its answer gets none
 		s.releaseClaim(t)
 		for _, id := range s.results.Finish(t.ID, false, false, nil, 0) {
-			s.answerShared(s.requests.Get(id), nil, choice.Failed, 0)
+			s.answerShared(s.requests.Get(id), nil, admission.Failed, 0)
 		}
 	}
 	s.requests.RemoveIfDone(&s.buffers, t)
--- a/internal/serve/processor.go
+++ b/internal/serve/processor.go
@@ -9,7 +9,7 @@
 
 	"github.com/panjf2000/gnet/v2"
 
-	"swiftcourse/choice"
+	"swiftcourse/admission"
 	"swiftcourse/internal/memory"
 	"swiftcourse/internal/watch"
 	"swiftcourse/internal/wire/processor"
@@ -112,16 +112,16 @@
 		}
 		if t != nil && t.Running && t.CallNotice == 0 { // only its begin can be meant: it never ran
 			s.releaseClaim(t)
-			s.reportRunEnded(t, choice.NeverStarted, 0)
+			s.reportRunEnded(t, admission.NeverStarted, 0)
 		}
 	case processor.Ended:
 		if t == nil || !t.Running {
 			return
 		}
 		switch n.Outcome {
-		case choice.Finished:
+		case admission.Finished:
 			s.finish(t, n.Body)
-		case choice.Failed:
+		case admission.Failed:
 			s.abandon(t)
 		}
 		s.finishRun(t, n.Outcome, n.Body, n.Took)
@@ -132,7 +132,7 @@
 		s.buffers.Put(t.CallBody)
 		s.buffers.Put(t.CallReply)
 		t.CallNotice, t.CallBody, t.CallReply, t.CallSettled = n.Number, s.buffers.Copy(n.Body), nil, false
-		s.queueEvent(choice.Event{Kind: choice.AwaitingDownstream, RequestID: n.ID})
+		s.queueEvent(admission.Event{Kind: admission.AwaitingDownstream, RequestID: n.ID})
 	}
 }
 
@@ -165,7 +165,7 @@
 	for _, t := range s.requests.InArrivalOrder() {
 		switch {
 		case !t.Running || t.LastCommand <= l.confirmed:
-		case t.CallNotice == 0 && s.startup.Settings.Classes[t.Class].Idempotency == choice.Idempotent:
+		case t.CallNotice == 0 && s.startup.Settings.Classes[t.Class].Idempotency == admission.Idempotent:
 			l.sendStart(t)
 		case t.CallSettled:
 			l.sendReply(t)
@@ -228,9 +228,9 @@
 }
 
 // reportRunEnded tells the module that a run is over.
-func (s *Server) reportRunEnded(t *memory.Request, outcome choice.Outcome, took float64) {
+func (s *Server) reportRunEnded(t *memory.Request, outcome admission.Outcome, took float64) {
 	t.Running = false
-	s.queueEvent(choice.Event{Kind: choice.RunEnded, RequestID: t.ID, Outcome: outcome, Duration: took})
+	s.queueEvent(admission.Event{Kind: admission.RunEnded, RequestID: t.ID, Outcome: outcome, Duration: took})
 	s.requests.RemoveIfDone(&s.buffers, t)
 }
 
@@ -248,11 +248,11 @@
 		site.SlowStartDuration = s.startup.SlowStartDuration
 		at -= min(ago, site.SlowStartDuration)
 	}
-	s.controller = choice.New(s.startup.Seed, site)
+	s.controller = admission.New(s.startup.Seed, site)
 	if s.quotas != nil {
 		s.quotas.allowances = nil // it is told all of them
 	}
-	s.execute(s.controller.Decide(at, []choice.Event{{Kind: choice.Started}}), at)
+	s.execute(s.controller.Decide(at, []admission.Event{{Kind: admission.Started}}), at)
 	s.sweep()
 	s.scheduleTurn()
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -18,7 +18,7 @@
 
 	"github.com/panjf2000/gnet/v2"
 
-	"swiftcourse/choice"
+	"swiftcourse/admission"
 	"swiftcourse/internal/judge/door"
 	"swiftcourse/internal/judge/stance"
 	"swiftcourse/internal/life"
@@ -44,10 +44,10 @@
 	turnScheduled bool // a turn is on its way
 	turnRunnable  gnet.Runnable
 
-	controller                 *choice.Controller // nil until the processor is up
-	pendingEvents, spareEvents []choice.Event     // of the next batch; of the last
-	gauges                     choice.Gauges      // the latest
-	gaugesAt                   float64            // when they were read
+	controller                 *admission.Controller // nil until the processor is up
+	pendingEvents, spareEvents []admission.Event     // of the next batch; of the last
+	gauges                     admission.Gauges      // the latest
+	gaugesAt                   float64               // when they were read
 	timers                     memory.Wheel
 	requests                   *memory.Requests
 	results                    *memory.Cache
@@ -242,7 +242,7 @@
 }
 
 // queueEvent puts an event in the next batch.
-func (s *Server) queueEvent(e choice.Event) {
+func (s *Server) queueEvent(e admission.Event) {
 	s.pendingEvents = append(s.pendingEvents, e)
 	s.scheduleTurn()
 }
@@ -314,14 +314,14 @@
 // so an older one means that the processor did not answer, which is no news of its load.
 const gaugeMaxAge = 0.1
 
-func unknownGauges() choice.Gauges {
-	return choice.Gauges{Utilization: -1, Runnable: -1, Memory: -1, Connections: -1}
+func unknownGauges() admission.Gauges {
+	return admission.Gauges{Utilization: -1, Runnable: -1, Memory: -1, Connections: -1}
 }
 
 // refreshEvent sets what an event says of the present.
-func (s *Server) refreshEvent(e *choice.Event, now float64) {
+func (s *Server) refreshEvent(e *admission.Event, now float64) {
 	switch e.Kind {
-	case choice.Arrived:
+	case admission.Arrived:
 		if t := s.requests.Get(e.RequestID); t != nil {
 			e.Request.Age = max(0, now-t.ArrivedAt)
 			s.statistics.unreadSeconds += e.Request.Age
@@ -330,7 +330,7 @@
 				e.Request.RemainingBudget = t.Timeout - e.Request.Age
 			}
 		}
-	case choice.TimerFired:
+	case admission.TimerFired:
 		if age := now - s.gaugesAt; age <= gaugeMaxAge {
 			e.Gauges = s.gauges
 			s.statistics.gaugeAge = max(s.statistics.gaugeAge, age)
--- a/internal/standin/catalogue/catalogue.go
+++ b/internal/standin/catalogue/catalogue.go
@@ -8,14 +8,14 @@
 	"sync/atomic"
 	"time"
 
-	"swiftcourse/choice"
+	"swiftcourse/admission"
 	"swiftcourse/internal/wire/catalogue"
 )
 
 // Fate is what becomes of a call.
 type Fate struct {
 	After   time.Duration
-	Outcome choice.Outcome
+	Outcome admission.Outcome
 	Body    []byte
 	Break   bool // the connection breaks instead
 	Silence bool // no answer ever comes
--- a/internal/standin/processor/processor.go
+++ b/internal/standin/processor/processor.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"swiftcourse/choice"
+	"swiftcourse/admission"
 	"swiftcourse/internal/wire/processor"
 )
 
@@ -232,7 +232,7 @@
 				if p.runs[r.id] == r && r.asked == asked {
 					p.end(r)
 					p.notify(func(b []byte, serial int64) []byte {
-						return processor.PutEnded(b, serial, r.id, choice.Cancelled, time.Since(r.began).Seconds(), nil)
+						return processor.PutEnded(b, serial, r.id, admission.Cancelled, time.Since(r.began).Seconds(), nil)
 					})
 				}
 			})
@@ -244,7 +244,7 @@
 		r.body = p.plan.Result(r.id, r.body)
 	}
 	p.notify(func(b []byte, serial int64) []byte {
-		return processor.PutEnded(b, serial, r.id, choice.Finished, time.Since(r.began).Seconds(), r.body)
+		return processor.PutEnded(b, serial, r.id, admission.Finished, time.Since(r.began).Seconds(), r.body)
 	})
 }
 
--- a/internal/wire/catalogue/catalogue.go
+++ b/internal/wire/catalogue/catalogue.go
@@ -9,7 +9,7 @@
 	"math"
 	"strconv"
 
-	"swiftcourse/choice"
+	"swiftcourse/admission"
 )
 
 const (
@@ -20,13 +20,13 @@
 // Reply is how a call ended; its body is a view of the input.
 type Reply struct {
 	ID      string
-	Outcome choice.Outcome
+	Outcome admission.Outcome
 	Body    []byte
 }
 
 // What each word proves: only the first two of the others say that the call never ran.
-var ends = map[string]choice.Outcome{"DATA": choice.Finished, "LATER": choice.Rejected, "NOUSE": choice.Rejected,
-	"FAULT": choice.Failed, "TOOSLOW": choice.TimedOut}
+var ends = map[string]admission.Outcome{"DATA": admission.Finished, "LATER": admission.Rejected, "NOUSE": admission.Rejected,
+	"FAULT": admission.Failed, "TOOSLOW": admission.TimedOut}
 
 // Next reads the reply at the start of b and tells how long it is: 0 while it is not whole.
 func Next(b []byte) (r Reply, n int, err error) {
@@ -46,7 +46,7 @@
 		return r, 0, fmt.Errorf("unknown word %.20q", words[1])
 	}
 	r, n = Reply{ID: string(words[0]), Outcome: outcome}, end+2
-	if outcome != choice.Finished {
+	if outcome != admission.Finished {
 		return r, n, nil
 	}
 	size, err := strconv.Atoi(string(words[len(words)-1]))
--- a/internal/wire/catalogue/far.go
+++ b/internal/wire/catalogue/far.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"strconv"
 
-	"swiftcourse/choice"
+	"swiftcourse/admission"
 )
 
 // This file is the far side of the protocol: what the proxy reads and writes. The stand-in speaks with it.
@@ -55,15 +55,15 @@
 }
 
 // PutReply appends how a call ended; only one that finished has a body.
-func PutReply(b []byte, id string, outcome choice.Outcome, body []byte) []byte {
+func PutReply(b []byte, id string, outcome admission.Outcome, body []byte) []byte {
 	b = append(append(b, id...), ' ')
 	switch outcome {
-	case choice.Finished:
+	case admission.Finished:
 		b = strconv.AppendInt(append(b, "DATA "...), int64(len(body)), 10)
 		b = append(append(b, "\r\n"...), body...)
-	case choice.Rejected:
+	case admission.Rejected:
 		b = append(b, "LATER"...)
-	case choice.TimedOut:
+	case admission.TimedOut:
 		b = append(b, "TOOSLOW"...)
 	default:
 		b = append(b, "FAULT"...)
--- a/internal/wire/processor/far.go
+++ b/internal/wire/processor/far.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"strconv"
 
-	"swiftcourse/choice"
+	"swiftcourse/admission"
 )
 
 // This file is the far side of the protocol: what a processor reads and writes. The stand-in speaks with it.
@@ -64,7 +64,7 @@
 }
 
 // PutEnded appends the notice that a run is over after so many seconds; only one that finished has a result.
-func PutEnded(b []byte, serial int64, id string, outcome choice.Outcome, took float64, result []byte) []byte {
+func PutEnded(b []byte, serial int64, id string, outcome admission.Outcome, took float64, result []byte) []byte {
 	how := "crashed" // what no word stands for
 	for word, meant := range ends {
 		if meant == outcome {
--- a/internal/wire/processor/processor.go
+++ b/internal/wire/processor/processor.go
@@ -10,7 +10,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"swiftcourse/choice"
+	"swiftcourse/admission"
 )
 
 // MaxLine bounds a line read: a result of 4 KiB in base64 takes under 6 KiB.
@@ -32,18 +32,18 @@
 var kinds = map[string]Kind{"hi": Up, "complete": Ended, "ask": Parked, "used": Measured, "reject": Rejection,
 	"remark": Remark}
 
-var ends = map[string]choice.Outcome{"done": choice.Finished, "crashed": choice.Failed,
-	"aborted": choice.Cancelled, "stale": choice.NeverStarted}
+var ends = map[string]admission.Outcome{"done": admission.Finished, "crashed": admission.Failed,
+	"aborted": admission.Cancelled, "stale": admission.NeverStarted}
 
 // Notice is one line from the processor.
 type Notice struct {
 	Kind    Kind
 	Number  int64 // 0 where the line bears none
 	ID      string
-	Outcome choice.Outcome // of a run
-	Cold    bool           // with Up: it had just started, and was cold then
-	Word    string         // as it came
-	Took    float64        // seconds
+	Outcome admission.Outcome // of a run
+	Cold    bool              // with Up: it had just started, and was cold then
+	Word    string            // as it came
+	Took    float64           // seconds
 	Body    []byte
 	Tag     string
 	Gauges  []float64 // in the order of the settings
@@ -74,7 +74,7 @@
 	case Ended:
 		var known bool
 		if n.Outcome, known = ends[n.Word]; !known {
-			n.Outcome = choice.Failed // a word not known yet proves nothing, as an error does
+			n.Outcome = admission.Failed // a word not known yet proves nothing, as an error does
 		}
 	case Measured:
 		r.gauges = r.gauges[:0]
--- a/internal/wire/shale/wire.go
+++ b/internal/wire/shale/wire.go
@@ -12,7 +12,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"swiftcourse/choice"
+	"swiftcourse/admission"
 )
 
 // Change tells what an event means for the life of its instance.
@@ -30,7 +30,7 @@
 	Change Change
 	Seed   int64
 	Told   *Told
-	Event  choice.Event
+	Event  admission.Event
 }
 
 // Batch is what the simulator sends at one moment.
@@ -105,10 +105,10 @@
 	}
 }
 
-var outcomes = map[string]choice.Outcome{
-	"ok": choice.Finished, "error": choice.Failed, "full": choice.Rejected, "timeout": choice.TimedOut,
-	"connect_failed": choice.Unreachable, "reset": choice.Disconnected, "cancelled": choice.Cancelled,
-	"moot": choice.NeverStarted,
+var outcomes = map[string]admission.Outcome{
+	"ok": admission.Finished, "error": admission.Failed, "full": admission.Rejected, "timeout": admission.TimedOut,
+	"connect_failed": admission.Unreachable, "reset": admission.Disconnected, "cancelled": admission.Cancelled,
+	"moot": admission.NeverStarted,
 }
 
 // event appends one entry to the batch. Events of kinds unknown here are passed over.
@@ -116,7 +116,7 @@
 	if text(f, 0) == "" || text(f, 1) == "" {
 		return errors.New("lacks a name or an instance")
 	}
-	e := Event{Who: text(f, 1), Event: choice.Event{RequestID: text(f, 2)}}
+	e := Event{Who: text(f, 1), Event: admission.Event{RequestID: text(f, 2)}}
 	switch name := text(f, 0); name {
 	case "BORN":
 		if len(f) < 4 {
@@ -132,8 +132,8 @@
 		e.Change = Wiped
 	case "REQ":
 		bits := int(number(f, 3))
-		e.Event.Kind = choice.Arrived
-		e.Event.Request = choice.Request{Memory: number(f, 4), Age: number(f, 5) / 1000, ExpectedWork: number(f, 6) / 1000,
+		e.Event.Kind = admission.Arrived
+		e.Event.Request = admission.Request{Memory: number(f, 4), Age: number(f, 5) / 1000, ExpectedWork: number(f, 6) / 1000,
 			Class: int(number(f, 7)), HasSubject: text(f, 8) != "", Client: int(number(f, 9)),
 			RemainingBudget: number(f, 10) / 1000, Priority: number(f, 11), Tenant: int(number(f, 12)), DuplicateOf: text(f, 13),
 			Retry: bits&2 != 0, Write: bits&4 != 0}
@@ -141,24 +141,24 @@
 			e.Event.Request.ExpectedWork = 0
 		}
 	case "RUN_OVER", "CALL_ENDED":
-		e.Event.Kind = choice.RunEnded
+		e.Event.Kind = admission.RunEnded
 		if name == "CALL_ENDED" {
-			e.Event.Kind = choice.CallReturned
+			e.Event.Kind = admission.CallReturned
 		}
 		outcome, ok := outcomes[text(f, 3)]
 		if !ok {
-			outcome = choice.Failed // a word not known yet proves nothing, as an error does
+			outcome = admission.Failed // a word not known yet proves nothing, as an error does
 		}
 		e.Event.Outcome, e.Event.Duration = outcome, number(f, 4)/1000
 	case "AT_CALL":
-		e.Event.Kind = choice.AwaitingDownstream
+		e.Event.Kind = admission.AwaitingDownstream
 	case "ABANDONED":
-		e.Event.Kind = choice.ClientGone
+		e.Event.Kind = admission.ClientGone
 	case "DRAIN":
-		e.Event.Kind, e.Event.RequestID, e.Event.Duration = choice.DrainStarted, "", number(f, 2)/1000
+		e.Event.Kind, e.Event.RequestID, e.Event.Duration = admission.DrainStarted, "", number(f, 2)/1000
 	case "DEADLINE_HIT":
-		e.Event.Kind, e.Event.Label, e.Event.RequestID = choice.TimerFired, text(f, 2), ""
-		e.Event.Gauges = choice.Gauges{Utilization: -1, Runnable: -1, Memory: -1, Connections: -1}
+		e.Event.Kind, e.Event.Label, e.Event.RequestID = admission.TimerFired, text(f, 2), ""
+		e.Event.Gauges = admission.Gauges{Utilization: -1, Runnable: -1, Memory: -1, Connections: -1}
 		r.readGauges(&e, f)
 	default:
 		return nil
@@ -180,7 +180,7 @@
 }
 
 // SetGauge sets the gauge that the settings name so.
-func SetGauge(g *choice.Gauges, name string, value float64) {
+func SetGauge(g *admission.Gauges, name string, value float64) {
 	switch name {
 	case "cpu_busy":
 		g.Utilization = value
@@ -219,15 +219,15 @@
 	return &Writer{out: bufio.NewWriterSize(out, 1<<16), buf: []byte(`{"cmds":[`)}
 }
 
-var names = map[choice.ActionKind]string{
-	choice.StartRun: "BEGIN", choice.CancelRun: "TAKE_OFF", choice.Reject: "BUSY", choice.Fail: "LOSE",
-	choice.DispatchCall: "INVOKE", choice.Degrade: "DEGRADE", choice.StoreKey: "PIN", choice.DeleteKey: "EVICT",
-	choice.ReuseResult: "REUSE", choice.SetHealth: "STATUS", choice.ReportLoad: "HINT_OUT", choice.SetIdleTimeout: "REAP_AFTER",
-	choice.SetTimer: "SCHEDULE", choice.LogLine: "LOG",
+var names = map[admission.ActionKind]string{
+	admission.StartRun: "BEGIN", admission.CancelRun: "TAKE_OFF", admission.Reject: "BUSY", admission.Fail: "LOSE",
+	admission.DispatchCall: "INVOKE", admission.Degrade: "DEGRADE", admission.StoreKey: "PIN", admission.DeleteKey: "EVICT",
+	admission.ReuseResult: "REUSE", admission.SetHealth: "STATUS", admission.ReportLoad: "HINT_OUT", admission.SetIdleTimeout: "REAP_AFTER",
+	admission.SetTimer: "SCHEDULE", admission.LogLine: "LOG",
 }
 
 // Add adds an instance's actions to the reply.
-func (w *Writer) Add(who string, actions []choice.Action) {
+func (w *Writer) Add(who string, actions []admission.Action) {
 	for i := range actions {
 		a := &actions[i]
 		w.open(names[a.Kind], who)
@@ -235,20 +235,20 @@
 			w.text(a.RequestID)
 		}
 		switch a.Kind {
-		case choice.Reject:
+		case admission.Reject:
 			w.millis(a.Duration)
 			w.flag(a.Flag)
-		case choice.DispatchCall, choice.StoreKey, choice.SetIdleTimeout:
+		case admission.DispatchCall, admission.StoreKey, admission.SetIdleTimeout:
 			w.millis(a.Duration)
-		case choice.SetTimer:
+		case admission.SetTimer:
 			w.millis(a.Duration)
 			w.text(a.Label)
-		case choice.LogLine:
+		case admission.LogLine:
 			w.text(a.Label)
-		case choice.SetHealth:
+		case admission.SetHealth:
 			w.flag(a.Flag)
 			w.flag(true)
-		case choice.ReportLoad:
+		case admission.ReportLoad:
 			w.buf = strconv.AppendFloat(append(w.buf, ','), a.Value, 'f', -1, 64)
 		}
 		w.buf = append(w.buf, ']')
