--- a/cmd/swiftcourse-fleet/budgets.go
+++ b/cmd/swiftcourse-fleet/budgets.go
@@ -9,9 +9,9 @@
 	"strings"
 
 	"swiftcourse/internal/judge/shared/budget"
-	"swiftcourse/internal/judge/stance"
 	"swiftcourse/internal/life"
 	"swiftcourse/internal/peers"
+	"swiftcourse/internal/policy/serving"
 	"swiftcourse/internal/serve"
 )
 
@@ -68,7 +68,7 @@
 			return p.terms
 		},
 		OnAllowances: func(list []budget.Allowance) {
-			here := make([]stance.Allowance, 0, len(list))
+			here := make([]serving.Allowance, 0, len(list))
 			for _, a := range list {
 				tenant := -1
 				if a.Name != calls {
@@ -78,7 +78,7 @@
 					}
 					tenant = at
 				}
-				here = append(here, stance.Allowance{Name: a.Name, FleetMax: a.FleetMax, Tenant: tenant, Guaranteed: a.Floor, LeasedShare: a.LeasedShare, LeaseExpiry: clock.ToSource(a.LeaseExpiry), BurstSeconds: budget.BurstSeconds, GrantNumber: a.GrantNumber})
+				here = append(here, serving.Allowance{Name: a.Name, FleetMax: a.FleetMax, Tenant: tenant, Guaranteed: a.Floor, LeasedShare: a.LeasedShare, LeaseExpiry: clock.ToSource(a.LeaseExpiry), BurstSeconds: budget.BurstSeconds, GrantNumber: a.GrantNumber})
 			}
 			p.allow(func() { p.parted = here })
 		},
@@ -92,14 +92,14 @@
 	change()
 	list := slices.Clone(p.parted)
 	for _, a := range p.planned { // a budget binds as it is
-		if !slices.ContainsFunc(list, func(b stance.Allowance) bool { return b.Tenant == a.Tenant }) {
+		if !slices.ContainsFunc(list, func(b serving.Allowance) bool { return b.Tenant == a.Tenant }) {
 			list = append(list, a)
 		}
 	}
 	if !math.IsInf(p.held.MaxInFlight, 1) {
-		i := slices.IndexFunc(list, func(a stance.Allowance) bool { return a.Tenant < 0 })
+		i := slices.IndexFunc(list, func(a serving.Allowance) bool { return a.Tenant < 0 })
 		if i < 0 {
-			list = append(list, stance.Allowance{Name: "below", Tenant: -1, FleetMax: math.MaxInt32, Guaranteed: math.MaxInt32})
+			list = append(list, serving.Allowance{Name: "below", Tenant: -1, FleetMax: math.MaxInt32, Guaranteed: math.MaxInt32})
 			i = len(list) - 1
 		}
 		list[i].Capped, list[i].Cap, list[i].ProbeNumber = true, p.held.MaxInFlight, p.held.Probe
--- a/cmd/swiftcourse-fleet/counts.go
+++ b/cmd/swiftcourse-fleet/counts.go
@@ -6,8 +6,8 @@
 	"os"
 	"strings"
 
-	"swiftcourse/internal/judge/stance"
 	"swiftcourse/internal/peers"
+	"swiftcourse/internal/policy/serving"
 )
 
 // counts tells what all servers were asked for, and how sure that is.
@@ -23,7 +23,7 @@
 	if s.Totals != nil {
 		list, of = s.Totals.Total, "by all servers since the fleet's founding"
 	}
-	minute := map[stance.CounterKey]uint64{}
+	minute := map[serving.CounterKey]uint64{}
 	if s.Totals != nil {
 		for _, n := range s.Totals.LastMinute {
 			minute[n.CounterKey] = n.Received
@@ -70,8 +70,8 @@
 // everything is the name of the line that sums all.
 const everything = "all"
 
-func all(list []stance.CounterCell) (sum stance.CounterCell) {
-	sum.CounterKey = stance.CounterKey{Class: everything}
+func all(list []serving.CounterCell) (sum serving.CounterCell) {
+	sum.CounterKey = serving.CounterKey{Class: everything}
 	for _, n := range list {
 		sum.RequestCounts = sum.Add(n.RequestCounts)
 	}
--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -14,9 +14,9 @@
 	"swiftcourse/internal/forward"
 	"swiftcourse/internal/judge/plan"
 	"swiftcourse/internal/judge/shared/budget"
-	"swiftcourse/internal/judge/stance"
 	"swiftcourse/internal/life"
 	"swiftcourse/internal/peers"
+	"swiftcourse/internal/policy/serving"
 	"swiftcourse/internal/serve"
 )
 
@@ -78,10 +78,10 @@
 
 // rates is what a plan lets in of each tenant. Once it is over all may come in again, hence a floor without bound and a part that takes it away until
 // then: what workers can't do they turn away themselves.
-func rates(part *plan.Part, start *life.Startup, till float64) (list []stance.Allowance) {
+func rates(part *plan.Part, start *life.Startup, till float64) (list []serving.Allowance) {
 	for _, d := range part.Rates {
 		if at, known := start.TenantIndex[d.Tenant]; known {
-			list = append(list, stance.Allowance{Name: "plan/" + d.Tenant, Tenant: at, FleetMax: math.MaxInt32, Guaranteed: math.MaxInt32, LeasedShare: d.Rate - math.MaxInt32, LeaseExpiry: till,
+			list = append(list, serving.Allowance{Name: "plan/" + d.Tenant, Tenant: at, FleetMax: math.MaxInt32, Guaranteed: math.MaxInt32, LeasedShare: d.Rate - math.MaxInt32, LeaseExpiry: till,
 				BurstSeconds: budget.BurstSeconds})
 		}
 	}
@@ -108,12 +108,12 @@
 		return err
 	}
 	f, err := peers.Start(peers.Config{Name: name, ListenAddr: own.FleetListen, Voters: voters, JoinAddrs: own.FleetJoin, LeaseTerms: memberTerms(own), Rollout: rollout(own),
-		OnLeaseExpiry: stance.ModeNormal, LoadPlan: &peers.LoadPlanConfig{IsPlanner: true}, CountersEnabled: own.Counts, Seed: from.UnixNano(), Build: build(), Now: clock.Now, UnixNow: clock.UnixNow, RelayAddrs: via,
+		OnLeaseExpiry: serving.ModeNormal, LoadPlan: &peers.LoadPlanConfig{IsPlanner: true}, CountersEnabled: own.Counts, Seed: from.UnixNano(), Build: build(), Now: clock.Now, UnixNow: clock.UnixNow, RelayAddrs: via,
 		Apply: func(text string) error {
 			_, err := own.WithRelease("released", text)
 			return err
 		},
-		Publish: func(*stance.Directive) {}})
+		Publish: func(*serving.Directive) {}})
 	if err != nil {
 		return err
 	}
--- a/cmd/swiftcourse-fleet/main.go
+++ b/cmd/swiftcourse-fleet/main.go
@@ -20,10 +20,10 @@
 	"swiftcourse/internal/judge/member"
 	"swiftcourse/internal/judge/replica"
 	"swiftcourse/internal/judge/shared/budget"
-	"swiftcourse/internal/judge/stance"
 	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/life"
 	"swiftcourse/internal/peers"
+	"swiftcourse/internal/policy/serving"
 	"swiftcourse/internal/program"
 	"swiftcourse/internal/serve"
 )
@@ -39,10 +39,10 @@
 	start    *life.Startup
 	terms    budget.Config // of the budgets that all share, as own and released say
 
-	parted []stance.Allowance // parts of budgets
-	held   peers.CallLimit    // calls below
+	parted []serving.Allowance // parts of budgets
+	held   peers.CallLimit     // calls below
 
-	planned    []stance.Allowance  // what a plan lets in
+	planned    []serving.Allowance // what a plan lets in
 	dispatcher *forward.Dispatcher // nil for who forwards nothing
 }
 
@@ -74,7 +74,7 @@
 	if err != nil {
 		return err
 	}
-	silent := map[string]stance.Mode{"keep": member.FallbackNormal, "shield": member.FallbackSafeDefaults, "leave": member.FallbackOutOfService}[own.FleetSilent]
+	silent := map[string]serving.Mode{"keep": member.FallbackNormal, "shield": member.FallbackSafeDefaults, "leave": member.FallbackOutOfService}[own.FleetSilent]
 	kept, err := copies(start, own, server)
 	if err != nil {
 		return err
@@ -93,7 +93,7 @@
 	f, err := peers.Start(peers.Config{Trust: callers, Replication: kept, Quotas: shared, Health: p.below(), CountersEnabled: own.Counts, Name: start.Name, ListenAddr: own.FleetListen, Voters: voters, JoinAddrs: own.FleetJoin,
 		LoadPlan: p.plans(start, clock), LeaseTerms: memberTerms(own), OnLeaseExpiry: silent, Rollout: rollout(own), Seed: start.Seed, Build: build(),
 		Now: clock.Now, UnixNow: clock.UnixNow, RelayAddrs: via, OnTracePoint: dieAt(), Apply: p.apply,
-		Publish: func(to *stance.Directive) {
+		Publish: func(to *serving.Directive) {
 			here := *to
 			here.ChangesAt = clock.ToSource(to.ChangesAt)
 			server.SetDirective(&here)
@@ -116,7 +116,7 @@
 		slog.Info("fleet_budgets", "budgets", len(own.Budgets), "floor", float64(own.BudgetFloor), "servers", own.BudgetServers)
 	}
 	if p.dispatcher != nil {
-		server.ReportCounters(func(list []stance.CounterCell) bool {
+		server.ReportCounters(func(list []serving.CounterCell) bool {
 			told := !own.Counts || f.ReportCounts(list)
 			if told {
 				p.dispatcher.Asked(list)
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -16,7 +16,7 @@
 	"swiftcourse/admission"
 	"swiftcourse/internal/judge/plan"
 	"swiftcourse/internal/judge/route"
-	"swiftcourse/internal/judge/stance"
+	"swiftcourse/internal/policy/serving"
 	"swiftcourse/internal/ring"
 	"swiftcourse/internal/wire/rpc"
 )
@@ -156,7 +156,7 @@
 }
 
 // Asked takes what the server was asked for, also what it turned away itself.
-func (d *Dispatcher) Asked(list []stance.CounterCell) {
+func (d *Dispatcher) Asked(list []serving.CounterCell) {
 	select {
 	case d.inbox <- event{ask: func() {
 		for _, n := range list {
--- a/internal/judge/member/self.go
+++ b/internal/judge/member/self.go
@@ -8,8 +8,8 @@
 import (
 	"math"
 
-	"swiftcourse/internal/judge/stance"
 	"swiftcourse/internal/judge/version"
+	"swiftcourse/internal/policy/serving"
 )
 
 // State is how a server stands, as far as it knows.
@@ -68,12 +68,12 @@
 }
 
 // Mode is what a server does with tasks.
-type Mode = stance.Mode
+type Mode = serving.Mode
 
 const (
-	ModeNormal       = stance.ModeNormal
-	ModeSafeDefaults = stance.ModeSafeDefaults
-	ModeOutOfService = stance.ModeOutOfService
+	ModeNormal       = serving.ModeNormal
+	ModeSafeDefaults = serving.ModeSafeDefaults
+	ModeOutOfService = serving.ModeOutOfService
 )
 
 // Verdict is what a leader says to one that asks.
@@ -270,7 +270,7 @@
 // Snapshot is how a server stands, and what it does.
 type Snapshot struct {
 	State State
-	stance.Directive
+	serving.Directive
 }
 
 // Snapshot is how it stands.
@@ -279,7 +279,7 @@
 	if quiet == ModeOutOfService && !s.mayLeave {
 		quiet = ModeSafeDefaults
 	}
-	v := Snapshot{s.state, stance.Directive{Epoch: uint64(s.acts), ChangesAt: math.Inf(1), Mode: quiet, NextMode: quiet, Reason: s.why}}
+	v := Snapshot{s.state, serving.Directive{Epoch: uint64(s.acts), ChangesAt: math.Inf(1), Mode: quiet, NextMode: quiet, Reason: s.why}}
 	switch s.state {
 	case StateLeased:
 		v.Mode, v.ChangesAt = ModeNormal, s.until
--- a/internal/judge/replica/asker.go
+++ b/internal/judge/replica/asker.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"swiftcourse/internal/judge/stance"
+	"swiftcourse/internal/policy/serving"
 	state "swiftcourse/internal/replica"
 	"swiftcourse/internal/ring"
 )
@@ -11,7 +11,7 @@
 // Outcome is how a claim came out.
 type Outcome struct {
 	RequestID string
-	Verdict   stance.ClaimVerdict
+	Verdict   serving.ClaimVerdict
 	Result    []byte
 	Latency   float64 // seconds since it was asked for
 }
@@ -148,7 +148,7 @@
 func (s *Coordinator) StartClaim(now float64, id string, key state.Key, until float64) {
 	typical := s.TypicalLatency(now)
 	if s.claimsByRequest[id] != nil || len(s.claimsByRequest) >= maxClaims || until-now <= typical {
-		s.outcomes = append(s.outcomes, Outcome{RequestID: id, Verdict: stance.ClaimNoQuorum})
+		s.outcomes = append(s.outcomes, Outcome{RequestID: id, Verdict: serving.ClaimNoQuorum})
 		return
 	}
 	c := &claim{requestID: id, key: key, replicas: s.placement.Replicas(key.Slot()), startedAt: now, deadline: min(until, now+s.placement.MaxClaimDuration)}
@@ -294,28 +294,28 @@
 	s.applyEvent(c, eventResultKnown, now)
 }
 
-func (s *Coordinator) addOutcome(c *claim, r stance.ClaimVerdict, now float64) {
+func (s *Coordinator) addOutcome(c *claim, r serving.ClaimVerdict, now float64) {
 	s.outcomes = append(s.outcomes, Outcome{RequestID: c.requestID, Verdict: r, Result: c.attempt.Result, Latency: now - c.startedAt})
 }
 
 func (s *Coordinator) notifyGranted(c *claim, now float64) {
 	s.latencies.Current(now).Add(now - c.startedAt)
-	s.addOutcome(c, stance.ClaimGranted, now)
+	s.addOutcome(c, serving.ClaimGranted, now)
 }
 func (s *Coordinator) notifyResultKnown(c *claim, now float64) {
-	s.addOutcome(c, stance.ClaimCached, now)
+	s.addOutcome(c, serving.ClaimCached, now)
 }
 func (s *Coordinator) notifyMayHaveRun(c *claim, now float64) {
-	s.addOutcome(c, stance.ClaimOutcomeUnknown, now)
+	s.addOutcome(c, serving.ClaimOutcomeUnknown, now)
 }
 
 // notifyTimedOut tells that no quorum came. Where another claim was seen its task may run: then nobody should try it again at once.
 func (s *Coordinator) notifyTimedOut(c *claim, now float64) {
 	if c.sawRival {
-		s.addOutcome(c, stance.ClaimOutcomeUnknown, now)
+		s.addOutcome(c, serving.ClaimOutcomeUnknown, now)
 		return
 	}
-	s.addOutcome(c, stance.ClaimNoQuorum, now)
+	s.addOutcome(c, serving.ClaimNoQuorum, now)
 }
 
 // withdraw has the holders know that a claim never ran: it is told to no task any more, and one that would come with it later is not heeded.
--- a/internal/judge/replica/history_test.go
+++ b/internal/judge/replica/history_test.go
@@ -6,7 +6,7 @@
 	"github.com/anishathalye/porcupine"
 	"pgregory.net/rapid"
 
-	"swiftcourse/internal/judge/stance"
+	"swiftcourse/internal/policy/serving"
 	state "swiftcourse/internal/replica"
 )
 
@@ -33,9 +33,9 @@
 		switch {
 		case in.releases:
 			return holds == in.requestID, ""
-		case out.Verdict == stance.ClaimGranted:
+		case out.Verdict == serving.ClaimGranted:
 			return holds == "", in.requestID
-		case out.Verdict == stance.ClaimCached:
+		case out.Verdict == serving.ClaimCached:
 			return string(out.Result) == "result of "+holds.(string), holds
 		}
 		return true, holds // told that nobody can tell
@@ -63,10 +63,10 @@
 	if operations < 5000 {
 		t.Errorf("%d operations: too few to show anything", operations)
 	}
-	taken := func(key byte, id string, ruling stance.ClaimVerdict, at int64) porcupine.Operation {
+	taken := func(key byte, id string, ruling serving.ClaimVerdict, at int64) porcupine.Operation {
 		return porcupine.Operation{Input: registerInput{key: state.Key{key}, requestID: id}, Call: at, Output: Outcome{Verdict: ruling}, Return: at + 1}
 	}
-	if porcupine.CheckOperations(registerModel, []porcupine.Operation{taken(1, "a", stance.ClaimGranted, 1), taken(1, "b", stance.ClaimGranted, 3)}) {
+	if porcupine.CheckOperations(registerModel, []porcupine.Operation{taken(1, "a", serving.ClaimGranted, 1), taken(1, "b", serving.ClaimGranted, 3)}) {
 		t.Error("two runs of one key pass")
 	}
 }
--- a/internal/judge/replica/replica_test.go
+++ b/internal/judge/replica/replica_test.go
@@ -9,7 +9,7 @@
 	"github.com/anishathalye/porcupine"
 	"pgregory.net/rapid"
 
-	"swiftcourse/internal/judge/stance"
+	"swiftcourse/internal/policy/serving"
 	state "swiftcourse/internal/replica"
 )
 
@@ -207,7 +207,7 @@
 	w.history = append(w.history, porcupine.Operation{Input: registerInput{key: key, requestID: told.RequestID}, Call: w.calls[told.RequestID], Output: told, Return: w.ticks})
 	w.logf("node %d task %s key %x: %s %q", n.index, told.RequestID, key[:2], told.Verdict, told.Result)
 	switch told.Verdict {
-	case stance.ClaimGranted:
+	case serving.ClaimGranted:
 		if w.random.IntN(8) == 0 { // judged anew, it has too little time left
 			w.history = append(w.history, porcupine.Operation{Input: registerInput{key, told.RequestID, true}, Call: w.ticks + 1, Output: Outcome{}, Return: w.ticks + 2})
 			w.ticks += 2
@@ -221,7 +221,7 @@
 		}
 		w.runs[key] = append(w.runs[key], run{w.now, fmt.Sprintf("result of %s", told.RequestID), told.RequestID})
 		n.running[told.RequestID] = w.now + 0.3*w.random.Float64()
-	case stance.ClaimCached:
+	case serving.ClaimCached:
 		ran := w.runs[key]
 		if len(ran) == 0 || !slices.ContainsFunc(ran, func(r run) bool { return r.result == string(told.Result) }) {
 			w.failf("key %x has the result %q, which nobody had: %v", key[:2], told.Result, ran)
@@ -348,14 +348,14 @@
 }
 
 func TestClaims_NoKeyRunsTwice(t *testing.T) {
-	outcomes := map[stance.ClaimVerdict]int{}
+	outcomes := map[serving.ClaimVerdict]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		w := playSchedule(t, rapid.Uint64().Draw(t, "seed"))
 		for _, told := range w.outcomes {
 			outcomes[told.Verdict]++
 		}
 	})
-	for _, o := range []stance.ClaimVerdict{stance.ClaimGranted, stance.ClaimCached, stance.ClaimOutcomeUnknown, stance.ClaimNoQuorum} {
+	for _, o := range []serving.ClaimVerdict{serving.ClaimGranted, serving.ClaimCached, serving.ClaimOutcomeUnknown, serving.ClaimNoQuorum} {
 		if outcomes[o] == 0 {
 			t.Errorf("no task was ever told %s: %v", o, outcomes)
 		}
@@ -382,13 +382,13 @@
 			t.Fatalf("copies differ 30 s after the last fault")
 		}
 		// One claim may still fail for good reason: its task has little time, or a message is an old one. Five in a row may not.
-		ruling := stance.ClaimNoQuorum
-		for i := 0; i < 5 && ruling != stance.ClaimGranted; i++ {
+		ruling := serving.ClaimNoQuorum
+		for i := 0; i < 5 && ruling != serving.ClaimGranted; i++ {
 			id := w.claim(w.nodes[0], state.KeyOf("ping", fmt.Sprint("fresh", i)))
 			w.step(1.1)
 			ruling = w.outcomes[id].Verdict
 		}
-		if ruling != stance.ClaimGranted {
+		if ruling != serving.ClaimGranted {
 			t.Fatalf("healed, five new keys in a row are not granted, the last is told %s", ruling)
 		}
 	})
--- a/internal/judge/replica/rules_test.go
+++ b/internal/judge/replica/rules_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"swiftcourse/internal/judge/door"
-	"swiftcourse/internal/judge/stance"
+	"swiftcourse/internal/policy/serving"
 	state "swiftcourse/internal/replica"
 )
 
@@ -351,7 +351,7 @@
 		t.Fatalf("told %v by one holder under each list", told)
 	}
 	say(2, ReplyGranted, after...)
-	if told := s.TakeOutcomes(); len(told) != 1 || told[0].Verdict != stance.ClaimGranted {
+	if told := s.TakeOutcomes(); len(told) != 1 || told[0].Verdict != serving.ClaimGranted {
 		t.Errorf("told %v", told)
 	}
 }
--- a/internal/judge/shared/counts/counts.go
+++ b/internal/judge/shared/counts/counts.go
@@ -10,7 +10,7 @@
 import (
 	"slices"
 
-	"swiftcourse/internal/judge/stance"
+	"swiftcourse/internal/policy/serving"
 )
 
 // RowReport is a server's word on a row, or a keeper's who passes it on.
@@ -22,8 +22,8 @@
 	BaseSequence   uint64 // the number after which Cells has all that changed; 0 where it has all there is
 	Closing        bool   // from a keeper: the row is to be closed, and Stands is the highest number that was ever said to be there
 	FrozenSequence uint64
-	Aggregators    Incarnations         // of the keepers, as who tells knows them
-	Cells          []stance.CounterCell // as they stand in the row, in order
+	Aggregators    Incarnations          // of the keepers, as who tells knows them
+	Cells          []serving.CounterCell // as they stand in the row, in order
 }
 
 // RowAck is a keeper's answer.
@@ -66,15 +66,15 @@
 	maxCells = 1024
 )
 
-type cells map[stance.CounterKey]stance.RequestCounts
+type cells map[serving.CounterKey]serving.RequestCounts
 
 // sortedCells lists cells in their order.
-func sortedCells(of map[stance.CounterKey]stance.RequestCounts) []stance.CounterCell {
-	list := make([]stance.CounterCell, 0, len(of))
+func sortedCells(of map[serving.CounterKey]serving.RequestCounts) []serving.CounterCell {
+	list := make([]serving.CounterCell, 0, len(of))
 	for cell, t := range of {
-		list = append(list, stance.CounterCell{CounterKey: cell, RequestCounts: t})
+		list = append(list, serving.CounterCell{CounterKey: cell, RequestCounts: t})
 	}
-	slices.SortFunc(list, func(a, b stance.CounterCell) int { return a.CounterKey.Compare(b.CounterKey) })
+	slices.SortFunc(list, func(a, b serving.CounterCell) int { return a.CounterKey.Compare(b.CounterKey) })
 	return list
 }
 
@@ -82,7 +82,7 @@
 func (c cells) without(o cells) cells {
 	left := cells{}
 	for cell, t := range c {
-		if t = t.Sub(o[cell]); t != (stance.RequestCounts{}) {
+		if t = t.Sub(o[cell]); t != (serving.RequestCounts{}) {
 			left[cell] = t
 		}
 	}
@@ -121,11 +121,11 @@
 func (t *Reporter) row() uint64 { return t.life + t.rows }
 
 // Add counts tasks.
-func (t *Reporter) Add(list []stance.CounterCell) {
+func (t *Reporter) Add(list []serving.CounterCell) {
 	for _, n := range list {
 		cell := n.CounterKey
 		if _, known := t.all[cell]; !known && len(t.all) >= maxCells {
-			cell = stance.CounterKey{}
+			cell = serving.CounterKey{}
 		}
 		t.all[cell] = t.all[cell].Add(n.RequestCounts)
 		t.news = true
@@ -238,6 +238,6 @@
 }
 
 // CurrentRow is what the present row has, what of it most keepers are known to have, and whether that is all.
-func (t *Reporter) CurrentRow() (list []stance.CounterCell, agreed bool) {
+func (t *Reporter) CurrentRow() (list []serving.CounterCell, agreed bool) {
 	return sortedCells(t.all.without(t.before)), t.agreed() && !t.news
 }
--- a/internal/judge/shared/counts/counts_test.go
+++ b/internal/judge/shared/counts/counts_test.go
@@ -8,8 +8,8 @@
 
 	"pgregory.net/rapid"
 
-	"swiftcourse/internal/judge/stance"
 	"swiftcourse/internal/judge/version"
+	"swiftcourse/internal/policy/serving"
 )
 
 // world plays servers, keepers and the voters' order, in simulated time: messages are lost, doubled and late; commands to close rows are committed long
@@ -99,7 +99,7 @@
 	if w.chance.IntN(3) == 0 {
 		n := uint64(w.chance.IntN(5))
 		s.truth += n
-		s.teller.Add([]stance.CounterCell{{CounterKey: stance.CounterKey{Tenant: "acme", Class: fmt.Sprint(w.chance.IntN(3))}, RequestCounts: stance.RequestCounts{Received: n}}})
+		s.teller.Add([]serving.CounterCell{{CounterKey: serving.CounterKey{Tenant: "acme", Class: fmt.Sprint(w.chance.IntN(3))}, RequestCounts: serving.RequestCounts{Received: n}}})
 	}
 	for _, l := range s.teller.DueReports(w.now) {
 		told, teller := *l.Report, s.teller
@@ -128,7 +128,7 @@
 	}
 }
 
-func sum(list []stance.CounterCell) (n uint64) {
+func sum(list []serving.CounterCell) (n uint64) {
 	for _, c := range list {
 		n += c.Received
 	}
@@ -288,11 +288,11 @@
 
 // TestARowThatIsClosedUnderItsServer: it is taken for gone while it has news on the way, and goes on as another row.
 func TestARowThatIsClosedUnderItsServer(t *testing.T) {
-	cell := stance.CounterKey{Tenant: "acme", Class: "ping"}
+	cell := serving.CounterKey{Tenant: "acme", Class: "ping"}
 	for _, closed := range []uint64{1, 2} {
 		s := NewReporter("a", 100, []string{"k0"}, 0)
 		add := func(n uint64) {
-			s.Add([]stance.CounterCell{{CounterKey: cell, RequestCounts: stance.RequestCounts{Received: n}}})
+			s.Add([]serving.CounterCell{{CounterKey: cell, RequestCounts: serving.RequestCounts{Received: n}}})
 		}
 		add(5)
 		s.DueReports(0)
@@ -311,11 +311,11 @@
 // TestNonsenseIsRefused: a row that shrinks, jumps or names a cell twice changes nothing.
 func TestNonsenseIsRefused(t *testing.T) {
 	k := NewAggregator("k0", []string{"k0"}, 1, func(uint64) (uint64, bool) { return 0, false }, 0)
-	of := func(stage string, n uint64) stance.CounterCell {
-		return stance.CounterCell{CounterKey: stance.CounterKey{Class: stage}, RequestCounts: stance.RequestCounts{Received: n}}
+	of := func(stage string, n uint64) serving.CounterCell {
+		return serving.CounterCell{CounterKey: serving.CounterKey{Class: stage}, RequestCounts: serving.RequestCounts{Received: n}}
 	}
-	k.HandleReport(0, &RowReport{Server: "a", Incarnation: 1, RowID: 1, Sequence: 1, Cells: []stance.CounterCell{of("x", 10), of("y", 5)}})
-	for _, cells := range [][]stance.CounterCell{{of("x", 9), of("y", 5)}, {of("x", 11)}, {of("x", 10), of("x", 10), of("y", 5)}, {of("x", 1<<60), of("y", 5)}} {
+	k.HandleReport(0, &RowReport{Server: "a", Incarnation: 1, RowID: 1, Sequence: 1, Cells: []serving.CounterCell{of("x", 10), of("y", 5)}})
+	for _, cells := range [][]serving.CounterCell{{of("x", 9), of("y", 5)}, {of("x", 11)}, {of("x", 10), of("x", 10), of("y", 5)}, {of("x", 1<<60), of("y", 5)}} {
 		if h := k.HandleReport(1, &RowReport{Server: "a", Incarnation: 1, RowID: 1, Sequence: 2, Cells: cells}); h.Sequence != 1 {
 			t.Errorf("%v is taken", cells)
 		}
@@ -323,7 +323,7 @@
 	if r := k.Summary(1, nil); sum(r.Total) != 15 || r.RejectedReports != 4 {
 		t.Errorf("it knows %+v", r)
 	}
-	if h := k.HandleReport(2, &RowReport{Server: "a", Incarnation: 1, RowID: 1, Sequence: 2, BaseSequence: 1, Cells: []stance.CounterCell{of("y", 6)}}); h.Sequence != 2 {
+	if h := k.HandleReport(2, &RowReport{Server: "a", Incarnation: 1, RowID: 1, Sequence: 2, BaseSequence: 1, Cells: []serving.CounterCell{of("y", 6)}}); h.Sequence != 2 {
 		t.Errorf("what changed is not taken: %+v", h)
 	}
 	if r := k.Summary(14, nil); sum(r.Total) != 16 || len(r.LateReports) != 1 || r.LateReports[0].SilentSeconds != 12 || r.MaxMissing != 6 {
@@ -335,7 +335,7 @@
 	k := NewAggregator("k0", []string{"k0"}, 1, func(uint64) (uint64, bool) { return 0, false }, 0)
 	t := &RowReport{Server: "a", Incarnation: 1, RowID: 1}
 	for i := range 40 {
-		t.Cells = append(t.Cells, stance.CounterCell{CounterKey: stance.CounterKey{Tenant: "acme", Class: fmt.Sprint(i)}})
+		t.Cells = append(t.Cells, serving.CounterCell{CounterKey: serving.CounterKey{Tenant: "acme", Class: fmt.Sprint(i)}})
 	}
 	for b.Loop() {
 		t.Sequence++
--- a/internal/judge/shared/counts/keeper.go
+++ b/internal/judge/shared/counts/keeper.go
@@ -5,7 +5,7 @@
 	"math"
 	"slices"
 
-	"swiftcourse/internal/judge/stance"
+	"swiftcourse/internal/policy/serving"
 	"swiftcourse/internal/ring"
 )
 
@@ -408,21 +408,21 @@
 
 // Summary is what a keeper knows. Everything in it was counted, so what is true is no less; what it may lack is told.
 type Summary struct {
-	Total                []stance.CounterCell // since the fleet's founding
-	LastMinute           []stance.CounterCell `json:"Minute"`  // told in the last minute
-	OpenRows             int                  `json:"Rows"`    // lives that told, and are not closed
-	LateReports          []LateReport         `json:"Late"`    // those heard of for the last time some seconds ago, the longest silent first
-	MaxMissing           float64              `json:"Lacks"`   // tasks that those, and those between two words, may have had asked of them since, at their rates
-	Recovering           bool                 `json:"Cold"`    // it does not know all that others know yet
-	IncompleteRecoveries int                  `json:"Holes"`   // times that this keeper began without enough others that knew all; once at the fleet's first start
-	RejectedReports      int                  `json:"Refused"` // words that can't be true
+	Total                []serving.CounterCell // since the fleet's founding
+	LastMinute           []serving.CounterCell `json:"Minute"`  // told in the last minute
+	OpenRows             int                   `json:"Rows"`    // lives that told, and are not closed
+	LateReports          []LateReport          `json:"Late"`    // those heard of for the last time some seconds ago, the longest silent first
+	MaxMissing           float64               `json:"Lacks"`   // tasks that those, and those between two words, may have had asked of them since, at their rates
+	Recovering           bool                  `json:"Cold"`    // it does not know all that others know yet
+	IncompleteRecoveries int                   `json:"Holes"`   // times that this keeper began without enough others that knew all; once at the fleet's first start
+	RejectedReports      int                   `json:"Refused"` // words that can't be true
 }
 
 // maxLate names are told.
 const maxLate = 64
 
 // Summary adds up; sums are those of rows that are over.
-func (k *Aggregator) Summary(now float64, sums []stance.CounterCell) *Summary {
+func (k *Aggregator) Summary(now float64, sums []serving.CounterCell) *Summary {
 	total, minute := cells{}, cells{}
 	for _, n := range sums {
 		total[n.CounterKey] = n.RequestCounts
--- a/internal/judge/version/order.go
+++ b/internal/judge/version/order.go
@@ -16,7 +16,7 @@
 	"strconv"
 	"strings"
 
-	"swiftcourse/internal/judge/stance"
+	"swiftcourse/internal/policy/serving"
 )
 
 // Epoch numbers a version: the founding of the voters' group in the upper half, counted from that founding in the lower. A higher one is
@@ -121,7 +121,7 @@
 // CounterRow is what one server counted, see internal/judge/shared/counts, as it was told under a number.
 type CounterRow struct {
 	ID, Sequence uint64
-	Cells        []stance.CounterCell // none where only the numbers matter
+	Cells        []serving.CounterCell // none where only the numbers matter
 }
 
 // Entry is what is kept of a version once it is over.
@@ -154,10 +154,10 @@
 	History        []Entry   // the latest, oldest first
 	Members        map[string]uint64
 	Ejected        map[string]Ejection
-	LastCommandIDs map[string]uint64    // the latest command of each author, see Command.ID
-	Voters         map[uint64]string    // the voters' lives, by name
-	ClosedRows     []CounterRow         // the latest rows of counts that are over, without their cells, oldest first
-	ClosedTotals   []stance.CounterCell // what those rows came to, in the order of cells
+	LastCommandIDs map[string]uint64     // the latest command of each author, see Command.ID
+	Voters         map[uint64]string     // the voters' lives, by name
+	ClosedRows     []CounterRow          // the latest rows of counts that are over, without their cells, oldest first
+	ClosedTotals   []serving.CounterCell // what those rows came to, in the order of cells
 }
 
 // BootstrapLog makes the first order of a founding from the newest that anybody knew, the zero Order where nobody knew any. What was on its way is
@@ -282,7 +282,7 @@
 	for _, r := range c.CounterRows {
 		cells += len(r.Cells)
 		for _, n := range r.Cells {
-			if len(n.Tenant) > maxName || len(n.Class) > maxName || !(stance.RequestCounts{Received: maxTally, Finished: maxTally, Rejected: maxTally, Abandoned: maxTally}).Covers(n.RequestCounts) {
+			if len(n.Tenant) > maxName || len(n.Class) > maxName || !(serving.RequestCounts{Received: maxTally, Finished: maxTally, Rejected: maxTally, Abandoned: maxTally}).Covers(n.RequestCounts) {
 				return false
 			}
 		}
@@ -401,17 +401,17 @@
 	for _, n := range r.Cells {
 		at, known := slices.BinarySearchFunc(o.ClosedTotals, n.CounterKey, compareCell)
 		if !known && len(o.ClosedTotals) >= maxCells {
-			n.CounterKey = stance.CounterKey{}
+			n.CounterKey = serving.CounterKey{}
 			at, known = slices.BinarySearchFunc(o.ClosedTotals, n.CounterKey, compareCell)
 		}
 		if !known {
-			o.ClosedTotals = slices.Insert(o.ClosedTotals, at, stance.CounterCell{CounterKey: n.CounterKey})
+			o.ClosedTotals = slices.Insert(o.ClosedTotals, at, serving.CounterCell{CounterKey: n.CounterKey})
 		}
 		o.ClosedTotals[at].RequestCounts = o.ClosedTotals[at].Add(n.RequestCounts)
 	}
 }
 
-func compareCell(n stance.CounterCell, c stance.CounterKey) int { return n.CounterKey.Compare(c) }
+func compareCell(n serving.CounterCell, c serving.CounterKey) int { return n.CounterKey.Compare(c) }
 
 func (o *Log) release(c *Command) error {
 	switch {
--- a/internal/lab/emulate/budgets.go
+++ b/internal/lab/emulate/budgets.go
@@ -7,8 +7,8 @@
 	"strings"
 
 	"swiftcourse/internal/judge/shared/budget"
-	"swiftcourse/internal/judge/stance"
 	"swiftcourse/internal/peers"
+	"swiftcourse/internal/policy/serving"
 )
 
 // Shared is a fleet that shares a budget of one tenant's tasks, in simulated time, decided by the parts of package peers: demand that moves, a third
@@ -74,7 +74,7 @@
 // spender is a server's loop, as far as it uses the budget.
 type spender struct {
 	*talker
-	may    stance.Allowance
+	may    serving.Allowance
 	demand float64
 }
 
@@ -97,7 +97,7 @@
 		t.budgets = func(clock *peers.Clock) *peers.QuotaConfig {
 			return &peers.QuotaConfig{Settings: func() budget.Config { return terms }, OnAllowances: func(list []budget.Allowance) {
 				a := list[0]
-				sp.may = stance.Allowance{Guaranteed: a.Floor, LeasedShare: a.LeasedShare, LeaseExpiry: clock.ToSource(a.LeaseExpiry), GrantNumber: a.GrantNumber}
+				sp.may = serving.Allowance{Guaranteed: a.Floor, LeasedShare: a.LeasedShare, LeaseExpiry: clock.ToSource(a.LeaseExpiry), GrantNumber: a.GrantNumber}
 			}}
 		}
 	}
--- a/internal/lab/emulate/claims.go
+++ b/internal/lab/emulate/claims.go
@@ -6,8 +6,8 @@
 	"slices"
 
 	"swiftcourse/internal/judge/replica"
-	"swiftcourse/internal/judge/stance"
 	"swiftcourse/internal/peers"
+	"swiftcourse/internal/policy/serving"
 )
 
 // This file has an emulated fleet claim keys while it talks about versions: the same parts over the same network and faults, and a ledger that
@@ -80,7 +80,7 @@
 	if l == nil {
 		return nil
 	}
-	return &peers.ReplicationConfig{Placement: l.place, MaxRecords: 100_000, MaxBytes: 64 << 20, CatchUpRate: 4 << 20, OnVerdict: func(id string, r stance.ClaimVerdict, result []byte) {
+	return &peers.ReplicationConfig{Placement: l.place, MaxRecords: 100_000, MaxBytes: 64 << 20, CatchUpRate: 4 << 20, OnVerdict: func(id string, r serving.ClaimVerdict, result []byte) {
 		s.after(0, func() { s.ruled(id, r, string(result)) }) // as the loop, which takes it later
 	}}
 }
@@ -103,7 +103,7 @@
 }
 
 // ruled does with a try what a server does.
-func (s *talker) ruled(id string, r stance.ClaimVerdict, result string) {
+func (s *talker) ruled(id string, r serving.ClaimVerdict, result string) {
 	l := s.ledger
 	try := l.tries[id]
 	if !s.alive || try == nil || try.life != s.part.Incarnation() {
@@ -112,7 +112,7 @@
 	try.told = true
 	l.row.Told[r]++
 	switch r {
-	case stance.ClaimGranted:
+	case serving.ClaimGranted:
 		l.grants = append(l.grants, s.now-try.at)
 		if s.asleep || s.now > try.at+keyLongest { // woken past its due moment: the module rejects it
 			s.word(peers.ClaimEvent{ID: id, Canceled: true})
@@ -132,7 +132,7 @@
 				s.word(peers.ClaimEvent{ID: id, Finished: true, Succeeded: true, Result: []byte(out)})
 			}
 		})
-	case stance.ClaimCached:
+	case serving.ClaimCached:
 		if !slices.ContainsFunc(l.runs[try.key], func(run keyRun) bool { return run.result == result }) {
 			l.row.Wrong++
 		}
--- a/internal/lab/emulate/counts.go
+++ b/internal/lab/emulate/counts.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strings"
 
-	"swiftcourse/internal/judge/stance"
+	"swiftcourse/internal/policy/serving"
 )
 
 // Counts is a fleet that counts what it is asked for, in simulated time: the parts of package peers under faults by the seed, held against what each
@@ -132,11 +132,11 @@
 			life.sure = life.truth
 		}
 		if !c.quiet {
-			var list []stance.CounterCell
+			var list []serving.CounterCell
 			for range c.poisson(countedRate * countEvery) {
 				life.truth++
-				cell := stance.CounterKey{Tenant: "acme", Class: fmt.Sprint(c.chance.IntN(countedCells))}
-				list = append(list, stance.CounterCell{CounterKey: cell, RequestCounts: stance.RequestCounts{Received: 1, Finished: 1}})
+				cell := serving.CounterKey{Tenant: "acme", Class: fmt.Sprint(c.chance.IntN(countedCells))}
+				list = append(list, serving.CounterCell{CounterKey: cell, RequestCounts: serving.RequestCounts{Received: 1, Finished: 1}})
 			}
 			s.part.ObserveCounts(list)
 		}
@@ -206,7 +206,7 @@
 	c.after(0.1, c.watch)
 }
 
-func sum(list []stance.CounterCell) (n float64) {
+func sum(list []serving.CounterCell) (n float64) {
 	for _, one := range list {
 		n += float64(one.Received)
 	}
--- a/internal/lab/emulate/versions.go
+++ b/internal/lab/emulate/versions.go
@@ -9,10 +9,10 @@
 	"strings"
 
 	"swiftcourse/internal/judge/member"
-	"swiftcourse/internal/judge/stance"
 	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/memory"
 	"swiftcourse/internal/peers"
+	"swiftcourse/internal/policy/serving"
 	wire "swiftcourse/internal/wire/fleet"
 )
 
@@ -87,7 +87,7 @@
 	held    [][]byte
 	timer   memory.Timer
 	armed   bool
-	view    stance.Directive
+	view    serving.Directive
 	state   member.State
 	refuses bool // can't apply what is released
 	acts    version.Epoch
@@ -204,7 +204,7 @@
 			}
 			return nil
 		},
-		Publish: func(to *stance.Directive) {
+		Publish: func(to *serving.Directive) {
 			s.view = *to
 			s.view.ChangesAt = clock.ToSource(to.ChangesAt)
 		}}, s.chance.Uint64()|1, s, s.chance)
@@ -419,7 +419,7 @@
 				t.row.ActedOut++
 			}
 			quiet := s.state == member.StateExpired || s.state == member.StateLeased && t.now >= s.view.ChangesAt
-			if quiet && s.view.ModeAt(t.now) == stance.ModeOutOfService && o.Members[s.name] == s.part.Incarnation() {
+			if quiet && s.view.ModeAt(t.now) == serving.ModeOutOfService && o.Members[s.name] == s.part.Incarnation() {
 				away++
 			}
 		}
--- a/internal/lab/faults/counts_test.go
+++ b/internal/lab/faults/counts_test.go
@@ -7,27 +7,27 @@
 	"testing"
 	"time"
 
-	"swiftcourse/internal/judge/stance"
 	"swiftcourse/internal/peers"
+	"swiftcourse/internal/policy/serving"
 	"swiftcourse/internal/wire/rpc"
 	"swiftcourse/internal/wire/shale"
 )
 
 // tally is what callers asked for and were told, of the servers named, of all where none is.
-func (d *Demand) tally(names ...string) (t stance.RequestCounts) {
+func (d *Demand) tally(names ...string) (t serving.RequestCounts) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for name, ends := range d.counts {
 		if len(names) > 0 && !slices.Contains(names, name) {
 			continue
 		}
-		t = t.Add(stance.RequestCounts{Received: uint64(d.asked[name]), Finished: uint64(ends[rpc.Finished]), Rejected: uint64(ends[rpc.Rejected]), Abandoned: uint64(ends[rpc.Abandoned])})
+		t = t.Add(serving.RequestCounts{Received: uint64(d.asked[name]), Finished: uint64(ends[rpc.Finished]), Rejected: uint64(ends[rpc.Rejected]), Abandoned: uint64(ends[rpc.Abandoned])})
 	}
 	return t
 }
 
 // counted is what a voter knows that all were asked for, and by how many lives that are not closed.
-func (f *Fleet) counted(name string) (t stance.RequestCounts, rows int) {
+func (f *Fleet) counted(name string) (t serving.RequestCounts, rows int) {
 	s, err := peers.FetchCounters(f.control[name])
 	if err != nil || s.Totals == nil {
 		return t, -1
@@ -59,7 +59,7 @@
 			truth := d.tally()
 			for _, name := range []string{"n1", "n2", "n3"} {
 				got, rows := f.counted(name)
-				if rows != len(f.Names) || !truth.Covers(got) || !got.Add(stance.RequestCounts{Received: untold, Finished: untold, Rejected: untold, Abandoned: untold}).Covers(truth) {
+				if rows != len(f.Names) || !truth.Covers(got) || !got.Add(serving.RequestCounts{Received: untold, Finished: untold, Rejected: untold, Abandoned: untold}).Covers(truth) {
 					last = fmt.Sprintf("%s knows %+v of %d lives, callers %+v", name, got, rows, truth)
 					return false
 				}
--- a/internal/peers/copies.go
+++ b/internal/peers/copies.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 
 	"swiftcourse/internal/judge/replica"
-	"swiftcourse/internal/judge/stance"
+	"swiftcourse/internal/policy/serving"
 	state "swiftcourse/internal/replica"
 	wire "swiftcourse/internal/wire/fleet"
 )
@@ -19,7 +19,7 @@
 	MaxBytes    int     // and bytes of them
 	CatchUpRate float64 // bytes a second that it takes in to catch up
 	// Rule hands the serving loop the fleet's word on a task that it claimed a key for.
-	OnVerdict func(id string, r stance.ClaimVerdict, result []byte)
+	OnVerdict func(id string, r serving.ClaimVerdict, result []byte)
 
 	pendingReports atomic.Int64 // words of the loop, and ends that holders have not noted, for whoever leaves
 }
@@ -223,7 +223,7 @@
 	c.unacknowledged = c.coordinator.PendingReports()
 	for _, t := range c.coordinator.TakeOutcomes() {
 		c.OnVerdict(t.RequestID, t.Verdict, t.Result)
-		if t.Verdict == stance.ClaimGranted {
+		if t.Verdict == serving.ClaimGranted {
 			f.passes("begun")
 		}
 	}
--- a/internal/peers/counts.go
+++ b/internal/peers/counts.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"swiftcourse/internal/judge/shared/counts"
-	"swiftcourse/internal/judge/stance"
 	"swiftcourse/internal/judge/version"
+	"swiftcourse/internal/policy/serving"
 	wire "swiftcourse/internal/wire/fleet"
 )
 
@@ -28,7 +28,7 @@
 const maxCountLists = 4
 
 // ReportCounts takes what the serving loop counted, from any goroutine; false where it has to be told again.
-func (f *Node) ReportCounts(list []stance.CounterCell) bool {
+func (f *Node) ReportCounts(list []serving.CounterCell) bool {
 	select {
 	case f.requestCounts <- list:
 		return true
@@ -66,7 +66,7 @@
 }
 
 // ObserveCounts takes what the loop counted.
-func (f *Agent) ObserveCounts(list []stance.CounterCell) {
+func (f *Agent) ObserveCounts(list []serving.CounterCell) {
 	if c := f.counters; c != nil {
 		c.reporter.Add(list)
 	}
@@ -157,10 +157,10 @@
 // CounterStatus is what a server knows of the fleet's counts.
 type CounterStatus struct {
 	Name         string
-	Aggregators  []string             `json:"Keepers"` // who know what all counted
-	Incarnation  string               `json:"Life"`    // of this process
-	Unreported   []stance.CounterCell `json:"Here"`    // what it counted that is not closed
-	Acknowledged bool                 `json:"Agreed"`  // most keepers have all of that
+	Aggregators  []string              `json:"Keepers"` // who know what all counted
+	Incarnation  string                `json:"Life"`    // of this process
+	Unreported   []serving.CounterCell `json:"Here"`    // what it counted that is not closed
+	Acknowledged bool                  `json:"Agreed"`  // most keepers have all of that
 	Unplaced     uint64
 	Totals       *counts.Summary `json:"Known"` // nil where it is no keeper
 }
--- a/internal/peers/health.go
+++ b/internal/peers/health.go
@@ -4,7 +4,7 @@
 	"math"
 
 	"swiftcourse/internal/judge/shared/health"
-	"swiftcourse/internal/judge/stance"
+	"swiftcourse/internal/policy/serving"
 	wire "swiftcourse/internal/wire/fleet"
 )
 
@@ -44,7 +44,7 @@
 )
 
 // ReportCalls takes what became of the loop's calls, from any goroutine.
-func (f *Node) ReportCalls(c stance.CallStats) {
+func (f *Node) ReportCalls(c serving.CallStats) {
 	select {
 	case f.callStats <- c:
 	default:
@@ -58,7 +58,7 @@
 }
 
 // ObserveCalls takes what became of the loop's calls.
-func (f *Agent) ObserveCalls(now float64, c stance.CallStats) {
+func (f *Agent) ObserveCalls(now float64, c serving.CallStats) {
 	if b := f.health; b != nil {
 		b.judge.RecordCalls(now, health.Tally{Succeeded: c.Succeeded, Failed: c.Failed, SuccessSeconds: c.TotalSeconds}, float64(c.InFlight))
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -22,8 +22,8 @@
 	"swiftcourse/internal/judge/door"
 	"swiftcourse/internal/judge/member"
 	"swiftcourse/internal/judge/replica"
-	"swiftcourse/internal/judge/stance"
 	"swiftcourse/internal/judge/version"
+	"swiftcourse/internal/policy/serving"
 	wire "swiftcourse/internal/wire/fleet"
 )
 
@@ -54,7 +54,7 @@
 	// Say writes a log line; nil writes it where all go.
 	Log func(event string, args ...any)
 	// Publish hands the serving loop how the server stands from now on.
-	Publish func(*stance.Directive)
+	Publish func(*serving.Directive)
 }
 
 const (
@@ -92,7 +92,7 @@
 
 	releaseLog       *version.Log // a copy, also at those who don't vote
 	lastLogFetch     float64
-	loopStats        *stance.VersionStats
+	loopStats        *serving.VersionStats
 	audited          [2]uint64 // of the stamp, that the book has
 	active           version.Version
 	applyError       string
@@ -122,11 +122,11 @@
 	gossip         *gossipNetwork
 	inbox          chan *wire.Envelope
 	requests       chan func(now float64)
-	claimEvents    chan ClaimEvent       // of the serving loop about its claims
-	trustedClients chan []door.Earned    // of its door
-	usage          chan []Usage          // of the loop, of budgets
-	callStats      chan stance.CallStats // of the loop, of the service below
-	requestCounts  chan []stance.CounterCell
+	claimEvents    chan ClaimEvent        // of the serving loop about its claims
+	trustedClients chan []door.Earned     // of its door
+	usage          chan []Usage           // of the loop, of budgets
+	callStats      chan serving.CallStats // of the loop, of the service below
+	requestCounts  chan []serving.CounterCell
 	quit           chan struct{}
 	done           chan struct{}
 	dropped        atomic.Uint64 // messages that had no room, or could not be read
@@ -157,7 +157,7 @@
 	chance := rand.New(rand.NewPCG(uint64(p.Seed), uint64(time.Now().UnixNano()))) // a restart in the same instant is another life all the same
 	f := &Node{inbox: make(chan *wire.Envelope, maxInbox), requests: make(chan func(float64), 16),
 		claimEvents: make(chan ClaimEvent, maxClaimEvents), trustedClients: make(chan []door.Earned, maxTrustedLists), usage: make(chan []Usage, maxUsageLists),
-		callStats: make(chan stance.CallStats, maxCallStats), requestCounts: make(chan []stance.CounterCell, maxCountLists), quit: make(chan struct{}), done: make(chan struct{})}
+		callStats: make(chan serving.CallStats, maxCallStats), requestCounts: make(chan []serving.CounterCell, maxCountLists), quit: make(chan struct{}), done: make(chan struct{})}
 	life := chance.Uint64() | 1
 	var err error
 	if f.gossip, err = joinGossip(&p, life, f.receive); err != nil {
@@ -173,7 +173,7 @@
 	if p.Log == nil {
 		p.Log = slog.Info
 	}
-	f := &Agent{Config: p, incarnation: life, network: net, random: chance, releaseLog: (&version.Log{}).Clone(), loopStats: &stance.VersionStats{},
+	f := &Agent{Config: p, incarnation: life, network: net, random: chance, releaseLog: (&version.Log{}).Clone(), loopStats: &serving.VersionStats{},
 		pending: map[uint64]*pendingCommand{}, audits: map[uint64]*auditRun{}}
 	for name := range p.Voters {
 		f.voterNames = append(f.voterNames, name)
@@ -570,7 +570,7 @@
 	}
 	f.auditLoopStats()
 	f.active, f.applyError = *v, ""
-	f.loopStats, f.audited = &stance.VersionStats{}, [2]uint64{}
+	f.loopStats, f.audited = &serving.VersionStats{}, [2]uint64{}
 	f.auditLog.Begin(f.UnixNow(), v.Epoch, v.Digest, why)
 	f.leaseHolder.SetActiveEpoch(v.Epoch, "")
 	f.heedBudgets(now)
--- a/internal/judge/stance/stance.go
+++ b/internal/policy/serving/stance.go
@@ -1,6 +1,6 @@
-// Package stance is how a server stands in its fleet, as values that the serving loop goes by. It uses nothing else, so that a server
+// Package serving is how a server stands in its fleet, as values that the serving loop goes by. It uses nothing else, so that a server
 // without a fleet carries none of what makes them.
-package stance
+package serving
 
 import (
 	"cmp"
--- a/internal/serve/budgets.go
+++ b/internal/serve/budgets.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/judge/stance"
+	"swiftcourse/internal/policy/serving"
 )
 
 // This file is what the server does with its parts of budgets that all servers share: the module hears of a change at the head of the next batch,
@@ -21,16 +21,16 @@
 
 // quotas is what the loop knows of them.
 type quotas struct {
-	allowances  []stance.Allowance
+	allowances  []serving.Allowance
 	applied     []float64 // that the module was told of each, under 0 where it was told nothing
 	received    []int     // by tenant, since the last count
 	rates       []float64 // by tenant, of the last half second or so
 	nextExpiry  float64   // when the next part is over
 	report      func([]QuotaUsage)
-	reportCalls func(stance.CallStats) // nil where nobody judges the service below
-	calls       stance.CallStats       // since the last count
-	usedProbe   int64                  // number of the latest try that was made
-	probe       int64                  // that may be made, 0 for none
+	reportCalls func(serving.CallStats) // nil where nobody judges the service below
+	calls       serving.CallStats       // since the last count
+	usedProbe   int64                   // number of the latest try that was made
+	probe       int64                   // that may be made, 0 for none
 }
 
 const (
@@ -53,7 +53,7 @@
 }
 
 // ReportUpstreamCalls has what became of calls below told, after Budget.
-func (s *Server) ReportUpstreamCalls(tell func(stance.CallStats)) { s.quotas.reportCalls = tell }
+func (s *Server) ReportUpstreamCalls(tell func(serving.CallStats)) { s.quotas.reportCalls = tell }
 
 // countUpstreamCall counts a call.
 func (s *Server) countUpstreamCall(outcome admission.Outcome, took float64) {
@@ -72,7 +72,7 @@
 }
 
 // SetAllowances hands over what may be used of all budgets, from any goroutine. The loop goes by it from its next batch on.
-func (s *Server) SetAllowances(list []stance.Allowance) {
+func (s *Server) SetAllowances(list []serving.Allowance) {
 	s.allowances.Store(&list)
 	select {
 	case <-s.loopReady:
@@ -93,7 +93,7 @@
 		return
 	}
 	if fresh {
-		if !slices.EqualFunc(list, b.allowances, func(x, y stance.Allowance) bool { return x.Name == y.Name }) {
+		if !slices.EqualFunc(list, b.allowances, func(x, y serving.Allowance) bool { return x.Name == y.Name }) {
 			b.applied = make([]float64, len(list))
 			for i := range b.applied {
 				b.applied[i] = -1
@@ -129,9 +129,9 @@
 }
 
 // removeAllowances has the module hear of budgets that are no more: what they bound is as good as unbound.
-func (s *Server) removeAllowances(was, is []stance.Allowance) {
+func (s *Server) removeAllowances(was, is []serving.Allowance) {
 	for _, a := range was {
-		if !slices.ContainsFunc(is, func(x stance.Allowance) bool { return x.Tenant == a.Tenant }) {
+		if !slices.ContainsFunc(is, func(x serving.Allowance) bool { return x.Tenant == a.Tenant }) {
 			s.pendingEvents = append([]admission.Event{{Kind: admission.AllowanceChanged, Allowance: &admission.Allowance{Tenant: a.Tenant, Limit: math.MaxInt32, BurstDuration: 1}}}, s.pendingEvents...)
 		}
 	}
@@ -163,7 +163,7 @@
 	if b.reportCalls != nil {
 		b.calls.InFlight, _ = s.controller.DownstreamCalls()
 		b.reportCalls(b.calls)
-		b.calls = stance.CallStats{}
+		b.calls = serving.CallStats{}
 	}
 	var used []QuotaUsage
 	for i := range b.allowances {
--- a/internal/serve/budgets_test.go
+++ b/internal/serve/budgets_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"swiftcourse/internal/judge/stance"
+	"swiftcourse/internal/policy/serving"
 	"swiftcourse/internal/wire/rpc"
 )
 
@@ -20,7 +20,7 @@
 				}
 			}
 		})
-		s.SetAllowances([]stance.Allowance{{Name: "calls", Tenant: -1, Guaranteed: 1, GrantNumber: 3},
+		s.SetAllowances([]serving.Allowance{{Name: "calls", Tenant: -1, Guaranteed: 1, GrantNumber: 3},
 			{Name: "acme", FleetMax: 1000, Tenant: 0, LeasedShare: 1000, LeaseExpiry: s.Now() + 1, BurstSeconds: 0.5, GrantNumber: 7}})
 	})
 	says := func(what string, ok func(QuotaUsage) bool) {
@@ -46,7 +46,7 @@
 	below.expect("FETCH a1 ")
 	w.executor.sendCall(2, "a2", "c")
 	says("that one call is out and another waits", func(u QuotaUsage) bool { return u.Name == "calls" && u.Open == 1 && u.Demand == 2 && u.Answer == 3 })
-	w.server.SetAllowances([]stance.Allowance{{Name: "calls", Tenant: -1, Guaranteed: 1, LeasedShare: 1, LeaseExpiry: w.server.Now() + 60, GrantNumber: 4},
+	w.server.SetAllowances([]serving.Allowance{{Name: "calls", Tenant: -1, Guaranteed: 1, LeasedShare: 1, LeaseExpiry: w.server.Now() + 60, GrantNumber: 4},
 		{Name: "acme", FleetMax: 1000, Tenant: 0, GrantNumber: 8}}) // its part is over, and it has no floor
 	acceptConn(t, w.upstreamListener).expect("FETCH a2 ")
 	b.send("%s", requestFrame(3, "a3", "x"))
@@ -68,7 +68,7 @@
 func TestAPartThatIsOverIsOverWithoutAWord(t *testing.T) {
 	w := startServerWith(t, nil, nil, func(s *Server) {
 		s.EnableQuota(func([]QuotaUsage) {})
-		s.SetAllowances([]stance.Allowance{{Name: "acme", Tenant: 0, LeasedShare: 1e6, LeaseExpiry: s.Now() + 0.5, BurstSeconds: 0.5}})
+		s.SetAllowances([]serving.Allowance{{Name: "acme", Tenant: 0, LeasedShare: 1e6, LeaseExpiry: s.Now() + 0.5, BurstSeconds: 0.5}})
 	})
 	time.Sleep(600 * time.Millisecond) // past its end
 	b := w.dialClient()
--- a/internal/serve/claims.go
+++ b/internal/serve/claims.go
@@ -7,8 +7,8 @@
 	"github.com/panjf2000/gnet/v2"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/judge/stance"
 	"swiftcourse/internal/memory"
+	"swiftcourse/internal/policy/serving"
 )
 
 // This file is what the server does with tasks that bear a key: before the module hears of one the fleet grants it, so that no effect comes twice
@@ -69,12 +69,12 @@
 	}
 	k.waiting[t.ID] = *read
 	id := t.ID
-	s.timers.Schedule(now+max(0, left)+claimTimeoutGrace, func() { s.resolveClaim(id, stance.ClaimOutcomeUnknown, nil) }) // what is ruled by then changes nothing
+	s.timers.Schedule(now+max(0, left)+claimTimeoutGrace, func() { s.resolveClaim(id, serving.ClaimOutcomeUnknown, nil) }) // what is ruled by then changes nothing
 	return true
 }
 
 // HandleClaimVerdict takes the fleet's word on a task, from any goroutine.
-func (s *Server) HandleClaimVerdict(id string, r stance.ClaimVerdict, result []byte) {
+func (s *Server) HandleClaimVerdict(id string, r serving.ClaimVerdict, result []byte) {
 	<-s.loopReady
 	_ = s.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		s.resolveClaim(id, r, result)
@@ -82,7 +82,7 @@
 	}))
 }
 
-func (s *Server) resolveClaim(id string, r stance.ClaimVerdict, result []byte) {
+func (s *Server) resolveClaim(id string, r serving.ClaimVerdict, result []byte) {
 	k := s.keyClaims
 	read, waits := k.waiting[id]
 	if !waits { // it is over, and the fleet was told so
@@ -94,16 +94,16 @@
 	switch {
 	case t == nil || t.Answered:
 		k.claimer.ReleaseClaim(id)
-	case r == stance.ClaimGranted:
+	case r == serving.ClaimGranted:
 		k.granted[id] = true
 		if read.Request.DuplicateOf = s.results.Original(t.Class, t.Subject, t.ArrivedAt, now); read.Request.DuplicateOf != "" {
 			s.releaseClaim(t)
 		}
 		s.queueEvent(read)
-	case r == stance.ClaimCached:
+	case r == serving.ClaimCached:
 		read.Request.DuplicateOf = s.results.Import(t, result, now+s.startup.Settings.Classes[t.Class].DeduplicationWindow)
 		s.queueEvent(read)
-	case r == stance.ClaimNoQuorum:
+	case r == serving.ClaimNoQuorum:
 		s.statistics.claimsFailed++
 		s.reject(t, s.retryAfterOutOfService(), false)
 	default:
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -20,9 +20,9 @@
 
 	"swiftcourse/admission"
 	"swiftcourse/internal/judge/door"
-	"swiftcourse/internal/judge/stance"
 	"swiftcourse/internal/life"
 	"swiftcourse/internal/memory"
+	"swiftcourse/internal/policy/serving"
 	"swiftcourse/internal/watch"
 	"swiftcourse/internal/wire/rpc"
 )
@@ -78,10 +78,10 @@
 
 	loadReport        rpc.Say // goes with every answer
 	healthy           bool
-	directive         atomic.Pointer[stance.Directive] // in the fleet, nil where there is none
-	servingMode       stance.Mode
+	directive         atomic.Pointer[serving.Directive] // in the fleet, nil where there is none
+	servingMode       serving.Mode
 	keyClaims         *keyClaims // nil where no stage's tasks are claimed
-	allowances        atomic.Pointer[[]stance.Allowance]
+	allowances        atomic.Pointer[[]serving.Allowance]
 	quotas            *quotas          // nil where none are shared
 	forwarding        *forwarding      // nil where tasks run at a processor
 	counters          *requestCounters // nil where nothing is counted for a fleet
--- a/internal/serve/standing.go
+++ b/internal/serve/standing.go
@@ -10,8 +10,8 @@
 
 	"swiftcourse/admission"
 	"swiftcourse/internal/judge/door"
-	"swiftcourse/internal/judge/stance"
 	"swiftcourse/internal/life"
+	"swiftcourse/internal/policy/serving"
 	"swiftcourse/internal/wire/rpc"
 )
 
@@ -21,7 +21,7 @@
 func (s *Server) Now() float64 { return s.now() }
 
 // SetDirective tells the server, from any goroutine, how it stands from now on. The loop goes by it from its next batch on.
-func (s *Server) SetDirective(to *stance.Directive) {
+func (s *Server) SetDirective(to *serving.Directive) {
 	was := s.directive.Swap(to)
 	if was != nil && was.Mode == to.Mode && was.NextMode == to.NextMode {
 		return // a lease that goes on, or another version: the next batch is early enough
@@ -37,7 +37,7 @@
 // for longer than its lease reads tasks before its first turn.
 func (s *Server) outOfServiceAt(now float64) bool {
 	to := s.directive.Load()
-	return to != nil && to.ModeAt(now) == stance.ModeOutOfService
+	return to != nil && to.ModeAt(now) == serving.ModeOutOfService
 }
 
 // countOutcome counts the end of a task under the present version: harmed where it was rejected or abandoned.
@@ -51,10 +51,10 @@
 }
 
 // isHealthy is the health that is told: the module's, and that the fleet lets this server act.
-func (s *Server) isHealthy() bool { return s.healthy && s.servingMode != stance.ModeOutOfService }
+func (s *Server) isHealthy() bool { return s.healthy && s.servingMode != serving.ModeOutOfService }
 
 // applyDirective carries out a change of stance, before the batch is decided.
-func (s *Server) applyDirective(to *stance.Directive, now float64) {
+func (s *Server) applyDirective(to *serving.Directive, now float64) {
 	is := to.ModeAt(now)
 	if is == s.servingMode {
 		return
@@ -62,11 +62,11 @@
 	was := s.servingMode
 	s.servingMode = is
 	slog.Info("stance", "is", is, "was", was, "why", to.Reason, "open", s.requests.Unanswered())
-	if is == stance.ModeOutOfService {
+	if is == serving.ModeOutOfService {
 		s.rejectAllQueued(now)
 	}
-	if conf := s.operatorSettings; conf != nil && (is == stance.ModeSafeDefaults || was == stance.ModeSafeDefaults) {
-		if is == stance.ModeSafeDefaults {
+	if conf := s.operatorSettings; conf != nil && (is == serving.ModeSafeDefaults || was == serving.ModeSafeDefaults) {
+		if is == serving.ModeSafeDefaults {
 			conf = withSafeDefaults(conf)
 		}
 		s.applyConnRules(conf)
@@ -144,7 +144,7 @@
 		return errors.New("door-prefix-ipv4, door-prefix-ipv6, door-lobby or door-remember: can't be changed while serving")
 	}
 	s.operatorSettings = conf
-	if s.servingMode != stance.ModeSafeDefaults {
+	if s.servingMode != serving.ModeSafeDefaults {
 		s.applyConnRules(conf)
 	}
 	return nil
--- a/internal/serve/standing_test.go
+++ b/internal/serve/standing_test.go
@@ -9,8 +9,8 @@
 	"strings"
 	"testing"
 
-	"swiftcourse/internal/judge/stance"
 	"swiftcourse/internal/life"
+	"swiftcourse/internal/policy/serving"
 	"swiftcourse/internal/wire/rpc"
 )
 
@@ -34,9 +34,9 @@
 	}
 }
 
-func (w *fixture) setDirective(now stance.Mode, until float64, then stance.Mode) *stance.VersionStats {
-	stamp := &stance.VersionStats{}
-	w.server.SetDirective(&stance.Directive{Epoch: 3, Mode: now, ChangesAt: until, NextMode: then, Reason: "a test", Stats: stamp})
+func (w *fixture) setDirective(now serving.Mode, until float64, then serving.Mode) *serving.VersionStats {
+	stamp := &serving.VersionStats{}
+	w.server.SetDirective(&serving.Directive{Epoch: 3, Mode: now, ChangesAt: until, NextMode: then, Reason: "a test", Stats: stamp})
 	return stamp
 }
 
@@ -89,13 +89,13 @@
 	const tasks = 20 // more than two cores take at once
 	begun, finish := make(chan string, tasks+1), make(chan struct{})
 	w.runRequests(begun, finish)
-	before := w.setDirective(stance.ModeNormal, math.Inf(1), stance.ModeNormal)
+	before := w.setDirective(serving.ModeNormal, math.Inf(1), serving.ModeNormal)
 	b := w.dialClient()
 	for i := range tasks {
 		b.send("%s", requestFrame(byte(i+1), fmt.Sprintf("%016x", i+1), "x"))
 	}
 	<-begun
-	stamp := w.setDirective(stance.ModeOutOfService, math.Inf(1), stance.ModeOutOfService)
+	stamp := w.setDirective(serving.ModeOutOfService, math.Inf(1), serving.ModeOutOfService)
 	w.waitForReport(false)
 	close(finish)
 	finished, rejected, told := 0, 0, 0 // the module may have rejected some before, with its own advice
@@ -118,7 +118,7 @@
 	if n, m := before.Completed.Load(), stamp.Completed.Load(); n+m > tasks || m == 0 || int(n+m) < tasks-told { // those that came after it are none of any version's
 		t.Errorf("%d ends are counted before, %d after, of %d", n, m, tasks)
 	}
-	w.setDirective(stance.ModeNormal, math.Inf(1), stance.ModeNormal)
+	w.setDirective(serving.ModeNormal, math.Inf(1), serving.ModeNormal)
 	w.waitForReport(true)
 	b.send("%s", requestFrame(99, "0000000000000099", "x"))
 	if a := b.readAnswer(); a.End != rpc.Finished {
@@ -131,7 +131,7 @@
 	w := startServer(t, nil)
 	begun, finish := make(chan string, 1), make(chan struct{})
 	w.runRequests(begun, finish)
-	stamp := w.setDirective(stance.ModeNormal, w.server.Now()-1, stance.ModeOutOfService) // published before it was stopped, read after
+	stamp := w.setDirective(serving.ModeNormal, w.server.Now()-1, serving.ModeOutOfService) // published before it was stopped, read after
 	b := w.dialClient()
 	b.send("%s", requestFrame(1, "0000000000000001", "x"))
 	if a := b.readAnswer(); a.End != rpc.Rejected {
--- a/internal/serve/tally.go
+++ b/internal/serve/tally.go
@@ -1,8 +1,8 @@
 package serve
 
 import (
-	"swiftcourse/internal/judge/stance"
 	"swiftcourse/internal/memory"
+	"swiftcourse/internal/policy/serving"
 )
 
 // This file is what the server counts for the fleet: its tasks by tenant and stage, and how they ended. Without a fleet none of it is reached.
@@ -10,17 +10,17 @@
 // requestCounters is what was counted since it was last told.
 type requestCounters struct {
 	classCount int
-	counts     []stance.RequestCounts // by tenant, and in it by stage
-	cells      []stance.CounterKey    // the same
+	counts     []serving.RequestCounts // by tenant, and in it by stage
+	cells      []serving.CounterKey    // the same
 	dirty      bool
-	report     func([]stance.CounterCell) bool
+	report     func([]serving.CounterCell) bool
 }
 
 // counterReportInterval is how often, in seconds, it is told: more often than others hear of it.
 const counterReportInterval = 0.5
 
 // ReportCounters has tasks counted and what was counted told, from the loop; what could not be told is told with the next. It is called before Run.
-func (s *Server) ReportCounters(tell func([]stance.CounterCell) bool) {
+func (s *Server) ReportCounters(tell func([]serving.CounterCell) bool) {
 	tenants := make([]string, max(1, len(s.startup.Settings.Tenants)))
 	for name, i := range s.startup.TenantIndex {
 		tenants[i] = name
@@ -28,10 +28,10 @@
 	t := &requestCounters{classCount: len(s.startup.ClassNames), report: tell}
 	for _, tenant := range tenants {
 		for _, stage := range s.startup.ClassNames {
-			t.cells = append(t.cells, stance.CounterKey{Tenant: tenant, Class: stage})
+			t.cells = append(t.cells, serving.CounterKey{Tenant: tenant, Class: stage})
 		}
 	}
-	t.counts = make([]stance.RequestCounts, len(t.cells))
+	t.counts = make([]serving.RequestCounts, len(t.cells))
 	s.counters = t
 	var again func()
 	again = func() {
@@ -45,10 +45,10 @@
 	if !t.dirty {
 		return
 	}
-	var list []stance.CounterCell
+	var list []serving.CounterCell
 	for i, n := range t.counts {
-		if n != (stance.RequestCounts{}) {
-			list = append(list, stance.CounterCell{CounterKey: t.cells[i], RequestCounts: n})
+		if n != (serving.RequestCounts{}) {
+			list = append(list, serving.CounterCell{CounterKey: t.cells[i], RequestCounts: n})
 		}
 	}
 	if t.report(list) {
@@ -58,7 +58,7 @@
 }
 
 // at is the tally of a tenant's tasks in a stage.
-func (t *requestCounters) at(tenant, stage int) *stance.RequestCounts {
+func (t *requestCounters) at(tenant, stage int) *serving.RequestCounts {
 	t.dirty = true
 	return &t.counts[tenant*t.classCount+stage]
 }
--- a/internal/wire/fleet/counts.go
+++ b/internal/wire/fleet/counts.go
@@ -4,13 +4,13 @@
 	"errors"
 
 	"swiftcourse/internal/judge/shared/counts"
-	"swiftcourse/internal/judge/stance"
 	"swiftcourse/internal/judge/version"
+	"swiftcourse/internal/policy/serving"
 )
 
 // This file is what servers and keepers say of what they counted.
 
-func encodeCounts(list []stance.CounterCell) (to []*Count) {
+func encodeCounts(list []serving.CounterCell) (to []*Count) {
 	for _, n := range list {
 		to = append(to, &Count{Tenant: n.Tenant, Stage: n.Class, Asked: n.Received, Finished: n.Finished, Rejected: n.Rejected, Abandoned: n.Abandoned})
 	}
@@ -18,13 +18,13 @@
 }
 
 // decodeCounts reads cells, which stand in their order and each once.
-func decodeCounts(p []*Count) (list []stance.CounterCell, err error) {
+func decodeCounts(p []*Count) (list []serving.CounterCell, err error) {
 	if len(p) > maxMapEntries+1 {
 		return nil, errTooLarge
 	}
 	for i, n := range p {
-		c := stance.CounterCell{CounterKey: stance.CounterKey{Tenant: n.GetTenant(), Class: n.GetStage()},
-			RequestCounts: stance.RequestCounts{Received: n.GetAsked(), Finished: n.GetFinished(), Rejected: n.GetRejected(), Abandoned: n.GetAbandoned()}}
+		c := serving.CounterCell{CounterKey: serving.CounterKey{Tenant: n.GetTenant(), Class: n.GetStage()},
+			RequestCounts: serving.RequestCounts{Received: n.GetAsked(), Finished: n.GetFinished(), Rejected: n.GetRejected(), Abandoned: n.GetAbandoned()}}
 		if err := checkNames(c.Tenant, c.Class); err != nil {
 			return nil, err
 		}
--- a/internal/wire/fleet/fleet_test.go
+++ b/internal/wire/fleet/fleet_test.go
@@ -18,8 +18,8 @@
 	"swiftcourse/internal/judge/shared/budget"
 	"swiftcourse/internal/judge/shared/counts"
 	"swiftcourse/internal/judge/shared/health"
-	"swiftcourse/internal/judge/stance"
 	"swiftcourse/internal/judge/version"
+	"swiftcourse/internal/policy/serving"
 	state "swiftcourse/internal/replica"
 )
 
@@ -38,8 +38,8 @@
 	return o
 }
 
-func countsOf(n uint64) []stance.CounterCell {
-	return []stance.CounterCell{{}, {CounterKey: stance.CounterKey{Tenant: "acme", Class: "ping"}, RequestCounts: stance.RequestCounts{Received: n, Finished: 1, Rejected: 2, Abandoned: 3}}}
+func countsOf(n uint64) []serving.CounterCell {
+	return []serving.CounterCell{{}, {CounterKey: serving.CounterKey{Tenant: "acme", Class: "ping"}, RequestCounts: serving.RequestCounts{Received: n, Finished: 1, Rejected: 2, Abandoned: 3}}}
 }
 
 // sampleEnvelopes has one message of each kind.
