--- a/cmd/swiftcourse-fleet/main.go
+++ b/cmd/swiftcourse-fleet/main.go
@@ -17,12 +17,12 @@
 	"time"
 
 	"swiftcourse/internal/forward"
-	"swiftcourse/internal/judge/member"
 	"swiftcourse/internal/judge/replica"
 	"swiftcourse/internal/judge/shared/budget"
 	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/life"
 	"swiftcourse/internal/peers"
+	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/serving"
 	"swiftcourse/internal/program"
 	"swiftcourse/internal/serve"
@@ -74,7 +74,7 @@
 	if err != nil {
 		return err
 	}
-	silent := map[string]serving.Mode{"keep": member.FallbackNormal, "shield": member.FallbackSafeDefaults, "leave": member.FallbackOutOfService}[own.FleetSilent]
+	silent := map[string]serving.Mode{"keep": lease.FallbackNormal, "shield": lease.FallbackSafeDefaults, "leave": lease.FallbackOutOfService}[own.FleetSilent]
 	kept, err := copies(start, own, server)
 	if err != nil {
 		return err
@@ -158,8 +158,8 @@
 	return voters, nil
 }
 
-func memberTerms(own *life.OperatorSettings) member.Config {
-	return member.Config{Duration: own.FleetLease.Seconds(), CatchUpTimeout: own.FleetBehind.Seconds(), MaxUnavailable: float64(own.FleetMostOut), ForgetAfter: own.FleetForget.Seconds()}
+func memberTerms(own *life.OperatorSettings) lease.Config {
+	return lease.Config{Duration: own.FleetLease.Seconds(), CatchUpTimeout: own.FleetBehind.Seconds(), MaxUnavailable: float64(own.FleetMostOut), ForgetAfter: own.FleetForget.Seconds()}
 }
 
 func rollout(own *life.OperatorSettings) version.RolloutPolicy {
--- a/internal/judge/audit/audit.go
+++ b/internal/judge/audit/audit.go
@@ -8,8 +8,8 @@
 	"maps"
 	"slices"
 
-	"swiftcourse/internal/judge/member"
 	"swiftcourse/internal/judge/version"
+	"swiftcourse/internal/policy/lease"
 )
 
 // Interval is a time in which a server acted on one version. Its times are Unix seconds by that server's own clock: between servers only
@@ -200,7 +200,7 @@
 
 // Make holds accounts against the order and what the leader knows. alive tells which lives told of themselves just now; since leaves out
 // what ended before that epoch.
-func Make(o *version.Log, standings []member.ServerStatus, accounts []Account, alive map[uint64]bool, since version.Epoch) Report {
+func Make(o *version.Log, standings []lease.ServerStatus, accounts []Account, alive map[uint64]bool, since version.Epoch) Report {
 	r := Report{Newest: o.NewestEpoch()}
 	all := NewBook("", 0, 0)
 	for _, a := range accounts {
--- a/internal/judge/audit/audit_test.go
+++ b/internal/judge/audit/audit_test.go
@@ -7,8 +7,8 @@
 
 	"pgregory.net/rapid"
 
-	"swiftcourse/internal/judge/member"
 	"swiftcourse/internal/judge/version"
+	"swiftcourse/internal/policy/lease"
 )
 
 func TestAnAuditTellsHolesAndAlarms(t *testing.T) {
@@ -21,7 +21,7 @@
 		return Account{Name: name, Life: life, Started: started, Seen: started + 10, Intervals: list}
 	}
 	good := Interval{Epoch: first.Epoch, Digest: first.Digest, From: 1, To: 2}
-	standings := []member.ServerStatus{{Name: "n1", Incarnation: 1, ActiveEpoch: first.Epoch, AssignedEpoch: first.Epoch, Reported: true},
+	standings := []lease.ServerStatus{{Name: "n1", Incarnation: 1, ActiveEpoch: first.Epoch, AssignedEpoch: first.Epoch, Reported: true},
 		{Name: "n2", Incarnation: 2, ActiveEpoch: 0, AssignedEpoch: first.Epoch, Reported: true, BlockedBy: "its limits"}, {Name: "n3", Incarnation: 3, AssignedEpoch: first.Epoch}}
 	r := Make(o, standings, []Account{on("n1", 1, 100, good), on("n1", 9, 50, good), on("n2", 2, 0)}, map[uint64]bool{1: true, 2: true}, 0)
 	if len(r.Alarms) != 0 || len(r.Accounts) != 3 || r.Accounts[0].Life != 9 {
--- a/internal/lab/emulate/versions.go
+++ b/internal/lab/emulate/versions.go
@@ -8,10 +8,10 @@
 	"slices"
 	"strings"
 
-	"swiftcourse/internal/judge/member"
 	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/memory"
 	"swiftcourse/internal/peers"
+	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/serving"
 	wire "swiftcourse/internal/wire/fleet"
 )
@@ -66,7 +66,7 @@
 }
 
 // Terms of the emulated fleets: those of the operator's file where it says nothing.
-var versionTerms = member.Config{Duration: 6, CatchUpTimeout: 10, MaxUnavailable: 0.25, ForgetAfter: 600}
+var versionTerms = lease.Config{Duration: 6, CatchUpTimeout: 10, MaxUnavailable: 0.25, ForgetAfter: 600}
 
 const (
 	// healWithin is how long a healed fleet has to agree: some leases, and a founding.
@@ -88,7 +88,7 @@
 	timer   memory.Timer
 	armed   bool
 	view    serving.Directive
-	state   member.State
+	state   lease.State
 	refuses bool // can't apply what is released
 	acts    version.Epoch
 	sent    int
@@ -196,7 +196,7 @@
 	if s.plans != nil {
 		plans = s.plans(clock)
 	}
-	s.part = peers.NewPart(peers.Config{LoadPlan: plans, Quotas: shared, CountersEnabled: s.counts, Name: s.name, ListenAddr: s.name, Voters: s.voters, LeaseTerms: versionTerms, OnLeaseExpiry: member.FallbackOutOfService,
+	s.part = peers.NewPart(peers.Config{LoadPlan: plans, Quotas: shared, CountersEnabled: s.counts, Name: s.name, ListenAddr: s.name, Voters: s.voters, LeaseTerms: versionTerms, OnLeaseExpiry: lease.FallbackOutOfService,
 		Replication: s.copies(), Rollout: version.RolloutPolicy{WaveSeconds: 1, HaltConfidence: 1}, Build: "b", Log: func(string, ...any) {}, Now: clock.Now, UnixNow: clock.UnixNow,
 		Apply: func(string) error {
 			if s.refuses {
@@ -413,12 +413,12 @@
 			if !s.alive {
 				continue
 			}
-			leased := s.state == member.StateLeased && t.now < s.view.ChangesAt
+			leased := s.state == lease.StateLeased && t.now < s.view.ChangesAt
 			out, is := o.Ejected[s.name]
 			if leased && is && out.Incarnation == s.part.Incarnation() && living.Ejected[s.name].Incarnation == out.Incarnation {
 				t.row.ActedOut++
 			}
-			quiet := s.state == member.StateExpired || s.state == member.StateLeased && t.now >= s.view.ChangesAt
+			quiet := s.state == lease.StateExpired || s.state == lease.StateLeased && t.now >= s.view.ChangesAt
 			if quiet && s.view.ModeAt(t.now) == serving.ModeOutOfService && o.Members[s.name] == s.part.Incarnation() {
 				away++
 			}
@@ -446,7 +446,7 @@
 		o := t.living()
 		t.row.Unhealed = 0
 		for _, s := range t.servers {
-			if o == nil || o.Next != nil || s.state != member.StateLeased || s.acts != o.Current.Epoch {
+			if o == nil || o.Next != nil || s.state != lease.StateLeased || s.acts != o.Current.Epoch {
 				t.row.Unhealed++
 			}
 		}
--- a/internal/peers/control.go
+++ b/internal/peers/control.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"swiftcourse/internal/judge/audit"
-	"swiftcourse/internal/judge/member"
 	"swiftcourse/internal/judge/replica"
 	"swiftcourse/internal/judge/version"
+	"swiftcourse/internal/policy/lease"
 )
 
 // Status is what a server says to an operator who asks.
@@ -25,7 +25,7 @@
 	MayGoOutOfService bool                       `json:"MayLeave"` // should it hear nothing, see fleet-silent
 	DroppedMessages   uint64                     `json:"Lost"`     // messages without room, or that could not be read
 	ReleaseLog        *version.Log               `json:"Order"`
-	Servers           []member.ServerStatus      `json:"Standings"`
+	Servers           []lease.ServerStatus       `json:"Standings"`
 	Audit             audit.Report               `json:"Report"`
 	Replicas          map[string]*replica.Status `json:"Copies"` // of all servers that keep or claim any and answered
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -20,9 +20,9 @@
 
 	"swiftcourse/internal/judge/audit"
 	"swiftcourse/internal/judge/door"
-	"swiftcourse/internal/judge/member"
 	"swiftcourse/internal/judge/replica"
 	"swiftcourse/internal/judge/version"
+	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/serving"
 	wire "swiftcourse/internal/wire/fleet"
 )
@@ -33,8 +33,8 @@
 	ListenAddr      string            // for peers, TCP and UDP
 	Voters          map[string]string // names and where they listen
 	JoinAddrs       []string          // where some others listen, beside the voters
-	LeaseTerms      member.Config
-	OnLeaseExpiry   member.Mode
+	LeaseTerms      lease.Config
+	OnLeaseExpiry   lease.Mode
 	Rollout         version.RolloutPolicy
 	Seed            int64
 	Build           string
@@ -86,8 +86,8 @@
 	incarnation uint64
 	network     Network
 	voter       *version.Voter // nil where this is none
-	leaseHolder *member.Holder
-	leaseTable  *member.Grantor
+	leaseHolder *lease.Holder
+	leaseTable  *lease.Grantor
 	auditLog    *audit.Book
 
 	releaseLog       *version.Log // a copy, also at those who don't vote
@@ -101,7 +101,7 @@
 	lastForget       float64
 	urgentSummaries  int           // brief accounts that follow one another sooner, as there is news
 	newestHeard      version.Epoch // the newest that anybody was heard to act on
-	published        member.Snapshot
+	published        lease.Snapshot
 	voterNames       []string // names, sorted
 	nextVoter        int      // which voter is asked next where no leader is known
 	pending          map[uint64]*pendingCommand
@@ -147,7 +147,7 @@
 	accounts   []audit.Account
 	alive      map[uint64]bool
 	releaseLog *version.Log
-	servers    []member.ServerStatus
+	servers    []lease.ServerStatus
 	replicas   map[string]*replica.Status
 	done       func(*auditRun)
 }
@@ -183,7 +183,7 @@
 	if _, votes := f.Voters[f.Name]; votes {
 		f.voter = version.NewVoter(f.Name, f.voterNames, int64(f.random.Uint64()>>1), wire.Codec{}, now, f.UnixNow())
 	}
-	f.leaseHolder = member.NewHolder(f.Name, f.incarnation, f.ListenAddr, f.Build, f.OnLeaseExpiry, f.LeaseTerms.Duration, now)
+	f.leaseHolder = lease.NewHolder(f.Name, f.incarnation, f.ListenAddr, f.Build, f.OnLeaseExpiry, f.LeaseTerms.Duration, now)
 	f.auditLog = audit.NewBook(f.Name, f.incarnation, f.UnixNow())
 	f.auditLog.Begin(f.UnixNow(), 0, "", "started")
 	f.publish()
@@ -384,12 +384,12 @@
 
 // confirmed tells whether this process leads, as a majority confirmed lately.
 func (f *Agent) confirmed(now float64) bool {
-	return f.voter != nil && f.voter.IsLeader(now-member.LeaderConfirmationWindow)
+	return f.voter != nil && f.voter.IsLeader(now-lease.LeaderConfirmationWindow)
 }
 
 // handleLeaseRequest answers a server that asks how it stands.
-func (f *Agent) handleLeaseRequest(now float64, q *member.Request) {
-	a := member.Reply{Incarnation: q.Incarnation, Number: q.Number, Verdict: member.VerdictRetry}
+func (f *Agent) handleLeaseRequest(now float64, q *lease.Request) {
+	a := lease.Reply{Incarnation: q.Incarnation, Number: q.Number, Verdict: lease.VerdictRetry}
 	if f.voter != nil {
 		f.voter.ObserveClusterID(q.ActiveEpoch.ClusterID())
 		a.Leader = f.voter.Leader()
@@ -424,7 +424,7 @@
 	}
 	if f.leaseHolder.Expire(now) {
 		_, _, why := f.leaseHolder.State()
-		f.Log("fleet_standing", "state", member.StateExpired, "why", why, "right", f.leaseHolder.AssignedEpoch())
+		f.Log("fleet_standing", "state", lease.StateExpired, "why", why, "right", f.leaseHolder.AssignedEpoch())
 	}
 	f.fetchAssignedVersion(now)
 	f.auditLoopStats()
@@ -468,7 +468,7 @@
 	leads := f.confirmed(now)
 	switch {
 	case leads && f.leaseTable == nil:
-		f.leaseTable = member.NewGrantor(f.LeaseTerms, f.Voters, now)
+		f.leaseTable = lease.NewGrantor(f.LeaseTerms, f.Voters, now)
 		f.Log("fleet_leads", "newest", f.releaseLog.NewestEpoch())
 	case !leads && f.leaseTable != nil && f.voter.Leader() != f.Name:
 		f.leaseTable = nil
@@ -828,7 +828,7 @@
 func (f *Agent) ReleaseLog() *version.Log { return f.releaseLog }
 
 // ServingState is how this process stands, and on which version it acts.
-func (f *Agent) ServingState() (member.Snapshot, version.Version) { return f.published, f.active }
+func (f *Agent) ServingState() (lease.Snapshot, version.Version) { return f.published, f.active }
 
 // Clock is a process's clock for its fleet. For tests it may be off, or run at another rate.
 type Clock struct {
--- a/internal/judge/member/ledger.go
+++ b/internal/policy/lease/ledger.go
@@ -1,4 +1,4 @@
-package member
+package lease
 
 import (
 	"math"
--- a/internal/judge/member/self.go
+++ b/internal/policy/lease/self.go
@@ -1,9 +1,9 @@
-// Package member decides who is there and who may act: on a server's own side what it knows of its standing (Self), on the leader's side
+// Package lease decides who is there and who may act: on a server's own side what it knows of its standing (Self), on the leader's side
 // whose name is whose, who has a lease, who is brought up and who is shut out (Ledger). There is no I/O and no clock in it.
 //
 // A lease runs from the moment at which its asker asked, by the asker's own clock, so no delay and no difference of clocks can make it
 // longer than the leader takes it to be; only a clock that runs slower can, by drift.
-package member
+package lease
 
 import (
 	"math"
--- a/internal/wire/fleet/fleet.go
+++ b/internal/wire/fleet/fleet.go
@@ -12,13 +12,13 @@
 	"google.golang.org/protobuf/proto"
 
 	"swiftcourse/internal/judge/audit"
-	"swiftcourse/internal/judge/member"
 	"swiftcourse/internal/judge/plan"
 	"swiftcourse/internal/judge/replica"
 	"swiftcourse/internal/judge/shared/budget"
 	"swiftcourse/internal/judge/shared/counts"
 	"swiftcourse/internal/judge/shared/health"
 	"swiftcourse/internal/judge/version"
+	"swiftcourse/internal/policy/lease"
 )
 
 // Bounds of what is read; what is written keeps to them by how it is made.
@@ -36,8 +36,8 @@
 	Incarnation        uint64
 	Addr               string // where it listens
 	Consensus          *version.Message
-	LeaseRequest       *member.Request
-	LeaseReply         *member.Reply
+	LeaseRequest       *lease.Request
+	LeaseReply         *lease.Reply
 	VersionRequest     version.Epoch
 	Version            *version.Version
 	Command            *version.Command
@@ -84,7 +84,7 @@
 	RequestID   uint64
 	Accounts    []audit.Account
 	ReleaseLog  *version.Log
-	Servers     []member.ServerStatus
+	Servers     []lease.ServerStatus
 	Replication *replica.Status // nil where it keeps and claims nothing
 }
 
@@ -168,12 +168,12 @@
 		m.Consensus, err = decodeConsensus(body.Voting)
 	case *Packet_Question:
 		q := body.Question
-		m.LeaseRequest = &member.Request{Name: q.Name, Incarnation: q.Life, Number: q.Number, Addr: q.Addr, ActiveEpoch: version.Epoch(q.Epoch), BlockedBy: q.Stuck,
+		m.LeaseRequest = &lease.Request{Name: q.Name, Incarnation: q.Life, Number: q.Number, Addr: q.Addr, ActiveEpoch: version.Epoch(q.Epoch), BlockedBy: q.Stuck,
 			ErrorTally: version.ErrorTally{Completed: q.Ended, Failed: q.Harmed}, Build: q.Build, MayGoOutOfService: q.MayLeave, Nonce: q.Proof}
 		err = errors.Join(checkNames(q.Name, q.Addr, q.Stuck, q.Build), checkCount(q.Ended), checkCount(q.Harmed), checkNotAbove(q.Harmed, q.Ended))
 	case *Packet_Answer:
 		a := body.Answer
-		m.LeaseReply = &member.Reply{Incarnation: a.Life, Number: a.Number, Verdict: member.Verdict(min(a.Verdict, 255)), Duration: a.For, AssignedEpoch: version.Epoch(a.Right),
+		m.LeaseReply = &lease.Reply{Incarnation: a.Life, Number: a.Number, Verdict: lease.Verdict(min(a.Verdict, 255)), Duration: a.For, AssignedEpoch: version.Epoch(a.Right),
 			MayGoOutOfService: a.MayLeave, Leader: a.Leader, Reason: a.Why, Nonce: a.Proof}
 		err = errors.Join(checkNames(a.Leader, a.Why), checkCount(a.For))
 	case *Packet_Want:
@@ -253,7 +253,7 @@
 		if err := errors.Join(checkNames(s.Name, s.Stuck, s.Out, s.Build), checkFinite(s.Heard), checkFinite(s.Behind)); err != nil {
 			return nil, err
 		}
-		m.Servers = append(m.Servers, member.ServerStatus{Name: s.Name, Incarnation: s.Life, ActiveEpoch: version.Epoch(s.Epoch), AssignedEpoch: version.Epoch(s.Right),
+		m.Servers = append(m.Servers, lease.ServerStatus{Name: s.Name, Incarnation: s.Life, ActiveEpoch: version.Epoch(s.Epoch), AssignedEpoch: version.Epoch(s.Right),
 			SecondsSinceHeard: s.Heard, SecondsBehind: s.Behind, BlockedBy: s.Stuck, EjectionReason: s.Out, Build: s.Build, Reported: s.Known})
 	}
 	if t.Copies != nil {
--- a/internal/wire/fleet/fleet_test.go
+++ b/internal/wire/fleet/fleet_test.go
@@ -12,13 +12,13 @@
 
 	"swiftcourse/internal/judge/audit"
 	"swiftcourse/internal/judge/door"
-	"swiftcourse/internal/judge/member"
 	"swiftcourse/internal/judge/plan"
 	"swiftcourse/internal/judge/replica"
 	"swiftcourse/internal/judge/shared/budget"
 	"swiftcourse/internal/judge/shared/counts"
 	"swiftcourse/internal/judge/shared/health"
 	"swiftcourse/internal/judge/version"
+	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/serving"
 	state "swiftcourse/internal/replica"
 )
@@ -56,12 +56,12 @@
 		{Consensus: &version.Message{From: 5, To: 6, RequestReleaseLog: true}},
 		{Consensus: &version.Message{From: 5, To: 6, ReleaseLog: o}},
 		{Consensus: &version.Message{From: 5, To: 6, ClusterID: 7, Raft: beat}},
-		{LeaseRequest: &member.Request{Name: "n1", Incarnation: 5, Number: 8, Addr: "127.0.0.1:1", ActiveEpoch: 3, BlockedBy: "s", ErrorTally: version.ErrorTally{Completed: 3, Failed: 1},
+		{LeaseRequest: &lease.Request{Name: "n1", Incarnation: 5, Number: 8, Addr: "127.0.0.1:1", ActiveEpoch: 3, BlockedBy: "s", ErrorTally: version.ErrorTally{Completed: 3, Failed: 1},
 			Build: "b", MayGoOutOfService: true}},
-		{LeaseReply: &member.Reply{Incarnation: 5, Number: 8, Verdict: member.VerdictLagging, Duration: 6, AssignedEpoch: 4, MayGoOutOfService: true, Leader: "v1", Reason: "w"}},
+		{LeaseReply: &lease.Reply{Incarnation: 5, Number: 8, Verdict: lease.VerdictLagging, Duration: 6, AssignedEpoch: 4, MayGoOutOfService: true, Leader: "v1", Reason: "w"}},
 		{VersionRequest: 4}, {Version: &o.Current}, {Command: &version.Command{Kind: version.KindAdvanceRollout, ID: 3, Author: "a", ExpectedEpoch: 4, Waves: []float64{0.5}}},
 		{CommandResult: &CommandResult{ID: 3, RejectReason: "no", NewestEpoch: 5}}, {AccountSummary: &account}, {StateRequest: &StateRequest{RequestID: 4, Names: []string{"n1"}, ClusterID: 7, AppliedCount: 9}},
-		{StateReply: &StateReply{RequestID: 4, Accounts: []audit.Account{account}, ReleaseLog: o, Servers: []member.ServerStatus{{Name: "n1", Incarnation: 5, ActiveEpoch: 3, AssignedEpoch: 4,
+		{StateReply: &StateReply{RequestID: 4, Accounts: []audit.Account{account}, ReleaseLog: o, Servers: []lease.ServerStatus{{Name: "n1", Incarnation: 5, ActiveEpoch: 3, AssignedEpoch: 4,
 			SecondsSinceHeard: 1, SecondsBehind: 2, BlockedBy: "s", EjectionReason: "o", Build: "b", Reported: true}},
 			Replication: &replica.Status{ConfigDigest: 1, IsReplica: true, CatchingUp: 2, OutOfSync: 3, CaughtUpByPeers: 4, CaughtUpByTimeout: 5, RepairedRecords: 6, ConflictingResults: 7, Records: 8, Bytes: 9, DroppedResults: 10,
 				CorruptedRecords: 11, ActiveClaims: 12, ReplicatedResults: 13, UnreplicatedResults: 14}}},
@@ -116,11 +116,11 @@
 	}
 	for i, m := range []*Envelope{
 		{From: long, VersionRequest: 3},
-		{LeaseRequest: &member.Request{Name: long}},
-		{LeaseRequest: &member.Request{ErrorTally: version.ErrorTally{Completed: math.NaN()}}},
-		{LeaseRequest: &member.Request{ErrorTally: version.ErrorTally{Completed: 1, Failed: 2}}},
-		{LeaseRequest: &member.Request{ErrorTally: version.ErrorTally{Completed: -1, Failed: -1}}},
-		{LeaseReply: &member.Reply{Duration: math.Inf(1)}},
+		{LeaseRequest: &lease.Request{Name: long}},
+		{LeaseRequest: &lease.Request{ErrorTally: version.ErrorTally{Completed: math.NaN()}}},
+		{LeaseRequest: &lease.Request{ErrorTally: version.ErrorTally{Completed: 1, Failed: 2}}},
+		{LeaseRequest: &lease.Request{ErrorTally: version.ErrorTally{Completed: -1, Failed: -1}}},
+		{LeaseReply: &lease.Reply{Duration: math.Inf(1)}},
 		{Version: &version.Version{Text: strings.Repeat("t", maxText+1)}},
 		{Command: &version.Command{IssuedAt: math.Inf(-1)}},
 		{Command: &version.Command{Waves: make([]float64, maxListEntries+1)}},
