--- a/internal/lab/versions/versions.go
+++ b/internal/lab/versions/versions.go
@@ -13,11 +13,11 @@
 	"sync"
 	"time"
 
-	"swiftcourse/internal/judge/audit"
 	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/lab/faults"
 	"swiftcourse/internal/lab/load"
 	"swiftcourse/internal/peers"
+	"swiftcourse/internal/policy/audit"
 )
 
 // Plan is one run.
--- a/internal/peers/control.go
+++ b/internal/peers/control.go
@@ -7,9 +7,9 @@
 	"net/http"
 	"time"
 
-	"swiftcourse/internal/judge/audit"
 	"swiftcourse/internal/judge/replica"
 	"swiftcourse/internal/judge/version"
+	"swiftcourse/internal/policy/audit"
 	"swiftcourse/internal/policy/lease"
 )
 
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -18,10 +18,10 @@
 	"sync/atomic"
 	"time"
 
-	"swiftcourse/internal/judge/audit"
 	"swiftcourse/internal/judge/door"
 	"swiftcourse/internal/judge/replica"
 	"swiftcourse/internal/judge/version"
+	"swiftcourse/internal/policy/audit"
 	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/serving"
 	wire "swiftcourse/internal/wire/fleet"
--- a/internal/wire/fleet/fleet.go
+++ b/internal/wire/fleet/fleet.go
@@ -11,13 +11,13 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"swiftcourse/internal/judge/audit"
 	"swiftcourse/internal/judge/plan"
 	"swiftcourse/internal/judge/replica"
 	"swiftcourse/internal/judge/shared/budget"
 	"swiftcourse/internal/judge/shared/counts"
 	"swiftcourse/internal/judge/shared/health"
 	"swiftcourse/internal/judge/version"
+	"swiftcourse/internal/policy/audit"
 	"swiftcourse/internal/policy/lease"
 )
 
--- a/internal/wire/fleet/fleet_test.go
+++ b/internal/wire/fleet/fleet_test.go
@@ -10,7 +10,6 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"swiftcourse/internal/judge/audit"
 	"swiftcourse/internal/judge/door"
 	"swiftcourse/internal/judge/plan"
 	"swiftcourse/internal/judge/replica"
@@ -18,6 +17,7 @@
 	"swiftcourse/internal/judge/shared/counts"
 	"swiftcourse/internal/judge/shared/health"
 	"swiftcourse/internal/judge/version"
+	"swiftcourse/internal/policy/audit"
 	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/serving"
 	state "swiftcourse/internal/replica"
