--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"swiftcourse/internal/forward"
-	"swiftcourse/internal/judge/plan"
 	"swiftcourse/internal/judge/shared/budget"
 	"swiftcourse/internal/life"
 	"swiftcourse/internal/peers"
+	"swiftcourse/internal/policy/loadplan"
 	"swiftcourse/internal/policy/serving"
 	"swiftcourse/internal/serve"
 )
@@ -57,10 +57,10 @@
 	if p.dispatcher == nil {
 		return nil
 	}
-	var last plan.Number
+	var last loadplan.Number
 	return &peers.LoadPlanConfig{
-		Report: func(float64) *plan.Report { return p.dispatcher.Report() },
-		OnShare: func(part *plan.Part, until float64) {
+		Report: func(float64) *loadplan.Report { return p.dispatcher.Report() },
+		OnShare: func(part *loadplan.Part, until float64) {
 			if part.Founding != last.Founding || part.Term != last.Term {
 				slog.Info("fleet_plan", "founding", part.Founding, "term", part.Term, "seq", part.Seq, "weights", len(part.Weights), "rates", len(part.Rates))
 			}
@@ -78,7 +78,7 @@
 
 // rates is what a plan lets in of each tenant. Once it is over all may come in again, hence a floor without bound and a part that takes it away until
 // then: what workers can't do they turn away themselves.
-func rates(part *plan.Part, start *life.Startup, till float64) (list []serving.Allowance) {
+func rates(part *loadplan.Part, start *life.Startup, till float64) (list []serving.Allowance) {
 	for _, d := range part.Rates {
 		if at, known := start.TenantIndex[d.Tenant]; known {
 			list = append(list, serving.Allowance{Name: "plan/" + d.Tenant, Tenant: at, FleetMax: math.MaxInt32, Guaranteed: math.MaxInt32, LeasedShare: d.Rate - math.MaxInt32, LeaseExpiry: till,
@@ -139,7 +139,7 @@
 	if o.Plans.JSON {
 		return json.NewEncoder(os.Stdout).Encode(s)
 	}
-	number := func(n plan.Number) string { return fmt.Sprintf("%d.%d.%d", n.Founding, n.Term, n.Seq) }
+	number := func(n loadplan.Number) string { return fmt.Sprintf("%d.%d.%d", n.Founding, n.Term, n.Seq) }
 	if m := s.Planner; m != nil {
 		t := table()
 		fmt.Fprintln(t, "forwarder\theard s ago\tasked for, a second\tgoes by")
@@ -159,7 +159,7 @@
 		fmt.Printf("%s leads, its plan is %s; %d not solved in their bounds, %d reports refused\n", s.Name, number(m.Number), m.Fallbacks, m.Refused)
 		return nil
 	}
-	if s.Current != (plan.Number{}) {
+	if s.Current != (loadplan.Number{}) {
 		fmt.Printf("%s goes by plan %s, fresh for %.1f s; %d parts of plans were stale\n", s.Name, number(s.Current), s.FreshFor, s.Stale)
 	}
 	fmt.Println("plans are made by", s.Leader)
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/judge/plan"
 	"swiftcourse/internal/judge/route"
+	"swiftcourse/internal/policy/loadplan"
 	"swiftcourse/internal/policy/serving"
 	"swiftcourse/internal/ring"
 	"swiftcourse/internal/wire/rpc"
@@ -168,8 +168,8 @@
 }
 
 // Report tells what was asked for and seen since the last one, nil where the owner is busy.
-func (d *Dispatcher) Report() *plan.Report {
-	done := make(chan *plan.Report, 1)
+func (d *Dispatcher) Report() *loadplan.Report {
+	done := make(chan *loadplan.Report, 1)
 	select {
 	case d.inbox <- event{ask: func() { done <- d.report() }}:
 	default:
@@ -408,16 +408,16 @@
 }
 
 // report tells what was asked for and seen since the last one.
-func (d *Dispatcher) report() *plan.Report {
+func (d *Dispatcher) report() *loadplan.Report {
 	now := d.Now()
-	r := &plan.Report{For: max(now-d.since, 0.001)}
+	r := &loadplan.Report{For: max(now-d.since, 0.001)}
 	d.since = now
 	for tenant, n := range d.demand {
-		r.Demand = append(r.Demand, plan.Demand{Tenant: tenant, Rate: n / r.For})
+		r.Demand = append(r.Demand, loadplan.Demand{Tenant: tenant, Rate: n / r.For})
 	}
 	clear(d.demand)
 	for _, s := range d.router.Tell() {
-		r.Workers = append(r.Workers, plan.Seen{Name: s.Name, Linked: s.State != route.Gone, Open: s.Open, Finished: s.Finished, Rejected: s.Rejected, Lost: s.Lost})
+		r.Workers = append(r.Workers, loadplan.Seen{Name: s.Name, Linked: s.State != route.Gone, Open: s.Open, Finished: s.Finished, Rejected: s.Rejected, Lost: s.Lost})
 	}
 	return r
 }
--- a/internal/lab/emulate/levels.go
+++ b/internal/lab/emulate/levels.go
@@ -6,9 +6,9 @@
 	"slices"
 	"strings"
 
-	"swiftcourse/internal/judge/plan"
 	"swiftcourse/internal/judge/route"
 	"swiftcourse/internal/peers"
+	"swiftcourse/internal/policy/loadplan"
 )
 
 // Levels is a fleet of two levels in simulated time: the planners' and forwarders' parts of package peers, the routers of judge/route, and workers that
@@ -89,7 +89,7 @@
 	rate   float64 // tasks a second asked of it
 	asked  int     // since its last report
 	since  float64
-	holds  plan.Number
+	holds  loadplan.Number
 	reach  func(int) bool
 }
 
@@ -191,15 +191,15 @@
 	l.forwarders = append(l.forwarders, f)
 	s.plans = func(clock *peers.Clock) *peers.LoadPlanConfig {
 		return &peers.LoadPlanConfig{
-			Report: func(float64) *plan.Report {
-				r := &plan.Report{For: max(l.now-f.since, 1e-3), Demand: []plan.Demand{{Rate: float64(f.asked) / max(l.now-f.since, 1e-3)}}}
+			Report: func(float64) *loadplan.Report {
+				r := &loadplan.Report{For: max(l.now-f.since, 1e-3), Demand: []loadplan.Demand{{Rate: float64(f.asked) / max(l.now-f.since, 1e-3)}}}
 				f.since, f.asked = l.now, 0
 				for _, w := range f.router.Tell() {
-					r.Workers = append(r.Workers, plan.Seen{Name: w.Name, Linked: w.State != route.Gone, Open: w.Open, Finished: w.Finished, Rejected: w.Rejected, Lost: w.Lost})
+					r.Workers = append(r.Workers, loadplan.Seen{Name: w.Name, Linked: w.State != route.Gone, Open: w.Open, Finished: w.Finished, Rejected: w.Rejected, Lost: w.Lost})
 				}
 				return r
 			},
-			OnShare: func(p *plan.Part, until float64) {
+			OnShare: func(p *loadplan.Part, until float64) {
 				if p.Number.Compare(f.holds) < 0 {
 					l.row.Stale++
 				}
--- a/internal/peers/plans.go
+++ b/internal/peers/plans.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	"swiftcourse/internal/judge/plan"
+	"swiftcourse/internal/policy/loadplan"
 	wire "swiftcourse/internal/wire/fleet"
 )
 
@@ -13,23 +13,23 @@
 
 // LoadPlanConfig is what a process does with them.
 type LoadPlanConfig struct {
-	IsPlanner bool                              // it is a planner: of those the voter that leads makes plans
-	Report    func(now float64) *plan.Report    // a forwarder's report, nil where there is none now; nil for who is no forwarder
-	OnShare   func(p *plan.Part, until float64) // hands the loop its part, and by this clock until when it holds
+	IsPlanner bool                                  // it is a planner: of those the voter that leads makes plans
+	Report    func(now float64) *loadplan.Report    // a forwarder's report, nil where there is none now; nil for who is no forwarder
+	OnShare   func(p *loadplan.Part, until float64) // hands the loop its part, and by this clock until when it holds
 }
 
 // loadPlanState is the part's state of it.
 type loadPlanState struct {
 	*LoadPlanConfig
-	holder     *plan.Holder
-	planner    *plan.Planner // nil where this process does not lead
+	holder     *loadplan.Holder
+	planner    *loadplan.Planner // nil where this process does not lead
 	nextReport float64
 	freshUntil float64 // the part that was taken last is fresh till then
 }
 
 func (f *Agent) beginPlans(now float64) {
 	if f.LoadPlan != nil {
-		f.loadPlan = &loadPlanState{LoadPlanConfig: f.Config.LoadPlan, holder: plan.NewHolder(f.incarnation), nextReport: now}
+		f.loadPlan = &loadPlanState{LoadPlanConfig: f.Config.LoadPlan, holder: loadplan.NewHolder(f.incarnation), nextReport: now}
 	}
 }
 
@@ -49,7 +49,7 @@
 			return
 		}
 	}
-	p.planner = plan.New(founding, term, now)
+	p.planner = loadplan.New(founding, term, now)
 	f.Log("fleet_plans", "founding", founding, "term", term)
 }
 
@@ -58,7 +58,7 @@
 	if p == nil || p.Report == nil || now < p.nextReport {
 		return
 	}
-	p.nextReport = now + plan.Every
+	p.nextReport = now + loadplan.Every
 	r := p.Report(now)
 	if r == nil {
 		return
@@ -107,10 +107,10 @@
 type LoadPlanStatus struct {
 	Name     string
 	Leader   string
-	Current  plan.Number   `json:"Holds"` // that a forwarder goes by, or went by last
-	FreshFor float64       `json:"Till"`  // for how many seconds it is fresh, under 0 where it ages
-	Stale    int           // parts of plans that were not taken
-	Planner  *plan.Account `json:"Makes"` // nil where this one makes none
+	Current  loadplan.Number   `json:"Holds"` // that a forwarder goes by, or went by last
+	FreshFor float64           `json:"Till"`  // for how many seconds it is fresh, under 0 where it ages
+	Stale    int               // parts of plans that were not taken
+	Planner  *loadplan.Account `json:"Makes"` // nil where this one makes none
 }
 
 // LoadPlanStatus tells it.
--- a/internal/judge/plan/plan.go
+++ b/internal/policy/loadplan/plan.go
@@ -1,10 +1,10 @@
-// Package plan decides what a few planners have all forwarders do: which part of its tasks each sends to each worker, and how many of each tenant it
+// Package loadplan decides what a few planners have all forwarders do: which part of its tasks each sends to each worker, and how many of each tenant it
 // lets in where there are more than the workers finish. There is no I/O and no clock in it.
 //
 // A forwarder reports to the planner that leads, which answers with the forwarder's part of the plan. It is leased from the moment of the report that
 // it answers, by the forwarder's clock, and numbered by the term of the voters' group in which its planner leads: a planner whose term is over, and one
 // that returns cold, have no number that a forwarder would still take.
-package plan
+package loadplan
 
 import (
 	"cmp"
--- a/internal/judge/plan/plan_test.go
+++ b/internal/policy/loadplan/plan_test.go
@@ -1,4 +1,4 @@
-package plan
+package loadplan
 
 import (
 	"fmt"
--- a/internal/wire/fleet/fleet.go
+++ b/internal/wire/fleet/fleet.go
@@ -11,7 +11,6 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"swiftcourse/internal/judge/plan"
 	"swiftcourse/internal/judge/replica"
 	"swiftcourse/internal/judge/shared/budget"
 	"swiftcourse/internal/judge/shared/counts"
@@ -19,6 +18,7 @@
 	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/policy/audit"
 	"swiftcourse/internal/policy/lease"
+	"swiftcourse/internal/policy/loadplan"
 )
 
 // Bounds of what is read; what is written keeps to them by how it is made.
@@ -59,8 +59,8 @@
 	CounterAck         *counts.RowAck
 	CounterSyncRequest *counts.RowQuery
 	CounterSyncReply   *counts.RowQueryReply
-	ForwarderReport    *plan.Report
-	PlanShare          *plan.Part
+	ForwarderReport    *loadplan.Report
+	PlanShare          *loadplan.Part
 	Size               int // bytes that it came in, set by who received it
 }
 
--- a/internal/wire/fleet/fleet_test.go
+++ b/internal/wire/fleet/fleet_test.go
@@ -11,7 +11,6 @@
 	"google.golang.org/protobuf/proto"
 
 	"swiftcourse/internal/judge/door"
-	"swiftcourse/internal/judge/plan"
 	"swiftcourse/internal/judge/replica"
 	"swiftcourse/internal/judge/shared/budget"
 	"swiftcourse/internal/judge/shared/counts"
@@ -19,6 +18,7 @@
 	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/policy/audit"
 	"swiftcourse/internal/policy/lease"
+	"swiftcourse/internal/policy/loadplan"
 	"swiftcourse/internal/policy/serving"
 	state "swiftcourse/internal/replica"
 )
@@ -65,10 +65,10 @@
 			SecondsSinceHeard: 1, SecondsBehind: 2, BlockedBy: "s", EjectionReason: "o", Build: "b", Reported: true}},
 			Replication: &replica.Status{ConfigDigest: 1, IsReplica: true, CatchingUp: 2, OutOfSync: 3, CaughtUpByPeers: 4, CaughtUpByTimeout: 5, RepairedRecords: 6, ConflictingResults: 7, Records: 8, Bytes: 9, DroppedResults: 10,
 				CorruptedRecords: 11, ActiveClaims: 12, ReplicatedResults: 13, UnreplicatedResults: 14}}},
-		{ForwarderReport: &plan.Report{Name: "f1", Life: 3, Number: 4, For: 0.5, Holds: plan.Number{Founding: 1, Term: 2, Seq: 3}, Demand: []plan.Demand{{Tenant: "acme", Rate: 2}},
-			Workers: []plan.Seen{{Name: "w1", Linked: true, Open: 1, Finished: 2, Rejected: 3, Lost: 4}}}},
-		{PlanShare: &plan.Part{Number: plan.Number{Founding: 1, Term: 2, Seq: 3}, For: 3, Answers: 4, Lease: 2, Weights: []plan.Weight{{Name: "w1", Part: 0.5}},
-			Rates: []plan.Demand{{Rate: 7}}}},
+		{ForwarderReport: &loadplan.Report{Name: "f1", Life: 3, Number: 4, For: 0.5, Holds: loadplan.Number{Founding: 1, Term: 2, Seq: 3}, Demand: []loadplan.Demand{{Tenant: "acme", Rate: 2}},
+			Workers: []loadplan.Seen{{Name: "w1", Linked: true, Open: 1, Finished: 2, Rejected: 3, Lost: 4}}}},
+		{PlanShare: &loadplan.Part{Number: loadplan.Number{Founding: 1, Term: 2, Seq: 3}, For: 3, Answers: 4, Lease: 2, Weights: []loadplan.Weight{{Name: "w1", Part: 0.5}},
+			Rates: []loadplan.Demand{{Rate: 7}}}},
 		{CounterReport: &counts.RowReport{Server: "n1", Incarnation: 5, RowID: 6, Sequence: 3, BaseSequence: 2, Closing: true, FrozenSequence: 1, Cells: countsOf(4), Aggregators: []uint64{7, 8}}},
 		{CounterAck: &counts.RowAck{RowID: 6, Sequence: 3, Closed: true, Aggregators: []uint64{7}}}, {CounterSyncRequest: &counts.RowQuery{Number: 2, Rows: []counts.RowAck{{RowID: 6, Sequence: 1}}, All: true, After: 7, Aggregators: []uint64{7, 9}}},
 		{CounterSyncReply: &counts.RowQueryReply{Number: 2, Recovering: true, More: true, Aggregators: []uint64{1}, Rows: []counts.RowReport{{Server: "n1", Incarnation: 5, RowID: 6, Sequence: 3, Cells: countsOf(4)}}}},
--- a/internal/wire/fleet/plan.go
+++ b/internal/wire/fleet/plan.go
@@ -3,27 +3,27 @@
 import (
 	"errors"
 
-	"swiftcourse/internal/judge/plan"
+	"swiftcourse/internal/policy/loadplan"
 )
 
 // This file is what forwarders and planners say to one another.
 
-func encodePlanNumber(n plan.Number) *PlanNumber {
+func encodePlanNumber(n loadplan.Number) *PlanNumber {
 	return &PlanNumber{Founding: n.Founding, Term: n.Term, Seq: n.Seq}
 }
 
-func decodePlanNumber(p *PlanNumber) plan.Number {
-	return plan.Number{Founding: p.GetFounding(), Term: p.GetTerm(), Seq: p.GetSeq()}
+func decodePlanNumber(p *PlanNumber) loadplan.Number {
+	return loadplan.Number{Founding: p.GetFounding(), Term: p.GetTerm(), Seq: p.GetSeq()}
 }
 
-func encodeDemand(list []plan.Demand) (to []*PlanDemand) {
+func encodeDemand(list []loadplan.Demand) (to []*PlanDemand) {
 	for _, d := range list {
 		to = append(to, &PlanDemand{Tenant: d.Tenant, Rate: d.Rate})
 	}
 	return to
 }
 
-func decodeDemand(p []*PlanDemand) (list []plan.Demand, err error) {
+func decodeDemand(p []*PlanDemand) (list []loadplan.Demand, err error) {
 	if len(p) > maxMapEntries {
 		return nil, errTooLarge
 	}
@@ -31,7 +31,7 @@
 		if err := errors.Join(checkNames(d.Tenant), checkCount(d.Rate)); err != nil {
 			return nil, err
 		}
-		list = append(list, plan.Demand{Tenant: d.Tenant, Rate: d.Rate})
+		list = append(list, loadplan.Demand{Tenant: d.Tenant, Rate: d.Rate})
 	}
 	return list, nil
 }
@@ -65,7 +65,7 @@
 	switch body := p.Body.(type) {
 	case *Packet_PlanReport:
 		r := body.PlanReport
-		m.ForwarderReport = &plan.Report{Name: r.Name, Life: r.Life, Number: r.Number, For: r.For, Holds: decodePlanNumber(r.Holds)}
+		m.ForwarderReport = &loadplan.Report{Name: r.Name, Life: r.Life, Number: r.Number, For: r.For, Holds: decodePlanNumber(r.Holds)}
 		if len(r.Workers) > maxMapEntries {
 			return errTooLarge
 		}
@@ -73,14 +73,14 @@
 			if err := checkNames(w.Name); err != nil {
 				return err
 			}
-			m.ForwarderReport.Workers = append(m.ForwarderReport.Workers, plan.Seen{Name: w.Name, Linked: w.Linked, Open: int(w.Open), Finished: int(w.Finished),
+			m.ForwarderReport.Workers = append(m.ForwarderReport.Workers, loadplan.Seen{Name: w.Name, Linked: w.Linked, Open: int(w.Open), Finished: int(w.Finished),
 				Rejected: int(w.Rejected), Lost: int(w.Lost)})
 		}
 		m.ForwarderReport.Demand, err = decodeDemand(r.Demand)
 		err = errors.Join(err, checkNames(r.Name), checkCount(r.For))
 	case *Packet_PlanPart:
 		a := body.PlanPart
-		m.PlanShare = &plan.Part{Number: decodePlanNumber(a.Number), For: a.For, Answers: a.Answers, Lease: a.Lease}
+		m.PlanShare = &loadplan.Part{Number: decodePlanNumber(a.Number), For: a.For, Answers: a.Answers, Lease: a.Lease}
 		if len(a.Weights) > maxMapEntries {
 			return errTooLarge
 		}
@@ -88,7 +88,7 @@
 			if err := errors.Join(checkNames(w.Name), checkCount(float64(w.Part))); err != nil {
 				return err
 			}
-			m.PlanShare.Weights = append(m.PlanShare.Weights, plan.Weight{Name: w.Name, Part: float64(w.Part)})
+			m.PlanShare.Weights = append(m.PlanShare.Weights, loadplan.Weight{Name: w.Name, Part: float64(w.Part)})
 		}
 		m.PlanShare.Rates, err = decodeDemand(a.Rates)
 		err = errors.Join(err, checkCount(a.Lease))
