--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/judge/route"
 	"swiftcourse/internal/policy/loadplan"
+	"swiftcourse/internal/policy/routing"
 	"swiftcourse/internal/policy/serving"
 	"swiftcourse/internal/ring"
 	"swiftcourse/internal/wire/rpc"
@@ -72,7 +72,7 @@
 	quit  chan struct{}
 
 	// What follows is the owner's alone.
-	router  *route.Router
+	router  *routing.Router
 	links   map[string]*link
 	tries   map[string]*try
 	due     dueList
@@ -113,7 +113,7 @@
 // Start begins to dial all workers.
 func Start(shape Shape) *Dispatcher {
 	now := shape.Now()
-	d := &Dispatcher{Shape: shape, inbox: make(chan event, maxInbox), quit: make(chan struct{}), router: route.New(uint64(shape.Seed)), links: map[string]*link{},
+	d := &Dispatcher{Shape: shape, inbox: make(chan event, maxInbox), quit: make(chan struct{}), router: routing.New(uint64(shape.Seed)), links: map[string]*link{},
 		tries: map[string]*try{}, demand: map[string]float64{}, since: now, told: now, learned: now}
 	d.router.Cold(shape.ColdFrom, shape.ColdFor)
 	for range shape.Stages {
@@ -224,7 +224,7 @@
 	case e.drop != "":
 		if t := d.tries[e.drop]; t != nil {
 			d.recall(t)
-			d.leave(now, t, route.Dropped, 0)
+			d.leave(now, t, routing.Dropped, 0)
 			d.settle(t, admission.Cancelled, nil, 0)
 		}
 	case e.plan != nil:
@@ -272,8 +272,8 @@
 		if t.number = l.send(t, &m); t.number > 0 {
 			return
 		}
-		d.leave(now, t, route.Unsent, 0) // its line is full: it never left
-		if !d.router.Again(route.Unsent, len(t.tried), d.safe(t), t.until-now, d.usual(now, t.out.Stage)) {
+		d.leave(now, t, routing.Unsent, 0) // its line is full: it never left
+		if !d.router.Again(routing.Unsent, len(t.tried), d.safe(t), t.until-now, d.usual(now, t.out.Stage)) {
 			d.counts.bounced++
 			d.settle(t, admission.Rejected, nil, 0)
 			return
@@ -289,7 +289,7 @@
 }
 
 // leave takes a try off its worker.
-func (d *Dispatcher) leave(now float64, t *try, end route.End, advice float64) {
+func (d *Dispatcher) leave(now float64, t *try, end routing.End, advice float64) {
 	if l := t.worker; l != nil {
 		d.router.Ended(now, l.Name, end, now-t.began, advice)
 		delete(l.tries, t.number)
@@ -325,22 +325,22 @@
 	switch a.End {
 	case rpc.Finished:
 		took := now - t.began
-		d.leave(now, t, route.Finished, 0)
+		d.leave(now, t, routing.Finished, 0)
 		d.typical[t.out.Stage].Current(now).Add(took)
 		d.counts.finished++
 		d.settle(t, admission.Finished, a.Result, 0)
 	case rpc.Rejected:
-		d.leave(now, t, route.Rejected, a.Say.Advice)
-		d.again(now, t, route.Rejected, a.Say.Advice)
+		d.leave(now, t, routing.Rejected, a.Say.Advice)
+		d.again(now, t, routing.Rejected, a.Say.Advice)
 	case rpc.Abandoned:
-		d.leave(now, t, route.Errored, 0)
+		d.leave(now, t, routing.Errored, 0)
 		d.counts.errored++
 		d.settle(t, admission.Failed, nil, 0)
 	}
 }
 
 // again has a task go to another worker, or gives it back as its last try ended.
-func (d *Dispatcher) again(now float64, t *try, end route.End, advice float64) {
+func (d *Dispatcher) again(now float64, t *try, end routing.End, advice float64) {
 	switch {
 	case d.router.Again(end, len(t.tried), d.safe(t), t.until-now, d.usual(now, t.out.Stage)):
 		d.counts.second++
@@ -369,9 +369,9 @@
 	out := l.tries
 	l.tries = map[uint64]*try{}
 	for _, t := range out {
-		d.router.Ended(now, l.Name, route.Cut, now-t.began, 0)
+		d.router.Ended(now, l.Name, routing.Cut, now-t.began, 0)
 		t.worker = nil
-		d.again(now, t, route.Cut, 0)
+		d.again(now, t, routing.Cut, 0)
 	}
 }
 
@@ -391,7 +391,7 @@
 		t := d.due[0]
 		d.counts.late++
 		d.recall(t)
-		d.leave(now, t, route.Late, 0)
+		d.leave(now, t, routing.Late, 0)
 		d.settle(t, admission.Cancelled, nil, 0)
 	}
 	if now >= d.learned+learnEvery {
@@ -417,7 +417,7 @@
 	}
 	clear(d.demand)
 	for _, s := range d.router.Tell() {
-		r.Workers = append(r.Workers, loadplan.Seen{Name: s.Name, Linked: s.State != route.Gone, Open: s.Open, Finished: s.Finished, Rejected: s.Rejected, Lost: s.Lost})
+		r.Workers = append(r.Workers, loadplan.Seen{Name: s.Name, Linked: s.State != routing.Gone, Open: s.Open, Finished: s.Finished, Rejected: s.Rejected, Lost: s.Lost})
 	}
 	return r
 }
--- a/internal/lab/emulate/levels.go
+++ b/internal/lab/emulate/levels.go
@@ -6,9 +6,9 @@
 	"slices"
 	"strings"
 
-	"swiftcourse/internal/judge/route"
 	"swiftcourse/internal/peers"
 	"swiftcourse/internal/policy/loadplan"
+	"swiftcourse/internal/policy/routing"
 )
 
 // Levels is a fleet of two levels in simulated time: the planners' and forwarders' parts of package peers, the routers of judge/route, and workers that
@@ -85,7 +85,7 @@
 // levelForwarder is a forwarder's own part.
 type levelForwarder struct {
 	*talker
-	router *route.Router
+	router *routing.Router
 	rate   float64 // tasks a second asked of it
 	asked  int     // since its last report
 	since  float64
@@ -178,7 +178,7 @@
 
 // forward makes a forwarder of a talker.
 func (l *levels) forward(s *talker, i int, rate float64) {
-	f := &levelForwarder{talker: s, rate: rate, router: route.New(l.plan.Seed ^ uint64(i)), reach: func(int) bool { return true }}
+	f := &levelForwarder{talker: s, rate: rate, router: routing.New(l.plan.Seed ^ uint64(i)), reach: func(int) bool { return true }}
 	if l.plan.Blind && i%3 == 0 {
 		f.reach = func(w int) bool { return w%2 == 0 }
 	}
@@ -195,7 +195,7 @@
 				r := &loadplan.Report{For: max(l.now-f.since, 1e-3), Demand: []loadplan.Demand{{Rate: float64(f.asked) / max(l.now-f.since, 1e-3)}}}
 				f.since, f.asked = l.now, 0
 				for _, w := range f.router.Tell() {
-					r.Workers = append(r.Workers, loadplan.Seen{Name: w.Name, Linked: w.State != route.Gone, Open: w.Open, Finished: w.Finished, Rejected: w.Rejected, Lost: w.Lost})
+					r.Workers = append(r.Workers, loadplan.Seen{Name: w.Name, Linked: w.State != routing.Gone, Open: w.Open, Finished: w.Finished, Rejected: w.Rejected, Lost: w.Lost})
 				}
 				return r
 			},
@@ -273,9 +273,9 @@
 	}
 	began := l.now
 	w := l.workers[l.index[name]]
-	ended := func(end route.End, advice float64) {
+	ended := func(end routing.End, advice float64) {
 		t.f.router.Ended(l.now, name, end, l.now-began, advice)
-		if end == route.Finished {
+		if end == routing.Finished {
 			l.settle(t, true)
 			return
 		}
@@ -292,7 +292,7 @@
 			w.asked++
 		}
 		if w.queue/w.cores > levelQueue {
-			l.after(levelHop, func() { ended(route.Rejected, levelReject) })
+			l.after(levelHop, func() { ended(routing.Rejected, levelReject) })
 			return
 		}
 		if !t.safe {
@@ -301,7 +301,7 @@
 		work := l.exponential(levelWork)
 		wait := w.queue / w.cores
 		w.queue += work
-		l.after(wait+work+levelHop, func() { ended(route.Finished, 0) })
+		l.after(wait+work+levelHop, func() { ended(routing.Finished, 0) })
 	})
 }
 
--- a/internal/judge/route/route.go
+++ b/internal/policy/routing/route.go
@@ -1,10 +1,10 @@
-// Package route decides, in a forwarder, which worker a task goes to, whether it may go to a second one, and which workers are left out. There is no
+// Package routing decides, in a forwarder, which worker a task goes to, whether it may go to a second one, and which workers are left out. There is no
 // I/O, clock or name of the wire in it; chance is a hash of a seed and a count.
 //
 // A fresh plan weighs the workers. While it ages its weights go over into those that the forwarder learned itself, from what each worker finished and
 // rejected of its own tasks; and how many are open at each, and how long they take, counts throughout. So without any plan it goes on by its own
 // judgement, and nothing jumps.
-package route
+package routing
 
 import (
 	"encoding/binary"
--- a/internal/judge/route/route_test.go
+++ b/internal/policy/routing/route_test.go
@@ -1,4 +1,4 @@
-package route
+package routing
 
 import (
 	"fmt"
