--- a/cmd/swiftcourse-fleet/command.go
+++ b/cmd/swiftcourse-fleet/command.go
@@ -17,10 +17,10 @@
 
 	"github.com/alecthomas/kong"
 
-	"swiftcourse/internal/judge/replica"
 	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/life"
 	"swiftcourse/internal/peers"
+	"swiftcourse/internal/policy/replication"
 )
 
 // operator is the command line of those who steer a fleet.
@@ -238,7 +238,7 @@
 	if len(s.Replicas) == 0 {
 		return errors.New("no server keeps copies: replica-holders names none")
 	}
-	wrong, alarm := replica.Faults(s.Replicas)
+	wrong, alarm := replication.Faults(s.Replicas)
 	if o.Diff.JSON {
 		err = json.NewEncoder(os.Stdout).Encode(map[string]any{"servers": s.Replicas, "faults": wrong, "alarm": alarm})
 	} else {
--- a/cmd/swiftcourse-fleet/main.go
+++ b/cmd/swiftcourse-fleet/main.go
@@ -17,12 +17,12 @@
 	"time"
 
 	"swiftcourse/internal/forward"
-	"swiftcourse/internal/judge/replica"
 	"swiftcourse/internal/judge/shared/budget"
 	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/life"
 	"swiftcourse/internal/peers"
 	"swiftcourse/internal/policy/lease"
+	"swiftcourse/internal/policy/replication"
 	"swiftcourse/internal/policy/serving"
 	"swiftcourse/internal/program"
 	"swiftcourse/internal/serve"
@@ -130,7 +130,7 @@
 		slog.Info("fleet_counts", "keepers", len(voters))
 	}
 	if callers != nil {
-		server.ReportTrustedClients(f.ReportTrusted, replica.MaxTrustedClients)
+		server.ReportTrustedClients(f.ReportTrusted, replication.MaxTrustedClients)
 	}
 	if own.FleetControl != "" {
 		if _, err := f.ServeControl(own.FleetControl); err != nil {
@@ -174,10 +174,10 @@
 		}
 		return nil, nil
 	}
-	terms := replica.Config{ReplicationFactor: own.ReplicaCopies, RetentionWindow: own.ReplicaWindow.Seconds()}
+	terms := replication.Config{ReplicationFactor: own.ReplicaCopies, RetentionWindow: own.ReplicaWindow.Seconds()}
 	for _, text := range own.ReplicaHolders {
 		words := strings.Split(text, "/")
-		m := replica.Member{Name: words[0], Weight: 1}
+		m := replication.Member{Name: words[0], Weight: 1}
 		if len(words) > 1 {
 			m.Zone = words[1]
 		}
@@ -197,7 +197,7 @@
 		terms.MaxClaimDuration = max(terms.MaxClaimDuration, start.Settings.Classes[i].Timeout)
 	}
 	terms.MaxClaimDuration = max(terms.MaxClaimDuration, 1) // a holder that serves no such stage itself must be told the same: see docs/replication.md
-	place, err := replica.NewPlacement(terms)
+	place, err := replication.NewPlacement(terms)
 	if err != nil {
 		return nil, fmt.Errorf("replica-holders: %w", err)
 	}
--- a/internal/lab/copies/copies.go
+++ b/internal/lab/copies/copies.go
@@ -12,10 +12,10 @@
 	"sync"
 	"time"
 
-	"swiftcourse/internal/judge/replica"
 	"swiftcourse/internal/lab/faults"
 	"swiftcourse/internal/lab/load"
 	"swiftcourse/internal/peers"
+	"swiftcourse/internal/policy/replication"
 	state "swiftcourse/internal/replica"
 )
 
@@ -102,7 +102,7 @@
 	*Plan
 	fleet  *faults.Fleet
 	ledger *faults.Ledger
-	place  *replica.Placement
+	place  *replication.Placement
 	row    Row
 	wait   sync.WaitGroup
 
@@ -130,15 +130,15 @@
 func Run(ctx context.Context, p *Plan) (Row, error) {
 	r := &run{Plan: p, ledger: faults.NewLedger(), where: map[string]string{}, row: Row{Seed: p.Seed, Servers: p.Servers}}
 	shape := faults.Small(p.Program)
-	terms := replica.Config{ReplicationFactor: p.Copies, RetentionWindow: window.Seconds(), MaxClaimDuration: shape.Told.Stages[0].TimeLimitMs / 1000}
+	terms := replication.Config{ReplicationFactor: p.Copies, RetentionWindow: window.Seconds(), MaxClaimDuration: shape.Told.Stages[0].TimeLimitMs / 1000}
 	shape.Log = p.Log
 	names := make([]string, p.Servers)
 	for i := range names {
 		names[i] = fmt.Sprintf("n%d", i+1)
-		terms.Members = append(terms.Members, replica.Member{Name: names[i], Weight: 1})
+		terms.Members = append(terms.Members, replication.Member{Name: names[i], Weight: 1})
 	}
 	var err error
-	if r.place, err = replica.NewPlacement(terms); err != nil {
+	if r.place, err = replication.NewPlacement(terms); err != nil {
 		return r.row, err
 	}
 	conf := fmt.Sprintf("door on\nfleet-lease 2s\nfleet-behind 2s\nreplica-holders %s\nreplica-copies %d\nreplica-keyed %s\nreplica-window %s\n",
--- a/internal/lab/emulate/claims.go
+++ b/internal/lab/emulate/claims.go
@@ -5,8 +5,8 @@
 	"math"
 	"slices"
 
-	"swiftcourse/internal/judge/replica"
 	"swiftcourse/internal/peers"
+	"swiftcourse/internal/policy/replication"
 	"swiftcourse/internal/policy/serving"
 )
 
@@ -41,7 +41,7 @@
 // ledger is an account of the keys apart from the fleet's own.
 type ledger struct {
 	row    KeysRow
-	place  *replica.Placement
+	place  *replication.Placement
 	keys   []string
 	runs   map[string][]keyRun
 	tries  map[string]*keyTry
@@ -63,11 +63,11 @@
 
 // newLedger makes one for a fleet's servers.
 func newLedger(names []string) *ledger {
-	terms := replica.Config{ReplicationFactor: keyCopies, RetentionWindow: keyWindow, MaxClaimDuration: keyLongest}
+	terms := replication.Config{ReplicationFactor: keyCopies, RetentionWindow: keyWindow, MaxClaimDuration: keyLongest}
 	for i, name := range names[:min(len(names), maxHolders)] {
-		terms.Members = append(terms.Members, replica.Member{Name: name, Zone: fmt.Sprint(i % 3), Weight: 1})
+		terms.Members = append(terms.Members, replication.Member{Name: name, Zone: fmt.Sprint(i % 3), Weight: 1})
 	}
-	place, err := replica.NewPlacement(terms)
+	place, err := replication.NewPlacement(terms)
 	if err != nil {
 		panic(err) // the terms are this file's own
 	}
--- a/internal/peers/callers.go
+++ b/internal/peers/callers.go
@@ -4,7 +4,7 @@
 	"math"
 
 	"swiftcourse/internal/judge/door"
-	"swiftcourse/internal/judge/replica"
+	"swiftcourse/internal/policy/replication"
 	wire "swiftcourse/internal/wire/fleet"
 )
 
@@ -21,8 +21,8 @@
 // trustState is the part's state of them.
 type trustState struct {
 	*TrustConfig
-	records     *replica.TrustTable
-	own         replica.TrustRecord
+	records     *replication.TrustTable
+	own         replication.TrustRecord
 	started     float64
 	lastRequest float64
 	lastReport  float64
@@ -55,12 +55,12 @@
 	if f.Trust == nil {
 		return
 	}
-	f.trust = &trustState{TrustConfig: f.Config.Trust, records: replica.NewTrustTable(f.Config.Trust.Retention), started: now, lastRequest: math.Inf(-1), lastReport: now}
+	f.trust = &trustState{TrustConfig: f.Config.Trust, records: replication.NewTrustTable(f.Config.Trust.Retention), started: now, lastRequest: math.Inf(-1), lastReport: now}
 }
 
 func (f *Agent) earned(list []door.Earned) {
 	if c := f.trust; c != nil {
-		c.own = replica.TrustRecord{Name: f.Name, Incarnation: f.incarnation, Sequence: uint64(max(0, f.UnixNow()*1000)), Clients: list}
+		c.own = replication.TrustRecord{Name: f.Name, Incarnation: f.incarnation, Sequence: uint64(max(0, f.UnixNow()*1000)), Clients: list}
 	}
 }
 
@@ -79,7 +79,7 @@
 		c.lastReport = now
 		if len(c.own.Clients) > 0 {
 			for _, addr := range f.network.Sample(gossipFanout, f.random) {
-				f.send(addr, &wire.Envelope{TrustRecords: []replica.TrustRecord{c.own}})
+				f.send(addr, &wire.Envelope{TrustRecords: []replication.TrustRecord{c.own}})
 			}
 		}
 	}
--- a/internal/peers/control.go
+++ b/internal/peers/control.go
@@ -7,10 +7,10 @@
 	"net/http"
 	"time"
 
-	"swiftcourse/internal/judge/replica"
 	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/policy/audit"
 	"swiftcourse/internal/policy/lease"
+	"swiftcourse/internal/policy/replication"
 )
 
 // Status is what a server says to an operator who asks.
@@ -22,12 +22,12 @@
 	ActiveEpoch       version.Epoch `json:"Acts"`
 	AssignedEpoch     version.Epoch `json:"Right"`
 	Leader            string
-	MayGoOutOfService bool                       `json:"MayLeave"` // should it hear nothing, see fleet-silent
-	DroppedMessages   uint64                     `json:"Lost"`     // messages without room, or that could not be read
-	ReleaseLog        *version.Log               `json:"Order"`
-	Servers           []lease.ServerStatus       `json:"Standings"`
-	Audit             audit.Report               `json:"Report"`
-	Replicas          map[string]*replica.Status `json:"Copies"` // of all servers that keep or claim any and answered
+	MayGoOutOfService bool                           `json:"MayLeave"` // should it hear nothing, see fleet-silent
+	DroppedMessages   uint64                         `json:"Lost"`     // messages without room, or that could not be read
+	ReleaseLog        *version.Log                   `json:"Order"`
+	Servers           []lease.ServerStatus           `json:"Standings"`
+	Audit             audit.Report                   `json:"Report"`
+	Replicas          map[string]*replication.Status `json:"Copies"` // of all servers that keep or claim any and answered
 }
 
 // QueryStatus gathers what the fleet knows.
--- a/internal/peers/copies.go
+++ b/internal/peers/copies.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"sync/atomic"
 
-	"swiftcourse/internal/judge/replica"
+	"swiftcourse/internal/policy/replication"
 	"swiftcourse/internal/policy/serving"
 	state "swiftcourse/internal/replica"
 	wire "swiftcourse/internal/wire/fleet"
@@ -14,7 +14,7 @@
 
 // ReplicationConfig is what a process is told of them.
 type ReplicationConfig struct {
-	Placement   *replica.Placement
+	Placement   *replication.Placement
 	MaxRecords  int     // most records
 	MaxBytes    int     // and bytes of them
 	CatchUpRate float64 // bytes a second that it takes in to catch up
@@ -27,16 +27,16 @@
 // replicationState is the part's state of them.
 type replicationState struct {
 	*ReplicationConfig
-	terms          replica.TermTable
-	coordinator    *replica.Coordinator
-	replica        *replica.Replica // nil where this server is none
+	terms          replication.TermTable
+	coordinator    *replication.Coordinator
+	replica        *replication.Replica // nil where this server is none
 	store          *state.Store
 	index          int
 	unacknowledged int               // ends that holders have not noted, as they were last counted
 	memberAddrs    map[string]string // where others listen
 	lastAddrLookup float64
-	reportedAddrs  map[string]string // where holders said that they listen
-	logged         replica.Status    // as it was last written to the log
+	reportedAddrs  map[string]string  // where holders said that they listen
+	logged         replication.Status // as it was last written to the log
 }
 
 // ClaimEvent is what the serving loop says of a task that bears a key: that it is to be claimed, or how it ended.
@@ -99,12 +99,12 @@
 	}
 	f.Config.Replication.pendingReports.Store(0) // a part that begins anew owes nothing
 	c := &replicationState{ReplicationConfig: f.Config.Replication, index: f.Config.Replication.Placement.MemberIndex(f.Name)}
-	c.terms, c.reportedAddrs = make(replica.TermTable, len(c.Placement.Members)), map[string]string{}
-	c.coordinator = replica.NewCoordinator(c.Placement, c.terms, f.incarnation, f.UnixNow, now)
+	c.terms, c.reportedAddrs = make(replication.TermTable, len(c.Placement.Members)), map[string]string{}
+	c.coordinator = replication.NewCoordinator(c.Placement, c.terms, f.incarnation, f.UnixNow, now)
 	if c.index >= 0 {
-		c.terms[c.index] = replica.Term{Number: uint64(max(0, f.UnixNow()*1000)), Incarnation: f.incarnation}
+		c.terms[c.index] = replication.Term{Number: uint64(max(0, f.UnixNow()*1000)), Incarnation: f.incarnation}
 		c.store = state.NewStore(c.MaxRecords, c.MaxBytes)
-		c.replica = replica.NewReplica(c.Placement, c.index, c.terms, c.store, c.CatchUpRate, now)
+		c.replica = replication.NewReplica(c.Placement, c.index, c.terms, c.store, c.CatchUpRate, now)
 	}
 	f.replication = c
 }
@@ -150,7 +150,7 @@
 	case c.replica == nil:
 	case m.ClaimRequest != nil:
 		a := c.replica.HandleClaim(now, m.ClaimRequest)
-		says := m.ClaimRequest.Operation == replica.OpReport
+		says := m.ClaimRequest.Operation == replication.OpReport
 		f.passes(map[bool]string{false: "granting", true: "noting"}[says])
 		f.reply(m, &wire.Envelope{ClaimReply: &a})
 		f.passes(map[bool]string{false: "granted", true: "noted"}[says])
@@ -230,7 +230,7 @@
 }
 
 // post brings a letter to its holder, who may be here.
-func (f *Agent) post(now float64, l replica.Envelope) {
+func (f *Agent) post(now float64, l replication.Envelope) {
 	c := f.replication
 	if l.To == c.index {
 		if l.Claim != nil {
@@ -247,12 +247,12 @@
 }
 
 // ReplicationStatus is how the copies stand, nil where there are none.
-func (f *Agent) ReplicationStatus() *replica.Status {
+func (f *Agent) ReplicationStatus() *replication.Status {
 	c := f.replication
 	if c == nil {
 		return nil
 	}
-	s := &replica.Status{ConfigDigest: c.Placement.ConfigDigest}
+	s := &replication.Status{ConfigDigest: c.Placement.ConfigDigest}
 	c.coordinator.FillStatus(s)
 	if c.replica != nil {
 		c.replica.FillStatus(s)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -19,10 +19,10 @@
 	"time"
 
 	"swiftcourse/internal/judge/door"
-	"swiftcourse/internal/judge/replica"
 	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/policy/audit"
 	"swiftcourse/internal/policy/lease"
+	"swiftcourse/internal/policy/replication"
 	"swiftcourse/internal/policy/serving"
 	wire "swiftcourse/internal/wire/fleet"
 )
@@ -148,7 +148,7 @@
 	alive      map[uint64]bool
 	releaseLog *version.Log
 	servers    []lease.ServerStatus
-	replicas   map[string]*replica.Status
+	replicas   map[string]*replication.Status
 	done       func(*auditRun)
 }
 
@@ -753,7 +753,7 @@
 // startAudit asks everybody what they acted on.
 func (f *Agent) startAudit(now float64, tell func(*auditRun)) {
 	f.lastAuditID++
-	g := &auditRun{deadline: now + auditTimeout, awaiting: map[string]bool{}, alive: map[uint64]bool{f.incarnation: true}, replicas: map[string]*replica.Status{}, done: tell}
+	g := &auditRun{deadline: now + auditTimeout, awaiting: map[string]bool{}, alive: map[uint64]bool{f.incarnation: true}, replicas: map[string]*replication.Status{}, done: tell}
 	if own := f.ReplicationStatus(); own != nil {
 		g.replicas[f.Name] = own
 	}
--- a/internal/judge/replica/holder.go
+++ b/internal/policy/replication/holder.go
@@ -1,4 +1,4 @@
-package replica
+package replication
 
 import (
 	"slices"
--- a/internal/judge/replica/place.go
+++ b/internal/policy/replication/place.go
@@ -1,6 +1,6 @@
-// Package replica decides, free of I/O, clock and chance, who holds what several servers keep of the fleet's state, who may run a key, which copy
+// Package replication decides, free of I/O, clock and chance, who holds what several servers keep of the fleet's state, who may run a key, which copy
 // wins, and what one that returns has to learn before it may answer. docs/replication.md has the argument why no key runs twice.
-package replica
+package replication
 
 import (
 	"cmp"
--- a/internal/wire/fleet/copies.go
+++ b/internal/wire/fleet/copies.go
@@ -7,9 +7,9 @@
 	"net/netip"
 
 	"swiftcourse/internal/judge/door"
-	"swiftcourse/internal/judge/replica"
 	"swiftcourse/internal/judge/shared/budget"
 	"swiftcourse/internal/judge/shared/health"
+	"swiftcourse/internal/policy/replication"
 	state "swiftcourse/internal/replica"
 )
 
@@ -23,21 +23,21 @@
 	maxRecords  = 4096 // records in a slice
 )
 
-func encodeTerm(s replica.Term) *Sitting { return &Sitting{N: s.Number, Life: s.Incarnation} }
+func encodeTerm(s replication.Term) *Sitting { return &Sitting{N: s.Number, Life: s.Incarnation} }
 
-func decodeTerm(p *Sitting) replica.Term {
-	return replica.Term{Number: p.GetN(), Incarnation: p.GetLife()}
+func decodeTerm(p *Sitting) replication.Term {
+	return replication.Term{Number: p.GetN(), Incarnation: p.GetLife()}
 }
 
-func encodeTerms(list []replica.Term) (to []*Sitting) {
+func encodeTerms(list []replication.Term) (to []*Sitting) {
 	for _, s := range list {
 		to = append(to, encodeTerm(s))
 	}
 	return to
 }
 
-func decodeTerms(p []*Sitting) (list []replica.Term, err error) {
-	if len(p) > replica.MaxReplicationFactor {
+func decodeTerms(p []*Sitting) (list []replication.Term, err error) {
+	if len(p) > replication.MaxReplicationFactor {
 		return nil, errTooLarge
 	}
 	for _, s := range p {
@@ -201,16 +201,16 @@
 }
 
 // decodeTrustRecords reads servers' words on callers.
-func decodeTrustRecords(p *Vouchers) (list []replica.TrustRecord, err error) {
+func decodeTrustRecords(p *Vouchers) (list []replication.TrustRecord, err error) {
 	if len(p.Vouchers) > maxListEntries {
 		return nil, errTooLarge
 	}
-	list = []replica.TrustRecord{}
+	list = []replication.TrustRecord{}
 	for _, v := range p.Vouchers {
-		if len(v.Callers) > replica.MaxTrustedClients {
+		if len(v.Callers) > replication.MaxTrustedClients {
 			return nil, errTooLarge
 		}
-		one := replica.TrustRecord{Name: v.Name, Incarnation: v.Life, Sequence: v.Number}
+		one := replication.TrustRecord{Name: v.Name, Incarnation: v.Life, Sequence: v.Number}
 		for _, c := range v.Callers {
 			if len(c.Addr) != 16 {
 				return nil, errTooLarge
@@ -235,7 +235,7 @@
 	case *Packet_Claimed:
 		m.ClaimReply, err = decodeClaimReply(body.Claimed)
 	case *Packet_Pulling:
-		q := &replica.PullRequest{ConfigDigest: body.Pulling.Plan, Sequence: body.Pulling.Number, Term: decodeTerm(body.Pulling.Sit)}
+		q := &replication.PullRequest{ConfigDigest: body.Pulling.Plan, Sequence: body.Pulling.Number, Term: decodeTerm(body.Pulling.Sit)}
 		if q.Slots, err = decodeSlots(body.Pulling.Slots); err == nil && body.Pulling.After != nil {
 			q.AfterKey, err = decodeKey(body.Pulling.After)
 			q.Resumes = true
@@ -244,7 +244,7 @@
 	case *Packet_Slice:
 		m.PullReply, err = decodePullReply(body.Slice)
 	case *Packet_Sums:
-		s := &replica.Checksums{ConfigDigest: body.Sums.Plan, Term: decodeTerm(body.Sums.Sit), Values: body.Sums.Sums}
+		s := &replication.Checksums{ConfigDigest: body.Sums.Plan, Term: decodeTerm(body.Sums.Sit), Values: body.Sums.Sums}
 		if s.Slots, err = decodeSlots(body.Sums.Slots); err == nil && len(s.Values) != max(1, len(s.Slots)) {
 			err = errTooLarge
 		}
@@ -268,29 +268,29 @@
 	return err
 }
 
-func decodeClaimRequest(p *Claiming) (q *replica.ClaimRequest, err error) {
-	if p.Verb > uint32(replica.OpReport) {
+func decodeClaimRequest(p *Claiming) (q *replication.ClaimRequest, err error) {
+	if p.Verb > uint32(replication.OpReport) {
 		return nil, errOutOfRange
 	}
-	q = &replica.ClaimRequest{ConfigDigest: p.Plan, Operation: replica.Operation(p.Verb)}
+	q = &replication.ClaimRequest{ConfigDigest: p.Plan, Operation: replication.Operation(p.Verb)}
 	if q.Key, err = decodeKey(p.Key); err != nil {
 		return nil, err
 	}
 	if q.Attempt, err = decodeAttempt(p.Try); err != nil {
 		return nil, err
 	}
-	if q.Operation == replica.OpReport && q.Attempt.State == state.StateClaimed || q.Operation != replica.OpReport && q.Attempt.State != state.StateClaimed {
+	if q.Operation == replication.OpReport && q.Attempt.State == state.StateClaimed || q.Operation != replication.OpReport && q.Attempt.State != state.StateClaimed {
 		return nil, errOutOfRange
 	}
 	q.Terms, err = decodeTerms(p.Sits)
 	return q, err
 }
 
-func decodeClaimReply(p *Claimed) (a *replica.ClaimReply, err error) {
-	if p.Verb > uint32(replica.OpReport) || p.Verdict > uint32(replica.ReplyMisrouted) || p.Claim == nil {
+func decodeClaimReply(p *Claimed) (a *replication.ClaimReply, err error) {
+	if p.Verb > uint32(replication.OpReport) || p.Verdict > uint32(replication.ReplyMisrouted) || p.Claim == nil {
 		return nil, errOutOfRange
 	}
-	a = &replica.ClaimReply{ClaimID: state.ClaimID{UnixMilli: p.Claim.At, Incarnation: p.Claim.Who, Sequence: p.Claim.N}, Operation: replica.Operation(p.Verb), Status: replica.ReplyStatus(p.Verdict)}
+	a = &replication.ClaimReply{ClaimID: state.ClaimID{UnixMilli: p.Claim.At, Incarnation: p.Claim.Who, Sequence: p.Claim.N}, Operation: replication.Operation(p.Verb), Status: replication.ReplyStatus(p.Verdict)}
 	if a.Key, err = decodeKey(p.Key); err != nil {
 		return nil, err
 	}
@@ -302,8 +302,8 @@
 }
 
 // decodePullReply reads one whole: a record that changed on its way makes all of it unheard, as what is missing would be taken for unknown.
-func decodePullReply(p *Slice) (*replica.PullReply, error) {
-	s := &replica.PullReply{ConfigDigest: p.Plan, Sequence: p.Number, Term: decodeTerm(p.Sit), RequesterTerm: decodeTerm(p.Yours)}
+func decodePullReply(p *Slice) (*replication.PullReply, error) {
+	s := &replication.PullReply{ConfigDigest: p.Plan, Sequence: p.Number, Term: decodeTerm(p.Sit), RequesterTerm: decodeTerm(p.Yours)}
 	n := 0
 	if len(p.Parts) > maxSlots {
 		return nil, errTooLarge
@@ -312,7 +312,7 @@
 		if n += len(part.Records); part.Slot >= state.SlotCount || n > maxRecords {
 			return nil, errTooLarge
 		}
-		to := replica.SlotRecords{Slot: int(part.Slot), CaughtUp: part.Warm, Complete: part.All}
+		to := replication.SlotRecords{Slot: int(part.Slot), CaughtUp: part.Warm, Complete: part.All}
 		for _, r := range part.Records {
 			k, err := decodeKey(r.Key)
 			if err != nil {
@@ -328,14 +328,14 @@
 			if err := checkCount(r.Left); err != nil {
 				return nil, err
 			}
-			to.Copies = append(to.Copies, replica.RecordCopy{Record: &state.Record{Key: k, Attempts: list}, TimeToLive: r.Left})
+			to.Copies = append(to.Copies, replication.RecordCopy{Record: &state.Record{Key: k, Attempts: list}, TimeToLive: r.Left})
 		}
 		s.Slots = append(s.Slots, to)
 	}
 	return s, nil
 }
 
-func encodeReplicationStatus(s *replica.Status) *CopiesState {
+func encodeReplicationStatus(s *replication.Status) *CopiesState {
 	if s == nil {
 		return nil
 	}
@@ -344,8 +344,8 @@
 		Claims: uint64(s.ActiveClaims), Promised: uint64(s.ReplicatedResults), Unpromised: uint64(s.UnreplicatedResults), Holder: s.IsReplica, Plan: s.ConfigDigest}
 }
 
-func decodeReplicationStatus(p *CopiesState) *replica.Status {
-	return &replica.Status{CatchingUp: int(p.Cold), OutOfSync: int(p.Differ), CaughtUpByPeers: int(p.Learned), CaughtUpByTimeout: int(p.Aged), RepairedRecords: int(p.Mended), ConflictingResults: int(p.Alarms),
+func decodeReplicationStatus(p *CopiesState) *replication.Status {
+	return &replication.Status{CatchingUp: int(p.Cold), OutOfSync: int(p.Differ), CaughtUpByPeers: int(p.Learned), CaughtUpByTimeout: int(p.Aged), RepairedRecords: int(p.Mended), ConflictingResults: int(p.Alarms),
 		Records: int(p.Records), Bytes: int(p.Bytes), DroppedResults: int(p.Dropped), CorruptedRecords: int(p.Flipped), ActiveClaims: int(p.Claims), ReplicatedResults: int(p.Promised),
 		UnreplicatedResults: int(p.Unpromised), IsReplica: p.Holder, ConfigDigest: p.Plan}
 }
--- a/internal/wire/fleet/fleet.go
+++ b/internal/wire/fleet/fleet.go
@@ -11,7 +11,6 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"swiftcourse/internal/judge/replica"
 	"swiftcourse/internal/judge/shared/budget"
 	"swiftcourse/internal/judge/shared/counts"
 	"swiftcourse/internal/judge/shared/health"
@@ -19,6 +18,7 @@
 	"swiftcourse/internal/policy/audit"
 	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/loadplan"
+	"swiftcourse/internal/policy/replication"
 )
 
 // Bounds of what is read; what is written keeps to them by how it is made.
@@ -45,12 +45,12 @@
 	AccountSummary     *audit.Account
 	StateRequest       *StateRequest
 	StateReply         *StateReply
-	ClaimRequest       *replica.ClaimRequest
-	ClaimReply         *replica.ClaimReply
-	PullRequest        *replica.PullRequest
-	PullReply          *replica.PullReply
-	Checksums          *replica.Checksums
-	TrustRecords       []replica.TrustRecord
+	ClaimRequest       *replication.ClaimRequest
+	ClaimReply         *replication.ClaimReply
+	PullRequest        *replication.PullRequest
+	PullReply          *replication.PullReply
+	Checksums          *replication.Checksums
+	TrustRecords       []replication.TrustRecord
 	TrustRequest       bool
 	QuotaRequest       *budget.Request
 	QuotaReply         *budget.Reply
@@ -85,7 +85,7 @@
 	Accounts    []audit.Account
 	ReleaseLog  *version.Log
 	Servers     []lease.ServerStatus
-	Replication *replica.Status // nil where it keeps and claims nothing
+	Replication *replication.Status // nil where it keeps and claims nothing
 }
 
 var (
--- a/internal/wire/fleet/fleet_test.go
+++ b/internal/wire/fleet/fleet_test.go
@@ -11,7 +11,6 @@
 	"google.golang.org/protobuf/proto"
 
 	"swiftcourse/internal/judge/door"
-	"swiftcourse/internal/judge/replica"
 	"swiftcourse/internal/judge/shared/budget"
 	"swiftcourse/internal/judge/shared/counts"
 	"swiftcourse/internal/judge/shared/health"
@@ -19,6 +18,7 @@
 	"swiftcourse/internal/policy/audit"
 	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/loadplan"
+	"swiftcourse/internal/policy/replication"
 	"swiftcourse/internal/policy/serving"
 	state "swiftcourse/internal/replica"
 )
@@ -63,7 +63,7 @@
 		{CommandResult: &CommandResult{ID: 3, RejectReason: "no", NewestEpoch: 5}}, {AccountSummary: &account}, {StateRequest: &StateRequest{RequestID: 4, Names: []string{"n1"}, ClusterID: 7, AppliedCount: 9}},
 		{StateReply: &StateReply{RequestID: 4, Accounts: []audit.Account{account}, ReleaseLog: o, Servers: []lease.ServerStatus{{Name: "n1", Incarnation: 5, ActiveEpoch: 3, AssignedEpoch: 4,
 			SecondsSinceHeard: 1, SecondsBehind: 2, BlockedBy: "s", EjectionReason: "o", Build: "b", Reported: true}},
-			Replication: &replica.Status{ConfigDigest: 1, IsReplica: true, CatchingUp: 2, OutOfSync: 3, CaughtUpByPeers: 4, CaughtUpByTimeout: 5, RepairedRecords: 6, ConflictingResults: 7, Records: 8, Bytes: 9, DroppedResults: 10,
+			Replication: &replication.Status{ConfigDigest: 1, IsReplica: true, CatchingUp: 2, OutOfSync: 3, CaughtUpByPeers: 4, CaughtUpByTimeout: 5, RepairedRecords: 6, ConflictingResults: 7, Records: 8, Bytes: 9, DroppedResults: 10,
 				CorruptedRecords: 11, ActiveClaims: 12, ReplicatedResults: 13, UnreplicatedResults: 14}}},
 		{ForwarderReport: &loadplan.Report{Name: "f1", Life: 3, Number: 4, For: 0.5, Holds: loadplan.Number{Founding: 1, Term: 2, Seq: 3}, Demand: []loadplan.Demand{{Tenant: "acme", Rate: 2}},
 			Workers: []loadplan.Seen{{Name: "w1", Linked: true, Open: 1, Finished: 2, Rejected: 3, Lost: 4}}}},
@@ -72,13 +72,13 @@
 		{CounterReport: &counts.RowReport{Server: "n1", Incarnation: 5, RowID: 6, Sequence: 3, BaseSequence: 2, Closing: true, FrozenSequence: 1, Cells: countsOf(4), Aggregators: []uint64{7, 8}}},
 		{CounterAck: &counts.RowAck{RowID: 6, Sequence: 3, Closed: true, Aggregators: []uint64{7}}}, {CounterSyncRequest: &counts.RowQuery{Number: 2, Rows: []counts.RowAck{{RowID: 6, Sequence: 1}}, All: true, After: 7, Aggregators: []uint64{7, 9}}},
 		{CounterSyncReply: &counts.RowQueryReply{Number: 2, Recovering: true, More: true, Aggregators: []uint64{1}, Rows: []counts.RowReport{{Server: "n1", Incarnation: 5, RowID: 6, Sequence: 3, Cells: countsOf(4)}}}},
-		{ClaimRequest: &replica.ClaimRequest{ConfigDigest: 3, Operation: replica.OpReport, Key: k, Attempt: ran, Terms: []replica.Term{{Number: 4, Incarnation: 5}, {}}}},
-		{ClaimReply: &replica.ClaimReply{Key: k, ClaimID: ran.ClaimID, Operation: replica.OpQuery, Status: replica.ReplyConflict, Terms: []replica.Term{{Number: 4, Incarnation: 5}}, Attempts: []state.Attempt{ran}}},
-		{PullRequest: &replica.PullRequest{ConfigDigest: 3, Sequence: 2, Term: replica.Term{Number: 4, Incarnation: 5}, Slots: []int{0, 255}, AfterKey: k, Resumes: true}},
-		{PullReply: &replica.PullReply{ConfigDigest: 3, Sequence: 2, Term: replica.Term{Number: 4, Incarnation: 5}, RequesterTerm: replica.Term{Number: 1, Incarnation: 2}, Slots: []replica.SlotRecords{{Slot: 7, CaughtUp: true,
-			Copies: []replica.RecordCopy{{Record: &state.Record{Key: k, Attempts: []state.Attempt{ran}}, TimeToLive: 2.5}}}, {Slot: 8, Complete: true}}}},
-		{Checksums: &replica.Checksums{ConfigDigest: 3, Term: replica.Term{Number: 4, Incarnation: 5}, Slots: []int{9}, Values: []uint64{10}}}, {TrustRequest: true},
-		{TrustRecords: []replica.TrustRecord{{Name: "n1", Incarnation: 5, Sequence: 6, Clients: []door.Earned{{Addr: netip.MustParseAddr("10.0.0.1"), Credit: 3}}}}},
+		{ClaimRequest: &replication.ClaimRequest{ConfigDigest: 3, Operation: replication.OpReport, Key: k, Attempt: ran, Terms: []replication.Term{{Number: 4, Incarnation: 5}, {}}}},
+		{ClaimReply: &replication.ClaimReply{Key: k, ClaimID: ran.ClaimID, Operation: replication.OpQuery, Status: replication.ReplyConflict, Terms: []replication.Term{{Number: 4, Incarnation: 5}}, Attempts: []state.Attempt{ran}}},
+		{PullRequest: &replication.PullRequest{ConfigDigest: 3, Sequence: 2, Term: replication.Term{Number: 4, Incarnation: 5}, Slots: []int{0, 255}, AfterKey: k, Resumes: true}},
+		{PullReply: &replication.PullReply{ConfigDigest: 3, Sequence: 2, Term: replication.Term{Number: 4, Incarnation: 5}, RequesterTerm: replication.Term{Number: 1, Incarnation: 2}, Slots: []replication.SlotRecords{{Slot: 7, CaughtUp: true,
+			Copies: []replication.RecordCopy{{Record: &state.Record{Key: k, Attempts: []state.Attempt{ran}}, TimeToLive: 2.5}}}, {Slot: 8, Complete: true}}}},
+		{Checksums: &replication.Checksums{ConfigDigest: 3, Term: replication.Term{Number: 4, Incarnation: 5}, Slots: []int{9}, Values: []uint64{10}}}, {TrustRequest: true},
+		{TrustRecords: []replication.TrustRecord{{Name: "n1", Incarnation: 5, Sequence: 6, Clients: []door.Earned{{Addr: netip.MustParseAddr("10.0.0.1"), Credit: 3}}}}},
 		{QuotaRequest: &budget.Request{Incarnation: 77, Number: 3, ConfigHash: 4, GrantorID: 5, Demands: []budget.Demand{{Name: "calls", Requested: 1.5, InUse: 2, LeasedShare: 3, RemainingSeconds: 0.5, GrantNumber: 2}}}},
 		{HealthReports: []health.Report{{Server: "n1", Zone: "z", Incarnation: 5, Sequence: 6, AgeSeconds: 0.5, Tally: health.Tally{Succeeded: 3, Failed: 1, SuccessSeconds: 0.25}}}},
 		{QuotaReply: &budget.Reply{Incarnation: 77, Number: 3, GrantorID: 5, Grants: []budget.Grant{{Name: "calls", LeasedShare: 2.5}}}},
