--- a/internal/lab/copies/copies.go
+++ b/internal/lab/copies/copies.go
@@ -16,7 +16,7 @@
 	"swiftcourse/internal/lab/load"
 	"swiftcourse/internal/peers"
 	"swiftcourse/internal/policy/replication"
-	state "swiftcourse/internal/replica"
+	state "swiftcourse/internal/replicastore"
 )
 
 // Plan is one run.
--- a/internal/peers/copies.go
+++ b/internal/peers/copies.go
@@ -6,7 +6,7 @@
 
 	"swiftcourse/internal/policy/replication"
 	"swiftcourse/internal/policy/serving"
-	state "swiftcourse/internal/replica"
+	state "swiftcourse/internal/replicastore"
 	wire "swiftcourse/internal/wire/fleet"
 )
 
--- a/internal/policy/replication/asker.go
+++ b/internal/policy/replication/asker.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"swiftcourse/internal/policy/serving"
-	state "swiftcourse/internal/replica"
+	state "swiftcourse/internal/replicastore"
 	"swiftcourse/internal/ring"
 )
 
--- a/internal/policy/replication/history_test.go
+++ b/internal/policy/replication/history_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 
 	"swiftcourse/internal/policy/serving"
-	state "swiftcourse/internal/replica"
+	state "swiftcourse/internal/replicastore"
 )
 
 // registerModel is what claims of one key are to look like from outside: a register that one claim at a time may take, that may be given back unused, and
--- a/internal/policy/replication/holder.go
+++ b/internal/policy/replication/holder.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	state "swiftcourse/internal/replica"
+	state "swiftcourse/internal/replicastore"
 )
 
 // Operation is what a claimant asks of a holder.
--- a/internal/policy/replication/merge.go
+++ b/internal/policy/replication/merge.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"slices"
 
-	state "swiftcourse/internal/replica"
+	state "swiftcourse/internal/replicastore"
 )
 
 // maxAttempts bounds the tries of one key that a holder remembers. That one was withdrawn is remembered for its claim's sake, should it come late: one
--- a/internal/policy/replication/place.go
+++ b/internal/policy/replication/place.go
@@ -11,7 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	state "swiftcourse/internal/replica"
+	state "swiftcourse/internal/replicastore"
 )
 
 // Member is a server that holds copies, as the operator's file tells it.
--- a/internal/policy/replication/replica_test.go
+++ b/internal/policy/replication/replica_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"swiftcourse/internal/policy/serving"
-	state "swiftcourse/internal/replica"
+	state "swiftcourse/internal/replicastore"
 )
 
 // cluster plays servers that hold and claim, and a network between them, in simulated time.
--- a/internal/policy/replication/rules_test.go
+++ b/internal/policy/replication/rules_test.go
@@ -11,7 +11,7 @@
 
 	"swiftcourse/internal/judge/door"
 	"swiftcourse/internal/policy/serving"
-	state "swiftcourse/internal/replica"
+	state "swiftcourse/internal/replicastore"
 )
 
 // drawRecord is a record of some tries, in order, with few values so that copies meet.
--- a/internal/replica/record.go
+++ b/internal/replicastore/record.go
@@ -1,6 +1,6 @@
-// Package replica is what a server holds of the fleet's state: who claimed which key, and what came of it. It is a plain structure with bounds on
+// Package replicastore is what a server holds of the fleet's state: who claimed which key, and what came of it. It is a plain structure with bounds on
 // entries and bytes; what goes in, and which copy wins, is decided by internal/judge/replica.
-package replica
+package replicastore
 
 import (
 	"cmp"
--- a/internal/replica/store_test.go
+++ b/internal/replicastore/store_test.go
@@ -1,4 +1,4 @@
-package replica
+package replicastore
 
 import (
 	"fmt"
--- a/internal/wire/fleet/copies.go
+++ b/internal/wire/fleet/copies.go
@@ -10,7 +10,7 @@
 	"swiftcourse/internal/judge/shared/budget"
 	"swiftcourse/internal/judge/shared/health"
 	"swiftcourse/internal/policy/replication"
-	state "swiftcourse/internal/replica"
+	state "swiftcourse/internal/replicastore"
 )
 
 // This file is what servers say of the copies that they hold.
--- a/internal/wire/fleet/fleet_test.go
+++ b/internal/wire/fleet/fleet_test.go
@@ -20,7 +20,7 @@
 	"swiftcourse/internal/policy/loadplan"
 	"swiftcourse/internal/policy/replication"
 	"swiftcourse/internal/policy/serving"
-	state "swiftcourse/internal/replica"
+	state "swiftcourse/internal/replicastore"
 )
 
 func fullReleaseLog() *version.Log {
