--- a/cmd/swiftcourse-fleet/budgets.go
+++ b/cmd/swiftcourse-fleet/budgets.go
@@ -8,9 +8,9 @@
 	"strconv"
 	"strings"
 
-	"swiftcourse/internal/judge/shared/budget"
 	"swiftcourse/internal/life"
 	"swiftcourse/internal/peers"
+	"swiftcourse/internal/policy/quota"
 	"swiftcourse/internal/policy/serving"
 	"swiftcourse/internal/serve"
 )
@@ -24,8 +24,8 @@
 )
 
 // termsOf reads the budgets of a file; none where budget-servers is not there.
-func termsOf(conf *life.OperatorSettings, start *life.Startup) (budget.Config, error) {
-	t := budget.Config{LeaseSeconds: conf.FleetLease.Seconds(), FloorFraction: float64(conf.BudgetFloor), MaxServers: conf.BudgetServers}
+func termsOf(conf *life.OperatorSettings, start *life.Startup) (quota.Config, error) {
+	t := quota.Config{LeaseSeconds: conf.FleetLease.Seconds(), FloorFraction: float64(conf.BudgetFloor), MaxServers: conf.BudgetServers}
 	if conf.BudgetServers == 0 {
 		if len(conf.Budgets) > 0 {
 			return t, errors.New("budget: needs budget-servers")
@@ -42,7 +42,7 @@
 		if !ok || err != nil || name != calls && !strings.HasPrefix(name, tenantBudget) {
 			return t, fmt.Errorf("budget: %q is neither tenant/NAME=RATE nor calls=NUMBER", text)
 		}
-		b := budget.Limit{Name: name, Max: most}
+		b := quota.Limit{Name: name, Max: most}
 		if name == calls { // a call ends with its task, and lingers below for as long as the platform says
 			b.Concurrent, b.LingerSeconds = true, longest+start.Settings.AbandonedCallLifetime
 		}
@@ -62,12 +62,12 @@
 	}
 	p.terms = terms
 	return &peers.QuotaConfig{
-		Settings: func() budget.Config {
+		Settings: func() quota.Config {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			return p.terms
 		},
-		OnAllowances: func(list []budget.Allowance) {
+		OnAllowances: func(list []quota.Allowance) {
 			here := make([]serving.Allowance, 0, len(list))
 			for _, a := range list {
 				tenant := -1
@@ -78,7 +78,7 @@
 					}
 					tenant = at
 				}
-				here = append(here, serving.Allowance{Name: a.Name, FleetMax: a.FleetMax, Tenant: tenant, Guaranteed: a.Floor, LeasedShare: a.LeasedShare, LeaseExpiry: clock.ToSource(a.LeaseExpiry), BurstSeconds: budget.BurstSeconds, GrantNumber: a.GrantNumber})
+				here = append(here, serving.Allowance{Name: a.Name, FleetMax: a.FleetMax, Tenant: tenant, Guaranteed: a.Floor, LeasedShare: a.LeasedShare, LeaseExpiry: clock.ToSource(a.LeaseExpiry), BurstSeconds: quota.BurstSeconds, GrantNumber: a.GrantNumber})
 			}
 			p.allow(func() { p.parted = here })
 		},
--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"swiftcourse/internal/forward"
-	"swiftcourse/internal/judge/shared/budget"
 	"swiftcourse/internal/life"
 	"swiftcourse/internal/peers"
 	"swiftcourse/internal/policy/loadplan"
+	"swiftcourse/internal/policy/quota"
 	"swiftcourse/internal/policy/serving"
 	"swiftcourse/internal/serve"
 )
@@ -82,7 +82,7 @@
 	for _, d := range part.Rates {
 		if at, known := start.TenantIndex[d.Tenant]; known {
 			list = append(list, serving.Allowance{Name: "plan/" + d.Tenant, Tenant: at, FleetMax: math.MaxInt32, Guaranteed: math.MaxInt32, LeasedShare: d.Rate - math.MaxInt32, LeaseExpiry: till,
-				BurstSeconds: budget.BurstSeconds})
+				BurstSeconds: quota.BurstSeconds})
 		}
 	}
 	return list
--- a/cmd/swiftcourse-fleet/main.go
+++ b/cmd/swiftcourse-fleet/main.go
@@ -17,11 +17,11 @@
 	"time"
 
 	"swiftcourse/internal/forward"
-	"swiftcourse/internal/judge/shared/budget"
 	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/life"
 	"swiftcourse/internal/peers"
 	"swiftcourse/internal/policy/lease"
+	"swiftcourse/internal/policy/quota"
 	"swiftcourse/internal/policy/replication"
 	"swiftcourse/internal/policy/serving"
 	"swiftcourse/internal/program"
@@ -37,7 +37,7 @@
 	released string
 	server   *serve.Server
 	start    *life.Startup
-	terms    budget.Config // of the budgets that all share, as own and released say
+	terms    quota.Config // of the budgets that all share, as own and released say
 
 	parted []serving.Allowance // parts of budgets
 	held   peers.CallLimit     // calls below
--- a/internal/lab/budgets/budgets.go
+++ b/internal/lab/budgets/budgets.go
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"swiftcourse/internal/judge/shared/budget"
 	"swiftcourse/internal/lab/faults"
+	"swiftcourse/internal/policy/quota"
 	"swiftcourse/internal/wire/shale"
 )
 
@@ -94,7 +94,7 @@
 // Run plays a seed.
 func Run(ctx context.Context, p *Plan) (Row, error) {
 	most := perServer * float64(p.Servers)
-	terms := budget.Config{LeaseSeconds: lease.Seconds(), FloorFraction: floor, MaxServers: p.Servers, Limits: []budget.Limit{{Name: tenant, Max: most}}}
+	terms := quota.Config{LeaseSeconds: lease.Seconds(), FloorFraction: floor, MaxServers: p.Servers, Limits: []quota.Limit{{Name: tenant, Max: most}}}
 	r := &run{Plan: p, most: most, row: Row{Seed: p.Seed, Servers: p.Servers, Slack: terms.MaxBurst(&terms.Limits[0])}}
 	shape := faults.Small(p.Program)
 	shape.Log = p.Log
--- a/internal/lab/emulate/budgets.go
+++ b/internal/lab/emulate/budgets.go
@@ -6,8 +6,8 @@
 	"slices"
 	"strings"
 
-	"swiftcourse/internal/judge/shared/budget"
 	"swiftcourse/internal/peers"
+	"swiftcourse/internal/policy/quota"
 	"swiftcourse/internal/policy/serving"
 )
 
@@ -90,12 +90,12 @@
 func RunShared(p *Shared) SharedRow {
 	s := &sharing{talks: newTalks(&Versions{Servers: p.Servers, Voters: p.Voters, Seconds: p.Seconds, Seed: p.Seed}), plan: p, most: perServer * float64(p.Servers),
 		row: SharedRow{Seed: p.Seed, Servers: p.Servers}}
-	terms := budget.Config{LeaseSeconds: versionTerms.Duration, FloorFraction: sharedFloor, MaxServers: p.Servers, Limits: []budget.Limit{{Name: sharedName, Max: s.most}}}
+	terms := quota.Config{LeaseSeconds: versionTerms.Duration, FloorFraction: sharedFloor, MaxServers: p.Servers, Limits: []quota.Limit{{Name: sharedName, Max: s.most}}}
 	for _, t := range s.servers {
 		sp := &spender{talker: t}
 		s.spenders = append(s.spenders, sp)
 		t.budgets = func(clock *peers.Clock) *peers.QuotaConfig {
-			return &peers.QuotaConfig{Settings: func() budget.Config { return terms }, OnAllowances: func(list []budget.Allowance) {
+			return &peers.QuotaConfig{Settings: func() quota.Config { return terms }, OnAllowances: func(list []quota.Allowance) {
 				a := list[0]
 				sp.may = serving.Allowance{Guaranteed: a.Floor, LeasedShare: a.LeasedShare, LeaseExpiry: clock.ToSource(a.LeaseExpiry), GrantNumber: a.GrantNumber}
 			}}
--- a/internal/peers/budgets.go
+++ b/internal/peers/budgets.go
@@ -5,8 +5,8 @@
 	"math"
 	"time"
 
-	"swiftcourse/internal/judge/shared/budget"
 	"swiftcourse/internal/judge/version"
+	"swiftcourse/internal/policy/quota"
 	wire "swiftcourse/internal/wire/fleet"
 )
 
@@ -15,8 +15,8 @@
 
 // QuotaConfig is what a process does with them.
 type QuotaConfig struct {
-	Settings     func() budget.Config     // as the version says on which the server acts
-	OnAllowances func([]budget.Allowance) // hands the serving loop what it may use, by the fleet's clock
+	Settings     func() quota.Config     // as the version says on which the server acts
+	OnAllowances func([]quota.Allowance) // hands the serving loop what it may use, by the fleet's clock
 }
 
 // Usage is what the serving loop used of a budget lately.
@@ -32,8 +32,8 @@
 // quotaState is the part's state of them.
 type quotaState struct {
 	*QuotaConfig
-	holder  *budget.Holder
-	grantor *budget.Grantor // nil where this process does not lead
+	holder  *quota.Holder
+	grantor *quota.Grantor // nil where this process does not lead
 }
 
 // ReportUsage takes what the serving loop used, from any goroutine.
@@ -48,7 +48,7 @@
 	if f.Quotas == nil {
 		return
 	}
-	f.quotas = &quotaState{QuotaConfig: f.Config.Quotas, holder: budget.NewHolder(f.incarnation, f.Config.Quotas.Settings(), now)}
+	f.quotas = &quotaState{QuotaConfig: f.Config.Quotas, holder: quota.NewHolder(f.incarnation, f.Config.Quotas.Settings(), now)}
 	f.tellBudgets()
 }
 
@@ -80,7 +80,7 @@
 	case f.leaseTable == nil:
 		b.grantor = nil
 	case b.grantor == nil:
-		b.grantor = budget.NewGrantor(b.Settings(), f.random.Uint64()|1, now)
+		b.grantor = quota.NewGrantor(b.Settings(), f.random.Uint64()|1, now)
 	}
 }
 
@@ -137,9 +137,9 @@
 type QuotaStatus struct {
 	Now      float64 // of the fleet's clock here
 	Leader   string
-	IsLeader bool                 `json:"Leads"`
-	Held     []budget.Allowance   `json:"Here,omitempty"` // where a part is held, by the fleet's clock
-	Granted  []budget.LimitStatus `json:",omitempty"`     // at the voter that leads
+	IsLeader bool                `json:"Leads"`
+	Held     []quota.Allowance   `json:"Here,omitempty"` // where a part is held, by the fleet's clock
+	Granted  []quota.LimitStatus `json:",omitempty"`     // at the voter that leads
 	Epoch    version.Epoch
 }
 
--- a/internal/judge/shared/budget/budget.go
+++ b/internal/policy/quota/budget.go
@@ -1,10 +1,10 @@
-// Package budget decides how a bound that holds for the whole fleet is split among its servers, so that what all of them may use together never
+// Package quota decides how a bound that holds for the whole fleet is split among its servers, so that what all of them may use together never
 // exceeds it, whatever is cut, late, stopped or restarted. There is no I/O and no clock in it.
 //
 // A part of each bound, the floor, is set aside: every server has an even share of it at all times, heard or not. The rest is given out in parts by
 // whoever leads the voters (Granter), each for a lease that runs from the moment at which its server asked for it (Holder), by that one's clock. A
 // part that was given out counts until its server is known to have put it down, or its lease is surely over. docs/shared.md has the argument.
-package budget
+package quota
 
 import (
 	"fmt"
--- a/internal/judge/shared/budget/budget_test.go
+++ b/internal/policy/quota/budget_test.go
@@ -1,4 +1,4 @@
-package budget
+package quota
 
 import (
 	"fmt"
--- a/internal/wire/fleet/copies.go
+++ b/internal/wire/fleet/copies.go
@@ -7,8 +7,8 @@
 	"net/netip"
 
 	"swiftcourse/internal/judge/door"
-	"swiftcourse/internal/judge/shared/budget"
 	"swiftcourse/internal/judge/shared/health"
+	"swiftcourse/internal/policy/quota"
 	"swiftcourse/internal/policy/replication"
 	state "swiftcourse/internal/replicastore"
 )
@@ -351,16 +351,16 @@
 }
 
 // decodeQuotaRequest reads a server's question about budgets. What it says of them the granter bounds; here only what is no number is refused.
-func decodeQuotaRequest(p *Wishing) (*budget.Request, error) {
-	if len(p.Wishes) > budget.MaxEntries {
+func decodeQuotaRequest(p *Wishing) (*quota.Request, error) {
+	if len(p.Wishes) > quota.MaxEntries {
 		return nil, errTooLarge
 	}
-	q := &budget.Request{Number: p.Number, ConfigHash: p.Terms, GrantorID: p.Granter}
+	q := &quota.Request{Number: p.Number, ConfigHash: p.Terms, GrantorID: p.Granter}
 	for _, w := range p.Wishes {
 		if err := errors.Join(checkNames(w.Name), checkCount(w.Demand), checkCount(w.Open), checkCount(w.Part), checkCount(w.Left)); err != nil {
 			return nil, err
 		}
-		q.Demands = append(q.Demands, budget.Demand{Name: w.Name, Requested: w.Demand, InUse: w.Open, LeasedShare: w.Part, RemainingSeconds: w.Left, GrantNumber: w.Answer})
+		q.Demands = append(q.Demands, quota.Demand{Name: w.Name, Requested: w.Demand, InUse: w.Open, LeasedShare: w.Part, RemainingSeconds: w.Left, GrantNumber: w.Answer})
 	}
 	return q, nil
 }
@@ -380,16 +380,16 @@
 	return list, nil
 }
 
-func decodeQuotaReply(p *Granting) (*budget.Reply, error) {
-	if len(p.Grants) > budget.MaxEntries {
+func decodeQuotaReply(p *Granting) (*quota.Reply, error) {
+	if len(p.Grants) > quota.MaxEntries {
 		return nil, errTooLarge
 	}
-	a := &budget.Reply{Incarnation: p.Life, Number: p.Number, GrantorID: p.Granter}
+	a := &quota.Reply{Incarnation: p.Life, Number: p.Number, GrantorID: p.Granter}
 	for _, g := range p.Grants {
 		if err := errors.Join(checkNames(g.Name), checkCount(g.Part)); err != nil {
 			return nil, err
 		}
-		a.Grants = append(a.Grants, budget.Grant{Name: g.Name, LeasedShare: g.Part})
+		a.Grants = append(a.Grants, quota.Grant{Name: g.Name, LeasedShare: g.Part})
 	}
 	return a, nil
 }
--- a/internal/wire/fleet/fleet.go
+++ b/internal/wire/fleet/fleet.go
@@ -11,13 +11,13 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"swiftcourse/internal/judge/shared/budget"
 	"swiftcourse/internal/judge/shared/counts"
 	"swiftcourse/internal/judge/shared/health"
 	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/policy/audit"
 	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/loadplan"
+	"swiftcourse/internal/policy/quota"
 	"swiftcourse/internal/policy/replication"
 )
 
@@ -52,8 +52,8 @@
 	Checksums          *replication.Checksums
 	TrustRecords       []replication.TrustRecord
 	TrustRequest       bool
-	QuotaRequest       *budget.Request
-	QuotaReply         *budget.Reply
+	QuotaRequest       *quota.Request
+	QuotaReply         *quota.Reply
 	HealthReports      []health.Report
 	CounterReport      *counts.RowReport
 	CounterAck         *counts.RowAck
--- a/internal/wire/fleet/fleet_test.go
+++ b/internal/wire/fleet/fleet_test.go
@@ -11,13 +11,13 @@
 	"google.golang.org/protobuf/proto"
 
 	"swiftcourse/internal/judge/door"
-	"swiftcourse/internal/judge/shared/budget"
 	"swiftcourse/internal/judge/shared/counts"
 	"swiftcourse/internal/judge/shared/health"
 	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/policy/audit"
 	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/loadplan"
+	"swiftcourse/internal/policy/quota"
 	"swiftcourse/internal/policy/replication"
 	"swiftcourse/internal/policy/serving"
 	state "swiftcourse/internal/replicastore"
@@ -79,9 +79,9 @@
 			Copies: []replication.RecordCopy{{Record: &state.Record{Key: k, Attempts: []state.Attempt{ran}}, TimeToLive: 2.5}}}, {Slot: 8, Complete: true}}}},
 		{Checksums: &replication.Checksums{ConfigDigest: 3, Term: replication.Term{Number: 4, Incarnation: 5}, Slots: []int{9}, Values: []uint64{10}}}, {TrustRequest: true},
 		{TrustRecords: []replication.TrustRecord{{Name: "n1", Incarnation: 5, Sequence: 6, Clients: []door.Earned{{Addr: netip.MustParseAddr("10.0.0.1"), Credit: 3}}}}},
-		{QuotaRequest: &budget.Request{Incarnation: 77, Number: 3, ConfigHash: 4, GrantorID: 5, Demands: []budget.Demand{{Name: "calls", Requested: 1.5, InUse: 2, LeasedShare: 3, RemainingSeconds: 0.5, GrantNumber: 2}}}},
+		{QuotaRequest: &quota.Request{Incarnation: 77, Number: 3, ConfigHash: 4, GrantorID: 5, Demands: []quota.Demand{{Name: "calls", Requested: 1.5, InUse: 2, LeasedShare: 3, RemainingSeconds: 0.5, GrantNumber: 2}}}},
 		{HealthReports: []health.Report{{Server: "n1", Zone: "z", Incarnation: 5, Sequence: 6, AgeSeconds: 0.5, Tally: health.Tally{Succeeded: 3, Failed: 1, SuccessSeconds: 0.25}}}},
-		{QuotaReply: &budget.Reply{Incarnation: 77, Number: 3, GrantorID: 5, Grants: []budget.Grant{{Name: "calls", LeasedShare: 2.5}}}},
+		{QuotaReply: &quota.Reply{Incarnation: 77, Number: 3, GrantorID: 5, Grants: []quota.Grant{{Name: "calls", LeasedShare: 2.5}}}},
 	}
 }
 
@@ -127,10 +127,10 @@
 		{AccountSummary: &audit.Account{Intervals: make([]audit.Interval, maxListEntries+1)}},
 		{StateRequest: &StateRequest{Names: make([]string, maxMapEntries+1)}},
 		{Consensus: &version.Message{Heartbeat: &version.Heartbeat{Name: "v", DetachedVoters: many}}},
-		{QuotaRequest: &budget.Request{Demands: make([]budget.Demand, budget.MaxEntries+1)}},
-		{QuotaRequest: &budget.Request{Demands: []budget.Demand{{Name: "calls", Requested: -1}}}},
-		{QuotaRequest: &budget.Request{Demands: []budget.Demand{{Name: long}}}},
-		{QuotaReply: &budget.Reply{Grants: []budget.Grant{{Name: "calls", LeasedShare: math.NaN()}}}},
+		{QuotaRequest: &quota.Request{Demands: make([]quota.Demand, quota.MaxEntries+1)}},
+		{QuotaRequest: &quota.Request{Demands: []quota.Demand{{Name: "calls", Requested: -1}}}},
+		{QuotaRequest: &quota.Request{Demands: []quota.Demand{{Name: long}}}},
+		{QuotaReply: &quota.Reply{Grants: []quota.Grant{{Name: "calls", LeasedShare: math.NaN()}}}},
 		{HealthReports: make([]health.Report, health.MaxReports+1)},
 		{HealthReports: []health.Report{{AgeSeconds: -1}}},
 		{Consensus: &version.Message{From: 1, To: 2, Raft: &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: new(uint64(9)), To: new(uint64(2))}}},
