--- a/internal/peers/counts.go
+++ b/internal/peers/counts.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"time"
 
-	"swiftcourse/internal/judge/shared/counts"
 	"swiftcourse/internal/judge/version"
+	"swiftcourse/internal/policy/counter"
 	"swiftcourse/internal/policy/serving"
 	wire "swiftcourse/internal/wire/fleet"
 )
@@ -17,8 +17,8 @@
 
 // counterState is the part's state of it.
 type counterState struct {
-	reporter   *counts.Reporter
-	aggregator *counts.Aggregator // nil where this is no voter
+	reporter   *counter.Reporter
+	aggregator *counter.Aggregator // nil where this is no voter
 	closedRows map[uint64]uint64
 	indexedAt  uint64 // of the order from which over was made
 	gapLogged  bool   // the log was told that it may lack something
@@ -42,11 +42,11 @@
 	if !f.CountersEnabled {
 		return
 	}
-	c := &counterState{reporter: counts.NewReporter(f.Name, f.incarnation, f.voterNames, now), closedRows: map[uint64]uint64{}, indexedAt: math.MaxUint64}
+	c := &counterState{reporter: counter.NewReporter(f.Name, f.incarnation, f.voterNames, now), closedRows: map[uint64]uint64{}, indexedAt: math.MaxUint64}
 	f.counters = c
 	if f.voter != nil {
 		sit := uint64(max(0, f.UnixNow()*1000))<<16 | f.incarnation>>48
-		c.aggregator = counts.NewAggregator(f.Name, f.voterNames, sit, func(row uint64) (uint64, bool) {
+		c.aggregator = counter.NewAggregator(f.Name, f.voterNames, sit, func(row uint64) (uint64, bool) {
 			f.indexClosed()
 			number, over := c.closedRows[row]
 			return number, over
@@ -91,7 +91,7 @@
 	}
 }
 
-func (f *Agent) mailCounts(now float64, list []counts.Envelope) {
+func (f *Agent) mailCounts(now float64, list []counter.Envelope) {
 	for _, l := range list {
 		m := &wire.Envelope{CounterReport: l.Report, CounterSyncRequest: l.Query, From: f.Name, Incarnation: f.incarnation}
 		if l.To == f.Name {
@@ -103,7 +103,7 @@
 }
 
 // closeRows has the voters add rows up that are over. A command that is lost is asked for again.
-func (f *Agent) closeRows(ripe []counts.RowReport) {
+func (f *Agent) closeRows(ripe []counter.RowReport) {
 	if len(ripe) == 0 || f.leaseTable == nil {
 		return
 	}
@@ -162,7 +162,7 @@
 	Unreported   []serving.CounterCell `json:"Here"`    // what it counted that is not closed
 	Acknowledged bool                  `json:"Agreed"`  // most keepers have all of that
 	Unplaced     uint64
-	Totals       *counts.Summary `json:"Known"` // nil where it is no keeper
+	Totals       *counter.Summary `json:"Known"` // nil where it is no keeper
 }
 
 // CounterStatus tells what is known here of the fleet's counts.
--- a/internal/judge/shared/counts/counts.go
+++ b/internal/policy/counter/counts.go
@@ -1,11 +1,11 @@
-// Package counts adds up what all servers of a fleet counted, free of I/O, clock and chance: how many tasks of each tenant and stage were asked for,
+// Package counter adds up what all servers of a fleet counted, free of I/O, clock and chance: how many tasks of each tenant and stage were asked for,
 // and how they ended. Each task counts once, whatever messages are lost, late or doubled, and whoever dies; docs/shared.md has the argument.
 //
 // A server's counts since its start are a row, which only grows. It tells its row to a few keepers, the fleet's voters, under numbers that grow by one,
 // and takes the next number only once most keepers have the last: so a row that is over ended as one of two states that its server knows, should it
 // still live. A row whose server is gone is closed: added to the sums that the voters' order keeps, once, under the highest number that most keepers
 // know of; each of those takes no more of it from then on. So what is kept is bounded by those who are there, though names come and go for ever.
-package counts
+package counter
 
 import (
 	"slices"
--- a/internal/judge/shared/counts/counts_test.go
+++ b/internal/policy/counter/counts_test.go
@@ -1,4 +1,4 @@
-package counts
+package counter
 
 import (
 	"fmt"
--- a/internal/wire/fleet/counts.go
+++ b/internal/wire/fleet/counts.go
@@ -3,8 +3,8 @@
 import (
 	"errors"
 
-	"swiftcourse/internal/judge/shared/counts"
 	"swiftcourse/internal/judge/version"
+	"swiftcourse/internal/policy/counter"
 	"swiftcourse/internal/policy/serving"
 )
 
@@ -36,12 +36,12 @@
 	return list, nil
 }
 
-func encodeCounterRow(t *counts.RowReport) *Row {
+func encodeCounterRow(t *counter.RowReport) *Row {
 	return &Row{Name: t.Server, Life: t.Incarnation, Row: t.RowID, Number: t.Sequence, Base: t.BaseSequence, Closes: t.Closing, Stands: t.FrozenSequence, Cells: encodeCounts(t.Cells), Sits: t.Aggregators}
 }
 
-func decodeCounterRow(p *Row) (t *counts.RowReport, err error) {
-	t = &counts.RowReport{Server: p.GetName(), Incarnation: p.GetLife(), RowID: p.GetRow(), Sequence: p.GetNumber(), BaseSequence: p.GetBase(), Closing: p.GetCloses(), FrozenSequence: p.GetStands(), Aggregators: p.GetSits()}
+func decodeCounterRow(p *Row) (t *counter.RowReport, err error) {
+	t = &counter.RowReport{Server: p.GetName(), Incarnation: p.GetLife(), RowID: p.GetRow(), Sequence: p.GetNumber(), BaseSequence: p.GetBase(), Closing: p.GetCloses(), FrozenSequence: p.GetStands(), Aggregators: p.GetSits()}
 	if err = errors.Join(checkNames(t.Server), checkAggregatorCount(t.Aggregators)); err == nil {
 		t.Cells, err = decodeCounts(p.GetCells())
 	}
@@ -73,15 +73,15 @@
 	return list, nil
 }
 
-func encodeCounterAck(h counts.RowAck) *RowHeard {
+func encodeCounterAck(h counter.RowAck) *RowHeard {
 	return &RowHeard{Row: h.RowID, Number: h.Sequence, Over: h.Closed, Sits: h.Aggregators}
 }
 
-func decodeCounterAck(p *RowHeard) counts.RowAck {
-	return counts.RowAck{RowID: p.GetRow(), Sequence: p.GetNumber(), Closed: p.GetOver(), Aggregators: p.GetSits()}
+func decodeCounterAck(p *RowHeard) counter.RowAck {
+	return counter.RowAck{RowID: p.GetRow(), Sequence: p.GetNumber(), Closed: p.GetOver(), Aggregators: p.GetSits()}
 }
 
-func checkAggregatorCount(sits counts.Incarnations) error {
+func checkAggregatorCount(sits counter.Incarnations) error {
 	if len(sits) > maxListEntries {
 		return errTooLarge
 	}
@@ -122,7 +122,7 @@
 		h := decodeCounterAck(body.RowHeard)
 		m.CounterAck, err = &h, checkAggregatorCount(h.Aggregators)
 	case *Packet_AskRows:
-		m.CounterSyncRequest = &counts.RowQuery{Number: body.AskRows.Number, All: body.AskRows.All, After: body.AskRows.After, Aggregators: body.AskRows.Sits}
+		m.CounterSyncRequest = &counter.RowQuery{Number: body.AskRows.Number, All: body.AskRows.All, After: body.AskRows.After, Aggregators: body.AskRows.Sits}
 		if len(body.AskRows.Rows) > maxListEntries {
 			return errTooLarge
 		}
@@ -131,7 +131,7 @@
 			m.CounterSyncRequest.Rows = append(m.CounterSyncRequest.Rows, decodeCounterAck(h))
 		}
 	case *Packet_Rows:
-		m.CounterSyncReply = &counts.RowQueryReply{Number: body.Rows.Number, Recovering: body.Rows.Cold, More: body.Rows.More, Aggregators: body.Rows.Sits}
+		m.CounterSyncReply = &counter.RowQueryReply{Number: body.Rows.Number, Recovering: body.Rows.Cold, More: body.Rows.More, Aggregators: body.Rows.Sits}
 		if len(body.Rows.Sits) > maxListEntries || len(body.Rows.Rows) > maxMapEntries || body.Rows.More && len(body.Rows.Rows) == 0 {
 			return errTooLarge
 		}
--- a/internal/wire/fleet/fleet.go
+++ b/internal/wire/fleet/fleet.go
@@ -11,10 +11,10 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"swiftcourse/internal/judge/shared/counts"
 	"swiftcourse/internal/judge/shared/health"
 	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/policy/audit"
+	"swiftcourse/internal/policy/counter"
 	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/loadplan"
 	"swiftcourse/internal/policy/quota"
@@ -55,10 +55,10 @@
 	QuotaRequest       *quota.Request
 	QuotaReply         *quota.Reply
 	HealthReports      []health.Report
-	CounterReport      *counts.RowReport
-	CounterAck         *counts.RowAck
-	CounterSyncRequest *counts.RowQuery
-	CounterSyncReply   *counts.RowQueryReply
+	CounterReport      *counter.RowReport
+	CounterAck         *counter.RowAck
+	CounterSyncRequest *counter.RowQuery
+	CounterSyncReply   *counter.RowQueryReply
 	ForwarderReport    *loadplan.Report
 	PlanShare          *loadplan.Part
 	Size               int // bytes that it came in, set by who received it
--- a/internal/wire/fleet/fleet_test.go
+++ b/internal/wire/fleet/fleet_test.go
@@ -11,10 +11,10 @@
 	"google.golang.org/protobuf/proto"
 
 	"swiftcourse/internal/judge/door"
-	"swiftcourse/internal/judge/shared/counts"
 	"swiftcourse/internal/judge/shared/health"
 	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/policy/audit"
+	"swiftcourse/internal/policy/counter"
 	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/loadplan"
 	"swiftcourse/internal/policy/quota"
@@ -69,9 +69,9 @@
 			Workers: []loadplan.Seen{{Name: "w1", Linked: true, Open: 1, Finished: 2, Rejected: 3, Lost: 4}}}},
 		{PlanShare: &loadplan.Part{Number: loadplan.Number{Founding: 1, Term: 2, Seq: 3}, For: 3, Answers: 4, Lease: 2, Weights: []loadplan.Weight{{Name: "w1", Part: 0.5}},
 			Rates: []loadplan.Demand{{Rate: 7}}}},
-		{CounterReport: &counts.RowReport{Server: "n1", Incarnation: 5, RowID: 6, Sequence: 3, BaseSequence: 2, Closing: true, FrozenSequence: 1, Cells: countsOf(4), Aggregators: []uint64{7, 8}}},
-		{CounterAck: &counts.RowAck{RowID: 6, Sequence: 3, Closed: true, Aggregators: []uint64{7}}}, {CounterSyncRequest: &counts.RowQuery{Number: 2, Rows: []counts.RowAck{{RowID: 6, Sequence: 1}}, All: true, After: 7, Aggregators: []uint64{7, 9}}},
-		{CounterSyncReply: &counts.RowQueryReply{Number: 2, Recovering: true, More: true, Aggregators: []uint64{1}, Rows: []counts.RowReport{{Server: "n1", Incarnation: 5, RowID: 6, Sequence: 3, Cells: countsOf(4)}}}},
+		{CounterReport: &counter.RowReport{Server: "n1", Incarnation: 5, RowID: 6, Sequence: 3, BaseSequence: 2, Closing: true, FrozenSequence: 1, Cells: countsOf(4), Aggregators: []uint64{7, 8}}},
+		{CounterAck: &counter.RowAck{RowID: 6, Sequence: 3, Closed: true, Aggregators: []uint64{7}}}, {CounterSyncRequest: &counter.RowQuery{Number: 2, Rows: []counter.RowAck{{RowID: 6, Sequence: 1}}, All: true, After: 7, Aggregators: []uint64{7, 9}}},
+		{CounterSyncReply: &counter.RowQueryReply{Number: 2, Recovering: true, More: true, Aggregators: []uint64{1}, Rows: []counter.RowReport{{Server: "n1", Incarnation: 5, RowID: 6, Sequence: 3, Cells: countsOf(4)}}}},
 		{ClaimRequest: &replication.ClaimRequest{ConfigDigest: 3, Operation: replication.OpReport, Key: k, Attempt: ran, Terms: []replication.Term{{Number: 4, Incarnation: 5}, {}}}},
 		{ClaimReply: &replication.ClaimReply{Key: k, ClaimID: ran.ClaimID, Operation: replication.OpQuery, Status: replication.ReplyConflict, Terms: []replication.Term{{Number: 4, Incarnation: 5}}, Attempts: []state.Attempt{ran}}},
 		{PullRequest: &replication.PullRequest{ConfigDigest: 3, Sequence: 2, Term: replication.Term{Number: 4, Incarnation: 5}, Slots: []int{0, 255}, AfterKey: k, Resumes: true}},
