--- a/internal/peers/health.go
+++ b/internal/peers/health.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"swiftcourse/internal/judge/shared/health"
+	"swiftcourse/internal/policy/circuitbreaker"
 	"swiftcourse/internal/policy/serving"
 	wire "swiftcourse/internal/wire/fleet"
 )
@@ -26,7 +26,7 @@
 // healthState is the part's state of it.
 type healthState struct {
 	*HealthConfig
-	judge        *health.Breaker
+	judge        *circuitbreaker.Breaker
 	nextDecision float64
 	lastReport   float64
 	limit        CallLimit
@@ -53,14 +53,14 @@
 
 func (f *Agent) beginHealth(now float64) {
 	if f.Health != nil {
-		f.health = &healthState{HealthConfig: f.Config.Health, judge: health.New(f.Name, f.Config.Health.Zone, now), nextDecision: now, lastReport: now, limit: CallLimit{MaxInFlight: math.Inf(1)}, zones: map[string]string{}}
+		f.health = &healthState{HealthConfig: f.Config.Health, judge: circuitbreaker.New(f.Name, f.Config.Health.Zone, now), nextDecision: now, lastReport: now, limit: CallLimit{MaxInFlight: math.Inf(1)}, zones: map[string]string{}}
 	}
 }
 
 // ObserveCalls takes what became of the loop's calls.
 func (f *Agent) ObserveCalls(now float64, c serving.CallStats) {
 	if b := f.health; b != nil {
-		b.judge.RecordCalls(now, health.Tally{Succeeded: c.Succeeded, Failed: c.Failed, SuccessSeconds: c.TotalSeconds}, float64(c.InFlight))
+		b.judge.RecordCalls(now, circuitbreaker.Tally{Succeeded: c.Succeeded, Failed: c.Failed, SuccessSeconds: c.TotalSeconds}, float64(c.InFlight))
 	}
 }
 
--- a/internal/judge/shared/health/health.go
+++ b/internal/policy/circuitbreaker/health.go
@@ -1,11 +1,11 @@
-// Package health judges a service below, by the calls that this server made and by what others say of theirs. There is no I/O and no clock in it.
+// Package circuitbreaker judges a service below, by the calls that this server made and by what others say of theirs. There is no I/O and no clock in it.
 //
 // Own evidence comes first: a server with enough calls of its own goes by them alone, so that a service which is sick for one part of the fleet is
 // not so for all. With fewer it goes by what servers say, each of which has one voice however many calls it tells of: one that lies, or whose own link
 // is bad, can neither shut a service out nor keep it in. One that hears nothing goes by its own, as it would without others.
 //
 // A service that is dead is tried by a few servers a second of all that there are, and comes back in steps.
-package health
+package circuitbreaker
 
 import (
 	"cmp"
--- a/internal/judge/shared/health/health_test.go
+++ b/internal/policy/circuitbreaker/health_test.go
@@ -1,4 +1,4 @@
-package health
+package circuitbreaker
 
 import (
 	"fmt"
--- a/internal/wire/fleet/copies.go
+++ b/internal/wire/fleet/copies.go
@@ -7,7 +7,7 @@
 	"net/netip"
 
 	"swiftcourse/internal/judge/door"
-	"swiftcourse/internal/judge/shared/health"
+	"swiftcourse/internal/policy/circuitbreaker"
 	"swiftcourse/internal/policy/quota"
 	"swiftcourse/internal/policy/replication"
 	state "swiftcourse/internal/replicastore"
@@ -365,17 +365,17 @@
 	return q, nil
 }
 
-func decodeHealthReports(p *Healths) ([]health.Report, error) {
-	if len(p.Words) > health.MaxReports {
+func decodeHealthReports(p *Healths) ([]circuitbreaker.Report, error) {
+	if len(p.Words) > circuitbreaker.MaxReports {
 		return nil, errTooLarge
 	}
-	list := []health.Report{}
+	list := []circuitbreaker.Report{}
 	for _, w := range p.Words {
 		if err := errors.Join(checkNames(w.Name, w.Zone), checkCount(w.Age), checkCount(w.Took)); err != nil {
 			return nil, err
 		}
-		list = append(list, health.Report{Server: w.Name, Zone: w.Zone, Incarnation: w.Life, Sequence: w.Number, AgeSeconds: w.Age,
-			Tally: health.Tally{Succeeded: int(w.Well), Failed: int(w.Lost), SuccessSeconds: w.Took}})
+		list = append(list, circuitbreaker.Report{Server: w.Name, Zone: w.Zone, Incarnation: w.Life, Sequence: w.Number, AgeSeconds: w.Age,
+			Tally: circuitbreaker.Tally{Succeeded: int(w.Well), Failed: int(w.Lost), SuccessSeconds: w.Took}})
 	}
 	return list, nil
 }
--- a/internal/wire/fleet/fleet.go
+++ b/internal/wire/fleet/fleet.go
@@ -11,9 +11,9 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"swiftcourse/internal/judge/shared/health"
 	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/policy/audit"
+	"swiftcourse/internal/policy/circuitbreaker"
 	"swiftcourse/internal/policy/counter"
 	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/loadplan"
@@ -54,7 +54,7 @@
 	TrustRequest       bool
 	QuotaRequest       *quota.Request
 	QuotaReply         *quota.Reply
-	HealthReports      []health.Report
+	HealthReports      []circuitbreaker.Report
 	CounterReport      *counter.RowReport
 	CounterAck         *counter.RowAck
 	CounterSyncRequest *counter.RowQuery
--- a/internal/wire/fleet/fleet_test.go
+++ b/internal/wire/fleet/fleet_test.go
@@ -11,9 +11,9 @@
 	"google.golang.org/protobuf/proto"
 
 	"swiftcourse/internal/judge/door"
-	"swiftcourse/internal/judge/shared/health"
 	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/policy/audit"
+	"swiftcourse/internal/policy/circuitbreaker"
 	"swiftcourse/internal/policy/counter"
 	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/loadplan"
@@ -80,7 +80,7 @@
 		{Checksums: &replication.Checksums{ConfigDigest: 3, Term: replication.Term{Number: 4, Incarnation: 5}, Slots: []int{9}, Values: []uint64{10}}}, {TrustRequest: true},
 		{TrustRecords: []replication.TrustRecord{{Name: "n1", Incarnation: 5, Sequence: 6, Clients: []door.Earned{{Addr: netip.MustParseAddr("10.0.0.1"), Credit: 3}}}}},
 		{QuotaRequest: &quota.Request{Incarnation: 77, Number: 3, ConfigHash: 4, GrantorID: 5, Demands: []quota.Demand{{Name: "calls", Requested: 1.5, InUse: 2, LeasedShare: 3, RemainingSeconds: 0.5, GrantNumber: 2}}}},
-		{HealthReports: []health.Report{{Server: "n1", Zone: "z", Incarnation: 5, Sequence: 6, AgeSeconds: 0.5, Tally: health.Tally{Succeeded: 3, Failed: 1, SuccessSeconds: 0.25}}}},
+		{HealthReports: []circuitbreaker.Report{{Server: "n1", Zone: "z", Incarnation: 5, Sequence: 6, AgeSeconds: 0.5, Tally: circuitbreaker.Tally{Succeeded: 3, Failed: 1, SuccessSeconds: 0.25}}}},
 		{QuotaReply: &quota.Reply{Incarnation: 77, Number: 3, GrantorID: 5, Grants: []quota.Grant{{Name: "calls", LeasedShare: 2.5}}}},
 	}
 }
@@ -131,8 +131,8 @@
 		{QuotaRequest: &quota.Request{Demands: []quota.Demand{{Name: "calls", Requested: -1}}}},
 		{QuotaRequest: &quota.Request{Demands: []quota.Demand{{Name: long}}}},
 		{QuotaReply: &quota.Reply{Grants: []quota.Grant{{Name: "calls", LeasedShare: math.NaN()}}}},
-		{HealthReports: make([]health.Report, health.MaxReports+1)},
-		{HealthReports: []health.Report{{AgeSeconds: -1}}},
+		{HealthReports: make([]circuitbreaker.Report, circuitbreaker.MaxReports+1)},
+		{HealthReports: []circuitbreaker.Report{{AgeSeconds: -1}}},
 		{Consensus: &version.Message{From: 1, To: 2, Raft: &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: new(uint64(9)), To: new(uint64(2))}}},
 	} {
 		b, err := Encode(m)
