--- a/internal/peers/callers.go
+++ b/internal/peers/callers.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"swiftcourse/internal/judge/door"
+	"swiftcourse/internal/policy/connlimit"
 	"swiftcourse/internal/policy/replication"
 	wire "swiftcourse/internal/wire/fleet"
 )
@@ -15,7 +15,7 @@
 	Retention  float64 // seconds for which others' words are kept
 	MaxClients int     // callers that a door takes over
 	// Hear hands the serving loop callers that earned being known elsewhere.
-	OnTrusted func([]door.Earned)
+	OnTrusted func([]connlimit.Earned)
 }
 
 // trustState is the part's state of them.
@@ -44,7 +44,7 @@
 )
 
 // ReportTrusted takes the callers known at this server's door, from the serving loop.
-func (f *Node) ReportTrusted(list []door.Earned) {
+func (f *Node) ReportTrusted(list []connlimit.Earned) {
 	select {
 	case f.trustedClients <- list:
 	default:
@@ -58,7 +58,7 @@
 	f.trust = &trustState{TrustConfig: f.Config.Trust, records: replication.NewTrustTable(f.Config.Trust.Retention), started: now, lastRequest: math.Inf(-1), lastReport: now}
 }
 
-func (f *Agent) earned(list []door.Earned) {
+func (f *Agent) earned(list []connlimit.Earned) {
 	if c := f.trust; c != nil {
 		c.own = replication.TrustRecord{Name: f.Name, Incarnation: f.incarnation, Sequence: uint64(max(0, f.UnixNow()*1000)), Clients: list}
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -18,9 +18,9 @@
 	"sync/atomic"
 	"time"
 
-	"swiftcourse/internal/judge/door"
 	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/policy/audit"
+	"swiftcourse/internal/policy/connlimit"
 	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/replication"
 	"swiftcourse/internal/policy/serving"
@@ -122,10 +122,10 @@
 	gossip         *gossipNetwork
 	inbox          chan *wire.Envelope
 	requests       chan func(now float64)
-	claimEvents    chan ClaimEvent        // of the serving loop about its claims
-	trustedClients chan []door.Earned     // of its door
-	usage          chan []Usage           // of the loop, of budgets
-	callStats      chan serving.CallStats // of the loop, of the service below
+	claimEvents    chan ClaimEvent         // of the serving loop about its claims
+	trustedClients chan []connlimit.Earned // of its door
+	usage          chan []Usage            // of the loop, of budgets
+	callStats      chan serving.CallStats  // of the loop, of the service below
 	requestCounts  chan []serving.CounterCell
 	quit           chan struct{}
 	done           chan struct{}
@@ -156,7 +156,7 @@
 func Start(p Config) (*Node, error) {
 	chance := rand.New(rand.NewPCG(uint64(p.Seed), uint64(time.Now().UnixNano()))) // a restart in the same instant is another life all the same
 	f := &Node{inbox: make(chan *wire.Envelope, maxInbox), requests: make(chan func(float64), 16),
-		claimEvents: make(chan ClaimEvent, maxClaimEvents), trustedClients: make(chan []door.Earned, maxTrustedLists), usage: make(chan []Usage, maxUsageLists),
+		claimEvents: make(chan ClaimEvent, maxClaimEvents), trustedClients: make(chan []connlimit.Earned, maxTrustedLists), usage: make(chan []Usage, maxUsageLists),
 		callStats: make(chan serving.CallStats, maxCallStats), requestCounts: make(chan []serving.CounterCell, maxCountLists), quit: make(chan struct{}), done: make(chan struct{})}
 	life := chance.Uint64() | 1
 	var err error
--- a/internal/judge/door/door.go
+++ b/internal/policy/connlimit/door.go
@@ -1,9 +1,9 @@
-// Package door decides about connections that were accepted: which are asked to close, which are closed, and which one goes
+// Package connlimit decides about connections that were accepted: which are asked to close, which are closed, and which one goes
 // when another needs its place. It has no I/O and no clock; who calls it tells what came and when, and does what it says.
 //
 // A connection is named by its slot, a small number that is used again once the connection is gone. Times are in seconds
 // on a clock that only moves forward.
-package door
+package connlimit
 
 import (
 	"iter"
--- a/internal/judge/door/guard.go
+++ b/internal/policy/connlimit/guard.go
@@ -1,4 +1,4 @@
-package door
+package connlimit
 
 import (
 	"cmp"
--- a/internal/policy/replication/callers.go
+++ b/internal/policy/replication/callers.go
@@ -6,7 +6,7 @@
 	"net/netip"
 	"slices"
 
-	"swiftcourse/internal/judge/door"
+	"swiftcourse/internal/policy/connlimit"
 )
 
 // MaxTrustedClients is how many callers one server tells of: those that earned most there. A server hardly has more that come back within a restart.
@@ -20,7 +20,7 @@
 	Name        string
 	Incarnation uint64
 	Sequence    uint64 // grows with each word of a name: milliseconds of its time of day
-	Clients     []door.Earned
+	Clients     []connlimit.Earned
 }
 
 // newer tells which word of one name counts, whatever order they come in.
@@ -83,7 +83,7 @@
 
 // MergedClients is what all words come to, at most so many callers. Those of whom two servers or more say so come first, with the second highest of what they
 // said; of the rest each server has an even part of the places, so that one with a long list of its own making displaces nobody else's.
-func (v *TrustTable) MergedClients(now float64, most int) (list []door.Earned) {
+func (v *TrustTable) MergedClients(now float64, most int) (list []connlimit.Earned) {
 	v.expire(now)
 	told := map[netip.Addr][]float64{}
 	names := slices.Sorted(maps.Keys(v.records))
@@ -95,10 +95,12 @@
 	for addr, credits := range told {
 		if len(credits) > 1 {
 			slices.Sort(credits)
-			list = append(list, door.Earned{Addr: addr, Credit: credits[len(credits)-2]})
+			list = append(list, connlimit.Earned{Addr: addr, Credit: credits[len(credits)-2]})
 		}
 	}
-	slices.SortFunc(list, func(a, b door.Earned) int { return cmp.Or(cmp.Compare(b.Credit, a.Credit), a.Addr.Compare(b.Addr)) })
+	slices.SortFunc(list, func(a, b connlimit.Earned) int {
+		return cmp.Or(cmp.Compare(b.Credit, a.Credit), a.Addr.Compare(b.Addr))
+	})
 	list = list[:min(len(list), most)]
 	left := most - len(list)
 	for i, name := range names {
--- a/internal/policy/replication/rules_test.go
+++ b/internal/policy/replication/rules_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"swiftcourse/internal/judge/door"
+	"swiftcourse/internal/policy/connlimit"
 	"swiftcourse/internal/policy/serving"
 	state "swiftcourse/internal/replicastore"
 )
@@ -394,7 +394,7 @@
 		for i := range rapid.IntRange(1, 6).Draw(t, "words") {
 			w := TrustRecord{Name: fmt.Sprint("n", i%3), Incarnation: rapid.Uint64Range(1, 2).Draw(t, "life"), Sequence: uint64(i)}
 			for j := range rapid.IntRange(0, 8).Draw(t, "callers") {
-				w.Clients = append(w.Clients, door.Earned{Addr: netip.AddrFrom4([4]byte{10, 0, byte(i % 2), byte(j)}), Credit: float64(1 + j)})
+				w.Clients = append(w.Clients, connlimit.Earned{Addr: netip.AddrFrom4([4]byte{10, 0, byte(i % 2), byte(j)}), Credit: float64(1 + j)})
 			}
 			words = append(words, w)
 		}
@@ -415,12 +415,12 @@
 	honest := netip.MustParseAddr("10.0.0.1")
 	lies := TrustRecord{Name: "liar", Incarnation: 1, Sequence: 1}
 	for i := range 2 * MaxTrustedClients {
-		lies.Clients = append(lies.Clients, door.Earned{Addr: netip.AddrFrom4([4]byte{11, 0, byte(i >> 8), byte(i)}), Credit: 1e9})
+		lies.Clients = append(lies.Clients, connlimit.Earned{Addr: netip.AddrFrom4([4]byte{11, 0, byte(i >> 8), byte(i)}), Credit: 1e9})
 	}
 	v.Observe(1, lies)
-	v.Observe(1, TrustRecord{Name: "honest", Incarnation: 1, Sequence: 1, Clients: []door.Earned{{Addr: honest, Credit: 3}}})
+	v.Observe(1, TrustRecord{Name: "honest", Incarnation: 1, Sequence: 1, Clients: []connlimit.Earned{{Addr: honest, Credit: 3}}})
 	list := v.MergedClients(2, 10)
-	if !slices.ContainsFunc(list, func(e door.Earned) bool { return e.Addr == honest }) || len(list) != 10 {
+	if !slices.ContainsFunc(list, func(e connlimit.Earned) bool { return e.Addr == honest }) || len(list) != 10 {
 		t.Errorf("ten places went to %v", list)
 	}
 	if len(v.MergedClients(62, 10)) != 0 {
--- a/internal/serve/callers.go
+++ b/internal/serve/callers.go
@@ -6,7 +6,7 @@
 
 	"github.com/panjf2000/gnet/v2"
 
-	"swiftcourse/internal/judge/door"
+	"swiftcourse/internal/policy/connlimit"
 )
 
 // This file is what a guarded door tells other servers of a fleet of the callers it knows, and hears of them after a restart.
@@ -15,7 +15,7 @@
 const trustReportInterval = 2.0
 
 // ReportTrustedClients has the callers that are known here told again and again, at most so many. It is called before Run.
-func (s *Server) ReportTrustedClients(tell func([]door.Earned), most int) {
+func (s *Server) ReportTrustedClients(tell func([]connlimit.Earned), most int) {
 	var again func()
 	again = func() {
 		tell(s.connLimiter.Earnings(s.now(), most))
@@ -25,7 +25,7 @@
 }
 
 // AddTrustedClients has the door know callers that earned it at other servers, from any goroutine.
-func (s *Server) AddTrustedClients(list []door.Earned) {
+func (s *Server) AddTrustedClients(list []connlimit.Earned) {
 	go func() { // the loop begins once the processor is up
 		<-s.loopReady
 		_ = s.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
--- a/internal/serve/closing_test.go
+++ b/internal/serve/closing_test.go
@@ -7,7 +7,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"swiftcourse/internal/judge/door"
+	"swiftcourse/internal/policy/connlimit"
 	"swiftcourse/internal/watch"
 )
 
@@ -26,7 +26,7 @@
 	if err := p.handleOpen(c, ""); err != nil {
 		t.Fatal(err)
 	}
-	s.connLimiter.Tell(name.Slot(), door.Spoke, s.now())
+	s.connLimiter.Tell(name.Slot(), connlimit.Spoke, s.now())
 	return p, c, pair[1]
 }
 
--- a/internal/serve/guard.go
+++ b/internal/serve/guard.go
@@ -9,8 +9,8 @@
 
 	"github.com/panjf2000/gnet/v2"
 
-	"swiftcourse/internal/judge/door"
 	"swiftcourse/internal/life"
+	"swiftcourse/internal/policy/connlimit"
 	"swiftcourse/internal/watch"
 	"swiftcourse/internal/wire/rpc"
 )
@@ -18,12 +18,12 @@
 // This file is the way of a connection and its tasks through a guarded door.
 
 // newConnLimiter makes the door as the operator's file says.
-func (s *Server) newConnLimiter(conf *life.OperatorSettings) *door.Door {
+func (s *Server) newConnLimiter(conf *life.OperatorSettings) *connlimit.Door {
 	if conf == nil || !conf.Door {
-		return door.New(s.startup.Settings.IdleTimeout)
+		return connlimit.New(s.startup.Settings.IdleTimeout)
 	}
 	s.holdingArea = conf.Lobby
-	return door.NewGuarded(s.startup.Settings.IdleTimeout, s.connRules(conf))
+	return connlimit.NewGuarded(s.startup.Settings.IdleTimeout, s.connRules(conf))
 }
 
 // holdingSlots are as many as the file says, and at most a sixteenth of the descriptors for balancers; so many connections may be on their
@@ -34,11 +34,11 @@
 }
 
 // connRules are the door's, in its words.
-func (s *Server) connRules(c *life.OperatorSettings) door.Rules {
+func (s *Server) connRules(c *life.OperatorSettings) connlimit.Rules {
 	places := s.holdingSlots()
 	most, _ := s.maxClients()
 	most -= 4 * places // twice in the lobby, and twice on their way
-	return door.Rules{Most: most, Reserve: int(float64(most) * float64(c.Reserve)), PerAddress: c.PerAddress, PerPrefix: c.PerPrefix,
+	return connlimit.Rules{Most: most, Reserve: int(float64(most) * float64(c.Reserve)), PerAddress: c.PerAddress, PerPrefix: c.PerPrefix,
 		ArrivalsAddress: c.RateAddress, ArrivalsPrefix: c.RatePrefix, V4: c.V4, V6: c.V6, Named: c.Known, Lobby: places,
 		Remember: c.Remember, Earn: c.Earn, Forget: c.Forget.Seconds(), ComeBack: c.ComeBack.Seconds(),
 		ComeBackMost: c.ComeBackMost.Seconds(), Share: float64(c.Share), Seed: s.startup.Seed}
@@ -77,12 +77,12 @@
 	cause, advice := s.connLimiter.Arrive(slot, remoteIP(p.conn.RemoteAddr()), now)
 	s.scheduleTurn() // the lobby may have to make room
 	switch cause {
-	case door.LetIn:
+	case connlimit.LetIn:
 		return nil
-	case door.NoLobby:
+	case connlimit.NoLobby:
 		p.closeNow()
 		return errors.New("no place, not even in the lobby")
-	case door.NoPlace:
+	case connlimit.NoPlace:
 		if worst := s.firstEvictable(s.connLimiter.Yields(slot, now), p); worst != nil {
 			s.statistics.evicted++
 			worst.closeNow()
@@ -113,7 +113,7 @@
 	}
 	say := s.loadReport
 	say.Advice = min(advice, s.startup.Settings.MaxRetryAfter)
-	s.connLimiter.Tell(slot, door.Spoke, now)
+	s.connLimiter.Tell(slot, connlimit.Spoke, now)
 	s.scratch = rpc.PutRejected(s.scratch[:0], number, say)
 	s.write(&p.bufferedConn, s.scratch)
 }
@@ -121,8 +121,8 @@
 // logConnStatistics writes the door's own line of counts.
 func (s *Server) logConnStatistics() {
 	k := s.connLimiter.Known()
-	slog.Info("door", "in", k.In, "most", k.Most, "lobby", s.connLimiter.Count(door.Lobby), "strangers_busy", k.BusyStrangers,
-		"turned_rate", s.connLimiter.Turned(door.OverRate), "turned_cap", s.connLimiter.Turned(door.OverCap), "turned_place", s.connLimiter.Turned(door.NoPlace),
-		"unheard", s.connLimiter.Turned(door.NoLobby), "tasks_turned", s.statistics.rejectedAtLimit, "addresses", k.Addresses,
+	slog.Info("door", "in", k.In, "most", k.Most, "lobby", s.connLimiter.Count(connlimit.Lobby), "strangers_busy", k.BusyStrangers,
+		"turned_rate", s.connLimiter.Turned(connlimit.OverRate), "turned_cap", s.connLimiter.Turned(connlimit.OverCap), "turned_place", s.connLimiter.Turned(connlimit.NoPlace),
+		"unheard", s.connLimiter.Turned(connlimit.NoLobby), "tasks_turned", s.statistics.rejectedAtLimit, "addresses", k.Addresses,
 		"known", k.Known, "pace", watch.FormatDecimal(s.connLimiter.Pace(s.now()), 0), "over_rate", s.acceptor.rateLimited.Load(), "accepts_failed", s.acceptor.failures.Load())
 }
--- a/internal/serve/guard_test.go
+++ b/internal/serve/guard_test.go
@@ -13,8 +13,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"swiftcourse/internal/judge/door"
 	"swiftcourse/internal/life"
+	"swiftcourse/internal/policy/connlimit"
 	"swiftcourse/internal/standin/balancer"
 )
 
@@ -127,7 +127,7 @@
 	w.executor.expectCommand("begin", "a2")
 	w.executor.sendCompletion(1, "a2", "done", "r")
 	first.expect(answerPrefix(2) + resultPrefix + "\x01r\x80")
-	if turned := query(w, func(s *Server) int { return s.connLimiter.Turned(door.OverCap) }); turned != 2 {
+	if turned := query(w, func(s *Server) int { return s.connLimiter.Turned(connlimit.OverCap) }); turned != 2 {
 		t.Errorf("%d turned away", turned)
 	}
 }
@@ -272,7 +272,7 @@
 		crowd.Leave()
 		waitUntil(w, 0, clientCount)
 	}
-	if k := query(w, func(s *Server) door.Tally { return s.connLimiter.Known() }); k.In != 0 || k.BusyStrangers != 0 {
+	if k := query(w, func(s *Server) connlimit.Tally { return s.connLimiter.Known() }); k.In != 0 || k.BusyStrangers != 0 {
 		t.Errorf("%+v", k)
 	}
 }
--- a/internal/serve/idle_test.go
+++ b/internal/serve/idle_test.go
@@ -13,8 +13,8 @@
 	"golang.org/x/sys/unix"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/judge/door"
 	"swiftcourse/internal/life"
+	"swiftcourse/internal/policy/connlimit"
 	"swiftcourse/internal/standin/balancer"
 	"swiftcourse/internal/watch"
 	"swiftcourse/internal/wire/rpc"
@@ -121,7 +121,7 @@
 		p, c, far := addLinkedClient(t, s)
 		name, now := p.id, s.now()
 		s.maintainConnections(now + 1)
-		if s.connLimiter.State(name.Slot()) != door.Parting {
+		if s.connLimiter.State(name.Slot()) != connlimit.Parting {
 			t.Fatalf("state %d", s.connLimiter.State(name.Slot()))
 		}
 		s.flush()
@@ -240,7 +240,7 @@
 	w.executor.readCommand(false)
 	w.executor.send(`{"msg":"hi","how":"seasoned","duration":1}` + "\n")
 	w.executor.readCommand(true)
-	if got := query(w, func(s *Server) int { return s.connLimiter.Count(door.Known) }); got != n || crowd.Len() != n {
+	if got := query(w, func(s *Server) int { return s.connLimiter.Count(connlimit.Known) }); got != n || crowd.Len() != n {
 		t.Errorf("%d known, %d stand", got, crowd.Len())
 	}
 	b := w.dialClient()
@@ -255,7 +255,7 @@
 		if !math.IsInf(s.connLimiter.Next(), 1) && s.connLimiter.Next() > s.now() {
 			next = "ahead"
 		}
-		return fmt.Sprintf("%d peers, %d known, %d busy, %d buffers, next %s", s.clients.Len(), s.connLimiter.Count(door.Known), s.connLimiter.Count(door.Busy),
+		return fmt.Sprintf("%d peers, %d known, %d busy, %d buffers, next %s", s.clients.Len(), s.connLimiter.Count(connlimit.Known), s.connLimiter.Count(connlimit.Busy),
 			s.buffers.InUse, next)
 	})
 	if timers := query(w, func(s *Server) int { return s.timers.Len() }); timers > 10 {
--- a/internal/serve/peer.go
+++ b/internal/serve/peer.go
@@ -13,8 +13,8 @@
 	"golang.org/x/sys/unix"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/judge/door"
 	"swiftcourse/internal/memory"
+	"swiftcourse/internal/policy/connlimit"
 	"swiftcourse/internal/wire/rpc"
 )
 
@@ -147,7 +147,7 @@
 			return n, err
 		}
 		if size == 0 {
-			s.connLimiter.Tell(slot, door.Partly, now)
+			s.connLimiter.Tell(slot, connlimit.Partly, now)
 			return n, nil
 		}
 		n += size
@@ -157,17 +157,17 @@
 				return n, err
 			}
 		case rpc.Gone:
-			s.connLimiter.Tell(slot, door.Heard, now)
+			s.connLimiter.Tell(slot, connlimit.Heard, now)
 			if t := p.findRequest(m.Number); t != nil {
 				p.removeRequest(t, now)
 				s.clientGone(t)
 			}
 		case rpc.Check:
-			s.connLimiter.Tell(slot, door.Spoke, now)
+			s.connLimiter.Tell(slot, connlimit.Spoke, now)
 			s.scratch = rpc.PutWell(s.scratch[:0], m.Number, s.isHealthy(), s.loadReport)
 			s.write(&p.bufferedConn, s.scratch)
 		default:
-			s.connLimiter.Tell(slot, door.Heard, now)
+			s.connLimiter.Tell(slot, connlimit.Heard, now)
 		}
 	}
 	return n, nil
@@ -192,7 +192,7 @@
 	if len(p.requests) == 0 && p.requests != nil {
 		s.requestLists.Put(p.requests)
 		p.requests = nil
-		s.connLimiter.Tell(p.id.Slot(), door.Settled, now)
+		s.connLimiter.Tell(p.id.Slot(), connlimit.Settled, now)
 	}
 }
 
@@ -225,7 +225,7 @@
 		bad = errors.New("its key is that of a request with another body")
 	case s.controller == nil: // no processor yet: it can't have run
 		s.countRejectedAtOnce(tenant, stage)
-		s.connLimiter.Tell(p.id.Slot(), door.Spoke, now)
+		s.connLimiter.Tell(p.id.Slot(), connlimit.Spoke, now)
 		s.scratch = rpc.PutRejected(s.scratch[:0], m.Number, s.loadReport)
 		s.write(&p.bufferedConn, s.scratch)
 		return nil
@@ -243,7 +243,7 @@
 		if s.mayLogPeerFault() {
 			slog.Info("bad_task", "peer", p.conn.RemoteAddr(), "err", bad)
 		}
-		s.connLimiter.Tell(p.id.Slot(), door.Heard, now)
+		s.connLimiter.Tell(p.id.Slot(), connlimit.Heard, now)
 		s.scratch = rpc.PutInvalid(s.scratch[:0], m.Number, s.loadReport)
 		s.write(&p.bufferedConn, s.scratch)
 		return nil
@@ -254,7 +254,7 @@
 		p.requests = s.requestLists.Get()
 	}
 	p.requests = append(p.requests, t)
-	s.connLimiter.Tell(p.id.Slot(), door.Owed, now)
+	s.connLimiter.Tell(p.id.Slot(), connlimit.Owed, now)
 	s.requests.Add(t)
 	s.statistics.read++
 	s.keepForForwarding(t, m)
@@ -367,12 +367,12 @@
 	for _, v := range s.connLimiter.Due(now) {
 		p := s.clients.AtSlot(v.Slot)
 		switch {
-		case v.Do == door.Ask:
+		case v.Do == connlimit.Ask:
 			s.askToClose(p)
 		case p.unsent || hasQueuedBytes(p.conn):
-			s.connLimiter.Tell(v.Slot, door.Woke, now)
+			s.connLimiter.Tell(v.Slot, connlimit.Woke, now)
 		default:
-			if v.Was != door.Parting {
+			if v.Was != connlimit.Parting {
 				s.statistics.silent++
 			}
 			p.closeGracefully()
--- a/internal/serve/peer_test.go
+++ b/internal/serve/peer_test.go
@@ -10,8 +10,8 @@
 	"github.com/panjf2000/gnet/v2"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/judge/door"
 	"swiftcourse/internal/life"
+	"swiftcourse/internal/policy/connlimit"
 	"swiftcourse/internal/watch"
 )
 
@@ -84,15 +84,15 @@
 		name, p := s.clients.Add()
 		p.server, p.id, p.conn, p.unsent = s, name, brokenConn{}, unsent
 		s.connLimiter.Open(name.Slot(), 0)
-		s.connLimiter.Tell(name.Slot(), door.Spoke, 0)
+		s.connLimiter.Tell(name.Slot(), connlimit.Spoke, 0)
 		return p
 	}
 	answered, silent, late := add(true), add(false), add(false)
-	s.connLimiter.Tell(silent.id.Slot(), door.Spoke, 1)
+	s.connLimiter.Tell(silent.id.Slot(), connlimit.Spoke, 1)
 	if p := s.evictionCandidate(late); p != silent { // an answer is on its way out to the first
 		t.Errorf("%+v goes", p)
 	}
-	s.connLimiter.Tell(silent.id.Slot(), door.Owed, 2)
+	s.connLimiter.Tell(silent.id.Slot(), connlimit.Owed, 2)
 	if p := s.evictionCandidate(late); p != nil {
 		t.Errorf("%+v goes, %+v", p, answered)
 	}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -19,9 +19,9 @@
 	"github.com/panjf2000/gnet/v2"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/judge/door"
 	"swiftcourse/internal/life"
 	"swiftcourse/internal/memory"
+	"swiftcourse/internal/policy/connlimit"
 	"swiftcourse/internal/policy/serving"
 	"swiftcourse/internal/watch"
 	"swiftcourse/internal/wire/rpc"
@@ -56,7 +56,7 @@
 	unflushed                  []*bufferedConn // have something to write at the end of the turn
 
 	clients          memory.Table[clientConn]
-	connLimiter      *door.Door
+	connLimiter      *connlimit.Door
 	holdingArea      int                    // places in it, as the operator's file says
 	operatorSettings *life.OperatorSettings // the operator's file, with what was released
 	requestLists     memory.ListPool
@@ -441,8 +441,8 @@
 		"calls", c.calls, "turns", c.turns, "turn_ms", watch.FormatDecimal(1000*c.longestTurn, 2),
 		"unread_ms", watch.FormatDecimal(1000*c.unreadSeconds/max(1, float64(c.read)), 1),
 		"longest_ms", watch.FormatDecimal(1000*c.longestUnread, 1), "open", s.requests.Unanswered(), "tasks", s.requests.Len(),
-		"kept", s.results.Len(), "conns", s.clients.Len(), "strangers", s.connLimiter.Count(door.Stranger),
-		"parting", s.connLimiter.Count(door.Parting), "max_conns", most, "max_by", by, "pooled_conns", len(s.upstream.all),
+		"kept", s.results.Len(), "conns", s.clients.Len(), "strangers", s.connLimiter.Count(connlimit.Stranger),
+		"parting", s.connLimiter.Count(connlimit.Parting), "max_conns", most, "max_by", by, "pooled_conns", len(s.upstream.all),
 		"parted", c.askedToClose, "evicted", c.evicted, "unspoken", c.silent,
 		"gauge_ms", watch.FormatDecimal(1000*c.gaugeAge, 1), "blind", c.timersWithoutGauges, "timers", s.timers.Len(),
 		"buffers", s.buffers.InUse, "memory_kb", residentKB(), "heap_kb", liveHeapKB(), "well", s.isHealthy(), "load", s.loadReport.Free)
--- a/internal/serve/standing.go
+++ b/internal/serve/standing.go
@@ -9,8 +9,8 @@
 	"github.com/panjf2000/gnet/v2"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/judge/door"
 	"swiftcourse/internal/life"
+	"swiftcourse/internal/policy/connlimit"
 	"swiftcourse/internal/policy/serving"
 	"swiftcourse/internal/wire/rpc"
 )
@@ -98,7 +98,7 @@
 	s.statistics.rejectedOutOfService++
 	say := s.loadReport
 	say.Advice = s.retryAfterOutOfService()
-	s.connLimiter.Tell(p.id.Slot(), door.Spoke, now)
+	s.connLimiter.Tell(p.id.Slot(), connlimit.Spoke, now)
 	s.scratch = rpc.PutRejected(s.scratch[:0], number, say)
 	s.write(&p.bufferedConn, s.scratch)
 }
--- a/internal/wire/fleet/copies.go
+++ b/internal/wire/fleet/copies.go
@@ -6,8 +6,8 @@
 	"hash/crc32"
 	"net/netip"
 
-	"swiftcourse/internal/judge/door"
 	"swiftcourse/internal/policy/circuitbreaker"
+	"swiftcourse/internal/policy/connlimit"
 	"swiftcourse/internal/policy/quota"
 	"swiftcourse/internal/policy/replication"
 	state "swiftcourse/internal/replicastore"
@@ -218,7 +218,7 @@
 			if err := checkCount(float64(c.Credit)); err != nil {
 				return nil, err
 			}
-			one.Clients = append(one.Clients, door.Earned{Addr: netip.AddrFrom16([16]byte(c.Addr)).Unmap(), Credit: float64(c.Credit)})
+			one.Clients = append(one.Clients, connlimit.Earned{Addr: netip.AddrFrom16([16]byte(c.Addr)).Unmap(), Credit: float64(c.Credit)})
 		}
 		if err := checkNames(v.Name); err != nil {
 			return nil, err
--- a/internal/wire/fleet/fleet_test.go
+++ b/internal/wire/fleet/fleet_test.go
@@ -10,10 +10,10 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"swiftcourse/internal/judge/door"
 	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/policy/audit"
 	"swiftcourse/internal/policy/circuitbreaker"
+	"swiftcourse/internal/policy/connlimit"
 	"swiftcourse/internal/policy/counter"
 	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/loadplan"
@@ -78,7 +78,7 @@
 		{PullReply: &replication.PullReply{ConfigDigest: 3, Sequence: 2, Term: replication.Term{Number: 4, Incarnation: 5}, RequesterTerm: replication.Term{Number: 1, Incarnation: 2}, Slots: []replication.SlotRecords{{Slot: 7, CaughtUp: true,
 			Copies: []replication.RecordCopy{{Record: &state.Record{Key: k, Attempts: []state.Attempt{ran}}, TimeToLive: 2.5}}}, {Slot: 8, Complete: true}}}},
 		{Checksums: &replication.Checksums{ConfigDigest: 3, Term: replication.Term{Number: 4, Incarnation: 5}, Slots: []int{9}, Values: []uint64{10}}}, {TrustRequest: true},
-		{TrustRecords: []replication.TrustRecord{{Name: "n1", Incarnation: 5, Sequence: 6, Clients: []door.Earned{{Addr: netip.MustParseAddr("10.0.0.1"), Credit: 3}}}}},
+		{TrustRecords: []replication.TrustRecord{{Name: "n1", Incarnation: 5, Sequence: 6, Clients: []connlimit.Earned{{Addr: netip.MustParseAddr("10.0.0.1"), Credit: 3}}}}},
 		{QuotaRequest: &quota.Request{Incarnation: 77, Number: 3, ConfigHash: 4, GrantorID: 5, Demands: []quota.Demand{{Name: "calls", Requested: 1.5, InUse: 2, LeasedShare: 3, RemainingSeconds: 0.5, GrantNumber: 2}}}},
 		{HealthReports: []circuitbreaker.Report{{Server: "n1", Zone: "z", Incarnation: 5, Sequence: 6, AgeSeconds: 0.5, Tally: circuitbreaker.Tally{Succeeded: 3, Failed: 1, SuccessSeconds: 0.25}}}},
 		{QuotaReply: &quota.Reply{Incarnation: 77, Number: 3, GrantorID: 5, Grants: []quota.Grant{{Name: "calls", LeasedShare: 2.5}}}},
