--- a/cmd/swiftcourse-fleet/command.go
+++ b/cmd/swiftcourse-fleet/command.go
@@ -17,9 +17,9 @@
 
 	"github.com/alecthomas/kong"
 
-	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/life"
 	"swiftcourse/internal/peers"
+	"swiftcourse/internal/policy/release"
 	"swiftcourse/internal/policy/replication"
 )
 
@@ -99,11 +99,11 @@
 	case "release":
 		err = o.release(author)
 	case "rollback":
-		err = o.command(version.Command{Kind: version.KindRollback, Author: author, Reason: o.Rollback.Why})
+		err = o.command(release.Command{Kind: release.KindRollback, Author: author, Reason: o.Rollback.Why})
 	case "evict":
-		err = o.command(version.Command{Kind: version.KindEject, Author: author, Name: o.Evict.Name, Reason: o.Evict.Why})
+		err = o.command(release.Command{Kind: release.KindEject, Author: author, Name: o.Evict.Name, Reason: o.Evict.Why})
 	case "admit":
-		err = o.command(version.Command{Kind: version.KindReadmit, Author: author, Name: o.Admit.Name})
+		err = o.command(release.Command{Kind: release.KindReadmit, Author: author, Name: o.Admit.Name})
 	}
 	if errors.Is(err, errAlarm) {
 		os.Exit(2)
@@ -121,7 +121,7 @@
 	return fmt.Errorf("%s: %w", lab, syscall.Exec(lab, []string{lab, "demo", "--levels", "--server", server}, os.Environ()))
 }
 
-func (o *operator) command(c version.Command) error {
+func (o *operator) command(c release.Command) error {
 	newest, err := peers.SendCommand(o.At, c)
 	if err != nil {
 		return err
@@ -138,8 +138,8 @@
 	if _, err := life.DefaultOperatorSettings().WithRelease(o.Release.File, string(text)); err != nil {
 		return err
 	}
-	c := version.Command{Kind: version.KindRelease, Author: author, Text: life.CanonicalText(string(text)), Build: o.Release.Build}
-	c.Digest = version.Digest(c.Text, c.Build)
+	c := release.Command{Kind: release.KindRelease, Author: author, Text: life.CanonicalText(string(text)), Build: o.Release.Build}
+	c.Digest = release.Digest(c.Text, c.Build)
 	for _, w := range o.Release.Waves {
 		part, err := strconv.ParseFloat(strings.TrimSuffix(w, "%"), 64)
 		if err != nil || !strings.HasSuffix(w, "%") {
@@ -150,7 +150,7 @@
 		}
 	}
 	if o.Release.On != "" {
-		if c.ExpectedEpoch, err = version.ParseEpoch(o.Release.On); err != nil {
+		if c.ExpectedEpoch, err = release.ParseEpoch(o.Release.On); err != nil {
 			return err
 		}
 	}
--- a/cmd/swiftcourse-fleet/main.go
+++ b/cmd/swiftcourse-fleet/main.go
@@ -17,11 +17,11 @@
 	"time"
 
 	"swiftcourse/internal/forward"
-	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/life"
 	"swiftcourse/internal/peers"
 	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/quota"
+	"swiftcourse/internal/policy/release"
 	"swiftcourse/internal/policy/replication"
 	"swiftcourse/internal/policy/serving"
 	"swiftcourse/internal/program"
@@ -162,8 +162,8 @@
 	return lease.Config{Duration: own.FleetLease.Seconds(), CatchUpTimeout: own.FleetBehind.Seconds(), MaxUnavailable: float64(own.FleetMostOut), ForgetAfter: own.FleetForget.Seconds()}
 }
 
-func rollout(own *life.OperatorSettings) version.RolloutPolicy {
-	return version.RolloutPolicy{WaveSeconds: own.FleetWave.Seconds(), HaltConfidence: float64(own.FleetHalt)}
+func rollout(own *life.OperatorSettings) release.RolloutPolicy {
+	return release.RolloutPolicy{WaveSeconds: own.FleetWave.Seconds(), HaltConfidence: float64(own.FleetHalt)}
 }
 
 // copies is what the operator's file says of the state that several servers keep, nil where it says nothing.
--- a/internal/lab/emulate/versions.go
+++ b/internal/lab/emulate/versions.go
@@ -8,10 +8,10 @@
 	"slices"
 	"strings"
 
-	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/memory"
 	"swiftcourse/internal/peers"
 	"swiftcourse/internal/policy/lease"
+	"swiftcourse/internal/policy/release"
 	"swiftcourse/internal/policy/serving"
 	wire "swiftcourse/internal/wire/fleet"
 )
@@ -90,7 +90,7 @@
 	view    serving.Directive
 	state   lease.State
 	refuses bool // can't apply what is released
-	acts    version.Epoch
+	acts    release.Epoch
 	sent    int
 	bytes   int
 	hurt    float64                               // until when it may be hindered
@@ -109,18 +109,18 @@
 	groups   []int // of a cut, by server; nil for none
 	deaf     *talker
 	loss     float64
-	digests  map[version.Epoch]string
-	released map[version.Epoch]float64
+	digests  map[release.Epoch]string
+	released map[release.Epoch]float64
 	took     []float64
-	newest   *version.Log // that any voter ever carried out: what a leader did that died at once was done all the same
+	newest   *release.Log // that any voter ever carried out: what a leader did that died at once was done all the same
 	row      VersionsRow
 	ledger   *ledger // nil where no keys are claimed
 }
 
 // newTalks makes a fleet that has not started.
 func newTalks(v *Versions) *talks {
-	t := &talks{world: newWorld(v.Seed), plan: v, names: map[string]*talker{}, voters: map[string]string{}, digests: map[version.Epoch]string{},
-		released: map[version.Epoch]float64{}, row: VersionsRow{Seed: v.Seed, Servers: v.Servers}}
+	t := &talks{world: newWorld(v.Seed), plan: v, names: map[string]*talker{}, voters: map[string]string{}, digests: map[release.Epoch]string{},
+		released: map[release.Epoch]float64{}, row: VersionsRow{Seed: v.Seed, Servers: v.Servers}}
 	for i := range v.Servers {
 		s := &talker{talks: t, name: fmt.Sprintf("n%d", i+1), number: i, chance: rand.New(rand.NewPCG(v.Seed, uint64(i+100)))}
 		t.servers, t.names[s.name] = append(t.servers, s), s
@@ -197,7 +197,7 @@
 		plans = s.plans(clock)
 	}
 	s.part = peers.NewPart(peers.Config{LoadPlan: plans, Quotas: shared, CountersEnabled: s.counts, Name: s.name, ListenAddr: s.name, Voters: s.voters, LeaseTerms: versionTerms, OnLeaseExpiry: lease.FallbackOutOfService,
-		Replication: s.copies(), Rollout: version.RolloutPolicy{WaveSeconds: 1, HaltConfidence: 1}, Build: "b", Log: func(string, ...any) {}, Now: clock.Now, UnixNow: clock.UnixNow,
+		Replication: s.copies(), Rollout: release.RolloutPolicy{WaveSeconds: 1, HaltConfidence: 1}, Build: "b", Log: func(string, ...any) {}, Now: clock.Now, UnixNow: clock.UnixNow,
 		Apply: func(string) error {
 			if s.refuses {
 				return errors.New("its limits differ")
@@ -370,7 +370,7 @@
 func (t *talks) release(s *talker) {
 	text := fmt.Sprintf("door-come-back %gs\n", 1+math.Floor(t.now))
 	waves := [][]float64{nil, {0.01, 0.1, 0.5}}[t.chance.IntN(2)]
-	s.part.SubmitCommand(s.part.Now(), version.Command{Kind: version.KindRelease, Author: s.name, Text: text, Digest: version.Digest(text, ""), Waves: waves},
+	s.part.SubmitCommand(s.part.Now(), release.Command{Kind: release.KindRelease, Author: s.name, Text: text, Digest: release.Digest(text, ""), Waves: waves},
 		func(d wire.CommandResult) {
 			if d.RejectReason == "" {
 				t.row.Releases++
@@ -396,7 +396,7 @@
 }
 
 // living is the order of the living voter that knows most: what a lost group did that nobody knows of any more is not in it.
-func (t *talks) living() (o *version.Log) {
+func (t *talks) living() (o *release.Log) {
 	for _, v := range t.servers[:t.plan.Voters] {
 		if v.alive && (o == nil || v.part.ReleaseLog().NewerThan(o)) {
 			o = v.part.ReleaseLog()
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"swiftcourse/internal/judge/version"
+	"swiftcourse/internal/policy/release"
 	"swiftcourse/internal/standin/balancer"
 	"swiftcourse/internal/wire/rpc"
 )
@@ -91,7 +91,7 @@
 	}
 }
 
-func (f *Fleet) release(t *testing.T, at, text string, waves ...float64) (e version.Epoch) {
+func (f *Fleet) release(t *testing.T, at, text string, waves ...float64) (e release.Epoch) {
 	t.Helper()
 	f.await(t, "a release by "+at, func() bool {
 		var err error
@@ -129,7 +129,7 @@
 		_, err := f.Release("n4", "door-come-back 400ms\n")
 		refused <- err
 	}()
-	var e version.Epoch
+	var e release.Epoch
 	f.await(t, "a release where most voters are", func() bool {
 		var err error
 		e, err = f.Release("n5", "door-come-back 500ms\n")
@@ -222,7 +222,7 @@
 	if f.Server("n5").Roster.Takes("n5") {
 		t.Error("n5 is still on the roster's list")
 	}
-	if _, err := f.Command("n4", version.Command{Kind: version.KindRollback, Author: "test", Reason: "n5"}); err != nil {
+	if _, err := f.Command("n4", release.Command{Kind: release.KindRollback, Author: "test", Reason: "n5"}); err != nil {
 		t.Fatal(err)
 	}
 	f.await(t, "n5 is brought up by what it can apply, and serves", func() bool {
@@ -433,7 +433,7 @@
 	for _, line := range []string{"event=fleet", "event=fleet_copies cold=256", "event=fleet_copies cold=0", "event=fleet_acts epoch=1.7"} {
 		f.hear("n1", line)
 	}
-	if !f.Warm("n1") || f.ActsOn("n1") != version.NewEpoch(1, 7) {
+	if !f.Warm("n1") || f.ActsOn("n1") != release.NewEpoch(1, 7) {
 		t.Errorf("before its end: warm %v, on %s", f.Warm("n1"), f.ActsOn("n1"))
 	}
 	f.lives["n1"] = len(f.said)
--- a/internal/lab/faults/fleet.go
+++ b/internal/lab/faults/fleet.go
@@ -11,9 +11,9 @@
 	"syscall"
 	"time"
 
-	"swiftcourse/internal/judge/version"
 	labfleet "swiftcourse/internal/lab/fleet"
 	"swiftcourse/internal/peers"
+	"swiftcourse/internal/policy/release"
 	standin "swiftcourse/internal/standin/catalogue"
 	"swiftcourse/internal/wire/catalogue"
 	"swiftcourse/internal/wire/shale"
@@ -313,13 +313,13 @@
 }
 
 // Command asks a server for a command, and tells the newest epoch after it.
-func (f *Fleet) Command(name string, c version.Command) (version.Epoch, error) {
+func (f *Fleet) Command(name string, c release.Command) (release.Epoch, error) {
 	return peers.SendCommand(f.control[name], c)
 }
 
 // Release asks a server for a release.
-func (f *Fleet) Release(name, text string, waves ...float64) (version.Epoch, error) {
-	return f.Command(name, version.Command{Kind: version.KindRelease, Author: name, Text: text, Digest: version.Digest(text, ""), Waves: waves})
+func (f *Fleet) Release(name, text string, waves ...float64) (release.Epoch, error) {
+	return f.Command(name, release.Command{Kind: release.KindRelease, Author: name, Text: text, Digest: release.Digest(text, ""), Waves: waves})
 }
 
 // Until waits for something to be so, and tells whether it came.
@@ -333,8 +333,8 @@
 }
 
 // ActsOn is the epoch on which a server last said, since its start, that it acts; 0 where it said none.
-func (f *Fleet) ActsOn(name string) version.Epoch {
-	e, err := version.ParseEpoch(f.Last(name, "fleet_acts").Fields["epoch"])
+func (f *Fleet) ActsOn(name string) release.Epoch {
+	e, err := release.ParseEpoch(f.Last(name, "fleet_acts").Fields["epoch"])
 	if err != nil {
 		return 0
 	}
@@ -342,7 +342,7 @@
 }
 
 // AllOn tells whether the servers named act on an epoch, or on a newer one.
-func (f *Fleet) AllOn(e version.Epoch, names ...string) bool {
+func (f *Fleet) AllOn(e release.Epoch, names ...string) bool {
 	for _, name := range names {
 		if f.ActsOn(name) < e {
 			return false
--- a/internal/lab/versions/versions.go
+++ b/internal/lab/versions/versions.go
@@ -13,11 +13,11 @@
 	"sync"
 	"time"
 
-	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/lab/faults"
 	"swiftcourse/internal/lab/load"
 	"swiftcourse/internal/peers"
 	"swiftcourse/internal/policy/audit"
+	"swiftcourse/internal/policy/release"
 )
 
 // Plan is one run.
@@ -98,14 +98,14 @@
 	names     []string
 	mu        sync.Mutex
 	disturbed map[string][][2]time.Time // when a server may be hindered by what was done to it
-	released  map[version.Epoch]time.Time
+	released  map[release.Epoch]time.Time
 	row       Row
 	undo      []func()
 	releasing sync.WaitGroup
 }
 
 func (p *Plan) play(ctx context.Context, talk bool) (Row, error) {
-	r := &run{Plan: p, chance: rand.New(rand.NewPCG(p.Seed, 11)), disturbed: map[string][][2]time.Time{}, released: map[version.Epoch]time.Time{},
+	r := &run{Plan: p, chance: rand.New(rand.NewPCG(p.Seed, 11)), disturbed: map[string][][2]time.Time{}, released: map[release.Epoch]time.Time{},
 		row: Row{Seed: p.Seed, Servers: p.Servers}}
 	shape := faults.Small(p.Program)
 	shape.Log = p.Log
@@ -400,7 +400,7 @@
 				continue
 			}
 			for _, s := range r.fleet.Said(name, "fleet_acts") {
-				if on, err := version.ParseEpoch(s.Fields["epoch"]); err == nil && on >= e {
+				if on, err := release.ParseEpoch(s.Fields["epoch"]); err == nil && on >= e {
 					took = append(took, max(0, 1000*s.At.Sub(at).Seconds()))
 					break
 				}
--- a/internal/peers/budgets.go
+++ b/internal/peers/budgets.go
@@ -5,8 +5,8 @@
 	"math"
 	"time"
 
-	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/policy/quota"
+	"swiftcourse/internal/policy/release"
 	wire "swiftcourse/internal/wire/fleet"
 )
 
@@ -140,7 +140,7 @@
 	IsLeader bool                `json:"Leads"`
 	Held     []quota.Allowance   `json:"Here,omitempty"` // where a part is held, by the fleet's clock
 	Granted  []quota.LimitStatus `json:",omitempty"`     // at the voter that leads
-	Epoch    version.Epoch
+	Epoch    release.Epoch
 }
 
 // maxQuotasListed bounds what operators are shown.
--- a/internal/peers/client.go
+++ b/internal/peers/client.go
@@ -9,7 +9,7 @@
 	"net/http"
 	"net/url"
 
-	"swiftcourse/internal/judge/version"
+	"swiftcourse/internal/policy/release"
 )
 
 // maxResponse bounds an answer that is read, in bytes: the accounts of a thousand servers.
@@ -40,12 +40,12 @@
 }
 
 // SendCommand asks it for a command, and tells the newest epoch after it. A refusal is an error in the leader's words.
-func SendCommand(addr string, c version.Command) (version.Epoch, error) {
+func SendCommand(addr string, c release.Command) (release.Epoch, error) {
 	b, err := json.Marshal(c)
 	if err != nil {
 		return 0, err
 	}
-	var said struct{ Newest version.Epoch }
+	var said struct{ Newest release.Epoch }
 	err = callControl(addr, http.MethodPost, "/command", b, &said)
 	return said.Newest, err
 }
--- a/internal/peers/control.go
+++ b/internal/peers/control.go
@@ -7,9 +7,9 @@
 	"net/http"
 	"time"
 
-	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/policy/audit"
 	"swiftcourse/internal/policy/lease"
+	"swiftcourse/internal/policy/release"
 	"swiftcourse/internal/policy/replication"
 )
 
@@ -19,19 +19,19 @@
 	Incarnation       uint64        `json:"Life"`
 	LeaseState        string        `json:"Standing"`
 	Reason            string        `json:"Why"`
-	ActiveEpoch       version.Epoch `json:"Acts"`
-	AssignedEpoch     version.Epoch `json:"Right"`
+	ActiveEpoch       release.Epoch `json:"Acts"`
+	AssignedEpoch     release.Epoch `json:"Right"`
 	Leader            string
 	MayGoOutOfService bool                           `json:"MayLeave"` // should it hear nothing, see fleet-silent
 	DroppedMessages   uint64                         `json:"Lost"`     // messages without room, or that could not be read
-	ReleaseLog        *version.Log                   `json:"Order"`
+	ReleaseLog        *release.Log                   `json:"Order"`
 	Servers           []lease.ServerStatus           `json:"Standings"`
 	Audit             audit.Report                   `json:"Report"`
 	Replicas          map[string]*replication.Status `json:"Copies"` // of all servers that keep or claim any and answered
 }
 
 // QueryStatus gathers what the fleet knows.
-func (f *Node) QueryStatus(since version.Epoch) (*Status, error) {
+func (f *Node) QueryStatus(since release.Epoch) (*Status, error) {
 	report, g, err := f.Audit(since)
 	if err != nil {
 		return nil, err
@@ -77,10 +77,10 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /state", func(w http.ResponseWriter, r *http.Request) {
-		var since version.Epoch
+		var since release.Epoch
 		if text := r.URL.Query().Get("since"); text != "" {
 			var err error
-			if since, err = version.ParseEpoch(text); err != nil {
+			if since, err = release.ParseEpoch(text); err != nil {
 				answer(w, nil, err)
 				return
 			}
@@ -101,13 +101,13 @@
 		answer(w, s, err)
 	})
 	mux.HandleFunc("POST /command", func(w http.ResponseWriter, r *http.Request) {
-		var c version.Command
+		var c release.Command
 		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCommand)).Decode(&c); err != nil {
 			answer(w, nil, err)
 			return
 		}
 		newest, err := f.ExecuteCommand(c)
-		answer(w, map[string]version.Epoch{"newest": newest}, err)
+		answer(w, map[string]release.Epoch{"newest": newest}, err)
 	})
 	server := &http.Server{ReadTimeout: controlTimeout, WriteTimeout: controlTimeout, MaxHeaderBytes: 8 << 10,
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/peers/counts.go
+++ b/internal/peers/counts.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"time"
 
-	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/policy/counter"
+	"swiftcourse/internal/policy/release"
 	"swiftcourse/internal/policy/serving"
 	wire "swiftcourse/internal/wire/fleet"
 )
@@ -107,11 +107,11 @@
 	if len(ripe) == 0 || f.leaseTable == nil {
 		return
 	}
-	c := version.Command{Kind: version.KindCloseCounters, Author: "leader"}
+	c := release.Command{Kind: release.KindCloseCounters, Author: "leader"}
 	for _, t := range ripe {
-		c.CounterRows = append(c.CounterRows, version.CounterRow{ID: t.RowID, Sequence: t.Sequence, Cells: t.Cells})
+		c.CounterRows = append(c.CounterRows, release.CounterRow{ID: t.RowID, Sequence: t.Sequence, Cells: t.Cells})
 	}
-	f.propose([]version.Command{c})
+	f.propose([]release.Command{c})
 }
 
 // takeCounts takes a row, or what keepers say to one another.
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -18,10 +18,10 @@
 	"sync/atomic"
 	"time"
 
-	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/policy/audit"
 	"swiftcourse/internal/policy/connlimit"
 	"swiftcourse/internal/policy/lease"
+	"swiftcourse/internal/policy/release"
 	"swiftcourse/internal/policy/replication"
 	"swiftcourse/internal/policy/serving"
 	wire "swiftcourse/internal/wire/fleet"
@@ -35,7 +35,7 @@
 	JoinAddrs       []string          // where some others listen, beside the voters
 	LeaseTerms      lease.Config
 	OnLeaseExpiry   lease.Mode
-	Rollout         version.RolloutPolicy
+	Rollout         release.RolloutPolicy
 	Seed            int64
 	Build           string
 	Now             func() float64 // seconds, moves forward; the serving loop reads Standing by the same clock
@@ -85,22 +85,22 @@
 	Config
 	incarnation uint64
 	network     Network
-	voter       *version.Voter // nil where this is none
+	voter       *release.Voter // nil where this is none
 	leaseHolder *lease.Holder
 	leaseTable  *lease.Grantor
 	auditLog    *audit.Book
 
-	releaseLog       *version.Log // a copy, also at those who don't vote
+	releaseLog       *release.Log // a copy, also at those who don't vote
 	lastLogFetch     float64
 	loopStats        *serving.VersionStats
 	audited          [2]uint64 // of the stamp, that the book has
-	active           version.Version
+	active           release.Version
 	applyError       string
 	lastVersionFetch float64
 	lastSummary      float64
 	lastForget       float64
 	urgentSummaries  int           // brief accounts that follow one another sooner, as there is news
-	newestHeard      version.Epoch // the newest that anybody was heard to act on
+	newestHeard      release.Epoch // the newest that anybody was heard to act on
 	published        lease.Snapshot
 	voterNames       []string // names, sorted
 	nextVoter        int      // which voter is asked next where no leader is known
@@ -134,7 +134,7 @@
 
 // pendingCommand is an operator's command on its way.
 type pendingCommand struct {
-	command     *version.Command
+	command     *release.Command
 	nextAttempt float64
 	deadline    float64
 	done        func(wire.CommandResult)
@@ -146,7 +146,7 @@
 	awaiting   map[string]bool // lives that have not answered, by node
 	accounts   []audit.Account
 	alive      map[uint64]bool
-	releaseLog *version.Log
+	releaseLog *release.Log
 	servers    []lease.ServerStatus
 	replicas   map[string]*replication.Status
 	done       func(*auditRun)
@@ -173,7 +173,7 @@
 	if p.Log == nil {
 		p.Log = slog.Info
 	}
-	f := &Agent{Config: p, incarnation: life, network: net, random: chance, releaseLog: (&version.Log{}).Clone(), loopStats: &serving.VersionStats{},
+	f := &Agent{Config: p, incarnation: life, network: net, random: chance, releaseLog: (&release.Log{}).Clone(), loopStats: &serving.VersionStats{},
 		pending: map[uint64]*pendingCommand{}, audits: map[uint64]*auditRun{}}
 	for name := range p.Voters {
 		f.voterNames = append(f.voterNames, name)
@@ -181,7 +181,7 @@
 	slices.Sort(f.voterNames)
 	now := p.Now()
 	if _, votes := f.Voters[f.Name]; votes {
-		f.voter = version.NewVoter(f.Name, f.voterNames, int64(f.random.Uint64()>>1), wire.Codec{}, now, f.UnixNow())
+		f.voter = release.NewVoter(f.Name, f.voterNames, int64(f.random.Uint64()>>1), wire.Codec{}, now, f.UnixNow())
 	}
 	f.leaseHolder = lease.NewHolder(f.Name, f.incarnation, f.ListenAddr, f.Build, f.OnLeaseExpiry, f.LeaseTerms.Duration, now)
 	f.auditLog = audit.NewBook(f.Name, f.incarnation, f.UnixNow())
@@ -395,7 +395,7 @@
 		a.Leader = f.voter.Leader()
 	}
 	if f.confirmed(now) && f.leaseTable != nil {
-		var commands []version.Command
+		var commands []release.Command
 		a, commands = f.leaseTable.HandleRequest(now, q, f.releaseLog, true)
 		a.Leader = f.Name
 		f.propose(commands)
@@ -409,7 +409,7 @@
 	f.send(q.Addr, &wire.Envelope{LeaseReply: &a})
 }
 
-func (f *Agent) propose(commands []version.Command) {
+func (f *Agent) propose(commands []release.Command) {
 	for i := range commands {
 		commands[i].IssuedAt = f.UnixNow()
 		f.voter.ProposeAsLeader(&commands[i])
@@ -480,7 +480,7 @@
 		if f.leaseTable != nil {
 			f.leaseTable.HandleCommandResult(e.Command)
 		}
-		if e.Command.Kind != version.KindRegister || e.Err != nil && e.Err != version.ErrNameTaken {
+		if e.Command.Kind != release.KindRegister || e.Err != nil && e.Err != release.ErrNameTaken {
 			f.Log("fleet_order", "command", e.Command.Kind, "by", e.Command.Author, "name", e.Command.Name, "why", e.Command.Reason,
 				"newest", f.releaseLog.NewestEpoch(), "refused", fmt.Sprint(e.Err))
 		}
@@ -494,7 +494,7 @@
 	}
 }
 
-func commandResult(e version.CommandResult, newest version.Epoch) wire.CommandResult {
+func commandResult(e release.CommandResult, newest release.Epoch) wire.CommandResult {
 	d := wire.CommandResult{ID: e.Command.ID, NewestEpoch: newest}
 	if e.Err != nil {
 		d.RejectReason = e.Err.Error()
@@ -549,7 +549,7 @@
 }
 
 // applyVersion acts on a version, where it is whole and the right one.
-func (f *Agent) applyVersion(now float64, v *version.Version, why string) {
+func (f *Agent) applyVersion(now float64, v *release.Version, why string) {
 	if v.Epoch != f.leaseHolder.AssignedEpoch() || v.Epoch <= f.active.Epoch || !v.DigestMatches() || f.applyError != "" && now < f.lastVersionFetch+1 {
 		return
 	}
@@ -583,7 +583,7 @@
 	batches, tasks := f.loopStats.Batches.Load(), f.loopStats.Requests.Load()
 	f.auditLog.Count(f.UnixNow(), batches-f.audited[0], tasks-f.audited[1])
 	f.audited = [2]uint64{batches, tasks}
-	f.leaseHolder.SetErrorTally(version.ErrorTally{Completed: float64(f.loopStats.Completed.Load()), Failed: float64(min(f.loopStats.Failed.Load(), f.loopStats.Completed.Load()))})
+	f.leaseHolder.SetErrorTally(release.ErrorTally{Completed: float64(f.loopStats.Completed.Load()), Failed: float64(min(f.loopStats.Failed.Load(), f.loopStats.Completed.Load()))})
 }
 
 // fetchReleaseLog keeps a copy of the order, from which others' words are judged and a lost group of voters starts again: a voter that is cold asks some of
@@ -681,7 +681,7 @@
 			t.Accounts = t.Accounts[len(t.Accounts)-maxAccountsInReply:]
 		}
 	}
-	known := &version.Log{Current: version.Version{Epoch: version.NewEpoch(m.StateRequest.ClusterID, 0)}, AppliedCount: m.StateRequest.AppliedCount}
+	known := &release.Log{Current: release.Version{Epoch: release.NewEpoch(m.StateRequest.ClusterID, 0)}, AppliedCount: m.StateRequest.AppliedCount}
 	if f.releaseLog.NewerThan(known) && (f.voter != nil || m.StateRequest.RequestID == 0) {
 		t.ReleaseLog = f.releaseLog
 	}
@@ -734,7 +734,7 @@
 }
 
 // Audit asks everybody what they acted on, and waits for the answers as long as it takes, at most some seconds.
-func (f *Node) Audit(since version.Epoch) (audit.Report, *auditRun, error) {
+func (f *Node) Audit(since release.Epoch) (audit.Report, *auditRun, error) {
 	done := make(chan *auditRun, 1)
 	if err := f.call(func(now float64) { f.startAudit(now, func(g *auditRun) { done <- g }) }); err != nil {
 		return audit.Report{}, nil, err
@@ -795,7 +795,7 @@
 }
 
 // ExecuteCommand asks for a command and waits for its end. Where on is 0 it is meant for the newest version that this server knows of.
-func (f *Node) ExecuteCommand(c version.Command) (version.Epoch, error) {
+func (f *Node) ExecuteCommand(c release.Command) (release.Epoch, error) {
 	done := make(chan wire.CommandResult, 1)
 	if err := f.call(func(now float64) { f.SubmitCommand(now, c, func(d wire.CommandResult) { done <- d }) }); err != nil {
 		return 0, err
@@ -812,7 +812,7 @@
 }
 
 // SubmitCommand asks for an operator's command, and tells how it ended.
-func (f *Agent) SubmitCommand(now float64, c version.Command, tell func(wire.CommandResult)) {
+func (f *Agent) SubmitCommand(now float64, c release.Command, tell func(wire.CommandResult)) {
 	if len(f.pending) >= maxPendingCommands {
 		tell(wire.CommandResult{RejectReason: "too many commands are under way"})
 		return
@@ -825,10 +825,10 @@
 }
 
 // ReleaseLog is the order as this process knows it; it is not to be changed.
-func (f *Agent) ReleaseLog() *version.Log { return f.releaseLog }
+func (f *Agent) ReleaseLog() *release.Log { return f.releaseLog }
 
 // ServingState is how this process stands, and on which version it acts.
-func (f *Agent) ServingState() (lease.Snapshot, version.Version) { return f.published, f.active }
+func (f *Agent) ServingState() (lease.Snapshot, release.Version) { return f.published, f.active }
 
 // Clock is a process's clock for its fleet. For tests it may be off, or run at another rate.
 type Clock struct {
--- a/internal/policy/audit/audit.go
+++ b/internal/policy/audit/audit.go
@@ -8,15 +8,15 @@
 	"maps"
 	"slices"
 
-	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/policy/lease"
+	"swiftcourse/internal/policy/release"
 )
 
 // Interval is a time in which a server acted on one version. Its times are Unix seconds by that server's own clock: between servers only
 // the order of epochs tells what came first.
 type Interval struct {
 	N        uint64        // how many of its life came before it
-	Epoch    version.Epoch // 0 for its own file, before it was told of any version
+	Epoch    release.Epoch // 0 for its own file, before it was told of any version
 	Digest   string
 	From, To float64 // To is when it was last known to go on, where it is the latest
 	Batches  uint64  // decided under it
@@ -57,7 +57,7 @@
 }
 
 // Begin tells that the server acts on a version from now on.
-func (b *Book) Begin(now float64, epoch version.Epoch, digest, why string) {
+func (b *Book) Begin(now float64, epoch release.Epoch, digest, why string) {
 	b.Count(now, 0, 0)
 	if n := len(b.own.Intervals); n >= maxIntervals {
 		b.own.Intervals = slices.Delete(b.own.Intervals, 0, 1)
@@ -179,8 +179,8 @@
 type Behind struct {
 	Name   string
 	Life   uint64
-	On     version.Epoch
-	Right  version.Epoch
+	On     release.Epoch
+	Right  release.Epoch
 	For    float64 // seconds, as far as the leader saw
 	Why    string
 	Absent float64 // seconds for which the leader heard nothing, where that is why
@@ -188,7 +188,7 @@
 
 // Report is what an audit comes to.
 type Report struct {
-	Newest   version.Epoch
+	Newest   release.Epoch
 	Accounts []Account // by name, then by start
 	Behind   []Behind
 	Holes    []Hole
@@ -200,14 +200,14 @@
 
 // Make holds accounts against the order and what the leader knows. alive tells which lives told of themselves just now; since leaves out
 // what ended before that epoch.
-func Make(o *version.Log, standings []lease.ServerStatus, accounts []Account, alive map[uint64]bool, since version.Epoch) Report {
+func Make(o *release.Log, standings []lease.ServerStatus, accounts []Account, alive map[uint64]bool, since release.Epoch) Report {
 	r := Report{Newest: o.NewestEpoch()}
 	all := NewBook("", 0, 0)
 	for _, a := range accounts {
 		all.Hear(a)
 	}
-	known := map[version.Epoch]map[string][]string{} // digests of an epoch, and who says so
-	say := func(e version.Epoch, digest, who string) {
+	known := map[release.Epoch]map[string][]string{} // digests of an epoch, and who says so
+	say := func(e release.Epoch, digest, who string) {
 		if e != 0 {
 			if known[e] == nil {
 				known[e] = map[string][]string{}
@@ -215,7 +215,7 @@
 			known[e][digest] = append(known[e][digest], who)
 		}
 	}
-	for _, v := range []*version.Version{&o.Current, o.Next, o.Previous} {
+	for _, v := range []*release.Version{&o.Current, o.Next, o.Previous} {
 		if v != nil {
 			say(v.Epoch, v.Digest, "the order")
 		}
--- a/internal/policy/audit/audit_test.go
+++ b/internal/policy/audit/audit_test.go
@@ -7,14 +7,14 @@
 
 	"pgregory.net/rapid"
 
-	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/policy/lease"
+	"swiftcourse/internal/policy/release"
 )
 
 func TestAnAuditTellsHolesAndAlarms(t *testing.T) {
-	o := version.BootstrapLog(&version.Log{}, 7, nil)
+	o := release.BootstrapLog(&release.Log{}, 7, nil)
 	for i, name := range []string{"n1", "n2", "n3"} {
-		_ = o.Apply(&version.Command{Kind: version.KindRegister, Name: name, Incarnation: uint64(i + 1)})
+		_ = o.Apply(&release.Command{Kind: release.KindRegister, Name: name, Incarnation: uint64(i + 1)})
 	}
 	first := o.Current
 	on := func(name string, life uint64, started float64, list ...Interval) Account {
@@ -54,7 +54,7 @@
 		var told []Account
 		n := rapid.IntRange(1, 12).Draw(t, "intervals")
 		for i := range n {
-			life.Begin(float64(10*i), version.Epoch(i+1), "d", "released")
+			life.Begin(float64(10*i), release.Epoch(i+1), "d", "released")
 			life.Count(float64(10*i+5), 1, 2)
 			if rapid.Bool().Draw(t, "brief") {
 				told = append(told, life.Brief())
@@ -76,7 +76,7 @@
 func TestTheBookIsBounded(t *testing.T) {
 	b := NewBook("me", 1, 0)
 	for i := range 3 * maxIntervals {
-		b.Begin(float64(i), version.Epoch(i+1), "d", "")
+		b.Begin(float64(i), release.Epoch(i+1), "d", "")
 	}
 	if own := b.Own(); len(own.Intervals) != maxIntervals || own.Dropped != 2*maxIntervals {
 		t.Errorf("%d kept, %d dropped", len(own.Intervals), own.Dropped)
--- a/internal/policy/counter/counts_test.go
+++ b/internal/policy/counter/counts_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"swiftcourse/internal/judge/version"
+	"swiftcourse/internal/policy/release"
 	"swiftcourse/internal/policy/serving"
 )
 
@@ -22,8 +22,8 @@
 	servers []*server
 	dead    []*server
 	keepers []*keeper
-	order   *version.Log
-	asked   []version.Command // proposed, and not committed yet
+	order   *release.Log
+	asked   []release.Command // proposed, and not committed yet
 	lives   uint64
 }
 
@@ -46,14 +46,14 @@
 	name   string
 	keeper *Aggregator
 	life   int
-	sees   *version.Log // may be behind
+	sees   *release.Log // may be behind
 	deaf   bool         // to servers
 }
 
 var names = []string{"k0", "k1", "k2", "k3", "k4"}
 
 func newWorld(seed uint64, keepers, servers int) *world {
-	w := &world{chance: rand.New(rand.NewPCG(seed, 3)), order: (&version.Log{}).Clone()}
+	w := &world{chance: rand.New(rand.NewPCG(seed, 3)), order: (&release.Log{}).Clone()}
 	for i := range keepers {
 		w.keepers = append(w.keepers, &keeper{name: names[i]})
 	}
@@ -137,9 +137,9 @@
 
 func (w *world) propose(ripe []RowReport) {
 	if ripe != nil {
-		c := version.Command{Kind: version.KindCloseCounters}
+		c := release.Command{Kind: release.KindCloseCounters}
 		for _, t := range ripe {
-			c.CounterRows = append(c.CounterRows, version.CounterRow{ID: t.RowID, Sequence: t.Sequence, Cells: t.Cells})
+			c.CounterRows = append(c.CounterRows, release.CounterRow{ID: t.RowID, Sequence: t.Sequence, Cells: t.Cells})
 		}
 		w.asked = append(w.asked, c)
 	}
--- a/internal/policy/lease/ledger.go
+++ b/internal/policy/lease/ledger.go
@@ -4,7 +4,7 @@
 	"math"
 	"slices"
 
-	"swiftcourse/internal/judge/version"
+	"swiftcourse/internal/policy/release"
 )
 
 // Config are what the operator set for all.
@@ -31,10 +31,10 @@
 	addr    string
 	heard   float64
 	until   float64 // when the last lease that was given is surely over
-	epoch   version.Epoch
+	epoch   release.Epoch
 	behind  float64 // since when it is not on its version, -1 where it is
 	stuck   string
-	tolls   version.ErrorTally
+	tolls   release.ErrorTally
 	build   string
 	refused string
 	// leaving: a command that takes its name or its standing from this life was asked for, so the life has no lease until it is known
@@ -58,7 +58,7 @@
 	countedAt float64
 	waveAt    float64 // when the present wave began
 	wave      int
-	waveOf    version.Epoch
+	waveOf    release.Epoch
 	asked     map[string]float64 // when a command about a name was last asked for
 	acted     float64
 	fences    uint64
@@ -69,8 +69,8 @@
 type proof struct{ life, number uint64 }
 
 // HandleCommandResult tells how a command ended that this leader or anybody asked for.
-func (l *Grantor) HandleCommandResult(c *version.Command) {
-	if r := l.records[c.Name]; r != nil && c.Kind == version.KindRegister && c.Author == author && c.ID != 0 && c.ID == r.fence && c.Incarnation == r.life {
+func (l *Grantor) HandleCommandResult(c *release.Command) {
+	if r := l.records[c.Name]; r != nil && c.Kind == release.KindRegister && c.Author == author && c.ID != 0 && c.ID == r.fence && c.Incarnation == r.life {
 		r.leaving, r.fence = false, 0
 	}
 }
@@ -100,7 +100,7 @@
 
 // HandleRequest answers a question. commands are to be asked for of the voters. confirmed tells that a majority confirmed the leader within
 // ConfirmedFor.
-func (l *Grantor) HandleRequest(now float64, q *Request, o *version.Log, confirmed bool) (a Reply, commands []version.Command) {
+func (l *Grantor) HandleRequest(now float64, q *Request, o *release.Log, confirmed bool) (a Reply, commands []release.Command) {
 	a = Reply{Incarnation: q.Incarnation, Number: q.Number, AssignedEpoch: o.VersionFor(q.Name).Epoch}
 	if !confirmed || q.Name == "" || q.Incarnation == 0 {
 		return a, nil
@@ -109,7 +109,7 @@
 	if q.ActiveEpoch > o.NewestEpoch() {
 		a.Reason = "it acts on what a lost group of voters released"
 		beyond := uint64(q.ActiveEpoch.ClusterID()) + 1 + q.Incarnation%liftOver
-		return a, l.command(now, " lift", version.Command{Kind: version.KindBumpEpoch, ExpectedEpoch: o.NewestEpoch(), Previous: beyond})
+		return a, l.command(now, " lift", release.Command{Kind: release.KindBumpEpoch, ExpectedEpoch: o.NewestEpoch(), Previous: beyond})
 	}
 	holder, held := o.Members[q.Name]
 	if !held || holder != q.Incarnation {
@@ -122,7 +122,7 @@
 				return a, nil
 			}
 		}
-		commands = l.command(now, q.Name, version.Command{Kind: version.KindRegister, Name: q.Name, Incarnation: q.Incarnation, Previous: holder})
+		commands = l.command(now, q.Name, release.Command{Kind: release.KindRegister, Name: q.Name, Incarnation: q.Incarnation, Previous: holder})
 		if held && commands != nil { // else its fence would never be carried out while others ask for the name
 			l.leave(now, q.Name, holder)
 		}
@@ -158,19 +158,19 @@
 	case r.leaving && !isOut:
 		a.Reason = "a change of its standing is under way"
 		l.fences++
-		if commands = l.command(now, q.Name, version.Command{Kind: version.KindRegister, ID: l.fences, Name: q.Name, Incarnation: q.Incarnation, Previous: q.Incarnation}); commands != nil {
+		if commands = l.command(now, q.Name, release.Command{Kind: release.KindRegister, ID: l.fences, Name: q.Name, Incarnation: q.Incarnation, Previous: q.Incarnation}); commands != nil {
 			r.fence = l.fences
 		}
 	case isOut && r.behind < 0:
 		a.Reason, r.leaving = "brought up", false
-		return a, l.command(now, q.Name, version.Command{Kind: version.KindReadmit, Name: q.Name})
+		return a, l.command(now, q.Name, release.Command{Kind: release.KindReadmit, Name: q.Name})
 	case isOut:
 		a.Verdict, a.Reason = VerdictLagging, late(r)
 	case r.behind >= 0 && now > r.behind+l.terms.CatchUpTimeout && l.mayBeOut(o, q.Name):
 		a.Verdict, a.Reason = VerdictLagging, late(r)
 		if now > r.until { // it can't act any more, so that nobody sees it shut out while it acts
 			r.leaving, r.fence = true, 0
-			commands = l.command(now, q.Name, version.Command{Kind: version.KindEject, Name: q.Name, Incarnation: q.Incarnation, Reason: a.Reason})
+			commands = l.command(now, q.Name, release.Command{Kind: release.KindEject, Name: q.Name, Incarnation: q.Incarnation, Reason: a.Reason})
 		}
 	default:
 		a.Verdict, a.Duration, a.MayGoOutOfService = VerdictGranted, l.terms.Duration, l.mayLeave(now, o, r, q)
@@ -238,7 +238,7 @@
 // maxAsked bounds the commands that are under way: with more names than that, the rest is asked for later.
 const maxAsked = 256
 
-func (l *Grantor) command(now float64, name string, c version.Command) []version.Command {
+func (l *Grantor) command(now float64, name string, c release.Command) []release.Command {
 	if at, asked := l.asked[name]; asked && now < at+askAgain {
 		return nil
 	}
@@ -254,16 +254,16 @@
 	}
 	l.asked[name] = now
 	c.Author = author
-	return []version.Command{c}
+	return []release.Command{c}
 }
 
 // most is how many of the fleet may be off the roster.
-func (l *Grantor) most(o *version.Log) int {
+func (l *Grantor) most(o *release.Log) int {
 	return int(l.terms.MaxUnavailable * float64(len(o.Members)))
 }
 
 // mayBeOut tells whether one more may be shut out as it is late: those that are, and those that have no lease as they are late, count.
-func (l *Grantor) mayBeOut(o *version.Log, name string) bool {
+func (l *Grantor) mayBeOut(o *release.Log, name string) bool {
 	n := 0
 	for other, out := range o.Ejected {
 		if out.Incarnation != 0 && o.Members[other] == out.Incarnation {
@@ -289,7 +289,7 @@
 // mayLeave tells whether a server is among the few that may go off the roster when they hear nothing. One that may keeps that, also while it
 // says nothing; a leader that follows hears of it from the server itself, and takes those that it has not heard for such. So those who
 // leave together are never more than most, as long as the fleet does not shrink meanwhile.
-func (l *Grantor) mayLeave(now float64, o *version.Log, r *record, q *Request) bool {
+func (l *Grantor) mayLeave(now float64, o *release.Log, r *record, q *Request) bool {
 	if l.counted != o.AppliedCount || now > l.countedAt+tendEvery {
 		l.counted, l.countedAt, l.leavers = o.AppliedCount, now, 0
 		for name, life := range o.Members {
@@ -327,7 +327,7 @@
 const settled = 0.9
 
 // Maintain tells what is to be asked for on the leader's own account: names to forget, waves to widen, a release to roll back.
-func (l *Grantor) Maintain(now float64, o *version.Log, roll version.RolloutPolicy) (commands []version.Command) {
+func (l *Grantor) Maintain(now float64, o *release.Log, roll release.RolloutPolicy) (commands []release.Command) {
 	if now < l.acted+tendEvery {
 		return nil
 	}
@@ -346,13 +346,13 @@
 	if now > l.from+l.terms.ForgetAfter+l.whole() {
 		for name, life := range o.Members {
 			if r := l.records[name]; r == nil || now > r.heard+l.terms.ForgetAfter {
-				if ask := l.command(now, name, version.Command{Kind: version.KindUnregister, Name: name, Incarnation: life}); ask != nil {
+				if ask := l.command(now, name, release.Command{Kind: release.KindUnregister, Name: name, Incarnation: life}); ask != nil {
 					l.leave(now-l.terms.ForgetAfter-1, name, life)
 					commands = append(commands, ask...)
 				}
 			}
 		}
-		slices.SortFunc(commands, func(a, b version.Command) int { // not in the order of a map
+		slices.SortFunc(commands, func(a, b release.Command) int { // not in the order of a map
 			if a.Name < b.Name {
 				return -1
 			}
@@ -363,7 +363,7 @@
 }
 
 // roll looks after the release on its way.
-func (l *Grantor) roll(now float64, o *version.Log, roll version.RolloutPolicy) []version.Command {
+func (l *Grantor) roll(now float64, o *release.Log, roll release.RolloutPolicy) []release.Command {
 	if o.Next == nil {
 		l.waveOf = 0
 		return nil
@@ -372,7 +372,7 @@
 	if l.waveOf != next || l.wave != o.WaveIndex {
 		l.waveOf, l.wave, l.waveAt = next, o.WaveIndex, now
 	}
-	var on, off version.ErrorTally
+	var on, off release.ErrorTally
 	in, there := 0, 0
 	for name, r := range l.records {
 		if o.Members[name] != r.life || now > r.heard+l.terms.Duration {
@@ -390,8 +390,8 @@
 			}
 		}
 	}
-	if sure := version.HarmConfidence(on, off); sure > roll.HaltConfidence {
-		return l.command(now, " release", version.Command{Kind: version.KindRollback, ExpectedEpoch: next, Reason: "it does harm: more tasks rejected or abandoned"})
+	if sure := release.HarmConfidence(on, off); sure > roll.HaltConfidence {
+		return l.command(now, " release", release.Command{Kind: release.KindRollback, ExpectedEpoch: next, Reason: "it does harm: more tasks rejected or abandoned"})
 	}
 	if float64(there) < settled*float64(in) {
 		l.waveAt = now
@@ -400,15 +400,15 @@
 	if now < l.waveAt+roll.WaveSeconds {
 		return nil
 	}
-	return l.command(now, " release", version.Command{Kind: version.KindAdvanceRollout, ExpectedEpoch: next})
+	return l.command(now, " release", release.Command{Kind: release.KindAdvanceRollout, ExpectedEpoch: next})
 }
 
 // ServerStatus is what a leader knows of one name, for people.
 type ServerStatus struct {
 	Name              string
 	Incarnation       uint64        `json:"Life"`
-	ActiveEpoch       version.Epoch `json:"Epoch"`
-	AssignedEpoch     version.Epoch `json:"Right"`
+	ActiveEpoch       release.Epoch `json:"Epoch"`
+	AssignedEpoch     release.Epoch `json:"Right"`
 	SecondsSinceHeard float64       `json:"Heard"`  // seconds ago
 	SecondsBehind     float64       `json:"Behind"` // seconds for which it is not on its version, 0 where it is
 	BlockedBy         string        `json:"Stuck"`
@@ -418,7 +418,7 @@
 }
 
 // ServerStatuses lists every name that is held, by name.
-func (l *Grantor) ServerStatuses(now float64, o *version.Log) []ServerStatus {
+func (l *Grantor) ServerStatuses(now float64, o *release.Log) []ServerStatus {
 	list := make([]ServerStatus, 0, len(o.Members))
 	for name, life := range o.Members {
 		s := ServerStatus{Name: name, Incarnation: life, AssignedEpoch: o.VersionFor(name).Epoch}
@@ -444,7 +444,7 @@
 
 // CheckReporter judges whether another server's word counts, its reports and what it asks to be acted on: only who holds its name, is not shut
 // out, and acts on its version. Else it tells the version that would be right, and why.
-func CheckReporter(o *version.Log, name string, life uint64, epoch version.Epoch) (right version.Epoch, why string) {
+func CheckReporter(o *release.Log, name string, life uint64, epoch release.Epoch) (right release.Epoch, why string) {
 	right = o.VersionFor(name).Epoch
 	out, isOut := o.Ejected[name]
 	switch {
--- a/internal/policy/lease/member_test.go
+++ b/internal/policy/lease/member_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"swiftcourse/internal/judge/version"
+	"swiftcourse/internal/policy/release"
 )
 
 var terms = Config{Duration: 3, CatchUpTimeout: 5, MaxUnavailable: 0.25, ForgetAfter: 60}
@@ -21,7 +21,7 @@
 	t       interface{ Fatalf(string, ...any) }
 	chance  *rand.Rand
 	now     float64
-	order   *version.Log
+	order   *release.Log
 	leader  *boss
 	old     *boss
 	servers []*served
@@ -35,7 +35,7 @@
 
 type boss struct {
 	ledger *Grantor
-	order  *version.Log // as it knows it; nil for the newest
+	order  *release.Log // as it knows it; nil for the newest
 	until  float64      // when its last confirmation is over
 }
 
@@ -48,8 +48,8 @@
 	off     float64
 	asleep  bool
 	refuses bool // it can't apply what is released
-	acts    version.Epoch
-	heard   version.Epoch
+	acts    release.Epoch
+	heard   release.Epoch
 	cut     bool
 	view    Snapshot // what its loop goes by, which it may read long after
 }
@@ -61,7 +61,7 @@
 
 func newFleet(t interface{ Fatalf(string, ...any) }, seed uint64, n int, silent Mode) *fleet {
 	f := &fleet{t: t, chance: rand.New(rand.NewPCG(seed, 3)), slow: 0.1}
-	f.order = version.BootstrapLog(&version.Log{}, 7, map[uint64]string{1: "v"})
+	f.order = release.BootstrapLog(&release.Log{}, 7, map[uint64]string{1: "v"})
 	f.lead()
 	for i := range n {
 		f.add(fmt.Sprint("n", i), fmt.Sprint("addr", i), silent)
@@ -90,7 +90,7 @@
 	f.leader = &boss{ledger: NewGrantor(terms, homes, f.now)}
 }
 
-func (f *fleet) commit(commands []version.Command) {
+func (f *fleet) commit(commands []release.Command) {
 	for _, c := range commands {
 		ledger := f.leader.ledger
 		f.log = append(f.log, letter{f.now + 0.02 + f.slow*f.chance.Float64(), func() {
@@ -152,7 +152,7 @@
 				f.mail = append(f.mail, m)
 			}
 		}
-		f.commit(f.leader.ledger.Maintain(f.now, f.order, version.RolloutPolicy{WaveSeconds: 1, HaltConfidence: 0.9999}))
+		f.commit(f.leader.ledger.Maintain(f.now, f.order, release.RolloutPolicy{WaveSeconds: 1, HaltConfidence: 0.9999}))
 		for _, s := range f.servers {
 			if s.asleep {
 				continue
@@ -202,7 +202,7 @@
 }
 
 func (f *fleet) release(text string, waves ...float64) {
-	_ = f.order.Apply(&version.Command{Kind: version.KindRelease, ExpectedEpoch: f.order.NewestEpoch(), Text: text, Digest: version.Digest(text, ""), Waves: waves})
+	_ = f.order.Apply(&release.Command{Kind: release.KindRelease, ExpectedEpoch: f.order.NewestEpoch(), Text: text, Digest: release.Digest(text, ""), Waves: waves})
 }
 
 func (f *fleet) allActing(t *testing.T) {
@@ -427,10 +427,10 @@
 }
 
 func BenchmarkQuestionAmongAThousand(b *testing.B) {
-	o := version.BootstrapLog(&version.Log{}, 7, nil)
+	o := release.BootstrapLog(&release.Log{}, 7, nil)
 	l := NewGrantor(terms, homes, 0)
 	for i := range 1000 {
-		_ = o.Apply(&version.Command{Kind: version.KindRegister, Name: fmt.Sprint("n", i), Incarnation: 1})
+		_ = o.Apply(&release.Command{Kind: release.KindRegister, Name: fmt.Sprint("n", i), Incarnation: 1})
 	}
 	q := Request{Name: "n7", Incarnation: 1, Addr: "a", ActiveEpoch: o.Current.Epoch}
 	b.ReportAllocs()
@@ -443,7 +443,7 @@
 // TestAServerAheadOfAFoundedOrder: all voters forgot while it was cut off, and founded under a lower number.
 func TestAServerAheadOfAFoundedOrder(t *testing.T) {
 	f := newFleet(t, 8, 4, ModeNormal)
-	f.servers[2].acts, f.servers[2].heard = version.NewEpoch(50, 3), version.NewEpoch(50, 3) // the order is of founding 7
+	f.servers[2].acts, f.servers[2].heard = release.NewEpoch(50, 3), release.NewEpoch(50, 3) // the order is of founding 7
 	f.run(3 * terms.Duration)
 	f.allActing(t)
 	if e := f.order.Current.Epoch; e.ClusterID() <= 50 {
--- a/internal/policy/lease/self.go
+++ b/internal/policy/lease/self.go
@@ -8,7 +8,7 @@
 import (
 	"math"
 
-	"swiftcourse/internal/judge/version"
+	"swiftcourse/internal/policy/release"
 	"swiftcourse/internal/policy/serving"
 )
 
@@ -93,9 +93,9 @@
 	Incarnation       uint64
 	Number            uint64
 	Addr              string             // where it listens to the others: two processes can't listen on one
-	ActiveEpoch       version.Epoch      // on which it acts
+	ActiveEpoch       release.Epoch      // on which it acts
 	BlockedBy         string             // what hinders it from acting on a newer one, "" for nothing
-	ErrorTally        version.ErrorTally // of tasks since it has acted on Epoch
+	ErrorTally        release.ErrorTally // of tasks since it has acted on Epoch
 	Build             string
 	MayGoOutOfService bool   // that it is among the few, see Answer
 	Nonce             uint64 // the latest that it was told, see Answer
@@ -106,7 +106,7 @@
 	Incarnation, Number uint64
 	Verdict             Verdict
 	Duration            float64       // seconds of the lease, from when it was asked for
-	AssignedEpoch       version.Epoch // that it should act on
+	AssignedEpoch       release.Epoch // that it should act on
 	MayGoOutOfService   bool          // it is among the few that may go off the roster should they hear nothing
 	Leader              string        // whom to ask, "" where nobody is known
 	Nonce               uint64        // with Ask: to be said in the next question, to show that the asker is there; 0 for none
@@ -139,10 +139,10 @@
 	state    State
 	since    float64 // in that state
 	until    float64 // of its lease
-	right    version.Epoch
-	acts     version.Epoch
+	right    release.Epoch
+	acts     release.Epoch
 	stuck    string
-	toll     version.ErrorTally
+	toll     release.ErrorTally
 	mayLeave bool
 	why      string
 	leader   string
@@ -247,16 +247,16 @@
 }
 
 // SetActiveEpoch tells on which version the server acts from now on, and what hinders it from another one.
-func (s *Holder) SetActiveEpoch(e version.Epoch, stuck string) {
+func (s *Holder) SetActiveEpoch(e release.Epoch, stuck string) {
 	if e != s.acts {
-		s.toll = version.ErrorTally{}
+		s.toll = release.ErrorTally{}
 		s.next = math.Inf(-1) // it is told at once
 	}
 	s.acts, s.stuck = e, stuck
 }
 
 // SetErrorTally tells what the tasks under the present version came to so far.
-func (s *Holder) SetErrorTally(t version.ErrorTally) { s.toll = t }
+func (s *Holder) SetErrorTally(t release.ErrorTally) { s.toll = t }
 
 // Unanswered is how many questions in a row had no answer that counted.
 func (s *Holder) Unanswered() uint64 { return s.number - max(s.latest, s.redirected) }
@@ -265,7 +265,7 @@
 func (s *Holder) MayGoOutOfService() bool { return s.mayLeave }
 
 // AssignedEpoch is the version that it should act on, as far as it was told; 0 where it was not.
-func (s *Holder) AssignedEpoch() version.Epoch { return s.right }
+func (s *Holder) AssignedEpoch() release.Epoch { return s.right }
 
 // Snapshot is how a server stands, and what it does.
 type Snapshot struct {
--- a/internal/judge/version/harm.go
+++ b/internal/policy/release/harm.go
@@ -1,4 +1,4 @@
-package version
+package release
 
 import "math"
 
--- a/internal/judge/version/order.go
+++ b/internal/policy/release/order.go
@@ -1,8 +1,8 @@
-// Package version decides which version of the fleet's settings holds. Versions stand in one order that a majority of named voters commits;
+// Package release decides which version of the fleet's settings holds. Versions stand in one order that a majority of named voters commits;
 // everybody else follows. There is no I/O and no clock in it: who calls it tells what came and when, and sends what it hands back.
 //
 // Order is what the committed commands make; Voter is one voter's part in committing them; Harm judges a release by what it does.
-package version
+package release
 
 import (
 	"crypto/sha256"
--- a/internal/wire/fleet/counts.go
+++ b/internal/wire/fleet/counts.go
@@ -3,8 +3,8 @@
 import (
 	"errors"
 
-	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/policy/counter"
+	"swiftcourse/internal/policy/release"
 	"swiftcourse/internal/policy/serving"
 )
 
@@ -52,14 +52,14 @@
 }
 
 // encodeClosedRows are rows as the order and its commands have them.
-func encodeClosedRows(list []version.CounterRow) (to []*Row) {
+func encodeClosedRows(list []release.CounterRow) (to []*Row) {
 	for _, r := range list {
 		to = append(to, &Row{Row: r.ID, Number: r.Sequence, Cells: encodeCounts(r.Cells)})
 	}
 	return to
 }
 
-func decodeClosedRows(p []*Row) (list []version.CounterRow, err error) {
+func decodeClosedRows(p []*Row) (list []release.CounterRow, err error) {
 	if len(p) > maxMapEntries {
 		return nil, errTooLarge
 	}
@@ -68,7 +68,7 @@
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, version.CounterRow{ID: t.RowID, Sequence: t.Sequence, Cells: t.Cells})
+		list = append(list, release.CounterRow{ID: t.RowID, Sequence: t.Sequence, Cells: t.Cells})
 	}
 	return list, nil
 }
--- a/internal/wire/fleet/fleet.go
+++ b/internal/wire/fleet/fleet.go
@@ -11,13 +11,13 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/policy/audit"
 	"swiftcourse/internal/policy/circuitbreaker"
 	"swiftcourse/internal/policy/counter"
 	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/loadplan"
 	"swiftcourse/internal/policy/quota"
+	"swiftcourse/internal/policy/release"
 	"swiftcourse/internal/policy/replication"
 )
 
@@ -35,12 +35,12 @@
 	From               string // name and life of the process that sent it
 	Incarnation        uint64
 	Addr               string // where it listens
-	Consensus          *version.Message
+	Consensus          *release.Message
 	LeaseRequest       *lease.Request
 	LeaseReply         *lease.Reply
-	VersionRequest     version.Epoch
-	Version            *version.Version
-	Command            *version.Command
+	VersionRequest     release.Epoch
+	Version            *release.Version
+	Command            *release.Command
 	CommandResult      *CommandResult
 	AccountSummary     *audit.Account
 	StateRequest       *StateRequest
@@ -68,7 +68,7 @@
 type CommandResult struct {
 	ID           uint64
 	RejectReason string
-	NewestEpoch  version.Epoch
+	NewestEpoch  release.Epoch
 }
 
 // StateRequest asks for a server's own account and for what it heard of some names.
@@ -83,7 +83,7 @@
 type StateReply struct {
 	RequestID   uint64
 	Accounts    []audit.Account
-	ReleaseLog  *version.Log
+	ReleaseLog  *release.Log
 	Servers     []lease.ServerStatus
 	Replication *replication.Status // nil where it keeps and claims nothing
 }
@@ -168,16 +168,16 @@
 		m.Consensus, err = decodeConsensus(body.Voting)
 	case *Packet_Question:
 		q := body.Question
-		m.LeaseRequest = &lease.Request{Name: q.Name, Incarnation: q.Life, Number: q.Number, Addr: q.Addr, ActiveEpoch: version.Epoch(q.Epoch), BlockedBy: q.Stuck,
-			ErrorTally: version.ErrorTally{Completed: q.Ended, Failed: q.Harmed}, Build: q.Build, MayGoOutOfService: q.MayLeave, Nonce: q.Proof}
+		m.LeaseRequest = &lease.Request{Name: q.Name, Incarnation: q.Life, Number: q.Number, Addr: q.Addr, ActiveEpoch: release.Epoch(q.Epoch), BlockedBy: q.Stuck,
+			ErrorTally: release.ErrorTally{Completed: q.Ended, Failed: q.Harmed}, Build: q.Build, MayGoOutOfService: q.MayLeave, Nonce: q.Proof}
 		err = errors.Join(checkNames(q.Name, q.Addr, q.Stuck, q.Build), checkCount(q.Ended), checkCount(q.Harmed), checkNotAbove(q.Harmed, q.Ended))
 	case *Packet_Answer:
 		a := body.Answer
-		m.LeaseReply = &lease.Reply{Incarnation: a.Life, Number: a.Number, Verdict: lease.Verdict(min(a.Verdict, 255)), Duration: a.For, AssignedEpoch: version.Epoch(a.Right),
+		m.LeaseReply = &lease.Reply{Incarnation: a.Life, Number: a.Number, Verdict: lease.Verdict(min(a.Verdict, 255)), Duration: a.For, AssignedEpoch: release.Epoch(a.Right),
 			MayGoOutOfService: a.MayLeave, Leader: a.Leader, Reason: a.Why, Nonce: a.Proof}
 		err = errors.Join(checkNames(a.Leader, a.Why), checkCount(a.For))
 	case *Packet_Want:
-		if m.VersionRequest = version.Epoch(body.Want.Epoch); m.VersionRequest == 0 {
+		if m.VersionRequest = release.Epoch(body.Want.Epoch); m.VersionRequest == 0 {
 			err = errOutOfRange
 		}
 	case *Packet_Version:
@@ -185,7 +185,7 @@
 	case *Packet_Do:
 		m.Command, err = decodeCommand(body.Do.GetCommand())
 	case *Packet_Done:
-		m.CommandResult = &CommandResult{ID: body.Done.Id, RejectReason: body.Done.Refused, NewestEpoch: version.Epoch(body.Done.Newest)}
+		m.CommandResult = &CommandResult{ID: body.Done.Id, RejectReason: body.Done.Refused, NewestEpoch: release.Epoch(body.Done.Newest)}
 		err = checkNames(body.Done.Refused)
 	case *Packet_Brief:
 		var a audit.Account
@@ -253,7 +253,7 @@
 		if err := errors.Join(checkNames(s.Name, s.Stuck, s.Out, s.Build), checkFinite(s.Heard), checkFinite(s.Behind)); err != nil {
 			return nil, err
 		}
-		m.Servers = append(m.Servers, lease.ServerStatus{Name: s.Name, Incarnation: s.Life, ActiveEpoch: version.Epoch(s.Epoch), AssignedEpoch: version.Epoch(s.Right),
+		m.Servers = append(m.Servers, lease.ServerStatus{Name: s.Name, Incarnation: s.Life, ActiveEpoch: release.Epoch(s.Epoch), AssignedEpoch: release.Epoch(s.Right),
 			SecondsSinceHeard: s.Heard, SecondsBehind: s.Behind, BlockedBy: s.Stuck, EjectionReason: s.Out, Build: s.Build, Reported: s.Known})
 	}
 	if t.Copies != nil {
@@ -283,13 +283,13 @@
 	err = errors.Join(checkNames(a.Name), checkFinite(a.Started), checkFinite(a.Seen))
 	for _, t := range p.GetIntervals() {
 		err = errors.Join(err, checkNames(t.Digest, t.Why), checkFinite(t.From), checkFinite(t.To))
-		a.Intervals = append(a.Intervals, audit.Interval{N: t.N, Epoch: version.Epoch(t.Epoch), Digest: t.Digest, From: t.From, To: t.To, Batches: t.Batches,
+		a.Intervals = append(a.Intervals, audit.Interval{N: t.N, Epoch: release.Epoch(t.Epoch), Digest: t.Digest, From: t.From, To: t.To, Batches: t.Batches,
 			Tasks: t.Tasks, Why: t.Why})
 	}
 	return a, err
 }
 
-func encodeConsensus(m *version.Message) (*Voting, error) {
+func encodeConsensus(m *release.Message) (*Voting, error) {
 	v := &Voting{From: m.From, To: m.To, Founding: m.ClusterID, Ask: m.RequestReleaseLog, Tell: encodeReleaseLog(m.ReleaseLog)}
 	if b := m.Heartbeat; b != nil {
 		v.Beacon = &Beacon{Name: b.Name, Life: b.Incarnation, Founding: b.ClusterID, Known: b.NewestClusterID, Count: b.AppliedCount, Heard: b.DetachedVoters, Seats: b.Voters}
@@ -306,20 +306,20 @@
 	return v, nil
 }
 
-func decodeConsensus(v *Voting) (*version.Message, error) {
-	m := &version.Message{From: v.From, To: v.To, ClusterID: v.Founding, RequestReleaseLog: v.Ask}
+func decodeConsensus(v *Voting) (*release.Message, error) {
+	m := &release.Message{From: v.From, To: v.To, ClusterID: v.Founding, RequestReleaseLog: v.Ask}
 	var err error
 	if b := v.Beacon; b != nil {
 		if len(b.Heard) > maxListEntries || len(b.Seats) > maxListEntries || len(b.Name) > maxName {
 			return nil, errTooLarge
 		}
-		m.Heartbeat = &version.Heartbeat{Name: b.Name, Incarnation: b.Life, ClusterID: b.Founding, NewestClusterID: b.Known, AppliedCount: b.Count, DetachedVoters: b.Heard, Voters: b.Seats}
+		m.Heartbeat = &release.Heartbeat{Name: b.Name, Incarnation: b.Life, ClusterID: b.Founding, NewestClusterID: b.Known, AppliedCount: b.Count, DetachedVoters: b.Heard, Voters: b.Seats}
 	}
 	if f := v.Found; f != nil {
 		if len(f.Seats) > maxListEntries || f.Order == nil || f.Founding == 0 {
 			return nil, errTooLarge
 		}
-		m.Bootstrap = &version.Bootstrap{ClusterID: f.Founding, Voters: f.Seats}
+		m.Bootstrap = &release.Bootstrap{ClusterID: f.Founding, Voters: f.Seats}
 		if m.Bootstrap.ReleaseLog, err = decodeReleaseLog(f.Order); err != nil {
 			return nil, err
 		}
@@ -344,22 +344,22 @@
 	return m, nil
 }
 
-func encodeVersion(v *version.Version) *Version {
+func encodeVersion(v *release.Version) *Version {
 	if v == nil {
 		return nil
 	}
 	return &Version{Epoch: uint64(v.Epoch), Digest: v.Digest, Author: v.Author, At: v.ReleasedAt, Text: v.Text, Build: v.Build}
 }
 
-func decodeVersion(p *Version) (*version.Version, error) {
-	v := &version.Version{Epoch: version.Epoch(p.Epoch), Digest: p.Digest, Author: p.Author, ReleasedAt: p.At, Text: p.Text, Build: p.Build}
+func decodeVersion(p *Version) (*release.Version, error) {
+	v := &release.Version{Epoch: release.Epoch(p.Epoch), Digest: p.Digest, Author: p.Author, ReleasedAt: p.At, Text: p.Text, Build: p.Build}
 	if len(p.Text) > maxText {
 		return nil, errTooLarge
 	}
 	return v, errors.Join(checkNames(p.Digest, p.Author, p.Build), checkFinite(p.At))
 }
 
-func encodeReleaseLog(o *version.Log) *Order {
+func encodeReleaseLog(o *release.Log) *Order {
 	if o == nil {
 		return nil
 	}
@@ -375,12 +375,12 @@
 	return p
 }
 
-func decodeReleaseLog(p *Order) (*version.Log, error) {
+func decodeReleaseLog(p *Order) (*release.Log, error) {
 	if len(p.Waves) > maxListEntries || len(p.Past) > maxListEntries || len(p.Holds) > maxMapEntries || len(p.Out) > maxMapEntries || len(p.Done) > maxListEntries ||
 		len(p.Seats) > maxListEntries || p.Base == nil || p.Wave > maxListEntries {
 		return nil, errTooLarge
 	}
-	o := (&version.Log{AppliedCount: p.Count, Waves: p.Waves, WaveIndex: int(p.Wave), WaveLimit: p.Upto, Members: p.Holds, LastCommandIDs: p.Done, Voters: p.Seats}).Clone()
+	o := (&release.Log{AppliedCount: p.Count, Waves: p.Waves, WaveIndex: int(p.Wave), WaveLimit: p.Upto, Members: p.Holds, LastCommandIDs: p.Done, Voters: p.Seats}).Clone()
 	base, err := decodeVersion(p.Base)
 	if err != nil {
 		return nil, err
@@ -388,7 +388,7 @@
 	o.Current = *base
 	for _, part := range []struct {
 		from *Version
-		to   **version.Version
+		to   **release.Version
 	}{{p.Prior, &o.Previous}, {p.Next, &o.Next}} {
 		if part.from != nil {
 			if *part.to, err = decodeVersion(part.from); err != nil {
@@ -400,7 +400,7 @@
 		if err := errors.Join(checkNames(m.Digest, m.Author, m.Fate), checkFinite(m.At)); err != nil {
 			return nil, err
 		}
-		o.History = append(o.History, version.Entry{Epoch: version.Epoch(m.Epoch), Digest: m.Digest, Author: m.Author, ReleasedAt: m.At, Outcome: m.Fate})
+		o.History = append(o.History, release.Entry{Epoch: release.Epoch(m.Epoch), Digest: m.Digest, Author: m.Author, ReleasedAt: m.At, Outcome: m.Fate})
 	}
 	if o.ClosedRows, err = decodeClosedRows(p.Over); err != nil {
 		return nil, err
@@ -412,7 +412,7 @@
 		if err := errors.Join(checkNames(name, out.GetBy(), out.GetWhy()), checkFinite(out.GetAt())); err != nil {
 			return nil, err
 		}
-		o.Ejected[name] = version.Ejection{Incarnation: out.GetLife(), Author: out.GetBy(), Reason: out.GetWhy(), Epoch: version.Epoch(out.GetOn()), EjectedAt: out.GetAt()}
+		o.Ejected[name] = release.Ejection{Incarnation: out.GetLife(), Author: out.GetBy(), Reason: out.GetWhy(), Epoch: release.Epoch(out.GetOn()), EjectedAt: out.GetAt()}
 	}
 	for name := range o.Members {
 		if len(name) > maxName {
@@ -422,16 +422,16 @@
 	return o, nil
 }
 
-func encodeCommand(c *version.Command) *Command {
+func encodeCommand(c *release.Command) *Command {
 	return &Command{Kind: uint32(c.Kind), Id: c.ID, Author: c.Author, At: c.IssuedAt, On: uint64(c.ExpectedEpoch), Text: c.Text, Build: c.Build, Digest: c.Digest,
 		Waves: c.Waves, Name: c.Name, Life: c.Incarnation, Was: c.Previous, Why: truncate(c.Reason), Rows: encodeClosedRows(c.CounterRows)}
 }
 
-func decodeCommand(p *Command) (*version.Command, error) {
+func decodeCommand(p *Command) (*release.Command, error) {
 	if p == nil {
 		return nil, errUnknownBody
 	}
-	c := &version.Command{Kind: version.Kind(min(p.Kind, 255)), ID: p.Id, Author: p.Author, IssuedAt: p.At, ExpectedEpoch: version.Epoch(p.On), Text: p.Text,
+	c := &release.Command{Kind: release.Kind(min(p.Kind, 255)), ID: p.Id, Author: p.Author, IssuedAt: p.At, ExpectedEpoch: release.Epoch(p.On), Text: p.Text,
 		Build: p.Build, Digest: p.Digest, Waves: p.Waves, Name: p.Name, Incarnation: p.Life, Previous: p.Was, Reason: p.Why}
 	if len(p.Text) > maxText || len(p.Waves) > maxListEntries {
 		return nil, errTooLarge
@@ -447,13 +447,13 @@
 type Codec struct{}
 
 // MarshalCommand writes a command.
-func (Codec) MarshalCommand(c *version.Command) []byte {
+func (Codec) MarshalCommand(c *release.Command) []byte {
 	b, _ := proto.Marshal(encodeCommand(c))
 	return b
 } // no error: all strings are checked
 
 // UnmarshalCommand reads one.
-func (Codec) UnmarshalCommand(b []byte) (*version.Command, error) {
+func (Codec) UnmarshalCommand(b []byte) (*release.Command, error) {
 	p := &Command{}
 	if err := proto.Unmarshal(b, p); err != nil {
 		return nil, err
@@ -462,10 +462,10 @@
 }
 
 // MarshalLog writes an order.
-func (Codec) MarshalLog(o *version.Log) []byte { b, _ := proto.Marshal(encodeReleaseLog(o)); return b }
+func (Codec) MarshalLog(o *release.Log) []byte { b, _ := proto.Marshal(encodeReleaseLog(o)); return b }
 
 // UnmarshalLog reads one.
-func (Codec) UnmarshalLog(b []byte) (*version.Log, error) {
+func (Codec) UnmarshalLog(b []byte) (*release.Log, error) {
 	p := &Order{}
 	if err := proto.Unmarshal(b, p); err != nil {
 		return nil, err
--- a/internal/wire/fleet/fleet_test.go
+++ b/internal/wire/fleet/fleet_test.go
@@ -10,7 +10,6 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"swiftcourse/internal/judge/version"
 	"swiftcourse/internal/policy/audit"
 	"swiftcourse/internal/policy/circuitbreaker"
 	"swiftcourse/internal/policy/connlimit"
@@ -18,18 +17,19 @@
 	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/loadplan"
 	"swiftcourse/internal/policy/quota"
+	"swiftcourse/internal/policy/release"
 	"swiftcourse/internal/policy/replication"
 	"swiftcourse/internal/policy/serving"
 	state "swiftcourse/internal/replicastore"
 )
 
-func fullReleaseLog() *version.Log {
-	o := version.BootstrapLog(&version.Log{}, 7, map[uint64]string{1: "v1", 2: "v2"})
-	for _, c := range []version.Command{
-		{Kind: version.KindCloseCounters, CounterRows: []version.CounterRow{{ID: 4, Sequence: 2, Cells: countsOf(3)}, {ID: 8}}},
-		{Kind: version.KindRegister, Name: "n1", Incarnation: 5}, {Kind: version.KindEject, Name: "n1", Incarnation: 5, Reason: "late", IssuedAt: 3},
-		{Kind: version.KindRelease, ExpectedEpoch: o.NewestEpoch(), Text: "a", Digest: version.Digest("a", ""), ID: 9, Author: "x"},
-		{Kind: version.KindRelease, ExpectedEpoch: o.NewestEpoch() + 1, Text: "b", Digest: version.Digest("b", ""), Waves: []float64{0.5, 0.9}},
+func fullReleaseLog() *release.Log {
+	o := release.BootstrapLog(&release.Log{}, 7, map[uint64]string{1: "v1", 2: "v2"})
+	for _, c := range []release.Command{
+		{Kind: release.KindCloseCounters, CounterRows: []release.CounterRow{{ID: 4, Sequence: 2, Cells: countsOf(3)}, {ID: 8}}},
+		{Kind: release.KindRegister, Name: "n1", Incarnation: 5}, {Kind: release.KindEject, Name: "n1", Incarnation: 5, Reason: "late", IssuedAt: 3},
+		{Kind: release.KindRelease, ExpectedEpoch: o.NewestEpoch(), Text: "a", Digest: release.Digest("a", ""), ID: 9, Author: "x"},
+		{Kind: release.KindRelease, ExpectedEpoch: o.NewestEpoch() + 1, Text: "b", Digest: release.Digest("b", ""), Waves: []float64{0.5, 0.9}},
 	} {
 		if err := o.Apply(&c); err != nil {
 			panic(err)
@@ -50,16 +50,16 @@
 		Batches: 4, Tasks: 5, Why: "released"}}}
 	beat := &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: new(uint64(5)), To: new(uint64(6)), Term: new(uint64(2))}
 	return []*Envelope{
-		{Consensus: &version.Message{From: 5, Heartbeat: &version.Heartbeat{Name: "v1", Incarnation: 5, ClusterID: 7, NewestClusterID: 7, AppliedCount: 3,
+		{Consensus: &release.Message{From: 5, Heartbeat: &release.Heartbeat{Name: "v1", Incarnation: 5, ClusterID: 7, NewestClusterID: 7, AppliedCount: 3,
 			DetachedVoters: map[string]uint64{"v1": 5}, Voters: map[string]uint64{"v2": 2}}}},
-		{Consensus: &version.Message{From: 5, To: 6, Bootstrap: &version.Bootstrap{ClusterID: 7, Voters: map[uint64]string{5: "v1"}, ReleaseLog: o}}},
-		{Consensus: &version.Message{From: 5, To: 6, RequestReleaseLog: true}},
-		{Consensus: &version.Message{From: 5, To: 6, ReleaseLog: o}},
-		{Consensus: &version.Message{From: 5, To: 6, ClusterID: 7, Raft: beat}},
-		{LeaseRequest: &lease.Request{Name: "n1", Incarnation: 5, Number: 8, Addr: "127.0.0.1:1", ActiveEpoch: 3, BlockedBy: "s", ErrorTally: version.ErrorTally{Completed: 3, Failed: 1},
+		{Consensus: &release.Message{From: 5, To: 6, Bootstrap: &release.Bootstrap{ClusterID: 7, Voters: map[uint64]string{5: "v1"}, ReleaseLog: o}}},
+		{Consensus: &release.Message{From: 5, To: 6, RequestReleaseLog: true}},
+		{Consensus: &release.Message{From: 5, To: 6, ReleaseLog: o}},
+		{Consensus: &release.Message{From: 5, To: 6, ClusterID: 7, Raft: beat}},
+		{LeaseRequest: &lease.Request{Name: "n1", Incarnation: 5, Number: 8, Addr: "127.0.0.1:1", ActiveEpoch: 3, BlockedBy: "s", ErrorTally: release.ErrorTally{Completed: 3, Failed: 1},
 			Build: "b", MayGoOutOfService: true}},
 		{LeaseReply: &lease.Reply{Incarnation: 5, Number: 8, Verdict: lease.VerdictLagging, Duration: 6, AssignedEpoch: 4, MayGoOutOfService: true, Leader: "v1", Reason: "w"}},
-		{VersionRequest: 4}, {Version: &o.Current}, {Command: &version.Command{Kind: version.KindAdvanceRollout, ID: 3, Author: "a", ExpectedEpoch: 4, Waves: []float64{0.5}}},
+		{VersionRequest: 4}, {Version: &o.Current}, {Command: &release.Command{Kind: release.KindAdvanceRollout, ID: 3, Author: "a", ExpectedEpoch: 4, Waves: []float64{0.5}}},
 		{CommandResult: &CommandResult{ID: 3, RejectReason: "no", NewestEpoch: 5}}, {AccountSummary: &account}, {StateRequest: &StateRequest{RequestID: 4, Names: []string{"n1"}, ClusterID: 7, AppliedCount: 9}},
 		{StateReply: &StateReply{RequestID: 4, Accounts: []audit.Account{account}, ReleaseLog: o, Servers: []lease.ServerStatus{{Name: "n1", Incarnation: 5, ActiveEpoch: 3, AssignedEpoch: 4,
 			SecondsSinceHeard: 1, SecondsBehind: 2, BlockedBy: "s", EjectionReason: "o", Build: "b", Reported: true}},
@@ -117,23 +117,23 @@
 	for i, m := range []*Envelope{
 		{From: long, VersionRequest: 3},
 		{LeaseRequest: &lease.Request{Name: long}},
-		{LeaseRequest: &lease.Request{ErrorTally: version.ErrorTally{Completed: math.NaN()}}},
-		{LeaseRequest: &lease.Request{ErrorTally: version.ErrorTally{Completed: 1, Failed: 2}}},
-		{LeaseRequest: &lease.Request{ErrorTally: version.ErrorTally{Completed: -1, Failed: -1}}},
+		{LeaseRequest: &lease.Request{ErrorTally: release.ErrorTally{Completed: math.NaN()}}},
+		{LeaseRequest: &lease.Request{ErrorTally: release.ErrorTally{Completed: 1, Failed: 2}}},
+		{LeaseRequest: &lease.Request{ErrorTally: release.ErrorTally{Completed: -1, Failed: -1}}},
 		{LeaseReply: &lease.Reply{Duration: math.Inf(1)}},
-		{Version: &version.Version{Text: strings.Repeat("t", maxText+1)}},
-		{Command: &version.Command{IssuedAt: math.Inf(-1)}},
-		{Command: &version.Command{Waves: make([]float64, maxListEntries+1)}},
+		{Version: &release.Version{Text: strings.Repeat("t", maxText+1)}},
+		{Command: &release.Command{IssuedAt: math.Inf(-1)}},
+		{Command: &release.Command{Waves: make([]float64, maxListEntries+1)}},
 		{AccountSummary: &audit.Account{Intervals: make([]audit.Interval, maxListEntries+1)}},
 		{StateRequest: &StateRequest{Names: make([]string, maxMapEntries+1)}},
-		{Consensus: &version.Message{Heartbeat: &version.Heartbeat{Name: "v", DetachedVoters: many}}},
+		{Consensus: &release.Message{Heartbeat: &release.Heartbeat{Name: "v", DetachedVoters: many}}},
 		{QuotaRequest: &quota.Request{Demands: make([]quota.Demand, quota.MaxEntries+1)}},
 		{QuotaRequest: &quota.Request{Demands: []quota.Demand{{Name: "calls", Requested: -1}}}},
 		{QuotaRequest: &quota.Request{Demands: []quota.Demand{{Name: long}}}},
 		{QuotaReply: &quota.Reply{Grants: []quota.Grant{{Name: "calls", LeasedShare: math.NaN()}}}},
 		{HealthReports: make([]circuitbreaker.Report, circuitbreaker.MaxReports+1)},
 		{HealthReports: []circuitbreaker.Report{{AgeSeconds: -1}}},
-		{Consensus: &version.Message{From: 1, To: 2, Raft: &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: new(uint64(9)), To: new(uint64(2))}}},
+		{Consensus: &release.Message{From: 1, To: 2, Raft: &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: new(uint64(9)), To: new(uint64(2))}}},
 	} {
 		b, err := Encode(m)
 		if err != nil {
