--- a/admission/choice.go
+++ b/admission/choice.go
@@ -15,7 +15,7 @@
 	"math"
 	"slices"
 
-	"swiftcourse/internal/ring"
+	"swiftcourse/internal/timewindow"
 )
 
 // state is one state, or several in a row of the table and where tasks are counted.
@@ -150,24 +150,24 @@
 // tenant is what one of those who share the service may have done here; bound tells that it is a part of a
 // budget that holds for all servers together, so that what is over it may not run at all.
 type tenant struct {
-	ring.TokenBucket
+	timewindow.TokenBucket
 	bound bool
 }
 
 // learned is what the last seconds taught of runs or calls, and the lowest of that in the last 30 s.
 type learned struct {
-	log    *ring.Buckets[ring.Histogram]
-	lowest ring.Minimum
-	all    ring.Histogram
+	log    *timewindow.Buckets[timewindow.Histogram]
+	lowest timewindow.Minimum
+	all    timewindow.Histogram
 	mean   float64
 }
 
 func newLearned(now, lasts float64) learned {
-	return learned{log: ring.New[ring.Histogram](8, lasts/8, now), lowest: ring.NewMinimum(6, 5, now)}
+	return learned{log: timewindow.New[timewindow.Histogram](8, lasts/8, now), lowest: timewindow.NewMinimum(6, 5, now)}
 }
 
 func (l *learned) refresh(now float64) {
-	l.all = ring.Histogram{}
+	l.all = timewindow.Histogram{}
 	l.log.ForEach(now, l.all.Merge)
 	l.mean = l.all.Mean(l.mean)
 }
@@ -202,7 +202,7 @@
 	tenants                         []tenant
 	tasks                           []*task // in order of reading
 	byID                            map[string]*task
-	keys, lingering                 ring.ExpiringNames // entries kept; given-up calls still held below
+	keys, lingering                 timewindow.ExpiringNames // entries kept; given-up calls still held below
 	born, drainAt, killAt           float64
 	tickAt, armed                   float64 // armed is when the earliest timer goes off
 	lastEnd, lastTimely, typical    float64 // when work last got on, and paid; the longest mean run
@@ -252,7 +252,7 @@
 		rate := 1.5 * tn.Rate / max(1, float64(site.Servers))
 		// Two seconds of it may come at once, and six tasks however few they are: one whose tasks come by
 		// chance and that keeps to its share is over such a one for 1% of them.
-		s.tenants = append(s.tenants, tenant{TokenBucket: ring.NewTokenBucket(rate, max(6, 2*rate))})
+		s.tenants = append(s.tenants, tenant{TokenBucket: timewindow.NewTokenBucket(rate, max(6, 2*rate))})
 	}
 	return s
 }
@@ -449,7 +449,7 @@
 	case a.Tenant < len(s.tenants):
 		of := &s.tenants[a.Tenant]
 		if !of.bound { // what its own guess saved up is not of the budget
-			of.TokenBucket = ring.NewTokenBucket(0, 0)
+			of.TokenBucket = timewindow.NewTokenBucket(0, 0)
 		}
 		of.bound = true
 		of.SetRate(s.now, a.Limit, max(min(1, math.Ceil(a.Limit)), a.BurstDuration*a.Limit)) // of none, none is saved up
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -17,7 +17,7 @@
 	"swiftcourse/internal/policy/loadplan"
 	"swiftcourse/internal/policy/routing"
 	"swiftcourse/internal/policy/serving"
-	"swiftcourse/internal/ring"
+	"swiftcourse/internal/timewindow"
 	"swiftcourse/internal/wire/rpc"
 )
 
@@ -76,9 +76,9 @@
 	links   map[string]*link
 	tries   map[string]*try
 	due     dueList
-	typical []*ring.Buckets[ring.Histogram] // by stage, what tasks took through a worker
-	demand  map[string]float64              // asked for by tenant since the last report
-	since   float64                         // of that
+	typical []*timewindow.Buckets[timewindow.Histogram] // by stage, what tasks took through a worker
+	demand  map[string]float64                          // asked for by tenant since the last report
+	since   float64                                     // of that
 	linked  bool
 	told    float64
 	learned float64 // when it was worked out last what workers do
@@ -117,7 +117,7 @@
 		tries: map[string]*try{}, demand: map[string]float64{}, since: now, told: now, learned: now}
 	d.router.Cold(shape.ColdFrom, shape.ColdFor)
 	for range shape.Stages {
-		d.typical = append(d.typical, ring.New[ring.Histogram](8, 1, now))
+		d.typical = append(d.typical, timewindow.New[timewindow.Histogram](8, 1, now))
 	}
 	for _, w := range shape.Workers {
 		d.router.Add(now, w.Name)
@@ -283,7 +283,7 @@
 
 // usual is what tasks of a stage typically take through a worker.
 func (d *Dispatcher) usual(now float64, stage int) float64 {
-	var all ring.Histogram
+	var all timewindow.Histogram
 	d.typical[stage].ForEach(now, all.Merge)
 	return all.Median()
 }
--- a/internal/policy/circuitbreaker/health.go
+++ b/internal/policy/circuitbreaker/health.go
@@ -15,7 +15,7 @@
 	"slices"
 	"strconv"
 
-	"swiftcourse/internal/ring"
+	"swiftcourse/internal/timewindow"
 )
 
 // State is how a service stands.
@@ -126,8 +126,8 @@
 // Breaker is one server's judgement on one service.
 type Breaker struct {
 	name, zone string
-	log        *ring.Buckets[Tally]
-	lowest     ring.Minimum
+	log        *timewindow.Buckets[Tally]
+	lowest     timewindow.Minimum
 	words      map[string]*heard
 	state      State
 	since      float64
@@ -145,14 +145,14 @@
 
 // New makes a judge that knows nothing: the service is well.
 func New(name, zone string, now float64) *Breaker {
-	j := &Breaker{name: name, zone: zone, lowest: ring.NewMinimum(6, 5, now), words: map[string]*heard{}, since: now}
+	j := &Breaker{name: name, zone: zone, lowest: timewindow.NewMinimum(6, 5, now), words: map[string]*heard{}, since: now}
 	j.forget(now)
 	return j
 }
 
 // forget drops what was seen of calls: it tells of the time before.
 func (j *Breaker) forget(now float64) {
-	j.log = ring.New[Tally](buckets, windowSeconds/buckets, now)
+	j.log = timewindow.New[Tally](buckets, windowSeconds/buckets, now)
 	clear(j.words)
 }
 
--- a/internal/policy/connlimit/guard.go
+++ b/internal/policy/connlimit/guard.go
@@ -9,7 +9,7 @@
 	"net/netip"
 	"slices"
 
-	"swiftcourse/internal/ring"
+	"swiftcourse/internal/timewindow"
 )
 
 // Rules are what a guarded door goes by. A cap of 0 is none.
@@ -76,12 +76,12 @@
 	busyStrangers       int    // of these, those with a task open whose address is not known
 	turns               uint32 // chance drawn so far
 	turned              [causeCount]int
-	changed             bool         // who is known, since KnownClients
-	told                int          // places, as the rules say; Most are fewer after a squeeze
-	easedAt             float64      // when the last place was given back
-	costs               ring.Minimum // seconds of a core that an arrival took
-	arrivals            int          // since cost was told last
-	spent               float64      // of a core, when it was
+	changed             bool               // who is known, since KnownClients
+	told                int                // places, as the rules say; Most are fewer after a squeeze
+	easedAt             float64            // when the last place was given back
+	costs               timewindow.Minimum // seconds of a core that an arrival took
+	arrivals            int                // since cost was told last
+	spent               float64            // of a core, when it was
 }
 
 // NewGuarded makes a door that goes by rules.
@@ -89,7 +89,7 @@
 	d := New(idle)
 	places := rules.Most + 4*rules.Lobby + 64 // those known may overflow the lobby for a moment
 	d.guard = &guard{Rules: rules, told: rules.Most, addresses: newBook(places, rules.Remember), prefixes: newBook(places, rules.Remember),
-		costs: ring.NewMinimum(costBuckets, costFor, 0)}
+		costs: timewindow.NewMinimum(costBuckets, costFor, 0)}
 	return d
 }
 
--- a/internal/policy/counter/keeper.go
+++ b/internal/policy/counter/keeper.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"swiftcourse/internal/policy/serving"
-	"swiftcourse/internal/ring"
+	"swiftcourse/internal/timewindow"
 )
 
 // RowQuery is one keeper's question to another: what it has of some rows that are to be closed, or, from one that knows nothing yet, of all.
@@ -71,7 +71,7 @@
 	need   int // keepers, itself among them, that are most
 	over   func(row uint64) (number uint64, over bool)
 	rows   map[uint64]*kept
-	window *ring.Buckets[cells]
+	window *timewindow.Buckets[cells]
 	began  float64
 	asks   uint64 // number of the last question
 	asked  float64
@@ -91,7 +91,7 @@
 
 // NewAggregator makes a keeper that knows nothing. Its sit is higher than those of its lives before, as far as clocks tell. Over tells what is closed.
 func NewAggregator(name string, keepers []string, sit uint64, over func(uint64) (uint64, bool), now float64) *Aggregator {
-	k := &Aggregator{names: slices.Sorted(slices.Values(keepers)), need: len(keepers)/2 + 1, over: over, rows: map[uint64]*kept{}, window: ring.New[cells](windowMany, windowWide, now)}
+	k := &Aggregator{names: slices.Sorted(slices.Values(keepers)), need: len(keepers)/2 + 1, over: over, rows: map[uint64]*kept{}, window: timewindow.New[cells](windowMany, windowWide, now)}
 	k.me, k.sits = slices.Index(k.names, name), make(Incarnations, len(keepers))
 	k.sits[k.me], k.asks = sit, sit // and no answer to a life before is one to this
 	k.forget(now)
--- a/internal/policy/replication/asker.go
+++ b/internal/policy/replication/asker.go
@@ -5,7 +5,7 @@
 
 	"swiftcourse/internal/policy/serving"
 	state "swiftcourse/internal/replicastore"
-	"swiftcourse/internal/ring"
+	"swiftcourse/internal/timewindow"
 )
 
 // Outcome is how a claim came out.
@@ -123,7 +123,7 @@
 	reportsByClaim  map[state.ClaimID]*report
 	claimOrder      []*claim // in the order in which they began, so that a schedule repeats itself
 	reports         []*report
-	latencies       *ring.Buckets[ring.Histogram]
+	latencies       *timewindow.Buckets[timewindow.Histogram]
 	outbox          []Envelope
 	outcomes        []Outcome
 
@@ -133,12 +133,12 @@
 // NewCoordinator makes the asker of a life; unix tells the time of day, by which claims are put in order.
 func NewCoordinator(p *Placement, sits TermTable, life uint64, unix func() float64, now float64) *Coordinator {
 	return &Coordinator{placement: p, terms: sits, incarnation: life, unixTime: unix, claimsByRequest: map[string]*claim{}, claimsByID: map[state.ClaimID]*claim{}, reportsByClaim: map[state.ClaimID]*report{},
-		latencies: ring.New[ring.Histogram](8, 1, now)}
+		latencies: timewindow.New[timewindow.Histogram](8, 1, now)}
 }
 
 // TypicalLatency is how long claims lately took, 0 where there were none.
 func (s *Coordinator) TypicalLatency(now float64) float64 {
-	var all ring.Histogram
+	var all timewindow.Histogram
 	s.latencies.ForEach(now, all.Merge)
 	return all.Median()
 }
--- a/internal/ring/expiring.go
+++ b/internal/timewindow/expiring.go
@@ -1,4 +1,4 @@
-package ring
+package timewindow
 
 import "slices"
 
--- a/internal/ring/ring.go
+++ b/internal/timewindow/ring.go
@@ -1,5 +1,5 @@
-// Package ring keeps what is measured over time in fixed buckets that are used again in a ring.
-package ring
+// Package timewindow keeps what is measured over time in fixed buckets that are used again in a ring.
+package timewindow
 
 // Buckets holds the latest buckets of Width seconds each. The zero bucket is an empty one.
 type Buckets[T any] struct {
