--- a/internal/watch/watch.go
+++ b/internal/logging/watch.go
@@ -1,5 +1,5 @@
-// Package watch is what the server tells of itself: structured log lines, as text of key=value words.
-package watch
+// Package logging is what the server tells of itself: structured log lines, as text of key=value words.
+package logging
 
 import (
 	"fmt"
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -12,8 +12,8 @@
 	"github.com/alecthomas/kong"
 
 	"swiftcourse/internal/life"
+	"swiftcourse/internal/logging"
 	"swiftcourse/internal/serve"
-	"swiftcourse/internal/watch"
 )
 
 type program struct {
@@ -112,15 +112,15 @@
 	parts := h.parts
 	start, err := read(os.Getenv)
 	if err != nil {
-		watch.Fatal("bad_configuration", "err", err)
+		logging.Fatal("bad_configuration", "err", err)
 	}
 	path := life.OperatorFilePath(c.Conf, os.Getenv)
 	conf, err := life.LoadOperatorSettings(path)
 	if err != nil {
-		watch.Fatal("bad_conf", "err", err)
+		logging.Fatal("bad_conf", "err", err)
 	}
 	if conf.Fleet && parts == nil {
-		watch.Fatal("end", "err", become())
+		logging.Fatal("end", "err", become())
 	}
 	life.ApplyLimits(start)
 	slog.Info("start", "name", start.Name, "listen", start.Listen, "processor", start.Executor,
@@ -160,16 +160,16 @@
 	}, server.LogStatistics)
 	if start.Forwarder {
 		if err := parts.Forward(start, conf, server); err != nil {
-			watch.Fatal("bad_conf", "err", err)
+			logging.Fatal("bad_conf", "err", err)
 		}
 	}
 	if conf.Fleet {
 		if err := parts.Start(start, conf, server); err != nil {
-			watch.Fatal("bad_conf", "err", err)
+			logging.Fatal("bad_conf", "err", err)
 		}
 	}
 	if err := server.Run(); err != nil {
-		watch.Fatal("end", "err", err)
+		logging.Fatal("end", "err", err)
 	}
 	return nil
 }
@@ -177,7 +177,7 @@
 // Main runs a program; parts are nil in one without a fleet's.
 func Main(parts Parts) {
 	signals := life.CatchSignals() // before all else, so that none ends the process
-	watch.SetOutput(os.Stderr)
+	logging.SetOutput(os.Stderr)
 	var p program
 	if len(os.Args) == 1 { // no words: it serves, and what reads words stays out of memory
 		if err := p.Serve.Run(signals, &host{parts}); err != nil {
--- a/internal/serve/catalogue.go
+++ b/internal/serve/catalogue.go
@@ -8,8 +8,8 @@
 	"github.com/panjf2000/gnet/v2"
 
 	"swiftcourse/admission"
+	"swiftcourse/internal/logging"
 	"swiftcourse/internal/memory"
-	"swiftcourse/internal/watch"
 	"swiftcourse/internal/wire/catalogue"
 )
 
@@ -225,8 +225,8 @@
 	now := s.now()
 	if now > s.upstream.lossLoggedAt+1 { // one line a second, however many are tried
 		s.upstream.lossLoggedAt = now
-		slog.Info("link_lost", "link", "catalogue", "rested_s", watch.FormatDecimal(l.idleFor, 3),
-			"after_s", watch.FormatDecimal(now-c.startedAt, 3), "err", &attemptError{c.progress, err})
+		slog.Info("link_lost", "link", "catalogue", "rested_s", logging.FormatDecimal(l.idleFor, 3),
+			"after_s", logging.FormatDecimal(now-c.startedAt, 3), "err", &attemptError{c.progress, err})
 	}
 	c.conn = nil
 	// A pooled connection that had been idle and breaks before its reply was most likely forgotten on the other side. Only calls
--- a/internal/serve/closing_test.go
+++ b/internal/serve/closing_test.go
@@ -7,8 +7,8 @@
 
 	"golang.org/x/sys/unix"
 
+	"swiftcourse/internal/logging"
 	"swiftcourse/internal/policy/connlimit"
-	"swiftcourse/internal/watch"
 )
 
 // addLinkedClient adds a balancer's connection whose far end is in the test's hands.
@@ -55,7 +55,7 @@
 
 // One that sends what is no message and then takes none of its answers is closed all the same.
 func TestWhoIsMutedAndDoesNotReadIsClosed(t *testing.T) {
-	watch.SetOutput(io.Discard)
+	logging.SetOutput(io.Discard)
 	s := newServerWithoutLoop(30)
 	p, c, _ := addLinkedClient(t, s)
 	c.unsent = 100
@@ -73,7 +73,7 @@
 
 // What comes across a close is read to its end and thrown away: an unread byte at the close would reset the connection.
 func TestNothingIsLeftUnreadByAClose(t *testing.T) {
-	watch.SetOutput(io.Discard)
+	logging.SetOutput(io.Discard)
 	for _, leaves := range []bool{true, false} {
 		s := newServerWithoutLoop(30)
 		p, c, far := addLinkedClient(t, s)
@@ -100,7 +100,7 @@
 
 // Connections that close hold few descriptors, but in a server that leaves, which needs none.
 func TestFewConnectionsCloseAtATime(t *testing.T) {
-	watch.SetOutput(io.Discard)
+	logging.SetOutput(io.Discard)
 	for _, leaves := range []bool{false, true} {
 		s := newServerWithoutLoop(30)
 		s.closingGracefully = leaves
@@ -123,7 +123,7 @@
 
 // Just before the kill our side of what is owed nothing is shut, so that nothing unread resets it as the process ends; what is owed an answer stays.
 func TestOurSideIsShutBeforeTheKill(t *testing.T) {
-	watch.SetOutput(io.Discard)
+	logging.SetOutput(io.Discard)
 	s := newServerWithoutLoop(30)
 	s.acceptor = &acceptor{done: make(chan struct{}), wakeFD: -1}
 	_, rests, restsFar := addLinkedClient(t, s)
--- a/internal/serve/guard.go
+++ b/internal/serve/guard.go
@@ -10,8 +10,8 @@
 	"github.com/panjf2000/gnet/v2"
 
 	"swiftcourse/internal/life"
+	"swiftcourse/internal/logging"
 	"swiftcourse/internal/policy/connlimit"
-	"swiftcourse/internal/watch"
 	"swiftcourse/internal/wire/rpc"
 )
 
@@ -124,5 +124,5 @@
 	slog.Info("door", "in", k.In, "most", k.Most, "lobby", s.connLimiter.Count(connlimit.Lobby), "strangers_busy", k.BusyStrangers,
 		"turned_rate", s.connLimiter.Turned(connlimit.OverRate), "turned_cap", s.connLimiter.Turned(connlimit.OverCap), "turned_place", s.connLimiter.Turned(connlimit.NoPlace),
 		"unheard", s.connLimiter.Turned(connlimit.NoLobby), "tasks_turned", s.statistics.rejectedAtLimit, "addresses", k.Addresses,
-		"known", k.Known, "pace", watch.FormatDecimal(s.connLimiter.Pace(s.now()), 0), "over_rate", s.acceptor.rateLimited.Load(), "accepts_failed", s.acceptor.failures.Load())
+		"known", k.Known, "pace", logging.FormatDecimal(s.connLimiter.Pace(s.now()), 0), "over_rate", s.acceptor.rateLimited.Load(), "accepts_failed", s.acceptor.failures.Load())
 }
--- a/internal/serve/idle_bench_test.go
+++ b/internal/serve/idle_bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/panjf2000/gnet/v2"
 
 	"swiftcourse/internal/life"
-	"swiftcourse/internal/watch"
+	"swiftcourse/internal/logging"
 	"swiftcourse/internal/wire/rpc"
 )
 
@@ -23,7 +23,7 @@
 	if runtime.MemProfileRate != 1 {
 		b.Skip("it needs -memprofilerate 1")
 	}
-	watch.SetOutput(io.Discard)
+	logging.SetOutput(io.Discard)
 	const n = 4000
 	front, err := net.Listen("tcp", "127.0.0.9:0")
 	if err != nil {
--- a/internal/serve/idle_test.go
+++ b/internal/serve/idle_test.go
@@ -14,9 +14,9 @@
 
 	"swiftcourse/admission"
 	"swiftcourse/internal/life"
+	"swiftcourse/internal/logging"
 	"swiftcourse/internal/policy/connlimit"
 	"swiftcourse/internal/standin/balancer"
-	"swiftcourse/internal/watch"
 	"swiftcourse/internal/wire/rpc"
 )
 
@@ -114,7 +114,7 @@
 }
 
 func TestAConnectionThatWakesWhileItIsClosedHasItsAnswer(t *testing.T) {
-	watch.SetOutput(io.Discard)
+	logging.SetOutput(io.Discard)
 	for _, wakes := range []bool{true, false} {
 		s := newServerWithoutLoop(30)
 		s.connLimiter.Idle(0)
@@ -163,7 +163,7 @@
 }
 
 func TestHalfAMessageAndADaysSilence(t *testing.T) {
-	watch.SetOutput(io.Discard)
+	logging.SetOutput(io.Discard)
 	for _, spoke := range []bool{false, true} {
 		s := newServerWithoutLoop(1e9)
 		name, p := s.clients.Add()
--- a/internal/serve/leave.go
+++ b/internal/serve/leave.go
@@ -7,7 +7,7 @@
 	"github.com/panjf2000/gnet/v2"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/watch"
+	"swiftcourse/internal/logging"
 )
 
 // Drain tells the server, from any goroutine, that it will be killed after its stop time.
@@ -32,7 +32,7 @@
 		return
 	}
 	s.drainAt, s.killAt = at, at+s.startup.StopTimeout-min(signalDelayMargin, s.startup.StopTimeout/10)
-	slog.Info("notice", "kill_in_s", watch.FormatDecimal(s.killAt-s.now(), 3), "open", s.requests.Unanswered())
+	slog.Info("notice", "kill_in_s", logging.FormatDecimal(s.killAt-s.now(), 3), "open", s.requests.Unanswered())
 	if s.controller != nil { // else it has nothing to do with it, see born
 		s.queueEvent(admission.Event{Kind: admission.DrainStarted, Duration: s.killAt - s.now()})
 	}
@@ -65,7 +65,7 @@
 	now := s.now()
 	if now >= s.gracefulCloseAt() && !s.closingGracefully {
 		s.closingGracefully = true
-		slog.Info("parting", "conns", s.clients.Len(), "open", s.requests.Unanswered(), "kill_in_s", watch.FormatDecimal(s.killAt-now, 3))
+		slog.Info("parting", "conns", s.clients.Len(), "open", s.requests.Unanswered(), "kill_in_s", logging.FormatDecimal(s.killAt-now, 3))
 		for _, slot := range s.connLimiter.LeaveAll() {
 			s.askToClose(s.clients.AtSlot(slot))
 		}
--- a/internal/serve/link_test.go
+++ b/internal/serve/link_test.go
@@ -11,7 +11,7 @@
 	"github.com/panjf2000/gnet/v2"
 
 	"swiftcourse/internal/life"
-	"swiftcourse/internal/watch"
+	"swiftcourse/internal/logging"
 )
 
 func TestNewAddressesTakeAllThatIsNew(t *testing.T) {
@@ -82,7 +82,7 @@
 }
 
 func TestWhatWasUnsentDoesNotReachTheNextLink(t *testing.T) {
-	watch.SetOutput(io.Discard)
+	logging.SetOutput(io.Discard)
 	s := New(&life.Startup{Addresses: life.Addresses{Executor: "127.0.0.9:1", Registry: "127.0.0.9:1"}}, nil)
 	s.loop = idleLoop{}
 	s.executor.conn, s.registry.conn = brokenConn{}, brokenConn{}
--- a/internal/serve/peer_test.go
+++ b/internal/serve/peer_test.go
@@ -11,8 +11,8 @@
 
 	"swiftcourse/admission"
 	"swiftcourse/internal/life"
+	"swiftcourse/internal/logging"
 	"swiftcourse/internal/policy/connlimit"
-	"swiftcourse/internal/watch"
 )
 
 func TestBadInputStaysWithItsConnection(t *testing.T) {
@@ -199,8 +199,8 @@
 func (brokenConn) handleClose(error) {}
 
 func TestAPanicStopsAtItsConnection(t *testing.T) {
-	watch.SetOutput(t.Output())
-	defer watch.SetOutput(io.Discard)
+	logging.SetOutput(t.Output())
+	defer logging.SetOutput(io.Discard)
 	if action := New(&life.Startup{}, nil).OnTraffic(brokenConn{}); action != gnet.Close {
 		t.Errorf("action %v", action)
 	}
--- a/internal/serve/processor.go
+++ b/internal/serve/processor.go
@@ -10,8 +10,8 @@
 	"github.com/panjf2000/gnet/v2"
 
 	"swiftcourse/admission"
+	"swiftcourse/internal/logging"
 	"swiftcourse/internal/memory"
-	"swiftcourse/internal/watch"
 	"swiftcourse/internal/wire/processor"
 	"swiftcourse/internal/wire/shale"
 )
@@ -180,7 +180,7 @@
 func (l *executorLink) askGauges() {
 	now := l.server.now()
 	if l.up && l.unansweredSince > 0 && now > l.unansweredSince+silenceTimeout {
-		slog.Info("link_silent", "link", "processor", "for_s", watch.FormatDecimal(now-l.unansweredSince, 3))
+		slog.Info("link_silent", "link", "processor", "for_s", logging.FormatDecimal(now-l.unansweredSince, 3))
 		l.reconnect()
 		return
 	}
@@ -242,7 +242,7 @@
 	}
 	site := s.startup.Settings
 	site.SlowStartDuration = 0
-	slog.Info("born", "cold", cold, "ago_s", watch.FormatDecimal(ago, 3))
+	slog.Info("born", "cold", cold, "ago_s", logging.FormatDecimal(ago, 3))
 	at := s.now()
 	if cold { // a warm one's age tells nothing
 		site.SlowStartDuration = s.startup.SlowStartDuration
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -20,10 +20,10 @@
 
 	"swiftcourse/admission"
 	"swiftcourse/internal/life"
+	"swiftcourse/internal/logging"
 	"swiftcourse/internal/memory"
 	"swiftcourse/internal/policy/connlimit"
 	"swiftcourse/internal/policy/serving"
-	"swiftcourse/internal/watch"
 	"swiftcourse/internal/wire/rpc"
 )
 
@@ -438,13 +438,13 @@
 	most, by := s.maxClients()
 	slog.Info("counts", "read", c.read, "finished", c.finished, "rejected", c.rejected,
 		"abandoned", c.abandoned, "gone", c.clientGone, "invalid", c.invalid, "malformed", c.malformed, "unrun", c.commandsRejected,
-		"calls", c.calls, "turns", c.turns, "turn_ms", watch.FormatDecimal(1000*c.longestTurn, 2),
-		"unread_ms", watch.FormatDecimal(1000*c.unreadSeconds/max(1, float64(c.read)), 1),
-		"longest_ms", watch.FormatDecimal(1000*c.longestUnread, 1), "open", s.requests.Unanswered(), "tasks", s.requests.Len(),
+		"calls", c.calls, "turns", c.turns, "turn_ms", logging.FormatDecimal(1000*c.longestTurn, 2),
+		"unread_ms", logging.FormatDecimal(1000*c.unreadSeconds/max(1, float64(c.read)), 1),
+		"longest_ms", logging.FormatDecimal(1000*c.longestUnread, 1), "open", s.requests.Unanswered(), "tasks", s.requests.Len(),
 		"kept", s.results.Len(), "conns", s.clients.Len(), "strangers", s.connLimiter.Count(connlimit.Stranger),
 		"parting", s.connLimiter.Count(connlimit.Parting), "max_conns", most, "max_by", by, "pooled_conns", len(s.upstream.all),
 		"parted", c.askedToClose, "evicted", c.evicted, "unspoken", c.silent,
-		"gauge_ms", watch.FormatDecimal(1000*c.gaugeAge, 1), "blind", c.timersWithoutGauges, "timers", s.timers.Len(),
+		"gauge_ms", logging.FormatDecimal(1000*c.gaugeAge, 1), "blind", c.timersWithoutGauges, "timers", s.timers.Len(),
 		"buffers", s.buffers.InUse, "memory_kb", residentKB(), "heap_kb", liveHeapKB(), "well", s.isHealthy(), "load", s.loadReport.Free)
 	if s.connLimiter.Guarded() {
 		s.logConnStatistics()
@@ -494,5 +494,5 @@
 	slog.Info("library", "level", "error", "text", fmt.Sprintf(f, a...))
 }
 func (gnetLogger) Fatalf(f string, a ...any) {
-	watch.Fatal("library", "level", "fatal", "text", fmt.Sprintf(f, a...))
+	logging.Fatal("library", "level", "fatal", "text", fmt.Sprintf(f, a...))
 }
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -17,9 +17,9 @@
 
 	"swiftcourse/admission"
 	"swiftcourse/internal/life"
+	"swiftcourse/internal/logging"
 	"swiftcourse/internal/standin/catalogue"
 	"swiftcourse/internal/standin/roster"
-	"swiftcourse/internal/watch"
 	wirecatalogue "swiftcourse/internal/wire/catalogue"
 	"swiftcourse/internal/wire/rpc"
 )
@@ -137,7 +137,7 @@
 
 // startUnready starts a server whose processor has accepted its link and is not up yet.
 func startUnready(t *testing.T, change func(*life.Startup), conf *life.OperatorSettings, prepare ...func(*Server)) *fixture {
-	watch.SetOutput(t.Output())
+	logging.SetOutput(t.Output())
 	w := &fixture{T: t, runResult: make(chan error, 1), executorListener: listenLoopback(t), upstreamListener: listenLoopback(t), registry: newFakeRegistry(t)}
 	front := listenLoopback(t)
 	addr := front.Addr().String()
@@ -164,7 +164,7 @@
 	t.Cleanup(func() {
 		w.server.stop()
 		<-w.runResult
-		watch.SetOutput(io.Discard)
+		logging.SetOutput(io.Discard)
 	})
 	return w
 }
@@ -336,7 +336,7 @@
 }
 
 func TestHealthIsReportedAtOnceAndOneReportAtATime(t *testing.T) {
-	watch.SetOutput(io.Discard)
+	logging.SetOutput(io.Discard)
 	s := New(&life.Startup{Addresses: life.Addresses{Registry: "127.0.0.9:1"}}, nil)
 	s.loop = idleLoop{}
 	s.controller = admission.New(1, admission.Settings{})
