--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -9,7 +9,7 @@
 	"os"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/life"
+	"swiftcourse/internal/config"
 	"swiftcourse/internal/wire/shale"
 )
 
@@ -46,7 +46,7 @@
 				delete(servers, e.Who)
 				continue
 			case shale.Born:
-				s := &instance{server: admission.New(e.Seed, life.AdmissionSettings(e.Told))}
+				s := &instance{server: admission.New(e.Seed, config.AdmissionSettings(e.Told))}
 				servers[e.Who] = s
 				s.events = append(s.events, admission.Event{Kind: admission.Started})
 				order = append(order, e.Who)
--- a/cmd/swiftcourse-fleet/budgets.go
+++ b/cmd/swiftcourse-fleet/budgets.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"strings"
 
-	"swiftcourse/internal/life"
+	"swiftcourse/internal/config"
 	"swiftcourse/internal/peers"
 	"swiftcourse/internal/policy/quota"
 	"swiftcourse/internal/policy/serving"
@@ -24,7 +24,7 @@
 )
 
 // termsOf reads the budgets of a file; none where budget-servers is not there.
-func termsOf(conf *life.OperatorSettings, start *life.Startup) (quota.Config, error) {
+func termsOf(conf *config.OperatorSettings, start *config.Startup) (quota.Config, error) {
 	t := quota.Config{LeaseSeconds: conf.FleetLease.Seconds(), FloorFraction: float64(conf.BudgetFloor), MaxServers: conf.BudgetServers}
 	if conf.BudgetServers == 0 {
 		if len(conf.Budgets) > 0 {
@@ -55,7 +55,7 @@
 }
 
 // budgets is what the fleet's part needs to know of them, nil where none are shared.
-func (p *parts) budgets(start *life.Startup, clock *peers.Clock) (*peers.QuotaConfig, error) {
+func (p *parts) budgets(start *config.Startup, clock *peers.Clock) (*peers.QuotaConfig, error) {
 	terms, err := termsOf(p.own, start)
 	if err != nil || p.own.BudgetServers == 0 {
 		return nil, err
--- a/cmd/swiftcourse-fleet/command.go
+++ b/cmd/swiftcourse-fleet/command.go
@@ -17,7 +17,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"swiftcourse/internal/life"
+	"swiftcourse/internal/config"
 	"swiftcourse/internal/peers"
 	"swiftcourse/internal/policy/release"
 	"swiftcourse/internal/policy/replication"
@@ -135,10 +135,10 @@
 	if err != nil {
 		return err
 	}
-	if _, err := life.DefaultOperatorSettings().WithRelease(o.Release.File, string(text)); err != nil {
+	if _, err := config.DefaultOperatorSettings().WithRelease(o.Release.File, string(text)); err != nil {
 		return err
 	}
-	c := release.Command{Kind: release.KindRelease, Author: author, Text: life.CanonicalText(string(text)), Build: o.Release.Build}
+	c := release.Command{Kind: release.KindRelease, Author: author, Text: config.CanonicalText(string(text)), Build: o.Release.Build}
 	c.Digest = release.Digest(c.Text, c.Build)
 	for _, w := range o.Release.Waves {
 		part, err := strconv.ParseFloat(strings.TrimSuffix(w, "%"), 64)
--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
+	"swiftcourse/internal/config"
 	"swiftcourse/internal/forward"
-	"swiftcourse/internal/life"
 	"swiftcourse/internal/peers"
 	"swiftcourse/internal/policy/loadplan"
 	"swiftcourse/internal/policy/quota"
@@ -23,7 +23,7 @@
 // This file is the two-level fleet's part of the wiring: a forwarder's workers, and a planner.
 
 // Forward has a server pass its tasks on to the workers that the operator's file names.
-func (p *parts) Forward(start *life.Startup, own *life.OperatorSettings, server *serve.Server) error {
+func (p *parts) Forward(start *config.Startup, own *config.OperatorSettings, server *serve.Server) error {
 	if len(own.ForwardTo) == 0 {
 		return errors.New("forward-to: names no workers")
 	}
@@ -53,7 +53,7 @@
 }
 
 // plans is a forwarder's part in plans, nil for who forwards nothing.
-func (p *parts) plans(start *life.Startup, clock *peers.Clock) *peers.LoadPlanConfig {
+func (p *parts) plans(start *config.Startup, clock *peers.Clock) *peers.LoadPlanConfig {
 	if p.dispatcher == nil {
 		return nil
 	}
@@ -78,7 +78,7 @@
 
 // rates is what a plan lets in of each tenant. Once it is over all may come in again, hence a floor without bound and a part that takes it away until
 // then: what workers can't do they turn away themselves.
-func rates(part *loadplan.Part, start *life.Startup, till float64) (list []serving.Allowance) {
+func rates(part *loadplan.Part, start *config.Startup, till float64) (list []serving.Allowance) {
 	for _, d := range part.Rates {
 		if at, known := start.TenantIndex[d.Tenant]; known {
 			list = append(list, serving.Allowance{Name: "plan/" + d.Tenant, Tenant: at, FleetMax: math.MaxInt32, Guaranteed: math.MaxInt32, LeasedShare: d.Rate - math.MaxInt32, LeaseExpiry: till,
@@ -89,7 +89,7 @@
 }
 
 // Plan is a planner: a voter of the fleet that serves nothing.
-func (p *parts) Plan(name string, own *life.OperatorSettings, signals life.Signals) error {
+func (p *parts) Plan(name string, own *config.OperatorSettings, signals config.Signals) error {
 	if !own.Fleet {
 		return errors.New("fleet: a planner needs it on")
 	}
--- a/cmd/swiftcourse-fleet/main.go
+++ b/cmd/swiftcourse-fleet/main.go
@@ -16,8 +16,8 @@
 	"syscall"
 	"time"
 
+	"swiftcourse/internal/config"
 	"swiftcourse/internal/forward"
-	"swiftcourse/internal/life"
 	"swiftcourse/internal/peers"
 	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/quota"
@@ -33,10 +33,10 @@
 // parts are the fleet's parts of this process.
 type parts struct {
 	mu       sync.Mutex // own and released change by an operator's signal and by a release
-	own      *life.OperatorSettings
+	own      *config.OperatorSettings
 	released string
 	server   *serve.Server
-	start    *life.Startup
+	start    *config.Startup
 	terms    quota.Config // of the budgets that all share, as own and released say
 
 	parted []serving.Allowance // parts of budgets
@@ -62,7 +62,7 @@
 }
 
 // Start begins the fleet's part.
-func (p *parts) Start(start *life.Startup, own *life.OperatorSettings, server *serve.Server) error {
+func (p *parts) Start(start *config.Startup, own *config.OperatorSettings, server *serve.Server) error {
 	p.own, p.server, p.start, p.held.MaxInFlight = own, server, start, math.Inf(1)
 	// One more than Fit gives: a message from a peer must not wait for the loop's turn, nor a turn for it.
 	runtime.GOMAXPROCS(runtime.GOMAXPROCS(0) + 1)
@@ -143,7 +143,7 @@
 }
 
 // votersOf are the voters that the operator's file of a process names, and where they listen.
-func votersOf(name string, own *life.OperatorSettings) (map[string]string, error) {
+func votersOf(name string, own *config.OperatorSettings) (map[string]string, error) {
 	voters := map[string]string{}
 	for _, v := range own.FleetVoters {
 		voter, addr, ok := strings.Cut(v, "=")
@@ -158,16 +158,16 @@
 	return voters, nil
 }
 
-func memberTerms(own *life.OperatorSettings) lease.Config {
+func memberTerms(own *config.OperatorSettings) lease.Config {
 	return lease.Config{Duration: own.FleetLease.Seconds(), CatchUpTimeout: own.FleetBehind.Seconds(), MaxUnavailable: float64(own.FleetMostOut), ForgetAfter: own.FleetForget.Seconds()}
 }
 
-func rollout(own *life.OperatorSettings) release.RolloutPolicy {
+func rollout(own *config.OperatorSettings) release.RolloutPolicy {
 	return release.RolloutPolicy{WaveSeconds: own.FleetWave.Seconds(), HaltConfidence: float64(own.FleetHalt)}
 }
 
 // copies is what the operator's file says of the state that several servers keep, nil where it says nothing.
-func copies(start *life.Startup, own *life.OperatorSettings, server *serve.Server) (*peers.ReplicationConfig, error) {
+func copies(start *config.Startup, own *config.OperatorSettings, server *serve.Server) (*peers.ReplicationConfig, error) {
 	if len(own.ReplicaHolders) == 0 {
 		if len(own.ReplicaKeyed) > 0 {
 			return nil, errors.New("replica-keyed: needs replica-holders")
@@ -227,7 +227,7 @@
 }
 
 // Reread takes this server's own file again, under what is released.
-func (p *parts) Reread(own *life.OperatorSettings) {
+func (p *parts) Reread(own *config.OperatorSettings) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conf, err := own.WithRelease("released", p.released)
--- a/internal/life/limits.go
+++ b/internal/config/limits.go
@@ -1,4 +1,4 @@
-package life
+package config
 
 import (
 	"math"
--- a/internal/life/start.go
+++ b/internal/config/start.go
@@ -1,6 +1,6 @@
-// Package life holds how the server starts and stops: the one place where configuration is read, checked and
+// Package config holds how the server starts and stops: the one place where configuration is read, checked and
 // given defaults, and the signals that end a life.
-package life
+package config
 
 import (
 	"encoding/json"
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -11,7 +11,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"swiftcourse/internal/life"
+	"swiftcourse/internal/config"
 	"swiftcourse/internal/logging"
 	"swiftcourse/internal/serve"
 )
@@ -27,13 +27,13 @@
 // Parts are what a server has of its fleet.
 type Parts interface {
 	// Start begins the fleet's part of a server; own is the operator's file of this server.
-	Start(start *life.Startup, own *life.OperatorSettings, server *serve.Server) error
+	Start(start *config.Startup, own *config.OperatorSettings, server *serve.Server) error
 	// Forward has a server pass its tasks on to workers; it is called before Start.
-	Forward(start *life.Startup, own *life.OperatorSettings, server *serve.Server) error
+	Forward(start *config.Startup, own *config.OperatorSettings, server *serve.Server) error
 	// Plan makes plans under a name until the end.
-	Plan(name string, own *life.OperatorSettings, signals life.Signals) error
+	Plan(name string, own *config.OperatorSettings, signals config.Signals) error
 	// Reread takes the operator's file of this server again.
-	Reread(own *life.OperatorSettings)
+	Reread(own *config.OperatorSettings)
 	// Command carries the words after "fleet" out.
 	Command(words []string) error
 }
@@ -71,11 +71,11 @@
 
 type forwardCommand struct{ serveCommand }
 
-func (c *forwardCommand) Run(signals life.Signals, h *host) error {
+func (c *forwardCommand) Run(signals config.Signals, h *host) error {
 	if h.parts == nil {
 		return become()
 	}
-	return c.run(signals, h, life.LoadForwarder)
+	return c.run(signals, h, config.LoadForwarder)
 }
 
 type planCommand struct {
@@ -83,11 +83,11 @@
 	Name string `help:"This planner's name among fleet-voters; RELAY_NAME names it too." env:"RELAY_NAME" required:""`
 }
 
-func (c *planCommand) Run(signals life.Signals, h *host) error {
+func (c *planCommand) Run(signals config.Signals, h *host) error {
 	if h.parts == nil {
 		return become()
 	}
-	conf, err := life.LoadOperatorSettings(life.OperatorFilePath(c.Conf, os.Getenv))
+	conf, err := config.LoadOperatorSettings(config.OperatorFilePath(c.Conf, os.Getenv))
 	if err != nil {
 		return err
 	}
@@ -99,30 +99,32 @@
 }
 
 func (c *checkCommand) Run() error {
-	if _, err := life.LoadOperatorSettings(c.File); err != nil {
+	if _, err := config.LoadOperatorSettings(c.File); err != nil {
 		return err
 	}
 	fmt.Println(c.File, "is right")
 	return nil
 }
 
-func (c *serveCommand) Run(signals life.Signals, h *host) error { return c.run(signals, h, life.Load) }
+func (c *serveCommand) Run(signals config.Signals, h *host) error {
+	return c.run(signals, h, config.Load)
+}
 
-func (c *serveCommand) run(signals life.Signals, h *host, read func(func(string) string) (*life.Startup, error)) error {
+func (c *serveCommand) run(signals config.Signals, h *host, read func(func(string) string) (*config.Startup, error)) error {
 	parts := h.parts
 	start, err := read(os.Getenv)
 	if err != nil {
 		logging.Fatal("bad_configuration", "err", err)
 	}
-	path := life.OperatorFilePath(c.Conf, os.Getenv)
-	conf, err := life.LoadOperatorSettings(path)
+	path := config.OperatorFilePath(c.Conf, os.Getenv)
+	conf, err := config.LoadOperatorSettings(path)
 	if err != nil {
 		logging.Fatal("bad_conf", "err", err)
 	}
 	if conf.Fleet && parts == nil {
 		logging.Fatal("end", "err", become())
 	}
-	life.ApplyLimits(start)
+	config.ApplyLimits(start)
 	slog.Info("start", "name", start.Name, "listen", start.Listen, "processor", start.Executor,
 		"catalogue", start.Upstream, "roster", start.Registry, "stop_s", start.StopTimeout, "cores", start.Cores,
 		"memory_mb", start.MemoryBytes>>20, "sockets", start.MaxSockets, "stages", len(start.ClassIndex),
@@ -138,7 +140,7 @@
 	server := serve.New(start, conf)
 	signals.Handle(server.Drain, func() {
 		to, ignored, err := start.Reload(os.Getenv)
-		next, err2 := life.LoadOperatorSettings(path)
+		next, err2 := config.LoadOperatorSettings(path)
 		if err != nil || err2 != nil {
 			for _, err := range []error{err, err2} {
 				if err != nil {
@@ -176,7 +178,7 @@
 
 // Main runs a program; parts are nil in one without a fleet's.
 func Main(parts Parts) {
-	signals := life.CatchSignals() // before all else, so that none ends the process
+	signals := config.CatchSignals() // before all else, so that none ends the process
 	logging.SetOutput(os.Stderr)
 	var p program
 	if len(os.Args) == 1 { // no words: it serves, and what reads words stays out of memory
--- a/internal/serve/catalogue_test.go
+++ b/internal/serve/catalogue_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/panjf2000/gnet/v2"
 
-	"swiftcourse/internal/life"
+	"swiftcourse/internal/config"
 )
 
 func TestEveryEndOfACall(t *testing.T) {
@@ -116,7 +116,7 @@
 }
 
 func TestCallsWaitForAPooledConnection(t *testing.T) {
-	w := startServer(t, func(s *life.Startup) { s.MaxSockets, s.Settings.Cores = 64, 32 })
+	w := startServer(t, func(s *config.Startup) { s.MaxSockets, s.Settings.Cores = 64, 32 })
 	b := w.dialClient()
 	most := w.server.maxUpstreamConns()
 	for i := range most + 1 {
--- a/internal/serve/guard.go
+++ b/internal/serve/guard.go
@@ -9,7 +9,7 @@
 
 	"github.com/panjf2000/gnet/v2"
 
-	"swiftcourse/internal/life"
+	"swiftcourse/internal/config"
 	"swiftcourse/internal/logging"
 	"swiftcourse/internal/policy/connlimit"
 	"swiftcourse/internal/wire/rpc"
@@ -18,7 +18,7 @@
 // This file is the way of a connection and its tasks through a guarded door.
 
 // newConnLimiter makes the door as the operator's file says.
-func (s *Server) newConnLimiter(conf *life.OperatorSettings) *connlimit.Door {
+func (s *Server) newConnLimiter(conf *config.OperatorSettings) *connlimit.Door {
 	if conf == nil || !conf.Door {
 		return connlimit.New(s.startup.Settings.IdleTimeout)
 	}
@@ -34,7 +34,7 @@
 }
 
 // connRules are the door's, in its words.
-func (s *Server) connRules(c *life.OperatorSettings) connlimit.Rules {
+func (s *Server) connRules(c *config.OperatorSettings) connlimit.Rules {
 	places := s.holdingSlots()
 	most, _ := s.maxClients()
 	most -= 4 * places // twice in the lobby, and twice on their way
@@ -45,7 +45,7 @@
 }
 
 // ReloadConfig tells the server, from any goroutine, that the operator's file was read again.
-func (s *Server) ReloadConfig(conf *life.OperatorSettings) {
+func (s *Server) ReloadConfig(conf *config.OperatorSettings) {
 	go func() {
 		<-s.loopReady
 		_ = s.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
@@ -60,7 +60,7 @@
 }
 
 // applyConnRules has the door go by the operator's file, as far as it can change while serving.
-func (s *Server) applyConnRules(conf *life.OperatorSettings) {
+func (s *Server) applyConnRules(conf *config.OperatorSettings) {
 	if conf.Door && !s.connLimiter.Heed(s.connRules(conf)) {
 		slog.Info("reload_ignores", "key", "door-prefix-ipv4, door-prefix-ipv6, door-lobby, door-remember")
 	}
--- a/internal/serve/guard_test.go
+++ b/internal/serve/guard_test.go
@@ -13,13 +13,13 @@
 
 	"golang.org/x/sys/unix"
 
-	"swiftcourse/internal/life"
+	"swiftcourse/internal/config"
 	"swiftcourse/internal/policy/connlimit"
 	"swiftcourse/internal/standin/balancer"
 )
 
-func guardedConfig(t *testing.T, text string) *life.OperatorSettings {
-	c, err := life.ParseOperatorSettings("test", []byte("door on\ndoor-arrivals-per-address 0\n"+text))
+func guardedConfig(t *testing.T, text string) *config.OperatorSettings {
+	c, err := config.ParseOperatorSettings("test", []byte("door on\ndoor-arrivals-per-address 0\n"+text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +66,7 @@
 }
 
 func TestKnownOnesGetInDuringAFlood(t *testing.T) {
-	w := startServerWith(t, func(s *life.Startup) { s.MaxSockets = 128 }, guardedConfig(t, "door-known 127.7.0.0/16"))
+	w := startServerWith(t, func(s *config.Startup) { s.MaxSockets = 128 }, guardedConfig(t, "door-known 127.7.0.0/16"))
 	busy, err := w.dialFrom("127.8.0.1") // a stranger whose task is open all the while
 	if err != nil {
 		t.Fatal(err)
@@ -97,7 +97,7 @@
 }
 
 func TestWhoIsTurnedAwayHasAnAnswer(t *testing.T) {
-	w := startServerWith(t, func(s *life.Startup) { s.Settings.MaxRetryAfter = 5 }, guardedConfig(t, "door-per-address 1"))
+	w := startServerWith(t, func(s *config.Startup) { s.Settings.MaxRetryAfter = 5 }, guardedConfig(t, "door-per-address 1"))
 	first, err := w.dialFrom("127.6.0.1")
 	if err != nil {
 		t.Fatal(err)
@@ -136,7 +136,7 @@
 	for i, lack := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENOMEM} {
 		var fails atomic.Bool
 		var times atomic.Int64
-		var door *life.OperatorSettings
+		var door *config.OperatorSettings
 		if i < 4 {
 			door = guardedConfig(t, "")
 		} // and the plain server
@@ -191,7 +191,7 @@
 
 // Accept fails for good as the server is told to leave: it ends all the same.
 func TestAServerWhoseAcceptFailsLeaves(t *testing.T) {
-	w := startServerWith(t, func(s *life.Startup) { s.StopTimeout = 10 }, nil, func(s *Server) {
+	w := startServerWith(t, func(s *config.Startup) { s.StopTimeout = 10 }, nil, func(s *Server) {
 		s.acceptBy = func(func() (acceptedSocket, error)) func() (acceptedSocket, error) {
 			return func() (acceptedSocket, error) { return acceptedSocket{}, syscall.ENFILE }
 		}
@@ -260,7 +260,7 @@
 
 func TestHalfOfAllBalancersReturnAtOnce(t *testing.T) {
 	const n = 200
-	w := startServerWith(t, func(s *life.Startup) { s.MaxSockets = 1024 }, guardedConfig(t, ""))
+	w := startServerWith(t, func(s *config.Startup) { s.MaxSockets = 1024 }, guardedConfig(t, ""))
 	for range 2 {
 		crowd, err := balancer.Hold(w.server.startup.Listen, n, true)
 		if err != nil {
@@ -278,7 +278,7 @@
 }
 
 func TestAGuardedServerLeavesDuringAFlood(t *testing.T) {
-	w := startServerWith(t, func(s *life.Startup) { s.MaxSockets, s.StopTimeout = 256, 8 }, guardedConfig(t, ""))
+	w := startServerWith(t, func(s *config.Startup) { s.MaxSockets, s.StopTimeout = 256, 8 }, guardedConfig(t, ""))
 	b := w.dialClient()
 	b.send("%s", requestFrame(1, "a1", "x"))
 	w.executor.expectCommand("begin", "a1")
--- a/internal/serve/idle_bench_test.go
+++ b/internal/serve/idle_bench_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/panjf2000/gnet/v2"
 
-	"swiftcourse/internal/life"
+	"swiftcourse/internal/config"
 	"swiftcourse/internal/logging"
 	"swiftcourse/internal/wire/rpc"
 )
@@ -31,7 +31,7 @@
 	}
 	addr := front.Addr().String()
 	front.Close()
-	s := New(&life.Startup{Listen: addr, MaxSockets: 3 * n, StopTimeout: 4, Addresses: life.Addresses{Executor: "127.0.0.9:1", Registry: "127.0.0.9:1"}}, nil)
+	s := New(&config.Startup{Listen: addr, MaxSockets: 3 * n, StopTimeout: 4, Addresses: config.Addresses{Executor: "127.0.0.9:1", Registry: "127.0.0.9:1"}}, nil)
 	s.connLimiter.Idle(1e9)
 	done := make(chan error, 1)
 	go func() { done <- s.Run() }()
--- a/internal/serve/idle_test.go
+++ b/internal/serve/idle_test.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/life"
+	"swiftcourse/internal/config"
 	"swiftcourse/internal/logging"
 	"swiftcourse/internal/policy/connlimit"
 	"swiftcourse/internal/standin/balancer"
@@ -57,7 +57,7 @@
 
 // newServerWithoutLoop is a server without a loop, whose turns the test takes.
 func newServerWithoutLoop(idle float64) *Server {
-	s := New(&life.Startup{MaxSockets: 1000, ClassIndex: map[string]int{"quote": 0}, TenantIndex: map[string]int{"acme": 0}, Settings: admission.Settings{IdleTimeout: idle}}, nil)
+	s := New(&config.Startup{MaxSockets: 1000, ClassIndex: map[string]int{"quote": 0}, TenantIndex: map[string]int{"acme": 0}, Settings: admission.Settings{IdleTimeout: idle}}, nil)
 	s.loop, s.controller = idleLoop{}, admission.New(1, admission.Settings{})
 	s.wakeupTimer = time.AfterFunc(time.Hour, func() {})
 	return s
@@ -189,7 +189,7 @@
 
 func TestAStormOfReconnectsAfterAMassClose(t *testing.T) {
 	const n = 1500
-	w := startServer(t, func(s *life.Startup) { s.MaxSockets, s.Settings.IdleTimeout = 4000, 0.4 })
+	w := startServer(t, func(s *config.Startup) { s.MaxSockets, s.Settings.IdleTimeout = 4000, 0.4 })
 	for _, heeds := range []bool{true, false, true} {
 		crowd := w.holdClients(n, heeds)
 		busy := w.dialClient()
@@ -210,7 +210,7 @@
 
 func TestADrainWithThousandsOfIdleConnectionsEndsByItself(t *testing.T) {
 	const n = 3000
-	w := startServer(t, func(s *life.Startup) { s.MaxSockets, s.StopTimeout = 8000, 15 })
+	w := startServer(t, func(s *config.Startup) { s.MaxSockets, s.StopTimeout = 8000, 15 })
 	crowd := w.holdClients(n, false) // which heeds nothing
 	b := w.dialClient()
 	b.send("%s", requestFrame(1, "a1", "x"))
@@ -232,7 +232,7 @@
 
 func TestIdleConnectionsOutliveAReload(t *testing.T) {
 	const n = 500
-	w := startServer(t, func(s *life.Startup) { s.MaxSockets = 4000 })
+	w := startServer(t, func(s *config.Startup) { s.MaxSockets = 4000 })
 	crowd := w.holdClients(n, true)
 	w.executorListener = listenLoopback(t)
 	w.server.SetEndpoints(w.addresses())
@@ -271,7 +271,7 @@
 		becauseOf string
 	}{{512, 64 << 20, 352, "descriptors"}, {384, 48 << 20, 256, "descriptors"}, {20000, 192 << 20, 19712, "descriptors"},
 		{20000, 48 << 20, 48 << 20 / 4 / idleConnBytes, "memory"}} {
-		s := New(&life.Startup{MaxSockets: c.sockets, MemoryBytes: c.memory}, nil)
+		s := New(&config.Startup{MaxSockets: c.sockets, MemoryBytes: c.memory}, nil)
 		if most, by := s.maxClients(); most != c.want || by != c.becauseOf {
 			t.Errorf("%d descriptors, %d bytes: %d by %s", c.sockets, c.memory, most, by)
 		}
--- a/internal/serve/keyed_test.go
+++ b/internal/serve/keyed_test.go
@@ -9,7 +9,7 @@
 	"github.com/panjf2000/gnet/v2"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/life"
+	"swiftcourse/internal/config"
 	"swiftcourse/internal/memory"
 	"swiftcourse/internal/wire/rpc"
 )
@@ -19,7 +19,7 @@
 const failedPayload = "\x92\xa6Failed"
 
 // deduplicateOnlyClass makes the only stage one whose tasks bear a key and may run once in a window of 20 s.
-func deduplicateOnlyClass(s *life.Startup) {
+func deduplicateOnlyClass(s *config.Startup) {
 	s.Settings.Classes[0].Idempotency, s.Settings.Classes[0].DeduplicationWindow = admission.Deduplicated, 20
 }
 
@@ -152,7 +152,7 @@
 
 // A forwarder's worker has to know a repeat too: all that a task came with goes on with it.
 func TestAForwarderPassesTheKeyOn(t *testing.T) {
-	s := New(&life.Startup{}, nil)
+	s := New(&config.Startup{}, nil)
 	s.EnableForwarding(func(ForwardRequest) bool { return true }, func(string) {})
 	m := rpc.Message{Kind: rpc.Task, Number: 7, ID: "a1", Stage: "quote", Tenant: "acme", Subject: "s", Key: "k", Again: true, Hint: 0.2, Came: 1, Wait: 2,
 		NoWait: true, Caller: 3, Memory: 4, Rank: 0.5, Body: []byte("x")}
--- a/internal/serve/leave_test.go
+++ b/internal/serve/leave_test.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/life"
+	"swiftcourse/internal/config"
 )
 
 // waitUntilRefused dials until the system refuses a connection: the listener closes a moment after the connections are asked to.
@@ -34,7 +34,7 @@
 
 // Tasks are open until the very end; that must not keep the connections open for new ones until then.
 func TestConnectionsAreAskedToCloseWhileTheirTasksRun(t *testing.T) {
-	w, b := startRunningRequest(t, func(s *life.Startup) { s.StopTimeout = 10 })
+	w, b := startRunningRequest(t, func(s *config.Startup) { s.StopTimeout = 10 })
 	w.server.Drain()
 	b.expect("goaway\x90") // its task still runs
 	w.waitUntilRefused()
@@ -55,7 +55,7 @@
 // Connections lie in the system's queue, with tasks on them, as the listener is to close.
 func TestWhoWaitsToBeAcceptedHasAnAnswer(t *testing.T) {
 	gate := make(chan struct{}, 1)
-	w := startServerWith(t, func(s *life.Startup) { s.StopTimeout, s.Settings.Cores = 20, 4 }, nil, func(s *Server) {
+	w := startServerWith(t, func(s *config.Startup) { s.StopTimeout, s.Settings.Cores = 20, 4 }, nil, func(s *Server) {
 		s.acceptBy = func(accept func() (acceptedSocket, error)) func() (acceptedSocket, error) {
 			return func() (acceptedSocket, error) {
 				<-gate
@@ -94,7 +94,7 @@
 
 // The processor comes up after the notice: nothing begins, and the server ends at once.
 func TestToldToLeaveBeforeTheProcessorIsUp(t *testing.T) {
-	w := startUnready(t, func(s *life.Startup) { s.StopTimeout, s.Settings.DrainGracePeriod = 20, 10 }, nil)
+	w := startUnready(t, func(s *config.Startup) { s.StopTimeout, s.Settings.DrainGracePeriod = 20, 10 }, nil)
 	b := w.dialClient()
 	b.send("%s", requestFrame(1, "a1", "x"))
 	b.expect(answerPrefix(1) + "\x92\xa4Busy")
@@ -138,12 +138,12 @@
 
 // A server that is over dials nobody any more, nor does a pooled connection whose call is over.
 func TestDialsEndWithWhatTheyAreFor(t *testing.T) {
-	s := New(&life.Startup{Addresses: life.Addresses{Executor: "127.0.0.9:1"}}, nil) // where nothing listens
+	s := New(&config.Startup{Addresses: config.Addresses{Executor: "127.0.0.9:1"}}, nil) // where nothing listens
 	l := listenLoopback(t)
 	never := func(context.Context) (<-chan gnet.RegisteredResult, error) { t.Error("dialled"); return nil, nil }
 	ctx, giveUp := context.WithCancel(s.runContext)
 	giveUp()
-	s.SetEndpoints(life.Addresses{Executor: l.Addr().String()})
+	s.SetEndpoints(config.Addresses{Executor: l.Addr().String()})
 	s.dialUntilDone(ctx, never, executorAddress, s.executor, 0)
 	s.stop()
 	s.dialUntilDone(s.runContext, never, executorAddress, s.executor, 0) // both return
@@ -167,7 +167,7 @@
 func TestANoticeThatIsHeardLate(t *testing.T) {
 	const late = 0.12
 	for _, stop := range []float64{0.5, 4.5} {
-		s := New(&life.Startup{StopTimeout: stop}, nil)
+		s := New(&config.Startup{StopTimeout: stop}, nil)
 		s.controller = admission.New(1, admission.Settings{})
 		sent := s.now() - min(late, 0.9*stop/10)
 		s.startDrain(s.now())
@@ -182,7 +182,7 @@
 	l := listenLoopback(t)
 	addr := l.Addr().String()
 	l.Close()
-	s := New(&life.Startup{Listen: addr, Addresses: life.Addresses{Executor: "127.0.0.9:1", Registry: "127.0.0.9:1"}, StopTimeout: 5}, nil)
+	s := New(&config.Startup{Listen: addr, Addresses: config.Addresses{Executor: "127.0.0.9:1", Registry: "127.0.0.9:1"}, StopTimeout: 5}, nil)
 	ended := make(chan error)
 	go func() { ended <- s.Run() }()
 	s.Drain()
@@ -193,7 +193,7 @@
 
 // What arrives with the word to close, or in part before it, is answered: a whole pipeline, and half a message.
 func TestWhatCrossesTheWordToCloseIsAnswered(t *testing.T) {
-	w := startServer(t, func(s *life.Startup) { s.StopTimeout = 10 })
+	w := startServer(t, func(s *config.Startup) { s.StopTimeout = 10 })
 	b, c := w.dialClient(), w.dialClient()
 	b.send("%s", requestFrame(1, "a1", "x"))
 	w.executor.expectCommand("begin", "a1")
--- a/internal/serve/link.go
+++ b/internal/serve/link.go
@@ -12,7 +12,7 @@
 	"github.com/panjf2000/gnet/v2"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/life"
+	"swiftcourse/internal/config"
 )
 
 // attemptProgress tells how far an attempt had come when it ended.
@@ -69,12 +69,12 @@
 
 // endpoints is where the other parties are; its context ends, with the dials under way, when they move.
 type endpoints struct {
-	life.Addresses
+	config.Addresses
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-func newEndpoints(living context.Context, a life.Addresses) *endpoints {
+func newEndpoints(living context.Context, a config.Addresses) *endpoints {
 	ctx, burn := context.WithCancel(living)
 	return &endpoints{a, ctx, burn}
 }
@@ -85,7 +85,7 @@
 
 // SetEndpoints tells the server, from any goroutine, where the other parties are now. Nothing new goes to where they
 // were; calls in hand may still end there.
-func (s *Server) SetEndpoints(to life.Addresses) {
+func (s *Server) SetEndpoints(to config.Addresses) {
 	s.endpoints.Swap(newEndpoints(s.runContext, to)).cancel()
 	go func() {
 		select {
--- a/internal/serve/link_test.go
+++ b/internal/serve/link_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/panjf2000/gnet/v2"
 
-	"swiftcourse/internal/life"
+	"swiftcourse/internal/config"
 	"swiftcourse/internal/logging"
 )
 
@@ -54,7 +54,7 @@
 }
 
 func TestADialGoesToTheAddressOfTheMoment(t *testing.T) {
-	s := New(&life.Startup{Addresses: life.Addresses{Executor: "127.0.0.9:1"}}, nil) // where nothing listens
+	s := New(&config.Startup{Addresses: config.Addresses{Executor: "127.0.0.9:1"}}, nil) // where nothing listens
 	to := make(chan string, 1)
 	s.dialWith(func(ctx context.Context) (<-chan gnet.RegisteredResult, error) {
 		c, _ := gnet.FromNetConnContext(ctx)
@@ -62,14 +62,14 @@
 		return nil, c.Close()
 	}, executorAddress, s.executor, 0)
 	l := listenLoopback(t)
-	s.SetEndpoints(life.Addresses{Executor: l.Addr().String()})
+	s.SetEndpoints(config.Addresses{Executor: l.Addr().String()})
 	if got := <-to; got != l.Addr().String() {
 		t.Errorf("dialled %s", got)
 	}
 }
 
 func TestALinkOfOursMayLeaveMoreUnread(t *testing.T) {
-	s := New(&life.Startup{}, nil)
+	s := New(&config.Startup{}, nil)
 	s.loop = idleLoop{}
 	for _, to := range []string{"", "127.0.0.9:1"} {
 		c := &fakeUnread{}
@@ -83,7 +83,7 @@
 
 func TestWhatWasUnsentDoesNotReachTheNextLink(t *testing.T) {
 	logging.SetOutput(io.Discard)
-	s := New(&life.Startup{Addresses: life.Addresses{Executor: "127.0.0.9:1", Registry: "127.0.0.9:1"}}, nil)
+	s := New(&config.Startup{Addresses: config.Addresses{Executor: "127.0.0.9:1", Registry: "127.0.0.9:1"}}, nil)
 	s.loop = idleLoop{}
 	s.executor.conn, s.registry.conn = brokenConn{}, brokenConn{}
 	s.write(&s.executor.bufferedConn, []byte("old"))
--- a/internal/serve/peer_test.go
+++ b/internal/serve/peer_test.go
@@ -10,7 +10,7 @@
 	"github.com/panjf2000/gnet/v2"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/life"
+	"swiftcourse/internal/config"
 	"swiftcourse/internal/logging"
 	"swiftcourse/internal/policy/connlimit"
 )
@@ -61,7 +61,7 @@
 }
 
 func TestWhoOnlyHoldsConnectionsKeepsNobodyOut(t *testing.T) {
-	w := startServer(t, func(s *life.Startup) { s.MaxSockets = 64 })
+	w := startServer(t, func(s *config.Startup) { s.MaxSockets = 64 })
 	check := "\x94\x00\x01\xa6isWell\x91\x80"
 	busy := w.dialClient()
 	busy.send("%s", requestFrame(1, "a1", "x"))
@@ -79,7 +79,7 @@
 }
 
 func TestWhoIsOwedSomethingDoesNotGoForANewcomer(t *testing.T) {
-	s := New(&life.Startup{Settings: admission.Settings{IdleTimeout: 30}}, nil)
+	s := New(&config.Startup{Settings: admission.Settings{IdleTimeout: 30}}, nil)
 	add := func(unsent bool) *clientConn {
 		name, p := s.clients.Add()
 		p.server, p.id, p.conn, p.unsent = s, name, brokenConn{}, unsent
@@ -112,7 +112,7 @@
 func (*fakeSender) Discard(int) (int, error) { return 0, nil }
 
 func TestNothingIsReadFromAConnectionThatEnds(t *testing.T) {
-	s := New(&life.Startup{MaxSockets: 256, ClassIndex: map[string]int{"quote": 0}, TenantIndex: map[string]int{"acme": 0}}, nil)
+	s := New(&config.Startup{MaxSockets: 256, ClassIndex: map[string]int{"quote": 0}, TenantIndex: map[string]int{"acme": 0}}, nil)
 	s.loop, s.controller = idleLoop{}, admission.New(1, admission.Settings{})
 	for _, ends := range []bool{false, true} {
 		name, p := s.clients.Add()
@@ -138,7 +138,7 @@
 }
 
 func TestSilentConnectionsAreAskedToCloseThenClosed(t *testing.T) {
-	w := startServer(t, func(s *life.Startup) { s.Settings.IdleTimeout = 0.05 })
+	w := startServer(t, func(s *config.Startup) { s.Settings.IdleTimeout = 0.05 })
 	b := w.dialClient()
 	b.send("\x94\x00\x01\xa6isWell\x91\x80")
 	b.expect("goaway\x90")
@@ -201,7 +201,7 @@
 func TestAPanicStopsAtItsConnection(t *testing.T) {
 	logging.SetOutput(t.Output())
 	defer logging.SetOutput(io.Discard)
-	if action := New(&life.Startup{}, nil).OnTraffic(brokenConn{}); action != gnet.Close {
+	if action := New(&config.Startup{}, nil).OnTraffic(brokenConn{}); action != gnet.Close {
 		t.Errorf("action %v", action)
 	}
 }
--- a/internal/serve/processor_test.go
+++ b/internal/serve/processor_test.go
@@ -4,7 +4,7 @@
 	"testing"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/life"
+	"swiftcourse/internal/config"
 	"swiftcourse/internal/memory"
 	"swiftcourse/internal/wire/processor"
 )
@@ -54,7 +54,7 @@
 // Whether a begin that has no proof was read nobody can tell, and where running twice is ruled out it is not sent again.
 func TestABeginThatMayBeLostIsNotSentAgainWhereItMayRunOnce(t *testing.T) {
 	for _, effect := range []admission.Idempotency{admission.AtMostOnce, admission.Deduplicated} {
-		w := startServer(t, func(s *life.Startup) {
+		w := startServer(t, func(s *config.Startup) {
 			s.Settings.Classes[0].Idempotency, s.Settings.Classes[0].DeduplicationWindow = effect, 20
 		})
 		b := w.dialClient()
@@ -97,7 +97,7 @@
 }
 
 func TestAgeAndWaitAreThoseOfTheBatch(t *testing.T) {
-	s := New(&life.Startup{}, nil)
+	s := New(&config.Startup{}, nil)
 	now := s.now()
 	s.requests.Add(&memory.Request{ID: "a", ArrivedAt: now - 2, Timeout: 5})
 	s.requests.Add(&memory.Request{ID: "b", ArrivedAt: now + 1}) // by a clock ahead of ours; its wait is not told
@@ -110,7 +110,7 @@
 }
 
 func TestAnOldReadingOfTheGaugesIsNone(t *testing.T) {
-	s := New(&life.Startup{Gauges: []string{"runnable"}}, nil)
+	s := New(&config.Startup{Gauges: []string{"runnable"}}, nil)
 	s.executor.handleGauges(&processor.Notice{Gauges: []float64{3}})
 	for after, want := range map[float64]float64{0.01: 3, 2: -1} {
 		e := admission.Event{Kind: admission.TimerFired}
--- a/internal/serve/roster_test.go
+++ b/internal/serve/roster_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"swiftcourse/internal/life"
+	"swiftcourse/internal/config"
 )
 
 // completeHandshake has the processor come up.
@@ -15,7 +15,7 @@
 // A roster answers with nonsense, without end, or in pieces: the server goes on reporting, over a new link where it has to.
 func TestARosterThatAnswersStrangely(t *testing.T) {
 	reports := listenLoopback(t)
-	w := startUnready(t, func(s *life.Startup) { s.Registry = reports.Addr().String() }, nil)
+	w := startUnready(t, func(s *config.Startup) { s.Registry = reports.Addr().String() }, nil)
 	w.completeHandshake()
 	for _, answer := range []string{"nonsense\r\n\r\n", "HTTP/1.1 204 " + strings.Repeat("x", 20<<10), "HTTP/1.1 204 No\r\nContent-Length: -1\r\n\r\n", "\xff\x00\r\n\r\n"} {
 		r := acceptConn(t, reports)
@@ -35,7 +35,7 @@
 
 // A roster that is down from the start keeps nobody from being served, and is reported to once it is there.
 func TestARosterThatIsDownFromTheStart(t *testing.T) {
-	w := startUnready(t, func(s *life.Startup) { s.Registry = "127.0.0.9:1" }, nil)
+	w := startUnready(t, func(s *config.Startup) { s.Registry = "127.0.0.9:1" }, nil)
 	w.completeHandshake()
 	waitUntil(w, true, func(s *Server) bool { return s.controller != nil })
 	b := w.dialClient()
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -19,7 +19,7 @@
 	"github.com/panjf2000/gnet/v2"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/life"
+	"swiftcourse/internal/config"
 	"swiftcourse/internal/logging"
 	"swiftcourse/internal/memory"
 	"swiftcourse/internal/policy/connlimit"
@@ -30,7 +30,7 @@
 // Server is one real server.
 type Server struct {
 	gnet.BuiltinEventEngine
-	startup    *life.Startup
+	startup    *config.Startup
 	endpoints  atomic.Pointer[endpoints] // where the other parties are, for the goroutines that dial too
 	anchor     time.Time                 // when the clock was set, by the Unix clock's unix seconds
 	anchorUnix float64
@@ -57,8 +57,8 @@
 
 	clients          memory.Table[clientConn]
 	connLimiter      *connlimit.Door
-	holdingArea      int                    // places in it, as the operator's file says
-	operatorSettings *life.OperatorSettings // the operator's file, with what was released
+	holdingArea      int                      // places in it, as the operator's file says
+	operatorSettings *config.OperatorSettings // the operator's file, with what was released
 	requestLists     memory.ListPool
 	acceptBy         func(accept func() (acceptedSocket, error)) func() (acceptedSocket, error) // for tests, in which accept fails
 	acceptor         *acceptor
@@ -111,7 +111,7 @@
 const resultCacheShare = 8
 
 // New makes a server that has not started yet; conf is the operator's file.
-func New(start *life.Startup, conf *life.OperatorSettings) *Server {
+func New(start *config.Startup, conf *config.OperatorSettings) *Server {
 	now := time.Now()
 	s := &Server{startup: start, anchor: now, anchorUnix: float64(now.UnixMicro()) / 1e6, loopReady: make(chan struct{}),
 		wakeupAt: math.Inf(1), requests: memory.NewRequests(), results: memory.NewCache(int(start.MemoryBytes / resultCacheShare)),
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -16,7 +16,7 @@
 	"github.com/panjf2000/gnet/v2"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/life"
+	"swiftcourse/internal/config"
 	"swiftcourse/internal/logging"
 	"swiftcourse/internal/standin/catalogue"
 	"swiftcourse/internal/standin/roster"
@@ -121,12 +121,12 @@
 }
 
 // startServer starts a server; change alters what it is told.
-func startServer(t *testing.T, change func(*life.Startup)) *fixture {
+func startServer(t *testing.T, change func(*config.Startup)) *fixture {
 	return startServerWith(t, change, nil)
 }
 
 // startServerWith is build with an operator's file.
-func startServerWith(t *testing.T, change func(*life.Startup), conf *life.OperatorSettings, prepare ...func(*Server)) *fixture {
+func startServerWith(t *testing.T, change func(*config.Startup), conf *config.OperatorSettings, prepare ...func(*Server)) *fixture {
 	w := startUnready(t, change, conf, prepare...)
 	w.executor.send(`{"msg":"hi","how":"seasoned","duration":3600000}` + "\n")
 	if report := <-w.registry.Reports(); !report.Takes {
@@ -136,13 +136,13 @@
 }
 
 // startUnready starts a server whose processor has accepted its link and is not up yet.
-func startUnready(t *testing.T, change func(*life.Startup), conf *life.OperatorSettings, prepare ...func(*Server)) *fixture {
+func startUnready(t *testing.T, change func(*config.Startup), conf *config.OperatorSettings, prepare ...func(*Server)) *fixture {
 	logging.SetOutput(t.Output())
 	w := &fixture{T: t, runResult: make(chan error, 1), executorListener: listenLoopback(t), upstreamListener: listenLoopback(t), registry: newFakeRegistry(t)}
 	front := listenLoopback(t)
 	addr := front.Addr().String()
 	front.Close()
-	start := &life.Startup{Name: "n1", Listen: addr, Addresses: w.addresses(), StopTimeout: 4, MaxSockets: 256, MemoryBytes: 64 << 20,
+	start := &config.Startup{Name: "n1", Listen: addr, Addresses: w.addresses(), StopTimeout: 4, MaxSockets: 256, MemoryBytes: 64 << 20,
 		ClassIndex: map[string]int{"quote": 0}, TenantIndex: map[string]int{"acme": 0}, ClassNames: []string{"quote"},
 		Gauges: []string{"cpu_busy", "runnable"},
 		Settings: admission.Settings{Cores: 2, Servers: 1, Clients: 1, ConcurrencyLimit: 8, ConcurrencyWindow: 1, MemoryLimit: 1e6, RunningMemoryFactor: 1,
@@ -170,7 +170,7 @@
 }
 
 // startRunningRequest is a server on which a balancer's task a1, message 1 of its connection, runs.
-func startRunningRequest(t *testing.T, change func(*life.Startup)) (*fixture, *testConn) {
+func startRunningRequest(t *testing.T, change func(*config.Startup)) (*fixture, *testConn) {
 	w := startServer(t, change)
 	b := w.dialClient()
 	b.send("%s", requestFrame(1, "a1", "x"))
@@ -178,8 +178,8 @@
 	return w, b
 }
 
-func (w *fixture) addresses() life.Addresses {
-	return life.Addresses{Executor: w.executorListener.Addr().String(), Registry: w.registry.Addr(),
+func (w *fixture) addresses() config.Addresses {
+	return config.Addresses{Executor: w.executorListener.Addr().String(), Registry: w.registry.Addr(),
 		Upstream: w.upstreamListener.Addr().String()}
 }
 
@@ -275,7 +275,7 @@
 // A site may not tell how long callers wait: the time limit stands in. Where it does, a task without is refused.
 func TestWaitsThatAreNotTold(t *testing.T) {
 	untold := func(m *rpc.Message) { m.NoWait = true }
-	w := startServer(t, func(s *life.Startup) { s.Settings.DeadlinePropagation, s.Settings.Classes[0].Timeout = false, 0.4 })
+	w := startServer(t, func(s *config.Startup) { s.Settings.DeadlinePropagation, s.Settings.Classes[0].Timeout = false, 0.4 })
 	b := w.dialClient()
 	b.send("%s", requestFrame(1, "a1", "x", untold))
 	w.executor.expectCommand("begin", "a1")
@@ -286,7 +286,7 @@
 }
 
 func TestDrainAnswersAllAndEnds(t *testing.T) {
-	w, b := startRunningRequest(t, func(s *life.Startup) { s.StopTimeout = 10 })
+	w, b := startRunningRequest(t, func(s *config.Startup) { s.StopTimeout = 10 })
 	w.server.Drain()
 	for report := range w.registry.Reports() {
 		if !report.Takes {
@@ -310,7 +310,7 @@
 }
 
 func TestRepeatsShareAnAnswer(t *testing.T) {
-	w := startServer(t, func(s *life.Startup) { s.Settings.ResultCacheTTL, s.Settings.KeyMemory = 60, 1 })
+	w := startServer(t, func(s *config.Startup) { s.Settings.ResultCacheTTL, s.Settings.KeyMemory = 60, 1 })
 	b := w.dialClient()
 	b.send("%s", requestFrame(1, "a1", "x", withSubject("k")))
 	w.executor.expectCommand("begin", "a1")
@@ -325,7 +325,7 @@
 }
 
 func TestASecondNoticeChangesNothing(t *testing.T) {
-	s := New(&life.Startup{StopTimeout: 5}, nil)
+	s := New(&config.Startup{StopTimeout: 5}, nil)
 	s.controller = admission.New(1, admission.Settings{})
 	s.startDrain(s.now())
 	killAt := s.killAt
@@ -337,7 +337,7 @@
 
 func TestHealthIsReportedAtOnceAndOneReportAtATime(t *testing.T) {
 	logging.SetOutput(io.Discard)
-	s := New(&life.Startup{Addresses: life.Addresses{Registry: "127.0.0.9:1"}}, nil)
+	s := New(&config.Startup{Addresses: config.Addresses{Registry: "127.0.0.9:1"}}, nil)
 	s.loop = idleLoop{}
 	s.controller = admission.New(1, admission.Settings{})
 	s.registry.conn = brokenConn{}
@@ -376,7 +376,7 @@
 		t.Fatal(err)
 	}
 	defer below.Close()
-	w.server.SetEndpoints(life.Addresses{Executor: w.executorListener.Addr().String(), Registry: w.registry.Addr(), Upstream: below.Addr()})
+	w.server.SetEndpoints(config.Addresses{Executor: w.executorListener.Addr().String(), Registry: w.registry.Addr(), Upstream: below.Addr()})
 	serial := 0
 	next := func() int { serial++; return serial }
 	for i := range 150 {
--- a/internal/serve/standing.go
+++ b/internal/serve/standing.go
@@ -9,7 +9,7 @@
 	"github.com/panjf2000/gnet/v2"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/life"
+	"swiftcourse/internal/config"
 	"swiftcourse/internal/policy/connlimit"
 	"swiftcourse/internal/policy/serving"
 	"swiftcourse/internal/wire/rpc"
@@ -104,8 +104,8 @@
 }
 
 // withSafeDefaults is the operator's file with the defaults in place of what was released: a door that is on stays on, with its own figures.
-func withSafeDefaults(conf *life.OperatorSettings) *life.OperatorSettings {
-	safe := life.DefaultOperatorSettings()
+func withSafeDefaults(conf *config.OperatorSettings) *config.OperatorSettings {
+	safe := config.DefaultOperatorSettings()
 	safe.Door, safe.V4, safe.V6, safe.Lobby, safe.Remember = conf.Door, conf.V4, conf.V6, conf.Lobby, conf.Remember
 	return safe
 }
@@ -117,7 +117,7 @@
 const applyTimeout = 2 * time.Second
 
 // ApplyConfig has the server act on settings, whole or not at all, from any goroutine but the loop's.
-func (s *Server) ApplyConfig(conf *life.OperatorSettings) error {
+func (s *Server) ApplyConfig(conf *config.OperatorSettings) error {
 	select {
 	case <-s.loopReady:
 	case <-time.After(applyTimeout):
@@ -136,7 +136,7 @@
 	}
 }
 
-func (s *Server) applyConfig(conf *life.OperatorSettings) error {
+func (s *Server) applyConfig(conf *config.OperatorSettings) error {
 	switch {
 	case conf.Door != s.connLimiter.Guarded():
 		return errors.New("door: can't be switched while serving")
--- a/internal/serve/standing_test.go
+++ b/internal/serve/standing_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"swiftcourse/internal/life"
+	"swiftcourse/internal/config"
 	"swiftcourse/internal/policy/serving"
 	"swiftcourse/internal/wire/rpc"
 )
@@ -85,7 +85,7 @@
 }
 
 func TestAServerThatMayNotActFinishesWhatRunsAndRejectsTheRest(t *testing.T) {
-	w := startServer(t, func(s *life.Startup) { s.Settings.MaxRetryAfter = 5 })
+	w := startServer(t, func(s *config.Startup) { s.Settings.MaxRetryAfter = 5 })
 	const tasks = 20 // more than two cores take at once
 	begun, finish := make(chan string, tasks+1), make(chan struct{})
 	w.runRequests(begun, finish)
@@ -144,7 +144,7 @@
 }
 
 func TestSettingsAreTakenWholeOrNotAtAll(t *testing.T) {
-	conf, err := life.ParseOperatorSettings("f", []byte("door on"))
+	conf, err := config.ParseOperatorSettings("f", []byte("door on"))
 	if err != nil {
 		t.Fatal(err)
 	}
