--- a/cmd/swiftcourse-fleet/budgets.go
+++ b/cmd/swiftcourse-fleet/budgets.go
@@ -9,10 +9,10 @@
 	"strings"
 
 	"swiftcourse/internal/config"
-	"swiftcourse/internal/peers"
+	"swiftcourse/internal/fleet"
 	"swiftcourse/internal/policy/quota"
 	"swiftcourse/internal/policy/serving"
-	"swiftcourse/internal/serve"
+	"swiftcourse/internal/server"
 )
 
 // This file is what the operator's file says of budgets, and their way between the fleet's part and the serving loop.
@@ -55,13 +55,13 @@
 }
 
 // budgets is what the fleet's part needs to know of them, nil where none are shared.
-func (p *parts) budgets(start *config.Startup, clock *peers.Clock) (*peers.QuotaConfig, error) {
+func (p *parts) budgets(start *config.Startup, clock *fleet.Clock) (*fleet.QuotaConfig, error) {
 	terms, err := termsOf(p.own, start)
 	if err != nil || p.own.BudgetServers == 0 {
 		return nil, err
 	}
 	p.terms = terms
-	return &peers.QuotaConfig{
+	return &fleet.QuotaConfig{
 		Settings: func() quota.Config {
 			p.mu.Lock()
 			defer p.mu.Unlock()
@@ -108,18 +108,18 @@
 }
 
 // below is what the fleet's part needs to judge the service below, nil where it does not.
-func (p *parts) below() *peers.HealthConfig {
+func (p *parts) below() *fleet.HealthConfig {
 	if !p.own.Below {
 		return nil
 	}
-	return &peers.HealthConfig{Zone: p.own.Zone, OnLimit: func(held peers.CallLimit) { p.allow(func() { p.held = held }) }}
+	return &fleet.HealthConfig{Zone: p.own.Zone, OnLimit: func(held fleet.CallLimit) { p.allow(func() { p.held = held }) }}
 }
 
 // uses passes on what the loop used.
-func uses(list []serve.QuotaUsage) []peers.Usage {
-	to := make([]peers.Usage, len(list))
+func uses(list []server.QuotaUsage) []fleet.Usage {
+	to := make([]fleet.Usage, len(list))
 	for i, u := range list {
-		to[i] = peers.Usage(u)
+		to[i] = fleet.Usage(u)
 	}
 	return to
 }
--- a/cmd/swiftcourse-fleet/command.go
+++ b/cmd/swiftcourse-fleet/command.go
@@ -18,7 +18,7 @@
 	"github.com/alecthomas/kong"
 
 	"swiftcourse/internal/config"
-	"swiftcourse/internal/peers"
+	"swiftcourse/internal/fleet"
 	"swiftcourse/internal/policy/release"
 	"swiftcourse/internal/policy/replication"
 )
@@ -122,7 +122,7 @@
 }
 
 func (o *operator) command(c release.Command) error {
-	newest, err := peers.SendCommand(o.At, c)
+	newest, err := fleet.SendCommand(o.At, c)
 	if err != nil {
 		return err
 	}
@@ -158,7 +158,7 @@
 }
 
 func (o *operator) look(what string) error {
-	s, err := peers.FetchStatus(o.At, o.Audit.Since)
+	s, err := fleet.FetchStatus(o.At, o.Audit.Since)
 	if err != nil {
 		return err
 	}
@@ -184,7 +184,7 @@
 
 func table() *tabwriter.Writer { return tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0) }
 
-func tellStatus(s *peers.Status) {
+func tellStatus(s *fleet.Status) {
 	fmt.Printf("%s (life %x) is %s, acts on %s; newest is %s; leader %s\n", s.Name, s.Incarnation, s.LeaseState, s.ActiveEpoch, s.Audit.Newest, s.Leader)
 	if n := s.ReleaseLog.Next; n != nil {
 		fmt.Printf("on its way: %s by %s, wave %d of %d\n", n.Epoch, n.Author, s.ReleaseLog.WaveIndex+1, len(s.ReleaseLog.Waves))
@@ -212,7 +212,7 @@
 	return time.UnixMilli(int64(unix * 1000)).UTC().Format("2006-01-02T15:04:05.000")
 }
 
-func tellAudit(s *peers.Status) {
+func tellAudit(s *fleet.Status) {
 	t := table()
 	fmt.Fprintln(t, "server\tlife\tepoch\tdigest\tfrom (own clock)\tto\tbatches\ttasks\twhy")
 	for _, a := range s.Audit.Accounts {
@@ -231,7 +231,7 @@
 
 // diff tells how the copies of all servers stand, and what is wrong with them.
 func (o *operator) diff() error {
-	s, err := peers.FetchStatus(o.At, "")
+	s, err := fleet.FetchStatus(o.At, "")
 	if err != nil {
 		return err
 	}
@@ -262,7 +262,7 @@
 
 // budgets tells how the budgets stand at one server.
 func (o *operator) budgets() error {
-	s, err := peers.FetchQuotas(o.At)
+	s, err := fleet.FetchQuotas(o.At)
 	if err != nil {
 		return err
 	}
--- a/cmd/swiftcourse-fleet/counts.go
+++ b/cmd/swiftcourse-fleet/counts.go
@@ -6,13 +6,13 @@
 	"os"
 	"strings"
 
-	"swiftcourse/internal/peers"
+	"swiftcourse/internal/fleet"
 	"swiftcourse/internal/policy/serving"
 )
 
 // counts tells what all servers were asked for, and how sure that is.
 func (o *operator) counts() error {
-	s, err := peers.FetchCounters(o.At)
+	s, err := fleet.FetchCounters(o.At)
 	if err != nil {
 		return err
 	}
--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -12,53 +12,53 @@
 	"time"
 
 	"swiftcourse/internal/config"
-	"swiftcourse/internal/forward"
-	"swiftcourse/internal/peers"
+	"swiftcourse/internal/fleet"
+	"swiftcourse/internal/forwarder"
 	"swiftcourse/internal/policy/loadplan"
 	"swiftcourse/internal/policy/quota"
 	"swiftcourse/internal/policy/serving"
-	"swiftcourse/internal/serve"
+	"swiftcourse/internal/server"
 )
 
 // This file is the two-level fleet's part of the wiring: a forwarder's workers, and a planner.
 
 // Forward has a server pass its tasks on to the workers that the operator's file names.
-func (p *parts) Forward(start *config.Startup, own *config.OperatorSettings, server *serve.Server) error {
+func (p *parts) Forward(start *config.Startup, own *config.OperatorSettings, loop *server.Server) error {
 	if len(own.ForwardTo) == 0 {
 		return errors.New("forward-to: names no workers")
 	}
-	var workers []forward.Worker
+	var workers []forwarder.Worker
 	for _, text := range own.ForwardTo {
 		name, addr, ok := strings.Cut(text, "=")
-		if !ok || name == "" || addr == "" || slices.ContainsFunc(workers, func(w forward.Worker) bool { return w.Name == name }) {
+		if !ok || name == "" || addr == "" || slices.ContainsFunc(workers, func(w forwarder.Worker) bool { return w.Name == name }) {
 			return fmt.Errorf("forward-to: %q is no name=address, or a name that is there already", text)
 		}
-		workers = append(workers, forward.Worker{Name: name, Addr: addr})
+		workers = append(workers, forwarder.Worker{Name: name, Addr: addr})
 	}
 	if start.Settings.Cores *= len(workers); own.ForwardSlots > 0 {
 		start.Settings.Cores = own.ForwardSlots
 	}
-	p.dispatcher = forward.Start(forward.Shape{Workers: workers, Stages: start.Settings.Classes, Seed: forward.SeedOf(start.Name, start.Seed),
-		ColdFrom: start.Settings.SlowStartSpeed, ColdFor: start.WorkerSlowStartDuration, Now: server.Now,
-		Return: func(list []forward.Back) {
-			backs := make([]serve.ForwardResult, len(list))
+	p.dispatcher = forwarder.Start(forwarder.Shape{Workers: workers, Stages: start.Settings.Classes, Seed: forwarder.SeedOf(start.Name, start.Seed),
+		ColdFrom: start.Settings.SlowStartSpeed, ColdFor: start.WorkerSlowStartDuration, Now: loop.Now,
+		Return: func(list []forwarder.Back) {
+			backs := make([]server.ForwardResult, len(list))
 			for i, b := range list {
-				backs[i] = serve.ForwardResult(b)
+				backs[i] = server.ForwardResult(b)
 			}
-			server.HandleForwardResults(backs)
-		}, Linked: server.HandleWorkerAvailable})
-	server.EnableForwarding(func(out serve.ForwardRequest) bool { return p.dispatcher.Begin(forward.Out(out)) }, p.dispatcher.Quit)
+			loop.HandleForwardResults(backs)
+		}, Linked: loop.HandleWorkerAvailable})
+	loop.EnableForwarding(func(out server.ForwardRequest) bool { return p.dispatcher.Begin(forwarder.Out(out)) }, p.dispatcher.Quit)
 	slog.Info("forwarder", "workers", len(workers), "slots", start.Settings.Cores)
 	return nil
 }
 
 // plans is a forwarder's part in plans, nil for who forwards nothing.
-func (p *parts) plans(start *config.Startup, clock *peers.Clock) *peers.LoadPlanConfig {
+func (p *parts) plans(start *config.Startup, clock *fleet.Clock) *fleet.LoadPlanConfig {
 	if p.dispatcher == nil {
 		return nil
 	}
 	var last loadplan.Number
-	return &peers.LoadPlanConfig{
+	return &fleet.LoadPlanConfig{
 		Report: func(float64) *loadplan.Report { return p.dispatcher.Report() },
 		OnShare: func(part *loadplan.Part, until float64) {
 			if part.Founding != last.Founding || part.Term != last.Term {
@@ -107,8 +107,8 @@
 	if err != nil {
 		return err
 	}
-	f, err := peers.Start(peers.Config{Name: name, ListenAddr: own.FleetListen, Voters: voters, JoinAddrs: own.FleetJoin, LeaseTerms: memberTerms(own), Rollout: rollout(own),
-		OnLeaseExpiry: serving.ModeNormal, LoadPlan: &peers.LoadPlanConfig{IsPlanner: true}, CountersEnabled: own.Counts, Seed: from.UnixNano(), Build: build(), Now: clock.Now, UnixNow: clock.UnixNow, RelayAddrs: via,
+	f, err := fleet.Start(fleet.Config{Name: name, ListenAddr: own.FleetListen, Voters: voters, JoinAddrs: own.FleetJoin, LeaseTerms: memberTerms(own), Rollout: rollout(own),
+		OnLeaseExpiry: serving.ModeNormal, LoadPlan: &fleet.LoadPlanConfig{IsPlanner: true}, CountersEnabled: own.Counts, Seed: from.UnixNano(), Build: build(), Now: clock.Now, UnixNow: clock.UnixNow, RelayAddrs: via,
 		Apply: func(text string) error {
 			_, err := own.WithRelease("released", text)
 			return err
@@ -132,7 +132,7 @@
 
 // plans tells how plans stand at one process.
 func (o *operator) plans() error {
-	s, err := peers.FetchLoadPlan(o.At)
+	s, err := fleet.FetchLoadPlan(o.At)
 	if err != nil {
 		return err
 	}
--- a/cmd/swiftcourse-fleet/main.go
+++ b/cmd/swiftcourse-fleet/main.go
@@ -16,34 +16,34 @@
 	"syscall"
 	"time"
 
+	"swiftcourse/internal/cli"
 	"swiftcourse/internal/config"
-	"swiftcourse/internal/forward"
-	"swiftcourse/internal/peers"
+	"swiftcourse/internal/fleet"
+	"swiftcourse/internal/forwarder"
 	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/quota"
 	"swiftcourse/internal/policy/release"
 	"swiftcourse/internal/policy/replication"
 	"swiftcourse/internal/policy/serving"
-	"swiftcourse/internal/program"
-	"swiftcourse/internal/serve"
+	"swiftcourse/internal/server"
 )
 
-func main() { program.Main(&parts{}) }
+func main() { cli.Main(&parts{}) }
 
 // parts are the fleet's parts of this process.
 type parts struct {
 	mu       sync.Mutex // own and released change by an operator's signal and by a release
 	own      *config.OperatorSettings
 	released string
-	server   *serve.Server
+	server   *server.Server
 	start    *config.Startup
 	terms    quota.Config // of the budgets that all share, as own and released say
 
 	parted []serving.Allowance // parts of budgets
-	held   peers.CallLimit     // calls below
+	held   fleet.CallLimit     // calls below
 
-	planned    []serving.Allowance // what a plan lets in
-	dispatcher *forward.Dispatcher // nil for who forwards nothing
+	planned    []serving.Allowance   // what a plan lets in
+	dispatcher *forwarder.Dispatcher // nil for who forwards nothing
 }
 
 // build tells builds of the program apart: what the version control says, or what was given in SWIFTCOURSE_BUILD.
@@ -62,61 +62,61 @@
 }
 
 // Start begins the fleet's part.
-func (p *parts) Start(start *config.Startup, own *config.OperatorSettings, server *serve.Server) error {
-	p.own, p.server, p.start, p.held.MaxInFlight = own, server, start, math.Inf(1)
+func (p *parts) Start(start *config.Startup, own *config.OperatorSettings, loop *server.Server) error {
+	p.own, p.server, p.start, p.held.MaxInFlight = own, loop, start, math.Inf(1)
 	// One more than Fit gives: a message from a peer must not wait for the loop's turn, nor a turn for it.
 	runtime.GOMAXPROCS(runtime.GOMAXPROCS(0) + 1)
 	voters, err := votersOf(start.Name, own)
 	if err != nil {
 		return err
 	}
-	clock, via, err := forTests(server.Now)
+	clock, via, err := forTests(loop.Now)
 	if err != nil {
 		return err
 	}
 	silent := map[string]serving.Mode{"keep": lease.FallbackNormal, "shield": lease.FallbackSafeDefaults, "leave": lease.FallbackOutOfService}[own.FleetSilent]
-	kept, err := copies(start, own, server)
+	kept, err := copies(start, own, loop)
 	if err != nil {
 		return err
 	}
-	var callers *peers.TrustConfig
+	var callers *fleet.TrustConfig
 	if own.ReplicaCallers {
 		if !own.Door {
 			return errors.New("replica-callers: needs door on")
 		}
-		callers = &peers.TrustConfig{Retention: own.Forget.Seconds(), MaxClients: own.Remember / 4, OnTrusted: server.AddTrustedClients}
+		callers = &fleet.TrustConfig{Retention: own.Forget.Seconds(), MaxClients: own.Remember / 4, OnTrusted: loop.AddTrustedClients}
 	}
 	shared, err := p.budgets(start, clock)
 	if err != nil {
 		return err
 	}
-	f, err := peers.Start(peers.Config{Trust: callers, Replication: kept, Quotas: shared, Health: p.below(), CountersEnabled: own.Counts, Name: start.Name, ListenAddr: own.FleetListen, Voters: voters, JoinAddrs: own.FleetJoin,
+	f, err := fleet.Start(fleet.Config{Trust: callers, Replication: kept, Quotas: shared, Health: p.below(), CountersEnabled: own.Counts, Name: start.Name, ListenAddr: own.FleetListen, Voters: voters, JoinAddrs: own.FleetJoin,
 		LoadPlan: p.plans(start, clock), LeaseTerms: memberTerms(own), OnLeaseExpiry: silent, Rollout: rollout(own), Seed: start.Seed, Build: build(),
 		Now: clock.Now, UnixNow: clock.UnixNow, RelayAddrs: via, OnTracePoint: dieAt(), Apply: p.apply,
 		Publish: func(to *serving.Directive) {
 			here := *to
 			here.ChangesAt = clock.ToSource(to.ChangesAt)
-			server.SetDirective(&here)
+			loop.SetDirective(&here)
 		}})
 	if err != nil {
 		return err
 	}
 	if kept != nil {
-		server.EnableKeyClaims(f, own.ReplicaKeyed, own.ReplicaWindow.Seconds())
+		loop.EnableKeyClaims(f, own.ReplicaKeyed, own.ReplicaWindow.Seconds())
 		slog.Info("fleet_replica", "holders", len(kept.Placement.Members), "copies", kept.Placement.ReplicationFactor, "need", kept.Placement.Quorum, "keyed", strings.Join(own.ReplicaKeyed, ","))
 	}
 	if shared != nil || own.Below || p.dispatcher != nil {
-		server.EnableQuota(func(list []serve.QuotaUsage) { f.ReportUsage(uses(list)) })
+		loop.EnableQuota(func(list []server.QuotaUsage) { f.ReportUsage(uses(list)) })
 	}
 	if own.Below {
-		server.ReportUpstreamCalls(f.ReportCalls)
+		loop.ReportUpstreamCalls(f.ReportCalls)
 		slog.Info("fleet_below", "is", "judged", "zone", own.Zone)
 	}
 	if shared != nil {
 		slog.Info("fleet_budgets", "budgets", len(own.Budgets), "floor", float64(own.BudgetFloor), "servers", own.BudgetServers)
 	}
 	if p.dispatcher != nil {
-		server.ReportCounters(func(list []serving.CounterCell) bool {
+		loop.ReportCounters(func(list []serving.CounterCell) bool {
 			told := !own.Counts || f.ReportCounts(list)
 			if told {
 				p.dispatcher.Asked(list)
@@ -124,13 +124,13 @@
 			return told
 		})
 	} else if own.Counts {
-		server.ReportCounters(f.ReportCounts)
+		loop.ReportCounters(f.ReportCounts)
 	}
 	if own.Counts {
 		slog.Info("fleet_counts", "keepers", len(voters))
 	}
 	if callers != nil {
-		server.ReportTrustedClients(f.ReportTrusted, replication.MaxTrustedClients)
+		loop.ReportTrustedClients(f.ReportTrusted, replication.MaxTrustedClients)
 	}
 	if own.FleetControl != "" {
 		if _, err := f.ServeControl(own.FleetControl); err != nil {
@@ -167,7 +167,7 @@
 }
 
 // copies is what the operator's file says of the state that several servers keep, nil where it says nothing.
-func copies(start *config.Startup, own *config.OperatorSettings, server *serve.Server) (*peers.ReplicationConfig, error) {
+func copies(start *config.Startup, own *config.OperatorSettings, loop *server.Server) (*fleet.ReplicationConfig, error) {
 	if len(own.ReplicaHolders) == 0 {
 		if len(own.ReplicaKeyed) > 0 {
 			return nil, errors.New("replica-keyed: needs replica-holders")
@@ -201,7 +201,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("replica-holders: %w", err)
 	}
-	return &peers.ReplicationConfig{Placement: place, MaxRecords: own.ReplicaRecords, MaxBytes: own.ReplicaMemory << 20, CatchUpRate: float64(own.ReplicaRate) * 1024, OnVerdict: server.HandleClaimVerdict}, nil
+	return &fleet.ReplicationConfig{Placement: place, MaxRecords: own.ReplicaRecords, MaxBytes: own.ReplicaMemory << 20, CatchUpRate: float64(own.ReplicaRate) * 1024, OnVerdict: loop.HandleClaimVerdict}, nil
 }
 
 // apply has the server act on a released text over its own file.
@@ -243,7 +243,7 @@
 
 // forTests is what only tests set: SWIFTCOURSE_TEST_CLOCK=OFF,RATE has the fleet's clock so many seconds off, and run at that rate;
 // SWIFTCOURSE_TEST_VIA=ADDR=RELAY,... has peers reached through relays.
-func forTests(now func() float64) (*peers.Clock, map[string]string, error) {
+func forTests(now func() float64) (*fleet.Clock, map[string]string, error) {
 	off, rate := 0.0, 1.0
 	if text := os.Getenv("SWIFTCOURSE_TEST_CLOCK"); text != "" {
 		a, b, _ := strings.Cut(text, ",")
@@ -261,7 +261,7 @@
 			via[addr] = relay
 		}
 	}
-	return peers.NewClock(now, now(), off, rate), via, nil
+	return fleet.NewClock(now, now(), off, rate), via, nil
 }
 
 // dieAt is for tests: SWIFTCOURSE_TEST_DIE=POINT,N,S kills the process as it passes a point for the Nth time, S seconds after its start.
--- a/cmd/swiftcourse/main.go
+++ b/cmd/swiftcourse/main.go
@@ -1,6 +1,6 @@
 // Command swiftcourse is the real server: it serves balancers on a socket and decides with package choice.
 package main
 
-import "swiftcourse/internal/program"
+import "swiftcourse/internal/cli"
 
-func main() { program.Main(nil) }
+func main() { cli.Main(nil) }
--- a/internal/program/program.go
+++ b/internal/cli/program.go
@@ -1,6 +1,6 @@
-// Package program is the command line of the server and its wiring. Two programs have it: swiftcourse, and swiftcourse-fleet, which also has the
+// Package cli is the command line of the server and its wiring. Two programs have it: swiftcourse, and swiftcourse-fleet, which also has the
 // fleet's parts. Those are libraries that a server without a fleet shall not carry, so the first becomes the second where a fleet is asked for.
-package program
+package cli
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 
 	"swiftcourse/internal/config"
 	"swiftcourse/internal/logging"
-	"swiftcourse/internal/serve"
+	"swiftcourse/internal/server"
 )
 
 type program struct {
@@ -27,9 +27,9 @@
 // Parts are what a server has of its fleet.
 type Parts interface {
 	// Start begins the fleet's part of a server; own is the operator's file of this server.
-	Start(start *config.Startup, own *config.OperatorSettings, server *serve.Server) error
+	Start(start *config.Startup, own *config.OperatorSettings, server *server.Server) error
 	// Forward has a server pass its tasks on to workers; it is called before Start.
-	Forward(start *config.Startup, own *config.OperatorSettings, server *serve.Server) error
+	Forward(start *config.Startup, own *config.OperatorSettings, server *server.Server) error
 	// Plan makes plans under a name until the end.
 	Plan(name string, own *config.OperatorSettings, signals config.Signals) error
 	// Reread takes the operator's file of this server again.
@@ -137,7 +137,7 @@
 			"utility", stage.Value, "late_utility", stage.LateValue, "skip_utility", stage.DegradedValue,
 			"calls", stage.CallsDownstream)
 	}
-	server := serve.New(start, conf)
+	server := server.New(start, conf)
 	signals.Handle(server.Drain, func() {
 		to, ignored, err := start.Reload(os.Getenv)
 		next, err2 := config.LoadOperatorSettings(path)
--- a/internal/peers/copies.go
+++ b/internal/fleet/copies.go
@@ -1,4 +1,4 @@
-package peers
+package fleet
 
 import (
 	"cmp"
--- a/internal/peers/peers.go
+++ b/internal/fleet/peers.go
@@ -1,8 +1,8 @@
-// Package peers is a process's part in its fleet: membership and talk among processes. One goroutine owns all fleet state; it decides with
+// Package fleet is a process's part in its fleet: membership and talk among processes. One goroutine owns all fleet state; it decides with
 // internal/judge and hands the serving loop values, which that reads at the start of a batch. Nothing here ever makes an answer wait.
 //
 // What comes in is read in receive, decided in take and due, and sent in flush.
-package peers
+package fleet
 
 import (
 	"cmp"
--- a/internal/forward/forward.go
+++ b/internal/forwarder/forward.go
@@ -1,9 +1,9 @@
-// Package forward takes a forwarder's tasks to workers and their answers back. One goroutine owns all state: what judge/route decides on, the links and
+// Package forwarder takes a forwarder's tasks to workers and their answers back. One goroutine owns all state: what judge/route decides on, the links and
 // the tries. The serving loop hands tasks in and has them returned; nothing here makes it wait.
 //
 // A task's way: Begin, place, a link's writer, the worker, heard, settle, Return. A try that ends without an answer may be followed by another, as
 // judge/route says.
-package forward
+package forwarder
 
 import (
 	"container/heap"
--- a/internal/forward/link_test.go
+++ b/internal/forwarder/link_test.go
@@ -1,4 +1,4 @@
-package forward
+package forwarder
 
 import (
 	"net"
--- a/internal/lab/copies/copies.go
+++ b/internal/lab/copies/copies.go
@@ -12,9 +12,9 @@
 	"sync"
 	"time"
 
+	"swiftcourse/internal/fleet"
 	"swiftcourse/internal/lab/faults"
 	"swiftcourse/internal/lab/load"
-	"swiftcourse/internal/peers"
 	"swiftcourse/internal/policy/replication"
 	state "swiftcourse/internal/replicastore"
 )
@@ -177,7 +177,7 @@
 	chance := rand.New(rand.NewPCG(r.Seed, 19))
 	die := map[string]string{}
 	for range 2 {
-		point := peers.TracePoints[chance.IntN(len(peers.TracePoints))]
+		point := fleet.TracePoints[chance.IntN(len(fleet.TracePoints))]
 		die[names[chance.IntN(len(names))]] = fmt.Sprintf("%s,%d,%g", point, 1+chance.IntN(30), window.Seconds()+6)
 	}
 	return die
--- a/internal/lab/emulate/budgets.go
+++ b/internal/lab/emulate/budgets.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"swiftcourse/internal/peers"
+	"swiftcourse/internal/fleet"
 	"swiftcourse/internal/policy/quota"
 	"swiftcourse/internal/policy/serving"
 )
@@ -94,8 +94,8 @@
 	for _, t := range s.servers {
 		sp := &spender{talker: t}
 		s.spenders = append(s.spenders, sp)
-		t.budgets = func(clock *peers.Clock) *peers.QuotaConfig {
-			return &peers.QuotaConfig{Settings: func() quota.Config { return terms }, OnAllowances: func(list []quota.Allowance) {
+		t.budgets = func(clock *fleet.Clock) *fleet.QuotaConfig {
+			return &fleet.QuotaConfig{Settings: func() quota.Config { return terms }, OnAllowances: func(list []quota.Allowance) {
 				a := list[0]
 				sp.may = serving.Allowance{Guaranteed: a.Floor, LeasedShare: a.LeasedShare, LeaseExpiry: clock.ToSource(a.LeaseExpiry), GrantNumber: a.GrantNumber}
 			}}
@@ -135,7 +135,7 @@
 // use has a loop say what it used, again and again.
 func (sp *spender) use() {
 	if sp.alive && !sp.asleep {
-		sp.part.ObserveUsage(sp.part.Now(), []peers.Usage{{Name: sharedName, Demand: sp.demand, Answer: sp.may.GrantNumber}})
+		sp.part.ObserveUsage(sp.part.Now(), []fleet.Usage{{Name: sharedName, Demand: sp.demand, Answer: sp.may.GrantNumber}})
 		sp.turn()
 	}
 	sp.after(sharedEvery, sp.use)
--- a/internal/lab/emulate/claims.go
+++ b/internal/lab/emulate/claims.go
@@ -5,7 +5,7 @@
 	"math"
 	"slices"
 
-	"swiftcourse/internal/peers"
+	"swiftcourse/internal/fleet"
 	"swiftcourse/internal/policy/replication"
 	"swiftcourse/internal/policy/serving"
 )
@@ -75,12 +75,12 @@
 }
 
 // copies is a server's part in it, nil where no keys are claimed.
-func (s *talker) copies() *peers.ReplicationConfig {
+func (s *talker) copies() *fleet.ReplicationConfig {
 	l := s.ledger
 	if l == nil {
 		return nil
 	}
-	return &peers.ReplicationConfig{Placement: l.place, MaxRecords: 100_000, MaxBytes: 64 << 20, CatchUpRate: 4 << 20, OnVerdict: func(id string, r serving.ClaimVerdict, result []byte) {
+	return &fleet.ReplicationConfig{Placement: l.place, MaxRecords: 100_000, MaxBytes: 64 << 20, CatchUpRate: 4 << 20, OnVerdict: func(id string, r serving.ClaimVerdict, result []byte) {
 		s.after(0, func() { s.ruled(id, r, string(result)) }) // as the loop, which takes it later
 	}}
 }
@@ -96,7 +96,7 @@
 		l.row.Tries++
 		id := fmt.Sprintf("t%d", l.row.Tries)
 		l.tries[id] = &keyTry{key: key, at: t.now, by: s, life: s.part.Incarnation()}
-		s.part.HandleClaimEvent(s.part.Now(), peers.ClaimEvent{ID: id, Class: "s", Key: key, Timeout: keyLongest})
+		s.part.HandleClaimEvent(s.part.Now(), fleet.ClaimEvent{ID: id, Class: "s", Key: key, Timeout: keyLongest})
 		s.turn()
 	}
 	t.after(t.exponential(1/t.plan.Keys), t.claim)
@@ -115,7 +115,7 @@
 	case serving.ClaimGranted:
 		l.grants = append(l.grants, s.now-try.at)
 		if s.asleep || s.now > try.at+keyLongest { // woken past its due moment: the module rejects it
-			s.word(peers.ClaimEvent{ID: id, Canceled: true})
+			s.word(fleet.ClaimEvent{ID: id, Canceled: true})
 			return
 		}
 		l.row.Runs++
@@ -129,7 +129,7 @@
 		life := try.life
 		s.after(0.02+s.exponential(0.05), func() {
 			if s.alive && s.part.Incarnation() == life {
-				s.word(peers.ClaimEvent{ID: id, Finished: true, Succeeded: true, Result: []byte(out)})
+				s.word(fleet.ClaimEvent{ID: id, Finished: true, Succeeded: true, Result: []byte(out)})
 			}
 		})
 	case serving.ClaimCached:
@@ -139,7 +139,7 @@
 	}
 }
 
-func (s *talker) word(w peers.ClaimEvent) {
+func (s *talker) word(w fleet.ClaimEvent) {
 	s.part.HandleClaimEvent(s.part.Now(), w)
 	s.turn()
 }
--- a/internal/lab/emulate/levels.go
+++ b/internal/lab/emulate/levels.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"swiftcourse/internal/peers"
+	"swiftcourse/internal/fleet"
 	"swiftcourse/internal/policy/loadplan"
 	"swiftcourse/internal/policy/routing"
 )
@@ -126,7 +126,7 @@
 	}
 	for i, s := range l.servers {
 		if i < p.Planners {
-			s.plans = func(*peers.Clock) *peers.LoadPlanConfig { return &peers.LoadPlanConfig{IsPlanner: true} }
+			s.plans = func(*fleet.Clock) *fleet.LoadPlanConfig { return &fleet.LoadPlanConfig{IsPlanner: true} }
 		} else {
 			l.forward(s, i-p.Planners, p.Load*can*weights[i-p.Planners]/sum)
 		}
@@ -189,8 +189,8 @@
 		}
 	}
 	l.forwarders = append(l.forwarders, f)
-	s.plans = func(clock *peers.Clock) *peers.LoadPlanConfig {
-		return &peers.LoadPlanConfig{
+	s.plans = func(clock *fleet.Clock) *fleet.LoadPlanConfig {
+		return &fleet.LoadPlanConfig{
 			Report: func(float64) *loadplan.Report {
 				r := &loadplan.Report{For: max(l.now-f.since, 1e-3), Demand: []loadplan.Demand{{Rate: float64(f.asked) / max(l.now-f.since, 1e-3)}}}
 				f.since, f.asked = l.now, 0
--- a/internal/lab/emulate/versions.go
+++ b/internal/lab/emulate/versions.go
@@ -8,8 +8,8 @@
 	"slices"
 	"strings"
 
+	"swiftcourse/internal/fleet"
 	"swiftcourse/internal/memory"
-	"swiftcourse/internal/peers"
 	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/release"
 	"swiftcourse/internal/policy/serving"
@@ -80,7 +80,7 @@
 	*talks
 	name    string
 	number  int
-	part    *peers.Agent
+	part    *fleet.Agent
 	chance  *rand.Rand
 	alive   bool
 	asleep  bool
@@ -94,9 +94,9 @@
 	sent    int
 	bytes   int
 	hurt    float64                               // until when it may be hindered
-	budgets func(*peers.Clock) *peers.QuotaConfig // nil where none are shared
+	budgets func(*fleet.Clock) *fleet.QuotaConfig // nil where none are shared
 	counts  bool
-	plans   func(*peers.Clock) *peers.LoadPlanConfig // nil where there are none
+	plans   func(*fleet.Clock) *fleet.LoadPlanConfig // nil where there are none
 }
 
 // talks is a run.
@@ -187,16 +187,16 @@
 	s.alive, s.asleep, s.held, s.acts = true, false, nil, 0
 	rate, off := 0.99+0.02*s.chance.Float64(), 7200*s.chance.Float64()-3600
 	from := s.now
-	clock := peers.NewClock(func() float64 { return s.now }, 1.8e9+from, off, rate)
-	var shared *peers.QuotaConfig
+	clock := fleet.NewClock(func() float64 { return s.now }, 1.8e9+from, off, rate)
+	var shared *fleet.QuotaConfig
 	if s.budgets != nil {
 		shared = s.budgets(clock)
 	}
-	var plans *peers.LoadPlanConfig
+	var plans *fleet.LoadPlanConfig
 	if s.plans != nil {
 		plans = s.plans(clock)
 	}
-	s.part = peers.NewPart(peers.Config{LoadPlan: plans, Quotas: shared, CountersEnabled: s.counts, Name: s.name, ListenAddr: s.name, Voters: s.voters, LeaseTerms: versionTerms, OnLeaseExpiry: lease.FallbackOutOfService,
+	s.part = fleet.NewPart(fleet.Config{LoadPlan: plans, Quotas: shared, CountersEnabled: s.counts, Name: s.name, ListenAddr: s.name, Voters: s.voters, LeaseTerms: versionTerms, OnLeaseExpiry: lease.FallbackOutOfService,
 		Replication: s.copies(), Rollout: release.RolloutPolicy{WaveSeconds: 1, HaltConfidence: 1}, Build: "b", Log: func(string, ...any) {}, Now: clock.Now, UnixNow: clock.UnixNow,
 		Apply: func(string) error {
 			if s.refuses {
@@ -382,7 +382,7 @@
 	s.turn()
 }
 
-func (s *talker) wake(life *peers.Agent) {
+func (s *talker) wake(life *fleet.Agent) {
 	if s.part != life || !s.asleep {
 		return
 	}
--- a/internal/lab/faults/budget_test.go
+++ b/internal/lab/faults/budget_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/peers"
+	"swiftcourse/internal/fleet"
 	standin "swiftcourse/internal/standin/catalogue"
 	"swiftcourse/internal/wire/catalogue"
 	"swiftcourse/internal/wire/shale"
@@ -58,7 +58,7 @@
 	d.Set(1, "n1")
 	d.Set(300, "n4")
 	f.has(t, d, "n4", 0.8*shared)
-	s, err := peers.FetchQuotas(f.control[f.leader(t)])
+	s, err := fleet.FetchQuotas(f.control[f.leader(t)])
 	if err != nil || !s.IsLeader || len(s.Granted) != 1 || s.Granted[0].Leased > s.Granted[0].Pool+1e-9 || s.Granted[0].Leased < 0.5*s.Granted[0].Pool {
 		t.Errorf("an operator hears %+v, %v", s, err)
 	}
--- a/internal/lab/faults/counts_test.go
+++ b/internal/lab/faults/counts_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"swiftcourse/internal/peers"
+	"swiftcourse/internal/fleet"
 	"swiftcourse/internal/policy/serving"
 	"swiftcourse/internal/wire/rpc"
 	"swiftcourse/internal/wire/shale"
@@ -28,7 +28,7 @@
 
 // counted is what a voter knows that all were asked for, and by how many lives that are not closed.
 func (f *Fleet) counted(name string) (t serving.RequestCounts, rows int) {
-	s, err := peers.FetchCounters(f.control[name])
+	s, err := fleet.FetchCounters(f.control[name])
 	if err != nil || s.Totals == nil {
 		return t, -1
 	}
--- a/internal/lab/faults/fleet.go
+++ b/internal/lab/faults/fleet.go
@@ -11,8 +11,8 @@
 	"syscall"
 	"time"
 
+	"swiftcourse/internal/fleet"
 	labfleet "swiftcourse/internal/lab/fleet"
-	"swiftcourse/internal/peers"
 	"swiftcourse/internal/policy/release"
 	standin "swiftcourse/internal/standin/catalogue"
 	"swiftcourse/internal/wire/catalogue"
@@ -308,13 +308,13 @@
 }
 
 // State asks a server what it knows of the fleet.
-func (f *Fleet) State(name string) (*peers.Status, error) {
-	return peers.FetchStatus(f.control[name], "")
+func (f *Fleet) State(name string) (*fleet.Status, error) {
+	return fleet.FetchStatus(f.control[name], "")
 }
 
 // Command asks a server for a command, and tells the newest epoch after it.
 func (f *Fleet) Command(name string, c release.Command) (release.Epoch, error) {
-	return peers.SendCommand(f.control[name], c)
+	return fleet.SendCommand(f.control[name], c)
 }
 
 // Release asks a server for a release.
--- a/internal/lab/faults/levels_test.go
+++ b/internal/lab/faults/levels_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
+	"swiftcourse/internal/fleet"
 	labfleet "swiftcourse/internal/lab/fleet"
-	"swiftcourse/internal/peers"
 	"swiftcourse/internal/standin/processor"
 	"swiftcourse/internal/wire/shale"
 )
@@ -114,7 +114,7 @@
 		t.Fatal(err)
 	}
 	f.served(t, d, "it goes on", rate)
-	if s, err := peers.FetchLoadPlan(f.control[f.Front()[0]]); err != nil || s.Current.Seq == 0 || s.FreshFor <= 0 || s.Leader == "" {
+	if s, err := fleet.FetchLoadPlan(f.control[f.Front()[0]]); err != nil || s.Current.Seq == 0 || s.FreshFor <= 0 || s.Leader == "" {
 		t.Errorf("an operator hears %+v, %v", s, err)
 	}
 	begun := f.Behind[0].Processor.Counts().Begun
@@ -133,31 +133,31 @@
 	const rate = 60
 	d.Set(rate, f.Front()...)
 	f.served(t, d, "well", rate)
-	planned := func(name string, so func(*peers.LoadPlanStatus) bool) func() bool {
+	planned := func(name string, so func(*fleet.LoadPlanStatus) bool) func() bool {
 		return func() bool {
-			s, err := peers.FetchLoadPlan(f.control[name])
+			s, err := fleet.FetchLoadPlan(f.control[name])
 			return err == nil && so(s)
 		}
 	}
-	f.await(t, "f1 has a plan", planned("f1", func(s *peers.LoadPlanStatus) bool { return s.FreshFor > 0 }))
+	f.await(t, "f1 has a plan", planned("f1", func(s *fleet.LoadPlanStatus) bool { return s.FreshFor > 0 }))
 	leader := f.leaderOf(t, "f1")
 	if err := f.Stop(leader); err != nil {
 		t.Fatal(err)
 	}
-	was, err := peers.FetchLoadPlan(f.control["f1"])
+	was, err := fleet.FetchLoadPlan(f.control["f1"])
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "another one plans", planned("f1", func(s *peers.LoadPlanStatus) bool { return s.FreshFor > 0 && s.Current.Term > was.Current.Term }))
+	f.await(t, "another one plans", planned("f1", func(s *fleet.LoadPlanStatus) bool { return s.FreshFor > 0 && s.Current.Term > was.Current.Term }))
 	f.Net.Part(f.Planning(), []string{"f1"})
 	if err := f.Go(leader); err != nil {
 		t.Fatal(err)
 	}
 	f.served(t, d, "f1 is cut off from all planners", rate)
-	f.await(t, "its plan has aged", planned("f1", func(s *peers.LoadPlanStatus) bool { return s.FreshFor < -3 }))
+	f.await(t, "its plan has aged", planned("f1", func(s *fleet.LoadPlanStatus) bool { return s.FreshFor < -3 }))
 	f.served(t, d, "f1 is without a plan", rate)
 	f.Net.Heal()
-	f.await(t, "f1 has a plan again", planned("f1", func(s *peers.LoadPlanStatus) bool { return s.FreshFor > 0 }))
+	f.await(t, "f1 has a plan again", planned("f1", func(s *fleet.LoadPlanStatus) bool { return s.FreshFor > 0 }))
 	for _, name := range f.Front() {
 		term := 0
 		for _, s := range f.Said(name, "fleet_plan") {
--- a/internal/lab/faults/replica_test.go
+++ b/internal/lab/faults/replica_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"swiftcourse/internal/peers"
+	"swiftcourse/internal/fleet"
 )
 
 // window is how long keys are kept in these tests.
@@ -171,7 +171,7 @@
 		t.Run(fmt.Sprint(part), func(t *testing.T) {
 			die := map[string]string{}
 			for i := range 6 {
-				die[fmt.Sprint("n", i+2)] = peers.TracePoints[6*part+i] + ",3,8" // after 8 seconds: the first start is not what is tried
+				die[fmt.Sprint("n", i+2)] = fleet.TracePoints[6*part+i] + ",3,8" // after 8 seconds: the first start is not what is tried
 			}
 			f, ledger := keyed(t, Plan{Servers: 7, Seed: 26 + uint64(part), Conf: "fleet-forget 2s\n", Die: die}, 5, "n1", "n2", "n3", "n4", "n5", "n6", "n7")
 			chance := rand.New(rand.NewPCG(uint64(part), 3))
--- a/internal/lab/versions/versions.go
+++ b/internal/lab/versions/versions.go
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
+	"swiftcourse/internal/fleet"
 	"swiftcourse/internal/lab/faults"
 	"swiftcourse/internal/lab/load"
-	"swiftcourse/internal/peers"
 	"swiftcourse/internal/policy/audit"
 	"swiftcourse/internal/policy/release"
 )
@@ -254,7 +254,7 @@
 func (r *run) judge() error {
 	f := r.fleet
 	r.releasing.Wait()
-	var s *peers.Status
+	var s *fleet.Status
 	var err error
 	healed := faults.Until(healIn, func() bool {
 		if s, err = f.State(r.names[0]); err != nil {
@@ -326,7 +326,7 @@
 }
 
 // disagrees counts where the audit says other than the servers did: an interval that was not, or one that was and is neither told nor in a hole.
-func (r *run) disagrees(s *peers.Status) (wrong, holes int) {
+func (r *run) disagrees(s *fleet.Status) (wrong, holes int) {
 	for _, name := range r.names {
 		ids, acts := lives(r.fleet, name)
 		for i, id := range ids {
--- a/internal/serve/link.go
+++ b/internal/server/link.go
@@ -1,4 +1,4 @@
-package serve
+package server
 
 import (
 	"context"
--- a/internal/serve/serve.go
+++ b/internal/server/serve.go
@@ -1,7 +1,7 @@
-// Package serve runs the server's loop. One event loop of gnet owns the module, the tables and all links: it
+// Package server runs the server's loop. One event loop of gnet owns the module, the tables and all links: it
 // gathers what arrives in a turn into one batch of events, has the module decide once, and carries the
 // actions out. It has mechanics only; every decision is the module's.
-package serve
+package server
 
 import (
 	"context"
