--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -20,6 +20,7 @@
 
 	"swiftcourse/internal/policy/audit"
 	"swiftcourse/internal/policy/connlimit"
+	"swiftcourse/internal/policy/consensus"
 	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/release"
 	"swiftcourse/internal/policy/replication"
@@ -85,7 +86,7 @@
 	Config
 	incarnation uint64
 	network     Network
-	voter       *release.Voter // nil where this is none
+	voter       *consensus.Voter // nil where this is none
 	leaseHolder *lease.Holder
 	leaseTable  *lease.Grantor
 	auditLog    *audit.Book
@@ -181,7 +182,7 @@
 	slices.Sort(f.voterNames)
 	now := p.Now()
 	if _, votes := f.Voters[f.Name]; votes {
-		f.voter = release.NewVoter(f.Name, f.voterNames, int64(f.random.Uint64()>>1), wire.Codec{}, now, f.UnixNow())
+		f.voter = consensus.NewVoter(f.Name, f.voterNames, int64(f.random.Uint64()>>1), wire.Codec{}, now, f.UnixNow())
 	}
 	f.leaseHolder = lease.NewHolder(f.Name, f.incarnation, f.ListenAddr, f.Build, f.OnLeaseExpiry, f.LeaseTerms.Duration, now)
 	f.auditLog = audit.NewBook(f.Name, f.incarnation, f.UnixNow())
@@ -494,7 +495,7 @@
 	}
 }
 
-func commandResult(e release.CommandResult, newest release.Epoch) wire.CommandResult {
+func commandResult(e consensus.CommandResult, newest release.Epoch) wire.CommandResult {
 	d := wire.CommandResult{ID: e.Command.ID, NewestEpoch: newest}
 	if e.Err != nil {
 		d.RejectReason = e.Err.Error()
--- a/internal/policy/release/library.go
+++ b/internal/policy/consensus/library.go
@@ -1,4 +1,4 @@
-package release
+package consensus
 
 import (
 	"fmt"
--- a/internal/policy/release/voter.go
+++ b/internal/policy/consensus/voter.go
@@ -1,4 +1,4 @@
-package release
+package consensus
 
 import (
 	"encoding/binary"
@@ -8,14 +8,16 @@
 
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
+
+	"swiftcourse/internal/policy/release"
 )
 
 // Codec writes commands and orders as bytes for the consensus library, which carries them without a look. Reading checks all bounds.
 type Codec interface {
-	MarshalCommand(*Command) []byte
-	UnmarshalCommand([]byte) (*Command, error)
-	MarshalLog(*Log) []byte
-	UnmarshalLog([]byte) (*Log, error)
+	MarshalCommand(*release.Command) []byte
+	UnmarshalCommand([]byte) (*release.Command, error)
+	MarshalLog(*release.Log) []byte
+	UnmarshalLog([]byte) (*release.Log, error)
 }
 
 // Heartbeat is what voters tell one another several times a second.
@@ -33,7 +35,7 @@
 type Bootstrap struct {
 	ClusterID  uint32
 	Voters     map[uint64]string
-	ReleaseLog *Log
+	ReleaseLog *release.Log
 }
 
 // Message goes between two voters; one of its parts is there.
@@ -42,8 +44,8 @@
 	ClusterID         uint32 // of Raft
 	Heartbeat         *Heartbeat
 	Bootstrap         *Bootstrap
-	RequestReleaseLog bool // tell me the order that you know
-	ReleaseLog        *Log // the answer
+	RequestReleaseLog bool         // tell me the order that you know
+	ReleaseLog        *release.Log // the answer
 	Raft              *pb.Message
 }
 
@@ -55,7 +57,7 @@
 
 // CommandResult is how a command ended that was asked for here or elsewhere.
 type CommandResult struct {
-	Command *Command
+	Command *release.Command
 	Err     error // a refusal
 }
 
@@ -106,9 +108,9 @@
 	clock  float64 // Unix seconds less now, for the numbers of foundings
 	others map[string]*heard
 
-	order    *Log   // the newest that is known
-	founding uint32 // 0 while cold
-	beyond   uint32 // the highest founding that anybody was heard to act on
+	order    *release.Log // the newest that is known
+	founding uint32       // 0 while cold
+	beyond   uint32       // the highest founding that anybody was heard to act on
 	coldAt   float64
 	node     *raft.RawNode
 	store    *raft.MemoryStorage
@@ -131,7 +133,7 @@
 	names := slices.Clone(voters)
 	slices.Sort(names)
 	v := &Voter{name: name, seed: seed, names: slices.Compact(names), codec: codec, clock: unix - now, others: map[string]*heard{},
-		order: (&Log{}).Clone()}
+		order: (&release.Log{}).Clone()}
 	v.cold(now)
 	return v
 }
@@ -163,7 +165,7 @@
 func (v *Voter) Joined() bool { return v.node != nil }
 
 // ReleaseLog is the newest order that it knows; it is not to be changed.
-func (v *Voter) ReleaseLog() *Log { return v.order }
+func (v *Voter) ReleaseLog() *release.Log { return v.order }
 
 // IsLeader tells whether a majority confirmed, for what it knew at some time after since, that this voter leads.
 func (v *Voter) IsLeader(since float64) bool {
@@ -182,7 +184,7 @@
 func (v *Voter) Leader() string { return v.order.Voters[v.lead] }
 
 // ObserveReleaseLog tells of an order that somebody else knows: a cold group starts from the newest.
-func (v *Voter) ObserveReleaseLog(o *Log) {
+func (v *Voter) ObserveReleaseLog(o *release.Log) {
 	if v.node == nil && o.NewerThan(v.order) {
 		v.order = o.Clone()
 	}
@@ -192,14 +194,14 @@
 func (v *Voter) ObserveClusterID(founding uint32) { v.beyond = max(v.beyond, founding) }
 
 // Propose asks for a command. It may be lost, so who asks repeats it, with the same ID, until Outcomes has it.
-func (v *Voter) Propose(c *Command) {
+func (v *Voter) Propose(c *release.Command) {
 	if v.node != nil && v.lead != 0 {
 		_ = v.node.Propose(v.codec.MarshalCommand(c)) // refused while a leader is being chosen: it is repeated
 	}
 }
 
 // ProposeAsLeader asks for a command of the leader's own, straight into its log: false, and nothing is asked for, where this voter does not lead.
-func (v *Voter) ProposeAsLeader(c *Command) bool {
+func (v *Voter) ProposeAsLeader(c *release.Command) bool {
 	if v.node == nil || v.node.BasicStatus().RaftState != raft.StateLeader {
 		return false
 	}
@@ -443,7 +445,7 @@
 			return
 		}
 	}
-	f := &Bootstrap{ClusterID: number, Voters: seats, ReleaseLog: BootstrapLog(v.order, number, seats)}
+	f := &Bootstrap{ClusterID: number, Voters: seats, ReleaseLog: release.BootstrapLog(v.order, number, seats)}
 	for _, name := range v.names[1:] {
 		v.send(name, Message{From: v.life, To: lives[name], Bootstrap: f})
 	}
--- a/internal/policy/release/voter_test.go
+++ b/internal/policy/consensus/voter_test.go
@@ -1,4 +1,4 @@
-package release
+package consensus
 
 import (
 	"cmp"
@@ -13,19 +13,21 @@
 	"pgregory.net/rapid"
 
 	pb "go.etcd.io/raft/v3/raftpb"
+
+	"swiftcourse/internal/policy/release"
 )
 
 // plain is a codec for tests.
 type plain struct{}
 
-func (plain) MarshalCommand(c *Command) []byte { b, _ := json.Marshal(c); return b }
-func (plain) MarshalLog(o *Log) []byte         { b, _ := json.Marshal(o); return b }
-func (plain) UnmarshalCommand(b []byte) (*Command, error) {
-	c := &Command{}
+func (plain) MarshalCommand(c *release.Command) []byte { b, _ := json.Marshal(c); return b }
+func (plain) MarshalLog(o *release.Log) []byte         { b, _ := json.Marshal(o); return b }
+func (plain) UnmarshalCommand(b []byte) (*release.Command, error) {
+	c := &release.Command{}
 	return c, json.Unmarshal(b, c)
 }
-func (plain) UnmarshalLog(b []byte) (*Log, error) {
-	o := &Log{}
+func (plain) UnmarshalLog(b []byte) (*release.Log, error) {
+	o := &release.Log{}
 	return o, json.Unmarshal(b, o)
 }
 
@@ -42,8 +44,8 @@
 	started int
 	mail    []posted
 	held    map[string][]Message
-	texts   map[Epoch]string  // the digest that each epoch was ever seen with
-	copies  map[string]string // what each place in the order was ever seen as
+	texts   map[release.Epoch]string // the digest that each epoch was ever seen with
+	copies  map[string]string        // what each place in the order was ever seen as
 	done    map[uint64]error
 }
 
@@ -55,7 +57,7 @@
 
 func newHall(t interface{ Fatalf(string, ...any) }, seed uint64, n int) *hall {
 	h := &hall{t: t, chance: rand.New(rand.NewPCG(seed, 7)), voters: map[string]*Voter{}, asleep: map[string]bool{}, cut: map[[2]string]bool{},
-		held: map[string][]Message{}, texts: map[Epoch]string{}, copies: map[string]string{}, done: map[uint64]error{}}
+		held: map[string][]Message{}, texts: map[release.Epoch]string{}, copies: map[string]string{}, done: map[uint64]error{}}
 	for i := range n {
 		h.names = append(h.names, fmt.Sprintf("v%d", i+1))
 	}
@@ -98,8 +100,8 @@
 }
 
 // watch holds what a voter knows against all that any voter ever knew.
-func (h *hall) watch(o *Log) {
-	for _, v := range []*Version{&o.Current, o.Next} {
+func (h *hall) watch(o *release.Log) {
+	for _, v := range []*release.Version{&o.Current, o.Next} {
 		if v == nil || v.Epoch == 0 {
 			continue
 		}
@@ -206,7 +208,7 @@
 	if v == nil {
 		return nil, false
 	}
-	c := &Command{Kind: KindRelease, ID: id, Author: "operator " + name, ExpectedEpoch: v.ReleaseLog().NewestEpoch(), Text: text, Digest: Digest(text, "")}
+	c := &release.Command{Kind: release.KindRelease, ID: id, Author: "operator " + name, ExpectedEpoch: v.ReleaseLog().NewestEpoch(), Text: text, Digest: release.Digest(text, "")}
 	for end := h.now + seconds; h.now < end; h.run(0.3) {
 		if err, ended := h.done[id]; ended {
 			return err, true
@@ -241,7 +243,7 @@
 	on := h.voters["v1"].ReleaseLog().NewestEpoch()
 	for i, name := range h.names[:2] {
 		text := fmt.Sprint("door-lobby ", i+1)
-		h.voters[name].Propose(&Command{Kind: KindRelease, ID: uint64(1e6 + i), Author: name, ExpectedEpoch: on, Text: text, Digest: Digest(text, "")})
+		h.voters[name].Propose(&release.Command{Kind: release.KindRelease, ID: uint64(1e6 + i), Author: name, ExpectedEpoch: on, Text: text, Digest: release.Digest(text, "")})
 		h.collect(name)
 	}
 	h.run(3)
@@ -335,14 +337,14 @@
 			case 8:
 				if name := pick("at"); h.voters[name] != nil && !h.asleep[name] {
 					text := fmt.Sprint("door-lobby ", i+1)
-					h.voters[name].Propose(&Command{Kind: KindRelease, Author: name, ExpectedEpoch: h.voters[name].ReleaseLog().NewestEpoch(), Text: text, Digest: Digest(text, "")})
+					h.voters[name].Propose(&release.Command{Kind: release.KindRelease, Author: name, ExpectedEpoch: h.voters[name].ReleaseLog().NewestEpoch(), Text: text, Digest: release.Digest(text, "")})
 					h.collect(name)
 				}
 			}
 			h.run(rapid.SampledFrom([]float64{0.01, 0.1, 1, 5}).Draw(t, "wait"))
 		}
 		h.heal()
-		if err, ended := h.release(h.names[0], "door on", 20); err != nil && err != ErrStaleEpoch || !ended {
+		if err, ended := h.release(h.names[0], "door on", 20); err != nil && err != release.ErrStaleEpoch || !ended {
 			t.Fatalf("healed, a release ended %v with %v: %s", ended, err, h.state())
 		}
 	})
--- a/internal/wire/fleet/fleet.go
+++ b/internal/wire/fleet/fleet.go
@@ -13,6 +13,7 @@
 
 	"swiftcourse/internal/policy/audit"
 	"swiftcourse/internal/policy/circuitbreaker"
+	"swiftcourse/internal/policy/consensus"
 	"swiftcourse/internal/policy/counter"
 	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/loadplan"
@@ -35,7 +36,7 @@
 	From               string // name and life of the process that sent it
 	Incarnation        uint64
 	Addr               string // where it listens
-	Consensus          *release.Message
+	Consensus          *consensus.Message
 	LeaseRequest       *lease.Request
 	LeaseReply         *lease.Reply
 	VersionRequest     release.Epoch
@@ -289,7 +290,7 @@
 	return a, err
 }
 
-func encodeConsensus(m *release.Message) (*Voting, error) {
+func encodeConsensus(m *consensus.Message) (*Voting, error) {
 	v := &Voting{From: m.From, To: m.To, Founding: m.ClusterID, Ask: m.RequestReleaseLog, Tell: encodeReleaseLog(m.ReleaseLog)}
 	if b := m.Heartbeat; b != nil {
 		v.Beacon = &Beacon{Name: b.Name, Life: b.Incarnation, Founding: b.ClusterID, Known: b.NewestClusterID, Count: b.AppliedCount, Heard: b.DetachedVoters, Seats: b.Voters}
@@ -306,20 +307,20 @@
 	return v, nil
 }
 
-func decodeConsensus(v *Voting) (*release.Message, error) {
-	m := &release.Message{From: v.From, To: v.To, ClusterID: v.Founding, RequestReleaseLog: v.Ask}
+func decodeConsensus(v *Voting) (*consensus.Message, error) {
+	m := &consensus.Message{From: v.From, To: v.To, ClusterID: v.Founding, RequestReleaseLog: v.Ask}
 	var err error
 	if b := v.Beacon; b != nil {
 		if len(b.Heard) > maxListEntries || len(b.Seats) > maxListEntries || len(b.Name) > maxName {
 			return nil, errTooLarge
 		}
-		m.Heartbeat = &release.Heartbeat{Name: b.Name, Incarnation: b.Life, ClusterID: b.Founding, NewestClusterID: b.Known, AppliedCount: b.Count, DetachedVoters: b.Heard, Voters: b.Seats}
+		m.Heartbeat = &consensus.Heartbeat{Name: b.Name, Incarnation: b.Life, ClusterID: b.Founding, NewestClusterID: b.Known, AppliedCount: b.Count, DetachedVoters: b.Heard, Voters: b.Seats}
 	}
 	if f := v.Found; f != nil {
 		if len(f.Seats) > maxListEntries || f.Order == nil || f.Founding == 0 {
 			return nil, errTooLarge
 		}
-		m.Bootstrap = &release.Bootstrap{ClusterID: f.Founding, Voters: f.Seats}
+		m.Bootstrap = &consensus.Bootstrap{ClusterID: f.Founding, Voters: f.Seats}
 		if m.Bootstrap.ReleaseLog, err = decodeReleaseLog(f.Order); err != nil {
 			return nil, err
 		}
--- a/internal/wire/fleet/fleet_test.go
+++ b/internal/wire/fleet/fleet_test.go
@@ -13,6 +13,7 @@
 	"swiftcourse/internal/policy/audit"
 	"swiftcourse/internal/policy/circuitbreaker"
 	"swiftcourse/internal/policy/connlimit"
+	"swiftcourse/internal/policy/consensus"
 	"swiftcourse/internal/policy/counter"
 	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/loadplan"
@@ -50,12 +51,12 @@
 		Batches: 4, Tasks: 5, Why: "released"}}}
 	beat := &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: new(uint64(5)), To: new(uint64(6)), Term: new(uint64(2))}
 	return []*Envelope{
-		{Consensus: &release.Message{From: 5, Heartbeat: &release.Heartbeat{Name: "v1", Incarnation: 5, ClusterID: 7, NewestClusterID: 7, AppliedCount: 3,
+		{Consensus: &consensus.Message{From: 5, Heartbeat: &consensus.Heartbeat{Name: "v1", Incarnation: 5, ClusterID: 7, NewestClusterID: 7, AppliedCount: 3,
 			DetachedVoters: map[string]uint64{"v1": 5}, Voters: map[string]uint64{"v2": 2}}}},
-		{Consensus: &release.Message{From: 5, To: 6, Bootstrap: &release.Bootstrap{ClusterID: 7, Voters: map[uint64]string{5: "v1"}, ReleaseLog: o}}},
-		{Consensus: &release.Message{From: 5, To: 6, RequestReleaseLog: true}},
-		{Consensus: &release.Message{From: 5, To: 6, ReleaseLog: o}},
-		{Consensus: &release.Message{From: 5, To: 6, ClusterID: 7, Raft: beat}},
+		{Consensus: &consensus.Message{From: 5, To: 6, Bootstrap: &consensus.Bootstrap{ClusterID: 7, Voters: map[uint64]string{5: "v1"}, ReleaseLog: o}}},
+		{Consensus: &consensus.Message{From: 5, To: 6, RequestReleaseLog: true}},
+		{Consensus: &consensus.Message{From: 5, To: 6, ReleaseLog: o}},
+		{Consensus: &consensus.Message{From: 5, To: 6, ClusterID: 7, Raft: beat}},
 		{LeaseRequest: &lease.Request{Name: "n1", Incarnation: 5, Number: 8, Addr: "127.0.0.1:1", ActiveEpoch: 3, BlockedBy: "s", ErrorTally: release.ErrorTally{Completed: 3, Failed: 1},
 			Build: "b", MayGoOutOfService: true}},
 		{LeaseReply: &lease.Reply{Incarnation: 5, Number: 8, Verdict: lease.VerdictLagging, Duration: 6, AssignedEpoch: 4, MayGoOutOfService: true, Leader: "v1", Reason: "w"}},
@@ -126,14 +127,14 @@
 		{Command: &release.Command{Waves: make([]float64, maxListEntries+1)}},
 		{AccountSummary: &audit.Account{Intervals: make([]audit.Interval, maxListEntries+1)}},
 		{StateRequest: &StateRequest{Names: make([]string, maxMapEntries+1)}},
-		{Consensus: &release.Message{Heartbeat: &release.Heartbeat{Name: "v", DetachedVoters: many}}},
+		{Consensus: &consensus.Message{Heartbeat: &consensus.Heartbeat{Name: "v", DetachedVoters: many}}},
 		{QuotaRequest: &quota.Request{Demands: make([]quota.Demand, quota.MaxEntries+1)}},
 		{QuotaRequest: &quota.Request{Demands: []quota.Demand{{Name: "calls", Requested: -1}}}},
 		{QuotaRequest: &quota.Request{Demands: []quota.Demand{{Name: long}}}},
 		{QuotaReply: &quota.Reply{Grants: []quota.Grant{{Name: "calls", LeasedShare: math.NaN()}}}},
 		{HealthReports: make([]circuitbreaker.Report, circuitbreaker.MaxReports+1)},
 		{HealthReports: []circuitbreaker.Report{{AgeSeconds: -1}}},
-		{Consensus: &release.Message{From: 1, To: 2, Raft: &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: new(uint64(9)), To: new(uint64(2))}}},
+		{Consensus: &consensus.Message{From: 1, To: 2, Raft: &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: new(uint64(9)), To: new(uint64(2))}}},
 	} {
 		b, err := Encode(m)
 		if err != nil {
