--- a/internal/lab/emulate/versions.go
+++ b/internal/lab/emulate/versions.go
@@ -9,10 +9,10 @@
 	"strings"
 
 	"swiftcourse/internal/fleet"
-	"swiftcourse/internal/memory"
 	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/release"
 	"swiftcourse/internal/policy/serving"
+	"swiftcourse/internal/timerwheel"
 	wire "swiftcourse/internal/wire/fleet"
 )
 
@@ -85,7 +85,7 @@
 	alive   bool
 	asleep  bool
 	held    [][]byte
-	timer   memory.Timer
+	timer   timerwheel.Timer
 	armed   bool
 	view    serving.Directive
 	state   lease.State
--- a/internal/lab/emulate/world.go
+++ b/internal/lab/emulate/world.go
@@ -7,13 +7,13 @@
 	"math"
 	"math/rand/v2"
 
-	"swiftcourse/internal/memory"
+	"swiftcourse/internal/timerwheel"
 )
 
 // world is simulated time and chance.
 type world struct {
 	now    float64
-	timers memory.Wheel
+	timers timerwheel.Wheel
 	chance *rand.Rand
 	events int
 }
@@ -21,7 +21,7 @@
 func newWorld(seed uint64) *world { return &world{chance: rand.New(rand.NewPCG(seed, 1))} }
 
 // after has do called so many seconds from now.
-func (w *world) after(seconds float64, do func()) memory.Timer {
+func (w *world) after(seconds float64, do func()) timerwheel.Timer {
 	return w.timers.Schedule(w.now+max(0, seconds), do)
 }
 
@@ -52,7 +52,7 @@
 	had     float64 // seconds of a usual core that each run has had
 	at      float64 // when that was so
 	runs    runHeap
-	timer   memory.Timer
+	timer   timerwheel.Timer
 	fire    func()
 	crowded func(n int) // hears of each change of the number of runs
 	worked  float64     // seconds of a usual core, in all
--- /dev/null
+++ b/internal/requesttable/table.go
@@ -0,0 +1,63 @@
+package requesttable
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"swiftcourse/internal/bufferpool"
+)
+
+// Table holds requests by their IDs.
+type Table struct {
+	byID  map[string]*Request
+	added int // how many were ever added
+}
+
+// New returns an empty table.
+func New() *Table { return &Table{byID: map[string]*Request{}} }
+
+// Get returns the request of an ID, or nil.
+func (t *Table) Get(id string) *Request { return t.byID[id] }
+
+// Add adds a request.
+func (t *Table) Add(request *Request) {
+	t.added++
+	request.sequence = t.added
+	t.byID[request.ID] = request
+}
+
+// RemoveIfDone removes a request that is answered and does not run, and gives its buffers back to the pool. Any other
+// request stays.
+func (t *Table) RemoveIfDone(pool *bufferpool.Pool, request *Request) {
+	if !request.Answered || request.Running {
+		return
+	}
+	delete(t.byID, request.ID)
+	pool.Put(request.Body)
+	pool.Put(request.CallBody)
+	pool.Put(request.CallReply)
+	request.Body = nil
+	request.CallBody = nil
+	request.CallReply = nil
+}
+
+// Len returns the number of requests.
+func (t *Table) Len() int { return len(t.byID) }
+
+// Unanswered returns the number of requests that are owed an answer.
+func (t *Table) Unanswered() int {
+	count := 0
+	for _, request := range t.byID {
+		if !request.Answered {
+			count++
+		}
+	}
+	return count
+}
+
+// InArrivalOrder returns all requests in the order in which they were added.
+func (t *Table) InArrivalOrder() []*Request {
+	bySequence := func(a, b *Request) int { return cmp.Compare(a.sequence, b.sequence) }
+	return slices.SortedFunc(maps.Values(t.byID), bySequence)
+}
--- a/internal/server/actions.go
+++ b/internal/server/actions.go
@@ -4,7 +4,8 @@
 	"log/slog"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/memory"
+	"swiftcourse/internal/requesttable"
+	"swiftcourse/internal/resultcache"
 )
 
 // gaugeLead is how long before a timer the gauges are asked for: a few turns, so that the reading is there
@@ -66,17 +67,17 @@
 }
 
 // answerFromCache answers a task with what the kept one it repeats came to, now or at that one's end.
-func (s *Server) answerFromCache(t *memory.Request, now float64) {
+func (s *Server) answerFromCache(t *requesttable.Request, now float64) {
 	switch result, state := s.results.LookupOrWait(t, now); state {
-	case memory.Available:
+	case resultcache.Available:
 		s.answerShared(t, result, admission.Finished, 0)
-	case memory.Missing, memory.Unrepeatable:
+	case resultcache.Missing, resultcache.Unrepeatable:
 		s.answerShared(t, nil, admission.Failed, 0)
 	}
 }
 
 // answerShared ends a task that took another's answer.
-func (s *Server) answerShared(t *memory.Request, result []byte, outcome admission.Outcome, took float64) {
+func (s *Server) answerShared(t *requesttable.Request, result []byte, outcome admission.Outcome, took float64) {
 	if t == nil || t.Answered {
 		return
 	}
--- a/internal/server/catalogue.go
+++ b/internal/server/catalogue.go
@@ -9,7 +9,7 @@
 
 	"swiftcourse/admission"
 	"swiftcourse/internal/logging"
-	"swiftcourse/internal/memory"
+	"swiftcourse/internal/requesttable"
 	"swiftcourse/internal/wire/catalogue"
 )
 
@@ -29,7 +29,7 @@
 
 // upstreamCall is a call on its way.
 type upstreamCall struct {
-	request   *memory.Request
+	request   *requesttable.Request
 	conn      *upstreamConn // nil while it waits for one
 	startedAt float64
 	deadline  float64
@@ -66,7 +66,7 @@
 func (s *Server) maxUpstreamConns() int { return min(s.startup.MaxSockets/4, 256) }
 
 // startCall lets a task's call out.
-func (s *Server) startCall(t *memory.Request, wait float64) {
+func (s *Server) startCall(t *requesttable.Request, wait float64) {
 	if t.CallNotice == 0 || t.CallSettled || t.Answered {
 		return
 	}
@@ -154,7 +154,7 @@
 }
 
 // cancelCall gives up the call of a task that needs it no more, without an event.
-func (s *Server) cancelCall(t *memory.Request) {
+func (s *Server) cancelCall(t *requesttable.Request) {
 	if c := s.upstreamCalls[t.ID]; c != nil {
 		s.dropCall(c)
 	}
--- a/internal/server/claims.go
+++ b/internal/server/claims.go
@@ -7,8 +7,8 @@
 	"github.com/panjf2000/gnet/v2"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/memory"
 	"swiftcourse/internal/policy/serving"
+	"swiftcourse/internal/requesttable"
 )
 
 // This file is what the server does with tasks that bear a key: before the module hears of one the fleet grants it, so that no effect comes twice
@@ -53,7 +53,7 @@
 }
 
 // claimKey tells whether a task that was read has to be granted first, and asks for it.
-func (s *Server) claimKey(t *memory.Request, read *admission.Event, now float64) bool {
+func (s *Server) claimKey(t *requesttable.Request, read *admission.Event, now float64) bool {
 	k := s.keyClaims
 	if k == nil || !k.classes[t.Class] || t.Subject == "" || read.Request.DuplicateOf != "" {
 		return false
@@ -114,7 +114,7 @@
 }
 
 // releaseClaim tells the fleet that a task that was claimed is over and never began.
-func (s *Server) releaseClaim(t *memory.Request) {
+func (s *Server) releaseClaim(t *requesttable.Request) {
 	k := s.keyClaims
 	if k == nil {
 		return
@@ -128,7 +128,7 @@
 }
 
 // completeClaim tells the fleet how the run of a task ended.
-func (s *Server) completeClaim(t *memory.Request, well bool, result []byte) {
+func (s *Server) completeClaim(t *requesttable.Request, well bool, result []byte) {
 	if k := s.keyClaims; k != nil && k.granted[t.ID] {
 		delete(k.granted, t.ID)
 		k.claimer.CompleteClaim(t.ID, well, append([]byte(nil), result...))
--- a/internal/server/closing.go
+++ b/internal/server/closing.go
@@ -6,7 +6,7 @@
 	"github.com/panjf2000/gnet/v2"
 	"golang.org/x/sys/unix"
 
-	"swiftcourse/internal/memory"
+	"swiftcourse/internal/slottable"
 )
 
 // How a balancer's connection ends. Before that it is in a state of the door (package door); here is what follows.
@@ -97,7 +97,7 @@
 
 // mutedConn is a peer that sent what is no message.
 type mutedConn struct {
-	id       memory.Handle
+	id       slottable.Handle
 	deadline float64 // s.now() until which its answers may lie unread; 0 while a task of it is open
 }
 
@@ -133,7 +133,7 @@
 // closeAllGracefully shuts, just before the kill, whatever is owed nothing and has nothing to write.
 func (s *Server) closeAllGracefully() {
 	s.flush()
-	s.clients.ForEach(func(_ memory.Handle, p *clientConn) {
+	s.clients.ForEach(func(_ slottable.Handle, p *clientConn) {
 		if len(p.requests) == 0 && p.conn != nil && p.conn.OutboundBuffered() == 0 {
 			p.closeGracefully()
 		}
--- a/internal/server/forward.go
+++ b/internal/server/forward.go
@@ -7,7 +7,8 @@
 	"github.com/panjf2000/gnet/v2"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/memory"
+	"swiftcourse/internal/requesttable"
+	"swiftcourse/internal/resultcache"
 	"swiftcourse/internal/wire/rpc"
 )
 
@@ -71,7 +72,7 @@
 }
 
 // keepForForwarding keeps what goes on with a task.
-func (s *Server) keepForForwarding(t *memory.Request, m *rpc.Message) {
+func (s *Server) keepForForwarding(t *requesttable.Request, m *rpc.Message) {
 	if f := s.forwarding; f != nil {
 		kept := *m
 		kept.Body, kept.Bad, kept.Number = nil, nil, 0 // the body is the task's
@@ -80,7 +81,7 @@
 }
 
 // startRun runs a task: at a worker, or at the processor.
-func (s *Server) startRun(t *memory.Request) {
+func (s *Server) startRun(t *requesttable.Request) {
 	f := s.forwarding
 	if f == nil {
 		s.executor.start(t)
@@ -103,7 +104,7 @@
 }
 
 // cancelForward tells that nobody waits for a task any more.
-func (s *Server) cancelForward(t *memory.Request) {
+func (s *Server) cancelForward(t *requesttable.Request) {
 	if f := s.forwarding; f != nil {
 		delete(f.messages, t.ID)
 		if t.Running {
@@ -134,8 +135,14 @@
 }
 
 // finishRun tells all who wait for a run how it ended.
-func (s *Server) finishRun(t *memory.Request, outcome admission.Outcome, body []byte, took float64) {
-	for _, id := range s.results.Finish(t.ID, outcome != admission.NeverStarted, outcome == admission.Finished, body, s.now()+s.resultLifetime(t.Class)) {
+func (s *Server) finishRun(t *requesttable.Request, outcome admission.Outcome, body []byte, took float64) {
+	waiting := s.results.Finish(t.ID, resultcache.Outcome{
+		Ran:     outcome != admission.NeverStarted,
+		Success: outcome == admission.Finished,
+		Result:  body,
+		FreshTo: s.now() + s.resultLifetime(t.Class),
+	})
+	for _, id := range waiting {
 		s.answerShared(s.requests.Get(id), body, outcome, took)
 	}
 	s.completeClaim(t, outcome == admission.Finished, body)
--- a/internal/server/keyed_test.go
+++ b/internal/server/keyed_test.go
@@ -10,7 +10,7 @@
 
 	"swiftcourse/admission"
 	"swiftcourse/internal/config"
-	"swiftcourse/internal/memory"
+	"swiftcourse/internal/requesttable"
 	"swiftcourse/internal/wire/rpc"
 )
 
@@ -156,7 +156,7 @@
 	s.EnableForwarding(func(ForwardRequest) bool { return true }, func(string) {})
 	m := rpc.Message{Kind: rpc.Task, Number: 7, ID: "a1", Stage: "quote", Tenant: "acme", Subject: "s", Key: "k", Again: true, Hint: 0.2, Came: 1, Wait: 2,
 		NoWait: true, Caller: 3, Memory: 4, Rank: 0.5, Body: []byte("x")}
-	s.keepForForwarding(&memory.Request{ID: "a1"}, &m)
+	s.keepForForwarding(&requesttable.Request{ID: "a1"}, &m)
 	got, want := *s.forwarding.messages["a1"], m
 	want.Number, want.Body = 0, nil
 	if !reflect.DeepEqual(got, want) {
--- a/internal/server/peer.go
+++ b/internal/server/peer.go
@@ -13,8 +13,10 @@
 	"golang.org/x/sys/unix"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/memory"
 	"swiftcourse/internal/policy/connlimit"
+	"swiftcourse/internal/requesttable"
+	"swiftcourse/internal/resultcache"
+	"swiftcourse/internal/slottable"
 	"swiftcourse/internal/wire/rpc"
 )
 
@@ -23,10 +25,10 @@
 type clientConn struct {
 	bufferedConn
 	server     *Server
-	id         memory.Handle     // in the table of peers; its slot is its name at the door
-	requests   []*memory.Request // from spareOpen, nil where none is
-	retryAfter float64           // when to come back, in seconds, where it was not let in
-	muted      bool              // it sent what is no message: nothing more is read, see closing.go
+	id         slottable.Handle        // in the table of peers; its slot is its name at the door
+	requests   []*requesttable.Request // from spareOpen, nil where none is
+	retryAfter float64                 // when to come back, in seconds, where it was not let in
+	muted      bool                    // it sent what is no message: nothing more is read, see closing.go
 }
 
 const (
@@ -174,7 +176,7 @@
 }
 
 // findRequest gives the open task of a message, or nil.
-func (p *clientConn) findRequest(number uint64) *memory.Request {
+func (p *clientConn) findRequest(number uint64) *requesttable.Request {
 	for _, t := range p.requests {
 		if t.MessageNumber == number {
 			return t
@@ -184,7 +186,7 @@
 }
 
 // removeRequest takes a task off the connection.
-func (p *clientConn) removeRequest(t *memory.Request, now float64) {
+func (p *clientConn) removeRequest(t *requesttable.Request, now float64) {
 	s := p.server
 	if i := slices.Index(p.requests, t); i >= 0 {
 		p.requests = slices.Delete(p.requests, i, i+1)
@@ -248,7 +250,7 @@
 		s.write(&p.bufferedConn, s.scratch)
 		return nil
 	}
-	t := &memory.Request{ID: m.ID, Connection: p.id, MessageNumber: m.Number, Class: stage, Tenant: int32(tenant), Subject: s.subjectOf(stage, m),
+	t := &requesttable.Request{ID: m.ID, Connection: p.id, MessageNumber: m.Number, Class: stage, Tenant: int32(tenant), Subject: s.subjectOf(stage, m),
 		ArrivedAt: m.Came, Timeout: m.Wait, Body: s.buffers.Copy(m.Body)}
 	if p.requests == nil {
 		p.requests = s.requestLists.Get()
@@ -302,7 +304,7 @@
 }
 
 // clientGone tells the module that nobody waits for a task any more.
-func (s *Server) clientGone(t *memory.Request) {
+func (s *Server) clientGone(t *requesttable.Request) {
 	if t.Answered {
 		return
 	}
@@ -312,13 +314,13 @@
 }
 
 // settle books that a task is owed no answer any more; a call of it is given up.
-func (s *Server) settle(t *memory.Request) {
+func (s *Server) settle(t *requesttable.Request) {
 	t.Answered = true
 	s.cancelCall(t)
 	s.cancelForward(t)
 	if !t.Running { // dropped without a run: who waits for its answer gets none
 		s.releaseClaim(t)
-		for _, id := range s.results.Finish(t.ID, false, false, nil, 0) {
+		for _, id := range s.results.Finish(t.ID, resultcache.Outcome{}) {
 			s.answerShared(s.requests.Get(id), nil, admission.Failed, 0)
 		}
 	}
@@ -326,7 +328,7 @@
 }
 
 // respond gives a task its final answer, put by put; the first one wins.
-func (s *Server) respond(t *memory.Request, count *int, put func(b []byte, id uint64) []byte) {
+func (s *Server) respond(t *requesttable.Request, count *int, put func(b []byte, id uint64) []byte) {
 	if t.Answered {
 		return
 	}
@@ -341,18 +343,18 @@
 	s.settle(t)
 }
 
-func (s *Server) finish(t *memory.Request, result []byte) {
+func (s *Server) finish(t *requesttable.Request, result []byte) {
 	if p := s.clients.Get(t.Connection); p != nil && !t.Answered {
 		s.connLimiter.Finished(p.id.Slot(), s.now())
 	}
 	s.respond(t, &s.statistics.finished, func(b []byte, id uint64) []byte { return rpc.PutResult(b, id, result, s.loadReport) })
 }
 
-func (s *Server) abandon(t *memory.Request) {
+func (s *Server) abandon(t *requesttable.Request) {
 	s.respond(t, &s.statistics.abandoned, func(b []byte, id uint64) []byte { return rpc.PutAbandoned(b, id, s.loadReport) })
 }
 
-func (s *Server) reject(t *memory.Request, advice float64, last bool) {
+func (s *Server) reject(t *requesttable.Request, advice float64, last bool) {
 	say := s.loadReport
 	say.Advice, say.Last = advice, last
 	s.respond(t, &s.statistics.rejected, func(b []byte, id uint64) []byte { return rpc.PutRejected(b, id, say) })
--- a/internal/server/processor.go
+++ b/internal/server/processor.go
@@ -11,7 +11,7 @@
 
 	"swiftcourse/admission"
 	"swiftcourse/internal/logging"
-	"swiftcourse/internal/memory"
+	"swiftcourse/internal/requesttable"
 	"swiftcourse/internal/wire/processor"
 	"swiftcourse/internal/wire/shale"
 )
@@ -193,21 +193,21 @@
 	}
 }
 
-func (l *executorLink) start(t *memory.Request) {
+func (l *executorLink) start(t *requesttable.Request) {
 	if !t.Running && !t.Answered {
 		t.Running = true
 		l.sendStart(t)
 	}
 }
 
-func (l *executorLink) sendStart(t *memory.Request) {
+func (l *executorLink) sendStart(t *requesttable.Request) {
 	t.LastCommand = l.sendCommand(func(b []byte) []byte {
 		return processor.PutStart(b, t.ID, l.server.startup.ClassNames[t.Class], t.Body)
 	})
 }
 
 // reply settles the call that a run waits for, with the reply or without one.
-func (l *executorLink) reply(t *memory.Request, body []byte, skip bool) {
+func (l *executorLink) reply(t *requesttable.Request, body []byte, skip bool) {
 	if t.CallNotice == 0 || t.CallSettled {
 		return
 	}
@@ -218,7 +218,7 @@
 	l.sendReply(t)
 }
 
-func (l *executorLink) sendReply(t *memory.Request) {
+func (l *executorLink) sendReply(t *requesttable.Request) {
 	t.LastCommand = l.sendCommand(func(b []byte) []byte {
 		if t.CallReply == nil {
 			return processor.PutSkip(b, t.ID, t.CallNotice)
@@ -228,7 +228,7 @@
 }
 
 // reportRunEnded tells the module that a run is over.
-func (s *Server) reportRunEnded(t *memory.Request, outcome admission.Outcome, took float64) {
+func (s *Server) reportRunEnded(t *requesttable.Request, outcome admission.Outcome, took float64) {
 	t.Running = false
 	s.queueEvent(admission.Event{Kind: admission.RunEnded, RequestID: t.ID, Outcome: outcome, Duration: took})
 	s.requests.RemoveIfDone(&s.buffers, t)
--- a/internal/server/processor_test.go
+++ b/internal/server/processor_test.go
@@ -5,7 +5,7 @@
 
 	"swiftcourse/admission"
 	"swiftcourse/internal/config"
-	"swiftcourse/internal/memory"
+	"swiftcourse/internal/requesttable"
 	"swiftcourse/internal/wire/processor"
 )
 
@@ -99,8 +99,8 @@
 func TestAgeAndWaitAreThoseOfTheBatch(t *testing.T) {
 	s := New(&config.Startup{}, nil)
 	now := s.now()
-	s.requests.Add(&memory.Request{ID: "a", ArrivedAt: now - 2, Timeout: 5})
-	s.requests.Add(&memory.Request{ID: "b", ArrivedAt: now + 1}) // by a clock ahead of ours; its wait is not told
+	s.requests.Add(&requesttable.Request{ID: "a", ArrivedAt: now - 2, Timeout: 5})
+	s.requests.Add(&requesttable.Request{ID: "b", ArrivedAt: now + 1}) // by a clock ahead of ours; its wait is not told
 	for id, want := range map[string]admission.Request{"a": {Age: 2, RemainingBudget: 3}, "b": {}} {
 		e := admission.Event{Kind: admission.Arrived, RequestID: id}
 		if s.refreshEvent(&e, now); e.Request != want {
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -19,11 +19,15 @@
 	"github.com/panjf2000/gnet/v2"
 
 	"swiftcourse/admission"
+	"swiftcourse/internal/bufferpool"
 	"swiftcourse/internal/config"
 	"swiftcourse/internal/logging"
-	"swiftcourse/internal/memory"
 	"swiftcourse/internal/policy/connlimit"
 	"swiftcourse/internal/policy/serving"
+	"swiftcourse/internal/requesttable"
+	"swiftcourse/internal/resultcache"
+	"swiftcourse/internal/slottable"
+	"swiftcourse/internal/timerwheel"
 	"swiftcourse/internal/wire/rpc"
 )
 
@@ -48,18 +52,18 @@
 	pendingEvents, spareEvents []admission.Event     // of the next batch; of the last
 	gauges                     admission.Gauges      // the latest
 	gaugesAt                   float64               // when they were read
-	timers                     memory.Wheel
-	requests                   *memory.Requests
-	results                    *memory.Cache
-	buffers                    memory.Pool
+	timers                     timerwheel.Wheel
+	requests                   *requesttable.Table
+	results                    *resultcache.Cache
+	buffers                    bufferpool.Pool
 	scratch                    []byte
 	unflushed                  []*bufferedConn // have something to write at the end of the turn
 
-	clients          memory.Table[clientConn]
+	clients          slottable.Table[clientConn]
 	connLimiter      *connlimit.Door
 	holdingArea      int                      // places in it, as the operator's file says
 	operatorSettings *config.OperatorSettings // the operator's file, with what was released
-	requestLists     memory.ListPool
+	requestLists     requesttable.ListPool
 	acceptBy         func(accept func() (acceptedSocket, error)) func() (acceptedSocket, error) // for tests, in which accept fails
 	acceptor         *acceptor
 	stopped          chan struct{}   // closed at the end, for the acceptor
@@ -114,7 +118,7 @@
 func New(start *config.Startup, conf *config.OperatorSettings) *Server {
 	now := time.Now()
 	s := &Server{startup: start, anchor: now, anchorUnix: float64(now.UnixMicro()) / 1e6, loopReady: make(chan struct{}),
-		wakeupAt: math.Inf(1), requests: memory.NewRequests(), results: memory.NewCache(int(start.MemoryBytes / resultCacheShare)),
+		wakeupAt: math.Inf(1), requests: requesttable.New(), results: resultcache.New(int(start.MemoryBytes / resultCacheShare)),
 		upstreamCalls: map[string]*upstreamCall{}, stopped: make(chan struct{}),
 		drainAt: math.Inf(1), killAt: math.Inf(1),
 		gauges: unknownGauges(), gaugesAt: math.Inf(-1)}
@@ -344,7 +348,7 @@
 // bufferedConn is a connection, while it is open, and what waits to be written on it.
 type bufferedConn struct {
 	conn    gnet.Conn
-	out     memory.WriteBuffer
+	out     bufferpool.WriteBuffer
 	unsent  bool
 	dialed  bool // we dialled it
 	lagging bool // in lagging
@@ -362,7 +366,7 @@
 func (l *bufferedConn) owns(c gnet.Conn) bool { return l.conn == c }
 
 // release books that the connection is closed; what was still to be written must not reach the next one.
-func (l *bufferedConn) release(p *memory.Pool) {
+func (l *bufferedConn) release(p *bufferpool.Pool) {
 	l.conn = nil
 	l.out.Release(p)
 }
--- a/internal/server/tally.go
+++ b/internal/server/tally.go
@@ -1,8 +1,8 @@
 package server
 
 import (
-	"swiftcourse/internal/memory"
 	"swiftcourse/internal/policy/serving"
+	"swiftcourse/internal/requesttable"
 )
 
 // This file is what the server counts for the fleet: its tasks by tenant and stage, and how they ended. Without a fleet none of it is reached.
@@ -80,7 +80,7 @@
 }
 
 // countAnswered counts a task's answer, by the count of the server's own that it went to.
-func (s *Server) countAnswered(task *memory.Request, count *int) {
+func (s *Server) countAnswered(task *requesttable.Request, count *int) {
 	t := s.counters
 	if t == nil {
 		return
