--- a/cmd/swiftcourse-fleet/budgets.go
+++ b/cmd/swiftcourse-fleet/budgets.go
@@ -25,9 +25,9 @@
 
 // termsOf reads the budgets of a file; none where budget-servers is not there.
 func termsOf(conf *config.OperatorSettings, start *config.Startup) (quota.Config, error) {
-	t := quota.Config{LeaseSeconds: conf.FleetLease.Seconds(), FloorFraction: float64(conf.BudgetFloor), MaxServers: conf.BudgetServers}
-	if conf.BudgetServers == 0 {
-		if len(conf.Budgets) > 0 {
+	t := quota.Config{LeaseSeconds: conf.Fleet.LeaseDuration.Seconds(), FloorFraction: float64(conf.Quota.FloorFraction), MaxServers: conf.Quota.MaxServers}
+	if conf.Quota.MaxServers == 0 {
+		if len(conf.Quota.Limits) > 0 {
 			return t, errors.New("budget: needs budget-servers")
 		}
 		return t, nil
@@ -36,7 +36,7 @@
 	for _, stage := range start.Settings.Classes {
 		longest = max(longest, stage.Timeout)
 	}
-	for _, text := range conf.Budgets {
+	for _, text := range conf.Quota.Limits {
 		name, number, ok := strings.Cut(text, "=")
 		most, err := strconv.ParseFloat(number, 64)
 		if !ok || err != nil || name != calls && !strings.HasPrefix(name, tenantBudget) {
@@ -57,7 +57,7 @@
 // budgets is what the fleet's part needs to know of them, nil where none are shared.
 func (p *parts) budgets(start *config.Startup, clock *fleet.Clock) (*fleet.QuotaConfig, error) {
 	terms, err := termsOf(p.own, start)
-	if err != nil || p.own.BudgetServers == 0 {
+	if err != nil || p.own.Quota.MaxServers == 0 {
 		return nil, err
 	}
 	p.terms = terms
@@ -109,10 +109,10 @@
 
 // below is what the fleet's part needs to judge the service below, nil where it does not.
 func (p *parts) below() *fleet.HealthConfig {
-	if !p.own.Below {
+	if !p.own.Fleet.SharedHealthChecks {
 		return nil
 	}
-	return &fleet.HealthConfig{Zone: p.own.Zone, OnLimit: func(held fleet.CallLimit) { p.allow(func() { p.held = held }) }}
+	return &fleet.HealthConfig{Zone: p.own.Fleet.Zone, OnLimit: func(held fleet.CallLimit) { p.allow(func() { p.held = held }) }}
 }
 
 // uses passes on what the loop used.
--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -14,6 +14,7 @@
 	"swiftcourse/internal/config"
 	"swiftcourse/internal/fleet"
 	"swiftcourse/internal/forwarder"
+	"swiftcourse/internal/lifecycle"
 	"swiftcourse/internal/policy/loadplan"
 	"swiftcourse/internal/policy/quota"
 	"swiftcourse/internal/policy/serving"
@@ -24,19 +25,19 @@
 
 // Forward has a server pass its tasks on to the workers that the operator's file names.
 func (p *parts) Forward(start *config.Startup, own *config.OperatorSettings, loop *server.Server) error {
-	if len(own.ForwardTo) == 0 {
+	if len(own.Forwarding.Workers) == 0 {
 		return errors.New("forward-to: names no workers")
 	}
 	var workers []forwarder.Worker
-	for _, text := range own.ForwardTo {
+	for _, text := range own.Forwarding.Workers {
 		name, addr, ok := strings.Cut(text, "=")
 		if !ok || name == "" || addr == "" || slices.ContainsFunc(workers, func(w forwarder.Worker) bool { return w.Name == name }) {
 			return fmt.Errorf("forward-to: %q is no name=address, or a name that is there already", text)
 		}
 		workers = append(workers, forwarder.Worker{Name: name, Addr: addr})
 	}
-	if start.Settings.Cores *= len(workers); own.ForwardSlots > 0 {
-		start.Settings.Cores = own.ForwardSlots
+	if start.Settings.Cores *= len(workers); own.Forwarding.MaxInFlight > 0 {
+		start.Settings.Cores = own.Forwarding.MaxInFlight
 	}
 	p.dispatcher = forwarder.Start(forwarder.Shape{Workers: workers, Stages: start.Settings.Classes, Seed: forwarder.SeedOf(start.Name, start.Seed),
 		ColdFrom: start.Settings.SlowStartSpeed, ColdFor: start.WorkerSlowStartDuration, Now: loop.Now,
@@ -89,8 +90,8 @@
 }
 
 // Plan is a planner: a voter of the fleet that serves nothing.
-func (p *parts) Plan(name string, own *config.OperatorSettings, signals config.Signals) error {
-	if !own.Fleet {
+func (p *parts) Plan(name string, own *config.OperatorSettings, signals lifecycle.Signals) error {
+	if !own.Fleet.Enabled {
 		return errors.New("fleet: a planner needs it on")
 	}
 	from := time.Now()
@@ -107,8 +108,8 @@
 	if err != nil {
 		return err
 	}
-	f, err := fleet.Start(fleet.Config{Name: name, ListenAddr: own.FleetListen, Voters: voters, JoinAddrs: own.FleetJoin, LeaseTerms: memberTerms(own), Rollout: rollout(own),
-		OnLeaseExpiry: serving.ModeNormal, LoadPlan: &fleet.LoadPlanConfig{IsPlanner: true}, CountersEnabled: own.Counts, Seed: from.UnixNano(), Build: build(), Now: clock.Now, UnixNow: clock.UnixNow, RelayAddrs: via,
+	f, err := fleet.Start(fleet.Config{Name: name, ListenAddr: own.Fleet.ListenAddress, Voters: voters, JoinAddrs: own.Fleet.JoinAddresses, LeaseTerms: memberTerms(own), Rollout: rollout(own),
+		OnLeaseExpiry: serving.ModeNormal, LoadPlan: &fleet.LoadPlanConfig{IsPlanner: true}, CountersEnabled: own.Fleet.SharedCounters, Seed: from.UnixNano(), Build: build(), Now: clock.Now, UnixNow: clock.UnixNow, RelayAddrs: via,
 		Apply: func(text string) error {
 			_, err := own.WithRelease("released", text)
 			return err
@@ -117,14 +118,14 @@
 	if err != nil {
 		return err
 	}
-	if own.FleetControl != "" {
-		if _, err := f.ServeControl(own.FleetControl); err != nil {
+	if own.Fleet.ControlAddress != "" {
+		if _, err := f.ServeControl(own.Fleet.ControlAddress); err != nil {
 			return fmt.Errorf("fleet-control: %w", err)
 		}
 	}
-	slog.Info("fleet", "name", name, "listen", own.FleetListen, "control", own.FleetControl, "voters", len(voters), "build", build(), "plans", true)
+	slog.Info("fleet", "name", name, "listen", own.Fleet.ListenAddress, "control", own.Fleet.ControlAddress, "voters", len(voters), "build", build(), "plans", true)
 	done := make(chan struct{})
-	signals.Handle(func() { close(done) }, func() {}, func() {})
+	signals.Handle(lifecycle.Handlers{Stop: func() { close(done) }})
 	<-done
 	f.Stop()
 	return nil
--- a/cmd/swiftcourse-fleet/main.go
+++ b/cmd/swiftcourse-fleet/main.go
@@ -74,23 +74,27 @@
 	if err != nil {
 		return err
 	}
-	silent := map[string]serving.Mode{"keep": lease.FallbackNormal, "shield": lease.FallbackSafeDefaults, "leave": lease.FallbackOutOfService}[own.FleetSilent]
+	silent := map[config.FallbackMode]serving.Mode{
+		config.FallbackNormal:       lease.FallbackNormal,
+		config.FallbackSafeDefaults: lease.FallbackSafeDefaults,
+		config.FallbackOutOfService: lease.FallbackOutOfService,
+	}[own.Fleet.FallbackMode]
 	kept, err := copies(start, own, loop)
 	if err != nil {
 		return err
 	}
 	var callers *fleet.TrustConfig
-	if own.ReplicaCallers {
-		if !own.Door {
+	if own.Replication.SharedTrust {
+		if !own.ConnLimit.Enabled {
 			return errors.New("replica-callers: needs door on")
 		}
-		callers = &fleet.TrustConfig{Retention: own.Forget.Seconds(), MaxClients: own.Remember / 4, OnTrusted: loop.AddTrustedClients}
+		callers = &fleet.TrustConfig{Retention: own.ConnLimit.ReputationHalfLife.Seconds(), MaxClients: own.ConnLimit.RememberedAddresses / 4, OnTrusted: loop.AddTrustedClients}
 	}
 	shared, err := p.budgets(start, clock)
 	if err != nil {
 		return err
 	}
-	f, err := fleet.Start(fleet.Config{Trust: callers, Replication: kept, Quotas: shared, Health: p.below(), CountersEnabled: own.Counts, Name: start.Name, ListenAddr: own.FleetListen, Voters: voters, JoinAddrs: own.FleetJoin,
+	f, err := fleet.Start(fleet.Config{Trust: callers, Replication: kept, Quotas: shared, Health: p.below(), CountersEnabled: own.Fleet.SharedCounters, Name: start.Name, ListenAddr: own.Fleet.ListenAddress, Voters: voters, JoinAddrs: own.Fleet.JoinAddresses,
 		LoadPlan: p.plans(start, clock), LeaseTerms: memberTerms(own), OnLeaseExpiry: silent, Rollout: rollout(own), Seed: start.Seed, Build: build(),
 		Now: clock.Now, UnixNow: clock.UnixNow, RelayAddrs: via, OnTracePoint: dieAt(), Apply: p.apply,
 		Publish: func(to *serving.Directive) {
@@ -102,80 +106,80 @@
 		return err
 	}
 	if kept != nil {
-		loop.EnableKeyClaims(f, own.ReplicaKeyed, own.ReplicaWindow.Seconds())
-		slog.Info("fleet_replica", "holders", len(kept.Placement.Members), "copies", kept.Placement.ReplicationFactor, "need", kept.Placement.Quorum, "keyed", strings.Join(own.ReplicaKeyed, ","))
+		loop.EnableKeyClaims(f, own.Replication.KeyedClasses, own.Replication.RetentionWindow.Seconds())
+		slog.Info("fleet_replica", "holders", len(kept.Placement.Members), "copies", kept.Placement.ReplicationFactor, "need", kept.Placement.Quorum, "keyed", strings.Join(own.Replication.KeyedClasses, ","))
 	}
-	if shared != nil || own.Below || p.dispatcher != nil {
+	if shared != nil || own.Fleet.SharedHealthChecks || p.dispatcher != nil {
 		loop.EnableQuota(func(list []server.QuotaUsage) { f.ReportUsage(uses(list)) })
 	}
-	if own.Below {
+	if own.Fleet.SharedHealthChecks {
 		loop.ReportUpstreamCalls(f.ReportCalls)
-		slog.Info("fleet_below", "is", "judged", "zone", own.Zone)
+		slog.Info("fleet_below", "is", "judged", "zone", own.Fleet.Zone)
 	}
 	if shared != nil {
-		slog.Info("fleet_budgets", "budgets", len(own.Budgets), "floor", float64(own.BudgetFloor), "servers", own.BudgetServers)
+		slog.Info("fleet_budgets", "budgets", len(own.Quota.Limits), "floor", float64(own.Quota.FloorFraction), "servers", own.Quota.MaxServers)
 	}
 	if p.dispatcher != nil {
 		loop.ReportCounters(func(list []serving.CounterCell) bool {
-			told := !own.Counts || f.ReportCounts(list)
+			told := !own.Fleet.SharedCounters || f.ReportCounts(list)
 			if told {
 				p.dispatcher.Asked(list)
 			}
 			return told
 		})
-	} else if own.Counts {
+	} else if own.Fleet.SharedCounters {
 		loop.ReportCounters(f.ReportCounts)
 	}
-	if own.Counts {
+	if own.Fleet.SharedCounters {
 		slog.Info("fleet_counts", "keepers", len(voters))
 	}
 	if callers != nil {
 		loop.ReportTrustedClients(f.ReportTrusted, replication.MaxTrustedClients)
 	}
-	if own.FleetControl != "" {
-		if _, err := f.ServeControl(own.FleetControl); err != nil {
+	if own.Fleet.ControlAddress != "" {
+		if _, err := f.ServeControl(own.Fleet.ControlAddress); err != nil {
 			return fmt.Errorf("fleet-control: %w", err)
 		}
 	}
-	slog.Info("fleet", "name", start.Name, "life", strconv.FormatUint(f.Incarnation(), 16), "listen", own.FleetListen, "control", own.FleetControl,
-		"voters", len(voters), "silent", own.FleetSilent, "build", build())
+	slog.Info("fleet", "name", start.Name, "life", strconv.FormatUint(f.Incarnation(), 16), "listen", own.Fleet.ListenAddress, "control", own.Fleet.ControlAddress,
+		"voters", len(voters), "silent", own.Fleet.FallbackMode, "build", build())
 	return nil
 }
 
 // votersOf are the voters that the operator's file of a process names, and where they listen.
 func votersOf(name string, own *config.OperatorSettings) (map[string]string, error) {
 	voters := map[string]string{}
-	for _, v := range own.FleetVoters {
+	for _, v := range own.Fleet.Voters {
 		voter, addr, ok := strings.Cut(v, "=")
 		if !ok || voter == "" || voters[voter] != "" {
 			return nil, fmt.Errorf("fleet-voters: %q is no name=address, or a name that is there already", v)
 		}
 		voters[voter] = addr
 	}
-	if addr, votes := voters[name]; votes && addr != own.FleetListen {
-		return nil, fmt.Errorf("fleet-voters: %s is said to listen on %s, fleet-listen says %s", name, addr, own.FleetListen)
+	if addr, votes := voters[name]; votes && addr != own.Fleet.ListenAddress {
+		return nil, fmt.Errorf("fleet-voters: %s is said to listen on %s, fleet-listen says %s", name, addr, own.Fleet.ListenAddress)
 	}
 	return voters, nil
 }
 
 func memberTerms(own *config.OperatorSettings) lease.Config {
-	return lease.Config{Duration: own.FleetLease.Seconds(), CatchUpTimeout: own.FleetBehind.Seconds(), MaxUnavailable: float64(own.FleetMostOut), ForgetAfter: own.FleetForget.Seconds()}
+	return lease.Config{Duration: own.Fleet.LeaseDuration.Seconds(), CatchUpTimeout: own.Fleet.CatchUpTimeout.Seconds(), MaxUnavailable: float64(own.Fleet.MaxUnavailable), ForgetAfter: own.Fleet.ForgetAfter.Seconds()}
 }
 
 func rollout(own *config.OperatorSettings) release.RolloutPolicy {
-	return release.RolloutPolicy{WaveSeconds: own.FleetWave.Seconds(), HaltConfidence: float64(own.FleetHalt)}
+	return release.RolloutPolicy{WaveSeconds: own.Fleet.WaveDuration.Seconds(), HaltConfidence: float64(own.Fleet.HaltConfidence)}
 }
 
 // copies is what the operator's file says of the state that several servers keep, nil where it says nothing.
 func copies(start *config.Startup, own *config.OperatorSettings, loop *server.Server) (*fleet.ReplicationConfig, error) {
-	if len(own.ReplicaHolders) == 0 {
-		if len(own.ReplicaKeyed) > 0 {
+	if len(own.Replication.Replicas) == 0 {
+		if len(own.Replication.KeyedClasses) > 0 {
 			return nil, errors.New("replica-keyed: needs replica-holders")
 		}
 		return nil, nil
 	}
-	terms := replication.Config{ReplicationFactor: own.ReplicaCopies, RetentionWindow: own.ReplicaWindow.Seconds()}
-	for _, text := range own.ReplicaHolders {
+	terms := replication.Config{ReplicationFactor: own.Replication.ReplicationFactor, RetentionWindow: own.Replication.RetentionWindow.Seconds()}
+	for _, text := range own.Replication.Replicas {
 		words := strings.Split(text, "/")
 		m := replication.Member{Name: words[0], Weight: 1}
 		if len(words) > 1 {
@@ -189,7 +193,7 @@
 		}
 		terms.Members = append(terms.Members, m)
 	}
-	for _, name := range own.ReplicaKeyed {
+	for _, name := range own.Replication.KeyedClasses {
 		i := slices.Index(start.ClassNames, name)
 		if i < 0 {
 			return nil, fmt.Errorf("replica-keyed: there is no stage %q", name)
@@ -201,7 +205,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("replica-holders: %w", err)
 	}
-	return &fleet.ReplicationConfig{Placement: place, MaxRecords: own.ReplicaRecords, MaxBytes: own.ReplicaMemory << 20, CatchUpRate: float64(own.ReplicaRate) * 1024, OnVerdict: loop.HandleClaimVerdict}, nil
+	return &fleet.ReplicationConfig{Placement: place, MaxRecords: own.Replication.MaxRecords, MaxBytes: own.Replication.MaxMemoryMB << 20, CatchUpRate: float64(own.Replication.CatchUpRateKB) * 1024, OnVerdict: loop.HandleClaimVerdict}, nil
 }
 
 // apply has the server act on a released text over its own file.
@@ -213,7 +217,7 @@
 		return err
 	}
 	terms, err := termsOf(conf, p.start)
-	if err == nil && p.own.BudgetServers == 0 && conf.BudgetServers > 0 {
+	if err == nil && p.own.Quota.MaxServers == 0 && conf.Quota.MaxServers > 0 {
 		err = errors.New("budget-servers: budgets are off in this server's own file, and can't be switched on while serving")
 	}
 	if err != nil {
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -12,6 +12,7 @@
 	"github.com/alecthomas/kong"
 
 	"swiftcourse/internal/config"
+	"swiftcourse/internal/lifecycle"
 	"swiftcourse/internal/logging"
 	"swiftcourse/internal/server"
 )
@@ -31,7 +32,7 @@
 	// Forward has a server pass its tasks on to workers; it is called before Start.
 	Forward(start *config.Startup, own *config.OperatorSettings, server *server.Server) error
 	// Plan makes plans under a name until the end.
-	Plan(name string, own *config.OperatorSettings, signals config.Signals) error
+	Plan(name string, own *config.OperatorSettings, signals lifecycle.Signals) error
 	// Reread takes the operator's file of this server again.
 	Reread(own *config.OperatorSettings)
 	// Command carries the words after "fleet" out.
@@ -71,7 +72,7 @@
 
 type forwardCommand struct{ serveCommand }
 
-func (c *forwardCommand) Run(signals config.Signals, h *host) error {
+func (c *forwardCommand) Run(signals lifecycle.Signals, h *host) error {
 	if h.parts == nil {
 		return become()
 	}
@@ -83,7 +84,7 @@
 	Name string `help:"This planner's name among fleet-voters; RELAY_NAME names it too." env:"RELAY_NAME" required:""`
 }
 
-func (c *planCommand) Run(signals config.Signals, h *host) error {
+func (c *planCommand) Run(signals lifecycle.Signals, h *host) error {
 	if h.parts == nil {
 		return become()
 	}
@@ -106,11 +107,11 @@
 	return nil
 }
 
-func (c *serveCommand) Run(signals config.Signals, h *host) error {
+func (c *serveCommand) Run(signals lifecycle.Signals, h *host) error {
 	return c.run(signals, h, config.Load)
 }
 
-func (c *serveCommand) run(signals config.Signals, h *host, read func(func(string) string) (*config.Startup, error)) error {
+func (c *serveCommand) run(signals lifecycle.Signals, h *host, read func(func(string) string) (*config.Startup, error)) error {
 	parts := h.parts
 	start, err := read(os.Getenv)
 	if err != nil {
@@ -121,14 +122,14 @@
 	if err != nil {
 		logging.Fatal("bad_conf", "err", err)
 	}
-	if conf.Fleet && parts == nil {
+	if conf.Fleet.Enabled && parts == nil {
 		logging.Fatal("end", "err", become())
 	}
-	config.ApplyLimits(start)
+	lifecycle.ApplyLimits(start.Cores, start.MemoryBytes)
 	slog.Info("start", "name", start.Name, "listen", start.Listen, "processor", start.Executor,
 		"catalogue", start.Upstream, "roster", start.Registry, "stop_s", start.StopTimeout, "cores", start.Cores,
 		"memory_mb", start.MemoryBytes>>20, "sockets", start.MaxSockets, "stages", len(start.ClassIndex),
-		"tenants", len(start.TenantIndex), "conf", path, "door", conf.Door)
+		"tenants", len(start.TenantIndex), "conf", path, "door", conf.ConnLimit.Enabled)
 	for _, key := range start.UnsupportedKeys {
 		slog.Info("setting_unused", "key", key, "why", "this protocol has no command for it")
 	}
@@ -138,7 +139,7 @@
 			"calls", stage.CallsDownstream)
 	}
 	server := server.New(start, conf)
-	signals.Handle(server.Drain, func() {
+	reload := func() {
 		to, ignored, err := start.Reload(os.Getenv)
 		next, err2 := config.LoadOperatorSettings(path)
 		if err != nil || err2 != nil {
@@ -152,20 +153,21 @@
 		for _, key := range ignored {
 			slog.Info("reload_ignores", "key", key)
 		}
-		slog.Info("reload", "processor", to.Executor, "catalogue", to.Upstream, "roster", to.Registry, "door", next.Door)
+		slog.Info("reload", "processor", to.Executor, "catalogue", to.Upstream, "roster", to.Registry, "door", next.ConnLimit.Enabled)
 		server.SetEndpoints(to)
-		if conf.Fleet && parts != nil {
+		if conf.Fleet.Enabled && parts != nil {
 			parts.Reread(next)
 			return
 		}
 		server.ReloadConfig(next)
-	}, server.LogStatistics)
+	}
+	signals.Handle(lifecycle.Handlers{Stop: server.Drain, Reload: reload, Report: server.LogStatistics})
 	if start.Forwarder {
 		if err := parts.Forward(start, conf, server); err != nil {
 			logging.Fatal("bad_conf", "err", err)
 		}
 	}
-	if conf.Fleet {
+	if conf.Fleet.Enabled {
 		if err := parts.Start(start, conf, server); err != nil {
 			logging.Fatal("bad_conf", "err", err)
 		}
@@ -178,7 +180,7 @@
 
 // Main runs a program; parts are nil in one without a fleet's.
 func Main(parts Parts) {
-	signals := config.CatchSignals() // before all else, so that none ends the process
+	signals := lifecycle.CatchSignals() // before all else, so that none ends the process
 	logging.SetOutput(os.Stderr)
 	var p program
 	if len(os.Args) == 1 { // no words: it serves, and what reads words stays out of memory
--- /dev/null
+++ b/internal/config/operator_expected.go
@@ -0,0 +1,56 @@
+package config
+
+// expectedValues says of each key of the operator's file what would be right, for errors.
+var expectedValues = map[string]string{
+	"door":                      "on or off",
+	"door-known":                "prefixes such as 10.1.0.0/16, at most 256; the key may be repeated",
+	"door-reserve":              "a part of the slots, from 0% to 90%",
+	"door-per-address":          "a number of connections, 0 for no limit",
+	"door-per-prefix":           "a number of connections, 0 for no limit",
+	"door-arrivals-per-address": "arrivals a second, 0 for no limit",
+	"door-arrivals-per-prefix":  "arrivals a second, 0 for no limit",
+	"door-prefix-ipv4":          "bits, from 8 to 32",
+	"door-prefix-ipv6":          "bits, from 16 to 128",
+	"door-lobby":                "a number of slots, from 1 to 1024",
+	"door-remember":             "a number of addresses, from 64 to 1000000; each takes 300 bytes",
+	"door-earn":                 "a number of requests, from 1 to 60",
+	"door-forget":               "a time such as 10m, from 1s to 24h",
+	"door-come-back":            "a time such as 200ms, from 1ms to 1h",
+	"door-come-back-most":       "a time from door-come-back to 1h",
+	"door-share":                "a part of a core, from 1% to 100%",
+
+	"fleet":          "on or off",
+	"fleet-listen":   "an address such as 10.0.0.4:7946",
+	"fleet-control":  "an address such as 127.0.0.1:7950, where operators ask",
+	"fleet-voters":   "names with addresses, such as n1=10.0.0.4:7946, at most 15; the key may be repeated",
+	"fleet-join":     "addresses of some others; the key may be repeated",
+	"fleet-lease":    "a time such as 6s, from 1s to 10m",
+	"fleet-behind":   "a time such as 10s, from 1s to 1h",
+	"fleet-silent":   "keep, shield or leave",
+	"fleet-most-out": "a part of the fleet, from 0% to 100%",
+	"fleet-forget":   "a time from fleet-lease to 24h",
+	"fleet-wave":     "a time such as 30s, up to 1h",
+	"fleet-halt":     "how sure harm has to be, from 50% to 100%",
+	"fleet-below":    "on or off",
+	"fleet-counts":   "on or off",
+	"fleet-zone":     "a name of at most 64 letters",
+
+	"replica-holders": "names, with zone and weight where they matter, such as n1 " +
+		"n2/east n3/west/2, at most 64; the key may be repeated",
+	"replica-keyed": "classes whose requests bear an idempotency key as their " +
+		"subject; the key may be repeated",
+	"replica-copies":    "a number of copies, from 1 to 7",
+	"replica-window":    "a time such as 1m, from 1s to 24h",
+	"replica-records":   "a number of keys, from 1000 to 10000000; each takes 400 bytes and its result",
+	"replica-memory-mb": "megabytes, from 1 to 65536",
+	"replica-callers":   "on or off",
+	"replica-rate-kb":   "kilobytes a second, from 16 to 1048576",
+
+	"budget": "quotas of the whole fleet such as tenant/acme=100 (requests a " +
+		"second) or calls=40 (at a time); the key may be repeated",
+	"budget-floor":   "a part of each quota, from 1% to 90%",
+	"budget-servers": "the most processes that there may be at a time, from 1 to 4096",
+
+	"forward-to":    "workers with addresses, such as w1=10.0.0.9:8000; the key may be repeated",
+	"forward-slots": "requests that may be at workers at a time, 0 for as many as the workers' cores",
+}
--- a/internal/server/guard.go
+++ b/internal/server/guard.go
@@ -19,10 +19,10 @@
 
 // newConnLimiter makes the door as the operator's file says.
 func (s *Server) newConnLimiter(conf *config.OperatorSettings) *connlimit.Door {
-	if conf == nil || !conf.Door {
+	if conf == nil || !conf.ConnLimit.Enabled {
 		return connlimit.New(s.startup.Settings.IdleTimeout)
 	}
-	s.holdingArea = conf.Lobby
+	s.holdingArea = conf.ConnLimit.HoldingSlots
 	return connlimit.NewGuarded(s.startup.Settings.IdleTimeout, s.connRules(conf))
 }
 
@@ -38,10 +38,10 @@
 	places := s.holdingSlots()
 	most, _ := s.maxClients()
 	most -= 4 * places // twice in the lobby, and twice on their way
-	return connlimit.Rules{Most: most, Reserve: int(float64(most) * float64(c.Reserve)), PerAddress: c.PerAddress, PerPrefix: c.PerPrefix,
-		ArrivalsAddress: c.RateAddress, ArrivalsPrefix: c.RatePrefix, V4: c.V4, V6: c.V6, Named: c.Known, Lobby: places,
-		Remember: c.Remember, Earn: c.Earn, Forget: c.Forget.Seconds(), ComeBack: c.ComeBack.Seconds(),
-		ComeBackMost: c.ComeBackMost.Seconds(), Share: float64(c.Share), Seed: s.startup.Seed}
+	return connlimit.Rules{Most: most, Reserve: int(float64(most) * float64(c.ConnLimit.TrustedReserve)), PerAddress: c.ConnLimit.MaxPerAddress, PerPrefix: c.ConnLimit.MaxPerPrefix,
+		ArrivalsAddress: c.ConnLimit.ArrivalsPerAddress, ArrivalsPrefix: c.ConnLimit.ArrivalsPerPrefix, V4: c.ConnLimit.PrefixBitsIPv4, V6: c.ConnLimit.PrefixBitsIPv6, Named: c.ConnLimit.TrustedPrefixes, Lobby: places,
+		Remember: c.ConnLimit.RememberedAddresses, Earn: c.ConnLimit.RequestsToTrust, Forget: c.ConnLimit.ReputationHalfLife.Seconds(), ComeBack: c.ConnLimit.MinRetryAfter.Seconds(),
+		ComeBackMost: c.ConnLimit.MaxRetryAfter.Seconds(), Share: float64(c.ConnLimit.CoreShare), Seed: s.startup.Seed}
 }
 
 // ReloadConfig tells the server, from any goroutine, that the operator's file was read again.
@@ -49,7 +49,7 @@
 	go func() {
 		<-s.loopReady
 		_ = s.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-			if conf.Door != s.connLimiter.Guarded() {
+			if conf.ConnLimit.Enabled != s.connLimiter.Guarded() {
 				slog.Info("reload_ignores", "key", "door")
 				return nil
 			}
@@ -61,11 +61,11 @@
 
 // applyConnRules has the door go by the operator's file, as far as it can change while serving.
 func (s *Server) applyConnRules(conf *config.OperatorSettings) {
-	if conf.Door && !s.connLimiter.Heed(s.connRules(conf)) {
+	if conf.ConnLimit.Enabled && !s.connLimiter.Heed(s.connRules(conf)) {
 		slog.Info("reload_ignores", "key", "door-prefix-ipv4, door-prefix-ipv6, door-lobby, door-remember")
 	}
-	if a := s.acceptor; a != nil && conf.Door {
-		a.trusted.Store(&trustedClients{conf.Known, a.trusted.Load().earned})
+	if a := s.acceptor; a != nil && conf.ConnLimit.Enabled {
+		a.trusted.Store(&trustedClients{conf.ConnLimit.TrustedPrefixes, a.trusted.Load().earned})
 	}
 }
 
--- a/internal/server/standing.go
+++ b/internal/server/standing.go
@@ -106,7 +106,11 @@
 // withSafeDefaults is the operator's file with the defaults in place of what was released: a door that is on stays on, with its own figures.
 func withSafeDefaults(conf *config.OperatorSettings) *config.OperatorSettings {
 	safe := config.DefaultOperatorSettings()
-	safe.Door, safe.V4, safe.V6, safe.Lobby, safe.Remember = conf.Door, conf.V4, conf.V6, conf.Lobby, conf.Remember
+	safe.ConnLimit.Enabled = conf.ConnLimit.Enabled
+	safe.ConnLimit.PrefixBitsIPv4 = conf.ConnLimit.PrefixBitsIPv4
+	safe.ConnLimit.PrefixBitsIPv6 = conf.ConnLimit.PrefixBitsIPv6
+	safe.ConnLimit.HoldingSlots = conf.ConnLimit.HoldingSlots
+	safe.ConnLimit.RememberedAddresses = conf.ConnLimit.RememberedAddresses
 	return safe
 }
 
@@ -138,9 +142,9 @@
 
 func (s *Server) applyConfig(conf *config.OperatorSettings) error {
 	switch {
-	case conf.Door != s.connLimiter.Guarded():
+	case conf.ConnLimit.Enabled != s.connLimiter.Guarded():
 		return errors.New("door: can't be switched while serving")
-	case conf.Door && (conf.Lobby != s.holdingArea || !s.connLimiter.Fits(s.connRules(conf))):
+	case conf.ConnLimit.Enabled && (conf.ConnLimit.HoldingSlots != s.holdingArea || !s.connLimiter.Fits(s.connRules(conf))):
 		return errors.New("door-prefix-ipv4, door-prefix-ipv6, door-lobby or door-remember: can't be changed while serving")
 	}
 	s.operatorSettings = conf
