--- a/internal/bufferpool/pool.go
+++ b/internal/bufferpool/pool.go
@@ -1,11 +1,11 @@
 // Package bufferpool keeps byte buffers of one size for use again.
 //
-// A Pool belongs to one goroutine, the event loop: there is no lock. Whoever has a buffer from it gives it back once, by
-// Put or by WriteBuffer.Release, and does not touch it afterwards.
+// A Pool belongs to one goroutine, the event loop: there is no lock. Whoever has a buffer from it
+// gives it back once, by Put or by WriteBuffer.Release, and does not touch it afterwards.
 package bufferpool
 
-// Size is the capacity of every buffer, in bytes: a result of 4 KiB in base64 with its line around it, and a body with
-// room to spare.
+// Size is the capacity of every buffer, in bytes: a result of 4 KiB in base64 with its line around
+// it, and a body with room to spare.
 const Size = 8 << 10
 
 // maxFree bounds the buffers kept for use again: 2 MiB, about what a burst of 200 requests takes.
--- a/internal/bufferpool/write_buffer.go
+++ b/internal/bufferpool/write_buffer.go
@@ -1,10 +1,11 @@
 package bufferpool
 
-// maxPooledList bounds the lists of buffers kept for use again: one that a burst made longer is left to the collector.
+// maxPooledList bounds the lists of buffers kept for use again: one that a burst made longer is
+// left to the collector.
 const maxPooledList = 32
 
-// WriteBuffer gathers what is to be written to one connection, in buffers of a pool. The zero WriteBuffer is empty and
-// ready for use.
+// WriteBuffer gathers what is to be written to one connection, in buffers of a pool. The zero
+// WriteBuffer is empty and ready for use.
 type WriteBuffer struct{ buffers [][]byte }
 
 // Append copies b behind what is there.
@@ -32,8 +33,8 @@
 // Buffers returns all that was appended, in order. It is valid until the next call of a method.
 func (w *WriteBuffer) Buffers() [][]byte { return w.buffers }
 
-// Release gives the buffers back to the pool they came from, and the list of them, so that a connection with nothing to
-// write holds no memory.
+// Release gives the buffers back to the pool they came from, and the list of them, so that a
+// connection with nothing to write holds no memory.
 func (w *WriteBuffer) Release(p *Pool) {
 	for i, b := range w.buffers {
 		p.Put(b)
--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -40,8 +40,8 @@
 // valueByWork is the settings' word for requests whose value is in the work that they need.
 const valueByWork = "work"
 
-// AdmissionSettings puts the settings in the terms of package admission. A word that is not known maps to the zero value
-// of its type.
+// AdmissionSettings puts the settings in the terms of package admission. A word that is not known
+// maps to the zero value of its type.
 func AdmissionSettings(given *shale.Told) admission.Settings {
 	own := &given.Own
 	contract := &given.Contract
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -10,8 +10,8 @@
 	"swiftcourse/internal/wire/shale"
 )
 
-// The defaults of the JSON file: the largest limits that the platform ever gives, and a stop that leaves a second after
-// a grace period of 2 s.
+// The defaults of the JSON file: the largest limits that the platform ever gives, and a stop that
+// leaves a second after a grace period of 2 s.
 const (
 	defaultStopMs   = 3000
 	defaultCores    = 1
@@ -64,34 +64,34 @@
 
 // parse checks the text of the JSON file and puts it in the program's terms.
 func parse(text []byte, env environment) (*Startup, error) {
-	f, err := decode(text)
+	given, err := decode(text)
 	if err != nil {
 		return nil, err
 	}
 	err = errors.Join(
-		mergeEnvironment(nameKey, &f.Name, nameVariable, env.name),
-		mergeEnvironment(listenKey, &f.Listen, listenVariable, env.listen),
+		mergeEnvironment(nameKey, &given.Name, nameVariable, env.name),
+		mergeEnvironment(listenKey, &given.Listen, listenVariable, env.listen),
 	)
 	if err != nil {
 		return nil, err
 	}
-	if err := f.checkAddresses(env.forwarder); err != nil {
+	if err := given.checkAddresses(env.forwarder); err != nil {
 		return nil, err
 	}
-	seed, err := strconv.ParseUint(f.Seed, 16, 64)
+	seed, err := strconv.ParseUint(given.Seed, 16, 64)
 	if err != nil {
-		return nil, &FieldError{Key: seedKey, Value: f.Seed, Reason: "is not a hexadecimal number"}
+		return nil, &FieldError{Key: seedKey, Value: given.Seed, Reason: "is not a hexadecimal number"}
 	}
-	if f.Settings == nil {
+	if given.Settings == nil {
 		return nil, &FieldError{Key: settingsKey, Reason: "missing"}
 	}
 	if env.forwarder {
-		f.dropDependencies()
+		given.dropDependencies()
 	}
-	if err := f.check(); err != nil {
+	if err := given.check(); err != nil {
 		return nil, err
 	}
-	startup, err := f.startup(int64(seed))
+	startup, err := given.startup(int64(seed))
 	if err != nil {
 		return nil, err
 	}
@@ -121,7 +121,8 @@
 	return f, nil
 }
 
-// mergeEnvironment takes what the environment says where the file says nothing; they may not differ.
+// mergeEnvironment takes what the environment says where the file says nothing; they may not
+// differ.
 func mergeEnvironment(key string, value *string, variable, given string) error {
 	if *value == "" {
 		*value = given
@@ -129,7 +130,8 @@
 	if given == "" || given == *value {
 		return nil
 	}
-	return &FieldError{Key: key, Value: *value, Reason: fmt.Sprintf("differs from %s, which is %q", variable, given)}
+	reason := fmt.Sprintf("differs from %s, which is %q", variable, given)
+	return &FieldError{Key: key, Value: *value, Reason: reason}
 }
 
 // dropDependencies removes what a forwarder's file may name and only its workers use.
@@ -182,8 +184,8 @@
 	}, nil
 }
 
-// becomeForwarder changes what was read for a server to what holds for a forwarder: its workers warm up and call
-// downstream, it does neither.
+// becomeForwarder changes what was read for a server to what holds for a forwarder: its workers
+// warm up and call downstream, it does neither.
 func (s *Startup) becomeForwarder() {
 	s.Forwarder = true
 	s.WorkerSlowStartDuration = s.SlowStartDuration
@@ -193,12 +195,17 @@
 	}
 }
 
-// indexByName returns each name's index in the list under a key. Names have to be there and to differ.
+// indexByName returns each name's index in the list under a key. Names have to be there and to
+// differ.
 func indexByName(key string, names []string) (map[string]int, error) {
 	index := map[string]int{}
 	for i, name := range names {
 		if _, twice := index[name]; twice || name == "" {
-			return nil, &FieldError{Key: fmt.Sprintf("%s[%d].name", key, i), Value: name, Reason: "is empty or there twice"}
+			return nil, &FieldError{
+				Key:    fmt.Sprintf("%s[%d].name", key, i),
+				Value:  name,
+				Reason: "is empty or there twice",
+			}
 		}
 		index[name] = i
 	}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// OperatorSettings is what the operator's file sets. Without the file, or without a key, all of it is off or as the
-// default says.
+// OperatorSettings is what the operator's file sets. Without the file, or without a key, all of it
+// is off or as the default says.
 //
-// The tags say how the file is read: `key` names a field in it, `default` is its value where the file says nothing, and
-// `validate` is what the validator checks. A key's entry in expectedValues tells people what would be right.
+// The tags say how the file is read: `key` names a field in it, `default` is its value where the
+// file says nothing, and `validate` is what the validator checks. A key's entry in expectedValues
+// tells people what would be right.
 type OperatorSettings struct {
 	ConnLimit   ConnLimitSettings
 	Fleet       FleetSettings
@@ -31,7 +32,8 @@
 	MaxPerAddress int `key:"door-per-address" default:"0" validate:"gte=0,lte=1000000"`
 	MaxPerPrefix  int `key:"door-per-prefix" default:"0" validate:"gte=0,lte=1000000"`
 
-	// The limits on connections that arrive in a second, 0 for none. A trusted address has four times as many.
+	// The limits on connections that arrive in a second, 0 for none. A trusted address has four
+	// times as many.
 	ArrivalsPerAddress float64 `key:"door-arrivals-per-address" default:"50" validate:"gte=0,lte=1000000"`
 	ArrivalsPerPrefix  float64 `key:"door-arrivals-per-prefix" default:"0" validate:"gte=0,lte=1000000"`
 
@@ -44,12 +46,14 @@
 	// RememberedAddresses is how many addresses are remembered without a connection.
 	RememberedAddresses int `key:"door-remember" default:"4096" validate:"gte=64,lte=1000000"`
 
-	// RequestsToTrust is how many requests have to finish, in as many seconds at least, to make an address trusted.
+	// RequestsToTrust is how many requests have to finish, in as many seconds at least, to make an
+	// address trusted.
 	RequestsToTrust int `key:"door-earn" default:"3" validate:"gte=1,lte=60"`
 	// ReputationHalfLife is the time in which what an address has earned is halved.
 	ReputationHalfLife time.Duration `key:"door-forget" default:"10m" validate:"gte=1s,lte=24h"`
 
-	// The least and the most that a rejected client is told to wait; it doubles from one to the other.
+	// The least and the most that a rejected client is told to wait; it doubles from one to the
+	// other.
 	MinRetryAfter time.Duration `key:"door-come-back" default:"200ms" validate:"gte=1ms,lte=1h"`
 	MaxRetryAfter time.Duration `key:"door-come-back-most" default:"10s" validate:"gtefield=MinRetryAfter,lte=1h"`
 
@@ -74,7 +78,8 @@
 	CatchUpTimeout time.Duration `key:"fleet-behind" default:"10s" validate:"gte=1s,lte=1h"`
 	// FallbackMode is what a server does when it hears nothing.
 	FallbackMode FallbackMode `key:"fleet-silent" default:"keep" validate:"oneof=keep shield leave"`
-	// MaxUnavailable is the part of the fleet that may be out of service for that, or because it is behind.
+	// MaxUnavailable is the part of the fleet that may be out of service for that, or because it is
+	// behind.
 	MaxUnavailable Fraction `key:"fleet-most-out" default:"25%" validate:"gte=0,lte=1"`
 	// ForgetAfter is how long a server is silent before its name is nobody's.
 	ForgetAfter time.Duration `key:"fleet-forget" default:"10m" validate:"gtefield=LeaseDuration,lte=24h"`
@@ -91,7 +96,8 @@
 	Zone           string `key:"fleet-zone" validate:"max=64"`
 }
 
-// FallbackMode is what a server does once its lease has run out because it hears nothing from the leader.
+// FallbackMode is what a server does once its lease has run out because it hears nothing from the
+// leader.
 type FallbackMode string
 
 // The fallback modes, in the words of the operator's file.
@@ -104,7 +110,8 @@
 	FallbackOutOfService FallbackMode = "leave"
 )
 
-// ReplicationSettings are those of the state that several servers of a fleet keep. They have to be the same on all.
+// ReplicationSettings are those of the state that several servers of a fleet keep. They have to be
+// the same on all.
 type ReplicationSettings struct {
 	// Replicas are name/zone/weight, of which the last two may be missing.
 	Replicas []string `key:"replica-holders" validate:"max=64"`
@@ -124,7 +131,8 @@
 	CatchUpRateKB int `key:"replica-rate-kb" default:"4096" validate:"gte=16,lte=1048576"`
 }
 
-// QuotaSettings are those of quotas of the whole fleet, which servers hold in leased shares. They may be released.
+// QuotaSettings are those of quotas of the whole fleet, which servers hold in leased shares. They
+// may be released.
 type QuotaSettings struct {
 	// Limits are tenant/NAME=RATE and calls=NUMBER.
 	Limits []string `key:"budget" validate:"max=16384"`
@@ -138,7 +146,8 @@
 type ForwardingSettings struct {
 	// Workers are name=address.
 	Workers []string `key:"forward-to" validate:"max=4096"`
-	// MaxInFlight is how many requests may be at workers at a time; 0 stands for as many as their cores.
+	// MaxInFlight is how many requests may be at workers at a time; 0 stands for as many as their
+	// cores.
 	MaxInFlight int `key:"forward-slots" default:"0" validate:"gte=0,lte=1000000"`
 }
 
--- a/internal/config/operator_load.go
+++ b/internal/config/operator_load.go
@@ -11,8 +11,8 @@
 // operatorFileVariable names the operator's file where the command line does not.
 const operatorFileVariable = "SWIFTCOURSE_CONF"
 
-// OperatorFilePath returns the path of the operator's file: what the command line says, or else the environment, or ""
-// for no file.
+// OperatorFilePath returns the path of the operator's file: what the command line says, or else the
+// environment, or "" for no file.
 func OperatorFilePath(flag string, getenv func(string) string) string {
 	if flag != "" {
 		return flag
@@ -20,11 +20,12 @@
 	return getenv(operatorFileVariable)
 }
 
-// LoadOperatorSettings reads the operator's file; "" gives the defaults, with all off. The error has a line for each
-// fault of the file.
+// LoadOperatorSettings reads the operator's file; "" gives the defaults, with all off. The error
+// has a line for each fault of the file.
 func LoadOperatorSettings(path string) (*OperatorSettings, error) {
 	if path == "" {
-		// They are not validated, which a test does: the validator stays out of the memory of a server without a file.
+		// They are not validated, which a test does: the validator stays out of the memory of a
+		// server without a file.
 		return DefaultOperatorSettings(), nil
 	}
 	text, err := os.ReadFile(path)
@@ -34,8 +35,9 @@
 	return ParseOperatorSettings(path, text)
 }
 
-// ParseOperatorSettings reads the text of the operator's file: a key and its values on each line, where # begins a
-// comment. The source is the name that errors have for it; the error has a line for each fault.
+// ParseOperatorSettings reads the text of the operator's file: a key and its values on each line,
+// where # begins a comment. The source is the name that errors have for it; the error has a line
+// for each fault.
 func ParseOperatorSettings(source string, text []byte) (*OperatorSettings, error) {
 	settings := DefaultOperatorSettings()
 	err := settings.apply(source, text)
--- a/internal/config/operator_parse.go
+++ b/internal/config/operator_parse.go
@@ -38,7 +38,13 @@
 
 // reject notes a fault of a key on a line, 0 for none.
 func (p *operatorParser) reject(line int, key string, value any, reason string) {
-	p.faults = append(p.faults, &FieldError{Source: p.source, Line: line, Key: key, Value: value, Reason: reason})
+	p.faults = append(p.faults, &FieldError{
+		Source: p.source,
+		Line:   line,
+		Key:    key,
+		Value:  value,
+		Reason: reason,
+	})
 }
 
 // readLines sets what the text says.
@@ -79,7 +85,8 @@
 	}
 }
 
-// validate checks the ranges of all settings, those that the text does not name too, as some depend on others.
+// validate checks the ranges of all settings, those that the text does not name too, as some depend
+// on others.
 func (p *operatorParser) validate() {
 	err := validator.New().Struct(p.settings)
 	var outOfRange validator.ValidationErrors
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -57,11 +57,12 @@
 
 func TestParseOperatorSettings_ErrorNamesPlaceAndCause(t *testing.T) {
 	for text, want := range map[string]string{
-		"door":                   "f:1: door: has no value; expected on or off",
-		"door yes":               `f:1: door: "yes" is neither on nor off`,
-		"\ndoor-reserv 3%":       "f:2: door-reserv: no such key; the nearest is door-reserve",
-		"door on\ndoor off":      "f:2: door: is there already, on line 1",
-		"door-reserve 95%":       "f:1: door-reserve: 0.95 is out of range; expected a part of the slots, from 0% to 90%",
+		"door":              "f:1: door: has no value; expected on or off",
+		"door yes":          `f:1: door: "yes" is neither on nor off`,
+		"\ndoor-reserv 3%":  "f:2: door-reserv: no such key; the nearest is door-reserve",
+		"door on\ndoor off": "f:2: door: is there already, on line 1",
+		"door-reserve 95%": "f:1: door-reserve: 0.95 is out of range; " +
+			"expected a part of the slots, from 0% to 90%",
 		"door-reserve 3":         `f:1: door-reserve: "3" is no number of percent`,
 		"door-earn x":            `f:1: door-earn: "x" is no whole number`,
 		"door-share NaN%":        `f:1: door-share: "NaN%" is no number of percent`,
--- a/internal/config/operator_values.go
+++ b/internal/config/operator_values.go
@@ -21,25 +21,25 @@
 func setValue(field reflect.Value, values []string) *valueFault {
 	text := values[0]
 	var err error
-	switch to := field.Addr().Interface().(type) {
+	switch target := field.Addr().Interface().(type) {
 	case *bool:
-		*to, err = parseSwitch(text)
+		*target, err = parseSwitch(text)
 	case *int:
-		*to, err = parseInteger(text)
+		*target, err = parseInteger(text)
 	case *float64:
-		*to, err = parseNumber(text)
+		*target, err = parseNumber(text)
 	case *time.Duration:
-		*to, err = parseDuration(text)
+		*target, err = parseDuration(text)
 	case *string:
-		*to = text
+		*target = text
 	case *FallbackMode:
-		*to = FallbackMode(text)
+		*target = FallbackMode(text)
 	case *[]string:
-		*to = append(*to, values...)
+		*target = append(*target, values...)
 	case *Fraction:
-		err = setFraction(to, text)
+		err = setFraction(target, text)
 	case *[]netip.Prefix:
-		return appendPrefixes(to, values)
+		return appendPrefixes(target, values)
 	default:
 		err = fmt.Errorf("can't be read into a field of type %s", field.Type())
 	}
@@ -81,24 +81,24 @@
 }
 
 // setFraction reads a number of percent. The field stays as it is where that fails.
-func setFraction(to *Fraction, text string) error {
+func setFraction(target *Fraction, text string) error {
 	number, percent := strings.CutSuffix(text, "%")
 	x, err := strconv.ParseFloat(number, 64)
 	if err != nil || !percent || math.IsNaN(x) {
 		return errors.New("is no number of percent")
 	}
-	*to = Fraction(x / 100)
+	*target = Fraction(x / 100)
 	return nil
 }
 
 // appendPrefixes reads prefixes and single addresses.
-func appendPrefixes(to *[]netip.Prefix, values []string) *valueFault {
+func appendPrefixes(target *[]netip.Prefix, values []string) *valueFault {
 	for _, value := range values {
 		prefix, err := parsePrefix(value)
 		if err != nil || prefix.Addr().Is4In6() {
 			return &valueFault{value, "is no address or prefix"}
 		}
-		*to = append(*to, prefix.Masked())
+		*target = append(*target, prefix.Masked())
 	}
 	return nil
 }
--- a/internal/config/release.go
+++ b/internal/config/release.go
@@ -5,8 +5,9 @@
 	"strings"
 )
 
-// WithRelease returns the settings with the text of a release over them: the lists that the text names replace those of
-// the file, and so do single values. Errors name the release as their source.
+// WithRelease returns the settings with the text of a release over them: the lists that the text
+// names replace those of the file, and so do single values. Errors name the release as their
+// source.
 func (s *OperatorSettings) WithRelease(release, text string) (*OperatorSettings, error) {
 	merged := *s
 	if text == "" {
@@ -37,8 +38,9 @@
 	return strings.HasPrefix(key, "fleet") || strings.HasPrefix(key, "replica")
 }
 
-// CanonicalText returns a text of settings as a release carries it: no comments, single blanks and the keys in order, so
-// that two texts that say the same have one digest. The lines of one key keep their order.
+// CanonicalText returns a text of settings as a release carries it: no comments, single blanks and
+// the keys in order, so that two texts that say the same have one digest. The lines of one key keep
+// their order.
 func CanonicalText(text string) string {
 	var lines []string
 	for line := range strings.Lines(text) {
--- a/internal/config/release_test.go
+++ b/internal/config/release_test.go
@@ -28,10 +28,11 @@
 
 func TestWithRelease_ErrorNamesTheRelease(t *testing.T) {
 	own := DefaultOperatorSettings()
-	if _, err := own.WithRelease("3.1", "door maybe"); err == nil || !strings.HasPrefix(err.Error(), "3.1:1: door: ") {
+	_, err := own.WithRelease("3.1", "door maybe")
+	if err == nil || !strings.HasPrefix(err.Error(), "3.1:1: door: ") {
 		t.Errorf("%v", err)
 	}
-	_, err := own.WithRelease("3.1", "fleet-lease 5s")
+	_, err = own.WithRelease("3.1", "fleet-lease 5s")
 	var fault *FieldError
 	if !errors.As(err, &fault) || fault.Source != "3.1" || fault.Key != "fleet-lease" {
 		t.Errorf("%v", err)
--- a/internal/config/startup.go
+++ b/internal/config/startup.go
@@ -20,8 +20,8 @@
 // minSockets is the least number of sockets a server starts with: clients have half of them.
 const minSockets = 64
 
-// Startup is the platform's configuration, checked and in the terms of the program. Its durations are in seconds, as the
-// decision core counts them.
+// Startup is the platform's configuration, checked and in the terms of the program. Its durations
+// are in seconds, as the decision core counts them.
 type Startup struct { // a field's key is the one of the JSON file that sets it
 	Name   string `key:"name"`
 	Listen string `key:"listen"` // address
@@ -32,7 +32,8 @@
 	MemoryBytes int64   `key:"limits"`
 	MaxSockets  int     `key:"limits"`
 
-	// Forwarder tells that requests go on to workers: there is no executor, and no call downstream is made from here.
+	// Forwarder tells that requests go on to workers: there is no executor, and no call downstream
+	// is made from here.
 	Forwarder bool
 
 	Settings                admission.Settings `key:"settings"`
@@ -43,12 +44,13 @@
 	ClassNames              []string           `key:"settings"`
 	Gauges                  []string           `key:"settings"` // that the executor is asked for
 
-	// UnsupportedKeys are the keys of what the settings allow and the executor's protocol has no message for; it is
-	// done without.
+	// UnsupportedKeys are the keys of what the settings allow and the executor's protocol has no
+	// message for; it is done without.
 	UnsupportedKeys []string `key:"settings"`
 }
 
-// Addresses are where the server's dependencies listen, the part of the configuration that may change while serving.
+// Addresses are where the server's dependencies listen, the part of the configuration that may
+// change while serving.
 type Addresses struct {
 	Executor string // "" for a forwarder
 	Registry string
@@ -88,8 +90,8 @@
 	return startup, nil
 }
 
-// Reload reads the configuration again. It returns the addresses that hold now, and the keys whose values have changed
-// since the start although they cannot change while serving.
+// Reload reads the configuration again. It returns the addresses that hold now, and the keys whose
+// values have changed since the start although they cannot change while serving.
 func (s *Startup) Reload(getenv func(string) string) (addresses Addresses, ignored []string, err error) {
 	next, err := load(getenv, s.Forwarder)
 	if err != nil {
--- a/internal/config/startup_test.go
+++ b/internal/config/startup_test.go
@@ -104,7 +104,8 @@
 	}
 }
 
-// What the settings allow and the protocol has no message for is done without: the program starts, and names it.
+// What the settings allow and the protocol has no message for is done without: the program starts,
+// and names it.
 func TestParse_UnsupportedSettingIsNamed(t *testing.T) {
 	for _, word := range []string{"drop", "pause"} {
 		text := replaceIn(t, `"cores":6`, `"cores":6,"preemption":"`+word+`"`)
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -21,8 +21,8 @@
 	maxMemoryMb = 1 << 20
 )
 
-// checkAddresses checks that every dependency has an address. The last tier has no upstream, and a forwarder's workers
-// have an executor and an upstream of their own.
+// checkAddresses checks that every dependency has an address. The last tier has no upstream, and a
+// forwarder's workers have an executor and an upstream of their own.
 func (f *file) checkAddresses(forwarder bool) error {
 	addresses := []struct {
 		key      string
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// checkRanges checks that every number of the settings is from 0 to most, or to what its own tag `most` says, and names
-// the key of the first that is not.
+// checkRanges checks that every number of the settings is from 0 to most, or to what its own tag
+// `most` says, and names the key of the first that is not.
 func checkRanges(key string, v reflect.Value, most float64) error {
 	switch v.Kind() {
 	case reflect.Struct:
@@ -124,7 +124,8 @@
 	return nil
 }
 
-// checkSettings checks what has to be there, the words that name a choice, and what the executor's protocol can't do.
+// checkSettings checks what has to be there, the words that name a choice, and what the executor's
+// protocol can't do.
 func checkSettings(settings *shale.Told, upstream string) error {
 	own := &settings.Own
 	_, knownDownstream := downstreamKinds[own.Below]
--- a/internal/lifecycle/limits.go
+++ b/internal/lifecycle/limits.go
@@ -1,7 +1,9 @@
-// Package lifecycle ties the process to the operating system: the signals that stop it, have it reload its configuration
-// or ask for its statistics, and the limits on processors, memory and open files.
+// Package lifecycle ties the process to the operating system: the signals that stop it, have it
+// reload its configuration or ask for its statistics, and the limits on processors, memory and open
+// files.
 //
-// It holds nothing of the server. The command line calls it at the start, and config asks it for the limit on open files.
+// It holds nothing of the server. The command line calls it at the start, and config asks it for
+// the limit on open files.
 package lifecycle
 
 import (
@@ -11,12 +13,12 @@
 	"syscall"
 )
 
-// pollThreads is how many threads the Go runtime gets beyond the cores: the event loop's wait for input keeps one, and
-// timers must not wait for it.
+// pollThreads is how many threads the Go runtime gets beyond the cores: the event loop's wait for
+// input keeps one, and timers must not wait for it.
 const pollThreads = 1
 
-// The heap's part of the memory, heapNumerator of heapDenominator. The collector works harder from there on; the rest is
-// for stacks, and for what the kernel counts to the process.
+// The heap's part of the memory, heapNumerator of heapDenominator. The collector works harder from
+// there on; the rest is for stacks, and for what the kernel counts to the process.
 const (
 	heapNumerator   = 7
 	heapDenominator = 10
@@ -28,7 +30,8 @@
 	debug.SetMemoryLimit(memoryBytes * heapNumerator / heapDenominator)
 }
 
-// MaxOpenFiles returns how many file descriptors the process may have, and math.MaxInt32 where the system does not tell.
+// MaxOpenFiles returns how many file descriptors the process may have, and math.MaxInt32 where the
+// system does not tell.
 func MaxOpenFiles() int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
--- a/internal/lifecycle/signals.go
+++ b/internal/lifecycle/signals.go
@@ -13,8 +13,8 @@
 	report chan os.Signal // SIGUSR1
 }
 
-// CatchSignals catches the signals from now on; SIGHUP and SIGUSR1 never end the process. One that comes while another
-// of its kind waits counts as that one.
+// CatchSignals catches the signals from now on; SIGHUP and SIGUSR1 never end the process. One that
+// comes while another of its kind waits counts as that one.
 func CatchSignals() Signals {
 	s := Signals{
 		stop:   make(chan os.Signal, 1),
@@ -34,7 +34,8 @@
 	Report func() // log the statistics
 }
 
-// Handle calls the handlers for signals from now on, and for those that were caught before. It returns at once.
+// Handle calls the handlers for signals from now on, and for those that were caught before. It
+// returns at once.
 func (s Signals) Handle(handlers Handlers) {
 	go func() { // apart from the others, as it may wait for the event loop
 		for range s.report {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,7 +1,7 @@
 // Package logging sets up the structured log: lines of key=value words, written by log/slog.
 //
-// An event's name stands under the key "event" and is in snake_case. Any goroutine may log; only a program's start and
-// tests call SetOutput.
+// An event's name stands under the key "event" and is in snake_case. Any goroutine may log; only a
+// program's start and tests call SetOutput.
 package logging
 
 import (
@@ -14,8 +14,8 @@
 // eventKey is the key of an event's name.
 const eventKey = "event"
 
-// SetOutput has all log lines written to out from now on: the time in UTC, the event's name and its attributes. The
-// level is written where it is not the usual one, which is info.
+// SetOutput has all log lines written to out from now on: the time in UTC, the event's name and its
+// attributes. The level is written where it is not the usual one, which is info.
 func SetOutput(out io.Writer) {
 	options := &slog.HandlerOptions{ReplaceAttr: replaceAttribute}
 	slog.SetDefault(slog.New(slog.NewTextHandler(out, options)))
--- a/internal/requesttable/list_pool.go
+++ b/internal/requesttable/list_pool.go
@@ -3,13 +3,15 @@
 const (
 	// newListCapacity is the room of a new list: few connections have more requests open at a time.
 	newListCapacity = 4
-	// maxPooledCapacity bounds the lists kept for use again: one that a burst made longer is left to the collector.
+	// maxPooledCapacity bounds the lists kept for use again: one that a burst made longer is left
+	// to the collector.
 	maxPooledCapacity = 32
 	// maxFreeLists bounds how many of them are kept.
 	maxFreeLists = 256
 )
 
-// ListPool hands out short lists of requests and takes them back. The zero ListPool is empty and ready for use.
+// ListPool hands out short lists of requests and takes them back. The zero ListPool is empty and
+// ready for use.
 type ListPool struct{ free [][]*Request }
 
 // Get returns an empty list.
--- a/internal/requesttable/request.go
+++ b/internal/requesttable/request.go
@@ -1,12 +1,13 @@
 // Package requesttable holds the requests that a server has in hand.
 //
-// A request is in the Table from its arrival until it is answered and its run is over. The table belongs to the event
-// loop, which alone reads and changes it and its requests.
+// A request is in the Table from its arrival until it is answered and its run is over. The table
+// belongs to the event loop, which alone reads and changes it and its requests.
 package requesttable
 
 import "swiftcourse/internal/slottable"
 
-// Request is what the server has to know of a request. All times are in seconds on the server's clock.
+// Request is what the server has to know of a request. All times are in seconds on the server's
+// clock.
 type Request struct {
 	ID            string
 	Connection    slottable.Handle // that it came on
--- a/internal/requesttable/table.go
+++ b/internal/requesttable/table.go
@@ -27,8 +27,8 @@
 	t.byID[request.ID] = request
 }
 
-// RemoveIfDone removes a request that is answered and does not run, and gives its buffers back to the pool. Any other
-// request stays.
+// RemoveIfDone removes a request that is answered and does not run, and gives its buffers back to
+// the pool. Any other request stays.
 func (t *Table) RemoveIfDone(pool *bufferpool.Pool, request *Request) {
 	if !request.Answered || request.Running {
 		return
--- a/internal/resultcache/cache.go
+++ b/internal/resultcache/cache.go
@@ -1,10 +1,12 @@
 // Package resultcache remembers requests and their results for those that repeat them.
 //
-// A repeat has the class and the subject of an earlier request: the same read, or the same idempotency key. It gets the
-// result of the earlier one, or waits for it, instead of running again. Results take a bounded number of bytes; that a
-// request which may run only once did run is remembered for its whole deduplication window, also without its result.
+// A repeat has the class and the subject of an earlier request: the same read, or the same
+// idempotency key. It gets the result of the earlier one, or waits for it, instead of running
+// again. Results take a bounded number of bytes; that a request which may run only once did run is
+// remembered for its whole deduplication window, also without its result.
 //
-// A Cache belongs to the event loop, which alone calls it. It has no clock: all times are in seconds on the caller's.
+// A Cache belongs to the event loop, which alone calls it. It has no clock: all times are in
+// seconds on the caller's.
 package resultcache
 
 import (
@@ -24,8 +26,8 @@
 	seed        maphash.Seed
 }
 
-// New returns an empty cache that holds at most maxBytes of results. Where there would be more the oldest go, and their
-// repeats fail.
+// New returns an empty cache that holds at most maxBytes of results. Where there would be more the
+// oldest go, and their repeats fail.
 func New(maxBytes int) *Cache {
 	return &Cache{
 		byKey:    map[key]*entry{},
@@ -38,9 +40,10 @@
 // Len returns the number of entries.
 func (c *Cache) Len() int { return len(c.byID) }
 
-// Track adds a request that repeats may refer to until expiresAt, or gives its entry that lifetime. It takes the subject
-// over from an earlier request. If runsOnce is set, repeats are told of it for its whole lifetime however it ends, unless
-// it ends without having run. A request without a subject is ignored.
+// Track adds a request that repeats may refer to until expiresAt, or gives its entry that lifetime.
+// It takes the subject over from an earlier request. If runsOnce is set, repeats are told of it for
+// its whole lifetime however it ends, unless it ends without having run. A request without a
+// subject is ignored.
 func (c *Cache) Track(request *requesttable.Request, expiresAt float64, runsOnce bool) {
 	if request.Subject == "" {
 		return
@@ -58,8 +61,8 @@
 	})
 }
 
-// Import adds the result of a request that ran on another server, for those that repeat it until expiresAt, and returns
-// the ID of its entry.
+// Import adds the result of a request that ran on another server, for those that repeat it until
+// expiresAt, and returns the ID of its entry.
 func (c *Cache) Import(request *requesttable.Request, result []byte, expiresAt float64) (id string) {
 	e := &entry{
 		key:       keyOf(request),
@@ -92,13 +95,17 @@
 // Original returns the ID of the request that one with this class and subject repeats, or "".
 func (c *Cache) Original(class int, subject string, arrivedAt, now float64) (id string) {
 	e := c.byKey[key{class, subject}]
-	if subject == "" || e == nil || arrivedAt > e.expiresAt || e.state == Missing || !e.isFresh(now) {
+	if subject == "" || e == nil || e.state == Missing {
+		return ""
+	}
+	if arrivedAt > e.expiresAt || !e.isFresh(now) {
 		return ""
 	}
 	return e.id
 }
 
-// IsConflicting reports whether a request has the idempotency key of another one with a different body.
+// IsConflicting reports whether a request has the idempotency key of another one with a different
+// body.
 func (c *Cache) IsConflicting(class int, subject string, body []byte, arrivedAt float64) bool {
 	e := c.byKey[key{class, subject}]
 	if e == nil || !e.runsOnce || arrivedAt > e.expiresAt || e.state == Missing {
@@ -107,8 +114,8 @@
 	return e.bodyHash != c.hash(body)
 }
 
-// LookupOrWait returns the state and the result of the request that this one repeats. Where that is pending, Finish will
-// list this request among those that wait.
+// LookupOrWait returns the state and the result of the request that this one repeats. Where that is
+// pending, Finish will list this request among those that wait.
 func (c *Cache) LookupOrWait(request *requesttable.Request, now float64) ([]byte, State) {
 	e := c.byKey[keyOf(request)]
 	if e == nil || !e.isFresh(now) {
@@ -130,26 +137,26 @@
 
 // Finish notes how a request ended and returns the IDs of those that wait for its result.
 func (c *Cache) Finish(id string, outcome Outcome) (waiting []string) {
-	e := c.byID[id]
-	if e == nil || e.state != Pending {
+	finished := c.byID[id]
+	if finished == nil || finished.state != Pending {
 		return nil
 	}
-	waiting = e.waiting
-	e.waiting = nil
-	e.state = Missing
+	waiting = finished.waiting
+	finished.waiting = nil
+	finished.state = Missing
 	switch {
 	case outcome.Success:
-		e.freshTo = outcome.FreshTo
-		c.storeResult(e, outcome.Result)
-	case e.runsOnce && outcome.Ran:
-		e.state = Unrepeatable
-	case e.runsOnce: // it never ran, so the next try may
+		finished.freshTo = outcome.FreshTo
+		c.storeResult(finished, outcome.Result)
+	case finished.runsOnce && outcome.Ran:
+		finished.state = Unrepeatable
+	case finished.runsOnce: // it never ran, so the next try may
 		c.Remove(id)
 		return waiting
 	}
-	if c.byKey[e.key] != e { // it was removed or replaced while others waited
+	if c.byKey[finished.key] != finished { // it was removed or replaced while others waited
 		delete(c.byID, id)
-		c.dropResult(e)
+		c.dropResult(finished)
 	}
 	return waiting
 }
@@ -172,7 +179,8 @@
 	c.byID[e.id] = e
 }
 
-// storeResult gives an entry its result; the oldest results go where all together would be too much.
+// storeResult gives an entry its result; the oldest results go where all together would be too
+// much.
 func (c *Cache) storeResult(e *entry, result []byte) {
 	e.state = Available
 	e.result = append(make([]byte, 0, len(result)), result...)
@@ -196,7 +204,8 @@
 	e.state = e.stateWithoutResult()
 }
 
-// sizeOf is what a result counts towards the bound: one byte more than it has, so that empty ones are bounded too.
+// sizeOf is what a result counts towards the bound: one byte more than it has, so that empty ones
+// are bounded too.
 func sizeOf(result []byte) int { return len(result) + 1 }
 
 func (c *Cache) hash(body []byte) uint64 { return maphash.Bytes(c.seed, body) }
--- a/internal/slottable/free_index.go
+++ b/internal/slottable/free_index.go
@@ -5,8 +5,8 @@
 // wordBits is the number of bits of a word of the free index.
 const wordBits = 64
 
-// freeIndex finds the lowest chunk with a free entry. Its lowest level has a bit for each such chunk, and a level above
-// it a bit for each word of the level below that is not 0.
+// freeIndex finds the lowest chunk with a free entry. Its lowest level has a bit for each such
+// chunk, and a level above it a bit for each word of the level below that is not 0.
 type freeIndex [3][]uint64
 
 // lowest returns the first chunk whose bit is set, or none where no bit is.
--- a/internal/slottable/table.go
+++ b/internal/slottable/table.go
@@ -1,13 +1,15 @@
 // Package slottable provides a table whose entries are found by generational handles.
 //
-// Entries stay where they are in memory, so pointers to them hold until they are removed, and an entry's slot is a small
-// number that other structures can use as an index. A Table belongs to one goroutine.
+// Entries stay where they are in memory, so pointers to them hold until they are removed, and an
+// entry's slot is a small number that other structures can use as an index. A Table belongs to one
+// goroutine.
 package slottable
 
 import "math/bits"
 
-// chunkSize is how many entries are allocated together: few enough that a small server holds no more than it uses, many
-// enough that the garbage collector has a hundredth of the objects to look at. It is the number of bits of a word.
+// chunkSize is how many entries are allocated together: few enough that a small server holds no
+// more than it uses, many enough that the garbage collector has a hundredth of the objects to look
+// at. It is the number of bits of a word.
 const chunkSize = 64
 
 // fullChunk is the occupied bits of a chunk without a free entry.
@@ -27,9 +29,9 @@
 // generation returns the number of the entry among all that were ever added.
 func (h Handle) generation() uint32 { return uint32(h >> 32) }
 
-// Table holds entries of type T. Adding, finding and removing cost the same however many there are. The lowest free slot
-// is used first and chunks without an entry are let go, so the table shrinks after a peak. The zero Table is empty and
-// ready for use.
+// Table holds entries of type T. Adding, finding and removing cost the same however many there are.
+// The lowest free slot is used first and chunks without an entry are let go, so the table shrinks
+// after a peak. The zero Table is empty and ready for use.
 type Table[T any] struct {
 	chunks []*chunk[T] // nil where no entry is
 	spare  *chunk[T]   // one chunk without an entry, against allocating and dropping one over and over
@@ -50,23 +52,23 @@
 
 // Add makes an entry of the zero T and returns its handle and a pointer to it.
 func (t *Table[T]) Add() (Handle, *T) {
-	at := t.free.lowest(len(t.chunks))
-	if at == len(t.chunks) {
+	chunkIndex := t.free.lowest(len(t.chunks))
+	if chunkIndex == len(t.chunks) {
 		t.chunks = append(t.chunks, nil)
 	}
-	c := t.chunks[at]
+	c := t.chunks[chunkIndex]
 	if c == nil {
-		c = t.allocate(at)
+		c = t.allocate(chunkIndex)
 	}
 	within := bits.TrailingZeros64(^c.occupied)
 	c.occupied |= 1 << within
 	if c.occupied == fullChunk {
-		t.free.set(at, false)
+		t.free.set(chunkIndex, false)
 	}
 	t.latest++
 	c.generations[within] = t.latest
 	t.count++
-	return newHandle(at*chunkSize+within, t.latest), &c.entries[within]
+	return newHandle(chunkIndex*chunkSize+within, t.latest), &c.entries[within]
 }
 
 // allocate gives a place in the list of chunks a chunk without an entry.
@@ -137,7 +139,8 @@
 	}
 }
 
-// ForEach calls visit for every entry, in the order of their slots. It may remove the entry that it is called for.
+// ForEach calls visit for every entry, in the order of their slots. It may remove the entry that it
+// is called for.
 func (t *Table[T]) ForEach(visit func(Handle, *T)) {
 	for at := 0; at < len(t.chunks); at++ {
 		for within := 0; at < len(t.chunks) && t.chunks[at] != nil && within < chunkSize; within++ {
--- a/internal/timerwheel/advance.go
+++ b/internal/timerwheel/advance.go
@@ -1,12 +1,13 @@
 package timerwheel
 
-// movesPerCallback is how many timers Advance may move down a level, at some 20 ns each, for one callback, which takes a
-// microsecond and more. It bounds a call in which a slot of a high level, with all that is due in the next hours, is
-// emptied.
+// movesPerCallback is how many timers Advance may move down a level, at some 20 ns each, for one
+// callback, which takes a microsecond and more. It bounds a call in which a slot of a high level,
+// with all that is due in the next hours, is emptied.
 const movesPerCallback = 32
 
-// Advance calls the callbacks that are due at now, at most limit of them, and reports whether all were called; the rest
-// go first at the next call. What a callback schedules or reschedules waits for the next call, also if it is due.
+// Advance calls the callbacks that are due at now, at most limit of them, and reports whether all
+// were called; the rest go first at the next call. What a callback schedules or reschedules waits
+// for the next call, also if it is due.
 func (w *Wheel) Advance(now float64, limit int) (complete bool) {
 	w.advancing = true
 	w.now = now
@@ -61,7 +62,8 @@
 	}
 }
 
-// step moves elapsed to the next slot that starts by until and begins to empty it. It reports whether there was one.
+// step moves elapsed to the next slot that starts by until and begins to empty it. It reports
+// whether there was one.
 func (w *Wheel) step(until int64) bool {
 	first, ok := w.firstOccupied()
 	if !ok || first.start > until {
--- a/internal/timerwheel/heap.go
+++ b/internal/timerwheel/heap.go
@@ -1,6 +1,7 @@
 package timerwheel
 
-// heapArity is the number of children of a node of the heap: four make it half as deep as two and fit a cache line.
+// heapArity is the number of children of a node of the heap: four make it half as deep as two and
+// fit a cache line.
 const heapArity = 4
 
 // push adds an entry to the heap.
--- a/internal/timerwheel/model_test.go
+++ b/internal/timerwheel/model_test.go
@@ -43,7 +43,8 @@
 	return ids
 }
 
-// drawTime draws times of every distance, many of them equal, some in the past, and now and then the end of time.
+// drawTime draws times of every distance, many of them equal, some in the past, and now and then
+// the end of time.
 func drawTime(t *rapid.T, now float64) float64 {
 	switch rapid.IntRange(0, 9).Draw(t, "distance") {
 	case 0:
@@ -105,7 +106,8 @@
 	}
 }
 
-// schedule adds a timer whose callback reschedules it chain times, for times that may be in the past.
+// schedule adds a timer whose callback reschedules it chain times, for times that may be in the
+// past.
 func (c *comparison) schedule(when float64, chain int) {
 	id := len(c.timers)
 	c.timers = append(c.timers, Timer{})
@@ -141,13 +143,15 @@
 	}
 }
 
-// advance calls Advance once and requires what the model has due, in its order and within the limit.
+// advance calls Advance once and requires what the model has due, in its order and within the
+// limit.
 func (c *comparison) advance() {
 	limit := rapid.SampledFrom([]int{1, 7, 1000}).Draw(c.T, "limit")
 	c.called = nil
 	want := c.model.due(c.now)
 	complete := c.wheel.Advance(c.now, limit)
-	if complete != (len(c.called) == len(want)) || len(c.called) > limit || !slices.Equal(c.called, want[:len(c.called)]) {
+	inOrder := len(c.called) <= limit && slices.Equal(c.called, want[:len(c.called)])
+	if complete != (len(c.called) == len(want)) || !inOrder {
 		c.Fatalf("at %v called %v, complete %t, want %v", c.now, c.called, complete, want)
 	}
 	for _, id := range c.called {
@@ -168,7 +172,8 @@
 	}
 }
 
-// finish calls Advance at each NextWakeup, which has to come to every timer's end in a bounded number of calls.
+// finish calls Advance at each NextWakeup, which has to come to every timer's end in a bounded
+// number of calls.
 func (c *comparison) finish() {
 	for calls := 0; len(c.model.timers) > 0 && c.model.timers[0].when < math.Inf(1); calls++ {
 		c.now = max(c.now, c.wheel.NextWakeup())
@@ -183,7 +188,8 @@
 	}
 }
 
-// requireNext takes a timer that was called out of the model, and requires that none before it has an earlier time.
+// requireNext takes a timer that was called out of the model, and requires that none before it has
+// an earlier time.
 func (c *comparison) requireNext(id int) {
 	timers := c.model.timers
 	i := indexOf(timers, id)
--- a/internal/timerwheel/placement.go
+++ b/internal/timerwheel/placement.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// insert gives an entry a time and a place. One that is due while callbacks run waits until they are over, so that no
-// callback can keep Advance from ending.
+// insert gives an entry a time and a place. One that is due while callbacks run waits until they
+// are over, so that no callback can keep Advance from ending.
 func (w *Wheel) insert(index int32, when float64) {
 	e := &w.entries[index]
 	w.sequence++
@@ -43,8 +43,8 @@
 	w.place(index)
 }
 
-// place puts an entry into the heap if its tick has come, and otherwise into the wheel, on the level of the highest bit
-// in which its tick differs from elapsed.
+// place puts an entry into the heap if its tick has come, and otherwise into the wheel, on the
+// level of the highest bit in which its tick differs from elapsed.
 func (w *Wheel) place(index int32) {
 	e := &w.entries[index]
 	at := tick(e.when)
@@ -93,23 +93,23 @@
 
 // unlink takes an entry out of the list of its slot.
 func (w *Wheel) unlink(index int32) {
-	e := &w.entries[index]
-	list := &w.lists[e.slot]
-	if e.prev > 0 {
-		w.entries[e.prev-1].next = e.next
+	removed := &w.entries[index]
+	list := &w.lists[removed.slot]
+	if removed.prev > 0 {
+		w.entries[removed.prev-1].next = removed.next
 	} else {
-		list.first = e.next
+		list.first = removed.next
 	}
-	if e.next > 0 {
-		w.entries[e.next-1].prev = e.prev
+	if removed.next > 0 {
+		w.entries[removed.next-1].prev = removed.prev
 	} else {
-		list.last = e.prev
+		list.last = removed.prev
 	}
 	if list.first > 0 {
 		return
 	}
-	w.occupied[e.slot/slotsPerLevel] &^= 1 << (e.slot % slotsPerLevel)
-	if w.draining == e.slot+1 {
+	w.occupied[removed.slot/slotsPerLevel] &^= 1 << (removed.slot % slotsPerLevel)
+	if w.draining == removed.slot+1 {
 		w.draining = 0
 	}
 }
--- a/internal/timerwheel/wheel.go
+++ b/internal/timerwheel/wheel.go
@@ -1,11 +1,12 @@
 // Package timerwheel keeps callbacks that are due at a given time.
 //
-// A Wheel is a hierarchical timing wheel (Varghese and Lauck, "Hashed and Hierarchical Timing Wheels", 1987). It starts
-// no goroutine and reads no clock: its owner, one goroutine such as an event loop, passes the time and calls Advance.
-// All times are in seconds, 0 or more, on any clock that the owner chooses.
+// A Wheel is a hierarchical timing wheel (Varghese and Lauck, "Hashed and Hierarchical Timing
+// Wheels", 1987). It starts no goroutine and reads no clock: its owner, one goroutine such as an
+// event loop, passes the time and calls Advance. All times are in seconds, 0 or more, on any clock
+// that the owner chooses.
 //
-// The package is split by concern: this file has the operations on timers, advance.go runs what is due, placement.go
-// says where a timer is kept, and heap.go orders those that are next.
+// The package is split by concern: this file has the operations on timers, advance.go runs what is
+// due, placement.go says where a timer is kept, and heap.go orders those that are next.
 package timerwheel
 
 import (
@@ -13,16 +14,19 @@
 	"math/bits"
 )
 
-// The geometry of the wheel. A level has one slot for each value of six bits of the time in ticks, so finding the next
-// slot is one instruction on a word; eleven levels cover every time there is, so no timer needs a second place.
+// The geometry of the wheel. A level has one slot for each value of six bits of the time in ticks,
+// so finding the next slot is one instruction on a word; eleven levels cover every time there is,
+// so no timer needs a second place.
 const (
 	levelBits     = 6
 	slotsPerLevel = 1 << levelBits
 	levels        = 11
-	// ticksPerSecond makes the slots of the lowest level a millisecond wide, which is as finely as the Go runtime wakes
-	// a loop: what falls into one of them is put in exact order only when it is next.
+	// ticksPerSecond makes the slots of the lowest level a millisecond wide, which is as finely as
+	// the Go runtime wakes a loop: what falls into one of them is put in exact order only when it
+	// is next.
 	ticksPerSecond = 1024
-	// maxExamined bounds how many timers of one slot NextWakeup looks at for the exact time of the first.
+	// maxExamined bounds how many timers of one slot NextWakeup looks at for the exact time of the
+	// first.
 	maxExamined = 64
 	// maxSpareEntries bounds the memory kept for later timers once all timers are gone.
 	maxSpareEntries = 4096
@@ -53,12 +57,12 @@
 	inDeferred int32 = -4 // scheduled for a time in the past while Advance runs
 )
 
-// Wheel holds timers. Scheduling, rescheduling and cancelling cost the same however many timers there are, and
-// rescheduling allocates nothing. Callbacks run in the order of their times and, among equal times, in the order in
-// which they were scheduled.
+// Wheel holds timers. Scheduling, rescheduling and cancelling cost the same however many timers
+// there are, and rescheduling allocates nothing. Callbacks run in the order of their times and,
+// among equal times, in the order in which they were scheduled.
 //
-// The zero Wheel is empty and ready for use. The time passed to Advance may stand still or leap forward; one that goes
-// back counts as the latest it was.
+// The zero Wheel is empty and ready for use. The time passed to Advance may stand still or leap
+// forward; one that goes back counts as the latest it was.
 type Wheel struct {
 	entries   []entry
 	firstFree int32 // counted from 1, 0 for none
@@ -93,8 +97,8 @@
 	return Timer{position: index + 1, generation: e.generation}
 }
 
-// Reschedule gives a timer another time, as if it were scheduled now, and reports whether there was such a timer. A
-// callback may reschedule its own timer, which keeps its identity.
+// Reschedule gives a timer another time, as if it were scheduled now, and reports whether there was
+// such a timer. A callback may reschedule its own timer, which keeps its identity.
 func (w *Wheel) Reschedule(timer Timer, when float64) bool {
 	index, ok := w.find(timer)
 	if !ok {
@@ -126,8 +130,9 @@
 	return ok
 }
 
-// NextWakeup returns a time at which Advance should be called: that of the first timer, or an earlier one where that
-// timer is far away or shares its slot with many. It is infinite where there is no timer.
+// NextWakeup returns a time at which Advance should be called: that of the first timer, or an
+// earlier one where that timer is far away or shares its slot with many. It is infinite where there
+// is no timer.
 func (w *Wheel) NextWakeup() float64 {
 	next := math.Inf(1)
 	if len(w.imminent) > 0 {
@@ -156,8 +161,8 @@
 	start int64
 }
 
-// firstOccupied finds the first slot that is not empty. The slots of a level are all ahead of elapsed, within one turn
-// of that level.
+// firstOccupied finds the first slot that is not empty. The slots of a level are all ahead of
+// elapsed, within one turn of that level.
 func (w *Wheel) firstOccupied() (first occupiedSlot, ok bool) {
 	for level := range int32(levels) {
 		occupied := w.occupied[level]
@@ -176,7 +181,8 @@
 	return occupiedSlot{}, false
 }
 
-// earliestOf returns the earliest time in a slot, or the slot's start where looking at all its timers would take long.
+// earliestOf returns the earliest time in a slot, or the slot's start where looking at all its
+// timers would take long.
 func (w *Wheel) earliestOf(slot occupiedSlot) float64 {
 	earliest := math.Inf(1)
 	position := w.lists[slot.slot].first
--- a/internal/timewindow/buckets.go
+++ b/internal/timewindow/buckets.go
@@ -1,11 +1,12 @@
-// Package timewindow keeps what is measured over time: sliding windows of buckets, histograms of durations, minima of the
-// last seconds, token buckets, and names that expire.
+// Package timewindow keeps what is measured over time: sliding windows of buckets, histograms of
+// durations, minima of the last seconds, token buckets, and names that expire.
 //
-// Nothing here reads a clock: the caller passes the time, in seconds from 0 up, which never goes back. A value belongs to
-// one goroutine.
+// Nothing here reads a clock: the caller passes the time, in seconds from 0 up, which never goes
+// back. A value belongs to one goroutine.
 package timewindow
 
-// Buckets is a sliding window: the latest buckets of equal width, whose memory is used again in a ring.
+// Buckets is a sliding window: the latest buckets of equal width, whose memory is used again in a
+// ring.
 type Buckets[T any] struct {
 	width   float64
 	buckets []T
@@ -21,7 +22,8 @@
 	}
 }
 
-// Current returns the bucket that now falls in, after the buckets that have left the window were set to zero.
+// Current returns the bucket that now falls in, after the buckets that have left the window were
+// set to zero.
 func (b *Buckets[T]) Current(now float64) *T {
 	number := int64(now / b.width)
 	size := int64(len(b.buckets))
--- a/internal/timewindow/expiring_names.go
+++ b/internal/timewindow/expiring_names.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// ExpiringNames is a list of names, each of which expires at its own time. A name may be in it more than once.
+// ExpiringNames is a list of names, each of which expires at its own time. A name may be in it more
+// than once.
 type ExpiringNames []expiringName
 
 type expiringName struct {
--- a/internal/timewindow/histogram.go
+++ b/internal/timewindow/histogram.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// The bins of a Histogram: from 1 ms up, three to a doubling, so the last one begins at about a minute.
+// The bins of a Histogram: from 1 ms up, three to a doubling, so the last one begins at about a
+// minute.
 const (
 	bins            = 48
 	binsPerDoubling = 3
@@ -10,7 +11,8 @@
 	leastDuration   = 1e-6 // what shorter durations count as, so that their logarithm is finite
 )
 
-// Histogram counts durations in bins of exponential width and adds them up. The zero Histogram is empty.
+// Histogram counts durations in bins of exponential width and adds them up. The zero Histogram is
+// empty.
 type Histogram struct {
 	Count   int
 	Sum     float64 // seconds
@@ -49,7 +51,8 @@
 	return h.Sum / float64(h.Count)
 }
 
-// Median returns the middle of the bin that the middle duration is in, in seconds, or 0 where there is none.
+// Median returns the middle of the bin that the middle duration is in, in seconds, or 0 where there
+// is none.
 func (h *Histogram) Median() float64 {
 	remaining := h.Count / 2
 	for i, n := range h.bins {
--- a/internal/timewindow/token_bucket.go
+++ b/internal/timewindow/token_bucket.go
@@ -1,6 +1,7 @@
 package timewindow
 
-// TokenBucket bounds a rate: it gains Rate tokens a second up to Capacity, and each event takes one.
+// TokenBucket bounds a rate: it gains Rate tokens a second up to Capacity, and each event takes
+// one.
 type TokenBucket struct {
 	Rate      float64 // tokens a second
 	Capacity  float64 // tokens
@@ -13,7 +14,8 @@
 	return TokenBucket{Rate: rate, Capacity: capacity, tokens: capacity}
 }
 
-// SetRate changes the rate and the capacity from now on. The tokens that are there stay, up to the new capacity.
+// SetRate changes the rate and the capacity from now on. The tokens that are there stay, up to the
+// new capacity.
 func (b *TokenBucket) SetRate(now, rate, capacity float64) {
 	b.refill(now)
 	b.Rate = rate
