--- a/internal/policy/release/order.go
+++ b/internal/policy/release/order.go
@@ -47,7 +47,7 @@
 	Epoch      Epoch
 	Digest     string  // of Text and Build, see Digest
 	Author     string  // who released it
-	ReleasedAt float64 // when, in Unix seconds by the author's clock: for people, nothing is decided by it
+	ReleasedAt float64 `json:"At"` // when, in Unix seconds by the author's clock: for people, nothing is decided by it
 	Text       string  // in its canonical form; "" leaves each server to its own file
 	Build      string  // of the program that it is meant for, "" for any
 }
@@ -105,23 +105,24 @@
 	Kind          Kind
 	ID            uint64       // drawn by who asks; a repeat of the latest from the same author changes nothing and succeeds
 	Author        string       // all
-	IssuedAt      float64      // all: Unix seconds, for people
-	ExpectedEpoch Epoch        // Release, Widen, Revert, Lift: the newest that the author knew; another one refuses it
+	IssuedAt      float64      `json:"At"` // all: Unix seconds, for people
+	ExpectedEpoch Epoch        `json:"On"` // Release, Widen, Revert, Lift: the newest that the author knew; another one refuses it
 	Text          string       // Release
 	Build         string       // Release
 	Digest        string       // Release
 	Waves         []float64    // Release: parts of the fleet, rising, the last below 1 or 1; none for all at once
 	Name          string       // Hold, Shut, Admit, Forget
-	Incarnation   uint64       // Hold; Shut, Forget: 0 for any
-	Previous      uint64       // Hold: the life that had the name, 0 for nobody. Lift: the founding that epochs go on from
-	Reason        string       // Shut, Revert
-	CounterRows   []CounterRow // Close
+	Incarnation   uint64       `json:"Life"` // Hold; Shut, Forget: 0 for any
+	Previous      uint64       `json:"Was"`  // Hold: the life that had the name, 0 for nobody. Lift: the founding that epochs go on from
+	Reason        string       `json:"Why"`  // Shut, Revert
+	CounterRows   []CounterRow `json:"Rows"` // Close
 }
 
 // CounterRow is what one server counted, see internal/judge/shared/counts, as it was told under a number.
 type CounterRow struct {
-	ID, Sequence uint64
-	Cells        []serving.CounterCell // none where only the numbers matter
+	ID       uint64                `json:"Row"`
+	Sequence uint64                `json:"Number"`
+	Cells    []serving.CounterCell // none where only the numbers matter
 }
 
 // Entry is what is kept of a version once it is over.
@@ -129,35 +130,35 @@
 	Epoch      Epoch
 	Digest     string
 	Author     string
-	ReleasedAt float64
-	Outcome    string // what became of it
+	ReleasedAt float64 `json:"At"`
+	Outcome    string  `json:"Fate"` // what became of it
 }
 
 // Ejection tells why a name is shut out.
 type Ejection struct {
-	Incarnation uint64 // 0 where every life of that name is
-	Author      string
-	Reason      string
-	Epoch       Epoch // what held then
-	EjectedAt   float64
+	Incarnation uint64  `json:"Life"` // 0 where every life of that name is
+	Author      string  `json:"By"`
+	Reason      string  `json:"Why"`
+	Epoch       Epoch   `json:"On"` // what held then
+	EjectedAt   float64 `json:"At"`
 }
 
 // Log is what the committed commands come to. All copies that applied the same commands are equal; Apply is its only change.
 type Log struct {
-	AppliedCount   uint64 // of the commands applied, refused ones too, over all foundings
-	Current        Version
-	Previous       *Version  // what Base followed, for rolling back, nil where nothing is kept
-	Next           *Version  // on its way in waves, nil where none is
-	Waves          []float64 // of Next
-	WaveIndex      int       // that Next has reached
-	WaveLimit      uint32    // whose point is at most this acts on Next
-	History        []Entry   // the latest, oldest first
-	Members        map[string]uint64
-	Ejected        map[string]Ejection
-	LastCommandIDs map[string]uint64     // the latest command of each author, see Command.ID
-	Voters         map[uint64]string     // the voters' lives, by name
-	ClosedRows     []CounterRow          // the latest rows of counts that are over, without their cells, oldest first
-	ClosedTotals   []serving.CounterCell // what those rows came to, in the order of cells
+	AppliedCount   uint64                `json:"Count"` // of the commands applied, refused ones too, over all foundings
+	Current        Version               `json:"Base"`
+	Previous       *Version              `json:"Prior"` // what Base followed, for rolling back, nil where nothing is kept
+	Next           *Version              // on its way in waves, nil where none is
+	Waves          []float64             // of Next
+	WaveIndex      int                   `json:"Wave"` // that Next has reached
+	WaveLimit      uint32                `json:"Upto"` // whose point is at most this acts on Next
+	History        []Entry               `json:"Past"` // the latest, oldest first
+	Members        map[string]uint64     `json:"Holds"`
+	Ejected        map[string]Ejection   `json:"Out"`
+	LastCommandIDs map[string]uint64     `json:"Done"`  // the latest command of each author, see Command.ID
+	Voters         map[uint64]string     `json:"Seats"` // the voters' lives, by name
+	ClosedRows     []CounterRow          `json:"Over"`  // the latest rows of counts that are over, without their cells, oldest first
+	ClosedTotals   []serving.CounterCell `json:"Sums"`  // what those rows came to, in the order of cells
 }
 
 // BootstrapLog makes the first order of a founding from the newest that anybody knew, the zero Order where nobody knew any. What was on its way is
