--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -15,7 +15,8 @@
 	issue string
 }
 
-// parseList reads the lines of KNOWN-RED.txt: "package.Test, cause, issue". Empty lines and lines that begin with # are skipped.
+// parseList reads the lines of KNOWN-RED.txt: "package.Test, cause, issue". Empty lines and lines
+// that begin with # are skipped.
 func parseList(text string) ([]knownFailure, error) {
 	var list []knownFailure
 	for index, line := range strings.Split(text, "\n") {
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,6 +1,6 @@
-// Command knownred decides whether CI passes on the output of the test command. It passes over the tests that KNOWN-RED.txt
-// lists and prints them; it fails on any other test that failed, on a listed test that passed or did not run, and on more
-// than three lines.
+// Command knownred decides whether CI passes on the output of the test command. It passes over the
+// tests that KNOWN-RED.txt lists and prints them; it fails on any other test that failed, on a
+// listed test that passed or did not run, and on more than three lines.
 package main
 
 import (
--- a/internal/knownred/verdict.go
+++ b/internal/knownred/verdict.go
@@ -16,7 +16,8 @@
 	packageLine = regexp.MustCompile(`^(ok|FAIL)\s+(\S+)`)
 )
 
-// verdict is the outcome of a test as `go test -v` prints it; the empty verdict is that of a test that was not run.
+// verdict is the outcome of a test as `go test -v` prints it; the empty verdict is that of a test
+// that was not run.
 type verdict string
 
 const (
@@ -59,8 +60,9 @@
 	panicLine string
 }
 
-// check reads what `go test -v` printed of all packages. It returns an error that joins each test that failed and is not
-// known to, each known failure that passed or did not run, and each package that ended without a failed test.
+// check reads what `go test -v` printed of all packages. It returns an error that joins each test
+// that failed and is not known to, each known failure that passed or did not run, and each package
+// that ended without a failed test.
 func check(known []knownFailure, output string) error {
 	reader := outputReader{known: known, verdicts: map[string]verdict{}}
 	lines := bufio.NewScanner(strings.NewReader(output))
--- a/internal/knownred/verdict_test.go
+++ b/internal/knownred/verdict_test.go
@@ -7,11 +7,14 @@
 
 const (
 	good = "=== RUN   TestA\n--- PASS: TestA (0.00s)\nPASS\nok  \tm/a\t0.1s\n?   \tm/none\t[no test files]\n"
-	bad  = "=== RUN   TestB\n    b_test.go:3: no\n--- FAIL: TestB (0.10s)\n=== RUN   TestC\n--- PASS: TestC (0.00s)\nFAIL\nFAIL\tm/b\t0.1s\nFAIL\n"
+	bad  = "=== RUN   TestB\n    b_test.go:3: no\n--- FAIL: TestB (0.10s)\n=== RUN   TestC\n--- PASS: TestC (0.00s)\n" +
+		"FAIL\nFAIL\tm/b\t0.1s\nFAIL\n"
 )
 
 func TestCheck(t *testing.T) {
 	const knownB = "m/b.TestB, a race, 33"
+	skipped := strings.ReplaceAll(good, "PASS: ", "SKIP: ")
+	panicked := "--- FAIL: TestB (0.10s)\npanic: no [recovered]\nFAIL\tm/b\t0.1s\n"
 	cases := []struct {
 		name   string
 		list   string // KNOWN-RED.txt
@@ -24,9 +27,9 @@
 		{"a known one and another", knownB, good + bad + strings.ReplaceAll(bad, "m/b", "m/d"), "m/d.TestB failed"},
 		{"a known one passes", "m/a.TestA, a race, 33", good, "m/a.TestA, which has passed"},
 		{"a known one is gone", "m/a.TestZ, a race, 33", good, "m/a.TestZ, which has not run"},
-		{"a known one is skipped", "m/a.TestA, a race, 33", strings.ReplaceAll(good, "PASS: ", "SKIP: "), "been skipped"},
+		{"a known one is skipped", "m/a.TestA, a race, 33", skipped, "been skipped"},
 		{"of another package", "m/a.TestB, a race, 33", good + bad, "m/b.TestB failed"},
-		{"a panic", knownB, "--- FAIL: TestB (0.10s)\npanic: no [recovered]\nFAIL\tm/b\t0.1s\n", "ended before its tests did"},
+		{"a panic", knownB, panicked, "ended before its tests did"},
 		{"no build", "", "# m/b\nx.go:1: no\nFAIL\tm/b [build failed]\nFAIL\n", "none of its tests"},
 		{"nothing", "", "", "no package"},
 		{"four lines", strings.Repeat(knownB+"\n", 4), good + bad, "4 lines"},
