--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -357,7 +357,7 @@
 			})
 		}
 	}
-	f.await(t, "it is rolled back", f.hasSaid("", "fleet_order", "command", "revert"))
+	f.await(t, "it is rolled back", f.hasSaid("", "fleet_order", "command", "rollback"))
 	stop()
 	callers.Wait()
 	f.await(t, "all act on the version after it", func() bool {
--- a/internal/lab/versions/versions.go
+++ b/internal/lab/versions/versions.go
@@ -294,7 +294,7 @@
 	from := time.Now()
 	faults.Until(healIn, func() bool {
 		for _, s := range r.fleet.Said("", "fleet_order")[before:] {
-			if s.Fields["command"] == "shut" && s.Fields["name"] == last && s.Fields["refused"] == "<nil>" {
+			if s.Fields["command"] == "eject" && s.Fields["name"] == last && s.Fields["refused"] == "<nil>" {
 				r.row.ShutOutAfter = 1000 * s.At.Sub(from).Seconds()
 				return true
 			}
@@ -366,14 +366,14 @@
 		name := s.Fields["name"]
 		switch {
 		case s.Fields["refused"] != "<nil>":
-		case s.Fields["command"] == "shut":
+		case s.Fields["command"] == "eject":
 			if _, known := out[name]; !known {
 				out[name] = s.At
 			}
-		case s.Fields["command"] == "admit":
+		case s.Fields["command"] == "readmit":
 			delete(out, name)
 		}
-		if at, is := out[name]; is && s.Fields["command"] == "shut" {
+		if at, is := out[name]; is && s.Fields["command"] == "eject" {
 			stances := r.fleet.Said(name, "stance")
 			last := "serve"
 			for _, st := range stances {
--- a/internal/policy/release/harm.go
+++ b/internal/policy/release/harm.go
@@ -2,42 +2,50 @@
 
 import "math"
 
-// ErrorTally is what a group of servers did since a release began: tasks that had an end, and of these the ones rejected or abandoned.
-type ErrorTally struct{ Completed, Failed float64 }
+// RolloutPolicy says how a rollout advances and halts without an operator.
+type RolloutPolicy struct {
+	WaveSeconds    float64 // how long a wave lasts at least once all its servers act on the release, in seconds
+	HaltConfidence float64 // how sure harm has to be for a halt, from 0 to 1; above 1 nothing halts a rollout
+}
+
+// ErrorTally counts how requests ended at a group of servers since a release began.
+type ErrorTally struct {
+	Completed float64 // requests that ended in any way
+	Failed    float64 // of these, the rejected and the abandoned ones
+}
 
-// Add puts two tolls together.
-func (t ErrorTally) Add(o ErrorTally) ErrorTally {
-	return ErrorTally{t.Completed + o.Completed, t.Failed + o.Failed}
+// Add returns the sum of two tallies.
+func (t ErrorTally) Add(other ErrorTally) ErrorTally {
+	return ErrorTally{Completed: t.Completed + other.Completed, Failed: t.Failed + other.Failed}
 }
 
 const (
-	// enoughTasks on either side make the normal curve a fair picture of a share (the usual rule of ten of each kind at a tenth).
-	enoughTasks = 100
-	// leastHarm is a difference worth halting for: under it a release would be halted by the servers that happen to have the harder tasks.
-	leastHarm = 0.02
+	// minSampleSize requests on either side make the normal distribution a fair approximation of a
+	// rate (the usual rule of ten of each kind at a rate of a tenth).
+	minSampleSize = 100
+	// minRateIncrease is the least increase of the failure rate that is worth a halt: a smaller one
+	// would halt a release when its servers happen to have the harder requests.
+	minRateIncrease = 0.02
 )
 
-// HarmConfidence tells how sure it is, from 0 to 1, that servers on a version do worse than those not on it: a one-sided test of two shares. 0 where
-// there is too little to go by or the difference is not worth a halt. It may halt a good release when its first servers have harder
-// tasks than the rest: waves drawn by name guard against that, not against a wave of one server.
+// HarmConfidence returns how sure it is, from 0 to 1, that servers on a version fail more often
+// than those not on it, by a one-sided test of two proportions. It returns 0 if there are too few
+// requests or the difference is not worth a halt. It may halt a good release whose first servers
+// have harder requests than the rest: waves drawn by name guard against that, a wave of one server
+// does not.
 func HarmConfidence(on, off ErrorTally) float64 {
-	if on.Completed < enoughTasks || off.Completed < enoughTasks {
+	if on.Completed < minSampleSize || off.Completed < minSampleSize {
 		return 0
 	}
-	a, b := on.Failed/on.Completed, off.Failed/off.Completed
-	if a-b < leastHarm {
+	onRate := on.Failed / on.Completed
+	offRate := off.Failed / off.Completed
+	if onRate-offRate < minRateIncrease {
 		return 0
 	}
-	both := (on.Failed + off.Failed) / (on.Completed + off.Completed)
-	spread := math.Sqrt(both * (1 - both) * (1/on.Completed + 1/off.Completed))
-	if spread == 0 {
+	pooledRate := (on.Failed + off.Failed) / (on.Completed + off.Completed)
+	standardError := math.Sqrt(pooledRate * (1 - pooledRate) * (1/on.Completed + 1/off.Completed))
+	if standardError == 0 {
 		return 0
 	}
-	return math.Erfc(-(a-b)/spread/math.Sqrt2) / 2
-}
-
-// RolloutPolicy is how a release goes on by itself.
-type RolloutPolicy struct {
-	WaveSeconds    float64 // seconds that a wave lasts at least once all of it act on the release
-	HaltConfidence float64 // how sure harm has to be for a halt, 0 to 1; over 1 never halts
+	return math.Erfc(-(onRate-offRate)/standardError/math.Sqrt2) / 2
 }
