--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -182,7 +182,12 @@
 	slices.Sort(f.voterNames)
 	now := p.Now()
 	if _, votes := f.Voters[f.Name]; votes {
-		f.voter = consensus.NewVoter(f.Name, f.voterNames, int64(f.random.Uint64()>>1), wire.Codec{}, now, f.UnixNow())
+		f.voter = consensus.NewVoter(consensus.Config{
+			Name:   f.Name,
+			Voters: f.voterNames,
+			Seed:   int64(f.random.Uint64() >> 1),
+			Codec:  wire.Codec{},
+		}, now, f.UnixNow())
 	}
 	f.leaseHolder = lease.NewHolder(f.Name, f.incarnation, f.ListenAddr, f.Build, f.OnLeaseExpiry, f.LeaseTerms.Duration, now)
 	f.auditLog = audit.NewBook(f.Name, f.incarnation, f.UnixNow())
@@ -413,7 +418,7 @@
 func (f *Agent) propose(commands []release.Command) {
 	for i := range commands {
 		commands[i].IssuedAt = f.UnixNow()
-		f.voter.ProposeAsLeader(&commands[i])
+		_ = f.voter.ProposeAsLeader(&commands[i]) // whoever leads by now asks for it again
 	}
 }
 
--- /dev/null
+++ b/internal/policy/consensus/bootstrap.go
@@ -0,0 +1,92 @@
+package consensus
+
+import (
+	"maps"
+	"slices"
+
+	"go.etcd.io/raft/v3"
+	pb "go.etcd.io/raft/v3/raftpb"
+
+	"swiftcourse/internal/policy/release"
+)
+
+// bootstrapIfReady opens a group once all named voters are heard, all are detached, and each has
+// heard the same incarnations. Only the first by name does it, once an incarnation. A voter that is
+// in a group ends its incarnation when it leaves, so no incarnation is ever in two groups; and of
+// two bootstraps with a voter in common one never has a majority, unless most names have two
+// processes each.
+func (v *Voter) bootstrapIfReady(now float64) {
+	if v.name != v.voterNames[0] || now < v.detachedAt+bootstrapDelay {
+		return
+	}
+	voters, ready := v.readyVoters(now)
+	if !ready || len(voters) != len(v.voterNames) {
+		return
+	}
+	incarnations := incarnationsByName(voters)
+	for _, name := range v.voterNames[1:] {
+		if !maps.Equal(v.peers[name].DetachedVoters, incarnations) {
+			return
+		}
+	}
+	clusterID := v.nextClusterID(now)
+	bootstrap := &Bootstrap{
+		ClusterID:  clusterID,
+		Voters:     voters,
+		ReleaseLog: release.BootstrapLog(v.releaseLog, clusterID, voters),
+	}
+	for _, name := range v.voterNames[1:] {
+		v.send(name, Message{From: v.incarnation, To: incarnations[name], Bootstrap: bootstrap})
+	}
+	v.joinBootstrap(now, bootstrap)
+}
+
+// readyVoters returns the incarnations of all voters by name. It is not ready while one is missing
+// or in a group, or knows a newer release log than this voter, which it is then asked for.
+func (v *Voter) readyVoters(now float64) (voters map[uint64]string, ready bool) {
+	voters = map[uint64]string{v.incarnation: v.name}
+	for _, name := range v.voterNames[1:] {
+		peer := v.peers[name]
+		if !peer.fresh(now) || !peer.detached() {
+			return nil, false
+		}
+		voters[peer.Incarnation] = name
+		if v.knowsNewerLog(peer) {
+			v.send(name, Message{From: v.incarnation, To: peer.Incarnation, RequestReleaseLog: true})
+			return nil, false
+		}
+	}
+	return voters, true
+}
+
+func (v *Voter) knowsNewerLog(peer *peer) bool {
+	clusterID := v.releaseLog.Current.Epoch.ClusterID()
+	if peer.NewestClusterID != clusterID {
+		return peer.NewestClusterID > clusterID
+	}
+	return peer.AppliedCount > v.releaseLog.AppliedCount
+}
+
+// nextClusterID returns a cluster ID above all that are known, and not below the seconds since
+// clusterIDEpoch: where all forgot the last one, the clock still gives a higher one.
+func (v *Voter) nextClusterID(now float64) uint32 {
+	seconds := uint32(max(1, now+v.clockOffset-clusterIDEpoch))
+	return max(v.releaseLog.Current.Epoch.ClusterID()+1, v.highestClusterID+1, seconds)
+}
+
+// joinBootstrap joins the group that a bootstrap opens. Its release log is the raft log's first
+// snapshot.
+func (v *Voter) joinBootstrap(now float64, bootstrap *Bootstrap) {
+	v.releaseLog = bootstrap.ReleaseLog.Clone()
+	index := uint64(1)
+	term := uint64(1)
+	confState := &pb.ConfState{Voters: slices.Sorted(maps.Keys(bootstrap.Voters))}
+	storage := raft.NewMemoryStorage()
+	_ = storage.ApplySnapshot(&pb.Snapshot{ // an empty storage has no newer snapshot that would refuse it
+		Data:     v.codec.MarshalLog(v.releaseLog),
+		Metadata: &pb.SnapshotMetadata{ConfState: confState, Index: &index, Term: &term},
+	})
+	hardState := &pb.HardState{Term: &term, Commit: &index, Vote: new(uint64)}
+	_ = storage.SetHardState(hardState) // never fails in memory
+	v.startNode(now, bootstrap.ClusterID, storage, confState)
+}
