--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -204,7 +204,7 @@
 			return nil, &FieldError{
 				Key:    fmt.Sprintf("%s[%d].name", key, i),
 				Value:  name,
-				Reason: "is empty or there twice",
+				Reason: "is empty or duplicate",
 			}
 		}
 		index[name] = i
--- a/internal/config/operator_parse.go
+++ b/internal/config/operator_parse.go
@@ -64,7 +64,7 @@
 func (p *operatorParser) readLine(number int, key string, values []string) {
 	field := p.fieldOf(key)
 	if field == nil {
-		p.reject(number, key, nil, "no such key; the nearest is "+p.nearestKey(key))
+		p.reject(number, key, nil, "unknown key; the nearest is "+p.nearestKey(key))
 		return
 	}
 	expected := "; expected " + expectedValues[key]
@@ -73,7 +73,7 @@
 		p.reject(number, key, nil, "has no value"+expected)
 		return
 	case !field.isList && p.lines[key] > 0:
-		p.reject(number, key, nil, fmt.Sprintf("is there already, on line %d", p.lines[key]))
+		p.reject(number, key, nil, fmt.Sprintf("is already set on line %d", p.lines[key]))
 		return
 	case !field.isList && len(values) > 1:
 		p.reject(number, key, nil, fmt.Sprintf("has %d values%s", len(values), expected))
--- a/internal/config/operator_values.go
+++ b/internal/config/operator_values.go
@@ -59,7 +59,7 @@
 func parseInteger(text string) (int, error) {
 	n, err := strconv.Atoi(text)
 	if err != nil {
-		return n, errors.New("is no whole number")
+		return n, errors.New("is not a whole number")
 	}
 	return n, nil
 }
@@ -67,7 +67,7 @@
 func parseNumber(text string) (float64, error) {
 	x, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(x) {
-		return x, errors.New("is no number")
+		return x, errors.New("is not a number")
 	}
 	return x, nil
 }
@@ -75,7 +75,7 @@
 func parseDuration(text string) (time.Duration, error) {
 	d, err := time.ParseDuration(text)
 	if err != nil {
-		return d, errors.New("is no time with a unit")
+		return d, errors.New("is not a duration with a unit")
 	}
 	return d, nil
 }
@@ -85,7 +85,7 @@
 	number, percent := strings.CutSuffix(text, "%")
 	x, err := strconv.ParseFloat(number, 64)
 	if err != nil || !percent || math.IsNaN(x) {
-		return errors.New("is no number of percent")
+		return errors.New("is not a percentage")
 	}
 	*target = Fraction(x / 100)
 	return nil
@@ -96,7 +96,7 @@
 	for _, value := range values {
 		prefix, err := parsePrefix(value)
 		if err != nil || prefix.Addr().Is4In6() {
-			return &valueFault{value, "is no address or prefix"}
+			return &valueFault{value, "is not an address or prefix"}
 		}
 		*target = append(*target, prefix.Masked())
 	}
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -165,7 +165,7 @@
 	if known {
 		return nil
 	}
-	return &FieldError{Key: key, Value: word, Reason: "is not known"}
+	return &FieldError{Key: key, Value: word, Reason: "is unknown"}
 }
 
 // checkClass checks one class, whose keys begin with prefix.
