--- a/cmd/swiftcourse-fleet/command.go
+++ b/cmd/swiftcourse-fleet/command.go
@@ -185,7 +185,7 @@
 func table() *tabwriter.Writer { return tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0) }
 
 func tellStatus(s *fleet.Status) {
-	fmt.Printf("%s (life %x) is %s, acts on %s; newest is %s; leader %s\n", s.Name, s.Incarnation, s.LeaseState, s.ActiveEpoch, s.Audit.Newest, s.Leader)
+	fmt.Printf("%s (life %x) is %s, acts on %s; newest is %s; leader %s\n", s.Name, s.Incarnation, s.LeaseState, s.ActiveEpoch, s.Audit.NewestEpoch, s.Leader)
 	if n := s.ReleaseLog.Next; n != nil {
 		fmt.Printf("on its way: %s by %s, wave %d of %d\n", n.Epoch, n.Author, s.ReleaseLog.WaveIndex+1, len(s.ReleaseLog.Waves))
 	}
@@ -217,15 +217,15 @@
 	fmt.Fprintln(t, "server\tlife\tepoch\tdigest\tfrom (own clock)\tto\tbatches\ttasks\twhy")
 	for _, a := range s.Audit.Accounts {
 		for _, i := range a.Intervals {
-			fmt.Fprintf(t, "%s\t%x\t%s\t%.12s\t%s\t%s\t%d\t%d\t%s\n", a.Name, a.Life, i.Epoch, i.Digest, moment(i.From), moment(i.To), i.Batches, i.Tasks, i.Why)
+			fmt.Fprintf(t, "%s\t%x\t%s\t%.12s\t%s\t%s\t%d\t%d\t%s\n", a.Name, a.Incarnation, i.Epoch, i.Digest, moment(i.From), moment(i.To), i.Batches, i.Requests, i.Reason)
 		}
 	}
 	t.Flush()
-	for _, b := range s.Audit.Behind {
-		fmt.Printf("behind: %s (life %x) on %s, should be on %s, for %.1f s: %s\n", b.Name, b.Life, b.On, b.Right, max(b.For, b.Absent), b.Why)
+	for _, b := range s.Audit.Lagging {
+		fmt.Printf("behind: %s (life %x) on %s, should be on %s, for %.1f s: %s\n", b.Name, b.Incarnation, b.ActiveEpoch, b.AssignedEpoch, max(b.LagSeconds, b.SilentSeconds), b.Reason)
 	}
-	for _, h := range s.Audit.Holes {
-		fmt.Printf("hole: %s (life %x) from %s to %s: %s\n", h.Name, h.Life, moment(h.From), moment(h.To), h.Why)
+	for _, h := range s.Audit.Gaps {
+		fmt.Printf("hole: %s (life %x) from %s to %s: %s\n", h.Name, h.Incarnation, moment(h.From), moment(h.To), h.Reason)
 	}
 }
 
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -89,7 +89,7 @@
 	voter       *consensus.Voter // nil where this is none
 	leaseHolder *lease.Holder
 	leaseTable  *lease.Grantor
-	auditLog    *audit.Book
+	auditLog    *audit.Trail
 
 	releaseLog       *release.Log // a copy, also at those who don't vote
 	lastLogFetch     float64
@@ -190,8 +190,8 @@
 		}, now, f.UnixNow())
 	}
 	f.leaseHolder = lease.NewHolder(f.Name, f.incarnation, f.ListenAddr, f.Build, f.OnLeaseExpiry, f.LeaseTerms.Duration, now)
-	f.auditLog = audit.NewBook(f.Name, f.incarnation, f.UnixNow())
-	f.auditLog.Begin(f.UnixNow(), 0, "", "started")
+	f.auditLog = audit.NewTrail(f.Name, f.incarnation, f.UnixNow())
+	f.auditLog.BeginInterval(f.UnixNow(), 0, "", "started")
 	f.publish()
 	f.beginCopies(now)
 	f.beginCallers(now)
@@ -323,7 +323,7 @@
 			p.done(*m.CommandResult)
 		}
 	case m.AccountSummary != nil:
-		f.auditLog.Hear(*m.AccountSummary)
+		f.auditLog.Merge(*m.AccountSummary)
 		f.noteNewestEpoch(now, m.AccountSummary)
 	case m.StateRequest != nil:
 		f.handleStateRequest(now, m)
@@ -441,7 +441,7 @@
 	if now >= f.lastSummary+f.summaryInterval() {
 		f.lastSummary = now
 		f.urgentSummaries = max(0, f.urgentSummaries-1)
-		brief := f.auditLog.Brief()
+		brief := f.auditLog.Summary()
 		for _, addr := range f.network.Sample(gossipFanout, f.random) {
 			f.send(addr, &wire.Envelope{AccountSummary: &brief})
 		}
@@ -577,7 +577,7 @@
 	f.auditLoopStats()
 	f.active, f.applyError = *v, ""
 	f.loopStats, f.audited = &serving.VersionStats{}, [2]uint64{}
-	f.auditLog.Begin(f.UnixNow(), v.Epoch, v.Digest, why)
+	f.auditLog.BeginInterval(f.UnixNow(), v.Epoch, v.Digest, why)
 	f.leaseHolder.SetActiveEpoch(v.Epoch, "")
 	f.heedBudgets(now)
 	f.lastSummary, f.urgentSummaries = math.Inf(-1), urgentSummaryCount // others hear of it at once
@@ -587,7 +587,7 @@
 // auditLoopStats takes over what the loop counted.
 func (f *Agent) auditLoopStats() {
 	batches, tasks := f.loopStats.Batches.Load(), f.loopStats.Requests.Load()
-	f.auditLog.Count(f.UnixNow(), batches-f.audited[0], tasks-f.audited[1])
+	f.auditLog.Record(f.UnixNow(), batches-f.audited[0], tasks-f.audited[1])
 	f.audited = [2]uint64{batches, tasks}
 	f.leaseHolder.SetErrorTally(release.ErrorTally{Completed: float64(f.loopStats.Completed.Load()), Failed: float64(min(f.loopStats.Failed.Load(), f.loopStats.Completed.Load()))})
 }
@@ -682,7 +682,7 @@
 	if m.StateRequest.RequestID != 0 {
 		f.auditLoopStats()
 		t.Replication = f.ReplicationStatus()
-		t.Accounts = append(f.auditLog.Heard(m.StateRequest.Names), f.auditLog.Own())
+		t.Accounts = append(f.auditLog.Accounts(m.StateRequest.Names), f.auditLog.Account())
 		if len(t.Accounts) > maxAccountsInReply {
 			t.Accounts = t.Accounts[len(t.Accounts)-maxAccountsInReply:]
 		}
@@ -723,8 +723,8 @@
 	}
 	delete(g.awaiting, m.From)
 	for _, a := range t.Accounts {
-		if a.Name == m.From && a.Life == m.Incarnation {
-			g.alive[a.Life] = true
+		if a.Name == m.From && a.Incarnation == m.Incarnation {
+			g.alive[a.Incarnation] = true
 		}
 		g.accounts = append(g.accounts, a)
 	}
@@ -750,7 +750,8 @@
 		if g.releaseLog == nil {
 			return audit.Report{}, nil, errors.New("no voter answered that sits in a group: nobody knows the order")
 		}
-		return audit.Make(g.releaseLog, g.servers, g.accounts, g.alive, since), g, nil
+		evidence := audit.Evidence{Log: g.releaseLog, Servers: g.servers, Accounts: g.accounts, Responding: g.alive}
+		return audit.NewReport(evidence, since), g, nil
 	case <-time.After(time.Duration((auditTimeout + 2) * float64(time.Second))):
 		return audit.Report{}, nil, errors.New("the fleet's part of this server is down")
 	}
@@ -764,7 +765,7 @@
 		g.replicas[f.Name] = own
 	}
 	f.auditLoopStats()
-	g.accounts = append(f.auditLog.Heard(nil), f.auditLog.Own())
+	g.accounts = append(f.auditLog.Accounts(nil), f.auditLog.Account())
 	if f.voter != nil && f.voter.Joined() {
 		g.releaseLog = f.releaseLog
 		if f.leaseTable != nil && f.confirmed(now) {
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -107,7 +107,7 @@
 	f.await(t, "all act on the release", func() bool { return f.AllOn(e, f.Names...) })
 	f.await(t, "the audit knows it", func() bool {
 		s, err := f.State("n4")
-		if err != nil || len(s.Audit.Alarms) > 0 || len(s.Audit.Behind) > 0 || len(s.Audit.Holes) > 0 {
+		if err != nil || len(s.Audit.Alarms) > 0 || len(s.Audit.Lagging) > 0 || len(s.Audit.Gaps) > 0 {
 			return false
 		}
 		on := 0
@@ -211,8 +211,8 @@
 		if err != nil {
 			return false
 		}
-		for _, b := range s.Audit.Behind {
-			if b.Name == "n5" && strings.HasPrefix(b.Why, "shut out: ") && strings.Contains(b.Why, "can't be changed while serving") {
+		for _, b := range s.Audit.Lagging {
+			if b.Name == "n5" && strings.HasPrefix(b.Reason, "shut out: ") && strings.Contains(b.Reason, "can't be changed while serving") {
 				return true
 			}
 		}
@@ -266,7 +266,7 @@
 	f.await(t, "all act on it", func() bool { return f.AllOn(e, f.Names...) })
 	f.await(t, "the audit has holes where lives ended, and no alarm", func() bool {
 		s, err := f.State("n1")
-		return err == nil && len(s.Audit.Alarms) == 0 && len(s.Audit.Holes) >= 1 && len(s.Audit.Accounts) > 5
+		return err == nil && len(s.Audit.Alarms) == 0 && len(s.Audit.Gaps) >= 1 && len(s.Audit.Accounts) > 5
 	})
 }
 
--- a/internal/lab/versions/versions.go
+++ b/internal/lab/versions/versions.go
@@ -331,9 +331,9 @@
 		ids, acts := lives(r.fleet, name)
 		for i, id := range ids {
 			told := map[string]bool{}
-			hole := slices.ContainsFunc(s.Audit.Holes, func(h audit.Hole) bool { return h.Name == name && h.Life == id })
+			hole := slices.ContainsFunc(s.Audit.Gaps, func(h audit.Gap) bool { return h.Name == name && h.Incarnation == id })
 			for _, a := range s.Audit.Accounts {
-				if a.Name != name || a.Life != id {
+				if a.Name != name || a.Incarnation != id {
 					continue
 				}
 				for _, t := range a.Intervals {
--- /dev/null
+++ b/internal/policy/audit/digest.go
@@ -0,0 +1,61 @@
+package audit
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+
+	"swiftcourse/internal/policy/release"
+)
+
+// logSource is the name under which the release log's own digests are listed.
+const logSource = "the release log"
+
+// digestTable holds, for each epoch, the digests that were reported and who reported them. An epoch
+// has one digest; a second one is an alarm.
+type digestTable map[release.Epoch]map[string][]string
+
+func (d digestTable) add(epoch release.Epoch, digest, source string) {
+	if epoch == 0 {
+		return
+	}
+	if d[epoch] == nil {
+		d[epoch] = map[string][]string{}
+	}
+	d[epoch][digest] = append(d[epoch][digest], source)
+}
+
+func (d digestTable) addLog(log *release.Log) {
+	for _, version := range []*release.Version{&log.Current, log.Next, log.Previous} {
+		if version != nil {
+			d.add(version.Epoch, version.Digest, logSource)
+		}
+	}
+	for _, entry := range log.History {
+		d.add(entry.Epoch, entry.Digest, logSource)
+	}
+}
+
+func (d digestTable) addAccount(a Account) {
+	for _, interval := range a.Intervals {
+		d.add(interval.Epoch, interval.Digest, a.Name)
+	}
+}
+
+// conflicts describes each epoch with more than one digest, by epoch.
+func (d digestTable) conflicts() []string {
+	var alarms []string
+	for _, epoch := range slices.Sorted(maps.Keys(d)) {
+		digests := d[epoch]
+		if len(digests) < 2 {
+			continue
+		}
+		alarm := fmt.Sprintf("epoch %s has %d digests:", epoch, len(digests))
+		for _, digest := range slices.Sorted(maps.Keys(digests)) {
+			sources := slices.Compact(digests[digest])
+			alarm += fmt.Sprintf(" %.12s by %s and %d more;", digest, sources[0], len(sources)-1)
+		}
+		alarms = append(alarms, alarm)
+	}
+	return alarms
+}
--- a/internal/wire/fleet/fleet.go
+++ b/internal/wire/fleet/fleet.go
@@ -268,10 +268,10 @@
 }
 
 func encodeAccount(a *audit.Account) *Account {
-	p := &Account{Name: a.Name, Life: a.Life, Started: a.Started, Seen: a.Seen, Dropped: a.Dropped}
+	p := &Account{Name: a.Name, Life: a.Incarnation, Started: a.Started, Seen: a.LastSeen, Dropped: a.DroppedIntervals}
 	for _, t := range a.Intervals {
-		p.Intervals = append(p.Intervals, &Interval{N: t.N, Epoch: uint64(t.Epoch), Digest: t.Digest, From: t.From, To: t.To, Batches: t.Batches,
-			Tasks: t.Tasks, Why: truncate(t.Why)})
+		p.Intervals = append(p.Intervals, &Interval{N: t.Index, Epoch: uint64(t.Epoch), Digest: t.Digest, From: t.From, To: t.To, Batches: t.Batches,
+			Tasks: t.Requests, Why: truncate(t.Reason)})
 	}
 	return p
 }
@@ -280,12 +280,12 @@
 	if len(p.GetIntervals()) > maxListEntries {
 		return a, errTooLarge
 	}
-	a = audit.Account{Name: p.GetName(), Life: p.GetLife(), Started: p.GetStarted(), Seen: p.GetSeen(), Dropped: p.GetDropped()}
-	err = errors.Join(checkNames(a.Name), checkFinite(a.Started), checkFinite(a.Seen))
+	a = audit.Account{Name: p.GetName(), Incarnation: p.GetLife(), Started: p.GetStarted(), LastSeen: p.GetSeen(), DroppedIntervals: p.GetDropped()}
+	err = errors.Join(checkNames(a.Name), checkFinite(a.Started), checkFinite(a.LastSeen))
 	for _, t := range p.GetIntervals() {
 		err = errors.Join(err, checkNames(t.Digest, t.Why), checkFinite(t.From), checkFinite(t.To))
-		a.Intervals = append(a.Intervals, audit.Interval{N: t.N, Epoch: release.Epoch(t.Epoch), Digest: t.Digest, From: t.From, To: t.To, Batches: t.Batches,
-			Tasks: t.Tasks, Why: t.Why})
+		a.Intervals = append(a.Intervals, audit.Interval{Index: t.N, Epoch: release.Epoch(t.Epoch), Digest: t.Digest, From: t.From, To: t.To, Batches: t.Batches,
+			Requests: t.Tasks, Reason: t.Why})
 	}
 	return a, err
 }
--- a/internal/wire/fleet/fleet_test.go
+++ b/internal/wire/fleet/fleet_test.go
@@ -47,8 +47,8 @@
 func sampleEnvelopes() []*Envelope {
 	o, k := fullReleaseLog(), state.KeyOf("s", "k")
 	ran := state.NewFinishedAttempt(state.ClaimID{UnixMilli: -3, Incarnation: 4, Sequence: 5}, []byte("r"))
-	account := audit.Account{Name: "n1", Life: 5, Started: 1, Seen: 9, Dropped: 2, Intervals: []audit.Interval{{N: 2, Epoch: 3, Digest: "d", From: 1, To: 2,
-		Batches: 4, Tasks: 5, Why: "released"}}}
+	account := audit.Account{Name: "n1", Incarnation: 5, Started: 1, LastSeen: 9, DroppedIntervals: 2, Intervals: []audit.Interval{{Index: 2, Epoch: 3, Digest: "d", From: 1, To: 2,
+		Batches: 4, Requests: 5, Reason: "released"}}}
 	beat := &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: new(uint64(5)), To: new(uint64(6)), Term: new(uint64(2))}
 	return []*Envelope{
 		{Consensus: &consensus.Message{From: 5, Heartbeat: &consensus.Heartbeat{Name: "v1", Incarnation: 5, ClusterID: 7, NewestClusterID: 7, AppliedCount: 3,
