--- a/internal/policy/consensus/doc.go
+++ b/internal/policy/consensus/doc.go
@@ -14,6 +14,6 @@
 // the newest release log that any of them knows. Cluster IDs order the groups.
 //
 // The invariants: no incarnation is ever in two groups; of one cluster ID and raft term there is at
-// most one leader; and a release log that some voter reports was committed by a majority of its
-// group.
+// most one leader; and a release log changes only by commands that a majority of its group
+// committed, or by a bootstrap.
 package consensus
--- a/internal/policy/release/counters.go
+++ b/internal/policy/release/counters.go
@@ -60,7 +60,7 @@
 	l.ClosedTotals[index].RequestCounts = l.ClosedTotals[index].Add(count.RequestCounts)
 }
 
-// findTotal returns the index of a cell's total, or that where it belongs.
+// findTotal returns the index of a cell's total, or the one at which it is to be inserted.
 func (l *Log) findTotal(cell serving.CounterKey) (index int, known bool) {
 	compare := func(total serving.CounterCell, cell serving.CounterKey) int {
 		return total.Compare(cell)
--- a/internal/policy/release/harm.go
+++ b/internal/policy/release/harm.go
@@ -2,12 +2,6 @@
 
 import "math"
 
-// RolloutPolicy says how a rollout advances and halts without an operator.
-type RolloutPolicy struct {
-	WaveSeconds    float64 // how long a wave lasts at least once all its servers act on the release, in seconds
-	HaltConfidence float64 // how sure harm has to be for a halt, from 0 to 1; above 1 nothing halts a rollout
-}
-
 // ErrorTally counts how requests ended at a group of servers since a release began.
 type ErrorTally struct {
 	Completed float64 // requests that ended in any way
--- a/internal/policy/release/rollout.go
+++ b/internal/policy/release/rollout.go
@@ -6,6 +6,16 @@
 	"slices"
 )
 
+// RolloutPolicy says how a rollout advances and halts without an operator.
+type RolloutPolicy struct {
+	// WaveSeconds is how long a wave lasts at least, once all its servers act on the release.
+	WaveSeconds float64
+
+	// HaltConfidence is how sure it has to be that a release does harm for a halt, from 0 to 1, see
+	// HarmConfidence. Above 1 nothing halts a rollout.
+	HaltConfidence float64
+}
+
 // rolloutPosition places a server in a rollout, at another position in each. Servers with low
 // positions are in the first waves.
 func rolloutPosition(name string, epoch Epoch) uint32 {
