--- a/admission/cases_test.go
+++ b/admission/cases_test.go
@@ -205,7 +205,7 @@
 				p.run(t, fmt.Sprint("in time", i), 0.25, Finished)
 			}
 		}
-		if a := p.rejected["late59-0"]; p.a.share > 0.3 || !a.Flag || p.a.halted == some {
+		if a := p.rejected["late59-0"]; p.a.share > 0.3 || !a.NoFailover || p.a.halted == some {
 			t.Fatalf("share %.2f, last answer %+v, off the list: %v", p.a.share, a, p.a.halted)
 		}
 		if p.till(t, p.now+0.8); p.a.halted { // off the list nothing comes, so nothing waits unread
@@ -267,7 +267,7 @@
 		p.reads(t, "a", 12, Request{Memory: 1, RemainingBudget: 4, HasSubject: bySubject})
 		p.till(t, p.now+0.1)
 		p.reads(t, "b", 1, Request{Memory: 1, RemainingBudget: 0.1})
-		walks := !p.rejected["b0"].Flag
+		walks := !p.rejected["b0"].NoFailover
 		if kept := p.idle == 0; kept != (callers == 4) || walks != (kept || bySubject) {
 			t.Errorf("%d callers: connections closed after %.2f s, walks %v", callers, p.idle, walks)
 		}
@@ -409,7 +409,7 @@
 	}
 	for id, a := range p.rejected {
 		if id[:4] == "over" {
-			if overs++; !a.Flag {
+			if overs++; !a.NoFailover {
 				t.Errorf("%s may try elsewhere", id)
 			}
 		}
--- a/admission/choice.go
+++ b/admission/choice.go
@@ -265,7 +265,7 @@
 		s.stages[i].learned = newLearned(s.now, 8)
 	}
 	s.call, s.runCap = newLearned(s.now, 5), s.cores
-	s.act(Action{Kind: SetHealth, Flag: true})
+	s.act(Action{Kind: SetHealth, Healthy: true})
 }
 
 // Decide takes one batch of the server's events and returns what to do.
@@ -310,7 +310,7 @@
 		s.read(e)
 	case e.Kind == DrainStarted:
 		s.drainAt, s.killAt = s.now, s.now+e.Duration
-		s.act(Action{Kind: SetHealth, Flag: false})
+		s.act(Action{Kind: SetHealth, Healthy: false})
 		for _, t := range s.tasks {
 			t.dueAt = min(t.dueAt, s.lastAnswer())
 		}
@@ -479,7 +479,7 @@
 		s.lag, s.lastTimely = 0, s.now
 	}
 	if halted != s.halted && !s.draining() {
-		s.act(Action{Kind: SetHealth, Flag: !halted})
+		s.act(Action{Kind: SetHealth, Healthy: !halted})
 	}
 	s.halted = halted
 	s.typical = 0.25 // where little is known, or runs are so short that a pause of the cores shows
@@ -558,7 +558,7 @@
 	if s.free != NoBackpressure && told != s.shareTold {
 		s.shareTold = told
 		values := map[Backpressure]float64{BackpressureLevel: 1 - told, BackpressureCredit: told * s.creditFull, BackpressureWeight: told}
-		s.act(Action{Kind: ReportLoad, Value: values[s.free]})
+		s.act(Action{Kind: ReportLoad, Load: values[s.free]})
 	}
 }
 
@@ -787,7 +787,7 @@
 	}
 	s.forget(t)
 	s.act(Action{Kind: Reject, RequestID: t.id, Duration: advice,
-		Flag: t.over > 0 || s.lag > s.patience || s.share < 0.4 ||
+		NoFailover: t.over > 0 || s.lag > s.patience || s.share < 0.4 ||
 			s.share < 0.95 && !s.bySubject && s.idle < s.maxIdle})
 }
 
--- /dev/null
+++ b/admission/event.go
@@ -0,0 +1,109 @@
+package admission
+
+// EventKind names what happened.
+type EventKind uint8
+
+const (
+	// Started is the first event of every controller: the server is up.
+	Started EventKind = iota
+	// Arrived: a request was read and is queued. Request.
+	Arrived
+	// RunEnded: a run ended. Outcome, Duration of the run.
+	RunEnded
+	// AwaitingDownstream: a running request waits for its call to be dispatched.
+	AwaitingDownstream
+	// CallReturned: a downstream call ended. Outcome, Duration of the call.
+	CallReturned
+	// ClientGone: nobody waits for the request any more.
+	ClientGone
+	// DrainStarted: the process will be killed after Duration.
+	DrainStarted
+	// TimerFired: a timer went off. Gauges, Label of the timer.
+	TimerFired
+	// AllowanceChanged: the server's share of a budget that servers share changed. Allowance.
+	AllowanceChanged
+)
+
+// String returns the name of the kind, for logs and tests.
+func (k EventKind) String() string {
+	return enumName([]string{"started", "arrived", "run_ended", "awaiting_downstream", "call_returned",
+		"client_gone", "drain_started", "timer_fired", "allowance_changed"}, k)
+}
+
+// Outcome is how a run or a call ended.
+type Outcome uint8
+
+const (
+	// Finished: it ended well.
+	Finished Outcome = iota
+	// Failed: it ended with an error.
+	Failed
+	// Rejected: it was turned down before it ran.
+	Rejected
+	// TimedOut: this server gave it up.
+	TimedOut
+	// Unreachable: it never got to the other side.
+	Unreachable
+	// Disconnected: the connection broke midway.
+	Disconnected
+	// Cancelled: the run was stopped, or its request was done already when it came to a call.
+	Cancelled
+	// NeverStarted: the request was done already before its run began.
+	NeverStarted
+)
+
+// String returns the name of the outcome, for logs and tests.
+func (o Outcome) String() string {
+	return enumName([]string{"finished", "failed", "rejected", "timed_out", "unreachable", "disconnected",
+		"cancelled", "never_started"}, o)
+}
+
+// Event is one thing that happened to a server. The kind tells which of the fields are set.
+type Event struct {
+	Kind      EventKind
+	RequestID string
+	Request   Request
+	Outcome   Outcome
+	// Duration is how many seconds a run or a call took, or how many are left until a draining process is killed.
+	Duration  float64
+	Label     string
+	Gauges    Gauges
+	Allowance *Allowance
+}
+
+// Request is what came with a request when it was read.
+type Request struct {
+	// Class, Tenant and Client are indexes; the first two of the settings' lists.
+	Class, Tenant, Client int
+	// Memory is what it takes while it is queued, in kilobytes.
+	Memory float64
+	// Age is how many seconds ago it reached the machine.
+	Age float64
+	// ExpectedWork is in seconds of a standard core; 0 where it is unknown.
+	ExpectedWork float64
+	// RemainingBudget is for how many seconds its client still waits; 0 where it wasn't told.
+	RemainingBudget float64
+	Priority        float64
+	// Retry tells that it is a later attempt, Write that it changes something, HasSubject that it names what it
+	// is about.
+	Retry, Write, HasSubject bool
+	// DuplicateOf is the ID of the stored request that this one repeats, empty where it repeats none.
+	DuplicateOf string
+}
+
+// Gauges are the server's own readings; a reading that the server lacks is negative.
+type Gauges struct{ Utilization, Runnable, Memory, Connections float64 }
+
+// CallAllowance is the Tenant of an allowance that bounds downstream calls.
+const CallAllowance = -1
+
+// Allowance is what a server may use of a budget that all servers share, from now on. It takes the place of the
+// server's own estimate and is binding: what exceeds it is rejected. A server without one decides by its estimate.
+type Allowance struct {
+	// Tenant is whose requests it bounds; CallAllowance where it bounds downstream calls.
+	Tenant int
+	// Limit is in requests a second, or in concurrent calls.
+	Limit float64
+	// BurstDuration is how many seconds of a request rate may be saved up; one request may be at least.
+	BurstDuration float64
+}
--- a/admission/helpers_test.go
+++ b/admission/helpers_test.go
@@ -107,7 +107,7 @@
 		p.timers = append(p.timers, p.now+a.Duration)
 		return check(a.Duration >= 0, "timer in the past")
 	case ReportLoad:
-		return check(p.site.Backpressure != NoBackpressure && a.Value >= 0, "free value not allowed")
+		return check(p.site.Backpressure != NoBackpressure && a.Load >= 0, "free value not allowed")
 	case SetIdleTimeout:
 		p.idle = a.Duration
 		return check(a.Duration >= 0.01 && a.Duration <= p.site.IdleTimeout, "connections closed too soon or too late")
--- a/internal/lab/emulate/server.go
+++ b/internal/lab/emulate/server.go
@@ -179,8 +179,8 @@
 	for _, a := range actions {
 		switch a.Kind {
 		case admission.SetHealth:
-			if s.well != a.Flag {
-				s.well = a.Flag
+			if s.well != a.Healthy {
+				s.well = a.Healthy
 				s.list()
 			}
 		case admission.SetTimer:
@@ -204,7 +204,7 @@
 				s.goOn(t)
 			}
 		case admission.Reject:
-			s.answer(a.RequestID, rejected, a.Duration, a.Flag)
+			s.answer(a.RequestID, rejected, a.Duration, a.NoFailover)
 		case admission.Fail:
 			s.answer(a.RequestID, abandoned, 0, false)
 		}
--- a/internal/server/actions.go
+++ b/internal/server/actions.go
@@ -17,10 +17,10 @@
 		a := &actions[i]
 		switch a.Kind {
 		case admission.SetHealth:
-			s.setHealthy(a.Flag)
+			s.setHealthy(a.Healthy)
 			continue
 		case admission.ReportLoad:
-			s.setLoadReport(a.Value)
+			s.setLoadReport(a.Load)
 			continue
 		case admission.SetIdleTimeout:
 			if a.Duration <= 0 {
@@ -48,7 +48,7 @@
 		case admission.StartRun:
 			s.startRun(t)
 		case admission.Reject:
-			s.reject(t, a.Duration, a.Flag)
+			s.reject(t, a.Duration, a.NoFailover)
 		case admission.Fail:
 			s.abandon(t)
 		case admission.DispatchCall:
--- a/internal/wire/shale/wire.go
+++ b/internal/wire/shale/wire.go
@@ -237,7 +237,7 @@
 		switch a.Kind {
 		case admission.Reject:
 			w.millis(a.Duration)
-			w.flag(a.Flag)
+			w.flag(a.NoFailover)
 		case admission.DispatchCall, admission.StoreKey, admission.SetIdleTimeout:
 			w.millis(a.Duration)
 		case admission.SetTimer:
@@ -246,10 +246,10 @@
 		case admission.LogLine:
 			w.text(a.Label)
 		case admission.SetHealth:
-			w.flag(a.Flag)
+			w.flag(a.Healthy)
 			w.flag(true)
 		case admission.ReportLoad:
-			w.buf = strconv.AppendFloat(append(w.buf, ','), a.Value, 'f', -1, 64)
+			w.buf = strconv.AppendFloat(append(w.buf, ','), a.Load, 'f', -1, 64)
 		}
 		w.buf = append(w.buf, ']')
 	}
--- a/internal/wire/shale/wire_test.go
+++ b/internal/wire/shale/wire_test.go
@@ -43,7 +43,7 @@
 	}
 	var out strings.Builder
 	w := NewWriter(&out)
-	w.Add("server/3", []admission.Action{{Kind: admission.Reject, RequestID: "id", Duration: 0.25, Flag: true}, {Kind: admission.SetHealth}})
+	w.Add("server/3", []admission.Action{{Kind: admission.Reject, RequestID: "id", Duration: 0.25, NoFailover: true}, {Kind: admission.SetHealth}})
 	if err := w.Flush(); err != nil || out.String() !=
 		`{"cmds":[["BUSY","server/3","id",250.000,true],["STATUS","server/3",false,true]]}`+"\n" {
 		t.Fatalf("%q, %v", out.String(), err)
