--- /dev/null
+++ b/admission/admit.go
@@ -0,0 +1,129 @@
+package admission
+
+const (
+	// lateValueWorthwhile is the fraction of its value from which on a response after the soft deadline is worth
+	// the cores. Exception to the design: below it late responses block what is worth more.
+	lateValueWorthwhile = 0.5
+
+	// Fractions of the memory limit: up to which requests are taken in, keys of deduplicated requests are stored,
+	// and keys that only spare a run are.
+	memoryForRequests   = 0.95
+	memoryForKeys       = 0.9
+	memoryForCachedKeys = 0.5
+)
+
+// handleArrival takes a request in. Its hard deadline never changes but for a drain.
+func (c *Controller) handleArrival(e *Event) {
+	in := &e.Request
+	r := c.newRequest(e.RequestID, in)
+	withinQuota := c.chargeQuota(r, in.Tenant)
+	c.load.arrived++
+	c.arrivals.record(c.now, in)
+	c.byID[r.id] = r
+	c.requests = append(c.requests, r)
+	c.memory.reserve(r)
+	c.decideArrival(r, in, withinQuota)
+}
+
+// newRequest returns a queued request with its deadlines and its value.
+func (c *Controller) newRequest(id string, in *Request) *request {
+	class := &c.classes[min(max(in.Class, 0), len(c.classes)-1)]
+	r := &request{
+		id:        id,
+		class:     class,
+		state:     stateQueued,
+		since:     c.now,
+		arrivedAt: c.now - in.Age,
+		memory:    in.Memory,
+		value:     class.Value,
+	}
+	r.hardDeadline = r.arrivedAt + class.Timeout
+	if in.RemainingBudget > 0 || c.settings.DeadlinePropagation {
+		// An honest budget never passes the timeout of all attempts together.
+		r.hardDeadline = min(c.now+in.RemainingBudget, r.hardDeadline)
+	}
+	r.hardDeadline = min(max(r.hardDeadline, c.now), c.drain.lastResponse())
+	r.softDeadline = r.arrivedAt + min(class.SoftDeadline+class.SoftDeadlineStretch*in.ExpectedWork, class.Timeout)
+	r.valueUntil = r.hardDeadline
+	if class.LateValue < lateValueWorthwhile {
+		r.valueUntil = min(r.softDeadline, r.hardDeadline)
+	}
+	if c.settings.ValueByWork && in.ExpectedWork > 0 {
+		r.value *= in.ExpectedWork
+	}
+	return r
+}
+
+// decideArrival rejects a request at once, has it share the result of another, or leaves it in the queue.
+func (c *Controller) decideArrival(r *request, in *Request, withinQuota bool) {
+	deduplicated := r.class.Idempotency == Deduplicated
+	cacheable := c.settings.ResultCacheTTL > 0 && r.class.Idempotency == Idempotent && !in.Write
+	r.duplicate = in.DuplicateOf != "" && deduplicated
+	memory := &c.memory
+	switch {
+	case c.drain.refuses(r), memory.used() > memoryForRequests*memory.limit:
+		c.step(r, onOverload)
+	case in.DuplicateOf != "" && (deduplicated || cacheable):
+		c.step(r, onDuplicate)
+	case !withinQuota:
+		c.step(r, onOverload)
+	case deduplicated && memory.usedWithKey() > memoryForKeys*memory.limit:
+		c.step(r, onOverload) // without its key a repeat would not be known and run too: no key, no run
+	case deduplicated:
+		c.storeKey(r, r.class.DeduplicationWindow)
+	case cacheable && in.HasSubject && memory.usedWithKey() < memoryForCachedKeys*memory.limit:
+		c.storeKey(r, r.hardDeadline-c.now+c.settings.ResultCacheTTL)
+	}
+}
+
+// expireRequests gives up what is past its hard deadline or can't be of value any more, and rejects what is queued
+// with less time left than a run takes.
+func (c *Controller) expireRequests() {
+	for _, r := range c.requests {
+		worthless := r.class.LateValue == 0 && c.now > r.softDeadline
+		preemptible := c.settings.Preemption != NoPreemption || r.state == stateAwaitingDownstream
+		left := r.valueUntil - c.now
+		switch {
+		case c.now >= r.hardDeadline-deadlineTolerance, worthless && preemptible:
+			c.step(r, onExpire)
+		case left < r.class.minServiceTime,
+			left < r.class.minBudget && c.count(statesOnCore)+1 >= c.concurrency.cores:
+			c.step(r, onTooLate)
+		}
+	}
+}
+
+// rejectExpired rejects a request that has no time left: it may come back at once.
+func (c *Controller) rejectExpired(r *request) { c.reject(r, 0) }
+
+// rejectOverload rejects a request for want of capacity and says when to come back.
+func (c *Controller) rejectOverload(r *request) {
+	r.class.admittedFraction *= 1 - admissionWeight
+	c.reject(r, c.retryAfter())
+}
+
+// reject gives a request that never ran its final response, with Retry-After in seconds.
+func (c *Controller) reject(r *request, retryAfter float64) {
+	if r.duplicate { // another attempt of it may have run
+		c.fail(r)
+		return
+	}
+	if !r.overQuota { // else it says nothing of what else is wanted
+		c.load.wasted++
+	}
+	c.deleteKey(r)
+	c.emit(Action{Kind: Reject, RequestID: r.id, Duration: retryAfter, NoFailover: c.noFailover(r)})
+}
+
+// storeKey puts a request into the key table for so many seconds.
+func (c *Controller) storeKey(r *request, ttl float64) {
+	c.emit(Action{Kind: StoreKey, RequestID: r.id, Duration: ttl})
+	c.memory.keys.Add(r.id, c.now+ttl+keyLinger)
+}
+
+// deleteKey takes a request out of the key table, if it is there.
+func (c *Controller) deleteKey(r *request) {
+	if c.memory.keys.Remove(r.id) {
+		c.emit(Action{Kind: DeleteKey, RequestID: r.id})
+	}
+}
--- a/admission/rules_test.go
+++ b/admission/rules_test.go
@@ -10,174 +10,274 @@
 )
 
 func init() {
-	flag.Set("rapid.seed", "20261201") // the same verdict every time
-	flag.Set("rapid.nofailfile", "true")
-	flag.Set("rapid.checks", "1000")
-}
-
-func drawSite(t *rapid.T) Settings {
-	f := func(name string, lo, hi float64) float64 { return rapid.Float64Range(lo, hi).Draw(t, name) }
-	n := func(name string, lo, hi int) int { return rapid.IntRange(lo, hi).Draw(t, name) }
-	site := Settings{Cores: n("cores", 1, 6), Servers: n("servers", 1, 20), Clients: n("callers", 0, 900),
-		IdleTimeout: f("idle", 0.01, 30), SlowStartSpeed: f("coldFrom", 0.15, 1), SlowStartDuration: 5 * float64(n("cold", 0, 1)),
-		DrainGracePeriod: f("grace", 0, 2), DeadlineTolerance: 0.06, ConcurrencyLimit: f("crowd", 2, 8), ConcurrencyWindow: 2,
-		MemoryLimit: f("memory", 300, 5000), RunningMemoryFactor: f("factor", 1, 16), KeyMemory: f("key", 1, 60),
-		Downstream: Downstream(n("below", 0, 2)), CallLimit: min(1, float64(n("some", 0, 4))) * f("share", 0.1, 1.5),
-		CallWindow: 5, AbandonedCallLifetime: 0.2, Preemption: Preemption(n("stopping", 0, 2)), Backpressure: Backpressure(n("free", 0, 3)),
-		ResultCacheTTL: float64(n("reuse", 0, 1)), DeadlinePropagation: rapid.Bool().Draw(t, "tells"),
-		MaxRetryAfter: float64(n("advice", 0, 1)), OverQuotaValue: 0.1, ValueByWork: rapid.Bool().Draw(t, "byWork")}
-	for i := range n("tenants", 0, 2) {
-		site.Tenants = append(site.Tenants, Tenant{Rate: float64(10 * (i + 1))})
-	}
-	for range n("stages", 1, 3) {
-		limit := f("limit", 0.5, 6)
-		site.Classes = append(site.Classes, Class{Idempotency: Idempotency(n("effect", 0, 2)), Timeout: limit,
-			SoftDeadline: f("due", 0.2, limit), Value: float64(n("utility", 1, 3)), LateValue: f("late", 0, 1),
-			DeduplicationWindow: f("window", 0.5, 4), CallsDownstream: site.Downstream != NoDownstream, DegradedValue: 0.5 * float64(n("skip", 0, 1))})
-	}
-	return site
-}
-
-// TestRules plays whatever the wire allows against the model: no task lost, no effect twice, clean
+	setFlag("rapid.seed", "20261201") // the same verdict every time
+	setFlag("rapid.nofailfile", "true")
+	setFlag("rapid.checks", "1000")
+}
+
+func setFlag(name, value string) {
+	if err := flag.Set(name, value); err != nil {
+		panic(err)
+	}
+}
+
+// drawSettings draws the settings of a deployment.
+func drawSettings(t *rapid.T) Settings {
+	float := func(name string, lo, hi float64) float64 { return rapid.Float64Range(lo, hi).Draw(t, name) }
+	integer := func(name string, lo, hi int) int { return rapid.IntRange(lo, hi).Draw(t, name) }
+	settings := Settings{
+		Cores:                 integer("cores", 1, 6),
+		Servers:               integer("servers", 1, 20),
+		Clients:               integer("clients", 0, 900),
+		IdleTimeout:           float("idleTimeout", 0.01, 30),
+		SlowStartSpeed:        float("slowStartSpeed", 0.15, 1),
+		SlowStartDuration:     5 * float64(integer("slowStart", 0, 1)),
+		DrainGracePeriod:      float("gracePeriod", 0, 2),
+		DeadlineTolerance:     0.06,
+		ConcurrencyLimit:      float("concurrencyLimit", 2, 8),
+		ConcurrencyWindow:     2,
+		MemoryLimit:           float("memory", 300, 5000),
+		RunningMemoryFactor:   float("memoryFactor", 1, 16),
+		KeyMemory:             float("keyMemory", 1, 60),
+		Downstream:            Downstream(integer("downstream", 0, 2)),
+		CallLimit:             min(1, float64(integer("anyCalls", 0, 4))) * float("callLimit", 0.1, 1.5),
+		CallWindow:            5,
+		AbandonedCallLifetime: 0.2,
+		Preemption:            Preemption(integer("preemption", 0, 2)),
+		Backpressure:          Backpressure(integer("backpressure", 0, 3)),
+		ResultCacheTTL:        float64(integer("resultCache", 0, 1)),
+		DeadlinePropagation:   rapid.Bool().Draw(t, "deadlinePropagation"),
+		MaxRetryAfter:         float64(integer("retryAfter", 0, 1)),
+		OverQuotaValue:        0.1,
+		ValueByWork:           rapid.Bool().Draw(t, "valueByWork"),
+	}
+	for i := range integer("tenants", 0, 2) {
+		settings.Tenants = append(settings.Tenants, Tenant{Rate: float64(10 * (i + 1))})
+	}
+	for range integer("classes", 1, 3) {
+		timeout := float("timeout", 0.5, 6)
+		settings.Classes = append(settings.Classes, Class{
+			Idempotency:         Idempotency(integer("idempotency", 0, 2)),
+			Timeout:             timeout,
+			SoftDeadline:        float("softDeadline", 0.2, timeout),
+			Value:               float64(integer("value", 1, 3)),
+			LateValue:           float("lateValue", 0, 1),
+			DeduplicationWindow: float("window", 0.5, 4),
+			CallsDownstream:     settings.Downstream != NoDownstream,
+			DegradedValue:       0.5 * float64(integer("degradedValue", 0, 1)),
+		})
+	}
+	return settings
+}
+
+// drawRequest draws what comes with a request.
+func (m *model) drawRequest(t *rapid.T) Request {
+	in := Request{
+		Class:        rapid.IntRange(0, len(m.settings.Classes)-1).Draw(t, "class"),
+		Memory:       rapid.Float64Range(1, 30).Draw(t, "memory"),
+		Age:          rapid.Float64Range(0, 1).Draw(t, "age"),
+		ExpectedWork: 0.1,
+		HasSubject:   rapid.Bool().Draw(t, "hasSubject"),
+		Write:        rapid.Bool().Draw(t, "write"),
+	}
+	if m.settings.DeadlinePropagation {
+		in.RemainingBudget = rapid.Float64Range(0.001, 8).Draw(t, "remainingBudget")
+	}
+	return in
+}
+
+// TestDecide_KeepsTheRules plays whatever the wire allows against the model: no request lost, no effect twice, clean
 // drains, nothing over its limits, and the same actions from the same events.
-func TestRules(t *testing.T) {
-	seen := map[played]int{}
-	defer func() { everyCase(t, seen) }()
+func TestDecide_KeepsTheRules(t *testing.T) {
+	covered := map[coverage]int{}
+	defer func() { requireFullCoverage(t, covered) }()
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPlain(drawSite(t), rapid.Int64().Draw(t, "seed"), rapid.Float64Range(0, 1e5).Draw(t, "clock"))
-		p.seen = seen
-		p.must(t, Event{Kind: Started})
-		steps := rapid.IntRange(10, 60).Draw(t, "steps")
-		drainStep := rapid.IntRange(0, 2*steps).Draw(t, "drain")
-		for i := 0; i < steps && p.now < p.killAt; i++ {
-			p.now = min(p.next(), p.now+rapid.Float64Range(0.002, 0.2).Draw(t, "dt"))
-			var events []Event
-			if p.next() <= p.now {
-				events = append(events, p.ring())
-			}
-			events = append(events, p.draw(t)...)
-			if i == drainStep {
-				left := rapid.Float64Range(0.1, 3).Draw(t, "left")
-				p.drainAt, p.killAt = p.now, p.now+left
-				events = append(events, Event{Kind: DrainStarted, Duration: left})
+		seed := rapid.Int64()
+		settings := drawSettings(t)
+		m := newModel(settings, seed.Draw(t, "seed"), rapid.Float64Range(0, 1e5).Draw(t, "clock"))
+		m.covered = covered
+		m.must(t, Event{Kind: Started})
+		m.playRandomEvents(t)
+		m.playTimersAlone(t)
+		for _, id := range m.ids {
+			if r := m.requests[id]; !r.answered && !r.clientGone && !math.IsInf(m.nextTimer(), 1) {
+				t.Fatalf("request %s never got its response", id)
 			}
-			for range rapid.IntRange(0, 6).Draw(t, "reads") {
-				in := Request{Class: rapid.IntRange(0, len(p.site.Classes)-1).Draw(t, "stage"),
-					Memory: rapid.Float64Range(1, 30).Draw(t, "memory"), Age: rapid.Float64Range(0, 1).Draw(t, "age"),
-					ExpectedWork: 0.1, HasSubject: rapid.Bool().Draw(t, "marked"), Write: rapid.Bool().Draw(t, "write")}
-				if p.site.DeadlinePropagation {
-					in.RemainingBudget = rapid.Float64Range(0.001, 8).Draw(t, "wait")
-				}
-				identity := fmt.Sprint(in.Class, rapid.IntRange(0, 5).Draw(t, "identity"))
-				events = append(events, p.read(fmt.Sprint("t", len(p.ids)), identity, in))
-			}
-			p.must(t, events...)
 		}
-		// Nothing ends any more: the timers alone must answer all.
-		for last := p.now + 20; p.next() <= last && p.now < p.killAt; {
-			p.now = p.next()
-			events := []Event{p.ring()}
-			for _, id := range p.ids { // calls keep their time-outs
-				if task := p.tasks[id]; task.where == "calling" && (task.answered || task.limit <= p.now) {
-					events = append(events, p.lost(task))
-				}
-			}
-			p.must(t, events...)
+	})
+}
+
+// playRandomEvents plays some steps, in one of which the server may be told to drain.
+func (m *model) playRandomEvents(t *rapid.T) {
+	steps := rapid.IntRange(10, 60).Draw(t, "steps")
+	drainStep := rapid.IntRange(0, 2*steps).Draw(t, "drain")
+	for i := 0; i < steps && m.now < m.killAt; i++ {
+		m.now = min(m.nextTimer(), m.now+rapid.Float64Range(0.002, 0.2).Draw(t, "interval"))
+		var events []Event
+		if m.nextTimer() <= m.now {
+			events = append(events, m.fireTimers())
+		}
+		events = append(events, m.drawProgress(t)...)
+		if i == drainStep {
+			left := rapid.Float64Range(0.1, 3).Draw(t, "left")
+			m.drainAt = m.now
+			m.killAt = m.now + left
+			events = append(events, Event{Kind: DrainStarted, Duration: left})
+		}
+		for range rapid.IntRange(0, 6).Draw(t, "arrivals") {
+			in := m.drawRequest(t)
+			identity := fmt.Sprint(in.Class, rapid.IntRange(0, 5).Draw(t, "identity"))
+			events = append(events, m.arrive(fmt.Sprint("t", len(m.ids)), identity, in))
 		}
-		for _, id := range p.ids {
-			if task := p.tasks[id]; !task.answered && !task.gone && !math.IsInf(p.next(), 1) {
-				t.Fatalf("task %s never got its answer", id)
+		m.must(t, events...)
+	}
+}
+
+// playTimersAlone has nothing end any more but calls, which keep their timeouts: the timers alone must answer all.
+func (m *model) playTimersAlone(t *rapid.T) {
+	for last := m.now + 20; m.nextTimer() <= last && m.now < m.killAt; {
+		m.now = m.nextTimer()
+		events := []Event{m.fireTimers()}
+		for _, id := range m.ids {
+			r := m.requests[id]
+			if r.place == placeCalling && (r.answered || r.callDeadline <= m.now) {
+				events = append(events, m.loseCall(r))
 			}
 		}
-	})
+		m.must(t, events...)
+	}
 }
 
-// played is a case that the model has met: how a call ended, of which effect, where running work can be stopped in which way.
-type played struct {
-	effect   Idempotency
-	stopping Preemption
-	call     Outcome
+// coverage is a case that the model has met: how a call ended, of which idempotency, with which preemption.
+type coverage struct {
+	idempotency Idempotency
+	preemption  Preemption
+	outcome     Outcome
 }
 
-func (p *plain) saw(t *plainTask, o Outcome) {
-	if p.seen != nil {
-		p.seen[played{t.stage.Idempotency, p.site.Preemption, o}]++
+func (m *model) cover(r *modelRequest, outcome Outcome) {
+	if m.covered != nil {
+		m.covered[coverage{r.class.Idempotency, m.settings.Preemption, outcome}]++
 	}
 }
 
-// everyCase wants every effect with every way of stopping and every end of a call, some times each.
-func everyCase(t *testing.T, seen map[played]int) {
+// requireFullCoverage wants every idempotency with every preemption and every end of a call, some times each.
+func requireFullCoverage(t *testing.T, covered map[coverage]int) {
 	t.Helper()
-	for _, effect := range []Idempotency{Idempotent, Deduplicated, AtMostOnce} {
-		for _, stopping := range []Preemption{NoPreemption, PreemptByDrop, PreemptByPause} {
-			for _, call := range []Outcome{Finished, Failed, Rejected, TimedOut, Unreachable, Disconnected} {
-				if n := seen[played{effect, stopping, call}]; n < 5 {
-					t.Errorf("effect %d, stopping %d, a call that ends as %d: played %d times", effect, stopping, call, n)
+	for _, idempotency := range []Idempotency{Idempotent, Deduplicated, AtMostOnce} {
+		for _, preemption := range []Preemption{NoPreemption, PreemptByDrop, PreemptByPause} {
+			for _, outcome := range []Outcome{Finished, Failed, Rejected, TimedOut, Unreachable, Disconnected} {
+				one := coverage{idempotency, preemption, outcome}
+				if n := covered[one]; n < 5 {
+					t.Errorf("%v, preemption %v, a call that ends as %v: played %d times", idempotency, preemption, outcome, n)
 				}
 			}
 		}
 	}
 }
 
-// lost is what becomes of a call that runs out of time or whose task has its answer.
-func (p *plain) lost(task *plainTask) Event {
-	if task.answered {
-		return p.end(task, Cancelled)
+// loseCall is what becomes of a call that runs out of time or whose request has its response.
+func (m *model) loseCall(r *modelRequest) Event {
+	if r.answered {
+		return m.end(r, Cancelled)
 	}
-	task.where = "parked"
-	p.saw(task, TimedOut)
-	p.lingers = append(p.lingers, p.now+p.site.AbandonedCallLifetime)
-	return Event{Kind: CallReturned, RequestID: task.id, Outcome: TimedOut}
+	r.place = placeAwaiting
+	m.cover(r, TimedOut)
+	m.abandonCall()
+	return Event{Kind: CallReturned, RequestID: r.id, Outcome: TimedOut}
 }
 
-// draw lets something happen, or nothing, to each task that is not over.
-func (p *plain) draw(t *rapid.T) (events []Event) {
-	for _, id := range p.ids {
-		task := p.tasks[id]
-		what := 99
-		if task.where != "over" {
-			what = rapid.IntRange(0, 14).Draw(t, "what")
+// drawProgress lets something happen, or nothing, to each request that is not done.
+func (m *model) drawProgress(t *rapid.T) (events []Event) {
+	const (
+		choices    = 14
+		clientGone = choices
+	)
+	for _, id := range m.ids {
+		r := m.requests[id]
+		if r.place == placeDone {
+			continue
 		}
-		switch {
-		case task.where == "core" && task.stopPending: // the stop is confirmed in the batch after
-			task.stopPending = false
-			task.where = "over"
-			events = append(events, Event{Kind: RunEnded, RequestID: id, Outcome: Cancelled})
-		case task.where == "core" && what < 4 && (task.answered || task.gone):
-			events = append(events, p.end(task, Cancelled))
-		case task.where == "core" && what < 4:
-			events = append(events, p.end(task, []Outcome{Finished, Finished, Finished, Failed}[what]))
-		case task.where == "core" && what < 8 && task.stage.CallsDownstream && !task.answered && !task.gone:
-			task.where, task.unproven = "parked", false
-			events = append(events, Event{Kind: AwaitingDownstream, RequestID: id})
-		case task.where == "calling" && (task.answered || task.gone || p.now >= task.limit):
-			if task.gone {
-				task.answered = true
-			}
-			events = append(events, p.lost(task))
-		case task.where == "calling" && what < 3:
-			task.where = "core"
-			p.saw(task, Finished)
-			events = append(events, Event{Kind: CallReturned, RequestID: id, Outcome: Finished, Duration: 0.05})
-		case task.where == "calling" && what < 7:
-			o := []Outcome{Rejected, Unreachable, Disconnected, Failed}[what-3]
-			task.where, task.unproven = "parked", o == Disconnected || o == Failed
-			p.saw(task, o)
-			events = append(events, Event{Kind: CallReturned, RequestID: id, Outcome: o, Duration: 0.05})
-		case task.where == "parked" && (task.answered || task.gone):
-			events = append(events, p.end(task, Cancelled))
-		case task.where == "sharing" && what < 2:
-			events = append(events, p.end(task, Finished))
-		case what == 14 && !task.answered && !task.gone:
-			task.gone = true
-			if task.where == "held" || task.where == "sharing" {
-				task.where = "over"
-			}
-			if task.where == "calling" {
-				p.lingers = append(p.lingers, p.now+p.site.AbandonedCallLifetime)
-			}
-			events = append(events, Event{Kind: ClientGone, RequestID: id})
+		choice := rapid.IntRange(0, choices).Draw(t, "choice")
+		event, happened := m.progress(r, choice)
+		if !happened && choice == clientGone && !r.answered && !r.clientGone {
+			event = m.leave(r)
+			happened = true
+		}
+		if happened {
+			events = append(events, event)
 		}
 	}
 	return events
 }
+
+// progress lets a run or a call get on, by the number that was drawn.
+func (m *model) progress(r *modelRequest, choice int) (event Event, happened bool) {
+	over := r.answered || r.clientGone
+	switch r.place {
+	case placeOnCore:
+		return m.progressOnCore(r, choice, over)
+	case placeCalling:
+		return m.progressCall(r, choice, over)
+	case placeAwaiting:
+		if over {
+			return m.end(r, Cancelled), true
+		}
+	case placeCoalesced:
+		if choice < 2 {
+			return m.end(r, Finished), true
+		}
+	}
+	return Event{}, false
+}
+
+func (m *model) progressOnCore(r *modelRequest, choice int, over bool) (event Event, happened bool) {
+	switch {
+	case r.cancelPending: // the cancellation is confirmed in the batch after
+		r.cancelPending = false
+		r.place = placeDone
+		return Event{Kind: RunEnded, RequestID: r.id, Outcome: Cancelled}, true
+	case choice < 4 && over:
+		return m.end(r, Cancelled), true
+	case choice < 4:
+		return m.end(r, []Outcome{Finished, Finished, Finished, Failed}[choice]), true
+	case choice < 8 && r.class.CallsDownstream && !over:
+		r.place = placeAwaiting
+		r.unproven = false
+		return Event{Kind: AwaitingDownstream, RequestID: r.id}, true
+	}
+	return Event{}, false
+}
+
+func (m *model) progressCall(r *modelRequest, choice int, over bool) (event Event, happened bool) {
+	switch {
+	case over || m.now >= r.callDeadline:
+		if r.clientGone {
+			r.answered = true
+		}
+		return m.loseCall(r), true
+	case choice < 3:
+		r.place = placeOnCore
+		m.cover(r, Finished)
+		return Event{Kind: CallReturned, RequestID: r.id, Outcome: Finished, Duration: 0.05}, true
+	case choice < 7:
+		outcome := []Outcome{Rejected, Unreachable, Disconnected, Failed}[choice-3]
+		r.place = placeAwaiting
+		r.unproven = outcome == Disconnected || outcome == Failed
+		m.cover(r, outcome)
+		return Event{Kind: CallReturned, RequestID: r.id, Outcome: outcome, Duration: 0.05}, true
+	}
+	return Event{}, false
+}
+
+// leave makes the event of a client that does not wait any more.
+func (m *model) leave(r *modelRequest) Event {
+	r.clientGone = true
+	switch r.place {
+	case placeQueued, placeCoalesced:
+		r.place = placeDone
+	case placeCalling:
+		m.abandonCall()
+	}
+	return Event{Kind: ClientGone, RequestID: r.id}
+}
