--- a/admission/admit.go
+++ b/admission/admit.go
@@ -1,12 +1,13 @@
 package admission
 
 const (
-	// lateValueWorthwhile is the fraction of its value from which on a response after the soft deadline is worth
-	// the cores. Exception to the design: below it late responses block what is worth more.
+	// lateValueWorthwhile is the fraction of its value from which on a response after the soft
+	// deadline is worth the cores. Exception to the design: below it late responses block what is
+	// worth more.
 	lateValueWorthwhile = 0.5
 
-	// Fractions of the memory limit: up to which requests are taken in, keys of deduplicated requests are stored,
-	// and keys that only spare a run are.
+	// Fractions of the memory limit: up to which requests are taken in, keys of deduplicated
+	// requests are stored, and keys that only spare a run are.
 	memoryForRequests   = 0.95
 	memoryForKeys       = 0.9
 	memoryForCachedKeys = 0.5
@@ -14,70 +15,81 @@
 
 // handleArrival takes a request in. Its hard deadline never changes but for a drain.
 func (c *Controller) handleArrival(e *Event) {
-	in := &e.Request
-	r := c.newRequest(e.RequestID, in)
-	withinQuota := c.chargeQuota(r, in.Tenant)
+	arrival := &e.Request
+	r := c.newRequest(e.RequestID, arrival)
+	withinQuota := c.chargeQuota(r, arrival.Tenant)
 	c.load.arrived++
-	c.arrivals.record(c.now, in)
+	c.arrivals.record(c.now, arrival)
 	c.byID[r.id] = r
 	c.requests = append(c.requests, r)
 	c.memory.reserve(r)
-	c.decideArrival(r, in, withinQuota)
+	c.decideArrival(r, arrival, withinQuota)
 }
 
 // newRequest returns a queued request with its deadlines and its value.
-func (c *Controller) newRequest(id string, in *Request) *request {
-	class := &c.classes[min(max(in.Class, 0), len(c.classes)-1)]
-	r := &request{
+func (c *Controller) newRequest(id string, arrival *Request) *request {
+	class := &c.classes[min(max(arrival.Class, 0), len(c.classes)-1)]
+	queued := &request{
 		id:        id,
 		class:     class,
 		state:     stateQueued,
 		since:     c.now,
-		arrivedAt: c.now - in.Age,
-		memory:    in.Memory,
+		arrivedAt: c.now - arrival.Age,
+		memory:    arrival.Memory,
 		value:     class.Value,
 	}
-	r.hardDeadline = r.arrivedAt + class.Timeout
-	if in.RemainingBudget > 0 || c.settings.DeadlinePropagation {
-		// An honest budget never passes the timeout of all attempts together.
-		r.hardDeadline = min(c.now+in.RemainingBudget, r.hardDeadline)
-	}
-	r.hardDeadline = min(max(r.hardDeadline, c.now), c.drain.lastResponse())
-	r.softDeadline = r.arrivedAt + min(class.SoftDeadline+class.SoftDeadlineStretch*in.ExpectedWork, class.Timeout)
-	r.valueUntil = r.hardDeadline
+	queued.hardDeadline = c.hardDeadline(queued.arrivedAt+class.Timeout, arrival)
+	softDeadline := class.SoftDeadline + class.SoftDeadlineStretch*arrival.ExpectedWork
+	queued.softDeadline = queued.arrivedAt + min(softDeadline, class.Timeout)
+	queued.valueUntil = queued.hardDeadline
 	if class.LateValue < lateValueWorthwhile {
-		r.valueUntil = min(r.softDeadline, r.hardDeadline)
+		queued.valueUntil = min(queued.softDeadline, queued.hardDeadline)
+	}
+	if c.settings.ValueByWork && arrival.ExpectedWork > 0 {
+		queued.value *= arrival.ExpectedWork
 	}
-	if c.settings.ValueByWork && in.ExpectedWork > 0 {
-		r.value *= in.ExpectedWork
+	return queued
+}
+
+// hardDeadline is when the client leaves: as its remaining budget ends, which is cut to the timeout
+// of all attempts together, as no honest budget passes that. It is not later than a drain's last
+// response.
+func (c *Controller) hardDeadline(timeoutAt float64, arrival *Request) float64 {
+	deadline := timeoutAt
+	if arrival.RemainingBudget > 0 || c.settings.DeadlinePropagation {
+		deadline = min(c.now+arrival.RemainingBudget, timeoutAt)
 	}
-	return r
+	return min(max(deadline, c.now), c.drain.lastResponse())
 }
 
-// decideArrival rejects a request at once, has it share the result of another, or leaves it in the queue.
-func (c *Controller) decideArrival(r *request, in *Request, withinQuota bool) {
-	deduplicated := r.class.Idempotency == Deduplicated
-	cacheable := c.settings.ResultCacheTTL > 0 && r.class.Idempotency == Idempotent && !in.Write
-	r.duplicate = in.DuplicateOf != "" && deduplicated
+// decideArrival rejects a request at once, has it share the result of another, or leaves it in the
+// queue.
+func (c *Controller) decideArrival(queued *request, arrival *Request, withinQuota bool) {
+	deduplicated := queued.class.Idempotency == Deduplicated
+	idempotent := queued.class.Idempotency == Idempotent
+	cacheable := c.settings.ResultCacheTTL > 0 && idempotent && !arrival.Write
+	queued.duplicate = arrival.DuplicateOf != "" && deduplicated
 	memory := &c.memory
 	switch {
-	case c.drain.refuses(r), memory.used() > memoryForRequests*memory.limit:
-		c.step(r, onOverload)
-	case in.DuplicateOf != "" && (deduplicated || cacheable):
-		c.step(r, onDuplicate)
+	case c.drain.refuses(queued), memory.used() > memoryForRequests*memory.limit:
+		c.step(queued, onOverload)
+	case arrival.DuplicateOf != "" && (deduplicated || cacheable):
+		c.step(queued, onDuplicate)
 	case !withinQuota:
-		c.step(r, onOverload)
+		c.step(queued, onOverload)
 	case deduplicated && memory.usedWithKey() > memoryForKeys*memory.limit:
-		c.step(r, onOverload) // without its key a repeat would not be known and run too: no key, no run
+		// Without its key a repeat would not be known and run too: no key, no run.
+		c.step(queued, onOverload)
 	case deduplicated:
-		c.storeKey(r, r.class.DeduplicationWindow)
-	case cacheable && in.HasSubject && memory.usedWithKey() < memoryForCachedKeys*memory.limit:
-		c.storeKey(r, r.hardDeadline-c.now+c.settings.ResultCacheTTL)
+		c.storeKey(queued, queued.class.DeduplicationWindow)
+	case cacheable && arrival.HasSubject && memory.usedWithKey() < memoryForCachedKeys*memory.limit:
+		// This only spares a run, so it takes no memory that requests need.
+		c.storeKey(queued, queued.hardDeadline-c.now+c.settings.ResultCacheTTL)
 	}
 }
 
-// expireRequests gives up what is past its hard deadline or can't be of value any more, and rejects what is queued
-// with less time left than a run takes.
+// expireRequests gives up what is past its hard deadline or can't be of value any more, and rejects
+// what is queued with less time left than a run takes.
 func (c *Controller) expireRequests() {
 	for _, r := range c.requests {
 		worthless := r.class.LateValue == 0 && c.now > r.softDeadline
--- a/admission/admit_test.go
+++ b/admission/admit_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// The minimum service time is learned of runs, not of quick errors, and checked on arrival and again at the start.
+// The minimum service time is learned of runs, not of quick errors, and checked on arrival and
+// again at the start.
 func TestReject_TooLittleTimeLeft(t *testing.T) {
 	m := newLearnedModel(t, Settings{MaxRetryAfter: 1})
 	for i := range 20 {
--- a/admission/backpressure.go
+++ b/admission/backpressure.go
@@ -14,8 +14,8 @@
 	// reportSteps is in how many steps the part is reported: smaller ones would only add messages.
 	reportSteps = 50
 
-	// noFailoverBelow is the part under which clients are asked not to try another server: the others fare alike.
-	// Where each attempt opens a connection it is noFailoverBelowIdle.
+	// noFailoverBelow is the part under which clients are asked not to try another server: the
+	// others fare alike. Where each attempt opens a connection it is noFailoverBelowIdle.
 	noFailoverBelow     = 0.4
 	noFailoverBelowIdle = 0.95
 
@@ -29,7 +29,8 @@
 	fullCredit   float64 // open requests a client when all traffic is wanted
 	wanted       float64 // part of the usual traffic that is wanted
 	reported     float64 // the same, as it was last reported
-	// arrived counts the requests since the last tick; wasted those of them that were read or run for nothing.
+	// arrived counts the requests since the last tick; wasted those of them that were read or run
+	// for nothing.
 	arrived, wasted float64
 }
 
@@ -42,7 +43,8 @@
 	}
 }
 
-// decrease lowers the part that is wanted by the part that was wasted: a few of many lower it little.
+// decrease lowers the part that is wanted by the part that was wasted: a few of many lower it
+// little.
 func (l *loadReporter) decrease() {
 	l.wanted = max(minWanted, l.wanted*(1-min(maxWantedDecrease, l.wasted/max(l.arrived, 1))))
 }
@@ -59,26 +61,27 @@
 	}
 }
 
-// tuneLoadReport says how much of the usual traffic is wanted: less at once when requests are rejected, more again in
-// small steps. Reading costs too, so requests read too late to run count like those rejected.
+// tuneLoadReport says how much of the usual traffic is wanted: less at once when requests are
+// rejected, more again in small steps. Reading costs too, so requests read too late to run count
+// like those rejected.
 func (c *Controller) tuneLoadReport() {
-	l := &c.load
+	reporter := &c.load
 	switch {
 	case c.drain.draining():
-		l.wanted = 0
+		reporter.wanted = 0
 	case c.progress.stalled:
-		l.wanted = minWanted
-	case l.wasted > 0:
-		l.decrease()
+		reporter.wanted = minWanted
+	case reporter.wasted > 0:
+		reporter.decrease()
 	case c.arrivals.unreadDelay < c.arrivals.maxUnreadDelay:
-		l.wanted = min(1, l.wanted+wantedIncrease)
+		reporter.wanted = min(1, reporter.wanted+wantedIncrease)
 	}
-	l.arrived = 0
-	l.wasted = 0
-	rounded := math.Round(l.wanted*reportSteps) / reportSteps
-	if l.backpressure != NoBackpressure && rounded != l.reported {
-		l.reported = rounded
-		c.emit(Action{Kind: ReportLoad, Load: l.report()})
+	reporter.arrived = 0
+	reporter.wasted = 0
+	rounded := math.Round(reporter.wanted*reportSteps) / reportSteps
+	if reporter.backpressure != NoBackpressure && rounded != reporter.reported {
+		reporter.reported = rounded
+		c.emit(Action{Kind: ReportLoad, Load: reporter.report()})
 	}
 }
 
@@ -88,14 +91,14 @@
 	return min(c.settings.MaxRetryAfter, max(minRetryAfter, drained))
 }
 
-// noFailover reports whether a client that is rejected is asked not to try another server: what is over its quota is so
-// everywhere, and while requests wait unread for long or little is wanted the others fare alike and reads take from
-// runs. Where an attempt opens a connection it asks always, unless clients choose servers by subject. It may hurt where
-// only this server is slow or crowded.
+// noFailover reports whether a client that is rejected is asked not to try another server: what is
+// over its quota is so everywhere, and while requests wait unread for long or little is wanted the
+// others fare alike and reads take from runs. Where an attempt opens a connection it asks always,
+// unless clients choose servers by subject. It may hurt where only this server is slow or crowded.
 func (c *Controller) noFailover(r *request) bool {
 	if r.overQuota || c.arrivals.backlogged() || c.load.wanted < noFailoverBelow {
 		return true
 	}
-	opensConnections := !c.arrivals.haveSubjects && c.connections.idleTimeout < c.connections.maxIdleTimeout
-	return c.load.wanted < noFailoverBelowIdle && opensConnections
+	opensConnections := c.connections.idleTimeout < c.connections.maxIdleTimeout
+	return c.load.wanted < noFailoverBelowIdle && opensConnections && !c.arrivals.haveSubjects
 }
--- a/admission/backpressure_test.go
+++ b/admission/backpressure_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// Requests read too late lower the part of traffic that is wanted and are asked not to try elsewhere; where none is
-// finished in time any more the server is reported unhealthy, but not while some are, as under plain overload.
+// Requests read too late lower the part of traffic that is wanted and are asked not to try
+// elsewhere; where none is finished in time any more the server is reported unhealthy, but not
+// while some are, as under plain overload.
 func TestLoadReport_UnreadBacklogKeepsTrafficAway(t *testing.T) {
 	for name, someInTime := range map[string]bool{"none ends in time": false, "some end in time": true} {
 		t.Run(name, func(t *testing.T) {
@@ -32,7 +33,8 @@
 	}
 }
 
-// One request in forty rejected lowers the part that is wanted by as much, not as if hardly any had been finished.
+// One request in forty rejected lowers the part that is wanted by as much, not as if hardly any had
+// been finished.
 func TestLoadReport_FewWastedOfManyLowerItLittle(t *testing.T) {
 	for arrived, want := range map[float64][2]float64{40: {0.5, 0.7}, 2: {0.2, 0.3}, 0: {0.2, 0.3}} {
 		t.Run(fmt.Sprint("one of ", arrived), func(t *testing.T) {
--- a/admission/capacity.go
+++ b/admission/capacity.go
@@ -12,21 +12,25 @@
 
 	// experimentPeriod is how many seconds each arm is tried at a time.
 	experimentPeriod = 1
-	// experimentWeight is the weight of the latest period in the mean of an arm: the last three or so tell.
+	// experimentWeight is the weight of the latest period in the mean of an arm: the last three or
+	// so tell.
 	experimentWeight = 0.3
 	// explorationRate is how often the arm that seems worse is tried: things change.
 	explorationRate = 0.15
 	// armStep is by how many runnable requests a core the second arm exceeds the first.
 	armStep = 0.5
 
-	// stallRuns is for how many of the slowest mean runs nothing may get on before work counts as stalled.
+	// stallRuns is for how many of the slowest mean runs nothing may get on before work counts as
+	// stalled.
 	stallRuns = 4
-	// minSlowestMean stands in where little is known, or runs are so short that a pause of the cores shows.
+	// minSlowestMean stands in where little is known, or runs are so short that a pause of the
+	// cores shows.
 	minSlowestMean = 0.25
-	// maxUntimely is for how many seconds no request may end in time while arrivals wait unread, and for how many
-	// none may arrive before what was learned of arrivals is past.
-	maxUntimely     = 0.5
-	arrivalsExpire  = 0.5
+	// maxUntimely is for how many seconds no request may end in time while arrivals wait unread,
+	// and for how many none may arrive before what was learned of arrivals is past.
+	maxUntimely    = 0.5
+	arrivalsExpire = 0.5
+	// unreadTickDecay is what is left of the learned unread delay after a tick.
 	unreadTickDecay = 0.98
 )
 
@@ -42,7 +46,10 @@
 }
 
 // slowStart is the warm-up of a server that starts cold.
-type slowStart struct{ startedAt, speed, duration float64 }
+type slowStart struct {
+	SlowStartSettings
+	startedAt float64
+}
 
 // armExperiment is a bandit with two arms: one runnable request a core, or half as many again.
 type armExperiment struct {
@@ -56,8 +63,8 @@
 func newConcurrencyLimiter(settings *Settings, cores float64) concurrencyLimiter {
 	return concurrencyLimiter{
 		cores:     cores,
-		perCore:   max(1, settings.ConcurrencyLimit),
-		slowStart: slowStart{speed: settings.SlowStartSpeed, duration: settings.SlowStartDuration},
+		perCore:   max(1, settings.Concurrency.PerCore),
+		slowStart: slowStart{SlowStartSettings: settings.SlowStart},
 		runLimit:  cores,
 		gauges:    Gauges{Runnable: -1},
 	}
@@ -66,7 +73,7 @@
 // speedAt is the fraction of its speed that the server has.
 func (s *slowStart) speedAt(now float64) float64 {
 	age := now - s.startedAt + slowStartEpsilon
-	return s.speed + (1-s.speed)*min(1, age/max(s.duration, slowStartEpsilon))
+	return s.InitialSpeed + (1-s.InitialSpeed)*min(1, age/max(s.Duration, slowStartEpsilon))
 }
 
 // ceiling is how many running requests the cores survive, warming up or warm, less some headroom.
@@ -90,13 +97,14 @@
 	e.hadQueue = false
 }
 
-// hasConcurrencyRoom reports whether one more may come to the cores, should all calls return at once.
+// hasConcurrencyRoom reports whether one more may come to the cores, should all calls return at
+// once.
 func (c *Controller) hasConcurrencyRoom() bool {
 	return c.count(statesOnCore|stateCalling)+1 <= c.concurrency.ceiling(c.now)
 }
 
-// tuneRunLimit raises the run limit fast while cores are free and requests are queued. How many may be runnable a
-// core beyond that is what the experiment finds.
+// tuneRunLimit raises the run limit fast while cores are free and requests are queued. How many may
+// be runnable a core beyond that is what the experiment finds.
 func (c *Controller) tuneRunLimit() {
 	l := &c.concurrency
 	runnable := l.gauges.Runnable
@@ -125,9 +133,9 @@
 
 func newMemoryBudget(settings *Settings) memoryBudget {
 	return memoryBudget{
-		limit:         settings.MemoryLimit,
-		runningFactor: max(1, settings.RunningMemoryFactor),
-		keyMemory:     settings.KeyMemory,
+		limit:         settings.Memory.Limit,
+		runningFactor: max(1, settings.Memory.RunningFactor),
+		keyMemory:     settings.Memory.PerKey,
 	}
 }
 
@@ -156,13 +164,15 @@
 	slowestMean float64 // the longest mean run of a class
 }
 
-// checkProgress reports the server unhealthy while work is stalled: the cores are taken yet nothing got on for a few
-// runs, or requests wait unread for long and none ended in time. Without that last test all servers would be taken
-// out of service together under plain overload.
+// checkProgress reports the server unhealthy while work is stalled: the cores are taken yet nothing
+// got on for a few runs, or requests wait unread for long and none ended in time. Without that last
+// test all servers would be taken out of service together under plain overload.
 func (c *Controller) checkProgress() {
 	p := &c.progress
-	stalled := c.count(statesOnCore) >= c.concurrency.cores && c.now-p.lastEnd > stallRuns*p.slowestMean ||
-		c.arrivals.backlogged() && c.now-p.lastTimely > maxUntimely
+	coresTaken := c.count(statesOnCore) >= c.concurrency.cores
+	nothingEnds := c.now-p.lastEnd > stallRuns*p.slowestMean
+	nothingTimely := c.now-p.lastTimely > maxUntimely
+	stalled := coresTaken && nothingEnds || c.arrivals.backlogged() && nothingTimely
 	c.arrivals.unreadDelay *= unreadTickDecay
 	if c.now-c.arrivals.last > arrivalsExpire { // nothing waits unread, and none could be timely
 		c.arrivals.unreadDelay = 0
--- a/admission/capacity_test.go
+++ b/admission/capacity_test.go
@@ -8,7 +8,7 @@
 func TestSlowStart_StartsFewer(t *testing.T) {
 	for duration, most := range map[float64]int{0: 8, 60: 3} {
 		t.Run(fmt.Sprint(duration, " s"), func(t *testing.T) {
-			settings := Settings{Cores: 2, SlowStartSpeed: 0.2, SlowStartDuration: duration}
+			settings := Settings{Cores: 2, SlowStart: SlowStartSettings{InitialSpeed: 0.2, Duration: duration}}
 			m := newModel(withDefaults(settings), 1, 0)
 			m.must(t, Event{Kind: Started})
 			m.arriveMany(t, "a", 20, Request{Memory: 1, RemainingBudget: 4})
--- a/admission/connections_test.go
+++ b/admission/connections_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// Connections of clients that come back seldom must not fill the table; those of a few busy clients stay. Where each
-// further attempt opens a connection it is asked against, but not where clients may choose servers by subject.
+// Connections of clients that come back seldom must not fill the table; those of a few busy clients
+// stay. Where each further attempt opens a connection it is asked against, but not where clients
+// may choose servers by subject.
 func TestIdleTimeout_RareClientsAreNotKept(t *testing.T) {
 	cases := map[string]struct {
 		clients          int
@@ -32,8 +33,8 @@
 	}
 }
 
-// While requests wait unread connections stay for longer, so that a full table keeps some attempts out; once reading
-// gets on they are closed at once again.
+// While requests wait unread connections stay for longer, so that a full table keeps some attempts
+// out; once reading gets on they are closed at once again.
 func TestIdleTimeout_GrowsWhileRequestsWaitUnread(t *testing.T) {
 	classes := []Class{{SoftDeadline: 1.2, Timeout: 4, Value: 1}}
 	m := newLearnedModel(t, Settings{Cores: 8, Clients: 600, Classes: classes})
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -43,7 +43,7 @@
 // New makes the controller of a server that starts now. The seed determines its random draws.
 func New(seed int64, settings Settings) *Controller {
 	cores := max(1, float64(settings.Cores))
-	c := &Controller{
+	controller := &Controller{
 		settings:    settings,
 		byID:        map[string]*request{},
 		random:      randomSource{seed: seed},
@@ -58,14 +58,15 @@
 		connections: newConnectionTuner(&settings),
 		drain:       newDrainState(&settings),
 	}
-	for _, settingsOfClass := range settings.Classes {
-		c.classes = append(c.classes, learnedClass{Class: settingsOfClass, admittedFraction: 1})
+	for _, class := range settings.Classes {
+		learned := learnedClass{Class: class, admittedFraction: 1}
+		controller.classes = append(controller.classes, learned)
 	}
-	return c
+	return controller
 }
 
-// Decide takes the events of one batch, in order, and returns what to do, in order. now is the time in seconds; it
-// never goes back. The returned slice is valid until the next call.
+// Decide takes the events of one batch, in order, and returns what to do, in order. now is the time
+// in seconds; it never goes back. The returned slice is valid until the next call.
 func (c *Controller) Decide(now float64, events []Event) []Action {
 	c.now = now
 	c.actions = c.actions[:0]
@@ -85,13 +86,13 @@
 	c.scheduleCalls()
 	c.startQueued()
 	c.shedQueue()
-	c.requests = slices.DeleteFunc(c.requests, func(r *request) bool { return r.state == stateDone })
+	c.requests = slices.DeleteFunc(c.requests, (*request).done)
 	c.setTimer()
 	return c.actions
 }
 
-// DownstreamCalls returns how many downstream calls are in flight and how many requests wait for theirs to be
-// dispatched.
+// DownstreamCalls returns how many downstream calls are in flight and how many requests wait for
+// theirs to be dispatched.
 func (c *Controller) DownstreamCalls() (inFlight, waiting int) {
 	return int(c.callsInFlight()), int(c.count(stateAwaitingDownstream))
 }
@@ -173,7 +174,8 @@
 	}
 }
 
-// setTimer arms the timer for the next tick or the next hard deadline, if it is not armed for that already.
+// setTimer arms the timer for the next tick or the next hard deadline, if it is not armed for that
+// already.
 func (c *Controller) setTimer() {
 	next := c.timer.nextTick
 	for _, r := range c.requests {
@@ -187,7 +189,8 @@
 	}
 }
 
-// randomSource draws numbers that depend on the seed and on how many were drawn before, and on nothing else.
+// randomSource draws numbers that depend on the seed and on how many were drawn before, and on
+// nothing else.
 type randomSource struct{ seed, draws int64 }
 
 // float returns a number from 0 to under 1.
--- a/admission/downstream_test.go
+++ b/admission/downstream_test.go
@@ -5,11 +5,14 @@
 	"testing"
 )
 
-// In a large fleet the limit is far under one, yet a call needs more than the safety margin to come back.
+// In a large fleet the limit is far under one, yet a call needs more than the safety margin to come
+// back.
 func TestCallTimeout_IsTimeLeftLessMargin(t *testing.T) {
-	for downstream, want := range map[Downstream][2]float64{ServerTier: {0.98, 0.995}, SharedDependency: {0.1, 0.5}} {
-		t.Run(downstream.String(), func(t *testing.T) {
-			m := newLearnedModel(t, Settings{Downstream: downstream, CallLimit: 0.15})
+	wants := map[Downstream][2]float64{ServerTier: {0.98, 0.995}, SharedDependency: {0.1, 0.5}}
+	for kind, want := range wants {
+		t.Run(kind.String(), func(t *testing.T) {
+			downstream := DownstreamSettings{Kind: kind, CallLimit: 0.15}
+			m := newLearnedModel(t, Settings{Downstream: downstream})
 			m.arriveMany(t, "a", 1, Request{Memory: 1, RemainingBudget: 1})
 			m.awaitCall(t, "a0")
 			if left := m.callTimeLeft("a0"); left < want[0] || left > want[1] {
@@ -19,14 +22,15 @@
 	}
 }
 
-// A call into a tier that hangs is given up in time for another, which gets what is left; the first to be tried again
-// is one that may be, and only where typical calls are known.
+// A call into a tier that hangs is given up in time for another, which gets what is left; the first
+// to be tried again is one that may be, and only where typical calls are known.
 func TestCallTimeout_HungCallLeavesTimeForAnother(t *testing.T) {
 	for idempotency, want := range map[Idempotency]float64{Idempotent: 0.4, AtMostOnce: 1.9} {
 		t.Run(idempotency.String(), func(t *testing.T) {
-			m := newLearnedModel(t, Settings{Downstream: ServerTier, Classes: []Class{
-				{SoftDeadline: 2, Timeout: 4, Value: 1, Idempotency: idempotency},
-			}})
+			m := newLearnedModel(t, Settings{
+				Downstream: DownstreamSettings{Kind: ServerTier},
+				Classes:    []Class{{SoftDeadline: 2, Timeout: 4, Value: 1, Idempotency: idempotency}},
+			})
 			for i := range 30 {
 				id := fmt.Sprint("a", i)
 				m.must(t, m.arrive(id, id, Request{Memory: 1, RemainingBudget: 2}))
@@ -48,7 +52,10 @@
 }
 
 func TestCallLimit_HoldsOfSharedDependency(t *testing.T) {
-	m := newLearnedModel(t, Settings{Cores: 6, Downstream: SharedDependency, CallLimit: 4})
+	m := newLearnedModel(t, Settings{
+		Cores:      6,
+		Downstream: DownstreamSettings{Kind: SharedDependency, CallLimit: 4},
+	})
 	for i := range 6 {
 		id := fmt.Sprint("a", i)
 		m.arriveMany(t, id, 1, Request{Memory: 1, RemainingBudget: 3})
@@ -61,7 +68,7 @@
 
 // Lost calls to a tier must not starve a server whose cores are idle.
 func TestCallLimit_LostCallsLeaveOneACore(t *testing.T) {
-	m := newLearnedModel(t, Settings{Downstream: ServerTier})
+	m := newLearnedModel(t, Settings{Downstream: DownstreamSettings{Kind: ServerTier}})
 	m.arriveMany(t, "a", 1, Request{Memory: 1, RemainingBudget: 4})
 	for range 40 {
 		m.awaitCall(t, "a0")
@@ -73,13 +80,17 @@
 	}
 }
 
-// Where calls are scarce, what can do without goes on without, rather than wait and keep others from the cores; the
-// calls go where they add most.
+// Where calls are scarce, what can do without goes on without, rather than wait and keep others
+// from the cores; the calls go where they add most.
 func TestScheduleCalls_ScarceCallsGoWhereTheyAddMost(t *testing.T) {
-	m := newLearnedModel(t, Settings{Cores: 6, Downstream: SharedDependency, CallLimit: 1, Classes: []Class{
-		{SoftDeadline: 2, Timeout: 4, Value: 1, CallsDownstream: true},
-		{SoftDeadline: 2, Timeout: 4, Value: 1, CallsDownstream: true, DegradedValue: 0.5},
-	}})
+	m := newLearnedModel(t, Settings{
+		Cores:      6,
+		Downstream: DownstreamSettings{Kind: SharedDependency, CallLimit: 1},
+		Classes: []Class{
+			{SoftDeadline: 2, Timeout: 4, Value: 1, CallsDownstream: true},
+			{SoftDeadline: 2, Timeout: 4, Value: 1, CallsDownstream: true, DegradedValue: 0.5},
+		},
+	})
 	m.learnCalls()
 	m.advance(t, m.now+0.2)
 	m.arriveMany(t, "plain", 2, Request{Memory: 1, RemainingBudget: 4})
@@ -101,10 +112,14 @@
 
 // Slow calls go to the one that earns nothing without, though the other is due first.
 func TestScheduleCalls_SlowCallsGoWhereTheyAddMost(t *testing.T) {
-	m := newLearnedModel(t, Settings{Cores: 6, Downstream: SharedDependency, CallLimit: 1, Classes: []Class{
-		{SoftDeadline: 30, Timeout: 40, Value: 1, CallsDownstream: true},
-		{SoftDeadline: 20, Timeout: 40, Value: 1, CallsDownstream: true, DegradedValue: 0.5},
-	}})
+	m := newLearnedModel(t, Settings{
+		Cores:      6,
+		Downstream: DownstreamSettings{Kind: SharedDependency, CallLimit: 1},
+		Classes: []Class{
+			{SoftDeadline: 30, Timeout: 40, Value: 1, CallsDownstream: true},
+			{SoftDeadline: 20, Timeout: 40, Value: 1, CallsDownstream: true, DegradedValue: 0.5},
+		},
+	})
 	for _, c := range []*Controller{m.controller, m.twin} {
 		c.downstream.callTime.lowest.Observe(m.now, 0.1)
 	}
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// lastResponseMargin is how many seconds before the kill a draining server must have given every request its final
-// response: several ticks of any deployment.
+// lastResponseMargin is how many seconds before the kill a draining server must have given every
+// request its final response: several ticks of any deployment.
 const lastResponseMargin = 0.03
 
 // drainState is that of a server that was told that its process will be killed.
@@ -14,7 +14,11 @@
 }
 
 func newDrainState(settings *Settings) drainState {
-	return drainState{gracePeriod: settings.DrainGracePeriod, startedAt: math.Inf(1), killAt: math.Inf(1)}
+	return drainState{
+		gracePeriod: settings.DrainGracePeriod,
+		startedAt:   math.Inf(1),
+		killAt:      math.Inf(1),
+	}
 }
 
 func (d *drainState) draining() bool { return !math.IsInf(d.killAt, 1) }
@@ -25,8 +29,8 @@
 // refuses reports whether a request arrived too late to be taken in.
 func (d *drainState) refuses(r *request) bool { return r.arrivedAt > d.startedAt+d.gracePeriod }
 
-// handleDrain takes the server out of service; the process will be killed in so many seconds. Hard deadlines move to
-// before that.
+// handleDrain takes the server out of service; the process will be killed in so many seconds. Hard
+// deadlines move to before that.
 func (c *Controller) handleDrain(killIn float64) {
 	c.drain.startedAt = c.now
 	c.drain.killAt = c.now + killIn
--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// runTimeMemory is over how many seconds the durations of runs are learned: some tens of runs on a busy server,
-	// yet a slow-down of a few seconds still shows.
+	// runTimeMemory is over how many seconds the durations of runs are learned: some tens of runs
+	// on a busy server, yet a slow-down of a few seconds still shows.
 	runTimeMemory = 8
 	// estimateBuckets is in how many buckets that time is divided.
 	estimateBuckets = 8
@@ -18,8 +18,8 @@
 	// minSamples is the least number of durations whose median or mean tells something.
 	minSamples = 4
 
-	// minimumDecay is how much of the way to the lowest value of 30 s the minimum service time goes at a tick with
-	// few ends: about 2 s for all of it.
+	// minimumDecay is how much of the way to the lowest value of 30 s the minimum service time goes
+	// at a tick with few ends: about 2 s for all of it.
 	minimumDecay = 0.05
 	// wasteWeight and callsWeight are of the latest run: the last 20 tell.
 	wasteWeight = 0.05
@@ -83,8 +83,9 @@
 	c.meanCalls += callsWeight * (float64(r.call.returned) - c.meanCalls)
 }
 
-// refresh works out the minimum service time and the means anew. stalled tells that work is stalled: there are no ends
-// then because none can end, and a lower minimum would let in what can't end either.
+// refresh works out the minimum service time and the means anew. stalled tells that work is
+// stalled: there are no ends then because none can end, and a lower minimum would let in what can't
+// end either.
 func (c *learnedClass) refresh(now float64, stalled bool, meanCall float64) {
 	c.runTime.refresh(now)
 	if c.runTime.recent.Count >= minSamples {
@@ -93,8 +94,9 @@
 	} else if !stalled {
 		c.minServiceTime += minimumDecay * min(c.runTime.lowest.Value(now)-c.minServiceTime, 0)
 	}
-	// Exception to the design, for thin budgets that pass the minimum and yet run out at calls or in long runs: as
-	// far as one run in three is wasted, the time at calls and a second run must be left too, unless cores are free.
+	// Exception to the design, for thin budgets that pass the minimum and yet run out at calls or
+	// in long runs: as far as one run in three is wasted, the time at calls and a second run must
+	// be left too, unless cores are free.
 	surcharge := min(1, wasteFactor*c.wastedFraction) * (c.runTime.mean + c.meanCalls*meanCall)
 	c.minBudget = min(c.minServiceTime+surcharge, c.Timeout/2)
 }
--- a/admission/estimate_test.go
+++ b/admission/estimate_test.go
@@ -23,7 +23,8 @@
 	}
 }
 
-// Budgets that pass the minimum, yet run out before the run ends, must not go on filling cores others need.
+// Budgets that pass the minimum, yet run out before the run ends, must not go on filling cores
+// others need.
 func TestMinBudget_GrowsWithWastedRuns(t *testing.T) {
 	for cores, ran := range map[int]bool{1: false, 2: true} {
 		t.Run(fmt.Sprint(cores, " cores"), func(t *testing.T) {
--- a/admission/event.go
+++ b/admission/event.go
@@ -4,58 +4,67 @@
 type EventKind uint8
 
 const (
-	// Started is the first event of every controller: the server is up.
+	// Started is the first event of every controller, when the server is up.
 	Started EventKind = iota
-	// Arrived: a request was read and is queued. Request.
+	// Arrived tells that a request was read and is queued. Sets Request.
 	Arrived
-	// RunEnded: a run ended. Outcome, Duration of the run.
+	// RunEnded tells that a run ended. Sets Outcome and Duration, the time that the run took.
 	RunEnded
-	// AwaitingDownstream: a running request waits for its call to be dispatched.
+	// AwaitingDownstream tells that a running request waits for its call to be dispatched.
 	AwaitingDownstream
-	// CallReturned: a downstream call ended. Outcome, Duration of the call.
+	// CallReturned tells that a downstream call ended. Sets Outcome and Duration, the time that the
+	// call took.
 	CallReturned
-	// ClientGone: nobody waits for the request any more.
+	// ClientGone tells that nobody waits for the request any more.
 	ClientGone
-	// DrainStarted: the process will be killed after Duration.
+	// DrainStarted tells that the process will be killed. Sets Duration, the time until then.
 	DrainStarted
-	// TimerFired: a timer went off. Gauges, Label of the timer.
+	// TimerFired tells that a timer went off. Sets Gauges, and Label to that of the timer.
 	TimerFired
-	// AllowanceChanged: the server's share of a budget that servers share changed. Allowance.
+	// AllowanceChanged tells what the server may use of a budget that servers share. Sets
+	// Allowance.
 	AllowanceChanged
 )
 
 // String returns the name of the kind, for logs and tests.
 func (k EventKind) String() string {
-	return enumName([]string{"started", "arrived", "run_ended", "awaiting_downstream", "call_returned",
-		"client_gone", "drain_started", "timer_fired", "allowance_changed"}, k)
+	names := []string{
+		"started", "arrived", "run_ended", "awaiting_downstream", "call_returned", "client_gone",
+		"drain_started", "timer_fired", "allowance_changed",
+	}
+	return enumName(names, k)
 }
 
 // Outcome is how a run or a call ended.
 type Outcome uint8
 
 const (
-	// Finished: it ended well.
+	// Finished means that it ended well.
 	Finished Outcome = iota
-	// Failed: it ended with an error.
+	// Failed means that it ended with an error.
 	Failed
-	// Rejected: it was turned down before it ran.
+	// Rejected means that the other side rejected it before it ran.
 	Rejected
-	// TimedOut: this server gave it up.
+	// TimedOut means that this server gave it up.
 	TimedOut
-	// Unreachable: it never got to the other side.
+	// Unreachable means that it never got to the other side.
 	Unreachable
-	// Disconnected: the connection broke midway.
+	// Disconnected means that the connection broke midway.
 	Disconnected
-	// Cancelled: the run was stopped, or its request was done already when it came to a call.
+	// Cancelled means that the run was stopped, or its request was done already when it came to a
+	// call.
 	Cancelled
-	// NeverStarted: the request was done already before its run began.
+	// NeverStarted means that the request was done already before its run began.
 	NeverStarted
 )
 
 // String returns the name of the outcome, for logs and tests.
 func (o Outcome) String() string {
-	return enumName([]string{"finished", "failed", "rejected", "timed_out", "unreachable", "disconnected",
-		"cancelled", "never_started"}, o)
+	names := []string{
+		"finished", "failed", "rejected", "timed_out", "unreachable", "disconnected", "cancelled",
+		"never_started",
+	}
+	return enumName(names, o)
 }
 
 // Event is one thing that happened to a server. The kind tells which of the fields are set.
@@ -64,7 +73,8 @@
 	RequestID string
 	Request   Request
 	Outcome   Outcome
-	// Duration is how many seconds a run or a call took, or how many are left until a draining process is killed.
+	// Duration is how many seconds a run or a call took, or how many are left until a draining
+	// process is killed.
 	Duration  float64
 	Label     string
 	Gauges    Gauges
@@ -84,10 +94,11 @@
 	// RemainingBudget is for how many seconds its client still waits; 0 where it wasn't told.
 	RemainingBudget float64
 	Priority        float64
-	// Retry tells that it is a later attempt, Write that it changes something, HasSubject that it names what it
-	// is about.
+	// Retry tells that it is a later attempt, Write that it changes something, HasSubject that it
+	// names what it is about.
 	Retry, Write, HasSubject bool
-	// DuplicateOf is the ID of the stored request that this one repeats, empty where it repeats none.
+	// DuplicateOf is the ID of the stored request that this one repeats, empty where it repeats
+	// none.
 	DuplicateOf string
 }
 
@@ -97,13 +108,15 @@
 // CallAllowance is the Tenant of an allowance that bounds downstream calls.
 const CallAllowance = -1
 
-// Allowance is what a server may use of a budget that all servers share, from now on. It takes the place of the
-// server's own estimate and is binding: what exceeds it is rejected. A server without one decides by its estimate.
+// Allowance is what a server may use of a budget that all servers share, from now on. It takes the
+// place of the server's own estimate and is binding: what exceeds it is rejected. A server without
+// one decides by its estimate.
 type Allowance struct {
 	// Tenant is whose requests it bounds; CallAllowance where it bounds downstream calls.
 	Tenant int
 	// Limit is in requests a second, or in concurrent calls.
 	Limit float64
-	// BurstDuration is how many seconds of a request rate may be saved up; one request may be at least.
+	// BurstDuration is how many seconds of a request rate may be saved up; one request may be at
+	// least.
 	BurstDuration float64
 }
--- a/admission/helpers_test.go
+++ b/admission/helpers_test.go
@@ -13,16 +13,16 @@
 	if settings.Cores == 0 {
 		settings.Cores = 2
 	}
-	settings.MemoryLimit = 1e6
+	settings.Memory.Limit = 1e6
 	settings.IdleTimeout = 30
-	settings.RunningMemoryFactor = 4
-	settings.ConcurrencyLimit = 4
-	settings.ConcurrencyWindow = 2
+	settings.Memory.RunningFactor = 4
+	settings.Concurrency.PerCore = 4
+	settings.Concurrency.Window = 2
 	settings.DeadlineTolerance = 0.05
 	settings.DeadlinePropagation = true
 	settings.DrainGracePeriod = 1
-	settings.AbandonedCallLifetime = 0.2
-	settings.CallWindow = 5
+	settings.Downstream.AbandonedCallLifetime = 0.2
+	settings.Downstream.CallWindow = 5
 	return settings
 }
 
@@ -46,7 +46,8 @@
 	m.must(t, m.end(m.requests[id], outcome))
 }
 
-// arriveMany has n requests arrive, each in a batch of its own. Their IDs are the prefix with a number from 0.
+// arriveMany has n requests arrive, each in a batch of its own. Their IDs are the prefix with a
+// number from 0.
 func (m *model) arriveMany(t *testing.T, prefix string, n int, in Request) {
 	t.Helper()
 	for i := range n {
--- a/admission/lifecycle.go
+++ b/admission/lifecycle.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// state is a state of a request, or a set of several: in a row of the table, and where requests are counted.
+// state is a state of a request, or a set of several: in a row of the table, and where requests are
+// counted.
 type state uint16
 
 const (
@@ -11,7 +12,7 @@
 	stateRunning                  // on or near a core
 	stateAwaitingDownstream       // its call is not dispatched yet
 	stateCalling                  // its call is in flight
-	stateAnswered                 // has its final response, yet still runs or has still to leave its call
+	stateAnswered                 // has its final response, yet its run has not ended
 	stateDone
 
 	statesOnCore = stateRunning | stateAnswered
@@ -25,7 +26,7 @@
 	onDuplicate                      // decided: the result of another request is its own
 	onTooLate                        // decided: less time is left than a run takes
 	onOverload                       // decided: load, memory, a quota or a drain forbids it
-	onExpire                         // decided: its hard deadline is here, or it can't be of value any more
+	onExpire                         // decided: its hard deadline is here, or it has no value any more
 	onDispatch                       // decided: its call may go out
 	onDegrade                        // decided: a response without the call is worth more
 	onClientGone                     // events, from here on
@@ -44,8 +45,8 @@
 	effect func(*Controller, *request) // nil for none
 }
 
-// transitions are the whole life of a request: what no row names changes nothing. Where two rows match, the first
-// holds.
+// transitions are the whole life of a request: what no row names changes nothing. Where two rows
+// match, the first holds.
 var transitions = []transition{
 	{stateQueued, onAdmit, stateRunning, (*Controller).startRun},
 	{stateQueued, onDuplicate, stateCoalesced, (*Controller).reuseResult},
@@ -118,11 +119,8 @@
 // apply moves a request along a transition and books what follows from its states.
 func (c *Controller) apply(row *transition, r *request) {
 	c.accrueCallCredit()
-	if r.quota != nil && r.state == stateQueued {
-		if row.to != stateRunning { // what was not run, or has another's result, used nothing of the quota
-			r.quota.Refund()
-		}
-		r.quota = nil
+	if r.state == stateQueued {
+		r.settleQuota(row.to)
 	}
 	if r.state&statesOnCore != 0 {
 		r.coreTime += c.now - r.since
@@ -140,6 +138,17 @@
 	}
 }
 
+// settleQuota refunds what a request that leaves the queue was charged with, if it does not run: what
+// was rejected, or has the result of another, used nothing of the quota.
+func (r *request) settleQuota(to state) {
+	if r.quota != nil && to != stateRunning {
+		r.quota.Refund()
+	}
+	r.quota = nil
+}
+
+func (r *request) done() bool { return r.state == stateDone }
+
 // count returns how many requests are in any of the states.
 func (c *Controller) count(in state) (n float64) {
 	for _, r := range c.requests {
@@ -152,7 +161,8 @@
 
 // inState returns the requests in a state, in order of arrival, in a slice of the caller's own.
 func (c *Controller) inState(in state) []*request {
-	return slices.DeleteFunc(slices.Clone(c.requests), func(r *request) bool { return r.state != in })
+	isElsewhere := func(r *request) bool { return r.state != in }
+	return slices.DeleteFunc(slices.Clone(c.requests), isElsewhere)
 }
 
 // handleRunEnded takes the end of a run and learns from it.
@@ -165,8 +175,10 @@
 		on = onRunCancelled
 	}
 	c.step(r, on)
-	// A quick error or a run cut short would teach too low a minimum; one cut after the minimum is a bound.
-	if r.ran && r.state == stateDone && (e.Outcome == Finished || r.coreTime > r.class.minServiceTime) {
+	// A quick error or a run cut short would teach too low a minimum; one cut after the minimum is
+	// a bound.
+	tells := e.Outcome == Finished || r.coreTime > r.class.minServiceTime
+	if r.ran && r.done() && tells {
 		r.class.recordRun(c.now, r)
 	}
 	if e.Outcome == Finished && was != stateAnswered && c.now <= r.softDeadline {
@@ -190,8 +202,8 @@
 	c.emit(Action{Kind: Fail, RequestID: r.id})
 }
 
-// cancelRun stops a run where that is possible and nobody may still want its result, as the repeat of a deduplicated
-// request may.
+// cancelRun stops a run where that is possible and nobody may still want its result, as the repeat
+// of a deduplicated request may.
 func (c *Controller) cancelRun(r *request) {
 	if c.settings.Preemption != NoPreemption && r.class.Idempotency != Deduplicated {
 		c.emit(Action{Kind: CancelRun, RequestID: r.id})
--- a/admission/model_test.go
+++ b/admission/model_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// model is a slow, plain model of what the rules allow one server, fed with the events and actions of a controller. It
-// holds no decision: whatever breaks a rule comes back as an error.
+// model is a slow, plain model of what the rules allow one server, fed with the events and actions
+// of a controller. It holds no decision: whatever breaks a rule comes back as an error.
 type model struct {
 	settings Settings
 	// controller and twin get the same events and must give the same actions.
@@ -108,8 +108,8 @@
 	return Event{Kind: Arrived, RequestID: id, Request: in}
 }
 
-// original returns the latest request of the same identity that has a key, or came in the same batch; otherwise what is
-// given.
+// original returns the latest request of the same identity that has a key, or came in the same
+// batch; otherwise what is given.
 func (m *model) original(r *modelRequest, otherwise string) string {
 	for _, id := range m.ids {
 		other := m.requests[id]
@@ -243,7 +243,7 @@
 }
 
 func (m *model) abandonCall() {
-	m.abandonedUntil = append(m.abandonedUntil, m.now+m.settings.AbandonedCallLifetime)
+	m.abandonedUntil = append(m.abandonedUntil, m.now+m.settings.Downstream.AbandonedCallLifetime)
 }
 
 // hasRunTwin reports whether another attempt of a deduplicated request has run within its window.
@@ -273,8 +273,8 @@
 			return fmt.Errorf("request %s lost: due %.3f, now %.3f", id, r.hardDeadline, m.now)
 		}
 	}
-	if memory := m.memory(); memory > m.settings.MemoryLimit {
-		return fmt.Errorf("memory %.0f over %.0f", memory, m.settings.MemoryLimit)
+	if memory := m.memory(); memory > m.settings.Memory.Limit {
+		return fmt.Errorf("memory %.0f over %.0f", memory, m.settings.Memory.Limit)
 	}
 	if n := m.count(placeOnCore); float64(n) > m.survivableRuns() {
 		return fmt.Errorf("%d crowd the cores", n)
@@ -287,7 +287,7 @@
 	memory := 0.0
 	for _, until := range m.keys {
 		if until >= m.now {
-			memory += m.settings.KeyMemory
+			memory += m.settings.Memory.PerKey
 		}
 	}
 	for _, id := range m.ids {
@@ -297,7 +297,7 @@
 		case placeQueued, placeCoalesced:
 			memory += r.memory
 		default:
-			memory += r.memory * m.settings.RunningMemoryFactor
+			memory += r.memory * m.settings.Memory.RunningFactor
 		}
 	}
 	return memory
@@ -305,17 +305,18 @@
 
 // survivableRuns is how many runs the cores survive at this moment of the warm-up.
 func (m *model) survivableRuns() float64 {
+	slowStart := m.settings.SlowStart
 	speed := 1.0
-	if age := m.now - m.startedAt; age < m.settings.SlowStartDuration {
-		speed = m.settings.SlowStartSpeed + (1-m.settings.SlowStartSpeed)*age/m.settings.SlowStartDuration
+	if age := m.now - m.startedAt; age < slowStart.Duration {
+		speed = slowStart.InitialSpeed + (1-slowStart.InitialSpeed)*age/slowStart.Duration
 	}
-	return float64(m.settings.Cores) * (1 + (m.settings.ConcurrencyLimit-1)*speed)
+	return float64(m.settings.Cores) * (1 + (m.settings.Concurrency.PerCore-1)*speed)
 }
 
-// checkCalls checks the mean of calls in flight over the window. What was in flight until the next batch is taken as if
-// it had been so since this one.
+// checkCalls checks the mean of calls in flight over the window. What was in flight until the next
+// batch is taken as if it had been so since this one.
 func (m *model) checkCalls() error {
-	window := m.settings.CallWindow
+	window := m.settings.Downstream.CallWindow
 	calls := 0
 	for _, r := range m.requests {
 		if r.place == placeCalling && !r.answered && !r.clientGone { // else it counts as abandoned
@@ -336,8 +337,8 @@
 		end = before.at
 	}
 	// One abandoned call may pass the limit: the rule binds the sum of all servers.
-	limit := m.settings.CallLimit + m.settings.AbandonedCallLifetime/window
-	if m.settings.Downstream == SharedDependency && sum/window > limit {
+	limit := m.settings.Downstream.CallLimit + m.settings.Downstream.AbandonedCallLifetime/window
+	if m.settings.Downstream.Kind == SharedDependency && sum/window > limit {
 		return fmt.Errorf("%.2f calls over the limit", sum/window)
 	}
 	return nil
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -13,7 +13,8 @@
 			t.Fatalf("%s: Retry-After %.2f", id, a.Duration)
 		}
 	}
-	// The least valuable class must not be the only one rejected: it counts for more the fewer are run.
+	// The least valuable class must not be the only one rejected: it counts for more the fewer are
+	// run.
 	few := &m.controller.classes[0]
 	most := m.controller.classes[0]
 	most.admittedFraction = 1
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -7,10 +7,12 @@
 )
 
 const (
-	// unevenClients is by how much a tenant's traffic at a server may exceed the mean over all servers.
+	// unevenClients is by how much a tenant's traffic at a server may exceed the mean over all
+	// servers.
 	unevenClients = 1.5
-	// A tenant may send burstDuration seconds of its rate at once, and minBurst requests however few those are: one
-	// whose requests come by chance and that keeps to its quota is over such a one for 1% of them.
+	// A tenant may send burstDuration seconds of its rate at once, and minBurst requests however
+	// few those are: one whose requests come by chance and that keeps to its quota is over such a
+	// one for 1% of them.
 	burstDuration = 2
 	minBurst      = 6
 )
@@ -21,8 +23,8 @@
 // tenantQuota is what one tenant may have run here.
 type tenantQuota struct {
 	timewindow.TokenBucket
-	// binding tells that it is a share of a budget that holds for all servers together, so that what exceeds it
-	// may not run at all.
+	// binding tells that it is a share of a budget that holds for all servers together, so that
+	// what exceeds it may not run at all.
 	binding bool
 }
 
@@ -36,8 +38,8 @@
 	return l
 }
 
-// chargeQuota takes a request from its tenant's quota and lowers its value if that is used up. It returns false where
-// the quota is binding and used up.
+// chargeQuota takes a request from its tenant's quota and lowers its value if that is used up. It
+// returns false where the quota is binding and used up.
 func (c *Controller) chargeQuota(r *request, tenant int) bool {
 	if tenant < 0 || tenant >= len(c.quota.tenants) {
 		return true
@@ -55,8 +57,8 @@
 	return true
 }
 
-// handleAllowance takes the server's share of a budget over. Exception to the design: what all servers share is not
-// estimated then.
+// handleAllowance takes the server's share of a budget over. Exception to the design: what all
+// servers share is not estimated then.
 func (c *Controller) handleAllowance(a *Allowance) {
 	switch {
 	case a.Tenant < 0:
--- a/admission/quota_test.go
+++ b/admission/quota_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A share of a budget is binding: its tenant's requests beyond it are rejected unstarted, and what never ran costs none
-// of it.
+// A share of a budget is binding: its tenant's requests beyond it are rejected unstarted, and what
+// never ran costs none of it.
 func TestAllowance_BindsTenant(t *testing.T) {
 	m := newLearnedModel(t, Settings{Cores: 4, Tenants: []Tenant{{Rate: 1e6}, {Rate: 1e6}}})
 	m.must(t, Event{Kind: AllowanceChanged, Allowance: &Allowance{Tenant: 0, Limit: 4, BurstDuration: 0.5}})
@@ -37,7 +37,7 @@
 func TestAllowance_BindsCalls(t *testing.T) {
 	for limit, want := range map[float64]int{2.9: 2, 1: 1, 0: 0} {
 		t.Run(fmt.Sprint(limit), func(t *testing.T) {
-			m := newLearnedModel(t, Settings{Cores: 6, Downstream: ServerTier})
+			m := newLearnedModel(t, Settings{Cores: 6, Downstream: DownstreamSettings{Kind: ServerTier}})
 			m.must(t, Event{Kind: AllowanceChanged, Allowance: &Allowance{Tenant: CallAllowance, Limit: limit}})
 			for i := range 6 {
 				id := fmt.Sprint("a", i)
@@ -55,8 +55,8 @@
 	}
 }
 
-// What is over its tenant's quota comes last, leaves room for another, and is asked not to try elsewhere, where it is
-// over just as well. What was not run uses nothing of a quota.
+// What is over its tenant's quota comes last, leaves room for another, and is asked not to try
+// elsewhere, where it is over just as well. What was not run uses nothing of a quota.
 func TestQuota_OverQuotaLeavesRoom(t *testing.T) {
 	m := newLearnedModel(t, Settings{
 		Cores: 2, Backpressure: BackpressureWeight, MaxRetryAfter: 1, OverQuotaValue: 0.05, Servers: 10,
--- a/admission/rules_test.go
+++ b/admission/rules_test.go
@@ -23,53 +23,74 @@
 
 // drawSettings draws the settings of a deployment.
 func drawSettings(t *rapid.T) Settings {
-	float := func(name string, lo, hi float64) float64 { return rapid.Float64Range(lo, hi).Draw(t, name) }
-	integer := func(name string, lo, hi int) int { return rapid.IntRange(lo, hi).Draw(t, name) }
+	float := func(name string, low, high float64) float64 {
+		return rapid.Float64Range(low, high).Draw(t, name)
+	}
+	integer := func(name string, low, high int) int {
+		return rapid.IntRange(low, high).Draw(t, name)
+	}
 	settings := Settings{
-		Cores:                 integer("cores", 1, 6),
-		Servers:               integer("servers", 1, 20),
-		Clients:               integer("clients", 0, 900),
-		IdleTimeout:           float("idleTimeout", 0.01, 30),
-		SlowStartSpeed:        float("slowStartSpeed", 0.15, 1),
-		SlowStartDuration:     5 * float64(integer("slowStart", 0, 1)),
-		DrainGracePeriod:      float("gracePeriod", 0, 2),
-		DeadlineTolerance:     0.06,
-		ConcurrencyLimit:      float("concurrencyLimit", 2, 8),
-		ConcurrencyWindow:     2,
-		MemoryLimit:           float("memory", 300, 5000),
-		RunningMemoryFactor:   float("memoryFactor", 1, 16),
-		KeyMemory:             float("keyMemory", 1, 60),
-		Downstream:            Downstream(integer("downstream", 0, 2)),
-		CallLimit:             min(1, float64(integer("anyCalls", 0, 4))) * float("callLimit", 0.1, 1.5),
-		CallWindow:            5,
-		AbandonedCallLifetime: 0.2,
-		Preemption:            Preemption(integer("preemption", 0, 2)),
-		Backpressure:          Backpressure(integer("backpressure", 0, 3)),
-		ResultCacheTTL:        float64(integer("resultCache", 0, 1)),
-		DeadlinePropagation:   rapid.Bool().Draw(t, "deadlinePropagation"),
-		MaxRetryAfter:         float64(integer("retryAfter", 0, 1)),
-		OverQuotaValue:        0.1,
-		ValueByWork:           rapid.Bool().Draw(t, "valueByWork"),
+		Cores:       integer("cores", 1, 6),
+		Servers:     integer("servers", 1, 20),
+		Clients:     integer("clients", 0, 900),
+		IdleTimeout: float("idleTimeout", 0.01, 30),
+		SlowStart: SlowStartSettings{
+			InitialSpeed: float("initialSpeed", 0.15, 1),
+			Duration:     5 * float64(integer("slowStart", 0, 1)),
+		},
+		DrainGracePeriod:  float("gracePeriod", 0, 2),
+		DeadlineTolerance: 0.06,
+		Concurrency:       ConcurrencySettings{PerCore: float("concurrency", 2, 8), Window: 2},
+		Memory: MemorySettings{
+			Limit:         float("memory", 300, 5000),
+			RunningFactor: float("memoryFactor", 1, 16),
+			PerKey:        float("keyMemory", 1, 60),
+		},
+		Downstream: DownstreamSettings{
+			Kind:                  Downstream(integer("downstream", 0, 2)),
+			CallLimit:             drawCallLimit(t),
+			CallWindow:            5,
+			AbandonedCallLifetime: 0.2,
+		},
+		Preemption:          Preemption(integer("preemption", 0, 2)),
+		Backpressure:        Backpressure(integer("backpressure", 0, 3)),
+		ResultCacheTTL:      float64(integer("resultCache", 0, 1)),
+		DeadlinePropagation: rapid.Bool().Draw(t, "deadlinePropagation"),
+		MaxRetryAfter:       float64(integer("retryAfter", 0, 1)),
+		OverQuotaValue:      0.1,
+		ValueByWork:         rapid.Bool().Draw(t, "valueByWork"),
 	}
 	for i := range integer("tenants", 0, 2) {
 		settings.Tenants = append(settings.Tenants, Tenant{Rate: float64(10 * (i + 1))})
 	}
+	callsDownstream := settings.Downstream.Kind != NoDownstream
 	for range integer("classes", 1, 3) {
-		timeout := float("timeout", 0.5, 6)
-		settings.Classes = append(settings.Classes, Class{
-			Idempotency:         Idempotency(integer("idempotency", 0, 2)),
-			Timeout:             timeout,
-			SoftDeadline:        float("softDeadline", 0.2, timeout),
-			Value:               float64(integer("value", 1, 3)),
-			LateValue:           float("lateValue", 0, 1),
-			DeduplicationWindow: float("window", 0.5, 4),
-			CallsDownstream:     settings.Downstream != NoDownstream,
-			DegradedValue:       0.5 * float64(integer("degradedValue", 0, 1)),
-		})
+		settings.Classes = append(settings.Classes, drawClass(t, callsDownstream))
 	}
 	return settings
 }
 
+// drawClass draws a request class.
+func drawClass(t *rapid.T, callsDownstream bool) Class {
+	timeout := rapid.Float64Range(0.5, 6).Draw(t, "timeout")
+	return Class{
+		Idempotency:         Idempotency(rapid.IntRange(0, 2).Draw(t, "idempotency")),
+		Timeout:             timeout,
+		SoftDeadline:        rapid.Float64Range(0.2, timeout).Draw(t, "softDeadline"),
+		Value:               float64(rapid.IntRange(1, 3).Draw(t, "value")),
+		LateValue:           rapid.Float64Range(0, 1).Draw(t, "lateValue"),
+		DeduplicationWindow: rapid.Float64Range(0.5, 4).Draw(t, "window"),
+		CallsDownstream:     callsDownstream,
+		DegradedValue:       0.5 * float64(rapid.IntRange(0, 1).Draw(t, "degradedValue")),
+	}
+}
+
+// drawCallLimit draws the limit of a shared dependency, in one of five cases none at all.
+func drawCallLimit(t *rapid.T) float64 {
+	anyCalls := min(1, float64(rapid.IntRange(0, 4).Draw(t, "anyCalls")))
+	return anyCalls * rapid.Float64Range(0.1, 1.5).Draw(t, "callLimit")
+}
+
 // drawRequest draws what comes with a request.
 func (m *model) drawRequest(t *rapid.T) Request {
 	in := Request{
@@ -86,8 +107,8 @@
 	return in
 }
 
-// TestDecide_KeepsTheRules plays whatever the wire allows against the model: no request lost, no effect twice, clean
-// drains, nothing over its limits, and the same actions from the same events.
+// TestDecide_KeepsTheRules plays whatever the wire allows against the model: no request lost, no
+// effect twice, clean drains, nothing over its limits, and the same actions from the same events.
 func TestDecide_KeepsTheRules(t *testing.T) {
 	covered := map[coverage]int{}
 	defer func() { requireFullCoverage(t, covered) }()
@@ -133,7 +154,8 @@
 	}
 }
 
-// playTimersAlone has nothing end any more but calls, which keep their timeouts: the timers alone must answer all.
+// playTimersAlone has nothing end any more but calls, which keep their timeouts: the timers alone
+// must answer all.
 func (m *model) playTimersAlone(t *rapid.T) {
 	for last := m.now + 20; m.nextTimer() <= last && m.now < m.killAt; {
 		m.now = m.nextTimer()
@@ -148,7 +170,8 @@
 	}
 }
 
-// coverage is a case that the model has met: how a call ended, of which idempotency, with which preemption.
+// coverage is a case that the model has met: how a call ended, of which idempotency, with which
+// preemption.
 type coverage struct {
 	idempotency Idempotency
 	preemption  Preemption
@@ -161,15 +184,18 @@
 	}
 }
 
-// requireFullCoverage wants every idempotency with every preemption and every end of a call, some times each.
+// requireFullCoverage wants every idempotency with every preemption and every end of a call, some
+// times each.
 func requireFullCoverage(t *testing.T, covered map[coverage]int) {
 	t.Helper()
+	callOutcomes := []Outcome{Finished, Failed, Rejected, TimedOut, Unreachable, Disconnected}
 	for _, idempotency := range []Idempotency{Idempotent, Deduplicated, AtMostOnce} {
 		for _, preemption := range []Preemption{NoPreemption, PreemptByDrop, PreemptByPause} {
-			for _, outcome := range []Outcome{Finished, Failed, Rejected, TimedOut, Unreachable, Disconnected} {
+			for _, outcome := range callOutcomes {
 				one := coverage{idempotency, preemption, outcome}
 				if n := covered[one]; n < 5 {
-					t.Errorf("%v, preemption %v, a call that ends as %v: played %d times", idempotency, preemption, outcome, n)
+					t.Errorf("%v, preemption %v, a call that is %v: played %d times",
+						idempotency, preemption, outcome, n)
 				}
 			}
 		}
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -23,11 +23,11 @@
 type Downstream uint8
 
 const (
-	// NoDownstream: requests make no calls.
+	// NoDownstream means that requests make no calls.
 	NoDownstream Downstream = iota
-	// SharedDependency: calls reach one dependency that all servers share.
+	// SharedDependency means that calls reach one dependency that all servers share.
 	SharedDependency
-	// ServerTier: calls reach a tier of servers through a load balancer.
+	// ServerTier means that calls reach a tier of servers through a load balancer.
 	ServerTier
 )
 
@@ -40,11 +40,11 @@
 type Preemption uint8
 
 const (
-	// NoPreemption: a run goes on to its end.
+	// NoPreemption means that a run goes on to its end.
 	NoPreemption Preemption = iota
-	// PreemptByDrop: a run can be stopped and loses its progress.
+	// PreemptByDrop means that a run can be stopped and loses its progress.
 	PreemptByDrop
-	// PreemptByPause: a run can be stopped and keeps its progress and its memory.
+	// PreemptByPause means that a run can be stopped and keeps its progress and its memory.
 	PreemptByPause
 )
 
@@ -57,13 +57,14 @@
 type Backpressure uint8
 
 const (
-	// NoBackpressure: no load is reported.
+	// NoBackpressure means that no load is reported.
 	NoBackpressure Backpressure = iota
-	// BackpressureLevel: clients send nothing whose priority is below the value.
+	// BackpressureLevel has clients send nothing whose priority is below the value.
 	BackpressureLevel
-	// BackpressureCredit: each client keeps at most that many requests open here.
+	// BackpressureCredit has each client keep at most that many requests open here.
 	BackpressureCredit
-	// BackpressureWeight: the value is the probability that a client doesn't pass this server over.
+	// BackpressureWeight makes the value the probability that a client doesn't pass this server
+	// over.
 	BackpressureWeight
 )
 
@@ -77,7 +78,8 @@
 	Idempotency Idempotency
 	// SoftDeadline is within how many seconds a response has its full value.
 	SoftDeadline float64
-	// SoftDeadlineStretch is the multiple of a request's expected work by which its soft deadline is later.
+	// SoftDeadlineStretch is the multiple of a request's expected work by which its soft deadline
+	// is later.
 	SoftDeadlineStretch float64
 	// Timeout is how many seconds a client waits over all attempts.
 	Timeout float64
@@ -89,7 +91,8 @@
 	DeduplicationWindow float64
 	// CallsDownstream tells whether runs call what is downstream.
 	CallsDownstream bool
-	// DegradedValue is the fraction of Value that a response without its call has; 0 where a call is needed.
+	// DegradedValue is the fraction of Value that a response without its call has; 0 where a call
+	// is needed.
 	DegradedValue float64
 }
 
@@ -99,8 +102,8 @@
 	Rate float64
 }
 
-// Settings are those of a deployment, as one server is told them at its start. Times are seconds and memory is
-// kilobytes.
+// Settings are those of a deployment, as one server is told them at its start. Times are seconds
+// and memory is kilobytes.
 type Settings struct {
 	Classes []Class
 	Tenants []Tenant
@@ -109,32 +112,18 @@
 	// Servers and Clients are how many of each there are.
 	Servers, Clients int
 	Cores            int
-	// SlowStartSpeed is the fraction of its speed with which a server starts that has to warm up, and
-	// SlowStartDuration how long the warm-up takes: 0 where the server starts warm.
-	SlowStartSpeed, SlowStartDuration float64
+	SlowStart        SlowStartSettings
+	Concurrency      ConcurrencySettings
+	Memory           MemorySettings
+	Downstream       DownstreamSettings
 	// DrainGracePeriod is for how long after the notice of a drain arrivals are still taken in.
 	DrainGracePeriod float64
 	// DeadlineTolerance is how late a final response may be. Nothing here makes use of it.
 	DeadlineTolerance float64
-	// ConcurrencyLimit is how many running requests a core of a warm server survives, as a mean over
-	// ConcurrencyWindow.
-	ConcurrencyLimit  float64
-	ConcurrencyWindow float64
-	MemoryLimit       float64
-	// RunningMemoryFactor is the memory of a running request over that of a queued one.
-	RunningMemoryFactor float64
-	// KeyMemory is what an entry of the key table takes.
-	KeyMemory  float64
-	Downstream Downstream
-	// CallLimit is this server's part of the concurrent calls that a shared dependency survives, as a mean over
-	// CallWindow.
-	CallLimit  float64
-	CallWindow float64
-	// AbandonedCallLifetime is for how long a call that was given up may still count downstream.
-	AbandonedCallLifetime float64
-	Preemption            Preemption
-	Backpressure          Backpressure
-	// ResultCacheTTL is for how long the response to a read serves its repeats; 0 where it serves none.
+	Preemption        Preemption
+	Backpressure      Backpressure
+	// ResultCacheTTL is for how long the response to a read serves its repeats; 0 where it serves
+	// none.
 	ResultCacheTTL float64
 	// DeadlinePropagation tells that clients send their remaining budget with each request.
 	DeadlinePropagation bool
@@ -146,6 +135,41 @@
 	ValueByWork bool
 }
 
+// SlowStartSettings tell how a server warms up.
+type SlowStartSettings struct {
+	// InitialSpeed is the fraction of its speed with which it starts.
+	InitialSpeed float64
+	// Duration is how long the warm-up takes; 0 where the server starts warm.
+	Duration float64
+}
+
+// ConcurrencySettings tell how much runs at once.
+type ConcurrencySettings struct {
+	// PerCore is how many running requests a core of a warm server survives, as a mean over Window.
+	PerCore float64
+	Window  float64
+}
+
+// MemorySettings tell what memory there is, and what takes it.
+type MemorySettings struct {
+	Limit float64
+	// RunningFactor is the memory of a running request over that of a queued one.
+	RunningFactor float64
+	// PerKey is what an entry of the key table takes.
+	PerKey float64
+}
+
+// DownstreamSettings tell what the calls of requests reach.
+type DownstreamSettings struct {
+	Kind Downstream
+	// CallLimit is this server's part of the concurrent calls that a shared dependency survives, as
+	// a mean over CallWindow.
+	CallLimit  float64
+	CallWindow float64
+	// AbandonedCallLifetime is for how long a call that was given up may still count downstream.
+	AbandonedCallLifetime float64
+}
+
 // enumName returns the name of an enumeration's value, or its number where it has no name.
 func enumName[T ~uint8](names []string, value T) string {
 	if int(value) < len(names) {
--- a/cmd/swiftcourse-fleet/budgets.go
+++ b/cmd/swiftcourse-fleet/budgets.go
@@ -44,7 +44,7 @@
 		}
 		b := quota.Limit{Name: name, Max: most}
 		if name == calls { // a call ends with its task, and lingers below for as long as the platform says
-			b.Concurrent, b.LingerSeconds = true, longest+start.Settings.AbandonedCallLifetime
+			b.Concurrent, b.LingerSeconds = true, longest+start.Settings.Downstream.AbandonedCallLifetime
 		}
 		t.Limits = append(t.Limits, b)
 	}
--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -40,7 +40,7 @@
 		start.Settings.Cores = own.Forwarding.MaxInFlight
 	}
 	p.dispatcher = forwarder.Start(forwarder.Shape{Workers: workers, Stages: start.Settings.Classes, Seed: forwarder.SeedOf(start.Name, start.Seed),
-		ColdFrom: start.Settings.SlowStartSpeed, ColdFor: start.WorkerSlowStartDuration, Now: loop.Now,
+		ColdFrom: start.Settings.SlowStart.InitialSpeed, ColdFor: start.WorkerSlowStartDuration, Now: loop.Now,
 		Return: func(list []forwarder.Back) {
 			backs := make([]server.ForwardResult, len(list))
 			for i, b := range list {
--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -46,31 +46,37 @@
 	own := &given.Own
 	contract := &given.Contract
 	settings := admission.Settings{
-		OverQuotaValue:        given.OverShareUtility,
-		Servers:               given.Servers,
-		Clients:               own.Callers,
-		Cores:                 own.Cores,
-		SlowStartSpeed:        contract.ColdFrom,
-		DrainGracePeriod:      contract.DrainGraceMs / millisPerSecond,
-		DeadlineTolerance:     contract.AnswerSlackMs / millisPerSecond,
-		ConcurrencyLimit:      contract.Crowd,
-		ConcurrencyWindow:     contract.CrowdForMs / millisPerSecond,
-		MemoryLimit:           own.MemoryKb,
-		RunningMemoryFactor:   own.RunFactor,
-		KeyMemory:             own.KeyMemoryKb,
-		Downstream:            downstreamKinds[own.Below],
-		CallLimit:             own.CallShare,
-		CallWindow:            own.CallForMs / millisPerSecond,
-		AbandonedCallLifetime: own.CallLingerMs / millisPerSecond,
-		Preemption:            preemptionKinds[own.Stopping],
-		Backpressure:          backpressureKinds[own.Free],
-		ResultCacheTTL:        own.ReuseForMs / millisPerSecond,
-		DeadlinePropagation:   own.TellsWait,
-		IdleTimeout:           own.IdleMs / millisPerSecond,
-		ValueByWork:           given.ValueBy == valueByWork,
+		OverQuotaValue:    given.OverShareUtility,
+		Servers:           given.Servers,
+		Clients:           own.Callers,
+		Cores:             own.Cores,
+		SlowStart:         admission.SlowStartSettings{InitialSpeed: contract.ColdFrom},
+		DrainGracePeriod:  contract.DrainGraceMs / millisPerSecond,
+		DeadlineTolerance: contract.AnswerSlackMs / millisPerSecond,
+		Concurrency: admission.ConcurrencySettings{
+			PerCore: contract.Crowd,
+			Window:  contract.CrowdForMs / millisPerSecond,
+		},
+		Memory: admission.MemorySettings{
+			Limit:         own.MemoryKb,
+			RunningFactor: own.RunFactor,
+			PerKey:        own.KeyMemoryKb,
+		},
+		Downstream: admission.DownstreamSettings{
+			Kind:                  downstreamKinds[own.Below],
+			CallLimit:             own.CallShare,
+			CallWindow:            own.CallForMs / millisPerSecond,
+			AbandonedCallLifetime: own.CallLingerMs / millisPerSecond,
+		},
+		Preemption:          preemptionKinds[own.Stopping],
+		Backpressure:        backpressureKinds[own.Free],
+		ResultCacheTTL:      own.ReuseForMs / millisPerSecond,
+		DeadlinePropagation: own.TellsWait,
+		IdleTimeout:         own.IdleMs / millisPerSecond,
+		ValueByWork:         given.ValueBy == valueByWork,
 	}
 	if own.Cold {
-		settings.SlowStartDuration = contract.ColdMs / millisPerSecond
+		settings.SlowStart.Duration = contract.ColdMs / millisPerSecond
 	}
 	if given.Caps.Advice {
 		settings.MaxRetryAfter = given.Caps.AdviceMaxMs / millisPerSecond
--- a/internal/config/startup_test.go
+++ b/internal/config/startup_test.go
@@ -133,8 +133,8 @@
 		t.Fatal(err)
 	}
 	s := AdmissionSettings(&given)
-	if s.Downstream != admission.SharedDependency || s.Backpressure != admission.BackpressureWeight ||
-		s.Preemption != admission.PreemptByPause || s.Cores != 6 || s.SlowStartDuration != 0 {
+	if s.Downstream.Kind != admission.SharedDependency || s.Backpressure != admission.BackpressureWeight ||
+		s.Preemption != admission.PreemptByPause || s.Cores != 6 || s.SlowStart.Duration != 0 {
 		t.Errorf("%+v", s)
 	}
 	if class := s.Classes[0]; class.Idempotency != admission.Deduplicated || class.DeduplicationWindow != 2 {
--- a/internal/lab/emulate/scenario.go
+++ b/internal/lab/emulate/scenario.go
@@ -141,14 +141,15 @@
 
 // site is what each server is told.
 func (s *Scenario) site(cold bool) admission.Settings {
-	site := admission.Settings{Servers: s.Servers, Clients: 1, Cores: s.Cores, DrainGracePeriod: grace, DeadlineTolerance: answerSlack, ConcurrencyLimit: crowd,
-		ConcurrencyWindow: crowdFor, MemoryLimit: serverMemory, RunningMemoryFactor: 1, DeadlinePropagation: true, MaxRetryAfter: 1, IdleTimeout: 60}
+	site := admission.Settings{Servers: s.Servers, Clients: 1, Cores: s.Cores, DrainGracePeriod: grace, DeadlineTolerance: answerSlack,
+		Concurrency: admission.ConcurrencySettings{PerCore: crowd, Window: crowdFor},
+		Memory:      admission.MemorySettings{Limit: serverMemory, RunningFactor: 1}, DeadlinePropagation: true, MaxRetryAfter: 1, IdleTimeout: 60}
 	if s.Below.Cores > 0 {
-		site.Downstream, site.CallWindow = admission.SharedDependency, 1
-		site.CallLimit = crowd * float64(s.Below.Cores) / float64(s.Servers)
+		site.Downstream.Kind, site.Downstream.CallWindow = admission.SharedDependency, 1
+		site.Downstream.CallLimit = crowd * float64(s.Below.Cores) / float64(s.Servers)
 	}
 	if cold {
-		site.SlowStartSpeed, site.SlowStartDuration = s.ColdFrom, s.ColdFor
+		site.SlowStart.InitialSpeed, site.SlowStart.Duration = s.ColdFrom, s.ColdFor
 	}
 	for _, st := range s.Stages {
 		site.Classes = append(site.Classes, admission.Class{SoftDeadline: st.Due, Timeout: st.Limit, Value: st.Utility, LateValue: 0.2, CallsDownstream: st.Calls})
--- a/internal/server/processor.go
+++ b/internal/server/processor.go
@@ -241,12 +241,12 @@
 		return
 	}
 	site := s.startup.Settings
-	site.SlowStartDuration = 0
+	site.SlowStart.Duration = 0
 	slog.Info("born", "cold", cold, "ago_s", logging.FormatDecimal(ago, 3))
 	at := s.now()
 	if cold { // a warm one's age tells nothing
-		site.SlowStartDuration = s.startup.SlowStartDuration
-		at -= min(ago, site.SlowStartDuration)
+		site.SlowStart.Duration = s.startup.SlowStartDuration
+		at -= min(ago, site.SlowStart.Duration)
 	}
 	s.controller = admission.New(s.startup.Seed, site)
 	if s.quotas != nil {
--- a/internal/server/serve_test.go
+++ b/internal/server/serve_test.go
@@ -145,8 +145,8 @@
 	start := &config.Startup{Name: "n1", Listen: addr, Addresses: w.addresses(), StopTimeout: 4, MaxSockets: 256, MemoryBytes: 64 << 20,
 		ClassIndex: map[string]int{"quote": 0}, TenantIndex: map[string]int{"acme": 0}, ClassNames: []string{"quote"},
 		Gauges: []string{"cpu_busy", "runnable"},
-		Settings: admission.Settings{Cores: 2, Servers: 1, Clients: 1, ConcurrencyLimit: 8, ConcurrencyWindow: 1, MemoryLimit: 1e6, RunningMemoryFactor: 1,
-			Downstream: admission.ServerTier, DeadlinePropagation: true, IdleTimeout: 30, DrainGracePeriod: 0.1, DeadlineTolerance: 0.05,
+		Settings: admission.Settings{Cores: 2, Servers: 1, Clients: 1, Concurrency: admission.ConcurrencySettings{PerCore: 8, Window: 1}, Memory: admission.MemorySettings{Limit: 1e6, RunningFactor: 1},
+			Downstream: admission.DownstreamSettings{Kind: admission.ServerTier}, DeadlinePropagation: true, IdleTimeout: 30, DrainGracePeriod: 0.1, DeadlineTolerance: 0.05,
 			Tenants: []admission.Tenant{{Rate: 1000}},
 			Classes: []admission.Class{{SoftDeadline: 30, Timeout: 60, Value: 1, LateValue: 1, CallsDownstream: true}}}}
 	if change != nil {
@@ -310,7 +310,7 @@
 }
 
 func TestRepeatsShareAnAnswer(t *testing.T) {
-	w := startServer(t, func(s *config.Startup) { s.Settings.ResultCacheTTL, s.Settings.KeyMemory = 60, 1 })
+	w := startServer(t, func(s *config.Startup) { s.Settings.ResultCacheTTL, s.Settings.Memory.PerKey = 60, 1 })
 	b := w.dialClient()
 	b.send("%s", requestFrame(1, "a1", "x", withSubject("k")))
 	w.executor.expectCommand("begin", "a1")
