--- a/internal/policy/replication/holder.go
+++ b/internal/policy/replication/holder.go
@@ -315,12 +315,16 @@
 		if !slices.Contains(group, h.self) || !slices.Contains(group, from) {
 			continue
 		}
-		list, all, sound := h.store.Scan(slot, q.AfterKey, n > 0 || !q.Resumes, left)
-		if !sound {
+		var after *state.Key
+		if n == 0 && q.Resumes {
+			after = &q.AfterKey
+		}
+		scan := h.store.Scan(slot, after, left)
+		if !scan.Intact {
 			h.resetSlot(now, slot)
 		}
-		p := SlotRecords{Slot: slot, CaughtUp: h.CaughtUp(slot), Complete: all}
-		for _, r := range list {
+		p := SlotRecords{Slot: slot, CaughtUp: h.CaughtUp(slot), Complete: scan.Complete}
+		for _, r := range scan.Records {
 			p.Copies = append(p.Copies, RecordCopy{Record: r, TimeToLive: max(0, r.ExpiresAt-now)})
 			left -= 64 + 48*len(r.Attempts)
 			for i := range r.Attempts {
@@ -328,7 +332,7 @@
 			}
 		}
 		s.Slots = append(s.Slots, p)
-		if !all {
+		if !scan.Complete {
 			break
 		}
 	}
--- a/internal/policy/replication/rules_test.go
+++ b/internal/policy/replication/rules_test.go
@@ -264,8 +264,8 @@
 		}
 		now += 0.05
 	}
-	if back.store.Len() != 3000 || lost == 0 {
-		t.Errorf("%d records, %d slices lost", back.store.Len(), lost)
+	if back.store.Stats().Records != 3000 || lost == 0 {
+		t.Errorf("%d records, %d slices lost", back.store.Stats().Records, lost)
 	}
 	for slot := range state.SlotCount {
 		if back.Checksum(slot) != h[2].Checksum(slot) {
@@ -306,8 +306,8 @@
 	for b.Loop() {
 		back := NewReplica(p, 0, TermTable{{11, 4}, {10, 2}, {10, 3}}, state.NewStore(200_000, 1<<30), 1e12, 1)
 		catchUp(1, back, h[1], h[2])
-		if back.CatchingUp() > 0 || back.store.Len() != 100_000 {
-			b.Fatalf("%d cold, %d records", back.CatchingUp(), back.store.Len())
+		if back.CatchingUp() > 0 || back.store.Stats().Records != 100_000 {
+			b.Fatalf("%d cold, %d records", back.CatchingUp(), back.store.Stats().Records)
 		}
 	}
 }
--- a/internal/policy/replication/standing.go
+++ b/internal/policy/replication/standing.go
@@ -33,7 +33,11 @@
 // FillStatus adds what a holder knows.
 func (h *Replica) FillStatus(to *Status) {
 	to.IsReplica, to.CatchingUp, to.OutOfSync, to.CaughtUpByPeers, to.CaughtUpByTimeout, to.RepairedRecords, to.ConflictingResults = true, h.CatchingUp(), h.OutOfSync(), h.CaughtUpByPeers, h.CaughtUpByTimeout, h.RepairedRecords, h.ConflictingResults
-	to.Records, to.Bytes, to.DroppedResults, to.CorruptedRecords = h.store.Len(), h.store.Bytes(), h.store.DroppedResults, h.store.CorruptedRecords
+	stats := h.store.Stats()
+	to.Records = stats.Records
+	to.Bytes = stats.Bytes
+	to.DroppedResults = stats.DroppedResults
+	to.CorruptedRecords = stats.CorruptedRecords
 }
 
 // Faults lists what is wrong with a fleet's copies, by how its servers say that they stand; alarm where it must never be. A server that was told
--- a/internal/replicastore/record.go
+++ b/internal/replicastore/record.go
@@ -1,94 +1,91 @@
-// Package replicastore is what a server holds of the fleet's state: who claimed which key, and what came of it. It is a plain structure with bounds on
-// entries and bytes; what goes in, and which copy wins, is decided by internal/judge/replica.
 package replicastore
 
 import (
 	"cmp"
-	"crypto/sha256"
 	"encoding/binary"
 	"hash/crc32"
 
 	"github.com/cespare/xxhash/v2"
 )
 
-// SlotCount divide the keys: all keys of one have the same holders. 256 spread evenly over the tens of holders that a fleet has, and a list of one
-// sum for each is 2 KB.
-const SlotCount = 256
-
-// Key names what a deduplicated task is about.
-type Key [16]byte
-
-// KeyOf is the key of a stage's idempotency key: a hash in which no two are ever the same, as that would answer one task with another's result.
-func KeyOf(stage, key string) (k Key) {
-	sum := sha256.Sum256([]byte(stage + "\x00" + key))
-	copy(k[:], sum[:])
-	return k
-}
-
-// Slot is where a key belongs.
-func (k Key) Slot() int { return int(k[0]) }
-
-// Compare orders keys; those of a slot follow one another.
-func (k Key) Compare(o Key) int {
-	return cmp.Or(cmp.Compare(binary.BigEndian.Uint64(k[:]), binary.BigEndian.Uint64(o[:])), cmp.Compare(binary.BigEndian.Uint64(k[8:]), binary.BigEndian.Uint64(o[8:])))
-}
-
-// ClaimID tells one try at running a key from all others. The order of claims is that of these numbers: it settles who gives way, so a clock that is
-// off costs its server or the others a race, and nothing else.
+// ClaimID identifies one claim of a key. Its order settles which of two competing claims
+// gives way, so a clock that is off costs a server a race and nothing else.
 type ClaimID struct {
-	UnixMilli   int64  // milliseconds of the claimant's clock
-	Incarnation uint64 // its life
-	Sequence    uint64 // a number that it gave once
+	UnixMilli   int64  // time of the claim by the coordinator's clock, in milliseconds
+	Incarnation uint64 // of the coordinator
+	Sequence    uint64 // used once by that incarnation
 }
 
-// Compare orders claims.
-func (c ClaimID) Compare(o ClaimID) int {
-	return cmp.Or(cmp.Compare(c.UnixMilli, o.UnixMilli), cmp.Compare(c.Incarnation, o.Incarnation), cmp.Compare(c.Sequence, o.Sequence))
+// Compare orders claims by time, then by incarnation and sequence number.
+func (c ClaimID) Compare(other ClaimID) int {
+	return cmp.Or(
+		cmp.Compare(c.UnixMilli, other.UnixMilli),
+		cmp.Compare(c.Incarnation, other.Incarnation),
+		cmp.Compare(c.Sequence, other.Sequence),
+	)
 }
 
-// State is what is known of a claim. A higher one replaces a lower.
+// State is what is known of an attempt. When copies are merged the higher state wins.
 type State uint8
 
+// The states of an attempt.
 const (
-	StateClaimed   State = iota // it may run, or have run
-	StateWithdrawn              // it never ran, and never will
-	StateFailed                 // it ran, and has no result
-	StateFinished               // it ran, with a result
+	StateClaimed   State = iota // it may run, or may have run
+	StateWithdrawn              // it did not run and never will
+	StateFailed                 // it ran and has no result
+	StateFinished               // it ran and has a result
 )
 
+// String returns the state's name.
 func (s State) String() string {
-	return [...]string{"claimed", "withdrawn", "spoilt", "finished", "?"}[min(s, 4)]
+	switch s {
+	case StateClaimed:
+		return "claimed"
+	case StateWithdrawn:
+		return "withdrawn"
+	case StateFailed:
+		return "failed"
+	case StateFinished:
+		return "finished"
+	}
+	return "unknown"
 }
 
-// Blocks tells whether it stands in the way of another claim.
+// Blocks reports whether an attempt in this state keeps other claims of its key from being granted.
 func (s State) Blocks() bool { return s != StateWithdrawn }
 
-// Attempt is a claim and what came of it.
+// Attempt is one claim of a key and what came of it.
 type Attempt struct {
 	ClaimID
 	State          State
-	ResultChecksum uint64 // of the result, which may be dropped to make room
-	Result         []byte
+	ResultChecksum uint64 // of a finished attempt's result; stays when the result is dropped
+	Result         []byte // nil where there is none, or where it was dropped to free memory
 }
 
-// NewFinishedAttempt is a try that ended with a result.
-func NewFinishedAttempt(c ClaimID, result []byte) Attempt {
-	return Attempt{ClaimID: c, State: StateFinished, ResultChecksum: xxhash.Sum64(result), Result: append([]byte{}, result...)}
+// NewFinishedAttempt returns an attempt that ended with a result, of which it keeps a copy.
+func NewFinishedAttempt(id ClaimID, result []byte) Attempt {
+	return Attempt{
+		ClaimID:        id,
+		State:          StateFinished,
+		ResultChecksum: xxhash.Sum64(result),
+		Result:         append([]byte{}, result...),
+	}
 }
 
-// Intact tells whether the result is the one that was entered.
-func (t *Attempt) Intact() bool {
-	return t.State != StateFinished || t.Result == nil || xxhash.Sum64(t.Result) == t.ResultChecksum
+// Intact reports whether the result, where there is one, matches its checksum.
+func (a *Attempt) Intact() bool {
+	return a.State != StateFinished || a.Result == nil || xxhash.Sum64(a.Result) == a.ResultChecksum
 }
 
-// Record is all that is known of a key. Its tries are in the order of claims.
+// Record is all that is known of a key.
 type Record struct {
 	Key       Key
-	ExpiresAt float64 // when it is forgotten, by its holder's clock; a copy is told how long that is off
-	Attempts  []Attempt
+	ExpiresAt float64   // seconds of the replica's own clock
+	Attempts  []Attempt // in the order of their ClaimIDs
 }
 
-// BlockingAttempt is the first try that stands in the way of another, nil where there is none.
+// BlockingAttempt returns the first attempt that blocks other claims, nil if there is none.
+// It may be called on a nil record.
 func (r *Record) BlockingAttempt() *Attempt {
 	if r == nil {
 		return nil
@@ -101,7 +98,8 @@
 	return nil
 }
 
-// FinishedAttempt is the first try, in the order of claims, that ended with a result, nil where there is none.
+// FinishedAttempt returns the first attempt that ended with a result, nil if there is none.
+// It may be called on a nil record.
 func (r *Record) FinishedAttempt() *Attempt {
 	if r == nil {
 		return nil
@@ -114,35 +112,48 @@
 	return nil
 }
 
-// sizeInBytes is what a record takes, in bytes: measured with 100,000 of them, see BenchmarkStore.
+// Memory that a record takes beside its results, in bytes: measured with 100,000 records,
+// see BenchmarkStore.
+const (
+	recordOverhead  = 240
+	attemptOverhead = 72
+)
+
+// sizeInBytes returns the memory that the record takes in a store.
 func (r *Record) sizeInBytes() int {
-	n := 240 + 72*len(r.Attempts)
+	size := recordOverhead + attemptOverhead*len(r.Attempts)
 	for i := range r.Attempts {
-		n += len(r.Attempts[i].Result)
+		size += len(r.Attempts[i].Result)
 	}
-	return n
+	return size
 }
 
-// appendEncoding appends what all copies of a record have in common.
-func (r *Record) appendEncoding(b []byte) []byte {
-	b = append(b, r.Key[:]...)
+// appendEncoding appends what all replicas' copies of the record have in common: not when it
+// expires, and not the results, which a replica may drop.
+func (r *Record) appendEncoding(buffer []byte) []byte {
+	buffer = append(buffer, r.Key[:]...)
 	for i := range r.Attempts {
-		t := &r.Attempts[i]
-		for _, n := range [...]uint64{uint64(t.UnixMilli), t.Incarnation, t.Sequence, uint64(t.State), t.ResultChecksum} {
-			b = binary.LittleEndian.AppendUint64(b, n)
-		}
+		attempt := &r.Attempts[i]
+		buffer = binary.LittleEndian.AppendUint64(buffer, uint64(attempt.UnixMilli))
+		buffer = binary.LittleEndian.AppendUint64(buffer, attempt.Incarnation)
+		buffer = binary.LittleEndian.AppendUint64(buffer, attempt.Sequence)
+		buffer = binary.LittleEndian.AppendUint64(buffer, uint64(attempt.State))
+		buffer = binary.LittleEndian.AppendUint64(buffer, attempt.ResultChecksum)
 	}
-	return b
+	return buffer
 }
 
-// checksum is the same for all copies that agree.
-func (r *Record) checksum(scratch []byte) uint64 { return xxhash.Sum64(r.appendEncoding(scratch)) }
+// checksum returns a sum that is the same for all copies that agree. It overwrites scratch.
+func (r *Record) checksum(scratch []byte) uint64 {
+	return xxhash.Sum64(r.appendEncoding(scratch[:0]))
+}
 
-// corruptionCheck guards a record against bits that change where it is held.
+// corruptionCheck returns a sum over all of the record, the results too, by which a change in
+// memory is found. It overwrites scratch.
 func (r *Record) corruptionCheck(scratch []byte) uint32 {
-	c := crc32.ChecksumIEEE(r.appendEncoding(scratch))
+	crc := crc32.ChecksumIEEE(r.appendEncoding(scratch[:0]))
 	for i := range r.Attempts {
-		c = crc32.Update(c, crc32.IEEETable, r.Attempts[i].Result)
+		crc = crc32.Update(crc, crc32.IEEETable, r.Attempts[i].Result)
 	}
-	return c
+	return crc
 }
