--- a/internal/fleet/copies.go
+++ b/internal/fleet/copies.go
@@ -104,7 +104,13 @@
 	if c.index >= 0 {
 		c.terms[c.index] = replication.Term{Number: uint64(max(0, f.UnixNow()*1000)), Incarnation: f.incarnation}
 		c.store = state.NewStore(c.MaxRecords, c.MaxBytes)
-		c.replica = replication.NewReplica(c.Placement, c.index, c.terms, c.store, c.CatchUpRate, now)
+		c.replica = replication.NewReplica(replication.ReplicaConfig{
+			Placement:   c.Placement,
+			Self:        c.index,
+			Terms:       c.terms,
+			Store:       c.store,
+			CatchUpRate: c.CatchUpRate,
+		}, now)
 	}
 	f.replication = c
 }
--- /dev/null
+++ b/internal/policy/replication/bench_test.go
@@ -0,0 +1,62 @@
+package replication
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"swiftcourse/internal/replicastore"
+)
+
+func BenchmarkGrantAndEnd(b *testing.B) {
+	replica := threeCaughtUpReplicas(b)[0]
+	request := claimRequest(replica.placement, firstAttempt, initialTerms())
+	b.ReportAllocs()
+	for n := 0; b.Loop(); n++ {
+		now := float64(n) * 1e-4
+		request.Key = replicastore.KeyOf("ping", fmt.Sprint(n))
+		request.Operation = OpClaim
+		request.Attempt = firstAttempt
+		replica.HandleClaim(now, request)
+		request.Operation = OpReport
+		request.Attempt = replicastore.NewFinishedAttempt(firstAttempt.ClaimID, nil)
+		replica.HandleClaim(now, request)
+	}
+}
+
+// BenchmarkCatchUp has a restarted replica told 100,000 records of 100 bytes by two others;
+// BenchmarkPlainCopy is the same bytes, copied.
+func BenchmarkCatchUp(b *testing.B) {
+	const records = 100_000
+	replicas := threeCaughtUpReplicas(b)
+	fillStores(replicas[1:], records, 100)
+	for b.Loop() {
+		restarted := NewReplica(ReplicaConfig{
+			Placement:   replicas[0].placement,
+			Self:        0,
+			Terms:       restartedTerms(),
+			Store:       replicastore.NewStore(2*records, 1<<30),
+			CatchUpRate: 1e12,
+		}, 1)
+		catchUpFrom(1, restarted, replicas[1], replicas[2])
+		if count := restarted.store.Stats().Records; restarted.CatchingUp() > 0 || count != records {
+			b.Fatalf("catching up on %d slots with %d records", restarted.CatchingUp(), count)
+		}
+	}
+}
+
+func BenchmarkPlainCopy(b *testing.B) {
+	from := make([][]byte, 100_000)
+	for i := range from {
+		from[i] = make([]byte, 200)
+	}
+	for b.Loop() {
+		to := make([][]byte, 0, len(from))
+		for _, record := range from {
+			to = append(to, slices.Clone(record))
+		}
+		if len(to) != len(from) {
+			b.Fatal("short")
+		}
+	}
+}
--- /dev/null
+++ b/internal/policy/replication/catchup_test.go
@@ -0,0 +1,112 @@
+package replication
+
+import (
+	"testing"
+
+	"swiftcourse/internal/replicastore"
+)
+
+// TestReplica_LatePullReplyIgnored: a reply to a request of an earlier term, or one that comes
+// twice, does not count for catching up.
+func TestReplica_LatePullReplyIgnored(t *testing.T) {
+	replicas := threeCaughtUpReplicas(t)
+	placement := replicas[0].placement
+	restarted := restartedReplica(placement, 100, 1<<20)
+	restarted.Maintain(1)
+	var late []*PullReply
+	for _, envelope := range restarted.TakeOutbox() {
+		late = append(late, replicas[envelope.To].HandlePull(1, 0, envelope.Pull))
+	}
+	restarted.observeTerms(1, []int{0}, []Term{{20, 9}}) // another incarnation was taken for it
+	if number := restarted.ownTerm().Number; number != 21 {
+		t.Fatalf("the new term is %d, want 21", number)
+	}
+	restarted.Maintain(2)
+	if again := restarted.TakeOutbox(); len(again) == 0 || again[0].Pull.Sequence == late[0].Sequence {
+		t.Errorf("in the new term it asks %+v", again)
+	}
+	for i, reply := range late {
+		restarted.HandlePullReply(2, i+1, reply, 1)
+		restarted.HandlePullReply(2, i+1, reply, 1)
+	}
+	if slots := len(placement.SlotsOf(0)); restarted.CatchingUp() != slots {
+		t.Errorf("it catches up on %d slots, want %d", restarted.CatchingUp(), slots)
+	}
+}
+
+// TestReplica_CatchUpResumesAfterLoss loses every third reply, and has a peer lose a slot in the
+// middle of catching up.
+func TestReplica_CatchUpResumesAfterLoss(t *testing.T) {
+	const records = 3000
+	replicas := threeCaughtUpReplicas(t)
+	fillStores(replicas[1:], records, 40)
+	restarted := restartedReplica(replicas[0].placement, 10_000, 1<<24)
+	now := 1.0
+	lost := 0
+	for n := 0; restarted.CatchingUp() > 0 && n < 10_000; n++ {
+		restarted.Maintain(now)
+		for _, envelope := range restarted.TakeOutbox() {
+			if envelope.Pull == nil {
+				continue
+			}
+			reply := replicas[envelope.To].HandlePull(now, 0, envelope.Pull)
+			if n%3 > 0 {
+				restarted.HandlePullReply(now, envelope.To, reply, 1)
+			} else {
+				lost++
+			}
+			if n == 4 {
+				replicas[1].resetSlot(now, 200)
+				catchUpFrom(now, replicas[1], replicas[2])
+			}
+		}
+		now += 0.05
+	}
+	if count := restarted.store.Stats().Records; count != records || lost == 0 {
+		t.Errorf("%d records, want %d; %d replies were lost", count, records, lost)
+	}
+	for slot := range replicastore.SlotCount {
+		if restarted.Checksum(slot) != replicas[2].Checksum(slot) {
+			t.Fatalf("slot %d differs", slot)
+		}
+	}
+}
+
+// TestReplica_PeerReplacedMidSlotRestartsSlot: what a peer's next incarnation tells after the first
+// part of a slot may be less than there was, so the slot is told from its beginning.
+func TestReplica_PeerReplacedMidSlotRestartsSlot(t *testing.T) {
+	replicas := threeCaughtUpReplicas(t)
+	slot := testKey.Slot()
+	for n := range 40 { // too much for one reply
+		key := testKey
+		key[15] = byte(n)
+		id := replicastore.ClaimID{UnixMilli: 1, Incarnation: 1, Sequence: uint64(n)}
+		replicas[1].store.Put(replicastore.Record{
+			Key:       key,
+			ExpiresAt: 1e9,
+			Attempts:  []replicastore.Attempt{replicastore.NewFinishedAttempt(id, make([]byte, 4000))},
+		})
+	}
+	restarted := restartedReplica(replicas[0].placement, 10_000, 1<<24)
+	peer := restarted.catchUp.peers[1]
+	pull := func() *PullReply {
+		restarted.sendPull(1, 1, peer)
+		envelopes := restarted.TakeOutbox()
+		return replicas[1].HandlePull(1, 0, envelopes[len(envelopes)-1].Pull)
+	}
+	peer.wanted = map[int]bool{slot: true}
+	pull()
+	reply := pull() // a retry: the reply to either counts
+	restarted.HandlePullReply(1, 1, reply, 1)
+	if restarted.catchUp.lastSequence != 1 {
+		t.Errorf("%d sequence numbers for one request", restarted.catchUp.lastSequence)
+	}
+	if !peer.resumes || reply.Slots[0].Complete {
+		t.Fatal("the slot came in one reply")
+	}
+	replicas[1].terms[1] = Term{12, 9}
+	restarted.HandlePullReply(1, 1, pull(), 1)
+	if peer.resumes || len(restarted.catchUp.slots[slot].toldBy) > 0 {
+		t.Error("it goes on with the next incarnation where the first one was")
+	}
+}
--- /dev/null
+++ b/internal/policy/replication/claim.go
@@ -0,0 +1,129 @@
+package replication
+
+import (
+	"slices"
+
+	"swiftcourse/internal/replicastore"
+)
+
+// phase is a claim's place in its life cycle.
+type phase uint8
+
+const (
+	phaseRequesting phase = iota // replicas are asked to grant the claim
+	phaseFollowing               // another claim of the key goes first; its outcome is awaited
+	phaseGranted                 // the request may run
+	phaseDone
+)
+
+// event is what changes a claim's phase.
+type event uint8
+
+const (
+	eventQuorum      event = iota // a quorum of replicas granted the claim
+	eventResultKnown              // an earlier run's result was found
+	eventRunFailed                // an earlier run was found that has no result
+	eventOutranked                // another claim goes first
+	eventUnblocked                // no other claim blocks the key any more
+	eventTimedOut                 // the time to be granted is over
+	eventCanceled                 // the request ended before it ran
+	eventRunEnded                 // the request's run ended; the claim's attempt has its result
+)
+
+// transitions is the state machine of a claim. An event without a row for the claim's phase
+// changes nothing.
+var transitions = []struct {
+	from   phase
+	on     event
+	to     phase
+	action func(*Coordinator, *pendingClaim, float64) // nil for none; the last argument is now
+}{
+	{phaseRequesting, eventQuorum, phaseGranted, (*Coordinator).notifyGranted},
+	{phaseRequesting, eventResultKnown, phaseDone, (*Coordinator).withdrawWithResult},
+	{phaseRequesting, eventRunFailed, phaseDone, (*Coordinator).withdrawMayHaveRun},
+	{phaseRequesting, eventOutranked, phaseFollowing, (*Coordinator).withdraw},
+	{phaseRequesting, eventTimedOut, phaseDone, (*Coordinator).withdrawTimedOut},
+	{phaseRequesting, eventCanceled, phaseDone, (*Coordinator).withdraw},
+	{phaseFollowing, eventResultKnown, phaseDone, (*Coordinator).notifyResultKnown},
+	{phaseFollowing, eventRunFailed, phaseDone, (*Coordinator).notifyMayHaveRun},
+	{phaseFollowing, eventUnblocked, phaseRequesting, (*Coordinator).restart},
+	{phaseFollowing, eventTimedOut, phaseDone, (*Coordinator).notifyMayHaveRun},
+	{phaseFollowing, eventCanceled, phaseDone, nil},
+	{phaseGranted, eventCanceled, phaseDone, (*Coordinator).withdraw},
+	{phaseGranted, eventRunEnded, phaseDone, (*Coordinator).reportRunEnd},
+}
+
+// pendingClaim is one request's claim of its key. Times are in seconds.
+type pendingClaim struct {
+	requestID string
+	key       replicastore.Key
+	replicas  []int // member indexes, in the placement's order
+	phase     phase
+	attempt   replicastore.Attempt
+	startedAt float64
+	deadline  float64 // when the outcome must be known
+	giveUpAt  float64 // when requesting ends without a quorum
+	retryAt   float64
+	rounds    int  // of requests sent
+	sawRival  bool // another claim of the key was seen
+
+	// By replica, in the order of replicas. Grants count only under terms.
+	terms     []Term
+	granted   []bool
+	unclaimed []bool                 // while following: no claim blocks the key there
+	blockedBy []replicastore.ClaimID // the claim that blocks this one there
+}
+
+// resetGrants begins to count grants anew, under these terms.
+func (p *pendingClaim) resetGrants(terms []Term) {
+	p.terms = terms
+	p.granted = make([]bool, len(p.replicas))
+	p.unclaimed = make([]bool, len(p.replicas))
+	p.blockedBy = make([]replicastore.ClaimID, len(p.replicas))
+}
+
+// expects reports whether a reply answers what the claim asks in its present phase.
+func (p *pendingClaim) expects(reply *ClaimReply) bool {
+	if p.key != reply.Key {
+		return false
+	}
+	switch p.phase {
+	case phaseFollowing:
+		return reply.Operation == OpQuery
+	case phaseGranted:
+		return false
+	default:
+		return reply.Operation != OpQuery
+	}
+}
+
+// blockedCount returns the number of replicas at which another claim blocks this one.
+func (p *pendingClaim) blockedCount(other replicastore.ClaimID) int {
+	count := 0
+	for _, id := range p.blockedBy {
+		if id == other {
+			count++
+		}
+	}
+	return count
+}
+
+// outrankedBy reports whether another claim goes before this one, which a replica found blocked
+// by it. The earlier claim stays and the later gives way, so that of two claims that each have
+// some of the replicas one comes through. A later claim that blocks this one at too many
+// replicas for a quorum may have run.
+func (p *pendingClaim) outrankedBy(other replicastore.ClaimID, quorum int) bool {
+	return other.Compare(p.attempt.ClaimID) < 0 || p.blockedCount(other) > len(p.replicas)-quorum
+}
+
+func (p *pendingClaim) sameTerms(terms []Term) bool { return slices.Equal(terms, p.terms) }
+
+func countTrue(list []bool) int {
+	count := 0
+	for _, b := range list {
+		if b {
+			count++
+		}
+	}
+	return count
+}
--- /dev/null
+++ b/internal/policy/replication/grant.go
@@ -0,0 +1,119 @@
+package replication
+
+import (
+	"slices"
+
+	"swiftcourse/internal/replicastore"
+)
+
+// HandleClaim answers a coordinator's request.
+func (r *Replica) HandleClaim(now float64, request *ClaimRequest) ClaimReply {
+	reply := ClaimReply{
+		Key:       request.Key,
+		ClaimID:   request.Attempt.ClaimID,
+		Operation: request.Operation,
+		Status:    ReplyMisrouted,
+	}
+	slot := request.Key.Slot()
+	if request.ConfigDigest != r.placement.ConfigDigest || !r.placement.replicates(r.self, slot) {
+		return reply
+	}
+	replicas := r.placement.Replicas(slot)
+	r.store.Expire(now, maxExpiredPerCall)
+	r.observeTerms(now, replicas, request.Terms)
+	record, intact := r.store.Get(request.Key)
+	if !intact {
+		r.resetSlot(now, slot)
+	}
+	reply.Status = r.execute(now, record, request)
+	reply.Terms = r.terms.Select(replicas)
+	if record != nil {
+		reply.Attempts = record.Attempts
+	}
+	return reply
+}
+
+// execute does what a request asks, given the key's record, nil if there is none. A report is
+// recorded also while the replica catches up, as its reply tells nothing of the key.
+func (r *Replica) execute(now float64, record *replicastore.Record, request *ClaimRequest) ReplyStatus {
+	slot := request.Key.Slot()
+	switch {
+	case request.Operation == OpReport:
+		return r.recordReport(now, record, request)
+	case request.Operation == OpClaim && !slices.Equal(request.Terms, r.terms.Select(r.placement.Replicas(slot))):
+		return ReplyStaleTerm
+	case !r.CaughtUp(slot):
+		return ReplyCatchingUp
+	case request.Operation == OpClaim:
+		return r.grant(now, record, request)
+	case record.BlockingAttempt() != nil:
+		return ReplyConflict
+	default:
+		return ReplyUnclaimed
+	}
+}
+
+// grant grants a claim if no other blocks it. A claim that was granted before is granted again.
+func (r *Replica) grant(now float64, record *replicastore.Record, request *ClaimRequest) ReplyStatus {
+	if record != nil {
+		known := slices.IndexFunc(record.Attempts, func(attempt replicastore.Attempt) bool {
+			return attempt.ClaimID == request.Attempt.ClaimID
+		})
+		switch {
+		case known >= 0 && isOnlyClaim(record, known):
+			return ReplyGranted
+		case known >= 0 || record.BlockingAttempt() != nil:
+			return ReplyConflict
+		}
+		if len(record.Attempts) >= maxAttempts { // all are withdrawn: the first is forgotten
+			shortened := *record
+			shortened.Attempts = record.Attempts[1:]
+			record = &shortened
+		}
+	}
+	claimed := &replicastore.Record{
+		Key:       request.Key,
+		ExpiresAt: now + r.placement.MaxClaimDuration + r.placement.RetentionWindow,
+		Attempts:  []replicastore.Attempt{{ClaimID: request.Attempt.ClaimID}},
+	}
+	return r.mergeIntoStore(record, claimed, ReplyGranted)
+}
+
+// isOnlyClaim reports whether the attempt with that index is claimed, and no other blocks the key.
+func isOnlyClaim(record *replicastore.Record, index int) bool {
+	if record.Attempts[index].State != replicastore.StateClaimed {
+		return false
+	}
+	for i := range record.Attempts {
+		if i != index && record.Attempts[i].State.Blocks() {
+			return false
+		}
+	}
+	return true
+}
+
+// recordReport records what came of a claim, whichever replicas granted it.
+func (r *Replica) recordReport(now float64, record *replicastore.Record, request *ClaimRequest) ReplyStatus {
+	reported := &replicastore.Record{
+		Key:       request.Key,
+		ExpiresAt: now + r.placement.RetentionWindow,
+		Attempts:  []replicastore.Attempt{request.Attempt},
+	}
+	return r.mergeIntoStore(record, reported, ReplyRecorded)
+}
+
+// mergeIntoStore merges a record into the stored one, nil if there is none. It returns success,
+// or ReplyFull if the store has no room.
+func (r *Replica) mergeIntoStore(stored, received *replicastore.Record, success ReplyStatus) ReplyStatus {
+	merged := *received
+	if stored != nil {
+		merged = Merge(stored, received)
+	}
+	if HasConflictingResults(&merged) && !HasConflictingResults(stored) {
+		r.conflictingResults++
+	}
+	if !r.store.Put(merged) {
+		return ReplyFull
+	}
+	return success
+}
--- a/internal/policy/replication/merge.go
+++ b/internal/policy/replication/merge.go
@@ -4,43 +4,55 @@
 	"bytes"
 	"slices"
 
-	state "swiftcourse/internal/replicastore"
+	"swiftcourse/internal/replicastore"
 )
 
-// maxAttempts bounds the tries of one key that a holder remembers. That one was withdrawn is remembered for its claim's sake, should it come late: one
-// that is forgotten and does come then stands in the way, for nobody, until the key is forgotten.
+// maxAttempts bounds the attempts of one key that a replica remembers. A withdrawn attempt is
+// remembered in case its claim arrives late; one that was forgotten and whose claim does arrive
+// blocks the key until the record expires.
 const maxAttempts = 32
 
-// Merge is what two copies of a record come to, whatever order they are merged in and however often: all tries of both, each in its higher state.
-// A claim that one holder alone granted stays, so that a claimant who counted on it is never overlooked.
-func Merge(a, b *state.Record) state.Record {
+// Merge returns the union of two copies of a record: all attempts of both, each in its higher
+// state. It is commutative, associative and idempotent. A claim that one replica alone granted
+// stays, so that a coordinator that counted on the grant is never overlooked. One of the copies
+// may be nil.
+func Merge(a, b *replicastore.Record) replicastore.Record {
 	if a == nil {
 		a = b
 	}
 	if b == nil {
 		b = a
 	}
-	m := state.Record{Key: a.Key, ExpiresAt: max(a.ExpiresAt, b.ExpiresAt), Attempts: make([]state.Attempt, 0, len(a.Attempts)+1)}
+	merged := replicastore.Record{
+		Key:       a.Key,
+		ExpiresAt: max(a.ExpiresAt, b.ExpiresAt),
+		Attempts:  make([]replicastore.Attempt, 0, len(a.Attempts)+1),
+	}
 	i, j := 0, 0
-	for i < len(a.Attempts) || j < len(b.Attempts) {
+	for i < len(a.Attempts) && j < len(b.Attempts) {
+		order := a.Attempts[i].Compare(b.Attempts[j].ClaimID)
 		switch {
-		case j == len(b.Attempts) || i < len(a.Attempts) && a.Attempts[i].Compare(b.Attempts[j].ClaimID) < 0:
-			m.Attempts = append(m.Attempts, a.Attempts[i])
+		case order < 0:
+			merged.Attempts = append(merged.Attempts, a.Attempts[i])
 			i++
-		case i == len(a.Attempts) || b.Attempts[j].Compare(a.Attempts[i].ClaimID) < 0:
-			m.Attempts = append(m.Attempts, b.Attempts[j])
+		case order > 0:
+			merged.Attempts = append(merged.Attempts, b.Attempts[j])
 			j++
 		default:
-			m.Attempts = append(m.Attempts, preferredAttempt(a.Attempts[i], b.Attempts[j]))
+			merged.Attempts = append(merged.Attempts, preferredAttempt(a.Attempts[i], b.Attempts[j]))
 			i++
 			j++
 		}
 	}
-	return m
+	merged.Attempts = append(merged.Attempts, a.Attempts[i:]...)
+	merged.Attempts = append(merged.Attempts, b.Attempts[j:]...)
+	return merged
 }
 
-// preferredAttempt is the state that wins of one claim. Two results of one run can't be; should they be all the same, all copies settle on one.
-func preferredAttempt(a, b state.Attempt) state.Attempt {
+// preferredAttempt returns which of two copies of one attempt wins: the higher state, then a
+// copy that still has its result. A run can't have two results; should there be two all the
+// same, every replica settles on the same one.
+func preferredAttempt(a, b replicastore.Attempt) replicastore.Attempt {
 	switch {
 	case a.State != b.State:
 		if a.State > b.State {
@@ -58,17 +70,26 @@
 	return a
 }
 
-// HasConflictingResults tells whether a record has two runs with different results: the alarm that should never come. The first in the order of claims is the answer.
-func HasConflictingResults(r *state.Record) bool {
-	first := r.FinishedAttempt()
-	return first != nil && slices.ContainsFunc(r.Attempts, func(t state.Attempt) bool {
-		return t.State == state.StateFinished && t.ResultChecksum != first.ResultChecksum
+// HasConflictingResults reports whether two attempts of a record finished with different
+// results, which must never be. The first in the order of claims is the one that is returned
+// to clients.
+func HasConflictingResults(record *replicastore.Record) bool {
+	first := record.FinishedAttempt()
+	if first == nil {
+		return false
+	}
+	return slices.ContainsFunc(record.Attempts, func(attempt replicastore.Attempt) bool {
+		return attempt.State == replicastore.StateFinished && attempt.ResultChecksum != first.ResultChecksum
 	})
 }
 
-// sameAttempts tells whether two copies agree.
-func sameAttempts(a, b *state.Record) bool {
-	return a != nil && b != nil && slices.EqualFunc(a.Attempts, b.Attempts, func(x, y state.Attempt) bool {
-		return x.ClaimID == y.ClaimID && x.State == y.State && x.ResultChecksum == y.ResultChecksum && (x.Result == nil) == (y.Result == nil)
+// sameAttempts reports whether two copies of a record agree on all attempts, and on which of
+// the results are there.
+func sameAttempts(a, b *replicastore.Record) bool {
+	return slices.EqualFunc(a.Attempts, b.Attempts, func(x, y replicastore.Attempt) bool {
+		return x.ClaimID == y.ClaimID &&
+			x.State == y.State &&
+			x.ResultChecksum == y.ResultChecksum &&
+			(x.Result == nil) == (y.Result == nil)
 	})
 }
--- /dev/null
+++ b/internal/policy/replication/merge_test.go
@@ -0,0 +1,72 @@
+package replication
+
+import (
+	"reflect"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"swiftcourse/internal/replicastore"
+)
+
+// drawRecord draws a record of some attempts, with few values so that copies meet.
+func drawRecord(t *rapid.T, label string) *replicastore.Record {
+	record := &replicastore.Record{ExpiresAt: rapid.Float64Range(0, 9).Draw(t, label+" expiry")}
+	for n := range rapid.IntRange(0, 4).Draw(t, label+" attempts") {
+		id := replicastore.ClaimID{
+			UnixMilli:   int64(n),
+			Incarnation: rapid.Uint64Range(1, 2).Draw(t, "incarnation"),
+			Sequence:    1,
+		}
+		attempt := replicastore.Attempt{
+			ClaimID: id,
+			State:   replicastore.State(rapid.IntRange(0, 2).Draw(t, "state")),
+		}
+		if rapid.Bool().Draw(t, "finished") {
+			result := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "result")
+			attempt = replicastore.NewFinishedAttempt(id, []byte(result))
+			if rapid.Bool().Draw(t, "dropped") {
+				attempt.Result = nil
+			}
+		}
+		record.Attempts = append(record.Attempts, attempt)
+	}
+	return record
+}
+
+func TestMerge_IndependentOfOrder(t *testing.T) {
+	merge := func(x, y *replicastore.Record) *replicastore.Record {
+		merged := Merge(x, y)
+		return &merged
+	}
+	rapid.Check(t, func(t *rapid.T) {
+		a, b, c := drawRecord(t, "a"), drawRecord(t, "b"), drawRecord(t, "c")
+		for _, law := range []struct {
+			name string
+			x, y *replicastore.Record
+		}{
+			{"commutative", merge(a, b), merge(b, a)},
+			{"associative", merge(a, merge(b, c)), merge(merge(a, b), c)},
+			{"idempotent", merge(a, merge(a, b)), merge(a, b)},
+			{"with nothing", merge(a, nil), merge(a, a)},
+		} {
+			if !reflect.DeepEqual(law.x, law.y) {
+				t.Fatalf("not %s: %+v, %+v", law.name, law.x, law.y)
+			}
+		}
+		for _, merged := range merge(a, b).Attempts {
+			checkNotLowered(t, merged, a)
+			checkNotLowered(t, merged, b)
+		}
+	})
+}
+
+// checkNotLowered checks that a merged attempt's state is not below that of a copy.
+func checkNotLowered(t *rapid.T, merged replicastore.Attempt, from *replicastore.Record) {
+	t.Helper()
+	for _, attempt := range from.Attempts {
+		if attempt.ClaimID == merged.ClaimID && attempt.State > merged.State {
+			t.Fatalf("%+v became %+v", attempt, merged)
+		}
+	}
+}
--- /dev/null
+++ b/internal/policy/replication/reporter.go
@@ -0,0 +1,128 @@
+package replication
+
+import (
+	"slices"
+
+	"swiftcourse/internal/replicastore"
+)
+
+const (
+	// maxReports bounds the reports under way.
+	maxReports = 4096
+	// A report is sent again each reportRetryInterval to replicas that have not recorded it, for
+	// reportLifetime, in seconds. After that the comparison of replicas spreads it.
+	reportRetryInterval = 0.1
+	reportLifetime      = 5.0
+)
+
+// report tells a claim's replicas what came of it. Times are in seconds.
+type report struct {
+	key        replicastore.Key
+	attempt    replicastore.Attempt
+	replicas   []int  // member indexes
+	recorded   []bool // by replica, in the order of replicas
+	retryAt    float64
+	expiresAt  float64
+	replicated bool // a quorum has recorded it
+}
+
+// reporter sends reports until all replicas have recorded them.
+type reporter struct {
+	placement *Placement
+	terms     TermTable
+	outbox    *outbox
+	byClaim   map[replicastore.ClaimID]*report
+	queue     []*report // the oldest first
+
+	replicatedResults   int // results that a quorum recorded
+	unreplicatedResults int // results that a quorum did not record in time
+}
+
+// start begins to report what came of a claim. When too many reports are under way the oldest
+// is dropped: its claim stands as one that may have run.
+func (r *reporter) start(claim *pendingClaim, attempt replicastore.Attempt, now float64) {
+	if len(r.queue) >= maxReports {
+		r.drop(r.queue[0])
+	}
+	report := &report{
+		key:       claim.key,
+		attempt:   attempt,
+		replicas:  claim.replicas,
+		recorded:  make([]bool, len(claim.replicas)),
+		expiresAt: now + reportLifetime,
+	}
+	r.byClaim[attempt.ClaimID] = report
+	r.queue = append(r.queue, report)
+	r.send(report, now)
+}
+
+// send sends a report to the replicas that have not recorded it.
+func (r *reporter) send(report *report, now float64) {
+	report.retryAt = now + reportRetryInterval
+	for i, member := range report.replicas {
+		if report.recorded[i] {
+			continue
+		}
+		r.outbox.add(Envelope{To: member, Claim: &ClaimRequest{
+			ConfigDigest: r.placement.ConfigDigest,
+			Operation:    OpReport,
+			Key:          report.key,
+			Attempt:      report.attempt,
+			Terms:        r.terms.Select(report.replicas),
+		}})
+	}
+}
+
+// handleReply takes the reply of the member with index from.
+func (r *reporter) handleReply(from int, reply *ClaimReply) {
+	report := r.byClaim[reply.ClaimID]
+	if report == nil || reply.Status != ReplyRecorded && reply.Status != ReplyFull {
+		return
+	}
+	replica := slices.Index(report.replicas, from)
+	if replica < 0 {
+		return
+	}
+	r.terms.Observe(report.replicas, reply.Terms)
+	report.recorded[replica] = reply.Status == ReplyRecorded
+	count := countTrue(report.recorded)
+	if count >= r.placement.Quorum && !report.replicated {
+		report.replicated = true
+		if report.attempt.State == replicastore.StateFinished {
+			r.replicatedResults++
+		}
+	}
+	if count == len(report.replicas) {
+		r.drop(report)
+	}
+}
+
+// drop stops sending a report.
+func (r *reporter) drop(dropped *report) {
+	if !dropped.replicated && dropped.attempt.State == replicastore.StateFinished {
+		r.unreplicatedResults++
+	}
+	delete(r.byClaim, dropped.attempt.ClaimID)
+	r.queue = slices.DeleteFunc(r.queue, func(other *report) bool { return other == dropped })
+}
+
+// maintain sends reports again that are due, and drops those whose time is over.
+func (r *reporter) maintain(now float64) {
+	for _, report := range slices.Clone(r.queue) {
+		switch {
+		case now >= report.expiresAt:
+			r.drop(report)
+		case now >= report.retryAt:
+			r.send(report, now)
+		}
+	}
+}
+
+// nextWakeup returns when maintain has something to do, in seconds.
+func (r *reporter) nextWakeup() float64 {
+	next := never
+	for _, report := range r.queue {
+		next = min(next, report.retryAt)
+	}
+	return next
+}
--- a/internal/replicastore/store.go
+++ b/internal/replicastore/store.go
@@ -215,11 +215,3 @@
 		s.remove(e)
 	}
 }
-
-// FlipBit changes a bit of a record where it is held, for tests.
-func (s *Store) FlipBit(k Key) {
-	if e := s.slots[k.Slot()][k]; e != nil && len(e.Attempts) > 0 {
-		e.Attempts = slices.Clone(e.Attempts)
-		e.Attempts[0].State ^= 2
-	}
-}
