--- a/internal/policy/loadplan/plan.go
+++ b/internal/policy/loadplan/plan.go
@@ -15,8 +15,9 @@
 
 // Number orders plans: the voters' founding, the term in it in which a planner leads, and the plans of that term.
 type Number struct {
-	Founding  uint32
-	Term, Seq uint64
+	Founding uint32 `json:"Founding"`
+	Term     uint64 `json:"Term"`
+	Seq      uint64 `json:"Seq"`
 }
 
 // Compare orders numbers.
@@ -207,27 +208,27 @@
 
 // Account is what a planner that leads knows, for operators.
 type Account struct {
-	Number     Number
-	Forwarders []Known
-	Workers    []Capacity
-	Bound      float64 // tasks a second that all forwarders together let in, 0 where all may come in
-	Fallbacks  int     // plans whose programme was not solved in its bounds
-	Refused    int     // reports that can't be true
+	Number     Number     `json:"Number"`
+	Forwarders []Known    `json:"Forwarders"`
+	Workers    []Capacity `json:"Workers"`
+	Bound      float64    `json:"Bound"`     // tasks a second that all forwarders together let in, 0 where all may come in
+	Fallbacks  int        `json:"Fallbacks"` // plans whose programme was not solved in its bounds
+	Refused    int        `json:"Refused"`   // reports that can't be true
 }
 
 // Known is a forwarder, Capacity a worker as it is taken for.
 type Known struct {
-	Name   string
-	Heard  float64 // seconds ago
-	Demand float64 // tasks a second
-	Holds  Number
+	Name   string  `json:"Name"`
+	Heard  float64 `json:"Heard"`  // seconds ago
+	Demand float64 `json:"Demand"` // tasks a second
+	Holds  Number  `json:"Holds"`
 }
 
 // Capacity is in tasks a second.
 type Capacity struct {
-	Name string
-	Can  float64
-	Seen float64 // seconds ago that a forwarder had a link to it
+	Name string  `json:"Name"`
+	Can  float64 `json:"Can"`
+	Seen float64 `json:"Seen"` // seconds ago that a forwarder had a link to it
 }
 
 // Account tells what it knows.
--- /dev/null
+++ b/internal/policy/loadplan/status_test.go
@@ -0,0 +1,29 @@
+package loadplan
+
+import (
+	"encoding/json"
+	"testing"
+)
+
+// The control API's readers find the fields under the keys that they had before the Go names changed.
+func TestStatus_KeepsItsJSONKeys(t *testing.T) {
+	status := Account{
+		Number:     Number{Founding: 1, Term: 2, Seq: 3},
+		Forwarders: []Known{{Name: "f1", Heard: 0.25, Demand: 10, Holds: Number{Founding: 1, Term: 2, Seq: 2}}},
+		Workers:    []Capacity{{Name: "w1", Can: 4, Seen: 0.5}},
+		Bound:      6,
+		Fallbacks:  7,
+		Refused:    8,
+	}
+	text, err := json.Marshal(status)
+	if err != nil {
+		t.Fatal(err)
+	}
+	const want = `{"Number":{"Founding":1,"Term":2,"Seq":3},` +
+		`"Forwarders":[{"Name":"f1","Heard":0.25,"Demand":10,"Holds":{"Founding":1,"Term":2,"Seq":2}}],` +
+		`"Workers":[{"Name":"w1","Can":4,"Seen":0.5}],` +
+		`"Bound":6,"Fallbacks":7,"Refused":8}`
+	if string(text) != want {
+		t.Errorf("%s\nwant %s", text, want)
+	}
+}
