--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -39,16 +39,16 @@
 	if start.Settings.Cores *= len(workers); own.Forwarding.MaxInFlight > 0 {
 		start.Settings.Cores = own.Forwarding.MaxInFlight
 	}
-	p.dispatcher = forwarder.Start(forwarder.Shape{Workers: workers, Stages: start.Settings.Classes, Seed: forwarder.SeedOf(start.Name, start.Seed),
-		ColdFrom: start.Settings.SlowStart.InitialSpeed, ColdFor: start.WorkerSlowStartDuration, Now: loop.Now,
-		Return: func(list []forwarder.Back) {
+	p.dispatcher = forwarder.Start(forwarder.Config{Workers: workers, Classes: start.Settings.Classes, Seed: forwarder.SeedFor(start.Name, start.Seed),
+		SlowStartSpeed: start.Settings.SlowStart.InitialSpeed, SlowStartSeconds: start.WorkerSlowStartDuration, Now: loop.Now,
+		OnResults: func(list []forwarder.Result) {
 			backs := make([]server.ForwardResult, len(list))
 			for i, b := range list {
 				backs[i] = server.ForwardResult(b)
 			}
 			loop.HandleForwardResults(backs)
-		}, Linked: loop.HandleWorkerAvailable})
-	loop.EnableForwarding(func(out server.ForwardRequest) bool { return p.dispatcher.Begin(forwarder.Out(out)) }, p.dispatcher.Quit)
+		}, OnWorkerAvailable: loop.HandleWorkerAvailable})
+	loop.EnableForwarding(func(out server.ForwardRequest) bool { return p.dispatcher.Dispatch(forwarder.Request(out)) }, p.dispatcher.Cancel)
 	slog.Info("forwarder", "workers", len(workers), "slots", start.Settings.Cores)
 	return nil
 }
@@ -58,20 +58,20 @@
 	if p.dispatcher == nil {
 		return nil
 	}
-	var last loadplan.Number
+	var last loadplan.Version
 	return &fleet.LoadPlanConfig{
-		Report: func(float64) *loadplan.Report { return p.dispatcher.Report() },
-		OnShare: func(part *loadplan.Part, until float64) {
-			if part.Founding != last.Founding || part.Term != last.Term {
-				slog.Info("fleet_plan", "founding", part.Founding, "term", part.Term, "seq", part.Seq, "weights", len(part.Weights), "rates", len(part.Rates))
+		Report: func(float64) *loadplan.Report { return p.dispatcher.TakeReport() },
+		OnShare: func(part *loadplan.Assignment, until float64) {
+			if part.ClusterID != last.ClusterID || part.Term != last.Term {
+				slog.Info("fleet_plan", "founding", part.ClusterID, "term", part.Term, "seq", part.Sequence, "weights", len(part.Weights), "rates", len(part.RateLimits))
 			}
-			last = part.Number
+			last = part.Version
 			weights := map[string]float64{}
 			for _, w := range part.Weights {
-				weights[w.Name] = w.Part
+				weights[w.Name] = w.Weight
 			}
 			till := clock.ToSource(until)
-			p.dispatcher.Plan(weights, till)
+			p.dispatcher.ApplyPlan(weights, till)
 			p.allow(func() { p.planned = rates(part, start, till) })
 		},
 	}
@@ -79,8 +79,8 @@
 
 // rates is what a plan lets in of each tenant. Once it is over all may come in again, hence a floor without bound and a part that takes it away until
 // then: what workers can't do they turn away themselves.
-func rates(part *loadplan.Part, start *config.Startup, till float64) (list []serving.Allowance) {
-	for _, d := range part.Rates {
+func rates(part *loadplan.Assignment, start *config.Startup, till float64) (list []serving.Allowance) {
+	for _, d := range part.RateLimits {
 		if at, known := start.TenantIndex[d.Tenant]; known {
 			list = append(list, serving.Allowance{Name: "plan/" + d.Tenant, Tenant: at, FleetMax: math.MaxInt32, Guaranteed: math.MaxInt32, LeasedShare: d.Rate - math.MaxInt32, LeaseExpiry: till,
 				BurstSeconds: quota.BurstSeconds})
@@ -140,27 +140,27 @@
 	if o.Plans.JSON {
 		return json.NewEncoder(os.Stdout).Encode(s)
 	}
-	number := func(n loadplan.Number) string { return fmt.Sprintf("%d.%d.%d", n.Founding, n.Term, n.Seq) }
+	number := func(n loadplan.Version) string { return fmt.Sprintf("%d.%d.%d", n.ClusterID, n.Term, n.Sequence) }
 	if m := s.Planner; m != nil {
 		t := table()
 		fmt.Fprintln(t, "forwarder\theard s ago\tasked for, a second\tgoes by")
 		for _, f := range m.Forwarders {
-			fmt.Fprintf(t, "%s\t%.1f\t%.1f\t%s\n", f.Name, f.Heard, f.Demand, number(f.Holds))
+			fmt.Fprintf(t, "%s\t%.1f\t%.1f\t%s\n", f.Name, f.ReportAgeSeconds, f.Demand, number(f.Version))
 		}
 		fmt.Fprintln(t, "worker\tseen s ago\tcan do, a second\t")
 		for _, w := range m.Workers {
-			fmt.Fprintf(t, "%s\t%.1f\t%.1f\t\n", w.Name, w.Seen, w.Can)
+			fmt.Fprintf(t, "%s\t%.1f\t%.1f\t\n", w.Name, w.LastConnectedAgeSeconds, w.Capacity)
 		}
 		if err := t.Flush(); err != nil {
 			return err
 		}
-		if m.Bound > 0 {
-			fmt.Printf("more is asked for than workers can do: %.1f a second are let in\n", m.Bound)
+		if m.AdmittedRate > 0 {
+			fmt.Printf("more is asked for than workers can do: %.1f a second are let in\n", m.AdmittedRate)
 		}
-		fmt.Printf("%s leads, its plan is %s; %d not solved in their bounds, %d reports refused\n", s.Name, number(m.Number), m.Fallbacks, m.Refused)
+		fmt.Printf("%s leads, its plan is %s; %d not solved in their bounds, %d reports refused\n", s.Name, number(m.Version), m.Fallbacks, m.InvalidReports)
 		return nil
 	}
-	if s.Current != (loadplan.Number{}) {
+	if s.Current != (loadplan.Version{}) {
 		fmt.Printf("%s goes by plan %s, fresh for %.1f s; %d parts of plans were stale\n", s.Name, number(s.Current), s.FreshFor, s.Stale)
 	}
 	fmt.Println("plans are made by", s.Leader)
--- a/cmd/swiftcourse-fleet/main.go
+++ b/cmd/swiftcourse-fleet/main.go
@@ -123,7 +123,7 @@
 		loop.ReportCounters(func(list []serving.CounterCell) bool {
 			told := !own.Fleet.SharedCounters || f.ReportCounts(list)
 			if told {
-				p.dispatcher.Asked(list)
+				p.dispatcher.RecordDemand(list)
 			}
 			return told
 		})
--- a/internal/fleet/plans.go
+++ b/internal/fleet/plans.go
@@ -13,15 +13,15 @@
 
 // LoadPlanConfig is what a process does with them.
 type LoadPlanConfig struct {
-	IsPlanner bool                                  // it is a planner: of those the voter that leads makes plans
-	Report    func(now float64) *loadplan.Report    // a forwarder's report, nil where there is none now; nil for who is no forwarder
-	OnShare   func(p *loadplan.Part, until float64) // hands the loop its part, and by this clock until when it holds
+	IsPlanner bool                                        // it is a planner: of those the voter that leads makes plans
+	Report    func(now float64) *loadplan.Report          // a forwarder's report, nil where there is none now; nil for who is no forwarder
+	OnShare   func(p *loadplan.Assignment, until float64) // hands the loop its part, and by this clock until when it holds
 }
 
 // loadPlanState is the part's state of it.
 type loadPlanState struct {
 	*LoadPlanConfig
-	holder     *loadplan.Holder
+	holder     *loadplan.Subscriber
 	planner    *loadplan.Planner // nil where this process does not lead
 	nextReport float64
 	freshUntil float64 // the part that was taken last is fresh till then
@@ -29,7 +29,7 @@
 
 func (f *Agent) beginPlans(now float64) {
 	if f.LoadPlan != nil {
-		f.loadPlan = &loadPlanState{LoadPlanConfig: f.Config.LoadPlan, holder: loadplan.NewHolder(f.incarnation), nextReport: now}
+		f.loadPlan = &loadPlanState{LoadPlanConfig: f.Config.LoadPlan, holder: loadplan.NewSubscriber(f.incarnation), nextReport: now}
 	}
 }
 
@@ -58,13 +58,13 @@
 	if p == nil || p.Report == nil || now < p.nextReport {
 		return
 	}
-	p.nextReport = now + loadplan.Every
+	p.nextReport = now + loadplan.ReportIntervalSeconds
 	r := p.Report(now)
 	if r == nil {
 		return
 	}
 	r.Name = f.Name
-	p.holder.Report(now, r)
+	p.holder.StampReport(now, r)
 	name := f.leaseHolder.Leader()
 	if name == f.Name {
 		f.takePlans(now, &wire.Envelope{ForwarderReport: r, From: f.Name, Incarnation: f.incarnation})
@@ -86,12 +86,12 @@
 	switch {
 	case p == nil:
 	case m.PlanShare != nil:
-		if until := p.holder.Take(now, m.PlanShare); until > now && p.OnShare != nil {
+		if until := p.holder.Accept(now, m.PlanShare); until > now && p.OnShare != nil {
 			p.freshUntil = until
 			p.OnShare(m.PlanShare, until)
 		}
-	case p.planner != nil && f.confirmed(now) && m.ForwarderReport.Name == m.From && m.ForwarderReport.Life == m.Incarnation:
-		a := p.planner.Read(now, m.ForwarderReport)
+	case p.planner != nil && f.confirmed(now) && m.ForwarderReport.Name == m.From && m.ForwarderReport.Incarnation == m.Incarnation:
+		a := p.planner.HandleReport(now, m.ForwarderReport)
 		if a == nil {
 			return
 		}
@@ -107,19 +107,19 @@
 type LoadPlanStatus struct {
 	Name     string
 	Leader   string
-	Current  loadplan.Number   `json:"Holds"` // that a forwarder goes by, or went by last
-	FreshFor float64           `json:"Till"`  // for how many seconds it is fresh, under 0 where it ages
-	Stale    int               // parts of plans that were not taken
-	Planner  *loadplan.Account `json:"Makes"` // nil where this one makes none
+	Current  loadplan.Version `json:"Holds"` // that a forwarder goes by, or went by last
+	FreshFor float64          `json:"Till"`  // for how many seconds it is fresh, under 0 where it ages
+	Stale    int              // parts of plans that were not taken
+	Planner  *loadplan.Status `json:"Makes"` // nil where this one makes none
 }
 
 // LoadPlanStatus tells it.
 func (f *Agent) LoadPlanStatus(now float64) *LoadPlanStatus {
 	s := &LoadPlanStatus{Name: f.Name, Leader: f.leaseHolder.Leader()}
 	if p := f.loadPlan; p != nil {
-		s.Current, s.Stale, s.FreshFor = p.holder.Holds(), p.holder.Stale, p.freshUntil-now
+		s.Current, s.Stale, s.FreshFor = p.holder.Version(), p.holder.StaleAssignments, p.freshUntil-now
 		if p.planner != nil && f.confirmed(now) {
-			s.Planner = p.planner.Account(now)
+			s.Planner = p.planner.Status(now)
 		}
 	}
 	return s
--- a/internal/forwarder/forward.go
+++ b/internal/forwarder/forward.go
@@ -24,16 +24,16 @@
 // Worker is where tasks may go.
 type Worker struct{ Name, Addr string }
 
-// Out is a task on its way to a worker.
-type Out struct {
+// Request is a task on its way to a worker.
+type Request struct {
 	ID      string
 	Stage   int
 	Message rpc.Message // as it goes on, but for its number and its times
 	Left    float64     // seconds in which it has to be back
 }
 
-// Back is how that ended.
-type Back struct {
+// Result is how that ended.
+type Result struct {
 	ID      string
 	Outcome admission.Outcome // Finished, Errored, Bounced where no worker took it, Stopped where nobody waits any more
 	Body    []byte
@@ -41,15 +41,15 @@
 	Advice  float64 // with Bounced: when to come back, in seconds
 }
 
-// Shape is what a dispatcher is told.
-type Shape struct {
-	Workers           []Worker
-	Stages            []admission.Class
-	Seed              int64
-	ColdFrom, ColdFor float64        // how workers start, see route.Cold
-	Now               func() float64 // the serving loop's clock: Unix seconds that move forward
-	Return            func([]Back)   // hands tasks back
-	Linked            func()         // told once there is a worker
+// Config is what a dispatcher is told.
+type Config struct {
+	Workers                          []Worker
+	Classes                          []admission.Class
+	Seed                             int64
+	SlowStartSpeed, SlowStartSeconds float64        // how workers start, see route.Cold
+	Now                              func() float64 // the serving loop's clock: Unix seconds that move forward
+	OnResults                        func([]Result) // hands tasks back
+	OnWorkerAvailable                func()         // told once there is a worker
 }
 
 const (
@@ -67,7 +67,7 @@
 
 // Dispatcher is a forwarder's side towards the workers.
 type Dispatcher struct {
-	Shape
+	Config
 	inbox chan event
 	quit  chan struct{}
 
@@ -83,14 +83,14 @@
 	told    float64
 	learned float64 // when it was worked out last what workers do
 	counts  counts
-	backs   []Back
+	backs   []Result
 }
 
 type counts struct{ begun, finished, errored, bounced, late, second, cut int }
 
 // event is one thing that happened; one of its parts is there.
 type event struct {
-	begin  *Out
+	begin  *Request
 	drop   string
 	link   *link // with answer: that it came by
 	answer *rpc.Answer
@@ -101,7 +101,7 @@
 
 // try is a task that is out.
 type try struct {
-	out    Out
+	out    Request
 	until  float64 // when it has to be back
 	worker *link   // where it is, nil where it is nowhere
 	number uint64  // of its message there
@@ -111,16 +111,16 @@
 }
 
 // Start begins to dial all workers.
-func Start(shape Shape) *Dispatcher {
+func Start(shape Config) *Dispatcher {
 	now := shape.Now()
-	d := &Dispatcher{Shape: shape, inbox: make(chan event, maxInbox), quit: make(chan struct{}), router: routing.New(uint64(shape.Seed)), links: map[string]*link{},
+	d := &Dispatcher{Config: shape, inbox: make(chan event, maxInbox), quit: make(chan struct{}), router: routing.New(uint64(shape.Seed)), links: map[string]*link{},
 		tries: map[string]*try{}, demand: map[string]float64{}, since: now, told: now, learned: now}
-	d.router.Cold(shape.ColdFrom, shape.ColdFor)
-	for range shape.Stages {
+	d.router.SetSlowStart(shape.SlowStartSpeed, shape.SlowStartSeconds)
+	for range shape.Classes {
 		d.typical = append(d.typical, timewindow.New[timewindow.Histogram](8, 1, now))
 	}
 	for _, w := range shape.Workers {
-		d.router.Add(now, w.Name)
+		d.router.AddWorker(now, w.Name)
 		l := newLink(d, w)
 		d.links[w.Name] = l
 		go l.keep()
@@ -129,8 +129,8 @@
 	return d
 }
 
-// Begin takes a task, from the serving loop; false where there is no room.
-func (d *Dispatcher) Begin(out Out) bool {
+// Dispatch takes a task, from the serving loop; false where there is no room.
+func (d *Dispatcher) Dispatch(out Request) bool {
 	select {
 	case d.inbox <- event{begin: &out}:
 		return true
@@ -139,24 +139,24 @@
 	}
 }
 
-// Quit tells that nobody waits for a task any more. Where there is no room its due moment ends it.
-func (d *Dispatcher) Quit(id string) {
+// Cancel tells that nobody waits for a task any more. Where there is no room its due moment ends it.
+func (d *Dispatcher) Cancel(id string) {
 	select {
 	case d.inbox <- event{drop: id}:
 	default:
 	}
 }
 
-// Plan has the weights of a plan hold until a moment of the loop's clock.
-func (d *Dispatcher) Plan(weights map[string]float64, until float64) {
+// ApplyPlan has the weights of a plan hold until a moment of the loop's clock.
+func (d *Dispatcher) ApplyPlan(weights map[string]float64, until float64) {
 	select {
 	case d.inbox <- event{plan: weights, until: until}:
 	default: // the next comes soon
 	}
 }
 
-// Asked takes what the server was asked for, also what it turned away itself.
-func (d *Dispatcher) Asked(list []serving.CounterCell) {
+// RecordDemand takes what the server was asked for, also what it turned away itself.
+func (d *Dispatcher) RecordDemand(list []serving.CounterCell) {
 	select {
 	case d.inbox <- event{ask: func() {
 		for _, n := range list {
@@ -167,8 +167,8 @@
 	}
 }
 
-// Report tells what was asked for and seen since the last one, nil where the owner is busy.
-func (d *Dispatcher) Report() *loadplan.Report {
+// TakeReport tells what was asked for and seen since the last one, nil where the owner is busy.
+func (d *Dispatcher) TakeReport() *loadplan.Report {
 	done := make(chan *loadplan.Report, 1)
 	select {
 	case d.inbox <- event{ask: func() { done <- d.report() }}:
@@ -203,7 +203,7 @@
 		}
 		d.tick()
 		if len(d.backs) > 0 {
-			d.Return(d.backs)
+			d.OnResults(d.backs)
 			d.backs = nil
 		}
 		alarm.Reset(time.Duration(max(0.001, d.next()-d.Now()) * float64(time.Second)))
@@ -224,11 +224,11 @@
 	case e.drop != "":
 		if t := d.tries[e.drop]; t != nil {
 			d.recall(t)
-			d.leave(now, t, routing.Dropped, 0)
+			d.leave(now, t, routing.Cancelled, 0)
 			d.settle(t, admission.Cancelled, nil, 0)
 		}
 	case e.plan != nil:
-		d.router.Plan(now, e.plan, e.until)
+		d.router.ApplyPlan(now, e.plan, e.until)
 	case e.ask != nil:
 		e.ask()
 	case e.answer != nil:
@@ -237,10 +237,10 @@
 }
 
 // begin places a task that came.
-func (d *Dispatcher) begin(now float64, out *Out) {
+func (d *Dispatcher) begin(now float64, out *Request) {
 	d.counts.begun++
 	if d.tries[out.ID] != nil || len(d.tries) >= maxTries {
-		d.backs = append(d.backs, Back{ID: out.ID, Outcome: admission.Rejected})
+		d.backs = append(d.backs, Result{ID: out.ID, Outcome: admission.Rejected})
 		return
 	}
 	t := &try{out: *out, until: now + out.Left}
@@ -251,7 +251,7 @@
 
 // safe tells whether a task may run twice.
 func (d *Dispatcher) safe(t *try) bool {
-	return d.Stages[t.out.Stage].Idempotency == admission.Idempotent
+	return d.Classes[t.out.Stage].Idempotency == admission.Idempotent
 }
 
 // place sends a task to a worker, or gives it back where none may have it; advice is the last worker's.
@@ -268,12 +268,12 @@
 		t.worker, t.began = l, now
 		m := t.out.Message
 		m.Came, m.Wait, m.NoWait = now, t.until-now, false
-		d.router.Began(now, name, len(t.tried))
+		d.router.StartAttempt(now, name, len(t.tried))
 		if t.number = l.send(t, &m); t.number > 0 {
 			return
 		}
-		d.leave(now, t, routing.Unsent, 0) // its line is full: it never left
-		if !d.router.Again(routing.Unsent, len(t.tried), d.safe(t), t.until-now, d.usual(now, t.out.Stage)) {
+		d.leave(now, t, routing.NotSent, 0) // its line is full: it never left
+		if !d.router.AllowRetry(routing.NotSent, len(t.tried), d.safe(t), t.until-now, d.usual(now, t.out.Stage)) {
 			d.counts.bounced++
 			d.settle(t, admission.Rejected, nil, 0)
 			return
@@ -289,9 +289,9 @@
 }
 
 // leave takes a try off its worker.
-func (d *Dispatcher) leave(now float64, t *try, end routing.End, advice float64) {
+func (d *Dispatcher) leave(now float64, t *try, end routing.Outcome, advice float64) {
 	if l := t.worker; l != nil {
-		d.router.Ended(now, l.Name, end, now-t.began, advice)
+		d.router.FinishAttempt(now, l.Name, end, now-t.began, advice)
 		delete(l.tries, t.number)
 		t.worker = nil
 		l.closeIdle()
@@ -309,7 +309,7 @@
 func (d *Dispatcher) settle(t *try, outcome admission.Outcome, body []byte, advice float64) {
 	delete(d.tries, t.out.ID)
 	heap.Remove(&d.due, t.index)
-	d.backs = append(d.backs, Back{ID: t.out.ID, Outcome: outcome, Body: body, Took: d.Now() - (t.until - t.out.Left), Advice: advice})
+	d.backs = append(d.backs, Result{ID: t.out.ID, Outcome: outcome, Body: body, Took: d.Now() - (t.until - t.out.Left), Advice: advice})
 }
 
 // heard takes a worker's answer.
@@ -333,19 +333,19 @@
 		d.leave(now, t, routing.Rejected, a.Say.Advice)
 		d.again(now, t, routing.Rejected, a.Say.Advice)
 	case rpc.Abandoned:
-		d.leave(now, t, routing.Errored, 0)
+		d.leave(now, t, routing.Failed, 0)
 		d.counts.errored++
 		d.settle(t, admission.Failed, nil, 0)
 	}
 }
 
 // again has a task go to another worker, or gives it back as its last try ended.
-func (d *Dispatcher) again(now float64, t *try, end routing.End, advice float64) {
+func (d *Dispatcher) again(now float64, t *try, end routing.Outcome, advice float64) {
 	switch {
-	case d.router.Again(end, len(t.tried), d.safe(t), t.until-now, d.usual(now, t.out.Stage)):
+	case d.router.AllowRetry(end, len(t.tried), d.safe(t), t.until-now, d.usual(now, t.out.Stage)):
 		d.counts.second++
 		d.place(now, t, advice)
-	case end.Proven():
+	case end.KnownNotExecuted():
 		d.counts.bounced++
 		d.settle(t, admission.Rejected, nil, advice)
 	default:
@@ -356,12 +356,12 @@
 
 // changed books that a link is there, or is not any more: what was out on it may have run.
 func (d *Dispatcher) changed(now float64, l *link, up bool) {
-	d.router.Linked(now, l.Name, up)
+	d.router.SetConnected(now, l.Name, up)
 	if up {
 		slog.Info("worker", "name", l.Name, "addr", l.Addr, "is", "linked")
 		if !d.linked {
 			d.linked = true
-			go d.Linked()
+			go d.OnWorkerAvailable()
 		}
 		return
 	}
@@ -369,9 +369,9 @@
 	out := l.tries
 	l.tries = map[uint64]*try{}
 	for _, t := range out {
-		d.router.Ended(now, l.Name, routing.Cut, now-t.began, 0)
+		d.router.FinishAttempt(now, l.Name, routing.ConnectionLost, now-t.began, 0)
 		t.worker = nil
-		d.again(now, t, routing.Cut, 0)
+		d.again(now, t, routing.ConnectionLost, 0)
 	}
 }
 
@@ -391,18 +391,18 @@
 		t := d.due[0]
 		d.counts.late++
 		d.recall(t)
-		d.leave(now, t, routing.Late, 0)
+		d.leave(now, t, routing.TimedOut, 0)
 		d.settle(t, admission.Cancelled, nil, 0)
 	}
 	if now >= d.learned+learnEvery {
-		d.router.Learn(now - d.learned)
+		d.router.LearnCapacity(now - d.learned)
 		d.learned = now
 	}
 	if now >= d.told+tellEvery {
 		d.told = now
 		c := d.counts
 		slog.Info("forwards", "begun", c.begun, "finished", c.finished, "errored", c.errored, "bounced", c.bounced, "late", c.late, "cut", c.cut,
-			"second", c.second, "out", len(d.tries), "linked", d.router.Links(), "workers", len(d.links), "plan", d.router.Part(now))
+			"second", c.second, "out", len(d.tries), "linked", d.router.ConnectedWorkers(), "workers", len(d.links), "plan", d.router.PlanInfluence(now))
 		d.counts = counts{}
 	}
 }
@@ -410,14 +410,14 @@
 // report tells what was asked for and seen since the last one.
 func (d *Dispatcher) report() *loadplan.Report {
 	now := d.Now()
-	r := &loadplan.Report{For: max(now-d.since, 0.001)}
+	r := &loadplan.Report{IntervalSeconds: max(now-d.since, 0.001)}
 	d.since = now
 	for tenant, n := range d.demand {
-		r.Demand = append(r.Demand, loadplan.Demand{Tenant: tenant, Rate: n / r.For})
+		r.Demand = append(r.Demand, loadplan.TenantRate{Tenant: tenant, Rate: n / r.IntervalSeconds})
 	}
 	clear(d.demand)
-	for _, s := range d.router.Tell() {
-		r.Workers = append(r.Workers, loadplan.Seen{Name: s.Name, Linked: s.State != routing.Gone, Open: s.Open, Finished: s.Finished, Rejected: s.Rejected, Lost: s.Lost})
+	for _, s := range d.router.TakeStats() {
+		r.Workers = append(r.Workers, loadplan.WorkerStats{Name: s.Name, Connected: s.State != routing.Disconnected, InFlight: s.InFlight, Finished: s.Finished, Rejected: s.Rejected, Lost: s.Lost})
 	}
 	return r
 }
@@ -440,5 +440,5 @@
 	return t
 }
 
-// SeedOf is a forwarder's own seed, so that two don't draw alike.
-func SeedOf(name string, seed int64) int64 { return seed ^ int64(crc32.ChecksumIEEE([]byte(name))) }
+// SeedFor is a forwarder's own seed, so that two don't draw alike.
+func SeedFor(name string, seed int64) int64 { return seed ^ int64(crc32.ChecksumIEEE([]byte(name))) }
--- a/internal/forwarder/link.go
+++ b/internal/forwarder/link.go
@@ -99,7 +99,7 @@
 func (l *link) parts() {
 	if l.conn != nil && !l.parting {
 		l.parting = true
-		l.d.router.Linked(l.d.Now(), l.Name, false)
+		l.d.router.SetConnected(l.d.Now(), l.Name, false)
 		l.closeIdle()
 	}
 }
--- a/internal/lab/emulate/levels.go
+++ b/internal/lab/emulate/levels.go
@@ -89,7 +89,7 @@
 	rate   float64 // tasks a second asked of it
 	asked  int     // since its last report
 	since  float64
-	holds  loadplan.Number
+	holds  loadplan.Version
 	reach  func(int) bool
 }
 
@@ -183,38 +183,38 @@
 		f.reach = func(w int) bool { return w%2 == 0 }
 	}
 	for n, w := range l.workers {
-		f.router.Add(0, w.name)
+		f.router.AddWorker(0, w.name)
 		if f.reach(n) {
-			f.router.Linked(0, w.name, true)
+			f.router.SetConnected(0, w.name, true)
 		}
 	}
 	l.forwarders = append(l.forwarders, f)
 	s.plans = func(clock *fleet.Clock) *fleet.LoadPlanConfig {
 		return &fleet.LoadPlanConfig{
 			Report: func(float64) *loadplan.Report {
-				r := &loadplan.Report{For: max(l.now-f.since, 1e-3), Demand: []loadplan.Demand{{Rate: float64(f.asked) / max(l.now-f.since, 1e-3)}}}
+				r := &loadplan.Report{IntervalSeconds: max(l.now-f.since, 1e-3), Demand: []loadplan.TenantRate{{Rate: float64(f.asked) / max(l.now-f.since, 1e-3)}}}
 				f.since, f.asked = l.now, 0
-				for _, w := range f.router.Tell() {
-					r.Workers = append(r.Workers, loadplan.Seen{Name: w.Name, Linked: w.State != routing.Gone, Open: w.Open, Finished: w.Finished, Rejected: w.Rejected, Lost: w.Lost})
+				for _, w := range f.router.TakeStats() {
+					r.Workers = append(r.Workers, loadplan.WorkerStats{Name: w.Name, Connected: w.State != routing.Disconnected, InFlight: w.InFlight, Finished: w.Finished, Rejected: w.Rejected, Lost: w.Lost})
 				}
 				return r
 			},
-			OnShare: func(p *loadplan.Part, until float64) {
-				if p.Number.Compare(f.holds) < 0 {
+			OnShare: func(p *loadplan.Assignment, until float64) {
+				if p.Version.Compare(f.holds) < 0 {
 					l.row.Stale++
 				}
-				f.holds = p.Number
+				f.holds = p.Version
 				weights := map[string]float64{}
 				for _, w := range p.Weights {
-					weights[w.Name] = w.Part
+					weights[w.Name] = w.Weight
 				}
-				f.router.Plan(l.now, weights, clock.ToSource(until))
+				f.router.ApplyPlan(l.now, weights, clock.ToSource(until))
 			},
 		}
 	}
 	var learn, ask func()
 	learn = func() {
-		f.router.Learn(levelLearn)
+		f.router.LearnCapacity(levelLearn)
 		l.after(levelLearn, learn)
 	}
 	l.after(levelLearn*l.chance.Float64(), learn)
@@ -267,19 +267,19 @@
 		return
 	}
 	t.tried = append(t.tried, name)
-	t.f.router.Began(l.now, name, len(t.tried))
+	t.f.router.StartAttempt(l.now, name, len(t.tried))
 	if t.counted {
 		l.tries++
 	}
 	began := l.now
 	w := l.workers[l.index[name]]
-	ended := func(end routing.End, advice float64) {
-		t.f.router.Ended(l.now, name, end, l.now-began, advice)
+	ended := func(end routing.Outcome, advice float64) {
+		t.f.router.FinishAttempt(l.now, name, end, l.now-began, advice)
 		if end == routing.Finished {
 			l.settle(t, true)
 			return
 		}
-		if t.f.router.Again(end, len(t.tried), t.safe, t.came+levelWait-l.now, levelWork) {
+		if t.f.router.AllowRetry(end, len(t.tried), t.safe, t.came+levelWait-l.now, levelWork) {
 			l.place(t)
 			return
 		}
--- a/internal/lab/faults/levels_test.go
+++ b/internal/lab/faults/levels_test.go
@@ -114,7 +114,7 @@
 		t.Fatal(err)
 	}
 	f.served(t, d, "it goes on", rate)
-	if s, err := fleet.FetchLoadPlan(f.control[f.Front()[0]]); err != nil || s.Current.Seq == 0 || s.FreshFor <= 0 || s.Leader == "" {
+	if s, err := fleet.FetchLoadPlan(f.control[f.Front()[0]]); err != nil || s.Current.Sequence == 0 || s.FreshFor <= 0 || s.Leader == "" {
 		t.Errorf("an operator hears %+v, %v", s, err)
 	}
 	begun := f.Behind[0].Processor.Counts().Begun
--- a/internal/policy/loadplan/plan_test.go
+++ b/internal/policy/loadplan/plan_test.go
@@ -14,10 +14,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		chance := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		now, life := 0.0, uint64(1)
-		h := NewHolder(life)
+		h := NewSubscriber(life)
 		planners := []*Planner{New(1, 1, now)}
-		var late []*Part
-		var holds Number
+		var late []*Assignment
+		var holds Version
 		for range 300 {
 			now += 0.4 * chance.Float64()
 			switch chance.IntN(10) {
@@ -25,11 +25,11 @@
 				planners = append(planners, New(1, uint64(len(planners)+1), now))
 			case 1:
 				life++
-				h, holds = NewHolder(life), Number{}
+				h, holds = NewSubscriber(life), Version{}
 			}
-			r := &Report{Name: "f", For: 0.5, Workers: []Seen{{Name: "w", Linked: true, Finished: 3}}}
-			h.Report(now, r)
-			if a := planners[chance.IntN(len(planners))].Read(now, r); a != nil {
+			r := &Report{Name: "f", IntervalSeconds: 0.5, Workers: []WorkerStats{{Name: "w", Connected: true, Finished: 3}}}
+			h.StampReport(now, r)
+			if a := planners[chance.IntN(len(planners))].HandleReport(now, r); a != nil {
 				late = append(late, a)
 			}
 			for range chance.IntN(3) {
@@ -37,14 +37,14 @@
 					break
 				}
 				a := late[chance.IntN(len(late))]
-				until := h.Take(now, a)
+				until := h.Accept(now, a)
 				if until == 0 {
 					continue
 				}
-				if a.For != life || a.Number.Compare(holds) < 0 || until <= now || until > now+Lease {
+				if a.Incarnation != life || a.Version.Compare(holds) < 0 || until <= now || until > now+LeaseSeconds {
 					t.Fatalf("at %g life %d that holds %v takes %+v until %g", now, life, holds, a, until)
 				}
-				holds = a.Number
+				holds = a.Version
 			}
 		}
 	})
@@ -53,14 +53,14 @@
 // TestWeightsFollowWhatWorkersDo: of two workers one finishes three times what the other does, a third is reached by one forwarder alone.
 func TestWeightsFollowWhatWorkersDo(t *testing.T) {
 	p := New(1, 1, 0)
-	var parts map[string]*Part
+	var parts map[string]*Assignment
 	for n := range 40 {
-		parts = map[string]*Part{}
+		parts = map[string]*Assignment{}
 		for _, f := range []string{"a", "b"} {
-			r := &Report{Name: f, Life: 1, Number: uint64(n + 1), For: 0.5, Demand: []Demand{{"x", 100}}, Workers: []Seen{
-				{Name: "fast", Linked: true, Finished: 30, Rejected: 5}, {Name: "slow", Linked: true, Finished: 10, Rejected: 5},
-				{Name: "far", Linked: f == "b", Finished: map[string]int{"b": 40}[f], Rejected: map[string]int{"b": 5}[f]}}}
-			parts[f] = p.Read(float64(n)/2, r)
+			r := &Report{Name: f, Incarnation: 1, Sequence: uint64(n + 1), IntervalSeconds: 0.5, Demand: []TenantRate{{"x", 100}}, Workers: []WorkerStats{
+				{Name: "fast", Connected: true, Finished: 30, Rejected: 5}, {Name: "slow", Connected: true, Finished: 10, Rejected: 5},
+				{Name: "far", Connected: f == "b", Finished: map[string]int{"b": 40}[f], Rejected: map[string]int{"b": 5}[f]}}}
+			parts[f] = p.HandleReport(float64(n)/2, r)
 		}
 	}
 	if p.Fallbacks > 0 {
@@ -69,8 +69,8 @@
 	weights := func(f string) (w map[string]float64, sum float64) {
 		w = map[string]float64{}
 		for _, one := range parts[f].Weights {
-			w[one.Name] = one.Part
-			sum += one.Part
+			w[one.Name] = one.Weight
+			sum += one.Weight
 		}
 		return w, sum
 	}
@@ -83,25 +83,25 @@
 	if far := 100 * b["far"]; math.Abs(far-200.0/3) > 4 {
 		t.Errorf("far is asked for %.1f a second, b %v", far, b)
 	}
-	if parts["a"].Rates != nil {
-		t.Errorf("all fits, and yet a is bound: %v", parts["a"].Rates)
+	if parts["a"].RateLimits != nil {
+		t.Errorf("all fits, and yet a is bound: %v", parts["a"].RateLimits)
 	}
 }
 
 // TestRatesAreFairAndWithinWhatWorkersDo where more is asked for than they finish.
 func TestRatesAreFairAndWithinWhatWorkersDo(t *testing.T) {
 	p := New(1, 1, 0)
-	var parts map[string]*Part
+	var parts map[string]*Assignment
 	for n := range 40 {
-		parts = map[string]*Part{}
-		for f, demand := range map[string][]Demand{"a": {{"small", 10}, {"large", 200}}, "b": {{"large", 100}}} {
-			parts[f] = p.Read(float64(n)/2, &Report{Name: f, Life: 1, Number: uint64(n + 1), For: 0.5, Demand: demand,
-				Workers: []Seen{{Name: "w", Linked: true, Finished: 25, Rejected: 50}}})
+		parts = map[string]*Assignment{}
+		for f, demand := range map[string][]TenantRate{"a": {{"small", 10}, {"large", 200}}, "b": {{"large", 100}}} {
+			parts[f] = p.HandleReport(float64(n)/2, &Report{Name: f, Incarnation: 1, Sequence: uint64(n + 1), IntervalSeconds: 0.5, Demand: demand,
+				Workers: []WorkerStats{{Name: "w", Connected: true, Finished: 25, Rejected: 50}}})
 		}
 	}
 	sum, rates := 0.0, map[string]float64{}
 	for f, part := range parts {
-		for _, d := range part.Rates {
+		for _, d := range part.RateLimits {
 			rates[f+"/"+d.Tenant] = d.Rate
 			sum += d.Rate
 		}
@@ -113,33 +113,33 @@
 
 func TestNonsenseIsRefused(t *testing.T) {
 	p := New(1, 1, 0)
-	for _, r := range []Report{{}, {Name: "a", For: -1}, {Name: "a", For: 1, Demand: []Demand{{"x", math.Inf(1)}}}, {Name: "a", For: 1, Demand: []Demand{{"x", math.NaN()}}},
-		{Name: "a", For: 1, Workers: []Seen{{Name: "w", Finished: -1}}}, {Name: "a", For: 1, Workers: []Seen{{Name: "w", Finished: math.MaxInt32}}}} {
-		if p.Read(5, &r) != nil {
+	for _, r := range []Report{{}, {Name: "a", IntervalSeconds: -1}, {Name: "a", IntervalSeconds: 1, Demand: []TenantRate{{"x", math.Inf(1)}}}, {Name: "a", IntervalSeconds: 1, Demand: []TenantRate{{"x", math.NaN()}}},
+		{Name: "a", IntervalSeconds: 1, Workers: []WorkerStats{{Name: "w", Finished: -1}}}, {Name: "a", IntervalSeconds: 1, Workers: []WorkerStats{{Name: "w", Finished: math.MaxInt32}}}} {
+		if p.HandleReport(5, &r) != nil {
 			t.Errorf("%+v has a part", r)
 		}
 	}
-	if p.Refused != 6 || len(p.forwarders) > 0 {
-		t.Errorf("%d refused, %d kept", p.Refused, len(p.forwarders))
+	if p.InvalidReports != 6 || len(p.forwarders) > 0 {
+		t.Errorf("%d refused, %d kept", p.InvalidReports, len(p.forwarders))
 	}
 }
 
 func benchmark(b *testing.B, forwarders, workers, reaches int) {
 	p := New(1, 1, 0)
 	for f := range forwarders {
-		r := &Report{Name: fmt.Sprint("f", f), Life: 1, Number: 1, For: 0.5, Demand: []Demand{{"x", 100}}}
+		r := &Report{Name: fmt.Sprint("f", f), Incarnation: 1, Sequence: 1, IntervalSeconds: 0.5, Demand: []TenantRate{{"x", 100}}}
 		for w := range workers {
-			r.Workers = append(r.Workers, Seen{Name: fmt.Sprint("w", w), Linked: reaches == 1 || w%reaches != f%reaches, Finished: 5 + w%7})
+			r.Workers = append(r.Workers, WorkerStats{Name: fmt.Sprint("w", w), Connected: reaches == 1 || w%reaches != f%reaches, Finished: 5 + w%7})
 		}
-		p.Read(0, r)
+		p.HandleReport(0, r)
 	}
 	for b.Loop() {
-		p.solve(p.solved + 0.5)
+		p.solve(p.lastSolved + 0.5)
 		for _, f := range p.forwarders {
-			f.heard = p.solved
+			f.lastReport = p.lastSolved
 		}
 		for _, w := range p.workers {
-			w.seen = p.solved
+			w.lastConnected = p.lastSolved
 		}
 	}
 	if p.Fallbacks > 0 {
@@ -164,26 +164,26 @@
 	for sequence := range sequences {
 		now, life := 10.0, uint64(1)
 		planners := [2]*Planner{New(1, 1, 0), New(1, 2, 0)}
-		h := NewHolder(life)
-		var sent [2][]*Part
-		var holds Number
+		h := NewSubscriber(life)
+		var sent [2][]*Assignment
+		var holds Version
 		var until float64
 		for rest, n := sequence, 0; n < steps; rest, n = rest/kinds, n+1 {
 			which, last := 0, false
 			switch kind := rest % kinds; kind {
 			case 0, 1: // a report to one of them
-				r := &Report{Name: "f", For: 0.5, Workers: []Seen{{Name: "w", Linked: true}}}
-				h.Report(now, r)
-				if a := planners[kind].Read(now, r); a != nil {
+				r := &Report{Name: "f", IntervalSeconds: 0.5, Workers: []WorkerStats{{Name: "w", Connected: true}}}
+				h.StampReport(now, r)
+				if a := planners[kind].HandleReport(now, r); a != nil {
 					sent[kind] = append(sent[kind], a)
 				}
 				continue
 			case 2:
-				now += 0.6 * Lease
+				now += 0.6 * LeaseSeconds
 				continue
 			case 3:
 				life++
-				h, holds, until = NewHolder(life), Number{}, 0
+				h, holds, until = NewSubscriber(life), Version{}, 0
 				continue
 			case 4, 5: // the first answer of one, again if it came already
 				which = kind - 4
@@ -197,11 +197,11 @@
 			if last {
 				a = sent[which][len(sent[which])-1]
 			}
-			if till := h.Take(now, a); till > 0 {
-				if taken++; a.For != life || a.Number.Compare(holds) < 0 || till > now+Lease || till <= now || a.Number == holds && till != until {
+			if till := h.Accept(now, a); till > 0 {
+				if taken++; a.Incarnation != life || a.Version.Compare(holds) < 0 || till > now+LeaseSeconds || till <= now || a.Version == holds && till != until {
 					t.Fatalf("sequence %o: at %g life %d that holds %v takes %+v until %g", sequence, now, life, holds, a, till)
 				}
-				holds, until = a.Number, till
+				holds, until = a.Version, till
 			}
 		}
 	}
--- a/internal/policy/loadplan/solve.go
+++ b/internal/policy/loadplan/solve.go
@@ -15,25 +15,25 @@
 // a class all weigh by what they can do.
 
 const (
-	// maxClasses of forwarders, or of workers, go into the linear programme: with more it takes longer than plans may, and weights follow from what
+	// maxGroups of forwarders, or of workers, go into the linear programme: with more it takes longer than plans may, and weights follow from what
 	// workers can do alone.
-	maxClasses = 10
-	// least is a rate that counts as none.
-	least = 1e-9
+	maxGroups = 10
+	// minDemand is a rate that counts as none.
+	minDemand = 1e-9
 )
 
-// group is a class of workers.
-type group struct {
-	names []string
-	cap   float64
+// workerGroup is a class of workers.
+type workerGroup struct {
+	names    []string
+	capacity float64
 }
 
-// weigh sets all forwarders' parts. It tells whether the programme was solved.
-func (p *Planner) weigh() bool {
-	classes := map[string][]*forwarder{}
+// assignWeights sets all forwarders' parts. It tells whether the programme was solved.
+func (p *Planner) assignWeights() bool {
+	classes := map[string][]*forwarderState{}
 	for _, name := range slices.Sorted(maps.Keys(p.forwarders)) {
 		f := p.forwarders[name]
-		classes[f.reach] = append(classes[f.reach], f)
+		classes[f.reachable] = append(classes[f.reachable], f)
 	}
 	reaches := slices.Sorted(maps.Keys(classes))
 	by := map[string]string{} // which classes reach a worker
@@ -44,46 +44,46 @@
 			}
 		}
 	}
-	groups := map[string]*group{}
+	groups := map[string]*workerGroup{}
 	for _, name := range slices.Sorted(maps.Keys(by)) {
 		g := groups[by[name]]
 		if g == nil {
-			g = &group{}
+			g = &workerGroup{}
 			groups[by[name]] = g
 		}
 		g.names = append(g.names, name)
-		g.cap += p.workers[name].cap
+		g.capacity += p.workers[name].capacity
 	}
 	keys := slices.Sorted(maps.Keys(groups))
-	flows, solved := program(reaches, classes, groups, keys)
+	flows, solved := solveFlows(reaches, classes, groups, keys)
 	for i, reach := range reaches {
-		parts, sum := []Weight{}, 0.0
+		parts, sum := []WorkerWeight{}, 0.0
 		for j, key := range keys {
 			flow := flows[i][j]
 			if !strings.ContainsRune(key, rune(i+1)) || flow <= 0 {
 				continue
 			}
 			for _, name := range groups[key].names {
-				w := Weight{name, flow * p.workers[name].cap / groups[key].cap}
-				parts, sum = append(parts, w), sum+w.Part
+				w := WorkerWeight{name, flow * p.workers[name].capacity / groups[key].capacity}
+				parts, sum = append(parts, w), sum+w.Weight
 			}
 		}
 		for n := range parts {
-			parts[n].Part /= sum
+			parts[n].Weight /= sum
 		}
-		slices.SortFunc(parts, func(a, b Weight) int { return cmp.Compare(a.Name, b.Name) })
+		slices.SortFunc(parts, func(a, b WorkerWeight) int { return cmp.Compare(a.Name, b.Name) })
 		if sum <= 0 {
 			parts = nil
 		}
 		for _, f := range classes[reach] {
-			f.parts = parts
+			f.weights = parts
 		}
 	}
 	return solved
 }
 
-// program finds how much of each class of forwarders goes to each group of workers. What it can't solve in its bounds follows from what workers can do.
-func program(reaches []string, classes map[string][]*forwarder, groups map[string]*group, keys []string) (flows [][]float64, solved bool) {
+// solveFlows finds how much of each class of forwarders goes to each group of workers. What it can't solve in its bounds follows from what workers can do.
+func solveFlows(reaches []string, classes map[string][]*forwarderState, groups map[string]*workerGroup, keys []string) (flows [][]float64, solved bool) {
 	n, m := len(reaches), len(keys)
 	flows = make([][]float64, n)
 	demand := make([]float64, n)
@@ -94,10 +94,10 @@
 		for _, f := range classes[reaches[i]] {
 			demand[i] += f.demand
 		}
-		demand[i] = max(demand[i], least)
+		demand[i] = max(demand[i], minDemand)
 		for j, key := range keys {
 			if strings.ContainsRune(key, rune(i+1)) {
-				flows[i][j] = groups[key].cap // as good as any without the others
+				flows[i][j] = groups[key].capacity // as good as any without the others
 				pairs = append(pairs, pair{i, j})
 			}
 		}
@@ -105,7 +105,7 @@
 	if n == 1 || m == 1 {
 		return flows, true // there is nothing to weigh
 	}
-	if n > maxClasses || m > maxClasses {
+	if n > maxGroups || m > maxGroups {
 		return flows, false
 	}
 	// Variables: a flow for each pair, a slack for each group, and the most that any group is asked for of what it can do.
@@ -129,7 +129,7 @@
 	}
 	for j, key := range keys {
 		a.Set(len(rows)+j, len(pairs)+j, 1)
-		a.Set(len(rows)+j, width-1, -groups[key].cap/scale)
+		a.Set(len(rows)+j, width-1, -groups[key].capacity/scale)
 	}
 	c := make([]float64, width)
 	c[width-1] = 1
--- a/internal/policy/loadplan/status_test.go
+++ b/internal/policy/loadplan/status_test.go
@@ -7,13 +7,13 @@
 
 // The control API's readers find the fields under the keys that they had before the Go names changed.
 func TestStatus_KeepsItsJSONKeys(t *testing.T) {
-	status := Account{
-		Number:     Number{Founding: 1, Term: 2, Seq: 3},
-		Forwarders: []Known{{Name: "f1", Heard: 0.25, Demand: 10, Holds: Number{Founding: 1, Term: 2, Seq: 2}}},
-		Workers:    []Capacity{{Name: "w1", Can: 4, Seen: 0.5}},
-		Bound:      6,
-		Fallbacks:  7,
-		Refused:    8,
+	status := Status{
+		Version:        Version{ClusterID: 1, Term: 2, Sequence: 3},
+		Forwarders:     []ForwarderStatus{{Name: "f1", ReportAgeSeconds: 0.25, Demand: 10, Version: Version{ClusterID: 1, Term: 2, Sequence: 2}}},
+		Workers:        []WorkerStatus{{Name: "w1", Capacity: 4, LastConnectedAgeSeconds: 0.5}},
+		AdmittedRate:   6,
+		Fallbacks:      7,
+		InvalidReports: 8,
 	}
 	text, err := json.Marshal(status)
 	if err != nil {
--- a/internal/policy/routing/route_test.go
+++ b/internal/policy/routing/route_test.go
@@ -19,7 +19,7 @@
 		var names []string
 		for i := range 1 + chance.IntN(6) {
 			names = append(names, fmt.Sprint("w", i))
-			r.Add(now, names[i])
+			r.AddWorker(now, names[i])
 		}
 		for range 400 {
 			now += 0.05 * chance.ExpFloat64()
@@ -27,52 +27,52 @@
 			switch chance.IntN(8) {
 			case 0:
 				linked[name] = chance.IntN(4) > 0
-				if r.Linked(now, name, linked[name]); !linked[name] {
+				if r.SetConnected(now, name, linked[name]); !linked[name] {
 					for _, at := range open[name] {
-						r.Ended(now, name, Cut, now-at, 0)
+						r.FinishAttempt(now, name, ConnectionLost, now-at, 0)
 					}
 					open[name] = nil
 				}
 			case 1:
-				r.Plan(now, map[string]float64{name: 1, names[0]: chance.Float64()}, now+chance.Float64())
+				r.ApplyPlan(now, map[string]float64{name: 1, names[0]: chance.Float64()}, now+chance.Float64())
 			case 2, 3, 4:
 				safe, except := chance.IntN(2) == 0, names[chance.IntN(len(names))]
-				was := r.Standing(name)
+				was := r.WorkerState(name)
 				got, back := r.Pick(now, safe, except)
 				if got == "" {
-					if back < 0 || back > maxRest {
+					if back < 0 || back > maxEjectionSeconds {
 						t.Fatalf("nobody, and back in %g", back)
 					}
 					continue
 				}
 				w := r.byName[got]
-				if got == except || !linked[got] || w.state == Out || now < w.until || w.state == Trying && (w.trying || !safe && now < w.since+safeFirst) {
+				if got == except || !linked[got] || w.state == Ejected || now < w.unavailableUntil || w.state == Probing && (w.probeInFlight || !safe && now < w.probingSince+idempotentProbeSeconds) {
 					t.Fatalf("%s has a task: linked %v, %+v (%s was %s)", got, linked[got], w, name, was)
 				}
-				r.Began(now, got, 1)
+				r.StartAttempt(now, got, 1)
 				open[got] = append(open[got], now)
 				first++
 			default:
 				if len(open[name]) == 0 {
 					continue
 				}
-				end := []End{Finished, Rejected, Errored, Unsent, Late, Dropped}[chance.IntN(6)]
-				r.Ended(now, name, end, now-open[name][0], 0.2*chance.Float64())
+				end := []Outcome{Finished, Rejected, Failed, NotSent, TimedOut, Cancelled}[chance.IntN(6)]
+				r.FinishAttempt(now, name, end, now-open[name][0], 0.2*chance.Float64())
 				open[name] = open[name][1:]
 				safe := chance.IntN(2) == 0
-				if r.Again(end, 1, safe, 1, 0.1) {
-					if second++; !end.Proven() && !safe || end == Finished || end == Late || end == Errored {
+				if r.AllowRetry(end, 1, safe, 1, 0.1) {
+					if second++; !end.KnownNotExecuted() && !safe || end == Finished || end == TimedOut || end == Failed {
 						t.Fatalf("a second try after %d, safe %v", end, safe)
 					}
 				}
 			}
 			for _, name := range names {
-				if w := r.byName[name]; w.open != len(open[name]) {
-					t.Fatalf("%s has %d open, not %d", name, w.open, len(open[name]))
+				if w := r.byName[name]; w.inFlight != len(open[name]) {
+					t.Fatalf("%s has %d open, not %d", name, w.inFlight, len(open[name]))
 				}
 			}
 		}
-		if float64(second) > maxAgain+again*float64(first) {
+		if float64(second) > maxRetryTokens+retryRatio*float64(first) {
 			t.Fatalf("%d second tries of %d", second, first)
 		}
 	})
@@ -82,23 +82,23 @@
 func TestAnAgeingPlanHasNoCliff(t *testing.T) {
 	r := New(1)
 	for i := range 4 {
-		r.Add(0, fmt.Sprint("w", i))
-		r.Linked(0, fmt.Sprint("w", i), true)
+		r.AddWorker(0, fmt.Sprint("w", i))
+		r.SetConnected(0, fmt.Sprint("w", i), true)
 	}
 	plan := map[string]float64{"w0": 0.7, "w1": 0.1, "w2": 0.2}
 	for n := range 8 {
-		was := r.byName["w0"].plan
-		r.Plan(float64(n)/10, plan, 3)
-		if is := r.byName["w0"].plan; is < was-1e-9 || is-was > 4*moves+1e-9 {
+		was := r.byName["w0"].planWeight
+		r.ApplyPlan(float64(n)/10, plan, 3)
+		if is := r.byName["w0"].planWeight; is < was-1e-9 || is-was > 4*maxPlanShift+1e-9 {
 			t.Errorf("one plan moves w0 from %g to %g", was, is)
 		}
 	}
-	if w := r.byName["w0"].plan; math.Abs(w-2.8) > 1e-6 {
+	if w := r.byName["w0"].planWeight; math.Abs(w-2.8) > 1e-6 {
 		t.Errorf("followed for long it weighs %g, not 2.8", w)
 	}
-	was := r.weight(r.byName["w0"], 3, r.part(3))
+	was := r.weight(r.byName["w0"], 3, r.planInfluence(3))
 	for now := 3.0; now < 8; now += 0.01 {
-		is := r.weight(r.byName["w0"], now, r.part(now))
+		is := r.weight(r.byName["w0"], now, r.planInfluence(now))
 		if is > was+1e-9 || was-is > 0.02 {
 			t.Fatalf("at %g it falls from %g to %g", now, was, is)
 		}
@@ -119,20 +119,20 @@
 	var runs []run
 	sent := map[string]int{}
 	for i := range 4 {
-		r.Add(0, fmt.Sprint("w", i))
-		r.Linked(0, fmt.Sprint("w", i), true)
+		r.AddWorker(0, fmt.Sprint("w", i))
+		r.SetConnected(0, fmt.Sprint("w", i), true)
 	}
 	for range 4000 {
 		now += 0.005 // 200 a second, 100 ms each: twenty are out at a time
 		for len(runs) > 0 && now >= runs[0].at+0.1 {
-			r.Ended(now, runs[0].name, Finished, 0.1, 0)
+			r.FinishAttempt(now, runs[0].name, Finished, 0.1, 0)
 			runs = runs[1:]
 		}
 		name, _ := r.Pick(now, true)
 		sent[name]++
-		r.Began(now, name, 1)
+		r.StartAttempt(now, name, 1)
 		if name == "w0" {
-			r.Ended(now, name, Rejected, 0.001, 0)
+			r.FinishAttempt(now, name, Rejected, 0.001, 0)
 		} else {
 			runs = append(runs, run{name, now})
 		}
@@ -145,13 +145,13 @@
 func BenchmarkPickOf1000(b *testing.B) {
 	r := New(1)
 	for i := range 1000 {
-		r.Add(0, fmt.Sprint(i))
-		r.Linked(0, fmt.Sprint(i), true)
+		r.AddWorker(0, fmt.Sprint(i))
+		r.SetConnected(0, fmt.Sprint(i), true)
 	}
 	for b.Loop() {
 		name, _ := r.Pick(1, true)
-		r.Began(1, name, 1)
-		r.Ended(1, name, Finished, 0.01, 0)
+		r.StartAttempt(1, name, 1)
+		r.FinishAttempt(1, name, Finished, 0.01, 0)
 	}
 }
 
@@ -167,14 +167,14 @@
 		var fleet []*Router
 		for range senders {
 			r := New(chance.Uint64())
-			r.Cold(from, lasts)
+			r.SetSlowStart(from, lasts)
 			for i := range workers {
 				name := fmt.Sprint("w", i)
-				r.Add(0, name)
-				r.Linked(-100, name, true)
+				r.AddWorker(0, name)
+				r.SetConnected(-100, name, true)
 			}
-			r.Linked(0, "w0", false)
-			r.Linked(0, "w0", true)
+			r.SetConnected(0, "w0", false)
+			r.SetConnected(0, "w0", true)
 			fleet = append(fleet, r)
 		}
 		counts := make([]float64, int(lasts/window))
@@ -186,12 +186,12 @@
 		var open []task // in the order of their beginning
 		for now := chance.ExpFloat64() / rate; now < window*float64(len(counts)); now += chance.ExpFloat64() / rate {
 			for len(open) > 0 && open[0].at+0.4 < now {
-				open[0].sender.Ended(now, open[0].worker, Finished, 0.4, 0)
+				open[0].sender.FinishAttempt(now, open[0].worker, Finished, 0.4, 0)
 				open = open[1:]
 			}
 			r := fleet[chance.IntN(senders)]
 			name, _ := r.Pick(now, true)
-			r.Began(now, name, 1)
+			r.StartAttempt(now, name, 1)
 			open = append(open, task{now, r, name})
 			if name == "w0" {
 				counts[int(now/window)]++
@@ -216,11 +216,11 @@
 // A worker that is cold is neither left out nor given more for being idle; where all are, each has its part.
 func TestAllColdWorkersShareAlike(t *testing.T) {
 	r := New(3)
-	r.Cold(0.2, 10)
+	r.SetSlowStart(0.2, 10)
 	got := map[string]int{}
 	for i := range 4 {
-		r.Add(0, fmt.Sprint("w", i))
-		r.Linked(0, fmt.Sprint("w", i), true)
+		r.AddWorker(0, fmt.Sprint("w", i))
+		r.SetConnected(0, fmt.Sprint("w", i), true)
 	}
 	for i := range 4000 {
 		name, _ := r.Pick(float64(i)/1000, true)
--- a/internal/wire/fleet/fleet.go
+++ b/internal/wire/fleet/fleet.go
@@ -61,7 +61,7 @@
 	CounterSyncRequest *counter.RowQuery
 	CounterSyncReply   *counter.RowQueryReply
 	ForwarderReport    *loadplan.Report
-	PlanShare          *loadplan.Part
+	PlanShare          *loadplan.Assignment
 	Size               int // bytes that it came in, set by who received it
 }
 
--- a/internal/wire/fleet/plan.go
+++ b/internal/wire/fleet/plan.go
@@ -8,22 +8,22 @@
 
 // This file is what forwarders and planners say to one another.
 
-func encodePlanNumber(n loadplan.Number) *PlanNumber {
-	return &PlanNumber{Founding: n.Founding, Term: n.Term, Seq: n.Seq}
+func encodePlanNumber(n loadplan.Version) *PlanNumber {
+	return &PlanNumber{Founding: n.ClusterID, Term: n.Term, Seq: n.Sequence}
 }
 
-func decodePlanNumber(p *PlanNumber) loadplan.Number {
-	return loadplan.Number{Founding: p.GetFounding(), Term: p.GetTerm(), Seq: p.GetSeq()}
+func decodePlanNumber(p *PlanNumber) loadplan.Version {
+	return loadplan.Version{ClusterID: p.GetFounding(), Term: p.GetTerm(), Sequence: p.GetSeq()}
 }
 
-func encodeDemand(list []loadplan.Demand) (to []*PlanDemand) {
+func encodeDemand(list []loadplan.TenantRate) (to []*PlanDemand) {
 	for _, d := range list {
 		to = append(to, &PlanDemand{Tenant: d.Tenant, Rate: d.Rate})
 	}
 	return to
 }
 
-func decodeDemand(p []*PlanDemand) (list []loadplan.Demand, err error) {
+func decodeDemand(p []*PlanDemand) (list []loadplan.TenantRate, err error) {
 	if len(p) > maxMapEntries {
 		return nil, errTooLarge
 	}
@@ -31,7 +31,7 @@
 		if err := errors.Join(checkNames(d.Tenant), checkCount(d.Rate)); err != nil {
 			return nil, err
 		}
-		list = append(list, loadplan.Demand{Tenant: d.Tenant, Rate: d.Rate})
+		list = append(list, loadplan.TenantRate{Tenant: d.Tenant, Rate: d.Rate})
 	}
 	return list, nil
 }
@@ -41,17 +41,17 @@
 	switch {
 	case m.ForwarderReport != nil:
 		r := m.ForwarderReport
-		to := &PlanReport{Name: r.Name, Life: r.Life, Number: r.Number, For: r.For, Holds: encodePlanNumber(r.Holds), Demand: encodeDemand(r.Demand)}
+		to := &PlanReport{Name: r.Name, Life: r.Incarnation, Number: r.Sequence, For: r.IntervalSeconds, Holds: encodePlanNumber(r.CurrentVersion), Demand: encodeDemand(r.Demand)}
 		for _, w := range r.Workers {
-			to.Workers = append(to.Workers, &PlanSeen{Name: w.Name, Linked: w.Linked, Open: uint32(w.Open), Finished: uint32(w.Finished),
+			to.Workers = append(to.Workers, &PlanSeen{Name: w.Name, Linked: w.Connected, Open: uint32(w.InFlight), Finished: uint32(w.Finished),
 				Rejected: uint32(w.Rejected), Lost: uint32(w.Lost)})
 		}
 		p.Body = &Packet_PlanReport{to}
 	case m.PlanShare != nil:
 		a := m.PlanShare
-		to := &PlanPart{Number: encodePlanNumber(a.Number), For: a.For, Answers: a.Answers, Lease: a.Lease, Rates: encodeDemand(a.Rates)}
+		to := &PlanPart{Number: encodePlanNumber(a.Version), For: a.Incarnation, Answers: a.ReportSequence, Lease: a.LeaseSeconds, Rates: encodeDemand(a.RateLimits)}
 		for _, w := range a.Weights {
-			to.Weights = append(to.Weights, &PlanWeight{Name: w.Name, Part: float32(w.Part)})
+			to.Weights = append(to.Weights, &PlanWeight{Name: w.Name, Part: float32(w.Weight)})
 		}
 		p.Body = &Packet_PlanPart{to}
 	default:
@@ -65,7 +65,7 @@
 	switch body := p.Body.(type) {
 	case *Packet_PlanReport:
 		r := body.PlanReport
-		m.ForwarderReport = &loadplan.Report{Name: r.Name, Life: r.Life, Number: r.Number, For: r.For, Holds: decodePlanNumber(r.Holds)}
+		m.ForwarderReport = &loadplan.Report{Name: r.Name, Incarnation: r.Life, Sequence: r.Number, IntervalSeconds: r.For, CurrentVersion: decodePlanNumber(r.Holds)}
 		if len(r.Workers) > maxMapEntries {
 			return errTooLarge
 		}
@@ -73,14 +73,14 @@
 			if err := checkNames(w.Name); err != nil {
 				return err
 			}
-			m.ForwarderReport.Workers = append(m.ForwarderReport.Workers, loadplan.Seen{Name: w.Name, Linked: w.Linked, Open: int(w.Open), Finished: int(w.Finished),
+			m.ForwarderReport.Workers = append(m.ForwarderReport.Workers, loadplan.WorkerStats{Name: w.Name, Connected: w.Linked, InFlight: int(w.Open), Finished: int(w.Finished),
 				Rejected: int(w.Rejected), Lost: int(w.Lost)})
 		}
 		m.ForwarderReport.Demand, err = decodeDemand(r.Demand)
 		err = errors.Join(err, checkNames(r.Name), checkCount(r.For))
 	case *Packet_PlanPart:
 		a := body.PlanPart
-		m.PlanShare = &loadplan.Part{Number: decodePlanNumber(a.Number), For: a.For, Answers: a.Answers, Lease: a.Lease}
+		m.PlanShare = &loadplan.Assignment{Version: decodePlanNumber(a.Number), Incarnation: a.For, ReportSequence: a.Answers, LeaseSeconds: a.Lease}
 		if len(a.Weights) > maxMapEntries {
 			return errTooLarge
 		}
@@ -88,9 +88,9 @@
 			if err := errors.Join(checkNames(w.Name), checkCount(float64(w.Part))); err != nil {
 				return err
 			}
-			m.PlanShare.Weights = append(m.PlanShare.Weights, loadplan.Weight{Name: w.Name, Part: float64(w.Part)})
+			m.PlanShare.Weights = append(m.PlanShare.Weights, loadplan.WorkerWeight{Name: w.Name, Weight: float64(w.Part)})
 		}
-		m.PlanShare.Rates, err = decodeDemand(a.Rates)
+		m.PlanShare.RateLimits, err = decodeDemand(a.Rates)
 		err = errors.Join(err, checkCount(a.Lease))
 	default:
 		return errUnknownBody
