--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -218,7 +218,7 @@
 		}
 		return false
 	})
-	f.await(t, "n5 is away", f.hasSaid("n5", "stance", "is", "away"))
+	f.await(t, "n5 is away", f.hasSaid("n5", "stance", "is", "out_of_service"))
 	if f.Server("n5").Roster.Takes("n5") {
 		t.Error("n5 is still on the roster's list")
 	}
@@ -227,7 +227,7 @@
 	}
 	f.await(t, "n5 is brought up by what it can apply, and serves", func() bool {
 		said := f.Said("n5", "stance")
-		return f.ActsOn("n5") > e && said[len(said)-1].Fields["is"] == "serve" && f.Server("n5").Roster.Takes("n5")
+		return f.ActsOn("n5") > e && said[len(said)-1].Fields["is"] == "normal" && f.Server("n5").Roster.Takes("n5")
 	})
 }
 
@@ -317,11 +317,11 @@
 	if rejected != tasks {
 		t.Errorf("woken, it took in %d of %d tasks on the old version", tasks-rejected, tasks)
 	}
-	f.await(t, "it says that it was away", f.hasSaid("n5", "stance", "is", "away"))
+	f.await(t, "it says that it was away", f.hasSaid("n5", "stance", "is", "out_of_service"))
 	f.Net.Heal()
 	f.await(t, "n5 is brought up and serves", func() bool {
 		said := f.Said("n5", "stance")
-		return f.ActsOn("n5") >= e && said[len(said)-1].Fields["is"] == "serve"
+		return f.ActsOn("n5") >= e && said[len(said)-1].Fields["is"] == "normal"
 	})
 }
 
--- a/internal/lab/versions/versions.go
+++ b/internal/lab/versions/versions.go
@@ -375,13 +375,13 @@
 		}
 		if at, is := out[name]; is && s.Fields["command"] == "shut" {
 			stances := r.fleet.Said(name, "stance")
-			last := "serve"
+			last := "normal"
 			for _, st := range stances {
 				if st.At.Before(at.Add(200 * time.Millisecond)) { // its line may have taken a little longer
 					last = st.Fields["is"]
 				}
 			}
-			if last != "away" {
+			if last != "out_of_service" {
 				n++
 			}
 		}
--- /dev/null
+++ b/internal/policy/serving/stats.go
@@ -0,0 +1,23 @@
+package serving
+
+import "sync/atomic"
+
+// VersionStats counts the server loop's work under one configuration version. The loop writes it
+// while the node agent reads it.
+type VersionStats struct {
+	Batches   atomic.Uint64
+	Requests  atomic.Uint64
+	Completed atomic.Uint64
+	// Failed counts the completed requests that were rejected or abandoned.
+	Failed atomic.Uint64
+}
+
+// CallStats is the outcome of the loop's downstream calls since its last report.
+type CallStats struct {
+	Succeeded int
+	Failed    int
+	// TotalSeconds is the summed duration of the calls that succeeded.
+	TotalSeconds float64
+	// InFlight is the number of calls that were open when the report was made.
+	InFlight int
+}
