--- a/cmd/swiftcourse-fleet/main.go
+++ b/cmd/swiftcourse-fleet/main.go
@@ -74,7 +74,11 @@
 	if err != nil {
 		return err
 	}
-	silent := map[string]serving.Mode{"keep": lease.FallbackNormal, "shield": lease.FallbackSafeDefaults, "leave": lease.FallbackOutOfService}[own.FleetSilent]
+	silent := map[string]serving.Mode{
+		"keep":   serving.ModeNormal,
+		"shield": serving.ModeSafeDefaults,
+		"leave":  serving.ModeOutOfService,
+	}[own.FleetSilent]
 	kept, err := copies(start, own, loop)
 	if err != nil {
 		return err
--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -39,7 +39,7 @@
 	s := &Status{Name: f.Name, DroppedMessages: f.dropped.Load(), ReleaseLog: g.releaseLog, Servers: g.servers, Audit: report, Replicas: g.replicas}
 	done := make(chan struct{})
 	if err := f.call(func(float64) {
-		state, _, why := f.leaseHolder.State()
+		state, why := f.leaseHolder.State()
 		s.Incarnation, s.LeaseState, s.Reason, s.ActiveEpoch, s.AssignedEpoch, s.Leader, s.MayGoOutOfService = f.incarnation, state.String(), why, f.active.Epoch, f.leaseHolder.AssignedEpoch(), f.leaseHolder.Leader(), f.leaseHolder.MayGoOutOfService()
 		close(done)
 	}); err != nil {
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -35,7 +35,7 @@
 	Voters          map[string]string // names and where they listen
 	JoinAddrs       []string          // where some others listen, beside the voters
 	LeaseTerms      lease.Config
-	OnLeaseExpiry   lease.Mode
+	OnLeaseExpiry   serving.Mode
 	Rollout         release.RolloutPolicy
 	Seed            int64
 	Build           string
@@ -184,7 +184,14 @@
 	if _, votes := f.Voters[f.Name]; votes {
 		f.voter = consensus.NewVoter(f.Name, f.voterNames, int64(f.random.Uint64()>>1), wire.Codec{}, now, f.UnixNow())
 	}
-	f.leaseHolder = lease.NewHolder(f.Name, f.incarnation, f.ListenAddr, f.Build, f.OnLeaseExpiry, f.LeaseTerms.Duration, now)
+	f.leaseHolder = lease.NewHolder(lease.HolderConfig{
+		Name:         f.Name,
+		Incarnation:  f.incarnation,
+		Addr:         f.ListenAddr,
+		Build:        f.Build,
+		Fallback:     f.OnLeaseExpiry,
+		LeaseSeconds: f.LeaseTerms.Duration,
+	}, now)
 	f.auditLog = audit.NewBook(f.Name, f.incarnation, f.UnixNow())
 	f.auditLog.Begin(f.UnixNow(), 0, "", "started")
 	f.publish()
@@ -301,7 +308,7 @@
 		f.handleLeaseRequest(now, m.LeaseRequest)
 	case m.LeaseReply != nil:
 		if f.leaseHolder.HandleReply(now, m.LeaseReply) {
-			state, _, why := f.leaseHolder.State()
+			state, why := f.leaseHolder.State()
 			f.Log("fleet_standing", "state", state, "why", why, "right", f.leaseHolder.AssignedEpoch())
 		}
 	case m.VersionRequest != 0:
@@ -424,7 +431,7 @@
 		f.runLeader(now)
 	}
 	if f.leaseHolder.Expire(now) {
-		_, _, why := f.leaseHolder.State()
+		_, why := f.leaseHolder.State()
 		f.Log("fleet_standing", "state", lease.StateExpired, "why", why, "right", f.leaseHolder.AssignedEpoch())
 	}
 	f.fetchAssignedVersion(now)
--- a/internal/lab/emulate/versions.go
+++ b/internal/lab/emulate/versions.go
@@ -196,7 +196,7 @@
 	if s.plans != nil {
 		plans = s.plans(clock)
 	}
-	s.part = fleet.NewPart(fleet.Config{LoadPlan: plans, Quotas: shared, CountersEnabled: s.counts, Name: s.name, ListenAddr: s.name, Voters: s.voters, LeaseTerms: versionTerms, OnLeaseExpiry: lease.FallbackOutOfService,
+	s.part = fleet.NewPart(fleet.Config{LoadPlan: plans, Quotas: shared, CountersEnabled: s.counts, Name: s.name, ListenAddr: s.name, Voters: s.voters, LeaseTerms: versionTerms, OnLeaseExpiry: serving.ModeOutOfService,
 		Replication: s.copies(), Rollout: release.RolloutPolicy{WaveSeconds: 1, HaltConfidence: 1}, Build: "b", Log: func(string, ...any) {}, Now: clock.Now, UnixNow: clock.UnixNow,
 		Apply: func(string) error {
 			if s.refuses {
--- /dev/null
+++ b/internal/policy/lease/cluster_test.go
@@ -0,0 +1,308 @@
+package lease
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"swiftcourse/internal/policy/release"
+	"swiftcourse/internal/policy/serving"
+)
+
+var testConfig = Config{Duration: 3, CatchUpTimeout: 5, MaxUnavailable: 0.25, ForgetAfter: 60}
+
+// testVoterAddrs has the first server alone, so that the drawn schedules have names whose address
+// the leader knows and names whose address it learns.
+var testVoterAddrs = map[string]string{"n0": "addr0"}
+
+// tick is the step, in seconds, of a cluster's simulated time.
+const tick = 0.02
+
+// failer is what a cluster reports a broken invariant to.
+type failer interface{ Fatalf(string, ...any) }
+
+// cluster simulates servers and their leader. There is one release log, as the voters make it; a
+// leader that was deposed keeps the log as it was then, and goes on deciding for as long as its
+// last confirmation counts.
+type cluster struct {
+	t           failer
+	random      *rand.Rand
+	now         float64
+	releaseLog  *release.Log
+	leader      *leader
+	deposed     *leader
+	servers     []*server
+	network     []delivery
+	proposals   []delivery // what the leader proposed, in its order
+	incarnation uint64     // of the latest server
+	lossRate    float64
+	commitDelay float64 // seconds until a command is committed, at most
+	partitioned bool    // nobody hears a leader
+}
+
+type leader struct {
+	grantor        *Grantor
+	releaseLog     *release.Log // nil for the cluster's
+	confirmedUntil float64
+}
+
+type server struct {
+	holder      *Holder
+	name        string
+	incarnation uint64
+	addr        string
+	clockRate   float64
+	clockOffset float64
+	paused      bool
+	blocked     bool // it can't apply what is released
+	active      release.Epoch
+	assigned    release.Epoch
+	isolated    bool
+	snapshot    Snapshot // what its server loop goes by, maybe long after
+}
+
+// delivery is what happens at a later time.
+type delivery struct {
+	at      float64
+	deliver func()
+}
+
+func newCluster(t failer, seed uint64, servers int, fallback serving.Mode) *cluster {
+	c := &cluster{t: t, random: rand.New(rand.NewPCG(seed, 3)), commitDelay: 0.1}
+	c.releaseLog = release.BootstrapLog(&release.Log{}, 7, map[uint64]string{1: "v"})
+	c.electLeader()
+	for i := range servers {
+		c.addServer(fmt.Sprint("n", i), fmt.Sprint("addr", i), fallback)
+	}
+	return c
+}
+
+func (c *cluster) addServer(name, addr string, fallback serving.Mode) *server {
+	c.incarnation++
+	s := &server{
+		name:        name,
+		incarnation: c.incarnation,
+		addr:        addr,
+		clockRate:   0.99 + 0.02*c.random.Float64(),
+		clockOffset: 1e4 * c.random.Float64(),
+	}
+	s.holder = NewHolder(HolderConfig{
+		Name:         name,
+		Incarnation:  s.incarnation,
+		Addr:         addr,
+		Fallback:     fallback,
+		LeaseSeconds: testConfig.Duration,
+	}, s.clock(c.now))
+	c.servers = append(c.servers, s)
+	return s
+}
+
+// restartServer replaces a server by a new incarnation at the same address.
+func (c *cluster) restartServer(i int, fallback serving.Mode) *server {
+	restarted := c.addServer(c.servers[i].name, c.servers[i].addr, fallback)
+	c.servers[i] = restarted
+	c.servers = c.servers[:len(c.servers)-1]
+	return restarted
+}
+
+// clock returns the server's own clock.
+func (s *server) clock(now float64) float64 { return s.clockOffset + s.clockRate*now }
+
+// electLeader begins a new term. Of the old leader's proposals some are committed, the rest is
+// lost.
+func (c *cluster) electLeader() {
+	if c.leader != nil {
+		for _, proposal := range c.proposals[:c.random.IntN(len(c.proposals)+1)] {
+			proposal.deliver()
+		}
+		c.proposals = nil
+		c.deposed = &leader{
+			grantor:        c.leader.grantor,
+			releaseLog:     c.releaseLog.Clone(),
+			confirmedUntil: c.now + LeaderConfirmationWindow,
+		}
+	}
+	c.leader = &leader{grantor: NewGrantor(testConfig, testVoterAddrs, c.now)}
+}
+
+// propose has the leader's commands committed, in their order.
+func (c *cluster) propose(commands []release.Command) {
+	for _, command := range commands {
+		grantor := c.leader.grantor
+		c.proposals = append(c.proposals, delivery{c.now + 0.02 + c.commitDelay*c.random.Float64(), func() {
+			_ = c.releaseLog.Apply(&command)
+			grantor.HandleCommandResult(&command)
+		}})
+	}
+}
+
+// send delivers a message later, twice at times, or never.
+func (c *cluster) send(deliver func()) {
+	for range 1 + c.random.IntN(8)/7 {
+		if c.random.Float64() >= c.lossRate {
+			c.network = append(c.network, delivery{c.now + 0.2*c.random.ExpFloat64(), deliver})
+		}
+	}
+}
+
+// requestLease sends a server's request to the leader, or to the one before while that still
+// decides.
+func (c *cluster) requestLease(s *server) {
+	request := s.holder.NewRequest(s.clock(c.now))
+	to := c.leader
+	if c.deposed != nil && c.now < c.deposed.confirmedUntil && c.random.IntN(2) == 0 {
+		to = c.deposed
+	}
+	if s.isolated || c.partitioned {
+		return
+	}
+	c.send(func() {
+		releaseLog := to.releaseLog
+		if releaseLog == nil || to == c.leader {
+			releaseLog = c.releaseLog
+		}
+		confirmed := to == c.leader || c.now < to.confirmedUntil
+		reply, commands := to.grantor.HandleRequest(c.now, &request, releaseLog, confirmed)
+		if to == c.leader {
+			c.propose(commands)
+		}
+		c.send(func() { c.deliverReply(s, &reply) })
+	})
+}
+
+func (c *cluster) deliverReply(s *server, reply *Reply) {
+	if s.paused || s.isolated || c.partitioned {
+		return
+	}
+	s.holder.HandleReply(s.clock(c.now), reply)
+	s.assigned = max(s.assigned, reply.AssignedEpoch)
+	s.snapshot = s.holder.Snapshot()
+}
+
+// run lets time pass, and checks the invariants at each tick.
+func (c *cluster) run(seconds float64) {
+	for end := c.now + seconds; c.now < end; {
+		c.now += tick
+		c.commitDue()
+		c.deliverDue()
+		policy := release.RolloutPolicy{WaveSeconds: 1, HaltConfidence: 0.9999}
+		c.propose(c.leader.grantor.Maintain(c.now, c.releaseLog, policy))
+		for _, s := range c.servers {
+			if !s.paused {
+				c.runServer(s)
+			}
+		}
+		c.checkInvariants()
+	}
+}
+
+func (c *cluster) commitDue() {
+	for len(c.proposals) > 0 && c.proposals[0].at <= c.now {
+		c.proposals[0].deliver()
+		c.proposals = c.proposals[1:]
+	}
+}
+
+func (c *cluster) deliverDue() {
+	network := c.network
+	c.network = nil
+	for _, message := range network {
+		if message.at <= c.now {
+			message.deliver()
+		} else {
+			c.network = append(c.network, message)
+		}
+	}
+}
+
+func (c *cluster) runServer(s *server) {
+	now := s.clock(c.now)
+	if s.assigned > s.active && !s.blocked {
+		s.active = s.assigned
+	}
+	blockedBy := ""
+	if s.blocked && s.assigned > s.active {
+		blockedBy = "it refuses the file"
+	}
+	s.holder.SetActiveEpoch(s.active, blockedBy)
+	s.holder.Expire(now)
+	if s.holder.NextWakeup() <= now {
+		c.requestLease(s)
+	}
+	s.snapshot = s.holder.Snapshot()
+}
+
+// checkInvariants looks at what each server loop would do at this moment, also where the node agent
+// is paused.
+func (c *cluster) checkInvariants() {
+	leased := map[string]uint64{}
+	outOfService := 0
+	for _, s := range c.servers {
+		now := s.clock(c.now)
+		if s.snapshot.State == StateLeased && now < s.snapshot.ChangesAt {
+			if other := leased[s.name]; other != 0 {
+				c.t.Fatalf("%s: incarnations %d and %d both have a lease at %.2f",
+					s.name, other, s.incarnation, c.now)
+			}
+			leased[s.name] = s.incarnation
+			ejection, ejected := c.releaseLog.Ejected[s.name]
+			if ejected && ejection.Incarnation == s.incarnation {
+				c.t.Fatalf("%s has a lease while it is ejected at %.2f", s.name, c.now)
+			}
+		}
+		ownsName := c.releaseLog.Members[s.name] == s.incarnation
+		fellBack := s.snapshot.State == StateExpired && s.snapshot.ModeAt(now) == serving.ModeOutOfService
+		if fellBack && !s.blocked && ownsName {
+			outOfService++
+		}
+	}
+	members := max(len(c.releaseLog.Members), len(c.servers))
+	if limit := int(testConfig.MaxUnavailable * float64(members)); outOfService > limit {
+		c.t.Fatalf("%d of %d went out of service for want of a leader, %d may",
+			outOfService, len(c.servers), limit)
+	}
+}
+
+func (c *cluster) release(text string, waves ...float64) {
+	_ = c.releaseLog.Apply(&release.Command{
+		Kind:          release.KindRelease,
+		ExpectedEpoch: c.releaseLog.NewestEpoch(),
+		Text:          text,
+		Digest:        release.Digest(text, ""),
+		Waves:         waves,
+	})
+}
+
+// requireAllLeased fails unless each server has a lease and acts on its assigned version.
+func (c *cluster) requireAllLeased(t *testing.T) {
+	t.Helper()
+	for _, s := range c.servers {
+		assigned := c.releaseLog.VersionFor(s.name).Epoch
+		if state, reason := s.holder.State(); state != StateLeased || s.active != assigned {
+			t.Errorf("%s is %s on %s, has no lease on %s: %s", s.name, state, s.active, assigned, reason)
+		}
+	}
+}
+
+// unhealed tells what is wrong once all faults are healed, "" for nothing: one incarnation of each
+// name has a lease and acts on its assigned version.
+func (c *cluster) unhealed() string {
+	leased := map[string]int{}
+	for _, s := range c.servers {
+		assigned := c.releaseLog.VersionFor(s.name).Epoch
+		switch {
+		case s.snapshot.State == StateLeased && s.active != assigned:
+			return fmt.Sprintf("%s acts on %s, not %s", s.name, s.active, assigned)
+		case s.snapshot.State == StateLeased:
+			leased[s.name]++
+		case s.snapshot.State != StateSuperseded:
+			return fmt.Sprintf("%s is %s: %s", s.name, s.snapshot.State, s.snapshot.Reason)
+		}
+	}
+	for _, s := range c.servers {
+		if leased[s.name] != 1 {
+			return fmt.Sprintf("%d incarnations have a lease as %s", leased[s.name], s.name)
+		}
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/policy/lease/status.go
@@ -0,0 +1,66 @@
+package lease
+
+import (
+	"cmp"
+	"slices"
+
+	"swiftcourse/internal/policy/release"
+)
+
+// ServerStatus is what a leader knows of the owner of one name, for operators. The control API
+// encodes it with the keys of its tags.
+type ServerStatus struct {
+	Name        string
+	Incarnation uint64 `json:"Life"`
+	// ActiveEpoch is the version that the server acts on, AssignedEpoch the one that it has to act
+	// on.
+	ActiveEpoch   release.Epoch `json:"Epoch"`
+	AssignedEpoch release.Epoch `json:"Right"`
+	// SecondsSinceHeard is the age of the server's latest request.
+	SecondsSinceHeard float64 `json:"Heard"`
+	// SecondsBehind is for how long the server is not on its assigned version, 0 if it is.
+	SecondsBehind float64 `json:"Behind"`
+	BlockedBy     string  `json:"Stuck"`
+	// EjectionReason is why the server is ejected, "" if it is not.
+	EjectionReason string `json:"Out"`
+	Build          string
+	// Reported tells that the server was heard in this leader's term. Without that only Name,
+	// Incarnation, AssignedEpoch and EjectionReason are known.
+	Reported bool `json:"Known"`
+}
+
+// ServerStatuses returns the status of each registered name, ordered by name.
+func (g *Grantor) ServerStatuses(now float64, releaseLog *release.Log) []ServerStatus {
+	statuses := make([]ServerStatus, 0, len(releaseLog.Members))
+	for name, incarnation := range releaseLog.Members {
+		statuses = append(statuses, g.serverStatus(now, releaseLog, name, incarnation))
+	}
+	slices.SortFunc(statuses, func(a, b ServerStatus) int { return cmp.Compare(a.Name, b.Name) })
+	return statuses
+}
+
+func (g *Grantor) serverStatus(
+	now float64, releaseLog *release.Log, name string, incarnation uint64,
+) ServerStatus {
+	status := ServerStatus{
+		Name:          name,
+		Incarnation:   incarnation,
+		AssignedEpoch: releaseLog.VersionFor(name).Epoch,
+	}
+	if ejection, ejected := ejectionOf(releaseLog, name, incarnation); ejected {
+		status.EjectionReason = ejection.Reason
+	}
+	record := g.servers[name]
+	if record == nil || record.incarnation != incarnation {
+		return status
+	}
+	status.Reported = true
+	status.ActiveEpoch = record.activeEpoch
+	status.SecondsSinceHeard = now - record.heardAt
+	status.BlockedBy = record.blockedBy
+	status.Build = record.build
+	if record.lagging() {
+		status.SecondsBehind = now - record.laggingSince
+	}
+	return status
+}
--- a/internal/policy/serving/claim.go
+++ b/internal/policy/serving/claim.go
@@ -18,6 +18,7 @@
 
 var claimVerdictNames = [...]string{"granted", "cached", "outcome_unknown", "no_quorum"}
 
+// String returns the verdict in snake case.
 func (v ClaimVerdict) String() string {
 	return enumName(claimVerdictNames[:], "claim verdict", uint8(v))
 }
--- a/internal/policy/serving/mode.go
+++ b/internal/policy/serving/mode.go
@@ -17,6 +17,7 @@
 
 var modeNames = [...]string{"normal", "safe_defaults", "out_of_service"}
 
+// String returns the mode in snake case, as the log has it.
 func (m Mode) String() string { return enumName(modeNames[:], "mode", uint8(m)) }
 
 // enumName is the name of an enumeration's value, or its kind and number when it has none.
