--- a/internal/policy/lease/schedule_test.go
+++ b/internal/policy/lease/schedule_test.go
@@ -14,7 +14,7 @@
 func TestLease_DrawnSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fallbacks := []serving.Mode{serving.ModeNormal, serving.ModeSafeDefaults, serving.ModeOutOfService}
-		fallback := rapid.SampledFrom(fallbacks).Draw(t, "silent")
+		fallback := rapid.SampledFrom(fallbacks).Draw(t, "fallback")
 		seed := rapid.Uint64().Draw(t, "seed")
 		c := newCluster(t, seed, rapid.IntRange(1, 9).Draw(t, "servers"), fallback)
 		initialServers := len(c.servers)
@@ -57,18 +57,18 @@
 	case 6:
 		c.partitioned = !c.partitioned
 	case 7:
-		c.lossRate = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "loss")
+		c.lossRate = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "loss rate")
 	case 8:
 		// A second process of the name. One of a voter's name does not start.
 		if len(c.servers) < initialServers+3 && testVoterAddrs[s.name] == "" {
-			c.addServer(s.name, fmt.Sprint("twin", step), fallback)
+			c.addServer(s.name, fmt.Sprint("second", step), fallback)
 		}
 	case 9:
 		// A restart in place: replies to the earlier incarnation reach this one.
 		*s = *c.addServer(s.name, s.addr, fallback)
 		c.servers = c.servers[:len(c.servers)-1]
 	case 10:
-		c.commitDelay = rapid.SampledFrom([]float64{0.1, 3}).Draw(t, "slow")
+		c.commitDelay = rapid.SampledFrom([]float64{0.1, 3}).Draw(t, "commit delay")
 	}
 }
 
