--- a/internal/policy/replication/bench_test.go
+++ b/internal/policy/replication/bench_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// BenchmarkCatchUp has a restarted replica told 100,000 records of 100 bytes by two others;
+// BenchmarkCatchUp has a restarted replica receive 100,000 records of 100 bytes from two others;
 // BenchmarkPlainCopy is the same bytes, copied.
 func BenchmarkCatchUp(b *testing.B) {
 	const records = 100_000
--- a/internal/policy/replication/catchup.go
+++ b/internal/policy/replication/catchup.go
@@ -39,7 +39,7 @@
 
 // slotCatchUp is how far a replica has caught up on one slot.
 type slotCatchUp struct {
-	toldBy map[int]Term // peers that had caught up themselves and told all of the slot
+	receivedFrom map[int]Term // peers that had caught up themselves and sent all of the slot
 }
 
 // peerSync is what a replica asks of one peer. Times are in seconds.
@@ -49,13 +49,13 @@
 	sequence  uint64       // of the last request
 	request   *PullRequest // the last one
 	afterKey  replicastore.Key
-	resumes   bool    // requested[0] was told in part, up to afterKey
-	peerTerm  Term    // of the peer when it told that part
+	resumes   bool    // requested[0] was received in part, up to afterKey
+	peerTerm  Term    // of the peer when it sent that part
 	sentAt    float64 // of the request in flight, 0 if there is none
 	notBefore float64 // when the next request may be sent
 }
 
-// abandonRequest forgets the request in flight and what was told of a slot in part.
+// abandonRequest forgets the request in flight and that a slot was received in part.
 func (p *peerSync) abandonRequest() {
 	p.sentAt = 0
 	p.resumes = false
@@ -80,7 +80,7 @@
 func (r *Replica) startCatchUp(now float64, slots []int) {
 	r.catchUp.since = now
 	for _, slot := range slots {
-		r.catchUp.slots[slot] = &slotCatchUp{toldBy: map[int]Term{}}
+		r.catchUp.slots[slot] = &slotCatchUp{receivedFrom: map[int]Term{}}
 		for _, member := range r.otherReplicas(slot) {
 			peer := r.catchUp.peers[member]
 			peer.wanted[slot] = true
@@ -158,7 +158,7 @@
 	r.outbox.add(Envelope{To: member, Pull: peer.request})
 }
 
-// nextSlots lists the slots to ask for: the one that was told in part first, the others in
+// nextSlots lists the slots to ask for: the one that was received in part first, the others in
 // ascending order.
 func (p *peerSync) nextSlots() []int {
 	slots := slices.Sorted(maps.Keys(p.wanted))
@@ -253,7 +253,7 @@
 	}
 	r.observeTerms(now, []int{from}, []Term{reply.Term})
 	if peer.resumes && reply.Term != peer.peerTerm {
-		// The peer may have lost records of the slot that was told in part: it is told anew.
+		// The peer may have lost records of the slot that was received in part: start it again.
 		peer.abandonRequest()
 		peer.notBefore = now
 		return
@@ -296,8 +296,8 @@
 	if progress == nil {
 		return
 	}
-	progress.toldBy[from] = term
-	if len(progress.toldBy) >= r.placement.CatchUpQuorum {
+	progress.receivedFrom[from] = term
+	if len(progress.receivedFrom) >= r.placement.CatchUpQuorum {
 		r.markCaughtUp(received.Slot)
 		r.catchUp.byPeers++
 	}
--- a/internal/policy/replication/catchup_test.go
+++ b/internal/policy/replication/catchup_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestReplica_PeerReplacedMidSlotRestartsSlot: what a peer's next incarnation tells after the first
-// part of a slot may be less than there was, so the slot is told from its beginning.
+// TestReplica_PeerReplacedMidSlotRestartsSlot: a peer's next incarnation may know less than the one
+// that sent the first part of a slot, so the slot is received again from its beginning.
 func TestReplica_PeerReplacedMidSlotRestartsSlot(t *testing.T) {
 	replicas := threeCaughtUpReplicas(t)
 	slot := testKey.Slot()
@@ -106,7 +106,7 @@
 	}
 	replicas[1].terms[1] = Term{12, 9}
 	restarted.HandlePullReply(1, 1, pull(), 1)
-	if peer.resumes || len(restarted.catchUp.slots[slot].toldBy) > 0 {
+	if peer.resumes || len(restarted.catchUp.slots[slot].receivedFrom) > 0 {
 		t.Error("it goes on with the next incarnation where the first one was")
 	}
 }
--- /dev/null
+++ b/internal/policy/replication/claim_actions.go
@@ -0,0 +1,93 @@
+package replication
+
+import (
+	"swiftcourse/internal/policy/serving"
+	"swiftcourse/internal/replicastore"
+)
+
+// applyEvent moves a claim along the state machine.
+func (c *Coordinator) applyEvent(claim *pendingClaim, on event, now float64) {
+	for _, transition := range transitions {
+		if transition.from != claim.phase || transition.on != on {
+			continue
+		}
+		claim.phase = transition.to
+		if transition.action != nil {
+			transition.action(c, claim, now)
+		}
+		if claim.phase == phaseDone {
+			delete(c.claimsByRequest, claim.requestID)
+			delete(c.claimsByID, claim.attempt.ClaimID)
+		}
+		return
+	}
+}
+
+// restart claims the key under a new ClaimID.
+func (c *Coordinator) restart(claim *pendingClaim, now float64) {
+	delete(c.claimsByID, claim.attempt.ClaimID)
+	c.lastSequence++
+	claim.attempt = replicastore.Attempt{ClaimID: replicastore.ClaimID{
+		UnixMilli:   int64(c.unixTime() * 1000),
+		Incarnation: c.incarnation,
+		Sequence:    c.lastSequence,
+	}}
+	c.claimsByID[claim.attempt.ClaimID] = claim
+	claim.giveUpAt = max(claim.giveUpAt, min(claim.deadline, now+minReplyWait))
+	claim.resetGrants(c.terms.Select(claim.replicas))
+	c.sendRequests(claim, now)
+}
+
+func (c *Coordinator) addOutcome(claim *pendingClaim, verdict serving.ClaimVerdict, now float64) {
+	c.outcomes = append(c.outcomes, Outcome{
+		RequestID: claim.requestID,
+		Verdict:   verdict,
+		Result:    claim.attempt.Result,
+		Latency:   now - claim.startedAt,
+	})
+}
+
+func (c *Coordinator) notifyGranted(claim *pendingClaim, now float64) {
+	c.latencies.Current(now).Add(now - claim.startedAt)
+	c.addOutcome(claim, serving.ClaimGranted, now)
+}
+
+func (c *Coordinator) notifyResultKnown(claim *pendingClaim, now float64) {
+	c.addOutcome(claim, serving.ClaimCached, now)
+}
+
+func (c *Coordinator) notifyMayHaveRun(claim *pendingClaim, now float64) {
+	c.addOutcome(claim, serving.ClaimOutcomeUnknown, now)
+}
+
+// withdraw reports to the replicas that a claim never ran, so that they don't grant it should it
+// arrive late.
+func (c *Coordinator) withdraw(claim *pendingClaim, now float64) {
+	withdrawn := replicastore.Attempt{ClaimID: claim.attempt.ClaimID, State: replicastore.StateWithdrawn}
+	c.reports.start(claim, withdrawn, now)
+}
+
+func (c *Coordinator) withdrawWithResult(claim *pendingClaim, now float64) {
+	c.withdraw(claim, now)
+	c.notifyResultKnown(claim, now)
+}
+
+func (c *Coordinator) withdrawMayHaveRun(claim *pendingClaim, now float64) {
+	c.withdraw(claim, now)
+	c.notifyMayHaveRun(claim, now)
+}
+
+// withdrawTimedOut ends a claim that got no quorum. Where another claim was seen its request
+// may run: then the client should not retry at once.
+func (c *Coordinator) withdrawTimedOut(claim *pendingClaim, now float64) {
+	c.withdraw(claim, now)
+	if claim.sawRival {
+		c.notifyMayHaveRun(claim, now)
+		return
+	}
+	c.addOutcome(claim, serving.ClaimNoQuorum, now)
+}
+
+func (c *Coordinator) reportRunEnd(claim *pendingClaim, now float64) {
+	c.reports.start(claim, claim.attempt, now)
+}
--- a/internal/policy/replication/coordinator.go
+++ b/internal/policy/replication/coordinator.go
@@ -116,14 +116,14 @@
 	c.restart(claim, now)
 }
 
-// CancelClaim tells that a request ended before it ran.
+// CancelClaim ends the claim of a request that ended before it ran.
 func (c *Coordinator) CancelClaim(now float64, requestID string) {
 	if claim := c.claimsByRequest[requestID]; claim != nil {
 		c.applyEvent(claim, eventCanceled, now)
 	}
 }
 
-// FinishClaim tells that a request's run ended, with a result if it succeeded.
+// FinishClaim ends the claim of a request that ran, and reports its result if it succeeded.
 func (c *Coordinator) FinishClaim(now float64, requestID string, succeeded bool, result []byte) {
 	claim := c.claimsByRequest[requestID]
 	if claim == nil {
@@ -190,39 +190,6 @@
 // ActiveClaims returns the number of claims under way, those of running requests included.
 func (c *Coordinator) ActiveClaims() int { return len(c.claimsByRequest) }
 
-// applyEvent moves a claim along the state machine.
-func (c *Coordinator) applyEvent(claim *pendingClaim, on event, now float64) {
-	for _, transition := range transitions {
-		if transition.from != claim.phase || transition.on != on {
-			continue
-		}
-		claim.phase = transition.to
-		if transition.action != nil {
-			transition.action(c, claim, now)
-		}
-		if claim.phase == phaseDone {
-			delete(c.claimsByRequest, claim.requestID)
-			delete(c.claimsByID, claim.attempt.ClaimID)
-		}
-		return
-	}
-}
-
-// restart claims the key under a new ClaimID.
-func (c *Coordinator) restart(claim *pendingClaim, now float64) {
-	delete(c.claimsByID, claim.attempt.ClaimID)
-	c.lastSequence++
-	claim.attempt = replicastore.Attempt{ClaimID: replicastore.ClaimID{
-		UnixMilli:   int64(c.unixTime() * 1000),
-		Incarnation: c.incarnation,
-		Sequence:    c.lastSequence,
-	}}
-	c.claimsByID[claim.attempt.ClaimID] = claim
-	claim.giveUpAt = max(claim.giveUpAt, min(claim.deadline, now+minReplyWait))
-	claim.resetGrants(c.terms.Select(claim.replicas))
-	c.sendRequests(claim, now)
-}
-
 // sendRequests asks the replicas that have not granted the claim; while it follows another
 // claim it asks all of them for that one's outcome.
 func (c *Coordinator) sendRequests(claim *pendingClaim, now float64) {
@@ -298,7 +265,7 @@
 	}
 }
 
-// resolveByRecord ends a claim if a replica's record tells that the key ran, and reports
+// resolveByRecord ends a claim if a replica's record shows that the key ran, and reports
 // whether it did.
 func (c *Coordinator) resolveByRecord(claim *pendingClaim, record *replicastore.Record, now float64) bool {
 	if finished := record.FinishedAttempt(); finished != nil {
@@ -320,57 +287,3 @@
 	}
 	return false
 }
-
-func (c *Coordinator) addOutcome(claim *pendingClaim, verdict serving.ClaimVerdict, now float64) {
-	c.outcomes = append(c.outcomes, Outcome{
-		RequestID: claim.requestID,
-		Verdict:   verdict,
-		Result:    claim.attempt.Result,
-		Latency:   now - claim.startedAt,
-	})
-}
-
-func (c *Coordinator) notifyGranted(claim *pendingClaim, now float64) {
-	c.latencies.Current(now).Add(now - claim.startedAt)
-	c.addOutcome(claim, serving.ClaimGranted, now)
-}
-
-func (c *Coordinator) notifyResultKnown(claim *pendingClaim, now float64) {
-	c.addOutcome(claim, serving.ClaimCached, now)
-}
-
-func (c *Coordinator) notifyMayHaveRun(claim *pendingClaim, now float64) {
-	c.addOutcome(claim, serving.ClaimOutcomeUnknown, now)
-}
-
-// withdraw tells the replicas that a claim never ran. They grant it to nobody any more, should
-// it arrive late.
-func (c *Coordinator) withdraw(claim *pendingClaim, now float64) {
-	withdrawn := replicastore.Attempt{ClaimID: claim.attempt.ClaimID, State: replicastore.StateWithdrawn}
-	c.reports.start(claim, withdrawn, now)
-}
-
-func (c *Coordinator) withdrawWithResult(claim *pendingClaim, now float64) {
-	c.withdraw(claim, now)
-	c.notifyResultKnown(claim, now)
-}
-
-func (c *Coordinator) withdrawMayHaveRun(claim *pendingClaim, now float64) {
-	c.withdraw(claim, now)
-	c.notifyMayHaveRun(claim, now)
-}
-
-// withdrawTimedOut ends a claim that got no quorum. Where another claim was seen its request
-// may run: then the client should not retry at once.
-func (c *Coordinator) withdrawTimedOut(claim *pendingClaim, now float64) {
-	c.withdraw(claim, now)
-	if claim.sawRival {
-		c.notifyMayHaveRun(claim, now)
-		return
-	}
-	c.addOutcome(claim, serving.ClaimNoQuorum, now)
-}
-
-func (c *Coordinator) reportRunEnd(claim *pendingClaim, now float64) {
-	c.reports.start(claim, claim.attempt, now)
-}
--- a/internal/policy/replication/grant.go
+++ b/internal/policy/replication/grant.go
@@ -34,7 +34,7 @@
 }
 
 // execute does what a request asks, given the key's record, nil if there is none. A report is
-// recorded also while the replica catches up, as its reply tells nothing of the key.
+// recorded also while the replica catches up, as the caller learns nothing of the key by it.
 func (r *Replica) execute(now float64, record *replicastore.Record, request *ClaimRequest) ReplyStatus {
 	slot := request.Key.Slot()
 	switch {
@@ -92,7 +92,7 @@
 	return true
 }
 
-// recordReport records what came of a claim, whichever replicas granted it.
+// recordReport records the outcome of a claim, whichever replicas granted it.
 func (r *Replica) recordReport(now float64, record *replicastore.Record, request *ClaimRequest) ReplyStatus {
 	reported := &replicastore.Record{
 		Key:       request.Key,
--- a/internal/policy/replication/history_test.go
+++ b/internal/policy/replication/history_test.go
@@ -17,18 +17,18 @@
 	Partition: partitionByKey,
 	Init:      func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
-		holder := state.(string)
+		owner := state.(string)
 		in := input.(registerInput)
 		out := output.(Outcome)
 		switch {
 		case in.releases:
-			return holder == in.requestID, ""
+			return owner == in.requestID, ""
 		case out.Verdict == serving.ClaimGranted:
-			return holder == "", in.requestID
+			return owner == "", in.requestID
 		case out.Verdict == serving.ClaimCached:
-			return string(out.Result) == "result of "+holder, holder
+			return string(out.Result) == "result of "+owner, owner
 		}
-		return true, holder // the outcome tells nothing
+		return true, owner // the outcome is not known
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
--- a/internal/policy/replication/messages.go
+++ b/internal/policy/replication/messages.go
@@ -8,8 +8,8 @@
 // The operations of a ClaimRequest. Their values go on the wire.
 const (
 	OpClaim  Operation = iota // grant the claim
-	OpQuery                   // tell what is known of the key
-	OpReport                  // record what came of the claim
+	OpQuery                   // return what is known of the key
+	OpReport                  // record the outcome of the claim
 )
 
 // ClaimRequest goes from a coordinator to a replica.
@@ -17,7 +17,7 @@
 	ConfigDigest uint64 // of the coordinator's Config
 	Operation    Operation
 	Key          replicastore.Key
-	Attempt      replicastore.Attempt // the claim, and for OpReport what came of it
+	Attempt      replicastore.Attempt // the claim, and for OpReport its outcome
 	Terms        []Term               // of the key's replicas as the coordinator knows them, in the placement's order
 }
 
@@ -27,10 +27,10 @@
 // The statuses of a ClaimReply. Their values go on the wire.
 const (
 	ReplyGranted    ReplyStatus = iota // the claim is granted, and no other is
-	ReplyConflict                      // other claims block it, as the record tells
+	ReplyConflict                      // other claims block it; the reply has them
 	ReplyUnclaimed                     // no claim blocks the key
 	ReplyRecorded                      // the report is recorded
-	ReplyStaleTerm                     // a replica has begun a later term, as the reply's terms tell
+	ReplyStaleTerm                     // a replica has begun a later term; the reply has it
 	ReplyCatchingUp                    // the replica has not caught up yet on the key's slot
 	ReplyFull                          // the replica's store is full
 	ReplyMisrouted                     // the configs differ, or the replica does not hold the key
--- a/internal/policy/replication/placement.go
+++ b/internal/policy/replication/placement.go
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// digest returns a hash by which servers tell whether they were given the same Config.
+// digest returns a hash that is the same for servers with the same Config.
 func (c *Config) digest() uint64 {
 	text := fmt.Sprintf("%d %g %g", c.ReplicationFactor, c.RetentionWindow, c.MaxClaimDuration)
 	for _, member := range c.Members {
@@ -91,7 +91,7 @@
 	return xxhash.Sum64String(text)
 }
 
-// Placement tells which members replicate which slot. It follows from the Config alone, so all
+// Placement assigns each slot to the members that replicate it. It follows from the Config alone, so all
 // servers with the same Config agree. It does not change once it is made.
 type Placement struct {
 	Config
--- a/internal/policy/replication/reporter.go
+++ b/internal/policy/replication/reporter.go
@@ -15,7 +15,7 @@
 	reportLifetime      = 5.0
 )
 
-// report tells a claim's replicas what came of it. Times are in seconds.
+// report is the outcome of a claim, on its way to the claim's replicas. Times are in seconds.
 type report struct {
 	key        replicastore.Key
 	attempt    replicastore.Attempt
@@ -38,7 +38,7 @@
 	unreplicatedResults int // results that a quorum did not record in time
 }
 
-// start begins to report what came of a claim. When too many reports are under way the oldest
+// start begins to report the outcome of a claim. When too many reports are under way the oldest
 // is dropped: its claim stands as one that may have run.
 func (r *reporter) start(claim *pendingClaim, attempt replicastore.Attempt, now float64) {
 	if len(r.queue) >= maxReports {
--- a/internal/replicastore/doc.go
+++ b/internal/replicastore/doc.go
@@ -1,5 +1,5 @@
 // Package replicastore holds the records that one replica keeps of idempotency keys:
-// which attempts claimed a key, and what came of each of them.
+// which attempts claimed a key, and the outcome of each of them.
 //
 // A Store is a plain in-memory structure, bounded in records and in bytes. It is owned by
 // one goroutine and takes no lock. It guards each record by a checksum, so that a record
--- a/internal/replicastore/record.go
+++ b/internal/replicastore/record.go
@@ -54,7 +54,7 @@
 // Blocks reports whether an attempt in this state keeps other claims of its key from being granted.
 func (s State) Blocks() bool { return s != StateWithdrawn }
 
-// Attempt is one claim of a key and what came of it.
+// Attempt is one claim of a key and its outcome.
 type Attempt struct {
 	ClaimID
 	State          State
