--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -212,7 +212,7 @@
 			return false
 		}
 		for _, b := range s.Audit.Lagging {
-			if b.Name == "n5" && strings.HasPrefix(b.Reason, "shut out: ") && strings.Contains(b.Reason, "can't be changed while serving") {
+			if b.Name == "n5" && strings.HasPrefix(b.Reason, "ejected: ") && strings.Contains(b.Reason, "can't be changed while serving") {
 				return true
 			}
 		}
