--- a/admission/admit.go
+++ b/admission/admit.go
@@ -1,19 +1,19 @@
 package admission
 
 const (
-	// lateValueWorthwhile is the fraction of its value from which on a response after the soft
-	// deadline is worth the cores. Exception to the design: below it late responses block what is
-	// worth more.
-	lateValueWorthwhile = 0.5
+	// minLateValue is the least late value of a class for its late responses to be worth the cores.
+	// Exception to the design: below it they block what has more value.
+	minLateValue = 0.5
 
-	// Fractions of the memory limit: up to which requests are taken in, keys of deduplicated
-	// requests are stored, and keys that only spare a run are.
+	// Fractions of the memory limit up to which requests are admitted, up to which keys of
+	// deduplicated requests are stored, and up to which keys are that only spare a run.
 	memoryForRequests   = 0.95
 	memoryForKeys       = 0.9
 	memoryForCachedKeys = 0.5
 )
 
-// handleArrival takes a request in. Its hard deadline never changes but for a drain.
+// handleArrival queues a request or rejects it at once. Its hard deadline is fixed from here on,
+// but for a drain.
 func (c *Controller) handleArrival(e *Event) {
 	arrival := &e.Request
 	r := c.newRequest(e.RequestID, arrival)
@@ -42,7 +42,7 @@
 	softDeadline := class.SoftDeadline + class.SoftDeadlineStretch*arrival.ExpectedWork
 	queued.softDeadline = queued.arrivedAt + min(softDeadline, class.Timeout)
 	queued.valueUntil = queued.hardDeadline
-	if class.LateValue < lateValueWorthwhile {
+	if class.LateValue < minLateValue {
 		queued.valueUntil = min(queued.softDeadline, queued.hardDeadline)
 	}
 	if c.settings.ValueByWork && arrival.ExpectedWork > 0 {
@@ -51,9 +51,8 @@
 	return queued
 }
 
-// hardDeadline is when the client leaves: as its remaining budget ends, which is cut to the timeout
-// of all attempts together, as no honest budget passes that. It is not later than a drain's last
-// response.
+// hardDeadline returns when the client leaves: at the end of its remaining budget, or of the
+// timeout of all attempts together if that is earlier. It is never after a drain's last response.
 func (c *Controller) hardDeadline(timeoutAt float64, arrival *Request) float64 {
 	deadline := timeoutAt
 	if arrival.RemainingBudget > 0 || c.settings.DeadlinePropagation {
@@ -88,8 +87,8 @@
 	}
 }
 
-// expireRequests gives up what is past its hard deadline or can't be of value any more, and rejects
-// what is queued with less time left than a run takes.
+// expireRequests expires requests that are past their hard deadline or can't be of value any more,
+// and rejects queued ones with less time left than a run takes.
 func (c *Controller) expireRequests() {
 	for _, r := range c.requests {
 		worthless := r.class.LateValue == 0 && c.now > r.softDeadline
@@ -105,29 +104,29 @@
 	}
 }
 
-// rejectExpired rejects a request that has no time left: it may come back at once.
+// rejectExpired rejects a request that has too little time left. It may come back at once.
 func (c *Controller) rejectExpired(r *request) { c.reject(r, 0) }
 
-// rejectOverload rejects a request for want of capacity and says when to come back.
+// rejectOverload rejects a request for lack of capacity, with a Retry-After.
 func (c *Controller) rejectOverload(r *request) {
 	r.class.admittedFraction *= 1 - admissionWeight
 	c.reject(r, c.retryAfter())
 }
 
-// reject gives a request that never ran its final response, with Retry-After in seconds.
+// reject sends the final response of a request that never ran, with Retry-After in seconds.
 func (c *Controller) reject(r *request, retryAfter float64) {
 	if r.duplicate { // another attempt of it may have run
 		c.fail(r)
 		return
 	}
-	if !r.overQuota { // else it says nothing of what else is wanted
+	if !r.overQuota { // what is over its quota is no sign of overload
 		c.load.wasted++
 	}
 	c.deleteKey(r)
 	c.emit(Action{Kind: Reject, RequestID: r.id, Duration: retryAfter, NoFailover: c.noFailover(r)})
 }
 
-// storeKey puts a request into the key table for so many seconds.
+// storeKey puts a request into the key table for ttl seconds.
 func (c *Controller) storeKey(r *request, ttl float64) {
 	c.emit(Action{Kind: StoreKey, RequestID: r.id, Duration: ttl})
 	c.memory.keys.Add(r.id, c.now+ttl+keyLinger)
--- a/admission/backpressure.go
+++ b/admission/backpressure.go
@@ -3,32 +3,35 @@
 import "math"
 
 const (
-	// minRetryAfter is the shortest Retry-After, in seconds, of a rejection for want of capacity.
+	// minRetryAfter is the shortest Retry-After of a rejection for lack of capacity, in seconds.
 	minRetryAfter = 0.1
 
-	// minWanted is the least part of the usual traffic that is wanted, but for a drain.
+	// minWanted is the least fraction of the usual traffic that is wanted, except in a drain.
 	minWanted = 0.05
-	// maxWantedDecrease and wantedIncrease are by how much that part may change at a tick.
+	// maxWantedDecrease is the largest relative decrease of that fraction at a tick, and
+	// wantedIncrease its increase.
 	maxWantedDecrease = 0.07
 	wantedIncrease    = 0.02
-	// reportSteps is in how many steps the part is reported: smaller ones would only add messages.
+	// reportSteps is the resolution of the report: finer steps would only add messages.
 	reportSteps = 50
 
-	// noFailoverBelow is the part under which clients are asked not to try another server: the
-	// others fare alike. Where each attempt opens a connection it is noFailoverBelowIdle.
-	noFailoverBelow     = 0.4
-	noFailoverBelowIdle = 0.95
+	// noFailoverBelow is the wanted fraction below which clients are asked not to try another
+	// server, as the others are as loaded. noFailoverBelowNewConnections holds where each attempt
+	// opens a connection.
+	noFailoverBelow               = 0.4
+	noFailoverBelowNewConnections = 0.95
 
-	// openPerCore is how many open requests a core are no limit in use, spread over the clients.
+	// openPerCore is the full credit of open requests a core, which the clients share. It limits
+	// nothing in usual use.
 	openPerCore = 16
 )
 
-// loadReporter works out how much of the usual traffic is wanted, and reports it.
+// loadReporter tracks how much of the usual traffic is wanted, and what was reported of it.
 type loadReporter struct {
 	backpressure Backpressure
 	fullCredit   float64 // open requests a client when all traffic is wanted
-	wanted       float64 // part of the usual traffic that is wanted
-	reported     float64 // the same, as it was last reported
+	wanted       float64 // fraction of the usual traffic that is wanted
+	reported     float64 // the same, as last reported
 	// arrived counts the requests since the last tick; wasted those of them that were read or run
 	// for nothing.
 	arrived, wasted float64
@@ -43,13 +46,13 @@
 	}
 }
 
-// decrease lowers the part that is wanted by the part that was wasted: a few of many lower it
-// little.
+// decrease lowers the wanted fraction by the fraction of arrivals that was wasted, which is little
+// for a few of many.
 func (l *loadReporter) decrease() {
 	l.wanted = max(minWanted, l.wanted*(1-min(maxWantedDecrease, l.wasted/max(l.arrived, 1))))
 }
 
-// report is what clients are told, by what they make of it.
+// report returns the value to report, in the form of the deployment's backpressure.
 func (l *loadReporter) report() float64 {
 	switch l.backpressure {
 	case BackpressureLevel:
@@ -85,7 +88,8 @@
 	}
 }
 
-// retryAfter is in how many seconds the queue as it stands has been run.
+// retryAfter returns the Retry-After of a rejection for lack of capacity, in seconds: the time in
+// which the present queue is expected to run.
 func (c *Controller) retryAfter() float64 {
 	drained := c.count(stateQueued) * c.progress.slowestMean / c.concurrency.runLimit
 	return min(c.settings.MaxRetryAfter, max(minRetryAfter, drained))
@@ -100,5 +104,5 @@
 		return true
 	}
 	opensConnections := c.connections.idleTimeout < c.connections.maxIdleTimeout
-	return c.load.wanted < noFailoverBelowIdle && opensConnections && !c.arrivals.haveSubjects
+	return c.load.wanted < noFailoverBelowNewConnections && opensConnections && !c.arrivals.haveSubjects
 }
--- a/admission/capacity.go
+++ b/admission/capacity.go
@@ -3,34 +3,37 @@
 import "swiftcourse/internal/timewindow"
 
 const (
-	// concurrencyHeadroom is the part of the survivable concurrency that is made use of.
-	concurrencyHeadroom = 0.8
-	// slowStartEpsilon keeps the warm-up's quotient defined and its end exact.
+	// usableConcurrency is the fraction of the survivable concurrency that is used.
+	usableConcurrency = 0.8
+	// slowStartEpsilon is added to the age of a server and is the least duration of its warm-up, in
+	// seconds: their quotient is always defined.
 	slowStartEpsilon = 1e-9
-	// keyLinger is for how many seconds longer than in the table a key's memory counts.
+	// keyLinger is how much longer than its time in the table a key's memory counts, in seconds.
 	keyLinger = 0.01
 
-	// experimentPeriod is how many seconds each arm is tried at a time.
+	// experimentPeriod is for how many seconds an arm is tried.
 	experimentPeriod = 1
-	// experimentWeight is the weight of the latest period in the mean of an arm: the last three or
-	// so tell.
+	// experimentWeight is the weight of the latest period in an arm's moving average of about
+	// three.
 	experimentWeight = 0.3
-	// explorationRate is how often the arm that seems worse is tried: things change.
+	// explorationRate is the probability that the arm that seems worse is tried, as load changes.
 	explorationRate = 0.15
-	// armStep is by how many runnable requests a core the second arm exceeds the first.
+	// armStep is how many more runnable requests a core the second arm has than the first.
 	armStep = 0.5
 
-	// stallRuns is for how many of the slowest mean runs nothing may get on before work counts as
-	// stalled.
+	// stallRuns is the time without progress after which work counts as stalled, in mean runs of
+	// the slowest class.
 	stallRuns = 4
-	// minSlowestMean stands in where little is known, or runs are so short that a pause of the
-	// cores shows.
+	// minSlowestMean is the least such mean, in seconds, for when little is known or runs are so
+	// short that a pause of the cores would look like a stall.
 	minSlowestMean = 0.25
-	// maxUntimely is for how many seconds no request may end in time while arrivals wait unread,
-	// and for how many none may arrive before what was learned of arrivals is past.
-	maxUntimely    = 0.5
+	// maxUntimely is the time without a timely response, in seconds, after which backlogged work
+	// counts as stalled.
+	maxUntimely = 0.5
+	// arrivalsExpire is the time without an arrival, in seconds, after which the unread delay is
+	// forgotten.
 	arrivalsExpire = 0.5
-	// unreadTickDecay is what is left of the learned unread delay after a tick.
+	// unreadTickDecay is the fraction of the unread delay that is left after a tick.
 	unreadTickDecay = 0.98
 )
 
@@ -42,7 +45,7 @@
 	runLimit  float64 // requests that may be on the cores now
 	// experiment finds how many runnable requests a core serve best.
 	experiment armExperiment
-	gauges     Gauges // the latest; Runnable is negative once it was made use of
+	gauges     Gauges // the latest; Runnable is negative once it was used
 }
 
 // slowStart is the warm-up of a server that starts cold.
@@ -78,7 +81,7 @@
 
 // ceiling is how many running requests the cores survive, warming up or warm, less some headroom.
 func (l *concurrencyLimiter) ceiling(now float64) float64 {
-	return max(1, concurrencyHeadroom*l.cores*(1+(l.perCore-1)*l.slowStart.speedAt(now)))
+	return max(1, usableConcurrency*l.cores*(1+(l.perCore-1)*l.slowStart.speedAt(now)))
 }
 
 // nextArm ends a period and chooses the arm of the next one.
@@ -97,8 +100,8 @@
 	e.hadQueue = false
 }
 
-// hasConcurrencyRoom reports whether one more may come to the cores, should all calls return at
-// once.
+// hasConcurrencyRoom reports whether one more request may come to the cores, even if all calls
+// return at once.
 func (c *Controller) hasConcurrencyRoom() bool {
 	return c.count(statesOnCore|stateCalling)+1 <= c.concurrency.ceiling(c.now)
 }
@@ -122,7 +125,7 @@
 	l.runLimit = max(l.cores, min(l.runLimit, float64(len(c.requests)), l.ceiling(c.now)))
 }
 
-// memoryBudget adds up the memory of requests and of keys.
+// memoryBudget accounts for the memory of requests and of keys.
 type memoryBudget struct {
 	limit         float64
 	runningFactor float64 // memory of a running request over that of a queued one
@@ -156,17 +159,17 @@
 // usedWithKey is the same with one more key.
 func (m *memoryBudget) usedWithKey() float64 { return m.used() + m.keyMemory }
 
-// progressMonitor finds out when work is stalled, and when it has recovered.
+// progressMonitor detects when work stalls and when it recovers.
 type progressMonitor struct {
 	stalled     bool
-	lastEnd     float64 // when work last got on
+	lastEnd     float64 // when a run or a call last ended
 	lastTimely  float64 // when a request last ended within its soft deadline
 	slowestMean float64 // the longest mean run of a class
 }
 
 // checkProgress reports the server unhealthy while work is stalled: the cores are taken yet nothing
-// got on for a few runs, or requests wait unread for long and none ended in time. Without that last
-// test all servers would be taken out of service together under plain overload.
+// ended for a few runs, or arrivals are backlogged and no response was timely. Without the last
+// condition all servers would be taken out of service together under plain overload.
 func (c *Controller) checkProgress() {
 	p := &c.progress
 	coresTaken := c.count(statesOnCore) >= c.concurrency.cores
--- a/admission/connections.go
+++ b/admission/connections.go
@@ -1,25 +1,26 @@
 package admission
 
 const (
-	// rareClientInterval is from how many seconds between the requests of one client on keeping its
-	// connection costs more than a new one. Both cost about the same near 5 s, where some tens of
-	// clients share a server.
+	// rareClientInterval is the mean interval between the requests of one client, in seconds, above
+	// which keeping its connection costs more than opening a new one. Where some tens of clients
+	// share a server, both cost about the same near 5 s.
 	rareClientInterval = 8
-	// minIdleTimeout is the shortest that was tried, in seconds, and the best on busy days.
+	// minIdleTimeout is in seconds: the shortest of those measured, and the best under high load.
 	minIdleTimeout = 0.05
-	// The stretch grows from 0.05 s to 5 in 2.5 s, as a connection table takes to fill, and goes
-	// back slowly.
+	// stretchIncrease and stretchDecrease are factors at a tick. The timeout grows from 0.05 s to 5
+	// s in 2.5 s, the time in which a connection table fills, and shrinks slowly.
 	stretchIncrease = 1.2
 	stretchDecrease = 1.03
 	maxStretch      = 1000
-	// minIdleChange is the least factor that is told: smaller steps would only add messages.
+	// minIdleChange is the least factor that is worth an action: smaller steps would only add
+	// messages.
 	minIdleChange = 1.2
 )
 
-// connectionTuner decides for how long silent connections stay open.
+// connectionTuner decides how long silent connections stay open.
 type connectionTuner struct {
 	clients        float64
-	idleTimeout    float64 // that holds now
+	idleTimeout    float64 // in force now
 	maxIdleTimeout float64
 	stretch        float64 // factor on the timeout while requests wait unread
 }
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// tickInterval is a tenth of the shortest memory that matters; its cost is not felt.
+	// tickInterval is in seconds, short against the windows that are learned from.
 	tickInterval = 0.1
 	// timerTolerance is how many seconds early a timer may go off.
 	timerTolerance = 1e-4
@@ -97,7 +97,7 @@
 	return int(c.callsInFlight()), int(c.count(stateAwaitingDownstream))
 }
 
-// start sets what needs the time of the first batch.
+// start initializes what depends on the time of the first batch.
 func (c *Controller) start() {
 	c.started = true
 	c.progress.lastEnd = c.now
@@ -132,7 +132,7 @@
 	}
 }
 
-// handleRequestEvent takes what happened to a request that is not done.
+// handleRequestEvent handles an event of a request that is not done.
 func (c *Controller) handleRequestEvent(r *request, e *Event) {
 	switch e.Kind {
 	case RunEnded:
@@ -150,7 +150,7 @@
 	}
 }
 
-// tick renews what is learned and what follows from it.
+// tick refreshes the estimates and what is tuned by them.
 func (c *Controller) tick() {
 	c.timer.nextTick = c.now + tickInterval
 	c.checkProgress()
@@ -161,21 +161,21 @@
 	c.tuneLoadReport()
 }
 
-// wakeupTimer keeps one timer armed, for whatever comes first.
+// wakeupTimer keeps track of the earliest armed timer.
 type wakeupTimer struct {
 	nextTick float64
 	armedFor float64 // when the earliest timer goes off; infinite where none is armed
 }
 
-// fired notes that a timer went off.
+// fired records that a timer went off.
 func (w *wakeupTimer) fired(now float64) {
 	if now >= w.armedFor-timerTolerance {
 		w.armedFor = math.Inf(1)
 	}
 }
 
-// setTimer arms the timer for the next tick or the next hard deadline, if it is not armed for that
-// already.
+// setTimer arms a timer for the next tick or the next hard deadline, unless one goes off before
+// that.
 func (c *Controller) setTimer() {
 	next := c.timer.nextTick
 	for _, r := range c.requests {
@@ -189,8 +189,7 @@
 	}
 }
 
-// randomSource draws numbers that depend on the seed and on how many were drawn before, and on
-// nothing else.
+// randomSource draws numbers that depend only on the seed and on the number of draws before.
 type randomSource struct{ seed, draws int64 }
 
 // float returns a number from 0 to under 1.
--- a/admission/downstream.go
+++ b/admission/downstream.go
@@ -9,40 +9,57 @@
 )
 
 const (
-	// deadlineSafetyMargin is the design's upper value, in seconds: responses still have to be
-	// written and sent.
+	// deadlineSafetyMargin is kept free before the hard deadline, in seconds: responses still have
+	// to be written and sent. It is the design's upper value.
 	deadlineSafetyMargin = 0.01
-	// callTimeMemory is over how many seconds the durations of calls are learned.
+	// callTimeMemory is the window, in seconds, over which the durations of calls are learned.
 	callTimeMemory = 5
-	// slowCallFactor is by how much the mean call has to exceed the lowest recent mean to count as
-	// slow.
+	// slowCallFactor is the ratio of the mean call to the lowest recent mean above which calls
+	// count as slow.
 	slowCallFactor = 2
-	// The limit on calls is halved in 1.4 s while calls are slow or one in four is lost, and
-	// doubled as fast while all are in use.
+	// lossFactor makes calls count as lossy where one in four is lost.
+	lossFactor = 3
+
+	// Limits on calls into a tier, for each core. A tier limits itself: only a flood is kept from
+	// it.
+	minTierCalls     = 1
+	initialTierCalls = 2
+	maxTierCalls     = 16
+	// Limits on calls to a shared dependency, as fractions of this server's part of them. It gets
+	// slow long before it fails: a quarter goes out however slow it is, and never all of it, as
+	// calls of servers that died and those whose end is not known yet count too.
+	minSharedCalls     = 0.25
+	initialSharedCalls = 0.5
+	maxSharedCalls     = 0.8
+	// maxSharedTimeout bounds a call to a shared dependency, as a fraction of the window over which
+	// its limit is a mean. Where one call is over the limit, it must be short to keep that mean.
+	maxSharedTimeout = 0.25
+
+	// callLimitDecrease and callLimitIncrease are factors at a tick. They halve the limit in 1.4 s
+	// while calls are slow or lossy, and double it as fast while all are in use.
 	callLimitDecrease = 0.95
 	callLimitIncrease = 1.05
 	// callBackoff is the least pause, in seconds and for each lost attempt, before the next attempt
 	// of a call. Up to as much again is added at random.
 	callBackoff = 0.02
-	// maxLostCalls is how many attempts may be lost before a response without the call is
+	// maxLostCalls is the number of lost attempts above which a response without the call is
 	// preferred.
 	maxLostCalls = 2
-	// firstAttemptFactor is how many mean calls the first attempt may last, where another may
-	// follow, and firstAttemptMinCalls how many calls have to be known for that.
+	// firstAttemptFactor is the timeout of an attempt after which another may follow, in mean
+	// calls; firstAttemptMinCalls is the number of calls that such a mean needs.
 	firstAttemptFactor   = 4
 	firstAttemptMinCalls = 20
-	// minCallAllowance keeps the limit, which is divided by, from being 0; no call goes out below
-	// 1.
+	// minCallAllowance keeps the limit, which is a divisor, above 0. Below 1 no call goes out.
 	minCallAllowance = 0.01
 )
 
 // downstreamLimiter bounds the downstream calls that are in flight at once.
 type downstreamLimiter struct {
-	limit              float64 // that holds now
+	limit              float64 // in force now
 	minLimit, maxLimit float64
-	allowance          float64 // a share of a budget, which binds whatever else holds
-	// credit is call-seconds under the limit that were not used, as of creditAt. It lets one more
-	// out at times where the limit is no whole number.
+	allowance          float64 // binding share of a budget; infinite where there is none
+	// credit is the unused call-seconds under the limit, as of creditAt. Where the limit is not a
+	// whole number it lets one more call out at times.
 	credit, creditAt float64
 	callTime         durationEstimate
 	maxTimeout       float64
@@ -54,29 +71,25 @@
 
 func newDownstreamLimiter(settings *Settings, cores float64) downstreamLimiter {
 	limiter := downstreamLimiter{
-		// A tier has its own guard: only a flood is kept from it.
-		minLimit:          cores,
-		maxLimit:          16 * cores,
-		limit:             2 * cores,
+		minLimit:          minTierCalls * cores,
+		maxLimit:          maxTierCalls * cores,
+		limit:             initialTierCalls * cores,
 		allowance:         math.Inf(1),
 		maxTimeout:        math.Inf(1),
 		abandonedLifetime: settings.Downstream.AbandonedCallLifetime,
 		tier:              settings.Downstream.Kind == ServerTier,
 	}
 	if settings.Downstream.Kind == SharedDependency {
-		// A shared dependency gets sluggish long before it falls: a quarter of the share is let out
-		// however slow it is, and never all of it, as calls of the dead and those whose end is not
-		// known yet count too.
-		limiter.minLimit = settings.Downstream.CallLimit / 4
-		limiter.maxLimit = 0.8 * settings.Downstream.CallLimit
-		limiter.limit = settings.Downstream.CallLimit / 2
-		// Where one call is over the share it must be short, to keep the window's mean.
-		limiter.maxTimeout = settings.Downstream.CallLimit * settings.Downstream.CallWindow / 4
+		limiter.minLimit = minSharedCalls * settings.Downstream.CallLimit
+		limiter.maxLimit = maxSharedCalls * settings.Downstream.CallLimit
+		limiter.limit = initialSharedCalls * settings.Downstream.CallLimit
+		callSeconds := settings.Downstream.CallLimit * settings.Downstream.CallWindow
+		limiter.maxTimeout = maxSharedTimeout * callSeconds
 	}
 	return limiter
 }
 
-// accrue adds what was left unused of the limit since the last time to the credit.
+// accrue adds to the credit what was left unused of the limit since creditAt.
 func (d *downstreamLimiter) accrue(now, inFlight float64) {
 	unused := d.limit - inFlight
 	d.credit = min(d.limit, 1, d.credit+unused*(now-d.creditAt))
@@ -91,19 +104,20 @@
 	return inFlight+1 <= d.limit || inFlight < d.limit && d.credit > 0
 }
 
-// slow reports whether calls take twice what they lately took at best.
+// slow reports whether calls take twice as long as they lately did at best.
 func (d *downstreamLimiter) slow(now float64) bool {
 	return d.callTime.mean > slowCallFactor*d.callTime.lowest.Value(now)
 }
 
-// lossy reports whether one call in four is lost, of more than a few.
+// lossy reports whether one call in four is lost, once a few are known.
 func (d *downstreamLimiter) lossy() bool {
-	return 3*d.callTime.recent.Untimed > d.callTime.recent.Count+3
+	return lossFactor*d.callTime.recent.Untimed > d.callTime.recent.Count+lossFactor
 }
 
-// timeout is how long a call of a request may last: the time that is left, less the safety margin.
-// Exception: in a tier that is not slow, it is a few mean calls where twice that is left and the
-// request may run again. A server there that died unseen would hold the call for all the time.
+// timeout returns the timeout of a request's call: the time that is left, less the safety margin.
+// Exception to the design: in a tier that is not slow, it is a few mean calls where twice that is
+// left and the call may be repeated. A server there that died unnoticed would hold the call for all
+// of the time.
 func (d *downstreamLimiter) timeout(now float64, r *request) float64 {
 	left := min(r.hardDeadline-now-deadlineSafetyMargin, d.maxTimeout)
 	firstAttempt := firstAttemptFactor * d.callTime.mean
@@ -115,7 +129,7 @@
 	return left
 }
 
-// callsInFlight counts the calls that are out, those included that were given up but may still be
+// callsInFlight counts the calls in flight, including those that were abandoned but may still be
 // held downstream.
 func (c *Controller) callsInFlight() float64 {
 	return c.count(stateCalling) + float64(len(c.downstream.abandoned))
@@ -139,8 +153,8 @@
 	d.limit = min(max(d.minLimit, min(d.limit, d.maxLimit)), d.allowance)
 }
 
-// scheduleCalls gives up or degrades what waits for a call in vain, and dispatches calls by soft
-// deadline, or by what they add when they have turned slow.
+// scheduleCalls expires or degrades requests that a call can't help any more, and dispatches calls
+// by soft deadline, or by the value that they add when calls are slow.
 func (c *Controller) scheduleCalls() {
 	for _, r := range c.requests {
 		if r.state == stateAwaitingDownstream {
@@ -162,8 +176,8 @@
 	}
 }
 
-// reviewAwaiting has a request that waits for its call go on without, or gives it up, where the
-// call can't help.
+// reviewAwaiting degrades or expires a request that awaits its call, if the call can't help it any
+// more.
 func (c *Controller) reviewAwaiting(r *request) {
 	late := c.now+c.downstream.callTime.mean/2 > r.valueUntil
 	degraded := r.class.DegradedValue
@@ -178,28 +192,28 @@
 	}
 }
 
-// dispatchable reports whether the call of a request may go out, if there is room for it.
+// dispatchable reports whether a request's call may go out, limits aside.
 func (c *Controller) dispatchable(r *request) bool {
 	return r.state == stateAwaitingDownstream && r.call.backoffUntil <= c.now && r.mayCall()
 }
 
-// mayCall reports whether an attempt of its call may go out: one that may have had its effect is
-// not repeated.
+// mayCall reports whether an attempt of the request's call is safe: a call that may have had its
+// effect is not repeated, unless it is idempotent.
 func (r *request) mayCall() bool {
 	return r.call.lost == 0 || r.call.notExecuted || r.class.Idempotency == Idempotent
 }
 
-// callGain is what the call of a request adds to its value.
+// callGain returns what the request's call adds to its value.
 func (r *request) callGain() float64 { return r.value * (1 - r.class.DegradedValue) }
 
-// byCallGain orders requests by what their call adds, the most first.
+// byCallGain orders requests by what their call adds to their value, the most first.
 func byCallGain(a, b *request) int {
 	return cmp.Or(cmp.Compare(b.callGain(), a.callGain()), bySoftDeadline(a, b))
 }
 
-// degradeAwaiting goes through those that wait for calls, which are scarce, in the order in which a
-// call adds most, and has the others do without where their wait would be too long, by the measure
-// of the queue.
+// degradeAwaiting runs while calls are scarce. It goes through the requests that await one, in the
+// order in which a call adds most, and degrades those that would wait too long by the measure of
+// the queue.
 func (c *Controller) degradeAwaiting() {
 	awaiting := c.inState(stateAwaitingDownstream)
 	slices.SortStableFunc(awaiting, byCallGain)
@@ -213,7 +227,7 @@
 	}
 }
 
-// handleCallReturned takes the end of a call and learns from it.
+// handleCallReturned ends a call and learns from it.
 func (c *Controller) handleCallReturned(r *request, e *Event) {
 	c.progress.lastEnd = c.now
 	bucket := c.downstream.callTime.window.Current(c.now)
@@ -229,7 +243,7 @@
 	}
 	r.call.notExecuted = e.Outcome == Rejected || e.Outcome == Unreachable
 	r.call.lost++
-	// A short pause, not in step with others.
+	// The random part keeps the attempts of several requests from coming at once.
 	r.call.backoffUntil = c.now + callBackoff*float64(r.call.lost)*(1+c.random.float())
 	c.step(r, onCallLost)
 }
@@ -240,7 +254,8 @@
 
 func (c *Controller) degrade(r *request) { c.emit(Action{Kind: Degrade, RequestID: r.id}) }
 
-// abandonCall counts a call that was given up for as long as it may still be held downstream.
+// abandonCall counts a call that was given up as in flight, for as long as it may still be held
+// downstream.
 func (c *Controller) abandonCall(r *request) {
 	c.downstream.abandoned.Add(r.id, c.now+c.downstream.abandonedLifetime)
 }
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// lastResponseMargin is how many seconds before the kill a draining server must have given every
-// request its final response: several ticks of any deployment.
+// lastResponseMargin is the time before the kill, in seconds, by which a draining server has sent
+// every final response: several turns of any event loop.
 const lastResponseMargin = 0.03
 
 // drainState is that of a server that was told that its process will be killed.
@@ -23,7 +23,8 @@
 
 func (d *drainState) draining() bool { return !math.IsInf(d.killAt, 1) }
 
-// lastResponse is when the last final response has to be given.
+// lastResponse returns when the last final response has to be sent; infinity where there is no
+// drain.
 func (d *drainState) lastResponse() float64 { return d.killAt - lastResponseMargin }
 
 // refuses reports whether a request arrived too late to be taken in.
--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -7,38 +7,42 @@
 )
 
 const (
-	// runTimeMemory is over how many seconds the durations of runs are learned: some tens of runs
-	// on a busy server, yet a slow-down of a few seconds still shows.
+	// runTimeMemory is the window, in seconds, over which the durations of runs are learned: some
+	// tens of runs on a busy server, yet short enough to show a slow-down of a few seconds.
 	runTimeMemory = 8
-	// estimateBuckets is in how many buckets that time is divided.
+	// estimateBuckets is the number of buckets of a window.
 	estimateBuckets = 8
-	// The lowest mean or median is that of 30 s, in six buckets.
+	// The lowest mean or median is kept for 30 s, in six buckets.
 	lowestBuckets     = 6
 	lowestBucketWidth = 5
-	// minSamples is the least number of durations whose median or mean tells something.
+	// minSamples is the least number of durations for a median, or for a mean to be compared.
 	minSamples = 4
 
-	// minimumDecay is how much of the way to the lowest value of 30 s the minimum service time goes
-	// at a tick with few ends: about 2 s for all of it.
+	// minimumDecay is the fraction of its distance to the lowest value of 30 s that the minimum
+	// service time loses at a tick with few ends. It gets there in about 2 s.
 	minimumDecay = 0.05
-	// wasteWeight and callsWeight are of the latest run: the last 20 tell.
+	// wasteWeight and callsWeight are the weight of the latest run in a moving average of about 20.
 	wasteWeight = 0.05
 	callsWeight = 0.05
-	// admissionWeight and intervalWeight are of the latest request: the last 50 or so tell.
+	// admissionWeight and intervalWeight are the weight of the latest request in a moving average
+	// of about 50.
 	admissionWeight = 0.02
 	intervalWeight  = 0.02
-	// unreadWeight is of the latest request: the last 20 tell.
+	// unreadWeight is the weight of the latest request in a moving average of about 20.
 	unreadWeight = 0.05
-	// wasteFactor has one wasted run in three count in full.
+	// wasteFactor makes the minimum budget reach its full size where one run in three is wasted.
 	wasteFactor = 3
+	// unreadDelayDivisor is the ratio of the shortest soft deadline to the unread delay above which
+	// arrivals count as backlogged.
+	unreadDelayDivisor = 6
 )
 
-// durationEstimate is what the last seconds taught of durations, of runs or of calls.
+// durationEstimate is what is learned of the durations of runs or of calls, over a sliding window.
 type durationEstimate struct {
 	window *timewindow.Buckets[timewindow.Histogram]
 	recent timewindow.Histogram // all of the window, as of the last refresh
-	mean   float64              // of the window, or the last known where that is empty
-	lowest timewindow.Minimum   // of 30 s; of what is for the user to say
+	mean   float64              // of the window, or the last one known where that is empty
+	lowest timewindow.Minimum   // of the values that its owner observes, over 30 s
 }
 
 func newDurationEstimate(now, memory float64) durationEstimate {
@@ -54,22 +58,22 @@
 	d.mean = d.recent.Mean(d.mean)
 }
 
-// learnedClass is a request class and what was learned of it.
+// learnedClass is a request class with what was learned of it.
 type learnedClass struct {
 	Class
-	runTime durationEstimate // of the runs' own time, without calls
-	// minServiceTime is the learned minimum service time: a typical run's own time.
+	runTime durationEstimate // time on or near a core, without calls
+	// minServiceTime is the learned minimum service time: the median run time.
 	minServiceTime float64
 	// wastedFraction is the part of the runs whose client had left before their end.
 	wastedFraction float64
-	// minBudget is what must be left of a request's time to start it.
+	// minBudget is the time that must be left to start a request while cores are scarce.
 	minBudget float64
 	meanCalls float64 // calls of a run
 	// admittedFraction is the part of its requests that were run rather than rejected.
 	admittedFraction float64
 }
 
-// recordWaste learns whether a run ended after its client had left.
+// recordWaste learns from the end of a run whether it was wasted: its client had left.
 func (c *learnedClass) recordWaste(wasted bool) {
 	c.wastedFraction *= 1 - wasteWeight
 	if wasted {
@@ -113,22 +117,22 @@
 
 // arrivalStats is what was learned of arrivals.
 type arrivalStats struct {
-	unreadDelay    float64 // mean seconds for which requests lately waited before they were read
-	maxUnreadDelay float64 // that counts as a backlog: a sixth of the shortest soft deadline
-	last           float64 // when one was last read
-	interval       float64 // mean seconds between reads
+	unreadDelay    float64 // mean delay of requests before they are read, in seconds
+	maxUnreadDelay float64 // unread delay above which arrivals count as backlogged
+	last           float64 // time of the last arrival
+	interval       float64 // mean interval between arrivals, in seconds
 	haveSubjects   bool    // requests name subjects, by which clients may choose servers
 }
 
 func newArrivalStats(settings *Settings) arrivalStats {
 	stats := arrivalStats{maxUnreadDelay: math.Inf(1)}
 	for i := range settings.Classes {
-		stats.maxUnreadDelay = min(stats.maxUnreadDelay, settings.Classes[i].SoftDeadline/6)
+		stats.maxUnreadDelay = min(stats.maxUnreadDelay, settings.Classes[i].SoftDeadline/unreadDelayDivisor)
 	}
 	return stats
 }
 
-// record learns from a request that was read.
+// record learns from the arrival of a request.
 func (a *arrivalStats) record(now float64, in *Request) {
 	a.unreadDelay += unreadWeight * (in.Age - a.unreadDelay)
 	a.interval += intervalWeight * (now - a.last - a.interval)
@@ -136,5 +140,5 @@
 	a.haveSubjects = a.haveSubjects || in.HasSubject
 }
 
-// backlogged reports whether requests wait unread for long.
+// backlogged reports whether requests wait unread for too long.
 func (a *arrivalStats) backlogged() bool { return a.unreadDelay > a.maxUnreadDelay }
--- a/admission/lifecycle.go
+++ b/admission/lifecycle.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// state is a state of a request, or a set of several: in a row of the table, and where requests are
-// counted.
+// state is the state of a request. It is a bit, so that a row of the transition table and a count
+// can name a set of states.
 type state uint16
 
 const (
@@ -18,7 +18,7 @@
 	statesOnCore = stateRunning | stateAnswered
 )
 
-// trigger is what moves a request to another state, or a set of several.
+// trigger is what moves a request to another state. It is a bit too.
 type trigger uint16
 
 const (
@@ -45,8 +45,8 @@
 	effect func(*Controller, *request) // nil for none
 }
 
-// transitions are the whole life of a request: what no row names changes nothing. Where two rows
-// match, the first holds.
+// transitions is the state table of a request. A trigger that no row names for the present state is
+// ignored; where two rows match, the first one applies.
 var transitions = []transition{
 	{stateQueued, onAdmit, stateRunning, (*Controller).startRun},
 	{stateQueued, onDuplicate, stateCoalesced, (*Controller).reuseResult},
@@ -81,7 +81,7 @@
 	softDeadline float64
 	// hardDeadline is when its client leaves: it has its final response by then.
 	hardDeadline float64
-	// valueUntil is the later of the two at which finishing it is still worth the cores.
+	// valueUntil is until when finishing it is worth the cores: one of the two deadlines.
 	valueUntil float64
 	coreTime   float64 // seconds on or near a core so far, without calls and pauses
 	memory     float64 // while it is queued
@@ -116,7 +116,7 @@
 	return false
 }
 
-// apply moves a request along a transition and books what follows from its states.
+// apply moves a request along a transition and updates what is accounted by state.
 func (c *Controller) apply(row *transition, r *request) {
 	c.accrueCallCredit()
 	if r.state == stateQueued {
@@ -138,8 +138,9 @@
 	}
 }
 
-// settleQuota refunds what a request that leaves the queue was charged with, if it does not run: what
-// was rejected, or has the result of another, used nothing of the quota.
+// settleQuota ends the charge of a request that leaves the queue for another state. It is refunded
+// unless the request runs: a rejection, or the result of another request, uses nothing of the
+// quota.
 func (r *request) settleQuota(to state) {
 	if r.quota != nil && to != stateRunning {
 		r.quota.Refund()
@@ -159,13 +160,13 @@
 	return n
 }
 
-// inState returns the requests in a state, in order of arrival, in a slice of the caller's own.
+// inState returns a new slice of the requests in a state, in order of arrival.
 func (c *Controller) inState(in state) []*request {
 	isElsewhere := func(r *request) bool { return r.state != in }
 	return slices.DeleteFunc(slices.Clone(c.requests), isElsewhere)
 }
 
-// handleRunEnded takes the end of a run and learns from it.
+// handleRunEnded ends a run and learns from it.
 func (c *Controller) handleRunEnded(r *request, e *Event) {
 	c.progress.lastEnd = c.now
 	was := r.state
@@ -175,10 +176,10 @@
 		on = onRunCancelled
 	}
 	c.step(r, on)
-	// A quick error or a run cut short would teach too low a minimum; one cut after the minimum is
-	// a bound.
-	tells := e.Outcome == Finished || r.coreTime > r.class.minServiceTime
-	if r.ran && r.done() && tells {
+	// A quick error or a cancelled run would teach too low a minimum service time; a run that was
+	// cancelled after the minimum is a lower bound.
+	informative := e.Outcome == Finished || r.coreTime > r.class.minServiceTime
+	if r.ran && r.done() && informative {
 		r.class.recordRun(c.now, r)
 	}
 	if e.Outcome == Finished && was != stateAnswered && c.now <= r.softDeadline {
@@ -187,7 +188,7 @@
 	}
 }
 
-// startRun is the effect of an admission.
+// startRun starts the run of a request that was admitted.
 func (c *Controller) startRun(r *request) {
 	r.ran = true
 	r.class.admittedFraction += admissionWeight * (1 - r.class.admittedFraction)
@@ -196,14 +197,14 @@
 
 func (c *Controller) reuseResult(r *request) { c.emit(Action{Kind: ReuseResult, RequestID: r.id}) }
 
-// fail gives a request that has begun its final response.
+// fail sends the final response of a request that may have run.
 func (c *Controller) fail(r *request) {
 	c.load.wasted++
 	c.emit(Action{Kind: Fail, RequestID: r.id})
 }
 
-// cancelRun stops a run where that is possible and nobody may still want its result, as the repeat
-// of a deduplicated request may.
+// cancelRun stops a run where runs can be preempted. It leaves deduplicated requests alone: a
+// repeat may still want the result.
 func (c *Controller) cancelRun(r *request) {
 	if c.settings.Preemption != NoPreemption && r.class.Idempotency != Deduplicated {
 		c.emit(Action{Kind: CancelRun, RequestID: r.id})
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// maxWaitFraction is the part of a request's spare time that it may be expected to wait. Runs
-	// vary: a longer wait would start requests that end late.
+	// maxWaitFraction is the fraction of a request's spare time that it may be expected to wait.
+	// Run times vary: after a longer wait requests would end late.
 	maxWaitFraction = 0.25
-	// minCost bounds the cost of a request from below where it is divided by.
+	// minCost is the least cost of a request, which is a divisor.
 	minCost = 1e-4
 )
 
-// bySoftDeadline orders requests by soft deadline, with what is over its tenant's quota last.
+// bySoftDeadline orders requests by soft deadline, with those over their tenant's quota last.
 func bySoftDeadline(a, b *request) int {
 	if a.overQuota != b.overQuota {
 		if a.overQuota {
@@ -24,8 +24,7 @@
 	return cmp.Compare(a.softDeadline, b.softDeadline)
 }
 
-// first returns the request that passes the filter and comes before all others that do; nil where
-// none passes.
+// first returns the first request by the order of those that pass the filter, or nil.
 func (c *Controller) first(filter func(*request) bool, order func(a, b *request) int) *request {
 	var best *request
 	for _, r := range c.requests {
@@ -53,11 +52,11 @@
 	}
 	memory := &c.memory
 	fits := memory.used()+r.memory*(memory.runningFactor-1) <= memoryForRequests*memory.limit
-	// While many wait for their call to be dispatched, more of their kind would be wasted work,
-	// unless they can do without.
+	// While many await their call, more of their kind would be wasted work, unless they can be
+	// degraded.
 	stuck := r.class.CallsDownstream && r.class.DegradedValue == 0 &&
 		c.count(stateAwaitingDownstream) >= max(2, c.downstream.limit)
-	// What is over its tenant's quota leaves room for another, as it can't be taken off for them.
+	// A request over its tenant's quota leaves room for one within, as it can't be preempted later.
 	leavesRoom := !r.overQuota || c.count(statesOnCore) < max(1, c.concurrency.runLimit-1)
 	return fits && !stuck && leavesRoom
 }
@@ -65,9 +64,8 @@
 // work is an amount of work, in seconds of a core and of a downstream call.
 type work struct{ run, call float64 }
 
-// shedQueue goes through the queue by soft deadline and rejects what the cores, or the calls, can't
-// reach in time: of all up to the one that would be late, the one that has the least value for what
-// it costs.
+// shedQueue goes through the queue by soft deadline. Where cores or calls can't reach a request in
+// time, it rejects the one with the lowest value density of those up to it.
 func (c *Controller) shedQueue() {
 	queue := c.inState(stateQueued)
 	slices.SortStableFunc(queue, bySoftDeadline)
@@ -91,8 +89,8 @@
 	}
 }
 
-// expectedWork is what a run of the class is expected to take of cores, and of calls: none where it
-// can do without.
+// expectedWork returns what a run of the class is expected to take: of calls nothing, where it can
+// be degraded.
 func (c *Controller) expectedWork(class *learnedClass) work {
 	expected := work{run: class.runTime.mean}
 	if class.DegradedValue <= 0 {
@@ -101,8 +99,8 @@
 	return expected
 }
 
-// expectedWait is how long a request waits for the work ahead of it, and whether calls rather than
-// cores make it wait.
+// expectedWait returns how long a request waits for the work ahead of it, and whether it waits for
+// calls rather than for cores.
 func (c *Controller) expectedWait(ahead, own work) (wait float64, byCalls bool) {
 	wait = ahead.run / c.concurrency.runLimit
 	if own.call <= 0 {
@@ -114,8 +112,8 @@
 	return wait, false
 }
 
-// leastDense returns the index of the request with the lowest value density; the last is one to
-// choose from in any case, the others only where they call downstream or cores are what is scarce.
+// leastDense returns the index of the request with the lowest value density. Where calls are what
+// is scarce it passes over those that need none, except the last, for which the others make way.
 func (c *Controller) leastDense(queue []*request, byCalls bool) int {
 	least := len(queue) - 1
 	lowest := c.valueDensity(queue[least])
@@ -131,8 +129,8 @@
 	return least
 }
 
-// valueDensity is the value of a request for what it costs of cores and calls. It counts for more
-// the fewer of its class are admitted, or the least valuable class alone would be rejected.
+// valueDensity returns the value of a request per cost in cores and calls. It is higher the fewer
+// of its class are admitted, or the least valuable class alone would be rejected.
 func (c *Controller) valueDensity(r *request) float64 {
 	expected := c.expectedWork(r.class)
 	cost := expected.run/c.concurrency.runLimit + expected.call/c.downstream.limit
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// unevenClients is by how much a tenant's traffic at a server may exceed the mean over all
-	// servers.
+	// unevenClients is the ratio of a tenant's traffic at one server to its mean over all servers
+	// up to which it is within its quota: clients are not spread evenly.
 	unevenClients = 1.5
 	// A tenant may send burstDuration seconds of its rate at once, and minBurst requests however
 	// few those are: one whose requests come by chance and that keeps to its quota is over such a
@@ -17,10 +17,10 @@
 	minBurst      = 6
 )
 
-// quotaLimiter holds what each tenant may have run here.
+// quotaLimiter holds the quota of each tenant at this server.
 type quotaLimiter struct{ tenants []tenantQuota }
 
-// tenantQuota is what one tenant may have run here.
+// tenantQuota is the quota of one tenant at this server.
 type tenantQuota struct {
 	timewindow.TokenBucket
 	// binding tells that it is a share of a budget that holds for all servers together, so that
@@ -57,8 +57,8 @@
 	return true
 }
 
-// handleAllowance takes the server's share of a budget over. Exception to the design: what all
-// servers share is not estimated then.
+// handleAllowance replaces the server's own estimate of a quota by its share of a budget. Exception
+// to the design: what all servers share is not estimated then.
 func (c *Controller) handleAllowance(a *Allowance) {
 	switch {
 	case a.Tenant < 0:
