--- a/admission/model_test.go
+++ b/admission/model_test.go
@@ -277,7 +277,7 @@
 		return fmt.Errorf("memory %.0f over %.0f", memory, m.settings.Memory.Limit)
 	}
 	if n := m.count(placeOnCore); float64(n) > m.survivableRuns() {
-		return fmt.Errorf("%d crowd the cores", n)
+		return fmt.Errorf("%d runs are too many for the cores", n)
 	}
 	return m.checkCalls()
 }
