--- a/cmd/swiftcourse-fleet/main.go
+++ b/cmd/swiftcourse-fleet/main.go
@@ -75,9 +75,9 @@
 		return err
 	}
 	silent := map[config.FallbackMode]serving.Mode{
-		config.FallbackNormal:       lease.FallbackNormal,
-		config.FallbackSafeDefaults: lease.FallbackSafeDefaults,
-		config.FallbackOutOfService: lease.FallbackOutOfService,
+		config.FallbackNormal:       serving.ModeNormal,
+		config.FallbackSafeDefaults: serving.ModeSafeDefaults,
+		config.FallbackOutOfService: serving.ModeOutOfService,
 	}[own.Fleet.FallbackMode]
 	kept, err := copies(start, own, loop)
 	if err != nil {
