--- a/internal/server/closing_test.go
+++ b/internal/server/closing_test.go
@@ -31,30 +31,30 @@
 }
 
 // Bytes that are no message cost the connection they came on, and nothing that was read on it before.
-func TestWhatIsNoMessageCostsNothingReadBefore(t *testing.T) {
-	w := startServer(t, nil)
-	b, c := w.dialClient(), w.dialClient()
-	b.send("%s%s\xc1%s", requestFrame(1, "a1", "x"), healthCheckFrame, requestFrame(2, "a2", "x")) // all in one piece
-	b.expect("\xc0\x92\xc3")
-	w.executor.expectCommand("begin", "a1")
-	b.send("%s", requestFrame(3, "a3", "x")) // nothing of it is read any more
-	c.send("%s\xc1", healthCheckFrame)       // its answer is not out as the bytes are met
-	c.expect("\xc0\x92\xc3")
-	if _, err := io.ReadAll(c.in); err != nil {
+func TestMutedConnection_AnswersRequestsReadBefore(t *testing.T) {
+	f := startServer(t, nil)
+	client, other := f.dialClient(), f.dialClient()
+	client.send("%s%s\xc1%s", requestFrame(1, "a1", "x"), healthCheckFrame, requestFrame(2, "a2", "x")) // all in one piece
+	client.expect("\xc0\x92\xc3")
+	f.executor.expectCommand("begin", "a1")
+	client.send("%s", requestFrame(3, "a3", "x")) // nothing of it is read any more
+	other.send("%s\xc1", healthCheckFrame)        // its answer is not out as the bytes are met
+	other.expect("\xc0\x92\xc3")
+	if _, err := io.ReadAll(other.in); err != nil {
 		t.Errorf("instead of its end: %v", err)
 	}
-	w.executor.sendCompletion(1, "a1", "done", "r")
-	b.expect(answerPrefix(1) + resultPrefix + "\x01r")
-	if _, err := io.ReadAll(b.in); err != nil {
+	f.executor.sendCompletion(1, "a1", "done", "r")
+	client.expect(answerPrefix(1) + resultPrefix + "\x01r")
+	if _, err := io.ReadAll(client.in); err != nil {
 		t.Errorf("instead of its end: %v", err)
 	}
-	if read := query(w, func(s *Server) int { return s.statistics.read }); read != 1 {
+	if read := query(f, func(s *Server) int { return s.statistics.read }); read != 1 {
 		t.Errorf("%d tasks were read", read)
 	}
 }
 
 // One that sends what is no message and then takes none of its answers is closed all the same.
-func TestWhoIsMutedAndDoesNotReadIsClosed(t *testing.T) {
+func TestMutedConnection_ClosedWhenAnswersUnread(t *testing.T) {
 	logging.SetOutput(io.Discard)
 	s := newServerWithoutLoop(30)
 	p, c, _ := addLinkedClient(t, s)
@@ -72,7 +72,7 @@
 }
 
 // What comes across a close is read to its end and thrown away: an unread byte at the close would reset the connection.
-func TestNothingIsLeftUnreadByAClose(t *testing.T) {
+func TestLingeringConnection_DiscardsLateBytes(t *testing.T) {
 	logging.SetOutput(io.Discard)
 	for _, leaves := range []bool{true, false} {
 		s := newServerWithoutLoop(30)
@@ -99,7 +99,7 @@
 }
 
 // Connections that close hold few descriptors, but in a server that leaves, which needs none.
-func TestFewConnectionsCloseAtATime(t *testing.T) {
+func TestLingeringConnection_CountBounded(t *testing.T) {
 	logging.SetOutput(io.Discard)
 	for _, leaves := range []bool{false, true} {
 		s := newServerWithoutLoop(30)
@@ -122,7 +122,7 @@
 }
 
 // Just before the kill our side of what is owed nothing is shut, so that nothing unread resets it as the process ends; what is owed an answer stays.
-func TestOurSideIsShutBeforeTheKill(t *testing.T) {
+func TestDrain_HalfClosesBeforeKill(t *testing.T) {
 	logging.SetOutput(io.Discard)
 	s := newServerWithoutLoop(30)
 	s.acceptor = &acceptor{done: make(chan struct{}), wakeFD: -1}
--- a/internal/server/guard_test.go
+++ b/internal/server/guard_test.go
@@ -27,26 +27,26 @@
 }
 
 // dialFrom dials the server from an address of loopback.
-func (w *fixture) dialFrom(addr string) (*testConn, error) {
+func (f *fixture) dialFrom(addr string) (*testConn, error) {
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(addr)}, Timeout: testTimeout}
-	c, err := d.Dial("tcp", w.server.startup.Listen)
+	c, err := d.Dial("tcp", f.server.startup.Listen)
 	if err != nil {
 		return nil, err
 	}
-	return newTestConn(w.T, c), nil
+	return newTestConn(f.T, c), nil
 }
 
 const healthCheckFrame = "\x94\x00\x01\xa6isWell\x91\x80"
 
 // floodWithConnections has strangers hold connections and do a health check on each, from ever new addresses, until it is stopped.
-func (w *fixture) floodWithConnections(ctx context.Context, prefix string) *atomic.Int64 {
+func (f *fixture) floodWithConnections(ctx context.Context, prefix string) *atomic.Int64 {
 	var tries atomic.Int64
 	for i := range 8 {
 		go func() {
 			var held []net.Conn
 			for n := 0; ctx.Err() == nil; n++ {
 				d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(fmt.Sprintf("%s.%d.%d", prefix, i, n%250+1))}, Timeout: time.Second}
-				c, err := d.DialContext(ctx, "tcp", w.server.startup.Listen)
+				c, err := d.DialContext(ctx, "tcp", f.server.startup.Listen)
 				tries.Add(1)
 				if err != nil {
 					continue
@@ -65,46 +65,46 @@
 	return &tries
 }
 
-func TestKnownOnesGetInDuringAFlood(t *testing.T) {
-	w := startServerWith(t, func(s *config.Startup) { s.MaxSockets = 128 }, guardedConfig(t, "door-known 127.7.0.0/16"))
-	busy, err := w.dialFrom("127.8.0.1") // a stranger whose task is open all the while
+func TestConnLimit_TrustedAdmittedDuringFlood(t *testing.T) {
+	f := startServerWith(t, func(s *config.Startup) { s.MaxSockets = 128 }, guardedConfig(t, "door-known 127.7.0.0/16"))
+	busy, err := f.dialFrom("127.8.0.1") // a stranger whose task is open all the while
 	if err != nil {
 		t.Fatal(err)
 	}
 	busy.send("%s", requestFrame(1, "b1", "x"))
-	w.executor.expectCommand("begin", "b1")
+	f.executor.expectCommand("begin", "b1")
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	tries := w.floodWithConnections(ctx, "127.6")
+	tries := f.floodWithConnections(ctx, "127.6")
 	for tries.Load() < 500 {
 		time.Sleep(time.Millisecond)
 	}
 	for i := range 20 {
-		b, err := w.dialFrom(fmt.Sprintf("127.7.0.%d", i+1))
+		client, err := f.dialFrom(fmt.Sprintf("127.7.0.%d", i+1))
 		if err != nil {
 			t.Fatalf("known one %d: %v", i, err)
 		}
 		id := fmt.Sprint("k", i)
-		b.send("%s", requestFrame(1, id, "x"))
-		w.executor.expectCommand("begin", id)
-		w.executor.sendCompletion(i+1, id, "done", "r")
-		b.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
+		client.send("%s", requestFrame(1, id, "x"))
+		f.executor.expectCommand("begin", id)
+		f.executor.sendCompletion(i+1, id, "done", "r")
+		client.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
 	}
 	stop()
-	w.executor.sendCompletion(21, "b1", "done", "r")
+	f.executor.sendCompletion(21, "b1", "done", "r")
 	busy.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
 	busy.Close()
 }
 
-func TestWhoIsTurnedAwayHasAnAnswer(t *testing.T) {
-	w := startServerWith(t, func(s *config.Startup) { s.Settings.MaxRetryAfter = 5 }, guardedConfig(t, "door-per-address 1"))
-	first, err := w.dialFrom("127.6.0.1")
+func TestConnLimit_RejectedClientGetsAnswer(t *testing.T) {
+	f := startServerWith(t, func(s *config.Startup) { s.Settings.MaxRetryAfter = 5 }, guardedConfig(t, "door-per-address 1"))
+	first, err := f.dialFrom("127.6.0.1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	first.send(healthCheckFrame)
 	first.expect("\xc3\x80")
-	second, err := w.dialFrom("127.6.0.1")
+	second, err := f.dialFrom("127.6.0.1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +116,7 @@
 	if _, err := io.ReadAll(second.in); err != nil { // and then its close
 		t.Error(err)
 	}
-	silent, err := w.dialFrom("127.6.0.1") // brings nothing: closed all the same
+	silent, err := f.dialFrom("127.6.0.1") // brings nothing: closed all the same
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,15 +124,15 @@
 		t.Error(err)
 	}
 	first.send("%s", requestFrame(2, "a2", "x")) // the one that is in goes on
-	w.executor.expectCommand("begin", "a2")
-	w.executor.sendCompletion(1, "a2", "done", "r")
+	f.executor.expectCommand("begin", "a2")
+	f.executor.sendCompletion(1, "a2", "done", "r")
 	first.expect(answerPrefix(2) + resultPrefix + "\x01r\x80")
-	if turned := query(w, func(s *Server) int { return s.connLimiter.Turned(connlimit.OverCap) }); turned != 2 {
+	if turned := query(f, func(s *Server) int { return s.connLimiter.Turned(connlimit.OverCap) }); turned != 2 {
 		t.Errorf("%d turned away", turned)
 	}
 }
 
-func TestAcceptThatFailsForSecondsEndsNothing(t *testing.T) {
+func TestAcceptor_SurvivesFailingAccepts(t *testing.T) {
 	for i, lack := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENOMEM} {
 		var fails atomic.Bool
 		var times atomic.Int64
@@ -141,7 +141,7 @@
 			door = guardedConfig(t, "")
 		} // and the plain server
 		recovered := make(chan struct{}, 1) // it waits again, and takes nobody by the spare descriptor any more
-		w := startServerWith(t, nil, door, func(s *Server) {
+		f := startServerWith(t, nil, door, func(s *Server) {
 			s.acceptBy = func(accept func() (acceptedSocket, error)) func() (acceptedSocket, error) {
 				return func() (acceptedSocket, error) {
 					if fails.Load() {
@@ -158,19 +158,19 @@
 				}
 			}
 		})
-		b := w.dialClient()
-		b.send("%s", requestFrame(2, "a2", "x")) // with its task open it can't go for another
-		w.executor.expectCommand("begin", "a2")
+		client := f.dialClient()
+		client.send("%s", requestFrame(2, "a2", "x")) // with its task open it can't go for another
+		f.executor.expectCommand("begin", "a2")
 		fails.Store(true)
-		w.dialClient().Close() // wakes the accept that is under way
-		late := w.dialClient()
+		f.dialClient().Close() // wakes the accept that is under way
+		late := f.dialClient()
 		late.send("%s", requestFrame(1, "a1", "x"))
-		b.send("%s", requestFrame(3, "a3", "x")) // those that are in go on
-		w.executor.expectCommand("begin", "a3")
-		w.executor.sendCompletion(1, "a3", "done", "s")
-		b.expect(answerPrefix(3) + resultPrefix + "\x01s\x80")
-		w.executor.sendCompletion(2, "a2", "done", "r")
-		b.expect(answerPrefix(2) + resultPrefix + "\x01r\x80")
+		client.send("%s", requestFrame(3, "a3", "x")) // those that are in go on
+		f.executor.expectCommand("begin", "a3")
+		f.executor.sendCompletion(1, "a3", "done", "s")
+		client.expect(answerPrefix(3) + resultPrefix + "\x01s\x80")
+		f.executor.sendCompletion(2, "a2", "done", "r")
+		client.expect(answerPrefix(2) + resultPrefix + "\x01r\x80")
 		time.Sleep(200 * time.Millisecond)
 		if n := times.Load(); n == 0 || n > 100 {
 			t.Errorf("%v: %d tries in a fifth of a second", lack, n)
@@ -179,34 +179,34 @@
 			late.expect("Busy")
 			fails.Store(false)
 			<-recovered
-			late = w.dialClient()
+			late = f.dialClient()
 			late.send("%s", requestFrame(1, "a1", "x"))
 		}
 		fails.Store(false)
-		w.executor.expectCommand("begin", "a1")
-		w.executor.sendCompletion(3, "a1", "done", "r")
+		f.executor.expectCommand("begin", "a1")
+		f.executor.sendCompletion(3, "a1", "done", "r")
 		late.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
 	}
 }
 
 // Accept fails for good as the server is told to leave: it ends all the same.
-func TestAServerWhoseAcceptFailsLeaves(t *testing.T) {
-	w := startServerWith(t, func(s *config.Startup) { s.StopTimeout = 10 }, nil, func(s *Server) {
+func TestDrain_WhileAcceptFails(t *testing.T) {
+	f := startServerWith(t, func(s *config.Startup) { s.StopTimeout = 10 }, nil, func(s *Server) {
 		s.acceptBy = func(func() (acceptedSocket, error)) func() (acceptedSocket, error) {
 			return func() (acceptedSocket, error) { return acceptedSocket{}, syscall.ENFILE }
 		}
 	})
-	w.server.Drain()
-	if err := <-w.runResult; err != nil {
+	f.server.Drain()
+	if err := <-f.runResult; err != nil {
 		t.Error(err)
 	}
-	if left := w.server.killAt - w.server.now(); left < 1 {
+	if left := f.server.killAt - f.server.now(); left < 1 {
 		t.Errorf("it ended %.3f s before the kill", left)
 	}
-	w.runResult <- nil
+	f.runResult <- nil
 }
 
-func TestTheSpareDescriptorAnswersPolitely(t *testing.T) {
+func TestAcceptor_SpareDescriptorRefusesWithAnswer(t *testing.T) {
 	a, err := newAcceptor("127.0.0.9:0")
 	if err != nil {
 		t.Fatal(err)
@@ -258,11 +258,11 @@
 	}
 }
 
-func TestHalfOfAllBalancersReturnAtOnce(t *testing.T) {
+func TestConnLimit_MassReconnect(t *testing.T) {
 	const n = 200
-	w := startServerWith(t, func(s *config.Startup) { s.MaxSockets = 1024 }, guardedConfig(t, ""))
+	f := startServerWith(t, func(s *config.Startup) { s.MaxSockets = 1024 }, guardedConfig(t, ""))
 	for range 2 {
-		crowd, err := balancer.Hold(w.server.startup.Listen, n, true)
+		crowd, err := balancer.Hold(f.server.startup.Listen, n, true)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -270,49 +270,49 @@
 			t.Errorf("%d of %d are in", crowd.Len(), n)
 		}
 		crowd.Leave()
-		waitUntil(w, 0, clientCount)
+		waitUntil(f, 0, clientCount)
 	}
-	if k := query(w, func(s *Server) connlimit.Tally { return s.connLimiter.Known() }); k.In != 0 || k.BusyStrangers != 0 {
+	if k := query(f, func(s *Server) connlimit.Tally { return s.connLimiter.Known() }); k.In != 0 || k.BusyStrangers != 0 {
 		t.Errorf("%+v", k)
 	}
 }
 
-func TestAGuardedServerLeavesDuringAFlood(t *testing.T) {
-	w := startServerWith(t, func(s *config.Startup) { s.MaxSockets, s.StopTimeout = 256, 8 }, guardedConfig(t, ""))
-	b := w.dialClient()
-	b.send("%s", requestFrame(1, "a1", "x"))
-	w.executor.expectCommand("begin", "a1")
+func TestDrain_DuringFlood(t *testing.T) {
+	f := startServerWith(t, func(s *config.Startup) { s.MaxSockets, s.StopTimeout = 256, 8 }, guardedConfig(t, ""))
+	client := f.dialClient()
+	client.send("%s", requestFrame(1, "a1", "x"))
+	f.executor.expectCommand("begin", "a1")
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	w.floodWithConnections(ctx, "127.6")
-	w.server.Drain()
-	w.executor.sendCompletion(1, "a1", "done", "r")
-	b.expect(answerPrefix(1) + resultPrefix + "\x01r")
-	if err := <-w.runResult; err != nil {
+	f.floodWithConnections(ctx, "127.6")
+	f.server.Drain()
+	f.executor.sendCompletion(1, "a1", "done", "r")
+	client.expect(answerPrefix(1) + resultPrefix + "\x01r")
+	if err := <-f.runResult; err != nil {
 		t.Error(err)
 	}
-	if w.server.killAt-w.server.now() < 0 {
+	if f.server.killAt-f.server.now() < 0 {
 		t.Error("after the kill")
 	}
-	w.runResult <- nil
+	f.runResult <- nil
 }
 
-func TestRulesAreTakenAgainWhileServing(t *testing.T) {
-	w := startServerWith(t, nil, guardedConfig(t, "door-per-address 1"))
+func TestConnLimit_RulesReloaded(t *testing.T) {
+	f := startServerWith(t, nil, guardedConfig(t, "door-per-address 1"))
 	in := func() bool {
-		b, err := w.dialFrom("127.6.0.1")
+		client, err := f.dialFrom("127.6.0.1")
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.send("%s", requestFrame(1, "a1", "x"))
-		waitUntil(w, true, func(s *Server) bool { return s.requests.Len() > 0 || s.statistics.rejectedAtLimit > 0 })
-		is := query(w, func(s *Server) bool { return s.requests.Len() > 0 })
+		client.send("%s", requestFrame(1, "a1", "x"))
+		waitUntil(f, true, func(s *Server) bool { return s.requests.Len() > 0 || s.statistics.rejectedAtLimit > 0 })
+		is := query(f, func(s *Server) bool { return s.requests.Len() > 0 })
 		if is {
-			w.executor.expectCommand("begin", "a1")
+			f.executor.expectCommand("begin", "a1")
 		}
 		return is
 	}
-	first, err := w.dialFrom("127.6.0.1")
+	first, err := f.dialFrom("127.6.0.1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -321,9 +321,9 @@
 	if in() {
 		t.Error("over its cap")
 	}
-	w.server.ReloadConfig(guardedConfig(t, "door-known 127.6.0.0/16\ndoor-remember 128"))
-	waitUntil(w, true, func(s *Server) bool { return len(s.connLimiter.Named) > 0 })
-	query(w, func(s *Server) bool { s.statistics.rejectedAtLimit = 0; return true })
+	f.server.ReloadConfig(guardedConfig(t, "door-known 127.6.0.0/16\ndoor-remember 128"))
+	waitUntil(f, true, func(s *Server) bool { return len(s.connLimiter.Named) > 0 })
+	query(f, func(s *Server) bool { s.statistics.rejectedAtLimit = 0; return true })
 	if !in() {
 		t.Error("a named one is not let in")
 	}
--- a/internal/server/idle_test.go
+++ b/internal/server/idle_test.go
@@ -21,37 +21,37 @@
 )
 
 // query runs a question on the server's loop.
-func query[T any](w *fixture, question func(*Server) T) T {
-	w.Helper()
+func query[T any](f *fixture, question func(*Server) T) T {
+	f.Helper()
 	answer := make(chan T, 1)
-	_ = w.server.loop.Execute(w.Context(), gnet.RunnableFunc(func(context.Context) error {
-		answer <- question(w.server)
+	_ = f.server.loop.Execute(f.Context(), gnet.RunnableFunc(func(context.Context) error {
+		answer <- question(f.server)
 		return nil
 	}))
 	return <-answer
 }
 
 // waitUntil waits until an answer is what it should be.
-func waitUntil[T comparable](w *fixture, want T, question func(*Server) T) {
-	w.Helper()
+func waitUntil[T comparable](f *fixture, want T, question func(*Server) T) {
+	f.Helper()
 	var got T
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if got = query(w, question); got == want {
+		if got = query(f, question); got == want {
 			return
 		}
 	}
-	w.Fatalf("%v, not %v", got, want)
+	f.Fatalf("%v, not %v", got, want)
 }
 
 func clientCount(s *Server) int { return s.clients.Len() }
 
-func (w *fixture) holdClients(n int, heeds bool) *balancer.Crowd {
-	w.Helper()
-	c, err := balancer.Hold(w.server.startup.Listen, n, heeds)
+func (f *fixture) holdClients(n int, heeds bool) *balancer.Crowd {
+	f.Helper()
+	c, err := balancer.Hold(f.server.startup.Listen, n, heeds)
 	if err != nil {
-		w.Fatal(err)
+		f.Fatal(err)
 	}
-	w.Cleanup(c.Leave)
+	f.Cleanup(c.Leave)
 	return c
 }
 
@@ -63,7 +63,7 @@
 	return s
 }
 
-func TestThousandsOfTimersOfOneInstantLeaveRoomForAnswers(t *testing.T) {
+func TestTurn_BoundsTimers(t *testing.T) {
 	s := newServerWithoutLoop(30)
 	const n = 10_000
 	did := 0
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestAConnectionThatWakesWhileItIsClosedHasItsAnswer(t *testing.T) {
+func TestGracefulClose_RequestArrivingMeanwhileIsAnswered(t *testing.T) {
 	logging.SetOutput(io.Discard)
 	for _, wakes := range []bool{true, false} {
 		s := newServerWithoutLoop(30)
@@ -162,7 +162,7 @@
 	}
 }
 
-func TestHalfAMessageAndADaysSilence(t *testing.T) {
+func TestClientConn_PartialMessageThenSilence(t *testing.T) {
 	logging.SetOutput(io.Discard)
 	for _, spoke := range []bool{false, true} {
 		s := newServerWithoutLoop(1e9)
@@ -187,70 +187,70 @@
 	}
 }
 
-func TestAStormOfReconnectsAfterAMassClose(t *testing.T) {
+func TestGracefulClose_ReconnectStorm(t *testing.T) {
 	const n = 1500
-	w := startServer(t, func(s *config.Startup) { s.MaxSockets, s.Settings.IdleTimeout = 4000, 0.4 })
+	f := startServer(t, func(s *config.Startup) { s.MaxSockets, s.Settings.IdleTimeout = 4000, 0.4 })
 	for _, heeds := range []bool{true, false, true} {
-		crowd := w.holdClients(n, heeds)
-		busy := w.dialClient()
+		crowd := f.holdClients(n, heeds)
+		busy := f.dialClient()
 		for i := byte(1); crowd.Len() > 0; i = i%100 + 1 { // a busy one goes on meanwhile
 			id := fmt.Sprintf("t%t%d", heeds, time.Now().UnixNano())
 			busy.send("%s", requestFrame(i, id, "x"))
-			w.executor.expectCommand("begin", id)
-			w.executor.sendCompletion(int(query(w, func(s *Server) int64 { return s.executor.lastNotice }))+1, id, "done", "r")
+			f.executor.expectCommand("begin", id)
+			f.executor.sendCompletion(int(query(f, func(s *Server) int64 { return s.executor.lastNotice }))+1, id, "done", "r")
 			busy.expect(resultPrefix + "\x01r\x80")
 		}
 		busy.Close()
 		if asked := crowd.Asked.Load(); asked != n {
 			t.Errorf("%d of %d were asked to close", asked, n)
 		}
-		waitUntil(w, 0, clientCount)
+		waitUntil(f, 0, clientCount)
 	}
 }
 
-func TestADrainWithThousandsOfIdleConnectionsEndsByItself(t *testing.T) {
+func TestDrain_ThousandsOfIdleConnections(t *testing.T) {
 	const n = 3000
-	w := startServer(t, func(s *config.Startup) { s.MaxSockets, s.StopTimeout = 8000, 15 })
-	crowd := w.holdClients(n, false) // which heeds nothing
-	b := w.dialClient()
-	b.send("%s", requestFrame(1, "a1", "x"))
-	w.executor.expectCommand("begin", "a1")
-	w.server.Drain()
-	w.executor.sendCompletion(1, "a1", "done", "r")
-	b.expect(answerPrefix(1) + resultPrefix + "\x01r")
-	if err := <-w.runResult; err != nil {
+	f := startServer(t, func(s *config.Startup) { s.MaxSockets, s.StopTimeout = 8000, 15 })
+	crowd := f.holdClients(n, false) // which heeds nothing
+	client := f.dialClient()
+	client.send("%s", requestFrame(1, "a1", "x"))
+	f.executor.expectCommand("begin", "a1")
+	f.server.Drain()
+	f.executor.sendCompletion(1, "a1", "done", "r")
+	client.expect(answerPrefix(1) + resultPrefix + "\x01r")
+	if err := <-f.runResult; err != nil {
 		t.Error(err)
 	}
-	if left := w.server.killAt - w.server.now(); left < 1 || w.server.clients.Len() != 0 {
-		t.Errorf("it ended %.3f s before the kill with %d connections", left, w.server.clients.Len())
+	if left := f.server.killAt - f.server.now(); left < 1 || f.server.clients.Len() != 0 {
+		t.Errorf("it ended %.3f s before the kill with %d connections", left, f.server.clients.Len())
 	}
 	if crowd.Asked.Load() != n {
 		t.Errorf("%d of %d were asked to close", crowd.Asked.Load(), n)
 	}
-	w.runResult <- nil
+	f.runResult <- nil
 }
 
-func TestIdleConnectionsOutliveAReload(t *testing.T) {
+func TestReload_IdleConnectionsStay(t *testing.T) {
 	const n = 500
-	w := startServer(t, func(s *config.Startup) { s.MaxSockets = 4000 })
-	crowd := w.holdClients(n, true)
-	w.executorListener = listenLoopback(t)
-	w.server.SetEndpoints(w.addresses())
-	w.executor = acceptConn(t, w.executorListener)
-	w.executor.readCommand(false)
-	w.executor.send(`{"msg":"hi","how":"seasoned","duration":1}` + "\n")
-	w.executor.readCommand(true)
-	if got := query(w, func(s *Server) int { return s.connLimiter.Count(connlimit.Known) }); got != n || crowd.Len() != n {
+	f := startServer(t, func(s *config.Startup) { s.MaxSockets = 4000 })
+	crowd := f.holdClients(n, true)
+	f.executorListener = listenLoopback(t)
+	f.server.SetEndpoints(f.addresses())
+	f.executor = acceptConn(t, f.executorListener)
+	f.executor.readCommand(false)
+	f.executor.send(`{"msg":"hi","how":"seasoned","duration":1}` + "\n")
+	f.executor.readCommand(true)
+	if got := query(f, func(s *Server) int { return s.connLimiter.Count(connlimit.Known) }); got != n || crowd.Len() != n {
 		t.Errorf("%d known, %d stand", got, crowd.Len())
 	}
-	b := w.dialClient()
-	b.send("%s", requestFrame(1, "a1", "x"))
-	w.executor.expectCommand("begin", "a1")
-	w.executor.sendCompletion(1, "a1", "done", "r")
-	b.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
+	client := f.dialClient()
+	client.send("%s", requestFrame(1, "a1", "x"))
+	f.executor.expectCommand("begin", "a1")
+	f.executor.sendCompletion(1, "a1", "done", "r")
+	client.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
 	crowd.Leave()
-	b.Close()
-	waitUntil(w, "0 peers, 0 known, 0 busy, 0 buffers, next never", func(s *Server) string {
+	client.Close()
+	waitUntil(f, "0 peers, 0 known, 0 busy, 0 buffers, next never", func(s *Server) string {
 		next := "never"
 		if !math.IsInf(s.connLimiter.Next(), 1) && s.connLimiter.Next() > s.now() {
 			next = "ahead"
@@ -258,12 +258,12 @@
 		return fmt.Sprintf("%d peers, %d known, %d busy, %d buffers, next %s", s.clients.Len(), s.connLimiter.Count(connlimit.Known), s.connLimiter.Count(connlimit.Busy),
 			s.buffers.InUse, next)
 	})
-	if timers := query(w, func(s *Server) int { return s.timers.Len() }); timers > 10 {
+	if timers := query(f, func(s *Server) int { return s.timers.Len() }); timers > 10 {
 		t.Errorf("%d timers left", timers)
 	}
 }
 
-func TestTheMostConnectionsFollowFromDescriptorsAndMemory(t *testing.T) {
+func TestMaxClients_FromDescriptorsAndMemory(t *testing.T) {
 	for _, c := range []struct {
 		sockets   int
 		memory    int64
--- a/internal/server/leave_test.go
+++ b/internal/server/leave_test.go
@@ -17,45 +17,45 @@
 )
 
 // waitUntilRefused dials until the system refuses a connection: the listener closes a moment after the connections are asked to.
-func (w *fixture) waitUntilRefused() {
-	w.Helper()
+func (f *fixture) waitUntilRefused() {
+	f.Helper()
 	for {
-		c, err := net.DialTimeout("tcp", w.server.startup.Listen, testTimeout)
+		c, err := net.DialTimeout("tcp", f.server.startup.Listen, testTimeout)
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			return
 		}
 		if err == nil {
 			c.Close()
 		} else if !errors.Is(err, syscall.ECONNRESET) { // it lay in the queue as the listener closed, and nothing ran
-			w.Fatal(err)
+			f.Fatal(err)
 		}
 	}
 }
 
 // Tasks are open until the very end; that must not keep the connections open for new ones until then.
-func TestConnectionsAreAskedToCloseWhileTheirTasksRun(t *testing.T) {
-	w, b := startRunningRequest(t, func(s *config.Startup) { s.StopTimeout = 10 })
-	w.server.Drain()
-	b.expect("goaway\x90") // its task still runs
-	w.waitUntilRefused()
-	b.send("%s", requestFrame(2, "a2", "x")) // crossed that
-	b.expect(answerPrefix(2) + "\x92\xa4Busy")
-	w.executor.sendCompletion(1, "a1", "done", "r")
-	b.expect(answerPrefix(1) + resultPrefix + "\x01r")
-	b.Close()
-	if err := <-w.runResult; err != nil {
+func TestDrain_AsksToCloseWhileRequestsRun(t *testing.T) {
+	f, client := startRunningRequest(t, func(s *config.Startup) { s.StopTimeout = 10 })
+	f.server.Drain()
+	client.expect("goaway\x90") // its task still runs
+	f.waitUntilRefused()
+	client.send("%s", requestFrame(2, "a2", "x")) // crossed that
+	client.expect(answerPrefix(2) + "\x92\xa4Busy")
+	f.executor.sendCompletion(1, "a1", "done", "r")
+	client.expect(answerPrefix(1) + resultPrefix + "\x01r")
+	client.Close()
+	if err := <-f.runResult; err != nil {
 		t.Error(err)
 	}
-	if left := w.server.killAt - w.server.now(); left < 1 {
+	if left := f.server.killAt - f.server.now(); left < 1 {
 		t.Errorf("it ended %.3f s before the kill", left)
 	}
-	w.runResult <- nil
+	f.runResult <- nil
 }
 
 // Connections lie in the system's queue, with tasks on them, as the listener is to close.
-func TestWhoWaitsToBeAcceptedHasAnAnswer(t *testing.T) {
+func TestDrain_ConnectionsInBacklogAnswered(t *testing.T) {
 	gate := make(chan struct{}, 1)
-	w := startServerWith(t, func(s *config.Startup) { s.StopTimeout, s.Settings.Cores = 20, 4 }, nil, func(s *Server) {
+	f := startServerWith(t, func(s *config.Startup) { s.StopTimeout, s.Settings.Cores = 20, 4 }, nil, func(s *Server) {
 		s.acceptBy = func(accept func() (acceptedSocket, error)) func() (acceptedSocket, error) {
 			return func() (acceptedSocket, error) {
 				<-gate
@@ -64,57 +64,57 @@
 		}
 	})
 	gate <- struct{}{}
-	b := w.dialClient()
-	b.send("%s", requestFrame(1, "a1", "x"))
-	w.executor.expectCommand("begin", "a1")
-	c, d := w.dialClient(), w.dialClient()
-	c.send("%s", requestFrame(1, "a2", "x"))
-	d.send("%s%s", requestFrame(1, "a3", "x"), healthCheckFrame)
-	w.server.Drain()
-	b.expect("goaway\x90") // the acceptor was told to close by then, and takes nobody yet
+	client := f.dialClient()
+	client.send("%s", requestFrame(1, "a1", "x"))
+	f.executor.expectCommand("begin", "a1")
+	other, third := f.dialClient(), f.dialClient()
+	other.send("%s", requestFrame(1, "a2", "x"))
+	third.send("%s%s", requestFrame(1, "a3", "x"), healthCheckFrame)
+	f.server.Drain()
+	client.expect("goaway\x90") // the acceptor was told to close by then, and takes nobody yet
 	close(gate)
-	d.expect("\xc0\x92\xc2") // not well
-	if one, two := w.executor.readCommand(false), w.executor.readCommand(false); fmt.Sprint(one["msg"], " ", two["msg"]) != "begin begin" ||
+	third.expect("\xc0\x92\xc2") // not well
+	if one, two := f.executor.readCommand(false), f.executor.readCommand(false); fmt.Sprint(one["msg"], " ", two["msg"]) != "begin begin" ||
 		fmt.Sprint(one["call"], " ", two["call"]) != "a2 a3" && fmt.Sprint(one["call"], " ", two["call"]) != "a3 a2" { // they came before the notice
 		t.Fatal(one, two)
 	}
-	w.waitUntilRefused()
-	for i, e := range []*testConn{b, c, d} {
-		w.executor.sendCompletion(i+1, fmt.Sprintf("a%d", i+1), "done", "r")
+	f.waitUntilRefused()
+	for i, e := range []*testConn{client, other, third} {
+		f.executor.sendCompletion(i+1, fmt.Sprintf("a%d", i+1), "done", "r")
 		e.expect(answerPrefix(1) + resultPrefix + "\x01r")
 	}
-	for _, e := range []*testConn{b, c, d} {
+	for _, e := range []*testConn{client, other, third} {
 		e.Close()
 	}
-	if err := <-w.runResult; err != nil {
+	if err := <-f.runResult; err != nil {
 		t.Error(err)
 	}
-	w.runResult <- nil
+	f.runResult <- nil
 }
 
 // The processor comes up after the notice: nothing begins, and the server ends at once.
-func TestToldToLeaveBeforeTheProcessorIsUp(t *testing.T) {
-	w := startUnready(t, func(s *config.Startup) { s.StopTimeout, s.Settings.DrainGracePeriod = 20, 10 }, nil)
-	b := w.dialClient()
-	b.send("%s", requestFrame(1, "a1", "x"))
-	b.expect(answerPrefix(1) + "\x92\xa4Busy")
-	w.server.Drain()
-	b.expect("goaway\x90")
-	w.executor.send(`{"msg":"hi","how":"fresh","duration":1}` + "\n")
-	b.send("%s", requestFrame(2, "a2", "x"))
-	b.expect(answerPrefix(2) + "\x92\xa4Busy")
-	b.Close()
-	if err := <-w.runResult; err != nil {
+func TestDrain_BeforeExecutorIsUp(t *testing.T) {
+	f := startUnready(t, func(s *config.Startup) { s.StopTimeout, s.Settings.DrainGracePeriod = 20, 10 }, nil)
+	client := f.dialClient()
+	client.send("%s", requestFrame(1, "a1", "x"))
+	client.expect(answerPrefix(1) + "\x92\xa4Busy")
+	f.server.Drain()
+	client.expect("goaway\x90")
+	f.executor.send(`{"msg":"hi","how":"fresh","duration":1}` + "\n")
+	client.send("%s", requestFrame(2, "a2", "x"))
+	client.expect(answerPrefix(2) + "\x92\xa4Busy")
+	client.Close()
+	if err := <-f.runResult; err != nil {
 		t.Error(err)
 	}
-	if left := w.server.killAt - w.server.now(); left < 10 {
+	if left := f.server.killAt - f.server.now(); left < 10 {
 		t.Errorf("it ended %.3f s before the kill", left)
 	}
-	w.runResult <- nil
+	f.runResult <- nil
 }
 
 // An answer that a slow reader has not taken yet keeps its connection from being closed.
-func TestAnswersThatAreNotOutKeepTheConnection(t *testing.T) {
+func TestGracefulClose_WaitsForUnsentAnswers(t *testing.T) {
 	s := newServerWithoutLoop(30)
 	s.connLimiter.Idle(0)
 	_, c, far := addLinkedClient(t, s)
@@ -137,7 +137,7 @@
 }
 
 // A server that is over dials nobody any more, nor does a pooled connection whose call is over.
-func TestDialsEndWithWhatTheyAreFor(t *testing.T) {
+func TestDial_EndsWithItsContext(t *testing.T) {
 	s := New(&config.Startup{Addresses: config.Addresses{Executor: "127.0.0.9:1"}}, nil) // where nothing listens
 	l := listenLoopback(t)
 	never := func(context.Context) (<-chan gnet.RegisteredResult, error) { t.Error("dialled"); return nil, nil }
@@ -150,7 +150,7 @@
 }
 
 // Servers that lost the same party at once come back to it spread out, each in its own way every time.
-func TestDialsSpreadOut(t *testing.T) {
+func TestDialBackoff_SpreadBySeed(t *testing.T) {
 	met := map[time.Duration]int{}
 	for seed := range int64(100) {
 		if p := dialBackoff(seed, 20); p < 150*time.Millisecond || p > 300*time.Millisecond || p != dialBackoff(seed, 20) || dialBackoff(seed, 0) != 0 || dialBackoff(seed, singleAttempt) != 0 {
@@ -164,7 +164,7 @@
 }
 
 // The kill comes so long after the notice was sent, which may be heard late: the server and its module go by an earlier one.
-func TestANoticeThatIsHeardLate(t *testing.T) {
+func TestDrain_LateSignal(t *testing.T) {
 	const late = 0.12
 	for _, stop := range []float64{0.5, 4.5} {
 		s := New(&config.Startup{StopTimeout: stop}, nil)
@@ -178,7 +178,7 @@
 }
 
 // Told to leave before the processor has even accepted its link: there is nothing to answer, and the server ends.
-func TestToldToLeaveBeforeAnyConnection(t *testing.T) {
+func TestDrain_BeforeAnyConnection(t *testing.T) {
 	l := listenLoopback(t)
 	addr := l.Addr().String()
 	l.Close()
@@ -192,34 +192,34 @@
 }
 
 // What arrives with the word to close, or in part before it, is answered: a whole pipeline, and half a message.
-func TestWhatCrossesTheWordToCloseIsAnswered(t *testing.T) {
-	w := startServer(t, func(s *config.Startup) { s.StopTimeout = 10 })
-	b, c := w.dialClient(), w.dialClient()
-	b.send("%s", requestFrame(1, "a1", "x"))
-	w.executor.expectCommand("begin", "a1")
+func TestGracefulClose_CrossingRequestsAnswered(t *testing.T) {
+	f := startServer(t, func(s *config.Startup) { s.StopTimeout = 10 })
+	client, other := f.dialClient(), f.dialClient()
+	client.send("%s", requestFrame(1, "a1", "x"))
+	f.executor.expectCommand("begin", "a1")
 	half := requestFrame(1, "b1", "x", withArrival(float64(time.Now().Unix()+20))) // after all
-	c.send("%s", half[:50])
-	w.server.Drain()
-	b.expect("goaway\x90")
-	b.send("%s%s%s", requestFrame(2, "a2", "x"), requestFrame(3, "a3", "x"), requestFrame(4, "a4", "x"))
-	c.send("%s", half[50:])
+	other.send("%s", half[:50])
+	f.server.Drain()
+	client.expect("goaway\x90")
+	client.send("%s%s%s", requestFrame(2, "a2", "x"), requestFrame(3, "a3", "x"), requestFrame(4, "a4", "x"))
+	other.send("%s", half[50:])
 	for n := range byte(3) {
-		b.expect(answerPrefix(n+2) + "\x92\xa4Busy")
+		client.expect(answerPrefix(n+2) + "\x92\xa4Busy")
 	}
-	c.expect("goaway\x90")
-	c.expect(answerPrefix(1) + "\x92\xa4Busy")
-	w.executor.sendCompletion(1, "a1", "done", "r")
-	b.expect(answerPrefix(1) + resultPrefix + "\x01r")
+	other.expect("goaway\x90")
+	other.expect(answerPrefix(1) + "\x92\xa4Busy")
+	f.executor.sendCompletion(1, "a1", "done", "r")
+	client.expect(answerPrefix(1) + resultPrefix + "\x01r")
 }
 
 // Nothing is held back by the system: TCP_NODELAY is set on all that the server accepted or dialled.
-func TestNothingIsHeldBackOnAnyConnection(t *testing.T) {
-	w, _ := startRunningRequest(t, nil)
-	w.executor.sendCall(1, "a1", "c")
-	acceptConn(t, w.upstreamListener).expect("\r\nc\r\n")
-	w.onLoop(func(s *Server) {
-		for name, c := range map[string]gnet.Conn{"balancer": s.clients.AtSlot(0).conn, "processor": s.executor.conn, "catalogue": s.upstream.all[0].conn} {
-			if on, err := unix.GetsockoptInt(c.Fd(), unix.IPPROTO_TCP, unix.TCP_NODELAY); on == 0 || err != nil {
+func TestConnections_NoDelaySet(t *testing.T) {
+	f, _ := startRunningRequest(t, nil)
+	f.executor.sendCall(1, "a1", "c")
+	acceptConn(t, f.upstreamListener).expect("\r\nc\r\n")
+	f.onLoop(func(s *Server) {
+		for name, conn := range map[string]gnet.Conn{"balancer": s.clients.AtSlot(0).conn, "processor": s.executor.conn, "catalogue": s.upstream.all[0].conn} {
+			if on, err := unix.GetsockoptInt(conn.Fd(), unix.IPPROTO_TCP, unix.TCP_NODELAY); on == 0 || err != nil {
 				t.Errorf("%s: %d, %v", name, on, err)
 			}
 		}
@@ -227,24 +227,24 @@
 }
 
 // A reload to the same addresses changes nothing; two in a row, to a dead one and back, lose nothing.
-func TestReloadsToTheSameToADeadOneAndBack(t *testing.T) {
-	w, b := startRunningRequest(t, nil)
-	w.server.SetEndpoints(w.addresses())
-	w.executor.sendCall(1, "a1", "c") // over the same link
-	below := acceptConn(t, w.upstreamListener)
+func TestSetEndpoints_SameDeadAndBack(t *testing.T) {
+	f, client := startRunningRequest(t, nil)
+	f.server.SetEndpoints(f.addresses())
+	f.executor.sendCall(1, "a1", "c") // over the same link
+	below := acceptConn(t, f.upstreamListener)
 	below.expect("\r\nc\r\n")
-	dead := w.addresses()
+	dead := f.addresses()
 	dead.Executor, dead.Upstream = "127.0.0.9:1", "127.0.0.9:1"
-	w.server.SetEndpoints(dead)
-	w.server.SetEndpoints(w.addresses())
+	f.server.SetEndpoints(dead)
+	f.server.SetEndpoints(f.addresses())
 	below.send("a1 DATA 1\r\nd\r\n") // calls in hand end where they are
-	p := acceptConn(t, w.executorListener)
-	p.readCommand(false)
-	p.send(`{"msg":"hi","how":"seasoned","duration":1}` + "\n")
-	p.readCommand(true)
-	if m := p.expectCommand("answer", "a1"); m["blob"] != "ZA==" {
+	executor := acceptConn(t, f.executorListener)
+	executor.readCommand(false)
+	executor.send(`{"msg":"hi","how":"seasoned","duration":1}` + "\n")
+	executor.readCommand(true)
+	if m := executor.expectCommand("answer", "a1"); m["blob"] != "ZA==" {
 		t.Error(m)
 	}
-	p.sendCompletion(2, "a1", "done", "r")
-	b.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
+	executor.sendCompletion(2, "a1", "done", "r")
+	client.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
 }
--- a/internal/server/link_test.go
+++ b/internal/server/link_test.go
@@ -14,46 +14,46 @@
 	"swiftcourse/internal/logging"
 )
 
-func TestNewAddressesTakeAllThatIsNew(t *testing.T) {
-	w, b := startRunningRequest(t, nil)
-	w.executor.sendCall(1, "a1", "c")
-	old := acceptConn(t, w.upstreamListener)
+func TestSetEndpoints_NewTrafficUsesNewAddresses(t *testing.T) {
+	f, client := startRunningRequest(t, nil)
+	f.executor.sendCall(1, "a1", "c")
+	old := acceptConn(t, f.upstreamListener)
 	old.expect("\r\nc\r\n")
-	before, oldProcessor := *w, w.executor
+	before, oldProcessor := *f, f.executor
 	for range 2 { // the second before the first can have come through
-		w.executorListener, w.upstreamListener, w.registry = listenLoopback(t), listenLoopback(t), newFakeRegistry(t)
-		w.server.SetEndpoints(w.addresses())
+		f.executorListener, f.upstreamListener, f.registry = listenLoopback(t), listenLoopback(t), newFakeRegistry(t)
+		f.server.SetEndpoints(f.addresses())
 	}
-	w.executor = acceptConn(t, w.executorListener)
-	if hello := w.executor.readCommand(false); hello["msg"] != "hello" || hello["serial"] != 1.0 {
+	f.executor = acceptConn(t, f.executorListener)
+	if hello := f.executor.readCommand(false); hello["msg"] != "hello" || hello["serial"] != 1.0 {
 		t.Fatal(hello)
 	}
-	w.executor.send(`{"msg":"hi","how":"seasoned","duration":3600000}` + "\n")
-	w.executor.readCommand(true)
+	f.executor.send(`{"msg":"hi","how":"seasoned","duration":3600000}` + "\n")
+	f.executor.readCommand(true)
 	if _, err := io.ReadAll(oldProcessor.in); err != nil {
 		t.Errorf("the old link ends with %v", err)
 	}
 	old.send("a1 DATA 1\r\nd\r\n") // a call in hand ends where it was made
-	w.executor.expectCommand("answer", "a1")
-	w.executor.sendCall(2, "a1", "e") // and the next one goes to the new address
-	below := acceptConn(t, w.upstreamListener)
+	f.executor.expectCommand("answer", "a1")
+	f.executor.sendCall(2, "a1", "e") // and the next one goes to the new address
+	below := acceptConn(t, f.upstreamListener)
 	below.expect("\r\ne\r\n")
 	below.send("a1 DATA 1\r\nf\r\n")
-	w.executor.expectCommand("answer", "a1")
-	w.executor.sendCompletion(3, "a1", "done", "r")
-	b.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
+	f.executor.expectCommand("answer", "a1")
+	f.executor.sendCompletion(3, "a1", "done", "r")
+	client.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
 	for _, l := range []net.Listener{before.executorListener, before.upstreamListener} {
 		_ = l.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Millisecond))
 		if _, err := l.Accept(); err == nil {
 			t.Error("dialled at an old address")
 		}
 	}
-	if report := <-w.registry.Reports(); !report.Takes { // at the new roster
+	if report := <-f.registry.Reports(); !report.Takes { // at the new roster
 		t.Error(report)
 	}
 }
 
-func TestADialGoesToTheAddressOfTheMoment(t *testing.T) {
+func TestDial_UsesCurrentAddress(t *testing.T) {
 	s := New(&config.Startup{Addresses: config.Addresses{Executor: "127.0.0.9:1"}}, nil) // where nothing listens
 	to := make(chan string, 1)
 	s.dialWith(func(ctx context.Context) (<-chan gnet.RegisteredResult, error) {
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestALinkOfOursMayLeaveMoreUnread(t *testing.T) {
+func TestFlush_BacklogLimits(t *testing.T) {
 	s := New(&config.Startup{}, nil)
 	s.loop = idleLoop{}
 	for _, to := range []string{"", "127.0.0.9:1"} {
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestWhatWasUnsentDoesNotReachTheNextLink(t *testing.T) {
+func TestDialedConn_UnsentBytesDropped(t *testing.T) {
 	logging.SetOutput(io.Discard)
 	s := New(&config.Startup{Addresses: config.Addresses{Executor: "127.0.0.9:1", Registry: "127.0.0.9:1"}}, nil)
 	s.loop = idleLoop{}
@@ -105,25 +105,25 @@
 
 func (idleLoop) Execute(context.Context, gnet.Runnable) error { return nil }
 
-func TestLinksThatLeadNowhereAreDialledEverMoreSlowly(t *testing.T) {
+func TestDialBackoff_GrowsToBound(t *testing.T) {
 	if dialBackoff(7, singleAttempt) > 0 || dialBackoff(7, 0) != 0 || dialBackoff(7, 1) <= 0 || dialBackoff(7, 2) <= dialBackoff(7, 1) || dialBackoff(7, 1000) != dialBackoff(7, 100) {
 		t.Error("pauses do not grow to a bound")
 	}
-	w := startServer(t, nil)
-	w.executor.Close()
+	f := startServer(t, nil)
+	f.executor.Close()
 	for range 3 {
-		acceptConn(t, w.executorListener).Close()
+		acceptConn(t, f.executorListener).Close()
 	}
-	p := acceptConn(t, w.executorListener)
-	p.readCommand(false)
-	p.send(`{"msg":"hi","how":"seasoned","duration":1}` + "\n")
-	p.readCommand(true)
-	b := w.dialClient()
-	b.send("%s", requestFrame(1, "a1", "x"))
-	p.expectCommand("begin", "a1")
+	executor := acceptConn(t, f.executorListener)
+	executor.readCommand(false)
+	executor.send(`{"msg":"hi","how":"seasoned","duration":1}` + "\n")
+	executor.readCommand(true)
+	client := f.dialClient()
+	client.send("%s", requestFrame(1, "a1", "x"))
+	executor.expectCommand("begin", "a1")
 	vain := make(chan int)
-	_ = w.server.loop.Execute(t.Context(), gnet.RunnableFunc(func(context.Context) error {
-		vain <- w.server.executor.failedLinks
+	_ = f.server.loop.Execute(t.Context(), gnet.RunnableFunc(func(context.Context) error {
+		vain <- f.server.executor.failedLinks
 		return nil
 	}))
 	if n := <-vain; n != 0 {
--- a/internal/server/peer_test.go
+++ b/internal/server/peer_test.go
@@ -15,9 +15,9 @@
 	"swiftcourse/internal/policy/connlimit"
 )
 
-func TestBadInputStaysWithItsConnection(t *testing.T) {
-	w := startServer(t, nil)
-	good, bad, odd := w.dialClient(), w.dialClient(), w.dialClient()
+func TestProtocolError_AffectsOnlyItsConnection(t *testing.T) {
+	f := startServer(t, nil)
+	good, bad, odd := f.dialClient(), f.dialClient(), f.dialClient()
 	good.send("%s", requestFrame(1, "a1", "x")[:40])
 	bad.send("\xc1")
 	if _, err := io.ReadAll(bad.in); err != nil {
@@ -28,24 +28,24 @@
 	odd.send("%s", strings.Replace(requestFrame(2, "b2", "x"), "acme", "acne", 1))
 	odd.expect(answerPrefix(2) + "\x92\xa7Invalid")
 	odd.send("%s", requestFrame(3, "b3", "x"))
-	w.executor.expectCommand("begin", "b3")
+	f.executor.expectCommand("begin", "b3")
 	odd.send("%s", requestFrame(4, "b3", "x")) // the id of another
 	odd.expect(answerPrefix(4) + "\x92\xa7Invalid")
 	odd.send("%s", requestFrame(3, "b4", "x")) // a message id that is open
-	w.executor.sendCompletion(1, "b3", "done", "r")
+	f.executor.sendCompletion(1, "b3", "done", "r")
 	odd.expect(answerPrefix(3) + resultPrefix + "\x01r") // of what was read before
 	if _, err := io.ReadAll(odd.in); err != nil {
 		t.Errorf("after an open message id: %v", err)
 	}
 	good.send("%s", requestFrame(1, "a1", "x")[40:])
-	w.executor.expectCommand("begin", "a1")
-	w.executor.sendCompletion(2, "a1", "done", "r")
+	f.executor.expectCommand("begin", "a1")
+	f.executor.sendCompletion(2, "a1", "done", "r")
 	good.expect(answerPrefix(1) + resultPrefix + "\x01r")
 }
 
-func TestWhoBringsNothingInOrderIsClosed(t *testing.T) {
-	w := startServer(t, nil)
-	silent, half, odd, good := w.dialClient(), w.dialClient(), w.dialClient(), w.dialClient()
+func TestClientConn_WithoutValidMessageClosed(t *testing.T) {
+	f := startServer(t, nil)
+	silent, half, odd, good := f.dialClient(), f.dialClient(), f.dialClient(), f.dialClient()
 	half.send("%s", requestFrame(1, "a1", "x")[:40])
 	odd.send("%s", requestFrame(1, "a2", "x", withArrival(1))) // out of range: it would teach an age of decades
 	odd.expect(answerPrefix(1) + "\x92\xa7Invalid")
@@ -60,25 +60,25 @@
 	good.expect(answerPrefix(2) + "\xc0\x92\xc3\x80")
 }
 
-func TestWhoOnlyHoldsConnectionsKeepsNobodyOut(t *testing.T) {
-	w := startServer(t, func(s *config.Startup) { s.MaxSockets = 64 })
+func TestEviction_SilentConnectionsMakeRoom(t *testing.T) {
+	f := startServer(t, func(s *config.Startup) { s.MaxSockets = 64 })
 	check := "\x94\x00\x01\xa6isWell\x91\x80"
-	busy := w.dialClient()
+	busy := f.dialClient()
 	busy.send("%s", requestFrame(1, "a1", "x"))
-	w.executor.expectCommand("begin", "a1")
-	most, _ := w.server.maxClients()
+	f.executor.expectCommand("begin", "a1")
+	most, _ := f.server.maxClients()
 	for range most {
-		w.dialClient()
-		late := w.dialClient()
+		f.dialClient()
+		late := f.dialClient()
 		late.send("%s", check)
 		late.expect("\xc3\x80")
 		late.Close()
 	}
-	w.executor.sendCompletion(1, "a1", "done", "r")
+	f.executor.sendCompletion(1, "a1", "done", "r")
 	busy.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
 }
 
-func TestWhoIsOwedSomethingDoesNotGoForANewcomer(t *testing.T) {
+func TestEviction_SparesConnectionsWithPendingAnswers(t *testing.T) {
 	s := New(&config.Startup{Settings: admission.Settings{IdleTimeout: 30}}, nil)
 	add := func(unsent bool) *clientConn {
 		name, p := s.clients.Add()
@@ -111,7 +111,7 @@
 
 func (*fakeSender) Discard(int) (int, error) { return 0, nil }
 
-func TestNothingIsReadFromAConnectionThatEnds(t *testing.T) {
+func TestClientConn_NothingReadAfterClose(t *testing.T) {
 	s := New(&config.Startup{MaxSockets: 256, ClassIndex: map[string]int{"quote": 0}, TenantIndex: map[string]int{"acme": 0}}, nil)
 	s.loop, s.controller = idleLoop{}, admission.New(1, admission.Settings{})
 	for _, ends := range []bool{false, true} {
@@ -128,33 +128,33 @@
 	}
 }
 
-func TestMoreThanTheProtocolsTasksOnAConnection(t *testing.T) {
-	w := startServer(t, nil)
-	b := w.dialClient()
+func TestRequest_TooManyOpenOnConnection(t *testing.T) {
+	f := startServer(t, nil)
+	client := f.dialClient()
 	for i := range byte(maxRequestsPerConn + 1) {
-		b.send("%s", requestFrame(i+1, fmt.Sprintf("a%d", i), "x"))
+		client.send("%s", requestFrame(i+1, fmt.Sprintf("a%d", i), "x"))
 	}
-	b.expect(answerPrefix(maxRequestsPerConn+1) + "\x92\xa7Invalid")
+	client.expect(answerPrefix(maxRequestsPerConn+1) + "\x92\xa7Invalid")
 }
 
-func TestSilentConnectionsAreAskedToCloseThenClosed(t *testing.T) {
-	w := startServer(t, func(s *config.Startup) { s.Settings.IdleTimeout = 0.05 })
-	b := w.dialClient()
-	b.send("\x94\x00\x01\xa6isWell\x91\x80")
-	b.expect("goaway\x90")
-	if _, err := io.ReadAll(b.in); err != nil {
+func TestGracefulClose_SilentConnections(t *testing.T) {
+	f := startServer(t, func(s *config.Startup) { s.Settings.IdleTimeout = 0.05 })
+	client := f.dialClient()
+	client.send("\x94\x00\x01\xa6isWell\x91\x80")
+	client.expect("goaway\x90")
+	if _, err := io.ReadAll(client.in); err != nil {
 		t.Errorf("instead of its end: %v", err)
 	}
 }
 
-func TestAPeerThatDoesNotReadIsBounded(t *testing.T) {
-	w := startServer(t, nil)
-	b := w.dialClient()
-	_ = b.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
+func TestClientConn_BacklogBounded(t *testing.T) {
+	f := startServer(t, nil)
+	client := f.dialClient()
+	_ = client.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	check := strings.Repeat("\x94\x00\x02\xa6isWell\x91\x80", 4000)
 	var err error
 	for range 20000 { // far over all that the kernel and the server may hold
-		if _, err = b.Write([]byte(check)); err != nil {
+		if _, err = client.Write([]byte(check)); err != nil {
 			break
 		}
 	}
@@ -198,7 +198,7 @@
 
 func (brokenConn) handleClose(error) {}
 
-func TestAPanicStopsAtItsConnection(t *testing.T) {
+func TestPanic_ClosesOnlyItsConnection(t *testing.T) {
 	logging.SetOutput(t.Output())
 	defer logging.SetOutput(io.Discard)
 	if action := New(&config.Startup{}, nil).OnTraffic(brokenConn{}); action != gnet.Close {
--- a/internal/server/serve_test.go
+++ b/internal/server/serve_test.go
@@ -127,22 +127,22 @@
 
 // startServerWith is build with an operator's file.
 func startServerWith(t *testing.T, change func(*config.Startup), conf *config.OperatorSettings, prepare ...func(*Server)) *fixture {
-	w := startUnready(t, change, conf, prepare...)
-	w.executor.send(`{"msg":"hi","how":"seasoned","duration":3600000}` + "\n")
-	if report := <-w.registry.Reports(); !report.Takes {
+	f := startUnready(t, change, conf, prepare...)
+	f.executor.send(`{"msg":"hi","how":"seasoned","duration":3600000}` + "\n")
+	if report := <-f.registry.Reports(); !report.Takes {
 		t.Fatalf("first report %+v", report)
 	}
-	return w
+	return f
 }
 
 // startUnready starts a server whose processor has accepted its link and is not up yet.
 func startUnready(t *testing.T, change func(*config.Startup), conf *config.OperatorSettings, prepare ...func(*Server)) *fixture {
 	logging.SetOutput(t.Output())
-	w := &fixture{T: t, runResult: make(chan error, 1), executorListener: listenLoopback(t), upstreamListener: listenLoopback(t), registry: newFakeRegistry(t)}
+	f := &fixture{T: t, runResult: make(chan error, 1), executorListener: listenLoopback(t), upstreamListener: listenLoopback(t), registry: newFakeRegistry(t)}
 	front := listenLoopback(t)
 	addr := front.Addr().String()
 	front.Close()
-	start := &config.Startup{Name: "n1", Listen: addr, Addresses: w.addresses(), StopTimeout: 4, MaxSockets: 256, MemoryBytes: 64 << 20,
+	start := &config.Startup{Name: "n1", Listen: addr, Addresses: f.addresses(), StopTimeout: 4, MaxSockets: 256, MemoryBytes: 64 << 20,
 		ClassIndex: map[string]int{"quote": 0}, TenantIndex: map[string]int{"acme": 0}, ClassNames: []string{"quote"},
 		Gauges: []string{"cpu_busy", "runnable"},
 		Settings: admission.Settings{Cores: 2, Servers: 1, Clients: 1, ConcurrencyLimit: 8, ConcurrencyWindow: 1, MemoryLimit: 1e6, RunningMemoryFactor: 1,
@@ -152,35 +152,35 @@
 	if change != nil {
 		change(start)
 	}
-	w.server = New(start, conf)
+	f.server = New(start, conf)
 	for _, p := range prepare {
-		p(w.server)
+		p(f.server)
 	}
-	go func() { w.runResult <- w.server.Run() }()
-	w.executor = acceptConn(t, w.executorListener)
-	if hello := w.executor.readCommand(false); hello["msg"] != "hello" || hello["serial"] != 0.0 {
+	go func() { f.runResult <- f.server.Run() }()
+	f.executor = acceptConn(t, f.executorListener)
+	if hello := f.executor.readCommand(false); hello["msg"] != "hello" || hello["serial"] != 0.0 {
 		t.Fatalf("first line %v", hello)
 	}
 	t.Cleanup(func() {
-		w.server.stop()
-		<-w.runResult
+		f.server.stop()
+		<-f.runResult
 		logging.SetOutput(io.Discard)
 	})
-	return w
+	return f
 }
 
 // startRunningRequest is a server on which a balancer's task a1, message 1 of its connection, runs.
 func startRunningRequest(t *testing.T, change func(*config.Startup)) (*fixture, *testConn) {
-	w := startServer(t, change)
-	b := w.dialClient()
-	b.send("%s", requestFrame(1, "a1", "x"))
-	w.executor.expectCommand("begin", "a1")
-	return w, b
+	f := startServer(t, change)
+	client := f.dialClient()
+	client.send("%s", requestFrame(1, "a1", "x"))
+	f.executor.expectCommand("begin", "a1")
+	return f, client
 }
 
-func (w *fixture) addresses() config.Addresses {
-	return config.Addresses{Executor: w.executorListener.Addr().String(), Registry: w.registry.Addr(),
-		Upstream: w.upstreamListener.Addr().String()}
+func (f *fixture) addresses() config.Addresses {
+	return config.Addresses{Executor: f.executorListener.Addr().String(), Registry: f.registry.Addr(),
+		Upstream: f.upstreamListener.Addr().String()}
 }
 
 // newFakeRegistry hangs up after each report, at times before its answer.
@@ -195,32 +195,36 @@
 	return r
 }
 
-func (w *fixture) dialClient() *testConn {
-	w.Helper()
-	c, err := net.DialTimeout("tcp", w.server.startup.Listen, testTimeout)
+func (f *fixture) dialClient() *testConn {
+	f.Helper()
+	c, err := net.DialTimeout("tcp", f.server.startup.Listen, testTimeout)
 	if err != nil {
-		w.Fatal(err)
+		f.Fatal(err)
 	}
-	return newTestConn(w.T, c)
+	return newTestConn(f.T, c)
 }
 
 // requestFrame is a task as a balancer writes it.
 func requestFrame(number byte, call, body string, change ...func(*rpc.Message)) string {
-	m := &rpc.Message{Number: uint64(number), ID: call, Stage: "quote", Tenant: "acme", Caller: 1, Came: float64(time.Now().UnixMilli()) / 1000,
+	message := &rpc.Message{Number: uint64(number), ID: call, Stage: "quote", Tenant: "acme", Caller: 1, Came: float64(time.Now().UnixMilli()) / 1000,
 		Wait: 30, Memory: 1, Rank: 0.5, Body: []byte(body)}
 	for _, c := range change {
-		c(m)
+		c(message)
 	}
-	return string(rpc.PutTask(nil, m))
+	return string(rpc.PutTask(nil, message))
 }
 
 func withTimeout(seconds float64) func(*rpc.Message) {
-	return func(m *rpc.Message) { m.Wait = seconds }
+	return func(message *rpc.Message) { message.Wait = seconds }
 }
 
-func withSubject(row string) func(*rpc.Message) { return func(m *rpc.Message) { m.Subject = row } }
+func withSubject(row string) func(*rpc.Message) {
+	return func(message *rpc.Message) { message.Subject = row }
+}
 
-func withArrival(at float64) func(*rpc.Message) { return func(m *rpc.Message) { m.Came = at } }
+func withArrival(at float64) func(*rpc.Message) {
+	return func(message *rpc.Message) { message.Came = at }
+}
 
 const resultPrefix = "\xc0\x92\xc4" // no error, and a result of under 256 bytes
 
@@ -238,93 +242,93 @@
 		base64.StdEncoding.EncodeToString([]byte(body)))
 }
 
-func TestATaskWithACallAndHealth(t *testing.T) {
-	w := startServer(t, nil)
-	b := w.dialClient()
-	b.send("%s%s", requestFrame(1, "a1", "the body"), "\x94\x00\x02\xa6isWell\x91\x80")
-	b.expect(answerPrefix(2) + "\xc0\x92\xc3\x80")
-	if m := w.executor.expectCommand("begin", "a1"); m["blob"] != "dGhlIGJvZHk=" || m["service"] != "quote" {
+func TestRequest_WithUpstreamCallAndHealthCheck(t *testing.T) {
+	f := startServer(t, nil)
+	client := f.dialClient()
+	client.send("%s%s", requestFrame(1, "a1", "the body"), "\x94\x00\x02\xa6isWell\x91\x80")
+	client.expect(answerPrefix(2) + "\xc0\x92\xc3\x80")
+	if m := f.executor.expectCommand("begin", "a1"); m["blob"] != "dGhlIGJvZHk=" || m["service"] != "quote" {
 		t.Fatal(m)
 	}
-	w.executor.sendCall(1, "a1", "a\r\ncall")
-	below := acceptConn(t, w.upstreamListener)
+	f.executor.sendCall(1, "a1", "a\r\ncall")
+	below := acceptConn(t, f.upstreamListener)
 	if got := below.expect(" 7\r\na\r\ncall\r\n"); !strings.HasPrefix(got, "FETCH a1 ") {
 		t.Fatalf("%q", got)
 	}
 	below.send("zz DATA 3\r\nold\r\na1 DATA 5\r\nreply\r\n") // the first is of a call given up long ago
-	if m := w.executor.expectCommand("answer", "a1"); m["blob"] != "cmVwbHk=" {
+	if m := f.executor.expectCommand("answer", "a1"); m["blob"] != "cmVwbHk=" {
 		t.Fatal(m)
 	}
-	w.executor.sendCompletion(2, "a1", "done", "result")
-	b.expect(answerPrefix(1) + resultPrefix + "\x06result\x80")
+	f.executor.sendCompletion(2, "a1", "done", "result")
+	client.expect(answerPrefix(1) + resultPrefix + "\x06result\x80")
 }
 
-func TestAbandonedAtItsDueMomentAndAnsweredOnce(t *testing.T) {
-	w := startServer(t, nil)
-	b := w.dialClient()
-	b.send("%s", requestFrame(1, "a1", "x", withTimeout(0.3)))
-	w.executor.expectCommand("begin", "a1")
-	b.expect(answerPrefix(1) + "\x92\xa6Failed\x80\xc0")
-	w.executor.sendCompletion(1, "a1", "done", "late")
-	b.send("%s", requestFrame(2, "a2", "x", withTimeout(0)))
-	if got := b.expect("Busy"); strings.Contains(got, "late") || !strings.HasPrefix(got, answerPrefix(2)) {
+func TestRequest_FailedAtSoftDeadlineAndAnsweredOnce(t *testing.T) {
+	f := startServer(t, nil)
+	client := f.dialClient()
+	client.send("%s", requestFrame(1, "a1", "x", withTimeout(0.3)))
+	f.executor.expectCommand("begin", "a1")
+	client.expect(answerPrefix(1) + "\x92\xa6Failed\x80\xc0")
+	f.executor.sendCompletion(1, "a1", "done", "late")
+	client.send("%s", requestFrame(2, "a2", "x", withTimeout(0)))
+	if got := client.expect("Busy"); strings.Contains(got, "late") || !strings.HasPrefix(got, answerPrefix(2)) {
 		t.Errorf("%q", got)
 	}
 }
 
 // A site may not tell how long callers wait: the time limit stands in. Where it does, a task without is refused.
-func TestWaitsThatAreNotTold(t *testing.T) {
-	untold := func(m *rpc.Message) { m.NoWait = true }
-	w := startServer(t, func(s *config.Startup) { s.Settings.DeadlinePropagation, s.Settings.Classes[0].Timeout = false, 0.4 })
-	b := w.dialClient()
-	b.send("%s", requestFrame(1, "a1", "x", untold))
-	w.executor.expectCommand("begin", "a1")
-	b.expect(answerPrefix(1) + "\x92\xa6Failed")
+func TestRequest_WithoutTimeout(t *testing.T) {
+	untold := func(message *rpc.Message) { message.NoWait = true }
+	f := startServer(t, func(s *config.Startup) { s.Settings.DeadlinePropagation, s.Settings.Classes[0].Timeout = false, 0.4 })
+	client := f.dialClient()
+	client.send("%s", requestFrame(1, "a1", "x", untold))
+	f.executor.expectCommand("begin", "a1")
+	client.expect(answerPrefix(1) + "\x92\xa6Failed")
 	told := startServer(t, nil).dialClient()
 	told.send("%s", requestFrame(1, "a1", "x", untold))
 	told.expect(answerPrefix(1) + "\x92\xa7Invalid")
 }
 
-func TestDrainAnswersAllAndEnds(t *testing.T) {
-	w, b := startRunningRequest(t, func(s *config.Startup) { s.StopTimeout = 10 })
-	w.server.Drain()
-	for report := range w.registry.Reports() {
+func TestDrain_AnswersAllAndExits(t *testing.T) {
+	f, client := startRunningRequest(t, func(s *config.Startup) { s.StopTimeout = 10 })
+	f.server.Drain()
+	for report := range f.registry.Reports() {
 		if !report.Takes {
 			break
 		}
 	}
-	w.executorListener = listenLoopback(t)
-	w.server.SetEndpoints(w.addresses()) // while leaving
-	w.executor = acceptConn(t, w.executorListener)
-	w.executor.readCommand(false)
-	w.executor.send(`{"msg":"hi","how":"seasoned","duration":1}` + "\n")
-	w.executor.readCommand(true)
-	w.executor.sendCompletion(1, "a1", "done", "r")
-	b.expect(answerPrefix(1) + resultPrefix + "\x01r")
-	b.expect("goaway\x90")
-	b.Close()
-	if err := <-w.runResult; err != nil {
+	f.executorListener = listenLoopback(t)
+	f.server.SetEndpoints(f.addresses()) // while leaving
+	f.executor = acceptConn(t, f.executorListener)
+	f.executor.readCommand(false)
+	f.executor.send(`{"msg":"hi","how":"seasoned","duration":1}` + "\n")
+	f.executor.readCommand(true)
+	f.executor.sendCompletion(1, "a1", "done", "r")
+	client.expect(answerPrefix(1) + resultPrefix + "\x01r")
+	client.expect("goaway\x90")
+	client.Close()
+	if err := <-f.runResult; err != nil {
 		t.Error(err)
 	}
-	w.runResult <- nil
+	f.runResult <- nil
 }
 
-func TestRepeatsShareAnAnswer(t *testing.T) {
-	w := startServer(t, func(s *config.Startup) { s.Settings.ResultCacheTTL, s.Settings.KeyMemory = 60, 1 })
-	b := w.dialClient()
-	b.send("%s", requestFrame(1, "a1", "x", withSubject("k")))
-	w.executor.expectCommand("begin", "a1")
-	b.send("%s", requestFrame(2, "a2", "x", withSubject("k"))) // waits for the first
-	b.send("%s", requestFrame(3, "a3", "x", withSubject("other")))
-	w.executor.expectCommand("begin", "a3")
-	w.executor.sendCompletion(1, "a1", "done", "r")
-	b.expect(resultPrefix + "\x01r\x80")
-	b.expect(resultPrefix + "\x01r\x80")
-	b.send("%s", requestFrame(4, "a4", "x", withSubject("k"))) // finds it there
-	b.expect(answerPrefix(4) + resultPrefix + "\x01r\x80")
+func TestResultCache_RepeatsShareAnAnswer(t *testing.T) {
+	f := startServer(t, func(s *config.Startup) { s.Settings.ResultCacheTTL, s.Settings.KeyMemory = 60, 1 })
+	client := f.dialClient()
+	client.send("%s", requestFrame(1, "a1", "x", withSubject("k")))
+	f.executor.expectCommand("begin", "a1")
+	client.send("%s", requestFrame(2, "a2", "x", withSubject("k"))) // waits for the first
+	client.send("%s", requestFrame(3, "a3", "x", withSubject("other")))
+	f.executor.expectCommand("begin", "a3")
+	f.executor.sendCompletion(1, "a1", "done", "r")
+	client.expect(resultPrefix + "\x01r\x80")
+	client.expect(resultPrefix + "\x01r\x80")
+	client.send("%s", requestFrame(4, "a4", "x", withSubject("k"))) // finds it there
+	client.expect(answerPrefix(4) + resultPrefix + "\x01r\x80")
 }
 
-func TestASecondNoticeChangesNothing(t *testing.T) {
+func TestDrain_SecondNoticeChangesNothing(t *testing.T) {
 	s := New(&config.Startup{StopTimeout: 5}, nil)
 	s.controller = admission.New(1, admission.Settings{})
 	s.startDrain(s.now())
@@ -335,7 +339,7 @@
 	}
 }
 
-func TestHealthIsReportedAtOnceAndOneReportAtATime(t *testing.T) {
+func TestRegistryLink_ReportsHealthChangeAtOnce(t *testing.T) {
 	logging.SetOutput(io.Discard)
 	s := New(&config.Startup{Addresses: config.Addresses{Registry: "127.0.0.9:1"}}, nil)
 	s.loop = idleLoop{}
@@ -367,8 +371,8 @@
 	off(1)
 }
 
-func TestTablesReturnToTheirStart(t *testing.T) {
-	w := startServer(t, nil)
+func TestServer_TablesReturnToEmpty(t *testing.T) {
+	f := startServer(t, nil)
 	below, err := catalogue.Start("127.0.0.9:0", func(n int, _ wirecatalogue.Call) catalogue.Fate {
 		return catalogue.Fate{Body: []byte("d"), Break: n%5 == 0} // every fifth call breaks its connection
 	})
@@ -376,34 +380,34 @@
 		t.Fatal(err)
 	}
 	defer below.Close()
-	w.server.SetEndpoints(config.Addresses{Executor: w.executorListener.Addr().String(), Registry: w.registry.Addr(), Upstream: below.Addr()})
+	f.server.SetEndpoints(config.Addresses{Executor: f.executorListener.Addr().String(), Registry: f.registry.Addr(), Upstream: below.Addr()})
 	serial := 0
 	next := func() int { serial++; return serial }
 	for i := range 150 {
-		b, id := w.dialClient(), fmt.Sprint("t", i)
-		b.send("%s", requestFrame(1, id, "x", withTimeout(3), withSubject(id)))
-		w.executor.expectCommand("begin", id)
+		client, id := f.dialClient(), fmt.Sprint("t", i)
+		client.send("%s", requestFrame(1, id, "x", withTimeout(3), withSubject(id)))
+		f.executor.expectCommand("begin", id)
 		if i%3 == 0 { // the balancer leaves; its run ends all the same
-			b.Close()
-			w.executor.sendCompletion(next(), id, "aborted", "")
+			client.Close()
+			f.executor.sendCompletion(next(), id, "aborted", "")
 			continue
 		}
-		w.executor.sendCall(next(), id, "c")
-		w.executor.expectCommand("answer", id)
-		w.executor.sendCompletion(next(), id, "done", "r")
-		b.expect(resultPrefix + "\x01r\x80")
-		b.Close()
+		f.executor.sendCall(next(), id, "c")
+		f.executor.expectCommand("answer", id)
+		f.executor.sendCompletion(next(), id, "done", "r")
+		client.expect(resultPrefix + "\x01r\x80")
+		client.Close()
 		if i%50 == 49 {
-			w.executor.Close()
-			w.executor = acceptConn(t, w.executorListener)
-			w.executor.readCommand(false)
-			w.executor.send(`{"msg":"hi","how":"seasoned","duration":1}` + "\n")
-			w.executor.readCommand(true)
+			f.executor.Close()
+			f.executor = acceptConn(t, f.executorListener)
+			f.executor.readCommand(false)
+			f.executor.send(`{"msg":"hi","how":"seasoned","duration":1}` + "\n")
+			f.executor.readCommand(true)
 		}
 	}
 	go func() { // goes on giving gauges, so that nothing waits for them
 		for {
-			if _, err := w.executor.in.ReadByte(); err != nil {
+			if _, err := f.executor.in.ReadByte(); err != nil {
 				return
 			}
 		}
@@ -411,8 +415,8 @@
 	var got, want = "", "0 tasks, 0 kept, 0 calls, 0 pooled connections, 0 peers, 0 buffers, 0 events"
 	for end := time.Now().Add(testTimeout); got != want && time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		told := make(chan string)
-		_ = w.server.loop.Execute(t.Context(), gnet.RunnableFunc(func(context.Context) error {
-			s := w.server
+		_ = f.server.loop.Execute(t.Context(), gnet.RunnableFunc(func(context.Context) error {
+			s := f.server
 			told <- fmt.Sprintf("%d tasks, %d kept, %d calls, %d pooled connections, %d peers, %d buffers, %d events", s.requests.Len(),
 				s.results.Len(), len(s.upstreamCalls), len(s.upstream.all)+len(s.upstream.waiting), s.clients.Len(), s.buffers.InUse, len(s.pendingEvents))
 			if n := s.timers.Len(); n > 10 {
