--- /dev/null
+++ b/internal/server/connlimit_test.go
@@ -0,0 +1,134 @@
+package server
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"strings"
+	"testing"
+	"time"
+
+	"swiftcourse/internal/config"
+	"swiftcourse/internal/policy/connlimit"
+	"swiftcourse/internal/standin/balancer"
+)
+
+func TestConnLimit_TrustedAdmittedDuringFlood(t *testing.T) {
+	f := startServerWith(t, func(s *config.Startup) { s.MaxSockets = 128 }, guardedConfig(t, "door-known 127.7.0.0/16"))
+	busy, err := f.dialFrom("127.8.0.1") // an untrusted client whose request is open all the while
+	if err != nil {
+		t.Fatal(err)
+	}
+	busy.send("%s", requestFrame(1, "b1", "x"))
+	f.executor.expectCommand("begin", "b1")
+	ctx, stop := context.WithCancel(t.Context())
+	defer stop()
+	tries := f.floodWithConnections(ctx, "127.6")
+	for tries.Load() < 500 {
+		time.Sleep(time.Millisecond)
+	}
+	for i := range 20 {
+		client, err := f.dialFrom(fmt.Sprintf("127.7.0.%d", i+1))
+		if err != nil {
+			t.Fatalf("known one %d: %v", i, err)
+		}
+		id := fmt.Sprint("k", i)
+		client.send("%s", requestFrame(1, id, "x"))
+		f.executor.expectCommand("begin", id)
+		f.executor.sendCompletion(i+1, id, "done", "r")
+		client.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
+	}
+	stop()
+	f.executor.sendCompletion(21, "b1", "done", "r")
+	busy.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
+	_ = busy.Close()
+}
+
+func TestConnLimit_RejectedClientGetsAnswer(t *testing.T) {
+	change := func(s *config.Startup) { s.Settings.MaxRetryAfter = 5 }
+	f := startServerWith(t, change, guardedConfig(t, "door-per-address 1"))
+	first, err := f.dialFrom("127.6.0.1")
+	if err != nil {
+		t.Fatal(err)
+	}
+	first.send(healthCheckFrame)
+	first.expect("\xc3\x80")
+	second, err := f.dialFrom("127.6.0.1")
+	if err != nil {
+		t.Fatal(err)
+	}
+	second.send("%s", requestFrame(1, "a1", "x"))
+	if got := second.expect("Busy"); !strings.HasPrefix(got, answerPrefix(1)) {
+		t.Errorf("%q", got)
+	}
+	second.expect("pushback")
+	if _, err := io.ReadAll(second.in); err != nil { // and then its close
+		t.Error(err)
+	}
+	silent, err := f.dialFrom("127.6.0.1") // brings nothing: closed all the same
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.ReadAll(silent.in); err != nil {
+		t.Error(err)
+	}
+	first.send("%s", requestFrame(2, "a2", "x")) // the one that is in goes on
+	f.executor.expectCommand("begin", "a2")
+	f.executor.sendCompletion(1, "a2", "done", "r")
+	first.expect(answerPrefix(2) + resultPrefix + "\x01r\x80")
+	if turned := query(f, func(s *Server) int { return s.clients.limiter.Turned(connlimit.OverCap) }); turned != 2 {
+		t.Errorf("%d turned away", turned)
+	}
+}
+
+func TestConnLimit_MassReconnect(t *testing.T) {
+	const n = 200
+	f := startServerWith(t, func(s *config.Startup) { s.MaxSockets = 1024 }, guardedConfig(t, ""))
+	for range 2 {
+		crowd, err := balancer.Hold(f.server.startup.Listen, n, true)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if crowd.Len() != n {
+			t.Errorf("%d of %d are in", crowd.Len(), n)
+		}
+		crowd.Leave()
+		waitUntil(f, 0, clientCount)
+	}
+	tally := query(f, func(s *Server) connlimit.Tally { return s.clients.limiter.Known() })
+	if tally.In != 0 || tally.BusyStrangers != 0 {
+		t.Errorf("%+v", tally)
+	}
+}
+
+func TestConnLimit_RulesReloaded(t *testing.T) {
+	f := startServerWith(t, nil, guardedConfig(t, "door-per-address 1"))
+	in := func() bool {
+		client, err := f.dialFrom("127.6.0.1")
+		if err != nil {
+			t.Fatal(err)
+		}
+		client.send("%s", requestFrame(1, "a1", "x"))
+		waitUntil(f, true, func(s *Server) bool { return s.requests.Len() > 0 || s.statistics.rejectedAtLimit > 0 })
+		is := query(f, func(s *Server) bool { return s.requests.Len() > 0 })
+		if is {
+			f.executor.expectCommand("begin", "a1")
+		}
+		return is
+	}
+	first, err := f.dialFrom("127.6.0.1")
+	if err != nil {
+		t.Fatal(err)
+	}
+	first.send(healthCheckFrame)
+	first.expect("\xc3\x80")
+	if in() {
+		t.Error("over its cap")
+	}
+	f.server.ReloadConfig(guardedConfig(t, "door-known 127.6.0.0/16\ndoor-remember 128"))
+	waitUntil(f, true, func(s *Server) bool { return len(s.clients.limiter.Named) > 0 })
+	query(f, func(s *Server) bool { s.statistics.rejectedAtLimit = 0; return true })
+	if !in() {
+		t.Error("a named one is not let in")
+	}
+}
--- /dev/null
+++ b/internal/server/directive_test.go
@@ -0,0 +1,142 @@
+package server
+
+import (
+	"fmt"
+	"math"
+	"reflect"
+	"strings"
+	"testing"
+
+	"swiftcourse/internal/config"
+	"swiftcourse/internal/policy/connlimit"
+	"swiftcourse/internal/policy/serving"
+	"swiftcourse/internal/wire/rpc"
+)
+
+func TestReload_IdleConnectionsStay(t *testing.T) {
+	const n = 500
+	f := startServer(t, func(s *config.Startup) { s.MaxSockets = 4000 })
+	crowd := f.holdClients(n, true)
+	f.executorListener = listenLoopback(t)
+	f.server.SetEndpoints(f.addresses())
+	f.executor = acceptConn(t, f.executorListener)
+	f.executor.readCommand(false)
+	f.executor.sendUp("seasoned", 1)
+	f.executor.readCommand(true)
+	known := query(f, func(s *Server) int { return s.clients.limiter.Count(connlimit.Known) })
+	if known != n || crowd.Len() != n {
+		t.Errorf("%d known, %d stand", known, crowd.Len())
+	}
+	client := f.dialClient()
+	client.send("%s", requestFrame(1, "a1", "x"))
+	f.executor.expectCommand("begin", "a1")
+	f.executor.sendCompletion(1, "a1", "done", "r")
+	client.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
+	crowd.Leave()
+	_ = client.Close()
+	waitUntil(f, "0 clients, 0 trusted, 0 busy, 0 buffers, next never", func(s *Server) string {
+		next := "never"
+		if !math.IsInf(s.clients.limiter.Next(), 1) && s.clients.limiter.Next() > s.now() {
+			next = "ahead"
+		}
+		limiter := s.clients.limiter
+		return fmt.Sprintf("%d clients, %d trusted, %d busy, %d buffers, next %s", s.clients.conns.Len(),
+			limiter.Count(connlimit.Known), limiter.Count(connlimit.Busy), s.output.buffers.InUse, next)
+	})
+	if timers := query(f, func(s *Server) int { return s.loop.timers.Len() }); timers > 10 {
+		t.Errorf("%d timers left", timers)
+	}
+}
+
+func TestOutOfService_FinishesRunningAndRejectsQueued(t *testing.T) {
+	f := startServer(t, func(s *config.Startup) { s.Settings.MaxRetryAfter = 5 })
+	const requests = 20 // more than two cores take at once
+	started, finish := make(chan string, requests+1), make(chan struct{})
+	f.runRequests(started, finish)
+	before := f.setDirective(serving.ModeNormal, math.Inf(1), serving.ModeNormal)
+	client := f.dialClient()
+	for i := range requests {
+		client.send("%s", requestFrame(byte(i+1), fmt.Sprintf("%016x", i+1), "x"))
+	}
+	<-started
+	stamp := f.setDirective(serving.ModeOutOfService, math.Inf(1), serving.ModeOutOfService)
+	f.waitForReport(false)
+	close(finish)
+	var finished, rejected, byDirective int // the controller may have rejected some before, with its own Retry-After
+	for finished+rejected < requests {
+		switch a := client.readAnswer(); a.End {
+		case rpc.Finished:
+			finished++
+		case rpc.Rejected:
+			rejected++
+			if a.Say.Advice == outOfServiceRetryAfter {
+				byDirective++
+			}
+		default:
+			t.Fatalf("answer %+v", a)
+		}
+	}
+	if runs := len(started) + 1; finished != runs || byDirective == 0 {
+		t.Errorf("%d runs, %d finished, %d rejected, %d of these by the directive",
+			runs, finished, rejected, byDirective)
+	}
+	// Those that came after the change are none of any version's.
+	n, m := before.Completed.Load(), stamp.Completed.Load()
+	if n+m > requests || m == 0 || int(n+m) < requests-byDirective {
+		t.Errorf("%d ends are counted before, %d after, of %d", n, m, requests)
+	}
+	f.setDirective(serving.ModeNormal, math.Inf(1), serving.ModeNormal)
+	f.waitForReport(true)
+	client.send("%s", requestFrame(99, "0000000000000099", "x"))
+	if a := client.readAnswer(); a.End != rpc.Finished {
+		t.Errorf("back, it answers %+v", a)
+	}
+}
+
+// TestOutOfService_ByOwnClock: nobody tells it that its lease is over, as when all of it was
+// stopped, and yet it takes nothing in.
+func TestOutOfService_ByOwnClock(t *testing.T) {
+	f := startServer(t, nil)
+	started, finish := make(chan string, 1), make(chan struct{})
+	f.runRequests(started, finish)
+	// Published before it was stopped, read after.
+	stamp := f.setDirective(serving.ModeNormal, f.server.Now()-1, serving.ModeOutOfService)
+	client := f.dialClient()
+	client.send("%s", requestFrame(1, "0000000000000001", "x"))
+	if a := client.readAnswer(); a.End != rpc.Rejected {
+		t.Errorf("it answers %+v", a)
+	}
+	if n := stamp.Requests.Load(); n != 0 || len(started) != 0 {
+		t.Errorf("%d requests were taken in, %d started", n, len(started))
+	}
+	f.waitForReport(false)
+}
+
+func TestApplyConfig_AllOrNothing(t *testing.T) {
+	conf, err := config.ParseOperatorSettings("f", []byte("door on"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	f := startServerWith(t, nil, conf)
+	for text, want := range map[string]string{
+		"door off":                  "can't be switched while serving",
+		"door-remember 1000000":     "can't be changed while serving",
+		"door-prefix-ipv4 16":       "can't be changed while serving",
+		"door-come-back 300ms":      "",
+		"door-come-back 300\n":      "no time with a unit",
+		"fleet-lease 3s":            "belongs to each server's own file",
+		"door-lobby 3\ndoor-earn 5": "can't be changed while serving",
+	} {
+		before := *f.server.fleet.operator
+		next, err := conf.WithRelease("released", text)
+		if err == nil {
+			err = f.server.ApplyConfig(next)
+		}
+		if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
+			t.Errorf("%q: %v, want %q", text, err, want)
+		}
+		if err != nil && !reflect.DeepEqual(before, *f.server.fleet.operator) {
+			t.Errorf("%q was refused and changed something", text)
+		}
+	}
+}
--- a/internal/server/keyed_test.go
+++ b/internal/server/duplicate_test.go
@@ -1,40 +1,12 @@
 package server
 
 import (
-	"context"
-	"reflect"
 	"strings"
 	"testing"
 
-	"github.com/panjf2000/gnet/v2"
-
-	"swiftcourse/admission"
 	"swiftcourse/internal/config"
-	"swiftcourse/internal/memory"
-	"swiftcourse/internal/wire/rpc"
 )
 
-func withKey(k string) func(*rpc.Message) { return func(message *rpc.Message) { message.Key = k } }
-
-const failedPayload = "\x92\xa6Failed"
-
-// deduplicateOnlyClass makes the only stage one whose tasks bear a key and may run once in a window
-// of 20 s.
-func deduplicateOnlyClass(s *config.Startup) {
-	s.Settings.Classes[0].Idempotency, s.Settings.Classes[0].DeduplicationWindow = admission.Deduplicated, 20
-}
-
-// onLoop has the server's loop do something, and waits until it has.
-func (f *fixture) onLoop(do func(s *Server)) {
-	done := make(chan struct{})
-	_ = f.server.loop.handle.Execute(f.Context(), gnet.RunnableFunc(func(context.Context) error {
-		do(f.server)
-		close(done)
-		return nil
-	}))
-	<-done
-}
-
 // A repeat comes at every moment of the first try's life, and no run begins for it.
 func TestDuplicate_NeverRuns(t *testing.T) {
 	f := startServer(t, deduplicateOnlyClass)
@@ -79,11 +51,12 @@
 	f.executor.expectCommand("begin", "a2")
 }
 
-// Two tries of one request are read in one turn, before the module has heard of either.
+// Two tries of one request are read in one turn, before the controller has heard of either.
 func TestDuplicate_InSameTurnRunsOnce(t *testing.T) {
 	f := startServer(t, deduplicateOnlyClass)
 	client := f.dialClient()
-	client.send("%s%s%s", requestFrame(1, "a1", "x", withKey("k")), requestFrame(2, "a2", "x", withKey("k")), requestFrame(3, "a3", "x", withKey("other")))
+	client.send("%s%s%s", requestFrame(1, "a1", "x", withKey("k")), requestFrame(2, "a2", "x", withKey("k")),
+		requestFrame(3, "a3", "x", withKey("other")))
 	f.executor.expectCommand("begin", "a1")
 	f.executor.expectCommand("begin", "a3")
 	f.executor.sendCompletion(1, "a1", "done", "r")
@@ -99,7 +72,7 @@
 	client, other := f.dialClient(), f.dialClient()
 	client.send("%s", requestFrame(1, "a1", "x", withKey("k")))
 	f.executor.expectCommand("begin", "a1")
-	client.Close()
+	_ = client.Close()
 	f.executor.sendCompletion(1, "a1", "done", "r") // in either order with the close
 	other.send("%s", requestFrame(1, "a2", "x", withKey("k")))
 	other.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
@@ -143,26 +116,17 @@
 	client.expect(answerPrefix(2) + resultPrefix + "\x01r\x80")
 }
 
-func TestRequest_WithoutIdempotencyKeyRejected(t *testing.T) {
-	f := startServer(t, deduplicateOnlyClass)
+func TestResultCache_RepeatsShareAnAnswer(t *testing.T) {
+	f := startServer(t, func(s *config.Startup) { s.Settings.ResultCacheTTL, s.Settings.KeyMemory = 60, 1 })
 	client := f.dialClient()
-	client.send("%s%s", requestFrame(1, "a1", "x"), requestFrame(2, "a2", "x", withKey(strings.Repeat("k", 300))))
-	client.expect(answerPrefix(1) + "\x92\xa7Invalid")
-	client.expect(answerPrefix(2) + "\x92\xa7Invalid")
-	client.send("%s", requestFrame(3, "a3", "x", withKey("k")))
+	client.send("%s", requestFrame(1, "a1", "x", withSubject("k")))
+	f.executor.expectCommand("begin", "a1")
+	client.send("%s", requestFrame(2, "a2", "x", withSubject("k"))) // waits for the first
+	client.send("%s", requestFrame(3, "a3", "x", withSubject("other")))
 	f.executor.expectCommand("begin", "a3")
-}
-
-// A forwarder's worker has to know a repeat too: all that a task came with goes on with it.
-func TestForwarding_KeepsAllMessageFields(t *testing.T) {
-	s := New(&config.Startup{}, nil)
-	s.EnableForwarding(func(ForwardRequest) bool { return true }, func(string) {})
-	message := rpc.Message{Kind: rpc.Task, Number: 7, ID: "a1", Stage: "quote", Tenant: "acme", Subject: "s", Key: "k", Again: true, Hint: 0.2, Came: 1, Wait: 2,
-		NoWait: true, Caller: 3, Memory: 4, Rank: 0.5, Body: []byte("x")}
-	s.keepForForwarding(&memory.Request{ID: "a1"}, &message)
-	got, want := *s.fleet.forwarding.messages["a1"], message
-	want.Number, want.Body = 0, nil
-	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, want %+v", got, want)
-	}
+	f.executor.sendCompletion(1, "a1", "done", "r")
+	client.expect(resultPrefix + "\x01r\x80")
+	client.expect(resultPrefix + "\x01r\x80")
+	client.send("%s", requestFrame(4, "a4", "x", withSubject("k"))) // finds it there
+	client.expect(answerPrefix(4) + resultPrefix + "\x01r\x80")
 }
--- /dev/null
+++ b/internal/server/evict_test.go
@@ -0,0 +1,66 @@
+package server
+
+import (
+	"testing"
+
+	"swiftcourse/admission"
+	"swiftcourse/internal/config"
+	"swiftcourse/internal/policy/connlimit"
+)
+
+func TestMaxClients_FromDescriptorsAndMemory(t *testing.T) {
+	for _, c := range []struct {
+		sockets   int
+		memory    int64
+		want      int
+		becauseOf string
+	}{
+		{512, 64 << 20, 352, "descriptors"},
+		{384, 48 << 20, 256, "descriptors"},
+		{20000, 192 << 20, 19712, "descriptors"},
+		{20000, 48 << 20, 48 << 20 / 4 / idleConnBytes, "memory"},
+	} {
+		s := New(&config.Startup{MaxSockets: c.sockets, MemoryBytes: c.memory}, nil)
+		if most, by := s.maxClients(); most != c.want || by != c.becauseOf {
+			t.Errorf("%d descriptors, %d bytes: %d by %s", c.sockets, c.memory, most, by)
+		}
+	}
+}
+
+func TestEviction_SilentConnectionsMakeRoom(t *testing.T) {
+	f := startServer(t, func(s *config.Startup) { s.MaxSockets = 64 })
+	check := "\x94\x00\x01\xa6isWell\x91\x80"
+	busy := f.dialClient()
+	busy.send("%s", requestFrame(1, "a1", "x"))
+	f.executor.expectCommand("begin", "a1")
+	most, _ := f.server.maxClients()
+	for range most {
+		f.dialClient()
+		late := f.dialClient()
+		late.send("%s", check)
+		late.expect("\xc3\x80")
+		_ = late.Close()
+	}
+	f.executor.sendCompletion(1, "a1", "done", "r")
+	busy.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
+}
+
+func TestEviction_SparesConnectionsWithPendingAnswers(t *testing.T) {
+	s := New(&config.Startup{Settings: admission.Settings{IdleTimeout: 30}}, nil)
+	add := func(unsent bool) *clientConn {
+		name, p := s.clients.conns.Add()
+		p.server, p.id, p.conn, p.unsent = s, name, brokenConn{}, unsent
+		s.clients.limiter.Open(name.Slot(), 0)
+		s.clients.limiter.Tell(name.Slot(), connlimit.Spoke, 0)
+		return p
+	}
+	answered, silent, late := add(true), add(false), add(false)
+	s.clients.limiter.Tell(silent.id.Slot(), connlimit.Spoke, 1)
+	if p := s.evictionCandidate(late); p != silent { // an answer is on its way out to the first
+		t.Errorf("%+v goes", p)
+	}
+	s.clients.limiter.Tell(silent.id.Slot(), connlimit.Owed, 2)
+	if p := s.evictionCandidate(late); p != nil {
+		t.Errorf("%+v goes, %+v", p, answered)
+	}
+}
--- a/internal/server/processor_test.go
+++ b/internal/server/executor_test.go
@@ -5,8 +5,6 @@
 
 	"swiftcourse/admission"
 	"swiftcourse/internal/config"
-	"swiftcourse/internal/memory"
-	"swiftcourse/internal/wire/processor"
 )
 
 func TestExecutorLink_Resumes(t *testing.T) {
@@ -16,15 +14,15 @@
 	f.executor.sendCall(1, "a1", "c")
 	below := acceptConn(t, f.upstreamListener)
 	below.expect("\r\nc\r\n") // so notice 1 was read
-	f.executor.Close()
+	_ = f.executor.Close()
 	below.send("a1 DATA 1\r\nd\r\n") // while the link is down
 	executor := acceptConn(t, f.executorListener)
 	if hello := executor.readCommand(false); hello["msg"] != "hello" || hello["serial"] != 1.0 {
 		t.Fatal(hello)
 	}
 	client.send("%s\x94\x00\x04\xa6isWell\x91\x80", requestFrame(3, "a3", "x"))
-	client.expect(answerPrefix(4)) // so the task was read too, but no command goes out yet
-	executor.send(`{"msg":"hi","how":"seasoned","duration":3600000}` + "\n")
+	client.expect(answerPrefix(4)) // so the request was read too, but no command goes out yet
+	executor.sendUp("seasoned", 3600000)
 	executor.sendCall(1, "a1", "again")           // read before
 	executor.sendCompletion(2, "a2", "done", "r") // missed
 	if m := executor.readCommand(true); m["msg"] != "usage" {
@@ -41,13 +39,13 @@
 
 func TestExecutorLink_ResendsStart(t *testing.T) {
 	f, client := startRunningRequest(t, nil)
-	f.executor.Close() // before anything shows that the command was read
+	_ = f.executor.Close() // before anything shows that the command was read
 	executor := acceptConn(t, f.executorListener)
 	executor.readCommand(false)
-	executor.send(`{"msg":"hi","how":"seasoned","duration":1}` + "\n")
+	executor.sendUp("seasoned", 1)
 	executor.readCommand(true)
 	executor.expectCommand("begin", "a1")
-	executor.send(`{"msg":"reject","how":"begin","call":"a1"}` + "\n") // it never ran, so the module gives it up
+	executor.send(`{"msg":"reject","how":"begin","call":"a1"}` + "\n") // it never ran, so the controller gives it up
 	client.expect(answerPrefix(1) + "\x92\xa6Failed")
 }
 
@@ -59,13 +57,14 @@
 			s.Settings.Classes[0].Idempotency, s.Settings.Classes[0].DeduplicationWindow = effect, 20
 		})
 		client := f.dialClient()
-		client.send("%s%s", requestFrame(1, "a1", "x", withTimeout(2), withKey("k")), requestFrame(2, "a2", "x", withKey("l")))
+		client.send("%s%s", requestFrame(1, "a1", "x", withTimeout(2), withKey("k")),
+			requestFrame(2, "a2", "x", withKey("l")))
 		f.executor.expectCommand("begin", "a1")
 		f.executor.expectCommand("begin", "a2")
-		f.executor.Close()
+		_ = f.executor.Close()
 		executor := acceptConn(t, f.executorListener)
 		executor.readCommand(false)
-		executor.send(`{"msg":"hi","how":"seasoned","duration":1}` + "\n")
+		executor.sendUp("seasoned", 1)
 		executor.readCommand(true)
 		executor.sendCompletion(1, "a2", "done", "r") // it ran all the same
 		client.expect(answerPrefix(2) + resultPrefix + "\x01r\x80")
@@ -75,7 +74,7 @@
 	}
 }
 
-// The other end of the processor's link is gone without a word: nothing comes, and nothing breaks.
+// The other end of the executor's link is gone without a word: nothing comes, and nothing breaks.
 func TestExecutorLink_SilentLinkReplaced(t *testing.T) {
 	f, client := startRunningRequest(t, nil)
 	waitUntil(f, true, func(s *Server) bool { // a question is open, which nobody answers here
@@ -90,33 +89,9 @@
 	if hello := executor.readCommand(false); hello["msg"] != "hello" {
 		t.Fatal(hello)
 	}
-	executor.send(`{"msg":"hi","how":"seasoned","duration":1}` + "\n")
+	executor.sendUp("seasoned", 1)
 	executor.readCommand(true)
 	executor.expectCommand("begin", "a1")
 	executor.sendCompletion(1, "a1", "done", "r")
 	client.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
 }
-
-func TestRefreshEvent_AgeAndRemainingBudget(t *testing.T) {
-	s := New(&config.Startup{}, nil)
-	now := s.now()
-	s.requests.Add(&memory.Request{ID: "a", ArrivedAt: now - 2, Timeout: 5})
-	s.requests.Add(&memory.Request{ID: "b", ArrivedAt: now + 1}) // by a clock ahead of ours; its wait is not told
-	for id, want := range map[string]admission.Request{"a": {Age: 2, RemainingBudget: 3}, "b": {}} {
-		event := admission.Event{Kind: admission.Arrived, RequestID: id}
-		if s.refreshEvent(&event, now); event.Request != want {
-			t.Errorf("%s: %+v", id, event.Request)
-		}
-	}
-}
-
-func TestRefreshEvent_StaleGaugesUnknown(t *testing.T) {
-	s := New(&config.Startup{Gauges: []string{"runnable"}}, nil)
-	s.executor.handleGauges(&processor.Notice{Gauges: []float64{3}})
-	for after, want := range map[float64]float64{0.01: 3, 2: -1} {
-		event := admission.Event{Kind: admission.TimerFired}
-		if s.refreshEvent(&event, s.decisions.gaugesAt+after); event.Gauges.Runnable != want {
-			t.Errorf("after %g s: %+v", after, event.Gauges)
-		}
-	}
-}
--- /dev/null
+++ b/internal/server/graceful_test.go
@@ -0,0 +1,239 @@
+package server
+
+import (
+	"fmt"
+	"io"
+	"testing"
+	"time"
+
+	"github.com/panjf2000/gnet/v2"
+	"golang.org/x/sys/unix"
+
+	"swiftcourse/internal/config"
+	"swiftcourse/internal/logging"
+	"swiftcourse/internal/policy/connlimit"
+)
+
+// Bytes that are no message cost the connection they came on, and nothing that was read on it
+// before.
+func TestMutedConnection_AnswersRequestsReadBefore(t *testing.T) {
+	f := startServer(t, nil)
+	client, other := f.dialClient(), f.dialClient()
+	first, second := requestFrame(1, "a1", "x"), requestFrame(2, "a2", "x")
+	client.send("%s%s\xc1%s", first, healthCheckFrame, second) // all in one piece
+	client.expect("\xc0\x92\xc3")
+	f.executor.expectCommand("begin", "a1")
+	client.send("%s", requestFrame(3, "a3", "x")) // nothing of it is read any more
+	other.send("%s\xc1", healthCheckFrame)        // its answer is not out as the bytes are met
+	other.expect("\xc0\x92\xc3")
+	if _, err := io.ReadAll(other.in); err != nil {
+		t.Errorf("instead of its end: %v", err)
+	}
+	f.executor.sendCompletion(1, "a1", "done", "r")
+	client.expect(answerPrefix(1) + resultPrefix + "\x01r")
+	if _, err := io.ReadAll(client.in); err != nil {
+		t.Errorf("instead of its end: %v", err)
+	}
+	if read := query(f, func(s *Server) int { return s.statistics.received }); read != 1 {
+		t.Errorf("%d requests were read", read)
+	}
+}
+
+// One that sends what is no message and then takes none of its answers is closed all the same.
+func TestMutedConnection_ClosedWhenAnswersUnread(t *testing.T) {
+	logging.SetOutput(io.Discard)
+	s := newServerWithoutLoop(30)
+	p, c, _ := addLinkedClient(t, s)
+	c.unsent = 100
+	p.mute()
+	now := s.now()
+	for at := now; at < now+mutedFlushTimeout; at += mutedFlushTimeout / 4 {
+		if s.maintainMuted(at); c.closed {
+			t.Fatal("closed with an answer under way")
+		}
+	}
+	if s.maintainMuted(now + mutedFlushTimeout); !c.closed || s.clients.conns.Len() != 0 {
+		t.Error("stays for ever")
+	}
+}
+
+// What comes across a close is read to its end and thrown away: an unread byte at the close would
+// reset the connection.
+func TestLingeringConnection_DiscardsLateBytes(t *testing.T) {
+	logging.SetOutput(io.Discard)
+	for _, leaves := range []bool{true, false} {
+		s := newServerWithoutLoop(30)
+		p, c, far := addLinkedClient(t, s)
+		p.closeGracefully()
+		if !peerShutDown(far) || c.closed || s.clients.conns.Len() != 0 {
+			t.Fatalf("closed %t, %d clients", c.closed, s.clients.conns.Len())
+		}
+		c.bytes = requestFrame(1, "a1", "x")
+		if s.OnTraffic(c); c.closed || s.requests.Len() != 0 || len(s.decisions.pending) != 0 {
+			t.Errorf("closed %t, %d requests, events %v", c.closed, s.requests.Len(), s.decisions.pending)
+		}
+		if leaves {
+			s.OnClose(c, nil)
+		} else {
+			s.clients.lingering[0].deadline = s.now()
+			s.expireLingering()
+		}
+		if len(s.clients.lingering) != 0 || c.closed == leaves {
+			t.Errorf("leaves %t: %d are closing, closed %t", leaves, len(s.clients.lingering), c.closed)
+		}
+		s.OnClose(c, nil) // the library's, late
+	}
+}
+
+// Connections that close hold few descriptors, but in a server that leaves, which needs none.
+func TestLingeringConnection_CountBounded(t *testing.T) {
+	logging.SetOutput(io.Discard)
+	for _, leaves := range []bool{false, true} {
+		s := newServerWithoutLoop(30)
+		s.drain.closing = leaves
+		var all []*fakeSocket
+		for range maxLingering + 5 {
+			p, c, _ := addLinkedClient(t, s)
+			all = append(all, c)
+			p.closeGracefully()
+		}
+		var gone string
+		for _, c := range all[:6] {
+			gone += fmt.Sprint(c.closed, " ")
+		}
+		want := "true true true true true false "
+		if leaves {
+			want = "false false false false false false "
+		}
+		if gone != want {
+			t.Errorf("leaves %t: of the first, closed %s", leaves, gone)
+		}
+	}
+}
+
+func TestGracefulClose_RequestArrivingMeanwhileIsAnswered(t *testing.T) {
+	logging.SetOutput(io.Discard)
+	for _, wakes := range []bool{true, false} {
+		s := newServerWithoutLoop(30)
+		s.clients.limiter.Idle(0)
+		p, c, far := addLinkedClient(t, s)
+		name, now := p.id, s.now()
+		s.maintainConnections(now + 1)
+		if s.clients.limiter.State(name.Slot()) != connlimit.Parting {
+			t.Fatalf("state %d", s.clients.limiter.State(name.Slot()))
+		}
+		s.flush()
+		if wakes {
+			c.bytes = requestFrame(1, "a1", "x")
+			if _, err := unix.Write(far, []byte(c.bytes)); err != nil {
+				t.Fatal(err)
+			}
+		}
+		s.maintainConnections(now + 3)
+		if peerShutDown(far) == wakes || (s.clients.conns.Get(name) == nil) == wakes {
+			t.Fatalf("wakes %t, and it is %d clients", wakes, s.clients.conns.Len())
+		}
+		if !wakes { // what crosses that is thrown away
+			c.bytes = requestFrame(1, "a1", "x")
+			if action := s.OnTraffic(c); action != gnet.None || s.requests.Len() != 0 {
+				t.Errorf("action %v, %d requests", action, s.requests.Len())
+			}
+			s.clients.lingering[0].deadline = 0
+			if s.expireLingering(); !c.closed {
+				t.Error("stays for ever")
+			}
+		}
+		if action := s.OnTraffic(c); wakes != (action == gnet.None && s.requests.Len() == 1) {
+			t.Errorf("wakes %t: action %v, %d requests", wakes, action, s.requests.Len())
+		}
+		if !wakes {
+			continue
+		}
+		s.maintainConnections(now + 100) // a request is open
+		s.reject(s.requests.Get("a1"), 0, false)
+		got := fmt.Sprintf("%q", s.clients.conns.Get(name).out.Buffers())
+		if s.requests.Unanswered() != 0 || s.statistics.rejected != 1 || len(got) < 10 {
+			t.Errorf("its answer: %s", got)
+		}
+		if _, err := unix.Read(c.fd, make([]byte, 4096)); err != nil { // as gnet would have before OnTraffic
+			t.Fatal(err)
+		}
+	}
+}
+
+func TestGracefulClose_ReconnectStorm(t *testing.T) {
+	const n = 1500
+	f := startServer(t, func(s *config.Startup) { s.MaxSockets, s.Settings.IdleTimeout = 4000, 0.4 })
+	for _, heeds := range []bool{true, false, true} {
+		crowd := f.holdClients(n, heeds)
+		busy := f.dialClient()
+		for i := byte(1); crowd.Len() > 0; i = i%100 + 1 { // a busy one goes on meanwhile
+			id := fmt.Sprintf("t%t%d", heeds, time.Now().UnixNano())
+			busy.send("%s", requestFrame(i, id, "x"))
+			f.executor.expectCommand("begin", id)
+			lastNotice := query(f, func(s *Server) int64 { return s.executor.lastNotice })
+			f.executor.sendCompletion(int(lastNotice)+1, id, "done", "r")
+			busy.expect(resultPrefix + "\x01r\x80")
+		}
+		_ = busy.Close()
+		if asked := crowd.Asked.Load(); asked != n {
+			t.Errorf("%d of %d were asked to close", asked, n)
+		}
+		waitUntil(f, 0, clientCount)
+	}
+}
+
+// An answer that a slow reader has not taken yet keeps its connection from being closed.
+func TestGracefulClose_WaitsForUnsentAnswers(t *testing.T) {
+	s := newServerWithoutLoop(30)
+	s.clients.limiter.Idle(0)
+	_, c, far := addLinkedClient(t, s)
+	c.unsent = 100
+	now := s.now()
+	s.maintainConnections(now + 1) // is asked to close
+	s.flush()
+	for at := now + 2; at < now+5; at++ {
+		if s.maintainConnections(at); peerShutDown(far) || c.closed {
+			t.Fatal("closed with an answer under way")
+		}
+	}
+	c.unsent = 0
+	for at := now + 5; at < now+8; at++ {
+		s.maintainConnections(at)
+	}
+	if !peerShutDown(far) {
+		t.Error("stays for ever")
+	}
+}
+
+// What arrives with the request to close, or in part before it, is answered: a whole pipeline, and
+// half a message.
+func TestGracefulClose_CrossingRequestsAnswered(t *testing.T) {
+	f := startServer(t, func(s *config.Startup) { s.StopTimeout = 10 })
+	client, other := f.dialClient(), f.dialClient()
+	client.send("%s", requestFrame(1, "a1", "x"))
+	f.executor.expectCommand("begin", "a1")
+	half := requestFrame(1, "b1", "x", withArrival(float64(time.Now().Unix()+20))) // after all
+	other.send("%s", half[:50])
+	f.server.Drain()
+	client.expect("goaway\x90")
+	client.send("%s%s%s", requestFrame(2, "a2", "x"), requestFrame(3, "a3", "x"), requestFrame(4, "a4", "x"))
+	other.send("%s", half[50:])
+	for n := range byte(3) {
+		client.expect(answerPrefix(n+2) + "\x92\xa4Busy")
+	}
+	other.expect("goaway\x90")
+	other.expect(answerPrefix(1) + "\x92\xa4Busy")
+	f.executor.sendCompletion(1, "a1", "done", "r")
+	client.expect(answerPrefix(1) + resultPrefix + "\x01r")
+}
+
+func TestGracefulClose_SilentConnections(t *testing.T) {
+	f := startServer(t, func(s *config.Startup) { s.Settings.IdleTimeout = 0.05 })
+	client := f.dialClient()
+	client.send("\x94\x00\x01\xa6isWell\x91\x80")
+	client.expect("goaway\x90")
+	if _, err := io.ReadAll(client.in); err != nil {
+		t.Errorf("instead of its end: %v", err)
+	}
+}
--- a/internal/server/idle_bench_test.go
+++ b/internal/server/idle_bench_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"io"
-
 	"net"
 	"runtime"
 	"strings"
@@ -19,7 +18,7 @@
 // nothing keeps: what gnet keeps of it, what the server keeps, and of the former what each place
 // allocates. Run it alone:
 //
-//	go test -run '^$' -bench IdleHeap -benchtime 1x -memprofilerate 1 ./internal/serve
+//	go test -run '^$' -bench IdleHeap -benchtime 1x -memprofilerate 1 ./internal/server
 func BenchmarkIdleHeap(b *testing.B) {
 	if runtime.MemProfileRate != 1 {
 		b.Skip("it needs -memprofilerate 1")
@@ -31,12 +30,33 @@
 		b.Fatal(err)
 	}
 	addr := front.Addr().String()
-	front.Close()
-	s := New(&config.Startup{Listen: addr, MaxSockets: 3 * n, StopTimeout: 4, Addresses: config.Addresses{Executor: "127.0.0.9:1", Registry: "127.0.0.9:1"}}, nil)
+	_ = front.Close()
+	s := New(&config.Startup{
+		Listen:      addr,
+		MaxSockets:  3 * n,
+		StopTimeout: 4,
+		Addresses:   config.Addresses{Executor: "127.0.0.9:1", Registry: "127.0.0.9:1"},
+	}, nil)
 	s.clients.limiter.Idle(1e9)
 	done := make(chan error, 1)
 	go func() { done <- s.Run() }()
-	var open []net.Conn
+	open := holdChecked(b, addr, n)
+	for whose, bytes := range heapByOwner() {
+		b.ReportMetric(bytes/n, whose+"_B/conn")
+	}
+	b.ReportMetric(0, "ns/op")
+	for _, c := range open {
+		_ = c.Close()
+	}
+	s.stop()
+	if err := <-done; err != nil {
+		b.Error(err)
+	}
+}
+
+// holdChecked opens connections, each with one health check that is answered.
+func holdChecked(b *testing.B, addr string, n int) (open []net.Conn) {
+	b.Helper()
 	for len(open) < n {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -51,6 +71,12 @@
 		}
 		open = append(open, c)
 	}
+	return open
+}
+
+// heapByOwner is the heap in use, in bytes, that was allocated on the server's loop, by whose it
+// is.
+func heapByOwner() map[string]float64 {
 	runtime.GC()
 	runtime.GC() // the profile is that of the collection before the last
 	records := make([]runtime.MemProfileRecord, 20000)
@@ -58,18 +84,10 @@
 	kept := map[string]float64{}
 	for _, r := range records[:count] {
 		if whose := allocationOwner(r.Stack()); whose != "" {
-			kept[whose] += float64(r.InUseBytes()) / n
+			kept[whose] += float64(r.InUseBytes())
 		}
 	}
-	for whose, bytes := range kept {
-		b.ReportMetric(bytes, whose+"_B/conn")
-	}
-	b.ReportMetric(0, "ns/op")
-	for _, c := range open {
-		c.Close()
-	}
-	s.stop()
-	<-done
+	return kept
 }
 
 // allocationOwner tells whose an allocation on the server's loop is: that of the innermost function
--- /dev/null
+++ b/internal/server/request_test.go
@@ -0,0 +1,80 @@
+package server
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"swiftcourse/internal/config"
+	"swiftcourse/internal/wire/rpc"
+)
+
+func TestRequest_WithoutIdempotencyKeyRejected(t *testing.T) {
+	f := startServer(t, deduplicateOnlyClass)
+	client := f.dialClient()
+	client.send("%s%s", requestFrame(1, "a1", "x"), requestFrame(2, "a2", "x", withKey(strings.Repeat("k", 300))))
+	client.expect(answerPrefix(1) + "\x92\xa7Invalid")
+	client.expect(answerPrefix(2) + "\x92\xa7Invalid")
+	client.send("%s", requestFrame(3, "a3", "x", withKey("k")))
+	f.executor.expectCommand("begin", "a3")
+}
+
+func TestRequest_TooManyOpenOnConnection(t *testing.T) {
+	f := startServer(t, nil)
+	client := f.dialClient()
+	for i := range byte(maxRequestsPerConn + 1) {
+		client.send("%s", requestFrame(i+1, fmt.Sprintf("a%d", i), "x"))
+	}
+	client.expect(answerPrefix(maxRequestsPerConn+1) + "\x92\xa7Invalid")
+}
+
+func TestRequest_WithUpstreamCallAndHealthCheck(t *testing.T) {
+	f := startServer(t, nil)
+	client := f.dialClient()
+	client.send("%s%s", requestFrame(1, "a1", "the body"), "\x94\x00\x02\xa6isWell\x91\x80")
+	client.expect(answerPrefix(2) + "\xc0\x92\xc3\x80")
+	if m := f.executor.expectCommand("begin", "a1"); m["blob"] != "dGhlIGJvZHk=" || m["service"] != "quote" {
+		t.Fatal(m)
+	}
+	f.executor.sendCall(1, "a1", "a\r\ncall")
+	below := acceptConn(t, f.upstreamListener)
+	if got := below.expect(" 7\r\na\r\ncall\r\n"); !strings.HasPrefix(got, "FETCH a1 ") {
+		t.Fatalf("%q", got)
+	}
+	below.send("zz DATA 3\r\nold\r\na1 DATA 5\r\nreply\r\n") // the first is of a call given up long ago
+	if m := f.executor.expectCommand("answer", "a1"); m["blob"] != "cmVwbHk=" {
+		t.Fatal(m)
+	}
+	f.executor.sendCompletion(2, "a1", "done", "result")
+	client.expect(answerPrefix(1) + resultPrefix + "\x06result\x80")
+}
+
+func TestRequest_FailedAtSoftDeadlineAndAnsweredOnce(t *testing.T) {
+	f := startServer(t, nil)
+	client := f.dialClient()
+	client.send("%s", requestFrame(1, "a1", "x", withTimeout(0.3)))
+	f.executor.expectCommand("begin", "a1")
+	client.expect(answerPrefix(1) + "\x92\xa6Failed\x80\xc0")
+	f.executor.sendCompletion(1, "a1", "done", "late")
+	client.send("%s", requestFrame(2, "a2", "x", withTimeout(0)))
+	if got := client.expect("Busy"); strings.Contains(got, "late") || !strings.HasPrefix(got, answerPrefix(2)) {
+		t.Errorf("%q", got)
+	}
+}
+
+// A deployment may not tell how long clients wait: the timeout of the class stands in. Where it
+// does, a request without is refused.
+func TestRequest_WithoutTimeout(t *testing.T) {
+	untold := func(message *rpc.Message) { message.NoWait = true }
+	f := startServer(t, func(s *config.Startup) {
+		s.Settings.DeadlinePropagation = false
+		s.Settings.Classes[0].Timeout = 0.4
+	})
+	client := f.dialClient()
+	client.send("%s", requestFrame(1, "a1", "x", untold))
+	f.executor.expectCommand("begin", "a1")
+	client.expect(answerPrefix(1) + "\x92\xa6Failed")
+	told := startServer(t, nil).dialClient()
+	told.send("%s", requestFrame(1, "a1", "x", untold))
+	told.expect(answerPrefix(1) + "\x92\xa7Invalid")
+}
--- /dev/null
+++ b/internal/server/server_test.go
@@ -0,0 +1,82 @@
+package server
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"swiftcourse/internal/standin/catalogue"
+	wirecatalogue "swiftcourse/internal/wire/catalogue"
+)
+
+func TestServer_TablesReturnToEmpty(t *testing.T) {
+	f := startServer(t, nil)
+	below, err := catalogue.Start("127.0.0.9:0", func(n int, _ wirecatalogue.Call) catalogue.Fate {
+		return catalogue.Fate{Body: []byte("d"), Break: n%5 == 0} // every fifth call breaks its connection
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer below.Close()
+	addresses := f.addresses()
+	addresses.Upstream = below.Addr()
+	f.server.SetEndpoints(addresses)
+	serial := 0
+	next := func() int { serial++; return serial }
+	for i := range 150 {
+		client, id := f.dialClient(), fmt.Sprint("t", i)
+		client.send("%s", requestFrame(1, id, "x", withTimeout(3), withSubject(id)))
+		f.executor.expectCommand("begin", id)
+		if i%3 == 0 { // the client leaves; its run ends all the same
+			_ = client.Close()
+			f.executor.sendCompletion(next(), id, "aborted", "")
+			continue
+		}
+		f.executor.sendCall(next(), id, "c")
+		f.executor.expectCommand("answer", id)
+		f.executor.sendCompletion(next(), id, "done", "r")
+		client.expect(resultPrefix + "\x01r\x80")
+		_ = client.Close()
+		if i%50 == 49 {
+			_ = f.executor.Close()
+			f.executor = acceptConn(t, f.executorListener)
+			f.executor.readCommand(false)
+			f.executor.sendUp("seasoned", 1)
+			f.executor.readCommand(true)
+		}
+	}
+	go func() { // goes on giving gauges, so that nothing waits for them
+		for {
+			if _, err := f.executor.in.ReadByte(); err != nil {
+				return
+			}
+		}
+	}()
+	want := tableSizes{}
+	got := tableSizes{requests: -1}
+	for end := time.Now().Add(testTimeout); got != want && time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+		got = query(f, sizesOf)
+	}
+	if got != want {
+		t.Errorf("%+v", got)
+	}
+}
+
+// tableSizes is what a server keeps.
+type tableSizes struct {
+	requests, results, calls, upstreamConns, clients, buffers, events int
+	extraTimers                                                       int // over ten, which are always there
+}
+
+func sizesOf(s *Server) tableSizes {
+	return tableSizes{
+		requests:      s.requests.Len(),
+		results:       s.results.Len(),
+		calls:         len(s.upstream.calls),
+		upstreamConns: len(s.upstream.all) + len(s.upstream.waiting),
+		clients:       s.clients.conns.Len(),
+		buffers:       s.output.buffers.InUse,
+		events:        len(s.decisions.pending),
+		extraTimers:   max(0, s.loop.timers.Len()-10),
+	}
+}
--- /dev/null
+++ b/internal/server/testconn_test.go
@@ -0,0 +1,186 @@
+package server
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/base64"
+	"encoding/json"
+	"fmt"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"swiftcourse/internal/wire/rpc"
+)
+
+// testTimeout is how long the tests wait for what must come; nothing is asserted of how soon it
+// does.
+const testTimeout = 20 * time.Second
+
+// testConn is the stand-in's end of a connection.
+type testConn struct {
+	t *testing.T
+	net.Conn
+	in *bufio.Reader
+}
+
+func listenLoopback(t *testing.T) net.Listener {
+	l, err := net.Listen("tcp", "127.0.0.9:0") // not where dials come from, whose ports could clash
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = l.Close() })
+	return l
+}
+
+func acceptConn(t *testing.T, l net.Listener) *testConn {
+	t.Helper()
+	if err := l.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	c, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return newTestConn(t, c)
+}
+
+func newTestConn(t *testing.T, c net.Conn) *testConn {
+	t.Cleanup(func() { _ = c.Close() })
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
+	return &testConn{t, c, bufio.NewReader(c)}
+}
+
+func (e *testConn) send(format string, a ...any) {
+	e.t.Helper()
+	if _, err := fmt.Fprintf(e, format, a...); err != nil {
+		e.t.Fatal(err)
+	}
+}
+
+// expect reads up to and with the text.
+func (e *testConn) expect(text string) string {
+	e.t.Helper()
+	var got []byte
+	for !bytes.HasSuffix(got, []byte(text)) {
+		b, err := e.in.ReadByte()
+		if err != nil {
+			e.t.Fatalf("%v; got %q, not yet %q", err, got, text)
+		}
+		got = append(got, b)
+	}
+	return string(got)
+}
+
+// readCommand reads the executor's next command; questions for the gauges are answered by the way,
+// and end it where a fence is asked for.
+func (e *testConn) readCommand(fence bool) map[string]any {
+	e.t.Helper()
+	for {
+		var m map[string]any
+		if err := json.Unmarshal([]byte(e.expect("\n")), &m); err != nil {
+			e.t.Fatal(err)
+		}
+		if m["msg"] != "usage" {
+			return m
+		}
+		e.send(`{"msg":"used","cookie":"%s","stats":[0.5,3]}`+"\n", m["cookie"])
+		if fence && strings.HasPrefix(m["cookie"].(string), "fence") {
+			return m
+		}
+	}
+}
+
+func (e *testConn) expectCommand(msg, call string) map[string]any {
+	e.t.Helper()
+	m := e.readCommand(false)
+	if m["msg"] != msg || m["call"] != call {
+		e.t.Fatalf("got %v, want %s %s", m, msg, call)
+	}
+	return m
+}
+
+// requestFrame is a request as a client writes it.
+func requestFrame(number byte, call, body string, change ...func(*rpc.Message)) string {
+	message := &rpc.Message{
+		Number: uint64(number),
+		ID:     call,
+		Stage:  "quote",
+		Tenant: "acme",
+		Caller: 1,
+		Came:   float64(time.Now().UnixMilli()) / 1000,
+		Wait:   30,
+		Memory: 1,
+		Rank:   0.5,
+		Body:   []byte(body),
+	}
+	for _, c := range change {
+		c(message)
+	}
+	return string(rpc.PutTask(nil, message))
+}
+
+func withTimeout(seconds float64) func(*rpc.Message) {
+	return func(message *rpc.Message) { message.Wait = seconds }
+}
+
+func withSubject(row string) func(*rpc.Message) {
+	return func(message *rpc.Message) { message.Subject = row }
+}
+
+func withArrival(at float64) func(*rpc.Message) {
+	return func(message *rpc.Message) { message.Came = at }
+}
+
+func withKey(k string) func(*rpc.Message) { return func(message *rpc.Message) { message.Key = k } }
+
+const resultPrefix = "\xc0\x92\xc4" // no error, and a result of under 256 bytes
+
+const failedPayload = "\x92\xa6Failed"
+
+func answerPrefix(number byte) string { return string([]byte{0x94, 1, number}) }
+
+// completionLine is the notice that a run ended: its number, its call, how it ended and its result
+// in base64.
+const completionLine = `{"msg":"complete","serial":%d,"call":"%s","how":"%s","duration":5,"blob":"%s"}` + "\n"
+
+func (e *testConn) sendCompletion(serial int, call, how, result string) {
+	e.t.Helper()
+	e.send(completionLine, serial, call, how, base64.StdEncoding.EncodeToString([]byte(result)))
+}
+
+// sendUp is the executor's first word: whether it is fresh or seasoned, and how long ago it
+// started.
+func (e *testConn) sendUp(how string, milliseconds int) {
+	e.t.Helper()
+	e.send(`{"msg":"hi","how":"%s","duration":%d}`+"\n", how, milliseconds)
+}
+
+func (e *testConn) sendCall(serial int, call, body string) {
+	e.t.Helper()
+	e.send(`{"msg":"ask","serial":%d,"call":"%s","blob":"%s"}`+"\n", serial, call,
+		base64.StdEncoding.EncodeToString([]byte(body)))
+}
+
+// readAnswer reads the next answer that a client gets.
+func (e *testConn) readAnswer() rpc.Answer {
+	e.t.Helper()
+	var got []byte
+	for {
+		b, err := e.in.ReadByte()
+		if err != nil {
+			e.t.Fatal(err)
+		}
+		got = append(got, b)
+		a, size, err := rpc.NextAnswer(got)
+		if err != nil {
+			e.t.Fatal(err)
+		}
+		if size > 0 {
+			return a
+		}
+	}
+}
+
+const healthCheckFrame = "\x94\x00\x01\xa6isWell\x91\x80"
--- a/internal/server/catalogue_test.go
+++ b/internal/server/upstream_test.go
@@ -1,15 +1,12 @@
 package server
 
 import (
-	"context"
 	"fmt"
 	"io"
 	"net"
 	"strings"
 	"testing"
 
-	"github.com/panjf2000/gnet/v2"
-
 	"swiftcourse/internal/config"
 )
 
@@ -19,17 +16,17 @@
 	var below *testConn
 	for _, end := range []string{"a1 LATER", "a1 NOUSE", "a1 FAULT", "a1 TOOSLOW", "", "nonsense", "\xff\x00",
 		"a1 DATA 3000000000\r\nxxxxx", "a1 DATA 1\r\nlonger", strings.Repeat("x", 300)} {
-		below = acceptConn(t, f.upstreamListener) // no connection carries two calls of one task
+		below = acceptConn(t, f.upstreamListener) // no connection carries two calls of one request
 		below.expect("FETCH a1 ")
 		below.expect("\r\nc\r\n")
 		if below.send("%s\r\n", end); end == "" {
-			below.Close() // cut midway
+			_ = below.Close() // cut midway
 		}
 	}
 	below = acceptConn(t, f.upstreamListener)
 	below.expect("\r\nc\r\n")
-	f.upstreamListener.Close()
-	below.Close() // no dial gets through now
+	_ = f.upstreamListener.Close()
+	_ = below.Close() // no dial gets through now
 	f.executor.sendCompletion(2, "a1", "crashed", "")
 	client.expect(answerPrefix(1) + "\x92\xa6Failed")
 }
@@ -38,10 +35,10 @@
 	f := startServer(t, nil)
 	client := f.dialClient()
 	call := func(number byte, serial int) {
-		task := fmt.Sprintf("a%d", number)
-		client.send("%s", requestFrame(number, task, "x"))
-		f.executor.expectCommand("begin", task)
-		f.executor.sendCall(serial, task, "c")
+		id := fmt.Sprintf("a%d", number)
+		client.send("%s", requestFrame(number, id, "x"))
+		f.executor.expectCommand("begin", id)
+		f.executor.sendCall(serial, id, "c")
 	}
 	call(1, 1)
 	one := acceptConn(t, f.upstreamListener)
@@ -84,34 +81,29 @@
 	f := startServer(t, nil)
 	client := f.dialClient()
 	var pooled *testConn
-	for i, task := range []string{"a1", "a2"} {
-		client.send("%s", requestFrame(byte(i+1), task, "x"))
-		f.executor.expectCommand("begin", task)
-		f.executor.sendCall(2*i+1, task, "c")
+	for i, id := range []string{"a1", "a2"} {
+		client.send("%s", requestFrame(byte(i+1), id, "x"))
+		f.executor.expectCommand("begin", id)
+		f.executor.sendCall(2*i+1, id, "c")
 		if i == 0 {
 			pooled = acceptConn(t, f.upstreamListener)
 		}
-		pooled.expect("FETCH " + task)
+		pooled.expect("FETCH " + id)
 		pooled.expect("\r\nc\r\n")
 		if i == 1 { // had been idle, and turns out to be forgotten
 			_ = pooled.Conn.(*net.TCPConn).SetLinger(0)
-			pooled.Close()
+			_ = pooled.Close()
 			pooled = acceptConn(t, f.upstreamListener)
-			pooled.expect("FETCH " + task)
+			pooled.expect("FETCH " + id)
 			pooled.expect("\r\nc\r\n")
 		}
-		pooled.send("%s DATA 1\r\nd\r\n", task)
-		f.executor.expectCommand("answer", task)
-		f.executor.sendCompletion(2*i+2, task, "done", "r")
+		pooled.send("%s DATA 1\r\nd\r\n", id)
+		f.executor.expectCommand("answer", id)
+		f.executor.sendCompletion(2*i+2, id, "done", "r")
 		client.expect(resultPrefix + "\x01r\x80")
 	}
-	calls := make(chan int)
-	_ = f.server.loop.handle.Execute(t.Context(), gnet.RunnableFunc(func(context.Context) error {
-		calls <- f.server.statistics.calls
-		return nil
-	}))
-	if n := <-calls; n != 2 {
-		t.Errorf("the module let out %d calls for 2", n)
+	if n := query(f, func(s *Server) int { return s.statistics.calls }); n != 2 {
+		t.Errorf("the controller dispatched %d calls for 2", n)
 	}
 }
 
@@ -120,18 +112,18 @@
 	client := f.dialClient()
 	most := f.server.maxUpstreamConns()
 	for i := range most + 1 {
-		task := fmt.Sprintf("a%d", i)
-		client.send("%s", requestFrame(byte(i+1), task, "x"))
-		f.executor.expectCommand("begin", task)
-		f.executor.sendCall(i+1, task, "c")
+		id := fmt.Sprintf("a%d", i)
+		client.send("%s", requestFrame(byte(i+1), id, "x"))
+		f.executor.expectCommand("begin", id)
+		f.executor.sendCall(i+1, id, "c")
 	}
 	pooled := acceptConn(t, f.upstreamListener)
 	for range most - 1 {
 		acceptConn(t, f.upstreamListener).expect("\r\nc\r\n")
 	}
-	task := strings.Fields(pooled.expect("\r\nc\r\n"))[1]
-	pooled.send("%s DATA 1\r\nd\r\n", task)
-	f.executor.expectCommand("answer", task)
+	id := strings.Fields(pooled.expect("\r\nc\r\n"))[1]
+	pooled.send("%s DATA 1\r\nd\r\n", id)
+	f.executor.expectCommand("answer", id)
 	pooled.expect(fmt.Sprintf("FETCH a%d ", most))
 }
 
