--- a/internal/server/accept.go
+++ b/internal/server/accept.go
@@ -18,31 +18,31 @@
 )
 
 const (
-	// minAcceptBackoff is how long to wait after a failed accept, doubled up to maxAcceptBackoff:
-	// short beside a second, in which trusted clients are to get in, and long beside what a try
-	// costs.
+	// minAcceptBackoff is the pause after a failed accept; it doubles up to maxAcceptBackoff. Both
+	// are short compared with the second in which trusted clients are to be admitted, and long
+	// compared with the cost of an attempt.
 	minAcceptBackoff = 2 * time.Millisecond
 	maxAcceptBackoff = 50 * time.Millisecond
-	// acceptBurst is for how long, in seconds, the rate limit is saved up: half of all clients may
-	// return together, and after a restart none of them is trusted.
+	// acceptBurst is the burst of the rate limit, in seconds of the rate: half of all clients may
+	// reconnect together, and none of them is trusted after a restart.
 	acceptBurst = 1.0
-	// maxPendingAccepts is how many connections may be between the acceptor and the loop where the
-	// connection limiter has no holding area: each takes up to three descriptors there, of the
-	// reserved ones.
+	// maxPendingAccepts bounds the connections between the acceptor and the loop where the
+	// connection limiter has no holding area: each takes up to three of the reserved descriptors
+	// there.
 	maxPendingAccepts = 4
-	// cpuSampleInterval is how often, in seconds, the system is asked what was spent: a call of a
+	// cpuSampleInterval is how often, in seconds, the CPU time spent is read: a system call of a
 	// microsecond.
 	cpuSampleInterval = 0.05
-	// acceptFailureLogInterval is how often a failed accept is logged at most.
+	// acceptFailureLogInterval is the least time between two log lines about failed accepts.
 	acceptFailureLogInterval = time.Second
-	// maxEvictionRounds bounds how often others have to go for one.
+	// maxEvictionRounds bounds how often other connections are evicted for the sake of one.
 	maxEvictionRounds = 5
 )
 
-// acceptor accepts connections and hands them to the loop. gnet's own accept ends the engine when
+// acceptor accepts connections and hands them to the loop. gnet's own accept stops the engine when
 // it fails for want of a descriptor or of memory, and its listener lives as long as the engine;
-// this one waits and goes on, and closes alone. Its goroutine decides nothing but when to wait;
-// what the loop shares with it is atomic.
+// this one retries, and closes on its own. Its goroutine makes no decision but when to wait; what
+// the loop shares with it is atomic.
 type acceptor struct {
 	server   *Server
 	listener net.Listener
@@ -65,18 +65,18 @@
 	sampledAt     float64                        // when the loop last told the limiter what was spent
 }
 
-// acceptFunc waits for a connection. It returns net.ErrClosed once the acceptor is to close and
-// nobody waits.
+// acceptFunc waits for a connection. It returns net.ErrClosed once the acceptor is to close and no
+// connection is waiting.
 type acceptFunc func() (acceptedSocket, error)
 
-// acceptedSocket is a connection that was accepted, as its bare descriptor: most of them in a flood
-// are closed again at once, and what the net package makes of each would be half of the cost.
+// acceptedSocket is an accepted connection as its bare descriptor: most of them in a flood are
+// closed at once, and wrapping each in a net.Conn would be half of the cost.
 type acceptedSocket struct {
 	fd     int
 	remote netip.Addr
 }
 
-// trustedClients are those whom the acceptor lets past the rate limit.
+// trustedClients are the clients that the acceptor exempts from the rate limit.
 type trustedClients struct {
 	named  []netip.Prefix
 	earned map[netip.Addr]bool
@@ -87,7 +87,8 @@
 	return t.earned[addr] || slices.ContainsFunc(t.named, isNamed)
 }
 
-// newAcceptor opens the server's listener. Like gnet's it leaves the address open to a successor.
+// newAcceptor opens the server's listener. Like gnet's, it sets SO_REUSEPORT, so that a successor
+// can listen on the address.
 func newAcceptor(address string) (*acceptor, error) {
 	listenConfig := net.ListenConfig{KeepAlive: -1, Control: reusePort}
 	listener, err := listenConfig.Listen(context.Background(), "tcp", address)
@@ -119,7 +120,8 @@
 	return errors.Join(controlErr, optionErr)
 }
 
-// attach has the acceptor go by a server's connection limiter. It is called before run.
+// attach takes the rate limit and the trusted clients from a server's connection limiter. It is
+// called before run.
 func (a *acceptor) attach(s *Server) {
 	a.server = s
 	places := maxPendingAccepts
@@ -135,9 +137,9 @@
 	a.trusted.Store(trusted)
 }
 
-// run accepts until the listener closes. All is accepted at once, as trusted clients wait in the
-// same queue of the system as others do; untrusted ones over the rate are refused here, which costs
-// about half of what it does on the loop.
+// run accepts until the listener closes. Every connection is accepted at once, as trusted clients
+// wait in the same system queue as others; untrusted ones over the rate are refused here, at about
+// half of the cost that the loop would have.
 func (a *acceptor) run() {
 	defer close(a.done)
 	defer a.release()
@@ -171,13 +173,14 @@
 	}
 }
 
-// tokenBucket holds the untrusted clients that may be accepted now.
+// tokenBucket counts the untrusted clients that may be accepted now.
 type tokenBucket struct {
 	tokens float64
 	at     time.Time // when it was last filled
 }
 
-// refill adds what has come up at a rate a second; an infinite rate leaves the bucket as it is.
+// refill adds the tokens since the last refill, at a rate per second; an infinite rate leaves the
+// bucket as it is.
 func (b *tokenBucket) refill(rate float64) {
 	now := time.Now()
 	if !math.IsInf(rate, 1) {
@@ -186,7 +189,7 @@
 	b.at = now
 }
 
-// handleAccepted hands a connection to the loop, or refuses it where it is untrusted and over the
+// handleAccepted hands a connection to the loop, or refuses it if it is untrusted and over the
 // rate.
 func (a *acceptor) handleAccepted(socket acceptedSocket, bucket *tokenBucket) {
 	bucket.refill(math.Float64frombits(a.untrustedRate.Load()))
@@ -202,7 +205,7 @@
 	a.handOver(socket)
 }
 
-// handleFailure does what can be done about a failed accept.
+// handleFailure logs a failed accept and, if descriptors ran out, makes room for the next one.
 func (a *acceptor) handleFailure(err error) {
 	a.failures.Add(1)
 	if time.Since(a.failureLoggedAt) > acceptFailureLogInterval {
@@ -222,7 +225,7 @@
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// sampleCPU sets the rate limit by what arrivals cost, on the loop.
+// sampleCPU updates the rate limit from the CPU time that arrivals cost. It runs on the loop.
 func (a *acceptor) sampleCPU(now float64) {
 	if now < a.sampledAt+cpuSampleInterval {
 		return
@@ -245,8 +248,8 @@
 	}
 }
 
-// acceptWithSpare accepts with the spare descriptor, where that is what lacks: who waits for
-// longest would else wait for ever, and the listener would be ready at every look.
+// acceptWithSpare accepts with the spare descriptor if descriptors ran out: otherwise the
+// connection that waits for longest would wait for ever, and the listener would always be ready.
 func (a *acceptor) acceptWithSpare(err error) (acceptedSocket, bool) {
 	if a.spareFile == nil || !lacksDescriptor(err) {
 		a.reserveSpare()
@@ -261,8 +264,8 @@
 	return socket, err == nil
 }
 
-// acceptBlocking waits for a connection, on a thread of its own: what is accepted is a bare
-// descriptor, and the listener's own way to wait gives none.
+// acceptBlocking waits for a connection, and blocks a thread meanwhile: what it accepts is a bare
+// descriptor, and the listener's own way to wait returns none.
 func (a *acceptor) acceptBlocking() (acceptedSocket, error) {
 	for {
 		socket, err := a.acceptNonblocking()
@@ -279,7 +282,7 @@
 	}
 }
 
-// acceptNonblocking accepts a connection where one waits, and returns unix.EAGAIN where none does.
+// acceptNonblocking accepts a connection if one is waiting, and returns unix.EAGAIN otherwise.
 func (a *acceptor) acceptNonblocking() (acceptedSocket, error) {
 	fd, remote, err := unix.Accept4(a.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	if err != nil {
@@ -295,8 +298,8 @@
 	return socket, nil
 }
 
-// handOver gives a connection to the loop, where OnOpen meets it. Where there is no descriptor for
-// that, others have to go first.
+// handOver gives a connection to the loop, where OnOpen receives it. If there is no descriptor for
+// that, other connections are evicted first.
 func (a *acceptor) handOver(socket acceptedSocket) {
 	a.reserveSpare()
 	conn, err := duplicateConn(socket)
@@ -324,7 +327,7 @@
 	}()
 }
 
-// evictForDescriptors has the loop close what has to go, and waits until it has.
+// evictForDescriptors has the loop evict connections, and waits until they are closed.
 func (a *acceptor) evictForDescriptors() {
 	s := a.server
 	evicted := make(chan struct{})
@@ -342,8 +345,8 @@
 	}
 }
 
-// duplicateConn makes of a descriptor what gnet takes, beside it: so it is still there where a
-// descriptor for that lacks.
+// duplicateConn makes a net.Conn of a duplicate of the descriptor, so that the original is still
+// open if that fails.
 func duplicateConn(socket acceptedSocket) (net.Conn, error) {
 	_ = unix.SetsockoptInt(socket.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // slower without, no worse
 	fd, err := unix.FcntlInt(uintptr(socket.fd), unix.F_DUPFD_CLOEXEC, 0)
@@ -355,17 +358,17 @@
 	return net.FileConn(file)
 }
 
-// close has the acceptor take who still waits and then close the listener: from then on the system
-// refuses connections, which proves to who asks that nothing ran. It returns at once; done is
-// closed when that is done. Any goroutine may call it.
+// close has the acceptor accept the connections that already wait, and then close the listener:
+// from then on the system refuses connections, which proves to clients that nothing ran. It returns
+// at once; the channel done is closed afterwards. Any goroutine may call it.
 func (a *acceptor) close() {
 	a.closeRequested.Store(true)
 	one := [8]byte{1}
 	_, _ = unix.Write(a.wakeFD, one[:])
 }
 
-// drained reports whether no connection can come any more: the listener is closed, and the loop has
-// all that were accepted.
+// drained reports whether no further connection can come: the listener is closed, and the loop has
+// received all accepted connections.
 func (a *acceptor) drained() bool {
 	select {
 	case <-a.done:
--- a/internal/server/claims.go
+++ b/internal/server/claims.go
@@ -4,8 +4,8 @@
 	"slices"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/memory"
 	"swiftcourse/internal/policy/serving"
+	"swiftcourse/internal/requesttable"
 )
 
 // This file is what the server does with requests that bear an idempotency key: before the
@@ -14,32 +14,32 @@
 // timeout.
 
 const (
-	// maxPendingClaims requests are claimed at a time: at 1 ms each that is a million a second, and
-	// 4 MB of bodies at the most.
+	// maxPendingClaims bounds the requests that are claimed at a time: at 1 ms each that is a
+	// million a second, and 4 MB of bodies at most.
 	maxPendingClaims = 1024
-	// claimSafetyMargin of a request's timeout, in seconds, is left for its answer.
+	// claimSafetyMargin is the part of a request's timeout, in seconds, that is kept for its
+	// answer.
 	claimSafetyMargin = 0.02
-	// claimTimeoutGrace is how long, in seconds, after that the fleet's part is taken for dead: it
-	// may have been granted.
+	// claimTimeoutGrace is how long, in seconds, after the claim's timeout its outcome is taken as
+	// unknown: the claim may have been granted.
 	claimTimeoutGrace = 0.01
 )
 
 // KeyClaimer claims idempotency keys from the fleet. Its verdicts come by
 // Server.HandleClaimVerdict; nothing here waits.
 type KeyClaimer interface {
-	// Claim asks for the right to run a request, to be told within timeout seconds; false where
-	// nothing more can be asked.
+	// Claim asks for the right to run a request; the verdict is due within timeout seconds. It
+	// returns false if no further claim can be made.
 	Claim(id, class, key string, timeout float64) bool
-	// ReleaseClaim tells that a request is over that never began.
+	// ReleaseClaim reports that a request is over and never ran.
 	ReleaseClaim(id string)
-	// CompleteClaim tells how the run of a request ended, and its result.
+	// CompleteClaim reports how the run of a request ended, and its result.
 	CompleteClaim(id string, succeeded bool, result []byte)
-	// UnreportedClaims counts the requests that are over and of which the replicas have not noted
-	// that yet.
+	// UnreportedClaims counts the finished requests whose end the replicas have not acknowledged.
 	UnreportedClaims() int
 }
 
-// keyClaims is what is known of requests that bear a key.
+// keyClaims is the state of the requests whose keys are claimed.
 type keyClaims struct {
 	claimer KeyClaimer
 	classes []bool                     // whose requests are claimed
@@ -47,8 +47,8 @@
 	granted map[string]bool
 }
 
-// EnableKeyClaims has the requests of some classes claimed by their subject before they run; a
-// repeat is known for a window of so many seconds. It is called before Run.
+// EnableKeyClaims has the requests of some classes claimed by their subject before they run;
+// repeats are recognised for a window in seconds. It is called before Run.
 func (s *Server) EnableKeyClaims(claimer KeyClaimer, classes []string, window float64) {
 	claims := &keyClaims{
 		claimer: claimer,
@@ -66,9 +66,9 @@
 	s.fleet.claims = claims
 }
 
-// claimKey claims the key of a request that has to be granted first, and reports whether it is one.
-// The controller hears of its arrival once it is granted.
-func (s *Server) claimKey(request *memory.Request, arrival *admission.Event, now float64) bool {
+// claimKey claims the key of a request if its class requires that, and reports whether it took over
+// the request: then the controller receives the arrival once the claim is granted.
+func (s *Server) claimKey(request *requesttable.Request, arrival *admission.Event, now float64) bool {
 	claims := s.fleet.claims
 	if claims == nil || !claims.classes[request.Class] || request.Subject == "" {
 		return false
@@ -95,8 +95,8 @@
 	return true
 }
 
-// HandleClaimVerdict takes the fleet's verdict on a request, and its result where that is cached,
-// from any goroutine. It waits until the loop has begun.
+// HandleClaimVerdict receives the fleet's verdict on a claim, and the result if that is cached. Any
+// goroutine but the loop's may call it; it waits until the loop has started.
 func (s *Server) HandleClaimVerdict(id string, verdict serving.ClaimVerdict, result []byte) {
 	<-s.loop.ready
 	_ = s.loop.execute(func() { s.resolveClaim(id, verdict, result) })
@@ -138,8 +138,8 @@
 	}
 }
 
-// releaseClaim tells the fleet that a request that was claimed is over and never began.
-func (s *Server) releaseClaim(request *memory.Request) {
+// releaseClaim reports to the fleet that a claimed request is over and never ran.
+func (s *Server) releaseClaim(request *requesttable.Request) {
 	claims := s.fleet.claims
 	if claims == nil {
 		return
@@ -152,8 +152,8 @@
 	}
 }
 
-// completeClaim tells the fleet how the run of a request ended.
-func (s *Server) completeClaim(request *memory.Request, succeeded bool, result []byte) {
+// completeClaim reports to the fleet how the run of a claimed request ended.
+func (s *Server) completeClaim(request *requesttable.Request, succeeded bool, result []byte) {
 	claims := s.fleet.claims
 	if claims != nil && claims.granted[request.ID] {
 		delete(claims.granted, request.ID)
@@ -161,8 +161,8 @@
 	}
 }
 
-// hasUnreportedClaims reports whether a server that drains should stay a little: what its replicas
-// don't know yet would be 'may have run' to whoever retries.
+// hasUnreportedClaims reports whether a draining server should stay for a moment: the outcome of a
+// request that its replicas don't know yet would be unknown to a client that retries.
 func (s *Server) hasUnreportedClaims() bool {
 	return s.fleet.claims != nil && s.fleet.claims.claimer.UnreportedClaims() > 0
 }
--- a/internal/server/client.go
+++ b/internal/server/client.go
@@ -5,32 +5,33 @@
 
 	"github.com/panjf2000/gnet/v2"
 
-	"swiftcourse/internal/memory"
 	"swiftcourse/internal/policy/connlimit"
+	"swiftcourse/internal/requesttable"
+	"swiftcourse/internal/slottable"
 	"swiftcourse/internal/wire/rpc"
 )
 
 // maxRequestsPerConn is how many requests may be open on one connection, by the protocol.
 const maxRequestsPerConn = 32
 
-// clientTable is the clients' connections.
+// clientTable is the state of all clients' connections.
 type clientTable struct {
-	conns        memory.Table[clientConn]
+	conns        slottable.Table[clientConn]
 	limiter      *connlimit.Door
 	holdingArea  int // places in it, as the operator's file says
-	requestLists memory.ListPool
+	requestLists requesttable.ListPool
 	muted        []mutedConn
 	lingering    []*lingeringConn // in the order in which they began
 }
 
-// clientConn is a client's connection. What is not needed while it is idle is not here: its
-// requests and what waits to be written are in buffers that come from a pool and go back to it.
+// clientConn is a client's connection. It holds nothing that an idle connection doesn't need: its
+// requests and its output are in buffers that come from a pool and go back to it.
 type clientConn struct {
 	bufferedConn
 	server     *Server
-	id         memory.Handle     // in the table; its slot is the connection's name at the limiter
-	requests   []*memory.Request // those open, from requestLists, nil where none is
-	retryAfter float64           // in seconds, where it was not admitted
+	id         slottable.Handle        // in the table; its slot is the connection's name at the limiter
+	requests   []*requesttable.Request // those open, from requestLists, nil where none is
+	retryAfter float64                 // in seconds, where it was not admitted
 	state      connState
 }
 
@@ -46,7 +47,7 @@
 	return client
 }
 
-// slot is the connection's name at the limiter.
+// slot identifies the connection to the connection limiter.
 func (c *clientConn) slot() int32 { return c.id.Slot() }
 
 func (c *clientConn) handleOpen(conn gnet.Conn, _ string) error {
@@ -69,9 +70,8 @@
 	return errNoDescriptor
 }
 
-// closeNow closes a connection. Its place is free at once, and nothing is read from it any more:
-// the library closes it a little later, and a request admitted by then would run and have no
-// answer.
+// closeNow closes a connection. Its slot is free at once, and nothing more is read: gnet closes the
+// descriptor a little later, and a request read until then would run without an answer.
 func (c *clientConn) closeNow() {
 	conn := c.conn
 	c.handleClose(nil)
@@ -85,7 +85,7 @@
 	c.leaveTable()
 }
 
-// leaveTable frees the connection's place, and cancels the requests that are open on it.
+// leaveTable frees the connection's slot, and cancels its open requests.
 func (c *clientConn) leaveTable() {
 	s := c.server
 	requests := c.requests
@@ -125,8 +125,8 @@
 	return n, nil
 }
 
-// handleMessage handles one whole message. An error means that the rest of the connection can't be
-// understood.
+// handleMessage handles one whole message. An error means that the rest of the input can't be
+// parsed.
 func (c *clientConn) handleMessage(message *rpc.Message, now float64) error {
 	s := c.server
 	switch message.Kind {
@@ -149,16 +149,16 @@
 	return nil
 }
 
-// observe tells the connection limiter what happened.
+// observe reports an event of the connection to the connection limiter.
 func (c *clientConn) observe(input connlimit.Input, now float64) {
 	c.server.clients.limiter.Tell(c.slot(), input, now)
 }
 
-// writeScratch writes the message that was encoded into the server's scratch buffer.
+// writeScratch writes the message in the server's scratch buffer.
 func (c *clientConn) writeScratch() { c.server.write(&c.bufferedConn, c.server.output.scratch) }
 
 // findRequest returns the open request of a message, or nil.
-func (c *clientConn) findRequest(number uint64) *memory.Request {
+func (c *clientConn) findRequest(number uint64) *requesttable.Request {
 	for _, request := range c.requests {
 		if request.MessageNumber == number {
 			return request
@@ -167,8 +167,8 @@
 	return nil
 }
 
-// addRequest books that a request is open on the connection.
-func (c *clientConn) addRequest(request *memory.Request, now float64) {
+// addRequest adds an open request to the connection.
+func (c *clientConn) addRequest(request *requesttable.Request, now float64) {
 	if c.requests == nil {
 		c.requests = c.server.clients.requestLists.Get()
 	}
@@ -176,8 +176,8 @@
 	c.observe(connlimit.Owed, now)
 }
 
-// removeRequest takes a request off the connection.
-func (c *clientConn) removeRequest(request *memory.Request, now float64) {
+// removeRequest removes a request from the connection.
+func (c *clientConn) removeRequest(request *requesttable.Request, now float64) {
 	if i := slices.Index(c.requests, request); i >= 0 {
 		c.requests = slices.Delete(c.requests, i, i+1)
 	}
--- a/internal/server/client_state.go
+++ b/internal/server/client_state.go
@@ -48,14 +48,14 @@
 	return [...]string{"opened", "protocol_error", "graceful_close", "ended", "unknown"}[min(e, connEvents)]
 }
 
-// connTransition is what an event leads to; the zero value is an illegal one.
+// connTransition is the effect of an event; the zero value is an illegal event.
 type connTransition struct {
 	next  connState
 	legal bool
 }
 
-// connTransitions lists the legal events of each state and the state that follows. What it does not
-// list changes nothing.
+// connTransitions lists the legal events of each state and the state that follows. An event that is
+// not listed has no effect.
 var connTransitions = [connStates][connEvents]connTransition{
 	connClosed: {
 		connOpened: {connReading, true},
--- a/internal/server/conn.go
+++ b/internal/server/conn.go
@@ -5,15 +5,15 @@
 
 	"github.com/panjf2000/gnet/v2"
 
-	"swiftcourse/internal/memory"
+	"swiftcourse/internal/bufferpool"
 )
 
 const (
-	// maxClientBacklog bounds, in bytes, what waits for a client that does not read: 32 results of
-	// 4 KiB and what goes with them. All together may leave an eighth of the memory unread, see
+	// maxClientBacklog bounds the bytes that wait for a client that does not read: 32 results of 4
+	// KiB and their framing. All clients together may leave an eighth of the memory unread, see
 	// closeLargestBacklog.
 	maxClientBacklog = 136 << 10
-	// maxDialedBacklog is that for the connections that the server dialed: the commands for some
+	// maxDialedBacklog is the bound for connections that the server dialed: the commands for some
 	// hundred requests, as after a pause of the other side, which a new connection would only have
 	// to repeat.
 	maxDialedBacklog = 1 << 20
@@ -21,21 +21,23 @@
 
 // connHandler handles the events of one connection on the loop.
 type connHandler interface {
-	// handleOpen meets the open connection. The address is the one that was dialed, "" where a
-	// client opened it. An error closes the connection.
+	// handleOpen takes over the open connection. The address is the dialed one, or "" if a client
+	// opened the connection. An error closes it.
 	handleOpen(conn gnet.Conn, address string) error
-	// handleData reads whole messages off the start of data, and returns how many bytes they took.
+	// handleData consumes whole messages from the start of data, and returns how many bytes they
+	// took. An error is a violation of the protocol.
 	handleData(data []byte) (int, error)
-	// handleClose lets go of the connection, which closed with err, nil for an orderly close.
+	// handleClose gives up the connection, which closed with err, nil for an orderly close.
 	handleClose(err error)
-	// owns reports whether conn is the handler's connection, and not one that it has left.
+	// owns reports whether conn is the handler's present connection, rather than one that it gave
+	// up.
 	owns(conn gnet.Conn) bool
 }
 
-// bufferedConn is a connection, while it is open, and what waits to be written on it.
+// bufferedConn is an open connection and the output that waits to be written on it.
 type bufferedConn struct {
 	conn    gnet.Conn // nil once it is closed or left
-	out     memory.WriteBuffer
+	out     bufferpool.WriteBuffer
 	unsent  bool // it is in output.unflushed
 	dialed  bool // by the server
 	lagging bool // it is in output.lagging
@@ -43,8 +45,9 @@
 
 func (c *bufferedConn) owns(conn gnet.Conn) bool { return c.conn == conn }
 
-// release lets go of the connection; what was still to be written must not reach the next one.
-func (c *bufferedConn) release(pool *memory.Pool) {
+// release gives up the connection. It drops the pending output, which must not reach the next
+// connection.
+func (c *bufferedConn) release(pool *bufferpool.Pool) {
 	c.conn = nil
 	c.out.Release(pool)
 }
@@ -55,22 +58,22 @@
 	address string
 }
 
-// attach takes the open connection.
+// attach takes over an open connection.
 func (c *dialedConn) attach(conn gnet.Conn, address string) {
 	c.conn = conn
 	c.address = address
 	c.dialed = true
 }
 
-// output is what waits to be written, and the buffers for it.
+// output is the pending output of all connections, and the buffers for it.
 type output struct {
-	buffers   memory.Pool
+	buffers   bufferpool.Pool
 	scratch   []byte          // of the message that is being encoded
 	unflushed []*bufferedConn // have something to write at the end of the turn
 	lagging   []*bufferedConn // clients' connections that may have left something unread
 }
 
-// write puts bytes on a connection at the end of the turn.
+// write appends data to a connection's output, which is flushed at the end of the turn.
 func (s *Server) write(c *bufferedConn, data []byte) {
 	if c.conn == nil {
 		return
@@ -83,7 +86,7 @@
 	}
 }
 
-// flush writes what waits, once a connection.
+// flush writes the pending output, with one write per connection.
 func (s *Server) flush() {
 	unflushed := s.output.unflushed
 	s.output.unflushed = nil
@@ -99,7 +102,7 @@
 	}
 }
 
-// flushConn writes what waits on one connection, and closes it where its peer leaves too much
+// flushConn writes the pending output of one connection, and closes it if its peer leaves too much
 // unread.
 func (s *Server) flushConn(c *bufferedConn) {
 	conn := c.conn
--- a/internal/server/connlimit.go
+++ b/internal/server/connlimit.go
@@ -11,58 +11,58 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// newConnLimiter makes the connection limiter as the operator's file says.
+// newConnLimiter creates the connection limiter by the operator's settings.
 func (s *Server) newConnLimiter(operator *config.OperatorSettings) *connlimit.Door {
-	if operator == nil || !operator.Door {
+	if operator == nil || !operator.ConnLimit.Enabled {
 		return connlimit.New(s.startup.Settings.IdleTimeout)
 	}
-	s.clients.holdingArea = operator.Lobby
+	s.clients.holdingArea = operator.ConnLimit.HoldingSlots
 	return connlimit.NewGuarded(s.startup.Settings.IdleTimeout, s.connRules(operator))
 }
 
-// holdingAreaShare of the descriptors for clients, as its divisor, is the most that the holding
-// area takes.
+// holdingAreaShare is the divisor of the clients' descriptors that bounds the holding area.
 const holdingAreaShare = 16
 
-// holdingSlots are as many as the operator's file says, and at most a sixteenth of the descriptors
-// for clients; so many connections may be on their way to the loop too, each with two descriptors
-// for a moment.
+// holdingSlots is the size of the holding area: the operator's setting, but at most a sixteenth of
+// the clients' descriptors. As many connections may be on their way to the loop, each with two
+// descriptors for a moment.
 func (s *Server) holdingSlots() int {
 	limit, _ := s.maxClients()
 	return max(1, min(s.clients.holdingArea, limit/holdingAreaShare))
 }
 
-// connRules are the operator's settings in the limiter's words.
-func (s *Server) connRules(c *config.OperatorSettings) connlimit.Rules {
+// connRules translates the operator's settings for the connection limiter.
+func (s *Server) connRules(operator *config.OperatorSettings) connlimit.Rules {
+	settings := &operator.ConnLimit
 	places := s.holdingSlots()
 	limit, _ := s.maxClients()
 	limit -= 4 * places // twice in the holding area, and twice on their way
 	return connlimit.Rules{
 		Most:            limit,
-		Reserve:         int(float64(limit) * float64(c.Reserve)),
-		PerAddress:      c.PerAddress,
-		PerPrefix:       c.PerPrefix,
-		ArrivalsAddress: c.RateAddress,
-		ArrivalsPrefix:  c.RatePrefix,
-		V4:              c.V4,
-		V6:              c.V6,
-		Named:           c.Known,
+		Reserve:         int(float64(limit) * float64(settings.TrustedReserve)),
+		PerAddress:      settings.MaxPerAddress,
+		PerPrefix:       settings.MaxPerPrefix,
+		ArrivalsAddress: settings.ArrivalsPerAddress,
+		ArrivalsPrefix:  settings.ArrivalsPerPrefix,
+		V4:              settings.PrefixBitsIPv4,
+		V6:              settings.PrefixBitsIPv6,
+		Named:           settings.TrustedPrefixes,
 		Lobby:           places,
-		Remember:        c.Remember,
-		Earn:            c.Earn,
-		Forget:          c.Forget.Seconds(),
-		ComeBack:        c.ComeBack.Seconds(),
-		ComeBackMost:    c.ComeBackMost.Seconds(),
-		Share:           float64(c.Share),
+		Remember:        settings.RememberedAddresses,
+		Earn:            settings.RequestsToTrust,
+		Forget:          settings.ReputationHalfLife.Seconds(),
+		ComeBack:        settings.MinRetryAfter.Seconds(),
+		ComeBackMost:    settings.MaxRetryAfter.Seconds(),
+		Share:           float64(settings.CoreShare),
 		Seed:            s.startup.Seed,
 	}
 }
 
-// ReloadConfig tells the server, from any goroutine, that the operator's file was read again. It
-// returns at once; what can't change while serving is logged.
+// ReloadConfig applies the operator's file after it was read again. Any goroutine may call it; it
+// returns at once. Keys that can't change while serving are logged and ignored.
 func (s *Server) ReloadConfig(operator *config.OperatorSettings) {
 	s.loop.executeWhenReady(func() {
-		if operator.Door != s.clients.limiter.Guarded() {
+		if operator.ConnLimit.Enabled != s.clients.limiter.Guarded() {
 			slog.Info("reload_ignored", "key", "door")
 			return
 		}
@@ -70,22 +70,22 @@
 	})
 }
 
-// applyConnRules has the limiter go by the operator's settings, as far as it can change while
-// serving.
+// applyConnRules applies the operator's settings to the connection limiter, as far as they can
+// change while serving.
 func (s *Server) applyConnRules(operator *config.OperatorSettings) {
-	if !operator.Door {
+	if !operator.ConnLimit.Enabled {
 		return
 	}
 	if !s.clients.limiter.Heed(s.connRules(operator)) {
 		slog.Info("reload_ignored", "key", fixedKeys)
 	}
 	if a := s.acceptor; a != nil {
-		a.trusted.Store(&trustedClients{named: operator.Known, earned: a.trusted.Load().earned})
+		a.trusted.Store(&trustedClients{named: operator.ConnLimit.TrustedPrefixes, earned: a.trusted.Load().earned})
 	}
 }
 
-// requestAdmission has the limiter judge a new connection. One that is not admitted stays in the
-// holding area for a moment, so that what it asks has an answer.
+// requestAdmission asks the connection limiter about a new connection. One that is not admitted
+// stays in the holding area for a moment, so that its first request gets an answer.
 func (c *clientConn) requestAdmission() error {
 	s := c.server
 	limiter := s.clients.limiter
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// remoteIP is the address of a connection's other end; all that have none are one.
+// remoteIP is the address of a connection's peer; all connections without one share an address.
 func remoteIP(addr net.Addr) netip.Addr {
 	if tcp, ok := addr.(*net.TCPAddr); ok {
 		return tcp.AddrPort().Addr()
@@ -119,8 +119,8 @@
 	return netip.IPv6Unspecified()
 }
 
-// rejectAtLimit rejects a request by the connection limiter's word: it never ran. It tells when to
-// come back, as far as the deployment allows that.
+// rejectAtLimit rejects a request of a connection that is over a limit: it never ran. The
+// Retry-After is bounded by the deployment's settings.
 func (c *clientConn) rejectAtLimit(number uint64, now float64) {
 	s := c.server
 	s.statistics.rejectedAtLimit++
@@ -134,14 +134,14 @@
 	c.rejectMessage(number, report, now)
 }
 
-// rejectMessage answers a message that never became a request.
+// rejectMessage rejects a message that never became a request.
 func (c *clientConn) rejectMessage(number uint64, report rpc.Say, now float64) {
 	c.observe(connlimit.Spoke, now)
 	c.server.output.scratch = rpc.PutRejected(c.server.output.scratch[:0], number, report)
 	c.writeScratch()
 }
 
-// logConnStatistics writes the connection limiter's own line of statistics.
+// logConnStatistics logs the connection limiter's statistics.
 func (s *Server) logConnStatistics() {
 	limiter := s.clients.limiter
 	tally := limiter.Known()
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -1,18 +1,18 @@
 package server
 
 import (
-	"swiftcourse/internal/memory"
 	"swiftcourse/internal/policy/serving"
+	"swiftcourse/internal/requesttable"
 )
 
 // This file is what the server counts for the fleet: its requests by tenant and class, and how they
 // ended.
 
-// counterReportInterval is how often, in seconds, counters are reported: more often than others
-// hear of them.
+// counterReportInterval is how often, in seconds, counters are reported: more often than they are
+// passed on to others.
 const counterReportInterval = 0.5
 
-// requestCounters is what was counted since it was last reported.
+// requestCounters is what was counted since the last report.
 type requestCounters struct {
 	classes int
 	counts  []serving.RequestCounts // by tenant, and in it by class
@@ -21,8 +21,8 @@
 	report  func([]serving.CounterCell) bool
 }
 
-// ReportCounters has requests counted and the counts reported, from the loop; where report returns
-// false they go with the next. It is called before Run.
+// ReportCounters has requests counted by tenant and class, and reports the counts on the loop. If
+// report returns false, they are added to the next report. It is called before Run.
 func (s *Server) ReportCounters(report func([]serving.CounterCell) bool) {
 	tenants := make([]string, max(1, len(s.startup.Settings.Tenants)))
 	for name, i := range s.startup.TenantIndex {
@@ -39,7 +39,7 @@
 	s.every(counterReportInterval, counters.flush)
 }
 
-// flush reports what was counted.
+// flush reports the counts.
 func (c *requestCounters) flush() {
 	if !c.changed {
 		return
@@ -56,7 +56,7 @@
 	}
 }
 
-// at is where the requests of a tenant and class are counted.
+// at is the counter of a tenant's requests of a class.
 func (c *requestCounters) at(kind requestKind) *serving.RequestCounts {
 	c.changed = true
 	return &c.counts[kind.tenant*c.classes+kind.class]
@@ -74,8 +74,7 @@
 	}
 }
 
-// countRejectedAtOnce counts a request that came and was rejected before the controller heard of
-// it.
+// countRejectedAtOnce counts a request that was rejected before it reached the controller.
 func (s *Server) countRejectedAtOnce(kind requestKind) {
 	if c := s.fleet.counters; c != nil {
 		counts := c.at(kind)
@@ -85,7 +84,7 @@
 }
 
 // countAnswer counts a request's final answer.
-func (s *Server) countAnswer(request *memory.Request, kind answer) {
+func (s *Server) countAnswer(request *requesttable.Request, kind answer) {
 	s.statistics.countAnswer(kind)
 	s.countOutcome(kind)
 	c := s.fleet.counters
@@ -103,8 +102,8 @@
 	}
 }
 
-// countOutcome counts the end of a request under the present configuration version: failed where it
-// was not finished.
+// countOutcome counts the end of a request under the present configuration version: as failed
+// unless it was finished.
 func (s *Server) countOutcome(kind answer) {
 	directive := s.fleet.directive.Load()
 	if directive == nil {
--- a/internal/server/dial.go
+++ b/internal/server/dial.go
@@ -40,7 +40,7 @@
 	return admission.TimedOut
 }
 
-// attemptError is the end of an attempt without an answer. A nil cause is an orderly close by the
+// attemptError is the end of an attempt that got no answer. A nil cause is an orderly close by the
 // other side.
 type attemptError struct {
 	progress attemptProgress
@@ -64,20 +64,20 @@
 }
 
 const (
-	// dialTimeout bounds one dial: on one machine or its network an answer takes far less.
+	// dialTimeout bounds one dial: on one machine or in its network the answer takes far less.
 	dialTimeout = time.Second
-	// dialBackoffStep is by how much each failure lengthens the pause before the next dial, up to
-	// maxDialBackoff: a link is back as soon as the other side is, at no cost that is felt.
+	// dialBackoffStep is how much each failure adds to the backoff, up to maxDialBackoff: a link is
+	// up again as soon as the other side is, at a negligible cost.
 	dialBackoffStep = 30 * time.Millisecond
 	maxDialBackoff  = 300 * time.Millisecond
-	// dialFailuresLogged is the number of failures that is logged: the first few pass while the
+	// dialFailuresLogged is the number of failures that is logged: the first few happen while the
 	// other side starts.
 	dialFailuresLogged = 5
 )
 
-// dialBackoff is how long to wait before a dial after so many that failed. Each server's own part
-// of that, half to all, is drawn from its seed, or servers that lost the same party at once would
-// all come back to it in step.
+// dialBackoff is the pause before a dial after so many failures. Half of it is jitter that is drawn
+// from the server's seed, so that servers that lost the same party at once don't return to it in
+// step.
 func dialBackoff(seed int64, failures int) time.Duration {
 	if failures <= 0 {
 		return 0
@@ -87,8 +87,8 @@
 	return time.Duration(float64(most) * (1 + jitter) / 2)
 }
 
-// endpoints is where the other parties are; its context ends, with the dials under way, when they
-// move.
+// endpoints are the addresses of the other parties. The context ends, with the dials under way,
+// when they change.
 type endpoints struct {
 	config.Addresses
 	context context.Context
@@ -101,15 +101,15 @@
 	return e
 }
 
-// addressFunc picks one party's address.
+// addressFunc selects one party's address.
 type addressFunc func(*endpoints) string
 
 func executorAddress(e *endpoints) string { return e.Executor }
 func upstreamAddress(e *endpoints) string { return e.Upstream }
 func registryAddress(e *endpoints) string { return e.Registry }
 
-// SetEndpoints tells the server, from any goroutine, where the other parties are now. It returns at
-// once. Nothing new goes to where they were; calls in hand may still end there.
+// SetEndpoints changes the addresses of the other parties. Any goroutine may call it; it returns at
+// once. New calls and links use the new addresses; calls in flight may still end at the old ones.
 func (s *Server) SetEndpoints(addresses config.Addresses) {
 	s.endpoints.Swap(newEndpoints(s.lifetime.context, addresses)).cancel()
 	go func() {
@@ -137,7 +137,7 @@
 	}
 }
 
-// dialTarget is a party to dial, and who meets the connection.
+// dialTarget is a party to dial, and the handler of the connection.
 type dialTarget struct {
 	addressOf addressFunc
 	handler   connHandler
@@ -145,17 +145,17 @@
 	once      bool // dialed once; the handler hears by handleClose if that leads nowhere
 }
 
-// dialed is a connection that the server opened, on its way to the loop.
+// dialed is a connection that the server opened, until the loop takes it over.
 type dialed struct {
 	dialTarget
 	address string
 }
 
-// registerFunc hands a connection, in a context of gnet's, to the loop.
+// registerFunc hands a connection, wrapped in a context of gnet's, to the loop.
 type registerFunc func(context.Context) (<-chan gnet.RegisteredResult, error)
 
-// dial opens a connection and hands it to the loop, where the target's handler meets it, and goes
-// on until it succeeds or the server has stopped. What it returns gives it up.
+// dial opens a connection and hands it to the loop, which passes it to the target's handler. It
+// retries until it succeeds or the server stops; the returned function cancels it.
 func (s *Server) dial(target dialTarget) (cancel context.CancelFunc) {
 	loop := s.loop.handle
 	return s.dialWith(func(ctx context.Context) (<-chan gnet.RegisteredResult, error) {
@@ -164,8 +164,8 @@
 	}, target)
 }
 
-// dialWith is dial where the loop is not known yet. The engine's own Register is not made for two
-// at once.
+// dialWith is dial for a loop that is not known yet. The engine's own Register is not safe for two
+// callers at once.
 func (s *Server) dialWith(register registerFunc, target dialTarget) (cancel context.CancelFunc) {
 	ctx, cancel := context.WithCancel(s.lifetime.context)
 	go func() {
@@ -175,7 +175,7 @@
 	return cancel
 }
 
-// dialUntilDone is dialWith on the caller's goroutine, until ctx is over.
+// dialUntilDone is dialWith on the caller's goroutine, until ctx ends.
 func (s *Server) dialUntilDone(ctx context.Context, register registerFunc, target dialTarget) {
 	for failures := target.failures; ; failures++ {
 		select {
@@ -219,7 +219,7 @@
 	return err
 }
 
-// reportDialFailure has the handler hear, on the loop, that its only dial led nowhere.
+// reportDialFailure reports to the handler, on the loop, that its only dial failed.
 func (s *Server) reportDialFailure(ctx context.Context, handler connHandler, err error) {
 	select {
 	case <-s.loop.ready:
@@ -229,7 +229,7 @@
 	_ = s.loop.execute(func() { handler.handleClose(&attemptError{notSent, err}) })
 }
 
-// dialAddress dials while both contexts last.
+// dialAddress dials until either context ends.
 func dialAddress(ctx, other context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/server/directive.go
+++ b/internal/server/directive.go
@@ -14,10 +14,10 @@
 // settings.
 
 const (
-	// outOfServiceRetryAfter is when, in seconds, to come back to a server that may not serve: it
-	// asks for its directive a few times a second.
+	// outOfServiceRetryAfter is the Retry-After, in seconds, of a server that is out of service: it
+	// renews its lease a few times a second.
 	outOfServiceRetryAfter = 1.0
-	// applyTimeout is how long the loop has for a change of settings.
+	// applyTimeout is how long ApplyConfig waits for the loop.
 	applyTimeout = 2 * time.Second
 )
 
@@ -30,8 +30,8 @@
 	errFixed    = errors.New(fixedKeys + ": can't be changed while serving")
 )
 
-// SetDirective tells the server, from any goroutine, by which directive it goes. It returns at
-// once; the loop goes by it from its next batch on.
+// SetDirective sets the fleet's directive. Any goroutine may call it; it returns at once, and the
+// loop applies the directive from its next batch on.
 func (s *Server) SetDirective(directive *serving.Directive) {
 	previous := s.fleet.directive.Swap(directive)
 	if previous != nil && previous.Mode == directive.Mode && previous.NextMode == directive.NextMode {
@@ -40,7 +40,7 @@
 	s.loop.requestTurn()
 }
 
-// outOfServiceAt reports whether the server may take in no request at this moment. It goes by the
+// outOfServiceAt reports whether the server may admit no request at this moment. It goes by the
 // clock and not by the last turn: a server that was stopped for longer than its lease reads
 // requests before its first turn.
 func (s *Server) outOfServiceAt(now float64) bool {
@@ -48,13 +48,12 @@
 	return directive != nil && directive.ModeAt(now) == serving.ModeOutOfService
 }
 
-// isHealthy is the health that is reported: the controller's, and that the fleet lets this server
-// serve.
+// isHealthy is the health that is reported: the controller's, unless the server is out of service.
 func (s *Server) isHealthy() bool {
 	return s.health.healthy && s.fleet.mode != serving.ModeOutOfService
 }
 
-// applyDirective carries out a change of the serving mode, before the batch is decided.
+// applyDirective applies a change of the serving mode, before the batch is decided.
 func (s *Server) applyDirective(directive *serving.Directive, now float64) {
 	mode := directive.ModeAt(now)
 	previous := s.fleet.mode
@@ -77,8 +76,7 @@
 	s.registry.report()
 }
 
-// rejectAllQueued rejects every request that has not begun: none of them ran. What runs is
-// finished.
+// rejectAllQueued rejects every request that has not started. Running requests are finished.
 func (s *Server) rejectAllQueued() {
 	for _, request := range s.requests.InArrivalOrder() {
 		if request.Answered || request.Running {
@@ -94,7 +92,7 @@
 	return min(outOfServiceRetryAfter, s.startup.Settings.MaxRetryAfter)
 }
 
-// rejectOutOfService rejects a request that came while the server may not serve: it never ran.
+// rejectOutOfService rejects a request that came while the server is out of service: it never ran.
 func (c *clientConn) rejectOutOfService(number uint64, now float64) {
 	s := c.server
 	s.statistics.rejectedOutOfService++
@@ -103,20 +101,20 @@
 	c.rejectMessage(number, report, now)
 }
 
-// withSafeDefaults is the operator's file with the defaults in place of what was released: a
-// connection limiter that is on stays on, with its own figures.
+// withSafeDefaults returns the default settings, but for what a connection limiter that is on can't
+// change.
 func withSafeDefaults(operator *config.OperatorSettings) *config.OperatorSettings {
 	safe := config.DefaultOperatorSettings()
-	safe.Door = operator.Door
-	safe.V4 = operator.V4
-	safe.V6 = operator.V6
-	safe.Lobby = operator.Lobby
-	safe.Remember = operator.Remember
+	safe.ConnLimit.Enabled = operator.ConnLimit.Enabled
+	safe.ConnLimit.PrefixBitsIPv4 = operator.ConnLimit.PrefixBitsIPv4
+	safe.ConnLimit.PrefixBitsIPv6 = operator.ConnLimit.PrefixBitsIPv6
+	safe.ConnLimit.HoldingSlots = operator.ConnLimit.HoldingSlots
+	safe.ConnLimit.RememberedAddresses = operator.ConnLimit.RememberedAddresses
 	return safe
 }
 
-// ApplyConfig has the server act on settings, whole or not at all, from any goroutine but the
-// loop's. It waits for the loop, and returns ErrLoopBusy where that does not come round in time.
+// ApplyConfig applies settings, either all of them or none. Any goroutine but the loop's may call
+// it; it waits for the loop, and returns ErrLoopBusy if that does not respond in time.
 func (s *Server) ApplyConfig(operator *config.OperatorSettings) error {
 	select {
 	case <-s.loop.ready:
@@ -135,10 +133,12 @@
 
 func (s *Server) applyConfig(operator *config.OperatorSettings) error {
 	limiter := s.clients.limiter
-	switch {
-	case operator.Door != limiter.Guarded():
+	settings := &operator.ConnLimit
+	if settings.Enabled != limiter.Guarded() {
 		return errSwitched
-	case operator.Door && (operator.Lobby != s.clients.holdingArea || !limiter.Fits(s.connRules(operator))):
+	}
+	holdingAreaKept := settings.HoldingSlots == s.clients.holdingArea
+	if settings.Enabled && (!holdingAreaKept || !limiter.Fits(s.connRules(operator))) {
 		return errFixed
 	}
 	s.fleet.operator = operator
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	// signalDelayMargin is how much later, in seconds, than it was sent a signal to drain may be
-	// heard, as a signal waits for the process's part of a core. Of 314 signals on the bench's
-	// clock that could be compared with others of the same moment, one came 30 and one 80 ms later;
-	// this is twice the latter. What is lost is the work that would end in the last moments of a
-	// drain.
+	// signalDelayMargin is how much later, in seconds, a signal to drain may be handled than it was
+	// sent, as it waits for the process to be scheduled. Of 314 signals on the bench's clock that
+	// could be compared with others of the same moment, one came 30 and one 80 ms late; this is
+	// twice the latter. The cost is the work that would end in the last moments of a drain.
 	signalDelayMargin = 0.16
-	// signalDelayShare of the time to the kill, as its divisor, is the most that the margin takes.
+	// signalDelayShare is the divisor of the stop timeout that bounds the margin.
 	signalDelayShare = 10
-	// exitCheckInterval is how often, in seconds, it is looked whether all is answered.
+	// exitCheckInterval is how often, in seconds, a draining server checks whether it can exit.
 	exitCheckInterval = 0.02
-	// exitMargin is how long, in seconds, before the kill the process ends whatever is open; the
-	// controller has answered all 30 ms before it.
+	// exitMargin is how long, in seconds, before the kill the process exits whatever is open; the
+	// controller has answered every request 30 ms before it.
 	exitMargin = 0.015
-	// halfCloseMargin is how long, in seconds, before the kill the server's side of what is still
-	// open is shut: after the controller's last answers, and 10 ms before the end, which is what a
-	// close has to cross a machine.
+	// halfCloseMargin is how long, in seconds, before the kill the server shuts its side of the
+	// open connections: after the controller's last answers, and 10 ms before the exit, which is
+	// the time that a close takes to cross a machine.
 	halfCloseMargin = 0.025
-	// gracefulCloseMargin leaves time, in seconds, to ask all clients to close, and to close those
-	// that do not: five times the 50 ms in which something may cross that.
+	// gracefulCloseMargin leaves time, in seconds, to ask all clients to close, and to close the
+	// connections of those that do not: five times the 50 ms in which a message may cross that
+	// request.
 	gracefulCloseMargin = 0.25
 	// gracePeriodMargin is how long, in seconds, after the grace period all clients are asked to
 	// close.
@@ -41,7 +41,7 @@
 	exitDeadlineReached = "deadline_reached"
 )
 
-// drainState is how far the server's end has come.
+// drainState is the progress of a drain.
 type drainState struct {
 	startedAt float64 // +Inf before it
 	killAt    float64 // when the process will be killed
@@ -52,11 +52,11 @@
 	return drainState{startedAt: math.Inf(1), killAt: math.Inf(1)}
 }
 
-// started reports whether the server was told to drain.
+// started reports whether the server is draining.
 func (d *drainState) started() bool { return d.startedAt < d.killAt }
 
-// Drain tells the server, from any goroutine, that it will be killed after its stop timeout. It
-// returns at once; Run returns when the server has drained.
+// Drain starts a drain: the process will be killed after its stop timeout. Any goroutine may call
+// it; it returns at once, and Run returns when the server has drained.
 func (s *Server) Drain() {
 	at := s.now()
 	if !s.loop.isReady() { // not a single connection yet, so nothing to answer
@@ -67,7 +67,7 @@
 	_ = s.loop.execute(func() { s.startDrain(at) })
 }
 
-// startDrain begins the end of a server that was told so at a time.
+// startDrain starts a drain that was requested at a time.
 func (s *Server) startDrain(at float64) {
 	if s.drain.started() {
 		slog.Info("drain_already_started")
@@ -84,11 +84,10 @@
 	s.tryExit()
 }
 
-// tryExit ends the process once all is answered and nothing more can come. From the moment on at
-// which nothing new may run, requests open or not, clients are asked to bring nothing more and the
-// listener is closed: what crosses that is sent once more elsewhere, and a connection refused
-// proves that nothing ran. So nothing is on its way here when the last answers are given, just
-// before the kill.
+// tryExit exits once every request is answered and nothing more can come. As soon as nothing new
+// may run, even if requests are open, it asks clients to send nothing more and closes the listener:
+// requests that cross this are sent again elsewhere, and a refused connection proves that nothing
+// ran. So nothing is on its way here when the last answers are written, just before the kill.
 func (s *Server) tryExit() {
 	now := s.now()
 	if now >= s.gracefulCloseAt() && !s.drain.closing {
@@ -119,7 +118,7 @@
 	s.acceptor.close()
 }
 
-// gracefulCloseAt is when nothing new may run any more; at once where nothing ever could.
+// gracefulCloseAt is when nothing new may run: at once if the controller never started.
 func (s *Server) gracefulCloseAt() float64 {
 	if s.decisions.controller == nil {
 		return s.drain.startedAt
@@ -128,13 +127,13 @@
 	return min(graceEnd, s.drain.killAt-gracefulCloseMargin)
 }
 
-// isDrained reports whether all is answered and nothing more can come.
+// isDrained reports whether every request is answered and nothing more can come.
 func (s *Server) isDrained() bool {
 	return s.drain.closing && s.acceptor.drained() && s.requests.Unanswered() == 0 && s.clients.conns.Len() == 0 &&
 		len(s.clients.lingering) == 0 && !s.hasUnreportedClaims()
 }
 
-// nextExitCheck is when tryExit has something to do again.
+// nextExitCheck is when tryExit runs again.
 func (s *Server) nextExitCheck(now float64) float64 {
 	next := now + exitCheckInterval
 	for _, at := range []float64{s.drain.killAt - halfCloseMargin, s.drain.killAt - exitMargin} {
--- a/internal/server/errors.go
+++ b/internal/server/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// ErrLoopBusy is returned where the loop does not come round to a change of settings in time.
+// ErrLoopBusy is returned if the loop does not get to a change of settings in time.
 var ErrLoopBusy = errors.New("the server is too busy to change its settings now")
 
 // Why a client's connection was refused or closed.
@@ -35,23 +35,23 @@
 	errClosedByOtherSide = errors.New("the other side closed the connection")
 )
 
-// invalidFieldError is a request's field that can't be what it says.
+// invalidFieldError is a request's field with an invalid value.
 type invalidFieldError struct {
 	field  string
 	value  string
 	reason string
 }
 
-// Error names the field, its value and what is wrong with it.
+// Error names the field, its value and the reason.
 func (e *invalidFieldError) Error() string {
 	return fmt.Sprintf("%s %.40q: %s", e.field, e.value, e.reason)
 }
 
-// duplicateMessageError is a message id that is open on its connection: an answer would be taken
-// for the other's.
+// duplicateMessageError is a message ID that is already open on its connection, where an answer
+// would be taken for the other request's.
 type duplicateMessageError struct{ number uint64 }
 
-// Error names the message id.
+// Error names the message ID.
 func (e *duplicateMessageError) Error() string {
 	return fmt.Sprintf("message id %d is open already", e.number)
 }
--- a/internal/server/evict.go
+++ b/internal/server/evict.go
@@ -9,16 +9,15 @@
 )
 
 const (
-	// reservedDescriptors are kept from clients and upstream connections: the links, the listener,
-	// the runtime's own, and a second descriptor for each of some dials while the loop takes them
-	// over.
+	// reservedDescriptors are the descriptors that neither clients nor upstream connections may
+	// take: for the links, the listener, the runtime, and the second descriptor that each of some
+	// dials has while the loop takes them over.
 	reservedDescriptors = 32
-	// idleConnBytes is the memory of a connection that says nothing, measured, see docs/idle.md; a
-	// quarter of the memory may be spent on such.
+	// idleConnBytes is the measured memory of an idle connection, see docs/idle.md.
 	idleConnBytes = 1300
-	// idleMemoryShare is that quarter's divisor.
+	// idleMemoryShare is the divisor of the memory that idle connections may take.
 	idleMemoryShare = 4
-	// maxEvictionCandidates bounds how many are looked at for one that may go.
+	// maxEvictionCandidates bounds how many connections are examined for one eviction.
 	maxEvictionCandidates = 16
 )
 
@@ -28,8 +27,8 @@
 	boundByMemory      = "memory"
 )
 
-// maxClients is how many connections clients may hold, and what bounds it: what is left of the
-// descriptors, which is over half, as clients may open that; or memory.
+// maxClients is the limit on clients' connections and what sets it: the descriptors that are left,
+// which are over half, as clients may open that many; or memory.
 func (s *Server) maxClients() (limit int, bound string) {
 	limit = s.startup.MaxSockets - reservedDescriptors - s.maxUpstreamConns()
 	inMemory := int(s.startup.MemoryBytes / idleMemoryShare / idleConnBytes)
@@ -39,14 +38,14 @@
 	return limit, boundByDescriptors
 }
 
-// evictionCandidate is the connection that goes when a newcomer needs its place, nil for none: the
-// first by the limiter that has nothing to write or to be read.
+// evictionCandidate is the connection to evict for a newcomer, nil for none: the limiter's first
+// choice that has nothing to write or to read.
 func (s *Server) evictionCandidate(newcomer *clientConn) *clientConn {
 	return s.firstEvictable(s.clients.limiter.Spare(s.now()), newcomer)
 }
 
-// firstEvictable is the first of the slots' connections that has nothing to write or to be read,
-// nil where there is none.
+// firstEvictable is the first connection of the slots that has nothing to write or to read, nil for
+// none.
 func (s *Server) firstEvictable(slots iter.Seq[int32], newcomer *clientConn) *clientConn {
 	tried := 0
 	for slot := range slots {
@@ -65,23 +64,22 @@
 	return nil
 }
 
-// hasQueuedBytes reports whether bytes of a connection are there that nobody read yet, or answers
-// that the other side's system has not taken. It guards a request that arrives in the turn in which
-// its connection is to be closed, and who reads slowly, as a close over bytes that come meanwhile
-// drops what is not taken; it costs two calls of the system for a connection that closes.
+// hasQueuedBytes reports whether a connection has unread input, or output that its peer has not
+// acknowledged. It protects a request that arrives in the turn that would close its connection, and
+// a client that reads slowly, as a close with unread input drops the unacknowledged output. It
+// costs two system calls per close.
 func hasQueuedBytes(conn gnet.Conn) bool {
 	return conn.OutboundBuffered() > 0 || queueHoldsBytes(conn, unix.TIOCINQ) || queueHoldsBytes(conn, unix.TIOCOUTQ)
 }
 
-// queueHoldsBytes reports whether the system's queue of a connection, to be read or on its way out,
-// holds anything.
+// queueHoldsBytes reports whether one of the system's queues of a connection holds anything.
 func queueHoldsBytes(conn gnet.Conn, queue uint) bool {
 	n, err := unix.IoctlGetInt(conn.Fd(), queue)
 	return err == nil && n > 0
 }
 
 // evictUnderPressure closes some connections, as there are fewer descriptors than the server was
-// told.
+// configured for.
 func (s *Server) evictUnderPressure() {
 	if !s.clients.limiter.Guarded() {
 		if victim := s.evictionCandidate(nil); victim != nil {
@@ -103,14 +101,14 @@
 }
 
 const (
-	// sweepInterval is how often, in seconds, what has run out is dropped.
+	// sweepInterval is how often, in seconds, sweep runs.
 	sweepInterval = 0.5
-	// unreadMemoryShare of the memory, as its divisor, may lie unread by clients.
+	// unreadMemoryShare is the divisor of the memory that clients may leave unread.
 	unreadMemoryShare = 8
 )
 
-// sweep drops cached results that have run out, closes idle upstream connections, and ends the
-// connection that reads least where all together leave too much unread.
+// sweep drops expired cached results, closes idle upstream connections, and bounds the output that
+// clients leave unread.
 func (s *Server) sweep() {
 	now := s.now()
 	s.closeLargestBacklog()
@@ -118,8 +116,8 @@
 	s.results.Expire(now - s.maxReadDelay())
 }
 
-// closeLargestBacklog closes the connection that leaves most unread, where all together leave too
-// much.
+// closeLargestBacklog closes the connection with the largest backlog if all backlogs together are
+// too large.
 func (s *Server) closeLargestBacklog() {
 	unread := 0
 	largest := 0
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -4,14 +4,15 @@
 	"log/slog"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/memory"
+	"swiftcourse/internal/requesttable"
+	"swiftcourse/internal/resultcache"
 )
 
-// gaugeLead is how long, in seconds, before a timer the gauges are asked for: a few turns, so that
-// the reading is there when the timer goes off, and still fresh.
+// gaugeLead is how long, in seconds, before a timer the gauges are requested: a few turns, so that
+// the reading is there when the timer fires, and still fresh.
 const gaugeLead = 0.004
 
-// execute carries out what the controller decided, in order.
+// execute carries out the controller's actions, in order.
 func (s *Server) execute(actions []admission.Action, now float64) {
 	for i := range actions {
 		action := &actions[i]
@@ -21,7 +22,8 @@
 	}
 }
 
-// executeOnServer carries out an action that is about no request, and reports whether it was one.
+// executeOnServer carries out an action that concerns the whole server, and reports whether it was
+// one.
 func (s *Server) executeOnServer(action *admission.Action, now float64) bool {
 	switch action.Kind {
 	case admission.SetHealth:
@@ -43,7 +45,7 @@
 	return true
 }
 
-// setTimer has the controller hear of a timer in so many seconds, with fresh gauges.
+// setTimer schedules a timer event in so many seconds, with fresh gauges.
 func (s *Server) setTimer(label string, seconds, now float64) {
 	s.loop.timers.Schedule(now+max(0, seconds-gaugeLead), s.executor.askGaugesFunc)
 	s.loop.timers.Schedule(now+seconds, func() {
@@ -51,8 +53,8 @@
 	})
 }
 
-// executeOnRequest carries out an action that is about a request. One that is over needs nothing
-// but to leave the cache.
+// executeOnRequest carries out an action that concerns a request. For a request that is over, only
+// its key is left to be deleted.
 func (s *Server) executeOnRequest(action *admission.Action, now float64) {
 	request := s.requests.Get(action.RequestID)
 	if request == nil {
@@ -81,19 +83,19 @@
 	}
 }
 
-// answerFromCache answers a request with what the one it repeats came to, now or at that one's end.
-func (s *Server) answerFromCache(request *memory.Request, now float64) {
+// answerFromCache answers a repeat with the result of its original, now or when that ends.
+func (s *Server) answerFromCache(request *requesttable.Request, now float64) {
 	switch result, state := s.results.LookupOrWait(request, now); state {
-	case memory.Available:
+	case resultcache.Available:
 		s.answerShared(request, result, admission.Finished, 0)
-	case memory.Missing, memory.Unrepeatable:
+	case resultcache.Missing, resultcache.Unrepeatable:
 		s.answerShared(request, nil, admission.Failed, 0)
 	}
 }
 
-// answerShared ends a request, nil for one that is over, that took another's answer; that took so
-// many seconds.
-func (s *Server) answerShared(request *memory.Request, result []byte, outcome admission.Outcome, took float64) {
+// answerShared answers a repeat, nil for one that is over, with the outcome of its original, which
+// took so many seconds.
+func (s *Server) answerShared(request *requesttable.Request, result []byte, outcome admission.Outcome, took float64) {
 	if request == nil || request.Answered {
 		return
 	}
@@ -111,7 +113,7 @@
 	})
 }
 
-// setHealthy takes the controller's word on the server's health.
+// setHealthy sets the health that the controller decided.
 func (s *Server) setHealthy(healthy bool) {
 	if s.health.healthy != healthy {
 		slog.Info("health_changed", "healthy", healthy)
--- a/internal/server/executor.go
+++ b/internal/server/executor.go
@@ -10,19 +10,19 @@
 
 	"swiftcourse/admission"
 	"swiftcourse/internal/logging"
-	"swiftcourse/internal/memory"
+	"swiftcourse/internal/requesttable"
 	"swiftcourse/internal/wire/processor"
 	"swiftcourse/internal/wire/shale"
 )
 
-// silenceTimeout is how long, in seconds, a link may leave questions without an answer until it is
-// taken for dead, as one whose other end is gone without a word: more than any pause of a machine,
+// silenceTimeout is how long, in seconds, a gauge request may go unanswered until the link is
+// replaced, as the other end may be gone without a close. It is longer than any pause of a machine,
 // and a new link repeats what the old one may have lost.
 const silenceTimeout = 5
 
 // executorLink is the link to the executor, the process that runs requests. It is up after the
-// first word from there; after a break, once the notices that were missed have come again, which a
-// question for the gauges as a fence tells.
+// executor's first message. After a break it is up once the missed notices have been repeated: the
+// reply to a gauge request with the fence's tag comes behind them.
 type executorLink struct {
 	dialedConn
 	server          *Server
@@ -61,8 +61,7 @@
 	l.failedLinks++
 }
 
-// reconnect has the executor spoken to over a new link; what was said on this one and not proven
-// read is repeated.
+// reconnect replaces the link; what was sent on this one and not acknowledged is repeated.
 func (l *executorLink) reconnect() {
 	_ = l.conn.Close()
 	l.failedLinks = 0
@@ -71,8 +70,8 @@
 
 func (l *executorLink) write(data []byte) { l.server.write(&l.bufferedConn, data) }
 
-// sendCommand sends a command, encoded by put, where the link is up, and returns its number; what
-// is not sent now is repeated after the fence.
+// sendCommand numbers a command and sends it, encoded by put, if the link is up. Otherwise the
+// command is repeated after the fence.
 func (l *executorLink) sendCommand(put func(b []byte) []byte) int {
 	l.commandsSent++
 	if l.up {
@@ -127,7 +126,7 @@
 	}
 }
 
-// handleUp begins the server's work at the first word of the executor, and asks for a fence after a
+// handleUp starts the controller at the executor's first message, and requests a fence after a
 // break.
 func (l *executorLink) handleUp(notice *processor.Notice) {
 	l.failedLinks = 0
@@ -141,7 +140,7 @@
 }
 
 // handleRejection handles a command that the executor did not carry out.
-func (l *executorLink) handleRejection(notice *processor.Notice, request *memory.Request) {
+func (l *executorLink) handleRejection(notice *processor.Notice, request *requesttable.Request) {
 	s := l.server
 	s.statistics.commandsRejected++
 	if s.mayLogPeerFault() { // requests that no client sent make these by hundreds
@@ -153,7 +152,7 @@
 	}
 }
 
-func (l *executorLink) handleRunEnded(notice *processor.Notice, request *memory.Request) {
+func (l *executorLink) handleRunEnded(notice *processor.Notice, request *requesttable.Request) {
 	s := l.server
 	switch notice.Outcome {
 	case admission.Finished:
@@ -165,7 +164,7 @@
 }
 
 // handleCall handles a run that waits for an upstream call.
-func (l *executorLink) handleCall(notice *processor.Notice, request *memory.Request) {
+func (l *executorLink) handleCall(notice *processor.Notice, request *requesttable.Request) {
 	s := l.server
 	s.output.buffers.Put(request.CallBody)
 	s.output.buffers.Put(request.CallReply)
@@ -198,10 +197,10 @@
 	}
 }
 
-// resend sends again what the executor may not have read: all that has no proof of it. A run that
-// was started goes on unharmed; one that ended is known to have, by the fence, unless it ends just
-// now: so a start is not sent again where running twice is ruled out. Such a request waits for a
-// notice of its run, and fails at its soft deadline where none comes.
+// resend repeats every command that the executor has not acknowledged. A run that was started goes
+// on unharmed; one that ended is known to have ended, by the fence, unless it ends just now: so a
+// start is not repeated if running twice is ruled out. Such a request waits for a notice of its
+// run, and fails at its soft deadline if none comes.
 func (l *executorLink) resend() {
 	s := l.server
 	for _, request := range s.requests.InArrivalOrder() {
@@ -216,7 +215,7 @@
 	}
 }
 
-// askGauges asks for the gauges, and replaces a link that has not answered for long.
+// askGauges requests the gauges, and replaces a link that has been silent for too long.
 func (l *executorLink) askGauges() {
 	if !l.up {
 		return
@@ -235,21 +234,21 @@
 	l.write(l.server.output.scratch)
 }
 
-func (l *executorLink) start(request *memory.Request) {
+func (l *executorLink) start(request *requesttable.Request) {
 	if !request.Running && !request.Answered {
 		request.Running = true
 		l.sendStart(request)
 	}
 }
 
-func (l *executorLink) sendStart(request *memory.Request) {
+func (l *executorLink) sendStart(request *requesttable.Request) {
 	request.LastCommand = l.sendCommand(func(b []byte) []byte {
 		return processor.PutStart(b, request.ID, l.server.startup.ClassNames[request.Class], request.Body)
 	})
 }
 
-// reply settles the call that a run waits for, with the reply or, to skip the call, without one.
-func (l *executorLink) reply(request *memory.Request, body []byte, skip bool) {
+// reply settles the call that a run waits for, with the reply or, if skip is set, without one.
+func (l *executorLink) reply(request *requesttable.Request, body []byte, skip bool) {
 	if request.CallNotice == 0 || request.CallSettled {
 		return
 	}
@@ -260,7 +259,7 @@
 	l.sendReply(request)
 }
 
-func (l *executorLink) sendReply(request *memory.Request) {
+func (l *executorLink) sendReply(request *requesttable.Request) {
 	request.LastCommand = l.sendCommand(func(b []byte) []byte {
 		if request.CallReply == nil {
 			return processor.PutSkip(b, request.ID, request.CallNotice)
@@ -269,8 +268,8 @@
 	})
 }
 
-// startController makes the admission controller: at the executor's own start, so that it warms up
-// with it. That start was so many seconds ago, and cold where the executor has to warm up.
+// startController creates the admission controller, as of the executor's own start so many seconds
+// ago, so that it warms up with it. A cold executor has to warm up.
 func (s *Server) startController(cold bool, ago float64) {
 	if s.drain.started() { // it was told to drain before it could run anything, and begins nothing now
 		slog.Info("controller_not_started", "slow_start", cold, "draining", true)
--- a/internal/server/forwarding.go
+++ b/internal/server/forwarding.go
@@ -4,7 +4,7 @@
 	"math"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/memory"
+	"swiftcourse/internal/requesttable"
 	"swiftcourse/internal/wire/rpc"
 )
 
@@ -12,8 +12,8 @@
 // of one at an executor. All else is as it is for a server: the controller decides what is admitted
 // and when, by the learned typical run, which is that through the fleet.
 
-// forwardSafetyMargin is what a hop keeps, in seconds, of the time that is left: as for upstream
-// calls.
+// forwardSafetyMargin is the part of the remaining time, in seconds, that a hop keeps: as for
+// upstream calls.
 const forwardSafetyMargin = 0.010
 
 // ForwardRequest is a request on its way to a worker.
@@ -24,7 +24,7 @@
 	Left    float64     // seconds in which it has to be back
 }
 
-// ForwardResult is how that ended.
+// ForwardResult is the outcome of a forwarded request.
 type ForwardResult struct {
 	ID string
 	// Outcome is Finished, Failed, Rejected where no worker took it, Cancelled where nobody waits
@@ -35,22 +35,23 @@
 	Advice  float64 // where it was rejected: when to come back, in seconds
 }
 
-// forwarding is what the loop needs to forward requests.
+// forwarding is the state of a server that forwards its requests.
 type forwarding struct {
 	messages map[string]*rpc.Message // what goes on with requests that are not over
 	dispatch func(ForwardRequest) bool
 	cancel   func(id string)
 }
 
-// EnableForwarding has requests go to dispatch in place of an executor; false where it can't take
-// one: it never left. Cancel tells of one that nobody waits for any more. It is called before Run.
+// EnableForwarding has requests run by dispatch instead of an executor; it returns false for a
+// request that was never sent. The function cancel is called for a request whose client is gone.
+// EnableForwarding is called before Run.
 func (s *Server) EnableForwarding(dispatch func(ForwardRequest) bool, cancel func(id string)) {
 	s.fleet.forwarding = &forwarding{messages: map[string]*rpc.Message{}, dispatch: dispatch, cancel: cancel}
 	s.executor.askGaugesFunc = func() {} // there are no gauges: what workers can do is learned from what they say
 }
 
-// HandleWorkerAvailable tells, from any goroutine, that there is a worker: the server serves from
-// then on. It waits until the loop has begun.
+// HandleWorkerAvailable reports that there is a worker; the server serves from then on. Any
+// goroutine but the loop's may call it; it waits until the loop has started.
 func (s *Server) HandleWorkerAvailable() {
 	<-s.loop.ready
 	_ = s.loop.execute(func() {
@@ -60,8 +61,8 @@
 	})
 }
 
-// HandleForwardResults takes requests back, from any goroutine, once the loop has begun. It returns
-// at once.
+// HandleForwardResults returns forwarded requests. Any goroutine may call it once the loop has
+// started; it returns at once.
 func (s *Server) HandleForwardResults(results []ForwardResult) {
 	_ = s.loop.execute(func() {
 		for i := range results {
@@ -70,8 +71,8 @@
 	})
 }
 
-// keepForForwarding keeps what goes on with a request.
-func (s *Server) keepForForwarding(request *memory.Request, message *rpc.Message) {
+// keepForForwarding keeps a request's message, which is forwarded with it.
+func (s *Server) keepForForwarding(request *requesttable.Request, message *rpc.Message) {
 	f := s.fleet.forwarding
 	if f == nil {
 		return
@@ -84,7 +85,7 @@
 }
 
 // startRun runs a request: at a worker, or at the executor.
-func (s *Server) startRun(request *memory.Request) {
+func (s *Server) startRun(request *requesttable.Request) {
 	f := s.fleet.forwarding
 	if f == nil {
 		s.executor.start(request)
@@ -114,8 +115,8 @@
 	}
 }
 
-// cancelForward tells that nobody waits for a request any more.
-func (s *Server) cancelForward(request *memory.Request) {
+// cancelForward cancels a forwarded request whose client is gone.
+func (s *Server) cancelForward(request *requesttable.Request) {
 	f := s.fleet.forwarding
 	if f == nil {
 		return
@@ -126,7 +127,7 @@
 	}
 }
 
-// handleForwardResult ends a run.
+// handleForwardResult ends a forwarded run.
 func (s *Server) handleForwardResult(result *ForwardResult) {
 	request := s.requests.Get(result.ID)
 	if request == nil || !request.Running {
--- a/internal/server/forwarding_test.go
+++ b/internal/server/forwarding_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"swiftcourse/internal/config"
-	"swiftcourse/internal/memory"
+	"swiftcourse/internal/requesttable"
 	"swiftcourse/internal/wire/rpc"
 )
 
@@ -16,7 +16,7 @@
 	message := rpc.Message{Kind: rpc.Task, Number: 7, ID: "a1", Stage: "quote", Tenant: "acme",
 		Subject: "s", Key: "k", Again: true, Hint: 0.2, Came: 1, Wait: 2,
 		NoWait: true, Caller: 3, Memory: 4, Rank: 0.5, Body: []byte("x")}
-	s.keepForForwarding(&memory.Request{ID: "a1"}, &message)
+	s.keepForForwarding(&requesttable.Request{ID: "a1"}, &message)
 	got, want := *s.fleet.forwarding.messages["a1"], message
 	want.Number, want.Body = 0, nil
 	if !reflect.DeepEqual(got, want) {
--- a/internal/server/graceful.go
+++ b/internal/server/graceful.go
@@ -6,24 +6,25 @@
 	"github.com/panjf2000/gnet/v2"
 	"golang.org/x/sys/unix"
 
-	"swiftcourse/internal/memory"
 	"swiftcourse/internal/policy/connlimit"
+	"swiftcourse/internal/slottable"
 	"swiftcourse/internal/wire/rpc"
 )
 
 const (
-	// lingerTimeout is how long, in seconds, a connection whose own side is shut may take to end:
-	// twice the 50 ms in which something may cross a close.
+	// lingerTimeout is how long, in seconds, the peer of a half-closed connection has to close its
+	// side: twice the 50 ms in which a message may cross a close.
 	lingerTimeout = 0.1
-	// mutedFlushTimeout is for how long, in seconds, answers to a muted connection may lie unread.
+	// mutedFlushTimeout is how long, in seconds, a muted connection may leave its answers unread.
 	mutedFlushTimeout = 1.0
-	// maxLingering bounds the descriptors that connections hold while they linger: half of the
-	// reserved ones. Past it the oldest is closed at once, which resets it at the worst; a server
-	// that drains needs none of them.
+	// maxLingering bounds the descriptors of lingering connections: half of the reserved ones.
+	// Beyond it the oldest is closed at once, which at worst resets it; a draining server needs no
+	// descriptors for others.
 	maxLingering = reservedDescriptors / 2
 )
 
-// lingeringConn is a connection that has left the table of clients and whose own end is awaited.
+// lingeringConn is a connection that has left the table of clients, and whose peer has yet to close
+// its side.
 type lingeringConn struct {
 	server   *Server
 	conn     gnet.Conn
@@ -57,8 +58,8 @@
 	_ = conn.Close()
 }
 
-// closeGracefully ends a connection that is owed nothing and has nothing to write: its place is
-// free at once.
+// closeGracefully half-closes a connection that has no open request and no output. Its slot is free
+// at once.
 func (c *clientConn) closeGracefully() {
 	s := c.server
 	conn := c.conn
@@ -88,7 +89,8 @@
 	}
 }
 
-// expireLingering closes those whose time is over; they are in the order in which they began.
+// expireLingering closes the connections whose deadline has passed; they are in order of their
+// deadlines.
 func (s *Server) expireLingering() {
 	now := s.now()
 	for len(s.clients.lingering) > 0 && s.clients.lingering[0].deadline <= now {
@@ -99,14 +101,14 @@
 	}
 }
 
-// mutedConn is a client's connection that sent what is no message.
+// mutedConn is a muted connection of a client.
 type mutedConn struct {
-	id       memory.Handle
+	id       slottable.Handle
 	deadline float64 // until when its answers may lie unread; 0 while a request of it is open
 }
 
-// mute has nothing more read from a connection: where its messages end is unknown. What was read
-// before is answered.
+// mute stops reading from a connection after a protocol error, as the next message can't be found.
+// Requests that were read before are answered.
 func (c *clientConn) mute() {
 	if !c.state.advance(connProtocolError) {
 		return
@@ -115,7 +117,8 @@
 	c.server.scheduleTurn()
 }
 
-// maintainMuted ends those that have all they are owed. It is called after the turn's writes.
+// maintainMuted closes muted connections that have received all their answers. It is called after
+// the turn's writes.
 func (s *Server) maintainMuted(now float64) {
 	if len(s.clients.muted) == 0 {
 		return
@@ -139,7 +142,7 @@
 	}
 }
 
-// maintainConnections does what the limiter says of connections: a few a turn.
+// maintainConnections carries out the connection limiter's verdicts: a few in each turn.
 func (s *Server) maintainConnections(now float64) {
 	for _, verdict := range s.clients.limiter.Due(now) {
 		client := s.clients.conns.AtSlot(verdict.Slot)
@@ -157,19 +160,19 @@
 	}
 }
 
-// askToClose asks a client to close a connection: it sends nothing new from then on, so nothing can
-// be lost.
+// askToClose asks a client to close a connection: the client sends nothing new from then on, so
+// nothing can be lost.
 func (s *Server) askToClose(client *clientConn) {
 	s.output.scratch = rpc.PutPart(s.output.scratch[:0])
 	client.writeScratch()
 	s.statistics.askedToClose++
 }
 
-// closeAllGracefully shuts, just before the kill, whatever is owed nothing and has nothing to
-// write.
+// closeAllGracefully half-closes, just before the kill, every connection without an open request or
+// output.
 func (s *Server) closeAllGracefully() {
 	s.flush()
-	s.clients.conns.ForEach(func(_ memory.Handle, client *clientConn) {
+	s.clients.conns.ForEach(func(_ slottable.Handle, client *clientConn) {
 		if len(client.requests) == 0 && client.conn != nil && client.conn.OutboundBuffered() == 0 {
 			client.closeGracefully()
 		}
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -11,7 +11,7 @@
 	"github.com/panjf2000/gnet/v2"
 
 	"swiftcourse/internal/logging"
-	"swiftcourse/internal/memory"
+	"swiftcourse/internal/timerwheel"
 )
 
 // eventLoop is gnet's loop, its timers and what wakes it.
@@ -21,7 +21,7 @@
 	registerFirst registerFunc   // hands the first connection to the loop
 	ticked        bool           // by gnet's ticker, whose goroutine alone uses it
 
-	timers        memory.Wheel
+	timers        timerwheel.Wheel
 	turn          gnet.Runnable // runTurn
 	turnScheduled bool
 	wakeup        *time.Timer
@@ -45,13 +45,13 @@
 	return nil
 }
 
-// execute queues f on the loop, which has to be ready. It fails only where the engine is down, and
-// then nothing is left to do.
+// execute queues f on the loop, which must be ready. It fails only if the engine is stopped, and
+// then there is nothing left to do.
 func (l *eventLoop) execute(f loopFunc) error {
 	return l.handle.Execute(context.Background(), f)
 }
 
-// isReady reports whether the loop has begun, from any goroutine.
+// isReady reports whether the loop has started. Any goroutine may call it.
 func (l *eventLoop) isReady() bool {
 	select {
 	case <-l.ready:
@@ -61,15 +61,15 @@
 	}
 }
 
-// requestTurn has the loop take a turn, from any goroutine. A loop that has not begun sees what is
-// new in its first turn.
+// requestTurn schedules a turn. Any goroutine may call it. A loop that has not started does
+// nothing: its first turn sees what is new.
 func (l *eventLoop) requestTurn() {
 	if l.isReady() {
 		_ = l.handle.Execute(context.Background(), l.turn)
 	}
 }
 
-// executeWhenReady runs f on the loop once that has begun; it returns at once.
+// executeWhenReady runs f on the loop once that has started. It returns at once.
 func (l *eventLoop) executeWhenReady(f loopFunc) {
 	go func() {
 		<-l.ready
@@ -77,7 +77,7 @@
 	}()
 }
 
-// every calls f on the loop each interval seconds, the first time an interval from now.
+// every calls f on the loop at each interval, in seconds; the first call is one interval from now.
 func (s *Server) every(interval float64, f func()) {
 	var tick func()
 	tick = func() {
@@ -101,7 +101,7 @@
 	return time.Hour, gnet.None
 }
 
-// OnOpen meets a new connection: one that the server dialed, or a client's.
+// OnOpen takes over a new connection: one that the server dialed, or a client's.
 func (s *Server) OnOpen(conn gnet.Conn) (_ []byte, action gnet.Action) {
 	defer s.recoverPanic(conn, &action)
 	if s.loop.handle == nil {
@@ -142,7 +142,7 @@
 	close(s.loop.ready)
 }
 
-// OnTraffic reads what has come on a connection.
+// OnTraffic passes the input of a connection to its handler.
 func (s *Server) OnTraffic(conn gnet.Conn) (action gnet.Action) {
 	defer s.recoverPanic(conn, &action)
 	handler, ok := conn.Context().(connHandler)
@@ -172,7 +172,7 @@
 	return gnet.Close
 }
 
-// OnClose lets go of a connection.
+// OnClose reports a closed connection to its handler.
 func (s *Server) OnClose(conn gnet.Conn, err error) (action gnet.Action) {
 	defer s.recoverPanic(conn, &action)
 	if handler, ok := conn.Context().(connHandler); ok && handler.owns(conn) {
@@ -181,7 +181,7 @@
 	return gnet.None
 }
 
-// recoverPanic stops a panic at the connection whose handling raised it.
+// recoverPanic confines a panic to the connection whose event raised it, which is closed.
 func (s *Server) recoverPanic(conn gnet.Conn, action *gnet.Action) {
 	if cause := recover(); cause != nil {
 		slog.Info("panic", "peer", conn.RemoteAddr(), "cause", fmt.Sprint(cause), "stack", debug.Stack())
@@ -189,26 +189,26 @@
 	}
 }
 
-// gnetLogger passes the library's warnings on in the form of the server's log.
+// gnetLogger writes gnet's warnings and errors to the server's log.
 type gnetLogger struct{}
 
-// Debugf drops what the library says of its own workings.
+// Debugf drops debug messages.
 func (gnetLogger) Debugf(string, ...any) {}
 
-// Infof drops what the library says of its own workings.
+// Infof drops informational messages.
 func (gnetLogger) Infof(string, ...any) {}
 
-// Warnf logs a warning of the library.
+// Warnf logs a warning.
 func (gnetLogger) Warnf(format string, args ...any) {
 	slog.Info("network_library", "level", "warn", "text", fmt.Sprintf(format, args...))
 }
 
-// Errorf logs an error of the library.
+// Errorf logs an error.
 func (gnetLogger) Errorf(format string, args ...any) {
 	slog.Info("network_library", "level", "error", "text", fmt.Sprintf(format, args...))
 }
 
-// Fatalf logs an error of the library after which it can't go on, and ends the process.
+// Fatalf logs an error after which gnet can't go on, and ends the process.
 func (gnetLogger) Fatalf(format string, args ...any) {
 	logging.Fatal("network_library", "level", "fatal", "text", fmt.Sprintf(format, args...))
 }
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -13,16 +13,19 @@
 // also when whoever renews it is stopped.
 
 const (
-	// usageInterval is how often, in seconds, usage is counted and reported.
+	// usageInterval is how often, in seconds, usage is measured and reported.
 	usageInterval = 0.1
-	// usageWeight is what the latest count weighs: half a second or so tells. With a weight of 0.3
-	// swings of small demands took 1.5% of a quota from the large one.
+	// usageWeight is the weight of the latest measurement in the moving average, which covers half
+	// a second or so. With a weight of 0.3, swings of small demands took 1.5% of a quota from the
+	// large one.
 	usageWeight = 0.2
-	// minUsageRate is a rate, in requests a second, that is none any more.
+	// minUsageRate is the rate, in requests per second, below which a rate counts as 0.
 	minUsageRate = 0.01
 )
 
-// QuotaUsage is what was asked of a quota lately, and by which grant the loop goes.
+// QuotaUsage is the recent use of a quota: the demand (a tenant's requests per second, or upstream
+// calls in flight and waiting), the calls in flight (Open), and the number of the grant that the
+// loop applies (Answer).
 type QuotaUsage struct {
 	Name   string
 	Demand float64
@@ -30,7 +33,7 @@
 	Answer uint64
 }
 
-// quotas is what the loop knows of quotas that are shared by the fleet.
+// quotas is the state of the quotas that the fleet shares.
 type quotas struct {
 	allowances []serving.Allowance
 	applied    []float64 // the limit that the controller was told of each, under 0 where it was told nothing
@@ -45,8 +48,8 @@
 	usedProbe   int64                   // number of the latest one that was made
 }
 
-// EnableQuota has leased shares of quotas bind from the first request on, and their usage reported.
-// It is called before Run.
+// EnableQuota has leased shares of quotas bind from the first request on, and reports their usage
+// on the loop. It is called before Run.
 func (s *Server) EnableQuota(report func([]QuotaUsage)) {
 	tenants := len(s.startup.Settings.Tenants)
 	s.fleet.quotas = &quotas{
@@ -58,13 +61,13 @@
 	s.every(usageInterval, s.reportQuotaUsage)
 }
 
-// ReportUpstreamCalls has what became of upstream calls reported. It is called after EnableQuota
-// and before Run.
+// ReportUpstreamCalls reports the outcomes of upstream calls, on the loop. It is called after
+// EnableQuota and before Run.
 func (s *Server) ReportUpstreamCalls(report func(serving.CallStats)) {
 	s.fleet.quotas.reportCalls = report
 }
 
-// countUpstreamCall counts a call, which took so many seconds.
+// countUpstreamCall counts the outcome of a call that took so many seconds.
 func (s *Server) countUpstreamCall(outcome admission.Outcome, took float64) {
 	q := s.fleet.quotas
 	if q == nil {
@@ -83,14 +86,14 @@
 	}
 }
 
-// SetAllowances hands over what may be used of all quotas, from any goroutine. It returns at once;
-// the loop goes by it from its next batch on.
+// SetAllowances sets what the server may use of all quotas. Any goroutine may call it; it returns
+// at once, and the loop applies the allowances from its next batch on.
 func (s *Server) SetAllowances(allowances []serving.Allowance) {
 	s.fleet.allowances.Store(&allowances)
 	s.loop.requestTurn()
 }
 
-// applyAllowances puts what has changed at the head of the batch.
+// applyAllowances puts events about changed limits at the head of the batch.
 func (s *Server) applyAllowances(now float64) {
 	q := s.fleet.quotas
 	handed := s.fleet.allowances.Load()
@@ -112,8 +115,8 @@
 	}
 }
 
-// replaceAllowances takes a new list. Where it is of other quotas the controller has to hear of
-// each again.
+// replaceAllowances takes a new list. If its quotas are not the same as before, the controller has
+// to be notified of every one again.
 func (s *Server) replaceAllowances(allowances []serving.Allowance) {
 	q := s.fleet.quotas
 	sameName := func(a, b serving.Allowance) bool { return a.Name == b.Name }
@@ -127,8 +130,8 @@
 	q.allowances = allowances
 }
 
-// limitsChanged lists the limits that are other than the controller was told, and sets when the
-// next of them changes.
+// limitsChanged returns events for the limits that differ from what the controller knows, and sets
+// the time of the next expiry.
 func (q *quotas) limitsChanged(now float64) (events []admission.Event) {
 	q.nextExpiry = math.Inf(1)
 	q.probe = 0
@@ -151,8 +154,8 @@
 	return events
 }
 
-// removeAllowances has the controller hear of quotas that are no more: what they bound is as good
-// as unbound.
+// removeAllowances notifies the controller of quotas that no longer exist, by a limit that never
+// binds.
 func (s *Server) removeAllowances(previous, next []serving.Allowance) {
 	for _, removed := range previous {
 		sameTenant := func(a serving.Allowance) bool { return a.Tenant == removed.Tenant }
@@ -177,7 +180,7 @@
 	}
 }
 
-// reportQuotaUsage reports what was asked for and what is open.
+// reportQuotaUsage reports the demand and use of all quotas.
 func (s *Server) reportQuotaUsage() {
 	q := s.fleet.quotas
 	q.updateRates()
@@ -202,7 +205,7 @@
 	}
 }
 
-// updateRates takes the requests since the last count into each tenant's rate.
+// updateRates updates each tenant's rate with the requests since the last measurement.
 func (q *quotas) updateRates() {
 	for _, allowance := range q.allowances {
 		if allowance.Tenant < 0 {
@@ -220,7 +223,7 @@
 	clear(q.received)
 }
 
-// usageOf is what is asked of a quota: a tenant's rate of requests, or the upstream calls out and
+// usageOf is the use of a quota: a tenant's rate of requests, or the upstream calls in flight and
 // waiting.
 func (s *Server) usageOf(allowance *serving.Allowance) QuotaUsage {
 	usage := QuotaUsage{Name: allowance.Name, Answer: allowance.GrantNumber}
--- a/internal/server/refuse.go
+++ b/internal/server/refuse.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// refusalReadTimeout is how long a connection that is accepted with the spare descriptor has
+	// refusalReadTimeout is how long a connection that was accepted with the spare descriptor has
 	// for its first message.
 	refusalReadTimeout = 10 * time.Millisecond
-	// maxRefusedReads bounds, in reads of refusalBufferSize, what one that is refused may hold up
-	// the acceptor with: twice what 32 requests with bodies of 2 KiB take.
+	// maxRefusedReads bounds the reads, of refusalBufferSize each, for which a refused connection
+	// may hold up the acceptor: twice what 32 requests with bodies of 2 KiB take.
 	maxRefusedReads   = 32
 	refusalBufferSize = 4 << 10
 )
 
-// refusal is a connection that can't be admitted, as its bytes are read and answered.
+// refusal is a connection that is being refused.
 type refusal struct {
 	socket   acceptedSocket
 	deadline time.Time // for the first message; the zero time for none
@@ -28,10 +28,9 @@
 	deaf     bool // what comes is no message, or too long a one: it is discarded
 }
 
-// refuse answers what has come on a connection that can't be admitted, or comes within a timeout,
-// and closes it. A request is rejected: it never ran. What is there beyond that is read too, as a
-// close over bytes that nobody read would reset the connection and with it the answers that are on
-// their way.
+// refuse answers the messages that have arrived on a connection that can't be admitted, or arrive
+// within a timeout, and closes it. Requests are rejected: they never ran. The rest of the input is
+// read too, as a close with unread input would reset the connection and drop the answers.
 func refuse(socket acceptedSocket, timeout time.Duration) {
 	defer func() { _ = unix.Close(socket.fd) }()
 	r := refusal{socket: socket}
@@ -45,8 +44,8 @@
 	}
 }
 
-// waitForInput waits for the first message, where there is a deadline for it, and reports whether
-// there may be something to read.
+// waitForInput waits for the first message until the deadline, if there is one, and reports whether
+// there may be input.
 func (r *refusal) waitForInput() bool {
 	if r.deadline.IsZero() || r.answered {
 		return true
@@ -56,8 +55,7 @@
 	return n > 0
 }
 
-// read reads once and answers the whole messages that are there; it returns false at the end of
-// what has come.
+// read reads once and answers the whole messages so far; it returns false at the end of the input.
 func (r *refusal) read() bool {
 	n, err := unix.Read(r.socket.fd, r.buffer[r.buffered:])
 	if err != nil || n <= 0 {
@@ -79,8 +77,7 @@
 	return true
 }
 
-// refusalsFor returns the answers to the whole messages at the start of data, and what of it is no
-// whole message yet.
+// refusalsFor returns the answers to the whole messages at the start of data, and the rest of data.
 func refusalsFor(data []byte) (answers, rest []byte, err error) {
 	for {
 		message, size, err := rpc.Next(data)
--- a/internal/server/registry.go
+++ b/internal/server/registry.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// reportInterval is in seconds; an entry lapses after three. A report that has no answer when
-	// the next is due may be lost, or counted all the same: the next goes over a new link, at once
-	// where health changed.
+	// reportInterval is the interval of reports, in seconds; a registry entry lapses after three. A
+	// report without a reply by the next one may be lost or not: the next goes over a new link, at
+	// once if health changed.
 	reportInterval = 1
-	// reportTolerance is by how much, in seconds, a report may come before it is due.
+	// reportTolerance is how much earlier, in seconds, than its interval a report may be sent.
 	reportTolerance = 0.05
 )
 
@@ -54,7 +54,7 @@
 	r.handleClose(err)
 }
 
-// report sends a report where one is due: when health changed, and every so often.
+// report sends a report if one is due: when health changed, and at each interval.
 func (r *registryLink) report() {
 	s := r.server
 	now := s.now()
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -6,20 +6,20 @@
 	"math"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/memory"
 	"swiftcourse/internal/policy/connlimit"
+	"swiftcourse/internal/requesttable"
 	"swiftcourse/internal/wire/rpc"
 )
 
-// maxClockSkew is how far from now, in seconds, a request may say that it came: more than any pause
-// of a machine, as an age is learned from.
+// maxClockSkew is how far, in seconds, a request's time of arrival may be from now: more than any
+// pause of a machine, as the controller learns from ages.
 const maxClockSkew = 60
 
-// requestKind is a request's class and tenant, as indexes of the deployment's settings.
+// requestKind is a request's class and tenant, as indexes into the deployment's settings.
 type requestKind struct{ class, tenant int }
 
-// handleRequest takes a request in, or answers at once what can't be one. An error means that the
-// connection can't go on.
+// handleRequest takes in a request, or answers at once a message that can't be one. An error means
+// that the connection can't go on.
 func (c *clientConn) handleRequest(message *rpc.Message, now float64) error {
 	s := c.server
 	if c.findRequest(message.Number) != nil {
@@ -33,7 +33,7 @@
 	if c.rejectAtOnce(message.Number, kind, now) {
 		return nil
 	}
-	request := &memory.Request{
+	request := &requesttable.Request{
 		ID:            message.ID,
 		Connection:    c.id,
 		MessageNumber: message.Number,
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// validate returns a request's class and tenant, or what is wrong with it.
+// validate returns a request's class and tenant, or what is invalid about it.
 func (c *clientConn) validate(message *rpc.Message, now float64) (requestKind, error) {
 	s := c.server
 	class, classKnown := s.startup.ClassIndex[message.Stage]
@@ -77,7 +77,7 @@
 	return kind, s.validateKey(class, message)
 }
 
-// validateKey returns what is wrong with the idempotency key of a request that may run at most
+// validateKey returns what is invalid about the idempotency key of a request that may run at most
 // once.
 func (s *Server) validateKey(class int, message *rpc.Message) error {
 	if !s.runsAtMostOnce(class) {
@@ -107,7 +107,7 @@
 	c.writeScratch()
 }
 
-// rejectAtOnce rejects a request that the controller need not hear of, and reports whether it did.
+// rejectAtOnce rejects a request that must not reach the controller, and reports whether it did.
 func (c *clientConn) rejectAtOnce(number uint64, kind requestKind, now float64) bool {
 	s := c.server
 	switch {
@@ -126,9 +126,8 @@
 	return true
 }
 
-// queueArrival has the controller hear of a request; one whose key has to be claimed first, once
-// that is granted.
-func (s *Server) queueArrival(request *memory.Request, message *rpc.Message, now float64) {
+// queueArrival queues the event of a request's arrival, unless its key has to be claimed first.
+func (s *Server) queueArrival(request *requesttable.Request, message *rpc.Message, now float64) {
 	original := s.results.Original(request.Class, request.Subject, message.Came, now)
 	arrival := admission.Event{
 		Kind:      admission.Arrived,
@@ -156,15 +155,15 @@
 	s.queueEvent(arrival)
 }
 
-// runsAtMostOnce reports whether the repeats of a class's requests have to be known.
+// runsAtMostOnce reports whether repeats of a class's requests must be recognised.
 func (s *Server) runsAtMostOnce(class int) bool {
 	classes := s.startup.Settings.Classes
 	return class < len(classes) && classes[class].Idempotency == admission.Deduplicated
 }
 
-// maxReadDelay is for how long, in seconds, past its window a request that may run once is
-// remembered: a repeat that came in time may be read later, as after a pause, though not when its
-// client has left.
+// maxReadDelay is how long, in seconds, past its window a request that may run once is remembered:
+// a repeat that arrived in time may be read later, as after a pause, but not after its client has
+// left.
 func (s *Server) maxReadDelay() (longest float64) {
 	for i, class := range s.startup.Settings.Classes {
 		if s.runsAtMostOnce(i) {
@@ -174,9 +173,9 @@
 	return longest
 }
 
-// subjectOf is what a request has in common with its repeats: an idempotency key where its class
-// asks for one, and what it is about elsewhere. Where an operator names the keyed classes, of a
-// protocol without such keys, what a request is about is its key.
+// subjectOf is what a request has in common with its repeats: the idempotency key if its class
+// requires one, else its subject. If an operator names the keyed classes, of a protocol without
+// such keys, the subject is the key.
 func (s *Server) subjectOf(class int, message *rpc.Message) string {
 	if s.runsAtMostOnce(class) && message.Key != "" {
 		return message.Key
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -4,11 +4,12 @@
 	"strconv"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/memory"
+	"swiftcourse/internal/requesttable"
+	"swiftcourse/internal/resultcache"
 	"swiftcourse/internal/wire/rpc"
 )
 
-// answer is what a request's client is told in the end.
+// answer is the kind of a request's final answer.
 type answer uint8
 
 const (
@@ -23,8 +24,8 @@
 	return [...]string{"finished", "failed", "rejected", "unknown"}[min(a, answers)]
 }
 
-// respond gives a request its final answer, encoded by put; the first one wins.
-func (s *Server) respond(request *memory.Request, kind answer, put func(b []byte, number uint64) []byte) {
+// respond sends a request's final answer, encoded by put. Only the first answer counts.
+func (s *Server) respond(request *requesttable.Request, kind answer, put func(b []byte, number uint64) []byte) {
 	if request.Answered {
 		return
 	}
@@ -38,7 +39,7 @@
 }
 
 // finish answers a request with its result.
-func (s *Server) finish(request *memory.Request, result []byte) {
+func (s *Server) finish(request *requesttable.Request, result []byte) {
 	if client := s.clients.conns.Get(request.Connection); client != nil && !request.Answered {
 		s.clients.limiter.Finished(client.slot(), s.now())
 	}
@@ -48,15 +49,15 @@
 }
 
 // fail answers a request with an error.
-func (s *Server) fail(request *memory.Request) {
+func (s *Server) fail(request *requesttable.Request) {
 	s.respond(request, answerFailed, func(b []byte, number uint64) []byte {
 		return rpc.PutAbandoned(b, number, s.health.loadReport)
 	})
 }
 
-// reject answers that a request never ran: when to come back, in seconds, and whether it should not
-// be tried elsewhere.
-func (s *Server) reject(request *memory.Request, retryAfter float64, last bool) {
+// reject answers that a request never ran. The client may retry after so many seconds; if last is
+// set, it should not try another server.
+func (s *Server) reject(request *requesttable.Request, retryAfter float64, last bool) {
 	report := s.health.loadReport
 	report.Advice = retryAfter
 	report.Last = last
@@ -65,22 +66,22 @@
 	})
 }
 
-// settle books that a request is owed no answer any more; a call of it is cancelled.
-func (s *Server) settle(request *memory.Request) {
+// settle marks a request as answered, and cancels its upstream call.
+func (s *Server) settle(request *requesttable.Request) {
 	request.Answered = true
 	s.cancelCall(request)
 	s.cancelForward(request)
 	if !request.Running { // dropped without a run: who waits for its answer gets none
 		s.releaseClaim(request)
-		for _, id := range s.results.Finish(request.ID, false, false, nil, 0) {
+		for _, id := range s.results.Finish(request.ID, resultcache.Outcome{}) {
 			s.answerShared(s.requests.Get(id), nil, admission.Failed, 0)
 		}
 	}
 	s.requests.RemoveIfDone(&s.output.buffers, request)
 }
 
-// cancelByClient tells the controller that nobody waits for a request any more.
-func (s *Server) cancelByClient(request *memory.Request) {
+// cancelByClient reports to the controller that a request's client is gone.
+func (s *Server) cancelByClient(request *requesttable.Request) {
 	if request.Answered {
 		return
 	}
@@ -89,20 +90,25 @@
 	s.settle(request)
 }
 
-// finishRun tells all who wait for a run how it ended; it took so many seconds.
-func (s *Server) finishRun(request *memory.Request, outcome admission.Outcome, body []byte, took float64) {
-	ran := outcome != admission.NeverStarted
+// finishRun reports the end of a run, which took so many seconds, to all that wait for it: repeats,
+// the fleet and the controller.
+func (s *Server) finishRun(request *requesttable.Request, outcome admission.Outcome, body []byte, took float64) {
 	succeeded := outcome == admission.Finished
-	expiry := s.now() + s.resultLifetime(request.Class)
-	for _, id := range s.results.Finish(request.ID, ran, succeeded, body, expiry) {
+	waiting := s.results.Finish(request.ID, resultcache.Outcome{
+		Ran:     outcome != admission.NeverStarted,
+		Success: succeeded,
+		Result:  body,
+		FreshTo: s.now() + s.resultLifetime(request.Class),
+	})
+	for _, id := range waiting {
 		s.answerShared(s.requests.Get(id), body, outcome, took)
 	}
 	s.completeClaim(request, succeeded, body)
 	s.reportRunEnded(request, outcome, took)
 }
 
-// reportRunEnded tells the controller that a run is over.
-func (s *Server) reportRunEnded(request *memory.Request, outcome admission.Outcome, took float64) {
+// reportRunEnded reports the end of a run to the controller.
+func (s *Server) reportRunEnded(request *requesttable.Request, outcome admission.Outcome, took float64) {
 	request.Running = false
 	s.queueEvent(admission.Event{
 		Kind:      admission.RunEnded,
@@ -113,7 +119,7 @@
 	s.requests.RemoveIfDone(&s.output.buffers, request)
 }
 
-// setLoadReport sets the free value that goes with every answer.
+// setLoadReport sets the free capacity that goes with every answer.
 func (s *Server) setLoadReport(free float64) {
 	s.health.loadReport.Free = strconv.FormatFloat(free, 'f', -1, 64)
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -13,13 +13,14 @@
 
 	"swiftcourse/admission"
 	"swiftcourse/internal/config"
-	"swiftcourse/internal/memory"
 	"swiftcourse/internal/policy/serving"
+	"swiftcourse/internal/requesttable"
+	"swiftcourse/internal/resultcache"
 	"swiftcourse/internal/wire/rpc"
 )
 
 // Server is one server, from its first connection until it has drained. The loop owns all of it but
-// what is atomic.
+// the atomic fields.
 type Server struct {
 	gnet.BuiltinEventEngine
 
@@ -31,8 +32,8 @@
 	endpoints atomic.Pointer[endpoints] // for the goroutines that dial too
 
 	decisions decisions
-	requests  *memory.Requests
-	results   *memory.Cache
+	requests  *requesttable.Table
+	results   *resultcache.Cache
 	output    output
 
 	clients  clientTable
@@ -47,7 +48,8 @@
 	statistics statistics
 }
 
-// clock reads the Unix clock once and goes on by the monotonic clock, so that it never jumps.
+// clock is a Unix clock that never jumps: it reads the system's clock once, and goes on with the
+// monotonic clock.
 type clock struct {
 	anchor time.Time
 	unix   float64 // seconds at anchor
@@ -73,8 +75,8 @@
 	l.context, l.cancel = context.WithCancel(context.Background())
 }
 
-// decisions is the admission controller, the events that it decides about next, and the gauges that
-// they carry.
+// decisions is the admission controller, the events for its next decision, and the gauges that they
+// carry.
 type decisions struct {
 	controller *admission.Controller // nil until the executor is up
 	pending    []admission.Event     // of the next batch
@@ -83,14 +85,13 @@
 	gaugesAt   float64               // when they were read
 }
 
-// health is what the server reports of itself.
+// health is what the server reports about itself.
 type health struct {
 	healthy    bool    // by the controller's word
 	loadReport rpc.Say // goes with every answer
 }
 
-// fleetState is what a fleet has the server do. The loop reads it, and what other goroutines hand
-// over is atomic.
+// fleetState is what the fleet asks of the server. What other goroutines set is atomic.
 type fleetState struct {
 	operator   *config.OperatorSettings          // the operator's file, with what was released; nil for none
 	directive  atomic.Pointer[serving.Directive] // nil without a fleet
@@ -102,18 +103,18 @@
 	forwarding *forwarding      // nil where requests run at an executor
 }
 
-// resultCacheShare of the memory, as its divisor, is for results that repeats may still want: as
-// much as answers that clients leave unread.
+// resultCacheShare is the divisor of the memory that cached results may take: as much as the
+// answers that clients leave unread.
 const resultCacheShare = 8
 
-// New makes a server that has not started yet. The operator's settings are nil where there is no
-// operator's file.
+// New creates a server that has not started. The operator's settings are nil without an operator's
+// file.
 func New(startup *config.Startup, operator *config.OperatorSettings) *Server {
 	s := &Server{
 		startup:  startup,
 		clock:    newClock(),
-		requests: memory.NewRequests(),
-		results:  memory.NewCache(int(startup.MemoryBytes / resultCacheShare)),
+		requests: requesttable.New(),
+		results:  resultcache.New(int(startup.MemoryBytes / resultCacheShare)),
 		drain:    newDrainState(),
 	}
 	s.lifetime.begin()
@@ -129,13 +130,13 @@
 	return s
 }
 
-// Now is the server's clock in seconds since the Unix epoch. Any goroutine may call it.
+// Now is the server's clock, in seconds since the Unix epoch. Any goroutine may call it.
 func (s *Server) Now() float64 { return s.now() }
 
 func (s *Server) now() float64 { return s.clock.now() }
 
-// Run serves until the server has drained, and returns an error where it can't listen or the loop
-// can't run.
+// Run serves until the server has drained. It returns an error if it can't listen or the loop can't
+// run.
 func (s *Server) Run() error {
 	a, err := newAcceptor(s.startup.Listen)
 	if err != nil {
@@ -144,7 +145,7 @@
 	return s.runWith(a)
 }
 
-// runWith is Run with an acceptor that listens.
+// runWith is Run with a listening acceptor.
 func (s *Server) runWith(a *acceptor) error {
 	a.attach(s)
 	s.acceptor = a
--- a/internal/server/statistics.go
+++ b/internal/server/statistics.go
@@ -12,15 +12,14 @@
 )
 
 const (
-	// statisticsInterval is how often, in seconds, the line of statistics is written: seldom enough
-	// to be read by people.
+	// statisticsInterval is how often, in seconds, statistics are logged: rarely enough for people
+	// to read.
 	statisticsInterval = 10
-	// peerFaultLogInterval is how often, in seconds, a line about what a peer sent is written at
-	// most.
+	// peerFaultLogInterval is the least time, in seconds, between two log lines about faulty input.
 	peerFaultLogInterval = 1
 )
 
-// statistics is what happened since the last line of statistics.
+// statistics is what happened since statistics were last logged.
 type statistics struct {
 	requestStatistics
 	connStatistics
@@ -74,8 +73,8 @@
 	timersWithoutGauges int
 }
 
-// mayLogPeerFault bounds what a peer that sends nonsense costs the log: one line a second; the
-// statistics have the rest.
+// mayLogPeerFault limits log lines about faulty input to one a second; the statistics count the
+// rest.
 func (s *Server) mayLogPeerFault() bool {
 	now := s.now()
 	if now < s.statistics.peerFaultLoggedAt+peerFaultLogInterval {
@@ -85,15 +84,16 @@
 	return true
 }
 
-// LogStatistics writes the line of statistics now, from any goroutine, after a collection, so that
-// it tells what is really in use. It waits until the loop has begun.
+// LogStatistics logs the statistics after a garbage collection, so that the heap's figures are
+// those of live memory. Any goroutine but the loop's may call it; it waits until the loop has
+// started.
 func (s *Server) LogStatistics() {
 	runtime.GC()
 	<-s.loop.ready
 	_ = s.loop.execute(s.logStatistics)
 }
 
-// logStatistics writes the line of statistics and begins anew.
+// logStatistics logs the statistics and resets them.
 func (s *Server) logStatistics() {
 	stats := &s.statistics
 	limit, bound := s.maxClients()
@@ -138,7 +138,7 @@
 	s.statistics = statistics{peerFaultLoggedAt: stats.peerFaultLoggedAt}
 }
 
-// logServingStatistics writes the line of what a fleet's directive led to.
+// logServingStatistics logs the effects of the fleet's directive.
 func (s *Server) logServingStatistics() {
 	directive := s.fleet.directive.Load()
 	if directive == nil {
@@ -157,7 +157,7 @@
 	return logging.FormatDecimal(1000*seconds, digits)
 }
 
-// residentKB is the memory of this process, 0 where the system does not tell.
+// residentKB is the resident memory of the process, 0 if the system does not tell.
 func residentKB() (kb int) {
 	text, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
@@ -170,7 +170,7 @@
 	return resident * os.Getpagesize() / 1024
 }
 
-// liveHeapKB is the heap that was in use after the latest collection.
+// liveHeapKB is the heap that was live at the latest garbage collection.
 func liveHeapKB() uint64 {
 	live := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
 	metrics.Read(live)
--- a/internal/server/turn.go
+++ b/internal/server/turn.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// maxTimersPerTurn bounds the timers of one turn, so that thousands of one instant hold up
-	// nobody: at 1 to 3 us each it stays under a fifth of a millisecond. The rest have the next
-	// turns, each after what was read meanwhile: by the wakeup timer and not by scheduleTurn, as
-	// gnet carries out what is queued in its loop before it looks for input.
+	// maxTimersPerTurn bounds the timers of one turn, so that thousands that are due at one instant
+	// delay no answer: at 1 to 3 us each they take less than a fifth of a millisecond. The rest
+	// follow in the next turns, each after reading new input: therefore by the wakeup timer and not
+	// by scheduleTurn, as gnet runs what is queued on its loop before it polls for input.
 	maxTimersPerTurn = 64
-	// gaugeMaxAge is how long, in seconds, a reading of the gauges tells of the present: one is
-	// asked for just before each timer, so an older one means that the executor did not answer,
-	// which is no news of its load.
+	// gaugeMaxAge is how long, in seconds, a reading of the gauges is valid: one is requested just
+	// before each timer, so an older one means that the executor did not answer, which says nothing
+	// about its load.
 	gaugeMaxAge = 0.1
 )
 
-// queueEvent puts an event in the next batch.
+// queueEvent appends an event to the next batch.
 func (s *Server) queueEvent(event admission.Event) {
 	s.decisions.pending = append(s.decisions.pending, event)
 	s.scheduleTurn()
 }
 
-// scheduleTurn has a turn follow as soon as all that is ready has been read.
+// scheduleTurn has a turn follow as soon as all input that is ready has been read.
 func (s *Server) scheduleTurn() {
 	if !s.loop.turnScheduled && s.loop.handle != nil {
 		s.loop.turnScheduled = true
@@ -35,7 +35,7 @@
 	}
 }
 
-// runTurn is one turn of the loop: a batch, what follows from it, and what is to be written.
+// runTurn is one turn of the loop: one batch of events, the actions that follow, and the output.
 func (s *Server) runTurn() error {
 	s.loop.turnScheduled = false
 	now := s.now()
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// decideBatch has the controller decide about all pending events, and carries its actions out.
+// decideBatch has the controller decide about all pending events, and carries out its actions.
 func (s *Server) decideBatch(directive *serving.Directive, now float64) {
 	d := &s.decisions
 	if len(d.pending) == 0 || d.controller == nil {
@@ -75,8 +75,7 @@
 	d.spare = batch
 }
 
-// setWakeup arms the timer for the earliest time at which the next turn is due. now is when this
-// turn began.
+// setWakeup arms the timer for the next turn. The present turn began at now.
 func (s *Server) setWakeup(directive *serving.Directive, now float64, timersLeft bool) {
 	next := min(s.loop.timers.NextWakeup(), s.clients.limiter.Next())
 	if directive != nil && now < directive.ChangesAt {
@@ -98,12 +97,12 @@
 	}
 }
 
-// unknownGauges is what a timer comes with where there is no reading.
+// unknownGauges are the gauges of a timer without a valid reading.
 func unknownGauges() admission.Gauges {
 	return admission.Gauges{Utilization: -1, Runnable: -1, Memory: -1, Connections: -1}
 }
 
-// refreshEvent sets what an event says of the present.
+// refreshEvent updates what an event says about the present.
 func (s *Server) refreshEvent(event *admission.Event, now float64) {
 	switch event.Kind {
 	case admission.Arrived:
@@ -113,7 +112,7 @@
 	}
 }
 
-// refreshArrival sets a request's age and what is left of its timeout.
+// refreshArrival sets a request's age and its remaining budget.
 func (s *Server) refreshArrival(event *admission.Event, now float64) {
 	request := s.requests.Get(event.RequestID)
 	if request == nil {
@@ -128,7 +127,7 @@
 	}
 }
 
-// refreshTimer gives a timer the gauges, where their reading is new enough.
+// refreshTimer sets the gauges of a timer event.
 func (s *Server) refreshTimer(event *admission.Event, now float64) {
 	age := now - s.decisions.gaugesAt
 	if age > gaugeMaxAge {
--- a/internal/server/upstream.go
+++ b/internal/server/upstream.go
@@ -12,25 +12,24 @@
 )
 
 const (
-	// maxCallsPerConn bounds what an upstream connection remembers of its calls; a dial for every
-	// 32nd call is not felt.
+	// maxCallsPerConn bounds the calls that a connection remembers; the cost of a dial for every
+	// 32nd call is negligible.
 	maxCallsPerConn = 32
-	// upstreamIdleTimeout is how long, in seconds, an idle upstream connection is kept: the other
-	// side may forget it, and a call that finds that out is cut. It closes all after 10 s; under
-	// traffic the latest ones are used within a tenth of a second.
+	// upstreamIdleTimeout is how long, in seconds, an idle connection is kept: the other side may
+	// forget it, and then the next call is cut. The upstream closes idle connections after 10 s;
+	// under load the latest ones are reused within a tenth of a second.
 	upstreamIdleTimeout = 1.0
-	// maxUpstream is as many upstream connections as a server of 1,024 descriptors has: more calls
-	// than that are never in hand on one core.
+	// maxUpstream is the number of connections of a server with 1,024 descriptors: one core never
+	// has more calls in flight.
 	maxUpstream = 256
-	// upstreamShare of the descriptors, as its divisor, may be upstream connections, as clients may
-	// open half of them.
+	// upstreamShare is the divisor of the descriptors that upstream connections may take, as
+	// clients may open half of them.
 	upstreamShare = 4
-	// lossLogInterval is how often, in seconds, a lost upstream connection is logged, however many
-	// are tried.
+	// lossLogInterval is the least time, in seconds, between two log lines about lost connections.
 	lossLogInterval = 1
 )
 
-// upstreamPool is the connections to the upstream, and the calls on their way there.
+// upstreamPool is the connections to the upstream and the calls in flight there.
 type upstreamPool struct {
 	all          []*upstreamConn
 	idle         []*upstreamConn          // the latest comes last, and is used first
@@ -39,9 +38,9 @@
 	lossLoggedAt float64                  // when it was last logged that a connection broke
 }
 
-// upstreamConn is a connection to the upstream. It carries one call at a time, so that whatever
-// comes back malformed, late or never costs that call alone, and no two calls of one request, so
-// that a second copy of a reply, however late, is never taken for that of the request's next call.
+// upstreamConn is a connection to the upstream. It carries one call at a time, so that a reply that
+// is malformed, late or missing affects that call alone; and no two calls of one request, so that a
+// duplicate of a reply is never taken for the reply to the request's next call.
 type upstreamConn struct {
 	dialedConn
 	server     *Server
@@ -53,11 +52,10 @@
 	cancelDial func()  // ends its dial, where that is still under way
 }
 
-// maxUpstreamConns is a quarter of the descriptors, and at most maxUpstream.
+// maxUpstreamConns is the limit on upstream connections.
 func (s *Server) maxUpstreamConns() int { return min(s.startup.MaxSockets/upstreamShare, maxUpstream) }
 
-// assignCall gives a call an idle upstream connection, or a new one; it waits where there are as
-// many as may be.
+// assignCall assigns a call to an idle connection or to a new one; at the limit the call waits.
 func (s *Server) assignCall(call *upstreamCall) {
 	pool := &s.upstream
 	if conn := s.takeIdle(call); conn != nil {
@@ -77,9 +75,9 @@
 	conn.cancelDial = s.dial(dialTarget{addressOf: upstreamAddress, handler: conn, once: true})
 }
 
-// takeIdle takes an idle connection that may carry a call out of the pool, nil for none. Where a
-// second effect would matter the connection is a new one: one that was idle may break in a way that
-// tells nothing of the call.
+// takeIdle takes an idle connection for a call out of the pool, nil for none. A call that must not
+// run twice gets none: an idle connection may break in a way that does not show whether the call
+// was received.
 func (s *Server) takeIdle(call *upstreamCall) *upstreamConn {
 	class := &s.startup.Settings.Classes[call.request.Class]
 	if class.Idempotency != admission.Idempotent || call.retried {
@@ -98,7 +96,7 @@
 	return nil
 }
 
-// assignWaitingCall gives the first call that waits the place of a connection.
+// assignWaitingCall assigns the first call that waits.
 func (s *Server) assignWaitingCall() {
 	pool := &s.upstream
 	for len(pool.waiting) > 0 {
@@ -111,7 +109,7 @@
 	}
 }
 
-// closeIdleUpstream closes the upstream connections that were idle for long.
+// closeIdleUpstream closes connections that have been idle for too long.
 func (s *Server) closeIdleUpstream(now float64) {
 	for _, conn := range slices.Clone(s.upstream.idle) {
 		if now-conn.idleSince > upstreamIdleTimeout {
@@ -139,7 +137,7 @@
 	s.write(&c.bufferedConn, s.output.scratch)
 }
 
-// retire has a connection take no further call; one without a call closes.
+// retire excludes a connection from further calls, and closes it if it has none.
 func (c *upstreamConn) retire() {
 	c.retired = true
 	if c.call != nil {
@@ -153,7 +151,7 @@
 	}
 }
 
-// remove takes a connection out of the pool, and lets a call that waits have its place.
+// remove takes a connection out of the pool, and lets a waiting call have its place.
 func (c *upstreamConn) remove() {
 	s := c.server
 	pool := &s.upstream
@@ -233,7 +231,7 @@
 	return len(data), nil
 }
 
-// handleReply ends a call with its reply and frees the connection, first for a call that waits.
+// handleReply ends a call with its reply and makes the connection idle.
 func (c *upstreamConn) handleReply(call *upstreamCall, reply catalogue.Reply) {
 	s := c.server
 	call.done = true
--- a/internal/server/upstream_call.go
+++ b/internal/server/upstream_call.go
@@ -2,16 +2,16 @@
 
 import (
 	"swiftcourse/admission"
-	"swiftcourse/internal/memory"
+	"swiftcourse/internal/requesttable"
 )
 
-// callTimeoutGrace is how much longer than told, in seconds, a call is waited for: the upstream's
-// own word proves as much and should win.
+// callTimeoutGrace is how much longer, in seconds, than its timeout a call is waited for: the
+// upstream's own timeout reply says as much and should come first.
 const callTimeoutGrace = 0.005
 
-// upstreamCall is a call on its way.
+// upstreamCall is a call in flight or waiting for a connection.
 type upstreamCall struct {
-	request   *memory.Request
+	request   *requesttable.Request
 	conn      *upstreamConn // nil while it waits for one
 	startedAt float64
 	deadline  float64
@@ -20,8 +20,8 @@
 	done      bool
 }
 
-// startCall sends a request's call, with a timeout in seconds.
-func (s *Server) startCall(request *memory.Request, timeout float64) {
+// startCall sends a request's upstream call, with a timeout in seconds.
+func (s *Server) startCall(request *requesttable.Request, timeout float64) {
 	if request.CallNotice == 0 || request.CallSettled || request.Answered {
 		return
 	}
@@ -33,7 +33,7 @@
 	s.assignCall(call)
 }
 
-// expireCall ends a call whose time is up.
+// expireCall fails a call whose timeout has passed.
 func (s *Server) expireCall(call *upstreamCall) {
 	if call.done {
 		return
@@ -45,13 +45,13 @@
 	s.failCall(call, &attemptError{progress, errCallTimeout})
 }
 
-// failCall ends a call that got no answer, and tells the controller how far it had come.
+// failCall ends a call without a reply, and reports to the controller how far it had come.
 func (s *Server) failCall(call *upstreamCall, err *attemptError) {
 	s.dropCall(call)
 	s.reportCallDone(call, err.progress.outcome())
 }
 
-// reportCallDone tells the controller what became of a call.
+// reportCallDone reports the outcome of a call to the controller.
 func (s *Server) reportCallDone(call *upstreamCall, outcome admission.Outcome) {
 	took := s.now() - call.startedAt
 	s.countUpstreamCall(outcome, took)
@@ -63,8 +63,8 @@
 	})
 }
 
-// dropCall takes a call off that has no answer. Its connection ends with it, which cancels the call
-// on the other side: a connection that owes a reply may be dead.
+// dropCall removes a call without a reply. Its connection is closed, which cancels the call on the
+// other side: a connection that still owes a reply may be dead.
 func (s *Server) dropCall(call *upstreamCall) {
 	call.done = true
 	delete(s.upstream.calls, call.request.ID)
@@ -74,8 +74,8 @@
 	}
 }
 
-// cancelCall gives up the call of a request that needs it no more, without an event.
-func (s *Server) cancelCall(request *memory.Request) {
+// cancelCall cancels the call of a request that no longer needs it, without an event.
+func (s *Server) cancelCall(request *requesttable.Request) {
 	if call := s.upstream.calls[request.ID]; call != nil {
 		s.dropCall(call)
 	}
