--- a/internal/server/duplicate_test.go
+++ b/internal/server/duplicate_test.go
@@ -117,7 +117,7 @@
 }
 
 func TestResultCache_RepeatsShareAnAnswer(t *testing.T) {
-	f := startServer(t, func(s *config.Startup) { s.Settings.ResultCacheTTL, s.Settings.KeyMemory = 60, 1 })
+	f := startServer(t, func(s *config.Startup) { s.Settings.ResultCacheTTL, s.Settings.Memory.PerKey = 60, 1 })
 	client := f.dialClient()
 	client.send("%s", requestFrame(1, "a1", "x", withSubject("k")))
 	f.executor.expectCommand("begin", "a1")
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -27,9 +27,9 @@
 func (s *Server) executeOnServer(action *admission.Action, now float64) bool {
 	switch action.Kind {
 	case admission.SetHealth:
-		s.setHealthy(action.Flag)
+		s.setHealthy(action.Healthy)
 	case admission.ReportLoad:
-		s.setLoadReport(action.Value)
+		s.setLoadReport(action.Load)
 	case admission.SetIdleTimeout:
 		if action.Duration <= 0 {
 			action.Duration = s.startup.Settings.IdleTimeout
@@ -67,7 +67,7 @@
 	case admission.StartRun:
 		s.startRun(request)
 	case admission.Reject:
-		s.reject(request, action.Duration, action.Flag)
+		s.reject(request, action.Duration, action.NoFailover)
 	case admission.Fail:
 		s.fail(request)
 	case admission.DispatchCall:
--- a/internal/server/executor.go
+++ b/internal/server/executor.go
@@ -277,11 +277,11 @@
 	}
 	slog.Info("controller_started", "slow_start", cold, "ago_s", logging.FormatDecimal(ago, 3))
 	settings := s.startup.Settings
-	settings.SlowStartDuration = 0
+	settings.SlowStart.Duration = 0
 	at := s.now()
 	if cold { // a warm one's age tells nothing
-		settings.SlowStartDuration = s.startup.SlowStartDuration
-		at -= min(ago, settings.SlowStartDuration)
+		settings.SlowStart.Duration = s.startup.SlowStartDuration
+		at -= min(ago, settings.SlowStart.Duration)
 	}
 	s.decisions.controller = admission.New(s.startup.Seed, settings)
 	if s.fleet.quotas != nil {
