--- /dev/null
+++ b/internal/server/respond.go
@@ -0,0 +1,125 @@
+package server
+
+import (
+	"strconv"
+
+	"swiftcourse/admission"
+	"swiftcourse/internal/requesttable"
+	"swiftcourse/internal/resultcache"
+	"swiftcourse/internal/wire/rpc"
+)
+
+// answer is the kind of a request's final answer.
+type answer uint8
+
+const (
+	answerFinished answer = iota // a result
+	answerFailed                 // an error: it ran, or may have
+	answerRejected               // it never ran
+	answers
+)
+
+// String returns the answer's name.
+func (a answer) String() string {
+	return [...]string{"finished", "failed", "rejected", "unknown"}[min(a, answers)]
+}
+
+// respond sends a request's final answer, encoded by put. Only the first answer counts.
+func (s *Server) respond(request *requesttable.Request, kind answer, put func(b []byte, number uint64) []byte) {
+	if request.Answered {
+		return
+	}
+	s.countAnswer(request, kind)
+	if client := s.clients.conns.Get(request.Connection); client != nil {
+		client.removeRequest(request, s.now())
+		s.output.scratch = put(s.output.scratch[:0], request.MessageNumber)
+		client.writeScratch()
+	}
+	s.settle(request)
+}
+
+// finish answers a request with its result.
+func (s *Server) finish(request *requesttable.Request, result []byte) {
+	if client := s.clients.conns.Get(request.Connection); client != nil && !request.Answered {
+		s.clients.limiter.Finished(client.slot(), s.now())
+	}
+	s.respond(request, answerFinished, func(b []byte, number uint64) []byte {
+		return rpc.PutResult(b, number, result, s.health.loadReport)
+	})
+}
+
+// fail answers a request with an error.
+func (s *Server) fail(request *requesttable.Request) {
+	s.respond(request, answerFailed, func(b []byte, number uint64) []byte {
+		return rpc.PutAbandoned(b, number, s.health.loadReport)
+	})
+}
+
+// reject answers that a request never ran. The client may retry after so many seconds; if last is
+// set, it should not try another server.
+func (s *Server) reject(request *requesttable.Request, retryAfter float64, last bool) {
+	report := s.health.loadReport
+	report.Advice = retryAfter
+	report.Last = last
+	s.respond(request, answerRejected, func(b []byte, number uint64) []byte {
+		return rpc.PutRejected(b, number, report)
+	})
+}
+
+// settle marks a request as answered, and cancels its upstream call.
+func (s *Server) settle(request *requesttable.Request) {
+	request.Answered = true
+	s.cancelCall(request)
+	s.cancelForward(request)
+	if !request.Running { // dropped without a run: who waits for its answer gets none
+		s.releaseClaim(request)
+		for _, id := range s.results.Finish(request.ID, resultcache.Outcome{}) {
+			s.answerShared(s.requests.Get(id), nil, admission.Failed, 0)
+		}
+	}
+	s.requests.RemoveIfDone(&s.output.buffers, request)
+}
+
+// cancelByClient reports to the controller that a request's client is gone.
+func (s *Server) cancelByClient(request *requesttable.Request) {
+	if request.Answered {
+		return
+	}
+	s.statistics.clientGone++
+	s.queueEvent(admission.Event{Kind: admission.ClientGone, RequestID: request.ID})
+	s.settle(request)
+}
+
+// finishRun reports the end of a run, which took so many seconds, to all that wait for it: repeats,
+// the fleet and the controller.
+func (s *Server) finishRun(request *requesttable.Request, outcome admission.Outcome, body []byte, took float64) {
+	succeeded := outcome == admission.Finished
+	waiting := s.results.Finish(request.ID, resultcache.Outcome{
+		Ran:     outcome != admission.NeverStarted,
+		Success: succeeded,
+		Result:  body,
+		FreshTo: s.now() + s.resultLifetime(request.Class),
+	})
+	for _, id := range waiting {
+		s.answerShared(s.requests.Get(id), body, outcome, took)
+	}
+	s.completeClaim(request, succeeded, body)
+	s.reportRunEnded(request, outcome, took)
+}
+
+// reportRunEnded reports the end of a run to the controller.
+func (s *Server) reportRunEnded(request *requesttable.Request, outcome admission.Outcome, took float64) {
+	request.Running = false
+	s.queueEvent(admission.Event{
+		Kind:      admission.RunEnded,
+		RequestID: request.ID,
+		Outcome:   outcome,
+		Duration:  took,
+	})
+	s.requests.RemoveIfDone(&s.output.buffers, request)
+}
+
+// setLoadReport sets the free capacity that goes with every answer.
+func (s *Server) setLoadReport(free float64) {
+	s.health.loadReport.Free = strconv.FormatFloat(free, 'f', -1, 64)
+}
