--- a/internal/lab/faults/replica_test.go
+++ b/internal/lab/faults/replica_test.go
@@ -211,7 +211,9 @@
 		}
 		time.Sleep(time.Second)
 	}
-	f.await(t, "the others are told", func() bool { return len(f.Said("n2", "fleet_trusted_clients"))+len(f.Said("n3", "fleet_trusted_clients")) == 2 })
+	f.await(t, "the others are told", func() bool {
+		return len(f.Said("n2", "fleet_trusted_clients"))+len(f.Said("n3", "fleet_trusted_clients")) == 2
+	})
 	before := len(f.Said("n1", "fleet_trusted_clients"))
 	if err := f.Cold(context.Background(), "n1"); err != nil {
 		t.Fatal(err)
