--- a/internal/policy/release/apply.go
+++ b/internal/policy/release/apply.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Apply carries out one committed command. A refused command changes nothing but AppliedCount; the
-// error is the same on every copy.
+// Apply carries out one committed command. A refused command changes nothing but AppliedCount, and
+// returns one of the package's errors, the same on every copy.
 func (l *Log) Apply(command *Command) error {
 	l.AppliedCount++
 	if !command.withinBounds() {
@@ -60,8 +60,9 @@
 	}
 }
 
-// rememberCommand keeps the command's ID, by which a repetition is known. Another author's ID makes
-// room: a repetition follows within seconds.
+// rememberCommand keeps the command's ID, by which Apply recognises a repetition. Once there are too
+// many authors, the first by name is forgotten: which one hardly matters, as a repetition follows
+// within seconds, but every copy has to choose the same.
 func (l *Log) rememberCommand(command *Command) {
 	if _, known := l.LastCommandIDs[command.Author]; !known && len(l.LastCommandIDs) >= maxAuthors {
 		delete(l.LastCommandIDs, slices.Min(slices.Collect(maps.Keys(l.LastCommandIDs))))
--- a/internal/policy/release/command.go
+++ b/internal/policy/release/command.go
@@ -10,7 +10,7 @@
 // Limits of the log, so that its copies fit a small server: about half a megabyte with all of them
 // reached.
 const (
-	maxTextBytes    = 64 << 10 // of a version; an operator's file with every key is under 2 KiB
+	maxTextBytes    = 64 << 10 // of a version's text; a settings file with every key is under 2 KiB
 	maxNameBytes    = 64       // of a name, author or build
 	maxReasonBytes  = 200
 	maxNames        = 4096 // registered servers, four times the largest simulated fleet
@@ -18,7 +18,7 @@
 	maxWaves        = 16
 	maxCommandRows  = 64   // counter rows in one command
 	maxClosedRows   = 4096 // counter rows that are remembered as closed
-	maxCounterCells = 4096 // beside the one for the rest
+	maxCounterCells = 4096 // totals by key, beside that of the zero key
 	maxCellCount    = 1e15 // requests that one cell may count: a million a second for thirty years
 	maxAuthors      = 64   // whose latest command is remembered, see Command.ID
 )
@@ -30,13 +30,13 @@
 const (
 	KindRelease        Kind = iota // release a new version, in waves
 	KindAdvanceRollout             // go on to the next wave; after the last one, to all servers
-	KindRollback                   // release the text that was in force before, for all, see Log.rollBack
+	KindRollback                   // return to the text that was in force before, see Log.rollBack
 	KindRegister                   // register a server's name for an incarnation
 	KindEject                      // eject a server
 	KindReadmit                    // end an ejection
 	KindUnregister                 // remove a server's name
-	KindBumpEpoch                  // continue epochs above a cluster ID that a lost group reached, see Log.bumpEpoch
-	KindCloseCounters              // close counter rows and add them up
+	KindBumpEpoch                  // go on with epochs of a higher cluster ID, see Log.bumpEpoch
+	KindCloseCounters              // add counter rows to the totals, each one once
 	kindCount
 )
 
@@ -60,7 +60,7 @@
 	return "kind " + strconv.Itoa(int(k))
 }
 
-// Command asks for a change of the log. Its kind decides which of the other fields count.
+// Command asks for a change of the log. Its kind decides which of the other fields are used.
 type Command struct {
 	Kind Kind
 
@@ -69,16 +69,17 @@
 	ID     uint64
 	Author string
 
-	// IssuedAt is in Unix seconds by the author's clock, for people only.
+	// IssuedAt is in Unix seconds by the author's clock. It is shown only; no decision depends on it.
 	IssuedAt float64 `json:"At"`
 
 	// ExpectedEpoch is the newest epoch that the author of a release, advance, rollback or bump knew.
 	// The command is refused if another one is the newest.
 	ExpectedEpoch Epoch `json:"On"`
 
-	Text   string // release
-	Build  string // release
-	Digest string // release
+	// Text, Build and Digest are those of the Version to release.
+	Text   string
+	Build  string
+	Digest string
 
 	// Waves of a release are rising shares of the fleet, the last at most 1; none is for all servers
 	// at once.
@@ -94,8 +95,8 @@
 	// cluster ID from which epochs continue.
 	Previous uint64 `json:"Was"`
 
-	Reason      string       `json:"Why"`  // eject, rollback
-	CounterRows []CounterRow `json:"Rows"` // close
+	Reason      string       `json:"Why"`  // of an ejection or rollback
+	CounterRows []CounterRow `json:"Rows"` // to close
 }
 
 // withinBounds reports whether every field of the command keeps to the limits.
@@ -130,7 +131,7 @@
 	if len(rows) > maxCommandRows {
 		return false
 	}
-	most := serving.RequestCounts{
+	limit := serving.RequestCounts{
 		Received:  maxCellCount,
 		Finished:  maxCellCount,
 		Rejected:  maxCellCount,
@@ -139,11 +140,11 @@
 	cells := 0
 	for _, row := range rows {
 		cells += len(row.Cells)
-		for _, count := range row.Cells {
-			if len(count.Tenant) > maxNameBytes || len(count.Class) > maxNameBytes {
+		for _, cell := range row.Cells {
+			if len(cell.Tenant) > maxNameBytes || len(cell.Class) > maxNameBytes {
 				return false
 			}
-			if !most.Covers(count.RequestCounts) {
+			if !limit.Covers(cell.RequestCounts) {
 				return false
 			}
 		}
--- a/internal/policy/release/counters.go
+++ b/internal/policy/release/counters.go
@@ -6,15 +6,16 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// CounterRow is what one server counted, as it reported it under a sequence number. See
+// CounterRow holds the request counts that one server reported under a sequence number. See
 // internal/policy/counter.
 type CounterRow struct {
 	ID       uint64                `json:"Row"`
 	Sequence uint64                `json:"Number"`
-	Cells    []serving.CounterCell // none where only the numbers matter
+	Cells    []serving.CounterCell // none in Log.ClosedRows
 }
 
-// ClosedRow returns the sequence number under which a counter row was added up, and whether it was.
+// ClosedRow returns the sequence number under which a counter row was added to the totals, and
+// whether it was.
 func (l *Log) ClosedRow(id uint64) (sequence uint64, closed bool) {
 	for i := len(l.ClosedRows) - 1; i >= 0; i-- {
 		if l.ClosedRows[i].ID == id {
@@ -36,34 +37,35 @@
 		return
 	}
 	if len(l.ClosedRows) >= maxClosedRows {
-		// The oldest belongs to a server that was gone for thousands of restarts: see docs/shared.md.
-		l.ClosedRows = append(l.ClosedRows[:0], l.ClosedRows[1:]...)
+		// A row that is forgotten could be added a second time. Thousands were closed after this one,
+		// so the server that reported it is taken to be gone for good.
+		l.ClosedRows = slices.Delete(l.ClosedRows, 0, 1)
 	}
 	l.ClosedRows = append(l.ClosedRows, CounterRow{ID: row.ID, Sequence: row.Sequence})
-	for _, count := range row.Cells {
-		l.addToTotals(count)
+	for _, cell := range row.Cells {
+		l.addToTotals(cell)
 	}
 }
 
-// addToTotals adds one cell. Once there are too many cells, a new one goes into the zero cell,
-// which is for the rest.
-func (l *Log) addToTotals(count serving.CounterCell) {
-	cell := count.CounterKey
-	index, known := l.findTotal(cell)
+// addToTotals adds one cell to the total of its key. Once there are too many totals, a cell with a
+// new key is added to the total of the zero key.
+func (l *Log) addToTotals(cell serving.CounterCell) {
+	key := cell.CounterKey
+	index, known := l.findTotal(key)
 	if !known && len(l.ClosedTotals) >= maxCounterCells {
-		cell = serving.CounterKey{}
-		index, known = l.findTotal(cell)
+		key = serving.CounterKey{}
+		index, known = l.findTotal(key)
 	}
 	if !known {
-		l.ClosedTotals = slices.Insert(l.ClosedTotals, index, serving.CounterCell{CounterKey: cell})
+		l.ClosedTotals = slices.Insert(l.ClosedTotals, index, serving.CounterCell{CounterKey: key})
 	}
-	l.ClosedTotals[index].RequestCounts = l.ClosedTotals[index].Add(count.RequestCounts)
+	l.ClosedTotals[index].RequestCounts = l.ClosedTotals[index].Add(cell.RequestCounts)
 }
 
-// findTotal returns the index of a cell's total, or the one at which it is to be inserted.
-func (l *Log) findTotal(cell serving.CounterKey) (index int, known bool) {
-	compare := func(total serving.CounterCell, cell serving.CounterKey) int {
-		return total.Compare(cell)
+// findTotal returns the index of a key's total, or the one at which it is to be inserted.
+func (l *Log) findTotal(key serving.CounterKey) (index int, known bool) {
+	compare := func(total serving.CounterCell, key serving.CounterKey) int {
+		return total.Compare(key)
 	}
-	return slices.BinarySearchFunc(l.ClosedTotals, cell, compare)
+	return slices.BinarySearchFunc(l.ClosedTotals, key, compare)
 }
--- a/internal/policy/release/epoch.go
+++ b/internal/policy/release/epoch.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// Epoch numbers a version of the settings: the cluster ID in the upper half, a count from that
-// cluster's bootstrap in the lower. A higher epoch is newer. Its text form is the two numbers with
-// a point between, such as 3.17.
+// Epoch numbers a version of the settings: the cluster ID in the upper half, a count that starts at
+// 1 with that cluster's bootstrap in the lower. A higher epoch is newer. Its text form is the two
+// numbers with a dot between, such as 3.17.
 type Epoch uint64
 
 // NewEpoch returns the epoch with that cluster ID and count.
@@ -22,17 +22,22 @@
 	return uint32(e >> 32)
 }
 
+// count returns the number of the epoch within its cluster ID, from 1.
+func (e Epoch) count() uint32 {
+	return uint32(e)
+}
+
 // String returns the text form, which ParseEpoch reads.
 func (e Epoch) String() string {
-	return fmt.Sprintf("%d.%d", uint32(e>>32), uint32(e))
+	return fmt.Sprintf("%d.%d", e.ClusterID(), e.count())
 }
 
 // ParseEpoch reads the text form of an epoch.
 func ParseEpoch(text string) (Epoch, error) {
-	upper, lower, found := strings.Cut(text, ".")
-	clusterID, upperErr := strconv.ParseUint(upper, 10, 32)
-	count, lowerErr := strconv.ParseUint(lower, 10, 32)
-	if !found || upperErr != nil || lowerErr != nil {
+	clusterText, countText, found := strings.Cut(text, ".")
+	clusterID, clusterErr := strconv.ParseUint(clusterText, 10, 32)
+	count, countErr := strconv.ParseUint(countText, 10, 32)
+	if !found || clusterErr != nil || countErr != nil {
 		return 0, fmt.Errorf("%q is not an epoch such as 3.17", text)
 	}
 	return NewEpoch(uint32(clusterID), uint32(count)), nil
--- a/internal/policy/release/harm.go
+++ b/internal/policy/release/harm.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// ErrorTally counts how requests ended at a group of servers since a release began.
+// ErrorTally counts the requests that ended at a group of servers since a release began.
 type ErrorTally struct {
 	Completed float64 // requests that ended in any way
 	Failed    float64 // of these, the rejected and the abandoned ones
@@ -14,19 +14,19 @@
 }
 
 const (
-	// minSampleSize requests on either side make the normal distribution a fair approximation of a
-	// rate (the usual rule of ten of each kind at a rate of a tenth).
+	// minSampleSize is the number of requests on each side from which the normal distribution is a
+	// fair approximation: by the usual rule of ten failures and ten successes, for a rate of 10%.
 	minSampleSize = 100
 	// minRateIncrease is the least increase of the failure rate that is worth a halt: a smaller one
 	// would halt a release when its servers happen to have the harder requests.
 	minRateIncrease = 0.02
 )
 
-// HarmConfidence returns how sure it is, from 0 to 1, that servers on a version fail more often
-// than those not on it, by a one-sided test of two proportions. It returns 0 if there are too few
-// requests or the difference is not worth a halt. It may halt a good release whose first servers
-// have harder requests than the rest: waves drawn by name guard against that, a wave of one server
-// does not.
+// HarmConfidence returns the confidence, from 0 to 1, that servers on a version fail more often than
+// those not on it, by a one-sided test of two proportions. It returns 0 if there are too few
+// requests or the difference is not worth a halt. The test can't tell a bad release from one whose
+// first servers get harder requests than the rest. Waves are drawn by server name to make that
+// unlikely, but a wave of one server stays exposed to it.
 func HarmConfidence(on, off ErrorTally) float64 {
 	if on.Completed < minSampleSize || off.Completed < minSampleSize {
 		return 0
--- a/internal/policy/release/harm_test.go
+++ b/internal/policy/release/harm_test.go
@@ -16,17 +16,17 @@
 		}
 		return tally
 	}
-	falseAlarms, found := 0, 0
+	falseAlarms, detected := 0, 0
 	for range 2000 {
 		if HarmConfidence(draw(300, 0.10), draw(3000, 0.10)) > 0.9999 {
 			falseAlarms++
 		}
 		if HarmConfidence(draw(300, 0.30), draw(3000, 0.10)) > 0.9999 {
-			found++
+			detected++
 		}
 	}
-	if falseAlarms > 3 || found < 1990 {
-		t.Errorf("of 2000 each, %d good releases and %d bad ones were found harmful", falseAlarms, found)
+	if falseAlarms > 3 || detected < 1990 {
+		t.Errorf("of 2000 each, %d good releases and %d bad ones were found harmful", falseAlarms, detected)
 	}
 }
 
--- a/internal/policy/release/json_test.go
+++ b/internal/policy/release/json_test.go
@@ -41,7 +41,7 @@
 		Waves:          []float64{0.5},
 		WaveIndex:      4,
 		WaveLimit:      5,
-		History:        []Entry{{Epoch: 6, Digest: "d", Author: "a", ReleasedAt: 7, Outcome: "o"}},
+		History:        []HistoryEntry{{Epoch: 6, Digest: "d", Author: "a", ReleasedAt: 7, Outcome: "o"}},
 		Members:        map[string]uint64{"n": 8},
 		Ejected:        map[string]Ejection{"n": ejection},
 		LastCommandIDs: map[string]uint64{"a": 12},
--- a/internal/policy/release/log.go
+++ b/internal/policy/release/log.go
@@ -20,8 +20,8 @@
 	outcomeReissuedWith = "again as "     // and the epoch
 )
 
-// Log is the state that committed commands produce. Copies that applied the same commands are
-// equal.
+// Log is the state that results from the committed commands; it does not keep the commands
+// themselves. Copies that applied the same commands are equal.
 type Log struct {
 	AppliedCount uint64   `json:"Count"` // commands applied, refused ones too, over all bootstraps
 	Current      Version  `json:"Base"`  // in force for all servers that the rollout did not reach
@@ -32,7 +32,7 @@
 	WaveIndex int       `json:"Wave"` // the wave that Next has reached
 	WaveLimit uint32    `json:"Upto"` // servers whose rollout position is at most this act on Next
 
-	History        []Entry               `json:"Past"`  // the latest versions that are no longer in force, oldest first
+	History        []HistoryEntry        `json:"Past"`  // the latest versions that are no longer in force, oldest first
 	Members        map[string]uint64     `json:"Holds"` // registered servers: name to incarnation
 	Ejected        map[string]Ejection   `json:"Out"`   // ejected servers by name
 	LastCommandIDs map[string]uint64     `json:"Done"`  // the latest command of each author, see Command.ID
@@ -42,7 +42,7 @@
 }
 
 // BootstrapLog returns the first log of a newly bootstrapped voter group, made from the newest log
-// that any of its voters knows (the zero Log if none knows any). An unfinished rollout ends; the
+// that any of its voters knows (the zero Log if none has one). An unfinished rollout ends; the
 // current text is in force for all servers again, under a new epoch.
 func BootstrapLog(known *Log, clusterID uint32, voters map[uint64]string) *Log {
 	log := known.Clone()
@@ -53,9 +53,9 @@
 	}
 	log.reissueCurrent(outcomeLostGroup, rebootstrapAuthor)
 	log.Current.Epoch = NewEpoch(clusterID, 1)
-	// The lost group may have readmitted a server that was ejected for lagging, and that server may
-	// act. The new group judges it afresh. An ejection by an operator, which holds for any
-	// incarnation, stays.
+	// The lost group may have readmitted an ejected incarnation later than the known log tells, and
+	// its server may act. The new group decides anew whether to eject it. An operator's ejection of
+	// every incarnation stays.
 	maps.DeleteFunc(log.Ejected, func(_ string, ejection Ejection) bool { return ejection.Incarnation != 0 })
 	log.AppliedCount++
 	return log
@@ -93,7 +93,7 @@
 	return maps.Clone(source)
 }
 
-// NewestEpoch returns the highest epoch that was given out.
+// NewestEpoch returns the epoch of the newest version: the one being rolled out, or the current one.
 func (l *Log) NewestEpoch() Epoch {
 	if l.Next != nil {
 		return l.Next.Epoch
@@ -101,14 +101,29 @@
 	return l.Current.Epoch
 }
 
-// NewerThan reports whether the log knows more than another one: it is of a later bootstrap, or
-// applied more commands.
-func (l *Log) NewerThan(other *Log) bool {
-	clusterID, otherID := l.Current.Epoch.ClusterID(), other.Current.Epoch.ClusterID()
-	if clusterID != otherID {
-		return clusterID > otherID
+// Position orders the states that logs have been in, over all bootstraps.
+type Position struct {
+	ClusterID    uint32 // of the current version
+	AppliedCount uint64
+}
+
+// Position returns the position that the log has reached.
+func (l *Log) Position() Position {
+	return Position{ClusterID: l.Current.Epoch.ClusterID(), AppliedCount: l.AppliedCount}
+}
+
+// After reports whether a log at the position is newer than one at the other: it is of a later
+// bootstrap or epoch bump, or applied more commands.
+func (p Position) After(other Position) bool {
+	if p.ClusterID != other.ClusterID {
+		return p.ClusterID > other.ClusterID
 	}
-	return l.AppliedCount > other.AppliedCount
+	return p.AppliedCount > other.AppliedCount
+}
+
+// NewerThan reports whether the log is at a later position than another one.
+func (l *Log) NewerThan(other *Log) bool {
+	return l.Position().After(other.Position())
 }
 
 // VersionFor returns the version on which the named server has to act. Its epoch never decreases
@@ -120,7 +135,8 @@
 	return &l.Current
 }
 
-// FindVersion returns the version in force that has the epoch, nil if there is none.
+// FindVersion returns the version with the epoch if it is current or being rolled out, otherwise
+// nil.
 func (l *Log) FindVersion(epoch Epoch) *Version {
 	switch {
 	case l.Next != nil && l.Next.Epoch == epoch:
--- a/internal/policy/release/log_test.go
+++ b/internal/policy/release/log_test.go
@@ -186,6 +186,23 @@
 	}
 }
 
+func TestPosition_After(t *testing.T) {
+	for _, c := range []struct {
+		position, other Position
+		want            bool
+	}{
+		{Position{ClusterID: 2, AppliedCount: 1}, Position{ClusterID: 1, AppliedCount: 9}, true},
+		{Position{ClusterID: 1, AppliedCount: 9}, Position{ClusterID: 2, AppliedCount: 1}, false},
+		{Position{ClusterID: 2, AppliedCount: 3}, Position{ClusterID: 2, AppliedCount: 2}, true},
+		{Position{ClusterID: 2, AppliedCount: 2}, Position{ClusterID: 2, AppliedCount: 3}, false},
+		{Position{ClusterID: 2, AppliedCount: 2}, Position{ClusterID: 2, AppliedCount: 2}, false},
+	} {
+		if got := c.position.After(c.other); got != c.want {
+			t.Errorf("%+v after %+v: %t", c.position, c.other, got)
+		}
+	}
+}
+
 func BenchmarkLog_ApplyRelease(b *testing.B) {
 	log := bootstrapped(1000)
 	text := strings.Repeat("door-known 10.1.0.0/16\n", 40)
--- a/internal/policy/release/members.go
+++ b/internal/policy/release/members.go
@@ -9,16 +9,16 @@
 	EjectedAt   float64 `json:"At"` // Unix seconds by the author's clock
 }
 
-// register gives a name to an incarnation, if nobody has it or the incarnation that the author
-// names has it.
+// register gives a name to an incarnation if the name is free, or belongs to that incarnation or to
+// the one in command.Previous.
 func (l *Log) register(command *Command) error {
-	holder, held := l.Members[command.Name]
+	owner, registered := l.Members[command.Name]
 	switch {
 	case command.Name == "" || command.Incarnation == 0:
 		return ErrOutOfBounds
-	case held && holder != command.Previous && holder != command.Incarnation:
+	case registered && owner != command.Previous && owner != command.Incarnation:
 		return ErrNameTaken
-	case !held && len(l.Members) >= maxNames:
+	case !registered && len(l.Members) >= maxNames:
 		return ErrTooManyNames
 	}
 	l.Members[command.Name] = command.Incarnation
@@ -30,7 +30,7 @@
 }
 
 func (l *Log) eject(command *Command) error {
-	if _, known := l.Ejected[command.Name]; !known && len(l.Ejected) >= maxNames {
+	if _, ejected := l.Ejected[command.Name]; !ejected && len(l.Ejected) >= maxNames {
 		return ErrTooManyNames
 	}
 	if command.Incarnation != 0 && l.Members[command.Name] != command.Incarnation {
@@ -54,10 +54,11 @@
 	return nil
 }
 
-// unregister removes a name, and an ejection that was of one incarnation only.
+// unregister removes a name, and with it an ejection of one incarnation. An ejection of every
+// incarnation stays.
 func (l *Log) unregister(command *Command) error {
-	holder, held := l.Members[command.Name]
-	if !held || command.Incarnation != 0 && holder != command.Incarnation {
+	owner, registered := l.Members[command.Name]
+	if !registered || command.Incarnation != 0 && owner != command.Incarnation {
 		return ErrUnknownName
 	}
 	delete(l.Members, command.Name)
--- a/internal/policy/release/rollout.go
+++ b/internal/policy/release/rollout.go
@@ -8,22 +8,23 @@
 
 // RolloutPolicy says how a rollout advances and halts without an operator.
 type RolloutPolicy struct {
-	// WaveSeconds is how long a wave lasts at least, once all its servers act on the release.
+	// WaveSeconds is the least duration of a wave, from when all its servers act on the release.
 	WaveSeconds float64
 
-	// HaltConfidence is how sure it has to be that a release does harm for a halt, from 0 to 1, see
-	// HarmConfidence. Above 1 nothing halts a rollout.
+	// HaltConfidence is the HarmConfidence, from 0 to 1, above which a rollout is halted. Above 1,
+	// nothing halts a rollout.
 	HaltConfidence float64
 }
 
-// rolloutPosition places a server in a rollout, at another position in each. Servers with low
-// positions are in the first waves.
+// rolloutPosition returns a server's position in the rollout of an epoch: a hash, so that the order
+// of the servers differs from one rollout to the next. Those with low positions are in the first
+// waves.
 func rolloutPosition(name string, epoch Epoch) uint32 {
 	return crc32.ChecksumIEEE([]byte(epoch.String() + " " + name))
 }
 
-// waveLimit returns the position up to which a share of the registered servers is, at least one
-// server if there is any. It only rises with the share.
+// waveLimit returns the highest rollout position in a wave of the given share of the registered
+// servers, rounded up to at least one server. A larger share never has a lower limit.
 func (l *Log) waveLimit(epoch Epoch, share float64) uint32 {
 	if share >= 1 {
 		return math.MaxUint32
@@ -36,8 +37,8 @@
 		return uint32(share * math.MaxUint32)
 	}
 	slices.Sort(positions)
-	servers := int(math.Ceil(share * float64(len(positions))))
-	return positions[min(len(positions), max(1, servers))-1]
+	waveSize := int(math.Ceil(share * float64(len(positions))))
+	return positions[min(len(positions), max(1, waveSize))-1]
 }
 
 // release starts the rollout of a new version, or puts it in force at once if there are no waves.
@@ -89,27 +90,33 @@
 // decrease. During a rollout that is the current version; otherwise it is the previous one.
 func (l *Log) rollBack(command *Command) error {
 	outcome := outcomeRolledBack + command.Reason
-	if l.Next != nil {
-		l.reissueCurrent(outcome, command.Author)
-		l.Current.ReleasedAt = command.IssuedAt
-		return nil
+	if l.Next == nil {
+		return l.restorePrevious(command, outcome)
 	}
+	l.reissueCurrent(outcome, command.Author)
+	l.Current.ReleasedAt = command.IssuedAt
+	return nil
+}
+
+// restorePrevious puts the previous version in force again under a new epoch. The current one ends
+// with the given outcome.
+func (l *Log) restorePrevious(command *Command, outcome string) error {
 	if l.Previous == nil {
 		return ErrNoRollout
 	}
-	again := *l.Previous
-	again.Epoch = l.Current.Epoch + 1
-	again.Author = command.Author
-	again.ReleasedAt = command.IssuedAt
-	l.promote(again)
+	reissued := *l.Previous
+	reissued.Epoch = l.Current.Epoch + 1
+	reissued.Author = command.Author
+	reissued.ReleasedAt = command.IssuedAt
+	l.promote(reissued)
 	l.History[len(l.History)-1].Outcome = outcome
 	return nil
 }
 
-// bumpEpoch moves the current version to a cluster ID above one that a lost group reached. It
-// serves a server that was cut off while all voters lost their state, and that follows a group
-// whose clock was ahead: no server's epoch goes back, so without a bump that server would be ahead
-// of every version for ever.
+// bumpEpoch moves the current version to a higher cluster ID. It is for a server that was cut off
+// while all voters lost their state, and that acts on a version of a lost group with a higher
+// cluster ID than the present group has. Since no server's epoch decreases, that server would never
+// take a version of the present group otherwise.
 func (l *Log) bumpEpoch(command *Command) error {
 	if command.Previous <= uint64(l.Current.Epoch.ClusterID()) || command.Previous > math.MaxUint32 {
 		return ErrOutOfBounds
@@ -128,8 +135,8 @@
 	l.Current = next
 }
 
-// reissueCurrent puts the current version in force for all servers under a new epoch. A rollout
-// ends with the given outcome.
+// reissueCurrent puts the current version in force for all servers under the next epoch. A rollout
+// in progress ends with the given outcome.
 func (l *Log) reissueCurrent(rolloutOutcome, author string) {
 	epoch := l.NewestEpoch() + 1
 	if l.Next != nil {
@@ -148,15 +155,16 @@
 	l.WaveLimit = 0
 }
 
-// appendHistory records a version that is no longer in force. The oldest entry makes room.
+// appendHistory records a version that is no longer in force, in place of the oldest entry once the
+// history is full. The zero epoch is of no version.
 func (l *Log) appendHistory(version *Version, outcome string) {
 	if version.Epoch == 0 {
 		return
 	}
 	if len(l.History) >= maxHistory {
-		l.History = append(l.History[:0], l.History[1:]...)
+		l.History = slices.Delete(l.History, 0, 1)
 	}
-	l.History = append(l.History, Entry{
+	l.History = append(l.History, HistoryEntry{
 		Epoch:      version.Epoch,
 		Digest:     version.Digest,
 		Author:     version.Author,
--- a/internal/policy/release/version.go
+++ b/internal/policy/release/version.go
@@ -11,9 +11,9 @@
 	Epoch      Epoch
 	Digest     string  // of Text and Build, see Digest
 	Author     string  // who released it
-	ReleasedAt float64 `json:"At"` // Unix seconds by the author's clock; for people only, no decision depends on it
+	ReleasedAt float64 `json:"At"` // Unix seconds by the author's clock; shown only, no decision depends on it
 	Text       string  // the settings in canonical form; "" leaves each server to its own file
-	Build      string  // the build of the program that it is meant for, "" for any
+	Build      string  // the program's build that it is for, "" for any
 }
 
 // Digest returns the hexadecimal SHA-256 of a version's text and build.
@@ -27,11 +27,11 @@
 	return v.Digest == Digest(v.Text, v.Build)
 }
 
-// Entry is what the log's history keeps of a version that is no longer in force.
-type Entry struct {
+// HistoryEntry is what the log's history keeps of a version that is no longer in force.
+type HistoryEntry struct {
 	Epoch      Epoch
 	Digest     string
 	Author     string
 	ReleasedAt float64 `json:"At"`   // Unix seconds by the author's clock
-	Outcome    string  `json:"Fate"` // what became of the version, for people
+	Outcome    string  `json:"Fate"` // why the version is no longer in force; shown only
 }
--- a/internal/wire/fleet/fleet.go
+++ b/internal/wire/fleet/fleet.go
@@ -401,7 +401,7 @@
 		if err := errors.Join(checkNames(m.Digest, m.Author, m.Fate), checkFinite(m.At)); err != nil {
 			return nil, err
 		}
-		o.History = append(o.History, release.Entry{Epoch: release.Epoch(m.Epoch), Digest: m.Digest, Author: m.Author, ReleasedAt: m.At, Outcome: m.Fate})
+		o.History = append(o.History, release.HistoryEntry{Epoch: release.Epoch(m.Epoch), Digest: m.Digest, Author: m.Author, ReleasedAt: m.At, Outcome: m.Fate})
 	}
 	if o.ClosedRows, err = decodeClosedRows(p.Over); err != nil {
 		return nil, err
