--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -640,7 +640,7 @@
 		return
 	}
 	for _, l := range f.voter.TakeOutbox() {
-		f.send(f.Voters[l.To], &wire.Envelope{Consensus: &l.Message})
+		f.send(f.Voters[l.VoterName], &wire.Envelope{Consensus: &l.Message})
 	}
 }
 
--- a/internal/policy/consensus/bootstrap.go
+++ b/internal/policy/consensus/bootstrap.go
@@ -10,11 +10,11 @@
 	"swiftcourse/internal/policy/release"
 )
 
-// bootstrapIfReady opens a group once all named voters are heard, all are detached, and each has
-// heard the same incarnations. Only the first by name does it, once an incarnation. A voter that is
-// in a group ends its incarnation when it leaves, so no incarnation is ever in two groups; and of
-// two bootstraps with a voter in common one never has a majority, unless most names have two
-// processes each.
+// bootstrapIfReady bootstraps a group once all named voters are heard, all are detached, and each
+// has heard the same incarnations. Only the first voter by name does so, at most once in an
+// incarnation. A voter's incarnation ends when it leaves a group, so no incarnation is ever in two
+// groups. Of two bootstraps with a voter in common, at least one never has a majority, unless most
+// names have two processes each.
 func (v *Voter) bootstrapIfReady(now float64) {
 	if v.name != v.voterNames[0] || now < v.detachedAt+bootstrapDelay {
 		return
@@ -41,8 +41,9 @@
 	v.joinBootstrap(now, bootstrap)
 }
 
-// readyVoters returns the incarnations of all voters by name. It is not ready while one is missing
-// or in a group, or knows a newer release log than this voter, which it is then asked for.
+// readyVoters returns the names of all voters by incarnation. They are not ready while one of them
+// is not heard, is in a group, or knows a newer release log than this voter. In the last case this
+// voter requests that log.
 func (v *Voter) readyVoters(now float64) (voters map[uint64]string, ready bool) {
 	voters = map[uint64]string{v.incarnation: v.name}
 	for _, name := range v.voterNames[1:] {
@@ -60,33 +61,32 @@
 }
 
 func (v *Voter) knowsNewerLog(peer *peer) bool {
-	clusterID := v.releaseLog.Current.Epoch.ClusterID()
-	if peer.NewestClusterID != clusterID {
-		return peer.NewestClusterID > clusterID
-	}
-	return peer.AppliedCount > v.releaseLog.AppliedCount
+	position := release.Position{ClusterID: peer.NewestClusterID, AppliedCount: peer.AppliedCount}
+	return position.After(v.releaseLog.Position())
 }
 
 // nextClusterID returns a cluster ID above all that are known, and not below the seconds since
-// clusterIDEpoch: where all forgot the last one, the clock still gives a higher one.
+// clusterIDEpoch: if no voter knows the last group's cluster ID any more, the clock still gives a
+// higher one.
 func (v *Voter) nextClusterID(now float64) uint32 {
 	seconds := uint32(max(1, now+v.clockOffset-clusterIDEpoch))
 	return max(v.releaseLog.Current.Epoch.ClusterID()+1, v.highestClusterID+1, seconds)
 }
 
-// joinBootstrap joins the group that a bootstrap opens. Its release log is the raft log's first
-// snapshot.
+// joinBootstrap joins the group that a bootstrap creates. Its release log becomes the first snapshot
+// of the raft log.
 func (v *Voter) joinBootstrap(now float64, bootstrap *Bootstrap) {
 	v.releaseLog = bootstrap.ReleaseLog.Clone()
 	index := uint64(1)
 	term := uint64(1)
 	confState := &pb.ConfState{Voters: slices.Sorted(maps.Keys(bootstrap.Voters))}
 	storage := raft.NewMemoryStorage()
-	_ = storage.ApplySnapshot(&pb.Snapshot{ // an empty storage has no newer snapshot that would refuse it
+	// Fails only if the storage has a newer snapshot; this one is empty.
+	_ = storage.ApplySnapshot(&pb.Snapshot{
 		Data:     v.codec.MarshalLog(v.releaseLog),
 		Metadata: &pb.SnapshotMetadata{ConfState: confState, Index: &index, Term: &term},
 	})
 	hardState := &pb.HardState{Term: &term, Commit: &index, Vote: new(uint64)}
 	_ = storage.SetHardState(hardState) // never fails in memory
-	v.startNode(now, bootstrap.ClusterID, storage, confState)
+	v.joinGroup(now, bootstrap.ClusterID, storage, confState)
 }
--- a/internal/policy/consensus/cluster_test.go
+++ b/internal/policy/consensus/cluster_test.go
@@ -54,7 +54,7 @@
 	message Message
 }
 
-// simulatedCluster plays voters in simulated time over a network that delays, loses, duplicates and
+// simulatedCluster runs voters in simulated time over a network that delays, loses, duplicates and
 // partitions. It fails the test where an epoch has two digests, or one position of the release log
 // two states, whatever any voter ever knew.
 type simulatedCluster struct {
@@ -127,12 +127,12 @@
 	voter := c.voters[name]
 	for _, envelope := range voter.TakeOutbox() {
 		for range 1 + c.random.IntN(11)/10 { // one in eleven is duplicated
-			if c.cut[link{name, envelope.To}] || c.random.Float64() < c.lossRate {
+			if c.cut[link{name, envelope.VoterName}] || c.random.Float64() < c.lossRate {
 				continue
 			}
 			c.inFlight = append(c.inFlight, delivery{
 				at:      c.now + 0.001 + 0.02*c.random.ExpFloat64(),
-				link:    link{name, envelope.To},
+				link:    link{name, envelope.VoterName},
 				message: transmitted(envelope.Message),
 			})
 		}
@@ -171,7 +171,7 @@
 	for end := c.now + seconds; c.now < end; {
 		c.now += 0.005
 		if len(c.inFlight) > 20000 {
-			c.t.Fatalf("a storm of messages at %.3f: %s", c.now, c.describe())
+			c.t.Fatalf("over 20000 messages in flight at %.3f: %s", c.now, c.describe())
 		}
 		c.deliverDue()
 		for _, name := range c.names {
@@ -273,25 +273,25 @@
 	}
 }
 
-// release asks one voter for a release on what it knows, repeatedly until it has ended or the time
-// is over.
-func (c *simulatedCluster) release(name, text string, seconds float64) (err error, ended bool) {
+// release proposes a release to one voter, based on the newest epoch it knows, until the command is
+// committed or the time is up. It returns whether it was committed, and why it was refused.
+func (c *simulatedCluster) release(name, text string, seconds float64) (committed bool, refusal error) {
 	c.t.Helper()
 	c.lastCommand++
 	voter := c.voters[name]
 	if voter == nil {
-		return nil, false
+		return false, nil
 	}
 	command := releaseCommand("operator "+name, text, voter.ReleaseLog().NewestEpoch())
 	command.ID = c.lastCommand
 	for end := c.now + seconds; c.now < end; c.run(0.3) {
-		if err, ended := c.results[command.ID]; ended {
-			return err, true
+		if refusal, committed := c.results[command.ID]; committed {
+			return true, refusal
 		}
 		if voter := c.running(name); voter != nil {
 			voter.Propose(command)
 			c.collect(name)
 		}
 	}
-	return nil, false
+	return false, nil
 }
--- a/internal/policy/consensus/group.go
+++ b/internal/policy/consensus/group.go
@@ -17,7 +17,7 @@
 	node           *raft.RawNode
 	storage        *raft.MemoryStorage
 	confState      *pb.ConfState
-	compactedIndex uint64 // up to which the raft log is compacted
+	compactedIndex uint64 // the last index that a snapshot replaced
 
 	leader          uint64  // incarnation, 0 if none is known
 	leaderHeardAt   float64 // when the leader was last heard, or this voter last campaigned
@@ -27,8 +27,9 @@
 	confirmedAt   float64            // the latest request that a majority confirmed
 }
 
-// startNode joins a group with the given storage. confState is nil if a snapshot will tell it.
-func (v *Voter) startNode(now float64, clusterID uint32, storage *raft.MemoryStorage, confState *pb.ConfState) {
+// joinGroup starts a raft node on the given storage as a member of a group. confState is nil if it
+// is to come with a snapshot.
+func (v *Voter) joinGroup(now float64, clusterID uint32, storage *raft.MemoryStorage, confState *pb.ConfState) {
 	first, _ := storage.FirstIndex() // never fails in memory
 	compactedIndex := first - 1
 	node, err := raft.NewRawNode(&raft.Config{
@@ -59,7 +60,7 @@
 	v.restartElectionTimer(now)
 }
 
-// restartElectionTimer begins another wait for a leader.
+// restartElectionTimer begins another wait for a leader, with a newly drawn timeout.
 func (v *Voter) restartElectionTimer(now float64) {
 	v.group.leaderHeardAt = now
 	v.group.electionTimeout = minElectionTimeout + electionJitter*v.random.drawFloat64()
@@ -75,6 +76,9 @@
 	_ = v.group.node.Campaign()
 }
 
+// confirmationContextBytes is the size of a confirmation's number in raft's read requests.
+const confirmationContextBytes = 8
+
 // requestConfirmation asks a majority whether this voter still leads.
 func (v *Voter) requestConfirmation(now float64) {
 	number := v.random.nextCount()
@@ -82,18 +86,17 @@
 	v.group.node.ReadIndex(binary.BigEndian.AppendUint64(nil, number))
 }
 
-// handleConfirmation takes a majority's answer. Earlier requests are confirmed with it.
-func (g *group) handleConfirmation(state raft.ReadState) {
-	if len(state.RequestCtx) != 8 {
+// handleConfirmation records a majority's answer. It confirms all earlier requests too.
+func (g *group) handleConfirmation(readState raft.ReadState) {
+	if len(readState.RequestCtx) != confirmationContextBytes {
 		return
 	}
-	number := binary.BigEndian.Uint64(state.RequestCtx)
+	number := binary.BigEndian.Uint64(readState.RequestCtx)
 	g.confirmedAt = max(g.confirmedAt, g.confirmations[number])
-	maps.DeleteFunc(g.confirmations, func(requested uint64, _ float64) bool { return requested <= number })
+	maps.DeleteFunc(g.confirmations, func(other uint64, _ float64) bool { return other <= number })
 }
 
-// setLeader takes over the raft core's view of the leader. What was confirmed of another leader
-// does not count.
+// setLeader records who leads by the raft core. Confirmations under another leader do not count.
 func (g *group) setLeader(leader uint64) {
 	if leader != g.leader {
 		g.confirmedAt = 0
@@ -114,7 +117,7 @@
 			_ = v.group.storage.SetHardState(ready.HardState) // never fails in memory
 		}
 		if !raft.IsEmptySnap(ready.Snapshot) && !v.installSnapshot(ready.Snapshot) {
-			v.detach(now) // of no use; another incarnation asks for a snapshot again
+			v.detach(now) // the next incarnation is sent another snapshot
 			return
 		}
 		_ = v.group.storage.Append(ready.Entries) // never fails in memory
@@ -124,15 +127,16 @@
 		for _, entry := range ready.CommittedEntries {
 			v.applyEntry(entry)
 		}
-		for _, state := range ready.ReadStates {
-			v.group.handleConfirmation(state)
+		for _, readState := range ready.ReadStates {
+			v.group.handleConfirmation(readState)
 		}
 		v.group.node.Advance(ready)
 		v.compact(ready.CommittedEntries)
 	}
 }
 
-// installSnapshot replaces the release log by a snapshot, and reports whether it could be read.
+// installSnapshot replaces the release log by a snapshot, and reports whether it could be read and
+// stored.
 func (v *Voter) installSnapshot(snapshot *pb.Snapshot) bool {
 	log, err := v.codec.UnmarshalLog(snapshot.GetData())
 	if err != nil || v.group.storage.ApplySnapshot(snapshot) != nil {
@@ -144,13 +148,15 @@
 	return true
 }
 
-// sendRaft sends a message of the raft core to whoever has the incarnation that it is for.
+// sendRaft sends a message of the raft core to the voter that has the receiving incarnation, if its
+// name is known.
 func (v *Voter) sendRaft(message *pb.Message) {
 	name := v.releaseLog.Voters[message.GetTo()]
 	if name == "" {
 		name = v.peerName(message.GetTo())
 	}
-	if message.GetType() == pb.MsgSnap { // taken for sent: the raft core sends it again if it was lost
+	if message.GetType() == pb.MsgSnap {
+		// Reported as sent right away: the raft core sends it again if it was lost.
 		v.group.node.ReportSnapshot(message.GetTo(), raft.SnapshotFinish)
 	}
 	if name != "" {
@@ -168,7 +174,7 @@
 func (v *Voter) applyEntry(entry *pb.Entry) {
 	switch entry.GetType() {
 	case pb.EntryConfChange:
-		// never proposed in this form
+		// never proposed: all changes of members are in the second form
 	case pb.EntryConfChangeV2:
 		v.applyConfChange(entry)
 	default:
@@ -177,15 +183,15 @@
 }
 
 func (v *Voter) applyConfChange(entry *pb.Entry) {
-	conf := &pb.ConfChangeV2{}
-	if proto.Unmarshal(entry.GetData(), conf) != nil {
+	confChange := &pb.ConfChangeV2{}
+	if proto.Unmarshal(entry.GetData(), confChange) != nil {
 		return
 	}
-	v.group.confState = v.group.node.ApplyConfChange(conf)
+	v.group.confState = v.group.node.ApplyConfChange(confChange)
 	log := v.releaseLog.Clone()
-	for _, change := range conf.GetChanges() {
+	for _, change := range confChange.GetChanges() {
 		if change.GetType() == pb.ConfChangeAddNode {
-			log.Voters[change.GetNodeId()] = string(conf.GetContext())
+			log.Voters[change.GetNodeId()] = string(confChange.GetContext())
 		} else {
 			delete(log.Voters, change.GetNodeId())
 		}
@@ -208,9 +214,8 @@
 	v.results = append(v.results, CommandResult{Command: command, Err: err})
 }
 
-// compact replaces the raft log by a snapshot once it is long. A change of membership does so at
-// once, because a voter that was taken in can only start from a snapshot that has it among the
-// voters.
+// compact replaces the raft log by a snapshot once it is long, and after every change of membership:
+// a new member can only start from a snapshot that has it among the voters.
 func (v *Voter) compact(applied []*pb.Entry) {
 	if len(applied) == 0 {
 		return
--- a/internal/policy/consensus/logger.go
+++ b/internal/policy/consensus/logger.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// discardLogger drops what the raft core logs: the owner of a voter logs what matters to an
-// operator. A state that the raft core can't go on from is a fault of this program and ends in a
-// panic, as the raft core means it.
+// discardLogger is a raft.Logger that drops all messages but the fatal ones: the owner of a voter
+// logs what matters to an operator. The raft core calls Fatal and Panic in states that only a bug
+// can lead to, and expects them not to return.
 type discardLogger struct{}
 
 // Debug drops the message.
--- a/internal/policy/consensus/message.go
+++ b/internal/policy/consensus/message.go
@@ -6,7 +6,8 @@
 	"swiftcourse/internal/policy/release"
 )
 
-// Heartbeat is what each voter tells every other one several times a second, in a group or not.
+// Heartbeat describes the state of a voter. Each voter sends it to every other one several times a
+// second, in a group or not.
 type Heartbeat struct {
 	Name string
 
@@ -14,8 +15,8 @@
 	Incarnation uint64
 
 	ClusterID       uint32 // of the voter's group, 0 while it is detached
-	NewestClusterID uint32 // of the newest release log that it knows
-	AppliedCount    uint64 // of that log
+	NewestClusterID uint32 // the position of the newest release log that it knows, see release.Position
+	AppliedCount    uint64
 
 	// DetachedVoters has, while the voter is detached, the incarnations of the detached voters that it
 	// heard lately, and its own, by name.
@@ -25,7 +26,7 @@
 	Voters map[string]uint64
 }
 
-// Bootstrap opens a group: all its voters start from the same release log.
+// Bootstrap creates a group: all its voters start from the same release log.
 type Bootstrap struct {
 	ClusterID  uint32
 	Voters     map[uint64]string // incarnation to name
@@ -36,8 +37,8 @@
 // Raft is set.
 type Message struct {
 	From              uint64 // incarnation
-	To                uint64 // incarnation, 0 if any may read it
-	ClusterID         uint32 // of Raft
+	To                uint64 // incarnation, 0 for any
+	ClusterID         uint32 // of the group that Raft is for
 	Heartbeat         *Heartbeat
 	Bootstrap         *Bootstrap
 	RequestReleaseLog bool         // asks the receiver for its newest release log
@@ -45,20 +46,20 @@
 	Raft              *pb.Message
 }
 
-// Envelope is a message with the name of the voter that it is for.
+// Envelope is a message with the name of the voter to send it to.
 type Envelope struct {
-	To      string
-	Message Message
+	VoterName string
+	Message   Message
 }
 
-// CommandResult says how a committed command ended, whoever proposed it.
+// CommandResult tells how the release log took a committed command, whoever proposed it.
 type CommandResult struct {
 	Command *release.Command
 	Err     error // why the release log refused it, nil if it did not
 }
 
-// Codec writes commands and release logs as bytes, which raft carries without a look. The Unmarshal
-// methods check all bounds.
+// Codec encodes the commands and release logs that raft replicates as bytes. The Unmarshal methods
+// return an error for anything out of bounds.
 type Codec interface {
 	MarshalCommand(*release.Command) []byte
 	UnmarshalCommand([]byte) (*release.Command, error)
--- a/internal/policy/consensus/peers.go
+++ b/internal/policy/consensus/peers.go
@@ -4,12 +4,12 @@
 
 // peer is another voter as its heartbeats show it.
 type peer struct {
-	Heartbeat         // the latest
-	heardAt   float64 // when it came
-	firstAt   float64 // when the first one of its incarnation came
+	Heartbeat            // the latest
+	heardAt      float64 // when it came
+	firstHeardAt float64 // when the first one of its incarnation came
 }
 
-// fresh reports whether the peer was heard lately.
+// fresh reports whether the peer was heard lately; a nil peer was not.
 func (p *peer) fresh(now float64) bool {
 	return p != nil && now <= p.heardAt+heartbeatTTL
 }
@@ -17,7 +17,18 @@
 // detached reports whether the peer is in no group.
 func (p *peer) detached() bool { return p.ClusterID == 0 }
 
-// sendHeartbeats tells all other voters of this one.
+// freshPeers returns the peers that were heard lately, in the order of their names.
+func (v *Voter) freshPeers(now float64) []*peer {
+	var peers []*peer
+	for _, name := range v.voterNames {
+		if peer := v.peers[name]; peer.fresh(now) {
+			peers = append(peers, peer)
+		}
+	}
+	return peers
+}
+
+// sendHeartbeats sends this voter's heartbeat to all other voters.
 func (v *Voter) sendHeartbeats(now float64) {
 	heartbeat := &Heartbeat{
 		Name:            v.name,
@@ -50,25 +61,25 @@
 	return incarnations
 }
 
-// handleHeartbeat keeps what a peer says of itself, unless another incarnation of its name in a
+// handleHeartbeat records a peer's heartbeat, unless another incarnation of its name that is in a
 // group is still heard.
 func (v *Voter) handleHeartbeat(now float64, heartbeat *Heartbeat) {
 	if heartbeat.Name == v.name || !slices.Contains(v.voterNames, heartbeat.Name) {
-		// Not a voter by the operator's file, or a second process of this name, which the lease
-		// grantor refuses.
+		// Not a voter by the configuration, or a second process of this voter's name, which gets no
+		// lease.
 		return
 	}
 	known := v.peers[heartbeat.Name]
 	switch {
 	case known == nil:
-		known = &peer{firstAt: now}
+		known = &peer{firstHeardAt: now}
 		v.peers[heartbeat.Name] = known
 	case known.Incarnation == heartbeat.Incarnation:
 		// the same process
 	case now < known.heardAt+deadAfter && !known.detached():
 		return
 	default:
-		known.firstAt = now
+		known.firstHeardAt = now
 	}
 	known.Heartbeat = *heartbeat
 	known.heardAt = now
--- a/internal/policy/consensus/random.go
+++ b/internal/policy/consensus/random.go
@@ -7,20 +7,21 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// random draws numbers that follow from a seed and a voter's name.
+// random is a deterministic generator of pseudorandom numbers from a seed and a voter's name.
 type random struct {
 	name  string
 	seed  uint64
 	count uint64 // numbers drawn
 }
 
-// nextCount returns the next number of the count alone, which is unique within the voter.
+// nextCount returns the next number of a sequence, which is unique within the voter. It shares the
+// sequence with the draws.
 func (r *random) nextCount() uint64 {
 	r.count++
 	return r.count
 }
 
-// drawUint64 draws a number.
+// drawUint64 draws a number from the whole range.
 func (r *random) drawUint64() uint64 {
 	var input [16]byte
 	binary.BigEndian.PutUint64(input[:8], r.seed)
--- a/internal/policy/consensus/timing.go
+++ b/internal/policy/consensus/timing.go
@@ -13,17 +13,17 @@
 	// minElectionTimeout is how long a leader is silent before anybody campaigns: ten times the
 	// longest pauses measured of a busy process.
 	minElectionTimeout = 1.0
-	// electionJitter bounds what is drawn on top, so that two voters seldom campaign at once.
+	// electionJitter bounds the random addition to it, so that two voters seldom campaign at once.
 	electionJitter = 1.0
 
 	// heartbeatTTL is how long a heartbeat counts; some of those that follow may be lost.
 	heartbeatTTL = 1.5
 	// deadAfter is how long an incarnation is silent before another one of its name may take its
-	// place. It guards against a second process of the same name that would throw out the first. A
-	// voter that restarts waits as long.
+	// place, so that a second process of the same name can't displace the first. A voter that
+	// restarts waits as long.
 	deadAfter = 2.0
-	// joinTimeout is how long a voter that a group wrote to waits to be told that it is a member:
-	// three times what the group's leader waits.
+	// joinTimeout is how long a voter that received a message of a group waits for the snapshot that
+	// makes it a member: three times what the group's leader waits.
 	joinTimeout = 3 * deadAfter
 	// bootstrapDelay is how long a detached voter listens before it bootstraps a group: longer than
 	// heartbeatTTL, so that it hears of any group there is, and over a second, so that two
@@ -31,14 +31,14 @@
 	bootstrapDelay = 2.0
 	// confirmInterval is how often a leader has a majority confirm that it still leads.
 	confirmInterval = 0.25
-	// maxConfirmations bounds the confirmations that are waited for.
+	// maxConfirmations bounds the confirmations that are requested but not answered.
 	maxConfirmations = 64
 
 	// compactionThreshold is how many entries the raft log has before a snapshot replaces them: at
 	// most 64 texts of 64 KiB, 4 MB.
 	compactionThreshold = 64
 
-	// clusterIDEpoch is 2026-01-01 in Unix seconds, from which cluster IDs count.
+	// clusterIDEpoch is 2026-01-01 in Unix seconds: cluster IDs are at least the seconds since.
 	clusterIDEpoch = 1767225600
 )
 
--- a/internal/policy/consensus/voter.go
+++ b/internal/policy/consensus/voter.go
@@ -13,11 +13,11 @@
 // ErrNotLeader is returned where only the leader of a group can do what is asked.
 var ErrNotLeader = errors.New("this voter does not lead its group")
 
-// Config says what a voter is.
+// Config identifies a voter and its dependencies.
 type Config struct {
 	Name   string   // of this voter
 	Voters []string // names of all voters
-	Seed   int64    // of the chance that it draws
+	Seed   int64    // of its random numbers
 	Codec  Codec
 }
 
@@ -30,8 +30,8 @@
 	clockOffset float64 // Unix seconds minus the owner's clock
 
 	incarnation      uint64
-	releaseLog       *release.Log // the newest that is known; never changed once it is here
-	highestClusterID uint32       // that anybody was heard to act on
+	releaseLog       *release.Log // the newest that is known; replaced, never modified
+	highestClusterID uint32       // the highest on which anybody acts, see ObserveClusterID
 	peers            map[string]*peer
 	detachedAt       float64
 	group            *group // nil while detached
@@ -55,15 +55,15 @@
 		codec:       config.Codec,
 		random:      random{name: config.Name, seed: uint64(config.Seed)},
 		clockOffset: unixNow - now,
-		releaseLog:  (&release.Log{}).Clone(),
+		releaseLog:  (&release.Log{}).Clone(), // empty, without nil maps
 		peers:       map[string]*peer{},
 	}
 	v.detach(now)
 	return v
 }
 
-// detach leaves the group, if any, and draws a new incarnation. The old one ends, so that nothing
-// it promised in raft is ever broken.
+// detach leaves the group, if any, and draws a new incarnation. The old one ends: it never votes
+// again, so none of its votes is ever contradicted.
 func (v *Voter) detach(now float64) {
 	v.incarnation = v.random.drawIncarnation()
 	v.group = nil
@@ -80,18 +80,18 @@
 // the voter itself never does.
 func (v *Voter) ReleaseLog() *release.Log { return v.releaseLog }
 
-// IsLeader reports whether a majority confirmed that this voter leads, for a moment after since.
+// IsLeader reports whether a majority confirmed that this voter led at some moment after since.
 func (v *Voter) IsLeader(since float64) bool {
 	return v.leads() && v.group.confirmedAt > since
 }
 
-// leads reports whether this voter takes itself for the leader.
+// leads reports whether this voter is the leader by its own raft node, confirmed or not.
 func (v *Voter) leads() bool {
 	return v.group != nil && v.group.leader == v.incarnation
 }
 
-// Term returns the cluster ID of the voter's group and its raft term, zeros while detached. There
-// is at most one leader in each.
+// Term returns the cluster ID of the current version and the raft term, zeros while detached. Each
+// pair has at most one leader.
 func (v *Voter) Term() (clusterID uint32, term uint64) {
 	if v.group == nil {
 		return 0, 0
@@ -107,7 +107,7 @@
 	return v.releaseLog.Voters[v.group.leader]
 }
 
-// ObserveReleaseLog tells a detached voter of a release log that somebody else knows: a group is
+// ObserveReleaseLog gives a detached voter a release log that another server knows: a group is
 // bootstrapped from the newest.
 func (v *Voter) ObserveReleaseLog(log *release.Log) {
 	if v.group == nil && log.NewerThan(v.releaseLog) {
@@ -115,14 +115,14 @@
 	}
 }
 
-// ObserveClusterID tells the voter that somebody acts on a version of that cluster ID. The next
+// ObserveClusterID tells the voter that some server acts on a version of that cluster ID. The next
 // group gets a higher one.
 func (v *Voter) ObserveClusterID(clusterID uint32) {
 	v.highestClusterID = max(v.highestClusterID, clusterID)
 }
 
-// Propose asks the group for a command. The request may be lost, so the caller repeats it with the
-// same ID until TakeResults returns it.
+// Propose proposes a command to the group. The proposal may be lost, so the caller repeats it with
+// the same ID until TakeResults returns it.
 func (v *Voter) Propose(command *release.Command) {
 	if v.group == nil || v.group.leader == 0 {
 		return
@@ -147,7 +147,7 @@
 	return outbox
 }
 
-// TakeResults returns the commands that were committed since the last call.
+// TakeResults returns the results of the commands that were committed since the last call.
 func (v *Voter) TakeResults() []CommandResult {
 	results := v.results
 	v.results = nil
@@ -155,13 +155,13 @@
 }
 
 func (v *Voter) send(to string, message Message) {
-	v.outbox = append(v.outbox, Envelope{To: to, Message: message})
+	v.outbox = append(v.outbox, Envelope{VoterName: to, Message: message})
 }
 
 // NextWakeup returns when Tick is due.
 func (v *Voter) NextWakeup() float64 { return min(v.nextTick, v.nextHeartbeat) }
 
-// Tick does what is due.
+// Tick does everything that is due at now: heartbeats, elections, confirmations of leadership.
 func (v *Voter) Tick(now float64) {
 	if now >= v.nextHeartbeat {
 		v.nextHeartbeat = now + heartbeatInterval
@@ -182,8 +182,8 @@
 	v.processReady(now)
 }
 
-// HandleMessage takes a message from another voter. A message for another incarnation is dropped:
-// that incarnation is over.
+// HandleMessage processes a message from another voter. A message for another incarnation is
+// dropped: that incarnation has ended.
 func (v *Voter) HandleMessage(now float64, message *Message) {
 	if message.To != 0 && message.To != v.incarnation {
 		return
@@ -207,20 +207,19 @@
 	v.processReady(now)
 }
 
-// handleRaftMessage hands a message of the group to the raft core. A detached voter that is written
-// to was made a member: it starts with an empty log and is sent a snapshot.
+// handleRaftMessage passes a message of the group to the raft core. A detached voter that receives
+// one was made a member: it starts with an empty log and is sent a snapshot.
 func (v *Voter) handleRaftMessage(now float64, message *Message) {
 	if v.group == nil && message.ClusterID != 0 {
-		v.startNode(now, message.ClusterID, raft.NewMemoryStorage(), nil)
+		v.joinGroup(now, message.ClusterID, raft.NewMemoryStorage(), nil)
 	}
 	if v.group == nil || message.ClusterID != v.group.clusterID || message.Raft.GetTo() != v.incarnation {
 		return
 	}
 	switch message.Raft.GetType() {
 	case pb.MsgPreVote:
-		// A leader that is heard is not put to the vote: a voter that hears nobody would campaign
-		// again and again.
-		if v.leads() || v.group.leader != 0 && now < v.group.leaderHeardAt+minElectionTimeout {
+		if v.hearsLeader(now) {
+			// Ignored, or a voter that hears no other would force elections again and again.
 			return
 		}
 	case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap:
@@ -228,3 +227,9 @@
 	}
 	_ = v.group.node.Step(message.Raft) // the raft core drops what it can't use
 }
+
+// hearsLeader reports whether this voter leads, or heard its leader within the least election
+// timeout.
+func (v *Voter) hearsLeader(now float64) bool {
+	return v.leads() || v.group.leader != 0 && now < v.group.leaderHeardAt+minElectionTimeout
+}
--- a/internal/policy/consensus/voter_test.go
+++ b/internal/policy/consensus/voter_test.go
@@ -15,8 +15,8 @@
 		t.Run(fmt.Sprintf("%d voters", size), func(t *testing.T) {
 			c := newSimulatedCluster(t, uint64(size), size)
 			c.heal()
-			if err, ended := c.release("v1", "door on", 5); err != nil || !ended {
-				t.Fatalf("release ended %v, %v", ended, err)
+			if committed, err := c.release("v1", "door on", 5); err != nil || !committed {
+				t.Fatalf("release committed: %t, %v", committed, err)
 			}
 			c.run(1)
 			for name, voter := range c.voters {
@@ -56,11 +56,11 @@
 		}
 	}
 	c.run(4)
-	if _, ended := c.release("v1", "door-lobby 7", 4); ended {
+	if committed, _ := c.release("v1", "door-lobby 7", 4); committed {
 		t.Fatal("two of five voters committed a release")
 	}
-	if err, ended := c.release("v4", "door-lobby 9", 6); err != nil || !ended {
-		t.Fatalf("three of five did not: %v, %v", ended, err)
+	if committed, err := c.release("v4", "door-lobby 9", 6); err != nil || !committed {
+		t.Fatalf("three of five did not: %t, %v", committed, err)
 	}
 	if c.voters["v1"].IsLeader(c.now - 1.5) {
 		t.Error("a voter in the minority still takes itself for a confirmed leader")
@@ -75,8 +75,8 @@
 func TestVoters_OneAndThenAllRestart(t *testing.T) {
 	c := newSimulatedCluster(t, 3, 3)
 	c.heal()
-	if err, ended := c.release("v2", "door on", 5); err != nil || !ended {
-		t.Fatal(ended, err)
+	if committed, err := c.release("v2", "door on", 5); err != nil || !committed {
+		t.Fatal(committed, err)
 	}
 	c.run(0.5)
 	before := c.voters["v1"].ReleaseLog().Current.Epoch
@@ -99,8 +99,8 @@
 			t.Errorf("after all restarted %s has %s %q", name, current.Epoch, current.Text)
 		}
 	}
-	if err, ended := c.release("v3", "door off", 5); err != nil || !ended {
-		t.Errorf("release after that: %v, %v", ended, err)
+	if committed, err := c.release("v3", "door off", 5); err != nil || !committed {
+		t.Errorf("release after that: %t, %v", committed, err)
 	}
 }
 
@@ -119,7 +119,7 @@
 	}
 }
 
-// TestVoters_EpochNamesOneVersion plays drawn schedules of kills, pauses, partitions, losses and
+// TestVoters_EpochNamesOneVersion runs random schedules of kills, pauses, partitions, losses and
 // releases. Every step checks that no epoch has two digests and no position of the release log two
 // states, see checkAgreement; once healed, the voters have to take a release again.
 func TestVoters_EpochNamesOneVersion(t *testing.T) {
@@ -134,9 +134,9 @@
 			c.run(rapid.SampledFrom([]float64{0.01, 0.1, 1, 5}).Draw(t, "wait"))
 		}
 		c.heal()
-		err, ended := c.release(c.names[0], "door on", 20)
-		if err != nil && !errors.Is(err, release.ErrStaleEpoch) || !ended {
-			t.Fatalf("healed, a release ended %v with %v: %s", ended, err, c.describe())
+		committed, err := c.release(c.names[0], "door on", 20)
+		if err != nil && !errors.Is(err, release.ErrStaleEpoch) || !committed {
+			t.Fatalf("healed, a release committed: %t, with %v: %s", committed, err, c.describe())
 		}
 	})
 }
@@ -150,9 +150,9 @@
 	case 1, 2:
 		c.start(pick("restart"))
 	case 3:
-		c.paused[pick("stop")] = true
+		c.paused[pick("pause")] = true
 	case 4:
-		c.resume(pick("wake"))
+		c.resume(pick("resume"))
 	case 5:
 		c.cut[link{pick("from"), pick("to")}] = true
 	case 6:
