--- /dev/null
+++ b/internal/server/connlimit.go
@@ -0,0 +1,163 @@
+package server
+
+import (
+	"log/slog"
+	"net"
+	"net/netip"
+
+	"swiftcourse/internal/config"
+	"swiftcourse/internal/logging"
+	"swiftcourse/internal/policy/connlimit"
+	"swiftcourse/internal/wire/rpc"
+)
+
+// newConnLimiter creates the connection limiter by the operator's settings.
+func (s *Server) newConnLimiter(operator *config.OperatorSettings) *connlimit.Door {
+	if operator == nil || !operator.ConnLimit.Enabled {
+		return connlimit.New(s.startup.Settings.IdleTimeout)
+	}
+	s.clients.holdingArea = operator.ConnLimit.HoldingSlots
+	return connlimit.NewGuarded(s.startup.Settings.IdleTimeout, s.connRules(operator))
+}
+
+// holdingAreaShare is the divisor of the clients' descriptors that bounds the holding area.
+const holdingAreaShare = 16
+
+// holdingSlots is the size of the holding area: the operator's setting, but at most a sixteenth of
+// the clients' descriptors. As many connections may be on their way to the loop, each with two
+// descriptors for a moment.
+func (s *Server) holdingSlots() int {
+	limit, _ := s.maxClients()
+	return max(1, min(s.clients.holdingArea, limit/holdingAreaShare))
+}
+
+// connRules translates the operator's settings for the connection limiter.
+func (s *Server) connRules(operator *config.OperatorSettings) connlimit.Rules {
+	settings := &operator.ConnLimit
+	places := s.holdingSlots()
+	limit, _ := s.maxClients()
+	limit -= 4 * places // twice in the holding area, and twice on their way
+	return connlimit.Rules{
+		Most:            limit,
+		Reserve:         int(float64(limit) * float64(settings.TrustedReserve)),
+		PerAddress:      settings.MaxPerAddress,
+		PerPrefix:       settings.MaxPerPrefix,
+		ArrivalsAddress: settings.ArrivalsPerAddress,
+		ArrivalsPrefix:  settings.ArrivalsPerPrefix,
+		V4:              settings.PrefixBitsIPv4,
+		V6:              settings.PrefixBitsIPv6,
+		Named:           settings.TrustedPrefixes,
+		Lobby:           places,
+		Remember:        settings.RememberedAddresses,
+		Earn:            settings.RequestsToTrust,
+		Forget:          settings.ReputationHalfLife.Seconds(),
+		ComeBack:        settings.MinRetryAfter.Seconds(),
+		ComeBackMost:    settings.MaxRetryAfter.Seconds(),
+		Share:           float64(settings.CoreShare),
+		Seed:            s.startup.Seed,
+	}
+}
+
+// ReloadConfig applies the operator's file after it was read again. Any goroutine may call it; it
+// returns at once. Keys that can't change while serving are logged and ignored.
+func (s *Server) ReloadConfig(operator *config.OperatorSettings) {
+	s.loop.executeWhenReady(func() {
+		if operator.ConnLimit.Enabled != s.clients.limiter.Guarded() {
+			slog.Info("reload_ignored", "key", "door")
+			return
+		}
+		s.applyConnRules(operator)
+	})
+}
+
+// applyConnRules applies the operator's settings to the connection limiter, as far as they can
+// change while serving.
+func (s *Server) applyConnRules(operator *config.OperatorSettings) {
+	if !operator.ConnLimit.Enabled {
+		return
+	}
+	if !s.clients.limiter.Heed(s.connRules(operator)) {
+		slog.Info("reload_ignored", "key", fixedKeys)
+	}
+	if a := s.acceptor; a != nil {
+		a.trusted.Store(&trustedClients{named: operator.ConnLimit.TrustedPrefixes, earned: a.trusted.Load().earned})
+	}
+}
+
+// requestAdmission asks the connection limiter about a new connection. One that is not admitted
+// stays in the holding area for a moment, so that its first request gets an answer.
+func (c *clientConn) requestAdmission() error {
+	s := c.server
+	limiter := s.clients.limiter
+	now := s.now()
+	cause, retryAfter := limiter.Arrive(c.slot(), remoteIP(c.conn.RemoteAddr()), now)
+	s.scheduleTurn() // the holding area may have to make room
+	switch cause {
+	case connlimit.LetIn:
+		return nil
+	case connlimit.NoLobby:
+		c.closeNow()
+		return errHoldingAreaFull
+	case connlimit.NoPlace:
+		if victim := s.firstEvictable(limiter.Yields(c.slot(), now), c); victim != nil {
+			s.statistics.evicted++
+			victim.closeNow()
+			limiter.Admit(c.slot(), now)
+			return nil
+		}
+		retryAfter = limiter.TurnAway(c.slot(), cause, now)
+	}
+	c.retryAfter = retryAfter
+	return nil
+}
+
+// remoteIP is the address of a connection's peer; all connections without one share an address.
+func remoteIP(addr net.Addr) netip.Addr {
+	if tcp, ok := addr.(*net.TCPAddr); ok {
+		return tcp.AddrPort().Addr()
+	}
+	return netip.IPv6Unspecified()
+}
+
+// rejectAtLimit rejects a request of a connection that is over a limit: it never ran. The
+// Retry-After is bounded by the deployment's settings.
+func (c *clientConn) rejectAtLimit(number uint64, now float64) {
+	s := c.server
+	s.statistics.rejectedAtLimit++
+	s.countOutcome(answerRejected)
+	retryAfter := c.retryAfter
+	if retryAfter == 0 { // it is admitted, and may not have a request open
+		retryAfter = s.clients.limiter.Advice(c.slot(), now)
+	}
+	report := s.health.loadReport
+	report.Advice = min(retryAfter, s.startup.Settings.MaxRetryAfter)
+	c.rejectMessage(number, report, now)
+}
+
+// rejectMessage rejects a message that never became a request.
+func (c *clientConn) rejectMessage(number uint64, report rpc.Say, now float64) {
+	c.observe(connlimit.Spoke, now)
+	c.server.output.scratch = rpc.PutRejected(c.server.output.scratch[:0], number, report)
+	c.writeScratch()
+}
+
+// logConnStatistics logs the connection limiter's statistics.
+func (s *Server) logConnStatistics() {
+	limiter := s.clients.limiter
+	tally := limiter.Known()
+	slog.Info("connection_admission",
+		"admitted", tally.In,
+		"max", tally.Most,
+		"holding_area", limiter.Count(connlimit.Lobby),
+		"untrusted_busy", tally.BusyStrangers,
+		"rejected_rate", limiter.Turned(connlimit.OverRate),
+		"rejected_cap", limiter.Turned(connlimit.OverCap),
+		"rejected_full", limiter.Turned(connlimit.NoPlace),
+		"rejected_unanswered", limiter.Turned(connlimit.NoLobby),
+		"requests_rejected", s.statistics.rejectedAtLimit,
+		"addresses", tally.Addresses,
+		"trusted", tally.Known,
+		"rate_limit", logging.FormatDecimal(limiter.Pace(s.now()), 0),
+		"over_rate", s.acceptor.rateLimited.Load(),
+		"accepts_failed", s.acceptor.failures.Load())
+}
