--- a/internal/policy/quota/holder.go
+++ b/internal/policy/quota/holder.go
@@ -6,230 +6,191 @@
 	"slices"
 )
 
-// leasedShare is what a server holds of one budget.
-type leasedShare struct {
-	bound    *Limit
-	size     float64 // beyond the floor
-	until    float64 // -Inf where none is held
-	answer   uint64  // number of the question whose answer gave it
-	loop     uint64  // the same of what the serving loop said that it goes by
-	loopSize float64
-	loopTill float64
-	owes     bool // it was put down, and the loop has not said so yet
-	demand   float64
-	open     float64
-	asked    float64 // when it was last asked for, -Inf where it was not
-	told     float64 // the demand that was told then
-	shrunk   bool    // the loop put it down, and nobody was told yet
-	starving bool    // more is asked for than it may use
-}
-
-// Allowance is what a server may use of a budget: Part and the floor until Until, the floor alone from then on.
-type Allowance struct {
-	Name        string
-	FleetMax    float64 `json:"Most"` // of the whole fleet
-	Floor       float64
-	LeasedShare float64 `json:"Part"`
-	LeaseExpiry float64 `json:"Till"`
-	GrantNumber uint64  `json:"Answer"` // that gave the part, see Use
-}
-
-// LimitAt is what may be used at a moment.
-func (a *Allowance) LimitAt(now float64) float64 {
-	if now < a.LeaseExpiry {
-		return a.Floor + a.LeasedShare
-	}
-	return a.Floor
+// Holder is a server's side: it asks for leased shares and says what may be used.
+type Holder struct {
+	config      Config
+	configHash  uint64
+	incarnation uint64
+
+	shares       map[string]*leasedShare
+	names        []string // of the shares, in the order of the configuration
+	nextName     int      // index in names at which the next request goes on
+	requests     [maxPendingRequests]pendingRequest
+	requestCount uint64
+	latestReply  uint64 // number of the newest reply that was taken
+	grantorID    uint64 // from whom that was
+	nextWakeup   float64
+	changed      bool // an allowance, since TakeChanges
 }
 
-// Holder is a server's own side.
-type Holder struct {
-	terms  Config
-	sum    uint64 // of the terms
-	life   uint64
-	parts  map[string]*leasedShare
-	names  []string // of the parts, in order
-	turn   int      // where in names the next question goes on
+// pendingRequest is a request whose reply may still come.
+type pendingRequest struct {
 	number uint64
-	sent   [maxSent]struct {
-		number uint64
-		at     float64
-	}
-	latest  uint64 // number of the newest answer that counted
-	granter uint64 // whose that was
-	next    float64
-	changed bool
+	sentAt float64
 }
 
 const (
-	// maxSent bounds the questions whose answer may still come.
-	maxSent = 16
-	// askSoon is how soon after one another two questions go out when there is news: a hot server has what others leave within a few of them.
-	askSoon = 0.1
-	// starvedAsk is how often one asks that could use more than it has: others give up what they don't need a few times a second.
-	starvedAsk = 0.25
-	// renewPart of a lease passes before a part is asked for again: two questions in a row may be lost.
-	renewPart = 1.0 / 3
-	// news is by how much of a part its demand has to change to be told before that.
-	news = 0.2
+	// maxPendingRequests bounds the requests whose reply may still come.
+	maxPendingRequests = 16
+	// minRequestInterval is between two requests where there is news, in seconds: a busy server has what
+	// others leave within a few of them.
+	minRequestInterval = 0.1
+	// starvingRequestInterval is how often a server asks that could use more than it has: others give up
+	// what they don't need a few times a second.
+	starvingRequestInterval = 0.25
+	// renewFraction of a lease passes before it is renewed: two requests in a row may be lost.
+	renewFraction = 1.0 / 3
+	// reportedChange is by which fraction a demand has to change to be reported before that.
+	reportedChange = 0.2
 )
 
-// NewHolder makes the side of a server that has just started: it has the floors.
-func NewHolder(life uint64, terms Config, now float64) *Holder {
-	h := &Holder{life: life, next: now}
-	h.ApplyConfig(terms, now)
+// NewHolder returns the holder of a server that has just started: it has the floors.
+func NewHolder(incarnation uint64, config Config, now float64) *Holder {
+	h := &Holder{incarnation: incarnation}
+	h.ApplyConfig(config, now)
 	return h
 }
 
-// ApplyConfig goes over to new terms. What is held stays until its lease is over, as far as the new bound goes; floors change at once.
-func (h *Holder) ApplyConfig(terms Config, now float64) {
-	was := h.parts
-	terms.Limits = slices.Clone(terms.Limits)
-	h.sum = terms.Hash()
-	h.terms, h.parts, h.names, h.turn = terms, make(map[string]*leasedShare, len(terms.Limits)), h.names[:0], 0
-	for i := range terms.Limits {
-		b := &terms.Limits[i]
-		p := &leasedShare{bound: b, until: math.Inf(-1), loopTill: math.Inf(-1), asked: math.Inf(-1)}
-		if old := was[b.Name]; old != nil && old.bound.Concurrent == b.Concurrent {
-			*p = *old
-			p.bound = b
-			if size := min(p.size, terms.pool(b)); size < p.size {
-				p.size = size
-			}
+// ApplyConfig goes over to a new configuration. A lease goes on until it ends, as far as the new limit
+// allows; floors change at once.
+func (h *Holder) ApplyConfig(config Config, now float64) {
+	previous := h.shares
+	config.Limits = slices.Clone(config.Limits)
+	h.config = config
+	h.configHash = config.Hash()
+	h.shares = make(map[string]*leasedShare, len(config.Limits))
+	h.names = h.names[:0]
+	h.nextName = 0
+	for i := range config.Limits {
+		limit := &config.Limits[i]
+		share := newLeasedShare()
+		if old := previous[limit.Name]; old != nil && old.limit.Concurrent == limit.Concurrent {
+			*share = *old
 		}
-		h.parts[b.Name] = p
-		h.names = append(h.names, b.Name)
+		share.setLimit(&config, limit)
+		h.shares[limit.Name] = share
+		h.names = append(h.names, limit.Name)
 	}
-	h.changed, h.next = true, now
+	h.changed = true
+	h.nextWakeup = now
 }
 
-// RecordUsage tells what was asked for of a budget lately: units a second, or units open and turned away; how many are open; and by which Answer the serving
-// loop goes. Nobody is told that a part was put down before the loop says so.
-func (h *Holder) RecordUsage(now float64, name string, demand, open float64, answer uint64) {
-	p := h.parts[name]
-	if p == nil {
+// RecordUsage notes what the server loop recently did with a limit: requested units a second, or units
+// in use and rejected; how many are in use; and the GrantNumber of the Allowance that it goes by. The
+// grantor isn't told that a share became smaller before the loop goes by the smaller one.
+func (h *Holder) RecordUsage(now float64, name string, requested, inUse float64, grantNumber uint64) {
+	share := h.shares[name]
+	if share == nil {
 		return
 	}
-	if answer == p.answer {
-		p.loop, p.loopSize, p.loopTill = answer, p.size, p.until
-		p.shrunk, p.owes = p.shrunk || p.owes, false
+	if grantNumber == share.granted.number {
+		share.setApplied()
 	}
-	p.demand, p.open = sane(demand, p.bound.Max), sane(open, p.bound.Max)
-	p.starving = p.demand > h.may(p, now)
-	if h.tell(p, now) {
-		h.next = min(h.next, max(now, p.asked+askSoon))
+	share.setUsage(now, requested, inUse)
+	if share.requestDue(now, h.config.LeaseSeconds) {
+		h.nextWakeup = min(h.nextWakeup, max(now, share.lastRequest+minRequestInterval))
 	}
 }
 
-func (h *Holder) may(p *leasedShare, now float64) float64 {
-	if now < p.until {
-		return h.terms.FloorPerServer(p.bound) + p.size
-	}
-	return h.terms.FloorPerServer(p.bound)
-}
+// NextWakeup is when NextRequest is to be called, in seconds of the holder's clock.
+func (h *Holder) NextWakeup() float64 { return h.nextWakeup }
 
-// tell tells whether a budget is due to be spoken of.
-func (h *Holder) tell(p *leasedShare, now float64) bool {
-	held := now < p.until
-	wants := p.demand > h.terms.FloorPerServer(p.bound)
-	switch {
-	case now < p.asked+askSoon:
-		return false
-	case p.shrunk, p.starving && wants && (now >= p.asked+starvedAsk || p.demand > (1+news)*p.told):
-		return true
-	case !held && !wants:
-		return false
-	case now >= p.asked+renewPart*h.terms.LeaseSeconds:
-		return true
+// NextRequest returns the request to send to the grantor, nil where there is nothing to say.
+func (h *Holder) NextRequest(now float64) *Request {
+	due := h.takeDue(now)
+	if due == nil {
+		return nil
+	}
+	h.requestCount++
+	h.requests[h.requestCount%maxPendingRequests] = pendingRequest{number: h.requestCount, sentAt: now}
+	request := &Request{
+		Incarnation: h.incarnation,
+		Number:      h.requestCount,
+		ConfigHash:  h.configHash,
+		GrantorID:   h.grantorID,
+	}
+	for _, share := range due {
+		request.Demands = append(request.Demands, share.demand(now))
+		share.setReported(now)
 	}
-	spare := h.may(p, now) - (1+headroom)*p.demand
-	return held && p.size > 0 && spare > news*p.size && p.demand < (1-news)*p.told // others may want it
+	h.nextWakeup = min(h.nextWakeup, now+minRequestInterval)
+	return request
 }
 
-// NextWakeup is when Ask is to be called.
-func (h *Holder) NextWakeup() float64 { return h.next }
-
-// NextRequest makes the next question; nil where there is nothing to say.
-func (h *Holder) NextRequest(now float64) *Request {
-	h.next = math.Inf(1)
-	var due []string
+// takeDue lists the shares that the next request speaks of, at most MaxEntries, and sets the next wakeup
+// by the others.
+func (h *Holder) takeDue(now float64) []*leasedShare {
+	var due []*leasedShare
+	h.nextWakeup = math.Inf(1)
 	for i := range h.names {
-		name := h.names[(h.turn+i)%len(h.names)]
-		p := h.parts[name]
-		if h.tell(p, now) {
+		at := (h.nextName + i) % len(h.names)
+		share := h.shares[h.names[at]]
+		if share.requestDue(now, h.config.LeaseSeconds) {
 			if len(due) == MaxEntries {
-				h.turn = (h.turn + i) % len(h.names)
-				h.next = now
+				h.nextName = at
+				h.nextWakeup = now
 				break
 			}
-			due = append(due, name)
-		} else if now < p.until || p.demand > h.terms.FloorPerServer(p.bound) {
-			h.next = min(h.next, max(now+askSoon, p.asked+renewPart*h.terms.LeaseSeconds))
-		}
-	}
-	if due == nil {
-		return nil
-	}
-	h.number++
-	h.sent[h.number%maxSent].number, h.sent[h.number%maxSent].at = h.number, now
-	q := &Request{Incarnation: h.life, Number: h.number, ConfigHash: h.sum, GrantorID: h.granter}
-	for _, name := range due {
-		p := h.parts[name]
-		w := Demand{Name: name, Requested: p.demand, InUse: p.open}
-		if now < p.until {
-			w.LeasedShare, w.RemainingSeconds, w.GrantNumber = p.size, p.until-now, p.loop
-			if now < p.loopTill {
-				w.LeasedShare = max(w.LeasedShare, p.loopSize)
-			}
+			due = append(due, share)
+		} else if share.leased(now) || share.wantsLease() {
+			renewal := max(now+minRequestInterval, share.lastRequest+renewFraction*h.config.LeaseSeconds)
+			h.nextWakeup = min(h.nextWakeup, renewal)
 		}
-		p.asked, p.told, p.shrunk = now, p.demand, false
-		q.Demands = append(q.Demands, w)
 	}
-	h.next = min(h.next, now+askSoon)
-	return q
+	return due
 }
 
-// HandleReply takes an answer. One to an earlier life, to a question that is not waited for, or older than one that counted changes nothing.
-func (h *Holder) HandleReply(now float64, a *Reply) {
-	w := h.sent[a.Number%maxSent]
-	if a.Incarnation != h.life || a.Number == 0 || w.number != a.Number || a.Number <= h.latest {
+// HandleReply takes a grantor's reply. One to an earlier incarnation, to a request that isn't pending any
+// more, or older than one that was taken changes nothing.
+func (h *Holder) HandleReply(now float64, reply *Reply) {
+	pending := h.requests[reply.Number%maxPendingRequests]
+	if reply.Incarnation != h.incarnation || reply.Number == 0 || pending.number != reply.Number ||
+		reply.Number <= h.latestReply {
 		return
 	}
-	h.latest = a.Number
-	if a.GrantorID != h.granter { // it wants to hear again, now that it is heard
-		h.granter, h.next = a.GrantorID, now
-		for _, p := range h.parts {
-			if now < p.until {
-				p.asked = math.Inf(-1)
-			}
-		}
+	h.latestReply = reply.Number
+	if reply.GrantorID != h.grantorID {
+		h.followGrantor(now, reply.GrantorID)
 	}
-	for _, g := range a.Grants {
-		p := h.parts[g.Name]
-		if p == nil || a.Number <= p.answer {
+	for _, granted := range reply.Grants {
+		share := h.shares[granted.Name]
+		if share == nil || reply.Number <= share.granted.number {
 			continue
 		}
-		size, until := sane(g.LeasedShare, h.terms.pool(p.bound)), w.at+h.terms.LeaseSeconds
-		if now < p.until && size < p.size {
-			p.owes = true
-		}
-		p.size, p.until, p.answer = size, until, a.Number
-		p.starving = p.demand > h.may(p, now)
+		share.setGranted(now, grant{
+			share:       clamp(granted.LeasedShare, h.config.pool(share.limit)),
+			leaseExpiry: pending.sentAt + h.config.LeaseSeconds,
+			number:      reply.Number,
+		})
 		h.changed = true
 	}
 }
 
-// ActiveLeases lists the budgets of which a part is held at this moment.
-func (h *Holder) ActiveLeases(now float64) (list []Allowance) {
+// followGrantor has everything that is leased asked for again: a grantor grants nothing to holders that
+// haven't heard it.
+func (h *Holder) followGrantor(now float64, grantorID uint64) {
+	h.grantorID = grantorID
+	h.nextWakeup = now
+	for _, share := range h.shares {
+		if share.leased(now) {
+			share.lastRequest = math.Inf(-1)
+		}
+	}
+}
+
+// ActiveLeases lists the limits of which a share is leased at this moment.
+func (h *Holder) ActiveLeases(now float64) []Allowance {
+	var list []Allowance
 	for _, name := range h.names {
-		if p := h.parts[name]; now < p.until {
-			list = append(list, Allowance{Name: name, FleetMax: p.bound.Max, Floor: h.terms.FloorPerServer(p.bound), LeasedShare: p.size, LeaseExpiry: p.until, GrantNumber: p.answer})
+		if share := h.shares[name]; share.leased(now) {
+			list = append(list, share.allowance())
 		}
 	}
 	return list
 }
 
-// TakeChanges lists what may be used where that changed since the last call, nil where it did not.
+// TakeChanges lists what may be used of all limits, by name, if any of it changed since the last call. It
+// returns nil if nothing did.
 func (h *Holder) TakeChanges() []Allowance {
 	if !h.changed {
 		return nil
@@ -237,8 +198,7 @@
 	h.changed = false
 	list := make([]Allowance, 0, len(h.names))
 	for _, name := range h.names {
-		p := h.parts[name]
-		list = append(list, Allowance{Name: name, FleetMax: p.bound.Max, Floor: h.terms.FloorPerServer(p.bound), LeasedShare: p.size, LeaseExpiry: p.until, GrantNumber: p.answer})
+		list = append(list, h.shares[name].allowance())
 	}
 	slices.SortFunc(list, func(a, b Allowance) int { return cmp.Compare(a.Name, b.Name) })
 	return list
--- /dev/null
+++ b/internal/policy/quota/simulation_test.go
@@ -0,0 +1,294 @@
+package quota
+
+import (
+	"fmt"
+	"math/rand/v2"
+)
+
+// fatalReporter is what a simulation needs of *testing.T and *rapid.T.
+type fatalReporter interface {
+	Helper()
+	Fatalf(format string, args ...any)
+}
+
+// simulation plays servers and grantors in simulated time beside a plain account of all that is used,
+// which sees everything.
+type simulation struct {
+	t               fatalReporter
+	random          *rand.Rand
+	now             float64
+	config          Config
+	grantor         *Grantor
+	previous        *Grantor // its term is over, yet it replies until previousUntil
+	previousUntil   float64
+	servers         []*simulatedServer
+	inTransit       []delivery
+	lastIncarnation uint64
+	messageLoss     float64 // probability
+	meanDelay       float64
+	leaderless      bool
+	inUse           []unit  // of the concurrent limit
+	stillLeased     float64 // of a rate that was lowered, what may still be leased out
+}
+
+// delivery is a message that arrives at a time.
+type delivery struct {
+	at     float64
+	handle func()
+}
+
+// unit is in use until it ends, also when its server is gone.
+type unit struct {
+	owner *simulatedServer
+	ends  float64
+}
+
+type simulatedServer struct {
+	holder      *Holder
+	incarnation uint64
+	clockRate   float64
+	clockOffset float64
+	paused      bool
+	partitioned bool
+	demand      float64
+	published   map[string]Allowance // to its loop
+	applied     map[string]Allowance // what that goes by
+}
+
+func (s *simulatedServer) clock(now float64) float64 { return s.clockOffset + s.clockRate*now }
+
+func (s *simulatedServer) limitAt(name string, now float64) float64 {
+	allowance := s.applied[name]
+	return allowance.LimitAt(s.clock(now))
+}
+
+// publish passes on what the holder says may be used.
+func (s *simulatedServer) publish() {
+	list := s.holder.TakeChanges()
+	if list == nil {
+		return
+	}
+	s.published = map[string]Allowance{}
+	for _, allowance := range list {
+		s.published[allowance.Name] = allowance
+	}
+}
+
+const (
+	rateLimit       = "rate"
+	concurrentLimit = "concurrent"
+	simulationStep  = 0.05
+	// tolerance is for rounding in sums.
+	tolerance = 1e-9
+)
+
+var testLimits = []Limit{
+	{Name: rateLimit, Max: 100},
+	{Name: concurrentLimit, Max: 60, Concurrent: true, LingerSeconds: 1.5},
+}
+
+func newSimulation(t fatalReporter, seed uint64, servers int) *simulation {
+	t.Helper()
+	s := &simulation{
+		t:         t,
+		random:    rand.New(rand.NewPCG(seed, 5)),
+		meanDelay: 0.05,
+		config:    Config{LeaseSeconds: 3, FloorFraction: 0.1, MaxServers: max(servers, 6), Limits: testLimits},
+	}
+	if err := s.config.Validate(); err != nil {
+		t.Fatalf("%v", err)
+	}
+	s.electLeader()
+	for range servers {
+		s.servers = append(s.servers, s.startServer())
+	}
+	return s
+}
+
+func (s *simulation) startServer() *simulatedServer {
+	s.lastIncarnation++
+	server := &simulatedServer{
+		incarnation: s.lastIncarnation,
+		clockRate:   0.99 + 0.02*s.random.Float64(),
+		clockOffset: 1e4 * s.random.Float64(),
+	}
+	server.holder = NewHolder(server.incarnation, s.config, server.clock(s.now))
+	server.demand = 40 * s.random.Float64()
+	server.publish()
+	server.applied = server.published
+	return server
+}
+
+// electLeader has another voter lead; the one before replies for as long as its last confirmation counts.
+func (s *simulation) electLeader() {
+	if s.grantor != nil {
+		s.previous = s.grantor
+		s.previousUntil = s.now + leaderLeaseSeconds
+	}
+	s.grantor = NewGrantor(s.config, s.random.Uint64(), s.now)
+	s.leaderless = false
+}
+
+// send delivers a message never, once or twice, after a drawn delay.
+func (s *simulation) send(handle func()) {
+	for range 1 + s.random.IntN(8)/7 {
+		if s.random.Float64() >= s.messageLoss {
+			s.inTransit = append(s.inTransit, delivery{s.now + s.meanDelay*s.random.ExpFloat64(), handle})
+		}
+	}
+}
+
+// confirmed reports whether a grantor takes itself for a confirmed leader.
+func (s *simulation) confirmed(grantor *Grantor, asPrevious bool) bool {
+	return !asPrevious && !s.leaderless && grantor == s.grantor ||
+		grantor == s.previous && s.now < s.previousUntil
+}
+
+func (s *simulation) sendRequest(server *simulatedServer) {
+	request := server.holder.NextRequest(server.clock(s.now))
+	if request == nil || server.partitioned {
+		return
+	}
+	grantor, asPrevious := s.grantor, false
+	if s.previous != nil && s.now < s.previousUntil && s.random.IntN(2) == 0 {
+		grantor, asPrevious = s.previous, true
+	}
+	incarnation := server.incarnation
+	s.send(func() {
+		reply := grantor.HandleRequest(s.now, request, s.confirmed(grantor, asPrevious))
+		if reply == nil {
+			return
+		}
+		s.send(func() {
+			if !server.paused && !server.partitioned && server.incarnation == incarnation {
+				server.holder.HandleReply(server.clock(s.now), reply)
+				server.publish()
+			}
+		})
+	})
+}
+
+func (s *simulation) run(seconds float64) {
+	s.t.Helper()
+	for end := s.now + seconds; s.now < end; {
+		s.now += simulationStep
+		s.deliver()
+		s.endUnits()
+		for _, server := range s.servers {
+			if !server.paused {
+				s.runServer(server)
+			}
+		}
+		s.check()
+	}
+}
+
+func (s *simulation) deliver() {
+	inTransit := s.inTransit
+	s.inTransit = nil
+	for _, message := range inTransit {
+		if message.at <= s.now {
+			message.handle()
+		} else {
+			s.inTransit = append(s.inTransit, message)
+		}
+	}
+}
+
+func (s *simulation) endUnits() {
+	inUse := s.inUse[:0]
+	for _, unit := range s.inUse {
+		if unit.ends > s.now {
+			inUse = append(inUse, unit)
+		}
+	}
+	s.inUse = inUse
+}
+
+func (s *simulation) runServer(server *simulatedServer) {
+	now := server.clock(s.now)
+	if s.random.IntN(2) == 0 { // a loop that is busy goes by what it was told before
+		server.applied = server.published
+	}
+	inUse := s.useUnits(server)
+	holder := server.holder
+	holder.RecordUsage(now, rateLimit, server.demand, 0, server.applied[rateLimit].GrantNumber)
+	holder.RecordUsage(now, concurrentLimit, server.demand, float64(inUse), server.applied[concurrentLimit].GrantNumber)
+	if holder.NextWakeup() <= now {
+		s.sendRequest(server)
+	}
+	server.publish()
+}
+
+// useUnits has a server use as many units of the concurrent limit as it may and wants to.
+func (s *simulation) useUnits(server *simulatedServer) (inUse int) {
+	for _, unit := range s.inUse {
+		if unit.owner == server {
+			inUse++
+		}
+	}
+	for float64(inUse)+1 <= min(server.limitAt(concurrentLimit, s.now), server.demand) {
+		inUse++
+		ends := s.now + (0.05+0.95*s.random.Float64())*s.config.Limits[1].LingerSeconds
+		s.inUse = append(s.inUse, unit{server, ends})
+	}
+	return inUse
+}
+
+// check holds the limits against all that all servers may use this moment, and all that is in use.
+func (s *simulation) check() {
+	s.t.Helper()
+	sum := s.usable(rateLimit)
+	if most := max(s.stillLeased, s.config.Limits[0].Max); sum > most*(1+tolerance) {
+		s.t.Fatalf("at %.2f all may use %.3f of %.0f", s.now, sum, most)
+	}
+	if most := s.config.Limits[1].Max; float64(len(s.inUse)) > most {
+		s.t.Fatalf("at %.2f %d of %.0f are in use", s.now, len(s.inUse), most)
+	}
+}
+
+// usable is what all servers together may use.
+func (s *simulation) usable(name string) (sum float64) {
+	for _, server := range s.servers {
+		sum += server.limitAt(name, s.now)
+	}
+	return sum
+}
+
+// used is what all servers together want and may use.
+func (s *simulation) used(name string) (sum float64) {
+	for _, server := range s.servers {
+		sum += min(server.demand, server.limitAt(name, s.now))
+	}
+	return sum
+}
+
+// ideal is what could be used of a rate by one who sees all and keeps the floors.
+func (s *simulation) ideal(limit *Limit) float64 {
+	floor := s.config.FloorPerServer(limit)
+	floors, more := 0.0, 0.0
+	for _, server := range s.servers {
+		floors += min(server.demand, floor)
+		more += max(0, server.demand-floor)
+	}
+	return floors + min(more, s.config.pool(limit))
+}
+
+// unused tells of which limit less is used than could be, "" for none.
+func (s *simulation) unused() string {
+	for i := range s.config.Limits {
+		limit := &s.config.Limits[i]
+		used, ideal := s.used(limit.Name), s.ideal(limit)
+		if used < 0.98*ideal-0.01 {
+			return fmt.Sprintf("%.3f of %s is used, %.3f could be", used, limit.Name, ideal)
+		}
+	}
+	return ""
+}
+
+// setDemand has all servers want as much.
+func (s *simulation) setDemand(demand float64) {
+	for _, server := range s.servers {
+		server.demand = demand
+	}
+}
