--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -14,6 +14,7 @@
 	"swiftcourse/internal/config"
 	"swiftcourse/internal/fleet"
 	"swiftcourse/internal/forwarder"
+	"swiftcourse/internal/lifecycle"
 	"swiftcourse/internal/policy/loadplan"
 	"swiftcourse/internal/policy/quota"
 	"swiftcourse/internal/policy/serving"
@@ -24,30 +25,30 @@
 
 // Forward has a server pass its tasks on to the workers that the operator's file names.
 func (p *parts) Forward(start *config.Startup, own *config.OperatorSettings, loop *server.Server) error {
-	if len(own.ForwardTo) == 0 {
+	if len(own.Forwarding.Workers) == 0 {
 		return errors.New("forward-to: names no workers")
 	}
 	var workers []forwarder.Worker
-	for _, text := range own.ForwardTo {
+	for _, text := range own.Forwarding.Workers {
 		name, addr, ok := strings.Cut(text, "=")
 		if !ok || name == "" || addr == "" || slices.ContainsFunc(workers, func(w forwarder.Worker) bool { return w.Name == name }) {
 			return fmt.Errorf("forward-to: %q is no name=address, or a name that is there already", text)
 		}
 		workers = append(workers, forwarder.Worker{Name: name, Addr: addr})
 	}
-	if start.Settings.Cores *= len(workers); own.ForwardSlots > 0 {
-		start.Settings.Cores = own.ForwardSlots
+	if start.Settings.Cores *= len(workers); own.Forwarding.MaxInFlight > 0 {
+		start.Settings.Cores = own.Forwarding.MaxInFlight
 	}
-	p.dispatcher = forwarder.Start(forwarder.Shape{Workers: workers, Stages: start.Settings.Classes, Seed: forwarder.SeedOf(start.Name, start.Seed),
-		ColdFrom: start.Settings.SlowStartSpeed, ColdFor: start.WorkerSlowStartDuration, Now: loop.Now,
-		Return: func(list []forwarder.Back) {
+	p.dispatcher = forwarder.Start(forwarder.Config{Workers: workers, Classes: start.Settings.Classes, Seed: forwarder.SeedFor(start.Name, start.Seed),
+		SlowStartSpeed: start.Settings.SlowStart.InitialSpeed, SlowStartSeconds: start.WorkerSlowStartDuration, Now: loop.Now,
+		OnResults: func(list []forwarder.Result) {
 			backs := make([]server.ForwardResult, len(list))
 			for i, b := range list {
 				backs[i] = server.ForwardResult(b)
 			}
 			loop.HandleForwardResults(backs)
-		}, Linked: loop.HandleWorkerAvailable})
-	loop.EnableForwarding(func(out server.ForwardRequest) bool { return p.dispatcher.Begin(forwarder.Out(out)) }, p.dispatcher.Quit)
+		}, OnWorkerAvailable: loop.HandleWorkerAvailable})
+	loop.EnableForwarding(func(out server.ForwardRequest) bool { return p.dispatcher.Dispatch(forwarder.Request(out)) }, p.dispatcher.Cancel)
 	slog.Info("forwarder", "workers", len(workers), "slots", start.Settings.Cores)
 	return nil
 }
@@ -57,20 +58,20 @@
 	if p.dispatcher == nil {
 		return nil
 	}
-	var last loadplan.Number
+	var last loadplan.Version
 	return &fleet.LoadPlanConfig{
-		Report: func(float64) *loadplan.Report { return p.dispatcher.Report() },
-		OnShare: func(part *loadplan.Part, until float64) {
-			if part.Founding != last.Founding || part.Term != last.Term {
-				slog.Info("fleet_plan", "founding", part.Founding, "term", part.Term, "seq", part.Seq, "weights", len(part.Weights), "rates", len(part.Rates))
+		Report: func(float64) *loadplan.Report { return p.dispatcher.TakeReport() },
+		OnShare: func(part *loadplan.Assignment, until float64) {
+			if part.ClusterID != last.ClusterID || part.Term != last.Term {
+				slog.Info("fleet_plan", "founding", part.ClusterID, "term", part.Term, "seq", part.Sequence, "weights", len(part.Weights), "rates", len(part.RateLimits))
 			}
-			last = part.Number
+			last = part.Version
 			weights := map[string]float64{}
 			for _, w := range part.Weights {
-				weights[w.Name] = w.Part
+				weights[w.Name] = w.Weight
 			}
 			till := clock.ToSource(until)
-			p.dispatcher.Plan(weights, till)
+			p.dispatcher.ApplyPlan(weights, till)
 			p.allow(func() { p.planned = rates(part, start, till) })
 		},
 	}
@@ -78,8 +79,8 @@
 
 // rates is what a plan lets in of each tenant. Once it is over all may come in again, hence a floor without bound and a part that takes it away until
 // then: what workers can't do they turn away themselves.
-func rates(part *loadplan.Part, start *config.Startup, till float64) (list []serving.Allowance) {
-	for _, d := range part.Rates {
+func rates(part *loadplan.Assignment, start *config.Startup, till float64) (list []serving.Allowance) {
+	for _, d := range part.RateLimits {
 		if at, known := start.TenantIndex[d.Tenant]; known {
 			list = append(list, serving.Allowance{Name: "plan/" + d.Tenant, Tenant: at, FleetMax: math.MaxInt32, Guaranteed: math.MaxInt32, LeasedShare: d.Rate - math.MaxInt32, LeaseExpiry: till,
 				BurstSeconds: quota.BurstSeconds})
@@ -89,8 +90,8 @@
 }
 
 // Plan is a planner: a voter of the fleet that serves nothing.
-func (p *parts) Plan(name string, own *config.OperatorSettings, signals config.Signals) error {
-	if !own.Fleet {
+func (p *parts) Plan(name string, own *config.OperatorSettings, signals lifecycle.Signals) error {
+	if !own.Fleet.Enabled {
 		return errors.New("fleet: a planner needs it on")
 	}
 	from := time.Now()
@@ -107,8 +108,8 @@
 	if err != nil {
 		return err
 	}
-	f, err := fleet.Start(fleet.Config{Name: name, ListenAddr: own.FleetListen, Voters: voters, JoinAddrs: own.FleetJoin, LeaseTerms: memberTerms(own), Rollout: rollout(own),
-		OnLeaseExpiry: serving.ModeNormal, LoadPlan: &fleet.LoadPlanConfig{IsPlanner: true}, CountersEnabled: own.Counts, Seed: from.UnixNano(), Build: build(), Now: clock.Now, UnixNow: clock.UnixNow, RelayAddrs: via,
+	f, err := fleet.Start(fleet.Config{Name: name, ListenAddr: own.Fleet.ListenAddress, Voters: voters, JoinAddrs: own.Fleet.JoinAddresses, LeaseTerms: memberTerms(own), Rollout: rollout(own),
+		OnLeaseExpiry: serving.ModeNormal, LoadPlan: &fleet.LoadPlanConfig{IsPlanner: true}, CountersEnabled: own.Fleet.SharedCounters, Seed: from.UnixNano(), Build: build(), Now: clock.Now, UnixNow: clock.UnixNow, RelayAddrs: via,
 		Apply: func(text string) error {
 			_, err := own.WithRelease("released", text)
 			return err
@@ -117,14 +118,14 @@
 	if err != nil {
 		return err
 	}
-	if own.FleetControl != "" {
-		if _, err := f.ServeControl(own.FleetControl); err != nil {
+	if own.Fleet.ControlAddress != "" {
+		if _, err := f.ServeControl(own.Fleet.ControlAddress); err != nil {
 			return fmt.Errorf("fleet-control: %w", err)
 		}
 	}
-	slog.Info("fleet", "name", name, "listen", own.FleetListen, "control", own.FleetControl, "voters", len(voters), "build", build(), "plans", true)
+	slog.Info("fleet", "name", name, "listen", own.Fleet.ListenAddress, "control", own.Fleet.ControlAddress, "voters", len(voters), "build", build(), "plans", true)
 	done := make(chan struct{})
-	signals.Handle(func() { close(done) }, func() {}, func() {})
+	signals.Handle(lifecycle.Handlers{Stop: func() { close(done) }})
 	<-done
 	f.Stop()
 	return nil
@@ -139,27 +140,27 @@
 	if o.Plans.JSON {
 		return json.NewEncoder(os.Stdout).Encode(s)
 	}
-	number := func(n loadplan.Number) string { return fmt.Sprintf("%d.%d.%d", n.Founding, n.Term, n.Seq) }
+	number := func(n loadplan.Version) string { return fmt.Sprintf("%d.%d.%d", n.ClusterID, n.Term, n.Sequence) }
 	if m := s.Planner; m != nil {
 		t := table()
 		fmt.Fprintln(t, "forwarder\theard s ago\tasked for, a second\tgoes by")
 		for _, f := range m.Forwarders {
-			fmt.Fprintf(t, "%s\t%.1f\t%.1f\t%s\n", f.Name, f.Heard, f.Demand, number(f.Holds))
+			fmt.Fprintf(t, "%s\t%.1f\t%.1f\t%s\n", f.Name, f.ReportAgeSeconds, f.Demand, number(f.Version))
 		}
 		fmt.Fprintln(t, "worker\tseen s ago\tcan do, a second\t")
 		for _, w := range m.Workers {
-			fmt.Fprintf(t, "%s\t%.1f\t%.1f\t\n", w.Name, w.Seen, w.Can)
+			fmt.Fprintf(t, "%s\t%.1f\t%.1f\t\n", w.Name, w.LastConnectedAgeSeconds, w.Capacity)
 		}
 		if err := t.Flush(); err != nil {
 			return err
 		}
-		if m.Bound > 0 {
-			fmt.Printf("more is asked for than workers can do: %.1f a second are let in\n", m.Bound)
+		if m.AdmittedRate > 0 {
+			fmt.Printf("more is asked for than workers can do: %.1f a second are let in\n", m.AdmittedRate)
 		}
-		fmt.Printf("%s leads, its plan is %s; %d not solved in their bounds, %d reports refused\n", s.Name, number(m.Number), m.Fallbacks, m.Refused)
+		fmt.Printf("%s leads, its plan is %s; %d not solved in their bounds, %d reports refused\n", s.Name, number(m.Version), m.Fallbacks, m.InvalidReports)
 		return nil
 	}
-	if s.Current != (loadplan.Number{}) {
+	if s.Current != (loadplan.Version{}) {
 		fmt.Printf("%s goes by plan %s, fresh for %.1f s; %d parts of plans were stale\n", s.Name, number(s.Current), s.FreshFor, s.Stale)
 	}
 	fmt.Println("plans are made by", s.Leader)
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -107,7 +107,7 @@
 	f.await(t, "all act on the release", func() bool { return f.AllOn(e, f.Names...) })
 	f.await(t, "the audit knows it", func() bool {
 		s, err := f.State("n4")
-		if err != nil || len(s.Audit.Alarms) > 0 || len(s.Audit.Behind) > 0 || len(s.Audit.Holes) > 0 {
+		if err != nil || len(s.Audit.Alarms) > 0 || len(s.Audit.Lagging) > 0 || len(s.Audit.Gaps) > 0 {
 			return false
 		}
 		on := 0
@@ -211,14 +211,14 @@
 		if err != nil {
 			return false
 		}
-		for _, b := range s.Audit.Behind {
-			if b.Name == "n5" && strings.HasPrefix(b.Why, "shut out: ") && strings.Contains(b.Why, "can't be changed while serving") {
+		for _, b := range s.Audit.Lagging {
+			if b.Name == "n5" && strings.HasPrefix(b.Reason, "ejected: ") && strings.Contains(b.Reason, "can't be changed while serving") {
 				return true
 			}
 		}
 		return false
 	})
-	f.await(t, "n5 is away", f.hasSaid("n5", "stance", "is", "away"))
+	f.await(t, "n5 is away", f.hasSaid("n5", "stance", "is", "out_of_service"))
 	if f.Server("n5").Roster.Takes("n5") {
 		t.Error("n5 is still on the roster's list")
 	}
@@ -227,7 +227,7 @@
 	}
 	f.await(t, "n5 is brought up by what it can apply, and serves", func() bool {
 		said := f.Said("n5", "stance")
-		return f.ActsOn("n5") > e && said[len(said)-1].Fields["is"] == "serve" && f.Server("n5").Roster.Takes("n5")
+		return f.ActsOn("n5") > e && said[len(said)-1].Fields["is"] == "normal" && f.Server("n5").Roster.Takes("n5")
 	})
 }
 
@@ -266,7 +266,7 @@
 	f.await(t, "all act on it", func() bool { return f.AllOn(e, f.Names...) })
 	f.await(t, "the audit has holes where lives ended, and no alarm", func() bool {
 		s, err := f.State("n1")
-		return err == nil && len(s.Audit.Alarms) == 0 && len(s.Audit.Holes) >= 1 && len(s.Audit.Accounts) > 5
+		return err == nil && len(s.Audit.Alarms) == 0 && len(s.Audit.Gaps) >= 1 && len(s.Audit.Accounts) > 5
 	})
 }
 
@@ -317,11 +317,11 @@
 	if rejected != tasks {
 		t.Errorf("woken, it took in %d of %d tasks on the old version", tasks-rejected, tasks)
 	}
-	f.await(t, "it says that it was away", f.hasSaid("n5", "stance", "is", "away"))
+	f.await(t, "it says that it was away", f.hasSaid("n5", "stance", "is", "out_of_service"))
 	f.Net.Heal()
 	f.await(t, "n5 is brought up and serves", func() bool {
 		said := f.Said("n5", "stance")
-		return f.ActsOn("n5") >= e && said[len(said)-1].Fields["is"] == "serve"
+		return f.ActsOn("n5") >= e && said[len(said)-1].Fields["is"] == "normal"
 	})
 }
 
@@ -357,7 +357,7 @@
 			})
 		}
 	}
-	f.await(t, "it is rolled back", f.hasSaid("", "fleet_order", "command", "revert"))
+	f.await(t, "it is rolled back", f.hasSaid("", "fleet_order", "command", "rollback"))
 	stop()
 	callers.Wait()
 	f.await(t, "all act on the version after it", func() bool {
--- a/internal/lab/versions/versions.go
+++ b/internal/lab/versions/versions.go
@@ -294,7 +294,7 @@
 	from := time.Now()
 	faults.Until(healIn, func() bool {
 		for _, s := range r.fleet.Said("", "fleet_order")[before:] {
-			if s.Fields["command"] == "shut" && s.Fields["name"] == last && s.Fields["refused"] == "<nil>" {
+			if s.Fields["command"] == "eject" && s.Fields["name"] == last && s.Fields["refused"] == "<nil>" {
 				r.row.ShutOutAfter = 1000 * s.At.Sub(from).Seconds()
 				return true
 			}
@@ -331,9 +331,9 @@
 		ids, acts := lives(r.fleet, name)
 		for i, id := range ids {
 			told := map[string]bool{}
-			hole := slices.ContainsFunc(s.Audit.Holes, func(h audit.Hole) bool { return h.Name == name && h.Life == id })
+			hole := slices.ContainsFunc(s.Audit.Gaps, func(h audit.Gap) bool { return h.Name == name && h.Incarnation == id })
 			for _, a := range s.Audit.Accounts {
-				if a.Name != name || a.Life != id {
+				if a.Name != name || a.Incarnation != id {
 					continue
 				}
 				for _, t := range a.Intervals {
@@ -366,22 +366,22 @@
 		name := s.Fields["name"]
 		switch {
 		case s.Fields["refused"] != "<nil>":
-		case s.Fields["command"] == "shut":
+		case s.Fields["command"] == "eject":
 			if _, known := out[name]; !known {
 				out[name] = s.At
 			}
-		case s.Fields["command"] == "admit":
+		case s.Fields["command"] == "readmit":
 			delete(out, name)
 		}
-		if at, is := out[name]; is && s.Fields["command"] == "shut" {
+		if at, is := out[name]; is && s.Fields["command"] == "eject" {
 			stances := r.fleet.Said(name, "stance")
-			last := "serve"
+			last := "normal"
 			for _, st := range stances {
 				if st.At.Before(at.Add(200 * time.Millisecond)) { // its line may have taken a little longer
 					last = st.Fields["is"]
 				}
 			}
-			if last != "away" {
+			if last != "out_of_service" {
 				n++
 			}
 		}
--- a/internal/wire/fleet/fleet_test.go
+++ b/internal/wire/fleet/fleet_test.go
@@ -47,8 +47,8 @@
 func sampleEnvelopes() []*Envelope {
 	o, k := fullReleaseLog(), state.KeyOf("s", "k")
 	ran := state.NewFinishedAttempt(state.ClaimID{UnixMilli: -3, Incarnation: 4, Sequence: 5}, []byte("r"))
-	account := audit.Account{Name: "n1", Life: 5, Started: 1, Seen: 9, Dropped: 2, Intervals: []audit.Interval{{N: 2, Epoch: 3, Digest: "d", From: 1, To: 2,
-		Batches: 4, Tasks: 5, Why: "released"}}}
+	account := audit.Account{Name: "n1", Incarnation: 5, Started: 1, LastSeen: 9, DroppedIntervals: 2, Intervals: []audit.Interval{{Index: 2, Epoch: 3, Digest: "d", From: 1, To: 2,
+		Batches: 4, Requests: 5, Reason: "released"}}}
 	beat := &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: new(uint64(5)), To: new(uint64(6)), Term: new(uint64(2))}
 	return []*Envelope{
 		{Consensus: &consensus.Message{From: 5, Heartbeat: &consensus.Heartbeat{Name: "v1", Incarnation: 5, ClusterID: 7, NewestClusterID: 7, AppliedCount: 3,
@@ -66,10 +66,10 @@
 			SecondsSinceHeard: 1, SecondsBehind: 2, BlockedBy: "s", EjectionReason: "o", Build: "b", Reported: true}},
 			Replication: &replication.Status{ConfigDigest: 1, IsReplica: true, CatchingUp: 2, OutOfSync: 3, CaughtUpByPeers: 4, CaughtUpByTimeout: 5, RepairedRecords: 6, ConflictingResults: 7, Records: 8, Bytes: 9, DroppedResults: 10,
 				CorruptedRecords: 11, ActiveClaims: 12, ReplicatedResults: 13, UnreplicatedResults: 14}}},
-		{ForwarderReport: &loadplan.Report{Name: "f1", Life: 3, Number: 4, For: 0.5, Holds: loadplan.Number{Founding: 1, Term: 2, Seq: 3}, Demand: []loadplan.Demand{{Tenant: "acme", Rate: 2}},
-			Workers: []loadplan.Seen{{Name: "w1", Linked: true, Open: 1, Finished: 2, Rejected: 3, Lost: 4}}}},
-		{PlanShare: &loadplan.Part{Number: loadplan.Number{Founding: 1, Term: 2, Seq: 3}, For: 3, Answers: 4, Lease: 2, Weights: []loadplan.Weight{{Name: "w1", Part: 0.5}},
-			Rates: []loadplan.Demand{{Rate: 7}}}},
+		{ForwarderReport: &loadplan.Report{Name: "f1", Incarnation: 3, Sequence: 4, IntervalSeconds: 0.5, CurrentVersion: loadplan.Version{ClusterID: 1, Term: 2, Sequence: 3}, Demand: []loadplan.TenantRate{{Tenant: "acme", Rate: 2}},
+			Workers: []loadplan.WorkerStats{{Name: "w1", Connected: true, InFlight: 1, Finished: 2, Rejected: 3, Lost: 4}}}},
+		{PlanShare: &loadplan.Assignment{Version: loadplan.Version{ClusterID: 1, Term: 2, Sequence: 3}, Incarnation: 3, ReportSequence: 4, LeaseSeconds: 2, Weights: []loadplan.WorkerWeight{{Name: "w1", Weight: 0.5}},
+			RateLimits: []loadplan.TenantRate{{Rate: 7}}}},
 		{CounterReport: &counter.RowReport{Server: "n1", Incarnation: 5, RowID: 6, Sequence: 3, BaseSequence: 2, Closing: true, FrozenSequence: 1, Cells: countsOf(4), Aggregators: []uint64{7, 8}}},
 		{CounterAck: &counter.RowAck{RowID: 6, Sequence: 3, Closed: true, Aggregators: []uint64{7}}}, {CounterSyncRequest: &counter.RowQuery{Number: 2, Rows: []counter.RowAck{{RowID: 6, Sequence: 1}}, All: true, After: 7, Aggregators: []uint64{7, 9}}},
 		{CounterSyncReply: &counter.RowQueryReply{Number: 2, Recovering: true, More: true, Aggregators: []uint64{1}, Rows: []counter.RowReport{{Server: "n1", Incarnation: 5, RowID: 6, Sequence: 3, Cells: countsOf(4)}}}},
