--- /dev/null
+++ b/internal/wire/fleet/codec_test.go
@@ -0,0 +1,235 @@
+package fleet
+
+import (
+	"encoding/hex"
+	"errors"
+	"math"
+	"os"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"swiftcourse/internal/policy/audit"
+	"swiftcourse/internal/policy/circuitbreaker"
+	"swiftcourse/internal/policy/consensus"
+	"swiftcourse/internal/policy/lease"
+	"swiftcourse/internal/policy/quota"
+	"swiftcourse/internal/policy/release"
+)
+
+func TestEnvelope_RoundTrip(t *testing.T) {
+	for _, m := range sampleEnvelopes(t) {
+		t.Run(m.Kind().String(), func(t *testing.T) {
+			m.From = "n9"
+			m.Incarnation = 77
+			encoded, err := Encode(m)
+			if err != nil {
+				t.Fatal(err)
+			}
+			decoded, err := Decode(encoded)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if m.Consensus != nil && m.Consensus.Raft != nil {
+				if !proto.Equal(m.Consensus.Raft, decoded.Consensus.Raft) {
+					t.Errorf("the library's own message differs: %v", decoded.Consensus.Raft)
+				}
+				return
+			}
+			if !reflect.DeepEqual(m, decoded) {
+				t.Errorf("%+v is not %+v", decoded, m)
+			}
+		})
+	}
+}
+
+// The bytes on the wire are those of earlier releases: servers of two releases talk to one another.
+func TestEncode_BytesStay(t *testing.T) {
+	golden, err := os.ReadFile("testdata/envelopes.hex")
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := strings.Fields(string(golden))
+	samples := sampleEnvelopes(t)
+	if len(lines) != len(samples) {
+		t.Fatalf("%d samples, %d golden lines", len(samples), len(lines))
+	}
+	for i, m := range samples {
+		t.Run(m.Kind().String(), func(t *testing.T) {
+			m.From = "n9"
+			m.Incarnation = 77
+			m.Addr = "10.0.0.9:7946"
+			encoded, err := Encode(m)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got := hex.EncodeToString(sortMaps(t, encoded)); got != lines[i] {
+				t.Errorf("got  %s\nwant %s", got, lines[i])
+			}
+		})
+	}
+}
+
+// sortMaps encodes a packet again with its maps in order.
+func sortMaps(t *testing.T, encoded []byte) []byte {
+	t.Helper()
+	packet := &Packet{}
+	if err := proto.Unmarshal(encoded, packet); err != nil {
+		t.Fatal(err)
+	}
+	sorted, err := proto.MarshalOptions{Deterministic: true}.Marshal(packet)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return sorted
+}
+
+func TestKind_IsKnownForEverySample(t *testing.T) {
+	seen := map[Kind]bool{}
+	for _, m := range sampleEnvelopes(t) {
+		seen[m.Kind()] = true
+	}
+	names := map[string]bool{}
+	for kind := KindNone; kind < KindCount; kind++ {
+		names[kind.String()] = true
+		if kind != KindNone && !seen[kind] {
+			t.Errorf("no sample is a %s", kind)
+		}
+		if (encoders[kind] != nil) != (kind != KindNone) {
+			t.Errorf("%s: encoder %t", kind, encoders[kind] != nil)
+		}
+	}
+	if len(names) != int(KindCount) || names[""] || KindCount.String() != "unknown" {
+		t.Errorf("the kinds' names are %v", names)
+	}
+	if kind := (&Envelope{}).Kind(); kind != KindNone {
+		t.Errorf("an empty envelope is a %s", kind)
+	}
+}
+
+// boundCase is a message that can be encoded and must not be decoded.
+type boundCase struct {
+	name     string
+	envelope *Envelope
+	want     error
+}
+
+func TestDecode_RejectsOutOfBounds(t *testing.T) {
+	for _, test := range slices.Concat(tooLargeCases(), outOfRangeCases()) {
+		t.Run(test.name, func(t *testing.T) {
+			encoded, err := Encode(test.envelope)
+			if err != nil {
+				t.Fatal(err)
+			}
+			decoded, err := Decode(encoded)
+			if !errors.Is(err, test.want) {
+				t.Errorf("it was decoded to %+v, %v; want %v", decoded, err, test.want)
+			}
+		})
+	}
+}
+
+func tooLargeCases() []boundCase {
+	long := strings.Repeat("x", maxName+1)
+	many := map[string]uint64{}
+	for i := range maxListEntries + 1 {
+		many[strings.Repeat("y", i%200)+string(rune('a'+i%26))+strings.Repeat("z", i/200)] = 1
+	}
+	detached := &consensus.Heartbeat{Name: "v", DetachedVoters: many}
+	intervals := make([]audit.Interval, maxListEntries+1)
+	demands := make([]quota.Demand, quota.MaxEntries+1)
+	reports := make([]circuitbreaker.Report, circuitbreaker.MaxReports+1)
+	return []boundCase{
+		{"sender", &Envelope{From: long, VersionRequest: 3}, ErrTooLarge},
+		{"server name", &Envelope{LeaseRequest: &lease.Request{Name: long}}, ErrTooLarge},
+		{"text", &Envelope{Version: &release.Version{Text: strings.Repeat("t", maxText+1)}}, ErrTooLarge},
+		{"waves", &Envelope{Command: &release.Command{Waves: make([]float64, maxListEntries+1)}}, ErrTooLarge},
+		{"intervals", &Envelope{AccountSummary: &audit.Account{Intervals: intervals}}, ErrTooLarge},
+		{"names", &Envelope{StateRequest: &StateRequest{Names: make([]string, maxMapEntries+1)}}, ErrTooLarge},
+		{"detached voters", &Envelope{Consensus: &consensus.Message{Heartbeat: detached}}, ErrTooLarge},
+		{"demands", &Envelope{QuotaRequest: &quota.Request{Demands: demands}}, ErrTooLarge},
+		{"demand name", demandRequest(quota.Demand{Name: long}), ErrTooLarge},
+		{"health reports", &Envelope{HealthReports: reports}, ErrTooLarge},
+	}
+}
+
+func outOfRangeCases() []boundCase {
+	raft := &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: new(uint64(9)), To: new(uint64(2))}
+	grant := quota.Grant{Name: "calls", LeasedShare: math.NaN()}
+	return []boundCase{
+		{"tally NaN", tallyRequest(math.NaN(), 0), ErrOutOfRange},
+		{"tally above whole", tallyRequest(1, 2), ErrOutOfRange},
+		{"tally negative", tallyRequest(-1, -1), ErrOutOfRange},
+		{"endless lease", &Envelope{LeaseReply: &lease.Reply{Duration: math.Inf(1)}}, ErrOutOfRange},
+		{"command time", &Envelope{Command: &release.Command{IssuedAt: math.Inf(-1)}}, ErrOutOfRange},
+		{"demand negative", demandRequest(quota.Demand{Name: "calls", Requested: -1}), ErrOutOfRange},
+		{"grant NaN", &Envelope{QuotaReply: &quota.Reply{Grants: []quota.Grant{grant}}}, ErrOutOfRange},
+		{"health age", &Envelope{HealthReports: []circuitbreaker.Report{{AgeSeconds: -1}}}, ErrOutOfRange},
+		{
+			"raft message of another voter",
+			&Envelope{Consensus: &consensus.Message{From: 1, To: 2, Raft: raft}},
+			ErrOutOfRange,
+		},
+	}
+}
+
+func tallyRequest(completed, failed float64) *Envelope {
+	tally := release.ErrorTally{Completed: completed, Failed: failed}
+	return &Envelope{LeaseRequest: &lease.Request{ErrorTally: tally}}
+}
+
+func demandRequest(demand quota.Demand) *Envelope {
+	return &Envelope{QuotaRequest: &quota.Request{Demands: []quota.Demand{demand}}}
+}
+
+func TestDecode_RejectsLargePacket(t *testing.T) {
+	if _, err := Decode(make([]byte, MaxPacket+1)); !errors.Is(err, ErrTooLarge) {
+		t.Errorf("a packet over the bound: %v", err)
+	}
+}
+
+func TestDecode_NamesTheSender(t *testing.T) {
+	encoded, err := Encode(&Envelope{From: "n9", LeaseReply: &lease.Reply{Duration: -1}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, err = Decode(encoded)
+	var failure *DecodeError
+	if !errors.As(err, &failure) || failure.From != "n9" {
+		t.Errorf("the error is %v", err)
+	}
+}
+
+func TestEncode_RejectsEmptyEnvelope(t *testing.T) {
+	if _, err := Encode(&Envelope{}); !errors.Is(err, ErrUnknownBody) {
+		t.Errorf("an envelope that carries nothing: %v", err)
+	}
+}
+
+// FuzzDecode checks that any bytes are rejected, or decoded to what can be encoded and decoded again.
+func FuzzDecode(f *testing.F) {
+	for _, m := range sampleEnvelopes(f) {
+		encoded, err := Encode(m)
+		if err != nil {
+			f.Fatal(err)
+		}
+		f.Add(encoded)
+	}
+	f.Fuzz(func(t *testing.T, input []byte) {
+		m, err := Decode(input)
+		if err != nil {
+			return
+		}
+		encoded, err := Encode(m)
+		if err != nil {
+			t.Fatalf("%+v was decoded and can't be encoded: %v", m, err)
+		}
+		if _, err := Decode(encoded); err != nil {
+			t.Fatalf("%+v was decoded, and not again: %v", m, err)
+		}
+	})
+}
--- /dev/null
+++ b/internal/wire/fleet/envelope.go
@@ -0,0 +1,73 @@
+package fleet
+
+import (
+	"swiftcourse/internal/policy/audit"
+	"swiftcourse/internal/policy/circuitbreaker"
+	"swiftcourse/internal/policy/consensus"
+	"swiftcourse/internal/policy/counter"
+	"swiftcourse/internal/policy/lease"
+	"swiftcourse/internal/policy/loadplan"
+	"swiftcourse/internal/policy/quota"
+	"swiftcourse/internal/policy/release"
+	"swiftcourse/internal/policy/replication"
+)
+
+// Envelope is one message. Exactly one of the fields between Addr and Size is set; Kind tells which.
+type Envelope struct {
+	From        string // name of the process that sent it
+	Incarnation uint64 // of that process
+	Addr        string // where that process listens
+
+	Consensus          *consensus.Message
+	LeaseRequest       *lease.Request
+	LeaseReply         *lease.Reply
+	VersionRequest     release.Epoch // asks for the version of that epoch
+	Version            *release.Version
+	Command            *release.Command
+	CommandResult      *CommandResult
+	AccountSummary     *audit.Account
+	StateRequest       *StateRequest
+	StateReply         *StateReply
+	ClaimRequest       *replication.ClaimRequest
+	ClaimReply         *replication.ClaimReply
+	PullRequest        *replication.PullRequest
+	PullReply          *replication.PullReply
+	Checksums          *replication.Checksums
+	TrustRecords       []replication.TrustRecord
+	TrustRequest       bool // asks for trust records
+	QuotaRequest       *quota.Request
+	QuotaReply         *quota.Reply
+	HealthReports      []circuitbreaker.Report
+	CounterReport      *counter.RowReport
+	CounterAck         *counter.RowAck
+	CounterSyncRequest *counter.RowQuery
+	CounterSyncReply   *counter.RowQueryReply
+	ForwarderReport    *loadplan.Report
+	PlanShare          *loadplan.Part
+
+	Size int // bytes of the encoded message, set by who received it
+}
+
+// CommandResult is how a command ended, as the leader saw it.
+type CommandResult struct {
+	ID           uint64
+	RejectReason string // "" if it was carried out
+	NewestEpoch  release.Epoch
+}
+
+// StateRequest asks for a process's own account, and for what it heard of some names.
+type StateRequest struct {
+	RequestID    uint64
+	Names        []string
+	ClusterID    uint32 // of the release log that the sender knows
+	AppliedCount uint64 // of that log: only a newer one is told
+}
+
+// StateReply answers a StateRequest. A leader's has the release log and all servers too.
+type StateReply struct {
+	RequestID   uint64
+	Accounts    []audit.Account
+	ReleaseLog  *release.Log
+	Servers     []lease.ServerStatus
+	Replication *replication.Status // nil if it neither keeps nor claims anything
+}
