--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -103,22 +104,36 @@
 	if voters[name] == "" {
 		return fmt.Errorf("fleet-voters: %s is none; a planner is", name)
 	}
-	clock, via, err := forTests(now)
+	clock, translateAddr, err := forTests(now)
 	if err != nil {
 		return err
 	}
-	f, err := fleet.Start(fleet.Config{Name: name, ListenAddr: own.FleetListen, Voters: voters, JoinAddrs: own.FleetJoin, LeaseTerms: memberTerms(own), Rollout: rollout(own),
-		OnLeaseExpiry: serving.ModeNormal, LoadPlan: &fleet.LoadPlanConfig{IsPlanner: true}, CountersEnabled: own.Counts, Seed: from.UnixNano(), Build: build(), Now: clock.Now, UnixNow: clock.UnixNow, RelayAddrs: via,
+	ctx, leave := context.WithCancel(context.Background())
+	defer leave()
+	f, err := fleet.Start(ctx, fleet.Config{
+		Name:            name,
+		ListenAddr:      own.FleetListen,
+		Voters:          voters,
+		JoinAddrs:       own.FleetJoin,
+		Seed:            from.UnixNano(),
+		Build:           build(),
+		Clock:           clock,
+		Lease:           fleet.LeaseConfig{Terms: memberTerms(own), Fallback: serving.ModeNormal},
+		Rollout:         rollout(own),
+		LoadPlan:        &fleet.LoadPlanConfig{IsPlanner: true},
+		CountersEnabled: own.Counts,
 		Apply: func(text string) error {
 			_, err := own.WithRelease("released", text)
 			return err
 		},
-		Publish: func(*serving.Directive) {}})
+		Publish: func(*serving.Directive) {},
+		Hooks:   fleet.Hooks{TranslateAddr: translateAddr},
+	})
 	if err != nil {
 		return err
 	}
 	if own.FleetControl != "" {
-		if _, err := f.ServeControl(own.FleetControl); err != nil {
+		if err := f.ServeControl(ctx, own.FleetControl); err != nil {
 			return fmt.Errorf("fleet-control: %w", err)
 		}
 	}
--- a/cmd/swiftcourse-fleet/main.go
+++ b/cmd/swiftcourse-fleet/main.go
@@ -2,6 +2,7 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"log/slog"
@@ -70,7 +71,7 @@
 	if err != nil {
 		return err
 	}
-	clock, via, err := forTests(loop.Now)
+	clock, translateAddr, err := forTests(loop.Now)
 	if err != nil {
 		return err
 	}
@@ -90,14 +91,30 @@
 	if err != nil {
 		return err
 	}
-	f, err := fleet.Start(fleet.Config{Trust: callers, Replication: kept, Quotas: shared, Health: p.below(), CountersEnabled: own.Counts, Name: start.Name, ListenAddr: own.FleetListen, Voters: voters, JoinAddrs: own.FleetJoin,
-		LoadPlan: p.plans(start, clock), LeaseTerms: memberTerms(own), OnLeaseExpiry: silent, Rollout: rollout(own), Seed: start.Seed, Build: build(),
-		Now: clock.Now, UnixNow: clock.UnixNow, RelayAddrs: via, OnTracePoint: dieAt(), Apply: p.apply,
+	f, err := fleet.Start(context.Background(), fleet.Config{
+		Name:            start.Name,
+		ListenAddr:      own.FleetListen,
+		Voters:          voters,
+		JoinAddrs:       own.FleetJoin,
+		Seed:            start.Seed,
+		Build:           build(),
+		Clock:           clock,
+		Lease:           fleet.LeaseConfig{Terms: memberTerms(own), Fallback: silent},
+		Rollout:         rollout(own),
+		Replication:     kept,
+		Trust:           callers,
+		Quotas:          shared,
+		Health:          p.below(),
+		LoadPlan:        p.plans(start, clock),
+		CountersEnabled: own.Counts,
+		Apply:           p.apply,
 		Publish: func(to *serving.Directive) {
 			here := *to
 			here.ChangesAt = clock.ToSource(to.ChangesAt)
 			loop.SetDirective(&here)
-		}})
+		},
+		Hooks: fleet.Hooks{TranslateAddr: translateAddr, TracePoint: dieAt()},
+	})
 	if err != nil {
 		return err
 	}
@@ -133,7 +150,7 @@
 		loop.ReportTrustedClients(f.ReportTrusted, replication.MaxTrustedClients)
 	}
 	if own.FleetControl != "" {
-		if _, err := f.ServeControl(own.FleetControl); err != nil {
+		if err := f.ServeControl(context.Background(), own.FleetControl); err != nil {
 			return fmt.Errorf("fleet-control: %w", err)
 		}
 	}
@@ -243,7 +260,7 @@
 
 // forTests is what only tests set: SWIFTCOURSE_TEST_CLOCK=OFF,RATE has the fleet's clock so many seconds off, and run at that rate;
 // SWIFTCOURSE_TEST_VIA=ADDR=RELAY,... has peers reached through relays.
-func forTests(now func() float64) (*fleet.Clock, map[string]string, error) {
+func forTests(now func() float64) (clock *fleet.Clock, translateAddr func(string) string, err error) {
 	off, rate := 0.0, 1.0
 	if text := os.Getenv("SWIFTCOURSE_TEST_CLOCK"); text != "" {
 		a, b, _ := strings.Cut(text, ",")
@@ -261,11 +278,17 @@
 			via[addr] = relay
 		}
 	}
-	return fleet.NewClock(now, now(), off, rate), via, nil
+	translateAddr = func(addr string) string {
+		if relay, is := via[addr]; is {
+			return relay
+		}
+		return addr
+	}
+	return fleet.NewClock(now, now(), off, rate), translateAddr, nil
 }
 
 // dieAt is for tests: SWIFTCOURSE_TEST_DIE=POINT,N,S kills the process as it passes a point for the Nth time, S seconds after its start.
-func dieAt() func(point string) {
+func dieAt() func(fleet.TracePoint) {
 	words := strings.Split(os.Getenv("SWIFTCOURSE_TEST_DIE"), ",")
 	if len(words) != 3 {
 		return nil
@@ -276,8 +299,8 @@
 		return nil
 	}
 	from := time.Now()
-	return func(point string) {
-		if point == words[0] && time.Since(from).Seconds() >= after {
+	return func(point fleet.TracePoint) {
+		if point.String() == words[0] && time.Since(from).Seconds() >= after {
 			if left--; left == 0 {
 				_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
 			}
--- /dev/null
+++ b/internal/fleet/agent.go
@@ -0,0 +1,194 @@
+package fleet
+
+import (
+	"log/slog"
+	"math/rand/v2"
+	"slices"
+
+	"swiftcourse/internal/policy/consensus"
+	"swiftcourse/internal/policy/lease"
+	"swiftcourse/internal/policy/release"
+	wire "swiftcourse/internal/wire/fleet"
+)
+
+// Agent decides for one process in its fleet. It has no goroutine and no clock of its own: its
+// owner passes it each message, calls Tick when NextWakeup is reached, and never calls two methods
+// at once.
+type Agent struct {
+	config      Config
+	logger      *slog.Logger
+	incarnation uint64
+	network     Network
+	random      *rand.Rand
+	voterNames  []string // sorted
+	handlers    [wire.KindCount]handler
+	components  []component // in the order in which they run
+
+	voter     *consensus.Voter // nil if this process does not vote
+	lease     leaseState
+	releases  releaseState
+	audits    auditState
+	commands  map[uint64]*pendingCommand // by the command's ID
+	published lease.Snapshot
+
+	// Nil for those that are off.
+	replication *replicator
+	trust       *trustSharer
+	quotas      *quotaManager
+	health      *healthMonitor
+	counters    *counterManager
+	loadPlan    *loadPlanner
+}
+
+// handler handles messages of one kind.
+type handler func(now float64, message *wire.Envelope)
+
+// component is a concern that the configuration turns on.
+type component interface {
+	// nextWakeup returns when tick has something to do.
+	nextWakeup(now float64) float64
+	// tick does what is due.
+	tick(now float64)
+}
+
+// commandPollInterval is the longest that an agent sleeps while a command, an audit or a release is
+// under way, in seconds.
+const commandPollInterval = 0.1
+
+// NewAgent returns the agent of an incarnation that begins.
+func NewAgent(config Config, incarnation uint64, network Network, random *rand.Rand) *Agent {
+	a := &Agent{
+		config:      config,
+		logger:      config.logger(),
+		incarnation: incarnation,
+		network:     network,
+		random:      random,
+		commands:    map[uint64]*pendingCommand{},
+	}
+	for name := range config.Voters {
+		a.voterNames = append(a.voterNames, name)
+	}
+	slices.Sort(a.voterNames)
+	now := a.Now()
+	a.startVoter(now)
+	a.startLease(now)
+	a.startReleases()
+	a.startAudits()
+	a.publish()
+	a.startComponents(now)
+	return a
+}
+
+// startComponents starts the concerns that are on.
+func (a *Agent) startComponents(now float64) {
+	if a.config.Replication != nil {
+		a.replication = newReplicator(a, now)
+		a.components = append(a.components, a.replication)
+	}
+	if a.config.Trust != nil {
+		a.trust = newTrustSharer(a, now)
+		a.components = append(a.components, a.trust)
+	}
+	if a.config.Quotas != nil {
+		a.quotas = newQuotaManager(a, now)
+		a.components = append(a.components, a.quotas)
+	}
+	if a.config.Health != nil {
+		a.health = newHealthMonitor(a, now)
+		a.components = append(a.components, a.health)
+	}
+	if a.config.CountersEnabled {
+		a.counters = newCounterManager(a, now)
+		a.components = append(a.components, a.counters)
+	}
+	if a.config.LoadPlan != nil {
+		a.loadPlan = newLoadPlanner(a, now)
+		a.components = append(a.components, a.loadPlan)
+	}
+}
+
+// handle has messages of some kinds go to a handler.
+func (a *Agent) handle(handle handler, kinds ...wire.Kind) {
+	for _, kind := range kinds {
+		a.handlers[kind] = handle
+	}
+}
+
+// Incarnation returns the number that tells this start of the process from its others.
+func (a *Agent) Incarnation() uint64 { return a.incarnation }
+
+// Now returns the agent's clock in seconds.
+func (a *Agent) Now() float64 { return a.config.Clock.Now() }
+
+// unixNow returns the time of day in seconds.
+func (a *Agent) unixNow() float64 { return a.config.Clock.UnixNow() }
+
+// ReleaseLog returns the release log as this process knows it. It must not be changed.
+func (a *Agent) ReleaseLog() *release.Log { return a.releases.log }
+
+// ServingState returns what was published last, and the version on which the process acts.
+func (a *Agent) ServingState() (lease.Snapshot, release.Version) {
+	return a.published, a.releases.active
+}
+
+// HandleMessage handles one message. A kind for which this process has no use is dropped.
+func (a *Agent) HandleMessage(now float64, message *wire.Envelope) {
+	if handle := a.handlers[message.Kind()]; handle != nil {
+		handle(now, message)
+	}
+}
+
+// NextWakeup returns when Tick is to be called.
+func (a *Agent) NextWakeup() float64 {
+	next := min(a.lease.holder.NextWakeup(), a.published.ChangesAt, a.nextAccountSummary())
+	if a.voter != nil {
+		next = min(next, a.voter.NextWakeup())
+	}
+	now := a.Now()
+	for _, c := range a.components {
+		next = min(next, c.nextWakeup(now))
+	}
+	if len(a.commands) > 0 || len(a.audits.runs) > 0 || a.isBehind() {
+		next = min(next, a.Now()+commandPollInterval)
+	}
+	return next
+}
+
+// isBehind reports whether this process does not act on the version yet that it is assigned.
+func (a *Agent) isBehind() bool {
+	return a.lease.holder.AssignedEpoch() > a.releases.active.Epoch
+}
+
+// Tick does what is due, sends what there is to send, and publishes what changed.
+func (a *Agent) Tick(now float64) {
+	if a.voter != nil {
+		a.voter.Tick(now)
+		a.runVoter(now)
+	}
+	a.expireLease(now)
+	a.fetchAssignedVersion(now)
+	a.recordVersionStats()
+	if a.lease.holder.NextWakeup() <= now {
+		a.requestLease(now)
+	}
+	a.fetchReleaseLog(now)
+	a.gossipAccount(now)
+	a.forgetAccounts(now)
+	a.retryCommands(now)
+	a.expireAudits(now)
+	for _, c := range a.components {
+		c.tick(now)
+	}
+	a.sendVoterMessages()
+	a.publish()
+}
+
+// publish hands the serving loop its directive if that changed.
+func (a *Agent) publish() {
+	snapshot := a.lease.holder.Snapshot()
+	snapshot.Stats = a.releases.stats
+	if snapshot != a.published {
+		a.published = snapshot
+		a.config.Publish(&snapshot.Directive)
+	}
+}
--- /dev/null
+++ b/internal/fleet/audit.go
@@ -0,0 +1,225 @@
+package fleet
+
+import (
+	"swiftcourse/internal/policy/audit"
+	"swiftcourse/internal/policy/lease"
+	"swiftcourse/internal/policy/release"
+	"swiftcourse/internal/policy/replication"
+	wire "swiftcourse/internal/wire/fleet"
+)
+
+// auditState is the process's book of who acted on what, how it is gossiped, and the audits that
+// are under way.
+type auditState struct {
+	book            *audit.Book
+	lastSummary     float64
+	lastForget      float64
+	urgentSummaries int // summaries that follow one another sooner, as there is news
+	runs            map[uint64]*auditRun
+	lastRunID       uint64
+}
+
+// auditRun is an audit that waits for others' accounts.
+type auditRun struct {
+	deadline float64
+	awaiting map[string]bool // names of members that have not answered
+	result   auditResult
+	done     func(*auditResult)
+}
+
+// auditResult is what an audit found out.
+type auditResult struct {
+	accounts   []audit.Account
+	alive      map[uint64]bool // incarnations that answered
+	releaseLog *release.Log    // the newest that any voter knows; nil if no joined voter answered
+	servers    []lease.ServerStatus
+	replicas   map[string]*replication.Status // of all that keep or claim anything
+}
+
+const (
+	summaryInterval       = 2.0  // seconds between two account summaries
+	urgentSummaryInterval = 0.15 // the same after a change
+	// urgentSummaryCount summaries follow a change: with three others told each time, one in e^9
+	// hears of it only by its own request.
+	urgentSummaryCount = 3
+	forgetInterval     = 60.0 // seconds between two looks through the book for names that are nobody's
+	auditTimeout       = 2.0  // seconds that an audit waits for those that don't answer
+	maxAccountsInReply = 500
+	// releaseLogOnly is the request ID of a state request that asks for a newer release log and for
+	// nothing else.
+	releaseLogOnly = 0
+)
+
+func (a *Agent) startAudits() {
+	a.audits.book = audit.NewBook(a.config.Name, a.incarnation, a.unixNow())
+	a.audits.book.Begin(a.unixNow(), 0, "", reasonStarted)
+	a.audits.runs = map[uint64]*auditRun{}
+	a.handle(a.handleAccountSummary, wire.KindAccountSummary)
+	a.handle(a.handleStateRequest, wire.KindStateRequest)
+	a.handle(a.handleStateReply, wire.KindStateReply)
+}
+
+// nextAccountSummary returns when the next account summary is due.
+func (a *Agent) nextAccountSummary() float64 {
+	if a.audits.urgentSummaries > 0 {
+		return a.audits.lastSummary + urgentSummaryInterval
+	}
+	return a.audits.lastSummary + summaryInterval
+}
+
+// gossipAccount tells some others what this process acted on lately.
+func (a *Agent) gossipAccount(now float64) {
+	if now < a.nextAccountSummary() {
+		return
+	}
+	a.audits.lastSummary = now
+	a.audits.urgentSummaries = max(0, a.audits.urgentSummaries-1)
+	summary := a.audits.book.Brief()
+	a.gossip(gossipFanout, &wire.Envelope{AccountSummary: &summary})
+}
+
+func (a *Agent) handleAccountSummary(now float64, message *wire.Envelope) {
+	a.audits.book.Hear(*message.AccountSummary)
+	a.noteNewestEpoch(now, message.AccountSummary)
+}
+
+// forgetAccounts drops the accounts of names that are neither registered nor members.
+func (a *Agent) forgetAccounts(now float64) {
+	if now < a.audits.lastForget+forgetInterval || len(a.releases.log.Members) == 0 {
+		return
+	}
+	a.audits.lastForget = now
+	a.audits.book.Forget(func(name string) bool {
+		_, registered := a.releases.log.Members[name]
+		return registered || a.network.HasMember(name)
+	})
+}
+
+// handleStateRequest answers who asks for accounts. A voter adds the release log, a leader how all
+// servers stand.
+func (a *Agent) handleStateRequest(now float64, message *wire.Envelope) {
+	request := message.StateRequest
+	isAudit := request.RequestID != releaseLogOnly
+	reply := &wire.StateReply{RequestID: request.RequestID}
+	if isAudit {
+		a.recordVersionStats()
+		reply.Replication = a.ReplicationStatus()
+		reply.Accounts = a.accounts(request.Names)
+		reply.Accounts = reply.Accounts[max(0, len(reply.Accounts)-maxAccountsInReply):]
+	}
+	known := &release.Log{
+		Current:      release.Version{Epoch: release.NewEpoch(request.ClusterID, 0)},
+		AppliedCount: request.AppliedCount,
+	}
+	if a.releases.log.NewerThan(known) && (a.voter != nil || !isAudit) {
+		reply.ReleaseLog = a.releases.log
+	}
+	if !isAudit && reply.ReleaseLog == nil {
+		return
+	}
+	if isAudit && a.hasJoinedCluster() {
+		reply.Servers = a.serverStatuses(now)
+	}
+	a.reply(message, &wire.Envelope{StateReply: reply})
+}
+
+// accounts returns what was heard of some names, nil for all, and the process's own account as the
+// last.
+func (a *Agent) accounts(names []string) []audit.Account {
+	return append(a.audits.book.Heard(names), a.audits.book.Own())
+}
+
+// serverStatuses returns how all servers stand, nil unless this process is the leader.
+func (a *Agent) serverStatuses(now float64) []lease.ServerStatus {
+	if a.lease.grantor == nil || !a.isConfirmedLeader(now) {
+		return nil
+	}
+	return a.lease.grantor.ServerStatuses(now, a.releases.log)
+}
+
+func (a *Agent) handleStateReply(_ float64, message *wire.Envelope) {
+	reply := message.StateReply
+	a.observeReleaseLog(reply.ReleaseLog)
+	run := a.audits.runs[reply.RequestID]
+	if run == nil || !run.awaiting[message.From] {
+		return
+	}
+	delete(run.awaiting, message.From)
+	run.result.add(message)
+}
+
+// add takes over one process's reply.
+func (r *auditResult) add(message *wire.Envelope) {
+	reply := message.StateReply
+	for _, account := range reply.Accounts {
+		if account.Name == message.From && account.Life == message.Incarnation {
+			r.alive[account.Life] = true
+		}
+		r.accounts = append(r.accounts, account)
+	}
+	if reply.ReleaseLog != nil && (r.releaseLog == nil || reply.ReleaseLog.NewerThan(r.releaseLog)) {
+		r.releaseLog = reply.ReleaseLog
+	}
+	if reply.Servers != nil {
+		r.servers = reply.Servers
+	}
+	if reply.Replication != nil {
+		r.replicas[message.From] = reply.Replication
+	}
+}
+
+// startAudit asks all members what they acted on, and calls done once with what came in time.
+func (a *Agent) startAudit(now float64, done func(*auditResult)) {
+	a.audits.lastRunID++
+	run := &auditRun{
+		deadline: now + auditTimeout,
+		awaiting: map[string]bool{},
+		result: auditResult{
+			alive:    map[uint64]bool{a.incarnation: true},
+			replicas: map[string]*replication.Status{},
+		},
+		done: done,
+	}
+	if own := a.ReplicationStatus(); own != nil {
+		run.result.replicas[a.config.Name] = own
+	}
+	a.recordVersionStats()
+	run.result.accounts = a.accounts(nil)
+	if a.hasJoinedCluster() {
+		run.result.releaseLog = a.releases.log
+		run.result.servers = a.serverStatuses(now)
+	}
+	a.audits.runs[a.audits.lastRunID] = run
+	absent := a.absentServers()
+	for name, addr := range a.network.Members() {
+		run.awaiting[name] = true
+		request := &wire.StateRequest{RequestID: a.audits.lastRunID, Names: absent}
+		a.send(addr, &wire.Envelope{StateRequest: request})
+	}
+}
+
+// absentServers returns the names of registered servers that are no members, of which the others
+// are asked what they heard.
+func (a *Agent) absentServers() []string {
+	var names []string
+	for name := range a.releases.log.Members {
+		if name != a.config.Name && !a.network.HasMember(name) && len(names) < maxAccountsInReply {
+			names = append(names, name)
+		}
+	}
+	if names == nil {
+		return []string{""} // an empty list would ask for all
+	}
+	return names
+}
+
+// expireAudits ends the audits that all members answered, or whose time is over.
+func (a *Agent) expireAudits(now float64) {
+	for id, run := range a.audits.runs {
+		complete := len(run.awaiting) == 0 && run.result.releaseLog != nil
+		if now > run.deadline || complete {
+			delete(a.audits.runs, id)
+			run.done(&run.result)
+		}
+	}
+}
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -3,8 +3,6 @@
 import (
 	"bytes"
 	"encoding/json"
-	"errors"
-	"fmt"
 	"io"
 	"net/http"
 	"net/url"
@@ -12,64 +10,71 @@
 	"swiftcourse/internal/policy/release"
 )
 
-// maxResponse bounds an answer that is read, in bytes: the accounts of a thousand servers.
+// maxResponse bounds a response that is read, in bytes: the accounts of a thousand servers.
 const maxResponse = 16 << 20
 
-// FetchStatus asks the server whose Control listens there what it knows of the fleet; since leaves out versions before that epoch, "" none.
+// The functions of this file ask a process's control API at addr. What the server itself answered
+// with an error is a *ControlError.
+
+// FetchStatus returns what the process knows of the fleet. Versions before the epoch since are left
+// out; "" leaves out none.
 func FetchStatus(addr, since string) (*Status, error) {
-	s := &Status{}
-	return s, callControl(addr, http.MethodGet, "/state?since="+url.QueryEscape(since), nil, s)
+	status := &Status{}
+	return status, callControl(addr, http.MethodGet, "/state?since="+url.QueryEscape(since), nil, status)
 }
 
-// FetchQuotas asks it how budgets stand there.
+// FetchQuotas returns how quotas stand at the process.
 func FetchQuotas(addr string) (*QuotaStatus, error) {
-	s := &QuotaStatus{}
-	return s, callControl(addr, http.MethodGet, "/budgets", nil, s)
+	status := &QuotaStatus{}
+	return status, callControl(addr, http.MethodGet, "/budgets", nil, status)
 }
 
-// FetchCounters asks it what is known there of what all were asked for.
+// FetchCounters returns what the process knows of the fleet's counters.
 func FetchCounters(addr string) (*CounterStatus, error) {
-	s := &CounterStatus{}
-	return s, callControl(addr, http.MethodGet, "/counts", nil, s)
+	status := &CounterStatus{}
+	return status, callControl(addr, http.MethodGet, "/counts", nil, status)
 }
 
-// FetchLoadPlan asks it how plans stand there.
+// FetchLoadPlan returns how load plans stand at the process.
 func FetchLoadPlan(addr string) (*LoadPlanStatus, error) {
-	s := &LoadPlanStatus{}
-	return s, callControl(addr, http.MethodGet, "/plans", nil, s)
+	status := &LoadPlanStatus{}
+	return status, callControl(addr, http.MethodGet, "/plans", nil, status)
 }
 
-// SendCommand asks it for a command, and tells the newest epoch after it. A refusal is an error in the leader's words.
-func SendCommand(addr string, c release.Command) (release.Epoch, error) {
-	b, err := json.Marshal(c)
+// SendCommand has a command carried out, and returns the newest epoch after it.
+func SendCommand(addr string, command release.Command) (release.Epoch, error) {
+	body, err := json.Marshal(command)
 	if err != nil {
 		return 0, err
 	}
-	var said struct{ Newest release.Epoch }
-	err = callControl(addr, http.MethodPost, "/command", b, &said)
-	return said.Newest, err
+	var response commandResponse
+	err = callControl(addr, http.MethodPost, "/command", body, &response)
+	return response.Newest, err
 }
 
-func callControl(addr, method, path string, body []byte, to any) error {
-	r, err := http.NewRequest(method, "http://"+addr+path, bytes.NewReader(body))
+// callControl sends a request and decodes the response into result.
+func callControl(addr, method, path string, body []byte, result any) error {
+	request, err := http.NewRequest(method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	answer, err := (&http.Client{Timeout: controlTimeout}).Do(r) // longer than a server waits for the others
+	client := &http.Client{Timeout: controlTimeout} // longer than a server waits for the others
+	response, err := client.Do(request)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(answer.Body, maxResponse))
+	defer func() { _ = response.Body.Close() }()
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
 	if err != nil {
 		return err
 	}
-	if answer.StatusCode != http.StatusOK {
-		var said struct{ Error string }
-		if json.Unmarshal(text, &said) == nil && said.Error != "" {
-			return errors.New(said.Error)
-		}
-		return fmt.Errorf("%s: %s", addr, answer.Status)
+	if response.StatusCode == http.StatusOK {
+		return json.Unmarshal(content, result)
+	}
+	failure := &ControlError{Addr: addr, Status: response.Status}
+	var message errorResponse
+	if json.Unmarshal(content, &message) == nil {
+		failure.Message = message.Error
 	}
-	return json.Unmarshal(text, to)
+	return failure
 }
--- /dev/null
+++ b/internal/fleet/commands.go
@@ -0,0 +1,95 @@
+package fleet
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"swiftcourse/internal/policy/release"
+	wire "swiftcourse/internal/wire/fleet"
+)
+
+// pendingCommand is an operator's command whose end is not known yet.
+type pendingCommand struct {
+	command     *release.Command
+	nextAttempt float64
+	deadline    float64
+	done        func(wire.CommandResult)
+}
+
+const (
+	maxPendingCommands   = 64   // operators' commands that wait for their end
+	commandTimeout       = 10.0 // seconds that an operator waits for a command
+	commandRetryInterval = 0.5  // seconds
+)
+
+// SubmitCommand submits an operator's command, and calls done once with how it ended. A command
+// that expects no epoch is meant for the newest that this process knows of.
+func (a *Agent) SubmitCommand(now float64, command release.Command, done func(wire.CommandResult)) {
+	if len(a.commands) >= maxPendingCommands {
+		done(wire.CommandResult{RejectReason: reasonTooManyCommands})
+		return
+	}
+	command.ID = a.random.Uint64() | 1
+	command.IssuedAt = a.unixNow()
+	if command.ExpectedEpoch == 0 {
+		command.ExpectedEpoch = a.releases.log.NewestEpoch()
+	}
+	a.commands[command.ID] = &pendingCommand{command: &command, deadline: now + commandTimeout, done: done}
+}
+
+// handleCommand accepts an operator's command that came by another process.
+func (a *Agent) handleCommand(now float64, message *wire.Envelope) {
+	command := message.Command
+	if a.commands[command.ID] != nil || command.ID == 0 || len(a.commands) >= maxPendingCommands {
+		return
+	}
+	request := *message
+	a.commands[command.ID] = &pendingCommand{
+		command:  command,
+		deadline: now + commandTimeout,
+		done: func(result wire.CommandResult) {
+			a.reply(&request, &wire.Envelope{CommandResult: &result})
+		},
+	}
+}
+
+func (a *Agent) handleCommandResult(_ float64, message *wire.Envelope) {
+	a.finishCommand(*message.CommandResult)
+}
+
+// finishCommand ends a pending command.
+func (a *Agent) finishCommand(result wire.CommandResult) {
+	if pending := a.commands[result.ID]; pending != nil {
+		delete(a.commands, result.ID)
+		pending.done(result)
+	}
+}
+
+// retryCommands proposes or sends pending commands again until their end is known.
+func (a *Agent) retryCommands(now float64) {
+	for _, id := range slices.Sorted(maps.Keys(a.commands)) { // sorted, so that a simulation repeats itself
+		pending := a.commands[id]
+		switch {
+		case now > pending.deadline:
+			newest := a.releases.log.NewestEpoch()
+			a.finishCommand(wire.CommandResult{ID: id, RejectReason: reasonNoMajority, NewestEpoch: newest})
+		case now >= pending.nextAttempt:
+			pending.nextAttempt = now + commandRetryInterval
+			a.attemptCommand(pending.command)
+		}
+	}
+}
+
+// attemptCommand proposes a command, or sends it to the leader or some voter.
+func (a *Agent) attemptCommand(command *release.Command) {
+	if a.hasJoinedCluster() {
+		a.voter.Propose(command)
+		return
+	}
+	if len(a.voterNames) == 0 {
+		return
+	}
+	name := cmp.Or(a.lease.holder.Leader(), a.voterNames[a.random.IntN(len(a.voterNames))])
+	a.send(a.config.Voters[name], &wire.Envelope{Command: command})
+}
--- /dev/null
+++ b/internal/fleet/counters.go
@@ -0,0 +1,170 @@
+package fleet
+
+import (
+	"math"
+	"strconv"
+
+	"swiftcourse/internal/policy/counter"
+	"swiftcourse/internal/policy/release"
+	"swiftcourse/internal/policy/serving"
+	wire "swiftcourse/internal/wire/fleet"
+)
+
+// counterManager reports what the serving loop counted to the aggregators, which are the voters,
+// and is one if the process votes. The leader has the rows of servers that are gone closed, which
+// adds them to the totals in the release log.
+type counterManager struct {
+	agent      *Agent
+	reporter   *counter.Reporter
+	aggregator *counter.Aggregator // nil if this process does not vote
+	closedRows map[uint64]uint64   // sequence at which a row was closed, by row
+	indexedAt  uint64              // AppliedCount of the release log from which closedRows was made
+	gapLogged  bool                // the log was told that something may be missing
+}
+
+// newCounterManager starts a row of this incarnation. What an earlier one reported is in a row of
+// its own.
+func newCounterManager(a *Agent, now float64) *counterManager {
+	c := &counterManager{
+		agent:      a,
+		reporter:   counter.NewReporter(a.config.Name, a.incarnation, a.voterNames, now),
+		closedRows: map[uint64]uint64{},
+		indexedAt:  math.MaxUint64,
+	}
+	a.handle(c.handleAck, wire.KindCounterAck)
+	if a.voter != nil {
+		incarnation := uint64(max(0, a.unixNow()*1000))<<16 | a.incarnation>>48 // of the aggregator
+		c.aggregator = counter.NewAggregator(a.config.Name, a.voterNames, incarnation, c.closedRow, now)
+		a.handle(c.handleReport, wire.KindCounterReport)
+		a.handle(c.handleSyncRequest, wire.KindCounterSyncRequest)
+		a.handle(c.handleSyncReply, wire.KindCounterSyncReply)
+	}
+	return c
+}
+
+// closedRow returns the sequence at which a row was closed.
+func (c *counterManager) closedRow(row uint64) (sequence uint64, closed bool) {
+	if log := c.agent.releases.log; c.indexedAt != log.AppliedCount {
+		c.indexedAt = log.AppliedCount
+		clear(c.closedRows)
+		for _, r := range log.ClosedRows {
+			c.closedRows[r.ID] = r.Sequence
+		}
+	}
+	sequence, closed = c.closedRows[row]
+	return sequence, closed
+}
+
+// ObserveCounts takes what the serving loop counted. Without counters it has no effect.
+func (a *Agent) ObserveCounts(cells []serving.CounterCell) {
+	if a.counters != nil {
+		a.counters.reporter.Add(cells)
+	}
+}
+
+func (c *counterManager) nextWakeup(float64) float64 {
+	next := c.reporter.NextWakeup()
+	if c.aggregator != nil {
+		next = min(next, c.aggregator.NextWakeup())
+	}
+	return next
+}
+
+func (c *counterManager) tick(now float64) {
+	if c.reporter.NextWakeup() <= now {
+		c.deliver(now, c.reporter.DueReports(now))
+	}
+	if c.aggregator != nil && c.aggregator.NextWakeup() <= now {
+		c.maintainAggregator(now)
+	}
+}
+
+// maintainAggregator has the aggregator learn from others, and closes the rows of those who are
+// gone.
+func (c *counterManager) maintainAggregator(now float64) {
+	leads := c.agent.lease.grantor != nil && c.agent.isConfirmedLeader(now)
+	isGone := func(name string, incarnation uint64) bool {
+		return c.agent.releases.log.Members[name] != incarnation
+	}
+	outbox, closable := c.aggregator.Maintain(now, leads, isGone)
+	c.deliver(now, outbox)
+	c.closeRows(closable)
+	if gaps := c.aggregator.IncompleteRecoveries(); gaps > 0 && !c.gapLogged {
+		c.gapLogged = true
+		c.agent.logger.Info("counter_recovery_incomplete",
+			"incomplete_recoveries", gaps,
+			"reason", "too few aggregators that knew all rows were there when this one started")
+	}
+}
+
+// deliver brings messages to aggregators, of which this process may be one.
+func (c *counterManager) deliver(now float64, outbox []counter.Envelope) {
+	for _, outgoing := range outbox {
+		message := &wire.Envelope{CounterReport: outgoing.Report, CounterSyncRequest: outgoing.Query}
+		c.agent.sendToVoter(now, outgoing.To, message)
+	}
+}
+
+// closeRows has the voters add up rows that are over. A command that is lost is proposed again.
+func (c *counterManager) closeRows(reports []counter.RowReport) {
+	if len(reports) == 0 || c.agent.lease.grantor == nil {
+		return
+	}
+	command := release.Command{Kind: release.KindCloseCounters, Author: leaderAuthor}
+	for _, report := range reports {
+		row := release.CounterRow{ID: report.RowID, Sequence: report.Sequence, Cells: report.Cells}
+		command.CounterRows = append(command.CounterRows, row)
+	}
+	c.agent.propose([]release.Command{command})
+}
+
+// leaderAuthor is the author of the leader's own commands.
+const leaderAuthor = "leader"
+
+func (c *counterManager) handleAck(now float64, message *wire.Envelope) {
+	c.reporter.HandleAck(now, message.From, message.CounterAck)
+}
+
+func (c *counterManager) handleReport(now float64, message *wire.Envelope) {
+	ack := c.aggregator.HandleReport(now, message.CounterReport)
+	c.agent.respond(now, message, &wire.Envelope{CounterAck: &ack})
+}
+
+func (c *counterManager) handleSyncRequest(now float64, message *wire.Envelope) {
+	reply := c.aggregator.HandleQuery(now, message.CounterSyncRequest)
+	c.agent.respond(now, message, &wire.Envelope{CounterSyncReply: reply})
+}
+
+func (c *counterManager) handleSyncReply(now float64, message *wire.Envelope) {
+	c.closeRows(c.aggregator.HandleQueryReply(now, message.From, message.CounterSyncReply))
+}
+
+// CounterStatus is what a process knows of the fleet's counters.
+type CounterStatus struct {
+	Name         string                `json:"Name"`
+	Aggregators  []string              `json:"Keepers"` // who know what all counted
+	Incarnation  string                `json:"Life"`    // of this process, hexadecimal
+	Unreported   []serving.CounterCell `json:"Here"`    // what it counted that is not closed
+	Acknowledged bool                  `json:"Agreed"`  // most aggregators have all of that
+	Unplaced     uint64                `json:"Unplaced"`
+	Totals       *counter.Summary      `json:"Known"` // nil if it is no aggregator
+}
+
+// CounterStatus returns what is known here of the fleet's counters, nil if nothing is counted.
+func (a *Agent) CounterStatus(now float64) *CounterStatus {
+	c := a.counters
+	if c == nil {
+		return nil
+	}
+	status := &CounterStatus{
+		Name:        a.config.Name,
+		Aggregators: a.voterNames,
+		Incarnation: strconv.FormatUint(a.incarnation, 16),
+		Unplaced:    c.reporter.Unaccounted,
+	}
+	status.Unreported, status.Acknowledged = c.reporter.CurrentRow()
+	if c.aggregator != nil {
+		status.Totals = c.aggregator.Summary(now, a.releases.log.ClosedTotals)
+	}
+	return status
+}
--- /dev/null
+++ b/internal/fleet/errors.go
@@ -0,0 +1,52 @@
+package fleet
+
+import (
+	"errors"
+	"fmt"
+)
+
+// Errors of the control API and of the Node's queries.
+var (
+	// ErrAgentBusy means that the agent did not accept a request in time.
+	ErrAgentBusy = errors.New("the fleet agent of this process is busy")
+	// ErrAgentDown means that the agent accepted a request and did not answer it in time, as it
+	// does while it restarts.
+	ErrAgentDown = errors.New("the fleet agent of this process is down")
+	// ErrNoReleaseLog means that no voter of a joined cluster answered, so that nobody knows the
+	// release log.
+	ErrNoReleaseLog = errors.New("no voter of a joined cluster answered: nobody knows the release log")
+	// ErrCountersOff means that the process counts nothing.
+	ErrCountersOff = errors.New("nothing is counted: fleet-counts is off")
+	// ErrTooManyRequests means that the control API serves as many requests as it may.
+	ErrTooManyRequests = errors.New("too many control requests at once")
+)
+
+// Reasons for which a command is rejected before the leader has seen it.
+const (
+	reasonTooManyCommands = "too many commands are pending"
+	reasonNoMajority      = "no majority of the voters answered in time; it may still be carried out"
+)
+
+// CommandRejectedError is a command that was not carried out, or is not known to have been.
+type CommandRejectedError struct {
+	Reason string // in the leader's words
+}
+
+// Error returns the reason.
+func (e *CommandRejectedError) Error() string { return e.Reason }
+
+// ControlError is a control request that the server answered with an error.
+type ControlError struct {
+	Addr    string // of the control API
+	Status  string // of HTTP
+	Message string // in the server's words, "" if it sent none
+}
+
+// Error returns the server's message if there is one, and otherwise where the request went and its
+// status.
+func (e *ControlError) Error() string {
+	if e.Message != "" {
+		return e.Message
+	}
+	return fmt.Sprintf("%s: %s", e.Addr, e.Status)
+}
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -8,117 +8,122 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// This file is a process's part in judging the service below: what became of its calls goes to the judge, words to a few others, who pass them on, and
-// how many calls may be out back to the loop.
-
-// HealthConfig is what a process does with it.
+// HealthConfig is how the process takes part in judging the service below, which all servers call.
 type HealthConfig struct {
-	Zone    string          // of this server, "" where zones are not told
-	OnLimit func(CallLimit) // hands the serving loop how many calls may be out
+	Zone    string          // of this server, "" where zones are not known
+	OnLimit func(CallLimit) // hands the serving loop how many calls may be in flight
 }
 
-// CallLimit is how many calls may be out.
+// CallLimit is how many calls to the service below may be in flight.
 type CallLimit struct {
-	MaxInFlight float64 // +Inf for as many as without
-	Probe       int64   // not 0 where one call is a try, of which there is to be one for each number
+	MaxInFlight float64 // +Inf for no limit
+	Probe       int64   // not 0 where one call is a probe, of which there is to be one for each number
 }
 
-// healthState is the part's state of it.
-type healthState struct {
-	*HealthConfig
-	judge        *circuitbreaker.Breaker
+const (
+	// healthDecisionInterval is how often the service is judged, in seconds.
+	healthDecisionInterval = 0.1
+	// healthReportInterval is how often others are told, in seconds: gossipFanout of them each
+	// time, with the newest reports of maxRelayedReports servers, so that a thousand have heard of
+	// one within a second and a half.
+	healthReportInterval = 0.25
+	maxRelayedReports    = 16
+	// maxZones bounds how many servers' zones are known.
+	maxZones = 4096
+)
+
+// healthMonitor judges the service below by what became of this server's calls and of others'.
+type healthMonitor struct {
+	agent        *Agent
+	config       *HealthConfig
+	breaker      *circuitbreaker.Breaker
 	nextDecision float64
 	lastReport   float64
 	limit        CallLimit
 	zones        map[string]string // of others, by what they say
 }
 
-const (
-	// healthDecisionEvery is how often it is judged, and sayEvery how often others hear: three of them each time, with the newest words of maxPassed servers,
-	// so that a thousand have heard of one within a second and a half.
-	healthDecisionEvery, healthReportEvery, maxRelayedReports = 0.1, 0.25, 16
-	// maxCallStats wait for the goroutine.
-	maxCallStats = 16
-	// maxZones bounds whose zones are known.
-	maxZones = 4096
-)
-
-// ReportCalls takes what became of the loop's calls, from any goroutine.
-func (f *Node) ReportCalls(c serving.CallStats) {
-	select {
-	case f.callStats <- c:
-	default:
+func newHealthMonitor(a *Agent, now float64) *healthMonitor {
+	h := &healthMonitor{
+		agent:        a,
+		config:       a.config.Health,
+		breaker:      circuitbreaker.New(a.config.Name, a.config.Health.Zone, now),
+		nextDecision: now,
+		lastReport:   now,
+		limit:        CallLimit{MaxInFlight: math.Inf(1)},
+		zones:        map[string]string{},
 	}
+	a.handle(h.handleReports, wire.KindHealthReports)
+	return h
 }
 
-func (f *Agent) beginHealth(now float64) {
-	if f.Health != nil {
-		f.health = &healthState{HealthConfig: f.Config.Health, judge: circuitbreaker.New(f.Name, f.Config.Health.Zone, now), nextDecision: now, lastReport: now, limit: CallLimit{MaxInFlight: math.Inf(1)}, zones: map[string]string{}}
+// ObserveCalls takes what became of the serving loop's calls. Without health it has no effect.
+func (a *Agent) ObserveCalls(now float64, calls serving.CallStats) {
+	if a.health == nil {
+		return
 	}
-}
-
-// ObserveCalls takes what became of the loop's calls.
-func (f *Agent) ObserveCalls(now float64, c serving.CallStats) {
-	if b := f.health; b != nil {
-		b.judge.RecordCalls(now, circuitbreaker.Tally{Succeeded: c.Succeeded, Failed: c.Failed, SuccessSeconds: c.TotalSeconds}, float64(c.InFlight))
+	tally := circuitbreaker.Tally{
+		Succeeded:      calls.Succeeded,
+		Failed:         calls.Failed,
+		SuccessSeconds: calls.TotalSeconds,
 	}
+	a.health.breaker.RecordCalls(now, tally, float64(calls.InFlight))
 }
 
-func (f *Agent) takeHealth(now float64, m *wire.Envelope) {
-	b := f.health
-	if b == nil {
-		return
-	}
-	for _, w := range m.HealthReports {
-		if b.judge.HandleReport(now, w) && (len(b.zones) < maxZones || b.zones[w.Server] != "") {
-			b.zones[w.Server] = w.Zone
+func (h *healthMonitor) handleReports(now float64, message *wire.Envelope) {
+	for _, report := range message.HealthReports {
+		known := h.zones[report.Server] != ""
+		if h.breaker.HandleReport(now, report) && (known || len(h.zones) < maxZones) {
+			h.zones[report.Server] = report.Zone
 		}
 	}
 }
 
-// near lists the servers of this one's zone, as far as it is known.
-func (f *Agent) near() (names []string) {
-	for name := range f.network.Members() {
-		if f.health.Zone == "" || f.health.zones[name] == f.health.Zone {
+// zonePeers returns the servers of this one's zone, as far as it is known.
+func (h *healthMonitor) zonePeers() (names []string) {
+	for name := range h.agent.network.Members() {
+		if h.config.Zone == "" || h.zones[name] == h.config.Zone {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-func (f *Agent) dueHealth(now float64) {
-	b := f.health
-	if b == nil {
-		return
+func (h *healthMonitor) nextWakeup(float64) float64 {
+	return min(h.nextDecision, h.lastReport+healthReportInterval)
+}
+
+func (h *healthMonitor) tick(now float64) {
+	if now >= h.nextDecision {
+		h.nextDecision = now + healthDecisionInterval
+		h.decide(now)
 	}
-	if now >= b.nextDecision {
-		b.nextDecision = now + healthDecisionEvery
-		most, changed := b.judge.Decide(now, f.near)
-		if changed {
-			state, _ := b.judge.State()
-			f.Log("fleet_below", "is", state, "most", most)
-		}
-		if held := (CallLimit{most, b.judge.ProbeSlot(now)}); held != b.limit {
-			b.limit = held
-			b.OnLimit(held)
-		}
+	if now >= h.lastReport+healthReportInterval {
+		h.lastReport = now
+		h.report(now)
 	}
-	if now >= b.lastReport+healthReportEvery {
-		b.lastReport = now
-		if len(b.zones) >= maxZones {
-			clear(b.zones) // names come and go for ever; those that are there say it again
-		}
-		if words := b.judge.GossipReports(now, f.incarnation, maxRelayedReports); len(words) > 0 {
-			for _, addr := range f.network.Sample(gossipFanout, f.random) {
-				f.send(addr, &wire.Envelope{HealthReports: words})
-			}
-		}
+}
+
+// decide judges the service, and hands the serving loop the limit if it changed.
+func (h *healthMonitor) decide(now float64) {
+	maxInFlight, changed := h.breaker.Decide(now, h.zonePeers)
+	if changed {
+		state, _ := h.breaker.State()
+		h.agent.logger.Info("circuit_breaker_changed", "state", state, "max_in_flight", maxInFlight)
+	}
+	limit := CallLimit{MaxInFlight: maxInFlight, Probe: h.breaker.ProbeSlot(now)}
+	if limit != h.limit {
+		h.limit = limit
+		h.config.OnLimit(limit)
 	}
 }
 
-func (f *Agent) nextHealth() float64 {
-	if f.health == nil {
-		return math.Inf(1)
+// report gossips the newest reports.
+func (h *healthMonitor) report(now float64) {
+	if len(h.zones) >= maxZones {
+		clear(h.zones) // names come and go for ever; those that are there report again
+	}
+	if reports := h.breaker.GossipReports(now, h.agent.incarnation, maxRelayedReports); len(reports) > 0 {
+		h.agent.gossip(gossipFanout, &wire.Envelope{HealthReports: reports})
 	}
-	return min(f.health.nextDecision, f.health.lastReport+healthReportEvery)
 }
--- /dev/null
+++ b/internal/fleet/lease.go
@@ -0,0 +1,116 @@
+package fleet
+
+import (
+	"swiftcourse/internal/policy/audit"
+	"swiftcourse/internal/policy/lease"
+	"swiftcourse/internal/policy/release"
+	wire "swiftcourse/internal/wire/fleet"
+)
+
+// leaseState is the process's own lease, and those that it grants while it leads.
+type leaseState struct {
+	holder      *lease.Holder
+	grantor     *lease.Grantor // nil unless this process leads
+	nextVoter   int            // which voter is asked next while no leader is known
+	newestHeard release.Epoch  // the newest epoch that anybody was heard to act on
+}
+
+const (
+	// maxUnanswered requests to one leader have no reply before another voter is asked.
+	maxUnanswered = 2
+	// leaseRequestJitter spreads the requests that follow the news of a release, in seconds: a
+	// thousand servers that hear of one at once are 5,000 requests a second then, a thousandth of
+	// what a leader answers.
+	leaseRequestJitter = 0.2
+)
+
+func (a *Agent) startLease(now float64) {
+	c := &a.config
+	a.lease.holder = lease.NewHolder(c.Name, a.incarnation, c.ListenAddr, c.Build, c.Lease.Fallback,
+		c.Lease.Terms.Duration, now)
+	a.handle(a.handleLeaseRequest, wire.KindLeaseRequest)
+	a.handle(a.handleLeaseReply, wire.KindLeaseReply)
+}
+
+// requestLease asks the leader for a lease, or the next voter while none is known.
+func (a *Agent) requestLease(now float64) {
+	holder := a.lease.holder
+	request := holder.NewRequest(now)
+	name := holder.Leader()
+	if _, votes := a.config.Voters[name]; !votes {
+		if len(a.voterNames) == 0 {
+			return
+		}
+		name = a.voterNames[a.lease.nextVoter%len(a.voterNames)]
+		a.lease.nextVoter++
+	} else if holder.Unanswered() > maxUnanswered {
+		holder.HandleLeaderUnreachable(now)
+	}
+	a.sendToVoter(now, name, &wire.Envelope{LeaseRequest: &request})
+}
+
+// handleLeaseRequest answers a server that asks for a lease. Who does not lead says who does.
+func (a *Agent) handleLeaseRequest(now float64, message *wire.Envelope) {
+	request := message.LeaseRequest
+	reply := lease.Reply{
+		Incarnation: request.Incarnation,
+		Number:      request.Number,
+		Verdict:     lease.VerdictRetry,
+	}
+	if a.voter != nil {
+		a.voter.ObserveClusterID(request.ActiveEpoch.ClusterID())
+		reply.Leader = a.voter.Leader()
+	}
+	if a.isConfirmedLeader(now) && a.lease.grantor != nil {
+		var commands []release.Command
+		reply, commands = a.lease.grantor.HandleRequest(now, request, a.releases.log, true)
+		reply.Leader = a.config.Name
+		a.propose(commands)
+	} else if reply.Leader == a.config.Name {
+		reply.Leader = ""
+	}
+	response := &wire.Envelope{LeaseReply: &reply}
+	if request.Name == a.config.Name && request.Incarnation == a.incarnation {
+		a.HandleMessage(now, response)
+		return
+	}
+	a.send(request.Addr, response)
+}
+
+func (a *Agent) handleLeaseReply(now float64, message *wire.Envelope) {
+	if a.lease.holder.HandleReply(now, message.LeaseReply) {
+		a.logLeaseState()
+	}
+}
+
+// expireLease lets the process's own lease run out.
+func (a *Agent) expireLease(now float64) {
+	if a.lease.holder.Expire(now) {
+		a.logLeaseState()
+	}
+}
+
+func (a *Agent) logLeaseState() {
+	state, _, reason := a.lease.holder.State()
+	a.logger.Info("lease_state_changed",
+		"state", state, "reason", reason, "assigned_epoch", a.lease.holder.AssignedEpoch())
+}
+
+// isNewEpoch reports whether an epoch is newer than what this process was assigned and has heard
+// of.
+func (a *Agent) isNewEpoch(epoch release.Epoch) bool {
+	return epoch > max(a.lease.newestHeard, a.lease.holder.AssignedEpoch())
+}
+
+// noteNewestEpoch hears that others act on a newer release: the leader is asked soon, once for each
+// epoch, and not by all in one instant.
+func (a *Agent) noteNewestEpoch(now float64, account *audit.Account) {
+	if len(account.Intervals) == 0 {
+		return
+	}
+	newest := account.Intervals[len(account.Intervals)-1].Epoch
+	if a.isNewEpoch(newest) {
+		a.lease.newestHeard = newest
+		a.lease.holder.RequestBy(now + leaseRequestJitter*a.random.Float64())
+	}
+}
--- /dev/null
+++ b/internal/fleet/loadplan.go
@@ -0,0 +1,132 @@
+package fleet
+
+import (
+	"math"
+
+	"swiftcourse/internal/policy/loadplan"
+	wire "swiftcourse/internal/wire/fleet"
+)
+
+// LoadPlanConfig is how the process takes part in load plans: a forwarder reports to the leader of
+// the planners and goes by its share of the plan.
+type LoadPlanConfig struct {
+	IsPlanner bool // it makes plans while it leads
+	// Report returns a forwarder's report, nil while there is none; it is nil for who forwards
+	// nothing.
+	Report func(now float64) *loadplan.Report
+	// OnShare hands the serving loop its share, which holds until freshUntil by the agent's clock.
+	OnShare func(share *loadplan.Part, freshUntil float64)
+}
+
+// loadPlanner reports for a forwarder, and makes plans while the process leads the planners.
+type loadPlanner struct {
+	agent      *Agent
+	config     *LoadPlanConfig
+	holder     *loadplan.Holder
+	planner    *loadplan.Planner // nil unless this process leads
+	nextReport float64
+	freshUntil float64 // of the share that was taken last
+}
+
+func newLoadPlanner(a *Agent, now float64) *loadPlanner {
+	p := &loadPlanner{
+		agent:      a,
+		config:     a.config.LoadPlan,
+		holder:     loadplan.NewHolder(a.incarnation),
+		nextReport: now,
+	}
+	a.handle(p.handleReport, wire.KindForwarderReport)
+	a.handle(p.handleShare, wire.KindPlanShare)
+	return p
+}
+
+// updateLeadership starts and ends planning with the term in which this process leads: a planner
+// that leads again has another term.
+func (p *loadPlanner) updateLeadership(now float64) {
+	if !p.config.IsPlanner {
+		return
+	}
+	if !p.agent.isConfirmedLeader(now) {
+		p.planner = nil
+		return
+	}
+	clusterID, term := p.agent.voter.Term()
+	if p.planner != nil {
+		plannerClusterID, plannerTerm := p.planner.Term()
+		if plannerClusterID == clusterID && plannerTerm == term {
+			return
+		}
+	}
+	p.planner = loadplan.New(clusterID, term, now)
+	p.agent.logger.Info("load_planner_started", "cluster_id", clusterID, "term", term)
+}
+
+func (p *loadPlanner) nextWakeup(float64) float64 {
+	if p.config.Report == nil {
+		return math.Inf(1)
+	}
+	return p.nextReport
+}
+
+// tick sends the forwarder's report to the leader.
+func (p *loadPlanner) tick(now float64) {
+	if p.config.Report == nil || now < p.nextReport {
+		return
+	}
+	p.nextReport = now + loadplan.Every
+	report := p.config.Report(now)
+	if report == nil {
+		return
+	}
+	report.Name = p.agent.config.Name
+	p.holder.Report(now, report)
+	p.agent.sendToVoter(now, p.agent.lease.holder.Leader(), &wire.Envelope{ForwarderReport: report})
+}
+
+// handleReport answers a forwarder's report with its share of the plan.
+func (p *loadPlanner) handleReport(now float64, message *wire.Envelope) {
+	report := message.ForwarderReport
+	if p.planner == nil || !p.agent.isConfirmedLeader(now) {
+		return
+	}
+	if report.Name != message.From || report.Life != message.Incarnation {
+		return
+	}
+	if share := p.planner.Read(now, report); share != nil {
+		p.agent.respond(now, message, &wire.Envelope{PlanShare: share})
+	}
+}
+
+// handleShare goes over to a newer share.
+func (p *loadPlanner) handleShare(now float64, message *wire.Envelope) {
+	if freshUntil := p.holder.Take(now, message.PlanShare); freshUntil > now && p.config.OnShare != nil {
+		p.freshUntil = freshUntil
+		p.config.OnShare(message.PlanShare, freshUntil)
+	}
+}
+
+// LoadPlanStatus is how load plans stand at a process.
+type LoadPlanStatus struct {
+	Name     string            `json:"Name"`
+	Leader   string            `json:"Leader"`
+	Current  loadplan.Number   `json:"Holds"` // of the plan that a forwarder goes by, or went by last
+	FreshFor float64           `json:"Till"`  // seconds, negative while it ages
+	Stale    int               `json:"Stale"` // shares that were too old to be taken
+	Planner  *loadplan.Account `json:"Makes"` // nil where this process makes no plans
+}
+
+// LoadPlanStatus returns how load plans stand here.
+func (a *Agent) LoadPlanStatus(now float64) *LoadPlanStatus {
+	status := &LoadPlanStatus{Name: a.config.Name, Leader: a.lease.holder.Leader()}
+	p := a.loadPlan
+	if p == nil {
+		return status
+	}
+	status.Current = p.holder.Holds()
+	status.Stale = p.holder.Stale
+	status.FreshFor = p.freshUntil - now
+	if p.planner != nil && a.isConfirmedLeader(now) {
+		status.Planner = p.planner.Account(now)
+	}
+	return status
+}
--- /dev/null
+++ b/internal/fleet/quota.go
@@ -0,0 +1,134 @@
+package fleet
+
+import (
+	"swiftcourse/internal/policy/quota"
+	"swiftcourse/internal/policy/release"
+	wire "swiftcourse/internal/wire/fleet"
+)
+
+// QuotaConfig is how the process takes part in the quotas that all servers share.
+type QuotaConfig struct {
+	Settings func() quota.Config // as the version says on which the server acts
+	// OnAllowances hands the serving loop what it may use, by the agent's clock.
+	OnAllowances func([]quota.Allowance)
+}
+
+// Usage is what the serving loop used of a quota lately.
+type Usage struct {
+	Name   string
+	Demand float64 // requests a second that were asked for
+	Open   float64 // calls in flight
+	Answer uint64  // GrantNumber of the allowance that the loop goes by
+}
+
+// quotaManager leases the process's share of each quota, and grants shares while the process leads.
+type quotaManager struct {
+	agent   *Agent
+	config  *QuotaConfig
+	holder  *quota.Holder
+	grantor *quota.Grantor // nil unless this process leads
+}
+
+func newQuotaManager(a *Agent, now float64) *quotaManager {
+	q := &quotaManager{
+		agent:  a,
+		config: a.config.Quotas,
+		holder: quota.NewHolder(a.incarnation, a.config.Quotas.Settings(), now),
+	}
+	a.handle(q.handleRequest, wire.KindQuotaRequest)
+	a.handle(q.handleReply, wire.KindQuotaReply)
+	q.publish()
+	return q
+}
+
+// ObserveUsage takes what the serving loop used. Without quotas it has no effect.
+func (a *Agent) ObserveUsage(now float64, usage []Usage) {
+	if a.quotas == nil {
+		return
+	}
+	for _, used := range usage {
+		a.quotas.holder.RecordUsage(now, used.Name, used.Demand, used.Open, used.Answer)
+	}
+}
+
+// applyConfig goes over to the settings of the version on which the server acts now.
+func (q *quotaManager) applyConfig(now float64) {
+	settings := q.config.Settings()
+	q.holder.ApplyConfig(settings, now)
+	if q.grantor != nil {
+		q.grantor.ApplyConfig(settings)
+	}
+}
+
+// updateLeadership starts and ends granting with the grantor of server leases.
+func (q *quotaManager) updateLeadership(now float64) {
+	switch {
+	case q.agent.lease.grantor == nil:
+		q.grantor = nil
+	case q.grantor == nil:
+		q.grantor = quota.NewGrantor(q.config.Settings(), q.agent.random.Uint64()|1, now)
+	}
+}
+
+func (q *quotaManager) nextWakeup(float64) float64 { return q.holder.NextWakeup() }
+
+func (q *quotaManager) tick(now float64) {
+	if q.holder.NextWakeup() <= now {
+		if request := q.holder.NextRequest(now); request != nil {
+			q.agent.sendToVoter(now, q.agent.lease.holder.Leader(), &wire.Envelope{QuotaRequest: request})
+		}
+	}
+	q.publish()
+}
+
+// publish hands the serving loop the allowances that changed.
+func (q *quotaManager) publish() {
+	if allowances := q.holder.TakeChanges(); allowances != nil {
+		q.config.OnAllowances(allowances)
+	}
+}
+
+// handleRequest answers a server's request. Only who holds its name is granted shares: others have
+// their guaranteed part at most.
+func (q *quotaManager) handleRequest(now float64, message *wire.Envelope) {
+	if q.grantor == nil || q.agent.releases.log.Members[message.From] != message.Incarnation {
+		return
+	}
+	reply := q.grantor.HandleRequest(now, message.QuotaRequest, q.agent.isConfirmedLeader(now))
+	if reply != nil {
+		q.agent.respond(now, message, &wire.Envelope{QuotaReply: reply})
+	}
+}
+
+func (q *quotaManager) handleReply(now float64, message *wire.Envelope) {
+	q.holder.HandleReply(now, message.QuotaReply)
+}
+
+// QuotaStatus is how quotas stand at a process.
+type QuotaStatus struct {
+	Now      float64             `json:"Now"` // of the agent's clock
+	Leader   string              `json:"Leader"`
+	IsLeader bool                `json:"Leads"`
+	Held     []quota.Allowance   `json:"Here,omitempty"`    // shares that this process holds, by the agent's clock
+	Granted  []quota.LimitStatus `json:"Granted,omitempty"` // at the leader
+	Epoch    release.Epoch       `json:"Epoch"`
+}
+
+// maxQuotasListed bounds what operators are shown.
+const maxQuotasListed = 1000
+
+// quotaStatus returns how quotas stand here.
+func (a *Agent) quotaStatus(now float64) *QuotaStatus {
+	status := &QuotaStatus{Now: now, Leader: a.lease.holder.Leader(), Epoch: a.releases.active.Epoch}
+	if a.quotas == nil {
+		return status
+	}
+	if held := a.quotas.holder.ActiveLeases(now); len(held) > 0 {
+		status.Held = held[:min(len(held), maxQuotasListed)]
+	}
+	status.IsLeader = a.quotas.grantor != nil && a.isConfirmedLeader(now)
+	if status.IsLeader {
+		status.Granted = a.quotas.grantor.Status(now, maxQuotasListed)
+	}
+	return status
+}
--- /dev/null
+++ b/internal/fleet/status.go
@@ -0,0 +1,84 @@
+package fleet
+
+import (
+	"swiftcourse/internal/policy/audit"
+	"swiftcourse/internal/policy/lease"
+	"swiftcourse/internal/policy/release"
+	"swiftcourse/internal/policy/replication"
+)
+
+// Status is what a process tells an operator of itself and of the fleet. The JSON keys are those of
+// the control API.
+type Status struct {
+	Name              string                         `json:"Name"`
+	Incarnation       uint64                         `json:"Life"`
+	LeaseState        string                         `json:"Standing"`
+	Reason            string                         `json:"Why"`
+	ActiveEpoch       release.Epoch                  `json:"Acts"`
+	AssignedEpoch     release.Epoch                  `json:"Right"`
+	Leader            string                         `json:"Leader"`
+	MayGoOutOfService bool                           `json:"MayLeave"` // once its lease expired, see fleet-silent
+	DroppedMessages   uint64                         `json:"Lost"`     // without room, or that could not be decoded
+	ReleaseLog        *release.Log                   `json:"Order"`
+	Servers           []lease.ServerStatus           `json:"Standings"`
+	Audit             audit.Report                   `json:"Report"`
+	Replicas          map[string]*replication.Status `json:"Copies"` // of all that keep or claim anything and answered
+}
+
+// QueryStatus audits the fleet, and returns what this process knows of it. Versions before the
+// epoch since are left out.
+func (n *Node) QueryStatus(since release.Epoch) (*Status, error) {
+	done := make(chan *auditResult, 1)
+	start := func(now float64) { n.agent.startAudit(now, func(result *auditResult) { done <- result }) }
+	if err := n.call(start); err != nil {
+		return nil, err
+	}
+	result, err := await(done, seconds(auditTimeout)+requestTimeout)
+	if err != nil {
+		return nil, err
+	}
+	if result.releaseLog == nil {
+		return nil, ErrNoReleaseLog
+	}
+	report := audit.Make(result.releaseLog, result.servers, result.accounts, result.alive, since)
+	status, err := query(n, (*Agent).status)
+	if err != nil {
+		return nil, err
+	}
+	status.DroppedMessages = n.dropped.Load()
+	status.ReleaseLog = result.releaseLog
+	status.Servers = result.servers
+	status.Audit = report
+	status.Replicas = result.replicas
+	return status, nil
+}
+
+// status returns how this process stands itself.
+func (a *Agent) status(float64) *Status {
+	state, _, reason := a.lease.holder.State()
+	return &Status{
+		Name:              a.config.Name,
+		Incarnation:       a.incarnation,
+		LeaseState:        state.String(),
+		Reason:            reason,
+		ActiveEpoch:       a.releases.active.Epoch,
+		AssignedEpoch:     a.lease.holder.AssignedEpoch(),
+		Leader:            a.lease.holder.Leader(),
+		MayGoOutOfService: a.lease.holder.MayGoOutOfService(),
+	}
+}
+
+// QueryQuotas returns how quotas stand here.
+func (n *Node) QueryQuotas() (*QuotaStatus, error) { return query(n, (*Agent).quotaStatus) }
+
+// QueryLoadPlan returns how load plans stand here.
+func (n *Node) QueryLoadPlan() (*LoadPlanStatus, error) { return query(n, (*Agent).LoadPlanStatus) }
+
+// QueryCounters returns what is known here of the fleet's counters, or ErrCountersOff.
+func (n *Node) QueryCounters() (*CounterStatus, error) {
+	status, err := query(n, (*Agent).CounterStatus)
+	if err == nil && status == nil {
+		err = ErrCountersOff
+	}
+	return status, err
+}
--- /dev/null
+++ b/internal/fleet/trust.go
@@ -0,0 +1,121 @@
+package fleet
+
+import (
+	"math"
+
+	"swiftcourse/internal/policy/connlimit"
+	"swiftcourse/internal/policy/replication"
+	wire "swiftcourse/internal/wire/fleet"
+)
+
+// TrustConfig is how the clients that servers trust are shared among them.
+type TrustConfig struct {
+	Retention  float64 // seconds for which others' trust records are kept
+	MaxClients int     // that a server takes over from others
+	// OnTrusted hands the serving loop clients that other servers trust.
+	OnTrusted func([]connlimit.Earned)
+}
+
+const (
+	// trustAcceptFor is how long after its start a server takes over others' records, in seconds:
+	// by then its clients have had time to earn trust here, and whoever lies to it later bends
+	// nothing.
+	trustAcceptFor = 30.0
+	// trustRequestInterval and trustRequestFor: some others are asked at once, and again until one
+	// has answered; seconds.
+	trustRequestInterval = 0.2
+	trustRequestFor      = 5.0
+	// trustReportInterval is how often others are told, in seconds, gossipFanout of them each time:
+	// a client known to one server is known to a fourth of what is left after two die.
+	trustReportInterval = 4.0
+	// maxTrustRecords go in one reply: 16 lists of 256 clients are 100 KB.
+	maxTrustRecords = 16
+)
+
+// trustSharer tells others which clients this server trusts, and learns theirs while it is new.
+type trustSharer struct {
+	agent       *Agent
+	config      *TrustConfig
+	records     *replication.TrustTable // of others
+	own         replication.TrustRecord
+	started     float64
+	lastRequest float64
+	lastReport  float64
+	received    bool // others' records, so that nobody need be asked any more
+}
+
+func newTrustSharer(a *Agent, now float64) *trustSharer {
+	t := &trustSharer{
+		agent:       a,
+		config:      a.config.Trust,
+		records:     replication.NewTrustTable(a.config.Trust.Retention),
+		started:     now,
+		lastRequest: math.Inf(-1),
+		lastReport:  now,
+	}
+	a.handle(t.handleRequest, wire.KindTrustRequest)
+	a.handle(t.handleRecords, wire.KindTrustRecords)
+	return t
+}
+
+// observeTrusted takes the clients that this server's connection limiter trusts.
+func (a *Agent) observeTrusted(clients []connlimit.Earned) {
+	if a.trust == nil {
+		return
+	}
+	a.trust.own = replication.TrustRecord{
+		Name:        a.config.Name,
+		Incarnation: a.incarnation,
+		Sequence:    uint64(max(0, a.unixNow()*1000)),
+		Clients:     clients,
+	}
+}
+
+// asks reports whether others are still to be asked for their records.
+func (t *trustSharer) asks(now float64) bool { return !t.received && now < t.started+trustRequestFor }
+
+func (t *trustSharer) nextWakeup(now float64) float64 {
+	if t.asks(now) {
+		return t.lastRequest + trustRequestInterval
+	}
+	return t.lastReport + trustReportInterval
+}
+
+func (t *trustSharer) tick(now float64) {
+	if t.asks(now) && now >= t.lastRequest+trustRequestInterval {
+		t.lastRequest = now
+		t.agent.gossip(gossipFanout, &wire.Envelope{TrustRequest: true})
+	}
+	if now < t.lastReport+trustReportInterval {
+		return
+	}
+	t.lastReport = now
+	if len(t.own.Clients) > 0 {
+		t.agent.gossip(gossipFanout, &wire.Envelope{TrustRecords: []replication.TrustRecord{t.own}})
+	}
+}
+
+// handleRequest answers a server that is new.
+func (t *trustSharer) handleRequest(now float64, message *wire.Envelope) {
+	records := t.records.RecordsFor(now, message.From, maxTrustRecords-1)
+	if len(t.own.Clients) > 0 {
+		records = append(records, t.own)
+	}
+	if len(records) > 0 {
+		t.agent.reply(message, &wire.Envelope{TrustRecords: records})
+	}
+}
+
+// handleRecords takes in others' records.
+func (t *trustSharer) handleRecords(now float64, message *wire.Envelope) {
+	news := false
+	for _, record := range message.TrustRecords {
+		if t.records.Observe(now, record) {
+			news = true
+		}
+	}
+	if news && now < t.started+trustAcceptFor {
+		t.received = true
+		t.config.OnTrusted(t.records.MergedClients(now, t.config.MaxClients))
+	}
+}
--- a/internal/lab/emulate/budgets.go
+++ b/internal/lab/emulate/budgets.go
@@ -11,7 +11,7 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// Shared is a fleet that shares a budget of one tenant's tasks, in simulated time, decided by the parts of package peers: demand that moves, a third
+// Shared is a fleet that shares a budget of one tenant's tasks, in simulated time, decided by the parts of package fleet: demand that moves, a third
 // of the fleet cut off, then faults as the seed says. Beside it, at the same demand and cuts, stand three ways of having no leased parts.
 type Shared struct {
 	Servers int
--- a/internal/lab/emulate/counts.go
+++ b/internal/lab/emulate/counts.go
@@ -7,7 +7,7 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// Counts is a fleet that counts what it is asked for, in simulated time: the parts of package peers under faults by the seed, held against what each
+// Counts is a fleet that counts what it is asked for, in simulated time: the parts of package fleet under faults by the seed, held against what each
 // life really counted.
 type Counts struct {
 	Servers int
--- a/internal/lab/emulate/levels.go
+++ b/internal/lab/emulate/levels.go
@@ -11,7 +11,7 @@
 	"swiftcourse/internal/policy/routing"
 )
 
-// Levels is a fleet of two levels in simulated time: the planners' and forwarders' parts of package peers, the routers of judge/route, and workers that
+// Levels is a fleet of two levels in simulated time: the planners' and forwarders' parts of package fleet, the routers of judge/route, and workers that
 // run tasks on a number of cores, reject what would wait for too long, and may die. Load is uneven over forwarders, and workers differ.
 type Levels struct {
 	Forwarders int
--- a/internal/lab/emulate/versions.go
+++ b/internal/lab/emulate/versions.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"log/slog"
 	"math"
 	"math/rand/v2"
 	"slices"
@@ -16,7 +17,7 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// Versions is a fleet whose servers talk about versions, in simulated time: the parts of package peers themselves, over a network that
+// Versions is a fleet whose servers talk about versions, in simulated time: the parts of package fleet themselves, over a network that
 // delays, loses, doubles and cuts. Who is there is told at once and rightly, where the program has it by gossip.
 type Versions struct {
 	Servers int
@@ -196,8 +197,19 @@
 	if s.plans != nil {
 		plans = s.plans(clock)
 	}
-	s.part = fleet.NewPart(fleet.Config{LoadPlan: plans, Quotas: shared, CountersEnabled: s.counts, Name: s.name, ListenAddr: s.name, Voters: s.voters, LeaseTerms: versionTerms, OnLeaseExpiry: lease.FallbackOutOfService,
-		Replication: s.copies(), Rollout: release.RolloutPolicy{WaveSeconds: 1, HaltConfidence: 1}, Build: "b", Log: func(string, ...any) {}, Now: clock.Now, UnixNow: clock.UnixNow,
+	s.part = fleet.NewAgent(fleet.Config{
+		Name:            s.name,
+		ListenAddr:      s.name,
+		Voters:          s.voters,
+		Build:           "b",
+		Clock:           clock,
+		Logger:          slog.New(slog.DiscardHandler),
+		Lease:           fleet.LeaseConfig{Terms: versionTerms, Fallback: lease.FallbackOutOfService},
+		Rollout:         release.RolloutPolicy{WaveSeconds: 1, HaltConfidence: 1},
+		Replication:     s.copies(),
+		Quotas:          shared,
+		LoadPlan:        plans,
+		CountersEnabled: s.counts,
 		Apply: func(string) error {
 			if s.refuses {
 				return errors.New("its limits differ")
@@ -207,7 +219,8 @@
 		Publish: func(to *serving.Directive) {
 			s.view = *to
 			s.view.ChangesAt = clock.ToSource(to.ChangesAt)
-		}}, s.chance.Uint64()|1, s, s.chance)
+		},
+	}, s.chance.Uint64()|1, s, s.chance)
 	s.turn()
 }
 
--- a/internal/lab/faults/budget_test.go
+++ b/internal/lab/faults/budget_test.go
@@ -37,7 +37,7 @@
 		}
 		asked, finished, rejected := d.Counts()
 		t.Logf("asked %d, finished %d, rejected %d; at most %.1f over the budget", asked, finished, rejected, d.Over(shared, f.Names...))
-		if n := len(f.Said("", "fleet_panic")); n > 0 {
+		if n := len(f.Said("", "fleet_agent_panic")); n > 0 {
 			t.Errorf("%d panics", n)
 		}
 	})
@@ -226,7 +226,7 @@
 	f.await(t, "n5 serves", served("n5", 3))
 	dead.Store(true)
 	for _, name := range f.Names {
-		f.await(t, name+" knows it dead", f.hasSaid(name, "fleet_below", "is", "dead"))
+		f.await(t, name+" knows it dead", f.hasSaid(name, "circuit_breaker_changed", "state", "dead"))
 	}
 	time.Sleep(2 * time.Second)
 	calls.Store(0)
@@ -258,10 +258,10 @@
 	f.await(t, "n2 serves", func() bool { return d.Rate("n2", 2*time.Second) > 25 })
 	bad := "n4"
 	mine.Store(&bad)
-	f.await(t, "n4 knows it dead", f.hasSaid("n4", "fleet_below", "is", "dead"))
+	f.await(t, "n4 knows it dead", f.hasSaid("n4", "circuit_breaker_changed", "state", "dead"))
 	time.Sleep(3 * time.Second)
 	for _, name := range []string{"n1", "n2", "n3", "n5"} {
-		if f.hasSaid(name, "fleet_below", "is", "dead")() || f.hasSaid(name, "fleet_below", "is", "sick")() {
+		if f.hasSaid(name, "circuit_breaker_changed", "state", "dead")() || f.hasSaid(name, "circuit_breaker_changed", "state", "sick")() {
 			t.Errorf("%s shut it out, by another's bad link", name)
 		}
 	}
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -61,7 +61,7 @@
 		if twice := f.TwoDigests(); len(twice) > 0 {
 			t.Errorf("two digests in epochs %v", twice)
 		}
-		if panics := append(f.Said("", "fleet_panic"), f.Said("", "panic")...); len(panics) > 0 {
+		if panics := append(f.Said("", "fleet_agent_panic"), f.Said("", "panic")...); len(panics) > 0 {
 			t.Errorf("panics: %v", panics)
 		}
 		f.Close()
@@ -143,7 +143,7 @@
 		t.Error("the cut-off side acts on something new")
 	}
 	f.await(t, "the cut-off side knows that it hears nothing", func() bool {
-		said := f.Said("n4", "fleet_standing")
+		said := f.Said("n4", "lease_state_changed")
 		return len(said) > 0 && said[len(said)-1].Fields["state"] == "silent"
 	})
 	f.Net.Heal()
@@ -237,9 +237,9 @@
 	f.await(t, "all act on it", func() bool { return f.AllOn(e, f.Names...) })
 	time.Sleep(3 * time.Second) // more than a lease
 	for _, name := range f.Names {
-		for _, s := range f.Said(name, "fleet_standing") {
+		for _, s := range f.Said(name, "lease_state_changed") {
 			if s.Fields["state"] != "acting" {
-				t.Errorf("%s was %s: %s", name, s.Fields["state"], s.Fields["why"])
+				t.Errorf("%s was %s: %s", name, s.Fields["state"], s.Fields["reason"])
 			}
 		}
 	}
@@ -248,7 +248,7 @@
 		t.Fatal(err)
 	}
 	defer twin.Kill()
-	f.await(t, "the second process is told that its name is taken", f.hasSaid("n4", "fleet_standing", "state", "taken"))
+	f.await(t, "the second process is told that its name is taken", f.hasSaid("n4", "lease_state_changed", "state", "taken"))
 	if s, err := f.State("n4"); err != nil || s.LeaseState != "acting" {
 		t.Errorf("the first process: %+v, %v", s, err)
 	}
@@ -357,7 +357,7 @@
 			})
 		}
 	}
-	f.await(t, "it is rolled back", f.hasSaid("", "fleet_order", "command", "revert"))
+	f.await(t, "it is rolled back", f.hasSaid("", "command_finished", "command", "revert"))
 	stop()
 	callers.Wait()
 	f.await(t, "all act on the version after it", func() bool {
@@ -430,7 +430,7 @@
 // is no word of it.
 func TestWhatAnEarlierLifeSaidIsOver(t *testing.T) {
 	f := &Fleet{lives: map[string]int{}}
-	for _, line := range []string{"event=fleet", "event=fleet_copies cold=256", "event=fleet_copies cold=0", "event=fleet_acts epoch=1.7"} {
+	for _, line := range []string{"event=fleet", "event=replica_status_changed catching_up=256", "event=replica_status_changed catching_up=0", "event=config_applied epoch=1.7"} {
 		f.hear("n1", line)
 	}
 	if !f.Warm("n1") || f.ActsOn("n1") != release.NewEpoch(1, 7) {
@@ -440,12 +440,12 @@
 	if f.Warm("n1") || f.ActsOn("n1") != 0 || f.Last("n1", "fleet").Event != "" {
 		t.Errorf("started again and silent: warm %v, on %s", f.Warm("n1"), f.ActsOn("n1"))
 	}
-	f.hear("n1", "event=fleet_copies cold=256")
-	f.hear("n2", "event=fleet_copies cold=0")
+	f.hear("n1", "event=replica_status_changed catching_up=256")
+	f.hear("n2", "event=replica_status_changed catching_up=0")
 	if f.Warm("n1") {
 		t.Error("warm while it says that it is cold")
 	}
-	f.hear("n1", "event=fleet_copies cold=0")
+	f.hear("n1", "event=replica_status_changed catching_up=0")
 	if !f.Warm("n1", "n2") {
 		t.Error("not warm though it says so")
 	}
--- a/internal/lab/faults/fleet.go
+++ b/internal/lab/faults/fleet.go
@@ -217,7 +217,8 @@
 func (f *Fleet) hear(name, line string) {
 	fields := labfleet.Fields(line)
 	event := fields["event"]
-	if !strings.HasPrefix(event, "fleet") && event != "worker" && event != "forwards" && event != "forward_panic" && event != "stance" && event != "panic" {
+	if !strings.HasPrefix(event, "fleet") && !slices.Contains(agentEvents, event) &&
+		event != "worker" && event != "forwards" && event != "forward_panic" && event != "stance" && event != "panic" {
 		return
 	}
 	f.mu.Lock()
@@ -225,6 +226,10 @@
 	f.said = append(f.said, Said{name, time.Now(), event, fields})
 }
 
+// agentEvents are those of package fleet's log lines that experiments look for, beside the ones that begin with its name.
+var agentEvents = []string{"config_applied", "lease_state_changed", "command_finished", "replica_status_changed", "circuit_breaker_changed",
+	"load_planner_started"}
+
 // Said lists what a server said of an event; "" for all servers, or all events.
 func (f *Fleet) Said(name, event string) (list []Said) {
 	f.mu.Lock()
@@ -334,7 +339,7 @@
 
 // ActsOn is the epoch on which a server last said, since its start, that it acts; 0 where it said none.
 func (f *Fleet) ActsOn(name string) release.Epoch {
-	e, err := release.ParseEpoch(f.Last(name, "fleet_acts").Fields["epoch"])
+	e, err := release.ParseEpoch(f.Last(name, "config_applied").Fields["epoch"])
 	if err != nil {
 		return 0
 	}
@@ -354,7 +359,7 @@
 // Warm tells whether holders last said, since their start, that they may answer for all that they hold.
 func (f *Fleet) Warm(names ...string) bool {
 	for _, name := range names {
-		if f.Last(name, "fleet_copies").Fields["cold"] != "0" {
+		if f.Last(name, "replica_status_changed").Fields["catching_up"] != "0" {
 			return false
 		}
 	}
@@ -364,7 +369,7 @@
 // TwoDigests lists epochs with which servers said more than one digest.
 func (f *Fleet) TwoDigests() (epochs []string) {
 	digests := map[string]string{}
-	for _, s := range f.Said("", "fleet_acts") {
+	for _, s := range f.Said("", "config_applied") {
 		e, d := s.Fields["epoch"], s.Fields["digest"]
 		if was, seen := digests[e]; seen && was != d {
 			epochs = append(epochs, e)
--- a/internal/lab/faults/levels_test.go
+++ b/internal/lab/faults/levels_test.go
@@ -48,7 +48,7 @@
 		if n := f.Ledger.Twice(pay); n > 0 {
 			t.Errorf("%d tasks that must not ran twice", n)
 		}
-		if n := len(f.Said("", "forward_panic")) + len(f.Said("", "fleet_panic")); n > 0 {
+		if n := len(f.Said("", "forward_panic")) + len(f.Said("", "fleet_agent_panic")); n > 0 {
 			t.Errorf("%d panics", n)
 		}
 		f.Close()
@@ -76,7 +76,7 @@
 	const rate = 60
 	d.Set(rate, f.Front()...)
 	f.served(t, d, "well", rate)
-	f.await(t, "a planner leads", func() bool { return len(f.Said("", "fleet_plans")) > 0 })
+	f.await(t, "a planner leads", func() bool { return len(f.Said("", "load_planner_started")) > 0 })
 	for _, name := range f.Planning() {
 		if err := f.Cold(context.Background(), name); err != nil {
 			t.Fatal(err)
--- a/internal/lab/faults/replica_test.go
+++ b/internal/lab/faults/replica_test.go
@@ -104,7 +104,7 @@
 			t.Fatal(err)
 		}
 		f.await(t, name+" has learned what it missed", func() bool { return f.Warm(name) })
-		if s := f.Said(name, "fleet_copies"); s[len(s)-1].Fields["learned"] == "0" {
+		if s := f.Said(name, "replica_status_changed"); s[len(s)-1].Fields["caught_up_by_peers"] == "0" {
 			t.Errorf("%s did not learn it from others: %v", name, s[len(s)-1].Fields)
 		}
 	}
@@ -140,7 +140,7 @@
 	}
 	f.await(t, "they say that it is past", func() bool { return f.Warm("n1", "n2", "n3") })
 	for _, name := range []string{"n1", "n2", "n3"} {
-		if s := f.Said(name, "fleet_copies"); s[len(s)-1].Fields["aged"] == "0" {
+		if s := f.Said(name, "replica_status_changed"); s[len(s)-1].Fields["caught_up_by_timeout"] == "0" {
 			t.Errorf("%s claims to have learned what nobody knew: %v", name, s[len(s)-1].Fields)
 		}
 	}
--- a/internal/lab/levels/demo.go
+++ b/internal/lab/levels/demo.go
@@ -54,7 +54,7 @@
 
 // leading is the planner that said last that it leads.
 func leading(f *faults.Fleet) string {
-	if said := f.Said("", "fleet_plans"); len(said) > 0 {
+	if said := f.Said("", "load_planner_started"); len(said) > 0 {
 		return said[len(said)-1].Name
 	}
 	return f.Planning()[0]
--- a/internal/lab/levels/levels.go
+++ b/internal/lab/levels/levels.go
@@ -205,7 +205,7 @@
 		row.CoreUS = 1e6 * used / float64(max(1, finished2-finished))
 	case kills:
 		row.Service, row.P99 = service, p99
-		row.Terms = len(f.Said("", "fleet_plans"))
+		row.Terms = len(f.Said("", "load_planner_started"))
 		row.Stale = stale(f)
 	case localOnly:
 		row.LocalOnly, row.P99Local = service, p99
@@ -237,7 +237,7 @@
 		pause(ctx, time.Duration((1+3*chance.Float64())*float64(time.Second)))
 		return f.Go(which)
 	default:
-		if said := f.Said("", "fleet_plans"); len(said) > 0 && chance.IntN(2) == 0 {
+		if said := f.Said("", "load_planner_started"); len(said) > 0 && chance.IntN(2) == 0 {
 			which = said[len(said)-1].Name
 		}
 		row.Kills++
--- a/internal/lab/versions/versions.go
+++ b/internal/lab/versions/versions.go
@@ -287,14 +287,14 @@
 func (r *run) shutOut() error {
 	last := r.names[len(r.names)-1]
 	r.row.ShutOutAfter = -1
-	before := len(r.fleet.Said("", "fleet_order"))
+	before := len(r.fleet.Said("", "command_finished"))
 	if _, err := r.fleet.Release(r.names[0], "door-prefix-ipv4 24\n"); err != nil { // what the others have already
 		return err
 	}
 	from := time.Now()
 	faults.Until(healIn, func() bool {
-		for _, s := range r.fleet.Said("", "fleet_order")[before:] {
-			if s.Fields["command"] == "shut" && s.Fields["name"] == last && s.Fields["refused"] == "<nil>" {
+		for _, s := range r.fleet.Said("", "command_finished")[before:] {
+			if s.Fields["command"] == "shut" && s.Fields["name"] == last && s.Fields["rejected"] == "<nil>" {
 				r.row.ShutOutAfter = 1000 * s.At.Sub(from).Seconds()
 				return true
 			}
@@ -315,7 +315,7 @@
 				ids = append(ids, id)
 				acts[id] = nil
 			}
-		case "fleet_acts":
+		case "config_applied":
 			if len(ids) > 0 {
 				id := ids[len(ids)-1]
 				acts[id] = append(acts[id], s)
@@ -362,10 +362,10 @@
 // actedOut counts servers that said they serve while the order had them shut out.
 func (r *run) actedOut() (n int) {
 	out := map[string]time.Time{}
-	for _, s := range r.fleet.Said("", "fleet_order") {
+	for _, s := range r.fleet.Said("", "command_finished") {
 		name := s.Fields["name"]
 		switch {
-		case s.Fields["refused"] != "<nil>":
+		case s.Fields["rejected"] != "<nil>":
 		case s.Fields["command"] == "shut":
 			if _, known := out[name]; !known {
 				out[name] = s.At
@@ -399,7 +399,7 @@
 			if slices.ContainsFunc(r.disturbed[name], func(d [2]time.Time) bool { return at.After(d[0]) && at.Before(d[1]) }) {
 				continue
 			}
-			for _, s := range r.fleet.Said(name, "fleet_acts") {
+			for _, s := range r.fleet.Said(name, "config_applied") {
 				if on, err := release.ParseEpoch(s.Fields["epoch"]); err == nil && on >= e {
 					took = append(took, max(0, 1000*s.At.Sub(at).Seconds()))
 					break
