--- a/internal/fleet/audit.go
+++ b/internal/fleet/audit.go
@@ -11,7 +11,7 @@
 // auditState is the process's book of who acted on what, how it is gossiped, and the audits that
 // are under way.
 type auditState struct {
-	book            *audit.Book
+	trail           *audit.Trail
 	lastSummary     float64
 	lastForget      float64
 	urgentSummaries int // summaries that follow one another sooner, as there is news
@@ -51,8 +51,8 @@
 )
 
 func (a *Agent) startAudits() {
-	a.audits.book = audit.NewBook(a.config.Name, a.incarnation, a.unixNow())
-	a.audits.book.Begin(a.unixNow(), 0, "", reasonStarted)
+	a.audits.trail = audit.NewTrail(a.config.Name, a.incarnation, a.unixNow())
+	a.audits.trail.BeginInterval(a.unixNow(), 0, "", reasonStarted)
 	a.audits.runs = map[uint64]*auditRun{}
 	a.handle(a.handleAccountSummary, wire.KindAccountSummary)
 	a.handle(a.handleStateRequest, wire.KindStateRequest)
@@ -74,12 +74,12 @@
 	}
 	a.audits.lastSummary = now
 	a.audits.urgentSummaries = max(0, a.audits.urgentSummaries-1)
-	summary := a.audits.book.Brief()
+	summary := a.audits.trail.Summary()
 	a.gossip(gossipFanout, &wire.Envelope{AccountSummary: &summary})
 }
 
 func (a *Agent) handleAccountSummary(now float64, message *wire.Envelope) {
-	a.audits.book.Hear(*message.AccountSummary)
+	a.audits.trail.Merge(*message.AccountSummary)
 	a.noteNewestEpoch(now, message.AccountSummary)
 }
 
@@ -89,7 +89,7 @@
 		return
 	}
 	a.audits.lastForget = now
-	a.audits.book.Forget(func(name string) bool {
+	a.audits.trail.Forget(func(name string) bool {
 		_, registered := a.releases.log.Members[name]
 		return registered || a.network.HasMember(name)
 	})
@@ -126,7 +126,7 @@
 // accounts returns what was heard of some names, nil for all, and the process's own account as the
 // last.
 func (a *Agent) accounts(names []string) []audit.Account {
-	return append(a.audits.book.Heard(names), a.audits.book.Own())
+	return append(a.audits.trail.Accounts(names), a.audits.trail.Account())
 }
 
 // serverStatuses returns how all servers stand, nil unless this process is the leader.
@@ -152,8 +152,8 @@
 func (r *auditResult) add(message *wire.Envelope) {
 	reply := message.StateReply
 	for _, account := range reply.Accounts {
-		if account.Name == message.From && account.Life == message.Incarnation {
-			r.alive[account.Life] = true
+		if account.Name == message.From && account.Incarnation == message.Incarnation {
+			r.alive[account.Incarnation] = true
 		}
 		r.accounts = append(r.accounts, account)
 	}
--- a/internal/fleet/consensus.go
+++ b/internal/fleet/consensus.go
@@ -15,8 +15,12 @@
 	if _, votes := a.config.Voters[a.config.Name]; !votes {
 		return
 	}
-	seed := int64(a.random.Uint64() >> 1)
-	a.voter = consensus.NewVoter(a.config.Name, a.voterNames, seed, wire.Codec{}, now, a.unixNow())
+	a.voter = consensus.NewVoter(consensus.Config{
+		Name:   a.config.Name,
+		Voters: a.voterNames,
+		Seed:   int64(a.random.Uint64() >> 1),
+		Codec:  wire.Codec{},
+	}, now, a.unixNow())
 	a.handle(a.handleConsensus, wire.KindConsensus)
 }
 
@@ -103,7 +107,7 @@
 func (a *Agent) propose(commands []release.Command) {
 	for i := range commands {
 		commands[i].IssuedAt = a.unixNow()
-		a.voter.ProposeAsLeader(&commands[i])
+		_ = a.voter.ProposeAsLeader(&commands[i]) // whoever leads by now asks for it again
 	}
 }
 
--- a/internal/fleet/release.go
+++ b/internal/fleet/release.go
@@ -129,7 +129,7 @@
 	a.releases.applyError = ""
 	a.releases.stats = &serving.VersionStats{}
 	a.releases.recorded = recordedStats{}
-	a.audits.book.Begin(a.unixNow(), version.Epoch, version.Digest, reason)
+	a.audits.trail.BeginInterval(a.unixNow(), version.Epoch, version.Digest, reason)
 	a.lease.holder.SetActiveEpoch(version.Epoch, "")
 	if a.quotas != nil {
 		a.quotas.applyConfig(now)
@@ -146,7 +146,7 @@
 	recorded := &a.releases.recorded
 	batches := stats.Batches.Load()
 	requests := stats.Requests.Load()
-	a.audits.book.Count(a.unixNow(), batches-recorded.batches, requests-recorded.requests)
+	a.audits.trail.Record(a.unixNow(), batches-recorded.batches, requests-recorded.requests)
 	*recorded = recordedStats{batches: batches, requests: requests}
 	completed := stats.Completed.Load()
 	failed := min(stats.Failed.Load(), stats.Completed.Load())
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -40,7 +40,13 @@
 	if result.releaseLog == nil {
 		return nil, ErrNoReleaseLog
 	}
-	report := audit.Make(result.releaseLog, result.servers, result.accounts, result.alive, since)
+	evidence := audit.Evidence{
+		Log:        result.releaseLog,
+		Servers:    result.servers,
+		Accounts:   result.accounts,
+		Responding: result.alive,
+	}
+	report := audit.NewReport(evidence, since)
 	status, err := query(n, (*Agent).status)
 	if err != nil {
 		return nil, err
--- a/internal/wire/fleet/audit.go
+++ b/internal/wire/fleet/audit.go
@@ -13,17 +13,17 @@
 }
 
 func encodeAccount(a *audit.Account) *Account {
-	p := &Account{Name: a.Name, Life: a.Life, Started: a.Started, Seen: a.Seen, Dropped: a.Dropped}
+	p := &Account{Name: a.Name, Life: a.Incarnation, Started: a.Started, Seen: a.LastSeen, Dropped: a.DroppedIntervals}
 	for _, i := range a.Intervals {
 		p.Intervals = append(p.Intervals, &Interval{
-			N:       i.N,
+			N:       i.Index,
 			Epoch:   uint64(i.Epoch),
 			Digest:  i.Digest,
 			From:    i.From,
 			To:      i.To,
 			Batches: i.Batches,
-			Tasks:   i.Tasks,
-			Why:     truncate(i.Why),
+			Tasks:   i.Requests,
+			Why:     truncate(i.Reason),
 		})
 	}
 	return p
@@ -34,24 +34,24 @@
 		return nil, ErrTooLarge
 	}
 	a := &audit.Account{
-		Name:    p.GetName(),
-		Life:    p.GetLife(),
-		Started: p.GetStarted(),
-		Seen:    p.GetSeen(),
-		Dropped: p.GetDropped(),
+		Name:             p.GetName(),
+		Incarnation:      p.GetLife(),
+		Started:          p.GetStarted(),
+		LastSeen:         p.GetSeen(),
+		DroppedIntervals: p.GetDropped(),
 	}
-	err := errors.Join(checkNames(a.Name), checkFinite(a.Started), checkFinite(a.Seen))
+	err := errors.Join(checkNames(a.Name), checkFinite(a.Started), checkFinite(a.LastSeen))
 	for _, i := range p.GetIntervals() {
 		err = errors.Join(err, checkNames(i.Digest, i.Why), checkFinite(i.From), checkFinite(i.To))
 		a.Intervals = append(a.Intervals, audit.Interval{
-			N:       i.N,
-			Epoch:   release.Epoch(i.Epoch),
-			Digest:  i.Digest,
-			From:    i.From,
-			To:      i.To,
-			Batches: i.Batches,
-			Tasks:   i.Tasks,
-			Why:     i.Why,
+			Index:    i.N,
+			Epoch:    release.Epoch(i.Epoch),
+			Digest:   i.Digest,
+			From:     i.From,
+			To:       i.To,
+			Batches:  i.Batches,
+			Requests: i.Tasks,
+			Reason:   i.Why,
 		})
 	}
 	return a, err
--- a/internal/wire/fleet/samples_test.go
+++ b/internal/wire/fleet/samples_test.go
@@ -113,20 +113,20 @@
 
 func sampleAccount() audit.Account {
 	return audit.Account{
-		Name:    "n1",
-		Life:    5,
-		Started: 1,
-		Seen:    9,
-		Dropped: 2,
+		Name:             "n1",
+		Incarnation:      5,
+		Started:          1,
+		LastSeen:         9,
+		DroppedIntervals: 2,
 		Intervals: []audit.Interval{{
-			N:       2,
-			Epoch:   3,
-			Digest:  "d",
-			From:    1,
-			To:      2,
-			Batches: 4,
-			Tasks:   5,
-			Why:     "released",
+			Index:    2,
+			Epoch:    3,
+			Digest:   "d",
+			From:     1,
+			To:       2,
+			Batches:  4,
+			Requests: 5,
+			Reason:   "released",
 		}},
 	}
 }
