--- a/internal/fleet/loadplan.go
+++ b/internal/fleet/loadplan.go
@@ -8,35 +8,35 @@
 )
 
 // LoadPlanConfig is how the process takes part in load plans: a forwarder reports to the leader of
-// the planners and goes by its share of the plan.
+// the planners and goes by its assignment.
 type LoadPlanConfig struct {
 	IsPlanner bool // it makes plans while it leads
 	// Report returns a forwarder's report, nil while there is none; it is nil for who forwards
 	// nothing.
 	Report func(now float64) *loadplan.Report
-	// OnShare hands the serving loop its share, which holds until freshUntil by the agent's clock.
-	OnShare func(share *loadplan.Part, freshUntil float64)
+	// OnAssignment hands the serving loop its assignment, which holds until freshUntil by the agent's clock.
+	OnAssignment func(assignment *loadplan.Assignment, freshUntil float64)
 }
 
 // loadPlanner reports for a forwarder, and makes plans while the process leads the planners.
 type loadPlanner struct {
 	agent      *Agent
 	config     *LoadPlanConfig
-	holder     *loadplan.Holder
+	subscriber *loadplan.Subscriber
 	planner    *loadplan.Planner // nil unless this process leads
 	nextReport float64
-	freshUntil float64 // of the share that was taken last
+	freshUntil float64 // of the assignment that was accepted last
 }
 
 func newLoadPlanner(a *Agent, now float64) *loadPlanner {
 	p := &loadPlanner{
 		agent:      a,
 		config:     a.config.LoadPlan,
-		holder:     loadplan.NewHolder(a.incarnation),
+		subscriber: loadplan.NewSubscriber(a.incarnation),
 		nextReport: now,
 	}
 	a.handle(p.handleReport, wire.KindForwarderReport)
-	a.handle(p.handleShare, wire.KindPlanShare)
+	a.handle(p.handleAssignment, wire.KindPlanAssignment)
 	return p
 }
 
@@ -73,46 +73,47 @@
 	if p.config.Report == nil || now < p.nextReport {
 		return
 	}
-	p.nextReport = now + loadplan.Every
+	p.nextReport = now + loadplan.ReportIntervalSeconds
 	report := p.config.Report(now)
 	if report == nil {
 		return
 	}
 	report.Name = p.agent.config.Name
-	p.holder.Report(now, report)
+	p.subscriber.StampReport(now, report)
 	p.agent.sendToVoter(now, p.agent.lease.holder.Leader(), &wire.Envelope{ForwarderReport: report})
 }
 
-// handleReport answers a forwarder's report with its share of the plan.
+// handleReport answers a forwarder's report with its assignment.
 func (p *loadPlanner) handleReport(now float64, message *wire.Envelope) {
 	report := message.ForwarderReport
 	if p.planner == nil || !p.agent.isConfirmedLeader(now) {
 		return
 	}
-	if report.Name != message.From || report.Life != message.Incarnation {
+	if report.Name != message.From || report.Incarnation != message.Incarnation {
 		return
 	}
-	if share := p.planner.Read(now, report); share != nil {
-		p.agent.respond(now, message, &wire.Envelope{PlanShare: share})
+	if assignment := p.planner.HandleReport(now, report); assignment != nil {
+		p.agent.respond(now, message, &wire.Envelope{PlanAssignment: assignment})
 	}
 }
 
-// handleShare goes over to a newer share.
-func (p *loadPlanner) handleShare(now float64, message *wire.Envelope) {
-	if freshUntil := p.holder.Take(now, message.PlanShare); freshUntil > now && p.config.OnShare != nil {
+// handleAssignment goes over to a newer assignment.
+func (p *loadPlanner) handleAssignment(now float64, message *wire.Envelope) {
+	freshUntil := p.subscriber.Accept(now, message.PlanAssignment)
+	if freshUntil > now && p.config.OnAssignment != nil {
 		p.freshUntil = freshUntil
-		p.config.OnShare(message.PlanShare, freshUntil)
+		p.config.OnAssignment(message.PlanAssignment, freshUntil)
 	}
 }
 
 // LoadPlanStatus is how load plans stand at a process.
 type LoadPlanStatus struct {
-	Name     string            `json:"Name"`
-	Leader   string            `json:"Leader"`
-	Current  loadplan.Number   `json:"Holds"` // of the plan that a forwarder goes by, or went by last
-	FreshFor float64           `json:"Till"`  // seconds, negative while it ages
-	Stale    int               `json:"Stale"` // shares that were too old to be taken
-	Planner  *loadplan.Account `json:"Makes"` // nil where this process makes no plans
+	Name     string           `json:"Name"`
+	Leader   string           `json:"Leader"`
+	Current  loadplan.Version `json:"Holds"` // of the plan that a forwarder goes by, or went by last
+	FreshFor float64          `json:"Till"`  // seconds, negative while it ages
+	Stale    int              `json:"Stale"` // assignments that were too old to be accepted
+	Planner  *loadplan.Status `json:"Makes"` // nil where this process makes no plans
 }
 
 // LoadPlanStatus returns how load plans stand here.
@@ -122,11 +123,11 @@
 	if p == nil {
 		return status
 	}
-	status.Current = p.holder.Holds()
-	status.Stale = p.holder.Stale
+	status.Current = p.subscriber.Version()
+	status.Stale = p.subscriber.StaleAssignments
 	status.FreshFor = p.freshUntil - now
 	if p.planner != nil && a.isConfirmedLeader(now) {
-		status.Planner = p.planner.Account(now)
+		status.Planner = p.planner.Status(now)
 	}
 	return status
 }
--- a/internal/fleet/replication.go
+++ b/internal/fleet/replication.go
@@ -75,7 +75,13 @@
 		number := uint64(max(0, a.unixNow()*1000))
 		r.terms[r.index] = replication.Term{Number: number, Incarnation: a.incarnation}
 		store := replicastore.NewStore(config.MaxRecords, config.MaxBytes)
-		r.replica = replication.NewReplica(config.Placement, r.index, r.terms, store, config.CatchUpRate, now)
+		r.replica = replication.NewReplica(replication.ReplicaConfig{
+			Placement:   config.Placement,
+			Self:        r.index,
+			Terms:       r.terms,
+			Store:       store,
+			CatchUpRate: config.CatchUpRate,
+		}, now)
 	}
 	a.handle(r.handle, wire.KindClaimRequest, wire.KindClaimReply)
 	a.handle(r.handle, wire.KindPullRequest, wire.KindPullReply, wire.KindChecksums)
--- a/internal/wire/fleet/codec.go
+++ b/internal/wire/fleet/codec.go
@@ -50,7 +50,7 @@
 	KindCounterSyncRequest: encodeCounterSyncRequest,
 	KindCounterSyncReply:   encodeCounterSyncReply,
 	KindForwarderReport:    encodeForwarderReport,
-	KindPlanShare:          encodePlanShare,
+	KindPlanAssignment:     encodePlanAssignment,
 }
 
 // Encode encodes a message. One that carries nothing is ErrUnknownBody, one over MaxPacket
--- a/internal/wire/fleet/doc.go
+++ b/internal/wire/fleet/doc.go
@@ -20,5 +20,5 @@
 //	wishing, granting            quota request, quota reply
 //	row, row_heard               counter report, counter acknowledgement
 //	ask_rows, rows               counter sync request, counter sync reply
-//	plan_report, plan_part       forwarder report, plan share
+//	plan_report, plan_part       forwarder report, plan assignment
 package fleet
--- a/internal/wire/fleet/envelope.go
+++ b/internal/wire/fleet/envelope.go
@@ -43,7 +43,7 @@
 	CounterSyncRequest *counter.RowQuery
 	CounterSyncReply   *counter.RowQueryReply
 	ForwarderReport    *loadplan.Report
-	PlanShare          *loadplan.Part
+	PlanAssignment     *loadplan.Assignment
 
 	Size int // bytes of the encoded message, set by who received it
 }
--- a/internal/wire/fleet/kind.go
+++ b/internal/wire/fleet/kind.go
@@ -31,7 +31,7 @@
 	KindCounterSyncRequest
 	KindCounterSyncReply
 	KindForwarderReport
-	KindPlanShare
+	KindPlanAssignment
 	KindCount // how many there are
 )
 
@@ -62,7 +62,7 @@
 	KindCounterSyncRequest: "counter_sync_request",
 	KindCounterSyncReply:   "counter_sync_reply",
 	KindForwarderReport:    "forwarder_report",
-	KindPlanShare:          "plan_share",
+	KindPlanAssignment:     "plan_assignment",
 }
 
 // String returns the kind's name.
@@ -101,7 +101,7 @@
 		KindCounterSyncRequest: m.CounterSyncRequest != nil,
 		KindCounterSyncReply:   m.CounterSyncReply != nil,
 		KindForwarderReport:    m.ForwarderReport != nil,
-		KindPlanShare:          m.PlanShare != nil,
+		KindPlanAssignment:     m.PlanAssignment != nil,
 	}
 	for kind, is := range carried {
 		if is {
--- a/internal/wire/fleet/loadplan.go
+++ b/internal/wire/fleet/loadplan.go
@@ -12,29 +12,29 @@
 	case *Packet_PlanReport:
 		m.ForwarderReport, err = decodeForwarderReport(body.PlanReport)
 	case *Packet_PlanPart:
-		m.PlanShare, err = decodePlanShare(body.PlanPart)
+		m.PlanAssignment, err = decodePlanAssignment(body.PlanPart)
 	default:
 		return false, nil
 	}
 	return true, err
 }
 
-func encodePlanNumber(n loadplan.Number) *PlanNumber {
-	return &PlanNumber{Founding: n.Founding, Term: n.Term, Seq: n.Seq}
+func encodePlanVersion(v loadplan.Version) *PlanNumber {
+	return &PlanNumber{Founding: v.ClusterID, Term: v.Term, Seq: v.Sequence}
 }
 
-func decodePlanNumber(p *PlanNumber) loadplan.Number {
-	return loadplan.Number{Founding: p.GetFounding(), Term: p.GetTerm(), Seq: p.GetSeq()}
+func decodePlanVersion(p *PlanNumber) loadplan.Version {
+	return loadplan.Version{ClusterID: p.GetFounding(), Term: p.GetTerm(), Sequence: p.GetSeq()}
 }
 
-func encodeDemand(rates []loadplan.Demand) (p []*PlanDemand) {
+func encodeRates(rates []loadplan.TenantRate) (p []*PlanDemand) {
 	for _, r := range rates {
 		p = append(p, &PlanDemand{Tenant: r.Tenant, Rate: r.Rate})
 	}
 	return p
 }
 
-func decodeDemand(p []*PlanDemand) (rates []loadplan.Demand, err error) {
+func decodeRates(p []*PlanDemand) (rates []loadplan.TenantRate, err error) {
 	if len(p) > maxMapEntries {
 		return nil, ErrTooLarge
 	}
@@ -42,7 +42,7 @@
 		if err := errors.Join(checkNames(one.Tenant), checkCount(one.Rate)); err != nil {
 			return nil, err
 		}
-		rates = append(rates, loadplan.Demand{Tenant: one.Tenant, Rate: one.Rate})
+		rates = append(rates, loadplan.TenantRate{Tenant: one.Tenant, Rate: one.Rate})
 	}
 	return rates, nil
 }
@@ -51,17 +51,17 @@
 	r := m.ForwarderReport
 	p := &PlanReport{
 		Name:   r.Name,
-		Life:   r.Life,
-		Number: r.Number,
-		For:    r.For,
-		Holds:  encodePlanNumber(r.Holds),
-		Demand: encodeDemand(r.Demand),
+		Life:   r.Incarnation,
+		Number: r.Sequence,
+		For:    r.IntervalSeconds,
+		Holds:  encodePlanVersion(r.CurrentVersion),
+		Demand: encodeRates(r.Demand),
 	}
 	for _, w := range r.Workers {
 		p.Workers = append(p.Workers, &PlanSeen{
 			Name:     w.Name,
-			Linked:   w.Linked,
-			Open:     uint32(w.Open),
+			Linked:   w.Connected,
+			Open:     uint32(w.InFlight),
 			Finished: uint32(w.Finished),
 			Rejected: uint32(w.Rejected),
 			Lost:     uint32(w.Lost),
@@ -75,62 +75,62 @@
 		return nil, ErrTooLarge
 	}
 	r := &loadplan.Report{
-		Name:   p.Name,
-		Life:   p.Life,
-		Number: p.Number,
-		For:    p.For,
-		Holds:  decodePlanNumber(p.Holds),
+		Name:            p.Name,
+		Incarnation:     p.Life,
+		Sequence:        p.Number,
+		IntervalSeconds: p.For,
+		CurrentVersion:  decodePlanVersion(p.Holds),
 	}
 	for _, w := range p.Workers {
 		if err := checkNames(w.Name); err != nil {
 			return nil, err
 		}
-		r.Workers = append(r.Workers, loadplan.Seen{
-			Name:     w.Name,
-			Linked:   w.Linked,
-			Open:     int(w.Open),
-			Finished: int(w.Finished),
-			Rejected: int(w.Rejected),
-			Lost:     int(w.Lost),
+		r.Workers = append(r.Workers, loadplan.WorkerStats{
+			Name:      w.Name,
+			Connected: w.Linked,
+			InFlight:  int(w.Open),
+			Finished:  int(w.Finished),
+			Rejected:  int(w.Rejected),
+			Lost:      int(w.Lost),
 		})
 	}
 	var err error
-	r.Demand, err = decodeDemand(p.Demand)
-	return r, errors.Join(err, checkNames(r.Name), checkCount(r.For))
+	r.Demand, err = decodeRates(p.Demand)
+	return r, errors.Join(err, checkNames(r.Name), checkCount(r.IntervalSeconds))
 }
 
-func encodePlanShare(m *Envelope) (isPacket_Body, error) {
-	s := m.PlanShare
+func encodePlanAssignment(m *Envelope) (isPacket_Body, error) {
+	s := m.PlanAssignment
 	p := &PlanPart{
-		Number:  encodePlanNumber(s.Number),
-		For:     s.For,
-		Answers: s.Answers,
-		Lease:   s.Lease,
-		Rates:   encodeDemand(s.Rates),
+		Number:  encodePlanVersion(s.Version),
+		For:     s.Incarnation,
+		Answers: s.ReportSequence,
+		Lease:   s.LeaseSeconds,
+		Rates:   encodeRates(s.RateLimits),
 	}
 	for _, w := range s.Weights {
-		p.Weights = append(p.Weights, &PlanWeight{Name: w.Name, Part: float32(w.Part)})
+		p.Weights = append(p.Weights, &PlanWeight{Name: w.Name, Part: float32(w.Weight)})
 	}
 	return &Packet_PlanPart{p}, nil
 }
 
-func decodePlanShare(p *PlanPart) (*loadplan.Part, error) {
+func decodePlanAssignment(p *PlanPart) (*loadplan.Assignment, error) {
 	if len(p.Weights) > maxMapEntries {
 		return nil, ErrTooLarge
 	}
-	s := &loadplan.Part{
-		Number:  decodePlanNumber(p.Number),
-		For:     p.For,
-		Answers: p.Answers,
-		Lease:   p.Lease,
+	s := &loadplan.Assignment{
+		Version:        decodePlanVersion(p.Number),
+		Incarnation:    p.For,
+		ReportSequence: p.Answers,
+		LeaseSeconds:   p.Lease,
 	}
 	for _, w := range p.Weights {
 		if err := errors.Join(checkNames(w.Name), checkCount(float64(w.Part))); err != nil {
 			return nil, err
 		}
-		s.Weights = append(s.Weights, loadplan.Weight{Name: w.Name, Part: float64(w.Part)})
+		s.Weights = append(s.Weights, loadplan.WorkerWeight{Name: w.Name, Weight: float64(w.Part)})
 	}
 	var err error
-	s.Rates, err = decodeDemand(p.Rates)
-	return s, errors.Join(err, checkCount(s.Lease))
+	s.RateLimits, err = decodeRates(p.Rates)
+	return s, errors.Join(err, checkCount(s.LeaseSeconds))
 }
--- a/internal/wire/fleet/samples_test.go
+++ b/internal/wire/fleet/samples_test.go
@@ -214,31 +214,31 @@
 }
 
 func sampleLoadPlan() []*Envelope {
-	number := loadplan.Number{Founding: 1, Term: 2, Seq: 3}
+	version := loadplan.Version{ClusterID: 1, Term: 2, Sequence: 3}
 	return []*Envelope{
 		{ForwarderReport: &loadplan.Report{
-			Name:   "f1",
-			Life:   3,
-			Number: 4,
-			For:    0.5,
-			Holds:  number,
-			Demand: []loadplan.Demand{{Tenant: "acme", Rate: 2}},
-			Workers: []loadplan.Seen{{
-				Name:     "w1",
-				Linked:   true,
-				Open:     1,
-				Finished: 2,
-				Rejected: 3,
-				Lost:     4,
+			Name:            "f1",
+			Incarnation:     3,
+			Sequence:        4,
+			IntervalSeconds: 0.5,
+			CurrentVersion:  version,
+			Demand:          []loadplan.TenantRate{{Tenant: "acme", Rate: 2}},
+			Workers: []loadplan.WorkerStats{{
+				Name:      "w1",
+				Connected: true,
+				InFlight:  1,
+				Finished:  2,
+				Rejected:  3,
+				Lost:      4,
 			}},
 		}},
-		{PlanShare: &loadplan.Part{
-			Number:  number,
-			For:     3,
-			Answers: 4,
-			Lease:   2,
-			Weights: []loadplan.Weight{{Name: "w1", Part: 0.5}},
-			Rates:   []loadplan.Demand{{Rate: 7}},
+		{PlanAssignment: &loadplan.Assignment{
+			Version:        version,
+			Incarnation:    3,
+			ReportSequence: 4,
+			LeaseSeconds:   2,
+			Weights:        []loadplan.WorkerWeight{{Name: "w1", Weight: 0.5}},
+			RateLimits:     []loadplan.TenantRate{{Rate: 7}},
 		}},
 	}
 }
