--- a/internal/fleet/cluster_test.go
+++ b/internal/fleet/cluster_test.go
@@ -83,7 +83,7 @@
 		Logger:     slog.New(slog.DiscardHandler),
 		Lease: LeaseConfig{
 			Terms:    lease.Config{Duration: 6, CatchUpTimeout: 10, MaxUnavailable: 0.25, ForgetAfter: 600},
-			Fallback: lease.FallbackNormal,
+			Fallback: serving.ModeNormal,
 		},
 		Rollout: release.RolloutPolicy{WaveSeconds: 1, HaltConfidence: 1},
 		Apply: func(text string) error {
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -42,7 +42,7 @@
 // LeaseConfig is how the process takes part in the leases of servers.
 type LeaseConfig struct {
 	Terms    lease.Config // that it grants leases by, while it leads
-	Fallback lease.Mode   // what its server does once its own lease expired
+	Fallback serving.Mode // what its server does once its own lease expired
 }
 
 // Hooks are optional callbacks.
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -26,8 +26,14 @@
 
 func (a *Agent) startLease(now float64) {
 	c := &a.config
-	a.lease.holder = lease.NewHolder(c.Name, a.incarnation, c.ListenAddr, c.Build, c.Lease.Fallback,
-		c.Lease.Terms.Duration, now)
+	a.lease.holder = lease.NewHolder(lease.HolderConfig{
+		Name:         c.Name,
+		Incarnation:  a.incarnation,
+		Addr:         c.ListenAddr,
+		Build:        c.Build,
+		Fallback:     c.Lease.Fallback,
+		LeaseSeconds: c.Lease.Terms.Duration,
+	}, now)
 	a.handle(a.handleLeaseRequest, wire.KindLeaseRequest)
 	a.handle(a.handleLeaseReply, wire.KindLeaseReply)
 }
@@ -91,7 +97,7 @@
 }
 
 func (a *Agent) logLeaseState() {
-	state, _, reason := a.lease.holder.State()
+	state, reason := a.lease.holder.State()
 	a.logger.Info("lease_state_changed",
 		"state", state, "reason", reason, "assigned_epoch", a.lease.holder.AssignedEpoch())
 }
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -61,7 +61,7 @@
 
 // status returns how this process stands itself.
 func (a *Agent) status(float64) *Status {
-	state, _, reason := a.lease.holder.State()
+	state, reason := a.lease.holder.State()
 	return &Status{
 		Name:              a.config.Name,
 		Incarnation:       a.incarnation,
--- a/internal/lab/emulate/versions.go
+++ b/internal/lab/emulate/versions.go
@@ -204,7 +204,7 @@
 		Build:           "b",
 		Clock:           clock,
 		Logger:          slog.New(slog.DiscardHandler),
-		Lease:           fleet.LeaseConfig{Terms: versionTerms, Fallback: lease.FallbackOutOfService},
+		Lease:           fleet.LeaseConfig{Terms: versionTerms, Fallback: serving.ModeOutOfService},
 		Rollout:         release.RolloutPolicy{WaveSeconds: 1, HaltConfidence: 1},
 		Replication:     s.copies(),
 		Quotas:          shared,
