--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -61,7 +62,7 @@
 	var last loadplan.Version
 	return &fleet.LoadPlanConfig{
 		Report: func(float64) *loadplan.Report { return p.dispatcher.TakeReport() },
-		OnShare: func(part *loadplan.Assignment, until float64) {
+		OnAssignment: func(part *loadplan.Assignment, until float64) {
 			if part.ClusterID != last.ClusterID || part.Term != last.Term {
 				slog.Info("fleet_plan", "founding", part.ClusterID, "term", part.Term, "seq", part.Sequence, "weights", len(part.Weights), "rates", len(part.RateLimits))
 			}
@@ -104,22 +105,36 @@
 	if voters[name] == "" {
 		return fmt.Errorf("fleet-voters: %s is none; a planner is", name)
 	}
-	clock, via, err := forTests(now)
+	clock, translateAddr, err := forTests(now)
 	if err != nil {
 		return err
 	}
-	f, err := fleet.Start(fleet.Config{Name: name, ListenAddr: own.Fleet.ListenAddress, Voters: voters, JoinAddrs: own.Fleet.JoinAddresses, LeaseTerms: memberTerms(own), Rollout: rollout(own),
-		OnLeaseExpiry: serving.ModeNormal, LoadPlan: &fleet.LoadPlanConfig{IsPlanner: true}, CountersEnabled: own.Fleet.SharedCounters, Seed: from.UnixNano(), Build: build(), Now: clock.Now, UnixNow: clock.UnixNow, RelayAddrs: via,
+	ctx, leave := context.WithCancel(context.Background())
+	defer leave()
+	f, err := fleet.Start(ctx, fleet.Config{
+		Name:            name,
+		ListenAddr:      own.Fleet.ListenAddress,
+		Voters:          voters,
+		JoinAddrs:       own.Fleet.JoinAddresses,
+		Seed:            from.UnixNano(),
+		Build:           build(),
+		Clock:           clock,
+		Lease:           fleet.LeaseConfig{Terms: memberTerms(own), Fallback: serving.ModeNormal},
+		Rollout:         rollout(own),
+		LoadPlan:        &fleet.LoadPlanConfig{IsPlanner: true},
+		CountersEnabled: own.Fleet.SharedCounters,
 		Apply: func(text string) error {
 			_, err := own.WithRelease("released", text)
 			return err
 		},
-		Publish: func(*serving.Directive) {}})
+		Publish: func(*serving.Directive) {},
+		Hooks:   fleet.Hooks{TranslateAddr: translateAddr},
+	})
 	if err != nil {
 		return err
 	}
 	if own.Fleet.ControlAddress != "" {
-		if _, err := f.ServeControl(own.Fleet.ControlAddress); err != nil {
+		if err := f.ServeControl(ctx, own.Fleet.ControlAddress); err != nil {
 			return fmt.Errorf("fleet-control: %w", err)
 		}
 	}
