--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -62,8 +62,8 @@
 	return &fleet.LoadPlanConfig{
 		Report: func(float64) *loadplan.Report { return p.dispatcher.TakeReport() },
 		OnShare: func(part *loadplan.Assignment, until float64) {
-			if part.ClusterID != last.ClusterID || part.Term != last.Term {
-				slog.Info("fleet_plan", "founding", part.ClusterID, "term", part.Term, "seq", part.Sequence, "weights", len(part.Weights), "rates", len(part.RateLimits))
+			if part.Version.ClusterID != last.ClusterID || part.Version.Term != last.Term {
+				slog.Info("fleet_plan", "founding", part.Version.ClusterID, "term", part.Version.Term, "seq", part.Version.Sequence, "weights", len(part.Weights), "rates", len(part.RateLimits))
 			}
 			last = part.Version
 			weights := map[string]float64{}
--- /dev/null
+++ b/internal/policy/loadplan/planner.go
@@ -0,0 +1,175 @@
+package loadplan
+
+const (
+	// warmUpSeconds is how long a new planner collects reports before it answers any: each
+	// forwarder reports twice in it.
+	warmUpSeconds = 2*ReportIntervalSeconds + 0.2
+	// expirySeconds is how long a forwarder that does not report, or a worker that no forwarder is
+	// connected to, stays in the plan.
+	expirySeconds = 2 * LeaseSeconds
+	// solveIntervalSeconds is how often the plan is computed.
+	solveIntervalSeconds = 0.5
+	// maxForwarders and maxWorkers bound the tables.
+	maxForwarders = 1024
+	maxWorkers    = 4096
+)
+
+// Planner makes the plans of one leadership term.
+type Planner struct {
+	version    Version // of the latest plan
+	started    float64
+	lastSolved float64
+	hasPlan    bool
+	forwarders map[string]*forwarderState
+	workers    map[string]*workerState
+
+	invalidReports int
+	fallbacks      int // plans for which the linear program was not solved
+}
+
+// forwarderState is a forwarder as it last reported, and its share of the plan.
+type forwarderState struct {
+	Report
+	lastReport     float64 // time of arrival
+	totalDemand    float64
+	demandByTenant map[string]float64
+	reachable      workerSet
+
+	weights    []WorkerWeight
+	rateLimits []TenantRate
+}
+
+// New returns the planner of a leadership term that starts at now.
+func New(clusterID uint32, term uint64, now float64) *Planner {
+	return &Planner{
+		version:    Version{ClusterID: clusterID, Term: term},
+		started:    now,
+		lastSolved: now,
+		forwarders: map[string]*forwarderState{},
+		workers:    map[string]*workerState{},
+	}
+}
+
+// Term returns the leadership term that the planner was made for.
+func (p *Planner) Term() (clusterID uint32, term uint64) {
+	return p.version.ClusterID, p.version.Term
+}
+
+// HandleReport records a forwarder's report and returns the forwarder's assignment. It returns nil
+// if there is no plan yet, and if the report is invalid, duplicated or late.
+func (p *Planner) HandleReport(now float64, report *Report) *Assignment {
+	if !report.valid() {
+		p.invalidReports++
+		return nil
+	}
+	forwarder := p.forwarder(report.Name)
+	if forwarder == nil || forwarder.hasSeen(report) {
+		return nil
+	}
+	forwarder.update(now, report)
+	forwarder.reachable = newWorkerSet(p.updateWorkers(now, report))
+	if now < p.started+warmUpSeconds {
+		return nil
+	}
+	if now >= p.lastSolved+solveIntervalSeconds || !p.hasPlan {
+		p.solve(now)
+	}
+	if forwarder.weights == nil {
+		return nil
+	}
+	return &Assignment{
+		Version:        p.version,
+		Incarnation:    report.Incarnation,
+		ReportSequence: report.Sequence,
+		LeaseSeconds:   LeaseSeconds,
+		Weights:        forwarder.weights,
+		RateLimits:     forwarder.rateLimits,
+	}
+}
+
+// forwarder returns the state of a forwarder, a new one if the name is new, or nil if the table is
+// full.
+func (p *Planner) forwarder(name string) *forwarderState {
+	forwarder := p.forwarders[name]
+	if forwarder == nil && len(p.forwarders) < maxForwarders {
+		forwarder = &forwarderState{}
+		p.forwarders[name] = forwarder
+	}
+	return forwarder
+}
+
+// hasSeen reports whether this report, or a later one of the same incarnation, was handled.
+func (f *forwarderState) hasSeen(report *Report) bool {
+	return f.Incarnation == report.Incarnation && report.Sequence <= f.Sequence
+}
+
+// update replaces the last report. A new incarnation starts without a share of the plan.
+func (f *forwarderState) update(now float64, report *Report) {
+	if f.Incarnation != report.Incarnation {
+		*f = forwarderState{}
+	}
+	f.Report = *report
+	f.lastReport = now
+	f.totalDemand = 0
+	f.demandByTenant = map[string]float64{}
+	for _, demand := range report.Demand {
+		f.demandByTenant[demand.Tenant] += demand.Rate
+		f.totalDemand += demand.Rate
+	}
+}
+
+// updateWorkers adds a report's observations to the workers' statistics and returns the names of
+// the workers that the forwarder is connected to.
+func (p *Planner) updateWorkers(now float64, report *Report) (connected []string) {
+	for index := range report.Workers {
+		stats := &report.Workers[index]
+		worker := p.workers[stats.Name]
+		if worker == nil {
+			if len(p.workers) >= maxWorkers {
+				continue
+			}
+			worker = &workerState{capacity: minCapacity}
+			p.workers[stats.Name] = worker
+		}
+		if stats.Connected {
+			worker.lastConnected = now
+			connected = append(connected, stats.Name)
+		}
+		worker.round.add(stats, report.IntervalSeconds)
+	}
+	return connected
+}
+
+// solve computes a new plan.
+func (p *Planner) solve(now float64) {
+	roundSeconds := max(ReportIntervalSeconds, now-p.lastSolved)
+	p.lastSolved = now
+	p.hasPlan = true
+	p.version.Sequence++
+	p.removeExpired(now)
+
+	totalCapacity := 0.0
+	for _, worker := range p.workers {
+		worker.learnCapacity(roundSeconds)
+		totalCapacity += worker.capacity
+	}
+	p.limitRates(totalCapacity)
+	if !p.assignWeights() {
+		p.fallbacks++
+	}
+}
+
+// removeExpired removes the forwarders that stopped reporting and the workers that no forwarder is
+// connected to.
+func (p *Planner) removeExpired(now float64) {
+	for name, forwarder := range p.forwarders {
+		if now > forwarder.lastReport+expirySeconds {
+			delete(p.forwarders, name)
+		}
+	}
+	for name, worker := range p.workers {
+		if now > worker.lastConnected+expirySeconds {
+			delete(p.workers, name)
+		}
+	}
+}
--- /dev/null
+++ b/internal/policy/loadplan/planner_test.go
@@ -0,0 +1,152 @@
+package loadplan
+
+import (
+	"fmt"
+	"math"
+	"testing"
+)
+
+func TestPlanner_WeightsFollowCapacity(t *testing.T) {
+	// Of two workers one finishes three times what the other does; a third is reached by one forwarder alone.
+	planner := New(1, 1, 0)
+	var assignments map[string]*Assignment
+	for round := range 40 {
+		assignments = map[string]*Assignment{}
+		for _, forwarder := range []string{"a", "b"} {
+			far := WorkerStats{Name: "far"}
+			if forwarder == "b" {
+				far = WorkerStats{Name: "far", Connected: true, Finished: 40, Rejected: 5}
+			}
+			assignments[forwarder] = planner.HandleReport(float64(round)/2, &Report{
+				Name:            forwarder,
+				Incarnation:     1,
+				Sequence:        uint64(round + 1),
+				IntervalSeconds: 0.5,
+				Demand:          []TenantRate{{"x", 100}},
+				Workers: []WorkerStats{
+					{Name: "fast", Connected: true, Finished: 30, Rejected: 5},
+					{Name: "slow", Connected: true, Finished: 10, Rejected: 5},
+					far,
+				},
+			})
+		}
+	}
+	if planner.fallbacks > 0 {
+		t.Errorf("%d plans were not solved", planner.fallbacks)
+	}
+	a, sumA := weightsByName(assignments["a"])
+	b, sumB := weightsByName(assignments["b"])
+	if math.Abs(sumA-1) > 1e-6 || math.Abs(sumB-1) > 1e-6 || math.Abs(a["fast"]/a["slow"]-3) > 0.1 || a["far"] != 0 {
+		t.Errorf("a %v, b %v", a, b)
+	}
+	// They finish 240 a second of 200 asked for: asked for evenly, far has 80/240 of it, all from b.
+	if far := 100 * b["far"]; math.Abs(far-200.0/3) > 4 {
+		t.Errorf("far is asked for %.1f a second, b %v", far, b)
+	}
+	if assignments["a"].RateLimits != nil {
+		t.Errorf("all demand fits, and yet a is limited: %v", assignments["a"].RateLimits)
+	}
+}
+
+func weightsByName(assignment *Assignment) (weights map[string]float64, sum float64) {
+	weights = map[string]float64{}
+	for _, weight := range assignment.Weights {
+		weights[weight.Name] = weight.Weight
+		sum += weight.Weight
+	}
+	return weights, sum
+}
+
+func TestPlanner_RateLimitsAreFairAndWithinCapacity(t *testing.T) {
+	planner := New(1, 1, 0)
+	demandByForwarder := map[string][]TenantRate{
+		"a": {{"small", 10}, {"large", 200}},
+		"b": {{"large", 100}},
+	}
+	var assignments map[string]*Assignment
+	for round := range 40 {
+		assignments = map[string]*Assignment{}
+		for forwarder, demand := range demandByForwarder {
+			assignments[forwarder] = planner.HandleReport(float64(round)/2, &Report{
+				Name:            forwarder,
+				Incarnation:     1,
+				Sequence:        uint64(round + 1),
+				IntervalSeconds: 0.5,
+				Demand:          demand,
+				Workers:         []WorkerStats{{Name: "w", Connected: true, Finished: 25, Rejected: 50}},
+			})
+		}
+	}
+	sum, rates := 0.0, map[string]float64{}
+	for forwarder, assignment := range assignments {
+		for _, limit := range assignment.RateLimits {
+			rates[forwarder+"/"+limit.Tenant] = limit.Rate
+			sum += limit.Rate
+		}
+	}
+	largeRatio := rates["a/large"] / rates["b/large"]
+	if sum > 100*1.05 || math.Abs(rates["a/small"]-10) > 0.1 || math.Abs(largeRatio-2) > 0.01 {
+		t.Errorf("of 100 a second %.1f are admitted: %v", sum, rates)
+	}
+}
+
+func TestPlanner_RejectsInvalidReports(t *testing.T) {
+	planner := New(1, 1, 0)
+	reports := []Report{
+		{},
+		{Name: "a", IntervalSeconds: -1},
+		{Name: "a", IntervalSeconds: 1, Demand: []TenantRate{{"x", math.Inf(1)}}},
+		{Name: "a", IntervalSeconds: 1, Demand: []TenantRate{{"x", math.NaN()}}},
+		{Name: "a", IntervalSeconds: 1, Workers: []WorkerStats{{Name: "w", Finished: -1}}},
+		{Name: "a", IntervalSeconds: 1, Workers: []WorkerStats{{Name: "w", Finished: math.MaxInt32}}},
+	}
+	for _, report := range reports {
+		if planner.HandleReport(5, &report) != nil {
+			t.Errorf("%+v has an assignment", report)
+		}
+	}
+	if planner.invalidReports != len(reports) || len(planner.forwarders) > 0 {
+		t.Errorf("%d rejected, %d kept", planner.invalidReports, len(planner.forwarders))
+	}
+}
+
+// benchmarkPlan computes plans for forwarders that each reach all workers, or with reaches above 1
+// all but one in so many.
+func benchmarkPlan(b *testing.B, forwarders, workers, reaches int) {
+	b.Helper()
+	planner := New(1, 1, 0)
+	for f := range forwarders {
+		report := &Report{
+			Name:            fmt.Sprint("f", f),
+			Incarnation:     1,
+			Sequence:        1,
+			IntervalSeconds: 0.5,
+			Demand:          []TenantRate{{"x", 100}},
+		}
+		for w := range workers {
+			report.Workers = append(report.Workers, WorkerStats{
+				Name:      fmt.Sprint("w", w),
+				Connected: reaches == 1 || w%reaches != f%reaches,
+				Finished:  5 + w%7,
+			})
+		}
+		planner.HandleReport(0, report)
+	}
+	for b.Loop() {
+		planner.solve(planner.lastSolved + 0.5)
+		for _, forwarder := range planner.forwarders {
+			forwarder.lastReport = planner.lastSolved
+		}
+		for _, worker := range planner.workers {
+			worker.lastConnected = planner.lastSolved
+		}
+	}
+	if planner.fallbacks > 0 {
+		b.Error("not solved")
+	}
+}
+
+func BenchmarkPlan10(b *testing.B)         { benchmarkPlan(b, 3, 10, 1) }
+func BenchmarkPlan100(b *testing.B)        { benchmarkPlan(b, 10, 100, 4) }
+func BenchmarkPlan1000(b *testing.B)       { benchmarkPlan(b, 100, 1000, 1) }
+func BenchmarkPlan1000Parted(b *testing.B) { benchmarkPlan(b, 100, 1000, 8) }
--- a/internal/policy/loadplan/status_test.go
+++ b/internal/policy/loadplan/status_test.go
@@ -7,9 +7,10 @@
 
 // The control API's readers find the fields under the keys that they had before the Go names changed.
 func TestStatus_KeepsItsJSONKeys(t *testing.T) {
+	earlier := Version{ClusterID: 1, Term: 2, Sequence: 2}
 	status := Status{
 		Version:        Version{ClusterID: 1, Term: 2, Sequence: 3},
-		Forwarders:     []ForwarderStatus{{Name: "f1", ReportAgeSeconds: 0.25, Demand: 10, Version: Version{ClusterID: 1, Term: 2, Sequence: 2}}},
+		Forwarders:     []ForwarderStatus{{Name: "f1", ReportAgeSeconds: 0.25, Demand: 10, Version: earlier}},
 		Workers:        []WorkerStatus{{Name: "w1", Capacity: 4, LastConnectedAgeSeconds: 0.5}},
 		AdmittedRate:   6,
 		Fallbacks:      7,
--- /dev/null
+++ b/internal/policy/loadplan/subscriber_test.go
@@ -0,0 +1,174 @@
+package loadplan
+
+import (
+	"math/rand/v2"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// testForwarder is a subscriber with what it last accepted.
+type testForwarder struct {
+	*Subscriber
+	incarnation uint64
+	current     Version
+	freshUntil  float64
+}
+
+// restart gives the forwarder a new incarnation that follows no plan.
+func (f *testForwarder) restart() {
+	f.incarnation++
+	f.Subscriber = NewSubscriber(f.incarnation)
+	f.current = Version{}
+	f.freshUntil = 0
+}
+
+// accept offers an assignment, and reports whether it was accepted and whether it may be.
+func (f *testForwarder) accept(now float64, assignment *Assignment) (accepted, allowed bool) {
+	freshUntil := f.Accept(now, assignment)
+	if freshUntil == 0 {
+		return false, true
+	}
+	allowed = assignment.Incarnation == f.incarnation &&
+		assignment.Version.Compare(f.current) >= 0 &&
+		freshUntil > now && freshUntil <= now+LeaseSeconds
+	f.current = assignment.Version
+	f.freshUntil = freshUntil
+	return true, allowed
+}
+
+// Planners of several terms answer late, doubled and out of order, and forwarders restart.
+func TestSubscriber_NeverAcceptsAnOlderPlan(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		chance := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
+		now := 0.0
+		forwarder := &testForwarder{}
+		forwarder.restart()
+		planners := []*Planner{New(1, 1, now)}
+		var sent []*Assignment
+		for range 300 {
+			now += 0.4 * chance.Float64()
+			switch chance.IntN(10) {
+			case 0:
+				planners = append(planners, New(1, uint64(len(planners)+1), now))
+			case 1:
+				forwarder.restart()
+			}
+			workers := []WorkerStats{{Name: "w", Connected: true, Finished: 3}}
+			report := &Report{Name: "f", IntervalSeconds: 0.5, Workers: workers}
+			forwarder.StampReport(now, report)
+			planner := planners[chance.IntN(len(planners))]
+			if assignment := planner.HandleReport(now, report); assignment != nil {
+				sent = append(sent, assignment)
+			}
+			for range chance.IntN(3) {
+				if len(sent) == 0 {
+					break
+				}
+				before := *forwarder
+				assignment := sent[chance.IntN(len(sent))]
+				if _, allowed := forwarder.accept(now, assignment); !allowed {
+					t.Fatalf("at %g %+v accepts %+v until %g", now, before, assignment, forwarder.freshUntil)
+				}
+			}
+		}
+	})
+}
+
+// step is one step of TestSubscriber_EverySequenceOfSixSteps.
+type step int
+
+const (
+	reportToFirst step = iota
+	reportToSecond
+	waitPartOfLease
+	restartForwarder
+	oldestOfFirst // an answer may be delivered again
+	oldestOfSecond
+	latestOfFirst
+	latestOfSecond
+	stepKinds
+)
+
+// stepRun is a run of two planners that both believe to lead, and of one forwarder.
+type stepRun struct {
+	now       float64
+	planners  [2]*Planner
+	sent      [2][]*Assignment
+	forwarder *testForwarder
+	accepted  int
+}
+
+func newStepRun() *stepRun {
+	run := &stepRun{now: 10, planners: [2]*Planner{New(1, 1, 0), New(1, 2, 0)}, forwarder: &testForwarder{}}
+	run.forwarder.restart()
+	return run
+}
+
+// play does a step, and returns an assignment that was accepted and must not be, or nil.
+func (r *stepRun) play(s step) *Assignment {
+	switch s {
+	case reportToFirst, reportToSecond:
+		r.report(int(s - reportToFirst))
+	case waitPartOfLease:
+		r.now += 0.6 * LeaseSeconds
+	case restartForwarder:
+		r.forwarder.restart()
+	case oldestOfFirst, oldestOfSecond:
+		if sent := r.sent[s-oldestOfFirst]; len(sent) > 0 {
+			return r.deliver(sent[0])
+		}
+	case latestOfFirst, latestOfSecond:
+		if sent := r.sent[s-latestOfFirst]; len(sent) > 0 {
+			return r.deliver(sent[len(sent)-1])
+		}
+	}
+	return nil
+}
+
+func (r *stepRun) report(planner int) {
+	workers := []WorkerStats{{Name: "w", Connected: true}}
+	report := &Report{Name: "f", IntervalSeconds: 0.5, Workers: workers}
+	r.forwarder.StampReport(r.now, report)
+	if assignment := r.planners[planner].HandleReport(r.now, report); assignment != nil {
+		r.sent[planner] = append(r.sent[planner], assignment)
+	}
+}
+
+func (r *stepRun) deliver(assignment *Assignment) (wrong *Assignment) {
+	before := *r.forwarder
+	accepted, allowed := r.forwarder.accept(r.now, assignment)
+	if !accepted {
+		return nil
+	}
+	r.accepted++
+	sameVersion := assignment.Version == before.current
+	if !allowed || sameVersion && r.forwarder.freshUntil != before.freshUntil {
+		return assignment
+	}
+	return nil
+}
+
+func TestSubscriber_EverySequenceOfSixSteps(t *testing.T) {
+	const steps = 6
+	sequences := 1
+	for range steps {
+		sequences *= int(stepKinds)
+	}
+	accepted := 0
+	for sequence := range sequences {
+		run := newStepRun()
+		rest := sequence
+		for range steps {
+			next := step(rest % int(stepKinds))
+			rest /= int(stepKinds)
+			if wrong := run.play(next); wrong != nil {
+				t.Fatalf("sequence %o: at %g %+v accepts %+v", sequence, run.now, run.forwarder, wrong)
+			}
+		}
+		accepted += run.accepted
+	}
+	if accepted < sequences/4 {
+		t.Errorf("of %d sequences only %d assignments are accepted", sequences, accepted)
+	}
+}
