--- a/internal/forwarder/forward.go
+++ b/internal/forwarder/forward.go
@@ -254,6 +254,16 @@
 	return d.Classes[t.out.Stage].Idempotency == admission.Idempotent
 }
 
+func (d *Dispatcher) retry(now float64, t *try, outcome routing.Outcome) routing.Retry {
+	return routing.Retry{
+		LastOutcome:    outcome,
+		Attempts:       len(t.tried),
+		IsIdempotent:   d.safe(t),
+		Remaining:      t.until - now,
+		TypicalLatency: d.usual(now, t.out.Stage),
+	}
+}
+
 // place sends a task to a worker, or gives it back where none may have it; advice is the last worker's.
 func (d *Dispatcher) place(now float64, t *try, advice float64) {
 	for {
@@ -268,12 +278,12 @@
 		t.worker, t.began = l, now
 		m := t.out.Message
 		m.Came, m.Wait, m.NoWait = now, t.until-now, false
-		d.router.StartAttempt(now, name, len(t.tried))
+		d.router.StartAttempt(name, len(t.tried))
 		if t.number = l.send(t, &m); t.number > 0 {
 			return
 		}
 		d.leave(now, t, routing.NotSent, 0) // its line is full: it never left
-		if !d.router.AllowRetry(routing.NotSent, len(t.tried), d.safe(t), t.until-now, d.usual(now, t.out.Stage)) {
+		if !d.router.AllowRetry(d.retry(now, t, routing.NotSent)) {
 			d.counts.bounced++
 			d.settle(t, admission.Rejected, nil, 0)
 			return
@@ -342,7 +352,7 @@
 // again has a task go to another worker, or gives it back as its last try ended.
 func (d *Dispatcher) again(now float64, t *try, end routing.Outcome, advice float64) {
 	switch {
-	case d.router.AllowRetry(end, len(t.tried), d.safe(t), t.until-now, d.usual(now, t.out.Stage)):
+	case d.router.AllowRetry(d.retry(now, t, end)):
 		d.counts.second++
 		d.place(now, t, advice)
 	case end.KnownNotExecuted():
--- a/internal/lab/emulate/levels.go
+++ b/internal/lab/emulate/levels.go
@@ -267,7 +267,7 @@
 		return
 	}
 	t.tried = append(t.tried, name)
-	t.f.router.StartAttempt(l.now, name, len(t.tried))
+	t.f.router.StartAttempt(name, len(t.tried))
 	if t.counted {
 		l.tries++
 	}
@@ -279,7 +279,14 @@
 			l.settle(t, true)
 			return
 		}
-		if t.f.router.AllowRetry(end, len(t.tried), t.safe, t.came+levelWait-l.now, levelWork) {
+		retry := routing.Retry{
+			LastOutcome:    end,
+			Attempts:       len(t.tried),
+			IsIdempotent:   t.safe,
+			Remaining:      t.came + levelWait - l.now,
+			TypicalLatency: levelWork,
+		}
+		if t.f.router.AllowRetry(retry) {
 			l.place(t)
 			return
 		}
--- a/internal/policy/loadplan/planner.go
+++ b/internal/policy/loadplan/planner.go
@@ -1,5 +1,7 @@
 package loadplan
 
+import "swiftcourse/internal/policy/workercapacity"
+
 const (
 	// warmUpSeconds is how long a new planner collects reports before it answers any: each
 	// forwarder reports twice in it.
@@ -39,6 +41,19 @@
 	rateLimits []TenantRate
 }
 
+// workerState is what the planner knows of a worker.
+type workerState struct {
+	capacity      float64
+	lastConnected float64 // when a forwarder was last connected to it
+	round         roundStats
+}
+
+// roundStats sums up what all forwarders observed of a worker since the last plan.
+type roundStats struct {
+	attempts workercapacity.Attempts
+	seconds  float64 // the longest time that one of the reports covers
+}
+
 // New returns the planner of a leadership term that starts at now.
 func New(clusterID uint32, term uint64, now float64) *Planner {
 	return &Planner{
@@ -128,7 +143,7 @@
 			if len(p.workers) >= maxWorkers {
 				continue
 			}
-			worker = &workerState{capacity: minCapacity}
+			worker = &workerState{capacity: workercapacity.Min}
 			p.workers[stats.Name] = worker
 		}
 		if stats.Connected {
@@ -140,6 +155,13 @@
 	return connected
 }
 
+func (r *roundStats) add(stats *WorkerStats, seconds float64) {
+	r.attempts.Finished += stats.Finished
+	r.attempts.Rejected += stats.Rejected
+	r.attempts.Lost += stats.Lost
+	r.seconds = max(r.seconds, seconds)
+}
+
 // solve computes a new plan.
 func (p *Planner) solve(now float64) {
 	roundSeconds := max(ReportIntervalSeconds, now-p.lastSolved)
@@ -150,7 +172,10 @@
 
 	totalCapacity := 0.0
 	for _, worker := range p.workers {
-		worker.learnCapacity(roundSeconds)
+		round := worker.round
+		worker.round = roundStats{}
+		seconds := max(roundSeconds, round.seconds)
+		worker.capacity = workercapacity.Update(worker.capacity, round.attempts, seconds)
 		totalCapacity += worker.capacity
 	}
 	p.limitRates(totalCapacity)
--- /dev/null
+++ b/internal/policy/routing/attempt.go
@@ -0,0 +1,90 @@
+package routing
+
+import "swiftcourse/internal/policy/workercapacity"
+
+const (
+	// MaxAttempts bounds the attempts of a request: a third would mostly find what the second did.
+	MaxAttempts = 2
+	// retryRatio is how much a first attempt adds to the budget of retries, and maxRetryTokens what
+	// may be saved up. So in an outage there are under 1.1 attempts per request.
+	retryRatio     = 0.08
+	maxRetryTokens = 10.0
+)
+
+// retryBudget is a token bucket that first attempts fill and retries empty.
+type retryBudget struct{ tokens float64 }
+
+func (b *retryBudget) addFirstAttempt() { b.tokens = min(maxRetryTokens, b.tokens+retryRatio) }
+
+func (b *retryBudget) take() bool {
+	if b.tokens < 1 {
+		return false
+	}
+	b.tokens--
+	return true
+}
+
+// StartAttempt records that a request goes to a worker. The first attempt of a request has number 1.
+func (r *Router) StartAttempt(name string, number int) {
+	w := r.byName[name]
+	if w == nil {
+		return
+	}
+	w.inFlight++
+	w.breaker.startAttempt()
+	if number == 1 {
+		r.retries.addFirstAttempt()
+	}
+}
+
+// FinishAttempt records how an attempt ended and how many seconds it took. A retryAfter is for how
+// many seconds the worker wants no more requests, 0 if it did not say.
+func (r *Router) FinishAttempt(now float64, name string, outcome Outcome, latency, retryAfter float64) {
+	w := r.byName[name]
+	if w == nil {
+		return
+	}
+	w.inFlight = max(0, w.inFlight-1)
+	r.decayPenalty(w, now)
+	switch outcome {
+	case Finished:
+		r.latency += overallLatencySmoothing * (latency - r.latency)
+		w.recordLatency(latency)
+		w.count(func(counts *workercapacity.Attempts) { counts.Finished++ })
+	case Rejected:
+		w.penalty.value += rejectionPenalty
+		w.count(func(counts *workercapacity.Attempts) { counts.Rejected++ })
+		w.breaker.delay(now, retryAfter)
+	case ConnectionLost, TimedOut:
+		w.count(func(counts *workercapacity.Attempts) { counts.Lost++ })
+	}
+	w.breaker.finishAttempt(now, outcome)
+}
+
+// Retry is a request whose last attempt ended, for AllowRetry.
+type Retry struct {
+	LastOutcome    Outcome
+	Attempts       int // so far
+	IsIdempotent   bool
+	Remaining      float64 // seconds to the request's deadline
+	TypicalLatency float64 // of such requests
+}
+
+// isUseful reports whether another attempt is safe and has a chance to finish.
+func (a *Retry) isUseful() bool {
+	switch a.LastOutcome {
+	case Finished, Failed, TimedOut, Cancelled:
+		return false
+	}
+	if a.Attempts >= MaxAttempts || a.Remaining <= a.TypicalLatency {
+		return false
+	}
+	return a.IsIdempotent || a.LastOutcome.KnownNotExecuted()
+}
+
+// AllowRetry reports whether a request may have another attempt, and takes it from the budget of
+// retries if so. A request is not retried if it may have been executed and is not idempotent, or if
+// the remaining time is too short.
+func (r *Router) AllowRetry(retry Retry) bool {
+	return retry.isUseful() && r.retries.take()
+}
--- /dev/null
+++ b/internal/policy/routing/breaker.go
@@ -0,0 +1,161 @@
+package routing
+
+// WorkerState is the state of the circuit breaker of a worker.
+type WorkerState uint8
+
+// The states of a worker.
+const (
+	Healthy      WorkerState = iota
+	Ejected                  // it lost attempts and receives no requests for a while
+	Probing                  // it receives one request at a time, to see whether it has recovered
+	Disconnected             // there is no connection to it
+	workerStates
+)
+
+func (s WorkerState) String() string {
+	return [...]string{"healthy", "ejected", "probing", "disconnected", "unknown"}[min(s, workerStates)]
+}
+
+// workerEvent is what can change a worker's state.
+type workerEvent uint8
+
+const (
+	responded               workerEvent = iota // it answered an attempt, whatever the answer
+	failureThresholdReached                    // it lost several attempts in a row
+	attemptLost                                // it lost one attempt
+	ejectionExpired
+	disconnected
+	connected
+)
+
+// transitions is the whole state machine. An event that is not listed for a state does not change it.
+var transitions = [...]struct {
+	state WorkerState
+	event workerEvent
+	next  WorkerState
+}{
+	{Healthy, failureThresholdReached, Ejected},
+	{Healthy, disconnected, Disconnected},
+	{Ejected, ejectionExpired, Probing},
+	{Ejected, disconnected, Disconnected},
+	{Probing, responded, Healthy},
+	{Probing, attemptLost, Ejected},
+	{Probing, disconnected, Disconnected},
+	{Disconnected, connected, Healthy},
+}
+
+const (
+	// maxConsecutiveLosses attempts lost in a row eject a worker: one or two happen to any.
+	maxConsecutiveLosses = 3
+	// idempotentProbeSeconds is for how long only idempotent requests probe a worker. If none
+	// arrives in that time any request may.
+	idempotentProbeSeconds = 1.0
+	// minEjectionSeconds is how long the first ejection lasts. Each that follows without an answer
+	// lasts twice as long, up to maxEjectionSeconds. The maximum holds for a Retry-After too.
+	minEjectionSeconds = 0.25
+	maxEjectionSeconds = 4.0
+)
+
+// circuitBreaker decides whether a worker may receive requests.
+type circuitBreaker struct {
+	state             WorkerState
+	probeInFlight     bool
+	probingSince      float64
+	consecutiveLosses int
+	nextEjection      float64 // duration
+	unavailableUntil  float64 // end of the ejection or of the worker's Retry-After
+}
+
+// newCircuitBreaker returns the breaker of a worker that is not connected.
+func newCircuitBreaker() circuitBreaker {
+	return circuitBreaker{state: Disconnected, nextEjection: minEjectionSeconds}
+}
+
+// handle changes the state by the table of transitions.
+func (b *circuitBreaker) handle(event workerEvent) {
+	for _, transition := range transitions {
+		if transition.state == b.state && transition.event == event {
+			b.state = transition.next
+			return
+		}
+	}
+}
+
+// connect records that there is a connection.
+func (b *circuitBreaker) connect() {
+	b.handle(connected)
+	b.probeInFlight = false
+	b.unavailableUntil = 0
+}
+
+// disconnect records that there is no connection.
+func (b *circuitBreaker) disconnect() { b.handle(disconnected) }
+
+// expireEjection starts to probe an ejected worker once its time is over.
+func (b *circuitBreaker) expireEjection(now float64) {
+	if b.state == Ejected && now >= b.unavailableUntil {
+		b.handle(ejectionExpired)
+		b.probingSince = now
+	}
+}
+
+// available reports whether some request may go to the worker now.
+func (b *circuitBreaker) available(now float64) bool {
+	switch b.state {
+	case Ejected, Disconnected:
+		return false
+	case Probing:
+		if b.probeInFlight {
+			return false
+		}
+	}
+	return now >= b.unavailableUntil
+}
+
+// acceptsOnlyIdempotent reports whether the worker began to be probed a short time ago.
+func (b *circuitBreaker) acceptsOnlyIdempotent(now float64) bool {
+	return b.state == Probing && now < b.probingSince+idempotentProbeSeconds
+}
+
+// startAttempt records that a request goes to the worker.
+func (b *circuitBreaker) startAttempt() {
+	if b.state == Probing {
+		b.probeInFlight = true
+	}
+}
+
+// delay keeps requests away for as long as the worker asked, up to the longest ejection.
+func (b *circuitBreaker) delay(now, retryAfter float64) {
+	b.unavailableUntil = max(b.unavailableUntil, now+min(retryAfter, maxEjectionSeconds))
+}
+
+// finishAttempt records how an attempt ended.
+func (b *circuitBreaker) finishAttempt(now float64, outcome Outcome) {
+	switch outcome {
+	case Finished, Rejected, Failed:
+		b.consecutiveLosses = 0
+		b.nextEjection = minEjectionSeconds
+		b.probeInFlight = false
+		b.handle(responded)
+	case ConnectionLost, TimedOut:
+		b.consecutiveLosses++
+		thresholdReached := b.state == Healthy && b.consecutiveLosses >= maxConsecutiveLosses
+		if b.state == Probing || thresholdReached {
+			b.eject(now)
+		}
+	case NotSent, Cancelled:
+		b.probeInFlight = false
+	}
+}
+
+// eject keeps requests away, twice as long as the last time.
+func (b *circuitBreaker) eject(now float64) {
+	b.unavailableUntil = now + b.nextEjection
+	b.nextEjection = min(maxEjectionSeconds, 2*b.nextEjection)
+	b.probeInFlight = false
+	if b.state == Probing {
+		b.handle(attemptLost)
+		return
+	}
+	b.handle(failureThresholdReached)
+}
--- /dev/null
+++ b/internal/policy/workercapacity/estimate_test.go
@@ -0,0 +1,28 @@
+package workercapacity
+
+import (
+	"math"
+	"testing"
+)
+
+func TestUpdate(t *testing.T) {
+	for name, c := range map[string]struct {
+		previous float64
+		attempts Attempts
+		want     float64
+	}{
+		"no attempts":               {10, Attempts{}, 10},
+		"below capacity":            {10, Attempts{Finished: 10}, 10 + 0.3*(25-10)},
+		"less than before":          {100, Attempts{Finished: 10}, 100},
+		"at capacity by rejections": {100, Attempts{Finished: 10, Rejected: 1}, 100 + 0.3*(20-100)},
+		"at capacity by losses":     {100, Attempts{Finished: 10, Lost: 1}, 100 + 0.3*(20-100)},
+		"few rejections":            {100, Attempts{Finished: 99, Rejected: 1}, 100 + 0.3*(247.5-100)},
+		"nothing finished":          {2, Attempts{Rejected: 5}, 2 + 0.3*(Min-2)},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got := Update(c.previous, c.attempts, 0.5); math.Abs(got-c.want) > 1e-12 {
+				t.Errorf("%g, want %g", got, c.want)
+			}
+		})
+	}
+}
