--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -39,16 +39,17 @@
 	if start.Settings.Cores *= len(workers); own.Forwarding.MaxInFlight > 0 {
 		start.Settings.Cores = own.Forwarding.MaxInFlight
 	}
-	p.dispatcher = forwarder.Start(forwarder.Config{Workers: workers, Classes: start.Settings.Classes, Seed: forwarder.SeedFor(start.Name, start.Seed),
-		SlowStartSpeed: start.Settings.SlowStart.InitialSpeed, SlowStartSeconds: start.WorkerSlowStartDuration, Now: loop.Now,
-		OnResults: func(list []forwarder.Result) {
-			backs := make([]server.ForwardResult, len(list))
-			for i, b := range list {
-				backs[i] = server.ForwardResult(b)
-			}
-			loop.HandleForwardResults(backs)
-		}, OnWorkerAvailable: loop.HandleWorkerAvailable})
-	loop.EnableForwarding(func(out server.ForwardRequest) bool { return p.dispatcher.Dispatch(forwarder.Request(out)) }, p.dispatcher.Cancel)
+	p.dispatcher = forwarder.Start(forwarder.Config{
+		Workers:           workers,
+		Classes:           start.Settings.Classes,
+		Seed:              forwarder.SeedFor(start.Name, start.Seed),
+		SlowStartSpeed:    start.Settings.SlowStart.InitialSpeed,
+		SlowStartSeconds:  start.WorkerSlowStartDuration,
+		Now:               loop.Now,
+		OnResults:         loop.HandleForwardResults,
+		OnWorkerAvailable: loop.HandleWorkerAvailable,
+	})
+	loop.EnableForwarding(p.dispatcher.Dispatch, p.dispatcher.Cancel)
 	slog.Info("forwarder", "workers", len(workers), "slots", start.Settings.Cores)
 	return nil
 }
--- /dev/null
+++ b/internal/forwarder/connection.go
@@ -0,0 +1,171 @@
+package forwarder
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"time"
+
+	"swiftcourse/internal/wire/rpc"
+)
+
+const (
+	// maxQueuedMessages bounds the messages that wait to be written to a worker that does not read:
+	// some hundred requests.
+	maxQueuedMessages = 256
+	// dialTimeout bounds one dial. The backoff between two dials doubles from minRedialBackoff to
+	// maxRedialBackoff.
+	dialTimeout      = time.Second
+	minRedialBackoff = 20 * time.Millisecond
+	maxRedialBackoff = 500 * time.Millisecond
+	// maxPartialMessage bounds the bytes of a message that is not complete yet, and readSize those
+	// of one read.
+	maxPartialMessage = 64 << 10
+	readSize          = 16 << 10
+)
+
+var (
+	// errMessageTooLong bounds what waits to be complete, whatever the codec accepts. No input that
+	// gets here is known: it is a guard that no test reaches.
+	errMessageTooLong = errors.New("message too long")
+	// errStopped reports that the dispatcher was stopped.
+	errStopped = errors.New("dispatcher stopped")
+)
+
+// connection is one connection to a worker.
+type connection struct {
+	socket   net.Conn
+	messages chan []byte // to be written
+	closed   chan struct{}
+}
+
+func newConnection(socket net.Conn) *connection {
+	return &connection{
+		socket:   socket,
+		messages: make(chan []byte, maxQueuedMessages),
+		closed:   make(chan struct{}),
+	}
+}
+
+// enqueue queues a message to be written, and reports whether there was room.
+func (c *connection) enqueue(message []byte) bool {
+	select {
+	case c.messages <- message:
+		return true
+	default:
+		return false
+	}
+}
+
+// close closes the socket; the goroutine that reads it ends then.
+func (c *connection) close() { _ = c.socket.Close() }
+
+// write writes the queued messages until the connection is closed.
+func (c *connection) write() {
+	for {
+		select {
+		case <-c.closed:
+			return
+		case batch := <-c.messages:
+			for range len(c.messages) { // what is queued already goes with it
+				batch = append(batch, <-c.messages...)
+			}
+			if _, err := c.socket.Write(batch); err != nil {
+				c.close()
+				return
+			}
+		}
+	}
+}
+
+// maintain dials the worker until the dispatcher stops, and reads each connection to its end.
+func (l *link) maintain() {
+	backoff := minRedialBackoff
+	for {
+		socket, err := net.DialTimeout("tcp", l.worker.Addr, dialTimeout)
+		if err != nil {
+			if !l.sleep(backoff) {
+				return
+			}
+			backoff = min(2*backoff, maxRedialBackoff)
+			continue
+		}
+		if answered := l.serve(newConnection(socket)); answered {
+			backoff = minRedialBackoff
+		}
+		if !l.sleep(backoff) {
+			return
+		}
+	}
+}
+
+// sleep waits, and returns false if the dispatcher stopped.
+func (l *link) sleep(duration time.Duration) bool {
+	select {
+	case <-l.dispatcher.stop:
+		return false
+	case <-time.After(duration):
+		return true
+	}
+}
+
+// serve uses a connection until it ends, and reports whether the worker answered anything on it.
+func (l *link) serve(c *connection) (answered bool) {
+	go c.write()
+	l.dispatcher.post(connectionEvent{link: l, connection: c})
+	answered, err := l.read(c.socket)
+	if err != nil {
+		slog.Info("protocol_error", "worker", l.worker.Name, "addr", l.worker.Addr, "err", err)
+	}
+	c.close()
+	close(c.closed)
+	l.dispatcher.post(connectionEvent{link: l})
+	return answered
+}
+
+// read hands the worker's answers to the dispatcher until the connection ends, and reports whether
+// there was any. An error is the worker's: it wraps rpc.ErrMalformed or is errMessageTooLong.
+func (l *link) read(socket net.Conn) (answered bool, err error) {
+	var input []byte
+	chunk := make([]byte, readSize)
+	for {
+		size, err := socket.Read(chunk)
+		if err != nil {
+			return answered, nil
+		}
+		input = append(input, chunk[:size]...)
+		consumed, err := l.deliverAnswers(input)
+		answered = answered || consumed > 0
+		if errors.Is(err, errStopped) {
+			return answered, nil
+		}
+		if err != nil {
+			return answered, err
+		}
+		input = append(input[:0], input[consumed:]...)
+	}
+}
+
+// deliverAnswers hands the complete messages at the start of the input to the dispatcher, and
+// returns how many bytes they are.
+func (l *link) deliverAnswers(input []byte) (consumed int, err error) {
+	for consumed < len(input) {
+		answer, size, err := rpc.NextAnswer(input[consumed:])
+		switch {
+		case err != nil:
+			return consumed, fmt.Errorf("after %d bytes that are read: %w", consumed, err)
+		case size == 0 && len(input)-consumed > maxPartialMessage:
+			return consumed, errMessageTooLong
+		case size == 0:
+			return consumed, nil
+		}
+		consumed += size
+		answer.Result = bytes.Clone(answer.Result)
+		if !l.dispatcher.post(answerEvent{link: l, answer: answer}) {
+			return consumed, errStopped
+		}
+	}
+	return consumed, nil
+}
--- a/internal/forwarder/link.go
+++ b/internal/forwarder/link.go
@@ -1,192 +1,91 @@
 package forwarder
 
 import (
-	"bytes"
-	"errors"
-	"fmt"
 	"log/slog"
-	"net"
-	"time"
 
+	"swiftcourse/internal/policy/routing"
 	"swiftcourse/internal/wire/rpc"
 )
 
-const (
-	// maxLine messages wait to be written to a worker that does not read: some hundred tasks.
-	maxLine = 256
-	// dialFor bounds one dial, redial is the wait between two, doubled up to maxRedial.
-	dialFor   = time.Second
-	redial    = 20 * time.Millisecond
-	maxRedial = 500 * time.Millisecond
-	// maxRead bounds what of one message may wait to be whole.
-	maxRead = 64 << 10
-)
-
-// link is the way to one worker: connections that follow one another. Its fields after the first group are the owner's alone; the goroutines of a
-// connection know that connection only.
+// link is the way to one worker: connections that follow one another.
 type link struct {
-	Worker
-	d *Dispatcher
-
-	conn    *conn
-	parting bool   // its worker wants no new task on this connection
-	number  uint64 // of the last message, over all connections
-	tries   map[uint64]*try
-}
+	worker     Worker
+	dispatcher *Dispatcher
 
-// conn is one connection.
-type conn struct {
-	raw  net.Conn
-	out  chan []byte
-	done chan struct{}
-}
+	// What follows belongs to the dispatcher's owner.
 
-func newLink(d *Dispatcher, w Worker) *link {
-	return &link{Worker: w, d: d, tries: map[uint64]*try{}}
+	connection *connection                // nil if there is none
+	isDraining bool                       // the worker wants no new request on this connection
+	lastNumber uint64                     // of a message, over all connections
+	inFlight   map[uint64]*pendingRequest // by message number
 }
 
-// keep dials for ever, and reads each connection to its end.
-func (l *link) keep() {
-	pause := redial
-	for {
-		raw, err := net.DialTimeout("tcp", l.Addr, dialFor)
-		if err != nil {
-			select {
-			case <-l.d.quit:
-				return
-			case <-time.After(pause):
-			}
-			pause = min(2*pause, maxRedial)
-			continue
-		}
-		c := &conn{raw: raw, out: make(chan []byte, maxLine), done: make(chan struct{})}
-		go c.write()
-		l.tell(c, true)
-		spoke, err := l.read(c)
-		if spoke { // it had something to say: the next dial is at once
-			pause = redial
-		}
-		if err != nil {
-			slog.Info("bad_input", "worker", l.Name, "addr", l.Addr, "err", err)
-		}
-		_ = raw.Close()
-		close(c.done)
-		l.tell(c, false)
-		select {
-		case <-l.d.quit:
-			return
-		case <-time.After(pause):
-		}
-	}
+func newLink(d *Dispatcher, worker Worker) *link {
+	return &link{worker: worker, dispatcher: d, inFlight: map[uint64]*pendingRequest{}}
 }
 
-// tell has the owner hear of a connection that began or ended: the link itself changes there.
-func (l *link) tell(c *conn, up bool) {
-	change := func() {
-		l.conn, l.parting = nil, false
-		if up {
-			l.conn = c
-		}
-		l.d.changed(l.d.Now(), l, up)
-	}
-	select {
-	case l.d.inbox <- event{ask: change}:
-	case <-l.d.quit:
+// send sends a request and returns the number of its message. It returns 0 if there is no room:
+// nothing was sent then.
+func (l *link) send(p *pendingRequest, message *rpc.Message) uint64 {
+	if l.connection == nil || l.isDraining {
+		return 0
 	}
-}
-
-// parts has no new task go on the connection, whose worker asked for that. It is closed once all that is out there is answered, and another one opened.
-func (l *link) parts() {
-	if l.conn != nil && !l.parting {
-		l.parting = true
-		l.d.router.SetConnected(l.d.Now(), l.Name, false)
-		l.closeIdle()
+	l.lastNumber++
+	message.Number = l.lastNumber
+	if !l.connection.enqueue(rpc.PutTask(nil, message)) {
+		return 0
 	}
+	l.inFlight[l.lastNumber] = p
+	return l.lastNumber
 }
 
-func (l *link) closeIdle() {
-	if l.parting && l.conn != nil && len(l.tries) == 0 {
-		_ = l.conn.raw.Close() // its reader tells
+// sendCancel tells the worker that nobody waits for a message's answer any more. If there is no room
+// the worker learns it from the message's deadline.
+func (l *link) sendCancel(number uint64) {
+	if l.connection != nil {
+		l.connection.enqueue(rpc.PutGone(nil, number))
 	}
 }
 
-func (c *conn) write() {
-	for {
-		select {
-		case <-c.done:
-			return
-		case b := <-c.out:
-			for range len(c.out) { // what is there already goes with it
-				b = append(b, <-c.out...)
-			}
-			if _, err := c.raw.Write(b); err != nil {
-				_ = c.raw.Close()
-				return
-			}
-		}
+// drain sends no new request on the connection, whose worker asked for that. It is closed once all
+// requests on it are answered, and another one is dialled.
+func (l *link) drain(now float64) {
+	if l.connection != nil && !l.isDraining {
+		l.isDraining = true
+		l.dispatcher.router.SetConnected(now, l.worker.Name, false)
+		l.closeIfDrained()
 	}
 }
 
-// errLong bounds what waits to be whole, whatever the codec lets pass. No input that gets here is known: it guards, and no test reaches it.
-var errLong = errors.New("a message without end")
-
-// read hands messages to the owner until the connection ends, and tells whether there was any. An error is the worker's: bytes that are no message.
-func (l *link) read(c *conn) (spoke bool, err error) {
-	var b []byte
-	piece := make([]byte, 16<<10)
-	for {
-		n, err := c.raw.Read(piece)
-		if err != nil {
-			return spoke, nil
-		}
-		b = append(b, piece[:n]...)
-		at := 0
-		for at < len(b) {
-			a, size, err := rpc.NextAnswer(b[at:])
-			if err != nil {
-				return spoke, fmt.Errorf("after %d bytes that are read: %w", at, err)
-			}
-			if size == 0 && len(b)-at > maxRead {
-				return spoke, errLong
-			}
-			if size == 0 {
-				break
-			}
-			at += size
-			a.Result = bytes.Clone(a.Result)
-			spoke = true
-			select {
-			case l.d.inbox <- event{link: l, answer: &a}:
-			case <-l.d.quit:
-				return spoke, nil
-			}
-		}
-		b = append(b[:0], b[at:]...)
+func (l *link) closeIfDrained() {
+	if l.isDraining && l.connection != nil && len(l.inFlight) == 0 {
+		l.connection.close() // maintain sees it end
 	}
 }
 
-// send puts a task on the line, and tells its number there, 0 where there is no room: then nothing of it left.
-func (l *link) send(t *try, m *rpc.Message) uint64 {
-	if l.conn == nil || l.parting {
-		return 0
-	}
-	l.number++
-	m.Number = l.number
-	select {
-	case l.conn.out <- rpc.PutTask(nil, m):
-		l.tries[l.number] = t
-		return l.number
-	default:
-		return 0
+// handleConnected takes a new connection of a link into use.
+func (d *Dispatcher) handleConnected(now float64, l *link, c *connection) {
+	l.connection = c
+	l.isDraining = false
+	d.router.SetConnected(now, l.worker.Name, true)
+	slog.Info("worker_connected", "worker", l.worker.Name, "addr", l.worker.Addr)
+	if !d.workerAvailable {
+		d.workerAvailable = true
+		go d.config.OnWorkerAvailable()
 	}
 }
 
-// gone tells the worker that nobody waits for a message any more; where there is no room it finds out by its due moment.
-func (l *link) gone(number uint64) {
-	if l.conn != nil {
-		select {
-		case l.conn.out <- rpc.PutGone(nil, number):
-		default:
-		}
+// handleDisconnected ends the attempts on a connection that ended: their requests may have been
+// executed.
+func (d *Dispatcher) handleDisconnected(now float64, l *link) {
+	l.connection = nil
+	l.isDraining = false
+	d.router.SetConnected(now, l.worker.Name, false)
+	slog.Info("worker_disconnected", "worker", l.worker.Name, "in_flight", len(l.inFlight))
+	lost := l.inFlight
+	l.inFlight = map[uint64]*pendingRequest{}
+	for _, p := range lost {
+		d.finishAttempt(now, p, routing.ConnectionLost, 0)
+		d.retryOrSettle(now, p, routing.ConnectionLost, 0)
 	}
 }
--- /dev/null
+++ b/internal/forwarder/report.go
@@ -0,0 +1,63 @@
+package forwarder
+
+import (
+	"log/slog"
+
+	"swiftcourse/internal/policy/loadplan"
+	"swiftcourse/internal/policy/routing"
+)
+
+// minReportSeconds guards the division by the time since the last report.
+const minReportSeconds = 0.001
+
+// stats counts requests since the last line of statistics in the log.
+type stats struct {
+	dispatched     int
+	finished       int
+	failed         int
+	rejected       int
+	timedOut       int
+	connectionLost int
+	retries        int
+}
+
+func (d *Dispatcher) logStats(now float64) {
+	slog.Info("forwarder_stats",
+		"dispatched", d.stats.dispatched,
+		"finished", d.stats.finished,
+		"failed", d.stats.failed,
+		"rejected", d.stats.rejected,
+		"timed_out", d.stats.timedOut,
+		"connection_lost", d.stats.connectionLost,
+		"retries", d.stats.retries,
+		"in_flight", len(d.pending),
+		"connected_workers", d.router.ConnectedWorkers(),
+		"workers", len(d.links),
+		"plan_influence", d.router.PlanInfluence(now),
+	)
+	d.stats = stats{}
+}
+
+// takeReport returns the demand and the workers' statistics since the last report.
+func (d *Dispatcher) takeReport(now float64) *loadplan.Report {
+	report := &loadplan.Report{IntervalSeconds: max(now-d.lastReport, minReportSeconds)}
+	d.lastReport = now
+	for tenant, requests := range d.demand {
+		report.Demand = append(report.Demand, loadplan.TenantRate{
+			Tenant: tenant,
+			Rate:   requests / report.IntervalSeconds,
+		})
+	}
+	clear(d.demand)
+	for _, worker := range d.router.TakeStats() {
+		report.Workers = append(report.Workers, loadplan.WorkerStats{
+			Name:      worker.Name,
+			Connected: worker.State != routing.Disconnected,
+			InFlight:  worker.InFlight,
+			Finished:  worker.Finished,
+			Rejected:  worker.Rejected,
+			Lost:      worker.Lost,
+		})
+	}
+	return report
+}
--- a/internal/lab/faults/fleet.go
+++ b/internal/lab/faults/fleet.go
@@ -217,7 +217,8 @@
 func (f *Fleet) hear(name, line string) {
 	fields := labfleet.Fields(line)
 	event := fields["event"]
-	if !strings.HasPrefix(event, "fleet") && event != "worker" && event != "forwards" && event != "forward_panic" && event != "serving_mode_changed" && event != "panic" {
+	if !strings.HasPrefix(event, "fleet") && !strings.HasPrefix(event, "worker_") && event != "forwarder_stats" && event != "forwarder_panic" &&
+		event != "serving_mode_changed" && event != "panic" {
 		return
 	}
 	f.mu.Lock()
--- a/internal/lab/faults/levels_test.go
+++ b/internal/lab/faults/levels_test.go
@@ -48,7 +48,7 @@
 		if n := f.Ledger.Twice(pay); n > 0 {
 			t.Errorf("%d tasks that must not ran twice", n)
 		}
-		if n := len(f.Said("", "forward_panic")) + len(f.Said("", "fleet_panic")); n > 0 {
+		if n := len(f.Said("", "forwarder_panic")) + len(f.Said("", "fleet_panic")); n > 0 {
 			t.Errorf("%d panics", n)
 		}
 		f.Close()
--- a/internal/server/forwarding.go
+++ b/internal/server/forwarding.go
@@ -4,6 +4,7 @@
 	"math"
 
 	"swiftcourse/admission"
+	"swiftcourse/internal/forwarding"
 	"swiftcourse/internal/requesttable"
 	"swiftcourse/internal/wire/rpc"
 )
@@ -16,37 +17,18 @@
 // upstream calls.
 const forwardSafetyMargin = 0.010
 
-// ForwardRequest is a request on its way to a worker.
-type ForwardRequest struct {
-	ID      string
-	Stage   int         // its class
-	Message rpc.Message // as it goes on, but for its number and its times
-	Left    float64     // seconds in which it has to be back
-}
-
-// ForwardResult is the outcome of a forwarded request.
-type ForwardResult struct {
-	ID string
-	// Outcome is Finished, Failed, Rejected where no worker took it, Cancelled where nobody waits
-	// any more.
-	Outcome admission.Outcome
-	Body    []byte
-	Took    float64 // seconds
-	Advice  float64 // where it was rejected: when to come back, in seconds
-}
-
-// forwarding is the state of a server that forwards its requests.
-type forwarding struct {
+// forwardingState is the state of a server that forwards its requests.
+type forwardingState struct {
 	messages map[string]*rpc.Message // what goes on with requests that are not over
-	dispatch func(ForwardRequest) bool
+	dispatch func(forwarding.Request) bool
 	cancel   func(id string)
 }
 
 // EnableForwarding has requests run by dispatch instead of an executor; it returns false for a
 // request that was never sent. The function cancel is called for a request whose client is gone.
 // EnableForwarding is called before Run.
-func (s *Server) EnableForwarding(dispatch func(ForwardRequest) bool, cancel func(id string)) {
-	s.fleet.forwarding = &forwarding{messages: map[string]*rpc.Message{}, dispatch: dispatch, cancel: cancel}
+func (s *Server) EnableForwarding(dispatch func(forwarding.Request) bool, cancel func(id string)) {
+	s.fleet.forwarding = &forwardingState{messages: map[string]*rpc.Message{}, dispatch: dispatch, cancel: cancel}
 	s.executor.askGaugesFunc = func() {} // there are no gauges: what workers can do is learned from what they say
 }
 
@@ -63,7 +45,7 @@
 
 // HandleForwardResults returns forwarded requests. Any goroutine may call it once the loop has
 // started; it returns at once.
-func (s *Server) HandleForwardResults(results []ForwardResult) {
+func (s *Server) HandleForwardResults(results []forwarding.Result) {
 	_ = s.loop.execute(func() {
 		for i := range results {
 			s.handleForwardResult(&results[i])
@@ -99,18 +81,18 @@
 	if request.Timeout > 0 {
 		timeout = min(timeout, request.Timeout)
 	}
-	forwarded := ForwardRequest{
-		ID:      request.ID,
-		Stage:   request.Class,
-		Message: *f.messages[request.ID],
-		Left:    request.ArrivedAt + timeout - s.now() - forwardSafetyMargin,
+	forwarded := forwarding.Request{
+		ID:               request.ID,
+		Class:            request.Class,
+		Message:          *f.messages[request.ID],
+		RemainingSeconds: request.ArrivedAt + timeout - s.now() - forwardSafetyMargin,
 	}
 	forwarded.Message.Body = append([]byte(nil), request.Body...) // the buffer may be used again before a retry
-	if forwarded.Left <= 0 || !f.dispatch(forwarded) {
-		s.handleForwardResult(&ForwardResult{
-			ID:      request.ID,
-			Outcome: admission.Rejected,
-			Advice:  s.startup.Settings.MaxRetryAfter,
+	if forwarded.RemainingSeconds <= 0 || !f.dispatch(forwarded) {
+		s.handleForwardResult(&forwarding.Result{
+			ID:                request.ID,
+			Outcome:           admission.Rejected,
+			RetryAfterSeconds: s.startup.Settings.MaxRetryAfter,
 		})
 	}
 }
@@ -128,7 +110,7 @@
 }
 
 // handleForwardResult ends a forwarded run.
-func (s *Server) handleForwardResult(result *ForwardResult) {
+func (s *Server) handleForwardResult(result *forwarding.Result) {
 	request := s.requests.Get(result.ID)
 	if request == nil || !request.Running {
 		return
@@ -142,8 +124,8 @@
 	case admission.Rejected:
 		outcome = admission.NeverStarted
 		if !request.Answered {
-			s.reject(request, min(result.Advice, s.startup.Settings.MaxRetryAfter), false)
+			s.reject(request, min(result.RetryAfterSeconds, s.startup.Settings.MaxRetryAfter), false)
 		}
 	}
-	s.finishRun(request, outcome, result.Body, result.Took)
+	s.finishRun(request, outcome, result.Body, result.Seconds)
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -100,7 +100,7 @@
 	quotas     *quotas          // nil where none are shared
 	claims     *keyClaims       // nil where no class's keys are claimed
 	counters   *requestCounters // nil where nothing is counted for a fleet
-	forwarding *forwarding      // nil where requests run at an executor
+	forwarding *forwardingState // nil where requests run at an executor
 }
 
 // resultCacheShare is the divisor of the memory that cached results may take: as much as the
