--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -44,11 +44,14 @@
 		OnResults: func(list []forwarder.Result) {
 			backs := make([]server.ForwardResult, len(list))
 			for i, b := range list {
-				backs[i] = server.ForwardResult(b)
+				backs[i] = server.ForwardResult{ID: b.ID, Outcome: b.Outcome, Body: b.Body, Duration: b.Took, RetryAfter: b.Advice}
 			}
 			loop.HandleForwardResults(backs)
 		}, OnWorkerAvailable: loop.HandleWorkerAvailable})
-	loop.EnableForwarding(func(out server.ForwardRequest) bool { return p.dispatcher.Dispatch(forwarder.Request(out)) }, p.dispatcher.Cancel)
+	dispatch := func(r server.ForwardRequest) bool {
+		return p.dispatcher.Dispatch(forwarder.Request{ID: r.ID, Stage: r.Class, Message: r.Message, Left: r.Remaining})
+	}
+	loop.EnableForwarding(dispatch, p.dispatcher.Cancel)
 	slog.Info("forwarder", "workers", len(workers), "slots", start.Settings.Cores)
 	return nil
 }
--- a/internal/server/accept.go
+++ b/internal/server/accept.go
@@ -51,18 +51,18 @@
 	pending  chan struct{} // has a place for each connection on its way to the loop
 
 	closeRequested atomic.Bool
-	wakeFD         int           // an event descriptor, written to have it look at closeRequested
+	wakeFD         int           // an event descriptor that wakes it for closeRequested
 	done           chan struct{} // closed once the listener is
 
-	spareFile       *os.File // a descriptor to give up when there is no other
+	spareFile       *os.File // a descriptor to give up when there is none left
 	failureLoggedAt time.Time
-	failures        atomic.Int64 // accepts that failed for want of something
+	failures        atomic.Int64 // failed accepts
 
 	// untrustedRate is from the limiter: untrusted clients a second, as the bits of a float64.
 	untrustedRate atomic.Uint64
-	trusted       atomic.Pointer[trustedClients] // who goes past that, from the limiter
-	rateLimited   atomic.Int64                   // untrusted clients over the rate, refused here
-	sampledAt     float64                        // when the loop last told the limiter what was spent
+	trusted       atomic.Pointer[trustedClients] // exempt from the rate, from the limiter
+	rateLimited   atomic.Int64                   // untrusted clients that were refused
+	sampledAt     float64                        // when the loop last sampled the CPU time
 }
 
 // acceptFunc waits for a connection. It returns net.ErrClosed once the acceptor is to close and no
@@ -144,7 +144,7 @@
 	defer close(a.done)
 	defer a.release()
 	select {
-	case <-a.server.loop.ready: // the first connection to be dialed makes the loop known
+	case <-a.server.loop.ready: // the first dialed connection starts it
 	case <-a.server.lifetime.stopped:
 		return
 	}
@@ -164,7 +164,7 @@
 		case errors.Is(err, syscall.EINTR): // a signal came
 			continue
 		}
-		if a.closeRequested.Load() { // who still waits can't be taken
+		if a.closeRequested.Load() { // those that still wait can't be accepted
 			return
 		}
 		a.handleFailure(err)
@@ -244,7 +244,7 @@
 
 func (a *acceptor) reserveSpare() {
 	if a.spareFile == nil {
-		a.spareFile, _ = os.Open(os.DevNull) // none to be had: the next accept that succeeds tries again
+		a.spareFile, _ = os.Open(os.DevNull) // if it fails, the next accept tries again
 	}
 }
 
@@ -258,7 +258,7 @@
 	_ = a.spareFile.Close()
 	a.spareFile = nil
 	socket, err := a.acceptNonblocking()
-	if err != nil { // the system says that it lacks descriptors also where nobody waits
+	if err != nil { // the system reports a lack of descriptors even if no connection waits
 		a.reserveSpare()
 	}
 	return socket, err == nil
@@ -272,7 +272,7 @@
 		if !errors.Is(err, unix.EAGAIN) {
 			return socket, err
 		}
-		if a.closeRequested.Load() { // and nobody waits
+		if a.closeRequested.Load() { // and no connection waits
 			return socket, net.ErrClosed
 		}
 		_, _ = unix.Poll([]unix.PollFd{
@@ -321,7 +321,7 @@
 		return
 	}
 	go func() {
-		if result := <-registered; result.Err != nil { // it never came to OnOpen
+		if result := <-registered; result.Err != nil { // it never reached OnOpen
 			<-a.pending
 		}
 	}()
@@ -337,18 +337,18 @@
 		_ = s.loop.execute(func() { close(evicted) })
 	})
 	if err != nil {
-		return // it ends
+		return // the engine is stopped
 	}
 	select {
 	case <-evicted:
-	case <-time.After(maxAcceptBackoff): // the server ends, or stands still
+	case <-time.After(maxAcceptBackoff): // the server ends, or the loop is stalled
 	}
 }
 
 // duplicateConn makes a net.Conn of a duplicate of the descriptor, so that the original is still
 // open if that fails.
 func duplicateConn(socket acceptedSocket) (net.Conn, error) {
-	_ = unix.SetsockoptInt(socket.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // slower without, no worse
+	_ = unix.SetsockoptInt(socket.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // an error only costs latency
 	fd, err := unix.FcntlInt(uintptr(socket.fd), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
 		return nil, err
--- a/internal/server/claims.go
+++ b/internal/server/claims.go
@@ -8,10 +8,10 @@
 	"swiftcourse/internal/requesttable"
 )
 
-// This file is what the server does with requests that bear an idempotency key: before the
-// controller hears of one the fleet grants it, so that no effect comes twice wherever its retries
-// end up. The wait counts as one unread: the controller judges what is left of the client's
-// timeout.
+// This file claims the idempotency keys of requests: the fleet grants a key before the controller
+// receives the request, so that the request has no effect twice, on whichever servers its retries
+// arrive. Waiting for the grant counts as time unread: the controller goes by what is left of the
+// client's timeout.
 
 const (
 	// maxPendingClaims bounds the requests that are claimed at a time: at 1 ms each that is a
@@ -43,7 +43,7 @@
 type keyClaims struct {
 	claimer KeyClaimer
 	classes []bool                     // whose requests are claimed
-	waiting map[string]admission.Event // arrivals that the controller has not heard of, by request
+	waiting map[string]admission.Event // arrivals that the controller has not received, by request
 	granted map[string]bool
 }
 
@@ -90,7 +90,7 @@
 	claims.waiting[request.ID] = *arrival
 	id := request.ID
 	s.loop.timers.Schedule(now+max(0, left)+claimTimeoutGrace, func() {
-		s.resolveClaim(id, serving.ClaimOutcomeUnknown, nil) // what is resolved by then changes nothing
+		s.resolveClaim(id, serving.ClaimOutcomeUnknown, nil) // no effect if it is resolved by then
 	})
 	return true
 }
@@ -105,7 +105,7 @@
 func (s *Server) resolveClaim(id string, verdict serving.ClaimVerdict, result []byte) {
 	claims := s.fleet.claims
 	arrival, waits := claims.waiting[id]
-	if !waits { // it is over, and the fleet was told so
+	if !waits { // it is over, and the fleet was notified
 		return
 	}
 	delete(claims.waiting, id)
@@ -132,7 +132,7 @@
 		s.statistics.claimsFailed++
 		s.reject(request, s.retryAfterOutOfService(), false)
 	default:
-		claims.claimer.ReleaseClaim(id) // should it have been granted all the same
+		claims.claimer.ReleaseClaim(id) // it may have been granted all the same
 		s.statistics.claimsFailed++
 		s.fail(request)
 	}
--- a/internal/server/client.go
+++ b/internal/server/client.go
@@ -18,10 +18,10 @@
 type clientTable struct {
 	conns        slottable.Table[clientConn]
 	limiter      *connlimit.Door
-	holdingArea  int // places in it, as the operator's file says
+	holdingArea  int // its size by the operator's settings
 	requestLists requesttable.ListPool
 	muted        []mutedConn
-	lingering    []*lingeringConn // in the order in which they began
+	lingering    []*lingeringConn // in order of their deadlines
 }
 
 // clientConn is a client's connection. It holds nothing that an idle connection doesn't need: its
@@ -29,9 +29,9 @@
 type clientConn struct {
 	bufferedConn
 	server     *Server
-	id         slottable.Handle        // in the table; its slot is the connection's name at the limiter
-	requests   []*requesttable.Request // those open, from requestLists, nil where none is
-	retryAfter float64                 // in seconds, where it was not admitted
+	id         slottable.Handle        // in the table; the slot identifies the connection to the limiter
+	requests   []*requesttable.Request // the open ones, from requestLists, nil for none
+	retryAfter float64                 // seconds, if it was not admitted
 	state      connState
 }
 
--- a/internal/server/conn.go
+++ b/internal/server/conn.go
@@ -36,7 +36,7 @@
 
 // bufferedConn is an open connection and the output that waits to be written on it.
 type bufferedConn struct {
-	conn    gnet.Conn // nil once it is closed or left
+	conn    gnet.Conn // nil once it is closed or given up
 	out     bufferpool.WriteBuffer
 	unsent  bool // it is in output.unflushed
 	dialed  bool // by the server
@@ -68,9 +68,9 @@
 // output is the pending output of all connections, and the buffers for it.
 type output struct {
 	buffers   bufferpool.Pool
-	scratch   []byte          // of the message that is being encoded
-	unflushed []*bufferedConn // have something to write at the end of the turn
-	lagging   []*bufferedConn // clients' connections that may have left something unread
+	scratch   []byte          // for the message that is being encoded
+	unflushed []*bufferedConn // with output for the end of the turn
+	lagging   []*bufferedConn // clients' connections that may have a backlog
 }
 
 // write appends data to a connection's output, which is flushed at the end of the turn.
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -5,8 +5,7 @@
 	"swiftcourse/internal/requesttable"
 )
 
-// This file is what the server counts for the fleet: its requests by tenant and class, and how they
-// ended.
+// This file counts requests for the fleet, by tenant and class, and how they ended.
 
 // counterReportInterval is how often, in seconds, counters are reported: more often than they are
 // passed on to others.
--- a/internal/server/dial.go
+++ b/internal/server/dial.go
@@ -141,8 +141,8 @@
 type dialTarget struct {
 	addressOf addressFunc
 	handler   connHandler
-	failures  int  // connections before that led nowhere
-	once      bool // dialed once; the handler hears by handleClose if that leads nowhere
+	failures  int  // of the dials before
+	once      bool // dialed once; the handler's handleClose reports a failure
 }
 
 // dialed is a connection that the server opened, until the loop takes it over.
@@ -193,10 +193,10 @@
 			if err = handOver(conn, register, &dialed{target, address}); err == nil {
 				return
 			}
-		case ctx.Err() != nil: // nobody wants it any more
+		case ctx.Err() != nil: // cancelled
 			return
 		case current.context.Err() != nil:
-			failures-- // it moved: the dial led nowhere for no fault of the new address
+			failures-- // it moved: the new address did not fail
 			continue
 		}
 		if target.once {
--- a/internal/server/directive.go
+++ b/internal/server/directive.go
@@ -10,8 +10,7 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// This file is what the server does by its fleet's directive: whether it may serve, and by which
-// settings.
+// This file applies the fleet's directive: whether the server may serve, and by which settings.
 
 const (
 	// outOfServiceRetryAfter is the Retry-After, in seconds, of a server that is out of service: it
@@ -24,7 +23,7 @@
 // fixedKeys are the operator's keys that a connection limiter that is on can't change.
 const fixedKeys = "door-prefix-ipv4, door-prefix-ipv6, door-lobby, door-remember"
 
-// What of the settings can't change while serving.
+// Why settings can't be applied while serving.
 var (
 	errSwitched = errors.New("door: can't be switched while serving")
 	errFixed    = errors.New(fixedKeys + ": can't be changed while serving")
@@ -35,7 +34,7 @@
 func (s *Server) SetDirective(directive *serving.Directive) {
 	previous := s.fleet.directive.Swap(directive)
 	if previous != nil && previous.Mode == directive.Mode && previous.NextMode == directive.NextMode {
-		return // a lease that goes on, or another version: the next batch is early enough
+		return // a renewed lease, or another version: the next batch is early enough
 	}
 	s.loop.requestTurn()
 }
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -34,7 +34,7 @@
 	gracePeriodMargin = 0.1
 )
 
-// Why a server exits, as the log says it.
+// Why a server exits, as logged.
 const (
 	exitNeverConnected  = "never_connected"
 	exitAllClosed       = "all_closed"
@@ -59,7 +59,7 @@
 // it; it returns at once, and Run returns when the server has drained.
 func (s *Server) Drain() {
 	at := s.now()
-	if !s.loop.isReady() { // not a single connection yet, so nothing to answer
+	if !s.loop.isReady() { // no connection yet, so nothing to answer
 		slog.Info("exit", "cause", exitNeverConnected)
 		s.stop()
 		return
@@ -78,7 +78,7 @@
 	s.drain.killAt = at + timeout - min(signalDelayMargin, timeout/signalDelayShare)
 	killIn := s.drain.killAt - s.now()
 	slog.Info("drain_started", "kill_in_s", logging.FormatDecimal(killIn, 3), "open", s.requests.Unanswered())
-	if s.decisions.controller != nil { // else it has nothing to do with it, see startController
+	if s.decisions.controller != nil { // else see startController
 		s.queueEvent(admission.Event{Kind: admission.DrainStarted, Duration: s.drain.killAt - s.now()})
 	}
 	s.tryExit()
--- a/internal/server/errors.go
+++ b/internal/server/errors.go
@@ -15,7 +15,7 @@
 	errNoDescriptor    = errors.New("no descriptor left for it")
 )
 
-// Why a request is invalid; see also invalidFieldError.
+// Why a request is invalid, see also invalidFieldError.
 var (
 	errMissingTimeout  = errors.New("its timeout is missing")
 	errTooManyOpen     = fmt.Errorf("over %d requests open on its connection", maxRequestsPerConn)
--- a/internal/server/evict.go
+++ b/internal/server/evict.go
@@ -21,7 +21,7 @@
 	maxEvictionCandidates = 16
 )
 
-// What bounds the number of clients' connections, as the log says it.
+// What bounds the number of clients' connections, as logged.
 const (
 	boundByDescriptors = "descriptors"
 	boundByMemory      = "memory"
--- a/internal/server/executor.go
+++ b/internal/server/executor.go
@@ -26,15 +26,15 @@
 type executorLink struct {
 	dialedConn
 	server          *Server
-	askGaugesFunc   func() // askGauges, made once for all its timers
+	askGaugesFunc   func() // askGauges, bound once for all timers
 	reader          processor.Reader
-	lastNotice      int64 // number of the last notice read
-	up              bool  // commands may go out
-	fence           string
-	failedLinks     int     // in a row that never came up
+	lastNotice      int64   // number of the last notice read
+	up              bool    // commands may go out
+	fence           string  // tag of the fence that is awaited, "" for none
+	failedLinks     int     // in a row that did not come up
 	commandsSent    int     // over all links
-	confirmed       int     // of those, how many the executor is known to have read
-	unansweredSince float64 // since when a question for the gauges has no answer, 0 where none is open
+	confirmed       int     // how many of them the executor has acknowledged
+	unansweredSince float64 // when the unanswered gauge request was sent, 0 for none
 }
 
 func newExecutorLink(s *Server) *executorLink {
@@ -143,7 +143,7 @@
 func (l *executorLink) handleRejection(notice *processor.Notice, request *requesttable.Request) {
 	s := l.server
 	s.statistics.commandsRejected++
-	if s.mayLogPeerFault() { // requests that no client sent make these by hundreds
+	if s.mayLogPeerFault() { // requests that no client sent cause hundreds of these
 		slog.Info("command_rejected", "command", notice.Word, "request", notice.ID)
 	}
 	if request != nil && request.Running && request.CallNotice == 0 { // only its start can be meant: it never ran
@@ -271,7 +271,7 @@
 // startController creates the admission controller, as of the executor's own start so many seconds
 // ago, so that it warms up with it. A cold executor has to warm up.
 func (s *Server) startController(cold bool, ago float64) {
-	if s.drain.started() { // it was told to drain before it could run anything, and begins nothing now
+	if s.drain.started() { // it drains before it could run anything, and starts nothing now
 		slog.Info("controller_not_started", "slow_start", cold, "draining", true)
 		return
 	}
@@ -279,13 +279,13 @@
 	settings := s.startup.Settings
 	settings.SlowStart.Duration = 0
 	at := s.now()
-	if cold { // a warm one's age tells nothing
+	if cold { // the age of a warm one is irrelevant
 		settings.SlowStart.Duration = s.startup.SlowStartDuration
 		at -= min(ago, settings.SlowStart.Duration)
 	}
 	s.decisions.controller = admission.New(s.startup.Seed, settings)
 	if s.fleet.quotas != nil {
-		s.fleet.quotas.allowances = nil // the controller has to be told all of them
+		s.fleet.quotas.allowances = nil // the controller has to be notified of all of them
 	}
 	s.execute(s.decisions.controller.Decide(at, []admission.Event{{Kind: admission.Started}}), at)
 	s.sweep()
--- a/internal/server/forwarding.go
+++ b/internal/server/forwarding.go
@@ -18,26 +18,25 @@
 
 // ForwardRequest is a request on its way to a worker.
 type ForwardRequest struct {
-	ID      string
-	Stage   int         // its class
-	Message rpc.Message // as it goes on, but for its number and its times
-	Left    float64     // seconds in which it has to be back
+	ID        string
+	Class     int
+	Message   rpc.Message // as the client sent it, but for its number and its times
+	Remaining float64     // seconds until the result is due
 }
 
 // ForwardResult is the outcome of a forwarded request.
 type ForwardResult struct {
 	ID string
-	// Outcome is Finished, Failed, Rejected where no worker took it, Cancelled where nobody waits
-	// any more.
-	Outcome admission.Outcome
-	Body    []byte
-	Took    float64 // seconds
-	Advice  float64 // where it was rejected: when to come back, in seconds
+	// Outcome is Finished, Failed, Rejected if no worker took it, or Cancelled.
+	Outcome    admission.Outcome
+	Body       []byte
+	Duration   float64 // seconds
+	RetryAfter float64 // seconds, of a rejected request
 }
 
 // forwarding is the state of a server that forwards its requests.
 type forwarding struct {
-	messages map[string]*rpc.Message // what goes on with requests that are not over
+	messages map[string]*rpc.Message // of requests that are not over
 	dispatch func(ForwardRequest) bool
 	cancel   func(id string)
 }
@@ -47,7 +46,7 @@
 // EnableForwarding is called before Run.
 func (s *Server) EnableForwarding(dispatch func(ForwardRequest) bool, cancel func(id string)) {
 	s.fleet.forwarding = &forwarding{messages: map[string]*rpc.Message{}, dispatch: dispatch, cancel: cancel}
-	s.executor.askGaugesFunc = func() {} // there are no gauges: what workers can do is learned from what they say
+	s.executor.askGaugesFunc = func() {} // there are no gauges: workers report their capacity
 }
 
 // HandleWorkerAvailable reports that there is a worker; the server serves from then on. Any
@@ -79,7 +78,7 @@
 	}
 	kept := *message
 	kept.Number = 0
-	kept.Body = nil // the body is the request's
+	kept.Body = nil // the request has it
 	kept.Bad = nil
 	f.messages[request.ID] = &kept
 }
@@ -100,17 +99,17 @@
 		timeout = min(timeout, request.Timeout)
 	}
 	forwarded := ForwardRequest{
-		ID:      request.ID,
-		Stage:   request.Class,
-		Message: *f.messages[request.ID],
-		Left:    request.ArrivedAt + timeout - s.now() - forwardSafetyMargin,
+		ID:        request.ID,
+		Class:     request.Class,
+		Message:   *f.messages[request.ID],
+		Remaining: request.ArrivedAt + timeout - s.now() - forwardSafetyMargin,
 	}
 	forwarded.Message.Body = append([]byte(nil), request.Body...) // the buffer may be used again before a retry
-	if forwarded.Left <= 0 || !f.dispatch(forwarded) {
+	if forwarded.Remaining <= 0 || !f.dispatch(forwarded) {
 		s.handleForwardResult(&ForwardResult{
-			ID:      request.ID,
-			Outcome: admission.Rejected,
-			Advice:  s.startup.Settings.MaxRetryAfter,
+			ID:         request.ID,
+			Outcome:    admission.Rejected,
+			RetryAfter: s.startup.Settings.MaxRetryAfter,
 		})
 	}
 }
@@ -142,8 +141,8 @@
 	case admission.Rejected:
 		outcome = admission.NeverStarted
 		if !request.Answered {
-			s.reject(request, min(result.Advice, s.startup.Settings.MaxRetryAfter), false)
+			s.reject(request, min(result.RetryAfter, s.startup.Settings.MaxRetryAfter), false)
 		}
 	}
-	s.finishRun(request, outcome, result.Body, result.Took)
+	s.finishRun(request, outcome, result.Body, result.Duration)
 }
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -8,7 +8,7 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// This file is what the server does with its leased shares of quotas: the controller hears of a
+// This file applies leased shares of quotas: the controller is notified of a
 // change at the head of the next batch, and of a lease that has expired by the loop's own clock,
 // also when whoever renews it is stopped.
 
@@ -23,20 +23,18 @@
 	minUsageRate = 0.01
 )
 
-// QuotaUsage is the recent use of a quota: the demand (a tenant's requests per second, or upstream
-// calls in flight and waiting), the calls in flight (Open), and the number of the grant that the
-// loop applies (Answer).
+// QuotaUsage is the recent use of a quota.
 type QuotaUsage struct {
-	Name   string
-	Demand float64
-	Open   float64
-	Answer uint64
+	Name        string
+	Demand      float64 // a tenant's requests per second, or the upstream calls in flight and waiting
+	InFlight    float64 // upstream calls
+	GrantNumber uint64  // of the grant that the loop applies
 }
 
 // quotas is the state of the quotas that the fleet shares.
 type quotas struct {
 	allowances []serving.Allowance
-	applied    []float64 // the limit that the controller was told of each, under 0 where it was told nothing
+	applied    []float64 // the limit of each that the controller knows, negative for none
 	received   []int     // requests by tenant, since the last count
 	rates      []float64 // by tenant, of the last half second or so
 	nextExpiry float64   // when the next lease expires
@@ -196,7 +194,7 @@
 	for i := range q.allowances {
 		allowance := &q.allowances[i]
 		usage := s.usageOf(allowance)
-		if usage.Demand > 0 || usage.Open > 0 || allowance.LeaseExpiry > s.now() {
+		if usage.Demand > 0 || usage.InFlight > 0 || allowance.LeaseExpiry > s.now() {
 			used = append(used, usage)
 		}
 	}
@@ -226,14 +224,14 @@
 // usageOf is the use of a quota: a tenant's rate of requests, or the upstream calls in flight and
 // waiting.
 func (s *Server) usageOf(allowance *serving.Allowance) QuotaUsage {
-	usage := QuotaUsage{Name: allowance.Name, Answer: allowance.GrantNumber}
+	usage := QuotaUsage{Name: allowance.Name, GrantNumber: allowance.GrantNumber}
 	if allowance.Tenant >= 0 {
 		usage.Demand = s.fleet.quotas.rates[allowance.Tenant]
 		return usage
 	}
 	inFlight, waiting := s.decisions.controller.DownstreamCalls()
 	usage.Demand = float64(inFlight + waiting)
-	usage.Open = float64(inFlight)
+	usage.InFlight = float64(inFlight)
 	if allowance.Capped { // it can't use more
 		usage.Demand = min(usage.Demand, allowance.Cap)
 	}
--- a/internal/server/quota_test.go
+++ b/internal/server/quota_test.go
@@ -54,7 +54,7 @@
 		})
 	})
 	reports.await(t, "by which grant it goes", func(u QuotaUsage) bool {
-		return u.Name == "acme" && u.Answer == 7
+		return u.Name == "acme" && u.GrantNumber == 7
 	})
 	client := f.dialClient()
 	client.send("%s%s", requestFrame(1, "a1", "x"), requestFrame(2, "a2", "x"))
@@ -64,7 +64,7 @@
 	acceptConn(t, f.upstreamListener).expect("FETCH a1 ")
 	f.executor.sendCall(2, "a2", "c")
 	reports.await(t, "that one call is out and another waits", func(u QuotaUsage) bool {
-		return u.Name == "calls" && u.Open == 1 && u.Demand == 2 && u.Answer == 3
+		return u.Name == "calls" && u.InFlight == 1 && u.Demand == 2 && u.GrantNumber == 3
 	})
 	expiry := f.server.Now() + 60
 	f.server.SetAllowances([]serving.Allowance{
@@ -77,7 +77,7 @@
 		t.Errorf("with nothing allowed request %d ends as %v", a.Number, a.End)
 	}
 	reports.await(t, "what was asked for", func(u QuotaUsage) bool {
-		return u.Name == "acme" && u.Demand > 0 && u.Answer == 8
+		return u.Name == "acme" && u.Demand > 0 && u.GrantNumber == 8
 	})
 	f.server.SetAllowances(nil) // the quotas are no more
 	for n := byte(4); n < 9; n++ {
--- a/internal/server/registry.go
+++ b/internal/server/registry.go
@@ -41,7 +41,7 @@
 	slog.Info("link_lost", "link", "registry", "err", &attemptError{sent, err})
 	r.release(&r.server.output.buffers)
 	if r.awaitingReply {
-		r.reportedAt = 0 // that report may be lost: it is sent again on the next link
+		r.reportedAt = 0 // the report may be lost: it is repeated on the next link
 	}
 	r.server.dial(dialTarget{addressOf: registryAddress, handler: r, failures: r.failedLinks})
 	r.failedLinks++
@@ -72,7 +72,7 @@
 		return
 	case r.reportedHealthy == healthy && !due:
 		return
-	case r.awaitingReply: // an answer may never come, and what was told of health may not wait for it
+	case r.awaitingReply: // the reply may never come, and a change of health must not wait for it
 		r.reconnect(errReportUnanswered)
 		return
 	}
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -86,10 +86,10 @@
 	subject := s.subjectOf(class, message)
 	switch {
 	case subject == "":
-		// No repeat of it could be known, so it may not run.
+		// No repeat of it could be recognised, so it may not run.
 		return &invalidFieldError{"class", message.Stage, errMissingKey.Error()}
 	case s.results.IsConflicting(class, subject, message.Body, message.Came):
-		// Else it would be told what another's run came to.
+		// Otherwise it would receive the result of another request.
 		return errConflictingBody
 	}
 	return nil
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -79,7 +79,7 @@
 // carry.
 type decisions struct {
 	controller *admission.Controller // nil until the executor is up
-	pending    []admission.Event     // of the next batch
+	pending    []admission.Event     // for the next batch
 	spare      []admission.Event     // the last batch, to be used again
 	gauges     admission.Gauges      // the latest
 	gaugesAt   float64               // when they were read
@@ -87,20 +87,20 @@
 
 // health is what the server reports about itself.
 type health struct {
-	healthy    bool    // by the controller's word
+	healthy    bool    // by the controller's decision
 	loadReport rpc.Say // goes with every answer
 }
 
 // fleetState is what the fleet asks of the server. What other goroutines set is atomic.
 type fleetState struct {
-	operator   *config.OperatorSettings          // the operator's file, with what was released; nil for none
+	operator   *config.OperatorSettings          // with what was released; nil without an operator's file
 	directive  atomic.Pointer[serving.Directive] // nil without a fleet
 	mode       serving.Mode
 	allowances atomic.Pointer[[]serving.Allowance]
-	quotas     *quotas          // nil where none are shared
-	claims     *keyClaims       // nil where no class's keys are claimed
-	counters   *requestCounters // nil where nothing is counted for a fleet
-	forwarding *forwarding      // nil where requests run at an executor
+	quotas     *quotas          // nil if none are shared
+	claims     *keyClaims       // nil if no class's keys are claimed
+	counters   *requestCounters // nil if nothing is counted for a fleet
+	forwarding *forwarding      // nil if requests run at an executor
 }
 
 // resultCacheShare is the divisor of the memory that cached results may take: as much as the
--- a/internal/server/trust.go
+++ b/internal/server/trust.go
@@ -6,8 +6,8 @@
 	"swiftcourse/internal/policy/connlimit"
 )
 
-// This file is what a connection limiter tells other servers of a fleet of the clients it trusts,
-// and hears of them after a restart.
+// This file exchanges trusted clients with the connection limiters of other servers in the fleet,
+// so that a server knows them after a restart.
 
 // trustReportInterval is how often, in seconds, trusted clients are reported: trust takes three
 // seconds to earn and lasts for minutes.
