--- a/internal/policy/lease/availability.go
+++ b/internal/policy/lease/availability.go
@@ -2,62 +2,69 @@
 
 import "swiftcourse/internal/policy/release"
 
-// maxUnavailable returns how many servers of the fleet may be unavailable.
+// maxUnavailable returns how many servers Config.MaxUnavailable allows to be unavailable.
 func (g *Grantor) maxUnavailable(releaseLog *release.Log) int {
 	return int(g.config.MaxUnavailable * float64(len(releaseLog.Members)))
 }
 
-// ejectionOf returns the ejection of a server, by an operator or of this very incarnation.
+// byOperator reports whether an operator ejected the server. An operator ejects a name; a leader
+// ejects one incarnation, as lagging.
+func byOperator(ejection release.Ejection) bool { return ejection.Incarnation == 0 }
+
+// ejectionOf returns the ejection that applies to an incarnation of a server, if there is one.
 func ejectionOf(releaseLog *release.Log, name string, incarnation uint64) (release.Ejection, bool) {
 	ejection, found := releaseLog.Ejected[name]
-	ejected := found && (ejection.Incarnation == 0 || ejection.Incarnation == incarnation)
+	ejected := found && (byOperator(ejection) || ejection.Incarnation == incarnation)
 	return ejection, ejected
 }
 
-// missedCatchUp reports whether a server is lagging for too long.
+// missedCatchUp reports whether a server has been lagging for longer than Config.CatchUpTimeout.
 func (g *Grantor) missedCatchUp(now float64, record *serverRecord) bool {
 	return record.lagging() && now > record.laggingSince+g.config.CatchUpTimeout
 }
 
-// reserveEjection reports whether one more server may be ejected as lagging, and if so counts it
-// from now on. Those that are ejected, and those that have no lease as they are lagging, count.
+// reserveEjection reports whether a lagging server, which is not ejected yet, may be ejected. If so,
+// it counts as unavailable from now on.
 func (g *Grantor) reserveEjection(releaseLog *release.Log, name string) bool {
-	unavailable := 0
-	for other, ejection := range releaseLog.Ejected {
-		if ejection.Incarnation == 0 || releaseLog.Members[other] != ejection.Incarnation {
-			continue
+	record := g.servers[name]
+	if !record.ejectionReserved {
+		atLeastOne := min(1, len(releaseLog.Members)/2) // in any fleet that has another server
+		limit := max(g.maxUnavailable(releaseLog), atLeastOne)
+		if g.countUnavailable(releaseLog) >= limit {
+			return false
 		}
-		if other == name {
-			return true
+	}
+	record.ejectionReserved = true
+	return true
+}
+
+// countUnavailable counts the servers that are ejected as lagging or have their ejection reserved.
+func (g *Grantor) countUnavailable(releaseLog *release.Log) int {
+	unavailable := 0
+	for name, ejection := range releaseLog.Ejected {
+		if !byOperator(ejection) && releaseLog.Members[name] == ejection.Incarnation {
+			unavailable++
 		}
-		unavailable++
 	}
-	for other, record := range g.servers {
-		if _, ejected := releaseLog.Ejected[other]; ejected || other == name {
+	for name, record := range g.servers {
+		if _, ejected := releaseLog.Ejected[name]; ejected {
 			continue
 		}
-		if record.refusedAsLagging && releaseLog.Members[other] == record.incarnation {
+		if record.ejectionReserved && releaseLog.Members[name] == record.incarnation {
 			unavailable++
 		}
 	}
-	record := g.servers[name]
-	atLeastOne := min(1, len(releaseLog.Members)/2) // in any fleet that has another server
-	if !record.refusedAsLagging && unavailable >= max(g.maxUnavailable(releaseLog), atLeastOne) {
-		return false
-	}
-	record.refusedAsLagging = true
-	return true
+	return unavailable
 }
 
-// eject proposes to eject a lagging server, once its lease has ended: so it is never listed as
-// ejected while it acts.
+// eject proposes to eject a lagging server. It waits for the end of the server's lease, so that no
+// server is listed as ejected while it has a lease.
 func (g *Grantor) eject(now float64, request *Request, record *serverRecord) []release.Command {
 	if now <= record.leaseEnd {
 		return nil
 	}
-	record.leaseWithheld = true
-	record.fenceID = 0
-	return g.commands.propose(now, request.Name, release.Command{
+	record.withholdLease()
+	return g.commands.propose(now, commandSubject(request.Name), release.Command{
 		Kind:        release.KindEject,
 		Name:        request.Name,
 		Incarnation: request.Incarnation,
@@ -65,35 +72,36 @@
 	})
 }
 
-// permitCount counts the servers that may go out of service when they hear nothing of a leader:
-// those that have the permission, and those that were not heard in this term.
+// permitCount counts the servers that may have a permit to go out of service: those that have one as
+// far as the grantor knows, and those from which it has had no request in this term.
 type permitCount struct {
 	count int
-	// appliedCount is that of the release log when the permits were counted, at countedAt.
+	// appliedCount is the release log's AppliedCount when the permits were counted, at countedAt.
 	appliedCount uint64
 	countedAt    float64
 }
 
-// permitOutOfService reports whether a server is among the few that may go out of service when they
-// hear nothing. One that has the permission keeps it, also while it is silent. A new leader learns
-// of it from the server, and assumes it of all that it has not heard. So at no time do more than
-// maxUnavailable servers have it, as long as the fleet does not shrink meanwhile.
+// permitOutOfService reports whether the reply to a request gives a permit to go out of service. A
+// server keeps its permit, also while it sends no requests. A new leader learns of a permit from the
+// server's request, and assumes that each server has one until its first request. So at no time do
+// more than maxUnavailable servers have a permit, as long as the fleet does not shrink meanwhile.
 func (g *Grantor) permitOutOfService(
 	now float64, releaseLog *release.Log, record *serverRecord, request *Request,
 ) bool {
 	g.countPermits(now, releaseLog)
 	g.learnPermit(record, request)
 	limit := g.maxUnavailable(releaseLog)
-	// A new leader neither gives nor takes a permission before it has heard of all that have one.
+	// A new leader neither gives nor withdraws a permit while servers it has not heard from may have
+	// a lease of an earlier leader.
 	priorLeasesOver := g.priorLeasesOver(now)
-	if record.mayGoOutOfService {
-		if priorLeasesOver && g.permits.count > limit {
-			return false
-		}
-	} else {
-		if !priorLeasesOver || g.permits.count >= limit {
+	switch {
+	case record.mayGoOutOfService:
+		if withdraw := priorLeasesOver && g.permits.count > limit; withdraw {
 			return false
 		}
+	case !priorLeasesOver || g.permits.count >= limit:
+		return false
+	default:
 		record.mayGoOutOfService = true
 		g.permits.count++
 	}
@@ -101,7 +109,8 @@
 	return true
 }
 
-// countPermits counts the permits anew when the release log has changed, and now and then.
+// countPermits recounts the permits when the release log has changed, and otherwise once every
+// maintenanceInterval.
 func (g *Grantor) countPermits(now float64, releaseLog *release.Log) {
 	unchanged := g.permits.appliedCount == releaseLog.AppliedCount
 	if unchanged && now <= g.permits.countedAt+maintenanceInterval {
@@ -117,7 +126,7 @@
 	g.permits = permitCount{count: count, appliedCount: releaseLog.AppliedCount, countedAt: now}
 }
 
-// learnPermit takes over what the server itself knows of its permission.
+// learnPermit updates the record of a server's permit from its request.
 func (g *Grantor) learnPermit(record *serverRecord, request *Request) {
 	switch {
 	case request.MayGoOutOfService && !record.mayGoOutOfService:
@@ -125,7 +134,7 @@
 		record.permitRequest = request.Number
 		g.permits.count++
 	case record.mayGoOutOfService && !request.MayGoOutOfService &&
-		request.Number >= record.permitRequest+maxPending: // no reply that gives it is pending any more
+		request.Number >= record.permitRequest+maxPending: // no reply that gives a permit is pending any more
 		record.mayGoOutOfService = false
 		g.permits.count--
 	}
--- a/internal/policy/lease/cluster_test.go
+++ b/internal/policy/lease/cluster_test.go
@@ -11,21 +11,21 @@
 
 var testConfig = Config{Duration: 3, CatchUpTimeout: 5, MaxUnavailable: 0.25, ForgetAfter: 60}
 
-// testVoterAddrs has the first server alone, so that the drawn schedules have names whose address
-// the leader knows and names whose address it learns.
+// testVoterAddrs has only the first server, so that the random schedules have servers whose address
+// the leader knows and servers whose address it learns.
 var testVoterAddrs = map[string]string{"n0": "addr0"}
 
 // tick is the step, in seconds, of a cluster's simulated time.
 const tick = 0.02
 
-// failer is what a cluster reports a broken invariant to.
-type failer interface{ Fatalf(string, ...any) }
+// fatalReporter is the part of testing.T and rapid.T that a cluster needs.
+type fatalReporter interface{ Fatalf(string, ...any) }
 
-// cluster simulates servers and their leader. There is one release log, as the voters make it; a
-// leader that was deposed keeps the log as it was then, and goes on deciding for as long as its
-// last confirmation counts.
+// cluster simulates servers and their leader. There is one release log, the one that the voters have
+// committed; a deposed leader keeps a copy of the log as it was then, and goes on deciding until its
+// last confirmation by a majority is too old.
 type cluster struct {
-	t           failer
+	t           fatalReporter
 	random      *rand.Rand
 	now         float64
 	releaseLog  *release.Log
@@ -33,16 +33,16 @@
 	deposed     *leader
 	servers     []*server
 	network     []delivery
-	proposals   []delivery // what the leader proposed, in its order
+	proposals   []delivery // the leader's pending commands, in its order
 	incarnation uint64     // of the latest server
 	lossRate    float64
 	commitDelay float64 // seconds until a command is committed, at most
-	partitioned bool    // nobody hears a leader
+	partitioned bool    // no server reaches a leader
 }
 
 type leader struct {
 	grantor        *Grantor
-	releaseLog     *release.Log // nil for the cluster's
+	releaseLog     *release.Log // nil for the cluster's release log
 	confirmedUntil float64
 }
 
@@ -54,11 +54,11 @@
 	clockRate   float64
 	clockOffset float64
 	paused      bool
-	blocked     bool // it can't apply what is released
+	blocked     bool // it can't apply a new version
 	active      release.Epoch
 	assigned    release.Epoch
 	isolated    bool
-	snapshot    Snapshot // what its server loop goes by, maybe long after
+	snapshot    Snapshot // the latest that its server loop received
 }
 
 // delivery is what happens at a later time.
@@ -67,7 +67,7 @@
 	deliver func()
 }
 
-func newCluster(t failer, seed uint64, servers int, fallback serving.Mode) *cluster {
+func newCluster(t fatalReporter, seed uint64, servers int, fallback serving.Mode) *cluster {
 	c := &cluster{t: t, random: rand.New(rand.NewPCG(seed, 3)), commitDelay: 0.1}
 	c.releaseLog = release.BootstrapLog(&release.Log{}, 7, map[uint64]string{1: "v"})
 	c.electLeader()
@@ -125,7 +125,7 @@
 	c.leader = &leader{grantor: NewGrantor(testConfig, testVoterAddrs, c.now)}
 }
 
-// propose has the leader's commands committed, in their order.
+// propose schedules the commit of the leader's commands, in their order.
 func (c *cluster) propose(commands []release.Command) {
 	for _, command := range commands {
 		grantor := c.leader.grantor
@@ -145,8 +145,8 @@
 	}
 }
 
-// requestLease sends a server's request to the leader, or to the one before while that still
-// decides.
+// requestLease sends a server's request to the leader or, while it still decides, to the
+// deposed one.
 func (c *cluster) requestLease(s *server) {
 	request := s.holder.NewRequest(s.clock(c.now))
 	to := c.leader
@@ -179,7 +179,7 @@
 	s.snapshot = s.holder.Snapshot()
 }
 
-// run lets time pass, and checks the invariants at each tick.
+// run advances the simulated time and checks the invariants at each tick.
 func (c *cluster) run(seconds float64) {
 	for end := c.now + seconds; c.now < end; {
 		c.now += tick
@@ -232,8 +232,7 @@
 	s.snapshot = s.holder.Snapshot()
 }
 
-// checkInvariants looks at what each server loop would do at this moment, also where the node agent
-// is paused.
+// checkInvariants checks what each server loop would do now, also where the node agent is paused.
 func (c *cluster) checkInvariants() {
 	leased := map[string]uint64{}
 	outOfService := 0
@@ -258,7 +257,7 @@
 	}
 	members := max(len(c.releaseLog.Members), len(c.servers))
 	if limit := int(testConfig.MaxUnavailable * float64(members)); outOfService > limit {
-		c.t.Fatalf("%d of %d went out of service for want of a leader, %d may",
+		c.t.Fatalf("%d of %d went out of service as no leader was reachable, %d may",
 			outOfService, len(c.servers), limit)
 	}
 }
@@ -273,7 +272,7 @@
 	})
 }
 
-// requireAllLeased fails unless each server has a lease and acts on its assigned version.
+// requireAllLeased fails unless each server has a lease and runs its assigned version.
 func (c *cluster) requireAllLeased(t *testing.T) {
 	t.Helper()
 	for _, s := range c.servers {
@@ -284,9 +283,9 @@
 	}
 }
 
-// unhealed tells what is wrong once all faults are healed, "" for nothing: one incarnation of each
-// name has a lease and acts on its assigned version.
-func (c *cluster) unhealed() string {
+// remainingFault describes the first deviation from the state that is due once all faults have ended: one
+// incarnation of each name has a lease and runs its assigned version. It is "" if there is none.
+func (c *cluster) remainingFault() string {
 	leased := map[string]int{}
 	for _, s := range c.servers {
 		assigned := c.releaseLog.VersionFor(s.name).Epoch
--- a/internal/policy/lease/command.go
+++ b/internal/policy/lease/command.go
@@ -5,35 +5,38 @@
 const (
 	// commandAuthor is the author of the commands that a leader proposes on its own account.
 	commandAuthor = "leader"
-	// commandInterval is the least pause, in seconds, between two commands on one subject, which is
-	// repeated as a command may be lost: a few times what a majority takes to commit one.
-	commandInterval = 0.5
-	// maxProposed bounds the subjects with a command under way; the rest waits.
-	maxProposed = 256
+	// minCommandInterval is the least time, in seconds, until a command on the same subject is
+	// proposed again, as the first may be lost: a few times what a commit takes.
+	minCommandInterval = 0.5
+	// maxPendingCommands bounds the subjects whose latest command may still be pending.
+	maxPendingCommands = 256
 )
 
+// commandSubject is what a command changes: a server, by its name, or one of the subjects below.
+type commandSubject string
+
 // Subjects of commands that concern no single server. The space keeps them apart from most names.
 const (
-	subjectEpoch   = " lift"
-	subjectRelease = " release"
+	subjectEpoch   commandSubject = " epoch"
+	subjectRelease commandSubject = " release"
 )
 
-// commandLimiter limits the rate of proposed commands.
+// commandLimiter limits the rate of proposed commands for each subject.
 type commandLimiter struct {
-	proposedAt map[string]float64 // by subject, a server's name for most
+	proposedAt map[commandSubject]float64
 }
 
-// propose returns the command as a list of one, or nil if the subject had one lately or too many
-// are under way.
+// propose returns a slice with just the command, with its author set. It returns nil if the subject
+// had a command within minCommandInterval or too many are pending.
 func (l *commandLimiter) propose(
-	now float64, subject string, command release.Command,
+	now float64, subject commandSubject, command release.Command,
 ) []release.Command {
-	if at, proposed := l.proposedAt[subject]; proposed && now < at+commandInterval {
+	if at, proposed := l.proposedAt[subject]; proposed && now < at+minCommandInterval {
 		return nil
 	}
-	if len(l.proposedAt) >= maxProposed {
-		l.dropOld(now)
-		if len(l.proposedAt) >= maxProposed {
+	if len(l.proposedAt) >= maxPendingCommands {
+		l.dropExpired(now)
+		if len(l.proposedAt) >= maxPendingCommands {
 			return nil
 		}
 	}
@@ -42,10 +45,10 @@
 	return []release.Command{command}
 }
 
-// dropOld forgets the subjects whose command may be repeated.
-func (l *commandLimiter) dropOld(now float64) {
+// dropExpired forgets the subjects whose next command may be proposed.
+func (l *commandLimiter) dropExpired(now float64) {
 	for subject, at := range l.proposedAt {
-		if now >= at+commandInterval {
+		if now >= at+minCommandInterval {
 			delete(l.proposedAt, subject)
 		}
 	}
--- a/internal/policy/lease/doc.go
+++ b/internal/policy/lease/doc.go
@@ -1,17 +1,25 @@
-// Package lease decides which servers of a fleet may act: each server holds a lease that the leader
-// grants, and one name belongs to one incarnation at a time.
+// Package lease decides which servers of a fleet may serve requests: each server needs a lease that
+// the leader grants, and one name belongs to one incarnation (one run of a server process) at a time.
 //
-// A Holder is a server's own side. It sends a Request to the leader, takes the Reply, and knows by
-// itself when its lease ends. A Grantor is the leader's side: it keeps the lease table, answers
+// A Holder is a server's own side. It makes the requests to the leader, handles the replies, and
+// ends its lease by its own clock. A Grantor is the leader's side: it keeps the lease table, answers
 // requests, and proposes the commands that change the release log (registration of names, ejection
 // and readmission of lagging servers, the advance or rollback of a release).
 //
+// An epoch is the number of a configuration version in the release log. A server runs its active
+// epoch; the leader assigns the epoch that it has to run. A server whose active epoch differs from
+// the assigned one is lagging.
+//
+// A permit, MayGoOutOfService in the messages, allows a server to go out of service when its lease
+// expires because it can't reach a leader. A server without a permit keeps serving by its fallback.
+//
 // Invariants:
 //   - At no time do two incarnations of one name hold a lease.
 //   - No server holds a lease while the release log lists it as ejected.
-//   - At most Config.MaxUnavailable of the fleet goes out of service for want of a leader.
+//   - At most the fraction Config.MaxUnavailable of the fleet goes out of service because no leader
+//     is reachable.
 //
-// A lease runs from the moment of its request by the holder's clock, so neither network delay nor a
+// A lease starts when its request is made, by the holder's clock, so neither network delay nor a
 // clock offset makes it longer than the grantor assumes. Only a clock that runs slower can, and the
 // grantor allows for that with maxClockDrift.
 //
--- a/internal/policy/lease/grantor.go
+++ b/internal/policy/lease/grantor.go
@@ -10,13 +10,14 @@
 type Config struct {
 	// Duration is the length of a lease in seconds.
 	Duration float64
-	// CatchUpTimeout is how long, in seconds, a server may act on another version than its assigned
+	// CatchUpTimeout is how long, in seconds, a server may run another version than its assigned
 	// one before it is ejected.
 	CatchUpTimeout float64
 	// MaxUnavailable is the fraction of the fleet that may be ejected as lagging, and likewise the
-	// fraction that may go out of service for want of a leader.
+	// fraction that may go out of service because no leader is reachable.
 	MaxUnavailable float64
-	// ForgetAfter is for how long, in seconds, a server has to be silent before its name is free.
+	// ForgetAfter is for how long, in seconds, a server has to send no request before its name is
+	// unregistered.
 	ForgetAfter float64
 }
 
@@ -29,14 +30,17 @@
 	maxClockDrift = 0.02
 	// maxServers bounds the lease table: four times the largest simulated fleet.
 	maxServers = 4096
-	// bootstrapSpread is over how many cluster identities a bumped epoch is spread, a quarter of an
-	// hour of bootstraps: two lost clusters hardly ever get the same.
-	bootstrapSpread = 900
+	// clusterIDSpread is the size of the range from which bumpEpoch chooses the new cluster ID, by
+	// the incarnation, so that two clusters that do so are unlikely to choose the same.
+	clusterIDSpread = 900
+	// maxIDsPerSecond is how many IDs a grantor may draw each second without reaching those of a
+	// grantor that starts later by the same clock.
+	maxIDsPerSecond = 1e6
 )
 
-// Grantor is the leader's side: it grants leases and keeps the lease table. It belongs to one term,
-// as a new leader makes a new Grantor, which assumes that its predecessor granted every lease it
-// could.
+// Grantor is the leader's side: it grants leases and keeps the lease table. It belongs to one term:
+// a new leader makes a new Grantor, which assumes that its predecessor granted every lease that it
+// could have granted.
 type Grantor struct {
 	config Config
 	// voterAddrs are the addresses of voters by name. Only a process that listens at a voter's
@@ -49,7 +53,7 @@
 	rollout      rolloutProgress
 	commands     commandLimiter
 	challenges   map[string]challenge
-	lastID       uint64 // of fences and challenges
+	lastID       uint64 // of barriers and challenges
 	maintainedAt float64
 }
 
@@ -64,9 +68,9 @@
 		voterAddrs:   voterAddrs,
 		startedAt:    now,
 		servers:      map[string]*serverRecord{},
-		commands:     commandLimiter{proposedAt: map[string]float64{}},
+		commands:     commandLimiter{proposedAt: map[commandSubject]float64{}},
 		challenges:   map[string]challenge{},
-		lastID:       uint64(now * 1e6),
+		lastID:       uint64(now * maxIDsPerSecond),
 		maintainedAt: math.Inf(-1),
 	}
 }
@@ -84,14 +88,15 @@
 func (g *Grantor) priorLeasesOver(now float64) bool { return now > g.priorLeasesEnd() }
 
 // HandleRequest answers a lease request and returns the commands to propose to the voters.
-// confirmed tells that a majority confirmed the leader within LeaderConfirmationWindow; without
-// that there is no decision.
+// confirmed says whether a majority confirmed the leader within LeaderConfirmationWindow; if not, the
+// verdict is VerdictRetry. It is also VerdictRetry where a command has to be committed first.
 func (g *Grantor) HandleRequest(
 	now float64, request *Request, releaseLog *release.Log, confirmed bool,
 ) (Reply, []release.Command) {
 	reply := Reply{
 		Incarnation:   request.Incarnation,
 		Number:        request.Number,
+		Verdict:       VerdictRetry,
 		AssignedEpoch: releaseLog.VersionFor(request.Name).Epoch,
 	}
 	if !confirmed || request.Name == "" || request.Incarnation == 0 {
@@ -116,61 +121,63 @@
 	return reply, commands
 }
 
-// bumpEpoch has epochs continue above those of a lost cluster whose version a server acts on.
+// bumpEpoch proposes that epochs continue above those of a lost cluster, from which a server runs a
+// version.
 func (g *Grantor) bumpEpoch(now float64, request *Request, releaseLog *release.Log) []release.Command {
-	clusterID := uint64(request.ActiveEpoch.ClusterID()) + 1 + request.Incarnation%bootstrapSpread
+	clusterID := uint64(request.ActiveEpoch.ClusterID()) + 1 + request.Incarnation%clusterIDSpread
 	return g.commands.propose(now, subjectEpoch, release.Command{
 		Kind:          release.KindBumpEpoch,
 		ExpectedEpoch: releaseLog.NewestEpoch(),
-		Previous:      clusterID,
+		Previous:      clusterID, // for this kind Previous is a cluster ID
 	})
 }
 
 // handleNewIncarnation decides whether an incarnation that doesn't own its name may take it, from
-// its owner if it has one.
+// its owner if it has one. It fills in the reply and returns the commands to propose.
 func (g *Grantor) handleNewIncarnation(
 	now float64, request *Request, releaseLog *release.Log, reply *Reply,
 ) []release.Command {
 	owner, owned := releaseLog.Members[request.Name]
-	if owned && !g.leaseOver(now, request.Name, owner) {
+	if owned && !g.leaseOver(now, g.ownerRecord(now, request.Name, owner)) {
 		if !g.sharesAddress(request, owner) {
 			reply.Verdict = VerdictNameTaken
 			reply.Reason = reasonNameTaken
 			return nil
 		}
-		reply.Nonce = g.challenge(request)
+		reply.Nonce = g.pendingNonce(request)
 		if reply.Nonce != 0 {
 			return nil
 		}
 	}
-	commands := g.commands.propose(now, request.Name, release.Command{
+	commands := g.commands.propose(now, commandSubject(request.Name), release.Command{
 		Kind:        release.KindRegister,
 		Name:        request.Name,
 		Incarnation: request.Incarnation,
 		Previous:    owner,
 	})
-	// Without a command under way the owner keeps its lease: its fence would never be committed
-	// while others compete for the name.
+	// If the limiter held the command back, the owner keeps its lease: otherwise the owner's own
+	// barrier might never be proposed while other incarnations compete for the name.
 	if owned && commands != nil {
 		g.withholdLease(now, request.Name, owner)
 	}
 	return commands
 }
 
-// decide settles the request of a name's owner.
+// decide handles the request of a name's owner. It fills in the reply and returns the commands to
+// propose.
 func (g *Grantor) decide(
 	now float64, request *Request, releaseLog *release.Log, record *serverRecord, reply *Reply,
 ) []release.Command {
 	ejection, ejected := ejectionOf(releaseLog, request.Name, request.Incarnation)
 	switch {
-	case ejected && ejection.Incarnation == 0: // by an operator, who names no incarnation
+	case ejected && byOperator(ejection):
 		reply.Verdict = VerdictEjected
 		reply.Reason = ejection.Reason
 		return nil
 	case ejected && !record.lagging():
 		reply.Reason = reasonReadmitted
 		record.leaseWithheld = false
-		return g.commands.propose(now, request.Name, release.Command{
+		return g.commands.propose(now, commandSubject(request.Name), release.Command{
 			Kind: release.KindReadmit,
 			Name: request.Name,
 		})
@@ -180,7 +187,7 @@
 		return nil
 	case record.leaseWithheld:
 		reply.Reason = reasonChangePending
-		return g.fence(now, request, record)
+		return g.proposeBarrier(now, request, record)
 	case g.missedCatchUp(now, record) && g.reserveEjection(releaseLog, request.Name):
 		reply.Verdict = VerdictLagging
 		reply.Reason = record.lagReason()
--- a/internal/policy/lease/grantor_test.go
+++ b/internal/policy/lease/grantor_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestGrantor_SecondIncarnationOfAName(t *testing.T) {
+func TestGrantor_SecondIncarnationWaitsForLeaseEnd(t *testing.T) {
 	c := newCluster(t, 4, 3, serving.ModeNormal)
 	c.run(3)
 	first := c.servers[1]
--- a/internal/policy/lease/holder.go
+++ b/internal/policy/lease/holder.go
@@ -8,19 +8,17 @@
 )
 
 const (
-	// requestInterval is the pause between two requests as a fraction of the lease: two requests in
-	// a row may be lost before the lease ends.
-	requestInterval = 1.0 / 3
-	// unleasedSpeedup is how much more often a server without a lease sends requests.
+	// requestIntervalFraction is the time between two requests as a fraction of the lease: two
+	// requests in a row may be lost before the lease ends.
+	requestIntervalFraction = 1.0 / 3
+	// unleasedSpeedup is how many times as often a server without a lease sends requests.
 	unleasedSpeedup = 4
-	// maxPending bounds the requests that wait for a reply: those of two leases.
-	maxPending = 8
-	// minRequestInterval is the least pause, in seconds, before a redirected or failed request is
+	// minRequestInterval is the least time, in seconds, before a redirected or failed request is
 	// repeated, so that voters which refer to one another cause no load.
 	minRequestInterval = 0.1
 )
 
-// HolderConfig identifies a server to the leader and sets what it does without one.
+// HolderConfig identifies a server to the leader and sets what it does without a lease.
 type HolderConfig struct {
 	Name string
 	// Incarnation is drawn anew with each start of the process.
@@ -28,8 +26,8 @@
 	// Addr is where the server listens for its peers.
 	Addr  string
 	Build string
-	// Fallback is the mode after a lease has ended without word from a leader. A server that has no
-	// permission for ModeOutOfService falls back to ModeSafeDefaults.
+	// Fallback is the mode while the server has no lease and no leader refuses one. A server that
+	// has no permit for ModeOutOfService falls back to ModeSafeDefaults.
 	Fallback serving.Mode
 	// LeaseSeconds is the length of a full lease.
 	LeaseSeconds float64
@@ -54,24 +52,6 @@
 	nextRequest float64
 }
 
-// requestTracker matches replies to the requests that they answer.
-type requestTracker struct {
-	lastSent uint64
-	// lastRedirect is the newest request that was answered by VerdictRetry.
-	lastRedirect uint64
-	// lastDecided is the newest request that was answered by any other verdict.
-	lastDecided uint64
-	// nonce is the latest challenge.
-	nonce   uint64
-	pending [maxPending]pendingRequest
-}
-
-// pendingRequest is a request that may still be answered.
-type pendingRequest struct {
-	number uint64
-	sentAt float64
-}
-
 // NewHolder returns the holder of a server that starts at now; its first request is due at once.
 func NewHolder(config HolderConfig, now float64) *Holder {
 	return &Holder{
@@ -87,9 +67,9 @@
 // NewRequest returns the next request, to be sent to Leader or, if that is "", to any voter.
 func (h *Holder) NewRequest(now float64) Request {
 	number := h.requests.send(now)
-	h.nextRequest = now + h.config.LeaseSeconds*requestInterval
+	h.nextRequest = now + h.config.LeaseSeconds*requestIntervalFraction
 	if h.state != StateLeased {
-		h.nextRequest = now + h.config.LeaseSeconds*requestInterval/unleasedSpeedup
+		h.nextRequest = now + h.config.LeaseSeconds*requestIntervalFraction/unleasedSpeedup
 	}
 	return Request{
 		Name:              h.config.Name,
@@ -105,31 +85,14 @@
 	}
 }
 
-// send records a new request and returns its number.
-func (r *requestTracker) send(now float64) uint64 {
-	r.lastSent++
-	r.pending[r.lastSent%maxPending] = pendingRequest{number: r.lastSent, sentAt: now}
-	return r.lastSent
-}
-
-// sentAt returns when a request was made that a reply may still decide. It is false for a request
-// that is too old, was never made, or was made before one that is decided already.
-func (r *requestTracker) sentAt(number uint64) (at float64, pending bool) {
-	request := r.pending[number%maxPending]
-	if number == 0 || request.number != number || number <= r.lastDecided {
-		return 0, false
-	}
-	return request.sentAt, true
-}
-
 // RequestBy makes the next request due at the given time at the latest.
 func (h *Holder) RequestBy(at float64) { h.nextRequest = min(h.nextRequest, at) }
 
 // Leader returns the name of the voter to send requests to, "" for any voter.
 func (h *Holder) Leader() string { return h.leader }
 
-// HandleLeaderUnreachable forgets the leader after requests to it failed; another voter is asked
-// soon.
+// HandleLeaderUnreachable forgets the leader after requests to it failed; the next request goes to
+// any voter, after minRequestInterval at the latest.
 func (h *Holder) HandleLeaderUnreachable(now float64) {
 	h.leader = ""
 	h.RequestBy(now + minRequestInterval)
@@ -168,7 +131,7 @@
 // handleRetry follows a redirect: the next request goes to the leader that the reply names, or to
 // another voter if it names none.
 func (h *Holder) handleRetry(now, sentAt float64, reply *Reply) {
-	h.requests.lastRedirect = max(h.requests.lastRedirect, reply.Number)
+	h.requests.lastRetried = max(h.requests.lastRetried, reply.Number)
 	if reply.Nonce != 0 {
 		h.requests.nonce = reply.Nonce
 	}
@@ -176,7 +139,7 @@
 	h.RequestBy(max(sentAt+minRequestInterval, now))
 }
 
-// extend takes a granted lease, which runs from when its request was made.
+// extend applies a granted lease, which starts when its request was made.
 func (h *Holder) extend(now, sentAt float64, reply *Reply) {
 	h.mayGoOutOfService = reply.MayGoOutOfService
 	h.leaseEnd = max(h.leaseEnd, sentAt+min(reply.Duration, h.config.LeaseSeconds))
@@ -185,7 +148,7 @@
 	}
 }
 
-// Expire ends a lease that has run out and reports whether it did.
+// Expire ends a lease whose time is over and reports whether there was one.
 func (h *Holder) Expire(now float64) bool {
 	if h.state != StateLeased || now < h.leaseEnd {
 		return false
@@ -195,8 +158,8 @@
 	return true
 }
 
-// SetActiveEpoch records the configuration version that the server acts on from now on, and what
-// blocks it from a newer one, "" for nothing. A change of version is reported to the leader at
+// SetActiveEpoch records the configuration version that the server runs from now on, and what
+// prevents a newer one, "" for nothing. A change of version is reported to the leader at
 // once.
 func (h *Holder) SetActiveEpoch(epoch release.Epoch, blockedBy string) {
 	if epoch != h.activeEpoch {
@@ -207,31 +170,31 @@
 	h.blockedBy = blockedBy
 }
 
-// SetErrorTally records how the requests under the active version ended so far.
+// SetErrorTally records the outcome so far of the requests under the active version.
 func (h *Holder) SetErrorTally(tally release.ErrorTally) { h.errorTally = tally }
 
 // Unanswered returns how many of the latest requests in a row have no valid reply.
 func (h *Holder) Unanswered() uint64 {
-	return h.requests.lastSent - max(h.requests.lastDecided, h.requests.lastRedirect)
+	return h.requests.lastSent - max(h.requests.lastDecided, h.requests.lastRetried)
 }
 
 // MayGoOutOfService reports whether the server may go out of service when its lease ends without a
 // reply.
 func (h *Holder) MayGoOutOfService() bool { return h.mayGoOutOfService }
 
-// AssignedEpoch returns the configuration version that the server has to act on, 0 while unknown.
+// AssignedEpoch returns the configuration version that the server has to run, 0 while unknown.
 func (h *Holder) AssignedEpoch() release.Epoch { return h.assignedEpoch }
 
 // State returns the holder's state and the reason for it.
 func (h *Holder) State() (state State, reason string) { return h.state, h.reason }
 
-// Snapshot is a holder's state and what the server loop does in it.
+// Snapshot is a holder's state and the directive for the server loop that follows from it.
 type Snapshot struct {
 	State State
 	serving.Directive
 }
 
-// Snapshot returns the present state and the directive that follows from it, without Stats.
+// Snapshot returns the current state and its directive, without Stats.
 func (h *Holder) Snapshot() Snapshot {
 	fallback := h.fallback()
 	snapshot := Snapshot{State: h.state, Directive: serving.Directive{
--- a/internal/policy/lease/holder_test.go
+++ b/internal/policy/lease/holder_test.go
@@ -61,10 +61,10 @@
 		t.Errorf("a lease: %s until %g", h.state, h.leaseEnd)
 	}
 	if h.HandleReply(106.6, replyTo(third, VerdictEjected)); h.state != StateLeased {
-		t.Error("an older reply that came later fenced it")
+		t.Error("an older reply that came later changed its state")
 	}
 	if h.HandleReply(106.6, replyTo(first, VerdictEjected)); h.state != StateLeased {
-		t.Error("a reply of long ago fenced it")
+		t.Error("a reply to a request that is no longer pending changed its state")
 	}
 	if snapshot := h.Snapshot(); snapshot.ModeAt(108.9) != serving.ModeNormal || snapshot.ChangesAt != 109 {
 		t.Error("it has a lease until 109")
--- a/internal/policy/lease/maintain.go
+++ b/internal/policy/lease/maintain.go
@@ -10,7 +10,7 @@
 // maintenanceInterval is the pause, in seconds, between two rounds of a leader's maintenance.
 const maintenanceInterval = 0.25
 
-// Maintain returns the commands that are due on the leader's own account: names to unregister, a
+// Maintain returns the commands that are due without any request: names to unregister, a
 // rollout to advance, a release to roll back.
 func (g *Grantor) Maintain(
 	now float64, releaseLog *release.Log, policy release.RolloutPolicy,
@@ -25,7 +25,7 @@
 }
 
 // pruneServers drops the records of incarnations that own no name, and frees the ejection
-// reservations of servers that are no longer lagging or are absent.
+// reservations of servers that are no longer lagging or have sent no request for long.
 func (g *Grantor) pruneServers(now float64, releaseLog *release.Log) {
 	for name, record := range g.servers {
 		if releaseLog.Members[name] != record.incarnation {
@@ -36,12 +36,12 @@
 		}
 		absent := now > record.leaseEnd+g.config.Duration
 		if !record.lagging() || absent {
-			record.refusedAsLagging = false
+			record.ejectionReserved = false
 		}
 	}
 }
 
-// unregisterSilent returns commands that free the names of servers which were not heard for
+// unregisterSilent returns commands that unregister the servers which sent no request for
 // Config.ForgetAfter, ordered by name.
 func (g *Grantor) unregisterSilent(now float64, releaseLog *release.Log) []release.Command {
 	if now <= g.startedAt+g.config.ForgetAfter+g.leaseBound() {
@@ -53,13 +53,14 @@
 		if record != nil && now <= record.heardAt+g.config.ForgetAfter {
 			continue
 		}
-		unregister := g.commands.propose(now, name, release.Command{
+		unregister := g.commands.propose(now, commandSubject(name), release.Command{
 			Kind:        release.KindUnregister,
 			Name:        name,
 			Incarnation: incarnation,
 		})
 		if unregister != nil {
-			g.withholdLease(now-g.config.ForgetAfter-1, name, incarnation)
+			heardAt := now - g.config.ForgetAfter - 1 // so that a new record is due to be forgotten too
+			g.withholdLease(heardAt, name, incarnation)
 			commands = append(commands, unregister...)
 		}
 	}
--- a/internal/policy/lease/rollout.go
+++ b/internal/policy/lease/rollout.go
@@ -2,27 +2,28 @@
 
 import "swiftcourse/internal/policy/release"
 
-// settledFraction is the part of a wave's servers that have to act on the release before the next
-// wave begins: not all, as one of many may be absent.
-const settledFraction = 0.9
+// settledWaveFraction is the fraction of a wave's servers that have to run the release before the
+// next wave begins: not all, as some of a large fleet may be unreachable.
+const settledWaveFraction = 0.9
 
-// rolloutProgress tells since when the present wave of a rollout has been settled.
+// rolloutProgress records since when the current wave of a rollout has been settled.
 type rolloutProgress struct {
 	epoch        release.Epoch
 	wave         int
 	settledSince float64
 }
 
-// waveStatus sums up the servers that have a lease during a rollout.
+// waveStatus summarizes the servers that sent a request within the duration of a lease.
 type waveStatus struct {
-	assigned int // servers that have to act on the next version
+	assigned int // servers that have to run the next version
 	active   int // those of them that do
 	// next and current tally the requests of the servers on the next and on the current version.
 	next    release.ErrorTally
 	current release.ErrorTally
 }
 
-// advanceRollout returns the command that a rollout needs: to the next wave, back, or none.
+// advanceRollout returns the command that moves a rollout to its next wave or rolls the release
+// back, or nil if neither is due.
 func (g *Grantor) advanceRollout(
 	now float64, releaseLog *release.Log, policy release.RolloutPolicy,
 ) []release.Command {
@@ -34,7 +35,7 @@
 	if g.rollout.epoch != epoch || g.rollout.wave != releaseLog.WaveIndex {
 		g.rollout = rolloutProgress{epoch: epoch, wave: releaseLog.WaveIndex, settledSince: now}
 	}
-	status := g.waveStatus(now, releaseLog)
+	status := g.currentWaveStatus(now, releaseLog)
 	if release.HarmConfidence(status.next, status.current) > policy.HaltConfidence {
 		return g.commands.propose(now, subjectRelease, release.Command{
 			Kind:          release.KindRollback,
@@ -42,7 +43,7 @@
 			Reason:        reasonHarmful,
 		})
 	}
-	if float64(status.active) < settledFraction*float64(status.assigned) {
+	if float64(status.active) < settledWaveFraction*float64(status.assigned) {
 		g.rollout.settledSince = now
 		return nil
 	}
@@ -55,8 +56,8 @@
 	})
 }
 
-// waveStatus looks at the servers that were heard within a lease.
-func (g *Grantor) waveStatus(now float64, releaseLog *release.Log) waveStatus {
+// currentWaveStatus returns the status of the current wave; a rollout must be in progress.
+func (g *Grantor) currentWaveStatus(now float64, releaseLog *release.Log) waveStatus {
 	next := releaseLog.Next.Epoch
 	var status waveStatus
 	for name, record := range g.servers {
--- a/internal/policy/lease/schedule_test.go
+++ b/internal/policy/lease/schedule_test.go
@@ -9,9 +9,26 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// TestLease_DrawnSchedules plays drawn schedules of faults; checkInvariants checks each tick. Once
+// Faults of a random schedule. Those that are a state of a server or the cluster end when they are
+// drawn a second time.
+const (
+	faultPause = iota
+	faultIsolate
+	faultBlock
+	faultRelease
+	faultReleaseInWaves
+	faultElectLeader
+	faultPartition
+	faultLossRate
+	faultSecondProcess
+	faultRestart
+	faultCommitDelay
+	faultCount
+)
+
+// TestLease_RandomFaultSchedules runs random schedules of faults; checkInvariants checks each tick. Once
 // all faults are healed, each name has one lease, on its assigned version.
-func TestLease_DrawnSchedules(t *testing.T) {
+func TestLease_RandomFaultSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fallbacks := []serving.Mode{serving.ModeNormal, serving.ModeSafeDefaults, serving.ModeOutOfService}
 		fallback := rapid.SampledFrom(fallbacks).Draw(t, "fallback")
@@ -25,11 +42,11 @@
 		}
 		c.heal()
 		c.run(6 * testConfig.Duration)
-		wrong := c.unhealed()
-		for range 10 { // a reply that takes a second comes a few times in a thousand, and may cost a lease
+		wrong := c.remainingFault()
+		for range 10 { // a few replies in a thousand take over a second, which may cost a lease
 			if wrong != "" {
 				c.run(1)
-				wrong = c.unhealed()
+				wrong = c.remainingFault()
 			}
 		}
 		if wrong != "" {
@@ -38,36 +55,36 @@
 	})
 }
 
-// drawFault draws what happens in a step, to the server with the index target.
+// drawFault draws a fault and applies it to the cluster or to the server with the index target.
 func drawFault(t *rapid.T, c *cluster, step, target, initialServers int, fallback serving.Mode) {
 	s := c.servers[target]
-	switch rapid.IntRange(0, 10).Draw(t, "step") {
-	case 0:
+	switch rapid.IntRange(0, faultCount-1).Draw(t, "step") {
+	case faultPause:
 		s.paused = !s.paused
-	case 1:
+	case faultIsolate:
 		s.isolated = !s.isolated
-	case 2:
+	case faultBlock:
 		s.blocked = !s.blocked
-	case 3:
+	case faultRelease:
 		c.release(fmt.Sprint("x", step))
-	case 4:
+	case faultReleaseInWaves:
 		c.release(fmt.Sprint("y", step), 0.2, 0.6)
-	case 5:
+	case faultElectLeader:
 		c.electLeader()
-	case 6:
+	case faultPartition:
 		c.partitioned = !c.partitioned
-	case 7:
+	case faultLossRate:
 		c.lossRate = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "loss rate")
-	case 8:
-		// A second process of the name. One of a voter's name does not start.
+	case faultSecondProcess:
+		// A second process with a voter's name can't start, as it can't listen at the voter's address.
 		if len(c.servers) < initialServers+3 && testVoterAddrs[s.name] == "" {
 			c.addServer(s.name, fmt.Sprint("second", step), fallback)
 		}
-	case 9:
-		// A restart in place: replies to the earlier incarnation reach this one.
+	case faultRestart:
+		// The server is replaced in place, so replies to the earlier incarnation reach the new one.
 		*s = *c.addServer(s.name, s.addr, fallback)
 		c.servers = c.servers[:len(c.servers)-1]
-	case 10:
+	case faultCommitDelay:
 		c.commitDelay = rapid.SampledFrom([]float64{0.1, 3}).Draw(t, "commit delay")
 	}
 }
--- a/internal/policy/lease/server_record.go
+++ b/internal/policy/lease/server_record.go
@@ -9,40 +9,56 @@
 	addr        string
 	build       string
 	heardAt     float64
-	// leaseEnd is when the latest lease that was granted has surely ended.
+	// leaseEnd is when the latest lease that was granted has ended, with maxClockDrift allowed for.
 	leaseEnd float64
 
 	activeEpoch release.Epoch
 	blockedBy   string
 	errorTally  release.ErrorTally
-	// laggingSince is when the server was first seen on another version than the assigned one, or
+	// laggingSince is when the server first reported another version than the assigned one, or
 	// notLagging.
 	laggingSince float64
-	// refusedAsLagging tells that the server counts toward Config.MaxUnavailable while its ejection
+	// ejectionReserved means that the server counts toward Config.MaxUnavailable while its ejection
 	// is not committed yet.
-	refusedAsLagging bool
+	ejectionReserved bool
 
-	// leaseWithheld tells that a command was proposed that ejects this incarnation or takes its
-	// name, so that it has no lease until the command's result is known. A leader's commands are
-	// committed in the order in which it proposes them: once a fence, which is a command that
-	// changes nothing, is committed, all before it are. A new leader knows the results of all
-	// earlier commands before a majority confirms it.
+	// leaseWithheld means that a command was proposed that ejects this incarnation or takes its
+	// name, so that it gets no lease until the command's result is known. That is the case once a
+	// barrier is committed, see proposeBarrier. A new leader knows the results of all earlier
+	// commands before a majority confirms it.
 	leaseWithheld bool
-	// fenceID is the ID of the fence that was proposed, 0 for none.
-	fenceID uint64
+	// barrierID is the ID of the barrier that was proposed, 0 for none.
+	barrierID uint64
 
-	// mayGoOutOfService tells that the server has the permission, or may have it.
+	// mayGoOutOfService means that the server has a permit to go out of service, or may have one.
 	mayGoOutOfService bool
-	// permitRequest is the number of the latest request whose reply gave the permission.
+	// permitRequest is the number of the latest request whose reply gave the permit.
 	permitRequest uint64
 }
 
 // notLagging is serverRecord.laggingSince of a server on its assigned version.
 const notLagging = -1
 
+// newServerRecord returns the record of a server that is not known to lag.
+func newServerRecord(incarnation uint64, heardAt, leaseEnd float64) *serverRecord {
+	return &serverRecord{
+		incarnation:  incarnation,
+		heardAt:      heardAt,
+		leaseEnd:     leaseEnd,
+		laggingSince: notLagging,
+	}
+}
+
+// withholdLease refuses a lease until a barrier that is proposed later is committed. An earlier
+// barrier says nothing about the command that is the cause.
+func (r *serverRecord) withholdLease() {
+	r.leaseWithheld = true
+	r.barrierID = 0
+}
+
 func (r *serverRecord) lagging() bool { return r.laggingSince >= 0 }
 
-// lagReason returns why the server is not on its assigned version.
+// lagReason returns why the server doesn't run its assigned version.
 func (r *serverRecord) lagReason() string {
 	if r.blockedBy != "" {
 		return r.blockedBy
@@ -50,7 +66,7 @@
 	return reasonNotCaughtUp
 }
 
-// update takes over what the server says in a request.
+// update copies the server's state from its request.
 func (r *serverRecord) update(now float64, request *Request, assigned release.Epoch) {
 	r.addr = request.Addr
 	r.build = request.Build
@@ -73,9 +89,9 @@
 		if record == nil && len(g.servers) >= maxServers {
 			return nil
 		}
-		record = &serverRecord{incarnation: request.Incarnation, laggingSince: notLagging, leaseEnd: now}
+		record = newServerRecord(request.Incarnation, now, now)
 		if g.permits.appliedCount == releaseLog.AppliedCount {
-			g.permits.count-- // it was counted as a server that was not heard yet
+			g.permits.count-- // it was counted as a server without a request in this term
 		}
 		if !g.priorLeasesOver(now) {
 			record.leaseEnd = g.priorLeasesEnd()
@@ -86,70 +102,36 @@
 	return record
 }
 
-// leaseOver reports whether the owner of a name can't have a lease any more. An owner that took the
-// name from another incarnation first has the time of a lease to request one: else several
-// processes of one name would take it from one another for ever.
-func (g *Grantor) leaseOver(now float64, name string, owner uint64) bool {
+// ownerRecord returns the record of a name's owner, or nil if the table has none for the name. An
+// owner that took the name from another incarnation gets a new record, with the time of a lease to
+// request one: otherwise several processes of one name would take it from one another for ever.
+func (g *Grantor) ownerRecord(now float64, name string, owner uint64) *serverRecord {
 	record := g.servers[name]
+	if record != nil && record.incarnation != owner {
+		record = newServerRecord(owner, now, max(now+g.leaseBound(), g.priorLeasesEnd()))
+		record.mayGoOutOfService = true
+		g.servers[name] = record
+	}
+	return record
+}
+
+// leaseOver reports whether the owner of a name can't have a lease any more. record is the owner's,
+// or nil if the table has none.
+func (g *Grantor) leaseOver(now float64, record *serverRecord) bool {
 	if record == nil {
 		return g.priorLeasesOver(now)
 	}
-	if record.incarnation != owner {
-		record = &serverRecord{
-			incarnation:       owner,
-			laggingSince:      notLagging,
-			heardAt:           now,
-			leaseEnd:          max(now+g.leaseBound(), g.priorLeasesEnd()),
-			mayGoOutOfService: true,
-		}
-		g.servers[name] = record
-	}
 	return now > record.leaseEnd
 }
 
 // withholdLease refuses a lease to an incarnation until the result of a command is known that may
-// take its name. heardAt is when the incarnation was last heard, if the table has no record of it.
+// take its name. heardAt is recorded as the time of the incarnation's latest request if the table
+// has no record of it.
 func (g *Grantor) withholdLease(heardAt float64, name string, incarnation uint64) {
 	record := g.servers[name]
 	if record == nil || record.incarnation != incarnation {
-		record = &serverRecord{
-			incarnation:  incarnation,
-			laggingSince: notLagging,
-			heardAt:      heardAt,
-			leaseEnd:     heardAt,
-		}
+		record = newServerRecord(incarnation, heardAt, heardAt)
 		g.servers[name] = record
 	}
-	record.leaseWithheld = true
-	record.fenceID = 0 // an earlier fence tells nothing of this command
-}
-
-// fence proposes a command that changes nothing. Its result tells that the commands proposed before
-// it have been decided.
-func (g *Grantor) fence(now float64, request *Request, record *serverRecord) []release.Command {
-	g.lastID++
-	commands := g.commands.propose(now, request.Name, release.Command{
-		Kind:        release.KindRegister,
-		ID:          g.lastID,
-		Name:        request.Name,
-		Incarnation: request.Incarnation,
-		Previous:    request.Incarnation,
-	})
-	if commands != nil {
-		record.fenceID = g.lastID
-	}
-	return commands
-}
-
-// HandleCommandResult takes note that a command, proposed by this leader or anybody, was applied or
-// refused.
-func (g *Grantor) HandleCommandResult(command *release.Command) {
-	record := g.servers[command.Name]
-	if record == nil || command.Kind != release.KindRegister || command.Author != commandAuthor {
-		return
-	}
-	if command.ID != 0 && command.ID == record.fenceID && command.Incarnation == record.incarnation {
-		record.leaseWithheld = false
-		record.fenceID = 0
-	}
+	record.withholdLease()
 }
--- a/internal/policy/lease/state.go
+++ b/internal/policy/lease/state.go
@@ -1,16 +1,16 @@
 package lease
 
-import "strconv"
+import "swiftcourse/internal/policy/serving"
 
 // State is a holder's state as far as the holder knows it.
 type State uint8
 
 const (
-	// StateInitial is the state of a holder that never had a decision from a leader.
+	// StateInitial is the state of a holder that has not received any decision from a leader yet.
 	StateInitial State = iota
 	// StateLeased means that the holder has a lease.
 	StateLeased
-	// StateExpired means that the lease ended without word from a leader.
+	// StateExpired means that the lease ended before a leader extended it.
 	StateExpired
 	// StateFenced means that the leader refuses a lease to this server.
 	StateFenced
@@ -18,18 +18,16 @@
 	StateSuperseded
 )
 
-// stateNames are part of the control API, whose words don't change.
+// stateNames are part of the control API. They are older than the names of the constants and have to
+// stay as they are.
 var stateNames = [...]string{"fresh", "acting", "silent", "out", "taken"}
 
-// String returns the word that the control API and the log use for the state.
+// String returns the name of the state in the control API and the log.
 func (s State) String() string {
-	if int(s) < len(stateNames) {
-		return stateNames[s]
-	}
-	return "state " + strconv.Itoa(int(s))
+	return serving.EnumName(stateNames[:], "state", uint8(s))
 }
 
-// event is what changes a holder's state.
+// event is an input of the holder's state machine.
 type event uint8
 
 const (
@@ -40,7 +38,7 @@
 )
 
 // transitions is the whole state machine. An event that is not listed for a state leaves it
-// unchanged: a fenced or superseded server doesn't come back because time passes.
+// unchanged: a fenced or superseded server doesn't return to service merely because time passes.
 var transitions = [...]struct {
 	from  State
 	event event
--- a/internal/policy/lease/status.go
+++ b/internal/policy/lease/status.go
@@ -12,19 +12,18 @@
 type ServerStatus struct {
 	Name        string
 	Incarnation uint64 `json:"Life"`
-	// ActiveEpoch is the version that the server acts on, AssignedEpoch the one that it has to act
-	// on.
+	// ActiveEpoch is the version that the server runs, AssignedEpoch the one that it has to run.
 	ActiveEpoch   release.Epoch `json:"Epoch"`
 	AssignedEpoch release.Epoch `json:"Right"`
 	// SecondsSinceHeard is the age of the server's latest request.
 	SecondsSinceHeard float64 `json:"Heard"`
-	// SecondsBehind is for how long the server is not on its assigned version, 0 if it is.
+	// SecondsBehind is for how long the server has been lagging, 0 if it is not.
 	SecondsBehind float64 `json:"Behind"`
 	BlockedBy     string  `json:"Stuck"`
 	// EjectionReason is why the server is ejected, "" if it is not.
 	EjectionReason string `json:"Out"`
 	Build          string
-	// Reported tells that the server was heard in this leader's term. Without that only Name,
+	// Reported says whether the server sent a request in this leader's term. If not, only Name,
 	// Incarnation, AssignedEpoch and EjectionReason are known.
 	Reported bool `json:"Known"`
 }
--- a/internal/policy/serving/claim.go
+++ b/internal/policy/serving/claim.go
@@ -20,5 +20,5 @@
 
 // String returns the verdict in snake case.
 func (v ClaimVerdict) String() string {
-	return enumName(claimVerdictNames[:], "claim verdict", uint8(v))
+	return EnumName(claimVerdictNames[:], "claim verdict", uint8(v))
 }
--- a/internal/policy/serving/counter.go
+++ b/internal/policy/serving/counter.go
@@ -2,8 +2,8 @@
 
 import "cmp"
 
-// CounterKey identifies a counter cell: one tenant's requests of one class. The zero CounterKey is
-// the overflow cell, which takes the requests that have no cell of their own.
+// CounterKey identifies a counter cell: one tenant's requests of one class. The zero CounterKey
+// identifies the overflow cell, which counts the requests that have no cell of their own.
 type CounterKey struct {
 	Tenant string
 	Class  string `json:"Stage"`
@@ -32,8 +32,8 @@
 	}
 }
 
-// Sub returns the difference of both counts. The receiver must cover other, else the result wraps
-// around.
+// Sub returns the difference of both counts. The receiver must cover other (see Covers), else
+// the result wraps around.
 func (c RequestCounts) Sub(other RequestCounts) RequestCounts {
 	return RequestCounts{
 		Received:  c.Received - other.Received,
--- a/internal/policy/serving/doc.go
+++ b/internal/policy/serving/doc.go
@@ -7,6 +7,6 @@
 //
 // A Directive and a list of Allowance are immutable once they are published: the node agent builds
 // a new value for every change and the loop swaps the pointer. The loop evaluates them by its own
-// clock, so a lease ends on time even if the node agent has stopped. Only VersionStats is shared
-// between goroutines, and its fields are atomic.
+// clock, so an allowance or a mode ends on time even if the node agent has stopped. Only
+// VersionStats is shared between goroutines, and its fields are atomic.
 package serving
--- a/internal/policy/serving/stats.go
+++ b/internal/policy/serving/stats.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// VersionStats counts the server loop's work under one configuration version. The loop writes it
-// while the node agent reads it.
+// VersionStats counts the server loop's work under one configuration version. The server loop writes
+// it while the node agent reads it.
 type VersionStats struct {
 	Batches   atomic.Uint64
 	Requests  atomic.Uint64
@@ -12,7 +12,7 @@
 	Failed atomic.Uint64
 }
 
-// CallStats is the outcome of the loop's downstream calls since its last report.
+// CallStats is the outcome of the server loop's downstream calls since its last report.
 type CallStats struct {
 	Succeeded int
 	Failed    int
