--- /dev/null
+++ b/internal/server/execute.go
@@ -0,0 +1,123 @@
+package server
+
+import (
+	"log/slog"
+
+	"swiftcourse/admission"
+	"swiftcourse/internal/requesttable"
+	"swiftcourse/internal/resultcache"
+)
+
+// gaugeLead is how long, in seconds, before a timer the gauges are requested: a few turns, so that
+// the reading is there when the timer fires, and still fresh.
+const gaugeLead = 0.004
+
+// execute carries out the controller's actions, in order.
+func (s *Server) execute(actions []admission.Action, now float64) {
+	for i := range actions {
+		action := &actions[i]
+		if !s.executeOnServer(action, now) {
+			s.executeOnRequest(action, now)
+		}
+	}
+}
+
+// executeOnServer carries out an action that concerns the whole server, and reports whether it was
+// one.
+func (s *Server) executeOnServer(action *admission.Action, now float64) bool {
+	switch action.Kind {
+	case admission.SetHealth:
+		s.setHealthy(action.Healthy)
+	case admission.ReportLoad:
+		s.setLoadReport(action.Load)
+	case admission.SetIdleTimeout:
+		if action.Duration <= 0 {
+			action.Duration = s.startup.Settings.IdleTimeout
+		}
+		s.clients.limiter.Idle(action.Duration)
+	case admission.SetTimer:
+		s.setTimer(action.Label, action.Duration, now)
+	case admission.LogLine:
+		slog.Info("controller_message", "text", action.Label)
+	default:
+		return false
+	}
+	return true
+}
+
+// setTimer schedules a timer event in so many seconds, with fresh gauges.
+func (s *Server) setTimer(label string, seconds, now float64) {
+	s.loop.timers.Schedule(now+max(0, seconds-gaugeLead), s.executor.askGaugesFunc)
+	s.loop.timers.Schedule(now+seconds, func() {
+		s.queueEvent(admission.Event{Kind: admission.TimerFired, Label: label})
+	})
+}
+
+// executeOnRequest carries out an action that concerns a request. For a request that is over, only
+// its key is left to be deleted.
+func (s *Server) executeOnRequest(action *admission.Action, now float64) {
+	request := s.requests.Get(action.RequestID)
+	if request == nil {
+		if action.Kind == admission.DeleteKey {
+			s.results.Remove(action.RequestID)
+		}
+		return
+	}
+	switch action.Kind {
+	case admission.StartRun:
+		s.startRun(request)
+	case admission.Reject:
+		s.reject(request, action.Duration, action.NoFailover)
+	case admission.Fail:
+		s.fail(request)
+	case admission.DispatchCall:
+		s.startCall(request, action.Duration)
+	case admission.Degrade:
+		s.executor.reply(request, nil, true)
+	case admission.StoreKey:
+		s.results.Track(request, now+action.Duration, s.runsAtMostOnce(request.Class))
+	case admission.DeleteKey:
+		s.results.Remove(request.ID)
+	case admission.ReuseResult:
+		s.answerFromCache(request, now)
+	}
+}
+
+// answerFromCache answers a repeat with the result of its original, now or when that ends.
+func (s *Server) answerFromCache(request *requesttable.Request, now float64) {
+	switch result, state := s.results.LookupOrWait(request, now); state {
+	case resultcache.Available:
+		s.answerShared(request, result, admission.Finished, 0)
+	case resultcache.Missing, resultcache.Unrepeatable:
+		s.answerShared(request, nil, admission.Failed, 0)
+	}
+}
+
+// answerShared answers a repeat, nil for one that is over, with the outcome of its original, which
+// took so many seconds.
+func (s *Server) answerShared(request *requesttable.Request, result []byte, outcome admission.Outcome, took float64) {
+	if request == nil || request.Answered {
+		return
+	}
+	if outcome == admission.Finished {
+		s.finish(request, result)
+	} else {
+		outcome = admission.Failed
+		s.fail(request)
+	}
+	s.queueEvent(admission.Event{
+		Kind:      admission.RunEnded,
+		RequestID: request.ID,
+		Outcome:   outcome,
+		Duration:  took,
+	})
+}
+
+// setHealthy sets the health that the controller decided.
+func (s *Server) setHealthy(healthy bool) {
+	if s.health.healthy != healthy {
+		slog.Info("health_changed", "healthy", healthy)
+	}
+	s.health.healthy = healthy
+	s.registry.report()
+}
