--- /dev/null
+++ b/internal/policy/connlimit/admission_test.go
@@ -0,0 +1,164 @@
+package connlimit
+
+import (
+	"fmt"
+	"net/netip"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+func drawAddr(t *rapid.T) netip.Addr {
+	host := rapid.IntRange(1, 6).Draw(t, "host")
+	networks := []string{"10.1.1.%d", "10.1.2.%d", "::ffff:10.1.1.%d", "10.9.1.%d", "2001:db8::%d"}
+	network := rapid.SampledFrom(networks).Draw(t, "net")
+	return netip.MustParseAddr(fmt.Sprintf(network, host)).Unmap()
+}
+
+// drawSlot draws the slot of a connection that the filter keeps.
+func (s *simulation) drawSlot(t *rapid.T, keep func(*simulatedConnection) bool) (slot int32, ok bool) {
+	var slots []int32
+	for slot, c := range s.connections {
+		if keep(c) {
+			slots = append(slots, slot)
+		}
+	}
+	if len(slots) == 0 {
+		return 0, false
+	}
+	slices.Sort(slots)
+	return rapid.SampledFrom(slots).Draw(t, "slot"), true
+}
+
+// step takes a drawn step.
+func (s *simulation) step(t *rapid.T) {
+	switch rapid.IntRange(0, 8).Draw(t, "step") {
+	case 0, 1, 2:
+		addr := drawAddr(t)
+		for range rapid.SampledFrom([]int{1, 1, 12}).Draw(t, "how many") {
+			s.arrive(addr)
+		}
+	case 3, 4:
+		if slot, ok := s.drawSlot(t, func(c *simulatedConnection) bool { return !c.active }); ok {
+			s.openRequest(slot)
+		}
+	case 5, 6:
+		if slot, ok := s.drawSlot(t, func(c *simulatedConnection) bool { return c.active }); ok {
+			s.completeRequest(slot)
+		}
+	case 7:
+		if slot, ok := s.drawSlot(t, func(*simulatedConnection) bool { return true }); ok {
+			s.close(slot)
+		}
+	case 8:
+		s.now += rapid.SampledFrom([]float64{0, 0.001, 0.6, 2, 5000}).Draw(t, "later")
+	}
+}
+
+func TestRules_HoldForDrawnSteps(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s := newSimulation(t, rapid.SampledFrom([]float64{0.3, 30}).Draw(t, "idle timeout"))
+		for range rapid.IntRange(1, 150).Draw(t, "steps") {
+			s.step(t)
+			s.maintain()
+			s.check()
+		}
+	})
+}
+
+func TestHandleArrival_TrustedAdmittedWhileUntrustedAtLimit(t *testing.T) {
+	s := defaultSimulation(t)
+	trusted := netip.MustParseAddr("10.9.7.7") // by the rules, from the first moment
+	for i := range 200 {
+		s.now += 0.01
+		slot, admitted := s.arrive(numberedAddr(i))
+		if admitted && i%2 == 0 {
+			s.openRequest(slot)
+		}
+		s.maintain()
+	}
+	for range s.rules.Reserve {
+		if _, admitted := s.arrive(trusted); !admitted {
+			t.Fatal("a trusted client has no slot")
+		}
+	}
+}
+
+func TestHandleArrival_LimitsAndSizeOfHoldingArea(t *testing.T) {
+	s := defaultSimulation(t)
+	reasons := map[Cause]int{}
+	for slot := range int32(1000) { // in one instant, from one address
+		reason, _ := s.limiter.Arrive(slot, netip.MustParseAddr("10.1.1.1"), s.now)
+		reasons[reason]++
+		if held := s.limiter.Count(Lobby); held > 2*s.rules.Lobby {
+			t.Fatalf("%d held", held)
+		}
+	}
+	if reasons[LetIn] != s.rules.PerAddress || reasons[OverCap] == 0 || reasons[NoLobby] == 0 {
+		t.Errorf("%v", reasons)
+	}
+	closed := 0
+	for range 20 {
+		for _, decision := range slices.Clone(s.limiter.Due(s.now)) {
+			if decision.Do == Close {
+				closed++
+				s.limiter.Leave(decision.Slot)
+			}
+		}
+		s.now += 0.001
+	}
+	if closed < s.rules.Lobby || s.limiter.Count(Lobby) > s.rules.Lobby {
+		t.Errorf("%d closed, %d held", closed, s.limiter.Count(Lobby))
+	}
+}
+
+func TestReject_RetryAfterGrowsAndIsSpread(t *testing.T) {
+	s := defaultSimulation(t)
+	seen := map[float64]bool{}
+	previous := 0.0
+	for i := range 12 {
+		slot := int32(i)
+		s.limiter.Arrive(slot, netip.MustParseAddr("10.1.1.1"), s.now)
+		retryAfter := s.limiter.TurnAway(slot, NoPlace, s.now)
+		if seen[retryAfter] || i > 0 && i < 5 && retryAfter <= previous*0.99 {
+			t.Errorf("retry after %v, then %v", previous, retryAfter)
+		}
+		seen[retryAfter] = true
+		previous = min(retryAfter, s.rules.ComeBack*float64(int(1)<<(i+1)))
+	}
+	if previous < s.rules.ComeBackMost/2 {
+		t.Errorf("retry after ends at %v", previous)
+	}
+}
+
+// BenchmarkHandleArrival measures what a decision costs with so many addresses that come in turn.
+func BenchmarkHandleArrival(b *testing.B) {
+	for _, addresses := range []int{1000, 1_000_000} {
+		b.Run(fmt.Sprint(addresses), func(b *testing.B) {
+			rules := testRules()
+			rules.Most = 10_000
+			rules.Reserve = 2_000
+			rules.Remember = 8192
+			rules.PerPrefix = 0
+			rules.ArrivalsPrefix = 0
+			limiter := NewGuarded(30, rules)
+			for slot := range int32(9000) {
+				limiter.Arrive(slot, netip.AddrFrom4([4]byte{12, 0, byte(slot >> 8), byte(slot)}), 0)
+				limiter.Tell(slot, Spoke, 0)
+			}
+			b.ReportAllocs()
+			b.ResetTimer()
+			for i := range b.N {
+				now := 1 + float64(i)*1e-4
+				n := i % addresses
+				addr := netip.AddrFrom4([4]byte{11, byte(n >> 16), byte(n >> 8), byte(n)})
+				if reason, _ := limiter.Arrive(9000, addr, now); reason != LetIn && reason != OverRate {
+					b.Fatal(reason)
+				}
+				limiter.Tell(9000, Spoke, now)
+				limiter.Leave(9000)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/policy/connlimit/client.go
@@ -0,0 +1,114 @@
+package connlimit
+
+import "net/netip"
+
+// This file keeps what the table knows of a connection's address in step with the connection.
+
+// addressID finds or makes the entries of an address and of its prefix, and returns the address's;
+// -1 where there is no room for them.
+func (p *clientPolicy) addressID(addr netip.Addr) int32 {
+	id, fresh := p.addresses.findOrAdd(newKey(addr, ipv4Bits, ipv6Bits))
+	if id < 0 {
+		return -1
+	}
+	client := &p.addresses.entries[id]
+	if fresh {
+		client.trustedByRule = p.isTrustedByRule(addr.Unmap())
+		client.trusted = client.trustedByRule
+	}
+	// The prefix may have been dropped meanwhile, as it holds no connection of this address.
+	prefix := newKey(addr, p.Rules.V4, p.Rules.V6)
+	if !p.prefixes.has(client.prefix, prefix) {
+		client.prefix, _ = p.prefixes.findOrAdd(prefix)
+		if client.prefix < 0 {
+			return -1
+		}
+	}
+	return id
+}
+
+// entriesOf returns the entries of a connection's address and of its prefix.
+func (p *clientPolicy) entriesOf(conn *connection) (address, prefix *addressEntry) {
+	address = &p.addresses.entries[conn.address-1]
+	return address, &p.prefixes.entries[address.prefix]
+}
+
+// removeFromAddress takes a connection that is gone off its address.
+func (l *Door) removeFromAddress(slot int32) {
+	policy := l.clientPolicy
+	conn := &l.connections[slot]
+	if conn.address == 0 {
+		return
+	}
+	client, prefix := policy.entriesOf(conn)
+	if conn.admitted {
+		policy.admitted--
+		client.admitted--
+		prefix.admitted--
+		if !client.trusted {
+			prefix.untrusted--
+		}
+	} else {
+		client.held--
+		prefix.held--
+	}
+	policy.addresses.requeue(conn.address - 1)
+	policy.prefixes.requeue(client.prefix)
+	conn.address = 0
+	conn.admitted = false
+}
+
+// updateClient brings a connection's address up to date after the connection entered a state.
+func (l *Door) updateClient(slot int32, now float64) {
+	conn := &l.connections[slot]
+	if conn.address == 0 {
+		return
+	}
+	l.updateEvictable(slot, now)
+	l.clientPolicy.updateActive(conn)
+	l.clientPolicy.addresses.requeue(conn.address - 1)
+}
+
+// updateEvictable keeps the list of an address's evictable connections in the order in which they
+// were last heard.
+func (l *Door) updateEvictable(slot int32, now float64) {
+	conn := &l.connections[slot]
+	evictable := &l.clientPolicy.addresses.entries[conn.address-1].evictable
+	wanted := conn.admitted && conn.state.isEvictable()
+	if conn.listed && (!wanted || conn.lastHeard == now) {
+		conn.listed = false
+		node := conn.addressLinks
+		evictable.remove(node, l.addressLinks(node.prev), l.addressLinks(node.next))
+	}
+	if wanted && !conn.listed {
+		conn.listed = true
+		evictable.pushBack(slot+1, &conn.addressLinks, l.addressLinks(evictable.last))
+	}
+}
+
+// addressLinks returns the links of a connection, counted from 1, in the list of its address; nil
+// for 0.
+func (l *Door) addressLinks(number int32) *links {
+	if number == 0 {
+		return nil
+	}
+	return &l.connections[number-1].addressLinks
+}
+
+// updateActive counts the connections with an open request.
+func (p *clientPolicy) updateActive(conn *connection) {
+	active := conn.admitted && conn.state == Busy
+	if active == conn.active {
+		return
+	}
+	conn.active = active
+	change := int32(1)
+	if !active {
+		change = -1
+	}
+	client := &p.addresses.entries[conn.address-1]
+	client.active += change
+	if !client.trusted {
+		p.activeUntrusted += int(change)
+	}
+}
--- /dev/null
+++ b/internal/policy/connlimit/model_test.go
@@ -0,0 +1,364 @@
+package connlimit
+
+import (
+	"cmp"
+	"math"
+	"reflect"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// modelConnection is a connection as the model knows it: facts, and no queue.
+type modelConnection struct {
+	slot         int32
+	order        int // in which the timeout of its state began
+	since        float64
+	lastHeard    float64
+	sentValid    bool
+	hasPartial   bool
+	active       bool
+	askedToClose bool
+}
+
+func (c *modelConnection) state() State {
+	switch {
+	case c.active:
+		return Busy
+	case c.askedToClose:
+		return Parting
+	case !c.sentValid:
+		return Stranger
+	case c.hasPartial:
+		return Half
+	}
+	return Known
+}
+
+// model is the plain model of a limiter without rules: it looks at all connections each time.
+type model struct {
+	connections map[int32]*modelConnection
+	idleTimeout float64
+	draining    bool
+	nextBatchAt float64
+	order       int
+}
+
+// begin begins the timeout of a connection's state.
+func (m *model) begin(c *modelConnection, now float64) {
+	m.order++
+	c.order = m.order
+	c.since = now
+}
+
+func (m *model) timeout(state State) float64 {
+	switch {
+	case state == Busy:
+		return math.Inf(1)
+	case state == Parting && m.draining:
+		return 0.1
+	case state == Parting:
+		return 0.5
+	case m.draining:
+		return 0
+	case state == Known:
+		return m.idleTimeout
+	}
+	return 1.5
+}
+
+type (
+	connectionFilter func(*modelConnection) bool
+	connectionOrder  func(a, b *modelConnection) int
+)
+
+func (m *model) sorted(keep connectionFilter, by connectionOrder) (list []*modelConnection) {
+	for _, c := range m.connections {
+		if keep(c) {
+			list = append(list, c)
+		}
+	}
+	slices.SortFunc(list, by)
+	return list
+}
+
+func all(*modelConnection) bool { return true }
+
+func byOrder(a, b *modelConnection) int { return cmp.Compare(a.order, b.order) }
+
+func byLastHeard(a, b *modelConnection) int { return cmp.Compare(a.lastHeard, b.lastHeard) }
+
+func (m *model) takeDecisions(now float64) (decisions []Verdict) {
+	batch := 4
+	if m.draining {
+		batch = 128
+	}
+	rank := map[State]int{Stranger: 0, Half: 1, Parting: 2, Known: 3}
+	timedOut := m.sorted(
+		func(c *modelConnection) bool { return now >= c.since+m.timeout(c.state()) },
+		func(a, b *modelConnection) int {
+			return cmp.Or(cmp.Compare(rank[a.state()], rank[b.state()]), byOrder(a, b))
+		})
+	if now < m.nextBatchAt {
+		return nil
+	}
+	for _, c := range timedOut[:min(batch, len(timedOut))] {
+		previous := c.state()
+		if previous == Known || m.draining && previous != Parting {
+			c.askedToClose = true
+			decisions = append(decisions, Verdict{c.slot, Ask, previous})
+			m.begin(c, now)
+		} else {
+			decisions = append(decisions, Verdict{c.slot, Close, previous})
+		}
+	}
+	if len(decisions) > 0 {
+		m.nextBatchAt = now + 0.001
+	}
+	return decisions
+}
+
+// handleEvent takes on an event by the facts that it changes.
+func (m *model) handleEvent(c *modelConnection, event Input, now float64) {
+	previous := c.state()
+	switch event {
+	case Spoke:
+		c.sentValid = true
+		c.hasPartial = false
+		c.lastHeard = now
+	case Heard:
+		c.hasPartial = false
+		c.lastHeard = now
+	case Partly:
+		c.hasPartial = true
+		c.lastHeard = now
+	case Owed:
+		c.active = true
+		c.sentValid = true
+		c.hasPartial = false
+	case Settled:
+		c.active = false
+		c.lastHeard = now
+	}
+	if c.state() != previous || c.state() == Known {
+		m.begin(c, now)
+	}
+}
+
+// startDrain returns the slots with an open request that were not asked to close.
+func (m *model) startDrain() (active []int32) {
+	m.draining = true
+	notAsked := func(c *modelConnection) bool { return c.active && !c.askedToClose }
+	for _, c := range m.sorted(notAsked, byOrder) {
+		c.askedToClose = true
+		active = append(active, c.slot)
+	}
+	return active
+}
+
+// evictionGroup returns 0 for a silent new connection, 1 for one that sent something and 2 for one
+// whose first message may be on its way.
+func (c *modelConnection) evictionGroup(now float64) int {
+	switch {
+	case c.state() != Stranger:
+		return 1
+	case now-c.since > 0.1:
+		return 0
+	}
+	return 2
+}
+
+// evictionRank is by what candidates are ranked; of equal ones either may go.
+type evictionRank struct {
+	group int
+	time  float64
+}
+
+func (c *modelConnection) evictionRank(now float64) evictionRank {
+	group := c.evictionGroup(now)
+	if group == 1 {
+		return evictionRank{group, c.lastHeard}
+	}
+	return evictionRank{group, c.since}
+}
+
+func (m *model) evictionCandidates(now float64) (ranks []evictionRank) {
+	candidates := m.sorted(
+		func(c *modelConnection) bool { return !c.active },
+		func(a, b *modelConnection) int {
+			if a.evictionGroup(now) == 1 && b.evictionGroup(now) == 1 {
+				return byLastHeard(a, b)
+			}
+			return cmp.Or(cmp.Compare(a.evictionGroup(now), b.evictionGroup(now)), byOrder(a, b))
+		})
+	for _, c := range candidates {
+		ranks = append(ranks, c.evictionRank(now))
+	}
+	return ranks
+}
+
+// sortedByState reports whether, in each state, who was heard earlier entered it earlier: then the
+// order of the candidates is exact. It is not where connections were asked to close out of turn, or
+// a partial message was followed by more of it.
+func (m *model) sortedByState() bool {
+	for _, state := range timedStates {
+		inState := func(c *modelConnection) bool { return c.state() == state }
+		if !slices.IsSortedFunc(m.sorted(inState, byOrder), byLastHeard) {
+			return false
+		}
+	}
+	return true
+}
+
+// modelRun plays drawn steps against the model and a limiter, and compares them.
+type modelRun struct {
+	*rapid.T
+	model   *model
+	limiter *Door
+	now     float64
+}
+
+func TestLimiter_MatchesModel(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		idleTimeout := rapid.SampledFrom([]float64{0, 0.3, 30}).Draw(t, "idle timeout")
+		run := &modelRun{
+			T: t,
+			model: &model{
+				connections: map[int32]*modelConnection{},
+				idleTimeout: idleTimeout,
+				nextBatchAt: math.Inf(-1),
+			},
+			limiter: New(idleTimeout),
+			now:     1000,
+		}
+		for range rapid.IntRange(1, 120).Draw(t, "steps") {
+			if !run.step() {
+				continue
+			}
+			run.compareDecisions()
+			run.compareStates()
+			run.compareCandidates()
+		}
+	})
+}
+
+// pick draws a connection, nil where there is none.
+func (r *modelRun) pick() *modelConnection {
+	if len(r.model.connections) == 0 {
+		return nil
+	}
+	list := r.model.sorted(all, func(a, b *modelConnection) int { return cmp.Compare(a.slot, b.slot) })
+	return rapid.SampledFrom(list).Draw(r.T, "connection")
+}
+
+// step takes a drawn step and reports whether it was one.
+func (r *modelRun) step() bool {
+	switch rapid.IntRange(0, 9).Draw(r.T, "step") {
+	case 0, 1:
+		r.open()
+	case 2:
+		if c := r.pick(); c != nil {
+			r.close(c.slot)
+		}
+	case 3, 4, 5:
+		if c := r.pick(); c != nil {
+			return r.handleEvent(c)
+		}
+	case 6:
+		r.now += rapid.SampledFrom([]float64{0, 0.0005, 0.05, 0.6, 2, 1000}).Draw(r.T, "later")
+	case 7:
+		r.model.idleTimeout = rapid.SampledFrom([]float64{0, 0.1, 5}).Draw(r.T, "new idle timeout")
+		r.limiter.Idle(r.model.idleTimeout)
+	case 8:
+		if rapid.IntRange(0, 9).Draw(r.T, "drains") == 0 {
+			active := r.model.startDrain()
+			if got := r.limiter.LeaveAll(); !slices.Equal(got, active) {
+				r.Fatalf("active %v, want %v", got, active)
+			}
+		}
+	}
+	return true
+}
+
+// open opens some connections, at the lowest free slots.
+func (r *modelRun) open() {
+	for range rapid.SampledFrom([]int{1, 2, 20}).Draw(r.T, "how many") {
+		slot := int32(0)
+		for r.model.connections[slot] != nil {
+			slot++
+		}
+		c := &modelConnection{slot: slot, lastHeard: r.now}
+		r.model.begin(c, r.now)
+		r.model.connections[slot] = c
+		r.limiter.Open(slot, r.now)
+	}
+}
+
+func (r *modelRun) close(slot int32) {
+	delete(r.model.connections, slot)
+	r.limiter.Leave(slot)
+}
+
+// handleEvent has a connection meet a drawn event, and reports whether it was one that can be.
+func (r *modelRun) handleEvent(c *modelConnection) bool {
+	event := rapid.SampledFrom([]Input{Spoke, Heard, Partly, Owed, Settled}).Draw(r.T, "event")
+	if (event == Settled) != c.active && (event == Settled || event == Owed) {
+		return false // nothing is open, or it is already
+	}
+	r.model.handleEvent(c, event, r.now)
+	r.limiter.Tell(c.slot, event, r.now)
+	return true
+}
+
+func (r *modelRun) compareDecisions() {
+	want := r.model.takeDecisions(r.now)
+	wakeup := r.limiter.Next()
+	got := slices.Clone(r.limiter.Due(r.now))
+	if !reflect.DeepEqual(got, want) && len(got)+len(want) > 0 {
+		r.Fatalf("at %v: %+v, want %+v", r.now, got, want)
+	}
+	if (len(got) > 0) != (wakeup <= r.now) {
+		r.Fatalf("%d decisions at %v, next wakeup was %v", len(got), r.now, wakeup)
+	}
+	for _, decision := range got {
+		if decision.Do != Close {
+			continue
+		}
+		if rapid.Bool().Draw(r.T, "unread data") {
+			r.model.begin(r.model.connections[decision.Slot], r.now)
+			r.limiter.Tell(decision.Slot, Woke, r.now)
+		} else {
+			r.close(decision.Slot)
+		}
+	}
+}
+
+func (r *modelRun) compareStates() {
+	counts := map[State]int{}
+	for slot, c := range r.model.connections {
+		counts[c.state()]++
+		if r.limiter.State(slot) != c.state() {
+			r.Fatalf("%d is %v, want %+v", slot, r.limiter.State(slot), c)
+		}
+	}
+	for state := range stateCount {
+		if r.limiter.Count(state) != counts[state] {
+			r.Fatalf("%d in state %v, want %d", r.limiter.Count(state), state, counts[state])
+		}
+	}
+}
+
+func (r *modelRun) compareCandidates() {
+	var got []evictionRank
+	for slot := range r.limiter.Spare(r.now) {
+		got = append(got, r.model.connections[slot].evictionRank(r.now))
+	}
+	want := r.model.evictionCandidates(r.now)
+	if !r.model.draining && r.model.sortedByState() && !slices.Equal(got, want) {
+		r.Fatalf("candidates %v, want %v", got, want)
+	}
+	if len(got) != len(want) {
+		r.Fatalf("%d candidates, want %d", len(got), len(want))
+	}
+}
--- /dev/null
+++ b/internal/policy/connlimit/reputation.go
@@ -0,0 +1,176 @@
+package connlimit
+
+import (
+	"cmp"
+	"math"
+	"net/netip"
+	"slices"
+)
+
+const (
+	// creditInterval is how often, in seconds, a completed request counts for its address: so trust
+	// takes time, and a burst of requests does not buy it.
+	creditInterval = 1
+	// maxCredit bounds an address's credit, so that trust of days is forgotten in hours.
+	maxCredit = 64
+	// creditTolerance is what the first requests may have decayed by when the last one that earns
+	// trust is done.
+	creditTolerance = 0.5
+)
+
+// decayingCount is a count that halves with each half-life.
+type decayingCount struct {
+	value     float64
+	updatedAt float64 // when the value was right, s
+}
+
+// at returns the count at now, with a half-life in seconds.
+func (c *decayingCount) at(now, halfLife float64) float64 {
+	age := now - c.updatedAt
+	if c.value == 0 || age <= 0 {
+		return c.value
+	}
+	return c.value * math.Exp2(-age/halfLife)
+}
+
+// set sets the count at now.
+func (c *decayingCount) set(value, now float64) {
+	c.value = value
+	c.updatedAt = now
+}
+
+// Earned is a client that earned trust, with its credit.
+type Earned struct {
+	Addr   netip.Addr
+	Credit float64 // requests done, one a second at most, halved with each half-life
+}
+
+// Finished takes on that a request of a connection was done: its address gains credit.
+func (l *Door) Finished(slot int32, now float64) {
+	policy := l.clientPolicy
+	if policy == nil || l.connections[slot].address == 0 {
+		return
+	}
+	id := l.connections[slot].address - 1
+	client := &policy.addresses.entries[id]
+	if client.credit.value > 0 && now-client.credit.updatedAt < creditInterval {
+		return
+	}
+	client.credit.set(min(maxCredit, client.credit.at(now, policy.Rules.Forget)+1), now)
+	if !client.trusted && client.credit.value >= float64(policy.Rules.Earn)-creditTolerance {
+		policy.setTrusted(id, true)
+	}
+}
+
+// minCredit is the credit below which trust ends.
+func (p *clientPolicy) minCredit() float64 { return float64(p.Rules.Earn) / 2 }
+
+// expireTrust ends the trust in an address that gained no credit for long.
+func (p *clientPolicy) expireTrust(id int32, now float64) {
+	client := &p.addresses.entries[id]
+	if !client.trusted || client.trustedByRule {
+		return
+	}
+	own := client.credit.at(now, p.Rules.Forget)
+	reported := client.reportedCredit.at(now, p.Rules.Forget)
+	if own < p.minCredit() && reported < p.minCredit() {
+		p.setTrusted(id, false)
+	}
+}
+
+// setTrusted makes an address trusted or untrusted. It is called only where that is a change.
+func (p *clientPolicy) setTrusted(id int32, trusted bool) {
+	client := &p.addresses.entries[id]
+	sign := int32(1)
+	if trusted {
+		sign = -1
+	}
+	client.trusted = trusted
+	p.trustChanged = true
+	p.prefixes.entries[client.prefix].untrusted += sign * client.admitted
+	p.activeUntrusted += int(sign * client.active)
+	p.addresses.requeue(id)
+}
+
+// isTrustedByRule reports whether the rules name a prefix that has the address.
+func (p *clientPolicy) isTrustedByRule(addr netip.Addr) bool {
+	return slices.ContainsFunc(p.Rules.Named, func(prefix netip.Prefix) bool {
+		return prefix.Contains(addr)
+	})
+}
+
+// Earnings returns the addresses that earned trust here, those with most credit first, at most
+// limit. Credit that other servers reported is left out, or a client would be trusted for ever by
+// reports alone.
+func (l *Door) Earnings(now float64, limit int) (clients []Earned) {
+	policy := l.clientPolicy
+	if policy == nil {
+		return nil
+	}
+	for _, client := range policy.addresses.all() {
+		credit := client.credit.at(now, policy.Rules.Forget)
+		if client.trusted && credit >= policy.minCredit() {
+			clients = append(clients, Earned{client.key.address(), credit})
+		}
+	}
+	slices.SortFunc(clients, func(a, b Earned) int {
+		return cmp.Or(cmp.Compare(b.Credit, a.Credit), a.Addr.Compare(b.Addr))
+	})
+	return clients[:min(len(clients), limit)]
+}
+
+// Heard makes addresses trusted that earned it at other servers, and returns how many. Their credit
+// is at most what trust takes, so that without a request done here it ends within a half-life. They
+// take the room of untrusted addresses, never of trusted ones, and at most half of that for
+// remembered addresses.
+func (l *Door) Heard(clients []Earned, now float64) (accepted int) {
+	policy := l.clientPolicy
+	if policy == nil {
+		return 0
+	}
+	for _, reported := range clients[:min(len(clients), policy.Rules.Remember/2)] {
+		if policy.acceptReport(reported, now) {
+			accepted++
+		}
+	}
+	return accepted
+}
+
+// acceptReport makes one address trusted that earned it at another server, if there is room.
+func (p *clientPolicy) acceptReport(reported Earned, now float64) bool {
+	if reported.Credit < p.minCredit() {
+		return false
+	}
+	isNew := p.addresses.find(newKey(reported.Addr, ipv4Bits, ipv6Bits)) < 0
+	if isNew && !p.addresses.hasRoomForUntrusted() {
+		return false
+	}
+	id := p.addressID(reported.Addr)
+	if id < 0 {
+		return false
+	}
+	client := &p.addresses.entries[id]
+	client.reportedCredit.set(min(reported.Credit, float64(p.Rules.Earn)), now)
+	if !client.trusted {
+		p.setTrusted(id, true)
+	}
+	return true
+}
+
+// KnownClients returns the addresses that are trusted by their credit, for the acceptor, which has
+// to tell them apart earlier. Where they did not change since the last call, it returns nil and
+// false.
+func (l *Door) KnownClients() (trusted map[netip.Addr]bool, changed bool) {
+	policy := l.clientPolicy
+	if !policy.trustChanged {
+		return nil, false
+	}
+	policy.trustChanged = false
+	trusted = map[netip.Addr]bool{}
+	for _, client := range policy.addresses.all() {
+		if client.trusted && !client.trustedByRule {
+			trusted[client.key.address()] = true
+		}
+	}
+	return trusted, true
+}
--- /dev/null
+++ b/internal/policy/connlimit/simulation_test.go
@@ -0,0 +1,226 @@
+package connlimit
+
+import (
+	"net/netip"
+	"slices"
+	"testing"
+)
+
+func testRules() Rules {
+	return Rules{
+		Most:            40,
+		Reserve:         16,
+		PerAddress:      10,
+		PerPrefix:       18,
+		ArrivalsAddress: 200,
+		ArrivalsPrefix:  400,
+		V4:              24,
+		V6:              64,
+		Named:           []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")},
+		Lobby:           8,
+		Remember:        64,
+		Earn:            3,
+		Forget:          600,
+		ComeBack:        0.2,
+		ComeBackMost:    10,
+		Share:           0.2,
+		Seed:            7,
+	}
+}
+
+// numberedAddr returns the address of the nth untrusted client; each has its own prefix of 24 bits.
+func numberedAddr(n int) netip.Addr { return netip.AddrFrom4([4]byte{11, byte(n), 0, 1}) }
+
+// simulation plays connections against a limiter with rules, as the server would, and checks what
+// must hold after each step.
+type simulation struct {
+	fataler
+	limiter     *Door
+	rules       Rules
+	now         float64
+	connections map[int32]*simulatedConnection
+}
+
+type fataler interface{ Fatalf(string, ...any) }
+
+type simulatedConnection struct {
+	addr     netip.Addr
+	admitted bool
+	active   bool
+}
+
+func newSimulation(t fataler, idleTimeout float64) *simulation {
+	return &simulation{
+		fataler:     t,
+		limiter:     NewGuarded(idleTimeout, testRules()),
+		rules:       testRules(),
+		now:         1000,
+		connections: map[int32]*simulatedConnection{},
+	}
+}
+
+func defaultSimulation(t *testing.T) *simulation {
+	t.Helper()
+	return newSimulation(t, 30)
+}
+
+// arrive opens a connection from an address at the lowest free slot.
+func (s *simulation) arrive(addr netip.Addr) (slot int32, admitted bool) {
+	for s.connections[slot] != nil {
+		slot++
+	}
+	reason, retryAfter := s.limiter.Arrive(slot, addr, s.now)
+	c := &simulatedConnection{addr: addr, admitted: reason == LetIn}
+	s.connections[slot] = c
+	if reason == NoPlace {
+		retryAfter = s.evictFor(slot)
+	}
+	isHeld := !c.admitted && reason != NoLobby
+	if isHeld && (retryAfter < s.rules.ComeBack || retryAfter > s.rules.ComeBackMost) {
+		s.Fatalf("retry after %v", retryAfter)
+	}
+	s.check()
+	return slot, c.admitted
+}
+
+// evictFor admits a connection in the place of another, or rejects it.
+func (s *simulation) evictFor(slot int32) (retryAfter float64) {
+	c := s.connections[slot]
+	holding := s.count(c.addr)
+	for victim := range s.limiter.Yields(slot, s.now) {
+		s.checkFair(c, holding, victim)
+		s.close(victim)
+		s.limiter.Admit(slot, s.now)
+		c.admitted = true
+		return 0
+	}
+	retryAfter = s.limiter.TurnAway(slot, NoPlace, s.now)
+	if s.isTrusted(c.addr) && s.admittedTrusted() < s.rules.Reserve {
+		s.Fatalf("%v is trusted and has no slot, with %d of %d reserved", c.addr, s.admittedTrusted(), s.rules.Reserve)
+	}
+	return retryAfter
+}
+
+// checkFair checks that a victim may go for another, whose address holds so many.
+func (s *simulation) checkFair(c *simulatedConnection, holding int, victim int32) {
+	v := s.connections[victim]
+	record := s.limiter.connections[victim]
+	isSilentNew := record.state == Stranger && s.now-record.since > firstMessageDelay
+	trusted := s.isTrusted(v.addr)
+	sameKind := trusted == s.isTrusted(c.addr) && v.addr != c.addr
+	switch {
+	case v.active || !v.admitted:
+		s.Fatalf("%+v goes", v)
+	case trusted && !s.isTrusted(c.addr):
+		s.Fatalf("%v, which is trusted, goes for an untrusted one", v.addr)
+	case sameKind && s.count(v.addr) <= holding && (!isSilentNew || trusted):
+		s.Fatalf("%v with %d goes for %v with %d", v.addr, s.count(v.addr), c.addr, holding)
+	}
+}
+
+func (s *simulation) entry(addr netip.Addr) *addressEntry {
+	id := s.limiter.addresses.find(newKey(addr, ipv4Bits, ipv6Bits))
+	if id < 0 {
+		return nil
+	}
+	return &s.limiter.addresses.entries[id]
+}
+
+func (s *simulation) isTrusted(addr netip.Addr) bool {
+	entry := s.entry(addr)
+	return entry != nil && entry.trusted
+}
+
+func (s *simulation) prefixKey(addr netip.Addr) addressKey {
+	return newKey(addr, s.rules.V4, s.rules.V6)
+}
+
+func (s *simulation) count(addr netip.Addr) (n int) {
+	for _, c := range s.connections {
+		if c.admitted && c.addr == addr {
+			n++
+		}
+	}
+	return n
+}
+
+func (s *simulation) admittedTrusted() (n int) {
+	for _, c := range s.connections {
+		if c.admitted && s.isTrusted(c.addr) {
+			n++
+		}
+	}
+	return n
+}
+
+func (s *simulation) close(slot int32) {
+	s.limiter.Leave(slot)
+	delete(s.connections, slot)
+}
+
+// maintain does what the limiter decides.
+func (s *simulation) maintain() {
+	for _, decision := range slices.Clone(s.limiter.Due(s.now)) {
+		if decision.Do == Close {
+			s.close(decision.Slot)
+		}
+	}
+}
+
+// openRequest has a connection open a request, where it may.
+func (s *simulation) openRequest(slot int32) {
+	c := s.connections[slot]
+	if !s.limiter.MayOwe(slot) {
+		s.limiter.Tell(slot, Spoke, s.now)
+		return
+	}
+	s.limiter.Tell(slot, Owed, s.now)
+	c.active = true
+	limit := s.rules.Most - s.rules.Reserve
+	if active := s.limiter.activeUntrusted; !s.isTrusted(c.addr) && active > limit {
+		s.Fatalf("untrusted clients have %d requests open, %d at most", active, limit)
+	}
+	s.check()
+}
+
+// completeRequest has the open request of a connection done.
+func (s *simulation) completeRequest(slot int32) {
+	s.connections[slot].active = false
+	s.limiter.Finished(slot, s.now)
+	s.limiter.Tell(slot, Settled, s.now)
+	s.check()
+}
+
+// check recounts all from the facts.
+func (s *simulation) check() {
+	admitted, activeUntrusted := 0, 0
+	perAddress := map[netip.Addr]int{}
+	untrusted := map[addressKey]int{}
+	for _, c := range s.connections {
+		if !c.admitted {
+			continue
+		}
+		admitted++
+		perAddress[c.addr.Unmap()]++
+		if s.isTrusted(c.addr) {
+			continue
+		}
+		untrusted[s.prefixKey(c.addr)]++
+		if c.active {
+			activeUntrusted++
+		}
+	}
+	policy := s.limiter.clientPolicy
+	if admitted != policy.admitted || admitted > s.rules.Most || activeUntrusted != policy.activeUntrusted {
+		s.Fatalf("%d admitted of %d, %d untrusted active; the limiter has %d and %d",
+			admitted, s.rules.Most, activeUntrusted, policy.admitted, policy.activeUntrusted)
+	}
+	for addr, n := range perAddress {
+		entry := s.entry(addr)
+		ofPrefix := int(policy.prefixes.entries[entry.prefix].untrusted)
+		tooMany := entry.evictable.count+entry.active > entry.admitted
+		if int(entry.admitted) != n || tooMany || ofPrefix != untrusted[s.prefixKey(addr)] {
+			s.Fatalf("%v: %+v, want %d connections", addr, entry, n)
+		}
+	}
+}
