--- /dev/null
+++ b/internal/server/evict.go
@@ -0,0 +1,141 @@
+package server
+
+import (
+	"iter"
+	"slices"
+
+	"github.com/panjf2000/gnet/v2"
+	"golang.org/x/sys/unix"
+)
+
+const (
+	// reservedDescriptors are the descriptors that neither clients nor upstream connections may
+	// take: for the links, the listener, the runtime, and the second descriptor that each of some
+	// dials has while the loop takes them over.
+	reservedDescriptors = 32
+	// idleConnBytes is the measured memory of an idle connection, see docs/idle.md.
+	idleConnBytes = 1300
+	// idleMemoryShare is the divisor of the memory that idle connections may take.
+	idleMemoryShare = 4
+	// maxEvictionCandidates bounds how many connections are examined for one eviction.
+	maxEvictionCandidates = 16
+)
+
+// What bounds the number of clients' connections, as the log says it.
+const (
+	boundByDescriptors = "descriptors"
+	boundByMemory      = "memory"
+)
+
+// maxClients is the limit on clients' connections and what sets it: the descriptors that are left,
+// which are over half, as clients may open that many; or memory.
+func (s *Server) maxClients() (limit int, bound string) {
+	limit = s.startup.MaxSockets - reservedDescriptors - s.maxUpstreamConns()
+	inMemory := int(s.startup.MemoryBytes / idleMemoryShare / idleConnBytes)
+	if s.startup.MemoryBytes > 0 && inMemory < limit {
+		return inMemory, boundByMemory
+	}
+	return limit, boundByDescriptors
+}
+
+// evictionCandidate is the connection to evict for a newcomer, nil for none: the limiter's first
+// choice that has nothing to write or to read.
+func (s *Server) evictionCandidate(newcomer *clientConn) *clientConn {
+	return s.firstEvictable(s.clients.limiter.Spare(s.now()), newcomer)
+}
+
+// firstEvictable is the first connection of the slots that has nothing to write or to read, nil for
+// none.
+func (s *Server) firstEvictable(slots iter.Seq[int32], newcomer *clientConn) *clientConn {
+	tried := 0
+	for slot := range slots {
+		client := s.clients.conns.AtSlot(slot)
+		if tried == maxEvictionCandidates {
+			break
+		}
+		if client == newcomer {
+			continue
+		}
+		tried++
+		if !client.unsent && !hasQueuedBytes(client.conn) {
+			return client
+		}
+	}
+	return nil
+}
+
+// hasQueuedBytes reports whether a connection has unread input, or output that its peer has not
+// acknowledged. It protects a request that arrives in the turn that would close its connection, and
+// a client that reads slowly, as a close with unread input drops the unacknowledged output. It
+// costs two system calls per close.
+func hasQueuedBytes(conn gnet.Conn) bool {
+	return conn.OutboundBuffered() > 0 || queueHoldsBytes(conn, unix.TIOCINQ) || queueHoldsBytes(conn, unix.TIOCOUTQ)
+}
+
+// queueHoldsBytes reports whether one of the system's queues of a connection holds anything.
+func queueHoldsBytes(conn gnet.Conn, queue uint) bool {
+	n, err := unix.IoctlGetInt(conn.Fd(), queue)
+	return err == nil && n > 0
+}
+
+// evictUnderPressure closes some connections, as there are fewer descriptors than the server was
+// configured for.
+func (s *Server) evictUnderPressure() {
+	if !s.clients.limiter.Guarded() {
+		if victim := s.evictionCandidate(nil); victim != nil {
+			s.statistics.evicted++
+			victim.closeNow()
+		}
+		return
+	}
+	now := s.now()
+	s.clients.limiter.Squeeze(now)
+	for s.clients.limiter.Over() > 0 {
+		victim := s.firstEvictable(s.clients.limiter.Excess(now), nil)
+		if victim == nil {
+			return // all have requests open
+		}
+		s.statistics.evicted++
+		victim.closeNow()
+	}
+}
+
+const (
+	// sweepInterval is how often, in seconds, sweep runs.
+	sweepInterval = 0.5
+	// unreadMemoryShare is the divisor of the memory that clients may leave unread.
+	unreadMemoryShare = 8
+)
+
+// sweep drops expired cached results, closes idle upstream connections, and bounds the output that
+// clients leave unread.
+func (s *Server) sweep() {
+	now := s.now()
+	s.closeLargestBacklog()
+	s.closeIdleUpstream(now)
+	s.results.Expire(now - s.maxReadDelay())
+}
+
+// closeLargestBacklog closes the connection with the largest backlog if all backlogs together are
+// too large.
+func (s *Server) closeLargestBacklog() {
+	unread := 0
+	largest := 0
+	var worst *bufferedConn
+	s.output.lagging = slices.DeleteFunc(s.output.lagging, func(c *bufferedConn) bool {
+		backlog := c.conn.OutboundBuffered()
+		unread += backlog
+		if backlog > largest {
+			largest = backlog
+			worst = c
+		}
+		c.lagging = backlog > 0
+		return backlog == 0
+	})
+	if worst == nil || unread <= int(s.startup.MemoryBytes/unreadMemoryShare) {
+		return
+	}
+	if client, ok := worst.conn.Context().(*clientConn); ok {
+		client.closeNow()
+	}
+}
--- /dev/null
+++ b/internal/server/graceful.go
@@ -0,0 +1,180 @@
+package server
+
+import (
+	"slices"
+
+	"github.com/panjf2000/gnet/v2"
+	"golang.org/x/sys/unix"
+
+	"swiftcourse/internal/policy/connlimit"
+	"swiftcourse/internal/slottable"
+	"swiftcourse/internal/wire/rpc"
+)
+
+const (
+	// lingerTimeout is how long, in seconds, the peer of a half-closed connection has to close its
+	// side: twice the 50 ms in which a message may cross a close.
+	lingerTimeout = 0.1
+	// mutedFlushTimeout is how long, in seconds, a muted connection may leave its answers unread.
+	mutedFlushTimeout = 1.0
+	// maxLingering bounds the descriptors of lingering connections: half of the reserved ones.
+	// Beyond it the oldest is closed at once, which at worst resets it; a draining server needs no
+	// descriptors for others.
+	maxLingering = reservedDescriptors / 2
+)
+
+// lingeringConn is a connection that has left the table of clients, and whose peer has yet to close
+// its side.
+type lingeringConn struct {
+	server   *Server
+	conn     gnet.Conn
+	state    connState
+	deadline float64 // when it is closed whatever its peer does
+}
+
+func (c *lingeringConn) handleOpen(gnet.Conn, string) error { return nil }
+
+func (c *lingeringConn) owns(conn gnet.Conn) bool { return c.conn == conn }
+
+// handleData discards what crossed the close.
+func (c *lingeringConn) handleData(data []byte) (int, error) { //nolint:unparam // as connHandler says
+	return len(data), nil
+}
+
+func (c *lingeringConn) handleClose(error) {
+	if !c.state.advance(connEnded) {
+		return
+	}
+	c.conn = nil
+	clients := &c.server.clients
+	clients.lingering = slices.DeleteFunc(clients.lingering, func(other *lingeringConn) bool {
+		return other == c
+	})
+}
+
+func (c *lingeringConn) closeNow() {
+	conn := c.conn
+	c.handleClose(nil)
+	_ = conn.Close()
+}
+
+// closeGracefully half-closes a connection that has no open request and no output. Its slot is free
+// at once.
+func (c *clientConn) closeGracefully() {
+	s := c.server
+	conn := c.conn
+	state := c.state
+	lingers := state.advance(connGracefulClose)
+	c.leaveTable()
+	if conn == nil || !lingers {
+		return
+	}
+	if err := unix.Shutdown(conn.Fd(), unix.SHUT_WR); err != nil { // its peer was quicker
+		_ = conn.Close()
+		return
+	}
+	lingering := &lingeringConn{server: s, conn: conn, state: state, deadline: s.now() + lingerTimeout}
+	conn.SetContext(lingering)
+	s.addLingering(lingering)
+}
+
+func (s *Server) addLingering(c *lingeringConn) {
+	s.clients.lingering = append(s.clients.lingering, c)
+	if len(s.clients.lingering) == 1 {
+		s.loop.timers.Schedule(c.deadline, s.expireLingering)
+		s.scheduleTurn()
+	}
+	if len(s.clients.lingering) > maxLingering && !s.drain.closing {
+		s.clients.lingering[0].closeNow()
+	}
+}
+
+// expireLingering closes the connections whose deadline has passed; they are in order of their
+// deadlines.
+func (s *Server) expireLingering() {
+	now := s.now()
+	for len(s.clients.lingering) > 0 && s.clients.lingering[0].deadline <= now {
+		s.clients.lingering[0].closeNow()
+	}
+	if len(s.clients.lingering) > 0 {
+		s.loop.timers.Schedule(s.clients.lingering[0].deadline, s.expireLingering)
+	}
+}
+
+// mutedConn is a muted connection of a client.
+type mutedConn struct {
+	id       slottable.Handle
+	deadline float64 // until when its answers may lie unread; 0 while a request of it is open
+}
+
+// mute stops reading from a connection after a protocol error, as the next message can't be found.
+// Requests that were read before are answered.
+func (c *clientConn) mute() {
+	if !c.state.advance(connProtocolError) {
+		return
+	}
+	c.server.clients.muted = append(c.server.clients.muted, mutedConn{id: c.id})
+	c.server.scheduleTurn()
+}
+
+// maintainMuted closes muted connections that have received all their answers. It is called after
+// the turn's writes.
+func (s *Server) maintainMuted(now float64) {
+	if len(s.clients.muted) == 0 {
+		return
+	}
+	s.clients.muted = slices.DeleteFunc(s.clients.muted, func(muted mutedConn) bool {
+		return s.clients.conns.Get(muted.id) == nil
+	})
+	for i := range s.clients.muted { // those that end here leave the list in the next turn
+		muted := &s.clients.muted[i]
+		client := s.clients.conns.Get(muted.id)
+		switch {
+		case len(client.requests) > 0:
+		case !client.unsent && client.conn.OutboundBuffered() == 0:
+			client.closeGracefully()
+		case muted.deadline == 0:
+			muted.deadline = now + mutedFlushTimeout
+			s.loop.timers.Schedule(muted.deadline, s.scheduleTurn)
+		case now >= muted.deadline:
+			client.closeNow()
+		}
+	}
+}
+
+// maintainConnections carries out the connection limiter's verdicts: a few in each turn.
+func (s *Server) maintainConnections(now float64) {
+	for _, verdict := range s.clients.limiter.Due(now) {
+		client := s.clients.conns.AtSlot(verdict.Slot)
+		switch {
+		case verdict.Do == connlimit.Ask:
+			s.askToClose(client)
+		case client.unsent || hasQueuedBytes(client.conn):
+			client.observe(connlimit.Woke, now)
+		default:
+			if verdict.Was != connlimit.Parting {
+				s.statistics.silent++
+			}
+			client.closeGracefully()
+		}
+	}
+}
+
+// askToClose asks a client to close a connection: the client sends nothing new from then on, so
+// nothing can be lost.
+func (s *Server) askToClose(client *clientConn) {
+	s.output.scratch = rpc.PutPart(s.output.scratch[:0])
+	client.writeScratch()
+	s.statistics.askedToClose++
+}
+
+// closeAllGracefully half-closes, just before the kill, every connection without an open request or
+// output.
+func (s *Server) closeAllGracefully() {
+	s.flush()
+	s.clients.conns.ForEach(func(_ slottable.Handle, client *clientConn) {
+		if len(client.requests) == 0 && client.conn != nil && client.conn.OutboundBuffered() == 0 {
+			client.closeGracefully()
+		}
+	})
+}
--- /dev/null
+++ b/internal/server/loop.go
@@ -0,0 +1,214 @@
+package server
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"math"
+	"runtime/debug"
+	"time"
+
+	"github.com/panjf2000/gnet/v2"
+
+	"swiftcourse/internal/logging"
+	"swiftcourse/internal/timerwheel"
+)
+
+// eventLoop is gnet's loop, its timers and what wakes it.
+type eventLoop struct {
+	handle        gnet.EventLoop // nil until the first connection is open
+	ready         chan struct{}  // closed once handle is set
+	registerFirst registerFunc   // hands the first connection to the loop
+	ticked        bool           // by gnet's ticker, whose goroutine alone uses it
+
+	timers        timerwheel.Wheel
+	turn          gnet.Runnable // runTurn
+	turnScheduled bool
+	wakeup        *time.Timer
+	wakeupAt      float64 // when wakeup goes off, +Inf for never
+}
+
+func newEventLoop(s *Server) eventLoop {
+	return eventLoop{
+		ready:    make(chan struct{}),
+		turn:     gnet.RunnableFunc(func(context.Context) error { return s.runTurn() }),
+		wakeupAt: math.Inf(1),
+	}
+}
+
+// loopFunc is a function that the loop runs.
+type loopFunc func()
+
+// Run implements gnet.Runnable.
+func (f loopFunc) Run(context.Context) error {
+	f()
+	return nil
+}
+
+// execute queues f on the loop, which must be ready. It fails only if the engine is stopped, and
+// then there is nothing left to do.
+func (l *eventLoop) execute(f loopFunc) error {
+	return l.handle.Execute(context.Background(), f)
+}
+
+// isReady reports whether the loop has started. Any goroutine may call it.
+func (l *eventLoop) isReady() bool {
+	select {
+	case <-l.ready:
+		return true
+	default:
+		return false
+	}
+}
+
+// requestTurn schedules a turn. Any goroutine may call it. A loop that has not started does
+// nothing: its first turn sees what is new.
+func (l *eventLoop) requestTurn() {
+	if l.isReady() {
+		_ = l.handle.Execute(context.Background(), l.turn)
+	}
+}
+
+// executeWhenReady runs f on the loop once that has started. It returns at once.
+func (l *eventLoop) executeWhenReady(f loopFunc) {
+	go func() {
+		<-l.ready
+		_ = l.execute(f)
+	}()
+}
+
+// every calls f on the loop at each interval, in seconds; the first call is one interval from now.
+func (s *Server) every(interval float64, f func()) {
+	var tick func()
+	tick = func() {
+		f()
+		s.loop.timers.Schedule(s.now()+interval, tick)
+	}
+	s.loop.timers.Schedule(s.now()+interval, tick)
+}
+
+// OnTick opens the first dialed connection. gnet calls it on a goroutine of its own once the loop
+// is there; before that, nothing can be registered on it.
+func (s *Server) OnTick() (time.Duration, gnet.Action) {
+	if !s.loop.ticked {
+		s.loop.ticked = true
+		if s.fleet.forwarding != nil {
+			s.dialWith(s.loop.registerFirst, dialTarget{addressOf: registryAddress, handler: s.registry})
+		} else {
+			s.dialWith(s.loop.registerFirst, dialTarget{addressOf: executorAddress, handler: s.executor})
+		}
+	}
+	return time.Hour, gnet.None
+}
+
+// OnOpen takes over a new connection: one that the server dialed, or a client's.
+func (s *Server) OnOpen(conn gnet.Conn) (_ []byte, action gnet.Action) {
+	defer s.recoverPanic(conn, &action)
+	if s.loop.handle == nil {
+		s.begin(conn.EventLoop())
+	}
+	var handler connHandler
+	address := ""
+	if dialed, ok := conn.Context().(*dialed); ok {
+		conn.SetContext(dialed.handler)
+		if dialed.addressOf(s.endpoints.Load()) != dialed.address { // moved meanwhile
+			s.dial(dialed.dialTarget)
+			return nil, gnet.Close
+		}
+		handler = dialed.handler
+		address = dialed.address
+	} else {
+		handler = s.addClient(conn)
+	}
+	if err := handler.handleOpen(conn, address); err != nil {
+		if s.mayLogPeerFault() {
+			slog.Info("connection_refused", "peer", conn.RemoteAddr(), "err", err)
+		}
+		return nil, gnet.Close
+	}
+	return nil, gnet.None
+}
+
+// begin takes over the loop, with its first connection.
+func (s *Server) begin(loop gnet.EventLoop) {
+	s.loop.handle = loop
+	s.loop.wakeup = time.AfterFunc(time.Hour, func() {
+		_ = loop.Execute(context.Background(), s.loop.turn)
+	})
+	s.every(statisticsInterval, s.logStatistics)
+	if s.fleet.forwarding == nil {
+		s.dial(dialTarget{addressOf: registryAddress, handler: s.registry})
+	}
+	close(s.loop.ready)
+}
+
+// OnTraffic passes the input of a connection to its handler.
+func (s *Server) OnTraffic(conn gnet.Conn) (action gnet.Action) {
+	defer s.recoverPanic(conn, &action)
+	handler, ok := conn.Context().(connHandler)
+	if !ok || !handler.owns(conn) {
+		return gnet.Close
+	}
+	data, err := conn.Peek(-1)
+	if err != nil || len(data) == 0 {
+		return gnet.None
+	}
+	n, err := handler.handleData(data)
+	if n > 0 {
+		_, _ = conn.Discard(n) // n is no more than what is there
+	}
+	if err == nil {
+		return gnet.None
+	}
+	s.statistics.malformed++
+	if s.mayLogPeerFault() {
+		slog.Info("protocol_error", "peer", conn.RemoteAddr(), "err", err)
+	}
+	if client, ok := handler.(*clientConn); ok {
+		client.mute()
+		_, _ = conn.Discard(len(data) - n)
+		return gnet.None
+	}
+	return gnet.Close
+}
+
+// OnClose reports a closed connection to its handler.
+func (s *Server) OnClose(conn gnet.Conn, err error) (action gnet.Action) {
+	defer s.recoverPanic(conn, &action)
+	if handler, ok := conn.Context().(connHandler); ok && handler.owns(conn) {
+		handler.handleClose(err)
+	}
+	return gnet.None
+}
+
+// recoverPanic confines a panic to the connection whose event raised it, which is closed.
+func (s *Server) recoverPanic(conn gnet.Conn, action *gnet.Action) {
+	if cause := recover(); cause != nil {
+		slog.Info("panic", "peer", conn.RemoteAddr(), "cause", fmt.Sprint(cause), "stack", debug.Stack())
+		*action = gnet.Close
+	}
+}
+
+// gnetLogger writes gnet's warnings and errors to the server's log.
+type gnetLogger struct{}
+
+// Debugf drops debug messages.
+func (gnetLogger) Debugf(string, ...any) {}
+
+// Infof drops informational messages.
+func (gnetLogger) Infof(string, ...any) {}
+
+// Warnf logs a warning.
+func (gnetLogger) Warnf(format string, args ...any) {
+	slog.Info("network_library", "level", "warn", "text", fmt.Sprintf(format, args...))
+}
+
+// Errorf logs an error.
+func (gnetLogger) Errorf(format string, args ...any) {
+	slog.Info("network_library", "level", "error", "text", fmt.Sprintf(format, args...))
+}
+
+// Fatalf logs an error after which gnet can't go on, and ends the process.
+func (gnetLogger) Fatalf(format string, args ...any) {
+	logging.Fatal("network_library", "level", "fatal", "text", fmt.Sprintf(format, args...))
+}
