--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
-// Command simhost hosts one instance of the decision module for each server of the simulator's wire,
-// on standard input and output.
+// Command simhost runs the admission controllers of simulated servers: it reads the simulator's
+// batches of events on standard input, has each server's controller decide on its events, and writes
+// the actions to standard output.
 package main
 
 import (
@@ -14,71 +15,103 @@
 )
 
 func main() {
-	if err := host(os.Stdin, os.Stdout); err != nil {
+	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
 		os.Exit(1)
 	}
 }
 
-// instance is one server's module and what a batch holds for it.
-type instance struct {
-	server *admission.Controller
-	events []admission.Event
+// unknownServerError reports an event of a server that was never started.
+type unknownServerError struct{ server string }
+
+// Error names the server.
+func (e *unknownServerError) Error() string {
+	return fmt.Sprintf("event for %s, which was never started", e.server)
+}
+
+// host holds the simulated servers.
+type host struct {
+	servers map[string]*simulatedServer
+	pending []string // servers with events in this batch, in the order of their first
+}
+
+// simulatedServer is one server's controller and its events in this batch.
+type simulatedServer struct {
+	controller *admission.Controller
+	events     []admission.Event
 }
 
-func host(in io.Reader, out io.Writer) error {
-	r, w := shale.NewReader(in), shale.NewWriter(out)
-	servers := map[string]*instance{}
-	var order []string // instances with events in this batch, in order of their first
+// run answers batches until the input ends.
+func run(in io.Reader, out io.Writer) error {
+	reader := shale.NewReader(in)
+	writer := shale.NewWriter(out)
+	h := &host{servers: map[string]*simulatedServer{}}
 	for {
-		batch, err := r.Next()
+		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return fmt.Errorf("reading a batch: %w", err)
 		}
-		order = order[:0]
 		for i := range batch.Events {
-			e := &batch.Events[i]
-			switch e.Change {
-			case shale.Wiped:
-				delete(servers, e.Who)
-				continue
-			case shale.Born:
-				s := &instance{server: admission.New(e.Seed, config.AdmissionSettings(e.Told))}
-				servers[e.Who] = s
-				s.events = append(s.events, admission.Event{Kind: admission.Started})
-				order = append(order, e.Who)
-				continue
+			if err := h.add(&batch.Events[i]); err != nil {
+				return err
 			}
-			s := servers[e.Who]
-			if s == nil {
-				return fmt.Errorf("event for %s, which was never started", e.Who)
-			}
-			if len(s.events) == 0 {
-				order = append(order, e.Who)
-			}
-			s.events = append(s.events, e.Event)
 		}
-		for _, who := range order {
-			if s := servers[who]; s != nil && len(s.events) > 0 {
-				decide(s, who, batch.Now, w)
-				s.events = s.events[:0]
-			}
+		h.decide(batch.Now, writer)
+		if err := writer.Flush(); err != nil {
+			return fmt.Errorf("writing actions: %w", err)
 		}
-		if err := w.Flush(); err != nil {
-			return err
+	}
+}
+
+// add has an event wait for the decisions on its batch, or starts or removes its server.
+func (h *host) add(event *shale.Event) error {
+	name := event.Who
+	switch event.Change {
+	case shale.Wiped:
+		delete(h.servers, name)
+		return nil
+	case shale.Born:
+		h.servers[name] = &simulatedServer{
+			controller: admission.New(event.Seed, config.AdmissionSettings(event.Told)),
+			events:     []admission.Event{{Kind: admission.Started}},
+		}
+		h.pending = append(h.pending, name)
+		return nil
+	}
+	server := h.servers[name]
+	if server == nil {
+		return &unknownServerError{server: name}
+	}
+	if len(server.events) == 0 {
+		h.pending = append(h.pending, name)
+	}
+	server.events = append(server.events, event.Event)
+	return nil
+}
+
+// decide has each server with events decide on them.
+func (h *host) decide(now float64, writer *shale.Writer) {
+	for _, name := range h.pending {
+		server := h.servers[name]
+		if server == nil || len(server.events) == 0 { // removed since, or started twice
+			continue
 		}
+		server.decide(name, now, writer)
+		server.events = server.events[:0]
 	}
+	h.pending = h.pending[:0]
 }
 
-// decide turns a panic of the module into the wire's report of it.
-func decide(s *instance, who string, now float64, w *shale.Writer) {
+// decide writes the controller's actions. A panic of the controller is reported to the simulator in
+// their place.
+func (s *simulatedServer) decide(name string, now float64, writer *shale.Writer) {
 	defer func() {
-		if p := recover(); p != nil {
-			w.Panic(who, fmt.Sprint(p))
+		if cause := recover(); cause != nil {
+			writer.Panic(name, fmt.Sprint(cause))
 		}
 	}()
-	w.Add(who, s.server.Decide(now, s.events))
+	writer.Add(name, s.controller.Decide(now, s.events))
 }
--- a/cmd/swiftcourse-fleet/command.go
+++ b/cmd/swiftcourse-fleet/command.go
@@ -17,6 +17,7 @@
 
 	"github.com/alecthomas/kong"
 
+	"swiftcourse/internal/cli"
 	"swiftcourse/internal/config"
 	"swiftcourse/internal/fleet"
 	"swiftcourse/internal/policy/release"
@@ -65,11 +66,8 @@
 	} `cmd:"" help:"Let a server in again."`
 }
 
-// errAlarm ends the program with status 2.
-var errAlarm = errors.New("alarm")
-
-// Command carries the words after "fleet" out.
-func (p *parts) Command(words []string) error {
+// RunCommand carries the words after "fleet" out.
+func (p *parts) RunCommand(words []string) error {
 	var o operator
 	parser, err := kong.New(&o, kong.Name("swiftcourse fleet"), kong.Description("Ask and steer a fleet, by any of its servers."))
 	if err != nil {
@@ -105,9 +103,6 @@
 	case "admit":
 		err = o.command(release.Command{Kind: release.KindReadmit, Author: author, Name: o.Admit.Name})
 	}
-	if errors.Is(err, errAlarm) {
-		os.Exit(2)
-	}
 	return err
 }
 
@@ -177,7 +172,7 @@
 		for _, a := range s.Audit.Alarms {
 			fmt.Fprintln(os.Stderr, "ALARM:", a)
 		}
-		return errAlarm
+		return cli.ErrAlarm
 	}
 	return nil
 }
@@ -255,7 +250,7 @@
 		}
 	}
 	if err == nil && alarm {
-		err = errAlarm
+		err = cli.ErrAlarm
 	}
 	return err
 }
--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -23,8 +23,8 @@
 
 // This file is the two-level fleet's part of the wiring: a forwarder's workers, and a planner.
 
-// Forward has a server pass its tasks on to the workers that the operator's file names.
-func (p *parts) Forward(start *config.Startup, own *config.OperatorSettings, loop *server.Server) error {
+// EnableForwarding has a server pass its tasks on to the workers that the operator's file names.
+func (p *parts) EnableForwarding(start *config.Startup, own *config.OperatorSettings, loop *server.Server) error {
 	if len(own.Forwarding.Workers) == 0 {
 		return errors.New("forward-to: names no workers")
 	}
@@ -89,8 +89,8 @@
 	return list
 }
 
-// Plan is a planner: a voter of the fleet that serves nothing.
-func (p *parts) Plan(name string, own *config.OperatorSettings, signals lifecycle.Signals) error {
+// RunPlanner is a planner: a voter of the fleet that serves nothing.
+func (p *parts) RunPlanner(name string, own *config.OperatorSettings, signals lifecycle.Signals) error {
 	if !own.Fleet.Enabled {
 		return errors.New("fleet: a planner needs it on")
 	}
--- a/cmd/swiftcourse-fleet/main.go
+++ b/cmd/swiftcourse-fleet/main.go
@@ -230,8 +230,8 @@
 	return nil
 }
 
-// Reread takes this server's own file again, under what is released.
-func (p *parts) Reread(own *config.OperatorSettings) {
+// Reload takes this server's own file again, under what is released.
+func (p *parts) Reload(own *config.OperatorSettings) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conf, err := own.WithRelease("released", p.released)
