--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -14,7 +14,7 @@
 
 // commandLine declares the commands.
 type commandLine struct {
-	Serve   serveCommand   `cmd:"" default:"withargs" help:"Serve, as the environment and RELAY_CONFIG say (the default)."`
+	Serve   serveCommand   `cmd:"" default:"withargs" help:"Serve, as RELAY_CONFIG says: the default."`
 	Forward forwardCommand `cmd:"" help:"Forward requests to workers, by load plans and own routing: docs/planners.md."`
 	Plan    planCommand    `cmd:"" help:"Be one of the load planners that forwarders follow."`
 	Check   checkCommand   `cmd:"" help:"Print all faults of an operator's file."`
