--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"swiftcourse/admission"
+	"swiftcourse/internal/fake/balancer"
 	labfleet "swiftcourse/internal/lab/fleet"
-	"swiftcourse/internal/standin/balancer"
 	"swiftcourse/internal/standin/catalogue"
 	"swiftcourse/internal/standin/processor"
 	wire "swiftcourse/internal/wire/catalogue"
--- a/internal/lab/faults/demand.go
+++ b/internal/lab/faults/demand.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"swiftcourse/internal/standin/balancer"
+	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/wire/rpc"
 )
 
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
+	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/policy/release"
-	"swiftcourse/internal/standin/balancer"
 	"swiftcourse/internal/wire/rpc"
 )
 
--- a/internal/lab/faults/try.go
+++ b/internal/lab/faults/try.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"swiftcourse/internal/standin/balancer"
+	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/wire/rpc"
 )
 
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -21,7 +21,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"swiftcourse/internal/standin/balancer"
+	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/standin/catalogue"
 	"swiftcourse/internal/standin/processor"
 	"swiftcourse/internal/standin/roster"
--- a/internal/lab/idle/holder.go
+++ b/internal/lab/idle/holder.go
@@ -10,7 +10,7 @@
 	"os/exec"
 	"strings"
 
-	"swiftcourse/internal/standin/balancer"
+	"swiftcourse/internal/fake/balancer"
 )
 
 // A Holder is a process that holds idle connections to one server, as one process may not hold the descriptors for all,
--- a/internal/lab/levels/levels.go
+++ b/internal/lab/levels/levels.go
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
+	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/lab/faults"
-	"swiftcourse/internal/standin/balancer"
 	"swiftcourse/internal/standin/processor"
 	"swiftcourse/internal/wire/shale"
 )
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -13,7 +13,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"swiftcourse/internal/standin/balancer"
+	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/wire/rpc"
 )
 
--- a/internal/lab/ready/ready.go
+++ b/internal/lab/ready/ready.go
@@ -13,9 +13,9 @@
 	"syscall"
 	"time"
 
+	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/lab/faults"
 	labfleet "swiftcourse/internal/lab/fleet"
-	"swiftcourse/internal/standin/balancer"
 	"swiftcourse/internal/standin/processor"
 	"swiftcourse/internal/standin/roster"
 )
--- a/internal/server/connlimit_test.go
+++ b/internal/server/connlimit_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"swiftcourse/internal/config"
+	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/policy/connlimit"
-	"swiftcourse/internal/standin/balancer"
 )
 
 func TestConnLimit_TrustedAdmittedDuringFlood(t *testing.T) {
--- a/internal/server/fixture_test.go
+++ b/internal/server/fixture_test.go
@@ -14,9 +14,9 @@
 
 	"swiftcourse/admission"
 	"swiftcourse/internal/config"
+	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/logging"
 	"swiftcourse/internal/policy/serving"
-	"swiftcourse/internal/standin/balancer"
 	"swiftcourse/internal/standin/roster"
 )
 
