--- a/internal/standin/processor/processor.go
+++ b/internal/fake/executor/processor.go
@@ -1,6 +1,6 @@
-// Package processor stands in for the processor: it runs tasks on a number of cores that it only pretends to have,
+// Package executor stands in for the processor: it runs tasks on a number of cores that it only pretends to have,
 // first come first run, and speaks the protocol as its page describes it, links that break included.
-package processor
+package executor
 
 import (
 	"bufio"
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -13,9 +13,9 @@
 
 	"swiftcourse/admission"
 	"swiftcourse/internal/fake/balancer"
+	"swiftcourse/internal/fake/executor"
 	labfleet "swiftcourse/internal/lab/fleet"
 	"swiftcourse/internal/standin/catalogue"
-	"swiftcourse/internal/standin/processor"
 	wire "swiftcourse/internal/wire/catalogue"
 	"swiftcourse/internal/wire/rpc"
 	"swiftcourse/internal/wire/shale"
@@ -117,7 +117,7 @@
 func Run(ctx context.Context, p *Plan) ([]Row, error) {
 	servers, err := labfleet.Start(ctx, 1, labfleet.Shape{Program: p.Program, Core: -1, Cores: 1, MemoryMB: 64, Sockets: 512,
 		Stop: 5 * time.Second, Told: told(), Log: p.Log,
-		Work: processor.Plan{Cores: cores, Work: work, Calls: func(name, _ string) bool { return name == "price" },
+		Work: executor.Plan{Cores: cores, Work: work, Calls: func(name, _ string) bool { return name == "price" },
 			Gauges: func(busy, waiting int) []float64 { return []float64{float64(busy) / cores, float64(busy + waiting)} }},
 		Fate: func(int, wire.Call) catalogue.Fate {
 			return catalogue.Fate{After: replyIn, Outcome: admission.Finished, Body: []byte("a reply")}
--- a/internal/lab/entry/entry.go
+++ b/internal/lab/entry/entry.go
@@ -14,8 +14,8 @@
 	"sync/atomic"
 	"time"
 
+	"swiftcourse/internal/fake/executor"
 	labfleet "swiftcourse/internal/lab/fleet"
-	"swiftcourse/internal/standin/processor"
 	"swiftcourse/internal/wire/rpc"
 	"swiftcourse/internal/wire/shale"
 )
@@ -115,7 +115,7 @@
 func (p *Plan) row(ctx context.Context, door string) (row Row, err error) {
 	servers, err := labfleet.Start(ctx, 1, labfleet.Shape{Program: p.Program, Core: p.Core, Cores: 1, MemoryMB: 64, Sockets: p.Sockets, Real: p.Real,
 		Stop: 3 * time.Second, Told: settings(), Conf: "door " + door + "\n", Log: p.Log,
-		Work: processor.Plan{Cores: 4, Work: func(string, string) float64 { return work },
+		Work: executor.Plan{Cores: 4, Work: func(string, string) float64 { return work },
 			Gauges: func(busy, _ int) []float64 { return []float64{float64(busy) / 4, float64(busy)} }}})
 	if err != nil {
 		return row, err
--- a/internal/lab/faults/levels_test.go
+++ b/internal/lab/faults/levels_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
+	"swiftcourse/internal/fake/executor"
 	"swiftcourse/internal/fleet"
 	labfleet "swiftcourse/internal/lab/fleet"
-	"swiftcourse/internal/standin/processor"
 	"swiftcourse/internal/wire/shale"
 )
 
@@ -24,7 +24,7 @@
 	p.Shape.Told.Stages = append(p.Shape.Told.Stages, shale.Stage{Name: pay, Effect: "at_most_once", TimeLimitMs: 2000, DueTimeMs: 1000, Utility: 3, LateUtility: 0.5})
 	p.Shape.Told.Own.Cores, p.Shape.Sockets = 4, 512
 	p.Worker, p.Ledger = p.Shape, NewLedger()
-	p.Worker.Work = processor.Plan{Cores: 4, Work: func(string, string) float64 { return PingFor }, Gauges: p.Shape.Work.Gauges}
+	p.Worker.Work = executor.Plan{Cores: 4, Work: func(string, string) float64 { return PingFor }, Gauges: p.Shape.Work.Gauges}
 	p.Planners, p.Forwarders, p.Workers = 3, 2, 4
 	f, err := Start(context.Background(), p)
 	if err != nil {
--- a/internal/lab/faults/shape.go
+++ b/internal/lab/faults/shape.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"swiftcourse/internal/fake/executor"
 	labfleet "swiftcourse/internal/lab/fleet"
-	"swiftcourse/internal/standin/processor"
 	"swiftcourse/internal/wire/shale"
 )
 
@@ -25,6 +25,6 @@
 	own.Cores, own.MemoryKb, own.RunFactor, own.Callers, own.TellsWait = 4, 1e6, 1, 1, true
 	own.Gauges, own.IdleMs = []string{"cpu_busy", "runnable"}, 60_000
 	return labfleet.Shape{Program: program, Core: -1, Cores: 1, MemoryMB: 64, Sockets: 256, Stop: 3 * time.Second, Told: t,
-		Work: processor.Plan{Cores: 4, Work: func(string, string) float64 { return PingFor },
+		Work: executor.Plan{Cores: 4, Work: func(string, string) float64 { return PingFor },
 			Gauges: func(busy, _ int) []float64 { return []float64{float64(busy) / 4, float64(busy)} }}}
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -22,8 +22,8 @@
 	"golang.org/x/sys/unix"
 
 	"swiftcourse/internal/fake/balancer"
+	"swiftcourse/internal/fake/executor"
 	"swiftcourse/internal/standin/catalogue"
-	"swiftcourse/internal/standin/processor"
 	"swiftcourse/internal/standin/roster"
 	wire "swiftcourse/internal/wire/catalogue"
 	"swiftcourse/internal/wire/shale"
@@ -40,8 +40,8 @@
 	Conf     string // text of the operator's file, "" for none
 	Stop     time.Duration
 	Told     shale.Told
-	Work     processor.Plan
-	WorkOf   func(name string) processor.Plan                     // in place of it, by server; nil for not
+	Work     executor.Plan
+	WorkOf   func(name string) executor.Plan                      // in place of it, by server; nil for not
 	Fate     func(n int, c wire.Call) catalogue.Fate              // nil at the last tier
 	FateOf   func(name string, n int, c wire.Call) catalogue.Fate // in place of it, by server
 	Log      io.Writer                                            // what the servers say, nil where nobody reads it
@@ -54,7 +54,7 @@
 type Server struct {
 	Name      string
 	Addr      string
-	Processor *processor.Processor
+	Processor *executor.Processor
 	Catalogue *catalogue.Catalogue
 	Roster    *roster.Roster
 
@@ -117,7 +117,7 @@
 		shape.Work = shape.WorkOf(name)
 		shape.Work.Begun, shape.Work.Result = begun, result
 	}
-	if s.Processor, err = processor.Start("127.0.0.2:0", shape.Work); err != nil {
+	if s.Processor, err = executor.Start("127.0.0.2:0", shape.Work); err != nil {
 		return nil, err
 	}
 	if s.Roster, err = roster.Start("127.0.0.3:0", nil); err != nil {
--- a/internal/lab/idle/idle.go
+++ b/internal/lab/idle/idle.go
@@ -15,9 +15,9 @@
 
 	"golang.org/x/sys/unix"
 
+	"swiftcourse/internal/fake/executor"
 	labfleet "swiftcourse/internal/lab/fleet"
 	"swiftcourse/internal/lab/load"
-	"swiftcourse/internal/standin/processor"
 	"swiftcourse/internal/wire/shale"
 )
 
@@ -157,7 +157,7 @@
 	_ = unix.Getrlimit(unix.RLIMIT_NOFILE, &limit) // Check has had it
 	servers, err := labfleet.Start(ctx, p.Servers, labfleet.Shape{Program: p.Program, Core: p.Core, Cores: 1, MemoryMB: 192,
 		Sockets: int(min(limit.Max, 1<<20)), Stop: 5 * time.Second, Told: settings(idle),
-		Work: processor.Plan{Cores: 4, Gauges: func(busy, _ int) []float64 { return []float64{float64(busy) / 4, float64(busy)} }}})
+		Work: executor.Plan{Cores: 4, Gauges: func(busy, _ int) []float64 { return []float64{float64(busy) / 4, float64(busy)} }}})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/levels/levels.go
+++ b/internal/lab/levels/levels.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"swiftcourse/internal/fake/balancer"
+	"swiftcourse/internal/fake/executor"
 	"swiftcourse/internal/lab/faults"
-	"swiftcourse/internal/standin/processor"
 	"swiftcourse/internal/wire/shale"
 )
 
@@ -126,10 +126,10 @@
 		shape.MemoryMB = 192
 	}
 	can := 0.0
-	worker.WorkOf = func(name string) processor.Plan {
+	worker.WorkOf = func(name string) executor.Plan {
 		i, _ := strconv.Atoi(strings.TrimLeft(name, "n"))
 		n := cores(i)
-		return processor.Plan{Cores: n, Work: func(string, string) float64 { return workFor },
+		return executor.Plan{Cores: n, Work: func(string, string) float64 { return workFor },
 			Gauges: func(busy, waiting int) []float64 {
 				return []float64{float64(busy) / float64(n), float64(busy + waiting)}
 			}}
--- a/internal/lab/ready/ready.go
+++ b/internal/lab/ready/ready.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"swiftcourse/internal/fake/balancer"
+	"swiftcourse/internal/fake/executor"
 	"swiftcourse/internal/lab/faults"
 	labfleet "swiftcourse/internal/lab/fleet"
-	"swiftcourse/internal/standin/processor"
 	"swiftcourse/internal/standin/roster"
 )
 
@@ -128,7 +128,7 @@
 		return start()
 	}
 	startWork := func() error {
-		return again(func() (err error) { s.Processor, err = processor.Start(work, shape.Work); return err })
+		return again(func() (err error) { s.Processor, err = executor.Start(work, shape.Work); return err })
 	}
 	startList := func() error {
 		return again(func() (err error) { s.Roster, err = roster.Start(list, nil); return err })
