--- a/internal/standin/catalogue/catalogue.go
+++ b/internal/fake/upstream/catalogue.go
@@ -1,6 +1,6 @@
-// Package catalogue stands in for the proxy to the tier below: it answers calls, late or never or not in order where
+// Package upstream stands in for the proxy to the tier below: it answers calls, late or never or not in order where
 // it is told so, as its page describes it.
-package catalogue
+package upstream
 
 import (
 	"net"
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -14,8 +14,8 @@
 	"swiftcourse/admission"
 	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/fake/executor"
+	"swiftcourse/internal/fake/upstream"
 	labfleet "swiftcourse/internal/lab/fleet"
-	"swiftcourse/internal/standin/catalogue"
 	wire "swiftcourse/internal/wire/catalogue"
 	"swiftcourse/internal/wire/rpc"
 	"swiftcourse/internal/wire/shale"
@@ -119,8 +119,8 @@
 		Stop: 5 * time.Second, Told: told(), Log: p.Log,
 		Work: executor.Plan{Cores: cores, Work: work, Calls: func(name, _ string) bool { return name == "price" },
 			Gauges: func(busy, waiting int) []float64 { return []float64{float64(busy) / cores, float64(busy + waiting)} }},
-		Fate: func(int, wire.Call) catalogue.Fate {
-			return catalogue.Fate{After: replyIn, Outcome: admission.Finished, Body: []byte("a reply")}
+		Fate: func(int, wire.Call) upstream.Fate {
+			return upstream.Fate{After: replyIn, Outcome: admission.Finished, Body: []byte("a reply")}
 		}})
 	if err != nil {
 		return nil, err
--- a/internal/lab/faults/budget_test.go
+++ b/internal/lab/faults/budget_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"swiftcourse/admission"
+	standin "swiftcourse/internal/fake/upstream"
 	"swiftcourse/internal/fleet"
-	standin "swiftcourse/internal/standin/catalogue"
 	"swiftcourse/internal/wire/catalogue"
 	"swiftcourse/internal/wire/shale"
 )
--- a/internal/lab/faults/fleet.go
+++ b/internal/lab/faults/fleet.go
@@ -11,10 +11,10 @@
 	"syscall"
 	"time"
 
+	standin "swiftcourse/internal/fake/upstream"
 	"swiftcourse/internal/fleet"
 	labfleet "swiftcourse/internal/lab/fleet"
 	"swiftcourse/internal/policy/release"
-	standin "swiftcourse/internal/standin/catalogue"
 	"swiftcourse/internal/wire/catalogue"
 	"swiftcourse/internal/wire/shale"
 )
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -23,7 +23,7 @@
 
 	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/fake/executor"
-	"swiftcourse/internal/standin/catalogue"
+	"swiftcourse/internal/fake/upstream"
 	"swiftcourse/internal/standin/roster"
 	wire "swiftcourse/internal/wire/catalogue"
 	"swiftcourse/internal/wire/shale"
@@ -41,13 +41,13 @@
 	Stop     time.Duration
 	Told     shale.Told
 	Work     executor.Plan
-	WorkOf   func(name string) executor.Plan                      // in place of it, by server; nil for not
-	Fate     func(n int, c wire.Call) catalogue.Fate              // nil at the last tier
-	FateOf   func(name string, n int, c wire.Call) catalogue.Fate // in place of it, by server
-	Log      io.Writer                                            // what the servers say, nil where nobody reads it
-	Each     func(name string) (conf string, env []string)        // what one of them has in place of Conf, and in its environment; nil for nothing of its own
-	Words    []string                                             // of its command line; none to serve
-	Hear     func(name, line string)                              // every line of a server's log as it comes; nil where nobody listens
+	WorkOf   func(name string) executor.Plan                     // in place of it, by server; nil for not
+	Fate     func(n int, c wire.Call) upstream.Fate              // nil at the last tier
+	FateOf   func(name string, n int, c wire.Call) upstream.Fate // in place of it, by server
+	Log      io.Writer                                           // what the servers say, nil where nobody reads it
+	Each     func(name string) (conf string, env []string)       // what one of them has in place of Conf, and in its environment; nil for nothing of its own
+	Words    []string                                            // of its command line; none to serve
+	Hear     func(name, line string)                             // every line of a server's log as it comes; nil where nobody listens
 }
 
 // Server is one server with its stand-ins.
@@ -55,7 +55,7 @@
 	Name      string
 	Addr      string
 	Processor *executor.Processor
-	Catalogue *catalogue.Catalogue
+	Catalogue *upstream.Catalogue
 	Roster    *roster.Roster
 
 	shape   Shape
@@ -126,10 +126,10 @@
 	catalog := ""
 	fate := shape.Fate
 	if shape.FateOf != nil {
-		fate = func(n int, c wire.Call) catalogue.Fate { return shape.FateOf(name, n, c) }
+		fate = func(n int, c wire.Call) upstream.Fate { return shape.FateOf(name, n, c) }
 	}
 	if fate != nil {
-		if s.Catalogue, err = catalogue.Start("127.0.0.4:0", fate); err != nil {
+		if s.Catalogue, err = upstream.Start("127.0.0.4:0", fate); err != nil {
 			return nil, err
 		}
 		catalog = s.Catalogue.Addr()
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -5,14 +5,14 @@
 	"testing"
 	"time"
 
-	"swiftcourse/internal/standin/catalogue"
+	"swiftcourse/internal/fake/upstream"
 	wirecatalogue "swiftcourse/internal/wire/catalogue"
 )
 
 func TestServer_TablesReturnToEmpty(t *testing.T) {
 	f := startServer(t, nil)
-	below, err := catalogue.Start("127.0.0.9:0", func(n int, _ wirecatalogue.Call) catalogue.Fate {
-		return catalogue.Fate{Body: []byte("d"), Break: n%5 == 0} // every fifth call breaks its connection
+	below, err := upstream.Start("127.0.0.9:0", func(n int, _ wirecatalogue.Call) upstream.Fate {
+		return upstream.Fate{Body: []byte("d"), Break: n%5 == 0} // every fifth call breaks its connection
 	})
 	if err != nil {
 		t.Fatal(err)
