--- a/internal/standin/roster/roster.go
+++ b/internal/fake/registry/roster.go
@@ -1,5 +1,5 @@
-// Package roster stands in for the roster: it takes reports, and hangs up or stays silent where it is told so.
-package roster
+// Package registry stands in for the roster: it takes reports, and hangs up or stays silent where it is told so.
+package registry
 
 import (
 	"bufio"
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -23,8 +23,8 @@
 
 	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/fake/executor"
+	"swiftcourse/internal/fake/registry"
 	"swiftcourse/internal/fake/upstream"
-	"swiftcourse/internal/standin/roster"
 	wire "swiftcourse/internal/wire/catalogue"
 	"swiftcourse/internal/wire/shale"
 )
@@ -56,7 +56,7 @@
 	Addr      string
 	Processor *executor.Processor
 	Catalogue *upstream.Catalogue
-	Roster    *roster.Roster
+	Roster    *registry.Roster
 
 	shape   Shape
 	path    string // of its configuration
@@ -120,7 +120,7 @@
 	if s.Processor, err = executor.Start("127.0.0.2:0", shape.Work); err != nil {
 		return nil, err
 	}
-	if s.Roster, err = roster.Start("127.0.0.3:0", nil); err != nil {
+	if s.Roster, err = registry.Start("127.0.0.3:0", nil); err != nil {
 		return nil, err
 	}
 	catalog := ""
--- a/internal/lab/ready/ready.go
+++ b/internal/lab/ready/ready.go
@@ -15,9 +15,9 @@
 
 	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/fake/executor"
+	"swiftcourse/internal/fake/registry"
 	"swiftcourse/internal/lab/faults"
 	labfleet "swiftcourse/internal/lab/fleet"
-	"swiftcourse/internal/standin/roster"
 )
 
 // Plan is what to measure.
@@ -131,7 +131,7 @@
 		return again(func() (err error) { s.Processor, err = executor.Start(work, shape.Work); return err })
 	}
 	startList := func() error {
-		return again(func() (err error) { s.Roster, err = roster.Start(list, nil); return err })
+		return again(func() (err error) { s.Roster, err = registry.Start(list, nil); return err })
 	}
 	if err := back("processor", startWork); err != nil {
 		return 0, 0, err
--- a/internal/server/fixture_test.go
+++ b/internal/server/fixture_test.go
@@ -15,9 +15,9 @@
 	"swiftcourse/admission"
 	"swiftcourse/internal/config"
 	"swiftcourse/internal/fake/balancer"
+	"swiftcourse/internal/fake/registry"
 	"swiftcourse/internal/logging"
 	"swiftcourse/internal/policy/serving"
-	"swiftcourse/internal/standin/roster"
 )
 
 // fixture is a server on loopback with fakes of all that it speaks with, written from the
@@ -28,7 +28,7 @@
 	runResult        chan error
 	executorListener net.Listener
 	upstreamListener net.Listener
-	registry         *roster.Roster
+	registry         *registry.Roster
 	executor         *testConn
 	wrapAccept       func(acceptFunc) acceptFunc // where it is set, the acceptor accepts by what it returns
 }
@@ -147,9 +147,9 @@
 }
 
 // newFakeRegistry hangs up after each report, at times before its answer.
-func newFakeRegistry(t *testing.T) *roster.Roster {
-	r, err := roster.Start("127.0.0.9:0", func(n int) roster.Manner {
-		return []roster.Manner{roster.HangUp, roster.Mute}[n%2]
+func newFakeRegistry(t *testing.T) *registry.Roster {
+	r, err := registry.Start("127.0.0.9:0", func(n int) registry.Manner {
+		return []registry.Manner{registry.HangUp, registry.Mute}[n%2]
 	})
 	if err != nil {
 		t.Fatal(err)
