--- a/internal/standin/chance/chance.go
+++ b/internal/fake/random/chance.go
@@ -1,5 +1,5 @@
-// Package chance fixes what tests on drawn inputs draw, so that they give the same verdict every time.
-package chance
+// Package random fixes what tests on drawn inputs draw, so that they give the same verdict every time.
+package random
 
 import (
 	"errors"
--- a/internal/policy/connlimit/limiter_test.go
+++ b/internal/policy/connlimit/limiter_test.go
@@ -6,10 +6,10 @@
 	"slices"
 	"testing"
 
-	"swiftcourse/internal/standin/chance"
+	"swiftcourse/internal/fake/random"
 )
 
-func TestMain(m *testing.M) { chance.Fix(m, 1000) }
+func TestMain(m *testing.M) { random.Fix(m, 1000) }
 
 func TestEvictionCandidates_InOrder(t *testing.T) {
 	limiter := New(30)
--- a/internal/slottable/table_test.go
+++ b/internal/slottable/table_test.go
@@ -9,10 +9,10 @@
 
 	"pgregory.net/rapid"
 
-	"swiftcourse/internal/standin/chance"
+	"swiftcourse/internal/fake/random"
 )
 
-func TestMain(m *testing.M) { chance.Fix(m, 1000) }
+func TestMain(m *testing.M) { random.Fix(m, 1000) }
 
 func TestTable_DoesAsAMapDoes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/wire/rpc/far_test.go
+++ b/internal/wire/rpc/far_test.go
@@ -8,10 +8,10 @@
 
 	"pgregory.net/rapid"
 
-	"swiftcourse/internal/standin/chance"
+	"swiftcourse/internal/fake/random"
 )
 
-func TestMain(m *testing.M) { chance.Fix(m, 500) }
+func TestMain(m *testing.M) { random.Fix(m, 500) }
 
 func TestWhatACallerWritesIsWhatAServerReads(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
