--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -67,12 +67,8 @@
 				slog.Info("fleet_plan", "founding", part.Version.ClusterID, "term", part.Version.Term, "seq", part.Version.Sequence, "weights", len(part.Weights), "rates", len(part.RateLimits))
 			}
 			last = part.Version
-			weights := map[string]float64{}
-			for _, w := range part.Weights {
-				weights[w.Name] = w.Weight
-			}
 			till := clock.ToSource(until)
-			p.dispatcher.ApplyPlan(weights, till)
+			p.dispatcher.ApplyPlan(part.WeightsByName(), till)
 			p.allow(func() { p.planned = rates(part, start, till) })
 		},
 	}
--- a/internal/forwarder/report.go
+++ b/internal/forwarder/report.go
@@ -4,7 +4,6 @@
 	"log/slog"
 
 	"swiftcourse/internal/policy/loadplan"
-	"swiftcourse/internal/policy/routing"
 )
 
 // minReportSeconds guards the division by the time since the last report.
@@ -49,15 +48,6 @@
 		})
 	}
 	clear(d.demand)
-	for _, worker := range d.router.TakeStats() {
-		report.Workers = append(report.Workers, loadplan.WorkerStats{
-			Name:      worker.Name,
-			Connected: worker.State != routing.Disconnected,
-			InFlight:  worker.InFlight,
-			Finished:  worker.Finished,
-			Rejected:  worker.Rejected,
-			Lost:      worker.Lost,
-		})
-	}
+	report.Workers = d.router.TakeStats()
 	return report
 }
--- a/internal/lab/emulate/levels.go
+++ b/internal/lab/emulate/levels.go
@@ -192,11 +192,13 @@
 	s.plans = func(clock *fleet.Clock) *fleet.LoadPlanConfig {
 		return &fleet.LoadPlanConfig{
 			Report: func(float64) *loadplan.Report {
-				r := &loadplan.Report{IntervalSeconds: max(l.now-f.since, 1e-3), Demand: []loadplan.TenantRate{{Rate: float64(f.asked) / max(l.now-f.since, 1e-3)}}}
-				f.since, f.asked = l.now, 0
-				for _, w := range f.router.TakeStats() {
-					r.Workers = append(r.Workers, loadplan.WorkerStats{Name: w.Name, Connected: w.State != routing.Disconnected, InFlight: w.InFlight, Finished: w.Finished, Rejected: w.Rejected, Lost: w.Lost})
+				seconds := max(l.now-f.since, 1e-3)
+				r := &loadplan.Report{
+					IntervalSeconds: seconds,
+					Demand:          []loadplan.TenantRate{{Rate: float64(f.asked) / seconds}},
+					Workers:         f.router.TakeStats(),
 				}
+				f.since, f.asked = l.now, 0
 				return r
 			},
 			OnShare: func(p *loadplan.Assignment, until float64) {
@@ -204,11 +206,7 @@
 					l.row.Stale++
 				}
 				f.holds = p.Version
-				weights := map[string]float64{}
-				for _, w := range p.Weights {
-					weights[w.Name] = w.Weight
-				}
-				f.router.ApplyPlan(l.now, weights, clock.ToSource(until))
+				f.router.ApplyPlan(l.now, p.WeightsByName(), clock.ToSource(until))
 			},
 		}
 	}
--- a/internal/policy/loadplan/doc.go
+++ b/internal/policy/loadplan/doc.go
@@ -1,9 +1,9 @@
 // Package loadplan computes, for a fleet of forwarders, how each distributes its requests over the
 // workers, and how many requests of each tenant it admits when demand exceeds capacity.
 //
-// Each Planner is one voter of the fleet's consensus group; only the one that leads makes plans.
-// A forwarder's Subscriber sends it a Report every ReportIntervalSeconds, and the planner answers
-// with the forwarder's Assignment: its share of the plan.
+// The voter that leads the fleet's consensus group makes the plans, with a Planner for its term. A
+// forwarder sends it a Report every ReportIntervalSeconds, stamped by its Subscriber, and is answered
+// with an Assignment: its share of the plan.
 //
 // Invariant: a forwarder never goes back to an older plan. An assignment is leased, by the
 // forwarder's own clock, from the moment of the report that it answers, and carries a Version that
--- a/internal/policy/loadplan/message.go
+++ b/internal/policy/loadplan/message.go
@@ -56,6 +56,15 @@
 	RateLimits     []TenantRate // empty if all demand is admitted
 }
 
+// WeightsByName returns the weights by worker name.
+func (a *Assignment) WeightsByName() map[string]float64 {
+	weights := make(map[string]float64, len(a.Weights))
+	for _, weight := range a.Weights {
+		weights[weight.Name] = weight.Weight
+	}
+	return weights
+}
+
 // valid reports whether the report's numbers are possible. It rejects NaN too.
 func (r *Report) valid() bool {
 	if r.Name == "" || len(r.Workers) > maxWorkers {
--- a/internal/policy/loadplan/planner_test.go
+++ b/internal/policy/loadplan/planner_test.go
@@ -34,8 +34,8 @@
 	if planner.fallbacks > 0 {
 		t.Errorf("%d plans were not solved", planner.fallbacks)
 	}
-	a, sumA := weightsByName(assignments["a"])
-	b, sumB := weightsByName(assignments["b"])
+	a, sumA := assignments["a"].WeightsByName(), weightSum(assignments["a"])
+	b, sumB := assignments["b"].WeightsByName(), weightSum(assignments["b"])
 	if math.Abs(sumA-1) > 1e-6 || math.Abs(sumB-1) > 1e-6 || math.Abs(a["fast"]/a["slow"]-3) > 0.1 || a["far"] != 0 {
 		t.Errorf("a %v, b %v", a, b)
 	}
@@ -48,13 +48,12 @@
 	}
 }
 
-func weightsByName(assignment *Assignment) (weights map[string]float64, sum float64) {
-	weights = map[string]float64{}
+func weightSum(assignment *Assignment) float64 {
+	sum := 0.0
 	for _, weight := range assignment.Weights {
-		weights[weight.Name] = weight.Weight
 		sum += weight.Weight
 	}
-	return weights, sum
+	return sum
 }
 
 func TestPlanner_RateLimitsAreFairAndWithinCapacity(t *testing.T) {
--- a/internal/policy/routing/attempt.go
+++ b/internal/policy/routing/attempt.go
@@ -3,8 +3,8 @@
 import "swiftcourse/internal/policy/workercapacity"
 
 const (
-	// MaxAttempts bounds the attempts of a request: a third would mostly find what the second did.
-	MaxAttempts = 2
+	// maxAttempts bounds the attempts of a request: a third would mostly find what the second did.
+	maxAttempts = 2
 	// retryRatio is how much a first attempt adds to the budget of retries, and maxRetryTokens what
 	// may be saved up. So in an outage there are under 1.1 attempts per request.
 	retryRatio     = 0.08
@@ -71,15 +71,15 @@
 }
 
 // isUseful reports whether another attempt is safe and has a chance to finish.
-func (a *Retry) isUseful() bool {
-	switch a.LastOutcome {
+func (r *Retry) isUseful() bool {
+	switch r.LastOutcome {
 	case Finished, Failed, TimedOut, Cancelled:
 		return false
 	}
-	if a.Attempts >= MaxAttempts || a.Remaining <= a.TypicalLatency {
+	if r.Attempts >= maxAttempts || r.Remaining <= r.TypicalLatency {
 		return false
 	}
-	return a.IsIdempotent || a.LastOutcome.KnownNotExecuted()
+	return r.IsIdempotent || r.LastOutcome.KnownNotExecuted()
 }
 
 // AllowRetry reports whether a request may have another attempt, and takes it from the budget of
--- a/internal/policy/routing/breaker.go
+++ b/internal/policy/routing/breaker.go
@@ -1,18 +1,18 @@
 package routing
 
-// WorkerState is the state of the circuit breaker of a worker.
-type WorkerState uint8
+// workerState is the state of the circuit breaker of a worker.
+type workerState uint8
 
 // The states of a worker.
 const (
-	Healthy      WorkerState = iota
-	Ejected                  // it lost attempts and receives no requests for a while
-	Probing                  // it receives one request at a time, to see whether it has recovered
-	Disconnected             // there is no connection to it
+	healthy      workerState = iota
+	ejected                  // it lost attempts and receives no requests for a while
+	probing                  // it receives one request at a time, to see whether it has recovered
+	disconnected             // there is no connection to it
 	workerStates
 )
 
-func (s WorkerState) String() string {
+func (s workerState) String() string {
 	return [...]string{"healthy", "ejected", "probing", "disconnected", "unknown"}[min(s, workerStates)]
 }
 
@@ -24,24 +24,24 @@
 	failureThresholdReached                    // it lost several attempts in a row
 	attemptLost                                // it lost one attempt
 	ejectionExpired
-	disconnected
-	connected
+	connectionClosed
+	connectionOpened
 )
 
 // transitions is the whole state machine. An event that is not listed for a state does not change it.
 var transitions = [...]struct {
-	state WorkerState
+	state workerState
 	event workerEvent
-	next  WorkerState
+	next  workerState
 }{
-	{Healthy, failureThresholdReached, Ejected},
-	{Healthy, disconnected, Disconnected},
-	{Ejected, ejectionExpired, Probing},
-	{Ejected, disconnected, Disconnected},
-	{Probing, responded, Healthy},
-	{Probing, attemptLost, Ejected},
-	{Probing, disconnected, Disconnected},
-	{Disconnected, connected, Healthy},
+	{healthy, failureThresholdReached, ejected},
+	{healthy, connectionClosed, disconnected},
+	{ejected, ejectionExpired, probing},
+	{ejected, connectionClosed, disconnected},
+	{probing, responded, healthy},
+	{probing, attemptLost, ejected},
+	{probing, connectionClosed, disconnected},
+	{disconnected, connectionOpened, healthy},
 }
 
 const (
@@ -58,7 +58,7 @@
 
 // circuitBreaker decides whether a worker may receive requests.
 type circuitBreaker struct {
-	state             WorkerState
+	state             workerState
 	probeInFlight     bool
 	probingSince      float64
 	consecutiveLosses int
@@ -68,7 +68,7 @@
 
 // newCircuitBreaker returns the breaker of a worker that is not connected.
 func newCircuitBreaker() circuitBreaker {
-	return circuitBreaker{state: Disconnected, nextEjection: minEjectionSeconds}
+	return circuitBreaker{state: disconnected, nextEjection: minEjectionSeconds}
 }
 
 // handle changes the state by the table of transitions.
@@ -83,17 +83,17 @@
 
 // connect records that there is a connection.
 func (b *circuitBreaker) connect() {
-	b.handle(connected)
+	b.handle(connectionOpened)
 	b.probeInFlight = false
 	b.unavailableUntil = 0
 }
 
 // disconnect records that there is no connection.
-func (b *circuitBreaker) disconnect() { b.handle(disconnected) }
+func (b *circuitBreaker) disconnect() { b.handle(connectionClosed) }
 
 // expireEjection starts to probe an ejected worker once its time is over.
 func (b *circuitBreaker) expireEjection(now float64) {
-	if b.state == Ejected && now >= b.unavailableUntil {
+	if b.state == ejected && now >= b.unavailableUntil {
 		b.handle(ejectionExpired)
 		b.probingSince = now
 	}
@@ -102,9 +102,9 @@
 // available reports whether some request may go to the worker now.
 func (b *circuitBreaker) available(now float64) bool {
 	switch b.state {
-	case Ejected, Disconnected:
+	case ejected, disconnected:
 		return false
-	case Probing:
+	case probing:
 		if b.probeInFlight {
 			return false
 		}
@@ -114,12 +114,12 @@
 
 // acceptsOnlyIdempotent reports whether the worker began to be probed a short time ago.
 func (b *circuitBreaker) acceptsOnlyIdempotent(now float64) bool {
-	return b.state == Probing && now < b.probingSince+idempotentProbeSeconds
+	return b.state == probing && now < b.probingSince+idempotentProbeSeconds
 }
 
 // startAttempt records that a request goes to the worker.
 func (b *circuitBreaker) startAttempt() {
-	if b.state == Probing {
+	if b.state == probing {
 		b.probeInFlight = true
 	}
 }
@@ -139,8 +139,8 @@
 		b.handle(responded)
 	case ConnectionLost, TimedOut:
 		b.consecutiveLosses++
-		thresholdReached := b.state == Healthy && b.consecutiveLosses >= maxConsecutiveLosses
-		if b.state == Probing || thresholdReached {
+		thresholdReached := b.state == healthy && b.consecutiveLosses >= maxConsecutiveLosses
+		if b.state == probing || thresholdReached {
 			b.eject(now)
 		}
 	case NotSent, Cancelled:
@@ -153,7 +153,7 @@
 	b.unavailableUntil = now + b.nextEjection
 	b.nextEjection = min(maxEjectionSeconds, 2*b.nextEjection)
 	b.probeInFlight = false
-	if b.state == Probing {
+	if b.state == probing {
 		b.handle(attemptLost)
 		return
 	}
--- a/internal/policy/routing/pick.go
+++ b/internal/policy/routing/pick.go
@@ -46,7 +46,7 @@
 func (r *Router) nextAvailability(now float64) float64 {
 	next := math.Inf(1)
 	for _, w := range r.workers {
-		if w.breaker.state != Disconnected && w.breaker.unavailableUntil > now {
+		if w.breaker.state != disconnected && w.breaker.unavailableUntil > now {
 			next = min(next, w.breaker.unavailableUntil-now)
 		}
 	}
--- a/internal/policy/routing/router.go
+++ b/internal/policy/routing/router.go
@@ -7,8 +7,8 @@
 	"swiftcourse/internal/policy/workercapacity"
 )
 
-// MaxWorkers bounds the workers of a router.
-const MaxWorkers = 4096
+// maxWorkers bounds the workers of a router.
+const maxWorkers = 4096
 
 // Router is a forwarder's table of workers.
 type Router struct {
@@ -38,7 +38,7 @@
 // AddWorker adds a worker that is not connected. A name that is present, or for which there is no
 // room, changes nothing.
 func (r *Router) AddWorker(now float64, name string) {
-	if r.byName[name] != nil || len(r.workers) >= MaxWorkers {
+	if r.byName[name] != nil || len(r.workers) >= maxWorkers {
 		return
 	}
 	added := &worker{
@@ -63,7 +63,7 @@
 		w.breaker.disconnect()
 		return
 	}
-	if w.breaker.state == Disconnected {
+	if w.breaker.state == disconnected {
 		w.connectedAt = now
 	}
 	w.breaker.connect()
@@ -73,7 +73,7 @@
 func (r *Router) ConnectedWorkers() int {
 	count := 0
 	for _, w := range r.workers {
-		if w.breaker.state != Disconnected {
+		if w.breaker.state != disconnected {
 			count++
 		}
 	}
--- a/internal/policy/routing/router_test.go
+++ b/internal/policy/routing/router_test.go
@@ -74,9 +74,9 @@
 		return
 	}
 	breaker := m.router.byName[picked].breaker
-	isKeptAway := breaker.state == Ejected || m.now < breaker.unavailableUntil
+	isKeptAway := breaker.state == ejected || m.now < breaker.unavailableUntil
 	isReserved := !isIdempotent && m.now < breaker.probingSince+idempotentProbeSeconds
-	mayNotProbe := breaker.state == Probing && (breaker.probeInFlight || isReserved)
+	mayNotProbe := breaker.state == probing && (breaker.probeInFlight || isReserved)
 	if picked == excluded || !m.connected[picked] || isKeptAway || mayNotProbe {
 		m.Fatalf("%s is picked: connected %v, %+v (%s was %s)", picked, m.connected[picked], breaker, name, before)
 	}
--- a/internal/policy/routing/stats.go
+++ b/internal/policy/routing/stats.go
@@ -1,25 +1,22 @@
 package routing
 
-import "swiftcourse/internal/policy/workercapacity"
+import (
+	"swiftcourse/internal/policy/loadplan"
+	"swiftcourse/internal/policy/workercapacity"
+)
 
-// WorkerStats is what a forwarder reports of a worker.
-type WorkerStats struct {
-	Name     string
-	State    WorkerState
-	InFlight int
-	workercapacity.Attempts
-}
-
-// TakeStats returns the statistics of all workers, in the order in which they were added, and
-// starts their counts anew.
-func (r *Router) TakeStats() []WorkerStats {
-	var stats []WorkerStats
+// TakeStats returns the statistics of all workers for the planner, in the order in which they were
+// added, and starts their counts anew.
+func (r *Router) TakeStats() []loadplan.WorkerStats {
+	var stats []loadplan.WorkerStats
 	for _, w := range r.workers {
-		stats = append(stats, WorkerStats{
-			Name:     w.name,
-			State:    w.breaker.state,
-			InFlight: w.inFlight,
-			Attempts: w.reportCounts,
+		stats = append(stats, loadplan.WorkerStats{
+			Name:      w.name,
+			Connected: w.breaker.state != disconnected,
+			InFlight:  w.inFlight,
+			Finished:  w.reportCounts.Finished,
+			Rejected:  w.reportCounts.Rejected,
+			Lost:      w.reportCounts.Lost,
 		})
 		w.reportCounts = workercapacity.Attempts{}
 	}
