--- a/internal/server/forwarding.go
+++ b/internal/server/forwarding.go
@@ -29,7 +29,7 @@
 // EnableForwarding is called before Run.
 func (s *Server) EnableForwarding(dispatch func(forwarding.Request) bool, cancel func(id string)) {
 	s.fleet.forwarding = &forwardingState{messages: map[string]*rpc.Message{}, dispatch: dispatch, cancel: cancel}
-	s.executor.askGaugesFunc = func() {} // there are no gauges: what workers can do is learned from what they say
+	s.executor.askGaugesFunc = func() {} // there are no gauges: workers report their capacity
 }
 
 // HandleWorkerAvailable reports that there is a worker; the server serves from then on. Any
@@ -61,7 +61,7 @@
 	}
 	kept := *message
 	kept.Number = 0
-	kept.Body = nil // the body is the request's
+	kept.Body = nil // the request has it
 	kept.Bad = nil
 	f.messages[request.ID] = &kept
 }
