--- a/internal/policy/routing/breaker.go
+++ b/internal/policy/routing/breaker.go
@@ -12,6 +12,7 @@
 	workerStates
 )
 
+// String returns the name of the state.
 func (s workerState) String() string {
 	return [...]string{"healthy", "ejected", "probing", "disconnected", "unknown"}[min(s, workerStates)]
 }
--- a/internal/policy/routing/outcome.go
+++ b/internal/policy/routing/outcome.go
@@ -15,6 +15,7 @@
 	outcomes
 )
 
+// String returns the outcome in words.
 func (o Outcome) String() string {
 	return [...]string{
 		"finished", "rejected", "failed", "not sent", "connection lost", "timed out", "cancelled", "unknown",
