--- a/internal/lab/load/load.go
+++ b/internal/bench/loadgen/load.go
@@ -1,6 +1,6 @@
-// Package load drives servers in an open loop: tasks are sent when they are due, whether or not earlier ones were
+// Package loadgen drives servers in an open loop: tasks are sent when they are due, whether or not earlier ones were
 // answered, and latency counts from when a task was due. So a server that stands still is not spared.
-package load
+package loadgen
 
 import (
 	"context"
--- a/internal/lab/copies/copies.go
+++ b/internal/lab/copies/copies.go
@@ -12,9 +12,9 @@
 	"sync"
 	"time"
 
+	"swiftcourse/internal/bench/loadgen"
 	"swiftcourse/internal/fleet"
 	"swiftcourse/internal/lab/faults"
-	"swiftcourse/internal/lab/load"
 	"swiftcourse/internal/policy/replication"
 	state "swiftcourse/internal/replicastore"
 )
@@ -196,9 +196,9 @@
 	for _, s := range r.fleet.Servers {
 		addrs = append(addrs, s.Addr)
 	}
-	var took [2]load.Took
+	var took [2]loadgen.Took
 	for round := range 6 {
-		l, err := load.Start(ctx, load.Plan{Addrs: addrs, Conns: 2, Rate: 60 * float64(r.Servers), Stage: faults.Ping, Wait: patience, Keyed: round%2 == 1,
+		l, err := loadgen.Start(ctx, loadgen.Plan{Addrs: addrs, Conns: 2, Rate: 60 * float64(r.Servers), Stage: faults.Ping, Wait: patience, Keyed: round%2 == 1,
 			Seed: r.Seed<<8 + uint64(round)})
 		if err != nil {
 			return err
--- a/internal/lab/idle/expire.go
+++ b/internal/lab/idle/expire.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"swiftcourse/internal/lab/load"
+	"swiftcourse/internal/bench/loadgen"
 )
 
 // Phase is what the busy connections saw in one part of a mass expiry.
@@ -119,7 +119,7 @@
 }
 
 // phase ends a phase: it takes what came back in it. It gives its p99.
-func (b *bench) phase(l *load.Load, name string, connections int, phases *[]Phase) (float64, error) {
+func (b *bench) phase(l *loadgen.Load, name string, connections int, phases *[]Phase) (float64, error) {
 	took := l.Take()
 	now, err := b.state()
 	if err != nil {
--- a/internal/lab/idle/idle.go
+++ b/internal/lab/idle/idle.go
@@ -15,9 +15,9 @@
 
 	"golang.org/x/sys/unix"
 
+	"swiftcourse/internal/bench/loadgen"
 	"swiftcourse/internal/fake/executor"
 	labfleet "swiftcourse/internal/lab/fleet"
-	"swiftcourse/internal/lab/load"
 	"swiftcourse/internal/wire/shale"
 )
 
@@ -173,17 +173,17 @@
 	labfleet.End(b.servers)
 }
 
-func (b *bench) load(ctx context.Context) (*load.Load, error) {
+func (b *bench) load(ctx context.Context) (*loadgen.Load, error) {
 	b.seed++
-	return load.Start(ctx, load.Plan{Addrs: b.addrs, Conns: b.plan.Busy, Rate: b.plan.Rate, Stage: "ping",
+	return loadgen.Start(ctx, loadgen.Plan{Addrs: b.addrs, Conns: b.plan.Busy, Rate: b.plan.Rate, Stage: "ping",
 		Wait: 2 * time.Second, Body: 100, Seed: b.seed, Check: b.plan.Checks})
 }
 
 // stretch measures the busy ones for the plan's seconds, after a start that is not counted.
-func (b *bench) stretch(ctx context.Context) (load.Took, error) {
+func (b *bench) stretch(ctx context.Context) (loadgen.Took, error) {
 	l, err := b.load(ctx)
 	if err != nil {
-		return load.Took{}, err
+		return loadgen.Took{}, err
 	}
 	pause(ctx, 0.3)
 	l.Take()
@@ -284,7 +284,7 @@
 	if err != nil {
 		return row, err
 	}
-	var with load.Took // all rounds together
+	var with loadgen.Took // all rounds together
 	var rounds quantiles
 	for round := range p.Rounds {
 		p.say("%d connections, round %d of %d: without", n, round+1, p.Rounds)
@@ -341,7 +341,7 @@
 // quantiles are those of each round: the 50th, the 99th and the 99.9th.
 type quantiles struct{ none, with [3][]float64 }
 
-func (q *quantiles) add(to *[3][]float64, took *load.Took) {
+func (q *quantiles) add(to *[3][]float64, took *loadgen.Took) {
 	for i, percent := range []float64{50, 99, 99.9} {
 		to[i] = append(to[i], max(1, took.Quantile(percent)))
 	}
--- a/internal/lab/versions/versions.go
+++ b/internal/lab/versions/versions.go
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
+	"swiftcourse/internal/bench/loadgen"
 	"swiftcourse/internal/fleet"
 	"swiftcourse/internal/lab/faults"
-	"swiftcourse/internal/lab/load"
 	"swiftcourse/internal/policy/audit"
 	"swiftcourse/internal/policy/release"
 )
@@ -125,7 +125,7 @@
 	}
 	usedBefore, sentBefore := r.used(), r.sent()
 	from := time.Now()
-	l, err := load.Start(ctx, load.Plan{Addrs: addrs, Conns: 2, Rate: p.Rate * float64(p.Servers), Stage: faults.Ping, Wait: 1500 * time.Millisecond, Seed: p.Seed})
+	l, err := loadgen.Start(ctx, loadgen.Plan{Addrs: addrs, Conns: 2, Rate: p.Rate * float64(p.Servers), Stage: faults.Ping, Wait: 1500 * time.Millisecond, Seed: p.Seed})
 	if err != nil {
 		return r.row, err
 	}
