--- a/cmd/swiftlab/main.go
+++ b/cmd/swiftlab/main.go
@@ -13,12 +13,12 @@
 
 	"github.com/alecthomas/kong"
 
+	labfleet "swiftcourse/internal/bench/process"
 	"swiftcourse/internal/lab/budgets"
 	"swiftcourse/internal/lab/copies"
 	"swiftcourse/internal/lab/demo"
 	"swiftcourse/internal/lab/emulate"
 	"swiftcourse/internal/lab/entry"
-	labfleet "swiftcourse/internal/lab/fleet"
 	"swiftcourse/internal/lab/idle"
 	"swiftcourse/internal/lab/levels"
 	"swiftcourse/internal/lab/ready"
--- a/internal/lab/fleet/fleet.go
+++ b/internal/bench/process/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet starts real servers as processes, each with stand-ins for all that it speaks with, on loopback.
-package fleet
+// Package process starts real servers as processes, each with stand-ins for all that it speaks with, on loopback.
+package process
 
 import (
 	"bufio"
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"swiftcourse/admission"
+	labfleet "swiftcourse/internal/bench/process"
 	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/fake/executor"
 	"swiftcourse/internal/fake/upstream"
-	labfleet "swiftcourse/internal/lab/fleet"
 	wire "swiftcourse/internal/wire/catalogue"
 	"swiftcourse/internal/wire/rpc"
 	"swiftcourse/internal/wire/shale"
--- a/internal/lab/entry/entry.go
+++ b/internal/lab/entry/entry.go
@@ -14,8 +14,8 @@
 	"sync/atomic"
 	"time"
 
+	labfleet "swiftcourse/internal/bench/process"
 	"swiftcourse/internal/fake/executor"
-	labfleet "swiftcourse/internal/lab/fleet"
 	"swiftcourse/internal/wire/rpc"
 	"swiftcourse/internal/wire/shale"
 )
--- a/internal/lab/faults/fleet.go
+++ b/internal/lab/faults/fleet.go
@@ -11,9 +11,9 @@
 	"syscall"
 	"time"
 
+	labfleet "swiftcourse/internal/bench/process"
 	standin "swiftcourse/internal/fake/upstream"
 	"swiftcourse/internal/fleet"
-	labfleet "swiftcourse/internal/lab/fleet"
 	"swiftcourse/internal/policy/release"
 	"swiftcourse/internal/wire/catalogue"
 	"swiftcourse/internal/wire/shale"
--- a/internal/lab/faults/levels_test.go
+++ b/internal/lab/faults/levels_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
+	labfleet "swiftcourse/internal/bench/process"
 	"swiftcourse/internal/fake/executor"
 	"swiftcourse/internal/fleet"
-	labfleet "swiftcourse/internal/lab/fleet"
 	"swiftcourse/internal/wire/shale"
 )
 
--- a/internal/lab/faults/shape.go
+++ b/internal/lab/faults/shape.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	labfleet "swiftcourse/internal/bench/process"
 	"swiftcourse/internal/fake/executor"
-	labfleet "swiftcourse/internal/lab/fleet"
 	"swiftcourse/internal/wire/shale"
 )
 
--- a/internal/lab/idle/idle.go
+++ b/internal/lab/idle/idle.go
@@ -16,8 +16,8 @@
 	"golang.org/x/sys/unix"
 
 	"swiftcourse/internal/bench/loadgen"
+	labfleet "swiftcourse/internal/bench/process"
 	"swiftcourse/internal/fake/executor"
-	labfleet "swiftcourse/internal/lab/fleet"
 	"swiftcourse/internal/wire/shale"
 )
 
--- a/internal/lab/levels/demo.go
+++ b/internal/lab/levels/demo.go
@@ -6,8 +6,8 @@
 	"io"
 	"time"
 
+	labfleet "swiftcourse/internal/bench/process"
 	"swiftcourse/internal/lab/faults"
-	labfleet "swiftcourse/internal/lab/fleet"
 )
 
 // Demo shows a newcomer two forwarders, three planners and three workers at work, while one after the other of them dies.
--- a/internal/lab/ready/ready.go
+++ b/internal/lab/ready/ready.go
@@ -13,11 +13,11 @@
 	"syscall"
 	"time"
 
+	labfleet "swiftcourse/internal/bench/process"
 	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/fake/executor"
 	"swiftcourse/internal/fake/registry"
 	"swiftcourse/internal/lab/faults"
-	labfleet "swiftcourse/internal/lab/fleet"
 )
 
 // Plan is what to measure.
