--- a/internal/lab/faults/levels_test.go
+++ b/internal/bench/faultinjection/levels_test.go
@@ -1,4 +1,4 @@
-package faults
+package faultinjection
 
 import (
 	"context"
--- a/internal/lab/faults/relay.go
+++ b/internal/bench/faultinjection/relay.go
@@ -1,6 +1,6 @@
-// Package faults is the harness of tests and experiments with several processes of the real program: relays between every two of them that lose,
+// Package faultinjection is the harness of tests and experiments with several processes of the real program: relays between every two of them that lose,
 // delay, double, slow and cut, each direction apart; kills, stops and cold restarts; clocks that are off. Chance comes from a seed.
-package faults
+package faultinjection
 
 import (
 	"math/rand/v2"
--- a/internal/lab/budgets/budgets.go
+++ b/internal/lab/budgets/budgets.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"swiftcourse/internal/lab/faults"
+	"swiftcourse/internal/bench/faultinjection"
 	"swiftcourse/internal/policy/quota"
 	"swiftcourse/internal/wire/shale"
 )
@@ -84,8 +84,8 @@
 
 type run struct {
 	*Plan
-	fleet  *faults.Fleet
-	demand *faults.Demand
+	fleet  *faultinjection.Fleet
+	demand *faultinjection.Demand
 	most   float64
 	hot    string
 	row    Row
@@ -96,9 +96,9 @@
 	most := perServer * float64(p.Servers)
 	terms := quota.Config{LeaseSeconds: lease.Seconds(), FloorFraction: floor, MaxServers: p.Servers, Limits: []quota.Limit{{Name: tenant, Max: most}}}
 	r := &run{Plan: p, most: most, row: Row{Seed: p.Seed, Servers: p.Servers, Slack: terms.MaxBurst(&terms.Limits[0])}}
-	shape := faults.Small(p.Program)
+	shape := faultinjection.Small(p.Program)
 	shape.Log = p.Log
-	f, err := faults.Start(ctx, faults.Plan{Shape: shape, Servers: p.Servers, Voters: 3, Seed: p.Seed, Tenants: []shale.Tenant{{Name: tenant, RatePerS: 1e6}},
+	f, err := faultinjection.Start(ctx, faultinjection.Plan{Shape: shape, Servers: p.Servers, Voters: 3, Seed: p.Seed, Tenants: []shale.Tenant{{Name: tenant, RatePerS: 1e6}},
 		Conf: fmt.Sprintf("door on\nfleet-lease %s\nfleet-behind 2s\nbudget tenant/%s=%g\nbudget-servers %d\n", lease, tenant, most, p.Servers)})
 	if err != nil {
 		return r.row, fmt.Errorf("seed %d: %w", p.Seed, err)
@@ -108,7 +108,7 @@
 	defer end()
 	r.fleet, r.demand = f, f.Demand(asking, tenant)
 	r.jump(f.Names[len(f.Names)-1])
-	if !faults.Until(settles, func() bool { return r.rate(2*time.Second) > 0.8*most }) {
+	if !faultinjection.Until(settles, func() bool { return r.rate(2*time.Second) > 0.8*most }) {
 		return r.row, fmt.Errorf("seed %d: the budget is not used after %s: %.1f of %.0f a second", p.Seed, settles, r.rate(2*time.Second), most)
 	}
 	sent, from := r.sent(), time.Now()
@@ -116,13 +116,13 @@
 	r.row.TalkBytes = float64(r.sent()-sent) / time.Since(from).Seconds() / float64(p.Servers)
 	from = time.Now()
 	r.jump(f.Names[0])
-	faults.Until(settles, func() bool { return r.demand.Rate(r.hot, time.Second) > most/2 })
+	faultinjection.Until(settles, func() bool { return r.demand.Rate(r.hot, time.Second) > most/2 })
 	r.row.HotAfter = float64(time.Since(from).Milliseconds())
 	r.silent(ctx)
 	r.stir(ctx)
 	f.Net.Heal()
 	r.jump(f.Names[len(f.Names)-1])
-	faults.Until(settles, func() bool { return r.rate(2*time.Second) > 0.9*most })
+	faultinjection.Until(settles, func() bool { return r.rate(2*time.Second) > 0.9*most })
 	r.row.UsedAfter = r.wait(ctx, measured)
 	end()
 	r.demand.Wait()
@@ -221,7 +221,7 @@
 		case "one-way":
 			for _, other := range f.Names {
 				if other != name {
-					f.Net.Set(other, name, faults.Link{Cut: true})
+					f.Net.Set(other, name, faultinjection.Link{Cut: true})
 				}
 			}
 			pause(ctx, length)
@@ -230,7 +230,7 @@
 			for _, a := range f.Names {
 				for _, b := range f.Names {
 					if a != b {
-						f.Net.Set(a, b, faults.Link{Loss: 0.3, Double: 0.1, Jitter: 50 * time.Millisecond})
+						f.Net.Set(a, b, faultinjection.Link{Loss: 0.3, Double: 0.1, Jitter: 50 * time.Millisecond})
 					}
 				}
 			}
--- a/internal/lab/copies/copies.go
+++ b/internal/lab/copies/copies.go
@@ -12,9 +12,9 @@
 	"sync"
 	"time"
 
+	"swiftcourse/internal/bench/faultinjection"
 	"swiftcourse/internal/bench/loadgen"
 	"swiftcourse/internal/fleet"
-	"swiftcourse/internal/lab/faults"
 	"swiftcourse/internal/policy/replication"
 	state "swiftcourse/internal/replicastore"
 )
@@ -100,8 +100,8 @@
 // run is a run under way.
 type run struct {
 	*Plan
-	fleet  *faults.Fleet
-	ledger *faults.Ledger
+	fleet  *faultinjection.Fleet
+	ledger *faultinjection.Ledger
 	place  *replication.Placement
 	row    Row
 	wait   sync.WaitGroup
@@ -128,8 +128,8 @@
 
 // Run plays a seed.
 func Run(ctx context.Context, p *Plan) (Row, error) {
-	r := &run{Plan: p, ledger: faults.NewLedger(), where: map[string]string{}, row: Row{Seed: p.Seed, Servers: p.Servers}}
-	shape := faults.Small(p.Program)
+	r := &run{Plan: p, ledger: faultinjection.NewLedger(), where: map[string]string{}, row: Row{Seed: p.Seed, Servers: p.Servers}}
+	shape := faultinjection.Small(p.Program)
 	terms := replication.Config{ReplicationFactor: p.Copies, RetentionWindow: window.Seconds(), MaxClaimDuration: shape.Told.Stages[0].TimeLimitMs / 1000}
 	shape.Log = p.Log
 	names := make([]string, p.Servers)
@@ -142,15 +142,15 @@
 		return r.row, err
 	}
 	conf := fmt.Sprintf("door on\nfleet-lease 2s\nfleet-behind 2s\nreplica-holders %s\nreplica-copies %d\nreplica-keyed %s\nreplica-window %s\n",
-		strings.Join(names, " "), p.Copies, faults.Ping, window)
-	f, err := faults.Start(ctx, faults.Plan{Shape: shape, Servers: p.Servers, Voters: min(p.Servers, 3+2*(p.Servers/15)), Conf: conf, Seed: p.Seed, Ledger: r.ledger, Die: r.points(names),
+		strings.Join(names, " "), p.Copies, faultinjection.Ping, window)
+	f, err := faultinjection.Start(ctx, faultinjection.Plan{Shape: shape, Servers: p.Servers, Voters: min(p.Servers, 3+2*(p.Servers/15)), Conf: conf, Seed: p.Seed, Ledger: r.ledger, Die: r.points(names),
 		Direct: p.Cost && p.Quiet && p.Kills == 0})
 	if err != nil {
 		return r.row, fmt.Errorf("seed %d: %w", p.Seed, err)
 	}
 	defer f.Close()
 	r.fleet = f
-	if !faults.Until(healIn, func() bool { return f.Warm(names...) }) {
+	if !faultinjection.Until(healIn, func() bool { return f.Warm(names...) }) {
 		return r.row, fmt.Errorf("seed %d: holders may not answer after %s", p.Seed, healIn)
 	}
 	if p.Cost {
@@ -198,7 +198,7 @@
 	}
 	var took [2]loadgen.Took
 	for round := range 6 {
-		l, err := loadgen.Start(ctx, loadgen.Plan{Addrs: addrs, Conns: 2, Rate: 60 * float64(r.Servers), Stage: faults.Ping, Wait: patience, Keyed: round%2 == 1,
+		l, err := loadgen.Start(ctx, loadgen.Plan{Addrs: addrs, Conns: 2, Rate: 60 * float64(r.Servers), Stage: faultinjection.Ping, Wait: patience, Keyed: round%2 == 1,
 			Seed: r.Seed<<8 + uint64(round)})
 		if err != nil {
 			return err
@@ -233,16 +233,16 @@
 
 // try sends one try and books its answer.
 func (r *run) try(ctx context.Context, k *key, name string) {
-	id := faults.ID()
+	id := faultinjection.ID()
 	r.mu.Lock()
 	r.where[id] = name
 	r.row.Tries++
 	r.mu.Unlock()
 	began := time.Now()
 	switch a := r.fleet.Try(ctx, name, id, k.name, patience, healIn); a.End {
-	case faults.Unreachable, faults.Cut:
+	case faultinjection.Unreachable, faultinjection.Cut:
 		r.book(&r.row.Cut)
-	case faults.Unanswered:
+	case faultinjection.Unanswered:
 		r.book(&r.row.Unanswered)
 	default:
 		r.answered(k, &a, began)
@@ -255,12 +255,12 @@
 	*count++
 }
 
-func (r *run) answered(k *key, a *faults.Answer, began time.Time) {
+func (r *run) answered(k *key, a *faultinjection.Answer, began time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
 	switch a.End {
-	case faults.Finished:
+	case faultinjection.Finished:
 		r.row.Finished++
 		if !r.ledger.Knows(k.name, a.Result) || !k.finished.IsZero() && a.Result != k.result && began.Before(k.finished.Add(window)) {
 			r.row.Wrong++
@@ -268,7 +268,7 @@
 		if k.finished.IsZero() {
 			k.finished, k.result = now, a.Result
 		}
-	case faults.Rejected:
+	case faultinjection.Rejected:
 		r.row.Rejected++
 	default:
 		r.row.Abandoned++
@@ -347,7 +347,7 @@
 // disturb does one of some things for a while.
 func (r *run) disturb(what int, name string, length time.Duration, minority, majority []string) {
 	f := r.fleet
-	bad := func(from, to string, l faults.Link) {
+	bad := func(from, to string, l faultinjection.Link) {
 		if from != to {
 			f.Net.Set(from, to, l)
 		}
@@ -368,12 +368,12 @@
 		r.mu.Unlock()
 	case 2: // one way
 		for _, from := range f.Names {
-			bad(from, name, faults.Link{Cut: true})
+			bad(from, name, faultinjection.Link{Cut: true})
 		}
 	case 3, 4:
 		for _, a := range f.Names {
 			for _, b := range f.Names {
-				bad(a, b, faults.Link{Loss: 0.2, Double: 0.2, Delay: 2 * time.Millisecond, Jitter: 60 * time.Millisecond})
+				bad(a, b, faultinjection.Link{Loss: 0.2, Double: 0.2, Delay: 2 * time.Millisecond, Jitter: 60 * time.Millisecond})
 			}
 		}
 	default:
@@ -386,7 +386,7 @@
 // judge waits until all copies agree, and counts what must not be.
 func (r *run) judge() {
 	from := time.Now()
-	healed := faults.Until(healIn, func() bool { r.row.Differ = r.differ(); return r.row.Differ == 0 })
+	healed := faultinjection.Until(healIn, func() bool { r.row.Differ = r.differ(); return r.row.Differ == 0 })
 	if healed {
 		r.row.HealMs = 1000 * time.Since(from).Seconds()
 	}
@@ -401,7 +401,7 @@
 
 // holders counts those of a key among some servers.
 func (r *run) holders(key string, names []string) (n int) {
-	for _, i := range r.place.Replicas(state.KeyOf(faults.Ping, key).Slot()) {
+	for _, i := range r.place.Replicas(state.KeyOf(faultinjection.Ping, key).Slot()) {
 		if slices.Contains(names, r.place.Members[i].Name) {
 			n++
 		}
--- a/internal/lab/entry/restart.go
+++ b/internal/lab/entry/restart.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"swiftcourse/internal/lab/faults"
+	"swiftcourse/internal/bench/faultinjection"
 )
 
 // Back is how known clients fared at a server that came back cold among strangers, with its fleet's word on them and without.
@@ -43,9 +43,9 @@
 }
 
 func (p *Plan) restart(ctx context.Context, told string) (row Back, err error) {
-	shape := faults.Small(p.Program)
+	shape := faultinjection.Small(p.Program)
 	shape.Sockets, shape.Log = p.Sockets, p.Log
-	f, err := faults.Start(ctx, faults.Plan{Shape: shape, Servers: 3, Voters: 3, Conf: "door on\nfleet-lease 2s\nreplica-callers " + told + "\n"})
+	f, err := faultinjection.Start(ctx, faultinjection.Plan{Shape: shape, Servers: 3, Voters: 3, Conf: "door on\nfleet-lease 2s\nreplica-callers " + told + "\n"})
 	if err != nil {
 		return row, err
 	}
@@ -63,7 +63,7 @@
 	if err := f.Cold(ctx, "n1"); err != nil {
 		return row, err
 	}
-	if told == "on" && !faults.Until(patience, func() bool { return len(f.Said("n1", "fleet_trusted_clients")) > 0 }) {
+	if told == "on" && !faultinjection.Until(patience, func() bool { return len(f.Said("n1", "fleet_trusted_clients")) > 0 }) {
 		return row, fmt.Errorf("n1 was told nothing within %s", patience)
 	}
 	fmt.Fprintf(p.Say, "replica-callers %s: n1 is back cold; %g strangers a second for %g s\n", told, p.Strangers, p.Seconds)
--- a/internal/lab/levels/demo.go
+++ b/internal/lab/levels/demo.go
@@ -6,8 +6,8 @@
 	"io"
 	"time"
 
+	"swiftcourse/internal/bench/faultinjection"
 	labfleet "swiftcourse/internal/bench/process"
-	"swiftcourse/internal/lab/faults"
 )
 
 // Demo shows a newcomer two forwarders, three planners and three workers at work, while one after the other of them dies.
@@ -24,26 +24,26 @@
 type act struct {
 	at   int
 	what string
-	do   func(context.Context, *faults.Fleet) error
+	do   func(context.Context, *faultinjection.Fleet) error
 }
 
 var acts = []act{
-	{4, "the planner that leads is killed", func(_ context.Context, f *faults.Fleet) error {
+	{4, "the planner that leads is killed", func(_ context.Context, f *faultinjection.Fleet) error {
 		f.Server(leading(f)).Kill()
 		return nil
 	}},
 	{9, "it returns cold", back},
-	{12, "all planners are killed", func(_ context.Context, f *faults.Fleet) error {
+	{12, "all planners are killed", func(_ context.Context, f *faultinjection.Fleet) error {
 		for _, name := range f.Planning() {
 			f.Server(name).Kill()
 		}
 		return nil
 	}},
-	{20, "a worker is killed with its tasks in hand", func(_ context.Context, f *faults.Fleet) error {
+	{20, "a worker is killed with its tasks in hand", func(_ context.Context, f *faultinjection.Fleet) error {
 		f.Behind[0].Kill()
 		return nil
 	}},
-	{24, "all of them return cold", func(ctx context.Context, f *faults.Fleet) error {
+	{24, "all of them return cold", func(ctx context.Context, f *faultinjection.Fleet) error {
 		if err := f.Behind[0].Restart(ctx); err != nil {
 			return err
 		}
@@ -53,7 +53,7 @@
 }
 
 // leading is the planner that said last that it leads.
-func leading(f *faults.Fleet) string {
+func leading(f *faultinjection.Fleet) string {
 	if said := f.Said("", "load_planner_started"); len(said) > 0 {
 		return said[len(said)-1].Name
 	}
@@ -61,7 +61,7 @@
 }
 
 // back starts all planners again that are dead.
-func back(ctx context.Context, f *faults.Fleet) error {
+func back(ctx context.Context, f *faultinjection.Fleet) error {
 	for _, name := range f.Planning() {
 		if !f.Server(name).Alive() {
 			if err := f.Back(ctx, name); err != nil {
@@ -74,9 +74,9 @@
 
 // Run plays it, some thirty seconds.
 func (d *Demo) Run(ctx context.Context) error {
-	shape := faults.Small(d.Program)
+	shape := faultinjection.Small(d.Program)
 	shape.Log = d.Log
-	f, err := faults.Start(ctx, faults.Plan{Shape: shape, Worker: shape, Planners: 3, Forwarders: 2, Workers: 3, Seed: 1, Conf: "door on\nfleet-lease 2s\n"})
+	f, err := faultinjection.Start(ctx, faultinjection.Plan{Shape: shape, Worker: shape, Planners: 3, Forwarders: 2, Workers: 3, Seed: 1, Conf: "door on\nfleet-lease 2s\n"})
 	if err != nil {
 		return err
 	}
@@ -104,7 +104,7 @@
 		asked, finished, rejected = a, n, r
 	}
 	load.Set(0, f.Names...)
-	faults.Until(lastWait, func() bool { return load.Unanswered() == 0 })
+	faultinjection.Until(lastWait, func() bool { return load.Unanswered() == 0 })
 	asked, finished, rejected = load.Counts()
 	fmt.Fprintf(d.Say, "of %d tasks %d were finished, %d rejected with a time to come back, %d answers came late, %d tasks have none\n", asked, finished, rejected, load.Late(),
 		load.Unanswered())
@@ -113,7 +113,7 @@
 	return ctx.Err()
 }
 
-func alive(f *faults.Fleet) (n int) {
+func alive(f *faultinjection.Fleet) (n int) {
 	for _, s := range []*labfleet.Server{f.Server("p1"), f.Server("p2"), f.Server("p3")} {
 		if s.Alive() {
 			n++
--- a/internal/lab/levels/levels.go
+++ b/internal/lab/levels/levels.go
@@ -12,9 +12,9 @@
 	"strings"
 	"time"
 
+	"swiftcourse/internal/bench/faultinjection"
 	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/fake/executor"
-	"swiftcourse/internal/lab/faults"
 	"swiftcourse/internal/wire/shale"
 )
 
@@ -117,7 +117,7 @@
 )
 
 func play(ctx context.Context, p *Plan, what kind, row *Row) error {
-	shape := faults.Small(p.Program)
+	shape := faultinjection.Small(p.Program)
 	shape.Log = p.Log
 	shape.Told.Stages = append(shape.Told.Stages, shale.Stage{Name: pay, Effect: "at_most_once", TimeLimitMs: 2000, DueTimeMs: 1000, Utility: 3, LateUtility: 0.5})
 	shape.Sockets = 512
@@ -137,8 +137,8 @@
 	for i := range p.Workers {
 		can += float64(cores(i+1)) / workFor
 	}
-	f, err := faults.Start(ctx, faults.Plan{Shape: shape, Worker: worker, Planners: p.Planners, Forwarders: p.Forwarders, Workers: p.Workers, Seed: p.Seed,
-		Ledger: faults.NewLedger(), Conf: "fleet-lease 2s\nfleet-behind 2s\n"})
+	f, err := faultinjection.Start(ctx, faultinjection.Plan{Shape: shape, Worker: worker, Planners: p.Planners, Forwarders: p.Forwarders, Workers: p.Workers, Seed: p.Seed,
+		Ledger: faultinjection.NewLedger(), Conf: "fleet-lease 2s\nfleet-behind 2s\n"})
 	if err != nil {
 		return err
 	}
@@ -147,13 +147,13 @@
 		for _, name := range f.Planning() {
 			f.Server(name).Kill()
 		}
-	} else if !faults.Until(settles, func() bool { return len(f.Said("", "fleet_plan")) >= p.Forwarders }) {
+	} else if !faultinjection.Until(settles, func() bool { return len(f.Said("", "fleet_plan")) >= p.Forwarders }) {
 		return fmt.Errorf("forwarders have no plan after %s", settles)
 	}
 	asking, end := context.WithCancel(ctx)
 	defer end()
 	d := f.Demand(asking, "")
-	d.Stages = []string{faults.Ping, pay}
+	d.Stages = []string{faultinjection.Ping, pay}
 	if what == noKills {
 		if err := hop(ctx, f, row); err != nil {
 			return err
@@ -187,7 +187,7 @@
 		}
 	}
 	d.Set(0, f.Names...)
-	faults.Until(lastWait, func() bool { return d.Unanswered() == 0 })
+	faultinjection.Until(lastWait, func() bool { return d.Unanswered() == 0 })
 	used = work(f) - used
 	asked2, finished2, _ := d.Counts()
 	service := float64(finished2-finished) / float64(max(1, asked2-asked))
@@ -216,7 +216,7 @@
 }
 
 // kill kills one planner, as often as not the one that leads, now and then all of them; or one is stopped for some seconds and goes on with what it had.
-func kill(ctx context.Context, f *faults.Fleet, chance *rand.Rand, row *Row) error {
+func kill(ctx context.Context, f *faultinjection.Fleet, chance *rand.Rand, row *Row) error {
 	names := f.Planning()
 	switch which := names[chance.IntN(len(names))]; chance.IntN(5) {
 	case 0:
@@ -247,7 +247,7 @@
 }
 
 // stale counts how often a forwarder took a plan of a term before that of the one it had, by the lines that it writes with each new term.
-func stale(f *faults.Fleet) (n int) {
+func stale(f *faultinjection.Fleet) (n int) {
 	for _, name := range f.Front() {
 		var was [2]uint64
 		for _, s := range f.Said(name, "fleet_plan") {
@@ -263,7 +263,7 @@
 }
 
 // hop measures tasks one at a time, at a worker and through a forwarder.
-func hop(ctx context.Context, f *faults.Fleet, row *Row) error {
+func hop(ctx context.Context, f *faultinjection.Fleet, row *Row) error {
 	direct, err := f.OneByOne(ctx, f.Behind[0].Addr, hopTasks)
 	if err != nil {
 		return err
@@ -280,7 +280,7 @@
 }
 
 // work is how many seconds of a core all forwarders have used.
-func work(f *faults.Fleet) (sum float64) {
+func work(f *faultinjection.Fleet) (sum float64) {
 	for _, name := range f.Front() {
 		if used, err := f.Server(name).Used(); err == nil {
 			sum += used
@@ -290,7 +290,7 @@
 }
 
 // crowd measures the first forwarder's memory, without and with connections that say nothing.
-func crowd(f *faults.Fleet, n int, row *Row) error {
+func crowd(f *faultinjection.Fleet, n int, row *Row) error {
 	s := f.Server(f.Front()[0])
 	before, err := s.Resident()
 	if err != nil {
--- a/internal/lab/ready/ready.go
+++ b/internal/lab/ready/ready.go
@@ -13,11 +13,11 @@
 	"syscall"
 	"time"
 
+	"swiftcourse/internal/bench/faultinjection"
 	labfleet "swiftcourse/internal/bench/process"
 	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/fake/executor"
 	"swiftcourse/internal/fake/registry"
-	"swiftcourse/internal/lab/faults"
 )
 
 // Plan is what to measure.
@@ -69,7 +69,7 @@
 
 // Run measures with nobody late, then the processors, the rosters, and both.
 func (p *Plan) Run(ctx context.Context) (rows []Row, err error) {
-	shape := faults.Small(p.Program)
+	shape := faultinjection.Small(p.Program)
 	servers, err := labfleet.Start(ctx, p.Servers, shape)
 	if err != nil {
 		return nil, err
--- a/internal/lab/versions/versions.go
+++ b/internal/lab/versions/versions.go
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
+	"swiftcourse/internal/bench/faultinjection"
 	"swiftcourse/internal/bench/loadgen"
 	"swiftcourse/internal/fleet"
-	"swiftcourse/internal/lab/faults"
 	"swiftcourse/internal/policy/audit"
 	"swiftcourse/internal/policy/release"
 )
@@ -93,7 +93,7 @@
 // run is one of a plan's two.
 type run struct {
 	*Plan
-	fleet     *faults.Fleet
+	fleet     *faultinjection.Fleet
 	chance    *rand.Rand
 	names     []string
 	mu        sync.Mutex
@@ -107,16 +107,16 @@
 func (p *Plan) play(ctx context.Context, talk bool) (Row, error) {
 	r := &run{Plan: p, chance: rand.New(rand.NewPCG(p.Seed, 11)), disturbed: map[string][][2]time.Time{}, released: map[release.Epoch]time.Time{},
 		row: Row{Seed: p.Seed, Servers: p.Servers}}
-	shape := faults.Small(p.Program)
+	shape := faultinjection.Small(p.Program)
 	shape.Log = p.Log
-	f, err := faults.Start(ctx, faults.Plan{Shape: shape, Servers: p.Servers, Voters: min(p.Servers, 3+2*(p.Servers/15)), Conf: terms,
+	f, err := faultinjection.Start(ctx, faultinjection.Plan{Shape: shape, Servers: p.Servers, Voters: min(p.Servers, 3+2*(p.Servers/15)), Conf: terms,
 		ConfOf: map[string]string{fmt.Sprint("n", p.Servers): "door-prefix-ipv4 16"}, Seed: p.Seed, Alone: !talk})
 	if err != nil {
 		return r.row, err
 	}
 	defer f.Close()
 	r.fleet, r.names = f, f.Names
-	if talk && !faults.Until(healIn, func() bool { return f.AllOn(1, f.Names...) }) {
+	if talk && !faultinjection.Until(healIn, func() bool { return f.AllOn(1, f.Names...) }) {
 		return r.row, fmt.Errorf("no first version within %s", healIn)
 	}
 	var addrs []string
@@ -125,7 +125,7 @@
 	}
 	usedBefore, sentBefore := r.used(), r.sent()
 	from := time.Now()
-	l, err := loadgen.Start(ctx, loadgen.Plan{Addrs: addrs, Conns: 2, Rate: p.Rate * float64(p.Servers), Stage: faults.Ping, Wait: 1500 * time.Millisecond, Seed: p.Seed})
+	l, err := loadgen.Start(ctx, loadgen.Plan{Addrs: addrs, Conns: 2, Rate: p.Rate * float64(p.Servers), Stage: faultinjection.Ping, Wait: 1500 * time.Millisecond, Seed: p.Seed})
 	if err != nil {
 		return r.row, err
 	}
@@ -201,14 +201,14 @@
 		case 3: // one way
 			r.hinder(length, r.names...)
 			for _, from := range r.names {
-				r.fleet.Net.Set(from, name, faults.Link{Cut: true})
+				r.fleet.Net.Set(from, name, faultinjection.Link{Cut: true})
 			}
 			r.later(length, r.fleet.Net.Heal)
 		case 4:
 			r.hinder(length, r.names...)
 			for _, a := range r.names {
 				for _, b := range r.names {
-					r.fleet.Net.Set(a, b, faults.Link{Loss: 0.3, Double: 0.2, Delay: 5 * time.Millisecond, Jitter: 80 * time.Millisecond})
+					r.fleet.Net.Set(a, b, faultinjection.Link{Loss: 0.3, Double: 0.2, Delay: 5 * time.Millisecond, Jitter: 80 * time.Millisecond})
 				}
 			}
 			r.later(length, r.fleet.Net.Heal)
@@ -256,7 +256,7 @@
 	r.releasing.Wait()
 	var s *fleet.Status
 	var err error
-	healed := faults.Until(healIn, func() bool {
+	healed := faultinjection.Until(healIn, func() bool {
 		if s, err = f.State(r.names[0]); err != nil {
 			return false
 		}
@@ -292,7 +292,7 @@
 		return err
 	}
 	from := time.Now()
-	faults.Until(healIn, func() bool {
+	faultinjection.Until(healIn, func() bool {
 		for _, s := range r.fleet.Said("", "command_finished")[before:] {
 			if s.Fields["command"] == "eject" && s.Fields["name"] == last && s.Fields["rejected"] == "<nil>" {
 				r.row.ShutOutAfter = 1000 * s.At.Sub(from).Seconds()
@@ -305,8 +305,8 @@
 }
 
 // lives splits what a server said by its lives, named as the audit names them.
-func lives(f *faults.Fleet, name string) (ids []uint64, acts map[uint64][]faults.Said) {
-	acts = map[uint64][]faults.Said{}
+func lives(f *faultinjection.Fleet, name string) (ids []uint64, acts map[uint64][]faultinjection.Said) {
+	acts = map[uint64][]faultinjection.Said{}
 	for _, s := range f.Said(name, "") {
 		switch s.Event {
 		case "fleet":
