--- a/cmd/swiftlab/main.go
+++ b/cmd/swiftlab/main.go
@@ -14,10 +14,10 @@
 	"github.com/alecthomas/kong"
 
 	labfleet "swiftcourse/internal/bench/process"
+	"swiftcourse/internal/bench/simulation"
 	"swiftcourse/internal/lab/budgets"
 	"swiftcourse/internal/lab/copies"
 	"swiftcourse/internal/lab/demo"
-	"swiftcourse/internal/lab/emulate"
 	"swiftcourse/internal/lab/entry"
 	"swiftcourse/internal/lab/idle"
 	"swiftcourse/internal/lab/levels"
@@ -183,29 +183,29 @@
 	if c.Seeds < 1 || c.Seeds > 1000 {
 		return fmt.Errorf("--seeds %d: from 1 to 1000", c.Seeds)
 	}
-	text := emulate.Example
+	text := simulation.Example
 	if c.Scenario != "" {
 		var err error
 		if text, err = os.ReadFile(c.Scenario); err != nil {
 			return err
 		}
 	}
-	scenario, err := emulate.ParseScenario(text)
+	scenario, err := simulation.ParseScenario(text)
 	if err != nil {
 		return err
 	}
 	if c.Seed != 0 {
 		scenario.Seed = c.Seed
 	}
-	var reports []emulate.Report
+	var reports []simulation.Report
 	broken := 0
 	for range c.Seeds {
 		from := time.Now()
-		r := emulate.Run(scenario)
+		r := simulation.Run(scenario)
 		took := time.Since(from).Seconds()
 		reports = append(reports, r)
 		broken += r.Rules
-		if err := print("", emulate.Heads, r.Rows, nil); err != nil {
+		if err := print("", simulation.Heads, r.Rows, nil); err != nil {
 			return err
 		}
 		fmt.Printf("seed %d: %d runs, %.3f of the work for nobody, %d rules broken\n", r.Seed, r.Runs, r.Wasted, r.Rules)
@@ -335,14 +335,14 @@
 	if c.Seeds < 1 || c.Seeds > 10_000 {
 		return fmt.Errorf("--seeds %d: from 1 to 10000", c.Seeds)
 	}
-	var rows []emulate.VersionsRow
+	var rows []simulation.VersionsRow
 	broken := 0
 	for range c.Seeds {
-		plan := &emulate.Versions{Servers: c.Servers, Voters: c.Voters, Seconds: c.Seconds, Seed: c.Seed, Quiet: !c.Faults, Keys: c.Keys}
+		plan := &simulation.Versions{Servers: c.Servers, Voters: c.Voters, Seconds: c.Seconds, Seed: c.Seed, Quiet: !c.Faults, Keys: c.Keys}
 		if err := plan.Check(); err != nil {
 			return err
 		}
-		row := emulate.RunVersions(plan)
+		row := simulation.RunVersions(plan)
 		if k := row.Claimed; c.Keys > 0 {
 			fmt.Printf("seed %d: %d tries of %d keys, %d runs, told %v, untold %d, twice %d, wrong %d, alarms %d, differ %d; grants p50 %.1f ms, p99 %.1f ms\n", row.Seed,
 				k.Tries, k.Keys, k.Runs, k.Told, k.Untold, k.Twice, k.Wrong, k.Alarms, k.Differ, k.ClaimP50, k.ClaimP99)
@@ -358,7 +358,7 @@
 	if broken > 0 {
 		err = fmt.Errorf("%d of what must not be", broken)
 	}
-	return print(c.JSON, emulate.VersionsHeads, rows, err)
+	return print(c.JSON, simulation.VersionsHeads, rows, err)
 }
 
 type sharedCommand struct {
@@ -379,13 +379,13 @@
 	if c.Program != "" {
 		return c.processes(ctx)
 	}
-	return emulated(ctx, c.Seeds, c.JSON, emulate.SharedHeads, func() (emulate.SharedRow, error) {
-		plan := &emulate.Shared{Servers: c.Servers, Voters: c.Voters, Seconds: c.Seconds, Seed: c.Seed}
+	return emulated(ctx, c.Seeds, c.JSON, simulation.SharedHeads, func() (simulation.SharedRow, error) {
+		plan := &simulation.Shared{Servers: c.Servers, Voters: c.Voters, Seconds: c.Seconds, Seed: c.Seed}
 		c.Seed++
 		if err := plan.Check(); err != nil {
-			return emulate.SharedRow{}, err
+			return simulation.SharedRow{}, err
 		}
-		return emulate.RunShared(plan), nil
+		return simulation.RunShared(plan), nil
 	})
 }
 
@@ -427,13 +427,13 @@
 	if c.Seeds < 1 || c.Seeds > 10_000 {
 		return fmt.Errorf("--seeds %d: from 1 to 10000", c.Seeds)
 	}
-	return emulated(ctx, c.Seeds, c.JSON, emulate.CountsHeads, func() (emulate.CountsRow, error) {
-		plan := &emulate.Counts{Servers: c.Servers, Voters: c.Voters, Seconds: c.Seconds, Seed: c.Seed}
+	return emulated(ctx, c.Seeds, c.JSON, simulation.CountsHeads, func() (simulation.CountsRow, error) {
+		plan := &simulation.Counts{Servers: c.Servers, Voters: c.Voters, Seconds: c.Seconds, Seed: c.Seed}
 		c.Seed++
 		if err := plan.Check(); err != nil {
-			return emulate.CountsRow{}, err
+			return simulation.CountsRow{}, err
 		}
-		return emulate.RunCounts(plan), nil
+		return simulation.RunCounts(plan), nil
 	})
 }
 
@@ -511,14 +511,14 @@
 }
 
 func (c *levelsCommand) Run(ctx context.Context) error {
-	return emulated(ctx, c.Seeds, c.JSON, emulate.LevelsHeads, func() (emulate.LevelsRow, error) {
-		plan := &emulate.Levels{Forwarders: c.Forwarders, Planners: c.Planners, Workers: c.Workers, Seconds: c.Seconds, KillEvery: c.KillEvery, Alone: c.Alone,
+	return emulated(ctx, c.Seeds, c.JSON, simulation.LevelsHeads, func() (simulation.LevelsRow, error) {
+		plan := &simulation.Levels{Forwarders: c.Forwarders, Planners: c.Planners, Workers: c.Workers, Seconds: c.Seconds, KillEvery: c.KillEvery, Alone: c.Alone,
 			Blind: c.Blind, Load: c.Load, Seed: c.Seed}
 		c.Seed++
 		if err := plan.Check(); err != nil {
-			return emulate.LevelsRow{}, err
+			return simulation.LevelsRow{}, err
 		}
-		return emulate.RunLevels(plan), nil
+		return simulation.RunLevels(plan), nil
 	})
 }
 
--- a/internal/lab/emulate/versions_test.go
+++ b/internal/bench/simulation/versions_test.go
@@ -1,4 +1,4 @@
-package emulate
+package simulation
 
 import (
 	"reflect"
--- a/internal/lab/emulate/world.go
+++ b/internal/bench/simulation/world.go
@@ -1,6 +1,6 @@
-// Package emulate plays a fleet in simulated time: clients, balancers, servers whose decisions are made by package choice itself, and their
+// Package simulation plays a fleet in simulated time: clients, balancers, servers whose decisions are made by package choice itself, and their
 // failures. There is no goroutine and no clock in it, and chance comes from a seed, so the same scenario gives the same report to the byte.
-package emulate
+package simulation
 
 import (
 	"container/heap"
