--- a/cmd/swiftlab/main.go
+++ b/cmd/swiftlab/main.go
@@ -14,6 +14,7 @@
 	"github.com/alecthomas/kong"
 
 	labfleet "swiftcourse/internal/bench/process"
+	"swiftcourse/internal/bench/report"
 	"swiftcourse/internal/bench/simulation"
 	"swiftcourse/internal/lab/budgets"
 	"swiftcourse/internal/lab/copies"
@@ -22,7 +23,6 @@
 	"swiftcourse/internal/lab/idle"
 	"swiftcourse/internal/lab/levels"
 	"swiftcourse/internal/lab/ready"
-	"swiftcourse/internal/lab/report"
 	"swiftcourse/internal/lab/versions"
 )
 
