--- a/cmd/swiftlab/main.go
+++ b/cmd/swiftlab/main.go
@@ -14,9 +14,9 @@
 	"github.com/alecthomas/kong"
 
 	labfleet "swiftcourse/internal/bench/process"
+	"swiftcourse/internal/bench/quotas"
 	"swiftcourse/internal/bench/report"
 	"swiftcourse/internal/bench/simulation"
-	"swiftcourse/internal/lab/budgets"
 	"swiftcourse/internal/lab/copies"
 	"swiftcourse/internal/lab/demo"
 	"swiftcourse/internal/lab/entry"
@@ -439,17 +439,17 @@
 
 // processes plays it with the real program.
 func (c *sharedCommand) processes(ctx context.Context) error {
-	var rows []budgets.Row
+	var rows []quotas.Row
 	bad := 0
 	for range c.Seeds {
-		plan := &budgets.Plan{Program: c.Program, Servers: c.Servers, Seconds: c.Seconds, Seed: c.Seed}
+		plan := &quotas.Plan{Program: c.Program, Servers: c.Servers, Seconds: c.Seconds, Seed: c.Seed}
 		if c.Fault != "seed" {
 			plan.Fault = c.Fault
 		}
 		if err := plan.Check(); err != nil {
 			return err
 		}
-		row, err := budgets.Run(ctx, plan)
+		row, err := quotas.Run(ctx, plan)
 		if err != nil {
 			return err
 		}
@@ -463,7 +463,7 @@
 	if bad > 0 {
 		err = fmt.Errorf("%d of what must not be", bad)
 	}
-	return print(c.JSON, budgets.Heads, rows, err)
+	return print(c.JSON, quotas.Heads, rows, err)
 }
 
 type fleetCommand struct {
--- a/internal/lab/budgets/budgets.go
+++ b/internal/bench/quotas/budgets.go
@@ -1,6 +1,6 @@
-// Package budgets is an experiment on a budget that all servers of a fleet share: processes of the real program get more demand than it bears, here and
+// Package quotas is an experiment on a budget that all servers of a fleet share: processes of the real program get more demand than it bears, here and
 // there, while they are killed, stopped and cut off by a seed, and an account of all that was finished is held against the budget.
-package budgets
+package quotas
 
 import (
 	"context"
