--- a/cmd/swiftlab/main.go
+++ b/cmd/swiftlab/main.go
@@ -13,11 +13,11 @@
 
 	"github.com/alecthomas/kong"
 
+	"swiftcourse/internal/bench/keyclaims"
 	labfleet "swiftcourse/internal/bench/process"
 	"swiftcourse/internal/bench/quotas"
 	"swiftcourse/internal/bench/report"
 	"swiftcourse/internal/bench/simulation"
-	"swiftcourse/internal/lab/copies"
 	"swiftcourse/internal/lab/demo"
 	"swiftcourse/internal/lab/entry"
 	"swiftcourse/internal/lab/idle"
@@ -288,11 +288,11 @@
 	if c.Seeds < 1 || c.Seeds > 1000 {
 		return fmt.Errorf("--seeds %d: from 1 to 1000", c.Seeds)
 	}
-	var rows []copies.Row
+	var rows []keyclaims.Row
 	var err error
 	bad := 0
 	for range c.Seeds {
-		plan := &copies.Plan{Program: c.Server, Servers: c.Servers, Copies: c.Copies, Kills: c.Kills, Seconds: c.Seconds, Seed: c.Seed, Quiet: !c.Faults,
+		plan := &keyclaims.Plan{Program: c.Server, Servers: c.Servers, Copies: c.Copies, Kills: c.Kills, Seconds: c.Seconds, Seed: c.Seed, Quiet: !c.Faults,
 			Points: c.Points, Cost: c.Cost, Rate: c.Rate}
 		if c.Log {
 			plan.Log = os.Stderr
@@ -300,8 +300,8 @@
 		if err = plan.Check(); err != nil {
 			break
 		}
-		var row copies.Row
-		if row, err = copies.Run(ctx, plan); err != nil {
+		var row keyclaims.Row
+		if row, err = keyclaims.Run(ctx, plan); err != nil {
 			break
 		}
 		rows = append(rows, row)
@@ -317,7 +317,7 @@
 	if err == nil && bad > 0 {
 		err = fmt.Errorf("%d of what must not be", bad)
 	}
-	return print(c.JSON, copies.Heads, rows, err)
+	return print(c.JSON, keyclaims.Heads, rows, err)
 }
 
 type versionCommand struct {
--- a/internal/lab/copies/copies.go
+++ b/internal/bench/keyclaims/copies.go
@@ -1,6 +1,6 @@
-// Package copies is an experiment on what several servers keep of the fleet's state: processes of the real program get tries of the same keys at
+// Package keyclaims is an experiment on what several servers keep of the fleet's state: processes of the real program get tries of the same keys at
 // different servers while they are killed, stopped and cut off by a seed, and a ledger at their processors counts the runs of each key.
-package copies
+package keyclaims
 
 import (
 	"context"
