--- a/cmd/swiftlab/main.go
+++ b/cmd/swiftlab/main.go
@@ -13,13 +13,13 @@
 
 	"github.com/alecthomas/kong"
 
+	"swiftcourse/internal/bench/connflood"
 	"swiftcourse/internal/bench/keyclaims"
 	labfleet "swiftcourse/internal/bench/process"
 	"swiftcourse/internal/bench/quotas"
 	"swiftcourse/internal/bench/report"
 	"swiftcourse/internal/bench/simulation"
 	"swiftcourse/internal/lab/demo"
-	"swiftcourse/internal/lab/entry"
 	"swiftcourse/internal/lab/idle"
 	"swiftcourse/internal/lab/levels"
 	"swiftcourse/internal/lab/ready"
@@ -84,7 +84,7 @@
 }
 
 func (c *doorCommand) Run(ctx context.Context) error {
-	plan := &entry.Plan{Program: c.Server, Strangers: c.Strangers, Known: c.Known, Seconds: c.Seconds, Sockets: c.Sockets, Real: c.Real,
+	plan := &connflood.Plan{Program: c.Server, Strangers: c.Strangers, Known: c.Known, Seconds: c.Seconds, Sockets: c.Sockets, Real: c.Real,
 		Core: c.Core, Say: os.Stderr}
 	if c.Log {
 		plan.Log = os.Stderr
@@ -96,11 +96,11 @@
 		return err
 	}
 	if c.Restart {
-		rows, err := entry.Restart(ctx, plan)
-		return print(c.JSON, entry.BackHeads, rows, err)
+		rows, err := connflood.Restart(ctx, plan)
+		return print(c.JSON, connflood.BackHeads, rows, err)
 	}
-	rows, err := entry.Run(ctx, plan)
-	return print(c.JSON, entry.Heads, rows, err)
+	rows, err := connflood.Run(ctx, plan)
+	return print(c.JSON, connflood.Heads, rows, err)
 }
 
 type readyCommand struct {
--- a/internal/lab/entry/entry.go
+++ b/internal/bench/connflood/entry.go
@@ -1,5 +1,5 @@
-// Package entry measures how known clients fare at a server's door while strangers take every descriptor.
-package entry
+// Package connflood measures how known clients fare at a server's door while strangers take every descriptor.
+package connflood
 
 import (
 	"context"
--- a/internal/lab/entry/restart.go
+++ b/internal/bench/connflood/restart.go
@@ -1,4 +1,4 @@
-package entry
+package connflood
 
 import (
 	"context"
