--- a/cmd/swiftlab/main.go
+++ b/cmd/swiftlab/main.go
@@ -18,12 +18,12 @@
 	labfleet "swiftcourse/internal/bench/process"
 	"swiftcourse/internal/bench/quotas"
 	"swiftcourse/internal/bench/report"
+	"swiftcourse/internal/bench/rollouts"
 	"swiftcourse/internal/bench/simulation"
 	"swiftcourse/internal/lab/demo"
 	"swiftcourse/internal/lab/idle"
 	"swiftcourse/internal/lab/levels"
 	"swiftcourse/internal/lab/ready"
-	"swiftcourse/internal/lab/versions"
 )
 
 type program struct {
@@ -244,18 +244,18 @@
 	if c.Seeds < 1 || c.Seeds > 1000 {
 		return fmt.Errorf("--seeds %d: from 1 to 1000", c.Seeds)
 	}
-	var rows []versions.Row
+	var rows []rollouts.Row
 	var err error
 	for range c.Seeds {
-		plan := &versions.Plan{Program: c.Server, Servers: c.Servers, Seconds: c.Seconds, Seed: c.Seed, Quiet: !c.Faults, Rate: c.Rate}
+		plan := &rollouts.Plan{Program: c.Server, Servers: c.Servers, Seconds: c.Seconds, Seed: c.Seed, Quiet: !c.Faults, Rate: c.Rate}
 		if c.Log {
 			plan.Log = os.Stderr
 		}
 		if err = plan.Check(); err != nil {
 			break
 		}
-		var row versions.Row
-		if row, err = versions.Run(ctx, plan); err != nil {
+		var row rollouts.Row
+		if row, err = rollouts.Run(ctx, plan); err != nil {
 			break
 		}
 		rows = append(rows, row)
@@ -265,7 +265,7 @@
 		}
 		c.Seed++
 	}
-	return print(c.JSON, versions.Heads, rows, err)
+	return print(c.JSON, rollouts.Heads, rows, err)
 }
 
 type replicaCommand struct {
--- a/internal/lab/versions/versions.go
+++ b/internal/bench/rollouts/versions.go
@@ -1,6 +1,6 @@
-// Package versions is an experiment on a fleet's versions: processes of the real program under load, releases and faults drawn from a seed, and the
+// Package rollouts is an experiment on a fleet's versions: processes of the real program under load, releases and faults drawn from a seed, and the
 // audit's account held against a ledger that this process keeps by what each server says as it does it.
-package versions
+package rollouts
 
 import (
 	"context"
