--- a/cmd/swiftlab/main.go
+++ b/cmd/swiftlab/main.go
@@ -20,9 +20,9 @@
 	"swiftcourse/internal/bench/report"
 	"swiftcourse/internal/bench/rollouts"
 	"swiftcourse/internal/bench/simulation"
+	"swiftcourse/internal/bench/twolevel"
 	"swiftcourse/internal/lab/demo"
 	"swiftcourse/internal/lab/idle"
-	"swiftcourse/internal/lab/levels"
 	"swiftcourse/internal/lab/ready"
 )
 
@@ -53,7 +53,7 @@
 
 func (c *demoCommand) Run(ctx context.Context) error {
 	if c.Levels {
-		plan := &levels.Demo{Program: c.Server, Say: os.Stdout}
+		plan := &twolevel.Demo{Program: c.Server, Say: os.Stdout}
 		if c.Log {
 			plan.Log = os.Stderr
 		}
@@ -482,17 +482,17 @@
 }
 
 func (c *fleetCommand) Run(ctx context.Context) error {
-	return emulated(ctx, c.Seeds, c.JSON, levels.Heads, func() (levels.Row, error) {
-		plan := &levels.Plan{Program: c.Server, Forwarders: c.Forwarders, Planners: c.Planners, Workers: c.Workers, Seconds: c.Seconds, KillEvery: c.KillEvery,
+	return emulated(ctx, c.Seeds, c.JSON, twolevel.Heads, func() (twolevel.Row, error) {
+		plan := &twolevel.Plan{Program: c.Server, Forwarders: c.Forwarders, Planners: c.Planners, Workers: c.Workers, Seconds: c.Seconds, KillEvery: c.KillEvery,
 			Load: c.Load, Crowd: c.Crowd, Seed: c.Seed}
 		if c.Log {
 			plan.Log = os.Stderr
 		}
 		c.Seed++
 		if err := plan.Check(); err != nil {
-			return levels.Row{}, err
+			return twolevel.Row{}, err
 		}
-		return levels.Run(ctx, plan)
+		return twolevel.Run(ctx, plan)
 	})
 }
 
--- a/internal/lab/levels/demo.go
+++ b/internal/bench/twolevel/demo.go
@@ -1,4 +1,4 @@
-package levels
+package twolevel
 
 import (
 	"context"
--- a/internal/lab/levels/levels.go
+++ b/internal/bench/twolevel/levels.go
@@ -1,7 +1,7 @@
-// Package levels is an experiment on a fleet of two levels: forwarders, planners and workers as processes of the real program, under a load that is
+// Package twolevel is an experiment on a fleet of two levels: forwarders, planners and workers as processes of the real program, under a load that is
 // uneven over forwarders, on workers that are uneven too, while planners are killed. Each seed plays it three times: with no kills, with kills, and with no
 // planner at all.
-package levels
+package twolevel
 
 import (
 	"context"
