--- a/cmd/swiftlab/main.go
+++ b/cmd/swiftlab/main.go
@@ -14,6 +14,7 @@
 	"github.com/alecthomas/kong"
 
 	"swiftcourse/internal/bench/connflood"
+	"swiftcourse/internal/bench/idleconns"
 	"swiftcourse/internal/bench/keyclaims"
 	labfleet "swiftcourse/internal/bench/process"
 	"swiftcourse/internal/bench/quotas"
@@ -22,7 +23,6 @@
 	"swiftcourse/internal/bench/simulation"
 	"swiftcourse/internal/bench/twolevel"
 	"swiftcourse/internal/lab/demo"
-	"swiftcourse/internal/lab/idle"
 	"swiftcourse/internal/lab/ready"
 )
 
@@ -137,7 +137,7 @@
 }
 
 func (c *idleCommand) Run(ctx context.Context) error {
-	plan := &idle.Plan{Program: c.Server, Connections: c.Connections, Servers: c.Servers, Rate: c.Rate, Busy: c.Busy,
+	plan := &idleconns.Plan{Program: c.Server, Connections: c.Connections, Servers: c.Servers, Rate: c.Rate, Busy: c.Busy,
 		Seconds: c.Seconds, Rounds: c.Rounds, Core: c.Core, Counts: c.Counts, Checks: c.Checks, Expire: c.Expire, Idle: c.Silent,
 		Heeds: c.Heeds, Say: os.Stderr}
 	if err := plan.Check(); err != nil {
@@ -148,11 +148,11 @@
 	}
 	debug.SetGCPercent(400) // the load's own pauses would be taken for the servers'
 	if c.Expire {
-		phases, err := idle.Expire(ctx, plan)
-		return print(c.JSON, idle.PhaseHeads, phases, err)
+		phases, err := idleconns.Expire(ctx, plan)
+		return print(c.JSON, idleconns.PhaseHeads, phases, err)
 	}
-	rows, err := idle.Run(ctx, plan)
-	return print(c.JSON, idle.Heads, rows, err)
+	rows, err := idleconns.Run(ctx, plan)
+	return print(c.JSON, idleconns.Heads, rows, err)
 }
 
 // print shows what was measured, also where an error cut it short.
@@ -528,7 +528,7 @@
 	Heeds bool
 }
 
-func (c *holdCommand) Run() error { return idle.Hold(os.Stdin, os.Stdout, c.Addr, c.N, c.Heeds) }
+func (c *holdCommand) Run() error { return idleconns.Hold(os.Stdin, os.Stdout, c.Addr, c.N, c.Heeds) }
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
--- a/internal/lab/idle/expire.go
+++ b/internal/bench/idleconns/expire.go
@@ -1,4 +1,4 @@
-package idle
+package idleconns
 
 import (
 	"context"
--- a/internal/lab/idle/idle.go
+++ b/internal/bench/idleconns/idle.go
@@ -1,6 +1,6 @@
-// Package idle measures what connections that say nothing cost: memory, time of the core, and latency of the busy ones, as their
+// Package idleconns measures what connections that say nothing cost: memory, time of the core, and latency of the busy ones, as their
 // number grows; and what happens when all of them reach their time together.
-package idle
+package idleconns
 
 import (
 	"context"
