--- a/cmd/swiftlab/main.go
+++ b/cmd/swiftlab/main.go
@@ -18,12 +18,12 @@
 	"swiftcourse/internal/bench/keyclaims"
 	labfleet "swiftcourse/internal/bench/process"
 	"swiftcourse/internal/bench/quotas"
+	"swiftcourse/internal/bench/readiness"
 	"swiftcourse/internal/bench/report"
 	"swiftcourse/internal/bench/rollouts"
 	"swiftcourse/internal/bench/simulation"
 	"swiftcourse/internal/bench/twolevel"
 	"swiftcourse/internal/lab/demo"
-	"swiftcourse/internal/lab/ready"
 )
 
 type program struct {
@@ -115,8 +115,8 @@
 	if c.Servers < 1 || c.Servers > 200 || c.Rounds < 1 || c.Rounds > 100 || c.Late <= 0 || c.Late > 20*time.Second {
 		return fmt.Errorf("servers are 1 to 200, rounds 1 to 100, late over 0 and up to 20s")
 	}
-	rows, err := (&ready.Plan{Program: c.Server, Servers: c.Servers, Rounds: c.Rounds, Late: c.Late, Say: os.Stderr}).Run(ctx)
-	return print(c.JSON, ready.Heads, rows, err)
+	rows, err := (&readiness.Plan{Program: c.Server, Servers: c.Servers, Rounds: c.Rounds, Late: c.Late, Say: os.Stderr}).Run(ctx)
+	return print(c.JSON, readiness.Heads, rows, err)
 }
 
 type idleCommand struct {
--- a/internal/lab/ready/ready.go
+++ b/internal/bench/readiness/ready.go
@@ -1,6 +1,6 @@
-// Package ready measures how long servers take from their start until they serve and are listed, when all of a fleet start at once and what
+// Package readiness measures how long servers take from their start until they serve and are listed, when all of a fleet start at once and what
 // they need is there, or comes late.
-package ready
+package readiness
 
 import (
 	"context"
--- a/internal/lab/ready/ready_test.go
+++ b/internal/bench/readiness/ready_test.go
@@ -1,4 +1,4 @@
-package ready
+package readiness
 
 import (
 	"context"
