--- a/cmd/swiftlab/main.go
+++ b/cmd/swiftlab/main.go
@@ -14,6 +14,7 @@
 	"github.com/alecthomas/kong"
 
 	"swiftcourse/internal/bench/connflood"
+	"swiftcourse/internal/bench/demo"
 	"swiftcourse/internal/bench/idleconns"
 	"swiftcourse/internal/bench/keyclaims"
 	labfleet "swiftcourse/internal/bench/process"
@@ -23,7 +24,6 @@
 	"swiftcourse/internal/bench/rollouts"
 	"swiftcourse/internal/bench/simulation"
 	"swiftcourse/internal/bench/twolevel"
-	"swiftcourse/internal/lab/demo"
 )
 
 type program struct {
