--- a/Makefile
+++ b/Makefile
@@ -7,7 +7,7 @@
 
 # Shows the real server at work, with stand-ins for all that it speaks with.
 demo: build
-	bin/swiftlab demo
+	bin/swiftcourse-bench demo
 
 # Drawn tests draw the same every time, so that the verdict is the same; RAPID_SEED=0 make test draws anew.
 RAPID_SEED ?= 20261201
--- a/cmd/swiftlab/main.go
+++ b/cmd/swiftcourse-bench/main.go
@@ -1,4 +1,4 @@
-// Command swiftlab is the project's laboratory: it starts the real server with stand-ins for all that it speaks with, on
+// Command swiftcourse-bench is the project's laboratory: it starts the real server with stand-ins for all that it speaks with, on
 // loopback, and measures what it does.
 package main
 
@@ -260,7 +260,7 @@
 		}
 		rows = append(rows, row)
 		if bad := row.TwoDigests + row.ActedOut + row.Disagrees + row.Unhealed; bad > 0 {
-			fmt.Fprintf(os.Stderr, "seed %d: %d of what must not be; swiftlab audit --servers %d --seconds %g --seed %d --log shows it again\n", row.Seed, bad,
+			fmt.Fprintf(os.Stderr, "seed %d: %d of what must not be; swiftcourse-bench audit --servers %d --seconds %g --seed %d --log shows it again\n", row.Seed, bad,
 				c.Servers, c.Seconds, row.Seed)
 		}
 		c.Seed++
@@ -307,7 +307,7 @@
 		rows = append(rows, row)
 		bad += row.Bad()
 		if row.Bad() > 0 {
-			fmt.Fprintf(os.Stderr, "seed %d: %d of what must not be; swiftlab replica --servers %d --copies %d --kills %d --seconds %g --seed %d --log shows it again\n",
+			fmt.Fprintf(os.Stderr, "seed %d: %d of what must not be; swiftcourse-bench replica --servers %d --copies %d --kills %d --seconds %g --seed %d --log shows it again\n",
 				row.Seed, row.Bad(), c.Servers, c.Copies, c.Kills, c.Seconds, row.Seed)
 		}
 		if c.Seed++; ctx.Err() != nil {
@@ -534,10 +534,10 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	var p program
-	words := kong.Parse(&p, kong.Name("swiftlab"), kong.Description("The laboratory of swiftcourse: experiments with real servers on loopback."),
+	words := kong.Parse(&p, kong.Name("swiftcourse-bench"), kong.Description("The laboratory of swiftcourse: experiments with real servers on loopback."),
 		kong.UsageOnError(), kong.BindTo(ctx, (*context.Context)(nil)))
 	if err := words.Run(); err != nil {
-		fmt.Fprintln(os.Stderr, "swiftlab:", err)
+		fmt.Fprintln(os.Stderr, "swiftcourse-bench:", err)
 		stop()
 		os.Exit(1)
 	}
--- a/cmd/swiftcourse-fleet/command.go
+++ b/cmd/swiftcourse-fleet/command.go
@@ -44,7 +44,7 @@
 	Counts struct {
 		JSON bool `name:"json" help:"As JSON."`
 	} `cmd:"" help:"What all servers were asked for, by tenant and stage, and what may be missing of it; known to the voters."`
-	Demo  struct{} `cmd:"" help:"Show two levels on loopback, with stand-ins, while one process after the other dies; needs swiftlab beside this program."`
+	Demo  struct{} `cmd:"" help:"Show two levels on loopback, with stand-ins, while one process after the other dies; needs swiftcourse-bench beside this program."`
 	Plans struct {
 		JSON bool `name:"json" help:"As JSON."`
 	} `cmd:"" help:"Which plan a forwarder goes by; at the planner that leads, what it knows of forwarders and workers."`
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	lab, server := filepath.Join(filepath.Dir(self), "swiftlab"), filepath.Join(filepath.Dir(self), "swiftcourse")
+	lab, server := filepath.Join(filepath.Dir(self), "swiftcourse-bench"), filepath.Join(filepath.Dir(self), "swiftcourse")
 	return fmt.Errorf("%s: %w", lab, syscall.Exec(lab, []string{lab, "demo", "--levels", "--server", server}, os.Environ()))
 }
 
--- a/internal/bench/process/fleet.go
+++ b/internal/bench/process/fleet.go
@@ -137,7 +137,7 @@
 	if s.Addr, err = free(); err != nil {
 		return nil, err
 	}
-	if s.folder, err = os.MkdirTemp("", "swiftlab-"); err != nil {
+	if s.folder, err = os.MkdirTemp("", "swiftcourse-bench-"); err != nil {
 		return nil, err
 	}
 	text, err := json.Marshal(map[string]any{"name": name, "listen": s.Addr, "processor": s.Processor.Addr(),
