--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -122,7 +122,7 @@
 	}
 	if err := handler.handleOpen(conn, address); err != nil {
 		if s.mayLogPeerFault() {
-			slog.Info("connection_refused", "peer", conn.RemoteAddr(), "err", err)
+			slog.Info("connection_closed", "peer", conn.RemoteAddr(), "err", err)
 		}
 		return nil, gnet.Close
 	}
