--- a/internal/server/accept_test.go
+++ b/internal/server/accept_test.go
@@ -101,12 +101,12 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = a.listener.Close() }()
-	for _, first := range []string{requestFrame(1, "a1", "x"), healthCheckFrame, ""} {
-		c, err := net.Dial("tcp", a.listener.Addr().String())
+	for _, first := range []string{requestFrame(1, "a1", "x"), healthCheck(1), ""} {
+		conn, err := net.Dial("tcp", a.listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		e := newTestConn(t, c)
+		e := newTestConn(t, conn)
 		e.send("%s", first)
 		time.Sleep(time.Millisecond)
 		given, ok := a.acceptWithSpare(syscall.EMFILE)
@@ -122,12 +122,12 @@
 		a.reserveSpare()
 	}
 	// All that was sent has an answer, and what is no message resets nothing.
-	c, err := net.Dial("tcp", a.listener.Addr().String())
+	conn, err := net.Dial("tcp", a.listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := newTestConn(t, c)
-	e.send("%s%s%s\xc1%s", requestFrame(1, "a1", "x"), healthCheckFrame, requestFrame(2, "a2", "x"),
+	e := newTestConn(t, conn)
+	e.send("%s%s%s\xc1%s", requestFrame(1, "a1", "x"), healthCheck(1), requestFrame(2, "a2", "x"),
 		strings.Repeat("x", 20<<10))
 	given, ok := a.acceptWithSpare(syscall.EMFILE)
 	if !ok {
@@ -140,7 +140,7 @@
 	}
 	refuse(given, refusalReadTimeout)
 	got, err := io.ReadAll(e.in)
-	if err != nil || strings.Count(string(got), "Busy") != 2 || !strings.Contains(string(got), "\xc0\x92\xc3") {
+	if err != nil || strings.Count(string(got), "Busy") != 2 || !strings.Contains(string(got), healthyPayload) {
 		t.Errorf("%q, %v", got, err)
 	}
 	a.reserveSpare()
--- a/internal/server/client_test.go
+++ b/internal/server/client_test.go
@@ -19,22 +19,23 @@
 	logging.SetOutput(io.Discard)
 	for _, spoke := range []bool{false, true} {
 		s := newServerWithoutLoop(1e9)
-		name, p := s.clients.conns.Add()
-		p.server, p.id = s, name
-		c := &fakeSocket{fd: -1}
-		c.context = p
-		_ = p.handleOpen(c, "")
+		id, client := s.clients.conns.Add()
+		client.server, client.id = s, id
+		socket := &fakeSocket{fd: -1}
+		socket.context = client
+		_ = client.handleOpen(socket, "")
 		if spoke {
-			c.bytes = string(rpc.PutCheck(nil, 1))
-			s.OnTraffic(c)
+			socket.bytes = string(rpc.PutCheck(nil, 1))
+			s.OnTraffic(socket)
 			s.flush() // its answer is out
 		}
-		c.bytes = requestFrame(1, "a1", "x")[:40]
-		s.OnTraffic(c)
-		if s.maintainConnections(s.now() + 1); c.closed {
+		socket.bytes = requestFrame(1, "a1", "x")[:40]
+		s.OnTraffic(socket)
+		if s.maintainConnections(s.now() + 1); socket.closed {
 			t.Errorf("spoke %t: closed within a second", spoke)
 		}
-		if s.maintainConnections(s.now() + 86400); !c.closed || s.clients.conns.Len() != 0 || s.statistics.silent != 1 {
+		s.maintainConnections(s.now() + 86400)
+		if !socket.closed || s.clients.conns.Len() != 0 || s.statistics.silent != 1 {
 			t.Errorf("spoke %t: not closed after a day", spoke)
 		}
 	}
@@ -49,13 +50,13 @@
 		t.Errorf("after a malformed frame: %v", err)
 	}
 	odd.send("%s", strings.Replace(requestFrame(1, "b1", "x"), "quote", "quite", 1))
-	odd.expect(answerPrefix(1) + "\x92\xa7Invalid")
+	odd.expect(answerPrefix(1) + invalidPayload)
 	odd.send("%s", strings.Replace(requestFrame(2, "b2", "x"), "acme", "acne", 1))
-	odd.expect(answerPrefix(2) + "\x92\xa7Invalid")
+	odd.expect(answerPrefix(2) + invalidPayload)
 	odd.send("%s", requestFrame(3, "b3", "x"))
 	f.executor.expectCommand("begin", "b3")
 	odd.send("%s", requestFrame(4, "b3", "x")) // the id of another
-	odd.expect(answerPrefix(4) + "\x92\xa7Invalid")
+	odd.expect(answerPrefix(4) + invalidPayload)
 	odd.send("%s", requestFrame(3, "b4", "x")) // a message id that is open
 	f.executor.sendCompletion(1, "b3", "done", "r")
 	odd.expect(answerPrefix(3) + resultPrefix + "\x01r") // of what was read before
@@ -73,16 +74,16 @@
 	silent, half, odd, good := f.dialClient(), f.dialClient(), f.dialClient(), f.dialClient()
 	half.send("%s", requestFrame(1, "a1", "x")[:40])
 	odd.send("%s", requestFrame(1, "a2", "x", withArrival(1))) // out of range: it would teach an age of decades
-	odd.expect(answerPrefix(1) + "\x92\xa7Invalid")
-	good.send("\x94\x00\x01\xa6isWell\x91\x80")
+	odd.expect(answerPrefix(1) + invalidPayload)
+	good.send("%s", healthCheck(1))
 	good.expect("\xc3\x80")
 	for _, bad := range []*testConn{silent, half, odd} {
 		if _, err := io.ReadAll(bad.in); err != nil {
 			t.Errorf("instead of its end: %v", err)
 		}
 	}
-	good.send("\x94\x00\x02\xa6isWell\x91\x80") // idle for as long
-	good.expect(answerPrefix(2) + "\xc0\x92\xc3\x80")
+	good.send("%s", healthCheck(2)) // idle for as long
+	good.expect(answerPrefix(2) + healthyPayload + "\x80")
 }
 
 func TestClientConn_NothingReadAfterClose(t *testing.T) {
@@ -93,14 +94,14 @@
 	}, nil)
 	s.loop.handle, s.decisions.controller = idleLoop{}, admission.New(1, admission.Settings{})
 	for _, ends := range []bool{false, true} {
-		name, p := s.clients.conns.Add()
-		p.server, p.id = s, name
-		c := &fakeSender{context: p, bytes: requestFrame(1, fmt.Sprint("a", ends), "x")}
-		_ = p.handleOpen(c, "")
+		id, client := s.clients.conns.Add()
+		client.server, client.id = s, id
+		socket := &fakeSender{context: client, bytes: requestFrame(1, fmt.Sprint("a", ends), "x")}
+		_ = client.handleOpen(socket, "")
 		if ends {
-			p.closeNow() // the library closes it after this turn
+			client.closeNow() // the library closes it after this turn
 		}
-		if action := s.OnTraffic(c); (action == gnet.Close) != ends || s.requests.Len() != 1 {
+		if action := s.OnTraffic(socket); (action == gnet.Close) != ends || s.requests.Len() != 1 {
 			t.Errorf("ends %v: action %v, %d requests", ends, action, s.requests.Len())
 		}
 	}
@@ -110,7 +111,7 @@
 	f := startServer(t, nil)
 	client := f.dialClient()
 	_ = client.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
-	check := strings.Repeat("\x94\x00\x02\xa6isWell\x91\x80", 4000)
+	check := strings.Repeat(healthCheck(2), 4000)
 	var err error
 	for range 20000 { // far over all that the kernel and the server may hold
 		if _, err = client.Write([]byte(check)); err != nil {
--- a/internal/server/connlimit_test.go
+++ b/internal/server/connlimit_test.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first.send(healthCheckFrame)
+	first.send("%s", healthCheck(1))
 	first.expect("\xc3\x80")
 	second, err := f.dialFrom("127.6.0.1")
 	if err != nil {
@@ -120,7 +120,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first.send(healthCheckFrame)
+	first.send("%s", healthCheck(1))
 	first.expect("\xc3\x80")
 	if in() {
 		t.Error("over its cap")
--- a/internal/server/dial_test.go
+++ b/internal/server/dial_test.go
@@ -17,11 +17,11 @@
 // A server that is over dials nobody any more, nor does a pooled connection whose call is over.
 func TestDial_EndsWithItsContext(t *testing.T) {
 	s := New(&config.Startup{Addresses: config.Addresses{Executor: "127.0.0.9:1"}}, nil) // where nothing listens
-	l := listenLoopback(t)
+	listener := listenLoopback(t)
 	never := func(context.Context) (<-chan gnet.RegisteredResult, error) { t.Error("dialled"); return nil, nil }
 	ctx, giveUp := context.WithCancel(s.lifetime.context)
 	giveUp()
-	s.SetEndpoints(config.Addresses{Executor: l.Addr().String()})
+	s.SetEndpoints(config.Addresses{Executor: listener.Addr().String()})
 	s.dialUntilDone(ctx, never, dialTarget{addressOf: executorAddress, handler: s.executor})
 	s.stop()
 	// Both return.
@@ -64,8 +64,8 @@
 	executor.readCommand(false)
 	executor.sendUp("seasoned", 1)
 	executor.readCommand(true)
-	if m := executor.expectCommand("answer", "a1"); m["blob"] != "ZA==" {
-		t.Error(m)
+	if command := executor.expectCommand("answer", "a1"); command["blob"] != "ZA==" {
+		t.Error(command)
 	}
 	executor.sendCompletion(2, "a1", "done", "r")
 	client.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
@@ -99,9 +99,9 @@
 	f.executor.expectCommand("answer", "a1")
 	f.executor.sendCompletion(3, "a1", "done", "r")
 	client.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
-	for _, l := range []net.Listener{before.executorListener, before.upstreamListener} {
-		_ = l.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Millisecond))
-		if _, err := l.Accept(); err == nil {
+	for _, listener := range []net.Listener{before.executorListener, before.upstreamListener} {
+		_ = listener.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Millisecond))
+		if _, err := listener.Accept(); err == nil {
 			t.Error("dialled at an old address")
 		}
 	}
@@ -114,13 +114,13 @@
 	s := New(&config.Startup{Addresses: config.Addresses{Executor: "127.0.0.9:1"}}, nil) // where nothing listens
 	to := make(chan string, 1)
 	s.dialWith(func(ctx context.Context) (<-chan gnet.RegisteredResult, error) {
-		c, _ := gnet.FromNetConnContext(ctx)
-		to <- c.RemoteAddr().String()
-		return nil, c.Close()
+		conn, _ := gnet.FromNetConnContext(ctx)
+		to <- conn.RemoteAddr().String()
+		return nil, conn.Close()
 	}, dialTarget{addressOf: executorAddress, handler: s.executor})
-	l := listenLoopback(t)
-	s.SetEndpoints(config.Addresses{Executor: l.Addr().String()})
-	if got := <-to; got != l.Addr().String() {
+	listener := listenLoopback(t)
+	s.SetEndpoints(config.Addresses{Executor: listener.Addr().String()})
+	if got := <-to; got != listener.Addr().String() {
 		t.Errorf("dialled %s", got)
 	}
 }
--- a/internal/server/directive_test.go
+++ b/internal/server/directive_test.go
@@ -64,16 +64,16 @@
 	close(finish)
 	var finished, rejected, byDirective int // the controller may have rejected some before, with its own Retry-After
 	for finished+rejected < requests {
-		switch a := client.readAnswer(); a.End {
+		switch answer := client.readAnswer(); answer.End {
 		case rpc.Finished:
 			finished++
 		case rpc.Rejected:
 			rejected++
-			if a.Say.Advice == outOfServiceRetryAfter {
+			if answer.Say.Advice == outOfServiceRetryAfter {
 				byDirective++
 			}
 		default:
-			t.Fatalf("answer %+v", a)
+			t.Fatalf("answer %+v", answer)
 		}
 	}
 	if runs := len(started) + 1; finished != runs || byDirective == 0 {
@@ -88,8 +88,8 @@
 	f.setDirective(serving.ModeNormal, math.Inf(1), serving.ModeNormal)
 	f.waitForReport(true)
 	client.send("%s", requestFrame(99, "0000000000000099", "x"))
-	if a := client.readAnswer(); a.End != rpc.Finished {
-		t.Errorf("back, it answers %+v", a)
+	if answer := client.readAnswer(); answer.End != rpc.Finished {
+		t.Errorf("back, it answers %+v", answer)
 	}
 }
 
@@ -103,8 +103,8 @@
 	stamp := f.setDirective(serving.ModeNormal, f.server.Now()-1, serving.ModeOutOfService)
 	client := f.dialClient()
 	client.send("%s", requestFrame(1, "0000000000000001", "x"))
-	if a := client.readAnswer(); a.End != rpc.Rejected {
-		t.Errorf("it answers %+v", a)
+	if answer := client.readAnswer(); answer.End != rpc.Rejected {
+		t.Errorf("it answers %+v", answer)
 	}
 	if n := stamp.Requests.Load(); n != 0 || len(started) != 0 {
 		t.Errorf("%d requests were taken in, %d started", n, len(started))
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -105,10 +105,10 @@
 func TestDrain_AsksToCloseWhileRequestsRun(t *testing.T) {
 	f, client := startRunningRequest(t, func(s *config.Startup) { s.StopTimeout = 10 })
 	f.server.Drain()
-	client.expect("goaway\x90") // its request still runs
+	client.expect(closeRequest) // its request still runs
 	f.waitUntilRefused()
 	client.send("%s", requestFrame(2, "a2", "x")) // crossed that
-	client.expect(answerPrefix(2) + "\x92\xa4Busy")
+	client.expect(answerPrefix(2) + rejectedPayload)
 	f.executor.sendCompletion(1, "a1", "done", "r")
 	client.expect(answerPrefix(1) + resultPrefix + "\x01r")
 	_ = client.Close()
@@ -138,9 +138,9 @@
 	f.executor.expectCommand("begin", "a1")
 	other, third := f.dialClient(), f.dialClient()
 	other.send("%s", requestFrame(1, "a2", "x"))
-	third.send("%s%s", requestFrame(1, "a3", "x"), healthCheckFrame)
+	third.send("%s%s", requestFrame(1, "a3", "x"), healthCheck(1))
 	f.server.Drain()
-	client.expect("goaway\x90") // the acceptor was told to close by then, and takes nobody yet
+	client.expect(closeRequest) // the acceptor was told to close by then, and takes nobody yet
 	close(gate)
 	third.expect("\xc0\x92\xc2") // not well
 	one, two := f.executor.readCommand(false), f.executor.readCommand(false)
@@ -167,12 +167,12 @@
 	f := startUnready(t, func(s *config.Startup) { s.StopTimeout, s.Settings.DrainGracePeriod = 20, 10 }, nil)
 	client := f.dialClient()
 	client.send("%s", requestFrame(1, "a1", "x"))
-	client.expect(answerPrefix(1) + "\x92\xa4Busy")
+	client.expect(answerPrefix(1) + rejectedPayload)
 	f.server.Drain()
-	client.expect("goaway\x90")
+	client.expect(closeRequest)
 	f.executor.sendUp("fresh", 1)
 	client.send("%s", requestFrame(2, "a2", "x"))
-	client.expect(answerPrefix(2) + "\x92\xa4Busy")
+	client.expect(answerPrefix(2) + rejectedPayload)
 	_ = client.Close()
 	if err := <-f.runResult; err != nil {
 		t.Error(err)
@@ -203,9 +203,9 @@
 // Told to drain before the executor has even accepted its link: there is nothing to answer, and
 // the server ends.
 func TestDrain_BeforeAnyConnection(t *testing.T) {
-	l := listenLoopback(t)
-	addr := l.Addr().String()
-	_ = l.Close()
+	listener := listenLoopback(t)
+	addr := listener.Addr().String()
+	_ = listener.Close()
 	s := New(&config.Startup{
 		Listen:      addr,
 		Addresses:   config.Addresses{Executor: "127.0.0.9:1", Registry: "127.0.0.9:1"},
@@ -235,7 +235,7 @@
 	f.executor.readCommand(true)
 	f.executor.sendCompletion(1, "a1", "done", "r")
 	client.expect(answerPrefix(1) + resultPrefix + "\x01r")
-	client.expect("goaway\x90")
+	client.expect(closeRequest)
 	_ = client.Close()
 	if err := <-f.runResult; err != nil {
 		t.Error(err)
--- a/internal/server/evict_test.go
+++ b/internal/server/evict_test.go
@@ -29,7 +29,7 @@
 
 func TestEviction_SilentConnectionsMakeRoom(t *testing.T) {
 	f := startServer(t, func(s *config.Startup) { s.MaxSockets = 64 })
-	check := "\x94\x00\x01\xa6isWell\x91\x80"
+	check := healthCheck(1)
 	busy := f.dialClient()
 	busy.send("%s", requestFrame(1, "a1", "x"))
 	f.executor.expectCommand("begin", "a1")
@@ -48,19 +48,19 @@
 func TestEviction_SparesConnectionsWithPendingAnswers(t *testing.T) {
 	s := New(&config.Startup{Settings: admission.Settings{IdleTimeout: 30}}, nil)
 	add := func(unsent bool) *clientConn {
-		name, p := s.clients.conns.Add()
-		p.server, p.id, p.conn, p.unsent = s, name, brokenConn{}, unsent
-		s.clients.limiter.Open(name.Slot(), 0)
-		s.clients.limiter.Tell(name.Slot(), connlimit.Spoke, 0)
-		return p
+		id, client := s.clients.conns.Add()
+		client.server, client.id, client.conn, client.unsent = s, id, brokenConn{}, unsent
+		s.clients.limiter.Open(id.Slot(), 0)
+		s.clients.limiter.Tell(id.Slot(), connlimit.Spoke, 0)
+		return client
 	}
 	answered, silent, late := add(true), add(false), add(false)
 	s.clients.limiter.Tell(silent.id.Slot(), connlimit.Spoke, 1)
-	if p := s.evictionCandidate(late); p != silent { // an answer is on its way out to the first
-		t.Errorf("%+v goes", p)
+	if client := s.evictionCandidate(late); client != silent { // an answer is on its way out to the first
+		t.Errorf("%+v goes", client)
 	}
 	s.clients.limiter.Tell(silent.id.Slot(), connlimit.Owed, 2)
-	if p := s.evictionCandidate(late); p != nil {
-		t.Errorf("%+v goes, %+v", p, answered)
+	if client := s.evictionCandidate(late); client != nil {
+		t.Errorf("%+v goes, %+v", client, answered)
 	}
 }
--- a/internal/server/executor_test.go
+++ b/internal/server/executor_test.go
@@ -20,16 +20,16 @@
 	if hello := executor.readCommand(false); hello["msg"] != "hello" || hello["serial"] != 1.0 {
 		t.Fatal(hello)
 	}
-	client.send("%s\x94\x00\x04\xa6isWell\x91\x80", requestFrame(3, "a3", "x"))
+	client.send("%s%s", requestFrame(3, "a3", "x"), healthCheck(4))
 	client.expect(answerPrefix(4)) // so the request was read too, but no command goes out yet
 	executor.sendUp("seasoned", 3600000)
 	executor.sendCall(1, "a1", "again")           // read before
 	executor.sendCompletion(2, "a2", "done", "r") // missed
-	if m := executor.readCommand(true); m["msg"] != "usage" {
-		t.Fatalf("%v before the fence", m)
+	if command := executor.readCommand(true); command["msg"] != "usage" {
+		t.Fatalf("%v before the fence", command)
 	}
-	if m := executor.expectCommand("answer", "a1"); m["blob"] != "ZA==" {
-		t.Fatal(m)
+	if command := executor.expectCommand("answer", "a1"); command["blob"] != "ZA==" {
+		t.Fatal(command)
 	}
 	executor.expectCommand("begin", "a3")
 	client.expect(answerPrefix(2) + resultPrefix + "\x01r\x80")
@@ -46,7 +46,7 @@
 	executor.readCommand(true)
 	executor.expectCommand("begin", "a1")
 	executor.send(`{"msg":"reject","how":"begin","call":"a1"}` + "\n") // it never ran, so the controller gives it up
-	client.expect(answerPrefix(1) + "\x92\xa6Failed")
+	client.expect(answerPrefix(1) + failedPayload)
 }
 
 // Whether a begin that has no proof was read nobody can tell, and where running twice is ruled out
--- a/internal/server/fakes_test.go
+++ b/internal/server/fakes_test.go
@@ -99,22 +99,22 @@
 }
 
 // addLinkedClient adds a client's connection whose far end is in the test's hands.
-func addLinkedClient(t *testing.T, s *Server) (p *clientConn, c *fakeSocket, far int) {
+func addLinkedClient(t *testing.T, s *Server) (client *clientConn, socket *fakeSocket, far int) {
 	t.Helper()
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = unix.Close(pair[0]); _ = unix.Close(pair[1]) })
-	name, p := s.clients.conns.Add()
-	p.server, p.id = s, name
-	c = &fakeSocket{fd: pair[0]}
-	c.context = p
-	if err := p.handleOpen(c, ""); err != nil {
+	id, client := s.clients.conns.Add()
+	client.server, client.id = s, id
+	socket = &fakeSocket{fd: pair[0]}
+	socket.context = client
+	if err := client.handleOpen(socket, ""); err != nil {
 		t.Fatal(err)
 	}
-	s.clients.limiter.Tell(name.Slot(), connlimit.Spoke, s.now())
-	return p, c, pair[1]
+	s.clients.limiter.Tell(id.Slot(), connlimit.Spoke, s.now())
+	return client, socket, pair[1]
 }
 
 // idleLoop runs nothing.
--- a/internal/server/fixture_test.go
+++ b/internal/server/fixture_test.go
@@ -148,23 +148,23 @@
 
 // newFakeRegistry hangs up after each report, at times before its answer.
 func newFakeRegistry(t *testing.T) *roster.Roster {
-	r, err := roster.Start("127.0.0.9:0", func(n int) roster.Manner {
+	registry, err := roster.Start("127.0.0.9:0", func(n int) roster.Manner {
 		return []roster.Manner{roster.HangUp, roster.Mute}[n%2]
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.Close)
-	return r
+	t.Cleanup(registry.Close)
+	return registry
 }
 
 func (f *fixture) dialClient() *testConn {
 	f.Helper()
-	c, err := net.DialTimeout("tcp", f.server.startup.Listen, testTimeout)
+	conn, err := net.DialTimeout("tcp", f.server.startup.Listen, testTimeout)
 	if err != nil {
 		f.Fatal(err)
 	}
-	return newTestConn(f.T, c)
+	return newTestConn(f.T, conn)
 }
 
 // onLoop has the server's loop do something, and waits until it has.
@@ -211,12 +211,12 @@
 
 // dialFrom dials the server from an address of loopback.
 func (f *fixture) dialFrom(addr string) (*testConn, error) {
-	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(addr)}, Timeout: testTimeout}
-	c, err := d.Dial("tcp", f.server.startup.Listen)
+	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(addr)}, Timeout: testTimeout}
+	conn, err := dialer.Dial("tcp", f.server.startup.Listen)
 	if err != nil {
 		return nil, err
 	}
-	return newTestConn(f.T, c), nil
+	return newTestConn(f.T, conn), nil
 }
 
 // waitUntilRefused dials until the system refuses a connection: the listener closes a moment after
@@ -224,12 +224,12 @@
 func (f *fixture) waitUntilRefused() {
 	f.Helper()
 	for {
-		c, err := net.DialTimeout("tcp", f.server.startup.Listen, testTimeout)
+		conn, err := net.DialTimeout("tcp", f.server.startup.Listen, testTimeout)
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			return
 		}
 		if err == nil {
-			_ = c.Close()
+			_ = conn.Close()
 		} else if !errors.Is(err, syscall.ECONNRESET) { // it lay in the queue as the listener closed, and nothing ran
 			f.Fatal(err)
 		}
@@ -315,20 +315,20 @@
 			var held []net.Conn
 			for n := 0; ctx.Err() == nil; n++ {
 				from := net.ParseIP(fmt.Sprintf("%s.%d.%d", prefix, i, n%250+1))
-				d := net.Dialer{LocalAddr: &net.TCPAddr{IP: from}, Timeout: time.Second}
-				c, err := d.DialContext(ctx, "tcp", f.server.startup.Listen)
+				dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: from}, Timeout: time.Second}
+				conn, err := dialer.DialContext(ctx, "tcp", f.server.startup.Listen)
 				tries.Add(1)
 				if err != nil {
 					continue
 				}
-				_, _ = io.WriteString(c, healthCheckFrame)
-				if held = append(held, c); len(held) > 100 {
+				_, _ = io.WriteString(conn, healthCheck(1))
+				if held = append(held, conn); len(held) > 100 {
 					_ = held[0].Close()
 					held = held[1:]
 				}
 			}
-			for _, c := range held {
-				_ = c.Close()
+			for _, conn := range held {
+				_ = conn.Close()
 			}
 		}()
 	}
--- a/internal/server/graceful_test.go
+++ b/internal/server/graceful_test.go
@@ -20,12 +20,12 @@
 	f := startServer(t, nil)
 	client, other := f.dialClient(), f.dialClient()
 	first, second := requestFrame(1, "a1", "x"), requestFrame(2, "a2", "x")
-	client.send("%s%s\xc1%s", first, healthCheckFrame, second) // all in one piece
-	client.expect("\xc0\x92\xc3")
+	client.send("%s%s\xc1%s", first, healthCheck(1), second) // all in one piece
+	client.expect(healthyPayload)
 	f.executor.expectCommand("begin", "a1")
 	client.send("%s", requestFrame(3, "a3", "x")) // nothing of it is read any more
-	other.send("%s\xc1", healthCheckFrame)        // its answer is not out as the bytes are met
-	other.expect("\xc0\x92\xc3")
+	other.send("%s\xc1", healthCheck(1))          // its answer is not out as the bytes are met
+	other.expect(healthyPayload)
 	if _, err := io.ReadAll(other.in); err != nil {
 		t.Errorf("instead of its end: %v", err)
 	}
@@ -43,16 +43,16 @@
 func TestMutedConnection_ClosedWhenAnswersUnread(t *testing.T) {
 	logging.SetOutput(io.Discard)
 	s := newServerWithoutLoop(30)
-	p, c, _ := addLinkedClient(t, s)
-	c.unsent = 100
-	p.mute()
+	client, socket, _ := addLinkedClient(t, s)
+	socket.unsent = 100
+	client.mute()
 	now := s.now()
 	for at := now; at < now+mutedFlushTimeout; at += mutedFlushTimeout / 4 {
-		if s.maintainMuted(at); c.closed {
+		if s.maintainMuted(at); socket.closed {
 			t.Fatal("closed with an answer under way")
 		}
 	}
-	if s.maintainMuted(now + mutedFlushTimeout); !c.closed || s.clients.conns.Len() != 0 {
+	if s.maintainMuted(now + mutedFlushTimeout); !socket.closed || s.clients.conns.Len() != 0 {
 		t.Error("stays for ever")
 	}
 }
@@ -63,25 +63,25 @@
 	logging.SetOutput(io.Discard)
 	for _, leaves := range []bool{true, false} {
 		s := newServerWithoutLoop(30)
-		p, c, far := addLinkedClient(t, s)
-		p.closeGracefully()
-		if !peerShutDown(far) || c.closed || s.clients.conns.Len() != 0 {
-			t.Fatalf("closed %t, %d clients", c.closed, s.clients.conns.Len())
+		client, socket, far := addLinkedClient(t, s)
+		client.closeGracefully()
+		if !peerShutDown(far) || socket.closed || s.clients.conns.Len() != 0 {
+			t.Fatalf("closed %t, %d clients", socket.closed, s.clients.conns.Len())
 		}
-		c.bytes = requestFrame(1, "a1", "x")
-		if s.OnTraffic(c); c.closed || s.requests.Len() != 0 || len(s.decisions.pending) != 0 {
-			t.Errorf("closed %t, %d requests, events %v", c.closed, s.requests.Len(), s.decisions.pending)
+		socket.bytes = requestFrame(1, "a1", "x")
+		if s.OnTraffic(socket); socket.closed || s.requests.Len() != 0 || len(s.decisions.pending) != 0 {
+			t.Errorf("closed %t, %d requests, events %v", socket.closed, s.requests.Len(), s.decisions.pending)
 		}
 		if leaves {
-			s.OnClose(c, nil)
+			s.OnClose(socket, nil)
 		} else {
 			s.clients.lingering[0].deadline = s.now()
 			s.expireLingering()
 		}
-		if len(s.clients.lingering) != 0 || c.closed == leaves {
-			t.Errorf("leaves %t: %d are closing, closed %t", leaves, len(s.clients.lingering), c.closed)
+		if len(s.clients.lingering) != 0 || socket.closed == leaves {
+			t.Errorf("leaves %t: %d are closing, closed %t", leaves, len(s.clients.lingering), socket.closed)
 		}
-		s.OnClose(c, nil) // the library's, late
+		s.OnClose(socket, nil) // the library's, late
 	}
 }
 
@@ -93,13 +93,13 @@
 		s.drain.closing = leaves
 		var all []*fakeSocket
 		for range maxLingering + 5 {
-			p, c, _ := addLinkedClient(t, s)
-			all = append(all, c)
-			p.closeGracefully()
+			client, socket, _ := addLinkedClient(t, s)
+			all = append(all, socket)
+			client.closeGracefully()
 		}
 		var gone string
-		for _, c := range all[:6] {
-			gone += fmt.Sprint(c.closed, " ")
+		for _, socket := range all[:6] {
+			gone += fmt.Sprint(socket.closed, " ")
 		}
 		want := "true true true true true false "
 		if leaves {
@@ -116,34 +116,34 @@
 	for _, wakes := range []bool{true, false} {
 		s := newServerWithoutLoop(30)
 		s.clients.limiter.Idle(0)
-		p, c, far := addLinkedClient(t, s)
-		name, now := p.id, s.now()
+		client, socket, far := addLinkedClient(t, s)
+		id, now := client.id, s.now()
 		s.maintainConnections(now + 1)
-		if s.clients.limiter.State(name.Slot()) != connlimit.Parting {
-			t.Fatalf("state %d", s.clients.limiter.State(name.Slot()))
+		if s.clients.limiter.State(id.Slot()) != connlimit.Parting {
+			t.Fatalf("state %d", s.clients.limiter.State(id.Slot()))
 		}
 		s.flush()
 		if wakes {
-			c.bytes = requestFrame(1, "a1", "x")
-			if _, err := unix.Write(far, []byte(c.bytes)); err != nil {
+			socket.bytes = requestFrame(1, "a1", "x")
+			if _, err := unix.Write(far, []byte(socket.bytes)); err != nil {
 				t.Fatal(err)
 			}
 		}
 		s.maintainConnections(now + 3)
-		if peerShutDown(far) == wakes || (s.clients.conns.Get(name) == nil) == wakes {
+		if peerShutDown(far) == wakes || (s.clients.conns.Get(id) == nil) == wakes {
 			t.Fatalf("wakes %t, and it is %d clients", wakes, s.clients.conns.Len())
 		}
 		if !wakes { // what crosses that is thrown away
-			c.bytes = requestFrame(1, "a1", "x")
-			if action := s.OnTraffic(c); action != gnet.None || s.requests.Len() != 0 {
+			socket.bytes = requestFrame(1, "a1", "x")
+			if action := s.OnTraffic(socket); action != gnet.None || s.requests.Len() != 0 {
 				t.Errorf("action %v, %d requests", action, s.requests.Len())
 			}
 			s.clients.lingering[0].deadline = 0
-			if s.expireLingering(); !c.closed {
+			if s.expireLingering(); !socket.closed {
 				t.Error("stays for ever")
 			}
 		}
-		if action := s.OnTraffic(c); wakes != (action == gnet.None && s.requests.Len() == 1) {
+		if action := s.OnTraffic(socket); wakes != (action == gnet.None && s.requests.Len() == 1) {
 			t.Errorf("wakes %t: action %v, %d requests", wakes, action, s.requests.Len())
 		}
 		if !wakes {
@@ -151,11 +151,11 @@
 		}
 		s.maintainConnections(now + 100) // a request is open
 		s.reject(s.requests.Get("a1"), 0, false)
-		got := fmt.Sprintf("%q", s.clients.conns.Get(name).out.Buffers())
+		got := fmt.Sprintf("%q", s.clients.conns.Get(id).out.Buffers())
 		if s.requests.Unanswered() != 0 || s.statistics.rejected != 1 || len(got) < 10 {
 			t.Errorf("its answer: %s", got)
 		}
-		if _, err := unix.Read(c.fd, make([]byte, 4096)); err != nil { // as gnet would have before OnTraffic
+		if _, err := unix.Read(socket.fd, make([]byte, 4096)); err != nil { // as gnet would have before OnTraffic
 			t.Fatal(err)
 		}
 	}
@@ -187,17 +187,17 @@
 func TestGracefulClose_WaitsForUnsentAnswers(t *testing.T) {
 	s := newServerWithoutLoop(30)
 	s.clients.limiter.Idle(0)
-	_, c, far := addLinkedClient(t, s)
-	c.unsent = 100
+	_, socket, far := addLinkedClient(t, s)
+	socket.unsent = 100
 	now := s.now()
 	s.maintainConnections(now + 1) // is asked to close
 	s.flush()
 	for at := now + 2; at < now+5; at++ {
-		if s.maintainConnections(at); peerShutDown(far) || c.closed {
+		if s.maintainConnections(at); peerShutDown(far) || socket.closed {
 			t.Fatal("closed with an answer under way")
 		}
 	}
-	c.unsent = 0
+	socket.unsent = 0
 	for at := now + 5; at < now+8; at++ {
 		s.maintainConnections(at)
 	}
@@ -216,14 +216,14 @@
 	half := requestFrame(1, "b1", "x", withArrival(float64(time.Now().Unix()+20))) // after all
 	other.send("%s", half[:50])
 	f.server.Drain()
-	client.expect("goaway\x90")
+	client.expect(closeRequest)
 	client.send("%s%s%s", requestFrame(2, "a2", "x"), requestFrame(3, "a3", "x"), requestFrame(4, "a4", "x"))
 	other.send("%s", half[50:])
 	for n := range byte(3) {
-		client.expect(answerPrefix(n+2) + "\x92\xa4Busy")
+		client.expect(answerPrefix(n+2) + rejectedPayload)
 	}
-	other.expect("goaway\x90")
-	other.expect(answerPrefix(1) + "\x92\xa4Busy")
+	other.expect(closeRequest)
+	other.expect(answerPrefix(1) + rejectedPayload)
 	f.executor.sendCompletion(1, "a1", "done", "r")
 	client.expect(answerPrefix(1) + resultPrefix + "\x01r")
 }
@@ -231,8 +231,8 @@
 func TestGracefulClose_SilentConnections(t *testing.T) {
 	f := startServer(t, func(s *config.Startup) { s.Settings.IdleTimeout = 0.05 })
 	client := f.dialClient()
-	client.send("\x94\x00\x01\xa6isWell\x91\x80")
-	client.expect("goaway\x90")
+	client.send("%s", healthCheck(1))
+	client.expect(closeRequest)
 	if _, err := io.ReadAll(client.in); err != nil {
 		t.Errorf("instead of its end: %v", err)
 	}
--- a/internal/server/idle_bench_test.go
+++ b/internal/server/idle_bench_test.go
@@ -45,8 +45,8 @@
 		b.ReportMetric(bytes/n, whose+"_B/conn")
 	}
 	b.ReportMetric(0, "ns/op")
-	for _, c := range open {
-		_ = c.Close()
+	for _, conn := range open {
+		_ = conn.Close()
 	}
 	s.stop()
 	if err := <-done; err != nil {
@@ -58,18 +58,18 @@
 func holdChecked(b *testing.B, addr string, n int) (open []net.Conn) {
 	b.Helper()
 	for len(open) < n {
-		c, err := net.Dial("tcp", addr)
+		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			if len(open) == 0 {
 				continue // it does not listen yet
 			}
 			b.Fatal(err)
 		}
-		_, _ = c.Write(rpc.PutCheck(nil, 1))
-		if _, err := c.Read(make([]byte, 16)); err != nil {
+		_, _ = conn.Write(rpc.PutCheck(nil, 1))
+		if _, err := conn.Read(make([]byte, 16)); err != nil {
 			b.Fatal(err)
 		}
-		open = append(open, c)
+		open = append(open, conn)
 	}
 	return open
 }
--- a/internal/server/registry_test.go
+++ b/internal/server/registry_test.go
@@ -50,7 +50,7 @@
 	f.executor.expectCommand("begin", "a1")
 	f.executor.sendCompletion(1, "a1", "done", "r")
 	client.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
-	client.send(healthCheckFrame)
+	client.send("%s", healthCheck(1))
 	client.expect("\xc3\x80")
 	to := f.addresses()
 	f.server.SetEndpoints(to)
--- a/internal/server/request_test.go
+++ b/internal/server/request_test.go
@@ -13,8 +13,8 @@
 	f := startServer(t, deduplicateOnlyClass)
 	client := f.dialClient()
 	client.send("%s%s", requestFrame(1, "a1", "x"), requestFrame(2, "a2", "x", withKey(strings.Repeat("k", 300))))
-	client.expect(answerPrefix(1) + "\x92\xa7Invalid")
-	client.expect(answerPrefix(2) + "\x92\xa7Invalid")
+	client.expect(answerPrefix(1) + invalidPayload)
+	client.expect(answerPrefix(2) + invalidPayload)
 	client.send("%s", requestFrame(3, "a3", "x", withKey("k")))
 	f.executor.expectCommand("begin", "a3")
 }
@@ -25,16 +25,17 @@
 	for i := range byte(maxRequestsPerConn + 1) {
 		client.send("%s", requestFrame(i+1, fmt.Sprintf("a%d", i), "x"))
 	}
-	client.expect(answerPrefix(maxRequestsPerConn+1) + "\x92\xa7Invalid")
+	client.expect(answerPrefix(maxRequestsPerConn+1) + invalidPayload)
 }
 
 func TestRequest_WithUpstreamCallAndHealthCheck(t *testing.T) {
 	f := startServer(t, nil)
 	client := f.dialClient()
-	client.send("%s%s", requestFrame(1, "a1", "the body"), "\x94\x00\x02\xa6isWell\x91\x80")
-	client.expect(answerPrefix(2) + "\xc0\x92\xc3\x80")
-	if m := f.executor.expectCommand("begin", "a1"); m["blob"] != "dGhlIGJvZHk=" || m["service"] != "quote" {
-		t.Fatal(m)
+	client.send("%s%s", requestFrame(1, "a1", "the body"), healthCheck(2))
+	client.expect(answerPrefix(2) + healthyPayload + "\x80")
+	command := f.executor.expectCommand("begin", "a1")
+	if command["blob"] != "dGhlIGJvZHk=" || command["service"] != "quote" {
+		t.Fatal(command)
 	}
 	f.executor.sendCall(1, "a1", "a\r\ncall")
 	below := acceptConn(t, f.upstreamListener)
@@ -42,8 +43,8 @@
 		t.Fatalf("%q", got)
 	}
 	below.send("zz DATA 3\r\nold\r\na1 DATA 5\r\nreply\r\n") // the first is of a call given up long ago
-	if m := f.executor.expectCommand("answer", "a1"); m["blob"] != "cmVwbHk=" {
-		t.Fatal(m)
+	if command := f.executor.expectCommand("answer", "a1"); command["blob"] != "cmVwbHk=" {
+		t.Fatal(command)
 	}
 	f.executor.sendCompletion(2, "a1", "done", "result")
 	client.expect(answerPrefix(1) + resultPrefix + "\x06result\x80")
@@ -73,8 +74,8 @@
 	client := f.dialClient()
 	client.send("%s", requestFrame(1, "a1", "x", untold))
 	f.executor.expectCommand("begin", "a1")
-	client.expect(answerPrefix(1) + "\x92\xa6Failed")
+	client.expect(answerPrefix(1) + failedPayload)
 	told := startServer(t, nil).dialClient()
 	told.send("%s", requestFrame(1, "a1", "x", untold))
-	told.expect(answerPrefix(1) + "\x92\xa7Invalid")
+	told.expect(answerPrefix(1) + invalidPayload)
 }
--- a/internal/server/testconn_test.go
+++ b/internal/server/testconn_test.go
@@ -26,30 +26,30 @@
 }
 
 func listenLoopback(t *testing.T) net.Listener {
-	l, err := net.Listen("tcp", "127.0.0.9:0") // not where dials come from, whose ports could clash
+	listener, err := net.Listen("tcp", "127.0.0.9:0") // not where dials come from, whose ports could clash
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.Close() })
-	return l
+	t.Cleanup(func() { _ = listener.Close() })
+	return listener
 }
 
-func acceptConn(t *testing.T, l net.Listener) *testConn {
+func acceptConn(t *testing.T, listener net.Listener) *testConn {
 	t.Helper()
-	if err := l.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout)); err != nil {
+	if err := listener.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	c, err := l.Accept()
+	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return newTestConn(t, c)
+	return newTestConn(t, conn)
 }
 
-func newTestConn(t *testing.T, c net.Conn) *testConn {
-	t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(testTimeout))
-	return &testConn{t, c, bufio.NewReader(c)}
+func newTestConn(t *testing.T, conn net.Conn) *testConn {
+	t.Cleanup(func() { _ = conn.Close() })
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
+	return &testConn{t, conn, bufio.NewReader(conn)}
 }
 
 func (e *testConn) send(format string, a ...any) {
@@ -78,27 +78,27 @@
 func (e *testConn) readCommand(fence bool) map[string]any {
 	e.t.Helper()
 	for {
-		var m map[string]any
-		if err := json.Unmarshal([]byte(e.expect("\n")), &m); err != nil {
+		var command map[string]any
+		if err := json.Unmarshal([]byte(e.expect("\n")), &command); err != nil {
 			e.t.Fatal(err)
 		}
-		if m["msg"] != "usage" {
-			return m
+		if command["msg"] != "usage" {
+			return command
 		}
-		e.send(`{"msg":"used","cookie":"%s","stats":[0.5,3]}`+"\n", m["cookie"])
-		if fence && strings.HasPrefix(m["cookie"].(string), "fence") {
-			return m
+		e.send(`{"msg":"used","cookie":"%s","stats":[0.5,3]}`+"\n", command["cookie"])
+		if fence && strings.HasPrefix(command["cookie"].(string), "fence") {
+			return command
 		}
 	}
 }
 
 func (e *testConn) expectCommand(msg, call string) map[string]any {
 	e.t.Helper()
-	m := e.readCommand(false)
-	if m["msg"] != msg || m["call"] != call {
-		e.t.Fatalf("got %v, want %s %s", m, msg, call)
+	command := e.readCommand(false)
+	if command["msg"] != msg || command["call"] != call {
+		e.t.Fatalf("got %v, want %s %s", command, msg, call)
 	}
-	return m
+	return command
 }
 
 // requestFrame is a request as a client writes it.
@@ -137,7 +137,16 @@
 
 const resultPrefix = "\xc0\x92\xc4" // no error, and a result of under 256 bytes
 
-const failedPayload = "\x92\xa6Failed"
+// What follows answerPrefix.
+const (
+	failedPayload   = "\x92\xa6Failed"
+	rejectedPayload = "\x92\xa4Busy"
+	invalidPayload  = "\x92\xa7Invalid"
+	healthyPayload  = "\xc0\x92\xc3" // no error, and true
+)
+
+// closeRequest is the message by which the server asks a client to close.
+const closeRequest = "goaway\x90"
 
 func answerPrefix(number byte) string { return string([]byte{0x94, 1, number}) }
 
@@ -173,14 +182,17 @@
 			e.t.Fatal(err)
 		}
 		got = append(got, b)
-		a, size, err := rpc.NextAnswer(got)
+		answer, size, err := rpc.NextAnswer(got)
 		if err != nil {
 			e.t.Fatal(err)
 		}
 		if size > 0 {
-			return a
+			return answer
 		}
 	}
 }
 
-const healthCheckFrame = "\x94\x00\x01\xa6isWell\x91\x80"
+// healthCheck is a health check as a client sends it.
+func healthCheck(number byte) string {
+	return "\x94\x00" + string([]byte{number}) + "\xa6isWell\x91\x80"
+}
--- a/internal/server/upstream_test.go
+++ b/internal/server/upstream_test.go
@@ -28,7 +28,7 @@
 	_ = f.upstreamListener.Close()
 	_ = below.Close() // no dial gets through now
 	f.executor.sendCompletion(2, "a1", "crashed", "")
-	client.expect(answerPrefix(1) + "\x92\xa6Failed")
+	client.expect(answerPrefix(1) + failedPayload)
 }
 
 func TestUpstreamCall_MalformedReplyFailsOnlyItsCall(t *testing.T) {
@@ -53,8 +53,8 @@
 	one.expect("FETCH a1 ")
 	one.expect("\r\nc\r\n")
 	two.send("a2 DATA 1\r\nd\r\n") // unharmed
-	if m := f.executor.expectCommand("answer", "a2"); m["blob"] != "ZA==" {
-		t.Error(m)
+	if command := f.executor.expectCommand("answer", "a2"); command["blob"] != "ZA==" {
+		t.Error(command)
 	}
 	f.executor.sendCall(3, "a2", "e")
 	again := acceptConn(t, f.upstreamListener) // not over the idle one, where a copy may still come
@@ -64,8 +64,8 @@
 		t.Errorf("after a second copy: %v", err)
 	}
 	again.send("zz DATA 1\r\nz\r\na2 DATA 1\r\nf\r\n")
-	if m := f.executor.expectCommand("answer", "a2"); m["blob"] != "Zg==" {
-		t.Error(m)
+	if command := f.executor.expectCommand("answer", "a2"); command["blob"] != "Zg==" {
+		t.Error(command)
 	}
 	if _, err := io.ReadAll(again.in); err != nil {
 		t.Errorf("after an unknown id: %v", err)
