--- a/internal/lab/faults/replica_test.go
+++ b/internal/lab/faults/replica_test.go
@@ -104,7 +104,7 @@
 			t.Fatal(err)
 		}
 		f.await(t, name+" has learned what it missed", func() bool { return f.Warm(name) })
-		if s := f.Said(name, "fleet_copies"); s[len(s)-1].Fields["learned"] == "0" {
+		if s := f.Said(name, "replica_status_changed"); s[len(s)-1].Fields["caught_up_by_peers"] == "0" {
 			t.Errorf("%s did not learn it from others: %v", name, s[len(s)-1].Fields)
 		}
 	}
@@ -140,7 +140,7 @@
 	}
 	f.await(t, "they say that it is past", func() bool { return f.Warm("n1", "n2", "n3") })
 	for _, name := range []string{"n1", "n2", "n3"} {
-		if s := f.Said(name, "fleet_copies"); s[len(s)-1].Fields["aged"] == "0" {
+		if s := f.Said(name, "replica_status_changed"); s[len(s)-1].Fields["caught_up_by_timeout"] == "0" {
 			t.Errorf("%s claims to have learned what nobody knew: %v", name, s[len(s)-1].Fields)
 		}
 	}
@@ -211,7 +211,9 @@
 		}
 		time.Sleep(time.Second)
 	}
-	f.await(t, "the others are told", func() bool { return len(f.Said("n2", "fleet_trusted_clients"))+len(f.Said("n3", "fleet_trusted_clients")) == 2 })
+	f.await(t, "the others are told", func() bool {
+		return len(f.Said("n2", "fleet_trusted_clients"))+len(f.Said("n3", "fleet_trusted_clients")) == 2
+	})
 	before := len(f.Said("n1", "fleet_trusted_clients"))
 	if err := f.Cold(context.Background(), "n1"); err != nil {
 		t.Fatal(err)
