--- a/internal/server/client.go
+++ b/internal/server/client.go
@@ -81,8 +81,9 @@
 }
 
 func (c *clientConn) handleClose(error) {
-	c.state.advance(connEnded)
-	c.leaveTable()
+	if c.state.advance(connEnded) {
+		c.leaveTable()
+	}
 }
 
 // leaveTable frees the connection's slot, and cancels its open requests.
--- a/internal/server/client_test.go
+++ b/internal/server/client_test.go
@@ -130,3 +130,29 @@
 		t.Errorf("action %v", action)
 	}
 }
+
+// gnet closes a connection after the turn in which that was asked for. What it reports until then
+// must not reach the next connection in the same slot.
+func TestClientConn_LateEventsIgnored(t *testing.T) {
+	logging.SetOutput(io.Discard)
+	s := newServerWithoutLoop(30)
+	closed, closedSocket, _ := addLinkedClient(t, s)
+	closed.closeNow()
+	next, nextSocket, _ := addLinkedClient(t, s)
+	if closed != next {
+		t.Fatal("the slot was not used again")
+	}
+	closedSocket.bytes = requestFrame(1, "a1", "x")
+	if action := s.OnTraffic(closedSocket); action != gnet.Close || s.requests.Len() != 0 {
+		t.Errorf("late bytes: action %v, %d requests", action, s.requests.Len())
+	}
+	s.OnClose(closedSocket, nil)
+	if s.clients.conns.Len() != 1 || next.state != connReading || nextSocket.closed {
+		t.Errorf("%d clients, the next one is %s, closed %t", s.clients.conns.Len(), next.state, nextSocket.closed)
+	}
+	next.closeNow()
+	next.handleClose(nil) // a second time: it is closed already
+	if s.clients.conns.Len() != 0 || next.state != connClosed {
+		t.Errorf("%d clients, it is %s", s.clients.conns.Len(), next.state)
+	}
+}
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -8,9 +8,9 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// This file applies leased shares of quotas: the controller is notified of a
-// change at the head of the next batch, and of a lease that has expired by the loop's own clock,
-// also when whoever renews it is stopped.
+// This file applies leased shares of quotas: the controller is notified of a change at the head of
+// the next batch, and of an expired lease by the loop's own clock, even if the goroutine that renews
+// it is stopped.
 
 const (
 	// usageInterval is how often, in seconds, usage is measured and reported.
