--- a/internal/lab/faults/fleet.go
+++ b/internal/lab/faults/fleet.go
@@ -217,8 +217,7 @@
 func (f *Fleet) hear(name, line string) {
 	fields := labfleet.Fields(line)
 	event := fields["event"]
-	if !strings.HasPrefix(event, "fleet") && !slices.Contains(agentEvents, event) &&
-		event != "worker" && event != "forwards" && event != "forward_panic" && event != "serving_mode_changed" && event != "panic" {
+	if !isRecorded(event) {
 		return
 	}
 	f.mu.Lock()
@@ -226,9 +225,14 @@
 	f.said = append(f.said, Said{name, time.Now(), event, fields})
 }
 
-// agentEvents are those of package fleet's log lines that experiments look for, beside the ones that begin with its name.
-var agentEvents = []string{"config_applied", "lease_state_changed", "command_finished", "replica_status_changed", "circuit_breaker_changed",
-	"load_planner_started"}
+// recordedEvents are the log events that experiments look for, beside those with a prefix that isRecorded names.
+var recordedEvents = []string{"config_applied", "lease_state_changed", "command_finished", "replica_status_changed",
+	"circuit_breaker_changed", "load_planner_started", "forwarder_stats", "forwarder_panic", "serving_mode_changed", "panic"}
+
+// isRecorded reports whether a log event is kept for experiments.
+func isRecorded(event string) bool {
+	return strings.HasPrefix(event, "fleet") || strings.HasPrefix(event, "worker_") || slices.Contains(recordedEvents, event)
+}
 
 // Said lists what a server said of an event; "" for all servers, or all events.
 func (f *Fleet) Said(name, event string) (list []Said) {
--- a/internal/server/forwarding.go
+++ b/internal/server/forwarding.go
@@ -4,6 +4,7 @@
 	"math"
 
 	"swiftcourse/admission"
+	"swiftcourse/internal/forwarding"
 	"swiftcourse/internal/requesttable"
 	"swiftcourse/internal/wire/rpc"
 )
@@ -16,36 +17,18 @@
 // upstream calls.
 const forwardSafetyMargin = 0.010
 
-// ForwardRequest is a request on its way to a worker.
-type ForwardRequest struct {
-	ID        string
-	Class     int
-	Message   rpc.Message // as the client sent it, but for its number and its times
-	Remaining float64     // seconds until the result is due
-}
-
-// ForwardResult is the outcome of a forwarded request.
-type ForwardResult struct {
-	ID string
-	// Outcome is Finished, Failed, Rejected if no worker took it, or Cancelled.
-	Outcome    admission.Outcome
-	Body       []byte
-	Duration   float64 // seconds
-	RetryAfter float64 // seconds, of a rejected request
-}
-
-// forwarding is the state of a server that forwards its requests.
-type forwarding struct {
-	messages map[string]*rpc.Message // of requests that are not over
-	dispatch func(ForwardRequest) bool
+// forwardingState is the state of a server that forwards its requests.
+type forwardingState struct {
+	messages map[string]*rpc.Message // what goes on with requests that are not over
+	dispatch func(forwarding.Request) bool
 	cancel   func(id string)
 }
 
 // EnableForwarding has requests run by dispatch instead of an executor; it returns false for a
 // request that was never sent. The function cancel is called for a request whose client is gone.
 // EnableForwarding is called before Run.
-func (s *Server) EnableForwarding(dispatch func(ForwardRequest) bool, cancel func(id string)) {
-	s.fleet.forwarding = &forwarding{messages: map[string]*rpc.Message{}, dispatch: dispatch, cancel: cancel}
+func (s *Server) EnableForwarding(dispatch func(forwarding.Request) bool, cancel func(id string)) {
+	s.fleet.forwarding = &forwardingState{messages: map[string]*rpc.Message{}, dispatch: dispatch, cancel: cancel}
 	s.executor.askGaugesFunc = func() {} // there are no gauges: workers report their capacity
 }
 
@@ -62,7 +45,7 @@
 
 // HandleForwardResults returns forwarded requests. Any goroutine may call it once the loop has
 // started; it returns at once.
-func (s *Server) HandleForwardResults(results []ForwardResult) {
+func (s *Server) HandleForwardResults(results []forwarding.Result) {
 	_ = s.loop.execute(func() {
 		for i := range results {
 			s.handleForwardResult(&results[i])
@@ -98,18 +81,18 @@
 	if request.Timeout > 0 {
 		timeout = min(timeout, request.Timeout)
 	}
-	forwarded := ForwardRequest{
-		ID:        request.ID,
-		Class:     request.Class,
-		Message:   *f.messages[request.ID],
-		Remaining: request.ArrivedAt + timeout - s.now() - forwardSafetyMargin,
+	forwarded := forwarding.Request{
+		ID:               request.ID,
+		Class:            request.Class,
+		Message:          *f.messages[request.ID],
+		RemainingSeconds: request.ArrivedAt + timeout - s.now() - forwardSafetyMargin,
 	}
 	forwarded.Message.Body = append([]byte(nil), request.Body...) // the buffer may be used again before a retry
-	if forwarded.Remaining <= 0 || !f.dispatch(forwarded) {
-		s.handleForwardResult(&ForwardResult{
-			ID:         request.ID,
-			Outcome:    admission.Rejected,
-			RetryAfter: s.startup.Settings.MaxRetryAfter,
+	if forwarded.RemainingSeconds <= 0 || !f.dispatch(forwarded) {
+		s.handleForwardResult(&forwarding.Result{
+			ID:                request.ID,
+			Outcome:           admission.Rejected,
+			RetryAfterSeconds: s.startup.Settings.MaxRetryAfter,
 		})
 	}
 }
@@ -127,7 +110,7 @@
 }
 
 // handleForwardResult ends a forwarded run.
-func (s *Server) handleForwardResult(result *ForwardResult) {
+func (s *Server) handleForwardResult(result *forwarding.Result) {
 	request := s.requests.Get(result.ID)
 	if request == nil || !request.Running {
 		return
@@ -141,8 +124,8 @@
 	case admission.Rejected:
 		outcome = admission.NeverStarted
 		if !request.Answered {
-			s.reject(request, min(result.RetryAfter, s.startup.Settings.MaxRetryAfter), false)
+			s.reject(request, min(result.RetryAfterSeconds, s.startup.Settings.MaxRetryAfter), false)
 		}
 	}
-	s.finishRun(request, outcome, result.Body, result.Duration)
+	s.finishRun(request, outcome, result.Body, result.Seconds)
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -97,10 +97,10 @@
 	directive  atomic.Pointer[serving.Directive] // nil without a fleet
 	mode       serving.Mode
 	allowances atomic.Pointer[[]serving.Allowance]
-	quotas     *quotas          // nil if none are shared
-	claims     *keyClaims       // nil if no class's keys are claimed
-	counters   *requestCounters // nil if nothing is counted for a fleet
-	forwarding *forwarding      // nil if requests run at an executor
+	quotas     *quotas          // nil where none are shared
+	claims     *keyClaims       // nil where no class's keys are claimed
+	counters   *requestCounters // nil where nothing is counted for a fleet
+	forwarding *forwardingState // nil where requests run at an executor
 }
 
 // resultCacheShare is the divisor of the memory that cached results may take: as much as the
