--- a/internal/server/fixture_test.go
+++ b/internal/server/fixture_test.go
@@ -147,21 +147,15 @@
 }
 
 // newFakeRegistry hangs up after each report, at times before its answer.
-<<<<<<< HEAD
 func newFakeRegistry(t *testing.T) *registry.Roster {
-	r, err := registry.Start("127.0.0.9:0", func(n int) registry.Manner {
+	fake, err := registry.Start("127.0.0.9:0", func(n int) registry.Manner {
 		return []registry.Manner{registry.HangUp, registry.Mute}[n%2]
-=======
-func newFakeRegistry(t *testing.T) *roster.Roster {
-	registry, err := roster.Start("127.0.0.9:0", func(n int) roster.Manner {
-		return []roster.Manner{roster.HangUp, roster.Mute}[n%2]
->>>>>>> b1eaba6550027d0e0e02d150275206a64dee4e66
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(registry.Close)
-	return registry
+	t.Cleanup(fake.Close)
+	return fake
 }
 
 func (f *fixture) dialClient() *testConn {
