--- a/internal/policy/circuitbreaker/breaker_test.go
+++ b/internal/policy/circuitbreaker/breaker_test.go
@@ -177,6 +177,60 @@
 	}
 }
 
+// TestBreaker_NeedsThreeVotes has servers report failures one after the other to one without own calls.
+func TestBreaker_NeedsThreeVotes(t *testing.T) {
+	breaker := New("n0", "", 0)
+	noServers := func() []string { return nil }
+	for votes := 1; votes <= minVotes; votes++ {
+		report := Report{Server: fmt.Sprint("n", votes), Incarnation: 1, Sequence: 1, Tally: Tally{Failed: 100}}
+		if !breaker.HandleReport(1, report) {
+			t.Fatalf("report %d doesn't count", votes)
+		}
+		breaker.Decide(1, noServers)
+		want := Closed
+		if votes == 3 {
+			want = Open
+		}
+		if state, _ := breaker.State(); state != want {
+			t.Errorf("after %d votes the breaker is %s, want %s", votes, state, want)
+		}
+	}
+}
+
+// TestBreaker_HalfOpenLimit lets a twentieth of the usual calls pass at first after the breaker was open, a
+// quarter after it was throttled, and doubles that each half second.
+func TestBreaker_HalfOpenLimit(t *testing.T) {
+	cases := []struct {
+		name   string
+		failed int // of a hundred calls
+		state  State
+		limits []float64
+	}{
+		{"after open", 100, Open, []float64{2, 4, 8, 16, 32, math.Inf(1)}},
+		{"after throttled", 60, Throttled, []float64{10, 20, math.Inf(1)}},
+	}
+	noServers := func() []string { return nil }
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			breaker := New("n0", "", 0)
+			breaker.usualInFlight = 40
+			breaker.RecordCalls(1, Tally{Succeeded: 100 - c.failed, Failed: c.failed}, 40)
+			breaker.usualInFlight = 40
+			breaker.Decide(1, noServers)
+			if state, _ := breaker.State(); state != c.state {
+				t.Fatalf("the breaker is %s, want %s", state, c.state)
+			}
+			for i, want := range c.limits {
+				now := 3 + float64(i)*rampSeconds
+				breaker.RecordCalls(now, Tally{Succeeded: 100, SuccessSeconds: 1}, 2)
+				if limit, _ := breaker.Decide(now, noServers); limit != want {
+					t.Errorf("after %g s %g calls may be in flight, want %g", now-3, limit, want)
+				}
+			}
+		})
+	}
+}
+
 // TestState_String names every state.
 func TestState_String(t *testing.T) {
 	want := map[State]string{
--- a/internal/policy/counter/counter_test.go
+++ b/internal/policy/counter/counter_test.go
@@ -135,6 +135,38 @@
 	}
 }
 
+// TestAggregator_FrozenRowAcknowledgesNoMore forces this order: an aggregator is asked about a row that is to
+// be closed, another one relays a higher number of the row, then its server reports. The server must not
+// learn that the higher number is there, or it would go on to the next.
+func TestAggregator_FrozenRowAcknowledgesNoMore(t *testing.T) {
+	names := []string{"k0", "k1", "k2"}
+	a := NewAggregator("k0", names, 1, noClosedRow, 0)
+	for _, from := range names[1:] {
+		a.HandleQueryReply(0, from, &RowQueryReply{Number: 1})
+	}
+	if a.Recovering() {
+		t.Fatal("it still recovers")
+	}
+	report := func(sequence uint64) *RowReport {
+		return &RowReport{
+			Server:      "a",
+			Incarnation: 1,
+			RowID:       1,
+			Sequence:    sequence,
+			Cells:       []serving.CounterCell{received("acme", "ping", sequence)},
+		}
+	}
+	a.HandleReport(1, report(1))
+	a.HandleQuery(2, &RowQuery{Number: 1, Rows: []RowAck{{RowID: 1}}})
+	a.HandleQueryReply(3, "k1", &RowQueryReply{Number: 1, Rows: []RowReport{*report(2)}})
+	if sequence := a.rows[1].sequence; sequence != 2 {
+		t.Fatalf("the row is here under number %d, want 2", sequence)
+	}
+	if ack := a.HandleReport(4, report(2)); ack.Sequence != 1 {
+		t.Errorf("number %d is acknowledged, want 1", ack.Sequence)
+	}
+}
+
 func BenchmarkAggregator_HandleReport(b *testing.B) {
 	a := NewAggregator("k0", []string{"k0"}, 1, noClosedRow, 0)
 	report := &RowReport{Server: "a", Incarnation: 1, RowID: 1}
--- a/internal/policy/quota/quota_test.go
+++ b/internal/policy/quota/quota_test.go
@@ -160,6 +160,26 @@
 	}
 }
 
+// TestHolder_LeaseRunsFromRequest takes a reply a second after the request: the grantor may have counted the
+// lease from any moment between the two, so the holder counts it from the first.
+func TestHolder_LeaseRunsFromRequest(t *testing.T) {
+	config := Config{LeaseSeconds: 3, FloorFraction: 0.1, MaxServers: 2, Limits: testLimits[:1]}
+	grantor := NewGrantor(config, 1, -100)
+	holder := NewHolder(7, config, 0)
+	exchange(holder, grantor, 0) // it hears who grants
+	holder.RecordUsage(0.5, rateLimit, 500, 0, 0)
+	request := holder.NextRequest(0.5)
+	reply := grantor.HandleRequest(1, request, true)
+	if reply == nil || len(reply.Grants) != 1 {
+		t.Fatalf("the reply is %+v, want one grant", reply)
+	}
+	holder.HandleReply(1.5, reply)
+	leases := holder.ActiveLeases(1.5)
+	if len(leases) != 1 || leases[0].LeaseExpiry != 3.5 {
+		t.Errorf("leased are %+v, want one lease until 3.5", leases)
+	}
+}
+
 // TestConfig_Validate has one case for each fault; a fault of one limit names it.
 func TestConfig_Validate(t *testing.T) {
 	valid := Config{LeaseSeconds: 3, FloorFraction: 0.1, MaxServers: 4, Limits: testLimits}
