--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -24,8 +24,8 @@
 
 // This file is the two-level fleet's part of the wiring: a forwarder's workers, and a planner.
 
-// Forward has a server pass its tasks on to the workers that the operator's file names.
-func (p *parts) Forward(start *config.Startup, own *config.OperatorSettings, loop *server.Server) error {
+// EnableForwarding has a server pass its tasks on to the workers that the operator's file names.
+func (p *parts) EnableForwarding(start *config.Startup, own *config.OperatorSettings, loop *server.Server) error {
 	if len(own.Forwarding.Workers) == 0 {
 		return errors.New("forward-to: names no workers")
 	}
@@ -68,12 +68,8 @@
 				slog.Info("fleet_plan", "founding", part.Version.ClusterID, "term", part.Version.Term, "seq", part.Version.Sequence, "weights", len(part.Weights), "rates", len(part.RateLimits))
 			}
 			last = part.Version
-			weights := map[string]float64{}
-			for _, w := range part.Weights {
-				weights[w.Name] = w.Weight
-			}
 			till := clock.ToSource(until)
-			p.dispatcher.ApplyPlan(weights, till)
+			p.dispatcher.ApplyPlan(part.WeightsByName(), till)
 			p.allow(func() { p.planned = rates(part, start, till) })
 		},
 	}
@@ -91,8 +87,8 @@
 	return list
 }
 
-// Plan is a planner: a voter of the fleet that serves nothing.
-func (p *parts) Plan(name string, own *config.OperatorSettings, signals lifecycle.Signals) error {
+// RunPlanner is a planner: a voter of the fleet that serves nothing.
+func (p *parts) RunPlanner(name string, own *config.OperatorSettings, signals lifecycle.Signals) error {
 	if !own.Fleet.Enabled {
 		return errors.New("fleet: a planner needs it on")
 	}
--- a/internal/lab/faults/faults_test.go
+++ b/internal/bench/faultinjection/faults_test.go
@@ -1,4 +1,4 @@
-package faults
+package faultinjection
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
+	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/policy/release"
-	"swiftcourse/internal/standin/balancer"
 	"swiftcourse/internal/wire/rpc"
 )
 
--- a/internal/lab/faults/try.go
+++ b/internal/bench/faultinjection/try.go
@@ -1,4 +1,4 @@
-package faults
+package faultinjection
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"swiftcourse/internal/standin/balancer"
+	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/wire/rpc"
 )
 
--- a/internal/lab/load/load.go
+++ b/internal/bench/loadgen/load.go
@@ -1,6 +1,6 @@
-// Package load drives servers in an open loop: tasks are sent when they are due, whether or not earlier ones were
+// Package loadgen drives servers in an open loop: tasks are sent when they are due, whether or not earlier ones were
 // answered, and latency counts from when a task was due. So a server that stands still is not spared.
-package load
+package loadgen
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"swiftcourse/internal/standin/balancer"
+	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/wire/rpc"
 )
 
