--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// Incarnation returns the number that tells this start of the process from its others.
+// Incarnation returns the number that identifies this start of the process.
 func (a *Agent) Incarnation() uint64 { return a.incarnation }
 
 // Now returns the agent's clock in seconds.
--- a/internal/fleet/agent_test.go
+++ b/internal/fleet/agent_test.go
@@ -148,7 +148,8 @@
 	}
 }
 
-// Messages of concerns that are off, and of consensus at a process that does not vote, change nothing.
+// Messages of concerns that are off, and of consensus at a process that does not vote, change
+// nothing.
 func TestHandleMessage_DropsKindsWithoutHandler(t *testing.T) {
 	c := newTestCluster(t, 1, 1)
 	a := c.agents["n1"]
--- a/internal/fleet/audit.go
+++ b/internal/fleet/audit.go
@@ -39,8 +39,8 @@
 const (
 	summaryInterval       = 2.0  // seconds between two account summaries
 	urgentSummaryInterval = 0.15 // the same after a change
-	// urgentSummaryCount summaries follow a change: with three others told each time, one in e^9
-	// hears of it only by its own request.
+	// urgentSummaryCount summaries follow a change: with gossipFanout receivers each time, one
+	// process in e^9 learns of it only by its own request.
 	urgentSummaryCount = 3
 	forgetInterval     = 60.0 // seconds between two looks through the book for names that are nobody's
 	auditTimeout       = 2.0  // seconds that an audit waits for those that don't answer
@@ -67,7 +67,7 @@
 	return a.audits.lastSummary + summaryInterval
 }
 
-// gossipAccount tells some others what this process acted on lately.
+// gossipAccount sends some others a summary of what this process acted on lately.
 func (a *Agent) gossipAccount(now float64) {
 	if now < a.nextAccountSummary() {
 		return
@@ -95,8 +95,8 @@
 	})
 }
 
-// handleStateRequest answers who asks for accounts. A voter adds the release log, a leader how all
-// servers stand.
+// handleStateRequest answers a request for accounts. A voter adds the release log, the leader the
+// status of all servers.
 func (a *Agent) handleStateRequest(now float64, message *wire.Envelope) {
 	request := message.StateRequest
 	isAudit := request.RequestID != releaseLogOnly
@@ -123,13 +123,13 @@
 	a.reply(message, &wire.Envelope{StateReply: reply})
 }
 
-// accounts returns what was heard of some names, nil for all, and the process's own account as the
-// last.
+// accounts returns the known accounts of some names, nil for all, and the process's own account as
+// the last.
 func (a *Agent) accounts(names []string) []audit.Account {
 	return append(a.audits.trail.Accounts(names), a.audits.trail.Account())
 }
 
-// serverStatuses returns how all servers stand, nil unless this process is the leader.
+// serverStatuses returns the status of all servers, nil unless this process is the leader.
 func (a *Agent) serverStatuses(now float64) []lease.ServerStatus {
 	if a.lease.grantor == nil || !a.isConfirmedLeader(now) {
 		return nil
@@ -148,7 +148,7 @@
 	run.result.add(message)
 }
 
-// add takes over one process's reply.
+// add merges one process's reply.
 func (r *auditResult) add(message *wire.Envelope) {
 	reply := message.StateReply
 	for _, account := range reply.Accounts {
@@ -168,7 +168,7 @@
 	}
 }
 
-// startAudit asks all members what they acted on, and calls done once with what came in time.
+// startAudit requests the accounts of all members, and calls done once with what arrived in time.
 func (a *Agent) startAudit(now float64, done func(*auditResult)) {
 	a.audits.lastRunID++
 	run := &auditRun{
@@ -208,7 +208,7 @@
 		}
 	}
 	if names == nil {
-		return []string{""} // an empty list would ask for all
+		return []string{""} // an empty list would request all
 	}
 	return names
 }
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -13,8 +13,8 @@
 // maxResponse bounds a response that is read, in bytes: the accounts of a thousand servers.
 const maxResponse = 16 << 20
 
-// The functions of this file ask a process's control API at addr. What the server itself answered
-// with an error is a *ControlError.
+// The functions of this file call a process's control API at addr. An error response of the server
+// is a *ControlError.
 
 // FetchStatus returns what the process knows of the fleet. Versions before the epoch since are left
 // out; "" leaves out none.
@@ -23,7 +23,7 @@
 	return status, callControl(addr, http.MethodGet, "/state?since="+url.QueryEscape(since), nil, status)
 }
 
-// FetchQuotas returns how quotas stand at the process.
+// FetchQuotas returns the status of quotas at the process.
 func FetchQuotas(addr string) (*QuotaStatus, error) {
 	status := &QuotaStatus{}
 	return status, callControl(addr, http.MethodGet, "/budgets", nil, status)
@@ -35,7 +35,7 @@
 	return status, callControl(addr, http.MethodGet, "/counts", nil, status)
 }
 
-// FetchLoadPlan returns how load plans stand at the process.
+// FetchLoadPlan returns the status of load plans at the process.
 func FetchLoadPlan(addr string) (*LoadPlanStatus, error) {
 	status := &LoadPlanStatus{}
 	return status, callControl(addr, http.MethodGet, "/plans", nil, status)
--- a/internal/fleet/clock.go
+++ b/internal/fleet/clock.go
@@ -2,8 +2,7 @@
 
 import "math"
 
-// TimeSource tells an agent the time. The serving loop reads what is published by the same clock as
-// Now.
+// TimeSource is an agent's clock. Times in published directives are in the seconds of Now.
 type TimeSource interface {
 	// Now returns seconds of a clock that only moves forward.
 	Now() float64
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -8,14 +8,14 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// Config is what a process is told of its fleet. A concern whose pointer is nil is off.
+// Config configures a process's agent. A concern whose pointer is nil is off.
 type Config struct {
 	Name       string
 	ListenAddr string            // for gossip and messages, TCP and UDP
 	Voters     map[string]string // names of the voters, and where they listen
 	JoinAddrs  []string          // where some others listen, beside the voters
 	Seed       int64             // of all random draws
-	Build      string            // tells builds of the program apart
+	Build      string            // identifies the build of the program
 	Clock      TimeSource
 	Logger     *slog.Logger // nil for slog.Default
 
@@ -39,7 +39,7 @@
 	Hooks Hooks
 }
 
-// LeaseConfig is how the process takes part in the leases of servers.
+// LeaseConfig configures the leases of servers.
 type LeaseConfig struct {
 	Terms    lease.Config // that it grants leases by, while it leads
 	Fallback serving.Mode // what its server does once its own lease expired
--- a/internal/fleet/consensus.go
+++ b/internal/fleet/consensus.go
@@ -36,7 +36,7 @@
 // hasJoinedCluster reports whether this process votes in a cluster that was bootstrapped.
 func (a *Agent) hasJoinedCluster() bool { return a.voter != nil && a.voter.Joined() }
 
-// runVoter takes over what the voter decided, and does what falls to the leader.
+// runVoter applies what the voter decided, and does the leader's work.
 func (a *Agent) runVoter(now float64) {
 	a.releases.log = a.voter.ReleaseLog()
 	if newest := a.releases.log.NewestEpoch(); a.isNewEpoch(newest) {
@@ -72,7 +72,7 @@
 	}
 }
 
-// handleCommandOutcome takes the end of a command that was carried out or rejected.
+// handleCommandOutcome handles the result of a command that was applied or rejected.
 func (a *Agent) handleCommandOutcome(outcome consensus.CommandResult) {
 	command := outcome.Command
 	if a.lease.grantor != nil {
@@ -107,7 +107,7 @@
 func (a *Agent) propose(commands []release.Command) {
 	for i := range commands {
 		commands[i].IssuedAt = a.unixNow()
-		_ = a.voter.ProposeAsLeader(&commands[i]) // whoever leads by now asks for it again
+		_ = a.voter.ProposeAsLeader(&commands[i]) // the present leader proposes it again
 	}
 }
 
--- a/internal/fleet/control_keys_test.go
+++ b/internal/fleet/control_keys_test.go
@@ -10,7 +10,8 @@
 	"swiftcourse/internal/policy/release"
 )
 
-// The keys of the control API are what operators' programs read: they stay when a Go field is renamed.
+// The keys of the control API are what operators' programs read: they stay when a Go field is
+// renamed.
 func TestControlAPI_KeysStay(t *testing.T) {
 	golden, err := os.ReadFile("testdata/control_api_keys.txt")
 	if err != nil {
--- a/internal/fleet/counters.go
+++ b/internal/fleet/counters.go
@@ -19,7 +19,7 @@
 	aggregator *counter.Aggregator // nil if this process does not vote
 	closedRows map[uint64]uint64   // sequence at which a row was closed, by row
 	indexedAt  uint64              // AppliedCount of the release log from which closedRows was made
-	gapLogged  bool                // the log was told that something may be missing
+	gapLogged  bool                // an incomplete recovery was logged
 }
 
 // newCounterManager starts a row of this incarnation. What an earlier one reported is in a row of
@@ -55,7 +55,7 @@
 	return sequence, closed
 }
 
-// ObserveCounts takes what the serving loop counted. Without counters it has no effect.
+// ObserveCounts adds what the serving loop counted. Without counters it has no effect.
 func (a *Agent) ObserveCounts(cells []serving.CounterCell) {
 	if a.counters != nil {
 		a.counters.reporter.Add(cells)
--- a/internal/fleet/errors.go
+++ b/internal/fleet/errors.go
@@ -29,7 +29,7 @@
 
 // CommandRejectedError is a command that was not carried out, or is not known to have been.
 type CommandRejectedError struct {
-	Reason string // in the leader's words
+	Reason string // as the leader reported it
 }
 
 // Error returns the reason.
@@ -39,7 +39,7 @@
 type ControlError struct {
 	Addr    string // of the control API
 	Status  string // of HTTP
-	Message string // in the server's words, "" if it sent none
+	Message string // of the server, "" if it sent none
 }
 
 // Error returns the server's message if there is one, and otherwise where the request went and its
--- a/internal/fleet/gossip.go
+++ b/internal/fleet/gossip.go
@@ -51,7 +51,7 @@
 	return name
 }
 
-// receiver takes encoded messages, on the network's goroutines.
+// receiver handles an encoded message, on the network's goroutines.
 type receiver func(message []byte)
 
 // joinGossip starts to listen, and joins the others until the context is done.
@@ -211,7 +211,7 @@
 // NodeMeta returns no metadata.
 func (messageDelegate) NodeMeta(int) []byte { return nil }
 
-// NotifyMsg takes a message to this member.
+// NotifyMsg handles a message to this member.
 func (d messageDelegate) NotifyMsg(message []byte) { d.receive(message) }
 
 // GetBroadcasts returns no broadcasts.
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -8,7 +8,8 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// HealthConfig is how the process takes part in judging the service below, which all servers call.
+// HealthConfig configures the shared circuit breaker for the downstream service, which all servers
+// call.
 type HealthConfig struct {
 	Zone    string          // of this server, "" where zones are not known
 	OnLimit func(CallLimit) // hands the serving loop how many calls may be in flight
@@ -23,9 +24,9 @@
 const (
 	// healthDecisionInterval is how often the service is judged, in seconds.
 	healthDecisionInterval = 0.1
-	// healthReportInterval is how often others are told, in seconds: gossipFanout of them each
-	// time, with the newest reports of maxRelayedReports servers, so that a thousand have heard of
-	// one within a second and a half.
+	// healthReportInterval is how often reports are gossiped, in seconds: to gossipFanout others,
+	// with the newest reports of maxRelayedReports servers, so that one reaches a thousand servers
+	// within a second and a half.
 	healthReportInterval = 0.25
 	maxRelayedReports    = 16
 	// maxZones bounds how many servers' zones are known.
@@ -40,7 +41,7 @@
 	nextDecision float64
 	lastReport   float64
 	limit        CallLimit
-	zones        map[string]string // of others, by what they say
+	zones        map[string]string // of other servers, by their reports
 }
 
 func newHealthMonitor(a *Agent, now float64) *healthMonitor {
@@ -57,7 +58,7 @@
 	return h
 }
 
-// ObserveCalls takes what became of the serving loop's calls. Without health it has no effect.
+// ObserveCalls records the outcomes of the serving loop's calls. Without health it has no effect.
 func (a *Agent) ObserveCalls(now float64, calls serving.CallStats) {
 	if a.health == nil {
 		return
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -11,16 +11,16 @@
 type leaseState struct {
 	holder      *lease.Holder
 	grantor     *lease.Grantor // nil unless this process leads
-	nextVoter   int            // which voter is asked next while no leader is known
-	newestHeard release.Epoch  // the newest epoch that anybody was heard to act on
+	nextVoter   int            // index of the voter to ask next while no leader is known
+	newestHeard release.Epoch  // the newest epoch that any process reported
 }
 
 const (
 	// maxUnanswered requests to one leader have no reply before another voter is asked.
 	maxUnanswered = 2
 	// leaseRequestJitter spreads the requests that follow the news of a release, in seconds: a
-	// thousand servers that hear of one at once are 5,000 requests a second then, a thousandth of
-	// what a leader answers.
+	// thousand servers that learn of one at once make 5,000 requests a second then, a thousandth of
+	// what a leader can answer.
 	leaseRequestJitter = 0.2
 )
 
@@ -55,7 +55,7 @@
 	a.sendToVoter(now, name, &wire.Envelope{LeaseRequest: &request})
 }
 
-// handleLeaseRequest answers a server that asks for a lease. Who does not lead says who does.
+// handleLeaseRequest answers a request for a lease. A process that does not lead names the leader.
 func (a *Agent) handleLeaseRequest(now float64, message *wire.Envelope) {
 	request := message.LeaseRequest
 	reply := lease.Reply{
@@ -102,14 +102,13 @@
 		"state", state, "reason", reason, "assigned_epoch", a.lease.holder.AssignedEpoch())
 }
 
-// isNewEpoch reports whether an epoch is newer than what this process was assigned and has heard
-// of.
+// isNewEpoch reports whether an epoch is newer than the assigned one and all that were reported.
 func (a *Agent) isNewEpoch(epoch release.Epoch) bool {
 	return epoch > max(a.lease.newestHeard, a.lease.holder.AssignedEpoch())
 }
 
-// noteNewestEpoch hears that others act on a newer release: the leader is asked soon, once for each
-// epoch, and not by all in one instant.
+// noteNewestEpoch requests a lease soon if another process acts on a newer release: once for each
+// epoch, and spread over leaseRequestJitter.
 func (a *Agent) noteNewestEpoch(now float64, account *audit.Account) {
 	if len(account.Intervals) == 0 {
 		return
--- a/internal/fleet/loadplan.go
+++ b/internal/fleet/loadplan.go
@@ -7,14 +7,15 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// LoadPlanConfig is how the process takes part in load plans: a forwarder reports to the leader of
-// the planners and goes by its assignment.
+// LoadPlanConfig configures load plans: a forwarder reports to the leader of the planners and
+// follows its assignment.
 type LoadPlanConfig struct {
 	IsPlanner bool // it makes plans while it leads
 	// Report returns a forwarder's report, nil while there is none; it is nil for who forwards
 	// nothing.
 	Report func(now float64) *loadplan.Report
-	// OnAssignment hands the serving loop its assignment, which holds until freshUntil by the agent's clock.
+	// OnAssignment hands the serving loop its assignment, which holds until freshUntil by the
+	// agent's clock.
 	OnAssignment func(assignment *loadplan.Assignment, freshUntil float64)
 }
 
@@ -106,7 +107,7 @@
 	}
 }
 
-// LoadPlanStatus is how load plans stand at a process.
+// LoadPlanStatus is the status of load plans at a process.
 type LoadPlanStatus struct {
 	Name     string           `json:"Name"`
 	Leader   string           `json:"Leader"`
@@ -116,7 +117,7 @@
 	Planner  *loadplan.Status `json:"Makes"` // nil where this process makes no plans
 }
 
-// LoadPlanStatus returns how load plans stand here.
+// LoadPlanStatus returns the status of load plans here.
 func (a *Agent) LoadPlanStatus(now float64) *LoadPlanStatus {
 	status := &LoadPlanStatus{Name: a.config.Name, Leader: a.lease.holder.Leader()}
 	p := a.loadPlan
--- a/internal/fleet/network.go
+++ b/internal/fleet/network.go
@@ -23,8 +23,8 @@
 	HasMember(name string) bool
 }
 
-// gossipFanout is how many others hear each gossiped message: with as many holders of the latest
-// one, two may die with it.
+// gossipFanout is how many others receive each gossiped message: two of them may die with the
+// latest one.
 const gossipFanout = 3
 
 // send sends a message to an address; "" is nobody's.
--- a/internal/fleet/node_reports.go
+++ b/internal/fleet/node_reports.go
@@ -9,7 +9,7 @@
 
 // Claim asks for the right to run a request that bears an idempotency key;
 // ReplicationConfig.OnVerdict is called within timeout seconds. It returns false if nothing more
-// can be asked: the request did not run.
+// can be claimed: the request did not run.
 func (n *Node) Claim(id, class, key string, timeout float64) bool {
 	return n.enqueueClaim(ClaimEvent{ID: id, Class: class, Key: key, Timeout: timeout})
 }
@@ -25,7 +25,7 @@
 // UnreportedClaims returns how much of what the loop reported the replicas have not recorded yet.
 func (n *Node) UnreportedClaims() int { return int(n.claimBacklog.Load()) }
 
-// enqueueClaim hands an event to the agent. One that finds no room is lost: its claim then stands
+// enqueueClaim hands an event to the agent. One that finds no room is lost: its claim then counts
 // as one that may have run.
 func (n *Node) enqueueClaim(event ClaimEvent) bool {
 	n.claimBacklog.Add(1)
@@ -39,8 +39,8 @@
 	}
 }
 
-// ReportTrusted takes the clients that this server's connection limiter trusts. A list without room
-// is dropped, as a newer one comes soon.
+// ReportTrusted reports the clients that this server's connection limiter trusts. A list without
+// room is dropped, as a newer one comes soon.
 func (n *Node) ReportTrusted(clients []connlimit.Earned) {
 	select {
 	case n.trustedClients <- clients:
@@ -48,7 +48,7 @@
 	}
 }
 
-// ReportUsage takes what the serving loop used of quotas. A list without room is dropped, as a
+// ReportUsage reports what the serving loop used of quotas. A list without room is dropped, as a
 // newer one comes soon.
 func (n *Node) ReportUsage(usage []Usage) {
 	select {
@@ -57,7 +57,7 @@
 	}
 }
 
-// ReportCalls takes what became of the serving loop's calls. Without room they are not counted.
+// ReportCalls reports the outcomes of the serving loop's calls. Without room they are not counted.
 func (n *Node) ReportCalls(calls serving.CallStats) {
 	select {
 	case n.callStats <- calls:
@@ -65,7 +65,7 @@
 	}
 }
 
-// ReportCounts takes what the serving loop counted. It returns false if there is no room, and the
+// ReportCounts reports what the serving loop counted. It returns false if there is no room, and the
 // loop has to report it again.
 func (n *Node) ReportCounts(cells []serving.CounterCell) bool {
 	select {
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -6,9 +6,9 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// QuotaConfig is how the process takes part in the quotas that all servers share.
+// QuotaConfig configures the quotas that all servers share.
 type QuotaConfig struct {
-	Settings func() quota.Config // as the version says on which the server acts
+	Settings func() quota.Config // of the version on which the server acts
 	// OnAllowances hands the serving loop what it may use, by the agent's clock.
 	OnAllowances func([]quota.Allowance)
 }
@@ -41,7 +41,7 @@
 	return q
 }
 
-// ObserveUsage takes what the serving loop used. Without quotas it has no effect.
+// ObserveUsage records what the serving loop used. Without quotas it has no effect.
 func (a *Agent) ObserveUsage(now float64, usage []Usage) {
 	if a.quotas == nil {
 		return
@@ -104,7 +104,7 @@
 	q.holder.HandleReply(now, message.QuotaReply)
 }
 
-// QuotaStatus is how quotas stand at a process.
+// QuotaStatus is the status of quotas at a process.
 type QuotaStatus struct {
 	Now      float64             `json:"Now"` // of the agent's clock
 	Leader   string              `json:"Leader"`
@@ -117,7 +117,7 @@
 // maxQuotasListed bounds what operators are shown.
 const maxQuotasListed = 1000
 
-// quotaStatus returns how quotas stand here.
+// quotaStatus returns the status of quotas here.
 func (a *Agent) quotaStatus(now float64) *QuotaStatus {
 	status := &QuotaStatus{Now: now, Leader: a.lease.holder.Leader(), Epoch: a.releases.active.Epoch}
 	if a.quotas == nil {
--- a/internal/fleet/release.go
+++ b/internal/fleet/release.go
@@ -19,10 +19,10 @@
 	lastVersionFetch float64
 
 	stats    *serving.VersionStats // that the serving loop counts under the active version
-	recorded recordedStats         // of them, what the audit book has
+	recorded recordedStats         // of them, what the audit trail has
 }
 
-// recordedStats is the part of a version's statistics that is in the audit book already.
+// recordedStats is the part of a version's statistics that is in the audit trail already.
 type recordedStats struct {
 	batches  uint64
 	requests uint64
@@ -33,12 +33,12 @@
 	applyRetryInterval   = 1.0  // seconds before a version that failed is applied again
 	logFetchInterval     = 2.0  // seconds between two requests for a newer log, at who does not vote
 	coldLogFetchInterval = 0.25 // at a voter that has not joined: some times before it can bootstrap
-	coldLogFetchFanout   = 4    // as many others are asked each time
+	coldLogFetchFanout   = 4    // so many others receive each request
 	leaderSkipOdds       = 4    // one in so many requests for a version goes to any voter, not the leader
 	voterFetchOdds       = 8    // one in so many requests for the log goes to a voter, not any member
 )
 
-// Causes that stand in the audit book and the log.
+// Reasons in the audit trail and the log.
 const (
 	reasonStarted  = "started"
 	reasonReleased = "released"
@@ -64,7 +64,7 @@
 	a.applyVersion(now, message.Version, reasonCaughtUp)
 }
 
-// fetchAssignedVersion applies the version that this server is assigned, or asks for it while it is
+// fetchAssignedVersion applies the version that this server is assigned, or requests it while it is
 // not known here.
 func (a *Agent) fetchAssignedVersion(now float64) {
 	assigned := a.lease.holder.AssignedEpoch()
@@ -121,8 +121,7 @@
 	return a.config.Apply(version.Text)
 }
 
-// activate goes over to a version that the server acts on from now on, and has others hear of it at
-// once.
+// activate switches to a version that the server acts on from now on, and gossips it at once.
 func (a *Agent) activate(now float64, version *release.Version, reason string) {
 	a.recordVersionStats()
 	a.releases.active = *version
@@ -140,7 +139,8 @@
 		"epoch", version.Epoch, "digest", version.Digest, "author", version.Author, "reason", reason)
 }
 
-// recordVersionStats takes over what the serving loop counted under the active version.
+// recordVersionStats adds what the serving loop counted under the active version to the audit
+// trail.
 func (a *Agent) recordVersionStats() {
 	stats := a.releases.stats
 	recorded := &a.releases.recorded
@@ -154,8 +154,8 @@
 }
 
 // fetchReleaseLog keeps a copy of the release log, by which others' messages are judged and a lost
-// cluster of voters is bootstrapped: a voter that has not joined asks some of the others for
-// theirs. The request says what is known, so that only news costs more than a few bytes.
+// cluster of voters is bootstrapped: a voter that has not joined requests those of some others. The
+// request says what is known, so that only a newer log costs more than a few bytes.
 func (a *Agent) fetchReleaseLog(now float64) {
 	joined := a.hasJoinedCluster()
 	if joined || len(a.voterNames) == 0 {
@@ -176,21 +176,21 @@
 		ClusterID:    a.releases.log.Current.Epoch.ClusterID(),
 		AppliedCount: a.releases.log.AppliedCount,
 	}}
-	if !cold && a.asksVoterForLog() {
+	if !cold && a.fetchesLogFromVoter() {
 		a.send(a.config.Voters[a.voterNames[a.random.IntN(len(a.voterNames))]], request)
 		return
 	}
 	a.gossip(fanout, request)
 }
 
-// asksVoterForLog reports whether a copy of the log is to come from a voter: where news is known to
-// be there, and now and then.
-func (a *Agent) asksVoterForLog() bool {
+// fetchesLogFromVoter reports whether a copy of the log is to come from a voter: where news is
+// known to be there, and now and then.
+func (a *Agent) fetchesLogFromVoter() bool {
 	newsExpected := a.lease.holder.AssignedEpoch() != a.releases.log.NewestEpoch()
 	return newsExpected || a.random.IntN(voterFetchOdds) == 0
 }
 
-// observeReleaseLog takes over another process's release log if it is newer.
+// observeReleaseLog adopts another process's release log if it is newer.
 func (a *Agent) observeReleaseLog(log *release.Log) {
 	switch {
 	case log == nil || !log.NewerThan(a.releases.log):
--- a/internal/fleet/replication.go
+++ b/internal/fleet/replication.go
@@ -10,8 +10,8 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// ReplicationConfig is what a process is told of the state that several servers keep: which
-// idempotency keys were claimed, and the results.
+// ReplicationConfig configures the state that several servers keep: which idempotency keys were
+// claimed, and the results.
 type ReplicationConfig struct {
 	Placement   *replication.Placement
 	MaxRecords  int
@@ -21,8 +21,8 @@
 	OnVerdict func(requestID string, verdict serving.ClaimVerdict, result []byte)
 }
 
-// ClaimEvent is what the serving loop says of a request that bears an idempotency key: that its key
-// is to be claimed, that it will never run, or how its run ended.
+// ClaimEvent is an event of a request that bears an idempotency key: its key is to be claimed, it
+// will never run, or its run ended.
 type ClaimEvent struct {
 	ID        string // of the request
 	Class     string
@@ -56,7 +56,7 @@
 
 	memberAddrs    map[string]string
 	lastAddrLookup float64
-	reportedAddrs  map[string]string  // where replicas said that they listen
+	reportedAddrs  map[string]string  // where replicas reported that they listen
 	logged         replication.Status // as it was last written to the log
 }
 
@@ -88,7 +88,7 @@
 	return r
 }
 
-// HandleClaimEvent takes an event of the serving loop. Without replication it has no effect.
+// HandleClaimEvent handles an event of the serving loop. Without replication it has no effect.
 func (a *Agent) HandleClaimEvent(now float64, event ClaimEvent) {
 	if a.replication != nil {
 		a.replication.handleEvent(now, event)
@@ -245,7 +245,7 @@
 	})
 }
 
-// ReplicationStatus returns how replication stands at this process, nil if it is off.
+// ReplicationStatus returns the status of replication at this process, nil if it is off.
 func (a *Agent) ReplicationStatus() *replication.Status {
 	if a.replication == nil {
 		return nil
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -7,8 +7,8 @@
 	"swiftcourse/internal/policy/replication"
 )
 
-// Status is what a process tells an operator of itself and of the fleet. The JSON keys are those of
-// the control API.
+// Status is what a process reports to an operator of itself and of the fleet. The JSON keys are
+// those of the control API.
 type Status struct {
 	Name              string                         `json:"Name"`
 	Incarnation       uint64                         `json:"Life"`
@@ -59,7 +59,7 @@
 	return status, nil
 }
 
-// status returns how this process stands itself.
+// status returns the status of this process itself.
 func (a *Agent) status(float64) *Status {
 	state, reason := a.lease.holder.State()
 	return &Status{
@@ -74,10 +74,10 @@
 	}
 }
 
-// QueryQuotas returns how quotas stand here.
+// QueryQuotas returns the status of quotas here.
 func (n *Node) QueryQuotas() (*QuotaStatus, error) { return query(n, (*Agent).quotaStatus) }
 
-// QueryLoadPlan returns how load plans stand here.
+// QueryLoadPlan returns the status of load plans here.
 func (n *Node) QueryLoadPlan() (*LoadPlanStatus, error) { return query(n, (*Agent).LoadPlanStatus) }
 
 // QueryCounters returns what is known here of the fleet's counters, or ErrCountersOff.
--- a/internal/fleet/trace.go
+++ b/internal/fleet/trace.go
@@ -10,11 +10,11 @@
 	TraceClaimed                     // it sent the claim
 	TraceGranting                    // a replica decided on a claim
 	TraceGranted                     // it sent its reply
-	TraceStarted                     // the serving loop was told that a request may run
+	TraceStarted                     // the serving loop was notified that a request may run
 	TraceFinishing                   // the coordinator sent how a run ended
 	TraceRecording                   // a replica recorded how a run ended
 	TraceRecorded                    // it sent its reply
-	TracePulling                     // a replica was asked for its records
+	TracePulling                     // a replica received a request for its records
 	TracePulled                      // it sent them
 	TraceMerging                     // a replica received another one's records
 	TraceMerged                      // it merged them
@@ -37,7 +37,7 @@
 // TracePoints are the names of all trace points, in their order.
 var TracePoints = tracePointNames[:]
 
-// trace tells the hook of a step.
+// trace calls the hook for a step.
 func (a *Agent) trace(point TracePoint) {
 	if a.config.Hooks.TracePoint != nil {
 		a.config.Hooks.TracePoint(point)
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -7,7 +7,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// translatingTransport dials others where Hooks.TranslateAddr says, in place of where they listen.
+// translatingTransport dials others at the address that Hooks.TranslateAddr returns, in place of
+// where they listen.
 type translatingTransport struct {
 	*memberlist.NetTransport
 	translate func(addr string) string // nil for no translation
--- a/internal/fleet/trust.go
+++ b/internal/fleet/trust.go
@@ -11,28 +11,28 @@
 // TrustConfig is how the clients that servers trust are shared among them.
 type TrustConfig struct {
 	Retention  float64 // seconds for which others' trust records are kept
-	MaxClients int     // that a server takes over from others
+	MaxClients int     // most clients that a server adopts from others
 	// OnTrusted hands the serving loop clients that other servers trust.
 	OnTrusted func([]connlimit.Earned)
 }
 
 const (
-	// trustAcceptFor is how long after its start a server takes over others' records, in seconds:
-	// by then its clients have had time to earn trust here, and whoever lies to it later bends
-	// nothing.
+	// trustAcceptFor is how long after its start a server adopts others' records, in seconds: by
+	// then its clients have had time to earn trust here, and a false record changes nothing later.
 	trustAcceptFor = 30.0
-	// trustRequestInterval and trustRequestFor: some others are asked at once, and again until one
-	// has answered; seconds.
+	// trustRequestInterval and trustRequestFor: some others receive a request at once, and again
+	// until one has replied; seconds.
 	trustRequestInterval = 0.2
 	trustRequestFor      = 5.0
-	// trustReportInterval is how often others are told, in seconds, gossipFanout of them each time:
-	// a client known to one server is known to a fourth of what is left after two die.
+	// trustReportInterval is how often records are gossiped, in seconds, to gossipFanout others: a
+	// client that one server trusts is known to a fourth of what is left after two die.
 	trustReportInterval = 4.0
 	// maxTrustRecords go in one reply: 16 lists of 256 clients are 100 KB.
 	maxTrustRecords = 16
 )
 
-// trustSharer tells others which clients this server trusts, and learns theirs while it is new.
+// trustSharer reports to others which clients this server trusts, and adopts theirs while it is
+// new.
 type trustSharer struct {
 	agent       *Agent
 	config      *TrustConfig
@@ -41,7 +41,7 @@
 	started     float64
 	lastRequest float64
 	lastReport  float64
-	received    bool // others' records, so that nobody need be asked any more
+	received    bool // others' records, so that no more requests are needed
 }
 
 func newTrustSharer(a *Agent, now float64) *trustSharer {
@@ -58,7 +58,7 @@
 	return t
 }
 
-// observeTrusted takes the clients that this server's connection limiter trusts.
+// observeTrusted records the clients that this server's connection limiter trusts.
 func (a *Agent) observeTrusted(clients []connlimit.Earned) {
 	if a.trust == nil {
 		return
@@ -71,18 +71,20 @@
 	}
 }
 
-// asks reports whether others are still to be asked for their records.
-func (t *trustSharer) asks(now float64) bool { return !t.received && now < t.started+trustRequestFor }
+// needsRecords reports whether others' records are still to be requested.
+func (t *trustSharer) needsRecords(now float64) bool {
+	return !t.received && now < t.started+trustRequestFor
+}
 
 func (t *trustSharer) nextWakeup(now float64) float64 {
-	if t.asks(now) {
+	if t.needsRecords(now) {
 		return t.lastRequest + trustRequestInterval
 	}
 	return t.lastReport + trustReportInterval
 }
 
 func (t *trustSharer) tick(now float64) {
-	if t.asks(now) && now >= t.lastRequest+trustRequestInterval {
+	if t.needsRecords(now) && now >= t.lastRequest+trustRequestInterval {
 		t.lastRequest = now
 		t.agent.gossip(gossipFanout, &wire.Envelope{TrustRequest: true})
 	}
@@ -106,7 +108,7 @@
 	}
 }
 
-// handleRecords takes in others' records.
+// handleRecords merges others' records.
 func (t *trustSharer) handleRecords(now float64, message *wire.Envelope) {
 	news := false
 	for _, record := range message.TrustRecords {
--- a/internal/wire/fleet/bounds.go
+++ b/internal/wire/fleet/bounds.go
@@ -18,7 +18,7 @@
 // What is wrong with a message, found by errors.Is.
 var (
 	// ErrUnknownBody is a message that carries nothing, or nothing that is known.
-	ErrUnknownBody = errors.New("it says nothing that is known")
+	ErrUnknownBody = errors.New("it carries nothing that is known")
 	// ErrTooLarge is a message that is longer, or has more entries, than it may.
 	ErrTooLarge = errors.New("a part is longer or has more entries than there may be")
 	// ErrOutOfRange is a message with a number that can't be.
--- a/internal/wire/fleet/counters.go
+++ b/internal/wire/fleet/counters.go
@@ -41,7 +41,7 @@
 	return p
 }
 
-// decodeCounts decodes cells, which stand in their order and each once.
+// decodeCounts decodes cells, which are sorted and unique.
 func decodeCounts(p []*Count) (cells []serving.CounterCell, err error) {
 	if len(p) > maxMapEntries+1 {
 		return nil, ErrTooLarge
--- a/internal/wire/fleet/doc.go
+++ b/internal/wire/fleet/doc.go
@@ -1,4 +1,4 @@
-// Package fleet is the codec of what processes of one fleet say to one another: protocol buffers
+// Package fleet is the codec of the messages between processes of one fleet: protocol buffers
 // with a bound on every size. It is pure: it keeps no state, and does no I/O.
 //
 // The generated types have the protocol's names, which stay as they are; they end here, and the
--- a/internal/wire/fleet/envelope.go
+++ b/internal/wire/fleet/envelope.go
@@ -12,7 +12,8 @@
 	"swiftcourse/internal/policy/replication"
 )
 
-// Envelope is one message. Exactly one of the fields between Addr and Size is set; Kind tells which.
+// Envelope is one message. Exactly one of the fields between Addr and Size is set; Kind tells
+// which.
 type Envelope struct {
 	From        string // name of the process that sent it
 	Incarnation uint64 // of that process
@@ -21,7 +22,7 @@
 	Consensus          *consensus.Message
 	LeaseRequest       *lease.Request
 	LeaseReply         *lease.Reply
-	VersionRequest     release.Epoch // asks for the version of that epoch
+	VersionRequest     release.Epoch // requests the version of that epoch
 	Version            *release.Version
 	Command            *release.Command
 	CommandResult      *CommandResult
@@ -34,7 +35,7 @@
 	PullReply          *replication.PullReply
 	Checksums          *replication.Checksums
 	TrustRecords       []replication.TrustRecord
-	TrustRequest       bool // asks for trust records
+	TrustRequest       bool // requests trust records
 	QuotaRequest       *quota.Request
 	QuotaReply         *quota.Reply
 	HealthReports      []circuitbreaker.Report
@@ -55,12 +56,12 @@
 	NewestEpoch  release.Epoch
 }
 
-// StateRequest asks for a process's own account, and for what it heard of some names.
+// StateRequest requests a process's own account, and those that it knows of some names.
 type StateRequest struct {
 	RequestID    uint64
 	Names        []string
 	ClusterID    uint32 // of the release log that the sender knows
-	AppliedCount uint64 // of that log: only a newer one is told
+	AppliedCount uint64 // of that log: only a newer one is sent
 }
 
 // StateReply answers a StateRequest. A leader's has the release log and all servers too.
--- a/internal/wire/fleet/replication.go
+++ b/internal/wire/fleet/replication.go
@@ -104,7 +104,7 @@
 	return replicastore.ClaimID{UnixMilli: p.At, Incarnation: p.Who, Sequence: p.N}
 }
 
-// decodeAttempts decodes those of a record, which stand in the order of claims.
+// decodeAttempts decodes a record's attempts, which are sorted by claim.
 func decodeAttempts(p []*Try) (attempts []replicastore.Attempt, err error) {
 	if len(p) > maxAttempts {
 		return nil, ErrTooLarge
