--- a/internal/fleet/consensus.go
+++ b/internal/fleet/consensus.go
@@ -117,6 +117,6 @@
 		return
 	}
 	for _, outgoing := range a.voter.TakeOutbox() {
-		a.send(a.config.Voters[outgoing.To], &wire.Envelope{Consensus: &outgoing.Message})
+		a.send(a.config.Voters[outgoing.VoterName], &wire.Envelope{Consensus: &outgoing.Message})
 	}
 }
--- a/internal/lab/faults/fleet.go
+++ b/internal/lab/faults/fleet.go
@@ -218,7 +218,7 @@
 	fields := labfleet.Fields(line)
 	event := fields["event"]
 	if !strings.HasPrefix(event, "fleet") && !slices.Contains(agentEvents, event) &&
-		event != "worker" && event != "forwards" && event != "forward_panic" && event != "stance" && event != "panic" {
+		event != "worker" && event != "forwards" && event != "forward_panic" && event != "serving_mode_changed" && event != "panic" {
 		return
 	}
 	f.mu.Lock()
--- a/internal/wire/fleet/release.go
+++ b/internal/wire/fleet/release.go
@@ -173,13 +173,13 @@
 	return err
 }
 
-func decodeHistory(p []*Mark) (history []release.Entry, err error) {
+func decodeHistory(p []*Mark) (history []release.HistoryEntry, err error) {
 	for _, one := range p {
 		err := errors.Join(checkNames(one.Digest, one.Author, one.Fate), checkFinite(one.At))
 		if err != nil {
 			return nil, err
 		}
-		history = append(history, release.Entry{
+		history = append(history, release.HistoryEntry{
 			Epoch:      release.Epoch(one.Epoch),
 			Digest:     one.Digest,
 			Author:     one.Author,
