--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -24,8 +24,8 @@
 
 // This file is the two-level fleet's part of the wiring: a forwarder's workers, and a planner.
 
-// Forward has a server pass its tasks on to the workers that the operator's file names.
-func (p *parts) Forward(start *config.Startup, own *config.OperatorSettings, loop *server.Server) error {
+// EnableForwarding has a server pass its tasks on to the workers that the operator's file names.
+func (p *parts) EnableForwarding(start *config.Startup, own *config.OperatorSettings, loop *server.Server) error {
 	if len(own.Forwarding.Workers) == 0 {
 		return errors.New("forward-to: names no workers")
 	}
@@ -40,16 +40,17 @@
 	if start.Settings.Cores *= len(workers); own.Forwarding.MaxInFlight > 0 {
 		start.Settings.Cores = own.Forwarding.MaxInFlight
 	}
-	p.dispatcher = forwarder.Start(forwarder.Config{Workers: workers, Classes: start.Settings.Classes, Seed: forwarder.SeedFor(start.Name, start.Seed),
-		SlowStartSpeed: start.Settings.SlowStart.InitialSpeed, SlowStartSeconds: start.WorkerSlowStartDuration, Now: loop.Now,
-		OnResults: func(list []forwarder.Result) {
-			backs := make([]server.ForwardResult, len(list))
-			for i, b := range list {
-				backs[i] = server.ForwardResult(b)
-			}
-			loop.HandleForwardResults(backs)
-		}, OnWorkerAvailable: loop.HandleWorkerAvailable})
-	loop.EnableForwarding(func(out server.ForwardRequest) bool { return p.dispatcher.Dispatch(forwarder.Request(out)) }, p.dispatcher.Cancel)
+	p.dispatcher = forwarder.Start(forwarder.Config{
+		Workers:           workers,
+		Classes:           start.Settings.Classes,
+		Seed:              forwarder.SeedFor(start.Name, start.Seed),
+		SlowStartSpeed:    start.Settings.SlowStart.InitialSpeed,
+		SlowStartSeconds:  start.WorkerSlowStartDuration,
+		Now:               loop.Now,
+		OnResults:         loop.HandleForwardResults,
+		OnWorkerAvailable: loop.HandleWorkerAvailable,
+	})
+	loop.EnableForwarding(p.dispatcher.Dispatch, p.dispatcher.Cancel)
 	slog.Info("forwarder", "workers", len(workers), "slots", start.Settings.Cores)
 	return nil
 }
@@ -63,8 +64,8 @@
 	return &fleet.LoadPlanConfig{
 		Report: func(float64) *loadplan.Report { return p.dispatcher.TakeReport() },
 		OnAssignment: func(part *loadplan.Assignment, until float64) {
-			if part.ClusterID != last.ClusterID || part.Term != last.Term {
-				slog.Info("fleet_plan", "founding", part.ClusterID, "term", part.Term, "seq", part.Sequence, "weights", len(part.Weights), "rates", len(part.RateLimits))
+			if part.Version.ClusterID != last.ClusterID || part.Version.Term != last.Term {
+				slog.Info("fleet_plan", "founding", part.Version.ClusterID, "term", part.Version.Term, "seq", part.Version.Sequence, "weights", len(part.Weights), "rates", len(part.RateLimits))
 			}
 			last = part.Version
 			weights := map[string]float64{}
@@ -90,8 +91,8 @@
 	return list
 }
 
-// Plan is a planner: a voter of the fleet that serves nothing.
-func (p *parts) Plan(name string, own *config.OperatorSettings, signals lifecycle.Signals) error {
+// RunPlanner is a planner: a voter of the fleet that serves nothing.
+func (p *parts) RunPlanner(name string, own *config.OperatorSettings, signals lifecycle.Signals) error {
 	if !own.Fleet.Enabled {
 		return errors.New("fleet: a planner needs it on")
 	}
