--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -39,16 +40,17 @@
 	if start.Settings.Cores *= len(workers); own.Forwarding.MaxInFlight > 0 {
 		start.Settings.Cores = own.Forwarding.MaxInFlight
 	}
-	p.dispatcher = forwarder.Start(forwarder.Config{Workers: workers, Classes: start.Settings.Classes, Seed: forwarder.SeedFor(start.Name, start.Seed),
-		SlowStartSpeed: start.Settings.SlowStart.InitialSpeed, SlowStartSeconds: start.WorkerSlowStartDuration, Now: loop.Now,
-		OnResults: func(list []forwarder.Result) {
-			backs := make([]server.ForwardResult, len(list))
-			for i, b := range list {
-				backs[i] = server.ForwardResult(b)
-			}
-			loop.HandleForwardResults(backs)
-		}, OnWorkerAvailable: loop.HandleWorkerAvailable})
-	loop.EnableForwarding(func(out server.ForwardRequest) bool { return p.dispatcher.Dispatch(forwarder.Request(out)) }, p.dispatcher.Cancel)
+	p.dispatcher = forwarder.Start(forwarder.Config{
+		Workers:           workers,
+		Classes:           start.Settings.Classes,
+		Seed:              forwarder.SeedFor(start.Name, start.Seed),
+		SlowStartSpeed:    start.Settings.SlowStart.InitialSpeed,
+		SlowStartSeconds:  start.WorkerSlowStartDuration,
+		Now:               loop.Now,
+		OnResults:         loop.HandleForwardResults,
+		OnWorkerAvailable: loop.HandleWorkerAvailable,
+	})
+	loop.EnableForwarding(p.dispatcher.Dispatch, p.dispatcher.Cancel)
 	slog.Info("forwarder", "workers", len(workers), "slots", start.Settings.Cores)
 	return nil
 }
@@ -61,9 +63,9 @@
 	var last loadplan.Version
 	return &fleet.LoadPlanConfig{
 		Report: func(float64) *loadplan.Report { return p.dispatcher.TakeReport() },
-		OnShare: func(part *loadplan.Assignment, until float64) {
-			if part.ClusterID != last.ClusterID || part.Term != last.Term {
-				slog.Info("fleet_plan", "founding", part.ClusterID, "term", part.Term, "seq", part.Sequence, "weights", len(part.Weights), "rates", len(part.RateLimits))
+		OnAssignment: func(part *loadplan.Assignment, until float64) {
+			if part.Version.ClusterID != last.ClusterID || part.Version.Term != last.Term {
+				slog.Info("fleet_plan", "founding", part.Version.ClusterID, "term", part.Version.Term, "seq", part.Version.Sequence, "weights", len(part.Weights), "rates", len(part.RateLimits))
 			}
 			last = part.Version
 			weights := map[string]float64{}
@@ -104,22 +106,36 @@
 	if voters[name] == "" {
 		return fmt.Errorf("fleet-voters: %s is none; a planner is", name)
 	}
-	clock, via, err := forTests(now)
+	clock, translateAddr, err := forTests(now)
 	if err != nil {
 		return err
 	}
-	f, err := fleet.Start(fleet.Config{Name: name, ListenAddr: own.Fleet.ListenAddress, Voters: voters, JoinAddrs: own.Fleet.JoinAddresses, LeaseTerms: memberTerms(own), Rollout: rollout(own),
-		OnLeaseExpiry: serving.ModeNormal, LoadPlan: &fleet.LoadPlanConfig{IsPlanner: true}, CountersEnabled: own.Fleet.SharedCounters, Seed: from.UnixNano(), Build: build(), Now: clock.Now, UnixNow: clock.UnixNow, RelayAddrs: via,
+	ctx, leave := context.WithCancel(context.Background())
+	defer leave()
+	f, err := fleet.Start(ctx, fleet.Config{
+		Name:            name,
+		ListenAddr:      own.Fleet.ListenAddress,
+		Voters:          voters,
+		JoinAddrs:       own.Fleet.JoinAddresses,
+		Seed:            from.UnixNano(),
+		Build:           build(),
+		Clock:           clock,
+		Lease:           fleet.LeaseConfig{Terms: memberTerms(own), Fallback: serving.ModeNormal},
+		Rollout:         rollout(own),
+		LoadPlan:        &fleet.LoadPlanConfig{IsPlanner: true},
+		CountersEnabled: own.Fleet.SharedCounters,
 		Apply: func(text string) error {
 			_, err := own.WithRelease("released", text)
 			return err
 		},
-		Publish: func(*serving.Directive) {}})
+		Publish: func(*serving.Directive) {},
+		Hooks:   fleet.Hooks{TranslateAddr: translateAddr},
+	})
 	if err != nil {
 		return err
 	}
 	if own.Fleet.ControlAddress != "" {
-		if _, err := f.ServeControl(own.Fleet.ControlAddress); err != nil {
+		if err := f.ServeControl(ctx, own.Fleet.ControlAddress); err != nil {
 			return fmt.Errorf("fleet-control: %w", err)
 		}
 	}
--- a/internal/lab/emulate/levels.go
+++ b/internal/lab/emulate/levels.go
@@ -11,7 +11,7 @@
 	"swiftcourse/internal/policy/routing"
 )
 
-// Levels is a fleet of two levels in simulated time: the planners' and forwarders' parts of package peers, the routers of judge/route, and workers that
+// Levels is a fleet of two levels in simulated time: the planners' and forwarders' parts of package fleet, the routers of judge/route, and workers that
 // run tasks on a number of cores, reject what would wait for too long, and may die. Load is uneven over forwarders, and workers differ.
 type Levels struct {
 	Forwarders int
@@ -199,7 +199,7 @@
 				}
 				return r
 			},
-			OnShare: func(p *loadplan.Assignment, until float64) {
+			OnAssignment: func(p *loadplan.Assignment, until float64) {
 				if p.Version.Compare(f.holds) < 0 {
 					l.row.Stale++
 				}
@@ -267,7 +267,7 @@
 		return
 	}
 	t.tried = append(t.tried, name)
-	t.f.router.StartAttempt(l.now, name, len(t.tried))
+	t.f.router.StartAttempt(name, len(t.tried))
 	if t.counted {
 		l.tries++
 	}
@@ -279,7 +279,14 @@
 			l.settle(t, true)
 			return
 		}
-		if t.f.router.AllowRetry(end, len(t.tried), t.safe, t.came+levelWait-l.now, levelWork) {
+		retry := routing.Retry{
+			LastOutcome:    end,
+			Attempts:       len(t.tried),
+			IsIdempotent:   t.safe,
+			Remaining:      t.came + levelWait - l.now,
+			TypicalLatency: levelWork,
+		}
+		if t.f.router.AllowRetry(retry) {
 			l.place(t)
 			return
 		}
