--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -30,7 +30,7 @@
 	inbox          chan *wire.Envelope
 	requests       chan func(now float64)
 	claimEvents    chan ClaimEvent
-	trustedClients chan []connlimit.Earned
+	trustedClients chan []connlimit.TrustedClient
 	usage          chan []Usage
 	callStats      chan serving.CallStats
 	requestCounts  chan []serving.CounterCell
@@ -70,7 +70,7 @@
 		inbox:          make(chan *wire.Envelope, maxInbox),
 		requests:       make(chan func(float64), maxRequests),
 		claimEvents:    make(chan ClaimEvent, maxClaimEvents),
-		trustedClients: make(chan []connlimit.Earned, maxTrustedLists),
+		trustedClients: make(chan []connlimit.TrustedClient, maxTrustedLists),
 		usage:          make(chan []Usage, maxUsageLists),
 		callStats:      make(chan serving.CallStats, maxCallStats),
 		requestCounts:  make(chan []serving.CounterCell, maxCountLists),
--- a/internal/fleet/node_reports.go
+++ b/internal/fleet/node_reports.go
@@ -41,7 +41,7 @@
 
 // ReportTrusted takes the clients that this server's connection limiter trusts. A list without room
 // is dropped, as a newer one comes soon.
-func (n *Node) ReportTrusted(clients []connlimit.Earned) {
+func (n *Node) ReportTrusted(clients []connlimit.TrustedClient) {
 	select {
 	case n.trustedClients <- clients:
 	default:
--- a/internal/fleet/trust.go
+++ b/internal/fleet/trust.go
@@ -13,7 +13,7 @@
 	Retention  float64 // seconds for which others' trust records are kept
 	MaxClients int     // that a server takes over from others
 	// OnTrusted hands the serving loop clients that other servers trust.
-	OnTrusted func([]connlimit.Earned)
+	OnTrusted func([]connlimit.TrustedClient)
 }
 
 const (
@@ -59,7 +59,7 @@
 }
 
 // observeTrusted takes the clients that this server's connection limiter trusts.
-func (a *Agent) observeTrusted(clients []connlimit.Earned) {
+func (a *Agent) observeTrusted(clients []connlimit.TrustedClient) {
 	if a.trust == nil {
 		return
 	}
--- a/internal/policy/connlimit/admission.go
+++ b/internal/policy/connlimit/admission.go
@@ -21,16 +21,16 @@
 	maxDoublings = 16
 )
 
-// Arrive takes on a new connection from an address at a slot that is free. With LetIn the
-// connection is admitted. NoPlace says that another has to go for it: call Admit once one of the
-// connections that Yields lists is gone, or else TurnAway. Any other connection is held, and its
-// requests are to be rejected with the time to retry after, in seconds; but with NoLobby it is to be
+// HandleArrival takes on a new connection from an address at a slot that is free. With Admitted the
+// connection is in. With NoFreeSlot another has to go for it: call Admit once one of its
+// EvictionCandidatesFor is gone, or else Reject. Any other connection is held, and its requests are
+// to be rejected with the time to retry after, in seconds; but with HoldingAreaFull it is to be
 // closed at once.
-func (l *Door) Arrive(slot int32, addr netip.Addr, now float64) (reason Cause, retryAfter float64) {
+func (l *Limiter) HandleArrival(slot int32, addr netip.Addr, now float64) (reason RejectReason, retryAfter float64) {
 	policy := l.clientPolicy
 	if policy == nil {
-		l.Open(slot, now)
-		return LetIn, 0
+		l.HandleOpen(slot, now)
+		return Admitted, 0
 	}
 	policy.arrivals.count++
 	policy.restoreSlot(now)
@@ -40,31 +40,31 @@
 		policy.expireTrust(id, now)
 	}
 	if id < 0 || !policy.addresses.entries[id].trusted && l.holdingAreaFull() {
-		policy.rejections[NoLobby]++
+		policy.rejections[HoldingAreaFull]++
 		l.connections[slot] = connection{lastHeard: now}
-		l.enter(slot, Ending, now)
-		return NoLobby, 0
+		l.enter(slot, StateClosing, now)
+		return HoldingAreaFull, 0
 	}
 	l.hold(slot, id, now)
 	client := &policy.addresses.entries[id]
-	if reason = policy.exceededLimit(client, now); reason != LetIn {
-		return reason, l.TurnAway(slot, reason, now)
+	if reason = policy.exceededLimit(client, now); reason != Admitted {
+		return reason, l.Reject(slot, reason, now)
 	}
 	if !policy.hasFreeSlot(client) {
-		return NoPlace, 0
+		return NoFreeSlot, 0
 	}
 	l.Admit(slot, now)
-	return LetIn, 0
+	return Admitted, 0
 }
 
 // holdingAreaFull reports whether no untrusted connection may be held any more. The area may have
 // twice its size for a moment, until the oldest are closed.
-func (l *Door) holdingAreaFull() bool {
-	return l.Count(Lobby)+l.Count(Turned) >= 2*l.clientPolicy.Rules.Lobby
+func (l *Limiter) holdingAreaFull() bool {
+	return l.Count(StateHeld)+l.Count(StateRejected) >= 2*l.clientPolicy.rules.HoldingSlots
 }
 
 // hold puts a new connection of an address in the holding area.
-func (l *Door) hold(slot, id int32, now float64) {
+func (l *Limiter) hold(slot, id int32, now float64) {
 	policy := l.clientPolicy
 	l.connections[slot] = connection{lastHeard: now, address: id + 1}
 	client := &policy.addresses.entries[id]
@@ -72,32 +72,32 @@
 	policy.prefixes.entries[client.prefix].held++
 	policy.addresses.requeue(id)
 	policy.prefixes.requeue(client.prefix)
-	l.enter(slot, Lobby, now)
+	l.enter(slot, StateHeld, now)
 }
 
-// exceededLimit returns which limit one more connection of an address exceeds, LetIn where none is.
+// exceededLimit returns which limit one more connection of an address exceeds, Admitted where none is.
 // It takes the arrival off the rates.
-func (p *clientPolicy) exceededLimit(client *addressEntry, now float64) Cause {
+func (p *clientPolicy) exceededLimit(client *addressEntry, now float64) RejectReason {
 	if client.trustedByRule {
-		return LetIn
+		return Admitted
 	}
 	prefix := &p.prefixes.entries[client.prefix]
 	factor := 1.0
 	if client.trusted {
 		factor = trustedLimitFactor
 	}
-	maxConnections := float64(p.Rules.PerAddress) * factor
+	maxConnections := float64(p.rules.MaxPerAddress) * factor
 	switch {
-	case !client.arrivals.take(now, p.Rules.ArrivalsAddress*factor):
-		return OverRate
-	case !client.trusted && !prefix.arrivals.take(now, p.Rules.ArrivalsPrefix):
-		return OverRate
-	case p.Rules.PerAddress > 0 && float64(client.admitted) >= maxConnections:
+	case !client.arrivals.take(now, p.rules.RatePerAddress*factor):
+		return RateLimited
+	case !client.trusted && !prefix.arrivals.take(now, p.rules.RatePerPrefix):
+		return RateLimited
+	case p.rules.MaxPerAddress > 0 && float64(client.admitted) >= maxConnections:
 		return OverCap
-	case !client.trusted && p.Rules.PerPrefix > 0 && int(prefix.untrusted) >= p.Rules.PerPrefix:
+	case !client.trusted && p.rules.MaxPerPrefix > 0 && int(prefix.untrusted) >= p.rules.MaxPerPrefix:
 		return OverCap
 	}
-	return LetIn
+	return Admitted
 }
 
 // hasFreeSlot reports whether one more connection of an address can be admitted without an eviction.
@@ -110,7 +110,7 @@
 }
 
 // Admit admits a held connection.
-func (l *Door) Admit(slot int32, now float64) {
+func (l *Limiter) Admit(slot int32, now float64) {
 	policy := l.clientPolicy
 	conn := &l.connections[slot]
 	client, prefix := policy.entriesOf(conn)
@@ -123,19 +123,19 @@
 		prefix.untrusted++
 	}
 	conn.admitted = true
-	l.enter(slot, Stranger, now)
+	l.enter(slot, StateNew, now)
 }
 
-// TurnAway rejects a held connection, and returns the time after which to retry, in seconds: longer
+// Reject rejects a held connection, and returns the time after which to retry, in seconds: longer
 // with each rejection of its address, and with jitter, so that those rejected together do not
 // return together.
-func (l *Door) TurnAway(slot int32, reason Cause, now float64) (retryAfter float64) {
+func (l *Limiter) Reject(slot int32, reason RejectReason, now float64) (retryAfter float64) {
 	policy := l.clientPolicy
 	policy.rejections[reason]++
 	client, _ := policy.entriesOf(&l.connections[slot])
 	client.rejections.set(client.rejections.at(now, rejectionHalfLife)+1, now)
 	doublings := min(client.rejections.value-1, maxDoublings)
-	base := min(policy.Rules.ComeBackMost/2, policy.Rules.ComeBack*math.Exp2(doublings))
+	base := min(policy.rules.MaxRetryAfter/2, policy.rules.MinRetryAfter*math.Exp2(doublings))
 	return base * (1 + policy.drawJitter())
 }
 
@@ -143,21 +143,21 @@
 func (p *clientPolicy) drawJitter() float64 {
 	p.jitterDraws++
 	var input [12]byte
-	binary.LittleEndian.PutUint64(input[:], uint64(p.Rules.Seed))
+	binary.LittleEndian.PutUint64(input[:], uint64(p.rules.Seed))
 	binary.LittleEndian.PutUint32(input[8:], p.jitterDraws)
 	return float64(crc32.ChecksumIEEE(input[:])) / math.MaxUint32
 }
 
-// Advice returns the time after which an admitted connection may retry a request, in seconds, while
+// RetryAfter returns the time after which an admitted connection may retry a request, in seconds, while
 // it may not have one open.
-func (l *Door) Advice(slot int32, now float64) float64 { return l.TurnAway(slot, NoPlace, now) }
+func (l *Limiter) RetryAfter(slot int32, now float64) float64 { return l.Reject(slot, NoFreeSlot, now) }
 
-// MayOwe reports whether a connection may open a request. Untrusted addresses that have slots of
+// MayOpenRequest reports whether a connection may open a request. Untrusted addresses that have slots of
 // the reserve may not keep them by open requests, as those can't be taken back at once.
-func (l *Door) MayOwe(slot int32) bool {
+func (l *Limiter) MayOpenRequest(slot int32) bool {
 	policy := l.clientPolicy
 	conn := &l.connections[slot]
-	if policy == nil || conn.state == Busy {
+	if policy == nil || conn.state == StateActive {
 		return true
 	}
 	if !conn.admitted {
--- a/internal/policy/connlimit/admission_test.go
+++ b/internal/policy/connlimit/admission_test.go
@@ -78,7 +78,7 @@
 		}
 		s.maintain()
 	}
-	for range s.rules.Reserve {
+	for range s.rules.ReservedSlots {
 		if _, admitted := s.arrive(trusted); !admitted {
 			t.Fatal("a trusted client has no slot")
 		}
@@ -87,29 +87,29 @@
 
 func TestHandleArrival_LimitsAndSizeOfHoldingArea(t *testing.T) {
 	s := defaultSimulation(t)
-	reasons := map[Cause]int{}
+	reasons := map[RejectReason]int{}
 	for slot := range int32(1000) { // in one instant, from one address
-		reason, _ := s.limiter.Arrive(slot, netip.MustParseAddr("10.1.1.1"), s.now)
+		reason, _ := s.limiter.HandleArrival(slot, netip.MustParseAddr("10.1.1.1"), s.now)
 		reasons[reason]++
-		if held := s.limiter.Count(Lobby); held > 2*s.rules.Lobby {
+		if held := s.limiter.Count(StateHeld); held > 2*s.rules.HoldingSlots {
 			t.Fatalf("%d held", held)
 		}
 	}
-	if reasons[LetIn] != s.rules.PerAddress || reasons[OverCap] == 0 || reasons[NoLobby] == 0 {
+	if reasons[Admitted] != s.rules.MaxPerAddress || reasons[OverCap] == 0 || reasons[HoldingAreaFull] == 0 {
 		t.Errorf("%v", reasons)
 	}
 	closed := 0
 	for range 20 {
-		for _, decision := range slices.Clone(s.limiter.Due(s.now)) {
-			if decision.Do == Close {
+		for _, decision := range slices.Clone(s.limiter.TakeDecisions(s.now)) {
+			if decision.Command == CommandClose {
 				closed++
-				s.limiter.Leave(decision.Slot)
+				s.limiter.HandleClosed(decision.Slot)
 			}
 		}
 		s.now += 0.001
 	}
-	if closed < s.rules.Lobby || s.limiter.Count(Lobby) > s.rules.Lobby {
-		t.Errorf("%d closed, %d held", closed, s.limiter.Count(Lobby))
+	if closed < s.rules.HoldingSlots || s.limiter.Count(StateHeld) > s.rules.HoldingSlots {
+		t.Errorf("%d closed, %d held", closed, s.limiter.Count(StateHeld))
 	}
 }
 
@@ -119,15 +119,15 @@
 	previous := 0.0
 	for i := range 12 {
 		slot := int32(i)
-		s.limiter.Arrive(slot, netip.MustParseAddr("10.1.1.1"), s.now)
-		retryAfter := s.limiter.TurnAway(slot, NoPlace, s.now)
+		s.limiter.HandleArrival(slot, netip.MustParseAddr("10.1.1.1"), s.now)
+		retryAfter := s.limiter.Reject(slot, NoFreeSlot, s.now)
 		if seen[retryAfter] || i > 0 && i < 5 && retryAfter <= previous*0.99 {
 			t.Errorf("retry after %v, then %v", previous, retryAfter)
 		}
 		seen[retryAfter] = true
-		previous = min(retryAfter, s.rules.ComeBack*float64(int(1)<<(i+1)))
+		previous = min(retryAfter, s.rules.MinRetryAfter*float64(int(1)<<(i+1)))
 	}
-	if previous < s.rules.ComeBackMost/2 {
+	if previous < s.rules.MaxRetryAfter/2 {
 		t.Errorf("retry after ends at %v", previous)
 	}
 }
@@ -137,15 +137,15 @@
 	for _, addresses := range []int{1000, 1_000_000} {
 		b.Run(fmt.Sprint(addresses), func(b *testing.B) {
 			rules := testRules()
-			rules.Most = 10_000
-			rules.Reserve = 2_000
-			rules.Remember = 8192
-			rules.PerPrefix = 0
-			rules.ArrivalsPrefix = 0
-			limiter := NewGuarded(30, rules)
+			rules.MaxConnections = 10_000
+			rules.ReservedSlots = 2_000
+			rules.RememberedAddresses = 8192
+			rules.MaxPerPrefix = 0
+			rules.RatePerPrefix = 0
+			limiter := NewWithRules(30, rules)
 			for slot := range int32(9000) {
-				limiter.Arrive(slot, netip.AddrFrom4([4]byte{12, 0, byte(slot >> 8), byte(slot)}), 0)
-				limiter.Tell(slot, Spoke, 0)
+				limiter.HandleArrival(slot, netip.AddrFrom4([4]byte{12, 0, byte(slot >> 8), byte(slot)}), 0)
+				limiter.HandleEvent(slot, EventRequest, 0)
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
@@ -153,11 +153,11 @@
 				now := 1 + float64(i)*1e-4
 				n := i % addresses
 				addr := netip.AddrFrom4([4]byte{11, byte(n >> 16), byte(n >> 8), byte(n)})
-				if reason, _ := limiter.Arrive(9000, addr, now); reason != LetIn && reason != OverRate {
+				if reason, _ := limiter.HandleArrival(9000, addr, now); reason != Admitted && reason != RateLimited {
 					b.Fatal(reason)
 				}
-				limiter.Tell(9000, Spoke, now)
-				limiter.Leave(9000)
+				limiter.HandleEvent(9000, EventRequest, now)
+				limiter.HandleClosed(9000)
 			}
 		})
 	}
--- a/internal/policy/connlimit/client.go
+++ b/internal/policy/connlimit/client.go
@@ -17,7 +17,7 @@
 		client.trusted = client.trustedByRule
 	}
 	// The prefix may have been dropped meanwhile, as it holds no connection of this address.
-	prefix := newKey(addr, p.Rules.V4, p.Rules.V6)
+	prefix := newKey(addr, p.rules.IPv4PrefixBits, p.rules.IPv6PrefixBits)
 	if !p.prefixes.has(client.prefix, prefix) {
 		client.prefix, _ = p.prefixes.findOrAdd(prefix)
 		if client.prefix < 0 {
@@ -34,7 +34,7 @@
 }
 
 // removeFromAddress takes a connection that is gone off its address.
-func (l *Door) removeFromAddress(slot int32) {
+func (l *Limiter) removeFromAddress(slot int32) {
 	policy := l.clientPolicy
 	conn := &l.connections[slot]
 	if conn.address == 0 {
@@ -59,7 +59,7 @@
 }
 
 // updateClient brings a connection's address up to date after the connection entered a state.
-func (l *Door) updateClient(slot int32, now float64) {
+func (l *Limiter) updateClient(slot int32, now float64) {
 	conn := &l.connections[slot]
 	if conn.address == 0 {
 		return
@@ -71,7 +71,7 @@
 
 // updateEvictable keeps the list of an address's evictable connections in the order in which they
 // were last heard.
-func (l *Door) updateEvictable(slot int32, now float64) {
+func (l *Limiter) updateEvictable(slot int32, now float64) {
 	conn := &l.connections[slot]
 	evictable := &l.clientPolicy.addresses.entries[conn.address-1].evictable
 	wanted := conn.admitted && conn.state.isEvictable()
@@ -88,7 +88,7 @@
 
 // addressLinks returns the links of a connection, counted from 1, in the list of its address; nil
 // for 0.
-func (l *Door) addressLinks(number int32) *links {
+func (l *Limiter) addressLinks(number int32) *links {
 	if number == 0 {
 		return nil
 	}
@@ -97,7 +97,7 @@
 
 // updateActive counts the connections with an open request.
 func (p *clientPolicy) updateActive(conn *connection) {
-	active := conn.admitted && conn.state == Busy
+	active := conn.admitted && conn.state == StateActive
 	if active == conn.active {
 		return
 	}
--- a/internal/policy/connlimit/decision.go
+++ b/internal/policy/connlimit/decision.go
@@ -5,31 +5,31 @@
 	"strconv"
 )
 
-// Verb is what is to be done with a connection.
-type Verb uint8
+// Command is what is to be done with a connection.
+type Command uint8
 
 // The commands to the server.
 const (
-	Ask          Verb = iota // ask the peer to close it
-	Close                    // close it and report that; or, with unread data, report that and read
-	commandCount             // how many commands there are
+	CommandAskToClose Command = iota // ask the peer to close it
+	CommandClose                     // close it and report that; or, with unread data, report that and read
+	commandCount                     // how many commands there are
 )
 
-var commandNames = [commandCount]string{Ask: "ask_to_close", Close: "close"}
+var commandNames = [commandCount]string{CommandAskToClose: "ask_to_close", CommandClose: "close"}
 
 // String returns the name of the command.
-func (c Verb) String() string {
+func (c Command) String() string {
 	if c >= commandCount {
 		return "command " + strconv.Itoa(int(c))
 	}
 	return commandNames[c]
 }
 
-// Verdict is a decision on the connection at a slot.
-type Verdict struct {
-	Slot int32
-	Do   Verb
-	Was  State // the state of the connection before
+// Decision is a decision on the connection at a slot.
+type Decision struct {
+	Slot          int32
+	Command       Command
+	PreviousState State // the state of the connection before
 }
 
 // Timeouts of the states, in seconds.
@@ -69,11 +69,11 @@
 
 // timedStates are the states that time out, in the order in which they are looked at: first those
 // whose end frees a descriptor.
-var timedStates = [...]State{Turned, Lobby, Stranger, Half, Parting, Known}
+var timedStates = [...]State{StateRejected, StateHeld, StateNew, StatePartialMessage, StateAskedToClose, StateIdle}
 
-// Due returns what is to be done at now: a batch of it, in each state those first whose timeout
+// TakeDecisions returns what is to be done at now: a batch of it, in each state those first whose timeout
 // passed first. The slice is valid until the next call.
-func (l *Door) Due(now float64) []Verdict {
+func (l *Limiter) TakeDecisions(now float64) []Decision {
 	l.decisions = l.decisions[:0]
 	if now < l.nextBatchAt {
 		return nil
@@ -96,17 +96,17 @@
 }
 
 // expireHeld times out connections that are not admitted, up to the size of their batch.
-func (l *Door) expireHeld(state State, now float64) {
+func (l *Limiter) expireHeld(state State, now float64) {
 	for now >= l.nextTimeout(state) && len(l.decisions) < maxHeldBatch {
-		l.handle(l.firstIn(state), Due, now)
+		l.handle(l.firstIn(state), EventTimeout, now)
 	}
 }
 
 // expire times out at most room connections in a state, and returns the room that is left.
-func (l *Door) expire(state State, room int, now float64) int {
-	event := Due
+func (l *Limiter) expire(state State, room int, now float64) int {
+	event := EventTimeout
 	if l.draining && state.hasNoRequest() {
-		event = Told
+		event = EventDrain
 	}
 	for now >= l.nextTimeout(state) && room > 0 {
 		room--
@@ -116,12 +116,12 @@
 }
 
 // decide adds a decision to the batch.
-func (l *Door) decide(slot int32, command Verb, previous State) {
-	l.decisions = append(l.decisions, Verdict{slot, command, previous})
+func (l *Limiter) decide(slot int32, command Command, previous State) {
+	l.decisions = append(l.decisions, Decision{slot, command, previous})
 }
 
-// Next returns when there may be decisions to take, infinite where nothing is ahead.
-func (l *Door) Next() float64 {
+// NextWakeup returns when there may be decisions to take, infinite where nothing is ahead.
+func (l *Limiter) NextWakeup() float64 {
 	wakeup := math.Inf(1)
 	for _, state := range timedStates {
 		wakeup = min(wakeup, l.nextTimeout(state))
@@ -130,13 +130,13 @@
 }
 
 // nextTimeout returns when the first connection in a state times out, infinite where there is none.
-func (l *Door) nextTimeout(state State) float64 {
+func (l *Limiter) nextTimeout(state State) float64 {
 	slot := l.firstIn(state)
 	if slot < 0 {
 		return math.Inf(1)
 	}
 	since := l.connections[slot].since
-	if state == Lobby && l.Count(state) > l.clientPolicy.Rules.Lobby { // it has to make room
+	if state == StateHeld && l.Count(state) > l.clientPolicy.rules.HoldingSlots { // it has to make room
 		return since
 	}
 	return since + l.timeouts[state]
--- a/internal/policy/connlimit/eviction.go
+++ b/internal/policy/connlimit/eviction.go
@@ -17,14 +17,14 @@
 // anySilence is a time, in seconds, that every connection was silent for.
 var anySilence = math.Inf(-1)
 
-// Spare returns the connections of which one may go when another needs its slot, without rules. The
+// EvictionCandidates returns the connections of which one may go when another needs its slot, without rules. The
 // first to go are new ones that had time to send something; then those without an open request, the
 // one silent for longest first; then newer ones, whose first message may be on its way, the newest
 // last. So a peer that only holds connections keeps nobody out. Connections with an open request
 // are not among them.
-func (l *Door) Spare(now float64) iter.Seq[int32] {
+func (l *Limiter) EvictionCandidates(now float64) iter.Seq[int32] {
 	return func(yield func(int32) bool) {
-		slot := l.firstIn(Stranger)
+		slot := l.firstIn(StateNew)
 		for ; l.isSilentNew(slot, now); slot = l.nextInState(slot) {
 			if !yield(slot) {
 				return
@@ -43,14 +43,14 @@
 
 // isSilentNew reports whether a new connection had time to send something and did not. It is false
 // for no slot.
-func (l *Door) isSilentNew(slot int32, now float64) bool {
+func (l *Limiter) isSilentNew(slot int32, now float64) bool {
 	return slot >= 0 && now-l.connections[slot].since > firstMessageDelay
 }
 
 // yieldByLastHeard yields the connections without an open request that sent something, the one
 // silent for longest first, by merging the queues of their states. It reports whether to go on.
-func (l *Door) yieldByLastHeard(yield func(int32) bool) bool {
-	heads := [...]int32{l.firstIn(Parting), l.firstIn(Half), l.firstIn(Known)}
+func (l *Limiter) yieldByLastHeard(yield func(int32) bool) bool {
+	heads := [...]int32{l.firstIn(StateAskedToClose), l.firstIn(StatePartialMessage), l.firstIn(StateIdle)}
 	for {
 		oldest := -1
 		for i, slot := range heads {
@@ -69,18 +69,18 @@
 }
 
 // heardBefore reports whether a connection was last heard before another.
-func (l *Door) heardBefore(slot, other int32) bool {
+func (l *Limiter) heardBefore(slot, other int32) bool {
 	return l.connections[slot].lastHeard < l.connections[other].lastHeard
 }
 
-// Yields returns the connections of which one may go for the one at a slot, by rules. The first to
+// EvictionCandidatesFor returns the connections of which one may go for the one at a slot, by rules. The first to
 // go are untrusted ones that sent nothing in time; then those of the address that holds most, the
 // one silent for longest first. An untrusted address takes no slot of a trusted one, and none takes
 // a slot of an address that holds fewer than its own would then: so the shares of all addresses
 // that want more become equal, and one address with many connections loses its own first. Where
 // both would hold as many, one goes that was silent for quietTime. Last come the address's own,
 // which a client that came back after a crash may have left behind.
-func (l *Door) Yields(slot int32, now float64) iter.Seq[int32] {
+func (l *Limiter) EvictionCandidatesFor(slot int32, now float64) iter.Seq[int32] {
 	return func(yield func(int32) bool) {
 		client, _ := l.clientPolicy.entriesOf(&l.connections[slot])
 		equalShare := client.admitted + 1
@@ -104,8 +104,8 @@
 
 // yieldSilentUntrusted yields new connections of untrusted addresses that had time to send
 // something. It reports whether to go on.
-func (l *Door) yieldSilentUntrusted(now float64, yield func(int32) bool) bool {
-	for slot := l.firstIn(Stranger); l.isSilentNew(slot, now); slot = l.nextInState(slot) {
+func (l *Limiter) yieldSilentUntrusted(now float64, yield func(int32) bool) bool {
+	for slot := l.firstIn(StateNew); l.isSilentNew(slot, now); slot = l.nextInState(slot) {
 		client, _ := l.clientPolicy.entriesOf(&l.connections[slot])
 		if !client.trusted && !yield(slot) {
 			return false
@@ -124,7 +124,7 @@
 
 // yieldHolders yields the evictable connections of the selected addresses, of those that hold most
 // first. It reports whether to go on.
-func (l *Door) yieldHolders(selected holders, now float64, yield func(int32) bool) bool {
+func (l *Limiter) yieldHolders(selected holders, now float64, yield func(int32) bool) bool {
 	table := l.clientPolicy.addresses
 	for rank := table.highestRank(selected.trusted); rank >= selected.atLeast; rank-- {
 		minSilence := anySilence
@@ -144,7 +144,7 @@
 
 // yieldEvictable yields the evictable connections of an address that were silent for minSilence
 // seconds, the one silent for longest first. It reports whether to go on.
-func (l *Door) yieldEvictable(client *addressEntry, minSilence, now float64, yield func(int32) bool) bool {
+func (l *Limiter) yieldEvictable(client *addressEntry, minSilence, now float64, yield func(int32) bool) bool {
 	for slot := client.evictable.first - 1; slot >= 0; slot = l.nextOfAddress(slot) {
 		if now-l.connections[slot].lastHeard < minSilence { // the rest was heard later
 			return true
@@ -158,6 +158,6 @@
 
 // nextOfAddress returns the slot that follows another in the list of their address, -1 after the
 // last.
-func (l *Door) nextOfAddress(slot int32) int32 {
+func (l *Limiter) nextOfAddress(slot int32) int32 {
 	return l.connections[slot].addressLinks.next - 1
 }
--- a/internal/policy/connlimit/eviction_test.go
+++ b/internal/policy/connlimit/eviction_test.go
@@ -7,14 +7,14 @@
 
 func TestEvictionCandidatesFor_LargestHolderLosesFirst(t *testing.T) {
 	s := defaultSimulation(t)
-	s.rules.PerAddress = 0
-	s.limiter.Rules.PerAddress = 0
-	s.limiter.Rules.PerPrefix = 0
+	s.rules.MaxPerAddress = 0
+	s.limiter.clientPolicy.rules.MaxPerAddress = 0
+	s.limiter.clientPolicy.rules.MaxPerPrefix = 0
 	greedy := netip.MustParseAddr("10.1.1.1")
 	for range 60 {
 		slot, admitted := s.arrive(greedy)
 		if admitted {
-			s.limiter.Tell(slot, Spoke, s.now)
+			s.limiter.HandleEvent(slot, EventRequest, s.now)
 		}
 		s.now += 0.01
 		s.maintain()
@@ -23,7 +23,7 @@
 		s.now += 0.01
 		slot, admitted := s.arrive(numberedAddr(i % 6))
 		if admitted {
-			s.limiter.Tell(slot, Spoke, s.now)
+			s.limiter.HandleEvent(slot, EventRequest, s.now)
 		}
 		s.maintain()
 	}
@@ -40,29 +40,29 @@
 
 func TestEvictionCandidatesFor_FloodBehindTrustedGatewayHarmsItAlone(t *testing.T) {
 	s := defaultSimulation(t)
-	s.rules.PerAddress = 0
-	s.limiter.Rules.PerAddress = 0
-	s.limiter.Rules.ArrivalsAddress = 0
+	s.rules.MaxPerAddress = 0
+	s.limiter.clientPolicy.rules.MaxPerAddress = 0
+	s.limiter.clientPolicy.rules.RatePerAddress = 0
 	gateway, honest := netip.MustParseAddr("10.1.1.1"), netip.MustParseAddr("10.1.2.1")
 	s.earnTrust(gateway)
 	s.earnTrust(honest)
 	for range 500 { // many machines behind one gateway, all of which stay
 		s.now += 0.01
 		if slot, admitted := s.arrive(gateway); admitted {
-			s.limiter.Tell(slot, Spoke, s.now)
+			s.limiter.HandleEvent(slot, EventRequest, s.now)
 		}
 		s.maintain()
-		if s.count(gateway) == s.rules.Most {
+		if s.count(gateway) == s.rules.MaxConnections {
 			break
 		}
 	}
-	for i := range s.rules.Most / 2 {
+	for i := range s.rules.MaxConnections / 2 {
 		s.now += 0.01
 		slot, admitted := s.arrive(honest)
 		if !admitted {
 			t.Fatalf("the honest one has %d, the gateway %d", i, s.count(gateway))
 		}
-		s.limiter.Tell(slot, Spoke, s.now)
+		s.limiter.HandleEvent(slot, EventRequest, s.now)
 	}
 	if g, h := s.count(gateway), s.count(honest); g-h > 1 || h-g > 1 {
 		t.Errorf("the gateway holds %d, the honest one %d", g, h)
@@ -72,15 +72,15 @@
 		s.maintain()
 		s.check()
 	}
-	if s.limiter.admitted != 0 {
-		t.Errorf("%d are admitted after months", s.limiter.admitted)
+	if s.limiter.clientPolicy.admitted != 0 {
+		t.Errorf("%d are admitted after months", s.limiter.clientPolicy.admitted)
 	}
 }
 
 // earnTrust has a client do the requests that make it trusted, and leave.
 func (s *simulation) earnTrust(addr netip.Addr) {
 	slot, _ := s.arrive(addr)
-	for range s.rules.Earn + 1 {
+	for range s.rules.TrustThreshold + 1 {
 		s.now++
 		s.openRequest(slot)
 		s.completeRequest(slot)
--- a/internal/policy/connlimit/limiter_test.go
+++ b/internal/policy/connlimit/limiter_test.go
@@ -14,16 +14,16 @@
 func TestEvictionCandidates_InOrder(t *testing.T) {
 	limiter := New(30)
 	now := 100.0
-	limiter.Open(5, now-9)
-	limiter.Tell(5, Owed, now-9) // has an open request: never
-	limiter.Open(2, now-9)
-	limiter.Tell(2, Spoke, now-8) // silent for longest of those that sent something
-	limiter.Open(3, now-9)
-	limiter.Tell(3, Spoke, now-0.5)
-	limiter.Open(0, now-1) // had its time and sent nothing
-	limiter.Open(1, now-0.5)
-	limiter.Open(4, now) // its first message may be on its way
-	if got := slices.Collect(limiter.Spare(now)); !slices.Equal(got, []int32{0, 1, 2, 3, 4}) {
+	limiter.HandleOpen(5, now-9)
+	limiter.HandleEvent(5, EventRequestOpened, now-9) // has an open request: never
+	limiter.HandleOpen(2, now-9)
+	limiter.HandleEvent(2, EventRequest, now-8) // silent for longest of those that sent something
+	limiter.HandleOpen(3, now-9)
+	limiter.HandleEvent(3, EventRequest, now-0.5)
+	limiter.HandleOpen(0, now-1) // had its time and sent nothing
+	limiter.HandleOpen(1, now-0.5)
+	limiter.HandleOpen(4, now) // its first message may be on its way
+	if got := slices.Collect(limiter.EvictionCandidates(now)); !slices.Equal(got, []int32{0, 1, 2, 3, 4}) {
 		t.Error(got)
 	}
 }
@@ -32,31 +32,31 @@
 	const connections = 10_000
 	limiter := New(5)
 	for slot := range int32(connections) {
-		limiter.Open(slot, 0)
-		limiter.Tell(slot, Spoke, 0)
+		limiter.HandleOpen(slot, 0)
+		limiter.HandleEvent(slot, EventRequest, 0)
 	}
-	if limiter.Next() != 5 || len(limiter.Due(4.999)) != 0 {
-		t.Fatalf("next wakeup %v", limiter.Next())
+	if limiter.NextWakeup() != 5 || len(limiter.TakeDecisions(4.999)) != 0 {
+		t.Fatalf("next wakeup %v", limiter.NextWakeup())
 	}
-	asked, now := 0, limiter.Next()
-	for ; asked < connections; now = limiter.Next() {
-		decisions := limiter.Due(now)
+	asked, now := 0, limiter.NextWakeup()
+	for ; asked < connections; now = limiter.NextWakeup() {
+		decisions := limiter.TakeDecisions(now)
 		if len(decisions) == 0 || len(decisions) > maxBatch {
 			t.Fatalf("%d decisions at %v", len(decisions), now)
 		}
 		for _, decision := range decisions {
-			if decision.Do != Ask || decision.Slot != int32(asked) {
+			if decision.Command != CommandAskToClose || decision.Slot != int32(asked) {
 				t.Fatalf("%+v after %d", decision, asked)
 			}
 			asked++
-			limiter.Leave(decision.Slot) // the peer closes it
+			limiter.HandleClosed(decision.Slot) // the peer closes it
 		}
-		if more := limiter.Due(now); len(more) > 0 && asked < connections {
+		if more := limiter.TakeDecisions(now); len(more) > 0 && asked < connections {
 			t.Fatalf("%d more in the same instant", len(more))
 		}
 	}
-	if !math.IsInf(now, 1) || limiter.Count(Known) != 0 || len(limiter.connections) != 0 {
-		t.Errorf("next wakeup %v, %d idle, %d records", now, limiter.Count(Known), len(limiter.connections))
+	if !math.IsInf(now, 1) || limiter.Count(StateIdle) != 0 || len(limiter.connections) != 0 {
+		t.Errorf("next wakeup %v, %d idle, %d records", now, limiter.Count(StateIdle), len(limiter.connections))
 	}
 }
 
@@ -64,57 +64,57 @@
 	const connections = 1000
 	limiter := New(30)
 	for slot := range int32(connections) {
-		limiter.Open(slot, 0)
+		limiter.HandleOpen(slot, 0)
 		if slot%3 > 0 {
-			limiter.Tell(slot, Spoke, 0)
+			limiter.HandleEvent(slot, EventRequest, 0)
 		}
 	}
-	limiter.Tell(1, Owed, 0)
-	if active := limiter.LeaveAll(); !slices.Equal(active, []int32{1}) {
+	limiter.HandleEvent(1, EventRequestOpened, 0)
+	if active := limiter.StartDrain(); !slices.Equal(active, []int32{1}) {
 		t.Errorf("%v have an open request", active)
 	}
-	limiter.Idle(30) // said by the admission module after that: it changes nothing
+	limiter.SetIdleTimeout(30) // said by the admission module after that: it changes nothing
 	asked, closed, now := 0, 0, 0.0
 	for ; now < 1; now += 0.001 {
-		for _, decision := range limiter.Due(now) {
-			if decision.Do == Ask {
+		for _, decision := range limiter.TakeDecisions(now) {
+			if decision.Command == CommandAskToClose {
 				asked++
 				continue
 			}
 			closed++
-			limiter.Leave(decision.Slot)
+			limiter.HandleClosed(decision.Slot)
 		}
 	}
-	if asked != connections-1 || closed != connections-1 || limiter.State(1) != Busy {
+	if asked != connections-1 || closed != connections-1 || limiter.State(1) != StateActive {
 		t.Fatalf("%d asked, %d closed, the active one is %v", asked, closed, limiter.State(1))
 	}
-	limiter.Tell(1, Settled, now)
-	if got := limiter.Due(now); len(got) != 0 || limiter.State(1) != Parting {
+	limiter.HandleEvent(1, EventRequestsDone, now)
+	if got := limiter.TakeDecisions(now); len(got) != 0 || limiter.State(1) != StateAskedToClose {
 		t.Errorf("after its request it is asked again: %v", got)
 	}
-	if got := limiter.Due(now + 0.2); !slices.Equal(got, []Verdict{{1, Close, Parting}}) {
+	if got := limiter.TakeDecisions(now + 0.2); !slices.Equal(got, []Decision{{1, CommandClose, StateAskedToClose}}) {
 		t.Errorf("it does not close: %v", got)
 	}
 }
 
 func TestHandleEvent_UnreadDataTakesCloseBack(t *testing.T) {
 	limiter := New(1)
-	limiter.Open(0, 0)
-	limiter.Tell(0, Spoke, 0)
-	if got := limiter.Due(1); !slices.Equal(got, []Verdict{{0, Ask, Known}}) {
+	limiter.HandleOpen(0, 0)
+	limiter.HandleEvent(0, EventRequest, 0)
+	if got := limiter.TakeDecisions(1); !slices.Equal(got, []Decision{{0, CommandAskToClose, StateIdle}}) {
 		t.Fatal(got)
 	}
-	if got := limiter.Due(1.5); !slices.Equal(got, []Verdict{{0, Close, Parting}}) {
+	if got := limiter.TakeDecisions(1.5); !slices.Equal(got, []Decision{{0, CommandClose, StateAskedToClose}}) {
 		t.Fatal(got)
 	}
-	limiter.Tell(0, Woke, 1.5)
-	limiter.Tell(0, Owed, 1.5)
-	if len(limiter.Due(100)) != 0 || limiter.State(0) != Busy {
+	limiter.HandleEvent(0, EventUnreadData, 1.5)
+	limiter.HandleEvent(0, EventRequestOpened, 1.5)
+	if len(limiter.TakeDecisions(100)) != 0 || limiter.State(0) != StateActive {
 		t.Error("closed while a request is open")
 	}
-	limiter.Tell(0, Settled, 100)
-	if limiter.State(0) != Parting || limiter.Next() != 100.5 {
-		t.Errorf("%v, next wakeup %v", limiter.State(0), limiter.Next())
+	limiter.HandleEvent(0, EventRequestsDone, 100)
+	if limiter.State(0) != StateAskedToClose || limiter.NextWakeup() != 100.5 {
+		t.Errorf("%v, next wakeup %v", limiter.State(0), limiter.NextWakeup())
 	}
 }
 
@@ -125,15 +125,15 @@
 		b.Run(fmt.Sprint(connections), func(b *testing.B) {
 			limiter := New(1e9)
 			for slot := range connections {
-				limiter.Open(slot, 0)
+				limiter.HandleOpen(slot, 0)
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
 				now := 1 + float64(i)*1e-9
-				limiter.Tell(int32(int64(i)*7919%int64(connections)), Spoke, now)
+				limiter.HandleEvent(int32(int64(i)*7919%int64(connections)), EventRequest, now)
 				if i%64 == 0 {
-					limiter.Due(0)
+					limiter.TakeDecisions(0)
 				}
 			}
 		})
--- a/internal/policy/connlimit/model_test.go
+++ b/internal/policy/connlimit/model_test.go
@@ -25,15 +25,15 @@
 func (c *modelConnection) state() State {
 	switch {
 	case c.active:
-		return Busy
+		return StateActive
 	case c.askedToClose:
-		return Parting
+		return StateAskedToClose
 	case !c.sentValid:
-		return Stranger
+		return StateNew
 	case c.hasPartial:
-		return Half
+		return StatePartialMessage
 	}
-	return Known
+	return StateIdle
 }
 
 // model is the plain model of a limiter without rules: it looks at all connections each time.
@@ -54,15 +54,15 @@
 
 func (m *model) timeout(state State) float64 {
 	switch {
-	case state == Busy:
+	case state == StateActive:
 		return math.Inf(1)
-	case state == Parting && m.draining:
+	case state == StateAskedToClose && m.draining:
 		return 0.1
-	case state == Parting:
+	case state == StateAskedToClose:
 		return 0.5
 	case m.draining:
 		return 0
-	case state == Known:
+	case state == StateIdle:
 		return m.idleTimeout
 	}
 	return 1.5
@@ -89,12 +89,12 @@
 
 func byLastHeard(a, b *modelConnection) int { return cmp.Compare(a.lastHeard, b.lastHeard) }
 
-func (m *model) takeDecisions(now float64) (decisions []Verdict) {
+func (m *model) takeDecisions(now float64) (decisions []Decision) {
 	batch := 4
 	if m.draining {
 		batch = 128
 	}
-	rank := map[State]int{Stranger: 0, Half: 1, Parting: 2, Known: 3}
+	rank := map[State]int{StateNew: 0, StatePartialMessage: 1, StateAskedToClose: 2, StateIdle: 3}
 	timedOut := m.sorted(
 		func(c *modelConnection) bool { return now >= c.since+m.timeout(c.state()) },
 		func(a, b *modelConnection) int {
@@ -105,12 +105,12 @@
 	}
 	for _, c := range timedOut[:min(batch, len(timedOut))] {
 		previous := c.state()
-		if previous == Known || m.draining && previous != Parting {
+		if previous == StateIdle || m.draining && previous != StateAskedToClose {
 			c.askedToClose = true
-			decisions = append(decisions, Verdict{c.slot, Ask, previous})
+			decisions = append(decisions, Decision{c.slot, CommandAskToClose, previous})
 			m.begin(c, now)
 		} else {
-			decisions = append(decisions, Verdict{c.slot, Close, previous})
+			decisions = append(decisions, Decision{c.slot, CommandClose, previous})
 		}
 	}
 	if len(decisions) > 0 {
@@ -120,28 +120,28 @@
 }
 
 // handleEvent takes on an event by the facts that it changes.
-func (m *model) handleEvent(c *modelConnection, event Input, now float64) {
+func (m *model) handleEvent(c *modelConnection, event Event, now float64) {
 	previous := c.state()
 	switch event {
-	case Spoke:
+	case EventRequest:
 		c.sentValid = true
 		c.hasPartial = false
 		c.lastHeard = now
-	case Heard:
+	case EventMessage:
 		c.hasPartial = false
 		c.lastHeard = now
-	case Partly:
+	case EventPartialMessage:
 		c.hasPartial = true
 		c.lastHeard = now
-	case Owed:
+	case EventRequestOpened:
 		c.active = true
 		c.sentValid = true
 		c.hasPartial = false
-	case Settled:
+	case EventRequestsDone:
 		c.active = false
 		c.lastHeard = now
 	}
-	if c.state() != previous || c.state() == Known {
+	if c.state() != previous || c.state() == StateIdle {
 		m.begin(c, now)
 	}
 }
@@ -161,7 +161,7 @@
 // whose first message may be on its way.
 func (c *modelConnection) evictionGroup(now float64) int {
 	switch {
-	case c.state() != Stranger:
+	case c.state() != StateNew:
 		return 1
 	case now-c.since > 0.1:
 		return 0
@@ -215,7 +215,7 @@
 type modelRun struct {
 	*rapid.T
 	model   *model
-	limiter *Door
+	limiter *Limiter
 	now     float64
 }
 
@@ -269,11 +269,11 @@
 		r.now += rapid.SampledFrom([]float64{0, 0.0005, 0.05, 0.6, 2, 1000}).Draw(r.T, "later")
 	case 7:
 		r.model.idleTimeout = rapid.SampledFrom([]float64{0, 0.1, 5}).Draw(r.T, "new idle timeout")
-		r.limiter.Idle(r.model.idleTimeout)
+		r.limiter.SetIdleTimeout(r.model.idleTimeout)
 	case 8:
 		if rapid.IntRange(0, 9).Draw(r.T, "drains") == 0 {
 			active := r.model.startDrain()
-			if got := r.limiter.LeaveAll(); !slices.Equal(got, active) {
+			if got := r.limiter.StartDrain(); !slices.Equal(got, active) {
 				r.Fatalf("active %v, want %v", got, active)
 			}
 		}
@@ -291,30 +291,31 @@
 		c := &modelConnection{slot: slot, lastHeard: r.now}
 		r.model.begin(c, r.now)
 		r.model.connections[slot] = c
-		r.limiter.Open(slot, r.now)
+		r.limiter.HandleOpen(slot, r.now)
 	}
 }
 
 func (r *modelRun) close(slot int32) {
 	delete(r.model.connections, slot)
-	r.limiter.Leave(slot)
+	r.limiter.HandleClosed(slot)
 }
 
 // handleEvent has a connection meet a drawn event, and reports whether it was one that can be.
 func (r *modelRun) handleEvent(c *modelConnection) bool {
-	event := rapid.SampledFrom([]Input{Spoke, Heard, Partly, Owed, Settled}).Draw(r.T, "event")
-	if (event == Settled) != c.active && (event == Settled || event == Owed) {
+	events := []Event{EventRequest, EventMessage, EventPartialMessage, EventRequestOpened, EventRequestsDone}
+	event := rapid.SampledFrom(events).Draw(r.T, "event")
+	if (event == EventRequestsDone) != c.active && (event == EventRequestsDone || event == EventRequestOpened) {
 		return false // nothing is open, or it is already
 	}
 	r.model.handleEvent(c, event, r.now)
-	r.limiter.Tell(c.slot, event, r.now)
+	r.limiter.HandleEvent(c.slot, event, r.now)
 	return true
 }
 
 func (r *modelRun) compareDecisions() {
 	want := r.model.takeDecisions(r.now)
-	wakeup := r.limiter.Next()
-	got := slices.Clone(r.limiter.Due(r.now))
+	wakeup := r.limiter.NextWakeup()
+	got := slices.Clone(r.limiter.TakeDecisions(r.now))
 	if !reflect.DeepEqual(got, want) && len(got)+len(want) > 0 {
 		r.Fatalf("at %v: %+v, want %+v", r.now, got, want)
 	}
@@ -322,12 +323,12 @@
 		r.Fatalf("%d decisions at %v, next wakeup was %v", len(got), r.now, wakeup)
 	}
 	for _, decision := range got {
-		if decision.Do != Close {
+		if decision.Command != CommandClose {
 			continue
 		}
 		if rapid.Bool().Draw(r.T, "unread data") {
 			r.model.begin(r.model.connections[decision.Slot], r.now)
-			r.limiter.Tell(decision.Slot, Woke, r.now)
+			r.limiter.HandleEvent(decision.Slot, EventUnreadData, r.now)
 		} else {
 			r.close(decision.Slot)
 		}
@@ -351,7 +352,7 @@
 
 func (r *modelRun) compareCandidates() {
 	var got []evictionRank
-	for slot := range r.limiter.Spare(r.now) {
+	for slot := range r.limiter.EvictionCandidates(r.now) {
 		got = append(got, r.model.connections[slot].evictionRank(r.now))
 	}
 	want := r.model.evictionCandidates(r.now)
--- a/internal/policy/connlimit/pacing.go
+++ b/internal/policy/connlimit/pacing.go
@@ -56,10 +56,10 @@
 	cpuTime float64            // of the server at the last sample, s
 }
 
-// Spent tells the limiter how many CPU seconds the server has used so far. What an arrival costs is
+// ObserveCPUTime tells the limiter how many CPU seconds the server has used so far. What an arrival costs is
 // the least that was used for each of some in a row, with all that was done beside: in a storm of
 // arrivals hardly anything else is.
-func (l *Door) Spent(cpuTime, now float64) {
+func (l *Limiter) ObserveCPUTime(cpuTime, now float64) {
 	arrivals := &l.clientPolicy.arrivals
 	switch {
 	case arrivals.count >= arrivalsPerSample:
@@ -72,12 +72,12 @@
 	}
 }
 
-// Pace returns how many connections a second may be accepted: what the CPU share of the rules is
+// AcceptRate returns how many connections a second may be accepted: what the CPU share of the rules is
 // enough for, at the cost of an arrival.
-func (l *Door) Pace(now float64) float64 {
+func (l *Limiter) AcceptRate(now float64) float64 {
 	cost := initialArrivalCost
 	if least := l.clientPolicy.arrivals.costs.Value(now); least > 0 {
 		cost = min(cost, least)
 	}
-	return l.clientPolicy.Rules.Share / cost
+	return l.clientPolicy.rules.CPUShare / cost
 }
--- a/internal/policy/connlimit/pressure.go
+++ b/internal/policy/connlimit/pressure.go
@@ -19,18 +19,18 @@
 	restoredAt float64 // when the limit last changed, s
 }
 
-// Squeeze takes on that descriptors ran short although the limiter kept to its slots: there are
-// fewer than the rules say. It goes by fewer slots from now on, and Excess lists what has to go.
-func (l *Door) Squeeze(now float64) {
+// HandleDescriptorShortage takes on that descriptors ran short although the limiter kept to its slots: there are
+// fewer than the rules say. It goes by fewer slots from now on, and ExcessConnections lists what has to go.
+func (l *Limiter) HandleDescriptorShortage(now float64) {
 	policy := l.clientPolicy
 	wanted := min(policy.slots.limit, policy.admitted-shortageStep)
-	policy.slots.limit = max(1, policy.Rules.Most/minSlotsDivisor, wanted)
+	policy.slots.limit = max(1, policy.rules.MaxConnections/minSlotsDivisor, wanted)
 	policy.slots.restoredAt = now
 }
 
-// Excess returns connections to close until Over is 0 or less: of untrusted addresses first, of
+// ExcessConnections returns connections to close until ExcessCount is 0 or less: of untrusted addresses first, of
 // those that hold most first.
-func (l *Door) Excess(now float64) iter.Seq[int32] {
+func (l *Limiter) ExcessConnections(now float64) iter.Seq[int32] {
 	return func(yield func(int32) bool) {
 		if l.yieldHolders(holders{trusted: false, atLeast: 1}, now, yield) {
 			l.yieldHolders(holders{trusted: true, atLeast: 1}, now, yield)
@@ -38,12 +38,12 @@
 	}
 }
 
-// Over returns how many connections are admitted beyond the slots.
-func (l *Door) Over() int { return l.clientPolicy.admitted - l.clientPolicy.slots.limit }
+// ExcessCount returns how many connections are admitted beyond the slots.
+func (l *Limiter) ExcessCount() int { return l.clientPolicy.admitted - l.clientPolicy.slots.limit }
 
 // restoreSlot gives back one slot that was taken in a shortage, once its time has come.
 func (p *clientPolicy) restoreSlot(now float64) {
-	if p.slots.limit < p.Rules.Most && now >= p.slots.restoredAt+slotRestoreInterval {
+	if p.slots.limit < p.rules.MaxConnections && now >= p.slots.restoredAt+slotRestoreInterval {
 		p.slots.limit++
 		p.slots.restoredAt = now
 	}
@@ -52,5 +52,5 @@
 // reservedSlots returns how many slots untrusted addresses can't keep from trusted ones: as large a
 // part of those that there are as the rules say.
 func (p *clientPolicy) reservedSlots() int {
-	return p.Rules.Reserve * p.slots.limit / p.Rules.Most
+	return p.rules.ReservedSlots * p.slots.limit / p.rules.MaxConnections
 }
--- a/internal/policy/connlimit/pressure_test.go
+++ b/internal/policy/connlimit/pressure_test.go
@@ -14,12 +14,12 @@
 			addr = numberedAddr(i)
 		}
 		slot, _ := s.arrive(addr)
-		s.limiter.Tell(slot, Spoke, s.now)
+		s.limiter.HandleEvent(slot, EventRequest, s.now)
 	}
 	for range 9 {
-		s.limiter.Squeeze(s.now)
-		for s.limiter.Over() > 0 {
-			for slot := range s.limiter.Excess(s.now) {
+		s.limiter.HandleDescriptorShortage(s.now)
+		for s.limiter.ExcessCount() > 0 {
+			for slot := range s.limiter.ExcessConnections(s.now) {
 				if s.isTrusted(s.connections[slot].addr) && len(s.connections)-s.admittedTrusted() > 0 {
 					t.Fatal("a trusted one goes before the untrusted")
 				}
@@ -27,18 +27,18 @@
 				break
 			}
 		}
-		s.rules.Most = s.limiter.slots.limit
+		s.rules.MaxConnections = s.limiter.clientPolicy.slots.limit
 		s.check()
 	}
-	if s.limiter.slots.limit != 10 || s.limiter.admitted > 10 {
-		t.Errorf("%d slots, %d admitted", s.limiter.slots.limit, s.limiter.admitted)
+	if s.limiter.clientPolicy.slots.limit != 10 || s.limiter.clientPolicy.admitted > 10 {
+		t.Errorf("%d slots, %d admitted", s.limiter.clientPolicy.slots.limit, s.limiter.clientPolicy.admitted)
 	}
 	for range 31 {
 		s.now++
 		s.arrive(netip.MustParseAddr("10.1.1.1"))
-		s.rules.Most = s.limiter.slots.limit + 1
+		s.rules.MaxConnections = s.limiter.clientPolicy.slots.limit + 1
 	}
-	if s.limiter.slots.limit != 40 {
-		t.Errorf("%d slots are restored", s.limiter.slots.limit)
+	if s.limiter.clientPolicy.slots.limit != 40 {
+		t.Errorf("%d slots are restored", s.limiter.clientPolicy.slots.limit)
 	}
 }
--- a/internal/policy/connlimit/reputation.go
+++ b/internal/policy/connlimit/reputation.go
@@ -39,14 +39,14 @@
 	c.updatedAt = now
 }
 
-// Earned is a client that earned trust, with its credit.
-type Earned struct {
+// TrustedClient is a client that earned trust, with its credit.
+type TrustedClient struct {
 	Addr   netip.Addr
 	Credit float64 // requests done, one a second at most, halved with each half-life
 }
 
-// Finished takes on that a request of a connection was done: its address gains credit.
-func (l *Door) Finished(slot int32, now float64) {
+// HandleRequestDone takes on that a request of a connection was done: its address gains credit.
+func (l *Limiter) HandleRequestDone(slot int32, now float64) {
 	policy := l.clientPolicy
 	if policy == nil || l.connections[slot].address == 0 {
 		return
@@ -56,14 +56,14 @@
 	if client.credit.value > 0 && now-client.credit.updatedAt < creditInterval {
 		return
 	}
-	client.credit.set(min(maxCredit, client.credit.at(now, policy.Rules.Forget)+1), now)
-	if !client.trusted && client.credit.value >= float64(policy.Rules.Earn)-creditTolerance {
+	client.credit.set(min(maxCredit, client.credit.at(now, policy.rules.CreditHalfLife)+1), now)
+	if !client.trusted && client.credit.value >= float64(policy.rules.TrustThreshold)-creditTolerance {
 		policy.setTrusted(id, true)
 	}
 }
 
 // minCredit is the credit below which trust ends.
-func (p *clientPolicy) minCredit() float64 { return float64(p.Rules.Earn) / 2 }
+func (p *clientPolicy) minCredit() float64 { return float64(p.rules.TrustThreshold) / 2 }
 
 // expireTrust ends the trust in an address that gained no credit for long.
 func (p *clientPolicy) expireTrust(id int32, now float64) {
@@ -71,8 +71,8 @@
 	if !client.trusted || client.trustedByRule {
 		return
 	}
-	own := client.credit.at(now, p.Rules.Forget)
-	reported := client.reportedCredit.at(now, p.Rules.Forget)
+	own := client.credit.at(now, p.rules.CreditHalfLife)
+	reported := client.reportedCredit.at(now, p.rules.CreditHalfLife)
 	if own < p.minCredit() && reported < p.minCredit() {
 		p.setTrusted(id, false)
 	}
@@ -94,41 +94,41 @@
 
 // isTrustedByRule reports whether the rules name a prefix that has the address.
 func (p *clientPolicy) isTrustedByRule(addr netip.Addr) bool {
-	return slices.ContainsFunc(p.Rules.Named, func(prefix netip.Prefix) bool {
+	return slices.ContainsFunc(p.rules.TrustedPrefixes, func(prefix netip.Prefix) bool {
 		return prefix.Contains(addr)
 	})
 }
 
-// Earnings returns the addresses that earned trust here, those with most credit first, at most
+// TrustedClients returns the addresses that earned trust here, those with most credit first, at most
 // limit. Credit that other servers reported is left out, or a client would be trusted for ever by
 // reports alone.
-func (l *Door) Earnings(now float64, limit int) (clients []Earned) {
+func (l *Limiter) TrustedClients(now float64, limit int) (clients []TrustedClient) {
 	policy := l.clientPolicy
 	if policy == nil {
 		return nil
 	}
 	for _, client := range policy.addresses.all() {
-		credit := client.credit.at(now, policy.Rules.Forget)
+		credit := client.credit.at(now, policy.rules.CreditHalfLife)
 		if client.trusted && credit >= policy.minCredit() {
-			clients = append(clients, Earned{client.key.address(), credit})
+			clients = append(clients, TrustedClient{client.key.address(), credit})
 		}
 	}
-	slices.SortFunc(clients, func(a, b Earned) int {
+	slices.SortFunc(clients, func(a, b TrustedClient) int {
 		return cmp.Or(cmp.Compare(b.Credit, a.Credit), a.Addr.Compare(b.Addr))
 	})
 	return clients[:min(len(clients), limit)]
 }
 
-// Heard makes addresses trusted that earned it at other servers, and returns how many. Their credit
+// AddTrustedClients makes addresses trusted that earned it at other servers, and returns how many. Their credit
 // is at most what trust takes, so that without a request done here it ends within a half-life. They
 // take the room of untrusted addresses, never of trusted ones, and at most half of that for
 // remembered addresses.
-func (l *Door) Heard(clients []Earned, now float64) (accepted int) {
+func (l *Limiter) AddTrustedClients(clients []TrustedClient, now float64) (accepted int) {
 	policy := l.clientPolicy
 	if policy == nil {
 		return 0
 	}
-	for _, reported := range clients[:min(len(clients), policy.Rules.Remember/2)] {
+	for _, reported := range clients[:min(len(clients), policy.rules.RememberedAddresses/2)] {
 		if policy.acceptReport(reported, now) {
 			accepted++
 		}
@@ -137,7 +137,7 @@
 }
 
 // acceptReport makes one address trusted that earned it at another server, if there is room.
-func (p *clientPolicy) acceptReport(reported Earned, now float64) bool {
+func (p *clientPolicy) acceptReport(reported TrustedClient, now float64) bool {
 	if reported.Credit < p.minCredit() {
 		return false
 	}
@@ -150,17 +150,17 @@
 		return false
 	}
 	client := &p.addresses.entries[id]
-	client.reportedCredit.set(min(reported.Credit, float64(p.Rules.Earn)), now)
+	client.reportedCredit.set(min(reported.Credit, float64(p.rules.TrustThreshold)), now)
 	if !client.trusted {
 		p.setTrusted(id, true)
 	}
 	return true
 }
 
-// KnownClients returns the addresses that are trusted by their credit, for the acceptor, which has
+// TrustedAddresses returns the addresses that are trusted by their credit, for the acceptor, which has
 // to tell them apart earlier. Where they did not change since the last call, it returns nil and
 // false.
-func (l *Door) KnownClients() (trusted map[netip.Addr]bool, changed bool) {
+func (l *Limiter) TrustedAddresses() (trusted map[netip.Addr]bool, changed bool) {
 	policy := l.clientPolicy
 	if !policy.trustChanged {
 		return nil, false
--- a/internal/policy/connlimit/reputation_test.go
+++ b/internal/policy/connlimit/reputation_test.go
@@ -10,7 +10,7 @@
 	gateway := netip.MustParseAddr("10.1.1.1")
 	slot, _ := s.arrive(gateway)
 	for i := range 9 { // health checks, and a burst of requests: neither earns it
-		s.limiter.Tell(slot, Spoke, s.now)
+		s.limiter.HandleEvent(slot, EventRequest, s.now)
 		s.openRequest(slot)
 		s.completeRequest(slot)
 		if s.isTrusted(gateway) {
@@ -28,8 +28,8 @@
 	s.close(slot)
 	for i := range 100_000 { // a flood from ever new addresses goes through the table
 		s.now += 0.0001
-		s.limiter.Arrive(0, netip.AddrFrom4([4]byte{11, byte(i >> 16), byte(i >> 8), byte(i)}), s.now)
-		s.limiter.Leave(0)
+		s.limiter.HandleArrival(0, netip.AddrFrom4([4]byte{11, byte(i >> 16), byte(i >> 8), byte(i)}), s.now)
+		s.limiter.HandleClosed(0)
 	}
 	if !s.isTrusted(gateway) {
 		t.Error("displaced by untrusted clients")
@@ -45,41 +45,41 @@
 // here.
 func TestAddTrustedClients_TrustEndsWithoutRequests(t *testing.T) {
 	addr := func(n byte) netip.Addr { return netip.AddrFrom4([4]byte{10, 0, 0, n}) }
-	limiter := NewGuarded(60, Rules{
-		Most:         4,
-		Reserve:      2,
-		V4:           24,
-		V6:           56,
-		Lobby:        1,
-		Remember:     64,
-		Earn:         3,
-		Forget:       100,
-		ComeBack:     0.1,
-		ComeBackMost: 1,
-		Share:        1,
+	limiter := NewWithRules(60, Rules{
+		MaxConnections:      4,
+		ReservedSlots:       2,
+		IPv4PrefixBits:      24,
+		IPv6PrefixBits:      56,
+		HoldingSlots:        1,
+		RememberedAddresses: 64,
+		TrustThreshold:      3,
+		CreditHalfLife:      100,
+		MinRetryAfter:       0.1,
+		MaxRetryAfter:       1,
+		CPUShare:            1,
 	})
-	if n := limiter.Heard([]Earned{{addr(1), 1e9}, {addr(2), 3}, {addr(3), 1}}, 0); n != 2 {
+	if n := limiter.AddTrustedClients([]TrustedClient{{addr(1), 1e9}, {addr(2), 3}, {addr(3), 1}}, 0); n != 2 {
 		t.Fatalf("%d of three were accepted; one has too little", n)
 	}
 	isTrusted := func(now float64, addr netip.Addr) bool {
-		limiter.Arrive(0, addr, now)
-		defer limiter.Leave(0)
-		return limiter.addresses.entries[limiter.connections[0].address-1].trusted
+		limiter.HandleArrival(0, addr, now)
+		defer limiter.HandleClosed(0)
+		return limiter.clientPolicy.addresses.entries[limiter.connections[0].address-1].trusted
 	}
 	if !isTrusted(1, addr(1)) || !isTrusted(1, addr(2)) || isTrusted(1, addr(3)) {
 		t.Error("who is trusted is not who earned it elsewhere")
 	}
-	if clients := limiter.Earnings(1, 10); len(clients) != 0 {
+	if clients := limiter.TrustedClients(1, 10); len(clients) != 0 {
 		t.Errorf("reports are passed on: %v", clients)
 	}
 	if isTrusted(101, addr(1)) {
 		t.Error("trusted by reports for more than a half-life")
 	}
-	var many []Earned
+	var many []TrustedClient
 	for n := range 200 {
-		many = append(many, Earned{netip.AddrFrom4([4]byte{10, 1, 0, byte(n)}), 3})
+		many = append(many, TrustedClient{netip.AddrFrom4([4]byte{10, 1, 0, byte(n)}), 3})
 	}
-	if n := limiter.Heard(many, 102); n != 32 {
+	if n := limiter.AddTrustedClients(many, 102); n != 32 {
 		t.Errorf("%d of 64 places went to reports", n)
 	}
 }
--- a/internal/policy/connlimit/rules.go
+++ b/internal/policy/connlimit/rules.go
@@ -9,55 +9,55 @@
 
 // Rules are the operator's limits on connections. A limit of 0 is none.
 type Rules struct {
-	Most    int // connections that are admitted
-	Reserve int // of these, what untrusted addresses can't keep from trusted ones
+	MaxConnections int // connections that are admitted
+	ReservedSlots  int // of these, what untrusted addresses can't keep from trusted ones
 
 	// Of an untrusted address; a trusted one may have four times as many. By prefix, of all its
 	// untrusted addresses together.
-	PerAddress      int     // connections
-	PerPrefix       int     // connections
-	ArrivalsAddress float64 // new connections a second
-	ArrivalsPrefix  float64 // new connections a second
+	MaxPerAddress  int     // connections
+	MaxPerPrefix   int     // connections
+	RatePerAddress float64 // new connections a second
+	RatePerPrefix  float64 // new connections a second
 
-	V4    int            // bits of an IPv4 prefix
-	V6    int            // bits of an IPv6 prefix
-	Named []netip.Prefix // always trusted, and without limits
+	IPv4PrefixBits  int            // bits of an IPv4 prefix
+	IPv6PrefixBits  int            // bits of an IPv6 prefix
+	TrustedPrefixes []netip.Prefix // always trusted, and without limits
 
-	Lobby    int     // connections held until their first request is rejected
-	Remember int     // addresses, and prefixes, remembered without a connection
-	Earn     int     // requests done, in as many seconds at least, that make an address trusted
-	Forget   float64 // half-life of an address's credit, s
+	HoldingSlots        int     // connections held until their first request is rejected
+	RememberedAddresses int     // addresses, and prefixes, remembered without a connection
+	TrustThreshold      int     // requests done, in as many seconds at least, that make an address trusted
+	CreditHalfLife      float64 // half-life of an address's credit, s
 
-	ComeBack     float64 // the least time to retry after, s
-	ComeBackMost float64 // the longest, s
+	MinRetryAfter float64 // the least time to retry after, s
+	MaxRetryAfter float64 // the longest, s
 
-	Share float64 // of a core, that accepting connections may take
-	Seed  int64   // of the jitter of the time to retry after
+	CPUShare float64 // of a core, that accepting connections may take
+	Seed     int64   // of the jitter of the time to retry after
 }
 
-// Cause is why a connection was not admitted.
-type Cause uint8
+// RejectReason is why a connection was not admitted.
+type RejectReason uint8
 
 // The reasons to reject a connection.
 const (
-	LetIn             Cause = iota // it was admitted
-	OverRate                       // its address or prefix opens connections too often
-	OverCap                        // its address or prefix holds as many as it may
-	NoPlace                        // no slot is free, and nobody's share is larger than its own
-	NoLobby                        // even the holding area is full: to be closed at once
-	rejectReasonCount              // how many reasons there are
+	Admitted          RejectReason = iota // it was admitted
+	RateLimited                           // its address or prefix opens connections too often
+	OverCap                               // its address or prefix holds as many as it may
+	NoFreeSlot                            // no slot is free, and nobody's share is larger than its own
+	HoldingAreaFull                       // even the holding area is full: to be closed at once
+	rejectReasonCount                     // how many reasons there are
 )
 
 var rejectReasonNames = [rejectReasonCount]string{
-	LetIn:    "admitted",
-	OverRate: "rate_limited",
-	OverCap:  "over_cap",
-	NoPlace:  "no_free_slot",
-	NoLobby:  "holding_area_full",
+	Admitted:        "admitted",
+	RateLimited:     "rate_limited",
+	OverCap:         "over_cap",
+	NoFreeSlot:      "no_free_slot",
+	HoldingAreaFull: "holding_area_full",
 }
 
 // String returns the name of the reason.
-func (r Cause) String() string {
+func (r RejectReason) String() string {
 	if r >= rejectReasonCount {
 		return "reject reason " + strconv.Itoa(int(r))
 	}
@@ -66,8 +66,7 @@
 
 // clientPolicy is the part of a limiter that goes by rules and tells client addresses apart.
 type clientPolicy struct {
-	Rules
-
+	rules           Rules
 	addresses       *addressTable
 	prefixes        *addressTable
 	admitted        int // connections
@@ -79,38 +78,38 @@
 	trustChanged    bool   // since the trusted addresses were last returned
 }
 
-// NewGuarded returns a limiter that goes by rules, for connections that may be idle for idleTimeout
+// NewWithRules returns a limiter that goes by rules, for connections that may be idle for idleTimeout
 // seconds. It takes the memory for its addresses at once.
-func NewGuarded(idleTimeout float64, rules Rules) *Door {
+func NewWithRules(idleTimeout float64, rules Rules) *Limiter {
 	// Trusted addresses may overflow the holding area for a moment.
 	const heldFactor, spare = 4, 64
-	connections := rules.Most + heldFactor*rules.Lobby + spare
+	connections := rules.MaxConnections + heldFactor*rules.HoldingSlots + spare
 	limiter := New(idleTimeout)
 	limiter.clientPolicy = &clientPolicy{
-		Rules:     rules,
-		addresses: newAddressTable(connections, rules.Remember),
-		prefixes:  newAddressTable(connections, rules.Remember),
-		slots:     slots{limit: rules.Most},
+		rules:     rules,
+		addresses: newAddressTable(connections, rules.RememberedAddresses),
+		prefixes:  newAddressTable(connections, rules.RememberedAddresses),
+		slots:     slots{limit: rules.MaxConnections},
 		arrivals:  arrivalCost{costs: timewindow.NewMinimum(costBuckets, costBucketWidth, 0)},
 	}
 	return limiter
 }
 
-// Guarded reports whether the limiter goes by rules.
-func (l *Door) Guarded() bool { return l.clientPolicy != nil }
+// HasRules reports whether the limiter goes by rules.
+func (l *Limiter) HasRules() bool { return l.clientPolicy != nil }
 
-// Heed has the limiter go by other rules from now on. It reports whether all of them apply: sizes
+// ApplyRules has the limiter go by other rules from now on. It reports whether all of them apply: sizes
 // and prefix lengths stay as they were until a restart.
-func (l *Door) Heed(rules Rules) (all bool) {
+func (l *Limiter) ApplyRules(rules Rules) (all bool) {
 	policy := l.clientPolicy
-	all = l.Fits(rules)
-	current := policy.Rules
-	rules.V4 = current.V4
-	rules.V6 = current.V6
-	rules.Lobby = current.Lobby
-	rules.Remember = current.Remember
-	rules.Most = current.Most
-	policy.Rules = rules
+	all = l.CanApply(rules)
+	current := policy.rules
+	rules.IPv4PrefixBits = current.IPv4PrefixBits
+	rules.IPv6PrefixBits = current.IPv6PrefixBits
+	rules.HoldingSlots = current.HoldingSlots
+	rules.RememberedAddresses = current.RememberedAddresses
+	rules.MaxConnections = current.MaxConnections
+	policy.rules = rules
 	for id, client := range policy.addresses.all() {
 		client.trustedByRule = policy.isTrustedByRule(client.key.address())
 		if client.trustedByRule && !client.trusted {
@@ -120,12 +119,20 @@
 	return all
 }
 
-// Fits reports whether all of the rules would apply without a restart.
-func (l *Door) Fits(rules Rules) bool {
-	current := l.clientPolicy.Rules
-	return rules.V4 == current.V4 &&
-		rules.V6 == current.V6 &&
-		rules.Lobby == current.Lobby &&
-		rules.Remember == current.Remember &&
-		rules.Most == l.clientPolicy.slots.limit
+// CanApply reports whether all of the rules would apply without a restart.
+func (l *Limiter) CanApply(rules Rules) bool {
+	current := l.clientPolicy.rules
+	return rules.IPv4PrefixBits == current.IPv4PrefixBits &&
+		rules.IPv6PrefixBits == current.IPv6PrefixBits &&
+		rules.HoldingSlots == current.HoldingSlots &&
+		rules.RememberedAddresses == current.RememberedAddresses &&
+		rules.MaxConnections == l.clientPolicy.slots.limit
+}
+
+// TrustedPrefixes returns the prefixes that the rules name as trusted, nil without rules.
+func (l *Limiter) TrustedPrefixes() []netip.Prefix {
+	if l.clientPolicy == nil {
+		return nil
+	}
+	return l.clientPolicy.rules.TrustedPrefixes
 }
--- a/internal/policy/connlimit/simulation_test.go
+++ b/internal/policy/connlimit/simulation_test.go
@@ -8,23 +8,23 @@
 
 func testRules() Rules {
 	return Rules{
-		Most:            40,
-		Reserve:         16,
-		PerAddress:      10,
-		PerPrefix:       18,
-		ArrivalsAddress: 200,
-		ArrivalsPrefix:  400,
-		V4:              24,
-		V6:              64,
-		Named:           []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")},
-		Lobby:           8,
-		Remember:        64,
-		Earn:            3,
-		Forget:          600,
-		ComeBack:        0.2,
-		ComeBackMost:    10,
-		Share:           0.2,
-		Seed:            7,
+		MaxConnections:      40,
+		ReservedSlots:       16,
+		MaxPerAddress:       10,
+		MaxPerPrefix:        18,
+		RatePerAddress:      200,
+		RatePerPrefix:       400,
+		IPv4PrefixBits:      24,
+		IPv6PrefixBits:      64,
+		TrustedPrefixes:     []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")},
+		HoldingSlots:        8,
+		RememberedAddresses: 64,
+		TrustThreshold:      3,
+		CreditHalfLife:      600,
+		MinRetryAfter:       0.2,
+		MaxRetryAfter:       10,
+		CPUShare:            0.2,
+		Seed:                7,
 	}
 }
 
@@ -35,7 +35,7 @@
 // must hold after each step.
 type simulation struct {
 	fataler
-	limiter     *Door
+	limiter     *Limiter
 	rules       Rules
 	now         float64
 	connections map[int32]*simulatedConnection
@@ -52,7 +52,7 @@
 func newSimulation(t fataler, idleTimeout float64) *simulation {
 	return &simulation{
 		fataler:     t,
-		limiter:     NewGuarded(idleTimeout, testRules()),
+		limiter:     NewWithRules(idleTimeout, testRules()),
 		rules:       testRules(),
 		now:         1000,
 		connections: map[int32]*simulatedConnection{},
@@ -69,14 +69,14 @@
 	for s.connections[slot] != nil {
 		slot++
 	}
-	reason, retryAfter := s.limiter.Arrive(slot, addr, s.now)
-	c := &simulatedConnection{addr: addr, admitted: reason == LetIn}
+	reason, retryAfter := s.limiter.HandleArrival(slot, addr, s.now)
+	c := &simulatedConnection{addr: addr, admitted: reason == Admitted}
 	s.connections[slot] = c
-	if reason == NoPlace {
+	if reason == NoFreeSlot {
 		retryAfter = s.evictFor(slot)
 	}
-	isHeld := !c.admitted && reason != NoLobby
-	if isHeld && (retryAfter < s.rules.ComeBack || retryAfter > s.rules.ComeBackMost) {
+	isHeld := !c.admitted && reason != HoldingAreaFull
+	if isHeld && (retryAfter < s.rules.MinRetryAfter || retryAfter > s.rules.MaxRetryAfter) {
 		s.Fatalf("retry after %v", retryAfter)
 	}
 	s.check()
@@ -87,16 +87,17 @@
 func (s *simulation) evictFor(slot int32) (retryAfter float64) {
 	c := s.connections[slot]
 	holding := s.count(c.addr)
-	for victim := range s.limiter.Yields(slot, s.now) {
+	for victim := range s.limiter.EvictionCandidatesFor(slot, s.now) {
 		s.checkFair(c, holding, victim)
 		s.close(victim)
 		s.limiter.Admit(slot, s.now)
 		c.admitted = true
 		return 0
 	}
-	retryAfter = s.limiter.TurnAway(slot, NoPlace, s.now)
-	if s.isTrusted(c.addr) && s.admittedTrusted() < s.rules.Reserve {
-		s.Fatalf("%v is trusted and has no slot, with %d of %d reserved", c.addr, s.admittedTrusted(), s.rules.Reserve)
+	retryAfter = s.limiter.Reject(slot, NoFreeSlot, s.now)
+	if s.isTrusted(c.addr) && s.admittedTrusted() < s.rules.ReservedSlots {
+		s.Fatalf("%v is trusted and has no slot, with %d of %d reserved",
+			c.addr, s.admittedTrusted(), s.rules.ReservedSlots)
 	}
 	return retryAfter
 }
@@ -105,7 +106,7 @@
 func (s *simulation) checkFair(c *simulatedConnection, holding int, victim int32) {
 	v := s.connections[victim]
 	record := s.limiter.connections[victim]
-	isSilentNew := record.state == Stranger && s.now-record.since > firstMessageDelay
+	isSilentNew := record.state == StateNew && s.now-record.since > firstMessageDelay
 	trusted := s.isTrusted(v.addr)
 	sameKind := trusted == s.isTrusted(c.addr) && v.addr != c.addr
 	switch {
@@ -119,11 +120,11 @@
 }
 
 func (s *simulation) entry(addr netip.Addr) *addressEntry {
-	id := s.limiter.addresses.find(newKey(addr, ipv4Bits, ipv6Bits))
+	id := s.limiter.clientPolicy.addresses.find(newKey(addr, ipv4Bits, ipv6Bits))
 	if id < 0 {
 		return nil
 	}
-	return &s.limiter.addresses.entries[id]
+	return &s.limiter.clientPolicy.addresses.entries[id]
 }
 
 func (s *simulation) isTrusted(addr netip.Addr) bool {
@@ -132,7 +133,7 @@
 }
 
 func (s *simulation) prefixKey(addr netip.Addr) addressKey {
-	return newKey(addr, s.rules.V4, s.rules.V6)
+	return newKey(addr, s.rules.IPv4PrefixBits, s.rules.IPv6PrefixBits)
 }
 
 func (s *simulation) count(addr netip.Addr) (n int) {
@@ -154,14 +155,14 @@
 }
 
 func (s *simulation) close(slot int32) {
-	s.limiter.Leave(slot)
+	s.limiter.HandleClosed(slot)
 	delete(s.connections, slot)
 }
 
 // maintain does what the limiter decides.
 func (s *simulation) maintain() {
-	for _, decision := range slices.Clone(s.limiter.Due(s.now)) {
-		if decision.Do == Close {
+	for _, decision := range slices.Clone(s.limiter.TakeDecisions(s.now)) {
+		if decision.Command == CommandClose {
 			s.close(decision.Slot)
 		}
 	}
@@ -170,14 +171,14 @@
 // openRequest has a connection open a request, where it may.
 func (s *simulation) openRequest(slot int32) {
 	c := s.connections[slot]
-	if !s.limiter.MayOwe(slot) {
-		s.limiter.Tell(slot, Spoke, s.now)
+	if !s.limiter.MayOpenRequest(slot) {
+		s.limiter.HandleEvent(slot, EventRequest, s.now)
 		return
 	}
-	s.limiter.Tell(slot, Owed, s.now)
+	s.limiter.HandleEvent(slot, EventRequestOpened, s.now)
 	c.active = true
-	limit := s.rules.Most - s.rules.Reserve
-	if active := s.limiter.activeUntrusted; !s.isTrusted(c.addr) && active > limit {
+	limit := s.rules.MaxConnections - s.rules.ReservedSlots
+	if active := s.limiter.clientPolicy.activeUntrusted; !s.isTrusted(c.addr) && active > limit {
 		s.Fatalf("untrusted clients have %d requests open, %d at most", active, limit)
 	}
 	s.check()
@@ -186,8 +187,8 @@
 // completeRequest has the open request of a connection done.
 func (s *simulation) completeRequest(slot int32) {
 	s.connections[slot].active = false
-	s.limiter.Finished(slot, s.now)
-	s.limiter.Tell(slot, Settled, s.now)
+	s.limiter.HandleRequestDone(slot, s.now)
+	s.limiter.HandleEvent(slot, EventRequestsDone, s.now)
 	s.check()
 }
 
@@ -211,9 +212,9 @@
 		}
 	}
 	policy := s.limiter.clientPolicy
-	if admitted != policy.admitted || admitted > s.rules.Most || activeUntrusted != policy.activeUntrusted {
+	if admitted != policy.admitted || admitted > s.rules.MaxConnections || activeUntrusted != policy.activeUntrusted {
 		s.Fatalf("%d admitted of %d, %d untrusted active; the limiter has %d and %d",
-			admitted, s.rules.Most, activeUntrusted, policy.admitted, policy.activeUntrusted)
+			admitted, s.rules.MaxConnections, activeUntrusted, policy.admitted, policy.activeUntrusted)
 	}
 	for addr, n := range perAddress {
 		entry := s.entry(addr)
--- a/internal/policy/connlimit/state.go
+++ b/internal/policy/connlimit/state.go
@@ -7,28 +7,28 @@
 
 // The states of a connection.
 const (
-	Gone       State = iota // no connection has the slot
-	Stranger                // has sent nothing valid yet
-	Known                   // has sent something valid, and none of its requests is open
-	Half                    // like idle, and the start of a message is there
-	Busy                    // a request of it is open
-	Parting                 // the peer was asked to close it
-	Ending                  // to be closed: the decision was made
-	Lobby                   // accepted but not admitted: its requests are rejected
-	Turned                  // like held, and its request was rejected: closed next
-	stateCount              // how many states there are
+	StateClosed         State = iota // no connection has the slot
+	StateNew                         // has sent nothing valid yet
+	StateIdle                        // has sent something valid, and none of its requests is open
+	StatePartialMessage              // like idle, and the start of a message is there
+	StateActive                      // a request of it is open
+	StateAskedToClose                // the peer was asked to close it
+	StateClosing                     // to be closed: the decision was made
+	StateHeld                        // accepted but not admitted: its requests are rejected
+	StateRejected                    // like held, and its request was rejected: closed next
+	stateCount                       // how many states there are
 )
 
 var stateNames = [stateCount]string{
-	Gone:     "closed",
-	Stranger: "new",
-	Known:    "idle",
-	Half:     "partial_message",
-	Busy:     "active",
-	Parting:  "asked_to_close",
-	Ending:   "closing",
-	Lobby:    "held",
-	Turned:   "rejected",
+	StateClosed:         "closed",
+	StateNew:            "new",
+	StateIdle:           "idle",
+	StatePartialMessage: "partial_message",
+	StateActive:         "active",
+	StateAskedToClose:   "asked_to_close",
+	StateClosing:        "closing",
+	StateHeld:           "held",
+	StateRejected:       "rejected",
 }
 
 // String returns the name of the state.
@@ -41,43 +41,45 @@
 
 // hasNoRequest reports whether a draining server asks connections in the state to close: they are
 // admitted, have no open request and were not asked yet.
-func (s State) hasNoRequest() bool { return s == Stranger || s == Half || s == Known }
+func (s State) hasNoRequest() bool {
+	return s == StateNew || s == StatePartialMessage || s == StateIdle
+}
 
 // isHeld reports whether connections in the state are not admitted.
-func (s State) isHeld() bool { return s == Lobby || s == Turned }
+func (s State) isHeld() bool { return s == StateHeld || s == StateRejected }
 
 // isEvictable reports whether a connection in the state may be closed when another needs its slot.
-func (s State) isEvictable() bool { return s.hasNoRequest() || s == Parting }
+func (s State) isEvictable() bool { return s.hasNoRequest() || s == StateAskedToClose }
 
-// Input is an event of a connection.
-type Input uint8
+// Event is an event of a connection.
+type Event uint8
 
 // The events of a connection.
 const (
-	Spoke      Input = iota // a request or a health check came, whole and valid
-	Heard                   // another whole message came
-	Partly                  // the start of a message came, and no more
-	Owed                    // a request of it is open now
-	Settled                 // none of its requests is open any more
-	Due                     // the timeout of its state passed
-	Told                    // the server is draining
-	Woke                    // it was to be closed, but there is unread data
-	eventCount              // how many events there are
+	EventRequest        Event = iota // a request or a health check came, whole and valid
+	EventMessage                     // another whole message came
+	EventPartialMessage              // the start of a message came, and no more
+	EventRequestOpened               // a request of it is open now
+	EventRequestsDone                // none of its requests is open any more
+	EventTimeout                     // the timeout of its state passed
+	EventDrain                       // the server is draining
+	EventUnreadData                  // it was to be closed, but there is unread data
+	eventCount                       // how many events there are
 )
 
 var eventNames = [eventCount]string{
-	Spoke:   "request",
-	Heard:   "message",
-	Partly:  "partial_message",
-	Owed:    "request_opened",
-	Settled: "requests_done",
-	Due:     "timeout",
-	Told:    "drain",
-	Woke:    "unread_data",
+	EventRequest:        "request",
+	EventMessage:        "message",
+	EventPartialMessage: "partial_message",
+	EventRequestOpened:  "request_opened",
+	EventRequestsDone:   "requests_done",
+	EventTimeout:        "timeout",
+	EventDrain:          "drain",
+	EventUnreadData:     "unread_data",
 }
 
 // String returns the name of the event.
-func (e Input) String() string {
+func (e Event) String() string {
 	if e >= eventCount {
 		return "event " + strconv.Itoa(int(e))
 	}
@@ -97,7 +99,7 @@
 // transition is one row of the state table.
 type transition struct {
 	from   State
-	event  Input
+	event  Event
 	to     State
 	effect effect
 }
@@ -105,38 +107,40 @@
 // transitions is the whole state table. An event that has no row changes nothing; with each one
 // that has, the timeout of the next state begins, also where that is the same state.
 var transitions = [...]transition{
-	{Stranger, Spoke, Known, effectNone},
-	{Stranger, Owed, Busy, effectNone},
-	{Stranger, Due, Ending, effectClose},
-	{Stranger, Told, Parting, effectAsk},
-
-	{Known, Spoke, Known, effectNone},
-	{Known, Heard, Known, effectNone},
-	{Known, Partly, Half, effectNone},
-	{Known, Owed, Busy, effectNone},
-	{Known, Due, Parting, effectAsk},
-	{Known, Told, Parting, effectAsk},
-
-	{Half, Spoke, Known, effectNone},
-	{Half, Heard, Known, effectNone},
-	{Half, Owed, Busy, effectNone},
-	{Half, Due, Ending, effectClose},
-	{Half, Told, Parting, effectAsk},
-
-	{Busy, Settled, Known, effectNone}, // HandleEvent goes on from there by what the request left
-
-	{Parting, Owed, Busy, effectNone}, // its request crossed the message that asked it to close
-	{Parting, Due, Ending, effectClose},
-
-	{Ending, Woke, Gone, effectResume},
-
-	{Lobby, Spoke, Turned, effectNone},
-	{Lobby, Due, Ending, effectClose},
-	{Turned, Due, Ending, effectClose},
+	{StateNew, EventRequest, StateIdle, effectNone},
+	{StateNew, EventRequestOpened, StateActive, effectNone},
+	{StateNew, EventTimeout, StateClosing, effectClose},
+	{StateNew, EventDrain, StateAskedToClose, effectAsk},
+
+	{StateIdle, EventRequest, StateIdle, effectNone},
+	{StateIdle, EventMessage, StateIdle, effectNone},
+	{StateIdle, EventPartialMessage, StatePartialMessage, effectNone},
+	{StateIdle, EventRequestOpened, StateActive, effectNone},
+	{StateIdle, EventTimeout, StateAskedToClose, effectAsk},
+	{StateIdle, EventDrain, StateAskedToClose, effectAsk},
+
+	{StatePartialMessage, EventRequest, StateIdle, effectNone},
+	{StatePartialMessage, EventMessage, StateIdle, effectNone},
+	{StatePartialMessage, EventRequestOpened, StateActive, effectNone},
+	{StatePartialMessage, EventTimeout, StateClosing, effectClose},
+	{StatePartialMessage, EventDrain, StateAskedToClose, effectAsk},
+
+	// HandleEvent goes on from there by what the request left.
+	{StateActive, EventRequestsDone, StateIdle, effectNone},
+
+	// Its request crossed the message that asked it to close.
+	{StateAskedToClose, EventRequestOpened, StateActive, effectNone},
+	{StateAskedToClose, EventTimeout, StateClosing, effectClose},
+
+	{StateClosing, EventUnreadData, StateClosed, effectResume},
+
+	{StateHeld, EventRequest, StateRejected, effectNone},
+	{StateHeld, EventTimeout, StateClosing, effectClose},
+	{StateRejected, EventTimeout, StateClosing, effectClose},
 }
 
 // handle takes a connection on by the state table.
-func (l *Door) handle(slot int32, event Input, now float64) {
+func (l *Limiter) handle(slot int32, event Event, now float64) {
 	state := l.connections[slot].state
 	for i := range transitions {
 		row := &transitions[i]
@@ -148,18 +152,18 @@
 }
 
 // follow carries out one row of the state table.
-func (l *Door) follow(row *transition, slot int32, now float64) {
+func (l *Limiter) follow(row *transition, slot int32, now float64) {
 	conn := &l.connections[slot]
 	next := row.to
 	switch row.effect {
 	case effectAsk:
 		if !conn.askedToClose {
 			conn.askedToClose = true
-			l.decide(slot, Ask, row.from)
+			l.decide(slot, CommandAskToClose, row.from)
 		}
 	case effectClose:
 		conn.closedFrom = row.from
-		l.decide(slot, Close, row.from)
+		l.decide(slot, CommandClose, row.from)
 	case effectResume:
 		next = conn.closedFrom
 	}
@@ -168,9 +172,9 @@
 
 // enter moves a connection to the end of the queue of a state. As all connections of a state have
 // the same timeout, the first in its queue is the first to time out.
-func (l *Door) enter(slot int32, state State, now float64) {
+func (l *Limiter) enter(slot int32, state State, now float64) {
 	conn := &l.connections[slot]
-	if conn.state != Gone {
+	if conn.state != StateClosed {
 		node := conn.stateLinks
 		l.queues[conn.state].remove(node, l.stateLinks(node.prev), l.stateLinks(node.next))
 	}
@@ -180,7 +184,7 @@
 	if l.clientPolicy != nil {
 		l.updateClient(slot, now)
 	}
-	if state == Gone {
+	if state == StateClosed {
 		return
 	}
 	queue := &l.queues[state]
@@ -188,7 +192,7 @@
 }
 
 // stateLinks returns the links of a connection, counted from 1, in the queue of its state; nil for 0.
-func (l *Door) stateLinks(number int32) *links {
+func (l *Limiter) stateLinks(number int32) *links {
 	if number == 0 {
 		return nil
 	}
--- a/internal/policy/connlimit/stats.go
+++ b/internal/policy/connlimit/stats.go
@@ -1,29 +1,29 @@
 package connlimit
 
-// Tally is what a limiter with rules holds.
-type Tally struct {
-	In            int // connections that are admitted
-	Most          int // connections that may be
-	BusyStrangers int // admitted connections of untrusted addresses with an open request
-	Addresses     int // addresses, with and without a connection
-	Known         int // trusted addresses without a connection
+// Stats is what a limiter with rules holds.
+type Stats struct {
+	Admitted          int // connections that are admitted
+	MaxConnections    int // connections that may be
+	ActiveUntrusted   int // admitted connections of untrusted addresses with an open request
+	KnownAddresses    int // addresses, with and without a connection
+	RememberedTrusted int // trusted addresses without a connection
 }
 
-// Known returns what a limiter with rules holds.
-func (l *Door) Known() Tally {
+// Stats returns what a limiter with rules holds.
+func (l *Limiter) Stats() Stats {
 	policy := l.clientPolicy
 	table := policy.addresses
-	return Tally{
-		In:            policy.admitted,
-		Most:          policy.slots.limit,
-		BusyStrangers: policy.activeUntrusted,
-		Addresses:     len(table.entries) - int(table.queues[queueFree].count),
-		Known:         int(table.queues[queueTrusted].count),
+	return Stats{
+		Admitted:          policy.admitted,
+		MaxConnections:    policy.slots.limit,
+		ActiveUntrusted:   policy.activeUntrusted,
+		KnownAddresses:    len(table.entries) - int(table.queues[queueFree].count),
+		RememberedTrusted: int(table.queues[queueTrusted].count),
 	}
 }
 
-// Turned returns how many connections were rejected for a reason.
-func (l *Door) Turned(reason Cause) int {
+// RejectedCount returns how many connections were rejected for a reason.
+func (l *Limiter) RejectedCount(reason RejectReason) int {
 	if l.clientPolicy == nil {
 		return 0
 	}
--- a/internal/policy/replication/trust.go
+++ b/internal/policy/replication/trust.go
@@ -21,7 +21,7 @@
 	Name        string // of the server
 	Incarnation uint64
 	Sequence    uint64 // grows with each record of a name: milliseconds of its time of day
-	Clients     []connlimit.Earned
+	Clients     []connlimit.TrustedClient
 }
 
 // newerThan reports which of two records of one server counts, in whatever order they come in.
@@ -95,7 +95,7 @@
 // servers or more list come first, each with the second highest credit that it has. Of what is
 // left each server fills an even part, so that one with a long false list displaces nobody
 // else's clients.
-func (t *TrustTable) MergedClients(now float64, limit int) []connlimit.Earned {
+func (t *TrustTable) MergedClients(now float64, limit int) []connlimit.TrustedClient {
 	t.expire(now)
 	credits := t.creditsByClient()
 	clients := confirmedClients(credits)
@@ -128,15 +128,15 @@
 
 // confirmedClients returns the clients that two servers or more list, with the second highest
 // of their credits, those with most credit first.
-func confirmedClients(credits map[netip.Addr][]float64) []connlimit.Earned {
-	var clients []connlimit.Earned
+func confirmedClients(credits map[netip.Addr][]float64) []connlimit.TrustedClient {
+	var clients []connlimit.TrustedClient
 	for addr, list := range credits {
 		if len(list) > 1 {
 			slices.Sort(list)
-			clients = append(clients, connlimit.Earned{Addr: addr, Credit: list[len(list)-2]})
+			clients = append(clients, connlimit.TrustedClient{Addr: addr, Credit: list[len(list)-2]})
 		}
 	}
-	slices.SortFunc(clients, func(a, b connlimit.Earned) int {
+	slices.SortFunc(clients, func(a, b connlimit.TrustedClient) int {
 		return cmp.Or(cmp.Compare(b.Credit, a.Credit), a.Addr.Compare(b.Addr))
 	})
 	return clients
--- a/internal/policy/replication/trust_test.go
+++ b/internal/policy/replication/trust_test.go
@@ -20,7 +20,7 @@
 			Sequence:    uint64(i),
 		}
 		for j := range rapid.IntRange(0, 8).Draw(t, "clients") {
-			record.Clients = append(record.Clients, connlimit.Earned{
+			record.Clients = append(record.Clients, connlimit.TrustedClient{
 				Addr:   netip.AddrFrom4([4]byte{10, 0, byte(i % 2), byte(j)}),
 				Credit: float64(1 + j),
 			})
@@ -57,17 +57,17 @@
 	lies := TrustRecord{Name: "liar", Incarnation: 1, Sequence: 1}
 	for i := range 2 * MaxTrustedClients {
 		addr := netip.AddrFrom4([4]byte{11, 0, byte(i >> 8), byte(i)})
-		lies.Clients = append(lies.Clients, connlimit.Earned{Addr: addr, Credit: 1e9})
+		lies.Clients = append(lies.Clients, connlimit.TrustedClient{Addr: addr, Credit: 1e9})
 	}
 	table.Observe(1, lies)
 	table.Observe(1, TrustRecord{
 		Name:        "honest",
 		Incarnation: 1,
 		Sequence:    1,
-		Clients:     []connlimit.Earned{{Addr: trusted, Credit: 3}},
+		Clients:     []connlimit.TrustedClient{{Addr: trusted, Credit: 3}},
 	})
 	clients := table.MergedClients(2, 10)
-	isTrusted := func(client connlimit.Earned) bool { return client.Addr == trusted }
+	isTrusted := func(client connlimit.TrustedClient) bool { return client.Addr == trusted }
 	if len(clients) != 10 || !slices.ContainsFunc(clients, isTrusted) {
 		t.Errorf("ten clients are %v", clients)
 	}
--- a/internal/server/accept.go
+++ b/internal/server/accept.go
@@ -127,10 +127,10 @@
 	places := maxPendingAccepts
 	rate := math.Inf(1)
 	trusted := &trustedClients{}
-	if s.clients.limiter.Guarded() {
+	if s.clients.limiter.HasRules() {
 		places = s.holdingSlots()
-		rate = s.clients.limiter.Pace(s.now())
-		trusted.named = s.clients.limiter.Named
+		rate = s.clients.limiter.AcceptRate(s.now())
+		trusted.named = s.clients.limiter.TrustedPrefixes()
 	}
 	a.pending = make(chan struct{}, places)
 	a.untrustedRate.Store(math.Float64bits(rate))
@@ -234,11 +234,11 @@
 	limiter := a.server.clients.limiter
 	var used unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &used); err == nil {
-		limiter.Spent(float64(used.Utime.Nano()+used.Stime.Nano())/1e9, now)
+		limiter.ObserveCPUTime(float64(used.Utime.Nano()+used.Stime.Nano())/1e9, now)
 	}
-	a.untrustedRate.Store(math.Float64bits(limiter.Pace(now)))
-	if earned, changed := limiter.KnownClients(); changed {
-		a.trusted.Store(&trustedClients{named: limiter.Named, earned: earned})
+	a.untrustedRate.Store(math.Float64bits(limiter.AcceptRate(now)))
+	if earned, changed := limiter.TrustedAddresses(); changed {
+		a.trusted.Store(&trustedClients{named: limiter.TrustedPrefixes(), earned: earned})
 	}
 }
 
--- a/internal/server/client.go
+++ b/internal/server/client.go
@@ -17,7 +17,7 @@
 // clientTable is the state of all clients' connections.
 type clientTable struct {
 	conns        slottable.Table[clientConn]
-	limiter      *connlimit.Door
+	limiter      *connlimit.Limiter
 	holdingArea  int // its size by the operator's settings
 	requestLists requesttable.ListPool
 	muted        []mutedConn
@@ -54,10 +54,10 @@
 	s := c.server
 	c.conn = conn
 	c.state.advance(connOpened)
-	if s.clients.limiter.Guarded() {
+	if s.clients.limiter.HasRules() {
 		return c.requestAdmission()
 	}
-	s.clients.limiter.Open(c.slot(), s.now())
+	s.clients.limiter.HandleOpen(c.slot(), s.now())
 	if limit, _ := s.maxClients(); s.clients.conns.Len() <= limit {
 		return nil
 	}
@@ -95,7 +95,7 @@
 		})
 	}
 	c.release(&s.output.buffers)
-	s.clients.limiter.Leave(c.slot())
+	s.clients.limiter.HandleClosed(c.slot())
 	s.clients.conns.Remove(c.id) // c is another's from here on
 	for _, request := range requests {
 		s.cancelByClient(request)
@@ -114,7 +114,7 @@
 			return n, err
 		}
 		if size == 0 {
-			c.observe(connlimit.Partly, now)
+			c.observe(connlimit.EventPartialMessage, now)
 			return n, nil
 		}
 		n += size
@@ -133,25 +133,25 @@
 	case rpc.Task:
 		return c.handleRequest(message, now)
 	case rpc.Gone:
-		c.observe(connlimit.Heard, now)
+		c.observe(connlimit.EventMessage, now)
 		if request := c.findRequest(message.Number); request != nil {
 			c.removeRequest(request, now)
 			s.cancelByClient(request)
 		}
 	case rpc.Check:
-		c.observe(connlimit.Spoke, now)
+		c.observe(connlimit.EventRequest, now)
 		scratch := s.output.scratch[:0]
 		s.output.scratch = rpc.PutWell(scratch, message.Number, s.isHealthy(), s.health.loadReport)
 		c.writeScratch()
 	default:
-		c.observe(connlimit.Heard, now)
+		c.observe(connlimit.EventMessage, now)
 	}
 	return nil
 }
 
 // observe reports an event of the connection to the connection limiter.
-func (c *clientConn) observe(input connlimit.Input, now float64) {
-	c.server.clients.limiter.Tell(c.slot(), input, now)
+func (c *clientConn) observe(input connlimit.Event, now float64) {
+	c.server.clients.limiter.HandleEvent(c.slot(), input, now)
 }
 
 // writeScratch writes the message in the server's scratch buffer.
@@ -173,7 +173,7 @@
 		c.requests = c.server.clients.requestLists.Get()
 	}
 	c.requests = append(c.requests, request)
-	c.observe(connlimit.Owed, now)
+	c.observe(connlimit.EventRequestOpened, now)
 }
 
 // removeRequest removes a request from the connection.
@@ -184,6 +184,6 @@
 	if len(c.requests) == 0 && c.requests != nil {
 		c.server.clients.requestLists.Put(c.requests)
 		c.requests = nil
-		c.observe(connlimit.Settled, now)
+		c.observe(connlimit.EventRequestsDone, now)
 	}
 }
--- a/internal/server/connlimit.go
+++ b/internal/server/connlimit.go
@@ -12,12 +12,12 @@
 )
 
 // newConnLimiter creates the connection limiter by the operator's settings.
-func (s *Server) newConnLimiter(operator *config.OperatorSettings) *connlimit.Door {
+func (s *Server) newConnLimiter(operator *config.OperatorSettings) *connlimit.Limiter {
 	if operator == nil || !operator.ConnLimit.Enabled {
 		return connlimit.New(s.startup.Settings.IdleTimeout)
 	}
 	s.clients.holdingArea = operator.ConnLimit.HoldingSlots
-	return connlimit.NewGuarded(s.startup.Settings.IdleTimeout, s.connRules(operator))
+	return connlimit.NewWithRules(s.startup.Settings.IdleTimeout, s.connRules(operator))
 }
 
 // holdingAreaShare is the divisor of the clients' descriptors that bounds the holding area.
@@ -38,23 +38,23 @@
 	limit, _ := s.maxClients()
 	limit -= 4 * places // twice in the holding area, and twice on their way
 	return connlimit.Rules{
-		Most:            limit,
-		Reserve:         int(float64(limit) * float64(settings.TrustedReserve)),
-		PerAddress:      settings.MaxPerAddress,
-		PerPrefix:       settings.MaxPerPrefix,
-		ArrivalsAddress: settings.ArrivalsPerAddress,
-		ArrivalsPrefix:  settings.ArrivalsPerPrefix,
-		V4:              settings.PrefixBitsIPv4,
-		V6:              settings.PrefixBitsIPv6,
-		Named:           settings.TrustedPrefixes,
-		Lobby:           places,
-		Remember:        settings.RememberedAddresses,
-		Earn:            settings.RequestsToTrust,
-		Forget:          settings.ReputationHalfLife.Seconds(),
-		ComeBack:        settings.MinRetryAfter.Seconds(),
-		ComeBackMost:    settings.MaxRetryAfter.Seconds(),
-		Share:           float64(settings.CoreShare),
-		Seed:            s.startup.Seed,
+		MaxConnections:      limit,
+		ReservedSlots:       int(float64(limit) * float64(settings.TrustedReserve)),
+		MaxPerAddress:       settings.MaxPerAddress,
+		MaxPerPrefix:        settings.MaxPerPrefix,
+		RatePerAddress:      settings.ArrivalsPerAddress,
+		RatePerPrefix:       settings.ArrivalsPerPrefix,
+		IPv4PrefixBits:      settings.PrefixBitsIPv4,
+		IPv6PrefixBits:      settings.PrefixBitsIPv6,
+		TrustedPrefixes:     settings.TrustedPrefixes,
+		HoldingSlots:        places,
+		RememberedAddresses: settings.RememberedAddresses,
+		TrustThreshold:      settings.RequestsToTrust,
+		CreditHalfLife:      settings.ReputationHalfLife.Seconds(),
+		MinRetryAfter:       settings.MinRetryAfter.Seconds(),
+		MaxRetryAfter:       settings.MaxRetryAfter.Seconds(),
+		CPUShare:            float64(settings.CoreShare),
+		Seed:                s.startup.Seed,
 	}
 }
 
@@ -62,7 +62,7 @@
 // returns at once. Keys that can't change while serving are logged and ignored.
 func (s *Server) ReloadConfig(operator *config.OperatorSettings) {
 	s.loop.executeWhenReady(func() {
-		if operator.ConnLimit.Enabled != s.clients.limiter.Guarded() {
+		if operator.ConnLimit.Enabled != s.clients.limiter.HasRules() {
 			slog.Info("reload_ignored", "key", "door")
 			return
 		}
@@ -76,7 +76,7 @@
 	if !operator.ConnLimit.Enabled {
 		return
 	}
-	if !s.clients.limiter.Heed(s.connRules(operator)) {
+	if !s.clients.limiter.ApplyRules(s.connRules(operator)) {
 		slog.Info("reload_ignored", "key", fixedKeys)
 	}
 	if a := s.acceptor; a != nil {
@@ -90,22 +90,22 @@
 	s := c.server
 	limiter := s.clients.limiter
 	now := s.now()
-	cause, retryAfter := limiter.Arrive(c.slot(), remoteIP(c.conn.RemoteAddr()), now)
+	cause, retryAfter := limiter.HandleArrival(c.slot(), remoteIP(c.conn.RemoteAddr()), now)
 	s.scheduleTurn() // the holding area may have to make room
 	switch cause {
-	case connlimit.LetIn:
+	case connlimit.Admitted:
 		return nil
-	case connlimit.NoLobby:
+	case connlimit.HoldingAreaFull:
 		c.closeNow()
 		return errHoldingAreaFull
-	case connlimit.NoPlace:
-		if victim := s.firstEvictable(limiter.Yields(c.slot(), now), c); victim != nil {
+	case connlimit.NoFreeSlot:
+		if victim := s.firstEvictable(limiter.EvictionCandidatesFor(c.slot(), now), c); victim != nil {
 			s.statistics.evicted++
 			victim.closeNow()
 			limiter.Admit(c.slot(), now)
 			return nil
 		}
-		retryAfter = limiter.TurnAway(c.slot(), cause, now)
+		retryAfter = limiter.Reject(c.slot(), cause, now)
 	}
 	c.retryAfter = retryAfter
 	return nil
@@ -127,7 +127,7 @@
 	s.countOutcome(answerRejected)
 	retryAfter := c.retryAfter
 	if retryAfter == 0 { // it is admitted, and may not have a request open
-		retryAfter = s.clients.limiter.Advice(c.slot(), now)
+		retryAfter = s.clients.limiter.RetryAfter(c.slot(), now)
 	}
 	report := s.health.loadReport
 	report.Advice = min(retryAfter, s.startup.Settings.MaxRetryAfter)
@@ -136,7 +136,7 @@
 
 // rejectMessage rejects a message that never became a request.
 func (c *clientConn) rejectMessage(number uint64, report rpc.Say, now float64) {
-	c.observe(connlimit.Spoke, now)
+	c.observe(connlimit.EventRequest, now)
 	c.server.output.scratch = rpc.PutRejected(c.server.output.scratch[:0], number, report)
 	c.writeScratch()
 }
@@ -144,20 +144,20 @@
 // logConnStatistics logs the connection limiter's statistics.
 func (s *Server) logConnStatistics() {
 	limiter := s.clients.limiter
-	tally := limiter.Known()
+	tally := limiter.Stats()
 	slog.Info("connection_admission",
-		"admitted", tally.In,
-		"max", tally.Most,
-		"holding_area", limiter.Count(connlimit.Lobby),
-		"untrusted_busy", tally.BusyStrangers,
-		"rejected_rate", limiter.Turned(connlimit.OverRate),
-		"rejected_cap", limiter.Turned(connlimit.OverCap),
-		"rejected_full", limiter.Turned(connlimit.NoPlace),
-		"rejected_unanswered", limiter.Turned(connlimit.NoLobby),
+		"admitted", tally.Admitted,
+		"max", tally.MaxConnections,
+		"holding_area", limiter.Count(connlimit.StateHeld),
+		"untrusted_busy", tally.ActiveUntrusted,
+		"rejected_rate", limiter.RejectedCount(connlimit.RateLimited),
+		"rejected_cap", limiter.RejectedCount(connlimit.OverCap),
+		"rejected_full", limiter.RejectedCount(connlimit.NoFreeSlot),
+		"rejected_unanswered", limiter.RejectedCount(connlimit.HoldingAreaFull),
 		"requests_rejected", s.statistics.rejectedAtLimit,
-		"addresses", tally.Addresses,
-		"trusted", tally.Known,
-		"rate_limit", logging.FormatDecimal(limiter.Pace(s.now()), 0),
+		"addresses", tally.KnownAddresses,
+		"trusted", tally.RememberedTrusted,
+		"rate_limit", logging.FormatDecimal(limiter.AcceptRate(s.now()), 0),
 		"over_rate", s.acceptor.rateLimited.Load(),
 		"accepts_failed", s.acceptor.failures.Load())
 }
--- a/internal/server/connlimit_test.go
+++ b/internal/server/connlimit_test.go
@@ -76,7 +76,7 @@
 	f.executor.expectCommand("begin", "a2")
 	f.executor.sendCompletion(1, "a2", "done", "r")
 	first.expect(answerPrefix(2) + resultPrefix + "\x01r\x80")
-	if turned := query(f, func(s *Server) int { return s.clients.limiter.Turned(connlimit.OverCap) }); turned != 2 {
+	if turned := query(f, func(s *Server) int { return s.clients.limiter.RejectedCount(connlimit.OverCap) }); turned != 2 {
 		t.Errorf("%d turned away", turned)
 	}
 }
@@ -95,8 +95,8 @@
 		crowd.Leave()
 		waitUntil(f, 0, clientCount)
 	}
-	tally := query(f, func(s *Server) connlimit.Tally { return s.clients.limiter.Known() })
-	if tally.In != 0 || tally.BusyStrangers != 0 {
+	tally := query(f, func(s *Server) connlimit.Stats { return s.clients.limiter.Stats() })
+	if tally.Admitted != 0 || tally.ActiveUntrusted != 0 {
 		t.Errorf("%+v", tally)
 	}
 }
@@ -126,7 +126,7 @@
 		t.Error("over its cap")
 	}
 	f.server.ReloadConfig(guardedConfig(t, "door-known 127.6.0.0/16\ndoor-remember 128"))
-	waitUntil(f, true, func(s *Server) bool { return len(s.clients.limiter.Named) > 0 })
+	waitUntil(f, true, func(s *Server) bool { return len(s.clients.limiter.TrustedPrefixes()) > 0 })
 	query(f, func(s *Server) bool { s.statistics.rejectedAtLimit = 0; return true })
 	if !in() {
 		t.Error("a named one is not let in")
--- a/internal/server/directive.go
+++ b/internal/server/directive.go
@@ -133,11 +133,11 @@
 func (s *Server) applyConfig(operator *config.OperatorSettings) error {
 	limiter := s.clients.limiter
 	settings := &operator.ConnLimit
-	if settings.Enabled != limiter.Guarded() {
+	if settings.Enabled != limiter.HasRules() {
 		return errSwitched
 	}
 	holdingAreaKept := settings.HoldingSlots == s.clients.holdingArea
-	if settings.Enabled && (!holdingAreaKept || !limiter.Fits(s.connRules(operator))) {
+	if settings.Enabled && (!holdingAreaKept || !limiter.CanApply(s.connRules(operator))) {
 		return errFixed
 	}
 	s.fleet.operator = operator
--- a/internal/server/directive_test.go
+++ b/internal/server/directive_test.go
@@ -23,7 +23,7 @@
 	f.executor.readCommand(false)
 	f.executor.sendUp("seasoned", 1)
 	f.executor.readCommand(true)
-	known := query(f, func(s *Server) int { return s.clients.limiter.Count(connlimit.Known) })
+	known := query(f, func(s *Server) int { return s.clients.limiter.Count(connlimit.StateIdle) })
 	if known != n || crowd.Len() != n {
 		t.Errorf("%d known, %d stand", known, crowd.Len())
 	}
@@ -36,12 +36,12 @@
 	_ = client.Close()
 	waitUntil(f, "0 clients, 0 trusted, 0 busy, 0 buffers, next never", func(s *Server) string {
 		next := "never"
-		if !math.IsInf(s.clients.limiter.Next(), 1) && s.clients.limiter.Next() > s.now() {
+		if !math.IsInf(s.clients.limiter.NextWakeup(), 1) && s.clients.limiter.NextWakeup() > s.now() {
 			next = "ahead"
 		}
 		limiter := s.clients.limiter
 		return fmt.Sprintf("%d clients, %d trusted, %d busy, %d buffers, next %s", s.clients.conns.Len(),
-			limiter.Count(connlimit.Known), limiter.Count(connlimit.Busy), s.output.buffers.InUse, next)
+			limiter.Count(connlimit.StateIdle), limiter.Count(connlimit.StateActive), s.output.buffers.InUse, next)
 	})
 	if timers := query(f, func(s *Server) int { return s.loop.timers.Len() }); timers > 10 {
 		t.Errorf("%d timers left", timers)
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -112,7 +112,7 @@
 	s.drain.closing = true
 	slog.Info("graceful_close_started", "conns", s.clients.conns.Len(), "open", s.requests.Unanswered(),
 		"kill_in_s", logging.FormatDecimal(s.drain.killAt-now, 3))
-	for _, slot := range s.clients.limiter.LeaveAll() {
+	for _, slot := range s.clients.limiter.StartDrain() {
 		s.askToClose(s.clients.conns.AtSlot(slot))
 	}
 	s.acceptor.close()
--- a/internal/server/evict.go
+++ b/internal/server/evict.go
@@ -41,7 +41,7 @@
 // evictionCandidate is the connection to evict for a newcomer, nil for none: the limiter's first
 // choice that has nothing to write or to read.
 func (s *Server) evictionCandidate(newcomer *clientConn) *clientConn {
-	return s.firstEvictable(s.clients.limiter.Spare(s.now()), newcomer)
+	return s.firstEvictable(s.clients.limiter.EvictionCandidates(s.now()), newcomer)
 }
 
 // firstEvictable is the first connection of the slots that has nothing to write or to read, nil for
@@ -81,7 +81,7 @@
 // evictUnderPressure closes some connections, as there are fewer descriptors than the server was
 // configured for.
 func (s *Server) evictUnderPressure() {
-	if !s.clients.limiter.Guarded() {
+	if !s.clients.limiter.HasRules() {
 		if victim := s.evictionCandidate(nil); victim != nil {
 			s.statistics.evicted++
 			victim.closeNow()
@@ -89,9 +89,9 @@
 		return
 	}
 	now := s.now()
-	s.clients.limiter.Squeeze(now)
-	for s.clients.limiter.Over() > 0 {
-		victim := s.firstEvictable(s.clients.limiter.Excess(now), nil)
+	s.clients.limiter.HandleDescriptorShortage(now)
+	for s.clients.limiter.ExcessCount() > 0 {
+		victim := s.firstEvictable(s.clients.limiter.ExcessConnections(now), nil)
 		if victim == nil {
 			return // all have requests open
 		}
--- a/internal/server/evict_test.go
+++ b/internal/server/evict_test.go
@@ -50,16 +50,16 @@
 	add := func(unsent bool) *clientConn {
 		name, p := s.clients.conns.Add()
 		p.server, p.id, p.conn, p.unsent = s, name, brokenConn{}, unsent
-		s.clients.limiter.Open(name.Slot(), 0)
-		s.clients.limiter.Tell(name.Slot(), connlimit.Spoke, 0)
+		s.clients.limiter.HandleOpen(name.Slot(), 0)
+		s.clients.limiter.HandleEvent(name.Slot(), connlimit.EventRequest, 0)
 		return p
 	}
 	answered, silent, late := add(true), add(false), add(false)
-	s.clients.limiter.Tell(silent.id.Slot(), connlimit.Spoke, 1)
+	s.clients.limiter.HandleEvent(silent.id.Slot(), connlimit.EventRequest, 1)
 	if p := s.evictionCandidate(late); p != silent { // an answer is on its way out to the first
 		t.Errorf("%+v goes", p)
 	}
-	s.clients.limiter.Tell(silent.id.Slot(), connlimit.Owed, 2)
+	s.clients.limiter.HandleEvent(silent.id.Slot(), connlimit.EventRequestOpened, 2)
 	if p := s.evictionCandidate(late); p != nil {
 		t.Errorf("%+v goes, %+v", p, answered)
 	}
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -34,7 +34,7 @@
 		if action.Duration <= 0 {
 			action.Duration = s.startup.Settings.IdleTimeout
 		}
-		s.clients.limiter.Idle(action.Duration)
+		s.clients.limiter.SetIdleTimeout(action.Duration)
 	case admission.SetTimer:
 		s.setTimer(action.Label, action.Duration, now)
 	case admission.LogLine:
--- a/internal/server/fakes_test.go
+++ b/internal/server/fakes_test.go
@@ -113,7 +113,7 @@
 	if err := p.handleOpen(c, ""); err != nil {
 		t.Fatal(err)
 	}
-	s.clients.limiter.Tell(name.Slot(), connlimit.Spoke, s.now())
+	s.clients.limiter.HandleEvent(name.Slot(), connlimit.EventRequest, s.now())
 	return p, c, pair[1]
 }
 
--- a/internal/server/graceful.go
+++ b/internal/server/graceful.go
@@ -144,15 +144,15 @@
 
 // maintainConnections carries out the connection limiter's verdicts: a few in each turn.
 func (s *Server) maintainConnections(now float64) {
-	for _, verdict := range s.clients.limiter.Due(now) {
+	for _, verdict := range s.clients.limiter.TakeDecisions(now) {
 		client := s.clients.conns.AtSlot(verdict.Slot)
 		switch {
-		case verdict.Do == connlimit.Ask:
+		case verdict.Command == connlimit.CommandAskToClose:
 			s.askToClose(client)
 		case client.unsent || hasQueuedBytes(client.conn):
-			client.observe(connlimit.Woke, now)
+			client.observe(connlimit.EventUnreadData, now)
 		default:
-			if verdict.Was != connlimit.Parting {
+			if verdict.PreviousState != connlimit.StateAskedToClose {
 				s.statistics.silent++
 			}
 			client.closeGracefully()
--- a/internal/server/graceful_test.go
+++ b/internal/server/graceful_test.go
@@ -115,11 +115,11 @@
 	logging.SetOutput(io.Discard)
 	for _, wakes := range []bool{true, false} {
 		s := newServerWithoutLoop(30)
-		s.clients.limiter.Idle(0)
+		s.clients.limiter.SetIdleTimeout(0)
 		p, c, far := addLinkedClient(t, s)
 		name, now := p.id, s.now()
 		s.maintainConnections(now + 1)
-		if s.clients.limiter.State(name.Slot()) != connlimit.Parting {
+		if s.clients.limiter.State(name.Slot()) != connlimit.StateAskedToClose {
 			t.Fatalf("state %d", s.clients.limiter.State(name.Slot()))
 		}
 		s.flush()
@@ -186,7 +186,7 @@
 // An answer that a slow reader has not taken yet keeps its connection from being closed.
 func TestGracefulClose_WaitsForUnsentAnswers(t *testing.T) {
 	s := newServerWithoutLoop(30)
-	s.clients.limiter.Idle(0)
+	s.clients.limiter.SetIdleTimeout(0)
 	_, c, far := addLinkedClient(t, s)
 	c.unsent = 100
 	now := s.now()
--- a/internal/server/idle_bench_test.go
+++ b/internal/server/idle_bench_test.go
@@ -37,7 +37,7 @@
 		StopTimeout: 4,
 		Addresses:   config.Addresses{Executor: "127.0.0.9:1", Registry: "127.0.0.9:1"},
 	}, nil)
-	s.clients.limiter.Idle(1e9)
+	s.clients.limiter.SetIdleTimeout(1e9)
 	done := make(chan error, 1)
 	go func() { done <- s.Run() }()
 	open := holdChecked(b, addr, n)
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -102,7 +102,7 @@
 	if s.mayLogPeerFault() {
 		slog.Info("invalid_request", "peer", c.conn.RemoteAddr(), "err", err)
 	}
-	c.observe(connlimit.Heard, now)
+	c.observe(connlimit.EventMessage, now)
 	s.output.scratch = rpc.PutInvalid(s.output.scratch[:0], number, s.health.loadReport)
 	c.writeScratch()
 }
@@ -117,7 +117,7 @@
 	case s.outOfServiceAt(now):
 		s.countRejectedAtOnce(kind)
 		c.rejectOutOfService(number, now)
-	case !s.clients.limiter.MayOwe(c.slot()):
+	case !s.clients.limiter.MayOpenRequest(c.slot()):
 		s.countRejectedAtOnce(kind)
 		c.rejectAtLimit(number, now)
 	default:
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -41,7 +41,7 @@
 // finish answers a request with its result.
 func (s *Server) finish(request *requesttable.Request, result []byte) {
 	if client := s.clients.conns.Get(request.Connection); client != nil && !request.Answered {
-		s.clients.limiter.Finished(client.slot(), s.now())
+		s.clients.limiter.HandleRequestDone(client.slot(), s.now())
 	}
 	s.respond(request, answerFinished, func(b []byte, number uint64) []byte {
 		return rpc.PutResult(b, number, result, s.health.loadReport)
--- a/internal/server/statistics.go
+++ b/internal/server/statistics.go
@@ -115,8 +115,8 @@
 		"requests", s.requests.Len(),
 		"cached", s.results.Len(),
 		"conns", s.clients.conns.Len(),
-		"untrusted", s.clients.limiter.Count(connlimit.Stranger),
-		"closing", s.clients.limiter.Count(connlimit.Parting),
+		"untrusted", s.clients.limiter.Count(connlimit.StateNew),
+		"closing", s.clients.limiter.Count(connlimit.StateAskedToClose),
 		"max_conns", limit,
 		"max_conns_by", bound,
 		"upstream_conns", len(s.upstream.all),
@@ -131,7 +131,7 @@
 		"heap_kb", liveHeapKB(),
 		"healthy", s.isHealthy(),
 		"load", s.health.loadReport.Free)
-	if s.clients.limiter.Guarded() {
+	if s.clients.limiter.HasRules() {
 		s.logConnStatistics()
 	}
 	s.logServingStatistics()
--- a/internal/server/trust.go
+++ b/internal/server/trust.go
@@ -15,17 +15,17 @@
 
 // ReportTrustedClients reports the clients that are trusted here, up to a number, at each interval.
 // It is called before Run.
-func (s *Server) ReportTrustedClients(report func([]connlimit.Earned), most int) {
+func (s *Server) ReportTrustedClients(report func([]connlimit.TrustedClient), most int) {
 	s.every(trustReportInterval, func() {
-		report(s.clients.limiter.Earnings(s.now(), most))
+		report(s.clients.limiter.TrustedClients(s.now(), most))
 	})
 }
 
 // AddTrustedClients has the connection limiter trust clients that earned it at other servers. Any
 // goroutine may call it; it returns at once, and takes effect when the loop has started.
-func (s *Server) AddTrustedClients(clients []connlimit.Earned) {
+func (s *Server) AddTrustedClients(clients []connlimit.TrustedClient) {
 	s.loop.executeWhenReady(func() {
-		if added := s.clients.limiter.Heard(clients, s.now()); added > 0 {
+		if added := s.clients.limiter.AddTrustedClients(clients, s.now()); added > 0 {
 			slog.Info("fleet_trusted_clients", "clients", added)
 			s.scheduleTurn()
 		}
--- a/internal/server/turn.go
+++ b/internal/server/turn.go
@@ -77,7 +77,7 @@
 
 // setWakeup arms the timer for the next turn. The present turn began at now.
 func (s *Server) setWakeup(directive *serving.Directive, now float64, timersLeft bool) {
-	next := min(s.loop.timers.NextWakeup(), s.clients.limiter.Next())
+	next := min(s.loop.timers.NextWakeup(), s.clients.limiter.NextWakeup())
 	if directive != nil && now < directive.ChangesAt {
 		next = min(next, directive.ChangesAt)
 	}
@@ -88,7 +88,7 @@
 		next = now
 	}
 	s.statistics.longestTurn = max(s.statistics.longestTurn, s.now()-now)
-	if s.clients.limiter.Guarded() {
+	if s.clients.limiter.HasRules() {
 		s.acceptor.sampleCPU(now)
 	}
 	if next < s.loop.wakeupAt {
--- a/internal/wire/fleet/samples_test.go
+++ b/internal/wire/fleet/samples_test.go
@@ -335,14 +335,14 @@
 
 // sampleShared returns messages of trust, quotas and health.
 func sampleShared() []*Envelope {
-	client := connlimit.Earned{Addr: netip.MustParseAddr("10.0.0.1"), Credit: 3}
+	client := connlimit.TrustedClient{Addr: netip.MustParseAddr("10.0.0.1"), Credit: 3}
 	return []*Envelope{
 		{TrustRequest: true},
 		{TrustRecords: []replication.TrustRecord{{
 			Name:        "n1",
 			Incarnation: 5,
 			Sequence:    6,
-			Clients:     []connlimit.Earned{client},
+			Clients:     []connlimit.TrustedClient{client},
 		}}},
 		{QuotaRequest: &quota.Request{
 			Incarnation: 77,
--- a/internal/wire/fleet/shared.go
+++ b/internal/wire/fleet/shared.go
@@ -84,7 +84,7 @@
 			return r, err
 		}
 		copy(addr[:], client.Addr)
-		r.Clients = append(r.Clients, connlimit.Earned{
+		r.Clients = append(r.Clients, connlimit.TrustedClient{
 			Addr:   netip.AddrFrom16(addr).Unmap(),
 			Credit: float64(client.Credit),
 		})
