--- a/cmd/swiftcourse-bench/main.go
+++ b/cmd/swiftcourse-bench/main.go
@@ -17,7 +17,7 @@
 	"swiftcourse/internal/bench/demo"
 	"swiftcourse/internal/bench/idleconns"
 	"swiftcourse/internal/bench/keyclaims"
-	labfleet "swiftcourse/internal/bench/process"
+	"swiftcourse/internal/bench/process"
 	"swiftcourse/internal/bench/quotas"
 	"swiftcourse/internal/bench/readiness"
 	"swiftcourse/internal/bench/report"
@@ -92,7 +92,7 @@
 	if err := plan.Check(); err != nil {
 		return err
 	}
-	if err := labfleet.KeepOff(c.Core); err != nil {
+	if err := process.KeepOff(c.Core); err != nil {
 		return err
 	}
 	if c.Restart {
@@ -143,7 +143,7 @@
 	if err := plan.Check(); err != nil {
 		return err
 	}
-	if err := labfleet.KeepOff(c.Core); err != nil {
+	if err := process.KeepOff(c.Core); err != nil {
 		return err
 	}
 	debug.SetGCPercent(400) // the load's own pauses would be taken for the servers'
--- a/internal/bench/connflood/restart.go
+++ b/internal/bench/connflood/restart.go
@@ -43,9 +43,9 @@
 }
 
 func (p *Plan) restart(ctx context.Context, told string) (row Back, err error) {
-	shape := faultinjection.Small(p.Program)
+	shape := faultinjection.SmallShape(p.Program)
 	shape.Sockets, shape.Log = p.Sockets, p.Log
-	f, err := faultinjection.Start(ctx, faultinjection.Plan{Shape: shape, Servers: 3, Voters: 3, Conf: "door on\nfleet-lease 2s\nreplica-callers " + told + "\n"})
+	f, err := faultinjection.Start(ctx, faultinjection.Config{Shape: shape, Servers: 3, Voters: 3, ExtraSettings: "door on\nfleet-lease 2s\nreplica-callers " + told + "\n"})
 	if err != nil {
 		return row, err
 	}
@@ -60,10 +60,10 @@
 	for _, c := range clients {
 		c.close()
 	}
-	if err := f.Cold(ctx, "n1"); err != nil {
+	if err := f.KillAndRestart(ctx, "n1"); err != nil {
 		return row, err
 	}
-	if told == "on" && !faultinjection.Until(patience, func() bool { return len(f.Said("n1", "fleet_trusted_clients")) > 0 }) {
+	if told == "on" && !faultinjection.WaitUntil(patience, func() bool { return len(f.Events("n1", "fleet_trusted_clients")) > 0 }) {
 		return row, fmt.Errorf("n1 was told nothing within %s", patience)
 	}
 	fmt.Fprintf(p.Say, "replica-callers %s: n1 is back cold; %g strangers a second for %g s\n", told, p.Strangers, p.Seconds)
--- a/internal/bench/faultinjection/demand.go
+++ b/internal/bench/faultinjection/demand.go
@@ -13,44 +13,44 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// Demand asks servers for tasks of one tenant, of each as many a second as it is set to, and notes when each was finished: an account of what a budget
+// Load asks servers for tasks of one tenant, of each as many a second as it is set to, and notes when each was finished: an account of what a budget
 // let through that is apart from the program's own.
-type Demand struct {
-	fleet  *Fleet
-	tenant string
-	mu     sync.Mutex
-	rates  map[string]float64
-	ends   map[string][]time.Time // finished, by server
-	counts map[string]map[rpc.End]int
-	asked  map[string]int
-	wg     sync.WaitGroup
-	Stages []string // that its tasks are of in turn; Ping alone where there are none
-	late   int      // answers that came after their caller had left
-	out    map[string]map[uint64]time.Time
-	took   []time.Duration // until each was finished
+type Load struct {
+	fleet       *Fleet
+	tenant      string
+	mu          sync.Mutex
+	rates       map[string]float64
+	finishTimes map[string][]time.Time // finished, by server
+	outcomes    map[string]map[rpc.End]int
+	sent        map[string]int
+	wg          sync.WaitGroup
+	Classes     []string // that its tasks are of in turn; Ping alone where there are none
+	lateCount   int      // answers that came after their caller had left
+	unanswered  map[string]map[uint64]time.Time
+	latencies   []time.Duration // until each was finished
 }
 
-// demandStep is how often tasks that are due are sent, and demandWait how long their callers wait.
+// loadInterval is how often tasks that are due are sent, and demandWait how long their callers wait.
 const (
-	demandStep = 10 * time.Millisecond
-	demandWait = 1.0
+	loadInterval       = 10 * time.Millisecond
+	loadTimeoutSeconds = 1.0
 )
 
-// Demand begins with rates of 0, and goes on until the context ends.
-func (f *Fleet) Demand(ctx context.Context, tenant string) *Demand {
-	d := &Demand{fleet: f, tenant: tenant, rates: map[string]float64{}, ends: map[string][]time.Time{}, counts: map[string]map[rpc.End]int{}, asked: map[string]int{}, out: map[string]map[uint64]time.Time{}}
+// StartLoad begins with rates of 0, and goes on until the context ends.
+func (f *Fleet) StartLoad(ctx context.Context, tenant string) *Load {
+	d := &Load{fleet: f, tenant: tenant, rates: map[string]float64{}, finishTimes: map[string][]time.Time{}, outcomes: map[string]map[rpc.End]int{}, sent: map[string]int{}, unanswered: map[string]map[uint64]time.Time{}}
 	for _, name := range f.Names {
-		d.counts[name] = map[rpc.End]int{}
+		d.outcomes[name] = map[rpc.End]int{}
 		d.wg.Go(func() { d.run(ctx, name) })
 	}
 	return d
 }
 
 // Wait returns once it has ended.
-func (d *Demand) Wait() { d.wg.Wait() }
+func (d *Load) Wait() { d.wg.Wait() }
 
-// Set asks servers for so many tasks a second from now on.
-func (d *Demand) Set(rate float64, names ...string) {
+// SetRate asks servers for so many tasks a second from now on.
+func (d *Load) SetRate(rate float64, names ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, name := range names {
@@ -58,7 +58,7 @@
 	}
 }
 
-func (d *Demand) run(ctx context.Context, name string) {
+func (d *Load) run(ctx context.Context, name string) {
 	var c *balancer.Conn
 	var gone *atomic.Bool
 	var here map[uint64]time.Time // what is out on it
@@ -67,7 +67,7 @@
 			_ = c.Close()
 		}
 	}()
-	tick := time.NewTicker(demandStep)
+	tick := time.NewTicker(loadInterval)
 	defer tick.Stop()
 	owed, last, n := 0.0, time.Now(), 0
 	for {
@@ -87,7 +87,7 @@
 		if c == nil {
 			dial, done := context.WithTimeout(ctx, time.Second)
 			sent, closed := map[uint64]time.Time{}, new(atomic.Bool)
-			next, err := balancer.Dial(dial, d.fleet.Server(name).Addr, func(a rpc.Answer) { d.heard(name, sent, a) }, func(error) {
+			next, err := balancer.Dial(dial, d.fleet.Server(name).Addr, func(a rpc.Answer) { d.handleAnswer(name, sent, a) }, func(error) {
 				closed.Store(true)
 				d.forget(sent)
 			})
@@ -97,20 +97,20 @@
 			}
 			c, gone, here = next, closed, sent
 			d.mu.Lock()
-			d.out[name] = sent
+			d.unanswered[name] = sent
 			d.mu.Unlock()
 		}
 		for ; owed >= 1; owed-- {
-			m := &rpc.Message{Number: c.Next(), ID: ID(), Stage: Ping, Tenant: d.tenant, Caller: 1, Came: float64(now.UnixMilli()) / 1000, Wait: demandWait,
+			m := &rpc.Message{Number: c.Next(), ID: NewRequestID(), Stage: PingClass, Tenant: d.tenant, Caller: 1, Came: float64(now.UnixMilli()) / 1000, Wait: loadTimeoutSeconds,
 				Memory: 1, Rank: 0.5}
 			d.mu.Lock()
 			here[m.Number] = now
 			n++
-			if len(d.Stages) > 0 {
-				m.Stage = d.Stages[n%len(d.Stages)]
+			if len(d.Classes) > 0 {
+				m.Stage = d.Classes[n%len(d.Classes)]
 			}
 			d.mu.Unlock()
-			if d.fleet.Ledger != nil {
+			if d.fleet.RunLog != nil {
 				m.Body = []byte(m.Stage + " " + m.ID)
 			}
 			if err := c.Task(m); err != nil { // its server is gone, and comes back at the same address
@@ -123,7 +123,7 @@
 				d.forget(here)
 			}
 			d.mu.Lock()
-			d.asked[name]++
+			d.sent[name]++
 			d.mu.Unlock()
 		}
 	}
@@ -131,48 +131,48 @@
 
 // forget drops what was out on a connection that closed: what crossed the close of a server that leaves was never read, and is its caller's to send
 // elsewhere.
-func (d *Demand) forget(sent map[uint64]time.Time) {
+func (d *Load) forget(sent map[uint64]time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	clear(sent)
 }
 
-// answerSlack is by how much an answer may come after its caller's wait on a busy machine.
-const answerSlack = 0.3
+// answerTolerance is by how much an answer may come after its caller's wait on a busy machine.
+const answerTolerance = 0.3
 
-func (d *Demand) heard(name string, sent map[uint64]time.Time, a rpc.Answer) {
+func (d *Load) handleAnswer(name string, sent map[uint64]time.Time, a rpc.Answer) {
 	if a.End == rpc.PartSaid {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.counts[name][a.End]++
+	d.outcomes[name][a.End]++
 	took := time.Since(sent[a.Number])
 	delete(sent, a.Number)
-	if took.Seconds() > demandWait+answerSlack {
-		d.late++
+	if took.Seconds() > loadTimeoutSeconds+answerTolerance {
+		d.lateCount++
 	}
 	if a.End == rpc.Finished {
-		d.took = append(d.took, took)
-		d.ends[name] = append(d.ends[name], time.Now())
+		d.latencies = append(d.latencies, took)
+		d.finishTimes[name] = append(d.finishTimes[name], time.Now())
 	}
 }
 
 // Rate is how many tasks a second a server finished lately.
-func (d *Demand) Rate(name string, lately time.Duration) float64 {
+func (d *Load) Rate(name string, lately time.Duration) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	from, n := time.Now().Add(-lately), 0
-	for i := len(d.ends[name]) - 1; i >= 0 && d.ends[name][i].After(from); i-- {
+	for i := len(d.finishTimes[name]) - 1; i >= 0 && d.finishTimes[name][i].After(from); i-- {
 		n++
 	}
 	return float64(n) / lately.Seconds()
 }
 
-// Between is how many tasks a second servers finished between two times.
-func (d *Demand) Between(from, to time.Time, names ...string) float64 {
+// RateBetween is how many tasks a second servers finished between two times.
+func (d *Load) RateBetween(from, to time.Time, names ...string) float64 {
 	n := 0
-	for _, at := range d.finished(names) {
+	for _, at := range d.sortedFinishTimes(names) {
 		if at.After(from) && at.Before(to) {
 			n++
 		}
@@ -180,19 +180,19 @@
 	return float64(n) / to.Sub(from).Seconds()
 }
 
-func (d *Demand) finished(names []string) (all []time.Time) {
+func (d *Load) sortedFinishTimes(names []string) (all []time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, name := range names {
-		all = append(all, d.ends[name]...)
+		all = append(all, d.finishTimes[name]...)
 	}
 	slices.SortFunc(all, time.Time.Compare)
 	return all
 }
 
-// Over is the most by which all that servers finished within any time was over so much a second in that time.
-func (d *Demand) Over(rate float64, names ...string) (most float64) {
-	all := d.finished(names)
+// MaxExcess is the most by which all that servers finished within any time was over so much a second in that time.
+func (d *Load) MaxExcess(rate float64, names ...string) (most float64) {
+	all := d.sortedFinishTimes(names)
 	if len(all) == 0 {
 		return 0
 	}
@@ -206,29 +206,29 @@
 	return most
 }
 
-// Late counts the answers that came after their callers had left, Unanswered the tasks that have none, on connections that stand.
-func (d *Demand) Late() int {
+// LateCount counts the answers that came after their callers had left, Unanswered the tasks that have none, on connections that stand.
+func (d *Load) LateCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.late
+	return d.lateCount
 }
 
-// Unanswered counts them.
-func (d *Demand) Unanswered() (n int) {
+// UnansweredCount counts them.
+func (d *Load) UnansweredCount() (n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, sent := range d.out {
+	for _, sent := range d.unanswered {
 		n += len(sent)
 	}
 	return n
 }
 
-// Open tells of each server how many tasks wait on its connection, and for how long the oldest.
-func (d *Demand) Open() string {
+// DescribeUnanswered tells of each server how many tasks wait on its connection, and for how long the oldest.
+func (d *Load) DescribeUnanswered() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var all []string
-	for name, sent := range d.out {
+	for name, sent := range d.unanswered {
 		oldest := time.Duration(0)
 		for _, at := range sent {
 			oldest = max(oldest, time.Since(at))
@@ -240,21 +240,21 @@
 	return strings.Join(all, "; ")
 }
 
-// Took lists how long each finished task took, shortest first.
-func (d *Demand) Took() []time.Duration {
+// Latencies lists how long each finished task took, shortest first.
+func (d *Load) Latencies() []time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.Sorted(slices.Values(d.took))
+	return slices.Sorted(slices.Values(d.latencies))
 }
 
 // Counts are how many were asked for, finished and rejected, over all servers.
-func (d *Demand) Counts() (asked, finished, rejected int) {
+func (d *Load) Counts() (asked, finished, rejected int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for name := range d.counts {
-		asked += d.asked[name]
-		finished += d.counts[name][rpc.Finished]
-		rejected += d.counts[name][rpc.Rejected]
+	for name := range d.outcomes {
+		asked += d.sent[name]
+		finished += d.outcomes[name][rpc.Finished]
+		rejected += d.outcomes[name][rpc.Rejected]
 	}
 	return asked, finished, rejected
 }
--- a/internal/bench/faultinjection/fleet.go
+++ b/internal/bench/faultinjection/fleet.go
@@ -11,69 +11,69 @@
 	"syscall"
 	"time"
 
-	labfleet "swiftcourse/internal/bench/process"
-	standin "swiftcourse/internal/fake/upstream"
+	"swiftcourse/internal/bench/process"
+	"swiftcourse/internal/fake/upstream"
 	"swiftcourse/internal/fleet"
 	"swiftcourse/internal/policy/release"
 	"swiftcourse/internal/wire/catalogue"
 	"swiftcourse/internal/wire/shale"
 )
 
-// Plan is how a fleet of processes is to be.
-type Plan struct {
-	Shape   labfleet.Shape
-	Servers int
-	Voters  int
-	Conf    string            // more lines of every operator's file
-	ConfOf  map[string]string // more lines of one
-	Clock   map[string]string // SWIFTCOURSE_TEST_CLOCK of one
-	Build   map[string]string // SWIFTCOURSE_BUILD of one
-	Seed    uint64
-	Ledger  *Ledger           // of the processors; nil for none
-	Work    float64           // seconds that a task takes; 0 as the shape says
-	Die     map[string]string // SWIFTCOURSE_TEST_DIE of one: POINT,N and after S seconds, POINT,N,S kills it when it passes that point of its claims or copies for the Nth time
-	Direct  bool              // no relays: for what is measured in fractions of a millisecond
-	Alone   bool              // the fleet's parts are off
-	Tenants []shale.Tenant    // who share the service; none for a service without tenants
+// Config is how a fleet of processes is to be.
+type Config struct {
+	Shape               process.Shape
+	Servers             int
+	Voters              int
+	ExtraSettings       string            // more lines of every operator's file
+	ExtraSettingsByName map[string]string // more lines of one
+	ClockByName         map[string]string // SWIFTCOURSE_TEST_CLOCK of one
+	BuildByName         map[string]string // SWIFTCOURSE_BUILD of one
+	Seed                uint64
+	RunLog              *RunLog           // of the processors; nil for none
+	RunSeconds          float64           // seconds that a task takes; 0 as the shape says
+	CrashPointByName    map[string]string // SWIFTCOURSE_TEST_DIE of one: POINT,N and after S seconds, POINT,N,S kills it when it passes that point of its claims or copies for the Nth time
+	NoRelays            bool              // no relays: for what is measured in fractions of a millisecond
+	FleetDisabled       bool              // the fleet's parts are off
+	Tenants             []shale.Tenant    // who share the service; none for a service without tenants
 
 	// Planners and Forwarders, if there are any, are the processes of this fleet in place of servers: p1 and on, who are the voters, and f1 and on. Workers
 	// are then servers of no fleet behind the forwarders, in the shape of Worker.
 	Planners, Forwarders, Workers int
-	Worker                        labfleet.Shape
+	WorkerShape                   process.Shape
 
-	// Fate has each task make a call below, and says what becomes of the nth of a server; nil for no calls.
-	Fate func(name string, n int, c catalogue.Call) standin.Fate
+	// CallOutcome has each task make a call below, and says what becomes of the nth of a server; nil for no calls.
+	CallOutcome func(name string, n int, c catalogue.Call) upstream.Fate
 }
 
-// Said is what a server said it did, by its log, with the time at which this process read it: an account apart from the program's own.
-type Said struct {
+// LogEvent is what a server said it did, by its log, with the time at which this process read it: an account apart from the program's own.
+type LogEvent struct {
 	Name   string
-	At     time.Time
+	Time   time.Time
 	Event  string
 	Fields map[string]string
 }
 
 // Fleet is processes of the real program with relays between them.
 type Fleet struct {
-	Plan
-	Net     *Net
-	Servers []*labfleet.Server
-	Behind  []*labfleet.Server // workers
-	Names   []string
-	place   string
-	ports   int
-	control map[string]string
-	listen  map[string]string
-	via     map[string]string
-	mu      sync.Mutex
-	said    []Said
-	lives   map[string]int // of a process that was started again: where in said its present life begins
+	Config
+	Net           *Network
+	Servers       []*process.Server
+	WorkerServers []*process.Server // workers
+	Names         []string
+	host          string
+	portsUsed     int
+	controlAddrs  map[string]string
+	gossipAddrs   map[string]string
+	relayRoutes   map[string]string
+	mu            sync.Mutex
+	events        []LogEvent
+	firstEvent    map[string]int // of a process that was started again: where in said its present life begins
 }
 
 // Start starts a fleet and waits until every process serves.
-func Start(ctx context.Context, p Plan) (*Fleet, error) {
-	f := &Fleet{Plan: p, Net: NewNet(p.Seed), place: place(), control: map[string]string{}, listen: map[string]string{}, via: map[string]string{},
-		lives: map[string]int{}}
+func Start(ctx context.Context, p Config) (*Fleet, error) {
+	f := &Fleet{Config: p, Net: NewNet(p.Seed), host: nextHost(), controlAddrs: map[string]string{}, gossipAddrs: map[string]string{}, relayRoutes: map[string]string{},
+		firstEvent: map[string]int{}}
 	for i := range p.Servers {
 		f.Names = append(f.Names, fmt.Sprintf("n%d", i+1))
 	}
@@ -87,40 +87,40 @@
 		f.Voters = p.Planners
 	}
 	for _, name := range f.Names {
-		f.listen[name], f.control[name] = f.port(), f.port()
+		f.gossipAddrs[name], f.controlAddrs[name] = f.nextAddr(), f.nextAddr()
 	}
 	for _, from := range f.Names {
 		var ways []string
 		for _, to := range f.Names {
-			if from == to || p.Direct {
+			if from == to || p.NoRelays {
 				continue
 			}
-			relay, err := f.Net.Relay(from, to, f.listen[to])
+			relay, err := f.Net.AddRelay(from, to, f.gossipAddrs[to])
 			if err != nil {
 				return nil, err
 			}
-			ways = append(ways, f.listen[to]+"="+relay)
+			ways = append(ways, f.gossipAddrs[to]+"="+relay)
 		}
-		f.via[from] = strings.Join(ways, ",")
+		f.relayRoutes[from] = strings.Join(ways, ",")
 	}
-	f.Shape.Each, f.Shape.Hear = f.each, f.hear
+	f.Shape.Each, f.Shape.Hear = f.processSettings, f.recordLine
 	f.Shape.Told.Tenants = p.Tenants
-	if p.Fate != nil {
-		f.Shape.FateOf = p.Fate
-		f.Shape.Work.Calls, f.Shape.Work.Parked = func(string, string) bool { return true }, demandWait
+	if p.CallOutcome != nil {
+		f.Shape.FateOf = p.CallOutcome
+		f.Shape.Work.Calls, f.Shape.Work.Parked = func(string, string) bool { return true }, loadTimeoutSeconds
 		own := &f.Shape.Told.Own
 		own.Below, own.StageCalls, own.CallLingerMs = "tier", []bool{true}, 300
 	}
-	if l := p.Ledger; l != nil {
-		f.Shape.Work.Begun, f.Shape.Work.Result = l.Begun, l.Result
+	if l := p.RunLog; l != nil {
+		f.Shape.Work.Begun, f.Shape.Work.Result = l.RecordStart, l.RecordResult
 	}
-	if p.Work > 0 {
-		f.Shape.Work.Work = func(string, string) float64 { return p.Work }
+	if p.RunSeconds > 0 {
+		f.Shape.Work.Work = func(string, string) float64 { return p.RunSeconds }
 	}
 	if p.Forwarders > 0 {
-		return f, f.twoLevels(ctx)
+		return f, f.startTwoLevels(ctx)
 	}
-	servers, err := labfleet.Start(ctx, p.Servers, f.Shape)
+	servers, err := process.Start(ctx, p.Servers, f.Shape)
 	if err != nil {
 		f.Net.Close()
 		return nil, err
@@ -129,18 +129,18 @@
 	return f, nil
 }
 
-// twoLevels starts workers, planners and forwarders, and waits until the forwarders serve.
-func (f *Fleet) twoLevels(ctx context.Context) (err error) {
+// startTwoLevels starts workers, planners and forwarders, and waits until the forwarders serve.
+func (f *Fleet) startTwoLevels(ctx context.Context) (err error) {
 	defer func() {
 		if err != nil {
 			f.Close()
 		}
 	}()
-	f.Worker.Told.Tenants = f.Tenants
-	if l := f.Ledger; l != nil {
-		f.Worker.Work.Begun, f.Worker.Work.Result = l.Begun, l.Result
+	f.WorkerShape.Told.Tenants = f.Tenants
+	if l := f.RunLog; l != nil {
+		f.WorkerShape.Work.Begun, f.WorkerShape.Work.Result = l.RecordStart, l.RecordResult
 	}
-	if f.Behind, err = labfleet.Start(ctx, f.Workers, f.Worker); err != nil {
+	if f.WorkerServers, err = process.Start(ctx, f.Workers, f.WorkerShape); err != nil {
 		return err
 	}
 	for _, name := range f.Names {
@@ -149,7 +149,7 @@
 		if name[0] == 'p' {
 			shape.Words = []string{"plan"}
 		}
-		s, err := labfleet.Launch(ctx, name, shape)
+		s, err := process.Launch(ctx, name, shape)
 		if err != nil {
 			return err
 		}
@@ -163,66 +163,66 @@
 	return nil
 }
 
-// Front lists the forwarders, Planning the planners.
-func (f *Fleet) Front() []string { return f.Names[f.Planners:] }
+// ForwarderNames lists the forwarders, Planning the planners.
+func (f *Fleet) ForwarderNames() []string { return f.Names[f.Planners:] }
 
-// Planning lists the planners.
-func (f *Fleet) Planning() []string { return f.Names[:f.Planners] }
+// PlannerNames lists the planners.
+func (f *Fleet) PlannerNames() []string { return f.Names[:f.Planners] }
 
-// fleets counts those of this process.
-var fleets atomic.Int32
+// fleetCount counts those of this process.
+var fleetCount atomic.Int32
 
-// place is an address for a fleet of its own, by this process and the fleet's number: ports there are nobody else's, so that they can be told before
+// nextHost is an address for a fleet of its own, by this process and the fleet's number: ports there are nobody else's, so that they can be told before
 // anybody listens.
-func place() string {
+func nextHost() string {
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d", 64+pid%128, pid/128%256, 1+fleets.Add(1)%250)
+	return fmt.Sprintf("127.%d.%d.%d", 64+pid%128, pid/128%256, 1+fleetCount.Add(1)%250)
 }
 
 // firstPort of a fleet's: those for peers and for operators follow one another.
 const firstPort = 7001
 
-// port gives the next address of this fleet.
-func (f *Fleet) port() string {
-	f.ports++
-	return fmt.Sprintf("%s:%d", f.place, firstPort+f.ports)
+// nextAddr gives the next address of this fleet.
+func (f *Fleet) nextAddr() string {
+	f.portsUsed++
+	return fmt.Sprintf("%s:%d", f.host, firstPort+f.portsUsed)
 }
 
-func (f *Fleet) each(name string) (conf string, env []string) {
-	if f.Alone {
+func (f *Fleet) processSettings(name string) (conf string, env []string) {
+	if f.FleetDisabled {
 		return "door on\n", nil
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "fleet on\nfleet-listen %s\nfleet-control %s\n", f.listen[name], f.control[name])
+	fmt.Fprintf(&b, "fleet on\nfleet-listen %s\nfleet-control %s\n", f.gossipAddrs[name], f.controlAddrs[name])
 	for _, voter := range f.Names[:f.Voters] {
-		fmt.Fprintf(&b, "fleet-voters %s=%s\n", voter, f.listen[voter])
+		fmt.Fprintf(&b, "fleet-voters %s=%s\n", voter, f.gossipAddrs[voter])
 	}
-	for _, w := range f.Behind {
+	for _, w := range f.WorkerServers {
 		fmt.Fprintf(&b, "forward-to %s=%s\n", w.Name, w.Addr)
 	}
-	b.WriteString(f.Conf + "\n" + f.ConfOf[name] + "\n")
-	env = append(env, "SWIFTCOURSE_TEST_VIA="+f.via[name])
-	if clock := f.Clock[name]; clock != "" {
+	b.WriteString(f.ExtraSettings + "\n" + f.ExtraSettingsByName[name] + "\n")
+	env = append(env, "SWIFTCOURSE_TEST_VIA="+f.relayRoutes[name])
+	if clock := f.ClockByName[name]; clock != "" {
 		env = append(env, "SWIFTCOURSE_TEST_CLOCK="+clock)
 	}
-	if die := f.Die[name]; die != "" {
+	if die := f.CrashPointByName[name]; die != "" {
 		env = append(env, "SWIFTCOURSE_TEST_DIE="+die)
 	}
-	if build := f.Build[name]; build != "" {
+	if build := f.BuildByName[name]; build != "" {
 		env = append(env, "SWIFTCOURSE_BUILD="+build)
 	}
 	return b.String(), env
 }
 
-func (f *Fleet) hear(name, line string) {
-	fields := labfleet.Fields(line)
+func (f *Fleet) recordLine(name, line string) {
+	fields := process.Fields(line)
 	event := fields["event"]
 	if !isRecorded(event) {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.said = append(f.said, Said{name, time.Now(), event, fields})
+	f.events = append(f.events, LogEvent{name, time.Now(), event, fields})
 }
 
 // recordedEvents are the log events that experiments look for, beside those with a prefix that isRecorded names.
@@ -234,11 +234,11 @@
 	return strings.HasPrefix(event, "fleet") || strings.HasPrefix(event, "worker_") || slices.Contains(recordedEvents, event)
 }
 
-// Said lists what a server said of an event; "" for all servers, or all events.
-func (f *Fleet) Said(name, event string) (list []Said) {
+// Events lists what a server said of an event; "" for all servers, or all events.
+func (f *Fleet) Events(name, event string) (list []LogEvent) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, s := range f.said {
+	for _, s := range f.events {
 		if (name == "" || s.Name == name) && (event == "" || s.Event == event) {
 			list = append(list, s)
 		}
@@ -246,21 +246,21 @@
 	return list
 }
 
-// Last is what a server last said of an event in its present life: what it said before it was started again tells nothing of what it knows now. The
+// LastEvent is what a server last said of an event in its present life: what it said before it was started again tells nothing of what it knows now. The
 // zero Said where it said nothing of it.
-func (f *Fleet) Last(name, event string) Said {
+func (f *Fleet) LastEvent(name, event string) LogEvent {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, s := range slices.Backward(f.said[f.lives[name]:]) {
+	for _, s := range slices.Backward(f.events[f.firstEvent[name]:]) {
 		if s.Name == name && s.Event == event {
 			return s
 		}
 	}
-	return Said{}
+	return LogEvent{}
 }
 
 // Server finds one by name.
-func (f *Fleet) Server(name string) *labfleet.Server {
+func (f *Fleet) Server(name string) *process.Server {
 	for _, s := range f.Servers {
 		if s.Name == name {
 			return s
@@ -269,70 +269,70 @@
 	return nil
 }
 
-// Stop has a process stand still, and Go on.
-func (f *Fleet) Stop(name string) error { return f.Server(name).Signal(syscall.SIGSTOP) }
+// Pause has a process stand still, and Go on.
+func (f *Fleet) Pause(name string) error { return f.Server(name).Signal(syscall.SIGSTOP) }
 
-// Go has it go on.
-func (f *Fleet) Go(name string) error { return f.Server(name).Signal(syscall.SIGCONT) }
+// Resume has it go on.
+func (f *Fleet) Resume(name string) error { return f.Server(name).Signal(syscall.SIGCONT) }
 
-// Cold kills a process and starts it again, with nothing that it knew.
-func (f *Fleet) Cold(ctx context.Context, name string) error {
+// KillAndRestart kills a process and starts it again, with nothing that it knew.
+func (f *Fleet) KillAndRestart(ctx context.Context, name string) error {
 	f.Server(name).Kill()
-	return f.Back(ctx, name)
+	return f.Restart(ctx, name)
 }
 
-// Back starts a process again that is gone, and waits until its part in the fleet has begun anew.
-func (f *Fleet) Back(ctx context.Context, name string) error {
+// Restart starts a process again that is gone, and waits until its part in the fleet has begun anew.
+func (f *Fleet) Restart(ctx context.Context, name string) error {
 	f.mu.Lock()
-	f.lives[name] = len(f.said) // it has ended, and all that it said is read
+	f.firstEvent[name] = len(f.events) // it has ended, and all that it said is read
 	f.mu.Unlock()
 	if err := f.Server(name).Restart(ctx); err != nil {
 		return err
 	}
-	if !Until(cold, func() bool { return f.Last(name, "fleet").Event != "" }) {
+	if !WaitUntil(restartTimeout, func() bool { return f.LastEvent(name, "fleet").Event != "" }) {
 		return fmt.Errorf("%s does not say that it began", name)
 	}
 	return nil
 }
 
-// cold is how long a process may take to begin.
-const cold = 20 * time.Second
+// restartTimeout is how long a process may take to begin.
+const restartTimeout = 20 * time.Second
 
-// Twin starts a second process under a server's name, which listens elsewhere.
-func (f *Fleet) Twin(ctx context.Context, name string) (*labfleet.Server, error) {
-	shape, listen, control := f.Shape, f.port(), f.port()
+// StartDuplicate starts a second process under a server's name, which listens elsewhere.
+func (f *Fleet) StartDuplicate(ctx context.Context, name string) (*process.Server, error) {
+	shape, listen, control := f.Shape, f.nextAddr(), f.nextAddr()
 	shape.Each = func(string) (string, []string) {
-		conf, env := f.each(name)
-		conf = strings.ReplaceAll(conf, "fleet-listen "+f.listen[name], "fleet-listen "+listen)
-		return strings.ReplaceAll(conf, f.control[name], control), env
+		conf, env := f.processSettings(name)
+		conf = strings.ReplaceAll(conf, "fleet-listen "+f.gossipAddrs[name], "fleet-listen "+listen)
+		return strings.ReplaceAll(conf, f.controlAddrs[name], control), env
 	}
-	return labfleet.Launch(ctx, name, shape) // it may not act, so it is never healthy
+	return process.Launch(ctx, name, shape) // it may not act, so it is never healthy
 }
 
 // Close ends everything.
 func (f *Fleet) Close() {
-	labfleet.End(f.Servers)
-	labfleet.End(f.Behind)
+	process.End(f.Servers)
+	process.End(f.WorkerServers)
 	f.Net.Close()
 }
 
-// State asks a server what it knows of the fleet.
-func (f *Fleet) State(name string) (*fleet.Status, error) {
-	return fleet.FetchStatus(f.control[name], "")
+// Status asks a server what it knows of the fleet.
+func (f *Fleet) Status(name string) (*fleet.Status, error) {
+	return fleet.FetchStatus(f.controlAddrs[name], "")
 }
 
-// Command asks a server for a command, and tells the newest epoch after it.
-func (f *Fleet) Command(name string, c release.Command) (release.Epoch, error) {
-	return fleet.SendCommand(f.control[name], c)
+// SendCommand asks a server for a command, and tells the newest epoch after it.
+func (f *Fleet) SendCommand(name string, c release.Command) (release.Epoch, error) {
+	return fleet.SendCommand(f.controlAddrs[name], c)
 }
 
 // Release asks a server for a release.
 func (f *Fleet) Release(name, text string, waves ...float64) (release.Epoch, error) {
-	return f.Command(name, release.Command{Kind: release.KindRelease, Author: name, Text: text, Digest: release.Digest(text, ""), Waves: waves})
+	return f.SendCommand(name, release.Command{Kind: release.KindRelease, Author: name, Text: text, Digest: release.Digest(text, ""), Waves: waves})
 }
 
-// Until waits for something to be so, and tells whether it came.
-func Until(patience time.Duration, so func() bool) bool {
+// WaitUntil waits for something to be so, and tells whether it came.
+func WaitUntil(patience time.Duration, so func() bool) bool {
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		if so() {
 			return true
@@ -341,39 +341,39 @@
 	return so()
 }
 
-// ActsOn is the epoch on which a server last said, since its start, that it acts; 0 where it said none.
-func (f *Fleet) ActsOn(name string) release.Epoch {
-	e, err := release.ParseEpoch(f.Last(name, "config_applied").Fields["epoch"])
+// ActiveEpoch is the epoch on which a server last said, since its start, that it acts; 0 where it said none.
+func (f *Fleet) ActiveEpoch(name string) release.Epoch {
+	e, err := release.ParseEpoch(f.LastEvent(name, "config_applied").Fields["epoch"])
 	if err != nil {
 		return 0
 	}
 	return e
 }
 
-// AllOn tells whether the servers named act on an epoch, or on a newer one.
-func (f *Fleet) AllOn(e release.Epoch, names ...string) bool {
+// AllActiveOn tells whether the servers named act on an epoch, or on a newer one.
+func (f *Fleet) AllActiveOn(e release.Epoch, names ...string) bool {
 	for _, name := range names {
-		if f.ActsOn(name) < e {
+		if f.ActiveEpoch(name) < e {
 			return false
 		}
 	}
 	return true
 }
 
-// Warm tells whether holders last said, since their start, that they may answer for all that they hold.
-func (f *Fleet) Warm(names ...string) bool {
+// ReplicasCaughtUp tells whether holders last said, since their start, that they may answer for all that they hold.
+func (f *Fleet) ReplicasCaughtUp(names ...string) bool {
 	for _, name := range names {
-		if f.Last(name, "replica_status_changed").Fields["catching_up"] != "0" {
+		if f.LastEvent(name, "replica_status_changed").Fields["catching_up"] != "0" {
 			return false
 		}
 	}
 	return true
 }
 
-// TwoDigests lists epochs with which servers said more than one digest.
-func (f *Fleet) TwoDigests() (epochs []string) {
+// ConflictingDigestEpochs lists epochs with which servers said more than one digest.
+func (f *Fleet) ConflictingDigestEpochs() (epochs []string) {
 	digests := map[string]string{}
-	for _, s := range f.Said("", "config_applied") {
+	for _, s := range f.Events("", "config_applied") {
 		e, d := s.Fields["epoch"], s.Fields["digest"]
 		if was, seen := digests[e]; seen && was != d {
 			epochs = append(epochs, e)
--- a/internal/bench/faultinjection/ledger.go
+++ b/internal/bench/faultinjection/ledger.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// Ledger is what the processors of a fleet know of the runs of each key, an account apart from the program's own. A task's body is its key.
-type Ledger struct {
+// RunLog is what the processors of a fleet know of the runs of each key, an account apart from the program's own. A task's body is its key.
+type RunLog struct {
 	mu      sync.Mutex
 	runs    map[string][]time.Time
 	results map[string][]string // of each key, in their order
-	begun   map[string]begun
+	started map[string]startedRun
 }
 
-// begun is a run as it began.
-type begun struct {
+// startedRun is a run as it began.
+type startedRun struct {
 	key string
 	at  time.Time
 }
 
-// NewLedger makes one for a fleet whose shape gets Begun and Result.
-func NewLedger() *Ledger {
-	return &Ledger{runs: map[string][]time.Time{}, results: map[string][]string{}, begun: map[string]begun{}}
+// NewRunLog makes one for a fleet whose shape gets Begun and Result.
+func NewRunLog() *RunLog {
+	return &RunLog{runs: map[string][]time.Time{}, results: map[string][]string{}, started: map[string]startedRun{}}
 }
 
-// Begun enters a run.
-func (l *Ledger) Begun(id string, body []byte) {
+// RecordStart enters a run.
+func (l *RunLog) RecordStart(id string, body []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(body) == 0 { // of a load that bears no keys
@@ -36,11 +36,11 @@
 	}
 	now := time.Now()
 	l.runs[string(body)] = append(l.runs[string(body)], now)
-	l.begun[id] = begun{string(body), now}
+	l.started[id] = startedRun{string(body), now}
 }
 
-// Result is another one for each run, so that a second run shows in the answers too.
-func (l *Ledger) Result(id string, body []byte) []byte {
+// RecordResult is another one for each run, so that a second run shows in the answers too.
+func (l *RunLog) RecordResult(id string, body []byte) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := fmt.Sprintf("%s by %s", body, id)
@@ -48,8 +48,8 @@
 	return []byte(r)
 }
 
-// Twice counts the keys with a beginning that ran more than once.
-func (l *Ledger) Twice(beginning string) (n int) {
+// CountRepeated counts the keys with a beginning that ran more than once.
+func (l *RunLog) CountRepeated(beginning string) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for key, runs := range l.runs {
@@ -60,15 +60,15 @@
 	return n
 }
 
-// Runs counts those of a key.
-func (l *Ledger) Runs(key string) int {
+// RunCount counts those of a key.
+func (l *RunLog) RunCount(key string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.runs[key])
 }
 
-// Ran is the result of a key's first run that ended, "" where none did.
-func (l *Ledger) Ran(key string) string {
+// FirstResult is the result of a key's first run that ended, "" where none did.
+func (l *RunLog) FirstResult(key string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if all := l.results[key]; len(all) > 0 {
@@ -77,18 +77,18 @@
 	return ""
 }
 
-// Knows tells whether a run of a key had that result.
-func (l *Ledger) Knows(key, result string) bool {
+// HasResult tells whether a run of a key had that result.
+func (l *RunLog) HasResult(key, result string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Contains(l.results[key], result)
 }
 
-// Count counts the runs that pass.
-func (l *Ledger) Count(pass func(id, key string, at time.Time) bool) (n int) {
+// CountRuns counts the runs that pass.
+func (l *RunLog) CountRuns(pass func(id, key string, at time.Time) bool) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id, b := range l.begun {
+	for id, b := range l.started {
 		if pass(id, b.key, b.at) {
 			n++
 		}
@@ -96,8 +96,8 @@
 	return n
 }
 
-// Most is the largest number of runs that a key had within so long of one another, with that key.
-func (l *Ledger) Most(within time.Duration) (most int, key string) {
+// MaxRunsWithin is the largest number of runs that a key had within so long of one another, with that key.
+func (l *RunLog) MaxRunsWithin(within time.Duration) (most int, key string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for k, times := range l.runs {
--- a/internal/bench/faultinjection/levels_test.go
+++ b/internal/bench/faultinjection/levels_test.go
@@ -7,48 +7,48 @@
 	"testing"
 	"time"
 
-	labfleet "swiftcourse/internal/bench/process"
+	"swiftcourse/internal/bench/process"
 	"swiftcourse/internal/fake/executor"
 	"swiftcourse/internal/fleet"
 	"swiftcourse/internal/wire/shale"
 )
 
-// pay is a stage whose tasks must never run twice.
-const pay = "pay"
+// payClass is a stage whose tasks must never run twice.
+const payClass = "pay"
 
-// twoLevels starts forwarders, planners and workers, one of which is slow, under a load that all of them together can do.
-func twoLevels(t *testing.T, p Plan) (*Fleet, *Demand) {
+// startTwoLevelFleet starts forwarders, planners and workers, one of which is slow, under a load that all of them together can do.
+func startTwoLevelFleet(t *testing.T, p Config) (*Fleet, *Load) {
 	t.Helper()
 	t.Parallel()
-	p.Shape, p.Conf = Small(program), short
-	p.Shape.Told.Stages = append(p.Shape.Told.Stages, shale.Stage{Name: pay, Effect: "at_most_once", TimeLimitMs: 2000, DueTimeMs: 1000, Utility: 3, LateUtility: 0.5})
+	p.Shape, p.ExtraSettings = SmallShape(program), shortLeases
+	p.Shape.Told.Stages = append(p.Shape.Told.Stages, shale.Stage{Name: payClass, Effect: "at_most_once", TimeLimitMs: 2000, DueTimeMs: 1000, Utility: 3, LateUtility: 0.5})
 	p.Shape.Told.Own.Cores, p.Shape.Sockets = 4, 512
-	p.Worker, p.Ledger = p.Shape, NewLedger()
-	p.Worker.Work = executor.Plan{Cores: 4, Work: func(string, string) float64 { return PingFor }, Gauges: p.Shape.Work.Gauges}
+	p.WorkerShape, p.RunLog = p.Shape, NewRunLog()
+	p.WorkerShape.Work = executor.Plan{Cores: 4, Work: func(string, string) float64 { return PingSeconds }, Gauges: p.Shape.Work.Gauges}
 	p.Planners, p.Forwarders, p.Workers = 3, 2, 4
 	f, err := Start(context.Background(), p)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	d := f.Demand(ctx, "")
-	d.Stages = []string{Ping, pay}
+	d := f.StartLoad(ctx, "")
+	d.Classes = []string{PingClass, payClass}
 	t.Cleanup(func() {
-		d.Set(0, f.Names...)
-		if !Until(patience, func() bool { return d.Unanswered() == 0 }) {
-			t.Errorf("%d tasks are never answered: %s", d.Unanswered(), d.Open())
+		d.SetRate(0, f.Names...)
+		if !WaitUntil(patience, func() bool { return d.UnansweredCount() == 0 }) {
+			t.Errorf("%d tasks are never answered: %s", d.UnansweredCount(), d.DescribeUnanswered())
 		}
 		stop()
 		d.Wait()
 		asked, finished, rejected := d.Counts()
-		t.Logf("asked %d, finished %d, rejected %d, late %d", asked, finished, rejected, d.Late())
-		if d.Late() > 0 {
-			t.Errorf("%d answers came late", d.Late())
+		t.Logf("asked %d, finished %d, rejected %d, late %d", asked, finished, rejected, d.LateCount())
+		if d.LateCount() > 0 {
+			t.Errorf("%d answers came late", d.LateCount())
 		}
-		if n := f.Ledger.Twice(pay); n > 0 {
+		if n := f.RunLog.CountRepeated(payClass); n > 0 {
 			t.Errorf("%d tasks that must not ran twice", n)
 		}
-		if n := len(f.Said("", "forwarder_panic")) + len(f.Said("", "fleet_agent_panic")); n > 0 {
+		if n := len(f.Events("", "forwarder_panic")) + len(f.Events("", "fleet_agent_panic")); n > 0 {
 			t.Errorf("%d panics", n)
 		}
 		f.Close()
@@ -56,12 +56,12 @@
 	return f, d
 }
 
-// served waits until both forwarders finish most of what they are asked for.
-func (f *Fleet) served(t *testing.T, d *Demand, what string, rate float64) {
+// awaitServed waits until both forwarders finish most of what they are asked for.
+func (f *Fleet) awaitServed(t *testing.T, d *Load, what string, rate float64) {
 	t.Helper()
 	from := time.Now()
 	f.await(t, what, func() bool {
-		for _, name := range f.Front() {
+		for _, name := range f.ForwarderNames() {
 			if time.Since(from) < 2*time.Second || d.Rate(name, 2*time.Second) < 0.9*rate {
 				return false
 			}
@@ -70,97 +70,97 @@
 	})
 }
 
-// TestForwardersAnswerWhilePlannersDie: one planner after the other, then all for good.
-func TestForwardersAnswerWhilePlannersDie(t *testing.T) {
-	f, d := twoLevels(t, Plan{Seed: 51})
+// TestForwarders_ServeWhilePlannersDie: one planner after the other, then all for good.
+func TestForwarders_ServeWhilePlannersDie(t *testing.T) {
+	f, d := startTwoLevelFleet(t, Config{Seed: 51})
 	const rate = 60
-	d.Set(rate, f.Front()...)
-	f.served(t, d, "well", rate)
-	f.await(t, "a planner leads", func() bool { return len(f.Said("", "load_planner_started")) > 0 })
-	for _, name := range f.Planning() {
-		if err := f.Cold(context.Background(), name); err != nil {
+	d.SetRate(rate, f.ForwarderNames()...)
+	f.awaitServed(t, d, "well", rate)
+	f.await(t, "a planner leads", func() bool { return len(f.Events("", "load_planner_started")) > 0 })
+	for _, name := range f.PlannerNames() {
+		if err := f.KillAndRestart(context.Background(), name); err != nil {
 			t.Fatal(err)
 		}
-		f.served(t, d, name+" returned cold", rate)
+		f.awaitServed(t, d, name+" returned cold", rate)
 	}
-	for _, name := range f.Planning() {
+	for _, name := range f.PlannerNames() {
 		f.Server(name).Kill()
 	}
 	killed := time.Now()
 	f.await(t, "the last plan has aged", func() bool { return time.Since(killed) > 7*time.Second })
-	f.served(t, d, "no planner is there", rate)
+	f.awaitServed(t, d, "no planner is there", rate)
 	asked, finished, _ := d.Counts()
 	if float64(finished) < 0.95*float64(asked) {
 		t.Errorf("of %d tasks %d were finished", asked, finished)
 	}
 }
 
-// TestAWorkerDiesWithTasksInHand, and returns; another is stopped past all their due moments.
-func TestAWorkerDiesWithTasksInHand(t *testing.T) {
-	f, d := twoLevels(t, Plan{Seed: 52})
+// TestForwarders_WorkerDiesWithRequestsInFlight, and returns; another is stopped past all their due moments.
+func TestForwarders_WorkerDiesWithRequestsInFlight(t *testing.T) {
+	f, d := startTwoLevelFleet(t, Config{Seed: 52})
 	const rate = 60
-	d.Set(rate, f.Front()...)
-	f.served(t, d, "well", rate)
-	f.Behind[0].Kill()
-	f.served(t, d, "one worker is dead", rate)
-	if err := f.Behind[0].Restart(context.Background()); err != nil {
+	d.SetRate(rate, f.ForwarderNames()...)
+	f.awaitServed(t, d, "well", rate)
+	f.WorkerServers[0].Kill()
+	f.awaitServed(t, d, "one worker is dead", rate)
+	if err := f.WorkerServers[0].Restart(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Behind[1].Signal(syscall.SIGSTOP); err != nil {
+	if err := f.WorkerServers[1].Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	f.served(t, d, "one worker is stopped", rate)
-	if err := f.Behind[1].Signal(syscall.SIGCONT); err != nil {
+	f.awaitServed(t, d, "one worker is stopped", rate)
+	if err := f.WorkerServers[1].Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	f.served(t, d, "it goes on", rate)
-	if s, err := fleet.FetchLoadPlan(f.control[f.Front()[0]]); err != nil || s.Current.Sequence == 0 || s.FreshFor <= 0 || s.Leader == "" {
+	f.awaitServed(t, d, "it goes on", rate)
+	if s, err := fleet.FetchLoadPlan(f.controlAddrs[f.ForwarderNames()[0]]); err != nil || s.Current.Sequence == 0 || s.FreshFor <= 0 || s.Leader == "" {
 		t.Errorf("an operator hears %+v, %v", s, err)
 	}
-	begun := f.Behind[0].Processor.Counts().Begun
-	f.await(t, "the one that returned has tasks again", func() bool { return f.Behind[0].Processor.Counts().Begun > begun+20 })
-	for what, s := range map[string]*labfleet.Server{"a worker": f.Behind[2], "a forwarder": f.Server("f2")} {
+	begun := f.WorkerServers[0].Processor.Counts().Begun
+	f.await(t, "the one that returned has tasks again", func() bool { return f.WorkerServers[0].Processor.Counts().Begun > begun+20 })
+	for what, s := range map[string]*process.Server{"a worker": f.WorkerServers[2], "a forwarder": f.Server("f2")} {
 		if _, err := s.Leave(); err != nil {
 			t.Errorf("%s leaves under load: %v", what, err)
 		}
 	}
-	d.Set(0, "f2")
+	d.SetRate(0, "f2")
 }
 
-// TestAStoppedPlannerWakesWithOldPlans while a forwarder is cut off from all planners.
-func TestAStoppedPlannerWakesWithOldPlans(t *testing.T) {
-	f, d := twoLevels(t, Plan{Seed: 53})
+// TestForwarders_ResumedPlannerHasStalePlans while a forwarder is cut off from all planners.
+func TestForwarders_ResumedPlannerHasStalePlans(t *testing.T) {
+	f, d := startTwoLevelFleet(t, Config{Seed: 53})
 	const rate = 60
-	d.Set(rate, f.Front()...)
-	f.served(t, d, "well", rate)
+	d.SetRate(rate, f.ForwarderNames()...)
+	f.awaitServed(t, d, "well", rate)
 	planned := func(name string, so func(*fleet.LoadPlanStatus) bool) func() bool {
 		return func() bool {
-			s, err := fleet.FetchLoadPlan(f.control[name])
+			s, err := fleet.FetchLoadPlan(f.controlAddrs[name])
 			return err == nil && so(s)
 		}
 	}
 	f.await(t, "f1 has a plan", planned("f1", func(s *fleet.LoadPlanStatus) bool { return s.FreshFor > 0 }))
 	leader := f.leaderOf(t, "f1")
-	if err := f.Stop(leader); err != nil {
+	if err := f.Pause(leader); err != nil {
 		t.Fatal(err)
 	}
-	was, err := fleet.FetchLoadPlan(f.control["f1"])
+	was, err := fleet.FetchLoadPlan(f.controlAddrs["f1"])
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.await(t, "another one plans", planned("f1", func(s *fleet.LoadPlanStatus) bool { return s.FreshFor > 0 && s.Current.Term > was.Current.Term }))
-	f.Net.Part(f.Planning(), []string{"f1"})
-	if err := f.Go(leader); err != nil {
+	f.Net.Partition(f.PlannerNames(), []string{"f1"})
+	if err := f.Resume(leader); err != nil {
 		t.Fatal(err)
 	}
-	f.served(t, d, "f1 is cut off from all planners", rate)
+	f.awaitServed(t, d, "f1 is cut off from all planners", rate)
 	f.await(t, "its plan has aged", planned("f1", func(s *fleet.LoadPlanStatus) bool { return s.FreshFor < -3 }))
-	f.served(t, d, "f1 is without a plan", rate)
+	f.awaitServed(t, d, "f1 is without a plan", rate)
 	f.Net.Heal()
 	f.await(t, "f1 has a plan again", planned("f1", func(s *fleet.LoadPlanStatus) bool { return s.FreshFor > 0 }))
-	for _, name := range f.Front() {
+	for _, name := range f.ForwarderNames() {
 		term := 0
-		for _, s := range f.Said(name, "fleet_plan") {
+		for _, s := range f.Events(name, "fleet_plan") {
 			next, err := strconv.Atoi(s.Fields["term"])
 			if err != nil || next < term {
 				t.Errorf("%s goes from term %d to %s", name, term, s.Fields["term"])
--- a/internal/bench/faultinjection/relay.go
+++ b/internal/bench/faultinjection/relay.go
@@ -11,48 +11,48 @@
 
 // Link is one direction between two processes. The zero Link is a good one.
 type Link struct {
-	Cut    bool // nothing gets through; connections stay half open
-	Loss   float64
-	Double float64
-	Delay  time.Duration
-	Jitter time.Duration // drawn on top, so that packets overtake one another
-	Rate   float64       // bytes a second of a connection, 0 for any
+	Cut            bool // nothing gets through; connections stay half open
+	Loss           float64
+	Duplicate      float64
+	Delay          time.Duration
+	Jitter         time.Duration // drawn on top, so that packets overtake one another
+	BytesPerSecond float64       // bytes a second of a connection, 0 for any
 }
 
-// pair is a direction.
-type pair struct{ from, to string }
-
-// Net is the relays of a fleet.
-type Net struct {
-	mu     sync.Mutex
-	links  map[pair]Link
-	chance *rand.Rand
-	closed chan struct{}
-	ends   []interface{ Close() error }
-	Bytes  map[string]int64 // that each process sent, packets and connections
+// direction is a direction.
+type direction struct{ from, to string }
+
+// Network is the relays of a fleet.
+type Network struct {
+	mu        sync.Mutex
+	links     map[direction]Link
+	chance    *rand.Rand
+	closed    chan struct{}
+	closers   []interface{ Close() error }
+	bytesSent map[string]int64 // that each process sent, packets and connections
 }
 
 // NewNet makes one without relays.
-func NewNet(seed uint64) *Net {
-	return &Net{links: map[pair]Link{}, chance: rand.New(rand.NewPCG(seed, 5)), closed: make(chan struct{}), Bytes: map[string]int64{}}
+func NewNet(seed uint64) *Network {
+	return &Network{links: map[direction]Link{}, chance: rand.New(rand.NewPCG(seed, 5)), closed: make(chan struct{}), bytesSent: map[string]int64{}}
 }
 
-// Set changes one direction.
-func (n *Net) Set(from, to string, l Link) {
+// SetLink changes one direction.
+func (n *Network) SetLink(from, to string, l Link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.links[pair{from, to}] = l
+	n.links[direction{from, to}] = l
 }
 
 // Heal makes all links good.
-func (n *Net) Heal() {
+func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.links)
 }
 
-// Part cuts, both ways, between the groups.
-func (n *Net) Part(groups ...[]string) {
+// Partition cuts, both ways, between the groups.
+func (n *Network) Partition(groups ...[]string) {
 	for i, group := range groups {
 		for j, other := range groups {
 			if i == j {
@@ -60,7 +60,7 @@
 			}
 			for _, a := range group {
 				for _, b := range other {
-					n.Set(a, b, Link{Cut: true})
+					n.SetLink(a, b, Link{Cut: true})
 				}
 			}
 		}
@@ -68,36 +68,36 @@
 }
 
 // Close ends all relays.
-func (n *Net) Close() {
+func (n *Network) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	close(n.closed)
-	for _, end := range n.ends {
+	for _, end := range n.closers {
 		_ = end.Close()
 	}
 }
 
-func (n *Net) link(from, to string, size int) (l Link, lost, twice bool, delay time.Duration) {
+func (n *Network) planTransfer(from, to string, size int) (l Link, lost, twice bool, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.Bytes[from] += int64(size)
-	l = n.links[pair{from, to}]
+	n.bytesSent[from] += int64(size)
+	l = n.links[direction{from, to}]
 	delay = l.Delay
 	if l.Jitter > 0 {
 		delay += time.Duration(n.chance.Int64N(int64(l.Jitter)))
 	}
-	return l, l.Cut || n.chance.Float64() < l.Loss, n.chance.Float64() < l.Double, delay
+	return l, l.Cut || n.chance.Float64() < l.Loss, n.chance.Float64() < l.Duplicate, delay
 }
 
-// Sent is what a process sent so far, in bytes.
-func (n *Net) Sent(name string) int64 {
+// BytesSent is what a process sent so far, in bytes.
+func (n *Network) BytesSent(name string) int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.Bytes[name]
+	return n.bytesSent[name]
 }
 
-// Relay opens the way from one process to where another listens, TCP and UDP, and gives the address to use instead.
-func (n *Net) Relay(from, to, addr string) (string, error) {
+// AddRelay opens the way from one process to where another listens, TCP and UDP, and gives the address to use instead.
+func (n *Network) AddRelay(from, to, addr string) (string, error) {
 	var tcp net.Listener
 	var udp net.PacketConn
 	var err error
@@ -118,21 +118,21 @@
 		return "", err
 	}
 	n.mu.Lock()
-	n.ends = append(n.ends, tcp, udp, out)
+	n.closers = append(n.closers, tcp, udp, out)
 	n.mu.Unlock()
-	go n.packets(from, to, udp, out)
-	go n.connections(from, to, tcp, addr)
+	go n.relayPackets(from, to, udp, out)
+	go n.relayConnections(from, to, tcp, addr)
 	return tcp.Addr().String(), nil
 }
 
-func (n *Net) packets(from, to string, in net.PacketConn, out net.Conn) {
+func (n *Network) relayPackets(from, to string, in net.PacketConn, out net.Conn) {
 	b := make([]byte, 1<<16)
 	for {
 		size, _, err := in.ReadFrom(b)
 		if err != nil {
 			return
 		}
-		_, lost, twice, delay := n.link(from, to, size)
+		_, lost, twice, delay := n.planTransfer(from, to, size)
 		if lost {
 			continue
 		}
@@ -147,7 +147,7 @@
 	}
 }
 
-func (n *Net) connections(from, to string, l net.Listener, addr string) {
+func (n *Network) relayConnections(from, to string, l net.Listener, addr string) {
 	for {
 		in, err := l.Accept()
 		if err != nil {
@@ -155,7 +155,7 @@
 		}
 		go func() {
 			defer in.Close()
-			if !n.open(from, to) {
+			if !n.waitUncut(from, to) {
 				return
 			}
 			out, err := net.DialTimeout("tcp", addr, 5*time.Second)
@@ -164,20 +164,20 @@
 			}
 			defer out.Close()
 			done := make(chan struct{}, 2)
-			go func() { n.pump(from, to, in, out); done <- struct{}{} }()
-			go func() { n.pump(to, from, out, in); done <- struct{}{} }()
+			go func() { n.copyStream(from, to, in, out); done <- struct{}{} }()
+			go func() { n.copyStream(to, from, out, in); done <- struct{}{} }()
 			<-done
 		}()
 	}
 }
 
-// maxCut is how long a connection stays half open in a cut before the relay gives it up, as a host's own patience does.
-const maxCut = 30 * time.Second
+// maxHalfOpen is how long a connection stays half open in a cut before the relay gives it up, as a host's own patience does.
+const maxHalfOpen = 30 * time.Second
 
-// open waits until a direction is not cut; false where that takes too long.
-func (n *Net) open(from, to string) bool {
-	for end := time.Now().Add(maxCut); time.Now().Before(end); {
-		if l, _, _, _ := n.link(from, to, 0); !l.Cut {
+// waitUncut waits until a direction is not cut; false where that takes too long.
+func (n *Network) waitUncut(from, to string) bool {
+	for end := time.Now().Add(maxHalfOpen); time.Now().Before(end); {
+		if l, _, _, _ := n.planTransfer(from, to, 0); !l.Cut {
 			return true
 		}
 		select {
@@ -189,21 +189,21 @@
 	return false
 }
 
-func (n *Net) pump(from, to string, in, out net.Conn) {
+func (n *Network) copyStream(from, to string, in, out net.Conn) {
 	b := make([]byte, 4096)
 	for {
 		piece := b
-		if l, _, _, _ := n.link(from, to, 0); l.Rate > 0 {
-			piece = b[:max(1, min(len(b), int(l.Rate/10)))]
+		if l, _, _, _ := n.planTransfer(from, to, 0); l.BytesPerSecond > 0 {
+			piece = b[:max(1, min(len(b), int(l.BytesPerSecond/10)))]
 		}
 		size, err := in.Read(piece)
 		if size > 0 {
-			if !n.open(from, to) {
+			if !n.waitUncut(from, to) {
 				return
 			}
-			l, _, _, delay := n.link(from, to, size)
-			if l.Rate > 0 {
-				delay += time.Duration(float64(size) / l.Rate * float64(time.Second))
+			l, _, _, delay := n.planTransfer(from, to, size)
+			if l.BytesPerSecond > 0 {
+				delay += time.Duration(float64(size) / l.BytesPerSecond * float64(time.Second))
 			}
 			select {
 			case <-time.After(delay):
--- a/internal/bench/faultinjection/replica_test.go
+++ b/internal/bench/faultinjection/replica_test.go
@@ -13,110 +13,110 @@
 	"swiftcourse/internal/fleet"
 )
 
-// window is how long keys are kept in these tests.
-const window = 3 * time.Second
+// retentionWindow is how long keys are kept in these tests.
+const retentionWindow = 3 * time.Second
 
-// keyed starts a fleet whose tasks bear keys, held by those named, and waits until all holders may answer.
-func keyed(t *testing.T, p Plan, copies int, holders ...string) (*Fleet, *Ledger) {
+// startKeyedFleet starts a fleet whose tasks bear keys, held by those named, and waits until all holders may answer.
+func startKeyedFleet(t *testing.T, p Config, copies int, holders ...string) (*Fleet, *RunLog) {
 	t.Helper()
-	p.Conf += fmt.Sprintf("replica-holders %s\nreplica-copies %d\nreplica-keyed %s\n", strings.Join(holders, " "), copies, Ping)
-	if !strings.Contains(p.Conf, "replica-window") {
-		p.Conf += fmt.Sprintf("replica-window %s\n", window)
+	p.ExtraSettings += fmt.Sprintf("replica-holders %s\nreplica-copies %d\nreplica-keyed %s\n", strings.Join(holders, " "), copies, PingClass)
+	if !strings.Contains(p.ExtraSettings, "replica-window") {
+		p.ExtraSettings += fmt.Sprintf("replica-window %s\n", retentionWindow)
 	}
-	ledger := NewLedger()
-	p.Ledger = ledger
-	f := begin(t, p)
+	ledger := NewRunLog()
+	p.RunLog = ledger
+	f := startFleet(t, p)
 	var names []string
 	for _, holder := range holders {
 		name, _, _ := strings.Cut(holder, "/")
 		names = append(names, name)
 	}
-	f.await(t, "holders may answer", func() bool { return f.Warm(names...) })
+	f.await(t, "holders may answer", func() bool { return f.ReplicasCaughtUp(names...) })
 	t.Cleanup(func() {
-		if n, key := ledger.Most(window); n > 1 {
+		if n, key := ledger.MaxRunsWithin(retentionWindow); n > 1 {
 			t.Errorf("%s ran %d times", key, n)
 		}
 	})
 	return f, ledger
 }
 
-// try gives a try's answer in words: "finished RESULT", "rejected" or "abandoned".
-func (f *Fleet) try(t *testing.T, name, key string, wait time.Duration) string {
+// sendRequest gives a try's answer in words: "finished RESULT", "rejected" or "abandoned".
+func (f *Fleet) sendRequest(t *testing.T, name, key string, wait time.Duration) string {
 	t.Helper()
-	a := f.Try(context.Background(), name, ID(), key, wait, patience)
-	if a.Late > time.Second || a.End == Unanswered {
-		t.Errorf("%s at %s is %s, %s after its due moment", key, name, a.End, a.Late)
+	a := f.SendRequest(context.Background(), name, NewRequestID(), key, wait, patience)
+	if a.Lateness > time.Second || a.Outcome == Unanswered {
+		t.Errorf("%s at %s is %s, %s after its due moment", key, name, a.Outcome, a.Lateness)
 	}
-	return strings.TrimSpace(string(a.End) + " " + a.Result)
+	return strings.TrimSpace(string(a.Outcome) + " " + a.Result)
 }
 
-// finishes tells whether a try has the result of the key's first run.
-func (f *Fleet) finishes(t *testing.T, name, key string, l *Ledger) bool {
+// finishesWithFirstResult tells whether a try has the result of the key's first run.
+func (f *Fleet) finishesWithFirstResult(t *testing.T, name, key string, l *RunLog) bool {
 	t.Helper()
-	return f.try(t, name, key, 2*time.Second) == "finished "+l.Ran(key)
+	return f.sendRequest(t, name, key, 2*time.Second) == "finished "+l.FirstResult(key)
 }
 
-func TestAKeyRunsOnceWhereverItsTriesEnd(t *testing.T) {
-	f, ledger := keyed(t, Plan{Servers: 5, Seed: 21}, 3, "n1", "n2/a", "n3/b", "n4/a/2", "n5")
+func TestClaims_KeyRunsOnceAcrossServers(t *testing.T) {
+	f, ledger := startKeyedFleet(t, Config{Servers: 5, Seed: 21}, 3, "n1", "n2/a", "n3/b", "n4/a/2", "n5")
 	for i := range 10 {
 		key := fmt.Sprint("key", i)
 		var wait sync.WaitGroup
 		answers := make([]string, len(f.Names))
 		for j, name := range f.Names { // all at once, each at another server
-			wait.Go(func() { answers[j] = f.try(t, name, key, 2*time.Second) })
+			wait.Go(func() { answers[j] = f.sendRequest(t, name, key, 2*time.Second) })
 		}
 		wait.Wait()
-		f.await(t, key+" is finished wherever it is tried", func() bool { return f.finishes(t, f.Names[i%5], key, ledger) })
+		f.await(t, key+" is finished wherever it is tried", func() bool { return f.finishesWithFirstResult(t, f.Names[i%5], key, ledger) })
 		for _, a := range answers { // on a machine that is very busy some are turned away
-			if strings.HasPrefix(a, "finished") && a != "finished "+ledger.Ran(key) {
-				t.Errorf("%s: %q, and the run came to %q", key, answers, ledger.Ran(key))
+			if strings.HasPrefix(a, "finished") && a != "finished "+ledger.FirstResult(key) {
+				t.Errorf("%s: %q, and the run came to %q", key, answers, ledger.FirstResult(key))
 			}
 		}
-		if ledger.Runs(key) != 1 {
-			t.Errorf("%s ran %d times", key, ledger.Runs(key))
+		if ledger.RunCount(key) != 1 {
+			t.Errorf("%s ran %d times", key, ledger.RunCount(key))
 		}
 	}
 }
 
-func TestAMinorityRunsNothing(t *testing.T) {
-	f, ledger := keyed(t, Plan{Servers: 5, Seed: 22}, 3, "n1", "n2", "n3")
-	f.Net.Part([]string{"n1", "n4"}, []string{"n2", "n3", "n5"})
+func TestClaims_MinorityRunsNothing(t *testing.T) {
+	f, ledger := startKeyedFleet(t, Config{Servers: 5, Seed: 22}, 3, "n1", "n2", "n3")
+	f.Net.Partition([]string{"n1", "n4"}, []string{"n2", "n3", "n5"})
 	for i := range 5 {
 		key := fmt.Sprint("cut", i)
-		if a := f.try(t, "n4", key, 1500*time.Millisecond); strings.HasPrefix(a, "finished") || ledger.Runs(key) != 0 {
-			t.Errorf("where most holders can't be heard, %s is %s and ran %d times", key, a, ledger.Runs(key))
+		if a := f.sendRequest(t, "n4", key, 1500*time.Millisecond); strings.HasPrefix(a, "finished") || ledger.RunCount(key) != 0 {
+			t.Errorf("where most holders can't be heard, %s is %s and ran %d times", key, a, ledger.RunCount(key))
 		}
-		f.await(t, key+" is finished where most holders are", func() bool { return f.finishes(t, "n5", key, ledger) })
+		f.await(t, key+" is finished where most holders are", func() bool { return f.finishesWithFirstResult(t, "n5", key, ledger) })
 	}
 	f.Net.Heal()
 	f.await(t, "the operators' words find nothing wrong", func() bool {
-		out, err := exec.Command(program, "fleet", "--at", f.control["n3"], "diff").CombinedOutput()
+		out, err := exec.Command(program, "fleet", "--at", f.controlAddrs["n3"], "diff").CombinedOutput()
 		return err == nil && strings.Count(string(out), "\nn") == 5 && !strings.Contains(string(out), ": ")
 	})
-	f.await(t, "the cut-off side knows what came of a key", func() bool { return f.finishes(t, "n4", "cut0", ledger) })
+	f.await(t, "the cut-off side knows what came of a key", func() bool { return f.finishesWithFirstResult(t, "n4", "cut0", ledger) })
 }
 
-func TestHoldersReturnColdOneByOne(t *testing.T) {
-	f, ledger := keyed(t, Plan{Servers: 4, Seed: 23, Conf: "replica-window 15s\n"}, 3, "n1", "n2", "n3")
-	f.await(t, "it is finished", func() bool { return f.finishes(t, "n4", "kept", ledger) })
+func TestReplicas_RestartOneByOne(t *testing.T) {
+	f, ledger := startKeyedFleet(t, Config{Servers: 4, Seed: 23, ExtraSettings: "replica-window 15s\n"}, 3, "n1", "n2", "n3")
+	f.await(t, "it is finished", func() bool { return f.finishesWithFirstResult(t, "n4", "kept", ledger) })
 	for _, name := range []string{"n1", "n2", "n3"} { // in the end nobody is left who granted it
-		if err := f.Cold(context.Background(), name); err != nil {
+		if err := f.KillAndRestart(context.Background(), name); err != nil {
 			t.Fatal(err)
 		}
-		f.await(t, name+" has learned what it missed", func() bool { return f.Warm(name) })
-		if s := f.Said(name, "replica_status_changed"); s[len(s)-1].Fields["caught_up_by_peers"] == "0" {
+		f.await(t, name+" has learned what it missed", func() bool { return f.ReplicasCaughtUp(name) })
+		if s := f.Events(name, "replica_status_changed"); s[len(s)-1].Fields["caught_up_by_peers"] == "0" {
 			t.Errorf("%s did not learn it from others: %v", name, s[len(s)-1].Fields)
 		}
 	}
-	f.await(t, "its result is there", func() bool { return f.finishes(t, "n4", "kept", ledger) })
-	if n := ledger.Runs("kept"); n != 1 {
+	f.await(t, "its result is there", func() bool { return f.finishesWithFirstResult(t, "n4", "kept", ledger) })
+	if n := ledger.RunCount("kept"); n != 1 {
 		t.Errorf("it ran %d times", n)
 	}
 }
 
-func TestThreeOfFiveHoldersReturnColdAtOnce(t *testing.T) {
-	f, ledger := keyed(t, Plan{Servers: 5, Seed: 24}, 5, "n1", "n2", "n3", "n4", "n5")
-	f.await(t, "it is finished", func() bool { return f.finishes(t, "n5", "before", ledger) })
+func TestReplicas_ThreeOfFiveRestartTogether(t *testing.T) {
+	f, ledger := startKeyedFleet(t, Config{Servers: 5, Seed: 24}, 5, "n1", "n2", "n3", "n4", "n5")
+	f.await(t, "it is finished", func() bool { return f.finishesWithFirstResult(t, "n5", "before", ledger) })
 	var wait sync.WaitGroup
 	for _, name := range []string{"n1", "n2", "n3"} {
 		f.Server(name).Kill()
@@ -124,72 +124,72 @@
 	back := time.Now()
 	for _, name := range []string{"n1", "n2", "n3"} {
 		wait.Go(func() {
-			if err := f.Back(context.Background(), name); err != nil {
+			if err := f.Restart(context.Background(), name); err != nil {
 				t.Error(err)
 			}
 		})
 	}
 	wait.Wait()
-	for time.Since(back) < window-time.Second { // nobody can tell what ran, so nothing runs
+	for time.Since(back) < retentionWindow-time.Second { // nobody can tell what ran, so nothing runs
 		for _, key := range []string{"before", "new"} {
-			a := f.try(t, "n4", key, 500*time.Millisecond)
-			if ledger.Runs("new") > 0 || strings.HasPrefix(a, "finished") && a != "finished "+ledger.Ran(key) {
+			a := f.sendRequest(t, "n4", key, 500*time.Millisecond)
+			if ledger.RunCount("new") > 0 || strings.HasPrefix(a, "finished") && a != "finished "+ledger.FirstResult(key) {
 				t.Errorf("%s is %s before the window is over", key, a)
 			}
 		}
 	}
-	f.await(t, "they say that it is past", func() bool { return f.Warm("n1", "n2", "n3") })
+	f.await(t, "they say that it is past", func() bool { return f.ReplicasCaughtUp("n1", "n2", "n3") })
 	for _, name := range []string{"n1", "n2", "n3"} {
-		if s := f.Said(name, "replica_status_changed"); s[len(s)-1].Fields["caught_up_by_timeout"] == "0" {
+		if s := f.Events(name, "replica_status_changed"); s[len(s)-1].Fields["caught_up_by_timeout"] == "0" {
 			t.Errorf("%s claims to have learned what nobody knew: %v", name, s[len(s)-1].Fields)
 		}
 	}
-	f.await(t, "a new key runs", func() bool { return f.finishes(t, "n4", "after", ledger) })
+	f.await(t, "a new key runs", func() bool { return f.finishesWithFirstResult(t, "n4", "after", ledger) })
 }
 
-func TestAServerDiesInTheMiddleOfARun(t *testing.T) {
-	f, ledger := keyed(t, Plan{Servers: 4, Seed: 25, Work: 0.5, Conf: "replica-window 15s\n"}, 3, "n1", "n2", "n3")
-	go f.try(t, "n4", "half", 2*time.Second)
-	f.await(t, "it runs", func() bool { return ledger.Runs("half") == 1 })
+func TestClaims_ServerDiesDuringRun(t *testing.T) {
+	f, ledger := startKeyedFleet(t, Config{Servers: 4, Seed: 25, RunSeconds: 0.5, ExtraSettings: "replica-window 15s\n"}, 3, "n1", "n2", "n3")
+	go f.sendRequest(t, "n4", "half", 2*time.Second)
+	f.await(t, "it runs", func() bool { return ledger.RunCount("half") == 1 })
 	f.Server("n4").Kill()
 	for _, name := range []string{"n1", "n2", "n3"} {
-		f.await(t, "what may have run is abandoned at "+name, func() bool { return f.try(t, name, "half", time.Second) == "abandoned" })
+		f.await(t, "what may have run is abandoned at "+name, func() bool { return f.sendRequest(t, name, "half", time.Second) == "abandoned" })
 	}
-	if err := f.Back(context.Background(), "n4"); err != nil {
+	if err := f.Restart(context.Background(), "n4"); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "n4 serves", func() bool { return strings.HasPrefix(f.try(t, "n4", "other", time.Second), "finished") })
-	f.await(t, "it is so at n4 too", func() bool { return f.try(t, "n4", "half", time.Second) == "abandoned" })
-	if n := ledger.Runs("half"); n != 1 {
+	f.await(t, "n4 serves", func() bool { return strings.HasPrefix(f.sendRequest(t, "n4", "other", time.Second), "finished") })
+	f.await(t, "it is so at n4 too", func() bool { return f.sendRequest(t, "n4", "half", time.Second) == "abandoned" })
+	if n := ledger.RunCount("half"); n != 1 {
 		t.Errorf("it ran %d times", n)
 	}
 }
 
-// TestProcessesDieAtEachPoint has each of several servers die at another point of its claims and copies, again and again, under repeats of keys.
-func TestProcessesDieAtEachPoint(t *testing.T) {
+// TestClaims_ProcessesCrashAtEachTracePoint has each of several servers die at another point of its claims and copies, again and again, under repeats of keys.
+func TestClaims_ProcessesCrashAtEachTracePoint(t *testing.T) {
 	for part := range 2 {
 		t.Run(fmt.Sprint(part), func(t *testing.T) {
 			die := map[string]string{}
 			for i := range 6 {
 				die[fmt.Sprint("n", i+2)] = fleet.TracePoints[6*part+i] + ",3,8" // after 8 seconds: the first start is not what is tried
 			}
-			f, ledger := keyed(t, Plan{Servers: 7, Seed: 26 + uint64(part), Conf: "fleet-forget 2s\n", Die: die}, 5, "n1", "n2", "n3", "n4", "n5", "n6", "n7")
+			f, ledger := startKeyedFleet(t, Config{Servers: 7, Seed: 26 + uint64(part), ExtraSettings: "fleet-forget 2s\n", CrashPointByName: die}, 5, "n1", "n2", "n3", "n4", "n5", "n6", "n7")
 			chance := rand.New(rand.NewPCG(uint64(part), 3))
 			deaths, finished := 0, 0
 			for i := 0; i < 40 || deaths < 4 && i < 200; i++ {
 				key := fmt.Sprint("key", i)
 				for range 3 {
-					a := f.try(t, f.Names[chance.IntN(7)], key, time.Second)
+					a := f.sendRequest(t, f.Names[chance.IntN(7)], key, time.Second)
 					if strings.HasPrefix(a, "finished") {
-						if finished++; a != "finished "+ledger.Ran(key) {
-							t.Errorf("%s: %s, not %s", key, a, ledger.Ran(key))
+						if finished++; a != "finished "+ledger.FirstResult(key) {
+							t.Errorf("%s: %s, not %s", key, a, ledger.FirstResult(key))
 						}
 					}
 				}
 				for _, s := range f.Servers {
 					if !s.Alive() {
 						deaths++
-						if err := f.Back(context.Background(), s.Name); err != nil {
+						if err := f.Restart(context.Background(), s.Name); err != nil {
 							t.Fatal(err)
 						}
 					}
@@ -202,39 +202,39 @@
 	}
 }
 
-// TestARestartedServerIsToldItsCallers: those that earned being known at its door are known there again before they come back.
-func TestARestartedServerIsToldItsCallers(t *testing.T) {
-	f := begin(t, Plan{Servers: 3, Seed: 28, Conf: "replica-callers on\n"})
+// TestTrust_RestartedServerLearnsTrustedClients: those that earned being known at its door are known there again before they come back.
+func TestTrust_RestartedServerLearnsTrustedClients(t *testing.T) {
+	f := startFleet(t, Config{Servers: 3, Seed: 28, ExtraSettings: "replica-callers on\n"})
 	for range 5 { // one a second counts
-		if a := f.try(t, "n1", "", time.Second); !strings.HasPrefix(a, "finished") {
+		if a := f.sendRequest(t, "n1", "", time.Second); !strings.HasPrefix(a, "finished") {
 			t.Fatalf("a task is %s", a)
 		}
 		time.Sleep(time.Second)
 	}
 	f.await(t, "the others are told", func() bool {
-		return len(f.Said("n2", "fleet_trusted_clients"))+len(f.Said("n3", "fleet_trusted_clients")) == 2
+		return len(f.Events("n2", "fleet_trusted_clients"))+len(f.Events("n3", "fleet_trusted_clients")) == 2
 	})
-	before := len(f.Said("n1", "fleet_trusted_clients"))
-	if err := f.Cold(context.Background(), "n1"); err != nil {
+	before := len(f.Events("n1", "fleet_trusted_clients"))
+	if err := f.KillAndRestart(context.Background(), "n1"); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "n1 is told", func() bool { return len(f.Said("n1", "fleet_trusted_clients")) > before })
-	if said := f.Said("n1", "fleet_trusted_clients"); said[len(said)-1].Fields["clients"] != "1" {
+	f.await(t, "n1 is told", func() bool { return len(f.Events("n1", "fleet_trusted_clients")) > before })
+	if said := f.Events("n1", "fleet_trusted_clients"); said[len(said)-1].Fields["clients"] != "1" {
 		t.Errorf("it was told %v", said)
 	}
 }
 
-// TestOneThatLeavesTellsItsHoldersFirst: its answer is out, and what its holders should hear is lost for most of its drain.
-func TestOneThatLeavesTellsItsHoldersFirst(t *testing.T) {
-	f, ledger := keyed(t, Plan{Servers: 4, Seed: 29, Work: 0.3}, 3, "n1", "n2", "n3")
-	go f.try(t, "n4", "last", 2*time.Second)
-	f.await(t, "it runs", func() bool { return ledger.Runs("last") == 1 })
-	f.Net.Part([]string{"n4"}, []string{"n1", "n2", "n3"})
+// TestClaims_DrainingServerReplicatesFirst: its answer is out, and what its holders should hear is lost for most of its drain.
+func TestClaims_DrainingServerReplicatesFirst(t *testing.T) {
+	f, ledger := startKeyedFleet(t, Config{Servers: 4, Seed: 29, RunSeconds: 0.3}, 3, "n1", "n2", "n3")
+	go f.sendRequest(t, "n4", "last", 2*time.Second)
+	f.await(t, "it runs", func() bool { return ledger.RunCount("last") == 1 })
+	f.Net.Partition([]string{"n4"}, []string{"n1", "n2", "n3"})
 	heal := time.AfterFunc(1500*time.Millisecond, f.Net.Heal)
 	defer heal.Stop()
 	if _, err := f.Server("n4").Leave(); err != nil {
 		t.Fatal(err)
 	}
 	f.Net.Heal()
-	f.await(t, "its successor has the result", func() bool { return f.finishes(t, "n1", "last", ledger) && ledger.Runs("last") == 1 })
+	f.await(t, "its successor has the result", func() bool { return f.finishesWithFirstResult(t, "n1", "last", ledger) && ledger.RunCount("last") == 1 })
 }
--- a/internal/bench/faultinjection/try.go
+++ b/internal/bench/faultinjection/try.go
@@ -11,28 +11,28 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// End is how a try ended, as its caller saw it.
-type End string
+// Outcome is how a try ended, as its caller saw it.
+type Outcome string
 
 const (
-	Finished    End = "finished"
-	Rejected    End = "rejected"
-	Abandoned   End = "abandoned"
-	Unreachable End = "unreachable" // no connection came about
-	Cut         End = "cut"         // the connection ended before an answer
-	Unanswered  End = "unanswered"
+	Finished       Outcome = "finished"
+	Rejected       Outcome = "rejected"
+	Abandoned      Outcome = "abandoned"
+	Unreachable    Outcome = "unreachable" // no connection came about
+	ConnectionLost Outcome = "cut"         // the connection ended before an answer
+	Unanswered     Outcome = "unanswered"
 )
 
-// Answer is what came of a try.
-type Answer struct {
-	End    End
-	Result string
-	Late   time.Duration // after its caller's wait was over; under 0 for before
+// Response is what came of a try.
+type Response struct {
+	Outcome  Outcome
+	Result   string
+	Lateness time.Duration // after its caller's wait was over; under 0 for before
 }
 
-// Try sends a task under a key to a server, "" for none, on a connection of its own, and waits for its answer, until patience after its caller's wait at
+// SendRequest sends a task under a key to a server, "" for none, on a connection of its own, and waits for its answer, until patience after its caller's wait at
 // the most: a server that is stopped answers when it goes on. The task's body is its key too, by which a ledger knows it.
-func (f *Fleet) Try(ctx context.Context, name, id, key string, wait, patience time.Duration) Answer {
+func (f *Fleet) SendRequest(ctx context.Context, name, id, key string, wait, patience time.Duration) Response {
 	said, ended := make(chan rpc.Answer, 1), make(chan error, 1)
 	c, err := balancer.Dial(ctx, f.Server(name).Addr, func(a rpc.Answer) {
 		if a.End == rpc.PartSaid {
@@ -45,27 +45,27 @@
 		}
 	}, func(err error) { ended <- err })
 	if err != nil {
-		return Answer{End: Unreachable}
+		return Response{Outcome: Unreachable}
 	}
 	defer c.Close()
 	began := time.Now()
-	if c.Task(&rpc.Message{Number: c.Next(), ID: id, Stage: Ping, Caller: 1, Came: float64(began.UnixMilli()) / 1000, Wait: wait.Seconds(), Memory: 1, Rank: 0.5,
+	if c.Task(&rpc.Message{Number: c.Next(), ID: id, Stage: PingClass, Caller: 1, Came: float64(began.UnixMilli()) / 1000, Wait: wait.Seconds(), Memory: 1, Rank: 0.5,
 		Subject: key, Body: []byte(key)}) != nil {
-		return Answer{End: Cut}
+		return Response{Outcome: ConnectionLost}
 	}
 	select {
 	case a := <-said:
-		end := map[rpc.End]End{rpc.Finished: Finished, rpc.Rejected: Rejected, rpc.Abandoned: Abandoned}[a.End]
-		return Answer{End: end, Result: string(a.Result), Late: time.Since(began) - wait}
+		end := map[rpc.End]Outcome{rpc.Finished: Finished, rpc.Rejected: Rejected, rpc.Abandoned: Abandoned}[a.End]
+		return Response{Outcome: end, Result: string(a.Result), Lateness: time.Since(began) - wait}
 	case <-ended:
-		return Answer{End: Cut}
+		return Response{Outcome: ConnectionLost}
 	case <-time.After(wait + patience):
-		return Answer{End: Unanswered}
+		return Response{Outcome: Unanswered}
 	}
 }
 
-// OneByOne sends tasks to an address on one connection, the next once the last is finished, and tells how long each took, shortest first.
-func (f *Fleet) OneByOne(ctx context.Context, addr string, n int) (took []time.Duration, err error) {
+// MeasureSequential sends tasks to an address on one connection, the next once the last is finished, and tells how long each took, shortest first.
+func (f *Fleet) MeasureSequential(ctx context.Context, addr string, n int) (took []time.Duration, err error) {
 	said := make(chan rpc.Answer, 1)
 	c, err := balancer.Dial(ctx, addr, func(a rpc.Answer) {
 		if a.End != rpc.PartSaid {
@@ -78,7 +78,7 @@
 	defer c.Close()
 	for range n {
 		began := time.Now()
-		if err := c.Task(&rpc.Message{Number: c.Next(), ID: ID(), Stage: Ping, Caller: 1, Came: float64(began.UnixMilli()) / 1000, Wait: demandWait, Memory: 1, Rank: 0.5}); err != nil {
+		if err := c.Task(&rpc.Message{Number: c.Next(), ID: NewRequestID(), Stage: PingClass, Caller: 1, Came: float64(began.UnixMilli()) / 1000, Wait: loadTimeoutSeconds, Memory: 1, Rank: 0.5}); err != nil {
 			return nil, err
 		}
 		select {
@@ -87,7 +87,7 @@
 				return nil, fmt.Errorf("%s: a task alone is not finished", addr)
 			}
 			took = append(took, time.Since(began))
-		case <-time.After(5 * demandWait * time.Second):
+		case <-time.After(5 * loadTimeoutSeconds * time.Second):
 			return nil, fmt.Errorf("%s: a task alone has no answer", addr)
 		}
 	}
@@ -95,5 +95,5 @@
 	return took, nil
 }
 
-// ID is a fresh name for a task.
-func ID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
+// NewRequestID is a fresh name for a task.
+func NewRequestID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
--- a/internal/bench/keyclaims/copies.go
+++ b/internal/bench/keyclaims/copies.go
@@ -101,7 +101,7 @@
 type run struct {
 	*Plan
 	fleet  *faultinjection.Fleet
-	ledger *faultinjection.Ledger
+	ledger *faultinjection.RunLog
 	place  *replication.Placement
 	row    Row
 	wait   sync.WaitGroup
@@ -128,8 +128,8 @@
 
 // Run plays a seed.
 func Run(ctx context.Context, p *Plan) (Row, error) {
-	r := &run{Plan: p, ledger: faultinjection.NewLedger(), where: map[string]string{}, row: Row{Seed: p.Seed, Servers: p.Servers}}
-	shape := faultinjection.Small(p.Program)
+	r := &run{Plan: p, ledger: faultinjection.NewRunLog(), where: map[string]string{}, row: Row{Seed: p.Seed, Servers: p.Servers}}
+	shape := faultinjection.SmallShape(p.Program)
 	terms := replication.Config{ReplicationFactor: p.Copies, RetentionWindow: window.Seconds(), MaxClaimDuration: shape.Told.Stages[0].TimeLimitMs / 1000}
 	shape.Log = p.Log
 	names := make([]string, p.Servers)
@@ -142,15 +142,15 @@
 		return r.row, err
 	}
 	conf := fmt.Sprintf("door on\nfleet-lease 2s\nfleet-behind 2s\nreplica-holders %s\nreplica-copies %d\nreplica-keyed %s\nreplica-window %s\n",
-		strings.Join(names, " "), p.Copies, faultinjection.Ping, window)
-	f, err := faultinjection.Start(ctx, faultinjection.Plan{Shape: shape, Servers: p.Servers, Voters: min(p.Servers, 3+2*(p.Servers/15)), Conf: conf, Seed: p.Seed, Ledger: r.ledger, Die: r.points(names),
-		Direct: p.Cost && p.Quiet && p.Kills == 0})
+		strings.Join(names, " "), p.Copies, faultinjection.PingClass, window)
+	f, err := faultinjection.Start(ctx, faultinjection.Config{Shape: shape, Servers: p.Servers, Voters: min(p.Servers, 3+2*(p.Servers/15)), ExtraSettings: conf, Seed: p.Seed, RunLog: r.ledger, CrashPointByName: r.points(names),
+		NoRelays: p.Cost && p.Quiet && p.Kills == 0})
 	if err != nil {
 		return r.row, fmt.Errorf("seed %d: %w", p.Seed, err)
 	}
 	defer f.Close()
 	r.fleet = f
-	if !faultinjection.Until(healIn, func() bool { return f.Warm(names...) }) {
+	if !faultinjection.WaitUntil(healIn, func() bool { return f.ReplicasCaughtUp(names...) }) {
 		return r.row, fmt.Errorf("seed %d: holders may not answer after %s", p.Seed, healIn)
 	}
 	if p.Cost {
@@ -185,7 +185,7 @@
 
 func (r *run) sent() (all int64) {
 	for _, name := range r.fleet.Names {
-		all += r.fleet.Net.Sent(name)
+		all += r.fleet.Net.BytesSent(name)
 	}
 	return all
 }
@@ -198,7 +198,7 @@
 	}
 	var took [2]loadgen.Took
 	for round := range 6 {
-		l, err := loadgen.Start(ctx, loadgen.Plan{Addrs: addrs, Conns: 2, Rate: 60 * float64(r.Servers), Stage: faultinjection.Ping, Wait: patience, Keyed: round%2 == 1,
+		l, err := loadgen.Start(ctx, loadgen.Plan{Addrs: addrs, Conns: 2, Rate: 60 * float64(r.Servers), Stage: faultinjection.PingClass, Wait: patience, Keyed: round%2 == 1,
 			Seed: r.Seed<<8 + uint64(round)})
 		if err != nil {
 			return err
@@ -233,14 +233,14 @@
 
 // try sends one try and books its answer.
 func (r *run) try(ctx context.Context, k *key, name string) {
-	id := faultinjection.ID()
+	id := faultinjection.NewRequestID()
 	r.mu.Lock()
 	r.where[id] = name
 	r.row.Tries++
 	r.mu.Unlock()
 	began := time.Now()
-	switch a := r.fleet.Try(ctx, name, id, k.name, patience, healIn); a.End {
-	case faultinjection.Unreachable, faultinjection.Cut:
+	switch a := r.fleet.SendRequest(ctx, name, id, k.name, patience, healIn); a.Outcome {
+	case faultinjection.Unreachable, faultinjection.ConnectionLost:
 		r.book(&r.row.Cut)
 	case faultinjection.Unanswered:
 		r.book(&r.row.Unanswered)
@@ -255,14 +255,14 @@
 	*count++
 }
 
-func (r *run) answered(k *key, a *faultinjection.Answer, began time.Time) {
+func (r *run) answered(k *key, a *faultinjection.Response, began time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	switch a.End {
+	switch a.Outcome {
 	case faultinjection.Finished:
 		r.row.Finished++
-		if !r.ledger.Knows(k.name, a.Result) || !k.finished.IsZero() && a.Result != k.result && began.Before(k.finished.Add(window)) {
+		if !r.ledger.HasResult(k.name, a.Result) || !k.finished.IsZero() && a.Result != k.result && began.Before(k.finished.Add(window)) {
 			r.row.Wrong++
 		}
 		if k.finished.IsZero() {
@@ -315,7 +315,7 @@
 			r.disturb(other, name, length, minority, majority)
 		}
 		for _, s := range f.Servers { // who died at a point comes back
-			if !s.Alive() && f.Back(ctx, s.Name) == nil {
+			if !s.Alive() && f.Restart(ctx, s.Name) == nil {
 				r.mu.Lock()
 				r.kills = append(r.kills, time.Now())
 				r.mu.Unlock()
@@ -327,7 +327,7 @@
 			r.mu.Lock()
 			r.kills = append(r.kills, time.Now())
 			r.mu.Unlock()
-			if f.Cold(ctx, victim) == nil {
+			if f.KillAndRestart(ctx, victim) == nil {
 				r.row.Kills++
 			}
 		}
@@ -337,9 +337,9 @@
 	}
 	f.Net.Heal()
 	for _, name := range f.Names {
-		_ = f.Go(name)
+		_ = f.Resume(name)
 		if !f.Server(name).Alive() {
-			_ = f.Back(ctx, name) // its end is judged by whether the copies agree
+			_ = f.Restart(ctx, name) // its end is judged by whether the copies agree
 		}
 	}
 }
@@ -349,7 +349,7 @@
 	f := r.fleet
 	bad := func(from, to string, l faultinjection.Link) {
 		if from != to {
-			f.Net.Set(from, to, l)
+			f.Net.SetLink(from, to, l)
 		}
 	}
 	r.mu.Lock()
@@ -358,11 +358,11 @@
 	r.row.Faults++
 	switch what {
 	case 0:
-		_ = f.Stop(name)
-		defer func() { _ = f.Go(name) }()
+		_ = f.Pause(name)
+		defer func() { _ = f.Resume(name) }()
 	case 1:
 		length += settled
-		f.Net.Part(minority, majority)
+		f.Net.Partition(minority, majority)
 		r.mu.Lock()
 		r.cuts = append(r.cuts, cut{minority, time.Now(), time.Now().Add(length)})
 		r.mu.Unlock()
@@ -373,7 +373,7 @@
 	case 3, 4:
 		for _, a := range f.Names {
 			for _, b := range f.Names {
-				bad(a, b, faultinjection.Link{Loss: 0.2, Double: 0.2, Delay: 2 * time.Millisecond, Jitter: 60 * time.Millisecond})
+				bad(a, b, faultinjection.Link{Loss: 0.2, Duplicate: 0.2, Delay: 2 * time.Millisecond, Jitter: 60 * time.Millisecond})
 			}
 		}
 	default:
@@ -386,14 +386,14 @@
 // judge waits until all copies agree, and counts what must not be.
 func (r *run) judge() {
 	from := time.Now()
-	healed := faultinjection.Until(healIn, func() bool { r.row.Differ = r.differ(); return r.row.Differ == 0 })
+	healed := faultinjection.WaitUntil(healIn, func() bool { r.row.Differ = r.differ(); return r.row.Differ == 0 })
 	if healed {
 		r.row.HealMs = 1000 * time.Since(from).Seconds()
 	}
 	r.row.Keys = len(r.keys)
-	r.row.RunsMax, _ = r.ledger.Most(window)
+	r.row.RunsMax, _ = r.ledger.MaxRunsWithin(window)
 	for _, c := range r.cuts {
-		r.row.MinorityRan += r.ledger.Count(func(id, key string, at time.Time) bool {
+		r.row.MinorityRan += r.ledger.CountRuns(func(id, key string, at time.Time) bool {
 			return slices.Contains(c.names, r.where[id]) && at.After(c.from.Add(settled)) && at.Before(c.to) && r.holders(key, c.names) < r.place.Quorum
 		})
 	}
@@ -401,7 +401,7 @@
 
 // holders counts those of a key among some servers.
 func (r *run) holders(key string, names []string) (n int) {
-	for _, i := range r.place.Replicas(state.KeyOf(faultinjection.Ping, key).Slot()) {
+	for _, i := range r.place.Replicas(state.KeyOf(faultinjection.PingClass, key).Slot()) {
 		if slices.Contains(names, r.place.Members[i].Name) {
 			n++
 		}
@@ -411,7 +411,7 @@
 
 // differ counts the slots of all holders that they may not answer for, or know to differ.
 func (r *run) differ() (n int) {
-	s, err := r.fleet.State(r.fleet.Names[0])
+	s, err := r.fleet.Status(r.fleet.Names[0])
 	if err != nil || len(s.Replicas) < len(r.fleet.Names) {
 		return 1
 	}
--- a/internal/bench/quotas/budgets.go
+++ b/internal/bench/quotas/budgets.go
@@ -85,7 +85,7 @@
 type run struct {
 	*Plan
 	fleet  *faultinjection.Fleet
-	demand *faultinjection.Demand
+	demand *faultinjection.Load
 	most   float64
 	hot    string
 	row    Row
@@ -96,19 +96,19 @@
 	most := perServer * float64(p.Servers)
 	terms := quota.Config{LeaseSeconds: lease.Seconds(), FloorFraction: floor, MaxServers: p.Servers, Limits: []quota.Limit{{Name: tenant, Max: most}}}
 	r := &run{Plan: p, most: most, row: Row{Seed: p.Seed, Servers: p.Servers, Slack: terms.MaxBurst(&terms.Limits[0])}}
-	shape := faultinjection.Small(p.Program)
+	shape := faultinjection.SmallShape(p.Program)
 	shape.Log = p.Log
-	f, err := faultinjection.Start(ctx, faultinjection.Plan{Shape: shape, Servers: p.Servers, Voters: 3, Seed: p.Seed, Tenants: []shale.Tenant{{Name: tenant, RatePerS: 1e6}},
-		Conf: fmt.Sprintf("door on\nfleet-lease %s\nfleet-behind 2s\nbudget tenant/%s=%g\nbudget-servers %d\n", lease, tenant, most, p.Servers)})
+	f, err := faultinjection.Start(ctx, faultinjection.Config{Shape: shape, Servers: p.Servers, Voters: 3, Seed: p.Seed, Tenants: []shale.Tenant{{Name: tenant, RatePerS: 1e6}},
+		ExtraSettings: fmt.Sprintf("door on\nfleet-lease %s\nfleet-behind 2s\nbudget tenant/%s=%g\nbudget-servers %d\n", lease, tenant, most, p.Servers)})
 	if err != nil {
 		return r.row, fmt.Errorf("seed %d: %w", p.Seed, err)
 	}
 	defer f.Close()
 	asking, end := context.WithCancel(ctx)
 	defer end()
-	r.fleet, r.demand = f, f.Demand(asking, tenant)
+	r.fleet, r.demand = f, f.StartLoad(asking, tenant)
 	r.jump(f.Names[len(f.Names)-1])
-	if !faultinjection.Until(settles, func() bool { return r.rate(2*time.Second) > 0.8*most }) {
+	if !faultinjection.WaitUntil(settles, func() bool { return r.rate(2*time.Second) > 0.8*most }) {
 		return r.row, fmt.Errorf("seed %d: the budget is not used after %s: %.1f of %.0f a second", p.Seed, settles, r.rate(2*time.Second), most)
 	}
 	sent, from := r.sent(), time.Now()
@@ -116,26 +116,26 @@
 	r.row.TalkBytes = float64(r.sent()-sent) / time.Since(from).Seconds() / float64(p.Servers)
 	from = time.Now()
 	r.jump(f.Names[0])
-	faultinjection.Until(settles, func() bool { return r.demand.Rate(r.hot, time.Second) > most/2 })
+	faultinjection.WaitUntil(settles, func() bool { return r.demand.Rate(r.hot, time.Second) > most/2 })
 	r.row.HotAfter = float64(time.Since(from).Milliseconds())
 	r.silent(ctx)
 	r.stir(ctx)
 	f.Net.Heal()
 	r.jump(f.Names[len(f.Names)-1])
-	faultinjection.Until(settles, func() bool { return r.rate(2*time.Second) > 0.9*most })
+	faultinjection.WaitUntil(settles, func() bool { return r.rate(2*time.Second) > 0.9*most })
 	r.row.UsedAfter = r.wait(ctx, measured)
 	end()
 	r.demand.Wait()
 	r.row.Asked, r.row.Finished, _ = r.demand.Counts()
-	r.row.Over = r.demand.Over(most, f.Names...)
+	r.row.Over = r.demand.MaxExcess(most, f.Names...)
 	return r.row, ctx.Err()
 }
 
 // jump has one server be asked for far more than the budget, and the others for less than their even part.
 func (r *run) jump(to string) {
 	r.hot = to
-	r.demand.Set(perServer/3, r.fleet.Names...)
-	r.demand.Set(hotAsks*r.most, to)
+	r.demand.SetRate(perServer/3, r.fleet.Names...)
+	r.demand.SetRate(hotAsks*r.most, to)
 }
 
 // rate is what all finished a second lately.
@@ -150,7 +150,7 @@
 func (r *run) wait(ctx context.Context, length time.Duration) float64 {
 	from := time.Now()
 	pause(ctx, length)
-	return r.demand.Between(from, time.Now(), r.fleet.Names...) / r.most
+	return r.demand.RateBetween(from, time.Now(), r.fleet.Names...) / r.most
 }
 
 func pause(ctx context.Context, length time.Duration) {
@@ -162,7 +162,7 @@
 
 func (r *run) sent() (all int64) {
 	for _, name := range r.fleet.Names {
-		all += r.fleet.Net.Sent(name)
+		all += r.fleet.Net.BytesSent(name)
 	}
 	return all
 }
@@ -170,15 +170,15 @@
 // silent cuts one off that is asked for much, and looks at it once its lease is over.
 func (r *run) silent(ctx context.Context) {
 	name := r.fleet.Names[len(r.fleet.Names)-2]
-	r.demand.Set(r.most, name)
+	r.demand.SetRate(r.most, name)
 	others := slices.DeleteFunc(slices.Clone(r.fleet.Names), func(n string) bool { return n == name })
-	r.fleet.Net.Part(others, []string{name})
+	r.fleet.Net.Partition(others, []string{name})
 	pause(ctx, lease+time.Second)
 	from := time.Now()
 	pause(ctx, measured)
-	r.row.Silent = r.demand.Between(from, time.Now(), name) / (floor * r.most / float64(r.Servers))
+	r.row.Silent = r.demand.RateBetween(from, time.Now(), name) / (floor * r.most / float64(r.Servers))
 	r.fleet.Net.Heal()
-	r.demand.Set(perServer/3, name)
+	r.demand.SetRate(perServer/3, name)
 }
 
 // stir does what the seed says.
@@ -197,31 +197,31 @@
 		few, many := mixed[:(len(mixed)-1)/2], mixed[(len(mixed)-1)/2:]
 		switch what {
 		case "leader":
-			if s, err := f.State(name); err == nil && f.Server(s.Leader) != nil {
+			if s, err := f.Status(name); err == nil && f.Server(s.Leader) != nil {
 				name = s.Leader
 			}
 			fallthrough
 		case "kill":
-			_ = f.Cold(ctx, name) // whether it is back shows in what is used after
+			_ = f.KillAndRestart(ctx, name) // whether it is back shows in what is used after
 		case "voters":
 			for _, v := range f.Names[:f.Voters] {
 				f.Server(v).Kill()
 			}
 			for _, v := range f.Names[:f.Voters] {
-				_ = f.Back(ctx, v)
+				_ = f.Restart(ctx, v)
 			}
 		case "stop":
-			_ = f.Stop(name)
+			_ = f.Pause(name)
 			pause(ctx, length)
-			_ = f.Go(name)
+			_ = f.Resume(name)
 		case "cut":
-			f.Net.Part(few, many)
+			f.Net.Partition(few, many)
 			pause(ctx, length)
 			f.Net.Heal()
 		case "one-way":
 			for _, other := range f.Names {
 				if other != name {
-					f.Net.Set(other, name, faultinjection.Link{Cut: true})
+					f.Net.SetLink(other, name, faultinjection.Link{Cut: true})
 				}
 			}
 			pause(ctx, length)
@@ -230,7 +230,7 @@
 			for _, a := range f.Names {
 				for _, b := range f.Names {
 					if a != b {
-						f.Net.Set(a, b, faultinjection.Link{Loss: 0.3, Double: 0.1, Jitter: 50 * time.Millisecond})
+						f.Net.SetLink(a, b, faultinjection.Link{Loss: 0.3, Duplicate: 0.1, Jitter: 50 * time.Millisecond})
 					}
 				}
 			}
--- a/internal/bench/readiness/ready.go
+++ b/internal/bench/readiness/ready.go
@@ -69,7 +69,7 @@
 
 // Run measures with nobody late, then the processors, the rosters, and both.
 func (p *Plan) Run(ctx context.Context) (rows []Row, err error) {
-	shape := faultinjection.Small(p.Program)
+	shape := faultinjection.SmallShape(p.Program)
 	servers, err := labfleet.Start(ctx, p.Servers, shape)
 	if err != nil {
 		return nil, err
--- a/internal/bench/rollouts/versions.go
+++ b/internal/bench/rollouts/versions.go
@@ -107,16 +107,16 @@
 func (p *Plan) play(ctx context.Context, talk bool) (Row, error) {
 	r := &run{Plan: p, chance: rand.New(rand.NewPCG(p.Seed, 11)), disturbed: map[string][][2]time.Time{}, released: map[release.Epoch]time.Time{},
 		row: Row{Seed: p.Seed, Servers: p.Servers}}
-	shape := faultinjection.Small(p.Program)
+	shape := faultinjection.SmallShape(p.Program)
 	shape.Log = p.Log
-	f, err := faultinjection.Start(ctx, faultinjection.Plan{Shape: shape, Servers: p.Servers, Voters: min(p.Servers, 3+2*(p.Servers/15)), Conf: terms,
-		ConfOf: map[string]string{fmt.Sprint("n", p.Servers): "door-prefix-ipv4 16"}, Seed: p.Seed, Alone: !talk})
+	f, err := faultinjection.Start(ctx, faultinjection.Config{Shape: shape, Servers: p.Servers, Voters: min(p.Servers, 3+2*(p.Servers/15)), ExtraSettings: terms,
+		ExtraSettingsByName: map[string]string{fmt.Sprint("n", p.Servers): "door-prefix-ipv4 16"}, Seed: p.Seed, FleetDisabled: !talk})
 	if err != nil {
 		return r.row, err
 	}
 	defer f.Close()
 	r.fleet, r.names = f, f.Names
-	if talk && !faultinjection.Until(healIn, func() bool { return f.AllOn(1, f.Names...) }) {
+	if talk && !faultinjection.WaitUntil(healIn, func() bool { return f.AllActiveOn(1, f.Names...) }) {
 		return r.row, fmt.Errorf("no first version within %s", healIn)
 	}
 	var addrs []string
@@ -125,7 +125,7 @@
 	}
 	usedBefore, sentBefore := r.used(), r.sent()
 	from := time.Now()
-	l, err := loadgen.Start(ctx, loadgen.Plan{Addrs: addrs, Conns: 2, Rate: p.Rate * float64(p.Servers), Stage: faultinjection.Ping, Wait: 1500 * time.Millisecond, Seed: p.Seed})
+	l, err := loadgen.Start(ctx, loadgen.Plan{Addrs: addrs, Conns: 2, Rate: p.Rate * float64(p.Servers), Stage: faultinjection.PingClass, Wait: 1500 * time.Millisecond, Seed: p.Seed})
 	if err != nil {
 		return r.row, err
 	}
@@ -156,7 +156,7 @@
 
 func (r *run) sent() (all int64) {
 	for _, name := range r.names {
-		all += r.fleet.Net.Sent(name)
+		all += r.fleet.Net.BytesSent(name)
 	}
 	return all
 }
@@ -181,14 +181,14 @@
 		switch what {
 		case 0:
 			r.hinder(length, name)
-			if r.fleet.Stop(name) == nil {
-				r.later(length, func() { _ = r.fleet.Go(name) })
+			if r.fleet.Pause(name) == nil {
+				r.later(length, func() { _ = r.fleet.Resume(name) })
 			}
 		case 1:
 			r.hinder(5*time.Second, name)
 			r.mu.Lock()
-			_ = r.fleet.Go(name)
-			_ = r.fleet.Cold(ctx, name)
+			_ = r.fleet.Resume(name)
+			_ = r.fleet.KillAndRestart(ctx, name)
 			r.mu.Unlock()
 		case 2: // a cut down the middle
 			var groups [2][]string
@@ -196,19 +196,19 @@
 				groups[split>>i&1] = append(groups[split>>i&1], n)
 			}
 			r.hinder(length, r.names...)
-			r.fleet.Net.Part(groups[0], groups[1])
+			r.fleet.Net.Partition(groups[0], groups[1])
 			r.later(length, r.fleet.Net.Heal)
 		case 3: // one way
 			r.hinder(length, r.names...)
 			for _, from := range r.names {
-				r.fleet.Net.Set(from, name, faultinjection.Link{Cut: true})
+				r.fleet.Net.SetLink(from, name, faultinjection.Link{Cut: true})
 			}
 			r.later(length, r.fleet.Net.Heal)
 		case 4:
 			r.hinder(length, r.names...)
 			for _, a := range r.names {
 				for _, b := range r.names {
-					r.fleet.Net.Set(a, b, faultinjection.Link{Loss: 0.3, Double: 0.2, Delay: 5 * time.Millisecond, Jitter: 80 * time.Millisecond})
+					r.fleet.Net.SetLink(a, b, faultinjection.Link{Loss: 0.3, Duplicate: 0.2, Delay: 5 * time.Millisecond, Jitter: 80 * time.Millisecond})
 				}
 			}
 			r.later(length, r.fleet.Net.Heal)
@@ -256,27 +256,27 @@
 	r.releasing.Wait()
 	var s *fleet.Status
 	var err error
-	healed := faultinjection.Until(healIn, func() bool {
-		if s, err = f.State(r.names[0]); err != nil {
+	healed := faultinjection.WaitUntil(healIn, func() bool {
+		if s, err = f.Status(r.names[0]); err != nil {
 			return false
 		}
-		return s.ReleaseLog.Next == nil && len(s.Servers) >= len(r.names) && f.AllOn(s.ReleaseLog.Current.Epoch, r.names...)
+		return s.ReleaseLog.Next == nil && len(s.Servers) >= len(r.names) && f.AllActiveOn(s.ReleaseLog.Current.Epoch, r.names...)
 	})
 	if err != nil {
 		return err
 	}
 	if !healed {
 		for _, name := range r.names {
-			if f.ActsOn(name) < s.ReleaseLog.NewestEpoch() {
+			if f.ActiveEpoch(name) < s.ReleaseLog.NewestEpoch() {
 				r.row.Unhealed++
 			}
 		}
 		r.row.Unhealed = max(1, r.row.Unhealed)
 	}
-	if s, err = f.State(r.names[len(r.names)-1]); err != nil { // of all that was done, by another server
+	if s, err = f.Status(r.names[len(r.names)-1]); err != nil { // of all that was done, by another server
 		return err
 	}
-	r.row.TwoDigests = len(f.TwoDigests())
+	r.row.TwoDigests = len(f.ConflictingDigestEpochs())
 	r.row.ActedOut = r.actedOut()
 	r.row.Disagrees, r.row.Holes = r.disagrees(s)
 	r.catchUps()
@@ -287,15 +287,15 @@
 func (r *run) shutOut() error {
 	last := r.names[len(r.names)-1]
 	r.row.ShutOutAfter = -1
-	before := len(r.fleet.Said("", "command_finished"))
+	before := len(r.fleet.Events("", "command_finished"))
 	if _, err := r.fleet.Release(r.names[0], "door-prefix-ipv4 24\n"); err != nil { // what the others have already
 		return err
 	}
 	from := time.Now()
-	faultinjection.Until(healIn, func() bool {
-		for _, s := range r.fleet.Said("", "command_finished")[before:] {
+	faultinjection.WaitUntil(healIn, func() bool {
+		for _, s := range r.fleet.Events("", "command_finished")[before:] {
 			if s.Fields["command"] == "eject" && s.Fields["name"] == last && s.Fields["rejected"] == "<nil>" {
-				r.row.ShutOutAfter = 1000 * s.At.Sub(from).Seconds()
+				r.row.ShutOutAfter = 1000 * s.Time.Sub(from).Seconds()
 				return true
 			}
 		}
@@ -305,9 +305,9 @@
 }
 
 // lives splits what a server said by its lives, named as the audit names them.
-func lives(f *faultinjection.Fleet, name string) (ids []uint64, acts map[uint64][]faultinjection.Said) {
-	acts = map[uint64][]faultinjection.Said{}
-	for _, s := range f.Said(name, "") {
+func lives(f *faultinjection.Fleet, name string) (ids []uint64, acts map[uint64][]faultinjection.LogEvent) {
+	acts = map[uint64][]faultinjection.LogEvent{}
+	for _, s := range f.Events(name, "") {
 		switch s.Event {
 		case "fleet":
 			id, err := strconv.ParseUint(s.Fields["life"], 16, 64)
@@ -362,22 +362,22 @@
 // actedOut counts servers that said they serve while the order had them shut out.
 func (r *run) actedOut() (n int) {
 	out := map[string]time.Time{}
-	for _, s := range r.fleet.Said("", "command_finished") {
+	for _, s := range r.fleet.Events("", "command_finished") {
 		name := s.Fields["name"]
 		switch {
 		case s.Fields["rejected"] != "<nil>":
 		case s.Fields["command"] == "eject":
 			if _, known := out[name]; !known {
-				out[name] = s.At
+				out[name] = s.Time
 			}
 		case s.Fields["command"] == "readmit":
 			delete(out, name)
 		}
 		if at, is := out[name]; is && s.Fields["command"] == "eject" {
-			stances := r.fleet.Said(name, "serving_mode_changed")
+			stances := r.fleet.Events(name, "serving_mode_changed")
 			last := "normal"
 			for _, st := range stances {
-				if st.At.Before(at.Add(200 * time.Millisecond)) { // its line may have taken a little longer
+				if st.Time.Before(at.Add(200 * time.Millisecond)) { // its line may have taken a little longer
 					last = st.Fields["mode"]
 				}
 			}
@@ -399,9 +399,9 @@
 			if slices.ContainsFunc(r.disturbed[name], func(d [2]time.Time) bool { return at.After(d[0]) && at.Before(d[1]) }) {
 				continue
 			}
-			for _, s := range r.fleet.Said(name, "config_applied") {
+			for _, s := range r.fleet.Events(name, "config_applied") {
 				if on, err := release.ParseEpoch(s.Fields["epoch"]); err == nil && on >= e {
-					took = append(took, max(0, 1000*s.At.Sub(at).Seconds()))
+					took = append(took, max(0, 1000*s.Time.Sub(at).Seconds()))
 					break
 				}
 			}
--- a/internal/bench/twolevel/demo.go
+++ b/internal/bench/twolevel/demo.go
@@ -34,17 +34,17 @@
 	}},
 	{9, "it returns cold", back},
 	{12, "all planners are killed", func(_ context.Context, f *faultinjection.Fleet) error {
-		for _, name := range f.Planning() {
+		for _, name := range f.PlannerNames() {
 			f.Server(name).Kill()
 		}
 		return nil
 	}},
 	{20, "a worker is killed with its tasks in hand", func(_ context.Context, f *faultinjection.Fleet) error {
-		f.Behind[0].Kill()
+		f.WorkerServers[0].Kill()
 		return nil
 	}},
 	{24, "all of them return cold", func(ctx context.Context, f *faultinjection.Fleet) error {
-		if err := f.Behind[0].Restart(ctx); err != nil {
+		if err := f.WorkerServers[0].Restart(ctx); err != nil {
 			return err
 		}
 		return back(ctx, f)
@@ -54,17 +54,17 @@
 
 // leading is the planner that said last that it leads.
 func leading(f *faultinjection.Fleet) string {
-	if said := f.Said("", "load_planner_started"); len(said) > 0 {
+	if said := f.Events("", "load_planner_started"); len(said) > 0 {
 		return said[len(said)-1].Name
 	}
-	return f.Planning()[0]
+	return f.PlannerNames()[0]
 }
 
 // back starts all planners again that are dead.
 func back(ctx context.Context, f *faultinjection.Fleet) error {
-	for _, name := range f.Planning() {
+	for _, name := range f.PlannerNames() {
 		if !f.Server(name).Alive() {
-			if err := f.Back(ctx, name); err != nil {
+			if err := f.Restart(ctx, name); err != nil {
 				return err
 			}
 		}
@@ -74,17 +74,17 @@
 
 // Run plays it, some thirty seconds.
 func (d *Demo) Run(ctx context.Context) error {
-	shape := faultinjection.Small(d.Program)
+	shape := faultinjection.SmallShape(d.Program)
 	shape.Log = d.Log
-	f, err := faultinjection.Start(ctx, faultinjection.Plan{Shape: shape, Worker: shape, Planners: 3, Forwarders: 2, Workers: 3, Seed: 1, Conf: "door on\nfleet-lease 2s\n"})
+	f, err := faultinjection.Start(ctx, faultinjection.Config{Shape: shape, WorkerShape: shape, Planners: 3, Forwarders: 2, Workers: 3, Seed: 1, ExtraSettings: "door on\nfleet-lease 2s\n"})
 	if err != nil {
 		return err
 	}
 	defer f.Close()
 	asking, end := context.WithCancel(ctx)
 	defer end()
-	load := f.Demand(asking, "")
-	load.Set(demoRate, f.Front()...)
+	load := f.StartLoad(asking, "")
+	load.SetRate(demoRate, f.ForwarderNames()...)
 	fmt.Fprintf(d.Say, "two forwarders, three planners and three workers on loopback; each forwarder is asked for %d tasks a second\n", demoRate)
 	asked, finished, rejected := 0, 0, 0
 	next := 0
@@ -103,11 +103,11 @@
 		fmt.Fprintf(d.Say, "%4d s  asked %3d  finished %3d  rejected %2d  planners %d of 3, last to lead %s\n", second, a-asked, n-finished, r-rejected, alive(f), leading(f))
 		asked, finished, rejected = a, n, r
 	}
-	load.Set(0, f.Names...)
-	faultinjection.Until(lastWait, func() bool { return load.Unanswered() == 0 })
+	load.SetRate(0, f.Names...)
+	faultinjection.WaitUntil(lastWait, func() bool { return load.UnansweredCount() == 0 })
 	asked, finished, rejected = load.Counts()
-	fmt.Fprintf(d.Say, "of %d tasks %d were finished, %d rejected with a time to come back, %d answers came late, %d tasks have none\n", asked, finished, rejected, load.Late(),
-		load.Unanswered())
+	fmt.Fprintf(d.Say, "of %d tasks %d were finished, %d rejected with a time to come back, %d answers came late, %d tasks have none\n", asked, finished, rejected, load.LateCount(),
+		load.UnansweredCount())
 	end()
 	load.Wait()
 	return ctx.Err()
--- a/internal/bench/twolevel/levels.go
+++ b/internal/bench/twolevel/levels.go
@@ -117,7 +117,7 @@
 )
 
 func play(ctx context.Context, p *Plan, what kind, row *Row) error {
-	shape := faultinjection.Small(p.Program)
+	shape := faultinjection.SmallShape(p.Program)
 	shape.Log = p.Log
 	shape.Told.Stages = append(shape.Told.Stages, shale.Stage{Name: pay, Effect: "at_most_once", TimeLimitMs: 2000, DueTimeMs: 1000, Utility: 3, LateUtility: 0.5})
 	shape.Sockets = 512
@@ -137,23 +137,23 @@
 	for i := range p.Workers {
 		can += float64(cores(i+1)) / workFor
 	}
-	f, err := faultinjection.Start(ctx, faultinjection.Plan{Shape: shape, Worker: worker, Planners: p.Planners, Forwarders: p.Forwarders, Workers: p.Workers, Seed: p.Seed,
-		Ledger: faultinjection.NewLedger(), Conf: "fleet-lease 2s\nfleet-behind 2s\n"})
+	f, err := faultinjection.Start(ctx, faultinjection.Config{Shape: shape, WorkerShape: worker, Planners: p.Planners, Forwarders: p.Forwarders, Workers: p.Workers, Seed: p.Seed,
+		RunLog: faultinjection.NewRunLog(), ExtraSettings: "fleet-lease 2s\nfleet-behind 2s\n"})
 	if err != nil {
 		return err
 	}
 	defer f.Close()
 	if what == localOnly {
-		for _, name := range f.Planning() {
+		for _, name := range f.PlannerNames() {
 			f.Server(name).Kill()
 		}
-	} else if !faultinjection.Until(settles, func() bool { return len(f.Said("", "fleet_plan")) >= p.Forwarders }) {
+	} else if !faultinjection.WaitUntil(settles, func() bool { return len(f.Events("", "fleet_plan")) >= p.Forwarders }) {
 		return fmt.Errorf("forwarders have no plan after %s", settles)
 	}
 	asking, end := context.WithCancel(ctx)
 	defer end()
-	d := f.Demand(asking, "")
-	d.Stages = []string{faultinjection.Ping, pay}
+	d := f.StartLoad(asking, "")
+	d.Classes = []string{faultinjection.PingClass, pay}
 	if what == noKills {
 		if err := hop(ctx, f, row); err != nil {
 			return err
@@ -163,7 +163,7 @@
 		}
 	}
 	// Half of the load is the first forwarder's.
-	for i, name := range f.Front() {
+	for i, name := range f.ForwarderNames() {
 		part := 0.5 / float64(max(1, p.Forwarders-1))
 		if i == 0 {
 			part = 0.5
@@ -171,12 +171,12 @@
 		if p.Forwarders == 1 {
 			part = 1
 		}
-		d.Set(part*p.Load*can, name)
+		d.SetRate(part*p.Load*can, name)
 	}
 	pause(ctx, warmsFor)
 	used := work(f)
 	asked, finished, _ := d.Counts()
-	asked -= d.Unanswered() // what is out counts from here on
+	asked -= d.UnansweredCount() // what is out counts from here on
 	chance := rand.New(rand.NewPCG(p.Seed, 9))
 	for until := time.Now().Add(time.Duration(p.Seconds * float64(time.Second))); time.Now().Before(until) && ctx.Err() == nil; {
 		pause(ctx, time.Duration(p.KillEvery*float64(time.Second)))
@@ -186,17 +186,17 @@
 			}
 		}
 	}
-	d.Set(0, f.Names...)
-	faultinjection.Until(lastWait, func() bool { return d.Unanswered() == 0 })
+	d.SetRate(0, f.Names...)
+	faultinjection.WaitUntil(lastWait, func() bool { return d.UnansweredCount() == 0 })
 	used = work(f) - used
 	asked2, finished2, _ := d.Counts()
 	service := float64(finished2-finished) / float64(max(1, asked2-asked))
 	row.Asked += asked2
-	row.Late += d.Late()
-	row.Unheard += d.Unanswered()
-	row.Twice += f.Ledger.Twice(pay)
+	row.Late += d.LateCount()
+	row.Unheard += d.UnansweredCount()
+	row.Twice += f.RunLog.CountRepeated(pay)
 	p99 := 0.0
-	if took := d.Took(); len(took) > 0 {
+	if took := d.Latencies(); len(took) > 0 {
 		p99 = float64(took[len(took)*99/100].Microseconds()) / 1000
 	}
 	switch what {
@@ -205,7 +205,7 @@
 		row.CoreUS = 1e6 * used / float64(max(1, finished2-finished))
 	case kills:
 		row.Service, row.P99 = service, p99
-		row.Terms = len(f.Said("", "load_planner_started"))
+		row.Terms = len(f.Events("", "load_planner_started"))
 		row.Stale = stale(f)
 	case localOnly:
 		row.LocalOnly, row.P99Local = service, p99
@@ -217,7 +217,7 @@
 
 // kill kills one planner, as often as not the one that leads, now and then all of them; or one is stopped for some seconds and goes on with what it had.
 func kill(ctx context.Context, f *faultinjection.Fleet, chance *rand.Rand, row *Row) error {
-	names := f.Planning()
+	names := f.PlannerNames()
 	switch which := names[chance.IntN(len(names))]; chance.IntN(5) {
 	case 0:
 		row.Kills += len(names)
@@ -225,32 +225,32 @@
 			f.Server(name).Kill()
 		}
 		for _, name := range names {
-			if err := f.Back(ctx, name); err != nil {
+			if err := f.Restart(ctx, name); err != nil {
 				return err
 			}
 		}
 	case 1:
 		row.Kills++
-		if err := f.Stop(which); err != nil {
+		if err := f.Pause(which); err != nil {
 			return err
 		}
 		pause(ctx, time.Duration((1+3*chance.Float64())*float64(time.Second)))
-		return f.Go(which)
+		return f.Resume(which)
 	default:
-		if said := f.Said("", "load_planner_started"); len(said) > 0 && chance.IntN(2) == 0 {
+		if said := f.Events("", "load_planner_started"); len(said) > 0 && chance.IntN(2) == 0 {
 			which = said[len(said)-1].Name
 		}
 		row.Kills++
-		return f.Cold(ctx, which)
+		return f.KillAndRestart(ctx, which)
 	}
 	return nil
 }
 
 // stale counts how often a forwarder took a plan of a term before that of the one it had, by the lines that it writes with each new term.
 func stale(f *faultinjection.Fleet) (n int) {
-	for _, name := range f.Front() {
+	for _, name := range f.ForwarderNames() {
 		var was [2]uint64
-		for _, s := range f.Said(name, "fleet_plan") {
+		for _, s := range f.Events(name, "fleet_plan") {
 			founding, _ := strconv.ParseUint(s.Fields["founding"], 10, 64)
 			term, _ := strconv.ParseUint(s.Fields["term"], 10, 64)
 			if founding < was[0] || founding == was[0] && term < was[1] {
@@ -264,11 +264,11 @@
 
 // hop measures tasks one at a time, at a worker and through a forwarder.
 func hop(ctx context.Context, f *faultinjection.Fleet, row *Row) error {
-	direct, err := f.OneByOne(ctx, f.Behind[0].Addr, hopTasks)
+	direct, err := f.MeasureSequential(ctx, f.WorkerServers[0].Addr, hopTasks)
 	if err != nil {
 		return err
 	}
-	through, err := f.OneByOne(ctx, f.Server(f.Front()[0]).Addr, hopTasks)
+	through, err := f.MeasureSequential(ctx, f.Server(f.ForwarderNames()[0]).Addr, hopTasks)
 	if err != nil {
 		return err
 	}
@@ -281,7 +281,7 @@
 
 // work is how many seconds of a core all forwarders have used.
 func work(f *faultinjection.Fleet) (sum float64) {
-	for _, name := range f.Front() {
+	for _, name := range f.ForwarderNames() {
 		if used, err := f.Server(name).Used(); err == nil {
 			sum += used
 		}
@@ -291,7 +291,7 @@
 
 // crowd measures the first forwarder's memory, without and with connections that say nothing.
 func crowd(f *faultinjection.Fleet, n int, row *Row) error {
-	s := f.Server(f.Front()[0])
+	s := f.Server(f.ForwarderNames()[0])
 	before, err := s.Resident()
 	if err != nil {
 		return err
