--- a/internal/bench/faultinjection/budget_test.go
+++ b/internal/bench/faultinjection/budget_test.go
@@ -169,14 +169,14 @@
 func TestQuota_ConcurrentCallsStayWithinLimit(t *testing.T) {
 	const most, reply = 50, 250 * time.Millisecond
 	var out, largest, sum, seen atomic.Int64
-	f := startFleet(t, Config{Servers: 5, Seed: 36, ExtraSettings: "budget calls=50\nbudget-servers 5\n", CallOutcome: func(string, int, catalogue.Call) upstream.Fate {
+	f := startFleet(t, Config{Servers: 5, Seed: 36, ExtraSettings: "budget calls=50\nbudget-servers 5\n", CallOutcome: func(string, int, catalogue.Call) upstream.Response {
 		n := out.Add(1)
 		sum.Add(n)
 		seen.Add(1)
 		for was := largest.Load(); n > was && !largest.CompareAndSwap(was, n); was = largest.Load() {
 		}
 		time.AfterFunc(reply-50*time.Millisecond, func() { out.Add(-1) }) // surely before its server hears, and lets another one out: a fifth of them does not count
-		return upstream.Fate{After: reply, Outcome: admission.Finished, Body: []byte("r")}
+		return upstream.Response{Delay: reply, Outcome: admission.Finished, Body: []byte("r")}
 	}})
 	ctx, stop := context.WithCancel(context.Background())
 	d := f.StartLoad(ctx, "")
@@ -206,12 +206,12 @@
 	const reply = 50 * time.Millisecond
 	var dead atomic.Bool
 	var calls atomic.Int64
-	f := startFleet(t, Config{Servers: 5, Seed: 37, ExtraSettings: "fleet-below on\n", CallOutcome: func(string, int, catalogue.Call) upstream.Fate {
+	f := startFleet(t, Config{Servers: 5, Seed: 37, ExtraSettings: "fleet-below on\n", CallOutcome: func(string, int, catalogue.Call) upstream.Response {
 		calls.Add(1)
 		if dead.Load() {
-			return upstream.Fate{After: reply, Outcome: admission.Failed}
+			return upstream.Response{Delay: reply, Outcome: admission.Failed}
 		}
-		return upstream.Fate{After: reply, Outcome: admission.Finished, Body: []byte("r")}
+		return upstream.Response{Delay: reply, Outcome: admission.Finished, Body: []byte("r")}
 	}})
 	ctx, stop := context.WithCancel(context.Background())
 	d := f.StartLoad(ctx, "")
@@ -244,11 +244,11 @@
 // TestCircuitBreaker_OneBadLinkStaysLocal: calls of one server all fail, those of the others don't.
 func TestCircuitBreaker_OneBadLinkStaysLocal(t *testing.T) {
 	var mine atomic.Pointer[string]
-	f := startFleet(t, Config{Servers: 5, Seed: 38, ExtraSettings: "fleet-below on\n", CallOutcome: func(name string, _ int, _ catalogue.Call) upstream.Fate {
+	f := startFleet(t, Config{Servers: 5, Seed: 38, ExtraSettings: "fleet-below on\n", CallOutcome: func(name string, _ int, _ catalogue.Call) upstream.Response {
 		if bad := mine.Load(); bad != nil && *bad == name {
-			return upstream.Fate{After: 20 * time.Millisecond, Outcome: admission.Failed}
+			return upstream.Response{Delay: 20 * time.Millisecond, Outcome: admission.Failed}
 		}
-		return upstream.Fate{After: 20 * time.Millisecond, Outcome: admission.Finished, Body: []byte("r")}
+		return upstream.Response{Delay: 20 * time.Millisecond, Outcome: admission.Finished, Body: []byte("r")}
 	}})
 	ctx, stop := context.WithCancel(context.Background())
 	d := f.StartLoad(ctx, "")
--- a/internal/bench/faultinjection/demand.go
+++ b/internal/bench/faultinjection/demand.go
@@ -101,7 +101,7 @@
 			d.mu.Unlock()
 		}
 		for ; owed >= 1; owed-- {
-			m := &rpc.Message{Number: c.Next(), ID: NewRequestID(), Stage: PingClass, Tenant: d.tenant, Caller: 1, Came: float64(now.UnixMilli()) / 1000, Wait: loadTimeoutSeconds,
+			m := &rpc.Message{Number: c.NextNumber(), ID: NewRequestID(), Stage: PingClass, Tenant: d.tenant, Caller: 1, Came: float64(now.UnixMilli()) / 1000, Wait: loadTimeoutSeconds,
 				Memory: 1, Rank: 0.5}
 			d.mu.Lock()
 			here[m.Number] = now
@@ -113,7 +113,7 @@
 			if d.fleet.RunLog != nil {
 				m.Body = []byte(m.Stage + " " + m.ID)
 			}
-			if err := c.Task(m); err != nil { // its server is gone, and comes back at the same address
+			if err := c.SendRequest(m); err != nil { // its server is gone, and comes back at the same address
 				_ = c.Close()
 				d.forget(here)
 				c = nil
--- a/internal/bench/faultinjection/fleet.go
+++ b/internal/bench/faultinjection/fleet.go
@@ -21,7 +21,7 @@
 
 // Config is how a fleet of processes is to be.
 type Config struct {
-	Shape               process.Shape
+	Shape               process.Config
 	Servers             int
 	Voters              int
 	ExtraSettings       string            // more lines of every operator's file
@@ -39,10 +39,10 @@
 	// Planners and Forwarders, if there are any, are the processes of this fleet in place of servers: p1 and on, who are the voters, and f1 and on. Workers
 	// are then servers of no fleet behind the forwarders, in the shape of Worker.
 	Planners, Forwarders, Workers int
-	WorkerShape                   process.Shape
+	WorkerShape                   process.Config
 
 	// CallOutcome has each task make a call below, and says what becomes of the nth of a server; nil for no calls.
-	CallOutcome func(name string, n int, c catalogue.Call) upstream.Fate
+	CallOutcome func(name string, n int, c catalogue.Call) upstream.Response
 }
 
 // LogEvent is what a server said it did, by its log, with the time at which this process read it: an account apart from the program's own.
@@ -103,19 +103,19 @@
 		}
 		f.relayRoutes[from] = strings.Join(ways, ",")
 	}
-	f.Shape.Each, f.Shape.Hear = f.processSettings, f.recordLine
-	f.Shape.Told.Tenants = p.Tenants
+	f.Shape.Override, f.Shape.OnLogLine = f.processSettings, f.recordLine
+	f.Shape.Settings.Tenants = p.Tenants
 	if p.CallOutcome != nil {
-		f.Shape.FateOf = p.CallOutcome
-		f.Shape.Work.Calls, f.Shape.Work.Parked = func(string, string) bool { return true }, loadTimeoutSeconds
-		own := &f.Shape.Told.Own
+		f.Shape.UpstreamOf = p.CallOutcome
+		f.Shape.Executor.CallsUpstream, f.Shape.Executor.CallTimeout = func(string, string) bool { return true }, loadTimeoutSeconds
+		own := &f.Shape.Settings.Own
 		own.Below, own.StageCalls, own.CallLingerMs = "tier", []bool{true}, 300
 	}
 	if l := p.RunLog; l != nil {
-		f.Shape.Work.Begun, f.Shape.Work.Result = l.RecordStart, l.RecordResult
+		f.Shape.Executor.OnStart, f.Shape.Executor.Result = l.RecordStart, l.RecordResult
 	}
 	if p.RunSeconds > 0 {
-		f.Shape.Work.Work = func(string, string) float64 { return p.RunSeconds }
+		f.Shape.Executor.CPUSeconds = func(string, string) float64 { return p.RunSeconds }
 	}
 	if p.Forwarders > 0 {
 		return f, f.startTwoLevels(ctx)
@@ -136,18 +136,18 @@
 			f.Close()
 		}
 	}()
-	f.WorkerShape.Told.Tenants = f.Tenants
+	f.WorkerShape.Settings.Tenants = f.Tenants
 	if l := f.RunLog; l != nil {
-		f.WorkerShape.Work.Begun, f.WorkerShape.Work.Result = l.RecordStart, l.RecordResult
+		f.WorkerShape.Executor.OnStart, f.WorkerShape.Executor.Result = l.RecordStart, l.RecordResult
 	}
 	if f.WorkerServers, err = process.Start(ctx, f.Workers, f.WorkerShape); err != nil {
 		return err
 	}
 	for _, name := range f.Names {
 		shape := f.Shape
-		shape.Words = []string{"forward"}
+		shape.Args = []string{"forward"}
 		if name[0] == 'p' {
-			shape.Words = []string{"plan"}
+			shape.Args = []string{"plan"}
 		}
 		s, err := process.Launch(ctx, name, shape)
 		if err != nil {
@@ -215,7 +215,7 @@
 }
 
 func (f *Fleet) recordLine(name, line string) {
-	fields := process.Fields(line)
+	fields := process.ParseFields(line)
 	event := fields["event"]
 	if !isRecorded(event) {
 		return
@@ -301,7 +301,7 @@
 // StartDuplicate starts a second process under a server's name, which listens elsewhere.
 func (f *Fleet) StartDuplicate(ctx context.Context, name string) (*process.Server, error) {
 	shape, listen, control := f.Shape, f.nextAddr(), f.nextAddr()
-	shape.Each = func(string) (string, []string) {
+	shape.Override = func(string) (string, []string) {
 		conf, env := f.processSettings(name)
 		conf = strings.ReplaceAll(conf, "fleet-listen "+f.gossipAddrs[name], "fleet-listen "+listen)
 		return strings.ReplaceAll(conf, f.controlAddrs[name], control), env
@@ -311,8 +311,8 @@
 
 // Close ends everything.
 func (f *Fleet) Close() {
-	process.End(f.Servers)
-	process.End(f.WorkerServers)
+	process.CloseAll(f.Servers)
+	process.CloseAll(f.WorkerServers)
 	f.Net.Close()
 }
 
--- a/internal/bench/faultinjection/levels_test.go
+++ b/internal/bench/faultinjection/levels_test.go
@@ -21,10 +21,10 @@
 	t.Helper()
 	t.Parallel()
 	p.Shape, p.ExtraSettings = SmallShape(program), shortLeases
-	p.Shape.Told.Stages = append(p.Shape.Told.Stages, shale.Stage{Name: payClass, Effect: "at_most_once", TimeLimitMs: 2000, DueTimeMs: 1000, Utility: 3, LateUtility: 0.5})
-	p.Shape.Told.Own.Cores, p.Shape.Sockets = 4, 512
+	p.Shape.Settings.Stages = append(p.Shape.Settings.Stages, shale.Stage{Name: payClass, Effect: "at_most_once", TimeLimitMs: 2000, DueTimeMs: 1000, Utility: 3, LateUtility: 0.5})
+	p.Shape.Settings.Own.Cores, p.Shape.Descriptors = 4, 512
 	p.WorkerShape, p.RunLog = p.Shape, NewRunLog()
-	p.WorkerShape.Work = executor.Plan{Cores: 4, Work: func(string, string) float64 { return PingSeconds }, Gauges: p.Shape.Work.Gauges}
+	p.WorkerShape.Executor = executor.Config{Cores: 4, CPUSeconds: func(string, string) float64 { return PingSeconds }, Gauges: p.Shape.Executor.Gauges}
 	p.Planners, p.Forwarders, p.Workers = 3, 2, 4
 	f, err := Start(context.Background(), p)
 	if err != nil {
@@ -117,10 +117,10 @@
 	if s, err := fleet.FetchLoadPlan(f.controlAddrs[f.ForwarderNames()[0]]); err != nil || s.Current.Sequence == 0 || s.FreshFor <= 0 || s.Leader == "" {
 		t.Errorf("an operator hears %+v, %v", s, err)
 	}
-	begun := f.WorkerServers[0].Processor.Counts().Begun
-	f.await(t, "the one that returned has tasks again", func() bool { return f.WorkerServers[0].Processor.Counts().Begun > begun+20 })
+	begun := f.WorkerServers[0].Executor.Stats().Started
+	f.await(t, "the one that returned has tasks again", func() bool { return f.WorkerServers[0].Executor.Stats().Started > begun+20 })
 	for what, s := range map[string]*process.Server{"a worker": f.WorkerServers[2], "a forwarder": f.Server("f2")} {
-		if _, err := s.Leave(); err != nil {
+		if _, err := s.Drain(); err != nil {
 			t.Errorf("%s leaves under load: %v", what, err)
 		}
 	}
--- a/internal/bench/faultinjection/shape.go
+++ b/internal/bench/faultinjection/shape.go
@@ -15,7 +15,7 @@
 )
 
 // SmallShape is the shape of the servers of tests and experiments: one stage that may be repeated, no calls.
-func SmallShape(program string) process.Shape {
+func SmallShape(program string) process.Config {
 	var t shale.Told
 	t.Servers = 5
 	t.Stages = []shale.Stage{{Name: PingClass, Effect: "idempotent", TimeLimitMs: 2000, DueTimeMs: 1000, Utility: 1, LateUtility: 0.5}}
@@ -24,7 +24,7 @@
 	own := &t.Own
 	own.Cores, own.MemoryKb, own.RunFactor, own.Callers, own.TellsWait = 4, 1e6, 1, 1, true
 	own.Gauges, own.IdleMs = []string{"cpu_busy", "runnable"}, 60_000
-	return process.Shape{Program: program, Core: -1, Cores: 1, MemoryMB: 64, Sockets: 256, Stop: 3 * time.Second, Told: t,
-		Work: executor.Plan{Cores: 4, Work: func(string, string) float64 { return PingSeconds },
+	return process.Config{Program: program, CPU: -1, Cores: 1, MemoryMB: 64, Descriptors: 256, StopTimeout: 3 * time.Second, Settings: t,
+		Executor: executor.Config{Cores: 4, CPUSeconds: func(string, string) float64 { return PingSeconds },
 			Gauges: func(busy, _ int) []float64 { return []float64{float64(busy) / 4, float64(busy)} }}}
 }
--- a/internal/bench/faultinjection/try.go
+++ b/internal/bench/faultinjection/try.go
@@ -49,7 +49,7 @@
 	}
 	defer c.Close()
 	began := time.Now()
-	if c.Task(&rpc.Message{Number: c.Next(), ID: id, Stage: PingClass, Caller: 1, Came: float64(began.UnixMilli()) / 1000, Wait: wait.Seconds(), Memory: 1, Rank: 0.5,
+	if c.SendRequest(&rpc.Message{Number: c.NextNumber(), ID: id, Stage: PingClass, Caller: 1, Came: float64(began.UnixMilli()) / 1000, Wait: wait.Seconds(), Memory: 1, Rank: 0.5,
 		Subject: key, Body: []byte(key)}) != nil {
 		return Response{Outcome: ConnectionLost}
 	}
@@ -78,7 +78,7 @@
 	defer c.Close()
 	for range n {
 		began := time.Now()
-		if err := c.Task(&rpc.Message{Number: c.Next(), ID: NewRequestID(), Stage: PingClass, Caller: 1, Came: float64(began.UnixMilli()) / 1000, Wait: loadTimeoutSeconds, Memory: 1, Rank: 0.5}); err != nil {
+		if err := c.SendRequest(&rpc.Message{Number: c.NextNumber(), ID: NewRequestID(), Stage: PingClass, Caller: 1, Came: float64(began.UnixMilli()) / 1000, Wait: loadTimeoutSeconds, Memory: 1, Rank: 0.5}); err != nil {
 			return nil, err
 		}
 		select {
