--- a/internal/bench/connflood/entry.go
+++ b/internal/bench/connflood/entry.go
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	labfleet "swiftcourse/internal/bench/process"
+	"swiftcourse/internal/bench/process"
 	"swiftcourse/internal/fake/executor"
 	"swiftcourse/internal/wire/rpc"
 	"swiftcourse/internal/wire/shale"
@@ -113,14 +113,14 @@
 }
 
 func (p *Plan) row(ctx context.Context, door string) (row Row, err error) {
-	servers, err := labfleet.Start(ctx, 1, labfleet.Config{Program: p.Program, CPU: p.CPU, Cores: 1, MemoryMB: 64, Descriptors: p.Descriptors, ActualDescriptors: p.ActualDescriptors,
+	servers, err := process.Start(ctx, 1, process.Config{Program: p.Program, CPU: p.CPU, Cores: 1, MemoryMB: 64, Descriptors: p.Descriptors, ActualDescriptors: p.ActualDescriptors,
 		StopTimeout: 3 * time.Second, Settings: settings(), OperatorFile: "door " + door + "\n", Log: p.Log,
 		Executor: executor.Config{Cores: 4, CPUSeconds: func(string, string) float64 { return work },
 			Gauges: func(busy, _ int) []float64 { return []float64{float64(busy) / 4, float64(busy)} }}})
 	if err != nil {
 		return row, err
 	}
-	defer labfleet.CloseAll(servers)
+	defer process.CloseAll(servers)
 	s := servers[0]
 	row = Row{ConnLimit: door, Trusted: p.Trusted}
 	ctx, stop := context.WithCancel(ctx)
--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"swiftcourse/admission"
-	labfleet "swiftcourse/internal/bench/process"
+	"swiftcourse/internal/bench/process"
 	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/fake/executor"
 	"swiftcourse/internal/fake/upstream"
@@ -115,7 +115,7 @@
 
 // Run plays it.
 func Run(ctx context.Context, p *Plan) ([]Row, error) {
-	servers, err := labfleet.Start(ctx, 1, labfleet.Config{Program: p.Program, CPU: -1, Cores: 1, MemoryMB: 64, Descriptors: 512,
+	servers, err := process.Start(ctx, 1, process.Config{Program: p.Program, CPU: -1, Cores: 1, MemoryMB: 64, Descriptors: 512,
 		StopTimeout: 5 * time.Second, Settings: told(), Log: p.Log,
 		Executor: executor.Config{Cores: cores, CPUSeconds: work, CallsUpstream: func(name, _ string) bool { return name == "price" },
 			Gauges: func(busy, waiting int) []float64 { return []float64{float64(busy) / cores, float64(busy + waiting)} }},
@@ -125,7 +125,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer labfleet.CloseAll(servers)
+	defer process.CloseAll(servers)
 	fmt.Fprintf(p.Progress, "a server with %d cores listens on %s; it can do %.0f tasks a second\n", cores, servers[0].Addr, capacity())
 	callers, err := dial(ctx, servers[0].Addr)
 	if err != nil {
--- a/internal/bench/idleconns/idle.go
+++ b/internal/bench/idleconns/idle.go
@@ -16,7 +16,7 @@
 	"golang.org/x/sys/unix"
 
 	"swiftcourse/internal/bench/loadgen"
-	labfleet "swiftcourse/internal/bench/process"
+	"swiftcourse/internal/bench/process"
 	"swiftcourse/internal/fake/executor"
 	"swiftcourse/internal/wire/shale"
 )
@@ -146,7 +146,7 @@
 // bench is a fleet and what is held to it.
 type bench struct {
 	plan    *Plan
-	servers []*labfleet.Server
+	servers []*process.Server
 	addrs   []string
 	holders []*Holder
 	seed    uint64
@@ -155,7 +155,7 @@
 func (p *Plan) start(ctx context.Context, idle time.Duration) (*bench, error) {
 	var limit unix.Rlimit
 	_ = unix.Getrlimit(unix.RLIMIT_NOFILE, &limit) // Check has had it
-	servers, err := labfleet.Start(ctx, p.Servers, labfleet.Config{Program: p.Program, CPU: p.CPU, Cores: 1, MemoryMB: 192,
+	servers, err := process.Start(ctx, p.Servers, process.Config{Program: p.Program, CPU: p.CPU, Cores: 1, MemoryMB: 192,
 		Descriptors: int(min(limit.Max, 1<<20)), StopTimeout: 5 * time.Second, Settings: settings(idle),
 		Executor: executor.Config{Cores: 4, Gauges: func(busy, _ int) []float64 { return []float64{float64(busy) / 4, float64(busy)} }}})
 	if err != nil {
@@ -170,7 +170,7 @@
 
 func (b *bench) end() {
 	b.release()
-	labfleet.CloseAll(b.servers)
+	process.CloseAll(b.servers)
 }
 
 func (b *bench) load(ctx context.Context) (*loadgen.Generator, error) {
@@ -236,10 +236,10 @@
 			if err != nil {
 				return all, err
 			}
-			all.heap += 1024 * labfleet.Number(counts, "heap_kb")
-			all.timers += labfleet.Number(counts, "timers")
-			all.turn = max(all.turn, labfleet.Number(counts, "turn_ms"))
-			all.conns += labfleet.Number(counts, "conns")
+			all.heap += 1024 * process.Number(counts, "heap_kb")
+			all.timers += process.Number(counts, "timers")
+			all.turn = max(all.turn, process.Number(counts, "turn_ms"))
+			all.conns += process.Number(counts, "conns")
 		}
 		resident, err := s.ResidentBytes()
 		if err != nil {
--- a/internal/bench/readiness/ready.go
+++ b/internal/bench/readiness/ready.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"swiftcourse/internal/bench/faultinjection"
-	labfleet "swiftcourse/internal/bench/process"
+	"swiftcourse/internal/bench/process"
 	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/fake/executor"
 	"swiftcourse/internal/fake/registry"
@@ -70,11 +70,11 @@
 // Run measures with nobody late, then the processors, the rosters, and both.
 func (p *Plan) Run(ctx context.Context) (rows []Row, err error) {
 	shape := faultinjection.SmallShape(p.Program)
-	servers, err := labfleet.Start(ctx, p.Servers, shape)
+	servers, err := process.Start(ctx, p.Servers, shape)
 	if err != nil {
 		return nil, err
 	}
-	defer labfleet.CloseAll(servers)
+	defer process.CloseAll(servers)
 	for _, late := range []string{"", "processor", "roster", "processor and roster"} {
 		row := Row{Late: late, Starts: p.Servers * p.Rounds}
 		if late != "" {
@@ -96,7 +96,7 @@
 }
 
 // round restarts all servers at once, and waits until each is ready and listed.
-func (p *Plan) round(ctx context.Context, servers []*labfleet.Server, shape labfleet.Config, late string) (ready, listed []float64, err error) {
+func (p *Plan) round(ctx context.Context, servers []*process.Server, shape process.Config, late string) (ready, listed []float64, err error) {
 	var wait sync.WaitGroup
 	for _, s := range servers {
 		wait.Go(s.Kill)
@@ -117,7 +117,7 @@
 }
 
 // restart restarts one, with new parties at the old addresses.
-func (p *Plan) restart(ctx context.Context, s *labfleet.Server, shape labfleet.Config, late string) (ready, listed float64, err error) {
+func (p *Plan) restart(ctx context.Context, s *process.Server, shape process.Config, late string) (ready, listed float64, err error) {
 	work, list := s.Executor.Addr(), s.Registry.Addr()
 	s.Executor.Close()
 	s.Registry.Close()
--- a/internal/bench/twolevel/demo.go
+++ b/internal/bench/twolevel/demo.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"swiftcourse/internal/bench/faultinjection"
-	labfleet "swiftcourse/internal/bench/process"
+	"swiftcourse/internal/bench/process"
 )
 
 // Demo shows a newcomer two forwarders, three planners and three workers at work, while one after the other of them dies.
@@ -114,7 +114,7 @@
 }
 
 func alive(f *faultinjection.Fleet) (n int) {
-	for _, s := range []*labfleet.Server{f.Server("p1"), f.Server("p2"), f.Server("p3")} {
+	for _, s := range []*process.Server{f.Server("p1"), f.Server("p2"), f.Server("p3")} {
 		if s.Alive() {
 			n++
 		}
