--- a/cmd/swiftcourse-fleet/budgets.go
+++ b/cmd/swiftcourse-fleet/budgets.go
@@ -119,7 +119,7 @@
 func uses(list []server.QuotaUsage) []fleet.Usage {
 	to := make([]fleet.Usage, len(list))
 	for i, u := range list {
-		to[i] = fleet.Usage{Name: u.Name, Demand: u.Demand, Open: u.InFlight, Answer: u.GrantNumber}
+		to[i] = fleet.Usage(u)
 	}
 	return to
 }
--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -57,7 +57,7 @@
 
 // NewAgent returns the agent of an incarnation that begins.
 func NewAgent(config Config, incarnation uint64, network Network, random *rand.Rand) *Agent {
-	a := &Agent{
+	agent := &Agent{
 		config:      config,
 		logger:      config.logger(),
 		incarnation: incarnation,
@@ -66,17 +66,17 @@
 		commands:    map[uint64]*pendingCommand{},
 	}
 	for name := range config.Voters {
-		a.voterNames = append(a.voterNames, name)
-	}
-	slices.Sort(a.voterNames)
-	now := a.Now()
-	a.startVoter(now)
-	a.startLease(now)
-	a.startReleases()
-	a.startAudits()
-	a.publish()
-	a.startComponents(now)
-	return a
+		agent.voterNames = append(agent.voterNames, name)
+	}
+	slices.Sort(agent.voterNames)
+	now := agent.Now()
+	agent.startVoter(now)
+	agent.startLease(now)
+	agent.startReleases()
+	agent.startAudits()
+	agent.publish()
+	agent.startComponents(now)
+	return agent
 }
 
 // startComponents starts the concerns that are on.
--- a/internal/fleet/gossip.go
+++ b/internal/fleet/gossip.go
@@ -68,26 +68,26 @@
 	if err != nil {
 		return nil, err
 	}
-	c := memberlist.DefaultLANConfig()
-	c.Name = memberName(config.Name, incarnation)
-	c.BindAddr = ip.String()
-	c.BindPort = port
-	c.AdvertiseAddr = ip.String()
-	c.AdvertisePort = port
-	c.TCPTimeout = gossipTCPTimeout
-	c.EnableCompression = false // messages are short, and a release's text goes once
-	c.GossipToTheDeadTime = gossipToTheDeadTime
-	c.LogOutput = io.Discard
-	c.Logger = nil
-	c.Delegate = messageDelegate{receive}
-	c.Events = membershipLogger{config.logger()}
-	c.Transport = &translatingTransport{NetTransport: transport, translate: config.Hooks.TranslateAddr}
-	list, err := memberlist.Create(c)
+	settings := memberlist.DefaultLANConfig()
+	settings.Name = memberName(config.Name, incarnation)
+	settings.BindAddr = ip.String()
+	settings.BindPort = port
+	settings.AdvertiseAddr = ip.String()
+	settings.AdvertisePort = port
+	settings.TCPTimeout = gossipTCPTimeout
+	settings.EnableCompression = false // messages are short, and a release's text goes once
+	settings.GossipToTheDeadTime = gossipToTheDeadTime
+	settings.LogOutput = io.Discard
+	settings.Logger = nil
+	settings.Delegate = messageDelegate{receive}
+	settings.Events = membershipLogger{config.logger()}
+	settings.Transport = &translatingTransport{NetTransport: transport, translate: config.Hooks.TranslateAddr}
+	list, err := memberlist.Create(settings)
 	if err != nil {
 		_ = transport.Shutdown()
 		return nil, err
 	}
-	n := &gossipNetwork{list: list, memberName: c.Name, sending: map[string]int{}}
+	n := &gossipNetwork{list: list, memberName: settings.Name, sending: map[string]int{}}
 	go n.join(ctx, config)
 	return n, nil
 }
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -162,29 +162,29 @@
 
 // handleNext waits for something to do and does it; false means that the context is done.
 func (n *Node) handleNext(ctx context.Context, wakeup <-chan time.Time) bool {
-	a := n.agent
+	agent := n.agent
 	select {
 	case <-ctx.Done():
 		return false
 	case message := <-n.inbox:
-		a.HandleMessage(a.Now(), message)
+		agent.HandleMessage(agent.Now(), message)
 		for range len(n.inbox) { // what is there already goes with it
-			a.HandleMessage(a.Now(), <-n.inbox)
+			agent.HandleMessage(agent.Now(), <-n.inbox)
 		}
 	case request := <-n.requests:
-		request(a.Now())
+		request(agent.Now())
 	case clients := <-n.trustedClients:
-		a.observeTrusted(clients)
+		agent.observeTrusted(clients)
 	case calls := <-n.callStats:
-		a.ObserveCalls(a.Now(), calls)
+		agent.ObserveCalls(agent.Now(), calls)
 	case cells := <-n.requestCounts:
-		a.ObserveCounts(cells)
+		agent.ObserveCounts(cells)
 	case usage := <-n.usage:
-		a.ObserveUsage(a.Now(), usage)
+		agent.ObserveUsage(agent.Now(), usage)
 	case event := <-n.claimEvents:
-		a.HandleClaimEvent(a.Now(), event)
+		agent.HandleClaimEvent(agent.Now(), event)
 		for range len(n.claimEvents) {
-			a.HandleClaimEvent(a.Now(), <-n.claimEvents)
+			agent.HandleClaimEvent(agent.Now(), <-n.claimEvents)
 		}
 	case <-wakeup:
 	}
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -15,10 +15,10 @@
 
 // Usage is what the serving loop used of a quota lately.
 type Usage struct {
-	Name   string
-	Demand float64 // requests a second that were asked for
-	Open   float64 // calls in flight
-	Answer uint64  // GrantNumber of the allowance that the loop goes by
+	Name        string
+	Demand      float64 // requests a second that were asked for
+	InFlight    float64 // calls in flight
+	GrantNumber uint64  // of the allowance that the loop applies
 }
 
 // quotaManager leases the process's share of each quota, and grants shares while the process leads.
@@ -47,7 +47,7 @@
 		return
 	}
 	for _, used := range usage {
-		a.quotas.holder.RecordUsage(now, used.Name, used.Demand, used.Open, used.Answer)
+		a.quotas.holder.RecordUsage(now, used.Name, used.Demand, used.InFlight, used.GrantNumber)
 	}
 }
 
--- a/internal/lab/emulate/budgets.go
+++ b/internal/lab/emulate/budgets.go
@@ -135,7 +135,7 @@
 // use has a loop say what it used, again and again.
 func (sp *spender) use() {
 	if sp.alive && !sp.asleep {
-		sp.part.ObserveUsage(sp.part.Now(), []fleet.Usage{{Name: sharedName, Demand: sp.demand, Answer: sp.may.GrantNumber}})
+		sp.part.ObserveUsage(sp.part.Now(), []fleet.Usage{{Name: sharedName, Demand: sp.demand, GrantNumber: sp.may.GrantNumber}})
 		sp.turn()
 	}
 	sp.after(sharedEvery, sp.use)
--- a/internal/wire/fleet/audit.go
+++ b/internal/wire/fleet/audit.go
@@ -12,147 +12,154 @@
 	return &Packet_Brief{encodeAccount(m.AccountSummary)}, nil
 }
 
-func encodeAccount(a *audit.Account) *Account {
-	p := &Account{Name: a.Name, Life: a.Incarnation, Started: a.Started, Seen: a.LastSeen, Dropped: a.DroppedIntervals}
-	for _, i := range a.Intervals {
-		p.Intervals = append(p.Intervals, &Interval{
-			N:       i.Index,
-			Epoch:   uint64(i.Epoch),
-			Digest:  i.Digest,
-			From:    i.From,
-			To:      i.To,
-			Batches: i.Batches,
-			Tasks:   i.Requests,
-			Why:     truncate(i.Reason),
+func encodeAccount(account *audit.Account) *Account {
+	encoded := &Account{
+		Name:    account.Name,
+		Life:    account.Incarnation,
+		Started: account.Started,
+		Seen:    account.LastSeen,
+		Dropped: account.DroppedIntervals,
+	}
+	for _, interval := range account.Intervals {
+		encoded.Intervals = append(encoded.Intervals, &Interval{
+			N:       interval.Index,
+			Epoch:   uint64(interval.Epoch),
+			Digest:  interval.Digest,
+			From:    interval.From,
+			To:      interval.To,
+			Batches: interval.Batches,
+			Tasks:   interval.Requests,
+			Why:     truncate(interval.Reason),
 		})
 	}
-	return p
+	return encoded
 }
 
-func decodeAccount(p *Account) (*audit.Account, error) {
-	if len(p.GetIntervals()) > maxListEntries {
+func decodeAccount(encoded *Account) (*audit.Account, error) {
+	if len(encoded.GetIntervals()) > maxListEntries {
 		return nil, ErrTooLarge
 	}
-	a := &audit.Account{
-		Name:             p.GetName(),
-		Incarnation:      p.GetLife(),
-		Started:          p.GetStarted(),
-		LastSeen:         p.GetSeen(),
-		DroppedIntervals: p.GetDropped(),
-	}
-	err := errors.Join(checkNames(a.Name), checkFinite(a.Started), checkFinite(a.LastSeen))
-	for _, i := range p.GetIntervals() {
-		err = errors.Join(err, checkNames(i.Digest, i.Why), checkFinite(i.From), checkFinite(i.To))
-		a.Intervals = append(a.Intervals, audit.Interval{
-			Index:    i.N,
-			Epoch:    release.Epoch(i.Epoch),
-			Digest:   i.Digest,
-			From:     i.From,
-			To:       i.To,
-			Batches:  i.Batches,
-			Requests: i.Tasks,
-			Reason:   i.Why,
+	account := &audit.Account{
+		Name:             encoded.GetName(),
+		Incarnation:      encoded.GetLife(),
+		Started:          encoded.GetStarted(),
+		LastSeen:         encoded.GetSeen(),
+		DroppedIntervals: encoded.GetDropped(),
+	}
+	err := errors.Join(checkNames(account.Name), checkFinite(account.Started), checkFinite(account.LastSeen))
+	for _, interval := range encoded.GetIntervals() {
+		err = errors.Join(err, checkNames(interval.Digest, interval.Why),
+			checkFinite(interval.From), checkFinite(interval.To))
+		account.Intervals = append(account.Intervals, audit.Interval{
+			Index:    interval.N,
+			Epoch:    release.Epoch(interval.Epoch),
+			Digest:   interval.Digest,
+			From:     interval.From,
+			To:       interval.To,
+			Batches:  interval.Batches,
+			Requests: interval.Tasks,
+			Reason:   interval.Why,
 		})
 	}
-	return a, err
+	return account, err
 }
 
 func encodeStateRequest(m *Envelope) (isPacket_Body, error) {
-	r := m.StateRequest
+	request := m.StateRequest
 	return &Packet_Accounts{&Accounts{
-		Number:   r.RequestID,
-		Names:    r.Names,
-		Founding: r.ClusterID,
-		Count:    r.AppliedCount,
+		Number:   request.RequestID,
+		Names:    request.Names,
+		Founding: request.ClusterID,
+		Count:    request.AppliedCount,
 	}}, nil
 }
 
-func decodeStateRequest(p *Accounts) (*StateRequest, error) {
-	if len(p.Names) > maxMapEntries {
+func decodeStateRequest(encoded *Accounts) (*StateRequest, error) {
+	if len(encoded.Names) > maxMapEntries {
 		return nil, ErrTooLarge
 	}
-	r := &StateRequest{
-		RequestID:    p.Number,
-		Names:        p.Names,
-		ClusterID:    p.Founding,
-		AppliedCount: p.Count,
+	request := &StateRequest{
+		RequestID:    encoded.Number,
+		Names:        encoded.Names,
+		ClusterID:    encoded.Founding,
+		AppliedCount: encoded.Count,
 	}
-	return r, checkNames(r.Names...)
+	return request, checkNames(request.Names...)
 }
 
 func encodeStateReply(m *Envelope) (isPacket_Body, error) {
-	r := m.StateReply
-	p := &Telling{
-		Number: r.RequestID,
-		Order:  encodeReleaseLog(r.ReleaseLog),
-		Copies: encodeReplicationStatus(r.Replication),
+	reply := m.StateReply
+	encoded := &Telling{
+		Number: reply.RequestID,
+		Order:  encodeReleaseLog(reply.ReleaseLog),
+		Copies: encodeReplicationStatus(reply.Replication),
 	}
-	for i := range r.Accounts {
-		p.Accounts = append(p.Accounts, encodeAccount(&r.Accounts[i]))
+	for i := range reply.Accounts {
+		encoded.Accounts = append(encoded.Accounts, encodeAccount(&reply.Accounts[i]))
 	}
-	for i := range r.Servers {
-		p.Standings = append(p.Standings, encodeServerStatus(&r.Servers[i]))
+	for i := range reply.Servers {
+		encoded.Standings = append(encoded.Standings, encodeServerStatus(&reply.Servers[i]))
 	}
-	return &Packet_Told{p}, nil
+	return &Packet_Told{encoded}, nil
 }
 
-func decodeStateReply(p *Telling) (*StateReply, error) {
-	if len(p.Accounts) > maxMapEntries || len(p.Standings) > maxMapEntries {
+func decodeStateReply(encoded *Telling) (*StateReply, error) {
+	if len(encoded.Accounts) > maxMapEntries || len(encoded.Standings) > maxMapEntries {
 		return nil, ErrTooLarge
 	}
-	r := &StateReply{RequestID: p.Number}
-	for _, one := range p.Accounts {
+	reply := &StateReply{RequestID: encoded.Number}
+	for _, one := range encoded.Accounts {
 		account, err := decodeAccount(one)
 		if err != nil {
 			return nil, err
 		}
-		r.Accounts = append(r.Accounts, *account)
+		reply.Accounts = append(reply.Accounts, *account)
 	}
-	for _, one := range p.Standings {
+	for _, one := range encoded.Standings {
 		server, err := decodeServerStatus(one)
 		if err != nil {
 			return nil, err
 		}
-		r.Servers = append(r.Servers, server)
+		reply.Servers = append(reply.Servers, server)
 	}
-	if p.Copies != nil {
-		r.Replication = decodeReplicationStatus(p.Copies)
+	if encoded.Copies != nil {
+		reply.Replication = decodeReplicationStatus(encoded.Copies)
 	}
 	var err error
-	if p.Order != nil {
-		r.ReleaseLog, err = decodeReleaseLog(p.Order)
+	if encoded.Order != nil {
+		reply.ReleaseLog, err = decodeReleaseLog(encoded.Order)
 	}
-	return r, err
+	return reply, err
 }
 
-func encodeServerStatus(s *lease.ServerStatus) *Standing {
+func encodeServerStatus(status *lease.ServerStatus) *Standing {
 	return &Standing{
-		Name:   s.Name,
-		Life:   s.Incarnation,
-		Epoch:  uint64(s.ActiveEpoch),
-		Right:  uint64(s.AssignedEpoch),
-		Heard:  s.SecondsSinceHeard,
-		Behind: s.SecondsBehind,
-		Stuck:  truncate(s.BlockedBy),
-		Out:    truncate(s.EjectionReason),
-		Build:  s.Build,
-		Known:  s.Reported,
+		Name:   status.Name,
+		Life:   status.Incarnation,
+		Epoch:  uint64(status.ActiveEpoch),
+		Right:  uint64(status.AssignedEpoch),
+		Heard:  status.SecondsSinceHeard,
+		Behind: status.SecondsBehind,
+		Stuck:  truncate(status.BlockedBy),
+		Out:    truncate(status.EjectionReason),
+		Build:  status.Build,
+		Known:  status.Reported,
 	}
 }
 
-func decodeServerStatus(p *Standing) (lease.ServerStatus, error) {
-	s := lease.ServerStatus{
-		Name:              p.Name,
-		Incarnation:       p.Life,
-		ActiveEpoch:       release.Epoch(p.Epoch),
-		AssignedEpoch:     release.Epoch(p.Right),
-		SecondsSinceHeard: p.Heard,
-		SecondsBehind:     p.Behind,
-		BlockedBy:         p.Stuck,
-		EjectionReason:    p.Out,
-		Build:             p.Build,
-		Reported:          p.Known,
-	}
-	return s, errors.Join(checkNames(p.Name, p.Stuck, p.Out, p.Build),
-		checkFinite(p.Heard), checkFinite(p.Behind))
+func decodeServerStatus(encoded *Standing) (lease.ServerStatus, error) {
+	status := lease.ServerStatus{
+		Name:              encoded.Name,
+		Incarnation:       encoded.Life,
+		ActiveEpoch:       release.Epoch(encoded.Epoch),
+		AssignedEpoch:     release.Epoch(encoded.Right),
+		SecondsSinceHeard: encoded.Heard,
+		SecondsBehind:     encoded.Behind,
+		BlockedBy:         encoded.Stuck,
+		EjectionReason:    encoded.Out,
+		Build:             encoded.Build,
+		Reported:          encoded.Known,
+	}
+	return status, errors.Join(checkNames(encoded.Name, encoded.Stuck, encoded.Out, encoded.Build),
+		checkFinite(encoded.Heard), checkFinite(encoded.Behind))
 }
--- a/internal/wire/fleet/consensus.go
+++ b/internal/wire/fleet/consensus.go
@@ -57,82 +57,87 @@
 }
 
 // decodeConsensus decodes a message between voters.
-func decodeConsensus(p *Voting) (*consensus.Message, error) {
-	m := &consensus.Message{From: p.From, To: p.To, ClusterID: p.Founding, RequestReleaseLog: p.Ask}
+func decodeConsensus(encoded *Voting) (*consensus.Message, error) {
+	message := &consensus.Message{
+		From:              encoded.From,
+		To:                encoded.To,
+		ClusterID:         encoded.Founding,
+		RequestReleaseLog: encoded.Ask,
+	}
 	var err error
-	if p.Beacon != nil {
-		if m.Heartbeat, err = decodeHeartbeat(p.Beacon); err != nil {
+	if encoded.Beacon != nil {
+		if message.Heartbeat, err = decodeHeartbeat(encoded.Beacon); err != nil {
 			return nil, err
 		}
 	}
-	if p.Found != nil {
-		if m.Bootstrap, err = decodeBootstrap(p.Found); err != nil {
+	if encoded.Found != nil {
+		if message.Bootstrap, err = decodeBootstrap(encoded.Found); err != nil {
 			return nil, err
 		}
 	}
-	if p.Tell != nil {
-		if m.ReleaseLog, err = decodeReleaseLog(p.Tell); err != nil {
+	if encoded.Tell != nil {
+		if message.ReleaseLog, err = decodeReleaseLog(encoded.Tell); err != nil {
 			return nil, err
 		}
 	}
-	if len(p.Raft) > 0 {
-		if m.Raft, err = decodeRaft(p); err != nil {
+	if len(encoded.Raft) > 0 {
+		if message.Raft, err = decodeRaft(encoded); err != nil {
 			return nil, err
 		}
 	}
-	empty := m.Heartbeat == nil && m.Bootstrap == nil && m.ReleaseLog == nil && m.Raft == nil
-	if empty && !m.RequestReleaseLog {
+	empty := message.Heartbeat == nil && message.Bootstrap == nil && message.ReleaseLog == nil && message.Raft == nil
+	if empty && !message.RequestReleaseLog {
 		return nil, ErrUnknownBody
 	}
-	return m, nil
+	return message, nil
 }
 
-func encodeHeartbeat(h *consensus.Heartbeat) *Beacon {
+func encodeHeartbeat(heartbeat *consensus.Heartbeat) *Beacon {
 	return &Beacon{
-		Name:     h.Name,
-		Life:     h.Incarnation,
-		Founding: h.ClusterID,
-		Known:    h.NewestClusterID,
-		Count:    h.AppliedCount,
-		Heard:    h.DetachedVoters,
-		Seats:    h.Voters,
+		Name:     heartbeat.Name,
+		Life:     heartbeat.Incarnation,
+		Founding: heartbeat.ClusterID,
+		Known:    heartbeat.NewestClusterID,
+		Count:    heartbeat.AppliedCount,
+		Heard:    heartbeat.DetachedVoters,
+		Seats:    heartbeat.Voters,
 	}
 }
 
-func decodeHeartbeat(p *Beacon) (*consensus.Heartbeat, error) {
-	if len(p.Heard) > maxListEntries || len(p.Seats) > maxListEntries || len(p.Name) > maxName {
+func decodeHeartbeat(encoded *Beacon) (*consensus.Heartbeat, error) {
+	if len(encoded.Heard) > maxListEntries || len(encoded.Seats) > maxListEntries || len(encoded.Name) > maxName {
 		return nil, ErrTooLarge
 	}
 	return &consensus.Heartbeat{
-		Name:            p.Name,
-		Incarnation:     p.Life,
-		ClusterID:       p.Founding,
-		NewestClusterID: p.Known,
-		AppliedCount:    p.Count,
-		DetachedVoters:  p.Heard,
-		Voters:          p.Seats,
+		Name:            encoded.Name,
+		Incarnation:     encoded.Life,
+		ClusterID:       encoded.Founding,
+		NewestClusterID: encoded.Known,
+		AppliedCount:    encoded.Count,
+		DetachedVoters:  encoded.Heard,
+		Voters:          encoded.Seats,
 	}, nil
 }
 
-func decodeBootstrap(p *Foundation) (*consensus.Bootstrap, error) {
-	if len(p.Seats) > maxListEntries || p.Order == nil || p.Founding == 0 {
+func decodeBootstrap(encoded *Foundation) (*consensus.Bootstrap, error) {
+	if len(encoded.Seats) > maxListEntries || encoded.Order == nil || encoded.Founding == 0 {
 		return nil, ErrTooLarge
 	}
-	log, err := decodeReleaseLog(p.Order)
+	log, err := decodeReleaseLog(encoded.Order)
 	if err != nil {
 		return nil, err
 	}
-	return &consensus.Bootstrap{ClusterID: p.Founding, Voters: p.Seats, ReleaseLog: log}, nil
+	return &consensus.Bootstrap{ClusterID: encoded.Founding, Voters: encoded.Seats, ReleaseLog: log}, nil
 }
 
 // decodeRaft decodes the consensus library's own message, which goes between the same two voters.
-func decodeRaft(p *Voting) (*raftpb.Message, error) {
-	m := &raftpb.Message{}
-	if err := proto.Unmarshal(p.Raft, m); err != nil {
+func decodeRaft(encoded *Voting) (*raftpb.Message, error) {
+	message := &raftpb.Message{}
+	if err := proto.Unmarshal(encoded.Raft, message); err != nil {
 		return nil, err
 	}
-	if m.Type == nil || m.GetFrom() != p.From || m.GetTo() != p.To {
+	if message.Type == nil || message.GetFrom() != encoded.From || message.GetTo() != encoded.To {
 		return nil, ErrOutOfRange
 	}
-	return m, nil
+	return message, nil
 }
--- a/internal/wire/fleet/counters.go
+++ b/internal/wire/fleet/counters.go
@@ -27,26 +27,26 @@
 	return true, err
 }
 
-func encodeCounts(cells []serving.CounterCell) (p []*Count) {
-	for _, c := range cells {
-		p = append(p, &Count{
-			Tenant:    c.Tenant,
-			Stage:     c.Class,
-			Asked:     c.Received,
-			Finished:  c.Finished,
-			Rejected:  c.Rejected,
-			Abandoned: c.Abandoned,
+func encodeCounts(cells []serving.CounterCell) (encoded []*Count) {
+	for _, cell := range cells {
+		encoded = append(encoded, &Count{
+			Tenant:    cell.Tenant,
+			Stage:     cell.Class,
+			Asked:     cell.Received,
+			Finished:  cell.Finished,
+			Rejected:  cell.Rejected,
+			Abandoned: cell.Abandoned,
 		})
 	}
-	return p
+	return encoded
 }
 
 // decodeCounts decodes cells, which are sorted and unique.
-func decodeCounts(p []*Count) (cells []serving.CounterCell, err error) {
-	if len(p) > maxMapEntries+1 {
+func decodeCounts(encoded []*Count) (cells []serving.CounterCell, err error) {
+	if len(encoded) > maxMapEntries+1 {
 		return nil, ErrTooLarge
 	}
-	for i, one := range p {
+	for i, one := range encoded {
 		cell := decodeCounterCell(one)
 		if err := checkNames(cell.Tenant, cell.Class); err != nil {
 			return nil, err
@@ -59,14 +59,14 @@
 	return cells, nil
 }
 
-func decodeCounterCell(p *Count) serving.CounterCell {
+func decodeCounterCell(encoded *Count) serving.CounterCell {
 	return serving.CounterCell{
-		CounterKey: serving.CounterKey{Tenant: p.GetTenant(), Class: p.GetStage()},
+		CounterKey: serving.CounterKey{Tenant: encoded.GetTenant(), Class: encoded.GetStage()},
 		RequestCounts: serving.RequestCounts{
-			Received:  p.GetAsked(),
-			Finished:  p.GetFinished(),
-			Rejected:  p.GetRejected(),
-			Abandoned: p.GetAbandoned(),
+			Received:  encoded.GetAsked(),
+			Finished:  encoded.GetFinished(),
+			Rejected:  encoded.GetRejected(),
+			Abandoned: encoded.GetAbandoned(),
 		},
 	}
 }
@@ -75,62 +75,62 @@
 	return &Packet_Row{encodeCounterRow(m.CounterReport)}, nil
 }
 
-func encodeCounterRow(r *counter.RowReport) *Row {
+func encodeCounterRow(row *counter.RowReport) *Row {
 	return &Row{
-		Name:   r.Server,
-		Life:   r.Incarnation,
-		Row:    r.RowID,
-		Number: r.Sequence,
-		Base:   r.BaseSequence,
-		Closes: r.Closing,
-		Stands: r.FrozenSequence,
-		Cells:  encodeCounts(r.Cells),
-		Sits:   r.Aggregators,
-	}
-}
-
-func decodeCounterRow(p *Row) (*counter.RowReport, error) {
-	r := &counter.RowReport{
-		Server:         p.GetName(),
-		Incarnation:    p.GetLife(),
-		RowID:          p.GetRow(),
-		Sequence:       p.GetNumber(),
-		BaseSequence:   p.GetBase(),
-		Closing:        p.GetCloses(),
-		FrozenSequence: p.GetStands(),
-		Aggregators:    p.GetSits(),
-	}
-	if err := errors.Join(checkNames(r.Server), checkAggregatorCount(r.Aggregators)); err != nil {
+		Name:   row.Server,
+		Life:   row.Incarnation,
+		Row:    row.RowID,
+		Number: row.Sequence,
+		Base:   row.BaseSequence,
+		Closes: row.Closing,
+		Stands: row.FrozenSequence,
+		Cells:  encodeCounts(row.Cells),
+		Sits:   row.Aggregators,
+	}
+}
+
+func decodeCounterRow(encoded *Row) (*counter.RowReport, error) {
+	row := &counter.RowReport{
+		Server:         encoded.GetName(),
+		Incarnation:    encoded.GetLife(),
+		RowID:          encoded.GetRow(),
+		Sequence:       encoded.GetNumber(),
+		BaseSequence:   encoded.GetBase(),
+		Closing:        encoded.GetCloses(),
+		FrozenSequence: encoded.GetStands(),
+		Aggregators:    encoded.GetSits(),
+	}
+	if err := errors.Join(checkNames(row.Server), checkAggregatorCount(row.Aggregators)); err != nil {
 		return nil, err
 	}
 	var err error
-	if r.Cells, err = decodeCounts(p.GetCells()); err != nil {
+	if row.Cells, err = decodeCounts(encoded.GetCells()); err != nil {
 		return nil, err
 	}
-	if r.BaseSequence > r.Sequence || r.FrozenSequence > r.Sequence {
+	if row.BaseSequence > row.Sequence || row.FrozenSequence > row.Sequence {
 		return nil, ErrOutOfRange
 	}
-	return r, nil
+	return row, nil
 }
 
 // encodeClosedRows encodes rows as the release log and its commands have them.
-func encodeClosedRows(rows []release.CounterRow) (p []*Row) {
-	for _, r := range rows {
-		p = append(p, &Row{Row: r.ID, Number: r.Sequence, Cells: encodeCounts(r.Cells)})
+func encodeClosedRows(rows []release.CounterRow) (encoded []*Row) {
+	for _, row := range rows {
+		encoded = append(encoded, &Row{Row: row.ID, Number: row.Sequence, Cells: encodeCounts(row.Cells)})
 	}
-	return p
+	return encoded
 }
 
-func decodeClosedRows(p []*Row) (rows []release.CounterRow, err error) {
-	if len(p) > maxMapEntries {
+func decodeClosedRows(encoded []*Row) (rows []release.CounterRow, err error) {
+	if len(encoded) > maxMapEntries {
 		return nil, ErrTooLarge
 	}
-	for _, one := range p {
-		r, err := decodeCounterRow(one)
+	for _, one := range encoded {
+		row, err := decodeCounterRow(one)
 		if err != nil {
 			return nil, err
 		}
-		rows = append(rows, release.CounterRow{ID: r.RowID, Sequence: r.Sequence, Cells: r.Cells})
+		rows = append(rows, release.CounterRow{ID: row.RowID, Sequence: row.Sequence, Cells: row.Cells})
 	}
 	return rows, nil
 }
@@ -143,12 +143,12 @@
 	return &RowHeard{Row: a.RowID, Number: a.Sequence, Over: a.Closed, Sits: a.Aggregators}
 }
 
-func decodeCounterAck(p *RowHeard) counter.RowAck {
+func decodeCounterAck(encoded *RowHeard) counter.RowAck {
 	return counter.RowAck{
-		RowID:       p.GetRow(),
-		Sequence:    p.GetNumber(),
-		Closed:      p.GetOver(),
-		Aggregators: p.GetSits(),
+		RowID:       encoded.GetRow(),
+		Sequence:    encoded.GetNumber(),
+		Closed:      encoded.GetOver(),
+		Aggregators: encoded.GetSits(),
 	}
 }
 
@@ -161,50 +161,58 @@
 }
 
 func encodeCounterSyncRequest(m *Envelope) (isPacket_Body, error) {
-	q := m.CounterSyncRequest
-	p := &AskRows{Number: q.Number, All: q.All, After: q.After, Sits: q.Aggregators}
-	for _, row := range q.Rows {
-		p.Rows = append(p.Rows, encodeCounterAck(row))
+	query := m.CounterSyncRequest
+	encoded := &AskRows{Number: query.Number, All: query.All, After: query.After, Sits: query.Aggregators}
+	for _, row := range query.Rows {
+		encoded.Rows = append(encoded.Rows, encodeCounterAck(row))
 	}
-	return &Packet_AskRows{p}, nil
+	return &Packet_AskRows{encoded}, nil
 }
 
-func decodeCounterSyncRequest(p *AskRows) (*counter.RowQuery, error) {
-	if len(p.Rows) > maxListEntries {
+func decodeCounterSyncRequest(encoded *AskRows) (*counter.RowQuery, error) {
+	if len(encoded.Rows) > maxListEntries {
 		return nil, ErrTooLarge
 	}
-	q := &counter.RowQuery{Number: p.Number, All: p.All, After: p.After, Aggregators: p.Sits}
-	for _, row := range p.Rows {
-		q.Rows = append(q.Rows, decodeCounterAck(row))
+	query := &counter.RowQuery{
+		Number:      encoded.Number,
+		All:         encoded.All,
+		After:       encoded.After,
+		Aggregators: encoded.Sits,
+	}
+	for _, row := range encoded.Rows {
+		query.Rows = append(query.Rows, decodeCounterAck(row))
 	}
-	return q, checkAggregatorCount(q.Aggregators)
+	return query, checkAggregatorCount(query.Aggregators)
 }
 
 func encodeCounterSyncReply(m *Envelope) (isPacket_Body, error) {
-	r := m.CounterSyncReply
-	p := &Rows{Number: r.Number, Cold: r.Recovering, More: r.More, Sits: r.Aggregators}
-	for i := range r.Rows {
-		p.Rows = append(p.Rows, encodeCounterRow(&r.Rows[i]))
+	reply := m.CounterSyncReply
+	encoded := &Rows{Number: reply.Number, Cold: reply.Recovering, More: reply.More, Sits: reply.Aggregators}
+	for i := range reply.Rows {
+		encoded.Rows = append(encoded.Rows, encodeCounterRow(&reply.Rows[i]))
 	}
-	return &Packet_Rows{p}, nil
+	return &Packet_Rows{encoded}, nil
 }
 
-func decodeCounterSyncReply(p *Rows) (*counter.RowQueryReply, error) {
-	if len(p.Sits) > maxListEntries || len(p.Rows) > maxMapEntries || p.More && len(p.Rows) == 0 {
+func decodeCounterSyncReply(encoded *Rows) (*counter.RowQueryReply, error) {
+	if len(encoded.Sits) > maxListEntries || len(encoded.Rows) > maxMapEntries {
+		return nil, ErrTooLarge
+	}
+	if encoded.More && len(encoded.Rows) == 0 {
 		return nil, ErrTooLarge
 	}
-	r := &counter.RowQueryReply{
-		Number:      p.Number,
-		Recovering:  p.Cold,
-		More:        p.More,
-		Aggregators: p.Sits,
+	reply := &counter.RowQueryReply{
+		Number:      encoded.Number,
+		Recovering:  encoded.Cold,
+		More:        encoded.More,
+		Aggregators: encoded.Sits,
 	}
-	for _, one := range p.Rows {
+	for _, one := range encoded.Rows {
 		row, err := decodeCounterRow(one)
 		if err != nil {
 			return nil, err
 		}
-		r.Rows = append(r.Rows, *row)
+		reply.Rows = append(reply.Rows, *row)
 	}
-	return r, nil
+	return reply, nil
 }
--- a/internal/wire/fleet/health.go
+++ b/internal/wire/fleet/health.go
@@ -7,43 +7,43 @@
 )
 
 func encodeHealthReports(m *Envelope) (isPacket_Body, error) {
-	p := &Healths{}
-	for _, r := range m.HealthReports {
-		p.Words = append(p.Words, &Health{
-			Name:   r.Server,
-			Zone:   r.Zone,
-			Life:   r.Incarnation,
-			Number: r.Sequence,
-			Age:    r.AgeSeconds,
-			Well:   uint32(r.Tally.Succeeded),
-			Lost:   uint32(r.Tally.Failed),
-			Took:   r.Tally.SuccessSeconds,
+	encoded := &Healths{}
+	for _, report := range m.HealthReports {
+		encoded.Words = append(encoded.Words, &Health{
+			Name:   report.Server,
+			Zone:   report.Zone,
+			Life:   report.Incarnation,
+			Number: report.Sequence,
+			Age:    report.AgeSeconds,
+			Well:   uint32(report.Tally.Succeeded),
+			Lost:   uint32(report.Tally.Failed),
+			Took:   report.Tally.SuccessSeconds,
 		})
 	}
-	return &Packet_Healths{p}, nil
+	return &Packet_Healths{encoded}, nil
 }
 
 // decodeHealthReports decodes servers' reports; the list is not nil, as an empty one counts.
-func decodeHealthReports(p *Healths) ([]circuitbreaker.Report, error) {
-	if len(p.Words) > circuitbreaker.MaxReports {
+func decodeHealthReports(encoded *Healths) ([]circuitbreaker.Report, error) {
+	if len(encoded.Words) > circuitbreaker.MaxReports {
 		return nil, ErrTooLarge
 	}
 	reports := []circuitbreaker.Report{}
-	for _, w := range p.Words {
-		err := errors.Join(checkNames(w.Name, w.Zone), checkCount(w.Age), checkCount(w.Took))
+	for _, report := range encoded.Words {
+		err := errors.Join(checkNames(report.Name, report.Zone), checkCount(report.Age), checkCount(report.Took))
 		if err != nil {
 			return nil, err
 		}
 		reports = append(reports, circuitbreaker.Report{
-			Server:      w.Name,
-			Zone:        w.Zone,
-			Incarnation: w.Life,
-			Sequence:    w.Number,
-			AgeSeconds:  w.Age,
+			Server:      report.Name,
+			Zone:        report.Zone,
+			Incarnation: report.Life,
+			Sequence:    report.Number,
+			AgeSeconds:  report.Age,
 			Tally: circuitbreaker.Tally{
-				Succeeded:      int(w.Well),
-				Failed:         int(w.Lost),
-				SuccessSeconds: w.Took,
+				Succeeded:      int(report.Well),
+				Failed:         int(report.Lost),
+				SuccessSeconds: report.Took,
 			},
 		})
 	}
--- a/internal/wire/fleet/lease.go
+++ b/internal/wire/fleet/lease.go
@@ -9,65 +9,65 @@
 )
 
 func encodeLeaseRequest(m *Envelope) (isPacket_Body, error) {
-	r := m.LeaseRequest
+	request := m.LeaseRequest
 	return &Packet_Question{&Question{
-		Name:     r.Name,
-		Life:     r.Incarnation,
-		Number:   r.Number,
-		Addr:     r.Addr,
-		Epoch:    uint64(r.ActiveEpoch),
-		Stuck:    truncate(r.BlockedBy),
-		Ended:    r.ErrorTally.Completed,
-		Harmed:   r.ErrorTally.Failed,
-		Build:    r.Build,
-		MayLeave: r.MayGoOutOfService,
-		Proof:    r.Nonce,
+		Name:     request.Name,
+		Life:     request.Incarnation,
+		Number:   request.Number,
+		Addr:     request.Addr,
+		Epoch:    uint64(request.ActiveEpoch),
+		Stuck:    truncate(request.BlockedBy),
+		Ended:    request.ErrorTally.Completed,
+		Harmed:   request.ErrorTally.Failed,
+		Build:    request.Build,
+		MayLeave: request.MayGoOutOfService,
+		Proof:    request.Nonce,
 	}}, nil
 }
 
-func decodeLeaseRequest(p *Question) (*lease.Request, error) {
-	r := &lease.Request{
-		Name:              p.Name,
-		Incarnation:       p.Life,
-		Number:            p.Number,
-		Addr:              p.Addr,
-		ActiveEpoch:       release.Epoch(p.Epoch),
-		BlockedBy:         p.Stuck,
-		ErrorTally:        release.ErrorTally{Completed: p.Ended, Failed: p.Harmed},
-		Build:             p.Build,
-		MayGoOutOfService: p.MayLeave,
-		Nonce:             p.Proof,
+func decodeLeaseRequest(encoded *Question) (*lease.Request, error) {
+	request := &lease.Request{
+		Name:              encoded.Name,
+		Incarnation:       encoded.Life,
+		Number:            encoded.Number,
+		Addr:              encoded.Addr,
+		ActiveEpoch:       release.Epoch(encoded.Epoch),
+		BlockedBy:         encoded.Stuck,
+		ErrorTally:        release.ErrorTally{Completed: encoded.Ended, Failed: encoded.Harmed},
+		Build:             encoded.Build,
+		MayGoOutOfService: encoded.MayLeave,
+		Nonce:             encoded.Proof,
 	}
-	return r, errors.Join(checkNames(p.Name, p.Addr, p.Stuck, p.Build),
-		checkCount(p.Ended), checkCount(p.Harmed), checkNotAbove(p.Harmed, p.Ended))
+	return request, errors.Join(checkNames(encoded.Name, encoded.Addr, encoded.Stuck, encoded.Build),
+		checkCount(encoded.Ended), checkCount(encoded.Harmed), checkNotAbove(encoded.Harmed, encoded.Ended))
 }
 
 func encodeLeaseReply(m *Envelope) (isPacket_Body, error) {
-	r := m.LeaseReply
+	reply := m.LeaseReply
 	return &Packet_Answer{&Answer{
-		Life:     r.Incarnation,
-		Number:   r.Number,
-		Verdict:  uint32(r.Verdict),
-		For:      r.Duration,
-		Right:    uint64(r.AssignedEpoch),
-		MayLeave: r.MayGoOutOfService,
-		Leader:   r.Leader,
-		Why:      truncate(r.Reason),
-		Proof:    r.Nonce,
+		Life:     reply.Incarnation,
+		Number:   reply.Number,
+		Verdict:  uint32(reply.Verdict),
+		For:      reply.Duration,
+		Right:    uint64(reply.AssignedEpoch),
+		MayLeave: reply.MayGoOutOfService,
+		Leader:   reply.Leader,
+		Why:      truncate(reply.Reason),
+		Proof:    reply.Nonce,
 	}}, nil
 }
 
-func decodeLeaseReply(p *Answer) (*lease.Reply, error) {
-	r := &lease.Reply{
-		Incarnation:       p.Life,
-		Number:            p.Number,
-		Verdict:           lease.Verdict(min(p.Verdict, math.MaxUint8)),
-		Duration:          p.For,
-		AssignedEpoch:     release.Epoch(p.Right),
-		MayGoOutOfService: p.MayLeave,
-		Leader:            p.Leader,
-		Reason:            p.Why,
-		Nonce:             p.Proof,
+func decodeLeaseReply(encoded *Answer) (*lease.Reply, error) {
+	reply := &lease.Reply{
+		Incarnation:       encoded.Life,
+		Number:            encoded.Number,
+		Verdict:           lease.Verdict(min(encoded.Verdict, math.MaxUint8)),
+		Duration:          encoded.For,
+		AssignedEpoch:     release.Epoch(encoded.Right),
+		MayGoOutOfService: encoded.MayLeave,
+		Leader:            encoded.Leader,
+		Reason:            encoded.Why,
+		Nonce:             encoded.Proof,
 	}
-	return r, errors.Join(checkNames(p.Leader, p.Why), checkCount(p.For))
+	return reply, errors.Join(checkNames(encoded.Leader, encoded.Why), checkCount(encoded.For))
 }
--- a/internal/wire/fleet/loadplan.go
+++ b/internal/wire/fleet/loadplan.go
@@ -23,22 +23,22 @@
 	return &PlanNumber{Founding: v.ClusterID, Term: v.Term, Seq: v.Sequence}
 }
 
-func decodePlanVersion(p *PlanNumber) loadplan.Version {
-	return loadplan.Version{ClusterID: p.GetFounding(), Term: p.GetTerm(), Sequence: p.GetSeq()}
+func decodePlanVersion(encoded *PlanNumber) loadplan.Version {
+	return loadplan.Version{ClusterID: encoded.GetFounding(), Term: encoded.GetTerm(), Sequence: encoded.GetSeq()}
 }
 
-func encodeRates(rates []loadplan.TenantRate) (p []*PlanDemand) {
+func encodeRates(rates []loadplan.TenantRate) (encoded []*PlanDemand) {
 	for _, r := range rates {
-		p = append(p, &PlanDemand{Tenant: r.Tenant, Rate: r.Rate})
+		encoded = append(encoded, &PlanDemand{Tenant: r.Tenant, Rate: r.Rate})
 	}
-	return p
+	return encoded
 }
 
-func decodeRates(p []*PlanDemand) (rates []loadplan.TenantRate, err error) {
-	if len(p) > maxMapEntries {
+func decodeRates(encoded []*PlanDemand) (rates []loadplan.TenantRate, err error) {
+	if len(encoded) > maxMapEntries {
 		return nil, ErrTooLarge
 	}
-	for _, one := range p {
+	for _, one := range encoded {
 		if err := errors.Join(checkNames(one.Tenant), checkCount(one.Rate)); err != nil {
 			return nil, err
 		}
@@ -48,89 +48,90 @@
 }
 
 func encodeForwarderReport(m *Envelope) (isPacket_Body, error) {
-	r := m.ForwarderReport
-	p := &PlanReport{
-		Name:   r.Name,
-		Life:   r.Incarnation,
-		Number: r.Sequence,
-		For:    r.IntervalSeconds,
-		Holds:  encodePlanVersion(r.CurrentVersion),
-		Demand: encodeRates(r.Demand),
+	report := m.ForwarderReport
+	encoded := &PlanReport{
+		Name:   report.Name,
+		Life:   report.Incarnation,
+		Number: report.Sequence,
+		For:    report.IntervalSeconds,
+		Holds:  encodePlanVersion(report.CurrentVersion),
+		Demand: encodeRates(report.Demand),
 	}
-	for _, w := range r.Workers {
-		p.Workers = append(p.Workers, &PlanSeen{
-			Name:     w.Name,
-			Linked:   w.Connected,
-			Open:     uint32(w.InFlight),
-			Finished: uint32(w.Finished),
-			Rejected: uint32(w.Rejected),
-			Lost:     uint32(w.Lost),
+	for _, worker := range report.Workers {
+		encoded.Workers = append(encoded.Workers, &PlanSeen{
+			Name:     worker.Name,
+			Linked:   worker.Connected,
+			Open:     uint32(worker.InFlight),
+			Finished: uint32(worker.Finished),
+			Rejected: uint32(worker.Rejected),
+			Lost:     uint32(worker.Lost),
 		})
 	}
-	return &Packet_PlanReport{p}, nil
+	return &Packet_PlanReport{encoded}, nil
 }
 
-func decodeForwarderReport(p *PlanReport) (*loadplan.Report, error) {
-	if len(p.Workers) > maxMapEntries {
+func decodeForwarderReport(encoded *PlanReport) (*loadplan.Report, error) {
+	if len(encoded.Workers) > maxMapEntries {
 		return nil, ErrTooLarge
 	}
-	r := &loadplan.Report{
-		Name:            p.Name,
-		Incarnation:     p.Life,
-		Sequence:        p.Number,
-		IntervalSeconds: p.For,
-		CurrentVersion:  decodePlanVersion(p.Holds),
+	report := &loadplan.Report{
+		Name:            encoded.Name,
+		Incarnation:     encoded.Life,
+		Sequence:        encoded.Number,
+		IntervalSeconds: encoded.For,
+		CurrentVersion:  decodePlanVersion(encoded.Holds),
 	}
-	for _, w := range p.Workers {
-		if err := checkNames(w.Name); err != nil {
+	for _, worker := range encoded.Workers {
+		if err := checkNames(worker.Name); err != nil {
 			return nil, err
 		}
-		r.Workers = append(r.Workers, loadplan.WorkerStats{
-			Name:      w.Name,
-			Connected: w.Linked,
-			InFlight:  int(w.Open),
-			Finished:  int(w.Finished),
-			Rejected:  int(w.Rejected),
-			Lost:      int(w.Lost),
+		report.Workers = append(report.Workers, loadplan.WorkerStats{
+			Name:      worker.Name,
+			Connected: worker.Linked,
+			InFlight:  int(worker.Open),
+			Finished:  int(worker.Finished),
+			Rejected:  int(worker.Rejected),
+			Lost:      int(worker.Lost),
 		})
 	}
 	var err error
-	r.Demand, err = decodeRates(p.Demand)
-	return r, errors.Join(err, checkNames(r.Name), checkCount(r.IntervalSeconds))
+	report.Demand, err = decodeRates(encoded.Demand)
+	return report, errors.Join(err, checkNames(report.Name), checkCount(report.IntervalSeconds))
 }
 
 func encodePlanAssignment(m *Envelope) (isPacket_Body, error) {
-	s := m.PlanAssignment
-	p := &PlanPart{
-		Number:  encodePlanVersion(s.Version),
-		For:     s.Incarnation,
-		Answers: s.ReportSequence,
-		Lease:   s.LeaseSeconds,
-		Rates:   encodeRates(s.RateLimits),
+	assignment := m.PlanAssignment
+	encoded := &PlanPart{
+		Number:  encodePlanVersion(assignment.Version),
+		For:     assignment.Incarnation,
+		Answers: assignment.ReportSequence,
+		Lease:   assignment.LeaseSeconds,
+		Rates:   encodeRates(assignment.RateLimits),
 	}
-	for _, w := range s.Weights {
-		p.Weights = append(p.Weights, &PlanWeight{Name: w.Name, Part: float32(w.Weight)})
+	for _, weight := range assignment.Weights {
+		encoded.Weights = append(encoded.Weights, &PlanWeight{Name: weight.Name, Part: float32(weight.Weight)})
 	}
-	return &Packet_PlanPart{p}, nil
+	return &Packet_PlanPart{encoded}, nil
 }
 
-func decodePlanAssignment(p *PlanPart) (*loadplan.Assignment, error) {
-	if len(p.Weights) > maxMapEntries {
+func decodePlanAssignment(encoded *PlanPart) (*loadplan.Assignment, error) {
+	if len(encoded.Weights) > maxMapEntries {
 		return nil, ErrTooLarge
 	}
-	s := &loadplan.Assignment{
-		Version:        decodePlanVersion(p.Number),
-		Incarnation:    p.For,
-		ReportSequence: p.Answers,
-		LeaseSeconds:   p.Lease,
+	assignment := &loadplan.Assignment{
+		Version:        decodePlanVersion(encoded.Number),
+		Incarnation:    encoded.For,
+		ReportSequence: encoded.Answers,
+		LeaseSeconds:   encoded.Lease,
 	}
-	for _, w := range p.Weights {
-		if err := errors.Join(checkNames(w.Name), checkCount(float64(w.Part))); err != nil {
+	for _, weight := range encoded.Weights {
+		if err := errors.Join(checkNames(weight.Name), checkCount(float64(weight.Part))); err != nil {
 			return nil, err
 		}
-		s.Weights = append(s.Weights, loadplan.WorkerWeight{Name: w.Name, Weight: float64(w.Part)})
+		decoded := loadplan.WorkerWeight{Name: weight.Name, Weight: float64(weight.Part)}
+		assignment.Weights = append(assignment.Weights, decoded)
 	}
 	var err error
-	s.RateLimits, err = decodeRates(p.Rates)
-	return s, errors.Join(err, checkCount(s.LeaseSeconds))
+	assignment.RateLimits, err = decodeRates(encoded.Rates)
+	return assignment, errors.Join(err, checkCount(assignment.LeaseSeconds))
 }
--- a/internal/wire/fleet/quota.go
+++ b/internal/wire/fleet/quota.go
@@ -7,65 +7,65 @@
 )
 
 func encodeQuotaRequest(m *Envelope) (isPacket_Body, error) {
-	r := m.QuotaRequest
-	p := &Wishing{Number: r.Number, Terms: r.ConfigHash, Granter: r.GrantorID}
-	for _, d := range r.Demands {
-		p.Wishes = append(p.Wishes, &Wish{
-			Name:   d.Name,
-			Demand: d.Requested,
-			Open:   d.InUse,
-			Part:   d.LeasedShare,
-			Left:   d.RemainingSeconds,
-			Answer: d.GrantNumber,
+	request := m.QuotaRequest
+	encoded := &Wishing{Number: request.Number, Terms: request.ConfigHash, Granter: request.GrantorID}
+	for _, demand := range request.Demands {
+		encoded.Wishes = append(encoded.Wishes, &Wish{
+			Name:   demand.Name,
+			Demand: demand.Requested,
+			Open:   demand.InUse,
+			Part:   demand.LeasedShare,
+			Left:   demand.RemainingSeconds,
+			Answer: demand.GrantNumber,
 		})
 	}
-	return &Packet_Wishing{p}, nil
+	return &Packet_Wishing{encoded}, nil
 }
 
 // decodeQuotaRequest decodes a server's request. The grantor bounds the demands; here only what is
 // no number is rejected.
-func decodeQuotaRequest(p *Wishing) (*quota.Request, error) {
-	if len(p.Wishes) > quota.MaxEntries {
+func decodeQuotaRequest(encoded *Wishing) (*quota.Request, error) {
+	if len(encoded.Wishes) > quota.MaxEntries {
 		return nil, ErrTooLarge
 	}
-	r := &quota.Request{Number: p.Number, ConfigHash: p.Terms, GrantorID: p.Granter}
-	for _, w := range p.Wishes {
-		err := errors.Join(checkNames(w.Name),
-			checkCount(w.Demand), checkCount(w.Open), checkCount(w.Part), checkCount(w.Left))
+	request := &quota.Request{Number: encoded.Number, ConfigHash: encoded.Terms, GrantorID: encoded.Granter}
+	for _, demand := range encoded.Wishes {
+		err := errors.Join(checkNames(demand.Name),
+			checkCount(demand.Demand), checkCount(demand.Open), checkCount(demand.Part), checkCount(demand.Left))
 		if err != nil {
 			return nil, err
 		}
-		r.Demands = append(r.Demands, quota.Demand{
-			Name:             w.Name,
-			Requested:        w.Demand,
-			InUse:            w.Open,
-			LeasedShare:      w.Part,
-			RemainingSeconds: w.Left,
-			GrantNumber:      w.Answer,
+		request.Demands = append(request.Demands, quota.Demand{
+			Name:             demand.Name,
+			Requested:        demand.Demand,
+			InUse:            demand.Open,
+			LeasedShare:      demand.Part,
+			RemainingSeconds: demand.Left,
+			GrantNumber:      demand.Answer,
 		})
 	}
-	return r, nil
+	return request, nil
 }
 
 func encodeQuotaReply(m *Envelope) (isPacket_Body, error) {
-	r := m.QuotaReply
-	p := &Granting{Life: r.Incarnation, Number: r.Number, Granter: r.GrantorID}
-	for _, g := range r.Grants {
-		p.Grants = append(p.Grants, &Grant{Name: g.Name, Part: g.LeasedShare})
+	reply := m.QuotaReply
+	encoded := &Granting{Life: reply.Incarnation, Number: reply.Number, Granter: reply.GrantorID}
+	for _, grant := range reply.Grants {
+		encoded.Grants = append(encoded.Grants, &Grant{Name: grant.Name, Part: grant.LeasedShare})
 	}
-	return &Packet_Granting{p}, nil
+	return &Packet_Granting{encoded}, nil
 }
 
-func decodeQuotaReply(p *Granting) (*quota.Reply, error) {
-	if len(p.Grants) > quota.MaxEntries {
+func decodeQuotaReply(encoded *Granting) (*quota.Reply, error) {
+	if len(encoded.Grants) > quota.MaxEntries {
 		return nil, ErrTooLarge
 	}
-	r := &quota.Reply{Incarnation: p.Life, Number: p.Number, GrantorID: p.Granter}
-	for _, g := range p.Grants {
-		if err := errors.Join(checkNames(g.Name), checkCount(g.Part)); err != nil {
+	reply := &quota.Reply{Incarnation: encoded.Life, Number: encoded.Number, GrantorID: encoded.Granter}
+	for _, grant := range encoded.Grants {
+		if err := errors.Join(checkNames(grant.Name), checkCount(grant.Part)); err != nil {
 			return nil, err
 		}
-		r.Grants = append(r.Grants, quota.Grant{Name: g.Name, LeasedShare: g.Part})
+		reply.Grants = append(reply.Grants, quota.Grant{Name: grant.Name, LeasedShare: grant.Part})
 	}
-	return r, nil
+	return reply, nil
 }
--- a/internal/wire/fleet/release.go
+++ b/internal/wire/fleet/release.go
@@ -37,117 +37,117 @@
 	return &Packet_Version{encodeVersion(m.Version)}, nil
 }
 
-func encodeVersion(v *release.Version) *Version {
-	if v == nil {
+func encodeVersion(version *release.Version) *Version {
+	if version == nil {
 		return nil
 	}
 	return &Version{
-		Epoch:  uint64(v.Epoch),
-		Digest: v.Digest,
-		Author: v.Author,
-		At:     v.ReleasedAt,
-		Text:   v.Text,
-		Build:  v.Build,
+		Epoch:  uint64(version.Epoch),
+		Digest: version.Digest,
+		Author: version.Author,
+		At:     version.ReleasedAt,
+		Text:   version.Text,
+		Build:  version.Build,
 	}
 }
 
-func decodeVersion(p *Version) (*release.Version, error) {
-	if len(p.Text) > maxText {
+func decodeVersion(encoded *Version) (*release.Version, error) {
+	if len(encoded.Text) > maxText {
 		return nil, ErrTooLarge
 	}
-	v := &release.Version{
-		Epoch:      release.Epoch(p.Epoch),
-		Digest:     p.Digest,
-		Author:     p.Author,
-		ReleasedAt: p.At,
-		Text:       p.Text,
-		Build:      p.Build,
+	version := &release.Version{
+		Epoch:      release.Epoch(encoded.Epoch),
+		Digest:     encoded.Digest,
+		Author:     encoded.Author,
+		ReleasedAt: encoded.At,
+		Text:       encoded.Text,
+		Build:      encoded.Build,
 	}
-	return v, errors.Join(checkNames(p.Digest, p.Author, p.Build), checkFinite(p.At))
+	return version, errors.Join(checkNames(encoded.Digest, encoded.Author, encoded.Build), checkFinite(encoded.At))
 }
 
-func encodeReleaseLog(l *release.Log) *Order {
-	if l == nil {
+func encodeReleaseLog(log *release.Log) *Order {
+	if log == nil {
 		return nil
 	}
-	p := &Order{
-		Count: l.AppliedCount,
-		Base:  encodeVersion(&l.Current),
-		Prior: encodeVersion(l.Previous),
-		Next:  encodeVersion(l.Next),
-		Waves: l.Waves,
-		Wave:  uint32(l.WaveIndex),
-		Upto:  l.WaveLimit,
-		Holds: l.Members,
-		Done:  l.LastCommandIDs,
-		Seats: l.Voters,
+	encoded := &Order{
+		Count: log.AppliedCount,
+		Base:  encodeVersion(&log.Current),
+		Prior: encodeVersion(log.Previous),
+		Next:  encodeVersion(log.Next),
+		Waves: log.Waves,
+		Wave:  uint32(log.WaveIndex),
+		Upto:  log.WaveLimit,
+		Holds: log.Members,
+		Done:  log.LastCommandIDs,
+		Seats: log.Voters,
 		Out:   map[string]*Outed{},
-		Over:  encodeClosedRows(l.ClosedRows),
-		Sums:  encodeCounts(l.ClosedTotals),
+		Over:  encodeClosedRows(log.ClosedRows),
+		Sums:  encodeCounts(log.ClosedTotals),
 	}
-	for _, e := range l.History {
-		p.Past = append(p.Past, &Mark{
-			Epoch:  uint64(e.Epoch),
-			Digest: e.Digest,
-			Author: e.Author,
-			At:     e.ReleasedAt,
-			Fate:   truncate(e.Outcome),
+	for _, entry := range log.History {
+		encoded.Past = append(encoded.Past, &Mark{
+			Epoch:  uint64(entry.Epoch),
+			Digest: entry.Digest,
+			Author: entry.Author,
+			At:     entry.ReleasedAt,
+			Fate:   truncate(entry.Outcome),
 		})
 	}
-	for name, e := range l.Ejected {
-		p.Out[name] = &Outed{
-			Life: e.Incarnation,
-			By:   e.Author,
-			Why:  e.Reason,
-			On:   uint64(e.Epoch),
-			At:   e.EjectedAt,
+	for name, entry := range log.Ejected {
+		encoded.Out[name] = &Outed{
+			Life: entry.Incarnation,
+			By:   entry.Author,
+			Why:  entry.Reason,
+			On:   uint64(entry.Epoch),
+			At:   entry.EjectedAt,
 		}
 	}
-	return p
+	return encoded
 }
 
-func decodeReleaseLog(p *Order) (*release.Log, error) {
-	if err := checkReleaseLog(p); err != nil {
+func decodeReleaseLog(encoded *Order) (*release.Log, error) {
+	if err := checkReleaseLog(encoded); err != nil {
 		return nil, err
 	}
-	l := (&release.Log{
-		AppliedCount:   p.Count,
-		Waves:          p.Waves,
-		WaveIndex:      int(p.Wave),
-		WaveLimit:      p.Upto,
-		Members:        p.Holds,
-		LastCommandIDs: p.Done,
-		Voters:         p.Seats,
+	log := (&release.Log{
+		AppliedCount:   encoded.Count,
+		Waves:          encoded.Waves,
+		WaveIndex:      int(encoded.Wave),
+		WaveLimit:      encoded.Upto,
+		Members:        encoded.Holds,
+		LastCommandIDs: encoded.Done,
+		Voters:         encoded.Seats,
 	}).Clone()
-	if err := decodeVersions(l, p); err != nil {
+	if err := decodeVersions(log, encoded); err != nil {
 		return nil, err
 	}
 	var err error
-	if l.History, err = decodeHistory(p.Past); err != nil {
+	if log.History, err = decodeHistory(encoded.Past); err != nil {
 		return nil, err
 	}
-	if l.ClosedRows, err = decodeClosedRows(p.Over); err != nil {
+	if log.ClosedRows, err = decodeClosedRows(encoded.Over); err != nil {
 		return nil, err
 	}
-	if l.ClosedTotals, err = decodeCounts(p.Sums); err != nil {
+	if log.ClosedTotals, err = decodeCounts(encoded.Sums); err != nil {
 		return nil, err
 	}
-	for name, out := range p.Out {
-		if l.Ejected[name], err = decodeEjection(name, out); err != nil {
+	for name, out := range encoded.Out {
+		if log.Ejected[name], err = decodeEjection(name, out); err != nil {
 			return nil, err
 		}
 	}
-	return l, nil
+	return log, nil
 }
 
 // checkReleaseLog checks the sizes of a release log.
-func checkReleaseLog(p *Order) error {
-	lists := max(len(p.Waves), len(p.Past), len(p.Done), len(p.Seats))
-	maps := max(len(p.Holds), len(p.Out))
-	if lists > maxListEntries || maps > maxMapEntries || p.Base == nil || p.Wave > maxListEntries {
+func checkReleaseLog(encoded *Order) error {
+	lists := max(len(encoded.Waves), len(encoded.Past), len(encoded.Done), len(encoded.Seats))
+	maps := max(len(encoded.Holds), len(encoded.Out))
+	if lists > maxListEntries || maps > maxMapEntries || encoded.Base == nil || encoded.Wave > maxListEntries {
 		return ErrTooLarge
 	}
-	for name := range p.Holds {
+	for name := range encoded.Holds {
 		if err := checkNames(name); err != nil {
 			return err
 		}
@@ -156,25 +156,25 @@
 }
 
 // decodeVersions decodes the versions of a release log; there need be no previous or next one.
-func decodeVersions(l *release.Log, p *Order) error {
-	current, err := decodeVersion(p.Base)
+func decodeVersions(log *release.Log, encoded *Order) error {
+	current, err := decodeVersion(encoded.Base)
 	if err != nil {
 		return err
 	}
-	l.Current = *current
-	if p.Prior != nil {
-		if l.Previous, err = decodeVersion(p.Prior); err != nil {
+	log.Current = *current
+	if encoded.Prior != nil {
+		if log.Previous, err = decodeVersion(encoded.Prior); err != nil {
 			return err
 		}
 	}
-	if p.Next != nil {
-		l.Next, err = decodeVersion(p.Next)
+	if encoded.Next != nil {
+		log.Next, err = decodeVersion(encoded.Next)
 	}
 	return err
 }
 
-func decodeHistory(p []*Mark) (history []release.HistoryEntry, err error) {
-	for _, one := range p {
+func decodeHistory(encoded []*Mark) (history []release.HistoryEntry, err error) {
+	for _, one := range encoded {
 		err := errors.Join(checkNames(one.Digest, one.Author, one.Fate), checkFinite(one.At))
 		if err != nil {
 			return nil, err
@@ -190,86 +190,87 @@
 	return history, nil
 }
 
-func decodeEjection(name string, p *Outed) (release.Ejection, error) {
-	e := release.Ejection{
-		Incarnation: p.GetLife(),
-		Author:      p.GetBy(),
-		Reason:      p.GetWhy(),
-		Epoch:       release.Epoch(p.GetOn()),
-		EjectedAt:   p.GetAt(),
+func decodeEjection(name string, encoded *Outed) (release.Ejection, error) {
+	ejection := release.Ejection{
+		Incarnation: encoded.GetLife(),
+		Author:      encoded.GetBy(),
+		Reason:      encoded.GetWhy(),
+		Epoch:       release.Epoch(encoded.GetOn()),
+		EjectedAt:   encoded.GetAt(),
 	}
-	return e, errors.Join(checkNames(name, e.Author, e.Reason), checkFinite(e.EjectedAt))
+	return ejection, errors.Join(checkNames(name, ejection.Author, ejection.Reason), checkFinite(ejection.EjectedAt))
 }
 
 func encodeCommandBody(m *Envelope) (isPacket_Body, error) {
 	return &Packet_Do{&Do{Command: encodeCommand(m.Command)}}, nil
 }
 
-func encodeCommand(c *release.Command) *Command {
+func encodeCommand(command *release.Command) *Command {
 	return &Command{
-		Kind:   uint32(c.Kind),
-		Id:     c.ID,
-		Author: c.Author,
-		At:     c.IssuedAt,
-		On:     uint64(c.ExpectedEpoch),
-		Text:   c.Text,
-		Build:  c.Build,
-		Digest: c.Digest,
-		Waves:  c.Waves,
-		Name:   c.Name,
-		Life:   c.Incarnation,
-		Was:    c.Previous,
-		Why:    truncate(c.Reason),
-		Rows:   encodeClosedRows(c.CounterRows),
+		Kind:   uint32(command.Kind),
+		Id:     command.ID,
+		Author: command.Author,
+		At:     command.IssuedAt,
+		On:     uint64(command.ExpectedEpoch),
+		Text:   command.Text,
+		Build:  command.Build,
+		Digest: command.Digest,
+		Waves:  command.Waves,
+		Name:   command.Name,
+		Life:   command.Incarnation,
+		Was:    command.Previous,
+		Why:    truncate(command.Reason),
+		Rows:   encodeClosedRows(command.CounterRows),
 	}
 }
 
-func decodeCommand(p *Command) (*release.Command, error) {
-	if p == nil {
+func decodeCommand(encoded *Command) (*release.Command, error) {
+	if encoded == nil {
 		return nil, ErrUnknownBody
 	}
-	if len(p.Text) > maxText || len(p.Waves) > maxListEntries {
+	if len(encoded.Text) > maxText || len(encoded.Waves) > maxListEntries {
 		return nil, ErrTooLarge
 	}
-	rows, err := decodeClosedRows(p.Rows)
+	rows, err := decodeClosedRows(encoded.Rows)
 	if err != nil {
 		return nil, err
 	}
-	c := &release.Command{
-		Kind:          release.Kind(min(p.Kind, math.MaxUint8)),
-		ID:            p.Id,
-		Author:        p.Author,
-		IssuedAt:      p.At,
-		ExpectedEpoch: release.Epoch(p.On),
-		Text:          p.Text,
-		Build:         p.Build,
-		Digest:        p.Digest,
-		Waves:         p.Waves,
-		Name:          p.Name,
-		Incarnation:   p.Life,
-		Previous:      p.Was,
-		Reason:        p.Why,
+	command := &release.Command{
+		Kind:          release.Kind(min(encoded.Kind, math.MaxUint8)),
+		ID:            encoded.Id,
+		Author:        encoded.Author,
+		IssuedAt:      encoded.At,
+		ExpectedEpoch: release.Epoch(encoded.On),
+		Text:          encoded.Text,
+		Build:         encoded.Build,
+		Digest:        encoded.Digest,
+		Waves:         encoded.Waves,
+		Name:          encoded.Name,
+		Incarnation:   encoded.Life,
+		Previous:      encoded.Was,
+		Reason:        encoded.Why,
 		CounterRows:   rows,
 	}
-	return c, errors.Join(checkNames(c.Author, c.Build, c.Digest, c.Name, c.Reason), checkFinite(c.IssuedAt))
+	names := checkNames(command.Author, command.Build, command.Digest, command.Name, command.Reason)
+	return command, errors.Join(names, checkFinite(command.IssuedAt))
 }
 
 func encodeCommandResult(m *Envelope) (isPacket_Body, error) {
-	r := m.CommandResult
+	result := m.CommandResult
 	return &Packet_Done{&Ended{
-		Id:      r.ID,
-		Refused: truncate(r.RejectReason),
-		Newest:  uint64(r.NewestEpoch),
+		Id:      result.ID,
+		Refused: truncate(result.RejectReason),
+		Newest:  uint64(result.NewestEpoch),
 	}}, nil
 }
 
-func decodeCommandResult(p *Ended) (*CommandResult, error) {
-	r := &CommandResult{
-		ID:           p.Id,
-		RejectReason: p.Refused,
-		NewestEpoch:  release.Epoch(p.Newest),
+func decodeCommandResult(encoded *Ended) (*CommandResult, error) {
+	result := &CommandResult{
+		ID:           encoded.Id,
+		RejectReason: encoded.Refused,
+		NewestEpoch:  release.Epoch(encoded.Newest),
 	}
-	return r, checkNames(p.Refused)
+	return result, checkNames(encoded.Refused)
 }
 
 // Codec encodes commands and release logs for the voters' log.
--- a/internal/wire/fleet/replication.go
+++ b/internal/wire/fleet/replication.go
@@ -38,78 +38,79 @@
 
 func encodeTerm(t replication.Term) *Sitting { return &Sitting{N: t.Number, Life: t.Incarnation} }
 
-func decodeTerm(p *Sitting) replication.Term {
-	return replication.Term{Number: p.GetN(), Incarnation: p.GetLife()}
+func decodeTerm(encoded *Sitting) replication.Term {
+	return replication.Term{Number: encoded.GetN(), Incarnation: encoded.GetLife()}
 }
 
-func encodeTerms(terms []replication.Term) (p []*Sitting) {
+func encodeTerms(terms []replication.Term) (encoded []*Sitting) {
 	for _, t := range terms {
-		p = append(p, encodeTerm(t))
+		encoded = append(encoded, encodeTerm(t))
 	}
-	return p
+	return encoded
 }
 
-func decodeTerms(p []*Sitting) (terms []replication.Term, err error) {
-	if len(p) > replication.MaxReplicationFactor {
+func decodeTerms(encoded []*Sitting) (terms []replication.Term, err error) {
+	if len(encoded) > replication.MaxReplicationFactor {
 		return nil, ErrTooLarge
 	}
-	for _, one := range p {
+	for _, one := range encoded {
 		terms = append(terms, decodeTerm(one))
 	}
 	return terms, nil
 }
 
-func encodeAttempt(a *replicastore.Attempt) *Try {
+func encodeAttempt(attempt *replicastore.Attempt) *Try {
 	return &Try{
-		At:     a.UnixMilli,
-		Who:    a.Incarnation,
-		N:      a.Sequence,
-		State:  uint32(a.State),
-		Sum:    a.ResultChecksum,
-		Result: a.Result,
+		At:     attempt.UnixMilli,
+		Who:    attempt.Incarnation,
+		N:      attempt.Sequence,
+		State:  uint32(attempt.State),
+		Sum:    attempt.ResultChecksum,
+		Result: attempt.Result,
 	}
 }
 
-func encodeAttempts(attempts []replicastore.Attempt) (p []*Try) {
+func encodeAttempts(attempts []replicastore.Attempt) (encoded []*Try) {
 	for i := range attempts {
-		p = append(p, encodeAttempt(&attempts[i]))
+		encoded = append(encoded, encodeAttempt(&attempts[i]))
 	}
-	return p
+	return encoded
 }
 
 // decodeAttempt decodes an attempt. A result that is not the one that was recorded is rejected.
-func decodeAttempt(p *Try) (a replicastore.Attempt, err error) {
-	if p == nil {
-		return a, ErrUnknownBody
-	}
-	a = replicastore.Attempt{
-		ClaimID:        decodeClaimID(p),
-		State:          replicastore.State(min(p.State, math.MaxUint8)),
-		ResultChecksum: p.Sum,
-		Result:         p.Result,
-	}
-	finished := a.State == replicastore.StateFinished
+func decodeAttempt(encoded *Try) (attempt replicastore.Attempt, err error) {
+	if encoded == nil {
+		return attempt, ErrUnknownBody
+	}
+	attempt = replicastore.Attempt{
+		ClaimID:        decodeClaimID(encoded),
+		State:          replicastore.State(min(encoded.State, math.MaxUint8)),
+		ResultChecksum: encoded.Sum,
+		Result:         encoded.Result,
+	}
+	finished := attempt.State == replicastore.StateFinished
+	hasResult := attempt.Result != nil || attempt.ResultChecksum != 0
 	switch {
-	case len(p.Result) > maxResult:
+	case len(encoded.Result) > maxResult:
 		err = ErrTooLarge
-	case a.State > replicastore.StateFinished, !finished && (a.Result != nil || a.ResultChecksum != 0):
+	case attempt.State > replicastore.StateFinished, !finished && hasResult:
 		err = ErrOutOfRange
-	case !a.Intact():
-		err = fmt.Errorf("a result that is not the one that was recorded: %w", ErrOutOfRange)
+	case !attempt.Intact():
+		err = fmt.Errorf("attempt result that is not the one that was recorded: %w", ErrOutOfRange)
 	}
-	return a, err
+	return attempt, err
 }
 
-func decodeClaimID(p *Try) replicastore.ClaimID {
-	return replicastore.ClaimID{UnixMilli: p.At, Incarnation: p.Who, Sequence: p.N}
+func decodeClaimID(encoded *Try) replicastore.ClaimID {
+	return replicastore.ClaimID{UnixMilli: encoded.At, Incarnation: encoded.Who, Sequence: encoded.N}
 }
 
 // decodeAttempts decodes a record's attempts, which are sorted by claim.
-func decodeAttempts(p []*Try) (attempts []replicastore.Attempt, err error) {
-	if len(p) > maxAttempts {
+func decodeAttempts(encoded []*Try) (attempts []replicastore.Attempt, err error) {
+	if len(encoded) > maxAttempts {
 		return nil, ErrTooLarge
 	}
-	for i, one := range p {
+	for i, one := range encoded {
 		attempt, err := decodeAttempt(one)
 		if err != nil {
 			return nil, err
@@ -130,18 +131,18 @@
 	return key, nil
 }
 
-func encodeSlots(slots []int) (p []uint32) {
+func encodeSlots(slots []int) (encoded []uint32) {
 	for _, slot := range slots {
-		p = append(p, uint32(slot))
+		encoded = append(encoded, uint32(slot))
 	}
-	return p
+	return encoded
 }
 
-func decodeSlots(p []uint32) (slots []int, err error) {
-	if len(p) > maxSlots {
+func decodeSlots(encoded []uint32) (slots []int, err error) {
+	if len(encoded) > maxSlots {
 		return nil, ErrTooLarge
 	}
-	for _, slot := range p {
+	for _, slot := range encoded {
 		if slot >= maxSlots {
 			return nil, ErrOutOfRange
 		}
@@ -151,125 +152,132 @@
 }
 
 func encodeClaimRequest(m *Envelope) (isPacket_Body, error) {
-	r := m.ClaimRequest
+	request := m.ClaimRequest
 	return &Packet_Claiming{&Claiming{
-		Plan: r.ConfigDigest,
-		Verb: uint32(r.Operation),
-		Key:  r.Key[:],
-		Try:  encodeAttempt(&r.Attempt),
-		Sits: encodeTerms(r.Terms),
+		Plan: request.ConfigDigest,
+		Verb: uint32(request.Operation),
+		Key:  request.Key[:],
+		Try:  encodeAttempt(&request.Attempt),
+		Sits: encodeTerms(request.Terms),
 	}}, nil
 }
 
-func decodeClaimRequest(p *Claiming) (r *replication.ClaimRequest, err error) {
-	if p.Verb > uint32(replication.OpReport) {
+func decodeClaimRequest(encoded *Claiming) (request *replication.ClaimRequest, err error) {
+	if encoded.Verb > uint32(replication.OpReport) {
 		return nil, ErrOutOfRange
 	}
-	r = &replication.ClaimRequest{ConfigDigest: p.Plan, Operation: replication.Operation(p.Verb)}
-	if r.Key, err = decodeKey(p.Key); err != nil {
+	request = &replication.ClaimRequest{ConfigDigest: encoded.Plan, Operation: replication.Operation(encoded.Verb)}
+	if request.Key, err = decodeKey(encoded.Key); err != nil {
 		return nil, err
 	}
-	if r.Attempt, err = decodeAttempt(p.Try); err != nil {
+	if request.Attempt, err = decodeAttempt(encoded.Try); err != nil {
 		return nil, err
 	}
-	reports := r.Operation == replication.OpReport
-	claims := r.Attempt.State == replicastore.StateClaimed
+	reports := request.Operation == replication.OpReport
+	claims := request.Attempt.State == replicastore.StateClaimed
 	if reports == claims { // a report is of a run that ended, and nothing else is
 		return nil, ErrOutOfRange
 	}
-	r.Terms, err = decodeTerms(p.Sits)
-	return r, err
+	request.Terms, err = decodeTerms(encoded.Sits)
+	return request, err
 }
 
 func encodeClaimReply(m *Envelope) (isPacket_Body, error) {
-	r := m.ClaimReply
+	reply := m.ClaimReply
 	return &Packet_Claimed{&Claimed{
-		Key:     r.Key[:],
-		Claim:   encodeAttempt(&replicastore.Attempt{ClaimID: r.ClaimID}),
-		Verb:    uint32(r.Operation),
-		Verdict: uint32(r.Status),
-		Sits:    encodeTerms(r.Terms),
-		Tries:   encodeAttempts(r.Attempts),
+		Key:     reply.Key[:],
+		Claim:   encodeAttempt(&replicastore.Attempt{ClaimID: reply.ClaimID}),
+		Verb:    uint32(reply.Operation),
+		Verdict: uint32(reply.Status),
+		Sits:    encodeTerms(reply.Terms),
+		Tries:   encodeAttempts(reply.Attempts),
 	}}, nil
 }
 
-func decodeClaimReply(p *Claimed) (r *replication.ClaimReply, err error) {
-	if p.Verb > uint32(replication.OpReport) || p.Verdict > uint32(replication.ReplyMisrouted) || p.Claim == nil {
+func decodeClaimReply(encoded *Claimed) (reply *replication.ClaimReply, err error) {
+	if encoded.Verb > uint32(replication.OpReport) || encoded.Verdict > uint32(replication.ReplyMisrouted) {
 		return nil, ErrOutOfRange
 	}
-	r = &replication.ClaimReply{
-		ClaimID:   decodeClaimID(p.Claim),
-		Operation: replication.Operation(p.Verb),
-		Status:    replication.ReplyStatus(p.Verdict),
+	if encoded.Claim == nil {
+		return nil, ErrOutOfRange
 	}
-	if r.Key, err = decodeKey(p.Key); err != nil {
+	reply = &replication.ClaimReply{
+		ClaimID:   decodeClaimID(encoded.Claim),
+		Operation: replication.Operation(encoded.Verb),
+		Status:    replication.ReplyStatus(encoded.Verdict),
+	}
+	if reply.Key, err = decodeKey(encoded.Key); err != nil {
 		return nil, err
 	}
-	if r.Terms, err = decodeTerms(p.Sits); err != nil {
+	if reply.Terms, err = decodeTerms(encoded.Sits); err != nil {
 		return nil, err
 	}
-	r.Attempts, err = decodeAttempts(p.Tries)
-	return r, err
+	reply.Attempts, err = decodeAttempts(encoded.Tries)
+	return reply, err
 }
 
 func encodePullRequest(m *Envelope) (isPacket_Body, error) {
-	r := m.PullRequest
-	p := &Pulling{
-		Plan:   r.ConfigDigest,
-		Number: r.Sequence,
-		Sit:    encodeTerm(r.Term),
-		Slots:  encodeSlots(r.Slots),
+	request := m.PullRequest
+	encoded := &Pulling{
+		Plan:   request.ConfigDigest,
+		Number: request.Sequence,
+		Sit:    encodeTerm(request.Term),
+		Slots:  encodeSlots(request.Slots),
 	}
-	if r.Resumes {
-		p.After = r.AfterKey[:]
+	if request.Resumes {
+		encoded.After = request.AfterKey[:]
 	}
-	return &Packet_Pulling{p}, nil
+	return &Packet_Pulling{encoded}, nil
 }
 
-func decodePullRequest(p *Pulling) (r *replication.PullRequest, err error) {
-	r = &replication.PullRequest{ConfigDigest: p.Plan, Sequence: p.Number, Term: decodeTerm(p.Sit)}
-	if r.Slots, err = decodeSlots(p.Slots); err != nil {
+func decodePullRequest(encoded *Pulling) (request *replication.PullRequest, err error) {
+	request = &replication.PullRequest{
+		ConfigDigest: encoded.Plan,
+		Sequence:     encoded.Number,
+		Term:         decodeTerm(encoded.Sit),
+	}
+	if request.Slots, err = decodeSlots(encoded.Slots); err != nil {
 		return nil, err
 	}
-	if p.After != nil {
-		r.Resumes = true
-		r.AfterKey, err = decodeKey(p.After)
+	if encoded.After != nil {
+		request.Resumes = true
+		request.AfterKey, err = decodeKey(encoded.After)
 	}
-	return r, err
+	return request, err
 }
 
 func encodePullReply(m *Envelope) (isPacket_Body, error) {
-	r := m.PullReply
-	p := &Slice{
-		Plan:   r.ConfigDigest,
-		Number: r.Sequence,
-		Sit:    encodeTerm(r.Term),
-		Yours:  encodeTerm(r.RequesterTerm),
+	reply := m.PullReply
+	encoded := &Slice{
+		Plan:   reply.ConfigDigest,
+		Number: reply.Sequence,
+		Sit:    encodeTerm(reply.Term),
+		Yours:  encodeTerm(reply.RequesterTerm),
 	}
-	for i := range r.Slots {
-		p.Parts = append(p.Parts, encodeSlotRecords(&r.Slots[i]))
+	for i := range reply.Slots {
+		encoded.Parts = append(encoded.Parts, encodeSlotRecords(&reply.Slots[i]))
 	}
-	return &Packet_Slice{p}, nil
+	return &Packet_Slice{encoded}, nil
 }
 
-func encodeSlotRecords(s *replication.SlotRecords) *SlotPart {
-	p := &SlotPart{Slot: uint32(s.Slot), Warm: s.CaughtUp, All: s.Complete}
-	for _, c := range s.Copies {
+func encodeSlotRecords(slot *replication.SlotRecords) *SlotPart {
+	encoded := &SlotPart{Slot: uint32(slot.Slot), Warm: slot.CaughtUp, All: slot.Complete}
+	for _, copied := range slot.Copies {
 		record := &Record{
-			Key:   c.Record.Key[:],
-			Left:  c.TimeToLive,
-			Tries: encodeAttempts(c.Record.Attempts),
+			Key:   copied.Record.Key[:],
+			Left:  copied.TimeToLive,
+			Tries: encodeAttempts(copied.Record.Attempts),
 		}
 		record.Check = recordChecksum(record)
-		p.Records = append(p.Records, record)
+		encoded.Records = append(encoded.Records, record)
 	}
-	return p
+	return encoded
 }
 
 // recordChecksum is over all of a record but how long it is kept.
-func recordChecksum(r *Record) uint32 {
-	content := append([]byte(nil), r.Key...)
-	for _, t := range r.Tries {
+func recordChecksum(record *Record) uint32 {
+	content := append([]byte(nil), record.Key...)
+	for _, t := range record.Tries {
 		content = fmt.Appendf(content, " %d %d %d %d %d ", t.At, t.Who, t.N, t.State, t.Sum)
 		content = append(content, t.Result...)
 	}
@@ -278,18 +286,18 @@
 
 // decodePullReply decodes a reply whole: a record that changed on its way makes all of it invalid,
 // as what is missing would be taken for unknown.
-func decodePullReply(p *Slice) (*replication.PullReply, error) {
-	if len(p.Parts) > maxSlots {
+func decodePullReply(encoded *Slice) (*replication.PullReply, error) {
+	if len(encoded.Parts) > maxSlots {
 		return nil, ErrTooLarge
 	}
-	r := &replication.PullReply{
-		ConfigDigest:  p.Plan,
-		Sequence:      p.Number,
-		Term:          decodeTerm(p.Sit),
-		RequesterTerm: decodeTerm(p.Yours),
+	reply := &replication.PullReply{
+		ConfigDigest:  encoded.Plan,
+		Sequence:      encoded.Number,
+		Term:          decodeTerm(encoded.Sit),
+		RequesterTerm: decodeTerm(encoded.Yours),
 	}
 	records := 0
-	for _, part := range p.Parts {
+	for _, part := range encoded.Parts {
 		records += len(part.Records)
 		if part.Slot >= maxSlots || records > maxRecords {
 			return nil, ErrTooLarge
@@ -302,92 +310,92 @@
 			}
 			slot.Copies = append(slot.Copies, decoded)
 		}
-		r.Slots = append(r.Slots, slot)
+		reply.Slots = append(reply.Slots, slot)
 	}
-	return r, nil
+	return reply, nil
 }
 
-func decodeRecord(p *Record) (c replication.RecordCopy, err error) {
-	key, err := decodeKey(p.Key)
+func decodeRecord(encoded *Record) (copied replication.RecordCopy, err error) {
+	key, err := decodeKey(encoded.Key)
 	if err != nil {
-		return c, err
+		return copied, err
 	}
-	if p.Check != recordChecksum(p) {
-		return c, fmt.Errorf("record %x is not as its replica had it: %w", key[:4], ErrOutOfRange)
+	if encoded.Check != recordChecksum(encoded) {
+		return copied, fmt.Errorf("record %x is not as its replica had it: %w", key[:4], ErrOutOfRange)
 	}
-	attempts, err := decodeAttempts(p.Tries)
+	attempts, err := decodeAttempts(encoded.Tries)
 	if err != nil {
-		return c, err
+		return copied, err
 	}
 	record := &replicastore.Record{Key: key, Attempts: attempts}
-	return replication.RecordCopy{Record: record, TimeToLive: p.Left}, checkCount(p.Left)
+	return replication.RecordCopy{Record: record, TimeToLive: encoded.Left}, checkCount(encoded.Left)
 }
 
 func encodeChecksums(m *Envelope) (isPacket_Body, error) {
-	c := m.Checksums
+	checksums := m.Checksums
 	return &Packet_Sums{&Sums{
-		Plan:  c.ConfigDigest,
-		Sit:   encodeTerm(c.Term),
-		Slots: encodeSlots(c.Slots),
-		Sums:  c.Values,
+		Plan:  checksums.ConfigDigest,
+		Sit:   encodeTerm(checksums.Term),
+		Slots: encodeSlots(checksums.Slots),
+		Sums:  checksums.Values,
 	}}, nil
 }
 
-func decodeChecksums(p *Sums) (*replication.Checksums, error) {
-	slots, err := decodeSlots(p.Slots)
+func decodeChecksums(encoded *Sums) (*replication.Checksums, error) {
+	slots, err := decodeSlots(encoded.Slots)
 	if err != nil {
 		return nil, err
 	}
-	if len(p.Sums) != max(1, len(slots)) {
+	if len(encoded.Sums) != max(1, len(slots)) {
 		return nil, ErrTooLarge
 	}
 	return &replication.Checksums{
-		ConfigDigest: p.Plan,
-		Term:         decodeTerm(p.Sit),
+		ConfigDigest: encoded.Plan,
+		Term:         decodeTerm(encoded.Sit),
 		Slots:        slots,
-		Values:       p.Sums,
+		Values:       encoded.Sums,
 	}, nil
 }
 
-func encodeReplicationStatus(s *replication.Status) *CopiesState {
-	if s == nil {
+func encodeReplicationStatus(status *replication.Status) *CopiesState {
+	if status == nil {
 		return nil
 	}
 	return &CopiesState{
-		Cold:       uint32(s.CatchingUp),
-		Differ:     uint32(s.OutOfSync),
-		Learned:    uint64(s.CaughtUpByPeers),
-		Aged:       uint64(s.CaughtUpByTimeout),
-		Mended:     uint64(s.RepairedRecords),
-		Alarms:     uint64(s.ConflictingResults),
-		Records:    uint64(s.Records),
-		Bytes:      uint64(s.Bytes),
-		Dropped:    uint64(s.DroppedResults),
-		Flipped:    uint64(s.CorruptedRecords),
-		Claims:     uint64(s.ActiveClaims),
-		Promised:   uint64(s.ReplicatedResults),
-		Unpromised: uint64(s.UnreplicatedResults),
-		Holder:     s.IsReplica,
-		Plan:       s.ConfigDigest,
+		Cold:       uint32(status.CatchingUp),
+		Differ:     uint32(status.OutOfSync),
+		Learned:    uint64(status.CaughtUpByPeers),
+		Aged:       uint64(status.CaughtUpByTimeout),
+		Mended:     uint64(status.RepairedRecords),
+		Alarms:     uint64(status.ConflictingResults),
+		Records:    uint64(status.Records),
+		Bytes:      uint64(status.Bytes),
+		Dropped:    uint64(status.DroppedResults),
+		Flipped:    uint64(status.CorruptedRecords),
+		Claims:     uint64(status.ActiveClaims),
+		Promised:   uint64(status.ReplicatedResults),
+		Unpromised: uint64(status.UnreplicatedResults),
+		Holder:     status.IsReplica,
+		Plan:       status.ConfigDigest,
 	}
 }
 
-func decodeReplicationStatus(p *CopiesState) *replication.Status {
+func decodeReplicationStatus(encoded *CopiesState) *replication.Status {
 	return &replication.Status{
-		CatchingUp:          int(p.Cold),
-		OutOfSync:           int(p.Differ),
-		CaughtUpByPeers:     int(p.Learned),
-		CaughtUpByTimeout:   int(p.Aged),
-		RepairedRecords:     int(p.Mended),
-		ConflictingResults:  int(p.Alarms),
-		Records:             int(p.Records),
-		Bytes:               int(p.Bytes),
-		DroppedResults:      int(p.Dropped),
-		CorruptedRecords:    int(p.Flipped),
-		ActiveClaims:        int(p.Claims),
-		ReplicatedResults:   int(p.Promised),
-		UnreplicatedResults: int(p.Unpromised),
-		IsReplica:           p.Holder,
-		ConfigDigest:        p.Plan,
+		CatchingUp:          int(encoded.Cold),
+		OutOfSync:           int(encoded.Differ),
+		CaughtUpByPeers:     int(encoded.Learned),
+		CaughtUpByTimeout:   int(encoded.Aged),
+		RepairedRecords:     int(encoded.Mended),
+		ConflictingResults:  int(encoded.Alarms),
+		Records:             int(encoded.Records),
+		Bytes:               int(encoded.Bytes),
+		DroppedResults:      int(encoded.Dropped),
+		CorruptedRecords:    int(encoded.Flipped),
+		ActiveClaims:        int(encoded.Claims),
+		ReplicatedResults:   int(encoded.Promised),
+		UnreplicatedResults: int(encoded.Unpromised),
+		IsReplica:           encoded.Holder,
+		ConfigDigest:        encoded.Plan,
 	}
 }
--- a/internal/wire/fleet/trust.go
+++ b/internal/wire/fleet/trust.go
@@ -12,29 +12,29 @@
 }
 
 func encodeTrustRecords(m *Envelope) (isPacket_Body, error) {
-	p := &Vouchers{}
+	encoded := &Vouchers{}
 	for i := range m.TrustRecords {
-		p.Vouchers = append(p.Vouchers, encodeTrustRecord(&m.TrustRecords[i]))
+		encoded.Vouchers = append(encoded.Vouchers, encodeTrustRecord(&m.TrustRecords[i]))
 	}
-	return &Packet_Vouchers{p}, nil
+	return &Packet_Vouchers{encoded}, nil
 }
 
-func encodeTrustRecord(r *replication.TrustRecord) *Voucher {
-	p := &Voucher{Name: r.Name, Life: r.Incarnation, Number: r.Sequence}
-	for _, client := range r.Clients {
+func encodeTrustRecord(record *replication.TrustRecord) *Voucher {
+	encoded := &Voucher{Name: record.Name, Life: record.Incarnation, Number: record.Sequence}
+	for _, client := range record.Clients {
 		addr := client.Addr.As16()
-		p.Callers = append(p.Callers, &Caller{Addr: addr[:], Credit: float32(client.Credit)})
+		encoded.Callers = append(encoded.Callers, &Caller{Addr: addr[:], Credit: float32(client.Credit)})
 	}
-	return p
+	return encoded
 }
 
 // decodeTrustRecords decodes servers' trust records; the list is not nil, as an empty one counts.
-func decodeTrustRecords(p *Vouchers) ([]replication.TrustRecord, error) {
-	if len(p.Vouchers) > maxListEntries {
+func decodeTrustRecords(encoded *Vouchers) ([]replication.TrustRecord, error) {
+	if len(encoded.Vouchers) > maxListEntries {
 		return nil, ErrTooLarge
 	}
 	records := []replication.TrustRecord{}
-	for _, one := range p.Vouchers {
+	for _, one := range encoded.Vouchers {
 		record, err := decodeTrustRecord(one)
 		if err != nil {
 			return nil, err
@@ -44,24 +44,24 @@
 	return records, nil
 }
 
-func decodeTrustRecord(p *Voucher) (r replication.TrustRecord, err error) {
-	if len(p.Callers) > replication.MaxTrustedClients {
-		return r, ErrTooLarge
+func decodeTrustRecord(encoded *Voucher) (record replication.TrustRecord, err error) {
+	if len(encoded.Callers) > replication.MaxTrustedClients {
+		return record, ErrTooLarge
 	}
-	r = replication.TrustRecord{Name: p.Name, Incarnation: p.Life, Sequence: p.Number}
-	for _, client := range p.Callers {
+	record = replication.TrustRecord{Name: encoded.Name, Incarnation: encoded.Life, Sequence: encoded.Number}
+	for _, client := range encoded.Callers {
 		var addr [16]byte
 		if len(client.Addr) != len(addr) {
-			return r, ErrTooLarge
+			return record, ErrTooLarge
 		}
 		if err := checkCount(float64(client.Credit)); err != nil {
-			return r, err
+			return record, err
 		}
 		copy(addr[:], client.Addr)
-		r.Clients = append(r.Clients, connlimit.Earned{
+		record.Clients = append(record.Clients, connlimit.Earned{
 			Addr:   netip.AddrFrom16(addr).Unmap(),
 			Credit: float64(client.Credit),
 		})
 	}
-	return r, checkNames(p.Name)
+	return record, checkNames(encoded.Name)
 }
