--- a/cmd/swiftlab/main.go
+++ b/cmd/swiftcourse-bench/main.go
@@ -1,4 +1,4 @@
-// Command swiftlab is the project's laboratory: it starts the real server with stand-ins for all that it speaks with, on
+// Command swiftcourse-bench is the project's laboratory: it starts the real server with stand-ins for all that it speaks with, on
 // loopback, and measures what it does.
 package main
 
@@ -13,17 +13,17 @@
 
 	"github.com/alecthomas/kong"
 
-	"swiftcourse/internal/lab/budgets"
-	"swiftcourse/internal/lab/copies"
-	"swiftcourse/internal/lab/demo"
-	"swiftcourse/internal/lab/emulate"
-	"swiftcourse/internal/lab/entry"
-	labfleet "swiftcourse/internal/lab/fleet"
-	"swiftcourse/internal/lab/idle"
-	"swiftcourse/internal/lab/levels"
-	"swiftcourse/internal/lab/ready"
-	"swiftcourse/internal/lab/report"
-	"swiftcourse/internal/lab/versions"
+	"swiftcourse/internal/bench/connflood"
+	"swiftcourse/internal/bench/demo"
+	"swiftcourse/internal/bench/idleconns"
+	"swiftcourse/internal/bench/keyclaims"
+	labfleet "swiftcourse/internal/bench/process"
+	"swiftcourse/internal/bench/quotas"
+	"swiftcourse/internal/bench/readiness"
+	"swiftcourse/internal/bench/report"
+	"swiftcourse/internal/bench/rollouts"
+	"swiftcourse/internal/bench/simulation"
+	"swiftcourse/internal/bench/twolevel"
 )
 
 type program struct {
@@ -53,7 +53,7 @@
 
 func (c *demoCommand) Run(ctx context.Context) error {
 	if c.Levels {
-		plan := &levels.Demo{Program: c.Server, Say: os.Stdout}
+		plan := &twolevel.Demo{Program: c.Server, Say: os.Stdout}
 		if c.Log {
 			plan.Log = os.Stderr
 		}
@@ -84,7 +84,7 @@
 }
 
 func (c *doorCommand) Run(ctx context.Context) error {
-	plan := &entry.Plan{Program: c.Server, Strangers: c.Strangers, Known: c.Known, Seconds: c.Seconds, Sockets: c.Sockets, Real: c.Real,
+	plan := &connflood.Plan{Program: c.Server, Strangers: c.Strangers, Known: c.Known, Seconds: c.Seconds, Sockets: c.Sockets, Real: c.Real,
 		Core: c.Core, Say: os.Stderr}
 	if c.Log {
 		plan.Log = os.Stderr
@@ -96,11 +96,11 @@
 		return err
 	}
 	if c.Restart {
-		rows, err := entry.Restart(ctx, plan)
-		return print(c.JSON, entry.BackHeads, rows, err)
+		rows, err := connflood.Restart(ctx, plan)
+		return print(c.JSON, connflood.BackHeads, rows, err)
 	}
-	rows, err := entry.Run(ctx, plan)
-	return print(c.JSON, entry.Heads, rows, err)
+	rows, err := connflood.Run(ctx, plan)
+	return print(c.JSON, connflood.Heads, rows, err)
 }
 
 type readyCommand struct {
@@ -115,8 +115,8 @@
 	if c.Servers < 1 || c.Servers > 200 || c.Rounds < 1 || c.Rounds > 100 || c.Late <= 0 || c.Late > 20*time.Second {
 		return fmt.Errorf("servers are 1 to 200, rounds 1 to 100, late over 0 and up to 20s")
 	}
-	rows, err := (&ready.Plan{Program: c.Server, Servers: c.Servers, Rounds: c.Rounds, Late: c.Late, Say: os.Stderr}).Run(ctx)
-	return print(c.JSON, ready.Heads, rows, err)
+	rows, err := (&readiness.Plan{Program: c.Server, Servers: c.Servers, Rounds: c.Rounds, Late: c.Late, Say: os.Stderr}).Run(ctx)
+	return print(c.JSON, readiness.Heads, rows, err)
 }
 
 type idleCommand struct {
@@ -137,7 +137,7 @@
 }
 
 func (c *idleCommand) Run(ctx context.Context) error {
-	plan := &idle.Plan{Program: c.Server, Connections: c.Connections, Servers: c.Servers, Rate: c.Rate, Busy: c.Busy,
+	plan := &idleconns.Plan{Program: c.Server, Connections: c.Connections, Servers: c.Servers, Rate: c.Rate, Busy: c.Busy,
 		Seconds: c.Seconds, Rounds: c.Rounds, Core: c.Core, Counts: c.Counts, Checks: c.Checks, Expire: c.Expire, Idle: c.Silent,
 		Heeds: c.Heeds, Say: os.Stderr}
 	if err := plan.Check(); err != nil {
@@ -148,11 +148,11 @@
 	}
 	debug.SetGCPercent(400) // the load's own pauses would be taken for the servers'
 	if c.Expire {
-		phases, err := idle.Expire(ctx, plan)
-		return print(c.JSON, idle.PhaseHeads, phases, err)
+		phases, err := idleconns.Expire(ctx, plan)
+		return print(c.JSON, idleconns.PhaseHeads, phases, err)
 	}
-	rows, err := idle.Run(ctx, plan)
-	return print(c.JSON, idle.Heads, rows, err)
+	rows, err := idleconns.Run(ctx, plan)
+	return print(c.JSON, idleconns.Heads, rows, err)
 }
 
 // print shows what was measured, also where an error cut it short.
@@ -183,29 +183,29 @@
 	if c.Seeds < 1 || c.Seeds > 1000 {
 		return fmt.Errorf("--seeds %d: from 1 to 1000", c.Seeds)
 	}
-	text := emulate.Example
+	text := simulation.Example
 	if c.Scenario != "" {
 		var err error
 		if text, err = os.ReadFile(c.Scenario); err != nil {
 			return err
 		}
 	}
-	scenario, err := emulate.ParseScenario(text)
+	scenario, err := simulation.ParseScenario(text)
 	if err != nil {
 		return err
 	}
 	if c.Seed != 0 {
 		scenario.Seed = c.Seed
 	}
-	var reports []emulate.Report
+	var reports []simulation.Report
 	broken := 0
 	for range c.Seeds {
 		from := time.Now()
-		r := emulate.Run(scenario)
+		r := simulation.Run(scenario)
 		took := time.Since(from).Seconds()
 		reports = append(reports, r)
 		broken += r.Rules
-		if err := print("", emulate.Heads, r.Rows, nil); err != nil {
+		if err := print("", simulation.Heads, r.Rows, nil); err != nil {
 			return err
 		}
 		fmt.Printf("seed %d: %d runs, %.3f of the work for nobody, %d rules broken\n", r.Seed, r.Runs, r.Wasted, r.Rules)
@@ -244,28 +244,28 @@
 	if c.Seeds < 1 || c.Seeds > 1000 {
 		return fmt.Errorf("--seeds %d: from 1 to 1000", c.Seeds)
 	}
-	var rows []versions.Row
+	var rows []rollouts.Row
 	var err error
 	for range c.Seeds {
-		plan := &versions.Plan{Program: c.Server, Servers: c.Servers, Seconds: c.Seconds, Seed: c.Seed, Quiet: !c.Faults, Rate: c.Rate}
+		plan := &rollouts.Plan{Program: c.Server, Servers: c.Servers, Seconds: c.Seconds, Seed: c.Seed, Quiet: !c.Faults, Rate: c.Rate}
 		if c.Log {
 			plan.Log = os.Stderr
 		}
 		if err = plan.Check(); err != nil {
 			break
 		}
-		var row versions.Row
-		if row, err = versions.Run(ctx, plan); err != nil {
+		var row rollouts.Row
+		if row, err = rollouts.Run(ctx, plan); err != nil {
 			break
 		}
 		rows = append(rows, row)
 		if bad := row.TwoDigests + row.ActedOut + row.Disagrees + row.Unhealed; bad > 0 {
-			fmt.Fprintf(os.Stderr, "seed %d: %d of what must not be; swiftlab audit --servers %d --seconds %g --seed %d --log shows it again\n", row.Seed, bad,
+			fmt.Fprintf(os.Stderr, "seed %d: %d of what must not be; swiftcourse-bench audit --servers %d --seconds %g --seed %d --log shows it again\n", row.Seed, bad,
 				c.Servers, c.Seconds, row.Seed)
 		}
 		c.Seed++
 	}
-	return print(c.JSON, versions.Heads, rows, err)
+	return print(c.JSON, rollouts.Heads, rows, err)
 }
 
 type replicaCommand struct {
@@ -288,11 +288,11 @@
 	if c.Seeds < 1 || c.Seeds > 1000 {
 		return fmt.Errorf("--seeds %d: from 1 to 1000", c.Seeds)
 	}
-	var rows []copies.Row
+	var rows []keyclaims.Row
 	var err error
 	bad := 0
 	for range c.Seeds {
-		plan := &copies.Plan{Program: c.Server, Servers: c.Servers, Copies: c.Copies, Kills: c.Kills, Seconds: c.Seconds, Seed: c.Seed, Quiet: !c.Faults,
+		plan := &keyclaims.Plan{Program: c.Server, Servers: c.Servers, Copies: c.Copies, Kills: c.Kills, Seconds: c.Seconds, Seed: c.Seed, Quiet: !c.Faults,
 			Points: c.Points, Cost: c.Cost, Rate: c.Rate}
 		if c.Log {
 			plan.Log = os.Stderr
@@ -300,14 +300,14 @@
 		if err = plan.Check(); err != nil {
 			break
 		}
-		var row copies.Row
-		if row, err = copies.Run(ctx, plan); err != nil {
+		var row keyclaims.Row
+		if row, err = keyclaims.Run(ctx, plan); err != nil {
 			break
 		}
 		rows = append(rows, row)
 		bad += row.Bad()
 		if row.Bad() > 0 {
-			fmt.Fprintf(os.Stderr, "seed %d: %d of what must not be; swiftlab replica --servers %d --copies %d --kills %d --seconds %g --seed %d --log shows it again\n",
+			fmt.Fprintf(os.Stderr, "seed %d: %d of what must not be; swiftcourse-bench replica --servers %d --copies %d --kills %d --seconds %g --seed %d --log shows it again\n",
 				row.Seed, row.Bad(), c.Servers, c.Copies, c.Kills, c.Seconds, row.Seed)
 		}
 		if c.Seed++; ctx.Err() != nil {
@@ -317,7 +317,7 @@
 	if err == nil && bad > 0 {
 		err = fmt.Errorf("%d of what must not be", bad)
 	}
-	return print(c.JSON, copies.Heads, rows, err)
+	return print(c.JSON, keyclaims.Heads, rows, err)
 }
 
 type versionCommand struct {
@@ -335,14 +335,14 @@
 	if c.Seeds < 1 || c.Seeds > 10_000 {
 		return fmt.Errorf("--seeds %d: from 1 to 10000", c.Seeds)
 	}
-	var rows []emulate.VersionsRow
+	var rows []simulation.VersionsRow
 	broken := 0
 	for range c.Seeds {
-		plan := &emulate.Versions{Servers: c.Servers, Voters: c.Voters, Seconds: c.Seconds, Seed: c.Seed, Quiet: !c.Faults, Keys: c.Keys}
+		plan := &simulation.Versions{Servers: c.Servers, Voters: c.Voters, Seconds: c.Seconds, Seed: c.Seed, Quiet: !c.Faults, Keys: c.Keys}
 		if err := plan.Check(); err != nil {
 			return err
 		}
-		row := emulate.RunVersions(plan)
+		row := simulation.RunVersions(plan)
 		if k := row.Claimed; c.Keys > 0 {
 			fmt.Printf("seed %d: %d tries of %d keys, %d runs, told %v, untold %d, twice %d, wrong %d, alarms %d, differ %d; grants p50 %.1f ms, p99 %.1f ms\n", row.Seed,
 				k.Tries, k.Keys, k.Runs, k.Told, k.Untold, k.Twice, k.Wrong, k.Alarms, k.Differ, k.ClaimP50, k.ClaimP99)
@@ -358,7 +358,7 @@
 	if broken > 0 {
 		err = fmt.Errorf("%d of what must not be", broken)
 	}
-	return print(c.JSON, emulate.VersionsHeads, rows, err)
+	return print(c.JSON, simulation.VersionsHeads, rows, err)
 }
 
 type sharedCommand struct {
@@ -379,13 +379,13 @@
 	if c.Program != "" {
 		return c.processes(ctx)
 	}
-	return emulated(ctx, c.Seeds, c.JSON, emulate.SharedHeads, func() (emulate.SharedRow, error) {
-		plan := &emulate.Shared{Servers: c.Servers, Voters: c.Voters, Seconds: c.Seconds, Seed: c.Seed}
+	return emulated(ctx, c.Seeds, c.JSON, simulation.SharedHeads, func() (simulation.SharedRow, error) {
+		plan := &simulation.Shared{Servers: c.Servers, Voters: c.Voters, Seconds: c.Seconds, Seed: c.Seed}
 		c.Seed++
 		if err := plan.Check(); err != nil {
-			return emulate.SharedRow{}, err
+			return simulation.SharedRow{}, err
 		}
-		return emulate.RunShared(plan), nil
+		return simulation.RunShared(plan), nil
 	})
 }
 
@@ -427,29 +427,29 @@
 	if c.Seeds < 1 || c.Seeds > 10_000 {
 		return fmt.Errorf("--seeds %d: from 1 to 10000", c.Seeds)
 	}
-	return emulated(ctx, c.Seeds, c.JSON, emulate.CountsHeads, func() (emulate.CountsRow, error) {
-		plan := &emulate.Counts{Servers: c.Servers, Voters: c.Voters, Seconds: c.Seconds, Seed: c.Seed}
+	return emulated(ctx, c.Seeds, c.JSON, simulation.CountsHeads, func() (simulation.CountsRow, error) {
+		plan := &simulation.Counts{Servers: c.Servers, Voters: c.Voters, Seconds: c.Seconds, Seed: c.Seed}
 		c.Seed++
 		if err := plan.Check(); err != nil {
-			return emulate.CountsRow{}, err
+			return simulation.CountsRow{}, err
 		}
-		return emulate.RunCounts(plan), nil
+		return simulation.RunCounts(plan), nil
 	})
 }
 
 // processes plays it with the real program.
 func (c *sharedCommand) processes(ctx context.Context) error {
-	var rows []budgets.Row
+	var rows []quotas.Row
 	bad := 0
 	for range c.Seeds {
-		plan := &budgets.Plan{Program: c.Program, Servers: c.Servers, Seconds: c.Seconds, Seed: c.Seed}
+		plan := &quotas.Plan{Program: c.Program, Servers: c.Servers, Seconds: c.Seconds, Seed: c.Seed}
 		if c.Fault != "seed" {
 			plan.Fault = c.Fault
 		}
 		if err := plan.Check(); err != nil {
 			return err
 		}
-		row, err := budgets.Run(ctx, plan)
+		row, err := quotas.Run(ctx, plan)
 		if err != nil {
 			return err
 		}
@@ -463,7 +463,7 @@
 	if bad > 0 {
 		err = fmt.Errorf("%d of what must not be", bad)
 	}
-	return print(c.JSON, budgets.Heads, rows, err)
+	return print(c.JSON, quotas.Heads, rows, err)
 }
 
 type fleetCommand struct {
@@ -482,17 +482,17 @@
 }
 
 func (c *fleetCommand) Run(ctx context.Context) error {
-	return emulated(ctx, c.Seeds, c.JSON, levels.Heads, func() (levels.Row, error) {
-		plan := &levels.Plan{Program: c.Server, Forwarders: c.Forwarders, Planners: c.Planners, Workers: c.Workers, Seconds: c.Seconds, KillEvery: c.KillEvery,
+	return emulated(ctx, c.Seeds, c.JSON, twolevel.Heads, func() (twolevel.Row, error) {
+		plan := &twolevel.Plan{Program: c.Server, Forwarders: c.Forwarders, Planners: c.Planners, Workers: c.Workers, Seconds: c.Seconds, KillEvery: c.KillEvery,
 			Load: c.Load, Crowd: c.Crowd, Seed: c.Seed}
 		if c.Log {
 			plan.Log = os.Stderr
 		}
 		c.Seed++
 		if err := plan.Check(); err != nil {
-			return levels.Row{}, err
+			return twolevel.Row{}, err
 		}
-		return levels.Run(ctx, plan)
+		return twolevel.Run(ctx, plan)
 	})
 }
 
@@ -511,14 +511,14 @@
 }
 
 func (c *levelsCommand) Run(ctx context.Context) error {
-	return emulated(ctx, c.Seeds, c.JSON, emulate.LevelsHeads, func() (emulate.LevelsRow, error) {
-		plan := &emulate.Levels{Forwarders: c.Forwarders, Planners: c.Planners, Workers: c.Workers, Seconds: c.Seconds, KillEvery: c.KillEvery, Alone: c.Alone,
+	return emulated(ctx, c.Seeds, c.JSON, simulation.LevelsHeads, func() (simulation.LevelsRow, error) {
+		plan := &simulation.Levels{Forwarders: c.Forwarders, Planners: c.Planners, Workers: c.Workers, Seconds: c.Seconds, KillEvery: c.KillEvery, Alone: c.Alone,
 			Blind: c.Blind, Load: c.Load, Seed: c.Seed}
 		c.Seed++
 		if err := plan.Check(); err != nil {
-			return emulate.LevelsRow{}, err
+			return simulation.LevelsRow{}, err
 		}
-		return emulate.RunLevels(plan), nil
+		return simulation.RunLevels(plan), nil
 	})
 }
 
@@ -528,16 +528,16 @@
 	Heeds bool
 }
 
-func (c *holdCommand) Run() error { return idle.Hold(os.Stdin, os.Stdout, c.Addr, c.N, c.Heeds) }
+func (c *holdCommand) Run() error { return idleconns.Hold(os.Stdin, os.Stdout, c.Addr, c.N, c.Heeds) }
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	var p program
-	words := kong.Parse(&p, kong.Name("swiftlab"), kong.Description("The laboratory of swiftcourse: experiments with real servers on loopback."),
+	words := kong.Parse(&p, kong.Name("swiftcourse-bench"), kong.Description("The laboratory of swiftcourse: experiments with real servers on loopback."),
 		kong.UsageOnError(), kong.BindTo(ctx, (*context.Context)(nil)))
 	if err := words.Run(); err != nil {
-		fmt.Fprintln(os.Stderr, "swiftlab:", err)
+		fmt.Fprintln(os.Stderr, "swiftcourse-bench:", err)
 		stop()
 		os.Exit(1)
 	}
--- a/internal/lab/faults/fleet.go
+++ b/internal/bench/faultinjection/fleet.go
@@ -1,4 +1,4 @@
-package faults
+package faultinjection
 
 import (
 	"context"
@@ -11,10 +11,10 @@
 	"syscall"
 	"time"
 
+	labfleet "swiftcourse/internal/bench/process"
+	standin "swiftcourse/internal/fake/upstream"
 	"swiftcourse/internal/fleet"
-	labfleet "swiftcourse/internal/lab/fleet"
 	"swiftcourse/internal/policy/release"
-	standin "swiftcourse/internal/standin/catalogue"
 	"swiftcourse/internal/wire/catalogue"
 	"swiftcourse/internal/wire/shale"
 )
--- a/internal/lab/fleet/fleet.go
+++ b/internal/bench/process/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet starts real servers as processes, each with stand-ins for all that it speaks with, on loopback.
-package fleet
+// Package process starts real servers as processes, each with stand-ins for all that it speaks with, on loopback.
+package process
 
 import (
 	"bufio"
@@ -22,9 +22,9 @@
 	"golang.org/x/sys/unix"
 
 	"swiftcourse/internal/fake/balancer"
-	"swiftcourse/internal/standin/catalogue"
-	"swiftcourse/internal/standin/processor"
-	"swiftcourse/internal/standin/roster"
+	"swiftcourse/internal/fake/executor"
+	"swiftcourse/internal/fake/registry"
+	"swiftcourse/internal/fake/upstream"
 	wire "swiftcourse/internal/wire/catalogue"
 	"swiftcourse/internal/wire/shale"
 )
@@ -40,23 +40,23 @@
 	Conf     string // text of the operator's file, "" for none
 	Stop     time.Duration
 	Told     shale.Told
-	Work     processor.Plan
-	WorkOf   func(name string) processor.Plan                     // in place of it, by server; nil for not
-	Fate     func(n int, c wire.Call) catalogue.Fate              // nil at the last tier
-	FateOf   func(name string, n int, c wire.Call) catalogue.Fate // in place of it, by server
-	Log      io.Writer                                            // what the servers say, nil where nobody reads it
-	Each     func(name string) (conf string, env []string)        // what one of them has in place of Conf, and in its environment; nil for nothing of its own
-	Words    []string                                             // of its command line; none to serve
-	Hear     func(name, line string)                              // every line of a server's log as it comes; nil where nobody listens
+	Work     executor.Plan
+	WorkOf   func(name string) executor.Plan                     // in place of it, by server; nil for not
+	Fate     func(n int, c wire.Call) upstream.Fate              // nil at the last tier
+	FateOf   func(name string, n int, c wire.Call) upstream.Fate // in place of it, by server
+	Log      io.Writer                                           // what the servers say, nil where nobody reads it
+	Each     func(name string) (conf string, env []string)       // what one of them has in place of Conf, and in its environment; nil for nothing of its own
+	Words    []string                                            // of its command line; none to serve
+	Hear     func(name, line string)                             // every line of a server's log as it comes; nil where nobody listens
 }
 
 // Server is one server with its stand-ins.
 type Server struct {
 	Name      string
 	Addr      string
-	Processor *processor.Processor
-	Catalogue *catalogue.Catalogue
-	Roster    *roster.Roster
+	Processor *executor.Processor
+	Catalogue *upstream.Catalogue
+	Roster    *registry.Roster
 
 	shape   Shape
 	path    string // of its configuration
@@ -117,19 +117,19 @@
 		shape.Work = shape.WorkOf(name)
 		shape.Work.Begun, shape.Work.Result = begun, result
 	}
-	if s.Processor, err = processor.Start("127.0.0.2:0", shape.Work); err != nil {
+	if s.Processor, err = executor.Start("127.0.0.2:0", shape.Work); err != nil {
 		return nil, err
 	}
-	if s.Roster, err = roster.Start("127.0.0.3:0", nil); err != nil {
+	if s.Roster, err = registry.Start("127.0.0.3:0", nil); err != nil {
 		return nil, err
 	}
 	catalog := ""
 	fate := shape.Fate
 	if shape.FateOf != nil {
-		fate = func(n int, c wire.Call) catalogue.Fate { return shape.FateOf(name, n, c) }
+		fate = func(n int, c wire.Call) upstream.Fate { return shape.FateOf(name, n, c) }
 	}
 	if fate != nil {
-		if s.Catalogue, err = catalogue.Start("127.0.0.4:0", fate); err != nil {
+		if s.Catalogue, err = upstream.Start("127.0.0.4:0", fate); err != nil {
 			return nil, err
 		}
 		catalog = s.Catalogue.Addr()
@@ -137,7 +137,7 @@
 	if s.Addr, err = free(); err != nil {
 		return nil, err
 	}
-	if s.folder, err = os.MkdirTemp("", "swiftlab-"); err != nil {
+	if s.folder, err = os.MkdirTemp("", "swiftcourse-bench-"); err != nil {
 		return nil, err
 	}
 	text, err := json.Marshal(map[string]any{"name": name, "listen": s.Addr, "processor": s.Processor.Addr(),
