--- a/cmd/swiftcourse-fleet/command.go
+++ b/cmd/swiftcourse-fleet/command.go
@@ -17,6 +17,7 @@
 
 	"github.com/alecthomas/kong"
 
+	"swiftcourse/internal/cli"
 	"swiftcourse/internal/config"
 	"swiftcourse/internal/fleet"
 	"swiftcourse/internal/policy/release"
@@ -43,7 +44,7 @@
 	Counts struct {
 		JSON bool `name:"json" help:"As JSON."`
 	} `cmd:"" help:"What all servers were asked for, by tenant and stage, and what may be missing of it; known to the voters."`
-	Demo  struct{} `cmd:"" help:"Show two levels on loopback, with stand-ins, while one process after the other dies; needs swiftlab beside this program."`
+	Demo  struct{} `cmd:"" help:"Show two levels on loopback, with stand-ins, while one process after the other dies; needs swiftcourse-bench beside this program."`
 	Plans struct {
 		JSON bool `name:"json" help:"As JSON."`
 	} `cmd:"" help:"Which plan a forwarder goes by; at the planner that leads, what it knows of forwarders and workers."`
@@ -65,11 +66,8 @@
 	} `cmd:"" help:"Let a server in again."`
 }
 
-// errAlarm ends the program with status 2.
-var errAlarm = errors.New("alarm")
-
-// Command carries the words after "fleet" out.
-func (p *parts) Command(words []string) error {
+// RunCommand carries the words after "fleet" out.
+func (p *parts) RunCommand(words []string) error {
 	var o operator
 	parser, err := kong.New(&o, kong.Name("swiftcourse fleet"), kong.Description("Ask and steer a fleet, by any of its servers."))
 	if err != nil {
@@ -105,9 +103,6 @@
 	case "admit":
 		err = o.command(release.Command{Kind: release.KindReadmit, Author: author, Name: o.Admit.Name})
 	}
-	if errors.Is(err, errAlarm) {
-		os.Exit(2)
-	}
 	return err
 }
 
@@ -117,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	lab, server := filepath.Join(filepath.Dir(self), "swiftlab"), filepath.Join(filepath.Dir(self), "swiftcourse")
+	lab, server := filepath.Join(filepath.Dir(self), "swiftcourse-bench"), filepath.Join(filepath.Dir(self), "swiftcourse")
 	return fmt.Errorf("%s: %w", lab, syscall.Exec(lab, []string{lab, "demo", "--levels", "--server", server}, os.Environ()))
 }
 
@@ -177,7 +172,7 @@
 		for _, a := range s.Audit.Alarms {
 			fmt.Fprintln(os.Stderr, "ALARM:", a)
 		}
-		return errAlarm
+		return cli.ErrAlarm
 	}
 	return nil
 }
@@ -255,7 +250,7 @@
 		}
 	}
 	if err == nil && alarm {
-		err = errAlarm
+		err = cli.ErrAlarm
 	}
 	return err
 }
--- a/cmd/swiftcourse-fleet/forward.go
+++ b/cmd/swiftcourse-fleet/forward.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -23,8 +24,8 @@
 
 // This file is the two-level fleet's part of the wiring: a forwarder's workers, and a planner.
 
-// Forward has a server pass its tasks on to the workers that the operator's file names.
-func (p *parts) Forward(start *config.Startup, own *config.OperatorSettings, loop *server.Server) error {
+// EnableForwarding has a server pass its tasks on to the workers that the operator's file names.
+func (p *parts) EnableForwarding(start *config.Startup, own *config.OperatorSettings, loop *server.Server) error {
 	if len(own.Forwarding.Workers) == 0 {
 		return errors.New("forward-to: names no workers")
 	}
@@ -39,16 +40,17 @@
 	if start.Settings.Cores *= len(workers); own.Forwarding.MaxInFlight > 0 {
 		start.Settings.Cores = own.Forwarding.MaxInFlight
 	}
-	p.dispatcher = forwarder.Start(forwarder.Config{Workers: workers, Classes: start.Settings.Classes, Seed: forwarder.SeedFor(start.Name, start.Seed),
-		SlowStartSpeed: start.Settings.SlowStart.InitialSpeed, SlowStartSeconds: start.WorkerSlowStartDuration, Now: loop.Now,
-		OnResults: func(list []forwarder.Result) {
-			backs := make([]server.ForwardResult, len(list))
-			for i, b := range list {
-				backs[i] = server.ForwardResult(b)
-			}
-			loop.HandleForwardResults(backs)
-		}, OnWorkerAvailable: loop.HandleWorkerAvailable})
-	loop.EnableForwarding(func(out server.ForwardRequest) bool { return p.dispatcher.Dispatch(forwarder.Request(out)) }, p.dispatcher.Cancel)
+	p.dispatcher = forwarder.Start(forwarder.Config{
+		Workers:           workers,
+		Classes:           start.Settings.Classes,
+		Seed:              forwarder.SeedFor(start.Name, start.Seed),
+		SlowStartSpeed:    start.Settings.SlowStart.InitialSpeed,
+		SlowStartSeconds:  start.WorkerSlowStartDuration,
+		Now:               loop.Now,
+		OnResults:         loop.HandleForwardResults,
+		OnWorkerAvailable: loop.HandleWorkerAvailable,
+	})
+	loop.EnableForwarding(p.dispatcher.Dispatch, p.dispatcher.Cancel)
 	slog.Info("forwarder", "workers", len(workers), "slots", start.Settings.Cores)
 	return nil
 }
@@ -61,17 +63,13 @@
 	var last loadplan.Version
 	return &fleet.LoadPlanConfig{
 		Report: func(float64) *loadplan.Report { return p.dispatcher.TakeReport() },
-		OnShare: func(part *loadplan.Assignment, until float64) {
-			if part.ClusterID != last.ClusterID || part.Term != last.Term {
-				slog.Info("fleet_plan", "founding", part.ClusterID, "term", part.Term, "seq", part.Sequence, "weights", len(part.Weights), "rates", len(part.RateLimits))
+		OnAssignment: func(part *loadplan.Assignment, until float64) {
+			if part.Version.ClusterID != last.ClusterID || part.Version.Term != last.Term {
+				slog.Info("fleet_plan", "founding", part.Version.ClusterID, "term", part.Version.Term, "seq", part.Version.Sequence, "weights", len(part.Weights), "rates", len(part.RateLimits))
 			}
 			last = part.Version
-			weights := map[string]float64{}
-			for _, w := range part.Weights {
-				weights[w.Name] = w.Weight
-			}
 			till := clock.ToSource(until)
-			p.dispatcher.ApplyPlan(weights, till)
+			p.dispatcher.ApplyPlan(part.WeightsByName(), till)
 			p.allow(func() { p.planned = rates(part, start, till) })
 		},
 	}
@@ -89,8 +87,8 @@
 	return list
 }
 
-// Plan is a planner: a voter of the fleet that serves nothing.
-func (p *parts) Plan(name string, own *config.OperatorSettings, signals lifecycle.Signals) error {
+// RunPlanner is a planner: a voter of the fleet that serves nothing.
+func (p *parts) RunPlanner(name string, own *config.OperatorSettings, signals lifecycle.Signals) error {
 	if !own.Fleet.Enabled {
 		return errors.New("fleet: a planner needs it on")
 	}
@@ -104,22 +102,36 @@
 	if voters[name] == "" {
 		return fmt.Errorf("fleet-voters: %s is none; a planner is", name)
 	}
-	clock, via, err := forTests(now)
+	clock, translateAddr, err := forTests(now)
 	if err != nil {
 		return err
 	}
-	f, err := fleet.Start(fleet.Config{Name: name, ListenAddr: own.Fleet.ListenAddress, Voters: voters, JoinAddrs: own.Fleet.JoinAddresses, LeaseTerms: memberTerms(own), Rollout: rollout(own),
-		OnLeaseExpiry: serving.ModeNormal, LoadPlan: &fleet.LoadPlanConfig{IsPlanner: true}, CountersEnabled: own.Fleet.SharedCounters, Seed: from.UnixNano(), Build: build(), Now: clock.Now, UnixNow: clock.UnixNow, RelayAddrs: via,
+	ctx, leave := context.WithCancel(context.Background())
+	defer leave()
+	f, err := fleet.Start(ctx, fleet.Config{
+		Name:            name,
+		ListenAddr:      own.Fleet.ListenAddress,
+		Voters:          voters,
+		JoinAddrs:       own.Fleet.JoinAddresses,
+		Seed:            from.UnixNano(),
+		Build:           build(),
+		Clock:           clock,
+		Lease:           fleet.LeaseConfig{Terms: memberTerms(own), Fallback: serving.ModeNormal},
+		Rollout:         rollout(own),
+		LoadPlan:        &fleet.LoadPlanConfig{IsPlanner: true},
+		CountersEnabled: own.Fleet.SharedCounters,
 		Apply: func(text string) error {
 			_, err := own.WithRelease("released", text)
 			return err
 		},
-		Publish: func(*serving.Directive) {}})
+		Publish: func(*serving.Directive) {},
+		Hooks:   fleet.Hooks{TranslateAddr: translateAddr},
+	})
 	if err != nil {
 		return err
 	}
 	if own.Fleet.ControlAddress != "" {
-		if _, err := f.ServeControl(own.Fleet.ControlAddress); err != nil {
+		if err := f.ServeControl(ctx, own.Fleet.ControlAddress); err != nil {
 			return fmt.Errorf("fleet-control: %w", err)
 		}
 	}
--- /dev/null
+++ b/internal/bench/faultinjection/ledger.go
@@ -0,0 +1,115 @@
+package faultinjection
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+)
+
+// RunLog is what the processors of a fleet know of the runs of each key, an account apart from the program's own. A task's body is its key.
+type RunLog struct {
+	mu      sync.Mutex
+	runs    map[string][]time.Time
+	results map[string][]string // of each key, in their order
+	started map[string]startedRun
+}
+
+// startedRun is a run as it began.
+type startedRun struct {
+	key string
+	at  time.Time
+}
+
+// NewRunLog makes one for a fleet whose shape gets Begun and Result.
+func NewRunLog() *RunLog {
+	return &RunLog{runs: map[string][]time.Time{}, results: map[string][]string{}, started: map[string]startedRun{}}
+}
+
+// RecordStart enters a run.
+func (l *RunLog) RecordStart(id string, body []byte) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(body) == 0 { // of a load that bears no keys
+		return
+	}
+	now := time.Now()
+	l.runs[string(body)] = append(l.runs[string(body)], now)
+	l.started[id] = startedRun{string(body), now}
+}
+
+// RecordResult is another one for each run, so that a second run shows in the answers too.
+func (l *RunLog) RecordResult(id string, body []byte) []byte {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	r := fmt.Sprintf("%s by %s", body, id)
+	l.results[string(body)] = append(l.results[string(body)], r)
+	return []byte(r)
+}
+
+// CountRepeated counts the keys with a beginning that ran more than once.
+func (l *RunLog) CountRepeated(beginning string) (n int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for key, runs := range l.runs {
+		if strings.HasPrefix(key, beginning) && len(runs) > 1 {
+			n++
+		}
+	}
+	return n
+}
+
+// RunCount counts those of a key.
+func (l *RunLog) RunCount(key string) int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.runs[key])
+}
+
+// FirstResult is the result of a key's first run that ended, "" where none did.
+func (l *RunLog) FirstResult(key string) string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if all := l.results[key]; len(all) > 0 {
+		return all[0]
+	}
+	return ""
+}
+
+// HasResult tells whether a run of a key had that result.
+func (l *RunLog) HasResult(key, result string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return slices.Contains(l.results[key], result)
+}
+
+// CountRuns counts the runs that pass.
+func (l *RunLog) CountRuns(pass func(id, key string, at time.Time) bool) (n int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for id, b := range l.started {
+		if pass(id, b.key, b.at) {
+			n++
+		}
+	}
+	return n
+}
+
+// MaxRunsWithin is the largest number of runs that a key had within so long of one another, with that key.
+func (l *RunLog) MaxRunsWithin(within time.Duration) (most int, key string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for k, times := range l.runs {
+		for i := range times {
+			n := 1
+			for j := i + 1; j < len(times) && times[j].Sub(times[i]) < within; j++ {
+				n++
+			}
+			if n > most {
+				most, key = n, k
+			}
+		}
+	}
+	return most, key
+}
--- a/internal/lab/emulate/levels.go
+++ b/internal/bench/simulation/levels.go
@@ -1,4 +1,4 @@
-package emulate
+package simulation
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"swiftcourse/internal/policy/routing"
 )
 
-// Levels is a fleet of two levels in simulated time: the planners' and forwarders' parts of package peers, the routers of judge/route, and workers that
+// Levels is a fleet of two levels in simulated time: the planners' and forwarders' parts of package fleet, the routers of judge/route, and workers that
 // run tasks on a number of cores, reject what would wait for too long, and may die. Load is uneven over forwarders, and workers differ.
 type Levels struct {
 	Forwarders int
@@ -192,23 +192,21 @@
 	s.plans = func(clock *fleet.Clock) *fleet.LoadPlanConfig {
 		return &fleet.LoadPlanConfig{
 			Report: func(float64) *loadplan.Report {
-				r := &loadplan.Report{IntervalSeconds: max(l.now-f.since, 1e-3), Demand: []loadplan.TenantRate{{Rate: float64(f.asked) / max(l.now-f.since, 1e-3)}}}
-				f.since, f.asked = l.now, 0
-				for _, w := range f.router.TakeStats() {
-					r.Workers = append(r.Workers, loadplan.WorkerStats{Name: w.Name, Connected: w.State != routing.Disconnected, InFlight: w.InFlight, Finished: w.Finished, Rejected: w.Rejected, Lost: w.Lost})
+				seconds := max(l.now-f.since, 1e-3)
+				r := &loadplan.Report{
+					IntervalSeconds: seconds,
+					Demand:          []loadplan.TenantRate{{Rate: float64(f.asked) / seconds}},
+					Workers:         f.router.TakeStats(),
 				}
+				f.since, f.asked = l.now, 0
 				return r
 			},
-			OnShare: func(p *loadplan.Assignment, until float64) {
+			OnAssignment: func(p *loadplan.Assignment, until float64) {
 				if p.Version.Compare(f.holds) < 0 {
 					l.row.Stale++
 				}
 				f.holds = p.Version
-				weights := map[string]float64{}
-				for _, w := range p.Weights {
-					weights[w.Name] = w.Weight
-				}
-				f.router.ApplyPlan(l.now, weights, clock.ToSource(until))
+				f.router.ApplyPlan(l.now, p.WeightsByName(), clock.ToSource(until))
 			},
 		}
 	}
@@ -267,7 +265,7 @@
 		return
 	}
 	t.tried = append(t.tried, name)
-	t.f.router.StartAttempt(l.now, name, len(t.tried))
+	t.f.router.StartAttempt(name, len(t.tried))
 	if t.counted {
 		l.tries++
 	}
@@ -279,7 +277,14 @@
 			l.settle(t, true)
 			return
 		}
-		if t.f.router.AllowRetry(end, len(t.tried), t.safe, t.came+levelWait-l.now, levelWork) {
+		retry := routing.Retry{
+			LastOutcome:    end,
+			Attempts:       len(t.tried),
+			IsIdempotent:   t.safe,
+			Remaining:      t.came + levelWait - l.now,
+			TypicalLatency: levelWork,
+		}
+		if t.f.router.AllowRetry(retry) {
 			l.place(t)
 			return
 		}
--- /dev/null
+++ b/internal/policy/connlimit/state.go
@@ -0,0 +1,200 @@
+package connlimit
+
+import "strconv"
+
+// State is the state of a connection.
+type State uint8
+
+// The states of a connection.
+const (
+	StateClosed         State = iota // no connection has the slot
+	StateNew                         // has sent nothing valid yet
+	StateIdle                        // has sent something valid, and none of its requests is open
+	StatePartialMessage              // like idle, and the start of a message is there
+	StateActive                      // a request of it is open
+	StateAskedToClose                // the peer was asked to close it
+	StateClosing                     // to be closed: the decision was made
+	StateHeld                        // accepted but not admitted: its requests are rejected
+	StateRejected                    // like held, and its request was rejected: closed next
+	stateCount                       // how many states there are
+)
+
+var stateNames = [stateCount]string{
+	StateClosed:         "closed",
+	StateNew:            "new",
+	StateIdle:           "idle",
+	StatePartialMessage: "partial_message",
+	StateActive:         "active",
+	StateAskedToClose:   "asked_to_close",
+	StateClosing:        "closing",
+	StateHeld:           "held",
+	StateRejected:       "rejected",
+}
+
+// String returns the name of the state.
+func (s State) String() string {
+	if s >= stateCount {
+		return "state " + strconv.Itoa(int(s))
+	}
+	return stateNames[s]
+}
+
+// hasNoRequest reports whether a draining server asks connections in the state to close: they are
+// admitted, have no open request and were not asked yet.
+func (s State) hasNoRequest() bool {
+	return s == StateNew || s == StatePartialMessage || s == StateIdle
+}
+
+// isHeld reports whether connections in the state are not admitted.
+func (s State) isHeld() bool { return s == StateHeld || s == StateRejected }
+
+// isEvictable reports whether a connection in the state may be closed when another needs its slot.
+func (s State) isEvictable() bool { return s.hasNoRequest() || s == StateAskedToClose }
+
+// Event is an event of a connection.
+type Event uint8
+
+// The events of a connection.
+const (
+	EventRequest        Event = iota // a request or a health check came, whole and valid
+	EventMessage                     // another whole message came
+	EventPartialMessage              // the start of a message came, and no more
+	EventRequestOpened               // a request of it is open now
+	EventRequestsDone                // none of its requests is open any more
+	EventTimeout                     // the timeout of its state passed
+	EventDrain                       // the server is draining
+	EventUnreadData                  // it was to be closed, but there is unread data
+	eventCount                       // how many events there are
+)
+
+var eventNames = [eventCount]string{
+	EventRequest:        "request",
+	EventMessage:        "message",
+	EventPartialMessage: "partial_message",
+	EventRequestOpened:  "request_opened",
+	EventRequestsDone:   "requests_done",
+	EventTimeout:        "timeout",
+	EventDrain:          "drain",
+	EventUnreadData:     "unread_data",
+}
+
+// String returns the name of the event.
+func (e Event) String() string {
+	if e >= eventCount {
+		return "event " + strconv.Itoa(int(e))
+	}
+	return eventNames[e]
+}
+
+// effect is what a transition does beside entering the next state.
+type effect uint8
+
+const (
+	effectNone   effect = iota
+	effectAsk           // decide to ask the peer to close, unless it was asked before
+	effectClose         // decide to close
+	effectResume        // return to the state before the decision to close
+)
+
+// transition is one row of the state table.
+type transition struct {
+	from   State
+	event  Event
+	to     State
+	effect effect
+}
+
+// transitions is the whole state table. An event that has no row changes nothing; with each one
+// that has, the timeout of the next state begins, also where that is the same state.
+var transitions = [...]transition{
+	{StateNew, EventRequest, StateIdle, effectNone},
+	{StateNew, EventRequestOpened, StateActive, effectNone},
+	{StateNew, EventTimeout, StateClosing, effectClose},
+	{StateNew, EventDrain, StateAskedToClose, effectAsk},
+
+	{StateIdle, EventRequest, StateIdle, effectNone},
+	{StateIdle, EventMessage, StateIdle, effectNone},
+	{StateIdle, EventPartialMessage, StatePartialMessage, effectNone},
+	{StateIdle, EventRequestOpened, StateActive, effectNone},
+	{StateIdle, EventTimeout, StateAskedToClose, effectAsk},
+	{StateIdle, EventDrain, StateAskedToClose, effectAsk},
+
+	{StatePartialMessage, EventRequest, StateIdle, effectNone},
+	{StatePartialMessage, EventMessage, StateIdle, effectNone},
+	{StatePartialMessage, EventRequestOpened, StateActive, effectNone},
+	{StatePartialMessage, EventTimeout, StateClosing, effectClose},
+	{StatePartialMessage, EventDrain, StateAskedToClose, effectAsk},
+
+	// HandleEvent goes on from there by what the request left.
+	{StateActive, EventRequestsDone, StateIdle, effectNone},
+
+	// Its request crossed the message that asked it to close.
+	{StateAskedToClose, EventRequestOpened, StateActive, effectNone},
+	{StateAskedToClose, EventTimeout, StateClosing, effectClose},
+
+	{StateClosing, EventUnreadData, StateClosed, effectResume},
+
+	{StateHeld, EventRequest, StateRejected, effectNone},
+	{StateHeld, EventTimeout, StateClosing, effectClose},
+	{StateRejected, EventTimeout, StateClosing, effectClose},
+}
+
+// handle takes a connection on by the state table.
+func (l *Limiter) handle(slot int32, event Event, now float64) {
+	state := l.connections[slot].state
+	for i := range transitions {
+		row := &transitions[i]
+		if row.from == state && row.event == event {
+			l.follow(row, slot, now)
+			return
+		}
+	}
+}
+
+// follow carries out one row of the state table.
+func (l *Limiter) follow(row *transition, slot int32, now float64) {
+	conn := &l.connections[slot]
+	next := row.to
+	switch row.effect {
+	case effectAsk:
+		if !conn.askedToClose {
+			conn.askedToClose = true
+			l.decide(slot, CommandAskToClose, row.from)
+		}
+	case effectClose:
+		conn.closedFrom = row.from
+		l.decide(slot, CommandClose, row.from)
+	case effectResume:
+		next = conn.closedFrom
+	}
+	l.enter(slot, next, now)
+}
+
+// enter moves a connection to the end of the queue of a state. As all connections of a state have
+// the same timeout, the first in its queue is the first to time out.
+func (l *Limiter) enter(slot int32, state State, now float64) {
+	conn := &l.connections[slot]
+	if conn.state != StateClosed {
+		node := conn.stateLinks
+		l.queues[conn.state].remove(node, l.stateLinks(node.prev), l.stateLinks(node.next))
+	}
+	conn.state = state
+	conn.since = now
+	conn.stateLinks = links{}
+	if l.clientPolicy != nil {
+		l.updateClient(slot, now)
+	}
+	if state == StateClosed {
+		return
+	}
+	queue := &l.queues[state]
+	queue.pushBack(slot+1, &conn.stateLinks, l.stateLinks(queue.last))
+}
+
+// stateLinks returns the links of a connection, counted from 1, in the queue of its state; nil for 0.
+func (l *Limiter) stateLinks(number int32) *links {
+	if number == 0 {
+		return nil
+	}
+	return &l.connections[number-1].stateLinks
+}
--- a/internal/server/directive_test.go
+++ b/internal/server/directive_test.go
@@ -23,7 +23,7 @@
 	f.executor.readCommand(false)
 	f.executor.sendUp("seasoned", 1)
 	f.executor.readCommand(true)
-	known := query(f, func(s *Server) int { return s.clients.limiter.Count(connlimit.Known) })
+	known := query(f, func(s *Server) int { return s.clients.limiter.Count(connlimit.StateIdle) })
 	if known != n || crowd.Len() != n {
 		t.Errorf("%d known, %d stand", known, crowd.Len())
 	}
@@ -32,16 +32,16 @@
 	f.executor.expectCommand("begin", "a1")
 	f.executor.sendCompletion(1, "a1", "done", "r")
 	client.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
-	crowd.Leave()
+	crowd.Close()
 	_ = client.Close()
 	waitUntil(f, "0 clients, 0 trusted, 0 busy, 0 buffers, next never", func(s *Server) string {
 		next := "never"
-		if !math.IsInf(s.clients.limiter.Next(), 1) && s.clients.limiter.Next() > s.now() {
+		if !math.IsInf(s.clients.limiter.NextWakeup(), 1) && s.clients.limiter.NextWakeup() > s.now() {
 			next = "ahead"
 		}
 		limiter := s.clients.limiter
 		return fmt.Sprintf("%d clients, %d trusted, %d busy, %d buffers, next %s", s.clients.conns.Len(),
-			limiter.Count(connlimit.Known), limiter.Count(connlimit.Busy), s.output.buffers.InUse, next)
+			limiter.Count(connlimit.StateIdle), limiter.Count(connlimit.StateActive), s.output.buffers.InUse, next)
 	})
 	if timers := query(f, func(s *Server) int { return s.loop.timers.Len() }); timers > 10 {
 		t.Errorf("%d timers left", timers)
@@ -64,16 +64,16 @@
 	close(finish)
 	var finished, rejected, byDirective int // the controller may have rejected some before, with its own Retry-After
 	for finished+rejected < requests {
-		switch a := client.readAnswer(); a.End {
+		switch answer := client.readAnswer(); answer.End {
 		case rpc.Finished:
 			finished++
 		case rpc.Rejected:
 			rejected++
-			if a.Say.Advice == outOfServiceRetryAfter {
+			if answer.Say.Advice == outOfServiceRetryAfter {
 				byDirective++
 			}
 		default:
-			t.Fatalf("answer %+v", a)
+			t.Fatalf("answer %+v", answer)
 		}
 	}
 	if runs := len(started) + 1; finished != runs || byDirective == 0 {
@@ -88,8 +88,8 @@
 	f.setDirective(serving.ModeNormal, math.Inf(1), serving.ModeNormal)
 	f.waitForReport(true)
 	client.send("%s", requestFrame(99, "0000000000000099", "x"))
-	if a := client.readAnswer(); a.End != rpc.Finished {
-		t.Errorf("back, it answers %+v", a)
+	if answer := client.readAnswer(); answer.End != rpc.Finished {
+		t.Errorf("back, it answers %+v", answer)
 	}
 }
 
@@ -103,8 +103,8 @@
 	stamp := f.setDirective(serving.ModeNormal, f.server.Now()-1, serving.ModeOutOfService)
 	client := f.dialClient()
 	client.send("%s", requestFrame(1, "0000000000000001", "x"))
-	if a := client.readAnswer(); a.End != rpc.Rejected {
-		t.Errorf("it answers %+v", a)
+	if answer := client.readAnswer(); answer.End != rpc.Rejected {
+		t.Errorf("it answers %+v", answer)
 	}
 	if n := stamp.Requests.Load(); n != 0 || len(started) != 0 {
 		t.Errorf("%d requests were taken in, %d started", n, len(started))
--- a/internal/server/quota_test.go
+++ b/internal/server/quota_test.go
@@ -54,7 +54,7 @@
 		})
 	})
 	reports.await(t, "by which grant it goes", func(u QuotaUsage) bool {
-		return u.Name == "acme" && u.Answer == 7
+		return u.Name == "acme" && u.GrantNumber == 7
 	})
 	client := f.dialClient()
 	client.send("%s%s", requestFrame(1, "a1", "x"), requestFrame(2, "a2", "x"))
@@ -64,7 +64,7 @@
 	acceptConn(t, f.upstreamListener).expect("FETCH a1 ")
 	f.executor.sendCall(2, "a2", "c")
 	reports.await(t, "that one call is out and another waits", func(u QuotaUsage) bool {
-		return u.Name == "calls" && u.Open == 1 && u.Demand == 2 && u.Answer == 3
+		return u.Name == "calls" && u.InFlight == 1 && u.Demand == 2 && u.GrantNumber == 3
 	})
 	expiry := f.server.Now() + 60
 	f.server.SetAllowances([]serving.Allowance{
@@ -73,11 +73,11 @@
 	})
 	acceptConn(t, f.upstreamListener).expect("FETCH a2 ")
 	client.send("%s", requestFrame(3, "a3", "x"))
-	if a := client.readAnswer(); a.Number != 3 || a.End != rpc.Rejected {
-		t.Errorf("with nothing allowed request %d ends as %v", a.Number, a.End)
+	if answer := client.readAnswer(); answer.Number != 3 || answer.End != rpc.Rejected {
+		t.Errorf("with nothing allowed request %d ends as %v", answer.Number, answer.End)
 	}
 	reports.await(t, "what was asked for", func(u QuotaUsage) bool {
-		return u.Name == "acme" && u.Demand > 0 && u.Answer == 8
+		return u.Name == "acme" && u.Demand > 0 && u.GrantNumber == 8
 	})
 	f.server.SetAllowances(nil) // the quotas are no more
 	for n := byte(4); n < 9; n++ {
@@ -85,8 +85,8 @@
 		client.send("%s", requestFrame(n, "b"+string(rune('a'+n)), "x"))
 		time.Sleep(20 * time.Millisecond)
 	}
-	if m := f.executor.readCommand(false); m["msg"] != "begin" {
-		t.Errorf("without quotas: %v", m)
+	if command := f.executor.readCommand(false); command["msg"] != "begin" {
+		t.Errorf("without quotas: %v", command)
 	}
 }
 
@@ -103,7 +103,7 @@
 	time.Sleep(600 * time.Millisecond) // past its end
 	client := f.dialClient()
 	client.send("%s", requestFrame(1, "a1", "x"))
-	if a := client.readAnswer(); a.Number != 1 || a.End != rpc.Rejected {
-		t.Errorf("a request after the end of the lease ends as %v", a.End)
+	if answer := client.readAnswer(); answer.Number != 1 || answer.End != rpc.Rejected {
+		t.Errorf("a request after the end of the lease ends as %v", answer.End)
 	}
 }
