--- /dev/null
+++ b/cmd/swiftcourse-fleet/forwarding.go
@@ -0,0 +1,72 @@
+package main
+
+import (
+	"log/slog"
+	"slices"
+	"strings"
+
+	"swiftcourse/internal/config"
+	"swiftcourse/internal/forwarder"
+	"swiftcourse/internal/server"
+)
+
+// workersKey names the workers in the operator's file.
+const workersKey = "forward-to"
+
+// EnableForwarding has a server forward its requests to the workers of the operator's file.
+func (p *fleetProgram) EnableForwarding(
+	startup *config.Startup, operator *config.OperatorSettings, srv *server.Server,
+) error {
+	workers, err := parseWorkers(operator.Forwarding.Workers)
+	if err != nil {
+		return err
+	}
+	startup.Settings.Cores *= len(workers)
+	if operator.Forwarding.MaxInFlight > 0 {
+		startup.Settings.Cores = operator.Forwarding.MaxInFlight
+	}
+	p.dispatcher = forwarder.Start(forwarder.Config{
+		Workers:           workers,
+		Classes:           startup.Settings.Classes,
+		Seed:              forwarder.SeedFor(startup.Name, startup.Seed),
+		SlowStartSpeed:    startup.Settings.SlowStart.InitialSpeed,
+		SlowStartSeconds:  startup.WorkerSlowStartDuration,
+		Now:               srv.Now,
+		OnResults:         func(results []forwarder.Result) { srv.HandleForwardResults(serverResults(results)) },
+		OnWorkerAvailable: srv.HandleWorkerAvailable,
+	})
+	dispatch := func(request server.ForwardRequest) bool { return p.dispatcher.Dispatch(forwarder.Request(request)) }
+	srv.EnableForwarding(dispatch, p.dispatcher.Cancel)
+	slog.Info("forwarding_enabled", "workers", len(workers), "max_in_flight", startup.Settings.Cores)
+	return nil
+}
+
+// parseWorkers reads workers, each of which is name=address.
+func parseWorkers(texts []string) ([]forwarder.Worker, error) {
+	if len(texts) == 0 {
+		return nil, &config.FieldError{Key: workersKey, Reason: "names no workers"}
+	}
+	var workers []forwarder.Worker
+	for _, text := range texts {
+		name, addr, found := strings.Cut(text, "=")
+		hasName := func(w forwarder.Worker) bool { return w.Name == name }
+		if !found || name == "" || addr == "" || slices.ContainsFunc(workers, hasName) {
+			return nil, &config.FieldError{
+				Key:    workersKey,
+				Value:  text,
+				Reason: "is not name=address, or repeats a name",
+			}
+		}
+		workers = append(workers, forwarder.Worker{Name: name, Addr: addr})
+	}
+	return workers, nil
+}
+
+// serverResults converts the outcomes of forwarded requests.
+func serverResults(results []forwarder.Result) []server.ForwardResult {
+	converted := make([]server.ForwardResult, len(results))
+	for i, result := range results {
+		converted[i] = server.ForwardResult(result)
+	}
+	return converted
+}
--- /dev/null
+++ b/cmd/swiftcourse-fleet/health.go
@@ -0,0 +1,24 @@
+package main
+
+import (
+	"log/slog"
+
+	"swiftcourse/internal/config"
+	"swiftcourse/internal/fleet"
+	"swiftcourse/internal/server"
+)
+
+// healthConfig is what the fleet agent is told of shared health checks of the service below, nil
+// where they are off.
+func (p *fleetProgram) healthConfig(operator *config.OperatorSettings) *fleet.HealthConfig {
+	if !operator.Fleet.SharedHealthChecks {
+		return nil
+	}
+	return &fleet.HealthConfig{Zone: operator.Fleet.Zone, OnLimit: p.allowances.setCallLimit}
+}
+
+// connectHealth has the server report its calls to the service below.
+func connectHealth(node *fleet.Node, health *fleet.HealthConfig, srv *server.Server) {
+	srv.ReportUpstreamCalls(node.ReportCalls)
+	slog.Info("shared_health_checks_enabled", "zone", health.Zone)
+}
--- /dev/null
+++ b/cmd/swiftcourse-fleet/loadplan.go
@@ -0,0 +1,79 @@
+package main
+
+import (
+	"log/slog"
+
+	"swiftcourse/internal/config"
+	"swiftcourse/internal/fleet"
+	"swiftcourse/internal/policy/loadplan"
+	"swiftcourse/internal/policy/quota"
+	"swiftcourse/internal/policy/serving"
+)
+
+// planAllowancePrefix begins the names of allowances that a load plan sets.
+const planAllowancePrefix = "plan/"
+
+// loadPlanConfig is what a forwarder's fleet agent is told of load plans, nil where requests are
+// not forwarded.
+func (p *fleetProgram) loadPlanConfig() *fleet.LoadPlanConfig {
+	if p.dispatcher == nil {
+		return nil
+	}
+	follower := &planFollower{program: p}
+	return &fleet.LoadPlanConfig{
+		Report:       func(float64) *loadplan.Report { return p.dispatcher.TakeReport() },
+		OnAssignment: follower.follow,
+	}
+}
+
+// planFollower has a forwarder follow its assignments. The fleet agent's goroutine owns it.
+type planFollower struct {
+	program *fleetProgram
+	current loadplan.Version
+}
+
+// follow has the dispatcher and the server go by an assignment until freshUntil, in the agent's
+// time.
+func (f *planFollower) follow(assignment *loadplan.Assignment, freshUntil float64) {
+	if assignment.ClusterID != f.current.ClusterID || assignment.Term != f.current.Term {
+		slog.Info("load_planner_changed",
+			"cluster_id", assignment.ClusterID,
+			"term", assignment.Term,
+			"sequence", assignment.Sequence,
+			"weights", len(assignment.Weights),
+			"rate_limits", len(assignment.RateLimits),
+		)
+	}
+	f.current = assignment.Version
+	weights := map[string]float64{}
+	for _, worker := range assignment.Weights {
+		weights[worker.Name] = worker.Weight
+	}
+	expiry := f.program.clock.ToSource(freshUntil)
+	f.program.dispatcher.ApplyPlan(weights, expiry)
+	f.program.allowances.setPlan(planAllowances(assignment, f.program.startup, expiry))
+}
+
+// planAllowances is what an assignment admits of each tenant. After its expiry nothing is limited,
+// as workers reject what they can't do: hence a guaranteed rate without limit, and a leased share
+// that is negative until then.
+func planAllowances(
+	assignment *loadplan.Assignment, startup *config.Startup, expiry float64,
+) (allowances []serving.Allowance) {
+	for _, limit := range assignment.RateLimits {
+		tenant, known := startup.TenantIndex[limit.Tenant]
+		if !known {
+			continue
+		}
+		allowances = append(allowances, serving.Allowance{
+			Name:         planAllowancePrefix + limit.Tenant,
+			Tenant:       tenant,
+			FleetMax:     unlimited,
+			Guaranteed:   unlimited,
+			LeasedShare:  limit.Rate - unlimited,
+			LeaseExpiry:  expiry,
+			BurstSeconds: quota.BurstSeconds,
+		})
+	}
+	return allowances
+}
--- /dev/null
+++ b/cmd/swiftcourse-fleet/replication.go
@@ -0,0 +1,136 @@
+package main
+
+import (
+	"fmt"
+	"log/slog"
+	"slices"
+	"strconv"
+	"strings"
+
+	"swiftcourse/internal/config"
+	"swiftcourse/internal/fleet"
+	"swiftcourse/internal/policy/replication"
+	"swiftcourse/internal/server"
+)
+
+// The keys of replication in the operator's file.
+const (
+	replicasKey     = "replica-holders"
+	keyedClassesKey = "replica-keyed"
+	sharedTrustKey  = "replica-callers"
+)
+
+// minMaxClaimSeconds is the least time for which a claim may last. It is told to replicas that
+// serve no keyed class themselves, and which have to be told the same: see docs/replication.md.
+const minMaxClaimSeconds = 1
+
+// trustedClientsDivisor: a server takes over as many clients that others trust as one of so many of
+// the addresses that it remembers.
+const trustedClientsDivisor = 4
+
+// replicationConfig is what the fleet agent is told of replicated state, nil where the operator's
+// file names no replicas.
+func replicationConfig(
+	startup *config.Startup, operator *config.OperatorSettings, srv *server.Server,
+) (*fleet.ReplicationConfig, error) {
+	settings := &operator.Replication
+	if len(settings.Replicas) == 0 {
+		if len(settings.KeyedClasses) > 0 {
+			return nil, &config.FieldError{Key: keyedClassesKey, Reason: "needs " + replicasKey}
+		}
+		return nil, nil
+	}
+	members, err := parseMembers(settings.Replicas)
+	if err != nil {
+		return nil, err
+	}
+	maxClaimSeconds, err := maxClaimSeconds(settings.KeyedClasses, startup)
+	if err != nil {
+		return nil, err
+	}
+	placement, err := replication.NewPlacement(replication.Config{
+		Members:           members,
+		ReplicationFactor: settings.ReplicationFactor,
+		RetentionWindow:   settings.RetentionWindow.Seconds(),
+		MaxClaimDuration:  maxClaimSeconds,
+	})
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", replicasKey, err)
+	}
+	return &fleet.ReplicationConfig{
+		Placement:   placement,
+		MaxRecords:  settings.MaxRecords,
+		MaxBytes:    settings.MaxMemoryMB << 20,
+		CatchUpRate: float64(settings.CatchUpRateKB) * 1024,
+		OnVerdict:   srv.HandleClaimVerdict,
+	}, nil
+}
+
+// parseMembers reads the replicas, each of which is name/zone/weight.
+func parseMembers(replicas []string) ([]replication.Member, error) {
+	var members []replication.Member
+	for _, text := range replicas {
+		parts := strings.Split(text, "/")
+		member := replication.Member{Name: parts[0], Weight: 1}
+		if len(parts) > 1 {
+			member.Zone = parts[1]
+		}
+		if len(parts) > 2 {
+			weight, err := strconv.ParseFloat(parts[2], 64)
+			if err != nil || len(parts) > 3 {
+				return nil, &config.FieldError{Key: replicasKey, Value: text, Reason: "is not name/zone/weight"}
+			}
+			member.Weight = weight
+		}
+		members = append(members, member)
+	}
+	return members, nil
+}
+
+// maxClaimSeconds is how long a claim may last: as long as a request of the keyed classes.
+func maxClaimSeconds(keyedClasses []string, startup *config.Startup) (float64, error) {
+	longest := 0.0
+	for _, name := range keyedClasses {
+		index := slices.Index(startup.ClassNames, name)
+		if index < 0 {
+			return 0, &config.FieldError{Key: keyedClassesKey, Value: name, Reason: "is not a class of this deployment"}
+		}
+		longest = max(longest, startup.Settings.Classes[index].Timeout)
+	}
+	return max(longest, minMaxClaimSeconds), nil
+}
+
+// connectReplication has the server claim the idempotency keys of its requests.
+func connectReplication(
+	node *fleet.Node, replicas *fleet.ReplicationConfig, operator *config.OperatorSettings, srv *server.Server,
+) {
+	settings := &operator.Replication
+	srv.EnableKeyClaims(node, settings.KeyedClasses, settings.RetentionWindow.Seconds())
+	slog.Info("replication_enabled",
+		"replicas", len(replicas.Placement.Members),
+		"replication_factor", replicas.Placement.ReplicationFactor,
+		"quorum", replicas.Placement.Quorum,
+		"keyed_classes", strings.Join(settings.KeyedClasses, ","),
+	)
+}
+
+// trustConfig is what the fleet agent is told of clients that other servers trust, nil where they
+// are not shared.
+func trustConfig(operator *config.OperatorSettings, srv *server.Server) (*fleet.TrustConfig, error) {
+	if !operator.Replication.SharedTrust {
+		return nil, nil
+	}
+	if !operator.ConnLimit.Enabled {
+		return nil, &config.FieldError{Key: sharedTrustKey, Reason: "needs door on"}
+	}
+	return &fleet.TrustConfig{
+		Retention:  operator.ConnLimit.ReputationHalfLife.Seconds(),
+		MaxClients: operator.ConnLimit.RememberedAddresses / trustedClientsDivisor,
+		OnTrusted:  srv.AddTrustedClients,
+	}, nil
+}
+
+// connectTrust has the server report the clients that it trusts.
+func connectTrust(node *fleet.Node, srv *server.Server) {
+	srv.ReportTrustedClients(node.ReportTrusted, replication.MaxTrustedClients)
+}
--- /dev/null
+++ b/internal/cli/fleetcmd/loadplans.go
@@ -0,0 +1,66 @@
+package fleetcmd
+
+import (
+	"fmt"
+	"io"
+
+	"swiftcourse/internal/fleet"
+	"swiftcourse/internal/policy/loadplan"
+)
+
+// plansCommand shows load plans.
+type plansCommand struct {
+	JSON bool `name:"json" help:"As JSON."`
+}
+
+// Run asks the process for its load plan.
+func (c *plansCommand) Run(s *session) error {
+	status, err := fleet.FetchLoadPlan(s.addr)
+	if err != nil {
+		return err
+	}
+	if c.JSON {
+		return writeJSON(s.out, status)
+	}
+	if status.Planner != nil {
+		return printPlanner(s.out, status.Name, status.Planner)
+	}
+	return printCurrentPlan(s.out, status)
+}
+
+// printPlanner prints what the leading planner knows of forwarders and workers.
+func printPlanner(out io.Writer, name string, planner *loadplan.Status) error {
+	r := &report{out: out}
+	t := r.newTable("forwarder", "heard s ago", "demand a second", "plan")
+	for _, forwarder := range planner.Forwarders {
+		t.rowf("%s\t%.1f\t%.1f\t%s",
+			forwarder.Name, forwarder.ReportAgeSeconds, forwarder.Demand, formatVersion(forwarder.Version))
+	}
+	t.rowf("worker\tseen s ago\tcapacity a second\t")
+	for _, worker := range planner.Workers {
+		t.rowf("%s\t%.1f\t%.1f\t", worker.Name, worker.LastConnectedAgeSeconds, worker.Capacity)
+	}
+	t.end()
+	if planner.AdmittedRate > 0 {
+		r.linef("demand is over the workers' capacity: %.1f requests a second are admitted", planner.AdmittedRate)
+	}
+	r.linef("%s leads the planners, its plan is %s; %d plans by the fallback, %d reports rejected",
+		name, formatVersion(planner.Version), planner.Fallbacks, planner.InvalidReports)
+	return r.err
+}
+
+// printCurrentPlan prints the plan of a process that makes none.
+func printCurrentPlan(out io.Writer, status *fleet.LoadPlanStatus) error {
+	r := &report{out: out}
+	if status.Current != (loadplan.Version{}) {
+		r.linef("%s follows plan %s, fresh for %.1f s; %d assignments were stale",
+			status.Name, formatVersion(status.Current), status.FreshFor, status.Stale)
+	}
+	r.linef("the planners' leader is %s", status.Leader)
+	return r.err
+}
+
+// formatVersion returns the version of a plan as text.
+func formatVersion(version loadplan.Version) string {
+	return fmt.Sprintf("%d.%d.%d", version.ClusterID, version.Term, version.Sequence)
+}
--- /dev/null
+++ b/internal/cli/fleetcmd/quotas.go
@@ -0,0 +1,49 @@
+package fleetcmd
+
+import (
+	"io"
+
+	"swiftcourse/internal/fleet"
+)
+
+// budgetsCommand shows the quotas that all servers share.
+type budgetsCommand struct {
+	JSON bool `name:"json" help:"As JSON."`
+}
+
+// Run asks the server for its quotas.
+func (c *budgetsCommand) Run(s *session) error {
+	status, err := fleet.FetchQuotas(s.addr)
+	if err != nil {
+		return err
+	}
+	if c.JSON {
+		return writeJSON(s.out, status)
+	}
+	return printQuotas(s.out, status)
+}
+
+// printQuotas prints the shares that the server holds and, at the leader, those that it granted.
+func printQuotas(out io.Writer, status *fleet.QuotaStatus) error {
+	r := &report{out: out}
+	t := r.newTable("held here", "floor", "leased", "for s")
+	for _, held := range status.Held {
+		t.rowf("%s\t%.2f\t%.2f\t%.1f", held.Name, held.Floor, held.LeasedShare, held.LeaseExpiry-status.Now)
+	}
+	if status.IsLeader {
+		t.rowf("granted by this server\tquota\tleased\tpool\tdemand\tservers\tnote")
+		for _, granted := range status.Granted {
+			note := ""
+			if !granted.PriorLeasesExpired {
+				note = "leases of the leader before may not have expired: no share grows"
+			}
+			t.rowf("%s\t%.2f\t%.2f\t%.2f\t%.2f\t%d\t%s", granted.Name, granted.Max, granted.Leased, granted.Pool,
+				granted.Wanted, granted.Servers, note)
+		}
+	}
+	t.end()
+	if !status.IsLeader {
+		r.linef("all grants are known to the leader, %s", status.Leader)
+	}
+	return r.err
+}
--- /dev/null
+++ b/internal/cli/fleetcmd/release.go
@@ -0,0 +1,116 @@
+package fleetcmd
+
+import (
+	"os"
+	"os/user"
+	"strconv"
+	"strings"
+
+	"swiftcourse/internal/config"
+	"swiftcourse/internal/fleet"
+	"swiftcourse/internal/policy/release"
+)
+
+// unknownAuthor is the author of a command if the system does not name its user.
+const unknownAuthor = "operator"
+
+// releaseCommand releases a version.
+type releaseCommand struct {
+	File  string   `arg:"" type:"existingfile" help:"Settings for all servers, in the form of the operator's file."`
+	Waves []string `help:"Rising parts of the fleet, such as 1%,10%,50%; all follow after the last." placeholder:"PART"`
+	Build string   `help:"The build of the program that it is meant for."`
+	On    string   `help:"Reject the release unless this epoch is the newest."`
+}
+
+// Run checks the file and releases it.
+func (c *releaseCommand) Run(s *session) error {
+	content, err := os.ReadFile(c.File)
+	if err != nil {
+		return err
+	}
+	if _, err := config.DefaultOperatorSettings().WithRelease(c.File, string(content)); err != nil {
+		return err
+	}
+	command := release.Command{
+		Kind:  release.KindRelease,
+		Text:  config.CanonicalText(string(content)),
+		Build: c.Build,
+	}
+	command.Digest = release.Digest(command.Text, command.Build)
+	if command.Waves, err = parseWaves(c.Waves); err != nil {
+		return err
+	}
+	if c.On != "" {
+		if command.ExpectedEpoch, err = release.ParseEpoch(c.On); err != nil {
+			return err
+		}
+	}
+	return s.send(command)
+}
+
+// parseWaves reads parts of the fleet as fractions. One of 100% and more is left out: all servers
+// follow after the last wave anyway.
+func parseWaves(percentages []string) (waves []float64, err error) {
+	for _, text := range percentages {
+		percentage, err := strconv.ParseFloat(strings.TrimSuffix(text, "%"), 64)
+		if err != nil || !strings.HasSuffix(text, "%") {
+			return nil, &FlagError{Flag: "--waves", Value: text, Reason: "is not a percentage"}
+		}
+		if percentage < 100 {
+			waves = append(waves, percentage/100)
+		}
+	}
+	return waves, nil
+}
+
+// rollbackCommand takes the newest version back.
+type rollbackCommand struct {
+	Reason string `arg:"" name:"why" optional:"" default:"by hand"`
+}
+
+// Run sends the command.
+func (c *rollbackCommand) Run(s *session) error {
+	return s.send(release.Command{Kind: release.KindRollback, Reason: c.Reason})
+}
+
+// evictCommand ejects a server.
+type evictCommand struct {
+	Name   string `arg:""`
+	Reason string `arg:"" name:"why" optional:"" default:"by hand"`
+}
+
+// Run sends the command.
+func (c *evictCommand) Run(s *session) error {
+	return s.send(release.Command{Kind: release.KindEject, Name: c.Name, Reason: c.Reason})
+}
+
+// admitCommand readmits a server.
+type admitCommand struct {
+	Name string `arg:""`
+}
+
+// Run sends the command.
+func (c *admitCommand) Run(s *session) error {
+	return s.send(release.Command{Kind: release.KindReadmit, Name: c.Name})
+}
+
+// send has the fleet carry out a command of the present user, and prints the newest epoch after it.
+func (s *session) send(command release.Command) error {
+	command.Author = author()
+	newest, err := fleet.SendCommand(s.addr, command)
+	if err != nil {
+		return err
+	}
+	r := &report{out: s.out}
+	r.linef("done; newest %s", newest)
+	return r.err
+}
+
+// author returns the name of the user who runs the program.
+func author() string {
+	current, err := user.Current()
+	if err != nil {
+		return unknownAuthor
+	}
+	return current.Username
+}
--- /dev/null
+++ b/internal/cli/fleetcmd/replicas.go
@@ -0,0 +1,69 @@
+package fleetcmd
+
+import (
+	"errors"
+	"io"
+	"maps"
+	"slices"
+
+	"swiftcourse/internal/cli"
+	"swiftcourse/internal/fleet"
+	"swiftcourse/internal/policy/replication"
+)
+
+// ErrNoReplicas means that no server of the fleet keeps or claims replicated state.
+var ErrNoReplicas = errors.New("no server keeps replicas: replica-holders names none")
+
+// diffCommand shows the replicas of all servers.
+type diffCommand struct {
+	JSON bool `name:"json" help:"As JSON."`
+}
+
+// replicaReport is what diff prints as JSON.
+type replicaReport struct {
+	Alarm   bool                           `json:"alarm"`
+	Faults  []string                       `json:"faults"`
+	Servers map[string]*replication.Status `json:"servers"`
+}
+
+// Run asks the server for all servers' replicas and compares them.
+func (c *diffCommand) Run(s *session) error {
+	status, err := fleet.FetchStatus(s.addr, "")
+	if err != nil {
+		return err
+	}
+	if len(status.Replicas) == 0 {
+		return ErrNoReplicas
+	}
+	result := &replicaReport{Servers: status.Replicas}
+	result.Faults, result.Alarm = replication.Faults(status.Replicas)
+	if c.JSON {
+		err = writeJSON(s.out, result)
+	} else {
+		err = printReplicas(s.out, result)
+	}
+	if err == nil && result.Alarm {
+		err = cli.ErrAlarm
+	}
+	return err
+}
+
+// printReplicas prints the state of each server's replica, and the faults.
+func printReplicas(out io.Writer, result *replicaReport) error {
+	r := &report{out: out}
+	t := r.newTable("server", "replica", "catching up", "out of sync", "caught up by peers", "by timeout", "repaired",
+		"records", "KB", "dropped", "claims", "replicated", "unreplicated")
+	for _, name := range slices.Sorted(maps.Keys(result.Servers)) {
+		replica := result.Servers[name]
+		t.rowf("%s\t%t\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d", name, replica.IsReplica,
+			replica.CatchingUp, replica.OutOfSync,
+			replica.CaughtUpByPeers, replica.CaughtUpByTimeout, replica.RepairedRecords,
+			replica.Records, replica.Bytes>>10, replica.DroppedResults,
+			replica.ActiveClaims, replica.ReplicatedResults, replica.UnreplicatedResults)
+	}
+	t.end()
+	for _, fault := range result.Faults {
+		r.linef("%s", fault)
+	}
+	return r.err
+}
--- /dev/null
+++ b/internal/cli/fleetcmd/status.go
@@ -0,0 +1,80 @@
+package fleetcmd
+
+import (
+	"fmt"
+	"io"
+
+	"swiftcourse/internal/cli"
+	"swiftcourse/internal/fleet"
+	"swiftcourse/internal/policy/lease"
+)
+
+// statusCommand shows the servers of the fleet.
+type statusCommand struct {
+	JSON bool `name:"json" help:"As JSON."`
+}
+
+// Run asks the server for the fleet's status.
+func (c *statusCommand) Run(s *session) error {
+	status, err := fleet.FetchStatus(s.addr, "")
+	if err != nil {
+		return err
+	}
+	if c.JSON {
+		err = writeIndentedJSON(s.out, status)
+	} else {
+		err = printStatus(s.out, status)
+	}
+	if err != nil {
+		return err
+	}
+	return s.raiseAlarms(status)
+}
+
+// raiseAlarms prints the audit's alarms; the error is cli.ErrAlarm if there are any.
+func (s *session) raiseAlarms(status *fleet.Status) error {
+	if len(status.Audit.Alarms) == 0 {
+		return nil
+	}
+	r := &report{out: s.alarms}
+	for _, alarm := range status.Audit.Alarms {
+		r.linef("ALARM: %s", alarm)
+	}
+	if r.err != nil {
+		return fmt.Errorf("%w: %w", cli.ErrAlarm, r.err)
+	}
+	return cli.ErrAlarm
+}
+
+// printStatus prints how the answering server stands, the rollout under way and all servers.
+func printStatus(out io.Writer, status *fleet.Status) error {
+	r := &report{out: out}
+	r.linef("%s (incarnation %x): lease state %s, active epoch %s, newest epoch %s, leader %s",
+		status.Name, status.Incarnation, status.LeaseState, status.ActiveEpoch, status.Audit.NewestEpoch, status.Leader)
+	if next := status.ReleaseLog.Next; next != nil {
+		r.linef("rolling out: %s by %s, wave %d of %d",
+			next.Epoch, next.Author, status.ReleaseLog.WaveIndex+1, len(status.ReleaseLog.Waves))
+	}
+	t := r.newTable("server", "incarnation", "active", "assigned", "heard s ago", "build", "note")
+	for i := range status.Servers {
+		server := &status.Servers[i]
+		t.rowf("%s\t%x\t%s\t%s\t%.1f\t%s\t%s", server.Name, server.Incarnation, server.ActiveEpoch,
+			server.AssignedEpoch, server.SecondsSinceHeard, server.Build, serverNote(server))
+	}
+	t.end()
+	return r.err
+}
+
+// serverNote returns what is unusual about a server, "" for nothing.
+func serverNote(server *lease.ServerStatus) string {
+	switch {
+	case server.EjectionReason != "":
+		return "ejected: " + server.EjectionReason
+	case server.SecondsBehind > 0:
+		return fmt.Sprintf("lagging for %.1f s %s", server.SecondsBehind, server.BlockedBy)
+	case !server.Reported:
+		return "not heard"
+	default:
+		return ""
+	}
+}
