--- a/cmd/swiftcourse-fleet/forwarding.go
+++ b/cmd/swiftcourse-fleet/forwarding.go
@@ -32,11 +32,10 @@
 		SlowStartSpeed:    startup.Settings.SlowStart.InitialSpeed,
 		SlowStartSeconds:  startup.WorkerSlowStartDuration,
 		Now:               srv.Now,
-		OnResults:         func(results []forwarder.Result) { srv.HandleForwardResults(serverResults(results)) },
+		OnResults:         srv.HandleForwardResults,
 		OnWorkerAvailable: srv.HandleWorkerAvailable,
 	})
-	dispatch := func(request server.ForwardRequest) bool { return p.dispatcher.Dispatch(forwarder.Request(request)) }
-	srv.EnableForwarding(dispatch, p.dispatcher.Cancel)
+	srv.EnableForwarding(p.dispatcher.Dispatch, p.dispatcher.Cancel)
 	slog.Info("forwarding_enabled", "workers", len(workers), "max_in_flight", startup.Settings.Cores)
 	return nil
 }
@@ -61,12 +60,3 @@
 	}
 	return workers, nil
 }
-
-// serverResults converts the outcomes of forwarded requests.
-func serverResults(results []forwarder.Result) []server.ForwardResult {
-	converted := make([]server.ForwardResult, len(results))
-	for i, result := range results {
-		converted[i] = server.ForwardResult(result)
-	}
-	return converted
-}
--- a/cmd/swiftcourse-fleet/loadplan.go
+++ b/cmd/swiftcourse-fleet/loadplan.go
@@ -35,16 +35,17 @@
 // follow has the dispatcher and the server go by an assignment until freshUntil, in the agent's
 // time.
 func (f *planFollower) follow(assignment *loadplan.Assignment, freshUntil float64) {
-	if assignment.ClusterID != f.current.ClusterID || assignment.Term != f.current.Term {
+	version := assignment.Version
+	if version.ClusterID != f.current.ClusterID || version.Term != f.current.Term {
 		slog.Info("load_planner_changed",
-			"cluster_id", assignment.ClusterID,
-			"term", assignment.Term,
-			"sequence", assignment.Sequence,
+			"cluster_id", version.ClusterID,
+			"term", version.Term,
+			"sequence", version.Sequence,
 			"weights", len(assignment.Weights),
 			"rate_limits", len(assignment.RateLimits),
 		)
 	}
-	f.current = assignment.Version
+	f.current = version
 	weights := map[string]float64{}
 	for _, worker := range assignment.Weights {
 		weights[worker.Name] = worker.Weight
--- a/cmd/swiftcourse-fleet/quota.go
+++ b/cmd/swiftcourse-fleet/quota.go
@@ -129,7 +129,12 @@
 func fleetUsage(used []server.QuotaUsage) []fleet.Usage {
 	converted := make([]fleet.Usage, len(used))
 	for i, usage := range used {
-		converted[i] = fleet.Usage(usage)
+		converted[i] = fleet.Usage{
+			Name:   usage.Name,
+			Demand: usage.Demand,
+			Open:   usage.InFlight,
+			Answer: usage.GrantNumber,
+		}
 	}
 	return converted
 }
--- a/internal/lab/faults/levels_test.go
+++ b/internal/lab/faults/levels_test.go
@@ -48,7 +48,7 @@
 		if n := f.Ledger.Twice(pay); n > 0 {
 			t.Errorf("%d tasks that must not ran twice", n)
 		}
-		if n := len(f.Said("", "forward_panic")) + len(f.Said("", "fleet_agent_panic")); n > 0 {
+		if n := len(f.Said("", "forwarder_panic")) + len(f.Said("", "fleet_agent_panic")); n > 0 {
 			t.Errorf("%d panics", n)
 		}
 		f.Close()
@@ -160,7 +160,7 @@
 	f.await(t, "f1 has a plan again", planned("f1", func(s *fleet.LoadPlanStatus) bool { return s.FreshFor > 0 }))
 	for _, name := range f.Front() {
 		term := 0
-		for _, s := range f.Said(name, "fleet_plan") {
+		for _, s := range f.Said(name, "load_planner_changed") {
 			next, err := strconv.Atoi(s.Fields["term"])
 			if err != nil || next < term {
 				t.Errorf("%s goes from term %d to %s", name, term, s.Fields["term"])
