--- a/cmd/swiftcourse-fleet/allowances.go
+++ b/cmd/swiftcourse-fleet/allowances.go
@@ -61,7 +61,10 @@
 }
 
 // publish hands the server all allowances. The caller holds the lock.
-func (s *allowanceSet) publish() {
+func (s *allowanceSet) publish() { s.server.SetAllowances(s.merged()) }
+
+// merged returns all allowances.
+func (s *allowanceSet) merged() []serving.Allowance {
 	allowances := slices.Clone(s.quotas)
 	for _, planned := range s.plan {
 		hasQuota := func(a serving.Allowance) bool { return a.Tenant == planned.Tenant }
@@ -72,7 +75,7 @@
 	if !math.IsInf(s.callLimit.MaxInFlight, 1) {
 		allowances = capCalls(allowances, s.callLimit)
 	}
-	s.server.SetAllowances(allowances)
+	return allowances
 }
 
 // capCalls caps the allowance of calls to the service below, and adds one if there is none.
