--- a/internal/cli/fleetcmd/audit.go
+++ b/internal/cli/fleetcmd/audit.go
@@ -33,8 +33,8 @@
 // printAudit prints the intervals in which servers acted on a version, the servers that lag, and
 // the gaps in what is known.
 func printAudit(out io.Writer, result *audit.Report) error {
-	r := &report{out: out}
-	t := r.newTable("server", "incarnation", "epoch", "digest",
+	output := &report{out: out}
+	t := output.newTable("server", "incarnation", "epoch", "digest",
 		"from (own clock)", "to", "batches", "requests", "reason")
 	for _, account := range result.Accounts {
 		for _, interval := range account.Intervals {
@@ -46,12 +46,12 @@
 	}
 	t.end()
 	for _, server := range result.Lagging {
-		r.linef("lagging: %s (incarnation %x) on %s, assigned %s, for %.1f s: %s", server.Name, server.Incarnation,
+		output.linef("lagging: %s (incarnation %x) on %s, assigned %s, for %.1f s: %s", server.Name, server.Incarnation,
 			server.ActiveEpoch, server.AssignedEpoch, max(server.LagSeconds, server.SilentSeconds), server.Reason)
 	}
 	for _, gap := range result.Gaps {
-		r.linef("gap: %s (incarnation %x) from %s to %s: %s",
+		output.linef("gap: %s (incarnation %x) from %s to %s: %s",
 			gap.Name, gap.Incarnation, formatTime(gap.From), formatTime(gap.To), gap.Reason)
 	}
-	return r.err
+	return output.err
 }
--- a/internal/cli/fleetcmd/counters.go
+++ b/internal/cli/fleetcmd/counters.go
@@ -29,29 +29,29 @@
 // printCounters prints the counters of the fleet, or those of the server where it does not know
 // the fleet's, and what may be missing of them.
 func printCounters(out io.Writer, status *fleet.CounterStatus) error {
-	r := &report{out: out}
+	output := &report{out: out}
 	if status.Totals == nil {
-		printCells(r, status.Unreported, nil)
-		r.linef("counted by this server since its start")
-		r.linef("the counters of all servers are known to %s", strings.Join(status.Aggregators, ", "))
-		return r.err
+		printCells(output, status.Unreported, nil)
+		output.linef("counted by this server since its start")
+		output.linef("the counters of all servers are known to %s", strings.Join(status.Aggregators, ", "))
+		return output.err
 	}
-	printCells(r, status.Totals.Total, status.Totals.LastMinute)
-	r.linef("counted by all servers since the fleet was bootstrapped")
-	printMissing(r, status.Totals)
-	return r.err
+	printCells(output, status.Totals.Total, status.Totals.LastMinute)
+	output.linef("counted by all servers since the fleet was bootstrapped")
+	printMissing(output, status.Totals)
+	return output.err
 }
 
 // totalClass stands in the row with the sums of all.
 const totalClass = "all"
 
 // printCells prints a row for each tenant and class, and one for all.
-func printCells(r *report, cells, lastMinute []serving.CounterCell) {
+func printCells(output *report, cells, lastMinute []serving.CounterCell) {
 	perMinute := map[serving.CounterKey]uint64{}
 	for _, cell := range lastMinute {
 		perMinute[cell.CounterKey] = cell.Received
 	}
-	t := r.newTable("tenant", "class", "received", "finished", "rejected", "abandoned",
+	t := output.newTable("tenant", "class", "received", "finished", "rejected", "abandoned",
 		"open or cancelled", "a second, lately")
 	total := serving.CounterCell{CounterKey: serving.CounterKey{Class: totalClass}}
 	for _, cell := range cells {
@@ -75,21 +75,21 @@
 }
 
 // printMissing prints what the totals may lack.
-func printMissing(r *report, totals *counter.Summary) {
-	r.linef("%d incarnations report; about %.0f requests may have come since their last reports",
+func printMissing(output *report, totals *counter.Summary) {
+	output.linef("%d incarnations report; about %.0f requests may have come since their last reports",
 		totals.OpenRows, totals.MaxMissing)
 	for _, late := range totals.LateReports {
-		r.linef("%s has not reported for %.0f s; it received %.1f requests a second",
+		output.linef("%s has not reported for %.0f s; it received %.1f requests a second",
 			late.Server, late.SilentSeconds, late.RequestsPerSecond)
 	}
 	if totals.Recovering {
-		r.linef("this aggregator is recovering, and may not know all that the others know")
+		output.linef("this aggregator is recovering, and may not know all that the others know")
 	}
 	if totals.IncompleteRecoveries > 0 {
-		r.linef("%d times it started without enough others to recover from: "+
+		output.linef("%d times it started without enough others to recover from: "+
 			"counters of servers that were gone by then may be missing", totals.IncompleteRecoveries)
 	}
 	if totals.RejectedReports > 0 {
-		r.linef("%d reports could not be true, and were rejected", totals.RejectedReports)
+		output.linef("%d reports could not be true, and were rejected", totals.RejectedReports)
 	}
 }
--- a/internal/cli/fleetcmd/loadplans.go
+++ b/internal/cli/fleetcmd/loadplans.go
@@ -30,8 +30,8 @@
 
 // printPlanner prints what the leading planner knows of forwarders and workers.
 func printPlanner(out io.Writer, name string, planner *loadplan.Status) error {
-	r := &report{out: out}
-	t := r.newTable("forwarder", "heard s ago", "demand a second", "plan")
+	output := &report{out: out}
+	t := output.newTable("forwarder", "heard s ago", "demand a second", "plan")
 	for _, forwarder := range planner.Forwarders {
 		t.rowf("%s\t%.1f\t%.1f\t%s",
 			forwarder.Name, forwarder.ReportAgeSeconds, forwarder.Demand, formatVersion(forwarder.Version))
@@ -42,22 +42,22 @@
 	}
 	t.end()
 	if planner.AdmittedRate > 0 {
-		r.linef("demand is over the workers' capacity: %.1f requests a second are admitted", planner.AdmittedRate)
+		output.linef("demand is over the workers' capacity: %.1f requests a second are admitted", planner.AdmittedRate)
 	}
-	r.linef("%s leads the planners, its plan is %s; %d plans by the fallback, %d reports rejected",
+	output.linef("%s leads the planners, its plan is %s; %d plans by the fallback, %d reports rejected",
 		name, formatVersion(planner.Version), planner.Fallbacks, planner.InvalidReports)
-	return r.err
+	return output.err
 }
 
 // printCurrentPlan prints the plan of a process that makes none.
 func printCurrentPlan(out io.Writer, status *fleet.LoadPlanStatus) error {
-	r := &report{out: out}
+	output := &report{out: out}
 	if status.Current != (loadplan.Version{}) {
-		r.linef("%s follows plan %s, fresh for %.1f s; %d assignments were stale",
+		output.linef("%s follows plan %s, fresh for %.1f s; %d assignments were stale",
 			status.Name, formatVersion(status.Current), status.FreshFor, status.Stale)
 	}
-	r.linef("the planners' leader is %s", status.Leader)
-	return r.err
+	output.linef("the planners' leader is %s", status.Leader)
+	return output.err
 }
 
 // formatVersion returns the version of a plan as text.
--- a/internal/cli/fleetcmd/quotas.go
+++ b/internal/cli/fleetcmd/quotas.go
@@ -25,8 +25,8 @@
 
 // printQuotas prints the shares that the server holds and, at the leader, those that it granted.
 func printQuotas(out io.Writer, status *fleet.QuotaStatus) error {
-	r := &report{out: out}
-	t := r.newTable("held here", "floor", "leased", "for s")
+	output := &report{out: out}
+	t := output.newTable("held here", "floor", "leased", "for s")
 	for _, held := range status.Held {
 		t.rowf("%s\t%.2f\t%.2f\t%.1f", held.Name, held.Floor, held.LeasedShare, held.LeaseExpiry-status.Now)
 	}
@@ -43,7 +43,7 @@
 	}
 	t.end()
 	if !status.IsLeader {
-		r.linef("all grants are known to the leader, %s", status.Leader)
+		output.linef("all grants are known to the leader, %s", status.Leader)
 	}
-	return r.err
+	return output.err
 }
--- a/internal/cli/fleetcmd/release.go
+++ b/internal/cli/fleetcmd/release.go
@@ -101,9 +101,9 @@
 	if err != nil {
 		return err
 	}
-	r := &report{out: s.out}
-	r.linef("done; newest %s", newest)
-	return r.err
+	output := &report{out: s.out}
+	output.linef("done; newest %s", newest)
+	return output.err
 }
 
 // author returns the name of the user who runs the program.
--- a/internal/cli/fleetcmd/replicas.go
+++ b/internal/cli/fleetcmd/replicas.go
@@ -50,8 +50,8 @@
 
 // printReplicas prints the state of each server's replica, and the faults.
 func printReplicas(out io.Writer, result *replicaReport) error {
-	r := &report{out: out}
-	t := r.newTable("server", "replica", "catching up", "out of sync", "caught up by peers", "by timeout", "repaired",
+	output := &report{out: out}
+	t := output.newTable("server", "replica", "catching up", "out of sync", "caught up by peers", "by timeout", "repaired",
 		"records", "KB", "dropped", "claims", "replicated", "unreplicated")
 	for _, name := range slices.Sorted(maps.Keys(result.Servers)) {
 		replica := result.Servers[name]
@@ -63,7 +63,7 @@
 	}
 	t.end()
 	for _, fault := range result.Faults {
-		r.linef("%s", fault)
+		output.linef("%s", fault)
 	}
-	return r.err
+	return output.err
 }
--- a/internal/cli/fleetcmd/status.go
+++ b/internal/cli/fleetcmd/status.go
@@ -36,33 +36,33 @@
 	if len(status.Audit.Alarms) == 0 {
 		return nil
 	}
-	r := &report{out: s.alarms}
+	output := &report{out: s.alarms}
 	for _, alarm := range status.Audit.Alarms {
-		r.linef("ALARM: %s", alarm)
+		output.linef("ALARM: %s", alarm)
 	}
-	if r.err != nil {
-		return fmt.Errorf("%w: %w", cli.ErrAlarm, r.err)
+	if output.err != nil {
+		return fmt.Errorf("%w: %w", cli.ErrAlarm, output.err)
 	}
 	return cli.ErrAlarm
 }
 
 // printStatus prints how the answering server stands, the rollout under way and all servers.
 func printStatus(out io.Writer, status *fleet.Status) error {
-	r := &report{out: out}
-	r.linef("%s (incarnation %x): lease state %s, active epoch %s, newest epoch %s, leader %s",
+	output := &report{out: out}
+	output.linef("%s (incarnation %x): lease state %s, active epoch %s, newest epoch %s, leader %s",
 		status.Name, status.Incarnation, status.LeaseState, status.ActiveEpoch, status.Audit.NewestEpoch, status.Leader)
 	if next := status.ReleaseLog.Next; next != nil {
-		r.linef("rolling out: %s by %s, wave %d of %d",
+		output.linef("rolling out: %s by %s, wave %d of %d",
 			next.Epoch, next.Author, status.ReleaseLog.WaveIndex+1, len(status.ReleaseLog.Waves))
 	}
-	t := r.newTable("server", "incarnation", "active", "assigned", "heard s ago", "build", "note")
+	t := output.newTable("server", "incarnation", "active", "assigned", "heard s ago", "build", "note")
 	for i := range status.Servers {
 		server := &status.Servers[i]
 		t.rowf("%s\t%x\t%s\t%s\t%.1f\t%s\t%s", server.Name, server.Incarnation, server.ActiveEpoch,
 			server.AssignedEpoch, server.SecondsSinceHeard, server.Build, serverNote(server))
 	}
 	t.end()
-	return r.err
+	return output.err
 }
 
 // serverNote returns what is unusual about a server, "" for nothing.
