--- a/cmd/swiftcourse-fleet/loadplan.go
+++ b/cmd/swiftcourse-fleet/loadplan.go
@@ -46,12 +46,8 @@
 		)
 	}
 	f.current = version
-	weights := map[string]float64{}
-	for _, worker := range assignment.Weights {
-		weights[worker.Name] = worker.Weight
-	}
 	expiry := f.program.clock.ToSource(freshUntil)
-	f.program.dispatcher.ApplyPlan(weights, expiry)
+	f.program.dispatcher.ApplyPlan(assignment.WeightsByName(), expiry)
 	f.program.allowances.setPlan(planAllowances(assignment, f.program.startup, expiry))
 }
 
--- a/internal/lab/idle/idle.go
+++ b/internal/bench/idleconns/idle.go
@@ -1,6 +1,6 @@
-// Package idle measures what connections that say nothing cost: memory, time of the core, and latency of the busy ones, as their
+// Package idleconns measures what connections that say nothing cost: memory, time of the core, and latency of the busy ones, as their
 // number grows; and what happens when all of them reach their time together.
-package idle
+package idleconns
 
 import (
 	"context"
@@ -15,9 +15,9 @@
 
 	"golang.org/x/sys/unix"
 
-	labfleet "swiftcourse/internal/lab/fleet"
-	"swiftcourse/internal/lab/load"
-	"swiftcourse/internal/standin/processor"
+	"swiftcourse/internal/bench/loadgen"
+	labfleet "swiftcourse/internal/bench/process"
+	"swiftcourse/internal/fake/executor"
 	"swiftcourse/internal/wire/shale"
 )
 
@@ -157,7 +157,7 @@
 	_ = unix.Getrlimit(unix.RLIMIT_NOFILE, &limit) // Check has had it
 	servers, err := labfleet.Start(ctx, p.Servers, labfleet.Shape{Program: p.Program, Core: p.Core, Cores: 1, MemoryMB: 192,
 		Sockets: int(min(limit.Max, 1<<20)), Stop: 5 * time.Second, Told: settings(idle),
-		Work: processor.Plan{Cores: 4, Gauges: func(busy, _ int) []float64 { return []float64{float64(busy) / 4, float64(busy)} }}})
+		Work: executor.Plan{Cores: 4, Gauges: func(busy, _ int) []float64 { return []float64{float64(busy) / 4, float64(busy)} }}})
 	if err != nil {
 		return nil, err
 	}
@@ -173,17 +173,17 @@
 	labfleet.End(b.servers)
 }
 
-func (b *bench) load(ctx context.Context) (*load.Load, error) {
+func (b *bench) load(ctx context.Context) (*loadgen.Load, error) {
 	b.seed++
-	return load.Start(ctx, load.Plan{Addrs: b.addrs, Conns: b.plan.Busy, Rate: b.plan.Rate, Stage: "ping",
+	return loadgen.Start(ctx, loadgen.Plan{Addrs: b.addrs, Conns: b.plan.Busy, Rate: b.plan.Rate, Stage: "ping",
 		Wait: 2 * time.Second, Body: 100, Seed: b.seed, Check: b.plan.Checks})
 }
 
 // stretch measures the busy ones for the plan's seconds, after a start that is not counted.
-func (b *bench) stretch(ctx context.Context) (load.Took, error) {
+func (b *bench) stretch(ctx context.Context) (loadgen.Took, error) {
 	l, err := b.load(ctx)
 	if err != nil {
-		return load.Took{}, err
+		return loadgen.Took{}, err
 	}
 	pause(ctx, 0.3)
 	l.Take()
@@ -284,7 +284,7 @@
 	if err != nil {
 		return row, err
 	}
-	var with load.Took // all rounds together
+	var with loadgen.Took // all rounds together
 	var rounds quantiles
 	for round := range p.Rounds {
 		p.say("%d connections, round %d of %d: without", n, round+1, p.Rounds)
@@ -341,7 +341,7 @@
 // quantiles are those of each round: the 50th, the 99th and the 99.9th.
 type quantiles struct{ none, with [3][]float64 }
 
-func (q *quantiles) add(to *[3][]float64, took *load.Took) {
+func (q *quantiles) add(to *[3][]float64, took *loadgen.Took) {
 	for i, percent := range []float64{50, 99, 99.9} {
 		to[i] = append(to[i], max(1, took.Quantile(percent)))
 	}
--- a/internal/lab/ready/ready.go
+++ b/internal/bench/readiness/ready.go
@@ -1,6 +1,6 @@
-// Package ready measures how long servers take from their start until they serve and are listed, when all of a fleet start at once and what
+// Package readiness measures how long servers take from their start until they serve and are listed, when all of a fleet start at once and what
 // they need is there, or comes late.
-package ready
+package readiness
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 	"syscall"
 	"time"
 
-	"swiftcourse/internal/lab/faults"
-	labfleet "swiftcourse/internal/lab/fleet"
-	"swiftcourse/internal/standin/balancer"
-	"swiftcourse/internal/standin/processor"
-	"swiftcourse/internal/standin/roster"
+	"swiftcourse/internal/bench/faultinjection"
+	labfleet "swiftcourse/internal/bench/process"
+	"swiftcourse/internal/fake/balancer"
+	"swiftcourse/internal/fake/executor"
+	"swiftcourse/internal/fake/registry"
 )
 
 // Plan is what to measure.
@@ -69,7 +69,7 @@
 
 // Run measures with nobody late, then the processors, the rosters, and both.
 func (p *Plan) Run(ctx context.Context) (rows []Row, err error) {
-	shape := faults.Small(p.Program)
+	shape := faultinjection.Small(p.Program)
 	servers, err := labfleet.Start(ctx, p.Servers, shape)
 	if err != nil {
 		return nil, err
@@ -128,10 +128,10 @@
 		return start()
 	}
 	startWork := func() error {
-		return again(func() (err error) { s.Processor, err = processor.Start(work, shape.Work); return err })
+		return again(func() (err error) { s.Processor, err = executor.Start(work, shape.Work); return err })
 	}
 	startList := func() error {
-		return again(func() (err error) { s.Roster, err = roster.Start(list, nil); return err })
+		return again(func() (err error) { s.Roster, err = registry.Start(list, nil); return err })
 	}
 	if err := back("processor", startWork); err != nil {
 		return 0, 0, err
--- a/internal/cli/fleetcmd/command.go
+++ b/internal/cli/fleetcmd/command.go
@@ -17,7 +17,7 @@
 	Diff     diffCommand     `cmd:"" help:"Show the state of all replicas and their faults; exit status 2 at an alarm."`
 	Budgets  budgetsCommand  `cmd:"" help:"Show the server's shares of fleet quotas and, at the leader, all grants."`
 	Counts   countsCommand   `cmd:"" help:"Show the fleet's request counters, and what they may lack; known to voters."`
-	Demo     demoCommand     `cmd:"" help:"Show two levels with fake dependencies while processes die; needs swiftlab."`
+	Demo     demoCommand     `cmd:"" help:"Show two levels while processes die; needs swiftcourse-bench."`
 	Plans    plansCommand    `cmd:"" help:"Show a forwarder's load plan; at the leading planner, all that it knows."`
 	Release  releaseCommand  `cmd:"" help:"Release a version."`
 	Rollback rollbackCommand `cmd:"" help:"Release the text of the version before, as a new version."`
--- a/internal/cli/fleetcmd/demo.go
+++ b/internal/cli/fleetcmd/demo.go
@@ -9,7 +9,7 @@
 
 // The programs that stand in the folder of this one: the test bench, and the server that it starts.
 const (
-	benchProgram  = "swiftlab"
+	benchProgram  = "swiftcourse-bench"
 	serverProgram = "swiftcourse"
 )
 
