--- a/internal/cli/fleetcmd/replicas.go
+++ b/internal/cli/fleetcmd/replicas.go
@@ -51,7 +51,8 @@
 // printReplicas prints the state of each server's replica, and the faults.
 func printReplicas(out io.Writer, result *replicaReport) error {
 	output := &report{out: out}
-	t := output.newTable("server", "replica", "catching up", "out of sync", "caught up by peers", "by timeout", "repaired",
+	t := output.newTable("server", "replica", "catching up", "out of sync",
+		"caught up by peers", "by timeout", "repaired",
 		"records", "KB", "dropped", "claims", "replicated", "unreplicated")
 	for _, name := range slices.Sorted(maps.Keys(result.Servers)) {
 		replica := result.Servers[name]
