--- a/internal/bench/faultinjection/fleet.go
+++ b/internal/bench/faultinjection/fleet.go
@@ -227,7 +227,7 @@
 
 // recordedEvents are the log events that experiments look for, beside those with a prefix that isRecorded names.
 var recordedEvents = []string{"config_applied", "lease_state_changed", "command_finished", "replica_status_changed",
-	"circuit_breaker_changed", "load_planner_started", "forwarder_stats", "forwarder_panic", "serving_mode_changed", "panic"}
+	"circuit_breaker_changed", "load_planner_started", "load_planner_changed", "forwarder_stats", "forwarder_panic", "serving_mode_changed", "panic"}
 
 // isRecorded reports whether a log event is kept for experiments.
 func isRecorded(event string) bool {
@@ -289,7 +289,7 @@
 	if err := f.Server(name).Restart(ctx); err != nil {
 		return err
 	}
-	if !WaitUntil(restartTimeout, func() bool { return f.LastEvent(name, "fleet").Event != "" }) {
+	if !WaitUntil(restartTimeout, func() bool { return f.LastEvent(name, "fleet_started").Event != "" }) {
 		return fmt.Errorf("%s does not say that it began", name)
 	}
 	return nil
--- a/internal/bench/faultinjection/levels_test.go
+++ b/internal/bench/faultinjection/levels_test.go
@@ -160,7 +160,7 @@
 	f.await(t, "f1 has a plan again", planned("f1", func(s *fleet.LoadPlanStatus) bool { return s.FreshFor > 0 }))
 	for _, name := range f.ForwarderNames() {
 		term := 0
-		for _, s := range f.Events(name, "fleet_plan") {
+		for _, s := range f.Events(name, "load_planner_changed") {
 			next, err := strconv.Atoi(s.Fields["term"])
 			if err != nil || next < term {
 				t.Errorf("%s goes from term %d to %s", name, term, s.Fields["term"])
--- a/internal/bench/rollouts/versions.go
+++ b/internal/bench/rollouts/versions.go
@@ -309,8 +309,8 @@
 	acts = map[uint64][]faultinjection.LogEvent{}
 	for _, s := range f.Events(name, "") {
 		switch s.Event {
-		case "fleet":
-			id, err := strconv.ParseUint(s.Fields["life"], 16, 64)
+		case "fleet_started":
+			id, err := strconv.ParseUint(s.Fields["incarnation"], 16, 64)
 			if err == nil {
 				ids = append(ids, id)
 				acts[id] = nil
