--- a/admission/admit.go
+++ b/admission/admit.go
@@ -1,19 +1,16 @@
 package admission
 
 const (
-	// minLateValue is the least late value of a class for its late responses to be worth the cores.
-	// Exception to the design: below it they block what has more value.
+	// minLateValue is the least LateValue of a class whose late responses are worth the cores. Exception
+	// to the design: below it they would block requests of more value.
 	minLateValue = 0.5
-
-	// Fractions of the memory limit up to which requests are admitted, up to which keys of
-	// deduplicated requests are stored, and up to which keys are that only spare a run.
-	memoryForRequests   = 0.95
-	memoryForKeys       = 0.9
-	memoryForCachedKeys = 0.5
+	// expiryTolerance is how many seconds before its hard deadline a request counts as expired, so that
+	// its response is not late.
+	expiryTolerance = 1e-3
 )
 
-// handleArrival queues a request or rejects it at once. Its hard deadline is fixed from here on,
-// but for a drain.
+// handleArrival queues a request or rejects it at once. From here on only a drain moves its hard
+// deadline.
 func (c *Controller) handleArrival(e *Event) {
 	arrival := &e.Request
 	r := c.newRequest(e.RequestID, arrival)
@@ -51,14 +48,15 @@
 	return queued
 }
 
-// hardDeadline returns when the client leaves: at the end of its remaining budget, or of the
-// timeout of all attempts together if that is earlier. It is never after a drain's last response.
+// hardDeadline returns the time by which a request needs its final response: at the end of its
+// remaining budget, or of the timeout of all attempts together if that is earlier. It is never
+// after a drain's last response.
 func (c *Controller) hardDeadline(timeoutAt float64, arrival *Request) float64 {
 	deadline := timeoutAt
 	if arrival.RemainingBudget > 0 || c.settings.DeadlinePropagation {
 		deadline = min(c.now+arrival.RemainingBudget, timeoutAt)
 	}
-	return min(max(deadline, c.now), c.drain.lastResponse())
+	return min(max(deadline, c.now), c.drain.lastResponseAt())
 }
 
 // decideArrival rejects a request at once, has it share the result of another, or leaves it in the
@@ -68,21 +66,19 @@
 	idempotent := queued.class.Idempotency == Idempotent
 	cacheable := c.settings.ResultCacheTTL > 0 && idempotent && !arrival.Write
 	queued.duplicate = arrival.DuplicateOf != "" && deduplicated
-	memory := &c.memory
 	switch {
-	case c.drain.refuses(queued), memory.used() > memoryForRequests*memory.limit:
+	case c.drain.refuses(queued), c.memory.full():
 		c.step(queued, onOverload)
 	case arrival.DuplicateOf != "" && (deduplicated || cacheable):
 		c.step(queued, onDuplicate)
 	case !withinQuota:
 		c.step(queued, onOverload)
-	case deduplicated && memory.usedWithKey() > memoryForKeys*memory.limit:
-		// Without its key a repeat would not be known and run too: no key, no run.
+	case deduplicated && !c.memory.fitsDeduplicationKey():
+		// A repeat of a request whose key is not stored would be taken for a new one and run again.
 		c.step(queued, onOverload)
 	case deduplicated:
 		c.storeKey(queued, queued.class.DeduplicationWindow)
-	case cacheable && arrival.HasSubject && memory.usedWithKey() < memoryForCachedKeys*memory.limit:
-		// This only spares a run, so it takes no memory that requests need.
+	case cacheable && arrival.HasSubject && c.memory.fitsCacheKey():
 		c.storeKey(queued, queued.hardDeadline-c.now+c.settings.ResultCacheTTL)
 	}
 }
@@ -92,13 +88,13 @@
 func (c *Controller) expireRequests() {
 	for _, r := range c.requests {
 		worthless := r.class.LateValue == 0 && c.now > r.softDeadline
-		preemptible := c.settings.Preemption != NoPreemption || r.state == stateAwaitingDownstream
+		stoppable := c.settings.Preemption != NoPreemption || r.state == stateAwaitingDownstream
 		left := r.valueUntil - c.now
 		switch {
-		case c.now >= r.hardDeadline-deadlineTolerance, worthless && preemptible:
+		case c.now >= r.hardDeadline-expiryTolerance, worthless && stoppable:
 			c.step(r, onExpire)
 		case left < r.class.minServiceTime,
-			left < r.class.minBudget && c.count(statesOnCore)+1 >= c.concurrency.cores:
+			left < r.class.minRemainingBudget && c.count(statesOnCore)+1 >= c.concurrency.cores:
 			c.step(r, onTooLate)
 		}
 	}
@@ -115,26 +111,13 @@
 
 // reject sends the final response of a request that never ran, with Retry-After in seconds.
 func (c *Controller) reject(r *request, retryAfter float64) {
-	if r.duplicate { // another attempt of it may have run
+	if r.duplicate { // its original may have run
 		c.fail(r)
 		return
 	}
-	if !r.overQuota { // what is over its quota is no sign of overload
+	if !r.overQuota { // a rejection for exceeding a quota is no sign of overload
 		c.load.wasted++
 	}
 	c.deleteKey(r)
 	c.emit(Action{Kind: Reject, RequestID: r.id, Duration: retryAfter, NoFailover: c.noFailover(r)})
 }
-
-// storeKey puts a request into the key table for ttl seconds.
-func (c *Controller) storeKey(r *request, ttl float64) {
-	c.emit(Action{Kind: StoreKey, RequestID: r.id, Duration: ttl})
-	c.memory.keys.Add(r.id, c.now+ttl+keyLinger)
-}
-
-// deleteKey takes a request out of the key table, if it is there.
-func (c *Controller) deleteKey(r *request) {
-	if c.memory.keys.Remove(r.id) {
-		c.emit(Action{Kind: DeleteKey, RequestID: r.id})
-	}
-}
--- a/admission/backpressure.go
+++ b/admission/backpressure.go
@@ -21,9 +21,9 @@
 	noFailoverBelow               = 0.4
 	noFailoverBelowNewConnections = 0.95
 
-	// openPerCore is the full credit of open requests a core, which the clients share. It limits
-	// nothing in usual use.
-	openPerCore = 16
+	// openRequestsPerCore is the full credit of open requests a core, which the clients share. It is
+	// high enough to limit nothing in normal operation.
+	openRequestsPerCore = 16
 )
 
 // loadReporter tracks how much of the usual traffic is wanted, and what was reported of it.
@@ -32,15 +32,15 @@
 	fullCredit   float64 // open requests a client when all traffic is wanted
 	wanted       float64 // fraction of the usual traffic that is wanted
 	reported     float64 // the same, as last reported
-	// arrived counts the requests since the last tick; wasted those of them that were read or run
-	// for nothing.
+	// arrived counts the requests since the last tick. wasted counts those that were rejected or
+	// failed, without the rejections for exceeding a quota.
 	arrived, wasted float64
 }
 
 func newLoadReporter(settings *Settings, cores float64) loadReporter {
 	return loadReporter{
 		backpressure: settings.Backpressure,
-		fullCredit:   openPerCore * cores / max(1, float64(settings.Clients)),
+		fullCredit:   openRequestsPerCore * cores / max(1, float64(settings.Clients)),
 		wanted:       1,
 		reported:     1,
 	}
@@ -64,9 +64,8 @@
 	}
 }
 
-// tuneLoadReport says how much of the usual traffic is wanted: less at once when requests are
-// rejected, more again in small steps. Reading costs too, so requests read too late to run count
-// like those rejected.
+// tuneLoadReport sets how much of the usual traffic is wanted and reports it: less at once when
+// requests are rejected or fail, more again in small steps.
 func (c *Controller) tuneLoadReport() {
 	reporter := &c.load
 	switch {
@@ -91,13 +90,14 @@
 // retryAfter returns the Retry-After of a rejection for lack of capacity, in seconds: the time in
 // which the present queue is expected to run.
 func (c *Controller) retryAfter() float64 {
-	drained := c.count(stateQueued) * c.progress.slowestMean / c.concurrency.runLimit
-	return min(c.settings.MaxRetryAfter, max(minRetryAfter, drained))
+	queueDuration := c.count(stateQueued) * c.progress.slowestMeanRun / c.concurrency.runLimit
+	return min(c.settings.MaxRetryAfter, max(minRetryAfter, queueDuration))
 }
 
-// noFailover reports whether a client that is rejected is asked not to try another server: what is
-// over its quota is so everywhere, and while requests wait unread for long or little is wanted the
-// others fare alike and reads take from runs. Where an attempt opens a connection it asks always,
+// noFailover reports whether the client of a rejected request is asked not to try another server. A
+// request over its quota is over it everywhere. While requests wait unread for long or little traffic
+// is wanted, the other servers are taken to be as loaded, and reading the request again would cost them
+// time for runs. Where each attempt opens a connection, a wanted fraction just under 1 is enough,
 // unless clients choose servers by subject. It may hurt where only this server is slow or crowded.
 func (c *Controller) noFailover(r *request) bool {
 	if r.overQuota || c.arrivals.backlogged() || c.load.wanted < noFailoverBelow {
--- a/admission/capacity.go
+++ b/admission/capacity.go
@@ -1,51 +1,33 @@
 package admission
 
-import "swiftcourse/internal/timewindow"
-
 const (
 	// usableConcurrency is the fraction of the survivable concurrency that is used.
 	usableConcurrency = 0.8
 	// slowStartEpsilon is added to the age of a server and is the least duration of its warm-up, in
 	// seconds: their quotient is always defined.
 	slowStartEpsilon = 1e-9
-	// keyLinger is how much longer than its time in the table a key's memory counts, in seconds.
-	keyLinger = 0.01
 
-	// experimentPeriod is for how many seconds an arm is tried.
+	// experimentPeriod is for how many seconds armExperiment tries an arm.
 	experimentPeriod = 1
-	// experimentWeight is the weight of the latest period in an arm's moving average of about
-	// three.
+	// experimentWeight is the weight of the latest period in an arm's moving average of about three
+	// periods.
 	experimentWeight = 0.3
-	// explorationRate is the probability that the arm that seems worse is tried, as load changes.
+	// explorationRate is the probability that the arm that seems worse is tried, as it may have become
+	// the better one.
 	explorationRate = 0.15
 	// armStep is how many more runnable requests a core the second arm has than the first.
 	armStep = 0.5
-
-	// stallRuns is the time without progress after which work counts as stalled, in mean runs of
-	// the slowest class.
-	stallRuns = 4
-	// minSlowestMean is the least such mean, in seconds, for when little is known or runs are so
-	// short that a pause of the cores would look like a stall.
-	minSlowestMean = 0.25
-	// maxUntimely is the time without a timely response, in seconds, after which backlogged work
-	// counts as stalled.
-	maxUntimely = 0.5
-	// arrivalsExpire is the time without an arrival, in seconds, after which the unread delay is
-	// forgotten.
-	arrivalsExpire = 0.5
-	// unreadTickDecay is the fraction of the unread delay that is left after a tick.
-	unreadTickDecay = 0.98
 )
 
 // concurrencyLimiter bounds the requests that run at once.
 type concurrencyLimiter struct {
-	cores     float64
-	perCore   float64 // running requests a core that a warm server survives
-	slowStart slowStart
-	runLimit  float64 // requests that may be on the cores now
+	cores             float64
+	survivablePerCore float64 // running requests a core that a warm server survives
+	slowStart         slowStart
+	runLimit          float64 // requests that may be on the cores now
 	// experiment finds how many runnable requests a core serve best.
 	experiment armExperiment
-	gauges     Gauges // the latest; Runnable is negative once it was used
+	gauges     Gauges // the latest; Runnable is set negative once it was used
 }
 
 // slowStart is the warm-up of a server that starts cold.
@@ -54,10 +36,11 @@
 	startedAt float64
 }
 
-// armExperiment is a bandit with two arms: one runnable request a core, or half as many again.
+// armExperiment is a two-armed bandit: an algorithm that tries two settings in turn and keeps to the one
+// that earns more. The first arm is one runnable request a core, the second is half as many again.
 type armExperiment struct {
 	means     [2]float64 // value that each arm earned in a period
-	arm       int
+	arm       int        // in use: 0 or 1
 	periodEnd float64
 	reward    float64 // value earned in the period at hand
 	hadQueue  bool    // requests were queued in the period at hand
@@ -65,23 +48,24 @@
 
 func newConcurrencyLimiter(settings *Settings, cores float64) concurrencyLimiter {
 	return concurrencyLimiter{
-		cores:     cores,
-		perCore:   max(1, settings.Concurrency.PerCore),
-		slowStart: slowStart{SlowStartSettings: settings.SlowStart},
-		runLimit:  cores,
-		gauges:    Gauges{Runnable: -1},
+		cores:             cores,
+		survivablePerCore: max(1, settings.Concurrency.PerCore),
+		slowStart:         slowStart{SlowStartSettings: settings.SlowStart},
+		runLimit:          cores,
+		gauges:            Gauges{Runnable: -1},
 	}
 }
 
-// speedAt is the fraction of its speed that the server has.
+// speedAt returns the fraction of its speed that the server has.
 func (s *slowStart) speedAt(now float64) float64 {
 	age := now - s.startedAt + slowStartEpsilon
 	return s.InitialSpeed + (1-s.InitialSpeed)*min(1, age/max(s.Duration, slowStartEpsilon))
 }
 
-// ceiling is how many running requests the cores survive, warming up or warm, less some headroom.
-func (l *concurrencyLimiter) ceiling(now float64) float64 {
-	return max(1, usableConcurrency*l.cores*(1+(l.perCore-1)*l.slowStart.speedAt(now)))
+// maxRunning returns how many running requests are allowed: as many as the cores survive at the present
+// speed of the server, less some headroom.
+func (l *concurrencyLimiter) maxRunning(now float64) float64 {
+	return max(1, usableConcurrency*l.cores*(1+(l.survivablePerCore-1)*l.slowStart.speedAt(now)))
 }
 
 // nextArm ends a period and chooses the arm of the next one.
@@ -100,14 +84,14 @@
 	e.hadQueue = false
 }
 
-// hasConcurrencyRoom reports whether one more request may come to the cores, even if all calls
-// return at once.
+// hasConcurrencyRoom reports whether one more request may run, even if all calls return at once and
+// their requests run on.
 func (c *Controller) hasConcurrencyRoom() bool {
-	return c.count(statesOnCore|stateCalling)+1 <= c.concurrency.ceiling(c.now)
+	return c.count(statesOnCore|stateCalling)+1 <= c.concurrency.maxRunning(c.now)
 }
 
-// tuneRunLimit raises the run limit fast while cores are free and requests are queued. How many may
-// be runnable a core beyond that is what the experiment finds.
+// tuneRunLimit raises the run limit at once while cores are free and requests are queued. It lowers it
+// step by step while more requests a core are runnable than the present arm of the experiment allows.
 func (c *Controller) tuneRunLimit() {
 	l := &c.concurrency
 	runnable := l.gauges.Runnable
@@ -122,67 +106,5 @@
 	} else if runnable > l.cores*(1+armStep*float64(l.experiment.arm)) {
 		l.runLimit--
 	}
-	l.runLimit = max(l.cores, min(l.runLimit, float64(len(c.requests)), l.ceiling(c.now)))
-}
-
-// memoryBudget accounts for the memory of requests and of keys.
-type memoryBudget struct {
-	limit         float64
-	runningFactor float64 // memory of a running request over that of a queued one
-	requests      float64 // memory of all requests
-	keyMemory     float64 // of one key
-	keys          timewindow.ExpiringNames
-}
-
-func newMemoryBudget(settings *Settings) memoryBudget {
-	return memoryBudget{
-		limit:         settings.Memory.Limit,
-		runningFactor: max(1, settings.Memory.RunningFactor),
-		keyMemory:     settings.Memory.PerKey,
-	}
-}
-
-// weight is the memory that a request takes in its state.
-func (m *memoryBudget) weight(r *request) float64 {
-	if r.state&(stateQueued|stateCoalesced) != 0 {
-		return r.memory
-	}
-	return r.memory * m.runningFactor
-}
-
-func (m *memoryBudget) reserve(r *request) { m.requests += m.weight(r) }
-func (m *memoryBudget) release(r *request) { m.requests -= m.weight(r) }
-
-// used is the memory of all requests and keys.
-func (m *memoryBudget) used() float64 { return m.requests + float64(len(m.keys))*m.keyMemory }
-
-// usedWithKey is the same with one more key.
-func (m *memoryBudget) usedWithKey() float64 { return m.used() + m.keyMemory }
-
-// progressMonitor detects when work stalls and when it recovers.
-type progressMonitor struct {
-	stalled     bool
-	lastEnd     float64 // when a run or a call last ended
-	lastTimely  float64 // when a request last ended within its soft deadline
-	slowestMean float64 // the longest mean run of a class
-}
-
-// checkProgress reports the server unhealthy while work is stalled: the cores are taken yet nothing
-// ended for a few runs, or arrivals are backlogged and no response was timely. Without the last
-// condition all servers would be taken out of service together under plain overload.
-func (c *Controller) checkProgress() {
-	p := &c.progress
-	coresTaken := c.count(statesOnCore) >= c.concurrency.cores
-	nothingEnds := c.now-p.lastEnd > stallRuns*p.slowestMean
-	nothingTimely := c.now-p.lastTimely > maxUntimely
-	stalled := coresTaken && nothingEnds || c.arrivals.backlogged() && nothingTimely
-	c.arrivals.unreadDelay *= unreadTickDecay
-	if c.now-c.arrivals.last > arrivalsExpire { // nothing waits unread, and none could be timely
-		c.arrivals.unreadDelay = 0
-		p.lastTimely = c.now
-	}
-	if stalled != p.stalled && !c.drain.draining() {
-		c.emit(Action{Kind: SetHealth, Healthy: !stalled})
-	}
-	p.stalled = stalled
+	l.runLimit = max(l.cores, min(l.runLimit, float64(len(c.requests)), l.maxRunning(c.now)))
 }
--- a/admission/connections.go
+++ b/admission/connections.go
@@ -5,10 +5,10 @@
 	// which keeping its connection costs more than opening a new one. Where some tens of clients
 	// share a server, both cost about the same near 5 s.
 	rareClientInterval = 8
-	// minIdleTimeout is in seconds: the shortest of those measured, and the best under high load.
+	// minIdleTimeout is the shortest timeout that was measured, in seconds, and the best under high load.
 	minIdleTimeout = 0.05
-	// stretchIncrease and stretchDecrease are factors at a tick. The timeout grows from 0.05 s to 5
-	// s in 2.5 s, the time in which a connection table fills, and shrinks slowly.
+	// stretchIncrease and stretchDecrease are factors at a tick. The timeout grows from 0.05 s to 5 s in
+	// 2.5 s, the time in which a connection table fills, and shrinks slowly.
 	stretchIncrease = 1.2
 	stretchDecrease = 1.03
 	maxStretch      = 1000
@@ -17,12 +17,12 @@
 	minIdleChange = 1.2
 )
 
-// connectionTuner decides how long silent connections stay open.
+// connectionTuner sets how long silent connections stay open.
 type connectionTuner struct {
 	clients        float64
 	idleTimeout    float64 // in force now
 	maxIdleTimeout float64
-	stretch        float64 // factor on the timeout while requests wait unread
+	stretch        float64 // factor on the timeout, over 1 while or after requests waited unread
 }
 
 func newConnectionTuner(settings *Settings) connectionTuner {
@@ -34,12 +34,13 @@
 	}
 }
 
-// tuneIdleTimeout closes connections at once where clients come back so seldom that keeping them
-// costs the cores more than new ones do, and the full table would keep others out. While requests
-// wait unread it is to do just that: connections stay for longer and longer, as an attempt that
-// gets none costs nothing here, and one that is read and rejected a handshake and a read. That
-// guards against storms of retries and also meets bursts and slow cores; it may hurt where those
-// kept out bring what has most value.
+// tuneIdleTimeout closes silent connections soon where clients come back so seldom that keeping them
+// costs more than opening new ones, and that they fill the connection table.
+//
+// While requests wait unread it does the opposite and keeps connections for longer and longer, so that
+// the full table keeps new ones out. A connection that is refused costs this server nothing, but a
+// request that is read and rejected costs a handshake and a read. That helps against storms of
+// retries, bursts and slow cores; it may hurt where the most valuable requests are kept out.
 func (c *Controller) tuneIdleTimeout() {
 	t := &c.connections
 	timeout := t.maxIdleTimeout
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -1,29 +1,22 @@
 package admission
 
 import (
-	"fmt"
-	"hash/crc32"
 	"math"
 	"slices"
 )
 
-const (
-	// tickInterval is in seconds, short against the windows that are learned from.
-	tickInterval = 0.1
-	// timerTolerance is how many seconds early a timer may go off.
-	timerTolerance = 1e-4
-	// deadlineTolerance is how many seconds before its hard deadline a request counts as expired.
-	deadlineTolerance = 1e-3
-)
+// tickInterval is the time between two ticks, in seconds. It is short against the windows that are
+// learned from.
+const tickInterval = 0.1
 
 // Controller decides for one server. New makes it; it is not safe for concurrent use.
 type Controller struct {
 	settings Settings
 
 	started  bool
-	now      float64    // time of the batch at hand
-	actions  []Action   // of the batch at hand
-	requests []*request // that are not done, in order of arrival
+	now      float64    // time of the present batch
+	actions  []Action   // of the present batch
+	requests []*request // not done before the present batch, in order of arrival
 	byID     map[string]*request
 	classes  []learnedClass
 
@@ -49,7 +42,7 @@
 		random:      randomSource{seed: seed},
 		timer:       wakeupTimer{armedFor: math.Inf(1)},
 		arrivals:    newArrivalStats(&settings),
-		progress:    progressMonitor{slowestMean: minSlowestMean},
+		progress:    progressMonitor{slowestMeanRun: minSlowestMeanRun},
 		concurrency: newConcurrencyLimiter(&settings, cores),
 		memory:      newMemoryBudget(&settings),
 		downstream:  newDownstreamLimiter(&settings, cores),
@@ -97,7 +90,7 @@
 	return int(c.callsInFlight()), int(c.count(stateAwaitingDownstream))
 }
 
-// start initializes what depends on the time of the first batch.
+// start initializes the state that depends on the time of the first batch.
 func (c *Controller) start() {
 	c.started = true
 	c.progress.lastEnd = c.now
@@ -105,15 +98,17 @@
 	c.arrivals.last = c.now
 	c.concurrency.slowStart.startedAt = c.now
 	c.downstream.creditAt = c.now
-	c.downstream.callTime = newDurationEstimate(c.now, callTimeMemory)
+	c.downstream.callTime = newDurationEstimate(c.now, callTimeWindow)
 	for i := range c.classes {
-		c.classes[i].runTime = newDurationEstimate(c.now, runTimeMemory)
+		c.classes[i].runTime = newDurationEstimate(c.now, runTimeWindow)
 	}
 	c.emit(Action{Kind: SetHealth, Healthy: true})
 }
 
+// emit adds an action to those of the present batch.
 func (c *Controller) emit(a Action) { c.actions = append(c.actions, a) }
 
+// handle handles one event of the batch.
 func (c *Controller) handle(e *Event) {
 	switch e.Kind {
 	case Arrived:
@@ -126,7 +121,7 @@
 		c.concurrency.gauges = e.Gauges
 		c.timer.fired(c.now)
 	default:
-		if r := c.byID[e.RequestID]; r != nil { // else it is done
+		if r := c.byID[e.RequestID]; r != nil { // an event of a request that is done is ignored
 			c.handleRequestEvent(r, e)
 		}
 	}
@@ -139,7 +134,7 @@
 		c.handleRunEnded(r, e)
 	case AwaitingDownstream:
 		c.progress.lastEnd = c.now
-		r.call.lost = 0 // it is another call than the last
+		r.call.lostAttempts = 0 // those of the call before don't count for this one
 		c.step(r, onAwaitDownstream)
 	case CallReturned:
 		if r.state == stateCalling {
@@ -150,7 +145,7 @@
 	}
 }
 
-// tick refreshes the estimates and what is tuned by them.
+// tick refreshes the estimates, and tunes the limits and reports that follow from them.
 func (c *Controller) tick() {
 	c.timer.nextTick = c.now + tickInterval
 	c.checkProgress()
@@ -160,40 +155,3 @@
 	c.tuneRunLimit()
 	c.tuneLoadReport()
 }
-
-// wakeupTimer keeps track of the earliest armed timer.
-type wakeupTimer struct {
-	nextTick float64
-	armedFor float64 // when the earliest timer goes off; infinite where none is armed
-}
-
-// fired records that a timer went off.
-func (w *wakeupTimer) fired(now float64) {
-	if now >= w.armedFor-timerTolerance {
-		w.armedFor = math.Inf(1)
-	}
-}
-
-// setTimer arms a timer for the next tick or the next hard deadline, unless one goes off before
-// that.
-func (c *Controller) setTimer() {
-	next := c.timer.nextTick
-	for _, r := range c.requests {
-		if r.state&(stateAnswered|stateDone) == 0 {
-			next = min(next, r.hardDeadline)
-		}
-	}
-	if next < c.timer.armedFor {
-		c.timer.armedFor = next
-		c.emit(Action{Kind: SetTimer, Duration: max(0, next-c.now), Label: "next"})
-	}
-}
-
-// randomSource draws numbers that depend only on the seed and on the number of draws before.
-type randomSource struct{ seed, draws int64 }
-
-// float returns a number from 0 to under 1.
-func (r *randomSource) float() float64 {
-	r.draws++
-	return float64(crc32.ChecksumIEEE(fmt.Appendf(nil, "%d %d", r.seed, r.draws))) / (1 << 32)
-}
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -24,9 +24,18 @@
 // # Files
 //
 // settings.go, event.go and action.go are the interface. The decisions follow a request:
-// controller.go (the batch), lifecycle.go (the state table), admit.go (deadlines and load
-// shedding), queue.go (the order of the queue), downstream.go (calls, retries, backoff),
-// capacity.go (limits on concurrency and memory, slow start, recovery), quota.go (shares of
-// tenants), estimate.go (learned service times), backpressure.go (Retry-After and load report),
-// connections.go (idle connections) and drain.go.
+// controller.go (the batch), lifecycle.go (the state table), admit.go (arrival, deadlines and
+// rejection), queue.go (the order of the queue and load shedding), downstream.go (calls, retries,
+// backoff), capacity.go (limits on concurrency, slow start), memory.go (memory and the key table),
+// quota.go (quotas of tenants), estimate.go (learned service times), arrivals.go (learned of arrivals),
+// progress.go (health), backpressure.go (Retry-After and load report), connections.go (idle
+// connections), drain.go, timer.go and random.go.
+//
+// # Terms
+//
+// A budget is the time that a client still waits. A downstream call is degraded when its request goes
+// on without it, for a response of less value. A request is coalesced when it waits for the result of
+// the request that it repeats. The key table holds the requests whose repeats are recognized. A run is
+// the work of the server on a request, and its time on the cores excludes calls. A tick is the periodic
+// refresh of estimates and limits.
 package admission
--- a/admission/downstream.go
+++ b/admission/downstream.go
@@ -12,27 +12,30 @@
 	// deadlineSafetyMargin is kept free before the hard deadline, in seconds: responses still have
 	// to be written and sent. It is the design's upper value.
 	deadlineSafetyMargin = 0.01
-	// callTimeMemory is the window, in seconds, over which the durations of calls are learned.
-	callTimeMemory = 5
-	// slowCallFactor is the ratio of the mean call to the lowest recent mean above which calls
-	// count as slow.
+	// callTimeWindow is the window, in seconds, over which the durations of calls are learned.
+	callTimeWindow = 5
+	// slowCallFactor is the ratio of the mean call to the lowest mean of the last 30 s above which
+	// calls count as slow.
 	slowCallFactor = 2
-	// lossFactor makes calls count as lossy where one in four is lost.
+	// lossFactor is how many calls that ended well there are for one that was lost, at the rate of loss
+	// of one in four above which calls count as lossy.
 	lossFactor = 3
 
-	// Limits on calls into a tier, for each core. A tier limits itself: only a flood is kept from
-	// it.
+	// Limits on calls into a tier, for each core. A tier limits its load itself, so these only stop a
+	// flood.
 	minTierCalls     = 1
 	initialTierCalls = 2
 	maxTierCalls     = 16
-	// Limits on calls to a shared dependency, as fractions of this server's part of them. It gets
-	// slow long before it fails: a quarter goes out however slow it is, and never all of it, as
-	// calls of servers that died and those whose end is not known yet count too.
+	// Limits on calls to a shared dependency, as fractions of this server's part of the calls that it
+	// survives. It gets slow long before it fails, so a quarter of the part is used however slow it is.
+	// The part is never used up, as calls of servers that died count too, and so do calls whose end is
+	// not known yet.
 	minSharedCalls     = 0.25
 	initialSharedCalls = 0.5
 	maxSharedCalls     = 0.8
-	// maxSharedTimeout bounds a call to a shared dependency, as a fraction of the window over which
-	// its limit is a mean. Where one call is over the limit, it must be short to keep that mean.
+	// maxSharedTimeout is the longest timeout of a call to a shared dependency, as a fraction of the
+	// call-seconds that the limit allows in its window. Where the limit is under one call, each call must
+	// be short to keep the mean.
 	maxSharedTimeout = 0.25
 
 	// callLimitDecrease and callLimitIncrease are factors at a tick. They halve the limit in 1.4 s
@@ -42,14 +45,17 @@
 	// callBackoff is the least pause, in seconds and for each lost attempt, before the next attempt
 	// of a call. Up to as much again is added at random.
 	callBackoff = 0.02
-	// maxLostCalls is the number of lost attempts above which a response without the call is
+	// maxLostAttempts is the number of lost attempts above which a response without the call is
 	// preferred.
-	maxLostCalls = 2
-	// firstAttemptFactor is the timeout of an attempt after which another may follow, in mean
-	// calls; firstAttemptMinCalls is the number of calls that such a mean needs.
-	firstAttemptFactor   = 4
+	maxLostAttempts = 2
+	// firstAttemptFactor is the timeout of an attempt after which another may follow, in mean calls.
+	firstAttemptFactor = 4
+	// firstAttemptRoom is how many timeouts of a first attempt must be left for it to get that timeout.
+	firstAttemptRoom = 2
+	// firstAttemptMinCalls is the number of calls in the window below which that mean is not relied on.
 	firstAttemptMinCalls = 20
-	// minCallAllowance keeps the limit, which is a divisor, above 0. Below 1 no call goes out.
+	// minCallAllowance keeps the limit, which is a divisor, above 0. With an allowance below 1 no call
+	// goes out.
 	minCallAllowance = 0.01
 )
 
@@ -57,16 +63,16 @@
 type downstreamLimiter struct {
 	limit              float64 // in force now
 	minLimit, maxLimit float64
-	allowance          float64 // binding share of a budget; infinite where there is none
-	// credit is the unused call-seconds under the limit, as of creditAt. Where the limit is not a
-	// whole number it lets one more call out at times.
+	allowance          float64 // that was set by an event; infinite where none was
+	// credit is how many call-seconds under the limit were left unused until creditAt. Where the limit
+	// is not a whole number, it lets one more call go out from time to time.
 	credit, creditAt float64
 	callTime         durationEstimate
 	maxTimeout       float64
 	// abandoned are the calls that were given up and may still be held downstream.
 	abandoned         timewindow.ExpiringNames
 	abandonedLifetime float64
-	tier              bool
+	tier              bool // calls reach a tier of servers
 }
 
 func newDownstreamLimiter(settings *Settings, cores float64) downstreamLimiter {
@@ -104,7 +110,7 @@
 	return inFlight+1 <= d.limit || inFlight < d.limit && d.credit > 0
 }
 
-// slow reports whether calls take twice as long as they lately did at best.
+// slow reports whether the mean call takes more than twice the lowest mean of the last 30 s.
 func (d *downstreamLimiter) slow(now float64) bool {
 	return d.callTime.mean > slowCallFactor*d.callTime.lowest.Value(now)
 }
@@ -115,15 +121,15 @@
 }
 
 // timeout returns the timeout of a request's call: the time that is left, less the safety margin.
-// Exception to the design: in a tier that is not slow, it is a few mean calls where twice that is
-// left and the call may be repeated. A server there that died unnoticed would hold the call for all
-// of the time.
+// Exception to the design: a call that may be repeated, into a tier that is not slow, gets only a few
+// mean calls if more than twice that is left. Otherwise a server of the tier that died unnoticed would
+// hold the call for all of the time.
 func (d *downstreamLimiter) timeout(now float64, r *request) float64 {
 	left := min(r.hardDeadline-now-deadlineSafetyMargin, d.maxTimeout)
 	firstAttempt := firstAttemptFactor * d.callTime.mean
 	repeatable := d.tier && r.class.Idempotency == Idempotent
 	known := d.callTime.recent.Count >= firstAttemptMinCalls
-	if repeatable && known && !d.slow(now) && left > 2*firstAttempt {
+	if repeatable && known && !d.slow(now) && left > firstAttemptRoom*firstAttempt {
 		return firstAttempt
 	}
 	return left
@@ -135,6 +141,8 @@
 	return c.count(stateCalling) + float64(len(c.downstream.abandoned))
 }
 
+// accrueCallCredit brings the credit of calls up to date. It runs before each change of the calls in
+// flight.
 func (c *Controller) accrueCallCredit() { c.downstream.accrue(c.now, c.callsInFlight()) }
 
 // tuneCallLimit learns how long calls take and how many may be in flight.
@@ -153,8 +161,8 @@
 	d.limit = min(max(d.minLimit, min(d.limit, d.maxLimit)), d.allowance)
 }
 
-// scheduleCalls expires or degrades requests that a call can't help any more, and dispatches calls
-// by soft deadline, or by the value that they add when calls are slow.
+// scheduleCalls degrades or expires requests that a call can't help any more, then dispatches calls: by
+// soft deadline, or by the value that each adds while calls are slow.
 func (c *Controller) scheduleCalls() {
 	for _, r := range c.requests {
 		if r.state == stateAwaitingDownstream {
@@ -180,14 +188,16 @@
 // more.
 func (c *Controller) reviewAwaiting(r *request) {
 	late := c.now+c.downstream.callTime.mean/2 > r.valueUntil
-	degraded := r.class.DegradedValue
+	degradedValue := r.class.DegradedValue
 	blocked := !r.mayCall()
+	degradedIsBetter := blocked || r.call.lostAttempts > maxLostAttempts ||
+		late && degradedValue > r.class.LateValue
+	callIsUseless := blocked || late && (c.downstream.slow(c.now) || r.class.LateValue == 0)
+	noTimeLeft := r.hardDeadline-c.now <= deadlineSafetyMargin
 	switch {
-	case degraded > 0 && c.hasConcurrencyRoom() &&
-		(blocked || r.call.lost > maxLostCalls || late && degraded > r.class.LateValue):
+	case degradedValue > 0 && degradedIsBetter && c.hasConcurrencyRoom():
 		c.step(r, onDegrade)
-	case degraded == 0 && (blocked || late && (c.downstream.slow(c.now) || r.class.LateValue == 0)),
-		r.hardDeadline-c.now <= deadlineSafetyMargin:
+	case degradedValue == 0 && callIsUseless, noTimeLeft:
 		c.step(r, onExpire)
 	}
 }
@@ -200,7 +210,7 @@
 // mayCall reports whether an attempt of the request's call is safe: a call that may have had its
 // effect is not repeated, unless it is idempotent.
 func (r *request) mayCall() bool {
-	return r.call.lost == 0 || r.call.notExecuted || r.class.Idempotency == Idempotent
+	return r.call.lostAttempts == 0 || r.call.notExecuted || r.class.Idempotency == Idempotent
 }
 
 // callGain returns what the request's call adds to its value.
@@ -211,9 +221,8 @@
 	return cmp.Or(cmp.Compare(b.callGain(), a.callGain()), bySoftDeadline(a, b))
 }
 
-// degradeAwaiting runs while calls are scarce. It goes through the requests that await one, in the
-// order in which a call adds most, and degrades those that would wait too long by the measure of
-// the queue.
+// degradeAwaiting degrades requests that would wait too long for their call while calls are scarce. It
+// assumes that calls go out by the value that they add; how long is too long is as in shedQueue.
 func (c *Controller) degradeAwaiting() {
 	awaiting := c.inState(stateAwaitingDownstream)
 	slices.SortStableFunc(awaiting, byCallGain)
@@ -233,25 +242,27 @@
 	bucket := c.downstream.callTime.window.Current(c.now)
 	if e.Outcome == Finished {
 		bucket.Add(e.Duration)
-		r.call.returned++
+		r.call.finishedCalls++
 		c.step(r, onCallReturned)
 		return
 	}
-	bucket.Untimed++
+	bucket.Untimed++ // counts as lost
 	if e.Outcome == TimedOut {
 		c.abandonCall(r)
 	}
 	r.call.notExecuted = e.Outcome == Rejected || e.Outcome == Unreachable
-	r.call.lost++
+	r.call.lostAttempts++
 	// The random part keeps the attempts of several requests from coming at once.
-	r.call.backoffUntil = c.now + callBackoff*float64(r.call.lost)*(1+c.random.float())
+	r.call.backoffUntil = c.now + callBackoff*float64(r.call.lostAttempts)*(1+c.random.float())
 	c.step(r, onCallLost)
 }
 
+// dispatchCall lets the call of a request go out.
 func (c *Controller) dispatchCall(r *request) {
 	c.emit(Action{Kind: DispatchCall, RequestID: r.id, Duration: c.downstream.timeout(c.now, r)})
 }
 
+// degrade has the run of a request go on without its call.
 func (c *Controller) degrade(r *request) { c.emit(Action{Kind: Degrade, RequestID: r.id}) }
 
 // abandonCall counts a call that was given up as in flight, for as long as it may still be held
@@ -260,6 +271,7 @@
 	c.downstream.abandoned.Add(r.id, c.now+c.downstream.abandonedLifetime)
 }
 
+// failAndAbandonCall sends the final response of a request whose call is in flight.
 func (c *Controller) failAndAbandonCall(r *request) {
 	c.fail(r)
 	c.abandonCall(r)
--- a/admission/event.go
+++ b/admission/event.go
@@ -21,7 +21,7 @@
 	DrainStarted
 	// TimerFired tells that a timer went off. Sets Gauges, and Label to that of the timer.
 	TimerFired
-	// AllowanceChanged tells what the server may use of a budget that servers share. Sets
+	// AllowanceChanged tells the server's share of a limit that holds for all servers together. Sets
 	// Allowance.
 	AllowanceChanged
 )
@@ -67,7 +67,8 @@
 	return enumName(names, o)
 }
 
-// Event is one thing that happened to a server. The kind tells which of the fields are set.
+// Event is one thing that happened to a server. The comment of its kind tells which fields are set;
+// RequestID is set in all that concern one request.
 type Event struct {
 	Kind      EventKind
 	RequestID string
@@ -89,9 +90,10 @@
 	Memory float64
 	// Age is how many seconds ago it reached the machine.
 	Age float64
-	// ExpectedWork is in seconds of a standard core; 0 where it is unknown.
+	// ExpectedWork is how long it is expected to run, in seconds of a standard core; 0 where that is
+	// unknown.
 	ExpectedWork float64
-	// RemainingBudget is for how many seconds its client still waits; 0 where it wasn't told.
+	// RemainingBudget is for how many seconds its client still waits; 0 where the client did not send it.
 	RemainingBudget float64
 	Priority        float64
 	// Retry tells that it is a later attempt, Write that it changes something, HasSubject that it
@@ -102,21 +104,21 @@
 	DuplicateOf string
 }
 
-// Gauges are the server's own readings; a reading that the server lacks is negative.
+// Gauges are the server's readings of its own load; a reading that it lacks is negative. Runnable is
+// the number of requests that run or wait for a core. The decisions use no other reading.
 type Gauges struct{ Utilization, Runnable, Memory, Connections float64 }
 
-// CallAllowance is the Tenant of an allowance that bounds downstream calls.
+// CallAllowance is the Tenant of an allowance for downstream calls, which belongs to no tenant.
 const CallAllowance = -1
 
-// Allowance is what a server may use of a budget that all servers share, from now on. It takes the
-// place of the server's own estimate and is binding: what exceeds it is rejected. A server without
-// one decides by its estimate.
+// Allowance is a server's share, from now on, of a limit that holds for all servers together. It takes
+// the place of the server's own estimate and is binding: requests over it are rejected, and calls over
+// it are not dispatched. A server without one decides by its estimate.
 type Allowance struct {
 	// Tenant is whose requests it bounds; CallAllowance where it bounds downstream calls.
 	Tenant int
 	// Limit is in requests a second, or in concurrent calls.
 	Limit float64
-	// BurstDuration is how many seconds of a request rate may be saved up; one request may be at
-	// least.
+	// BurstDuration is how many seconds of a request rate may be saved up, but at least one request.
 	BurstDuration float64
 }
--- a/admission/lifecycle.go
+++ b/admission/lifecycle.go
@@ -12,7 +12,7 @@
 	stateRunning                  // on or near a core
 	stateAwaitingDownstream       // its call is not dispatched yet
 	stateCalling                  // its call is in flight
-	stateAnswered                 // has its final response, yet its run has not ended
+	stateAnswered                 // needs no response any more, yet its run has not ended
 	stateDone
 
 	statesOnCore = stateRunning | stateAnswered
@@ -70,35 +70,35 @@
 	{stateAnswered, onRunCancelled, stateDone, nil},
 }
 
-// request is a request that is not done.
+// request is a request that the server took in, until it is done.
 type request struct {
 	id        string
 	class     *learnedClass
 	state     state
 	since     float64 // when it came to its state
 	arrivedAt float64
-	// softDeadline is until when its response has its full value.
+	// softDeadline is the time until which its response has its full value.
 	softDeadline float64
-	// hardDeadline is when its client leaves: it has its final response by then.
+	// hardDeadline is the time at which its client leaves, so that it needs its final response before.
 	hardDeadline float64
-	// valueUntil is until when finishing it is worth the cores: one of the two deadlines.
-	valueUntil float64
-	coreTime   float64 // seconds on or near a core so far, without calls and pauses
-	memory     float64 // while it is queued
-	value      float64 // of its response; less where its tenant is over its quota
-	overQuota  bool
-	quota      *tenantQuota // that it was charged to; nil for none
-	ran        bool
-	duplicate  bool // repeats a deduplicated request
-	call       callProgress
+	// valueUntil is the one of the two deadlines until which finishing it is worth the cores.
+	valueUntil   float64
+	coreTime     float64 // seconds on or near a core so far, without calls and pauses
+	memory       float64 // while it is queued
+	value        float64 // of its response; less where its tenant is over its quota
+	overQuota    bool
+	chargedQuota *tenantQuota // the quota that it was charged to while queued; nil for none
+	ran          bool
+	duplicate    bool // repeats a deduplicated request
+	call         callProgress
 }
 
 // callProgress is how far the downstream calls of a request are.
 type callProgress struct {
-	returned     int     // calls that ended well
-	lost         int     // attempts of the call at hand that did not
-	backoffUntil float64 // no attempt before this
-	notExecuted  bool    // the last attempt is known not to have run
+	finishedCalls int     // calls that ended well
+	lostAttempts  int     // attempts of the present call that did not end well
+	backoffUntil  float64 // time before which no attempt is made
+	notExecuted   bool    // the last attempt is known not to have run downstream
 }
 
 // step applies a trigger to a request and reports whether a transition matched. r may be nil.
@@ -120,7 +120,7 @@
 func (c *Controller) apply(row *transition, r *request) {
 	c.accrueCallCredit()
 	if r.state == stateQueued {
-		r.settleQuota(row.to)
+		r.settleQuotaCharge(row.to)
 	}
 	if r.state&statesOnCore != 0 {
 		r.coreTime += c.now - r.since
@@ -138,19 +138,19 @@
 	}
 }
 
-// settleQuota ends the charge of a request that leaves the queue for another state. It is refunded
+// settleQuotaCharge ends the charge of a request that leaves the queue for another state. It is refunded
 // unless the request runs: a rejection, or the result of another request, uses nothing of the
 // quota.
-func (r *request) settleQuota(to state) {
-	if r.quota != nil && to != stateRunning {
-		r.quota.Refund()
+func (r *request) settleQuotaCharge(to state) {
+	if r.chargedQuota != nil && to != stateRunning {
+		r.chargedQuota.Refund()
 	}
-	r.quota = nil
+	r.chargedQuota = nil
 }
 
 func (r *request) done() bool { return r.state == stateDone }
 
-// count returns how many requests are in any of the states.
+// count returns how many requests are in any of the states, as a float64 as the limits are fractional.
 func (c *Controller) count(in state) (n float64) {
 	for _, r := range c.requests {
 		if r.state&in != 0 {
@@ -169,25 +169,29 @@
 // handleRunEnded ends a run and learns from it.
 func (c *Controller) handleRunEnded(r *request, e *Event) {
 	c.progress.lastEnd = c.now
-	was := r.state
-	r.class.recordWaste(was == stateAnswered && c.now >= r.hardDeadline)
+	stateBefore := r.state
+	r.class.recordWaste(stateBefore == stateAnswered && c.now >= r.hardDeadline)
 	on := onRunEnded
 	if e.Outcome == Cancelled || e.Outcome == NeverStarted {
 		on = onRunCancelled
 	}
 	c.step(r, on)
-	// A quick error or a cancelled run would teach too low a minimum service time; a run that was
-	// cancelled after the minimum is a lower bound.
-	informative := e.Outcome == Finished || r.coreTime > r.class.minServiceTime
-	if r.ran && r.done() && informative {
+	if r.ran && r.done() && r.informative(e.Outcome) {
 		r.class.recordRun(c.now, r)
 	}
-	if e.Outcome == Finished && was != stateAnswered && c.now <= r.softDeadline {
+	if e.Outcome == Finished && stateBefore != stateAnswered && c.now <= r.softDeadline {
 		c.progress.lastTimely = c.now
 		c.concurrency.experiment.reward += r.value
 	}
 }
 
+// informative reports whether the minimum service time may be learned of a run that ended. Quick
+// errors and runs that were cancelled early would make it too low; of a run that was cancelled after
+// the present minimum at least that much is known.
+func (r *request) informative(outcome Outcome) bool {
+	return outcome == Finished || r.coreTime > r.class.minServiceTime
+}
+
 // startRun starts the run of a request that was admitted.
 func (c *Controller) startRun(r *request) {
 	r.ran = true
@@ -195,6 +199,7 @@
 	c.emit(Action{Kind: StartRun, RequestID: r.id})
 }
 
+// reuseResult responds with the result of the request that this one repeats.
 func (c *Controller) reuseResult(r *request) { c.emit(Action{Kind: ReuseResult, RequestID: r.id}) }
 
 // fail sends the final response of a request that may have run.
@@ -211,6 +216,7 @@
 	}
 }
 
+// failAndCancelRun sends the final response of a running request and stops its run.
 func (c *Controller) failAndCancelRun(r *request) {
 	c.fail(r)
 	c.cancelRun(r)
--- a/admission/model_test.go
+++ b/admission/model_test.go
@@ -47,21 +47,21 @@
 )
 
 type modelRequest struct {
-	id, identity  string // identity is what a request and its repeats have in common
-	class         Class
-	place         place
-	arrivedAt     float64
-	hardDeadline  float64
-	readAt        float64
-	memory        float64
-	callDeadline  float64 // when its call times out
-	answered      bool
-	clientGone    bool
-	ran           bool
-	called        bool
-	cancelPending bool
-	unproven      bool // its call may have had its effect
-	repeats       bool // another request
+	id, identity    string // identity is what a request and its repeats have in common
+	class           Class
+	place           place
+	arrivedAt       float64
+	hardDeadline    float64
+	readAt          float64
+	memory          float64
+	callDeadline    float64 // when its call times out
+	answered        bool
+	clientGone      bool
+	ran             bool
+	called          bool
+	cancelPending   bool
+	mayHaveExecuted bool // its call may have had its effect
+	repeats         bool // another request
 }
 
 func newModel(settings Settings, seed int64, now float64) *model {
@@ -200,7 +200,7 @@
 		return fmt.Errorf("starts a request that is %s", r.place)
 	case r.arrivedAt > m.drainAt+m.settings.DrainGracePeriod:
 		return errors.New("runs what came after the grace period")
-	case m.hasRunTwin(r):
+	case m.hasRunDuplicate(r):
 		return errors.New("runs a second attempt")
 	}
 	r.place = placeOnCore
@@ -213,7 +213,7 @@
 	if r.answered || r.clientGone {
 		return errors.New("answers twice")
 	}
-	mayHaveRun := r.ran || r.place != placeQueued || r.repeats && m.hasRunTwin(r)
+	mayHaveRun := r.ran || r.place != placeQueued || r.repeats && m.hasRunDuplicate(r)
 	if a.Kind == Reject && mayHaveRun {
 		return errors.New("rejects what ran")
 	}
@@ -232,12 +232,12 @@
 	if r.place != placeAwaiting || r.answered || a.Duration <= 0 || m.now+a.Duration > r.hardDeadline {
 		return fmt.Errorf("call from %s for %.3f", r.place, a.Duration)
 	}
-	if r.called && r.unproven && r.class.Idempotency != Idempotent {
+	if r.called && r.mayHaveExecuted && r.class.Idempotency != Idempotent {
 		return errors.New("repeats a call that may have had its effect")
 	}
 	r.place = placeCalling
 	r.called = true
-	r.unproven = true
+	r.mayHaveExecuted = true
 	r.callDeadline = m.now + a.Duration
 	return nil
 }
@@ -246,8 +246,8 @@
 	m.abandonedUntil = append(m.abandonedUntil, m.now+m.settings.Downstream.AbandonedCallLifetime)
 }
 
-// hasRunTwin reports whether another attempt of a deduplicated request has run within its window.
-func (m *model) hasRunTwin(r *modelRequest) bool {
+// hasRunDuplicate reports whether another attempt of a deduplicated request has run within its window.
+func (m *model) hasRunDuplicate(r *modelRequest) bool {
 	for _, other := range m.requests {
 		if r.class.Idempotency == Deduplicated && other != r && other.ran && other.identity == r.identity &&
 			math.Abs(other.arrivedAt-r.arrivedAt) <= r.class.DeduplicationWindow {
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -9,6 +9,8 @@
 	// maxWaitFraction is the fraction of a request's spare time that it may be expected to wait.
 	// Run times vary: after a longer wait requests would end late.
 	maxWaitFraction = 0.25
+	// minAwaitingCalls is the number of requests awaiting a call that never keeps others from running.
+	minAwaitingCalls = 2
 	// minCost is the least cost of a request, which is a divisor.
 	minCost = 1e-4
 )
@@ -50,75 +52,89 @@
 	if r.state != stateQueued {
 		return false
 	}
-	memory := &c.memory
-	fits := memory.used()+r.memory*(memory.runningFactor-1) <= memoryForRequests*memory.limit
-	// While many await their call, more of their kind would be wasted work, unless they can be
-	// degraded.
+	// Where many requests await a call already, a run that can't do without one would only wait too.
 	stuck := r.class.CallsDownstream && r.class.DegradedValue == 0 &&
-		c.count(stateAwaitingDownstream) >= max(2, c.downstream.limit)
-	// A request over its tenant's quota leaves room for one within, as it can't be preempted later.
+		c.count(stateAwaitingDownstream) >= max(minAwaitingCalls, c.downstream.limit)
+	// A request over its tenant's quota leaves room on the cores for one that is within its quota: it
+	// can't be preempted when that one comes.
 	leavesRoom := !r.overQuota || c.count(statesOnCore) < max(1, c.concurrency.runLimit-1)
-	return fits && !stuck && leavesRoom
+	return c.memory.fitsRun(r) && !stuck && leavesRoom
 }
 
 // work is an amount of work, in seconds of a core and of a downstream call.
-type work struct{ run, call float64 }
+type work struct{ coreTime, callTime float64 }
+
+// plus returns the sum of two amounts of work.
+func (w work) plus(other work) work {
+	return work{coreTime: w.coreTime + other.coreTime, callTime: w.callTime + other.callTime}
+}
+
+// minus returns the difference of two amounts of work.
+func (w work) minus(other work) work {
+	return work{coreTime: w.coreTime - other.coreTime, callTime: w.callTime - other.callTime}
+}
+
+// bottleneck is the resource that a queued request waits for.
+type bottleneck uint8
+
+const (
+	coreBottleneck bottleneck = iota
+	callBottleneck
+)
 
 // shedQueue goes through the queue by soft deadline. Where cores or calls can't reach a request in
 // time, it rejects the one with the lowest value density of those up to it.
 func (c *Controller) shedQueue() {
 	queue := c.inState(stateQueued)
 	slices.SortStableFunc(queue, bySoftDeadline)
-	ahead := work{call: c.count(stateAwaitingDownstream) * c.downstream.callTime.mean}
+	ahead := work{callTime: c.count(stateAwaitingDownstream) * c.downstream.callTime.mean}
 	for i := 0; i < len(queue); i++ {
 		r := queue[i]
 		own := c.expectedWork(r.class)
-		wait, byCalls := c.expectedWait(ahead, own)
-		ahead.run += own.run
-		ahead.call += own.call
-		if wait == 0 || wait <= maxWaitFraction*(r.valueUntil-c.now-own.run-own.call) {
+		wait, scarce := c.expectedWait(ahead, own)
+		ahead = ahead.plus(own)
+		if wait == 0 || wait <= maxWaitFraction*(r.valueUntil-c.now-own.coreTime-own.callTime) {
 			continue
 		}
-		shed := c.leastDense(queue[:i+1], byCalls)
-		spared := c.expectedWork(queue[shed].class)
-		ahead.run -= spared.run
-		ahead.call -= spared.call
+		shed := c.leastValuable(queue[:i+1], scarce)
+		ahead = ahead.minus(c.expectedWork(queue[shed].class))
 		c.step(queue[shed], onOverload)
 		queue = slices.Delete(queue, shed, shed+1)
 		i--
 	}
 }
 
-// expectedWork returns what a run of the class is expected to take: of calls nothing, where it can
-// be degraded.
+// expectedWork returns what a run of the class is expected to take. Calls don't count for a class
+// whose requests can be degraded.
 func (c *Controller) expectedWork(class *learnedClass) work {
-	expected := work{run: class.runTime.mean}
+	expected := work{coreTime: class.runTime.mean}
 	if class.DegradedValue <= 0 {
-		expected.call = class.meanCalls * c.downstream.callTime.mean
+		expected.callTime = class.meanCalls * c.downstream.callTime.mean
 	}
 	return expected
 }
 
-// expectedWait returns how long a request waits for the work ahead of it, and whether it waits for
-// calls rather than for cores.
-func (c *Controller) expectedWait(ahead, own work) (wait float64, byCalls bool) {
-	wait = ahead.run / c.concurrency.runLimit
-	if own.call <= 0 {
-		return wait, false
+// expectedWait returns how many seconds a request waits for the work ahead of it, and what it waits
+// for.
+func (c *Controller) expectedWait(ahead, own work) (wait float64, scarce bottleneck) {
+	wait = ahead.coreTime / c.concurrency.runLimit
+	if own.callTime <= 0 {
+		return wait, coreBottleneck
 	}
-	if waitForCalls := ahead.call / c.downstream.limit; waitForCalls > wait {
-		return waitForCalls, true
+	if waitForCalls := ahead.callTime / c.downstream.limit; waitForCalls > wait {
+		return waitForCalls, callBottleneck
 	}
-	return wait, false
+	return wait, coreBottleneck
 }
 
-// leastDense returns the index of the request with the lowest value density. Where calls are what
-// is scarce it passes over those that need none, except the last, for which the others make way.
-func (c *Controller) leastDense(queue []*request, byCalls bool) int {
+// leastValuable returns the index of the request with the lowest value density. Where calls are
+// scarce, requests that need none are passed over, as rejecting them would spare no call; only the
+// last, which is the one that can't be reached in time, is always considered.
+func (c *Controller) leastValuable(queue []*request, scarce bottleneck) int {
 	least := len(queue) - 1
 	lowest := c.valueDensity(queue[least])
 	for i, r := range queue[:least] {
-		if byCalls && c.expectedWork(r.class).call <= 0 {
+		if scarce == callBottleneck && c.expectedWork(r.class).callTime <= 0 {
 			continue
 		}
 		if density := c.valueDensity(r); density < lowest {
@@ -129,10 +145,10 @@
 	return least
 }
 
-// valueDensity returns the value of a request per cost in cores and calls. It is higher the fewer
-// of its class are admitted, or the least valuable class alone would be rejected.
+// valueDensity returns the value of a request per cost in cores and calls. The fewer requests of its
+// class were admitted, the higher it is: otherwise only the least valuable class would be rejected.
 func (c *Controller) valueDensity(r *request) float64 {
 	expected := c.expectedWork(r.class)
-	cost := expected.run/c.concurrency.runLimit + expected.call/c.downstream.limit
+	cost := expected.coreTime/c.concurrency.runLimit + expected.callTime/c.downstream.limit
 	return r.value / max(cost*r.class.admittedFraction, minCost)
 }
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// unevenClients is the ratio of a tenant's traffic at one server to its mean over all servers
-	// up to which it is within its quota: clients are not spread evenly.
-	unevenClients = 1.5
-	// A tenant may send burstDuration seconds of its rate at once, and minBurst requests however
-	// few those are: one whose requests come by chance and that keeps to its quota is over such a
-	// one for 1% of them.
-	burstDuration = 2
-	minBurst      = 6
+	// maxTenantImbalance is the ratio of a tenant's traffic at one server to its mean over all servers up
+	// to which it is within its quota, as clients are not spread evenly.
+	maxTenantImbalance = 1.5
+	// quotaBurstDuration is how many seconds of its rate a tenant may send at once.
+	quotaBurstDuration = 2
+	// minQuotaBurst is how many requests a tenant may send at once at the least. A tenant of a low rate
+	// that keeps to its quota, with requests at random times, then exceeds it with 1% of them.
+	minQuotaBurst = 6
 )
 
 // quotaLimiter holds the quota of each tenant at this server.
@@ -23,31 +23,30 @@
 // tenantQuota is the quota of one tenant at this server.
 type tenantQuota struct {
 	timewindow.TokenBucket
-	// binding tells that it is a share of a budget that holds for all servers together, so that
-	// what exceeds it may not run at all.
+	// binding tells that the quota was set by an allowance, so that requests over it are rejected.
 	binding bool
 }
 
 func newQuotaLimiter(settings *Settings) quotaLimiter {
 	var l quotaLimiter
 	for _, tenant := range settings.Tenants {
-		rate := unevenClients * tenant.Rate / max(1, float64(settings.Servers))
-		bucket := timewindow.NewTokenBucket(rate, max(minBurst, burstDuration*rate))
+		rate := maxTenantImbalance * tenant.Rate / max(1, float64(settings.Servers))
+		bucket := timewindow.NewTokenBucket(rate, max(minQuotaBurst, quotaBurstDuration*rate))
 		l.tenants = append(l.tenants, tenantQuota{TokenBucket: bucket})
 	}
 	return l
 }
 
-// chargeQuota takes a request from its tenant's quota and lowers its value if that is used up. It
-// returns false where the quota is binding and used up.
-func (c *Controller) chargeQuota(r *request, tenant int) bool {
+// chargeQuota charges a request to its tenant's quota, or lowers its value if the quota is used up.
+// withinQuota is false where the request has to be rejected: its quota is used up and binding.
+func (c *Controller) chargeQuota(r *request, tenant int) (withinQuota bool) {
 	if tenant < 0 || tenant >= len(c.quota.tenants) {
 		return true
 	}
 	quota := &c.quota.tenants[tenant]
 	switch {
 	case quota.Take(c.now):
-		r.quota = quota
+		r.chargedQuota = quota
 	case quota.binding:
 		return false
 	default:
@@ -57,11 +56,11 @@
 	return true
 }
 
-// handleAllowance replaces the server's own estimate of a quota by its share of a budget. Exception
-// to the design: what all servers share is not estimated then.
+// handleAllowance replaces the server's own estimate of a limit by an allowance. Exception to the
+// design, in which each server estimates its part of what all servers share.
 func (c *Controller) handleAllowance(a *Allowance) {
 	switch {
-	case a.Tenant < 0:
+	case a.Tenant < 0: // CallAllowance
 		c.downstream.allowance = max(a.Limit, minCallAllowance)
 	case a.Tenant < len(c.quota.tenants):
 		c.quota.tenants[a.Tenant].bind(c.now, a)
@@ -70,10 +69,10 @@
 
 // bind has the quota follow an allowance from now on.
 func (q *tenantQuota) bind(now float64, a *Allowance) {
-	if !q.binding { // what its own estimate saved up is not of the budget
+	if !q.binding { // requests that were saved up under the server's own estimate are forfeited
 		q.TokenBucket = timewindow.NewTokenBucket(0, 0)
 	}
 	q.binding = true
-	oneAtLeast := min(1, math.Ceil(a.Limit)) // of none, none is saved up
-	q.SetRate(now, a.Limit, max(oneAtLeast, a.BurstDuration*a.Limit))
+	minBurst := min(1, math.Ceil(a.Limit)) // 1, or 0 with a limit of 0
+	q.SetRate(now, a.Limit, max(minBurst, a.BurstDuration*a.Limit))
 }
--- a/admission/quota_test.go
+++ b/admission/quota_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// A share of a budget is binding: its tenant's requests beyond it are rejected unstarted, and what
-// never ran costs none of it.
+// An allowance is binding: its tenant's requests beyond it are rejected before they run, and requests
+// that never ran are not charged.
 func TestAllowance_BindsTenant(t *testing.T) {
 	m := newLearnedModel(t, Settings{Cores: 4, Tenants: []Tenant{{Rate: 1e6}, {Rate: 1e6}}})
 	m.must(t, Event{Kind: AllowanceChanged, Allowance: &Allowance{Tenant: 0, Limit: 4, BurstDuration: 0.5}})
 	m.arriveMany(t, "a", 3, Request{Memory: 1, RemainingBudget: 4})
-	if n := len(m.rejected); n != 3 { // what its own estimate had saved up is not of the budget
+	if n := len(m.rejected); n != 3 { // requests saved up under the server's own estimate are forfeited
 		t.Fatalf("%d of 3 rejected as the share begins empty", n)
 	}
 	m.advance(t, m.now+1)
@@ -33,7 +33,7 @@
 	}
 }
 
-// A share of a budget of calls is binding whatever the limit says, down to none.
+// An allowance of calls is binding whatever the limit on calls is, down to none.
 func TestAllowance_BindsCalls(t *testing.T) {
 	for limit, want := range map[float64]int{2.9: 2, 1: 1, 0: 0} {
 		t.Run(fmt.Sprint(limit), func(t *testing.T) {
@@ -55,8 +55,8 @@
 	}
 }
 
-// What is over its tenant's quota comes last, leaves room for another, and is asked not to try
-// elsewhere, where it is over just as well. What was not run uses nothing of a quota.
+// A request over its tenant's quota starts last, leaves a core free, and its client is asked not to try
+// another server, where it is over the quota too. Requests that did not run are not charged.
 func TestQuota_OverQuotaLeavesRoom(t *testing.T) {
 	m := newLearnedModel(t, Settings{
 		Cores: 2, Backpressure: BackpressureWeight, MaxRetryAfter: 1, OverQuotaValue: 0.05, Servers: 10,
--- a/admission/rules_test.go
+++ b/admission/rules_test.go
@@ -269,7 +269,7 @@
 		return m.end(r, []Outcome{Finished, Finished, Finished, Failed}[choice]), true
 	case choice < 8 && r.class.CallsDownstream && !over:
 		r.place = placeAwaiting
-		r.unproven = false
+		r.mayHaveExecuted = false
 		return Event{Kind: AwaitingDownstream, RequestID: r.id}, true
 	}
 	return Event{}, false
@@ -289,7 +289,7 @@
 	case choice < 7:
 		outcome := []Outcome{Rejected, Unreachable, Disconnected, Failed}[choice-3]
 		r.place = placeAwaiting
-		r.unproven = outcome == Disconnected || outcome == Failed
+		r.mayHaveExecuted = outcome == Disconnected || outcome == Failed
 		m.cover(r, outcome)
 		return Event{Kind: CallReturned, RequestID: r.id, Outcome: outcome, Duration: 0.05}, true
 	}
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -147,7 +147,8 @@
 type ConcurrencySettings struct {
 	// PerCore is how many running requests a core of a warm server survives, as a mean over Window.
 	PerCore float64
-	Window  float64
+	// Window is in seconds. The decisions keep to PerCore at all times and make no use of it.
+	Window float64
 }
 
 // MemorySettings tell what memory there is, and what takes it.
