--- a/internal/bench/keyclaims/copies.go
+++ b/internal/bench/keyclaims/copies.go
@@ -16,7 +16,7 @@
 	"swiftcourse/internal/bench/loadgen"
 	"swiftcourse/internal/fleet"
 	"swiftcourse/internal/policy/replication"
-	state "swiftcourse/internal/replicastore"
+	"swiftcourse/internal/replicastore"
 )
 
 // Plan is one run.
@@ -401,7 +401,7 @@
 
 // holders counts those of a key among some servers.
 func (r *run) holders(key string, names []string) (n int) {
-	for _, i := range r.place.Replicas(state.KeyOf(faultinjection.Ping, key).Slot()) {
+	for _, i := range r.place.Replicas(replicastore.KeyOf(faultinjection.Ping, key).Slot()) {
 		if slices.Contains(names, r.place.Members[i].Name) {
 			n++
 		}
--- a/internal/policy/replication/catchup.go
+++ b/internal/policy/replication/catchup.go
@@ -15,8 +15,8 @@
 	// trip does for many.
 	maxPullSlots = 64
 	// A record's size in a PullReply is estimated by these, in bytes, and its results.
-	copyOverhead        = 64
-	copyAttemptOverhead = 48
+	recordCopyOverhead  = 64
+	attemptCopyOverhead = 48
 
 	// pullRetryInterval is when a PullRequest without a reply is sent again, in seconds: longer than
 	// almost all delays among servers that hear one another.
@@ -25,34 +25,34 @@
 	catchingUpRetryInterval = 0.25
 )
 
-// catchUp is how a replica gets records from its peers, the members that share a slot with it:
+// catchUpState is how a replica gets records from its peers, the members that share a slot with it:
 // those of slots on which it catches up, and of slots that differ.
-type catchUp struct {
-	slots        map[int]*slotCatchUp // on which the replica has not caught up
-	since        float64              // when catching up last began, in seconds
-	peers        map[int]*peerSync    // by member index
-	peerOrder    []int                // the peers' indexes in ascending order
-	lastSequence uint64               // of pull requests
-	byPeers      int                  // slots on which the replica caught up by hearing enough peers
-	byTimeout    int                  // slots on which it caught up by waiting
+type catchUpState struct {
+	slots             map[int]*slotProgress // on which the replica has not caught up
+	since             float64               // when catching up last began, in seconds
+	peers             map[int]*peerSync     // by member index
+	peerOrder         []int                 // the peers' indexes in ascending order
+	lastSequence      uint64                // of pull requests
+	caughtUpByPeers   int                   // slots on which the replica caught up by hearing enough peers
+	caughtUpByTimeout int                   // slots on which it caught up by waiting
 }
 
-// slotCatchUp is how far a replica has caught up on one slot.
-type slotCatchUp struct {
+// slotProgress is how far a replica has caught up on one slot.
+type slotProgress struct {
 	receivedFrom map[int]Term // peers that had caught up themselves and sent all of the slot
 }
 
 // peerSync is what a replica asks of one peer. Times are in seconds.
 type peerSync struct {
-	wanted    map[int]bool // slots
-	requested []int        // slots of the last request
-	sequence  uint64       // of the last request
-	request   *PullRequest // the last one
-	afterKey  replicastore.Key
-	resumes   bool    // requested[0] was received in part, up to afterKey
-	peerTerm  Term    // of the peer when it sent that part
-	sentAt    float64 // of the request in flight, 0 if there is none
-	notBefore float64 // when the next request may be sent
+	wanted      map[int]bool // slots
+	requested   []int        // slots of the last request
+	sequence    uint64       // of the last request
+	request     *PullRequest // the last one
+	afterKey    replicastore.Key
+	resumes     bool    // requested[0] was received in part, up to afterKey
+	partialTerm Term    // of the peer when it sent that part
+	sentAt      float64 // of the request in flight, 0 if there is none
+	notBefore   float64 // when the next request may be sent
 }
 
 // abandonRequest forgets the request in flight and that a slot was received in part.
@@ -80,7 +80,7 @@
 func (r *Replica) startCatchUp(now float64, slots []int) {
 	r.catchUp.since = now
 	for _, slot := range slots {
-		r.catchUp.slots[slot] = &slotCatchUp{receivedFrom: map[int]Term{}}
+		r.catchUp.slots[slot] = &slotProgress{receivedFrom: map[int]Term{}}
 		for _, member := range r.otherReplicas(slot) {
 			peer := r.catchUp.peers[member]
 			peer.wanted[slot] = true
@@ -97,18 +97,18 @@
 	}
 }
 
-// timeoutAt returns when catching up ends by waiting, in seconds: by then no claim that was
+// catchUpTimeoutAt returns when catching up ends by waiting, in seconds: by then no claim that was
 // granted before the replica's term began counts any more.
-func (r *Replica) timeoutAt() float64 {
+func (r *Replica) catchUpTimeoutAt() float64 {
 	return r.catchUp.since + r.placement.RetentionWindow + 2*r.placement.MaxClaimDuration
 }
 
 // maintainCatchUp sends the pull requests that are due, and ends catching up by timeout.
 func (r *Replica) maintainCatchUp(now float64) {
-	if len(r.catchUp.slots) > 0 && now >= r.timeoutAt() {
+	if len(r.catchUp.slots) > 0 && now >= r.catchUpTimeoutAt() {
 		for slot := range r.catchUp.slots {
 			r.markCaughtUp(slot)
-			r.catchUp.byTimeout++
+			r.catchUp.caughtUpByTimeout++
 		}
 	}
 	for _, member := range r.catchUp.peerOrder {
@@ -124,7 +124,7 @@
 func (r *Replica) nextCatchUpWakeup(now float64) float64 {
 	next := never
 	if len(r.catchUp.slots) > 0 {
-		next = r.timeoutAt()
+		next = r.catchUpTimeoutAt()
 	}
 	for _, peer := range r.catchUp.peers {
 		switch {
@@ -227,7 +227,7 @@
 			Record:     record,
 			TimeToLive: max(0, record.ExpiresAt-now),
 		})
-		size += copyOverhead + copyAttemptOverhead*len(record.Attempts)
+		size += recordCopyOverhead + attemptCopyOverhead*len(record.Attempts)
 		for i := range record.Attempts {
 			size += len(record.Attempts[i].Result)
 		}
@@ -252,7 +252,7 @@
 		return
 	}
 	r.observeTerms(now, []int{from}, []Term{reply.Term})
-	if peer.resumes && reply.Term != peer.peerTerm {
+	if peer.resumes && reply.Term != peer.partialTerm {
 		// The peer may have lost records of the slot that was received in part: start it again.
 		peer.abandonRequest()
 		peer.notBefore = now
@@ -281,7 +281,7 @@
 		if count := len(received.Copies); count > 0 {
 			peer.afterKey = received.Copies[count-1].Record.Key
 			peer.resumes = true
-			peer.peerTerm = term
+			peer.partialTerm = term
 		}
 		return
 	}
@@ -299,7 +299,7 @@
 	progress.receivedFrom[from] = term
 	if len(progress.receivedFrom) >= r.placement.CatchUpQuorum {
 		r.markCaughtUp(received.Slot)
-		r.catchUp.byPeers++
+		r.catchUp.caughtUpByPeers++
 	}
 }
 
--- a/internal/policy/replication/claim.go
+++ b/internal/policy/replication/claim.go
@@ -6,66 +6,66 @@
 	"swiftcourse/internal/replicastore"
 )
 
-// phase is a claim's place in its life cycle.
-type phase uint8
+// claimPhase is a claim's place in its life cycle.
+type claimPhase uint8
 
 const (
-	phaseRequesting phase = iota // replicas are asked to grant the claim
-	phaseFollowing               // another claim of the key goes first; its outcome is awaited
-	phaseGranted                 // the request may run
+	phaseRequesting claimPhase = iota // replicas are asked to grant the claim
+	phaseWaiting                      // another claim of the key goes first; its outcome is awaited
+	phaseGranted                      // the request may run
 	phaseDone
 )
 
-// event is what changes a claim's phase.
-type event uint8
+// claimEvent is what changes a claim's phase.
+type claimEvent uint8
 
 const (
-	eventQuorum      event = iota // a quorum of replicas granted the claim
-	eventResultKnown              // an earlier run's result was found
-	eventRunFailed                // an earlier run was found that has no result
-	eventOutranked                // another claim goes first
-	eventUnblocked                // no other claim blocks the key any more
-	eventTimedOut                 // the time to be granted is over
-	eventCanceled                 // the request ended before it ran
-	eventRunEnded                 // the request's run ended; the claim's attempt has its result
+	eventQuorum      claimEvent = iota // a quorum of replicas granted the claim
+	eventResultKnown                   // an earlier run's result was found
+	eventRunFailed                     // an earlier run was found that has no result
+	eventOutranked                     // another claim goes first
+	eventUnblocked                     // no other claim blocks the key any more
+	eventTimedOut                      // the time to be granted is over
+	eventCanceled                      // the request ended before it ran
+	eventRunEnded                      // the request's run ended; the claim's attempt has its result
 )
 
 // transitions is the state machine of a claim. An event without a row for the claim's phase
 // changes nothing.
 var transitions = []struct {
-	from   phase
-	on     event
-	to     phase
+	from   claimPhase
+	on     claimEvent
+	to     claimPhase
 	action func(*Coordinator, *pendingClaim, float64) // nil for none; the last argument is now
 }{
 	{phaseRequesting, eventQuorum, phaseGranted, (*Coordinator).notifyGranted},
 	{phaseRequesting, eventResultKnown, phaseDone, (*Coordinator).withdrawWithResult},
 	{phaseRequesting, eventRunFailed, phaseDone, (*Coordinator).withdrawMayHaveRun},
-	{phaseRequesting, eventOutranked, phaseFollowing, (*Coordinator).withdraw},
+	{phaseRequesting, eventOutranked, phaseWaiting, (*Coordinator).withdraw},
 	{phaseRequesting, eventTimedOut, phaseDone, (*Coordinator).withdrawTimedOut},
 	{phaseRequesting, eventCanceled, phaseDone, (*Coordinator).withdraw},
-	{phaseFollowing, eventResultKnown, phaseDone, (*Coordinator).notifyResultKnown},
-	{phaseFollowing, eventRunFailed, phaseDone, (*Coordinator).notifyMayHaveRun},
-	{phaseFollowing, eventUnblocked, phaseRequesting, (*Coordinator).restart},
-	{phaseFollowing, eventTimedOut, phaseDone, (*Coordinator).notifyMayHaveRun},
-	{phaseFollowing, eventCanceled, phaseDone, nil},
+	{phaseWaiting, eventResultKnown, phaseDone, (*Coordinator).notifyResultKnown},
+	{phaseWaiting, eventRunFailed, phaseDone, (*Coordinator).notifyMayHaveRun},
+	{phaseWaiting, eventUnblocked, phaseRequesting, (*Coordinator).beginAttempt},
+	{phaseWaiting, eventTimedOut, phaseDone, (*Coordinator).notifyMayHaveRun},
+	{phaseWaiting, eventCanceled, phaseDone, nil},
 	{phaseGranted, eventCanceled, phaseDone, (*Coordinator).withdraw},
 	{phaseGranted, eventRunEnded, phaseDone, (*Coordinator).reportRunEnd},
 }
 
 // pendingClaim is one request's claim of its key. Times are in seconds.
 type pendingClaim struct {
-	requestID string
-	key       replicastore.Key
-	replicas  []int // member indexes, in the placement's order
-	phase     phase
-	attempt   replicastore.Attempt
-	startedAt float64
-	deadline  float64 // when the outcome must be known
-	giveUpAt  float64 // when requesting ends without a quorum
-	retryAt   float64
-	rounds    int  // of requests sent
-	sawRival  bool // another claim of the key was seen
+	requestID     string
+	key           replicastore.Key
+	replicas      []int // member indexes, in the placement's order
+	phase         claimPhase
+	attempt       replicastore.Attempt
+	startedAt     float64
+	deadline      float64 // when the outcome must be known
+	giveUpAt      float64 // when requesting ends without a quorum
+	retryAt       float64
+	rounds        int  // of requests sent
+	sawOtherClaim bool // another claim of the key was seen
 
 	// By replica, in the order of replicas. Grants count only under terms.
 	terms     []Term
@@ -88,7 +88,7 @@
 		return false
 	}
 	switch p.phase {
-	case phaseFollowing:
+	case phaseWaiting:
 		return reply.Operation == OpQuery
 	case phaseGranted:
 		return false
--- a/internal/policy/replication/claim_actions.go
+++ b/internal/policy/replication/claim_actions.go
@@ -6,7 +6,7 @@
 )
 
 // applyEvent moves a claim along the state machine.
-func (c *Coordinator) applyEvent(claim *pendingClaim, on event, now float64) {
+func (c *Coordinator) applyEvent(claim *pendingClaim, on claimEvent, now float64) {
 	for _, transition := range transitions {
 		if transition.from != claim.phase || transition.on != on {
 			continue
@@ -23,8 +23,8 @@
 	}
 }
 
-// restart claims the key under a new ClaimID.
-func (c *Coordinator) restart(claim *pendingClaim, now float64) {
+// beginAttempt claims the key under a new ClaimID.
+func (c *Coordinator) beginAttempt(claim *pendingClaim, now float64) {
 	delete(c.claimsByID, claim.attempt.ClaimID)
 	c.lastSequence++
 	claim.attempt = replicastore.Attempt{ClaimID: replicastore.ClaimID{
@@ -81,7 +81,7 @@
 // may run: then the client should not retry at once.
 func (c *Coordinator) withdrawTimedOut(claim *pendingClaim, now float64) {
 	c.withdraw(claim, now)
-	if claim.sawRival {
+	if claim.sawOtherClaim {
 		c.notifyMayHaveRun(claim, now)
 		return
 	}
--- a/internal/policy/replication/coordinator.go
+++ b/internal/policy/replication/coordinator.go
@@ -81,7 +81,7 @@
 		placement: placement,
 		terms:     terms,
 		outbox:    &c.outbox,
-		byClaim:   map[replicastore.ClaimID]*report{},
+		byClaim:   map[replicastore.ClaimID]*pendingReport{},
 	}
 	return c
 }
@@ -113,7 +113,7 @@
 	claim.giveUpAt = min(claim.deadline, now+max(minReplyWait, replyWaitFactor*typical))
 	c.claimsByRequest[requestID] = claim
 	c.claimOrder = append(c.claimOrder, claim)
-	c.restart(claim, now)
+	c.beginAttempt(claim, now)
 }
 
 // CancelClaim ends the claim of a request that ended before it ran.
@@ -166,7 +166,7 @@
 		switch claim.phase {
 		case phaseRequesting:
 			next = min(next, claim.retryAt, claim.giveUpAt)
-		case phaseFollowing:
+		case phaseWaiting:
 			next = min(next, claim.retryAt, claim.deadline)
 		}
 	}
@@ -195,7 +195,7 @@
 func (c *Coordinator) sendRequests(claim *pendingClaim, now float64) {
 	operation := OpClaim
 	interval := claimRetryInterval
-	if claim.phase == phaseFollowing {
+	if claim.phase == phaseWaiting {
 		operation = OpQuery
 		interval = queryRetryInterval
 		clear(claim.unclaimed)
@@ -240,7 +240,7 @@
 		return
 	}
 	switch {
-	case claim.phase == phaseFollowing:
+	case claim.phase == phaseWaiting:
 		claim.unclaimed[replica] = reply.Status == ReplyUnclaimed
 		if countTrue(claim.unclaimed) >= c.placement.Quorum {
 			c.applyEvent(claim, eventUnblocked, now)
@@ -274,13 +274,13 @@
 			c.applyEvent(claim, eventResultKnown, now)
 			return true
 		}
-		claim.sawRival = true // the result was dropped there; another replica may have it
+		claim.sawOtherClaim = true // the result was dropped there; another replica may have it
 	}
 	blocking := record.BlockingAttempt()
 	if blocking == nil || blocking.ClaimID == claim.attempt.ClaimID {
 		return false
 	}
-	claim.sawRival = true
+	claim.sawOtherClaim = true
 	if blocking.State == replicastore.StateFailed {
 		c.applyEvent(claim, eventRunFailed, now)
 		return true
--- a/internal/policy/replication/grant.go
+++ b/internal/policy/replication/grant.go
@@ -109,7 +109,7 @@
 	if stored != nil {
 		merged = Merge(stored, received)
 	}
-	if HasConflictingResults(&merged) && !HasConflictingResults(stored) {
+	if hasConflictingResults(&merged) && !hasConflictingResults(stored) {
 		r.conflictingResults++
 	}
 	if !r.store.Put(merged) {
--- a/internal/policy/replication/merge.go
+++ b/internal/policy/replication/merge.go
@@ -70,10 +70,10 @@
 	return a
 }
 
-// HasConflictingResults reports whether two attempts of a record finished with different
+// hasConflictingResults reports whether two attempts of a record finished with different
 // results, which must never be. The first in the order of claims is the one that is returned
 // to clients.
-func HasConflictingResults(record *replicastore.Record) bool {
+func hasConflictingResults(record *replicastore.Record) bool {
 	first := record.FinishedAttempt()
 	if first == nil {
 		return false
--- a/internal/policy/replication/merge_test.go
+++ b/internal/policy/replication/merge_test.go
@@ -20,7 +20,7 @@
 		}
 		attempt := replicastore.Attempt{
 			ClaimID: id,
-			State:   replicastore.State(rapid.IntRange(0, 2).Draw(t, "state")),
+			State:   replicastore.AttemptState(rapid.IntRange(0, 2).Draw(t, "state")),
 		}
 		if rapid.Bool().Draw(t, "finished") {
 			result := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "result")
--- a/internal/policy/replication/replica.go
+++ b/internal/policy/replication/replica.go
@@ -40,7 +40,7 @@
 	catchUpRate float64
 
 	outbox             outbox
-	catchUp            catchUp
+	catchUp            catchUpState
 	nextCompareAt      float64 // seconds
 	compareTurn        int     // counts comparisons, to take the peers in turns
 	repairedRecords    int     // that differed from another replica's
@@ -56,7 +56,7 @@
 		terms:       config.Terms,
 		store:       config.Store,
 		catchUpRate: config.CatchUpRate,
-		catchUp:     catchUp{slots: map[int]*slotCatchUp{}, peers: map[int]*peerSync{}},
+		catchUp:     catchUpState{slots: map[int]*slotProgress{}, peers: map[int]*peerSync{}},
 	}
 	slots := r.placement.SlotsOf(r.self)
 	for _, slot := range slots {
--- a/internal/policy/replication/reporter.go
+++ b/internal/policy/replication/reporter.go
@@ -15,8 +15,8 @@
 	reportLifetime      = 5.0
 )
 
-// report is the outcome of a claim, on its way to the claim's replicas. Times are in seconds.
-type report struct {
+// pendingReport is the outcome of a claim, on its way to the claim's replicas. Times are in seconds.
+type pendingReport struct {
 	key        replicastore.Key
 	attempt    replicastore.Attempt
 	replicas   []int  // member indexes
@@ -31,8 +31,8 @@
 	placement *Placement
 	terms     TermTable
 	outbox    *outbox
-	byClaim   map[replicastore.ClaimID]*report
-	queue     []*report // the oldest first
+	byClaim   map[replicastore.ClaimID]*pendingReport
+	queue     []*pendingReport // the oldest first
 
 	replicatedResults   int // results that a quorum recorded
 	unreplicatedResults int // results that a quorum did not record in time
@@ -42,9 +42,9 @@
 // is dropped: its claim stands as one that may have run.
 func (r *reporter) start(claim *pendingClaim, attempt replicastore.Attempt, now float64) {
 	if len(r.queue) >= maxReports {
-		r.drop(r.queue[0])
+		r.remove(r.queue[0])
 	}
-	report := &report{
+	report := &pendingReport{
 		key:       claim.key,
 		attempt:   attempt,
 		replicas:  claim.replicas,
@@ -57,7 +57,7 @@
 }
 
 // send sends a report to the replicas that have not recorded it.
-func (r *reporter) send(report *report, now float64) {
+func (r *reporter) send(report *pendingReport, now float64) {
 	report.retryAt = now + reportRetryInterval
 	for i, member := range report.replicas {
 		if report.recorded[i] {
@@ -93,17 +93,17 @@
 		}
 	}
 	if count == len(report.replicas) {
-		r.drop(report)
+		r.remove(report)
 	}
 }
 
-// drop stops sending a report.
-func (r *reporter) drop(dropped *report) {
+// remove stops sending a report.
+func (r *reporter) remove(dropped *pendingReport) {
 	if !dropped.replicated && dropped.attempt.State == replicastore.StateFinished {
 		r.unreplicatedResults++
 	}
 	delete(r.byClaim, dropped.attempt.ClaimID)
-	r.queue = slices.DeleteFunc(r.queue, func(other *report) bool { return other == dropped })
+	r.queue = slices.DeleteFunc(r.queue, func(other *pendingReport) bool { return other == dropped })
 }
 
 // maintain sends reports again that are due, and drops those whose time is over.
@@ -111,7 +111,7 @@
 	for _, report := range slices.Clone(r.queue) {
 		switch {
 		case now >= report.expiresAt:
-			r.drop(report)
+			r.remove(report)
 		case now >= report.retryAt:
 			r.send(report, now)
 		}
--- a/internal/policy/replication/status.go
+++ b/internal/policy/replication/status.go
@@ -38,8 +38,8 @@
 	status.IsReplica = true
 	status.CatchingUp = r.CatchingUp()
 	status.OutOfSync = r.OutOfSync()
-	status.CaughtUpByPeers = r.catchUp.byPeers
-	status.CaughtUpByTimeout = r.catchUp.byTimeout
+	status.CaughtUpByPeers = r.catchUp.caughtUpByPeers
+	status.CaughtUpByTimeout = r.catchUp.caughtUpByTimeout
 	status.RepairedRecords = r.repairedRecords
 	status.ConflictingResults = r.conflictingResults
 	stats := r.store.Stats()
--- a/internal/replicastore/key.go
+++ b/internal/replicastore/key.go
@@ -10,11 +10,11 @@
 // with one checksum for each slot takes 2 KB.
 const SlotCount = 256
 
-// Key identifies what a deduplicated request is about.
+// Key is a hash of an idempotency key and its request class.
 type Key [16]byte
 
-// KeyOf returns the Key of an idempotency key within a request class. It is a cryptographic
-// hash, as a collision would answer one request with another's result.
+// KeyOf returns the Key of an idempotency key within a request class. The hash is cryptographic,
+// as a collision would answer one request with another's result.
 func KeyOf(class, idempotencyKey string) Key {
 	var key Key
 	sum := sha256.Sum256([]byte(class + "\x00" + idempotencyKey))
--- a/internal/replicastore/record.go
+++ b/internal/replicastore/record.go
@@ -8,11 +8,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ClaimID identifies one claim of a key. Its order settles which of two competing claims
-// gives way, so a clock that is off costs a server a race and nothing else.
+// ClaimID identifies one claim of a key. Of two competing claims the one with the lower
+// ClaimID takes precedence. Safety does not depend on clocks: a wrong one only decides which of
+// two competing claims is granted.
 type ClaimID struct {
-	UnixMilli   int64  // time of the claim by the coordinator's clock, in milliseconds
-	Incarnation uint64 // of the coordinator
+	UnixMilli   int64  // time of the claim by the coordinator's clock, in milliseconds since 1970
+	Incarnation uint64 // of the coordinator's process
 	Sequence    uint64 // used once by that incarnation
 }
 
@@ -25,19 +26,19 @@
 	)
 }
 
-// State is what is known of an attempt. When copies are merged the higher state wins.
-type State uint8
+// AttemptState is what is known of an attempt. When copies are merged the higher state wins.
+type AttemptState uint8
 
 // The states of an attempt.
 const (
-	StateClaimed   State = iota // it may run, or may have run
-	StateWithdrawn              // it did not run and never will
-	StateFailed                 // it ran and has no result
-	StateFinished               // it ran and has a result
+	StateClaimed   AttemptState = iota // it may run, or may have run
+	StateWithdrawn                     // it did not run and never will
+	StateFailed                        // it ran and has no result
+	StateFinished                      // it ran and has a result
 )
 
 // String returns the state's name.
-func (s State) String() string {
+func (s AttemptState) String() string {
 	switch s {
 	case StateClaimed:
 		return "claimed"
@@ -52,12 +53,12 @@
 }
 
 // Blocks reports whether an attempt in this state keeps other claims of its key from being granted.
-func (s State) Blocks() bool { return s != StateWithdrawn }
+func (s AttemptState) Blocks() bool { return s != StateWithdrawn }
 
 // Attempt is one claim of a key and its outcome.
 type Attempt struct {
 	ClaimID
-	State          State
+	State          AttemptState
 	ResultChecksum uint64 // of a finished attempt's result; stays when the result is dropped
 	Result         []byte // nil where there is none, or where it was dropped to free memory
 }
@@ -87,33 +88,30 @@
 // BlockingAttempt returns the first attempt that blocks other claims, nil if there is none.
 // It may be called on a nil record.
 func (r *Record) BlockingAttempt() *Attempt {
-	if r == nil {
-		return nil
-	}
-	for i := range r.Attempts {
-		if r.Attempts[i].State.Blocks() {
-			return &r.Attempts[i]
-		}
-	}
-	return nil
+	return r.firstAttempt(AttemptState.Blocks)
 }
 
 // FinishedAttempt returns the first attempt that ended with a result, nil if there is none.
 // It may be called on a nil record.
 func (r *Record) FinishedAttempt() *Attempt {
+	return r.firstAttempt(func(state AttemptState) bool { return state == StateFinished })
+}
+
+// firstAttempt returns the first attempt whose state matches, nil if there is none.
+func (r *Record) firstAttempt(matches func(AttemptState) bool) *Attempt {
 	if r == nil {
 		return nil
 	}
 	for i := range r.Attempts {
-		if r.Attempts[i].State == StateFinished {
+		if matches(r.Attempts[i].State) {
 			return &r.Attempts[i]
 		}
 	}
 	return nil
 }
 
-// Memory that a record takes beside its results, in bytes: measured with 100,000 records,
-// see BenchmarkStore.
+// Memory in bytes that a record takes in addition to its results, as BenchmarkStore measured it
+// with 100,000 records.
 const (
 	recordOverhead  = 240
 	attemptOverhead = 72
@@ -128,8 +126,8 @@
 	return size
 }
 
-// appendEncoding appends what all replicas' copies of the record have in common: not when it
-// expires, and not the results, which a replica may drop.
+// appendEncoding appends the part of the record that is equal in all replicas' copies: the key
+// and the attempts, without ExpiresAt and without the results, which a replica may drop.
 func (r *Record) appendEncoding(buffer []byte) []byte {
 	buffer = append(buffer, r.Key[:]...)
 	for i := range r.Attempts {
@@ -143,15 +141,14 @@
 	return buffer
 }
 
-// checksum returns a sum that is the same for all copies that agree. It overwrites scratch.
-func (r *Record) checksum(scratch []byte) uint64 {
-	return xxhash.Sum64(r.appendEncoding(scratch[:0]))
-}
+// checksumOf returns the record's part of its slot's checksum, given its encoding. It is the same
+// for all copies that agree.
+func checksumOf(encoding []byte) uint64 { return xxhash.Sum64(encoding) }
 
-// corruptionCheck returns a sum over all of the record, the results too, by which a change in
-// memory is found. It overwrites scratch.
-func (r *Record) corruptionCheck(scratch []byte) uint32 {
-	crc := crc32.ChecksumIEEE(r.appendEncoding(scratch[:0]))
+// crcOf returns the CRC by which memory corruption is detected, over the record's encoding and its
+// results. ExpiresAt is not covered.
+func (r *Record) crcOf(encoding []byte) uint32 {
+	crc := crc32.ChecksumIEEE(encoding)
 	for i := range r.Attempts {
 		crc = crc32.Update(crc, crc32.IEEETable, r.Attempts[i].Result)
 	}
--- a/internal/replicastore/store.go
+++ b/internal/replicastore/store.go
@@ -6,91 +6,95 @@
 	"slices"
 )
 
-// maxShedScan bounds how many records are searched for results to drop, so that a new record
-// in a full store costs little.
-const maxShedScan = 256
+// maxDropScan bounds how many records are searched for results to drop when a store is full, and
+// with it the cost of one Put.
+const maxDropScan = 256
 
 // entry is a record as the store holds it.
 type entry struct {
 	Record
-	crc       uint32 // over all of the record, to find a changed bit before it is read
+	recordCRC uint32 // Record.crcOf, to detect memory corruption
 	checksum  uint64 // the record's part of its slot's checksum
-	bytes     int    // counted in Store.usedBytes
+	size      int    // counted in Store.usedBytes
 	heapIndex int    // in Store.expiryQueue
 }
 
 // Store holds records up to a number of records and a number of bytes.
 type Store struct {
-	slots       [SlotCount]map[Key]*entry
-	checksums   [SlotCount]uint64 // XOR of the checksums of each slot's records
-	expiryQueue expiryHeap
-	usedBytes   int
-	maxEntries  int
-	maxBytes    int
-	scratch     []byte
-	dropped     int // results
-	corrupted   int // records
-}
-
-// Stats counts what a Store holds and what it lost.
+	slots            [SlotCount]map[Key]*entry
+	checksums        [SlotCount]uint64 // XOR of the checksums of each slot's records
+	expiryQueue      expiryHeap
+	usedBytes        int
+	maxRecords       int
+	maxBytes         int
+	scratch          []byte // reused by encode
+	droppedResults   int
+	corruptedRecords int
+}
+
+// Stats counts what a Store holds, and what it dropped and removed since it was made.
 type Stats struct {
 	Records          int
 	Bytes            int
 	DroppedResults   int // dropped to free memory
-	CorruptedRecords int // changed in memory, and were removed
+	CorruptedRecords int // failed their CRC, and were removed
 }
 
-// NewStore returns an empty store that holds at most maxEntries records of maxBytes bytes.
-func NewStore(maxEntries, maxBytes int) *Store {
-	return &Store{maxEntries: maxEntries, maxBytes: maxBytes}
+// NewStore returns an empty store that holds at most maxRecords records, of about maxBytes bytes.
+// Replacing a record may exceed maxBytes, see Put.
+func NewStore(maxRecords, maxBytes int) *Store {
+	return &Store{maxRecords: maxRecords, maxBytes: maxBytes}
 }
 
-// Stats returns the counts of the moment.
+// Stats returns the store's current counts.
 func (s *Store) Stats() Stats {
 	return Stats{
 		Records:          len(s.expiryQueue),
 		Bytes:            s.usedBytes,
-		DroppedResults:   s.dropped,
-		CorruptedRecords: s.corrupted,
+		DroppedResults:   s.droppedResults,
+		CorruptedRecords: s.corruptedRecords,
 	}
 }
 
 // Get returns the record of a key, nil if there is none; the caller must not change it.
-// A record that changed in memory is removed, and intact is false: the store has lost what
-// it knew of the key.
+// A record that fails its CRC is removed; then Get returns nil, and intact is false, as the store
+// can't tell which claims of the key it held.
 func (s *Store) Get(key Key) (record *Record, intact bool) {
 	e := s.slots[key.Slot()][key]
 	if e == nil {
 		return nil, true
 	}
-	if e.corruptionCheck(s.scratch) != e.crc {
-		s.corrupted++
+	if e.crcOf(s.encode(e)) != e.recordCRC {
+		s.corruptedRecords++
 		s.remove(e)
 		return nil, false
 	}
 	return &e.Record, true
 }
 
-// Put stores a record in place of the one with its key, and reports whether it did: a new key
-// is refused when the store is full. When memory runs out the oldest results are dropped, and
-// only they: that a key ran is never forgotten before its record expires.
+// Put stores a record in place of the one with its key, and reports whether it did. Over maxBytes
+// the results that expire soonest are dropped, but never an attempt: a key stays known to have run
+// until its record expires. A new key is refused when the store stays full; a known one is always
+// stored, even over maxBytes.
 func (s *Store) Put(record Record) bool {
 	old := s.slots[record.Key.Slot()][record.Key]
-	e := &entry{Record: record, bytes: record.sizeInBytes()}
-	growth := e.bytes
+	added := &entry{Record: record, size: record.sizeInBytes()}
+	growth := added.size
 	if old != nil {
-		growth -= old.bytes
-	} else if len(s.expiryQueue) >= s.maxEntries {
+		growth -= old.size
+	} else if len(s.expiryQueue) >= s.maxRecords {
 		return false
 	}
-	excess := s.usedBytes + growth - s.maxBytes
-	if excess > 0 && !s.shedResults(excess, record.Key) && old == nil {
-		return false
+	if excess := s.usedBytes + growth - s.maxBytes; excess > 0 {
+		fits := s.freeBytes(excess, record.Key)
+		if !fits && old == nil {
+			return false
+		}
 	}
 	if old != nil {
 		s.remove(old)
 	}
-	s.insert(e)
+	s.insert(added)
 	return true
 }
 
@@ -102,7 +106,7 @@
 	}
 	s.slots[slot][e.Key] = e
 	s.checksums[slot] ^= e.checksum
-	s.usedBytes += e.bytes
+	s.usedBytes += e.size
 	heap.Push(&s.expiryQueue, e)
 }
 
@@ -110,46 +114,52 @@
 	slot := e.Key.Slot()
 	delete(s.slots[slot], e.Key)
 	s.checksums[slot] ^= e.checksum
-	s.usedBytes -= e.bytes
+	s.usedBytes -= e.size
 	heap.Remove(&s.expiryQueue, e.heapIndex)
 }
 
-// updateChecksums computes the checksums of an entry whose record was set or changed.
-func (s *Store) updateChecksums(e *entry) {
-	e.crc = e.corruptionCheck(s.scratch)
+// encode returns an entry's encoding, which is valid until the next call.
+func (s *Store) encode(e *entry) []byte {
 	s.scratch = e.appendEncoding(s.scratch[:0])
-	e.checksum = e.Record.checksum(s.scratch)
+	return s.scratch
+}
+
+// updateChecksums computes the CRC and the checksum of an entry whose record was set or changed.
+func (s *Store) updateChecksums(e *entry) {
+	encoding := s.encode(e)
+	e.recordCRC = e.crcOf(encoding)
+	e.checksum = checksumOf(encoding)
 }
 
-// shedResults drops results until so many bytes are free, those of records that expire soonest
-// first, and reports whether that many were found. It spares the record of the key exempt.
-func (s *Store) shedResults(bytes int, exempt Key) bool {
-	scanned := s.expiryQueue[:min(len(s.expiryQueue), maxShedScan)]
-	for _, e := range scanned { // the front of a heap is roughly its oldest part
-		if bytes <= 0 {
+// freeBytes drops results to free a number of bytes, and reports whether it freed that many. It
+// begins with the records that expire soonest, and spares the record of the key exempt.
+func (s *Store) freeBytes(needed int, exempt Key) bool {
+	scanned := s.expiryQueue[:min(len(s.expiryQueue), maxDropScan)]
+	for _, e := range scanned { // a heap's front holds about the earliest, in no exact order
+		if needed <= 0 {
 			break
 		}
 		if e.Key != exempt {
-			bytes -= s.dropResults(e)
+			needed -= s.dropResults(e)
 		}
 	}
-	return bytes <= 0
+	return needed <= 0
 }
 
 // dropResults drops the results of an entry and returns the bytes that this freed.
 func (s *Store) dropResults(e *entry) (freed int) {
 	for i := range e.Attempts {
-		size := len(e.Attempts[i].Result)
-		if e.Attempts[i].Result == nil {
+		result := e.Attempts[i].Result
+		if result == nil {
 			continue
 		}
-		e.Attempts = slices.Clone(e.Attempts) // a reader may hold the old ones
+		e.Attempts = slices.Clone(e.Attempts) // a caller of Get may still hold the old slice
 		e.Attempts[i].Result = nil
-		freed += size
-		s.dropped++
+		freed += len(result)
+		s.droppedResults++
 	}
 	s.usedBytes -= freed
-	e.bytes -= freed
+	e.size -= freed
 	s.updateChecksums(e)
 	return freed
 }
@@ -171,19 +181,20 @@
 	return s.expiryQueue[0].ExpiresAt
 }
 
-// Checksum returns a slot's checksum. Two stores with the same checksum know the same of a slot.
+// Checksum returns a slot's checksum. Stores whose checksums of a slot are equal hold the same
+// attempts of its keys.
 func (s *Store) Checksum(slot int) uint64 { return s.checksums[slot] }
 
-// ScanResult is what Scan found.
+// ScanResult is the result of Scan.
 type ScanResult struct {
 	Records  []*Record // in the order of their keys; the caller must not change them
 	Complete bool      // no record of the slot is left
-	Intact   bool      // no record was found changed in memory
+	Intact   bool      // no record failed its CRC
 }
 
 // Scan lists the records of a slot in the order of their keys, from the first after the key
-// after (nil for all), until they take maxBytes or more. A record that changed in memory is
-// removed and left out.
+// after (nil for all), until they take maxBytes or more. A record that fails its CRC is removed and
+// left out.
 func (s *Store) Scan(slot int, after *Key, maxBytes int) ScanResult {
 	var keys []Key
 	for key := range s.slots[slot] {
--- a/internal/replicastore/store_test.go
+++ b/internal/replicastore/store_test.go
@@ -10,7 +10,7 @@
 
 // Bounds of the stores under test.
 const (
-	testMaxEntries = 12
+	testMaxRecords = 12
 	testMaxBytes   = 8000
 	testMaxResult  = 900
 )
@@ -69,11 +69,11 @@
 			record.ExpiresAt != want.ExpiresAt {
 			t.Fatalf("got %v, want %v", record, want)
 		}
-		checksums[key.Slot()] ^= record.checksum(nil)
+		checksums[key.Slot()] ^= checksumOf(record.appendEncoding(nil))
 	}
 	stats := m.store.Stats()
-	if stats.Records != len(m.records) || stats.Records > testMaxEntries {
-		t.Fatalf("%d records, want %d, at most %d", stats.Records, len(m.records), testMaxEntries)
+	if stats.Records != len(m.records) || stats.Records > testMaxRecords {
+		t.Fatalf("%d records, want %d, at most %d", stats.Records, len(m.records), testMaxRecords)
 	}
 	if m.store.checksums != checksums {
 		t.Fatalf("the slots' checksums are not those of their records")
@@ -85,7 +85,7 @@
 
 func TestStore_MatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		model := &storeModel{store: NewStore(testMaxEntries, testMaxBytes), records: map[Key]Record{}}
+		model := &storeModel{store: NewStore(testMaxRecords, testMaxBytes), records: map[Key]Record{}}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			key := KeyOf("s", fmt.Sprint(rapid.IntRange(0, 20).Draw(t, "key")))
 			switch rapid.IntRange(0, 4).Draw(t, "action") {
--- a/internal/wire/fleet/replication.go
+++ b/internal/wire/fleet/replication.go
@@ -84,7 +84,7 @@
 	}
 	a = replicastore.Attempt{
 		ClaimID:        decodeClaimID(p),
-		State:          replicastore.State(min(p.State, math.MaxUint8)),
+		State:          replicastore.AttemptState(min(p.State, math.MaxUint8)),
 		ResultChecksum: p.Sum,
 		Result:         p.Result,
 	}
