--- a/internal/policy/replication/bench_test.go
+++ b/internal/policy/replication/bench_test.go
@@ -25,7 +25,8 @@
 }
 
 // BenchmarkCatchUp has a restarted replica receive 100,000 records of 100 bytes from two others;
-// BenchmarkPlainCopy is the same bytes, copied.
+// BenchmarkPlainCopy copies as many byte slices, of about the size of such a record with its
+// key and attempt.
 func BenchmarkCatchUp(b *testing.B) {
 	const records = 100_000
 	replicas := threeCaughtUpReplicas(b)
--- a/internal/policy/replication/claim.go
+++ b/internal/policy/replication/claim.go
@@ -11,7 +11,7 @@
 
 const (
 	phaseRequesting claimPhase = iota // replicas are asked to grant the claim
-	phaseWaiting                      // another claim of the key goes first; its outcome is awaited
+	phaseWaiting                      // another claim of the key takes precedence; its outcome is awaited
 	phaseGranted                      // the request may run
 	phaseDone
 )
@@ -23,7 +23,7 @@
 	eventQuorum      claimEvent = iota // a quorum of replicas granted the claim
 	eventResultKnown                   // an earlier run's result was found
 	eventRunFailed                     // an earlier run was found that has no result
-	eventOutranked                     // another claim goes first
+	eventOutranked                     // another claim takes precedence
 	eventUnblocked                     // no other claim blocks the key any more
 	eventTimedOut                      // the time to be granted is over
 	eventCanceled                      // the request ended before it ran
@@ -70,11 +70,11 @@
 	// By replica, in the order of replicas. Grants count only under terms.
 	terms     []Term
 	granted   []bool
-	unclaimed []bool                 // while following: no claim blocks the key there
+	unclaimed []bool                 // in phaseWaiting: no claim blocks the key there
 	blockedBy []replicastore.ClaimID // the claim that blocks this one there
 }
 
-// resetGrants begins to count grants anew, under these terms.
+// resetGrants discards what the replicas replied, to count grants under these terms.
 func (p *pendingClaim) resetGrants(terms []Term) {
 	p.terms = terms
 	p.granted = make([]bool, len(p.replicas))
@@ -108,20 +108,22 @@
 	return count
 }
 
-// outrankedBy reports whether another claim goes before this one, which a replica found blocked
-// by it. The earlier claim stays and the later gives way, so that of two claims that each have
-// some of the replicas one comes through. A later claim that blocks this one at too many
-// replicas for a quorum may have run.
+// outrankedBy reports whether another claim, by which a replica found this one blocked, takes
+// precedence. The earlier claim does, so that one of two claims that each have grants of some
+// replicas reaches a quorum. So does a later one that blocks this claim at so many replicas that
+// no quorum is left: it may have run.
 func (p *pendingClaim) outrankedBy(other replicastore.ClaimID, quorum int) bool {
 	return other.Compare(p.attempt.ClaimID) < 0 || p.blockedCount(other) > len(p.replicas)-quorum
 }
 
+// sameTerms reports whether grants are counted under these terms.
 func (p *pendingClaim) sameTerms(terms []Term) bool { return slices.Equal(terms, p.terms) }
 
-func countTrue(list []bool) int {
+// countTrue returns the number of values that are true.
+func countTrue(values []bool) int {
 	count := 0
-	for _, b := range list {
-		if b {
+	for _, value := range values {
+		if value {
 			count++
 		}
 	}
--- a/internal/policy/replication/claim_actions.go
+++ b/internal/policy/replication/claim_actions.go
@@ -5,7 +5,7 @@
 	"swiftcourse/internal/replicastore"
 )
 
-// applyEvent moves a claim along the state machine.
+// applyEvent makes the claim's transition on an event, and runs its action.
 func (c *Coordinator) applyEvent(claim *pendingClaim, on claimEvent, now float64) {
 	for _, transition := range transitions {
 		if transition.from != claim.phase || transition.on != on {
@@ -23,7 +23,7 @@
 	}
 }
 
-// beginAttempt claims the key under a new ClaimID.
+// beginAttempt sends a claim of the key under a new ClaimID.
 func (c *Coordinator) beginAttempt(claim *pendingClaim, now float64) {
 	delete(c.claimsByID, claim.attempt.ClaimID)
 	c.lastSequence++
@@ -38,6 +38,7 @@
 	c.sendRequests(claim, now)
 }
 
+// addOutcome lists the claim's outcome for TakeOutcomes.
 func (c *Coordinator) addOutcome(claim *pendingClaim, verdict serving.ClaimVerdict, now float64) {
 	c.outcomes = append(c.outcomes, Outcome{
 		RequestID: claim.requestID,
@@ -60,8 +61,8 @@
 	c.addOutcome(claim, serving.ClaimOutcomeUnknown, now)
 }
 
-// withdraw reports to the replicas that a claim never ran, so that they don't grant it should it
-// arrive late.
+// withdraw reports to the replicas that a claim never ran, so that they don't grant it if its request
+// arrives later.
 func (c *Coordinator) withdraw(claim *pendingClaim, now float64) {
 	withdrawn := replicastore.Attempt{ClaimID: claim.attempt.ClaimID, State: replicastore.StateWithdrawn}
 	c.reports.start(claim, withdrawn, now)
@@ -77,8 +78,8 @@
 	c.notifyMayHaveRun(claim, now)
 }
 
-// withdrawTimedOut ends a claim that got no quorum. Where another claim was seen its request
-// may run: then the client should not retry at once.
+// withdrawTimedOut ends a claim that got no quorum. If another claim of the key was seen, its request
+// may have run, and the verdict says so.
 func (c *Coordinator) withdrawTimedOut(claim *pendingClaim, now float64) {
 	c.withdraw(claim, now)
 	if claim.sawOtherClaim {
--- a/internal/policy/replication/compare.go
+++ b/internal/policy/replication/compare.go
@@ -1,10 +1,10 @@
 package replication
 
-// compareInterval is how often a replica sends its checksums to another one, in seconds: of
-// three replicas each pair has compared within some seconds.
+// compareInterval is how often a replica sends its checksums to a peer, in seconds. The peers take
+// turns: three replicas have compared each pair within a few seconds.
 const compareInterval = 1.0
 
-// maintainComparison sends the combined checksum to the next peer when it is time.
+// maintainComparison sends the combined checksum to the next peer every compareInterval.
 func (r *Replica) maintainComparison(now float64) {
 	peers := r.catchUp.peerOrder
 	if now < r.nextCompareAt || len(peers) == 0 {
@@ -20,7 +20,7 @@
 	r.outbox.add(Envelope{To: peer, Checksums: &Checksums{
 		ConfigDigest: checksums.ConfigDigest,
 		Term:         checksums.Term,
-		Values:       []uint64{combineChecksums(checksums)},
+		Values:       []uint64{checksums.combined()},
 	}})
 }
 
@@ -31,10 +31,10 @@
 	if peer == nil || received.ConfigDigest != r.placement.ConfigDigest {
 		return
 	}
-	r.observeTerms(now, []int{from}, []Term{received.Term})
+	r.observeTerm(now, from, received.Term)
 	if len(received.Slots) == 0 {
 		own := r.sharedChecksums(from)
-		if len(own.Slots) > 0 && len(received.Values) == 1 && received.Values[0] != combineChecksums(own) {
+		if len(own.Slots) > 0 && len(received.Values) == 1 && received.Values[0] != own.combined() {
 			r.outbox.add(Envelope{To: from, Checksums: own})
 		}
 		return
@@ -49,12 +49,12 @@
 	}
 }
 
-// sharedChecksums lists the checksums of the slots that another member replicates too, of those
-// that this replica has caught up on.
-func (r *Replica) sharedChecksums(with int) *Checksums {
+// sharedChecksums lists the checksums of the slots that this replica has caught up on and
+// that another member replicates too.
+func (r *Replica) sharedChecksums(member int) *Checksums {
 	checksums := &Checksums{ConfigDigest: r.placement.ConfigDigest, Term: r.ownTerm()}
 	for _, slot := range r.placement.SlotsOf(r.self) {
-		if r.CaughtUp(slot) && r.placement.replicates(with, slot) {
+		if r.CaughtUp(slot) && r.placement.replicates(member, slot) {
 			checksums.Slots = append(checksums.Slots, slot)
 			checksums.Values = append(checksums.Values, r.store.Checksum(slot))
 		}
@@ -62,10 +62,10 @@
 	return checksums
 }
 
-// combineChecksums returns the XOR over all slots.
-func combineChecksums(checksums *Checksums) uint64 {
+// combined returns the XOR of all values.
+func (c *Checksums) combined() uint64 {
 	combined := uint64(0)
-	for _, value := range checksums.Values {
+	for _, value := range c.Values {
 		combined ^= value
 	}
 	return combined
--- a/internal/policy/replication/coordinator.go
+++ b/internal/policy/replication/coordinator.go
@@ -185,12 +185,12 @@
 
 // PendingReports returns the number of ended runs that not all replicas have recorded, and that
 // are still reported to them.
-func (c *Coordinator) PendingReports() int { return len(c.reports.queue) }
+func (c *Coordinator) PendingReports() int { return len(c.reports.pending) }
 
 // ActiveClaims returns the number of claims under way, those of running requests included.
 func (c *Coordinator) ActiveClaims() int { return len(c.claimsByRequest) }
 
-// sendRequests asks the replicas that have not granted the claim; while it follows another
+// sendRequests asks the replicas that have not granted the claim; while it waits for another
 // claim it asks all of them for that one's outcome.
 func (c *Coordinator) sendRequests(claim *pendingClaim, now float64) {
 	operation := OpClaim
@@ -220,7 +220,7 @@
 	}
 }
 
-// HandleReply takes the reply of the member with index from.
+// HandleReply handles the reply of the member with index from.
 func (c *Coordinator) HandleReply(now float64, from int, reply *ClaimReply) {
 	if reply.Operation == OpReport {
 		c.reports.handleReply(from, reply)
@@ -241,30 +241,47 @@
 	}
 	switch {
 	case claim.phase == phaseWaiting:
-		claim.unclaimed[replica] = reply.Status == ReplyUnclaimed
-		if countTrue(claim.unclaimed) >= c.placement.Quorum {
-			c.applyEvent(claim, eventUnblocked, now)
-		}
+		c.recordQueryReply(claim, replica, reply.Status, now)
 	case reply.Status == ReplyGranted && claim.sameTerms(reply.Terms):
-		claim.granted[replica] = true
-		if countTrue(claim.granted) >= c.placement.Quorum {
-			c.applyEvent(claim, eventQuorum, now)
-		}
+		c.recordGrant(claim, replica, now)
 	case reply.Status == ReplyConflict:
-		blocking := record.BlockingAttempt()
-		if blocking == nil {
-			return
-		}
-		claim.blockedBy[replica] = blocking.ClaimID
-		if claim.outrankedBy(blocking.ClaimID, c.placement.Quorum) {
-			c.applyEvent(claim, eventOutranked, now)
-		}
+		c.recordConflict(claim, replica, record.BlockingAttempt(), now)
 	case changed && claim.rounds < maxRounds:
 		claim.resetGrants(c.terms.Select(claim.replicas))
 		c.sendRequests(claim, now)
 	}
 }
 
+// recordQueryReply records whether the key is unclaimed at one of the claim's replicas, by its index
+// in claim.replicas.
+func (c *Coordinator) recordQueryReply(claim *pendingClaim, replica int, status ReplyStatus, now float64) {
+	claim.unclaimed[replica] = status == ReplyUnclaimed
+	if countTrue(claim.unclaimed) >= c.placement.Quorum {
+		c.applyEvent(claim, eventUnblocked, now)
+	}
+}
+
+// recordGrant records that one of the claim's replicas granted it.
+func (c *Coordinator) recordGrant(claim *pendingClaim, replica int, now float64) {
+	claim.granted[replica] = true
+	if countTrue(claim.granted) >= c.placement.Quorum {
+		c.applyEvent(claim, eventQuorum, now)
+	}
+}
+
+// recordConflict records which attempt, nil if there is none, blocks the claim at one of its replicas.
+func (c *Coordinator) recordConflict(
+	claim *pendingClaim, replica int, blocking *replicastore.Attempt, now float64,
+) {
+	if blocking == nil {
+		return
+	}
+	claim.blockedBy[replica] = blocking.ClaimID
+	if claim.outrankedBy(blocking.ClaimID, c.placement.Quorum) {
+		c.applyEvent(claim, eventOutranked, now)
+	}
+}
+
 // resolveByRecord ends a claim if a replica's record shows that the key ran, and reports
 // whether it did.
 func (c *Coordinator) resolveByRecord(claim *pendingClaim, record *replicastore.Record, now float64) bool {
--- a/internal/policy/replication/grant.go
+++ b/internal/policy/replication/grant.go
@@ -33,8 +33,8 @@
 	return reply
 }
 
-// execute does what a request asks, given the key's record, nil if there is none. A report is
-// recorded also while the replica catches up, as the caller learns nothing of the key by it.
+// execute carries out a request, given the key's record, nil if there is none. A report is recorded
+// also while the replica catches up, as its reply makes no statement on the key.
 func (r *Replica) execute(now float64, record *replicastore.Record, request *ClaimRequest) ReplyStatus {
 	slot := request.Key.Slot()
 	switch {
@@ -53,7 +53,7 @@
 	}
 }
 
-// grant grants a claim if no other blocks it. A claim that was granted before is granted again.
+// grant grants a claim if no other blocks it. To grant the same claim again has no effect.
 func (r *Replica) grant(now float64, record *replicastore.Record, request *ClaimRequest) ReplyStatus {
 	if record != nil {
 		known := slices.IndexFunc(record.Attempts, func(attempt replicastore.Attempt) bool {
@@ -65,18 +65,28 @@
 		case known >= 0 || record.BlockingAttempt() != nil:
 			return ReplyConflict
 		}
-		if len(record.Attempts) >= maxAttempts { // all are withdrawn: the first is forgotten
-			shortened := *record
-			shortened.Attempts = record.Attempts[1:]
-			record = &shortened
-		}
+		record = withRoomForAttempt(record)
 	}
 	claimed := &replicastore.Record{
 		Key:       request.Key,
 		ExpiresAt: now + r.placement.MaxClaimDuration + r.placement.RetentionWindow,
 		Attempts:  []replicastore.Attempt{{ClaimID: request.Attempt.ClaimID}},
 	}
-	return r.mergeIntoStore(record, claimed, ReplyGranted)
+	if !r.mergeIntoStore(record, claimed) {
+		return ReplyFull
+	}
+	return ReplyGranted
+}
+
+// withRoomForAttempt returns the record of a key whose attempts are all withdrawn, without the
+// first of them if there are too many.
+func withRoomForAttempt(record *replicastore.Record) *replicastore.Record {
+	if len(record.Attempts) < maxAttempts {
+		return record
+	}
+	shortened := *record
+	shortened.Attempts = record.Attempts[1:]
+	return &shortened
 }
 
 // isOnlyClaim reports whether the attempt with that index is claimed, and no other blocks the key.
@@ -99,12 +109,15 @@
 		ExpiresAt: now + r.placement.RetentionWindow,
 		Attempts:  []replicastore.Attempt{request.Attempt},
 	}
-	return r.mergeIntoStore(record, reported, ReplyRecorded)
+	if !r.mergeIntoStore(record, reported) {
+		return ReplyFull
+	}
+	return ReplyRecorded
 }
 
-// mergeIntoStore merges a record into the stored one, nil if there is none. It returns success,
-// or ReplyFull if the store has no room.
-func (r *Replica) mergeIntoStore(stored, received *replicastore.Record, success ReplyStatus) ReplyStatus {
+// mergeIntoStore merges a record into the stored one, nil if there is none. It reports false if the
+// store has no room.
+func (r *Replica) mergeIntoStore(stored, received *replicastore.Record) bool {
 	merged := *received
 	if stored != nil {
 		merged = Merge(stored, received)
@@ -112,8 +125,5 @@
 	if hasConflictingResults(&merged) && !hasConflictingResults(stored) {
 		r.conflictingResults++
 	}
-	if !r.store.Put(merged) {
-		return ReplyFull
-	}
-	return success
+	return r.store.Put(merged)
 }
--- a/internal/policy/replication/history_test.go
+++ b/internal/policy/replication/history_test.go
@@ -18,15 +18,15 @@
 	Init:      func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
 		owner := state.(string)
-		in := input.(registerInput)
-		out := output.(Outcome)
+		claim := input.(registerInput)
+		outcome := output.(Outcome)
 		switch {
-		case in.releases:
-			return owner == in.requestID, ""
-		case out.Verdict == serving.ClaimGranted:
-			return owner == "", in.requestID
-		case out.Verdict == serving.ClaimCached:
-			return string(out.Result) == "result of "+owner, owner
+		case claim.releases:
+			return owner == claim.requestID, ""
+		case outcome.Verdict == serving.ClaimGranted:
+			return owner == "", claim.requestID
+		case outcome.Verdict == serving.ClaimCached:
+			return string(outcome.Result) == "result of "+owner, owner
 		}
 		return true, owner // the outcome is not known
 	},
--- a/internal/policy/replication/merge.go
+++ b/internal/policy/replication/merge.go
@@ -13,8 +13,8 @@
 const maxAttempts = 32
 
 // Merge returns the union of two copies of a record: all attempts of both, each in its higher
-// state. It is commutative, associative and idempotent. A claim that one replica alone granted
-// stays, so that a coordinator that counted on the grant is never overlooked. One of the copies
+// state. It is commutative, associative and idempotent. A claim that only one replica granted
+// is kept, as its coordinator may have counted that grant. One of the copies
 // may be nil.
 func Merge(a, b *replicastore.Record) replicastore.Record {
 	if a == nil {
@@ -50,8 +50,8 @@
 }
 
 // preferredAttempt returns which of two copies of one attempt wins: the higher state, then a
-// copy that still has its result. A run can't have two results; should there be two all the
-// same, every replica settles on the same one.
+// copy that still has its result. A run can't have two results; if a fault gives it
+// two, every replica chooses the same one.
 func preferredAttempt(a, b replicastore.Attempt) replicastore.Attempt {
 	switch {
 	case a.State != b.State:
@@ -71,8 +71,8 @@
 }
 
 // hasConflictingResults reports whether two attempts of a record finished with different
-// results, which must never be. The first in the order of claims is the one that is returned
-// to clients.
+// results, which breaks the invariant that no key runs twice. Clients get the first, in the order
+// of claims.
 func hasConflictingResults(record *replicastore.Record) bool {
 	first := record.FinishedAttempt()
 	if first == nil {
--- a/internal/policy/replication/messages.go
+++ b/internal/policy/replication/messages.go
@@ -108,7 +108,7 @@
 	Values       []uint64
 }
 
-// Envelope holds one message for the member with index To.
+// Envelope holds one message for the member with index To; the other message fields are nil.
 type Envelope struct {
 	To        int
 	Claim     *ClaimRequest
--- a/internal/policy/replication/placement.go
+++ b/internal/policy/replication/placement.go
@@ -20,11 +20,11 @@
 // maxWeight bounds a member's weight.
 const maxWeight = 1000
 
-// maxLoadFactor is how much more than its even share of the slots a member may get. With a
-// quarter of slack few slots move when a member is added or removed.
+// maxLoadFactor bounds the slots of a member, relative to its share by weight. The margin keeps most
+// slots in place when a member is added or removed.
 const maxLoadFactor = 1.25
 
-// Member is a server that holds replicas, as the operator's file names it.
+// Member is a server that holds replicas, as the operator's settings list it.
 type Member struct {
 	Name   string
 	Zone   string  // replicas of a key go to different zones where there are several; "" is a zone too
@@ -41,9 +41,9 @@
 
 // ConfigError reports a setting of a Config that NewPlacement does not accept.
 type ConfigError struct {
-	Field  string
+	Field  string // the setting's name, for operators
 	Value  any
-	Reason string
+	Reason string // completes the sentence: FIELD VALUE: must be ...
 }
 
 // Error returns the setting, its value and the reason.
@@ -91,13 +91,13 @@
 	return xxhash.Sum64String(text)
 }
 
-// Placement assigns each slot to the members that replicate it. It follows from the Config alone, so all
-// servers with the same Config agree. It does not change once it is made.
+// Placement assigns each slot to the members that replicate it. It is a function of the Config, so
+// all servers with the same Config agree. It is immutable.
 type Placement struct {
 	Config
 	ConfigDigest   uint64 // of the Config; messages with another digest are ignored
 	Quorum         int    // replicas of a key that must grant a claim: a majority
-	CatchUpQuorum  int    // caught-up replicas that one that catches up must hear, to learn of every granted claim
+	CatchUpQuorum  int    // caught-up replicas whose records a replica needs to have every granted claim
 	replicasBySlot [replicastore.SlotCount][]int
 	indexByName    map[string]int
 }
@@ -148,13 +148,26 @@
 	}
 }
 
+// selectionPass is what a member must meet to be selected in one pass over the ranking.
+type selectionPass struct {
+	newZone bool // no replica of the slot is in its zone yet
+	room    bool // it has fewer slots than its capacity
+}
+
+// selectionPasses go from strict to lax, so that ReplicationFactor members are always found.
+var selectionPasses = []selectionPass{
+	{newZone: true, room: true},
+	{room: true},
+	{},
+}
+
 // selectReplicas returns the replicas of a slot, by index in ascending order: the members that
 // rank first for it, those of different zones with room before others.
 func (p *Placement) selectReplicas(slot int, hasRoom func(member int) bool) []int {
 	ranking := p.rankMembers(slot)
 	usedZones := map[string]bool{}
 	var selected []int
-	for _, require := range []struct{ newZone, room bool }{{true, true}, {false, true}, {false, false}} {
+	for _, require := range selectionPasses {
 		for _, member := range ranking {
 			if len(selected) == p.ReplicationFactor {
 				break
@@ -181,7 +194,8 @@
 		ranking[i] = i
 		hash := xxhash.Sum64String(fmt.Sprintf("%s/%d", member.Name, slot))
 		uniform := (float64(hash>>11) + 0.5) / (1 << 53) // in (0, 1)
-		// The least of exponential draws falls to each member by its weight.
+		// An exponential variate with rate Weight: the least one is a member's with a probability in
+		// proportion to its weight.
 		score[i] = -math.Log(uniform) / member.Weight
 	}
 	slices.SortFunc(ranking, func(a, b int) int {
--- a/internal/policy/replication/replica.go
+++ b/internal/policy/replication/replica.go
@@ -22,13 +22,13 @@
 	Stats() replicastore.Stats
 }
 
-// ReplicaConfig is what a Replica is made of.
+// ReplicaConfig holds the arguments of NewReplica.
 type ReplicaConfig struct {
 	Placement   *Placement
 	Self        int       // this server's member index
 	Terms       TermTable // shared with the server's Coordinator; holds the replica's own term already
 	Store       RecordStore
-	CatchUpRate float64 // bytes a second of other replicas' records that it takes in
+	CatchUpRate float64 // bytes a second of peers' records that it may receive
 }
 
 // Replica holds one server's copies of the keys' records, and grants claims on them.
@@ -47,10 +47,10 @@
 	conflictingResults int     // keys with two results
 }
 
-// NewReplica returns a replica that starts. It answers for no slot before it has caught up:
+// NewReplica returns a replica that has just started. It answers for no slot before it has caught up:
 // others may have granted claims that its store does not have.
 func NewReplica(config ReplicaConfig, now float64) *Replica {
-	r := &Replica{
+	replica := &Replica{
 		placement:   config.Placement,
 		self:        config.Self,
 		terms:       config.Terms,
@@ -58,18 +58,18 @@
 		catchUpRate: config.CatchUpRate,
 		catchUp:     catchUpState{slots: map[int]*slotProgress{}, peers: map[int]*peerSync{}},
 	}
-	slots := r.placement.SlotsOf(r.self)
+	slots := replica.placement.SlotsOf(replica.self)
 	for _, slot := range slots {
-		for _, member := range r.otherReplicas(slot) {
-			if r.catchUp.peers[member] == nil {
-				r.catchUp.peers[member] = &peerSync{wanted: map[int]bool{}}
-				r.catchUp.peerOrder = append(r.catchUp.peerOrder, member)
+		for _, member := range replica.otherReplicas(slot) {
+			if replica.catchUp.peers[member] == nil {
+				replica.catchUp.peers[member] = &peerSync{wanted: map[int]bool{}}
+				replica.catchUp.peerOrder = append(replica.catchUp.peerOrder, member)
 			}
 		}
 	}
-	slices.Sort(r.catchUp.peerOrder)
-	r.startCatchUp(now, slots)
-	return r
+	slices.Sort(replica.catchUp.peerOrder)
+	replica.startCatchUp(now, slots)
+	return replica
 }
 
 // otherReplicas lists the replicas of a slot but this one.
@@ -86,9 +86,9 @@
 // ownTerm returns the replica's term.
 func (r *Replica) ownTerm() Term { return r.terms[r.self] }
 
-// observeTerms takes over terms that a message brings. If another server knows a later term of
-// this replica, it was replaced, or its process started with a clock that is behind: it begins
-// a term above that one, and answers for no slot before it has caught up.
+// observeTerms adopts the later terms that a message has. Another server knows a later term of this
+// replica if the replica was replaced, or if its process started with a clock that is behind: then
+// it begins a term above that one, and answers for no slot before it has caught up.
 func (r *Replica) observeTerms(now float64, members []int, terms []Term) {
 	before := r.ownTerm()
 	r.terms.Observe(members, terms)
@@ -98,8 +98,13 @@
 	}
 }
 
-// resetSlot begins a new term as the records of a slot can't be trusted: coordinators that
-// count on earlier grants have to ask again.
+// observeTerm is observeTerms for one member.
+func (r *Replica) observeTerm(now float64, member int, term Term) {
+	r.observeTerms(now, []int{member}, []Term{term})
+}
+
+// resetSlot discards a slot after a corrupted record and begins a new term, so that coordinators
+// have to ask again for claims that were granted before.
 func (r *Replica) resetSlot(now float64, slot int) {
 	r.terms[r.self].Number++
 	r.store.ClearSlot(slot)
--- a/internal/policy/replication/reporter.go
+++ b/internal/policy/replication/reporter.go
@@ -10,12 +10,13 @@
 	// maxReports bounds the reports under way.
 	maxReports = 4096
 	// A report is sent again each reportRetryInterval to replicas that have not recorded it, for
-	// reportLifetime, in seconds. After that the comparison of replicas spreads it.
+	// reportLifetime, in seconds. After that the replicas that have it pass it on as they compare.
 	reportRetryInterval = 0.1
 	reportLifetime      = 5.0
 )
 
-// pendingReport is the outcome of a claim, on its way to the claim's replicas. Times are in seconds.
+// pendingReport is the outcome of a claim that is being sent to the claim's replicas. Times are in
+// seconds.
 type pendingReport struct {
 	key        replicastore.Key
 	attempt    replicastore.Attempt
@@ -32,17 +33,17 @@
 	terms     TermTable
 	outbox    *outbox
 	byClaim   map[replicastore.ClaimID]*pendingReport
-	queue     []*pendingReport // the oldest first
+	pending   []*pendingReport // the oldest first
 
 	replicatedResults   int // results that a quorum recorded
 	unreplicatedResults int // results that a quorum did not record in time
 }
 
-// start begins to report the outcome of a claim. When too many reports are under way the oldest
-// is dropped: its claim stands as one that may have run.
+// start begins to report the outcome of a claim. When too many reports are under way the oldest is
+// removed: the replicas then keep its claim as one that may have run.
 func (r *reporter) start(claim *pendingClaim, attempt replicastore.Attempt, now float64) {
-	if len(r.queue) >= maxReports {
-		r.remove(r.queue[0])
+	if len(r.pending) >= maxReports {
+		r.remove(r.pending[0])
 	}
 	report := &pendingReport{
 		key:       claim.key,
@@ -52,7 +53,7 @@
 		expiresAt: now + reportLifetime,
 	}
 	r.byClaim[attempt.ClaimID] = report
-	r.queue = append(r.queue, report)
+	r.pending = append(r.pending, report)
 	r.send(report, now)
 }
 
@@ -73,7 +74,7 @@
 	}
 }
 
-// handleReply takes the reply of the member with index from.
+// handleReply handles the reply of the member with index from.
 func (r *reporter) handleReply(from int, reply *ClaimReply) {
 	report := r.byClaim[reply.ClaimID]
 	if report == nil || reply.Status != ReplyRecorded && reply.Status != ReplyFull {
@@ -98,17 +99,17 @@
 }
 
 // remove stops sending a report.
-func (r *reporter) remove(dropped *pendingReport) {
-	if !dropped.replicated && dropped.attempt.State == replicastore.StateFinished {
+func (r *reporter) remove(removed *pendingReport) {
+	if !removed.replicated && removed.attempt.State == replicastore.StateFinished {
 		r.unreplicatedResults++
 	}
-	delete(r.byClaim, dropped.attempt.ClaimID)
-	r.queue = slices.DeleteFunc(r.queue, func(other *pendingReport) bool { return other == dropped })
+	delete(r.byClaim, removed.attempt.ClaimID)
+	r.pending = slices.DeleteFunc(r.pending, func(other *pendingReport) bool { return other == removed })
 }
 
-// maintain sends reports again that are due, and drops those whose time is over.
+// maintain sends reports again that are due, and removes those whose lifetime is over.
 func (r *reporter) maintain(now float64) {
-	for _, report := range slices.Clone(r.queue) {
+	for _, report := range slices.Clone(r.pending) {
 		switch {
 		case now >= report.expiresAt:
 			r.remove(report)
@@ -121,7 +122,7 @@
 // nextWakeup returns when maintain has something to do, in seconds.
 func (r *reporter) nextWakeup() float64 {
 	next := never
-	for _, report := range r.queue {
+	for _, report := range r.pending {
 		next = min(next, report.retryAt)
 	}
 	return next
--- a/internal/policy/replication/status.go
+++ b/internal/policy/replication/status.go
@@ -26,14 +26,14 @@
 	UnreplicatedResults int    `json:"Unpromised"` // results that a quorum did not record in time
 }
 
-// FillStatus sets what a coordinator knows.
+// FillStatus sets the fields that a coordinator knows.
 func (c *Coordinator) FillStatus(status *Status) {
 	status.ActiveClaims = c.ActiveClaims()
 	status.ReplicatedResults = c.reports.replicatedResults
 	status.UnreplicatedResults = c.reports.unreplicatedResults
 }
 
-// FillStatus sets what a replica knows.
+// FillStatus sets the fields that a replica knows.
 func (r *Replica) FillStatus(status *Status) {
 	status.IsReplica = true
 	status.CatchingUp = r.CatchingUp()
@@ -51,7 +51,7 @@
 
 // Faults lists what is wrong with a fleet's replicas, given the status of each server by name.
 // A server whose config differs from most servers' is listed, as the others ignore its messages.
-// Critical reports whether a fault is listed that must never be.
+// critical reports whether a key has two results, which breaks the package's invariant.
 func Faults(statuses map[string]*Status) (faults []string, critical bool) {
 	usual := commonDigest(statuses)
 	for _, name := range slices.Sorted(maps.Keys(statuses)) {
@@ -63,7 +63,7 @@
 	return faults, critical
 }
 
-// commonDigest returns the config digest of most servers; of several the least.
+// commonDigest returns the config digest that most servers have, the least of those that tie.
 func commonDigest(statuses map[string]*Status) uint64 {
 	servers := map[uint64]int{}
 	for _, status := range statuses {
--- a/internal/policy/replication/status_test.go
+++ b/internal/policy/replication/status_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestFaults(t *testing.T) {
+func TestFaults_ListsEachServer(t *testing.T) {
 	statuses := map[string]*Status{
 		"n1": {ConfigDigest: 7},
 		"n2": {ConfigDigest: 7, CatchingUp: 2, OutOfSync: 3, CorruptedRecords: 1},
--- a/internal/policy/replication/term.go
+++ b/internal/policy/replication/term.go
@@ -2,8 +2,8 @@
 
 import "cmp"
 
-// Term is one period in which a replica kept what it granted. A replica begins a new, higher
-// term when it starts and when it loses a record, which fences the grants of its earlier terms.
+// Term is a period in which a replica has lost none of its grants. A replica begins a new, higher
+// term when it starts and when it loses a record; grants of earlier terms then no longer count.
 type Term struct {
 	Number      uint64
 	Incarnation uint64 // of the replica's process
@@ -17,8 +17,8 @@
 // TermTable holds the latest term that a server knows of each member, by member index.
 type TermTable []Term
 
-// Observe takes over those of the members' terms that are later than the ones it has, and
-// reports whether any was. Terms are in the order of members.
+// Observe adopts those of the members' terms that are later than the known ones, and reports
+// whether there were any. Terms are in the order of members.
 func (t TermTable) Observe(members []int, terms []Term) (changed bool) {
 	for i, member := range members {
 		if i < len(terms) && terms[i].Compare(t[member]) > 0 {
--- a/internal/policy/replication/trust.go
+++ b/internal/policy/replication/trust.go
@@ -9,8 +9,8 @@
 	"swiftcourse/internal/policy/connlimit"
 )
 
-// MaxTrustedClients bounds the clients of one server's trust record: those with most credit
-// there. A server hardly has more that come back within a restart.
+// MaxTrustedClients bounds the clients of one server's trust record, which lists those with most
+// credit there. Few servers have more clients that reconnect during a restart.
 const MaxTrustedClients = 256
 
 // maxTrustServers bounds the servers whose trust records are held.
@@ -24,7 +24,8 @@
 	Clients     []connlimit.Earned
 }
 
-// newerThan reports which of two records of one server counts, in whatever order they come in.
+// newerThan reports whether a record replaces another one of the same server, in whatever order they
+// arrive.
 func (t *TrustRecord) newerThan(other *TrustRecord) bool {
 	return cmp.Or(cmp.Compare(t.Sequence, other.Sequence), cmp.Compare(t.Incarnation, other.Incarnation)) > 0
 }
@@ -46,7 +47,7 @@
 	return &TrustTable{retention: retention, entries: map[string]*trustEntry{}}
 }
 
-// Observe takes over a record, and reports whether it was newer than the one of its server.
+// Observe stores a record that is newer than the stored one of its server, and reports whether it was.
 func (t *TrustTable) Observe(now float64, record TrustRecord) bool {
 	known := t.entries[record.Name]
 	if known != nil && !record.newerThan(&known.TrustRecord) {
@@ -75,8 +76,8 @@
 	})
 }
 
-// RecordsFor lists records for a server that is new, at most limit: the one of its own name
-// first, then others by name.
+// RecordsFor lists at most limit records for a server that has just started: the one of its own name
+// first, then the others by name.
 func (t *TrustTable) RecordsFor(now float64, name string, limit int) []TrustRecord {
 	t.expire(now)
 	var records []TrustRecord
@@ -91,10 +92,9 @@
 	return records
 }
 
-// MergedClients returns the clients that all records come to, at most limit. Those that two
-// servers or more list come first, each with the second highest credit that it has. Of what is
-// left each server fills an even part, so that one with a long false list displaces nobody
-// else's clients.
+// MergedClients returns at most limit clients of all records. Those that two servers or more list
+// come first, each with its second highest credit. The places left are divided evenly among the
+// servers, so that one server with a long false list can't displace the others' clients.
 func (t *TrustTable) MergedClients(now float64, limit int) []connlimit.Earned {
 	t.expire(now)
 	credits := t.creditsByClient()
@@ -115,7 +115,7 @@
 	return clients
 }
 
-// creditsByClient lists the credit that each server gives a client.
+// creditsByClient returns, for each client, the credits that servers give it.
 func (t *TrustTable) creditsByClient() map[netip.Addr][]float64 {
 	credits := map[netip.Addr][]float64{}
 	for _, name := range t.names() {
@@ -130,10 +130,10 @@
 // of their credits, those with most credit first.
 func confirmedClients(credits map[netip.Addr][]float64) []connlimit.Earned {
 	var clients []connlimit.Earned
-	for addr, list := range credits {
-		if len(list) > 1 {
-			slices.Sort(list)
-			clients = append(clients, connlimit.Earned{Addr: addr, Credit: list[len(list)-2]})
+	for addr, given := range credits {
+		if len(given) > 1 {
+			slices.Sort(given)
+			clients = append(clients, connlimit.Earned{Addr: addr, Credit: given[len(given)-2]})
 		}
 	}
 	slices.SortFunc(clients, func(a, b connlimit.Earned) int {
