--- a/internal/server/graceful_test.go
+++ b/internal/server/graceful_test.go
@@ -115,11 +115,11 @@
 	logging.SetOutput(io.Discard)
 	for _, wakes := range []bool{true, false} {
 		s := newServerWithoutLoop(30)
-		s.clients.limiter.Idle(0)
+		s.clients.limiter.SetIdleTimeout(0)
 		client, socket, far := addLinkedClient(t, s)
 		id, now := client.id, s.now()
 		s.maintainConnections(now + 1)
-		if s.clients.limiter.State(id.Slot()) != connlimit.Parting {
+		if s.clients.limiter.State(id.Slot()) != connlimit.StateAskedToClose {
 			t.Fatalf("state %d", s.clients.limiter.State(id.Slot()))
 		}
 		s.flush()
@@ -176,7 +176,7 @@
 			busy.expect(resultPrefix + "\x01r\x80")
 		}
 		_ = busy.Close()
-		if asked := crowd.Asked.Load(); asked != n {
+		if asked := crowd.CloseRequests.Load(); asked != n {
 			t.Errorf("%d of %d were asked to close", asked, n)
 		}
 		waitUntil(f, 0, clientCount)
@@ -186,7 +186,7 @@
 // An answer that a slow reader has not taken yet keeps its connection from being closed.
 func TestGracefulClose_WaitsForUnsentAnswers(t *testing.T) {
 	s := newServerWithoutLoop(30)
-	s.clients.limiter.Idle(0)
+	s.clients.limiter.SetIdleTimeout(0)
 	_, socket, far := addLinkedClient(t, s)
 	socket.unsent = 100
 	now := s.now()
