--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -11,7 +11,7 @@
 
 	"swiftcourse/admission"
 	"swiftcourse/internal/config"
-	"swiftcourse/internal/wire/shale"
+	"swiftcourse/internal/wire/simulator"
 )
 
 func main() {
@@ -43,8 +43,8 @@
 
 // run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	reader := shale.NewReader(in)
-	writer := shale.NewWriter(out)
+	reader := simulator.NewReader(in)
+	writer := simulator.NewWriter(out)
 	h := &host{servers: map[string]*simulatedServer{}}
 	for {
 		batch, err := reader.Next()
@@ -67,13 +67,13 @@
 }
 
 // add has an event wait for the decisions on its batch, or starts or removes its server.
-func (h *host) add(event *shale.Event) error {
+func (h *host) add(event *simulator.Event) error {
 	name := event.Who
 	switch event.Change {
-	case shale.Wiped:
+	case simulator.Wiped:
 		delete(h.servers, name)
 		return nil
-	case shale.Born:
+	case simulator.Born:
 		h.servers[name] = &simulatedServer{
 			controller: admission.New(event.Seed, config.AdmissionSettings(event.Told)),
 			events:     []admission.Event{{Kind: admission.Started}},
@@ -93,7 +93,7 @@
 }
 
 // decide has each server with events decide on them.
-func (h *host) decide(now float64, writer *shale.Writer) {
+func (h *host) decide(now float64, writer *simulator.Writer) {
 	for _, name := range h.pending {
 		server := h.servers[name]
 		if server == nil || len(server.events) == 0 { // removed since, or started twice
@@ -107,7 +107,7 @@
 
 // decide writes the controller's actions. A panic of the controller is reported to the simulator in
 // their place.
-func (s *simulatedServer) decide(name string, now float64, writer *shale.Writer) {
+func (s *simulatedServer) decide(name string, now float64, writer *simulator.Writer) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			writer.Panic(name, fmt.Sprint(cause))
--- a/internal/bench/connflood/entry.go
+++ b/internal/bench/connflood/entry.go
@@ -17,7 +17,7 @@
 	"swiftcourse/internal/bench/process"
 	"swiftcourse/internal/fake/executor"
 	"swiftcourse/internal/wire/rpc"
-	"swiftcourse/internal/wire/shale"
+	"swiftcourse/internal/wire/simulator"
 )
 
 // Plan is the experiment.
@@ -100,10 +100,10 @@
 	maxHeld = 8000
 )
 
-func settings() shale.Told {
-	var t shale.Told
+func settings() simulator.Told {
+	var t simulator.Told
 	t.Servers = 1
-	t.Stages = []shale.Stage{{Name: "ping", Effect: "idempotent", TimeLimitMs: 2000, DueTimeMs: 1000, Utility: 1, LateUtility: 0.5}}
+	t.Stages = []simulator.Stage{{Name: "ping", Effect: "idempotent", TimeLimitMs: 2000, DueTimeMs: 1000, Utility: 1, LateUtility: 0.5}}
 	t.Caps.Advice, t.Caps.AdviceMaxMs = true, 5000
 	t.Contract.Crowd, t.Contract.CrowdForMs, t.Contract.DrainGraceMs, t.Contract.AnswerSlackMs = 8, 1000, 500, 50
 	own := &t.Own
--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -18,7 +18,7 @@
 	"swiftcourse/internal/fake/upstream"
 	wire "swiftcourse/internal/wire/catalogue"
 	"swiftcourse/internal/wire/rpc"
-	"swiftcourse/internal/wire/shale"
+	"swiftcourse/internal/wire/simulator"
 )
 
 // Plan is the demonstration.
@@ -74,11 +74,11 @@
 	return 0
 }
 
-func told() shale.Told {
-	var t shale.Told
+func told() simulator.Told {
+	var t simulator.Told
 	t.Servers = 1
 	for _, s := range stages {
-		t.Stages = append(t.Stages, shale.Stage{Name: s.name, Effect: "idempotent", DueTimeMs: s.due * 1000, TimeLimitMs: s.limit * 1000,
+		t.Stages = append(t.Stages, simulator.Stage{Name: s.name, Effect: "idempotent", DueTimeMs: s.due * 1000, TimeLimitMs: s.limit * 1000,
 			Utility: s.utility, LateUtility: 0.2})
 		t.Own.StageCalls = append(t.Own.StageCalls, s.calls)
 	}
--- a/internal/bench/faultinjection/budget_test.go
+++ b/internal/bench/faultinjection/budget_test.go
@@ -10,7 +10,7 @@
 	"swiftcourse/internal/fake/upstream"
 	"swiftcourse/internal/fleet"
 	"swiftcourse/internal/wire/catalogue"
-	"swiftcourse/internal/wire/shale"
+	"swiftcourse/internal/wire/simulator"
 )
 
 // What the tests below share: a budget of 60 tasks a second of one tenant, over five servers of which each has a floor of 1.2. The slack is half a
@@ -25,7 +25,7 @@
 
 func startQuotaFleet(t *testing.T, seed uint64, conf string) (*Fleet, *Load) {
 	t.Helper()
-	p := Config{Servers: 5, Seed: seed, ExtraSettings: quotaSettings + conf, Tenants: []shale.Tenant{{Name: "acme", RatePerS: 1000}}}
+	p := Config{Servers: 5, Seed: seed, ExtraSettings: quotaSettings + conf, Tenants: []simulator.Tenant{{Name: "acme", RatePerS: 1000}}}
 	f := startFleet(t, p)
 	ctx, stop := context.WithCancel(context.Background())
 	d := f.StartLoad(ctx, "acme")
--- a/internal/bench/faultinjection/counts_test.go
+++ b/internal/bench/faultinjection/counts_test.go
@@ -10,7 +10,7 @@
 	"swiftcourse/internal/fleet"
 	"swiftcourse/internal/policy/serving"
 	"swiftcourse/internal/wire/rpc"
-	"swiftcourse/internal/wire/shale"
+	"swiftcourse/internal/wire/simulator"
 )
 
 // requestCounts is what callers asked for and were told, of the servers named, of all where none is.
@@ -43,7 +43,7 @@
 // TestCounters_AgreeWithClientsThroughFaults: five processes count what they are asked for; servers are cut off, stopped, killed, and taken for another life, the leader
 // among them. Whatever callers saw is counted once, by every voter; of a killed server all but what it had not told.
 func TestCounters_AgreeWithClientsThroughFaults(t *testing.T) {
-	f := startFleet(t, Config{Servers: 5, Seed: 41, ExtraSettings: "fleet-counts on\n", Tenants: []shale.Tenant{{Name: "acme", RatePerS: 1000}}})
+	f := startFleet(t, Config{Servers: 5, Seed: 41, ExtraSettings: "fleet-counts on\n", Tenants: []simulator.Tenant{{Name: "acme", RatePerS: 1000}}})
 	ctx, stop := context.WithCancel(context.Background())
 	d := f.StartLoad(ctx, "acme")
 	defer d.Wait()
--- a/internal/bench/faultinjection/fleet.go
+++ b/internal/bench/faultinjection/fleet.go
@@ -16,7 +16,7 @@
 	"swiftcourse/internal/fleet"
 	"swiftcourse/internal/policy/release"
 	"swiftcourse/internal/wire/catalogue"
-	"swiftcourse/internal/wire/shale"
+	"swiftcourse/internal/wire/simulator"
 )
 
 // Config is how a fleet of processes is to be.
@@ -29,12 +29,12 @@
 	ClockByName         map[string]string // SWIFTCOURSE_TEST_CLOCK of one
 	BuildByName         map[string]string // SWIFTCOURSE_BUILD of one
 	Seed                uint64
-	RunLog              *RunLog           // of the processors; nil for none
-	RunSeconds          float64           // seconds that a task takes; 0 as the shape says
-	CrashPointByName    map[string]string // SWIFTCOURSE_TEST_DIE of one: POINT,N and after S seconds, POINT,N,S kills it when it passes that point of its claims or copies for the Nth time
-	NoRelays            bool              // no relays: for what is measured in fractions of a millisecond
-	FleetDisabled       bool              // the fleet's parts are off
-	Tenants             []shale.Tenant    // who share the service; none for a service without tenants
+	RunLog              *RunLog            // of the processors; nil for none
+	RunSeconds          float64            // seconds that a task takes; 0 as the shape says
+	CrashPointByName    map[string]string  // SWIFTCOURSE_TEST_DIE of one: POINT,N and after S seconds, POINT,N,S kills it when it passes that point of its claims or copies for the Nth time
+	NoRelays            bool               // no relays: for what is measured in fractions of a millisecond
+	FleetDisabled       bool               // the fleet's parts are off
+	Tenants             []simulator.Tenant // who share the service; none for a service without tenants
 
 	// Planners and Forwarders, if there are any, are the processes of this fleet in place of servers: p1 and on, who are the voters, and f1 and on. Workers
 	// are then servers of no fleet behind the forwarders, in the shape of Worker.
--- a/internal/bench/faultinjection/levels_test.go
+++ b/internal/bench/faultinjection/levels_test.go
@@ -10,7 +10,7 @@
 	"swiftcourse/internal/bench/process"
 	"swiftcourse/internal/fake/executor"
 	"swiftcourse/internal/fleet"
-	"swiftcourse/internal/wire/shale"
+	"swiftcourse/internal/wire/simulator"
 )
 
 // payClass is a stage whose tasks must never run twice.
@@ -21,7 +21,7 @@
 	t.Helper()
 	t.Parallel()
 	p.Shape, p.ExtraSettings = SmallShape(program), shortLeases
-	p.Shape.Settings.Stages = append(p.Shape.Settings.Stages, shale.Stage{Name: payClass, Effect: "at_most_once", TimeLimitMs: 2000, DueTimeMs: 1000, Utility: 3, LateUtility: 0.5})
+	p.Shape.Settings.Stages = append(p.Shape.Settings.Stages, simulator.Stage{Name: payClass, Effect: "at_most_once", TimeLimitMs: 2000, DueTimeMs: 1000, Utility: 3, LateUtility: 0.5})
 	p.Shape.Settings.Own.Cores, p.Shape.Descriptors = 4, 512
 	p.WorkerShape, p.RunLog = p.Shape, NewRunLog()
 	p.WorkerShape.Executor = executor.Config{Cores: 4, CPUSeconds: func(string, string) float64 { return PingSeconds }, Gauges: p.Shape.Executor.Gauges}
--- a/internal/bench/faultinjection/shape.go
+++ b/internal/bench/faultinjection/shape.go
@@ -5,7 +5,7 @@
 
 	"swiftcourse/internal/bench/process"
 	"swiftcourse/internal/fake/executor"
-	"swiftcourse/internal/wire/shale"
+	"swiftcourse/internal/wire/simulator"
 )
 
 // PingClass is the stage of the shape below, and PingFor how long its tasks take, in seconds.
@@ -16,9 +16,9 @@
 
 // SmallShape is the shape of the servers of tests and experiments: one stage that may be repeated, no calls.
 func SmallShape(program string) process.Config {
-	var t shale.Told
+	var t simulator.Told
 	t.Servers = 5
-	t.Stages = []shale.Stage{{Name: PingClass, Effect: "idempotent", TimeLimitMs: 2000, DueTimeMs: 1000, Utility: 1, LateUtility: 0.5}}
+	t.Stages = []simulator.Stage{{Name: PingClass, Effect: "idempotent", TimeLimitMs: 2000, DueTimeMs: 1000, Utility: 1, LateUtility: 0.5}}
 	t.Caps.Advice, t.Caps.AdviceMaxMs = true, 5000
 	t.Contract.Crowd, t.Contract.CrowdForMs, t.Contract.DrainGraceMs, t.Contract.AnswerSlackMs = 8, 1000, 500, 50
 	own := &t.Own
--- a/internal/bench/idleconns/idle.go
+++ b/internal/bench/idleconns/idle.go
@@ -18,7 +18,7 @@
 	"swiftcourse/internal/bench/loadgen"
 	"swiftcourse/internal/bench/process"
 	"swiftcourse/internal/fake/executor"
-	"swiftcourse/internal/wire/shale"
+	"swiftcourse/internal/wire/simulator"
 )
 
 // Plan is the experiment.
@@ -65,10 +65,10 @@
 }
 
 // settings are of one cheap stage and no tenants; idle connections may be silent for so long.
-func settings(idle time.Duration) shale.Told {
-	var told shale.Told
+func settings(idle time.Duration) simulator.Told {
+	var told simulator.Told
 	told.Servers = 1
-	told.Stages = []shale.Stage{{Name: "ping", Effect: "idempotent", TimeLimitMs: 5000, DueTimeMs: 2000, Utility: 1,
+	told.Stages = []simulator.Stage{{Name: "ping", Effect: "idempotent", TimeLimitMs: 5000, DueTimeMs: 2000, Utility: 1,
 		LateUtility: 0.5}}
 	told.Contract.Crowd, told.Contract.CrowdForMs, told.Contract.DrainGraceMs = 8, 1000, 500
 	told.Contract.AnswerSlackMs = 50
--- a/internal/bench/process/fleet.go
+++ b/internal/bench/process/fleet.go
@@ -26,7 +26,7 @@
 	"swiftcourse/internal/fake/registry"
 	"swiftcourse/internal/fake/upstream"
 	wire "swiftcourse/internal/wire/catalogue"
-	"swiftcourse/internal/wire/shale"
+	"swiftcourse/internal/wire/simulator"
 )
 
 // Config is how the servers of a fleet are to be.
@@ -39,7 +39,7 @@
 	ActualDescriptors int    // descriptors that the system gives a server once it serves; 0 for as many as it was told
 	OperatorFile      string // text of the operator's file, "" for none
 	StopTimeout       time.Duration
-	Settings          shale.Told
+	Settings          simulator.Told
 	Executor          executor.Config
 	ExecutorOf        func(name string) executor.Config                       // in place of it, by server; nil for not
 	Upstream          func(n int, c wire.Call) upstream.Response              // nil at the last tier
--- a/internal/bench/quotas/budgets.go
+++ b/internal/bench/quotas/budgets.go
@@ -13,7 +13,7 @@
 
 	"swiftcourse/internal/bench/faultinjection"
 	"swiftcourse/internal/policy/quota"
-	"swiftcourse/internal/wire/shale"
+	"swiftcourse/internal/wire/simulator"
 )
 
 // Plan is one run.
@@ -98,7 +98,7 @@
 	r := &run{Plan: p, most: most, row: Row{Seed: p.Seed, Servers: p.Servers, Slack: terms.MaxBurst(&terms.Limits[0])}}
 	shape := faultinjection.SmallShape(p.Program)
 	shape.Log = p.Log
-	f, err := faultinjection.Start(ctx, faultinjection.Config{Shape: shape, Servers: p.Servers, Voters: 3, Seed: p.Seed, Tenants: []shale.Tenant{{Name: tenant, RatePerS: 1e6}},
+	f, err := faultinjection.Start(ctx, faultinjection.Config{Shape: shape, Servers: p.Servers, Voters: 3, Seed: p.Seed, Tenants: []simulator.Tenant{{Name: tenant, RatePerS: 1e6}},
 		ExtraSettings: fmt.Sprintf("door on\nfleet-lease %s\nfleet-behind 2s\nbudget tenant/%s=%g\nbudget-servers %d\n", lease, tenant, most, p.Servers)})
 	if err != nil {
 		return r.row, fmt.Errorf("seed %d: %w", p.Seed, err)
--- a/internal/bench/twolevel/levels.go
+++ b/internal/bench/twolevel/levels.go
@@ -15,7 +15,7 @@
 	"swiftcourse/internal/bench/faultinjection"
 	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/fake/executor"
-	"swiftcourse/internal/wire/shale"
+	"swiftcourse/internal/wire/simulator"
 )
 
 // Plan is one run.
@@ -119,7 +119,7 @@
 func play(ctx context.Context, p *Plan, what kind, row *Row) error {
 	shape := faultinjection.SmallShape(p.Program)
 	shape.Log = p.Log
-	shape.Settings.Stages = append(shape.Settings.Stages, shale.Stage{Name: pay, Effect: "at_most_once", TimeLimitMs: 2000, DueTimeMs: 1000, Utility: 3, LateUtility: 0.5})
+	shape.Settings.Stages = append(shape.Settings.Stages, simulator.Stage{Name: pay, Effect: "at_most_once", TimeLimitMs: 2000, DueTimeMs: 1000, Utility: 3, LateUtility: 0.5})
 	shape.Descriptors = 512
 	worker := shape
 	if shape.Descriptors += 2 * p.IdleConns; p.IdleConns > 0 {
--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -2,7 +2,7 @@
 
 import (
 	"swiftcourse/admission"
-	"swiftcourse/internal/wire/shale"
+	"swiftcourse/internal/wire/simulator"
 )
 
 // noDownstream is the settings' word for a server that calls nothing.
@@ -42,7 +42,7 @@
 
 // AdmissionSettings puts the settings in the terms of package admission. A word that is not known
 // maps to the zero value of its type.
-func AdmissionSettings(given *shale.Told) admission.Settings {
+func AdmissionSettings(given *simulator.Told) admission.Settings {
 	own := &given.Own
 	contract := &given.Contract
 	settings := admission.Settings{
@@ -91,7 +91,7 @@
 }
 
 // admissionClass puts one class in the terms of package admission.
-func admissionClass(given *shale.Told, index int) admission.Class {
+func admissionClass(given *simulator.Told, index int) admission.Class {
 	from := &given.Stages[index]
 	class := admission.Class{
 		Idempotency:         idempotencyKinds[from.Effect],
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -7,7 +7,7 @@
 	"strconv"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/wire/shale"
+	"swiftcourse/internal/wire/simulator"
 )
 
 // The defaults of the JSON file: the largest limits that the platform ever gives, and a stop that
@@ -33,7 +33,7 @@
 	upstreamKey   = "catalog"
 	seedKey       = "seed"
 	settingsKey   = "settings"
-	classesKey    = settingsKey + "." + shale.StagesKey
+	classesKey    = settingsKey + "." + simulator.StagesKey
 	tenantsKey    = settingsKey + ".tenants"
 	preemptionKey = settingsKey + ".familyInfo.preemption"
 )
@@ -52,7 +52,7 @@
 		MemoryMb float64 `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Settings *shale.Told `json:"settings"`
+	Settings *simulator.Told `json:"settings"`
 }
 
 // environment is what a server is told beside the file.
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -9,7 +9,7 @@
 	"strconv"
 
 	"swiftcourse/admission"
-	"swiftcourse/internal/wire/shale"
+	"swiftcourse/internal/wire/simulator"
 )
 
 // The ranges of the limits in the JSON file.
@@ -126,7 +126,7 @@
 
 // checkSettings checks what has to be there, the words that name a choice, and what the executor's
 // protocol can't do.
-func checkSettings(settings *shale.Told, upstream string) error {
+func checkSettings(settings *simulator.Told, upstream string) error {
 	own := &settings.Own
 	_, knownDownstream := downstreamKinds[own.Below]
 	_, knownPreemption := preemptionKinds[own.Stopping]
@@ -169,7 +169,7 @@
 }
 
 // checkClass checks one class, whose keys begin with prefix.
-func checkClass(prefix string, class *shale.Stage) error {
+func checkClass(prefix string, class *simulator.Stage) error {
 	idempotency, known := idempotencyKinds[class.Effect]
 	if err := checkWord(prefix+"effect", class.Effect, known); err != nil {
 		return err
--- a/internal/server/executor.go
+++ b/internal/server/executor.go
@@ -12,7 +12,7 @@
 	"swiftcourse/internal/logging"
 	"swiftcourse/internal/requesttable"
 	"swiftcourse/internal/wire/processor"
-	"swiftcourse/internal/wire/shale"
+	"swiftcourse/internal/wire/simulator"
 )
 
 // silenceTimeout is how long, in seconds, a gauge request may go unanswered until the link is
@@ -192,7 +192,7 @@
 	s.decisions.gaugesAt = s.now()
 	for i, name := range s.startup.Gauges {
 		if i < len(notice.Gauges) {
-			shale.SetGauge(&s.decisions.gauges, name, notice.Gauges[i])
+			simulator.SetGauge(&s.decisions.gauges, name, notice.Gauges[i])
 		}
 	}
 }
--- a/internal/wire/shale/doc.go
+++ b/internal/wire/simulator/doc.go
@@ -1,4 +1,4 @@
-// Package shale is the codec of shale-6a31, the simulator's protocol: it reads batches of events, one a line,
+// Package simulator is the codec of shale-6a31, the simulator's protocol: it reads batches of events, one a line,
 // appends replies and maps the words on the wire to the types of package admission.
 //
 // Nothing is decided here. A Reader has the state that parsing needs: its buffers, and which gauges each
@@ -17,4 +17,4 @@
 //	SCHEDULE    SetTimer              LOG           LogLine            PANIC       Writer.Panic
 //
 // The settings' words stand at the fields of Told.
-package shale
+package simulator
--- a/internal/wire/shale/event.go
+++ b/internal/wire/simulator/event.go
@@ -1,4 +1,4 @@
-package shale
+package simulator
 
 import (
 	"encoding/json"
--- a/internal/wire/shale/settings.go
+++ b/internal/wire/simulator/settings.go
@@ -1,4 +1,4 @@
-package shale
+package simulator
 
 // Told is the document with which the simulator starts a server, and the part `settings` of the operator's
 // file. Unknown keys are skipped. A number is never under 0, and never over its tag `most`: package config
