--- a/internal/bench/twolevel/levels.go
+++ b/internal/bench/twolevel/levels.go
@@ -147,7 +147,7 @@
 		for _, name := range f.PlannerNames() {
 			f.Server(name).Kill()
 		}
-	} else if !faultinjection.WaitUntil(settles, func() bool { return len(f.Events("", "fleet_plan")) >= p.Forwarders }) {
+	} else if !faultinjection.WaitUntil(settles, func() bool { return len(f.Events("", "load_planner_changed")) >= p.Forwarders }) {
 		return fmt.Errorf("forwarders have no plan after %s", settles)
 	}
 	asking, end := context.WithCancel(ctx)
@@ -250,13 +250,13 @@
 func stale(f *faultinjection.Fleet) (n int) {
 	for _, name := range f.ForwarderNames() {
 		var was [2]uint64
-		for _, s := range f.Events(name, "fleet_plan") {
-			founding, _ := strconv.ParseUint(s.Fields["founding"], 10, 64)
+		for _, s := range f.Events(name, "load_planner_changed") {
+			clusterID, _ := strconv.ParseUint(s.Fields["cluster_id"], 10, 64)
 			term, _ := strconv.ParseUint(s.Fields["term"], 10, 64)
-			if founding < was[0] || founding == was[0] && term < was[1] {
+			if clusterID < was[0] || clusterID == was[0] && term < was[1] {
 				n++
 			}
-			was = [2]uint64{founding, term}
+			was = [2]uint64{clusterID, term}
 		}
 	}
 	return n
