--- a/cmd/swiftcourse-bench/main.go
+++ b/cmd/swiftcourse-bench/main.go
@@ -183,7 +183,7 @@
 	if c.Seeds < 1 || c.Seeds > 1000 {
 		return fmt.Errorf("--seeds %d: from 1 to 1000", c.Seeds)
 	}
-	text := simulation.Example
+	text := simulation.ExampleScenario
 	if c.Scenario != "" {
 		var err error
 		if text, err = os.ReadFile(c.Scenario); err != nil {
@@ -204,12 +204,12 @@
 		r := simulation.Run(scenario)
 		took := time.Since(from).Seconds()
 		reports = append(reports, r)
-		broken += r.Rules
-		if err := print("", simulation.Heads, r.Rows, nil); err != nil {
+		broken += r.ViolationCount
+		if err := print("", simulation.ClassColumns, r.Rows, nil); err != nil {
 			return err
 		}
-		fmt.Printf("seed %d: %d runs, %.3f of the work for nobody, %d rules broken\n", r.Seed, r.Runs, r.Wasted, r.Rules)
-		for _, b := range r.Broken {
+		fmt.Printf("seed %d: %d runs, %.3f of the work for nobody, %d rules broken\n", r.Seed, r.Runs, r.WastedShare, r.ViolationCount)
+		for _, b := range r.Violations {
 			fmt.Println("  " + b)
 		}
 		fmt.Fprintf(os.Stderr, "%d events in %.2f s: %.1f simulated seconds a second\n", r.Events, took, scenario.Seconds/took)
@@ -247,11 +247,11 @@
 	var rows []rollouts.Row
 	var err error
 	for range c.Seeds {
-		plan := &rollouts.Plan{Program: c.Server, Servers: c.Servers, Seconds: c.Seconds, Seed: c.Seed, Quiet: !c.Faults, Rate: c.Rate}
+		plan := &rollouts.Plan{Program: c.Server, Servers: c.Servers, Seconds: c.Seconds, Seed: c.Seed, NoFaults: !c.Faults, RequestRate: c.Rate}
 		if c.Log {
 			plan.Log = os.Stderr
 		}
-		if err = plan.Check(); err != nil {
+		if err = plan.Validate(); err != nil {
 			break
 		}
 		var row rollouts.Row
@@ -259,13 +259,13 @@
 			break
 		}
 		rows = append(rows, row)
-		if bad := row.TwoDigests + row.ActedOut + row.Disagrees + row.Unhealed; bad > 0 {
+		if bad := row.ConflictingDigests + row.ServedWhileEjected + row.AuditMismatches + row.Unhealed; bad > 0 {
 			fmt.Fprintf(os.Stderr, "seed %d: %d of what must not be; swiftcourse-bench audit --servers %d --seconds %g --seed %d --log shows it again\n", row.Seed, bad,
 				c.Servers, c.Seconds, row.Seed)
 		}
 		c.Seed++
 	}
-	return print(c.JSON, rollouts.Heads, rows, err)
+	return print(c.JSON, rollouts.Columns, rows, err)
 }
 
 type replicaCommand struct {
@@ -292,12 +292,12 @@
 	var err error
 	bad := 0
 	for range c.Seeds {
-		plan := &keyclaims.Plan{Program: c.Server, Servers: c.Servers, Copies: c.Copies, Kills: c.Kills, Seconds: c.Seconds, Seed: c.Seed, Quiet: !c.Faults,
-			Points: c.Points, Cost: c.Cost, Rate: c.Rate}
+		plan := &keyclaims.Plan{Program: c.Server, Servers: c.Servers, ReplicationFactor: c.Copies, Kills: c.Kills, Seconds: c.Seconds, Seed: c.Seed, KillsOnly: !c.Faults,
+			CrashPoints: c.Points, MeasureCost: c.Cost, AttemptRate: c.Rate}
 		if c.Log {
 			plan.Log = os.Stderr
 		}
-		if err = plan.Check(); err != nil {
+		if err = plan.Validate(); err != nil {
 			break
 		}
 		var row keyclaims.Row
@@ -305,10 +305,10 @@
 			break
 		}
 		rows = append(rows, row)
-		bad += row.Bad()
-		if row.Bad() > 0 {
+		bad += row.Violations()
+		if row.Violations() > 0 {
 			fmt.Fprintf(os.Stderr, "seed %d: %d of what must not be; swiftcourse-bench replica --servers %d --copies %d --kills %d --seconds %g --seed %d --log shows it again\n",
-				row.Seed, row.Bad(), c.Servers, c.Copies, c.Kills, c.Seconds, row.Seed)
+				row.Seed, row.Violations(), c.Servers, c.Copies, c.Kills, c.Seconds, row.Seed)
 		}
 		if c.Seed++; ctx.Err() != nil {
 			break
@@ -317,7 +317,7 @@
 	if err == nil && bad > 0 {
 		err = fmt.Errorf("%d of what must not be", bad)
 	}
-	return print(c.JSON, keyclaims.Heads, rows, err)
+	return print(c.JSON, keyclaims.Columns, rows, err)
 }
 
 type versionCommand struct {
@@ -335,21 +335,21 @@
 	if c.Seeds < 1 || c.Seeds > 10_000 {
 		return fmt.Errorf("--seeds %d: from 1 to 10000", c.Seeds)
 	}
-	var rows []simulation.VersionsRow
+	var rows []simulation.RolloutRow
 	broken := 0
 	for range c.Seeds {
-		plan := &simulation.Versions{Servers: c.Servers, Voters: c.Voters, Seconds: c.Seconds, Seed: c.Seed, Quiet: !c.Faults, Keys: c.Keys}
-		if err := plan.Check(); err != nil {
+		plan := &simulation.RolloutPlan{Servers: c.Servers, Voters: c.Voters, Seconds: c.Seconds, Seed: c.Seed, Quiet: !c.Faults, KeyRate: c.Keys}
+		if err := plan.Validate(); err != nil {
 			return err
 		}
-		row := simulation.RunVersions(plan)
-		if k := row.Claimed; c.Keys > 0 {
+		row := simulation.RunRollout(plan)
+		if k := row.Claims; c.Keys > 0 {
 			fmt.Printf("seed %d: %d tries of %d keys, %d runs, told %v, untold %d, twice %d, wrong %d, alarms %d, differ %d; grants p50 %.1f ms, p99 %.1f ms\n", row.Seed,
-				k.Tries, k.Keys, k.Runs, k.Told, k.Untold, k.Twice, k.Wrong, k.Alarms, k.Differ, k.ClaimP50, k.ClaimP99)
-			broken += k.Untold + k.Twice + k.Wrong + k.Alarms + k.Differ
+				k.Attempts, k.Keys, k.Runs, k.Verdicts, k.Unanswered, k.RepeatedRuns, k.WrongResults, k.ConflictingResults, k.SlotsOutOfSync, k.ClaimP50, k.ClaimP99)
+			broken += k.Unanswered + k.RepeatedRuns + k.WrongResults + k.ConflictingResults + k.SlotsOutOfSync
 		}
 		rows = append(rows, row)
-		broken += row.TwoDigests + row.ActedOut + row.TooMany + row.Unhealed
+		broken += row.ConflictingDigests + row.ServedWhileEjected + row.TooManyUnavailable + row.Unhealed
 		if c.Seed++; ctx.Err() != nil {
 			break
 		}
@@ -358,7 +358,7 @@
 	if broken > 0 {
 		err = fmt.Errorf("%d of what must not be", broken)
 	}
-	return print(c.JSON, simulation.VersionsHeads, rows, err)
+	return print(c.JSON, simulation.RolloutColumns, rows, err)
 }
 
 type sharedCommand struct {
@@ -379,19 +379,19 @@
 	if c.Program != "" {
 		return c.processes(ctx)
 	}
-	return emulated(ctx, c.Seeds, c.JSON, simulation.SharedHeads, func() (simulation.SharedRow, error) {
-		plan := &simulation.Shared{Servers: c.Servers, Voters: c.Voters, Seconds: c.Seconds, Seed: c.Seed}
+	return emulated(ctx, c.Seeds, c.JSON, simulation.QuotaColumns, func() (simulation.QuotaRow, error) {
+		plan := &simulation.QuotaPlan{Servers: c.Servers, Voters: c.Voters, Seconds: c.Seconds, Seed: c.Seed}
 		c.Seed++
-		if err := plan.Check(); err != nil {
-			return simulation.SharedRow{}, err
+		if err := plan.Validate(); err != nil {
+			return simulation.QuotaRow{}, err
 		}
-		return simulation.RunShared(plan), nil
+		return simulation.RunQuota(plan), nil
 	})
 }
 
 // emulated plays seeds one after the other, and prints their rows.
 func emulated[R interface {
-	Bad() int
+	Violations() int
 	Cells() []string
 }](ctx context.Context, seeds int, json string, heads []string, play func() (R, error)) error {
 	var rows []R
@@ -402,7 +402,7 @@
 			return err
 		}
 		rows = append(rows, row)
-		bad += row.Bad()
+		bad += row.Violations()
 		if ctx.Err() != nil {
 			break
 		}
@@ -427,13 +427,13 @@
 	if c.Seeds < 1 || c.Seeds > 10_000 {
 		return fmt.Errorf("--seeds %d: from 1 to 10000", c.Seeds)
 	}
-	return emulated(ctx, c.Seeds, c.JSON, simulation.CountsHeads, func() (simulation.CountsRow, error) {
-		plan := &simulation.Counts{Servers: c.Servers, Voters: c.Voters, Seconds: c.Seconds, Seed: c.Seed}
+	return emulated(ctx, c.Seeds, c.JSON, simulation.CounterColumns, func() (simulation.CounterRow, error) {
+		plan := &simulation.CounterPlan{Servers: c.Servers, Voters: c.Voters, Seconds: c.Seconds, Seed: c.Seed}
 		c.Seed++
-		if err := plan.Check(); err != nil {
-			return simulation.CountsRow{}, err
+		if err := plan.Validate(); err != nil {
+			return simulation.CounterRow{}, err
 		}
-		return simulation.RunCounts(plan), nil
+		return simulation.RunCounters(plan), nil
 	})
 }
 
@@ -446,7 +446,7 @@
 		if c.Fault != "seed" {
 			plan.Fault = c.Fault
 		}
-		if err := plan.Check(); err != nil {
+		if err := plan.Validate(); err != nil {
 			return err
 		}
 		row, err := quotas.Run(ctx, plan)
@@ -454,7 +454,7 @@
 			return err
 		}
 		rows = append(rows, row)
-		bad += row.Bad()
+		bad += row.Violations()
 		if c.Seed++; ctx.Err() != nil {
 			break
 		}
@@ -463,7 +463,7 @@
 	if bad > 0 {
 		err = fmt.Errorf("%d of what must not be", bad)
 	}
-	return print(c.JSON, quotas.Heads, rows, err)
+	return print(c.JSON, quotas.Columns, rows, err)
 }
 
 type fleetCommand struct {
@@ -511,14 +511,14 @@
 }
 
 func (c *levelsCommand) Run(ctx context.Context) error {
-	return emulated(ctx, c.Seeds, c.JSON, simulation.LevelsHeads, func() (simulation.LevelsRow, error) {
-		plan := &simulation.Levels{Forwarders: c.Forwarders, Planners: c.Planners, Workers: c.Workers, Seconds: c.Seconds, KillEvery: c.KillEvery, Alone: c.Alone,
-			Blind: c.Blind, Load: c.Load, Seed: c.Seed}
+	return emulated(ctx, c.Seeds, c.JSON, simulation.TwoLevelColumns, func() (simulation.TwoLevelRow, error) {
+		plan := &simulation.TwoLevelPlan{Forwarders: c.Forwarders, Planners: c.Planners, Workers: c.Workers, Seconds: c.Seconds, FaultInterval: c.KillEvery, NoPlanners: c.Alone,
+			PartialReach: c.Blind, Load: c.Load, Seed: c.Seed}
 		c.Seed++
-		if err := plan.Check(); err != nil {
-			return simulation.LevelsRow{}, err
+		if err := plan.Validate(); err != nil {
+			return simulation.TwoLevelRow{}, err
 		}
-		return simulation.RunLevels(plan), nil
+		return simulation.RunTwoLevel(plan), nil
 	})
 }
 
--- a/internal/bench/rollouts/versions.go
+++ b/internal/bench/rollouts/versions.go
@@ -22,62 +22,62 @@
 
 // Plan is one run.
 type Plan struct {
-	Program string
-	Servers int
-	Seconds float64
-	Seed    uint64
-	Quiet   bool    // no faults
-	Rate    float64 // tasks a second and server
-	Log     io.Writer
+	Program     string
+	Servers     int
+	Seconds     float64
+	Seed        uint64
+	NoFaults    bool    // no faults
+	RequestRate float64 // tasks a second and server
+	Log         io.Writer
 }
 
-// Check tells what is wrong with a plan.
-func (p *Plan) Check() error {
-	if p.Servers < 1 || p.Servers > 30 || p.Seconds < 2 || p.Seconds > 600 || p.Rate <= 0 || p.Rate > 150 {
-		return fmt.Errorf("--servers %d --seconds %g --rate %g: from 1 to 30, from 2 to 600, and over 0 to 150", p.Servers, p.Seconds, p.Rate)
+// Validate tells what is wrong with a plan.
+func (p *Plan) Validate() error {
+	if p.Servers < 1 || p.Servers > 30 || p.Seconds < 2 || p.Seconds > 600 || p.RequestRate <= 0 || p.RequestRate > 150 {
+		return fmt.Errorf("--servers %d --seconds %g --rate %g: from 1 to 30, from 2 to 600, and over 0 to 150", p.Servers, p.Seconds, p.RequestRate)
 	}
 	return nil
 }
 
 // Row is what a run came to.
 type Row struct {
-	Seed         uint64  `json:"seed"`
-	Servers      int     `json:"servers"`
-	Releases     int     `json:"releases"`
-	Faults       int     `json:"faults"`
-	TwoDigests   int     `json:"epochs_with_two_digests"`
-	ActedOut     int     `json:"acted_while_shut_out"`
-	Disagrees    int     `json:"audit_disagrees"`
-	Holes        int     `json:"audit_holes"`
-	Unhealed     int     `json:"unhealed"` // servers not on the newest version at the end
-	CatchUpP50   float64 `json:"catch_up_p50_ms"`
-	CatchUpP99   float64 `json:"catch_up_p99_ms"`
-	CatchUpMax   float64 `json:"catch_up_max_ms"`
-	CatchUps     int     `json:"catch_ups"`
-	ShutOutAfter float64 `json:"shut_out_after_ms"` // of one that can't apply a release, from when its operator had the word; -1 for never
-	Service      float64 `json:"service"`
-	ServiceAlone float64 `json:"service_alone"` // the same seed with the fleet's parts off
-	TalkBytes    float64 `json:"talk_bytes_s"`  // that a server sends
-	CPU          float64 `json:"cpu_share"`     // of a core, a server
-	CPUAlone     float64 `json:"cpu_share_alone"`
+	Seed                 uint64  `json:"seed"`
+	Servers              int     `json:"servers"`
+	Releases             int     `json:"releases"`
+	Faults               int     `json:"faults"`
+	ConflictingDigests   int     `json:"epochs_with_two_digests"`
+	ServedWhileEjected   int     `json:"acted_while_shut_out"`
+	AuditMismatches      int     `json:"audit_disagrees"`
+	AuditGaps            int     `json:"audit_holes"`
+	Unhealed             int     `json:"unhealed"` // servers not on the newest version at the end
+	CatchUpP50           float64 `json:"catch_up_p50_ms"`
+	CatchUpP99           float64 `json:"catch_up_p99_ms"`
+	CatchUpMax           float64 `json:"catch_up_max_ms"`
+	CatchUps             int     `json:"catch_ups"`
+	EjectedAfterMillis   float64 `json:"shut_out_after_ms"` // of one that can't apply a release, from when its operator had the word; -1 for never
+	FinishedShare        float64 `json:"service"`
+	FinishedShareAlone   float64 `json:"service_alone"` // the same seed with the fleet's parts off
+	GossipBytesPerSecond float64 `json:"talk_bytes_s"`  // that a server sends
+	CPU                  float64 `json:"cpu_share"`     // of a core, a server
+	CPUAlone             float64 `json:"cpu_share_alone"`
 }
 
-// Heads and Cells are those of the table.
-var Heads = []string{"seed", "servers", "releases", "faults", "two digests", "acted out", "disagrees", "holes", "unhealed", "p50 ms", "p99 ms", "max ms", "out ms",
+// Columns and Cells are those of the table.
+var Columns = []string{"seed", "servers", "releases", "faults", "two digests", "acted out", "disagrees", "holes", "unhealed", "p50 ms", "p99 ms", "max ms", "out ms",
 	"service", "alone", "talk B/s", "cpu", "alone"}
 
 // Cells are a row's in the table.
 func (r Row) Cells() []string {
 	return strings.Fields(fmt.Sprintf("%d %d %d %d %d %d %d %d %d %.0f %.0f %.0f %.0f %.4f %.4f %.0f %.4f %.4f", r.Seed, r.Servers, r.Releases, r.Faults,
-		r.TwoDigests, r.ActedOut, r.Disagrees, r.Holes, r.Unhealed, r.CatchUpP50, r.CatchUpP99, r.CatchUpMax, r.ShutOutAfter, r.Service, r.ServiceAlone,
-		r.TalkBytes, r.CPU, r.CPUAlone))
+		r.ConflictingDigests, r.ServedWhileEjected, r.AuditMismatches, r.AuditGaps, r.Unhealed, r.CatchUpP50, r.CatchUpP99, r.CatchUpMax, r.EjectedAfterMillis, r.FinishedShare, r.FinishedShareAlone,
+		r.GossipBytesPerSecond, r.CPU, r.CPUAlone))
 }
 
-// terms are short, so that a run of seconds sees leases end.
-const terms = "door on\nfleet-lease 2s\nfleet-behind 2s\nfleet-wave 500ms\n"
+// shortLeases are short, so that a run of seconds sees leases end.
+const shortLeases = "door on\nfleet-lease 2s\nfleet-behind 2s\nfleet-wave 500ms\n"
 
-// healIn is how long a fleet has to agree after the last fault: ten leases.
-const healIn = 20 * time.Second
+// healTimeout is how long a fleet has to agree after the last fault: ten leases.
+const healTimeout = 20 * time.Second
 
 // Run plays a seed, with the fleet's parts and without.
 func Run(ctx context.Context, p *Plan) (Row, error) {
@@ -86,66 +86,66 @@
 		return row, fmt.Errorf("seed %d: %w", p.Seed, err)
 	}
 	alone, err := p.play(ctx, false)
-	row.ServiceAlone, row.CPUAlone = alone.Service, alone.CPU
+	row.FinishedShareAlone, row.CPUAlone = alone.FinishedShare, alone.CPU
 	return row, err
 }
 
-// run is one of a plan's two.
-type run struct {
+// experiment is one of a plan's two.
+type experiment struct {
 	*Plan
-	fleet     *faultinjection.Fleet
-	chance    *rand.Rand
-	names     []string
-	mu        sync.Mutex
-	disturbed map[string][][2]time.Time // when a server may be hindered by what was done to it
-	released  map[release.Epoch]time.Time
-	row       Row
-	undo      []func()
-	releasing sync.WaitGroup
+	fleet       *faultinjection.Fleet
+	random      *rand.Rand
+	serverNames []string
+	mu          sync.Mutex
+	disturbed   map[string][][2]time.Time // when a server may be hindered by what was done to it
+	released    map[release.Epoch]time.Time
+	row         Row
+	pendingUndo []func()
+	releasing   sync.WaitGroup
 }
 
 func (p *Plan) play(ctx context.Context, talk bool) (Row, error) {
-	r := &run{Plan: p, chance: rand.New(rand.NewPCG(p.Seed, 11)), disturbed: map[string][][2]time.Time{}, released: map[release.Epoch]time.Time{},
+	r := &experiment{Plan: p, random: rand.New(rand.NewPCG(p.Seed, 11)), disturbed: map[string][][2]time.Time{}, released: map[release.Epoch]time.Time{},
 		row: Row{Seed: p.Seed, Servers: p.Servers}}
 	shape := faultinjection.SmallShape(p.Program)
 	shape.Log = p.Log
-	f, err := faultinjection.Start(ctx, faultinjection.Config{Shape: shape, Servers: p.Servers, Voters: min(p.Servers, 3+2*(p.Servers/15)), ExtraSettings: terms,
+	f, err := faultinjection.Start(ctx, faultinjection.Config{Shape: shape, Servers: p.Servers, Voters: min(p.Servers, 3+2*(p.Servers/15)), ExtraSettings: shortLeases,
 		ExtraSettingsByName: map[string]string{fmt.Sprint("n", p.Servers): "door-prefix-ipv4 16"}, Seed: p.Seed, FleetDisabled: !talk})
 	if err != nil {
 		return r.row, err
 	}
 	defer f.Close()
-	r.fleet, r.names = f, f.Names
-	if talk && !faultinjection.WaitUntil(healIn, func() bool { return f.AllActiveOn(1, f.Names...) }) {
-		return r.row, fmt.Errorf("no first version within %s", healIn)
+	r.fleet, r.serverNames = f, f.Names
+	if talk && !faultinjection.WaitUntil(healTimeout, func() bool { return f.AllActiveOn(1, f.Names...) }) {
+		return r.row, fmt.Errorf("no first version within %s", healTimeout)
 	}
 	var addrs []string
 	for _, s := range f.Servers {
 		addrs = append(addrs, s.Addr)
 	}
-	usedBefore, sentBefore := r.used(), r.sent()
+	usedBefore, sentBefore := r.processorSeconds(), r.bytesSent()
 	from := time.Now()
-	l, err := loadgen.Start(ctx, loadgen.Plan{Addrs: addrs, Conns: 2, Rate: p.Rate * float64(p.Servers), Stage: faultinjection.PingClass, Wait: 1500 * time.Millisecond, Seed: p.Seed})
+	l, err := loadgen.Start(ctx, loadgen.Plan{Addrs: addrs, Conns: 2, Rate: p.RequestRate * float64(p.Servers), Stage: faultinjection.PingClass, Wait: 1500 * time.Millisecond, Seed: p.Seed})
 	if err != nil {
 		return r.row, err
 	}
-	r.stir(ctx, talk)
+	r.injectFaults(ctx, talk)
 	took := l.Stop()
 	stretch := time.Since(from).Seconds()
-	r.row.Service = float64(took.Finished) / float64(max(1, took.Sent+took.Unsent))
-	r.row.CPU = (r.used() - usedBefore) / stretch / float64(p.Servers)
-	r.row.TalkBytes = float64(r.sent()-sentBefore) / stretch / float64(p.Servers)
-	for _, undo := range r.undo {
+	r.row.FinishedShare = float64(took.Finished) / float64(max(1, took.Sent+took.Unsent))
+	r.row.CPU = (r.processorSeconds() - usedBefore) / stretch / float64(p.Servers)
+	r.row.GossipBytesPerSecond = float64(r.bytesSent()-sentBefore) / stretch / float64(p.Servers)
+	for _, undo := range r.pendingUndo {
 		undo()
 	}
 	if talk {
-		err = r.judge()
+		err = r.verify()
 	}
 	return r.row, err
 }
 
-// used is the processor time of all, in seconds; one that was killed took its own with it, so it is told too low then.
-func (r *run) used() (all float64) {
+// processorSeconds is the processor time of all, in seconds; one that was killed took its own with it, so it is told too low then.
+func (r *experiment) processorSeconds() (all float64) {
 	for _, s := range r.fleet.Servers {
 		if u, err := s.Used(); err == nil {
 			all += u
@@ -154,71 +154,71 @@
 	return all
 }
 
-func (r *run) sent() (all int64) {
-	for _, name := range r.names {
+func (r *experiment) bytesSent() (all int64) {
+	for _, name := range r.serverNames {
 		all += r.fleet.Net.BytesSent(name)
 	}
 	return all
 }
 
-// stir does something every half second or so: what it draws does not depend on what the servers do, so that a run with the fleet's parts and one
+// injectFaults does something every half second or so: what it draws does not depend on what the servers do, so that a run with the fleet's parts and one
 // without have the same faults.
-func (r *run) stir(ctx context.Context, talk bool) {
+func (r *experiment) injectFaults(ctx context.Context, talk bool) {
 	end := time.Now().Add(time.Duration(r.Seconds * float64(time.Second)))
-	pick := func() string { return r.names[r.chance.IntN(len(r.names))] }
+	pick := func() string { return r.serverNames[r.random.IntN(len(r.serverNames))] }
 	for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
-		what, name, at, length := r.chance.IntN(10), pick(), pick(), time.Duration(300+r.chance.IntN(3500))*time.Millisecond
-		split := r.chance.Uint64()
-		if what >= 5 || r.Quiet {
+		what, name, at, length := r.random.IntN(10), pick(), pick(), time.Duration(300+r.random.IntN(3500))*time.Millisecond
+		split := r.random.Uint64()
+		if what >= 5 || r.NoFaults {
 			if talk && what >= 5 {
-				text, waves := fmt.Sprintf("door-come-back %dms\n", 200+n), []float64{0.4}[:r.chance.IntN(2)]
+				text, waves := fmt.Sprintf("door-come-back %dms\n", 200+n), []float64{0.4}[:r.random.IntN(2)]
 				r.releasing.Go(func() { r.release(at, text, waves) })
 			}
-			time.Sleep(time.Duration(300+r.chance.IntN(600)) * time.Millisecond)
+			time.Sleep(time.Duration(300+r.random.IntN(600)) * time.Millisecond)
 			continue
 		}
 		r.row.Faults++
 		switch what {
 		case 0:
-			r.hinder(length, name)
+			r.markDisturbed(length, name)
 			if r.fleet.Pause(name) == nil {
-				r.later(length, func() { _ = r.fleet.Resume(name) })
+				r.undoAfter(length, func() { _ = r.fleet.Resume(name) })
 			}
 		case 1:
-			r.hinder(5*time.Second, name)
+			r.markDisturbed(5*time.Second, name)
 			r.mu.Lock()
 			_ = r.fleet.Resume(name)
 			_ = r.fleet.KillAndRestart(ctx, name)
 			r.mu.Unlock()
 		case 2: // a cut down the middle
 			var groups [2][]string
-			for i, n := range r.names {
+			for i, n := range r.serverNames {
 				groups[split>>i&1] = append(groups[split>>i&1], n)
 			}
-			r.hinder(length, r.names...)
+			r.markDisturbed(length, r.serverNames...)
 			r.fleet.Net.Partition(groups[0], groups[1])
-			r.later(length, r.fleet.Net.Heal)
+			r.undoAfter(length, r.fleet.Net.Heal)
 		case 3: // one way
-			r.hinder(length, r.names...)
-			for _, from := range r.names {
+			r.markDisturbed(length, r.serverNames...)
+			for _, from := range r.serverNames {
 				r.fleet.Net.SetLink(from, name, faultinjection.Link{Cut: true})
 			}
-			r.later(length, r.fleet.Net.Heal)
+			r.undoAfter(length, r.fleet.Net.Heal)
 		case 4:
-			r.hinder(length, r.names...)
-			for _, a := range r.names {
-				for _, b := range r.names {
+			r.markDisturbed(length, r.serverNames...)
+			for _, a := range r.serverNames {
+				for _, b := range r.serverNames {
 					r.fleet.Net.SetLink(a, b, faultinjection.Link{Loss: 0.3, Duplicate: 0.2, Delay: 5 * time.Millisecond, Jitter: 80 * time.Millisecond})
 				}
 			}
-			r.later(length, r.fleet.Net.Heal)
+			r.undoAfter(length, r.fleet.Net.Heal)
 		}
-		time.Sleep(time.Duration(200+r.chance.IntN(800)) * time.Millisecond)
+		time.Sleep(time.Duration(200+r.random.IntN(800)) * time.Millisecond)
 	}
 }
 
-// hinder notes that servers may be behind for what is done to them, until a lease after it is over.
-func (r *run) hinder(length time.Duration, names ...string) {
+// markDisturbed notes that servers may be behind for what is done to them, until a lease after it is over.
+func (r *experiment) markDisturbed(length time.Duration, names ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, name := range names {
@@ -227,7 +227,7 @@
 	}
 }
 
-func (r *run) later(length time.Duration, undo func()) {
+func (r *experiment) undoAfter(length time.Duration, undo func()) {
 	done := make(chan struct{})
 	time.AfterFunc(length, func() {
 		r.mu.Lock()
@@ -235,10 +235,10 @@
 		r.mu.Unlock()
 		close(done)
 	})
-	r.undo = append(r.undo, func() { <-done })
+	r.pendingUndo = append(r.pendingUndo, func() { <-done })
 }
 
-func (r *run) release(at, text string, waves []float64) {
+func (r *experiment) release(at, text string, waves []float64) {
 	e, err := r.fleet.Release(at, text, waves...)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -250,52 +250,52 @@
 	}
 }
 
-// judge waits until the fleet has healed, and holds its audit against the ledger.
-func (r *run) judge() error {
+// verify waits until the fleet has healed, and holds its audit against the ledger.
+func (r *experiment) verify() error {
 	f := r.fleet
 	r.releasing.Wait()
 	var s *fleet.Status
 	var err error
-	healed := faultinjection.WaitUntil(healIn, func() bool {
-		if s, err = f.Status(r.names[0]); err != nil {
+	healed := faultinjection.WaitUntil(healTimeout, func() bool {
+		if s, err = f.Status(r.serverNames[0]); err != nil {
 			return false
 		}
-		return s.ReleaseLog.Next == nil && len(s.Servers) >= len(r.names) && f.AllActiveOn(s.ReleaseLog.Current.Epoch, r.names...)
+		return s.ReleaseLog.Next == nil && len(s.Servers) >= len(r.serverNames) && f.AllActiveOn(s.ReleaseLog.Current.Epoch, r.serverNames...)
 	})
 	if err != nil {
 		return err
 	}
 	if !healed {
-		for _, name := range r.names {
+		for _, name := range r.serverNames {
 			if f.ActiveEpoch(name) < s.ReleaseLog.NewestEpoch() {
 				r.row.Unhealed++
 			}
 		}
 		r.row.Unhealed = max(1, r.row.Unhealed)
 	}
-	if s, err = f.Status(r.names[len(r.names)-1]); err != nil { // of all that was done, by another server
+	if s, err = f.Status(r.serverNames[len(r.serverNames)-1]); err != nil { // of all that was done, by another server
 		return err
 	}
-	r.row.TwoDigests = len(f.ConflictingDigestEpochs())
-	r.row.ActedOut = r.actedOut()
-	r.row.Disagrees, r.row.Holes = r.disagrees(s)
-	r.catchUps()
-	return r.shutOut()
+	r.row.ConflictingDigests = len(f.ConflictingDigestEpochs())
+	r.row.ServedWhileEjected = r.countServedWhileEjected()
+	r.row.AuditMismatches, r.row.AuditGaps = r.compareAudit(s)
+	r.measureCatchUp()
+	return r.measureEjection()
 }
 
-// shutOut releases what one server can't apply, and measures when the order has it shut out.
-func (r *run) shutOut() error {
-	last := r.names[len(r.names)-1]
-	r.row.ShutOutAfter = -1
+// measureEjection releases what one server can't apply, and measures when the order has it shut out.
+func (r *experiment) measureEjection() error {
+	last := r.serverNames[len(r.serverNames)-1]
+	r.row.EjectedAfterMillis = -1
 	before := len(r.fleet.Events("", "command_finished"))
-	if _, err := r.fleet.Release(r.names[0], "door-prefix-ipv4 24\n"); err != nil { // what the others have already
+	if _, err := r.fleet.Release(r.serverNames[0], "door-prefix-ipv4 24\n"); err != nil { // what the others have already
 		return err
 	}
 	from := time.Now()
-	faultinjection.WaitUntil(healIn, func() bool {
+	faultinjection.WaitUntil(healTimeout, func() bool {
 		for _, s := range r.fleet.Events("", "command_finished")[before:] {
 			if s.Fields["command"] == "eject" && s.Fields["name"] == last && s.Fields["rejected"] == "<nil>" {
-				r.row.ShutOutAfter = 1000 * s.Time.Sub(from).Seconds()
+				r.row.EjectedAfterMillis = 1000 * s.Time.Sub(from).Seconds()
 				return true
 			}
 		}
@@ -304,8 +304,8 @@
 	return nil
 }
 
-// lives splits what a server said by its lives, named as the audit names them.
-func lives(f *faultinjection.Fleet, name string) (ids []uint64, acts map[uint64][]faultinjection.LogEvent) {
+// configsByIncarnation splits what a server said by its lives, named as the audit names them.
+func configsByIncarnation(f *faultinjection.Fleet, name string) (ids []uint64, acts map[uint64][]faultinjection.LogEvent) {
 	acts = map[uint64][]faultinjection.LogEvent{}
 	for _, s := range f.Events(name, "") {
 		switch s.Event {
@@ -325,10 +325,10 @@
 	return ids, acts
 }
 
-// disagrees counts where the audit says other than the servers did: an interval that was not, or one that was and is neither told nor in a hole.
-func (r *run) disagrees(s *fleet.Status) (wrong, holes int) {
-	for _, name := range r.names {
-		ids, acts := lives(r.fleet, name)
+// compareAudit counts where the audit says other than the servers did: an interval that was not, or one that was and is neither told nor in a hole.
+func (r *experiment) compareAudit(s *fleet.Status) (wrong, holes int) {
+	for _, name := range r.serverNames {
+		ids, acts := configsByIncarnation(r.fleet, name)
 		for i, id := range ids {
 			told := map[string]bool{}
 			hole := slices.ContainsFunc(s.Audit.Gaps, func(h audit.Gap) bool { return h.Name == name && h.Incarnation == id })
@@ -359,8 +359,8 @@
 	return wrong, holes
 }
 
-// actedOut counts servers that said they serve while the order had them shut out.
-func (r *run) actedOut() (n int) {
+// countServedWhileEjected counts servers that said they serve while the order had them shut out.
+func (r *experiment) countServedWhileEjected() (n int) {
 	out := map[string]time.Time{}
 	for _, s := range r.fleet.Events("", "command_finished") {
 		name := s.Fields["name"]
@@ -389,13 +389,13 @@
 	return n
 }
 
-// catchUps measures how soon servers that could hear acted on a release to all, from when its operator had the word.
-func (r *run) catchUps() {
+// measureCatchUp measures how soon servers that could hear acted on a release to all, from when its operator had the word.
+func (r *experiment) measureCatchUp() {
 	var took []float64
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for e, at := range r.released {
-		for _, name := range r.names {
+		for _, name := range r.serverNames {
 			if slices.ContainsFunc(r.disturbed[name], func(d [2]time.Time) bool { return at.After(d[0]) && at.Before(d[1]) }) {
 				continue
 			}
--- a/internal/bench/simulation/claims.go
+++ b/internal/bench/simulation/claims.go
@@ -15,151 +15,151 @@
 
 // Terms of the keys of an emulated fleet. Its holders are the first servers, 48 at the most.
 const (
-	keyWindow  = 20.0
-	keyLongest = 1.0
-	maxHolders = 48
-	keyCopies  = 3
+	claimRetention    = 20.0
+	maxClaimDuration  = 1.0
+	maxReplicas       = 48
+	replicationFactor = 3
 	// repeats are drawn from so many of the latest keys, half of all tries.
-	lateKeys = 30
+	recentKeys = 30
 )
 
-// KeysRow is what became of the keys.
-type KeysRow struct {
-	Tries    int     `json:"tries"`
-	Keys     int     `json:"keys"`
-	Runs     int     `json:"runs"`
-	Told     [4]int  `json:"told"`   // by ruling: may run, known, may have, no quorum
-	Untold   int     `json:"untold"` // tries of servers that lived on and were told nothing
-	Twice    int     `json:"twice"`  // runs within the window of another
-	Wrong    int     `json:"wrong"`  // results that no run of the key had
-	Alarms   int     `json:"alarms"` // keys with two results at a holder
-	Differ   int     `json:"differ"` // slots that are cold or differ, once healed
-	ClaimP50 float64 `json:"p50_ms"` // from a claim to its grant
-	ClaimP99 float64 `json:"p99_ms"` // the same
+// ClaimsRow is what became of the keys.
+type ClaimsRow struct {
+	Attempts           int     `json:"tries"`
+	Keys               int     `json:"keys"`
+	Runs               int     `json:"runs"`
+	Verdicts           [4]int  `json:"told"`   // by ruling: may run, known, may have, no quorum
+	Unanswered         int     `json:"untold"` // tries of servers that lived on and were told nothing
+	RepeatedRuns       int     `json:"twice"`  // runs within the window of another
+	WrongResults       int     `json:"wrong"`  // results that no run of the key had
+	ConflictingResults int     `json:"alarms"` // keys with two results at a holder
+	SlotsOutOfSync     int     `json:"differ"` // slots that are cold or differ, once healed
+	ClaimP50           float64 `json:"p50_ms"` // from a claim to its grant
+	ClaimP99           float64 `json:"p99_ms"` // the same
 }
 
-// ledger is an account of the keys apart from the fleet's own.
-type ledger struct {
-	row    KeysRow
-	place  *replication.Placement
-	keys   []string
-	runs   map[string][]keyRun
-	tries  map[string]*keyTry
-	grants []float64
+// claimLog is an account of the keys apart from the fleet's own.
+type claimLog struct {
+	row          ClaimsRow
+	placement    *replication.Placement
+	keys         []string
+	runs         map[string][]claimRun
+	attempts     map[string]*claimAttempt
+	grantSeconds []float64
 }
 
-type keyRun struct {
-	at     float64
-	result string
+type claimRun struct {
+	startedAt float64
+	result    string
 }
 
-type keyTry struct {
-	key  string
-	at   float64
-	by   *talker
-	life uint64
-	told bool
+type claimAttempt struct {
+	key         string
+	sentAt      float64
+	node        *node
+	incarnation uint64
+	answered    bool
 }
 
-// newLedger makes one for a fleet's servers.
-func newLedger(names []string) *ledger {
-	terms := replication.Config{ReplicationFactor: keyCopies, RetentionWindow: keyWindow, MaxClaimDuration: keyLongest}
-	for i, name := range names[:min(len(names), maxHolders)] {
+// newClaimLog makes one for a fleet's servers.
+func newClaimLog(names []string) *claimLog {
+	terms := replication.Config{ReplicationFactor: replicationFactor, RetentionWindow: claimRetention, MaxClaimDuration: maxClaimDuration}
+	for i, name := range names[:min(len(names), maxReplicas)] {
 		terms.Members = append(terms.Members, replication.Member{Name: name, Zone: fmt.Sprint(i % 3), Weight: 1})
 	}
 	place, err := replication.NewPlacement(terms)
 	if err != nil {
 		panic(err) // the terms are this file's own
 	}
-	return &ledger{place: place, runs: map[string][]keyRun{}, tries: map[string]*keyTry{}}
+	return &claimLog{placement: place, runs: map[string][]claimRun{}, attempts: map[string]*claimAttempt{}}
 }
 
-// copies is a server's part in it, nil where no keys are claimed.
-func (s *talker) copies() *fleet.ReplicationConfig {
-	l := s.ledger
+// replicationConfig is a server's part in it, nil where no keys are claimed.
+func (s *node) replicationConfig() *fleet.ReplicationConfig {
+	l := s.claims
 	if l == nil {
 		return nil
 	}
-	return &fleet.ReplicationConfig{Placement: l.place, MaxRecords: 100_000, MaxBytes: 64 << 20, CatchUpRate: 4 << 20, OnVerdict: func(id string, r serving.ClaimVerdict, result []byte) {
-		s.after(0, func() { s.ruled(id, r, string(result)) }) // as the loop, which takes it later
+	return &fleet.ReplicationConfig{Placement: l.placement, MaxRecords: 100_000, MaxBytes: 64 << 20, CatchUpRate: 4 << 20, OnVerdict: func(id string, r serving.ClaimVerdict, result []byte) {
+		s.after(0, func() { s.handleVerdict(id, r, string(result)) }) // as the loop, which takes it later
 	}}
 }
 
-// claim sends tries, each at a time drawn anew.
-func (t *talks) claim() {
-	l := t.ledger
-	if len(l.keys) == 0 || t.chance.IntN(2) == 0 {
+// sendClaim sends tries, each at a time drawn anew.
+func (t *fleetSim) sendClaim() {
+	l := t.claims
+	if len(l.keys) == 0 || t.random.IntN(2) == 0 {
 		l.keys = append(l.keys, fmt.Sprintf("k%d", len(l.keys)))
 	}
-	key := l.keys[max(0, len(l.keys)-1-t.chance.IntN(lateKeys))]
-	if s := t.servers[t.chance.IntN(len(t.servers))]; s.alive && !s.asleep {
-		l.row.Tries++
-		id := fmt.Sprintf("t%d", l.row.Tries)
-		l.tries[id] = &keyTry{key: key, at: t.now, by: s, life: s.part.Incarnation()}
-		s.part.HandleClaimEvent(s.part.Now(), fleet.ClaimEvent{ID: id, Class: "s", Key: key, Timeout: keyLongest})
-		s.turn()
+	key := l.keys[max(0, len(l.keys)-1-t.random.IntN(recentKeys))]
+	if s := t.nodes[t.random.IntN(len(t.nodes))]; s.alive && !s.isPaused {
+		l.row.Attempts++
+		id := fmt.Sprintf("t%d", l.row.Attempts)
+		l.attempts[id] = &claimAttempt{key: key, sentAt: t.now, node: s, incarnation: s.agent.Incarnation()}
+		s.agent.HandleClaimEvent(s.agent.Now(), fleet.ClaimEvent{ID: id, Class: "s", Key: key, Timeout: maxClaimDuration})
+		s.tick()
 	}
-	t.after(t.exponential(1/t.plan.Keys), t.claim)
+	t.after(t.exponential(1/t.plan.KeyRate), t.sendClaim)
 }
 
-// ruled does with a try what a server does.
-func (s *talker) ruled(id string, r serving.ClaimVerdict, result string) {
-	l := s.ledger
-	try := l.tries[id]
-	if !s.alive || try == nil || try.life != s.part.Incarnation() {
+// handleVerdict does with a try what a server does.
+func (s *node) handleVerdict(id string, r serving.ClaimVerdict, result string) {
+	l := s.claims
+	try := l.attempts[id]
+	if !s.alive || try == nil || try.incarnation != s.agent.Incarnation() {
 		return
 	}
-	try.told = true
-	l.row.Told[r]++
+	try.answered = true
+	l.row.Verdicts[r]++
 	switch r {
 	case serving.ClaimGranted:
-		l.grants = append(l.grants, s.now-try.at)
-		if s.asleep || s.now > try.at+keyLongest { // woken past its due moment: the module rejects it
-			s.word(fleet.ClaimEvent{ID: id, Canceled: true})
+		l.grantSeconds = append(l.grantSeconds, s.now-try.sentAt)
+		if s.isPaused || s.now > try.sentAt+maxClaimDuration { // woken past its due moment: the module rejects it
+			s.sendClaimEvent(fleet.ClaimEvent{ID: id, Canceled: true})
 			return
 		}
 		l.row.Runs++
 		for _, run := range l.runs[try.key] {
-			if s.now < run.at+keyWindow {
-				l.row.Twice++
+			if s.now < run.startedAt+claimRetention {
+				l.row.RepeatedRuns++
 			}
 		}
 		out := fmt.Sprintf("%s of %s", try.key, id)
-		l.runs[try.key] = append(l.runs[try.key], keyRun{s.now, out})
-		life := try.life
+		l.runs[try.key] = append(l.runs[try.key], claimRun{s.now, out})
+		life := try.incarnation
 		s.after(0.02+s.exponential(0.05), func() {
-			if s.alive && s.part.Incarnation() == life {
-				s.word(fleet.ClaimEvent{ID: id, Finished: true, Succeeded: true, Result: []byte(out)})
+			if s.alive && s.agent.Incarnation() == life {
+				s.sendClaimEvent(fleet.ClaimEvent{ID: id, Finished: true, Succeeded: true, Result: []byte(out)})
 			}
 		})
 	case serving.ClaimCached:
-		if !slices.ContainsFunc(l.runs[try.key], func(run keyRun) bool { return run.result == result }) {
-			l.row.Wrong++
+		if !slices.ContainsFunc(l.runs[try.key], func(run claimRun) bool { return run.result == result }) {
+			l.row.WrongResults++
 		}
 	}
 }
 
-func (s *talker) word(w fleet.ClaimEvent) {
-	s.part.HandleClaimEvent(s.part.Now(), w)
-	s.turn()
+func (s *node) sendClaimEvent(w fleet.ClaimEvent) {
+	s.agent.HandleClaimEvent(s.agent.Now(), w)
+	s.tick()
 }
 
-// sum counts what must not be, once the fleet has healed.
-func (l *ledger) sum(t *talks) {
+// summarize counts what must not be, once the fleet has healed.
+func (l *claimLog) summarize(t *fleetSim) {
 	l.row.Keys = len(l.keys)
-	for _, try := range l.tries {
-		if !try.told && try.by.alive && try.by.part.Incarnation() == try.life && t.now > try.at+2*keyLongest {
-			l.row.Untold++
+	for _, try := range l.attempts {
+		if !try.answered && try.node.alive && try.node.agent.Incarnation() == try.incarnation && t.now > try.sentAt+2*maxClaimDuration {
+			l.row.Unanswered++
 		}
 	}
-	l.row.Differ, l.row.Alarms = 0, 0
-	for _, s := range t.servers {
-		c := s.part.ReplicationStatus()
-		l.row.Differ += c.CatchingUp + c.OutOfSync
-		l.row.Alarms += c.ConflictingResults
+	l.row.SlotsOutOfSync, l.row.ConflictingResults = 0, 0
+	for _, s := range t.nodes {
+		c := s.agent.ReplicationStatus()
+		l.row.SlotsOutOfSync += c.CatchingUp + c.OutOfSync
+		l.row.ConflictingResults += c.ConflictingResults
 	}
-	slices.Sort(l.grants)
-	if n := len(l.grants); n > 0 {
-		l.row.ClaimP50, l.row.ClaimP99 = 1000*l.grants[n/2], 1000*l.grants[int(math.Min(float64(n-1), float64(n)*0.99))]
+	slices.Sort(l.grantSeconds)
+	if n := len(l.grantSeconds); n > 0 {
+		l.row.ClaimP50, l.row.ClaimP99 = 1000*l.grantSeconds[n/2], 1000*l.grantSeconds[int(math.Min(float64(n-1), float64(n)*0.99))]
 	}
 }
--- a/internal/bench/simulation/emulate_test.go
+++ b/internal/bench/simulation/emulate_test.go
@@ -18,7 +18,7 @@
 	return last / (sum + last)
 }
 
-func TestAMachineAgreesWithTheTheoryOfQueues(t *testing.T) {
+func TestMachine_AgreesWithQueueingTheory(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		cores int
@@ -31,7 +31,7 @@
 		{"M/M/4", 4, 0.8, false, 1 + erlangC(4, 0.8)/(4*(1-0.8))},
 		{"M/M/16", 16, 0.9, false, 1 + erlangC(16, 0.9)/(16*(1-0.9))},
 	} {
-		w := newWorld(7)
+		w := newClock(7)
 		m := newMachine(w, c.cores)
 		const n, batches = 400_000, 20
 		var sums [batches]float64
@@ -61,27 +61,27 @@
 		if math.Abs(mean-c.want) > half || half > 0.1*c.want {
 			t.Errorf("%s: %.4f +- %.4f, by theory %.4f", c.name, mean, half, c.want)
 		}
-		if math.Abs(m.worked/float64(n)-1) > 0.02 {
-			t.Errorf("%s: work of %.4f each", c.name, m.worked/float64(n))
+		if math.Abs(m.totalWork/float64(n)-1) > 0.02 {
+			t.Errorf("%s: work of %.4f each", c.name, m.totalWork/float64(n))
 		}
 	}
 }
 
-const calm = `{"name":"test","seed":3,"seconds":20,"servers":6,"cores":2,"load":0.6,"balancer":"two-choices","lag":0.5,"cold_for":2,"cold_from":0.3,
+const calmScenario = `{"name":"test","seed":3,"seconds":20,"servers":6,"cores":2,"load":0.6,"balancer":"two-choices","lag":0.5,"cold_for":2,"cold_from":0.3,
 "stages":[{"name":"lookup","part":0.7,"work":0.01,"due":0.5,"limit":1.5,"utility":1},
 {"name":"price","part":0.3,"work":0.04,"due":1.5,"limit":4,"utility":3}]`
 
-const calls = `,"below":{"cores":6,"work":0.01},"stages":[{},{"calls":true}]`
+const callsSettings = `,"below":{"cores":6,"work":0.01},"stages":[{},{"calls":true}]`
 
-func scenario(t *testing.T, more string) *Scenario {
-	s, err := ParseScenario([]byte(calm + more + "}"))
+func parseScenario(t *testing.T, more string) *Scenario {
+	s, err := ParseScenario([]byte(calmScenario + more + "}"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-func TestNoRuleBreaksAndAllHaveAnEnd(t *testing.T) {
+func TestRun_NoViolationsAndEveryRequestEnds(t *testing.T) {
 	for name, more := range map[string]string{
 		"calm":                             ``,
 		"overload":                         `,"load":2`,
@@ -89,30 +89,30 @@
 		"slow":                             `,"load":0.8,"faults":[{"at":5,"kind":"slow","server":2,"for":8,"factor":0.2}]`,
 		"drain":                            `,"faults":[{"at":4,"kind":"drain","server":3,"for":1},{"at":9,"kind":"drain","server":4,"for":1}]`,
 		"all down":                         `,"servers":1,"faults":[{"at":5,"kind":"crash","server":0,"for":4}]`,
-		"calls":                            calls,
-		"below slow":                       calls + `,"faults":[{"at":5,"kind":"below-slow","for":6,"factor":0.1}]`,
-		"below dead, and a crash":          calls + `,"load":1.2,"faults":[{"at":5,"kind":"below-dead","for":4},{"at":6,"kind":"crash","server":1,"for":2}]`,
+		"calls":                            callsSettings,
+		"below slow":                       callsSettings + `,"faults":[{"at":5,"kind":"below-slow","for":6,"factor":0.1}]`,
+		"below dead, and a crash":          callsSettings + `,"load":1.2,"faults":[{"at":5,"kind":"below-dead","for":4},{"at":6,"kind":"crash","server":1,"for":2}]`,
 		"crash in overload, by open tasks": `,"load":1.5,"balancer":"least-open","faults":[{"at":5,"kind":"crash","server":0,"for":3}]`,
 	} {
-		r := Run(scenario(t, more))
+		r := Run(parseScenario(t, more))
 		if (r.Calls > 100) != strings.Contains(more, "below") {
 			t.Errorf("%s: %d calls", name, r.Calls)
 		}
-		if r.Rules != 0 {
-			t.Errorf("%s: %d rules broken: %s", name, r.Rules, strings.Join(r.Broken, "\n"))
+		if r.ViolationCount != 0 {
+			t.Errorf("%s: %d rules broken: %s", name, r.ViolationCount, strings.Join(r.Violations, "\n"))
 		}
 		for _, row := range r.Rows {
-			if row.Asked < 100 || row.Asked != row.Finished+row.Late+row.Rejected+row.Abandoned+row.TimedOut+row.Unreachable {
+			if row.Received < 100 || row.Received != row.Finished+row.Late+row.Rejected+row.Abandoned+row.TimedOut+row.Unreachable {
 				t.Errorf("%s: %+v", name, row)
 			}
-			if name == "calm" && float64(row.Finished) < 0.99*float64(row.Asked) {
+			if name == "calm" && float64(row.Finished) < 0.99*float64(row.Received) {
 				t.Errorf("calm: %+v", row)
 			}
 		}
 	}
 }
 
-func TestTheSameSeedGivesTheSameReport(t *testing.T) {
+func TestRun_IsDeterministicForASeed(t *testing.T) {
 	more := `,"load":1.3,"faults":[{"at":5,"kind":"crash","server":0,"for":3},{"at":7,"kind":"drain","server":1,"for":1}]`
 	tell := func(s *Scenario) string {
 		text, err := json.Marshal(Run(s))
@@ -121,7 +121,7 @@
 		}
 		return string(text)
 	}
-	first, again, other := tell(scenario(t, more)), tell(scenario(t, more)), scenario(t, more)
+	first, again, other := tell(parseScenario(t, more)), tell(parseScenario(t, more)), parseScenario(t, more)
 	if first != again {
 		t.Errorf("%s\n%s", first, again)
 	}
@@ -130,18 +130,18 @@
 	}
 }
 
-func TestABrokenRuleIsTold(t *testing.T) {
-	p := &play{world: newWorld(1), scenario: scenario(t, "")}
-	p.below = newMachine(p.world, 1)
-	p.report.rows = make([]Row, 2)
-	s := &server{play: p, machine: newMachine(p.world, 2), slow: 1}
-	s.machine.crowded = s.crowded
+func TestRun_ReportsViolations(t *testing.T) {
+	p := &requestSim{clock: newClock(1), scenario: parseScenario(t, "")}
+	p.downstream = newMachine(p.clock, 1)
+	p.tally.rows = make([]ClassRow, 2)
+	s := &server{requestSim: p, machine: newMachine(p.clock, 2), speedFactor: 1}
+	s.machine.onRunCount = s.checkOverload
 	s.start(false)
-	at := &try{id: "a", task: &task{play: p}, at: s, work: 1, due: 0.5}
-	s.tries["a"], at.life = at, s.life
-	s.begin(at)
+	at := &attempt{id: "a", request: &request{requestSim: p}, server: s, work: 1, deadline: 0.5}
+	s.attempts["a"], at.incarnation = at, s.incarnation
+	s.startRun(at)
 	at.job = nil
-	s.begin(at)
+	s.startRun(at)
 	s.answer("a", rejected, 0, false)
 	s.answer("a", rejected, 0, false)
 	p.run(3) // two runs of one try are on the machine; one that no module knows is never answered
@@ -151,28 +151,28 @@
 	p.after(2, func() { s.machine.run(100, func() {}) })
 	p.run(10)
 	for _, want := range []string{"run a second time", "answered a second time", "fell over"} {
-		if !strings.Contains(strings.Join(p.report.broken, "\n"), want) {
-			t.Errorf("%q is not told: %q", want, p.report.broken)
+		if !strings.Contains(strings.Join(p.tally.violations, "\n"), want) {
+			t.Errorf("%q is not told: %q", want, p.tally.violations)
 		}
 	}
 }
 
-func TestAScenariosFaultsAreNamed(t *testing.T) {
+func TestParseScenario_NamesTheInvalidKey(t *testing.T) {
 	for _, c := range []struct{ more, want string }{
 		{`,"servers":0`, "servers"}, {`,"load":0`, "load"}, {`,"balancer":"best"`, "balancer"}, {`,"seconds":-1`, "seconds"},
 		{`,"faults":[{"kind":"flood"}]`, "faults[0]"}, {`,"faults":[{"kind":"crash","server":9}]`, "faults[0]"}, {`,"tries":0`, "tries"},
 		{`,"stages":[]`, "stages"}, {`,"cold_from":0`, "cold_from"}, {`,"colour":1`, "colour"},
 		{`,"stages":[{"part":0.5}]`, "stages"}, {`,"stages":[{"work":-1}]`, "stages[0]"}, // the rest is as the first list has it
 	} {
-		if _, err := ParseScenario([]byte(calm + c.more + "}")); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := ParseScenario([]byte(calmScenario + c.more + "}")); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", c.more, err)
 		}
 	}
 }
 
-// BenchmarkPlay tells how long a simulated second of a large fleet takes.
-func BenchmarkPlay(b *testing.B) {
-	s, err := ParseScenario([]byte(calm + `,"servers":200,"seconds":2,"load":0.8}`))
+// BenchmarkRun tells how long a simulated second of a large fleet takes.
+func BenchmarkRun(b *testing.B) {
+	s, err := ParseScenario([]byte(calmScenario + `,"servers":200,"seconds":2,"load":0.8}`))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/bench/simulation/world.go
+++ b/internal/bench/simulation/world.go
@@ -10,23 +10,23 @@
 	"swiftcourse/internal/timerwheel"
 )
 
-// world is simulated time and chance.
-type world struct {
+// clock is simulated time and chance.
+type clock struct {
 	now    float64
 	timers timerwheel.Wheel
-	chance *rand.Rand
+	random *rand.Rand
 	events int
 }
 
-func newWorld(seed uint64) *world { return &world{chance: rand.New(rand.NewPCG(seed, 1))} }
+func newClock(seed uint64) *clock { return &clock{random: rand.New(rand.NewPCG(seed, 1))} }
 
 // after has do called so many seconds from now.
-func (w *world) after(seconds float64, do func()) timerwheel.Timer {
+func (w *clock) after(seconds float64, do func()) timerwheel.Timer {
 	return w.timers.Schedule(w.now+max(0, seconds), do)
 }
 
 // run lets time pass until then.
-func (w *world) run(until float64) {
+func (w *clock) run(until float64) {
 	for {
 		next := w.timers.NextWakeup()
 		if next > until {
@@ -41,139 +41,139 @@
 }
 
 // exponential draws a duration of that mean.
-func (w *world) exponential(mean float64) float64 { return mean * w.chance.ExpFloat64() }
+func (w *clock) exponential(mean float64) float64 { return mean * w.random.ExpFloat64() }
 
 // machine runs work on cores that all of it shares equally: each run has the speed of a core, or of its part of all of them where there are more
 // runs than cores. It counts in the work that each run has had since the machine was last empty, so a change costs a step in a heap.
 type machine struct {
-	w       *world
-	cores   float64
-	speed   float64 // of a core; 1 is usual
-	had     float64 // seconds of a usual core that each run has had
-	at      float64 // when that was so
-	runs    runHeap
-	timer   timerwheel.Timer
-	fire    func()
-	crowded func(n int) // hears of each change of the number of runs
-	worked  float64     // seconds of a usual core, in all
-}
-
-// job is a run on a machine.
-type job struct {
+	clock       *clock
+	cores       float64
+	speed       float64 // of a core; 1 is usual
+	workPerRun  float64 // seconds of a usual core that each run has had
+	updatedAt   float64 // when that was so
+	heap        runHeap
+	timer       timerwheel.Timer
+	completeDue func()
+	onRunCount  func(n int) // hears of each change of the number of runs
+	totalWork   float64     // seconds of a usual core, in all
+}
+
+// machineRun is a run on a machine.
+type machineRun struct {
 	finish float64 // what each run will have had when it is done
 	order  int     // of equal ones the first comes first
 	index  int
-	done   func()
+	onDone func()
 }
 
 type runHeap struct {
-	jobs  []*job
+	runs  []*machineRun
 	added int
 }
 
-func (h *runHeap) Len() int { return len(h.jobs) }
+func (h *runHeap) Len() int { return len(h.runs) }
 func (h *runHeap) Less(i, j int) bool {
-	a, b := h.jobs[i], h.jobs[j]
+	a, b := h.runs[i], h.runs[j]
 	return a.finish < b.finish || a.finish == b.finish && a.order < b.order
 }
 func (h *runHeap) Swap(i, j int) {
-	h.jobs[i], h.jobs[j] = h.jobs[j], h.jobs[i]
-	h.jobs[i].index, h.jobs[j].index = i, j
+	h.runs[i], h.runs[j] = h.runs[j], h.runs[i]
+	h.runs[i].index, h.runs[j].index = i, j
 }
 func (h *runHeap) Push(x any) {
-	j := x.(*job)
-	j.index = len(h.jobs)
-	h.jobs = append(h.jobs, j)
+	j := x.(*machineRun)
+	j.index = len(h.runs)
+	h.runs = append(h.runs, j)
 }
 func (h *runHeap) Pop() any {
-	j := h.jobs[len(h.jobs)-1]
-	h.jobs = h.jobs[:len(h.jobs)-1]
+	j := h.runs[len(h.runs)-1]
+	h.runs = h.runs[:len(h.runs)-1]
 	j.index = -1
 	return j
 }
 
-func newMachine(w *world, cores int) *machine {
-	m := &machine{w: w, cores: float64(cores), speed: 1}
-	m.fire = m.ripe
+func newMachine(w *clock, cores int) *machine {
+	m := &machine{clock: w, cores: float64(cores), speed: 1}
+	m.completeDue = m.completeRuns
 	return m
 }
 
 // rate is how much work each run has in a second.
 func (m *machine) rate() float64 {
-	return m.speed * min(1, m.cores/float64(max(1, m.runs.Len())))
+	return m.speed * min(1, m.cores/float64(max(1, m.heap.Len())))
 }
 
 func (m *machine) advance() {
-	had := (m.w.now - m.at) * m.rate()
-	m.worked += had * float64(m.runs.Len())
-	m.had += had
-	m.at = m.w.now
-	if m.runs.Len() == 0 {
-		m.had = 0 // it starts anew, so that it stays exact
+	had := (m.clock.now - m.updatedAt) * m.rate()
+	m.totalWork += had * float64(m.heap.Len())
+	m.workPerRun += had
+	m.updatedAt = m.clock.now
+	if m.heap.Len() == 0 {
+		m.workPerRun = 0 // it starts anew, so that it stays exact
 	}
 }
 
 // run starts a run of so many seconds of a usual core.
-func (m *machine) run(work float64, done func()) *job {
+func (m *machine) run(work float64, done func()) *machineRun {
 	m.advance()
-	m.runs.added++
-	j := &job{finish: m.had + work, order: m.runs.added, done: done}
-	heap.Push(&m.runs, j)
-	m.changed()
+	m.heap.added++
+	j := &machineRun{finish: m.workPerRun + work, order: m.heap.added, onDone: done}
+	heap.Push(&m.heap, j)
+	m.reschedule()
 	return j
 }
 
 // stop takes a run off.
-func (m *machine) stop(j *job) {
+func (m *machine) stop(j *machineRun) {
 	if j.index < 0 {
 		return
 	}
 	m.advance()
-	heap.Remove(&m.runs, j.index)
-	m.changed()
+	heap.Remove(&m.heap, j.index)
+	m.reschedule()
 }
 
 // setSpeed sets that of a core.
 func (m *machine) setSpeed(speed float64) {
 	m.advance()
 	m.speed = speed
-	m.changed()
+	m.reschedule()
 }
 
 // clear takes all runs off.
 func (m *machine) clear() {
 	m.advance()
-	for m.runs.Len() > 0 {
-		heap.Pop(&m.runs)
+	for m.heap.Len() > 0 {
+		heap.Pop(&m.heap)
 	}
-	m.changed()
+	m.reschedule()
 }
 
-func (m *machine) changed() {
-	if m.crowded != nil {
-		m.crowded(m.runs.Len())
+func (m *machine) reschedule() {
+	if m.onRunCount != nil {
+		m.onRunCount(m.heap.Len())
 	}
-	if m.runs.Len() == 0 {
-		m.w.timers.Cancel(m.timer)
+	if m.heap.Len() == 0 {
+		m.clock.timers.Cancel(m.timer)
 		return
 	}
-	when := m.at + max(0, m.runs.jobs[0].finish-m.had)/m.rate()
-	if !m.w.timers.Reschedule(m.timer, when) {
-		m.timer = m.w.timers.Schedule(when, m.fire)
+	when := m.updatedAt + max(0, m.heap.runs[0].finish-m.workPerRun)/m.rate()
+	if !m.clock.timers.Reschedule(m.timer, when) {
+		m.timer = m.clock.timers.Schedule(when, m.completeDue)
 	}
 }
 
-// enough is the work by which a run may be short and count as done: far under anything told, far over what is lost in adding.
-const enough = 1e-9
+// workEpsilon is the work by which a run may be short and count as done: far under anything told, far over what is lost in adding.
+const workEpsilon = 1e-9
 
-func (m *machine) ripe() {
+func (m *machine) completeRuns() {
 	m.advance()
-	var done []*job
-	for m.runs.Len() > 0 && m.runs.jobs[0].finish <= m.had+enough {
-		done = append(done, heap.Pop(&m.runs).(*job))
+	var done []*machineRun
+	for m.heap.Len() > 0 && m.heap.runs[0].finish <= m.workPerRun+workEpsilon {
+		done = append(done, heap.Pop(&m.heap).(*machineRun))
 	}
-	m.changed()
+	m.reschedule()
 	for _, j := range done {
-		j.done()
+		j.onDone()
 	}
 }
--- a/internal/bench/twolevel/levels.go
+++ b/internal/bench/twolevel/levels.go
@@ -75,8 +75,8 @@
 		r.Stale, r.Late, r.Twice, r.Unheard, r.HopP50, r.HopP99, r.Terms, r.P99, r.P99Plain, r.P99Local, r.CoreUS, r.Resident, r.Crowded))
 }
 
-// Bad counts what must not be.
-func (r Row) Bad() (n int) {
+// Violations counts what must not be.
+func (r Row) Violations() (n int) {
 	for _, bad := range []bool{r.Stale > 0, r.Late > 0, r.Twice > 0, r.Unheard > 0, r.Service < 0.95*r.NoKills} {
 		if bad {
 			n++
