--- a/internal/server/fakes_test.go
+++ b/internal/server/fakes_test.go
@@ -113,7 +113,7 @@
 	if err := client.handleOpen(socket, ""); err != nil {
 		t.Fatal(err)
 	}
-	s.clients.limiter.Tell(id.Slot(), connlimit.Spoke, s.now())
+	s.clients.limiter.HandleEvent(id.Slot(), connlimit.EventRequest, s.now())
 	return client, socket, pair[1]
 }
 
