--- /dev/null
+++ b/cmd/swiftcourse-bench/hold.go
@@ -0,0 +1,19 @@
+package main
+
+import (
+	"os"
+
+	"swiftcourse/internal/bench/idleconns"
+)
+
+// holdCommand is started by the idle experiment: a process that holds idle connections.
+type holdCommand struct {
+	Addr  string `arg:""`
+	N     int    `arg:""`
+	Heeds bool
+}
+
+// Run holds connections until its standard input ends.
+func (c *holdCommand) Run() error {
+	return idleconns.ServeHolder(os.Stdin, os.Stdout, c.Addr, c.N, c.Heeds)
+}
--- /dev/null
+++ b/cmd/swiftcourse-bench/shared.go
@@ -0,0 +1,53 @@
+package main
+
+import (
+	"context"
+
+	"swiftcourse/internal/bench/quotas"
+	"swiftcourse/internal/bench/simulation"
+)
+
+// faultFromSeed is the value of --fault that draws all kinds of faults.
+const faultFromSeed = "seed"
+
+type sharedCommand struct {
+	outputFlags
+	seedFlags
+	Program string  `name:"server" help:"The server's program: processes of it instead of simulated time; at most 30 servers." type:"path"`
+	Fault   string  `help:"With --server: one fault again and again (kill, leader, stop, cut, one-way, loss, jump, voters), or seed." default:"seed"`
+	Servers int     `help:"Servers." default:"100"`
+	Voters  int     `help:"Of these, voters." default:"5"`
+	Seconds float64 `help:"How long faults go on." default:"60"`
+}
+
+// Run shares a quota among simulated servers, or among processes where a program is given.
+func (c *sharedCommand) Run(ctx context.Context) error {
+	if err := checkSeeds(c.Seeds, maxSimulatedSeeds); err != nil {
+		return err
+	}
+	if c.Program != "" {
+		return runAndWrite(ctx, c.seedFlags, c.outputFlags, quotas.Columns, func(seed uint64) (quotas.Row, error) {
+			return c.runProcesses(ctx, seed)
+		})
+	}
+	return runAndWrite(ctx, c.seedFlags, c.outputFlags, simulation.QuotaColumns, c.simulate)
+}
+
+func (c *sharedCommand) simulate(seed uint64) (simulation.QuotaRow, error) {
+	plan := &simulation.QuotaPlan{Servers: c.Servers, Voters: c.Voters, Seconds: c.Seconds, Seed: seed}
+	if err := plan.Validate(); err != nil {
+		return simulation.QuotaRow{}, err
+	}
+	return simulation.RunQuota(plan), nil
+}
+
+func (c *sharedCommand) runProcesses(ctx context.Context, seed uint64) (quotas.Row, error) {
+	plan := &quotas.Plan{Program: c.Program, Servers: c.Servers, Seconds: c.Seconds, Seed: seed}
+	if c.Fault != faultFromSeed {
+		plan.Fault = c.Fault
+	}
+	if err := plan.Validate(); err != nil {
+		return quotas.Row{}, err
+	}
+	return quotas.Run(ctx, plan)
+}
--- a/internal/bench/keyclaims/copies.go
+++ b/internal/bench/keyclaims/keyclaims.go
@@ -82,7 +82,7 @@
 }
 
 // Violations counts what must not be.
-func (r *Row) Violations() int {
+func (r Row) Violations() int {
 	return max(0, r.MaxRunsPerKey-1) + r.WrongAnswers + r.LostResults + r.MinorityRuns + r.SlotsOutOfSync + r.Unanswered
 }
 
--- a/internal/bench/quotas/budgets.go
+++ b/internal/bench/quotas/quotas.go
@@ -63,7 +63,7 @@
 }
 
 // Violations counts what must not be: more than the slack over the budget, a silent server that serves nothing, a budget that is not used again.
-func (r *Row) Violations() (n int) {
+func (r Row) Violations() (n int) {
 	for _, bad := range []bool{r.MaxExcess > r.AllowedExcess, r.CutOffService == 0, r.UsedShareHealed < 0.8} {
 		if bad {
 			n++
--- /dev/null
+++ b/internal/bench/report/rollout.go
@@ -0,0 +1,37 @@
+package report
+
+import (
+	"slices"
+)
+
+// RolloutCounts is what every experiment with rollouts counts, simulated or with processes. It is embedded in their rows.
+type RolloutCounts struct {
+	Seed               uint64 `json:"seed"`
+	Servers            int    `json:"servers"`
+	Releases           int    `json:"releases"`
+	Faults             int    `json:"faults"`
+	ConflictingDigests int    `json:"epochs_with_two_digests"`
+	ServedWhileEjected int    `json:"acted_while_shut_out"`
+}
+
+// CatchUpLatency is how long after a release to all the servers applied it, in milliseconds. It is embedded in the rows of
+// experiments with rollouts.
+type CatchUpLatency struct {
+	CatchUpP50 float64 `json:"catch_up_p50_ms"`
+	CatchUpP99 float64 `json:"catch_up_p99_ms"`
+	CatchUpMax float64 `json:"catch_up_max_ms"`
+}
+
+// NewCatchUpLatency sorts samples, in milliseconds, and returns their quantiles, zeros where there are no samples.
+func NewCatchUpLatency(samples []float64) CatchUpLatency {
+	slices.Sort(samples)
+	count := len(samples)
+	if count == 0 {
+		return CatchUpLatency{}
+	}
+	return CatchUpLatency{
+		CatchUpP50: samples[count/2],
+		CatchUpP99: samples[min(count-1, count*99/100)],
+		CatchUpMax: samples[count-1],
+	}
+}
--- a/internal/bench/rollouts/versions.go
+++ b/internal/bench/rollouts/rollouts.go
@@ -15,6 +15,7 @@
 
 	"swiftcourse/internal/bench/faultinjection"
 	"swiftcourse/internal/bench/loadgen"
+	"swiftcourse/internal/bench/report"
 	"swiftcourse/internal/fleet"
 	"swiftcourse/internal/policy/audit"
 	"swiftcourse/internal/policy/release"
@@ -41,27 +42,25 @@
 
 // Row is what a run came to.
 type Row struct {
-	Seed                 uint64  `json:"seed"`
-	Servers              int     `json:"servers"`
-	Releases             int     `json:"releases"`
-	Faults               int     `json:"faults"`
-	ConflictingDigests   int     `json:"epochs_with_two_digests"`
-	ServedWhileEjected   int     `json:"acted_while_shut_out"`
-	AuditMismatches      int     `json:"audit_disagrees"`
-	AuditGaps            int     `json:"audit_holes"`
-	Unhealed             int     `json:"unhealed"` // servers not on the newest version at the end
-	CatchUpP50           float64 `json:"catch_up_p50_ms"`
-	CatchUpP99           float64 `json:"catch_up_p99_ms"`
-	CatchUpMax           float64 `json:"catch_up_max_ms"`
-	CatchUps             int     `json:"catch_ups"`
-	EjectedAfterMillis   float64 `json:"shut_out_after_ms"` // of one that can't apply a release, from when its operator had the word; -1 for never
-	FinishedShare        float64 `json:"service"`
-	FinishedShareAlone   float64 `json:"service_alone"` // the same seed with the fleet's parts off
-	GossipBytesPerSecond float64 `json:"talk_bytes_s"`  // that a server sends
-	CPU                  float64 `json:"cpu_share"`     // of a core, a server
+	report.RolloutCounts
+	AuditMismatches int `json:"audit_disagrees"` // intervals that only the audit or only the servers' logs have
+	AuditGaps       int `json:"audit_holes"`     // intervals that the audit says it may lack
+	Unhealed        int `json:"unhealed"`        // servers not on the newest version at the end
+	report.CatchUpLatency
+	CatchUps             int     `json:"catch_ups"`         // samples of the latency
+	EjectedAfterMillis   float64 `json:"shut_out_after_ms"` // of a server that can't apply a release, since it was accepted; -1 for never
+	FinishedShare        float64 `json:"service"`           // of the requests that were due
+	FinishedShareAlone   float64 `json:"service_alone"`     // the same seed with the fleet disabled
+	GossipBytesPerSecond float64 `json:"talk_bytes_s"`      // sent by a server
+	CPU                  float64 `json:"cpu_share"`         // of a core, for a server
 	CPUAlone             float64 `json:"cpu_share_alone"`
 }
 
+// Violations counts what breaks an invariant.
+func (r Row) Violations() int {
+	return r.ConflictingDigests + r.ServedWhileEjected + r.AuditMismatches + r.Unhealed
+}
+
 // Columns and Cells are those of the table.
 var Columns = []string{"seed", "servers", "releases", "faults", "two digests", "acted out", "disagrees", "holes", "unhealed", "p50 ms", "p99 ms", "max ms", "out ms",
 	"service", "alone", "talk B/s", "cpu", "alone"}
@@ -106,7 +105,7 @@
 
 func (p *Plan) play(ctx context.Context, talk bool) (Row, error) {
 	r := &experiment{Plan: p, random: rand.New(rand.NewPCG(p.Seed, 11)), disturbed: map[string][][2]time.Time{}, released: map[release.Epoch]time.Time{},
-		row: Row{Seed: p.Seed, Servers: p.Servers}}
+		row: Row{RolloutCounts: report.RolloutCounts{Seed: p.Seed, Servers: p.Servers}}}
 	shape := faultinjection.SmallShape(p.Program)
 	shape.Log = p.Log
 	f, err := faultinjection.Start(ctx, faultinjection.Config{Shape: shape, Servers: p.Servers, Voters: min(p.Servers, 3+2*(p.Servers/15)), ExtraSettings: shortLeases,
@@ -407,8 +406,6 @@
 			}
 		}
 	}
-	slices.Sort(took)
-	if n := len(took); n > 0 {
-		r.row.CatchUps, r.row.CatchUpP50, r.row.CatchUpP99, r.row.CatchUpMax = n, took[n/2], took[min(n-1, n*99/100)], took[n-1]
-	}
+	r.row.CatchUps = len(took)
+	r.row.CatchUpLatency = report.NewCatchUpLatency(took)
 }
--- a/internal/bench/simulation/budgets.go
+++ b/internal/bench/simulation/quota.go
@@ -246,7 +246,7 @@
 
 // measureFaults plays those that the seed says, then heals them.
 func (s *quotaSim) measureFaults() {
-	s.fleetSim.plan.Quiet = false
+	s.fleetSim.plan.NoFaults = false
 	for end := s.now + s.plan.Seconds; s.now < end; {
 		if s.clock.random.IntN(4) == 0 {
 			s.concentrateDemand(s.clock.random.IntN(len(s.quotaNodes)))
--- a/internal/bench/simulation/versions.go
+++ b/internal/bench/simulation/rollout.go
@@ -6,9 +6,9 @@
 	"log/slog"
 	"math"
 	"math/rand/v2"
-	"slices"
 	"strings"
 
+	"swiftcourse/internal/bench/report"
 	"swiftcourse/internal/fleet"
 	"swiftcourse/internal/policy/lease"
 	"swiftcourse/internal/policy/release"
@@ -20,12 +20,12 @@
 // RolloutPlan is a fleet whose servers talk about versions, in simulated time: the parts of package fleet themselves, over a network that
 // delays, loses, doubles and cuts. Who is there is told at once and rightly, where the program has it by gossip.
 type RolloutPlan struct {
-	Servers int
-	Voters  int
-	Seconds float64 // of releases and faults; then all is healed, and the fleet has a while to agree
-	Seed    uint64
-	Quiet   bool    // no faults
-	KeyRate float64 // tasks that bear a key, a second over all servers; 0 for none
+	Servers  int
+	Voters   int
+	Seconds  float64 // of releases and faults; then all is healed, and the fleet has a while to agree
+	Seed     uint64
+	NoFaults bool    // no faults
+	KeyRate  float64 // tasks that bear a key, a second over all servers; 0 for none
 }
 
 // Validate tells what is wrong with it.
@@ -38,22 +38,22 @@
 
 // RolloutRow is what a run came to.
 type RolloutRow struct {
-	Seed               uint64    `json:"seed"`
-	Servers            int       `json:"servers"`
-	Releases           int       `json:"releases"`
-	Faults             int       `json:"faults"`
-	ConflictingDigests int       `json:"epochs_with_two_digests"`
-	ServedWhileEjected int       `json:"acted_while_shut_out"`
-	TooManyUnavailable int       `json:"too_many_left"` // moments at which more had left for want of talk than may
-	Unhealed           int       `json:"unhealed"`
-	HealSeconds        float64   `json:"heal_s"` // until all acted on the newest version, after the last fault
-	CatchUpP50         float64   `json:"catch_up_p50_ms"`
-	CatchUpP99         float64   `json:"catch_up_p99_ms"`
-	CatchUpMax         float64   `json:"catch_up_max_ms"`
-	MessagesPerSecond  float64   `json:"messages_s"`      // that a server sends, in the mean
-	BytesPerSecond     float64   `json:"bytes_s"`         // the same
-	MaxBytesPerSecond  float64   `json:"bytes_s_at_most"` // of the one that sent most
-	Claims             ClaimsRow `json:"claimed"`
+	report.RolloutCounts
+	TooManyUnavailable int     `json:"too_many_left"` // checks that found more servers out of service than allowed
+	Unhealed           int     `json:"unhealed"`      // servers not on the newest version at the end
+	HealSeconds        float64 `json:"heal_s"`        // until all acted on the newest version, after the last fault
+	report.CatchUpLatency
+	MessagesPerSecond float64   `json:"messages_s"`      // sent by a server, on average
+	BytesPerSecond    float64   `json:"bytes_s"`         // sent by a server, on average
+	MaxBytesPerSecond float64   `json:"bytes_s_at_most"` // of the server that sent most
+	Claims            ClaimsRow `json:"claimed"`
+}
+
+// Violations counts what breaks an invariant, of rollouts and of claims.
+func (r RolloutRow) Violations() int {
+	claims := r.Claims.Unanswered + r.Claims.RepeatedRuns + r.Claims.WrongResults + r.Claims.ConflictingResults +
+		r.Claims.SlotsOutOfSync
+	return claims + r.ConflictingDigests + r.ServedWhileEjected + r.TooManyUnavailable + r.Unhealed
 }
 
 // RolloutColumns and Cells are those of the table.
@@ -121,7 +121,7 @@
 // newFleetSim makes a fleet that has not started.
 func newFleetSim(v *RolloutPlan) *fleetSim {
 	t := &fleetSim{clock: newClock(v.Seed), plan: v, nodeByName: map[string]*node{}, voters: map[string]string{}, digests: map[release.Epoch]string{},
-		released: map[release.Epoch]float64{}, row: RolloutRow{Seed: v.Seed, Servers: v.Servers}}
+		released: map[release.Epoch]float64{}, row: RolloutRow{RolloutCounts: report.RolloutCounts{Seed: v.Seed, Servers: v.Servers}}}
 	for i := range v.Servers {
 		s := &node{fleetSim: t, name: fmt.Sprintf("n%d", i+1), number: i, random: rand.New(rand.NewPCG(v.Seed, uint64(i+100)))}
 		t.nodes, t.nodeByName[s.name] = append(t.nodes, s), s
@@ -170,10 +170,7 @@
 		t.claims.summarize(t)
 		t.row.Claims = t.claims.row
 	}
-	slices.Sort(t.catchUpMillis)
-	if n := len(t.catchUpMillis); n > 0 {
-		t.row.CatchUpP50, t.row.CatchUpP99, t.row.CatchUpMax = 1000*t.catchUpMillis[n/2], 1000*t.catchUpMillis[min(n-1, n*99/100)], 1000*t.catchUpMillis[n-1]
-	}
+	t.row.CatchUpLatency = report.NewCatchUpLatency(t.catchUpMillis)
 	return t.row
 }
 
@@ -243,7 +240,7 @@
 		}
 		s.digests[acts.Epoch] = acts.Digest
 		if at, known := s.released[acts.Epoch]; known && at > s.disturbedUntil {
-			s.catchUpMillis = append(s.catchUpMillis, s.now-at)
+			s.catchUpMillis = append(s.catchUpMillis, 1000*(s.now-at))
 		}
 	}
 	wait := max(0.001, s.agent.NextWakeup()-now)
@@ -327,7 +324,7 @@
 	s := t.nodes[t.random.IntN(len(t.nodes))]
 	length := 1 + 10*t.random.Float64()
 	what := t.random.IntN(12)
-	if t.plan.Quiet {
+	if t.plan.NoFaults {
 		what = 11
 	}
 	if what < 7 {
--- a/internal/bench/simulation/versions_test.go
+++ b/internal/bench/simulation/rollout_test.go
@@ -31,8 +31,8 @@
 }
 
 func TestRunRollout_CatchUpIsFastAndTrafficDoesNotGrow(t *testing.T) {
-	small := RunRollout(&RolloutPlan{Servers: 15, Voters: 3, Seconds: 20, Seed: 2, Quiet: true})
-	large := RunRollout(&RolloutPlan{Servers: 150, Voters: 3, Seconds: 20, Seed: 2, Quiet: true})
+	small := RunRollout(&RolloutPlan{Servers: 15, Voters: 3, Seconds: 20, Seed: 2, NoFaults: true})
+	large := RunRollout(&RolloutPlan{Servers: 150, Voters: 3, Seconds: 20, Seed: 2, NoFaults: true})
 	for _, r := range []RolloutRow{small, large} {
 		if r.Releases == 0 || r.Unhealed > 0 || r.CatchUpP99 > 2000 {
 			t.Errorf("%+v", r)
