--- a/internal/bench/faultinjection/release_test.go
+++ b/internal/bench/faultinjection/release_test.go
@@ -407,11 +407,11 @@
 		want  string
 		words []string
 	}{
-		{"acts on", []string{"status"}},
+		{"active epoch", []string{"status"}},
 		{"done; newest", []string{"release", file}},
 		{"done; newest", []string{"rollback", "by a test"}},
 		{"done; newest", []string{"evict", "n3", "by a test"}},
-		{"shut out: by a test", []string{"status"}},
+		{"ejected: by a test", []string{"status"}},
 		{"done; newest", []string{"admit", "n3"}},
 		{`"Why": "released"`, []string{"audit", "--json"}},
 	} {
@@ -430,14 +430,14 @@
 // is no word of it.
 func TestFleet_EventsOfEarlierIncarnationAreIgnored(t *testing.T) {
 	f := &Fleet{firstEvent: map[string]int{}}
-	for _, line := range []string{"event=fleet", "event=replica_status_changed catching_up=256", "event=replica_status_changed catching_up=0", "event=config_applied epoch=1.7"} {
+	for _, line := range []string{"event=fleet_started", "event=replica_status_changed catching_up=256", "event=replica_status_changed catching_up=0", "event=config_applied epoch=1.7"} {
 		f.recordLine("n1", line)
 	}
 	if !f.ReplicasCaughtUp("n1") || f.ActiveEpoch("n1") != release.NewEpoch(1, 7) {
 		t.Errorf("before its end: warm %v, on %s", f.ReplicasCaughtUp("n1"), f.ActiveEpoch("n1"))
 	}
 	f.firstEvent["n1"] = len(f.events)
-	if f.ReplicasCaughtUp("n1") || f.ActiveEpoch("n1") != 0 || f.LastEvent("n1", "fleet").Event != "" {
+	if f.ReplicasCaughtUp("n1") || f.ActiveEpoch("n1") != 0 || f.LastEvent("n1", "fleet_started").Event != "" {
 		t.Errorf("started again and silent: warm %v, on %s", f.ReplicasCaughtUp("n1"), f.ActiveEpoch("n1"))
 	}
 	f.recordLine("n1", "event=replica_status_changed catching_up=256")
--- a/internal/bench/simulation/quota.go
+++ b/internal/bench/simulation/quota.go
@@ -135,7 +135,7 @@
 // reportUsage has a loop say what it used, again and again.
 func (sp *quotaNode) reportUsage() {
 	if sp.alive && !sp.isPaused {
-		sp.agent.ObserveUsage(sp.agent.Now(), []fleet.Usage{{Name: quotaName, Demand: sp.demand, Answer: sp.allowance.GrantNumber}})
+		sp.agent.ObserveUsage(sp.agent.Now(), []fleet.Usage{{Name: quotaName, Demand: sp.demand, GrantNumber: sp.allowance.GrantNumber}})
 		sp.tick()
 	}
 	sp.after(usageInterval, sp.reportUsage)
