--- a/internal/bench/twolevel/levels.go
+++ b/internal/bench/twolevel/levels.go
@@ -75,8 +75,8 @@
 		r.StalePlans, r.LateAnswers, r.DoubleEffects, r.Unanswered, r.HopP50, r.HopP99, r.Terms, r.P99, r.P99NoKills, r.P99LocalOnly, r.ForwarderCPUMicros, r.ForwarderMB, r.ForwarderIdleMB))
 }
 
-// Bad counts what must not be.
-func (r Row) Bad() (n int) {
+// Violations counts what must not be.
+func (r Row) Violations() (n int) {
 	for _, bad := range []bool{r.StalePlans > 0, r.LateAnswers > 0, r.DoubleEffects > 0, r.Unanswered > 0, r.Service < 0.95*r.NoKills} {
 		if bad {
 			n++
