--- a/internal/policy/circuitbreaker/evidence.go
+++ b/internal/policy/circuitbreaker/evidence.go
@@ -3,33 +3,34 @@
 import "slices"
 
 const (
-	// windowSeconds is for how long calls count, and windowBuckets in how many parts: the fleet has to know
-	// of a service within a second of its failure.
+	// windowSeconds is how long calls and reports count: the fleet has to detect the failure of a service
+	// within a second. windowBuckets is the number of buckets of that window.
 	windowSeconds = 0.8
 	windowBuckets = 4
-	// minOwnCalls in the window decide alone: with one in ten lost by chance, ten calls say that half of
-	// them are lost once in a thousand windows.
+	// minOwnCalls is how many own calls in the window decide without reports. If one call in ten fails by
+	// chance, half of ten calls fail in about one window of a thousand.
 	minOwnCalls = 10
-	// minVotes is how many votes are needed where there are fewer own calls.
+	// minVotes is how many votes are needed if there are fewer own calls.
 	minVotes = 3
-	// failingFraction of calls lost is failing, downFraction is down.
+	// failingFraction is the part of calls that fail from which a service is failing, and downFraction that
+	// from which it is down.
 	failingFraction = 0.5
 	downFraction    = 0.9
-	// slowFactor is how many times the least mean of half a minute slow calls take.
+	// slowFactor times the least mean duration of the last half minute is the mean from which calls are slow.
 	slowFactor = 4.0
-	// baselineBuckets of baselineBucketSeconds each are that half minute.
+	// baselineBuckets times baselineBucketSeconds is that half minute.
 	baselineBuckets       = 6
 	baselineBucketSeconds = 5
 )
 
-// ownCalls are this server's in the window.
+// ownCalls returns the tally of this server's calls in the window.
 func (b *Breaker) ownCalls(now float64) Tally {
 	var sum Tally
 	b.calls.ForEach(now, func(bucket *Tally) { sum.add(*bucket) })
 	return sum
 }
 
-// evidenceOf is what a tally says.
+// evidenceOf classifies a tally.
 func (b *Breaker) evidenceOf(now float64, tally *Tally) evidence {
 	calls := float64(tally.calls())
 	failed := float64(tally.Failed)
@@ -48,8 +49,9 @@
 	return healthy
 }
 
-// evidence combines own calls and others' reports.
-func (b *Breaker) evidence(now float64) evidence {
+// combinedEvidence combines the own calls and the reports of other servers. It prefers, in this order, enough
+// own calls, the votes of the zone, and the votes of all servers.
+func (b *Breaker) combinedEvidence(now float64) evidence {
 	ownCalls := b.ownCalls(now)
 	own := b.evidenceOf(now, &ownCalls)
 	if ownCalls.calls() >= minOwnCalls {
@@ -60,7 +62,7 @@
 		return median(votes)
 	}
 	if b.zone != "" && b.state != Closed && b.state != Degraded {
-		return own // the service may be well for other zones, and yet not for this one
+		return own // the service may be healthy for other zones and not for this one
 	}
 	if votes := b.votes(now, own, anyServer); len(votes) >= minVotes {
 		return median(votes)
@@ -68,27 +70,27 @@
 	return own
 }
 
-// inZone reports whether a report comes from this server's zone; false where zones aren't used.
+// inZone reports whether a report comes from this server's zone. It is false if zones are not used.
 func (b *Breaker) inZone(report *Report) bool { return b.zone != "" && report.Zone == b.zone }
 
 func anyServer(*Report) bool { return true }
 
-// votes are this server's own evidence, if it has any, and that of the picked reports.
-func (b *Breaker) votes(now float64, own evidence, picked func(*Report) bool) []evidence {
+// votes returns this server's own evidence, if it has any, and that of the reports that include selects.
+func (b *Breaker) votes(now float64, own evidence, include func(*Report) bool) []evidence {
 	var votes []evidence
 	if own != insufficient {
 		votes = append(votes, own)
 	}
 	for _, report := range b.reports {
-		if report.Tally.calls() >= minReportCalls && !report.expired(now) && picked(&report.Report) {
+		if report.Tally.calls() >= minReportCalls && !report.expired(now) && include(&report.Report) {
 			votes = append(votes, b.evidenceOf(now, &report.Tally))
 		}
 	}
 	return votes
 }
 
-// median returns the middle vote, of an even number the better one: a call in vain costs less than a
-// breaker that opens for nothing. It sorts votes.
+// median returns the middle vote, or the healthier of the two middle ones: a call that fails costs
+// less than a breaker that opens without need. It sorts votes.
 func median(votes []evidence) evidence {
 	slices.Sort(votes)
 	return votes[(len(votes)-1)/2]
--- a/internal/policy/circuitbreaker/report.go
+++ b/internal/policy/circuitbreaker/report.go
@@ -7,10 +7,11 @@
 	"slices"
 )
 
-// Tally is what became of calls.
+// Tally counts the results of calls.
 type Tally struct {
-	Succeeded, Failed int
-	SuccessSeconds    float64 // that the successful ones took together
+	Succeeded      int
+	Failed         int
+	SuccessSeconds float64 // total duration of the successful ones
 }
 
 func (t *Tally) add(other Tally) {
@@ -21,32 +22,32 @@
 
 func (t *Tally) calls() int { return t.Succeeded + t.Failed }
 
-// valid reports whether a tally from another process can be true.
+// valid reports whether a tally from another process is plausible.
 func (t *Tally) valid() bool {
 	return t.Succeeded >= 0 && t.Failed >= 0 && t.Succeeded <= maxCalls && t.Failed <= maxCalls &&
 		t.SuccessSeconds >= 0 && !math.IsInf(t.SuccessSeconds, 0)
 }
 
-// Report is what a server reports about its calls of the last 0.8 s.
+// Report is a server's report of its calls in the last windowSeconds.
 type Report struct {
 	Server      string
-	Zone        string // "" where zones aren't used
+	Zone        string // "" if zones are not used
 	Incarnation uint64
 	Sequence    uint64  // grows with each report of an incarnation
-	AgeSeconds  float64 // since it was made, as those who relayed it held it
+	AgeSeconds  float64 // since it was made, as measured by the servers that relayed it
 	Tally       Tally
 }
 
 const (
-	// MaxReports bounds the servers whose reports are held: more votes would say the same.
+	// MaxReports bounds the servers whose reports are held: more votes would not change the result.
 	MaxReports = 128
-	// maxCalls is what a report may tell of: a million a second. More can't be true.
+	// maxCalls is the most calls of a plausible report: over a million a second.
 	maxCalls = 2e6
-	// minReportCalls is how many calls a report must tell of to have a vote.
+	// minReportCalls is how many calls a report must count to be sent and to have a vote.
 	minReportCalls = 1
 )
 
-// receivedReport is a report and when it was made, by the clock here.
+// receivedReport is a report of another server, and when it was made by the local clock.
 type receivedReport struct {
 	Report
 	madeAt float64
@@ -54,8 +55,9 @@
 
 func (r *receivedReport) expired(now float64) bool { return now > r.madeAt+windowSeconds }
 
-// HandleReport takes another server's report, and returns whether it counts. One that is older than the
-// one that is held, or can't be true, changes nothing.
+// HandleReport stores another server's report and reports whether it did. It ignores a report that
+// is not plausible or recent, one that is not newer than that held for the server, and one that
+// there is no room for.
 func (b *Breaker) HandleReport(now float64, report Report) bool {
 	if !b.acceptable(now, &report) {
 		return false
@@ -74,8 +76,8 @@
 	return true
 }
 
-// acceptable reports whether a report can be true, and is recent. One from before the breaker became half
-// open tells of a time that is over.
+// acceptable reports whether a report is plausible and recent. While the breaker is half open, reports from
+// before that don't count.
 func (b *Breaker) acceptable(now float64, report *Report) bool {
 	if report.Server == "" || report.Server == b.server || !report.Tally.valid() {
 		return false
@@ -83,7 +85,7 @@
 	if !(report.AgeSeconds >= 0 && report.AgeSeconds < windowSeconds) {
 		return false
 	}
-	return b.state != HalfOpen || report.AgeSeconds <= now-b.since
+	return b.state != HalfOpen || report.AgeSeconds <= now-b.stateSince
 }
 
 // expireReports drops reports that are too old to count.
@@ -91,9 +93,9 @@
 	maps.DeleteFunc(b.reports, func(_ string, report *receivedReport) bool { return report.expired(now) })
 }
 
-// GossipReports lists the reports to send to other servers, at most so many: this server's own, where it
-// made calls recently, and the newest that others sent.
-func (b *Breaker) GossipReports(now float64, incarnation uint64, most int) []Report {
+// GossipReports returns the reports to send to other servers, at most maxReports of them: this
+// server's own, if it made calls recently, and the newest of others.
+func (b *Breaker) GossipReports(now float64, incarnation uint64, maxReports int) []Report {
 	var list []Report
 	if own := b.ownCalls(now); own.calls() >= minReportCalls {
 		b.sequence++
@@ -109,7 +111,7 @@
 	others := slices.SortedFunc(maps.Values(b.reports), func(x, y *receivedReport) int {
 		return cmp.Or(cmp.Compare(y.madeAt, x.madeAt), cmp.Compare(x.Server, y.Server))
 	})
-	for _, held := range others[:min(len(others), max(0, most-len(list)))] {
+	for _, held := range others[:min(len(others), max(0, maxReports-len(list)))] {
 		report := held.Report
 		report.AgeSeconds = max(0, now-held.madeAt)
 		list = append(list, report)
--- a/internal/policy/circuitbreaker/state.go
+++ b/internal/policy/circuitbreaker/state.go
@@ -1,24 +1,24 @@
 package circuitbreaker
 
-// State is that of a breaker.
+// State is the state of a breaker.
 type State uint8
 
-// The states of a breaker. Closed and Degraded let all calls pass.
+// The states of a breaker. Closed and Degraded don't limit calls.
 const (
 	Closed    State = iota
-	Degraded        // calls take far longer than they recently did at best
-	Throttled       // half of the calls or more fail: a part of the usual ones pass
-	Open            // hardly any call succeeds: only probes pass
-	HalfOpen        // calls succeed again, and more pass step by step
+	Degraded        // calls take far longer than the fastest recent mean
+	Throttled       // half of the calls or more fail: only part of the usual ones may be in flight
+	Open            // nearly all calls fail: only probes may be in flight
+	HalfOpen        // calls succeed again: the limit is raised in steps
 	stateCount
 )
 
-// String is the state's name in logs.
+// String returns the state's name in logs.
 func (s State) String() string {
 	return [...]string{"closed", "degraded", "throttled", "open", "half_open", "unknown"}[min(s, stateCount)]
 }
 
-// evidence is what calls say about a service. The order matters: of several votes the median counts.
+// evidence is the condition of a service by its calls, from healthy to worse so that votes have a median.
 type evidence uint8
 
 const (
@@ -27,10 +27,10 @@
 	slow
 	failing
 	down
-	recovered // healthy, and as many calls pass as before
+	recovered // healthy, and the limit of a half-open breaker has reached the usual calls; never a vote
 )
 
-// transitions are all changes of state. What isn't listed changes nothing.
+// transitions lists all changes of state. Any other evidence leaves the state as it is.
 var transitions = [...]struct {
 	from  State
 	input evidence
@@ -52,7 +52,7 @@
 	{HalfOpen, recovered, Closed},
 }
 
-// next is the state that follows on evidence.
+// next returns the state that follows on the evidence.
 func (s State) next(input evidence) State {
 	for _, transition := range transitions {
 		if transition.from == s && transition.input == input {
--- a/internal/policy/counter/aggregator.go
+++ b/internal/policy/counter/aggregator.go
@@ -8,91 +8,93 @@
 )
 
 const (
-	// maxRows bounds the rows of an aggregator: those of the largest fleet, and as many incarnations that
-	// are over. What is reported beyond that is refused.
+	// maxRows bounds the rows of an aggregator: one for each server of the largest fleet, and as many of
+	// earlier incarnations. Reports of further rows are refused.
 	maxRows = 8192
-	// windowBucketSeconds and windowBuckets make up the window of a minute.
+	// windowBucketSeconds times windowBuckets is the window of Summary.LastMinute.
 	windowBucketSeconds = 5.0
 	windowBuckets       = 12
 )
 
-// ClosedRow returns the number under which a row was closed, and whether it was.
-type ClosedRow func(rowID uint64) (sequence uint64, closed bool)
+// ClosedRowLookup returns the sequence number under which a row was closed, and whether it was closed.
+type ClosedRowLookup func(rowID uint64) (sequence uint64, closed bool)
 
-// Aggregator is a voter's side: it holds the rows of all servers that are there.
+// Aggregator collects the rows of all running servers. Each voter has one.
 type Aggregator struct {
-	names     []string // of all aggregators, in order
-	self      int      // index in names
-	known     Incarnations
-	majority  int // aggregators, itself among them
-	closedRow ClosedRow
-	rows      map[uint64]*row
-	window    *timewindow.Buckets[cells]
+	names        []string // of all aggregators, in order
+	selfIndex    int      // index in names
+	incarnations Incarnations
+	majority     int // aggregators, itself among them
+	closedRow    ClosedRowLookup
+	rows         map[uint64]*row
+	window       *timewindow.Buckets[cells]
 
 	queryNumber uint64 // of the last query to the others
 	recovery    recovery
-	closing     closing
+	closeRound  closeRound
 
 	rejectedReports      int
 	incompleteRecoveries int
 }
 
-// NewAggregator returns an aggregator that has just started and knows nothing. Its incarnation must be
-// higher than its earlier ones, as far as clocks allow.
+// NewAggregator returns an aggregator without rows, which recovers those of the others. Its
+// incarnation should be higher than its earlier ones; learnIncarnations corrects one that a clock
+// behind made too low.
 func NewAggregator(
-	name string, aggregators []string, incarnation uint64, closedRow ClosedRow, now float64,
+	name string, aggregators []string, incarnation uint64, closedRow ClosedRowLookup, now float64,
 ) *Aggregator {
 	names := slices.Sorted(slices.Values(aggregators))
 	a := &Aggregator{
-		names:       names,
-		self:        slices.Index(names, name),
-		known:       make(Incarnations, len(aggregators)),
-		majority:    len(aggregators)/2 + 1,
-		closedRow:   closedRow,
-		rows:        map[uint64]*row{},
-		window:      timewindow.New[cells](windowBuckets, windowBucketSeconds, now),
-		queryNumber: incarnation, // so that no reply to an earlier incarnation is one to this
-	}
-	a.known[a.self] = incarnation
+		names:        names,
+		selfIndex:    slices.Index(names, name),
+		incarnations: make(Incarnations, len(aggregators)),
+		majority:     len(aggregators)/2 + 1,
+		closedRow:    closedRow,
+		rows:         map[uint64]*row{},
+		window:       timewindow.New[cells](windowBuckets, windowBucketSeconds, now),
+		queryNumber:  incarnation, // so that no reply to an earlier incarnation is one to this
+	}
+	a.incarnations[a.selfIndex] = incarnation
 	a.beginRecovery(now)
 	return a
 }
 
-// learnIncarnations takes over later incarnations of aggregators. Where somebody knows a later one of its
-// own, this one began with a clock that is behind, and recovers anew under a number above that.
-func (a *Aggregator) learnIncarnations(now float64, told Incarnations) {
-	mine := a.known[a.self]
-	a.known.merge(told)
-	if latest := a.known[a.self]; latest != mine {
-		a.known[a.self] = latest + 1
+// learnIncarnations merges incarnations of aggregators that a message carried. If they have a later
+// one of this aggregator, it started with a clock that is behind: it takes a higher incarnation and
+// recovers again.
+func (a *Aggregator) learnIncarnations(now float64, received Incarnations) {
+	own := a.incarnations[a.selfIndex]
+	a.incarnations.merge(received)
+	if latest := a.incarnations[a.selfIndex]; latest != own {
+		a.incarnations[a.selfIndex] = latest + 1
 		a.beginRecovery(now)
 	}
 }
 
-// IncompleteRecoveries counts how often it took itself for recovered without having heard enough others.
+// IncompleteRecoveries returns how many recoveries ended before enough other aggregators had sent their rows.
 func (a *Aggregator) IncompleteRecoveries() int { return a.incompleteRecoveries }
 
-// HandleReport takes a server's report and returns the reply.
+// HandleReport merges a server's report into its row, unless that is frozen or closed, and returns the reply.
 func (a *Aggregator) HandleReport(now float64, report *RowReport) RowAck {
 	a.learnIncarnations(now, report.Aggregators)
-	ack := RowAck{RowID: report.RowID, Aggregators: slices.Clone(a.known)}
+	ack := RowAck{RowID: report.RowID, Aggregators: slices.Clone(a.incarnations)}
 	ack.Sequence, ack.Closed = a.closedRow(report.RowID)
 	if ack.Closed {
 		delete(a.rows, report.RowID)
 		return ack
 	}
 	r := a.rows[report.RowID]
-	if r == nil || !r.closing {
-		r = a.merge(now, report)
+	if r == nil || !r.frozen {
+		r = a.mergeReport(now, report)
 	}
 	if r == nil {
 		return ack
 	}
 	r.lastHeard = now
-	r.relayed = false
+	r.onlyRelayed = false
 	switch {
-	case a.Recovering(): // that the row is closing may not be known here yet
-	case r.closing:
+	case a.Recovering(): // the row may be frozen at others, which is not known here yet: acknowledge nothing
+	case r.frozen:
 		ack.Sequence = r.frozenSequence
 	default:
 		ack.Sequence = r.sequence
@@ -100,9 +102,9 @@
 	return ack
 }
 
-// merge takes a report into its row, which it returns; nil where the row is new and refused. Of two reports
-// the one with the higher number is the later.
-func (a *Aggregator) merge(now float64, report *RowReport) *row {
+// mergeReport merges a report into its row, if its sequence number is higher than the row's. It returns the
+// row, nil if the row is new and refused.
+func (a *Aggregator) mergeReport(now float64, report *RowReport) *row {
 	target := a.rows[report.RowID]
 	if target == nil {
 		if !a.acceptsRow(report) {
@@ -127,13 +129,13 @@
 	return target
 }
 
-// acceptsRow reports whether a report of a row that isn't known here can be taken.
+// acceptsRow reports whether a report may add a row that is not known here.
 func (a *Aggregator) acceptsRow(report *RowReport) bool {
 	return report.BaseSequence == 0 && report.Sequence != 0 && report.Server != "" &&
-		len(a.rows) < maxRows && len(report.Cells) <= maxCells+1
+		len(a.rows) < maxRows && len(report.Cells) <= maxReportCells
 }
 
-// currentBucket is that of the window in which now falls.
+// currentBucket returns the cells of the window's bucket for now.
 func (a *Aggregator) currentBucket(now float64) cells {
 	bucket := a.window.Current(now)
 	if *bucket == nil {
@@ -142,14 +144,14 @@
 	return *bucket
 }
 
-// addRow adds a row of which nothing is known.
+// addRow adds an empty row.
 func (a *Aggregator) addRow(now float64, rowID uint64) *row {
 	added := newRow(rowID, now)
 	a.rows[rowID] = added
 	return added
 }
 
-// freeze has a row closed as it is here, also one of which nothing is known.
+// freeze freezes a row at its sequence number here. A row that is not known is added first.
 func (a *Aggregator) freeze(now float64, rowID uint64) *row {
 	r := a.rows[rowID]
 	if r == nil {
@@ -159,20 +161,20 @@
 	return r
 }
 
-// Maintain does what is due: a recovering aggregator asks the others for their rows; one that leads looks
-// for rows whose servers are gone, and returns those to be closed now, as HandleQueryReply does. gone
-// reports whether a name belongs to another incarnation by now, or to none.
-func (a *Aggregator) Maintain(now float64, leads bool, gone Gone) (queries []Envelope, toClose []RowReport) {
+// Maintain does the periodic work: a recovering aggregator queries the others for their rows, and
+// the leader's looks for rows whose servers are gone. It returns the queries to send and, like
+// HandleQueryReply, the rows to close now.
+func (a *Aggregator) Maintain(now float64, isLeader bool, gone ServerGone) (queries []Envelope, toClose []RowReport) {
 	if a.Recovering() {
 		return a.recoveryQueries(now), nil
 	}
-	if now < a.closing.lastSearch+closeInterval {
+	if now < a.closeRound.lastSearch+closeInterval {
 		return nil, nil
 	}
-	a.closing.lastSearch = now
+	a.closeRound.lastSearch = now
 	maps.DeleteFunc(a.rows, func(rowID uint64, _ *row) bool { return a.isClosed(rowID) })
-	a.closing.rows = nil
-	if !leads {
+	a.closeRound.rows = nil
+	if !isLeader {
 		return nil, nil
 	}
 	return a.closeRows(now, gone)
@@ -184,15 +186,15 @@
 	return closed
 }
 
-// NextWakeup is when Maintain is to be called, in seconds.
+// NextWakeup returns when Maintain is to be called, in seconds.
 func (a *Aggregator) NextWakeup() float64 {
 	if a.Recovering() {
 		return min(a.recovery.lastQuery+recoveryQueryInterval, a.recovery.began+maxRecoverySeconds)
 	}
-	return a.closing.lastSearch + closeInterval
+	return a.closeRound.lastSearch + closeInterval
 }
 
-// otherAggregators lists the names of all but this one.
+// otherAggregators returns the names of all aggregators but this one.
 func (a *Aggregator) otherAggregators() []string {
-	return slices.Delete(slices.Clone(a.names), a.self, a.self+1)
+	return slices.Delete(slices.Clone(a.names), a.selfIndex, a.selfIndex+1)
 }
--- a/internal/policy/counter/cells.go
+++ b/internal/policy/counter/cells.go
@@ -6,14 +6,18 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// maxCells of a row have counts of their own; the rest is counted together. There is room for sixty
-// classes of sixteen tenants.
-const maxCells = 1024
+const (
+	// maxRowCells bounds the tenants and classes that a row counts apart: there is room for sixty classes of
+	// sixteen tenants. All others share one cell with an empty key.
+	maxRowCells = 1024
+	// maxReportCells is maxRowCells and the shared cell.
+	maxReportCells = maxRowCells + 1
+)
 
 // cells are counts by tenant and class.
 type cells map[serving.CounterKey]serving.RequestCounts
 
-// sorted lists the cells in the order of their keys.
+// sorted returns the cells in the order of their keys.
 func (c cells) sorted() []serving.CounterCell {
 	list := make([]serving.CounterCell, 0, len(c))
 	for key, counts := range c {
@@ -35,7 +39,7 @@
 	}
 }
 
-// minus is what is left when other cells, none of them larger, are subtracted.
+// minus returns the cells less other ones, none of which is larger, without those that become zero.
 func (c cells) minus(other cells) cells {
 	left := cells{}
 	for key, counts := range c {
@@ -47,7 +51,7 @@
 	return left
 }
 
-// changedSince lists the cells that differ from earlier ones.
+// changedSince returns the cells that differ from earlier ones.
 func (c cells) changedSince(earlier cells) cells {
 	changed := cells{}
 	for key, counts := range c {
--- a/internal/policy/counter/message.go
+++ b/internal/policy/counter/message.go
@@ -2,16 +2,16 @@
 
 import "swiftcourse/internal/policy/serving"
 
-// RowReport is a server's report of its row, or an aggregator's that relays it.
+// RowReport is a row as its server reports it or as an aggregator relays it.
 type RowReport struct {
 	Server       string
 	Incarnation  uint64 // of the server
 	RowID        uint64
 	Sequence     uint64 // from 1 on
-	BaseSequence uint64 // Cells has what changed after that number; 0 where it has the whole row
-	// Closing is set by an aggregator that won't accept more of the row: it is to be closed, and
-	// FrozenSequence is the highest number that this aggregator ever acknowledged.
-	Closing        bool
+	BaseSequence uint64 // Cells has what changed after that number; all of the row if it is 0
+	// Closing is set by an aggregator that accepts no more reports of the row, which is to be closed.
+	// FrozenSequence is then the highest number that this aggregator ever acknowledged.
+	Frozen         bool
 	FrozenSequence uint64
 	Aggregators    Incarnations          // as the sender knows them
 	Cells          []serving.CounterCell // values of the row, not differences, in order
@@ -25,8 +25,8 @@
 	Aggregators Incarnations
 }
 
-// RowQuery is one aggregator's question to another: what it has of some rows that are to be closed or,
-// from one that recovers, of all rows.
+// RowQuery asks another aggregator what it has of some rows that are to be closed or, when the
+// sender recovers, of all rows.
 type RowQuery struct {
 	Number      uint64
 	Rows        []RowAck // to be closed, each with what the sender has
@@ -35,10 +35,11 @@
 	Aggregators Incarnations
 }
 
-// RowQueryReply has the rows of which the replying aggregator knows more than the one that asked.
+// RowQueryReply answers the RowQuery with the same number. It has the rows of which its sender
+// knows more than the aggregator that asked.
 type RowQueryReply struct {
 	Number      uint64
-	Recovering  bool // the replying one doesn't know all rows itself: what is missing here means nothing
+	Recovering  bool // the sender may lack rows itself, so a row that is missing here may still exist
 	Rows        []RowReport
 	More        bool // there are more rows after the last one
 	Aggregators Incarnations
@@ -51,13 +52,14 @@
 	Query  *RowQuery
 }
 
-// Incarnations are those of the aggregators, in the order of their names, as one process knows them; of
-// two incarnations of one aggregator the higher is the later. Aggregators forget when they restart: what
-// two of them acknowledge makes a majority only where both knew the same incarnations, so that neither
-// speaks for one that is gone.
+// Incarnations are those of the aggregators, in the order of their names, as one process knows
+// them; of two incarnations of one aggregator the higher is the later. Aggregators forget when they
+// restart: acknowledgements add up to a majority only if they carry the same incarnations, so that
+// none comes from one that is over.
 type Incarnations []uint64
 
-// merge takes over later incarnations.
+// merge updates the incarnations to the later ones of other. It ignores other if the number of aggregators
+// differs.
 func (known Incarnations) merge(other Incarnations) {
 	if len(other) != len(known) {
 		return
--- a/internal/policy/counter/query.go
+++ b/internal/policy/counter/query.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// maxReplyCells go in one reply: some tens of kilobytes.
+// maxReplyCells bounds the cells of one reply, unless its first row has more: some tens of kilobytes.
 const maxReplyCells = 1024
 
-// HandleQuery replies to another aggregator.
+// HandleQuery returns the reply to another aggregator's query.
 func (a *Aggregator) HandleQuery(now float64, query *RowQuery) *RowQueryReply {
 	a.learnIncarnations(now, query.Aggregators)
 	reply := &RowQueryReply{
 		Number:      query.Number,
 		Recovering:  a.Recovering(),
-		Aggregators: slices.Clone(a.known),
+		Aggregators: slices.Clone(a.incarnations),
 	}
 	builder := &replyBuilder{reply: reply, cellsLeft: maxReplyCells}
 	if query.All {
@@ -43,7 +43,7 @@
 	return true
 }
 
-// addAllRows adds the rows after that ID, in order, to a reply.
+// addAllRows adds the rows with IDs greater than after, in order, to a reply.
 func (a *Aggregator) addAllRows(builder *replyBuilder, after uint64) {
 	for _, rowID := range slices.Sorted(maps.Keys(a.rows)) {
 		if rowID > after && !builder.add(a.rows[rowID]) {
@@ -52,8 +52,8 @@
 	}
 }
 
-// freezeRows freezes rows that another aggregator is about to close, and adds to the reply those of which
-// this one knows more.
+// freezeRows freezes rows that another aggregator is to close, and adds to the reply those of which this one
+// knows more.
 func (a *Aggregator) freezeRows(now float64, builder *replyBuilder, rows []RowAck) {
 	for _, asked := range rows {
 		if a.isClosed(asked.RowID) {
@@ -65,14 +65,14 @@
 		}
 		r := a.freeze(now, asked.RowID)
 		if r.sequence > asked.Sequence && !builder.add(r) {
-			builder.reply.Recovering = true // it isn't all: the other one has to ask again
+			builder.reply.Recovering = true // rows are missing for lack of room: the sender has to ask again
 			return
 		}
 	}
 }
 
-// HandleQueryReply takes another aggregator's reply. It returns the rows that are to be closed now, none
-// as long as too few have replied.
+// HandleQueryReply processes another aggregator's reply. It returns the rows to close now, none while too few
+// have replied.
 func (a *Aggregator) HandleQueryReply(now float64, from string, reply *RowQueryReply) []RowReport {
 	a.learnIncarnations(now, reply.Aggregators)
 	if reply.Number != a.queryNumber || !slices.Contains(a.names, from) {
@@ -84,21 +84,21 @@
 		}
 	}
 	if a.Recovering() {
-		a.noteRecovered(from, reply)
+		a.recordRecoveryReply(from, reply)
 		return nil
 	}
 	return a.confirmClosing(from, reply)
 }
 
-// mergeRelayed takes a row that another aggregator has, and whether it is frozen there.
+// mergeRelayed merges a row that another aggregator sent, and freezes it if it is frozen there.
 func (a *Aggregator) mergeRelayed(now float64, report *RowReport) {
 	r := a.rows[report.RowID]
 	if report.Sequence > 0 {
-		r = a.merge(now, report)
-	} else if r == nil && report.Closing && len(a.rows) < maxRows {
+		r = a.mergeReport(now, report)
+	} else if r == nil && report.Frozen && len(a.rows) < maxRows {
 		r = a.addRow(now, report.RowID)
 	}
-	if r != nil && report.Closing {
+	if r != nil && report.Frozen {
 		r.freezeAt(report.FrozenSequence)
 	}
 }
--- a/internal/policy/counter/recovery.go
+++ b/internal/policy/counter/recovery.go
@@ -8,21 +8,21 @@
 const (
 	// recoveryQueryInterval is how often a recovering aggregator asks the others, in seconds.
 	recoveryQueryInterval = 0.25
-	// maxRecoverySeconds is after how long it counts as recovered in any case: what was only known to
-	// aggregators that are gone is lost, which IncompleteRecoveries shows.
+	// maxRecoverySeconds is how long a recovery may take. One that ends by it is incomplete: rows known only
+	// to aggregators that are gone are lost.
 	maxRecoverySeconds = 30.0
 )
 
-// recovery is how an aggregator that has just started learns the rows that the others have.
+// recovery is the state of an aggregator that learns the rows of the others after its start.
 type recovery struct {
 	active    bool
 	began     float64
 	lastQuery float64
-	lastRow   map[string]uint64 // ID of the last row that each other one has sent
-	finished  map[string]bool   // those that have sent all; true for those that weren't recovering themselves
+	lastRow   map[string]uint64 // by aggregator: ID of the last row that it has sent
+	finished  map[string]bool   // aggregators that have sent all of their rows; false if they were recovering
 }
 
-// beginRecovery has the aggregator learn anew which rows there are.
+// beginRecovery starts a recovery and abandons a close round.
 func (a *Aggregator) beginRecovery(now float64) {
 	a.recovery = recovery{
 		active:    len(a.names) > 1,
@@ -31,20 +31,21 @@
 		lastRow:   map[string]uint64{},
 		finished:  map[string]bool{},
 	}
-	a.closing.rows = nil
-	a.closing.confirmed = map[string]bool{}
+	a.closeRound.rows = nil
+	a.closeRound.confirmed = map[string]bool{}
 }
 
-// Recovering reports whether it may lack rows that a majority had.
+// Recovering reports whether the aggregator may lack rows that a majority had.
 func (a *Aggregator) Recovering() bool { return a.recovery.active }
 
-// endIncompleteRecovery has it count as recovered without having heard enough others.
+// endIncompleteRecovery ends the recovery before enough others have sent all of their rows.
 func (a *Aggregator) endIncompleteRecovery() {
 	a.recovery.active = false
 	a.incompleteRecoveries++
 }
 
-// recoveryQueries returns the queries that are due to aggregators that haven't sent all of their rows.
+// recoveryQueries returns the queries that are due to the aggregators that have not sent all of
+// their rows, and ends a recovery that has taken too long.
 func (a *Aggregator) recoveryQueries(now float64) []Envelope {
 	if now >= a.recovery.began+maxRecoverySeconds {
 		a.endIncompleteRecovery()
@@ -64,16 +65,16 @@
 			Number:      a.queryNumber,
 			All:         true,
 			After:       a.recovery.lastRow[name],
-			Aggregators: slices.Clone(a.known),
+			Aggregators: slices.Clone(a.incarnations),
 		}
 		queries = append(queries, Envelope{To: name, Query: query})
 	}
 	return queries
 }
 
-// noteRecovered notes how far another aggregator has sent what it has, and ends the recovery once enough
-// of them have sent all.
-func (a *Aggregator) noteRecovered(from string, reply *RowQueryReply) {
+// recordRecoveryReply records how much of its rows another aggregator has sent, and ends the recovery once
+// enough of them have sent all.
+func (a *Aggregator) recordRecoveryReply(from string, reply *RowQueryReply) {
 	if reply.More {
 		a.recovery.lastRow[from] = reply.Rows[len(reply.Rows)-1].RowID
 		return
@@ -85,8 +86,8 @@
 			complete++
 		}
 	}
-	// Each row that a majority had is at one at least of these. Where all others have sent what they have
-	// there is no more.
+	// Each row that a majority had is at one at least of the complete ones. If all others have sent what they
+	// have, there is nothing more to wait for.
 	switch {
 	case complete >= len(a.names)-a.majority+1:
 		a.recovery.active = false
--- a/internal/policy/counter/row.go
+++ b/internal/policy/counter/row.go
@@ -1,65 +1,75 @@
 package counter
 
 const (
-	// maxRequestRate is what a server may count in a second, and maxRequestBurst what it may count at
-	// once after a pause: a report of more can't be true.
+	// maxRequestRate is the most requests that a server may count in a second, and maxRequestBurst the most
+	// beyond that rate: a report of more is refused.
 	maxRequestRate  = 1e6
 	maxRequestBurst = 1e7
+	// unknownRate stands for a rate that is not known yet.
+	unknownRate = -1.0
 )
 
-// row is a server's row at an aggregator.
+// row is an aggregator's copy of a server's row.
 type row struct {
 	id          uint64
 	server      string
 	incarnation uint64 // of the server
-	sequence    uint64 // 0 where nothing of the row is known
+	sequence    uint64 // 0 if no report of it came yet
 	cells       cells
-	// closing is set once the row is to be closed. It may have been added to the totals already: no number
-	// above frozenSequence is ever acknowledged, so that its server doesn't go on to another one. Whichever
-	// aggregator leads sees to it that the row is closed.
-	closing        bool
+	// closing is set once the row is to be closed, which the leader's aggregator does. It may have
+	// been added to the totals already, so no number above frozenSequence is ever acknowledged: its
+	// server can't take the next one.
+	frozen         bool
 	frozenSequence uint64
 
-	firstHeard float64
-	lastHeard  float64 // from its server
-	lastGrowth float64 // when a higher number came
-	rate       float64 // requests a second at that time, negative as long as it isn't known
-	relayed    bool    // only other aggregators reported it
+	firstHeard  float64
+	lastHeard   float64 // from its server
+	lastGrowth  float64 // when a higher number came
+	rate        float64 // requests a second then, unknownRate before it is known
+	onlyRelayed bool    // no report came from its server itself
 }
 
 func newRow(id uint64, now float64) *row {
-	return &row{id: id, cells: cells{}, firstHeard: now, lastHeard: now, lastGrowth: now, rate: -1, relayed: true}
+	return &row{
+		id:          id,
+		cells:       cells{},
+		firstHeard:  now,
+		lastHeard:   now,
+		lastGrowth:  now,
+		rate:        unknownRate,
+		onlyRelayed: true,
+	}
 }
 
-// freeze marks the row as to be closed, under its present number.
+// freeze freezes the row at its current sequence number, unless it is frozen already.
 func (r *row) freeze() {
-	if !r.closing {
+	if !r.frozen {
 		r.freezeAt(r.sequence)
 	}
 }
 
-// freezeAt marks the row as to be closed, under no higher number than that.
+// freezeAt freezes the row at a sequence number, or at a lower one if it is frozen there already.
 func (r *row) freezeAt(sequence uint64) {
-	if !r.closing || sequence < r.frozenSequence {
-		r.closing = true
+	if !r.frozen || sequence < r.frozenSequence {
+		r.frozen = true
 		r.frozenSequence = sequence
 	}
 }
 
-// report is the row as it is relayed to other aggregators.
+// report returns the row as it is relayed to other aggregators.
 func (r *row) report() RowReport {
 	return RowReport{
 		Server:         r.server,
 		Incarnation:    r.incarnation,
 		RowID:          r.id,
 		Sequence:       r.sequence,
-		Closing:        r.closing,
+		Frozen:         r.frozen,
 		FrozenSequence: r.frozenSequence,
 		Cells:          r.cells.sorted(),
 	}
 }
 
-// continues reports whether a report brings the row to a higher number.
+// continues reports whether a report can bring the row to a higher sequence number.
 func (r *row) continues(report *RowReport) bool {
 	known := r.sequence > 0
 	if known && (report.Server != r.server || report.Incarnation != r.incarnation) {
@@ -68,14 +78,15 @@
 	return report.Sequence > r.sequence && report.BaseSequence <= r.sequence
 }
 
-// growth is what a report adds to a row.
+// growth is the difference that a report makes to a row.
 type growth struct {
 	cells    cells
 	requests uint64 // sum over the cells
 }
 
-// growthBy checks a report against the row and returns what it adds. A report is refused, with false, if
-// it has a cell twice, lacks one, has a smaller count than the row, or more than a server can count.
+// growthBy returns what a report adds to the row. The report is invalid if it has a cell twice,
+// lacks a cell of the row, has a smaller count than the row, or more cells or requests than a
+// server can count.
 func (r *row) growthBy(now float64, report *RowReport) (added growth, valid bool) {
 	added.cells = cells{}
 	alreadyKnown := 0
@@ -94,15 +105,15 @@
 	lacksCells := report.BaseSequence == 0 && alreadyKnown < len(r.cells)
 	cellCount := len(r.cells) + len(added.cells) - alreadyKnown
 	tooFast := r.sequence > 0 && float64(added.requests) > r.maxGrowth(now)
-	return added, !lacksCells && cellCount <= maxCells+1 && !tooFast
+	return added, !lacksCells && cellCount <= maxReportCells && !tooFast
 }
 
-// maxGrowth is how many requests a server can have counted since the row grew last.
+// maxGrowth returns how many requests a server can have counted since the row last grew.
 func (r *row) maxGrowth(now float64) float64 {
 	return maxRequestBurst + maxRequestRate*max(0, now-r.lastGrowth)
 }
 
-// grow adds what a report added.
+// grow adds the growth by a report to the row.
 func (r *row) grow(now float64, report *RowReport, added growth) {
 	if r.growthIsRecent(report) {
 		r.rate = float64(added.requests) / max(now-r.lastGrowth, reportInterval)
@@ -112,6 +123,6 @@
 	r.lastGrowth = now
 }
 
-// growthIsRecent reports whether what a report adds was counted since the row was heard of. It isn't where
-// a row that has gone on for a while is reported here for the first time.
+// growthIsRecent reports whether what a report adds was counted since the last one here. It is not if the row
+// has grown for a while and is reported here for the first time.
 func (r *row) growthIsRecent(report *RowReport) bool { return r.sequence > 0 || report.Sequence == 1 }
--- a/internal/policy/counter/summary.go
+++ b/internal/policy/counter/summary.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// lateSeconds is for how long a server may report nothing new before a summary names it.
+	// lateSeconds is how long a server may report nothing new before a summary lists it.
 	lateSeconds = 2 * idleReportInterval
-	// maxLateReports bounds the servers that a summary names.
+	// maxLateReports bounds the late servers that a summary lists.
 	maxLateReports = 64
 )
 
@@ -22,22 +22,22 @@
 	RequestsPerSecond float64 `json:"Rate"` // that it reported before
 }
 
-// Summary is what an aggregator knows. Everything in it was counted, so the truth is no less; what it may
-// lack is estimated. Its JSON keys are part of the control API.
+// Summary has the totals that an aggregator knows. They are a lower bound; how much they may lack is
+// estimated. Its JSON keys are part of the control API.
 type Summary struct {
 	Total      []serving.CounterCell // since the fleet was bootstrapped
-	LastMinute []serving.CounterCell `json:"Minute"` // what was reported in it
+	LastMinute []serving.CounterCell `json:"Minute"` // reported in the last minute
 	OpenRows   int                   `json:"Rows"`   // incarnations that reported, and whose rows aren't closed
 	// LateReports are servers last heard of some seconds ago, the longest silent first.
 	LateReports []LateReport `json:"Late"`
 	// MaxMissing is how many requests servers may have counted since their last reports, at their rates.
 	MaxMissing float64 `json:"Lacks"`
-	// Recovering is true as long as the aggregator doesn't know all that the others know.
+	// Recovering is true while the aggregator may lack rows that others have.
 	Recovering bool `json:"Cold"`
-	// IncompleteRecoveries is how often this aggregator took itself for recovered without enough others
-	// that knew all. It is 1 at the fleet's first start.
+	// IncompleteRecoveries is how many recoveries of this aggregator ended before enough others had sent all
+	// of their rows. It is 1 at the fleet's first start.
 	IncompleteRecoveries int `json:"Holes"`
-	RejectedReports      int `json:"Refused"` // that can't be true
+	RejectedReports      int `json:"Refused"` // that no server can have counted
 }
 
 // Summary adds up what is known; closedTotals are the sums over closed rows.
@@ -64,8 +64,8 @@
 			summary.LateReports = append(summary.LateReports, r.lateReport(now))
 		}
 	}
-	slices.SortStableFunc(summary.LateReports, func(a, b LateReport) int {
-		return cmp.Compare(b.SilentSeconds, a.SilentSeconds)
+	slices.SortStableFunc(summary.LateReports, func(x, y LateReport) int {
+		return cmp.Compare(y.SilentSeconds, x.SilentSeconds)
 	})
 	summary.LateReports = summary.LateReports[:min(len(summary.LateReports), maxLateReports)]
 	summary.MaxMissing = missing.total()
@@ -74,7 +74,7 @@
 	return summary
 }
 
-// lastMinute adds up the window.
+// lastMinute returns the sum over the window.
 func (a *Aggregator) lastMinute(now float64) cells {
 	sum := cells{}
 	a.window.ForEach(now, func(bucket *cells) { sum.addAll(*bucket) })
@@ -99,7 +99,7 @@
 
 func (m *missingEstimate) add(now float64, r *row) {
 	seconds := max(0, now-r.lastGrowth)
-	if r.rate < 0 {
+	if r.rate == unknownRate {
 		m.unratedSeconds += seconds
 		return
 	}
@@ -108,7 +108,7 @@
 	m.requests += r.rate * seconds
 }
 
-// total takes rows whose rate isn't known for such as the others.
+// total returns the estimate; rows without a known rate count with the mean rate of the others.
 func (m *missingEstimate) total() float64 {
 	return m.requests + m.unratedSeconds*m.rates/max(1, m.ratedRows)
 }
--- a/internal/policy/quota/config.go
+++ b/internal/policy/quota/config.go
@@ -18,7 +18,7 @@
 	LingerSeconds float64
 }
 
-// Config is what all servers are configured with alike, by one release.
+// Config is the configuration that all servers share; requests carry its hash.
 type Config struct {
 	LeaseSeconds  float64
 	FloorFraction float64 // of each limit, set aside for floors
@@ -27,18 +27,18 @@
 }
 
 const (
-	// BurstSeconds is how many seconds of a rate may be saved up. It lets a tenth of a second's swing of
-	// a hundred requests a second pass, and keeps the fleet's burst at half a second of its limit. One
-	// unit may always be saved up, or a small share would never come to one.
+	// BurstSeconds is the capacity of the token bucket of a rate, in seconds of that rate. It tolerates a
+	// tenth of a second of jitter at a hundred requests a second, and keeps the fleet's burst at half a
+	// second of its limit. The capacity is one unit at least, or a small share would never reach one.
 	BurstSeconds = 0.5
-	// MaxEntries is how many limits one message speaks of; it keeps a message under 20 KB.
+	// MaxEntries bounds the demands of a request and the grants of a reply; it keeps a message under 20 KB.
 	MaxEntries = 128
 
-	// maxClockDrift is by which fraction a holder's clock may run slower than the grantor's: far over
-	// any crystal's, and over the 1% that the simulations use.
+	// maxClockDrift is the fraction by which a holder's clock may run slower than the grantor's: far more
+	// than a quartz clock drifts, and more than the 1% of the simulations.
 	maxClockDrift = 0.02
-	// leaderLeaseSeconds is for how long a replaced leader may still grant leases. It is the time for
-	// which a majority's confirmation of a leader counts, see package lease.
+	// leaderLeaseSeconds is how long a replaced leader may still grant leases. It must equal
+	// lease.LeaderConfirmationWindow, the time for which a majority's confirmation of a leader counts.
 	leaderLeaseSeconds = 1.0
 	maxLimits          = 16384
 	maxNameLength      = 96
@@ -46,11 +46,11 @@
 
 // ConfigError is returned by Config.Validate.
 type ConfigError struct {
-	Limit  string // name of the limit at fault, "" where the fault isn't one limit's
+	Limit  string // name of the invalid limit, "" for an error of the whole configuration
 	Reason string
 }
 
-// Error names the limit at fault and the reason.
+// Error returns the reason, with the name of the limit if there is one.
 func (e *ConfigError) Error() string {
 	if e.Limit == "" {
 		return e.Reason
@@ -58,16 +58,16 @@
 	return fmt.Sprintf("limit %q: %s", e.Limit, e.Reason)
 }
 
-// FloorPerServer is what each server may use of a limit without a lease.
+// FloorPerServer returns what each server may use of a limit without a lease.
 func (c *Config) FloorPerServer(limit *Limit) float64 {
 	return c.FloorFraction * limit.Max / float64(max(1, c.MaxServers))
 }
 
-// pool is the part of a limit that is leased out.
+// pool returns the part of a limit that is leased out.
 func (c *Config) pool(limit *Limit) float64 { return (1 - c.FloorFraction) * limit.Max }
 
-// MaxBurst is what the fleet may use of a rate in any period beyond the rate times the period, in units.
-// It is 0 for a concurrent limit.
+// MaxBurst returns how many units the fleet may use in any period beyond Max times its length. It is 0 for a
+// concurrent limit.
 func (c *Config) MaxBurst(limit *Limit) float64 {
 	if limit.Concurrent {
 		return 0
@@ -75,7 +75,7 @@
 	return BurstSeconds*limit.Max + float64(c.MaxServers)
 }
 
-// Hash tells configurations apart.
+// Hash returns a hash of all fields, by which servers with different configurations are told apart.
 func (c *Config) Hash() uint64 {
 	hash := xxhash.New()
 	_, _ = fmt.Fprintln(hash, c.LeaseSeconds, c.FloorFraction, c.MaxServers)
@@ -85,7 +85,7 @@
 	return hash.Sum64()
 }
 
-// Validate returns a *ConfigError for the first fault that it finds.
+// Validate returns a *ConfigError for the first error that it finds.
 func (c *Config) Validate() error {
 	if len(c.Limits) > maxLimits {
 		return &ConfigError{Reason: fmt.Sprintf("%d limits, at most %d", len(c.Limits), maxLimits)}
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// limitFault is the reason for which a limit is refused, "" for none.
+// limitFault returns why a limit is invalid, "" if it is valid.
 func (c *Config) limitFault(limit *Limit, duplicate bool) string {
 	switch {
 	case limit.Name == "":
--- a/internal/policy/quota/grantor.go
+++ b/internal/policy/quota/grantor.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Grantor is the leader's side: it leases shares of the pools to holders. It belongs to one term; a new
-// leader makes a new one.
+// Grantor leases shares of the pools to holders. It runs in the leader of the voters and serves one
+// term; each new leader creates its own.
 type Grantor struct {
 	id         uint64
 	config     Config
 	configHash uint64
 	started    float64
-	limits     map[string]*limitState
+	limits     map[string]*grantorLimit
 }
 
 // maxLeases bounds the leases kept of one allocation. Requests come a tenth of a second apart, so a
@@ -22,21 +22,21 @@
 // NewGrantor returns the grantor of a leader whose term begins now. id must be random, so that no other
 // grantor has it.
 func NewGrantor(config Config, id uint64, now float64) *Grantor {
-	g := &Grantor{id: id, started: now, limits: map[string]*limitState{}}
+	g := &Grantor{id: id, started: now, limits: map[string]*grantorLimit{}}
 	g.ApplyConfig(config)
 	return g
 }
 
-// ApplyConfig goes over to a new configuration. What is leased out still counts as committed.
+// ApplyConfig replaces the configuration. Shares already leased still count as committed.
 func (g *Grantor) ApplyConfig(config Config) {
 	previous := g.limits
 	config.Limits = slices.Clone(config.Limits)
 	g.config = config
 	g.configHash = config.Hash()
-	g.limits = make(map[string]*limitState, len(config.Limits))
+	g.limits = make(map[string]*grantorLimit, len(config.Limits))
 	for i := range config.Limits {
 		limit := &config.Limits[i]
-		state := newLimitState(&config, limit)
+		state := newGrantorLimit(&config, limit)
 		if old := previous[limit.Name]; old != nil && old.limit.Concurrent == limit.Concurrent {
 			state.allocations = old.allocations
 		}
@@ -44,14 +44,14 @@
 	}
 }
 
-// previousGrantorStopped is when no grantor before this one can grant a lease any more.
+// previousGrantorStopped returns the time after which no earlier grantor can grant a lease.
 func (g *Grantor) previousGrantorStopped() float64 {
 	return g.started + leaderLeaseSeconds*(1+maxClockDrift)
 }
 
 // priorLeasesExpired reports whether every lease that a grantor before this one granted has expired, and
 // what was in use under it is over.
-func (g *Grantor) priorLeasesExpired(state *limitState, now float64) bool {
+func (g *Grantor) priorLeasesExpired(state *grantorLimit, now float64) bool {
 	return now > state.leaseExpiry(g.previousGrantorStopped(), g.config.LeaseSeconds)
 }
 
@@ -64,8 +64,9 @@
 	}
 	reply := &Reply{Incarnation: request.Incarnation, Number: request.Number, GrantorID: g.id}
 	if request.GrantorID != g.id {
-		// The holder hasn't heard this grantor yet. The request may be old, what it says it holds may have
-		// expired long ago and been leased to another holder by the grantor before.
+		// The holder has no reply of this grantor yet, so the request may be old: the share it
+		// reports may have expired since, and an earlier grantor may have leased it to another
+		// holder.
 		return reply
 	}
 	for i := range request.Demands {
@@ -90,41 +91,41 @@
 		request.ConfigHash == g.configHash && len(request.Demands) <= MaxEntries
 }
 
-// grant decides on the share of one limit that a holder gets from now on.
+// grant decides which share of one limit a holder gets, and records its lease.
 func (g *Grantor) grant(
-	now float64, state *limitState, request *Request, demand *Demand,
+	now float64, state *grantorLimit, request *Request, demand *Demand,
 ) (share float64, granted bool) {
-	allocation := state.allocationOf(request.Incarnation, now, g.config.LeaseSeconds)
-	if allocation == nil {
+	allocated := state.allocationOf(request.Incarnation, now, g.config.LeaseSeconds)
+	if allocated == nil {
 		return 0, false
 	}
-	allocation.requestNumber = request.Number
-	allocation.lastHeard = now
-	state.setRequested(allocation, demand.Requested)
+	allocated.requestNumber = request.Number
+	allocated.lastHeard = now
+	state.setRequested(allocated, demand.Requested)
 	state.divide(now, g.config.LeaseSeconds)
 
-	before := allocation.committed(now)
-	available := max(0, state.pool-max(0, state.committed-before))
-	settled := g.priorLeasesExpired(state, now)
-	if !settled {
-		g.adoptPriorLease(now, state, allocation, demand, available)
+	committedBefore := allocated.committed(now)
+	available := max(0, state.pool-max(0, state.committed-committedBefore))
+	priorExpired := g.priorLeasesExpired(state, now)
+	if !priorExpired {
+		g.adoptPriorLease(now, state, allocated, demand, available)
 	}
-	state.settle(now, allocation, demand)
-	if !settled {
-		// What others hold isn't known yet, so nobody gets more than it has.
-		available = min(available, allocation.committed(now))
+	state.releaseUnused(now, allocated, demand)
+	if !priorExpired {
+		// The leases of other holders are not all known yet, so this holder gets no more than it has.
+		available = min(available, allocated.committed(now))
 	}
-	wanted := min(allocation.need, state.division.maxNeed) + state.division.headroom*allocation.requested
+	wanted := min(allocated.need, state.division.maxNeed) + state.division.headroom*allocated.requested
 	share = min(wanted, available)
-	granted = g.addLease(now, state, allocation, share)
-	state.committed += allocation.committed(now) - before
+	granted = g.addLease(now, state, allocated, share)
+	state.committed += allocated.committed(now) - committedBefore
 	return share, granted
 }
 
-// adoptPriorLease takes over a lease that another grantor granted, or this process in an earlier term.
-// It counts until it has expired, and never for more than the pool leaves: a holder that claims to have
-// all of it takes nothing from those that are known.
-func (g *Grantor) adoptPriorLease(now float64, state *limitState, a *allocation, demand *Demand, available float64) {
+// adoptPriorLease records a lease that a holder reports from an earlier grantor, so that it counts until it
+// has expired. It counts for at most what the recorded leases leave of the pool: a holder that claims all of
+// it takes nothing from the others.
+func (g *Grantor) adoptPriorLease(now float64, state *grantorLimit, a *allocation, demand *Demand, available float64) {
 	if demand.GrantNumber == 0 || !(demand.RemainingSeconds > 0) || a.hasLease(demand.GrantNumber) {
 		return
 	}
@@ -138,7 +139,7 @@
 
 // addLease records a lease of the share under the latest request's number. It returns false where too
 // many unexpired ones are recorded already.
-func (g *Grantor) addLease(now float64, state *limitState, a *allocation, share float64) bool {
+func (g *Grantor) addLease(now float64, state *grantorLimit, a *allocation, share float64) bool {
 	if len(a.leases) >= maxLeases {
 		a.dropLeasesBefore(0, now)
 	}
--- a/internal/policy/quota/holder.go
+++ b/internal/policy/quota/holder.go
@@ -6,21 +6,22 @@
 	"slices"
 )
 
-// Holder is a server's side: it asks for leased shares and says what may be used.
+// Holder is the client of a Grantor in each server: it requests leased shares and tells the server what it
+// may use.
 type Holder struct {
 	config      Config
 	configHash  uint64
 	incarnation uint64
 
-	shares       map[string]*leasedShare
-	names        []string // of the shares, in the order of the configuration
-	nextName     int      // index in names at which the next request goes on
-	requests     [maxPendingRequests]pendingRequest
+	limits       map[string]*holderLimit
+	names        []string // of the limits, in the order of the configuration
+	nextName     int      // index in names at which the next request starts
+	pending      [maxPendingRequests]pendingRequest
 	requestCount uint64
-	latestReply  uint64 // number of the newest reply that was taken
-	grantorID    uint64 // from whom that was
+	latestReply  uint64 // number of the newest reply that was processed
+	grantorID    uint64 // of the grantor that sent it
 	nextWakeup   float64
-	changed      bool // an allowance, since TakeChanges
+	changed      bool // whether an allowance changed since TakeChanges
 }
 
 // pendingRequest is a request whose reply may still come.
@@ -32,15 +33,15 @@
 const (
 	// maxPendingRequests bounds the requests whose reply may still come.
 	maxPendingRequests = 16
-	// minRequestInterval is between two requests where there is news, in seconds: a busy server has what
-	// others leave within a few of them.
+	// minRequestInterval is the least time between two demands for one limit, in seconds: a busy server
+	// gets what others give back within a few of them.
 	minRequestInterval = 0.1
-	// starvingRequestInterval is how often a server asks that could use more than it has: others give up
-	// what they don't need a few times a second.
-	starvingRequestInterval = 0.25
-	// renewFraction of a lease passes before it is renewed: two requests in a row may be lost.
+	// starvedRequestInterval is how often, in seconds, a server asks again while it could use more than it
+	// has: others give back what they don't need a few times a second.
+	starvedRequestInterval = 0.25
+	// renewFraction is the part of a lease after which it is renewed: two requests in a row may be lost.
 	renewFraction = 1.0 / 3
-	// reportedChange is by which fraction a demand has to change to be reported before that.
+	// reportedChange is the fraction by which a demand must change to be reported before that.
 	reportedChange = 0.2
 )
 
@@ -51,99 +52,99 @@
 	return h
 }
 
-// ApplyConfig goes over to a new configuration. A lease goes on until it ends, as far as the new limit
-// allows; floors change at once.
+// ApplyConfig replaces the configuration. A running lease is kept, with its share cut to the new pool;
+// floors change at once.
 func (h *Holder) ApplyConfig(config Config, now float64) {
-	previous := h.shares
+	previous := h.limits
 	config.Limits = slices.Clone(config.Limits)
 	h.config = config
 	h.configHash = config.Hash()
-	h.shares = make(map[string]*leasedShare, len(config.Limits))
+	h.limits = make(map[string]*holderLimit, len(config.Limits))
 	h.names = h.names[:0]
 	h.nextName = 0
 	for i := range config.Limits {
 		limit := &config.Limits[i]
-		share := newLeasedShare()
+		state := newHolderLimit()
 		if old := previous[limit.Name]; old != nil && old.limit.Concurrent == limit.Concurrent {
-			*share = *old
+			*state = *old
 		}
-		share.setLimit(&config, limit)
-		h.shares[limit.Name] = share
+		state.setLimit(&config, limit)
+		h.limits[limit.Name] = state
 		h.names = append(h.names, limit.Name)
 	}
 	h.changed = true
 	h.nextWakeup = now
 }
 
-// RecordUsage notes what the server loop recently did with a limit: requested units a second, or units
-// in use and rejected; how many are in use; and the GrantNumber of the Allowance that it goes by. The
-// grantor isn't told that a share became smaller before the loop goes by the smaller one.
+// RecordUsage records the recent use of a limit by the server loop. requested is in units a second or, for a
+// concurrent limit, the units in use and those rejected; inUse is the units in use; grantNumber is that of
+// the Allowance which the loop enforces. The grantor is told that a share became smaller only after the loop
+// enforces the smaller one.
 func (h *Holder) RecordUsage(now float64, name string, requested, inUse float64, grantNumber uint64) {
-	share := h.shares[name]
-	if share == nil {
+	state := h.limits[name]
+	if state == nil {
 		return
 	}
-	if grantNumber == share.granted.number {
-		share.setApplied()
+	if grantNumber == state.granted.number {
+		state.setApplied()
 	}
-	share.setUsage(now, requested, inUse)
-	if share.requestDue(now, h.config.LeaseSeconds) {
-		h.nextWakeup = min(h.nextWakeup, max(now, share.lastRequest+minRequestInterval))
+	state.setUsage(now, requested, inUse)
+	if state.requestDue(now, h.config.LeaseSeconds) {
+		h.nextWakeup = min(h.nextWakeup, max(now, state.lastRequest+minRequestInterval))
 	}
 }
 
 // NextWakeup is when NextRequest is to be called, in seconds of the holder's clock.
 func (h *Holder) NextWakeup() float64 { return h.nextWakeup }
 
-// NextRequest returns the request to send to the grantor, nil where there is nothing to say.
+// NextRequest returns the request to send to the grantor, nil if none is due.
 func (h *Holder) NextRequest(now float64) *Request {
 	due := h.takeDue(now)
 	if due == nil {
 		return nil
 	}
 	h.requestCount++
-	h.requests[h.requestCount%maxPendingRequests] = pendingRequest{number: h.requestCount, sentAt: now}
+	h.pending[h.requestCount%maxPendingRequests] = pendingRequest{number: h.requestCount, sentAt: now}
 	request := &Request{
 		Incarnation: h.incarnation,
 		Number:      h.requestCount,
 		ConfigHash:  h.configHash,
 		GrantorID:   h.grantorID,
 	}
-	for _, share := range due {
-		request.Demands = append(request.Demands, share.demand(now))
-		share.setReported(now)
+	for _, state := range due {
+		request.Demands = append(request.Demands, state.demand(now))
+		state.setReported(now)
 	}
 	h.nextWakeup = min(h.nextWakeup, now+minRequestInterval)
 	return request
 }
 
-// takeDue lists the shares that the next request speaks of, at most MaxEntries, and sets the next wakeup
-// by the others.
-func (h *Holder) takeDue(now float64) []*leasedShare {
-	var due []*leasedShare
+// takeDue returns the limits for which the next request has a demand, at most MaxEntries, and sets the next
+// wakeup for the rest.
+func (h *Holder) takeDue(now float64) []*holderLimit {
+	var due []*holderLimit
 	h.nextWakeup = math.Inf(1)
 	for i := range h.names {
-		at := (h.nextName + i) % len(h.names)
-		share := h.shares[h.names[at]]
-		if share.requestDue(now, h.config.LeaseSeconds) {
+		index := (h.nextName + i) % len(h.names)
+		state := h.limits[h.names[index]]
+		if state.requestDue(now, h.config.LeaseSeconds) {
 			if len(due) == MaxEntries {
-				h.nextName = at
+				h.nextName = index
 				h.nextWakeup = now
 				break
 			}
-			due = append(due, share)
-		} else if share.leased(now) || share.wantsLease() {
-			renewal := max(now+minRequestInterval, share.lastRequest+renewFraction*h.config.LeaseSeconds)
-			h.nextWakeup = min(h.nextWakeup, renewal)
+			due = append(due, state)
+		} else if state.hasLease(now) || state.wantsLease() {
+			h.nextWakeup = min(h.nextWakeup, state.renewalTime(now, h.config.LeaseSeconds))
 		}
 	}
 	return due
 }
 
-// HandleReply takes a grantor's reply. One to an earlier incarnation, to a request that isn't pending any
-// more, or older than one that was taken changes nothing.
+// HandleReply processes a grantor's reply. It ignores a reply to an earlier incarnation or to a request that
+// is no longer pending, and one older than a reply already processed.
 func (h *Holder) HandleReply(now float64, reply *Reply) {
-	pending := h.requests[reply.Number%maxPendingRequests]
+	pending := h.pending[reply.Number%maxPendingRequests]
 	if reply.Incarnation != h.incarnation || reply.Number == 0 || pending.number != reply.Number ||
 		reply.Number <= h.latestReply {
 		return
@@ -153,12 +154,12 @@
 		h.followGrantor(now, reply.GrantorID)
 	}
 	for _, granted := range reply.Grants {
-		share := h.shares[granted.Name]
-		if share == nil || reply.Number <= share.granted.number {
+		state := h.limits[granted.Name]
+		if state == nil || reply.Number <= state.granted.number {
 			continue
 		}
-		share.setGranted(now, grant{
-			share:       clamp(granted.LeasedShare, h.config.pool(share.limit)),
+		state.setGranted(now, receivedGrant{
+			share:       clamp(granted.LeasedShare, h.config.pool(state.limit)),
 			leaseExpiry: pending.sentAt + h.config.LeaseSeconds,
 			number:      reply.Number,
 		})
@@ -166,31 +167,31 @@
 	}
 }
 
-// followGrantor has everything that is leased asked for again: a grantor grants nothing to holders that
-// haven't heard it.
+// followGrantor records a new grantor and makes every leased limit due for a request: a grantor grants
+// nothing before a request carries its ID.
 func (h *Holder) followGrantor(now float64, grantorID uint64) {
 	h.grantorID = grantorID
 	h.nextWakeup = now
-	for _, share := range h.shares {
-		if share.leased(now) {
-			share.lastRequest = math.Inf(-1)
+	for _, state := range h.limits {
+		if state.hasLease(now) {
+			state.lastRequest = math.Inf(-1)
 		}
 	}
 }
 
-// ActiveLeases lists the limits of which a share is leased at this moment.
+// ActiveLeases returns the allowances of the limits with a lease that runs now.
 func (h *Holder) ActiveLeases(now float64) []Allowance {
 	var list []Allowance
 	for _, name := range h.names {
-		if share := h.shares[name]; share.leased(now) {
-			list = append(list, share.allowance())
+		if state := h.limits[name]; state.hasLease(now) {
+			list = append(list, state.allowance())
 		}
 	}
 	return list
 }
 
-// TakeChanges lists what may be used of all limits, by name, if any of it changed since the last call. It
-// returns nil if nothing did.
+// TakeChanges returns the allowances of all limits in order of their names if any of them changed since the
+// last call, and nil otherwise.
 func (h *Holder) TakeChanges() []Allowance {
 	if !h.changed {
 		return nil
@@ -198,7 +199,7 @@
 	h.changed = false
 	list := make([]Allowance, 0, len(h.names))
 	for _, name := range h.names {
-		list = append(list, h.shares[name].allowance())
+		list = append(list, h.limits[name].allowance())
 	}
 	slices.SortFunc(list, func(a, b Allowance) int { return cmp.Compare(a.Name, b.Name) })
 	return list
--- a/internal/policy/quota/message.go
+++ b/internal/policy/quota/message.go
@@ -1,21 +1,21 @@
 package quota
 
-// Demand is what a holder reports about one limit.
+// Demand is the entry of a Request for one limit.
 type Demand struct {
 	Name             string
-	Requested        float64 // recently, units a second, or units in use and rejected
+	Requested        float64 // lately, in units a second; for a concurrent limit the units in use and rejected
 	InUse            float64 // units in use now, 0 for a rate
 	LeasedShare      float64 // beyond the floor
 	RemainingSeconds float64 // of the lease, by the holder's clock
 	GrantNumber      uint64  // number of the request whose reply granted LeasedShare, 0 for none
 }
 
-// Request is what a holder asks of the grantor.
+// Request asks the grantor for shares of some limits.
 type Request struct {
 	Incarnation uint64 // of the holder
 	Number      uint64 // grows with each request of an incarnation
-	ConfigHash  uint64 // a grantor with another configuration doesn't reply
-	GrantorID   uint64 // of the grantor whose reply came last, 0 for none
+	ConfigHash  uint64 // of the holder's Config; a grantor with another one doesn't reply
+	GrantorID   uint64 // of the grantor that sent the latest reply, 0 for none
 	Demands     []Demand
 }
 
@@ -34,10 +34,10 @@
 	Grants      []Grant
 }
 
-// clamp bounds a number that came from another process to [0, most]; what isn't a number becomes 0.
-func clamp(x, most float64) float64 {
+// clamp bounds a number from another process to [0, upper]; NaN becomes 0.
+func clamp(x, upper float64) float64 {
 	if !(x > 0) { // true for NaN as well
 		return 0
 	}
-	return min(x, most)
+	return min(x, upper)
 }
--- a/internal/policy/quota/quota_test.go
+++ b/internal/policy/quota/quota_test.go
@@ -119,7 +119,7 @@
 
 // exchange has a holder that wants all of the rate ask a grantor, and takes the reply.
 func exchange(holder *Holder, grantor *Grantor, now float64) {
-	holder.RecordUsage(now, rateLimit, 500, 0, holder.shares[rateLimit].granted.number)
+	holder.RecordUsage(now, rateLimit, 500, 0, holder.limits[rateLimit].granted.number)
 	request := holder.NextRequest(now)
 	if request == nil {
 		return
@@ -136,14 +136,14 @@
 	first := NewGrantor(config, 1, -100)
 	x := NewHolder(7, config, 0)
 	y := NewHolder(8, config, 0)
-	limitAt := func(holder *Holder, now float64) float64 { return holder.shares[rateLimit].limitAt(now) }
+	limitAt := func(holder *Holder, now float64) float64 { return holder.limits[rateLimit].limitAt(now) }
 
 	exchange(x, first, 0) // it hears who grants
 	exchange(x, first, 0.3)
 	if got := limitAt(x, 0.3); got != 95 {
 		t.Fatalf("alone it has %.1f", got)
 	}
-	x.RecordUsage(3.2, rateLimit, 500, 0, x.shares[rateLimit].granted.number)
+	x.RecordUsage(3.2, rateLimit, 500, 0, x.limits[rateLimit].granted.number)
 	late := x.NextRequest(3.2)
 	second := NewGrantor(config, 2, 3.2)
 	for now := 3.3; now < 4.1; now += 0.3 { // the first is still believed
--- a/internal/policy/quota/schedule_test.go
+++ b/internal/policy/quota/schedule_test.go
@@ -100,7 +100,7 @@
 
 func (s *sequence) ask(server int) {
 	holder := s.holders[server]
-	share := holder.shares[rateLimit]
+	share := holder.limits[rateLimit]
 	share.lastRequest = math.Inf(-1) // due again, whatever it reported before
 	holder.RecordUsage(s.now, rateLimit, 500, 0, share.granted.number)
 	request := holder.NextRequest(s.now)
@@ -156,7 +156,7 @@
 
 func (s *sequence) usable() (sum float64) {
 	for _, holder := range s.holders {
-		sum += holder.shares[rateLimit].limitAt(s.now)
+		sum += holder.limits[rateLimit].limitAt(s.now)
 	}
 	return sum
 }
--- a/internal/policy/quota/status.go
+++ b/internal/policy/quota/status.go
@@ -5,32 +5,32 @@
 	"slices"
 )
 
-// LimitStatus is how the grantor has shared one limit, for operators. Its JSON keys are part of the
-// control API.
+// LimitStatus shows operators how the grantor shares one limit. Its JSON keys are part of the control API.
 type LimitStatus struct {
 	Name    string
 	Max     float64 `json:"Most"`
-	Leased  float64 `json:"Given"` // committed, without floors
-	Pool    float64 // of which shares are leased
+	Leased  float64 `json:"Given"` // committed beyond the floors
+	Pool    float64 // the part of Max that is leased out
 	Servers int     // that hold a share or want one
 	Wanted  float64 // beyond the floors
-	// PriorLeasesExpired is true once all leases that an earlier grantor granted are over.
+	// PriorLeasesExpired is true once all leases of earlier grantors have expired.
 	PriorLeasesExpired bool `json:"Known"`
 }
 
-// Status lists, by name, the limits that anybody holds or wants a share of, at most so many.
-func (g *Grantor) Status(now float64, most int) []LimitStatus {
+// Status returns, in order of their names, the limits of which any server holds or wants a share, at most
+// maxStatuses of them.
+func (g *Grantor) Status(now float64, maxStatuses int) []LimitStatus {
 	var list []LimitStatus
 	for _, name := range slices.Sorted(maps.Keys(g.limits)) {
 		state := g.limits[name]
-		if len(state.allocations) > 0 && len(list) < most {
+		if len(state.allocations) > 0 && len(list) < maxStatuses {
 			list = append(list, g.limitStatus(now, state))
 		}
 	}
 	return list
 }
 
-func (g *Grantor) limitStatus(now float64, state *limitState) LimitStatus {
+func (g *Grantor) limitStatus(now float64, state *grantorLimit) LimitStatus {
 	status := LimitStatus{
 		Name:               state.limit.Name,
 		Max:                state.limit.Max,
--- a/internal/wire/fleet/counters.go
+++ b/internal/wire/fleet/counters.go
@@ -82,7 +82,7 @@
 		Row:    r.RowID,
 		Number: r.Sequence,
 		Base:   r.BaseSequence,
-		Closes: r.Closing,
+		Closes: r.Frozen,
 		Stands: r.FrozenSequence,
 		Cells:  encodeCounts(r.Cells),
 		Sits:   r.Aggregators,
@@ -96,7 +96,7 @@
 		RowID:          p.GetRow(),
 		Sequence:       p.GetNumber(),
 		BaseSequence:   p.GetBase(),
-		Closing:        p.GetCloses(),
+		Frozen:         p.GetCloses(),
 		FrozenSequence: p.GetStands(),
 		Aggregators:    p.GetSits(),
 	}
--- a/internal/wire/fleet/samples_test.go
+++ b/internal/wire/fleet/samples_test.go
@@ -251,7 +251,7 @@
 			RowID:          6,
 			Sequence:       3,
 			BaseSequence:   2,
-			Closing:        true,
+			Frozen:         true,
 			FrozenSequence: 1,
 			Cells:          sampleCells(4),
 			Aggregators:    []uint64{7, 8},
