--- a/internal/policy/connlimit/address_table.go
+++ b/internal/policy/connlimit/address_table.go
@@ -13,11 +13,11 @@
 	ipv6Bits = 128
 )
 
-// addressKey is an address, or a prefix of one: an IPv4 one as it is mapped into IPv6, so that one
-// machine has one key whichever way it comes.
+// addressKey is an address, or a prefix of one: an IPv4 one is mapped into IPv6, so that a machine has
+// one key however its address is written.
 type addressKey [16]byte
 
-// newKey returns the key of the leading bits of an address, counted as its family does.
+// newKey returns the key of the leading bits of an address: bitsIPv4 or bitsIPv6 of them, by its family.
 func newKey(addr netip.Addr, bitsIPv4, bitsIPv6 int) addressKey {
 	addr = addr.Unmap()
 	bits := bitsIPv6
@@ -39,20 +39,20 @@
 // address returns the address of a key that has all its bits.
 func (k addressKey) address() netip.Addr { return netip.AddrFrom16(k).Unmap() }
 
-// addressEntry is what is remembered of an address or a prefix.
+// addressEntry is the record of an address or a prefix.
 type addressEntry struct {
-	key        addressKey
-	chain      int32   // the next entry of its hash bucket, counted from 1
-	prefix     int32   // of an address: the entry of its prefix; -1 before there is one
-	queue      queueID // that it is in
-	queueLinks links
+	key          addressKey
+	nextInBucket int32   // the next entry of its hash bucket, counted from 1
+	prefix       int32   // of an address: the entry of its prefix; -1 before there is one
+	queue        queueID // that it is in
+	queueLinks   links
 
 	connectionCounts
-	evictable linkedList // of an address: its connections that may be evicted, the longest silent first
+	evictable linkedList // of an address: its evictable connections, by lastHeard
 
 	trusted        bool
 	trustedByRule  bool          // its prefix is named in the rules
-	credit         decayingCount // requests done here
+	credit         decayingCount // from requests completed on this server
 	reportedCredit decayingCount // credit that other servers reported
 	rejections     decayingCount
 	arrivals       arrivalTokens
@@ -66,7 +66,7 @@
 	untrusted int32 // of a prefix: those admitted of untrusted addresses
 }
 
-// queueID names a queue of entries. Entries with an evictable connection are in the queue of their
+// queueID identifies a queue of entries. Entries with an evictable connection are in the queue of their
 // rank, which is how many connections they hold: from rankQueues on, two for each rank.
 type queueID int32
 
@@ -76,38 +76,38 @@
 	queuePinned                   // with connections, none of which is evictable
 	queueUntrusted                // remembered without a connection
 	queueTrusted                  // remembered without a connection, and trusted
-	rankQueues                    // how many queues there are before those by rank
+	rankQueues                    // ID of the first queue by rank
 )
 
-// The queues by rank stand in two rows.
+// The two sets of queues by rank.
 const (
-	untrustedRow = iota
-	trustedRow
-	queuesPerRank // how many rows there are
+	untrustedQueues = iota
+	trustedQueues
+	queuesPerRank // number of sets, and so of queues for each rank
 )
 
-// trustedNumerator / trustedDivisor is how large a part of the remembered entries may be trusted.
+// trustedNumerator / trustedDivisor is the fraction of the remembered entries that may be trusted.
 const (
 	trustedNumerator = 3
 	trustedDivisor   = 4
 )
 
-// addressTable holds entries by key, in a fixed number of places. An entry with a connection is
-// never dropped for another; of the rest, untrusted ones go first, the one not seen for longest
-// before the others. So a flood from ever new addresses replaces untrusted entries, at the same
-// small cost each, and no more.
+// addressTable is a hash table of a fixed number of entries. A full table drops an entry without a
+// connection for a new one: the least recently used untrusted one or, if there is none, trusted
+// one. So a flood of new addresses replaces only untrusted entries while there are any, at a small
+// constant cost each.
 type addressTable struct {
-	seed        maphash.Seed
-	buckets     []int32 // the first entry of each, counted from 1
-	entries     []addressEntry
-	queues      [rankQueues]linkedList
-	ranks       [queuesPerRank][]linkedList // of untrusted and trusted entries, by rank
-	highest     [queuesPerRank]int32        // the highest rank that may have an entry
-	trustedRoom int                         // how many remembered entries may be trusted
+	seed                 maphash.Seed
+	buckets              []int32 // the first entry of each, counted from 1
+	entries              []addressEntry
+	queues               [rankQueues]linkedList
+	ranks                [queuesPerRank][]linkedList // of untrusted and trusted entries, by rank
+	highest              [queuesPerRank]int32        // the highest rank that may have an entry
+	maxRememberedTrusted int                         // how many remembered entries may be trusted
 }
 
-// newAddressTable returns a table for the addresses of so many connections at a time, which
-// remembers so many others. It takes all its memory at once.
+// newAddressTable returns a table with room for the addresses of the given number of connections
+// and for remembered addresses without one. It allocates all of its memory.
 func newAddressTable(connections, remembered int) *addressTable {
 	places := connections + remembered
 	buckets := 1
@@ -115,10 +115,10 @@
 		buckets *= 2
 	}
 	table := &addressTable{
-		seed:        maphash.MakeSeed(),
-		buckets:     make([]int32, buckets),
-		entries:     make([]addressEntry, places),
-		trustedRoom: remembered * trustedNumerator / trustedDivisor,
+		seed:                 maphash.MakeSeed(),
+		buckets:              make([]int32, buckets),
+		entries:              make([]addressEntry, places),
+		maxRememberedTrusted: remembered * trustedNumerator / trustedDivisor,
 	}
 	for row := range table.ranks {
 		table.ranks[row] = make([]linkedList, connections+1)
@@ -148,7 +148,7 @@
 
 // find returns the entry of a key, -1 where there is none.
 func (t *addressTable) find(key addressKey) int32 {
-	for number := *t.bucket(key); number > 0; number = t.entries[number-1].chain {
+	for number := *t.bucket(key); number > 0; number = t.entries[number-1].nextInBucket {
 		if t.entries[number-1].key == key {
 			return number - 1
 		}
@@ -161,32 +161,31 @@
 	return id >= 0 && t.entries[id].queue != queueFree && t.entries[id].key == key
 }
 
-// findOrAdd returns the entry of a key and makes one where there is none, in the place of another
-// if need be. It is -1 where each place has a connection, which the sizes rule out.
+// findOrAdd returns the entry of a key, and adds one if there is none, if need be in place of
+// another. It returns -1 if every entry has a connection, which the size of the table rules out.
 func (t *addressTable) findOrAdd(key addressKey) (id int32, added bool) {
 	if id = t.find(key); id >= 0 {
 		return id, false
 	}
-	id = t.takePlace()
+	id = t.takeEntry()
 	if id < 0 {
 		return -1, false
 	}
 	t.dequeue(id)
 	bucket := t.bucket(key)
 	t.entries[id] = addressEntry{
-		key:      key,
-		chain:    *bucket,
-		prefix:   -1,
-		arrivals: arrivalTokens{updatedAt: math.Inf(-1)},
+		key:          key,
+		nextInBucket: *bucket,
+		prefix:       -1,
+		arrivals:     arrivalTokens{updatedAt: math.Inf(-1)},
 	}
 	*bucket = id + 1
 	t.enqueue(id, queueUntrusted)
 	return id, true
 }
 
-// takePlace returns a free entry, which it gets by dropping one if there is none; -1 where none can
-// be dropped.
-func (t *addressTable) takePlace() int32 {
+// takeEntry returns a free entry, and drops one if there is none; -1 if none can be dropped.
+func (t *addressTable) takeEntry() int32 {
 	if free := t.queues[queueFree].first; free > 0 {
 		return free - 1
 	}
@@ -199,29 +198,29 @@
 	return -1
 }
 
-// hasRoomForUntrusted reports whether a new entry would take the place of no trusted one.
+// hasRoomForUntrusted reports whether an entry can be added without dropping a trusted one.
 func (t *addressTable) hasRoomForUntrusted() bool {
 	return t.queues[queueFree].count+t.queues[queueUntrusted].count > 0
 }
 
-// drop forgets an entry.
+// drop removes an entry from its bucket and makes it free.
 func (t *addressTable) drop(id int32) {
 	link := t.bucket(t.entries[id].key)
 	for *link != id+1 {
-		link = &t.entries[*link-1].chain
+		link = &t.entries[*link-1].nextInBucket
 	}
-	*link = t.entries[id].chain
+	*link = t.entries[id].nextInBucket
 	t.dequeue(id)
 	t.enqueue(id, queueFree)
 }
 
-// requeue puts an entry at the end of the queue where it belongs now.
+// requeue moves an entry to the end of the queue to which it belongs now.
 func (t *addressTable) requeue(id int32) {
 	entry := &t.entries[id]
 	t.dequeue(id)
 	switch {
 	case entry.evictable.first > 0:
-		row := trustRow(entry.trusted)
+		row := rankQueueSet(entry.trusted)
 		t.enqueue(id, rankQueues+queuesPerRank*queueID(entry.admitted)+queueID(row))
 		t.highest[row] = max(t.highest[row], entry.admitted)
 	case entry.admitted > 0 || entry.held > 0:
@@ -234,10 +233,10 @@
 	}
 }
 
-// limitTrusted ends the trust in the remembered entry not seen for longest, where there are too many.
+// limitTrusted makes the least recently used remembered trusted entry untrusted if there are too many.
 func (t *addressTable) limitTrusted() {
 	queue := &t.queues[queueTrusted]
-	if int(queue.count) <= t.trustedRoom {
+	if int(queue.count) <= t.maxRememberedTrusted {
 		return
 	}
 	oldest := queue.first - 1
@@ -246,27 +245,27 @@
 	t.enqueue(oldest, queueUntrusted)
 }
 
-// highestRank returns how many connections those hold who hold most and have an evictable one; 0
-// where there is none.
+// highestRank returns the highest rank of an entry, trusted or not, with an evictable connection; 0
+// if there is none.
 func (t *addressTable) highestRank(trusted bool) int32 {
-	row := trustRow(trusted)
+	row := rankQueueSet(trusted)
 	for t.highest[row] > 0 && t.ranks[row][t.highest[row]].first == 0 {
 		t.highest[row]--
 	}
 	return t.highest[row]
 }
 
-// rankQueue returns the queue of those who hold so many connections.
+// rankQueue returns the queue of the trusted or untrusted entries of a rank.
 func (t *addressTable) rankQueue(trusted bool, rank int32) *linkedList {
-	return &t.ranks[trustRow(trusted)][rank]
+	return &t.ranks[rankQueueSet(trusted)][rank]
 }
 
-// trustRow returns which row of the queues by rank trusted or untrusted entries are in.
-func trustRow(trusted bool) int {
+// rankQueueSet returns which set of queues by rank trusted or untrusted entries are in.
+func rankQueueSet(trusted bool) int {
 	if trusted {
-		return trustedRow
+		return trustedQueues
 	}
-	return untrustedRow
+	return untrustedQueues
 }
 
 // queue returns the queue with an id.
--- a/internal/policy/connlimit/admission.go
+++ b/internal/policy/connlimit/admission.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	// trustedLimitFactor is how many times an untrusted address's limits hold for a trusted one:
-	// there may be many machines behind one gateway.
+	// trustedLimitFactor is by how much the limits of a trusted address exceed those of an
+	// untrusted one: many machines may share one gateway.
 	trustedLimitFactor = 4
-	// reserveLentParts is in how many parts the reserve is split: all but one are lent to untrusted
-	// addresses while they are free, and the last one a trusted address finds free at any moment.
+	// reserveLentParts is the number of equal parts of the reserved slots. Untrusted addresses may
+	// use all but one of the parts while they are free, so that trusted ones always find free slots
+	// in the last.
 	reserveLentParts = 8
 	// rejectionHalfLife is the half-life, in seconds, of the count of an address's rejections. Each
 	// doubles the time to retry after, up to the longest.
@@ -21,11 +22,10 @@
 	maxDoublings = 16
 )
 
-// HandleArrival takes on a new connection from an address at a slot that is free. With Admitted the
-// connection is in. With NoFreeSlot another has to go for it: call Admit once one of its
-// EvictionCandidatesFor is gone, or else Reject. Any other connection is held, and its requests are
-// to be rejected with the time to retry after, in seconds; but with HoldingAreaFull it is to be
-// closed at once.
+// HandleArrival adds a new connection from an address at a free slot, and returns whether it was
+// admitted. With NoFreeSlot, the caller closes one of its EvictionCandidatesFor and calls Admit or,
+// if there is none, Reject. With HoldingAreaFull, it closes the connection at once. With any other
+// reason the connection is held, and its requests are to be rejected with retryAfter, in seconds.
 func (l *Limiter) HandleArrival(slot int32, addr netip.Addr, now float64) (reason RejectReason, retryAfter float64) {
 	policy := l.clientPolicy
 	if policy == nil {
@@ -57,8 +57,8 @@
 	return Admitted, 0
 }
 
-// holdingAreaFull reports whether no untrusted connection may be held any more. The area may have
-// twice its size for a moment, until the oldest are closed.
+// holdingAreaFull reports whether no more untrusted connections may be held. The area may exceed
+// its size up to twice for a moment, until the oldest connections are closed.
 func (l *Limiter) holdingAreaFull() bool {
 	return l.Count(StateHeld)+l.Count(StateRejected) >= 2*l.clientPolicy.rules.HoldingSlots
 }
@@ -66,7 +66,7 @@
 // hold puts a new connection of an address in the holding area.
 func (l *Limiter) hold(slot, id int32, now float64) {
 	policy := l.clientPolicy
-	l.connections[slot] = connection{lastHeard: now, address: id + 1}
+	l.connections[slot] = connection{lastHeard: now, addressNumber: id + 1}
 	client := &policy.addresses.entries[id]
 	client.held++
 	policy.prefixes.entries[client.prefix].held++
@@ -75,8 +75,8 @@
 	l.enter(slot, StateHeld, now)
 }
 
-// exceededLimit returns which limit one more connection of an address exceeds, Admitted where none is.
-// It takes the arrival off the rates.
+// exceededLimit returns which limit a new connection of an address exceeds, Admitted if none. It
+// takes the tokens of the arrival.
 func (p *clientPolicy) exceededLimit(client *addressEntry, now float64) RejectReason {
 	if client.trustedByRule {
 		return Admitted
@@ -139,7 +139,7 @@
 	return base * (1 + policy.drawJitter())
 }
 
-// drawJitter returns the next number from 0 to 1 of a sequence that the seed gives.
+// drawJitter returns the next number, from 0 to 1, of the sequence that the seed determines.
 func (p *clientPolicy) drawJitter() float64 {
 	p.jitterDraws++
 	var input [12]byte
@@ -148,12 +148,14 @@
 	return float64(crc32.ChecksumIEEE(input[:])) / math.MaxUint32
 }
 
-// RetryAfter returns the time after which an admitted connection may retry a request, in seconds, while
-// it may not have one open.
-func (l *Limiter) RetryAfter(slot int32, now float64) float64 { return l.Reject(slot, NoFreeSlot, now) }
+// RejectRequest counts a rejected request of an admitted connection for which MayOpenRequest is
+// false, as Reject does, and returns the time after which to retry, in seconds.
+func (l *Limiter) RejectRequest(slot int32, now float64) float64 {
+	return l.Reject(slot, NoFreeSlot, now)
+}
 
-// MayOpenRequest reports whether a connection may open a request. Untrusted addresses that have slots of
-// the reserve may not keep them by open requests, as those can't be taken back at once.
+// MayOpenRequest reports whether a connection may open a request. Untrusted addresses may not have
+// open requests on reserved slots, as a connection with an open request can't be evicted.
 func (l *Limiter) MayOpenRequest(slot int32) bool {
 	policy := l.clientPolicy
 	conn := &l.connections[slot]
--- a/internal/policy/connlimit/client.go
+++ b/internal/policy/connlimit/client.go
@@ -2,21 +2,21 @@
 
 import "net/netip"
 
-// This file keeps what the table knows of a connection's address in step with the connection.
+// This file updates the entry of a connection's address as the connection changes.
 
-// addressID finds or makes the entries of an address and of its prefix, and returns the address's;
-// -1 where there is no room for them.
+// addressID finds or adds the entries of an address and of its prefix, and returns the ID of the
+// address's entry; -1 if there is no room.
 func (p *clientPolicy) addressID(addr netip.Addr) int32 {
-	id, fresh := p.addresses.findOrAdd(newKey(addr, ipv4Bits, ipv6Bits))
+	id, added := p.addresses.findOrAdd(newKey(addr, ipv4Bits, ipv6Bits))
 	if id < 0 {
 		return -1
 	}
 	client := &p.addresses.entries[id]
-	if fresh {
+	if added {
 		client.trustedByRule = p.isTrustedByRule(addr.Unmap())
 		client.trusted = client.trustedByRule
 	}
-	// The prefix may have been dropped meanwhile, as it holds no connection of this address.
+	// The entry of the prefix may have been dropped, if it had no connection.
 	prefix := newKey(addr, p.rules.IPv4PrefixBits, p.rules.IPv6PrefixBits)
 	if !p.prefixes.has(client.prefix, prefix) {
 		client.prefix, _ = p.prefixes.findOrAdd(prefix)
@@ -29,15 +29,15 @@
 
 // entriesOf returns the entries of a connection's address and of its prefix.
 func (p *clientPolicy) entriesOf(conn *connection) (address, prefix *addressEntry) {
-	address = &p.addresses.entries[conn.address-1]
+	address = &p.addresses.entries[conn.addressNumber-1]
 	return address, &p.prefixes.entries[address.prefix]
 }
 
-// removeFromAddress takes a connection that is gone off its address.
+// removeFromAddress updates the entries of a closed connection's address and prefix.
 func (l *Limiter) removeFromAddress(slot int32) {
 	policy := l.clientPolicy
 	conn := &l.connections[slot]
-	if conn.address == 0 {
+	if conn.addressNumber == 0 {
 		return
 	}
 	client, prefix := policy.entriesOf(conn)
@@ -52,36 +52,35 @@
 		client.held--
 		prefix.held--
 	}
-	policy.addresses.requeue(conn.address - 1)
+	policy.addresses.requeue(conn.addressNumber - 1)
 	policy.prefixes.requeue(client.prefix)
-	conn.address = 0
+	conn.addressNumber = 0
 	conn.admitted = false
 }
 
-// updateClient brings a connection's address up to date after the connection entered a state.
+// updateClient updates the entry of a connection's address after the connection entered a state.
 func (l *Limiter) updateClient(slot int32, now float64) {
 	conn := &l.connections[slot]
-	if conn.address == 0 {
+	if conn.addressNumber == 0 {
 		return
 	}
 	l.updateEvictable(slot, now)
 	l.clientPolicy.updateActive(conn)
-	l.clientPolicy.addresses.requeue(conn.address - 1)
+	l.clientPolicy.addresses.requeue(conn.addressNumber - 1)
 }
 
-// updateEvictable keeps the list of an address's evictable connections in the order in which they
-// were last heard.
+// updateEvictable updates the list of an address's evictable connections, which is in the order of lastHeard.
 func (l *Limiter) updateEvictable(slot int32, now float64) {
 	conn := &l.connections[slot]
-	evictable := &l.clientPolicy.addresses.entries[conn.address-1].evictable
+	evictable := &l.clientPolicy.addresses.entries[conn.addressNumber-1].evictable
 	wanted := conn.admitted && conn.state.isEvictable()
-	if conn.listed && (!wanted || conn.lastHeard == now) {
-		conn.listed = false
+	if conn.evictable && (!wanted || conn.lastHeard == now) {
+		conn.evictable = false
 		node := conn.addressLinks
 		evictable.remove(node, l.addressLinks(node.prev), l.addressLinks(node.next))
 	}
-	if wanted && !conn.listed {
-		conn.listed = true
+	if wanted && !conn.evictable {
+		conn.evictable = true
 		evictable.pushBack(slot+1, &conn.addressLinks, l.addressLinks(evictable.last))
 	}
 }
@@ -95,18 +94,18 @@
 	return &l.connections[number-1].addressLinks
 }
 
-// updateActive counts the connections with an open request.
+// updateActive updates the counts of connections with an open request.
 func (p *clientPolicy) updateActive(conn *connection) {
 	active := conn.admitted && conn.state == StateActive
-	if active == conn.active {
+	if active == conn.countedActive {
 		return
 	}
-	conn.active = active
+	conn.countedActive = active
 	change := int32(1)
 	if !active {
 		change = -1
 	}
-	client := &p.addresses.entries[conn.address-1]
+	client := &p.addresses.entries[conn.addressNumber-1]
 	client.active += change
 	if !client.trusted {
 		p.activeUntrusted += int(change)
--- a/internal/policy/connlimit/decision.go
+++ b/internal/policy/connlimit/decision.go
@@ -5,14 +5,17 @@
 	"strconv"
 )
 
-// Command is what is to be done with a connection.
+// Command is what the server is to do with a connection.
 type Command uint8
 
-// The commands to the server.
+// The commands.
 const (
-	CommandAskToClose Command = iota // ask the peer to close it
-	CommandClose                     // close it and report that; or, with unread data, report that and read
-	commandCount                     // how many commands there are
+	// CommandAskToClose is to ask the peer to close the connection.
+	CommandAskToClose Command = iota
+	// CommandClose is to close the connection and call HandleClosed or, if there is unread data, to report
+	// EventUnreadData and read it.
+	CommandClose
+	commandCount // number of commands
 )
 
 var commandNames = [commandCount]string{CommandAskToClose: "ask_to_close", CommandClose: "close"}
@@ -25,69 +28,72 @@
 	return commandNames[c]
 }
 
-// Decision is a decision on the connection at a slot.
+// Decision is a command for the connection at a slot.
 type Decision struct {
 	Slot          int32
 	Command       Command
-	PreviousState State // the state of the connection before
+	PreviousState State // the state before the decision
 }
 
 // Timeouts of the states, in seconds.
 const (
 	// firstMessageTimeout is how soon a new connection has to send something valid, and a partial
-	// message has to be complete. With a peer that wastes it, half a second is left of the two in
-	// which it is owed its close. It may hurt a balancer that opens connections ahead of need, which
-	// then opens another, or whose machine stood still for as long.
+	// message has to be complete. A connection that is silent must be closed within two seconds, so
+	// half a second is left for the close. The timeout may close connections of a balancer that
+	// opens them ahead of need, which then opens others, or of one whose machine paused for as
+	// long.
 	firstMessageTimeout = 1.5
-	// closeTimeout is ample for a balancer that closes when it is asked to: what it sent before
-	// arrives within 50 ms.
+	// closeTimeout is how long the peer has to close a connection after it was asked to. That is
+	// ample for a balancer which complies: what it sent before arrives within 50 ms.
 	closeTimeout = 0.5
 	// drainCloseTimeout is closeTimeout for a server that is draining: twice those 50 ms.
 	drainCloseTimeout = 0.1
-	// heldTimeout is how long a held connection has for its first request: that follows its
-	// connection at once, and each one held takes a descriptor. A later request crosses the close.
+	// heldTimeout is how long a held connection has for its first request, which usually follows at
+	// once: each held connection takes a descriptor. A later request gets no reply.
 	heldTimeout = 0.25
-	// rejectedTimeout leaves the turn in which the rejection is written; the next one may close it.
+	// rejectedTimeout keeps a rejected connection for the turn of the event loop that writes the
+	// rejection; the next turn may close it.
 	rejectedTimeout = 0.0005
 )
 
-// Decisions come in batches, so that connections that fell idle together hold up no answer.
+// Decisions come in batches, so that many connections that time out together don't delay responses.
 const (
-	// maxBatch is how many decisions a batch has. Four at some 10 us each add 40 us at most to an
-	// answer that is ready; 4,000 a second are a tenth of a core with all that follows from them,
-	// which docs/idle.md measures. It may hurt where more connections than that come and go each
-	// second, which then stay a little longer.
+	// maxBatch bounds the decisions of a batch. Four at some 10 us each delay a response by 40 us
+	// at most; 4,000 a second take a tenth of a core with all that follows from them, which
+	// docs/idle.md measures. If more connections than that time out each second, they stay a little
+	// longer.
 	maxBatch = 4
-	// batchInterval is the least that a timer of the Go runtime can wait, in seconds.
+	// batchInterval is the least time between batches, in seconds: the shortest wait of a timer of
+	// the Go runtime.
 	batchInterval = 0.001
-	// maxHeldBatch is maxBatch for connections not admitted, where each decision follows an arrival
-	// and so is no burst of our own making.
+	// maxHeldBatch is maxBatch for connections not admitted, where each decision follows an arrival, so that
+	// timeouts add no burst.
 	maxHeldBatch = 64
 	// maxDrainBatch is maxBatch for a server that is draining, whose requests have been answered.
 	maxDrainBatch = 128
 )
 
-// timedStates are the states that time out, in the order in which they are looked at: first those
-// whose end frees a descriptor.
+// timedStates are the states that time out, in the order in which TakeDecisions looks at them:
+// first those whose timeout frees a descriptor.
 var timedStates = [...]State{StateRejected, StateHeld, StateNew, StatePartialMessage, StateAskedToClose, StateIdle}
 
-// TakeDecisions returns what is to be done at now: a batch of it, in each state those first whose timeout
-// passed first. The slice is valid until the next call.
+// TakeDecisions returns the next batch of decisions that are due at now: by state, and within each
+// by the end of the timeout. The slice is valid until the next call.
 func (l *Limiter) TakeDecisions(now float64) []Decision {
 	l.decisions = l.decisions[:0]
 	if now < l.nextBatchAt {
 		return nil
 	}
-	room := maxBatch
+	remaining := maxBatch
 	if l.draining {
-		room = maxDrainBatch
+		remaining = maxDrainBatch
 	}
 	for _, state := range timedStates {
 		if state.isHeld() {
 			l.expireHeld(state, now)
 			continue
 		}
-		room = l.expire(state, room, now)
+		remaining = l.expire(state, remaining, now)
 	}
 	if len(l.decisions) > 0 {
 		l.nextBatchAt = now + batchInterval
@@ -98,21 +104,21 @@
 // expireHeld times out connections that are not admitted, up to the size of their batch.
 func (l *Limiter) expireHeld(state State, now float64) {
 	for now >= l.nextTimeout(state) && len(l.decisions) < maxHeldBatch {
-		l.handle(l.firstIn(state), EventTimeout, now)
+		l.applyEvent(l.firstIn(state), EventTimeout, now)
 	}
 }
 
-// expire times out at most room connections in a state, and returns the room that is left.
-func (l *Limiter) expire(state State, room int, now float64) int {
+// expire times out at most remaining connections in a state, and returns how many more may time out.
+func (l *Limiter) expire(state State, remaining int, now float64) int {
 	event := EventTimeout
 	if l.draining && state.hasNoRequest() {
 		event = EventDrain
 	}
-	for now >= l.nextTimeout(state) && room > 0 {
-		room--
-		l.handle(l.firstIn(state), event, now)
+	for now >= l.nextTimeout(state) && remaining > 0 {
+		remaining--
+		l.applyEvent(l.firstIn(state), event, now)
 	}
-	return room
+	return remaining
 }
 
 // decide adds a decision to the batch.
@@ -120,7 +126,7 @@
 	l.decisions = append(l.decisions, Decision{slot, command, previous})
 }
 
-// NextWakeup returns when there may be decisions to take, infinite where nothing is ahead.
+// NextWakeup returns when TakeDecisions is to be called next, +Inf if no timeout runs.
 func (l *Limiter) NextWakeup() float64 {
 	wakeup := math.Inf(1)
 	for _, state := range timedStates {
@@ -129,14 +135,14 @@
 	return max(wakeup, l.nextBatchAt)
 }
 
-// nextTimeout returns when the first connection in a state times out, infinite where there is none.
+// nextTimeout returns when the first connection in a state times out, +Inf if there is none.
 func (l *Limiter) nextTimeout(state State) float64 {
 	slot := l.firstIn(state)
 	if slot < 0 {
 		return math.Inf(1)
 	}
-	since := l.connections[slot].since
-	if state == StateHeld && l.Count(state) > l.clientPolicy.rules.HoldingSlots { // it has to make room
+	since := l.connections[slot].stateSince
+	if state == StateHeld && l.Count(state) > l.clientPolicy.rules.HoldingSlots { // the oldest held one has to go
 		return since
 	}
 	return since + l.timeouts[state]
--- a/internal/policy/connlimit/eviction.go
+++ b/internal/policy/connlimit/eviction.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// firstMessageDelay is, in seconds, within what a balancer's first message follows its
-	// connection, unless the loop is far behind.
+	// firstMessageDelay is how soon, in seconds, a balancer's first message follows its connection,
+	// unless the event loop is far behind.
 	firstMessageDelay = 0.1
-	// quietTime is how long, in seconds, a connection must have been silent to be evicted for
-	// another whose address would then hold as many.
+	// quietTime is how long, in seconds, a connection must have been silent to be evicted for one
+	// whose address would then have as many connections.
 	quietTime = 0.5
 )
 
-// anySilence is a time, in seconds, that every connection was silent for.
+// anySilence is a least silence, in seconds, that every connection meets.
 var anySilence = math.Inf(-1)
 
-// EvictionCandidates returns the connections of which one may go when another needs its slot, without rules. The
-// first to go are new ones that had time to send something; then those without an open request, the
-// one silent for longest first; then newer ones, whose first message may be on its way, the newest
-// last. So a peer that only holds connections keeps nobody out. Connections with an open request
-// are not among them.
+// EvictionCandidates returns the connections of which one may go when another needs its slot,
+// without rules. The first to go are new ones that had time to send something; then those without
+// an open request, the one silent for longest first; then newer ones, whose first message may be on
+// its way, the newest last. So a peer that only holds connections keeps nobody out. Connections
+// with an open request are not among them.
 func (l *Limiter) EvictionCandidates(now float64) iter.Seq[int32] {
 	return func(yield func(int32) bool) {
 		slot := l.firstIn(StateNew)
@@ -44,7 +44,7 @@
 // isSilentNew reports whether a new connection had time to send something and did not. It is false
 // for no slot.
 func (l *Limiter) isSilentNew(slot int32, now float64) bool {
-	return slot >= 0 && now-l.connections[slot].since > firstMessageDelay
+	return slot >= 0 && now-l.connections[slot].stateSince > firstMessageDelay
 }
 
 // yieldByLastHeard yields the connections without an open request that sent something, the one
@@ -73,13 +73,13 @@
 	return l.connections[slot].lastHeard < l.connections[other].lastHeard
 }
 
-// EvictionCandidatesFor returns the connections of which one may go for the one at a slot, by rules. The first to
-// go are untrusted ones that sent nothing in time; then those of the address that holds most, the
-// one silent for longest first. An untrusted address takes no slot of a trusted one, and none takes
-// a slot of an address that holds fewer than its own would then: so the shares of all addresses
-// that want more become equal, and one address with many connections loses its own first. Where
-// both would hold as many, one goes that was silent for quietTime. Last come the address's own,
-// which a client that came back after a crash may have left behind.
+// EvictionCandidatesFor returns the connections of which one may go for the one at a slot, by
+// rules. The first to go are untrusted ones that sent nothing in time; then those of the address
+// that holds most, the one silent for longest first. An untrusted address takes no slot of a
+// trusted one, and none takes a slot of an address that holds fewer than its own would then: so the
+// shares of all addresses that want more become equal, and one address with many connections loses
+// its own first. Where both would hold as many, one goes that was silent for quietTime. Last come
+// the address's own, which a client that came back after a crash may have left behind.
 func (l *Limiter) EvictionCandidatesFor(slot int32, now float64) iter.Seq[int32] {
 	return func(yield func(int32) bool) {
 		client, _ := l.clientPolicy.entriesOf(&l.connections[slot])
--- a/internal/policy/connlimit/limiter.go
+++ b/internal/policy/connlimit/limiter.go
@@ -2,32 +2,31 @@
 
 import "math"
 
-// connection is what is known of one connection. It is kept at 48 bytes, as a server may hold a
-// million of them.
+// connection is the state of one connection. It is kept at 48 bytes, as a server may have a million of them.
 type connection struct {
-	since        float64 // when the timeout of its state began, s
-	lastHeard    float64 // when something last came over it, s
-	stateLinks   links   // in the queue of its state
-	addressLinks links   // in the list of its address
-	address      int32   // of its address in the table, counted from 1; 0 without rules
-	state        State
-	closedFrom   State // its state before the decision to close it
-	hasPartial   bool  // the start of a message is there
-	askedToClose bool
-	admitted     bool // by rules
-	listed       bool // in the list of its address: it may be evicted
-	active       bool // counted as active at its address
+	stateSince    float64 // when the timeout of its state began, s
+	lastHeard     float64 // when data last came over it, s
+	stateLinks    links   // in the queue of its state
+	addressLinks  links   // in the list of its address
+	addressNumber int32   // of its address's entry in the table, counted from 1; 0 for none
+	state         State
+	closedFrom    State // its state before the decision to close it
+	hasPartial    bool  // part of a message has been received
+	askedToClose  bool
+	admitted      bool // by rules
+	evictable     bool // in the list of its address's evictable connections
+	countedActive bool // counted as active at its address
 }
 
-// Limiter is the connection limiter: it knows the state of every connection. The zero value is not
-// ready; use one of the constructors.
+// Limiter is the connection limiter, with the state of every connection. Use New or NewWithRules;
+// the zero value is not ready.
 type Limiter struct {
 	clientPolicy *clientPolicy // nil without rules
 	connections  []connection  // by slot
 	queues       [stateCount]linkedList
 	timeouts     [stateCount]float64 // how long a connection may be in a state, s
 	draining     bool
-	nextBatchAt  float64 // when the next batch of decisions may come, s
+	nextBatchAt  float64 // when TakeDecisions may return the next batch, s
 	decisions    []Decision
 }
 
@@ -54,9 +53,9 @@
 	}
 }
 
-// StartDrain has every connection asked to close, and closed soon after none of its requests is open;
-// those that are opened from now on too. It returns the slots of those with an open request that
-// were not asked yet, which are to be asked at once.
+// StartDrain begins to drain: every connection, also each new one, is asked to close, and closed
+// soon after its last request is done. It returns the slots of the connections with an open request
+// that were not asked yet; the caller asks these at once.
 func (l *Limiter) StartDrain() (active []int32) {
 	l.draining = true
 	l.timeouts[StateNew] = 0
@@ -72,7 +71,7 @@
 	return active
 }
 
-// HandleOpen takes on a new connection at a slot that is free.
+// HandleOpen adds a new connection at a free slot.
 func (l *Limiter) HandleOpen(slot int32, now float64) {
 	l.grow(slot)
 	l.connections[slot] = connection{lastHeard: now}
@@ -86,7 +85,7 @@
 	}
 }
 
-// HandleClosed frees the slot of a connection that is gone.
+// HandleClosed frees the slot of a connection that was closed.
 func (l *Limiter) HandleClosed(slot int32) {
 	l.enter(slot, StateClosed, 0)
 	if l.clientPolicy != nil {
@@ -95,7 +94,7 @@
 	l.shrink()
 }
 
-// shrink drops free slots at the end, and returns memory after many connections left.
+// shrink drops the free slots at the end, and releases memory after many connections were closed.
 func (l *Limiter) shrink() {
 	const keptSlots = 1024
 	size := len(l.connections)
@@ -108,7 +107,7 @@
 	}
 }
 
-// HandleEvent takes on an event of the connection at a slot.
+// HandleEvent processes an event of the connection at a slot.
 func (l *Limiter) HandleEvent(slot int32, event Event, now float64) {
 	conn := &l.connections[slot]
 	switch event {
@@ -123,15 +122,15 @@
 	case EventRequestsDone:
 		conn.lastHeard = now
 	}
-	l.handle(slot, event, now)
+	l.applyEvent(slot, event, now)
 	if event != EventRequestsDone {
 		return
 	}
 	if conn.hasPartial {
-		l.handle(slot, EventPartialMessage, now)
+		l.applyEvent(slot, EventPartialMessage, now)
 	}
 	if conn.askedToClose {
-		l.handle(slot, EventDrain, now)
+		l.applyEvent(slot, EventDrain, now)
 	}
 }
 
@@ -146,7 +145,7 @@
 // Count returns how many connections are in a state.
 func (l *Limiter) Count(state State) int { return int(l.queues[state].count) }
 
-// firstIn returns the slot that has been in a state for longest, -1 where there is none.
+// firstIn returns the slot that has been in a state for longest, -1 if there is none.
 func (l *Limiter) firstIn(state State) int32 { return l.queues[state].first - 1 }
 
 // nextInState returns the slot that follows another in the queue of their state, -1 after the last.
--- a/internal/policy/connlimit/list.go
+++ b/internal/policy/connlimit/list.go
@@ -1,14 +1,14 @@
 package connlimit
 
-// links are the neighbours of an element in a doubly linked list of elements that stand in a slice.
-// They are counted from 1, so that 0 means none and the zero value is ready.
+// links are the neighbours of an element in a doubly linked list whose elements are in a slice.
+// They are indices plus 1, so that 0 means none and the zero value is an unlinked element.
 type links struct {
 	prev int32
 	next int32
 }
 
-// linkedList is the head of such a list. Whoever owns the elements passes their links; nil stands
-// for an element that doesn't exist.
+// linkedList is the head of such a list. The owner of the slice passes the links of the elements,
+// nil for a neighbour that does not exist.
 type linkedList struct {
 	first int32 // counted from 1
 	last  int32
--- a/internal/policy/connlimit/pacing.go
+++ b/internal/policy/connlimit/pacing.go
@@ -7,31 +7,30 @@
 )
 
 const (
-	// arrivalBurst is for how many seconds arrivals are saved up: half of all balancers return within
-	// a second.
+	// arrivalBurst is the capacity of the token bucket, in seconds of its rate: after a failure
+	// half of all balancers reconnect within a second.
 	arrivalBurst = 2
-	// initialArrivalCost is what an arrival is taken to cost, in seconds of the core, until arrivals
-	// in a row have shown it: twice what was seen on one machine (40 to 60 us).
+	// initialArrivalCost is the cost of an arrival, in CPU seconds, that is assumed before one was
+	// measured, and the most that is assumed later: twice what one machine took (40 to 60 us).
 	initialArrivalCost = 100e-6
-	// minArrivalCost is the least that an arrival is taken to cost, in seconds.
+	// minArrivalCost is the least cost of an arrival that is assumed, in CPU seconds.
 	minArrivalCost = 1e-6
-	// arrivalsPerSample is how many arrivals show what one costs: fewer would share what else the core
-	// did meanwhile.
+	// arrivalsPerSample is how many arrivals make a sample of their cost: in a smaller one, other
+	// work of the core would weigh more.
 	arrivalsPerSample = 50
-	// costBuckets and costBucketWidth, in seconds, are how long the least cost counts.
+	// costBuckets times costBucketWidth, in seconds, is the window of the least cost.
 	costBuckets     = 10
 	costBucketWidth = 1.0
 )
 
-// arrivalTokens is the token bucket of an address's or a prefix's new connections. Its rate is
-// given with each call, as rules and trust change.
+// arrivalTokens is the token bucket of an address's or a prefix's new connections. Each call passes
+// the rate, as that changes with rules and trust.
 type arrivalTokens struct {
 	tokens    float64
 	updatedAt float64 // when tokens was right, s; before the first arrival -Inf
 }
 
-// take takes the token of one arrival and reports whether there was one. A rate of 0 a second is no
-// limit.
+// take takes a token for an arrival, and reports whether there was one. A rate of 0 is no limit.
 func (b *arrivalTokens) take(now, rate float64) bool {
 	if rate == 0 {
 		return true
@@ -49,16 +48,16 @@
 	return true
 }
 
-// arrivalCost learns what a new connection costs.
+// arrivalCost measures the CPU time of a new connection.
 type arrivalCost struct {
 	costs   timewindow.Minimum // CPU seconds per arrival
 	count   int                // arrivals since the last sample
 	cpuTime float64            // of the server at the last sample, s
 }
 
-// ObserveCPUTime tells the limiter how many CPU seconds the server has used so far. What an arrival costs is
-// the least that was used for each of some in a row, with all that was done beside: in a storm of
-// arrivals hardly anything else is.
+// ObserveCPUTime records how many CPU seconds the server has used so far. The cost of an arrival is
+// the least CPU time per arrival of the recent samples. It includes other work, of which there is
+// little in a storm of arrivals.
 func (l *Limiter) ObserveCPUTime(cpuTime, now float64) {
 	arrivals := &l.clientPolicy.arrivals
 	switch {
@@ -72,8 +71,7 @@
 	}
 }
 
-// AcceptRate returns how many connections a second may be accepted: what the CPU share of the rules is
-// enough for, at the cost of an arrival.
+// AcceptRate returns how many connections a second may be accepted within the CPU share of the rules.
 func (l *Limiter) AcceptRate(now float64) float64 {
 	cost := initialArrivalCost
 	if least := l.clientPolicy.arrivals.costs.Value(now); least > 0 {
--- a/internal/policy/connlimit/reputation.go
+++ b/internal/policy/connlimit/reputation.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// creditInterval is how often, in seconds, a completed request counts for its address: so trust
-	// takes time, and a burst of requests does not buy it.
+	// creditInterval is how often, in seconds, a completed request adds credit to its address, so
+	// that a burst of requests does not earn trust.
 	creditInterval = 1
-	// maxCredit bounds an address's credit, so that trust of days is forgotten in hours.
+	// maxCredit bounds an address's credit, so that trust earned over days ends within hours.
 	maxCredit = 64
-	// creditTolerance is what the first requests may have decayed by when the last one that earns
-	// trust is done.
+	// creditTolerance is how far credit may be below the threshold of trust, as that of the first
+	// requests has decayed when the last one completes.
 	creditTolerance = 0.5
 )
 
@@ -42,16 +42,16 @@
 // TrustedClient is a client that earned trust, with its credit.
 type TrustedClient struct {
 	Addr   netip.Addr
-	Credit float64 // requests done, one a second at most, halved with each half-life
+	Credit float64 // completed requests, one a second at most, halved with each half-life
 }
 
-// HandleRequestDone takes on that a request of a connection was done: its address gains credit.
+// HandleRequestDone adds credit to the address of a connection that completed a request.
 func (l *Limiter) HandleRequestDone(slot int32, now float64) {
 	policy := l.clientPolicy
-	if policy == nil || l.connections[slot].address == 0 {
+	if policy == nil || l.connections[slot].addressNumber == 0 {
 		return
 	}
-	id := l.connections[slot].address - 1
+	id := l.connections[slot].addressNumber - 1
 	client := &policy.addresses.entries[id]
 	if client.credit.value > 0 && now-client.credit.updatedAt < creditInterval {
 		return
@@ -65,7 +65,7 @@
 // minCredit is the credit below which trust ends.
 func (p *clientPolicy) minCredit() float64 { return float64(p.rules.TrustThreshold) / 2 }
 
-// expireTrust ends the trust in an address that gained no credit for long.
+// expireTrust makes an address untrusted whose credit has decayed below minCredit.
 func (p *clientPolicy) expireTrust(id int32, now float64) {
 	client := &p.addresses.entries[id]
 	if !client.trusted || client.trustedByRule {
@@ -78,7 +78,8 @@
 	}
 }
 
-// setTrusted makes an address trusted or untrusted. It is called only where that is a change.
+// setTrusted makes an untrusted address trusted or a trusted one untrusted. trusted must differ
+// from the current value.
 func (p *clientPolicy) setTrusted(id int32, trusted bool) {
 	client := &p.addresses.entries[id]
 	sign := int32(1)
@@ -99,9 +100,9 @@
 	})
 }
 
-// TrustedClients returns the addresses that earned trust here, those with most credit first, at most
-// limit. Credit that other servers reported is left out, or a client would be trusted for ever by
-// reports alone.
+// TrustedClients returns the addresses that earned trust on this server, those with most credit
+// first, at most limit of them. It leaves out credit that other servers reported, or reports alone
+// could keep a client trusted for ever.
 func (l *Limiter) TrustedClients(now float64, limit int) (clients []TrustedClient) {
 	policy := l.clientPolicy
 	if policy == nil {
@@ -119,10 +120,10 @@
 	return clients[:min(len(clients), limit)]
 }
 
-// AddTrustedClients makes addresses trusted that earned it at other servers, and returns how many. Their credit
-// is at most what trust takes, so that without a request done here it ends within a half-life. They
-// take the room of untrusted addresses, never of trusted ones, and at most half of that for
-// remembered addresses.
+// AddTrustedClients makes addresses trusted that earned trust on other servers, and returns how
+// many it accepted. Their credit is bounded by TrustThreshold, so that trust ends within a
+// half-life if no request completes here. They may replace untrusted addresses in the table, never
+// trusted ones, and at most half of the remembered ones.
 func (l *Limiter) AddTrustedClients(clients []TrustedClient, now float64) (accepted int) {
 	policy := l.clientPolicy
 	if policy == nil {
@@ -136,7 +137,7 @@
 	return accepted
 }
 
-// acceptReport makes one address trusted that earned it at another server, if there is room.
+// acceptReport makes an address trusted that earned trust on another server, if there is room for it.
 func (p *clientPolicy) acceptReport(reported TrustedClient, now float64) bool {
 	if reported.Credit < p.minCredit() {
 		return false
@@ -157,9 +158,9 @@
 	return true
 }
 
-// TrustedAddresses returns the addresses that are trusted by their credit, for the acceptor, which has
-// to tell them apart earlier. Where they did not change since the last call, it returns nil and
-// false.
+// TrustedAddresses returns the addresses that are trusted by their credit, for the acceptor, which
+// tells them apart before connections arrive here. If they did not change since the last call, it
+// returns nil and false.
 func (l *Limiter) TrustedAddresses() (trusted map[netip.Addr]bool, changed bool) {
 	policy := l.clientPolicy
 	if !policy.trustChanged {
--- a/internal/policy/connlimit/reputation_test.go
+++ b/internal/policy/connlimit/reputation_test.go
@@ -64,7 +64,7 @@
 	isTrusted := func(now float64, addr netip.Addr) bool {
 		limiter.HandleArrival(0, addr, now)
 		defer limiter.HandleClosed(0)
-		return limiter.clientPolicy.addresses.entries[limiter.connections[0].address-1].trusted
+		return limiter.clientPolicy.addresses.entries[limiter.connections[0].addressNumber-1].trusted
 	}
 	if !isTrusted(1, addr(1)) || !isTrusted(1, addr(2)) || isTrusted(1, addr(3)) {
 		t.Error("who is trusted is not who earned it elsewhere")
--- a/internal/policy/connlimit/rules.go
+++ b/internal/policy/connlimit/rules.go
@@ -10,10 +10,10 @@
 // Rules are the operator's limits on connections. A limit of 0 is none.
 type Rules struct {
 	MaxConnections int // connections that are admitted
-	ReservedSlots  int // of these, what untrusted addresses can't keep from trusted ones
+	ReservedSlots  int // of these, the ones that untrusted addresses can't keep from trusted ones
 
-	// Of an untrusted address; a trusted one may have four times as many. By prefix, of all its
-	// untrusted addresses together.
+	// Limits of an untrusted address, of which a trusted one has trustedLimitFactor times as much, and
+	// of all untrusted addresses of a prefix together.
 	MaxPerAddress  int     // connections
 	MaxPerPrefix   int     // connections
 	RatePerAddress float64 // new connections a second
@@ -25,27 +25,27 @@
 
 	HoldingSlots        int     // connections held until their first request is rejected
 	RememberedAddresses int     // addresses, and prefixes, remembered without a connection
-	TrustThreshold      int     // requests done, in as many seconds at least, that make an address trusted
+	TrustThreshold      int     // completed requests, one a second at most, that make an address trusted
 	CreditHalfLife      float64 // half-life of an address's credit, s
 
 	MinRetryAfter float64 // the least time to retry after, s
-	MaxRetryAfter float64 // the longest, s
+	MaxRetryAfter float64 // the greatest, s
 
-	CPUShare float64 // of a core, that accepting connections may take
+	CPUShare float64 // fraction of a core that accepting connections may use
 	Seed     int64   // of the jitter of the time to retry after
 }
 
-// RejectReason is why a connection was not admitted.
+// RejectReason is why a connection was not admitted, or Admitted.
 type RejectReason uint8
 
-// The reasons to reject a connection.
+// The results of HandleArrival.
 const (
 	Admitted          RejectReason = iota // it was admitted
 	RateLimited                           // its address or prefix opens connections too often
 	OverCap                               // its address or prefix holds as many as it may
-	NoFreeSlot                            // no slot is free, and nobody's share is larger than its own
-	HoldingAreaFull                       // even the holding area is full: to be closed at once
-	rejectReasonCount                     // how many reasons there are
+	NoFreeSlot                            // no slot is free for it without an eviction
+	HoldingAreaFull                       // the holding area is full as well: to be closed at once
+	rejectReasonCount                     // number of reasons
 )
 
 var rejectReasonNames = [rejectReasonCount]string{
@@ -64,7 +64,7 @@
 	return rejectReasonNames[r]
 }
 
-// clientPolicy is the part of a limiter that goes by rules and tells client addresses apart.
+// clientPolicy is the state of a limiter with rules: what it knows of client addresses and slots.
 type clientPolicy struct {
 	rules           Rules
 	addresses       *addressTable
@@ -74,12 +74,12 @@
 	slots           slots
 	arrivals        arrivalCost
 	rejections      [rejectReasonCount]int
-	jitterDraws     uint32 // how often jitter was drawn
-	trustChanged    bool   // since the trusted addresses were last returned
+	jitterDraws     uint32 // how many times jitter was drawn
+	trustChanged    bool   // since the last call of TrustedAddresses
 }
 
-// NewWithRules returns a limiter that goes by rules, for connections that may be idle for idleTimeout
-// seconds. It takes the memory for its addresses at once.
+// NewWithRules returns a limiter with rules, for connections that may be idle for idleTimeout seconds. It
+// allocates the memory for all of its addresses.
 func NewWithRules(idleTimeout float64, rules Rules) *Limiter {
 	// Trusted addresses may overflow the holding area for a moment.
 	const heldFactor, spare = 4, 64
@@ -95,14 +95,14 @@
 	return limiter
 }
 
-// HasRules reports whether the limiter goes by rules.
+// HasRules reports whether the limiter has rules.
 func (l *Limiter) HasRules() bool { return l.clientPolicy != nil }
 
-// ApplyRules has the limiter go by other rules from now on. It reports whether all of them apply: sizes
-// and prefix lengths stay as they were until a restart.
-func (l *Limiter) ApplyRules(rules Rules) (all bool) {
+// ApplyRules replaces the rules of a limiter that has some. It reports whether all of the new ones
+// apply: table sizes, slots and prefix lengths stay as they are until a restart.
+func (l *Limiter) ApplyRules(rules Rules) (complete bool) {
 	policy := l.clientPolicy
-	all = l.CanApply(rules)
+	complete = l.CanApply(rules)
 	current := policy.rules
 	rules.IPv4PrefixBits = current.IPv4PrefixBits
 	rules.IPv6PrefixBits = current.IPv6PrefixBits
@@ -116,10 +116,10 @@
 			policy.setTrusted(id, true)
 		}
 	}
-	return all
+	return complete
 }
 
-// CanApply reports whether all of the rules would apply without a restart.
+// CanApply reports whether ApplyRules would apply all of the rules.
 func (l *Limiter) CanApply(rules Rules) bool {
 	current := l.clientPolicy.rules
 	return rules.IPv4PrefixBits == current.IPv4PrefixBits &&
--- a/internal/policy/connlimit/simulation_test.go
+++ b/internal/policy/connlimit/simulation_test.go
@@ -106,7 +106,7 @@
 func (s *simulation) checkFair(c *simulatedConnection, holding int, victim int32) {
 	v := s.connections[victim]
 	record := s.limiter.connections[victim]
-	isSilentNew := record.state == StateNew && s.now-record.since > firstMessageDelay
+	isSilentNew := record.state == StateNew && s.now-record.stateSince > firstMessageDelay
 	trusted := s.isTrusted(v.addr)
 	sameKind := trusted == s.isTrusted(c.addr) && v.addr != c.addr
 	switch {
--- a/internal/policy/connlimit/state.go
+++ b/internal/policy/connlimit/state.go
@@ -9,14 +9,14 @@
 const (
 	StateClosed         State = iota // no connection has the slot
 	StateNew                         // has sent nothing valid yet
-	StateIdle                        // has sent something valid, and none of its requests is open
-	StatePartialMessage              // like idle, and the start of a message is there
-	StateActive                      // a request of it is open
+	StateIdle                        // has sent something valid, and has no open request
+	StatePartialMessage              // like StateIdle, and part of a message was received
+	StateActive                      // has an open request
 	StateAskedToClose                // the peer was asked to close it
-	StateClosing                     // to be closed: the decision was made
+	StateClosing                     // the decision to close it was made
 	StateHeld                        // accepted but not admitted: its requests are rejected
-	StateRejected                    // like held, and its request was rejected: closed next
-	stateCount                       // how many states there are
+	StateRejected                    // like StateHeld, and its request was rejected: closed next
+	stateCount                       // number of states
 )
 
 var stateNames = [stateCount]string{
@@ -56,15 +56,15 @@
 
 // The events of a connection.
 const (
-	EventRequest        Event = iota // a request or a health check came, whole and valid
-	EventMessage                     // another whole message came
-	EventPartialMessage              // the start of a message came, and no more
-	EventRequestOpened               // a request of it is open now
-	EventRequestsDone                // none of its requests is open any more
+	EventRequest        Event = iota // a complete valid request or health check was received
+	EventMessage                     // another complete message was received
+	EventPartialMessage              // only part of a message was received
+	EventRequestOpened               // a request was opened
+	EventRequestsDone                // its last open request is done
 	EventTimeout                     // the timeout of its state passed
 	EventDrain                       // the server is draining
-	EventUnreadData                  // it was to be closed, but there is unread data
-	eventCount                       // how many events there are
+	EventUnreadData                  // there is unread data, so it can't be closed
+	eventCount                       // number of events
 )
 
 var eventNames = [eventCount]string{
@@ -86,14 +86,14 @@
 	return eventNames[e]
 }
 
-// effect is what a transition does beside entering the next state.
+// effect is the side effect of a transition.
 type effect uint8
 
 const (
-	effectNone   effect = iota
-	effectAsk           // decide to ask the peer to close, unless it was asked before
-	effectClose         // decide to close
-	effectResume        // return to the state before the decision to close
+	effectNone       effect = iota
+	effectAskToClose        // decide to ask the peer to close, unless it was asked before
+	effectClose             // decide to close
+	effectResume            // return to the state before the decision to close
 )
 
 // transition is one row of the state table.
@@ -104,31 +104,31 @@
 	effect effect
 }
 
-// transitions is the whole state table. An event that has no row changes nothing; with each one
-// that has, the timeout of the next state begins, also where that is the same state.
+// transitions is the state table. An event without a row is ignored. A row restarts the timeout,
+// also if its next state is the same one.
 var transitions = [...]transition{
 	{StateNew, EventRequest, StateIdle, effectNone},
 	{StateNew, EventRequestOpened, StateActive, effectNone},
 	{StateNew, EventTimeout, StateClosing, effectClose},
-	{StateNew, EventDrain, StateAskedToClose, effectAsk},
+	{StateNew, EventDrain, StateAskedToClose, effectAskToClose},
 
 	{StateIdle, EventRequest, StateIdle, effectNone},
 	{StateIdle, EventMessage, StateIdle, effectNone},
 	{StateIdle, EventPartialMessage, StatePartialMessage, effectNone},
 	{StateIdle, EventRequestOpened, StateActive, effectNone},
-	{StateIdle, EventTimeout, StateAskedToClose, effectAsk},
-	{StateIdle, EventDrain, StateAskedToClose, effectAsk},
+	{StateIdle, EventTimeout, StateAskedToClose, effectAskToClose},
+	{StateIdle, EventDrain, StateAskedToClose, effectAskToClose},
 
 	{StatePartialMessage, EventRequest, StateIdle, effectNone},
 	{StatePartialMessage, EventMessage, StateIdle, effectNone},
 	{StatePartialMessage, EventRequestOpened, StateActive, effectNone},
 	{StatePartialMessage, EventTimeout, StateClosing, effectClose},
-	{StatePartialMessage, EventDrain, StateAskedToClose, effectAsk},
+	{StatePartialMessage, EventDrain, StateAskedToClose, effectAskToClose},
 
-	// HandleEvent goes on from there by what the request left.
+	// HandleEvent then applies a partial message or a drain that came during the request.
 	{StateActive, EventRequestsDone, StateIdle, effectNone},
 
-	// Its request crossed the message that asked it to close.
+	// The peer sent the request before the message that asked it to close arrived.
 	{StateAskedToClose, EventRequestOpened, StateActive, effectNone},
 	{StateAskedToClose, EventTimeout, StateClosing, effectClose},
 
@@ -139,24 +139,24 @@
 	{StateRejected, EventTimeout, StateClosing, effectClose},
 }
 
-// handle takes a connection on by the state table.
-func (l *Limiter) handle(slot int32, event Event, now float64) {
+// applyEvent carries out the row of the state table for an event, if there is one.
+func (l *Limiter) applyEvent(slot int32, event Event, now float64) {
 	state := l.connections[slot].state
 	for i := range transitions {
 		row := &transitions[i]
 		if row.from == state && row.event == event {
-			l.follow(row, slot, now)
+			l.carryOut(row, slot, now)
 			return
 		}
 	}
 }
 
-// follow carries out one row of the state table.
-func (l *Limiter) follow(row *transition, slot int32, now float64) {
+// carryOut carries out one row of the state table.
+func (l *Limiter) carryOut(row *transition, slot int32, now float64) {
 	conn := &l.connections[slot]
 	next := row.to
 	switch row.effect {
-	case effectAsk:
+	case effectAskToClose:
 		if !conn.askedToClose {
 			conn.askedToClose = true
 			l.decide(slot, CommandAskToClose, row.from)
@@ -170,8 +170,8 @@
 	l.enter(slot, next, now)
 }
 
-// enter moves a connection to the end of the queue of a state. As all connections of a state have
-// the same timeout, the first in its queue is the first to time out.
+// enter moves a connection to a state, at the end of its queue. All connections in a state have the
+// same timeout, so the first in the queue is the first to time out.
 func (l *Limiter) enter(slot int32, state State, now float64) {
 	conn := &l.connections[slot]
 	if conn.state != StateClosed {
@@ -179,7 +179,7 @@
 		l.queues[conn.state].remove(node, l.stateLinks(node.prev), l.stateLinks(node.next))
 	}
 	conn.state = state
-	conn.since = now
+	conn.stateSince = now
 	conn.stateLinks = links{}
 	if l.clientPolicy != nil {
 		l.updateClient(slot, now)
--- a/internal/policy/connlimit/stats.go
+++ b/internal/policy/connlimit/stats.go
@@ -1,15 +1,15 @@
 package connlimit
 
-// Stats is what a limiter with rules holds.
+// Stats are the counts of a limiter with rules.
 type Stats struct {
-	Admitted          int // connections that are admitted
-	MaxConnections    int // connections that may be
+	Admitted          int // admitted connections
+	MaxConnections    int // current limit on admitted connections
 	ActiveUntrusted   int // admitted connections of untrusted addresses with an open request
 	KnownAddresses    int // addresses, with and without a connection
 	RememberedTrusted int // trusted addresses without a connection
 }
 
-// Stats returns what a limiter with rules holds.
+// Stats returns the counts of a limiter with rules.
 func (l *Limiter) Stats() Stats {
 	policy := l.clientPolicy
 	table := policy.addresses
@@ -22,7 +22,7 @@
 	}
 }
 
-// RejectedCount returns how many connections were rejected for a reason.
+// RejectedCount returns how many rejections there were for a reason.
 func (l *Limiter) RejectedCount(reason RejectReason) int {
 	if l.clientPolicy == nil {
 		return 0
--- a/internal/server/connlimit.go
+++ b/internal/server/connlimit.go
@@ -127,7 +127,7 @@
 	s.countOutcome(answerRejected)
 	retryAfter := c.retryAfter
 	if retryAfter == 0 { // it is admitted, and may not have a request open
-		retryAfter = s.clients.limiter.RetryAfter(c.slot(), now)
+		retryAfter = s.clients.limiter.RejectRequest(c.slot(), now)
 	}
 	report := s.health.loadReport
 	report.Advice = min(retryAfter, s.startup.Settings.MaxRetryAfter)
