--- a/internal/wire/fleet/counters.go
+++ b/internal/wire/fleet/counters.go
@@ -82,7 +82,7 @@
 		Row:    row.RowID,
 		Number: row.Sequence,
 		Base:   row.BaseSequence,
-		Closes: row.Closing,
+		Closes: row.Frozen,
 		Stands: row.FrozenSequence,
 		Cells:  encodeCounts(row.Cells),
 		Sits:   row.Aggregators,
@@ -96,7 +96,7 @@
 		RowID:          encoded.GetRow(),
 		Sequence:       encoded.GetNumber(),
 		BaseSequence:   encoded.GetBase(),
-		Closing:        encoded.GetCloses(),
+		Frozen:         encoded.GetCloses(),
 		FrozenSequence: encoded.GetStands(),
 		Aggregators:    encoded.GetSits(),
 	}
