--- a/internal/fake/executor/processor.go
+++ b/internal/fake/executor/processor.go
@@ -232,7 +232,12 @@
 				if p.runs[r.id] == r && r.asked == asked {
 					p.end(r)
 					p.notify(func(b []byte, serial int64) []byte {
-						return processor.AppendRunEnded(b, serial, r.id, admission.Cancelled, time.Since(r.began).Seconds(), nil)
+						return processor.AppendRunEnded(b, processor.Notice{
+							Serial:   serial,
+							ID:       r.id,
+							Outcome:  admission.Cancelled,
+							Duration: time.Since(r.began).Seconds(),
+						})
 					})
 				}
 			})
@@ -244,7 +249,13 @@
 		r.body = p.plan.Result(r.id, r.body)
 	}
 	p.notify(func(b []byte, serial int64) []byte {
-		return processor.AppendRunEnded(b, serial, r.id, admission.Finished, time.Since(r.began).Seconds(), r.body)
+		return processor.AppendRunEnded(b, processor.Notice{
+			Serial:   serial,
+			ID:       r.id,
+			Outcome:  admission.Finished,
+			Duration: time.Since(r.began).Seconds(),
+			Body:     r.body,
+		})
 	})
 }
 
--- a/internal/wire/catalogue/frame.go
+++ b/internal/wire/catalogue/frame.go
@@ -48,13 +48,13 @@
 	return &wire.ProtocolError{Protocol: "catalogue", Offset: offset, Err: cause}
 }
 
-// parseLine returns the line at the start of b and its length with its end, which is 0 while it isn't whole.
-func parseLine(b []byte) (line []byte, length int, err error) {
-	end := bytes.Index(b[:min(len(b), maxLine)], []byte(lineEnd))
+// parseLine returns the line at the start of data and its length with its end, which is 0 while it isn't whole.
+func parseLine(data []byte) (line []byte, length int, err error) {
+	end := bytes.Index(data[:min(len(data), maxLine)], []byte(lineEnd))
 	if end >= 0 {
-		return b[:end], end + len(lineEnd), nil
+		return data[:end], end + len(lineEnd), nil
 	}
-	if len(b) >= maxLine {
+	if len(data) >= maxLine {
 		return nil, 0, malformed(0, errUnterminatedLine)
 	}
 	return nil, 0, nil
@@ -62,14 +62,14 @@
 
 // parseBody returns the body of size bytes that starts at offset and the length of the whole message, which
 // is 0 while it isn't whole.
-func parseBody(b []byte, offset, size int) (body []byte, length int, err error) {
+func parseBody(data []byte, offset, size int) (body []byte, length int, err error) {
 	end := offset + size
 	length = end + len(lineEnd)
-	if len(b) < length {
+	if len(data) < length {
 		return nil, 0, nil
 	}
-	if string(b[end:length]) != lineEnd {
+	if string(data[end:length]) != lineEnd {
 		return nil, 0, malformed(end, errUnterminatedBody)
 	}
-	return b[offset:end], length, nil
+	return data[offset:end], length, nil
 }
--- a/internal/wire/catalogue/proxy.go
+++ b/internal/wire/catalogue/proxy.go
@@ -20,10 +20,10 @@
 	Body      []byte
 }
 
-// ParseCall reads what is at the start of b and returns its length, which is 0 while it isn't whole.
-// An error matches wire.ErrMalformed and means that nothing of b can be parsed.
-func ParseCall(b []byte) (call Call, length int, err error) {
-	line, lineLength, err := parseLine(b)
+// ParseCall reads what is at the start of data and returns its length, which is 0 while it isn't whole.
+// An error matches wire.ErrMalformed and means that nothing of data can be parsed.
+func ParseCall(data []byte) (call Call, length int, err error) {
+	line, lineLength, err := parseLine(data)
 	if lineLength == 0 {
 		return Call{}, 0, err
 	}
@@ -39,7 +39,7 @@
 	if errors.Join(timeoutErr, sizeErr) != nil || milliseconds < 0 || size < 0 || size > maxBody {
 		return Call{}, 0, malformed(0, errCallHead)
 	}
-	body, length, err := parseBody(b, lineLength, size)
+	body, length, err := parseBody(data, lineLength, size)
 	if length == 0 {
 		return Call{}, 0, err
 	}
--- a/internal/wire/catalogue/reply.go
+++ b/internal/wire/catalogue/reply.go
@@ -24,10 +24,10 @@
 	Body    []byte
 }
 
-// ParseReply reads the reply at the start of b and returns its length, which is 0 while it isn't whole.
-// An error matches wire.ErrMalformed and means that nothing of b can be parsed.
-func ParseReply(b []byte) (reply Reply, length int, err error) {
-	line, lineLength, err := parseLine(b)
+// ParseReply reads the reply at the start of data and returns its length, which is 0 while it isn't whole.
+// An error matches wire.ErrMalformed and means that nothing of data can be parsed.
+func ParseReply(data []byte) (reply Reply, length int, err error) {
+	line, lineLength, err := parseLine(data)
 	if lineLength == 0 {
 		return Reply{}, 0, err
 	}
@@ -47,7 +47,7 @@
 	if err != nil || len(words) != 3 || size < 0 || size > maxBody {
 		return Reply{}, 0, malformed(0, errReplyLength)
 	}
-	reply.Body, length, err = parseBody(b, lineLength, size)
+	reply.Body, length, err = parseBody(data, lineLength, size)
 	if length == 0 {
 		return Reply{}, 0, err
 	}
--- a/internal/wire/processor/executor.go
+++ b/internal/wire/processor/executor.go
@@ -4,8 +4,6 @@
 	"encoding/json"
 	"fmt"
 	"strconv"
-
-	"swiftcourse/admission"
 )
 
 // This file is the executor's side of the protocol: what an executor reads and writes.
@@ -76,7 +74,8 @@
 	return command, nil
 }
 
-// AppendHello appends the answer to the first line: whether the executor started cold, and how many seconds ago.
+// AppendHello appends the answer to the first line: whether the executor started cold, and how many seconds
+// ago.
 func AppendHello(b []byte, cold bool, ago float64) []byte {
 	state := stateSeasoned
 	if cold {
@@ -85,12 +84,13 @@
 	return fmt.Appendf(b, `{"msg":%q,"how":%q,"duration":%g}`+"\n", messageHi, state, ago*millisecondsPerSecond)
 }
 
-// AppendRunEnded appends the notice that a run is over after so many seconds; only one that finished has a result.
-func AppendRunEnded(b []byte, serial int64, id string, outcome admission.Outcome, took float64, result []byte) []byte {
-	end := wordOf(outcomes, outcome, endCrashed)
+// AppendRunEnded appends the notice that a run is over: its serial number, id, outcome, duration and body,
+// which is the result of a run that finished.
+func AppendRunEnded(b []byte, run Notice) []byte {
+	end := wordOf(outcomes, run.Outcome, endCrashed)
 	b = fmt.Appendf(b, `{"msg":%q,"serial":%d,"call":%q,"how":%q,"duration":%g`,
-		messageComplete, serial, id, end, took*millisecondsPerSecond)
-	return appendBlob(b, result)
+		messageComplete, run.Serial, run.ID, end, run.Duration*millisecondsPerSecond)
+	return appendBlob(b, run.Body)
 }
 
 // AppendAwaitingCall appends the notice that a run waits for a call.
--- a/internal/wire/processor/executor_test.go
+++ b/internal/wire/processor/executor_test.go
@@ -40,21 +40,35 @@
 
 func TestNoticeParser_ReadsWhatExecutorAppends(t *testing.T) {
 	var r NoticeParser
+	finished := Notice{
+		Kind:     NoticeRunEnded,
+		Serial:   4,
+		ID:       "a1",
+		Detail:   "done",
+		Outcome:  admission.Finished,
+		Duration: 0.25,
+		Body:     []byte("r"),
+	}
+	cancelled := Notice{
+		Kind:    NoticeRunEnded,
+		Serial:  5,
+		ID:      "a1",
+		Detail:  "aborted",
+		Outcome: admission.Cancelled,
+	}
+	failed := cancelled
+	failed.Detail = "crashed"
+	failed.Outcome = admission.Failed
 	for _, c := range []struct {
 		line []byte
 		want Notice
 	}{
 		{AppendHello(nil, true, 0.5), Notice{Kind: NoticeHello, Cold: true, Detail: "fresh", Duration: 0.5}},
-		{AppendRunEnded(nil, 4, "a1", admission.Finished, 0.25, []byte("r")),
-			Notice{Kind: NoticeRunEnded, Serial: 4, ID: "a1", Detail: "done",
-				Duration: 0.25, Body: []byte("r")}},
-		{AppendRunEnded(nil, 5, "a1", admission.Cancelled, 0, nil),
-			Notice{Kind: NoticeRunEnded, Serial: 5, ID: "a1", Detail: "aborted",
-				Outcome: admission.Cancelled, Body: []byte{}}},
-		{AppendRunEnded(nil, 5, "a1", admission.Failed, 0, nil),
-			Notice{Kind: NoticeRunEnded, Serial: 5, ID: "a1", Detail: "crashed",
-				Outcome: admission.Failed, Body: []byte{}}},
-		{AppendAwaitingCall(nil, 6, "a1", []byte("c")), Notice{Kind: NoticeAwaitingCall, Serial: 6, ID: "a1", Body: []byte("c")}},
+		{AppendRunEnded(nil, finished), finished},
+		{AppendRunEnded(nil, cancelled), cancelled},
+		{AppendRunEnded(nil, failed), failed},
+		{AppendAwaitingCall(nil, 6, "a1", []byte("c")),
+			Notice{Kind: NoticeAwaitingCall, Serial: 6, ID: "a1", Body: []byte("c")}},
 		{AppendGauges(nil, "t", []float64{0.5, 3}), Notice{Kind: NoticeGauges, Tag: "t", Gauges: []float64{0.5, 3}}},
 		{AppendRejected(nil, CommandStart, "a1"), Notice{Kind: NoticeRejected, ID: "a1", Detail: "begin"}},
 	} {
--- a/internal/wire/roster/response.go
+++ b/internal/wire/roster/response.go
@@ -11,17 +11,17 @@
 	Close  bool // the connection takes no further report
 }
 
-// ParseResponse reads the response at the start of b and returns its length, which is 0 while it isn't whole.
-// An error matches wire.ErrMalformed and means that nothing of b can be parsed.
-func ParseResponse(b []byte) (response Response, length int, err error) {
-	end := bytes.Index(b, []byte(headEnd))
+// ParseResponse reads the response at the start of data and returns its length, which is 0 while it isn't whole.
+// An error matches wire.ErrMalformed and means that nothing of data can be parsed.
+func ParseResponse(data []byte) (response Response, length int, err error) {
+	end := bytes.Index(data, []byte(headEnd))
 	if end < 0 {
-		if len(b) > maxHead {
+		if len(data) > maxHead {
 			return Response{}, 0, malformed(errUnterminatedHead)
 		}
 		return Response{}, 0, nil
 	}
-	lines := bytes.Split(b[:end], []byte(lineEnd))
+	lines := bytes.Split(data[:end], []byte(lineEnd))
 	response, err = parseStatusLine(lines[0])
 	if err != nil {
 		return Response{}, 0, malformed(err)
@@ -33,7 +33,7 @@
 		}
 	}
 	length = end + len(headEnd) + bodyLength
-	if len(b) < length {
+	if len(data) < length {
 		return Response{}, 0, nil
 	}
 	return response, length, nil
--- a/internal/wire/rpc/client.go
+++ b/internal/wire/rpc/client.go
@@ -10,38 +10,38 @@
 // decimals is how many decimals of memory and priority are written.
 const decimals = 6
 
-// AppendRequest appends a request, which ParseMessage reads as a KindRequest. Times are written as whole
-// milliseconds, memory and priority with six decimals; optional fields that aren't set are left out.
-func AppendRequest(b []byte, m *Message) []byte {
-	b = appendRequestHead(b, m.Number)
-	b = appendString(b, m.Class)
+// AppendRequest appends a request, which ParseMessage reads as a KindRequest. Times are written as
+// whole milliseconds, memory and priority with six decimals; optional fields that aren't set are left out.
+func AppendRequest(b []byte, message *Message) []byte {
+	b = appendRequestHead(b, message.Number)
+	b = appendString(b, message.Class)
 	fields := newFieldEncoder(append(b, headFixArray|2))
-	fields.add(fieldID, m.ID)
-	fields.add(fieldArrivedAt, wholeMilliseconds(m.ArrivedAt))
-	fields.add(fieldClient, strconv.Itoa(m.Client))
-	if !m.NoTimeout {
-		fields.add(fieldTimeout, wholeMilliseconds(m.Timeout))
+	fields.add(fieldID, message.ID)
+	fields.add(fieldArrivedAt, wholeMilliseconds(message.ArrivedAt))
+	fields.add(fieldClient, strconv.Itoa(message.Client))
+	if !message.NoTimeout {
+		fields.add(fieldTimeout, wholeMilliseconds(message.Timeout))
 	}
-	fields.add(fieldMemory, strconv.FormatFloat(m.Memory, 'f', decimals, 64))
-	if m.Tenant != "" {
-		fields.add(fieldTenant, m.Tenant)
+	fields.add(fieldMemory, strconv.FormatFloat(message.Memory, 'f', decimals, 64))
+	if message.Tenant != "" {
+		fields.add(fieldTenant, message.Tenant)
 	}
-	if m.Priority != 0 {
-		fields.add(fieldPriority, strconv.FormatFloat(m.Priority, 'f', decimals, 64))
+	if message.Priority != 0 {
+		fields.add(fieldPriority, strconv.FormatFloat(message.Priority, 'f', decimals, 64))
 	}
-	if m.Subject != "" {
-		fields.add(fieldSubject, m.Subject)
+	if message.Subject != "" {
+		fields.add(fieldSubject, message.Subject)
 	}
-	if m.Key != "" {
-		fields.add(fieldKey, m.Key)
+	if message.Key != "" {
+		fields.add(fieldKey, message.Key)
 	}
-	if m.Retry {
+	if message.Retry {
 		fields.add(fieldRetry, flagSet)
 	}
-	if m.ExpectedWork > 0 {
-		fields.add(fieldExpectedWork, strconv.FormatFloat(m.ExpectedWork*millisecondsPerSecond, 'f', -1, 64))
+	if message.ExpectedWork > 0 {
+		fields.add(fieldExpectedWork, strconv.FormatFloat(message.ExpectedWork*millisecondsPerSecond, 'f', -1, 64))
 	}
-	return appendBinary(fields.buffer, m.Body)
+	return appendBinary(fields.buffer, message.Body)
 }
 
 // wholeMilliseconds formats seconds as a whole number of milliseconds.
--- a/internal/wire/rpc/client_response.go
+++ b/internal/wire/rpc/client_response.go
@@ -54,43 +54,43 @@
 // ParseResponse reads the message at the start of b and returns its length, which is 0 while it isn't whole.
 // An error matches ErrMalformed and means that nothing of b can be parsed.
 func ParseResponse(b []byte) (response Response, length int, err error) {
-	d := decoder{input: b}
-	response = parseServerMessage(&d)
+	input := decoder{input: b}
+	response = parseServerMessage(&input)
 	switch {
-	case errors.Is(d.err, errShort) && len(b) < maxResponse:
+	case errors.Is(input.err, errShort) && len(b) < maxResponse:
 		return Response{}, 0, nil
-	case d.err != nil:
-		return Response{}, 0, malformed(d.offset, d.err)
+	case input.err != nil:
+		return Response{}, 0, malformed(input.offset, input.err)
 	}
-	return response, d.offset, nil
+	return response, input.offset, nil
 }
 
 // parseServerMessage reads one message; what it returns counts only if the decoder has no error.
-func parseServerMessage(d *decoder) Response {
-	frame := d.read()
-	if d.err == nil && frame.kind != kindArray {
-		d.err = errFrame
+func parseServerMessage(input *decoder) Response {
+	frame := input.read()
+	if input.err == nil && frame.kind != kindArray {
+		input.err = errFrame
 	}
-	messageType := d.read()
-	if d.err == nil && messageType.kind != kindInteger {
-		d.err = errFrame
+	messageType := input.read()
+	if input.err == nil && messageType.kind != kindInteger {
+		input.err = errFrame
 	}
 	switch {
-	case d.err != nil:
+	case input.err != nil:
 		return Response{}
 	case messageType.number == typeNotification && frame.length == notificationLength:
-		return parseServerNotification(d)
+		return parseServerNotification(input)
 	case messageType.number == typeResponse && frame.length == responseLength:
-		return parseResponse(d)
+		return parseResponse(input)
 	}
-	d.err = errNotResponse
+	input.err = errNotResponse
 	return Response{}
 }
 
 // parseServerNotification reads what follows the type of a notification.
-func parseServerNotification(d *decoder) Response {
-	method := d.read()
-	d.readWhole()
+func parseServerNotification(input *decoder) Response {
+	method := input.read()
+	input.readWhole()
 	if string(method.data) == methodGoAway {
 		return Response{Kind: ResponseGoAway}
 	}
@@ -98,26 +98,26 @@
 }
 
 // parseResponse reads what follows the type of a response: number, error and result.
-func parseResponse(d *decoder) Response {
-	response := Response{Number: uint64(d.read().number)}
-	fault := d.readWhole()
-	result := d.readWhole()
-	if d.err != nil {
+func parseResponse(input *decoder) Response {
+	response := Response{Number: uint64(input.read().number)}
+	fault := input.readWhole()
+	result := input.readWhole()
+	if input.err != nil {
 		return response
 	}
 	if fault[0] != headNil {
-		d.err = response.parseError(&decoder{input: fault})
+		input.err = response.parseError(&decoder{input: fault})
 	} else {
-		d.err = response.parseResult(&decoder{input: result})
+		input.err = response.parseResult(&decoder{input: result})
 	}
 	return response
 }
 
 // parseError reads the error of a response: its name and fields.
-func (r *Response) parseError(d *decoder) (err error) {
-	list := d.read()
-	name := d.read()
-	if d.err != nil || list.kind != kindArray || list.length != 2 || name.kind != kindString {
+func (r *Response) parseError(input *decoder) (err error) {
+	list := input.read()
+	name := input.read()
+	if input.err != nil || list.kind != kindArray || list.length != 2 || name.kind != kindString {
 		return errErrorShape
 	}
 	r.ErrorName = string(name.data)
@@ -125,19 +125,19 @@
 	if r.ErrorName == errorRejected {
 		r.Kind = ResponseRejected
 	}
-	r.Metadata, err = parseMetadata(d)
+	r.Metadata, err = parseMetadata(input)
 	return err
 }
 
 // parseResult reads the result of a response: bytes or a health check's bool, and fields.
-func (r *Response) parseResult(d *decoder) (err error) {
-	list := d.read()
+func (r *Response) parseResult(input *decoder) (err error) {
+	list := input.read()
 	var head byte
-	if d.offset < len(d.input) {
-		head = d.input[d.offset]
+	if input.offset < len(input.input) {
+		head = input.input[input.offset]
 	}
-	body := d.read()
-	if d.err != nil || list.kind != kindArray || list.length != 2 {
+	body := input.read()
+	if input.err != nil || list.kind != kindArray || list.length != 2 {
 		return errResultShape
 	}
 	switch {
@@ -149,7 +149,7 @@
 	default:
 		return errResultType
 	}
-	r.Metadata, err = parseMetadata(d)
+	r.Metadata, err = parseMetadata(input)
 	return err
 }
 
--- a/internal/wire/rpc/client_test.go
+++ b/internal/wire/rpc/client_test.go
@@ -48,11 +48,17 @@
 		if _, n, err := ParseMessage(b[:cut]); n != 0 || err != nil {
 			t.Fatalf("cut at %d: %d, %v", cut, n, err)
 		}
-		if g, n, err := ParseMessage(AppendCancel(nil, m.Number)); err != nil || n == 0 || g.Kind != KindCancel || g.Number != m.Number {
-			t.Fatalf("%+v, %v", g, err)
-		}
-		if g, n, err := ParseMessage(AppendHealthCheck(nil, m.Number)); err != nil || n == 0 || g.Kind != KindHealthCheck || g.Number != m.Number {
-			t.Fatalf("%+v, %v", g, err)
+		for _, c := range []struct {
+			message []byte
+			want    Message
+		}{
+			{AppendCancel(nil, m.Number), Message{Kind: KindCancel, Number: m.Number}},
+			{AppendHealthCheck(nil, m.Number), Message{Kind: KindHealthCheck, Number: m.Number}},
+		} {
+			got, n, err := ParseMessage(c.message)
+			if err != nil || n != len(c.message) || !reflect.DeepEqual(got, c.want) {
+				t.Fatalf("%+v, %d of %d, %v; want %+v", got, n, len(c.message), err, c.want)
+			}
 		}
 	})
 }
@@ -60,20 +66,27 @@
 func TestParseResponse_ReadsWhatServerAppends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		number := rapid.Uint64().Draw(t, "number")
-		metadata := ResponseMetadata{LoadReport: rapid.SampledFrom([]string{"", "0.25"}).Draw(t, "free"),
-			RetryAfter: float64(rapid.IntRange(0, 50).Draw(t, "advice")) / 4, NoFailover: rapid.Bool().Draw(t, "last")}
+		metadata := ResponseMetadata{
+			LoadReport: rapid.SampledFrom([]string{"", "0.25"}).Draw(t, "load report"),
+			RetryAfter: float64(rapid.IntRange(0, 50).Draw(t, "retry after")) / 4,
+			NoFailover: rapid.Bool().Draw(t, "no failover"),
+		}
 		result := rapid.SliceOfN(rapid.Byte(), 0, 4096).Draw(t, "result")
 		for i, c := range []struct {
 			b    []byte
 			want Response
 		}{
-			{AppendResult(nil, number, result, metadata), Response{Kind: ResponseFinished, Number: number, Result: result, Metadata: metadata}},
-			{AppendRejected(nil, number, metadata), Response{Kind: ResponseRejected, Number: number, ErrorName: "Busy", Metadata: metadata}},
-			{AppendFailed(nil, number, metadata), Response{Kind: ResponseFailed, Number: number, ErrorName: "Failed", Metadata: metadata}},
-			{AppendInvalid(nil, number, metadata), Response{Kind: ResponseFailed, Number: number, ErrorName: "Invalid", Metadata: metadata}},
-			{AppendHealth(nil, number, true, metadata), Response{Kind: ResponseHealth, Number: number, Healthy: true, Metadata: metadata}},
+			{AppendResult(nil, number, result, metadata), Response{Kind: ResponseFinished, Result: result}},
+			{AppendRejected(nil, number, metadata), Response{Kind: ResponseRejected, ErrorName: "Busy"}},
+			{AppendFailed(nil, number, metadata), Response{Kind: ResponseFailed, ErrorName: "Failed"}},
+			{AppendInvalid(nil, number, metadata), Response{Kind: ResponseFailed, ErrorName: "Invalid"}},
+			{AppendHealth(nil, number, true, metadata), Response{Kind: ResponseHealth, Healthy: true}},
 			{AppendGoAway(nil), Response{Kind: ResponseGoAway}},
 		} {
+			if c.want.Kind != ResponseGoAway {
+				c.want.Number = number
+				c.want.Metadata = metadata
+			}
 			got, n, err := ParseResponse(append(bytes.Clone(c.b), 0x94))
 			if c.want.Kind == ResponseFinished && got.Result == nil {
 				got.Result = []byte{}
@@ -108,7 +121,15 @@
 }
 
 func FuzzParseMessage(f *testing.F) {
-	f.Add(AppendRequest(nil, &Message{Number: 7, ID: "a1", Class: "quote", ArrivedAt: 1, Timeout: 1, Memory: 1, Body: []byte("x")}))
+	f.Add(AppendRequest(nil, &Message{
+		Number:    7,
+		ID:        "a1",
+		Class:     "quote",
+		ArrivedAt: 1,
+		Timeout:   1,
+		Memory:    1,
+		Body:      []byte("x"),
+	}))
 	f.Add(AppendCancel(AppendHealthCheck(nil, 3), 1<<40))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		for len(b) > 0 {
--- a/internal/wire/rpc/request.go
+++ b/internal/wire/rpc/request.go
@@ -62,55 +62,55 @@
 // ParseMessage reads the message at the start of b and returns its length, which is 0 while it isn't whole.
 // An error matches ErrMalformed and means that nothing of b can be parsed.
 func ParseMessage(b []byte) (message Message, length int, err error) {
-	d := decoder{input: b}
-	message = parseMessage(&d)
+	input := decoder{input: b}
+	message = parseMessage(&input)
 	switch {
-	case errors.Is(d.err, errShort) && len(b) < MaxFrame:
+	case errors.Is(input.err, errShort) && len(b) < MaxFrame:
 		return Message{}, 0, nil
-	case d.err != nil:
-		return Message{}, 0, malformed(d.offset, d.err)
-	case d.offset > MaxFrame:
-		return Message{}, 0, malformed(d.offset, errTooLong)
+	case input.err != nil:
+		return Message{}, 0, malformed(input.offset, input.err)
+	case input.offset > MaxFrame:
+		return Message{}, 0, malformed(input.offset, errTooLong)
 	}
-	return message, d.offset, nil
+	return message, input.offset, nil
 }
 
 // parseMessage reads one message; what it returns counts only if the decoder has no error.
-func parseMessage(d *decoder) Message {
-	frame := d.read()
-	messageType := d.read()
-	if d.err != nil {
+func parseMessage(input *decoder) Message {
+	frame := input.read()
+	messageType := input.read()
+	if input.err != nil {
 		return Message{}
 	}
 	if frame.kind != kindArray || messageType.kind != kindInteger ||
 		frame.length < notificationLength || frame.length > requestLength {
-		d.err = errFrame
+		input.err = errFrame
 		return Message{}
 	}
 	switch {
 	case messageType.number == typeRequest && frame.length == requestLength:
-		return parseRequest(d)
+		return parseRequest(input)
 	case messageType.number == typeNotification && frame.length == notificationLength:
-		return parseNotification(d)
+		return parseNotification(input)
 	case messageType.number == typeResponse && frame.length == responseLength: // nothing was asked
 		for range responseLength - 1 {
-			d.readWhole()
+			input.readWhole()
 		}
 		return Message{}
 	}
-	d.err = fmt.Errorf("unknown message type %d", messageType.number)
+	input.err = fmt.Errorf("unknown message type %d", messageType.number)
 	return Message{}
 }
 
 // parseRequest reads what follows the type of a request or health check.
-func parseRequest(d *decoder) Message {
-	number := d.read()
-	method := d.read()
-	if d.err == nil && (number.kind != kindInteger || method.kind != kindString) {
-		d.err = errRequestHead
+func parseRequest(input *decoder) Message {
+	number := input.read()
+	method := input.read()
+	if input.err == nil && (number.kind != kindInteger || method.kind != kindString) {
+		input.err = errRequestHead
 	}
-	parameters := d.readWhole()
-	if d.err != nil {
+	parameters := input.readWhole()
+	if input.err != nil {
 		return Message{}
 	}
 	message := Message{Kind: KindHealthCheck, Number: uint64(number.number)}
@@ -124,10 +124,10 @@
 }
 
 // parseNotification reads what follows the type of a notification. One that isn't known is passed over.
-func parseNotification(d *decoder) Message {
-	method := d.read()
-	parameters := d.readWhole()
-	if d.err != nil || string(method.data) != methodCancel {
+func parseNotification(input *decoder) Message {
+	method := input.read()
+	parameters := input.readWhole()
+	if input.err != nil || string(method.data) != methodCancel {
 		return Message{}
 	}
 	nested := decoder{input: parameters}
@@ -140,18 +140,18 @@
 }
 
 // parseParameters reads a request's fields and body.
-func (m *Message) parseParameters(d *decoder) error {
-	list := d.read()
-	fields := d.read()
-	if d.err != nil || list.kind != kindArray || list.length < 2 || fields.kind != kindMap {
+func (m *Message) parseParameters(input *decoder) error {
+	list := input.read()
+	fields := input.read()
+	if input.err != nil || list.kind != kindArray || list.length < 2 || fields.kind != kindMap {
 		return errParameters
 	}
 	m.NoTimeout = true
 	var present fieldSet
 	for range fields.length {
-		name := d.read()
-		text := d.readWhole()
-		if d.err != nil {
+		name := input.read()
+		text := input.readWhole()
+		if input.err != nil {
 			return errFieldsCutShort
 		}
 		if name.kind != kindString {
@@ -167,13 +167,13 @@
 	if present != requiredFields {
 		return errMissingField
 	}
-	return m.parseBody(d)
+	return m.parseBody(input)
 }
 
 // parseBody reads a request's body.
-func (m *Message) parseBody(d *decoder) error {
-	body := d.read()
-	if d.err != nil || body.kind != kindBinary && body.kind != kindString {
+func (m *Message) parseBody(input *decoder) error {
+	body := input.read()
+	if input.err != nil || body.kind != kindBinary && body.kind != kindString {
 		return errBodyType
 	}
 	if len(body.data) > maxBody {
--- a/internal/wire/rpc/request_test.go
+++ b/internal/wire/rpc/request_test.go
@@ -36,7 +36,7 @@
 	check  = "9400cd0100a669735765 6c6c9180"
 )
 
-func bytesOf(t *testing.T, s string) []byte {
+func decodeHex(t *testing.T, s string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.ReplaceAll(s, " ", ""))
 	if err != nil {
@@ -50,14 +50,24 @@
 		text string
 		want Message
 	}{
-		{task, Message{Kind: KindRequest, Number: 7, ID: "9b1f03aa5c7e2d41", Class: "checkout", ArrivedAt: 1764576000.123,
-			Timeout: 0.48, Client: 4, Memory: 24.5, Priority: 0.625, Body: []byte{0, 10, 255}}},
+		{task, Message{
+			Kind:      KindRequest,
+			Number:    7,
+			ID:        "9b1f03aa5c7e2d41",
+			Class:     "checkout",
+			ArrivedAt: 1764576000.123,
+			Timeout:   0.48,
+			Client:    4,
+			Memory:    24.5,
+			Priority:  0.625,
+			Body:      []byte{0, 10, 255},
+		}},
 		{forget, Message{Kind: KindCancel, Number: 7}},
 		{check, Message{Kind: KindHealthCheck, Number: 256}},
-		{"94 01 05 c0 91 c3", Message{}},                            // an answer to nothing
+		{"94 01 05 c0 91 c3", Message{}},                            // a response to nothing
 		{"93 02 a3 6e6577 92 cb4000000000000000 d40102", Message{}}, // a notification not known
 	} {
-		whole := append(bytesOf(t, c.text), 0x94) // and the start of the next
+		whole := append(decodeHex(t, c.text), 0x94) // and the start of the next
 		for cut := range len(whole) - 1 {
 			if m, n, err := ParseMessage(whole[:cut]); n != 0 || err != nil {
 				t.Fatalf("%s cut at %d: %+v, %d, %v", c.text, cut, m, n, err)
@@ -75,7 +85,7 @@
 		"d200000007", "d30000000000000007"} {
 		for _, body := range []string{"c40161", "c5000161", "c60000000161", "a161"} {
 			text := strings.Replace(strings.Replace(task, "940007", "9400"+id, 1), "c403000aff", body, 1)
-			m, n, err := ParseMessage(bytesOf(t, text))
+			m, n, err := ParseMessage(decodeHex(t, text))
 			if err != nil || n == 0 || m.Number != 7 || string(m.Body) != "a" || m.Invalid != nil {
 				t.Errorf("id %s, body %s: %+v, %d, %v", id, body, m, n, err)
 			}
@@ -101,32 +111,46 @@
 		{"a long body", "c403000aff", "c50801" + strings.Repeat("61", 2049)},
 	} {
 		text := strings.Replace(task, c.old, c.new, 1)
-		m, n, err := ParseMessage(bytesOf(t, text))
-		if text == task || err != nil || n != len(text)/2 || m.Invalid == nil || m.Number != 7 || m.Kind != KindRequest {
+		m, n, err := ParseMessage(decodeHex(t, text))
+		if text == task {
+			t.Fatalf("%s: nothing replaced", c.name)
+		}
+		if err != nil || n != len(text)/2 || m.Invalid == nil || m.Number != 7 || m.Kind != KindRequest {
 			t.Errorf("%s: %+v, %d, %v", c.name, m, n, err)
 		}
 	}
 }
 
-// Some sites don't tell waits; whether that may be is for who knows the site.
+// In some deployments clients don't tell their timeout; whether that may be is for the server to decide.
 func TestParseMessage_TimeoutMayBeMissing(t *testing.T) {
-	m, _, err := ParseMessage(bytesOf(t, strings.Replace(task, "a374746c", "a374746d", 1)))
+	m, _, err := ParseMessage(decodeHex(t, strings.Replace(task, "a374746c", "a374746d", 1)))
 	if err != nil || m.Invalid != nil || !m.NoTimeout || m.Timeout != 0 {
 		t.Errorf("%+v, %v", m, err)
 	}
 }
 
 func TestParseMessage_RefusesMalformed(t *testing.T) {
-	for _, text := range []string{"c1", "07", "95", "9403", "94a0", "94000794", "9400a1618080",
-		"9400 07 a161 dd7fffffff", "9400 07 a161 c6ffffffff", "9400 07 a161" + strings.Repeat("91", 40)} {
-		if m, n, err := ParseMessage(append(bytesOf(t, text), make([]byte, MaxFrame)...)); !errors.Is(err, ErrMalformed) {
+	for _, text := range []string{
+		"c1",
+		"07",
+		"95",
+		"9403",
+		"94a0",
+		"94000794",
+		"9400a1618080",
+		"9400 07 a161 dd7fffffff",
+		"9400 07 a161 c6ffffffff",
+		"9400 07 a161" + strings.Repeat("91", 40),
+	} {
+		input := append(decodeHex(t, text), make([]byte, MaxFrame)...)
+		if m, n, err := ParseMessage(input); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: %+v, %d, %v", text, m, n, err)
 		}
 	}
 }
 
 func TestParseMessage_NoInputPanics(t *testing.T) {
-	whole := bytesOf(t, task)
+	whole := decodeHex(t, task)
 	rapid.Check(t, func(t *rapid.T) {
 		b := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "bytes")
 		if rapid.Bool().Draw(t, "near") { // a message with a few bytes changed
@@ -151,22 +175,23 @@
 		{AppendResult(nil, 7, []byte{1}, ResponseMetadata{}), "94 01 07 c0 92 c40101 80"},
 		{AppendResult(nil, 200, make([]byte, 256), ResponseMetadata{LoadReport: "1"}),
 			"94 01 ce000000c8 c0 92 c50100" + strings.Repeat("00", 256) + "81 a46c6f6164 a131"},
-		{AppendRejected(nil, 7, metadata), "94 01 07 92 a442757379 83 a46c6f6164 a3302e35 a870757368 6261636b a3323531 " +
-			"a473746f70 a131 c0"},
+		{AppendRejected(nil, 7, metadata),
+			"94 01 07 92 a442757379 83 a46c6f6164 a3302e35 a870757368 6261636b a3323531 " +
+				"a473746f70 a131 c0"},
 		{AppendFailed(nil, 1<<33, ResponseMetadata{}), "94 01 cf0000000200000000 92 a64661696c6564 80 c0"},
 		{AppendInvalid(nil, 1, ResponseMetadata{}), "94 01 01 92 a7496e76616c6964 80 c0"},
 		{AppendHealth(nil, 1, true, ResponseMetadata{}), "94 01 01 c0 92 c3 80"},
 		{AppendHealth(nil, 1, false, ResponseMetadata{}), "94 01 01 c0 92 c2 80"},
 		{AppendGoAway(nil), "93 02 a6676f61776179 90"},
 	} {
-		if want := bytesOf(t, c.want); !bytes.Equal(c.got, want) {
+		if want := decodeHex(t, c.want); !bytes.Equal(c.got, want) {
 			t.Errorf("got %x\nwant %x", c.got, want)
 		}
 	}
 }
 
 func TestParseMessage_NamesFieldInError(t *testing.T) {
-	message, _, err := ParseMessage(bytesOf(t, strings.Replace(task, "a6302e36323530", "a6302e36323578", 1)))
+	message, _, err := ParseMessage(decodeHex(t, strings.Replace(task, "a6302e36323530", "a6302e36323578", 1)))
 	var fieldError *FieldError
 	if err != nil || !errors.As(message.Invalid, &fieldError) || fieldError.Field != "crit" {
 		t.Errorf("%v, %v", message.Invalid, err)
--- a/internal/wire/simulator/batch_test.go
+++ b/internal/wire/simulator/batch_test.go
@@ -11,23 +11,35 @@
 	"swiftcourse/internal/wire"
 )
 
-const born = `{"timeMs":1000,"inbox":[["BORN","server/3",7,{"new":1,"servers":9,"classes":[{"effect":` +
+const startBatch = `{"timeMs":1000,"inbox":[["BORN","server/3",7,{"new":1,"servers":9,"classes":[{"effect":` +
 	`"deduplicated","hardLimitMs":4500,"windowMs":2000}],"familyInfo":{"below":"shared","say":"weight",` +
 	`"preemption":"pause","cores":6,"gauges":["runnable","cpu_busy"]}}]]}`
 
-func TestReader_ReadsBatches(t *testing.T) {
-	r := NewReader(strings.NewReader(born + "\n\n" + `{"timeMs":2500.5,"extra":{},"inbox":[["NEW","server/3"],` +
-		`["REQ","server/3","id",6,2.5,40,100,1,null,4,500,0.5,2,"old","more"],` +
-		`["CALL_ENDED","server/3","id","full",20],["DEADLINE_HIT","server/3","next",[3,0.5]]]}` + "\n"))
-	b, err := r.ReadBatch()
+const batch = `{"timeMs":2500.5,"extra":{},"inbox":[["NEW","server/3"],` +
+	`["REQ","server/3","id",6,2.5,40,100,1,null,4,500,0.5,2,"old","more"],` +
+	`["CALL_ENDED","server/3","id","full",20],["DEADLINE_HIT","server/3","next",[3,0.5]]]}`
+
+func TestReader_ReadsStartOfInstance(t *testing.T) {
+	b, err := NewReader(strings.NewReader(startBatch + "\n")).ReadBatch()
 	if err != nil || len(b.Events) != 1 || b.Events[0].Change != ChangeStarted || b.Events[0].Seed != 7 {
 		t.Fatalf("%+v, %v", b, err)
 	}
-	if s := b.Events[0].Settings; s.Deployment.Downstream != "shared" || s.Deployment.Cores != 6 || s.Servers != 9 ||
-		len(s.Classes) != 1 || s.Classes[0].Idempotency != "deduplicated" || s.Classes[0].DeduplicationWindowMs != 2000 {
-		t.Fatalf("%+v", s)
+	settings := b.Events[0].Settings
+	if settings.Deployment.Downstream != "shared" || settings.Deployment.Cores != 6 || settings.Servers != 9 {
+		t.Fatalf("%+v", settings)
 	}
-	b, err = r.ReadBatch()
+	if len(settings.Classes) != 1 || settings.Classes[0].Idempotency != "deduplicated" ||
+		settings.Classes[0].DeduplicationWindowMs != 2000 {
+		t.Fatalf("%+v", settings)
+	}
+}
+
+func TestReader_ReadsBatches(t *testing.T) {
+	r := NewReader(strings.NewReader(startBatch + "\n\n" + batch + "\n"))
+	if _, err := r.ReadBatch(); err != nil { // the gauges of the batch after are in the order of these settings
+		t.Fatal(err)
+	}
+	b, err := r.ReadBatch()
 	want := []admission.Event{
 		{
 			Kind:      admission.Arrived,
--- a/internal/wire/simulator/doc.go
+++ b/internal/wire/simulator/doc.go
@@ -1,5 +1,5 @@
-// Package simulator is the codec of shale-6a31, the simulator's protocol: it reads batches of events, one a line,
-// appends replies and maps the words on the wire to the types of package admission.
+// Package simulator is the codec of shale-6a31, the protocol of the simulator: it reads batches of events, one
+// a line, appends replies and maps the words on the wire to the types of package admission.
 //
 // Nothing is decided here. A Reader has the state that parsing needs: its buffers, and which gauges each
 // instance was told to expect. A Writer has the reply that is being written.
