--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -11,7 +11,7 @@
 
 	"swiftcourse/admission"
 	"swiftcourse/internal/config"
-	"swiftcourse/internal/wire/shale"
+	"swiftcourse/internal/wire/simulator"
 )
 
 func main() {
@@ -43,11 +43,11 @@
 
 // run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	reader := shale.NewReader(in)
-	writer := shale.NewWriter(out)
+	reader := simulator.NewReader(in)
+	writer := simulator.NewWriter(out)
 	h := &host{servers: map[string]*simulatedServer{}}
 	for {
-		batch, err := reader.Next()
+		batch, err := reader.ReadBatch()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -67,15 +67,15 @@
 }
 
 // add has an event wait for the decisions on its batch, or starts or removes its server.
-func (h *host) add(event *shale.Event) error {
-	name := event.Who
+func (h *host) add(event *simulator.Event) error {
+	name := event.Instance
 	switch event.Change {
-	case shale.Wiped:
+	case simulator.ChangeCrashed:
 		delete(h.servers, name)
 		return nil
-	case shale.Born:
+	case simulator.ChangeStarted:
 		h.servers[name] = &simulatedServer{
-			controller: admission.New(event.Seed, config.AdmissionSettings(event.Told)),
+			controller: admission.New(event.Seed, config.AdmissionSettings(event.Settings)),
 			events:     []admission.Event{{Kind: admission.Started}},
 		}
 		h.pending = append(h.pending, name)
@@ -93,7 +93,7 @@
 }
 
 // decide has each server with events decide on them.
-func (h *host) decide(now float64, writer *shale.Writer) {
+func (h *host) decide(now float64, writer *simulator.Writer) {
 	for _, name := range h.pending {
 		server := h.servers[name]
 		if server == nil || len(server.events) == 0 { // removed since, or started twice
@@ -107,11 +107,11 @@
 
 // decide writes the controller's actions. A panic of the controller is reported to the simulator in
 // their place.
-func (s *simulatedServer) decide(name string, now float64, writer *shale.Writer) {
+func (s *simulatedServer) decide(name string, now float64, writer *simulator.Writer) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			writer.Panic(name, fmt.Sprint(cause))
+			writer.AddPanic(name, fmt.Sprint(cause))
 		}
 	}()
-	writer.Add(name, s.controller.Decide(now, s.events))
+	writer.AddActions(name, s.controller.Decide(now, s.events))
 }
--- a/internal/bench/twolevel/levels.go
+++ b/internal/bench/twolevel/levels.go
@@ -15,7 +15,7 @@
 	"swiftcourse/internal/bench/faultinjection"
 	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/fake/executor"
-	"swiftcourse/internal/wire/shale"
+	"swiftcourse/internal/wire/simulator"
 )
 
 // Plan is one run.
@@ -75,8 +75,8 @@
 		r.StalePlans, r.LateAnswers, r.DoubleEffects, r.Unanswered, r.HopP50, r.HopP99, r.Terms, r.P99, r.P99NoKills, r.P99LocalOnly, r.ForwarderCPUMicros, r.ForwarderMB, r.ForwarderIdleMB))
 }
 
-// Bad counts what must not be.
-func (r Row) Bad() (n int) {
+// Violations counts what must not be.
+func (r Row) Violations() (n int) {
 	for _, bad := range []bool{r.StalePlans > 0, r.LateAnswers > 0, r.DoubleEffects > 0, r.Unanswered > 0, r.Service < 0.95*r.NoKills} {
 		if bad {
 			n++
@@ -119,7 +119,7 @@
 func play(ctx context.Context, p *Plan, what kind, row *Row) error {
 	shape := faultinjection.SmallShape(p.Program)
 	shape.Log = p.Log
-	shape.Settings.Stages = append(shape.Settings.Stages, shale.Stage{Name: pay, Effect: "at_most_once", TimeLimitMs: 2000, DueTimeMs: 1000, Utility: 3, LateUtility: 0.5})
+	shape.Settings.Classes = append(shape.Settings.Classes, simulator.Class{Name: pay, Idempotency: "at_most_once", TimeoutMs: 2000, SoftDeadlineMs: 1000, Value: 3, LateValue: 0.5})
 	shape.Descriptors = 512
 	worker := shape
 	if shape.Descriptors += 2 * p.IdleConns; p.IdleConns > 0 {
