--- a/cmd/swiftcourse-fleet/allowances.go
+++ b/cmd/swiftcourse-fleet/allowances.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// noTenant is the tenant of an allowance that limits concurrent calls to the service below.
+	// noTenant is the tenant of an allowance that limits concurrent calls to the downstream service.
 	noTenant = -1
 	// unlimited stands for an allowance without a limit of its own.
 	unlimited = math.MaxInt32
@@ -19,7 +19,7 @@
 	circuitBreakerAllowance = "below"
 )
 
-// allowanceSet is what the server may use: of quotas, of the load plan, and of the service below.
+// allowanceSet is what the server may use: of quotas, of the load plan, and of the downstream service.
 // Each of the three comes at its own time; all of them are handed to the server whenever one
 // changes.
 type allowanceSet struct {
@@ -52,7 +52,7 @@
 	s.publish()
 }
 
-// setCallLimit sets how many calls to the service below may be in flight.
+// setCallLimit sets how many calls to the downstream service may be in flight.
 func (s *allowanceSet) setCallLimit(limit fleet.CallLimit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +78,7 @@
 	return allowances
 }
 
-// capCalls caps the allowance of calls to the service below, and adds one if there is none.
+// capCalls caps the allowance of calls to the downstream service, and adds one if there is none.
 func capCalls(allowances []serving.Allowance, limit fleet.CallLimit) []serving.Allowance {
 	limitsCalls := func(a serving.Allowance) bool { return a.Tenant < 0 }
 	index := slices.IndexFunc(allowances, limitsCalls)
--- a/cmd/swiftcourse-fleet/config.go
+++ b/cmd/swiftcourse-fleet/config.go
@@ -16,7 +16,7 @@
 // votersKey names the voters in the operator's file.
 const votersKey = "fleet-voters"
 
-// buildVariable tells builds of the program apart where the version control does not.
+// buildVariable names the build of the program; without it the revision of the source does.
 const buildVariable = "SWIFTCOURSE_BUILD"
 
 const (
@@ -35,7 +35,7 @@
 	config.FallbackOutOfService: serving.ModeOutOfService,
 }
 
-// commonConfig is what the fleet agents of servers and of planners are told alike.
+// commonConfig returns the configuration that the fleet agents of servers and of planners share.
 func commonConfig(name string, operator *config.OperatorSettings, voters map[string]string) *fleet.Config {
 	settings := &operator.Fleet
 	return &fleet.Config{
@@ -83,7 +83,7 @@
 	return voters, nil
 }
 
-// build tells builds of the program apart: what the environment says, or else the revision.
+// build returns what tells builds of the program apart: the environment's value, or the revision.
 func build() string {
 	if given := os.Getenv(buildVariable); given != "" {
 		return given
--- a/cmd/swiftcourse-fleet/loadplan.go
+++ b/cmd/swiftcourse-fleet/loadplan.go
@@ -13,8 +13,8 @@
 // planAllowancePrefix begins the names of allowances that a load plan sets.
 const planAllowancePrefix = "plan/"
 
-// loadPlanConfig is what a forwarder's fleet agent is told of load plans, nil where requests are
-// not forwarded.
+// loadPlanConfig returns the fleet agent's configuration of load plans, nil if the server does not
+// forward its requests.
 func (p *fleetProgram) loadPlanConfig() *fleet.LoadPlanConfig {
 	if p.dispatcher == nil {
 		return nil
@@ -51,7 +51,7 @@
 	f.program.allowances.setPlan(planAllowances(assignment, f.program.startup, expiry))
 }
 
-// planAllowances is what an assignment admits of each tenant. After its expiry nothing is limited,
+// planAllowances returns what an assignment admits of each tenant. After its expiry nothing is limited,
 // as workers reject what they can't do: hence a guaranteed rate without limit, and a leased share
 // that is negative until then.
 func planAllowances(
--- a/cmd/swiftcourse-fleet/planner.go
+++ b/cmd/swiftcourse-fleet/planner.go
@@ -43,7 +43,8 @@
 	return nil
 }
 
-// plannerConfig is what the fleet agent of a planner is told. It checks releases, and applies none.
+// plannerConfig returns the configuration of a planner's fleet agent, which checks releases and
+// applies none.
 func plannerConfig(name string, operator *config.OperatorSettings, started time.Time) (*fleet.Config, error) {
 	if !operator.Fleet.Enabled {
 		return nil, &config.FieldError{Key: "fleet", Reason: "a planner needs it on"}
--- a/cmd/swiftcourse-fleet/program.go
+++ b/cmd/swiftcourse-fleet/program.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// agentConfig returns what the fleet agent of a server is told. An error names the key of the
+// agentConfig returns the configuration of a server's fleet agent. An error names the key of the
 // operator's file that is at fault.
 func (p *fleetProgram) agentConfig(operator *config.OperatorSettings) (*fleet.Config, error) {
 	voters, err := parseVoters(p.startup.Name, operator)
--- a/cmd/swiftcourse-fleet/quota.go
+++ b/cmd/swiftcourse-fleet/quota.go
@@ -15,7 +15,7 @@
 
 // The names of quotas in the operator's file.
 const (
-	callsQuota        = "calls"   // limits the concurrent calls to the service below
+	callsQuota        = "calls"   // limits the concurrent calls to the downstream service
 	tenantQuotaPrefix = "tenant/" // begins the names of tenants' quotas, which limit request rates
 )
 
@@ -77,8 +77,8 @@
 	return limit, nil
 }
 
-// maxCallSeconds is how long a call may be in flight below: it ends with its request, and lingers
-// for as long as the platform says.
+// maxCallSeconds returns how long a call may be in flight downstream: it ends with its request, and
+// an abandoned one lingers for as long as the platform says.
 func maxCallSeconds(startup *config.Startup) float64 {
 	longest := 0.0
 	for _, class := range startup.Settings.Classes {
@@ -87,7 +87,7 @@
 	return longest + startup.Settings.Downstream.AbandonedCallLifetime
 }
 
-// quotaConfig is what the fleet agent is told of quotas, nil where there are none.
+// quotaConfig returns the fleet agent's configuration of quotas, nil if there are none.
 func (p *fleetProgram) quotaConfig(operator *config.OperatorSettings) *fleet.QuotaConfig {
 	if operator.Quota.MaxServers == 0 {
 		return nil
--- a/cmd/swiftcourse-fleet/replication.go
+++ b/cmd/swiftcourse-fleet/replication.go
@@ -20,16 +20,16 @@
 	sharedTrustKey  = "replica-callers"
 )
 
-// minMaxClaimSeconds is the least time for which a claim may last. It is told to replicas that
-// serve no keyed class themselves, and which have to be told the same: see docs/replication.md.
+// minMaxClaimSeconds is the least value of the longest claim. Replicas that serve no keyed class
+// themselves have it too, as the value has to be the same on all: see docs/replication.md.
 const minMaxClaimSeconds = 1
 
 // trustedClientsDivisor: a server takes over as many clients that others trust as one of so many of
 // the addresses that it remembers.
 const trustedClientsDivisor = 4
 
-// replicationConfig is what the fleet agent is told of replicated state, nil where the operator's
-// file names no replicas.
+// replicationConfig returns the fleet agent's configuration of replicated state, nil if the
+// operator's file names no replicas.
 func replicationConfig(
 	startup *config.Startup, operator *config.OperatorSettings, srv *server.Server,
 ) (*fleet.ReplicationConfig, error) {
@@ -87,7 +87,7 @@
 	return members, nil
 }
 
-// maxClaimSeconds is how long a claim may last: as long as a request of the keyed classes.
+// maxClaimSeconds returns how long a claim may last: as long as a request of the keyed classes.
 func maxClaimSeconds(keyedClasses []string, startup *config.Startup) (float64, error) {
 	longest := 0.0
 	for _, name := range keyedClasses {
@@ -114,8 +114,8 @@
 	)
 }
 
-// trustConfig is what the fleet agent is told of clients that other servers trust, nil where they
-// are not shared.
+// trustConfig returns the fleet agent's configuration of clients that other servers trust, nil if
+// they are not shared.
 func trustConfig(operator *config.OperatorSettings, srv *server.Server) (*fleet.TrustConfig, error) {
 	if !operator.Replication.SharedTrust {
 		return nil, nil
