--- a/internal/fleet/consensus.go
+++ b/internal/fleet/consensus.go
@@ -19,7 +19,7 @@
 		Name:   a.config.Name,
 		Voters: a.voterNames,
 		Seed:   int64(a.random.Uint64() >> 1),
-		Codec:  wire.Codec{},
+		Codec:  wire.ReleaseCodec{},
 	}, now, a.unixNow())
 	a.handle(a.handleConsensus, wire.KindConsensus)
 }
--- a/internal/wire/fleet/audit.go
+++ b/internal/wire/fleet/audit.go
@@ -108,15 +108,15 @@
 		return nil, ErrTooLarge
 	}
 	reply := &StateReply{RequestID: encoded.Number}
-	for _, one := range encoded.Accounts {
-		account, err := decodeAccount(one)
+	for _, encodedAccount := range encoded.Accounts {
+		account, err := decodeAccount(encodedAccount)
 		if err != nil {
 			return nil, err
 		}
 		reply.Accounts = append(reply.Accounts, *account)
 	}
-	for _, one := range encoded.Standings {
-		server, err := decodeServerStatus(one)
+	for _, encodedServer := range encoded.Standings {
+		server, err := decodeServerStatus(encodedServer)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/wire/fleet/bounds.go
+++ b/internal/wire/fleet/bounds.go
@@ -6,26 +6,28 @@
 	"strings"
 )
 
-// Bounds of what is decoded; what is encoded keeps to them by how it is made.
+// Bounds that are checked while decoding. Encoding truncates reasons, and relies on its callers for
+// the others.
 const (
 	maxText        = 64 << 10 // bytes of a version's text
-	maxName        = 256      // bytes of any name, digest or reason
+	maxName        = 256      // bytes of any name, address, digest or reason
 	maxMapEntries  = 4096     // entries of a map, or of a list of servers
 	maxListEntries = 256      // entries of a list within an entry
 	maxNumber      = 1e18     // of counts and durations
 )
 
-// What is wrong with a message, found by errors.Is.
+// Faults of a message's content, to be tested with errors.Is.
 var (
 	// ErrUnknownBody is a message that carries nothing, or nothing that is known.
 	ErrUnknownBody = errors.New("it carries nothing that is known")
-	// ErrTooLarge is a message that is longer, or has more entries, than it may.
+	// ErrTooLarge is a message with a part of a wrong size: longer, or with more entries, than it
+	// may be. It also covers a fixed-size part that is too short, and a required one that is missing.
 	ErrTooLarge = errors.New("a part is longer or has more entries than there may be")
-	// ErrOutOfRange is a message with a number that can't be.
+	// ErrOutOfRange is a message with a value that its field can't have.
 	ErrOutOfRange = errors.New("a number is out of its range")
 )
 
-// truncate keeps a reason within its bound.
+// truncate cuts a reason to maxName bytes of valid UTF-8.
 func truncate(text string) string {
 	return strings.ToValidUTF8(text[:min(len(text), maxName)], "")
 }
@@ -48,9 +50,9 @@
 	return nil
 }
 
-// checkCount checks that a number is finite, not negative, and no larger than can be.
-func checkCount(x float64) error {
-	if !(x >= 0 && x < maxNumber) {
+// checkNonNegative checks that a number is at least 0 and below maxNumber.
+func checkNonNegative(x float64) error {
+	if !(x >= 0 && x < maxNumber) { // true for NaN too
 		return ErrOutOfRange
 	}
 	return nil
--- a/internal/wire/fleet/codec.go
+++ b/internal/wire/fleet/codec.go
@@ -6,14 +6,14 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// MaxPacket bounds an encoded message, in bytes: a release log with all of its bounds reached, in a
-// copy that the consensus library sends.
-const MaxPacket = 4 << 20
+// MaxEncodedSize bounds an encoded message, in bytes. The largest is a snapshot of the consensus
+// library with a release log that has reached all of its bounds.
+const MaxEncodedSize = 4 << 20
 
 // DecodeError is a message that can't be decoded. It matches ErrUnknownBody, ErrTooLarge or
 // ErrOutOfRange where its content is at fault.
 type DecodeError struct {
-	From string // the sender, as far as it was decoded
+	From string // name of the sender
 	Err  error
 }
 
@@ -23,7 +23,7 @@
 // Unwrap returns the cause.
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-// encoders has for each kind of envelope what encodes its body.
+// encoders encode the bodies of envelopes, by their kind.
 var encoders = [KindCount]func(m *Envelope) (isPacket_Body, error){
 	KindConsensus:          encodeConsensus,
 	KindLeaseRequest:       encodeLeaseRequest,
@@ -66,16 +66,16 @@
 	}
 	packet := &Packet{From: m.From, Life: m.Incarnation, Addr: m.Addr, Body: body}
 	encoded, err := proto.Marshal(packet)
-	if err == nil && len(encoded) > MaxPacket {
+	if err == nil && len(encoded) > MaxEncodedSize {
 		return nil, ErrTooLarge
 	}
 	return encoded, err
 }
 
-// Decode decodes a message and checks all of its bounds. Whatever is wrong costs that message alone;
-// from the sender on it is a *DecodeError.
+// Decode decodes a message and checks all of its bounds. An error in the body is a *DecodeError,
+// which names the sender.
 func Decode(encoded []byte) (*Envelope, error) {
-	if len(encoded) > MaxPacket {
+	if len(encoded) > MaxEncodedSize {
 		return nil, ErrTooLarge
 	}
 	packet := &Packet{}
@@ -91,23 +91,3 @@
 	}
 	return m, nil
 }
-
-// decodeBody finds the concern that knows the packet's body.
-func (m *Envelope) decodeBody(packet *Packet) error {
-	for _, decode := range decoders {
-		if known, err := decode(m, packet); known {
-			return err
-		}
-	}
-	return ErrUnknownBody
-}
-
-// decoders decode the bodies of one concern each; they report whether they know the packet's.
-var decoders = [...]func(m *Envelope, packet *Packet) (known bool, err error){
-	decodeControlBody,
-	decodeReleaseBody,
-	decodeReplicationBody,
-	decodeSharedBody,
-	decodeCounterBody,
-	decodeLoadPlanBody,
-}
--- a/internal/wire/fleet/codec_test.go
+++ b/internal/wire/fleet/codec_test.go
@@ -187,7 +187,7 @@
 }
 
 func TestDecode_RejectsLargePacket(t *testing.T) {
-	if _, err := Decode(make([]byte, MaxPacket+1)); !errors.Is(err, ErrTooLarge) {
+	if _, err := Decode(make([]byte, MaxEncodedSize+1)); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("a packet over the bound: %v", err)
 	}
 }
--- a/internal/wire/fleet/consensus.go
+++ b/internal/wire/fleet/consensus.go
@@ -7,27 +7,6 @@
 	"swiftcourse/internal/policy/consensus"
 )
 
-// decodeControlBody decodes messages of consensus, leases and audits.
-func decodeControlBody(m *Envelope, packet *Packet) (known bool, err error) {
-	switch body := packet.Body.(type) {
-	case *Packet_Voting:
-		m.Consensus, err = decodeConsensus(body.Voting)
-	case *Packet_Question:
-		m.LeaseRequest, err = decodeLeaseRequest(body.Question)
-	case *Packet_Answer:
-		m.LeaseReply, err = decodeLeaseReply(body.Answer)
-	case *Packet_Brief:
-		m.AccountSummary, err = decodeAccount(body.Brief)
-	case *Packet_Accounts:
-		m.StateRequest, err = decodeStateRequest(body.Accounts)
-	case *Packet_Told:
-		m.StateReply, err = decodeStateReply(body.Told)
-	default:
-		return false, nil
-	}
-	return true, err
-}
-
 func encodeConsensus(m *Envelope) (isPacket_Body, error) {
 	message := m.Consensus
 	encoded := &Voting{
@@ -56,7 +35,7 @@
 	return &Packet_Voting{encoded}, nil
 }
 
-// decodeConsensus decodes a message between voters.
+// decodeConsensus decodes a message between voters; one without any content is ErrUnknownBody.
 func decodeConsensus(encoded *Voting) (*consensus.Message, error) {
 	message := &consensus.Message{
 		From:              encoded.From,
@@ -130,7 +109,8 @@
 	return &consensus.Bootstrap{ClusterID: encoded.Founding, Voters: encoded.Seats, ReleaseLog: log}, nil
 }
 
-// decodeRaft decodes the consensus library's own message, which goes between the same two voters.
+// decodeRaft decodes the Raft library's own message. Its sender and receiver must be those of the
+// message around it.
 func decodeRaft(encoded *Voting) (*raftpb.Message, error) {
 	message := &raftpb.Message{}
 	if err := proto.Unmarshal(encoded.Raft, message); err != nil {
--- a/internal/wire/fleet/counters.go
+++ b/internal/wire/fleet/counters.go
@@ -8,25 +8,6 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// decodeCounterBody decodes messages between counter reporters and aggregators.
-func decodeCounterBody(m *Envelope, packet *Packet) (known bool, err error) {
-	switch body := packet.Body.(type) {
-	case *Packet_Row:
-		m.CounterReport, err = decodeCounterRow(body.Row)
-	case *Packet_RowHeard:
-		ack := decodeCounterAck(body.RowHeard)
-		m.CounterAck = &ack
-		err = checkAggregatorCount(ack.Aggregators)
-	case *Packet_AskRows:
-		m.CounterSyncRequest, err = decodeCounterSyncRequest(body.AskRows)
-	case *Packet_Rows:
-		m.CounterSyncReply, err = decodeCounterSyncReply(body.Rows)
-	default:
-		return false, nil
-	}
-	return true, err
-}
-
 func encodeCounts(cells []serving.CounterCell) (encoded []*Count) {
 	for _, cell := range cells {
 		encoded = append(encoded, &Count{
@@ -41,13 +22,13 @@
 	return encoded
 }
 
-// decodeCounts decodes cells, which are sorted and unique.
+// decodeCounts decodes cells, and rejects a list that is not sorted by key or repeats one.
 func decodeCounts(encoded []*Count) (cells []serving.CounterCell, err error) {
 	if len(encoded) > maxMapEntries+1 {
 		return nil, ErrTooLarge
 	}
-	for i, one := range encoded {
-		cell := decodeCounterCell(one)
+	for i, encodedCell := range encoded {
+		cell := decodeCounterCell(encodedCell)
 		if err := checkNames(cell.Tenant, cell.Class); err != nil {
 			return nil, err
 		}
@@ -113,7 +94,7 @@
 	return row, nil
 }
 
-// encodeClosedRows encodes rows as the release log and its commands have them.
+// encodeClosedRows encodes closed rows, which the release log and its commands carry.
 func encodeClosedRows(rows []release.CounterRow) (encoded []*Row) {
 	for _, row := range rows {
 		encoded = append(encoded, &Row{Row: row.ID, Number: row.Sequence, Cells: encodeCounts(row.Cells)})
@@ -125,8 +106,8 @@
 	if len(encoded) > maxMapEntries {
 		return nil, ErrTooLarge
 	}
-	for _, one := range encoded {
-		row, err := decodeCounterRow(one)
+	for _, encodedRow := range encoded {
+		row, err := decodeCounterRow(encodedRow)
 		if err != nil {
 			return nil, err
 		}
@@ -139,6 +120,11 @@
 	return &Packet_RowHeard{encodeCounterAck(*m.CounterAck)}, nil
 }
 
+func decodeCounterAckBody(encoded *RowHeard) (*counter.RowAck, error) {
+	ack := decodeCounterAck(encoded)
+	return &ack, checkAggregatorCount(ack.Aggregators)
+}
+
 func encodeCounterAck(a counter.RowAck) *RowHeard {
 	return &RowHeard{Row: a.RowID, Number: a.Sequence, Over: a.Closed, Sits: a.Aggregators}
 }
@@ -152,7 +138,7 @@
 	}
 }
 
-// checkAggregatorCount checks how many aggregators' incarnations there are.
+// checkAggregatorCount checks that a list of aggregators' incarnations is within its bound.
 func checkAggregatorCount(aggregators counter.Incarnations) error {
 	if len(aggregators) > maxListEntries {
 		return ErrTooLarge
@@ -207,8 +193,8 @@
 		More:        encoded.More,
 		Aggregators: encoded.Sits,
 	}
-	for _, one := range encoded.Rows {
-		row, err := decodeCounterRow(one)
+	for _, encodedRow := range encoded.Rows {
+		row, err := decodeCounterRow(encodedRow)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/wire/fleet/envelope.go
+++ b/internal/wire/fleet/envelope.go
@@ -56,19 +56,20 @@
 	NewestEpoch  release.Epoch
 }
 
-// StateRequest requests a process's own account, and those that it knows of some names.
+// StateRequest requests a process's own account, those that it knows of some other names, and its
+// release log if that is newer than the sender's. A RequestID of 0 requests the release log alone.
 type StateRequest struct {
 	RequestID    uint64
-	Names        []string
-	ClusterID    uint32 // of the release log that the sender knows
-	AppliedCount uint64 // of that log: only a newer one is sent
+	Names        []string // nil for all
+	ClusterID    uint32   // of the release log that the sender has
+	AppliedCount uint64   // of that log
 }
 
-// StateReply answers a StateRequest. A leader's has the release log and all servers too.
+// StateReply answers a StateRequest. Only a leader's reply to an audit lists the servers.
 type StateReply struct {
 	RequestID   uint64
 	Accounts    []audit.Account
 	ReleaseLog  *release.Log
 	Servers     []lease.ServerStatus
-	Replication *replication.Status // nil if it neither keeps nor claims anything
+	Replication *replication.Status // nil if replication is off
 }
--- a/internal/wire/fleet/health.go
+++ b/internal/wire/fleet/health.go
@@ -23,14 +23,16 @@
 	return &Packet_Healths{encoded}, nil
 }
 
-// decodeHealthReports decodes servers' reports; the list is not nil, as an empty one counts.
+// decodeHealthReports decodes servers' reports. The list is never nil, so that Envelope.Kind
+// recognizes a message with an empty one.
 func decodeHealthReports(encoded *Healths) ([]circuitbreaker.Report, error) {
 	if len(encoded.Words) > circuitbreaker.MaxReports {
 		return nil, ErrTooLarge
 	}
 	reports := []circuitbreaker.Report{}
 	for _, report := range encoded.Words {
-		err := errors.Join(checkNames(report.Name, report.Zone), checkCount(report.Age), checkCount(report.Took))
+		err := errors.Join(checkNames(report.Name, report.Zone),
+			checkNonNegative(report.Age), checkNonNegative(report.Took))
 		if err != nil {
 			return nil, err
 		}
--- a/internal/wire/fleet/kind.go
+++ b/internal/wire/fleet/kind.go
@@ -32,7 +32,7 @@
 	KindCounterSyncReply
 	KindForwarderReport
 	KindPlanAssignment
-	KindCount // how many there are
+	KindCount // number of kinds
 )
 
 var kindNames = [KindCount]string{
@@ -103,8 +103,8 @@
 		KindForwarderReport:    m.ForwarderReport != nil,
 		KindPlanAssignment:     m.PlanAssignment != nil,
 	}
-	for kind, is := range carried {
-		if is {
+	for kind, present := range carried {
+		if present {
 			return Kind(kind)
 		}
 	}
--- a/internal/wire/fleet/lease.go
+++ b/internal/wire/fleet/lease.go
@@ -39,7 +39,7 @@
 		Nonce:             encoded.Proof,
 	}
 	return request, errors.Join(checkNames(encoded.Name, encoded.Addr, encoded.Stuck, encoded.Build),
-		checkCount(encoded.Ended), checkCount(encoded.Harmed), checkNotAbove(encoded.Harmed, encoded.Ended))
+		checkNonNegative(encoded.Ended), checkNonNegative(encoded.Harmed), checkNotAbove(encoded.Harmed, encoded.Ended))
 }
 
 func encodeLeaseReply(m *Envelope) (isPacket_Body, error) {
@@ -69,5 +69,5 @@
 		Reason:            encoded.Why,
 		Nonce:             encoded.Proof,
 	}
-	return reply, errors.Join(checkNames(encoded.Leader, encoded.Why), checkCount(encoded.For))
+	return reply, errors.Join(checkNames(encoded.Leader, encoded.Why), checkNonNegative(encoded.For))
 }
--- a/internal/wire/fleet/loadplan.go
+++ b/internal/wire/fleet/loadplan.go
@@ -6,19 +6,6 @@
 	"swiftcourse/internal/policy/loadplan"
 )
 
-// decodeLoadPlanBody decodes messages between forwarders and planners.
-func decodeLoadPlanBody(m *Envelope, packet *Packet) (known bool, err error) {
-	switch body := packet.Body.(type) {
-	case *Packet_PlanReport:
-		m.ForwarderReport, err = decodeForwarderReport(body.PlanReport)
-	case *Packet_PlanPart:
-		m.PlanAssignment, err = decodePlanAssignment(body.PlanPart)
-	default:
-		return false, nil
-	}
-	return true, err
-}
-
 func encodePlanVersion(v loadplan.Version) *PlanNumber {
 	return &PlanNumber{Founding: v.ClusterID, Term: v.Term, Seq: v.Sequence}
 }
@@ -38,11 +25,11 @@
 	if len(encoded) > maxMapEntries {
 		return nil, ErrTooLarge
 	}
-	for _, one := range encoded {
-		if err := errors.Join(checkNames(one.Tenant), checkCount(one.Rate)); err != nil {
+	for _, encodedRate := range encoded {
+		if err := errors.Join(checkNames(encodedRate.Tenant), checkNonNegative(encodedRate.Rate)); err != nil {
 			return nil, err
 		}
-		rates = append(rates, loadplan.TenantRate{Tenant: one.Tenant, Rate: one.Rate})
+		rates = append(rates, loadplan.TenantRate{Tenant: encodedRate.Tenant, Rate: encodedRate.Rate})
 	}
 	return rates, nil
 }
@@ -96,7 +83,7 @@
 	}
 	var err error
 	report.Demand, err = decodeRates(encoded.Demand)
-	return report, errors.Join(err, checkNames(report.Name), checkCount(report.IntervalSeconds))
+	return report, errors.Join(err, checkNames(report.Name), checkNonNegative(report.IntervalSeconds))
 }
 
 func encodePlanAssignment(m *Envelope) (isPacket_Body, error) {
@@ -125,7 +112,7 @@
 		LeaseSeconds:   encoded.Lease,
 	}
 	for _, weight := range encoded.Weights {
-		if err := errors.Join(checkNames(weight.Name), checkCount(float64(weight.Part))); err != nil {
+		if err := errors.Join(checkNames(weight.Name), checkNonNegative(float64(weight.Part))); err != nil {
 			return nil, err
 		}
 		decoded := loadplan.WorkerWeight{Name: weight.Name, Weight: float64(weight.Part)}
@@ -133,5 +120,5 @@
 	}
 	var err error
 	assignment.RateLimits, err = decodeRates(encoded.Rates)
-	return assignment, errors.Join(err, checkCount(assignment.LeaseSeconds))
+	return assignment, errors.Join(err, checkNonNegative(assignment.LeaseSeconds))
 }
--- a/internal/wire/fleet/quota.go
+++ b/internal/wire/fleet/quota.go
@@ -22,16 +22,22 @@
 	return &Packet_Wishing{encoded}, nil
 }
 
-// decodeQuotaRequest decodes a server's request. The grantor bounds the demands; here only what is
-// no number is rejected.
-func decodeQuotaRequest(encoded *Wishing) (*quota.Request, error) {
+// decodeQuotaRequest decodes the request of a server's incarnation, which the packet names and the
+// body doesn't. The grantor limits the demands; only numbers that can't be valid are rejected here.
+func decodeQuotaRequest(encoded *Wishing, incarnation uint64) (*quota.Request, error) {
 	if len(encoded.Wishes) > quota.MaxEntries {
 		return nil, ErrTooLarge
 	}
-	request := &quota.Request{Number: encoded.Number, ConfigHash: encoded.Terms, GrantorID: encoded.Granter}
+	request := &quota.Request{
+		Incarnation: incarnation,
+		Number:      encoded.Number,
+		ConfigHash:  encoded.Terms,
+		GrantorID:   encoded.Granter,
+	}
 	for _, demand := range encoded.Wishes {
 		err := errors.Join(checkNames(demand.Name),
-			checkCount(demand.Demand), checkCount(demand.Open), checkCount(demand.Part), checkCount(demand.Left))
+			checkNonNegative(demand.Demand), checkNonNegative(demand.Open),
+			checkNonNegative(demand.Part), checkNonNegative(demand.Left))
 		if err != nil {
 			return nil, err
 		}
@@ -62,7 +68,7 @@
 	}
 	reply := &quota.Reply{Incarnation: encoded.Life, Number: encoded.Number, GrantorID: encoded.Granter}
 	for _, grant := range encoded.Grants {
-		if err := errors.Join(checkNames(grant.Name), checkCount(grant.Part)); err != nil {
+		if err := errors.Join(checkNames(grant.Name), checkNonNegative(grant.Part)); err != nil {
 			return nil, err
 		}
 		reply.Grants = append(reply.Grants, quota.Grant{Name: grant.Name, LeasedShare: grant.Part})
--- a/internal/wire/fleet/release.go
+++ b/internal/wire/fleet/release.go
@@ -9,30 +9,17 @@
 	"swiftcourse/internal/policy/release"
 )
 
-// decodeReleaseBody decodes messages about releases and operators' commands.
-func decodeReleaseBody(m *Envelope, packet *Packet) (known bool, err error) {
-	switch body := packet.Body.(type) {
-	case *Packet_Want:
-		m.VersionRequest = release.Epoch(body.Want.Epoch)
-		if m.VersionRequest == 0 {
-			err = ErrOutOfRange
-		}
-	case *Packet_Version:
-		m.Version, err = decodeVersion(body.Version)
-	case *Packet_Do:
-		m.Command, err = decodeCommand(body.Do.GetCommand())
-	case *Packet_Done:
-		m.CommandResult, err = decodeCommandResult(body.Done)
-	default:
-		return false, nil
-	}
-	return true, err
-}
-
 func encodeVersionRequest(m *Envelope) (isPacket_Body, error) {
 	return &Packet_Want{&Want{Epoch: uint64(m.VersionRequest)}}, nil
 }
 
+func decodeVersionRequest(encoded *Want) (release.Epoch, error) {
+	if encoded.Epoch == 0 {
+		return 0, ErrOutOfRange
+	}
+	return release.Epoch(encoded.Epoch), nil
+}
+
 func encodeVersionBody(m *Envelope) (isPacket_Body, error) {
 	return &Packet_Version{encodeVersion(m.Version)}, nil
 }
@@ -140,7 +127,8 @@
 	return log, nil
 }
 
-// checkReleaseLog checks the sizes of a release log.
+// checkReleaseLog checks that a release log has a current version, and that its parts and its
+// members' names are within their bounds.
 func checkReleaseLog(encoded *Order) error {
 	lists := max(len(encoded.Waves), len(encoded.Past), len(encoded.Done), len(encoded.Seats))
 	maps := max(len(encoded.Holds), len(encoded.Out))
@@ -155,7 +143,8 @@
 	return nil
 }
 
-// decodeVersions decodes the versions of a release log; there need be no previous or next one.
+// decodeVersions decodes the current version of a release log, and the previous and next ones if
+// there are any.
 func decodeVersions(log *release.Log, encoded *Order) error {
 	current, err := decodeVersion(encoded.Base)
 	if err != nil {
@@ -174,17 +163,17 @@
 }
 
 func decodeHistory(encoded []*Mark) (history []release.HistoryEntry, err error) {
-	for _, one := range encoded {
-		err := errors.Join(checkNames(one.Digest, one.Author, one.Fate), checkFinite(one.At))
+	for _, entry := range encoded {
+		err := errors.Join(checkNames(entry.Digest, entry.Author, entry.Fate), checkFinite(entry.At))
 		if err != nil {
 			return nil, err
 		}
 		history = append(history, release.HistoryEntry{
-			Epoch:      release.Epoch(one.Epoch),
-			Digest:     one.Digest,
-			Author:     one.Author,
-			ReleasedAt: one.At,
-			Outcome:    one.Fate,
+			Epoch:      release.Epoch(entry.Epoch),
+			Digest:     entry.Digest,
+			Author:     entry.Author,
+			ReleasedAt: entry.At,
+			Outcome:    entry.Fate,
 		})
 	}
 	return history, nil
@@ -251,8 +240,8 @@
 		Reason:        encoded.Why,
 		CounterRows:   rows,
 	}
-	names := checkNames(command.Author, command.Build, command.Digest, command.Name, command.Reason)
-	return command, errors.Join(names, checkFinite(command.IssuedAt))
+	nameErr := checkNames(command.Author, command.Build, command.Digest, command.Name, command.Reason)
+	return command, errors.Join(nameErr, checkFinite(command.IssuedAt))
 }
 
 func encodeCommandResult(m *Envelope) (isPacket_Body, error) {
@@ -273,17 +262,17 @@
 	return result, checkNames(encoded.Refused)
 }
 
-// Codec encodes commands and release logs for the voters' log.
-type Codec struct{}
+// ReleaseCodec encodes commands and release logs for the consensus log.
+type ReleaseCodec struct{}
 
 // MarshalCommand encodes a command.
-func (Codec) MarshalCommand(c *release.Command) []byte {
+func (ReleaseCodec) MarshalCommand(c *release.Command) []byte {
 	encoded, _ := proto.Marshal(encodeCommand(c)) // no error: all strings are checked
 	return encoded
 }
 
 // UnmarshalCommand decodes a command and checks its bounds.
-func (Codec) UnmarshalCommand(encoded []byte) (*release.Command, error) {
+func (ReleaseCodec) UnmarshalCommand(encoded []byte) (*release.Command, error) {
 	p := &Command{}
 	if err := proto.Unmarshal(encoded, p); err != nil {
 		return nil, err
@@ -292,13 +281,13 @@
 }
 
 // MarshalLog encodes a release log.
-func (Codec) MarshalLog(l *release.Log) []byte {
+func (ReleaseCodec) MarshalLog(l *release.Log) []byte {
 	encoded, _ := proto.Marshal(encodeReleaseLog(l)) // no error: all strings are checked
 	return encoded
 }
 
 // UnmarshalLog decodes a release log and checks its bounds.
-func (Codec) UnmarshalLog(encoded []byte) (*release.Log, error) {
+func (ReleaseCodec) UnmarshalLog(encoded []byte) (*release.Log, error) {
 	p := &Order{}
 	if err := proto.Unmarshal(encoded, p); err != nil {
 		return nil, err
--- a/internal/wire/fleet/replication.go
+++ b/internal/wire/fleet/replication.go
@@ -17,25 +17,6 @@
 	maxRecords  = 4096 // in one reply
 )
 
-// decodeReplicationBody decodes messages between coordinators and replicas.
-func decodeReplicationBody(m *Envelope, packet *Packet) (known bool, err error) {
-	switch body := packet.Body.(type) {
-	case *Packet_Claiming:
-		m.ClaimRequest, err = decodeClaimRequest(body.Claiming)
-	case *Packet_Claimed:
-		m.ClaimReply, err = decodeClaimReply(body.Claimed)
-	case *Packet_Pulling:
-		m.PullRequest, err = decodePullRequest(body.Pulling)
-	case *Packet_Slice:
-		m.PullReply, err = decodePullReply(body.Slice)
-	case *Packet_Sums:
-		m.Checksums, err = decodeChecksums(body.Sums)
-	default:
-		return false, nil
-	}
-	return true, err
-}
-
 func encodeTerm(t replication.Term) *Sitting { return &Sitting{N: t.Number, Life: t.Incarnation} }
 
 func decodeTerm(encoded *Sitting) replication.Term {
@@ -53,8 +34,8 @@
 	if len(encoded) > replication.MaxReplicationFactor {
 		return nil, ErrTooLarge
 	}
-	for _, one := range encoded {
-		terms = append(terms, decodeTerm(one))
+	for _, encodedTerm := range encoded {
+		terms = append(terms, decodeTerm(encodedTerm))
 	}
 	return terms, nil
 }
@@ -77,7 +58,7 @@
 	return encoded
 }
 
-// decodeAttempt decodes an attempt. A result that is not the one that was recorded is rejected.
+// decodeAttempt decodes an attempt. A result that does not match its checksum is rejected.
 func decodeAttempt(encoded *Try) (attempt replicastore.Attempt, err error) {
 	if encoded == nil {
 		return attempt, ErrUnknownBody
@@ -110,8 +91,8 @@
 	if len(encoded) > maxAttempts {
 		return nil, ErrTooLarge
 	}
-	for i, one := range encoded {
-		attempt, err := decodeAttempt(one)
+	for i, encodedAttempt := range encoded {
+		attempt, err := decodeAttempt(encodedAttempt)
 		if err != nil {
 			return nil, err
 		}
@@ -175,7 +156,7 @@
 	}
 	reports := request.Operation == replication.OpReport
 	claims := request.Attempt.State == replicastore.StateClaimed
-	if reports == claims { // a report is of a run that ended, and nothing else is
+	if reports == claims { // a report carries a finished attempt, a claim or query an unfinished one
 		return nil, ErrOutOfRange
 	}
 	request.Terms, err = decodeTerms(encoded.Sits)
@@ -274,7 +255,7 @@
 	return encoded
 }
 
-// recordChecksum is over all of a record but how long it is kept.
+// recordChecksum returns the checksum of a record without its remaining time to live.
 func recordChecksum(record *Record) uint32 {
 	content := append([]byte(nil), record.Key...)
 	for _, t := range record.Tries {
@@ -284,8 +265,8 @@
 	return crc32.ChecksumIEEE(content)
 }
 
-// decodePullReply decodes a reply whole: a record that changed on its way makes all of it invalid,
-// as what is missing would be taken for unknown.
+// decodePullReply decodes a reply. One corrupted record invalidates all of it: the requester would
+// otherwise take the missing record for one that nobody has.
 func decodePullReply(encoded *Slice) (*replication.PullReply, error) {
 	if len(encoded.Parts) > maxSlots {
 		return nil, ErrTooLarge
@@ -328,7 +309,7 @@
 		return copied, err
 	}
 	record := &replicastore.Record{Key: key, Attempts: attempts}
-	return replication.RecordCopy{Record: record, TimeToLive: encoded.Left}, checkCount(encoded.Left)
+	return replication.RecordCopy{Record: record, TimeToLive: encoded.Left}, checkNonNegative(encoded.Left)
 }
 
 func encodeChecksums(m *Envelope) (isPacket_Body, error) {
@@ -356,46 +337,3 @@
 		Values:       encoded.Sums,
 	}, nil
 }
-
-func encodeReplicationStatus(status *replication.Status) *CopiesState {
-	if status == nil {
-		return nil
-	}
-	return &CopiesState{
-		Cold:       uint32(status.CatchingUp),
-		Differ:     uint32(status.OutOfSync),
-		Learned:    uint64(status.CaughtUpByPeers),
-		Aged:       uint64(status.CaughtUpByTimeout),
-		Mended:     uint64(status.RepairedRecords),
-		Alarms:     uint64(status.ConflictingResults),
-		Records:    uint64(status.Records),
-		Bytes:      uint64(status.Bytes),
-		Dropped:    uint64(status.DroppedResults),
-		Flipped:    uint64(status.CorruptedRecords),
-		Claims:     uint64(status.ActiveClaims),
-		Promised:   uint64(status.ReplicatedResults),
-		Unpromised: uint64(status.UnreplicatedResults),
-		Holder:     status.IsReplica,
-		Plan:       status.ConfigDigest,
-	}
-}
-
-func decodeReplicationStatus(encoded *CopiesState) *replication.Status {
-	return &replication.Status{
-		CatchingUp:          int(encoded.Cold),
-		OutOfSync:           int(encoded.Differ),
-		CaughtUpByPeers:     int(encoded.Learned),
-		CaughtUpByTimeout:   int(encoded.Aged),
-		RepairedRecords:     int(encoded.Mended),
-		ConflictingResults:  int(encoded.Alarms),
-		Records:             int(encoded.Records),
-		Bytes:               int(encoded.Bytes),
-		DroppedResults:      int(encoded.Dropped),
-		CorruptedRecords:    int(encoded.Flipped),
-		ActiveClaims:        int(encoded.Claims),
-		ReplicatedResults:   int(encoded.Promised),
-		UnreplicatedResults: int(encoded.Unpromised),
-		IsReplica:           encoded.Holder,
-		ConfigDigest:        encoded.Plan,
-	}
-}
--- a/internal/wire/fleet/trust.go
+++ b/internal/wire/fleet/trust.go
@@ -28,14 +28,15 @@
 	return encoded
 }
 
-// decodeTrustRecords decodes servers' trust records; the list is not nil, as an empty one counts.
+// decodeTrustRecords decodes servers' trust records. The list is never nil, so that Envelope.Kind
+// recognizes a message with an empty one.
 func decodeTrustRecords(encoded *Vouchers) ([]replication.TrustRecord, error) {
 	if len(encoded.Vouchers) > maxListEntries {
 		return nil, ErrTooLarge
 	}
 	records := []replication.TrustRecord{}
-	for _, one := range encoded.Vouchers {
-		record, err := decodeTrustRecord(one)
+	for _, encodedRecord := range encoded.Vouchers {
+		record, err := decodeTrustRecord(encodedRecord)
 		if err != nil {
 			return nil, err
 		}
@@ -54,7 +55,7 @@
 		if len(client.Addr) != len(addr) {
 			return record, ErrTooLarge
 		}
-		if err := checkCount(float64(client.Credit)); err != nil {
+		if err := checkNonNegative(float64(client.Credit)); err != nil {
 			return record, err
 		}
 		copy(addr[:], client.Addr)
