--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -31,7 +31,7 @@
 	commands  map[uint64]*pendingCommand // by the command's ID
 	published lease.Snapshot
 
-	// Nil for those that are off.
+	// The components; nil for those that are off.
 	replication *replicator
 	trust       *trustSharer
 	quotas      *quotaManager
@@ -43,7 +43,7 @@
 // handler handles messages of one kind.
 type handler func(now float64, message *wire.Envelope)
 
-// component is a concern that the configuration turns on.
+// component is an optional part of the agent that the configuration enables.
 type component interface {
 	// nextWakeup returns when tick has something to do.
 	nextWakeup(now float64) float64
@@ -79,7 +79,7 @@
 	return agent
 }
 
-// startComponents starts the concerns that are on.
+// startComponents starts the components that the configuration enables.
 func (a *Agent) startComponents(now float64) {
 	if a.config.Replication != nil {
 		a.replication = newReplicator(a, now)
@@ -107,8 +107,8 @@
 	}
 }
 
-// handle has messages of some kinds go to a handler.
-func (a *Agent) handle(handle handler, kinds ...wire.Kind) {
+// registerHandler sets the handler of some kinds of messages.
+func (a *Agent) registerHandler(handle handler, kinds ...wire.Kind) {
 	for _, kind := range kinds {
 		a.handlers[kind] = handle
 	}
@@ -123,15 +123,18 @@
 // unixNow returns the time of day in seconds.
 func (a *Agent) unixNow() float64 { return a.config.Clock.UnixNow() }
 
+// unixMilli returns the time of day in milliseconds, 0 before 1970.
+func (a *Agent) unixMilli() uint64 { return uint64(max(0, a.unixNow()*1000)) }
+
 // ReleaseLog returns the release log as this process knows it. It must not be changed.
 func (a *Agent) ReleaseLog() *release.Log { return a.releases.log }
 
-// ServingState returns what was published last, and the version on which the process acts.
+// ServingState returns what was published last, and the active version.
 func (a *Agent) ServingState() (lease.Snapshot, release.Version) {
 	return a.published, a.releases.active
 }
 
-// HandleMessage handles one message. A kind for which this process has no use is dropped.
+// HandleMessage handles one message. Kinds without a handler are dropped.
 func (a *Agent) HandleMessage(now float64, message *wire.Envelope) {
 	if handle := a.handlers[message.Kind()]; handle != nil {
 		handle(now, message)
@@ -148,13 +151,13 @@
 	for _, c := range a.components {
 		next = min(next, c.nextWakeup(now))
 	}
-	if len(a.commands) > 0 || len(a.audits.runs) > 0 || a.isBehind() {
+	if len(a.commands) > 0 || len(a.audits.pending) > 0 || a.isBehind() {
 		next = min(next, a.Now()+commandPollInterval)
 	}
 	return next
 }
 
-// isBehind reports whether this process does not act on the version yet that it is assigned.
+// isBehind reports whether the assigned version is newer than the active one.
 func (a *Agent) isBehind() bool {
 	return a.lease.holder.AssignedEpoch() > a.releases.active.Epoch
 }
--- a/internal/fleet/agent_test.go
+++ b/internal/fleet/agent_test.go
@@ -24,7 +24,7 @@
 		a := c.agents[name]
 		snapshot, active := a.ServingState()
 		if active.Epoch != result.NewestEpoch || a.applied[len(a.applied)-1] != "text of the release\n" {
-			t.Errorf("%s acts on %s, want %s; it applied %q", name, active.Epoch, result.NewestEpoch, a.applied)
+			t.Errorf("%s serves %s, want %s; it applied %q", name, active.Epoch, result.NewestEpoch, a.applied)
 		}
 		if snapshot.State != lease.StateLeased || a.published != snapshot.Directive {
 			t.Errorf("%s is %s, and published %+v", name, snapshot.State, a.published)
@@ -40,7 +40,7 @@
 	behind.applyErr = errors.New("its limits differ")
 	c.release(c.leader(), "text\n")
 	if _, active := behind.ServingState(); active.Epoch != before.Epoch {
-		t.Fatalf("it acts on %s after it could not be applied", active.Epoch)
+		t.Fatalf("it serves %s after it could not be applied", active.Epoch)
 	}
 	for _, server := range c.leader().serverStatuses(c.now) {
 		if server.Name == "n1" && server.BlockedBy != "its limits differ" {
@@ -123,7 +123,7 @@
 	}
 	result := results[0]
 	for _, name := range c.names() {
-		if incarnation := c.agents[name].Incarnation(); !result.alive[incarnation] {
+		if incarnation := c.agents[name].Incarnation(); !result.responding[incarnation] {
 			t.Errorf("%s is not known to be alive", name)
 		}
 	}
@@ -148,7 +148,7 @@
 	}
 }
 
-// Messages of concerns that are off, and of consensus at a process that does not vote, change
+// Messages of components that are off, and of consensus at a process that does not vote, change
 // nothing.
 func TestHandleMessage_DropsKindsWithoutHandler(t *testing.T) {
 	c := newTestCluster(t, 1, 1)
@@ -166,6 +166,6 @@
 		t.Errorf("%d messages were sent", len(c.inFlight))
 	}
 	if a.ReplicationStatus() != nil || a.CounterStatus(c.now) != nil {
-		t.Error("a concern that is off has a status")
+		t.Error("a component that is off has a status")
 	}
 }
--- a/internal/fleet/audit.go
+++ b/internal/fleet/audit.go
@@ -8,29 +8,29 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// auditState is the process's book of who acted on what, how it is gossiped, and the audits that
-// are under way.
+// auditState is the process's record of which versions the servers ran when, the times at which it
+// is gossiped, and the audits that wait for replies.
 type auditState struct {
 	trail           *audit.Trail
 	lastSummary     float64
 	lastForget      float64
-	urgentSummaries int // summaries that follow one another sooner, as there is news
-	runs            map[uint64]*auditRun
+	urgentSummaries int // summaries still to be sent at urgentSummaryInterval
+	pending         map[uint64]*pendingAudit
 	lastRunID       uint64
 }
 
-// auditRun is an audit that waits for others' accounts.
-type auditRun struct {
+// pendingAudit is an audit that waits for others' replies.
+type pendingAudit struct {
 	deadline float64
 	awaiting map[string]bool // names of members that have not answered
 	result   auditResult
 	done     func(*auditResult)
 }
 
-// auditResult is what an audit found out.
+// auditResult is what an audit collected.
 type auditResult struct {
 	accounts   []audit.Account
-	alive      map[uint64]bool // incarnations that answered
+	responding map[uint64]bool // incarnations that answered
 	releaseLog *release.Log    // the newest that any voter knows; nil if no joined voter answered
 	servers    []lease.ServerStatus
 	replicas   map[string]*replication.Status // of all that keep or claim anything
@@ -42,7 +42,7 @@
 	// urgentSummaryCount summaries follow a change: with gossipFanout receivers each time, one
 	// process in e^9 learns of it only by its own request.
 	urgentSummaryCount = 3
-	forgetInterval     = 60.0 // seconds between two looks through the book for names that are nobody's
+	forgetInterval     = 60.0 // seconds between two scans for accounts to be dropped
 	auditTimeout       = 2.0  // seconds that an audit waits for those that don't answer
 	maxAccountsInReply = 500
 	// releaseLogOnly is the request ID of a state request that asks for a newer release log and for
@@ -53,10 +53,10 @@
 func (a *Agent) startAudits() {
 	a.audits.trail = audit.NewTrail(a.config.Name, a.incarnation, a.unixNow())
 	a.audits.trail.BeginInterval(a.unixNow(), 0, "", reasonStarted)
-	a.audits.runs = map[uint64]*auditRun{}
-	a.handle(a.handleAccountSummary, wire.KindAccountSummary)
-	a.handle(a.handleStateRequest, wire.KindStateRequest)
-	a.handle(a.handleStateReply, wire.KindStateReply)
+	a.audits.pending = map[uint64]*pendingAudit{}
+	a.registerHandler(a.handleAccountSummary, wire.KindAccountSummary)
+	a.registerHandler(a.handleStateRequest, wire.KindStateRequest)
+	a.registerHandler(a.handleStateReply, wire.KindStateReply)
 }
 
 // nextAccountSummary returns when the next account summary is due.
@@ -67,7 +67,7 @@
 	return a.audits.lastSummary + summaryInterval
 }
 
-// gossipAccount sends some others a summary of what this process acted on lately.
+// gossipAccount sends some others a summary of this process's own account.
 func (a *Agent) gossipAccount(now float64) {
 	if now < a.nextAccountSummary() {
 		return
@@ -80,7 +80,7 @@
 
 func (a *Agent) handleAccountSummary(now float64, message *wire.Envelope) {
 	a.audits.trail.Merge(*message.AccountSummary)
-	a.noteNewestEpoch(now, message.AccountSummary)
+	a.requestLeaseForNewerEpoch(now, message.AccountSummary)
 }
 
 // forgetAccounts drops the accounts of names that are neither registered nor members.
@@ -95,32 +95,51 @@
 	})
 }
 
-// handleStateRequest answers a request for accounts. A voter adds the release log, the leader the
-// status of all servers.
+// handleStateRequest answers an audit's request, or one for a newer release log alone.
 func (a *Agent) handleStateRequest(now float64, message *wire.Envelope) {
 	request := message.StateRequest
-	isAudit := request.RequestID != releaseLogOnly
-	reply := &wire.StateReply{RequestID: request.RequestID}
-	if isAudit {
-		a.recordVersionStats()
-		reply.Replication = a.ReplicationStatus()
-		reply.Accounts = a.accounts(request.Names)
-		reply.Accounts = reply.Accounts[max(0, len(reply.Accounts)-maxAccountsInReply):]
+	var reply *wire.StateReply
+	if request.RequestID == releaseLogOnly {
+		log := a.logNewerThan(request)
+		if log == nil {
+			return
+		}
+		reply = &wire.StateReply{RequestID: releaseLogOnly, ReleaseLog: log}
+	} else {
+		reply = a.auditReply(now, request)
+	}
+	a.sendReply(message, &wire.Envelope{StateReply: reply})
+}
+
+// auditReply returns the known accounts and, if this process votes, a newer release log; the leader
+// adds the status of all servers.
+func (a *Agent) auditReply(now float64, request *wire.StateRequest) *wire.StateReply {
+	a.recordVersionStats()
+	accounts := a.accounts(request.Names)
+	reply := &wire.StateReply{
+		RequestID:   request.RequestID,
+		Replication: a.ReplicationStatus(),
+		Accounts:    accounts[max(0, len(accounts)-maxAccountsInReply):],
+	}
+	if a.voter != nil {
+		reply.ReleaseLog = a.logNewerThan(request)
+	}
+	if a.hasJoinedCluster() {
+		reply.Servers = a.serverStatuses(now)
 	}
+	return reply
+}
+
+// logNewerThan returns this process's release log if it is newer than the requester's, else nil.
+func (a *Agent) logNewerThan(request *wire.StateRequest) *release.Log {
 	known := &release.Log{
 		Current:      release.Version{Epoch: release.NewEpoch(request.ClusterID, 0)},
 		AppliedCount: request.AppliedCount,
 	}
-	if a.releases.log.NewerThan(known) && (a.voter != nil || !isAudit) {
-		reply.ReleaseLog = a.releases.log
-	}
-	if !isAudit && reply.ReleaseLog == nil {
-		return
-	}
-	if isAudit && a.hasJoinedCluster() {
-		reply.Servers = a.serverStatuses(now)
+	if !a.releases.log.NewerThan(known) {
+		return nil
 	}
-	a.reply(message, &wire.Envelope{StateReply: reply})
+	return a.releases.log
 }
 
 // accounts returns the known accounts of some names, nil for all, and the process's own account as
@@ -140,7 +159,7 @@
 func (a *Agent) handleStateReply(_ float64, message *wire.Envelope) {
 	reply := message.StateReply
 	a.observeReleaseLog(reply.ReleaseLog)
-	run := a.audits.runs[reply.RequestID]
+	run := a.audits.pending[reply.RequestID]
 	if run == nil || !run.awaiting[message.From] {
 		return
 	}
@@ -153,7 +172,7 @@
 	reply := message.StateReply
 	for _, account := range reply.Accounts {
 		if account.Name == message.From && account.Incarnation == message.Incarnation {
-			r.alive[account.Incarnation] = true
+			r.responding[account.Incarnation] = true
 		}
 		r.accounts = append(r.accounts, account)
 	}
@@ -171,12 +190,12 @@
 // startAudit requests the accounts of all members, and calls done once with what arrived in time.
 func (a *Agent) startAudit(now float64, done func(*auditResult)) {
 	a.audits.lastRunID++
-	run := &auditRun{
+	run := &pendingAudit{
 		deadline: now + auditTimeout,
 		awaiting: map[string]bool{},
 		result: auditResult{
-			alive:    map[uint64]bool{a.incarnation: true},
-			replicas: map[string]*replication.Status{},
+			responding: map[uint64]bool{a.incarnation: true},
+			replicas:   map[string]*replication.Status{},
 		},
 		done: done,
 	}
@@ -189,7 +208,7 @@
 		run.result.releaseLog = a.releases.log
 		run.result.servers = a.serverStatuses(now)
 	}
-	a.audits.runs[a.audits.lastRunID] = run
+	a.audits.pending[a.audits.lastRunID] = run
 	absent := a.absentServers()
 	for name, addr := range a.network.Members() {
 		run.awaiting[name] = true
@@ -199,7 +218,7 @@
 }
 
 // absentServers returns the names of registered servers that are no members, of which the others
-// are asked what they heard.
+// are asked for accounts.
 func (a *Agent) absentServers() []string {
 	var names []string
 	for name := range a.releases.log.Members {
@@ -213,12 +232,12 @@
 	return names
 }
 
-// expireAudits ends the audits that all members answered, or whose time is over.
+// expireAudits ends the audits that all members answered, or whose deadline has passed.
 func (a *Agent) expireAudits(now float64) {
-	for id, run := range a.audits.runs {
+	for id, run := range a.audits.pending {
 		complete := len(run.awaiting) == 0 && run.result.releaseLog != nil
 		if now > run.deadline || complete {
-			delete(a.audits.runs, id)
+			delete(a.audits.pending, id)
 			run.done(&run.result)
 		}
 	}
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -20,35 +20,35 @@
 // out; "" leaves out none.
 func FetchStatus(addr, since string) (*Status, error) {
 	status := &Status{}
-	return status, callControl(addr, http.MethodGet, "/state?since="+url.QueryEscape(since), nil, status)
+	return status, callControl(addr, http.MethodGet, statusPath+"?since="+url.QueryEscape(since), nil, status)
 }
 
 // FetchQuotas returns the status of quotas at the process.
 func FetchQuotas(addr string) (*QuotaStatus, error) {
 	status := &QuotaStatus{}
-	return status, callControl(addr, http.MethodGet, "/budgets", nil, status)
+	return status, callControl(addr, http.MethodGet, quotasPath, nil, status)
 }
 
 // FetchCounters returns what the process knows of the fleet's counters.
 func FetchCounters(addr string) (*CounterStatus, error) {
 	status := &CounterStatus{}
-	return status, callControl(addr, http.MethodGet, "/counts", nil, status)
+	return status, callControl(addr, http.MethodGet, countersPath, nil, status)
 }
 
 // FetchLoadPlan returns the status of load plans at the process.
 func FetchLoadPlan(addr string) (*LoadPlanStatus, error) {
 	status := &LoadPlanStatus{}
-	return status, callControl(addr, http.MethodGet, "/plans", nil, status)
+	return status, callControl(addr, http.MethodGet, loadPlanPath, nil, status)
 }
 
-// SendCommand has a command carried out, and returns the newest epoch after it.
+// SendCommand submits a command, waits for its result, and returns the newest epoch after it.
 func SendCommand(addr string, command release.Command) (release.Epoch, error) {
 	body, err := json.Marshal(command)
 	if err != nil {
 		return 0, err
 	}
 	var response commandResponse
-	err = callControl(addr, http.MethodPost, "/command", body, &response)
+	err = callControl(addr, http.MethodPost, commandPath, body, &response)
 	return response.Newest, err
 }
 
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -9,7 +9,7 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// pendingCommand is an operator's command whose end is not known yet.
+// pendingCommand is an operator's command whose result is not known yet.
 type pendingCommand struct {
 	command     *release.Command
 	nextAttempt float64
@@ -18,7 +18,7 @@
 }
 
 const (
-	maxPendingCommands   = 64   // operators' commands that wait for their end
+	maxPendingCommands   = 64   // operators' commands that wait for their result
 	commandTimeout       = 10.0 // seconds that an operator waits for a command
 	commandRetryInterval = 0.5  // seconds
 )
@@ -38,7 +38,7 @@
 	a.commands[command.ID] = &pendingCommand{command: &command, deadline: now + commandTimeout, done: done}
 }
 
-// handleCommand accepts an operator's command that came by another process.
+// handleCommand accepts an operator's command that another process sent.
 func (a *Agent) handleCommand(now float64, message *wire.Envelope) {
 	command := message.Command
 	if a.commands[command.ID] != nil || command.ID == 0 || len(a.commands) >= maxPendingCommands {
@@ -49,7 +49,7 @@
 		command:  command,
 		deadline: now + commandTimeout,
 		done: func(result wire.CommandResult) {
-			a.reply(&request, &wire.Envelope{CommandResult: &result})
+			a.sendReply(&request, &wire.Envelope{CommandResult: &result})
 		},
 	}
 }
@@ -66,7 +66,8 @@
 	}
 }
 
-// retryCommands proposes or sends pending commands again until their end is known.
+// retryCommands proposes or sends pending commands again until their result is known or their
+// deadline has passed.
 func (a *Agent) retryCommands(now float64) {
 	for _, id := range slices.Sorted(maps.Keys(a.commands)) { // sorted, so that a simulation repeats itself
 		pending := a.commands[id]
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -8,12 +8,12 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// Config configures a process's agent. A concern whose pointer is nil is off.
+// Config configures a process's agent. A component whose pointer is nil is off.
 type Config struct {
 	Name       string
 	ListenAddr string            // for gossip and messages, TCP and UDP
-	Voters     map[string]string // names of the voters, and where they listen
-	JoinAddrs  []string          // where some others listen, beside the voters
+	Voters     map[string]string // listen addresses of the voters, by their names
+	JoinAddrs  []string          // listen addresses of further members to join by
 	Seed       int64             // of all random draws
 	Build      string            // identifies the build of the program
 	Clock      TimeSource
@@ -27,12 +27,12 @@
 	Quotas          *QuotaConfig
 	Health          *HealthConfig
 	LoadPlan        *LoadPlanConfig
-	CountersEnabled bool // requests are counted for the whole fleet
+	CountersEnabled bool // turns on the counters of the fleet
 
-	// Apply has the server act on the text of a release, whole or not at all. It may take some
-	// time, but has to return.
+	// Apply puts the text of a release into effect, completely or, on an error, not at all. The
+	// agent does nothing else until it returns.
 	Apply func(text string) error
-	// Publish hands the serving loop its directive from now on.
+	// Publish hands the serving loop each new directive.
 	Publish func(*serving.Directive)
 
 	// Hooks change how the process reaches others, and observe it; the zero value does neither.
@@ -41,14 +41,14 @@
 
 // LeaseConfig configures the leases of servers.
 type LeaseConfig struct {
-	Terms    lease.Config // that it grants leases by, while it leads
-	Fallback serving.Mode // what its server does once its own lease expired
+	Terms    lease.Config // of the leases that the process grants while it leads
+	Fallback serving.Mode // mode of the server after its own lease expired
 }
 
 // Hooks are optional callbacks.
 type Hooks struct {
-	// TranslateAddr returns where a process is dialed that listens on addr, as behind a port
-	// mapping or a relay.
+	// TranslateAddr returns the address at which to dial a process that listens on addr, where that
+	// is behind a port mapping or a relay.
 	TranslateAddr func(addr string) string
 	// TracePoint is called at each step of a key claim or of catching up.
 	TracePoint func(TracePoint)
--- a/internal/fleet/consensus.go
+++ b/internal/fleet/consensus.go
@@ -21,14 +21,14 @@
 		Seed:   int64(a.random.Uint64() >> 1),
 		Codec:  wire.ReleaseCodec{},
 	}, now, a.unixNow())
-	a.handle(a.handleConsensus, wire.KindConsensus)
+	a.registerHandler(a.handleConsensus, wire.KindConsensus)
 }
 
 func (a *Agent) handleConsensus(now float64, message *wire.Envelope) {
 	a.voter.HandleMessage(now, message.Consensus)
 }
 
-// isConfirmedLeader reports whether this process leads, as a majority confirmed lately.
+// isConfirmedLeader reports whether this process leads, and a majority confirmed it lately.
 func (a *Agent) isConfirmedLeader(now float64) bool {
 	return a.voter != nil && a.voter.IsLeader(now-lease.LeaderConfirmationWindow)
 }
@@ -36,11 +36,11 @@
 // hasJoinedCluster reports whether this process votes in a cluster that was bootstrapped.
 func (a *Agent) hasJoinedCluster() bool { return a.voter != nil && a.voter.Joined() }
 
-// runVoter applies what the voter decided, and does the leader's work.
+// runVoter adopts the voter's release log and results, and maintains leases while the process leads.
 func (a *Agent) runVoter(now float64) {
 	a.releases.log = a.voter.ReleaseLog()
 	if newest := a.releases.log.NewestEpoch(); a.isNewEpoch(newest) {
-		a.lease.newestHeard = newest
+		a.lease.newestReported = newest
 		a.lease.holder.RequestBy(now)
 	}
 	leads := a.isConfirmedLeader(now)
@@ -53,8 +53,8 @@
 	}
 }
 
-// updateLeadership starts and ends what only a leader has. A leader that lost its confirmation
-// alone keeps it until another one is known.
+// updateLeadership starts and stops what only a leader runs. A leader that lost its confirmation
+// keeps its grantor until it knows that it no longer leads.
 func (a *Agent) updateLeadership(now float64, leads bool) {
 	switch {
 	case leads && a.lease.grantor == nil:
@@ -103,7 +103,7 @@
 		"rejected", fmt.Sprint(outcome.Err))
 }
 
-// propose proposes commands of the leader itself.
+// propose proposes commands that this process itself issues as the leader.
 func (a *Agent) propose(commands []release.Command) {
 	for i := range commands {
 		commands[i].IssuedAt = a.unixNow()
@@ -111,7 +111,7 @@
 	}
 }
 
-// sendVoterMessages sends what the voter has for the others.
+// sendVoterMessages sends the voter's messages to the other voters.
 func (a *Agent) sendVoterMessages() {
 	if a.voter == nil {
 		return
--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -10,8 +10,7 @@
 	"swiftcourse/internal/policy/release"
 )
 
-// Bounds of the control API. It has no sign-in: it listens where the operator says, which is meant
-// to be the machine itself.
+// Bounds of the control API. It has no authentication, and is meant to listen on a loopback address.
 const (
 	controlTimeout     = 20 * time.Second
 	maxControlHeader   = 8 << 10   // bytes
@@ -19,6 +18,15 @@
 	maxControlRequests = 8         // at a time
 )
 
+// Paths of the control API.
+const (
+	statusPath   = "/state"
+	quotasPath   = "/budgets"
+	countersPath = "/counts"
+	loadPlanPath = "/plans"
+	commandPath  = "/command"
+)
+
 // controlServer answers operators' requests, as JSON over HTTP.
 type controlServer struct {
 	node  *Node
@@ -35,9 +43,9 @@
 	Error string `json:"error"`
 }
 
-// ServeControl answers operators' requests until the context is done: GET /state?since=EPOCH,
-// /budgets, /counts and /plans, and POST /command. A request that fails has status 409 and a
-// message.
+// ServeControl starts to answer operators' requests, until the context is done: GET
+// /state?since=EPOCH, /budgets, /counts and /plans, and POST /command. A request that fails has
+// status 409 and an errorResponse.
 func (n *Node) ServeControl(ctx context.Context, addr string) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -57,23 +65,22 @@
 
 func (c *controlServer) routes() *http.ServeMux {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /state", c.status)
-	mux.HandleFunc("GET /budgets", func(w http.ResponseWriter, _ *http.Request) {
-		status, err := c.node.QueryQuotas()
-		respondJSON(w, status, err)
-	})
-	mux.HandleFunc("GET /counts", func(w http.ResponseWriter, _ *http.Request) {
-		status, err := c.node.QueryCounters()
-		respondJSON(w, status, err)
-	})
-	mux.HandleFunc("GET /plans", func(w http.ResponseWriter, _ *http.Request) {
-		status, err := c.node.QueryLoadPlan()
-		respondJSON(w, status, err)
-	})
-	mux.HandleFunc("POST /command", c.command)
+	mux.HandleFunc("GET "+statusPath, c.status)
+	mux.HandleFunc("GET "+quotasPath, queryHandler(c.node.QueryQuotas))
+	mux.HandleFunc("GET "+countersPath, queryHandler(c.node.QueryCounters))
+	mux.HandleFunc("GET "+loadPlanPath, queryHandler(c.node.QueryLoadPlan))
+	mux.HandleFunc("POST "+commandPath, c.command)
 	return mux
 }
 
+// queryHandler responds with the result of a query that has no parameters.
+func queryHandler[T any](query func() (T, error)) http.HandlerFunc {
+	return func(w http.ResponseWriter, _ *http.Request) {
+		status, err := query()
+		respondJSON(w, status, err)
+	}
+}
+
 // limit rejects requests beyond maxControlRequests at a time.
 func (c *controlServer) limit(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/fleet/counters.go
+++ b/internal/fleet/counters.go
@@ -10,20 +10,22 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
+// leaderAuthor is the author of the leader's own commands.
+const leaderAuthor = "leader"
+
 // counterManager reports what the serving loop counted to the aggregators, which are the voters,
-// and is one if the process votes. The leader has the rows of servers that are gone closed, which
-// adds them to the totals in the release log.
+// and is an aggregator itself if the process votes. The leader closes the rows of servers that are
+// gone, which adds them to the totals in the release log.
 type counterManager struct {
-	agent      *Agent
-	reporter   *counter.Reporter
-	aggregator *counter.Aggregator // nil if this process does not vote
-	closedRows map[uint64]uint64   // sequence at which a row was closed, by row
-	indexedAt  uint64              // AppliedCount of the release log from which closedRows was made
-	gapLogged  bool                // an incomplete recovery was logged
+	agent            *Agent
+	reporter         *counter.Reporter
+	aggregator       *counter.Aggregator // nil if this process does not vote
+	closedRows       map[uint64]uint64   // sequence at which a row was closed, by row
+	indexedAt        uint64              // AppliedCount of the release log from which closedRows was made
+	incompleteLogged bool                // an incomplete recovery was logged
 }
 
-// newCounterManager starts a row of this incarnation. What an earlier one reported is in a row of
-// its own.
+// newCounterManager starts the row of this incarnation. An earlier incarnation has a row of its own.
 func newCounterManager(a *Agent, now float64) *counterManager {
 	c := &counterManager{
 		agent:      a,
@@ -31,27 +33,28 @@
 		closedRows: map[uint64]uint64{},
 		indexedAt:  math.MaxUint64,
 	}
-	a.handle(c.handleAck, wire.KindCounterAck)
+	a.registerHandler(c.handleAck, wire.KindCounterAck)
 	if a.voter != nil {
-		incarnation := uint64(max(0, a.unixNow()*1000))<<16 | a.incarnation>>48 // of the aggregator
+		// The time of the start, made unique by bits of the process's incarnation.
+		incarnation := a.unixMilli()<<16 | a.incarnation>>48
 		c.aggregator = counter.NewAggregator(a.config.Name, a.voterNames, incarnation, c.closedRow, now)
-		a.handle(c.handleReport, wire.KindCounterReport)
-		a.handle(c.handleSyncRequest, wire.KindCounterSyncRequest)
-		a.handle(c.handleSyncReply, wire.KindCounterSyncReply)
+		a.registerHandler(c.handleReport, wire.KindCounterReport)
+		a.registerHandler(c.handleSyncRequest, wire.KindCounterSyncRequest)
+		a.registerHandler(c.handleSyncReply, wire.KindCounterSyncReply)
 	}
 	return c
 }
 
-// closedRow returns the sequence at which a row was closed.
-func (c *counterManager) closedRow(row uint64) (sequence uint64, closed bool) {
+// closedRow returns the sequence at which a row was closed, if it was.
+func (c *counterManager) closedRow(rowID uint64) (sequence uint64, closed bool) {
 	if log := c.agent.releases.log; c.indexedAt != log.AppliedCount {
 		c.indexedAt = log.AppliedCount
 		clear(c.closedRows)
-		for _, r := range log.ClosedRows {
-			c.closedRows[r.ID] = r.Sequence
+		for _, row := range log.ClosedRows {
+			c.closedRows[row.ID] = row.Sequence
 		}
 	}
-	sequence, closed = c.closedRows[row]
+	sequence, closed = c.closedRows[rowID]
 	return sequence, closed
 }
 
@@ -79,8 +82,8 @@
 	}
 }
 
-// maintainAggregator has the aggregator learn from others, and closes the rows of those who are
-// gone.
+// maintainAggregator synchronizes the aggregator with the others, and closes the rows of servers
+// that are gone.
 func (c *counterManager) maintainAggregator(now float64) {
 	leads := c.agent.lease.grantor != nil && c.agent.isConfirmedLeader(now)
 	isGone := func(name string, incarnation uint64) bool {
@@ -89,15 +92,15 @@
 	outbox, closable := c.aggregator.Maintain(now, leads, isGone)
 	c.deliver(now, outbox)
 	c.closeRows(closable)
-	if gaps := c.aggregator.IncompleteRecoveries(); gaps > 0 && !c.gapLogged {
-		c.gapLogged = true
+	if gaps := c.aggregator.IncompleteRecoveries(); gaps > 0 && !c.incompleteLogged {
+		c.incompleteLogged = true
 		c.agent.logger.Info("counter_recovery_incomplete",
 			"incomplete_recoveries", gaps,
 			"reason", "too few aggregators that knew all rows were there when this one started")
 	}
 }
 
-// deliver brings messages to aggregators, of which this process may be one.
+// deliver sends messages to aggregators, of which this process may be one.
 func (c *counterManager) deliver(now float64, outbox []counter.Envelope) {
 	for _, outgoing := range outbox {
 		message := &wire.Envelope{CounterReport: outgoing.Report, CounterSyncRequest: outgoing.Query}
@@ -105,7 +108,8 @@
 	}
 }
 
-// closeRows has the voters add up rows that are over. A command that is lost is proposed again.
+// closeRows proposes to add rows to the totals. The aggregator returns a row again if the command is
+// lost.
 func (c *counterManager) closeRows(reports []counter.RowReport) {
 	if len(reports) == 0 || c.agent.lease.grantor == nil {
 		return
@@ -118,21 +122,18 @@
 	c.agent.propose([]release.Command{command})
 }
 
-// leaderAuthor is the author of the leader's own commands.
-const leaderAuthor = "leader"
-
 func (c *counterManager) handleAck(now float64, message *wire.Envelope) {
 	c.reporter.HandleAck(now, message.From, message.CounterAck)
 }
 
 func (c *counterManager) handleReport(now float64, message *wire.Envelope) {
 	ack := c.aggregator.HandleReport(now, message.CounterReport)
-	c.agent.respond(now, message, &wire.Envelope{CounterAck: &ack})
+	c.agent.routeReply(now, message, &wire.Envelope{CounterAck: &ack})
 }
 
 func (c *counterManager) handleSyncRequest(now float64, message *wire.Envelope) {
 	reply := c.aggregator.HandleQuery(now, message.CounterSyncRequest)
-	c.agent.respond(now, message, &wire.Envelope{CounterSyncReply: reply})
+	c.agent.routeReply(now, message, &wire.Envelope{CounterSyncReply: reply})
 }
 
 func (c *counterManager) handleSyncReply(now float64, message *wire.Envelope) {
@@ -142,12 +143,12 @@
 // CounterStatus is what a process knows of the fleet's counters.
 type CounterStatus struct {
 	Name         string                `json:"Name"`
-	Aggregators  []string              `json:"Keepers"` // who know what all counted
-	Incarnation  string                `json:"Life"`    // of this process, hexadecimal
-	Unreported   []serving.CounterCell `json:"Here"`    // what it counted that is not closed
-	Acknowledged bool                  `json:"Agreed"`  // most aggregators have all of that
-	Unplaced     uint64                `json:"Unplaced"`
-	Totals       *counter.Summary      `json:"Known"` // nil if it is no aggregator
+	Aggregators  []string              `json:"Keepers"`  // names of the processes that know all counts
+	Incarnation  string                `json:"Life"`     // of this process, hexadecimal
+	Unreported   []serving.CounterCell `json:"Here"`     // counts of this process in rows that are not closed
+	Acknowledged bool                  `json:"Agreed"`   // a majority of the aggregators has all of Unreported
+	Unplaced     uint64                `json:"Unplaced"` // requests that may be missing in the totals
+	Totals       *counter.Summary      `json:"Known"`    // nil if it is no aggregator
 }
 
 // CounterStatus returns what is known here of the fleet's counters, nil if nothing is counted.
--- a/internal/fleet/errors.go
+++ b/internal/fleet/errors.go
@@ -5,23 +5,23 @@
 	"fmt"
 )
 
-// Errors of the control API and of the Node's queries.
+// Errors of the control API and of the Node's queries, to be tested with errors.Is.
 var (
 	// ErrAgentBusy means that the agent did not accept a request in time.
 	ErrAgentBusy = errors.New("the fleet agent of this process is busy")
-	// ErrAgentDown means that the agent accepted a request and did not answer it in time, as it
-	// does while it restarts.
+	// ErrAgentDown means that a request was queued for the agent and not answered in time, for
+	// instance as the agent restarts.
 	ErrAgentDown = errors.New("the fleet agent of this process is down")
-	// ErrNoReleaseLog means that no voter of a joined cluster answered, so that nobody knows the
-	// release log.
+	// ErrNoReleaseLog means that no voter that has joined a cluster answered an audit, so that the
+	// release log is unknown.
 	ErrNoReleaseLog = errors.New("no voter of a joined cluster answered: nobody knows the release log")
-	// ErrCountersOff means that the process counts nothing.
+	// ErrCountersOff means that counters are off at the process.
 	ErrCountersOff = errors.New("nothing is counted: fleet-counts is off")
-	// ErrTooManyRequests means that the control API serves as many requests as it may.
+	// ErrTooManyRequests means that the control API serves maxControlRequests already.
 	ErrTooManyRequests = errors.New("too many control requests at once")
 )
 
-// Reasons for which a command is rejected before the leader has seen it.
+// Reasons for which the agent rejects a command without the leader's decision.
 const (
 	reasonTooManyCommands = "too many commands are pending"
 	reasonNoMajority      = "no majority of the voters answered in time; it may still be carried out"
@@ -29,7 +29,7 @@
 
 // CommandRejectedError is a command that was not carried out, or is not known to have been.
 type CommandRejectedError struct {
-	Reason string // as the leader reported it
+	Reason string // as the leader reported it, or one of the reasons above
 }
 
 // Error returns the reason.
--- a/internal/fleet/gossip.go
+++ b/internal/fleet/gossip.go
@@ -15,22 +15,22 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// gossipNetwork is a Network by memberlist: who is there by gossip with indirect probes, and
-// messages to one by UDP, or by TCP where they are larger than a packet. An incarnation is a member
-// of its own, so that a restart is never taken for what was there before.
+// gossipNetwork is a Network on top of memberlist, which finds the members by gossip with indirect
+// probes. A message goes by UDP, or by TCP if it is larger than maxDatagram. Each incarnation is a
+// member of its own, so that a restarted process is never mistaken for its predecessor.
 type gossipNetwork struct {
 	list       *memberlist.Memberlist
 	memberName string // this process's
 
-	mu       sync.Mutex
-	sending  map[string]int // large messages on their way, by address
-	sendings int            // of all addresses
+	mu          sync.Mutex
+	sendsByAddr map[string]int // large messages on their way, by address
+	totalSends  int            // of all addresses
 }
 
 const (
-	maxPacket = 1300 // bytes that go as one packet on any path
-	// maxSendsPerAddr large messages go to one address at a time, and maxSends to all: a peer that
-	// does not read holds up nobody.
+	maxDatagram = 1300 // bytes that fit into one UDP datagram on any path
+	// maxSendsPerAddr large messages are sent to one address at a time, and maxSends to all of them,
+	// so that a peer that does not read doesn't block messages to others.
 	maxSendsPerAddr = 2
 	maxSends        = 64
 
@@ -45,7 +45,7 @@
 	return fmt.Sprintf("%s/%016x", name, incarnation)
 }
 
-// processName returns the name of the process whose incarnation a member is.
+// processName returns the name of the process from that of a member.
 func processName(member string) string {
 	name, _, _ := strings.Cut(member, "/")
 	return name
@@ -56,12 +56,12 @@
 
 // joinGossip starts to listen, and joins the others until the context is done.
 func joinGossip(ctx context.Context, config *Config, incarnation uint64, receive receiver) (*gossipNetwork, error) {
-	ip, port, err := resolveAddr(config.ListenAddr)
+	bindIP, port, err := resolveAddr(config.ListenAddr)
 	if err != nil {
 		return nil, err
 	}
 	transport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
-		BindAddrs: []string{ip.String()},
+		BindAddrs: []string{bindIP.String()},
 		BindPort:  port,
 		Logger:    log.New(io.Discard, "", 0),
 	})
@@ -70,9 +70,9 @@
 	}
 	settings := memberlist.DefaultLANConfig()
 	settings.Name = memberName(config.Name, incarnation)
-	settings.BindAddr = ip.String()
+	settings.BindAddr = bindIP.String()
 	settings.BindPort = port
-	settings.AdvertiseAddr = ip.String()
+	settings.AdvertiseAddr = bindIP.String()
 	settings.AdvertisePort = port
 	settings.TCPTimeout = gossipTCPTimeout
 	settings.EnableCompression = false // messages are short, and a release's text goes once
@@ -87,13 +87,13 @@
 		_ = transport.Shutdown()
 		return nil, err
 	}
-	n := &gossipNetwork{list: list, memberName: settings.Name, sending: map[string]int{}}
+	n := &gossipNetwork{list: list, memberName: settings.Name, sendsByAddr: map[string]int{}}
 	go n.join(ctx, config)
 	return n, nil
 }
 
-// join looks for others until there are some, and again whenever there are few: a partition heals
-// from whichever side.
+// join joins the configured members until more than half as many are there, and again whenever fewer
+// are, so that both sides of a partition try to heal it.
 func (n *gossipNetwork) join(ctx context.Context, config *Config) {
 	var others []string
 	for _, addr := range config.Voters {
@@ -124,7 +124,7 @@
 
 // Send sends a message without blocking; it may be lost, as on any network.
 func (n *gossipNetwork) Send(addr string, message []byte) {
-	if len(message) <= maxPacket {
+	if len(message) <= maxDatagram {
 		_ = n.list.SendToAddress(memberlist.Address{Addr: addr}, message)
 		return
 	}
@@ -142,21 +142,21 @@
 func (n *gossipNetwork) acquireSend(addr string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.sending[addr] >= maxSendsPerAddr || n.sendings >= maxSends {
+	if n.sendsByAddr[addr] >= maxSendsPerAddr || n.totalSends >= maxSends {
 		return false
 	}
-	n.sending[addr]++
-	n.sendings++
+	n.sendsByAddr[addr]++
+	n.totalSends++
 	return true
 }
 
 func (n *gossipNetwork) releaseSend(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.sendings--
-	n.sending[addr]--
-	if n.sending[addr] == 0 {
-		delete(n.sending, addr)
+	n.totalSends--
+	n.sendsByAddr[addr]--
+	if n.sendsByAddr[addr] == 0 {
+		delete(n.sendsByAddr, addr)
 	}
 }
 
@@ -205,7 +205,8 @@
 	return addrs
 }
 
-// messageDelegate is what memberlist needs; only messages to one member are used.
+// messageDelegate receives the messages to this member. It uses nothing else of what memberlist's
+// Delegate offers.
 type messageDelegate struct{ receive receiver }
 
 // NodeMeta returns no metadata.
@@ -223,7 +224,7 @@
 // MergeRemoteState drops others' state.
 func (messageDelegate) MergeRemoteState([]byte, bool) {}
 
-// membershipLogger logs who comes and goes.
+// membershipLogger logs members that join and leave.
 type membershipLogger struct{ logger *slog.Logger }
 
 // NotifyJoin logs an incarnation that was found.
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -15,10 +15,10 @@
 	OnLimit func(CallLimit) // hands the serving loop how many calls may be in flight
 }
 
-// CallLimit is how many calls to the service below may be in flight.
+// CallLimit is how many calls to the downstream service may be in flight.
 type CallLimit struct {
 	MaxInFlight float64 // +Inf for no limit
-	Probe       int64   // not 0 where one call is a probe, of which there is to be one for each number
+	Probe       int64   // number of the probe to make with the next call, once for each number; 0 for none
 }
 
 const (
@@ -29,11 +29,11 @@
 	// within a second and a half.
 	healthReportInterval = 0.25
 	maxRelayedReports    = 16
-	// maxZones bounds how many servers' zones are known.
-	maxZones = 4096
+	// maxServerZones bounds how many servers' zones are remembered.
+	maxServerZones = 4096
 )
 
-// healthMonitor judges the service below by what became of this server's calls and of others'.
+// healthMonitor judges the downstream service by the outcomes of this server's calls and others'.
 type healthMonitor struct {
 	agent        *Agent
 	config       *HealthConfig
@@ -41,7 +41,7 @@
 	nextDecision float64
 	lastReport   float64
 	limit        CallLimit
-	zones        map[string]string // of other servers, by their reports
+	serverZones  map[string]string // of other servers, by their reports
 }
 
 func newHealthMonitor(a *Agent, now float64) *healthMonitor {
@@ -52,9 +52,9 @@
 		nextDecision: now,
 		lastReport:   now,
 		limit:        CallLimit{MaxInFlight: math.Inf(1)},
-		zones:        map[string]string{},
+		serverZones:  map[string]string{},
 	}
-	a.handle(h.handleReports, wire.KindHealthReports)
+	a.registerHandler(h.handleReports, wire.KindHealthReports)
 	return h
 }
 
@@ -73,17 +73,17 @@
 
 func (h *healthMonitor) handleReports(now float64, message *wire.Envelope) {
 	for _, report := range message.HealthReports {
-		known := h.zones[report.Server] != ""
-		if h.breaker.HandleReport(now, report) && (known || len(h.zones) < maxZones) {
-			h.zones[report.Server] = report.Zone
+		known := h.serverZones[report.Server] != ""
+		if h.breaker.HandleReport(now, report) && (known || len(h.serverZones) < maxServerZones) {
+			h.serverZones[report.Server] = report.Zone
 		}
 	}
 }
 
-// zonePeers returns the servers of this one's zone, as far as it is known.
+// zonePeers returns the members in this server's zone, or all where it has none.
 func (h *healthMonitor) zonePeers() (names []string) {
 	for name := range h.agent.network.Members() {
-		if h.config.Zone == "" || h.zones[name] == h.config.Zone {
+		if h.config.Zone == "" || h.serverZones[name] == h.config.Zone {
 			names = append(names, name)
 		}
 	}
@@ -121,8 +121,8 @@
 
 // report gossips the newest reports.
 func (h *healthMonitor) report(now float64) {
-	if len(h.zones) >= maxZones {
-		clear(h.zones) // names come and go for ever; those that are there report again
+	if len(h.serverZones) >= maxServerZones {
+		clear(h.serverZones) // of names that are gone; the present servers report again
 	}
 	if reports := h.breaker.GossipReports(now, h.agent.incarnation, maxRelayedReports); len(reports) > 0 {
 		h.agent.gossip(gossipFanout, &wire.Envelope{HealthReports: reports})
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -7,20 +7,21 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// leaseState is the process's own lease, and those that it grants while it leads.
+// leaseState is the process's own lease, and the grantor of leases while it leads.
 type leaseState struct {
-	holder      *lease.Holder
-	grantor     *lease.Grantor // nil unless this process leads
-	nextVoter   int            // index of the voter to ask next while no leader is known
-	newestHeard release.Epoch  // the newest epoch that any process reported
+	holder         *lease.Holder
+	grantor        *lease.Grantor // nil unless this process leads
+	nextVoter      int            // index of the voter to ask next while no leader is known
+	newestReported release.Epoch  // newest epoch of which the process has heard
 }
 
 const (
-	// maxUnanswered requests to one leader have no reply before another voter is asked.
+	// maxUnanswered is how many requests to a leader may be without a reply before other voters are
+	// asked.
 	maxUnanswered = 2
-	// leaseRequestJitter spreads the requests that follow the news of a release, in seconds: a
-	// thousand servers that learn of one at once make 5,000 requests a second then, a thousandth of
-	// what a leader can answer.
+	// leaseRequestJitter is the range of the random delay of a request after a new release, in
+	// seconds. A thousand servers that learn of one at once then make 5,000 requests a second, a
+	// thousandth of what a leader can answer.
 	leaseRequestJitter = 0.2
 )
 
@@ -34,8 +35,8 @@
 		Fallback:     c.Lease.Fallback,
 		LeaseSeconds: c.Lease.Terms.Duration,
 	}, now)
-	a.handle(a.handleLeaseRequest, wire.KindLeaseRequest)
-	a.handle(a.handleLeaseReply, wire.KindLeaseReply)
+	a.registerHandler(a.handleLeaseRequest, wire.KindLeaseRequest)
+	a.registerHandler(a.handleLeaseReply, wire.KindLeaseReply)
 }
 
 // requestLease asks the leader for a lease, or the next voter while none is known.
@@ -44,15 +45,23 @@
 	request := holder.NewRequest(now)
 	name := holder.Leader()
 	if _, votes := a.config.Voters[name]; !votes {
-		if len(a.voterNames) == 0 {
-			return
-		}
-		name = a.voterNames[a.lease.nextVoter%len(a.voterNames)]
-		a.lease.nextVoter++
+		name = a.nextVoterName()
 	} else if holder.Unanswered() > maxUnanswered {
 		holder.HandleLeaderUnreachable(now)
 	}
-	a.sendToVoter(now, name, &wire.Envelope{LeaseRequest: &request})
+	if name != "" {
+		a.sendToVoter(now, name, &wire.Envelope{LeaseRequest: &request})
+	}
+}
+
+// nextVoterName returns the voters' names in turn, "" if there are none.
+func (a *Agent) nextVoterName() string {
+	if len(a.voterNames) == 0 {
+		return ""
+	}
+	name := a.voterNames[a.lease.nextVoter%len(a.voterNames)]
+	a.lease.nextVoter++
+	return name
 }
 
 // handleLeaseRequest answers a request for a lease. A process that does not lead names the leader.
@@ -104,18 +113,18 @@
 
 // isNewEpoch reports whether an epoch is newer than the assigned one and all that were reported.
 func (a *Agent) isNewEpoch(epoch release.Epoch) bool {
-	return epoch > max(a.lease.newestHeard, a.lease.holder.AssignedEpoch())
+	return epoch > max(a.lease.newestReported, a.lease.holder.AssignedEpoch())
 }
 
-// noteNewestEpoch requests a lease soon if another process acts on a newer release: once for each
-// epoch, and spread over leaseRequestJitter.
-func (a *Agent) noteNewestEpoch(now float64, account *audit.Account) {
+// requestLeaseForNewerEpoch requests a lease soon if another process serves a newer release: once for
+// each epoch, and spread over leaseRequestJitter.
+func (a *Agent) requestLeaseForNewerEpoch(now float64, account *audit.Account) {
 	if len(account.Intervals) == 0 {
 		return
 	}
 	newest := account.Intervals[len(account.Intervals)-1].Epoch
 	if a.isNewEpoch(newest) {
-		a.lease.newestHeard = newest
+		a.lease.newestReported = newest
 		a.lease.holder.RequestBy(now + leaseRequestJitter*a.random.Float64())
 	}
 }
--- a/internal/fleet/loadplan.go
+++ b/internal/fleet/loadplan.go
@@ -10,9 +10,9 @@
 // LoadPlanConfig configures load plans: a forwarder reports to the leader of the planners and
 // follows its assignment.
 type LoadPlanConfig struct {
-	IsPlanner bool // it makes plans while it leads
-	// Report returns a forwarder's report, nil while there is none; it is nil for who forwards
-	// nothing.
+	IsPlanner bool // makes plans while it leads
+	// Report returns a forwarder's report, nil while there is none. The function is nil where the
+	// process is no forwarder.
 	Report func(now float64) *loadplan.Report
 	// OnAssignment hands the serving loop its assignment, which holds until freshUntil by the
 	// agent's clock.
@@ -36,8 +36,8 @@
 		subscriber: loadplan.NewSubscriber(a.incarnation),
 		nextReport: now,
 	}
-	a.handle(p.handleReport, wire.KindForwarderReport)
-	a.handle(p.handleAssignment, wire.KindPlanAssignment)
+	a.registerHandler(p.handleReport, wire.KindForwarderReport)
+	a.registerHandler(p.handleAssignment, wire.KindPlanAssignment)
 	return p
 }
 
@@ -94,7 +94,7 @@
 		return
 	}
 	if assignment := p.planner.HandleReport(now, report); assignment != nil {
-		p.agent.respond(now, message, &wire.Envelope{PlanAssignment: assignment})
+		p.agent.routeReply(now, message, &wire.Envelope{PlanAssignment: assignment})
 	}
 }
 
@@ -111,7 +111,7 @@
 type LoadPlanStatus struct {
 	Name     string           `json:"Name"`
 	Leader   string           `json:"Leader"`
-	Current  loadplan.Version `json:"Holds"` // of the plan that a forwarder goes by, or went by last
+	Current  loadplan.Version `json:"Holds"` // of the plan that the forwarder follows, or followed last
 	FreshFor float64          `json:"Till"`  // seconds, negative while it ages
 	Stale    int              `json:"Stale"` // assignments that were too old to be accepted
 	Planner  *loadplan.Status `json:"Makes"` // nil where this process makes no plans
--- a/internal/fleet/network.go
+++ b/internal/fleet/network.go
@@ -7,7 +7,7 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// Network carries messages to other processes, and knows which are there. A message may be lost,
+// Network carries messages to other processes, and knows the members. A message may be lost,
 // duplicated or late; nothing waits for one.
 type Network interface {
 	// Send sends an encoded message without blocking.
@@ -23,11 +23,11 @@
 	HasMember(name string) bool
 }
 
-// gossipFanout is how many others receive each gossiped message: two of them may die with the
-// latest one.
+// gossipFanout is how many others receive each gossiped message, so that it is not lost if two
+// of them die.
 const gossipFanout = 3
 
-// send sends a message to an address; "" is nobody's.
+// send sends a message to an address, or drops it if that is "".
 func (a *Agent) send(addr string, message *wire.Envelope) {
 	if addr == "" {
 		return
@@ -41,14 +41,15 @@
 	a.network.Send(addr, encoded)
 }
 
-// stamp enters this process as the sender.
+// stamp sets this process as the sender.
 func (a *Agent) stamp(message *wire.Envelope) {
 	message.From = a.config.Name
 	message.Incarnation = a.incarnation
 	message.Addr = a.config.ListenAddr
 }
 
-// sendToVoter sends a message to a voter, which may be this process; "" is nobody's name.
+// sendToVoter sends a message to a voter, which may be this process, or drops it if there is
+// none of that name.
 func (a *Agent) sendToVoter(now float64, name string, message *wire.Envelope) {
 	if name == a.config.Name {
 		a.stamp(message)
@@ -58,20 +59,20 @@
 	a.send(a.config.Voters[name], message)
 }
 
-// reply sends a message back to where a request came from.
-func (a *Agent) reply(request, response *wire.Envelope) {
+// sendReply sends a response to the process that sent a request.
+func (a *Agent) sendReply(request, response *wire.Envelope) {
 	fallback := cmp.Or(a.config.Voters[request.From], request.Addr)
 	a.send(a.network.AddrOf(request.From, request.Incarnation, fallback), response)
 }
 
-// respond answers a request that may be this process's own.
-func (a *Agent) respond(now float64, request, response *wire.Envelope) {
+// routeReply handles a response to a request of this process itself, and sends any other.
+func (a *Agent) routeReply(now float64, request, response *wire.Envelope) {
 	if request.From == a.config.Name && request.Incarnation == a.incarnation {
 		a.stamp(response)
 		a.HandleMessage(now, response)
 		return
 	}
-	a.reply(request, response)
+	a.sendReply(request, response)
 }
 
 // gossip sends a message to some other members.
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -15,8 +15,8 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// Node runs the agent of one process: a goroutine owns the Agent, and the network and the serving
-// loop feed it by channels. All methods may be called from any goroutine.
+// Node runs the agent of one process: one goroutine owns the Agent, and receives what the network and
+// the serving loop send by channels. All methods may be called from any goroutine.
 type Node struct {
 	config      Config
 	logger      *slog.Logger
@@ -35,22 +35,22 @@
 	callStats      chan serving.CallStats
 	requestCounts  chan []serving.CounterCell
 
-	dropped      atomic.Uint64 // messages without room, or that could not be decoded
-	claimBacklog atomic.Int64  // claim events, and reports that the replicas have not recorded
+	dropped      atomic.Uint64 // what found no room, and messages that could not be decoded
+	claimBacklog atomic.Int64  // claim events in the channel, and reports that the replicas have not recorded
 }
 
 const (
-	maxInbox        = 1024 // messages that wait for the agent; what comes beyond that is dropped
+	maxInbox        = 1024 // messages that wait for the agent; more are dropped
 	maxRequests     = 16   // queries and commands that wait for the agent
-	maxTrustedLists = 2    // a newer list comes soon
+	maxTrustedLists = 2    // more are dropped, as a newer list comes soon
 	maxUsageLists   = 4    // likewise
 	maxCallStats    = 16
-	maxCountLists   = 4 // the loop keeps what finds no room, and reports it with the next
+	maxCountLists   = 4 // the serving loop keeps what finds no room, and reports it with the next
 
-	// restartDelay is how long a panic keeps the agent down: what it knew is lost, as after a
-	// restart.
+	// restartDelay is the time from an agent's panic to the start of the next agent, which knows
+	// nothing of it.
 	restartDelay = time.Second
-	// minWakeup keeps a wakeup that is overdue from spinning.
+	// minWakeup keeps overdue wakeups from making the loop spin.
 	minWakeup = time.Millisecond
 	// requestTimeout is how long the agent may take to accept a request, and then to answer it.
 	requestTimeout = 2 * time.Second
@@ -58,8 +58,8 @@
 	undecodableLogEvery = 1000
 )
 
-// Start joins the fleet until the context is done or Stop is called. The incarnation is drawn from
-// the seed and the time, so that a restart in the same instant is another one all the same.
+// Start joins the fleet until the context is done or Stop is called. The random source has the time
+// in its seed, so that a restarted process draws another incarnation.
 func Start(ctx context.Context, config Config) (*Node, error) {
 	random := rand.New(rand.NewPCG(uint64(config.Seed), uint64(time.Now().UnixNano())))
 	n := &Node{
@@ -99,7 +99,7 @@
 // newIncarnation draws an incarnation, which is never 0.
 func (n *Node) newIncarnation() uint64 { return n.random.Uint64() | 1 }
 
-// startAgent starts an agent that owes nothing to an earlier one.
+// startAgent starts an agent, without any state of an earlier one.
 func (n *Node) startAgent(incarnation uint64) {
 	n.incarnation.Store(incarnation)
 	n.agent = NewAgent(n.config, incarnation, n.gossip, n.random)
@@ -109,7 +109,7 @@
 	}
 }
 
-// receive decodes a message as it comes, on the network's goroutines.
+// receive decodes a message and queues it for the agent, on the network's goroutines.
 func (n *Node) receive(encoded []byte) {
 	message, err := wire.Decode(encoded)
 	if err != nil {
@@ -126,12 +126,12 @@
 	}
 }
 
-// run runs agents until the context is done. One that panics is replaced by another incarnation:
-// the server goes on meanwhile.
+// run runs agents until the context is done. One that panics is replaced by another incarnation,
+// and the server keeps serving meanwhile.
 func (n *Node) run(ctx context.Context) {
 	defer close(n.done)
 	defer n.gossip.close()
-	for n.loop(ctx) {
+	for n.runAgent(ctx) {
 		select {
 		case <-ctx.Done():
 			return
@@ -141,9 +141,9 @@
 	}
 }
 
-// loop feeds the agent until the context is done, or until a panic, which it recovers from; it
-// reports whether to start over.
-func (n *Node) loop(ctx context.Context) (restart bool) {
+// runAgent runs the present agent until the context is done or the agent panics. It reports whether
+// it panicked, so that another one is to be started.
+func (n *Node) runAgent(ctx context.Context) (restart bool) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			n.logger.Error("fleet_agent_panic", "cause", fmt.Sprint(cause), "stack", string(debug.Stack()))
@@ -155,12 +155,12 @@
 	for n.handleNext(ctx, wakeup.C) {
 		a := n.agent
 		a.Tick(a.Now())
-		wakeup.Reset(max(minWakeup, seconds(a.NextWakeup()-a.Now())))
+		wakeup.Reset(max(minWakeup, toDuration(a.NextWakeup()-a.Now())))
 	}
 	return false
 }
 
-// handleNext waits for something to do and does it; false means that the context is done.
+// handleNext waits for the next event and handles it. It returns false once the context is done.
 func (n *Node) handleNext(ctx context.Context, wakeup <-chan time.Time) bool {
 	agent := n.agent
 	select {
@@ -168,13 +168,13 @@
 		return false
 	case message := <-n.inbox:
 		agent.HandleMessage(agent.Now(), message)
-		for range len(n.inbox) { // what is there already goes with it
+		for range len(n.inbox) { // also those that wait already, before the next Tick
 			agent.HandleMessage(agent.Now(), <-n.inbox)
 		}
 	case request := <-n.requests:
 		request(agent.Now())
 	case clients := <-n.trustedClients:
-		agent.observeTrusted(clients)
+		agent.ObserveTrusted(clients)
 	case calls := <-n.callStats:
 		agent.ObserveCalls(agent.Now(), calls)
 	case cells := <-n.requestCounts:
@@ -191,11 +191,11 @@
 	return true
 }
 
-// seconds converts seconds of the decision core to a Duration.
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+// toDuration converts seconds, as the agent uses them, to a Duration.
+func toDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// call has the goroutine that owns the agent do something.
-func (n *Node) call(do func(now float64)) error {
+// runOnAgent runs do on the goroutine that owns the agent, and does not wait for its end.
+func (n *Node) runOnAgent(do func(now float64)) error {
 	select {
 	case n.requests <- do:
 		return nil
@@ -204,7 +204,7 @@
 	}
 }
 
-// await returns what comes in time.
+// await returns the result if it comes in time, and ErrAgentDown otherwise.
 func await[T any](result <-chan T, timeout time.Duration) (T, error) {
 	select {
 	case value := <-result:
@@ -215,27 +215,27 @@
 	}
 }
 
-// query returns what the agent answers.
+// query returns the result of read on the goroutine that owns the agent.
 func query[T any](n *Node, read func(a *Agent, now float64) T) (T, error) {
 	result := make(chan T, 1)
-	if err := n.call(func(now float64) { result <- read(n.agent, now) }); err != nil {
+	if err := n.runOnAgent(func(now float64) { result <- read(n.agent, now) }); err != nil {
 		var none T
 		return none, err
 	}
 	return await(result, requestTimeout)
 }
 
-// ExecuteCommand submits an operator's command and waits for its end. It returns the newest epoch
-// after it; a command that is rejected is a *CommandRejectedError.
+// ExecuteCommand submits an operator's command and waits for its result. It returns the newest epoch
+// after it; the error of a command that is rejected is a *CommandRejectedError.
 func (n *Node) ExecuteCommand(command release.Command) (release.Epoch, error) {
 	done := make(chan wire.CommandResult, 1)
 	submit := func(now float64) {
 		n.agent.SubmitCommand(now, command, func(result wire.CommandResult) { done <- result })
 	}
-	if err := n.call(submit); err != nil {
+	if err := n.runOnAgent(submit); err != nil {
 		return 0, err
 	}
-	result, err := await(done, seconds(commandTimeout)+requestTimeout)
+	result, err := await(done, toDuration(commandTimeout)+requestTimeout)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/fleet/node_reports.go
+++ b/internal/fleet/node_reports.go
@@ -5,7 +5,7 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// The methods of this file are the serving loop's side of the Node. None of them blocks.
+// The methods of this file are for the serving loop. None of them blocks.
 
 // Claim asks for the right to run a request that bears an idempotency key;
 // ReplicationConfig.OnVerdict is called within timeout seconds. It returns false if nothing more
@@ -14,19 +14,20 @@
 	return n.enqueueClaim(ClaimEvent{ID: id, Class: class, Key: key, Timeout: timeout})
 }
 
-// ReleaseClaim reports that a request is over that never began.
+// ReleaseClaim reports that a request for which Claim was called never ran, and never will.
 func (n *Node) ReleaseClaim(id string) { n.enqueueClaim(ClaimEvent{ID: id, Canceled: true}) }
 
-// CompleteClaim reports how the run of a request ended whose claim was granted.
+// CompleteClaim reports how a request ended whose claim was granted, and that ran.
 func (n *Node) CompleteClaim(id string, succeeded bool, result []byte) {
 	n.enqueueClaim(ClaimEvent{ID: id, Finished: true, Succeeded: succeeded, Result: result})
 }
 
-// UnreportedClaims returns how much of what the loop reported the replicas have not recorded yet.
+// UnreportedClaims returns how many claim events are not handled yet, and how many reports of ended
+// requests the replicas have not recorded yet.
 func (n *Node) UnreportedClaims() int { return int(n.claimBacklog.Load()) }
 
-// enqueueClaim hands an event to the agent. One that finds no room is lost: its claim then counts
-// as one that may have run.
+// enqueueClaim queues an event for the agent. One that finds no room is lost: a request that was
+// claimed then counts as one that may have run.
 func (n *Node) enqueueClaim(event ClaimEvent) bool {
 	n.claimBacklog.Add(1)
 	select {
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -8,17 +8,17 @@
 
 // QuotaConfig configures the quotas that all servers share.
 type QuotaConfig struct {
-	Settings func() quota.Config // of the version on which the server acts
-	// OnAllowances hands the serving loop what it may use, by the agent's clock.
+	Settings func() quota.Config // of the active version
+	// OnAllowances hands the serving loop its allowances; their times are of the agent's clock.
 	OnAllowances func([]quota.Allowance)
 }
 
 // Usage is what the serving loop used of a quota lately.
 type Usage struct {
 	Name        string
-	Demand      float64 // requests a second that were asked for
+	Demand      float64 // requests a second, admitted or not
 	InFlight    float64 // calls in flight
-	GrantNumber uint64  // of the allowance that the loop applies
+	GrantNumber uint64  // of the allowance that the serving loop applied
 }
 
 // quotaManager leases the process's share of each quota, and grants shares while the process leads.
@@ -35,8 +35,8 @@
 		config: a.config.Quotas,
 		holder: quota.NewHolder(a.incarnation, a.config.Quotas.Settings(), now),
 	}
-	a.handle(q.handleRequest, wire.KindQuotaRequest)
-	a.handle(q.handleReply, wire.KindQuotaReply)
+	a.registerHandler(q.handleRequest, wire.KindQuotaRequest)
+	a.registerHandler(q.handleReply, wire.KindQuotaReply)
 	q.publish()
 	return q
 }
@@ -51,7 +51,7 @@
 	}
 }
 
-// applyConfig goes over to the settings of the version on which the server acts now.
+// applyConfig switches to the settings of the version that became active.
 func (q *quotaManager) applyConfig(now float64) {
 	settings := q.config.Settings()
 	q.holder.ApplyConfig(settings, now)
@@ -60,7 +60,7 @@
 	}
 }
 
-// updateLeadership starts and ends granting with the grantor of server leases.
+// updateLeadership starts and stops granting together with the grantor of server leases.
 func (q *quotaManager) updateLeadership(now float64) {
 	switch {
 	case q.agent.lease.grantor == nil:
@@ -88,15 +88,15 @@
 	}
 }
 
-// handleRequest answers a server's request. Only who holds its name is granted shares: others have
-// their guaranteed part at most.
+// handleRequest answers a server's request. Only an incarnation that is registered under its name is
+// granted a share; others have at most their guaranteed part.
 func (q *quotaManager) handleRequest(now float64, message *wire.Envelope) {
 	if q.grantor == nil || q.agent.releases.log.Members[message.From] != message.Incarnation {
 		return
 	}
 	reply := q.grantor.HandleRequest(now, message.QuotaRequest, q.agent.isConfirmedLeader(now))
 	if reply != nil {
-		q.agent.respond(now, message, &wire.Envelope{QuotaReply: reply})
+		q.agent.routeReply(now, message, &wire.Envelope{QuotaReply: reply})
 	}
 }
 
--- a/internal/fleet/release.go
+++ b/internal/fleet/release.go
@@ -9,33 +9,33 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// releaseState is the release log as the process knows it, and the version on which it acts.
+// releaseState is the release log as the process knows it, and its active version.
 type releaseState struct {
 	log          *release.Log // a copy, also at processes that don't vote
 	lastLogFetch float64
 
 	active           release.Version
-	applyError       string // why the assigned version could not be applied, "" if none failed
-	lastVersionFetch float64
+	applyError       string  // why the assigned version could not be applied, "" if none failed
+	lastVersionFetch float64 // time of the last request for the assigned version, or attempt to apply it
 
-	stats    *serving.VersionStats // that the serving loop counts under the active version
-	recorded recordedStats         // of them, what the audit trail has
+	stats    *serving.VersionStats // what the serving loop counts under the active version
+	recorded recordedStats         // the part of stats that is in the audit trail
 }
 
-// recordedStats is the part of a version's statistics that is in the audit trail already.
+// recordedStats is the part of a version's statistics that the audit trail has already.
 type recordedStats struct {
 	batches  uint64
 	requests uint64
 }
 
 const (
-	versionFetchInterval = 0.3  // seconds between two requests for the assigned version
-	applyRetryInterval   = 1.0  // seconds before a version that failed is applied again
-	logFetchInterval     = 2.0  // seconds between two requests for a newer log, at who does not vote
-	coldLogFetchInterval = 0.25 // at a voter that has not joined: some times before it can bootstrap
-	coldLogFetchFanout   = 4    // so many others receive each request
-	leaderSkipOdds       = 4    // one in so many requests for a version goes to any voter, not the leader
-	voterFetchOdds       = 8    // one in so many requests for the log goes to a voter, not any member
+	versionFetchInterval     = 0.3  // seconds between two requests for the assigned version
+	applyRetryInterval       = 1.0  // seconds before a version that failed is applied again
+	logFetchInterval         = 2.0  // seconds between two requests for a newer log, if the process does not vote
+	unjoinedLogFetchInterval = 0.25 // the same for a voter that has not joined, several times before it may bootstrap
+	unjoinedLogFetchFanout   = 4    // how many others receive each request of such a voter
+	leaderSkipOdds           = 4    // one in so many requests for a version goes to any voter, not the leader
+	voterFetchOdds           = 8    // one in so many requests for the log goes to a voter, not any member
 )
 
 // Reasons in the audit trail and the log.
@@ -48,15 +48,15 @@
 func (a *Agent) startReleases() {
 	a.releases.log = (&release.Log{}).Clone()
 	a.releases.stats = &serving.VersionStats{}
-	a.handle(a.handleVersionRequest, wire.KindVersionRequest)
-	a.handle(a.handleVersion, wire.KindVersion)
-	a.handle(a.handleCommand, wire.KindCommand)
-	a.handle(a.handleCommandResult, wire.KindCommandResult)
+	a.registerHandler(a.handleVersionRequest, wire.KindVersionRequest)
+	a.registerHandler(a.handleVersion, wire.KindVersion)
+	a.registerHandler(a.handleCommand, wire.KindCommand)
+	a.registerHandler(a.handleCommandResult, wire.KindCommandResult)
 }
 
 func (a *Agent) handleVersionRequest(_ float64, message *wire.Envelope) {
 	if version := a.releases.log.FindVersion(message.VersionRequest); version != nil {
-		a.reply(message, &wire.Envelope{Version: version})
+		a.sendReply(message, &wire.Envelope{Version: version})
 	}
 }
 
@@ -88,8 +88,8 @@
 	}
 }
 
-// applyVersion acts on a version if it is the assigned one, newer than the active one and
-// undamaged.
+// applyVersion applies a version and activates it, if it is the assigned one, newer than the active
+// one and undamaged.
 func (a *Agent) applyVersion(now float64, version *release.Version, reason string) {
 	state := &a.releases
 	if version.Epoch != a.lease.holder.AssignedEpoch() || !a.isBehind() || !version.DigestMatches() {
@@ -110,7 +110,7 @@
 	a.activate(now, version, reason)
 }
 
-// applyText has the server act on a version's text, unless it does already.
+// applyText puts a version's text into effect, unless the active version has the same text.
 func (a *Agent) applyText(version *release.Version) error {
 	if version.Build != "" && version.Build != a.config.Build {
 		return fmt.Errorf("it is meant for build %s, this is %s", version.Build, a.config.Build)
@@ -121,7 +121,7 @@
 	return a.config.Apply(version.Text)
 }
 
-// activate switches to a version that the server acts on from now on, and gossips it at once.
+// activate makes a version that was applied the active one, and has it gossiped soon.
 func (a *Agent) activate(now float64, version *release.Version, reason string) {
 	a.recordVersionStats()
 	a.releases.active = *version
@@ -153,38 +153,42 @@
 	a.lease.holder.SetErrorTally(release.ErrorTally{Completed: float64(completed), Failed: float64(failed)})
 }
 
-// fetchReleaseLog keeps a copy of the release log, by which others' messages are judged and a lost
-// cluster of voters is bootstrapped: a voter that has not joined requests those of some others. The
-// request says what is known, so that only a newer log costs more than a few bytes.
+// fetchReleaseLog requests a newer release log if the process has not joined the cluster of voters.
+// Its copy tells which servers are registered, and a voter that has not joined may bootstrap a lost
+// cluster from it. A request contains the state of the copy, so that only a newer log is sent.
 func (a *Agent) fetchReleaseLog(now float64) {
-	joined := a.hasJoinedCluster()
-	if joined || len(a.voterNames) == 0 {
+	if a.hasJoinedCluster() || len(a.voterNames) == 0 {
 		return
 	}
-	cold := a.voter != nil
+	unjoinedVoter := a.voter != nil
 	interval, fanout := logFetchInterval, 1
-	if cold {
-		interval, fanout = coldLogFetchInterval, coldLogFetchFanout
+	if unjoinedVoter {
+		interval, fanout = unjoinedLogFetchInterval, unjoinedLogFetchFanout
 	}
 	if now < a.releases.lastLogFetch+interval {
 		return
 	}
 	a.releases.lastLogFetch = now
-	request := &wire.Envelope{StateRequest: &wire.StateRequest{
+	request := a.releaseLogRequest()
+	if !unjoinedVoter && a.fetchesLogFromVoter() {
+		a.send(a.config.Voters[a.voterNames[a.random.IntN(len(a.voterNames))]], request)
+		return
+	}
+	a.gossip(fanout, request)
+}
+
+// releaseLogRequest returns a request for a release log that is newer than this process's copy.
+func (a *Agent) releaseLogRequest() *wire.Envelope {
+	return &wire.Envelope{StateRequest: &wire.StateRequest{
 		RequestID:    releaseLogOnly,
 		Names:        []string{""},
 		ClusterID:    a.releases.log.Current.Epoch.ClusterID(),
 		AppliedCount: a.releases.log.AppliedCount,
 	}}
-	if !cold && a.fetchesLogFromVoter() {
-		a.send(a.config.Voters[a.voterNames[a.random.IntN(len(a.voterNames))]], request)
-		return
-	}
-	a.gossip(fanout, request)
 }
 
-// fetchesLogFromVoter reports whether a copy of the log is to come from a voter: where news is
-// known to be there, and now and then.
+// fetchesLogFromVoter reports whether to request the log from a voter: if a newer one is known to
+// exist, and otherwise at random, now and then.
 func (a *Agent) fetchesLogFromVoter() bool {
 	newsExpected := a.lease.holder.AssignedEpoch() != a.releases.log.NewestEpoch()
 	return newsExpected || a.random.IntN(voterFetchOdds) == 0
--- a/internal/fleet/replication.go
+++ b/internal/fleet/replication.go
@@ -10,84 +10,87 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// ReplicationConfig configures the state that several servers keep: which idempotency keys were
-// claimed, and the results.
+// ReplicationConfig configures the replication of claimed idempotency keys and of their results.
 type ReplicationConfig struct {
 	Placement   *replication.Placement
 	MaxRecords  int
 	MaxBytes    int
-	CatchUpRate float64 // bytes a second that a replica takes in to catch up
+	CatchUpRate float64 // bytes a second that a replica receives while it catches up
 	// OnVerdict hands the serving loop the verdict on a request for which it claimed a key.
 	OnVerdict func(requestID string, verdict serving.ClaimVerdict, result []byte)
 }
 
-// ClaimEvent is an event of a request that bears an idempotency key: its key is to be claimed, it
-// will never run, or its run ended.
+// ClaimEvent is an event of a request with an idempotency key: its key is to be claimed if neither
+// Canceled nor Finished is set.
 type ClaimEvent struct {
 	ID        string // of the request
 	Class     string
 	Key       string
-	Timeout   float64 // seconds in which OnVerdict has to be called
-	Canceled  bool    // it never began, and never will
-	Finished  bool    // its run ended, and
-	Succeeded bool    // has a result
+	Timeout   float64 // seconds within which OnVerdict is called
+	Canceled  bool    // the request never ran, and never will
+	Finished  bool    // the request ran, and ended
+	Succeeded bool    // it ended with Result
 	Result    []byte
 }
 
 const (
-	// maxClaimEvents wait for the agent: two for each claim that the serving loop may have pending,
-	// so that there is always room.
+	// maxClaimEvents is how many events may wait for the agent: two for each claim that the serving
+	// loop may have pending, so that there is always room.
 	maxClaimEvents = 4096
-	// addrLookupInterval is how often it is looked up where replicas listen, in seconds.
+	// addrLookupInterval is how often the replicas' addresses are looked up, in seconds.
 	addrLookupInterval = 0.5
 )
 
-// replicator claims keys for the process's own requests, and is a replica if the placement names
-// the process.
+// replicator claims keys for the process's own requests, and runs a replica if the process is a
+// member of the placement.
 type replicator struct {
 	agent       *Agent
 	config      *ReplicationConfig
 	terms       replication.TermTable
 	coordinator *replication.Coordinator
-	replica     *replication.Replica // nil if this process is none
-	index       int                  // of this process in the placement, negative if it is none
-	backlog     *atomic.Int64        // claim events and unrecorded reports, for whoever shuts down
+	replica     *replication.Replica // nil if this process is no member of the placement
+	selfIndex   int                  // of this process in the placement, negative if it is no member
+	backlog     *atomic.Int64        // Node.claimBacklog, or a counter of the replicator's own
 	unrecorded  int                  // reports that the replicas have not recorded, when last counted
 
 	memberAddrs    map[string]string
 	lastAddrLookup float64
-	reportedAddrs  map[string]string  // where replicas reported that they listen
-	logged         replication.Status // as it was last written to the log
+	reportedAddrs  map[string]string  // replicas' addresses according to their own messages
+	lastLogged     replication.Status // at the last line in the log
 }
 
-func newReplicator(a *Agent, now float64) *replicator {
-	config := a.config.Replication
+func newReplicator(agent *Agent, now float64) *replicator {
+	config := agent.config.Replication
 	r := &replicator{
-		agent:         a,
+		agent:         agent,
 		config:        config,
 		terms:         make(replication.TermTable, len(config.Placement.Members)),
-		index:         config.Placement.MemberIndex(a.config.Name),
+		selfIndex:     config.Placement.MemberIndex(agent.config.Name),
 		backlog:       &atomic.Int64{},
 		reportedAddrs: map[string]string{},
 	}
-	r.coordinator = replication.NewCoordinator(config.Placement, r.terms, a.incarnation, a.unixNow, now)
-	if r.index >= 0 {
-		number := uint64(max(0, a.unixNow()*1000))
-		r.terms[r.index] = replication.Term{Number: number, Incarnation: a.incarnation}
-		store := replicastore.NewStore(config.MaxRecords, config.MaxBytes)
-		r.replica = replication.NewReplica(replication.ReplicaConfig{
-			Placement:   config.Placement,
-			Self:        r.index,
-			Terms:       r.terms,
-			Store:       store,
-			CatchUpRate: config.CatchUpRate,
-		}, now)
+	r.coordinator = replication.NewCoordinator(config.Placement, r.terms, agent.incarnation, agent.unixNow, now)
+	if r.selfIndex >= 0 {
+		r.startReplica(now)
 	}
-	a.handle(r.handle, wire.KindClaimRequest, wire.KindClaimReply)
-	a.handle(r.handle, wire.KindPullRequest, wire.KindPullReply, wire.KindChecksums)
+	agent.registerHandler(r.handleMessage, wire.KindClaimRequest, wire.KindClaimReply)
+	agent.registerHandler(r.handleMessage, wire.KindPullRequest, wire.KindPullReply, wire.KindChecksums)
 	return r
 }
 
+// startReplica starts a replica with an empty store, and a term of this incarnation.
+func (r *replicator) startReplica(now float64) {
+	number := r.agent.unixMilli()
+	r.terms[r.selfIndex] = replication.Term{Number: number, Incarnation: r.agent.incarnation}
+	r.replica = replication.NewReplica(replication.ReplicaConfig{
+		Placement:   r.config.Placement,
+		Self:        r.selfIndex,
+		Terms:       r.terms,
+		Store:       replicastore.NewStore(r.config.MaxRecords, r.config.MaxBytes),
+		CatchUpRate: r.config.CatchUpRate,
+	}, now)
+}
+
 // HandleClaimEvent handles an event of the serving loop. Without replication it has no effect.
 func (a *Agent) HandleClaimEvent(now float64, event ClaimEvent) {
 	if a.replication != nil {
@@ -115,8 +118,8 @@
 	}
 }
 
-// handle handles a message of a coordinator or a replica.
-func (r *replicator) handle(now float64, message *wire.Envelope) {
+// handleMessage handles a message from a coordinator or a replica.
+func (r *replicator) handleMessage(now float64, message *wire.Envelope) {
 	from := r.config.Placement.MemberIndex(message.From)
 	if from >= 0 {
 		r.reportedAddrs[message.From] = message.Addr
@@ -129,7 +132,7 @@
 	r.flush(now)
 }
 
-// handleAsReplica handles a message that is for replicas.
+// handleAsReplica handles a message to this process's replica.
 func (r *replicator) handleAsReplica(now float64, from int, message *wire.Envelope) {
 	switch message.Kind() {
 	case wire.KindClaimRequest:
@@ -138,7 +141,7 @@
 		records := r.replica.HandlePull(now, from, message.PullRequest)
 		r.agent.trace(TracePulling)
 		if records != nil {
-			r.agent.reply(message, &wire.Envelope{PullReply: records})
+			r.agent.sendReply(message, &wire.Envelope{PullReply: records})
 		}
 		r.agent.trace(TracePulled)
 	case wire.KindPullReply:
@@ -158,7 +161,7 @@
 	}
 	reply := r.replica.HandleClaim(now, message.ClaimRequest)
 	r.agent.trace(decided)
-	r.agent.reply(message, &wire.Envelope{ClaimReply: &reply})
+	r.agent.sendReply(message, &wire.Envelope{ClaimReply: &reply})
 	r.agent.trace(replied)
 }
 
@@ -179,13 +182,14 @@
 	r.logStatus()
 }
 
-// logStatus writes a line when catching up began or ended, or a fault was found.
+// logStatus logs that catching up began or ended, or that a conflicting result or a corrupted record
+// was found.
 func (r *replicator) logStatus() {
 	status := r.status()
-	if status.IsReplica == r.logged.IsReplica &&
-		(status.CatchingUp == 0) == (r.logged.CatchingUp == 0) &&
-		status.ConflictingResults == r.logged.ConflictingResults &&
-		status.CorruptedRecords == r.logged.CorruptedRecords {
+	if status.IsReplica == r.lastLogged.IsReplica &&
+		(status.CatchingUp == 0) == (r.lastLogged.CatchingUp == 0) &&
+		status.ConflictingResults == r.lastLogged.ConflictingResults &&
+		status.CorruptedRecords == r.lastLogged.CorruptedRecords {
 		return
 	}
 	r.agent.logger.Info("replica_status_changed",
@@ -195,10 +199,11 @@
 		"records", status.Records,
 		"conflicting_results", status.ConflictingResults,
 		"corrupted_records", status.CorruptedRecords)
-	r.logged = *status
+	r.lastLogged = *status
 }
 
-// flush sends what coordinator and replica have to send, and hands the serving loop the verdicts.
+// flush sends the messages of coordinator and replica, until delivery to this process itself yields
+// no more, and hands the serving loop the verdicts.
 func (r *replicator) flush(now float64) {
 	for {
 		outbox := r.coordinator.TakeOutbox()
@@ -223,12 +228,12 @@
 	}
 }
 
-// deliver brings a message to its replica, which may be this process.
+// deliver sends a message to its replica, which may be this process's own.
 func (r *replicator) deliver(now float64, outgoing replication.Envelope) {
-	if outgoing.To == r.index {
+	if outgoing.To == r.selfIndex {
 		if outgoing.Claim != nil {
 			reply := r.replica.HandleClaim(now, outgoing.Claim)
-			r.coordinator.HandleReply(now, r.index, &reply)
+			r.coordinator.HandleReply(now, r.selfIndex, &reply)
 		}
 		return
 	}
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -7,8 +7,8 @@
 	"swiftcourse/internal/policy/replication"
 )
 
-// Status is what a process reports to an operator of itself and of the fleet. The JSON keys are
-// those of the control API.
+// Status is what an operator is told of a process and of its fleet. The JSON keys are part of the
+// control API, and older than the Go names.
 type Status struct {
 	Name              string                         `json:"Name"`
 	Incarnation       uint64                         `json:"Life"`
@@ -18,11 +18,11 @@
 	AssignedEpoch     release.Epoch                  `json:"Right"`
 	Leader            string                         `json:"Leader"`
 	MayGoOutOfService bool                           `json:"MayLeave"` // once its lease expired, see fleet-silent
-	DroppedMessages   uint64                         `json:"Lost"`     // without room, or that could not be decoded
+	DroppedMessages   uint64                         `json:"Lost"`     // see Node.dropped
 	ReleaseLog        *release.Log                   `json:"Order"`
 	Servers           []lease.ServerStatus           `json:"Standings"`
 	Audit             audit.Report                   `json:"Report"`
-	Replicas          map[string]*replication.Status `json:"Copies"` // of all that keep or claim anything and answered
+	Replicas          map[string]*replication.Status `json:"Copies"` // of all processes with replication that answered
 }
 
 // QueryStatus audits the fleet, and returns what this process knows of it. Versions before the
@@ -30,10 +30,10 @@
 func (n *Node) QueryStatus(since release.Epoch) (*Status, error) {
 	done := make(chan *auditResult, 1)
 	start := func(now float64) { n.agent.startAudit(now, func(result *auditResult) { done <- result }) }
-	if err := n.call(start); err != nil {
+	if err := n.runOnAgent(start); err != nil {
 		return nil, err
 	}
-	result, err := await(done, seconds(auditTimeout)+requestTimeout)
+	result, err := await(done, toDuration(auditTimeout)+requestTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -44,7 +44,7 @@
 		Log:        result.releaseLog,
 		Servers:    result.servers,
 		Accounts:   result.accounts,
-		Responding: result.alive,
+		Responding: result.responding,
 	}
 	report := audit.NewReport(evidence, since)
 	status, err := query(n, (*Agent).status)
--- a/internal/fleet/trace.go
+++ b/internal/fleet/trace.go
@@ -21,6 +21,7 @@
 	tracePointCount
 )
 
+// The names are read by programs that observe trace points; some of them differ from the constants'.
 var tracePointNames = [tracePointCount]string{
 	"claiming", "asked", "granting", "granted", "begun", "ending",
 	"noting", "noted", "pulling", "pulled", "taking", "taken",
--- a/internal/fleet/trust.go
+++ b/internal/fleet/trust.go
@@ -8,7 +8,7 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// TrustConfig is how the clients that servers trust are shared among them.
+// TrustConfig configures how servers share which clients they trust.
 type TrustConfig struct {
 	Retention  float64 // seconds for which others' trust records are kept
 	MaxClients int     // most clients that a server adopts from others
@@ -20,12 +20,12 @@
 	// trustAcceptFor is how long after its start a server adopts others' records, in seconds: by
 	// then its clients have had time to earn trust here, and a false record changes nothing later.
 	trustAcceptFor = 30.0
-	// trustRequestInterval and trustRequestFor: some others receive a request at once, and again
-	// until one has replied; seconds.
+	// A new server requests others' records every trustRequestInterval, until it received some or
+	// trustRequestFor has passed; in seconds.
 	trustRequestInterval = 0.2
 	trustRequestFor      = 5.0
-	// trustReportInterval is how often records are gossiped, in seconds, to gossipFanout others: a
-	// client that one server trusts is known to a fourth of what is left after two die.
+	// trustReportInterval is how often records are gossiped, in seconds, to gossipFanout others: after
+	// two servers died, a fourth of those left knows a client that one of them trusted.
 	trustReportInterval = 4.0
 	// maxTrustRecords go in one reply: 16 lists of 256 clients are 100 KB.
 	maxTrustRecords = 16
@@ -41,7 +41,7 @@
 	started     float64
 	lastRequest float64
 	lastReport  float64
-	received    bool // others' records, so that no more requests are needed
+	received    bool // others' records were received, so that no more requests are needed
 }
 
 func newTrustSharer(a *Agent, now float64) *trustSharer {
@@ -53,20 +53,20 @@
 		lastRequest: math.Inf(-1),
 		lastReport:  now,
 	}
-	a.handle(t.handleRequest, wire.KindTrustRequest)
-	a.handle(t.handleRecords, wire.KindTrustRecords)
+	a.registerHandler(t.handleRequest, wire.KindTrustRequest)
+	a.registerHandler(t.handleRecords, wire.KindTrustRecords)
 	return t
 }
 
-// observeTrusted records the clients that this server's connection limiter trusts.
-func (a *Agent) observeTrusted(clients []connlimit.TrustedClient) {
+// ObserveTrusted records the clients that this server's connection limiter trusts.
+func (a *Agent) ObserveTrusted(clients []connlimit.TrustedClient) {
 	if a.trust == nil {
 		return
 	}
 	a.trust.own = replication.TrustRecord{
 		Name:        a.config.Name,
 		Incarnation: a.incarnation,
-		Sequence:    uint64(max(0, a.unixNow()*1000)),
+		Sequence:    a.unixMilli(),
 		Clients:     clients,
 	}
 }
@@ -104,19 +104,19 @@
 		records = append(records, t.own)
 	}
 	if len(records) > 0 {
-		t.agent.reply(message, &wire.Envelope{TrustRecords: records})
+		t.agent.sendReply(message, &wire.Envelope{TrustRecords: records})
 	}
 }
 
 // handleRecords merges others' records.
 func (t *trustSharer) handleRecords(now float64, message *wire.Envelope) {
-	news := false
+	changed := false
 	for _, record := range message.TrustRecords {
 		if t.records.Observe(now, record) {
-			news = true
+			changed = true
 		}
 	}
-	if news && now < t.started+trustAcceptFor {
+	if changed && now < t.started+trustAcceptFor {
 		t.received = true
 		t.config.OnTrusted(t.records.MergedClients(now, t.config.MaxClients))
 	}
