--- a/internal/wire/fleet/replication.go
+++ b/internal/wire/fleet/replication.go
@@ -65,7 +65,7 @@
 	}
 	attempt = replicastore.Attempt{
 		ClaimID:        decodeClaimID(encoded),
-		State:          replicastore.State(min(encoded.State, math.MaxUint8)),
+		State:          replicastore.AttemptState(min(encoded.State, math.MaxUint8)),
 		ResultChecksum: encoded.Sum,
 		Result:         encoded.Result,
 	}
