--- /dev/null
+++ b/internal/fake/balancer/idle.go
@@ -0,0 +1,179 @@
+package balancer
+
+import (
+	"errors"
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"swiftcourse/internal/wire/rpc"
+)
+
+const (
+	// concurrentDials is how many idle connections are opened at a time.
+	concurrentDials = 64
+	// maxShortMessage bounds the messages read on idle connections. Each of them has a goroutine, so the buffer is
+	// small enough for the goroutine's initial stack.
+	maxShortMessage = 96
+)
+
+// errUnexpectedMessage reports a message of another kind than the awaited one.
+var errUnexpectedMessage = errors.New("unexpected message")
+
+var healthCheck = rpc.PutCheck(nil, 1)
+
+// IdleConns is a number of connections that were used once and send nothing. Its methods may be called from any
+// goroutine.
+type IdleConns struct {
+	honorClose bool
+	mu         sync.Mutex
+	conns      map[net.Conn]bool
+
+	// CloseRequests counts the connections that the server asked to close.
+	CloseRequests atomic.Int64
+	// Closed counts the connections that ended before Close, by the server or at its request.
+	Closed atomic.Int64
+}
+
+// OpenIdle opens n connections to a server and waits for the answer to a health check on each. With honorClose a
+// connection is closed when the server asks for it; without, it stays open until the server closes it.
+func OpenIdle(address string, n int, honorClose bool) (*IdleConns, error) {
+	idle := &IdleConns{honorClose: honorClose, conns: map[net.Conn]bool{}}
+	var wait sync.WaitGroup
+	var remaining atomic.Int64
+	remaining.Store(int64(n))
+	failures := make(chan error, concurrentDials)
+	for range min(concurrentDials, n) {
+		wait.Go(func() {
+			for remaining.Add(-1) >= 0 {
+				if err := idle.open(address); err != nil {
+					failures <- err
+					return
+				}
+			}
+		})
+	}
+	wait.Wait()
+	select {
+	case err := <-failures:
+		idle.Close()
+		return nil, err
+	default:
+		return idle, nil
+	}
+}
+
+// open adds one connection.
+func (p *IdleConns) open(address string) error {
+	conn, err := net.DialTimeout("tcp", address, dialTimeout)
+	if err != nil {
+		return err
+	}
+	if err := exchangeHealthCheck(conn); err != nil {
+		_ = conn.Close()
+		return err
+	}
+	p.mu.Lock()
+	p.conns[conn] = true
+	p.mu.Unlock()
+	go p.watch(conn)
+	return nil
+}
+
+func exchangeHealthCheck(conn net.Conn) error {
+	if _, err := conn.Write(healthCheck); err != nil {
+		return err
+	}
+	_ = conn.SetReadDeadline(time.Now().Add(dialTimeout))
+	err := readMessage(conn, rpc.WellSaid)
+	_ = conn.SetReadDeadline(time.Time{})
+	return err
+}
+
+// readMessage reads one message and returns errUnexpectedMessage if it is not of the wanted kind.
+func readMessage(conn net.Conn, want rpc.End) error {
+	var buffer [maxShortMessage]byte
+	for filled := 0; filled < len(buffer); {
+		n, err := conn.Read(buffer[filled:])
+		if err != nil {
+			return err
+		}
+		filled += n
+		answer, size, err := rpc.NextAnswer(buffer[:filled])
+		if err != nil {
+			return err
+		}
+		if size == 0 {
+			continue
+		}
+		if answer.End != want {
+			return errUnexpectedMessage
+		}
+		return nil
+	}
+	return errUnexpectedMessage
+}
+
+// watch waits until the server closes a connection, or asks for it.
+func (p *IdleConns) watch(conn net.Conn) {
+	for {
+		err := readMessage(conn, rpc.PartSaid)
+		if errors.Is(err, errUnexpectedMessage) {
+			continue // the answer to SendHealthChecks
+		}
+		if err == nil {
+			p.CloseRequests.Add(1)
+			if !p.honorClose {
+				continue
+			}
+		}
+		_ = conn.Close()
+		if p.remove(conn) {
+			p.Closed.Add(1)
+		}
+		return
+	}
+}
+
+// remove reports whether the connection was still held.
+func (p *IdleConns) remove(conn net.Conn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	held := p.conns[conn]
+	delete(p.conns, conn)
+	return held
+}
+
+// Len returns the number of open connections.
+func (p *IdleConns) Len() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.conns)
+}
+
+// SendHealthChecks sends a health check on every connection in one burst, so that all of their idle timers restart
+// at the same time. Write errors are ignored: a connection that closes meanwhile needs no check.
+func (p *IdleConns) SendHealthChecks() {
+	for _, conn := range p.all() {
+		_, _ = conn.Write(healthCheck)
+	}
+}
+
+// Close closes all connections.
+func (p *IdleConns) Close() {
+	for _, conn := range p.all() {
+		p.remove(conn)
+		_ = conn.Close()
+	}
+}
+
+func (p *IdleConns) all() []net.Conn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	all := make([]net.Conn, 0, len(p.conns))
+	for conn := range p.conns {
+		all = append(all, conn)
+	}
+	return all
+}
--- /dev/null
+++ b/internal/fake/executor/connection.go
@@ -0,0 +1,115 @@
+package executor
+
+import (
+	"bufio"
+	"bytes"
+	"net"
+	"time"
+
+	"swiftcourse/internal/wire/processor"
+)
+
+const readBufferSize = 64 << 10
+
+// notice is a line for the server that stays valid over connections, by its serial.
+type notice struct {
+	serial int64
+	line   []byte
+}
+
+// serve handles one connection until it ends or sends something that is not a command.
+func (s *Server) serve(conn net.Conn) {
+	in := bufio.NewReaderSize(conn, readBufferSize)
+	for {
+		line, err := in.ReadSlice('\n')
+		if err != nil {
+			return
+		}
+		command, err := processor.ReadCommand(bytes.TrimSuffix(line, []byte("\n")))
+		if err != nil {
+			return // the protocol has the executor close the connection
+		}
+		s.handle(conn, &command)
+	}
+}
+
+func (s *Server) handle(conn net.Conn, command *processor.Command) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if command.Verb == processor.Resume {
+		s.resume(conn, command.Number)
+	} else if s.link == conn {
+		s.execute(command)
+	}
+}
+
+// resume replaces the connection by a new one and repeats the notices after the last that the server has read.
+func (s *Server) resume(conn net.Conn, lastRead int64) {
+	if s.link != nil && s.link != conn {
+		_ = s.link.Close()
+	}
+	s.stats.Links++
+	s.link = conn
+	s.output = nil
+	s.write(processor.PutUp(nil, s.config.ColdStart, time.Since(s.startedAt).Seconds()))
+	for _, n := range s.notices {
+		if n.serial > lastRead {
+			s.write(n.line)
+		}
+	}
+}
+
+func (s *Server) execute(command *processor.Command) {
+	switch command.Verb {
+	case processor.Begin:
+		s.begin(command)
+	case processor.Answer, processor.Without:
+		s.resumeRun(command)
+	case processor.Gauge:
+		var gauges []float64
+		if s.config.Gauges != nil {
+			gauges = s.config.Gauges(s.busy, len(s.waiting))
+		}
+		s.write(processor.PutMeasured(nil, command.Tag, gauges))
+	}
+}
+
+// notify sends a notice and keeps it for connections that resume.
+func (s *Server) notify(put func(b []byte, serial int64) []byte) {
+	s.serial++
+	line := put(nil, s.serial)
+	if len(s.notices) >= 2*maxNotices {
+		s.notices = append([]notice(nil), s.notices[maxNotices:]...)
+	}
+	s.notices = append(s.notices, notice{s.serial, line})
+	s.write(line)
+}
+
+// write queues a line. A goroutine of its own writes the queue, as the caller holds the lock.
+func (s *Server) write(line []byte) {
+	if s.link == nil {
+		return
+	}
+	s.output = append(s.output, line...)
+	if !s.flushing {
+		s.flushing = true
+		go s.flush()
+	}
+}
+
+// flush writes until the queue is empty. Write errors are ignored: a server whose connection broke resumes with
+// another one and asks for the notices again.
+func (s *Server) flush() {
+	for {
+		s.mu.Lock()
+		output, link := s.output, s.link
+		s.output = nil
+		s.flushing = len(output) > 0 && link != nil
+		stop := !s.flushing
+		s.mu.Unlock()
+		if stop {
+			return
+		}
+		_, _ = link.Write(output)
+	}
+}
--- /dev/null
+++ b/internal/fake/executor/run.go
@@ -0,0 +1,134 @@
+package executor
+
+import (
+	"time"
+
+	"swiftcourse/admission"
+	"swiftcourse/internal/wire/processor"
+)
+
+// run is the execution of one request. A run that calls the upstream service has two parts, one before the call and
+// one after it; any other has one.
+type run struct {
+	id, class   string
+	body        []byte
+	partSeconds float64 // of a core, for each part
+	partsLeft   int
+	callSerial  int64 // of the notice of its upstream call; 0 while it waits for none
+	startedAt   time.Time
+}
+
+// begin starts a run, unless one with its id is under way.
+func (s *Server) begin(command *processor.Command) {
+	if s.runs[command.ID] != nil {
+		return
+	}
+	s.stats.Started++
+	if s.ended[command.ID] {
+		s.stats.Repeated++
+	}
+	r := &run{id: command.ID, class: command.Stage, body: command.Body, partsLeft: 1, startedAt: time.Now()}
+	if s.config.CPUSeconds != nil {
+		r.partSeconds = s.config.CPUSeconds(r.class, r.id)
+	}
+	if s.config.CallsUpstream != nil && s.config.CallsUpstream(r.class, r.id) {
+		r.partsLeft = 2
+		r.partSeconds /= 2
+	}
+	s.runs[r.id] = r
+	if s.config.OnStart != nil {
+		s.config.OnStart(r.id, r.body)
+	}
+	s.enqueue(r)
+}
+
+// resumeRun continues a run that waits for its upstream call, with the call's reply or without one.
+func (s *Server) resumeRun(command *processor.Command) {
+	r := s.runs[command.ID]
+	otherCall := r != nil && command.Verb == processor.Without && command.Number != r.callSerial
+	if r == nil || r.callSerial == 0 || otherCall {
+		s.write(processor.PutRejection(nil, command.Verb, command.ID))
+		return
+	}
+	r.callSerial = 0
+	s.enqueue(r)
+}
+
+// enqueue has the next part of a run wait for a core.
+func (s *Server) enqueue(r *run) {
+	s.waiting = append(s.waiting, r)
+	s.schedule()
+}
+
+// schedule starts waiting parts while there are free cores.
+func (s *Server) schedule() {
+	for len(s.waiting) > 0 && s.busy < s.config.Cores {
+		r := s.waiting[0]
+		s.waiting = s.waiting[1:]
+		if r.partSeconds <= 0 {
+			s.finishPart(r)
+			continue
+		}
+		s.busy++
+		time.AfterFunc(seconds(r.partSeconds), func() {
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			s.busy--
+			s.finishPart(r)
+			s.schedule()
+		})
+	}
+}
+
+// finishPart ends a part of a run: the first of two with an upstream call, the last with the run's result.
+func (s *Server) finishPart(r *run) {
+	r.partsLeft--
+	if r.partsLeft > 0 {
+		s.callUpstream(r)
+		return
+	}
+	s.endRun(r)
+	if s.config.Result != nil {
+		r.body = s.config.Result(r.id, r.body)
+	}
+	s.notifyEnded(r, admission.Finished, r.body)
+}
+
+// callUpstream asks the server for the run's upstream call, and cancels the run if the call takes too long.
+func (s *Server) callUpstream(r *run) {
+	s.stats.Calls++
+	s.notify(func(b []byte, serial int64) []byte {
+		r.callSerial = serial
+		return processor.PutParked(b, serial, r.id, r.body)
+	})
+	if s.config.CallTimeout <= 0 {
+		return
+	}
+	call := r.callSerial
+	time.AfterFunc(seconds(s.config.CallTimeout), func() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		if s.runs[r.id] == r && r.callSerial == call {
+			s.endRun(r)
+			s.notifyEnded(r, admission.Cancelled, nil)
+		}
+	})
+}
+
+func (s *Server) notifyEnded(r *run, outcome admission.Outcome, result []byte) {
+	s.notify(func(b []byte, serial int64) []byte {
+		return processor.PutEnded(b, serial, r.id, outcome, time.Since(r.startedAt).Seconds(), result)
+	})
+}
+
+// endRun removes a run and remembers its id for Stats.Repeated.
+func (s *Server) endRun(r *run) {
+	s.stats.Ended++
+	delete(s.runs, r.id)
+	if len(s.ended) >= maxEndedIDs {
+		clear(s.ended)
+	}
+	s.ended[r.id] = true
+}
+
+func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
--- /dev/null
+++ b/internal/fake/upstream/server.go
@@ -0,0 +1,113 @@
+// Package upstream is a fake of the service that a server's requests call. A test decides for each call whether it
+// is answered, how late, and whether its connection breaks.
+package upstream
+
+import (
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"swiftcourse/admission"
+	"swiftcourse/internal/fake/tcpserver"
+	"swiftcourse/internal/wire/catalogue"
+)
+
+const readSize = 16 << 10
+
+// Response is what the fake does with a call.
+type Response struct {
+	Delay      time.Duration
+	Outcome    admission.Outcome
+	Body       []byte
+	Disconnect bool // close the connection instead of answering
+	NoReply    bool // never answer
+}
+
+// Server is a running fake. Its methods may be called from any goroutine.
+type Server struct {
+	listener net.Listener
+	respond  func(n int, call catalogue.Call) Response
+	calls    atomic.Int64
+}
+
+// Start listens on a TCP address. It calls respond, from the goroutine of the connection, to decide about the nth
+// call, counted from 1 over all connections.
+func Start(address string, respond func(n int, call catalogue.Call) Response) (*Server, error) {
+	s := &Server{respond: respond}
+	listener, err := tcpserver.Start(address, s.serve)
+	if err != nil {
+		return nil, err
+	}
+	s.listener = listener
+	return s, nil
+}
+
+// Addr returns the address on which the server listens.
+func (s *Server) Addr() string { return s.listener.Addr().String() }
+
+// Calls returns the number of calls received.
+func (s *Server) Calls() int { return int(s.calls.Load()) }
+
+// Close stops listening. Open connections go on until the other side closes them.
+func (s *Server) Close() { _ = s.listener.Close() }
+
+// connection is one client connection; replies that were delayed write to it from timers.
+type connection struct {
+	net.Conn
+	mu sync.Mutex // serializes writes
+}
+
+func (s *Server) serve(raw net.Conn) {
+	conn := &connection{Conn: raw}
+	var buffered []byte
+	piece := make([]byte, readSize)
+	for {
+		n, err := conn.Read(piece)
+		if err != nil {
+			return
+		}
+		buffered = append(buffered, piece[:n]...)
+		for {
+			call, size, err := catalogue.NextCall(buffered)
+			if err != nil {
+				return
+			}
+			if size == 0 {
+				break
+			}
+			buffered = buffered[size:]
+			if !s.handle(conn, call) {
+				return
+			}
+		}
+	}
+}
+
+// handle responds to a call and reports whether the connection stays open.
+func (s *Server) handle(conn *connection, call catalogue.Call) bool {
+	if call.Quit {
+		return true // the protocol lets a reply that is on its way go unread
+	}
+	response := s.respond(int(s.calls.Add(1)), call)
+	if response.Disconnect {
+		return false
+	}
+	if response.NoReply {
+		return true
+	}
+	reply := catalogue.PutReply(nil, call.ID, response.Outcome, response.Body)
+	if response.Delay > 0 {
+		time.AfterFunc(response.Delay, func() { conn.send(reply) })
+	} else {
+		conn.send(reply)
+	}
+	return true
+}
+
+// send writes a reply. A client that has closed the connection no longer needs it, so a write error is ignored.
+func (c *connection) send(reply []byte) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	_, _ = c.Write(reply)
+}
