--- a/internal/bench/idleconns/idle.go
+++ b/internal/bench/idleconns/idle.go
@@ -232,14 +232,14 @@
 func (b *bench) state() (all state, err error) {
 	for _, s := range b.servers {
 		if b.plan.Statistics {
-			counts, err := s.Statistics()
+			statistics, err := s.Statistics()
 			if err != nil {
 				return all, err
 			}
-			all.heap += 1024 * process.Number(counts, "heap_kb")
-			all.timers += process.Number(counts, "timers")
-			all.turn = max(all.turn, process.Number(counts, "turn_ms"))
-			all.conns += process.Number(counts, "conns")
+			all.heap += 1024 * statistics.Number("heap_kb")
+			all.timers += statistics.Number("timers")
+			all.turn = max(all.turn, statistics.Number("turn_ms"))
+			all.conns += statistics.Number("conns")
 		}
 		resident, err := s.ResidentBytes()
 		if err != nil {
--- /dev/null
+++ b/internal/bench/process/config.go
@@ -0,0 +1,136 @@
+package process
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"time"
+
+	"swiftcourse/internal/fake/executor"
+	"swiftcourse/internal/fake/upstream"
+	"swiftcourse/internal/wire/catalogue"
+	"swiftcourse/internal/wire/shale"
+)
+
+// Config is how servers are started.
+type Config struct {
+	Program           string // path of the server's binary
+	CPU               int    // the one that all servers share; under 0 they may use any
+	Cores             float64
+	MemoryMB          int
+	Descriptors       int    // that the server is told it may use
+	ActualDescriptors int    // to which the limit is lowered once the server is healthy; 0 leaves it
+	OperatorFile      string // text of the operator's file, "" for none
+	StopTimeout       time.Duration
+	Settings          shale.Told
+	Args              []string // of the command line; none to serve
+
+	Executor executor.Config
+	// ExecutorOf, if it is not nil, replaces Executor by server name; OnStart and Result stay those of Executor.
+	ExecutorOf func(name string) executor.Config
+	// Upstream responds to the servers' upstream calls; with neither it nor UpstreamOf there is no upstream service.
+	Upstream func(n int, call catalogue.Call) upstream.Response
+	// UpstreamOf, if it is not nil, replaces Upstream and is told which server calls.
+	UpstreamOf func(name string, n int, call catalogue.Call) upstream.Response
+
+	// Override, if it is not nil, returns a server's own operator's file and environment.
+	Override func(name string) (operatorFile string, env []string)
+	// Log receives the servers' logs, each line after the server's name; nil discards them.
+	Log io.Writer
+	// OnLogLine, if it is not nil, is called for every line of a server's log as it comes.
+	OnLogLine func(name, line string)
+}
+
+// executorConfig returns the executor's configuration for a server.
+func (c *Config) executorConfig(name string) executor.Config {
+	if c.ExecutorOf == nil {
+		return c.Executor
+	}
+	config := c.ExecutorOf(name)
+	config.OnStart = c.Executor.OnStart
+	config.Result = c.Executor.Result
+	return config
+}
+
+// upstreamResponder returns what responds to a server's upstream calls; nil where it makes none.
+func (c *Config) upstreamResponder(name string) func(n int, call catalogue.Call) upstream.Response {
+	if c.UpstreamOf == nil {
+		return c.Upstream
+	}
+	return func(n int, call catalogue.Call) upstream.Response { return c.UpstreamOf(name, n, call) }
+}
+
+// serverFile is the JSON configuration that a server reads at its start.
+type serverFile struct {
+	Name        string       `json:"name"`
+	Listen      string       `json:"listen"`
+	Executor    string       `json:"processor"`
+	Registry    string       `json:"roster"`
+	Upstream    string       `json:"catalog"`
+	Seed        string       `json:"seed"`
+	StopTimeout int64        `json:"stop_ms"`
+	Limits      serverLimits `json:"limits"`
+	Settings    shale.Told   `json:"settings"`
+}
+
+type serverLimits struct {
+	Cores       float64 `json:"cores"`
+	MemoryMB    int     `json:"memory_mb"`
+	Descriptors int     `json:"sockets"`
+}
+
+const (
+	// serverSeed is the seed of every server's random choices.
+	serverSeed       = "8c1f30d27a5be964"
+	filePermissions  = 0o600
+	serverFileName   = "config.json"
+	operatorFileName = "swiftcourse.conf"
+)
+
+// writeServerFile writes the server's JSON configuration into its folder.
+func (s *Server) writeServerFile() error {
+	file := serverFile{
+		Name:        s.Name,
+		Listen:      s.Addr,
+		Executor:    s.Executor.Addr(),
+		Registry:    s.Registry.Addr(),
+		Seed:        serverSeed,
+		StopTimeout: s.config.StopTimeout.Milliseconds(),
+		Limits: serverLimits{
+			Cores:       s.config.Cores,
+			MemoryMB:    s.config.MemoryMB,
+			Descriptors: s.config.Descriptors,
+		},
+		Settings: s.config.Settings,
+	}
+	if s.Upstream != nil {
+		file.Upstream = s.Upstream.Addr()
+	}
+	text, err := json.Marshal(file)
+	if err != nil {
+		return fmt.Errorf("encode the configuration of %s: %w", s.Name, err)
+	}
+	s.path = filepath.Join(s.folder, serverFileName)
+	return os.WriteFile(s.path, text, filePermissions)
+}
+
+// environment writes the operator's file, if there is one, and returns the server's environment.
+func (s *Server) environment() ([]string, error) {
+	env := append(os.Environ(), "RELAY_NAME="+s.Name, "RELAY_LISTEN="+s.Addr, "RELAY_CONFIG="+s.path)
+	text := s.config.OperatorFile
+	if s.config.Override != nil {
+		var own []string
+		text, own = s.config.Override(s.Name)
+		env = append(env, own...)
+	}
+	if text == "" {
+		return env, nil
+	}
+	path := filepath.Join(s.folder, operatorFileName)
+	if err := os.WriteFile(path, []byte(text), filePermissions); err != nil {
+		return nil, err
+	}
+	return append(env, "SWIFTCOURSE_CONF="+path), nil
+}
--- a/internal/bench/report/report.go
+++ b/internal/bench/report/report.go
@@ -1,4 +1,4 @@
-// Package report prints what an experiment found: a table for people, and an array of rows in JSON for programs.
+// Package report prints the rows of an experiment: a table for people, and a JSON array for programs.
 package report
 
 import (
@@ -9,26 +9,35 @@
 	"text/tabwriter"
 )
 
-// WriteTable prints rows under their heads, figures to the right.
-func WriteTable(out io.Writer, heads []string, rows [][]string) error {
+// filePermissions are those of report files.
+const filePermissions = 0o644
+
+// WriteTable writes rows below a line of column names, aligned to the right.
+func WriteTable(out io.Writer, columns []string, rows [][]string) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	for _, row := range append([][]string{heads}, rows...) {
+	for _, row := range append([][]string{columns}, rows...) {
 		for _, cell := range row {
 			fmt.Fprint(w, cell, "\t")
 		}
 		fmt.Fprintln(w)
 	}
-	return w.Flush()
+	if err := w.Flush(); err != nil {
+		return fmt.Errorf("write table: %w", err)
+	}
+	return nil
 }
 
-// WriteJSON writes rows as an array to a file.
+// WriteJSON writes rows to a file as an indented JSON array; no rows give an empty one.
 func WriteJSON[T any](path string, rows []T) error {
 	if rows == nil {
 		rows = []T{}
 	}
 	text, err := json.MarshalIndent(rows, "", "  ")
 	if err != nil {
-		return err
+		return fmt.Errorf("encode %s: %w", path, err)
+	}
+	if err := os.WriteFile(path, append(text, '\n'), filePermissions); err != nil {
+		return fmt.Errorf("write report: %w", err)
 	}
-	return os.WriteFile(path, append(text, '\n'), 0o644)
+	return nil
 }
--- a/internal/fake/balancer/idle.go
+++ b/internal/fake/balancer/idle.go
@@ -65,7 +65,7 @@
 }
 
 // open adds one connection.
-func (p *IdleConns) open(address string) error {
+func (c *IdleConns) open(address string) error {
 	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
 		return err
@@ -74,10 +74,10 @@
 		_ = conn.Close()
 		return err
 	}
-	p.mu.Lock()
-	p.conns[conn] = true
-	p.mu.Unlock()
-	go p.watch(conn)
+	c.mu.Lock()
+	c.conns[conn] = true
+	c.mu.Unlock()
+	go c.watch(conn)
 	return nil
 }
 
@@ -116,63 +116,64 @@
 }
 
 // watch waits until the server closes a connection, or asks for it.
-func (p *IdleConns) watch(conn net.Conn) {
+func (c *IdleConns) watch(conn net.Conn) {
 	for {
 		err := readMessage(conn, rpc.PartSaid)
 		if errors.Is(err, errUnexpectedMessage) {
 			continue // the answer to SendHealthChecks
 		}
 		if err == nil {
-			p.CloseRequests.Add(1)
-			if !p.honorClose {
+			c.CloseRequests.Add(1)
+			if !c.honorClose {
 				continue
 			}
 		}
 		_ = conn.Close()
-		if p.remove(conn) {
-			p.Closed.Add(1)
-		}
+		c.countClosed(conn)
 		return
 	}
 }
 
-// remove reports whether the connection was still held.
-func (p *IdleConns) remove(conn net.Conn) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	held := p.conns[conn]
-	delete(p.conns, conn)
-	return held
+// countClosed removes a connection that ended and counts it, unless Close removed it before.
+func (c *IdleConns) countClosed(conn net.Conn) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.conns[conn] {
+		delete(c.conns, conn)
+		c.Closed.Add(1)
+	}
 }
 
 // Len returns the number of open connections.
-func (p *IdleConns) Len() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return len(p.conns)
+func (c *IdleConns) Len() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.conns)
 }
 
 // SendHealthChecks sends a health check on every connection in one burst, so that all of their idle timers restart
 // at the same time. Write errors are ignored: a connection that closes meanwhile needs no check.
-func (p *IdleConns) SendHealthChecks() {
-	for _, conn := range p.all() {
+func (c *IdleConns) SendHealthChecks() {
+	for _, conn := range c.all() {
 		_, _ = conn.Write(healthCheck)
 	}
 }
 
 // Close closes all connections.
-func (p *IdleConns) Close() {
-	for _, conn := range p.all() {
-		p.remove(conn)
+func (c *IdleConns) Close() {
+	for _, conn := range c.all() {
+		c.mu.Lock()
+		delete(c.conns, conn)
+		c.mu.Unlock()
 		_ = conn.Close()
 	}
 }
 
-func (p *IdleConns) all() []net.Conn {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	all := make([]net.Conn, 0, len(p.conns))
-	for conn := range p.conns {
+func (c *IdleConns) all() []net.Conn {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	all := make([]net.Conn, 0, len(c.conns))
+	for conn := range c.conns {
 		all = append(all, conn)
 	}
 	return all
