--- a/internal/server/evict_test.go
+++ b/internal/server/evict_test.go
@@ -50,16 +50,16 @@
 	add := func(unsent bool) *clientConn {
 		id, client := s.clients.conns.Add()
 		client.server, client.id, client.conn, client.unsent = s, id, brokenConn{}, unsent
-		s.clients.limiter.Open(id.Slot(), 0)
-		s.clients.limiter.Tell(id.Slot(), connlimit.Spoke, 0)
+		s.clients.limiter.HandleOpen(id.Slot(), 0)
+		s.clients.limiter.HandleEvent(id.Slot(), connlimit.EventRequest, 0)
 		return client
 	}
 	answered, silent, late := add(true), add(false), add(false)
-	s.clients.limiter.Tell(silent.id.Slot(), connlimit.Spoke, 1)
+	s.clients.limiter.HandleEvent(silent.id.Slot(), connlimit.EventRequest, 1)
 	if client := s.evictionCandidate(late); client != silent { // an answer is on its way out to the first
 		t.Errorf("%+v goes", client)
 	}
-	s.clients.limiter.Tell(silent.id.Slot(), connlimit.Owed, 2)
+	s.clients.limiter.HandleEvent(silent.id.Slot(), connlimit.EventRequestOpened, 2)
 	if client := s.evictionCandidate(late); client != nil {
 		t.Errorf("%+v goes, %+v", client, answered)
 	}
