--- /dev/null
+++ b/internal/bench/connflood/client.go
@@ -0,0 +1,190 @@
+package connflood
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"sync"
+	"time"
+
+	"swiftcourse/internal/wire/rpc"
+)
+
+const (
+	// clientTimeout is how long a trusted client waits for its connection and the answer to its first request.
+	clientTimeout = time.Second
+	// requestInterval is the pause between a client's requests while it earns trust.
+	requestInterval = 200 * time.Millisecond
+	// reconnectInterval is the pause between a client's attempts to connect in the flood.
+	reconnectInterval = 300 * time.Millisecond
+	// maxAnswer bounds what is buffered of a server's messages.
+	maxAnswer = 512
+)
+
+var (
+	errNotFinished = errors.New("request answered, and not finished")
+	errLongMessage = errors.New("message is too long")
+)
+
+// client is a trusted client: an address, and at times a connection.
+type client struct {
+	server  string
+	address net.IP
+	number  int
+	conn    net.Conn // nil while there is none
+	sent    uint64   // messages on the connection
+	nextID  int
+}
+
+// earnTrust connects the trusted clients, each from an address of its own, and has them served for a period.
+func (p *Plan) earnTrust(ctx context.Context, server string, period time.Duration) ([]*client, error) {
+	var clients []*client
+	for i := range p.Trusted {
+		c := &client{server: server, address: net.IPv4(127, 20, byte(i>>8), byte(i%250+1)), number: i}
+		if err := c.dial(ctx); err != nil {
+			return nil, err
+		}
+		clients = append(clients, c)
+	}
+	for end := time.Now().Add(period); time.Now().Before(end); time.Sleep(requestInterval) {
+		var wait sync.WaitGroup
+		for _, c := range clients {
+			wait.Go(func() { _ = c.request(clientTimeout) }) // a request that is not finished earns nothing
+		}
+		wait.Wait()
+	}
+	return clients, nil
+}
+
+// attemptStats is how clients fared that connected again and again for one request each.
+type attemptStats struct {
+	total     int
+	failed    int
+	latencies []float64 // of those that did not fail, in milliseconds, from the dial to the answer
+}
+
+// reconnect has clients connect again and again for one request each until the end, and waits for all goroutines of
+// the group.
+func reconnect(ctx context.Context, clients []*client, end time.Time, group *sync.WaitGroup) attemptStats {
+	var mu sync.Mutex
+	var stats attemptStats
+	for _, c := range clients {
+		group.Go(func() {
+			for time.Now().Before(end) && ctx.Err() == nil {
+				start := time.Now()
+				err := c.attempt(ctx)
+				mu.Lock()
+				stats.total++
+				if err != nil {
+					stats.failed++
+				} else {
+					stats.latencies = append(stats.latencies, time.Since(start).Seconds()*1000)
+				}
+				mu.Unlock()
+				time.Sleep(reconnectInterval)
+			}
+		})
+	}
+	group.Wait()
+	return stats
+}
+
+// attempt connects, has one request finished and closes the connection.
+func (c *client) attempt(ctx context.Context) error {
+	defer c.close()
+	start := time.Now()
+	if err := c.dial(ctx); err != nil {
+		return err
+	}
+	return c.request(clientTimeout - time.Since(start))
+}
+
+// requestUntil sends requests one after the other until the end, and returns false as soon as one has no answer.
+func (c *client) requestUntil(ctx context.Context, end time.Time) bool {
+	for time.Now().Before(end) && ctx.Err() == nil {
+		if c.request(openTimeout) != nil {
+			return false
+		}
+	}
+	return true
+}
+
+func (c *client) dial(ctx context.Context) error {
+	c.sent = 0
+	conn, err := dialFrom(ctx, c.address, c.server)
+	c.conn = conn
+	return err
+}
+
+// dialFrom connects to a server from an address of loopback.
+func dialFrom(ctx context.Context, address net.IP, server string) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: clientTimeout, LocalAddr: &net.TCPAddr{IP: address}}
+	return dialer.DialContext(ctx, "tcp", server)
+}
+
+func (c *client) close() {
+	if c.conn != nil {
+		_ = c.conn.Close()
+		c.conn = nil
+	}
+}
+
+// request has one request finished. The error tells that no answer came, or errNotFinished that another one did.
+func (c *client) request(timeout time.Duration) error {
+	if c.conn == nil {
+		return net.ErrClosed
+	}
+	c.sent++
+	c.nextID++
+	_ = c.conn.SetDeadline(time.Now().Add(timeout))
+	message := rpc.Message{
+		Number: c.sent,
+		ID:     fmt.Sprintf("%04x%012x", c.number, c.nextID),
+		Stage:  className,
+		Came:   float64(time.Now().UnixMilli()) / 1000,
+		Wait:   timeout.Seconds(),
+		Caller: c.number,
+		Memory: 1,
+		Rank:   0.5,
+		Body:   []byte("x"),
+	}
+	if _, err := c.conn.Write(rpc.PutTask(nil, &message)); err != nil {
+		return err
+	}
+	answer, err := readAnswer(c.conn, c.sent)
+	if err != nil {
+		return err
+	}
+	if answer.End != rpc.Finished {
+		return errNotFinished
+	}
+	return nil
+}
+
+// readAnswer reads up to the answer to the message with the given number.
+func readAnswer(conn net.Conn, number uint64) (rpc.Answer, error) {
+	var storage [maxAnswer]byte
+	buffered := storage[:0]
+	for len(buffered) < cap(buffered) {
+		n, err := conn.Read(buffered[len(buffered):cap(buffered)])
+		if err != nil {
+			return rpc.Answer{}, err
+		}
+		buffered = buffered[:len(buffered)+n]
+		for {
+			answer, size, err := rpc.NextAnswer(buffered)
+			if err != nil {
+				return answer, err
+			}
+			if size == 0 {
+				break
+			}
+			if answer.Number == number && answer.End != rpc.PartSaid {
+				return answer, nil
+			}
+			buffered = append(storage[:0], buffered[size:]...)
+		}
+	}
+	return rpc.Answer{}, errLongMessage
+}
--- a/internal/bench/connflood/restart.go
+++ b/internal/bench/connflood/restart.go
@@ -10,68 +10,92 @@
 	"swiftcourse/internal/bench/faultinjection"
 )
 
-// RestartRow is how known clients fared at a server that came back cold among strangers, with its fleet's word on them and without.
+// RestartRow is how trusted clients fared at a server that restarted in a flood, with and without the trust records
+// of its fleet.
 type RestartRow struct {
 	ReplicaCallers string `json:"replica_callers"`
 	Trusted        int    `json:"known"`
 	Attempts       int    `json:"known_tries"`
-	Failed         int    `json:"known_failed"` // no answer within a second, or another than finished
+	Failed         int    `json:"known_failed"` // no answer within the timeout, or one other than finished
 	Untrusted      int    `json:"strangers"`
 }
 
-// RestartColumns and Cells are those of the table.
+// RestartColumns are the names of the columns of RestartRow.Cells.
 var RestartColumns = []string{"replica-callers", "known", "tries", "failed", "strangers"}
 
-// Cells are a row's in the table.
+// Cells returns the row's cells in the table.
 func (r RestartRow) Cells() []string {
-	return strings.Fields(fmt.Sprintf("%s %d %d %d %d", r.ReplicaCallers, r.Trusted, r.Attempts, r.Failed, r.Untrusted))
+	return strings.Fields(fmt.Sprintf("%s %d %d %d %d",
+		r.ReplicaCallers, r.Trusted, r.Attempts, r.Failed, r.Untrusted))
 }
 
-// toldFor is how long the clients go on doing tasks after they have earned being known: by then others were told of them.
-const toldFor = 7 * time.Second
+const (
+	fleetSize   = 3
+	restartName = "n1"
+	// trustSpread is how long the clients are served after they have earned trust: by then the other servers have
+	// been told of them.
+	trustSpread = 7 * time.Second
+	// trustTimeout is how long the restarted server may take to learn the trusted clients from its fleet.
+	trustTimeout = time.Second
+)
 
-// RunRestart measures a restart of one server of three, with replica-callers off and on.
-func RunRestart(ctx context.Context, p *Plan) (rows []RestartRow, err error) {
-	for _, told := range []string{"off", "on"} {
-		row, err := p.restart(ctx, told)
+// RunRestart measures a restart of one server of a fleet, with the setting replica-callers off and on.
+func RunRestart(ctx context.Context, p *Plan) ([]RestartRow, error) {
+	var rows []RestartRow
+	for _, replicaCallers := range []string{"off", "on"} {
+		row, err := p.restart(ctx, replicaCallers)
 		if err != nil {
-			return rows, fmt.Errorf("with replica-callers %s: %w", told, err)
+			return rows, fmt.Errorf("with replica-callers %s: %w", replicaCallers, err)
 		}
 		rows = append(rows, row)
 	}
 	return rows, nil
 }
 
-func (p *Plan) restart(ctx context.Context, told string) (row RestartRow, err error) {
-	shape := faultinjection.SmallShape(p.Program)
-	shape.Descriptors, shape.Log = p.Descriptors, p.Log
-	f, err := faultinjection.Start(ctx, faultinjection.Config{Shape: shape, Servers: 3, Voters: 3, ExtraSettings: "door on\nfleet-lease 2s\nreplica-callers " + told + "\n"})
+func (p *Plan) restart(ctx context.Context, replicaCallers string) (RestartRow, error) {
+	row := RestartRow{ReplicaCallers: replicaCallers, Trusted: p.Trusted}
+	fleet, err := p.startFleet(ctx, replicaCallers)
 	if err != nil {
 		return row, err
 	}
-	defer f.Close()
-	s := f.Server("n1")
-	row = RestartRow{ReplicaCallers: told, Trusted: p.Trusted}
-	fmt.Fprintf(p.Progress, "replica-callers %s: %d clients become known\n", told, p.Trusted)
-	clients, err := p.earn(ctx, s.Addr, earnFor+toldFor)
+	defer fleet.Close()
+	address := fleet.Server(restartName).Addr
+	fmt.Fprintf(p.Progress, "replica-callers %s: %d clients become known\n", replicaCallers, p.Trusted)
+	clients, err := p.earnTrust(ctx, address, trustPeriod+trustSpread)
 	if err != nil {
 		return row, err
 	}
 	for _, c := range clients {
 		c.close()
 	}
-	if err := f.KillAndRestart(ctx, "n1"); err != nil {
+	if err := fleet.KillAndRestart(ctx, restartName); err != nil {
 		return row, err
 	}
-	if told == "on" && !faultinjection.WaitUntil(patience, func() bool { return len(f.Events("n1", "fleet_trusted_clients")) > 0 }) {
-		return row, fmt.Errorf("n1 was told nothing within %s", patience)
+	trusted := func() bool { return len(fleet.Events(restartName, "fleet_trusted_clients")) > 0 }
+	if replicaCallers == "on" && !faultinjection.WaitUntil(trustTimeout, trusted) {
+		return row, fmt.Errorf("%s learned no trusted clients within %s", restartName, trustTimeout)
 	}
-	fmt.Fprintf(p.Progress, "replica-callers %s: n1 is back cold; %g strangers a second for %g s\n", told, p.UntrustedRate, p.Seconds)
-	crowd := &strangers{addr: s.Addr, end: time.Now().Add(time.Duration(p.Seconds * float64(time.Second))), slots: make(chan struct{}, maxHeld)}
+	fmt.Fprintf(p.Progress, "replica-callers %s: %s is back cold; %g strangers a second for %g s\n",
+		replicaCallers, restartName, p.UntrustedRate, p.Seconds)
+	flood := newFlood(address, p.duration())
 	var wait sync.WaitGroup
-	wait.Go(func() { crowd.run(ctx, p.UntrustedRate) })
-	time.Sleep(500 * time.Millisecond) // until the strangers have all that there is
-	row.Attempts, row.Failed, _ = tries(ctx, clients, crowd.end, &wait)
-	row.Untrusted = int(crowd.came.Load())
+	wait.Go(func() { flood.run(ctx, p.UntrustedRate) })
+	time.Sleep(floodLead)
+	attempts := reconnect(ctx, clients, flood.end, &wait)
+	row.Attempts = attempts.total
+	row.Failed = attempts.failed
+	row.Untrusted = int(flood.arrived.Load())
 	return row, nil
 }
+
+func (p *Plan) startFleet(ctx context.Context, replicaCallers string) (*faultinjection.Fleet, error) {
+	config := faultinjection.SmallShape(p.Program)
+	config.Descriptors = p.Descriptors
+	config.Log = p.Log
+	return faultinjection.Start(ctx, faultinjection.Config{
+		Shape:         config,
+		Servers:       fleetSize,
+		Voters:        fleetSize,
+		ExtraSettings: "door on\nfleet-lease 2s\nreplica-callers " + replicaCallers + "\n",
+	})
+}
