--- a/internal/bench/idleconns/expire.go
+++ b/internal/bench/idleconns/expire.go
@@ -10,26 +10,60 @@
 	"swiftcourse/internal/bench/loadgen"
 )
 
-// Phase is what the busy connections saw in one part of a mass expiry.
+// PhaseName is a part of a mass expiry.
+type PhaseName string
+
+const (
+	// PhaseCalm is before any connection reaches its idle timeout.
+	PhaseCalm PhaseName = "calm"
+	// PhaseDuring is until all idle connections are closed.
+	PhaseDuring PhaseName = "during"
+	// PhaseAfter is after that.
+	PhaseAfter PhaseName = "after"
+)
+
+// Phase is what the busy connections experienced in one part of a mass expiry.
 type Phase struct {
-	Connections   int     `json:"connections"` // idle ones at its start
-	Phase         string  `json:"phase"`       // calm, before it; during, until all idle ones are gone; after
-	Seconds       float64 `json:"seconds"`
-	P50           float64 `json:"busy_p50_us"`
-	P99           float64 `json:"busy_p99_us"`
-	P999          float64 `json:"busy_p999_us"`
-	Max           float64 `json:"busy_max_us"`
-	LongestTurnMs float64 `json:"longest_turn_ms"`
-	Ratio         float64 `json:"p99_over_calm"`
-	Finished      int     `json:"finished"`
-	Disconnects   int     `json:"broken"` // busy connections that ended
-	Closed        int     `json:"closed"` // idle connections that ended in it
+	Connections   int       `json:"connections"` // idle ones at its start
+	Phase         PhaseName `json:"phase"`
+	Seconds       float64   `json:"seconds"`
+	P50           float64   `json:"busy_p50_us"`
+	P99           float64   `json:"busy_p99_us"`
+	P999          float64   `json:"busy_p999_us"`
+	Max           float64   `json:"busy_max_us"`
+	LongestTurnMs float64   `json:"longest_turn_ms"`
+	Ratio         float64   `json:"p99_over_calm"`
+	Finished      int       `json:"finished"`
+	Disconnects   int       `json:"broken"` // busy connections that ended
+	Closed        int       `json:"closed"` // idle connections that ended
 }
 
-// RunExpiry has n idle connections reach their time in the same instant, for each number of the plan.
-func RunExpiry(ctx context.Context, p *Plan) (all []Phase, err error) {
+// PhaseColumns are the names of the columns of Phase.Cells.
+var PhaseColumns = []string{"connections", "phase", "seconds", "p50 us", "p99 us", "p99.9 us", "longest us",
+	"longest turn ms", "p99/calm", "finished", "broken"}
+
+// Cells returns the phase's cells in the table.
+func (p Phase) Cells() []string {
+	return strings.Fields(fmt.Sprintf("%d %s %.2f %.0f %.0f %.0f %.0f %.2f %.2f %d %d",
+		p.Connections, p.Phase, p.Seconds, p.P50, p.P99, p.P999, p.Max, p.LongestTurnMs, p.Ratio, p.Finished,
+		p.Disconnects))
+}
+
+const (
+	// maxExpirySeconds is how long all idle connections may take to end after their timeout.
+	maxExpirySeconds = 120
+	expiryPoll       = 50 * time.Millisecond
+	// burstSettle is the pause after the burst of health checks.
+	burstSettle = time.Second
+	// calmMargin is how long before the idle timeout the calm phase ends.
+	calmMargin = 200 * time.Millisecond
+)
+
+// RunExpiry has all idle connections reach their timeout in the same instant, for each number of the plan.
+func RunExpiry(ctx context.Context, p *Plan) ([]Phase, error) {
+	var all []Phase
 	for _, n := range p.Connections {
-		phases, err := p.expire(ctx, n)
+		phases, err := p.runExpiry(ctx, n)
 		if err != nil {
 			return all, fmt.Errorf("with %d connections: %w", n, err)
 		}
@@ -38,106 +72,121 @@
 	return all, nil
 }
 
-// maxExpiry is how long all idle connections may take to end, in seconds.
-const maxExpiry = 120
+// expiry is a mass expiry under a load.
+type expiry struct {
+	*fixture
+	load   *loadgen.Generator
+	phases []Phase
+}
 
-func (p *Plan) expire(ctx context.Context, n int) (phases []Phase, err error) {
-	b, err := p.start(ctx, p.IdleTimeout)
+func (p *Plan) runExpiry(ctx context.Context, connections int) ([]Phase, error) {
+	f, err := p.start(ctx, p.IdleTimeout)
 	if err != nil {
 		return nil, err
 	}
-	defer b.end()
-	if _, err := b.stretch(ctx); err != nil {
+	defer f.close()
+	if _, err := f.measure(ctx); err != nil { // warms up
 		return nil, err
 	}
-	p.say("%d connections: opening", n)
-	if err := b.hold(ctx, n); err != nil {
+	p.progress("%d connections: opening", connections)
+	if err := f.holdIdle(ctx, connections); err != nil {
 		return nil, err
 	}
-	l, err := b.load(ctx)
-	if err != nil {
-		return nil, err
-	}
-	touched := time.Now()
-	for _, h := range b.holders {
-		if err := h.SendHealthChecks(); err != nil {
-			return nil, err
-		}
-	}
-	open, _, err := b.standing()
-	if err != nil {
+	e := &expiry{fixture: f}
+	if e.load, err = f.startLoad(ctx); err != nil {
 		return nil, err
 	}
-	p.say("%d connections: heard in one burst of %.2f s, %d stand", n, time.Since(touched).Seconds(), open)
-	pause(ctx, 1)
-	if _, err = b.state(); err != nil { // the counts begin anew
+	if err := e.run(ctx, connections); err != nil {
 		return nil, err
 	}
-	l.TakeStats()
-	pause(ctx, p.IdleTimeout.Seconds()-time.Since(touched).Seconds()-0.2) // none has reached its time
-	calm, err := b.phase(l, "calm", open, &phases)
+	e.load.Stop()
+	return e.phases, ctx.Err()
+}
+
+// run measures the three phases.
+func (e *expiry) run(ctx context.Context, connections int) error {
+	open, err := e.measureCalm(ctx, connections)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	p.say("%d connections: their time is over", n)
-	for end := time.Now().Add(maxExpiry * time.Second); open > 0 && time.Now().Before(end) && ctx.Err() == nil; {
-		pause(ctx, 0.05)
-		if open, _, err = b.standing(); err != nil {
-			return nil, err
-		}
+	e.plan.progress("%d connections: their time is over", connections)
+	if err := e.waitClosed(ctx, open); err != nil {
+		return err
 	}
-	if open > 0 {
-		return nil, fmt.Errorf("%d connections stand %d s after their time", open, maxExpiry)
+	sleep(ctx, settleTime) // requests sent meanwhile are answered
+	if err := e.endPhase(PhaseDuring, open); err != nil {
+		return err
 	}
-	pause(ctx, 0.5) // what was sent meanwhile has its answer
-	if _, err = b.phase(l, "during", phases[0].Connections, &phases); err != nil {
-		return nil, err
+	e.plan.progress("%d connections: all closed", connections)
+	sleep(ctx, seconds(e.plan.Seconds))
+	if err := e.endPhase(PhaseAfter, 0); err != nil {
+		return err
 	}
-	p.say("%d connections: all closed", n)
-	pause(ctx, p.Seconds)
-	if _, err = b.phase(l, "after", 0, &phases); err != nil {
-		return nil, err
+	e.phases[1].Closed = open
+	for i := range e.phases {
+		e.phases[i].Ratio = e.phases[i].P99 / max(1, e.phases[0].P99)
 	}
-	phases[1].Closed = phases[0].Connections
-	for i := range phases {
-		phases[i].Ratio = phases[i].P99 / max(1, calm)
-	}
-	l.Stop()
-	return phases, ctx.Err()
+	return nil
 }
 
-func (b *bench) standing() (open, asked int, err error) {
-	for _, h := range b.holders {
-		o, a, _, err := h.Counts()
-		if err != nil {
-			return 0, 0, err
+// measureCalm restarts all idle timers in one burst and measures until shortly before they expire. It returns how
+// many idle connections were open.
+func (e *expiry) measureCalm(ctx context.Context, connections int) (int, error) {
+	burst := time.Now()
+	for _, holder := range e.holders {
+		if err := holder.SendHealthChecks(); err != nil {
+			return 0, err
 		}
-		open += o
-		asked += a
 	}
-	return open, asked, nil
-}
-
-// phase ends a phase: it takes what came back in it. It gives its p99.
-func (b *bench) phase(l *loadgen.Generator, name string, connections int, phases *[]Phase) (float64, error) {
-	took := l.TakeStats()
-	now, err := b.state()
+	open, err := e.openIdle()
 	if err != nil {
 		return 0, err
 	}
-	f := Phase{Connections: connections, Phase: name, Seconds: math.Round(1000*took.Elapsed.Seconds()) / 1000,
-		P50: took.Quantile(50), P99: took.Quantile(99), P999: took.Quantile(99.9), Max: float64(took.Latency.Max()), LongestTurnMs: now.turn,
-		Finished: took.Finished, Disconnects: took.Disconnects}
-	*phases = append(*phases, f)
-	return f.P99, nil
+	e.plan.progress("%d connections: heard in one burst of %.2f s, %d stand",
+		connections, time.Since(burst).Seconds(), open)
+	sleep(ctx, burstSettle)
+	if _, err := e.usage(); err != nil { // the statistics begin anew
+		return 0, err
+	}
+	e.load.TakeStats()
+	sleep(ctx, e.plan.IdleTimeout-time.Since(burst)-calmMargin)
+	return open, e.endPhase(PhaseCalm, open)
 }
 
-// PhaseColumns are those of the table of phases.
-var PhaseColumns = []string{"connections", "phase", "seconds", "p50 us", "p99 us", "p99.9 us", "longest us", "longest turn ms", "p99/calm",
-	"finished", "broken"}
+// waitClosed waits until all idle connections are closed.
+func (e *expiry) waitClosed(ctx context.Context, open int) error {
+	deadline := time.Now().Add(maxExpirySeconds * time.Second)
+	for open > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
+		sleep(ctx, expiryPoll)
+		var err error
+		if open, err = e.openIdle(); err != nil {
+			return err
+		}
+	}
+	if open > 0 {
+		return fmt.Errorf("%d connections stand %d s after their time", open, maxExpirySeconds)
+	}
+	return nil
+}
 
-// Cells are a phase's in the table.
-func (f Phase) Cells() []string {
-	return strings.Fields(fmt.Sprintf("%d %s %.2f %.0f %.0f %.0f %.0f %.2f %.2f %d %d", f.Connections, f.Phase, f.Seconds, f.P50, f.P99, f.P999, f.Max,
-		f.LongestTurnMs, f.Ratio, f.Finished, f.Disconnects))
+// endPhase takes what came back in a phase.
+func (e *expiry) endPhase(name PhaseName, connections int) error {
+	stats := e.load.TakeStats()
+	usage, err := e.usage()
+	if err != nil {
+		return err
+	}
+	e.phases = append(e.phases, Phase{
+		Connections:   connections,
+		Phase:         name,
+		Seconds:       math.Round(1000*stats.Elapsed.Seconds()) / 1000,
+		P50:           stats.Quantile(50),
+		P99:           stats.Quantile(99),
+		P999:          stats.Quantile(99.9),
+		Max:           float64(stats.Latency.Max()),
+		LongestTurnMs: usage.longestTurnMs,
+		Finished:      stats.Finished,
+		Disconnects:   stats.Disconnects,
+	})
+	return nil
 }
--- /dev/null
+++ b/internal/bench/idleconns/fixture.go
@@ -0,0 +1,198 @@
+package idleconns
+
+import (
+	"context"
+	"time"
+
+	"swiftcourse/internal/bench/loadgen"
+	"swiftcourse/internal/bench/process"
+	"swiftcourse/internal/fake/executor"
+	"swiftcourse/internal/wire/shale"
+)
+
+const (
+	className      = "ping"
+	executorCores  = 4
+	serverMemoryMB = 192
+	stopTimeout    = 5 * time.Second
+	// maxDescriptors bounds what a server is told it may use, whatever the system allows.
+	maxDescriptors = 1 << 20
+
+	requestTimeout = 2 * time.Second
+	requestBytes   = 100
+	// loadWarmup is the start of a load, which is not measured.
+	loadWarmup = 300 * time.Millisecond
+)
+
+// fixture is the servers of one measurement with the processes that hold idle connections to them.
+type fixture struct {
+	plan      *Plan
+	servers   []*process.Server
+	addresses []string
+	holders   []*Holder
+	seed      uint64 // of the latest load
+}
+
+// settings are those of one cheap class and no tenants.
+func settings(idleTimeout time.Duration) shale.Told {
+	settings := process.BaseSettings(shale.Stage{Name: className, Effect: "idempotent", TimeLimitMs: 5000,
+		DueTimeMs: 2000, Utility: 1, LateUtility: 0.5})
+	settings.Own.IdleMs = float64(idleTimeout.Milliseconds())
+	return settings
+}
+
+// start starts the servers.
+func (p *Plan) start(ctx context.Context, idleTimeout time.Duration) (*fixture, error) {
+	limit, err := descriptorLimit()
+	if err != nil {
+		return nil, err
+	}
+	servers, err := process.Start(ctx, p.Servers, process.Config{
+		Program:     p.Program,
+		CPU:         p.CPU,
+		Cores:       1,
+		MemoryMB:    serverMemoryMB,
+		Descriptors: int(min(limit, maxDescriptors)),
+		StopTimeout: stopTimeout,
+		Settings:    settings(idleTimeout),
+		Executor:    executor.Config{Cores: executorCores, Gauges: process.RunningGauges(executorCores)},
+	})
+	if err != nil {
+		return nil, err
+	}
+	f := &fixture{plan: p, servers: servers}
+	for _, s := range servers {
+		f.addresses = append(f.addresses, s.Addr)
+	}
+	return f, nil
+}
+
+func (f *fixture) close() {
+	f.releaseIdle()
+	process.CloseAll(f.servers)
+}
+
+// startLoad starts the busy connections.
+func (f *fixture) startLoad(ctx context.Context) (*loadgen.Generator, error) {
+	f.seed++
+	return loadgen.Start(ctx, loadgen.Config{
+		Addresses:      f.addresses,
+		ConnsPerServer: f.plan.Busy,
+		Rate:           f.plan.Rate,
+		Class:          className,
+		Timeout:        requestTimeout,
+		BodyBytes:      requestBytes,
+		Seed:           f.seed,
+		HealthChecks:   f.plan.HealthChecks,
+	})
+}
+
+// measure runs the busy connections for the plan's seconds, after a start that is not measured.
+func (f *fixture) measure(ctx context.Context) (loadgen.Stats, error) {
+	load, err := f.startLoad(ctx)
+	if err != nil {
+		return loadgen.Stats{}, err
+	}
+	sleep(ctx, loadWarmup)
+	load.TakeStats()
+	sleep(ctx, seconds(f.plan.Seconds))
+	return load.Stop(), ctx.Err()
+}
+
+// sleep returns after the duration, or when the context ends.
+func sleep(ctx context.Context, duration time.Duration) {
+	select {
+	case <-time.After(duration):
+	case <-ctx.Done():
+	}
+}
+
+func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
+
+// holdIdle opens n idle connections, spread over the servers.
+func (f *fixture) holdIdle(ctx context.Context, n int) error {
+	for i, s := range f.servers {
+		share := (n + i) / len(f.servers)
+		if share == 0 {
+			continue
+		}
+		holder, err := StartHolder(ctx, s.Addr, share, f.plan.HonorClose)
+		if err != nil {
+			return err
+		}
+		f.holders = append(f.holders, holder)
+	}
+	for _, holder := range f.holders {
+		if err := holder.WaitReady(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// releaseIdle closes the idle connections.
+func (f *fixture) releaseIdle() {
+	for _, holder := range f.holders {
+		holder.Close()
+	}
+	f.holders = nil
+}
+
+// openIdle returns how many idle connections are open.
+func (f *fixture) openIdle() (int, error) {
+	open := 0
+	for _, holder := range f.holders {
+		counts, err := holder.Counts()
+		if err != nil {
+			return 0, err
+		}
+		open += counts.Open
+	}
+	return open, nil
+}
+
+// usage is what all servers use together.
+type usage struct {
+	resident      float64 // bytes
+	heap          float64 // bytes
+	timers        float64
+	longestTurnMs float64 // of any server's event loop, since the usage before
+	cpuSeconds    float64
+}
+
+// usage asks the servers for their statistics, which begin anew with it, and the system for the rest.
+func (f *fixture) usage() (usage, error) {
+	var total usage
+	for _, s := range f.servers {
+		if f.plan.Statistics {
+			statistics, err := s.Statistics()
+			if err != nil {
+				return total, err
+			}
+			total.heap += 1024 * statistics.Number("heap_kb")
+			total.timers += statistics.Number("timers")
+			total.longestTurnMs = max(total.longestTurnMs, statistics.Number("turn_ms"))
+		}
+		resident, err := s.ResidentBytes()
+		if err != nil {
+			return total, err
+		}
+		total.resident += float64(resident)
+	}
+	cpuSeconds, err := f.cpuSeconds()
+	total.cpuSeconds = cpuSeconds
+	return total, err
+}
+
+// cpuSeconds returns the CPU time that all servers have used.
+func (f *fixture) cpuSeconds() (float64, error) {
+	total := 0.0
+	for _, s := range f.servers {
+		used, err := s.CPUSeconds()
+		if err != nil {
+			return total, err
+		}
+		total += used
+	}
+	return total, nil
+}
--- a/internal/bench/idleconns/holder.go
+++ b/internal/bench/idleconns/holder.go
@@ -8,103 +8,135 @@
 	"io"
 	"os"
 	"os/exec"
+	"strconv"
 	"strings"
 
 	"swiftcourse/internal/fake/balancer"
 )
 
-// A Holder is a process that holds idle connections to one server, as one process may not hold the descriptors for all,
-// and so that what they cost on this side stays away from the load.
+// The protocol between a Holder and its process: one command a line, each answered by one line.
+const (
+	commandCheck  = "touch"
+	commandCounts = "counts"
+	replyReady    = "ready"
+	replyChecked  = "touched"
+	replyCounts   = "counts"
+)
+
+// Holder is a process that holds idle connections to one server. A process of its own, as one may not have the
+// descriptors for all connections, and so that their cost on the client's side does not disturb the load.
 type Holder struct {
-	process *exec.Cmd
+	command *exec.Cmd
 	in      io.WriteCloser
 	out     *bufio.Scanner
 }
 
+// HolderCounts are a holder's connections.
+type HolderCounts struct {
+	Open          int
+	CloseRequests int // connections that the server asked to close
+	Closed        int
+}
+
+// ErrHolderEnded is returned for a holder's process that ended before it replied.
+var ErrHolderEnded = errors.New("the process that holds connections ended")
+
 // StartHolder starts this program once more, to hold n connections.
-func StartHolder(ctx context.Context, addr string, n int, heeds bool) (*Holder, error) {
-	self, err := os.Executable()
+func StartHolder(ctx context.Context, address string, n int, honorClose bool) (*Holder, error) {
+	program, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	args := []string{"hold", addr, fmt.Sprint(n)}
-	if heeds {
-		args = append(args, "--heeds")
+	arguments := []string{"hold", address, strconv.Itoa(n)}
+	if honorClose {
+		arguments = append(arguments, "--heeds")
 	}
-	h := &Holder{process: exec.CommandContext(ctx, self, args...)}
-	h.process.Stderr = os.Stderr
-	if h.in, err = h.process.StdinPipe(); err != nil {
+	h := &Holder{command: exec.CommandContext(ctx, program, arguments...)}
+	h.command.Stderr = os.Stderr
+	if h.in, err = h.command.StdinPipe(); err != nil {
 		return nil, err
 	}
-	out, err := h.process.StdoutPipe()
+	out, err := h.command.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
 	h.out = bufio.NewScanner(out)
-	return h, h.process.Start()
+	if err := h.command.Start(); err != nil {
+		return nil, fmt.Errorf("start a process that holds connections: %w", err)
+	}
+	return h, nil
 }
 
-// WaitReady waits until all its connections stand and were known once.
+// WaitReady waits until all connections are open and had a health check answered.
 func (h *Holder) WaitReady() error {
-	_, err := h.read("ready")
+	_, err := h.readReply(replyReady)
 	return err
 }
 
-func (h *Holder) read(word string) (string, error) {
+// readReply reads one line and returns what follows the given word.
+func (h *Holder) readReply(word string) (string, error) {
 	if !h.out.Scan() {
-		return "", errors.Join(errors.New("the process that holds connections ended"), h.out.Err())
+		return "", errors.Join(ErrHolderEnded, h.out.Err())
 	}
 	rest, ok := strings.CutPrefix(h.out.Text(), word)
 	if !ok {
-		return "", fmt.Errorf("the process that holds connections said %q", h.out.Text())
+		return "", fmt.Errorf("the process that holds connections replied %q, not %q", h.out.Text(), word)
 	}
 	return rest, nil
 }
 
-// SendHealthChecks has all of them heard in one burst.
-func (h *Holder) SendHealthChecks() error {
-	if _, err := io.WriteString(h.in, "touch\n"); err != nil {
-		return err
+// call sends a command and returns what follows the given word in its reply.
+func (h *Holder) call(command, reply string) (string, error) {
+	if _, err := io.WriteString(h.in, command+"\n"); err != nil {
+		return "", fmt.Errorf("command %s of the process that holds connections: %w", command, err)
 	}
-	_, err := h.read("touched")
+	return h.readReply(reply)
+}
+
+// SendHealthChecks sends a health check on all connections in one burst.
+func (h *Holder) SendHealthChecks() error {
+	_, err := h.call(commandCheck, replyChecked)
 	return err
 }
 
-// Counts tells how many connections stand, were asked to close, and are closed.
-func (h *Holder) Counts() (open, asked, closed int, err error) {
-	if _, err = io.WriteString(h.in, "counts\n"); err != nil {
-		return
+// Counts returns the state of the connections.
+func (h *Holder) Counts() (HolderCounts, error) {
+	var counts HolderCounts
+	text, err := h.call(commandCounts, replyCounts)
+	if err != nil {
+		return counts, err
 	}
-	text, err := h.read("counts")
-	if err == nil {
-		_, err = fmt.Sscan(text, &open, &asked, &closed)
+	if _, err := fmt.Sscan(text, &counts.Open, &counts.CloseRequests, &counts.Closed); err != nil {
+		return counts, fmt.Errorf("counts %q of the process that holds connections: %w", text, err)
 	}
-	return
+	return counts, nil
 }
 
-// Close ends it, with all its connections.
+// Close ends the process with all its connections.
 func (h *Holder) Close() {
 	_ = h.in.Close()
-	_ = h.process.Wait() // ends as its input does
+	_ = h.command.Wait() // the process ends with its input
 }
 
-// ServeHolder is the life of such a process: it takes words from in until that ends.
-func ServeHolder(in io.Reader, out io.Writer, addr string, n int, heeds bool) error {
-	crowd, err := balancer.OpenIdle(addr, n, heeds)
+// ServeHolder is the main function of a holder's process: it opens n connections and serves commands from in until
+// that ends.
+func ServeHolder(in io.Reader, out io.Writer, address string, n int, honorClose bool) error {
+	idle, err := balancer.OpenIdle(address, n, honorClose)
 	if err != nil {
 		return err
 	}
-	defer crowd.Close()
-	fmt.Fprintln(out, "ready")
-	for words := bufio.NewScanner(in); words.Scan(); {
-		switch words.Text() {
-		case "touch":
-			crowd.SendHealthChecks()
-			fmt.Fprintln(out, "touched")
-		case "counts":
-			fmt.Fprintln(out, "counts", crowd.Len(), crowd.CloseRequests.Load(), crowd.Closed.Load())
+	defer idle.Close()
+	fmt.Fprintln(out, replyReady)
+	commands := bufio.NewScanner(in)
+	for commands.Scan() {
+		switch command := commands.Text(); command {
+		case commandCheck:
+			idle.SendHealthChecks()
+			fmt.Fprintln(out, replyChecked)
+		case commandCounts:
+			fmt.Fprintln(out, replyCounts, idle.Len(), idle.CloseRequests.Load(), idle.Closed.Load())
 		default:
-			return fmt.Errorf("unknown word %q", words.Text())
+			return fmt.Errorf("unknown command %q", command)
 		}
 	}
 	return nil
