--- a/internal/bench/connflood/client.go
+++ b/internal/bench/connflood/client.go
@@ -139,52 +139,52 @@
 	c.nextID++
 	_ = c.conn.SetDeadline(time.Now().Add(timeout))
 	message := rpc.Message{
-		Number: c.sent,
-		ID:     fmt.Sprintf("%04x%012x", c.number, c.nextID),
-		Stage:  className,
-		Came:   float64(time.Now().UnixMilli()) / 1000,
-		Wait:   timeout.Seconds(),
-		Caller: c.number,
-		Memory: 1,
-		Rank:   0.5,
-		Body:   []byte("x"),
+		Number:    c.sent,
+		ID:        fmt.Sprintf("%04x%012x", c.number, c.nextID),
+		Class:     className,
+		ArrivedAt: float64(time.Now().UnixMilli()) / 1000,
+		Timeout:   timeout.Seconds(),
+		Client:    c.number,
+		Memory:    1,
+		Priority:  0.5,
+		Body:      []byte("x"),
 	}
-	if _, err := c.conn.Write(rpc.PutTask(nil, &message)); err != nil {
+	if _, err := c.conn.Write(rpc.AppendRequest(nil, &message)); err != nil {
 		return err
 	}
 	answer, err := readAnswer(c.conn, c.sent)
 	if err != nil {
 		return err
 	}
-	if answer.End != rpc.Finished {
+	if answer.Kind != rpc.ResponseFinished {
 		return errNotFinished
 	}
 	return nil
 }
 
 // readAnswer reads up to the answer to the message with the given number.
-func readAnswer(conn net.Conn, number uint64) (rpc.Answer, error) {
+func readAnswer(conn net.Conn, number uint64) (rpc.Response, error) {
 	var storage [maxAnswer]byte
 	buffered := storage[:0]
 	for len(buffered) < cap(buffered) {
 		n, err := conn.Read(buffered[len(buffered):cap(buffered)])
 		if err != nil {
-			return rpc.Answer{}, err
+			return rpc.Response{}, err
 		}
 		buffered = buffered[:len(buffered)+n]
 		for {
-			answer, size, err := rpc.NextAnswer(buffered)
+			answer, size, err := rpc.ParseResponse(buffered)
 			if err != nil {
 				return answer, err
 			}
 			if size == 0 {
 				break
 			}
-			if answer.Number == number && answer.End != rpc.PartSaid {
+			if answer.Number == number && answer.Kind != rpc.ResponseGoAway {
 				return answer, nil
 			}
 			buffered = append(storage[:0], buffered[size:]...)
 		}
 	}
-	return rpc.Answer{}, errLongMessage
+	return rpc.Response{}, errLongMessage
 }
--- a/internal/bench/connflood/flood.go
+++ b/internal/bench/connflood/flood.go
@@ -15,7 +15,7 @@
 
 	"swiftcourse/internal/bench/process"
 	"swiftcourse/internal/fake/executor"
-	"swiftcourse/internal/wire/shale"
+	"swiftcourse/internal/wire/simulator"
 )
 
 // Plan is the experiment.
@@ -105,11 +105,11 @@
 	return rows, nil
 }
 
-func settings() shale.Told {
-	settings := process.BaseSettings(shale.Stage{Name: className, Effect: "idempotent", TimeLimitMs: 2000,
-		DueTimeMs: 1000, Utility: 1, LateUtility: 0.5})
-	settings.Caps.Advice = true
-	settings.Caps.AdviceMaxMs = 5000
+func settings() simulator.Settings {
+	settings := process.BaseSettings(simulator.Class{Name: className, Idempotency: "idempotent", TimeoutMs: 2000,
+		SoftDeadlineMs: 1000, Value: 1, LateValue: 0.5})
+	settings.Capabilities.RetryAfter = true
+	settings.Capabilities.MaxRetryAfterMs = 5000
 	return settings
 }
 
--- a/internal/bench/connflood/untrusted.go
+++ b/internal/bench/connflood/untrusted.go
@@ -68,7 +68,7 @@
 	}
 	defer conn.Close()
 	_ = conn.SetDeadline(time.Now().Add(untrustedStay))
-	if _, err := conn.Write(rpc.PutCheck(nil, 1)); err != nil {
+	if _, err := conn.Write(rpc.AppendHealthCheck(nil, 1)); err != nil {
 		return
 	}
 	if _, err := readAnswer(conn, 1); err != nil {
--- a/internal/bench/idleconns/fixture.go
+++ b/internal/bench/idleconns/fixture.go
@@ -7,7 +7,7 @@
 	"swiftcourse/internal/bench/loadgen"
 	"swiftcourse/internal/bench/process"
 	"swiftcourse/internal/fake/executor"
-	"swiftcourse/internal/wire/shale"
+	"swiftcourse/internal/wire/simulator"
 )
 
 const (
@@ -34,10 +34,10 @@
 }
 
 // settings are those of one cheap class and no tenants.
-func settings(idleTimeout time.Duration) shale.Told {
-	settings := process.BaseSettings(shale.Stage{Name: className, Effect: "idempotent", TimeLimitMs: 5000,
-		DueTimeMs: 2000, Utility: 1, LateUtility: 0.5})
-	settings.Own.IdleMs = float64(idleTimeout.Milliseconds())
+func settings(idleTimeout time.Duration) simulator.Settings {
+	settings := process.BaseSettings(simulator.Class{Name: className, Idempotency: "idempotent", TimeoutMs: 5000,
+		SoftDeadlineMs: 2000, Value: 1, LateValue: 0.5})
+	settings.Deployment.IdleTimeoutMs = float64(idleTimeout.Milliseconds())
 	return settings
 }
 
--- a/internal/bench/loadgen/generator.go
+++ b/internal/bench/loadgen/generator.go
@@ -38,8 +38,8 @@
 	// drainPoll is how often Stop looks whether all answers have come.
 	drainPoll = time.Millisecond
 
-	requestMemory = 1
-	requestRank   = 0.5
+	requestMemory   = 1
+	requestPriority = 0.5
 )
 
 // Generator is a running load. Its methods may be called from any goroutine.
@@ -179,14 +179,14 @@
 		return c.SendHealthCheckAs(number) == nil
 	}
 	request := rpc.Message{
-		Number: number,
-		ID:     fmt.Sprintf("%08x%08x", uint32(config.Seed), n),
-		Stage:  config.Class,
-		Came:   float64(scheduled.UnixMicro()) / 1e6,
-		Wait:   config.Timeout.Seconds(),
-		Memory: requestMemory,
-		Rank:   requestRank,
-		Body:   body,
+		Number:    number,
+		ID:        fmt.Sprintf("%08x%08x", uint32(config.Seed), n),
+		Class:     config.Class,
+		ArrivedAt: float64(scheduled.UnixMicro()) / 1e6,
+		Timeout:   config.Timeout.Seconds(),
+		Memory:    requestMemory,
+		Priority:  requestPriority,
+		Body:      body,
 	}
 	if config.Keyed {
 		request.Subject = request.ID
@@ -205,8 +205,8 @@
 	return true
 }
 
-func (c *conn) onAnswer(answer rpc.Answer) {
-	if answer.End == rpc.PartSaid || answer.End == rpc.Passed {
+func (c *conn) onAnswer(answer rpc.Response) {
+	if answer.Kind == rpc.ResponseGoAway || answer.Kind == rpc.ResponseOther {
 		return
 	}
 	c.mu.Lock()
@@ -220,11 +220,11 @@
 	g := c.generator
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	switch answer.End {
-	case rpc.Finished, rpc.WellSaid:
+	switch answer.Kind {
+	case rpc.ResponseFinished, rpc.ResponseHealth:
 		g.stats.Finished++
 		g.stats.record(latency)
-	case rpc.Rejected:
+	case rpc.ResponseRejected:
 		g.stats.Rejected++
 	default:
 		g.stats.Abandoned++
--- a/internal/bench/process/config.go
+++ b/internal/bench/process/config.go
@@ -11,7 +11,7 @@
 	"swiftcourse/internal/fake/executor"
 	"swiftcourse/internal/fake/upstream"
 	"swiftcourse/internal/wire/catalogue"
-	"swiftcourse/internal/wire/shale"
+	"swiftcourse/internal/wire/simulator"
 )
 
 // Config is how servers are started.
@@ -24,7 +24,7 @@
 	ActualDescriptors int    // to which the limit is lowered once the server is healthy; 0 leaves it
 	OperatorFile      string // text of the operator's file, "" for none
 	StopTimeout       time.Duration
-	Settings          shale.Told
+	Settings          simulator.Settings
 	Args              []string // of the command line; none to serve
 
 	Executor executor.Config
@@ -64,15 +64,15 @@
 
 // serverFile is the JSON configuration that a server reads at its start.
 type serverFile struct {
-	Name        string       `json:"name"`
-	Listen      string       `json:"listen"`
-	Executor    string       `json:"processor"`
-	Registry    string       `json:"roster"`
-	Upstream    string       `json:"catalog"`
-	Seed        string       `json:"seed"`
-	StopTimeout int64        `json:"stop_ms"`
-	Limits      serverLimits `json:"limits"`
-	Settings    shale.Told   `json:"settings"`
+	Name        string             `json:"name"`
+	Listen      string             `json:"listen"`
+	Executor    string             `json:"processor"`
+	Registry    string             `json:"roster"`
+	Upstream    string             `json:"catalog"`
+	Seed        string             `json:"seed"`
+	StopTimeout int64              `json:"stop_ms"`
+	Limits      serverLimits       `json:"limits"`
+	Settings    simulator.Settings `json:"settings"`
 }
 
 type serverLimits struct {
--- a/internal/bench/process/settings.go
+++ b/internal/bench/process/settings.go
@@ -1,26 +1,26 @@
 package process
 
 import (
-	"swiftcourse/internal/wire/shale"
+	"swiftcourse/internal/wire/simulator"
 )
 
 // BaseSettings returns the settings that the experiments share: what the simulator's contract states, a server that
 // passes its deadline on, and two gauges. Experiments add their caps, cores and idle timeout.
-func BaseSettings(classes ...shale.Stage) shale.Told {
-	settings := shale.Told{Servers: 1, Stages: classes}
+func BaseSettings(classes ...simulator.Class) simulator.Settings {
+	settings := simulator.Settings{Servers: 1, Classes: classes}
 	contract := &settings.Contract
-	contract.Crowd = 8
-	contract.CrowdForMs = 1000
+	contract.ConcurrencyPerCore = 8
+	contract.ConcurrencyWindowMs = 1000
 	contract.DrainGraceMs = 500
-	contract.AnswerSlackMs = 50
-	own := &settings.Own
+	contract.DeadlineToleranceMs = 50
+	own := &settings.Deployment
 	own.Cores = 4
-	own.MemoryKb = 1e6
-	own.RunFactor = 1
-	own.Callers = 1
-	own.TellsWait = true
+	own.MemoryLimitKb = 1e6
+	own.RunningFactor = 1
+	own.Clients = 1
+	own.DeadlinePropagation = true
 	own.Gauges = []string{"cpu_busy", "runnable"}
-	own.IdleMs = 60_000
+	own.IdleTimeoutMs = 60_000
 	return settings
 }
 
--- a/internal/fake/balancer/conn.go
+++ b/internal/fake/balancer/conn.go
@@ -27,7 +27,7 @@
 
 // Dial opens a connection. One goroutine of the connection calls onAnswer for each message received and, if onClose
 // is not nil, calls it once with the error that ended the connection.
-func Dial(ctx context.Context, address string, onAnswer func(rpc.Answer), onClose func(error)) (*Conn, error) {
+func Dial(ctx context.Context, address string, onAnswer func(rpc.Response), onClose func(error)) (*Conn, error) {
 	raw, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
@@ -44,7 +44,7 @@
 }
 
 // receive reads until the connection ends or sends something that is not a message.
-func (c *Conn) receive(onAnswer func(rpc.Answer)) error {
+func (c *Conn) receive(onAnswer func(rpc.Response)) error {
 	var buffered []byte
 	piece := make([]byte, readSize)
 	for {
@@ -55,7 +55,7 @@
 		buffered = append(buffered, piece[:n]...)
 		consumed := 0
 		for consumed < len(buffered) {
-			answer, size, err := rpc.NextAnswer(buffered[consumed:])
+			answer, size, err := rpc.ParseResponse(buffered[consumed:])
 			if err != nil {
 				return err
 			}
@@ -79,12 +79,12 @@
 
 // SendRequest sends a request, whose Number is from NextNumber.
 func (c *Conn) SendRequest(request *rpc.Message) error {
-	return c.send(func(b []byte) []byte { return rpc.PutTask(b, request) })
+	return c.send(func(b []byte) []byte { return rpc.AppendRequest(b, request) })
 }
 
 // SendCancel tells the server that the client no longer waits for the message with the given number.
 func (c *Conn) SendCancel(number uint64) error {
-	return c.send(func(b []byte) []byte { return rpc.PutGone(b, number) })
+	return c.send(func(b []byte) []byte { return rpc.AppendCancel(b, number) })
 }
 
 // SendHealthCheck sends a health check.
@@ -92,7 +92,7 @@
 
 // SendHealthCheckAs sends a health check under a number from NextNumber.
 func (c *Conn) SendHealthCheckAs(number uint64) error {
-	return c.send(func(b []byte) []byte { return rpc.PutCheck(b, number) })
+	return c.send(func(b []byte) []byte { return rpc.AppendHealthCheck(b, number) })
 }
 
 func (c *Conn) send(put func([]byte) []byte) error {
@@ -106,9 +106,9 @@
 // IsHealthy reports whether a server answers a health check well within the timeout, on a connection of its own.
 func IsHealthy(address string, timeout time.Duration) bool {
 	health := make(chan bool, 1)
-	c, err := Dial(context.Background(), address, func(answer rpc.Answer) {
-		if answer.End == rpc.WellSaid {
-			health <- answer.Well
+	c, err := Dial(context.Background(), address, func(answer rpc.Response) {
+		if answer.Kind == rpc.ResponseHealth {
+			health <- answer.Healthy
 		}
 	}, nil)
 	if err != nil {
--- a/internal/fake/balancer/idle.go
+++ b/internal/fake/balancer/idle.go
@@ -21,7 +21,7 @@
 // errUnexpectedMessage reports a message of another kind than the awaited one.
 var errUnexpectedMessage = errors.New("unexpected message")
 
-var healthCheck = rpc.PutCheck(nil, 1)
+var healthCheck = rpc.AppendHealthCheck(nil, 1)
 
 // IdleConns is a number of connections that were used once and send nothing. Its methods may be called from any
 // goroutine.
@@ -86,13 +86,13 @@
 		return err
 	}
 	_ = conn.SetReadDeadline(time.Now().Add(dialTimeout))
-	err := readMessage(conn, rpc.WellSaid)
+	err := readMessage(conn, rpc.ResponseHealth)
 	_ = conn.SetReadDeadline(time.Time{})
 	return err
 }
 
 // readMessage reads one message and returns errUnexpectedMessage if it is not of the wanted kind.
-func readMessage(conn net.Conn, want rpc.End) error {
+func readMessage(conn net.Conn, want rpc.ResponseKind) error {
 	var buffer [maxShortMessage]byte
 	for filled := 0; filled < len(buffer); {
 		n, err := conn.Read(buffer[filled:])
@@ -100,14 +100,14 @@
 			return err
 		}
 		filled += n
-		answer, size, err := rpc.NextAnswer(buffer[:filled])
+		answer, size, err := rpc.ParseResponse(buffer[:filled])
 		if err != nil {
 			return err
 		}
 		if size == 0 {
 			continue
 		}
-		if answer.End != want {
+		if answer.Kind != want {
 			return errUnexpectedMessage
 		}
 		return nil
@@ -118,7 +118,7 @@
 // watch waits until the server closes a connection, or asks for it.
 func (c *IdleConns) watch(conn net.Conn) {
 	for {
-		err := readMessage(conn, rpc.PartSaid)
+		err := readMessage(conn, rpc.ResponseGoAway)
 		if errors.Is(err, errUnexpectedMessage) {
 			continue // the answer to SendHealthChecks
 		}
--- a/internal/fake/executor/connection.go
+++ b/internal/fake/executor/connection.go
@@ -25,7 +25,7 @@
 		if err != nil {
 			return
 		}
-		command, err := processor.ReadCommand(bytes.TrimSuffix(line, []byte("\n")))
+		command, err := processor.ParseCommand(bytes.TrimSuffix(line, []byte("\n")))
 		if err != nil {
 			return // the protocol has the executor close the connection
 		}
@@ -36,8 +36,8 @@
 func (s *Server) handle(conn net.Conn, command *processor.Command) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if command.Verb == processor.Resume {
-		s.resume(conn, command.Number)
+	if command.Kind == processor.CommandResume {
+		s.resume(conn, command.Serial)
 	} else if s.link == conn {
 		s.execute(command)
 	}
@@ -51,7 +51,7 @@
 	s.stats.Links++
 	s.link = conn
 	s.output = nil
-	s.write(processor.PutUp(nil, s.config.ColdStart, time.Since(s.startedAt).Seconds()))
+	s.write(processor.AppendHello(nil, s.config.ColdStart, time.Since(s.startedAt).Seconds()))
 	for _, n := range s.notices {
 		if n.serial > lastRead {
 			s.write(n.line)
@@ -60,17 +60,17 @@
 }
 
 func (s *Server) execute(command *processor.Command) {
-	switch command.Verb {
-	case processor.Begin:
+	switch command.Kind {
+	case processor.CommandStart:
 		s.begin(command)
-	case processor.Answer, processor.Without:
+	case processor.CommandReply, processor.CommandSkipCall:
 		s.resumeRun(command)
-	case processor.Gauge:
+	case processor.CommandReadGauges:
 		var gauges []float64
 		if s.config.Gauges != nil {
 			gauges = s.config.Gauges(s.busy, len(s.waiting))
 		}
-		s.write(processor.PutMeasured(nil, command.Tag, gauges))
+		s.write(processor.AppendGauges(nil, command.Tag, gauges))
 	}
 }
 
--- a/internal/fake/executor/run.go
+++ b/internal/fake/executor/run.go
@@ -27,7 +27,7 @@
 	if s.ended[command.ID] {
 		s.stats.Repeated++
 	}
-	r := &run{id: command.ID, class: command.Stage, body: command.Body, partsLeft: 1, startedAt: time.Now()}
+	r := &run{id: command.ID, class: command.Class, body: command.Body, partsLeft: 1, startedAt: time.Now()}
 	if s.config.CPUSeconds != nil {
 		r.partSeconds = s.config.CPUSeconds(r.class, r.id)
 	}
@@ -45,9 +45,9 @@
 // resumeRun continues a run that waits for its upstream call, with the call's reply or without one.
 func (s *Server) resumeRun(command *processor.Command) {
 	r := s.runs[command.ID]
-	otherCall := r != nil && command.Verb == processor.Without && command.Number != r.callSerial
+	otherCall := r != nil && command.Kind == processor.CommandSkipCall && command.Serial != r.callSerial
 	if r == nil || r.callSerial == 0 || otherCall {
-		s.write(processor.PutRejection(nil, command.Verb, command.ID))
+		s.write(processor.AppendRejected(nil, command.Kind, command.ID))
 		return
 	}
 	r.callSerial = 0
@@ -99,7 +99,7 @@
 	s.stats.Calls++
 	s.notify(func(b []byte, serial int64) []byte {
 		r.callSerial = serial
-		return processor.PutParked(b, serial, r.id, r.body)
+		return processor.AppendAwaitingCall(b, serial, r.id, r.body)
 	})
 	if s.config.CallTimeout <= 0 {
 		return
@@ -117,7 +117,7 @@
 
 func (s *Server) notifyEnded(r *run, outcome admission.Outcome, result []byte) {
 	s.notify(func(b []byte, serial int64) []byte {
-		return processor.PutEnded(b, serial, r.id, outcome, time.Since(r.startedAt).Seconds(), result)
+		return processor.AppendRunEnded(b, serial, r.id, outcome, time.Since(r.startedAt).Seconds(), result)
 	})
 }
 
--- a/internal/fake/registry/server.go
+++ b/internal/fake/registry/server.go
@@ -95,7 +95,7 @@
 		if response == CloseWithoutReply {
 			return
 		}
-		if _, err := io.WriteString(conn, roster.Taken); err != nil || response == CloseAfterReply {
+		if _, err := io.WriteString(conn, roster.ReportAccepted); err != nil || response == CloseAfterReply {
 			return
 		}
 	}
@@ -106,7 +106,7 @@
 	s.mu.Lock()
 	s.received++
 	n := s.received
-	s.accepting[report.Name] = report.Takes
+	s.accepting[report.Name] = report.Accepting
 	s.mu.Unlock()
 	select {
 	case s.reports <- report:
--- a/internal/fake/upstream/server.go
+++ b/internal/fake/upstream/server.go
@@ -69,7 +69,7 @@
 		}
 		buffered = append(buffered, piece[:n]...)
 		for {
-			call, size, err := catalogue.NextCall(buffered)
+			call, size, err := catalogue.ParseCall(buffered)
 			if err != nil {
 				return
 			}
@@ -86,7 +86,7 @@
 
 // handle responds to a call and reports whether the connection stays open.
 func (s *Server) handle(conn *connection, call catalogue.Call) bool {
-	if call.Quit {
+	if call.Cancelled {
 		return true // the protocol lets a reply that is on its way go unread
 	}
 	response := s.respond(int(s.calls.Add(1)), call)
@@ -96,7 +96,7 @@
 	if response.NoReply {
 		return true
 	}
-	reply := catalogue.PutReply(nil, call.ID, response.Outcome, response.Body)
+	reply := catalogue.AppendReply(nil, call.ID, response.Outcome, response.Body)
 	if response.Delay > 0 {
 		time.AfterFunc(response.Delay, func() { conn.send(reply) })
 	} else {
