--- /dev/null
+++ b/internal/bench/demo/play.go
@@ -0,0 +1,100 @@
+package demo
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"sync"
+	"time"
+)
+
+// part is one of the parts of the demonstration.
+type part struct {
+	name string
+	rate float64 // requests a second
+}
+
+// progressInterval is the time between two lines of progress.
+const progressInterval = 2 * time.Second
+
+// play sends requests at the part's rate and waits until all of them have an outcome.
+func (p *Plan) play(ctx context.Context, clients []*client, part part, stream uint64) []Row {
+	random := rand.New(rand.NewPCG(seed, stream))
+	t := newTally(part.name)
+	var wait sync.WaitGroup
+	start := time.Now()
+	reported := start
+	scheduled := 0.0 // seconds from the start
+	for n := 0; scheduled < p.Seconds && ctx.Err() == nil; n++ {
+		scheduled += random.ExpFloat64() / part.rate
+		if scheduled >= p.Seconds {
+			break
+		}
+		class := drawClass(random)
+		time.Sleep(time.Until(start.Add(seconds(scheduled))))
+		client := clients[n%len(clients)]
+		wait.Go(func() {
+			outcome, attempts := client.request(ctx, &classes[class], fmt.Sprintf("%02x%012x", stream, n))
+			t.add(class, outcome, attempts)
+		})
+		if time.Since(reported) > progressInterval {
+			reported = time.Now()
+			fmt.Fprintf(p.Progress, "  %3.0f s: %s\n", time.Since(start).Seconds(), t.summary())
+		}
+	}
+	wait.Wait()
+	return t.finish()
+}
+
+// drawClass draws the index of a request's class.
+func drawClass(random *rand.Rand) int {
+	if random.Float64() >= classes[0].share {
+		return 1
+	}
+	return 0
+}
+
+// tally counts the outcomes of a part, in a row for each class.
+type tally struct {
+	mu   sync.Mutex
+	rows []Row
+}
+
+func newTally(part string) *tally {
+	t := &tally{rows: make([]Row, len(classes))}
+	for i := range t.rows {
+		t.rows[i].Part = part
+		t.rows[i].Class = classes[i].name
+	}
+	return t
+}
+
+func (t *tally) add(class int, outcome outcome, attempts int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.rows[class].add(outcome, attempts)
+}
+
+func (t *tally) summary() string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var parts []string
+	for _, r := range t.rows {
+		parts = append(parts, fmt.Sprintf("%s %d finished, %d late, %d rejected",
+			r.Class, r.Finished, r.Late, r.Rejected+r.Abandoned))
+	}
+	return strings.Join(parts, "; ")
+}
+
+// finish returns the rows once all requests are counted.
+func (t *tally) finish() []Row {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for i := range t.rows {
+		t.rows[i].AttemptsPerRequest = float64(t.rows[i].Attempts) / float64(max(1, t.rows[i].Asked))
+	}
+	return t.rows
+}
+
+func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
