--- a/internal/bench/simulation/counters.go
+++ b/internal/bench/simulation/counters.go
@@ -103,22 +103,6 @@
 	return c.row
 }
 
-// traffic is what servers sent in a while, a second.
-type traffic struct{ meanBytes, maxBytes, messages float64 }
-
-// measureTraffic measures what a while of it sends.
-func (t *fleetSim) measureTraffic(seconds float64) (of traffic) {
-	sent, bytes := t.trafficTotals()
-	t.run(t.now + seconds)
-	sent2, bytes2 := t.trafficTotals()
-	for i := range sent {
-		of.meanBytes += (bytes2[i] - bytes[i]) / seconds / float64(len(sent))
-		of.maxBytes = max(of.maxBytes, (bytes2[i]-bytes[i])/seconds)
-		of.messages += (sent2[i] - sent[i]) / seconds
-	}
-	return of
-}
-
 // countRequests has a loop count what it was asked for.
 func (c *counterSim) countRequests(s *node) {
 	if s.alive && !s.isPaused {
--- /dev/null
+++ b/internal/bench/simulation/forwarder.go
@@ -0,0 +1,195 @@
+package simulation
+
+import (
+	"swiftcourse/internal/fleet"
+	"swiftcourse/internal/policy/loadplan"
+	"swiftcourse/internal/policy/routing"
+)
+
+const (
+	// maxWorkerWait is the queueing time, in seconds, from which on a worker rejects: a quarter of the remaining budget.
+	maxWorkerWait = 0.25
+	// hopSeconds is the delay between a forwarder and a worker, one way.
+	hopSeconds = 0.0003
+	// rejectRetryAfter is the Retry-After, in seconds, of a worker that rejects.
+	rejectRetryAfter = 0.2
+	// learnInterval is the time, in seconds, between two updates of the workers' learned capacity.
+	learnInterval = 0.5
+	// minReportSeconds is the shortest time that a demand report is about.
+	minReportSeconds = 1e-3
+)
+
+// simWorker is a worker: what is queued is done at the speed of its cores, in order.
+type simWorker struct {
+	name       string
+	cores      float64
+	queuedWork float64 // seconds of a core, at updatedAt
+	updatedAt  float64
+	attempts   int
+}
+
+// advance works off what the cores did since the last update.
+func (w *simWorker) advance(now float64) {
+	w.queuedWork = max(0, w.queuedWork-(now-w.updatedAt)*w.cores)
+	w.updatedAt = now
+}
+
+// simForwarder is a forwarder: its agent, its router and the load of its clients.
+type simForwarder struct {
+	*node
+	sim        *twoLevelSim
+	router     *routing.Router
+	rate       float64 // requests a second
+	received   int     // since the last report
+	reportedAt float64
+	version    loadplan.Version // of the plan in use
+}
+
+// loadPlanSettings connects the agent with the router.
+func (f *simForwarder) loadPlanSettings(nodeClock *fleet.Clock) *fleet.LoadPlanConfig {
+	return &fleet.LoadPlanConfig{
+		Report: f.reportDemand,
+		OnAssignment: func(plan *loadplan.Assignment, until float64) {
+			if plan.Version.Compare(f.version) < 0 {
+				f.sim.row.StalePlansApplied++
+			}
+			f.version = plan.Version
+			f.router.ApplyPlan(f.now, plan.WeightsByName(), nodeClock.ToSource(until))
+		},
+	}
+}
+
+// reportDemand returns the demand and the workers' statistics since the last report.
+func (f *simForwarder) reportDemand(float64) *loadplan.Report {
+	seconds := max(f.now-f.reportedAt, minReportSeconds)
+	report := &loadplan.Report{
+		IntervalSeconds: seconds,
+		Demand:          []loadplan.TenantRate{{Rate: float64(f.received) / seconds}},
+		Workers:         f.router.TakeStats(),
+	}
+	f.reportedAt = f.now
+	f.received = 0
+	return report
+}
+
+// learn has the router learn the workers' capacity, again and again.
+func (f *simForwarder) learn() {
+	f.router.LearnCapacity(learnInterval)
+	f.after(learnInterval, f.learn)
+}
+
+// generateLoad receives a request and schedules the next one.
+func (f *simForwarder) generateLoad() {
+	f.received++
+	f.sim.sendRequest(f)
+	f.after(f.exponential(1/f.rate), f.generateLoad)
+}
+
+// forwardedRequest is a request at a forwarder.
+type forwardedRequest struct {
+	forwarder    *simForwarder
+	number       int
+	isIdempotent bool
+	arrivedAt    float64
+	triedWorkers []string
+	isMeasured   bool
+	isDone       bool
+}
+
+// forwardedAttempt is one attempt of a request at a worker.
+type forwardedAttempt struct {
+	request   *forwardedRequest
+	worker    *simWorker
+	startedAt float64
+}
+
+// sendRequest starts a request; every second one is idempotent.
+func (l *twoLevelSim) sendRequest(forwarder *simForwarder) {
+	l.requestCount++
+	request := &forwardedRequest{
+		forwarder:    forwarder,
+		number:       l.requestCount,
+		isIdempotent: l.requestCount%2 == 0,
+		arrivedAt:    l.now,
+		isMeasured:   l.measuring,
+	}
+	if request.isMeasured {
+		l.row.Requests++
+	}
+	l.startAttempt(request)
+}
+
+// finishRequest ends a request, once.
+func (l *twoLevelSim) finishRequest(request *forwardedRequest, finished bool) {
+	if request.isDone {
+		return
+	}
+	request.isDone = true
+	if !request.isMeasured {
+		return
+	}
+	l.settledCount++
+	if latency := l.now - request.arrivedAt; finished && latency <= requestTimeout {
+		l.latencies = append(l.latencies, latency)
+	}
+}
+
+// startAttempt sends a request to a worker, as a forwarder does.
+func (l *twoLevelSim) startAttempt(request *forwardedRequest) {
+	router := request.forwarder.router
+	name, _ := router.Pick(l.now, request.isIdempotent, request.triedWorkers...)
+	if name == "" {
+		l.finishRequest(request, false)
+		return
+	}
+	request.triedWorkers = append(request.triedWorkers, name)
+	router.StartAttempt(name, len(request.triedWorkers))
+	if request.isMeasured {
+		l.attemptCount++
+	}
+	attempt := &forwardedAttempt{request: request, worker: l.workerByName[name], startedAt: l.now}
+	l.after(hopSeconds, func() { l.runAttempt(attempt) })
+}
+
+// runAttempt queues an attempt at its worker, which rejects it if the queue is too long.
+func (l *twoLevelSim) runAttempt(attempt *forwardedAttempt) {
+	worker := attempt.worker
+	worker.advance(l.now)
+	if l.measuring {
+		worker.attempts++
+	}
+	if worker.queuedWork/worker.cores > maxWorkerWait {
+		l.after(hopSeconds, func() { l.endAttempt(attempt, routing.Rejected, rejectRetryAfter) })
+		return
+	}
+	if !attempt.request.isIdempotent {
+		l.runCounts[attempt.request.number]++
+	}
+	work := l.exponential(workerRunSeconds)
+	wait := worker.queuedWork / worker.cores
+	worker.queuedWork += work
+	l.after(wait+work+hopSeconds, func() { l.endAttempt(attempt, routing.Finished, 0) })
+}
+
+// endAttempt finishes the request or retries it, as a forwarder does.
+func (l *twoLevelSim) endAttempt(attempt *forwardedAttempt, outcome routing.Outcome, retryAfter float64) {
+	request := attempt.request
+	router := request.forwarder.router
+	router.FinishAttempt(l.now, attempt.worker.name, outcome, l.now-attempt.startedAt, retryAfter)
+	if outcome == routing.Finished {
+		l.finishRequest(request, true)
+		return
+	}
+	retry := routing.Retry{
+		LastOutcome:    outcome,
+		Attempts:       len(request.triedWorkers),
+		IsIdempotent:   request.isIdempotent,
+		Remaining:      request.arrivedAt + requestTimeout - l.now,
+		TypicalLatency: workerRunSeconds,
+	}
+	if router.AllowRetry(retry) {
+		l.startAttempt(request)
+		return
+	}
+	l.finishRequest(request, false)
+}
