--- a/internal/bench/keyclaims/keyclaims.go
+++ b/internal/bench/keyclaims/keyclaims.go
@@ -130,7 +130,7 @@
 func Run(ctx context.Context, p *Plan) (Row, error) {
 	r := &experiment{Plan: p, runLog: faultinjection.NewRunLog(), serverOfAttempt: map[string]string{}, row: Row{Seed: p.Seed, Servers: p.Servers}}
 	shape := faultinjection.SmallShape(p.Program)
-	terms := replication.Config{ReplicationFactor: p.ReplicationFactor, RetentionWindow: retentionWindow.Seconds(), MaxClaimDuration: shape.Settings.Stages[0].TimeLimitMs / 1000}
+	terms := replication.Config{ReplicationFactor: p.ReplicationFactor, RetentionWindow: retentionWindow.Seconds(), MaxClaimDuration: shape.Settings.Classes[0].TimeoutMs / 1000}
 	shape.Log = p.Log
 	names := make([]string, p.Servers)
 	for i := range names {
--- a/internal/wire/shale/batch_test.go
+++ b/internal/wire/simulator/batch_test.go
@@ -1,4 +1,4 @@
-package shale
+package simulator
 
 import (
 	"errors"
@@ -11,23 +11,35 @@
 	"swiftcourse/internal/wire"
 )
 
-const born = `{"timeMs":1000,"inbox":[["BORN","server/3",7,{"new":1,"servers":9,"classes":[{"effect":` +
+const startBatch = `{"timeMs":1000,"inbox":[["BORN","server/3",7,{"new":1,"servers":9,"classes":[{"effect":` +
 	`"deduplicated","hardLimitMs":4500,"windowMs":2000}],"familyInfo":{"below":"shared","say":"weight",` +
 	`"preemption":"pause","cores":6,"gauges":["runnable","cpu_busy"]}}]]}`
 
-func TestReader_ReadsBatches(t *testing.T) {
-	r := NewReader(strings.NewReader(born + "\n\n" + `{"timeMs":2500.5,"extra":{},"inbox":[["NEW","server/3"],` +
-		`["REQ","server/3","id",6,2.5,40,100,1,null,4,500,0.5,2,"old","more"],` +
-		`["CALL_ENDED","server/3","id","full",20],["DEADLINE_HIT","server/3","next",[3,0.5]]]}` + "\n"))
-	b, err := r.Next()
-	if err != nil || len(b.Events) != 1 || b.Events[0].Change != Born || b.Events[0].Seed != 7 {
+const batch = `{"timeMs":2500.5,"extra":{},"inbox":[["NEW","server/3"],` +
+	`["REQ","server/3","id",6,2.5,40,100,1,null,4,500,0.5,2,"old","more"],` +
+	`["CALL_ENDED","server/3","id","full",20],["DEADLINE_HIT","server/3","next",[3,0.5]]]}`
+
+func TestReader_ReadsStartOfInstance(t *testing.T) {
+	b, err := NewReader(strings.NewReader(startBatch + "\n")).ReadBatch()
+	if err != nil || len(b.Events) != 1 || b.Events[0].Change != ChangeStarted || b.Events[0].Seed != 7 {
 		t.Fatalf("%+v, %v", b, err)
 	}
-	if s := b.Events[0].Told; s.Own.Below != "shared" || s.Own.Cores != 6 || s.Servers != 9 ||
-		len(s.Stages) != 1 || s.Stages[0].Effect != "deduplicated" || s.Stages[0].WindowMs != 2000 {
-		t.Fatalf("%+v", s)
+	settings := b.Events[0].Settings
+	if settings.Deployment.Downstream != "shared" || settings.Deployment.Cores != 6 || settings.Servers != 9 {
+		t.Fatalf("%+v", settings)
+	}
+	if len(settings.Classes) != 1 || settings.Classes[0].Idempotency != "deduplicated" ||
+		settings.Classes[0].DeduplicationWindowMs != 2000 {
+		t.Fatalf("%+v", settings)
+	}
+}
+
+func TestReader_ReadsBatches(t *testing.T) {
+	r := NewReader(strings.NewReader(startBatch + "\n\n" + batch + "\n"))
+	if _, err := r.ReadBatch(); err != nil { // the gauges of the batch after are in the order of these settings
+		t.Fatal(err)
 	}
-	b, err = r.Next()
+	b, err := r.ReadBatch()
 	want := []admission.Event{
 		{
 			Kind:      admission.Arrived,
@@ -60,7 +72,7 @@
 			t.Errorf("got %+v\nwant %+v", e.Event, want[i])
 		}
 	}
-	if _, err := r.Next(); !errors.Is(err, io.EOF) {
+	if _, err := r.ReadBatch(); !errors.Is(err, io.EOF) {
 		t.Fatalf("end of input: %v", err)
 	}
 }
@@ -68,7 +80,7 @@
 func TestWriter_WritesReply(t *testing.T) {
 	var out strings.Builder
 	w := NewWriter(&out)
-	w.Add("server/3", []admission.Action{
+	w.AddActions("server/3", []admission.Action{
 		{Kind: admission.Reject, RequestID: "id", Duration: 0.25, NoFailover: true},
 		{Kind: admission.SetHealth},
 	})
@@ -86,7 +98,7 @@
 		`{"timeMs":1,"inbox":[["BORN","server/1",1]]}`,
 		`{"timeMs":1,"inbox":[["BORN","server/1",1,"x"]]}`,
 	} {
-		_, err := NewReader(strings.NewReader(in)).Next()
+		_, err := NewReader(strings.NewReader(in)).ReadBatch()
 		if !errors.Is(err, wire.ErrMalformed) || errors.Is(err, io.EOF) {
 			t.Errorf("%s: error %v", in, err)
 		}
@@ -95,7 +107,7 @@
 
 func TestReader_NamesEventInError(t *testing.T) {
 	line := `{"timeMs":1,"inbox":[["CRASH_NOW","server/1"],["BORN","server/1",1]]}`
-	_, err := NewReader(strings.NewReader(line)).Next()
+	_, err := NewReader(strings.NewReader(line)).ReadBatch()
 	var eventError *EventError
 	if !errors.As(err, &eventError) || eventError.Index != 1 || !errors.Is(err, errSettingsLack) {
 		t.Errorf("error %v", err)
