--- a/internal/server/accept.go
+++ b/internal/server/accept.go
@@ -8,7 +8,6 @@
 	"net"
 	"net/netip"
 	"os"
-	"slices"
 	"sync/atomic"
 	"syscall"
 	"time"
@@ -23,16 +22,10 @@
 	// compared with the cost of an attempt.
 	minAcceptBackoff = 2 * time.Millisecond
 	maxAcceptBackoff = 50 * time.Millisecond
-	// acceptBurst is the burst of the rate limit, in seconds of the rate: half of all clients may
-	// reconnect together, and none of them is trusted after a restart.
-	acceptBurst = 1.0
 	// maxPendingAccepts bounds the connections between the acceptor and the loop where the
 	// connection limiter has no holding area: each takes up to three of the reserved descriptors
 	// there.
 	maxPendingAccepts = 4
-	// cpuSampleInterval is how often, in seconds, the CPU time spent is read: a system call of a
-	// microsecond.
-	cpuSampleInterval = 0.05
 	// acceptFailureLogInterval is the least time between two log lines about failed accepts.
 	acceptFailureLogInterval = time.Second
 	// maxEvictionRounds bounds how often other connections are evicted for the sake of one.
@@ -58,7 +51,8 @@
 	failureLoggedAt time.Time
 	failures        atomic.Int64 // failed accepts
 
-	// untrustedRate is from the limiter: untrusted clients a second, as the bits of a float64.
+	// untrustedRate is how many untrusted clients a second may be accepted, by the connection
+	// limiter, as the bits of a float64.
 	untrustedRate atomic.Uint64
 	trusted       atomic.Pointer[trustedClients] // exempt from the rate, from the limiter
 	rateLimited   atomic.Int64                   // untrusted clients that were refused
@@ -76,17 +70,6 @@
 	remote netip.Addr
 }
 
-// trustedClients are the clients that the acceptor exempts from the rate limit.
-type trustedClients struct {
-	named  []netip.Prefix
-	earned map[netip.Addr]bool
-}
-
-func (t *trustedClients) has(addr netip.Addr) bool {
-	isNamed := func(prefix netip.Prefix) bool { return prefix.Contains(addr) }
-	return t.earned[addr] || slices.ContainsFunc(t.named, isNamed)
-}
-
 // newAcceptor opens the server's listener. Like gnet's, it sets SO_REUSEPORT, so that a successor
 // can listen on the address.
 func newAcceptor(address string) (*acceptor, error) {
@@ -124,15 +107,15 @@
 // called before run.
 func (a *acceptor) attach(s *Server) {
 	a.server = s
-	places := maxPendingAccepts
+	maxPending := maxPendingAccepts
 	rate := math.Inf(1)
 	trusted := &trustedClients{}
 	if s.clients.limiter.HasRules() {
-		places = s.holdingSlots()
+		maxPending = s.holdingSlots()
 		rate = s.clients.limiter.AcceptRate(s.now())
-		trusted.named = s.clients.limiter.TrustedPrefixes()
+		trusted.prefixes = s.clients.limiter.TrustedPrefixes()
 	}
-	a.pending = make(chan struct{}, places)
+	a.pending = make(chan struct{}, maxPending)
 	a.untrustedRate.Store(math.Float64bits(rate))
 	a.trusted.Store(trusted)
 }
@@ -173,33 +156,14 @@
 	}
 }
 
-// tokenBucket counts the untrusted clients that may be accepted now.
-type tokenBucket struct {
-	tokens float64
-	at     time.Time // when it was last filled
-}
-
-// refill adds the tokens since the last refill, at a rate per second; an infinite rate leaves the
-// bucket as it is.
-func (b *tokenBucket) refill(rate float64) {
-	now := time.Now()
-	if !math.IsInf(rate, 1) {
-		b.tokens = min(max(1, rate*acceptBurst), b.tokens+now.Sub(b.at).Seconds()*rate)
-	}
-	b.at = now
-}
-
 // handleAccepted hands a connection to the loop, or refuses it if it is untrusted and over the
 // rate.
 func (a *acceptor) handleAccepted(socket acceptedSocket, bucket *tokenBucket) {
 	bucket.refill(math.Float64frombits(a.untrustedRate.Load()))
-	if !a.trusted.Load().has(socket.remote) {
-		if bucket.tokens < 1 {
-			a.rateLimited.Add(1)
-			refuse(socket, 0)
-			return
-		}
-		bucket.tokens--
+	if !a.trusted.Load().contains(socket.remote) && !bucket.take() {
+		a.rateLimited.Add(1)
+		refuse(socket, 0)
+		return
 	}
 	a.pending <- struct{}{}
 	a.handOver(socket)
@@ -225,23 +189,7 @@
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// sampleCPU updates the rate limit from the CPU time that arrivals cost. It runs on the loop.
-func (a *acceptor) sampleCPU(now float64) {
-	if now < a.sampledAt+cpuSampleInterval {
-		return
-	}
-	a.sampledAt = now
-	limiter := a.server.clients.limiter
-	var used unix.Rusage
-	if err := unix.Getrusage(unix.RUSAGE_SELF, &used); err == nil {
-		limiter.ObserveCPUTime(float64(used.Utime.Nano()+used.Stime.Nano())/1e9, now)
-	}
-	a.untrustedRate.Store(math.Float64bits(limiter.AcceptRate(now)))
-	if earned, changed := limiter.TrustedAddresses(); changed {
-		a.trusted.Store(&trustedClients{named: limiter.TrustedPrefixes(), earned: earned})
-	}
-}
-
+// reserveSpare opens the spare descriptor if there is none.
 func (a *acceptor) reserveSpare() {
 	if a.spareFile == nil {
 		a.spareFile, _ = os.Open(os.DevNull) // if it fails, the next accept tries again
@@ -333,7 +281,7 @@
 	evicted := make(chan struct{})
 	err := s.loop.execute(func() {
 		s.evictUnderPressure()
-		// gnet closes them in turn; this comes behind.
+		// gnet closes them in the order of its queue; this comes after the last.
 		_ = s.loop.execute(func() { close(evicted) })
 	})
 	if err != nil {
--- /dev/null
+++ b/internal/server/accept_rate.go
@@ -0,0 +1,74 @@
+package server
+
+import (
+	"math"
+	"net/netip"
+	"slices"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// This file limits the rate at which the acceptor accepts untrusted clients.
+
+const (
+	// acceptBurst is the burst of the rate limit, in seconds of the rate: half of all clients may
+	// reconnect together, and none of them is trusted after a restart.
+	acceptBurst = 1.0
+	// cpuSampleInterval is how often, in seconds, the CPU time spent is read: a system call of a
+	// microsecond.
+	cpuSampleInterval = 0.05
+)
+
+// trustedClients are the clients that the acceptor exempts from the rate limit.
+type trustedClients struct {
+	prefixes  []netip.Prefix      // by the operator's settings
+	addresses map[netip.Addr]bool // of clients that earned it by their requests
+}
+
+func (t *trustedClients) contains(addr netip.Addr) bool {
+	containsAddr := func(prefix netip.Prefix) bool { return prefix.Contains(addr) }
+	return t.addresses[addr] || slices.ContainsFunc(t.prefixes, containsAddr)
+}
+
+// tokenBucket counts the untrusted clients that may be accepted now.
+type tokenBucket struct {
+	tokens float64
+	at     time.Time // when it was last filled
+}
+
+// refill adds the tokens since the last refill, at a rate per second; an infinite rate leaves the
+// bucket as it is.
+func (b *tokenBucket) refill(rate float64) {
+	now := time.Now()
+	if !math.IsInf(rate, 1) {
+		b.tokens = min(max(1, rate*acceptBurst), b.tokens+now.Sub(b.at).Seconds()*rate)
+	}
+	b.at = now
+}
+
+// take takes a token, and reports whether there was one.
+func (b *tokenBucket) take() bool {
+	if b.tokens < 1 {
+		return false
+	}
+	b.tokens--
+	return true
+}
+
+// sampleCPU updates the rate limit from the CPU time that arrivals cost. It runs on the loop.
+func (a *acceptor) sampleCPU(now float64) {
+	if now < a.sampledAt+cpuSampleInterval {
+		return
+	}
+	a.sampledAt = now
+	limiter := a.server.clients.limiter
+	var used unix.Rusage
+	if err := unix.Getrusage(unix.RUSAGE_SELF, &used); err == nil {
+		limiter.ObserveCPUTime(float64(used.Utime.Nano()+used.Stime.Nano())/1e9, now)
+	}
+	a.untrustedRate.Store(math.Float64bits(limiter.AcceptRate(now)))
+	if addresses, changed := limiter.TrustedAddresses(); changed {
+		a.trusted.Store(&trustedClients{prefixes: limiter.TrustedPrefixes(), addresses: addresses})
+	}
+}
--- a/internal/server/claims.go
+++ b/internal/server/claims.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"context"
 	"slices"
 
 	"swiftcourse/admission"
@@ -41,24 +42,24 @@
 
 // keyClaims is the state of the requests whose keys are claimed.
 type keyClaims struct {
-	claimer KeyClaimer
-	classes []bool                     // whose requests are claimed
-	waiting map[string]admission.Event // arrivals that the controller has not received, by request
-	granted map[string]bool
+	claimer      KeyClaimer
+	classClaimed []bool                     // by class: whether its requests are claimed
+	waiting      map[string]admission.Event // arrivals that the controller has not received, by request
+	granted      map[string]bool            // requests that may run and have not ended
 }
 
 // EnableKeyClaims has the requests of some classes claimed by their subject before they run;
 // repeats are recognised for a window in seconds. It is called before Run.
 func (s *Server) EnableKeyClaims(claimer KeyClaimer, classes []string, window float64) {
 	claims := &keyClaims{
-		claimer: claimer,
-		classes: make([]bool, len(s.startup.ClassNames)),
-		waiting: map[string]admission.Event{},
-		granted: map[string]bool{},
+		claimer:      claimer,
+		classClaimed: make([]bool, len(s.startup.ClassNames)),
+		waiting:      map[string]admission.Event{},
+		granted:      map[string]bool{},
 	}
 	for i, name := range s.startup.ClassNames {
 		if slices.Contains(classes, name) {
-			claims.classes[i] = true
+			claims.classClaimed[i] = true
 			s.startup.Settings.Classes[i].Idempotency = admission.Deduplicated
 			s.startup.Settings.Classes[i].DeduplicationWindow = window
 		}
@@ -70,7 +71,7 @@
 // the request: then the controller receives the arrival once the claim is granted.
 func (s *Server) claimKey(request *requesttable.Request, arrival *admission.Event, now float64) bool {
 	claims := s.fleet.claims
-	if claims == nil || !claims.classes[request.Class] || request.Subject == "" {
+	if claims == nil || !claims.classClaimed[request.Class] || request.Subject == "" {
 		return false
 	}
 	if arrival.Request.DuplicateOf != "" {
@@ -80,16 +81,16 @@
 	if request.Timeout != 0 {
 		timeout = min(timeout, request.Timeout)
 	}
-	left := timeout - max(0, now-request.ArrivedAt) - claimSafetyMargin
+	remaining := timeout - max(0, now-request.ArrivedAt) - claimSafetyMargin
 	class := s.startup.ClassNames[request.Class]
 	full := len(claims.waiting) >= maxPendingClaims
-	if full || !claims.claimer.Claim(request.ID, class, request.Subject, left) {
-		s.reject(request, s.retryAfterOutOfService(), false)
+	if full || !claims.claimer.Claim(request.ID, class, request.Subject, remaining) {
+		s.reject(request, s.retryAfterOutOfService())
 		return true
 	}
 	claims.waiting[request.ID] = *arrival
 	id := request.ID
-	s.loop.timers.Schedule(now+max(0, left)+claimTimeoutGrace, func() {
+	s.loop.timers.Schedule(now+max(0, remaining)+claimTimeoutGrace, func() {
 		s.resolveClaim(id, serving.ClaimOutcomeUnknown, nil) // no effect if it is resolved by then
 	})
 	return true
@@ -98,8 +99,7 @@
 // HandleClaimVerdict receives the fleet's verdict on a claim, and the result if that is cached. Any
 // goroutine but the loop's may call it; it waits until the loop has started.
 func (s *Server) HandleClaimVerdict(id string, verdict serving.ClaimVerdict, result []byte) {
-	<-s.loop.ready
-	_ = s.loop.execute(func() { s.resolveClaim(id, verdict, result) })
+	s.loop.waitAndExecute(context.Background(), func() { s.resolveClaim(id, verdict, result) })
 }
 
 func (s *Server) resolveClaim(id string, verdict serving.ClaimVerdict, result []byte) {
@@ -130,7 +130,7 @@
 		s.queueEvent(arrival)
 	case serving.ClaimNoQuorum:
 		s.statistics.claimsFailed++
-		s.reject(request, s.retryAfterOutOfService(), false)
+		s.reject(request, s.retryAfterOutOfService())
 	default:
 		claims.claimer.ReleaseClaim(id) // it may have been granted all the same
 		s.statistics.claimsFailed++
@@ -169,7 +169,7 @@
 
 // resultLifetime is how long, in seconds, a class's result may serve repeats.
 func (s *Server) resultLifetime(class int) float64 {
-	if claims := s.fleet.claims; claims != nil && claims.classes[class] {
+	if claims := s.fleet.claims; claims != nil && claims.classClaimed[class] {
 		return s.startup.Settings.Classes[class].DeduplicationWindow
 	}
 	return s.startup.Settings.ResultCacheTTL
--- a/internal/server/client.go
+++ b/internal/server/client.go
@@ -16,12 +16,12 @@
 
 // clientTable is the state of all clients' connections.
 type clientTable struct {
-	conns        slottable.Table[clientConn]
-	limiter      *connlimit.Limiter
-	holdingArea  int // its size by the operator's settings
-	requestLists requesttable.ListPool
-	muted        []mutedConn
-	lingering    []*lingeringConn // in order of their deadlines
+	conns                  slottable.Table[clientConn]
+	limiter                *connlimit.Limiter
+	configuredHoldingSlots int // size of the holding area by the operator's settings
+	requestLists           requesttable.ListPool
+	muted                  []mutedConn
+	lingering              []*lingeringConn // in order of their deadlines
 }
 
 // clientConn is a client's connection. It holds nothing that an idle connection doesn't need: its
@@ -58,7 +58,7 @@
 		return c.requestAdmission()
 	}
 	s.clients.limiter.HandleOpen(c.slot(), s.now())
-	if limit, _ := s.maxClients(); s.clients.conns.Len() <= limit {
+	if s.clients.conns.Len() <= s.maxClients().conns {
 		return nil
 	}
 	s.statistics.evicted++
@@ -97,7 +97,7 @@
 	}
 	c.release(&s.output.buffers)
 	s.clients.limiter.HandleClosed(c.slot())
-	s.clients.conns.Remove(c.id) // c is another's from here on
+	s.clients.conns.Remove(c.id) // from here on c may be the entry of another connection
 	for _, request := range requests {
 		s.cancelByClient(request)
 	}
--- a/internal/server/client_state_test.go
+++ b/internal/server/client_state_test.go
@@ -16,8 +16,8 @@
 		"muted ended":            connClosed,
 		"lingering ended":        connClosed,
 	}
-	for from := range connStates {
-		for event := range connEvents {
+	for from := range connStateCount {
+		for event := range connEventCount {
 			name := fmt.Sprint(from, " ", event)
 			t.Run(name, func(t *testing.T) {
 				next, isLegal := legal[name]
@@ -31,7 +31,7 @@
 			})
 		}
 	}
-	if connStates.String() != "unknown" || connEvents.String() != "unknown" {
+	if connStateCount.String() != "unknown" || connEventCount.String() != "unknown" {
 		t.Error("a value that is none has a name")
 	}
 }
--- a/internal/server/client_test.go
+++ b/internal/server/client_test.go
@@ -31,10 +31,10 @@
 		}
 		socket.bytes = requestFrame(1, "a1", "x")[:40]
 		s.OnTraffic(socket)
-		if s.maintainConnections(s.now() + 1); socket.closed {
+		if s.applyLimiterDecisions(s.now() + 1); socket.closed {
 			t.Errorf("spoke %t: closed within a second", spoke)
 		}
-		s.maintainConnections(s.now() + 86400)
+		s.applyLimiterDecisions(s.now() + 86400)
 		if !socket.closed || s.clients.conns.Len() != 0 || s.statistics.silent != 1 {
 			t.Errorf("spoke %t: not closed after a day", spoke)
 		}
--- a/internal/server/conn.go
+++ b/internal/server/conn.go
@@ -36,11 +36,11 @@
 
 // bufferedConn is an open connection and the output that waits to be written on it.
 type bufferedConn struct {
-	conn    gnet.Conn // nil once it is closed or given up
-	out     bufferpool.WriteBuffer
-	unsent  bool // it is in output.unflushed
-	dialed  bool // by the server
-	lagging bool // it is in output.lagging
+	conn      gnet.Conn // nil once it is closed or given up
+	out       bufferpool.WriteBuffer
+	unflushed bool // it is in output.unflushed
+	dialed    bool // by the server
+	lagging   bool // it is in output.lagging
 }
 
 func (c *bufferedConn) owns(conn gnet.Conn) bool { return c.conn == conn }
@@ -79,8 +79,8 @@
 		return
 	}
 	c.out.Append(&s.output.buffers, data)
-	if !c.unsent {
-		c.unsent = true
+	if !c.unflushed {
+		c.unflushed = true
 		s.output.unflushed = append(s.output.unflushed, c)
 		s.scheduleTurn()
 	}
@@ -91,7 +91,7 @@
 	unflushed := s.output.unflushed
 	s.output.unflushed = nil
 	for _, c := range unflushed {
-		c.unsent = false
+		c.unflushed = false
 		if c.conn != nil && len(c.out.Buffers()) > 0 {
 			s.flushConn(c)
 		}
--- a/internal/server/connlimit.go
+++ b/internal/server/connlimit.go
@@ -16,27 +16,30 @@
 	if operator == nil || !operator.ConnLimit.Enabled {
 		return connlimit.New(s.startup.Settings.IdleTimeout)
 	}
-	s.clients.holdingArea = operator.ConnLimit.HoldingSlots
+	s.clients.configuredHoldingSlots = operator.ConnLimit.HoldingSlots
 	return connlimit.NewWithRules(s.startup.Settings.IdleTimeout, s.connRules(operator))
 }
 
-// holdingAreaShare is the divisor of the clients' descriptors that bounds the holding area.
-const holdingAreaShare = 16
+const (
+	// holdingAreaShare is the divisor of the clients' descriptors that bounds the holding area.
+	holdingAreaShare = 16
+	// descriptorsPerHoldingSlot is how many descriptors are set aside for each place of the holding
+	// area: two for the connection there, and two for one on its way to the loop.
+	descriptorsPerHoldingSlot = 4
+)
 
 // holdingSlots is the size of the holding area: the operator's setting, but at most a sixteenth of
 // the clients' descriptors. As many connections may be on their way to the loop, each with two
 // descriptors for a moment.
 func (s *Server) holdingSlots() int {
-	limit, _ := s.maxClients()
-	return max(1, min(s.clients.holdingArea, limit/holdingAreaShare))
+	return max(1, min(s.clients.configuredHoldingSlots, s.maxClients().conns/holdingAreaShare))
 }
 
 // connRules translates the operator's settings for the connection limiter.
 func (s *Server) connRules(operator *config.OperatorSettings) connlimit.Rules {
 	settings := &operator.ConnLimit
-	places := s.holdingSlots()
-	limit, _ := s.maxClients()
-	limit -= 4 * places // twice in the holding area, and twice on their way
+	holdingSlots := s.holdingSlots()
+	limit := s.maxClients().conns - descriptorsPerHoldingSlot*holdingSlots
 	return connlimit.Rules{
 		MaxConnections:      limit,
 		ReservedSlots:       int(float64(limit) * float64(settings.TrustedReserve)),
@@ -47,7 +50,7 @@
 		IPv4PrefixBits:      settings.PrefixBitsIPv4,
 		IPv6PrefixBits:      settings.PrefixBitsIPv6,
 		TrustedPrefixes:     settings.TrustedPrefixes,
-		HoldingSlots:        places,
+		HoldingSlots:        holdingSlots,
 		RememberedAddresses: settings.RememberedAddresses,
 		TrustThreshold:      settings.RequestsToTrust,
 		CreditHalfLife:      settings.ReputationHalfLife.Seconds(),
@@ -77,10 +80,13 @@
 		return
 	}
 	if !s.clients.limiter.ApplyRules(s.connRules(operator)) {
-		slog.Info("reload_ignored", "key", fixedKeys)
+		slog.Info("reload_ignored", "key", fixedConnLimitKeys)
 	}
 	if a := s.acceptor; a != nil {
-		a.trusted.Store(&trustedClients{named: operator.ConnLimit.TrustedPrefixes, earned: a.trusted.Load().earned})
+		a.trusted.Store(&trustedClients{
+			prefixes:  operator.ConnLimit.TrustedPrefixes,
+			addresses: a.trusted.Load().addresses,
+		})
 	}
 }
 
@@ -119,7 +125,7 @@
 	return netip.IPv6Unspecified()
 }
 
-// rejectAtLimit rejects a request of a connection that is over a limit: it never ran. The
+// rejectAtLimit rejects a request of a connection that is over a limit; the request never ran. The
 // Retry-After is bounded by the deployment's settings.
 func (c *clientConn) rejectAtLimit(number uint64, now float64) {
 	s := c.server
@@ -144,19 +150,19 @@
 // logConnStatistics logs the connection limiter's statistics.
 func (s *Server) logConnStatistics() {
 	limiter := s.clients.limiter
-	tally := limiter.Stats()
+	stats := limiter.Stats()
 	slog.Info("connection_admission",
-		"admitted", tally.Admitted,
-		"max", tally.MaxConnections,
+		"admitted", stats.Admitted,
+		"max", stats.MaxConnections,
 		"holding_area", limiter.Count(connlimit.StateHeld),
-		"untrusted_busy", tally.ActiveUntrusted,
+		"untrusted_busy", stats.ActiveUntrusted,
 		"rejected_rate", limiter.RejectedCount(connlimit.RateLimited),
 		"rejected_cap", limiter.RejectedCount(connlimit.OverCap),
 		"rejected_full", limiter.RejectedCount(connlimit.NoFreeSlot),
 		"rejected_unanswered", limiter.RejectedCount(connlimit.HoldingAreaFull),
 		"requests_rejected", s.statistics.rejectedAtLimit,
-		"addresses", tally.KnownAddresses,
-		"trusted", tally.RememberedTrusted,
+		"addresses", stats.KnownAddresses,
+		"trusted", stats.RememberedTrusted,
 		"rate_limit", logging.FormatDecimal(limiter.AcceptRate(s.now()), 0),
 		"over_rate", s.acceptor.rateLimited.Load(),
 		"accepts_failed", s.acceptor.failures.Load())
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -14,8 +14,8 @@
 // requestCounters is what was counted since the last report.
 type requestCounters struct {
 	classes int
-	counts  []serving.RequestCounts // by tenant, and in it by class
-	keys    []serving.CounterKey    // the same
+	counts  []serving.RequestCounts // of each tenant and class, see countsFor
+	keys    []serving.CounterKey    // tenant and class of each of the counts
 	changed bool
 	report  func([]serving.CounterCell) bool
 }
@@ -55,8 +55,8 @@
 	}
 }
 
-// at is the counter of a tenant's requests of a class.
-func (c *requestCounters) at(kind requestKind) *serving.RequestCounts {
+// countsFor returns the counts of a tenant's requests of a class, which the caller changes.
+func (c *requestCounters) countsFor(kind requestKind) *serving.RequestCounts {
 	c.changed = true
 	return &c.counts[kind.tenant*c.classes+kind.class]
 }
@@ -66,31 +66,31 @@
 	s.statistics.received++
 	s.countQuotaDemand(kind.tenant)
 	if c := s.fleet.counters; c != nil {
-		c.at(kind).Received++
+		c.countsFor(kind).Received++
 	}
 	if directive := s.fleet.directive.Load(); directive != nil {
 		directive.Stats.Requests.Add(1)
 	}
 }
 
-// countRejectedAtOnce counts a request that was rejected before it reached the controller.
+// countRejectedAtOnce counts a request that rejectAtOnce rejected.
 func (s *Server) countRejectedAtOnce(kind requestKind) {
 	if c := s.fleet.counters; c != nil {
-		counts := c.at(kind)
+		counts := c.countsFor(kind)
 		counts.Received++
 		counts.Rejected++
 	}
 }
 
 // countAnswer counts a request's final answer.
-func (s *Server) countAnswer(request *requesttable.Request, kind answer) {
+func (s *Server) countAnswer(request *requesttable.Request, kind answerKind) {
 	s.statistics.countAnswer(kind)
 	s.countOutcome(kind)
 	c := s.fleet.counters
 	if c == nil {
 		return
 	}
-	counts := c.at(requestKind{class: request.Class, tenant: int(request.Tenant)})
+	counts := c.countsFor(requestKind{class: request.Class, tenant: int(request.Tenant)})
 	switch kind {
 	case answerFinished:
 		counts.Finished++
@@ -103,7 +103,7 @@
 
 // countOutcome counts the end of a request under the present configuration version: as failed
 // unless it was finished.
-func (s *Server) countOutcome(kind answer) {
+func (s *Server) countOutcome(kind answerKind) {
 	directive := s.fleet.directive.Load()
 	if directive == nil {
 		return
--- a/internal/server/dial.go
+++ b/internal/server/dial.go
@@ -21,15 +21,15 @@
 	notSent    attemptProgress = iota // nothing left this server: it never ran
 	sent                              // it left, and the connection broke before the answer
 	mayHaveRun                        // it left, and the other side had its time to run it
-	attemptProgresses
+	attemptProgressCount
 )
 
 // String returns the progress's name.
 func (p attemptProgress) String() string {
-	return [...]string{"not_sent", "sent", "may_have_run", "unknown"}[min(p, attemptProgresses)]
+	return [...]string{"not_sent", "sent", "may_have_run", "unknown"}[min(p, attemptProgressCount)]
 }
 
-// outcome is what the controller hears of a call that ended so.
+// outcome is the outcome that is reported to the controller for a call that got so far.
 func (p attemptProgress) outcome() admission.Outcome {
 	switch p {
 	case notSent:
@@ -49,13 +49,10 @@
 
 // Error returns the cause's text.
 func (e *attemptError) Error() string {
-	if e.cause == nil {
-		return errClosedByOtherSide.Error()
-	}
-	return e.cause.Error()
+	return e.Unwrap().Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause, which is never nil.
 func (e *attemptError) Unwrap() error {
 	if e.cause == nil {
 		return errClosedByOtherSide
@@ -82,9 +79,9 @@
 	if failures <= 0 {
 		return 0
 	}
-	most := min(time.Duration(failures)*dialBackoffStep, maxDialBackoff)
+	longest := min(time.Duration(failures)*dialBackoffStep, maxDialBackoff)
 	jitter := rand.New(rand.NewPCG(uint64(seed), 0)).Float64()
-	return time.Duration(float64(most) * (1 + jitter) / 2)
+	return time.Duration(float64(longest) * (1 + jitter) / 2)
 }
 
 // endpoints are the addresses of the other parties. The context ends, with the dials under way,
@@ -112,17 +109,12 @@
 // once. New calls and links use the new addresses; calls in flight may still end at the old ones.
 func (s *Server) SetEndpoints(addresses config.Addresses) {
 	s.endpoints.Swap(newEndpoints(s.lifetime.context, addresses)).cancel()
-	go func() {
-		select {
-		case <-s.loop.ready:
-		case <-s.lifetime.context.Done():
-			return
-		}
-		_ = s.loop.execute(s.leaveOldEndpoints)
-	}()
+	go s.loop.waitAndExecute(s.lifetime.context, s.replaceMovedConns)
 }
 
-func (s *Server) leaveOldEndpoints() {
+// replaceMovedConns closes the connections to addresses that are no longer those of their parties.
+// The links are dialed again, and the upstream's connections as calls need them.
+func (s *Server) replaceMovedConns() {
 	current := s.endpoints.Load()
 	if e := s.executor; e.conn != nil && e.address != current.Executor {
 		e.reconnect()
@@ -164,8 +156,8 @@
 	}, target)
 }
 
-// dialWith is dial for a loop that is not known yet. The engine's own Register is not safe for two
-// callers at once.
+// dialWith is dial with a given way to hand the connection to the loop, for the first one: it is
+// dialed before the loop is known. (gnet's Client.Register is not safe for two callers at once.)
 func (s *Server) dialWith(register registerFunc, target dialTarget) (cancel context.CancelFunc) {
 	ctx, cancel := context.WithCancel(s.lifetime.context)
 	go func() {
@@ -221,12 +213,7 @@
 
 // reportDialFailure reports to the handler, on the loop, that its only dial failed.
 func (s *Server) reportDialFailure(ctx context.Context, handler connHandler, err error) {
-	select {
-	case <-s.loop.ready:
-	case <-ctx.Done():
-		return
-	}
-	_ = s.loop.execute(func() { handler.handleClose(&attemptError{notSent, err}) })
+	s.loop.waitAndExecute(ctx, func() { handler.handleClose(&attemptError{notSent, err}) })
 }
 
 // dialAddress dials until either context ends.
--- a/internal/server/directive.go
+++ b/internal/server/directive.go
@@ -1,7 +1,6 @@
 package server
 
 import (
-	"errors"
 	"log/slog"
 	"time"
 
@@ -20,14 +19,8 @@
 	applyTimeout = 2 * time.Second
 )
 
-// fixedKeys are the operator's keys that a connection limiter that is on can't change.
-const fixedKeys = "door-prefix-ipv4, door-prefix-ipv6, door-lobby, door-remember"
-
-// Why settings can't be applied while serving.
-var (
-	errSwitched = errors.New("door: can't be switched while serving")
-	errFixed    = errors.New(fixedKeys + ": can't be changed while serving")
-)
+// fixedConnLimitKeys are the operator's keys that can't change while a connection limiter is on.
+const fixedConnLimitKeys = "door-prefix-ipv4, door-prefix-ipv6, door-lobby, door-remember"
 
 // SetDirective sets the fleet's directive. Any goroutine may call it; it returns at once, and the
 // loop applies the directive from its next batch on.
@@ -83,7 +76,7 @@
 		}
 		// The controller drops it, as nobody waits for it any more.
 		s.queueEvent(admission.Event{Kind: admission.ClientGone, RequestID: request.ID})
-		s.reject(request, s.retryAfterOutOfService(), false)
+		s.reject(request, s.retryAfterOutOfService())
 	}
 }
 
@@ -134,11 +127,11 @@
 	limiter := s.clients.limiter
 	settings := &operator.ConnLimit
 	if settings.Enabled != limiter.HasRules() {
-		return errSwitched
+		return errConnLimitToggled
 	}
-	holdingAreaKept := settings.HoldingSlots == s.clients.holdingArea
+	holdingAreaKept := settings.HoldingSlots == s.clients.configuredHoldingSlots
 	if settings.Enabled && (!holdingAreaKept || !limiter.CanApply(s.connRules(operator))) {
-		return errFixed
+		return errFixedKey
 	}
 	s.fleet.operator = operator
 	if s.fleet.mode != serving.ModeSafeDefaults {
--- a/internal/server/doc.go
+++ b/internal/server/doc.go
@@ -21,10 +21,12 @@
 //
 //   - server.go, loop.go, turn.go: the server, gnet's callbacks, one turn of the loop
 //   - conn.go: a connection and what waits to be written on it
-//   - accept.go, refuse.go: accepting connections, and refusing those that can't be handed over
+//   - accept.go, accept_rate.go, refuse.go: accepting connections, and refusing those over the rate
+//     or without a descriptor
 //   - client.go, client_state.go, graceful.go, evict.go, connlimit.go: clients' connections
 //   - request.go, respond.go, execute.go: a request from its message to its answer
 //   - dial.go, executor.go, upstream.go, upstream_call.go, registry.go: what the server dials
+//   - sweep.go: what is dropped at each interval
 //   - drain.go: the end of a server
 //   - directive.go, quota.go, claims.go, counters.go, trust.go, forwarding.go: what a fleet adds;
 //     without one none of it is reached
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -34,11 +34,13 @@
 	gracePeriodMargin = 0.1
 )
 
-// Why a server exits, as logged.
+// exitCause is why a server exits, as logged.
+type exitCause string
+
 const (
-	exitNeverConnected  = "never_connected"
-	exitAllClosed       = "all_closed"
-	exitDeadlineReached = "deadline_reached"
+	exitNeverConnected  exitCause = "never_connected"
+	exitAllClosed       exitCause = "all_closed"
+	exitDeadlineReached exitCause = "deadline_reached"
 )
 
 // drainState is the progress of a drain.
@@ -60,7 +62,7 @@
 func (s *Server) Drain() {
 	at := s.now()
 	if !s.loop.isReady() { // no connection yet, so nothing to answer
-		slog.Info("exit", "cause", exitNeverConnected)
+		slog.Info("exit", "cause", string(exitNeverConnected))
 		s.stop()
 		return
 	}
@@ -144,8 +146,8 @@
 	return next
 }
 
-func (s *Server) exit(cause string) {
+func (s *Server) exit(cause exitCause) {
 	s.flush()
-	slog.Info("exit", "cause", cause, "open", s.requests.Unanswered(), "conns", s.clients.conns.Len())
+	slog.Info("exit", "cause", string(cause), "open", s.requests.Unanswered(), "conns", s.clients.conns.Len())
 	s.stop()
 }
--- a/internal/server/errors.go
+++ b/internal/server/errors.go
@@ -8,6 +8,12 @@
 // ErrLoopBusy is returned if the loop does not get to a change of settings in time.
 var ErrLoopBusy = errors.New("the server is too busy to change its settings now")
 
+// Why settings can't be applied while serving.
+var (
+	errConnLimitToggled = errors.New("door: can't be switched while serving")
+	errFixedKey         = errors.New(fixedConnLimitKeys + ": can't be changed while serving")
+)
+
 // Why a client's connection was refused or closed.
 var (
 	errBacklog         = errors.New("it does not read")
@@ -15,8 +21,9 @@
 	errNoDescriptor    = errors.New("no descriptor left for it")
 )
 
-// Why a request is invalid, see also invalidFieldError.
+// Why a request is invalid, see also invalidFieldError, duplicateMessageError and clockSkewError.
 var (
+	errUnknownName     = errors.New("unknown")
 	errMissingTimeout  = errors.New("its timeout is missing")
 	errTooManyOpen     = fmt.Errorf("over %d requests open on its connection", maxRequestsPerConn)
 	errDuplicateID     = errors.New("its id is that of another request")
@@ -39,14 +46,25 @@
 type invalidFieldError struct {
 	field  string
 	value  string
-	reason string
+	reason error
 }
 
+// Unwrap returns the reason.
+func (e *invalidFieldError) Unwrap() error { return e.reason }
+
 // Error names the field, its value and the reason.
 func (e *invalidFieldError) Error() string {
 	return fmt.Sprintf("%s %.40q: %s", e.field, e.value, e.reason)
 }
 
+// clockSkewError is a request's time of arrival that is too many seconds away from now.
+type clockSkewError float64
+
+// Error tells how far away it is.
+func (e clockSkewError) Error() string {
+	return fmt.Sprintf("it came %.0f s from now", float64(e))
+}
+
 // duplicateMessageError is a message ID that is already open on its connection, where an answer
 // would be taken for the other request's.
 type duplicateMessageError struct{ number uint64 }
--- a/internal/server/evict.go
+++ b/internal/server/evict.go
@@ -2,7 +2,6 @@
 
 import (
 	"iter"
-	"slices"
 
 	"github.com/panjf2000/gnet/v2"
 	"golang.org/x/sys/unix"
@@ -21,21 +20,29 @@
 	maxEvictionCandidates = 16
 )
 
-// What bounds the number of clients' connections, as logged.
+// clientBound is the resource that bounds the number of clients' connections, as logged.
+type clientBound string
+
 const (
-	boundByDescriptors = "descriptors"
-	boundByMemory      = "memory"
+	boundByDescriptors clientBound = "descriptors"
+	boundByMemory      clientBound = "memory"
 )
 
-// maxClients is the limit on clients' connections and what sets it: the descriptors that are left,
-// which are over half, as clients may open that many; or memory.
-func (s *Server) maxClients() (limit int, bound string) {
-	limit = s.startup.MaxSockets - reservedDescriptors - s.maxUpstreamConns()
+// clientLimit is a limit on clients' connections, and the resource that sets it.
+type clientLimit struct {
+	conns int
+	bound clientBound
+}
+
+// maxClients is the limit on clients' connections: by the descriptors that are left, which are over
+// half, as clients may open that many; or by memory.
+func (s *Server) maxClients() clientLimit {
+	byDescriptors := s.startup.MaxSockets - reservedDescriptors - s.maxUpstreamConns()
 	inMemory := int(s.startup.MemoryBytes / idleMemoryShare / idleConnBytes)
-	if s.startup.MemoryBytes > 0 && inMemory < limit {
-		return inMemory, boundByMemory
+	if s.startup.MemoryBytes > 0 && inMemory < byDescriptors {
+		return clientLimit{inMemory, boundByMemory}
 	}
-	return limit, boundByDescriptors
+	return clientLimit{byDescriptors, boundByDescriptors}
 }
 
 // evictionCandidate is the connection to evict for a newcomer, nil for none: the limiter's first
@@ -57,7 +64,7 @@
 			continue
 		}
 		tried++
-		if !client.unsent && !hasQueuedBytes(client.conn) {
+		if !client.unflushed && !hasQueuedBytes(client.conn) {
 			return client
 		}
 	}
@@ -99,43 +106,3 @@
 		victim.closeNow()
 	}
 }
-
-const (
-	// sweepInterval is how often, in seconds, sweep runs.
-	sweepInterval = 0.5
-	// unreadMemoryShare is the divisor of the memory that clients may leave unread.
-	unreadMemoryShare = 8
-)
-
-// sweep drops expired cached results, closes idle upstream connections, and bounds the output that
-// clients leave unread.
-func (s *Server) sweep() {
-	now := s.now()
-	s.closeLargestBacklog()
-	s.closeIdleUpstream(now)
-	s.results.Expire(now - s.maxReadDelay())
-}
-
-// closeLargestBacklog closes the connection with the largest backlog if all backlogs together are
-// too large.
-func (s *Server) closeLargestBacklog() {
-	unread := 0
-	largest := 0
-	var worst *bufferedConn
-	s.output.lagging = slices.DeleteFunc(s.output.lagging, func(c *bufferedConn) bool {
-		backlog := c.conn.OutboundBuffered()
-		unread += backlog
-		if backlog > largest {
-			largest = backlog
-			worst = c
-		}
-		c.lagging = backlog > 0
-		return backlog == 0
-	})
-	if worst == nil || unread <= int(s.startup.MemoryBytes/unreadMemoryShare) {
-		return
-	}
-	if client, ok := worst.conn.Context().(*clientConn); ok {
-		client.closeNow()
-	}
-}
--- a/internal/server/evict_test.go
+++ b/internal/server/evict_test.go
@@ -10,10 +10,10 @@
 
 func TestMaxClients_FromDescriptorsAndMemory(t *testing.T) {
 	for _, c := range []struct {
-		sockets   int
-		memory    int64
-		want      int
-		becauseOf string
+		sockets int
+		memory  int64
+		want    int
+		bound   clientBound
 	}{
 		{512, 64 << 20, 352, "descriptors"},
 		{384, 48 << 20, 256, "descriptors"},
@@ -21,8 +21,8 @@
 		{20000, 48 << 20, 48 << 20 / 4 / idleConnBytes, "memory"},
 	} {
 		s := New(&config.Startup{MaxSockets: c.sockets, MemoryBytes: c.memory}, nil)
-		if most, by := s.maxClients(); most != c.want || by != c.becauseOf {
-			t.Errorf("%d descriptors, %d bytes: %d by %s", c.sockets, c.memory, most, by)
+		if limit := s.maxClients(); limit != (clientLimit{c.want, c.bound}) {
+			t.Errorf("%d descriptors, %d bytes: %d by %s", c.sockets, c.memory, limit.conns, limit.bound)
 		}
 	}
 }
@@ -33,7 +33,7 @@
 	busy := f.dialClient()
 	busy.send("%s", requestFrame(1, "a1", "x"))
 	f.executor.expectCommand("begin", "a1")
-	most, _ := f.server.maxClients()
+	most := f.server.maxClients().conns
 	for range most {
 		f.dialClient()
 		late := f.dialClient()
@@ -49,7 +49,7 @@
 	s := New(&config.Startup{Settings: admission.Settings{IdleTimeout: 30}}, nil)
 	add := func(unsent bool) *clientConn {
 		id, client := s.clients.conns.Add()
-		client.server, client.id, client.conn, client.unsent = s, id, brokenConn{}, unsent
+		client.server, client.id, client.conn, client.unflushed = s, id, brokenConn{}, unsent
 		s.clients.limiter.HandleOpen(id.Slot(), 0)
 		s.clients.limiter.HandleEvent(id.Slot(), connlimit.EventRequest, 0)
 		return client
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -2,6 +2,7 @@
 
 import (
 	"log/slog"
+	"strconv"
 
 	"swiftcourse/admission"
 	"swiftcourse/internal/requesttable"
@@ -12,8 +13,8 @@
 // the reading is there when the timer fires, and still fresh.
 const gaugeLead = 0.004
 
-// execute carries out the controller's actions, in order.
-func (s *Server) execute(actions []admission.Action, now float64) {
+// executeActions carries out the controller's actions, in order.
+func (s *Server) executeActions(actions []admission.Action, now float64) {
 	for i := range actions {
 		action := &actions[i]
 		if !s.executeOnServer(action, now) {
@@ -31,10 +32,11 @@
 	case admission.ReportLoad:
 		s.setLoadReport(action.Load)
 	case admission.SetIdleTimeout:
-		if action.Duration <= 0 {
-			action.Duration = s.startup.Settings.IdleTimeout
+		timeout := action.Duration
+		if timeout <= 0 {
+			timeout = s.startup.Settings.IdleTimeout
 		}
-		s.clients.limiter.SetIdleTimeout(action.Duration)
+		s.clients.limiter.SetIdleTimeout(timeout)
 	case admission.SetTimer:
 		s.setTimer(action.Label, action.Duration, now)
 	case admission.LogLine:
@@ -47,7 +49,7 @@
 
 // setTimer schedules a timer event in so many seconds, with fresh gauges.
 func (s *Server) setTimer(label string, seconds, now float64) {
-	s.loop.timers.Schedule(now+max(0, seconds-gaugeLead), s.executor.askGaugesFunc)
+	s.loop.timers.Schedule(now+max(0, seconds-gaugeLead), s.executor.requestGaugesFunc)
 	s.loop.timers.Schedule(now+seconds, func() {
 		s.queueEvent(admission.Event{Kind: admission.TimerFired, Label: label})
 	})
@@ -67,13 +69,13 @@
 	case admission.StartRun:
 		s.startRun(request)
 	case admission.Reject:
-		s.reject(request, action.Duration, action.NoFailover)
+		s.rejectWith(request, action.Duration, action.NoFailover)
 	case admission.Fail:
 		s.fail(request)
 	case admission.DispatchCall:
 		s.startCall(request, action.Duration)
 	case admission.Degrade:
-		s.executor.reply(request, nil, true)
+		s.executor.skipCall(request)
 	case admission.StoreKey:
 		s.results.Track(request, now+action.Duration, s.runsAtMostOnce(request.Class))
 	case admission.DeleteKey:
@@ -121,3 +123,8 @@
 	s.health.healthy = healthy
 	s.registry.report()
 }
+
+// setLoadReport sets the free capacity that goes with every answer.
+func (s *Server) setLoadReport(free float64) {
+	s.health.loadReport.LoadReport = strconv.FormatFloat(free, 'f', -1, 64)
+}
--- a/internal/server/executor.go
+++ b/internal/server/executor.go
@@ -20,26 +20,31 @@
 // and a new link repeats what the old one may have lost.
 const silenceTimeout = 5
 
+// resumeTagPrefix begins executorLink.resumeTag, and tells it from the tags of other gauge requests,
+// which are numbers of commands.
+const resumeTagPrefix = "fence-"
+
 // executorLink is the link to the executor, the process that runs requests. It is up after the
-// executor's first message. After a break it is up once the missed notices have been repeated: the
-// reply to a gauge request with the fence's tag comes behind them.
+// executor's first message. After a break the executor repeats the notices that were missed. The
+// server then asks for the gauges with a tag of its own, resumeTag; as replies come in order, the
+// link is up again when that reply arrives.
 type executorLink struct {
 	dialedConn
-	server          *Server
-	askGaugesFunc   func() // askGauges, bound once for all timers
-	reader          processor.NoticeParser
-	lastNotice      int64   // number of the last notice read
-	up              bool    // commands may go out
-	fence           string  // tag of the fence that is awaited, "" for none
-	failedLinks     int     // in a row that did not come up
-	commandsSent    int     // over all links
-	confirmed       int     // how many of them the executor has acknowledged
-	unansweredSince float64 // when the unanswered gauge request was sent, 0 for none
+	server            *Server
+	requestGaugesFunc func() // requestGauges, bound once for all timers
+	parser            processor.NoticeParser
+	lastNotice        int64   // number of the last notice read
+	up                bool    // commands may be sent
+	resumeTag         string  // of the gauge request whose reply ends the repeated notices, "" for none
+	failedLinks       int     // in a row on which the executor sent no first message
+	commandsSent      int     // over all links
+	acknowledged      int     // number of the latest command that the executor is known to have received
+	unansweredSince   float64 // when the unanswered gauge request was sent, 0 for none
 }
 
 func newExecutorLink(s *Server) *executorLink {
 	l := &executorLink{server: s}
-	l.askGaugesFunc = l.askGauges
+	l.requestGaugesFunc = l.requestGauges
 	return l
 }
 
@@ -54,7 +59,7 @@
 	slog.Info("link_lost", "link", "executor", "err", &attemptError{sent, err})
 	l.release(&l.server.output.buffers)
 	l.up = false
-	l.fence = ""
+	l.resumeTag = ""
 	l.unansweredSince = 0
 	l.server.decisions.gaugesAt = math.Inf(-1)
 	l.server.dial(dialTarget{addressOf: executorAddress, handler: l, failures: l.failedLinks})
@@ -71,11 +76,11 @@
 func (l *executorLink) write(data []byte) { l.server.write(&l.bufferedConn, data) }
 
 // sendCommand numbers a command and sends it, encoded by put, if the link is up. Otherwise the
-// command is repeated after the fence.
-func (l *executorLink) sendCommand(put func(b []byte) []byte) int {
+// command is sent by resend.
+func (l *executorLink) sendCommand(encode func(b []byte) []byte) int {
 	l.commandsSent++
 	if l.up {
-		l.server.output.scratch = put(l.server.output.scratch[:0])
+		l.server.output.scratch = encode(l.server.output.scratch[:0])
 		l.write(l.server.output.scratch)
 	}
 	return l.commandsSent
@@ -90,7 +95,7 @@
 			}
 			return n, nil
 		}
-		notice, err := l.reader.Parse(data[n : n+end])
+		notice, err := l.parser.Parse(data[n : n+end])
 		if err != nil {
 			return n, err
 		}
@@ -108,7 +113,7 @@
 	running := request != nil && request.Running
 	switch notice.Kind {
 	case processor.NoticeHello:
-		l.handleUp(notice)
+		l.handleHello(notice)
 	case processor.NoticeGauges:
 		l.handleGauges(notice)
 	case processor.NoticeRemark:
@@ -126,24 +131,24 @@
 	}
 }
 
-// handleUp starts the controller at the executor's first message, and requests a fence after a
-// break.
-func (l *executorLink) handleUp(notice *processor.Notice) {
+// handleHello starts the controller at the executor's first message. After a break it requests the
+// reply behind which all missed notices have been read.
+func (l *executorLink) handleHello(notice *processor.Notice) {
 	l.failedLinks = 0
 	if l.server.decisions.controller == nil {
 		l.up = true
-		l.server.startController(notice.Cold, notice.Duration)
+		l.server.startController(executorStart{cold: notice.Cold, secondsAgo: notice.Duration})
 		return
 	}
-	l.fence = "fence-" + strconv.Itoa(l.commandsSent)
-	l.write(processor.AppendReadGauges(nil, l.fence))
+	l.resumeTag = resumeTagPrefix + strconv.Itoa(l.commandsSent)
+	l.write(processor.AppendReadGauges(nil, l.resumeTag))
 }
 
 // handleRejection handles a command that the executor did not carry out.
 func (l *executorLink) handleRejection(notice *processor.Notice, request *requesttable.Request) {
 	s := l.server
 	s.statistics.commandsRejected++
-	if s.mayLogPeerFault() { // requests that no client sent cause hundreds of these
+	if s.allowPeerFaultLog() { // requests that no client sent cause hundreds of these
 		slog.Info("command_rejected", "command", notice.Detail, "request", notice.ID)
 	}
 	if request != nil && request.Running && request.CallNotice == 0 { // only its start can be meant: it never ran
@@ -179,14 +184,14 @@
 	s := l.server
 	l.unansweredSince = 0
 	switch {
-	case notice.Tag == l.fence && l.fence != "":
-		l.fence = ""
+	case notice.Tag == l.resumeTag && l.resumeTag != "":
+		l.resumeTag = ""
 		l.up = true
 		slog.Info("link_resumed", "link", "executor", "last_notice", l.lastNotice)
 		l.resend()
 	case l.up:
-		if read, err := strconv.Atoi(notice.Tag); err == nil {
-			l.confirmed = max(l.confirmed, read)
+		if acknowledged, err := strconv.Atoi(notice.Tag); err == nil {
+			l.acknowledged = max(l.acknowledged, acknowledged)
 		}
 	}
 	s.decisions.gaugesAt = s.now()
@@ -197,16 +202,17 @@
 	}
 }
 
-// resend repeats every command that the executor has not acknowledged. A run that was started goes
-// on unharmed; one that ended is known to have ended, by the fence, unless it ends just now: so a
-// start is not repeated if running twice is ruled out. Such a request waits for a notice of its
-// run, and fails at its soft deadline if none comes.
+// resend repeats every command that the executor has not acknowledged. Repeating the start of a
+// request that still runs has no effect. One that ended is known to have ended, as all missed
+// notices were read, unless it ends just now: so a start is not repeated if the request must not
+// run twice. Such a request waits for a notice of its run, and fails at its soft deadline if none
+// comes.
 func (l *executorLink) resend() {
 	s := l.server
 	for _, request := range s.requests.InArrivalOrder() {
 		class := &s.startup.Settings.Classes[request.Class]
 		switch {
-		case !request.Running || request.LastCommand <= l.confirmed:
+		case !request.Running || request.LastCommand <= l.acknowledged:
 		case request.CallNotice == 0 && class.Idempotency == admission.Idempotent:
 			l.sendStart(request)
 		case request.CallSettled:
@@ -215,8 +221,8 @@
 	}
 }
 
-// askGauges requests the gauges, and replaces a link that has been silent for too long.
-func (l *executorLink) askGauges() {
+// requestGauges requests the gauges, and replaces a link that has been silent for too long.
+func (l *executorLink) requestGauges() {
 	if !l.up {
 		return
 	}
@@ -247,18 +253,29 @@
 	})
 }
 
-// reply settles the call that a run waits for, with the reply or, if skip is set, without one.
-func (l *executorLink) reply(request *requesttable.Request, body []byte, skip bool) {
-	if request.CallNotice == 0 || request.CallSettled {
-		return
-	}
-	request.CallSettled = true
-	if !skip {
+// awaitsCall reports whether a run waits for its upstream call.
+func awaitsCall(request *requesttable.Request) bool {
+	return request.CallNotice != 0 && !request.CallSettled
+}
+
+// reply ends the call that a run waits for with its reply.
+func (l *executorLink) reply(request *requesttable.Request, body []byte) {
+	if awaitsCall(request) {
+		request.CallSettled = true
 		request.CallReply = l.server.output.buffers.Copy(body)
+		l.sendReply(request)
 	}
-	l.sendReply(request)
 }
 
+// skipCall has a run go on without the call that it waits for.
+func (l *executorLink) skipCall(request *requesttable.Request) {
+	if awaitsCall(request) {
+		request.CallSettled = true
+		l.sendReply(request)
+	}
+}
+
+// sendReply sends the reply of a call that has ended, or that the run goes on without one.
 func (l *executorLink) sendReply(request *requesttable.Request) {
 	request.LastCommand = l.sendCommand(func(b []byte) []byte {
 		if request.CallReply == nil {
@@ -268,26 +285,32 @@
 	})
 }
 
-// startController creates the admission controller, as of the executor's own start so many seconds
-// ago, so that it warms up with it. A cold executor has to warm up.
-func (s *Server) startController(cold bool, ago float64) {
+// executorStart describes when and how the executor started.
+type executorStart struct {
+	cold       bool // it has to warm up
+	secondsAgo float64
+}
+
+// startController creates the admission controller. Its slow start begins with a cold executor's own
+// start.
+func (s *Server) startController(start executorStart) {
 	if s.drain.started() { // it drains before it could run anything, and starts nothing now
-		slog.Info("controller_not_started", "slow_start", cold, "draining", true)
+		slog.Info("controller_not_started", "slow_start", start.cold, "draining", true)
 		return
 	}
-	slog.Info("controller_started", "slow_start", cold, "ago_s", logging.FormatDecimal(ago, 3))
+	slog.Info("controller_started", "slow_start", start.cold, "ago_s", logging.FormatDecimal(start.secondsAgo, 3))
 	settings := s.startup.Settings
 	settings.SlowStart.Duration = 0
 	at := s.now()
-	if cold { // the age of a warm one is irrelevant
+	if start.cold { // when a warm one started is irrelevant
 		settings.SlowStart.Duration = s.startup.SlowStartDuration
-		at -= min(ago, settings.SlowStart.Duration)
+		at -= min(start.secondsAgo, settings.SlowStart.Duration)
 	}
 	s.decisions.controller = admission.New(s.startup.Seed, settings)
 	if s.fleet.quotas != nil {
 		s.fleet.quotas.allowances = nil // the controller has to be notified of all of them
 	}
-	s.execute(s.decisions.controller.Decide(at, []admission.Event{{Kind: admission.Started}}), at)
+	s.executeActions(s.decisions.controller.Decide(at, []admission.Event{{Kind: admission.Started}}), at)
 	s.sweep()
 	s.every(sweepInterval, s.sweep)
 	s.scheduleTurn()
--- a/internal/server/executor_test.go
+++ b/internal/server/executor_test.go
@@ -78,12 +78,12 @@
 func TestExecutorLink_SilentLinkReplaced(t *testing.T) {
 	f, client := startRunningRequest(t, nil)
 	waitUntil(f, true, func(s *Server) bool { // a question is open, which nobody answers here
-		s.executor.askGauges()
+		s.executor.requestGauges()
 		return s.executor.unansweredSince > 0
 	})
 	f.onLoop(func(s *Server) {
 		s.executor.unansweredSince -= silenceTimeout
-		s.executor.askGauges()
+		s.executor.requestGauges()
 	})
 	executor := acceptConn(t, f.executorListener)
 	if hello := executor.readCommand(false); hello["msg"] != "hello" {
--- a/internal/server/forwarding.go
+++ b/internal/server/forwarding.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"context"
 	"math"
 
 	"swiftcourse/admission"
@@ -13,13 +14,13 @@
 // of one at an executor. All else is as it is for a server: the controller decides what is admitted
 // and when, by the learned typical run, which is that through the fleet.
 
-// forwardSafetyMargin is the part of the remaining time, in seconds, that a hop keeps: as for
-// upstream calls.
+// forwardSafetyMargin is how much less, in seconds, than the time that remains for a request is left
+// to the worker: the way back takes some.
 const forwardSafetyMargin = 0.010
 
 // forwardingState is the state of a server that forwards its requests.
 type forwardingState struct {
-	messages map[string]*rpc.Message // what goes on with requests that are not over
+	messages map[string]*rpc.Message // of the requests that are not over, by ID, without their bodies
 	dispatch func(forwarding.Request) bool
 	cancel   func(id string)
 }
@@ -29,16 +30,15 @@
 // EnableForwarding is called before Run.
 func (s *Server) EnableForwarding(dispatch func(forwarding.Request) bool, cancel func(id string)) {
 	s.fleet.forwarding = &forwardingState{messages: map[string]*rpc.Message{}, dispatch: dispatch, cancel: cancel}
-	s.executor.askGaugesFunc = func() {} // there are no gauges: workers report their capacity
+	s.executor.requestGaugesFunc = func() {} // there are no gauges: workers report their capacity
 }
 
 // HandleWorkerAvailable reports that there is a worker; the server serves from then on. Any
 // goroutine but the loop's may call it; it waits until the loop has started.
 func (s *Server) HandleWorkerAvailable() {
-	<-s.loop.ready
-	_ = s.loop.execute(func() {
+	s.loop.waitAndExecute(context.Background(), func() {
 		if s.decisions.controller == nil {
-			s.startController(false, math.Inf(1))
+			s.startController(executorStart{cold: false, secondsAgo: math.Inf(1)})
 		}
 	})
 }
@@ -87,7 +87,8 @@
 		Message:          *f.messages[request.ID],
 		RemainingSeconds: request.ArrivedAt + timeout - s.now() - forwardSafetyMargin,
 	}
-	forwarded.Message.Body = append([]byte(nil), request.Body...) // the buffer may be used again before a retry
+	// A copy, as request.Body may go back to its pool before the fleet retries.
+	forwarded.Message.Body = append([]byte(nil), request.Body...)
 	if forwarded.RemainingSeconds <= 0 || !f.dispatch(forwarded) {
 		s.handleForwardResult(&forwarding.Result{
 			ID:                request.ID,
@@ -124,7 +125,7 @@
 	case admission.Rejected:
 		outcome = admission.NeverStarted
 		if !request.Answered {
-			s.reject(request, min(result.RetryAfterSeconds, s.startup.Settings.MaxRetryAfter), false)
+			s.reject(request, min(result.RetryAfterSeconds, s.startup.Settings.MaxRetryAfter))
 		}
 	}
 	s.finishRun(request, outcome, result.Body, result.Seconds)
--- a/internal/server/graceful.go
+++ b/internal/server/graceful.go
@@ -117,9 +117,9 @@
 	c.server.scheduleTurn()
 }
 
-// maintainMuted closes muted connections that have received all their answers. It is called after
+// closeMuted closes muted connections that have received all their answers. It is called after
 // the turn's writes.
-func (s *Server) maintainMuted(now float64) {
+func (s *Server) closeMuted(now float64) {
 	if len(s.clients.muted) == 0 {
 		return
 	}
@@ -131,7 +131,7 @@
 		client := s.clients.conns.Get(muted.id)
 		switch {
 		case len(client.requests) > 0:
-		case !client.unsent && client.conn.OutboundBuffered() == 0:
+		case !client.unflushed && client.conn.OutboundBuffered() == 0:
 			client.closeGracefully()
 		case muted.deadline == 0:
 			muted.deadline = now + mutedFlushTimeout
@@ -142,17 +142,17 @@
 	}
 }
 
-// maintainConnections carries out the connection limiter's verdicts: a few in each turn.
-func (s *Server) maintainConnections(now float64) {
-	for _, verdict := range s.clients.limiter.TakeDecisions(now) {
-		client := s.clients.conns.AtSlot(verdict.Slot)
+// applyLimiterDecisions carries out the connection limiter's decisions: a few in each turn.
+func (s *Server) applyLimiterDecisions(now float64) {
+	for _, decision := range s.clients.limiter.TakeDecisions(now) {
+		client := s.clients.conns.AtSlot(decision.Slot)
 		switch {
-		case verdict.Command == connlimit.CommandAskToClose:
+		case decision.Command == connlimit.CommandAskToClose:
 			s.askToClose(client)
-		case client.unsent || hasQueuedBytes(client.conn):
+		case client.unflushed || hasQueuedBytes(client.conn):
 			client.observe(connlimit.EventUnreadData, now)
 		default:
-			if verdict.PreviousState != connlimit.StateAskedToClose {
+			if decision.PreviousState != connlimit.StateAskedToClose {
 				s.statistics.silent++
 			}
 			client.closeGracefully()
--- a/internal/server/graceful_test.go
+++ b/internal/server/graceful_test.go
@@ -48,11 +48,11 @@
 	client.mute()
 	now := s.now()
 	for at := now; at < now+mutedFlushTimeout; at += mutedFlushTimeout / 4 {
-		if s.maintainMuted(at); socket.closed {
+		if s.closeMuted(at); socket.closed {
 			t.Fatal("closed with an answer under way")
 		}
 	}
-	if s.maintainMuted(now + mutedFlushTimeout); !socket.closed || s.clients.conns.Len() != 0 {
+	if s.closeMuted(now + mutedFlushTimeout); !socket.closed || s.clients.conns.Len() != 0 {
 		t.Error("stays for ever")
 	}
 }
@@ -118,7 +118,7 @@
 		s.clients.limiter.SetIdleTimeout(0)
 		client, socket, far := addLinkedClient(t, s)
 		id, now := client.id, s.now()
-		s.maintainConnections(now + 1)
+		s.applyLimiterDecisions(now + 1)
 		if s.clients.limiter.State(id.Slot()) != connlimit.StateAskedToClose {
 			t.Fatalf("state %d", s.clients.limiter.State(id.Slot()))
 		}
@@ -129,7 +129,7 @@
 				t.Fatal(err)
 			}
 		}
-		s.maintainConnections(now + 3)
+		s.applyLimiterDecisions(now + 3)
 		if peerShutDown(far) == wakes || (s.clients.conns.Get(id) == nil) == wakes {
 			t.Fatalf("wakes %t, and it is %d clients", wakes, s.clients.conns.Len())
 		}
@@ -149,8 +149,8 @@
 		if !wakes {
 			continue
 		}
-		s.maintainConnections(now + 100) // a request is open
-		s.reject(s.requests.Get("a1"), 0, false)
+		s.applyLimiterDecisions(now + 100) // a request is open
+		s.reject(s.requests.Get("a1"), 0)
 		got := fmt.Sprintf("%q", s.clients.conns.Get(id).out.Buffers())
 		if s.requests.Unanswered() != 0 || s.statistics.rejected != 1 || len(got) < 10 {
 			t.Errorf("its answer: %s", got)
@@ -190,16 +190,16 @@
 	_, socket, far := addLinkedClient(t, s)
 	socket.unsent = 100
 	now := s.now()
-	s.maintainConnections(now + 1) // is asked to close
+	s.applyLimiterDecisions(now + 1) // is asked to close
 	s.flush()
 	for at := now + 2; at < now+5; at++ {
-		if s.maintainConnections(at); peerShutDown(far) || socket.closed {
+		if s.applyLimiterDecisions(at); peerShutDown(far) || socket.closed {
 			t.Fatal("closed with an answer under way")
 		}
 	}
 	socket.unsent = 0
 	for at := now + 5; at < now+8; at++ {
-		s.maintainConnections(at)
+		s.applyLimiterDecisions(at)
 	}
 	if !peerShutDown(far) {
 		t.Error("stays for ever")
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -14,7 +14,8 @@
 	"swiftcourse/internal/timerwheel"
 )
 
-// eventLoop is gnet's loop, its timers and what wakes it.
+// eventLoop is gnet's loop, the timers that run on it, and the timer that wakes it when the next of
+// them is due.
 type eventLoop struct {
 	handle        gnet.EventLoop // nil until the first connection is open
 	ready         chan struct{}  // closed once handle is set
@@ -22,7 +23,7 @@
 	ticked        bool           // by gnet's ticker, whose goroutine alone uses it
 
 	timers        timerwheel.Wheel
-	turn          gnet.Runnable // runTurn
+	turn          gnet.Runnable // runTurn of the server
 	turnScheduled bool
 	wakeup        *time.Timer
 	wakeupAt      float64 // when wakeup goes off, +Inf for never
@@ -69,12 +70,18 @@
 	}
 }
 
-// executeWhenReady runs f on the loop once that has started. It returns at once.
-func (l *eventLoop) executeWhenReady(f loopFunc) {
-	go func() {
-		<-l.ready
+// waitAndExecute waits until the loop has started, and queues f on it. It gives up when ctx ends.
+func (l *eventLoop) waitAndExecute(ctx context.Context, f loopFunc) {
+	select {
+	case <-l.ready:
 		_ = l.execute(f)
-	}()
+	case <-ctx.Done():
+	}
+}
+
+// executeWhenReady queues f on the loop once that has started. It returns at once.
+func (l *eventLoop) executeWhenReady(f loopFunc) {
+	go l.waitAndExecute(context.Background(), f)
 }
 
 // every calls f on the loop at each interval, in seconds; the first call is one interval from now.
@@ -105,7 +112,7 @@
 func (s *Server) OnOpen(conn gnet.Conn) (_ []byte, action gnet.Action) {
 	defer s.recoverPanic(conn, &action)
 	if s.loop.handle == nil {
-		s.begin(conn.EventLoop())
+		s.startLoop(conn.EventLoop())
 	}
 	var handler connHandler
 	address := ""
@@ -121,7 +128,7 @@
 		handler = s.addClient(conn)
 	}
 	if err := handler.handleOpen(conn, address); err != nil {
-		if s.mayLogPeerFault() {
+		if s.allowPeerFaultLog() {
 			slog.Info("connection_closed", "peer", conn.RemoteAddr(), "err", err)
 		}
 		return nil, gnet.Close
@@ -129,8 +136,8 @@
 	return nil, gnet.None
 }
 
-// begin takes over the loop, with its first connection.
-func (s *Server) begin(loop gnet.EventLoop) {
+// startLoop takes over gnet's loop when that has its first connection.
+func (s *Server) startLoop(loop gnet.EventLoop) {
 	s.loop.handle = loop
 	s.loop.wakeup = time.AfterFunc(time.Hour, func() {
 		_ = loop.Execute(context.Background(), s.loop.turn)
@@ -161,7 +168,7 @@
 		return gnet.None
 	}
 	s.statistics.malformed++
-	if s.mayLogPeerFault() {
+	if s.allowPeerFaultLog() {
 		slog.Info("protocol_error", "peer", conn.RemoteAddr(), "err", err)
 	}
 	if client, ok := handler.(*clientConn); ok {
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -9,8 +9,8 @@
 )
 
 // This file applies leased shares of quotas: the controller is notified of a change at the head of
-// the next batch, and of an expired lease by the loop's own clock, even if the goroutine that renews
-// it is stopped.
+// the next batch. The loop itself checks when a lease expires, so that a share ends in time even if
+// the goroutine that renews the lease does not run.
 
 const (
 	// usageInterval is how often, in seconds, usage is measured and reported.
@@ -37,10 +37,10 @@
 	applied    []float64 // the limit of each that the controller knows, negative for none
 	received   []int     // requests by tenant, since the last count
 	rates      []float64 // by tenant, of the last half second or so
-	nextExpiry float64   // when the next lease expires
+	nextExpiry float64   // when the next lease expires; -Inf after invalidateLimits
 	report     func([]QuotaUsage)
 
-	reportCalls func(serving.CallStats) // nil where nobody judges the upstream
+	reportCalls func(serving.CallStats) // nil without a circuit breaker
 	calls       serving.CallStats       // since the last count
 	probe       int64                   // number of the probing call that may be made, 0 for none
 	usedProbe   int64                   // number of the latest one that was made
@@ -71,10 +71,10 @@
 	if q == nil {
 		return
 	}
-	if q.probe != 0 { // it was made: no other goes out, also before who judges hears of it
+	if q.probe != 0 { // it was made: no other is, also before its outcome is reported
 		q.usedProbe = q.probe
 		q.probe = 0
-		q.nextExpiry = math.Inf(-1)
+		q.invalidateLimits()
 	}
 	if outcome == admission.Finished {
 		q.calls.Succeeded++
@@ -94,25 +94,36 @@
 // applyAllowances puts events about changed limits at the head of the batch.
 func (s *Server) applyAllowances(now float64) {
 	q := s.fleet.quotas
-	handed := s.fleet.allowances.Load()
-	if q == nil || handed == nil || s.decisions.controller == nil {
+	latest := s.fleet.allowances.Load()
+	if q == nil || latest == nil || s.decisions.controller == nil {
 		return
 	}
-	allowances := *handed
-	changed := len(allowances) != len(q.allowances) || len(allowances) > 0 && &allowances[0] != &q.allowances[0]
+	allowances := *latest
+	changed := !isSameSlice(allowances, q.allowances)
 	if !changed && now < q.nextExpiry {
 		return
 	}
 	if changed {
 		s.replaceAllowances(allowances)
-	} else if !math.IsInf(q.nextExpiry, -1) {
+	} else if !q.limitsInvalid() {
 		s.statistics.quotaExpired++
 	}
-	if events := q.limitsChanged(now); events != nil {
+	if events := q.updateLimits(now); events != nil {
 		s.decisions.pending = append(events, s.decisions.pending...)
 	}
 }
 
+// invalidateLimits has the limits computed again for the next batch, before a lease expires.
+func (q *quotas) invalidateLimits() { q.nextExpiry = math.Inf(-1) }
+
+func (q *quotas) limitsInvalid() bool { return math.IsInf(q.nextExpiry, -1) }
+
+// isSameSlice reports whether both are the same slice of the same array: every new list of
+// allowances is a new array.
+func isSameSlice(a, b []serving.Allowance) bool {
+	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
+}
+
 // replaceAllowances takes a new list. If its quotas are not the same as before, the controller has
 // to be notified of every one again.
 func (s *Server) replaceAllowances(allowances []serving.Allowance) {
@@ -128,9 +139,9 @@
 	q.allowances = allowances
 }
 
-// limitsChanged returns events for the limits that differ from what the controller knows, and sets
+// updateLimits returns events for the limits that differ from what the controller knows, and sets
 // the time of the next expiry.
-func (q *quotas) limitsChanged(now float64) (events []admission.Event) {
+func (q *quotas) updateLimits(now float64) (events []admission.Event) {
 	q.nextExpiry = math.Inf(1)
 	q.probe = 0
 	for i := range q.allowances {
--- a/internal/server/refuse.go
+++ b/internal/server/refuse.go
@@ -20,12 +20,12 @@
 
 // refusal is a connection that is being refused.
 type refusal struct {
-	socket   acceptedSocket
-	deadline time.Time // for the first message; the zero time for none
-	buffer   [refusalBufferSize]byte
-	buffered int  // bytes of the buffer that are no whole message yet
-	answered bool // something was written
-	deaf     bool // what comes is no message, or too long a one: it is discarded
+	socket     acceptedSocket
+	deadline   time.Time // for the first message; the zero time for none
+	buffer     [refusalBufferSize]byte
+	buffered   int  // bytes of the buffer that are no whole message yet
+	answered   bool // something was written
+	discarding bool // the input is malformed or a message too long: the rest is discarded
 }
 
 // refuse answers the messages that have arrived on a connection that can't be admitted, or arrive
@@ -61,7 +61,7 @@
 	if err != nil || n <= 0 {
 		return false
 	}
-	if r.deaf {
+	if r.discarding {
 		return true
 	}
 	answers, rest, err := refusalsFor(r.buffer[:r.buffered+n])
@@ -70,9 +70,9 @@
 		r.answered = true
 	}
 	r.buffered = copy(r.buffer[:], rest)
-	if err != nil || r.buffered == len(r.buffer) { // nothing more can be made of it
+	if err != nil || r.buffered == len(r.buffer) { // malformed, or too long a message
 		r.buffered = 0
-		r.deaf = true
+		r.discarding = true
 	}
 	return true
 }
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -1,7 +1,6 @@
 package server
 
 import (
-	"fmt"
 	"log/slog"
 	"math"
 
@@ -62,15 +61,15 @@
 	case message.Invalid != nil:
 		return kind, message.Invalid
 	case !classKnown:
-		return kind, &invalidFieldError{"class", message.Class, "unknown"}
+		return kind, &invalidFieldError{"class", message.Class, errUnknownName}
 	case !tenantKnown && len(s.startup.TenantIndex) > 0:
-		return kind, &invalidFieldError{"tenant", message.Tenant, "unknown"}
+		return kind, &invalidFieldError{"tenant", message.Tenant, errUnknownName}
 	case message.NoTimeout && s.startup.Settings.DeadlinePropagation:
 		return kind, errMissingTimeout
 	case len(c.requests) >= maxRequestsPerConn:
 		return kind, errTooManyOpen
 	case math.Abs(message.ArrivedAt-now) > maxClockSkew:
-		return kind, fmt.Errorf("it came %.0f s from now", message.ArrivedAt-now)
+		return kind, clockSkewError(message.ArrivedAt - now)
 	case s.requests.Get(message.ID) != nil:
 		return kind, errDuplicateID
 	}
@@ -87,7 +86,7 @@
 	switch {
 	case subject == "":
 		// No repeat of it could be recognised, so it may not run.
-		return &invalidFieldError{"class", message.Class, errMissingKey.Error()}
+		return &invalidFieldError{"class", message.Class, errMissingKey}
 	case s.results.IsConflicting(class, subject, message.Body, message.ArrivedAt):
 		// Otherwise it would receive the result of another request.
 		return errConflictingBody
@@ -99,7 +98,7 @@
 func (c *clientConn) rejectInvalid(number uint64, err error, now float64) {
 	s := c.server
 	s.statistics.invalid++
-	if s.mayLogPeerFault() {
+	if s.allowPeerFaultLog() {
 		slog.Info("invalid_request", "peer", c.conn.RemoteAddr(), "err", err)
 	}
 	c.observe(connlimit.EventMessage, now)
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -1,38 +1,36 @@
 package server
 
 import (
-	"strconv"
-
 	"swiftcourse/admission"
 	"swiftcourse/internal/requesttable"
 	"swiftcourse/internal/resultcache"
 	"swiftcourse/internal/wire/rpc"
 )
 
-// answer is the kind of a request's final answer.
-type answer uint8
+// answerKind is the kind of a request's final answer.
+type answerKind uint8
 
 const (
-	answerFinished answer = iota // a result
-	answerFailed                 // an error: it ran, or may have
-	answerRejected               // it never ran
-	answers
+	answerFinished answerKind = iota // a result
+	answerFailed                     // an error: it ran, or may have
+	answerRejected                   // it never ran
+	answerKindCount
 )
 
 // String returns the answer's name.
-func (a answer) String() string {
-	return [...]string{"finished", "failed", "rejected", "unknown"}[min(a, answers)]
+func (a answerKind) String() string {
+	return [...]string{"finished", "failed", "rejected", "unknown"}[min(a, answerKindCount)]
 }
 
 // respond sends a request's final answer, encoded by put. Only the first answer counts.
-func (s *Server) respond(request *requesttable.Request, kind answer, put func(b []byte, number uint64) []byte) {
+func (s *Server) respond(request *requesttable.Request, kind answerKind, encode func(b []byte, number uint64) []byte) {
 	if request.Answered {
 		return
 	}
 	s.countAnswer(request, kind)
 	if client := s.clients.conns.Get(request.Connection); client != nil {
 		client.removeRequest(request, s.now())
-		s.output.scratch = put(s.output.scratch[:0], request.MessageNumber)
+		s.output.scratch = encode(s.output.scratch[:0], request.MessageNumber)
 		client.writeScratch()
 	}
 	s.settle(request)
@@ -55,23 +53,29 @@
 	})
 }
 
-// reject answers that a request never ran. The client may retry after so many seconds; if last is
-// set, it should not try another server.
-func (s *Server) reject(request *requesttable.Request, retryAfter float64, last bool) {
+// reject answers that a request never ran. The client may retry after so many seconds, and may
+// try another server.
+func (s *Server) reject(request *requesttable.Request, retryAfter float64) {
+	s.rejectWith(request, retryAfter, false)
+}
+
+// rejectWith is reject, and with noFailover asks the client not to try another server.
+func (s *Server) rejectWith(request *requesttable.Request, retryAfter float64, noFailover bool) {
 	report := s.health.loadReport
 	report.RetryAfter = retryAfter
-	report.NoFailover = last
+	report.NoFailover = noFailover
 	s.respond(request, answerRejected, func(b []byte, number uint64) []byte {
 		return rpc.AppendRejected(b, number, report)
 	})
 }
 
-// settle marks a request as answered, and cancels its upstream call.
+// settle marks a request as answered, and cancels what is under way for its answer: the upstream
+// call and, if it did not run, the claim of its key and the repeats that wait for its result.
 func (s *Server) settle(request *requesttable.Request) {
 	request.Answered = true
 	s.cancelCall(request)
 	s.cancelForward(request)
-	if !request.Running { // dropped without a run: who waits for its answer gets none
+	if !request.Running { // there is no result for the repeats that wait for it
 		s.releaseClaim(request)
 		for _, id := range s.results.Finish(request.ID, resultcache.Outcome{}) {
 			s.answerShared(s.requests.Get(id), nil, admission.Failed, 0)
@@ -80,7 +84,8 @@
 	s.requests.RemoveIfDone(&s.output.buffers, request)
 }
 
-// cancelByClient reports to the controller that a request's client is gone.
+// cancelByClient ends a request whose client cancelled it or is gone, and reports that to the
+// controller.
 func (s *Server) cancelByClient(request *requesttable.Request) {
 	if request.Answered {
 		return
@@ -118,8 +123,3 @@
 	})
 	s.requests.RemoveIfDone(&s.output.buffers, request)
 }
-
-// setLoadReport sets the free capacity that goes with every answer.
-func (s *Server) setLoadReport(free float64) {
-	s.health.loadReport.LoadReport = strconv.FormatFloat(free, 'f', -1, 64)
-}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -138,17 +138,17 @@
 // Run serves until the server has drained. It returns an error if it can't listen or the loop can't
 // run.
 func (s *Server) Run() error {
-	a, err := newAcceptor(s.startup.Listen)
+	acceptor, err := newAcceptor(s.startup.Listen)
 	if err != nil {
 		return err
 	}
-	return s.runWith(a)
+	return s.runWith(acceptor)
 }
 
 // runWith is Run with a listening acceptor.
-func (s *Server) runWith(a *acceptor) error {
-	a.attach(s)
-	s.acceptor = a
+func (s *Server) runWith(acceptor *acceptor) error {
+	acceptor.attach(s)
+	s.acceptor = acceptor
 	engine, err := gnet.NewClient(s, gnet.WithNumEventLoop(1), gnet.WithTicker(true),
 		gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithLogger(gnetLogger{}), gnet.WithLogLevel(logging.WarnLevel))
 	if err != nil {
@@ -164,10 +164,10 @@
 		return err
 	}
 	slog.Info("listening", "addr", s.startup.Listen)
-	go a.run()
+	go acceptor.run()
 	<-s.lifetime.stopped
-	a.close()
-	<-a.done
+	acceptor.close()
+	<-acceptor.done
 	return engine.Stop()
 }
 
--- a/internal/server/statistics.go
+++ b/internal/server/statistics.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"context"
 	"fmt"
 	"log/slog"
 	"os"
@@ -44,7 +45,7 @@
 }
 
 // countAnswer counts a request's final answer.
-func (r *requestStatistics) countAnswer(kind answer) {
+func (r *requestStatistics) countAnswer(kind answerKind) {
 	switch kind {
 	case answerFinished:
 		r.finished++
@@ -57,9 +58,9 @@
 
 // connStatistics counts connections.
 type connStatistics struct {
-	malformed    int // muted or closed for their bytes
-	evicted      int // closed for another's sake
-	silent       int // closed as they brought nothing
+	malformed    int // muted or closed after a protocol error
+	evicted      int // closed to make room for another
+	silent       int // closed as they sent nothing in time
 	askedToClose int
 }
 
@@ -73,9 +74,9 @@
 	timersWithoutGauges int
 }
 
-// mayLogPeerFault limits log lines about faulty input to one a second; the statistics count the
-// rest.
-func (s *Server) mayLogPeerFault() bool {
+// allowPeerFaultLog reports whether a line about faulty input may be logged now, and counts it as
+// logged: one a second may be. The statistics count all faults.
+func (s *Server) allowPeerFaultLog() bool {
 	now := s.now()
 	if now < s.statistics.peerFaultLoggedAt+peerFaultLogInterval {
 		return false
@@ -89,14 +90,13 @@
 // started.
 func (s *Server) LogStatistics() {
 	runtime.GC()
-	<-s.loop.ready
-	_ = s.loop.execute(s.logStatistics)
+	s.loop.waitAndExecute(context.Background(), s.logStatistics)
 }
 
 // logStatistics logs the statistics and resets them.
 func (s *Server) logStatistics() {
 	stats := &s.statistics
-	limit, bound := s.maxClients()
+	limit := s.maxClients()
 	slog.Info("statistics",
 		"received", stats.received,
 		"finished", stats.finished,
@@ -117,8 +117,8 @@
 		"conns", s.clients.conns.Len(),
 		"untrusted", s.clients.limiter.Count(connlimit.StateNew),
 		"closing", s.clients.limiter.Count(connlimit.StateAskedToClose),
-		"max_conns", limit,
-		"max_conns_by", bound,
+		"max_conns", limit.conns,
+		"max_conns_by", string(limit.bound),
 		"upstream_conns", len(s.upstream.all),
 		"asked_to_close", stats.askedToClose,
 		"evicted", stats.evicted,
--- a/internal/server/trust.go
+++ b/internal/server/trust.go
@@ -15,9 +15,9 @@
 
 // ReportTrustedClients reports the clients that are trusted here, up to a number, at each interval.
 // It is called before Run.
-func (s *Server) ReportTrustedClients(report func([]connlimit.TrustedClient), most int) {
+func (s *Server) ReportTrustedClients(report func([]connlimit.TrustedClient), limit int) {
 	s.every(trustReportInterval, func() {
-		report(s.clients.limiter.TrustedClients(s.now(), most))
+		report(s.clients.limiter.TrustedClients(s.now(), limit))
 	})
 }
 
--- a/internal/server/turn.go
+++ b/internal/server/turn.go
@@ -49,10 +49,15 @@
 	}
 	s.applyAllowances(now)
 	s.decideBatch(directive, now)
-	s.maintainConnections(now)
+	s.applyLimiterDecisions(now)
 	s.flush()
-	s.maintainMuted(now)
-	s.setWakeup(directive, now, timersLeft)
+	s.closeMuted(now)
+	next := s.nextWakeup(directive, now, timersLeft)
+	s.statistics.longestTurn = max(s.statistics.longestTurn, s.now()-now)
+	if s.clients.limiter.HasRules() {
+		s.acceptor.sampleCPU(now)
+	}
+	s.wakeAt(next)
 	return nil
 }
 
@@ -71,12 +76,12 @@
 	if directive != nil {
 		directive.Stats.Batches.Add(1)
 	}
-	s.execute(d.controller.Decide(now, batch), now)
+	s.executeActions(d.controller.Decide(now, batch), now)
 	d.spare = batch
 }
 
-// setWakeup arms the timer for the next turn. The present turn began at now.
-func (s *Server) setWakeup(directive *serving.Directive, now float64, timersLeft bool) {
+// nextWakeup is when the next turn is due if no input comes before. The present turn began at now.
+func (s *Server) nextWakeup(directive *serving.Directive, now float64, timersLeft bool) float64 {
 	next := min(s.loop.timers.NextWakeup(), s.clients.limiter.NextWakeup())
 	if directive != nil && now < directive.ChangesAt {
 		next = min(next, directive.ChangesAt)
@@ -87,10 +92,11 @@
 	if timersLeft {
 		next = now
 	}
-	s.statistics.longestTurn = max(s.statistics.longestTurn, s.now()-now)
-	if s.clients.limiter.HasRules() {
-		s.acceptor.sampleCPU(now)
-	}
+	return next
+}
+
+// wakeAt arms the timer for the next turn, unless it goes off earlier anyway.
+func (s *Server) wakeAt(next float64) {
 	if next < s.loop.wakeupAt {
 		s.loop.wakeupAt = next
 		s.loop.wakeup.Reset(time.Duration((next - s.now()) * float64(time.Second)))
--- a/internal/server/upstream.go
+++ b/internal/server/upstream.go
@@ -44,8 +44,8 @@
 type upstreamConn struct {
 	dialedConn
 	server     *Server
-	call       *upstreamCall // on its way over it, or waiting for it to open
-	requestIDs []string      // whose calls went over it
+	call       *upstreamCall // sent over it, or waiting for it to open
+	requestIDs []string      // of the requests whose calls were sent over it
 	idleSince  float64
 	idleFor    float64 // how long it had been idle, in seconds, when its call went out
 	retired    bool    // takes no further call
@@ -219,7 +219,7 @@
 		n += size
 		ours := reply.ID == c.call.request.ID
 		if !ours || n < len(data) {
-			c.retired = true // it brings more than was asked for: not used again
+			c.retired = true // it brought more than the reply to its call: not used again
 		}
 		if ours {
 			c.handleReply(c.call, reply)
@@ -239,7 +239,7 @@
 	c.idleSince = s.now()
 	delete(s.upstream.calls, call.request.ID)
 	if reply.Outcome == admission.Finished {
-		s.executor.reply(call.request, reply.Body, false)
+		s.executor.reply(call.request, reply.Body)
 	}
 	s.reportCallDone(call, reply.Outcome)
 	if c.retired || len(c.requestIDs) >= maxCallsPerConn {
--- a/internal/server/upstream_call.go
+++ b/internal/server/upstream_call.go
@@ -22,7 +22,7 @@
 
 // startCall sends a request's upstream call, with a timeout in seconds.
 func (s *Server) startCall(request *requesttable.Request, timeout float64) {
-	if request.CallNotice == 0 || request.CallSettled || request.Answered {
+	if !awaitsCall(request) || request.Answered {
 		return
 	}
 	now := s.now()
