--- a/internal/server/claims.go
+++ b/internal/server/claims.go
@@ -104,8 +104,8 @@
 
 func (s *Server) resolveClaim(id string, verdict serving.ClaimVerdict, result []byte) {
 	claims := s.fleet.claims
-	arrival, waits := claims.waiting[id]
-	if !waits { // it is over, and the fleet was notified
+	arrival, isWaiting := claims.waiting[id]
+	if !isWaiting { // it is over, and the fleet was notified
 		return
 	}
 	delete(claims.waiting, id)
@@ -144,8 +144,8 @@
 	if claims == nil {
 		return
 	}
-	_, waits := claims.waiting[request.ID]
-	if waits || claims.granted[request.ID] {
+	_, isWaiting := claims.waiting[request.ID]
+	if isWaiting || claims.granted[request.ID] {
 		delete(claims.waiting, request.ID)
 		delete(claims.granted, request.ID)
 		claims.claimer.ReleaseClaim(request.ID)
--- a/internal/server/conn.go
+++ b/internal/server/conn.go
@@ -104,23 +104,23 @@
 
 // flushConn writes the pending output of one connection, and closes it if its peer leaves too much
 // unread.
-func (s *Server) flushConn(c *bufferedConn) {
-	conn := c.conn
-	_, err := conn.Writev(c.out.Buffers())
+func (s *Server) flushConn(buffered *bufferedConn) {
+	conn := buffered.conn
+	_, err := conn.Writev(buffered.out.Buffers())
 	backlog := conn.OutboundBuffered()
 	if err != nil {
 		return
 	}
 	limit := maxClientBacklog
-	if c.dialed {
+	if buffered.dialed {
 		limit = maxDialedBacklog
 	}
 	switch {
 	case backlog > limit:
 		slog.Info("connection_closed", "peer", conn.RemoteAddr(), "err", errBacklog)
 		_ = conn.Close()
-	case backlog > 0 && !c.dialed && !c.lagging:
-		c.lagging = true
-		s.output.lagging = append(s.output.lagging, c)
+	case backlog > 0 && !buffered.dialed && !buffered.lagging:
+		buffered.lagging = true
+		s.output.lagging = append(s.output.lagging, buffered)
 	}
 }
--- a/internal/server/connlimit_test.go
+++ b/internal/server/connlimit_test.go
@@ -65,7 +65,7 @@
 	if _, err := io.ReadAll(second.in); err != nil { // and then its close
 		t.Error(err)
 	}
-	silent, err := f.dialFrom("127.6.0.1") // brings nothing: closed all the same
+	silent, err := f.dialFrom("127.6.0.1") // sends nothing: closed all the same
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +91,7 @@
 			t.Fatal(err)
 		}
 		if crowd.Len() != n {
-			t.Errorf("%d of %d are in", crowd.Len(), n)
+			t.Errorf("%d of %d connections are open", crowd.Len(), n)
 		}
 		crowd.Close()
 		waitUntil(f, 0, clientCount)
@@ -130,6 +130,6 @@
 	waitUntil(f, true, func(s *Server) bool { return len(s.clients.limiter.TrustedPrefixes()) > 0 })
 	query(f, func(s *Server) bool { s.statistics.rejectedAtLimit = 0; return true })
 	if !in() {
-		t.Error("a named one is not let in")
+		t.Error("a client of a trusted prefix was not admitted")
 	}
 }
--- a/internal/server/directive_test.go
+++ b/internal/server/directive_test.go
@@ -25,7 +25,7 @@
 	f.executor.readCommand(true)
 	known := query(f, func(s *Server) int { return s.clients.limiter.Count(connlimit.StateIdle) })
 	if known != n || crowd.Len() != n {
-		t.Errorf("%d known, %d stand", known, crowd.Len())
+		t.Errorf("%d known to the server, %d open", known, crowd.Len())
 	}
 	client := f.dialClient()
 	client.send("%s", requestFrame(1, "a1", "x"))
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -97,7 +97,9 @@
 
 // answerShared answers a repeat, nil for one that is over, with the outcome of its original, which
 // took so many seconds.
-func (s *Server) answerShared(request *requesttable.Request, result []byte, outcome admission.Outcome, took float64) {
+func (s *Server) answerShared(
+	request *requesttable.Request, result []byte, outcome admission.Outcome, seconds float64,
+) {
 	if request == nil || request.Answered {
 		return
 	}
@@ -111,7 +113,7 @@
 		Kind:      admission.RunEnded,
 		RequestID: request.ID,
 		Outcome:   outcome,
-		Duration:  took,
+		Duration:  seconds,
 	})
 }
 
--- a/internal/server/executor.go
+++ b/internal/server/executor.go
@@ -181,7 +181,7 @@
 }
 
 func (l *executorLink) handleGauges(notice *processor.Notice) {
-	s := l.server
+	server := l.server
 	l.unansweredSince = 0
 	switch {
 	case notice.Tag == l.resumeTag && l.resumeTag != "":
@@ -194,10 +194,10 @@
 			l.acknowledged = max(l.acknowledged, acknowledged)
 		}
 	}
-	s.decisions.gaugesAt = s.now()
-	for i, name := range s.startup.Gauges {
+	server.decisions.gaugesAt = server.now()
+	for i, name := range server.startup.Gauges {
 		if i < len(notice.Gauges) {
-			simulator.SetGauge(&s.decisions.gauges, name, notice.Gauges[i])
+			simulator.SetGauge(&server.decisions.gauges, name, notice.Gauges[i])
 		}
 	}
 }
--- a/internal/server/executor_test.go
+++ b/internal/server/executor_test.go
@@ -26,7 +26,7 @@
 	executor.sendCall(1, "a1", "again")           // read before
 	executor.sendCompletion(2, "a2", "done", "r") // missed
 	if command := executor.readCommand(true); command["msg"] != "usage" {
-		t.Fatalf("%v before the fence", command)
+		t.Fatalf("%v before the reply that ends the missed notices", command)
 	}
 	if command := executor.expectCommand("answer", "a1"); command["blob"] != "ZA==" {
 		t.Fatal(command)
--- a/internal/server/forwarding.go
+++ b/internal/server/forwarding.go
@@ -68,8 +68,8 @@
 
 // startRun runs a request: at a worker, or at the executor.
 func (s *Server) startRun(request *requesttable.Request) {
-	f := s.fleet.forwarding
-	if f == nil {
+	state := s.fleet.forwarding
+	if state == nil {
 		s.executor.start(request)
 		return
 	}
@@ -84,12 +84,12 @@
 	forwarded := forwarding.Request{
 		ID:               request.ID,
 		Class:            request.Class,
-		Message:          *f.messages[request.ID],
+		Message:          *state.messages[request.ID],
 		RemainingSeconds: request.ArrivedAt + timeout - s.now() - forwardSafetyMargin,
 	}
 	// A copy, as request.Body may go back to its pool before the fleet retries.
 	forwarded.Message.Body = append([]byte(nil), request.Body...)
-	if forwarded.RemainingSeconds <= 0 || !f.dispatch(forwarded) {
+	if forwarded.RemainingSeconds <= 0 || !state.dispatch(forwarded) {
 		s.handleForwardResult(&forwarding.Result{
 			ID:                request.ID,
 			Outcome:           admission.Rejected,
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -66,7 +66,7 @@
 }
 
 // countUpstreamCall counts the outcome of a call that took so many seconds.
-func (s *Server) countUpstreamCall(outcome admission.Outcome, took float64) {
+func (s *Server) countUpstreamCall(outcome admission.Outcome, seconds float64) {
 	q := s.fleet.quotas
 	if q == nil {
 		return
@@ -78,7 +78,7 @@
 	}
 	if outcome == admission.Finished {
 		q.calls.Succeeded++
-		q.calls.TotalSeconds += took
+		q.calls.TotalSeconds += seconds
 	} else {
 		q.calls.Failed++
 	}
@@ -191,26 +191,26 @@
 
 // reportQuotaUsage reports the demand and use of all quotas.
 func (s *Server) reportQuotaUsage() {
-	q := s.fleet.quotas
-	q.updateRates()
+	quotas := s.fleet.quotas
+	quotas.updateRates()
 	if s.decisions.controller == nil {
 		return
 	}
-	if q.reportCalls != nil {
-		q.calls.InFlight, _ = s.decisions.controller.DownstreamCalls()
-		q.reportCalls(q.calls)
-		q.calls = serving.CallStats{}
+	if quotas.reportCalls != nil {
+		quotas.calls.InFlight, _ = s.decisions.controller.DownstreamCalls()
+		quotas.reportCalls(quotas.calls)
+		quotas.calls = serving.CallStats{}
 	}
 	var used []QuotaUsage
-	for i := range q.allowances {
-		allowance := &q.allowances[i]
+	for i := range quotas.allowances {
+		allowance := &quotas.allowances[i]
 		usage := s.usageOf(allowance)
 		if usage.Demand > 0 || usage.InFlight > 0 || allowance.LeaseExpiry > s.now() {
 			used = append(used, usage)
 		}
 	}
 	if used != nil {
-		q.report(used)
+		quotas.report(used)
 	}
 }
 
--- a/internal/server/registry.go
+++ b/internal/server/registry.go
@@ -56,16 +56,16 @@
 
 // report sends a report if one is due: when health changed, and at each interval.
 func (r *registryLink) report() {
-	s := r.server
-	now := s.now()
-	if s.decisions.controller == nil {
+	server := r.server
+	now := server.now()
+	if server.decisions.controller == nil {
 		return // listed only once the executor is up
 	}
 	if !r.ticking {
 		r.ticking = true
-		s.every(reportInterval, r.report)
+		server.every(reportInterval, r.report)
 	}
-	healthy := s.isHealthy()
+	healthy := server.isHealthy()
 	due := now > r.reportedAt+reportInterval-reportTolerance
 	switch {
 	case r.conn == nil:
@@ -79,8 +79,8 @@
 	r.awaitingReply = true
 	r.reportedHealthy = healthy
 	r.reportedAt = now
-	s.output.scratch = roster.AppendReport(s.output.scratch[:0], r.address, s.startup.Name, healthy)
-	s.write(&r.bufferedConn, s.output.scratch)
+	server.output.scratch = roster.AppendReport(server.output.scratch[:0], r.address, server.startup.Name, healthy)
+	server.write(&r.bufferedConn, server.output.scratch)
 }
 
 func (r *registryLink) handleData(data []byte) (n int, err error) {
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -20,7 +20,7 @@
 // handleRequest takes in a request, or answers at once a message that can't be one. An error means
 // that the connection can't go on.
 func (c *clientConn) handleRequest(message *rpc.Message, now float64) error {
-	s := c.server
+	server := c.server
 	if c.findRequest(message.Number) != nil {
 		return &duplicateMessageError{message.Number}
 	}
@@ -38,42 +38,42 @@
 		MessageNumber: message.Number,
 		Class:         kind.class,
 		Tenant:        int32(kind.tenant),
-		Subject:       s.subjectOf(kind.class, message),
+		Subject:       server.subjectOf(kind.class, message),
 		ArrivedAt:     message.ArrivedAt,
 		Timeout:       message.Timeout,
-		Body:          s.output.buffers.Copy(message.Body),
+		Body:          server.output.buffers.Copy(message.Body),
 	}
 	c.addRequest(request, now)
-	s.requests.Add(request)
-	s.countReceived(kind)
-	s.keepForForwarding(request, message)
-	s.queueArrival(request, message, now)
+	server.requests.Add(request)
+	server.countReceived(kind)
+	server.keepForForwarding(request, message)
+	server.queueArrival(request, message, now)
 	return nil
 }
 
 // validate returns a request's class and tenant, or what is invalid about it.
 func (c *clientConn) validate(message *rpc.Message, now float64) (requestKind, error) {
-	s := c.server
-	class, classKnown := s.startup.ClassIndex[message.Class]
-	tenant, tenantKnown := s.startup.TenantIndex[message.Tenant]
+	server := c.server
+	class, classKnown := server.startup.ClassIndex[message.Class]
+	tenant, tenantKnown := server.startup.TenantIndex[message.Tenant]
 	kind := requestKind{class, tenant}
 	switch {
 	case message.Invalid != nil:
 		return kind, message.Invalid
 	case !classKnown:
 		return kind, &invalidFieldError{"class", message.Class, errUnknownName}
-	case !tenantKnown && len(s.startup.TenantIndex) > 0:
+	case !tenantKnown && len(server.startup.TenantIndex) > 0:
 		return kind, &invalidFieldError{"tenant", message.Tenant, errUnknownName}
-	case message.NoTimeout && s.startup.Settings.DeadlinePropagation:
+	case message.NoTimeout && server.startup.Settings.DeadlinePropagation:
 		return kind, errMissingTimeout
 	case len(c.requests) >= maxRequestsPerConn:
 		return kind, errTooManyOpen
 	case math.Abs(message.ArrivedAt-now) > maxClockSkew:
 		return kind, clockSkewError(message.ArrivedAt - now)
-	case s.requests.Get(message.ID) != nil:
+	case server.requests.Get(message.ID) != nil:
 		return kind, errDuplicateID
 	}
-	return kind, s.validateKey(class, message)
+	return kind, server.validateKey(class, message)
 }
 
 // validateKey returns what is invalid about the idempotency key of a request that may run at most
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -97,7 +97,7 @@
 
 // finishRun reports the end of a run, which took so many seconds, to all that wait for it: repeats,
 // the fleet and the controller.
-func (s *Server) finishRun(request *requesttable.Request, outcome admission.Outcome, body []byte, took float64) {
+func (s *Server) finishRun(request *requesttable.Request, outcome admission.Outcome, body []byte, seconds float64) {
 	succeeded := outcome == admission.Finished
 	waiting := s.results.Finish(request.ID, resultcache.Outcome{
 		Ran:     outcome != admission.NeverStarted,
@@ -106,20 +106,20 @@
 		FreshTo: s.now() + s.resultLifetime(request.Class),
 	})
 	for _, id := range waiting {
-		s.answerShared(s.requests.Get(id), body, outcome, took)
+		s.answerShared(s.requests.Get(id), body, outcome, seconds)
 	}
 	s.completeClaim(request, succeeded, body)
-	s.reportRunEnded(request, outcome, took)
+	s.reportRunEnded(request, outcome, seconds)
 }
 
 // reportRunEnded reports the end of a run to the controller.
-func (s *Server) reportRunEnded(request *requesttable.Request, outcome admission.Outcome, took float64) {
+func (s *Server) reportRunEnded(request *requesttable.Request, outcome admission.Outcome, seconds float64) {
 	request.Running = false
 	s.queueEvent(admission.Event{
 		Kind:      admission.RunEnded,
 		RequestID: request.ID,
 		Outcome:   outcome,
-		Duration:  took,
+		Duration:  seconds,
 	})
 	s.requests.RemoveIfDone(&s.output.buffers, request)
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -110,24 +110,24 @@
 // New creates a server that has not started. The operator's settings are nil without an operator's
 // file.
 func New(startup *config.Startup, operator *config.OperatorSettings) *Server {
-	s := &Server{
+	server := &Server{
 		startup:  startup,
 		clock:    newClock(),
 		requests: requesttable.New(),
 		results:  resultcache.New(int(startup.MemoryBytes / resultCacheShare)),
 		drain:    newDrainState(),
 	}
-	s.lifetime.begin()
-	s.loop = newEventLoop(s)
-	s.decisions.gauges = unknownGauges()
-	s.decisions.gaugesAt = math.Inf(-1)
-	s.upstream.calls = map[string]*upstreamCall{}
-	s.fleet.operator = operator
-	s.clients.limiter = s.newConnLimiter(operator)
-	s.endpoints.Store(newEndpoints(s.lifetime.context, startup.Addresses))
-	s.executor = newExecutorLink(s)
-	s.registry = &registryLink{server: s}
-	return s
+	server.lifetime.begin()
+	server.loop = newEventLoop(server)
+	server.decisions.gauges = unknownGauges()
+	server.decisions.gaugesAt = math.Inf(-1)
+	server.upstream.calls = map[string]*upstreamCall{}
+	server.fleet.operator = operator
+	server.clients.limiter = server.newConnLimiter(operator)
+	server.endpoints.Store(newEndpoints(server.lifetime.context, startup.Addresses))
+	server.executor = newExecutorLink(server)
+	server.registry = &registryLink{server: server}
+	return server
 }
 
 // Now is the server's clock, in seconds since the Unix epoch. Any goroutine may call it.
--- a/internal/server/testconn_test.go
+++ b/internal/server/testconn_test.go
@@ -73,9 +73,9 @@
 	return string(got)
 }
 
-// readCommand reads the executor's next command; questions for the gauges are answered by the way,
-// and end it where a fence is asked for.
-func (e *testConn) readCommand(fence bool) map[string]any {
+// readCommand reads the executor's next command. It answers the gauge requests that come before it;
+// with untilResumeTag the first one whose tag is a resume tag is returned as the command.
+func (e *testConn) readCommand(untilResumeTag bool) map[string]any {
 	e.t.Helper()
 	for {
 		var command map[string]any
@@ -86,7 +86,7 @@
 			return command
 		}
 		e.send(`{"msg":"used","cookie":"%s","stats":[0.5,3]}`+"\n", command["cookie"])
-		if fence && strings.HasPrefix(command["cookie"].(string), "fence") {
+		if untilResumeTag && strings.HasPrefix(command["cookie"].(string), "fence") {
 			return command
 		}
 	}
--- a/internal/server/upstream.go
+++ b/internal/server/upstream.go
@@ -174,9 +174,9 @@
 }
 
 func (c *upstreamConn) handleClose(err error) {
-	s := c.server
+	server := c.server
 	call := c.call
-	c.release(&s.output.buffers)
+	c.release(&server.output.buffers)
 	c.retired = true
 	c.call = nil
 	c.remove()
@@ -192,10 +192,10 @@
 	if c.idleFor > 0 && !call.retried {
 		call.retried = true
 		call.progress = notSent
-		s.assignCall(call)
+		server.assignCall(call)
 		return
 	}
-	s.failCall(call, end)
+	server.failCall(call, end)
 }
 
 // logLoss logs that a connection broke with a call on it.
--- a/internal/server/upstream_call.go
+++ b/internal/server/upstream_call.go
@@ -53,13 +53,13 @@
 
 // reportCallDone reports the outcome of a call to the controller.
 func (s *Server) reportCallDone(call *upstreamCall, outcome admission.Outcome) {
-	took := s.now() - call.startedAt
-	s.countUpstreamCall(outcome, took)
+	seconds := s.now() - call.startedAt
+	s.countUpstreamCall(outcome, seconds)
 	s.queueEvent(admission.Event{
 		Kind:      admission.CallReturned,
 		RequestID: call.request.ID,
 		Outcome:   outcome,
-		Duration:  took,
+		Duration:  seconds,
 	})
 }
 
