--- a/internal/bench/report/rollout.go
+++ b/internal/bench/report/rollout.go
@@ -4,7 +4,8 @@
 	"slices"
 )
 
-// RolloutCounts is what every experiment with rollouts counts, simulated or with processes. It is embedded in their rows.
+// RolloutCounts is what every experiment with rollouts counts, simulated or with processes. It is
+// embedded in their rows.
 type RolloutCounts struct {
 	Seed               uint64 `json:"seed"`
 	Servers            int    `json:"servers"`
@@ -14,15 +15,16 @@
 	ServedWhileEjected int    `json:"acted_while_shut_out"`
 }
 
-// CatchUpLatency is how long after a release to all the servers applied it, in milliseconds. It is embedded in the rows of
-// experiments with rollouts.
+// CatchUpLatency is how long after a release to all the servers applied it, in milliseconds. It is
+// embedded in the rows of experiments with rollouts.
 type CatchUpLatency struct {
 	CatchUpP50 float64 `json:"catch_up_p50_ms"`
 	CatchUpP99 float64 `json:"catch_up_p99_ms"`
 	CatchUpMax float64 `json:"catch_up_max_ms"`
 }
 
-// NewCatchUpLatency sorts samples, in milliseconds, and returns their quantiles, zeros where there are no samples.
+// NewCatchUpLatency sorts samples, in milliseconds, and returns their quantiles, zeros where there
+// are no samples.
 func NewCatchUpLatency(samples []float64) CatchUpLatency {
 	slices.Sort(samples)
 	count := len(samples)
