--- a/internal/bench/simulation/request.go
+++ b/internal/bench/simulation/request.go
@@ -1,23 +1,21 @@
 package simulation
 
 import (
-	"cmp"
 	"fmt"
-	"slices"
-	"strings"
+	"strconv"
 )
 
-// outcome is how a try or a task ended.
+// outcome is how an attempt or a request ended.
 type outcome uint8
 
 const (
 	finished outcome = iota
-	late             // finished, after the due time
+	late             // finished after the soft deadline
 	rejected
 	abandoned
-	timedOut       // its caller did not wait longer
-	connectionLost // its server died
-	unreachable    // there was no server
+	timedOut       // the caller's timeout passed
+	connectionLost // the server died
+	unreachable    // there was no server to try
 )
 
 // requestSim is one run of a scenario.
@@ -27,31 +25,33 @@
 	servers        []*server
 	downstream     *machine
 	downstreamDead bool
-	nextServer     int // of round robin
+	nextServer     int // of the round-robin balancer
 	requestCount   int
 	tally          tally
 }
 
-// tally is what is counted.
+// tally is what a run counts.
 type tally struct {
 	rows           []ClassRow
 	runs           int
 	calls          int
-	wasted         float64 // work for nobody, in seconds of a core
+	wasted         float64 // work without use, in seconds of a core
 	violations     []string
 	violationCount int
 }
 
-// maxViolations bounds the broken rules that are told one by one.
+// maxViolations bounds the violations that are listed.
 const maxViolations = 20
 
-func (t *tally) addViolation(what string) {
-	if t.violationCount++; len(t.violations) < maxViolations {
-		t.violations = append(t.violations, what)
+// addViolation counts a violation and lists it, up to maxViolations.
+func (t *tally) addViolation(violation string) {
+	t.violationCount++
+	if len(t.violations) < maxViolations {
+		t.violations = append(t.violations, violation)
 	}
 }
 
-// request is what a client asks for.
+// request is a client's request.
 type request struct {
 	*requestSim
 	number    int
@@ -63,104 +63,132 @@
 	current   *attempt
 }
 
-// ClassRow is what became of the tasks of a stage.
+// ClassRow is the result of the requests of a class.
 type ClassRow struct {
 	Class        string  `json:"stage"`
 	Received     int     `json:"asked"`
-	Finished     int     `json:"finished"` // in time
+	Finished     int     `json:"finished"` // by the soft deadline
 	Late         int     `json:"late"`
 	Rejected     int     `json:"rejected"`
 	Abandoned    int     `json:"abandoned"`
 	TimedOut     int     `json:"timed_out"`
 	Unreachable  int     `json:"unreachable"` // no server was left to try, or it died
 	Attempts     int     `json:"attempts"`
-	Mean         float64 `json:"mean_s"` // until the answer, of those finished
+	Mean         float64 `json:"mean_s"` // latency of those finished
 	totalSeconds float64
 }
 
-// Report is what a scenario came to.
+// Report is the result of a scenario.
 type Report struct {
 	Scenario       string     `json:"scenario"`
 	Seed           uint64     `json:"seed"`
 	Rows           []ClassRow `json:"stages"`
 	Runs           int        `json:"runs"`
 	Calls          int        `json:"calls"`
-	WastedShare    float64    `json:"wasted_share"` // of all work that was done, what nobody had anything of
+	WastedShare    float64    `json:"wasted_share"` // of all work done, what was of no use
 	Events         int        `json:"events"`
 	ViolationCount int        `json:"rules_broken"`
 	Violations     []string   `json:"broken"` // the first of them
 }
 
-// ClassColumns and Cells are those of the table.
-var ClassColumns = []string{"stage", "asked", "finished", "late", "rejected", "abandoned", "timed out", "unreachable", "a task", "mean s"}
+// ClassColumns are the heads of the table.
+var ClassColumns = []string{
+	"stage", "asked", "finished", "late", "rejected", "abandoned", "timed out", "unreachable", "a task", "mean s",
+}
 
-// Cells are a row's in the table.
+// Cells returns the row for the table.
 func (r ClassRow) Cells() []string {
-	return strings.Fields(fmt.Sprintf("%s %d %d %d %d %d %d %d %.3f %.4f", r.Class, r.Received, r.Finished, r.Late, r.Rejected, r.Abandoned, r.TimedOut,
-		r.Unreachable, float64(r.Attempts)/float64(max(1, r.Received)), r.Mean))
+	attemptsPerRequest := float64(r.Attempts) / float64(max(1, r.Received))
+	return []string{
+		r.Class,
+		strconv.Itoa(r.Received),
+		strconv.Itoa(r.Finished),
+		strconv.Itoa(r.Late),
+		strconv.Itoa(r.Rejected),
+		strconv.Itoa(r.Abandoned),
+		strconv.Itoa(r.TimedOut),
+		strconv.Itoa(r.Unreachable),
+		fmt.Sprintf("%.3f", attemptsPerRequest),
+		fmt.Sprintf("%.4f", r.Mean),
+	}
 }
 
-// Run plays a scenario to its end, and until all that was asked has its own.
-func Run(s *Scenario) Report {
-	p := &requestSim{clock: newClock(s.Seed), scenario: s}
-	p.downstream = newMachine(p.clock, max(1, s.Downstream.Cores))
-	longest := 0.0
-	for _, st := range s.Classes {
-		p.tally.rows = append(p.tally.rows, ClassRow{Class: st.Name})
-		longest = max(longest, st.Timeout)
+// Run simulates a scenario to its end, and until all requests have ended.
+func Run(scenario *Scenario) Report {
+	p := &requestSim{clock: newClock(scenario.Seed), scenario: scenario}
+	p.downstream = newMachine(p.clock, max(1, scenario.Downstream.Cores))
+	longestTimeout := 0.0
+	for _, class := range scenario.Classes {
+		p.tally.rows = append(p.tally.rows, ClassRow{Class: class.Name})
+		longestTimeout = max(longestTimeout, class.Timeout)
 	}
-	for i := range s.Servers {
-		sv := &server{requestSim: p, number: i, machine: newMachine(p.clock, s.Cores), speedFactor: 1}
-		sv.machine.onRunCount = sv.checkOverload
-		p.servers = append(p.servers, sv)
-		sv.start(false)
-		sv.listed = true
+	for i := range scenario.Servers {
+		p.addServer(i)
 	}
-	for _, f := range s.Faults {
-		p.after(f.At, func() { p.inject(f) })
+	for _, fault := range scenario.Faults {
+		p.after(fault.At, func() { p.inject(fault) })
 	}
 	p.scheduleArrival()
-	p.run(s.Seconds + 2*longest + drainTimeout)
+	p.run(scenario.Seconds + 2*longestTimeout + drainTimeout)
 	return p.buildReport()
 }
 
+// addServer starts a server that balancers know from the beginning.
+func (p *requestSim) addServer(number int) {
+	added := &server{requestSim: p, number: number, machine: newMachine(p.clock, p.scenario.Cores), speedFactor: 1}
+	added.machine.onRunCount = added.checkOverload
+	p.servers = append(p.servers, added)
+	added.start(false)
+	added.listed = true
+}
+
+// buildReport sums up the run.
 func (p *requestSim) buildReport() Report {
-	worked := 0.0
+	totalWork := 0.0
 	for _, s := range p.servers {
 		s.machine.advance()
-		worked += s.machine.totalWork
+		totalWork += s.machine.totalWork
+	}
+	for i := range p.tally.rows {
+		row := &p.tally.rows[i]
+		row.Mean = row.totalSeconds / float64(max(1, row.Finished+row.Late))
 	}
-	r := Report{Scenario: p.scenario.Name, Seed: p.scenario.Seed, Rows: p.tally.rows, Runs: p.tally.runs, Calls: p.tally.calls,
-		WastedShare: p.tally.wasted / max(workEpsilon, worked), Events: p.events, ViolationCount: p.tally.violationCount, Violations: p.tally.violations}
-	for i := range r.Rows {
-		r.Rows[i].Mean = r.Rows[i].totalSeconds / float64(max(1, r.Rows[i].Finished+r.Rows[i].Late))
+	return Report{
+		Scenario:       p.scenario.Name,
+		Seed:           p.scenario.Seed,
+		Rows:           p.tally.rows,
+		Runs:           p.tally.runs,
+		Calls:          p.tally.calls,
+		WastedShare:    p.tally.wasted / max(workEpsilon, totalWork),
+		Events:         p.events,
+		ViolationCount: p.tally.violationCount,
+		Violations:     p.tally.violations,
 	}
-	return r
 }
 
-// inject plays a fault.
+// inject starts a fault of the scenario.
 func (p *requestSim) inject(f Fault) {
 	s := p.servers[f.Server]
-	back := func() {
+	restart := func() {
 		if !s.alive {
 			s.start(true)
 		}
 	}
 	switch f.Kind {
-	case "crash":
+	case faultCrash:
 		s.kill()
-		p.after(f.Duration, back)
-	case "drain":
+		p.after(f.Duration, restart)
+	case faultDrain:
 		s.drain()
-		p.after(drainTimeout+f.Duration, back)
-	case "below-slow":
+		p.after(drainTimeout+f.Duration, restart)
+	case faultDownstreamSlow:
 		p.downstream.setSpeed(f.Factor)
 		p.after(f.Duration, func() { p.downstream.setSpeed(1) })
-	case "below-dead": // it takes calls, and answers none
+	case faultDownstreamDead: // it takes calls and answers none
 		p.downstreamDead = true
 		p.downstream.clear()
 		p.after(f.Duration, func() { p.downstreamDead = false })
-	case "slow":
+	case faultSlow:
 		s.speedFactor = f.Factor
 		s.setSpeed(1)
 		p.after(f.Duration, func() {
@@ -170,9 +198,10 @@
 	}
 }
 
+// drawDelay draws the delay of a message, one way.
 func (p *requestSim) drawDelay() float64 { return p.exponential(p.scenario.Delay) }
 
-// scheduleArrival has the next task come.
+// scheduleArrival schedules the next request.
 func (p *requestSim) scheduleArrival() {
 	p.after(p.exponential(1/p.scenario.arrivalRate()), func() {
 		if p.now >= p.scenario.Seconds {
@@ -183,28 +212,41 @@
 	})
 }
 
+// sendRequest starts a request of a random class.
 func (p *requestSim) sendRequest() {
 	t := &request{requestSim: p, number: p.requestCount, arrivedAt: p.now}
 	p.requestCount++
-	for u := p.random.Float64(); t.class < len(p.scenario.Classes)-1 && u >= p.scenario.Classes[t.class].Share; t.class++ {
-		u -= p.scenario.Classes[t.class].Share
-	}
+	t.class = p.drawClass()
 	t.work = p.exponential(t.settings().Work)
 	p.tally.rows[t.class].Received++
-	p.after(t.settings().Timeout, func() {
-		if !t.isDone {
-			if at := t.current; at != nil {
-				p.after(p.drawDelay(), func() { at.server.clientGone(at) })
-			}
-			t.finish(timedOut)
-		}
-	})
+	p.after(t.settings().Timeout, t.timeOut)
 	t.startAttempt()
 }
 
+// drawClass draws a class by the classes' shares.
+func (p *requestSim) drawClass() (class int) {
+	classes := p.scenario.Classes
+	for rest := p.random.Float64(); class < len(classes)-1 && rest >= classes[class].Share; class++ {
+		rest -= classes[class].Share
+	}
+	return class
+}
+
+// timeOut ends the request if it has not ended, and tells the server of its attempt.
+func (t *request) timeOut() {
+	if t.isDone {
+		return
+	}
+	if current := t.current; current != nil {
+		t.after(t.drawDelay(), func() { current.server.clientGone(current) })
+	}
+	t.finish(timedOut)
+}
+
+// settings returns the class of the request.
 func (t *request) settings() *Class { return &t.scenario.Classes[t.class] }
 
-// startAttempt sends the task to a server.
+// startAttempt sends the request to a server.
 func (t *request) startAttempt() {
 	if t.isDone {
 		return
@@ -215,15 +257,21 @@
 		return
 	}
 	t.attempts++
-	at := &attempt{id: fmt.Sprintf("%x-%d", t.number, t.attempts), request: t, server: s, deadline: t.arrivedAt + t.settings().Timeout, work: t.work}
-	t.current = at
+	started := &attempt{
+		id:       fmt.Sprintf("%x-%d", t.number, t.attempts),
+		request:  t,
+		server:   s,
+		deadline: t.arrivedAt + t.settings().Timeout,
+		work:     t.work,
+	}
+	t.current = started
 	s.openAttempts++
-	t.after(t.drawDelay(), func() { s.receive(at) })
+	t.after(t.drawDelay(), func() { s.receive(started) })
 }
 
-// attemptEnded hears of the end of a try.
-func (t *request) attemptEnded(at *attempt, how outcome, advice float64, last bool) {
-	at.server.openAttempts--
+// attemptEnded ends the request or retries it after a backoff, unless the server said that a retry is of no use.
+func (t *request) attemptEnded(ended *attempt, how outcome, retryAfter float64, noFailover bool) {
+	ended.server.openAttempts--
 	if t.isDone {
 		return
 	}
@@ -237,21 +285,23 @@
 	case abandoned:
 		t.finish(how)
 	default:
-		away := max(advice, minBackoff*float64(t.attempts))
-		if last || t.attempts >= t.scenario.MaxAttempts || t.now+away-t.arrivedAt >= t.settings().Timeout {
+		backoff := max(retryAfter, minBackoff*float64(t.attempts))
+		isTooLate := t.now+backoff-t.arrivedAt >= t.settings().Timeout
+		if noFailover || t.attempts >= t.scenario.MaxAttempts || isTooLate {
 			if how == connectionLost {
 				how = unreachable
 			}
 			t.finish(how)
 			return
 		}
-		t.after(away, t.startAttempt)
+		t.after(backoff, t.startAttempt)
 	}
 }
 
-// minBackoff is how long, in seconds, a client waits at least before each further try, times the tries made.
+// minBackoff is the least time, in seconds, that a client waits before a retry, times the attempts made.
 const minBackoff = 0.01
 
+// finish ends the request.
 func (t *request) finish(how outcome) {
 	t.isDone = true
 	r := &t.tally.rows[t.class]
@@ -273,50 +323,3 @@
 		r.Unreachable++
 	}
 }
-
-// pickServer chooses a server as the balancer does, of those listed; nil where there is none.
-func (p *requestSim) pickServer() *server {
-	n := len(p.servers)
-	random := func() *server {
-		for range 2 * n {
-			if s := p.servers[p.random.IntN(n)]; s.listed {
-				return s
-			}
-		}
-		return p.pickRoundRobin()
-	}
-	switch p.scenario.Balancer {
-	case "least-open":
-		var least *server
-		from := p.random.IntN(n) // of equal ones not always the same
-		for i := range n {
-			if s := p.servers[(from+i)%n]; s.listed && (least == nil || s.openAttempts < least.openAttempts) {
-				least = s
-			}
-		}
-		return least
-	case "two-choices":
-		a, b := random(), random()
-		if a != nil && b.openAttempts < a.openAttempts {
-			return b
-		}
-		return a
-	case "random":
-		return random()
-	}
-	return p.pickRoundRobin()
-}
-
-func (p *requestSim) pickRoundRobin() *server {
-	for range p.servers {
-		s := p.servers[p.nextServer%len(p.servers)]
-		if p.nextServer++; s.listed {
-			return s
-		}
-	}
-	return nil
-}
-
-func sortAttempts(list []*attempt) {
-	slices.SortFunc(list, func(a, b *attempt) int { return cmp.Or(cmp.Compare(a.arrivedAt, b.arrivedAt), cmp.Compare(a.id, b.id)) })
-}
--- a/internal/bench/simulation/scenario_test.go
+++ b/internal/bench/simulation/scenario_test.go
@@ -2,71 +2,10 @@
 
 import (
 	"encoding/json"
-	"math"
 	"strings"
 	"testing"
 )
 
-// erlangC is the part of arrivals that wait in a queue with c servers of which each is busy for rho of the time.
-func erlangC(c int, rho float64) float64 {
-	a, sum, term := float64(c)*rho, 0.0, 1.0
-	for k := range c {
-		sum += term
-		term *= a / float64(k+1)
-	}
-	last := term / (1 - rho)
-	return last / (sum + last)
-}
-
-func TestMachine_AgreesWithQueueingTheory(t *testing.T) {
-	for _, c := range []struct {
-		name  string
-		cores int
-		rho   float64
-		exact bool // every run takes the same
-		want  float64
-	}{
-		{"M/M/1, processor sharing", 1, 0.7, false, 1 / (1 - 0.7)},
-		{"M/D/1, processor sharing", 1, 0.7, true, 1 / (1 - 0.7)}, // it does not depend on the distribution
-		{"M/M/4", 4, 0.8, false, 1 + erlangC(4, 0.8)/(4*(1-0.8))},
-		{"M/M/16", 16, 0.9, false, 1 + erlangC(16, 0.9)/(16*(1-0.9))},
-	} {
-		w := newClock(7)
-		m := newMachine(w, c.cores)
-		const n, batches = 400_000, 20
-		var sums [batches]float64
-		came := 0
-		var arrive func()
-		arrive = func() {
-			if came == n {
-				return
-			}
-			at, batch, work := w.now, came*batches/n, 1.0
-			came++
-			if !c.exact {
-				work = w.exponential(1)
-			}
-			m.run(work, func() { sums[batch] += w.now - at })
-			w.after(w.exponential(1/(c.rho*float64(c.cores))), arrive)
-		}
-		arrive()
-		w.run(math.MaxFloat64)
-		mean, square := 0.0, 0.0
-		for _, s := range sums {
-			x := s / (n / batches)
-			mean += x / batches
-			square += x * x / batches
-		}
-		half := 2.86 * math.Sqrt((square-mean*mean)/(batches-1)) // of the 99% interval, by batches: Student's t of 19 degrees
-		if math.Abs(mean-c.want) > half || half > 0.1*c.want {
-			t.Errorf("%s: %.4f +- %.4f, by theory %.4f", c.name, mean, half, c.want)
-		}
-		if math.Abs(m.totalWork/float64(n)-1) > 0.02 {
-			t.Errorf("%s: work of %.4f each", c.name, m.totalWork/float64(n))
-		}
-	}
-}
-
 const calmScenario = `{"name":"test","seed":3,"seconds":20,"servers":6,"cores":2,"load":0.6,"balancer":"two-choices","lag":0.5,"cold_for":2,"cold_from":0.3,
 "stages":[{"name":"lookup","part":0.7,"work":0.01,"due":0.5,"limit":1.5,"utility":1},
 {"name":"price","part":0.3,"work":0.04,"due":1.5,"limit":4,"utility":3}]`
