--- a/internal/bench/faultinjection/claim_test.go
+++ b/internal/bench/faultinjection/claim_test.go
@@ -43,7 +43,7 @@
 // sendRequest gives a try's answer in words: "finished RESULT", "rejected" or "abandoned".
 func (f *Fleet) sendRequest(t *testing.T, name, key string, wait time.Duration) string {
 	t.Helper()
-	a := f.SendRequest(context.Background(), name, NewRequestID(), key, wait, patience)
+	a := f.SendRequest(context.Background(), Attempt{Server: name, ID: NewRequestID(), Key: key, Timeout: wait, Patience: patience})
 	if a.Lateness > time.Second || a.Outcome == Unanswered {
 		t.Errorf("%s at %s is %s, %s after its due moment", key, name, a.Outcome, a.Lateness)
 	}
--- /dev/null
+++ b/internal/bench/faultinjection/control.go
@@ -0,0 +1,92 @@
+package faultinjection
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"syscall"
+	"time"
+
+	"swiftcourse/internal/bench/process"
+	"swiftcourse/internal/fleet"
+	"swiftcourse/internal/policy/release"
+)
+
+const (
+	// restartTimeout is how long a process may take to start.
+	restartTimeout = 20 * time.Second
+	// waitInterval is the time between two checks of WaitUntil.
+	waitInterval = 50 * time.Millisecond
+)
+
+// WaitUntil waits until a condition holds, and reports whether it did in time.
+func WaitUntil(timeout time.Duration, condition func() bool) bool {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(waitInterval) {
+		if condition() {
+			return true
+		}
+	}
+	return condition()
+}
+
+// Pause stops a process with SIGSTOP.
+func (f *Fleet) Pause(name string) error { return f.Server(name).Signal(syscall.SIGSTOP) }
+
+// Resume continues a paused process with SIGCONT.
+func (f *Fleet) Resume(name string) error { return f.Server(name).Signal(syscall.SIGCONT) }
+
+// KillAndRestart kills a process and starts it again without its state.
+func (f *Fleet) KillAndRestart(ctx context.Context, name string) error {
+	f.Server(name).Kill()
+	return f.Restart(ctx, name)
+}
+
+// Restart starts a process that has ended, and waits until it logs that it joins the fleet.
+func (f *Fleet) Restart(ctx context.Context, name string) error {
+	f.mu.Lock()
+	f.firstEvent[name] = len(f.events) // it has ended, and all of its log is read
+	f.mu.Unlock()
+	if err := f.Server(name).Restart(ctx); err != nil {
+		return fmt.Errorf("%s: %w", name, err)
+	}
+	hasStarted := func() bool { return f.LastEvent(name, EventFleetStarted).Event != "" }
+	if !WaitUntil(restartTimeout, hasStarted) {
+		return fmt.Errorf("%s does not log that it started within %s", name, restartTimeout)
+	}
+	return nil
+}
+
+// StartDuplicate starts a second process with a server's name, which listens elsewhere. It gets no lease, so it never becomes
+// healthy.
+func (f *Fleet) StartDuplicate(ctx context.Context, name string) (*process.Server, error) {
+	shape := f.Shape
+	gossipAddr := f.nextAddr()
+	controlAddr := f.nextAddr()
+	shape.Override = func(string) (string, []string) {
+		settings, environment := f.processSettings(name)
+		settings = strings.ReplaceAll(settings, "fleet-listen "+f.gossipAddrs[name], "fleet-listen "+gossipAddr)
+		return strings.ReplaceAll(settings, f.controlAddrs[name], controlAddr), environment
+	}
+	return process.Launch(ctx, name, shape)
+}
+
+// Status asks a process for its view of the fleet.
+func (f *Fleet) Status(name string) (*fleet.Status, error) {
+	return fleet.FetchStatus(f.controlAddrs[name], "")
+}
+
+// SendCommand submits a command at a process and returns the newest epoch after it.
+func (f *Fleet) SendCommand(name string, command release.Command) (release.Epoch, error) {
+	return fleet.SendCommand(f.controlAddrs[name], command)
+}
+
+// Release submits a release at a process, in waves if there are any, and returns its epoch.
+func (f *Fleet) Release(name, text string, waves ...float64) (release.Epoch, error) {
+	return f.SendCommand(name, release.Command{
+		Kind:   release.KindRelease,
+		Author: name,
+		Text:   text,
+		Digest: release.Digest(text, ""),
+		Waves:  waves,
+	})
+}
--- a/internal/bench/faultinjection/load.go
+++ b/internal/bench/faultinjection/load.go
@@ -6,50 +6,64 @@
 	"slices"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"time"
 
-	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/wire/rpc"
 )
 
-// Load asks servers for tasks of one tenant, of each as many a second as it is set to, and notes when each was finished: an account of what a budget
-// let through that is apart from the program's own.
+// Load sends requests of one tenant to each server at a rate of its own, and records when each was finished: what a quota let
+// through, apart from what the program says.
 type Load struct {
-	fleet       *Fleet
-	tenant      string
+	Classes []string // of its requests, in turns; PingClass alone if there are none
+
+	fleet  *Fleet
+	tenant string
+	wg     sync.WaitGroup
+
 	mu          sync.Mutex
-	rates       map[string]float64
-	finishTimes map[string][]time.Time // finished, by server
-	outcomes    map[string]map[rpc.ResponseKind]int
-	sent        map[string]int
-	wg          sync.WaitGroup
-	Classes     []string // that its tasks are of in turn; Ping alone where there are none
-	lateCount   int      // answers that came after their caller had left
-	unanswered  map[string]map[uint64]time.Time
-	latencies   []time.Duration // until each was finished
+	rates       map[string]float64                  // requests a second, by server
+	finishTimes map[string][]time.Time              // by server
+	outcomes    map[string]map[rpc.ResponseKind]int // by server
+	sent        map[string]int                      // by server
+	lateCount   int                                 // answers after their timeout
+	unanswered  map[string]map[uint64]time.Time     // send times by server and request number
+	latencies   []time.Duration                     // of the finished requests
 }
 
-// loadInterval is how often tasks that are due are sent, and demandWait how long their callers wait.
 const (
-	loadInterval       = 10 * time.Millisecond
+	// loadInterval is how often the requests that are due are sent.
+	loadInterval = 10 * time.Millisecond
+	// loadTimeoutSeconds is the timeout of a request.
 	loadTimeoutSeconds = 1.0
+	// loadDialTimeout is how long a connection may take.
+	loadDialTimeout = time.Second
+	// maxBacklogSeconds bounds what is sent at once after this process was stopped itself.
+	maxBacklogSeconds = 0.5
 )
 
-// StartLoad begins with rates of 0, and goes on until the context ends.
+// StartLoad starts a load with rates of 0 that goes on until the context ends.
 func (f *Fleet) StartLoad(ctx context.Context, tenant string) *Load {
-	d := &Load{fleet: f, tenant: tenant, rates: map[string]float64{}, finishTimes: map[string][]time.Time{}, outcomes: map[string]map[rpc.ResponseKind]int{}, sent: map[string]int{}, unanswered: map[string]map[uint64]time.Time{}}
+	d := &Load{
+		fleet:       f,
+		tenant:      tenant,
+		rates:       map[string]float64{},
+		finishTimes: map[string][]time.Time{},
+		outcomes:    map[string]map[rpc.ResponseKind]int{},
+		sent:        map[string]int{},
+		unanswered:  map[string]map[uint64]time.Time{},
+	}
 	for _, name := range f.Names {
 		d.outcomes[name] = map[rpc.ResponseKind]int{}
-		d.wg.Go(func() { d.run(ctx, name) })
+		sender := &loadSender{load: d, name: name}
+		d.wg.Go(func() { sender.run(ctx) })
 	}
 	return d
 }
 
-// Wait returns once it has ended.
+// Wait returns once the load has ended.
 func (d *Load) Wait() { d.wg.Wait() }
 
-// SetRate asks servers for so many tasks a second from now on.
+// SetRate sets the requests a second of servers.
 func (d *Load) SetRate(rate float64, names ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -58,86 +72,14 @@
 	}
 }
 
-func (d *Load) run(ctx context.Context, name string) {
-	var c *balancer.Conn
-	var gone *atomic.Bool
-	var here map[uint64]time.Time // what is out on it
-	defer func() {
-		if c != nil {
-			_ = c.Close()
-		}
-	}()
-	tick := time.NewTicker(loadInterval)
-	defer tick.Stop()
-	owed, last, n := 0.0, time.Now(), 0
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-tick.C:
-		}
-		now := time.Now()
-		d.mu.Lock()
-		owed = min(owed+d.rates[name]*now.Sub(last).Seconds(), d.rates[name]/2+1) // who was stopped itself asks for no more than half a second's
-		d.mu.Unlock()
-		last = now
-		if owed < 1 {
-			continue
-		}
-		if c == nil {
-			dial, done := context.WithTimeout(ctx, time.Second)
-			sent, closed := map[uint64]time.Time{}, new(atomic.Bool)
-			next, err := balancer.Dial(dial, d.fleet.Server(name).Addr, func(a rpc.Response) { d.handleAnswer(name, sent, a) }, func(error) {
-				closed.Store(true)
-				d.forget(sent)
-			})
-			done()
-			if err != nil {
-				continue
-			}
-			c, gone, here = next, closed, sent
-			d.mu.Lock()
-			d.unanswered[name] = sent
-			d.mu.Unlock()
-		}
-		for ; owed >= 1; owed-- {
-			m := &rpc.Message{Number: c.NextNumber(), ID: NewRequestID(), Class: PingClass, Tenant: d.tenant, Client: 1, ArrivedAt: float64(now.UnixMilli()) / 1000, Timeout: loadTimeoutSeconds,
-				Memory: 1, Priority: 0.5}
-			d.mu.Lock()
-			here[m.Number] = now
-			n++
-			if len(d.Classes) > 0 {
-				m.Class = d.Classes[n%len(d.Classes)]
-			}
-			d.mu.Unlock()
-			if d.fleet.RunLog != nil {
-				m.Body = []byte(m.Class + " " + m.ID)
-			}
-			if err := c.SendRequest(m); err != nil { // its server is gone, and comes back at the same address
-				_ = c.Close()
-				d.forget(here)
-				c = nil
-				break
-			}
-			if gone.Load() { // it closed meanwhile, and its tasks were forgotten before this one came to them
-				d.forget(here)
-			}
-			d.mu.Lock()
-			d.sent[name]++
-			d.mu.Unlock()
-		}
-	}
-}
-
-// forget drops what was out on a connection that closed: what crossed the close of a server that leaves was never read, and is its caller's to send
-// elsewhere.
-func (d *Load) forget(sent map[uint64]time.Time) {
+// rate returns the requests a second of a server.
+func (d *Load) rate(name string) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	clear(sent)
+	return d.rates[name]
 }
 
-// answerTolerance is by how much an answer may come after its caller's wait on a busy machine.
+// answerTolerance is how many seconds an answer may come after its timeout on a busy machine.
 const answerTolerance = 0.3
 
 func (d *Load) handleAnswer(name string, sent map[uint64]time.Time, a rpc.Response) {
@@ -158,18 +100,19 @@
 	}
 }
 
-// Rate is how many tasks a second a server finished lately.
+// Rate returns the requests a second that a server finished in the last time.
 func (d *Load) Rate(name string, lately time.Duration) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	from, n := time.Now().Add(-lately), 0
+	from := time.Now().Add(-lately)
+	n := 0
 	for i := len(d.finishTimes[name]) - 1; i >= 0 && d.finishTimes[name][i].After(from); i-- {
 		n++
 	}
 	return float64(n) / lately.Seconds()
 }
 
-// RateBetween is how many tasks a second servers finished between two times.
+// RateBetween returns the requests a second that servers finished between two times.
 func (d *Load) RateBetween(from, to time.Time, names ...string) float64 {
 	n := 0
 	for _, at := range d.sortedFinishTimes(names) {
@@ -190,7 +133,7 @@
 	return all
 }
 
-// MaxExcess is the most by which all that servers finished within any time was over so much a second in that time.
+// MaxExcess returns the most requests that servers finished in any interval over that rate times its length.
 func (d *Load) MaxExcess(rate float64, names ...string) (most float64) {
 	all := d.sortedFinishTimes(names)
 	if len(all) == 0 {
@@ -206,14 +149,14 @@
 	return most
 }
 
-// LateCount counts the answers that came after their callers had left, Unanswered the tasks that have none, on connections that stand.
+// LateCount returns the number of answers that came after their timeout.
 func (d *Load) LateCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.lateCount
 }
 
-// UnansweredCount counts them.
+// UnansweredCount returns the number of requests without an answer on open connections.
 func (d *Load) UnansweredCount() (n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -223,7 +166,7 @@
 	return n
 }
 
-// DescribeUnanswered tells of each server how many tasks wait on its connection, and for how long the oldest.
+// DescribeUnanswered says of each server how many requests are unanswered, and for how long the oldest.
 func (d *Load) DescribeUnanswered() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -240,14 +183,14 @@
 	return strings.Join(all, "; ")
 }
 
-// Latencies lists how long each finished task took, shortest first.
+// Latencies returns the latencies of the finished requests in ascending order.
 func (d *Load) Latencies() []time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Sorted(slices.Values(d.latencies))
 }
 
-// Counts are how many were asked for, finished and rejected, over all servers.
+// Counts returns the requests sent, finished and rejected, over all servers.
 func (d *Load) Counts() (asked, finished, rejected int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/bench/faultinjection/network.go
+++ b/internal/bench/faultinjection/network.go
@@ -1,5 +1,3 @@
-// Package faultinjection is the harness of tests and experiments with several processes of the real program: relays between every two of them that lose,
-// delay, double, slow and cut, each direction apart; kills, stops and cold restarts; clocks that are off. Chance comes from a seed.
 package faultinjection
 
 import (
--- a/internal/bench/faultinjection/request.go
+++ b/internal/bench/faultinjection/request.go
@@ -11,89 +11,147 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// Outcome is how a try ended, as its caller saw it.
+// Outcome is how an attempt ended, as its client saw it.
 type Outcome string
 
+// The outcomes of attempts.
 const (
 	Finished       Outcome = "finished"
 	Rejected       Outcome = "rejected"
 	Abandoned      Outcome = "abandoned"
-	Unreachable    Outcome = "unreachable" // no connection came about
-	ConnectionLost Outcome = "cut"         // the connection ended before an answer
+	Unreachable    Outcome = "unreachable" // no connection could be opened
+	ConnectionLost Outcome = "cut"         // the connection closed before the response
 	Unanswered     Outcome = "unanswered"
 )
 
-// Response is what came of a try.
+// outcomeOf returns the outcome of a response that is an answer.
+func outcomeOf(kind rpc.ResponseKind) Outcome {
+	switch kind {
+	case rpc.ResponseFinished:
+		return Finished
+	case rpc.ResponseRejected:
+		return Rejected
+	case rpc.ResponseFailed:
+		return Abandoned
+	default:
+		return ""
+	}
+}
+
+// Response is the end of an attempt.
 type Response struct {
 	Outcome  Outcome
 	Result   string
-	Lateness time.Duration // after its caller's wait was over; under 0 for before
+	Lateness time.Duration // after the client's timeout; negative before it
 }
 
-// SendRequest sends a task under a key to a server, "" for none, on a connection of its own, and waits for its answer, until patience after its caller's wait at
-// the most: a server that is stopped answers when it goes on. The task's body is its key too, by which a ledger knows it.
-func (f *Fleet) SendRequest(ctx context.Context, name, id, key string, wait, patience time.Duration) Response {
-	said, ended := make(chan rpc.Response, 1), make(chan error, 1)
-	c, err := balancer.Dial(ctx, f.Server(name).Addr, func(a rpc.Response) {
-		if a.Kind == rpc.ResponseGoAway {
+const (
+	// pingMemory and pingPriority are of every request of this package.
+	pingMemory   = 1
+	pingPriority = 0.5
+)
+
+// newPing makes a request of PingClass that arrived at a time.
+func newPing(number uint64, arrivedAt time.Time) *rpc.Message {
+	return &rpc.Message{
+		Number:    number,
+		ID:        NewRequestID(),
+		Class:     PingClass,
+		Client:    1,
+		ArrivedAt: float64(arrivedAt.UnixMilli()) / 1000,
+		Timeout:   loadTimeoutSeconds,
+		Memory:    pingMemory,
+		Priority:  pingPriority,
+	}
+}
+
+// Attempt is one attempt to send a request.
+type Attempt struct {
+	Server  string
+	ID      string
+	Key     string // "" for none; it is the body too, by which a RunLog knows it
+	Timeout time.Duration
+	// Patience is how long after the timeout the response is waited for: a server that is paused answers when it resumes.
+	Patience time.Duration
+}
+
+// SendRequest sends an attempt on a connection of its own, and waits for its response.
+func (f *Fleet) SendRequest(ctx context.Context, attempt Attempt) Response {
+	responses := make(chan rpc.Response, 1)
+	closed := make(chan error, 1)
+	onResponse := func(response rpc.Response) {
+		if response.Kind == rpc.ResponseGoAway {
 			return
 		}
-		a.Result = append([]byte(nil), a.Result...)
+		response.Result = slices.Clone(response.Result)
 		select {
-		case said <- a:
-		default: // a second answer to one task is the processors' ledger's to find
+		case responses <- response:
+		default: // a second response to one request shows in the run log
 		}
-	}, func(err error) { ended <- err })
+	}
+	conn, err := balancer.Dial(ctx, f.Server(attempt.Server).Addr, onResponse, func(err error) { closed <- err })
 	if err != nil {
 		return Response{Outcome: Unreachable}
 	}
-	defer c.Close()
-	began := time.Now()
-	if c.SendRequest(&rpc.Message{Number: c.NextNumber(), ID: id, Class: PingClass, Client: 1, ArrivedAt: float64(began.UnixMilli()) / 1000, Timeout: wait.Seconds(), Memory: 1, Priority: 0.5,
-		Subject: key, Body: []byte(key)}) != nil {
+	defer closeQuietly(conn)
+	startedAt := time.Now()
+	message := newPing(conn.NextNumber(), startedAt)
+	message.ID = attempt.ID
+	message.Timeout = attempt.Timeout.Seconds()
+	message.Subject = attempt.Key
+	message.Body = []byte(attempt.Key)
+	if conn.SendRequest(message) != nil {
 		return Response{Outcome: ConnectionLost}
 	}
 	select {
-	case a := <-said:
-		end := map[rpc.ResponseKind]Outcome{rpc.ResponseFinished: Finished, rpc.ResponseRejected: Rejected, rpc.ResponseFailed: Abandoned}[a.Kind]
-		return Response{Outcome: end, Result: string(a.Result), Lateness: time.Since(began) - wait}
-	case <-ended:
+	case response := <-responses:
+		return Response{
+			Outcome:  outcomeOf(response.Kind),
+			Result:   string(response.Result),
+			Lateness: time.Since(startedAt) - attempt.Timeout,
+		}
+	case <-closed:
 		return Response{Outcome: ConnectionLost}
-	case <-time.After(wait + patience):
+	case <-time.After(attempt.Timeout + attempt.Patience):
 		return Response{Outcome: Unanswered}
 	}
 }
 
-// MeasureSequential sends tasks to an address on one connection, the next once the last is finished, and tells how long each took, shortest first.
-func (f *Fleet) MeasureSequential(ctx context.Context, addr string, n int) (took []time.Duration, err error) {
-	said := make(chan rpc.Response, 1)
-	c, err := balancer.Dial(ctx, addr, func(a rpc.Response) {
-		if a.Kind != rpc.ResponseGoAway {
-			said <- a
+// closeQuietly closes a connection that is not needed any more, whose error says nothing.
+func closeQuietly(conn *balancer.Conn) { _ = conn.Close() }
+
+// MeasureSequential sends requests to an address on one connection, the next one once the last is finished, and returns their
+// latencies in ascending order.
+func (f *Fleet) MeasureSequential(ctx context.Context, addr string, count int) (latencies []time.Duration, err error) {
+	responses := make(chan rpc.Response, 1)
+	onResponse := func(response rpc.Response) {
+		if response.Kind != rpc.ResponseGoAway {
+			responses <- response
 		}
-	}, nil)
+	}
+	conn, err := balancer.Dial(ctx, addr, onResponse, nil)
 	if err != nil {
 		return nil, err
 	}
-	defer c.Close()
-	for range n {
-		began := time.Now()
-		if err := c.SendRequest(&rpc.Message{Number: c.NextNumber(), ID: NewRequestID(), Class: PingClass, Client: 1, ArrivedAt: float64(began.UnixMilli()) / 1000, Timeout: loadTimeoutSeconds, Memory: 1, Priority: 0.5}); err != nil {
+	defer closeQuietly(conn)
+	for range count {
+		startedAt := time.Now()
+		if err := conn.SendRequest(newPing(conn.NextNumber(), startedAt)); err != nil {
 			return nil, err
 		}
 		select {
-		case a := <-said:
-			if a.Kind != rpc.ResponseFinished {
-				return nil, fmt.Errorf("%s: a task alone is not finished", addr)
+		case response := <-responses:
+			if response.Kind != rpc.ResponseFinished {
+				return nil, fmt.Errorf("%s: a single request is not finished", addr)
 			}
-			took = append(took, time.Since(began))
+			latencies = append(latencies, time.Since(startedAt))
 		case <-time.After(5 * loadTimeoutSeconds * time.Second):
-			return nil, fmt.Errorf("%s: a task alone has no answer", addr)
+			return nil, fmt.Errorf("%s: a single request has no response", addr)
 		}
 	}
-	slices.Sort(took)
-	return took, nil
+	slices.Sort(latencies)
+	return latencies, nil
 }
 
-// NewRequestID is a fresh name for a task.
+// NewRequestID returns a random request ID.
 func NewRequestID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
--- a/internal/bench/keyclaims/keyclaims.go
+++ b/internal/bench/keyclaims/keyclaims.go
@@ -158,13 +158,13 @@
 			return r.row, err
 		}
 	}
-	sent, from := r.bytesSent(), time.Now()
+	sent, from := r.fleet.BytesSent(), time.Now()
 	stop, stirred := make(chan struct{}), make(chan struct{})
 	go func() { defer close(stirred); r.injectFaults(ctx); close(stop) }()
 	r.sendAttempts(ctx, stop)
 	<-stirred
 	r.attempts.Wait()
-	r.row.GossipBytesPerSecond = float64(r.bytesSent()-sent) / time.Since(from).Seconds() / float64(p.Servers)
+	r.row.GossipBytesPerSecond = float64(r.fleet.BytesSent()-sent) / time.Since(from).Seconds() / float64(p.Servers)
 	r.verify()
 	return r.row, nil
 }
@@ -183,13 +183,6 @@
 	return die
 }
 
-func (r *experiment) bytesSent() (all int64) {
-	for _, name := range r.fleet.Names {
-		all += r.fleet.Net.BytesSent(name)
-	}
-	return all
-}
-
 // measureCost measures tasks without keys and with them, in turns, at a rate that leaves the servers mostly idle.
 func (r *experiment) measureCost(ctx context.Context) error {
 	var addrs []string
@@ -239,7 +232,8 @@
 	r.row.Attempts++
 	r.mu.Unlock()
 	began := time.Now()
-	switch a := r.fleet.SendRequest(ctx, name, id, k.name, callerTimeout, healTimeout); a.Outcome {
+	attempt := faultinjection.Attempt{Server: name, ID: id, Key: k.name, Timeout: callerTimeout, Patience: healTimeout}
+	switch a := r.fleet.SendRequest(ctx, attempt); a.Outcome {
 	case faultinjection.Unreachable, faultinjection.ConnectionLost:
 		r.increment(&r.row.ConnectionsLost)
 	case faultinjection.Unanswered:
--- a/internal/bench/quotas/quotas.go
+++ b/internal/bench/quotas/quotas.go
@@ -111,9 +111,9 @@
 	if !faultinjection.WaitUntil(settleTimeout, func() bool { return r.finishRate(2*time.Second) > 0.8*most }) {
 		return r.row, fmt.Errorf("seed %d: the budget is not used after %s: %.1f of %.0f a second", p.Seed, settleTimeout, r.finishRate(2*time.Second), most)
 	}
-	sent, from := r.bytesSent(), time.Now()
+	sent, from := r.fleet.BytesSent(), time.Now()
 	r.row.UsedShare = r.measureUsedShare(ctx, measurePeriod)
-	r.row.GossipBytesPerSecond = float64(r.bytesSent()-sent) / time.Since(from).Seconds() / float64(p.Servers)
+	r.row.GossipBytesPerSecond = float64(r.fleet.BytesSent()-sent) / time.Since(from).Seconds() / float64(p.Servers)
 	from = time.Now()
 	r.shiftDemand(f.Names[0])
 	faultinjection.WaitUntil(settleTimeout, func() bool { return r.load.Rate(r.hotServer, time.Second) > most/2 })
@@ -160,13 +160,6 @@
 	}
 }
 
-func (r *experiment) bytesSent() (all int64) {
-	for _, name := range r.fleet.Names {
-		all += r.fleet.Net.BytesSent(name)
-	}
-	return all
-}
-
 // measurePartition cuts one off that is asked for much, and looks at it once its lease is over.
 func (r *experiment) measurePartition(ctx context.Context) {
 	name := r.fleet.Names[len(r.fleet.Names)-2]
--- a/internal/bench/rollouts/rollouts.go
+++ b/internal/bench/rollouts/rollouts.go
@@ -122,7 +122,7 @@
 	for _, s := range f.Servers {
 		addrs = append(addrs, s.Addr)
 	}
-	usedBefore, sentBefore := r.processorSeconds(), r.bytesSent()
+	usedBefore, sentBefore := r.processorSeconds(), r.fleet.BytesSent()
 	from := time.Now()
 	l, err := loadgen.Start(ctx, loadgen.Config{Addresses: addrs, ConnsPerServer: 2, Rate: p.RequestRate * float64(p.Servers), Class: faultinjection.PingClass, Timeout: 1500 * time.Millisecond, Seed: p.Seed})
 	if err != nil {
@@ -133,7 +133,7 @@
 	stretch := time.Since(from).Seconds()
 	r.row.FinishedShare = float64(took.Finished) / float64(max(1, took.Sent+took.Unsent))
 	r.row.CPU = (r.processorSeconds() - usedBefore) / stretch / float64(p.Servers)
-	r.row.GossipBytesPerSecond = float64(r.bytesSent()-sentBefore) / stretch / float64(p.Servers)
+	r.row.GossipBytesPerSecond = float64(r.fleet.BytesSent()-sentBefore) / stretch / float64(p.Servers)
 	for _, undo := range r.pendingUndo {
 		undo()
 	}
@@ -153,13 +153,6 @@
 	return all
 }
 
-func (r *experiment) bytesSent() (all int64) {
-	for _, name := range r.serverNames {
-		all += r.fleet.Net.BytesSent(name)
-	}
-	return all
-}
-
 // injectFaults does something every half second or so: what it draws does not depend on what the servers do, so that a run with the fleet's parts and one
 // without have the same faults.
 func (r *experiment) injectFaults(ctx context.Context, talk bool) {
@@ -286,13 +279,13 @@
 func (r *experiment) measureEjection() error {
 	last := r.serverNames[len(r.serverNames)-1]
 	r.row.EjectedAfterMillis = -1
-	before := len(r.fleet.Events("", "command_finished"))
+	before := len(r.fleet.Events("", faultinjection.EventCommandFinished))
 	if _, err := r.fleet.Release(r.serverNames[0], "door-prefix-ipv4 24\n"); err != nil { // what the others have already
 		return err
 	}
 	from := time.Now()
 	faultinjection.WaitUntil(healTimeout, func() bool {
-		for _, s := range r.fleet.Events("", "command_finished")[before:] {
+		for _, s := range r.fleet.Events("", faultinjection.EventCommandFinished)[before:] {
 			if s.Fields["command"] == "eject" && s.Fields["name"] == last && s.Fields["rejected"] == "<nil>" {
 				r.row.EjectedAfterMillis = 1000 * s.Time.Sub(from).Seconds()
 				return true
@@ -308,13 +301,13 @@
 	acts = map[uint64][]faultinjection.LogEvent{}
 	for _, s := range f.Events(name, "") {
 		switch s.Event {
-		case "fleet_started":
+		case faultinjection.EventFleetStarted:
 			id, err := strconv.ParseUint(s.Fields["incarnation"], 16, 64)
 			if err == nil {
 				ids = append(ids, id)
 				acts[id] = nil
 			}
-		case "config_applied":
+		case faultinjection.EventConfigApplied:
 			if len(ids) > 0 {
 				id := ids[len(ids)-1]
 				acts[id] = append(acts[id], s)
@@ -361,7 +354,7 @@
 // countServedWhileEjected counts servers that said they serve while the order had them shut out.
 func (r *experiment) countServedWhileEjected() (n int) {
 	out := map[string]time.Time{}
-	for _, s := range r.fleet.Events("", "command_finished") {
+	for _, s := range r.fleet.Events("", faultinjection.EventCommandFinished) {
 		name := s.Fields["name"]
 		switch {
 		case s.Fields["rejected"] != "<nil>":
@@ -373,7 +366,7 @@
 			delete(out, name)
 		}
 		if at, is := out[name]; is && s.Fields["command"] == "eject" {
-			stances := r.fleet.Events(name, "serving_mode_changed")
+			stances := r.fleet.Events(name, faultinjection.EventServingModeChanged)
 			last := "normal"
 			for _, st := range stances {
 				if st.Time.Before(at.Add(200 * time.Millisecond)) { // its line may have taken a little longer
@@ -398,7 +391,7 @@
 			if slices.ContainsFunc(r.disturbed[name], func(d [2]time.Time) bool { return at.After(d[0]) && at.Before(d[1]) }) {
 				continue
 			}
-			for _, s := range r.fleet.Events(name, "config_applied") {
+			for _, s := range r.fleet.Events(name, faultinjection.EventConfigApplied) {
 				if on, err := release.ParseEpoch(s.Fields["epoch"]); err == nil && on >= e {
 					took = append(took, max(0, 1000*s.Time.Sub(at).Seconds()))
 					break
