--- /dev/null
+++ b/internal/bench/readiness/plan.go
@@ -0,0 +1,150 @@
+// Package readiness measures how long servers take from their start until they are healthy and registered, when all
+// servers of a fleet start at once and the executor or the registry is there, or comes late.
+package readiness
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"swiftcourse/internal/bench/faultinjection"
+	"swiftcourse/internal/bench/process"
+)
+
+// Plan is the experiment.
+type Plan struct {
+	Program  string // path of the server's binary
+	Servers  int
+	Rounds   int           // restarts of all servers at once, for each case
+	Delay    time.Duration // after the servers' start, until a late dependency starts
+	Progress io.Writer
+}
+
+// Row is what was measured with some dependencies late, over all servers and rounds. Times are in seconds.
+type Row struct {
+	Late         string  `json:"late"` // which dependencies; "" for none
+	DelaySeconds float64 `json:"late_s"`
+	Starts       int     `json:"starts"`
+	Ready        Spread  `json:"ready_s"`  // from the start until a health check succeeds
+	Listed       Spread  `json:"listed_s"` // from the start until the registry knows that the server accepts requests
+}
+
+// Spread summarizes a distribution by the median, the 90th percentile and the maximum.
+type Spread struct {
+	P50 float64 `json:"p50"`
+	P90 float64 `json:"p90"`
+	Max float64 `json:"max"`
+}
+
+// newSpread sorts the values, of which there must be one at least.
+func newSpread(values []float64) Spread {
+	slices.Sort(values)
+	quantile := func(part float64) float64 {
+		return values[min(len(values)-1, int(part*float64(len(values))))]
+	}
+	return Spread{P50: quantile(0.5), P90: quantile(0.9), Max: values[len(values)-1]}
+}
+
+// Columns are the names of the columns of Row.Cells.
+var Columns = []string{"late", "by s", "starts", "ready p50", "p90", "max", "listed p50", "p90", "max"}
+
+// Cells returns the row's cells in the table.
+func (r Row) Cells() []string {
+	cells := []string{r.lateName(), fmt.Sprintf("%.1f", r.DelaySeconds), fmt.Sprint(r.Starts)}
+	for _, s := range []Spread{r.Ready, r.Listed} {
+		cells = append(cells, fmt.Sprintf("%.3f", s.P50), fmt.Sprintf("%.3f", s.P90), fmt.Sprintf("%.3f", s.Max))
+	}
+	return cells
+}
+
+func (r Row) lateName() string {
+	if r.Late == "" {
+		return "nobody"
+	}
+	return r.Late
+}
+
+// lateDependencies is a case of the experiment. Its text is the name in reports.
+type lateDependencies string
+
+const (
+	lateNone     lateDependencies = ""
+	lateExecutor lateDependencies = "processor"
+	lateRegistry lateDependencies = "roster"
+	lateBoth     lateDependencies = "processor and roster"
+)
+
+func (l lateDependencies) executor() bool { return l == lateExecutor || l == lateBoth }
+func (l lateDependencies) registry() bool { return l == lateRegistry || l == lateBoth }
+
+// Run measures with no dependency late, then the executors, the registries, and both.
+func (p *Plan) Run(ctx context.Context) ([]Row, error) {
+	config := faultinjection.SmallShape(p.Program)
+	servers, err := process.Start(ctx, p.Servers, config)
+	if err != nil {
+		return nil, err
+	}
+	defer process.CloseAll(servers)
+	var rows []Row
+	for _, late := range []lateDependencies{lateNone, lateExecutor, lateRegistry, lateBoth} {
+		row, err := p.measure(ctx, servers, config, late)
+		if err != nil {
+			return rows, fmt.Errorf("with %s late: %w", row.lateName(), err)
+		}
+		rows = append(rows, row)
+		fmt.Fprintln(p.Progress, strings.Join(row.Cells(), "  "))
+	}
+	return rows, nil
+}
+
+// measure measures one row.
+func (p *Plan) measure(
+	ctx context.Context, servers []*process.Server, config process.Config, late lateDependencies,
+) (Row, error) {
+	row := Row{Late: string(late), Starts: p.Servers * p.Rounds}
+	if late != lateNone {
+		row.DelaySeconds = p.Delay.Seconds()
+	}
+	var ready, listed []float64
+	for range p.Rounds {
+		times, err := p.restartAll(ctx, servers, config, late)
+		if err != nil {
+			return row, err
+		}
+		for _, t := range times {
+			ready = append(ready, t.ready)
+			listed = append(listed, t.listed)
+		}
+	}
+	row.Ready = newSpread(ready)
+	row.Listed = newSpread(listed)
+	return row, nil
+}
+
+// restartAll restarts all servers at once, and waits until each is healthy and listed.
+func (p *Plan) restartAll(
+	ctx context.Context, servers []*process.Server, config process.Config, late lateDependencies,
+) ([]startTimes, error) {
+	var wait sync.WaitGroup
+	for _, s := range servers {
+		wait.Go(s.Kill)
+	}
+	wait.Wait()
+	times := make([]startTimes, len(servers))
+	failures := make([]error, len(servers))
+	for i, s := range servers {
+		r := &restart{server: s, config: config, late: late, delay: p.Delay}
+		wait.Go(func() { times[i], failures[i] = r.run(ctx) })
+	}
+	wait.Wait()
+	for i, err := range failures {
+		if err != nil {
+			return nil, fmt.Errorf("%s: %w", servers[i].Name, err)
+		}
+	}
+	return times, nil
+}
--- a/internal/bench/twolevel/demo.go
+++ b/internal/bench/twolevel/demo.go
@@ -7,115 +7,153 @@
 	"time"
 
 	"swiftcourse/internal/bench/faultinjection"
-	"swiftcourse/internal/bench/process"
 )
 
-// Demo shows a newcomer two forwarders, three planners and three workers at work, while one after the other of them dies.
+// Demo shows a newcomer two forwarders, three planners and three workers at work, while one after the other of them
+// is killed.
 type Demo struct {
-	Program  string
+	Program  string // path of the server's binary
 	Progress io.Writer
-	Log      io.Writer // the processes' logs, nil for none
+	Log      io.Writer // of the processes; nil for none
 }
 
-// demoRate is what each forwarder is asked for, in tasks a second; the workers can do three times both.
-const demoRate = 60
+const (
+	demoForwarders = 2
+	demoPlanners   = 3
+	demoWorkers    = 3
+	// demoRate is the load of each forwarder in requests a second; the workers can do three times the sum.
+	demoRate     = 60
+	demoSeconds  = 30
+	demoSettings = "door on\nfleet-lease 2s\n"
+)
 
-// act is something that happens at a second of the demonstration.
-type act struct {
-	at   int
-	what string
-	do   func(context.Context, *faultinjection.Fleet) error
+// step is something that happens in a second of the demonstration.
+type step struct {
+	second      int
+	description string
+	run         func(context.Context, *faultinjection.Fleet) error
 }
 
-var acts = []act{
-	{4, "the planner that leads is killed", func(_ context.Context, f *faultinjection.Fleet) error {
-		f.Server(leading(f)).Kill()
-		return nil
-	}},
-	{9, "it returns cold", back},
-	{12, "all planners are killed", func(_ context.Context, f *faultinjection.Fleet) error {
-		for _, name := range f.PlannerNames() {
-			f.Server(name).Kill()
-		}
-		return nil
-	}},
-	{20, "a worker is killed with its tasks in hand", func(_ context.Context, f *faultinjection.Fleet) error {
-		f.WorkerServers[0].Kill()
-		return nil
-	}},
-	{24, "all of them return cold", func(ctx context.Context, f *faultinjection.Fleet) error {
-		if err := f.WorkerServers[0].Restart(ctx); err != nil {
-			return err
-		}
-		return back(ctx, f)
-	}},
-	{30, "", nil},
+var steps = []step{
+	{4, "the planner that leads is killed", killLeader},
+	{9, "it returns cold", restartPlanners},
+	{12, "all planners are killed", killPlanners},
+	{20, "a worker is killed with its tasks in hand", killWorker},
+	{24, "all of them return cold", restartAll},
 }
 
-// leading is the planner that said last that it leads.
-func leading(f *faultinjection.Fleet) string {
-	if said := f.Events("", "load_planner_started"); len(said) > 0 {
-		return said[len(said)-1].Name
+func killLeader(_ context.Context, f *faultinjection.Fleet) error {
+	f.Server(leader(f)).Kill()
+	return nil
+}
+
+func killPlanners(_ context.Context, f *faultinjection.Fleet) error {
+	for _, name := range f.PlannerNames() {
+		f.Server(name).Kill()
 	}
-	return f.PlannerNames()[0]
+	return nil
 }
 
-// back starts all planners again that are dead.
-func back(ctx context.Context, f *faultinjection.Fleet) error {
+func killWorker(_ context.Context, f *faultinjection.Fleet) error {
+	f.WorkerServers[0].Kill()
+	return nil
+}
+
+// restartPlanners starts all planners again that have ended.
+func restartPlanners(ctx context.Context, f *faultinjection.Fleet) error {
 	for _, name := range f.PlannerNames() {
-		if !f.Server(name).Alive() {
-			if err := f.Restart(ctx, name); err != nil {
-				return err
-			}
+		if f.Server(name).Alive() {
+			continue
+		}
+		if err := f.Restart(ctx, name); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-// Run plays it, some thirty seconds.
+func restartAll(ctx context.Context, f *faultinjection.Fleet) error {
+	if err := f.WorkerServers[0].Restart(ctx); err != nil {
+		return err
+	}
+	return restartPlanners(ctx, f)
+}
+
+// leader returns the planner that led last, or the first where none has led.
+func leader(f *faultinjection.Fleet) string {
+	if name, ok := lastLeader(f); ok {
+		return name
+	}
+	return f.PlannerNames()[0]
+}
+
+// Run runs the demonstration, which takes some thirty seconds.
 func (d *Demo) Run(ctx context.Context) error {
-	shape := faultinjection.SmallShape(d.Program)
-	shape.Log = d.Log
-	f, err := faultinjection.Start(ctx, faultinjection.Config{Shape: shape, WorkerShape: shape, Planners: 3, Forwarders: 2, Workers: 3, Seed: 1, ExtraSettings: "door on\nfleet-lease 2s\n"})
+	fleet, err := d.startFleet(ctx)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	asking, end := context.WithCancel(ctx)
-	defer end()
-	load := f.StartLoad(asking, "")
-	load.SetRate(demoRate, f.ForwarderNames()...)
-	fmt.Fprintf(d.Progress, "two forwarders, three planners and three workers on loopback; each forwarder is asked for %d tasks a second\n", demoRate)
-	asked, finished, rejected := 0, 0, 0
-	next := 0
-	for second := 1; next < len(acts) && ctx.Err() == nil; second++ {
-		if a := acts[next]; a.at == second {
-			next++
-			if a.do != nil {
-				fmt.Fprintf(d.Progress, "%4d s  -- %s --\n", second, a.what)
-				if err := a.do(ctx, f); err != nil {
-					return err
-				}
-			}
-		}
-		pause(ctx, time.Second)
-		a, n, r := load.Counts()
-		fmt.Fprintf(d.Progress, "%4d s  asked %3d  finished %3d  rejected %2d  planners %d of 3, last to lead %s\n", second, a-asked, n-finished, r-rejected, alive(f), leading(f))
-		asked, finished, rejected = a, n, r
+	defer fleet.Close()
+	loadContext, stopLoad := context.WithCancel(ctx)
+	defer stopLoad()
+	load := fleet.StartLoad(loadContext, "")
+	load.SetRate(demoRate, fleet.ForwarderNames()...)
+	fmt.Fprintf(d.Progress, "two forwarders, three planners and three workers on loopback; "+
+		"each forwarder is asked for %d tasks a second\n", demoRate)
+	if err := d.runSteps(ctx, fleet, load); err != nil {
+		return err
 	}
-	load.SetRate(0, f.Names...)
-	faultinjection.WaitUntil(lastWait, func() bool { return load.UnansweredCount() == 0 })
-	asked, finished, rejected = load.Counts()
-	fmt.Fprintf(d.Progress, "of %d tasks %d were finished, %d rejected with a time to come back, %d answers came late, %d tasks have none\n", asked, finished, rejected, load.LateCount(),
-		load.UnansweredCount())
-	end()
+	load.SetRate(0, fleet.Names...)
+	faultinjection.WaitUntil(answerTimeout, func() bool { return load.UnansweredCount() == 0 })
+	asked, finished, rejected := load.Counts()
+	fmt.Fprintf(d.Progress, "of %d tasks %d were finished, %d rejected with a time to come back, "+
+		"%d answers came late, %d tasks have none\n",
+		asked, finished, rejected, load.LateCount(), load.UnansweredCount())
+	stopLoad()
 	load.Wait()
 	return ctx.Err()
 }
 
-func alive(f *faultinjection.Fleet) (n int) {
-	for _, s := range []*process.Server{f.Server("p1"), f.Server("p2"), f.Server("p3")} {
-		if s.Alive() {
+func (d *Demo) startFleet(ctx context.Context) (*faultinjection.Fleet, error) {
+	shape := faultinjection.SmallShape(d.Program)
+	shape.Log = d.Log
+	return faultinjection.Start(ctx, faultinjection.Config{
+		Shape:         shape,
+		WorkerShape:   shape,
+		Planners:      demoPlanners,
+		Forwarders:    demoForwarders,
+		Workers:       demoWorkers,
+		Seed:          1,
+		ExtraSettings: demoSettings,
+	})
+}
+
+// runSteps runs the steps at their seconds and prints a line a second.
+func (d *Demo) runSteps(ctx context.Context, fleet *faultinjection.Fleet, load *faultinjection.Load) error {
+	askedBefore, finishedBefore, rejectedBefore := 0, 0, 0
+	remaining := steps
+	for second := 1; second <= demoSeconds && ctx.Err() == nil; second++ {
+		if len(remaining) > 0 && remaining[0].second == second {
+			fmt.Fprintf(d.Progress, "%4d s  -- %s --\n", second, remaining[0].description)
+			if err := remaining[0].run(ctx, fleet); err != nil {
+				return err
+			}
+			remaining = remaining[1:]
+		}
+		sleep(ctx, time.Second)
+		asked, finished, rejected := load.Counts()
+		fmt.Fprintf(d.Progress, "%4d s  asked %3d  finished %3d  rejected %2d  planners %d of %d, last to lead %s\n",
+			second, asked-askedBefore, finished-finishedBefore, rejected-rejectedBefore,
+			alivePlanners(fleet), demoPlanners, leader(fleet))
+		askedBefore, finishedBefore, rejectedBefore = asked, finished, rejected
+	}
+	return nil
+}
+
+func alivePlanners(f *faultinjection.Fleet) int {
+	n := 0
+	for _, name := range f.PlannerNames() {
+		if f.Server(name).Alive() {
 			n++
 		}
 	}
--- /dev/null
+++ b/internal/bench/twolevel/faults.go
@@ -0,0 +1,124 @@
+package twolevel
+
+import (
+	"context"
+	"fmt"
+	"strconv"
+	"time"
+
+	"swiftcourse/internal/bench/faultinjection"
+)
+
+// Log events of the program that the experiment reads.
+const (
+	planChanged    = "load_planner_changed"
+	plannerStarted = "load_planner_started"
+)
+
+// injectFaults lets the plan's seconds pass, with a kill after each interval in the variant with kills.
+func (t *trial) injectFaults(ctx context.Context) error {
+	end := time.Now().Add(seconds(t.plan.Seconds))
+	for time.Now().Before(end) && ctx.Err() == nil {
+		sleep(ctx, seconds(t.plan.KillInterval))
+		if t.variant != kills {
+			continue
+		}
+		if err := t.injectFault(ctx); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// injectFault kills all planners in one of five cases, pauses one in another, and else kills one, as often as not
+// the leader.
+func (t *trial) injectFault(ctx context.Context) error {
+	planners := t.fleet.PlannerNames()
+	planner := planners[t.random.IntN(len(planners))]
+	switch t.random.IntN(5) {
+	case 0:
+		t.row.Kills += len(planners)
+		return t.killAll(ctx, planners)
+	case 1:
+		t.row.Kills++
+		return t.pause(ctx, planner)
+	default:
+		t.row.Kills++
+		if leader, ok := lastLeader(t.fleet); ok && t.random.IntN(2) == 0 {
+			planner = leader
+		}
+		return t.fleet.KillAndRestart(ctx, planner)
+	}
+}
+
+func (t *trial) killAll(ctx context.Context, planners []string) error {
+	for _, name := range planners {
+		t.fleet.Server(name).Kill()
+	}
+	for _, name := range planners {
+		if err := t.fleet.Restart(ctx, name); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// pause stops a planner for some seconds; it goes on with the state that it had.
+func (t *trial) pause(ctx context.Context, planner string) error {
+	if err := t.fleet.Pause(planner); err != nil {
+		return err
+	}
+	sleep(ctx, seconds(1+3*t.random.Float64()))
+	return t.fleet.Resume(planner)
+}
+
+// lastLeader returns the planner that logged last that it leads; false where none did.
+func lastLeader(fleet *faultinjection.Fleet) (string, bool) {
+	events := fleet.Events("", plannerStarted)
+	if len(events) == 0 {
+		return "", false
+	}
+	return events[len(events)-1].Name, true
+}
+
+// planTerm identifies the leadership under which a plan was made.
+type planTerm struct {
+	clusterID uint64
+	term      uint64
+}
+
+func (t planTerm) before(other planTerm) bool {
+	return t.clusterID < other.clusterID || t.clusterID == other.clusterID && t.term < other.term
+}
+
+// countStalePlans counts how often a forwarder applied a plan of an earlier term than the one it had, by the lines
+// that it logs with each new term.
+func (t *trial) countStalePlans() (int, error) {
+	stale := 0
+	for _, name := range t.fleet.ForwarderNames() {
+		var latest planTerm
+		for _, event := range t.fleet.Events(name, planChanged) {
+			current, err := parsePlanTerm(event)
+			if err != nil {
+				return stale, err
+			}
+			if current.before(latest) {
+				stale++
+			}
+			latest = current
+		}
+	}
+	return stale, nil
+}
+
+func parsePlanTerm(event faultinjection.LogEvent) (planTerm, error) {
+	clusterID, err := strconv.ParseUint(event.Fields["cluster_id"], 10, 64)
+	if err != nil {
+		return planTerm{}, fmt.Errorf("%s of %s: cluster_id: %w", event.Event, event.Name, err)
+	}
+	term, err := strconv.ParseUint(event.Fields["term"], 10, 64)
+	if err != nil {
+		return planTerm{}, fmt.Errorf("%s of %s: term: %w", event.Event, event.Name, err)
+	}
+	return planTerm{clusterID, term}, nil
+}
--- /dev/null
+++ b/internal/bench/twolevel/measure.go
@@ -0,0 +1,72 @@
+package twolevel
+
+import (
+	"context"
+	"fmt"
+
+	"swiftcourse/internal/fake/balancer"
+)
+
+const (
+	hopRequests = 300
+	megabyte    = 1 << 20
+)
+
+// measureHop measures requests one at a time, at a worker and through a forwarder.
+func (t *trial) measureHop(ctx context.Context) error {
+	direct, err := t.fleet.MeasureSequential(ctx, t.fleet.WorkerServers[0].Addr, hopRequests)
+	if err != nil {
+		return err
+	}
+	forwarder := t.fleet.Server(t.fleet.ForwarderNames()[0])
+	forwarded, err := t.fleet.MeasureSequential(ctx, forwarder.Addr, hopRequests)
+	if err != nil {
+		return err
+	}
+	added := func(percent int) float64 {
+		difference := forwarded[len(forwarded)*percent/100] - direct[len(direct)*percent/100]
+		return float64(difference.Microseconds())
+	}
+	t.row.HopP50 = added(50)
+	t.row.HopP99 = added(99)
+	return nil
+}
+
+// measureMemory measures the first forwarder's memory, without and with idle connections.
+func (t *trial) measureMemory() error {
+	forwarder := t.fleet.Server(t.fleet.ForwarderNames()[0])
+	before, err := forwarder.ResidentBytes()
+	if err != nil {
+		return err
+	}
+	t.row.ForwarderMB = float64(before) / megabyte
+	n := t.plan.IdleConns
+	if n == 0 {
+		return nil
+	}
+	idle, err := balancer.OpenIdle(forwarder.Addr, n, false)
+	if err != nil {
+		return err
+	}
+	defer idle.Close()
+	after, err := forwarder.ResidentBytes()
+	if err != nil {
+		return err
+	}
+	t.row.ForwarderIdleMB = float64(after) / megabyte
+	if open := idle.Len(); open < n*9/10 {
+		return fmt.Errorf("of %d idle connections %d are open", n, open)
+	}
+	return nil
+}
+
+// forwarderCPUSeconds returns the CPU time that all forwarders have used; one that has ended counts as 0.
+func (t *trial) forwarderCPUSeconds() float64 {
+	total := 0.0
+	for _, name := range t.fleet.ForwarderNames() {
+		if used, err := t.fleet.Server(name).CPUSeconds(); err == nil {
+			total += used
+		}
+	}
+	return total
+}
--- /dev/null
+++ b/internal/bench/twolevel/run.go
@@ -0,0 +1,228 @@
+package twolevel
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"strconv"
+	"strings"
+	"time"
+
+	"swiftcourse/internal/bench/faultinjection"
+	"swiftcourse/internal/bench/process"
+	"swiftcourse/internal/fake/executor"
+	"swiftcourse/internal/wire/simulator"
+)
+
+const (
+	// payClass is a class whose requests must never run twice.
+	payClass       = "pay"
+	requestSeconds = 0.02 // of a worker's core
+	descriptors    = 512
+	// crowdMemoryMB is a forwarder's memory limit where idle connections are measured.
+	crowdMemoryMB = 192
+
+	planTimeout   = 20 * time.Second // until all forwarders have a load plan
+	warmup        = 3 * time.Second  // of load before it is measured
+	answerTimeout = 5 * time.Second  // for the requests in flight at the end
+
+	// faultStream is the stream of random numbers from which faults are drawn.
+	faultStream = 9
+	// firstForwarderShare is the share of the load that the first of several forwarders has.
+	firstForwarderShare = 0.5
+
+	experimentSettings = "fleet-lease 2s\nfleet-behind 2s\n"
+)
+
+// workerCores returns the cores of the worker with the given number, from 1: one in four has a quarter of what the
+// largest have, and one half.
+func workerCores(number int) int { return []int{4, 1, 4, 2}[number%4] }
+
+// capacity returns how many requests a second the workers can do.
+func (p *Plan) capacity() float64 {
+	total := 0.0
+	for i := range p.Workers {
+		total += float64(workerCores(i+1)) / requestSeconds
+	}
+	return total
+}
+
+// workerExecutor returns the configuration of a worker's executor by the worker's name.
+func workerExecutor(name string) executor.Config {
+	number, err := strconv.Atoi(strings.TrimLeft(name, "n"))
+	if err != nil {
+		panic(fmt.Sprintf("worker %q has no number in its name", name))
+	}
+	cores := workerCores(number)
+	return executor.Config{
+		Cores:      cores,
+		CPUSeconds: func(string, string) float64 { return requestSeconds },
+		Gauges:     process.RunnableGauges(cores),
+	}
+}
+
+// startFleet starts the processes.
+func (p *Plan) startFleet(ctx context.Context) (*faultinjection.Fleet, error) {
+	shape := faultinjection.SmallShape(p.Program)
+	shape.Log = p.Log
+	shape.Settings.Classes = append(shape.Settings.Classes, simulator.Class{Name: payClass,
+		Idempotency: "at_most_once", TimeoutMs: 2000, SoftDeadlineMs: 1000, Value: 3, LateValue: 0.5})
+	shape.Descriptors = descriptors
+	workerShape := shape
+	workerShape.ExecutorOf = workerExecutor
+	if p.IdleConns > 0 {
+		shape.Descriptors += 2 * p.IdleConns
+		shape.MemoryMB = crowdMemoryMB
+	}
+	return faultinjection.Start(ctx, faultinjection.Config{
+		Shape:         shape,
+		WorkerShape:   workerShape,
+		Planners:      p.Planners,
+		Forwarders:    p.Forwarders,
+		Workers:       p.Workers,
+		Seed:          p.Seed,
+		RunLog:        faultinjection.NewRunLog(),
+		ExtraSettings: experimentSettings,
+	})
+}
+
+// trial is the run of one variant.
+type trial struct {
+	plan    *Plan
+	variant variant
+	row     *Row
+	fleet   *faultinjection.Fleet
+	load    *faultinjection.Load
+	random  *rand.Rand // for faults
+}
+
+// run runs one variant and adds its results to the row.
+func (p *Plan) run(ctx context.Context, v variant, row *Row) error {
+	fleet, err := p.startFleet(ctx)
+	if err != nil {
+		return err
+	}
+	defer fleet.Close()
+	loadContext, stopLoad := context.WithCancel(ctx)
+	defer stopLoad()
+	t := &trial{
+		plan:    p,
+		variant: v,
+		row:     row,
+		fleet:   fleet,
+		random:  rand.New(rand.NewPCG(p.Seed, faultStream)),
+	}
+	if err := t.preparePlanners(); err != nil {
+		return err
+	}
+	t.load = fleet.StartLoad(loadContext, "")
+	t.load.Classes = []string{faultinjection.PingClass, payClass}
+	if v == noKills {
+		if err := t.measureHop(ctx); err != nil {
+			return err
+		}
+		if err := t.measureMemory(); err != nil {
+			return err
+		}
+	}
+	t.setLoad()
+	sleep(ctx, warmup)
+	if err := t.measureLoad(ctx); err != nil {
+		return err
+	}
+	stopLoad()
+	t.load.Wait()
+	return nil
+}
+
+// preparePlanners kills the planners of a run without any, or waits until all forwarders have a plan.
+func (t *trial) preparePlanners() error {
+	if t.variant == localOnly {
+		for _, name := range t.fleet.PlannerNames() {
+			t.fleet.Server(name).Kill()
+		}
+		return nil
+	}
+	planned := func() bool { return len(t.fleet.Events("", planChanged)) >= t.plan.Forwarders }
+	if !faultinjection.WaitUntil(planTimeout, planned) {
+		return fmt.Errorf("forwarders have no plan after %s", planTimeout)
+	}
+	return nil
+}
+
+// setLoad spreads the load unevenly over the forwarders.
+func (t *trial) setLoad() {
+	capacity := t.plan.capacity()
+	forwarders := t.fleet.ForwarderNames()
+	for i, name := range forwarders {
+		t.load.SetRate(forwarderShare(i, len(forwarders))*t.plan.Load*capacity, name)
+	}
+}
+
+// forwarderShare returns the share of the load that one of n forwarders has.
+func forwarderShare(index, n int) float64 {
+	switch {
+	case n == 1:
+		return 1
+	case index == 0:
+		return firstForwarderShare
+	default:
+		return (1 - firstForwarderShare) / float64(n-1)
+	}
+}
+
+// measureLoad measures the load for the plan's seconds and adds the results to the row.
+func (t *trial) measureLoad(ctx context.Context) error {
+	cpuBefore := t.forwarderCPUSeconds()
+	askedBefore, finishedBefore, _ := t.load.Counts()
+	askedBefore -= t.load.UnansweredCount() // requests in flight count from here on
+	if err := t.injectFaults(ctx); err != nil {
+		return err
+	}
+	t.load.SetRate(0, t.fleet.Names...)
+	faultinjection.WaitUntil(answerTimeout, func() bool { return t.load.UnansweredCount() == 0 })
+	cpuUsed := t.forwarderCPUSeconds() - cpuBefore
+	asked, finished, _ := t.load.Counts()
+	finishedNow := finished - finishedBefore
+
+	t.row.Asked += asked
+	t.row.LateAnswers += t.load.LateCount()
+	t.row.Unanswered += t.load.UnansweredCount()
+	t.row.DoubleEffects += t.fleet.RunLog.CountRepeated(payClass)
+	service := float64(finishedNow) / float64(max(1, asked-askedBefore))
+	cpuMicros := 1e6 * cpuUsed / float64(max(1, finishedNow))
+	return t.addResults(service, t.p99Millis(), cpuMicros)
+}
+
+// addResults sets the row's columns of this variant.
+func (t *trial) addResults(service, p99, cpuMicros float64) error {
+	row := t.row
+	switch t.variant {
+	case noKills:
+		row.NoKills = service
+		row.P99NoKills = p99
+		row.ForwarderCPUMicros = cpuMicros
+	case kills:
+		row.Service = service
+		row.P99 = p99
+		row.Terms = len(t.fleet.Events("", plannerStarted))
+		stale, err := t.countStalePlans()
+		if err != nil {
+			return err
+		}
+		row.StalePlans = stale
+	case localOnly:
+		row.LocalOnly = service
+		row.P99LocalOnly = p99
+	}
+	return nil
+}
+
+// p99Millis returns the 99th percentile of the latencies of all finished requests.
+func (t *trial) p99Millis() float64 {
+	latencies := t.load.Latencies()
+	if len(latencies) == 0 {
+		return 0
+	}
+	return float64(latencies[len(latencies)*99/100].Microseconds()) / 1000
+}
