--- a/internal/fake/executor/run.go
+++ b/internal/fake/executor/run.go
@@ -117,7 +117,13 @@
 
 func (s *Server) notifyEnded(r *run, outcome admission.Outcome, result []byte) {
 	s.notify(func(b []byte, serial int64) []byte {
-		return processor.AppendRunEnded(b, serial, r.id, outcome, time.Since(r.startedAt).Seconds(), result)
+		return processor.AppendRunEnded(b, processor.Notice{
+			Serial:   serial,
+			ID:       r.id,
+			Outcome:  outcome,
+			Duration: time.Since(r.startedAt).Seconds(),
+			Body:     result,
+		})
 	})
 }
 
