--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -37,7 +37,7 @@
 
 func newDurationEstimate(now, window float64) durationEstimate {
 	return durationEstimate{
-		window: timewindow.New[timewindow.Histogram](estimateBuckets, window/estimateBuckets, now),
+		window: timewindow.NewBuckets[timewindow.Histogram](estimateBuckets, window/estimateBuckets, now),
 		lowest: timewindow.NewMinimum(lowestBuckets, lowestBucketWidth, now),
 	}
 }
--- a/internal/bufferpool/pool.go
+++ b/internal/bufferpool/pool.go
@@ -1,26 +1,26 @@
-// Package bufferpool keeps byte buffers of one size for use again.
+// Package bufferpool provides a pool of byte buffers of one size.
 //
-// A Pool belongs to one goroutine, the event loop: there is no lock. Whoever has a buffer from it
-// gives it back once, by Put or by WriteBuffer.Release, and does not touch it afterwards.
+// A Pool belongs to one goroutine, the event loop, and has no lock. The owner of a buffer returns it
+// to the pool once, by Put or WriteBuffer.Release, and must not use it afterwards.
 package bufferpool
 
-// Size is the capacity of every buffer, in bytes: a result of 4 KiB in base64 with its line around
-// it, and a body with room to spare.
+// Size is the capacity of every buffer, in bytes: enough for a request's body, and for a line with a
+// result of 4 KiB in base64.
 const Size = 8 << 10
 
-// maxFree bounds the buffers kept for use again: 2 MiB, about what a burst of 200 requests takes.
+// maxFree bounds the free buffers of a pool, to 2 MiB: about what a burst of 200 requests needs.
 const maxFree = 256
 
-// Pool hands out buffers and takes them back. The zero Pool is empty and ready for use.
+// Pool is a pool of buffers. The zero Pool is empty and ready for use.
 type Pool struct {
-	// InUse is the number of buffers handed out and not back yet.
+	// InUse is the number of buffers that were taken and not returned yet.
 	InUse int
 
-	free  [][]byte
-	lists [][][]byte // empty lists of buffers, of released WriteBuffers
+	free      [][]byte
+	freeLists [][][]byte // empty lists that released WriteBuffers had for their buffers
 }
 
-// Get returns an empty buffer.
+// Get takes an empty buffer from the pool, or allocates one.
 func (p *Pool) Get() []byte {
 	p.InUse++
 	n := len(p.free)
@@ -32,7 +32,8 @@
 	return b
 }
 
-// Put takes a buffer back. A nil slice and one that is not from a pool are ignored.
+// Put returns a buffer to the pool. It ignores a slice whose capacity is not Size, such as nil or the
+// copy of a long slice.
 func (p *Pool) Put(b []byte) {
 	if cap(b) != Size {
 		return
@@ -43,7 +44,7 @@
 	}
 }
 
-// Copy returns a copy of b, in a buffer of the pool if it fits into one.
+// Copy returns a copy of b, in a buffer from the pool if b fits into one.
 func (p *Pool) Copy(b []byte) []byte {
 	if len(b) > Size {
 		return append(make([]byte, 0, len(b)), b...)
--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -5,10 +5,11 @@
 	"swiftcourse/internal/wire/simulator"
 )
 
-// noDownstream is the settings' word for a server that calls nothing.
+// noDownstream is the value of the settings for a server that calls no other.
 const noDownstream = "none"
 
-// The words that the settings choose from, and what each means.
+// The values that the settings may have for a choice, and what each means. "" is a choice that the
+// settings leave out.
 var (
 	downstreamKinds = map[string]admission.Downstream{
 		"":           admission.NoDownstream,
@@ -37,17 +38,17 @@
 	}
 )
 
-// valueByWork is the settings' word for requests whose value is in the work that they need.
+// valueByWork is the value of the settings for requests that are worth the work that they need.
 const valueByWork = "work"
 
-// AdmissionSettings puts the settings in the terms of package admission. A word that is not known
-// maps to the zero value of its type.
-func AdmissionSettings(given *simulator.Settings) admission.Settings {
-	deployment := &given.Deployment
-	contract := &given.Contract
+// AdmissionSettings converts the platform's settings to those of package admission, which counts
+// time in seconds. A choice whose value is unknown becomes the zero value of its type.
+func AdmissionSettings(source *simulator.Settings) admission.Settings {
+	deployment := &source.Deployment
+	contract := &source.Contract
 	settings := admission.Settings{
-		OverQuotaValue:    given.OverQuotaValue,
-		Servers:           given.Servers,
+		OverQuotaValue:    source.OverQuotaValue,
+		Servers:           source.Servers,
 		Clients:           deployment.Clients,
 		Cores:             deployment.Cores,
 		SlowStart:         admission.SlowStartSettings{InitialSpeed: contract.SlowStartSpeed},
@@ -73,40 +74,40 @@
 		ResultCacheTTL:      deployment.ResultCacheMs / millisPerSecond,
 		DeadlinePropagation: deployment.DeadlinePropagation,
 		IdleTimeout:         deployment.IdleTimeoutMs / millisPerSecond,
-		ValueByWork:         given.ValueBy == valueByWork,
+		ValueByWork:         source.ValueBy == valueByWork,
 	}
 	if deployment.Cold {
 		settings.SlowStart.Duration = contract.SlowStartMs / millisPerSecond
 	}
-	if given.Capabilities.RetryAfter {
-		settings.MaxRetryAfter = given.Capabilities.MaxRetryAfterMs / millisPerSecond
+	if source.Capabilities.RetryAfter {
+		settings.MaxRetryAfter = source.Capabilities.MaxRetryAfterMs / millisPerSecond
 	}
-	for i := range given.Classes {
-		settings.Classes = append(settings.Classes, admissionClass(given, i))
+	for i := range source.Classes {
+		settings.Classes = append(settings.Classes, admissionClass(source, i))
 	}
-	for _, tenant := range given.Tenants {
+	for _, tenant := range source.Tenants {
 		settings.Tenants = append(settings.Tenants, admission.Tenant{Rate: tenant.RatePerS})
 	}
 	return settings
 }
 
-// admissionClass puts one class in the terms of package admission.
-func admissionClass(given *simulator.Settings, index int) admission.Class {
-	from := &given.Classes[index]
+// admissionClass converts the class at an index.
+func admissionClass(settings *simulator.Settings, index int) admission.Class {
+	source := &settings.Classes[index]
 	class := admission.Class{
-		Idempotency:         idempotencyKinds[from.Idempotency],
-		SoftDeadline:        from.SoftDeadlineMs / millisPerSecond,
-		SoftDeadlineStretch: from.SoftDeadlineStretch,
-		Timeout:             from.TimeoutMs / millisPerSecond,
-		Value:               from.Value,
-		LateValue:           from.LateValue,
-		DeduplicationWindow: from.DeduplicationWindowMs / millisPerSecond,
+		Idempotency:         idempotencyKinds[source.Idempotency],
+		SoftDeadline:        source.SoftDeadlineMs / millisPerSecond,
+		SoftDeadlineStretch: source.SoftDeadlineStretch,
+		Timeout:             source.TimeoutMs / millisPerSecond,
+		Value:               source.Value,
+		LateValue:           source.LateValue,
+		DeduplicationWindow: source.DeduplicationWindowMs / millisPerSecond,
 	}
-	if index < len(given.Deployment.ClassCalls) {
-		class.CallsDownstream = given.Deployment.ClassCalls[index]
+	if index < len(settings.Deployment.ClassCalls) {
+		class.CallsDownstream = settings.Deployment.ClassCalls[index]
 	}
-	if index < len(given.Deployment.DegradedValues) {
-		class.DegradedValue = given.Deployment.DegradedValues[index]
+	if index < len(settings.Deployment.DegradedValues) {
+		class.DegradedValue = settings.Deployment.DegradedValues[index]
 	}
 	return class
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// FieldError reports a key that is unknown, missing, malformed or out of its range.
+// FieldError reports a key that is unknown, or whose value is missing, malformed or out of its range.
 type FieldError struct {
-	Source string // operator's file or release that the key stands in; "" for the platform's configuration
-	Line   int    // of Source, from 1; 0 where the key stands on no line
+	Source string // operator's file or release that has the key; "" for the platform's configuration
+	Line   int    // of Source, from 1; 0 where the key is on no line
 	Key    string // such as "limits.cores" or "door-reserve"
-	Value  any    // as it was given; nil where there is none
-	Reason string // what is wrong, and where it helps what is expected
+	Value  any    // the value that is wrong; nil to leave it out of the message
+	Reason string // what is wrong and, for a key of Source, what is expected
 }
 
-// Error returns the place, the key, the value and the reason on one line.
+// Error returns the source and line, the key, the value and the reason, on one line.
 func (e *FieldError) Error() string {
 	var text strings.Builder
 	if e.Source != "" {
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -10,8 +10,8 @@
 	"swiftcourse/internal/wire/simulator"
 )
 
-// The defaults of the JSON file: the largest limits that the platform ever gives, and a stop that
-// leaves a second after a grace period of 2 s.
+// The defaults of the JSON file: the largest limits that the platform gives to a server, and a time
+// to stop that leaves a second after a grace period of 2 s.
 const (
 	defaultStopMs   = 3000
 	defaultCores    = 1
@@ -32,14 +32,24 @@
 	registryKey   = "roster"
 	upstreamKey   = "catalog"
 	seedKey       = "seed"
+	stopKey       = "stop_ms"
+	coresKey      = "limits.cores"
+	memoryKey     = "limits.memory_mb"
+	socketsKey    = "limits.sockets"
 	settingsKey   = "settings"
 	classesKey    = settingsKey + "." + simulator.ClassesKey
 	tenantsKey    = settingsKey + ".tenants"
-	preemptionKey = settingsKey + ".familyInfo.preemption"
+	deploymentKey = settingsKey + ".familyInfo"
+
+	downstreamKey      = deploymentKey + ".below"
+	preemptionKey      = deploymentKey + ".preemption"
+	backpressureKey    = deploymentKey + ".say"
+	deploymentCoresKey = deploymentKey + ".cores"
+	memoryLimitKey     = deploymentKey + ".memLimitKb"
 )
 
-// file is the platform's configuration as it is written.
-type file struct {
+// jsonFile is the platform's configuration as the JSON file has it.
+type jsonFile struct {
 	Name     string  `json:"name"`
 	Listen   string  `json:"listen"`
 	Executor string  `json:"processor"`
@@ -55,55 +65,55 @@
 	Settings *simulator.Settings `json:"settings"`
 }
 
-// environment is what a server is told beside the file.
-type environment struct {
+// parseOptions has what a server is told besides the JSON file.
+type parseOptions struct {
 	name      string // RELAY_NAME, or ""
 	listen    string // RELAY_LISTEN, or ""
 	forwarder bool   // the program runs as a forwarder
 }
 
-// parse checks the text of the JSON file and puts it in the program's terms.
-func parse(text []byte, env environment) (*Startup, error) {
-	given, err := decode(text)
+// parse decodes the text of the JSON file, validates it and converts it to a Startup.
+func parse(text []byte, options parseOptions) (*Startup, error) {
+	file, err := decode(text)
 	if err != nil {
 		return nil, err
 	}
 	err = errors.Join(
-		mergeEnvironment(nameKey, &given.Name, nameVariable, env.name),
-		mergeEnvironment(listenKey, &given.Listen, listenVariable, env.listen),
+		mergeEnvironment(nameKey, &file.Name, nameVariable, options.name),
+		mergeEnvironment(listenKey, &file.Listen, listenVariable, options.listen),
 	)
 	if err != nil {
 		return nil, err
 	}
-	if err := given.checkAddresses(env.forwarder); err != nil {
+	if err := file.validateAddresses(options.forwarder); err != nil {
 		return nil, err
 	}
-	seed, err := strconv.ParseUint(given.Seed, 16, 64)
+	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
-		return nil, &FieldError{Key: seedKey, Value: given.Seed, Reason: "is not a hexadecimal number"}
+		return nil, &FieldError{Key: seedKey, Value: file.Seed, Reason: "is not a hexadecimal number"}
 	}
-	if given.Settings == nil {
+	if file.Settings == nil {
 		return nil, &FieldError{Key: settingsKey, Reason: "missing"}
 	}
-	if env.forwarder {
-		given.dropDependencies()
+	if options.forwarder {
+		file.dropDependencies()
 	}
-	if err := given.check(); err != nil {
+	if err := file.validate(); err != nil {
 		return nil, err
 	}
-	startup, err := given.startup(int64(seed))
+	startup, err := file.toStartup(int64(seed))
 	if err != nil {
 		return nil, err
 	}
-	if env.forwarder {
-		startup.becomeForwarder()
+	if options.forwarder {
+		startup.convertToForwarder()
 	}
 	return startup, nil
 }
 
-// decode reads the JSON over the defaults.
-func decode(text []byte) (*file, error) {
-	f := &file{StopMs: defaultStopMs}
+// decode decodes the JSON; what it leaves out has its default.
+func decode(text []byte) (*jsonFile, error) {
+	f := &jsonFile{StopMs: defaultStopMs}
 	f.Limits.Cores = defaultCores
 	f.Limits.MemoryMb = defaultMemoryMb
 	f.Limits.Sockets = defaultSockets
@@ -121,28 +131,29 @@
 	return f, nil
 }
 
-// mergeEnvironment takes what the environment says where the file says nothing; they may not
-// differ.
-func mergeEnvironment(key string, value *string, variable, given string) error {
+// mergeEnvironment sets the value of a key from an environment variable where the file leaves it
+// out. A value in both that differs is an error.
+func mergeEnvironment(key string, value *string, environmentVariable, environmentValue string) error {
 	if *value == "" {
-		*value = given
+		*value = environmentValue
 	}
-	if given == "" || given == *value {
+	if environmentValue == "" || environmentValue == *value {
 		return nil
 	}
-	reason := fmt.Sprintf("differs from %s, which is %q", variable, given)
+	reason := fmt.Sprintf("differs from %s, which is %q", environmentVariable, environmentValue)
 	return &FieldError{Key: key, Value: *value, Reason: reason}
 }
 
-// dropDependencies removes what a forwarder's file may name and only its workers use.
-func (f *file) dropDependencies() {
+// dropDependencies removes the dependencies that a forwarder's file may name although only its
+// workers use them.
+func (f *jsonFile) dropDependencies() {
 	f.Executor = ""
 	f.Upstream = ""
 	f.Settings.Deployment.Downstream = noDownstream
 }
 
-// startup puts the checked file in the program's terms.
-func (f *file) startup(seed int64) (*Startup, error) {
+// toStartup converts the validated file to a Startup.
+func (f *jsonFile) toStartup(seed int64) (*Startup, error) {
 	settings := AdmissionSettings(f.Settings)
 	var unsupported []string
 	if settings.Preemption != admission.NoPreemption {
@@ -184,9 +195,9 @@
 	}, nil
 }
 
-// becomeForwarder changes what was read for a server to what holds for a forwarder: its workers
-// warm up and call downstream, it does neither.
-func (s *Startup) becomeForwarder() {
+// convertToForwarder changes a server's configuration to a forwarder's: the workers warm up and call
+// downstream, the forwarder does neither.
+func (s *Startup) convertToForwarder() {
 	s.Forwarder = true
 	s.WorkerSlowStartDuration = s.SlowStartDuration
 	s.SlowStartDuration = 0
@@ -195,12 +206,12 @@
 	}
 }
 
-// indexByName returns each name's index in the list under a key. Names have to be there and to
-// differ.
+// indexByName returns the index of each name in a list, which the file has under key. A name may be
+// neither empty nor duplicate.
 func indexByName(key string, names []string) (map[string]int, error) {
 	index := map[string]int{}
 	for i, name := range names {
-		if _, twice := index[name]; twice || name == "" {
+		if _, duplicate := index[name]; duplicate || name == "" {
 			return nil, &FieldError{
 				Key:    fmt.Sprintf("%s[%d].name", key, i),
 				Value:  name,
--- a/internal/config/operator_expected.go
+++ b/internal/config/operator_expected.go
@@ -1,6 +1,7 @@
 package config
 
-// expectedValues says of each key of the operator's file what would be right, for errors.
+// expectedValues has, for each key of the operator's file, the text of the values that are valid;
+// errors quote it.
 var expectedValues = map[string]string{
 	"door":                      "on or off",
 	"door-known":                "prefixes such as 10.1.0.0/16, at most 256; the key may be repeated",
--- a/internal/config/operator_load.go
+++ b/internal/config/operator_load.go
@@ -8,11 +8,12 @@
 	"strings"
 )
 
-// operatorFileVariable names the operator's file where the command line does not.
+// operatorFileVariable is the environment variable with the path of the operator's file, for a
+// command line without one.
 const operatorFileVariable = "SWIFTCOURSE_CONF"
 
-// OperatorFilePath returns the path of the operator's file: what the command line says, or else the
-// environment, or "" for no file.
+// OperatorFilePath returns the path of the operator's file: that of the command line's flag, or else
+// that of the environment, or "" for no file.
 func OperatorFilePath(flag string, getenv func(string) string) string {
 	if flag != "" {
 		return flag
@@ -20,12 +21,12 @@
 	return getenv(operatorFileVariable)
 }
 
-// LoadOperatorSettings reads the operator's file; "" gives the defaults, with all off. The error
-// has a line for each fault of the file.
+// LoadOperatorSettings reads the operator's file. An empty path stands for a file without a key, so
+// it returns the defaults. An error joins a FieldError for each fault of the file, a line each.
 func LoadOperatorSettings(path string) (*OperatorSettings, error) {
 	if path == "" {
-		// They are not validated, which a test does: the validator stays out of the memory of a
-		// server without a file.
+		// The defaults are not validated, so that a server without a file does not hold the
+		// validator in memory. A test validates them.
 		return DefaultOperatorSettings(), nil
 	}
 	text, err := os.ReadFile(path)
@@ -35,33 +36,32 @@
 	return ParseOperatorSettings(path, text)
 }
 
-// ParseOperatorSettings reads the text of the operator's file: a key and its values on each line,
-// where # begins a comment. The source is the name that errors have for it; the error has a line
-// for each fault.
+// ParseOperatorSettings parses the text of the operator's file: a key and its values on each line,
+// where # begins a comment. The source is the FieldError.Source of the errors, which are joined.
 func ParseOperatorSettings(source string, text []byte) (*OperatorSettings, error) {
 	settings := DefaultOperatorSettings()
 	err := settings.apply(source, text)
 	return settings, err
 }
 
-// DefaultOperatorSettings returns what holds where no file says anything.
+// DefaultOperatorSettings returns the settings of a file without a key.
 func DefaultOperatorSettings() *OperatorSettings {
 	settings := &OperatorSettings{}
 	for _, field := range operatorFields() {
 		if field.defaultValue == "" {
 			continue
 		}
-		if fault := setValue(field.of(settings), []string{field.defaultValue}); fault != nil {
-			panic(fmt.Sprintf("default of %s: %v", field.key, fault)) // the tags are the program's own
+		if invalid := setValue(field.valueIn(settings), []string{field.defaultValue}); invalid != nil {
+			panic(fmt.Sprintf("default of %s: %v", field.key, invalid)) // a tag of this package is wrong
 		}
 	}
 	return settings
 }
 
-// apply reads a text over the settings that are there.
+// apply parses a text, sets what it names and validates the result.
 func (s *OperatorSettings) apply(source string, text []byte) error {
 	p := newOperatorParser(s, source)
-	p.readLines(text)
+	p.parseLines(text)
 	p.validate()
 	return p.err()
 }
@@ -72,15 +72,15 @@
 	index        []int  // for reflect.Value.FieldByIndex
 	path         string // as the validator names it, such as "OperatorSettings.Fleet.Zone"
 	defaultValue string // "" for the zero value
-	isList       bool   // its key may be repeated
+	isList       bool   // the key may be repeated and have several values
 }
 
-// of returns the field of the settings, to be set.
-func (f *operatorField) of(settings *OperatorSettings) reflect.Value {
+// valueIn returns the field's value in settings, which can be set.
+func (f *operatorField) valueIn(settings *OperatorSettings) reflect.Value {
 	return reflect.ValueOf(settings).Elem().FieldByIndex(f.index)
 }
 
-// operatorFields returns the fields of all keys, in the order of the struct.
+// operatorFields returns the fields of all keys, in the order of OperatorSettings.
 func operatorFields() []operatorField {
 	settings := reflect.TypeFor[OperatorSettings]()
 	var fields []operatorField
--- a/internal/config/operator_parse.go
+++ b/internal/config/operator_parse.go
@@ -12,15 +12,15 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// commentMark begins a comment in the operator's file.
+// commentMark begins a comment, up to the end of the line.
 const commentMark = "#"
 
-// operatorParser reads one text over the settings that are there and gathers all of its faults.
+// operatorParser parses one text into settings and collects all of its faults.
 type operatorParser struct {
 	settings *OperatorSettings
 	source   string
 	fields   []operatorField
-	lines    map[string]int // where each key stands, the last one of a repeated key
+	lines    map[string]int // line number of each key, the last one of a repeated key
 	faults   []error
 }
 
@@ -33,11 +33,11 @@
 	}
 }
 
-// err returns all faults, a line each, or nil.
+// err returns all faults, joined, or nil.
 func (p *operatorParser) err() error { return errors.Join(p.faults...) }
 
-// reject notes a fault of a key on a line, 0 for none.
-func (p *operatorParser) reject(line int, key string, value any, reason string) {
+// addFault notes a fault of a key on a line, 0 for none.
+func (p *operatorParser) addFault(line int, key string, value any, reason string) {
 	p.faults = append(p.faults, &FieldError{
 		Source: p.source,
 		Line:   line,
@@ -47,12 +47,12 @@
 	})
 }
 
-// readLines sets what the text says.
-func (p *operatorParser) readLines(text []byte) {
+// parseLines sets the fields that the text names.
+func (p *operatorParser) parseLines(text []byte) {
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	for number := 1; lines.Scan(); number++ {
-		if words := wordsOf(lines.Text()); len(words) > 0 {
-			p.readLine(number, words[0], words[1:])
+		if words := splitLine(lines.Text()); len(words) > 0 {
+			p.parseLine(number, words[0], words[1:])
 		}
 	}
 	if err := lines.Err(); err != nil {
@@ -60,33 +60,33 @@
 	}
 }
 
-// readLine sets what one line says.
-func (p *operatorParser) readLine(number int, key string, values []string) {
+// parseLine sets the field of one line's key.
+func (p *operatorParser) parseLine(number int, key string, values []string) {
 	field := p.fieldOf(key)
 	if field == nil {
-		p.reject(number, key, nil, "unknown key; the nearest is "+p.nearestKey(key))
+		p.addFault(number, key, nil, "unknown key; the nearest is "+p.nearestKey(key))
 		return
 	}
 	expected := "; expected " + expectedValues[key]
 	switch {
 	case len(values) == 0:
-		p.reject(number, key, nil, "has no value"+expected)
+		p.addFault(number, key, nil, "has no value"+expected)
 		return
 	case !field.isList && p.lines[key] > 0:
-		p.reject(number, key, nil, fmt.Sprintf("is already set on line %d", p.lines[key]))
+		p.addFault(number, key, nil, fmt.Sprintf("is already set on line %d", p.lines[key]))
 		return
 	case !field.isList && len(values) > 1:
-		p.reject(number, key, nil, fmt.Sprintf("has %d values%s", len(values), expected))
+		p.addFault(number, key, nil, fmt.Sprintf("has %d values%s", len(values), expected))
 		return
 	}
 	p.lines[key] = number
-	if fault := setValue(field.of(p.settings), values); fault != nil {
-		p.reject(number, key, fault.text, fault.reason+expected)
+	if invalid := setValue(field.valueIn(p.settings), values); invalid != nil {
+		p.addFault(number, key, invalid.text, invalid.reason+expected)
 	}
 }
 
-// validate checks the ranges of all settings, those that the text does not name too, as some depend
-// on others.
+// validate checks the rules of all settings, also of those that the text does not name, as some
+// depend on others.
 func (p *operatorParser) validate() {
 	err := validator.New().Struct(p.settings)
 	var outOfRange validator.ValidationErrors
@@ -97,8 +97,8 @@
 		return
 	}
 	for _, fault := range outOfRange {
-		key := p.keyAt(fault.StructNamespace())
-		p.reject(p.lines[key], key, fault.Value(), "is out of range; expected "+expectedValues[key])
+		key := p.keyOfPath(fault.StructNamespace())
+		p.addFault(p.lines[key], key, fault.Value(), "is out of range; expected "+expectedValues[key])
 	}
 }
 
@@ -111,8 +111,8 @@
 	return &p.fields[i]
 }
 
-// keyAt returns the key of the field that the validator names by a path, or "".
-func (p *operatorParser) keyAt(path string) string {
+// keyOfPath returns the key of the field that the validator names by a path, or "".
+func (p *operatorParser) keyOfPath(path string) string {
 	for _, field := range p.fields {
 		if field.path == path {
 			return field.key
@@ -121,7 +121,7 @@
 	return ""
 }
 
-// nearestKey returns the key that an unknown one is most like.
+// nearestKey returns the known key with the least edit distance to an unknown one.
 func (p *operatorParser) nearestKey(unknown string) string {
 	nearest := slices.MinFunc(p.fields, func(a, b operatorField) int {
 		return levenshtein.ComputeDistance(a.key, unknown) - levenshtein.ComputeDistance(b.key, unknown)
@@ -129,8 +129,8 @@
 	return nearest.key
 }
 
-// wordsOf returns the words of a line without its comment.
-func wordsOf(line string) []string {
+// splitLine returns the words of a line, without its comment.
+func splitLine(line string) []string {
 	line, _, _ = strings.Cut(line, commentMark)
 	return strings.Fields(line)
 }
--- a/internal/config/operator_values.go
+++ b/internal/config/operator_values.go
@@ -11,14 +11,15 @@
 	"time"
 )
 
-// valueFault is a value of the operator's file that can't be read.
-type valueFault struct {
+// invalidValue is a value of the operator's file that can't be parsed, and why.
+type invalidValue struct {
 	text   string
 	reason string
 }
 
-// setValue reads the values of a key into its field; a list takes them behind those that it has.
-func setValue(field reflect.Value, values []string) *valueFault {
+// setValue parses the values of a key and sets its field. They are appended to a list; any other
+// field has one value.
+func setValue(field reflect.Value, values []string) *invalidValue {
 	text := values[0]
 	var err error
 	switch target := field.Addr().Interface().(type) {
@@ -44,7 +45,7 @@
 		err = fmt.Errorf("can't be read into a field of type %s", field.Type())
 	}
 	if err != nil {
-		return &valueFault{text, err.Error()}
+		return &invalidValue{text, err.Error()}
 	}
 	return nil
 }
@@ -80,7 +81,7 @@
 	return d, nil
 }
 
-// setFraction reads a number of percent. The field stays as it is where that fails.
+// setFraction parses a percentage. An error leaves the target unchanged.
 func setFraction(target *Fraction, text string) error {
 	number, percent := strings.CutSuffix(text, "%")
 	x, err := strconv.ParseFloat(number, 64)
@@ -91,19 +92,19 @@
 	return nil
 }
 
-// appendPrefixes reads prefixes and single addresses.
-func appendPrefixes(target *[]netip.Prefix, values []string) *valueFault {
+// appendPrefixes parses prefixes and single addresses and appends them to the target.
+func appendPrefixes(target *[]netip.Prefix, values []string) *invalidValue {
 	for _, value := range values {
 		prefix, err := parsePrefix(value)
 		if err != nil || prefix.Addr().Is4In6() {
-			return &valueFault{value, "is not an address or prefix"}
+			return &invalidValue{value, "is not an address or prefix"}
 		}
 		*target = append(*target, prefix.Masked())
 	}
 	return nil
 }
 
-// parsePrefix reads a prefix, or an address as the prefix that has it alone.
+// parsePrefix parses a prefix, or an address as the prefix of that address alone.
 func parsePrefix(text string) (netip.Prefix, error) {
 	if address, err := netip.ParseAddr(text); err == nil {
 		return netip.PrefixFrom(address, address.BitLen()), nil
--- a/internal/config/release.go
+++ b/internal/config/release.go
@@ -5,9 +5,15 @@
 	"strings"
 )
 
-// WithRelease returns the settings with the text of a release over them: the lists that the text
-// names replace those of the file, and so do single values. Errors name the release as their
-// source.
+// The keys of the lists that a release replaces.
+const (
+	trustedPrefixesKey = "door-known"
+	quotaLimitsKey     = "budget"
+)
+
+// WithRelease returns a copy of the settings that the text of a release overrides: its values
+// replace those of the file, and so do its trusted prefixes and quota limits as a whole. Errors have
+// the release's name as their Source.
 func (s *OperatorSettings) WithRelease(release, text string) (*OperatorSettings, error) {
 	merged := *s
 	if text == "" {
@@ -18,14 +24,12 @@
 		if len(words) == 0 {
 			continue
 		}
-		key := words[0]
-		if isLocalKey(key) {
+		switch key := words[0]; {
+		case isLocalKey(key):
 			return nil, &FieldError{Source: release, Key: key, Reason: "belongs to each server's own file"}
-		}
-		switch key {
-		case "door-known":
+		case key == trustedPrefixesKey:
 			merged.ConnLimit.TrustedPrefixes = nil
-		case "budget":
+		case key == quotaLimitsKey:
 			merged.Quota.Limits = nil
 		}
 	}
@@ -33,30 +37,31 @@
 	return &merged, err
 }
 
-// isLocalKey reports whether a key can't be released, as it says what a server is to its fleet.
+// isLocalKey reports whether only a server's own file may set a key, as it is about the server's
+// place in the fleet.
 func isLocalKey(key string) bool {
 	return strings.HasPrefix(key, "fleet") || strings.HasPrefix(key, "replica")
 }
 
-// CanonicalText returns a text of settings as a release carries it: no comments, single blanks and
-// the keys in order, so that two texts that say the same have one digest. The lines of one key keep
-// their order.
+// CanonicalText returns the canonical form of a text of settings, the one that a release has:
+// without comments, with single spaces and the lines sorted by key, so that texts with the same
+// settings have the same digest. The lines of one key keep their order.
 func CanonicalText(text string) string {
 	var lines []string
 	for line := range strings.Lines(text) {
-		if words := wordsOf(line); len(words) > 0 {
+		if words := splitLine(line); len(words) > 0 {
 			lines = append(lines, strings.Join(words, " "))
 		}
 	}
 	if len(lines) == 0 {
 		return ""
 	}
-	slices.SortStableFunc(lines, func(a, b string) int { return strings.Compare(keyOf(a), keyOf(b)) })
+	slices.SortStableFunc(lines, func(a, b string) int { return strings.Compare(keyOfLine(a), keyOfLine(b)) })
 	return strings.Join(lines, "\n") + "\n"
 }
 
-// keyOf returns the key of a canonical line.
-func keyOf(line string) string {
+// keyOfLine returns the key of a canonical line.
+func keyOfLine(line string) string {
 	key, _, _ := strings.Cut(line, " ")
 	return key
 }
--- a/internal/config/startup.go
+++ b/internal/config/startup.go
@@ -10,19 +10,19 @@
 	"swiftcourse/internal/lifecycle"
 )
 
-// The variables by which the platform tells a server its configuration.
+// The environment variables by which the platform passes a server its configuration.
 const (
-	fileVariable   = "RELAY_CONFIG" // names the JSON file
+	fileVariable   = "RELAY_CONFIG" // path of the JSON file
 	nameVariable   = "RELAY_NAME"
 	listenVariable = "RELAY_LISTEN"
 )
 
-// minSockets is the least number of sockets a server starts with: clients have half of them.
+// minSockets is how many sockets a server needs at least to start; clients may use half of them.
 const minSockets = 64
 
-// Startup is the platform's configuration, checked and in the terms of the program. Its durations
-// are in seconds, as the decision core counts them.
-type Startup struct { // a field's key is the one of the JSON file that sets it
+// Startup is the platform's configuration, validated. Its durations are in seconds, as in package
+// admission. The tag `key` of a field is the key of the JSON file that sets it.
+type Startup struct {
 	Name   string `key:"name"`
 	Listen string `key:"listen"` // address
 	Addresses
@@ -32,35 +32,35 @@
 	MemoryBytes int64   `key:"limits"`
 	MaxSockets  int     `key:"limits"`
 
-	// Forwarder tells that requests go on to workers: there is no executor, and no call downstream
-	// is made from here.
+	// Forwarder is set if the server passes requests on to workers: it has no executor and makes no
+	// calls downstream.
 	Forwarder bool
 
 	Settings                admission.Settings `key:"settings"`
 	SlowStartDuration       float64            `key:"settings"` // how long a cold executor takes to warm up
-	WorkerSlowStartDuration float64            `key:"settings"` // of a forwarder: how long its workers' executors do
+	WorkerSlowStartDuration float64            `key:"settings"` // the same for a forwarder's workers
 	ClassIndex              map[string]int     `key:"settings"` // into Settings.Classes, by name
 	TenantIndex             map[string]int     `key:"settings"` // into Settings.Tenants, by name
 	ClassNames              []string           `key:"settings"`
-	Gauges                  []string           `key:"settings"` // that the executor is asked for
+	Gauges                  []string           `key:"settings"` // names of the gauges that the executor is asked for
 
-	// UnsupportedKeys are the keys of what the settings allow and the executor's protocol has no
-	// message for; it is done without.
+	// UnsupportedKeys are the keys of settings that are ignored, as the executor's protocol has no
+	// message for them.
 	UnsupportedKeys []string `key:"settings"`
 }
 
-// Addresses are where the server's dependencies listen, the part of the configuration that may
-// change while serving.
+// Addresses are the addresses of the server's dependencies, the only part of the configuration that
+// may change while the server runs.
 type Addresses struct {
 	Executor string // "" for a forwarder
 	Registry string
-	Upstream string // "" on the last tier, which calls nothing
+	Upstream string // "" on the last tier, which makes no calls
 }
 
-// Load reads the configuration of a server from the environment and the file that it names.
+// Load reads the configuration of a server from the environment and the JSON file that it names.
 func Load(getenv func(string) string) (*Startup, error) { return load(getenv, false) }
 
-// LoadForwarder reads that of a forwarder, which needs neither an executor nor an upstream.
+// LoadForwarder is Load for a forwarder, which needs neither an executor nor an upstream.
 func LoadForwarder(getenv func(string) string) (*Startup, error) { return load(getenv, true) }
 
 func load(getenv func(string) string, forwarder bool) (*Startup, error) {
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", fileVariable, err)
 	}
-	startup, err := parse(text, environment{
+	startup, err := parse(text, parseOptions{
 		name:      getenv(nameVariable),
 		listen:    getenv(listenVariable),
 		forwarder: forwarder,
@@ -83,15 +83,15 @@
 	startup.MaxSockets = min(startup.MaxSockets, lifecycle.MaxOpenFiles())
 	if startup.MaxSockets < minSockets { // accept would fail, and end the event loop
 		return nil, &FieldError{
-			Key:    "limits.sockets",
+			Key:    socketsKey,
 			Reason: fmt.Sprintf("the system gives %d, under %d", startup.MaxSockets, minSockets),
 		}
 	}
 	return startup, nil
 }
 
-// Reload reads the configuration again. It returns the addresses that hold now, and the keys whose
-// values have changed since the start although they cannot change while serving.
+// Reload reads the configuration again. It returns the new addresses, and the keys whose new values
+// are ignored because they take effect only at a start.
 func (s *Startup) Reload(getenv func(string) string) (addresses Addresses, ignored []string, err error) {
 	next, err := load(getenv, s.Forwarder)
 	if err != nil {
--- a/internal/config/startup_test.go
+++ b/internal/config/startup_test.go
@@ -66,7 +66,7 @@
 	} {
 		t.Run(c.old+" to "+c.new, func(t *testing.T) {
 			text := replaceIn(t, c.old, c.new)
-			_, err := parse(text, environment{name: "n3", listen: "127.0.0.1:8080"})
+			_, err := parse(text, parseOptions{name: "n3", listen: "127.0.0.1:8080"})
 			if err == nil || !strings.Contains(err.Error(), c.key) {
 				t.Errorf("error %v does not name %s", err, c.key)
 			}
@@ -86,7 +86,7 @@
 }
 
 func TestParse_ValidFileAndDefaults(t *testing.T) {
-	s, err := parse([]byte(validFile), environment{name: "n3"})
+	s, err := parse([]byte(validFile), parseOptions{name: "n3"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 		`"stop_ms":3200,`, ``,
 		`"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, ``,
 	).Replace(validFile)
-	s, err = parse([]byte(text), environment{name: "n3"})
+	s, err = parse([]byte(text), parseOptions{name: "n3"})
 	if err != nil || s.StopTimeout != 3 || s.MaxSockets != 1024 || s.Cores != 1 {
 		t.Errorf("defaults: %+v, %v", s, err)
 	}
@@ -109,13 +109,13 @@
 func TestParse_UnsupportedSettingIsNamed(t *testing.T) {
 	for _, word := range []string{"drop", "pause"} {
 		text := replaceIn(t, `"cores":6`, `"cores":6,"preemption":"`+word+`"`)
-		s, err := parse(text, environment{name: "n3"})
+		s, err := parse(text, parseOptions{name: "n3"})
 		if err != nil || s.Settings.Preemption != admission.NoPreemption ||
 			fmt.Sprint(s.UnsupportedKeys) != "[settings.familyInfo.preemption]" {
 			t.Errorf("%s: %+v, %v", word, s, err)
 		}
 	}
-	s, err := parse(replaceIn(t, "idempotent", "deduplicated"), environment{name: "n3"})
+	s, err := parse(replaceIn(t, "idempotent", "deduplicated"), parseOptions{name: "n3"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -12,7 +12,7 @@
 	"swiftcourse/internal/wire/simulator"
 )
 
-// The ranges of the limits in the JSON file.
+// The ranges of the JSON file's own numbers.
 const (
 	minStopMs   = 100
 	maxStopMs   = 600_000
@@ -21,14 +21,14 @@
 	maxMemoryMb = 1 << 20
 )
 
-// checkAddresses checks that every dependency has an address. The last tier has no upstream, and a
+// validateAddresses checks that every dependency has an address. The last tier has no upstream, and a
 // forwarder's workers have an executor and an upstream of their own.
-func (f *file) checkAddresses(forwarder bool) error {
+func (f *jsonFile) validateAddresses(forwarder bool) error {
 	addresses := []struct {
 		key      string
 		value    string
 		optional bool // may be missing
-		unused   bool
+		unused   bool // is not checked
 	}{
 		{key: listenKey, value: f.Listen},
 		{key: executorKey, value: f.Executor, unused: forwarder},
@@ -46,9 +46,9 @@
 	return nil
 }
 
-// check checks everything but the addresses and the seed, and returns the first fault.
-func (f *file) check() error {
-	if err := f.checkLimits(); err != nil {
+// validate checks everything but the addresses and the seed, and returns the first fault.
+func (f *jsonFile) validate() error {
+	if err := f.validateLimits(); err != nil {
 		return err
 	}
 	if err := checkRanges(settingsKey, reflect.ValueOf(f.Settings).Elem(), math.Inf(1)); err != nil {
@@ -57,32 +57,32 @@
 	return checkSettings(f.Settings, f.Upstream)
 }
 
-func (f *file) checkLimits() error {
+func (f *jsonFile) validateLimits() error {
 	limits := &f.Limits
 	switch {
 	case f.Name == "":
 		return &FieldError{Key: nameKey, Reason: "missing"}
 	case f.StopMs < minStopMs || f.StopMs > maxStopMs:
 		return &FieldError{
-			Key:    "stop_ms",
+			Key:    stopKey,
 			Value:  f.StopMs,
 			Reason: fmt.Sprintf("is not from %d to %d", minStopMs, maxStopMs),
 		}
 	case limits.Cores <= 0 || limits.Cores > maxCores:
 		return &FieldError{
-			Key:    "limits.cores",
+			Key:    coresKey,
 			Value:  limits.Cores,
 			Reason: fmt.Sprintf("is not over 0 and at most %d", maxCores),
 		}
 	case limits.MemoryMb < minMemoryMb || limits.MemoryMb > maxMemoryMb:
 		return &FieldError{
-			Key:    "limits.memory_mb",
+			Key:    memoryKey,
 			Value:  limits.MemoryMb,
 			Reason: fmt.Sprintf("is not from %d to %d", minMemoryMb, maxMemoryMb),
 		}
 	case limits.Sockets < minSockets:
 		return &FieldError{
-			Key:    "limits.sockets",
+			Key:    socketsKey,
 			Value:  limits.Sockets,
 			Reason: fmt.Sprintf("is under %d", minSockets),
 		}
@@ -90,51 +90,49 @@
 	return nil
 }
 
-// checkRanges checks that every number of the settings is from 0 to most, or to what its own tag
-// `most` says, and names the key of the first that is not.
-func checkRanges(key string, v reflect.Value, most float64) error {
+// checkRanges checks that every number in v, the value of key, is from 0 to maximum. The fields of a
+// struct have a maximum of their own. It returns an error for the first number that is not.
+func checkRanges(key string, v reflect.Value, maximum float64) error {
 	switch v.Kind() {
 	case reflect.Struct:
 		return checkFieldRanges(key, v)
 	case reflect.Slice:
 		for i := range v.Len() {
-			if err := checkRanges(fmt.Sprintf("%s[%d]", key, i), v.Index(i), most); err != nil {
+			if err := checkRanges(fmt.Sprintf("%s[%d]", key, i), v.Index(i), maximum); err != nil {
 				return err
 			}
 		}
 	case reflect.Int, reflect.Float64:
-		if n := v.Convert(reflect.TypeFor[float64]()).Float(); n < 0 || n > most {
-			return &FieldError{Key: key, Value: n, Reason: fmt.Sprintf("is not from 0 to %g", most)}
+		if n := v.Convert(reflect.TypeFor[float64]()).Float(); n < 0 || n > maximum {
+			return &FieldError{Key: key, Value: n, Reason: fmt.Sprintf("is not from 0 to %g", maximum)}
 		}
 	}
 	return nil
 }
 
+// checkFieldRanges checks the ranges of the fields of a struct, each from 0 to its tag `most`, or
+// without an upper bound.
 func checkFieldRanges(key string, v reflect.Value) error {
 	for i := range v.NumField() {
 		field := v.Type().Field(i)
-		most := math.Inf(1)
+		maximum := math.Inf(1)
 		if tag, ok := field.Tag.Lookup("most"); ok {
-			most, _ = strconv.ParseFloat(tag, 64) // the tags are the program's own
+			maximum, _ = strconv.ParseFloat(tag, 64) // the tags are constants
 		}
-		if err := checkRanges(key+"."+field.Tag.Get("json"), v.Field(i), most); err != nil {
+		if err := checkRanges(key+"."+field.Tag.Get("json"), v.Field(i), maximum); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// checkSettings checks what has to be there, the words that name a choice, and what the executor's
-// protocol can't do.
+// checkSettings checks the choices, the values that are required, and the classes.
 func checkSettings(settings *simulator.Settings, upstream string) error {
 	deployment := &settings.Deployment
-	_, knownDownstream := downstreamKinds[deployment.Downstream]
-	_, knownPreemption := preemptionKinds[deployment.Preemption]
-	_, knownBackpressure := backpressureKinds[deployment.Backpressure]
 	err := errors.Join(
-		checkWord(settingsKey+".familyInfo.below", deployment.Downstream, knownDownstream),
-		checkWord(preemptionKey, deployment.Preemption, knownPreemption),
-		checkWord(settingsKey+".familyInfo.say", deployment.Backpressure, knownBackpressure),
+		checkChoice(downstreamKey, deployment.Downstream, downstreamKinds),
+		checkChoice(preemptionKey, deployment.Preemption, preemptionKinds),
+		checkChoice(backpressureKey, deployment.Backpressure, backpressureKinds),
 	)
 	if err != nil {
 		return err
@@ -143,13 +141,13 @@
 	case len(settings.Classes) == 0:
 		return &FieldError{Key: classesKey, Reason: "empty"}
 	case deployment.Cores < 1:
-		return &FieldError{Key: settingsKey + ".familyInfo.cores", Reason: "under 1"}
+		return &FieldError{Key: deploymentCoresKey, Reason: "under 1"}
 	case deployment.MemoryLimitKb <= 0:
-		return &FieldError{Key: settingsKey + ".familyInfo.memLimitKb", Reason: "not over 0"}
+		return &FieldError{Key: memoryLimitKey, Reason: "not over 0"}
 	case downstreamKinds[deployment.Downstream] != admission.NoDownstream && upstream == "":
 		return &FieldError{
 			Key:    upstreamKey,
-			Reason: fmt.Sprintf("missing, though settings.familyInfo.below is %q", deployment.Downstream),
+			Reason: fmt.Sprintf("missing, though %s is %q", downstreamKey, deployment.Downstream),
 		}
 	}
 	for i := range settings.Classes {
@@ -160,22 +158,21 @@
 	return nil
 }
 
-// checkWord returns an error unless the word under a key is one that is known.
-func checkWord(key, word string, known bool) error {
-	if known {
-		return nil
+// checkChoice checks that the value of a key is one of its choices.
+func checkChoice[T any](key, value string, choices map[string]T) error {
+	if _, ok := choices[value]; !ok {
+		return &FieldError{Key: key, Value: value, Reason: "is unknown"}
 	}
-	return &FieldError{Key: key, Value: word, Reason: "is unknown"}
+	return nil
 }
 
-// checkClass checks one class, whose keys begin with prefix.
+// checkClass checks one class. Its keys begin with prefix, as in errors.
 func checkClass(prefix string, class *simulator.Class) error {
-	idempotency, known := idempotencyKinds[class.Idempotency]
-	if err := checkWord(prefix+"effect", class.Idempotency, known); err != nil {
+	if err := checkChoice(prefix+"effect", class.Idempotency, idempotencyKinds); err != nil {
 		return err
 	}
 	switch {
-	case idempotency == admission.Deduplicated && class.DeduplicationWindowMs <= 0:
+	case idempotencyKinds[class.Idempotency] == admission.Deduplicated && class.DeduplicationWindowMs <= 0:
 		return &FieldError{
 			Key:    prefix + "windowMs",
 			Reason: fmt.Sprintf("not over 0, though %seffect is %q", prefix, class.Idempotency),
--- a/internal/forwarder/dispatcher.go
+++ b/internal/forwarder/dispatcher.go
@@ -62,7 +62,7 @@
 	}
 	dispatcher.router.SetSlowStart(config.SlowStartSpeed, config.SlowStartSeconds)
 	for range config.Classes {
-		latencies := timewindow.New[timewindow.Histogram](latencyWindows, latencyWindowSeconds, now)
+		latencies := timewindow.NewBuckets[timewindow.Histogram](latencyWindows, latencyWindowSeconds, now)
 		dispatcher.latencies = append(dispatcher.latencies, latencies)
 	}
 	for _, worker := range config.Workers {
--- a/internal/lifecycle/limits.go
+++ b/internal/lifecycle/limits.go
@@ -2,8 +2,7 @@
 // reload its configuration or ask for its statistics, and the limits on processors, memory and open
 // files.
 //
-// It holds nothing of the server. The command line calls it at the start, and config asks it for
-// the limit on open files.
+// Package cli calls it when a server starts; package config asks it for the limit on open files.
 package lifecycle
 
 import (
@@ -13,25 +12,26 @@
 	"syscall"
 )
 
-// pollThreads is how many threads the Go runtime gets beyond the cores: the event loop's wait for
-// input keeps one, and timers must not wait for it.
+// pollThreads is how many threads the Go runtime gets beyond the cores: the event loop blocks one
+// while it waits for input, which must not delay timers.
 const pollThreads = 1
 
-// The heap's part of the memory, heapNumerator of heapDenominator. The collector works harder from
-// there on; the rest is for stacks, and for what the kernel counts to the process.
+// The fraction of the memory that the Go runtime may use, beyond which the garbage collector works
+// harder. The rest is for what the kernel accounts to the process besides.
 const (
-	heapNumerator   = 7
-	heapDenominator = 10
+	runtimeMemoryNumerator   = 7
+	runtimeMemoryDenominator = 10
 )
 
-// ApplyLimits has the Go runtime keep to a number of cores and of bytes of memory.
+// ApplyLimits sets the Go runtime's limits for a process with a number of cores and of bytes of
+// memory.
 func ApplyLimits(cores float64, memoryBytes int64) {
 	runtime.GOMAXPROCS(int(math.Ceil(cores)) + pollThreads)
-	debug.SetMemoryLimit(memoryBytes * heapNumerator / heapDenominator)
+	debug.SetMemoryLimit(memoryBytes * runtimeMemoryNumerator / runtimeMemoryDenominator)
 }
 
-// MaxOpenFiles returns how many file descriptors the process may have, and math.MaxInt32 where the
-// system does not tell.
+// MaxOpenFiles returns how many file descriptors the process may have open, or math.MaxInt32 where
+// the limit can't be read.
 func MaxOpenFiles() int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
--- a/internal/lifecycle/signals.go
+++ b/internal/lifecycle/signals.go
@@ -6,15 +6,15 @@
 	"syscall"
 )
 
-// Signals are the signals that the process has caught and not handled yet.
+// Signals has the signals that the process has caught and not handled yet.
 type Signals struct {
 	stop   chan os.Signal // SIGTERM and SIGINT
 	reload chan os.Signal // SIGHUP
 	report chan os.Signal // SIGUSR1
 }
 
-// CatchSignals catches the signals from now on; SIGHUP and SIGUSR1 never end the process. One that
-// comes while another of its kind waits counts as that one.
+// CatchSignals catches the signals from now on, so that none of them ends the process by itself. A
+// signal that arrives while another of its kind is pending is dropped.
 func CatchSignals() Signals {
 	s := Signals{
 		stop:   make(chan os.Signal, 1),
@@ -27,34 +27,33 @@
 	return s
 }
 
-// Handlers are what the process does at a signal. One that is nil has its signals ignored.
+// Handlers are the functions that signals call. Signals whose handler is nil are ignored.
 type Handlers struct {
-	Stop   func() // leave and end
+	Stop   func() // shut down gracefully
 	Reload func() // read the configuration again
 	Report func() // log the statistics
 }
 
-// Handle calls the handlers for signals from now on, and for those that were caught before. It
-// returns at once.
+// Handle starts to call the handlers, for signals that were already caught too, and returns at once.
 func (s Signals) Handle(handlers Handlers) {
-	go func() { // apart from the others, as it may wait for the event loop
+	go func() { // on a goroutine of its own, as Report may wait for the event loop
 		for range s.report {
-			call(handlers.Report)
+			callIfSet(handlers.Report)
 		}
 	}()
 	go func() {
 		for {
 			select {
 			case <-s.stop:
-				call(handlers.Stop)
+				callIfSet(handlers.Stop)
 			case <-s.reload:
-				call(handlers.Reload)
+				callIfSet(handlers.Reload)
 			}
 		}
 	}()
 }
 
-func call(handler func()) {
+func callIfSet(handler func()) {
 	if handler != nil {
 		handler()
 	}
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,7 +1,7 @@
-// Package logging sets up the structured log: lines of key=value words, written by log/slog.
+// Package logging sets up the structured log: lines of key=value pairs, written by log/slog.
 //
-// An event's name stands under the key "event" and is in snake_case. Any goroutine may log; only a
-// program's start and tests call SetOutput.
+// The message of a log call is the event's name, in snake_case, and has the key "event". Any
+// goroutine may log; only a program's start and tests call SetOutput.
 package logging
 
 import (
@@ -14,14 +14,14 @@
 // eventKey is the key of an event's name.
 const eventKey = "event"
 
-// SetOutput has all log lines written to out from now on: the time in UTC, the event's name and its
-// attributes. The level is written where it is not the usual one, which is info.
+// SetOutput makes slog's default logger write to out. A line has the time in UTC, the level unless
+// it is info, the event's name and its attributes.
 func SetOutput(out io.Writer) {
 	options := &slog.HandlerOptions{ReplaceAttr: replaceAttribute}
 	slog.SetDefault(slog.New(slog.NewTextHandler(out, options)))
 }
 
-// replaceAttribute changes the attributes that slog itself adds to a line.
+// replaceAttribute changes the attributes that slog adds to each line, which are in no group.
 func replaceAttribute(groups []string, a slog.Attr) slog.Attr {
 	if len(groups) > 0 {
 		return a
@@ -45,5 +45,5 @@
 	os.Exit(1)
 }
 
-// FormatDecimal returns x with a number of digits after the point, for a line that people read.
+// FormatDecimal formats x with a number of digits after the decimal point.
 func FormatDecimal(x float64, digits int) string { return fmt.Sprintf("%.*f", digits, x) }
--- a/internal/policy/circuitbreaker/breaker.go
+++ b/internal/policy/circuitbreaker/breaker.go
@@ -49,7 +49,7 @@
 
 // forgetCalls drops all calls and reports, as they are from before a change of state.
 func (b *Breaker) forgetCalls(now float64) {
-	b.calls = timewindow.New[Tally](windowBuckets, windowSeconds/windowBuckets, now)
+	b.calls = timewindow.NewBuckets[Tally](windowBuckets, windowSeconds/windowBuckets, now)
 	clear(b.reports)
 }
 
--- a/internal/policy/counter/aggregator.go
+++ b/internal/policy/counter/aggregator.go
@@ -51,7 +51,7 @@
 		majority:     len(aggregators)/2 + 1,
 		closedRow:    closedRow,
 		rows:         map[uint64]*row{},
-		window:       timewindow.New[cells](windowBuckets, windowBucketSeconds, now),
+		window:       timewindow.NewBuckets[cells](windowBuckets, windowBucketSeconds, now),
 		queryNumber:  incarnation, // so that no reply to an earlier incarnation is one to this
 	}
 	a.incarnations[a.selfIndex] = incarnation
--- a/internal/policy/replication/coordinator.go
+++ b/internal/policy/replication/coordinator.go
@@ -75,7 +75,7 @@
 		unixTime:        unixTime,
 		claimsByRequest: map[string]*pendingClaim{},
 		claimsByID:      map[replicastore.ClaimID]*pendingClaim{},
-		latencies:       timewindow.New[timewindow.Histogram](latencyBuckets, latencyBucketSeconds, now),
+		latencies:       timewindow.NewBuckets[timewindow.Histogram](latencyBuckets, latencyBucketSeconds, now),
 	}
 	c.reports = reporter{
 		placement: placement,
--- a/internal/requesttable/list_pool.go
+++ b/internal/requesttable/list_pool.go
@@ -1,20 +1,20 @@
 package requesttable
 
 const (
-	// newListCapacity is the room of a new list: few connections have more requests open at a time.
+	// newListCapacity is the capacity of a new list: few connections have more requests open at a
+	// time.
 	newListCapacity = 4
-	// maxPooledCapacity bounds the lists kept for use again: one that a burst made longer is left
-	// to the collector.
+	// maxPooledCapacity is the greatest capacity of a list in the pool: one that a burst made longer
+	// is left to the garbage collector.
 	maxPooledCapacity = 32
-	// maxFreeLists bounds how many of them are kept.
+	// maxFreeLists is how many lists a pool holds at most.
 	maxFreeLists = 256
 )
 
-// ListPool hands out short lists of requests and takes them back. The zero ListPool is empty and
-// ready for use.
+// ListPool is a pool of short lists of requests. The zero ListPool is empty and ready for use.
 type ListPool struct{ free [][]*Request }
 
-// Get returns an empty list.
+// Get takes an empty list from the pool, or allocates one.
 func (p *ListPool) Get() []*Request {
 	n := len(p.free)
 	if n == 0 {
@@ -25,7 +25,7 @@
 	return list
 }
 
-// Put takes a list back. A nil list is ignored.
+// Put returns a list to the pool. A nil list is ignored.
 func (p *ListPool) Put(list []*Request) {
 	if list == nil || cap(list) > maxPooledCapacity || len(p.free) >= maxFreeLists {
 		return
--- a/internal/requesttable/table.go
+++ b/internal/requesttable/table.go
@@ -11,7 +11,7 @@
 // Table holds requests by their IDs.
 type Table struct {
 	byID  map[string]*Request
-	added int // how many were ever added
+	added int // number of requests ever added
 }
 
 // New returns an empty table.
@@ -27,8 +27,8 @@
 	t.byID[request.ID] = request
 }
 
-// RemoveIfDone removes a request that is answered and does not run, and gives its buffers back to
-// the pool. Any other request stays.
+// RemoveIfDone removes a request if it is answered and not running, and returns its buffers to the
+// pool.
 func (t *Table) RemoveIfDone(pool *bufferpool.Pool, request *Request) {
 	if !request.Answered || request.Running {
 		return
@@ -45,7 +45,7 @@
 // Len returns the number of requests.
 func (t *Table) Len() int { return len(t.byID) }
 
-// Unanswered returns the number of requests that are owed an answer.
+// Unanswered returns the number of requests that were not answered yet.
 func (t *Table) Unanswered() int {
 	count := 0
 	for _, request := range t.byID {
--- a/internal/resultcache/cache.go
+++ b/internal/resultcache/cache.go
@@ -1,12 +1,12 @@
-// Package resultcache remembers requests and their results for those that repeat them.
+// Package resultcache keeps requests and their results for the requests that repeat them.
 //
-// A repeat has the class and the subject of an earlier request: the same read, or the same
-// idempotency key. It gets the result of the earlier one, or waits for it, instead of running
-// again. Results take a bounded number of bytes; that a request which may run only once did run is
-// remembered for its whole deduplication window, also without its result.
+// A repeat is a request with the class and the subject of an earlier one, the original: the same
+// read, or the same idempotency key. It gets the result of the original, or waits for it, instead of
+// running again. The memory of results is bounded. A request that may run only once stays in the
+// cache for its whole deduplication window, even if its result had to go.
 //
-// A Cache belongs to the event loop, which alone calls it. It has no clock: all times are in
-// seconds on the caller's.
+// A Cache belongs to the event loop and is not safe for concurrent use. It reads no clock: all times
+// are in seconds on the caller's clock.
 package resultcache
 
 import (
@@ -16,18 +16,22 @@
 	"swiftcourse/internal/requesttable"
 )
 
-// Cache holds requests by their IDs and by what their repeats have in common with them.
+// importedIDPrefix begins the ID of the entry of a request that ran on another server, before that
+// request's own ID.
+const importedIDPrefix = "of "
+
+// Cache holds requests by their IDs, and by the class and subject that their repeats share.
 type Cache struct {
 	byKey       map[key]*entry
 	byID        map[string]*entry
-	withResults []*entry // those that hold a result, the oldest first
-	bytes       int      // of results
+	withResults []*entry // entries that hold a result, the oldest result first
+	bytes       int      // size of all results
 	maxBytes    int
 	seed        maphash.Seed
 }
 
-// New returns an empty cache that holds at most maxBytes of results. Where there would be more the
-// oldest go, and their repeats fail.
+// New returns an empty cache that holds at most maxBytes of results. It evicts the oldest results to
+// make room; what repeats of them get is Missing or, if the request may run only once, Unrepeatable.
 func New(maxBytes int) *Cache {
 	return &Cache{
 		byKey:    map[key]*entry{},
@@ -40,10 +44,10 @@
 // Len returns the number of entries.
 func (c *Cache) Len() int { return len(c.byID) }
 
-// Track adds a request that repeats may refer to until expiresAt, or gives its entry that lifetime.
-// It takes the subject over from an earlier request. If runsOnce is set, repeats are told of it for
-// its whole lifetime however it ends, unless it ends without having run. A request without a
-// subject is ignored.
+// Track adds a request as the original of the repeats that arrive until expiresAt, in place of an
+// earlier request with its class and subject. If the request is in the cache already, only its
+// expiry changes. With runsOnce the entry stays until it expires however the request ends, unless it
+// ends without having run. A request without a subject is ignored.
 func (c *Cache) Track(request *requesttable.Request, expiresAt float64, runsOnce bool) {
 	if request.Subject == "" {
 		return
@@ -61,12 +65,12 @@
 	})
 }
 
-// Import adds the result of a request that ran on another server, for those that repeat it until
-// expiresAt, and returns the ID of its entry.
+// Import adds the result of a request that ran on another server, for the repeats that arrive until
+// expiresAt. It returns the ID of the entry.
 func (c *Cache) Import(request *requesttable.Request, result []byte, expiresAt float64) (id string) {
 	e := &entry{
 		key:       keyOf(request),
-		id:        "of " + request.ID,
+		id:        importedIDPrefix + request.ID,
 		expiresAt: expiresAt,
 		freshTo:   expiresAt,
 		bodyHash:  c.hash(request.Body),
@@ -77,7 +81,8 @@
 	return e.id
 }
 
-// Remove removes an entry. One whose result others wait for stays until Finish, for them alone.
+// Remove removes an entry. If other requests wait for its result it takes no more repeats, and stays
+// until Finish.
 func (c *Cache) Remove(id string) {
 	e := c.byID[id]
 	if e == nil {
@@ -92,20 +97,21 @@
 	}
 }
 
-// Original returns the ID of the request that one with this class and subject repeats, or "".
+// Original returns the ID of the request that a request with this class and subject repeats, or ""
+// if it repeats none.
 func (c *Cache) Original(class int, subject string, arrivedAt, now float64) (id string) {
 	e := c.byKey[key{class, subject}]
 	if subject == "" || e == nil || e.state == Missing {
 		return ""
 	}
-	if arrivedAt > e.expiresAt || !e.isFresh(now) {
+	if arrivedAt > e.expiresAt || !e.isUsable(now) {
 		return ""
 	}
 	return e.id
 }
 
-// IsConflicting reports whether a request has the idempotency key of another one with a different
-// body.
+// IsConflicting reports whether a request reuses the idempotency key of an earlier one with a
+// different body.
 func (c *Cache) IsConflicting(class int, subject string, body []byte, arrivedAt float64) bool {
 	e := c.byKey[key{class, subject}]
 	if e == nil || !e.runsOnce || arrivedAt > e.expiresAt || e.state == Missing {
@@ -114,11 +120,11 @@
 	return e.bodyHash != c.hash(body)
 }
 
-// LookupOrWait returns the state and the result of the request that this one repeats. Where that is
-// pending, Finish will list this request among those that wait.
+// LookupOrWait returns the result, if there is one, and the state of the request that this one
+// repeats. If that one is pending, this request waits: Finish will return its ID.
 func (c *Cache) LookupOrWait(request *requesttable.Request, now float64) ([]byte, State) {
 	e := c.byKey[keyOf(request)]
-	if e == nil || !e.isFresh(now) {
+	if e == nil || !e.isUsable(now) {
 		return nil, Missing
 	}
 	if e.state == Pending {
@@ -130,12 +136,12 @@
 // Outcome is how a request ended.
 type Outcome struct {
 	Ran     bool    // its run began, as far as is known
-	Success bool    // it has a result
+	Success bool    // there is a result
 	Result  []byte  // copied by the cache
-	FreshTo float64 // seconds; until then the result may be the answer to others
+	FreshTo float64 // seconds; the time until which the result may answer repeats
 }
 
-// Finish notes how a request ended and returns the IDs of those that wait for its result.
+// Finish records how a request ended and returns the IDs of the requests that wait for its result.
 func (c *Cache) Finish(id string, outcome Outcome) (waiting []string) {
 	finished := c.byID[id]
 	if finished == nil || finished.state != Pending {
@@ -170,7 +176,8 @@
 	}
 }
 
-// add adds an entry, in place of an earlier one of its key that nobody waits for.
+// add adds an entry in place of an earlier one of its key. The earlier one stays in byID while other
+// requests wait for it.
 func (c *Cache) add(e *entry) {
 	if old := c.byKey[e.key]; old != nil && len(old.waiting) == 0 {
 		c.Remove(old.id)
@@ -179,8 +186,7 @@
 	c.byID[e.id] = e
 }
 
-// storeResult gives an entry its result; the oldest results go where all together would be too
-// much.
+// storeResult stores a copy of an entry's result, and drops the oldest results beyond maxBytes.
 func (c *Cache) storeResult(e *entry, result []byte) {
 	e.state = Available
 	e.result = append(make([]byte, 0, len(result)), result...)
@@ -191,7 +197,7 @@
 	}
 }
 
-// dropResult lets go of an entry's result, if it has one.
+// dropResult drops an entry's result, if it has one.
 func (c *Cache) dropResult(e *entry) {
 	if e.result == nil {
 		return
@@ -204,8 +210,8 @@
 	e.state = e.stateWithoutResult()
 }
 
-// sizeOf is what a result counts towards the bound: one byte more than it has, so that empty ones
-// are bounded too.
+// sizeOf returns the size of a result as maxBytes counts it: one byte more than its length, so that
+// the number of empty results is bounded too.
 func sizeOf(result []byte) int { return len(result) + 1 }
 
 func (c *Cache) hash(body []byte) uint64 { return maphash.Bytes(c.seed, body) }
--- a/internal/resultcache/entry.go
+++ b/internal/resultcache/entry.go
@@ -1,16 +1,18 @@
 package resultcache
 
-// State tells what became of a cached request.
+// State is the state of a cached request.
 type State uint8
 
 const (
-	// Pending is a request that is queued or running.
+	// Pending is the state of a request that is queued or running.
 	Pending State = iota
-	// Available is one whose result is in the cache.
+	// Available is the state of a request whose result is in the cache.
 	Available
-	// Missing is one that was forgotten, or that was abandoned and may run again.
+	// Missing is the state of a request that is not in the cache, or that ended and left no result.
+	// Its repeat may run.
 	Missing
-	// Unrepeatable is one that ran, may not run again, and has no result in the cache.
+	// Unrepeatable is the state of a request that ran, may not run again and has no result in the
+	// cache.
 	Unrepeatable
 )
 
@@ -29,31 +31,32 @@
 	return "unknown"
 }
 
-// key is what a repeat has in common with the request it repeats.
+// key is what a repeat has in common with its original.
 type key struct {
 	class   int
-	subject string // what a read is about, or an idempotency key
+	subject string // what a read reads, or an idempotency key
 }
 
-// entry is a cached request: repeats refer to it until it expires.
+// entry is a cached request, the original of the repeats that arrive until it expires.
 type entry struct {
 	key       key
 	id        string  // of the request
 	expiresAt float64 // seconds, on the caller's clock
 	state     State
 	result    []byte
-	freshTo   float64  // seconds; until then the result may be the answer to others
+	freshTo   float64  // seconds; the time until which the result may answer repeats
 	waiting   []string // IDs of the requests that wait for the result
 	bodyHash  uint64
-	runsOnce  bool // it may run only once: that it ran is told to repeats even where there is no result for them
+	runsOnce  bool // it may run only once, so the entry outlives its result
 }
 
-// isFresh reports whether the entry's result, if it has one, may answer a repeat at now.
-func (e *entry) isFresh(now float64) bool {
+// isUsable reports whether a repeat may use the entry at now: whether its result, if it has one, is
+// fresh or that of a request that runs only once.
+func (e *entry) isUsable(now float64) bool {
 	return e.state != Available || now <= e.freshTo || e.runsOnce
 }
 
-// stateWithoutResult is the entry's state once its result is gone.
+// stateWithoutResult returns the state of an entry whose result was dropped.
 func (e *entry) stateWithoutResult() State {
 	if e.runsOnce {
 		return Unrepeatable
--- a/internal/slottable/free_index.go
+++ b/internal/slottable/free_index.go
@@ -2,44 +2,48 @@
 
 import "math/bits"
 
-// wordBits is the number of bits of a word of the free index.
-const wordBits = 64
+// The shape of a freeIndex.
+const (
+	wordBits    = 64 // bits of a word
+	indexLevels = 3
+)
 
-// freeIndex finds the lowest chunk with a free entry. Its lowest level has a bit for each such
-// chunk, and a level above it a bit for each word of the level below that is not 0.
-type freeIndex [3][]uint64
+// freeIndex is a hierarchical bitmap that finds the first chunk with a free entry. Level 0 has a bit
+// for each chunk, set if it has a free entry; a level above has a bit for each word of the level
+// below, set if that word is not 0.
+type freeIndex [indexLevels][]uint64
 
-// lowest returns the first chunk whose bit is set, or none where no bit is.
-func (f *freeIndex) lowest(none int) int {
-	at := 0
+// lowest returns the index of the first chunk with a free entry, if there is one.
+func (f *freeIndex) lowest() (chunkIndex int, ok bool) {
+	position := 0
 	top := len(f) - 1
-	for at < len(f[top]) && f[top][at] == 0 { // a word of the top level covers 64^3 chunks
-		at++
+	for position < len(f[top]) && f[top][position] == 0 { // a word of the top level covers 64^3 chunks
+		position++
 	}
 	for level := top; level >= 0; level-- {
 		words := f[level]
-		if at >= len(words) || words[at] == 0 {
-			return none
+		if position >= len(words) || words[position] == 0 {
+			return 0, false
 		}
-		at = at*wordBits + bits.TrailingZeros64(words[at])
+		position = position*wordBits + bits.TrailingZeros64(words[position])
 	}
-	return at
+	return position, true
 }
 
-// set notes whether a chunk has a free entry.
-func (f *freeIndex) set(at int, free bool) {
+// set records whether a chunk has a free entry.
+func (f *freeIndex) set(position int, free bool) {
 	for level := range f {
-		word := at / wordBits
+		word := position / wordBits
 		for len(f[level]) <= word {
 			f[level] = append(f[level], 0)
 		}
 		w := &f[level][word]
 		if free {
-			*w |= 1 << (at % wordBits)
+			*w |= 1 << (position % wordBits)
 		} else {
-			*w &^= 1 << (at % wordBits)
+			*w &^= 1 << (position % wordBits)
 		}
-		at = word
+		position = word
 		free = *w != 0
 	}
 }
--- a/internal/timerwheel/advance.go
+++ b/internal/timerwheel/advance.go
@@ -1,13 +1,13 @@
 package timerwheel
 
-// movesPerCallback is how many timers Advance may move down a level, at some 20 ns each, for one
-// callback, which takes a microsecond and more. It bounds a call in which a slot of a high level,
-// with all that is due in the next hours, is emptied.
+// movesPerCallback is how many timers Advance may move to a lower level for each callback of its
+// limit. A move takes some 20 ns and a callback a microsecond or more. It bounds a call that empties
+// a slot of a high level, which may hold the timers of several hours.
 const movesPerCallback = 32
 
-// Advance calls the callbacks that are due at now, at most limit of them, and reports whether all
-// were called; the rest go first at the next call. What a callback schedules or reschedules waits
-// for the next call, also if it is due.
+// Advance calls the callbacks that are due at now, at most limit of them, and reports whether it
+// called all; the rest are the first of the next call. A timer that a callback schedules or
+// reschedules waits for the next call even if it is due.
 func (w *Wheel) Advance(now float64, limit int) (complete bool) {
 	w.advancing = true
 	w.now = now
@@ -20,13 +20,15 @@
 	return complete
 }
 
-// runDue moves due timers into the heap and calls them, within the bounds of one Advance.
+// runDue calls the callbacks that are due and reports whether it called all within the limits on
+// callbacks and moves. It empties the slots up to now one by one, and after each calls the timers
+// that are due.
 func (w *Wheel) runDue(now float64, limit int) (complete bool) {
 	until := tick(now)
 	moves := limit * movesPerCallback
 	for {
-		if w.draining == 0 && !w.hasDue(now) && !w.step(until) {
-			return true
+		if w.draining == 0 && !w.hasDue(now) && !w.advanceToNextSlot(until) {
+			return true // no slot and no timer is left
 		}
 		for w.draining > 0 {
 			if moves == 0 {
@@ -40,17 +42,17 @@
 				return false
 			}
 			limit--
-			w.fire(w.imminent[0])
+			w.fire(w.heap[0])
 		}
 	}
 }
 
 // hasDue reports whether the first timer of the heap is due.
 func (w *Wheel) hasDue(now float64) bool {
-	return len(w.imminent) > 0 && w.entries[w.imminent[0]].when <= now
+	return len(w.heap) > 0 && w.entries[w.heap[0]].when <= now
 }
 
-// fire calls a timer's callback and frees its entry, unless the callback rescheduled it.
+// fire calls a timer's callback, and releases its entry unless the callback rescheduled the timer.
 func (w *Wheel) fire(index int32) {
 	w.remove(index)
 	e := &w.entries[index]
@@ -62,9 +64,9 @@
 	}
 }
 
-// step moves elapsed to the next slot that starts by until and begins to empty it. It reports
-// whether there was one.
-func (w *Wheel) step(until int64) bool {
+// advanceToNextSlot moves elapsed to the start of the next slot with timers, if that is not after
+// until, and marks the slot to be emptied. It reports whether there was such a slot.
+func (w *Wheel) advanceToNextSlot(until int64) bool {
 	first, ok := w.firstOccupied()
 	if !ok || first.start > until {
 		w.elapsed = max(w.elapsed, until)
@@ -75,7 +77,7 @@
 	return true
 }
 
-// drainOne takes one timer out of the slot that is being emptied, to a lower level or to the heap.
+// drainOne moves one timer from the slot that is being emptied to a lower level or to the heap.
 func (w *Wheel) drainOne() {
 	slot := w.draining - 1
 	if index := w.lists[slot].first - 1; index >= 0 {
--- a/internal/timerwheel/heap.go
+++ b/internal/timerwheel/heap.go
@@ -1,65 +1,68 @@
 package timerwheel
 
-// heapArity is the number of children of a node of the heap: four make it half as deep as two and
-// fit a cache line.
+// heapArity is the number of children of a node of the heap: with four, which fit a cache line, it is
+// half as deep as a binary heap.
 const heapArity = 4
 
 // push adds an entry to the heap.
 func (w *Wheel) push(index int32) {
-	at := int32(len(w.imminent))
-	w.entries[index].listIndex = at
-	w.imminent = append(w.imminent, index)
-	w.up(at)
+	node := int32(len(w.heap))
+	w.entries[index].listIndex = node
+	w.heap = append(w.heap, index)
+	w.siftUp(node)
 }
 
-// popAt takes the entry at a node out of the heap.
-func (w *Wheel) popAt(at int32) {
-	last := int32(len(w.imminent) - 1)
-	w.swap(at, last)
-	w.imminent = w.imminent[:last]
-	if at < last {
-		w.up(at)
-		w.down(at)
+// popAt removes the entry at a node from the heap.
+func (w *Wheel) popAt(node int32) {
+	last := int32(len(w.heap) - 1)
+	w.swap(node, last)
+	w.heap = w.heap[:last]
+	if node < last {
+		w.siftUp(node)
+		w.siftDown(node)
 	}
 }
 
-// less reports whether the entry at node i runs before the one at node j.
+// less reports whether the timer at node i is called before the one at node j.
 func (w *Wheel) less(i, j int32) bool {
-	a := &w.entries[w.imminent[i]]
-	b := &w.entries[w.imminent[j]]
+	a := &w.entries[w.heap[i]]
+	b := &w.entries[w.heap[j]]
 	return a.when < b.when || a.when == b.when && a.sequence < b.sequence
 }
 
+// swap exchanges the entries at two nodes.
 func (w *Wheel) swap(i, j int32) {
-	w.imminent[i], w.imminent[j] = w.imminent[j], w.imminent[i]
-	w.entries[w.imminent[i]].listIndex = i
-	w.entries[w.imminent[j]].listIndex = j
+	w.heap[i], w.heap[j] = w.heap[j], w.heap[i]
+	w.entries[w.heap[i]].listIndex = i
+	w.entries[w.heap[j]].listIndex = j
 }
 
-func (w *Wheel) up(at int32) {
-	for at > 0 {
-		parent := (at - 1) / heapArity
-		if !w.less(at, parent) {
+// siftUp moves the entry at a node up until its parent is less.
+func (w *Wheel) siftUp(node int32) {
+	for node > 0 {
+		parent := (node - 1) / heapArity
+		if !w.less(node, parent) {
 			return
 		}
-		w.swap(at, parent)
-		at = parent
+		w.swap(node, parent)
+		node = parent
 	}
 }
 
-func (w *Wheel) down(at int32) {
+// siftDown moves the entry at a node down until no child is less.
+func (w *Wheel) siftDown(node int32) {
 	for {
-		least := at
-		firstChild := heapArity*at + 1
-		for child := firstChild; child < firstChild+heapArity && int(child) < len(w.imminent); child++ {
-			if w.less(child, least) {
-				least = child
+		smallest := node
+		firstChild := heapArity*node + 1
+		for child := firstChild; child < firstChild+heapArity && int(child) < len(w.heap); child++ {
+			if w.less(child, smallest) {
+				smallest = child
 			}
 		}
-		if least == at {
+		if smallest == node {
 			return
 		}
-		w.swap(at, least)
-		at = least
+		w.swap(node, smallest)
+		node = smallest
 	}
 }
--- a/internal/timerwheel/placement.go
+++ b/internal/timerwheel/placement.go
@@ -2,7 +2,7 @@
 
 import "math/bits"
 
-// allocate returns the index of an entry that no timer uses.
+// allocate returns the index of a free entry, after adding one if there is none.
 func (w *Wheel) allocate() int32 {
 	index := w.firstFree - 1
 	if index >= 0 {
@@ -13,7 +13,8 @@
 	return int32(len(w.entries) - 1)
 }
 
-// release frees an entry. Its timer's identity is not valid any more.
+// release frees an entry, so that its Timer identifies no timer any more. Once there are no timers it
+// drops the memory of a peak.
 func (w *Wheel) release(index int32) {
 	e := &w.entries[index]
 	*e = entry{slot: inNone, next: w.firstFree, generation: e.generation + 1}
@@ -21,14 +22,14 @@
 	w.count--
 	if w.count == 0 && len(w.entries) > maxSpareEntries {
 		w.entries = nil
-		w.imminent = nil
+		w.heap = nil
 		w.deferred = nil
 		w.firstFree = 0
 	}
 }
 
-// insert gives an entry a time and a place. One that is due while callbacks run waits until they
-// are over, so that no callback can keep Advance from ending.
+// insert sets the time of an entry and puts it in its place. An entry that is due while Advance runs
+// is deferred to its end, so that callbacks that schedule due timers can't make Advance run forever.
 func (w *Wheel) insert(index int32, when float64) {
 	e := &w.entries[index]
 	w.sequence++
@@ -43,24 +44,24 @@
 	w.place(index)
 }
 
-// place puts an entry into the heap if its tick has come, and otherwise into the wheel, on the
-// level of the highest bit in which its tick differs from elapsed.
+// place puts an entry into the heap if its tick is not after elapsed, and otherwise into the wheel,
+// on the level of the highest bit in which its tick differs from elapsed.
 func (w *Wheel) place(index int32) {
 	e := &w.entries[index]
-	at := tick(e.when)
-	if at <= w.elapsed {
-		e.slot = inImminent
+	dueTick := tick(e.when)
+	if dueTick <= w.elapsed {
+		e.slot = inHeap
 		w.push(index)
 		return
 	}
-	level := int32(bits.Len64(uint64(at^w.elapsed))-1) / levelBits
-	within := at >> (level * levelBits) & (slotsPerLevel - 1)
-	e.slot = level*slotsPerLevel + int32(within)
-	w.occupied[level] |= 1 << within
+	level := int32(bits.Len64(uint64(dueTick^w.elapsed))-1) / levelBits
+	slotInLevel := dueTick >> (level * levelBits) & (slotsPerLevel - 1)
+	e.slot = level*slotsPerLevel + int32(slotInLevel)
+	w.occupied[level] |= 1 << slotInLevel
 	w.link(index)
 }
 
-// remove takes an entry out of where it is.
+// remove takes an entry out of its slot, the heap or the deferred entries.
 func (w *Wheel) remove(index int32) {
 	e := &w.entries[index]
 	switch e.slot {
@@ -70,7 +71,7 @@
 		w.deferred[e.listIndex] = last
 		w.entries[last].listIndex = e.listIndex
 		w.deferred = w.deferred[:len(w.deferred)-1]
-	case inImminent:
+	case inHeap:
 		w.popAt(e.listIndex)
 	default:
 		w.unlink(index)
--- a/internal/timerwheel/wheel.go
+++ b/internal/timerwheel/wheel.go
@@ -5,8 +5,8 @@
 // event loop, passes the time and calls Advance. All times are in seconds, 0 or more, on any clock
 // that the owner chooses.
 //
-// The package is split by concern: this file has the operations on timers, advance.go runs what is
-// due, placement.go says where a timer is kept, and heap.go orders those that are next.
+// This file has the operations on timers, advance.go calls the callbacks that are due, placement.go
+// decides where a timer is kept, and heap.go orders the timers that are next.
 package timerwheel
 
 import (
@@ -15,15 +15,15 @@
 )
 
 // The geometry of the wheel. A level has one slot for each value of six bits of the time in ticks,
-// so finding the next slot is one instruction on a word; eleven levels cover every time there is,
-// so no timer needs a second place.
+// so that finding the next slot is one instruction on a 64-bit word. Eleven levels cover all 63 bits
+// of a tick, so there is no overflow list.
 const (
 	levelBits     = 6
 	slotsPerLevel = 1 << levelBits
 	levels        = 11
-	// ticksPerSecond makes the slots of the lowest level a millisecond wide, which is as finely as
-	// the Go runtime wakes a loop: what falls into one of them is put in exact order only when it
-	// is next.
+	// ticksPerSecond makes the slots of the lowest level a millisecond wide, the precision with which
+	// the Go runtime wakes an event loop. The timers of such a slot are sorted, by the heap, only
+	// when the slot is next.
 	ticksPerSecond = 1024
 	// maxExamined bounds how many timers of one slot NextWakeup looks at for the exact time of the
 	// first.
@@ -38,31 +38,31 @@
 	generation uint32
 }
 
-// entry is the memory of one timer, used again by later ones.
+// entry holds one timer, and later ones after it is released.
 type entry struct {
 	when       float64
 	sequence   uint64 // order of scheduling, among equal times
 	callback   func()
 	next, prev int32  // neighbours in the slot's list, or the next free entry; counted from 1, 0 for none
-	slot       int32  // the wheel's slot, or one of the places below
-	listIndex  int32  // index in imminent or in deferred
-	generation uint32 // how many timers had this entry before
+	slot       int32  // the slot of the wheel, or one of the places below
+	listIndex  int32  // index in heap or in deferred
+	generation uint32 // how many timers the entry held before
 }
 
 // Places of an entry other than a slot of the wheel.
 const (
 	inNone     int32 = -1 // the entry is free
-	inImminent int32 = -2 // in the heap of those that are next
-	inCallback int32 = -3 // its callback is running, or it was cancelled since that began
-	inDeferred int32 = -4 // scheduled for a time in the past while Advance runs
+	inHeap     int32 = -2 // in the heap
+	inCallback int32 = -3 // its callback is running, which may have cancelled it
+	inDeferred int32 = -4 // scheduled while Advance runs, for a time that is due
 )
 
 // Wheel holds timers. Scheduling, rescheduling and cancelling cost the same however many timers
 // there are, and rescheduling allocates nothing. Callbacks run in the order of their times and,
 // among equal times, in the order in which they were scheduled.
 //
-// The zero Wheel is empty and ready for use. The time passed to Advance may stand still or leap
-// forward; one that goes back counts as the latest it was.
+// The zero Wheel is empty and ready for use. The time passed to Advance may stay the same or jump
+// ahead. If it goes back, timers that are due after it are not called.
 type Wheel struct {
 	entries   []entry
 	firstFree int32 // counted from 1, 0 for none
@@ -74,20 +74,20 @@
 	lists    [levels * slotsPerLevel]slotList
 	draining int32 // the slot that is being emptied, counted from 1, 0 for none
 
-	imminent []int32 // entries whose tick is not after elapsed, a heap in the order of running
+	heap []int32 // entries whose tick is not after elapsed, a heap in the order of running
 
 	advancing bool    // Advance is running
 	now       float64 // the time it was called with
-	deferred  []int32 // entries that wait until it is over
+	deferred  []int32 // entries to place once it is over
 }
 
-// slotList is the first and the last entry of a slot, counted from 1, 0 for none.
+// slotList is the doubly linked list of the entries of a slot: positions counted from 1, 0 for none.
 type slotList struct{ first, last int32 }
 
 // Len returns the number of timers.
 func (w *Wheel) Len() int { return w.count }
 
-// Schedule has callback called by the first Advance at or after when.
+// Schedule adds a timer whose callback is called by the first Advance at or after when.
 func (w *Wheel) Schedule(when float64, callback func()) Timer {
 	index := w.allocate()
 	e := &w.entries[index]
@@ -97,8 +97,9 @@
 	return Timer{position: index + 1, generation: e.generation}
 }
 
-// Reschedule gives a timer another time, as if it were scheduled now, and reports whether there was
-// such a timer. A callback may reschedule its own timer, which keeps its identity.
+// Reschedule changes the time of a timer, whose order among equal times is that of a new one. It
+// reports whether there was such a timer. A callback may reschedule its own timer, which keeps its
+// identity.
 func (w *Wheel) Reschedule(timer Timer, when float64) bool {
 	index, ok := w.find(timer)
 	if !ok {
@@ -131,17 +132,17 @@
 }
 
 // NextWakeup returns a time at which Advance should be called: that of the first timer, or an
-// earlier one where that timer is far away or shares its slot with many. It is infinite where there
-// is no timer.
+// earlier one where that timer is far away or shares its slot with many. It is +Inf where there is
+// no timer.
 func (w *Wheel) NextWakeup() float64 {
 	next := math.Inf(1)
-	if len(w.imminent) > 0 {
-		next = w.entries[w.imminent[0]].when
+	if len(w.heap) > 0 {
+		next = w.entries[w.heap[0]].when
 	}
 	if w.draining > 0 {
 		return min(next, seconds(w.elapsed))
 	}
-	if len(w.imminent) > 0 {
+	if len(w.heap) > 0 {
 		return next
 	}
 	first, ok := w.firstOccupied()
@@ -154,15 +155,15 @@
 	return w.earliestOf(first)
 }
 
-// occupiedSlot is a slot with timers and the tick at which it starts.
+// occupiedSlot is a slot with timers.
 type occupiedSlot struct {
 	level int32
-	slot  int32
-	start int64
+	slot  int32 // index in lists
+	start int64 // first tick of the slot
 }
 
-// firstOccupied finds the first slot that is not empty. The slots of a level are all ahead of
-// elapsed, within one turn of that level.
+// firstOccupied finds the slot with the earliest timers. Every occupied slot of a level is ahead of
+// elapsed, within one turn of that level, and before those of the levels above.
 func (w *Wheel) firstOccupied() (first occupiedSlot, ok bool) {
 	for level := range int32(levels) {
 		occupied := w.occupied[level]
@@ -170,12 +171,12 @@
 			continue
 		}
 		shift := level * levelBits
-		within := int64(bits.TrailingZeros64(occupied))
+		slotInLevel := int64(bits.TrailingZeros64(occupied))
 		turn := w.elapsed >> (shift + levelBits) << (shift + levelBits)
 		return occupiedSlot{
 			level: level,
-			slot:  level*slotsPerLevel + int32(within),
-			start: turn | within<<shift,
+			slot:  level*slotsPerLevel + int32(slotInLevel),
+			start: turn | slotInLevel<<shift,
 		}, true
 	}
 	return occupiedSlot{}, false
@@ -197,7 +198,7 @@
 	return earliest
 }
 
-// find returns the index of a timer's entry.
+// find returns the index of a timer's entry, and whether the entry still holds that timer.
 func (w *Wheel) find(timer Timer) (index int32, ok bool) {
 	index = timer.position - 1
 	if index < 0 || int(index) >= len(w.entries) {
@@ -210,7 +211,7 @@
 	return index, true
 }
 
-// maxTick keeps every time, the infinite one too, within the levels.
+// maxTick is the tick of every time that is later, also of +Inf.
 const maxTick = 1 << 62
 
 // tick converts a time in seconds to ticks.
--- a/internal/timewindow/buckets.go
+++ b/internal/timewindow/buckets.go
@@ -1,20 +1,19 @@
-// Package timewindow keeps what is measured over time: sliding windows of buckets, histograms of
-// durations, minima of the last seconds, token buckets, and names that expire.
+// Package timewindow provides data structures for measurements over time: sliding windows of
+// buckets, sliding minima, histograms of durations, token buckets, and lists of names that expire.
 //
-// Nothing here reads a clock: the caller passes the time, in seconds from 0 up, which never goes
-// back. A value belongs to one goroutine.
+// Nothing here reads a clock: the caller passes the time now, in seconds from 0 up, which must not
+// decrease. No type is safe for concurrent use.
 package timewindow
 
-// Buckets is a sliding window: the latest buckets of equal width, whose memory is used again in a
-// ring.
+// Buckets is a sliding window of time, divided into buckets of equal width that are kept in a ring.
 type Buckets[T any] struct {
-	width   float64
+	width   float64 // seconds
 	buckets []T
-	newest  int64 // number of the newest bucket since time 0
+	newest  int64 // number of the newest bucket, counted from time 0
 }
 
-// New returns a window of n zero buckets, each width seconds long, of which the newest holds now.
-func New[T any](n int, width, now float64) *Buckets[T] {
+// NewBuckets returns a window of n zero buckets of width seconds. The newest one contains now.
+func NewBuckets[T any](n int, width, now float64) *Buckets[T] {
 	return &Buckets[T]{
 		width:   width,
 		buckets: make([]T, n),
@@ -22,13 +21,13 @@
 	}
 }
 
-// Current returns the bucket that now falls in, after the buckets that have left the window were
-// set to zero.
+// Current moves the window up to now and returns the bucket that contains now. Buckets that enter
+// the window are zero.
 func (b *Buckets[T]) Current(now float64) *T {
 	number := int64(now / b.width)
 	size := int64(len(b.buckets))
 	if number-b.newest > size {
-		b.newest = number - size
+		b.newest = number - size // so that the loop zeroes each bucket once
 	}
 	for ; b.newest < number; b.newest++ {
 		var zero T
@@ -37,7 +36,7 @@
 	return &b.buckets[b.newest%size]
 }
 
-// ForEach calls visit for every bucket of the window, in no particular order.
+// ForEach moves the window up to now and calls visit for each bucket, in no particular order.
 func (b *Buckets[T]) ForEach(now float64, visit func(*T)) {
 	b.Current(now)
 	for i := range b.buckets {
--- a/internal/timewindow/expiring_names.go
+++ b/internal/timewindow/expiring_names.go
@@ -16,12 +16,12 @@
 	*l = append(*l, expiringName{name, expiresAt})
 }
 
-// Expire removes the names that have expired by now.
+// Expire removes the names that have expired at now.
 func (l *ExpiringNames) Expire(now float64) {
 	*l = slices.DeleteFunc(*l, func(e expiringName) bool { return e.expiresAt <= now })
 }
 
-// Remove removes a name and reports whether it was there.
+// Remove removes every occurrence of a name and reports whether there was one.
 func (l *ExpiringNames) Remove(name string) bool {
 	before := len(*l)
 	*l = slices.DeleteFunc(*l, func(e expiringName) bool { return e.name == name })
--- a/internal/timewindow/histogram.go
+++ b/internal/timewindow/histogram.go
@@ -2,22 +2,23 @@
 
 import "math"
 
-// The bins of a Histogram: from 1 ms up, three to a doubling, so the last one begins at about a
-// minute.
+// The bins of a Histogram: from 1 ms up, three for each doubling, so the last one starts at about
+// 52 s.
 const (
-	bins            = 48
+	binCount        = 48
 	binsPerDoubling = 3
-	firstBin        = 0.001
-	leastDuration   = 1e-6 // what shorter durations count as, so that their logarithm is finite
+	firstBinStart   = 0.001 // seconds
+	// minDuration is what a shorter duration counts as, in seconds: the logarithm of 0 is not finite.
+	minDuration = 1e-6
 )
 
-// Histogram counts durations in bins of exponential width and adds them up. The zero Histogram is
-// empty.
+// Histogram counts durations in bins whose width grows exponentially, and sums them. The zero
+// Histogram is empty and ready for use.
 type Histogram struct {
 	Count   int
 	Sum     float64 // seconds
 	Untimed int     // events that had no duration; the caller counts them, and no other figure includes them
-	bins    [bins]uint32
+	bins    [binCount]uint32
 }
 
 // Add counts one duration, in seconds.
@@ -29,11 +30,11 @@
 
 // binOf returns the bin of a duration.
 func binOf(duration float64) int {
-	bin := int(binsPerDoubling * math.Log2(max(duration, leastDuration)/firstBin))
-	return min(max(bin, 0), bins-1)
+	bin := int(binsPerDoubling * math.Log2(max(duration, minDuration)/firstBinStart))
+	return min(max(bin, 0), binCount-1)
 }
 
-// Merge adds what other counted.
+// Merge adds the counts and the sum of other.
 func (h *Histogram) Merge(other *Histogram) {
 	h.Count += other.Count
 	h.Sum += other.Sum
@@ -51,14 +52,14 @@
 	return h.Sum / float64(h.Count)
 }
 
-// Median returns the middle of the bin that the middle duration is in, in seconds, or 0 where there
-// is none.
+// Median returns an estimate of the median duration, in seconds: the middle, on a logarithmic scale,
+// of the bin that it is in. It is 0 where there are no durations.
 func (h *Histogram) Median() float64 {
 	remaining := h.Count / 2
 	for i, n := range h.bins {
 		remaining -= int(n)
 		if remaining < 0 {
-			return firstBin * math.Exp2((float64(i)+0.5)/binsPerDoubling)
+			return firstBinStart * math.Exp2((float64(i)+0.5)/binsPerDoubling)
 		}
 	}
 	return 0
--- a/internal/timewindow/minimum.go
+++ b/internal/timewindow/minimum.go
@@ -1,9 +1,9 @@
 package timewindow
 
-// Minimum is the least of the values observed in a sliding window.
+// Minimum tracks the least of the values observed in a sliding window.
 type Minimum struct{ buckets *Buckets[bucketMinimum] }
 
-// bucketMinimum is the least value of one bucket.
+// bucketMinimum is the least value of one bucket, if one was observed.
 type bucketMinimum struct {
 	observed bool
 	value    float64
@@ -11,10 +11,10 @@
 
 // NewMinimum returns a window of n buckets of width seconds with no value in it.
 func NewMinimum(n int, width, now float64) Minimum {
-	return Minimum{New[bucketMinimum](n, width, now)}
+	return Minimum{NewBuckets[bucketMinimum](n, width, now)}
 }
 
-// Observe takes one value into account.
+// Observe adds a value that was observed at now.
 func (m Minimum) Observe(now, value float64) { m.buckets.Current(now).observe(value) }
 
 // Value returns the least value in the window, or 0 where there is none.
--- a/internal/timewindow/timewindow_test.go
+++ b/internal/timewindow/timewindow_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestBuckets_OldOnesLeaveTheWindow(t *testing.T) {
-	window := New[int](4, 0.5, 10)
+	window := NewBuckets[int](4, 0.5, 10)
 	sum := func(now float64) int {
 		total := 0
 		window.ForEach(now, func(n *int) { total += *n })
--- a/internal/timewindow/token_bucket.go
+++ b/internal/timewindow/token_bucket.go
@@ -1,12 +1,12 @@
 package timewindow
 
-// TokenBucket bounds a rate: it gains Rate tokens a second up to Capacity, and each event takes
-// one.
+// TokenBucket limits the rate of events: it gains Rate tokens a second up to Capacity, and each event
+// takes one.
 type TokenBucket struct {
 	Rate      float64 // tokens a second
 	Capacity  float64 // tokens
 	tokens    float64
-	updatedAt float64 // when tokens was right; 0 before the first Take
+	updatedAt float64 // time of the latest refill; 0 before the first
 }
 
 // NewTokenBucket returns a full bucket.
@@ -14,8 +14,8 @@
 	return TokenBucket{Rate: rate, Capacity: capacity, tokens: capacity}
 }
 
-// SetRate changes the rate and the capacity from now on. The tokens that are there stay, up to the
-// new capacity.
+// SetRate changes the rate and the capacity from now on. The bucket keeps its tokens, up to the new
+// capacity.
 func (b *TokenBucket) SetRate(now, rate, capacity float64) {
 	b.refill(now)
 	b.Rate = rate
@@ -23,7 +23,7 @@
 	b.tokens = min(b.tokens, capacity)
 }
 
-// Refund puts back a token that was taken and not used.
+// Refund returns a token that was taken and not used.
 func (b *TokenBucket) Refund() { b.tokens = min(b.Capacity, b.tokens+1) }
 
 // Take takes a token and reports whether there was one.
