--- a/internal/bench/simulation/twolevel.go
+++ b/internal/bench/simulation/twolevel.go
@@ -277,7 +277,7 @@
 			l.finishRequest(t, true)
 			return
 		}
-		retry := routing.Retry{
+		retry := routing.RetryCandidate{
 			LastOutcome:    end,
 			Attempts:       len(t.triedWorkers),
 			IsIdempotent:   t.isIdempotent,
--- a/internal/fleet/loadplan.go
+++ b/internal/fleet/loadplan.go
@@ -100,8 +100,8 @@
 
 // handleAssignment goes over to a newer assignment.
 func (p *loadPlanner) handleAssignment(now float64, message *wire.Envelope) {
-	freshUntil := p.subscriber.Accept(now, message.PlanAssignment)
-	if freshUntil > now && p.config.OnAssignment != nil {
+	freshUntil, accepted := p.subscriber.Accept(now, message.PlanAssignment)
+	if accepted && p.config.OnAssignment != nil {
 		p.freshUntil = freshUntil
 		p.config.OnAssignment(message.PlanAssignment, freshUntil)
 	}
@@ -125,7 +125,7 @@
 		return status
 	}
 	status.Current = p.subscriber.Version()
-	status.Stale = p.subscriber.StaleAssignments
+	status.Stale = p.subscriber.RejectedAssignments
 	status.FreshFor = p.freshUntil - now
 	if p.planner != nil && a.isConfirmedLeader(now) {
 		status.Planner = p.planner.Status(now)
--- a/internal/forwarder/config.go
+++ b/internal/forwarder/config.go
@@ -22,11 +22,12 @@
 	Now func() float64
 	// OnResults receives the results of requests. It must not wait for the dispatcher.
 	OnResults func([]forwarding.Result)
-	// OnWorkerAvailable is called once, on a goroutine of its own, when there is a worker.
+	// OnWorkerAvailable is called once, on a goroutine of its own, when the first worker is connected.
 	OnWorkerAvailable func()
 }
 
-// SeedFor returns a forwarder's own seed, so that two forwarders do not draw alike.
+// SeedFor derives a forwarder's seed from its name and the common seed, so that two forwarders draw
+// different random numbers.
 func SeedFor(name string, seed int64) int64 {
 	return seed ^ int64(crc32.ChecksumIEEE([]byte(name)))
 }
--- a/internal/forwarder/connection.go
+++ b/internal/forwarder/connection.go
@@ -27,8 +27,8 @@
 )
 
 var (
-	// errMessageTooLong bounds what waits to be complete, whatever the codec accepts. No input that
-	// gets here is known: it is a guard that no test reaches.
+	// errMessageTooLong reports that an incomplete message exceeds maxPartialMessage. It holds
+	// whatever the codec accepts; no input is known to cause it today, so no test does.
 	errMessageTooLong = errors.New("message too long")
 	// errStopped reports that the dispatcher was stopped.
 	errStopped = errors.New("dispatcher stopped")
@@ -37,7 +37,7 @@
 // connection is one connection to a worker.
 type connection struct {
 	socket   net.Conn
-	messages chan []byte // to be written
+	messages chan []byte // encoded, to be written
 	closed   chan struct{}
 }
 
@@ -69,7 +69,7 @@
 		case <-c.closed:
 			return
 		case batch := <-c.messages:
-			for range len(c.messages) { // what is queued already goes with it
+			for range len(c.messages) { // one write for all that is queued
 				batch = append(batch, <-c.messages...)
 			}
 			if _, err := c.socket.Write(batch); err != nil {
@@ -80,8 +80,9 @@
 	}
 }
 
-// maintain dials the worker until the dispatcher stops, and reads each connection to its end.
-func (l *link) maintain() {
+// keepConnected dials the worker again and again until the dispatcher stops, and reads each
+// connection to its end.
+func (l *link) keepConnected() {
 	backoff := minRedialBackoff
 	for {
 		socket, err := net.DialTimeout("tcp", l.worker.Addr, dialTimeout)
@@ -92,7 +93,7 @@
 			backoff = min(2*backoff, maxRedialBackoff)
 			continue
 		}
-		if answered := l.serve(newConnection(socket)); answered {
+		if responded := l.serve(newConnection(socket)); responded {
 			backoff = minRedialBackoff
 		}
 		if !l.sleep(backoff) {
@@ -101,7 +102,7 @@
 	}
 }
 
-// sleep waits, and returns false if the dispatcher stopped.
+// sleep waits for the duration. It returns false at once if the dispatcher stops.
 func (l *link) sleep(duration time.Duration) bool {
 	select {
 	case <-l.dispatcher.stop:
@@ -111,48 +112,49 @@
 	}
 }
 
-// serve uses a connection until it ends, and reports whether the worker answered anything on it.
-func (l *link) serve(c *connection) (answered bool) {
+// serve uses a connection until it ends, and reports whether the worker responded on it.
+func (l *link) serve(c *connection) (responded bool) {
 	go c.write()
-	l.dispatcher.post(connectionEvent{link: l, connection: c})
-	answered, err := l.read(c.socket)
+	l.dispatcher.post(connectedEvent{link: l, connection: c})
+	responded, err := l.read(c.socket)
 	if err != nil {
 		slog.Info("protocol_error", "worker", l.worker.Name, "addr", l.worker.Addr, "err", err)
 	}
 	c.close()
 	close(c.closed)
-	l.dispatcher.post(connectionEvent{link: l})
-	return answered
+	l.dispatcher.post(disconnectedEvent{link: l})
+	return responded
 }
 
-// read hands the worker's answers to the dispatcher until the connection ends, and reports whether
-// there was any. An error is the worker's: it wraps rpc.ErrMalformed or is errMessageTooLong.
-func (l *link) read(socket net.Conn) (answered bool, err error) {
+// read hands the worker's responses to the dispatcher until the connection ends, and reports
+// whether there was any. An error means that the worker violated the protocol: it wraps
+// rpc.ErrMalformed or is errMessageTooLong.
+func (l *link) read(socket net.Conn) (responded bool, err error) {
 	var input []byte
 	chunk := make([]byte, readSize)
 	for {
 		size, err := socket.Read(chunk)
 		if err != nil {
-			return answered, nil
+			return responded, nil
 		}
 		input = append(input, chunk[:size]...)
-		consumed, err := l.deliverAnswers(input)
-		answered = answered || consumed > 0
+		consumed, err := l.deliverResponses(input)
+		responded = responded || consumed > 0
 		if errors.Is(err, errStopped) {
-			return answered, nil
+			return responded, nil
 		}
 		if err != nil {
-			return answered, err
+			return responded, err
 		}
 		input = append(input[:0], input[consumed:]...)
 	}
 }
 
-// deliverAnswers hands the complete messages at the start of the input to the dispatcher, and
-// returns how many bytes they are.
-func (l *link) deliverAnswers(input []byte) (consumed int, err error) {
+// deliverResponses hands the complete responses at the start of the input to the dispatcher, and
+// returns how many bytes they take up.
+func (l *link) deliverResponses(input []byte) (consumed int, err error) {
 	for consumed < len(input) {
-		answer, size, err := rpc.ParseResponse(input[consumed:])
+		response, size, err := rpc.ParseResponse(input[consumed:])
 		switch {
 		case err != nil:
 			return consumed, fmt.Errorf("after %d bytes that are read: %w", consumed, err)
@@ -162,8 +164,8 @@
 			return consumed, nil
 		}
 		consumed += size
-		answer.Result = bytes.Clone(answer.Result)
-		if !l.dispatcher.post(answerEvent{link: l, answer: answer}) {
+		response.Result = bytes.Clone(response.Result)
+		if !l.dispatcher.post(responseEvent{link: l, response: response}) {
 			return consumed, errStopped
 		}
 	}
--- a/internal/forwarder/dispatcher.go
+++ b/internal/forwarder/dispatcher.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// maxQueuedEvents bounds the events that wait for the owner. A request that finds no room was
-	// not dispatched.
+	// maxQueuedEvents bounds the events that wait for the event loop. A request for which there is
+	// no room is not dispatched.
 	maxQueuedEvents = 8192
-	// reportTimeout bounds how long TakeReport waits for the owner.
+	// reportTimeout bounds how long TakeReport waits for the event loop.
 	reportTimeout = 200 * time.Millisecond
 	// latencyWindows and latencyWindowSeconds are the sliding window in which the typical latency
 	// is measured.
@@ -28,7 +28,7 @@
 	events chan event
 	stop   chan struct{}
 
-	// What follows belongs to the owner.
+	// What follows belongs to the event loop.
 
 	router          *routing.Router
 	links           map[string]*link // by worker name
@@ -69,7 +69,7 @@
 		dispatcher.router.AddWorker(now, worker.Name)
 		l := newLink(dispatcher, worker)
 		dispatcher.links[worker.Name] = l
-		go l.maintain()
+		go l.keepConnected()
 	}
 	go dispatcher.run()
 	return dispatcher
@@ -87,7 +87,7 @@
 // request's deadline ends it.
 func (d *Dispatcher) Cancel(id string) { d.tryPost(cancelEvent{id: id}) }
 
-// ApplyPlan has the weights of a load plan count; they are fresh until a time of Config.Now. If
+// ApplyPlan hands the weights of a load plan to the router. The freshUntil is by Config.Now. If
 // there is no room for the event they are dropped: the next plan comes soon.
 func (d *Dispatcher) ApplyPlan(weights map[string]float64, freshUntil float64) {
 	d.tryPost(planEvent{weights: weights, freshUntil: freshUntil})
@@ -100,7 +100,7 @@
 }
 
 // TakeReport returns the report on the time since the last one, without the fields that a
-// loadplan.Subscriber sets. It returns nil if the owner is busy.
+// loadplan.Subscriber sets. It returns nil if the event loop is busy.
 func (d *Dispatcher) TakeReport() *loadplan.Report {
 	reply := make(chan *loadplan.Report, 1)
 	if !d.tryPost(reportEvent{reply: reply}) {
@@ -114,7 +114,7 @@
 	}
 }
 
-// tryPost queues an event for the owner, and reports whether there was room.
+// tryPost queues an event for the event loop, and reports whether there was room.
 func (d *Dispatcher) tryPost(e event) bool {
 	select {
 	case d.events <- e:
@@ -124,7 +124,8 @@
 	}
 }
 
-// post queues an event for the owner and waits for room. It returns false if the dispatcher stopped.
+// post queues an event for the event loop and waits for room. It returns false if the
+// dispatcher stopped.
 func (d *Dispatcher) post(e event) bool {
 	select {
 	case d.events <- e:
--- a/internal/forwarder/dispatcher_test.go
+++ b/internal/forwarder/dispatcher_test.go
@@ -80,8 +80,8 @@
 func rejects(number uint64) []byte {
 	return rpc.AppendRejected(nil, number, rpc.ResponseMetadata{RetryAfter: 0.2})
 }
-func abandons(number uint64) []byte { return rpc.AppendFailed(nil, number, rpc.ResponseMetadata{}) }
-func ignores(uint64) []byte         { return nil }
+func fails(number uint64) []byte { return rpc.AppendFailed(nil, number, rpc.ResponseMetadata{}) }
+func ignores(uint64) []byte      { return nil }
 
 // startTestDispatcher returns a dispatcher whose workers are connected, and its results.
 func startTestDispatcher(t *testing.T, workers ...*testWorker) (*Dispatcher, <-chan forwarding.Result) {
@@ -182,7 +182,7 @@
 			want: admission.Finished, wantAttempts: 1,
 		},
 		"failed at the worker": {
-			workers: []*testWorker{{answer: abandons}, {answer: abandons}}, remainingSeconds: 20,
+			workers: []*testWorker{{answer: fails}, {answer: fails}}, remainingSeconds: 20,
 			want: admission.Failed, wantAttempts: 1,
 		},
 		"rejected by all that may be tried": {
--- a/internal/forwarder/event.go
+++ b/internal/forwarder/event.go
@@ -9,27 +9,27 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// event is something that happened, for the owner of a Dispatcher.
+// event is something that the event loop of a Dispatcher handles.
 type event interface {
-	// handle changes the dispatcher's state. Only the owner calls it.
+	// handle changes the dispatcher's state. Only the event loop calls it.
 	handle(d *Dispatcher, now float64)
 }
 
-// dispatchEvent is a new request.
+// dispatchEvent brings a new request.
 type dispatchEvent struct{ request forwarding.Request }
 
 func (e dispatchEvent) handle(d *Dispatcher, now float64) { d.accept(now, &e.request) }
 
-// cancelEvent is a request whose client no longer waits.
+// cancelEvent tells that a request's client no longer waits.
 type cancelEvent struct{ id string }
 
 func (e cancelEvent) handle(d *Dispatcher, now float64) {
 	if p := d.pending[e.id]; p != nil {
-		d.cancel(now, p, routing.Cancelled)
+		d.abort(now, p, routing.Cancelled)
 	}
 }
 
-// planEvent is a load plan's weights.
+// planEvent brings a load plan's weights.
 type planEvent struct {
 	weights    map[string]float64
 	freshUntil float64
@@ -39,7 +39,7 @@
 	d.router.ApplyPlan(now, e.weights, e.freshUntil)
 }
 
-// demandEvent is requests that the server received.
+// demandEvent brings the numbers of requests that the server received.
 type demandEvent struct{ received []serving.CounterCell }
 
 func (e demandEvent) handle(d *Dispatcher, _ float64) {
@@ -53,45 +53,46 @@
 
 func (e reportEvent) handle(d *Dispatcher, now float64) { e.reply <- d.takeReport(now) }
 
-// connectionEvent is a connection to a worker that came up or ended.
-type connectionEvent struct {
+// connectedEvent brings a new connection to a worker.
+type connectedEvent struct {
 	link       *link
-	connection *connection // nil if it ended
+	connection *connection
 }
 
-func (e connectionEvent) handle(d *Dispatcher, now float64) {
-	if e.connection != nil {
-		d.handleConnected(now, e.link, e.connection)
-	} else {
-		d.handleDisconnected(now, e.link)
-	}
+func (e connectedEvent) handle(d *Dispatcher, now float64) {
+	d.handleConnected(now, e.link, e.connection)
 }
 
-// answerEvent is a worker's answer.
-type answerEvent struct {
-	link   *link
-	answer rpc.Response
+// disconnectedEvent tells that a link's connection ended.
+type disconnectedEvent struct{ link *link }
+
+func (e disconnectedEvent) handle(d *Dispatcher, now float64) { d.handleDisconnected(now, e.link) }
+
+// responseEvent brings a worker's response.
+type responseEvent struct {
+	link     *link
+	response rpc.Response
 }
 
-func (e answerEvent) handle(d *Dispatcher, now float64) {
-	if e.answer.Kind == rpc.ResponseGoAway {
+func (e responseEvent) handle(d *Dispatcher, now float64) {
+	if e.response.Kind == rpc.ResponseGoAway {
 		e.link.drain(now)
 		return
 	}
-	p := e.link.inFlight[e.answer.Number]
+	p := e.link.inFlight[e.response.Number]
 	if p == nil {
 		return // late, or unknown
 	}
-	switch e.answer.Kind {
+	switch e.response.Kind {
 	case rpc.ResponseFinished:
-		d.handleFinished(now, p, e.answer.Result)
+		d.handleFinished(now, p, e.response.Result)
 	case rpc.ResponseRejected:
-		retryAfter := e.answer.Metadata.RetryAfter
+		retryAfter := e.response.Metadata.RetryAfter
 		d.finishAttempt(now, p, routing.Rejected, retryAfter)
-		d.retryOrSettle(now, p, routing.Rejected, retryAfter)
+		d.retryOrComplete(now, p, routing.Rejected, retryAfter)
 	case rpc.ResponseFailed:
 		d.finishAttempt(now, p, routing.Failed, 0)
 		d.stats.failed++
-		d.settle(p, forwarding.Result{Outcome: admission.Failed})
+		d.complete(p, forwarding.Result{Outcome: admission.Failed})
 	}
 }
--- a/internal/forwarder/link.go
+++ b/internal/forwarder/link.go
@@ -7,16 +7,16 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// link is the way to one worker: connections that follow one another.
+// link keeps a connection to one worker, and replaces it after it ended.
 type link struct {
 	worker     Worker
 	dispatcher *Dispatcher
 
-	// What follows belongs to the dispatcher's owner.
+	// What follows belongs to the dispatcher's event loop.
 
 	connection *connection                // nil if there is none
 	isDraining bool                       // the worker wants no new request on this connection
-	lastNumber uint64                     // of a message, over all connections
+	lastNumber uint64                     // of a message, across all connections
 	inFlight   map[uint64]*pendingRequest // by message number
 }
 
@@ -39,16 +39,16 @@
 	return l.lastNumber
 }
 
-// sendCancel tells the worker that nobody waits for a message's answer any more. If there is no room
-// the worker learns it from the message's deadline.
+// sendCancel tells the worker that nobody waits for the response to a message any more. If there is
+// no room the message's deadline ends it.
 func (l *link) sendCancel(number uint64) {
 	if l.connection != nil {
 		l.connection.enqueue(rpc.AppendCancel(nil, number))
 	}
 }
 
-// drain sends no new request on the connection, whose worker asked for that. It is closed once all
-// requests on it are answered, and another one is dialled.
+// drain stops sending new requests on the connection, as its worker asked. The connection is closed
+// once all requests on it are answered; keepConnected then dials another one.
 func (l *link) drain(now float64) {
 	if l.connection != nil && !l.isDraining {
 		l.isDraining = true
@@ -57,13 +57,14 @@
 	}
 }
 
+// closeIfDrained closes a connection that is draining and has no request in flight.
 func (l *link) closeIfDrained() {
 	if l.isDraining && l.connection != nil && len(l.inFlight) == 0 {
-		l.connection.close() // maintain sees it end
+		l.connection.close() // read returns then
 	}
 }
 
-// handleConnected takes a new connection of a link into use.
+// handleConnected makes a new connection the link's current one.
 func (d *Dispatcher) handleConnected(now float64, l *link, c *connection) {
 	l.connection = c
 	l.isDraining = false
@@ -86,6 +87,6 @@
 	l.inFlight = map[uint64]*pendingRequest{}
 	for _, p := range lost {
 		d.finishAttempt(now, p, routing.ConnectionLost, 0)
-		d.retryOrSettle(now, p, routing.ConnectionLost, 0)
+		d.retryOrComplete(now, p, routing.ConnectionLost, 0)
 	}
 }
--- a/internal/forwarder/loop.go
+++ b/internal/forwarder/loop.go
@@ -12,10 +12,10 @@
 const (
 	// maxBatch bounds the events that are handled before results are returned.
 	maxBatch = 256
-	// minWaitSeconds is the shortest time until the owner wakes up without an event.
+	// minWaitSeconds is the shortest time until the loop wakes up without an event.
 	minWaitSeconds = 0.001
-	// deadlineGraceSeconds is how long after its deadline a worker's answer is waited for: the
-	// safety margin of a hop.
+	// deadlineGraceSeconds is how long after a request's deadline its response is still waited
+	// for: a safety margin for the network hop.
 	deadlineGraceSeconds = 0.010
 	// learnIntervalSeconds is how often the workers' capacities are estimated: some tens of
 	// requests at each.
@@ -24,7 +24,7 @@
 	statsIntervalSeconds = 10.0
 )
 
-// run is the owner's goroutine.
+// run is the event loop.
 func (d *Dispatcher) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -36,7 +36,7 @@
 			d.handleBatch(e)
 		case <-timer.C:
 		}
-		d.maintain()
+		d.handleTimers()
 		if len(d.results) > 0 {
 			d.config.OnResults(d.results)
 			d.results = nil
@@ -54,7 +54,8 @@
 	}
 }
 
-// handle handles an event. A panic ends there: its request ends by its deadline.
+// handle handles an event and recovers from a panic in it. A request that the panic left without a
+// result is ended by its deadline.
 func (d *Dispatcher) handle(e event) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -73,12 +74,12 @@
 	return next
 }
 
-// maintain ends the requests whose deadline is over, estimates capacities and logs statistics.
-func (d *Dispatcher) maintain() {
+// handleTimers ends the requests whose deadline is over, estimates capacities and logs statistics.
+func (d *Dispatcher) handleTimers() {
 	now := d.config.Now()
 	for len(d.deadlines) > 0 && now >= d.deadlines[0].deadline+deadlineGraceSeconds {
 		d.stats.timedOut++
-		d.cancel(now, d.deadlines[0], routing.TimedOut)
+		d.abort(now, d.deadlines[0], routing.TimedOut)
 	}
 	if now >= d.lastLearning+learnIntervalSeconds {
 		d.router.LearnCapacity(now - d.lastLearning)
--- a/internal/forwarder/request.go
+++ b/internal/forwarder/request.go
@@ -26,7 +26,8 @@
 	attemptStarted float64
 }
 
-// accept takes a new request.
+// accept makes a new request pending and sends it to a worker. It rejects a request whose ID is
+// pending already, and any once there are maxPending.
 func (d *Dispatcher) accept(now float64, request *forwarding.Request) {
 	d.stats.dispatched++
 	if d.pending[request.ID] != nil || len(d.pending) >= maxPending {
@@ -36,12 +37,12 @@
 	p := &pendingRequest{request: *request, deadline: now + request.RemainingSeconds}
 	d.pending[request.ID] = p
 	heap.Push(&d.deadlines, p)
-	d.place(now, p, 0)
+	d.sendToWorker(now, p, 0)
 }
 
-// place sends a request to a worker, or rejects it if none may have it. The retryAfter is that of
-// the worker that rejected it before, 0 if there is none.
-func (d *Dispatcher) place(now float64, p *pendingRequest, retryAfter float64) {
+// sendToWorker sends a request to a worker, or rejects it if none may have it. The retryAfter
+// is that of the worker that rejected it before, 0 if there is none.
+func (d *Dispatcher) sendToWorker(now float64, p *pendingRequest, retryAfter float64) {
 	for {
 		name, nextAvailable := d.router.Pick(now, d.isIdempotent(p), p.tried...)
 		if name == "" {
@@ -59,7 +60,8 @@
 	}
 }
 
-// startAttempt sends a request to a worker. It returns false if the link has no room for it.
+// startAttempt sends a request over a link. If that has no room it returns false, and the caller has
+// to finish the attempt.
 func (d *Dispatcher) startAttempt(now float64, p *pendingRequest, l *link) bool {
 	p.tried = append(p.tried, l.worker.Name)
 	p.link = l
@@ -92,34 +94,36 @@
 	d.finishAttempt(now, p, routing.Finished, 0)
 	d.latencies[p.request.Class].Current(now).Add(latency)
 	d.stats.finished++
-	d.settle(p, forwarding.Result{Outcome: admission.Finished, Body: body})
+	d.complete(p, forwarding.Result{Outcome: admission.Finished, Body: body})
 }
 
-// cancel ends a request that nobody waits for any more, at its worker too.
-func (d *Dispatcher) cancel(now float64, p *pendingRequest, outcome routing.Outcome) {
+// abort ends a request that nobody waits for any more, at its worker too.
+func (d *Dispatcher) abort(now float64, p *pendingRequest, outcome routing.Outcome) {
 	if p.link != nil {
 		p.link.sendCancel(p.messageNumber)
 	}
 	d.finishAttempt(now, p, outcome, 0)
-	d.settle(p, forwarding.Result{Outcome: admission.Cancelled})
+	d.complete(p, forwarding.Result{Outcome: admission.Cancelled})
 }
 
-// retryOrSettle sends a request to another worker after an attempt that ended so, or returns it.
-func (d *Dispatcher) retryOrSettle(now float64, p *pendingRequest, outcome routing.Outcome, retryAfter float64) {
+// retryOrComplete sends a request to another worker after an attempt that had this outcome, or
+// completes it if it may not be retried.
+func (d *Dispatcher) retryOrComplete(now float64, p *pendingRequest, outcome routing.Outcome, retryAfter float64) {
 	switch {
 	case d.allowRetry(now, p, outcome):
 		d.stats.retries++
-		d.place(now, p, retryAfter)
+		d.sendToWorker(now, p, retryAfter)
 	case outcome.KnownNotExecuted():
 		d.reject(p, retryAfter)
 	default:
 		d.stats.connectionLost++
-		d.settle(p, forwarding.Result{Outcome: admission.Failed})
+		d.complete(p, forwarding.Result{Outcome: admission.Failed})
 	}
 }
 
+// allowRetry reports whether the router allows another attempt after one with this outcome.
 func (d *Dispatcher) allowRetry(now float64, p *pendingRequest, outcome routing.Outcome) bool {
-	return d.router.AllowRetry(routing.Retry{
+	return d.router.AllowRetry(routing.RetryCandidate{
 		LastOutcome:    outcome,
 		Attempts:       len(p.tried),
 		IsIdempotent:   d.isIdempotent(p),
@@ -131,11 +135,11 @@
 // reject returns a request that no worker took.
 func (d *Dispatcher) reject(p *pendingRequest, retryAfter float64) {
 	d.stats.rejected++
-	d.settle(p, forwarding.Result{Outcome: admission.Rejected, RetryAfterSeconds: retryAfter})
+	d.complete(p, forwarding.Result{Outcome: admission.Rejected, RetryAfterSeconds: retryAfter})
 }
 
-// settle returns a request with a result, of which it sets the ID and the duration.
-func (d *Dispatcher) settle(p *pendingRequest, result forwarding.Result) {
+// complete ends a request with a result, of which it sets the ID and the duration.
+func (d *Dispatcher) complete(p *pendingRequest, result forwarding.Result) {
 	delete(d.pending, p.request.ID)
 	heap.Remove(&d.deadlines, p.heapIndex)
 	result.ID = p.request.ID
--- a/internal/forwarding/forwarding.go
+++ b/internal/forwarding/forwarding.go
@@ -7,11 +7,11 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// Request is a request on its way to a worker.
+// Request is a request for a worker.
 type Request struct {
 	ID               string
 	Class            int
-	Message          rpc.Message // as it is sent on, without its number and its times
+	Message          rpc.Message // as it is forwarded; the forwarder sets its number and its times
 	RemainingSeconds float64     // until its result has to be back
 }
 
@@ -19,7 +19,7 @@
 type Result struct {
 	ID string
 	// Outcome is Finished, Failed, Rejected if no worker took the request, or Cancelled if its
-	// client no longer waits or its time was over.
+	// client no longer waits or its deadline has passed.
 	Outcome           admission.Outcome
 	Body              []byte
 	Seconds           float64 // since the request was dispatched
--- a/internal/policy/audit/account.go
+++ b/internal/policy/audit/account.go
@@ -65,8 +65,8 @@
 	return merged.latest(maxIntervals)
 }
 
-// mergeIntervals merges two ordered lists. Of an interval that both have, the report that reaches
-// further is kept.
+// mergeIntervals merges two ordered lists. Of an interval that both have, the one that ends later
+// is kept, and the newer report's if they end at the same time.
 func mergeIntervals(older, newer []Interval) []Interval {
 	var merged []Interval
 	for len(older) > 0 && len(newer) > 0 {
--- a/internal/policy/audit/digest.go
+++ b/internal/policy/audit/digest.go
@@ -12,7 +12,7 @@
 const logSource = "the release log"
 
 // digestTable holds, for each epoch, the digests that were reported and who reported them. An epoch
-// has one digest; a second one is an alarm.
+// must have only one digest.
 type digestTable map[release.Epoch]map[string][]string
 
 func (d digestTable) add(epoch release.Epoch, digest, source string) {
@@ -25,6 +25,7 @@
 	d[epoch][digest] = append(d[epoch][digest], source)
 }
 
+// addLog adds the versions that a release log has in full, and those in its history.
 func (d digestTable) addLog(log *release.Log) {
 	for _, version := range []*release.Version{&log.Current, log.Next, log.Previous} {
 		if version != nil {
@@ -42,7 +43,7 @@
 	}
 }
 
-// conflicts describes each epoch with more than one digest, by epoch.
+// conflicts returns an alarm for each epoch with more than one digest, in the order of epochs.
 func (d digestTable) conflicts() []string {
 	var alarms []string
 	for _, epoch := range slices.Sorted(maps.Keys(d)) {
--- a/internal/policy/audit/report.go
+++ b/internal/policy/audit/report.go
@@ -1,6 +1,7 @@
 package audit
 
 import (
+	"cmp"
 	"fmt"
 	"maps"
 	"slices"
@@ -9,9 +10,19 @@
 	"swiftcourse/internal/policy/release"
 )
 
-// maxReportAge is how old, in seconds, the latest report of a server that is present may be: the
-// time of a few lease requests.
-const maxReportAge = 10
+// maxReportAgeSeconds is how old the latest report of a server may be before the server counts as
+// silent: the time of a few lease requests.
+const maxReportAgeSeconds = 10
+
+// The reasons of gaps and of lagging servers, as operators read them.
+const (
+	reasonNoAccount   = "nobody who answered has its account"
+	reasonSilent      = "nothing was heard of it after this"
+	reasonNotReported = "not heard since this leader leads"
+	reasonNoHeartbeat = "absent or cut off"
+	reasonApplying    = "on its way"
+	ejectedPrefix     = "ejected: "
+)
 
 // Gap is a period for which there is no evidence.
 type Gap struct {
@@ -51,8 +62,8 @@
 	Responding map[uint64]bool
 }
 
-// NewReport compares the accounts with the release log and the lease table. Intervals that ended
-// before the epoch since are left out.
+// NewReport compares the accounts with the release log and the lease table. Intervals under
+// versions of epochs before since are left out.
 func NewReport(evidence Evidence, since release.Epoch) Report {
 	report := Report{NewestEpoch: evidence.Log.NewestEpoch()}
 	trail := NewTrail("", 0, 0)
@@ -64,21 +75,17 @@
 	for _, name := range slices.Sorted(maps.Keys(trail.others)) {
 		incarnations := trail.others[name]
 		slices.SortFunc(incarnations, byStart)
-		for index, a := range incarnations {
+		for _, a := range incarnations {
 			digests.addAccount(a)
-			report.addDroppedGap(a)
-			if !evidence.Responding[a.Incarnation] {
-				report.addSilentGap(a, incarnations[index+1:])
-			}
-			report.addAccount(a, since)
 		}
+		report.addIncarnations(incarnations, evidence.Responding, since)
 	}
 	for _, server := range evidence.Servers {
 		if !hasIncarnation(trail.others[server.Name], server.Incarnation) {
 			report.Gaps = append(report.Gaps, Gap{
 				Name:        server.Name,
 				Incarnation: server.Incarnation,
-				Reason:      "nobody who answered has its account",
+				Reason:      reasonNoAccount,
 			})
 		}
 		report.addIfLagging(server)
@@ -87,6 +94,23 @@
 	return report
 }
 
+// addIncarnations adds the accounts of one server, which are in the order of their start, and their
+// gaps.
+func (r *Report) addIncarnations(accounts []Account, responding map[uint64]bool, since release.Epoch) {
+	for index, a := range accounts {
+		r.addDroppedGap(a)
+		if !responding[a.Incarnation] {
+			r.addSilentGap(a, accounts[index+1:])
+		}
+		r.addAccount(a, since)
+	}
+}
+
+// byStart orders the incarnations of a server.
+func byStart(a, b Account) int {
+	return cmp.Or(cmp.Compare(a.Started, b.Started), cmp.Compare(a.Incarnation, b.Incarnation))
+}
+
 func hasIncarnation(accounts []Account, incarnation uint64) bool {
 	return slices.ContainsFunc(accounts, func(a Account) bool { return a.Incarnation == incarnation })
 }
@@ -109,13 +133,14 @@
 	})
 }
 
-// addSilentGap adds the time after the last report of an incarnation, up to the start of the next.
+// addSilentGap adds the time after the last report of an incarnation, up to the start of the first
+// later one.
 func (r *Report) addSilentGap(a Account, later []Account) {
 	gap := Gap{
 		Name:        a.Name,
 		Incarnation: a.Incarnation,
 		From:        a.LastSeen,
-		Reason:      "nothing was heard of it after this",
+		Reason:      reasonSilent,
 	}
 	if len(later) > 0 {
 		gap.To = later[0].Started
@@ -123,6 +148,7 @@
 	r.Gaps = append(r.Gaps, gap)
 }
 
+// addAccount adds an account without its intervals of epochs before since.
 func (r *Report) addAccount(a Account, since release.Epoch) {
 	isBefore := func(interval Interval) bool { return interval.Epoch < since }
 	a.Intervals = slices.DeleteFunc(a.Intervals, isBefore)
@@ -141,16 +167,16 @@
 	hasLag := server.ActiveEpoch != server.AssignedEpoch
 	switch {
 	case server.EjectionReason != "":
-		lagging.Reason = "ejected: " + server.EjectionReason
+		lagging.Reason = ejectedPrefix + server.EjectionReason
 	case !server.Reported:
-		lagging.Reason = "not heard since this leader leads"
-	case server.SecondsSinceHeard > maxReportAge:
-		lagging.Reason = "absent or cut off"
+		lagging.Reason = reasonNotReported
+	case server.SecondsSinceHeard > maxReportAgeSeconds:
+		lagging.Reason = reasonNoHeartbeat
 		lagging.SilentSeconds = server.SecondsSinceHeard
 	case hasLag && server.BlockedBy != "":
 		lagging.Reason = server.BlockedBy
 	case hasLag:
-		lagging.Reason = "on its way"
+		lagging.Reason = reasonApplying
 	default:
 		return
 	}
--- a/internal/policy/audit/trail.go
+++ b/internal/policy/audit/trail.go
@@ -1,7 +1,6 @@
 package audit
 
 import (
-	"cmp"
 	"maps"
 	"slices"
 
@@ -15,10 +14,10 @@
 	// maxIncarnations bounds the incarnations kept of a name: the present one, and enough earlier
 	// ones to see what the last one did.
 	maxIncarnations = 4
-	// maxServers bounds the names, as the release log does.
+	// maxServers bounds the names. The release log has the same bound.
 	maxServers = 4096
-	// SummaryIntervals is how many intervals a server reports unasked, so that others know the last
-	// actions of one that dies.
+	// SummaryIntervals is how many intervals a server reports regularly, so that others know on which
+	// versions it acted last if it dies.
 	SummaryIntervals = 4
 )
 
@@ -73,31 +72,31 @@
 // Summary returns the latest part of the account.
 func (t *Trail) Summary() Account { return t.account.latest(SummaryIntervals) }
 
-// Merge adds an account received from its server or from another one that received it. What is
-// known stays: of two reports of one incarnation the later one adds to the earlier. An account that
-// is malformed, or for which there is no room, is ignored.
-func (t *Trail) Merge(a Account) {
-	isOwn := a.Name == t.account.Name && a.Incarnation == t.account.Incarnation
-	if isOwn || a.Name == "" || len(a.Intervals) > maxIntervals || !a.isOrdered() {
+// Merge adds an account received from its server or from another one that received it. Two reports
+// of one incarnation are combined. An account that is malformed, or for which there is no room, is
+// ignored.
+func (t *Trail) Merge(received Account) {
+	isOwn := received.Name == t.account.Name && received.Incarnation == t.account.Incarnation
+	if isOwn || received.Name == "" || len(received.Intervals) > maxIntervals || !received.isOrdered() {
 		return
 	}
-	accounts, isKnown := t.others[a.Name]
+	accounts, isKnown := t.others[received.Name]
 	if !isKnown && len(t.others) >= maxServers {
 		return
 	}
-	sameIncarnation := func(other Account) bool { return other.Incarnation == a.Incarnation }
+	sameIncarnation := func(other Account) bool { return other.Incarnation == received.Incarnation }
 	if index := slices.IndexFunc(accounts, sameIncarnation); index >= 0 {
-		accounts[index] = mergeAccounts(accounts[index], a)
+		accounts[index] = mergeAccounts(accounts[index], received)
 		return
 	}
 	if len(accounts) >= maxIncarnations {
 		oldest := oldestAccount(accounts)
-		if accounts[oldest].LastSeen > a.LastSeen {
+		if accounts[oldest].LastSeen > received.LastSeen {
 			return
 		}
 		accounts = slices.Delete(accounts, oldest, oldest+1)
 	}
-	t.others[a.Name] = append(accounts, a.latest(maxIntervals))
+	t.others[received.Name] = append(accounts, received.latest(maxIntervals))
 }
 
 // oldestAccount returns the index of the account that was last seen first, by its own clock.
@@ -130,8 +129,3 @@
 func (t *Trail) Forget(isRegistered func(name string) bool) {
 	maps.DeleteFunc(t.others, func(name string, _ []Account) bool { return !isRegistered(name) })
 }
-
-// byStart orders the incarnations of a name.
-func byStart(a, b Account) int {
-	return cmp.Or(cmp.Compare(a.Started, b.Started), cmp.Compare(a.Incarnation, b.Incarnation))
-}
--- a/internal/policy/loadplan/group.go
+++ b/internal/policy/loadplan/group.go
@@ -18,6 +18,7 @@
 
 const workerSetSeparator = "\x00"
 
+// newWorkerSet returns the set of the names, which it sorts in place.
 func newWorkerSet(names []string) workerSet {
 	slices.Sort(names)
 	var text strings.Builder
@@ -37,12 +38,14 @@
 // each, in ascending order. There are at most maxForwarders groups.
 type groupSet string
 
+// with returns the set with an index added that is higher than all in it.
 func (s groupSet) with(index int) groupSet { return s + groupSet(indexRune(index)) }
 
 func (s groupSet) contains(index int) bool {
 	return strings.ContainsRune(string(s), indexRune(index))
 }
 
+// indexRune returns the rune for an index, which is never the zero rune.
 func indexRune(index int) rune { return rune(index + 1) }
 
 // forwarderGroup is the forwarders that are connected to the same workers. They get the same
@@ -61,9 +64,9 @@
 	capacity    float64
 }
 
-// assignWeights sets all forwarders' weights, by groups: so the linear program has few variables at
-// any size of the fleet. It returns false if the program was not solved and the weights follow from
-// the workers' capacities alone.
+// assignWeights sets all forwarders' weights, one forwarder group at a time: the linear program has
+// a variable for each pair of groups, which are few at any size of the fleet. It returns false if
+// the program was not solved and the weights follow from the workers' capacities alone.
 func (p *Planner) assignWeights() (solved bool) {
 	forwarders := p.groupForwarders()
 	workers := p.groupWorkers(forwarders)
--- a/internal/policy/loadplan/planner.go
+++ b/internal/policy/loadplan/planner.go
@@ -32,7 +32,7 @@
 // forwarderState is a forwarder as it last reported, and its share of the plan.
 type forwarderState struct {
 	Report
-	lastReport     float64 // time of arrival
+	lastReport     float64 // when it arrived
 	totalDemand    float64
 	demandByTenant map[string]float64
 	reachable      workerSet
@@ -45,12 +45,12 @@
 type workerState struct {
 	capacity      float64
 	lastConnected float64 // when a forwarder was last connected to it
-	round         roundStats
+	observed      workerObservations
 }
 
-// roundStats sums up what all forwarders observed of a worker since the last plan.
-type roundStats struct {
-	attempts workercapacity.Attempts
+// workerObservations sums what all forwarders observed of a worker since the last plan.
+type workerObservations struct {
+	attempts workercapacity.AttemptCounts
 	seconds  float64 // the longest time that one of the reports covers
 }
 
@@ -138,33 +138,40 @@
 func (p *Planner) updateWorkers(now float64, report *Report) (connected []string) {
 	for index := range report.Workers {
 		stats := &report.Workers[index]
-		worker := p.workers[stats.Name]
+		worker := p.worker(stats.Name)
 		if worker == nil {
-			if len(p.workers) >= maxWorkers {
-				continue
-			}
-			worker = &workerState{capacity: workercapacity.Min}
-			p.workers[stats.Name] = worker
+			continue
 		}
 		if stats.Connected {
 			worker.lastConnected = now
 			connected = append(connected, stats.Name)
 		}
-		worker.round.add(stats, report.IntervalSeconds)
+		worker.observed.add(stats, report.IntervalSeconds)
 	}
 	return connected
 }
 
-func (r *roundStats) add(stats *WorkerStats, seconds float64) {
-	r.attempts.Finished += stats.Finished
-	r.attempts.Rejected += stats.Rejected
-	r.attempts.Lost += stats.Lost
-	r.seconds = max(r.seconds, seconds)
+// worker returns the state of a worker, a new one if the name is new, or nil if the table is full.
+func (p *Planner) worker(name string) *workerState {
+	worker := p.workers[name]
+	if worker == nil && len(p.workers) < maxWorkers {
+		worker = &workerState{capacity: workercapacity.Min}
+		p.workers[name] = worker
+	}
+	return worker
+}
+
+// add adds a forwarder's observations, which cover the seconds.
+func (o *workerObservations) add(stats *WorkerStats, seconds float64) {
+	o.attempts.Finished += stats.Finished
+	o.attempts.Rejected += stats.Rejected
+	o.attempts.Lost += stats.Lost
+	o.seconds = max(o.seconds, seconds)
 }
 
 // solve computes a new plan.
 func (p *Planner) solve(now float64) {
-	roundSeconds := max(ReportIntervalSeconds, now-p.lastSolved)
+	sinceLastPlan := max(ReportIntervalSeconds, now-p.lastSolved)
 	p.lastSolved = now
 	p.hasPlan = true
 	p.version.Sequence++
@@ -172,10 +179,10 @@
 
 	totalCapacity := 0.0
 	for _, worker := range p.workers {
-		round := worker.round
-		worker.round = roundStats{}
-		seconds := max(roundSeconds, round.seconds)
-		worker.capacity = workercapacity.Update(worker.capacity, round.attempts, seconds)
+		observed := worker.observed
+		worker.observed = workerObservations{}
+		seconds := max(sinceLastPlan, observed.seconds)
+		worker.capacity = workercapacity.Update(worker.capacity, observed.attempts, seconds)
 		totalCapacity += worker.capacity
 	}
 	p.limitRates(totalCapacity)
--- a/internal/policy/loadplan/ratelimit.go
+++ b/internal/policy/loadplan/ratelimit.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// minTenantRate guards the division by a tenant's demand.
+// minTenantRate is the least divisor for a tenant's demand.
 const minTenantRate = 1e-9
 
 // limitRates sets the forwarders' rate limits. If the total demand exceeds the total capacity, the
--- a/internal/policy/loadplan/subscriber.go
+++ b/internal/policy/loadplan/subscriber.go
@@ -8,8 +8,8 @@
 	sentAt       map[uint64]float64 // by sequence number, of the reports that may still be answered
 	current      Version
 
-	// StaleAssignments counts the assignments that were not accepted.
-	StaleAssignments int
+	// RejectedAssignments counts the assignments that were not accepted.
+	RejectedAssignments int
 }
 
 // NewSubscriber returns the subscriber of a forwarder's incarnation. It follows no plan.
@@ -33,9 +33,9 @@
 }
 
 // Accept makes an assignment the current one and returns until when it is fresh, by the clock of
-// the reports. It returns 0 if the assignment is not accepted: if it is older than the current one,
-// answers no report of this incarnation, is malformed, or its lease has expired.
-func (s *Subscriber) Accept(now float64, assignment *Assignment) (freshUntil float64) {
+// the reports. An assignment is not accepted if it is older than the current
+// one, answers no report of this incarnation, is malformed, or its lease has expired.
+func (s *Subscriber) Accept(now float64, assignment *Assignment) (freshUntil float64, accepted bool) {
 	sent, isAnswer := s.sentAt[assignment.ReportSequence]
 	switch {
 	case !isAnswer,
@@ -43,11 +43,11 @@
 		assignment.Version.Compare(s.current) < 0,
 		!assignment.valid(),
 		now >= sent+assignment.LeaseSeconds:
-		s.StaleAssignments++
-		return 0
+		s.RejectedAssignments++
+		return 0, false
 	}
 	s.current = assignment.Version
-	return sent + assignment.LeaseSeconds
+	return sent + assignment.LeaseSeconds, true
 }
 
 // Version returns the version of the plan that the forwarder follows.
--- a/internal/policy/loadplan/subscriber_test.go
+++ b/internal/policy/loadplan/subscriber_test.go
@@ -25,8 +25,8 @@
 
 // accept offers an assignment, and reports whether it was accepted and whether it may be.
 func (f *testForwarder) accept(now float64, assignment *Assignment) (accepted, allowed bool) {
-	freshUntil := f.Accept(now, assignment)
-	if freshUntil == 0 {
+	freshUntil, accepted := f.Accept(now, assignment)
+	if !accepted {
 		return false, true
 	}
 	allowed = assignment.Incarnation == f.incarnation &&
--- a/internal/policy/routing/attempt.go
+++ b/internal/policy/routing/attempt.go
@@ -3,7 +3,7 @@
 import "swiftcourse/internal/policy/workercapacity"
 
 const (
-	// maxAttempts bounds the attempts of a request: a third would mostly find what the second did.
+	// maxAttempts bounds the attempts of a request: a third would mostly end as the second did.
 	maxAttempts = 2
 	// retryRatio is how much a first attempt adds to the budget of retries, and maxRetryTokens what
 	// may be saved up. So in an outage there are under 1.1 attempts per request.
@@ -14,8 +14,10 @@
 // retryBudget is a token bucket that first attempts fill and retries empty.
 type retryBudget struct{ tokens float64 }
 
+// addFirstAttempt adds what one first attempt earns.
 func (b *retryBudget) addFirstAttempt() { b.tokens = min(maxRetryTokens, b.tokens+retryRatio) }
 
+// take takes the token of one retry, and returns false if there is none.
 func (b *retryBudget) take() bool {
 	if b.tokens < 1 {
 		return false
@@ -37,8 +39,8 @@
 	}
 }
 
-// FinishAttempt records how an attempt ended and how many seconds it took. A retryAfter is for how
-// many seconds the worker wants no more requests, 0 if it did not say.
+// FinishAttempt records how an attempt ended and how many seconds it took. The retryAfter is for
+// how many seconds the worker asked for no more requests, 0 if it did not.
 func (r *Router) FinishAttempt(now float64, name string, outcome Outcome, latency, retryAfter float64) {
 	w := r.byName[name]
 	if w == nil {
@@ -50,19 +52,19 @@
 	case Finished:
 		r.latency += overallLatencySmoothing * (latency - r.latency)
 		w.recordLatency(latency)
-		w.count(func(counts *workercapacity.Attempts) { counts.Finished++ })
+		w.updateCounts(func(counts *workercapacity.AttemptCounts) { counts.Finished++ })
 	case Rejected:
 		w.penalty.value += rejectionPenalty
-		w.count(func(counts *workercapacity.Attempts) { counts.Rejected++ })
-		w.breaker.delay(now, retryAfter)
+		w.updateCounts(func(counts *workercapacity.AttemptCounts) { counts.Rejected++ })
+		w.breaker.applyRetryAfter(now, retryAfter)
 	case ConnectionLost, TimedOut:
-		w.count(func(counts *workercapacity.Attempts) { counts.Lost++ })
+		w.updateCounts(func(counts *workercapacity.AttemptCounts) { counts.Lost++ })
 	}
 	w.breaker.finishAttempt(now, outcome)
 }
 
-// Retry is a request whose last attempt ended, for AllowRetry.
-type Retry struct {
+// RetryCandidate is a request whose last attempt ended, and that AllowRetry decides about.
+type RetryCandidate struct {
 	LastOutcome    Outcome
 	Attempts       int // so far
 	IsIdempotent   bool
@@ -70,8 +72,8 @@
 	TypicalLatency float64 // of such requests
 }
 
-// isUseful reports whether another attempt is safe and has a chance to finish.
-func (r *Retry) isUseful() bool {
+// isEligible reports whether another attempt is safe and has a chance to finish in time.
+func (r *RetryCandidate) isEligible() bool {
 	switch r.LastOutcome {
 	case Finished, Failed, TimedOut, Cancelled:
 		return false
@@ -85,6 +87,6 @@
 // AllowRetry reports whether a request may have another attempt, and takes it from the budget of
 // retries if so. A request is not retried if it may have been executed and is not idempotent, or if
 // the remaining time is too short.
-func (r *Router) AllowRetry(retry Retry) bool {
-	return retry.isUseful() && r.retries.take()
+func (r *Router) AllowRetry(candidate RetryCandidate) bool {
+	return candidate.isEligible() && r.retries.take()
 }
--- a/internal/policy/routing/breaker.go
+++ b/internal/policy/routing/breaker.go
@@ -9,12 +9,12 @@
 	ejected                  // it lost attempts and receives no requests for a while
 	probing                  // it receives one request at a time, to see whether it has recovered
 	disconnected             // there is no connection to it
-	workerStates
+	workerStateCount
 )
 
 // String returns the name of the state.
 func (s workerState) String() string {
-	return [...]string{"healthy", "ejected", "probing", "disconnected", "unknown"}[min(s, workerStates)]
+	return [...]string{"healthy", "ejected", "probing", "disconnected", "unknown"}[min(s, workerStateCount)]
 }
 
 // workerEvent is what can change a worker's state.
@@ -29,7 +29,7 @@
 	connectionOpened
 )
 
-// transitions is the whole state machine. An event that is not listed for a state does not change it.
+// transitions are all changes of state. An event that is not listed for a state does not change it.
 var transitions = [...]struct {
 	state workerState
 	event workerEvent
@@ -59,17 +59,17 @@
 
 // circuitBreaker decides whether a worker may receive requests.
 type circuitBreaker struct {
-	state             workerState
-	probeInFlight     bool
-	probingSince      float64
-	consecutiveLosses int
-	nextEjection      float64 // duration
-	unavailableUntil  float64 // end of the ejection or of the worker's Retry-After
+	state               workerState
+	probeInFlight       bool
+	probingSince        float64
+	consecutiveLosses   int
+	nextEjectionSeconds float64
+	unavailableUntil    float64 // end of the ejection or of the worker's Retry-After
 }
 
 // newCircuitBreaker returns the breaker of a worker that is not connected.
 func newCircuitBreaker() circuitBreaker {
-	return circuitBreaker{state: disconnected, nextEjection: minEjectionSeconds}
+	return circuitBreaker{state: disconnected, nextEjectionSeconds: minEjectionSeconds}
 }
 
 // handle changes the state by the table of transitions.
@@ -100,7 +100,7 @@
 	}
 }
 
-// available reports whether some request may go to the worker now.
+// available reports whether at least idempotent requests may go to the worker now.
 func (b *circuitBreaker) available(now float64) bool {
 	switch b.state {
 	case ejected, disconnected:
@@ -113,7 +113,7 @@
 	return now >= b.unavailableUntil
 }
 
-// acceptsOnlyIdempotent reports whether the worker began to be probed a short time ago.
+// acceptsOnlyIdempotent reports whether only idempotent requests may probe the worker still.
 func (b *circuitBreaker) acceptsOnlyIdempotent(now float64) bool {
 	return b.state == probing && now < b.probingSince+idempotentProbeSeconds
 }
@@ -125,8 +125,8 @@
 	}
 }
 
-// delay keeps requests away for as long as the worker asked, up to the longest ejection.
-func (b *circuitBreaker) delay(now, retryAfter float64) {
+// applyRetryAfter keeps requests away for as long as the worker asked, up to the longest ejection.
+func (b *circuitBreaker) applyRetryAfter(now, retryAfter float64) {
 	b.unavailableUntil = max(b.unavailableUntil, now+min(retryAfter, maxEjectionSeconds))
 }
 
@@ -135,7 +135,7 @@
 	switch outcome {
 	case Finished, Rejected, Failed:
 		b.consecutiveLosses = 0
-		b.nextEjection = minEjectionSeconds
+		b.nextEjectionSeconds = minEjectionSeconds
 		b.probeInFlight = false
 		b.handle(responded)
 	case ConnectionLost, TimedOut:
@@ -149,10 +149,10 @@
 	}
 }
 
-// eject keeps requests away, twice as long as the last time.
+// eject keeps requests away for nextEjectionSeconds, and doubles that for the next time.
 func (b *circuitBreaker) eject(now float64) {
-	b.unavailableUntil = now + b.nextEjection
-	b.nextEjection = min(maxEjectionSeconds, 2*b.nextEjection)
+	b.unavailableUntil = now + b.nextEjectionSeconds
+	b.nextEjectionSeconds = min(maxEjectionSeconds, 2*b.nextEjectionSeconds)
 	b.probeInFlight = false
 	if b.state == probing {
 		b.handle(attemptLost)
--- a/internal/policy/routing/outcome.go
+++ b/internal/policy/routing/outcome.go
@@ -12,14 +12,14 @@
 	ConnectionLost         // the connection broke; the worker may have executed it
 	TimedOut               // there was no answer before the deadline
 	Cancelled              // the client no longer waits
-	outcomes
+	outcomeCount
 )
 
 // String returns the outcome in words.
 func (o Outcome) String() string {
 	return [...]string{
 		"finished", "rejected", "failed", "not sent", "connection lost", "timed out", "cancelled", "unknown",
-	}[min(o, outcomes)]
+	}[min(o, outcomeCount)]
 }
 
 // KnownNotExecuted reports whether the worker is known not to have executed the request.
--- a/internal/policy/routing/pick.go
+++ b/internal/policy/routing/pick.go
@@ -6,9 +6,9 @@
 )
 
 // Pick returns the worker for a request: of two drawn by weight, the one with the lower expected
-// latency. It is "" if no worker may have the request; retryAfter is then the seconds until one may,
-// 0 if that is unknown. Excluded are the workers that had the request before. A worker that is
-// probed is left to idempotent requests at first.
+// latency. The name is "" if no worker may have the request; retryAfter is then the seconds until
+// one may, 0 if that is unknown. Excluded are the workers that had the request before. A worker that
+// is probed receives only idempotent requests at first.
 func (r *Router) Pick(now float64, isIdempotent bool, excluded ...string) (name string, retryAfter float64) {
 	total := r.sumWeights(now, isIdempotent, excluded)
 	if total <= 0 {
@@ -19,7 +19,7 @@
 	// A worker in slow start has few requests in flight: preferring it would double its share.
 	isWarm := r.slowStartFactor(second, now) == 1
 	if isWarm && r.expectedLatency(second, now) < r.expectedLatency(first, now) {
-		first = second
+		return second.name, 0
 	}
 	return first.name, 0
 }
@@ -31,8 +31,8 @@
 	r.cumulativeWeights = r.cumulativeWeights[:0]
 	for _, w := range r.workers {
 		weight := r.weight(w, now, influence)
-		isReserved := !isIdempotent && w.breaker.acceptsOnlyIdempotent(now)
-		if isReserved || slices.Contains(excluded, w.name) {
+		isRefused := !isIdempotent && w.breaker.acceptsOnlyIdempotent(now)
+		if isRefused || slices.Contains(excluded, w.name) {
 			weight = 0
 		}
 		total += weight
@@ -41,8 +41,8 @@
 	return total
 }
 
-// nextAvailability returns the seconds until a connected worker is available, 0 if none will be by
-// the passing of time. It is called when no worker may have a request.
+// nextAvailability returns the seconds until a connected worker is available, 0 if none is waiting
+// for a time to pass. The caller has found that no worker is available now.
 func (r *Router) nextAvailability(now float64) float64 {
 	next := math.Inf(1)
 	for _, w := range r.workers {
@@ -57,16 +57,17 @@
 }
 
 // workerAt returns the worker whose range of the cumulative weights a number falls into.
-func (r *Router) workerAt(x float64) *worker {
-	index, _ := slices.BinarySearch(r.cumulativeWeights, x)
+func (r *Router) workerAt(position float64) *worker {
+	index, _ := slices.BinarySearch(r.cumulativeWeights, position)
 	// The end of a range belongs to the next worker; those without weight have an empty range.
-	for index < len(r.cumulativeWeights)-1 && r.cumulativeWeights[index] <= x {
+	for index < len(r.cumulativeWeights)-1 && r.cumulativeWeights[index] <= position {
 		index++
 	}
 	return r.workers[min(index, len(r.workers)-1)]
 }
 
-// expectedLatency returns how long a request would take at the worker, for comparison.
+// expectedLatency returns an estimate of how long a request would take at the worker, to compare
+// workers by. It decays the worker's penalty to now first.
 func (r *Router) expectedLatency(w *worker, now float64) float64 {
 	r.decayPenalty(w, now)
 	latency := w.latency
@@ -76,7 +77,7 @@
 	return (float64(w.inFlight) + w.penalty.value + 1) * latency
 }
 
-// decayPenalty has rejections count as requests in flight for about as long as requests take at any
-// worker. Without the penalty a slow worker that rejects at once would look as idle as a fast one,
-// and attract all requests.
+// decayPenalty decays a worker's penalty with the mean latency of all workers as its time constant.
+// Without the penalty a worker that rejects at once would look as idle as a fast one, and attract
+// all requests.
 func (r *Router) decayPenalty(w *worker, now float64) { w.penalty.decay(now, r.latency) }
--- a/internal/policy/routing/router.go
+++ b/internal/policy/routing/router.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// AddWorker adds a worker that is not connected. A name that is present, or for which there is no
-// room, changes nothing.
+// AddWorker adds a worker that is not connected. It ignores a name that it has already,
+// and any name once there are maxWorkers.
 func (r *Router) AddWorker(now float64, name string) {
 	if r.byName[name] != nil || len(r.workers) >= maxWorkers {
 		return
--- a/internal/policy/routing/router_test.go
+++ b/internal/policy/routing/router_test.go
@@ -93,7 +93,13 @@
 	m.router.FinishAttempt(m.now, name, outcome, m.now-m.inFlight[name][0], 0.2*m.chance.Float64())
 	m.inFlight[name] = m.inFlight[name][1:]
 	isIdempotent := m.chance.IntN(2) == 0
-	retry := Retry{LastOutcome: outcome, Attempts: 1, IsIdempotent: isIdempotent, Remaining: 1, TypicalLatency: 0.1}
+	retry := RetryCandidate{
+		LastOutcome:    outcome,
+		Attempts:       1,
+		IsIdempotent:   isIdempotent,
+		Remaining:      1,
+		TypicalLatency: 0.1,
+	}
 	if !m.router.AllowRetry(retry) {
 		return
 	}
--- a/internal/policy/routing/slowstart.go
+++ b/internal/policy/routing/slowstart.go
@@ -35,6 +35,7 @@
 	return slowStartMargin * (s.initialSpeed + (1-s.initialSpeed)*max(0, sinceConnected)/s.seconds)
 }
 
+// slowStartFactor returns the fraction of its weight that a worker has now.
 func (r *Router) slowStartFactor(w *worker, now float64) float64 {
 	return r.slowStart.factor(now - w.connectedAt)
 }
--- a/internal/policy/routing/stats.go
+++ b/internal/policy/routing/stats.go
@@ -18,7 +18,7 @@
 			Rejected:  w.reportCounts.Rejected,
 			Lost:      w.reportCounts.Lost,
 		})
-		w.reportCounts = workercapacity.Attempts{}
+		w.reportCounts = workercapacity.AttemptCounts{}
 	}
 	return stats
 }
--- a/internal/policy/routing/weight.go
+++ b/internal/policy/routing/weight.go
@@ -7,38 +7,38 @@
 )
 
 const (
-	// maxPlanShift is the fraction of all weight that one plan may move, so that a wrong plan is
-	// noticed before it has moved everything.
+	// maxPlanShift is the largest fraction of all weight that one plan may move between workers,
+	// so that a wrong plan is noticed before it has moved everything.
 	maxPlanShift = 0.25
 	// localWeightSmoothing is the weight of the latest estimate in a worker's local weight.
 	localWeightSmoothing = 0.3
-	// minLearnSeconds guards the division by the time since the last estimate.
+	// minLearnSeconds is the least divisor for the time since the last estimate.
 	minLearnSeconds = 1e-3
 )
 
-// planPeriod is when the load plan counts: fully until it expires, then less and less.
+// planPeriod is when the load plan has influence: all of it until freshUntil, then linearly less.
 type planPeriod struct {
-	freshUntil float64
-	agedAt     float64 // when it no longer counts
+	freshUntil  float64
+	ignoredFrom float64 // when it has no influence any more
 }
 
-// influence returns how much of the plan counts, from 0 to 1.
+// influence returns the fraction of a weight that the plan determines.
 func (p *planPeriod) influence(now float64) float64 {
 	switch {
 	case now <= p.freshUntil:
 		return 1
-	case now >= p.agedAt:
+	case now >= p.ignoredFrom:
 		return 0
 	}
-	return (p.agedAt - now) / (p.agedAt - p.freshUntil)
+	return (p.ignoredFrom - now) / (p.ignoredFrom - p.freshUntil)
 }
 
-// PlanInfluence returns how much of the load plan counts now, from 0 to 1.
+// PlanInfluence returns the fraction of the weights that the load plan determines now.
 func (r *Router) PlanInfluence(now float64) float64 { return r.plan.influence(now) }
 
-// ApplyPlan moves the workers' weights towards those of a plan that is fresh until a time, and ages
-// for as long after it as it was fresh. A worker without a weight in the plan gets none. A plan
-// whose weights add up to nothing, or that is no longer fresh, is ignored.
+// ApplyPlan moves the workers' weights towards those of a plan. The plan has all influence until
+// freshUntil, and loses it linearly over the same duration after that. A worker without a weight in
+// the plan gets none. A plan whose weights add up to nothing, or that is no longer fresh, is ignored.
 func (r *Router) ApplyPlan(now float64, weights map[string]float64, freshUntil float64) {
 	sum := 0.0
 	for _, w := range r.workers {
@@ -63,7 +63,7 @@
 	for _, w := range r.workers {
 		w.planWeight += step * (target(w) - w.planWeight)
 	}
-	r.plan = planPeriod{freshUntil: freshUntil, agedAt: freshUntil + (freshUntil - now)}
+	r.plan = planPeriod{freshUntil: freshUntil, ignoredFrom: freshUntil + (freshUntil - now)}
 }
 
 // weight returns a worker's weight now, 0 if no request may go to it.
@@ -80,8 +80,8 @@
 func (r *Router) LearnCapacity(seconds float64) {
 	sum := 0.0
 	for _, w := range r.workers {
-		w.capacity = workercapacity.Update(w.capacity, w.roundCounts, max(seconds, minLearnSeconds))
-		w.roundCounts = workercapacity.Attempts{}
+		w.capacity = workercapacity.Update(w.capacity, w.learnCounts, max(seconds, minLearnSeconds))
+		w.learnCounts = workercapacity.AttemptCounts{}
 		sum += w.capacity
 	}
 	for _, w := range r.workers {
--- a/internal/policy/routing/worker.go
+++ b/internal/policy/routing/worker.go
@@ -21,11 +21,11 @@
 	minPenaltyDecaySeconds = 0.05
 )
 
-// worker is what a forwarder knows of one worker.
+// worker is the state of one worker.
 type worker struct {
 	name        string
 	breaker     circuitBreaker
-	connectedAt float64 // when a connection came up after there was none
+	connectedAt float64 // when the worker last changed from disconnected to connected
 	inFlight    int
 	latency     float64 // moving average in seconds, 0 until an attempt has finished
 	penalty     decayingPenalty
@@ -34,17 +34,18 @@
 	localWeight float64 // by this forwarder's own attempts, 1 on average
 	capacity    float64 // requests per second of this forwarder that it finishes
 
-	roundCounts  workercapacity.Attempts // since the capacity was estimated
-	reportCounts workercapacity.Attempts // since the last report
+	learnCounts  workercapacity.AttemptCounts // since the last call of LearnCapacity
+	reportCounts workercapacity.AttemptCounts // since the last call of TakeStats
 }
 
-// decayingPenalty is the number of requests in flight that recent rejections still count as.
+// decayingPenalty is the number of requests in flight that recent rejections count as. It decays
+// exponentially.
 type decayingPenalty struct {
 	value     float64
 	updatedAt float64
 }
 
-// decay reduces the penalty exponentially by the time since it was updated.
+// decay reduces the penalty by the time since it was updated.
 func (p *decayingPenalty) decay(now, timeConstant float64) {
 	if now > p.updatedAt {
 		p.value *= math.Exp(-(now - p.updatedAt) / max(minPenaltyDecaySeconds, timeConstant))
@@ -52,9 +53,9 @@
 	}
 }
 
-// count applies a change to both tallies of attempts.
-func (w *worker) count(add func(*workercapacity.Attempts)) {
-	add(&w.roundCounts)
+// updateCounts applies a change to both counts of attempts.
+func (w *worker) updateCounts(add func(*workercapacity.AttemptCounts)) {
+	add(&w.learnCounts)
 	add(&w.reportCounts)
 }
 
--- a/internal/policy/workercapacity/estimate.go
+++ b/internal/policy/workercapacity/estimate.go
@@ -1,10 +1,10 @@
-// Package workercapacity estimates how many requests per second a worker finishes, from what became
-// of the attempts at it.
+// Package workercapacity estimates how many requests per second a worker can finish, from the
+// outcomes of the attempts at it.
 //
 // A worker that rejects or loses attempts is at its capacity: the estimate moves towards what it
-// finished. One that does not is below it: the estimate moves towards somewhat more than that. The
-// planner of the load plan estimates by what all forwarders observed, a forwarder by its own
-// attempts alone. The package has no state, clock or I/O.
+// finished. One that does not is below it: the estimate rises towards somewhat more than it
+// finished. The planner of the load plan estimates by what all forwarders observed, a forwarder by
+// its own attempts alone. The package has no state, clock or I/O.
 package workercapacity
 
 const (
@@ -21,8 +21,8 @@
 	headroom = 1.25
 )
 
-// Attempts counts attempts at a worker by what became of them.
-type Attempts struct {
+// AttemptCounts counts attempts at a worker by outcome.
+type AttemptCounts struct {
 	Finished int
 	Rejected int
 	Lost     int // timed out, or the connection broke
@@ -30,12 +30,12 @@
 
 // Update returns the estimate that follows previous after an interval in which these attempts ended.
 // An interval without attempts does not change it.
-func Update(previous float64, attempts Attempts, intervalSeconds float64) float64 {
+func Update(previous float64, attempts AttemptCounts, intervalSeconds float64) float64 {
 	total := attempts.Finished + attempts.Rejected + attempts.Lost
-	refused := attempts.Rejected + attempts.Lost
+	unfinished := attempts.Rejected + attempts.Lost
 	rate := float64(attempts.Finished) / intervalSeconds
 	switch {
-	case float64(refused) > overloadRatio*float64(total):
+	case float64(unfinished) > overloadRatio*float64(total):
 		return previous + smoothing*(max(Min, rate)-previous)
 	case rate*headroom > previous:
 		return previous + smoothing*(rate*headroom-previous)
