--- a/cmd/swiftcourse-bench/shared.go
+++ b/cmd/swiftcourse-bench/shared.go
@@ -44,7 +44,7 @@
 func (c *sharedCommand) runProcesses(ctx context.Context, seed uint64) (quotas.Row, error) {
 	plan := &quotas.Plan{Program: c.Program, Servers: c.Servers, Seconds: c.Seconds, Seed: seed}
 	if c.Fault != faultFromSeed {
-		plan.Fault = c.Fault
+		plan.Fault = quotas.Fault(c.Fault)
 	}
 	if err := plan.Validate(); err != nil {
 		return quotas.Row{}, err
--- a/internal/bench/quotas/quotas.go
+++ b/internal/bench/quotas/quotas.go
@@ -1,14 +1,16 @@
-// Package quotas is an experiment on a budget that all servers of a fleet share: processes of the real program get more demand than it bears, here and
-// there, while they are killed, stopped and cut off by a seed, and an account of all that was finished is held against the budget.
+// Package quotas is an experiment on a quota that all servers of a fleet share: processes of the real program get more demand than
+// it allows, here and there, while they are killed, paused and partitioned by a seed. The finished requests, counted by their
+// clients, are compared with the quota.
+//
+// Run owns the processes of an experiment; it may be called by one goroutine at a time.
 package quotas
 
 import (
 	"context"
 	"fmt"
 	"io"
-	"math/rand/v2"
 	"slices"
-	"strings"
+	"strconv"
 	"time"
 
 	"swiftcourse/internal/bench/faultinjection"
@@ -16,129 +18,224 @@
 	"swiftcourse/internal/wire/simulator"
 )
 
-// Plan is one run.
+// Fault is a kind of fault.
+type Fault string
+
+// The kinds of faults.
+const (
+	FaultKill   Fault = "kill"    // a server restarts
+	FaultLeader Fault = "leader"  // the leader restarts
+	FaultPause  Fault = "stop"    // a server is paused
+	FaultCut    Fault = "cut"     // a minority is partitioned
+	FaultOneWay Fault = "one-way" // a server receives nothing
+	FaultLoss   Fault = "loss"    // all links lose and duplicate
+	FaultShift  Fault = "jump"    // the demand moves to another server
+	FaultVoters Fault = "voters"  // all voters restart together
+	anyFault    Fault = ""        // drawn among the kinds
+)
+
+// FaultKinds are all kinds of faults.
+var FaultKinds = []Fault{
+	FaultKill, FaultLeader, FaultPause, FaultCut, FaultOneWay, FaultLoss, FaultShift, FaultVoters,
+}
+
+// Plan is one experiment.
 type Plan struct {
 	Program string
 	Servers int
 	Seconds float64 // of faults
-	Fault   string  // one of Faults that comes again and again; "" draws among them
+	Fault   Fault   // one of FaultKinds, again and again; "" draws among them
 	Seed    uint64
 	Log     io.Writer
 }
 
-// FaultKinds by name.
-var FaultKinds = []string{"kill", "leader", "stop", "cut", "one-way", "loss", "jump", "voters"}
-
-// Validate tells what is wrong with a plan.
+// Validate returns an error that names the limits if a value is outside of them.
 func (p *Plan) Validate() error {
-	if p.Servers < 3 || p.Servers > 30 || p.Seconds < 2 || p.Seconds > 600 || p.Fault != "" && !slices.Contains(FaultKinds, p.Fault) {
-		return fmt.Errorf("--servers %d --seconds %g --fault %q: from 3 to 30, 2 to 600, and one of %v", p.Servers, p.Seconds, p.Fault, FaultKinds)
+	if p.Servers < 3 || p.Servers > 30 || p.Seconds < 2 || p.Seconds > 600 ||
+		p.Fault != anyFault && !slices.Contains(FaultKinds, p.Fault) {
+		return fmt.Errorf("--servers %d --seconds %g --fault %q: from 3 to 30, 2 to 600, and one of %v",
+			p.Servers, p.Seconds, p.Fault, FaultKinds)
 	}
 	return nil
 }
 
-// Row is what a run came to.
+// Row is the result of an experiment.
 type Row struct {
 	Seed                 uint64  `json:"seed"`
 	Servers              int     `json:"servers"`
 	Faults               int     `json:"faults"`
 	Requests             int     `json:"asked"`
 	Finished             int     `json:"finished"`
-	MaxExcess            float64 `json:"overspend_max"` // tasks finished within any time beyond the budget in that time
-	AllowedExcess        float64 `json:"slack"`         // what that may be
+	MaxExcess            float64 `json:"overspend_max"` // requests finished in any interval over the quota of its length
+	AllowedExcess        float64 `json:"slack"`         // what MaxExcess may be
 	UsedShare            float64 `json:"used_of_budget"`
-	ShiftMillis          float64 `json:"hot_share_after_ms"` // until the server to which demand jumped had half of the budget in a second; measured over that second
-	CutOffService        float64 `json:"silent_service"`     // tasks a second of one cut off for over a lease, over its floor
+	ShiftMillis          float64 `json:"hot_share_after_ms"` // until the server to which demand moved used half of the quota, over a second
+	CutOffService        float64 `json:"silent_service"`     // requests a second of a server cut off for over a lease, over its floor
 	UsedShareHealed      float64 `json:"used_of_budget_after"`
-	GossipBytesPerSecond float64 `json:"talk_bytes_s"` // that a server sends, all of the fleet's, without faults
+	GossipBytesPerSecond float64 `json:"talk_bytes_s"` // sent by a server, of all gossip, without faults
 }
 
-// Columns and Cells are those of the table.
-var Columns = []string{"seed", "servers", "faults", "asked", "finished", "over", "slack", "used", "hot ms", "silent", "after", "B/s"}
+// Columns are the heads of the table.
+var Columns = []string{
+	"seed", "servers", "faults", "asked", "finished", "over", "slack", "used", "hot ms", "silent", "after", "B/s",
+}
 
-// Cells are a row's in the table.
+// Cells returns the row for the table.
 func (r Row) Cells() []string {
-	return strings.Fields(fmt.Sprintf("%d %d %d %d %d %.1f %.0f %.3f %.0f %.2f %.3f %.0f", r.Seed, r.Servers, r.Faults, r.Requests, r.Finished, r.MaxExcess, r.AllowedExcess, r.UsedShare,
-		r.ShiftMillis, r.CutOffService, r.UsedShareHealed, r.GossipBytesPerSecond))
+	return []string{
+		strconv.FormatUint(r.Seed, 10),
+		strconv.Itoa(r.Servers),
+		strconv.Itoa(r.Faults),
+		strconv.Itoa(r.Requests),
+		strconv.Itoa(r.Finished),
+		fmt.Sprintf("%.1f", r.MaxExcess),
+		fmt.Sprintf("%.0f", r.AllowedExcess),
+		fmt.Sprintf("%.3f", r.UsedShare),
+		fmt.Sprintf("%.0f", r.ShiftMillis),
+		fmt.Sprintf("%.2f", r.CutOffService),
+		fmt.Sprintf("%.3f", r.UsedShareHealed),
+		fmt.Sprintf("%.0f", r.GossipBytesPerSecond),
+	}
 }
 
-// Violations counts what must not be: more than the slack over the budget, a silent server that serves nothing, a budget that is not used again.
-func (r Row) Violations() (n int) {
-	for _, bad := range []bool{r.MaxExcess > r.AllowedExcess, r.CutOffService == 0, r.UsedShareHealed < 0.8} {
-		if bad {
-			n++
+// minHealedShare is the share of the quota that has to be used once all faults are healed.
+const minHealedShare = 0.8
+
+// Violations counts what breaks an invariant: use over the quota, a server cut off that serves nothing, and a quota that is not
+// used again.
+func (r Row) Violations() (count int) {
+	for _, broken := range []bool{r.MaxExcess > r.AllowedExcess, r.CutOffService == 0, r.UsedShareHealed < minHealedShare} {
+		if broken {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 const (
-	limitPerServer = 12.0 // tasks a second of the budget, a server
-	hotDemandRatio = 4.0  // times the budget that the hot server is asked for
 	tenantName     = "acme"
-	leaseDuration  = 2 * time.Second
+	limitPerServer = 12.0 // requests a second of the quota, for each server
 	floorFraction  = 0.1
-	settleTimeout  = 30 * time.Second
+	leaseDuration  = 2 * time.Second
+	voters         = 3
+	hotDemandRatio = 4.0 // of the demand at the hot server, over the quota
+	idleDemand     = limitPerServer / 3
+	settleTimeout  = 30 * time.Second // for the quota to be used
 	measurePeriod  = 6 * time.Second
+	rateWindow     = 2 * time.Second
 )
 
+// experiment is one run of a plan.
 type experiment struct {
 	*Plan
 	fleet     *faultinjection.Fleet
 	load      *faultinjection.Load
-	limit     float64
+	limit     float64 // of the quota, requests a second
 	hotServer string
 	row       Row
 }
 
-// Run plays a seed.
-func Run(ctx context.Context, p *Plan) (Row, error) {
-	most := limitPerServer * float64(p.Servers)
-	terms := quota.Config{LeaseSeconds: leaseDuration.Seconds(), FloorFraction: floorFraction, MaxServers: p.Servers, Limits: []quota.Limit{{Name: tenantName, Max: most}}}
-	r := &experiment{Plan: p, limit: most, row: Row{Seed: p.Seed, Servers: p.Servers, AllowedExcess: terms.MaxBurst(&terms.Limits[0])}}
-	shape := faultinjection.SmallShape(p.Program)
-	shape.Log = p.Log
-	f, err := faultinjection.Start(ctx, faultinjection.Config{Shape: shape, Servers: p.Servers, Voters: 3, Seed: p.Seed, Tenants: []simulator.Tenant{{Name: tenantName, RatePerS: 1e6}},
-		ExtraSettings: fmt.Sprintf("door on\nfleet-lease %s\nfleet-behind 2s\nbudget tenant/%s=%g\nbudget-servers %d\n", leaseDuration, tenantName, most, p.Servers)})
-	if err != nil {
-		return r.row, fmt.Errorf("seed %d: %w", p.Seed, err)
+// Run runs the plan.
+func Run(ctx context.Context, plan *Plan) (Row, error) {
+	limit := limitPerServer * float64(plan.Servers)
+	settings := quota.Config{
+		LeaseSeconds:  leaseDuration.Seconds(),
+		FloorFraction: floorFraction,
+		MaxServers:    plan.Servers,
+		Limits:        []quota.Limit{{Name: tenantName, Max: limit}},
 	}
-	defer f.Close()
-	asking, end := context.WithCancel(ctx)
-	defer end()
-	r.fleet, r.load = f, f.StartLoad(asking, tenantName)
-	r.shiftDemand(f.Names[len(f.Names)-1])
-	if !faultinjection.WaitUntil(settleTimeout, func() bool { return r.finishRate(2*time.Second) > 0.8*most }) {
-		return r.row, fmt.Errorf("seed %d: the budget is not used after %s: %.1f of %.0f a second", p.Seed, settleTimeout, r.finishRate(2*time.Second), most)
+	r := &experiment{
+		Plan:  plan,
+		limit: limit,
+		row: Row{
+			Seed:          plan.Seed,
+			Servers:       plan.Servers,
+			AllowedExcess: settings.MaxBurst(&settings.Limits[0]),
+		},
 	}
-	sent, from := r.fleet.BytesSent(), time.Now()
-	r.row.UsedShare = r.measureUsedShare(ctx, measurePeriod)
-	r.row.GossipBytesPerSecond = float64(r.fleet.BytesSent()-sent) / time.Since(from).Seconds() / float64(p.Servers)
-	from = time.Now()
-	r.shiftDemand(f.Names[0])
-	faultinjection.WaitUntil(settleTimeout, func() bool { return r.load.Rate(r.hotServer, time.Second) > most/2 })
-	r.row.ShiftMillis = float64(time.Since(from).Milliseconds())
+	if err := r.startFleet(ctx); err != nil {
+		return r.row, fmt.Errorf("seed %d: %w", plan.Seed, err)
+	}
+	defer r.fleet.Close()
+	loadCtx, stopLoad := context.WithCancel(ctx)
+	defer stopLoad()
+	r.load = r.fleet.StartLoad(loadCtx, tenantName)
+	if err := r.measureHealthy(ctx); err != nil {
+		return r.row, fmt.Errorf("seed %d: %w", plan.Seed, err)
+	}
+	r.measureShift()
 	r.measurePartition(ctx)
 	r.injectFaults(ctx)
-	f.Net.Heal()
-	r.shiftDemand(f.Names[len(f.Names)-1])
-	faultinjection.WaitUntil(settleTimeout, func() bool { return r.finishRate(2*time.Second) > 0.9*most })
-	r.row.UsedShareHealed = r.measureUsedShare(ctx, measurePeriod)
-	end()
+	r.measureHealed(ctx)
+	stopLoad()
 	r.load.Wait()
 	r.row.Requests, r.row.Finished, _ = r.load.Counts()
-	r.row.MaxExcess = r.load.MaxExcess(most, f.Names...)
+	r.row.MaxExcess = r.load.MaxExcess(limit, r.fleet.Names...)
 	return r.row, ctx.Err()
 }
 
-// shiftDemand has one server be asked for far more than the budget, and the others for less than their even part.
+// startFleet starts the processes.
+func (r *experiment) startFleet(ctx context.Context) (err error) {
+	shape := faultinjection.SmallShape(r.Program)
+	shape.Log = r.Log
+	r.fleet, err = faultinjection.Start(ctx, faultinjection.Config{
+		Shape:   shape,
+		Servers: r.Servers,
+		Voters:  voters,
+		Seed:    r.Seed,
+		Tenants: []simulator.Tenant{{Name: tenantName, RatePerS: 1e6}},
+		ExtraSettings: fmt.Sprintf("door on\nfleet-lease %s\nfleet-behind 2s\nbudget tenant/%s=%g\nbudget-servers %d\n",
+			leaseDuration, tenantName, r.limit, r.Servers),
+	})
+	return err
+}
+
+// measureHealthy waits until the quota is used, and measures use and gossip without faults.
+func (r *experiment) measureHealthy(ctx context.Context) error {
+	names := r.fleet.Names
+	r.shiftDemand(names[len(names)-1])
+	if !r.waitForRate(0.8 * r.limit) {
+		return fmt.Errorf("the quota is not used after %s: %.1f of %.0f a second",
+			settleTimeout, r.finishRate(rateWindow), r.limit)
+	}
+	sentBefore := r.fleet.BytesSent()
+	from := time.Now()
+	r.row.UsedShare = r.measureUsedShare(ctx, measurePeriod)
+	sent := float64(r.fleet.BytesSent() - sentBefore)
+	r.row.GossipBytesPerSecond = sent / time.Since(from).Seconds() / float64(r.Servers)
+	return nil
+}
+
+// measureShift moves the demand, and measures how soon the quota follows.
+func (r *experiment) measureShift() {
+	from := time.Now()
+	r.shiftDemand(r.fleet.Names[0])
+	faultinjection.WaitUntil(settleTimeout, func() bool { return r.load.Rate(r.hotServer, time.Second) > r.limit/2 })
+	r.row.ShiftMillis = float64(time.Since(from).Milliseconds())
+}
+
+// measureHealed measures use once all faults are healed.
+func (r *experiment) measureHealed(ctx context.Context) {
+	names := r.fleet.Names
+	r.fleet.Net.Heal()
+	r.shiftDemand(names[len(names)-1])
+	r.waitForRate(0.9 * r.limit)
+	r.row.UsedShareHealed = r.measureUsedShare(ctx, measurePeriod)
+}
+
+// waitForRate waits until all servers together finish more requests a second, and reports whether they did in time.
+func (r *experiment) waitForRate(rate float64) bool {
+	return faultinjection.WaitUntil(settleTimeout, func() bool { return r.finishRate(rateWindow) > rate })
+}
+
+// shiftDemand gives one server far more demand than the quota, and the others less than an even share.
 func (r *experiment) shiftDemand(to string) {
 	r.hotServer = to
-	r.load.SetRate(limitPerServer/3, r.fleet.Names...)
+	r.load.SetRate(idleDemand, r.fleet.Names...)
 	r.load.SetRate(hotDemandRatio*r.limit, to)
 }
 
-// finishRate is what all finished a second lately.
+// finishRate returns the requests a second that all servers finished in the last time.
 func (r *experiment) finishRate(lately time.Duration) (sum float64) {
 	for _, name := range r.fleet.Names {
 		sum += r.load.Rate(name, lately)
@@ -146,13 +243,14 @@
 	return sum
 }
 
-// measureUsedShare tells which part of the budget is used meanwhile.
+// measureUsedShare returns the share of the quota that is used during that time.
 func (r *experiment) measureUsedShare(ctx context.Context, length time.Duration) float64 {
 	from := time.Now()
 	sleep(ctx, length)
 	return r.load.RateBetween(from, time.Now(), r.fleet.Names...) / r.limit
 }
 
+// sleep waits for a time or for the end of the context.
 func sleep(ctx context.Context, length time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -160,78 +258,18 @@
 	}
 }
 
-// measurePartition cuts one off that is asked for much, and looks at it once its lease is over.
+// measurePartition cuts off one server with demand, and measures its use once its lease is over.
 func (r *experiment) measurePartition(ctx context.Context) {
+	network := r.fleet.Net
 	name := r.fleet.Names[len(r.fleet.Names)-2]
 	r.load.SetRate(r.limit, name)
-	others := slices.DeleteFunc(slices.Clone(r.fleet.Names), func(n string) bool { return n == name })
-	r.fleet.Net.Partition(others, []string{name})
+	others := slices.DeleteFunc(slices.Clone(r.fleet.Names), func(other string) bool { return other == name })
+	network.Partition(others, []string{name})
 	sleep(ctx, leaseDuration+time.Second)
 	from := time.Now()
 	sleep(ctx, measurePeriod)
-	r.row.CutOffService = r.load.RateBetween(from, time.Now(), name) / (floorFraction * r.limit / float64(r.Servers))
-	r.fleet.Net.Heal()
-	r.load.SetRate(limitPerServer/3, name)
-}
-
-// injectFaults does what the seed says.
-func (r *experiment) injectFaults(ctx context.Context) {
-	chance := rand.New(rand.NewPCG(r.Seed, 23))
-	f := r.fleet
-	for end := time.Now().Add(time.Duration(r.Seconds * float64(time.Second))); time.Now().Before(end) && ctx.Err() == nil; {
-		r.row.Faults++
-		what, name := r.Fault, f.Names[chance.IntN(len(f.Names))]
-		if drawn := FaultKinds[chance.IntN(len(FaultKinds))]; what == "" {
-			what = drawn
-		}
-		length := time.Duration(300+chance.IntN(4000)) * time.Millisecond
-		mixed := slices.Clone(f.Names)
-		chance.Shuffle(len(mixed), func(i, j int) { mixed[i], mixed[j] = mixed[j], mixed[i] })
-		few, many := mixed[:(len(mixed)-1)/2], mixed[(len(mixed)-1)/2:]
-		switch what {
-		case "leader":
-			if s, err := f.Status(name); err == nil && f.Server(s.Leader) != nil {
-				name = s.Leader
-			}
-			fallthrough
-		case "kill":
-			_ = f.KillAndRestart(ctx, name) // whether it is back shows in what is used after
-		case "voters":
-			for _, v := range f.Names[:f.Voters] {
-				f.Server(v).Kill()
-			}
-			for _, v := range f.Names[:f.Voters] {
-				_ = f.Restart(ctx, v)
-			}
-		case "stop":
-			_ = f.Pause(name)
-			sleep(ctx, length)
-			_ = f.Resume(name)
-		case "cut":
-			f.Net.Partition(few, many)
-			sleep(ctx, length)
-			f.Net.Heal()
-		case "one-way":
-			for _, other := range f.Names {
-				if other != name {
-					f.Net.SetLink(other, name, faultinjection.Link{Cut: true})
-				}
-			}
-			sleep(ctx, length)
-			f.Net.Heal()
-		case "loss":
-			for _, a := range f.Names {
-				for _, b := range f.Names {
-					if a != b {
-						f.Net.SetLink(a, b, faultinjection.Link{Loss: 0.3, Duplicate: 0.1, Jitter: 50 * time.Millisecond})
-					}
-				}
-			}
-			sleep(ctx, length)
-			f.Net.Heal()
-		case "jump":
-			r.shiftDemand(name)
-		}
-		sleep(ctx, time.Duration(200+chance.IntN(800))*time.Millisecond)
-	}
+	floor := floorFraction * r.limit / float64(r.Servers)
+	r.row.CutOffService = r.load.RateBetween(from, time.Now(), name) / floor
+	network.Heal()
+	r.load.SetRate(idleDemand, name)
 }
