--- a/internal/server/upstream_call.go
+++ b/internal/server/upstream_call.go
@@ -22,7 +22,7 @@
 
 // startCall sends a request's upstream call, with a timeout in seconds.
 func (s *Server) startCall(request *requesttable.Request, timeout float64) {
-	if request.CallNotice == 0 || request.CallSettled || request.Answered {
+	if !awaitsCall(request) || request.Answered {
 		return
 	}
 	now := s.now()
@@ -53,13 +53,13 @@
 
 // reportCallDone reports the outcome of a call to the controller.
 func (s *Server) reportCallDone(call *upstreamCall, outcome admission.Outcome) {
-	took := s.now() - call.startedAt
-	s.countUpstreamCall(outcome, took)
+	seconds := s.now() - call.startedAt
+	s.countUpstreamCall(outcome, seconds)
 	s.queueEvent(admission.Event{
 		Kind:      admission.CallReturned,
 		RequestID: call.request.ID,
 		Outcome:   outcome,
-		Duration:  took,
+		Duration:  seconds,
 	})
 }
 
