--- a/internal/bench/idleconns/row.go
+++ b/internal/bench/idleconns/row.go
@@ -10,20 +10,25 @@
 	"swiftcourse/internal/bench/loadgen"
 )
 
-// Row is what was measured with a number of idle connections. Latencies and ratios are medians over the rounds.
+// BusyLatency is the latency of the busy connections in microseconds, as medians over the rounds.
+type BusyLatency struct {
+	P50      float64 `json:"busy_p50_us"`
+	P99      float64 `json:"busy_p99_us"`
+	P999     float64 `json:"busy_p999_us"`
+	NoneP50  float64 `json:"none_p50_us"` // with no idle connection, in the same run
+	NoneP99  float64 `json:"none_p99_us"`
+	AddedP50 float64 `json:"added_p50"` // median of the rounds' ratios of P50 over NoneP50
+	AddedP99 float64 `json:"added_p99"`
+}
+
+// Row is what was measured with a number of idle connections.
 type Row struct {
-	Connections    int     `json:"connections"`
-	Servers        int     `json:"servers"`
-	Resident       float64 `json:"rss_bytes_per_connection"`
-	Heap           float64 `json:"heap_bytes_per_connection"`
-	Timers         float64 `json:"timers"`
-	P50            float64 `json:"busy_p50_us"`
-	P99            float64 `json:"busy_p99_us"`
-	P999           float64 `json:"busy_p999_us"`
-	NoneP50        float64 `json:"none_p50_us"` // with no idle connection, in the same run
-	NoneP99        float64 `json:"none_p99_us"`
-	AddedP50       float64 `json:"added_p50"` // P50 over NoneP50
-	AddedP99       float64 `json:"added_p99"`
+	Connections int     `json:"connections"`
+	Servers     int     `json:"servers"`
+	Resident    float64 `json:"rss_bytes_per_connection"`
+	Heap        float64 `json:"heap_bytes_per_connection"`
+	Timers      float64 `json:"timers"`
+	BusyLatency
 	CPUShare       float64 `json:"idle_cpu_share"` // of a core, all servers together, with no request sent
 	LongestTurnMs  float64 `json:"longest_turn_ms"`
 	Finished       int     `json:"finished"`
--- /dev/null
+++ b/internal/bench/loadgen/generator_test.go
@@ -0,0 +1,116 @@
+package loadgen
+
+import (
+	"context"
+	"errors"
+	"net"
+	"testing"
+	"time"
+
+	"swiftcourse/internal/fake/tcpserver"
+	"swiftcourse/internal/wire/rpc"
+)
+
+// startResponder starts a server that answers each request as respond tells; nil is no answer.
+func startResponder(t *testing.T, respond func(message rpc.Message) []byte) string {
+	t.Helper()
+	listener, err := tcpserver.Start("127.0.0.1:0", func(conn net.Conn) {
+		var buffered []byte
+		piece := make([]byte, 4096)
+		for {
+			n, err := conn.Read(piece)
+			if err != nil {
+				return
+			}
+			buffered = append(buffered, piece[:n]...)
+			for {
+				message, size, err := rpc.ParseMessage(buffered)
+				if err != nil || size == 0 {
+					break
+				}
+				if response := respond(message); response != nil {
+					_, _ = conn.Write(response)
+				}
+				buffered = buffered[size:]
+			}
+		}
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	return listener.Addr().String()
+}
+
+func startLoad(t *testing.T, address string) *Generator {
+	t.Helper()
+	g, err := Start(context.Background(), Config{Addresses: []string{address}, ConnsPerServer: 1, Rate: 500,
+		Class: "ping", Timeout: 200 * time.Millisecond, Seed: 1})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return g
+}
+
+func TestStart_InvalidConfig(t *testing.T) {
+	for _, config := range []Config{
+		{Addresses: []string{"x"}, ConnsPerServer: 1},
+		{Addresses: []string{"x"}, Rate: 1},
+		{ConnsPerServer: 1, Rate: 1},
+	} {
+		if _, err := Start(context.Background(), config); !errors.Is(err, ErrInvalidConfig) {
+			t.Errorf("%+v: %v", config, err)
+		}
+	}
+}
+
+func TestGenerator_CountsOutcomes(t *testing.T) {
+	address := startResponder(t, func(message rpc.Message) []byte {
+		switch message.Number % 3 {
+		case 0:
+			return rpc.AppendRejected(nil, message.Number, rpc.ResponseMetadata{})
+		case 1:
+			return rpc.AppendFailed(nil, message.Number, rpc.ResponseMetadata{})
+		default:
+			return rpc.AppendResult(nil, message.Number, nil, rpc.ResponseMetadata{})
+		}
+	})
+	g := startLoad(t, address)
+	time.Sleep(200 * time.Millisecond)
+	stats := g.Stop()
+	if stats.Sent == 0 || stats.Sent != stats.Finished+stats.Rejected+stats.Abandoned {
+		t.Errorf("%+v", stats)
+	}
+	if stats.Finished == 0 || stats.Rejected == 0 || stats.Abandoned == 0 || stats.Unanswered != 0 {
+		t.Errorf("%+v", stats)
+	}
+	if stats.Latency.TotalCount() != int64(stats.Finished) {
+		t.Errorf("%d latencies of %d finished", stats.Latency.TotalCount(), stats.Finished)
+	}
+}
+
+// A server that answers nothing has as many requests in flight as the protocol allows; the rest stay unsent.
+func TestGenerator_SilentServerKeepsTheSchedule(t *testing.T) {
+	g := startLoad(t, startResponder(t, func(rpc.Message) []byte { return nil }))
+	time.Sleep(300 * time.Millisecond)
+	stats := g.Stop()
+	if stats.Sent != maxInFlight || stats.Unanswered != maxInFlight || stats.Unsent == 0 {
+		t.Errorf("%+v", stats)
+	}
+}
+
+func TestStats_Merge(t *testing.T) {
+	first := Stats{Latency: NewHistogram(), Sent: 1, MaxSendDelay: 2, Elapsed: time.Second}
+	first.record(3 * time.Millisecond)
+	second := Stats{Latency: NewHistogram(), Sent: 2, MaxSendDelay: 1, Elapsed: time.Second, Unanswered: 1}
+	second.record(time.Hour) // beyond the histogram's range
+	var total Stats
+	total.Merge(first)
+	total.Merge(second)
+	if total.Sent != 3 || total.MaxSendDelay != 2 || total.Elapsed != 2*time.Second || total.Unanswered != 1 {
+		t.Errorf("%+v", total)
+	}
+	if total.Latency.TotalCount() != 2 || total.Quantile(100) < 59e6 {
+		t.Errorf("%d latencies, the longest %g us", total.Latency.TotalCount(), total.Quantile(100))
+	}
+}
