--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -1,7 +1,6 @@
 package server
 
 import (
-	"fmt"
 	"log/slog"
 	"math"
 
@@ -21,7 +20,7 @@
 // handleRequest takes in a request, or answers at once a message that can't be one. An error means
 // that the connection can't go on.
 func (c *clientConn) handleRequest(message *rpc.Message, now float64) error {
-	s := c.server
+	server := c.server
 	if c.findRequest(message.Number) != nil {
 		return &duplicateMessageError{message.Number}
 	}
@@ -39,42 +38,42 @@
 		MessageNumber: message.Number,
 		Class:         kind.class,
 		Tenant:        int32(kind.tenant),
-		Subject:       s.subjectOf(kind.class, message),
+		Subject:       server.subjectOf(kind.class, message),
 		ArrivedAt:     message.ArrivedAt,
 		Timeout:       message.Timeout,
-		Body:          s.output.buffers.Copy(message.Body),
+		Body:          server.output.buffers.Copy(message.Body),
 	}
 	c.addRequest(request, now)
-	s.requests.Add(request)
-	s.countReceived(kind)
-	s.keepForForwarding(request, message)
-	s.queueArrival(request, message, now)
+	server.requests.Add(request)
+	server.countReceived(kind)
+	server.keepForForwarding(request, message)
+	server.queueArrival(request, message, now)
 	return nil
 }
 
 // validate returns a request's class and tenant, or what is invalid about it.
 func (c *clientConn) validate(message *rpc.Message, now float64) (requestKind, error) {
-	s := c.server
-	class, classKnown := s.startup.ClassIndex[message.Class]
-	tenant, tenantKnown := s.startup.TenantIndex[message.Tenant]
+	server := c.server
+	class, classKnown := server.startup.ClassIndex[message.Class]
+	tenant, tenantKnown := server.startup.TenantIndex[message.Tenant]
 	kind := requestKind{class, tenant}
 	switch {
 	case message.Invalid != nil:
 		return kind, message.Invalid
 	case !classKnown:
-		return kind, &invalidFieldError{"class", message.Class, "unknown"}
-	case !tenantKnown && len(s.startup.TenantIndex) > 0:
-		return kind, &invalidFieldError{"tenant", message.Tenant, "unknown"}
-	case message.NoTimeout && s.startup.Settings.DeadlinePropagation:
+		return kind, &invalidFieldError{"class", message.Class, errUnknownName}
+	case !tenantKnown && len(server.startup.TenantIndex) > 0:
+		return kind, &invalidFieldError{"tenant", message.Tenant, errUnknownName}
+	case message.NoTimeout && server.startup.Settings.DeadlinePropagation:
 		return kind, errMissingTimeout
 	case len(c.requests) >= maxRequestsPerConn:
 		return kind, errTooManyOpen
 	case math.Abs(message.ArrivedAt-now) > maxClockSkew:
-		return kind, fmt.Errorf("it came %.0f s from now", message.ArrivedAt-now)
-	case s.requests.Get(message.ID) != nil:
+		return kind, clockSkewError(message.ArrivedAt - now)
+	case server.requests.Get(message.ID) != nil:
 		return kind, errDuplicateID
 	}
-	return kind, s.validateKey(class, message)
+	return kind, server.validateKey(class, message)
 }
 
 // validateKey returns what is invalid about the idempotency key of a request that may run at most
@@ -87,7 +86,7 @@
 	switch {
 	case subject == "":
 		// No repeat of it could be recognised, so it may not run.
-		return &invalidFieldError{"class", message.Class, errMissingKey.Error()}
+		return &invalidFieldError{"class", message.Class, errMissingKey}
 	case s.results.IsConflicting(class, subject, message.Body, message.ArrivedAt):
 		// Otherwise it would receive the result of another request.
 		return errConflictingBody
@@ -99,7 +98,7 @@
 func (c *clientConn) rejectInvalid(number uint64, err error, now float64) {
 	s := c.server
 	s.statistics.invalid++
-	if s.mayLogPeerFault() {
+	if s.allowPeerFaultLog() {
 		slog.Info("invalid_request", "peer", c.conn.RemoteAddr(), "err", err)
 	}
 	c.observe(connlimit.EventMessage, now)
