--- a/internal/server/executor_test.go
+++ b/internal/server/executor_test.go
@@ -26,7 +26,7 @@
 	executor.sendCall(1, "a1", "again")           // read before
 	executor.sendCompletion(2, "a2", "done", "r") // missed
 	if command := executor.readCommand(true); command["msg"] != "usage" {
-		t.Fatalf("%v before the fence", command)
+		t.Fatalf("%v before the reply that ends the missed notices", command)
 	}
 	if command := executor.expectCommand("answer", "a1"); command["blob"] != "ZA==" {
 		t.Fatal(command)
@@ -78,12 +78,12 @@
 func TestExecutorLink_SilentLinkReplaced(t *testing.T) {
 	f, client := startRunningRequest(t, nil)
 	waitUntil(f, true, func(s *Server) bool { // a question is open, which nobody answers here
-		s.executor.askGauges()
+		s.executor.requestGauges()
 		return s.executor.unansweredSince > 0
 	})
 	f.onLoop(func(s *Server) {
 		s.executor.unansweredSince -= silenceTimeout
-		s.executor.askGauges()
+		s.executor.requestGauges()
 	})
 	executor := acceptConn(t, f.executorListener)
 	if hello := executor.readCommand(false); hello["msg"] != "hello" {
