--- a/internal/bench/faultinjection/runlog.go
+++ b/internal/bench/faultinjection/runlog.go
@@ -8,21 +8,22 @@
 	"time"
 )
 
-// RunLog is what the processors of a fleet know of the runs of each key, an account apart from the program's own. A task's body is its key.
+// RunLog is what the fake executors of a fleet know of the runs of each key, apart from the program's own records. The body of a
+// request is its key.
 type RunLog struct {
 	mu      sync.Mutex
 	runs    map[string][]time.Time
-	results map[string][]string // of each key, in their order
+	results map[string][]string // of each key, in order
 	started map[string]startedRun
 }
 
-// startedRun is a run as it began.
+// startedRun is a run that was started.
 type startedRun struct {
 	key string
 	at  time.Time
 }
 
-// NewRunLog makes one for a fleet whose shape gets Begun and Result.
+// NewRunLog returns an empty log. A fleet with it in its Config calls RecordStart and RecordResult.
 func NewRunLog() *RunLog {
 	return &RunLog{runs: map[string][]time.Time{}, results: map[string][]string{}, started: map[string]startedRun{}}
 }
--- /dev/null
+++ b/internal/bench/keyclaims/faults.go
@@ -0,0 +1,171 @@
+package keyclaims
+
+import (
+	"context"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"swiftcourse/internal/bench/faultinjection"
+)
+
+// fault is a kind of fault beside kills.
+type fault int
+
+const (
+	faultPause fault = iota
+	faultPartition
+	faultOneWayCut // a server receives nothing
+	faultLoss
+	faultLossAgain // so that it is drawn twice as often
+	faultDraws     = 6
+)
+
+// disturbanceMargin is for how long after a fault its effect may last.
+const disturbanceMargin = 2 * time.Second
+
+// lossyLink is what a loss makes of all links.
+var lossyLink = faultinjection.Link{
+	Loss:      0.2,
+	Duplicate: 0.2,
+	Delay:     2 * time.Millisecond,
+	Jitter:    60 * time.Millisecond,
+}
+
+// disturbance is a time in which a fault hindered replicas.
+type disturbance struct {
+	minority []string // that was partitioned; nil for another fault
+	from     time.Time
+	to       time.Time
+}
+
+// draw is one draw of a fault.
+type draw struct {
+	fault    fault
+	target   string
+	length   time.Duration
+	minority []string // of a random partition
+	majority []string
+}
+
+// injectFaults kills servers and disturbs them and the network, and ends all faults.
+func (r *experiment) injectFaults(ctx context.Context) {
+	random := rand.New(rand.NewPCG(r.Seed, 17))
+	total := time.Duration(r.Seconds * float64(time.Second))
+	step := total
+	if r.Kills > 0 {
+		step = time.Duration(r.Seconds / float64(r.Kills) * float64(time.Second))
+	}
+	for end := time.Now().Add(total); time.Now().Before(end) && ctx.Err() == nil; {
+		from := time.Now()
+		drawn := r.draw(random)
+		if !r.KillsOnly {
+			r.inject(drawn)
+		}
+		r.restartCrashed(ctx)
+		if r.row.Kills < r.Kills {
+			r.kill(ctx, r.fleet.Names[random.IntN(len(r.fleet.Names))])
+		}
+		if left := step - time.Since(from); left > 0 {
+			time.Sleep(left)
+		}
+	}
+	r.fleet.Net.Heal()
+	for _, name := range r.fleet.Names {
+		_ = r.fleet.Resume(name)
+		if !r.fleet.Server(name).Alive() {
+			_ = r.fleet.Restart(ctx, name) // whether it is back shows in whether the replicas agree
+		}
+	}
+}
+
+// draw draws a fault. All parts are drawn whatever it is.
+func (r *experiment) draw(random *rand.Rand) (drawn draw) {
+	names := r.fleet.Names
+	drawn.target = names[random.IntN(len(names))]
+	drawn.fault = fault(random.IntN(faultDraws))
+	drawn.length = time.Duration(300+random.IntN(1500)) * time.Millisecond
+	mixed := slices.Clone(names)
+	random.Shuffle(len(mixed), func(i, j int) { mixed[i], mixed[j] = mixed[j], mixed[i] })
+	half := (len(mixed) - 1) / 2
+	drawn.minority = mixed[:half]
+	drawn.majority = mixed[half:]
+	return drawn
+}
+
+// restartCrashed restarts the servers that died at a crash point.
+func (r *experiment) restartCrashed(ctx context.Context) {
+	for _, server := range r.fleet.Servers {
+		if !server.Alive() && r.fleet.Restart(ctx, server.Name) == nil {
+			r.recordKill()
+			r.row.CrashPointDeaths++
+		}
+	}
+}
+
+// kill restarts a server without its state.
+func (r *experiment) kill(ctx context.Context, name string) {
+	r.recordKill()
+	if r.fleet.KillAndRestart(ctx, name) == nil {
+		r.row.Kills++
+	}
+}
+
+func (r *experiment) recordKill() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.kills = append(r.kills, time.Now())
+}
+
+// recordDisturbance records that a fault begins, of a minority if it is a partition.
+func (r *experiment) recordDisturbance(length time.Duration, minority []string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := time.Now()
+	r.disturbances = append(r.disturbances, disturbance{minority: minority, from: now, to: now.Add(length)})
+}
+
+// wasDisturbed reports whether a fault hindered replicas at some time in between. The mutex is held.
+func (r *experiment) wasDisturbed(from, to time.Time) bool {
+	return slices.ContainsFunc(r.disturbances, func(d disturbance) bool { return d.from.Before(to) && d.to.After(from) })
+}
+
+// inject injects a fault, waits, and ends it. Draws that are no fault just wait.
+func (r *experiment) inject(drawn draw) {
+	network := r.fleet.Net
+	length := drawn.length
+	r.recordDisturbance(length+disturbanceMargin, nil)
+	r.row.Faults++
+	switch drawn.fault {
+	case faultPause:
+		_ = r.fleet.Pause(drawn.target)
+		defer func() { _ = r.fleet.Resume(drawn.target) }()
+	case faultPartition:
+		length += partitionSettle
+		network.Partition(drawn.minority, drawn.majority)
+		r.recordDisturbance(length, drawn.minority)
+	case faultOneWayCut:
+		for _, from := range r.fleet.Names {
+			if from != drawn.target {
+				network.SetLink(from, drawn.target, faultinjection.Link{Cut: true})
+			}
+		}
+	case faultLoss, faultLossAgain:
+		r.disturbAllLinks()
+	default:
+		r.row.Faults--
+	}
+	time.Sleep(length)
+	network.Heal()
+}
+
+// disturbAllLinks makes all links lossy.
+func (r *experiment) disturbAllLinks() {
+	for _, from := range r.fleet.Names {
+		for _, to := range r.fleet.Names {
+			if from != to {
+				r.fleet.Net.SetLink(from, to, lossyLink)
+			}
+		}
+	}
+}
