--- a/internal/bench/simulation/forwarder.go
+++ b/internal/bench/simulation/forwarder.go
@@ -180,7 +180,7 @@
 		l.finishRequest(request, true)
 		return
 	}
-	retry := routing.Retry{
+	retry := routing.RetryCandidate{
 		LastOutcome:    outcome,
 		Attempts:       len(request.triedWorkers),
 		IsIdempotent:   request.isIdempotent,
