--- a/internal/forwarder/connection.go
+++ b/internal/forwarder/connection.go
@@ -126,7 +126,7 @@
 }
 
 // read hands the worker's answers to the dispatcher until the connection ends, and reports whether
-// there was any. An error is the worker's: it wraps rpc.ErrMalformed or is errMessageTooLong.
+// there was any. An error is the worker's: it wraps wire.ErrMalformed or is errMessageTooLong.
 func (l *link) read(socket net.Conn) (answered bool, err error) {
 	var input []byte
 	chunk := make([]byte, readSize)
--- a/internal/wire/catalogue/call.go
+++ b/internal/wire/catalogue/call.go
@@ -3,13 +3,15 @@
 import (
 	"math"
 	"strconv"
+
+	"swiftcourse/internal/wire"
 )
 
 // AppendCall appends a call that times out after so many seconds, of which whole milliseconds are written, at
 // least one.
 func AppendCall(b []byte, id string, timeout float64, body []byte) []byte {
-	milliseconds := max(1, math.Floor(timeout*millisecondsPerSecond))
-	b = append(b, wordFetch+" "...)
+	milliseconds := max(1, math.Floor(timeout*wire.MillisecondsPerSecond))
+	b = append(b, commandFetch+" "...)
 	b = append(b, id...)
 	b = strconv.AppendInt(append(b, ' '), int64(milliseconds), 10)
 	b = strconv.AppendInt(append(b, ' '), int64(len(body)), 10)
--- a/internal/wire/catalogue/frame.go
+++ b/internal/wire/catalogue/frame.go
@@ -3,35 +3,33 @@
 import (
 	"bytes"
 	"errors"
+	"strconv"
 
 	"swiftcourse/internal/wire"
 )
 
 // Bounds of a message.
 const (
-	maxLine = 256      // bytes of an id, a word and a length
+	maxLine = 256      // bytes of a line: an id, a name and a length
 	maxBody = 16 << 10 // bytes, four times a result's bound; a length beyond it is a broken stream
 )
 
 // lineEnd ends each line and each body.
 const lineEnd = "\r\n"
 
-// millisecondsPerSecond converts between the wire's milliseconds and seconds.
-const millisecondsPerSecond = 1000
-
-// The words of a server.
+// The commands of a server, the first token of its lines.
 const (
-	wordFetch = "FETCH"
-	wordQuit  = "QUIT"
+	commandFetch = "FETCH"
+	commandQuit  = "QUIT"
 )
 
-// The words of the proxy.
+// The statuses of the proxy's replies, the second token of its lines.
 const (
-	wordData    = "DATA"
-	wordLater   = "LATER"
-	wordNoUse   = "NOUSE"
-	wordFault   = "FAULT"
-	wordTooSlow = "TOOSLOW"
+	statusData    = "DATA"
+	statusLater   = "LATER"
+	statusNoUse   = "NOUSE"
+	statusFault   = "FAULT"
+	statusTooSlow = "TOOSLOW"
 )
 
 // Causes of a malformed message.
@@ -48,7 +46,8 @@
 	return &wire.ProtocolError{Protocol: "catalogue", Offset: offset, Err: cause}
 }
 
-// parseLine returns the line at the start of data and its length with its end, which is 0 while it isn't whole.
+// parseLine returns the line at the start of data and its length including its end, or 0 if data holds only a
+// part of the line.
 func parseLine(data []byte) (line []byte, length int, err error) {
 	end := bytes.Index(data[:min(len(data), maxLine)], []byte(lineEnd))
 	if end >= 0 {
@@ -60,8 +59,14 @@
 	return nil, 0, nil
 }
 
-// parseBody returns the body of size bytes that starts at offset and the length of the whole message, which
-// is 0 while it isn't whole.
+// parseBodySize parses the size of a body; valid is false for one that no message has.
+func parseBodySize(token []byte) (size int, valid bool) {
+	size, err := strconv.Atoi(string(token))
+	return size, err == nil && size >= 0 && size <= maxBody
+}
+
+// parseBody returns the body of size bytes that starts at offset and the length of the whole message, or 0 if
+// data holds only a part of it.
 func parseBody(data []byte, offset, size int) (body []byte, length int, err error) {
 	end := offset + size
 	length = end + len(lineEnd)
--- a/internal/wire/catalogue/proxy.go
+++ b/internal/wire/catalogue/proxy.go
@@ -2,16 +2,16 @@
 
 import (
 	"bytes"
-	"errors"
 	"fmt"
 	"strconv"
 
 	"swiftcourse/admission"
+	"swiftcourse/internal/wire"
 )
 
 // This file is the proxy's side of the protocol: what the proxy reads and writes.
 
-// Call is what a server sent: a call, or the notice that it doesn't wait for one any more. Its body is a view
+// Call is what a server sent: a call or, if Cancelled is set, the cancellation of the call ID. Its body is a view
 // of the input.
 type Call struct {
 	Cancelled bool
@@ -20,23 +20,24 @@
 	Body      []byte
 }
 
-// ParseCall reads what is at the start of data and returns its length, which is 0 while it isn't whole.
+// ParseCall reads the line and body at the start of data and returns their length, or 0 if data holds only a part
+// of them.
 // An error matches wire.ErrMalformed and means that nothing of data can be parsed.
 func ParseCall(data []byte) (call Call, length int, err error) {
 	line, lineLength, err := parseLine(data)
 	if lineLength == 0 {
 		return Call{}, 0, err
 	}
-	words := bytes.Fields(line)
+	tokens := bytes.Fields(line)
 	switch {
-	case len(words) == 2 && string(words[0]) == wordQuit:
-		return Call{Cancelled: true, ID: string(words[1])}, lineLength, nil
-	case len(words) != 4 || string(words[0]) != wordFetch:
+	case len(tokens) == 2 && string(tokens[0]) == commandQuit:
+		return Call{Cancelled: true, ID: string(tokens[1])}, lineLength, nil
+	case len(tokens) != 4 || string(tokens[0]) != commandFetch:
 		return Call{}, 0, malformed(0, fmt.Errorf("unknown line %.20q", line))
 	}
-	milliseconds, timeoutErr := strconv.Atoi(string(words[2]))
-	size, sizeErr := strconv.Atoi(string(words[3]))
-	if errors.Join(timeoutErr, sizeErr) != nil || milliseconds < 0 || size < 0 || size > maxBody {
+	milliseconds, timeoutErr := strconv.Atoi(string(tokens[2]))
+	size, sizeValid := parseBodySize(tokens[3])
+	if timeoutErr != nil || milliseconds < 0 || !sizeValid {
 		return Call{}, 0, malformed(0, errCallHead)
 	}
 	body, length, err := parseBody(data, lineLength, size)
@@ -44,8 +45,8 @@
 		return Call{}, 0, err
 	}
 	call = Call{
-		ID:      string(words[1]),
-		Timeout: float64(milliseconds) / millisecondsPerSecond,
+		ID:      string(tokens[1]),
+		Timeout: float64(milliseconds) / wire.MillisecondsPerSecond,
 		Body:    body,
 	}
 	return call, length, nil
@@ -56,14 +57,14 @@
 	b = append(append(b, id...), ' ')
 	switch outcome {
 	case admission.Finished:
-		b = strconv.AppendInt(append(b, wordData+" "...), int64(len(body)), 10)
+		b = strconv.AppendInt(append(b, statusData+" "...), int64(len(body)), 10)
 		return appendBody(b, body)
 	case admission.Rejected:
-		b = append(b, wordLater...)
+		b = append(b, statusLater...)
 	case admission.TimedOut:
-		b = append(b, wordTooSlow...)
+		b = append(b, statusTooSlow...)
 	default:
-		b = append(b, wordFault...)
+		b = append(b, statusFault...)
 	}
 	return append(b, lineEnd...)
 }
--- a/internal/wire/catalogue/reply.go
+++ b/internal/wire/catalogue/reply.go
@@ -3,18 +3,17 @@
 import (
 	"bytes"
 	"fmt"
-	"strconv"
 
 	"swiftcourse/admission"
 )
 
-// outcomes tells what each word of the proxy proves: only LATER and NOUSE say that the call never ran.
+// outcomes are the outcomes of calls by status. Only LATER and NOUSE prove that the call never ran.
 var outcomes = map[string]admission.Outcome{
-	wordData:    admission.Finished,
-	wordLater:   admission.Rejected,
-	wordNoUse:   admission.Rejected,
-	wordFault:   admission.Failed,
-	wordTooSlow: admission.TimedOut,
+	statusData:    admission.Finished,
+	statusLater:   admission.Rejected,
+	statusNoUse:   admission.Rejected,
+	statusFault:   admission.Failed,
+	statusTooSlow: admission.TimedOut,
 }
 
 // Reply tells how a call ended; its body is a view of the input.
@@ -24,27 +23,30 @@
 	Body    []byte
 }
 
-// ParseReply reads the reply at the start of data and returns its length, which is 0 while it isn't whole.
+// ParseReply reads the reply at the start of data and returns its length, or 0 if data holds only a part of it.
 // An error matches wire.ErrMalformed and means that nothing of data can be parsed.
 func ParseReply(data []byte) (reply Reply, length int, err error) {
 	line, lineLength, err := parseLine(data)
 	if lineLength == 0 {
 		return Reply{}, 0, err
 	}
-	words := bytes.Fields(line)
-	if len(words) < 2 {
+	tokens := bytes.Fields(line)
+	if len(tokens) < 2 {
 		return Reply{}, 0, malformed(0, errReplyHead)
 	}
-	outcome, known := outcomes[string(words[1])]
+	outcome, known := outcomes[string(tokens[1])]
 	if !known {
-		return Reply{}, 0, malformed(0, fmt.Errorf("unknown word %.20q", words[1]))
+		return Reply{}, 0, malformed(0, fmt.Errorf("unknown word %.20q", tokens[1]))
 	}
-	reply = Reply{ID: string(words[0]), Outcome: outcome}
+	reply = Reply{ID: string(tokens[0]), Outcome: outcome}
 	if outcome != admission.Finished {
 		return reply, lineLength, nil
 	}
-	size, err := strconv.Atoi(string(words[len(words)-1]))
-	if err != nil || len(words) != 3 || size < 0 || size > maxBody {
+	if len(tokens) != 3 {
+		return Reply{}, 0, malformed(0, errReplyLength)
+	}
+	size, sizeValid := parseBodySize(tokens[2])
+	if !sizeValid {
 		return Reply{}, 0, malformed(0, errReplyLength)
 	}
 	reply.Body, length, err = parseBody(data, lineLength, size)
--- a/internal/wire/processor/doc.go
+++ b/internal/wire/processor/doc.go
@@ -3,7 +3,7 @@
 // A server appends commands (command.go) and reads notices (notice.go); the executor's side, which the fake
 // executor uses, is in executor.go. Only a NoticeParser has state: the buffers of the notice that it read last.
 //
-// The words on the wire and their Go names:
+// The names on the wire and the Go names:
 //
 //	hello     CommandResume         begin     CommandStart         answer    CommandReply
 //	without   CommandSkipCall       usage     CommandReadGauges
--- a/internal/wire/processor/errors.go
+++ b/internal/wire/processor/errors.go
@@ -13,5 +13,5 @@
 	errNoID      = errors.New("a command about no request")
 )
 
-// malformed returns the error for a line; it's found only once the line is whole, so it stands at its start.
+// malformed returns the error for a line. Its offset is 0, as a line is parsed as a whole.
 func malformed(cause error) error { return &wire.ProtocolError{Protocol: "processor", Err: cause} }
--- a/internal/wire/processor/executor.go
+++ b/internal/wire/processor/executor.go
@@ -4,6 +4,8 @@
 	"encoding/json"
 	"fmt"
 	"strconv"
+
+	"swiftcourse/internal/wire"
 )
 
 // This file is the executor's side of the protocol: what an executor reads and writes.
@@ -13,13 +15,14 @@
 
 // The kinds of a command.
 const (
-	CommandResume     CommandKind = iota + 1 // the first line on a link; Number is the last notice read
+	CommandResume     CommandKind = iota + 1 // the first line on a link; Serial is of the last notice read
 	CommandStart                             // run a request
 	CommandReply                             // the reply to the call that a run waits for
-	CommandSkipCall                          // go on without the call that notice Number asked for
+	CommandSkipCall                          // go on without the call that notice Serial asked for
 	CommandReadGauges                        // the gauges are asked for
 )
 
+// commandKinds are the kinds of a command by their names on the wire.
 var commandKinds = map[string]CommandKind{
 	messageHello:   CommandResume,
 	messageBegin:   CommandStart,
@@ -28,8 +31,8 @@
 	messageUsage:   CommandReadGauges,
 }
 
-// String returns the kind's word on the wire.
-func (k CommandKind) String() string { return wordOf(commandKinds, k, "") }
+// String returns the kind's name on the wire.
+func (k CommandKind) String() string { return wireName(commandKinds, k, "") }
 
 // Command is one line from a server.
 type Command struct {
@@ -49,7 +52,7 @@
 		Service string
 		Cookie  string
 		Serial  int64
-		Blob    []byte // base64, as the package has it
+		Blob    []byte // encoding/json decodes base64
 	}
 	if err := json.Unmarshal(line, &object); err != nil {
 		return command, malformed(fmt.Errorf("no command: %w", err))
@@ -75,21 +78,22 @@
 }
 
 // AppendHello appends the answer to the first line: whether the executor started cold, and how many seconds
-// ago.
-func AppendHello(b []byte, cold bool, ago float64) []byte {
+// ago it started.
+func AppendHello(b []byte, cold bool, sinceStart float64) []byte {
 	state := stateSeasoned
 	if cold {
 		state = stateFresh
 	}
-	return fmt.Appendf(b, `{"msg":%q,"how":%q,"duration":%g}`+"\n", messageHi, state, ago*millisecondsPerSecond)
+	return fmt.Appendf(b, `{"msg":%q,"how":%q,"duration":%g}`+"\n",
+		messageHi, state, sinceStart*wire.MillisecondsPerSecond)
 }
 
 // AppendRunEnded appends the notice that a run is over: its serial number, id, outcome, duration and body,
 // which is the result of a run that finished.
 func AppendRunEnded(b []byte, run Notice) []byte {
-	end := wordOf(outcomes, run.Outcome, endCrashed)
+	end := wireName(outcomes, run.Outcome, endCrashed)
 	b = fmt.Appendf(b, `{"msg":%q,"serial":%d,"call":%q,"how":%q,"duration":%g`,
-		messageComplete, run.Serial, run.ID, end, run.Duration*millisecondsPerSecond)
+		messageComplete, run.Serial, run.ID, end, run.Duration*wire.MillisecondsPerSecond)
 	return appendBlob(b, run.Body)
 }
 
--- a/internal/wire/processor/notice.go
+++ b/internal/wire/processor/notice.go
@@ -7,6 +7,7 @@
 	"github.com/valyala/fastjson"
 
 	"swiftcourse/admission"
+	"swiftcourse/internal/wire"
 )
 
 // MaxLine bounds a line read: a result of 4 KiB in base64 takes under 6 KiB.
@@ -17,7 +18,7 @@
 
 // The kinds of a notice.
 const (
-	NoticeOther        NoticeKind = iota // of a name not known here
+	NoticeOther        NoticeKind = iota // of an unknown name
 	NoticeHello                          // the answer to the first line of a link
 	NoticeRunEnded                       // a run is over
 	NoticeAwaitingCall                   // a run waits for a call to the tier below
@@ -26,6 +27,7 @@
 	NoticeRemark                         // a remark, which asks for nothing
 )
 
+// noticeKinds are the kinds of a notice by their names on the wire.
 var noticeKinds = map[string]NoticeKind{
 	messageHi:       NoticeHello,
 	messageComplete: NoticeRunEnded,
@@ -35,17 +37,17 @@
 	messageRemark:   NoticeRemark,
 }
 
-// String returns the kind's word on the wire, for logs and tests.
-func (k NoticeKind) String() string { return wordOf(noticeKinds, k, "other") }
+// String returns the kind's name on the wire, for logs and tests.
+func (k NoticeKind) String() string { return wireName(noticeKinds, k, "other") }
 
 // Notice is one line from the executor.
 type Notice struct {
 	Kind     NoticeKind
-	Serial   int64 // 0 where the line bears none
+	Serial   int64 // 0 if the line has none
 	ID       string
 	Outcome  admission.Outcome // of a run
-	Cold     bool              // with NoticeHello: it had just started, and was cold then
-	Detail   string            // of the state, outcome or command, as it came
+	Cold     bool              // with NoticeHello: the executor was cold when it started
+	Detail   string            // the name of the state, outcome or command, as received
 	Duration float64           // seconds
 	Body     []byte
 	Tag      string
@@ -60,8 +62,8 @@
 }
 
 // Parse reads one line without its end. An error matches wire.ErrMalformed and ends the link.
-func (r *NoticeParser) Parse(line []byte) (notice Notice, err error) {
-	object, err := r.parser.ParseBytes(line)
+func (p *NoticeParser) Parse(line []byte) (notice Notice, err error) {
+	object, err := p.parser.ParseBytes(line)
 	if err != nil || object.Type() != fastjson.TypeObject {
 		return notice, malformed(errNotObject)
 	}
@@ -71,7 +73,7 @@
 		Serial:   object.GetInt64("serial"),
 		ID:       text("call"),
 		Detail:   text("how"),
-		Duration: object.GetFloat64("duration") / millisecondsPerSecond,
+		Duration: object.GetFloat64("duration") / wire.MillisecondsPerSecond,
 		Tag:      text("cookie"),
 	}
 	switch notice.Kind {
@@ -83,31 +85,31 @@
 	case NoticeRunEnded:
 		notice.Outcome = outcomeOf(notice.Detail)
 	case NoticeGauges:
-		notice.Gauges = r.readGauges(object)
+		notice.Gauges = p.readGauges(object)
 	}
 	if encoded := object.GetStringBytes("blob"); encoded != nil {
-		r.blob, err = base64.StdEncoding.AppendDecode(r.blob[:0], encoded)
+		p.blob, err = base64.StdEncoding.AppendDecode(p.blob[:0], encoded)
 		if err != nil {
 			return notice, malformed(errBlob)
 		}
-		notice.Body = r.blob
+		notice.Body = p.blob
 	}
 	return notice, nil
 }
 
-// outcomeOf returns the outcome that a word stands for. One not known yet proves nothing, as a failure does.
-func outcomeOf(word string) admission.Outcome {
-	if outcome, known := outcomes[word]; known {
+// outcomeOf returns the outcome of a name on the wire. An unknown one proves nothing, as a failure does.
+func outcomeOf(name string) admission.Outcome {
+	if outcome, known := outcomes[name]; known {
 		return outcome
 	}
 	return admission.Failed
 }
 
-// readGauges reads the gauges into the reader's buffer.
-func (r *NoticeParser) readGauges(object *fastjson.Value) []float64 {
-	r.gauges = r.gauges[:0]
+// readGauges reads the gauges into the parser's buffer.
+func (p *NoticeParser) readGauges(object *fastjson.Value) []float64 {
+	p.gauges = p.gauges[:0]
 	for _, gauge := range object.GetArray("stats") {
-		r.gauges = append(r.gauges, gauge.GetFloat64())
+		p.gauges = append(p.gauges, gauge.GetFloat64())
 	}
-	return r.gauges
+	return p.gauges
 }
--- a/internal/wire/roster/doc.go
+++ b/internal/wire/roster/doc.go
@@ -4,6 +4,6 @@
 // It is stateless. The server's side is in report.go and response.go; the registry's side, which the fake
 // registry uses, is in registry.go.
 //
-// The words on the wire and their Go names: PUT /roster/NAME is a report of server NAME; its duty is on
+// The names on the wire and the Go names: PUT /roster/NAME is a report of server NAME; its duty is on
 // where the server accepts requests, else off.
 package roster
--- a/internal/wire/roster/words.go
+++ b/internal/wire/roster/protocol.go
@@ -6,16 +6,23 @@
 	"swiftcourse/internal/wire"
 )
 
+// pathPrefix precedes the server's name in the path of a report.
+const pathPrefix = "/roster/"
+
+// The values of a report's duty.
+const (
+	dutyOn  = "on"
+	dutyOff = "off"
+)
+
+// What ends the lines and the head of an HTTP message.
 const (
-	pathPrefix = "/roster/"
-	dutyOn     = "on"
-	dutyOff    = "off"
-	lineEnd    = "\r\n"
-	headEnd    = lineEnd + lineEnd
+	lineEnd = "\r\n"
+	headEnd = lineEnd + lineEnd
 )
 
-// maxHead bounds a head and a body, in bytes: far over any that the registry sends.
-const maxHead = 8 << 10
+// maxLength bounds a head, and a body, in bytes: far over any that the registry sends.
+const maxLength = 8 << 10
 
 // Causes of a malformed response or report.
 var (
@@ -27,5 +34,5 @@
 	errDuty             = errors.New("report: neither on nor off")
 )
 
-// malformed returns the error for a message; it stands in the head, which is judged as a whole.
+// malformed returns the error for a message. Its offset is 0, as a head is parsed as a whole.
 func malformed(cause error) error { return &wire.ProtocolError{Protocol: "roster", Err: cause} }
--- a/internal/wire/roster/registry.go
+++ b/internal/wire/roster/registry.go
@@ -14,17 +14,18 @@
 // Report is what a server says of itself.
 type Report struct {
 	Name      string
-	Accepting bool // it accepts requests
-	Body      string
+	Accepting bool   // it accepts requests
+	Body      string // as received
 }
 
-// ReadReport reads one report. An error that isn't of the connection matches wire.ErrMalformed.
+// ReadReport reads one report. An error of the connection, or of what isn't HTTP, is returned as it is; one of an
+// HTTP request that isn't a report matches wire.ErrMalformed.
 func ReadReport(in *bufio.Reader) (Report, error) {
 	request, err := http.ReadRequest(in)
 	if err != nil {
 		return Report{}, err
 	}
-	body, err := io.ReadAll(io.LimitReader(request.Body, maxHead))
+	body, err := io.ReadAll(io.LimitReader(request.Body, maxLength))
 	if err != nil {
 		return Report{}, err
 	}
--- a/internal/wire/roster/response.go
+++ b/internal/wire/roster/response.go
@@ -11,32 +11,46 @@
 	Close  bool // the connection takes no further report
 }
 
-// ParseResponse reads the response at the start of data and returns its length, which is 0 while it isn't whole.
+// ParseResponse reads the response at the start of data and returns its length, or 0 if data holds only a part of it.
 // An error matches wire.ErrMalformed and means that nothing of data can be parsed.
 func ParseResponse(data []byte) (response Response, length int, err error) {
 	end := bytes.Index(data, []byte(headEnd))
 	if end < 0 {
-		if len(data) > maxHead {
+		if len(data) > maxLength {
 			return Response{}, 0, malformed(errUnterminatedHead)
 		}
 		return Response{}, 0, nil
 	}
-	lines := bytes.Split(data[:end], []byte(lineEnd))
-	response, err = parseStatusLine(lines[0])
+	head, err := parseHead(data[:end])
 	if err != nil {
 		return Response{}, 0, malformed(err)
 	}
-	bodyLength := 0
-	for _, line := range lines[1:] {
-		if err := response.parseHeader(line, &bodyLength); err != nil {
-			return Response{}, 0, malformed(err)
-		}
-	}
-	length = end + len(headEnd) + bodyLength
+	length = end + len(headEnd) + head.bodyLength
 	if len(data) < length {
 		return Response{}, 0, nil
 	}
-	return response, length, nil
+	return head.response, length, nil
+}
+
+// responseHead is what the head of a response tells.
+type responseHead struct {
+	response   Response
+	bodyLength int
+}
+
+// parseHead reads the status line and the headers.
+func parseHead(text []byte) (head responseHead, err error) {
+	lines := bytes.Split(text, []byte(lineEnd))
+	head.response, err = parseStatusLine(lines[0])
+	if err != nil {
+		return responseHead{}, err
+	}
+	for _, line := range lines[1:] {
+		if err := head.parseHeader(line); err != nil {
+			return responseHead{}, err
+		}
+	}
+	return head, nil
 }
 
 // parseStatusLine reads the protocol version and the status.
@@ -53,20 +67,20 @@
 	return response, nil
 }
 
-// parseHeader reads one header; of those that count it sets the response or the length of the body.
-func (r *Response) parseHeader(line []byte, bodyLength *int) (err error) {
+// parseHeader reads one header. Those that matter neither to the response nor to the body's length are ignored.
+func (h *responseHead) parseHeader(line []byte) (err error) {
 	key, value, _ := bytes.Cut(line, []byte(":"))
 	text := string(bytes.ToLower(bytes.TrimSpace(value)))
 	switch string(bytes.ToLower(key)) {
 	case "content-length":
-		*bodyLength, err = strconv.Atoi(text)
-		if err != nil || *bodyLength < 0 || *bodyLength > maxHead {
+		h.bodyLength, err = strconv.Atoi(text)
+		if err != nil || h.bodyLength < 0 || h.bodyLength > maxLength {
 			return errBodyLength
 		}
 	case "transfer-encoding":
 		return errChunked
 	case "connection":
-		r.Close = r.Close || text == "close"
+		h.response.Close = h.response.Close || text == "close"
 	}
 	return nil
 }
--- a/internal/wire/rpc/client.go
+++ b/internal/wire/rpc/client.go
@@ -3,31 +3,33 @@
 import (
 	"math"
 	"strconv"
+
+	"swiftcourse/internal/wire"
 )
 
 // This file and client_response.go are the client's side of the protocol: what a load balancer writes and reads.
 
-// decimals is how many decimals of memory and priority are written.
-const decimals = 6
+// fixedDecimals is the number of decimals with which memory and priority are written.
+const fixedDecimals = 6
 
 // AppendRequest appends a request, which ParseMessage reads as a KindRequest. Times are written as
 // whole milliseconds, memory and priority with six decimals; optional fields that aren't set are left out.
 func AppendRequest(b []byte, message *Message) []byte {
 	b = appendRequestHead(b, message.Number)
 	b = appendString(b, message.Class)
-	fields := newFieldEncoder(append(b, headFixArray|2))
+	fields := newFieldEncoder(append(b, formatFixArray|parametersLength))
 	fields.add(fieldID, message.ID)
-	fields.add(fieldArrivedAt, wholeMilliseconds(message.ArrivedAt))
+	fields.add(fieldArrivedAt, formatMilliseconds(message.ArrivedAt))
 	fields.add(fieldClient, strconv.Itoa(message.Client))
 	if !message.NoTimeout {
-		fields.add(fieldTimeout, wholeMilliseconds(message.Timeout))
+		fields.add(fieldTimeout, formatMilliseconds(message.Timeout))
 	}
-	fields.add(fieldMemory, strconv.FormatFloat(message.Memory, 'f', decimals, 64))
+	fields.add(fieldMemory, strconv.FormatFloat(message.Memory, 'f', fixedDecimals, 64))
 	if message.Tenant != "" {
 		fields.add(fieldTenant, message.Tenant)
 	}
 	if message.Priority != 0 {
-		fields.add(fieldPriority, strconv.FormatFloat(message.Priority, 'f', decimals, 64))
+		fields.add(fieldPriority, strconv.FormatFloat(message.Priority, 'f', fixedDecimals, 64))
 	}
 	if message.Subject != "" {
 		fields.add(fieldSubject, message.Subject)
@@ -39,24 +41,24 @@
 		fields.add(fieldRetry, flagSet)
 	}
 	if message.ExpectedWork > 0 {
-		fields.add(fieldExpectedWork, strconv.FormatFloat(message.ExpectedWork*millisecondsPerSecond, 'f', -1, 64))
+		fields.add(fieldExpectedWork, strconv.FormatFloat(message.ExpectedWork*wire.MillisecondsPerSecond, 'f', -1, 64))
 	}
 	return appendBinary(fields.buffer, message.Body)
 }
 
-// wholeMilliseconds formats seconds as a whole number of milliseconds.
-func wholeMilliseconds(seconds float64) string {
-	return strconv.FormatFloat(math.Round(seconds*millisecondsPerSecond), 'f', -1, 64)
+// formatMilliseconds formats seconds as a whole number of milliseconds.
+func formatMilliseconds(seconds float64) string {
+	return strconv.FormatFloat(math.Round(seconds*wire.MillisecondsPerSecond), 'f', -1, 64)
 }
 
 // AppendCancel appends the notification that the client doesn't wait for the response to a request any more.
 func AppendCancel(b []byte, number uint64) []byte {
 	b = appendNotificationHead(b, methodCancel)
-	return appendNumber(append(b, headFixArray|1), number)
+	return appendNumber(append(b, formatFixArray|1), number)
 }
 
 // AppendHealthCheck appends a health check.
 func AppendHealthCheck(b []byte, number uint64) []byte {
 	b = appendRequestHead(b, number)
-	return append(appendString(b, methodCheck), headFixArray|1, headFixMap)
+	return append(appendString(b, methodCheck), formatFixArray|1, formatFixMap) // an empty map of fields and no body
 }
--- a/internal/wire/rpc/client_response.go
+++ b/internal/wire/rpc/client_response.go
@@ -15,7 +15,7 @@
 	ResponseFailed                       // any other error
 	ResponseHealth                       // the response to a health check
 	ResponseGoAway                       // no response: no new request is wanted on the connection
-	ResponseOther                        // another whole message, to be passed over
+	ResponseOther                        // another message, to be ignored
 )
 
 // String returns the kind's name, for logs and tests.
@@ -41,20 +41,20 @@
 // Response is one whole message from a server; its result is a view of the input.
 type Response struct {
 	Kind      ResponseKind
-	Number    uint64
+	Number    uint64 // of the request
 	Result    []byte
 	Healthy   bool   // with ResponseHealth
-	ErrorName string // the error's name, "" where there is none
+	ErrorName string // the error's name, "" if there is none
 	Metadata  ResponseMetadata
 }
 
 // maxResponse bounds one response: a result of 4 KiB and its fields.
 const maxResponse = 16 << 10
 
-// ParseResponse reads the message at the start of b and returns its length, which is 0 while it isn't whole.
-// An error matches ErrMalformed and means that nothing of b can be parsed.
+// ParseResponse reads the message at the start of b and returns its length, or 0 if b holds only a part of it.
+// An error matches wire.ErrMalformed and means that nothing of b can be parsed.
 func ParseResponse(b []byte) (response Response, length int, err error) {
-	input := decoder{input: b}
+	input := decoder{data: b}
 	response = parseServerMessage(&input)
 	switch {
 	case errors.Is(input.err, errShort) && len(b) < maxResponse:
@@ -90,7 +90,7 @@
 // parseServerNotification reads what follows the type of a notification.
 func parseServerNotification(input *decoder) Response {
 	method := input.read()
-	input.readWhole()
+	input.readRaw()
 	if string(method.data) == methodGoAway {
 		return Response{Kind: ResponseGoAway}
 	}
@@ -100,15 +100,15 @@
 // parseResponse reads what follows the type of a response: number, error and result.
 func parseResponse(input *decoder) Response {
 	response := Response{Number: uint64(input.read().number)}
-	fault := input.readWhole()
-	result := input.readWhole()
+	fault := input.readRaw()
+	result := input.readRaw()
 	if input.err != nil {
 		return response
 	}
-	if fault[0] != headNil {
-		input.err = response.parseError(&decoder{input: fault})
+	if fault[0] != formatNil {
+		input.err = response.parseError(&decoder{data: fault})
 	} else {
-		input.err = response.parseResult(&decoder{input: result})
+		input.err = response.parseResult(&decoder{data: result})
 	}
 	return response
 }
@@ -117,7 +117,7 @@
 func (r *Response) parseError(input *decoder) (err error) {
 	list := input.read()
 	name := input.read()
-	if input.err != nil || list.kind != kindArray || list.length != 2 || name.kind != kindString {
+	if input.err != nil || list.kind != kindArray || list.length != errorLength || name.kind != kindString {
 		return errErrorShape
 	}
 	r.ErrorName = string(name.data)
@@ -132,18 +132,18 @@
 // parseResult reads the result of a response: bytes or a health check's bool, and fields.
 func (r *Response) parseResult(input *decoder) (err error) {
 	list := input.read()
-	var head byte
-	if input.offset < len(input.input) {
-		head = input.input[input.offset]
+	var format byte
+	if input.offset < len(input.data) {
+		format = input.data[input.offset]
 	}
 	body := input.read()
-	if input.err != nil || list.kind != kindArray || list.length != 2 {
+	if input.err != nil || list.kind != kindArray || list.length != resultLength {
 		return errResultShape
 	}
 	switch {
-	case head == headFalse, head == headTrue:
+	case format == formatFalse, format == formatTrue:
 		r.Kind = ResponseHealth
-		r.Healthy = head == headTrue
+		r.Healthy = format == formatTrue
 	case body.kind == kindBinary, body.kind == kindString:
 		r.Result = body.data
 	default:
@@ -153,16 +153,16 @@
 	return err
 }
 
-// parseMetadata reads the fields of a response. Those that aren't known or aren't strings are passed over.
-func parseMetadata(d *decoder) (metadata ResponseMetadata, err error) {
-	fields := d.read()
-	if d.err != nil || fields.kind != kindMap {
+// parseMetadata reads the fields of a response. Unknown ones, and those that aren't strings, are ignored.
+func parseMetadata(input *decoder) (metadata ResponseMetadata, err error) {
+	fields := input.read()
+	if input.err != nil || fields.kind != kindMap {
 		return metadata, errNoFields
 	}
 	for range fields.length {
-		name := d.read()
-		content := d.read()
-		if d.err != nil {
+		name := input.read()
+		content := input.read()
+		if input.err != nil {
 			return metadata, errFieldsCutShort
 		}
 		if name.kind != kindString || content.kind != kindString {
@@ -173,7 +173,7 @@
 		case fieldLoadReport:
 			metadata.LoadReport = text
 		case fieldRetryAfter:
-			if metadata.RetryAfter, err = parseSeconds(text, 0, maxMilliseconds); err != nil {
+			if metadata.RetryAfter, err = parseMilliseconds(text, 0, maxMilliseconds); err != nil {
 				return metadata, &FieldError{Field: fieldRetryAfter, Err: err}
 			}
 		case fieldNoFailover:
--- a/internal/wire/rpc/client_test.go
+++ b/internal/wire/rpc/client_test.go
@@ -10,6 +10,7 @@
 	"pgregory.net/rapid"
 
 	"swiftcourse/internal/fake/random"
+	"swiftcourse/internal/wire"
 )
 
 func TestMain(m *testing.M) { random.RunSeeded(m, 500) }
@@ -114,7 +115,7 @@
 		strings.Repeat("\xdd\x00\x01\x00\x00", 20),
 		"\x94\x01\x01\x92\xa4Busy\x81\xa8pushback\xa1x\xc0",
 	} {
-		if a, n, err := ParseResponse([]byte(bad)); !errors.Is(err, ErrMalformed) {
+		if a, n, err := ParseResponse([]byte(bad)); !errors.Is(err, wire.ErrMalformed) {
 			t.Errorf("%q: %+v, %d", bad, a, n)
 		}
 	}
--- a/internal/wire/rpc/decoder.go
+++ b/internal/wire/rpc/decoder.go
@@ -17,41 +17,41 @@
 	kindMap
 )
 
-// The first byte of a MessagePack value, by its specification. Of a range, the first is named.
+// The format bytes with which MessagePack values start, by its specification. Of a range, the first is named.
 const (
-	headFixMap   = 0x80
-	headFixArray = 0x90
-	headFixStr   = 0xa0
-	headNil      = 0xc0
-	headFalse    = 0xc2
-	headTrue     = 0xc3
-	headBin8     = 0xc4
-	headBin16    = 0xc5
-	headBin32    = 0xc6
-	headExt8     = 0xc7
-	headExt32    = 0xc9
-	headFloat32  = 0xca
-	headFloat64  = 0xcb
-	headUint8    = 0xcc
-	headUint32   = 0xce
-	headUint64   = 0xcf
-	headInt8     = 0xd0
-	headInt64    = 0xd3
-	headFixExt1  = 0xd4
-	headFixExt16 = 0xd8
-	headStr8     = 0xd9
-	headStr32    = 0xdb
-	headArray16  = 0xdc
-	headArray32  = 0xdd
-	headMap16    = 0xde
-	headMap32    = 0xdf
-	headFixNeg   = 0xe0
+	formatFixMap   = 0x80
+	formatFixArray = 0x90
+	formatFixStr   = 0xa0
+	formatNil      = 0xc0
+	formatFalse    = 0xc2
+	formatTrue     = 0xc3
+	formatBin8     = 0xc4
+	formatBin16    = 0xc5
+	formatBin32    = 0xc6
+	formatExt8     = 0xc7
+	formatExt32    = 0xc9
+	formatFloat32  = 0xca
+	formatFloat64  = 0xcb
+	formatUint8    = 0xcc
+	formatUint32   = 0xce
+	formatUint64   = 0xcf
+	formatInt8     = 0xd0
+	formatInt64    = 0xd3
+	formatFixExt1  = 0xd4
+	formatFixExt16 = 0xd8
+	formatStr8     = 0xd9
+	formatStr32    = 0xdb
+	formatArray16  = 0xdc
+	formatArray32  = 0xdd
+	formatMap16    = 0xde
+	formatMap32    = 0xdf
+	formatFixNeg   = 0xe0
 )
 
 // maxDepth is deeper than any message nests; it guards the stack.
 const maxDepth = 16
 
-// value is one MessagePack value; of an array or map only its head.
+// value is one MessagePack value; an array or map is without its elements.
 type value struct {
 	kind   valueKind
 	number int64  // of an integer
@@ -59,6 +59,7 @@
 	data   []byte // of a string or binary
 }
 
+// Causes of a value that can't be decoded. Only after errShort can more input help.
 var (
 	errShort = errors.New("cut short")
 	errSize  = errors.New("a value over the bound")
@@ -68,12 +69,12 @@
 
 // decoder reads values one after another and keeps the first error.
 type decoder struct {
-	input  []byte
+	data   []byte
 	offset int
 	err    error
 }
 
-// take returns the next bytes.
+// take consumes the next bytes and returns them, or nil after an error.
 func (d *decoder) take(length int) []byte {
 	switch {
 	case d.err != nil:
@@ -81,12 +82,12 @@
 	case length > MaxFrame:
 		d.err = errSize
 		return nil
-	case length > len(d.input)-d.offset:
+	case length > len(d.data)-d.offset:
 		d.err = errShort
 		return nil
 	}
 	d.offset += length
-	return d.input[d.offset-length : d.offset]
+	return d.data[d.offset-length : d.offset]
 }
 
 // uint reads a big-endian number of 1, 2, 4 or 8 bytes.
@@ -102,80 +103,80 @@
 	return int64(d.uint(width)<<unused) >> unused
 }
 
-// length reads a length; one over the bound is kept at it, for take to find.
+// length reads a big-endian length. One that is over MaxFrame is returned as MaxFrame+1, which take refuses.
 func (d *decoder) length(width int) int { return int(min(d.uint(width), MaxFrame+1)) }
 
-// read reads one value, of an array or map only its head.
+// read reads one value; of an array or map only its length, so that its elements come next.
 func (d *decoder) read() value {
 	first := d.take(1)
 	if d.err != nil {
 		return value{}
 	}
-	switch head := first[0]; {
-	case head < headFixMap:
-		return value{kind: kindInteger, number: int64(head)}
-	case head < headFixArray:
-		return value{kind: kindMap, length: int(head - headFixMap)}
-	case head < headFixStr:
-		return value{kind: kindArray, length: int(head - headFixArray)}
-	case head < headNil:
-		return value{kind: kindString, data: d.take(int(head - headFixStr))}
-	case head >= headFixNeg:
-		return value{kind: kindInteger, number: int64(int8(head))}
+	switch format := first[0]; {
+	case format < formatFixMap:
+		return value{kind: kindInteger, number: int64(format)}
+	case format < formatFixArray:
+		return value{kind: kindMap, length: int(format - formatFixMap)}
+	case format < formatFixStr:
+		return value{kind: kindArray, length: int(format - formatFixArray)}
+	case format < formatNil:
+		return value{kind: kindString, data: d.take(int(format - formatFixStr))}
+	case format >= formatFixNeg:
+		return value{kind: kindInteger, number: int64(int8(format))}
 	default:
-		return d.readWide(head)
+		return d.readWide(format)
 	}
 }
 
-// readWide reads a value whose head isn't followed by a width that the head itself tells.
-func (d *decoder) readWide(head byte) value {
+// readWide reads the rest of a value whose length or number follows its format byte, rather than being part of it.
+func (d *decoder) readWide(format byte) value {
 	switch {
-	case head == headNil, head == headFalse, head == headTrue:
+	case format == formatNil, format == formatFalse, format == formatTrue:
 		return value{}
-	case head >= headBin8 && head <= headBin32:
-		return value{kind: kindBinary, data: d.take(d.length(1 << (head - headBin8)))}
-	case head >= headExt8 && head <= headExt32: // a type byte stands before the data
-		d.take(1 + d.length(1<<(head-headExt8)))
+	case format >= formatBin8 && format <= formatBin32:
+		return value{kind: kindBinary, data: d.take(d.length(1 << (format - formatBin8)))}
+	case format >= formatExt8 && format <= formatExt32: // a type byte stands before the data
+		d.take(1 + d.length(1<<(format-formatExt8)))
 		return value{}
-	case head == headFloat32, head == headFloat64:
-		d.take(4 << (head - headFloat32))
+	case format == formatFloat32, format == formatFloat64:
+		d.take(4 << (format - formatFloat32))
 		return value{}
-	case head >= headUint8 && head <= headUint64:
-		return value{kind: kindInteger, number: int64(d.uint(1 << (head - headUint8)))}
-	case head >= headInt8 && head <= headInt64:
-		return value{kind: kindInteger, number: d.int(1 << (head - headInt8))}
-	case head >= headFixExt1 && head <= headFixExt16:
-		d.take(1 + 1<<(head-headFixExt1))
+	case format >= formatUint8 && format <= formatUint64:
+		return value{kind: kindInteger, number: int64(d.uint(1 << (format - formatUint8)))}
+	case format >= formatInt8 && format <= formatInt64:
+		return value{kind: kindInteger, number: d.int(1 << (format - formatInt8))}
+	case format >= formatFixExt1 && format <= formatFixExt16:
+		d.take(1 + 1<<(format-formatFixExt1))
 		return value{}
-	case head >= headStr8 && head <= headStr32:
-		return value{kind: kindString, data: d.take(d.length(1 << (head - headStr8)))}
-	case head == headArray16, head == headArray32:
-		return value{kind: kindArray, length: d.length(2 << (head - headArray16))}
-	case head == headMap16, head == headMap32:
-		return value{kind: kindMap, length: d.length(2 << (head - headMap16))}
+	case format >= formatStr8 && format <= formatStr32:
+		return value{kind: kindString, data: d.take(d.length(1 << (format - formatStr8)))}
+	case format == formatArray16, format == formatArray32:
+		return value{kind: kindArray, length: d.length(2 << (format - formatArray16))}
+	case format == formatMap16, format == formatMap32:
+		return value{kind: kindMap, length: d.length(2 << (format - formatMap16))}
 	}
 	d.err = errByte
 	return value{}
 }
 
-// readWhole passes one whole value, with all that is in it, and returns its bytes.
-func (d *decoder) readWhole() []byte {
-	from := d.offset
+// readRaw skips one value with all that is nested in it, and returns its encoded bytes.
+func (d *decoder) readRaw() []byte {
+	start := d.offset
 	d.skip(0)
 	if d.err != nil {
 		return nil
 	}
-	return d.input[from:d.offset]
+	return d.data[start:d.offset]
 }
 
-// skip passes one whole value that is nested so deep.
+// skip skips one value, which is nested depth levels deep, with all that is nested in it.
 func (d *decoder) skip(depth int) {
 	if depth > maxDepth && d.err == nil {
 		d.err = errDepth
 	}
-	head := d.read()
-	elements := head.length
-	if head.kind == kindMap {
+	skipped := d.read()
+	elements := skipped.length
+	if skipped.kind == kindMap {
 		elements *= 2
 	}
 	for i := 0; i < elements && d.err == nil; i++ {
--- a/internal/wire/rpc/doc.go
+++ b/internal/wire/rpc/doc.go
@@ -5,7 +5,7 @@
 // the buffer. The server's side is in request.go and response.go; the client's side, which the forwarder,
 // the test bench and the fake balancer use, is in client.go and client_response.go.
 //
-// The words on the wire and their Go names:
+// The names on the wire and the Go names:
 //
 //	isWell    KindHealthCheck                forget    KindCancel
 //	goaway    ResponseGoAway                 call      Message.ID
--- a/internal/wire/rpc/encoder.go
+++ b/internal/wire/rpc/encoder.go
@@ -11,19 +11,19 @@
 		return append(b, byte(number))
 	}
 	if number < 1<<32 {
-		return binary.BigEndian.AppendUint32(append(b, headUint32), uint32(number))
+		return binary.BigEndian.AppendUint32(append(b, formatUint32), uint32(number))
 	}
-	return binary.BigEndian.AppendUint64(append(b, headUint64), number)
+	return binary.BigEndian.AppendUint64(append(b, formatUint64), number)
 }
 
 // appendString appends a string of at most maxString bytes.
 func appendString(b []byte, text string) []byte {
-	if len(text) < headNil-headFixStr {
-		b = append(b, headFixStr|byte(len(text)))
+	if len(text) < formatNil-formatFixStr {
+		b = append(b, formatFixStr|byte(len(text)))
 		return append(b, text...)
 	}
 	text = text[:min(len(text), maxString)]
-	b = append(b, headStr8, byte(len(text)))
+	b = append(b, formatStr8, byte(len(text)))
 	return append(b, text...)
 }
 
@@ -31,11 +31,11 @@
 func appendBinary(b, data []byte) []byte {
 	switch length := len(data); {
 	case length < 1<<8:
-		b = append(b, headBin8, byte(length))
+		b = append(b, formatBin8, byte(length))
 	case length < 1<<16:
-		b = binary.BigEndian.AppendUint16(append(b, headBin16), uint16(length))
+		b = binary.BigEndian.AppendUint16(append(b, formatBin16), uint16(length))
 	default:
-		b = binary.BigEndian.AppendUint32(append(b, headBin32), uint32(length))
+		b = binary.BigEndian.AppendUint32(append(b, formatBin32), uint32(length))
 	}
 	return append(b, data...)
 }
@@ -48,7 +48,7 @@
 
 // newFieldEncoder starts an empty map at the end of b.
 func newFieldEncoder(b []byte) fieldEncoder {
-	return fieldEncoder{buffer: append(b, headFixMap), head: len(b)}
+	return fieldEncoder{buffer: append(b, formatFixMap), head: len(b)}
 }
 
 // add appends one field.
--- a/internal/wire/rpc/errors.go
+++ b/internal/wire/rpc/errors.go
@@ -7,9 +7,6 @@
 	"swiftcourse/internal/wire"
 )
 
-// ErrMalformed is matched by the error for bytes that can't be the start of a message.
-var ErrMalformed = wire.ErrMalformed
-
 // Causes of a malformed message.
 var (
 	errFrame          = errors.New("not an array of type and contents")
--- a/internal/wire/rpc/fields.go
+++ b/internal/wire/rpc/fields.go
@@ -4,17 +4,19 @@
 	"fmt"
 	"math"
 	"strconv"
+
+	"swiftcourse/internal/wire"
 )
 
-// Bounds of a request's fields.
+// Bounds of a request's fields. A number is below its maximum.
 const (
-	maxID           = 64   // bytes
-	maxKey          = 128  // bytes; a key is remembered for its whole window: two ids of the longest kind taken
-	maxMoment       = 1e15 // ms
-	maxMilliseconds = 1e12
-	minMemory       = 1e-9
-	maxMemory       = 2000
-	maxPriority     = 1
+	maxID               = 64   // bytes
+	maxKey              = 128  // bytes; twice an id, as a key is remembered for its whole window
+	maxUnixMilliseconds = 1e15 // ms since 1970
+	maxMilliseconds     = 1e12 // of a duration
+	minMemory           = 1e-9 // KiB
+	maxMemory           = 2000 // KiB
+	maxPriority         = 1
 )
 
 // fieldSet has a bit for each required field that a request bears.
@@ -29,8 +31,8 @@
 	requiredFields = hasID | hasArrivedAt | hasMemory
 )
 
-// parseField sets the field called name and returns its bit if it's a required one. One that isn't known is
-// passed over.
+// parseField sets the field called name and returns its bit if it's a required one. An unknown field is ignored,
+// whatever its content.
 func (m *Message) parseField(name string, content value) (fieldSet, error) {
 	switch name {
 	case fieldID, fieldArrivedAt, fieldClient, fieldTenant, fieldTimeout, fieldMemory, fieldPriority,
@@ -54,10 +56,10 @@
 			err = errNotID
 		}
 	case fieldArrivedAt:
-		m.ArrivedAt, err = parseSeconds(text, 0, maxMoment)
+		m.ArrivedAt, err = parseMilliseconds(text, 0, maxUnixMilliseconds)
 		required = hasArrivedAt
 	case fieldTimeout:
-		m.Timeout, err = parseSeconds(text, -maxMilliseconds, maxMilliseconds)
+		m.Timeout, err = parseMilliseconds(text, -maxMilliseconds, maxMilliseconds)
 		m.NoTimeout = false
 	case fieldMemory:
 		m.Memory, err = parseNumber(text, minMemory, maxMemory)
@@ -81,27 +83,27 @@
 	case fieldRetry:
 		m.Retry = text != "" && text != "0"
 	case fieldExpectedWork:
-		m.ExpectedWork, err = parseSeconds(text, 0, maxMilliseconds)
+		m.ExpectedWork, err = parseMilliseconds(text, 0, maxMilliseconds)
 	}
 	return required, err
 }
 
-// parseSeconds parses a number of milliseconds, as parseNumber does, and returns it in seconds.
-func parseSeconds(text string, least, under float64) (float64, error) {
-	milliseconds, err := parseNumber(text, least, under)
-	return milliseconds / millisecondsPerSecond, err
+// parseMilliseconds parses a number of milliseconds, as parseNumber does, and returns it in seconds.
+func parseMilliseconds(text string, minimum, limit float64) (float64, error) {
+	milliseconds, err := parseNumber(text, minimum, limit)
+	return milliseconds / wire.MillisecondsPerSecond, err
 }
 
-// parseNumber parses a number that is at least least and below under.
-func parseNumber(text string, least, under float64) (float64, error) {
+// parseNumber parses a number that is at least minimum and below limit.
+func parseNumber(text string, minimum, limit float64) (float64, error) {
 	number, err := strconv.ParseFloat(text, 64)
-	if err != nil || math.IsNaN(number) || number < least || number >= under {
-		return 0, fmt.Errorf("%.20q is not a number from %g to under %g", text, least, under)
+	if err != nil || math.IsNaN(number) || number < minimum || number >= limit {
+		return 0, fmt.Errorf("%.20q is not a number from %g to under %g", text, minimum, limit)
 	}
 	return number, nil
 }
 
-// isID tells whether text is an id that the line protocols of the other links can carry.
+// isID tells whether text is an id that the text protocols of the other links can carry.
 func isID(text string) bool {
 	for _, char := range []byte(text) {
 		switch {
--- a/internal/wire/rpc/words.go
+++ b/internal/wire/rpc/protocol.go
@@ -14,7 +14,14 @@
 	notificationLength = 3
 )
 
-// The methods that are no request's class.
+// How many elements the arrays inside a message have.
+const (
+	parametersLength = 2 // fields and body
+	errorLength      = 2 // name and fields
+	resultLength     = 2 // body or health, and fields
+)
+
+// The methods that have a meaning of their own. Any other method of a request is its class.
 const (
 	methodCheck  = "isWell"
 	methodCancel = "forget"
@@ -52,6 +59,3 @@
 	errorFailed   = "Failed"
 	errorInvalid  = "Invalid"
 )
-
-// millisecondsPerSecond converts between the wire's milliseconds and seconds.
-const millisecondsPerSecond = 1000
--- a/internal/wire/rpc/request.go
+++ b/internal/wire/rpc/request.go
@@ -16,7 +16,7 @@
 
 // The kinds of a message.
 const (
-	KindOther       Kind = iota // whole, and passed over
+	KindOther       Kind = iota // a message that is ignored
 	KindRequest                 // a client sends a request
 	KindCancel                  // a client cancels a request: it doesn't wait for the response any more
 	KindHealthCheck             // a health check
@@ -41,17 +41,17 @@
 // Message is one whole message; its body is a view of the input.
 type Message struct {
 	Kind         Kind
-	Number       uint64 // of the message on its connection
-	ID           string
+	Number       uint64 // the message id of MessagePack-RPC, which the response repeats
+	ID           string // the request's id, on all links
 	Class        string
 	Tenant       string
-	Subject      string  // "" where it names none
-	Key          string  // the idempotency key that all attempts of one request share, "" where it bears none
-	Retry        bool    // a further attempt, where clients mark those
-	ExpectedWork float64 // work that is expected, in seconds of a standard core; 0 where it isn't told
+	Subject      string  // "" if it names none
+	Key          string  // the idempotency key that all attempts of one request share, "" if it has none
+	Retry        bool    // a further attempt, if clients mark those
+	ExpectedWork float64 // work that is expected, in seconds of a standard core; 0 if it isn't known
 	ArrivedAt    float64 // when the request came to the client, in seconds of the Unix clock
 	Timeout      float64 // how long the client waits from ArrivedAt, in seconds; 0 with NoTimeout
-	NoTimeout    bool    // it doesn't tell how long the client waits
+	NoTimeout    bool    // the request does not say how long the client waits
 	Client       int
 	Memory       float64 // that the request needs, in KiB
 	Priority     float64 // from 0 to under 1
@@ -59,10 +59,10 @@
 	Invalid      error // why a whole message that is owed a response can't be taken, or nil
 }
 
-// ParseMessage reads the message at the start of b and returns its length, which is 0 while it isn't whole.
-// An error matches ErrMalformed and means that nothing of b can be parsed.
+// ParseMessage reads the message at the start of b and returns its length, or 0 if b holds only a part of it.
+// An error matches wire.ErrMalformed and means that nothing of b can be parsed.
 func ParseMessage(b []byte) (message Message, length int, err error) {
-	input := decoder{input: b}
+	input := decoder{data: b}
 	message = parseMessage(&input)
 	switch {
 	case errors.Is(input.err, errShort) && len(b) < MaxFrame:
@@ -94,7 +94,7 @@
 		return parseNotification(input)
 	case messageType.number == typeResponse && frame.length == responseLength: // nothing was asked
 		for range responseLength - 1 {
-			input.readWhole()
+			input.readRaw()
 		}
 		return Message{}
 	}
@@ -109,7 +109,7 @@
 	if input.err == nil && (number.kind != kindInteger || method.kind != kindString) {
 		input.err = errRequestHead
 	}
-	parameters := input.readWhole()
+	parameters := input.readRaw()
 	if input.err != nil {
 		return Message{}
 	}
@@ -119,18 +119,18 @@
 	}
 	message.Kind = KindRequest
 	message.Class = string(method.data)
-	message.Invalid = message.parseParameters(&decoder{input: parameters})
+	message.Invalid = message.parseParameters(&decoder{data: parameters})
 	return message
 }
 
-// parseNotification reads what follows the type of a notification. One that isn't known is passed over.
+// parseNotification reads what follows the type of a notification. An unknown one is ignored.
 func parseNotification(input *decoder) Message {
 	method := input.read()
-	parameters := input.readWhole()
+	parameters := input.readRaw()
 	if input.err != nil || string(method.data) != methodCancel {
 		return Message{}
 	}
-	nested := decoder{input: parameters}
+	nested := decoder{data: parameters}
 	list := nested.read()
 	number := nested.read()
 	if nested.err != nil || list.kind != kindArray || number.kind != kindInteger {
@@ -143,21 +143,21 @@
 func (m *Message) parseParameters(input *decoder) error {
 	list := input.read()
 	fields := input.read()
-	if input.err != nil || list.kind != kindArray || list.length < 2 || fields.kind != kindMap {
+	if input.err != nil || list.kind != kindArray || list.length < parametersLength || fields.kind != kindMap {
 		return errParameters
 	}
 	m.NoTimeout = true
 	var present fieldSet
 	for range fields.length {
 		name := input.read()
-		text := input.readWhole()
+		raw := input.readRaw()
 		if input.err != nil {
 			return errFieldsCutShort
 		}
 		if name.kind != kindString {
 			continue
 		}
-		nested := decoder{input: text}
+		nested := decoder{data: raw}
 		field, err := m.parseField(string(name.data), nested.read())
 		if err != nil {
 			return &FieldError{Field: string(name.data), Err: err}
--- a/internal/wire/rpc/request_test.go
+++ b/internal/wire/rpc/request_test.go
@@ -10,6 +10,8 @@
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"swiftcourse/internal/wire"
 )
 
 func init() {
@@ -143,7 +145,7 @@
 		"9400 07 a161" + strings.Repeat("91", 40),
 	} {
 		input := append(decodeHex(t, text), make([]byte, MaxFrame)...)
-		if m, n, err := ParseMessage(input); !errors.Is(err, ErrMalformed) {
+		if m, n, err := ParseMessage(input); !errors.Is(err, wire.ErrMalformed) {
 			t.Errorf("%s: %+v, %d, %v", text, m, n, err)
 		}
 	}
--- a/internal/wire/rpc/response.go
+++ b/internal/wire/rpc/response.go
@@ -3,26 +3,28 @@
 import (
 	"math"
 	"strconv"
+
+	"swiftcourse/internal/wire"
 )
 
 // ResponseMetadata is what a response carries beside its result.
 type ResponseMetadata struct {
-	LoadReport string  // the load report, "" where none was set
-	RetryAfter float64 // after how many seconds the client should retry; 0 where nothing is advised
+	LoadReport string  // the load report, "" if none is set
+	RetryAfter float64 // after how many seconds the client should retry; 0 without advice
 	NoFailover bool    // the client should not retry at another server
 }
 
 // append appends the map of the fields that are set.
-func (s ResponseMetadata) append(b []byte) []byte {
+func (m ResponseMetadata) append(b []byte) []byte {
 	fields := newFieldEncoder(b)
-	if s.LoadReport != "" {
-		fields.add(fieldLoadReport, s.LoadReport)
+	if m.LoadReport != "" {
+		fields.add(fieldLoadReport, m.LoadReport)
 	}
-	if s.RetryAfter > 0 {
-		milliseconds := int64(math.Ceil(s.RetryAfter * millisecondsPerSecond))
+	if m.RetryAfter > 0 {
+		milliseconds := int64(math.Ceil(m.RetryAfter * wire.MillisecondsPerSecond))
 		fields.add(fieldRetryAfter, strconv.FormatInt(milliseconds, 10))
 	}
-	if s.NoFailover {
+	if m.NoFailover {
 		fields.add(fieldNoFailover, flagSet)
 	}
 	return fields.buffer
@@ -31,7 +33,7 @@
 // AppendResult appends the response to the request numbered number, which finished.
 func AppendResult(b []byte, number uint64, result []byte, metadata ResponseMetadata) []byte {
 	b = appendResponseHead(b, number)
-	b = append(b, headNil, headFixArray|2)
+	b = append(b, formatNil, formatFixArray|resultLength)
 	return metadata.append(appendBinary(b, result))
 }
 
@@ -52,38 +54,38 @@
 
 // AppendHealth appends the response to a health check.
 func AppendHealth(b []byte, number uint64, healthy bool, metadata ResponseMetadata) []byte {
-	state := byte(headFalse)
+	format := byte(formatFalse)
 	if healthy {
-		state = headTrue
+		format = formatTrue
 	}
 	b = appendResponseHead(b, number)
-	return metadata.append(append(b, headNil, headFixArray|2, state))
+	return metadata.append(append(b, formatNil, formatFixArray|resultLength, format))
 }
 
 // AppendGoAway appends the notification that no new request is wanted on the connection.
 func AppendGoAway(b []byte) []byte {
 	b = appendNotificationHead(b, methodGoAway)
-	return append(b, headFixArray)
+	return append(b, formatFixArray)
 }
 
 // appendError appends a response whose error is an array of a name and fields.
 func appendError(b []byte, number uint64, name string, metadata ResponseMetadata) []byte {
 	b = appendResponseHead(b, number)
-	b = appendString(append(b, headFixArray|2), name)
-	return append(metadata.append(b), headNil)
+	b = appendString(append(b, formatFixArray|errorLength), name)
+	return append(metadata.append(b), formatNil)
 }
 
 // appendResponseHead appends the start of a response: type and number.
 func appendResponseHead(b []byte, number uint64) []byte {
-	return appendNumber(append(b, headFixArray|responseLength, typeResponse), number)
+	return appendNumber(append(b, formatFixArray|responseLength, typeResponse), number)
 }
 
 // appendRequestHead appends the start of a request: type and number.
 func appendRequestHead(b []byte, number uint64) []byte {
-	return appendNumber(append(b, headFixArray|requestLength, typeRequest), number)
+	return appendNumber(append(b, formatFixArray|requestLength, typeRequest), number)
 }
 
 // appendNotificationHead appends the start of a notification: type and method.
 func appendNotificationHead(b []byte, method string) []byte {
-	return appendString(append(b, headFixArray|notificationLength, typeNotification), method)
+	return appendString(append(b, formatFixArray|notificationLength, typeNotification), method)
 }
--- a/internal/wire/simulator/batch.go
+++ b/internal/wire/simulator/batch.go
@@ -9,12 +9,10 @@
 	"github.com/valyala/fastjson"
 
 	"swiftcourse/admission"
+	"swiftcourse/internal/wire"
 )
 
-// millisecondsPerSecond converts between the wire's milliseconds and seconds.
-const millisecondsPerSecond = 1000
-
-// readBuffer holds most lines, in bytes; a longer one is put together.
+// readBuffer holds most lines, in bytes; a longer one is assembled in Reader.longLine.
 const readBuffer = 1 << 20
 
 // Change tells what an event means for the lifecycle of its instance.
@@ -43,7 +41,7 @@
 
 // Event is one entry of a batch.
 type Event struct {
-	Instance string // the instance
+	Instance string // the name of the simulated server
 	Change   Change
 	Seed     int64     // with ChangeStarted
 	Settings *Settings // with ChangeStarted
@@ -86,7 +84,7 @@
 	if now == nil || now.Type() != fastjson.TypeNumber || inbox == nil || inbox.Type() != fastjson.TypeArray {
 		return nil, malformed(errBatchHead)
 	}
-	r.batch.Now = now.GetFloat64() / millisecondsPerSecond
+	r.batch.Now = now.GetFloat64() / wire.MillisecondsPerSecond
 	r.batch.Events = r.batch.Events[:0]
 	for i, entry := range inbox.GetArray() {
 		if entry.Type() != fastjson.TypeArray {
@@ -113,8 +111,8 @@
 	}
 }
 
-// readRawLine returns what there is up to the next line end or error; a line that overruns the buffer is put
-// together.
+// readRawLine returns what there is up to the next line end or error; a line that overruns the buffer is
+// assembled in longLine.
 func (r *Reader) readRawLine() ([]byte, error) {
 	r.longLine = r.longLine[:0]
 	part, err := r.in.ReadSlice('\n')
--- a/internal/wire/simulator/doc.go
+++ b/internal/wire/simulator/doc.go
@@ -1,10 +1,11 @@
-// Package simulator is the codec of shale-6a31, the protocol of the simulator: it reads batches of events, one
-// a line, appends replies and maps the words on the wire to the types of package admission.
+// Package simulator is the codec of shale-6a31, the protocol of the simulator: it reads batches of
+// events, one a line, appends replies and maps the names on the wire to the types of package
+// admission.
 //
-// Nothing is decided here. A Reader has the state that parsing needs: its buffers, and which gauges each
-// instance was told to expect. A Writer has the reply that is being written.
+// Nothing is decided here. A Reader has the state that parsing needs: its buffers, and which gauges
+// each instance was started with. A Writer has the reply that is being written.
 //
-// The words on the wire and their Go names:
+// The names on the wire and the Go names:
 //
 //	BORN        ChangeStarted         CRASH_NOW     ChangeCrashed
 //	REQ         Arrived               RUN_OVER      RunEnded           CALL_ENDED  CallReturned
@@ -16,5 +17,5 @@
 //	STATUS      SetHealth             HINT_OUT      ReportLoad         REAP_AFTER  SetIdleTimeout
 //	SCHEDULE    SetTimer              LOG           LogLine            PANIC       Writer.AddPanic
 //
-// The settings' words stand at the fields of Settings.
+// The settings' keys stand at the fields of Settings.
 package simulator
--- a/internal/wire/simulator/errors.go
+++ b/internal/wire/simulator/errors.go
@@ -27,5 +27,5 @@
 // Unwrap returns the cause.
 func (e *EventError) Unwrap() error { return e.Err }
 
-// malformed returns the error for a line; it's found only once the line is whole, so it stands at its start.
+// malformed returns the error for a line. Its offset is 0, as a line is parsed as a whole.
 func malformed(cause error) error { return &wire.ProtocolError{Protocol: "simulator", Err: cause} }
--- a/internal/wire/simulator/event.go
+++ b/internal/wire/simulator/event.go
@@ -7,6 +7,7 @@
 	"github.com/valyala/fastjson"
 
 	"swiftcourse/admission"
+	"swiftcourse/internal/wire"
 )
 
 // The names of events.
@@ -22,33 +23,33 @@
 	eventDeadlineHit = "DEADLINE_HIT"
 )
 
-// Where the elements of an event stand. What is at 2 and after depends on the event.
+// The indexes of the elements of an event. What is at 2 and after depends on the event.
 const (
-	atName      = 0
-	atInstance  = 1
-	atRequestID = 2
-	atSeed      = 2 // of eventBorn
-	atSettings  = 3 // of eventBorn
-	atOutcome   = 3 // of eventRunOver and eventCallEnded
-	atDuration  = 4 // of eventRunOver and eventCallEnded, ms
-	atGrace     = 2 // of eventDrain, ms
-	atLabel     = 2 // of eventDeadlineHit
-	atGauges    = 3 // of eventDeadlineHit
+	indexName      = 0
+	indexInstance  = 1
+	indexRequestID = 2
+	indexSeed      = 2 // of eventBorn
+	indexSettings  = 3 // of eventBorn
+	indexOutcome   = 3 // of eventRunOver and eventCallEnded
+	indexDuration  = 4 // of eventRunOver and eventCallEnded, ms
+	indexGrace     = 2 // of eventDrain, ms
+	indexLabel     = 2 // of eventDeadlineHit
+	indexGauges    = 3 // of eventDeadlineHit
 )
 
-// Where the elements of eventRequest stand.
+// The indexes of the elements of eventRequest.
 const (
-	atFlags           = 3
-	atMemory          = 4
-	atAge             = 5 // ms
-	atExpectedWork    = 6 // ms
-	atClass           = 7
-	atSubject         = 8
-	atClient          = 9
-	atRemainingBudget = 10 // ms
-	atPriority        = 11
-	atTenant          = 12
-	atDuplicateOf     = 13
+	indexFlags           = 3
+	indexMemory          = 4
+	indexAge             = 5 // ms
+	indexExpectedWork    = 6 // ms
+	indexClass           = 7
+	indexSubject         = 8
+	indexClient          = 9
+	indexRemainingBudget = 10 // ms
+	indexPriority        = 11
+	indexTenant          = 12
+	indexDuplicateOf     = 13
 )
 
 // The bits of the flags of eventRequest.
@@ -66,10 +67,10 @@
 	gaugeConnections = "sockets"
 )
 
-// unknownGauge is the value of a gauge that isn't told.
+// unknownGauge is the value of a gauge that isn't reported.
 const unknownGauge = -1
 
-// outcomes are the outcomes of runs and calls by their words.
+// outcomes are the outcomes of runs and calls by their names on the wire.
 var outcomes = map[string]admission.Outcome{
 	"ok":             admission.Finished,
 	"error":          admission.Failed,
@@ -81,14 +82,14 @@
 	"moot":           admission.NeverStarted,
 }
 
-// readEvent appends one entry to the batch. Events of names not known here are passed over.
+// readEvent appends one entry to the batch. Events of unknown names are ignored.
 func (r *Reader) readEvent(elements []*fastjson.Value) error {
-	name := text(elements, atName)
-	instance := text(elements, atInstance)
+	name := text(elements, indexName)
+	instance := text(elements, indexInstance)
 	if name == "" || instance == "" {
 		return errEventHead
 	}
-	entry := Event{Instance: instance, Event: admission.Event{RequestID: text(elements, atRequestID)}}
+	entry := Event{Instance: instance, Event: admission.Event{RequestID: text(elements, indexRequestID)}}
 	event := &entry.Event
 	switch name {
 	case eventBorn:
@@ -113,11 +114,11 @@
 	case eventDrain:
 		event.Kind = admission.DrainStarted
 		event.RequestID = ""
-		event.Duration = seconds(elements, atGrace)
+		event.Duration = seconds(elements, indexGrace)
 	case eventDeadlineHit:
 		event.Kind = admission.TimerFired
 		event.RequestID = ""
-		event.Label = text(elements, atLabel)
+		event.Label = text(elements, indexLabel)
 		event.Gauges = readGauges(r.gauges[instance], elements)
 	default:
 		return nil
@@ -128,13 +129,13 @@
 
 // readStart reads the seed and settings of a new instance.
 func (r *Reader) readStart(entry *Event, elements []*fastjson.Value) error {
-	if len(elements) <= atSettings {
+	if len(elements) <= indexSettings {
 		return errSettingsLack
 	}
 	entry.Change = ChangeStarted
-	entry.Seed = elements[atSeed].GetInt64()
+	entry.Seed = elements[indexSeed].GetInt64()
 	entry.Settings = new(Settings)
-	if err := json.Unmarshal(elements[atSettings].MarshalTo(nil), entry.Settings); err != nil {
+	if err := json.Unmarshal(elements[indexSettings].MarshalTo(nil), entry.Settings); err != nil {
 		return fmt.Errorf("BORN settings: %w", err)
 	}
 	r.gauges[entry.Instance] = entry.Settings.Deployment.Gauges
@@ -143,18 +144,18 @@
 
 // readRequest reads the request of an arrival.
 func readRequest(elements []*fastjson.Value) admission.Request {
-	flags := int(number(elements, atFlags))
+	flags := int(number(elements, indexFlags))
 	request := admission.Request{
-		Memory:          number(elements, atMemory),
-		Age:             seconds(elements, atAge),
-		ExpectedWork:    seconds(elements, atExpectedWork),
-		Class:           int(number(elements, atClass)),
-		HasSubject:      text(elements, atSubject) != "",
-		Client:          int(number(elements, atClient)),
-		RemainingBudget: seconds(elements, atRemainingBudget),
-		Priority:        number(elements, atPriority),
-		Tenant:          int(number(elements, atTenant)),
-		DuplicateOf:     text(elements, atDuplicateOf),
+		Memory:          number(elements, indexMemory),
+		Age:             seconds(elements, indexAge),
+		ExpectedWork:    seconds(elements, indexExpectedWork),
+		Class:           int(number(elements, indexClass)),
+		HasSubject:      text(elements, indexSubject) != "",
+		Client:          int(number(elements, indexClient)),
+		RemainingBudget: seconds(elements, indexRemainingBudget),
+		Priority:        number(elements, indexPriority),
+		Tenant:          int(number(elements, indexTenant)),
+		DuplicateOf:     text(elements, indexDuplicateOf),
 		Retry:           flags&flagRetry != 0,
 		Write:           flags&flagWrite != 0,
 	}
@@ -164,17 +165,17 @@
 	return request
 }
 
-// readOutcome reads how a run or call ended. A word not known yet proves nothing, as a failure does.
+// readOutcome reads how a run or call ended. An unknown outcome proves nothing, as a failure does.
 func readOutcome(event *admission.Event, elements []*fastjson.Value) {
-	outcome, known := outcomes[text(elements, atOutcome)]
+	outcome, known := outcomes[text(elements, indexOutcome)]
 	if !known {
 		outcome = admission.Failed
 	}
 	event.Outcome = outcome
-	event.Duration = seconds(elements, atDuration)
+	event.Duration = seconds(elements, indexDuration)
 }
 
-// readGauges reads the gauges that an instance was told to expect, in this order.
+// readGauges reads the gauges that an instance was started with, in this order.
 func readGauges(names []string, elements []*fastjson.Value) admission.Gauges {
 	gauges := admission.Gauges{
 		Utilization: unknownGauge,
@@ -182,10 +183,10 @@
 		Memory:      unknownGauge,
 		Connections: unknownGauge,
 	}
-	if len(elements) <= atGauges || elements[atGauges].Type() != fastjson.TypeArray {
+	if len(elements) <= indexGauges || elements[indexGauges].Type() != fastjson.TypeArray {
 		return gauges
 	}
-	row := elements[atGauges].GetArray()
+	row := elements[indexGauges].GetArray()
 	for i, name := range names {
 		if i < len(row) && row[i].Type() == fastjson.TypeNumber {
 			SetGauge(&gauges, name, number(row, i))
@@ -194,7 +195,7 @@
 	return gauges
 }
 
-// SetGauge sets the gauge that the settings call name. One not known here is passed over.
+// SetGauge sets the gauge that the settings call name. An unknown one is ignored.
 func SetGauge(gauges *admission.Gauges, name string, value float64) {
 	switch name {
 	case gaugeUtilization:
@@ -226,5 +227,5 @@
 
 // seconds returns the number of milliseconds at index in seconds.
 func seconds(elements []*fastjson.Value, index int) float64 {
-	return number(elements, index) / millisecondsPerSecond
+	return number(elements, index) / wire.MillisecondsPerSecond
 }
--- a/internal/wire/simulator/settings.go
+++ b/internal/wire/simulator/settings.go
@@ -58,7 +58,7 @@
 // Class is one class of requests.
 type Class struct {
 	Name                  string  `json:"name"`
-	SoftDeadlineStretch   float64 `json:"aimStretch"` // by this multiple of the work the soft deadline is later
+	SoftDeadlineStretch   float64 `json:"aimStretch"` // the soft deadline is later by this multiple of the work
 	Idempotency           string  `json:"effect"`     // the kind of its idempotency
 	TimeoutMs             float64 `json:"hardLimitMs"`
 	LateValue             float64 `json:"lateWorth" most:"1"`
--- a/internal/wire/simulator/writer.go
+++ b/internal/wire/simulator/writer.go
@@ -8,6 +8,7 @@
 	"strconv"
 
 	"swiftcourse/admission"
+	"swiftcourse/internal/wire"
 )
 
 // writeBuffer is the size of a Writer's buffer, in bytes.
@@ -19,7 +20,7 @@
 	replyEnd   = "]}\n"
 )
 
-// commandPanic tells that an instance's decisions panicked.
+// commandPanic reports that an instance's decisions panicked.
 const commandPanic = "PANIC"
 
 // commands are the names of actions.
@@ -84,10 +85,10 @@
 	w.end()
 }
 
-// AddPanic adds that the instance's decisions panicked, and with what.
-func (w *Writer) AddPanic(instance, what string) {
+// AddPanic adds that the instance's decisions panicked, and the value of the panic.
+func (w *Writer) AddPanic(instance, value string) {
 	w.begin(commandPanic, instance)
-	w.appendText(what)
+	w.appendText(value)
 	w.end()
 }
 
@@ -128,7 +129,7 @@
 
 // appendMilliseconds appends a duration that is given in seconds.
 func (w *Writer) appendMilliseconds(seconds float64) {
-	w.reply = strconv.AppendFloat(append(w.reply, ','), seconds*millisecondsPerSecond, 'f', 3, 64)
+	w.reply = strconv.AppendFloat(append(w.reply, ','), seconds*wire.MillisecondsPerSecond, 'f', 3, 64)
 }
 
 // appendBool appends a flag.
