--- /dev/null
+++ b/internal/bench/process/settings.go
@@ -0,0 +1,40 @@
+package process
+
+import (
+	"swiftcourse/internal/wire/simulator"
+)
+
+// BaseSettings returns the settings that the experiments share: what the simulator's contract states, a server that
+// passes its deadline on, and two gauges. Experiments add their caps, cores and idle timeout.
+func BaseSettings(classes ...simulator.Class) simulator.Settings {
+	settings := simulator.Settings{Servers: 1, Classes: classes}
+	contract := &settings.Contract
+	contract.ConcurrencyPerCore = 8
+	contract.ConcurrencyWindowMs = 1000
+	contract.DrainGraceMs = 500
+	contract.DeadlineToleranceMs = 50
+	own := &settings.Deployment
+	own.Cores = 4
+	own.MemoryLimitKb = 1e6
+	own.RunningFactor = 1
+	own.Clients = 1
+	own.DeadlinePropagation = true
+	own.Gauges = []string{"cpu_busy", "runnable"}
+	own.IdleTimeoutMs = 60_000
+	return settings
+}
+
+// RunningGauges returns gauges for an executor of so many cores: the share of them that is busy, and the runs that
+// proceed.
+func RunningGauges(cores int) func(busy, waiting int) []float64 {
+	return func(busy, _ int) []float64 {
+		return []float64{float64(busy) / float64(cores), float64(busy)}
+	}
+}
+
+// RunnableGauges is like RunningGauges, but the second gauge counts the runs that wait for a core too.
+func RunnableGauges(cores int) func(busy, waiting int) []float64 {
+	return func(busy, waiting int) []float64 {
+		return []float64{float64(busy) / float64(cores), float64(busy + waiting)}
+	}
+}
