--- a/internal/bench/idleconns/holder.go
+++ b/internal/bench/idleconns/holder.go
@@ -23,8 +23,14 @@
 	replyCounts   = "counts"
 )
 
-// Holder is a process that holds idle connections to one server. A process of its own, as one may not have the
-// descriptors for all connections, and so that their cost on the client's side does not disturb the load.
+// The command line by which this program serves as a holder's process.
+const (
+	holdCommand    = "hold"
+	honorCloseFlag = "--heeds"
+)
+
+// Holder is a process that holds idle connections to one server. They are held outside the load generator's process
+// because of its descriptor limit, and so that their cost on the client's side does not disturb the load.
 type Holder struct {
 	command *exec.Cmd
 	in      io.WriteCloser
@@ -33,12 +39,12 @@
 
 // HolderCounts are a holder's connections.
 type HolderCounts struct {
-	Open          int
-	CloseRequests int // connections that the server asked to close
-	Closed        int
+	Open    int
+	GoAways int // go-away messages, by which the server asks to close a connection
+	Closed  int
 }
 
-// ErrHolderEnded is returned for a holder's process that ended before it replied.
+// ErrHolderEnded is returned if a holder's process ends before it replies.
 var ErrHolderEnded = errors.New("the process that holds connections ended")
 
 // StartHolder starts this program once more, to hold n connections.
@@ -47,9 +53,9 @@
 	if err != nil {
 		return nil, err
 	}
-	arguments := []string{"hold", address, strconv.Itoa(n)}
+	arguments := []string{holdCommand, address, strconv.Itoa(n)}
 	if honorClose {
-		arguments = append(arguments, "--heeds")
+		arguments = append(arguments, honorCloseFlag)
 	}
 	h := &Holder{command: exec.CommandContext(ctx, program, arguments...)}
 	h.command.Stderr = os.Stderr
@@ -106,7 +112,7 @@
 	if err != nil {
 		return counts, err
 	}
-	if _, err := fmt.Sscan(text, &counts.Open, &counts.CloseRequests, &counts.Closed); err != nil {
+	if _, err := fmt.Sscan(text, &counts.Open, &counts.GoAways, &counts.Closed); err != nil {
 		return counts, fmt.Errorf("counts %q of the process that holds connections: %w", text, err)
 	}
 	return counts, nil
@@ -134,7 +140,7 @@
 			idle.SendHealthChecks()
 			fmt.Fprintln(out, replyChecked)
 		case commandCounts:
-			fmt.Fprintln(out, replyCounts, idle.Len(), idle.CloseRequests.Load(), idle.Closed.Load())
+			fmt.Fprintln(out, replyCounts, idle.Len(), idle.GoAways.Load(), idle.Closed.Load())
 		default:
 			return fmt.Errorf("unknown command %q", command)
 		}
--- a/internal/fake/balancer/balancer_test.go
+++ b/internal/fake/balancer/balancer_test.go
@@ -93,7 +93,7 @@
 			t.Fatalf("%d open", idle.Len())
 		}
 		idle.SendHealthChecks()
-		await(t, "all are asked to close", func() bool { return idle.CloseRequests.Load() == n })
+		await(t, "all are asked to close", func() bool { return idle.GoAways.Load() == n })
 		if honorClose {
 			await(t, "all are closed", func() bool { return idle.Len() == 0 })
 			if idle.Closed.Load() != n {
--- a/internal/fake/balancer/conn.go
+++ b/internal/fake/balancer/conn.go
@@ -20,9 +20,9 @@
 // Conn is a connection to a server. Its methods may be called from any goroutine.
 type Conn struct {
 	net.Conn
-	mu     sync.Mutex // serializes writes
-	output []byte     // reused
-	number uint64     // of the latest message
+	mu           sync.Mutex // serializes writes
+	output       []byte     // buffer of send, reused
+	latestNumber uint64     // of the latest message
 }
 
 // Dial opens a connection. One goroutine of the connection calls onAnswer for each message received and, if onClose
@@ -73,8 +73,8 @@
 func (c *Conn) NextNumber() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.number++
-	return c.number
+	c.latestNumber++
+	return c.latestNumber
 }
 
 // SendRequest sends a request, whose Number is from NextNumber.
@@ -95,15 +95,16 @@
 	return c.send(func(b []byte) []byte { return rpc.AppendHealthCheck(b, number) })
 }
 
-func (c *Conn) send(put func([]byte) []byte) error {
+func (c *Conn) send(appendMessage func([]byte) []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.output = put(c.output[:0])
+	c.output = appendMessage(c.output[:0])
 	_, err := c.Write(c.output)
 	return err
 }
 
-// IsHealthy reports whether a server answers a health check well within the timeout, on a connection of its own.
+// IsHealthy opens a connection, sends a health check, and reports whether the server answers within the timeout that
+// it is healthy.
 func IsHealthy(address string, timeout time.Duration) bool {
 	health := make(chan bool, 1)
 	c, err := Dial(context.Background(), address, func(answer rpc.Response) {
--- a/internal/fake/balancer/idle.go
+++ b/internal/fake/balancer/idle.go
@@ -13,7 +13,7 @@
 const (
 	// concurrentDials is how many idle connections are opened at a time.
 	concurrentDials = 64
-	// maxShortMessage bounds the messages read on idle connections. Each of them has a goroutine, so the buffer is
+	// maxShortMessage bounds the messages read on idle connections. Each connection has a goroutine, so the buffer is
 	// small enough for the goroutine's initial stack.
 	maxShortMessage = 96
 )
@@ -30,14 +30,14 @@
 	mu         sync.Mutex
 	conns      map[net.Conn]bool
 
-	// CloseRequests counts the connections that the server asked to close.
-	CloseRequests atomic.Int64
+	// GoAways counts the go-away messages, by which the server asks the client to close.
+	GoAways atomic.Int64
 	// Closed counts the connections that ended before Close, by the server or at its request.
 	Closed atomic.Int64
 }
 
 // OpenIdle opens n connections to a server and waits for the answer to a health check on each. With honorClose a
-// connection is closed when the server asks for it; without, it stays open until the server closes it.
+// connection is closed at the server's go-away message; without, it stays open until the server closes it.
 func OpenIdle(address string, n int, honorClose bool) (*IdleConns, error) {
 	idle := &IdleConns{honorClose: honorClose, conns: map[net.Conn]bool{}}
 	var wait sync.WaitGroup
@@ -115,7 +115,7 @@
 	return errUnexpectedMessage
 }
 
-// watch waits until the server closes a connection, or asks for it.
+// watch counts the go-away messages on a connection until it ends, and closes it at the first with honorClose.
 func (c *IdleConns) watch(conn net.Conn) {
 	for {
 		err := readMessage(conn, rpc.ResponseGoAway)
@@ -123,7 +123,7 @@
 			continue // the answer to SendHealthChecks
 		}
 		if err == nil {
-			c.CloseRequests.Add(1)
+			c.GoAways.Add(1)
 			if !c.honorClose {
 				continue
 			}
@@ -154,14 +154,14 @@
 // SendHealthChecks sends a health check on every connection in one burst, so that all of their idle timers restart
 // at the same time. Write errors are ignored: a connection that closes meanwhile needs no check.
 func (c *IdleConns) SendHealthChecks() {
-	for _, conn := range c.all() {
+	for _, conn := range c.snapshot() {
 		_, _ = conn.Write(healthCheck)
 	}
 }
 
 // Close closes all connections.
 func (c *IdleConns) Close() {
-	for _, conn := range c.all() {
+	for _, conn := range c.snapshot() {
 		c.mu.Lock()
 		delete(c.conns, conn)
 		c.mu.Unlock()
@@ -169,12 +169,13 @@
 	}
 }
 
-func (c *IdleConns) all() []net.Conn {
+// snapshot returns the open connections.
+func (c *IdleConns) snapshot() []net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	all := make([]net.Conn, 0, len(c.conns))
+	conns := make([]net.Conn, 0, len(c.conns))
 	for conn := range c.conns {
-		all = append(all, conn)
+		conns = append(conns, conn)
 	}
-	return all
+	return conns
 }
--- a/internal/fake/executor/connection.go
+++ b/internal/fake/executor/connection.go
@@ -11,7 +11,8 @@
 
 const readBufferSize = 64 << 10
 
-// notice is a line for the server that stays valid over connections, by its serial.
+// notice is a line for the server that is sent again on a new connection, unless the server has read it. Serials count
+// notices from 1.
 type notice struct {
 	serial int64
 	line   []byte
@@ -33,23 +34,24 @@
 	}
 }
 
+// handle executes a command. Only CommandResume is accepted from a connection other than the current one.
 func (s *Server) handle(conn net.Conn, command *processor.Command) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if command.Kind == processor.CommandResume {
 		s.resume(conn, command.Serial)
-	} else if s.link == conn {
+	} else if s.conn == conn {
 		s.execute(command)
 	}
 }
 
-// resume replaces the connection by a new one and repeats the notices after the last that the server has read.
+// resume makes conn the current connection and sends the notices again that follow the last one the server has read.
 func (s *Server) resume(conn net.Conn, lastRead int64) {
-	if s.link != nil && s.link != conn {
-		_ = s.link.Close()
+	if s.conn != nil && s.conn != conn {
+		_ = s.conn.Close()
 	}
-	s.stats.Links++
-	s.link = conn
+	s.stats.Resumed++
+	s.conn = conn
 	s.output = nil
 	s.write(processor.AppendHello(nil, s.config.ColdStart, time.Since(s.startedAt).Seconds()))
 	for _, n := range s.notices {
@@ -62,32 +64,32 @@
 func (s *Server) execute(command *processor.Command) {
 	switch command.Kind {
 	case processor.CommandStart:
-		s.begin(command)
+		s.startRun(command)
 	case processor.CommandReply, processor.CommandSkipCall:
 		s.resumeRun(command)
 	case processor.CommandReadGauges:
 		var gauges []float64
 		if s.config.Gauges != nil {
-			gauges = s.config.Gauges(s.busy, len(s.waiting))
+			gauges = s.config.Gauges(s.busyCores, len(s.waitingRuns))
 		}
 		s.write(processor.AppendGauges(nil, command.Tag, gauges))
 	}
 }
 
-// notify sends a notice and keeps it for connections that resume.
-func (s *Server) notify(put func(b []byte, serial int64) []byte) {
-	s.serial++
-	line := put(nil, s.serial)
+// notify sends a notice and keeps it, up to the protocol's bound, for connections on which the server resumes.
+func (s *Server) notify(appendLine func(b []byte, serial int64) []byte) {
+	s.latestSerial++
+	line := appendLine(nil, s.latestSerial)
 	if len(s.notices) >= 2*maxNotices {
 		s.notices = append([]notice(nil), s.notices[maxNotices:]...)
 	}
-	s.notices = append(s.notices, notice{s.serial, line})
+	s.notices = append(s.notices, notice{s.latestSerial, line})
 	s.write(line)
 }
 
 // write queues a line. A goroutine of its own writes the queue, as the caller holds the lock.
 func (s *Server) write(line []byte) {
-	if s.link == nil {
+	if s.conn == nil {
 		return
 	}
 	s.output = append(s.output, line...)
@@ -102,14 +104,14 @@
 func (s *Server) flush() {
 	for {
 		s.mu.Lock()
-		output, link := s.output, s.link
+		output, conn := s.output, s.conn
 		s.output = nil
-		s.flushing = len(output) > 0 && link != nil
+		s.flushing = len(output) > 0 && conn != nil
 		stop := !s.flushing
 		s.mu.Unlock()
 		if stop {
 			return
 		}
-		_, _ = link.Write(output)
+		_, _ = conn.Write(output)
 	}
 }
--- a/internal/fake/executor/run.go
+++ b/internal/fake/executor/run.go
@@ -14,17 +14,17 @@
 	body        []byte
 	partSeconds float64 // of a core, for each part
 	partsLeft   int
-	callSerial  int64 // of the notice of its upstream call; 0 while it waits for none
+	awaitedCall int64 // serial of the notice that asked for its upstream call; 0 while it awaits no reply
 	startedAt   time.Time
 }
 
-// begin starts a run, unless one with its id is under way.
-func (s *Server) begin(command *processor.Command) {
+// startRun starts a run, unless one with the same id is in progress.
+func (s *Server) startRun(command *processor.Command) {
 	if s.runs[command.ID] != nil {
 		return
 	}
 	s.stats.Started++
-	if s.ended[command.ID] {
+	if s.endedIDs[command.ID] {
 		s.stats.Repeated++
 	}
 	r := &run{id: command.ID, class: command.Class, body: command.Body, partsLeft: 1, startedAt: time.Now()}
@@ -45,42 +45,43 @@
 // resumeRun continues a run that waits for its upstream call, with the call's reply or without one.
 func (s *Server) resumeRun(command *processor.Command) {
 	r := s.runs[command.ID]
-	otherCall := r != nil && command.Kind == processor.CommandSkipCall && command.Serial != r.callSerial
-	if r == nil || r.callSerial == 0 || otherCall {
+	wrongCall := r != nil && command.Kind == processor.CommandSkipCall && command.Serial != r.awaitedCall
+	if r == nil || r.awaitedCall == 0 || wrongCall {
 		s.write(processor.AppendRejected(nil, command.Kind, command.ID))
 		return
 	}
-	r.callSerial = 0
+	r.awaitedCall = 0
 	s.enqueue(r)
 }
 
-// enqueue has the next part of a run wait for a core.
+// enqueue appends the next part of a run to the queue for a core.
 func (s *Server) enqueue(r *run) {
-	s.waiting = append(s.waiting, r)
+	s.waitingRuns = append(s.waitingRuns, r)
 	s.schedule()
 }
 
 // schedule starts waiting parts while there are free cores.
 func (s *Server) schedule() {
-	for len(s.waiting) > 0 && s.busy < s.config.Cores {
-		r := s.waiting[0]
-		s.waiting = s.waiting[1:]
+	for len(s.waitingRuns) > 0 && s.busyCores < s.config.Cores {
+		r := s.waitingRuns[0]
+		s.waitingRuns = s.waitingRuns[1:]
 		if r.partSeconds <= 0 {
 			s.finishPart(r)
 			continue
 		}
-		s.busy++
+		s.busyCores++
 		time.AfterFunc(seconds(r.partSeconds), func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.busy--
+			s.busyCores--
 			s.finishPart(r)
 			s.schedule()
 		})
 	}
 }
 
-// finishPart ends a part of a run: the first of two with an upstream call, the last with the run's result.
+// finishPart ends a part of a run. After the first of two parts the run makes its upstream call; after its last part
+// the run ends with its result.
 func (s *Server) finishPart(r *run) {
 	r.partsLeft--
 	if r.partsLeft > 0 {
@@ -98,23 +99,24 @@
 func (s *Server) callUpstream(r *run) {
 	s.stats.Calls++
 	s.notify(func(b []byte, serial int64) []byte {
-		r.callSerial = serial
+		r.awaitedCall = serial
 		return processor.AppendAwaitingCall(b, serial, r.id, r.body)
 	})
 	if s.config.CallTimeout <= 0 {
 		return
 	}
-	call := r.callSerial
+	call := r.awaitedCall
 	time.AfterFunc(seconds(s.config.CallTimeout), func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.runs[r.id] == r && r.callSerial == call {
+		if s.runs[r.id] == r && r.awaitedCall == call {
 			s.endRun(r)
 			s.notifyEnded(r, admission.Cancelled, nil)
 		}
 	})
 }
 
+// notifyEnded sends the notice that a run has ended.
 func (s *Server) notifyEnded(r *run, outcome admission.Outcome, result []byte) {
 	s.notify(func(b []byte, serial int64) []byte {
 		return processor.AppendRunEnded(b, processor.Notice{
@@ -131,10 +133,10 @@
 func (s *Server) endRun(r *run) {
 	s.stats.Ended++
 	delete(s.runs, r.id)
-	if len(s.ended) >= maxEndedIDs {
-		clear(s.ended)
+	if len(s.endedIDs) >= maxEndedIDs {
+		clear(s.endedIDs)
 	}
-	s.ended[r.id] = true
+	s.endedIDs[r.id] = true
 }
 
 func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
--- a/internal/fake/executor/server.go
+++ b/internal/fake/executor/server.go
@@ -1,7 +1,7 @@
 // Package executor is a fake of the executor that runs a server's requests. It simulates a number of cores, runs
-// requests first come, first served, and speaks the executor protocol, resumption of a broken connection included.
+// requests in order of arrival, and implements the executor protocol, including resumption after a broken connection.
 //
-// Server owns all state under one mutex; timers and connection goroutines take it.
+// One mutex of Server guards all state; timers and connection goroutines lock it.
 package executor
 
 import (
@@ -38,7 +38,7 @@
 	Started  int
 	Ended    int
 	Calls    int // upstream calls requested
-	Links    int // connections resumed
+	Resumed  int // connections on which the server resumed, the first included
 	Repeated int // runs of an id that had ended before, that is, duplicate effects
 }
 
@@ -48,17 +48,17 @@
 	listener  net.Listener
 	startedAt time.Time
 
-	mu       sync.Mutex
-	stats    Stats
-	link     net.Conn // the connection that was resumed last; nil while there is none
-	output   []byte   // not written yet
-	flushing bool     // a goroutine writes output
-	serial   int64    // of the latest notice
-	notices  []notice // the latest, in order
-	runs     map[string]*run
-	ended    map[string]bool
-	waiting  []*run // for a core
-	busy     int    // cores
+	mu           sync.Mutex
+	stats        Stats
+	conn         net.Conn // the latest on which the server resumed; nil while there is none
+	output       []byte   // lines for conn that are not written yet
+	flushing     bool     // a goroutine runs flush
+	latestSerial int64    // of the latest notice
+	notices      []notice // the latest, in order
+	runs         map[string]*run
+	endedIDs     map[string]bool // at most maxEndedIDs
+	waitingRuns  []*run          // the queue for a core
+	busyCores    int
 }
 
 const (
@@ -71,7 +71,7 @@
 // Start listens on a TCP address.
 func Start(address string, config Config) (*Server, error) {
 	config.Cores = max(1, config.Cores)
-	s := &Server{config: config, startedAt: time.Now(), runs: map[string]*run{}, ended: map[string]bool{}}
+	s := &Server{config: config, startedAt: time.Now(), runs: map[string]*run{}, endedIDs: map[string]bool{}}
 	listener, err := tcpserver.Start(address, s.serve)
 	if err != nil {
 		return nil, err
@@ -96,12 +96,12 @@
 	s.Disconnect()
 }
 
-// Disconnect closes the connection; runs go on, and their notices are kept for the next one.
+// Disconnect closes the connection. Runs go on, and their notices are kept for the next connection.
 func (s *Server) Disconnect() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.link != nil {
-		_ = s.link.Close()
-		s.link = nil
+	if s.conn != nil {
+		_ = s.conn.Close()
+		s.conn = nil
 	}
 }
--- a/internal/fake/executor/server_test.go
+++ b/internal/fake/executor/server_test.go
@@ -80,7 +80,7 @@
 	if ended.Outcome != admission.Finished || string(ended.Body) != "1 x" {
 		t.Errorf("%s %q", ended.Outcome, ended.Body)
 	}
-	if stats := s.Stats(); stats != (Stats{Started: 1, Ended: 1, Links: 1}) {
+	if stats := s.Stats(); stats != (Stats{Started: 1, Ended: 1, Resumed: 1}) {
 		t.Errorf("%+v", stats)
 	}
 }
--- a/internal/fake/registry/server.go
+++ b/internal/fake/registry/server.go
@@ -1,5 +1,5 @@
-// Package registry is a fake of the service registry: it accepts the servers' load reports, and drops connections
-// where a test wants it to.
+// Package registry is a fake of the service registry: it receives the servers' load reports, and closes connections
+// when the test tells it to.
 package registry
 
 import (
--- a/internal/fake/tcpserver/tcpserver.go
+++ b/internal/fake/tcpserver/tcpserver.go
@@ -18,6 +18,7 @@
 	return listener, nil
 }
 
+// accept runs the accept loop until the listener is closed.
 func accept(listener net.Listener, handle func(net.Conn)) {
 	for {
 		conn, err := listener.Accept()
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -94,8 +94,8 @@
 	if left := f.server.drain.killAt - f.server.now(); left < 1 || f.server.clients.conns.Len() != 0 {
 		t.Errorf("it ended %.3f s before the kill with %d connections", left, f.server.clients.conns.Len())
 	}
-	if crowd.CloseRequests.Load() != n {
-		t.Errorf("%d of %d were asked to close", crowd.CloseRequests.Load(), n)
+	if crowd.GoAways.Load() != n {
+		t.Errorf("%d of %d were asked to close", crowd.GoAways.Load(), n)
 	}
 	f.runResult <- nil
 }
--- a/internal/server/graceful_test.go
+++ b/internal/server/graceful_test.go
@@ -176,7 +176,7 @@
 			busy.expect(resultPrefix + "\x01r\x80")
 		}
 		_ = busy.Close()
-		if asked := crowd.CloseRequests.Load(); asked != n {
+		if asked := crowd.GoAways.Load(); asked != n {
 			t.Errorf("%d of %d were asked to close", asked, n)
 		}
 		waitUntil(f, 0, clientCount)
