--- a/internal/bench/connflood/client.go
+++ b/internal/bench/connflood/client.go
@@ -23,11 +23,11 @@
 )
 
 var (
-	errNotFinished = errors.New("request answered, and not finished")
+	errNotFinished = errors.New("request was answered but not finished")
 	errLongMessage = errors.New("message is too long")
 )
 
-// client is a trusted client: an address, and at times a connection.
+// client is a trusted client with an address of its own. It has at most one connection.
 type client struct {
 	server  string
 	address net.IP
@@ -57,15 +57,15 @@
 	return clients, nil
 }
 
-// attemptStats is how clients fared that connected again and again for one request each.
+// attemptStats counts the attempts of clients that connect anew for each request.
 type attemptStats struct {
 	total     int
 	failed    int
 	latencies []float64 // of those that did not fail, in milliseconds, from the dial to the answer
 }
 
-// reconnect has clients connect again and again for one request each until the end, and waits for all goroutines of
-// the group.
+// reconnect has each client connect anew for each of its requests until the end. It starts a goroutine of the group
+// for each client and waits for the whole group, goroutines of the caller included.
 func reconnect(ctx context.Context, clients []*client, end time.Time, group *sync.WaitGroup) attemptStats {
 	var mu sync.Mutex
 	var stats attemptStats
@@ -90,7 +90,7 @@
 	return stats
 }
 
-// attempt connects, has one request finished and closes the connection.
+// attempt connects, sends one request, waits for its answer and closes the connection.
 func (c *client) attempt(ctx context.Context) error {
 	defer c.close()
 	start := time.Now()
@@ -130,7 +130,8 @@
 	}
 }
 
-// request has one request finished. The error tells that no answer came, or errNotFinished that another one did.
+// request sends one request and waits for its answer. The error is errNotFinished if the request was answered with
+// another outcome than finished; any other error means that no valid answer came.
 func (c *client) request(timeout time.Duration) error {
 	if c.conn == nil {
 		return net.ErrClosed
--- a/internal/bench/connflood/flood.go
+++ b/internal/bench/connflood/flood.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"swiftcourse/internal/bench/process"
+	"swiftcourse/internal/bench/timing"
 	"swiftcourse/internal/fake/executor"
 	"swiftcourse/internal/wire/simulator"
 )
@@ -95,8 +96,8 @@
 // Run measures with connection limiting off, and on.
 func Run(ctx context.Context, p *Plan) ([]Row, error) {
 	var rows []Row
-	for _, limit := range []string{"off", "on"} {
-		row, err := p.run(ctx, limit)
+	for _, limit := range []toggle{toggleOff, toggleOn} {
+		row, err := p.measure(ctx, limit)
 		if err != nil {
 			return rows, fmt.Errorf("with the door %s: %w", limit, err)
 		}
@@ -113,7 +114,7 @@
 	return settings
 }
 
-func (p *Plan) serverConfig(connLimit string) process.Config {
+func (p *Plan) serverConfig(connLimit toggle) process.Config {
 	return process.Config{
 		Program:           p.Program,
 		CPU:               p.CPU,
@@ -121,7 +122,7 @@
 		MemoryMB:          serverMemoryMB,
 		Descriptors:       p.Descriptors,
 		ActualDescriptors: p.ActualDescriptors,
-		OperatorFile:      "door " + connLimit + "\n",
+		OperatorFile:      "door " + string(connLimit) + "\n",
 		StopTimeout:       stopTimeout,
 		Settings:          settings(),
 		Log:               p.Log,
@@ -133,33 +134,47 @@
 	}
 }
 
-// run measures one row.
-func (p *Plan) run(ctx context.Context, connLimit string) (Row, error) {
-	row := Row{ConnLimit: connLimit, Trusted: p.Trusted}
+// toggle is the value of a setting that is on or off, as it stands in the operator's file and in reports.
+type toggle string
+
+const (
+	toggleOff toggle = "off"
+	toggleOn  toggle = "on"
+)
+
+// measure measures one row: it has the clients earn trust, and then measures them in the flood.
+func (p *Plan) measure(ctx context.Context, connLimit toggle) (Row, error) {
+	row := Row{ConnLimit: string(connLimit), Trusted: p.Trusted}
 	servers, err := process.Start(ctx, 1, p.serverConfig(connLimit))
 	if err != nil {
 		return row, err
 	}
 	defer process.CloseAll(servers)
 	server := servers[0]
-	ctx, stop := context.WithCancel(ctx)
-	defer stop()
 
 	fmt.Fprintf(p.Progress, "door %s: %d clients earn trust\n", connLimit, p.Trusted)
 	clients, err := p.earnTrust(ctx, server.Addr, trustPeriod)
 	if err != nil {
 		return row, err
 	}
-	open := clients[:max(1, len(clients)/4)] // keep their connections, and always have a request in flight
+	err = p.measureFlood(ctx, server, clients, &row)
+	return row, err
+}
+
+// measureFlood starts the flood and measures the trusted clients in it. A quarter of them keep their connections and
+// always have a request in flight; the others connect again for each request.
+func (p *Plan) measureFlood(ctx context.Context, server *process.Server, clients []*client, row *Row) error {
+	open := clients[:max(1, len(clients)/4)]
 	reconnecting := clients[len(open):]
 	for _, c := range reconnecting {
 		c.close()
 	}
 
-	fmt.Fprintf(p.Progress, "door %s: %g untrusted clients a second for %g s\n", connLimit, p.UntrustedRate, p.Seconds)
+	fmt.Fprintf(p.Progress, "door %s: %g untrusted clients a second for %g s\n",
+		row.ConnLimit, p.UntrustedRate, p.Seconds)
 	usage, err := startUsage(server)
 	if err != nil {
-		return row, err
+		return err
 	}
 	flood := newFlood(server.Addr, p.duration())
 	var wait sync.WaitGroup
@@ -175,16 +190,17 @@
 	time.Sleep(floodLead)
 	wait.Go(func() { usage.watch(ctx, flood.end) })
 	attempts := reconnect(ctx, reconnecting, flood.end, &wait)
-	stop()
 
 	row.addAttempts(attempts)
 	row.LostRequests = int(lost.Load())
 	row.addFlood(flood)
-	row.Alive, row.CPU, row.Resident = usage.alive, usage.cpuShare, usage.maxResident
-	return row, nil
+	row.Alive = usage.alive
+	row.CPU = usage.cpuShare
+	row.Resident = usage.maxResident
+	return nil
 }
 
-func (p *Plan) duration() time.Duration { return time.Duration(p.Seconds * float64(time.Second)) }
+func (p *Plan) duration() time.Duration { return timing.Seconds(p.Seconds) }
 
 func (r *Row) addAttempts(attempts attemptStats) {
 	r.Attempts = attempts.total
--- a/internal/bench/connflood/restart.go
+++ b/internal/bench/connflood/restart.go
@@ -42,8 +42,8 @@
 // RunRestart measures a restart of one server of a fleet, with the setting replica-callers off and on.
 func RunRestart(ctx context.Context, p *Plan) ([]RestartRow, error) {
 	var rows []RestartRow
-	for _, replicaCallers := range []string{"off", "on"} {
-		row, err := p.restart(ctx, replicaCallers)
+	for _, replicaCallers := range []toggle{toggleOff, toggleOn} {
+		row, err := p.measureRestart(ctx, replicaCallers)
 		if err != nil {
 			return rows, fmt.Errorf("with replica-callers %s: %w", replicaCallers, err)
 		}
@@ -52,8 +52,8 @@
 	return rows, nil
 }
 
-func (p *Plan) restart(ctx context.Context, replicaCallers string) (RestartRow, error) {
-	row := RestartRow{ReplicaCallers: replicaCallers, Trusted: p.Trusted}
+func (p *Plan) measureRestart(ctx context.Context, replicaCallers toggle) (RestartRow, error) {
+	row := RestartRow{ReplicaCallers: string(replicaCallers), Trusted: p.Trusted}
 	fleet, err := p.startFleet(ctx, replicaCallers)
 	if err != nil {
 		return row, err
@@ -72,7 +72,7 @@
 		return row, err
 	}
 	trusted := func() bool { return len(fleet.Events(restartName, "fleet_trusted_clients")) > 0 }
-	if replicaCallers == "on" && !faultinjection.WaitUntil(trustTimeout, trusted) {
+	if replicaCallers == toggleOn && !faultinjection.WaitUntil(trustTimeout, trusted) {
 		return row, fmt.Errorf("%s learned no trusted clients within %s", restartName, trustTimeout)
 	}
 	fmt.Fprintf(p.Progress, "replica-callers %s: %s has restarted; %g untrusted clients a second for %g s\n",
@@ -88,14 +88,14 @@
 	return row, nil
 }
 
-func (p *Plan) startFleet(ctx context.Context, replicaCallers string) (*faultinjection.Fleet, error) {
-	config := faultinjection.SmallShape(p.Program)
-	config.Descriptors = p.Descriptors
-	config.Log = p.Log
+func (p *Plan) startFleet(ctx context.Context, replicaCallers toggle) (*faultinjection.Fleet, error) {
+	shape := faultinjection.SmallShape(p.Program)
+	shape.Descriptors = p.Descriptors
+	shape.Log = p.Log
 	return faultinjection.Start(ctx, faultinjection.Config{
-		Shape:         config,
+		Shape:         shape,
 		Servers:       fleetSize,
 		Voters:        fleetSize,
-		ExtraSettings: "door on\nfleet-lease 2s\nreplica-callers " + replicaCallers + "\n",
+		ExtraSettings: "door on\nfleet-lease 2s\nreplica-callers " + string(replicaCallers) + "\n",
 	})
 }
--- a/internal/bench/connflood/untrusted.go
+++ b/internal/bench/connflood/untrusted.go
@@ -54,13 +54,14 @@
 	}
 	address := net.IPv4(127, byte(30+n>>16&63), byte(n>>8), byte(n%254+1))
 	wait.Go(func() {
-		f.visit(ctx, address)
+		f.connect(ctx, address)
 		<-f.slots
 	})
 }
 
-// visit is the life of one client.
-func (f *flood) visit(ctx context.Context, address net.IP) {
+// connect opens one client's connection, sends a health check and holds the connection until untrustedStay has passed
+// or the server closes it.
+func (f *flood) connect(ctx context.Context, address net.IP) {
 	f.arrived.Add(1)
 	conn, err := dialFrom(ctx, address, f.server)
 	if err != nil {
--- a/internal/bench/demo/classes.go
+++ b/internal/bench/demo/classes.go
@@ -31,6 +31,7 @@
 	maxWorkFactor = 4
 )
 
+// findClass returns the class with the name; false if there is none.
 func findClass(name string) (class, bool) {
 	for _, c := range classes {
 		if c.name == name {
@@ -59,6 +60,7 @@
 	return c.cpuSeconds * min(maxWorkFactor, random.ExpFloat64())
 }
 
+// callsUpstream reports whether the runs of a class call the upstream service.
 func callsUpstream(name, _ string) bool {
 	c, _ := findClass(name)
 	return c.callsUpstream
@@ -81,13 +83,13 @@
 	settings := process.BaseSettings(simulatorClasses...)
 	settings.Capabilities.RetryAfter = true
 	settings.Capabilities.MaxRetryAfterMs = 1000
-	own := &settings.Deployment
-	own.ClassCalls = calls
-	own.Downstream = "tier"
-	own.Cores = cores
-	own.MemoryLimitKb = 1e5
-	own.RunningFactor = 2
-	own.Clients = 4
-	own.IdleTimeoutMs = 30_000
+	deployment := &settings.Deployment
+	deployment.ClassCalls = calls
+	deployment.Downstream = "tier"
+	deployment.Cores = cores
+	deployment.MemoryLimitKb = 1e5
+	deployment.RunningFactor = 2
+	deployment.Clients = 4
+	deployment.IdleTimeoutMs = 30_000
 	return settings
 }
--- a/internal/bench/demo/client.go
+++ b/internal/bench/demo/client.go
@@ -6,6 +6,7 @@
 	"sync"
 	"time"
 
+	"swiftcourse/internal/bench/timing"
 	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/wire/rpc"
 )
@@ -64,15 +65,15 @@
 
 // request makes up to maxAttempts attempts before the hard deadline and backs off as long as Retry-After says. It
 // returns the outcome and the number of attempts.
-func (c *client) request(ctx context.Context, class *class, id string) (result outcome, attempts int) {
+func (c *client) request(ctx context.Context, requested *class, id string) (result outcome, attempts int) {
 	start := time.Now()
-	remaining := func() float64 { return class.hardDeadline - time.Since(start).Seconds() }
+	remaining := func() float64 { return requested.hardDeadline - time.Since(start).Seconds() }
 	for attempt := 1; ; attempt++ {
-		answer, ok := c.attempt(ctx, class, fmt.Sprintf("%s%02x", id, attempt), remaining())
+		answer, ok := c.attempt(ctx, requested, fmt.Sprintf("%s%02x", id, attempt), remaining())
 		switch {
 		case !ok:
 			return unanswered, attempt
-		case answer.Kind == rpc.ResponseFinished && time.Since(start).Seconds() <= class.softDeadline:
+		case answer.Kind == rpc.ResponseFinished && time.Since(start).Seconds() <= requested.softDeadline:
 			return finished, attempt
 		case answer.Kind == rpc.ResponseFinished:
 			return late, attempt
@@ -80,15 +81,15 @@
 			return abandoned, attempt
 		}
 		backoff := max(answer.Metadata.RetryAfter, minBackoff*float64(attempt))
-		if attempt == maxAttempts || answer.Metadata.NoFailover || remaining()-backoff <= class.cpuSeconds {
+		if attempt == maxAttempts || answer.Metadata.NoFailover || remaining()-backoff <= requested.cpuSeconds {
 			return rejected, attempt
 		}
-		time.Sleep(seconds(backoff))
+		time.Sleep(timing.Seconds(backoff))
 	}
 }
 
 // attempt sends a request once and waits for its answer. It returns false if none came in time.
-func (c *client) attempt(ctx context.Context, class *class, id string, timeout float64) (rpc.Response, bool) {
+func (c *client) attempt(ctx context.Context, requested *class, id string, timeout float64) (rpc.Response, bool) {
 	number := c.NextNumber()
 	answers := make(chan rpc.Response, 1)
 	c.mu.Lock()
@@ -97,7 +98,7 @@
 	err := c.SendRequest(&rpc.Message{
 		Number:    number,
 		ID:        id,
-		Class:     class.name,
+		Class:     requested.name,
 		ArrivedAt: float64(time.Now().UnixMilli()) / 1000,
 		Timeout:   timeout,
 		Client:    1,
@@ -111,7 +112,7 @@
 	select {
 	case answer := <-answers:
 		return answer, true
-	case <-time.After(seconds(timeout + answerSlack)):
+	case <-time.After(timing.Seconds(timeout + answerSlack)):
 	case <-ctx.Done():
 	}
 	return rpc.Response{}, false
--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -1,4 +1,5 @@
-// Package demo shows a newcomer the real server at work: first with a load that its cores can do, then with more.
+// Package demo shows a newcomer the real server at work: first under a load that its cores can serve, then under
+// overload.
 package demo
 
 import (
@@ -49,11 +50,11 @@
 		r.AttemptsPerRequest))
 }
 
-// add counts a request.
-func (r *Row) add(outcome outcome, attempts int) {
+// count counts a request.
+func (r *Row) count(result outcome, attempts int) {
 	r.Asked++
 	r.Attempts += attempts
-	switch outcome {
+	switch result {
 	case finished:
 		r.Finished++
 	case late:
@@ -113,9 +114,9 @@
 		return nil, err
 	}
 	var rows []Row
-	for i, part := range []part{{"calm", calmLoad * capacity()}, {"overload", p.Overload * capacity()}} {
-		fmt.Fprintf(p.Progress, "%s: %.0f requests a second for %g s\n", part.name, part.rate, p.Seconds)
-		rows = append(rows, p.play(ctx, clients, part, uint64(i))...)
+	for i, next := range []part{{"calm", calmLoad * capacity()}, {"overload", p.Overload * capacity()}} {
+		fmt.Fprintf(p.Progress, "%s: %.0f requests a second for %g s\n", next.name, next.rate, p.Seconds)
+		rows = append(rows, p.runPart(ctx, clients, next, uint64(i))...)
 		if ctx.Err() != nil {
 			return rows, ctx.Err()
 		}
--- a/internal/bench/demo/play.go
+++ b/internal/bench/demo/part.go
@@ -7,6 +7,8 @@
 	"strings"
 	"sync"
 	"time"
+
+	"swiftcourse/internal/bench/timing"
 )
 
 // part is one of the parts of the demonstration.
@@ -18,25 +20,25 @@
 // progressInterval is the time between two lines of progress.
 const progressInterval = 2 * time.Second
 
-// play sends requests at the part's rate and waits until all of them have an outcome.
-func (p *Plan) play(ctx context.Context, clients []*client, part part, stream uint64) []Row {
+// runPart sends requests at the part's rate and waits until all of them have an outcome.
+func (p *Plan) runPart(ctx context.Context, clients []*client, current part, stream uint64) []Row {
 	random := rand.New(rand.NewPCG(seed, stream))
-	t := newTally(part.name)
+	t := newTally(current.name)
 	var wait sync.WaitGroup
 	start := time.Now()
 	reported := start
 	scheduled := 0.0 // seconds from the start
 	for n := 0; scheduled < p.Seconds && ctx.Err() == nil; n++ {
-		scheduled += random.ExpFloat64() / part.rate
+		scheduled += random.ExpFloat64() / current.rate
 		if scheduled >= p.Seconds {
 			break
 		}
-		class := drawClass(random)
-		time.Sleep(time.Until(start.Add(seconds(scheduled))))
-		client := clients[n%len(clients)]
+		classIndex := drawClass(random)
+		time.Sleep(time.Until(start.Add(timing.Seconds(scheduled))))
+		sender := clients[n%len(clients)]
 		wait.Go(func() {
-			outcome, attempts := client.request(ctx, &classes[class], fmt.Sprintf("%02x%012x", stream, n))
-			t.add(class, outcome, attempts)
+			result, attempts := sender.request(ctx, &classes[classIndex], fmt.Sprintf("%02x%012x", stream, n))
+			t.count(classIndex, result, attempts)
 		})
 		if time.Since(reported) > progressInterval {
 			reported = time.Now()
@@ -44,7 +46,7 @@
 		}
 	}
 	wait.Wait()
-	return t.finish()
+	return t.finalRows()
 }
 
 // drawClass draws the index of a request's class.
@@ -70,10 +72,10 @@
 	return t
 }
 
-func (t *tally) add(class int, outcome outcome, attempts int) {
+func (t *tally) count(classIndex int, result outcome, attempts int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.rows[class].add(outcome, attempts)
+	t.rows[classIndex].count(result, attempts)
 }
 
 func (t *tally) summary() string {
@@ -87,8 +89,8 @@
 	return strings.Join(parts, "; ")
 }
 
-// finish returns the rows once all requests are counted.
-func (t *tally) finish() []Row {
+// finalRows returns the rows once all requests are counted.
+func (t *tally) finalRows() []Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := range t.rows {
@@ -96,5 +98,3 @@
 	}
 	return t.rows
 }
-
-func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
--- a/internal/bench/idleconns/expire.go
+++ b/internal/bench/idleconns/expire.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"swiftcourse/internal/bench/loadgen"
+	"swiftcourse/internal/bench/timing"
 )
 
 // PhaseName is a part of a mass expiry.
@@ -22,7 +23,7 @@
 	PhaseAfter PhaseName = "after"
 )
 
-// Phase is what the busy connections experienced in one part of a mass expiry.
+// Phase is the latency of the busy connections in one part of a mass expiry.
 type Phase struct {
 	Connections   int       `json:"connections"` // idle ones at its start
 	Phase         PhaseName `json:"phase"`
@@ -113,12 +114,12 @@
 	if err := e.waitClosed(ctx, open); err != nil {
 		return err
 	}
-	sleep(ctx, settleTime) // requests sent meanwhile are answered
+	timing.Sleep(ctx, settleTime) // requests sent meanwhile are answered
 	if err := e.endPhase(PhaseDuring, open); err != nil {
 		return err
 	}
 	e.plan.progress("%d connections: all closed", connections)
-	sleep(ctx, seconds(e.plan.Seconds))
+	timing.Sleep(ctx, timing.Seconds(e.plan.Seconds))
 	if err := e.endPhase(PhaseAfter, 0); err != nil {
 		return err
 	}
@@ -144,12 +145,12 @@
 	}
 	e.plan.progress("%d connections: checked in one burst of %.2f s, %d open",
 		connections, time.Since(burst).Seconds(), open)
-	sleep(ctx, burstSettle)
-	if _, err := e.usage(); err != nil { // the statistics begin anew
+	timing.Sleep(ctx, burstSettle)
+	if _, err := e.readUsage(); err != nil { // the statistics begin anew
 		return 0, err
 	}
 	e.load.TakeStats()
-	sleep(ctx, e.plan.IdleTimeout-time.Since(burst)-calmMargin)
+	timing.Sleep(ctx, e.plan.IdleTimeout-time.Since(burst)-calmMargin)
 	return open, e.endPhase(PhaseCalm, open)
 }
 
@@ -157,7 +158,7 @@
 func (e *expiry) waitClosed(ctx context.Context, open int) error {
 	deadline := time.Now().Add(maxExpirySeconds * time.Second)
 	for open > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
-		sleep(ctx, expiryPoll)
+		timing.Sleep(ctx, expiryPoll)
 		var err error
 		if open, err = e.openIdle(); err != nil {
 			return err
@@ -169,10 +170,10 @@
 	return nil
 }
 
-// endPhase takes what came back in a phase.
+// endPhase appends a phase with the statistics since the previous one ended.
 func (e *expiry) endPhase(name PhaseName, connections int) error {
 	stats := e.load.TakeStats()
-	usage, err := e.usage()
+	usage, err := e.readUsage()
 	if err != nil {
 		return err
 	}
--- a/internal/bench/idleconns/plan.go
+++ b/internal/bench/idleconns/plan.go
@@ -31,8 +31,7 @@
 	Progress     io.Writer     // nil for none
 }
 
-// spareDescriptors are those that a server needs beside the idle connections' and the busy ones': its pooled
-// connections and its links.
+// spareDescriptors is how many descriptors a server needs in addition to those of its clients' connections.
 const spareDescriptors = 400
 
 // ErrNoConnections is returned by Validate for a plan without numbers of idle connections.
--- a/internal/bench/idleconns/row.go
+++ b/internal/bench/idleconns/row.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"swiftcourse/internal/bench/loadgen"
+	"swiftcourse/internal/bench/timing"
 )
 
 // BusyLatency is the latency of the busy connections in microseconds, as medians over the rounds.
@@ -58,7 +59,7 @@
 	quietPeriod = 2 * time.Second
 	// settleTime is the pause after the idle connections are opened, or after the last reply.
 	settleTime = 500 * time.Millisecond
-	// closeRate is how many connections a second surely close.
+	// closeRate is a lower bound of how many connections close in a second.
 	closeRate = 50_000
 )
 
@@ -75,7 +76,7 @@
 	return rows, nil
 }
 
-// measurement is the making of one row.
+// measurement is the state while one row is measured.
 type measurement struct {
 	*fixture
 	row     Row
@@ -94,19 +95,19 @@
 	if _, err := m.measure(ctx); err != nil { // warms up, and allocates the buffers that are kept
 		return m.row, err
 	}
-	if m.before, err = m.usage(); err != nil {
+	if m.before, err = m.readUsage(); err != nil {
 		return m.row, err
 	}
 	for round := range p.Rounds {
 		if round > 0 {
 			m.releaseIdle()
-			sleep(ctx, settleTime+seconds(float64(connections)/closeRate))
+			timing.Sleep(ctx, settleTime+timing.Seconds(float64(connections)/closeRate))
 		}
 		if err := m.measureRound(ctx, round); err != nil {
 			return m.row, err
 		}
 	}
-	after, err := m.usage()
+	after, err := m.readUsage()
 	if err != nil {
 		return m.row, err
 	}
@@ -126,7 +127,7 @@
 		return err
 	}
 	m.row.Unanswered += without.Unanswered
-	m.latency.none.add(&without)
+	m.latency.without.add(&without)
 
 	start := time.Now()
 	if err := m.holdIdle(ctx, connections); err != nil {
@@ -155,8 +156,8 @@
 
 // measureCost measures what the idle connections take while no request is sent.
 func (m *measurement) measureCost(ctx context.Context) error {
-	sleep(ctx, settleTime)
-	with, err := m.usage()
+	timing.Sleep(ctx, settleTime)
+	with, err := m.readUsage()
 	if err != nil {
 		return err
 	}
@@ -165,11 +166,11 @@
 		m.row.Heap = (with.heap - m.before.heap) / n
 	}
 	m.row.Timers = with.timers
-	if with, err = m.usage(); err != nil { // the first one's own cost does not count
+	if with, err = m.readUsage(); err != nil { // the first one's own cost does not count
 		return err
 	}
 	start := time.Now()
-	sleep(ctx, quietPeriod)
+	timing.Sleep(ctx, quietPeriod)
 	used, err := m.cpuSeconds()
 	if err != nil {
 		return err
@@ -178,16 +179,17 @@
 	return ctx.Err()
 }
 
+// summarize sets the columns of the row that cover all rounds.
 func (m *measurement) summarize(after usage) {
 	row := &m.row
 	row.LongestTurnMs = after.longestTurnMs
 	row.P50 = median(m.latency.with.p50)
 	row.P99 = median(m.latency.with.p99)
 	row.P999 = median(m.latency.with.p999)
-	row.NoneP50 = median(m.latency.none.p50)
-	row.NoneP99 = median(m.latency.none.p99)
-	row.AddedP50 = medianRatio(m.latency.with.p50, m.latency.none.p50)
-	row.AddedP99 = medianRatio(m.latency.with.p99, m.latency.none.p99)
+	row.NoneP50 = median(m.latency.without.p50)
+	row.NoneP99 = median(m.latency.without.p99)
+	row.AddedP50 = medianRatio(m.latency.with.p50, m.latency.without.p50)
+	row.AddedP99 = medianRatio(m.latency.with.p99, m.latency.without.p99)
 	row.Finished = m.with.Finished
 	row.Rejected = m.with.Rejected
 	row.Abandoned = m.with.Abandoned
@@ -206,8 +208,8 @@
 	return nil
 }
 
-// quantiles are those of each round, without and with the idle connections.
-type quantiles struct{ none, with roundQuantiles }
+// quantiles are the latencies without and with the idle connections.
+type quantiles struct{ without, with roundQuantiles }
 
 // roundQuantiles are latencies in microseconds, one of each round.
 type roundQuantiles struct{ p50, p99, p999 []float64 }
@@ -218,8 +220,8 @@
 	q.p999 = append(q.p999, max(1, stats.Quantile(99.9)))
 }
 
-// medianRatio returns the median of how many times as long each round took with the idle connections as without
-// them. A median, as now and then something else on the machine spoils a round.
+// medianRatio returns the median over the rounds of the ratio of the latency with idle connections to the one without
+// them. The median is robust against single rounds that other processes on the machine disturb.
 func medianRatio(with, without []float64) float64 {
 	var ratios []float64
 	for round := range with {
@@ -228,6 +230,7 @@
 	return median(ratios)
 }
 
+// median returns the median of the values, of which there must be one at least.
 func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	n := len(sorted)
--- a/internal/bench/loadgen/generator.go
+++ b/internal/bench/loadgen/generator.go
@@ -16,14 +16,14 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// Config is what is sent.
+// Config describes the load.
 type Config struct {
-	Addresses      []string // of the servers, used in turn
+	Addresses      []string // of the servers; connections are spread over them evenly
 	ConnsPerServer int
 	Rate           float64 // requests a second over all servers, as a Poisson process
 	Class          string
 	Timeout        time.Duration // of each request
-	HealthChecks   bool          // send health checks, which the server answers alone, in place of requests
+	HealthChecks   bool          // send health checks, which do not reach the executor, in place of requests
 	Keyed          bool          // give each request an idempotency key of its own
 	BodyBytes      int
 	Seed           uint64
@@ -83,7 +83,7 @@
 	return g, nil
 }
 
-// TakeStats returns what came back since the last call and starts a new period.
+// TakeStats returns the statistics of the period since the last call and starts a new period.
 func (g *Generator) TakeStats() Stats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -94,8 +94,8 @@
 	return stats
 }
 
-// Stop ends the load, waits up to the requests' timeout for answers that are on their way, and returns what came
-// back since the last TakeStats.
+// Stop ends the load, waits up to the requests' timeout for outstanding answers, and returns the statistics since the
+// last TakeStats. It must be called once.
 func (g *Generator) Stop() Stats {
 	close(g.stop)
 	<-g.done
@@ -108,6 +108,7 @@
 	return stats
 }
 
+// inFlight returns the number of requests without an answer, over all connections.
 func (g *Generator) inFlight() int {
 	n := 0
 	for _, c := range g.conns {
@@ -157,6 +158,7 @@
 	}
 }
 
+// recordSend counts a scheduled request, and how late it was sent.
 func (g *Generator) recordSend(sent bool, delay time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -168,7 +170,7 @@
 	}
 }
 
-// sendMessage sends the nth request and reports whether it was sent.
+// sendMessage sends the nth request, or a health check in its place, and reports whether it was sent.
 func (c *conn) sendMessage(n int, scheduled time.Time, body []byte) bool {
 	number := c.NextNumber()
 	if !c.reserve(number, scheduled) {
@@ -194,7 +196,7 @@
 	return c.SendRequest(&request) == nil
 }
 
-// reserve counts a message as in flight, unless the connection has as many as it may.
+// reserve records a message as in flight. It returns false if the connection has maxInFlight already.
 func (c *conn) reserve(number uint64, scheduled time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -205,6 +207,7 @@
 	return true
 }
 
+// onAnswer counts the outcome of a request in flight. Answers without one, or to no such request, are ignored.
 func (c *conn) onAnswer(answer rpc.Response) {
 	if answer.Kind == rpc.ResponseGoAway || answer.Kind == rpc.ResponseOther {
 		return
@@ -231,7 +234,7 @@
 	}
 }
 
-// onClose counts a connection that ended while the load went on.
+// onClose counts a connection that ended before Stop.
 func (c *conn) onClose(error) {
 	select {
 	case <-c.generator.stop:
--- a/internal/bench/loadgen/stats.go
+++ b/internal/bench/loadgen/stats.go
@@ -14,17 +14,17 @@
 	significantDigits = 3
 )
 
-// Stats is what came back in a period of time.
+// Stats counts the outcomes of the requests of a period.
 type Stats struct {
 	Latency      *hdrhistogram.Histogram // of finished requests, in microseconds
 	Sent         int
 	Finished     int
 	Rejected     int
 	Abandoned    int
-	Unsent       int           // not sent, as the connection had as many requests in flight as it may
-	Unanswered   int           // after the generator had stopped
+	Unsent       int           // not sent: the connection had maxInFlight requests in flight, or writing failed
+	Unanswered   int           // when Stop returned
 	MaxSendDelay time.Duration // how far behind its schedule the sender was at most
-	Disconnects  int           // connections that ended
+	Disconnects  int           // connections that ended before Stop
 	Elapsed      time.Duration
 }
 
--- a/internal/bench/process/config.go
+++ b/internal/bench/process/config.go
@@ -17,25 +17,26 @@
 // Config is how servers are started.
 type Config struct {
 	Program           string // path of the server's binary
-	CPU               int    // the one that all servers share; under 0 they may use any
+	CPU               int    // the one that all servers share; negative for no restriction
 	Cores             float64
 	MemoryMB          int
-	Descriptors       int    // that the server is told it may use
-	ActualDescriptors int    // to which the limit is lowered once the server is healthy; 0 leaves it
-	OperatorFile      string // text of the operator's file, "" for none
+	Descriptors       int    // the descriptor limit in the server's configuration
+	ActualDescriptors int    // the limit set by the system once the server is healthy; 0 for no change
+	OperatorFile      string // content of the operator's configuration file; "" for none
 	StopTimeout       time.Duration
 	Settings          simulator.Settings
-	Args              []string // of the command line; none to serve
+	Args              []string // on the command line; none to serve
 
 	Executor executor.Config
 	// ExecutorOf, if it is not nil, replaces Executor by server name; OnStart and Result stay those of Executor.
 	ExecutorOf func(name string) executor.Config
 	// Upstream responds to the servers' upstream calls; with neither it nor UpstreamOf there is no upstream service.
 	Upstream func(n int, call catalogue.Call) upstream.Response
-	// UpstreamOf, if it is not nil, replaces Upstream and is told which server calls.
+	// UpstreamOf, if it is not nil, replaces Upstream and also receives the calling server's name.
 	UpstreamOf func(name string, n int, call catalogue.Call) upstream.Response
 
-	// Override, if it is not nil, returns a server's own operator's file and environment.
+	// Override, if it is not nil, returns the content of a server's operator file, which replaces OperatorFile, and
+	// variables to add to its environment.
 	Override func(name string) (operatorFile string, env []string)
 	// Log receives the servers' logs, each line after the server's name; nil discards them.
 	Log io.Writer
@@ -54,7 +55,7 @@
 	return config
 }
 
-// upstreamResponder returns what responds to a server's upstream calls; nil where it makes none.
+// upstreamResponder returns the function that responds to a server's upstream calls; nil if it has no upstream service.
 func (c *Config) upstreamResponder(name string) func(n int, call catalogue.Call) upstream.Response {
 	if c.UpstreamOf == nil {
 		return c.Upstream
@@ -116,14 +117,14 @@
 	return os.WriteFile(s.path, text, filePermissions)
 }
 
-// environment writes the operator's file, if there is one, and returns the server's environment.
-func (s *Server) environment() ([]string, error) {
+// prepareEnvironment writes the operator's file, if there is one, and returns the environment for the process.
+func (s *Server) prepareEnvironment() ([]string, error) {
 	env := append(os.Environ(), "RELAY_NAME="+s.Name, "RELAY_LISTEN="+s.Addr, "RELAY_CONFIG="+s.path)
 	text := s.config.OperatorFile
 	if s.config.Override != nil {
-		var own []string
-		text, own = s.config.Override(s.Name)
-		env = append(env, own...)
+		var extra []string
+		text, extra = s.config.Override(s.Name)
+		env = append(env, extra...)
 	}
 	if text == "" {
 		return env, nil
--- a/internal/bench/process/cpu.go
+++ b/internal/bench/process/cpu.go
@@ -27,7 +27,7 @@
 	}
 	done := make(chan error)
 	go func() {
-		runtime.LockOSThread() // and never unlocked: the thread ends with the goroutine
+		runtime.LockOSThread() // without unlocking, so that the thread ends with the goroutine
 		var set unix.CPUSet
 		set.Set(cpu)
 		if err := unix.SchedSetaffinity(0, &set); err != nil {
@@ -39,8 +39,8 @@
 	return <-done
 }
 
-// AvoidCPU keeps this process, and those that it starts from then on, off a CPU, so that what is measured there is
-// the servers' alone. It changes nothing for a negative CPU or on a machine with no other.
+// AvoidCPU keeps this process, and those that it starts afterwards, off the servers' CPU, so that they do not disturb
+// the measurement. It changes nothing for a negative CPU or on a machine with no other.
 func AvoidCPU(cpu int) error {
 	var set unix.CPUSet
 	if err := unix.SchedGetaffinity(0, &set); err != nil {
--- a/internal/bench/process/server.go
+++ b/internal/bench/process/server.go
@@ -40,14 +40,14 @@
 	command    *exec.Cmd
 	exited     chan struct{} // closed once the process has ended and exitErr is set
 	exitErr    error
-	statistics chan LogFields // the latest line of statistics
+	statistics chan LogFields // the latest statistics that Statistics has not returned
 
 	mu        sync.Mutex
 	recentLog []string
 }
 
 const (
-	// timeout is how long a server may take to start, to answer a question or to end.
+	// timeout is how long a server may take to become healthy, to log its statistics or to drain.
 	timeout        = 20 * time.Second
 	healthTimeout  = time.Second
 	healthPoll     = 20 * time.Millisecond
@@ -55,8 +55,8 @@
 	maxLogLine     = 1 << 20
 	maxRecentLines = 20 // of the log, for the error of a server that ends unexpectedly
 
-	// Each party has a loopback address of its own. Connections are dialled from 127.0.0.1, so no outgoing
-	// connection takes a port that was found free for a server.
+	// The fakes and the servers listen on different loopback addresses. Outgoing connections use 127.0.0.1, so none
+	// can take a port that freeAddress found free for a server.
 	executorAddress = "127.0.0.2:0"
 	registryAddress = "127.0.0.3:0"
 	upstreamAddress = "127.0.0.4:0"
@@ -129,7 +129,7 @@
 	s.exited = make(chan struct{})
 	s.command = exec.CommandContext(ctx, s.config.Program, s.config.Args...)
 	var err error
-	if s.command.Env, err = s.environment(); err != nil {
+	if s.command.Env, err = s.prepareEnvironment(); err != nil {
 		return err
 	}
 	stderr, err := s.command.StderrPipe()
@@ -143,7 +143,8 @@
 	return nil
 }
 
-// lowerDescriptorLimit lowers the descriptor limit while the server serves, so that it counts on more than it has.
+// lowerDescriptorLimit lowers the process's descriptor limit while it serves, so that the limit in its configuration is
+// too high.
 func (s *Server) lowerDescriptorLimit() error {
 	if s.config.ActualDescriptors <= 0 {
 		return nil
@@ -158,7 +159,7 @@
 // Signal sends the process a signal.
 func (s *Server) Signal(signal syscall.Signal) error { return s.command.Process.Signal(signal) }
 
-// Kill ends the process at once and waits for that.
+// Kill kills the process and waits until it has ended.
 func (s *Server) Kill() {
 	_ = s.command.Process.Kill() // fails only where the process has ended
 	<-s.exited
@@ -197,6 +198,7 @@
 	close(exited)
 }
 
+// handleLogLine passes a line to the configured receivers and keeps it in the recent log.
 func (s *Server) handleLogLine(line string) {
 	if s.config.Log != nil {
 		fmt.Fprintf(s.config.Log, "%s %s\n", s.Name, line)
@@ -216,7 +218,7 @@
 	}
 }
 
-// discardStatistics drops a line of statistics that nobody asked for.
+// discardStatistics drops statistics that were logged before they were asked for.
 func (s *Server) discardStatistics() {
 	select {
 	case <-s.statistics:
@@ -224,7 +226,7 @@
 	}
 }
 
-// WaitHealthy waits until the server answers a health check well.
+// WaitHealthy waits until the server reports that it is healthy.
 func (s *Server) WaitHealthy(ctx context.Context) error {
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); {
 		if balancer.IsHealthy(s.Addr, healthTimeout) {
@@ -247,7 +249,8 @@
 	return strings.Join(s.recentLog, "\n")
 }
 
-// Statistics asks the server for its line of statistics, which covers the time since the one before.
+// Statistics has the server log its statistics, by SIGUSR1, and returns them. They cover the time since the previous
+// ones.
 func (s *Server) Statistics() (LogFields, error) {
 	s.discardStatistics()
 	if err := s.Signal(syscall.SIGUSR1); err != nil {
@@ -263,7 +266,7 @@
 	}
 }
 
-// Alive reports whether the process has not ended.
+// Alive reports whether the process is running.
 func (s *Server) Alive() bool {
 	select {
 	case <-s.exited:
@@ -273,7 +276,8 @@
 	}
 }
 
-// Drain tells the server to drain and waits for its end. It returns how long that took, with the process's error.
+// Drain sends SIGTERM, on which the server drains, and waits until the process ends. It returns how long that took, and
+// an error if the process failed or did not end in time.
 func (s *Server) Drain() (time.Duration, error) {
 	start := time.Now()
 	if err := s.Signal(syscall.SIGTERM); err != nil {
@@ -287,7 +291,7 @@
 	}
 }
 
-// close ends the process at once, with its fakes and files.
+// close kills the process, closes its fakes and removes its files.
 func (s *Server) close() {
 	if s.command != nil && s.command.Process != nil {
 		s.Kill()
@@ -306,7 +310,7 @@
 	}
 }
 
-// CloseAll ends servers at once, with their fakes and files.
+// CloseAll kills the servers, closes their fakes and removes their files.
 func CloseAll(servers []*Server) {
 	for _, s := range servers {
 		s.close()
--- a/internal/bench/process/settings.go
+++ b/internal/bench/process/settings.go
@@ -4,8 +4,8 @@
 	"swiftcourse/internal/wire/simulator"
 )
 
-// BaseSettings returns the settings that the experiments share: what the simulator's contract states, a server that
-// passes its deadline on, and two gauges. Experiments add their caps, cores and idle timeout.
+// BaseSettings returns the settings that the experiments share: what the simulator's contract states, deadline
+// propagation, and two gauges. Experiments add their capabilities, cores and idle timeout.
 func BaseSettings(classes ...simulator.Class) simulator.Settings {
 	settings := simulator.Settings{Servers: 1, Classes: classes}
 	contract := &settings.Contract
@@ -13,14 +13,14 @@
 	contract.ConcurrencyWindowMs = 1000
 	contract.DrainGraceMs = 500
 	contract.DeadlineToleranceMs = 50
-	own := &settings.Deployment
-	own.Cores = 4
-	own.MemoryLimitKb = 1e6
-	own.RunningFactor = 1
-	own.Clients = 1
-	own.DeadlinePropagation = true
-	own.Gauges = []string{"cpu_busy", "runnable"}
-	own.IdleTimeoutMs = 60_000
+	deployment := &settings.Deployment
+	deployment.Cores = 4
+	deployment.MemoryLimitKb = 1e6
+	deployment.RunningFactor = 1
+	deployment.Clients = 1
+	deployment.DeadlinePropagation = true
+	deployment.Gauges = []string{"cpu_busy", "runnable"}
+	deployment.IdleTimeoutMs = 60_000
 	return settings
 }
 
--- a/internal/bench/readiness/plan.go
+++ b/internal/bench/readiness/plan.go
@@ -1,5 +1,5 @@
 // Package readiness measures how long servers take from their start until they are healthy and registered, when all
-// servers of a fleet start at once and the executor or the registry is there, or comes late.
+// servers of a fleet start at once and the executors and registries run already, or start later than the servers.
 package readiness
 
 import (
@@ -43,8 +43,8 @@
 // newSpread sorts the values, of which there must be one at least.
 func newSpread(values []float64) Spread {
 	slices.Sort(values)
-	quantile := func(part float64) float64 {
-		return values[min(len(values)-1, int(part*float64(len(values))))]
+	quantile := func(fraction float64) float64 {
+		return values[min(len(values)-1, int(fraction*float64(len(values))))]
 	}
 	return Spread{P50: quantile(0.5), P90: quantile(0.9), Max: values[len(values)-1]}
 }
@@ -78,8 +78,21 @@
 	lateBoth     lateDependencies = "processor and roster"
 )
 
-func (l lateDependencies) executor() bool { return l == lateExecutor || l == lateBoth }
-func (l lateDependencies) registry() bool { return l == lateRegistry || l == lateBoth }
+// dependencies returns the dependencies that are late in this case.
+func (l lateDependencies) dependencies() dependencies {
+	return dependencies{
+		executor: l == lateExecutor || l == lateBoth,
+		registry: l == lateRegistry || l == lateBoth,
+	}
+}
+
+// dependencies is a subset of the services on which a server depends.
+type dependencies struct{ executor, registry bool }
+
+// others returns the dependencies that are not in d.
+func (d dependencies) others() dependencies {
+	return dependencies{executor: !d.executor, registry: !d.registry}
+}
 
 // Run measures with no dependency late, then the executors, the registries, and both.
 func (p *Plan) Run(ctx context.Context) ([]Row, error) {
@@ -101,7 +114,7 @@
 	return rows, nil
 }
 
-// measure measures one row.
+// measure measures one row: it restarts all servers in each round and summarizes their times.
 func (p *Plan) measure(
 	ctx context.Context, servers []*process.Server, config process.Config, late lateDependencies,
 ) (Row, error) {
@@ -115,9 +128,9 @@
 		if err != nil {
 			return row, err
 		}
-		for _, t := range times {
-			ready = append(ready, t.ready)
-			listed = append(listed, t.listed)
+		for _, serverTimes := range times {
+			ready = append(ready, serverTimes.ready)
+			listed = append(listed, serverTimes.listed)
 		}
 	}
 	row.Ready = newSpread(ready)
@@ -137,7 +150,14 @@
 	times := make([]startTimes, len(servers))
 	failures := make([]error, len(servers))
 	for i, s := range servers {
-		r := &restart{server: s, config: config, late: late, delay: p.Delay}
+		r := &restart{
+			server:          s,
+			executorAddress: s.Executor.Addr(),
+			registryAddress: s.Registry.Addr(),
+			config:          config,
+			late:            late,
+			delay:           p.Delay,
+		}
 		wait.Go(func() { times[i], failures[i] = r.run(ctx) })
 	}
 	wait.Wait()
--- a/internal/bench/readiness/restart.go
+++ b/internal/bench/readiness/restart.go
@@ -31,19 +31,19 @@
 
 // restart is the restart of one server, with new dependencies at the old addresses.
 type restart struct {
-	server *process.Server
-	config process.Config
-	late   lateDependencies
-	delay  time.Duration
+	server          *process.Server
+	executorAddress string
+	registryAddress string
+	config          process.Config
+	late            lateDependencies
+	delay           time.Duration // until the late dependencies start
 }
 
 // run replaces the dependencies, restarts the server and waits until it is healthy and listed.
 func (r *restart) run(ctx context.Context) (startTimes, error) {
-	executorAddress := r.server.Executor.Addr()
-	registryAddress := r.server.Registry.Addr()
 	r.server.Executor.Close()
 	r.server.Registry.Close()
-	if err := r.startDependencies(executorAddress, registryAddress, false); err != nil {
+	if err := r.startDependencies(r.late.dependencies().others()); err != nil {
 		return startTimes{}, err
 	}
 	start := time.Now()
@@ -55,25 +55,25 @@
 		if r.late != lateNone {
 			time.Sleep(r.delay)
 		}
-		lateStarted <- r.startDependencies(executorAddress, registryAddress, true)
+		lateStarted <- r.startDependencies(r.late.dependencies())
 	}()
 	return r.await(start, lateStarted)
 }
 
-// startDependencies starts the dependencies that are late, or those that are not.
-func (r *restart) startDependencies(executorAddress, registryAddress string, late bool) error {
-	if r.late.executor() == late {
+// startDependencies starts the given dependencies of the server at their addresses.
+func (r *restart) startDependencies(started dependencies) error {
+	if started.executor {
 		err := retryAddress(func() (err error) {
-			r.server.Executor, err = executor.Start(executorAddress, r.config.Executor)
+			r.server.Executor, err = executor.Start(r.executorAddress, r.config.Executor)
 			return err
 		})
 		if err != nil {
 			return err
 		}
 	}
-	if r.late.registry() == late {
+	if started.registry {
 		return retryAddress(func() (err error) {
-			r.server.Registry, err = registry.Start(registryAddress, nil)
+			r.server.Registry, err = registry.Start(r.registryAddress, nil)
 			return err
 		})
 	}
--- a/internal/bench/twolevel/demo.go
+++ b/internal/bench/twolevel/demo.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"swiftcourse/internal/bench/faultinjection"
+	"swiftcourse/internal/bench/timing"
 )
 
 // Demo shows a newcomer two forwarders, three planners and three workers at work, while one after the other of them
@@ -37,7 +38,7 @@
 var steps = []step{
 	{4, "the planner that leads is killed", killLeader},
 	{9, "it restarts", restartPlanners},
-	{12, "all planners are killed", killPlanners},
+	{12, "all planners are killed", killAllPlanners},
 	{20, "a worker is killed with requests in flight", killWorker},
 	{24, "all of them restart", restartAll},
 }
@@ -47,10 +48,8 @@
 	return nil
 }
 
-func killPlanners(_ context.Context, f *faultinjection.Fleet) error {
-	for _, name := range f.PlannerNames() {
-		f.Server(name).Kill()
-	}
+func killAllPlanners(_ context.Context, f *faultinjection.Fleet) error {
+	killPlanners(f)
 	return nil
 }
 
@@ -59,19 +58,6 @@
 	return nil
 }
 
-// restartPlanners starts all planners again that have ended.
-func restartPlanners(ctx context.Context, f *faultinjection.Fleet) error {
-	for _, name := range f.PlannerNames() {
-		if f.Server(name).Alive() {
-			continue
-		}
-		if err := f.Restart(ctx, name); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
 func restartAll(ctx context.Context, f *faultinjection.Fleet) error {
 	if err := f.WorkerServers[0].Restart(ctx); err != nil {
 		return err
@@ -140,7 +126,7 @@
 			}
 			remaining = remaining[1:]
 		}
-		sleep(ctx, time.Second)
+		timing.Sleep(ctx, time.Second)
 		asked, finished, rejected := load.Counts()
 		fmt.Fprintf(d.Progress, "%4d s  sent %3d  finished %3d  rejected %2d  planners %d of %d, last to lead %s\n",
 			second, asked-askedBefore, finished-finishedBefore, rejected-rejectedBefore,
--- a/internal/bench/twolevel/faults.go
+++ b/internal/bench/twolevel/faults.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"swiftcourse/internal/bench/faultinjection"
+	"swiftcourse/internal/bench/timing"
 )
 
 // Log events of the program that the experiment reads.
@@ -17,9 +18,9 @@
 
 // injectFaults lets the plan's seconds pass, with a kill after each interval in the variant with kills.
 func (t *trial) injectFaults(ctx context.Context) error {
-	end := time.Now().Add(seconds(t.plan.Seconds))
+	end := time.Now().Add(timing.Seconds(t.plan.Seconds))
 	for time.Now().Before(end) && ctx.Err() == nil {
-		sleep(ctx, seconds(t.plan.KillInterval))
+		timing.Sleep(ctx, timing.Seconds(t.plan.KillInterval))
 		if t.variant != kills {
 			continue
 		}
@@ -30,15 +31,17 @@
 	return nil
 }
 
-// injectFault kills all planners in one of five cases, pauses one in another, and else kills one, as often as not
-// the leader.
+// injectFault injects one random fault: with probability 1/5 it kills and restarts all planners, with probability 1/5
+// it pauses one, and otherwise it kills and restarts one. That one is the latest leader with probability 1/2, and else
+// any planner.
 func (t *trial) injectFault(ctx context.Context) error {
 	planners := t.fleet.PlannerNames()
 	planner := planners[t.random.IntN(len(planners))]
 	switch t.random.IntN(5) {
 	case 0:
 		t.row.Kills += len(planners)
-		return t.killAll(ctx, planners)
+		killPlanners(t.fleet)
+		return restartPlanners(ctx, t.fleet)
 	case 1:
 		t.row.Kills++
 		return t.pause(ctx, planner)
@@ -51,12 +54,20 @@
 	}
 }
 
-func (t *trial) killAll(ctx context.Context, planners []string) error {
-	for _, name := range planners {
-		t.fleet.Server(name).Kill()
+// killPlanners kills all planners and waits until their processes have ended.
+func killPlanners(fleet *faultinjection.Fleet) {
+	for _, name := range fleet.PlannerNames() {
+		fleet.Server(name).Kill()
 	}
-	for _, name := range planners {
-		if err := t.fleet.Restart(ctx, name); err != nil {
+}
+
+// restartPlanners restarts the planners whose processes have ended.
+func restartPlanners(ctx context.Context, fleet *faultinjection.Fleet) error {
+	for _, name := range fleet.PlannerNames() {
+		if fleet.Server(name).Alive() {
+			continue
+		}
+		if err := fleet.Restart(ctx, name); err != nil {
 			return err
 		}
 	}
@@ -68,7 +79,7 @@
 	if err := t.fleet.Pause(planner); err != nil {
 		return err
 	}
-	sleep(ctx, seconds(1+3*t.random.Float64()))
+	timing.Sleep(ctx, timing.Seconds(1+3*t.random.Float64()))
 	return t.fleet.Resume(planner)
 }
 
--- a/internal/bench/twolevel/measure.go
+++ b/internal/bench/twolevel/measure.go
@@ -9,7 +9,7 @@
 
 const (
 	hopRequests = 300
-	megabyte    = 1 << 20
+	bytesPerMB  = 1 << 20
 )
 
 // measureHop measures requests one at a time, at a worker and through a forwarder.
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	t.row.ForwarderMB = float64(before) / megabyte
+	t.row.ForwarderMB = float64(before) / bytesPerMB
 	n := t.plan.IdleConns
 	if n == 0 {
 		return nil
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	t.row.ForwarderIdleMB = float64(after) / megabyte
+	t.row.ForwarderIdleMB = float64(after) / bytesPerMB
 	if open := idle.Len(); open < n*9/10 {
 		return fmt.Errorf("of %d idle connections %d are open", n, open)
 	}
--- a/internal/bench/twolevel/run.go
+++ b/internal/bench/twolevel/run.go
@@ -10,6 +10,7 @@
 
 	"swiftcourse/internal/bench/faultinjection"
 	"swiftcourse/internal/bench/process"
+	"swiftcourse/internal/bench/timing"
 	"swiftcourse/internal/fake/executor"
 	"swiftcourse/internal/wire/simulator"
 )
@@ -34,8 +35,8 @@
 	experimentSettings = "fleet-lease 2s\nfleet-behind 2s\n"
 )
 
-// workerCores returns the cores of the worker with the given number, from 1: one in four has a quarter of what the
-// largest have, and one half.
+// workerCores returns the number of cores of the worker with the given number, counted from 1. Of four workers in
+// succession two have 4 cores, one has 2 and one has 1.
 func workerCores(number int) int { return []int{4, 1, 4, 2}[number%4] }
 
 // capacity returns how many requests a second the workers can do.
@@ -126,7 +127,7 @@
 		}
 	}
 	t.setLoad()
-	sleep(ctx, warmup)
+	timing.Sleep(ctx, warmup)
 	if err := t.measureLoad(ctx); err != nil {
 		return err
 	}
@@ -138,9 +139,7 @@
 // preparePlanners kills the planners of a run without any, or waits until all forwarders have a plan.
 func (t *trial) preparePlanners() error {
 	if t.variant == localOnly {
-		for _, name := range t.fleet.PlannerNames() {
-			t.fleet.Server(name).Kill()
-		}
+		killPlanners(t.fleet)
 		return nil
 	}
 	planned := func() bool { return len(t.fleet.Events("", planChanged)) >= t.plan.Forwarders }
