--- a/cmd/swiftcourse-bench/audit.go
+++ b/cmd/swiftcourse-bench/audit.go
@@ -19,7 +19,8 @@
 	Faults  bool    `help:"Faults; --no-faults has releases alone." default:"true" negatable:""`
 }
 
-// Run releases configurations to a fleet of processes under faults. Violations are printed but are no error.
+// Run releases configurations to a fleet of processes under faults. Violations are printed but are
+// no error.
 func (c *auditCommand) Run(ctx context.Context) error {
 	if err := checkSeeds(c.Seeds, maxProcessSeeds); err != nil {
 		return err
--- a/cmd/swiftcourse-bench/demo.go
+++ b/cmd/swiftcourse-bench/demo.go
@@ -15,7 +15,7 @@
 	outputFlags
 	Seconds float64 `help:"Seconds of each part." default:"10"`
 	Over    float64 `help:"What is asked in the second part, over what the cores can do." default:"1.5"`
-	Levels  bool    `help:"Instead, two levels, forwarders and planners, while one after the other is killed; half a minute."`
+	Levels  bool    `help:"Instead, forwarders and planners while they are killed; half a minute."`
 }
 
 // Run shows a server under normal load and overload, or a fleet of two levels.
@@ -25,7 +25,8 @@
 		return plan.Run(ctx)
 	}
 	if c.Seconds < 0.5 || c.Seconds > 600 || c.Over <= 0 || c.Over > 20 {
-		return fmt.Errorf("--seconds %g --over %g: from 0.5 to 600 s, and over 0 and at most 20 times", c.Seconds, c.Over)
+		return fmt.Errorf("--seconds %g --over %g: from 0.5 to 600 s, and over 0 and at most 20 times",
+			c.Seconds, c.Over)
 	}
 	plan := &demo.Plan{
 		Program:  c.Server,
--- a/cmd/swiftcourse-bench/door.go
+++ b/cmd/swiftcourse-bench/door.go
@@ -16,7 +16,7 @@
 	Known     int     `help:"Trusted clients, whose requests finished before." default:"20"`
 	Seconds   float64 `help:"How long the untrusted clients come." default:"10"`
 	Sockets   int     `help:"Descriptors that the server is told." default:"128"`
-	Real      int     `help:"Descriptors that it really has once it serves, so that accept fails; 0 for as many as told." default:"0"`
+	Real      int     `help:"Descriptors that it really has, so that accept fails; 0 for as many as told." default:"0"`
 	Core      int     `help:"The server's core; -1 for any." default:"1"`
 	Restart   bool    `help:"A server of a fleet of three restarts among them, with replica-callers off and on."`
 }
--- a/cmd/swiftcourse-bench/emulate.go
+++ b/cmd/swiftcourse-bench/emulate.go
@@ -11,7 +11,7 @@
 )
 
 type emulateCommand struct {
-	Scenario string `arg:"" optional:"" help:"The scenario, in JSON; without one a small fleet with a crash, a drain and a slow server is simulated." type:"path"`
+	Scenario string `arg:"" optional:"" help:"The scenario, in JSON; without one, an example with faults." type:"path"`
 	Seed     uint64 `help:"The seed, instead of the scenario's; 0 for that."`
 	Seeds    int    `help:"How many seeds are run, one after the other." default:"1"`
 	JSON     string `name:"json" help:"File for the reports, as an array." type:"path"`
@@ -69,8 +69,8 @@
 	return scenario, nil
 }
 
-// simulateAndPrint runs a scenario once. The report goes to standard output, which is the same for the same seed; the speed of
-// the simulation goes to standard error.
+// simulateAndPrint runs a scenario once. The report goes to standard output, which is the same for
+// the same seed; the speed of the simulation goes to standard error.
 func simulateAndPrint(scenario *simulation.Scenario) (simulation.Report, error) {
 	started := time.Now()
 	result := simulation.Run(scenario)
--- a/cmd/swiftcourse-bench/fleet.go
+++ b/cmd/swiftcourse-bench/fleet.go
@@ -17,7 +17,7 @@
 	Seconds    float64 `help:"How long each of the three runs of a seed is." default:"12"`
 	KillEvery  float64 `help:"Seconds between two kills." default:"2"`
 	Load       float64 `help:"Requested load, over what the workers can do." default:"0.8"`
-	Crowd      int     `help:"Idle connections at a forwarder while its memory is measured; 0 for no measurement." default:"0"`
+	Crowd      int     `help:"Idle connections at a forwarder whose memory is measured; 0 for none." default:"0"`
 }
 
 // Run runs a fleet of two levels while planners are killed.
--- a/cmd/swiftcourse-bench/idle.go
+++ b/cmd/swiftcourse-bench/idle.go
@@ -20,14 +20,14 @@
 	Servers     int           `help:"Server processes to spread them over." default:"1"`
 	Rate        float64       `help:"Busy requests a second, over all servers." default:"1000"`
 	Busy        int           `help:"Busy connections to each server." default:"8"`
-	Checks      bool          `help:"Busy calls are health checks, which the server answers alone, instead of requests."`
+	Checks      bool          `help:"Busy calls are health checks instead of requests."`
 	Seconds     float64       `help:"Seconds of each measurement." default:"2"`
 	Rounds      int           `help:"How often both are measured, in turns; the median ratio counts." default:"5"`
 	Core        int           `help:"The core that all servers share; -1 for any." default:"1"`
 	Expire      bool          `help:"Have all idle connections time out in the same instant."`
 	Silent      time.Duration `help:"With --expire: how long a connection may be idle." default:"6s"`
-	Heeds       bool          `help:"With --expire: peers close when asked to; --no-heeds waits for the server." default:"true" negatable:""`
-	Counts      bool          `help:"Ask servers for statistics by SIGUSR1; --no-counts for versions without them." default:"true" negatable:""`
+	Heeds       bool          `help:"With --expire: peers close when asked to." default:"true" negatable:""`
+	Counts      bool          `help:"Ask servers for statistics by SIGUSR1." default:"true" negatable:""`
 }
 
 // Run measures the cost of idle connections.
--- a/cmd/swiftcourse-bench/replica.go
+++ b/cmd/swiftcourse-bench/replica.go
@@ -19,7 +19,7 @@
 	Seconds float64 `help:"How long faults go on." default:"10"`
 	Rate    float64 `help:"Attempts a second, over all servers." default:"60"`
 	Faults  bool    `help:"Pauses, partitions and losses too; --no-faults has kills alone." default:"true" negatable:""`
-	Points  bool    `help:"Two servers crash at trace points of claims and replication that the seed draws, again and again."`
+	Points  bool    `help:"Two servers crash again and again at trace points that the seed draws."`
 	Cost    bool    `help:"Measure first what claims add to latency."`
 }
 
--- a/cmd/swiftcourse-bench/rows.go
+++ b/cmd/swiftcourse-bench/rows.go
@@ -19,8 +19,9 @@
 	Violations() int
 }
 
-// writeRows prints the table, writes the JSON file if one is asked for, and returns the first error, which is err where it
-// isn't nil: rows are shown also where an error cut the experiment short.
+// writeRows prints the table, writes the JSON file if one is asked for, and returns the first
+// error, which is err where it isn't nil: rows are shown also where an error cut the experiment
+// short.
 func writeRows[R row](output outputFlags, columns []string, rows []R, err error) error {
 	cells := make([][]string, 0, len(rows))
 	for _, one := range rows {
@@ -38,8 +39,8 @@
 	return err
 }
 
-// runSeeds runs an experiment for each seed and returns the rows of those that ended without an error. It stops after the seed
-// at which the context ended.
+// runSeeds runs an experiment for each seed and returns the rows of those that ended without an
+// error. It stops after the seed at which the context ended.
 func runSeeds[R seedRow](ctx context.Context, seeds seedFlags, run func(seed uint64) (R, error)) ([]R, error) {
 	var rows []R
 	for i := range seeds.Seeds {
@@ -67,8 +68,8 @@
 	return nil
 }
 
-// runAndWrite runs all seeds, prints their rows, and returns an error if there are violations. Nothing is printed if a seed
-// could not be run.
+// runAndWrite runs all seeds, prints their rows, and returns an error if there are violations.
+// Nothing is printed if a seed could not be run.
 func runAndWrite[R seedRow](ctx context.Context, seeds seedFlags, output outputFlags, columns []string,
 	run func(seed uint64) (R, error)) error {
 	rows, err := runSeeds(ctx, seeds, run)
--- a/cmd/swiftcourse-bench/shared.go
+++ b/cmd/swiftcourse-bench/shared.go
@@ -13,8 +13,8 @@
 type sharedCommand struct {
 	outputFlags
 	seedFlags
-	Program string  `name:"server" help:"The server's program: processes of it instead of simulated time; at most 30 servers." type:"path"`
-	Fault   string  `help:"With --server: one fault again and again (kill, leader, stop, cut, one-way, loss, jump, voters), or seed." default:"seed"`
+	Program string  `name:"server" help:"The server's program, to run processes; at most 30 servers." type:"path"`
+	Fault   string  `help:"With --server: kill, leader, stop, cut, one-way, loss, jump, voters or seed." default:"seed"`
 	Servers int     `help:"Servers." default:"100"`
 	Voters  int     `help:"Of these, voters." default:"5"`
 	Seconds float64 `help:"How long faults go on." default:"60"`
--- a/cmd/swiftcourse-bench/versions.go
+++ b/cmd/swiftcourse-bench/versions.go
@@ -13,7 +13,7 @@
 	Servers int     `help:"Servers." default:"100"`
 	Voters  int     `help:"Of these, voters." default:"5"`
 	Seconds float64 `help:"How long releases and faults go on." default:"60"`
-	Keys    float64 `help:"Requests a second, over all servers, that have a key and are claimed; 0 for none." default:"0"`
+	Keys    float64 `help:"Requests a second with a key, over all servers; 0 for none." default:"0"`
 	Faults  bool    `help:"Faults; --no-faults has releases alone." default:"true" negatable:""`
 }
 
--- a/internal/bench/faultinjection/claim_test.go
+++ b/internal/bench/faultinjection/claim_test.go
@@ -16,10 +16,12 @@
 // retentionWindow is how long keys are kept in these tests.
 const retentionWindow = 3 * time.Second
 
-// startKeyedFleet starts a fleet whose tasks bear keys, held by those named, and waits until all holders may answer.
+// startKeyedFleet starts a fleet whose tasks bear keys, held by those named, and waits until all
+// holders may answer.
 func startKeyedFleet(t *testing.T, p Config, copies int, holders ...string) (*Fleet, *RunLog) {
 	t.Helper()
-	p.ExtraSettings += fmt.Sprintf("replica-holders %s\nreplica-copies %d\nreplica-keyed %s\n", strings.Join(holders, " "), copies, PingClass)
+	p.ExtraSettings += fmt.Sprintf("replica-holders %s\nreplica-copies %d\nreplica-keyed %s\n",
+		strings.Join(holders, " "), copies, PingClass)
 	if !strings.Contains(p.ExtraSettings, "replica-window") {
 		p.ExtraSettings += fmt.Sprintf("replica-window %s\n", retentionWindow)
 	}
@@ -43,7 +45,8 @@
 // sendRequest gives a try's answer in words: "finished RESULT", "rejected" or "abandoned".
 func (f *Fleet) sendRequest(t *testing.T, name, key string, wait time.Duration) string {
 	t.Helper()
-	a := f.SendRequest(context.Background(), Attempt{Server: name, ID: NewRequestID(), Key: key, Timeout: wait, Patience: patience})
+	a := f.SendRequest(context.Background(), Attempt{Server: name, ID: NewRequestID(), Key: key,
+		Timeout: wait, Patience: patience})
 	if a.Lateness > time.Second || a.Outcome == Unanswered {
 		t.Errorf("%s at %s is %s, %s after its due moment", key, name, a.Outcome, a.Lateness)
 	}
@@ -66,7 +69,9 @@
 			wait.Go(func() { answers[j] = f.sendRequest(t, name, key, 2*time.Second) })
 		}
 		wait.Wait()
-		f.await(t, key+" is finished wherever it is tried", func() bool { return f.finishesWithFirstResult(t, f.Names[i%5], key, ledger) })
+		f.await(t, key+" is finished wherever it is tried", func() bool {
+			return f.finishesWithFirstResult(t, f.Names[i%5], key, ledger)
+		})
 		for _, a := range answers { // on a machine that is very busy some are turned away
 			if strings.HasPrefix(a, "finished") && a != "finished "+ledger.FirstResult(key) {
 				t.Errorf("%s: %q, and the run came to %q", key, answers, ledger.FirstResult(key))
@@ -83,21 +88,27 @@
 	f.Net.Partition([]string{"n1", "n4"}, []string{"n2", "n3", "n5"})
 	for i := range 5 {
 		key := fmt.Sprint("cut", i)
-		if a := f.sendRequest(t, "n4", key, 1500*time.Millisecond); strings.HasPrefix(a, "finished") || ledger.RunCount(key) != 0 {
+		if a := f.sendRequest(t, "n4", key, 1500*time.Millisecond); strings.HasPrefix(a, "finished") ||
+			ledger.RunCount(key) != 0 {
 			t.Errorf("where most holders can't be heard, %s is %s and ran %d times", key, a, ledger.RunCount(key))
 		}
-		f.await(t, key+" is finished where most holders are", func() bool { return f.finishesWithFirstResult(t, "n5", key, ledger) })
+		f.await(t, key+" is finished where most holders are", func() bool {
+			return f.finishesWithFirstResult(t, "n5", key, ledger)
+		})
 	}
 	f.Net.Heal()
 	f.await(t, "the operators' words find nothing wrong", func() bool {
 		out, err := exec.Command(program, "fleet", "--at", f.controlAddrs["n3"], "diff").CombinedOutput()
 		return err == nil && strings.Count(string(out), "\nn") == 5 && !strings.Contains(string(out), ": ")
 	})
-	f.await(t, "the cut-off side knows what came of a key", func() bool { return f.finishesWithFirstResult(t, "n4", "cut0", ledger) })
+	f.await(t, "the cut-off side knows what came of a key", func() bool {
+		return f.finishesWithFirstResult(t, "n4", "cut0", ledger)
+	})
 }
 
 func TestReplicas_RestartOneByOne(t *testing.T) {
-	f, ledger := startKeyedFleet(t, Config{Servers: 4, Seed: 23, ExtraSettings: "replica-window 15s\n"}, 3, "n1", "n2", "n3")
+	f, ledger := startKeyedFleet(t, Config{Servers: 4, Seed: 23, ExtraSettings: "replica-window 15s\n"}, 3,
+		"n1", "n2", "n3")
 	f.await(t, "it is finished", func() bool { return f.finishesWithFirstResult(t, "n4", "kept", ledger) })
 	for _, name := range []string{"n1", "n2", "n3"} { // in the end nobody is left who granted it
 		if err := f.KillAndRestart(context.Background(), name); err != nil {
@@ -133,7 +144,8 @@
 	for time.Since(back) < retentionWindow-time.Second { // nobody can tell what ran, so nothing runs
 		for _, key := range []string{"before", "new"} {
 			a := f.sendRequest(t, "n4", key, 500*time.Millisecond)
-			if ledger.RunCount("new") > 0 || strings.HasPrefix(a, "finished") && a != "finished "+ledger.FirstResult(key) {
+			if ledger.RunCount("new") > 0 || strings.HasPrefix(a, "finished") &&
+				a != "finished "+ledger.FirstResult(key) {
 				t.Errorf("%s is %s before the window is over", key, a)
 			}
 		}
@@ -148,52 +160,50 @@
 }
 
 func TestClaims_ServerDiesDuringRun(t *testing.T) {
-	f, ledger := startKeyedFleet(t, Config{Servers: 4, Seed: 25, RunSeconds: 0.5, ExtraSettings: "replica-window 15s\n"}, 3, "n1", "n2", "n3")
+	f, ledger := startKeyedFleet(t, Config{Servers: 4, Seed: 25, RunSeconds: 0.5,
+		ExtraSettings: "replica-window 15s\n"}, 3, "n1", "n2", "n3")
 	go f.sendRequest(t, "n4", "half", 2*time.Second)
 	f.await(t, "it runs", func() bool { return ledger.RunCount("half") == 1 })
 	f.Server("n4").Kill()
 	for _, name := range []string{"n1", "n2", "n3"} {
-		f.await(t, "what may have run is abandoned at "+name, func() bool { return f.sendRequest(t, name, "half", time.Second) == "abandoned" })
+		f.await(t, "what may have run is abandoned at "+name, func() bool {
+			return f.sendRequest(t, name, "half", time.Second) == "abandoned"
+		})
 	}
 	if err := f.Restart(context.Background(), "n4"); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "n4 serves", func() bool { return strings.HasPrefix(f.sendRequest(t, "n4", "other", time.Second), "finished") })
+	f.await(t, "n4 serves", func() bool {
+		return strings.HasPrefix(f.sendRequest(t, "n4", "other", time.Second), "finished")
+	})
 	f.await(t, "it is so at n4 too", func() bool { return f.sendRequest(t, "n4", "half", time.Second) == "abandoned" })
 	if n := ledger.RunCount("half"); n != 1 {
 		t.Errorf("it ran %d times", n)
 	}
 }
 
-// TestClaims_ProcessesCrashAtEachTracePoint has each of several servers die at another point of its claims and copies, again and again, under repeats of keys.
+// TestClaims_ProcessesCrashAtEachTracePoint has each of several servers die at another point of its
+// claims and copies, again and again, under repeats of keys.
 func TestClaims_ProcessesCrashAtEachTracePoint(t *testing.T) {
 	for part := range 2 {
 		t.Run(fmt.Sprint(part), func(t *testing.T) {
 			die := map[string]string{}
 			for i := range 6 {
-				die[fmt.Sprint("n", i+2)] = fleet.TracePoints[6*part+i] + ",3,8" // after 8 seconds: the first start is not what is tried
+				// after 8 seconds: the first start is not what is tried
+				die[fmt.Sprint("n", i+2)] = fleet.TracePoints[6*part+i] + ",3,8"
 			}
-			f, ledger := startKeyedFleet(t, Config{Servers: 7, Seed: 26 + uint64(part), ExtraSettings: "fleet-forget 2s\n", CrashPointByName: die}, 5, "n1", "n2", "n3", "n4", "n5", "n6", "n7")
+			f, ledger := startKeyedFleet(t, Config{Servers: 7, Seed: 26 + uint64(part),
+				ExtraSettings: "fleet-forget 2s\n", CrashPointByName: die}, 5, "n1", "n2", "n3", "n4", "n5", "n6", "n7")
 			chance := rand.New(rand.NewPCG(uint64(part), 3))
 			deaths, finished := 0, 0
 			for i := 0; i < 40 || deaths < 4 && i < 200; i++ {
 				key := fmt.Sprint("key", i)
 				for range 3 {
-					a := f.sendRequest(t, f.Names[chance.IntN(7)], key, time.Second)
-					if strings.HasPrefix(a, "finished") {
-						if finished++; a != "finished "+ledger.FirstResult(key) {
-							t.Errorf("%s: %s, not %s", key, a, ledger.FirstResult(key))
-						}
-					}
-				}
-				for _, s := range f.Servers {
-					if !s.Alive() {
-						deaths++
-						if err := f.Restart(context.Background(), s.Name); err != nil {
-							t.Fatal(err)
-						}
+					if f.finishesWithKnownResult(t, f.Names[chance.IntN(7)], key, ledger) {
+						finished++
 					}
 				}
+				deaths += f.restartDead(t)
 			}
 			if deaths < 4 || finished == 0 {
 				t.Errorf("%d deaths, %d tasks finished: nothing was shown", deaths, finished)
@@ -202,7 +212,37 @@
 	}
 }
 
-// TestTrust_RestartedServerLearnsTrustedClients: those that earned being known at its door are known there again before they come back.
+// finishesWithKnownResult reports whether an attempt is finished, and fails the test if its result is
+// not that of the key's first run.
+func (f *Fleet) finishesWithKnownResult(t *testing.T, name, key string, log *RunLog) bool {
+	t.Helper()
+	answer := f.sendRequest(t, name, key, time.Second)
+	if !strings.HasPrefix(answer, "finished") {
+		return false
+	}
+	if answer != "finished "+log.FirstResult(key) {
+		t.Errorf("%s: %s, not %s", key, answer, log.FirstResult(key))
+	}
+	return true
+}
+
+// restartDead restarts the processes that have died, and counts them.
+func (f *Fleet) restartDead(t *testing.T) (deaths int) {
+	t.Helper()
+	for _, server := range f.Servers {
+		if server.Alive() {
+			continue
+		}
+		deaths++
+		if err := f.Restart(context.Background(), server.Name); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return deaths
+}
+
+// TestTrust_RestartedServerLearnsTrustedClients: those that earned being known at its door are
+// known there again before they come back.
 func TestTrust_RestartedServerLearnsTrustedClients(t *testing.T) {
 	f := startFleet(t, Config{Servers: 3, Seed: 28, ExtraSettings: "replica-callers on\n"})
 	for range 5 { // one a second counts
@@ -224,7 +264,8 @@
 	}
 }
 
-// TestClaims_DrainingServerReplicatesFirst: its answer is out, and what its holders should hear is lost for most of its drain.
+// TestClaims_DrainingServerReplicatesFirst: its answer is out, and what its holders should hear is
+// lost for most of its drain.
 func TestClaims_DrainingServerReplicatesFirst(t *testing.T) {
 	f, ledger := startKeyedFleet(t, Config{Servers: 4, Seed: 29, RunSeconds: 0.3}, 3, "n1", "n2", "n3")
 	go f.sendRequest(t, "n4", "last", 2*time.Second)
@@ -236,5 +277,7 @@
 		t.Fatal(err)
 	}
 	f.Net.Heal()
-	f.await(t, "its successor has the result", func() bool { return f.finishesWithFirstResult(t, "n1", "last", ledger) && ledger.RunCount("last") == 1 })
+	f.await(t, "its successor has the result", func() bool {
+		return f.finishesWithFirstResult(t, "n1", "last", ledger) && ledger.RunCount("last") == 1
+	})
 }
--- a/internal/bench/faultinjection/config.go
+++ b/internal/bench/faultinjection/config.go
@@ -19,22 +19,23 @@
 	Seed                uint64
 	RunLog              *RunLog // of the fake executors; nil for none
 	RunSeconds          float64 // of a request; 0 for that of the shape
-	// CrashPointByName is SWIFTCOURSE_TEST_DIE of one process: POINT,N or POINT,N,S has it die when it passes that trace
-	// point for the Nth time, from S seconds after its start on.
+	// CrashPointByName is SWIFTCOURSE_TEST_DIE of one process: POINT,N or POINT,N,S has it die when
+	// it passes that trace point for the Nth time, from S seconds after its start on.
 	CrashPointByName map[string]string
 	NoRelays         bool               // connect directly, for measurements in fractions of a millisecond
 	FleetDisabled    bool               // the processes are no fleet
 	Tenants          []simulator.Tenant // none for a service without tenants
 
-	// Planners and Forwarders, if there are any, are the processes of this fleet instead of servers: p1 and on, which are the
-	// voters, and f1 and on. Workers are then servers without a fleet behind the forwarders, with WorkerShape.
+	// Planners and Forwarders, if there are any, are the processes of this fleet instead of
+	// servers: p1 and on, which are the voters, and f1 and on. Workers are then servers without a
+	// fleet behind the forwarders, with WorkerShape.
 	Planners    int
 	Forwarders  int
 	Workers     int
 	WorkerShape process.Config
 
-	// CallOutcome has each request make a call upstream and returns the response to the nth call of a process; nil for no
-	// calls.
+	// CallOutcome has each request make a call upstream and returns the response to the nth call of
+	// a process; nil for no calls.
 	CallOutcome func(name string, n int, call catalogue.Call) upstream.Response
 }
 
--- a/internal/bench/faultinjection/control.go
+++ b/internal/bench/faultinjection/control.go
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// StartDuplicate starts a second process with a server's name, which listens elsewhere. It gets no lease, so it never becomes
-// healthy.
+// StartDuplicate starts a second process with a server's name, which listens elsewhere. It gets no
+// lease, so it never becomes healthy.
 func (f *Fleet) StartDuplicate(ctx context.Context, name string) (*process.Server, error) {
 	shape := f.Shape
 	gossipAddr := f.nextAddr()
--- a/internal/bench/faultinjection/events.go
+++ b/internal/bench/faultinjection/events.go
@@ -26,7 +26,8 @@
 	Fields map[string]string
 }
 
-// recordedEvents are the log events that are kept, beside those with a prefix that isRecorded names.
+// recordedEvents are the log events that are kept, beside those with a prefix that isRecorded
+// names.
 var recordedEvents = []string{
 	EventConfigApplied,
 	EventCommandFinished,
@@ -71,8 +72,9 @@
 	return list
 }
 
-// LastEvent returns the last log event of a process's present incarnation with that event, the zero LogEvent if there is none.
-// What an earlier incarnation logged says nothing about what the present one knows.
+// LastEvent returns the last log event of a process's present incarnation with that event, the zero
+// LogEvent if there is none. What an earlier incarnation logged says nothing about what the present
+// one knows.
 func (f *Fleet) LastEvent(name, event string) LogEvent {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -84,7 +86,8 @@
 	return LogEvent{}
 }
 
-// ActiveEpoch returns the epoch that a process last logged, since its start, to have applied; 0 if it logged none.
+// ActiveEpoch returns the epoch that a process last logged, since its start, to have applied; 0 if
+// it logged none.
 func (f *Fleet) ActiveEpoch(name string) release.Epoch {
 	epoch, err := release.ParseEpoch(f.LastEvent(name, EventConfigApplied).Fields["epoch"])
 	if err != nil {
@@ -103,7 +106,8 @@
 	return true
 }
 
-// ReplicasCaughtUp reports whether the named replicas last logged, since their start, that no slot is catching up.
+// ReplicasCaughtUp reports whether the named replicas last logged, since their start, that no slot
+// is catching up.
 func (f *Fleet) ReplicasCaughtUp(names ...string) bool {
 	for _, name := range names {
 		if f.LastEvent(name, EventReplicaStatusChanged).Fields["catching_up"] != "0" {
--- a/internal/bench/faultinjection/fleet.go
+++ b/internal/bench/faultinjection/fleet.go
@@ -14,9 +14,11 @@
 const (
 	// plannerPrefix is that of the planners' names.
 	plannerPrefix = "p"
-	// firstPort is the first port of a fleet; those of gossip and of control addresses follow one another.
+	// firstPort is the first port of a fleet; those of gossip and of control addresses follow one
+	// another.
 	firstPort = 7001
-	// abandonedCallMs is how long calls of requests that are over may still take upstream, in milliseconds.
+	// abandonedCallMs is how long calls of requests that are over may still take upstream, in
+	// milliseconds.
 	abandonedCallMs = 300
 )
 
@@ -197,8 +199,8 @@
 // fleetCount counts the fleets of this process.
 var fleetCount atomic.Int32
 
-// nextHost returns a loopback address for one fleet, by this process's ID and the fleet's number. Nobody else has ports there, so
-// that addresses can be configured before anybody listens.
+// nextHost returns a loopback address for one fleet, by this process's ID and the fleet's number.
+// Nobody else has ports there, so that addresses can be configured before anybody listens.
 func nextHost() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 64+pid%128, pid/128%256, 1+fleetCount.Add(1)%250)
--- a/internal/bench/faultinjection/load.go
+++ b/internal/bench/faultinjection/load.go
@@ -11,8 +11,8 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// Load sends requests of one tenant to each server at a rate of its own, and records when each was finished: what a quota let
-// through, apart from what the program says.
+// Load sends requests of one tenant to each server at a rate of its own, and records when each was
+// finished: what a quota let through, apart from what the program says.
 type Load struct {
 	Classes []string // of its requests, in turns; PingClass alone if there are none
 
@@ -133,7 +133,8 @@
 	return all
 }
 
-// MaxExcess returns the most requests that servers finished in any interval over that rate times its length.
+// MaxExcess returns the most requests that servers finished in any interval over that rate times
+// its length.
 func (d *Load) MaxExcess(rate float64, names ...string) (most float64) {
 	all := d.sortedFinishTimes(names)
 	if len(all) == 0 {
@@ -166,7 +167,8 @@
 	return n
 }
 
-// DescribeUnanswered says of each server how many requests are unanswered, and for how long the oldest.
+// DescribeUnanswered says of each server how many requests are unanswered, and for how long the
+// oldest.
 func (d *Load) DescribeUnanswered() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/bench/faultinjection/loadsender.go
+++ b/internal/bench/faultinjection/loadsender.go
@@ -9,8 +9,8 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// loadSender sends the requests of a Load to one server, over one connection that it opens again after it closed. All of it but
-// the connection's callbacks runs in one goroutine.
+// loadSender sends the requests of a Load to one server, over one connection that it opens again
+// after it closed. All of it but the connection's callbacks runs in one goroutine.
 type loadSender struct {
 	load   *Load
 	name   string
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// forget drops what is unanswered on a connection that closed. What crossed the close of a server that drains was never read, and
-// is its client's to send elsewhere.
+// forget drops what is unanswered on a connection that closed. What crossed the close of a server
+// that drains was never read, and is its client's to send elsewhere.
 func (d *Load) forget(unanswered map[uint64]time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/bench/faultinjection/quota_test.go
+++ b/internal/bench/faultinjection/quota_test.go
@@ -13,8 +13,10 @@
 	"swiftcourse/internal/wire/simulator"
 )
 
-// What the tests below share: a budget of 60 tasks a second of one tenant, over five servers of which each has a floor of 1.2. The slack is half a
-// second of it and a task a server (docs/shared.md), and late is what a busy test may see come at once that was let through a while before.
+// What the tests below share: a budget of 60 tasks a second of one tenant, over five servers of
+// which each has a floor of 1.2. The slack is half a second of it and a task a server
+// (docs/shared.md), and late is what a busy test may see come at once that was let through a while
+// before.
 const (
 	quotaRate      = 60.0
 	quotaSettings  = "budget tenant/acme=60\nbudget-servers 5\n"
@@ -23,9 +25,10 @@
 	burstTolerance = quotaRate
 )
 
-func startQuotaFleet(t *testing.T, seed uint64, conf string) (*Fleet, *Load) {
+func startQuotaFleet(t *testing.T, seed uint64) (*Fleet, *Load) {
 	t.Helper()
-	p := Config{Servers: 5, Seed: seed, ExtraSettings: quotaSettings + conf, Tenants: []simulator.Tenant{{Name: "acme", RatePerS: 1000}}}
+	p := Config{Servers: 5, Seed: seed, ExtraSettings: quotaSettings,
+		Tenants: []simulator.Tenant{{Name: "acme", RatePerS: 1000}}}
 	f := startFleet(t, p)
 	ctx, stop := context.WithCancel(context.Background())
 	d := f.StartLoad(ctx, "acme")
@@ -36,7 +39,8 @@
 			t.Errorf("%.0f tasks over the budget, the slack is %.0f", over, quotaSlack)
 		}
 		asked, finished, rejected := d.Counts()
-		t.Logf("asked %d, finished %d, rejected %d; at most %.1f over the budget", asked, finished, rejected, d.MaxExcess(quotaRate, f.Names...))
+		t.Logf("asked %d, finished %d, rejected %d; at most %.1f over the budget", asked, finished, rejected,
+			d.MaxExcess(quotaRate, f.Names...))
 		if n := len(f.Events("", "fleet_agent_panic")); n > 0 {
 			t.Errorf("%d panics", n)
 		}
@@ -51,7 +55,7 @@
 }
 
 func TestQuota_FollowsDemand(t *testing.T) {
-	f, d := startQuotaFleet(t, 31, "")
+	f, d := startQuotaFleet(t, 31)
 	d.SetRate(300, "n1")
 	d.SetRate(1, "n2", "n3", "n4", "n5")
 	f.awaitRate(t, d, "n1", 0.8*quotaRate)
@@ -59,7 +63,8 @@
 	d.SetRate(300, "n4")
 	f.awaitRate(t, d, "n4", 0.8*quotaRate)
 	s, err := fleet.FetchQuotas(f.controlAddrs[f.leader(t)])
-	if err != nil || !s.IsLeader || len(s.Granted) != 1 || s.Granted[0].Leased > s.Granted[0].Pool+1e-9 || s.Granted[0].Leased < 0.5*s.Granted[0].Pool {
+	if err != nil || !s.IsLeader || len(s.Granted) != 1 || s.Granted[0].Leased > s.Granted[0].Pool+1e-9 ||
+		s.Granted[0].Leased < 0.5*s.Granted[0].Pool {
 		t.Errorf("an operator hears %+v, %v", s, err)
 	}
 	if r := d.Rate("n4", time.Second) + d.Rate("n1", time.Second); r > 1.5*quotaRate+quotaSlack {
@@ -67,9 +72,10 @@
 	}
 }
 
-// TestQuota_PartitionedServerServesItsFloor: one that all demand is at is cut off, then so is half of the fleet; the leader dies meanwhile.
+// TestQuota_PartitionedServerServesItsFloor: one that all demand is at is cut off, then so is half
+// of the fleet; the leader dies meanwhile.
 func TestQuota_PartitionedServerServesItsFloor(t *testing.T) {
-	f, d := startQuotaFleet(t, 32, "")
+	f, d := startQuotaFleet(t, 32)
 	d.SetRate(300, "n5")
 	d.SetRate(2, "n1", "n2", "n3", "n4")
 	f.awaitRate(t, d, "n5", 0.8*quotaRate)
@@ -108,9 +114,10 @@
 	return name
 }
 
-// TestQuota_PausedServerLosesItsShareAfterLease: it is woken with the part that it had, past its lease.
+// TestQuota_PausedServerLosesItsShareAfterLease: it is woken with the part that it had, past its
+// lease.
 func TestQuota_PausedServerLosesItsShareAfterLease(t *testing.T) {
-	f, d := startQuotaFleet(t, 33, "")
+	f, d := startQuotaFleet(t, 33)
 	d.SetRate(300, "n5")
 	f.awaitRate(t, d, "n5", 0.8*quotaRate)
 	if err := f.Pause("n5"); err != nil {
@@ -131,7 +138,7 @@
 
 // TestQuota_LimitChangesWhileSharesAreLeased: down, to nothing and up again, by releases.
 func TestQuota_LimitChangesWhileSharesAreLeased(t *testing.T) {
-	f, d := startQuotaFleet(t, 34, "")
+	f, d := startQuotaFleet(t, 34)
 	d.SetRate(100, f.Names...)
 	all := func(lately time.Duration) (sum float64) {
 		for _, name := range f.Names {
@@ -150,7 +157,7 @@
 
 // TestQuota_HalfOfTheFleetRestarts, killed with its parts in hand: it begins at its floors.
 func TestQuota_HalfOfTheFleetRestarts(t *testing.T) {
-	f, d := startQuotaFleet(t, 35, "")
+	f, d := startQuotaFleet(t, 35)
 	d.SetRate(100, f.Names...)
 	for _, name := range f.Names {
 		f.awaitRate(t, d, name, 0.5*quotaRate/5)
@@ -165,19 +172,22 @@
 	}
 }
 
-// TestQuota_ConcurrentCallsStayWithinLimit: calls of a quarter of a second, over twice as many wanted as there may be out. What is out is counted at the tier below.
+// TestQuota_ConcurrentCallsStayWithinLimit: calls of a quarter of a second, over twice as many
+// wanted as there may be out. What is out is counted at the tier below.
 func TestQuota_ConcurrentCallsStayWithinLimit(t *testing.T) {
 	const most, reply = 50, 250 * time.Millisecond
 	var out, largest, sum, seen atomic.Int64
-	f := startFleet(t, Config{Servers: 5, Seed: 36, ExtraSettings: "budget calls=50\nbudget-servers 5\n", CallOutcome: func(string, int, catalogue.Call) upstream.Response {
-		n := out.Add(1)
-		sum.Add(n)
-		seen.Add(1)
-		for was := largest.Load(); n > was && !largest.CompareAndSwap(was, n); was = largest.Load() {
-		}
-		time.AfterFunc(reply-50*time.Millisecond, func() { out.Add(-1) }) // surely before its server hears, and lets another one out: a fifth of them does not count
-		return upstream.Response{Delay: reply, Outcome: admission.Finished, Body: []byte("r")}
-	}})
+	f := startFleet(t, Config{Servers: 5, Seed: 36, ExtraSettings: "budget calls=50\nbudget-servers 5\n",
+		CallOutcome: func(string, int, catalogue.Call) upstream.Response {
+			n := out.Add(1)
+			sum.Add(n)
+			seen.Add(1)
+			for was := largest.Load(); n > was && !largest.CompareAndSwap(was, n); was = largest.Load() {
+			}
+			// surely before its server hears, and lets another one out: a fifth of them does not count
+			time.AfterFunc(reply-50*time.Millisecond, func() { out.Add(-1) })
+			return upstream.Response{Delay: reply, Outcome: admission.Finished, Body: []byte("r")}
+		}})
 	ctx, stop := context.WithCancel(context.Background())
 	d := f.StartLoad(ctx, "")
 	defer d.Wait()
@@ -201,18 +211,20 @@
 	}
 }
 
-// TestCircuitBreaker_DeadDownstreamIsProbedAndRecovers: it dies for all, is tried a few times a second by all servers together, and comes back.
+// TestCircuitBreaker_DeadDownstreamIsProbedAndRecovers: it dies for all, is tried a few times a
+// second by all servers together, and comes back.
 func TestCircuitBreaker_DeadDownstreamIsProbedAndRecovers(t *testing.T) {
 	const reply = 50 * time.Millisecond
 	var dead atomic.Bool
 	var calls atomic.Int64
-	f := startFleet(t, Config{Servers: 5, Seed: 37, ExtraSettings: "fleet-below on\n", CallOutcome: func(string, int, catalogue.Call) upstream.Response {
-		calls.Add(1)
-		if dead.Load() {
-			return upstream.Response{Delay: reply, Outcome: admission.Failed}
-		}
-		return upstream.Response{Delay: reply, Outcome: admission.Finished, Body: []byte("r")}
-	}})
+	f := startFleet(t, Config{Servers: 5, Seed: 37, ExtraSettings: "fleet-below on\n",
+		CallOutcome: func(string, int, catalogue.Call) upstream.Response {
+			calls.Add(1)
+			if dead.Load() {
+				return upstream.Response{Delay: reply, Outcome: admission.Failed}
+			}
+			return upstream.Response{Delay: reply, Outcome: admission.Finished, Body: []byte("r")}
+		}})
 	ctx, stop := context.WithCancel(context.Background())
 	d := f.StartLoad(ctx, "")
 	defer d.Wait()
@@ -244,12 +256,13 @@
 // TestCircuitBreaker_OneBadLinkStaysLocal: calls of one server all fail, those of the others don't.
 func TestCircuitBreaker_OneBadLinkStaysLocal(t *testing.T) {
 	var mine atomic.Pointer[string]
-	f := startFleet(t, Config{Servers: 5, Seed: 38, ExtraSettings: "fleet-below on\n", CallOutcome: func(name string, _ int, _ catalogue.Call) upstream.Response {
-		if bad := mine.Load(); bad != nil && *bad == name {
-			return upstream.Response{Delay: 20 * time.Millisecond, Outcome: admission.Failed}
-		}
-		return upstream.Response{Delay: 20 * time.Millisecond, Outcome: admission.Finished, Body: []byte("r")}
-	}})
+	f := startFleet(t, Config{Servers: 5, Seed: 38, ExtraSettings: "fleet-below on\n",
+		CallOutcome: func(name string, _ int, _ catalogue.Call) upstream.Response {
+			if bad := mine.Load(); bad != nil && *bad == name {
+				return upstream.Response{Delay: 20 * time.Millisecond, Outcome: admission.Failed}
+			}
+			return upstream.Response{Delay: 20 * time.Millisecond, Outcome: admission.Finished, Body: []byte("r")}
+		}})
 	ctx, stop := context.WithCancel(context.Background())
 	d := f.StartLoad(ctx, "")
 	defer d.Wait()
@@ -261,7 +274,8 @@
 	f.await(t, "n4 knows it dead", f.hasLogged("n4", "circuit_breaker_changed", "state", "open"))
 	time.Sleep(3 * time.Second)
 	for _, name := range []string{"n1", "n2", "n3", "n5"} {
-		if f.hasLogged(name, "circuit_breaker_changed", "state", "open")() || f.hasLogged(name, "circuit_breaker_changed", "state", "throttled")() {
+		if f.hasLogged(name, "circuit_breaker_changed", "state", "open")() || f.hasLogged(name,
+			"circuit_breaker_changed", "state", "throttled")() {
 			t.Errorf("%s shut it out, by another's bad link", name)
 		}
 	}
--- /dev/null
+++ b/internal/bench/faultinjection/relay.go
@@ -0,0 +1,203 @@
+package faultinjection
+
+import (
+	"fmt"
+	"net"
+	"slices"
+	"time"
+)
+
+const (
+	// relayHost is where relays listen.
+	relayHost = "127.0.0.8:0"
+	// maxRelayBinds bounds the attempts to find a port that is free for TCP and UDP.
+	maxRelayBinds = 20
+	// relayDialTimeout is how long a relayed connection may take to open.
+	relayDialTimeout = 5 * time.Second
+	// maxHalfOpen is how long a connection stays half open in a cut before the relay closes it, as
+	// a host's own timeout does.
+	maxHalfOpen = 30 * time.Second
+	// cutCheckInterval is the time between two checks whether a cut is over.
+	cutCheckInterval = 20 * time.Millisecond
+	// maxPacket and streamBuffer are the bytes read at once.
+	maxPacket    = 1 << 16
+	streamBuffer = 4096
+	// readsPerSecond is the least number of reads a second of a connection with a limited rate.
+	readsPerSecond = 10
+)
+
+// transfer is what happens to bytes on a link.
+type transfer struct {
+	link        Link
+	isLost      bool
+	isDuplicate bool
+	delay       time.Duration
+}
+
+// planTransfer counts bytes that a process sends, and draws what happens to them.
+func (n *Network) planTransfer(from, to string, size int) transfer {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.bytesSent[from] += int64(size)
+	link := n.links[direction{from, to}]
+	delay := link.Delay
+	if link.Jitter > 0 {
+		delay += time.Duration(n.random.Int64N(int64(link.Jitter)))
+	}
+	isLost := link.Cut || n.random.Float64() < link.Loss
+	isDuplicate := n.random.Float64() < link.Duplicate
+	return transfer{link: link, isLost: isLost, isDuplicate: isDuplicate, delay: delay}
+}
+
+// AddRelay relays TCP and UDP from one process to the address where another listens, and returns
+// the address to use instead.
+func (n *Network) AddRelay(from, to, addr string) (string, error) {
+	listener, packets, err := listenBoth()
+	if err != nil {
+		return "", err
+	}
+	out, err := net.Dial("udp", addr)
+	if err != nil {
+		return "", err
+	}
+	n.mu.Lock()
+	n.closers = append(n.closers, listener, packets, out)
+	n.mu.Unlock()
+	go n.relayPackets(from, to, packets, out)
+	go n.relayConnections(from, to, listener, addr)
+	return listener.Addr().String(), nil
+}
+
+// listenBoth listens for TCP and UDP on the same port.
+func listenBoth() (listener net.Listener, packets net.PacketConn, err error) {
+	for range maxRelayBinds {
+		listener, err = net.Listen("tcp", relayHost)
+		if err != nil {
+			return nil, nil, err
+		}
+		packets, err = net.ListenPacket("udp", listener.Addr().String())
+		if err == nil {
+			return listener, packets, nil
+		}
+		_ = listener.Close()
+	}
+	return nil, nil, fmt.Errorf("no port is free for TCP and UDP: %w", err)
+}
+
+// relayPackets relays UDP packets until the relay is closed.
+func (n *Network) relayPackets(from, to string, in net.PacketConn, out net.Conn) {
+	buffer := make([]byte, maxPacket)
+	for {
+		size, _, err := in.ReadFrom(buffer)
+		if err != nil {
+			return
+		}
+		planned := n.planTransfer(from, to, size)
+		if planned.isLost {
+			continue
+		}
+		packet := slices.Clone(buffer[:size])
+		sendPacket(out, packet, planned.delay)
+		if planned.isDuplicate {
+			sendPacket(out, packet, planned.delay)
+		}
+	}
+}
+
+// sendPacket sends a packet after a delay. An error is no fault of the relay: the other side may be
+// down.
+func sendPacket(out net.Conn, packet []byte, delay time.Duration) {
+	if delay == 0 {
+		_, _ = out.Write(packet)
+		return
+	}
+	time.AfterFunc(delay, func() { _, _ = out.Write(packet) })
+}
+
+// relayConnections relays TCP connections until the relay is closed.
+func (n *Network) relayConnections(from, to string, listener net.Listener, addr string) {
+	for {
+		in, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		go n.relayConnection(from, to, in, addr)
+	}
+}
+
+// relayConnection relays one connection until one side ends. An error of its ends is no fault of
+// the relay.
+func (n *Network) relayConnection(from, to string, in net.Conn, addr string) {
+	defer func() { _ = in.Close() }()
+	if !n.waitUncut(from, to) {
+		return
+	}
+	out, err := net.DialTimeout("tcp", addr, relayDialTimeout)
+	if err != nil {
+		return
+	}
+	defer func() { _ = out.Close() }()
+	done := make(chan struct{}, 2)
+	go func() {
+		n.copyStream(from, to, in, out)
+		done <- struct{}{}
+	}()
+	go func() {
+		n.copyStream(to, from, out, in)
+		done <- struct{}{}
+	}()
+	<-done
+}
+
+// waitUncut waits until a direction is not cut, and reports whether that came before maxHalfOpen
+// and the close of the relays.
+func (n *Network) waitUncut(from, to string) bool {
+	for end := time.Now().Add(maxHalfOpen); time.Now().Before(end); {
+		if !n.planTransfer(from, to, 0).link.Cut {
+			return true
+		}
+		select {
+		case <-n.closed:
+			return false
+		case <-time.After(cutCheckInterval):
+		}
+	}
+	return false
+}
+
+// copyStream copies one direction of a connection, with the delay and the rate of its link.
+func (n *Network) copyStream(from, to string, in, out net.Conn) {
+	buffer := make([]byte, streamBuffer)
+	for {
+		piece := buffer
+		if rate := n.planTransfer(from, to, 0).link.BytesPerSecond; rate > 0 {
+			piece = buffer[:max(1, min(len(buffer), int(rate/readsPerSecond)))]
+		}
+		size, err := in.Read(piece)
+		if size > 0 && !n.forward(from, to, piece[:size], out) {
+			return
+		}
+		if err != nil {
+			return
+		}
+	}
+}
+
+// forward writes what was read, after its delay, and reports whether the connection goes on.
+func (n *Network) forward(from, to string, data []byte, out net.Conn) bool {
+	if !n.waitUncut(from, to) {
+		return false
+	}
+	planned := n.planTransfer(from, to, len(data))
+	delay := planned.delay
+	if rate := planned.link.BytesPerSecond; rate > 0 {
+		delay += time.Duration(float64(len(data)) / rate * float64(time.Second))
+	}
+	select {
+	case <-time.After(delay):
+	case <-n.closed:
+		return false
+	}
+	_, err := out.Write(data)
+	return err == nil
+}
--- a/internal/bench/faultinjection/release_test.go
+++ b/internal/bench/faultinjection/release_test.go
@@ -25,7 +25,8 @@
 	if err == nil {
 		program = filepath.Join(folder, "swiftcourse")
 		var said []byte
-		said, err = exec.Command("go", "build", "-o", folder+"/", "swiftcourse/cmd/swiftcourse", "swiftcourse/cmd/swiftcourse-fleet").CombinedOutput()
+		said, err = exec.Command("go", "build", "-o", folder+"/", "swiftcourse/cmd/swiftcourse",
+			"swiftcourse/cmd/swiftcourse-fleet").CombinedOutput()
 		os.Stderr.Write(said)
 	}
 	if err != nil {
@@ -162,11 +163,14 @@
 	}
 	for _, a := range f.Names {
 		for _, b := range f.Names {
-			f.Net.SetLink(a, b, Link{Loss: 0.2, Duplicate: 0.2, Delay: 5 * time.Millisecond, Jitter: 60 * time.Millisecond})
+			f.Net.SetLink(a, b, Link{Loss: 0.2, Duplicate: 0.2, Delay: 5 * time.Millisecond,
+				Jitter: 60 * time.Millisecond})
 		}
 	}
 	e = f.release(t, "n1", "door-come-back 350ms\n")
-	f.await(t, "all act on a release over a network that loses, doubles and reorders", func() bool { return f.AllActiveOn(e, f.Names...) })
+	f.await(t, "all act on a release over a network that loses, doubles and reorders", func() bool {
+		return f.AllActiveOn(e, f.Names...)
+	})
 }
 
 func TestVoters_RestartWithoutState(t *testing.T) {
@@ -212,7 +216,8 @@
 			return false
 		}
 		for _, b := range s.Audit.Lagging {
-			if b.Name == "n5" && strings.HasPrefix(b.Reason, "ejected: ") && strings.Contains(b.Reason, "can't be changed while serving") {
+			if b.Name == "n5" && strings.HasPrefix(b.Reason, "ejected: ") && strings.Contains(b.Reason,
+				"can't be changed while serving") {
 				return true
 			}
 		}
@@ -222,17 +227,20 @@
 	if f.Server("n5").Registry.Accepting("n5") {
 		t.Error("n5 is still on the roster's list")
 	}
-	if _, err := f.SendCommand("n4", release.Command{Kind: release.KindRollback, Author: "test", Reason: "n5"}); err != nil {
+	if _, err := f.SendCommand("n4", release.Command{Kind: release.KindRollback, Author: "test",
+		Reason: "n5"}); err != nil {
 		t.Fatal(err)
 	}
 	f.await(t, "n5 is brought up by what it can apply, and serves", func() bool {
 		said := f.Events("n5", "serving_mode_changed")
-		return f.ActiveEpoch("n5") > e && said[len(said)-1].Fields["mode"] == "normal" && f.Server("n5").Registry.Accepting("n5")
+		return f.ActiveEpoch("n5") > e && said[len(said)-1].Fields["mode"] == "normal" &&
+			f.Server("n5").Registry.Accepting("n5")
 	})
 }
 
 func TestLease_ClockSkewAndDuplicateProcess(t *testing.T) {
-	f := startFleet(t, Config{Servers: 4, Seed: 6, ClockByName: map[string]string{"n1": "3600,1", "n2": "-3600,1.01", "n3": "0,0.99"}})
+	f := startFleet(t, Config{Servers: 4, Seed: 6, ClockByName: map[string]string{"n1": "3600,1",
+		"n2": "-3600,1.01", "n3": "0,0.99"}})
 	e := f.release(t, "n2", "door-come-back 300ms\n")
 	f.await(t, "all act on it", func() bool { return f.AllActiveOn(e, f.Names...) })
 	time.Sleep(3 * time.Second) // more than a lease
@@ -248,7 +256,8 @@
 		t.Fatal(err)
 	}
 	defer twin.Kill()
-	f.await(t, "the second process is told that its name is taken", f.hasLogged("n4", "lease_state_changed", "state", "taken"))
+	f.await(t, "the second process is told that its name is taken", f.hasLogged("n4", "lease_state_changed",
+		"state", "taken"))
 	if s, err := f.Status("n4"); err != nil || s.LeaseState != "acting" {
 		t.Errorf("the first process: %+v, %v", s, err)
 	}
@@ -279,8 +288,10 @@
 	f.await(t, "all act on it", func() bool { return f.AllActiveOn(e, f.Names...) })
 }
 
-// TestLease_PausedServerResumesAfterExpiry: it was stopped with tasks on their way to it and an old version. Before it has heard anything it knows that its
-// lease is over: what had not begun is rejected, and it takes nothing in until it hears its leader again, which is after the answers here.
+// TestLease_PausedServerResumesAfterExpiry: it was stopped with tasks on their way to it and an old
+// version. Before it has heard anything it knows that its lease is over: what had not begun is
+// rejected, and it takes nothing in until it hears its leader again, which is after the answers
+// here.
 func TestLease_PausedServerResumesAfterExpiry(t *testing.T) {
 	f := startFleet(t, Config{Servers: 5, Seed: 9, ExtraSettings: "fleet-silent leave\nfleet-most-out 100%\n"})
 	f.await(t, "n5 may leave", func() bool { s, err := f.Status("n5"); return err == nil && s.MayGoOutOfService })
@@ -293,7 +304,8 @@
 	time.Sleep(3 * time.Second) // more than a lease
 	const tasks = 8
 	for i := range tasks {
-		m := &rpc.Message{Number: c.NextNumber(), ID: fmt.Sprintf("%016x", i+1), Class: PingClass, Client: 1, ArrivedAt: float64(time.Now().UnixMilli()) / 1000, Timeout: 1.5,
+		m := &rpc.Message{Number: c.NextNumber(), ID: fmt.Sprintf("%016x", i+1), Class: PingClass, Client: 1,
+			ArrivedAt: float64(time.Now().UnixMilli()) / 1000, Timeout: 1.5,
 			Memory: 1, Priority: 0.5}
 		if err := c.SendRequest(m); err != nil {
 			t.Fatal(err)
@@ -362,7 +374,8 @@
 	callers.Wait()
 	f.await(t, "all act on the version after it", func() bool {
 		s, err := f.Status("n1")
-		return err == nil && s.ReleaseLog.Next == nil && s.ReleaseLog.Current.Text == "" && f.AllActiveOn(s.ReleaseLog.Current.Epoch, f.Names...)
+		return err == nil && s.ReleaseLog.Next == nil && s.ReleaseLog.Current.Text == "" &&
+			f.AllActiveOn(s.ReleaseLog.Current.Epoch, f.Names...)
 	})
 }
 
@@ -380,7 +393,8 @@
 		return
 	}
 	defer c.Close()
-	m := &rpc.Message{Number: c.NextNumber(), ID: fmt.Sprintf("%016x", rand.Uint64()), Class: PingClass, Client: 1, ArrivedAt: float64(time.Now().UnixMilli()) / 1000,
+	m := &rpc.Message{Number: c.NextNumber(), ID: fmt.Sprintf("%016x", rand.Uint64()), Class: PingClass,
+		Client: 1, ArrivedAt: float64(time.Now().UnixMilli()) / 1000,
 		Timeout: 1, Memory: 1, Priority: 0.5}
 	if c.SendRequest(m) != nil {
 		return
@@ -400,7 +414,8 @@
 		t.Fatal(err)
 	}
 	say := func(want string, words ...string) bool {
-		out, err := exec.Command(program, append([]string{"fleet", "--at", f.controlAddrs["n2"]}, words...)...).CombinedOutput()
+		out, err := exec.Command(program, append([]string{"fleet", "--at", f.controlAddrs["n2"]},
+			words...)...).CombinedOutput()
 		return err == nil && strings.Contains(string(out), want)
 	}
 	for _, step := range []struct {
@@ -418,7 +433,9 @@
 		f.await(t, strings.Join(step.words, " "), func() bool { return say(step.want, step.words...) })
 	}
 	s, err := f.Status("n1")
-	if err != nil || len(s.ReleaseLog.History) < 2 || s.ReleaseLog.History[len(s.ReleaseLog.History)-1].Outcome != "rolled back: by a test" || s.ReleaseLog.Current.Text != "" {
+	if err != nil || len(s.ReleaseLog.History) < 2 ||
+		s.ReleaseLog.History[len(s.ReleaseLog.History)-1].Outcome != "rolled back: by a test" ||
+		s.ReleaseLog.Current.Text != "" {
 		t.Errorf("%+v, %v", s, err)
 	}
 	if say("", "release", program) {
@@ -426,11 +443,12 @@
 	}
 }
 
-// TestFleet_EventsOfEarlierIncarnationAreIgnored: a holder that was started again is warm, and acts on a version, once it says so itself; what it said before its end
-// is no word of it.
+// TestFleet_EventsOfEarlierIncarnationAreIgnored: a holder that was started again is warm, and acts
+// on a version, once it says so itself; what it said before its end is no word of it.
 func TestFleet_EventsOfEarlierIncarnationAreIgnored(t *testing.T) {
 	f := &Fleet{firstEvent: map[string]int{}}
-	for _, line := range []string{"event=fleet_started", "event=replica_status_changed catching_up=256", "event=replica_status_changed catching_up=0", "event=config_applied epoch=1.7"} {
+	for _, line := range []string{"event=fleet_started", "event=replica_status_changed catching_up=256",
+		"event=replica_status_changed catching_up=0", "event=config_applied epoch=1.7"} {
 		f.recordLine("n1", line)
 	}
 	if !f.ReplicasCaughtUp("n1") || f.ActiveEpoch("n1") != release.NewEpoch(1, 7) {
--- a/internal/bench/faultinjection/request.go
+++ b/internal/bench/faultinjection/request.go
@@ -71,14 +71,15 @@
 	ID      string
 	Key     string // "" for none; it is the body too, by which a RunLog knows it
 	Timeout time.Duration
-	// Patience is how long after the timeout the response is waited for: a server that is paused answers when it resumes.
+	// Patience is how long after the timeout the response is waited for: a server that is paused
+	// answers when it resumes.
 	Patience time.Duration
 }
 
 // SendRequest sends an attempt on a connection of its own, and waits for its response.
 func (f *Fleet) SendRequest(ctx context.Context, attempt Attempt) Response {
 	responses := make(chan rpc.Response, 1)
-	closed := make(chan error, 1)
+	closed := make(chan struct{})
 	onResponse := func(response rpc.Response) {
 		if response.Kind == rpc.ResponseGoAway {
 			return
@@ -89,7 +90,7 @@
 		default: // a second response to one request shows in the run log
 		}
 	}
-	conn, err := balancer.Dial(ctx, f.Server(attempt.Server).Addr, onResponse, func(err error) { closed <- err })
+	conn, err := balancer.Dial(ctx, f.Server(attempt.Server).Addr, onResponse, func(error) { close(closed) })
 	if err != nil {
 		return Response{Outcome: Unreachable}
 	}
@@ -100,7 +101,7 @@
 	message.Timeout = attempt.Timeout.Seconds()
 	message.Subject = attempt.Key
 	message.Body = []byte(attempt.Key)
-	if conn.SendRequest(message) != nil {
+	if err := conn.SendRequest(message); err != nil {
 		return Response{Outcome: ConnectionLost}
 	}
 	select {
@@ -120,8 +121,8 @@
 // closeQuietly closes a connection that is not needed any more, whose error says nothing.
 func closeQuietly(conn *balancer.Conn) { _ = conn.Close() }
 
-// MeasureSequential sends requests to an address on one connection, the next one once the last is finished, and returns their
-// latencies in ascending order.
+// MeasureSequential sends requests to an address on one connection, the next one once the last is
+// finished, and returns their latencies in ascending order.
 func (f *Fleet) MeasureSequential(ctx context.Context, addr string, count int) (latencies []time.Duration, err error) {
 	responses := make(chan rpc.Response, 1)
 	onResponse := func(response rpc.Response) {
--- a/internal/bench/faultinjection/runlog.go
+++ b/internal/bench/faultinjection/runlog.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// RunLog is what the fake executors of a fleet know of the runs of each key, apart from the program's own records. The body of a
-// request is its key.
+// RunLog is what the fake executors of a fleet know of the runs of each key, apart from the
+// program's own records. The body of a request is its key.
 type RunLog struct {
 	mu      sync.Mutex
 	runs    map[string][]time.Time
@@ -28,11 +28,12 @@
 	return &RunLog{runs: map[string][]time.Time{}, results: map[string][]string{}, started: map[string]startedRun{}}
 }
 
-// RecordStart enters a run.
+// RecordStart records that a run was started. Requests without a body have no key and are not
+// recorded.
 func (l *RunLog) RecordStart(id string, body []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(body) == 0 { // of a load that bears no keys
+	if len(body) == 0 { // of a load without keys
 		return
 	}
 	now := time.Now()
@@ -40,7 +41,8 @@
 	l.started[id] = startedRun{string(body), now}
 }
 
-// RecordResult is another one for each run, so that a second run shows in the answers too.
+// RecordResult returns the result of a run, which differs for each run, so that a second run shows
+// in the answers too.
 func (l *RunLog) RecordResult(id string, body []byte) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,26 +51,26 @@
 	return []byte(r)
 }
 
-// CountRepeated counts the keys with a beginning that ran more than once.
-func (l *RunLog) CountRepeated(beginning string) (n int) {
+// CountRepeated counts the keys with a prefix that ran more than once.
+func (l *RunLog) CountRepeated(prefix string) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for key, runs := range l.runs {
-		if strings.HasPrefix(key, beginning) && len(runs) > 1 {
+		if strings.HasPrefix(key, prefix) && len(runs) > 1 {
 			n++
 		}
 	}
 	return n
 }
 
-// RunCount counts those of a key.
+// RunCount returns the number of runs of a key.
 func (l *RunLog) RunCount(key string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.runs[key])
 }
 
-// FirstResult is the result of a key's first run that ended, "" where none did.
+// FirstResult returns the result of a key's first run that ended, "" if none did.
 func (l *RunLog) FirstResult(key string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,14 +80,14 @@
 	return ""
 }
 
-// HasResult tells whether a run of a key had that result.
+// HasResult reports whether a run of a key had that result.
 func (l *RunLog) HasResult(key, result string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Contains(l.results[key], result)
 }
 
-// CountRuns counts the runs that pass.
+// CountRuns counts the runs for which a condition on request ID, key and start holds.
 func (l *RunLog) CountRuns(pass func(id, key string, at time.Time) bool) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,7 +99,7 @@
 	return n
 }
 
-// MaxRunsWithin is the largest number of runs that a key had within so long of one another, with that key.
+// MaxRunsWithin returns the largest number of runs that any key had within that time, and the key.
 func (l *RunLog) MaxRunsWithin(within time.Duration) (most int, key string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/bench/faultinjection/shape.go
+++ b/internal/bench/faultinjection/shape.go
@@ -17,7 +17,8 @@
 	pingCores = 4
 )
 
-// SmallShape returns the configuration of the servers of tests and experiments: one idempotent class and no calls.
+// SmallShape returns the configuration of the servers of tests and experiments: one idempotent
+// class and no calls.
 func SmallShape(program string) process.Config {
 	return process.Config{
 		Program:     program,
--- a/internal/bench/keyclaims/attempts.go
+++ b/internal/bench/keyclaims/attempts.go
@@ -12,7 +12,8 @@
 const (
 	// recentKeys is the number of the latest keys from which attempts are drawn.
 	recentKeys = 20
-	// resultMargin is how long before its answer a result may have been lost by a kill, and after which it is promised.
+	// resultMargin is how long before its answer a result may have been lost by a kill, and after
+	// which it is promised.
 	resultMargin = time.Second
 )
 
@@ -26,7 +27,8 @@
 // isFinished reports whether a caller has a result.
 func (k *claimedKey) isFinished() bool { return !k.finishedAt.IsZero() }
 
-// sendAttempts sends attempts until stopped: half of them of new keys, the others of recent keys, most of those at other servers.
+// sendAttempts sends attempts until stopped: half of them of new keys, the others of recent keys,
+// most of those at other servers.
 func (r *experiment) sendAttempts(ctx context.Context, stop <-chan struct{}) {
 	random := rand.New(rand.NewPCG(r.Seed, 13))
 	for ctx.Err() == nil {
@@ -87,7 +89,8 @@
 	}
 }
 
-// recordResult checks a result against the run log and against what callers got before. The mutex is held.
+// recordResult checks a result against the run log and against what callers got before. The mutex
+// is held.
 func (r *experiment) recordResult(key *claimedKey, result string, startedAt time.Time) {
 	isRetained := key.isFinished() && startedAt.Before(key.finishedAt.Add(retentionWindow))
 	if !r.runLog.HasResult(key.name, result) || isRetained && result != key.result {
@@ -99,8 +102,8 @@
 	}
 }
 
-// isPromised reports whether a key's result has to be known: a caller had it for a while, and since then most of its replicas were
-// not killed and no fault hindered them. The mutex is held.
+// isPromised reports whether a key's result has to be known: a caller had it for a while, and since
+// then most of its replicas were not killed and no fault hindered them. The mutex is held.
 func (r *experiment) isPromised(key *claimedKey, startedAt, now time.Time) bool {
 	if !key.isFinished() || !startedAt.After(key.finishedAt.Add(resultMargin)) {
 		return false
--- a/internal/bench/keyclaims/faults.go
+++ b/internal/bench/keyclaims/faults.go
@@ -125,9 +125,11 @@
 	r.disturbances = append(r.disturbances, disturbance{minority: minority, from: now, to: now.Add(length)})
 }
 
-// wasDisturbed reports whether a fault hindered replicas at some time in between. The mutex is held.
+// wasDisturbed reports whether a fault hindered replicas at some time in between. The mutex is
+// held.
 func (r *experiment) wasDisturbed(from, to time.Time) bool {
-	return slices.ContainsFunc(r.disturbances, func(d disturbance) bool { return d.from.Before(to) && d.to.After(from) })
+	overlaps := func(d disturbance) bool { return d.from.Before(to) && d.to.After(from) }
+	return slices.ContainsFunc(r.disturbances, overlaps)
 }
 
 // inject injects a fault, waits, and ends it. Draws that are no fault just wait.
--- a/internal/bench/keyclaims/keyclaims.go
+++ b/internal/bench/keyclaims/keyclaims.go
@@ -1,6 +1,6 @@
-// Package keyclaims is an experiment on the key claims and the replication of a fleet: processes of the real program get attempts of
-// the same keys at different servers while they are killed, paused and partitioned by a seed. A run log at their executors counts
-// the runs of each key.
+// Package keyclaims is an experiment on the key claims and the replication of a fleet: processes of
+// the real program get attempts of the same keys at different servers while they are killed, paused
+// and partitioned by a seed. A run log at their executors counts the runs of each key.
 //
 // Run owns the processes of an experiment; it may be called by one goroutine at a time.
 package keyclaims
@@ -86,7 +86,8 @@
 	cells := []string{strconv.FormatUint(r.Seed, 10)}
 	for _, count := range []int{
 		r.Servers, r.Kills, r.CrashPointDeaths, r.Faults, r.Attempts, r.Keys, r.Finished, r.Rejected, r.Abandoned,
-		r.ConnectionsLost, r.Unanswered, r.MaxRunsPerKey, r.WrongAnswers, r.LostResults, r.MinorityRuns, r.SlotsOutOfSync,
+		r.ConnectionsLost, r.Unanswered, r.MaxRunsPerKey, r.WrongAnswers, r.LostResults, r.MinorityRuns,
+		r.SlotsOutOfSync,
 	} {
 		cells = append(cells, strconv.Itoa(count))
 	}
@@ -104,21 +105,26 @@
 }
 
 const (
-	// retentionWindow is how long keys are kept here: long enough that a key is tried again some times, short enough that it
-	// ends within a run.
+	// retentionWindow is how long keys are kept here: long enough that a key is tried again some
+	// times, short enough that it ends within a run.
 	retentionWindow = 4 * time.Second
 	// callerTimeout is the timeout of an attempt.
 	callerTimeout = time.Second
-	// healTimeout is how long the fleet has to agree after the last fault, and how long a late answer is waited for.
+	// healTimeout is how long the fleet has to agree after the last fault, and how long a late
+	// answer is waited for.
 	healTimeout = 30 * time.Second
-	// partitionSettle is how long a partition stands before the runs behind it count: what was granted before may still begin.
+	// partitionSettle is how long a partition stands before the runs behind it count: what was
+	// granted before may still begin.
 	partitionSettle = callerTimeout + 500*time.Millisecond
-	// crashPointServers is the number of draws of servers with crash points, and maxCrashPasses bounds the passes of a point.
+	// crashPointServers is the number of draws of servers with crash points, and maxCrashPasses
+	// bounds the passes of a point.
 	crashPointServers = 2
 	maxCrashPasses    = 30
-	// crashPointDelay is how many seconds after the retention window crash points count: the first start is not tested.
+	// crashPointDelay is how many seconds after the retention window crash points count: the first
+	// start is not tested.
 	crashPointDelay = 6
-	// costRounds and costRoundTime are of the measurement of latencies, at costRate requests a second and server.
+	// costRounds and costRoundTime are of the measurement of latencies, at costRate requests a
+	// second and server.
 	costRounds    = 6
 	costRoundTime = 2 * time.Second
 	costRate      = 60
@@ -223,7 +229,8 @@
 	return crashPoints
 }
 
-// measureCost measures requests without keys and with them, in turns, at a rate that leaves the servers mostly idle.
+// measureCost measures requests without keys and with them, in turns, at a rate that leaves the
+// servers mostly idle.
 func (r *experiment) measureCost(ctx context.Context) error {
 	var addrs []string
 	for _, server := range r.fleet.Servers {
@@ -258,7 +265,8 @@
 	return nil
 }
 
-// sendUnderFaults sends attempts while faults are injected, and waits until all attempts have ended.
+// sendUnderFaults sends attempts while faults are injected, and waits until all attempts have
+// ended.
 func (r *experiment) sendUnderFaults(ctx context.Context) {
 	stop := make(chan struct{})
 	go func() {
--- a/internal/bench/keyclaims/verify.go
+++ b/internal/bench/keyclaims/verify.go
@@ -25,7 +25,8 @@
 	}
 }
 
-// countMinorityRuns counts the runs in a partitioned minority that had no quorum of the key's replicas.
+// countMinorityRuns counts the runs in a partitioned minority that had no quorum of the key's
+// replicas.
 func (r *experiment) countMinorityRuns(partition disturbance) int {
 	settledAt := partition.from.Add(partitionSettle)
 	return r.runLog.CountRuns(func(id, key string, at time.Time) bool {
@@ -45,7 +46,8 @@
 	return count
 }
 
-// slotsOutOfSync counts the slots of all replicas that catch up or are known to be out of sync; 1 if that is unknown.
+// slotsOutOfSync counts the slots of all replicas that catch up or are known to be out of sync; 1
+// if that is unknown.
 func (r *experiment) slotsOutOfSync() (count int) {
 	status, err := r.fleet.Status(r.fleet.Names[0])
 	if err != nil || len(status.Replicas) < len(r.fleet.Names) {
--- a/internal/bench/quotas/faults.go
+++ b/internal/bench/quotas/faults.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// draw draws a fault. All parts are drawn whatever it is, so that the plan's own fault has the same draws.
+// draw draws a fault. All parts are drawn whatever it is, so that the plan's own fault has the same
+// draws.
 func (r *experiment) draw(random *rand.Rand) draw {
 	names := r.fleet.Names
 	target := names[random.IntN(len(names))]
@@ -47,8 +48,8 @@
 	return draw{fault: fault, target: target, length: length, minority: mixed[:half], majority: mixed[half:]}
 }
 
-// inject injects a fault and ends it. Errors of kills and pauses are not looked at: whether a process is back shows in what is
-// used once all is healed.
+// inject injects a fault and ends it. Errors of kills and pauses are not looked at: whether a
+// process is back shows in what is used once all is healed.
 func (r *experiment) inject(ctx context.Context, drawn draw) {
 	switch drawn.fault {
 	case FaultLeader:
--- a/internal/bench/quotas/quotas.go
+++ b/internal/bench/quotas/quotas.go
@@ -1,6 +1,7 @@
-// Package quotas is an experiment on a quota that all servers of a fleet share: processes of the real program get more demand than
-// it allows, here and there, while they are killed, paused and partitioned by a seed. The finished requests, counted by their
-// clients, are compared with the quota.
+// Package quotas is an experiment on a quota that all servers of a fleet share: processes of the
+// real program get more demand than it allows, here and there, while they are killed, paused and
+// partitioned by a seed. The finished requests, counted by their clients, are compared with the
+// quota.
 //
 // Run owns the processes of an experiment; it may be called by one goroutine at a time.
 package quotas
@@ -66,11 +67,11 @@
 	Faults               int     `json:"faults"`
 	Requests             int     `json:"asked"`
 	Finished             int     `json:"finished"`
-	MaxExcess            float64 `json:"overspend_max"` // requests finished in any interval over the quota of its length
+	MaxExcess            float64 `json:"overspend_max"` // requests in any interval over its quota
 	AllowedExcess        float64 `json:"slack"`         // what MaxExcess may be
 	UsedShare            float64 `json:"used_of_budget"`
-	ShiftMillis          float64 `json:"hot_share_after_ms"` // until the server to which demand moved used half of the quota, over a second
-	CutOffService        float64 `json:"silent_service"`     // requests a second of a server cut off for over a lease, over its floor
+	ShiftMillis          float64 `json:"hot_share_after_ms"` // until the new hot server used half of the quota
+	CutOffService        float64 `json:"silent_service"`     // of a server cut off for over a lease, over its floor
 	UsedShareHealed      float64 `json:"used_of_budget_after"`
 	GossipBytesPerSecond float64 `json:"talk_bytes_s"` // sent by a server, of all gossip, without faults
 }
@@ -101,10 +102,14 @@
 // minHealedShare is the share of the quota that has to be used once all faults are healed.
 const minHealedShare = 0.8
 
-// Violations counts what breaks an invariant: use over the quota, a server cut off that serves nothing, and a quota that is not
-// used again.
+// Violations counts what breaks an invariant: use over the quota, a server cut off that serves
+// nothing, and a quota that is not used again.
 func (r Row) Violations() (count int) {
-	for _, broken := range []bool{r.MaxExcess > r.AllowedExcess, r.CutOffService == 0, r.UsedShareHealed < minHealedShare} {
+	for _, broken := range []bool{
+		r.MaxExcess > r.AllowedExcess,
+		r.CutOffService == 0,
+		r.UsedShareHealed < minHealedShare,
+	} {
 		if broken {
 			count++
 		}
@@ -223,12 +228,14 @@
 	r.row.UsedShareHealed = r.measureUsedShare(ctx, measurePeriod)
 }
 
-// waitForRate waits until all servers together finish more requests a second, and reports whether they did in time.
+// waitForRate waits until all servers together finish more requests a second, and reports whether
+// they did in time.
 func (r *experiment) waitForRate(rate float64) bool {
 	return faultinjection.WaitUntil(settleTimeout, func() bool { return r.finishRate(rateWindow) > rate })
 }
 
-// shiftDemand gives one server far more demand than the quota, and the others less than an even share.
+// shiftDemand gives one server far more demand than the quota, and the others less than an even
+// share.
 func (r *experiment) shiftDemand(to string) {
 	r.hotServer = to
 	r.load.SetRate(idleDemand, r.fleet.Names...)
--- a/internal/bench/rollouts/faults.go
+++ b/internal/bench/rollouts/faults.go
@@ -19,7 +19,8 @@
 	faultLossyLinks
 	faultKindCount
 
-	// faultDraws is the range that faults are drawn from: numbers from faultKindCount on are releases.
+	// faultDraws is the range that faults are drawn from: numbers from faultKindCount on are
+	// releases.
 	faultDraws = 10
 )
 
@@ -49,8 +50,8 @@
 	sides  uint64 // a bit for each server: its side of a partition
 }
 
-// injectFaults draws faults and releases again and again. What it draws does not depend on what the servers do, so that a run with
-// the fleet enabled and one without have the same faults.
+// injectFaults draws faults and releases again and again. What it draws does not depend on what the
+// servers do, so that a run with the fleet enabled and one without have the same faults.
 func (r *experiment) injectFaults(ctx context.Context, fleetEnabled bool) {
 	end := time.Now().Add(time.Duration(r.Seconds * float64(time.Second)))
 	for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
@@ -71,7 +72,8 @@
 	}
 }
 
-// draw draws a fault or a release. All parts are drawn whatever it is, so that runs stay comparable.
+// draw draws a fault or a release. All parts are drawn whatever it is, so that runs stay
+// comparable.
 func (r *experiment) draw() (drawn draw) {
 	pick := func() string { return r.serverNames[r.random.IntN(len(r.serverNames))] }
 	drawn.fault = fault(r.random.IntN(faultDraws))
--- a/internal/bench/rollouts/rollouts.go
+++ b/internal/bench/rollouts/rollouts.go
@@ -1,5 +1,6 @@
-// Package rollouts is an experiment on a fleet's configuration rollouts: processes of the real program under load, with releases
-// and faults drawn from a seed. The fleet's audit is compared with what the processes logged as they did it.
+// Package rollouts is an experiment on a fleet's configuration rollouts: processes of the real
+// program under load, with releases and faults drawn from a seed. The fleet's audit is compared
+// with what the processes logged as they did it.
 //
 // Run owns the processes of an experiment; it may be called by one goroutine at a time.
 package rollouts
@@ -32,7 +33,8 @@
 
 // Validate returns an error that names the limits if a value is outside of them.
 func (p *Plan) Validate() error {
-	if p.Servers < 1 || p.Servers > 30 || p.Seconds < 2 || p.Seconds > 600 || p.RequestRate <= 0 || p.RequestRate > 150 {
+	if p.Servers < 1 || p.Servers > 30 || p.Seconds < 2 || p.Seconds > 600 ||
+		p.RequestRate <= 0 || p.RequestRate > 150 {
 		return fmt.Errorf("--servers %d --seconds %g --rate %g: from 1 to 30, from 2 to 600, and over 0 to 150",
 			p.Servers, p.Seconds, p.RequestRate)
 	}
@@ -47,7 +49,7 @@
 	Unhealed        int `json:"unhealed"`        // servers not on the newest version at the end
 	report.CatchUpLatency
 	CatchUps             int     `json:"catch_ups"`         // samples of the latency
-	EjectedAfterMillis   float64 `json:"shut_out_after_ms"` // of a server that can't apply a release, since it was accepted; -1 for never
+	EjectedAfterMillis   float64 `json:"shut_out_after_ms"` // of a server that can't apply a release; -1 for never
 	FinishedShare        float64 `json:"service"`           // of the requests that were due
 	FinishedShareAlone   float64 `json:"service_alone"`     // the same seed with the fleet disabled
 	GossipBytesPerSecond float64 `json:"talk_bytes_s"`      // sent by a server
@@ -214,7 +216,8 @@
 	return nil
 }
 
-// processorSeconds returns the processor time of all processes. It is too low after a kill: a killed process takes its own along.
+// processorSeconds returns the processor time of all processes. It is too low after a kill: a
+// killed process takes its own along.
 func (r *experiment) processorSeconds() (total float64) {
 	for _, server := range r.fleet.Servers {
 		if seconds, err := server.CPUSeconds(); err == nil {
--- a/internal/bench/rollouts/verify.go
+++ b/internal/bench/rollouts/verify.go
@@ -30,12 +30,12 @@
 // verify waits until the fleet has healed, and compares its audit with the log events.
 func (r *experiment) verify() error {
 	r.releasing.Wait()
-	status, err := r.waitHealed()
-	if err != nil {
+	if err := r.waitHealed(); err != nil {
 		return err
 	}
 	lastServer := r.serverNames[len(r.serverNames)-1]
-	if status, err = r.fleet.Status(lastServer); err != nil { // the audit as another server knows it
+	status, err := r.fleet.Status(lastServer) // the audit as another server knows it
+	if err != nil {
 		return fmt.Errorf("status of %s: %w", lastServer, err)
 	}
 	r.row.ConflictingDigests = len(r.fleet.ConflictingDigestEpochs())
@@ -46,7 +46,9 @@
 }
 
 // waitHealed waits until all servers act on the newest version, and counts those that don't.
-func (r *experiment) waitHealed() (status *fleet.Status, err error) {
+func (r *experiment) waitHealed() error {
+	var status *fleet.Status
+	var err error
 	isHealed := func() bool {
 		if status, err = r.fleet.Status(r.serverNames[0]); err != nil {
 			return false
@@ -57,10 +59,10 @@
 	}
 	healed := faultinjection.WaitUntil(healTimeout, isHealed)
 	if err != nil {
-		return nil, fmt.Errorf("status of %s: %w", r.serverNames[0], err)
+		return fmt.Errorf("status of %s: %w", r.serverNames[0], err)
 	}
 	if healed {
-		return status, nil
+		return nil
 	}
 	for _, name := range r.serverNames {
 		if r.fleet.ActiveEpoch(name) < status.ReleaseLog.NewestEpoch() {
@@ -68,10 +70,11 @@
 		}
 	}
 	r.row.Unhealed = max(1, r.row.Unhealed)
-	return status, nil
+	return nil
 }
 
-// measureEjection releases what the last server can't apply, and measures how long after that it is ejected.
+// measureEjection releases what the last server can't apply, and measures how long after that it is
+// ejected.
 func (r *experiment) measureEjection() error {
 	last := r.serverNames[len(r.serverNames)-1]
 	r.row.EjectedAfterMillis = neverEjected
@@ -103,7 +106,8 @@
 	applied []faultinjection.LogEvent
 }
 
-// incarnations splits the applied configurations of a server by its incarnations, identified as in the audit.
+// incarnations splits the applied configurations of a server by its incarnations, identified as in
+// the audit.
 func incarnations(f *faultinjection.Fleet, name string) (list []incarnation) {
 	for _, event := range f.Events(name, "") {
 		switch event.Event {
@@ -120,8 +124,9 @@
 	return list
 }
 
-// compareAudit counts where the audit differs from the logs: an interval that no log has, or one that is in a log but neither in
-// the audit nor in one of its gaps. Intervals in gaps are counted apart.
+// compareAudit counts where the audit differs from the logs: an interval that no log has, or one
+// that is in a log but neither in the audit nor in one of its gaps. Intervals in gaps are counted
+// apart.
 func (r *experiment) compareAudit(status *fleet.Status) (mismatches, gaps int) {
 	for _, name := range r.serverNames {
 		list := incarnations(r.fleet, name)
@@ -149,7 +154,8 @@
 // intervalKey identifies an interval of an incarnation by what was active in it.
 func intervalKey(epoch, digest string) string { return epoch + " " + digest }
 
-// auditedIntervals returns the intervals that the audit has of an incarnation, but those before its first version.
+// auditedIntervals returns the intervals that the audit has of an incarnation, but those before its
+// first version.
 func auditedIntervals(status *fleet.Status, name string, id uint64) map[string]bool {
 	intervals := map[string]bool{}
 	for _, account := range status.Audit.Accounts {
@@ -172,7 +178,8 @@
 	})
 }
 
-// countServedWhileEjected counts ejections of servers that had not logged by then that they are out of service.
+// countServedWhileEjected counts ejections of servers that had not logged by then that they are out
+// of service.
 func (r *experiment) countServedWhileEjected() (count int) {
 	ejectedAt := map[string]time.Time{}
 	for _, finished := range r.fleet.Events("", faultinjection.EventCommandFinished) {
--- a/internal/bench/simulation/balancer.go
+++ b/internal/bench/simulation/balancer.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// pickLeastOpen picks a server with the fewest open attempts. Where the search begins is random, so that of equal servers it is
-// not always the same.
+// pickLeastOpen picks a server with the fewest open attempts. Where the search begins is random, so
+// that of equal servers it is not always the same.
 func (p *requestSim) pickLeastOpen() (least *server) {
 	count := len(p.servers)
 	from := p.random.IntN(count)
--- a/internal/bench/simulation/counters.go
+++ b/internal/bench/simulation/counters.go
@@ -7,8 +7,8 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// CounterPlan is a fleet that counts its requests, in simulated time: the agents of package fleet under faults by the seed,
-// compared with what each incarnation really counted.
+// CounterPlan is a fleet that counts its requests, in simulated time: the agents of package fleet
+// under faults by the seed, compared with what each incarnation really counted.
 type CounterPlan struct {
 	Servers int
 	Voters  int
@@ -39,7 +39,7 @@
 	Undercount          uint64  `json:"count_error_under"` // acknowledged but missing; must be 0 while most voters live
 	VotersLost          int     `json:"voters_lost"`       // checks at which most voters were dead or recovering
 	Unplaced            uint64  `json:"unplaced"`          // requests that servers had no cell for
-	UnderstatedError    float64 `json:"error_told_apart"`  // share of checks at which more was missing than the status says
+	UnderstatedError    float64 `json:"error_told_apart"`  // of the checks: more missing than reported
 	SettleSeconds       float64 `json:"settled_s"`         // until all was counted, once healed
 	BytesPerSecond      float64 `json:"talk_bytes_s"`      // sent by a server for counters, on average, without faults
 	MaxBytesPerSecond   float64 `json:"talk_bytes_s_most"` // of the server that sends most
@@ -78,8 +78,8 @@
 	countInterval = 0.5  // seconds between two counts that a serving loop hands over
 	requestRate   = 28.0 // requests a second of a server
 	counterCells  = 20   // cells that they fall on
-	// settleTimeout is how long, in seconds, all may take to be counted once healed: a row closes after ten seconds, and all
-	// voters may have to recover.
+	// settleTimeout is how long, in seconds, all may take to be counted once healed: a row closes
+	// after ten seconds, and all voters may have to recover.
 	settleTimeout = 60.0
 	// counterPhaseSeconds is how long the fleet runs before each measurement, and how long that is.
 	counterPhaseSeconds = 20
@@ -198,8 +198,8 @@
 	return 0
 }
 
-// bounds returns the least and the most that may be counted: at least what the living incarnations counted and what most
-// aggregators acknowledged of the others, at most what all counted.
+// bounds returns the least and the most that may be counted: at least what the living incarnations
+// counted and what most aggregators acknowledged of the others, at most what all counted.
 func (c *counterSim) bounds() (low, high uint64) {
 	alive := map[uint64]bool{}
 	for _, s := range c.nodes {
@@ -218,8 +218,8 @@
 	return low, high
 }
 
-// checkTotals checks, again and again, whether most voters live, and whether what one of them reports lacks no more than it
-// says.
+// checkTotals checks, again and again, whether most voters live, and whether what one of them
+// reports lacks no more than it says.
 func (c *counterSim) checkTotals() {
 	reporting := 0
 	for _, voter := range c.nodes[:c.plan.Voters] {
@@ -249,7 +249,8 @@
 	totals := voter.agent.CounterStatus(voter.agent.Now()).Totals
 	low, _ := c.bounds()
 	c.checks++
-	// What serving loops have not handed over yet, and what is on the way, is half a second's of all.
+	// What serving loops have not handed over yet, and what is on the way, is half a second's of
+	// all.
 	if receivedTotal(totals.Total)+2*totals.MaxMissing+requestRate*float64(len(c.nodes)) < float64(low) {
 		c.understated++
 	}
@@ -287,8 +288,8 @@
 	}
 }
 
-// compareTotals compares the totals of all voters with the true counts, and reports whether a voter recovers or has rows of
-// incarnations that are gone.
+// compareTotals compares the totals of all voters with the true counts, and reports whether a voter
+// recovers or has rows of incarnations that are gone.
 func (c *counterSim) compareTotals() (isOpen bool) {
 	low, high := c.bounds()
 	c.row.Overcount = 0
--- a/internal/bench/simulation/fleetfault.go
+++ b/internal/bench/simulation/fleetfault.go
@@ -15,7 +15,8 @@
 )
 
 const (
-	// faultDraws is the range that faults are drawn from: numbers from faultKindCount on are releases.
+	// faultDraws is the range that faults are drawn from: numbers from faultKindCount on are
+	// releases.
 	faultDraws = 12
 	// lossShare is the share of messages that faultMessageLoss loses.
 	lossShare = 0.3
--- a/internal/bench/simulation/fleetsim.go
+++ b/internal/bench/simulation/fleetsim.go
@@ -17,14 +17,15 @@
 	startSpread = 2.0
 	// checkInterval is the time, in seconds, between two checks of invariants.
 	checkInterval = 0.1
-	// healTimeout is how long, in seconds, a healed fleet has to agree: some leases, and a bootstrap.
+	// healTimeout is how long, in seconds, a healed fleet has to agree: some leases, and a
+	// bootstrap.
 	healTimeout = 60.0
 	// healCheckInterval is the time, in seconds, between two checks whether the fleet has healed.
 	healCheckInterval = 0.25
 )
 
-// fleetSim is a simulated fleet of nodes and the network between them. Who is a member is known at once and rightly, where the
-// program has it by gossip.
+// fleetSim is a simulated fleet of nodes and the network between them. Who is a member is known at
+// once and rightly, where the program has it by gossip.
 type fleetSim struct {
 	*clock
 	plan          *RolloutPlan
@@ -108,8 +109,8 @@
 	author.tick()
 }
 
-// newestLivingLog returns the newest release log of the living voters. It lacks what a lost majority did that nobody knows of
-// any more.
+// newestLivingLog returns the newest release log of the living voters. It lacks what a lost
+// majority did that nobody knows of any more.
 func (t *fleetSim) newestLivingLog() (newest *release.Log) {
 	for _, voter := range t.nodes[:t.plan.Voters] {
 		if voter.alive && (newest == nil || voter.agent.ReleaseLog().NewerThan(newest)) {
@@ -119,8 +120,9 @@
 	return newest
 }
 
-// checkInvariants checks, again and again, that no node serves while it is ejected and that not too many are out of service.
-// Paused nodes are checked too: their serving loop would go by the last directive.
+// checkInvariants checks, again and again, that no node serves while it is ejected and that not too
+// many are out of service. Paused nodes are checked too: their serving loop would go by the last
+// directive.
 func (t *fleetSim) checkInvariants() {
 	living := t.newestLivingLog()
 	if t.newest != nil && living != nil {
@@ -143,8 +145,8 @@
 	t.after(checkInterval, t.checkInvariants)
 }
 
-// servesWhileEjected reports whether a node holds a valid lease though its incarnation is ejected, by the newest log and by that
-// of the living voters.
+// servesWhileEjected reports whether a node holds a valid lease though its incarnation is ejected,
+// by the newest log and by that of the living voters.
 func (s *node) servesWhileEjected(newest, living *release.Log) bool {
 	hasLease := s.state == lease.StateLeased && s.now < s.directive.ChangesAt
 	ejected, isEjected := newest.Ejected[s.name]
@@ -152,7 +154,8 @@
 		living.Ejected[s.name].Incarnation == ejected.Incarnation
 }
 
-// isOutOfServiceMember reports whether a member's lease is over and it went out of service for that.
+// isOutOfServiceMember reports whether a member's lease is over and it went out of service for
+// that.
 func (s *node) isOutOfServiceMember(newest *release.Log) bool {
 	isExpired := s.state == lease.StateExpired || s.state == lease.StateLeased && s.now >= s.directive.ChangesAt
 	return isExpired && s.directive.ModeAt(s.now) == serving.ModeOutOfService &&
--- a/internal/bench/simulation/forwarder.go
+++ b/internal/bench/simulation/forwarder.go
@@ -7,7 +7,8 @@
 )
 
 const (
-	// maxWorkerWait is the queueing time, in seconds, from which on a worker rejects: a quarter of the remaining budget.
+	// maxWorkerWait is the queueing time, in seconds, from which on a worker rejects: a quarter of
+	// the remaining budget.
 	maxWorkerWait = 0.25
 	// hopSeconds is the delay between a forwarder and a worker, one way.
 	hopSeconds = 0.0003
--- a/internal/bench/simulation/machine.go
+++ b/internal/bench/simulation/machine.go
@@ -6,8 +6,9 @@
 	"swiftcourse/internal/timerwheel"
 )
 
-// machine shares its cores equally among runs: each run has the speed of a core, or its share of all cores if there are more runs
-// than cores. It counts in the work that each run has had since the machine was last empty, so a change costs one step in a heap.
+// machine shares its cores equally among runs: each run has the speed of a core, or its share of
+// all cores if there are more runs than cores. It counts in the work that each run has had since
+// the machine was last empty, so a change costs one step in a heap.
 type machine struct {
 	clock       *clock
 	cores       float64
@@ -140,7 +141,8 @@
 	}
 }
 
-// workEpsilon is the work that a run may lack and still be done: far under anything reported, far over rounding errors.
+// workEpsilon is the work that a run may lack and still be done: far under anything reported, far
+// over rounding errors.
 const workEpsilon = 1e-9
 
 // completeRuns ends the runs that are done.
--- a/internal/bench/simulation/machine_test.go
+++ b/internal/bench/simulation/machine_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// erlangC is the part of arrivals that wait in a queue with c servers of which each is busy for rho of the time.
+// erlangC is the part of arrivals that wait in a queue with c servers of which each is busy for rho
+// of the time.
 func erlangC(c int, rho float64) float64 {
 	a, sum, term := float64(c)*rho, 0.0, 1.0
 	for k := range c {
@@ -55,7 +56,8 @@
 			mean += x / batches
 			square += x * x / batches
 		}
-		half := 2.86 * math.Sqrt((square-mean*mean)/(batches-1)) // of the 99% interval, by batches: Student's t of 19 degrees
+		// Half of the 99% interval, by batches: Student's t of 19 degrees.
+		half := 2.86 * math.Sqrt((square-mean*mean)/(batches-1))
 		if math.Abs(mean-c.want) > half || half > 0.1*c.want {
 			t.Errorf("%s: %.4f +- %.4f, by theory %.4f", c.name, mean, half, c.want)
 		}
--- a/internal/bench/simulation/node.go
+++ b/internal/bench/simulation/node.go
@@ -30,8 +30,8 @@
 	meanMessageDelay = 0.001
 )
 
-// node is one server of a simulated fleet: the real agent, over the simulated network. It implements the transport and the
-// membership of its agent.
+// node is one server of a simulated fleet: the real agent, over the simulated network. It
+// implements the transport and the membership of its agent.
 type node struct {
 	*fleetSim
 	name            string
--- a/internal/bench/simulation/quota.go
+++ b/internal/bench/simulation/quota.go
@@ -10,9 +10,9 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// QuotaPlan is a fleet that shares a quota of one tenant's requests, in simulated time, decided by the agents of package fleet:
-// demand that shifts, a third of the fleet partitioned, then faults by the seed. Three ways of sharing without leases are
-// computed for the same demand and partition.
+// QuotaPlan is a fleet that shares a quota of one tenant's requests, in simulated time, decided by
+// the agents of package fleet: demand that shifts, a third of the fleet partitioned, then faults by
+// the seed. Three ways of sharing without leases are computed for the same demand and partition.
 type QuotaPlan struct {
 	Servers int
 	Voters  int
@@ -34,11 +34,11 @@
 	Seed                uint64  `json:"seed"`
 	Servers             int     `json:"servers"`
 	Faults              int     `json:"faults"`
-	MaxOverspend        float64 `json:"overspend_max"`            // that all servers together might use at a moment over the quota; must be 0
-	UsedShare           float64 `json:"used_of_budget"`           // healthy; a tenth of the servers has ten times the others' demand
+	MaxOverspend        float64 `json:"overspend_max"`            // that all servers may use over the quota; must be 0
+	UsedShare           float64 `json:"used_of_budget"`           // healthy; a tenth of the servers is hot
 	UsedShareCut        float64 `json:"used_of_budget_cut"`       // with a third partitioned for longer than a lease
 	CutOffService       float64 `json:"silent_service"`           // of that third, over what it used before
-	ShiftMillis         float64 `json:"hot_share_after_ms"`       // until the new hot servers use nine tenths of what the others did
+	ShiftMillis         float64 `json:"hot_share_after_ms"`       // until new hot servers use 0.9 of what others did
 	UsedShareHealed     float64 `json:"used_of_budget_after"`     // once all faults are healed
 	EvenSplitShare      float64 `json:"divided_used"`             // if the quota were divided by the number of servers
 	CentralShare        float64 `json:"central_used"`             // if one counter were asked for each request
@@ -48,9 +48,9 @@
 	BytesPerSecond      float64 `json:"talk_bytes_s"`             // sent by a server for quotas, on average, healthy
 	MaxBytesPerSecond   float64 `json:"talk_bytes_s_leader"`      // of the server that sends most
 	OtherBytesPerSecond float64 `json:"talk_bytes_s_without"`     // all other gossip of a server
-	CentralMessages     float64 `json:"central_messages_s"`       // for one counter asked for each request, over all servers
+	CentralMessages     float64 `json:"central_messages_s"`       // for one counter, over all servers
 	LeaseMessages       float64 `json:"part_messages_s"`          // for leased shares, over all servers
-	UnderusedSeconds    float64 `json:"seconds_under_nine_parts"` // during faults, with under nine tenths used of what could be
+	UnderusedSeconds    float64 `json:"seconds_under_nine_parts"` // during faults, with under 0.9 of what could be
 }
 
 // QuotaColumns are the heads of the table.
@@ -84,7 +84,8 @@
 // minHealedShare is the share of the quota that has to be used once all faults are healed.
 const minHealedShare = 0.95
 
-// Violations counts what breaks an invariant: use over the quota, and a quota that is not used again once healed.
+// Violations counts what breaks an invariant: use over the quota, and a quota that is not used
+// again once healed.
 func (r QuotaRow) Violations() (count int) {
 	if r.MaxOverspend > 0 {
 		count++
@@ -215,8 +216,8 @@
 	return min(q.demand, q.allowance.LimitAt(q.now))
 }
 
-// checkLimit records by how much all servers together may exceed the quota, also paused ones, which would go by what they last
-// had.
+// checkLimit records by how much all servers together may exceed the quota, also paused ones, which
+// would go by what they last had.
 func (s *quotaSim) checkLimit() {
 	all := 0.0
 	for _, one := range s.quotaNodes {
@@ -230,8 +231,8 @@
 	s.after(usageInterval/2, s.checkLimit)
 }
 
-// usedShare returns the share of the quota that the selected servers use, and the share that they could use if allowances always
-// followed the demand.
+// usedShare returns the share of the quota that the selected servers use, and the share that they
+// could use if allowances always followed the demand.
 func (s *quotaSim) usedShare(selected func(int) bool) (used, could float64) {
 	floor := quotaFloorFraction * s.limit / float64(len(s.quotaNodes))
 	overFloor := 0.0
--- a/internal/bench/simulation/request.go
+++ b/internal/bench/simulation/request.go
@@ -269,7 +269,8 @@
 	t.after(t.drawDelay(), func() { s.receive(started) })
 }
 
-// attemptEnded ends the request or retries it after a backoff, unless the server said that a retry is of no use.
+// attemptEnded ends the request or retries it after a backoff, unless the server said that a retry
+// is of no use.
 func (t *request) attemptEnded(ended *attempt, how outcome, retryAfter float64, noFailover bool) {
 	ended.server.openAttempts--
 	if t.isDone {
@@ -298,7 +299,8 @@
 	}
 }
 
-// minBackoff is the least time, in seconds, that a client waits before a retry, times the attempts made.
+// minBackoff is the least time, in seconds, that a client waits before a retry, times the attempts
+// made.
 const minBackoff = 0.01
 
 // finish ends the request.
--- a/internal/bench/simulation/rollout.go
+++ b/internal/bench/simulation/rollout.go
@@ -7,8 +7,8 @@
 	"swiftcourse/internal/bench/report"
 )
 
-// RolloutPlan is a fleet whose servers roll out releases, in simulated time: the agents of package fleet themselves, over a
-// network that delays, loses, duplicates and partitions.
+// RolloutPlan is a fleet whose servers roll out releases, in simulated time: the agents of package
+// fleet themselves, over a network that delays, loses, duplicates and partitions.
 type RolloutPlan struct {
 	Servers  int
 	Voters   int
--- a/internal/bench/simulation/rollout_test.go
+++ b/internal/bench/simulation/rollout_test.go
@@ -22,7 +22,8 @@
 	}
 }
 
-// TestRunRollout_IsDeterministicForASeed: chance comes from the seed alone, the consensus library's too.
+// TestRunRollout_IsDeterministicForASeed: chance comes from the seed alone, the consensus library's
+// too.
 func TestRunRollout_IsDeterministicForASeed(t *testing.T) {
 	v := &RolloutPlan{Servers: 9, Voters: 3, Seconds: 30, Seed: 4}
 	if a, b := RunRollout(v), RunRollout(v); !reflect.DeepEqual(a, b) {
@@ -39,11 +40,13 @@
 		}
 	}
 	if large.BytesPerSecond > small.BytesPerSecond {
-		t.Errorf("a server sends %.0f bytes a second among 150, %.0f among 15", large.BytesPerSecond, small.BytesPerSecond)
+		t.Errorf("a server sends %.0f bytes a second among 150, %.0f among 15",
+			large.BytesPerSecond, small.BytesPerSecond)
 	}
 }
 
-// TestRunRollout_ClaimsHoldUnderFaults: with faults of all kinds, no key runs twice, and what is told of a run is what it came to.
+// TestRunRollout_ClaimsHoldUnderFaults: with faults of all kinds, no key runs twice, and what is
+// told of a run is what it came to.
 func TestRunRollout_ClaimsHoldUnderFaults(t *testing.T) {
 	row := RunRollout(&RolloutPlan{Servers: 12, Voters: 3, Seconds: 40, Seed: 5, KeyRate: 30})
 	k := row.Claims
--- a/internal/bench/simulation/scenario.go
+++ b/internal/bench/simulation/scenario.go
@@ -29,7 +29,8 @@
 	Downstream       Downstream `json:"below"`
 }
 
-// Downstream is the dependency that all servers share. Without cores there is none, and no class may call it.
+// Downstream is the dependency that all servers share. Without cores there is none, and no class
+// may call it.
 type Downstream struct {
 	Cores int     `json:"cores"`
 	Work  float64 `json:"work"` // of a core, for a call, on average
@@ -97,7 +98,8 @@
 	for i, class := range s.Classes {
 		if class.Name == "" || class.Share <= 0 || class.Work <= 0 || class.SoftDeadline <= 0 ||
 			class.Timeout < class.SoftDeadline || class.Value <= 0 {
-			return fmt.Errorf("stages[%d]: needs a name, part, work, due and utility over 0, and a limit from due on", i)
+			return fmt.Errorf("stages[%d]: needs a name, part, work, due and utility over 0, "+
+				"and a limit from due on", i)
 		}
 	}
 	return nil
@@ -163,7 +165,8 @@
 }
 
 const (
-	// maxRunsPerCore and overloadWindow are the runs a core that a server survives, and the seconds over which more count.
+	// maxRunsPerCore and overloadWindow are the runs a core that a server survives, and the seconds
+	// over which more count.
 	maxRunsPerCore = 8
 	overloadWindow = 1.0
 	// drainTimeout is how long a server has from the start of its drain to its kill.
@@ -172,14 +175,16 @@
 	drainGracePeriod = 1.0
 	// answerTolerance is how much later than its deadline an answer may come.
 	answerTolerance = 0.05
-	// requestMemory is what a request takes while it is held, in KB, and serverMemory what a server has.
+	// requestMemory is what a request takes while it is held, in KB, and serverMemory what a server
+	// has.
 	requestMemory = 10
 	serverMemory  = 1e6
 	// lateValue is the value of an answer after the soft deadline.
 	lateValue = 0.2
 )
 
-// settings are the settings of each server's admission control. A restarted server is slow at first.
+// settings are the settings of each server's admission control. A restarted server is slow at
+// first.
 func (s *Scenario) settings(isRestart bool) admission.Settings {
 	settings := admission.Settings{
 		Servers:             s.Servers,
--- a/internal/bench/simulation/scenario_test.go
+++ b/internal/bench/simulation/scenario_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-const calmScenario = `{"name":"test","seed":3,"seconds":20,"servers":6,"cores":2,"load":0.6,"balancer":"two-choices","lag":0.5,"cold_for":2,"cold_from":0.3,
+const calmScenario = `{"name":"test","seed":3,"seconds":20,"servers":6,"cores":2,"load":0.6,
+"balancer":"two-choices","lag":0.5,"cold_for":2,"cold_from":0.3,
 "stages":[{"name":"lookup","part":0.7,"work":0.01,"due":0.5,"limit":1.5,"utility":1},
 {"name":"price","part":0.3,"work":0.04,"due":1.5,"limit":4,"utility":3}]`
 
@@ -22,16 +23,22 @@
 
 func TestRun_NoViolationsAndEveryRequestEnds(t *testing.T) {
 	for name, more := range map[string]string{
-		"calm":                             ``,
-		"overload":                         `,"load":2`,
-		"crash":                            `,"faults":[{"at":5,"kind":"crash","server":0,"for":3},{"at":6,"kind":"crash","server":1,"for":3}]`,
-		"slow":                             `,"load":0.8,"faults":[{"at":5,"kind":"slow","server":2,"for":8,"factor":0.2}]`,
-		"drain":                            `,"faults":[{"at":4,"kind":"drain","server":3,"for":1},{"at":9,"kind":"drain","server":4,"for":1}]`,
-		"all down":                         `,"servers":1,"faults":[{"at":5,"kind":"crash","server":0,"for":4}]`,
-		"calls":                            callsSettings,
-		"below slow":                       callsSettings + `,"faults":[{"at":5,"kind":"below-slow","for":6,"factor":0.1}]`,
-		"below dead, and a crash":          callsSettings + `,"load":1.2,"faults":[{"at":5,"kind":"below-dead","for":4},{"at":6,"kind":"crash","server":1,"for":2}]`,
-		"crash in overload, by open tasks": `,"load":1.5,"balancer":"least-open","faults":[{"at":5,"kind":"crash","server":0,"for":3}]`,
+		"calm":     ``,
+		"overload": `,"load":2`,
+		"crash": `,"faults":[{"at":5,"kind":"crash","server":0,"for":3},
+			{"at":6,"kind":"crash","server":1,"for":3}]`,
+		"slow": `,"load":0.8,
+			"faults":[{"at":5,"kind":"slow","server":2,"for":8,"factor":0.2}]`,
+		"drain": `,"faults":[{"at":4,"kind":"drain","server":3,"for":1},
+			{"at":9,"kind":"drain","server":4,"for":1}]`,
+		"all down": `,"servers":1,"faults":[{"at":5,"kind":"crash","server":0,"for":4}]`,
+		"calls":    callsSettings,
+		"below slow": callsSettings + `,
+			"faults":[{"at":5,"kind":"below-slow","for":6,"factor":0.1}]`,
+		"below dead, and a crash": callsSettings + `,"load":1.2,"faults":[{"at":5,"kind":"below-dead","for":4},
+			{"at":6,"kind":"crash","server":1,"for":2}]`,
+		"crash in overload, by open tasks": `,"load":1.5,"balancer":"least-open",
+			"faults":[{"at":5,"kind":"crash","server":0,"for":3}]`,
 	} {
 		r := Run(parseScenario(t, more))
 		if (r.Calls > 100) != strings.Contains(more, "below") {
@@ -41,7 +48,8 @@
 			t.Errorf("%s: %d rules broken: %s", name, r.ViolationCount, strings.Join(r.Violations, "\n"))
 		}
 		for _, row := range r.Rows {
-			if row.Received < 100 || row.Received != row.Finished+row.Late+row.Rejected+row.Abandoned+row.TimedOut+row.Unreachable {
+			if row.Received < 100 ||
+				row.Received != row.Finished+row.Late+row.Rejected+row.Abandoned+row.TimedOut+row.Unreachable {
 				t.Errorf("%s: %+v", name, row)
 			}
 			if name == "calm" && float64(row.Finished) < 0.99*float64(row.Received) {
@@ -52,7 +60,8 @@
 }
 
 func TestRun_IsDeterministicForASeed(t *testing.T) {
-	more := `,"load":1.3,"faults":[{"at":5,"kind":"crash","server":0,"for":3},{"at":7,"kind":"drain","server":1,"for":1}]`
+	more := `,"load":1.3,"faults":[{"at":5,"kind":"crash","server":0,"for":3},
+			{"at":7,"kind":"drain","server":1,"for":1}]`
 	tell := func(s *Scenario) string {
 		text, err := json.Marshal(Run(s))
 		if err != nil {
@@ -98,12 +107,16 @@
 
 func TestParseScenario_NamesTheInvalidKey(t *testing.T) {
 	for _, c := range []struct{ more, want string }{
-		{`,"servers":0`, "servers"}, {`,"load":0`, "load"}, {`,"balancer":"best"`, "balancer"}, {`,"seconds":-1`, "seconds"},
-		{`,"faults":[{"kind":"flood"}]`, "faults[0]"}, {`,"faults":[{"kind":"crash","server":9}]`, "faults[0]"}, {`,"tries":0`, "tries"},
+		{`,"servers":0`, "servers"}, {`,"load":0`, "load"}, {`,"balancer":"best"`, "balancer"},
+		{`,"seconds":-1`, "seconds"},
+		{`,"faults":[{"kind":"flood"}]`, "faults[0]"}, {`,"faults":[{"kind":"crash","server":9}]`,
+			"faults[0]"}, {`,"tries":0`, "tries"},
 		{`,"stages":[]`, "stages"}, {`,"cold_from":0`, "cold_from"}, {`,"colour":1`, "colour"},
-		{`,"stages":[{"part":0.5}]`, "stages"}, {`,"stages":[{"work":-1}]`, "stages[0]"}, // the rest is as the first list has it
+		// the rest is as the first list has it
+		{`,"stages":[{"part":0.5}]`, "stages"}, {`,"stages":[{"work":-1}]`, "stages[0]"},
 	} {
-		if _, err := ParseScenario([]byte(calmScenario + c.more + "}")); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := ParseScenario([]byte(calmScenario + c.more + "}")); err == nil ||
+			!strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", c.more, err)
 		}
 	}
--- a/internal/bench/simulation/server.go
+++ b/internal/bench/simulation/server.go
@@ -103,7 +103,8 @@
 	return list
 }
 
-// drain announces that the server will be killed after drainTimeout, and checks then that everything is answered.
+// drain announces that the server will be killed after drainTimeout, and checks then that
+// everything is answered.
 func (s *server) drain() {
 	if !s.alive || s.isDraining {
 		return
@@ -159,7 +160,8 @@
 	}
 }
 
-// discard forgets an attempt that nobody waits for, unless it is running. A run that waits for a call ends there.
+// discard forgets an attempt that nobody waits for, unless it is running. A run that waits for a
+// call ends there.
 func (s *server) discard(t *attempt) {
 	if !t.isAnswered && !t.isClientGone || t.job != nil {
 		return
@@ -362,7 +364,8 @@
 	s.discard(t)
 }
 
-// checkOverload records a violation if there are more runs than the server survives for longer than overloadWindow.
+// checkOverload records a violation if there are more runs than the server survives for longer than
+// overloadWindow.
 func (s *server) checkOverload(n int) {
 	switch {
 	case float64(n) <= maxRunsPerCore*s.machine.cores:
--- a/internal/bench/simulation/twolevel.go
+++ b/internal/bench/simulation/twolevel.go
@@ -10,9 +10,9 @@
 	"swiftcourse/internal/policy/routing"
 )
 
-// TwoLevelPlan is a fleet of two levels in simulated time: the planners' and forwarders' agents of package fleet, the routers of
-// package routing, and workers that run requests on a number of cores and reject what would wait for too long. Load is uneven
-// over forwarders, and workers differ.
+// TwoLevelPlan is a fleet of two levels in simulated time: the planners' and forwarders' agents of
+// package fleet, the routers of package routing, and workers that run requests on a number of cores
+// and reject what would wait for too long. Load is uneven over forwarders, and workers differ.
 type TwoLevelPlan struct {
 	Forwarders    int
 	Planners      int
@@ -88,8 +88,8 @@
 	requestTimeout = 1.0
 	// twoLevelSettleSeconds is how long the fleet runs before it is measured.
 	twoLevelSettleSeconds = 15.0
-	// busiestWeight and weightRatio shape the uneven load: a forwarder gets weightRatio of what the one before it gets,
-	// from busiestWeight down to 1.
+	// busiestWeight and weightRatio shape the uneven load: a forwarder gets weightRatio of what the
+	// one before it gets, from busiestWeight down to 1.
 	busiestWeight = 8
 	weightRatio   = 0.7
 )
@@ -158,7 +158,7 @@
 	for i, one := range l.nodes {
 		forwarder := i - l.plan.Planners
 		if forwarder < 0 {
-			one.loadPlanConfig = func(*fleet.Clock) *fleet.LoadPlanConfig { return &fleet.LoadPlanConfig{IsPlanner: true} }
+			one.loadPlanConfig = plannerSettings
 		} else {
 			l.addForwarder(one, forwarder, l.plan.Load*capacity*weights[forwarder]/sum)
 		}
@@ -168,6 +168,11 @@
 	}
 }
 
+// plannerSettings makes a planner of a node.
+func plannerSettings(*fleet.Clock) *fleet.LoadPlanConfig {
+	return &fleet.LoadPlanConfig{IsPlanner: true}
+}
+
 // addForwarder makes a forwarder of a node, with that many requests a second.
 func (l *twoLevelSim) addForwarder(one *node, number int, rate float64) {
 	forwarder := &simForwarder{
