--- a/internal/forwarder/connection.go
+++ b/internal/forwarder/connection.go
@@ -128,7 +128,7 @@
 
 // read hands the worker's responses to the dispatcher until the connection ends, and reports
 // whether there was any. An error means that the worker violated the protocol: it wraps
-// rpc.ErrMalformed or is errMessageTooLong.
+// wire.ErrMalformed or is errMessageTooLong.
 func (l *link) read(socket net.Conn) (responded bool, err error) {
 	var input []byte
 	chunk := make([]byte, readSize)
