--- a/cmd/swiftcourse-fleet/allowances.go
+++ b/cmd/swiftcourse-fleet/allowances.go
@@ -13,7 +13,7 @@
 const (
 	// noTenant is the tenant of an allowance that limits concurrent calls to the downstream service.
 	noTenant = -1
-	// unlimited stands for an allowance without a limit of its own.
+	// unlimited is the value of a rate or number that is not limited.
 	unlimited = math.MaxInt32
 	// circuitBreakerAllowance is the name of the allowance that only the circuit breaker caps.
 	circuitBreakerAllowance = "below"
--- a/cmd/swiftcourse-fleet/config.go
+++ b/cmd/swiftcourse-fleet/config.go
@@ -13,16 +13,24 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// votersKey names the voters in the operator's file.
-const votersKey = "fleet-voters"
+// The keys of the fleet in the operator's file.
+const (
+	fleetKey        = "fleet"
+	listenKey       = "fleet-listen"
+	fleetControlKey = "fleet-control"
+	votersKey       = "fleet-voters"
+)
+
+// invalidAddressReason is what is wrong with an entry of a list of processes by name.
+const invalidAddressReason = "is not name=address, or repeats a name"
 
-// buildVariable names the build of the program; without it the revision of the source does.
+// buildVariable is the environment variable with the identifier of the program's build.
 const buildVariable = "SWIFTCOURSE_BUILD"
 
 const (
 	// revisionSetting is the key of the version control's revision in a program's build information.
 	revisionSetting = "vcs.revision"
-	// revisionLength is how much of it tells builds apart.
+	// revisionLength is how many characters of it identify a build.
 	revisionLength = 12
 	// unknownBuild is the build of a program without that information.
 	unknownBuild = "unknown"
@@ -58,8 +66,8 @@
 	}
 }
 
-// parseVoters returns where the voters of the operator's file listen, by name. The process itself
-// has to listen where its entry says.
+// parseVoters returns the addresses of the voters in the operator's file, by name. The process itself
+// has to listen on the address of its entry.
 func parseVoters(self string, operator *config.OperatorSettings) (map[string]string, error) {
 	voters := map[string]string{}
 	for _, text := range operator.Fleet.Voters {
@@ -68,7 +76,7 @@
 			return nil, &config.FieldError{
 				Key:    votersKey,
 				Value:  text,
-				Reason: "is not name=address, or repeats a name",
+				Reason: invalidAddressReason,
 			}
 		}
 		voters[name] = addr
@@ -77,13 +85,14 @@
 	if addr, isVoter := voters[self]; isVoter && addr != listen {
 		return nil, &config.FieldError{
 			Key:    votersKey,
-			Reason: fmt.Sprintf("%s is to listen on %s, but fleet-listen says %s", self, addr, listen),
+			Reason: fmt.Sprintf("%s is to listen on %s, but %s says %s", self, addr, listenKey, listen),
 		}
 	}
 	return voters, nil
 }
 
-// build returns what tells builds of the program apart: the environment's value, or the revision.
+// build returns the identifier of the program's build: the environment's value, or the revision of
+// the source.
 func build() string {
 	if given := os.Getenv(buildVariable); given != "" {
 		return given
--- a/cmd/swiftcourse-fleet/forwarding.go
+++ b/cmd/swiftcourse-fleet/forwarding.go
@@ -13,7 +13,8 @@
 // workersKey names the workers in the operator's file.
 const workersKey = "forward-to"
 
-// EnableForwarding has a server forward its requests to the workers of the operator's file.
+// EnableForwarding has a server forward its requests to the workers of the operator's file. A server that
+// forwards runs nothing itself: its cores are those of the workers, or as many as requests may be in flight.
 func (p *fleetProgram) EnableForwarding(
 	startup *config.Startup, operator *config.OperatorSettings, srv *server.Server,
 ) error {
@@ -53,7 +54,7 @@
 			return nil, &config.FieldError{
 				Key:    workersKey,
 				Value:  text,
-				Reason: "is not name=address, or repeats a name",
+				Reason: invalidAddressReason,
 			}
 		}
 		workers = append(workers, forwarder.Worker{Name: name, Addr: addr})
--- a/cmd/swiftcourse-fleet/loadplan.go
+++ b/cmd/swiftcourse-fleet/loadplan.go
@@ -51,9 +51,10 @@
 	f.program.allowances.setPlan(planAllowances(assignment, f.program.startup, expiry))
 }
 
-// planAllowances returns what an assignment admits of each tenant. After its expiry nothing is limited,
-// as workers reject what they can't do: hence a guaranteed rate without limit, and a leased share
-// that is negative until then.
+// planAllowances returns what an assignment admits of each tenant. After its expiry nothing is
+// limited, as workers reject what they can't do. An allowance is the sum of its guaranteed rate,
+// which is unlimited here, and of its leased share, which holds until the expiry and is therefore
+// negative.
 func planAllowances(
 	assignment *loadplan.Assignment, startup *config.Startup, expiry float64,
 ) (allowances []serving.Allowance) {
--- a/cmd/swiftcourse-fleet/planner.go
+++ b/cmd/swiftcourse-fleet/planner.go
@@ -47,7 +47,7 @@
 // applies none.
 func plannerConfig(name string, operator *config.OperatorSettings, started time.Time) (*fleet.Config, error) {
 	if !operator.Fleet.Enabled {
-		return nil, &config.FieldError{Key: "fleet", Reason: "a planner needs it on"}
+		return nil, &config.FieldError{Key: fleetKey, Reason: "a planner needs it on"}
 	}
 	voters, err := parseVoters(name, operator)
 	if err != nil {
--- a/cmd/swiftcourse-fleet/program.go
+++ b/cmd/swiftcourse-fleet/program.go
@@ -15,8 +15,8 @@
 	"swiftcourse/internal/server"
 )
 
-// agentThreads is how many threads the Go runtime gets beyond those of a server without a fleet: a
-// message from another process must not wait for the event loop's turn, nor a turn for it.
+// agentThreads is how many threads the Go runtime gets beyond those of a server without a fleet, so that the
+// fleet agent's goroutine and the server's event loop don't wait for each other.
 const agentThreads = 1
 
 // fleetProgram is the process's part in the fleet; it implements cli.Fleet.
@@ -140,7 +140,7 @@
 		return nil
 	}
 	if err := node.ServeControl(ctx, operator.Fleet.ControlAddress); err != nil {
-		return fmt.Errorf("fleet-control: %w", err)
+		return fmt.Errorf("%s: %w", fleetControlKey, err)
 	}
 	return nil
 }
--- a/cmd/swiftcourse-fleet/replication.go
+++ b/cmd/swiftcourse-fleet/replication.go
@@ -17,16 +17,14 @@
 const (
 	replicasKey     = "replica-holders"
 	keyedClassesKey = "replica-keyed"
-	sharedTrustKey  = "replica-callers"
 )
 
 // minMaxClaimSeconds is the least value of the longest claim. Replicas that serve no keyed class
 // themselves have it too, as the value has to be the same on all: see docs/replication.md.
 const minMaxClaimSeconds = 1
 
-// trustedClientsDivisor: a server takes over as many clients that others trust as one of so many of
-// the addresses that it remembers.
-const trustedClientsDivisor = 4
+// bytesPerKB converts the rate of catching up.
+const bytesPerKB = 1024
 
 // replicationConfig returns the fleet agent's configuration of replicated state, nil if the
 // operator's file names no replicas.
@@ -44,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	maxClaimSeconds, err := maxClaimSeconds(settings.KeyedClasses, startup)
+	maxClaimDuration, err := maxClaimSeconds(settings.KeyedClasses, startup)
 	if err != nil {
 		return nil, err
 	}
@@ -52,7 +50,7 @@
 		Members:           members,
 		ReplicationFactor: settings.ReplicationFactor,
 		RetentionWindow:   settings.RetentionWindow.Seconds(),
-		MaxClaimDuration:  maxClaimSeconds,
+		MaxClaimDuration:  maxClaimDuration,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", replicasKey, err)
@@ -61,7 +59,7 @@
 		Placement:   placement,
 		MaxRecords:  settings.MaxRecords,
 		MaxBytes:    settings.MaxMemoryMB << 20,
-		CatchUpRate: float64(settings.CatchUpRateKB) * 1024,
+		CatchUpRate: float64(settings.CatchUpRateKB) * bytesPerKB,
 		OnVerdict:   srv.HandleClaimVerdict,
 	}, nil
 }
@@ -113,24 +111,3 @@
 		"keyed_classes", strings.Join(settings.KeyedClasses, ","),
 	)
 }
-
-// trustConfig returns the fleet agent's configuration of clients that other servers trust, nil if
-// they are not shared.
-func trustConfig(operator *config.OperatorSettings, srv *server.Server) (*fleet.TrustConfig, error) {
-	if !operator.Replication.SharedTrust {
-		return nil, nil
-	}
-	if !operator.ConnLimit.Enabled {
-		return nil, &config.FieldError{Key: sharedTrustKey, Reason: "needs door on"}
-	}
-	return &fleet.TrustConfig{
-		Retention:  operator.ConnLimit.ReputationHalfLife.Seconds(),
-		MaxClients: operator.ConnLimit.RememberedAddresses / trustedClientsDivisor,
-		OnTrusted:  srv.AddTrustedClients,
-	}, nil
-}
-
-// connectTrust has the server report the clients that it trusts.
-func connectTrust(node *fleet.Node, srv *server.Server) {
-	srv.ReportTrustedClients(node.ReportTrusted, replication.MaxTrustedClients)
-}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -54,12 +54,12 @@
 }
 
 // run runs the command that the process was started with.
-func run(self *process) error {
+func run(proc *process) error {
 	var commands commandLine
-	if len(os.Args) == 1 { // it serves, and the parser of arguments stays out of its memory
-		return commands.Serve.Run(self)
+	if len(os.Args) == 1 { // serve without loading the argument parser into memory
+		return commands.Serve.Run(proc)
 	}
-	parsed := kong.Parse(&commands, kong.Name("swiftcourse"), kong.UsageOnError(), kong.Bind(self),
+	parsed := kong.Parse(&commands, kong.Name("swiftcourse"), kong.UsageOnError(), kong.Bind(proc),
 		kong.Description("Admission control and scheduling for servers behind balancers that can't be changed."))
 	return parsed.Run()
 }
--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -27,19 +27,19 @@
 }
 
 // Run serves until the server is drained.
-func (c *serveCommand) Run(self *process) error {
-	return serve(self, c.Conf, config.Load)
+func (c *serveCommand) Run(proc *process) error {
+	return serve(proc, c.Conf, config.Load)
 }
 
 // forwardCommand serves requests by forwarding them.
 type forwardCommand struct{ serveCommand }
 
 // Run forwards until the server is drained.
-func (c *forwardCommand) Run(self *process) error {
-	if self.fleet == nil {
+func (c *forwardCommand) Run(proc *process) error {
+	if proc.fleet == nil {
 		return execFleetProgram()
 	}
-	return serve(self, c.Conf, config.LoadForwarder)
+	return serve(proc, c.Conf, config.LoadForwarder)
 }
 
 // planCommand is a load planner.
@@ -49,15 +49,15 @@
 }
 
 // Run plans until a signal stops it.
-func (c *planCommand) Run(self *process) error {
-	if self.fleet == nil {
+func (c *planCommand) Run(proc *process) error {
+	if proc.fleet == nil {
 		return execFleetProgram()
 	}
 	operator, err := config.LoadOperatorSettings(config.OperatorFilePath(c.Conf, os.Getenv))
 	if err != nil {
 		return err
 	}
-	return self.fleet.RunPlanner(c.Name, operator, self.signals)
+	return proc.fleet.RunPlanner(c.Name, operator, proc.signals)
 }
 
 // checkCommand checks an operator's file.
@@ -80,11 +80,11 @@
 }
 
 // Run runs the command that the arguments name.
-func (c *fleetCommand) Run(self *process) error {
-	if self.fleet == nil {
+func (c *fleetCommand) Run(proc *process) error {
+	if proc.fleet == nil {
 		return execFleetProgram()
 	}
-	return self.fleet.RunCommand(c.Args)
+	return proc.fleet.RunCommand(c.Args)
 }
 
 // execFleetProgram replaces this program by the one with a fleet agent, which gets the same
--- a/internal/cli/fleetcmd/command.go
+++ b/internal/cli/fleetcmd/command.go
@@ -8,21 +8,22 @@
 	"github.com/alecthomas/kong"
 )
 
-// commandLine declares the commands.
+// commandLine declares the commands. A field has the name of its command, a type that of what it
+// shows or sends.
 type commandLine struct {
 	At string `help:"The fleet-control of any server." env:"SWIFTCOURSE_FLEET" default:"127.0.0.1:7950"`
 
 	Status   statusCommand   `cmd:"" help:"Show the servers, their versions and which of them lag."`
 	Audit    auditCommand    `cmd:"" help:"Show which server acted on which version when; exit status 2 at an alarm."`
-	Diff     diffCommand     `cmd:"" help:"Show the state of all replicas and their faults; exit status 2 at an alarm."`
-	Budgets  budgetsCommand  `cmd:"" help:"Show the server's shares of fleet quotas and, at the leader, all grants."`
-	Counts   countsCommand   `cmd:"" help:"Show the fleet's request counters, and what they may lack; known to voters."`
+	Diff     replicasCommand `cmd:"" help:"Show the state of all replicas and their faults; exit status 2 at an alarm."`
+	Budgets  quotasCommand   `cmd:"" help:"Show the server's shares of fleet quotas and, at the leader, all grants."`
+	Counts   countersCommand `cmd:"" help:"Show the fleet's request counters, and what they may lack; known to voters."`
 	Demo     demoCommand     `cmd:"" help:"Show two levels while processes die; needs swiftcourse-bench."`
 	Plans    plansCommand    `cmd:"" help:"Show a forwarder's load plan; at the leading planner, all that it knows."`
 	Release  releaseCommand  `cmd:"" help:"Release a version."`
 	Rollback rollbackCommand `cmd:"" help:"Release the text of the version before, as a new version."`
-	Evict    evictCommand    `cmd:"" help:"Eject a server until it is readmitted."`
-	Admit    admitCommand    `cmd:"" help:"Readmit an ejected server."`
+	Evict    ejectCommand    `cmd:"" help:"Eject a server until it is readmitted."`
+	Admit    readmitCommand  `cmd:"" help:"Readmit an ejected server."`
 }
 
 // session is what a command needs.
--- a/internal/cli/fleetcmd/counters.go
+++ b/internal/cli/fleetcmd/counters.go
@@ -9,13 +9,13 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// countsCommand shows the counters of requests.
-type countsCommand struct {
+// countersCommand shows the counters of requests.
+type countersCommand struct {
 	JSON bool `name:"json" help:"As JSON."`
 }
 
 // Run asks the server for the counters.
-func (c *countsCommand) Run(s *session) error {
+func (c *countersCommand) Run(s *session) error {
 	status, err := fleet.FetchCounters(s.addr)
 	if err != nil {
 		return err
@@ -42,6 +42,9 @@
 	return output.err
 }
 
+// secondsPerMinute converts the counts of the last minute to rates.
+const secondsPerMinute = 60
+
 // totalClass stands in the row with the sums of all.
 const totalClass = "all"
 
@@ -55,13 +58,13 @@
 		"open or cancelled", "a second, lately")
 	total := serving.CounterCell{CounterKey: serving.CounterKey{Class: totalClass}}
 	for _, cell := range cells {
-		rate := float64(perMinute[cell.CounterKey]) / 60
+		rate := float64(perMinute[cell.CounterKey]) / secondsPerMinute
 		printCell(t, cell, rate)
 		total.RequestCounts = total.Add(cell.RequestCounts)
 	}
 	totalRate := 0.0
 	for _, received := range perMinute {
-		totalRate += float64(received) / 60
+		totalRate += float64(received) / secondsPerMinute
 	}
 	printCell(t, total, totalRate)
 	t.end()
--- a/internal/cli/fleetcmd/quotas.go
+++ b/internal/cli/fleetcmd/quotas.go
@@ -6,13 +6,13 @@
 	"swiftcourse/internal/fleet"
 )
 
-// budgetsCommand shows the quotas that all servers share.
-type budgetsCommand struct {
+// quotasCommand shows the quotas that all servers share.
+type quotasCommand struct {
 	JSON bool `name:"json" help:"As JSON."`
 }
 
 // Run asks the server for its quotas.
-func (c *budgetsCommand) Run(s *session) error {
+func (c *quotasCommand) Run(s *session) error {
 	status, err := fleet.FetchQuotas(s.addr)
 	if err != nil {
 		return err
--- a/internal/cli/fleetcmd/release.go
+++ b/internal/cli/fleetcmd/release.go
@@ -73,24 +73,24 @@
 	return s.send(release.Command{Kind: release.KindRollback, Reason: c.Reason})
 }
 
-// evictCommand ejects a server.
-type evictCommand struct {
+// ejectCommand ejects a server.
+type ejectCommand struct {
 	Name   string `arg:""`
 	Reason string `arg:"" name:"why" optional:"" default:"by hand"`
 }
 
 // Run sends the command.
-func (c *evictCommand) Run(s *session) error {
+func (c *ejectCommand) Run(s *session) error {
 	return s.send(release.Command{Kind: release.KindEject, Name: c.Name, Reason: c.Reason})
 }
 
-// admitCommand readmits a server.
-type admitCommand struct {
+// readmitCommand readmits a server.
+type readmitCommand struct {
 	Name string `arg:""`
 }
 
 // Run sends the command.
-func (c *admitCommand) Run(s *session) error {
+func (c *readmitCommand) Run(s *session) error {
 	return s.send(release.Command{Kind: release.KindReadmit, Name: c.Name})
 }
 
--- a/internal/cli/fleetcmd/replicas.go
+++ b/internal/cli/fleetcmd/replicas.go
@@ -14,8 +14,8 @@
 // ErrNoReplicas means that no server of the fleet keeps or claims replicated state.
 var ErrNoReplicas = errors.New("no server keeps replicas: replica-holders names none")
 
-// diffCommand shows the replicas of all servers.
-type diffCommand struct {
+// replicasCommand shows the replicas of all servers.
+type replicasCommand struct {
 	JSON bool `name:"json" help:"As JSON."`
 }
 
@@ -27,7 +27,7 @@
 }
 
 // Run asks the server for all servers' replicas and compares them.
-func (c *diffCommand) Run(s *session) error {
+func (c *replicasCommand) Run(s *session) error {
 	status, err := fleet.FetchStatus(s.addr, "")
 	if err != nil {
 		return err
--- a/internal/cli/fleetcmd/report.go
+++ b/internal/cli/fleetcmd/report.go
@@ -66,10 +66,13 @@
 // timeFormat shows milliseconds, of UTC.
 const timeFormat = "2006-01-02T15:04:05.000"
 
+// millisecondsPerSecond converts seconds of the Unix clock for package time.
+const millisecondsPerSecond = 1000
+
 // formatTime returns a time of day for a report; 0 is one that is not known.
 func formatTime(unixSeconds float64) string {
 	if unixSeconds == 0 {
 		return "?"
 	}
-	return time.UnixMilli(int64(unixSeconds * 1000)).UTC().Format(timeFormat)
+	return time.UnixMilli(int64(unixSeconds * millisecondsPerSecond)).UTC().Format(timeFormat)
 }
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -15,7 +15,7 @@
 
 // serve runs a server until it is drained. A configuration that can't be served ends the process,
 // as does a server that fails.
-func serve(self *process, operatorFlag string, load loadStartup) error {
+func serve(proc *process, operatorFlag string, load loadStartup) error {
 	startup, err := load(os.Getenv)
 	if err != nil {
 		logging.Fatal("startup_config_invalid", "err", err)
@@ -25,7 +25,7 @@
 	if err != nil {
 		logging.Fatal("operator_config_invalid", "err", err)
 	}
-	if operator.Fleet.Enabled && self.fleet == nil {
+	if operator.Fleet.Enabled && proc.fleet == nil {
 		logging.Fatal("exec_failed", "err", execFleetProgram())
 	}
 	lifecycle.ApplyLimits(startup.Cores, startup.MemoryBytes)
@@ -37,14 +37,14 @@
 		server:       server.New(startup, operator),
 	}
 	if operator.Fleet.Enabled {
-		reloader.fleet = self.fleet
+		reloader.fleet = proc.fleet
 	}
-	self.signals.Handle(lifecycle.Handlers{
+	proc.signals.Handle(lifecycle.Handlers{
 		Stop:   reloader.server.Drain,
 		Reload: reloader.reload,
 		Report: reloader.server.LogStatistics,
 	})
-	if err := startFleet(self.fleet, startup, operator, reloader.server); err != nil {
+	if err := startFleet(proc.fleet, startup, operator, reloader.server); err != nil {
 		logging.Fatal("operator_config_invalid", "err", err)
 	}
 	if err := reloader.server.Run(); err != nil {
