--- a/internal/wire/rpc/client_test.go
+++ b/internal/wire/rpc/client_test.go
@@ -21,20 +21,20 @@
 			Kind:         KindRequest,
 			Number:       rapid.Uint64Max(1<<62).Draw(t, "number"),
 			ID:           rapid.StringMatching("[0-9a-f]{16}").Draw(t, "id"),
-			Class:        rapid.StringMatching("[a-z-]{1,60}").Draw(t, "stage"),
+			Class:        rapid.StringMatching("[a-z-]{1,60}").Draw(t, "class"),
 			Tenant:       rapid.SampledFrom([]string{"", "acme"}).Draw(t, "tenant"),
 			Subject:      rapid.SampledFrom([]string{"", "7f3a"}).Draw(t, "subject"),
-			ArrivedAt:    float64(rapid.Int64Range(0, 1<<41).Draw(t, "came")) / 1000,
-			Timeout:      float64(rapid.IntRange(-1000, 1e6).Draw(t, "wait")) / 1000,
-			Client:       rapid.IntRange(0, 1e6).Draw(t, "caller"),
+			ArrivedAt:    float64(rapid.Int64Range(0, 1<<41).Draw(t, "arrived at")) / 1000,
+			Timeout:      float64(rapid.IntRange(-1000, 1e6).Draw(t, "timeout")) / 1000,
+			Client:       rapid.IntRange(0, 1e6).Draw(t, "client"),
 			Memory:       float64(rapid.IntRange(1, 3999).Draw(t, "memory")) / 2,
-			Priority:     float64(rapid.IntRange(0, 63).Draw(t, "rank")) / 64,
+			Priority:     float64(rapid.IntRange(0, 63).Draw(t, "priority")) / 64,
 			Key:          rapid.StringMatching("[0-9a-f-]{0,36}").Draw(t, "key"),
-			Retry:        rapid.Bool().Draw(t, "again"),
-			ExpectedWork: float64(rapid.IntRange(0, 1e6).Draw(t, "hint")) / 1000,
+			Retry:        rapid.Bool().Draw(t, "retry"),
+			ExpectedWork: float64(rapid.IntRange(0, 1e6).Draw(t, "expected work")) / 1000,
 			Body:         rapid.SliceOfN(rapid.Byte(), 0, maxBody).Draw(t, "body"),
 		}
-		if m.NoTimeout = rapid.Bool().Draw(t, "no wait"); m.NoTimeout {
+		if m.NoTimeout = rapid.Bool().Draw(t, "no timeout"); m.NoTimeout {
 			m.Timeout = 0
 		}
 		b := AppendRequest(nil, &m)
--- a/internal/wire/rpc/request_test.go
+++ b/internal/wire/rpc/request_test.go
@@ -26,16 +26,16 @@
 
 // Put together by hand from MessagePack's public specification.
 const (
-	fields = "87" + "a463616c6c" + "b039623166303361613563376532643431" + // call, fixstr of 16
+	fieldsHex = "87" + "a463616c6c" + "b039623166303361613563376532643431" + // call, fixstr of 16
 		"a472656376" + "d90d31373634353736303030313233" + // recv, str8
 		"a3747463" + "c0" + // a field not known, nil
 		"a374746c" + "da0003343830" + // ttl, str16
 		"a468656170" + "db0000000432342e35" + // heap, str32
 		"a463726974" + "a6302e36323530" + // crit
 		"a3737263" + "a134" // src
-	task   = "940007a8636865636b6f757492" + fields + "c403000aff"
-	forget = "9302a6666f726765749107"
-	check  = "9400cd0100a669735765 6c6c9180"
+	requestHex     = "940007a8636865636b6f757492" + fieldsHex + "c403000aff"
+	cancelHex      = "9302a6666f726765749107"
+	healthCheckHex = "9400cd0100a669735765 6c6c9180"
 )
 
 func decodeHex(t *testing.T, s string) []byte {
@@ -52,7 +52,7 @@
 		text string
 		want Message
 	}{
-		{task, Message{
+		{requestHex, Message{
 			Kind:      KindRequest,
 			Number:    7,
 			ID:        "9b1f03aa5c7e2d41",
@@ -64,8 +64,8 @@
 			Priority:  0.625,
 			Body:      []byte{0, 10, 255},
 		}},
-		{forget, Message{Kind: KindCancel, Number: 7}},
-		{check, Message{Kind: KindHealthCheck, Number: 256}},
+		{cancelHex, Message{Kind: KindCancel, Number: 7}},
+		{healthCheckHex, Message{Kind: KindHealthCheck, Number: 256}},
 		{"94 01 05 c0 91 c3", Message{}},                            // a response to nothing
 		{"93 02 a3 6e6577 92 cb4000000000000000 d40102", Message{}}, // a notification not known
 	} {
@@ -86,7 +86,7 @@
 	for _, id := range []string{"07", "cc07", "cd0007", "ce00000007", "cf0000000000000007", "d007", "d10007",
 		"d200000007", "d30000000000000007"} {
 		for _, body := range []string{"c40161", "c5000161", "c60000000161", "a161"} {
-			text := strings.Replace(strings.Replace(task, "940007", "9400"+id, 1), "c403000aff", body, 1)
+			text := strings.Replace(strings.Replace(requestHex, "940007", "9400"+id, 1), "c403000aff", body, 1)
 			m, n, err := ParseMessage(decodeHex(t, text))
 			if err != nil || n == 0 || m.Number != 7 || string(m.Body) != "a" || m.Invalid != nil {
 				t.Errorf("id %s, body %s: %+v, %d, %v", id, body, m, n, err)
@@ -97,24 +97,24 @@
 
 func TestParseMessage_InvalidRequestIsOwedResponse(t *testing.T) {
 	for _, c := range []struct{ name, old, new string }{
-		{"parameters no array", "92" + fields + "c403000aff", "c0"},
-		{"fields no map", fields, "c0"},
+		{"parameters no array", "92" + fieldsHex + "c403000aff", "c0"},
+		{"fields no map", fieldsHex, "c0"},
 		{"a value no string", "da0003343830", "07"},
 		{"a missing id", "a463616c6c", "a463616c6d"},
 		{"a missing time", "a472656376", "a472656377"},
-		{"a missing size", "a468656170", "a468656171"},
+		{"a missing memory", "a468656170", "a468656171"},
 		{"not a number", "a6302e36323530", "a6302e36323578"},
 		{"out of range", "db0000000432342e35", "db0000000439393939"},
-		{"a rank of one", "a6302e36323530", "a6312e30303030"},
+		{"a priority of one", "a6302e36323530", "a6312e30303030"},
 		{"no memory", "db0000000432342e35", "db0000000430303030"},
-		{"a caller under 0", "a134", "a22d34"},
+		{"a client under 0", "a134", "a22d34"},
 		{"an id with a space", "b039", "b020"},
 		{"no body", "c403000aff", "c0"},
 		{"a long body", "c403000aff", "c50801" + strings.Repeat("61", 2049)},
 	} {
-		text := strings.Replace(task, c.old, c.new, 1)
+		text := strings.Replace(requestHex, c.old, c.new, 1)
 		m, n, err := ParseMessage(decodeHex(t, text))
-		if text == task {
+		if text == requestHex {
 			t.Fatalf("%s: nothing replaced", c.name)
 		}
 		if err != nil || n != len(text)/2 || m.Invalid == nil || m.Number != 7 || m.Kind != KindRequest {
@@ -125,7 +125,7 @@
 
 // In some deployments clients don't tell their timeout; whether that may be is for the server to decide.
 func TestParseMessage_TimeoutMayBeMissing(t *testing.T) {
-	m, _, err := ParseMessage(decodeHex(t, strings.Replace(task, "a374746c", "a374746d", 1)))
+	m, _, err := ParseMessage(decodeHex(t, strings.Replace(requestHex, "a374746c", "a374746d", 1)))
 	if err != nil || m.Invalid != nil || !m.NoTimeout || m.Timeout != 0 {
 		t.Errorf("%+v, %v", m, err)
 	}
@@ -152,7 +152,7 @@
 }
 
 func TestParseMessage_NoInputPanics(t *testing.T) {
-	whole := decodeHex(t, task)
+	whole := decodeHex(t, requestHex)
 	rapid.Check(t, func(t *rapid.T) {
 		b := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "bytes")
 		if rapid.Bool().Draw(t, "near") { // a message with a few bytes changed
@@ -193,7 +193,7 @@
 }
 
 func TestParseMessage_NamesFieldInError(t *testing.T) {
-	message, _, err := ParseMessage(decodeHex(t, strings.Replace(task, "a6302e36323530", "a6302e36323578", 1)))
+	message, _, err := ParseMessage(decodeHex(t, strings.Replace(requestHex, "a6302e36323530", "a6302e36323578", 1)))
 	var fieldError *FieldError
 	if err != nil || !errors.As(message.Invalid, &fieldError) || fieldError.Field != "crit" {
 		t.Errorf("%v, %v", message.Invalid, err)
