--- a/internal/bench/connflood/flood.go
+++ b/internal/bench/connflood/flood.go
@@ -166,8 +166,8 @@
 func (p *Plan) measureFlood(ctx context.Context, server *process.Server, clients []*client, row *Row) error {
 	open := clients[:max(1, len(clients)/4)]
 	reconnecting := clients[len(open):]
-	for _, c := range reconnecting {
-		c.close()
+	for _, trusted := range reconnecting {
+		trusted.close()
 	}
 
 	fmt.Fprintf(p.Progress, "door %s: %g untrusted clients a second for %g s\n",
@@ -180,9 +180,9 @@
 	var wait sync.WaitGroup
 	wait.Go(func() { flood.run(ctx, p.UntrustedRate) })
 	var lost atomic.Int64
-	for _, c := range open {
+	for _, trusted := range open {
 		wait.Go(func() {
-			if !c.requestUntil(ctx, flood.end) {
+			if !trusted.requestUntil(ctx, flood.end) {
 				lost.Add(1)
 			}
 		})
--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -100,23 +100,23 @@
 }
 
 // Run runs both parts and returns a row for each class of each of them.
-func Run(ctx context.Context, p *Plan) ([]Row, error) {
-	servers, err := process.Start(ctx, 1, p.serverConfig())
+func Run(ctx context.Context, plan *Plan) ([]Row, error) {
+	servers, err := process.Start(ctx, 1, plan.serverConfig())
 	if err != nil {
 		return nil, err
 	}
 	defer process.CloseAll(servers)
 	server := servers[0]
-	fmt.Fprintf(p.Progress, "a server with %d cores listens on %s; it can do %.0f requests a second\n",
+	fmt.Fprintf(plan.Progress, "a server with %d cores listens on %s; it can do %.0f requests a second\n",
 		cores, server.Addr, capacity())
 	clients, err := dialClients(ctx, server.Addr)
 	if err != nil {
 		return nil, err
 	}
 	var rows []Row
-	for i, next := range []part{{"calm", calmLoad * capacity()}, {"overload", p.Overload * capacity()}} {
-		fmt.Fprintf(p.Progress, "%s: %.0f requests a second for %g s\n", next.name, next.rate, p.Seconds)
-		rows = append(rows, p.runPart(ctx, clients, next, uint64(i))...)
+	for i, next := range []part{{"calm", calmLoad * capacity()}, {"overload", plan.Overload * capacity()}} {
+		fmt.Fprintf(plan.Progress, "%s: %.0f requests a second for %g s\n", next.name, next.rate, plan.Seconds)
+		rows = append(rows, plan.runPart(ctx, clients, next, uint64(i))...)
 		if ctx.Err() != nil {
 			return rows, ctx.Err()
 		}
@@ -126,7 +126,7 @@
 		return rows, fmt.Errorf("the server's end: %w", err)
 	}
 	stats := server.Executor.Stats()
-	fmt.Fprintf(p.Progress, "told to drain, the server answered all and ended in %.2f s; "+
+	fmt.Fprintf(plan.Progress, "told to drain, the server answered all and ended in %.2f s; "+
 		"%d runs, %d of them repeated\n", took.Seconds(), stats.Started, stats.Repeated)
 	return rows, nil
 }
--- a/internal/bench/idleconns/row.go
+++ b/internal/bench/idleconns/row.go
@@ -86,36 +86,36 @@
 }
 
 func (p *Plan) run(ctx context.Context, connections int) (Row, error) {
-	m := &measurement{row: Row{Connections: connections, Servers: p.Servers}}
+	current := &measurement{row: Row{Connections: connections, Servers: p.Servers}}
 	var err error
-	if m.fixture, err = p.start(ctx, neverIdle); err != nil {
-		return m.row, err
+	if current.fixture, err = p.start(ctx, neverIdle); err != nil {
+		return current.row, err
 	}
-	defer m.close()
-	if _, err := m.measure(ctx); err != nil { // warms up, and allocates the buffers that are kept
-		return m.row, err
+	defer current.close()
+	if _, err := current.measure(ctx); err != nil { // warms up, and allocates the buffers that are kept
+		return current.row, err
 	}
-	if m.before, err = m.readUsage(); err != nil {
-		return m.row, err
+	if current.before, err = current.readUsage(); err != nil {
+		return current.row, err
 	}
 	for round := range p.Rounds {
 		if round > 0 {
-			m.releaseIdle()
+			current.releaseIdle()
 			timing.Sleep(ctx, settleTime+timing.Seconds(float64(connections)/closeRate))
 		}
-		if err := m.measureRound(ctx, round); err != nil {
-			return m.row, err
+		if err := current.measureRound(ctx, round); err != nil {
+			return current.row, err
 		}
 	}
-	after, err := m.readUsage()
+	after, err := current.readUsage()
 	if err != nil {
-		return m.row, err
+		return current.row, err
 	}
-	m.summarize(after)
-	if err := m.drain(); err != nil {
-		return m.row, err
+	current.summarize(after)
+	if err := current.drain(); err != nil {
+		return current.row, err
 	}
-	return m.row, ctx.Err()
+	return current.row, ctx.Err()
 }
 
 // measureRound measures without the idle connections, opens them and measures with them.
