--- a/internal/bench/faultinjection/claim_test.go
+++ b/internal/bench/faultinjection/claim_test.go
@@ -16,8 +16,8 @@
 // retentionWindow is how long keys are kept in these tests.
 const retentionWindow = 3 * time.Second
 
-// startKeyedFleet starts a fleet whose tasks bear keys, held by those named, and waits until all
-// holders may answer.
+// startKeyedFleet starts a fleet whose requests have keys, with the named replicas, and waits until
+// all replicas have caught up.
 func startKeyedFleet(t *testing.T, p Config, copies int, holders ...string) (*Fleet, *RunLog) {
 	t.Helper()
 	p.ExtraSettings += fmt.Sprintf("replica-holders %s\nreplica-copies %d\nreplica-keyed %s\n",
@@ -241,7 +241,7 @@
 	return deaths
 }
 
-// TestTrust_RestartedServerLearnsTrustedClients: those that earned being known at its door are
+// TestTrust_RestartedServerLearnsTrustedClients: clients that earned their trust are
 // known there again before they come back.
 func TestTrust_RestartedServerLearnsTrustedClients(t *testing.T) {
 	f := startFleet(t, Config{Servers: 3, Seed: 28, ExtraSettings: "replica-callers on\n"})
--- a/internal/bench/faultinjection/counter_test.go
+++ b/internal/bench/faultinjection/counter_test.go
@@ -13,24 +13,22 @@
 	"swiftcourse/internal/wire/simulator"
 )
 
-// requestCounts is what callers asked for and were told, of the servers named, of all where none
-// is.
-func (d *Load) requestCounts(names ...string) (t serving.RequestCounts) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for name, ends := range d.outcomes {
+// requestCounts is what clients sent and got answered, of the servers named, of all if none is.
+func (l *Load) requestCounts(names ...string) (t serving.RequestCounts) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for name, ends := range l.outcomes {
 		if len(names) > 0 && !slices.Contains(names, name) {
 			continue
 		}
-		t = t.Add(serving.RequestCounts{Received: uint64(d.sent[name]),
+		t = t.Add(serving.RequestCounts{Received: uint64(l.sent[name]),
 			Finished: uint64(ends[rpc.ResponseFinished]), Rejected: uint64(ends[rpc.ResponseRejected]),
 			Abandoned: uint64(ends[rpc.ResponseFailed])})
 	}
 	return t
 }
 
-// countedRequests is what a voter knows that all were asked for, and by how many lives that are not
-// closed.
+// countedRequests is what a voter counted for all servers, and its number of open rows.
 func (f *Fleet) countedRequests(name string) (t serving.RequestCounts, rows int) {
 	s, err := fleet.FetchCounters(f.controlAddrs[name])
 	if err != nil || s.Totals == nil {
--- a/internal/bench/faultinjection/forwarder_test.go
+++ b/internal/bench/faultinjection/forwarder_test.go
@@ -16,7 +16,7 @@
 // forwarderRate is the requests a second at each forwarder.
 const forwarderRate = 60
 
-// payClass is a stage whose tasks must never run twice.
+// payClass is a class whose requests must never run twice.
 const payClass = "pay"
 
 // startTwoLevelFleet starts forwarders, planners and workers, one of which is slow, under a load
--- a/internal/bench/faultinjection/load.go
+++ b/internal/bench/faultinjection/load.go
@@ -43,7 +43,7 @@
 
 // StartLoad starts a load with rates of 0 that goes on until the context ends.
 func (f *Fleet) StartLoad(ctx context.Context, tenant string) *Load {
-	d := &Load{
+	l := &Load{
 		fleet:       f,
 		tenant:      tenant,
 		rates:       map[string]float64{},
@@ -53,69 +53,70 @@
 		unanswered:  map[string]map[uint64]time.Time{},
 	}
 	for _, name := range f.Names {
-		d.outcomes[name] = map[rpc.ResponseKind]int{}
-		sender := &loadSender{load: d, name: name}
-		d.wg.Go(func() { sender.run(ctx) })
+		l.outcomes[name] = map[rpc.ResponseKind]int{}
+		sender := &loadSender{load: l, name: name}
+		l.wg.Go(func() { sender.run(ctx) })
 	}
-	return d
+	return l
 }
 
 // Wait returns once the load has ended.
-func (d *Load) Wait() { d.wg.Wait() }
+func (l *Load) Wait() { l.wg.Wait() }
 
 // SetRate sets the requests a second of servers.
-func (d *Load) SetRate(rate float64, names ...string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (l *Load) SetRate(rate float64, names ...string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for _, name := range names {
-		d.rates[name] = rate
+		l.rates[name] = rate
 	}
 }
 
 // rate returns the requests a second of a server.
-func (d *Load) rate(name string) float64 {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.rates[name]
+func (l *Load) rate(name string) float64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.rates[name]
 }
 
 // answerTolerance is how many seconds an answer may come after its timeout on a busy machine.
 const answerTolerance = 0.3
 
-func (d *Load) handleAnswer(name string, sent map[uint64]time.Time, a rpc.Response) {
-	if a.Kind == rpc.ResponseGoAway {
+// handleAnswer records the answer to a request that was sent on a connection.
+func (l *Load) handleAnswer(name string, sent map[uint64]time.Time, response rpc.Response) {
+	if response.Kind == rpc.ResponseGoAway {
 		return
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.outcomes[name][a.Kind]++
-	took := time.Since(sent[a.Number])
-	delete(sent, a.Number)
-	if took.Seconds() > loadTimeoutSeconds+answerTolerance {
-		d.lateCount++
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.outcomes[name][response.Kind]++
+	latency := time.Since(sent[response.Number])
+	delete(sent, response.Number)
+	if latency.Seconds() > loadTimeoutSeconds+answerTolerance {
+		l.lateCount++
 	}
-	if a.Kind == rpc.ResponseFinished {
-		d.latencies = append(d.latencies, took)
-		d.finishTimes[name] = append(d.finishTimes[name], time.Now())
+	if response.Kind == rpc.ResponseFinished {
+		l.latencies = append(l.latencies, latency)
+		l.finishTimes[name] = append(l.finishTimes[name], time.Now())
 	}
 }
 
 // Rate returns the requests a second that a server finished in the last time.
-func (d *Load) Rate(name string, lately time.Duration) float64 {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (l *Load) Rate(name string, lately time.Duration) float64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	from := time.Now().Add(-lately)
 	n := 0
-	for i := len(d.finishTimes[name]) - 1; i >= 0 && d.finishTimes[name][i].After(from); i-- {
+	for i := len(l.finishTimes[name]) - 1; i >= 0 && l.finishTimes[name][i].After(from); i-- {
 		n++
 	}
 	return float64(n) / lately.Seconds()
 }
 
 // RateBetween returns the requests a second that servers finished between two times.
-func (d *Load) RateBetween(from, to time.Time, names ...string) float64 {
+func (l *Load) RateBetween(from, to time.Time, names ...string) float64 {
 	n := 0
-	for _, at := range d.sortedFinishTimes(names) {
+	for _, at := range l.sortedFinishTimes(names) {
 		if at.After(from) && at.Before(to) {
 			n++
 		}
@@ -123,11 +124,12 @@
 	return float64(n) / to.Sub(from).Seconds()
 }
 
-func (d *Load) sortedFinishTimes(names []string) (all []time.Time) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// sortedFinishTimes returns when servers finished requests, in order.
+func (l *Load) sortedFinishTimes(names []string) (all []time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for _, name := range names {
-		all = append(all, d.finishTimes[name]...)
+		all = append(all, l.finishTimes[name]...)
 	}
 	slices.SortFunc(all, time.Time.Compare)
 	return all
@@ -135,8 +137,8 @@
 
 // MaxExcess returns the most requests that servers finished in any interval over that rate times
 // its length.
-func (d *Load) MaxExcess(rate float64, names ...string) (most float64) {
-	all := d.sortedFinishTimes(names)
+func (l *Load) MaxExcess(rate float64, names ...string) (most float64) {
+	all := l.sortedFinishTimes(names)
 	if len(all) == 0 {
 		return 0
 	}
@@ -151,17 +153,17 @@
 }
 
 // LateCount returns the number of answers that came after their timeout.
-func (d *Load) LateCount() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.lateCount
+func (l *Load) LateCount() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.lateCount
 }
 
 // UnansweredCount returns the number of requests without an answer on open connections.
-func (d *Load) UnansweredCount() (n int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, sent := range d.unanswered {
+func (l *Load) UnansweredCount() (n int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, sent := range l.unanswered {
 		n += len(sent)
 	}
 	return n
@@ -169,11 +171,11 @@
 
 // DescribeUnanswered says of each server how many requests are unanswered, and for how long the
 // oldest.
-func (d *Load) DescribeUnanswered() string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (l *Load) DescribeUnanswered() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	var all []string
-	for name, sent := range d.unanswered {
+	for name, sent := range l.unanswered {
 		oldest := time.Duration(0)
 		for _, at := range sent {
 			oldest = max(oldest, time.Since(at))
@@ -186,20 +188,20 @@
 }
 
 // Latencies returns the latencies of the finished requests in ascending order.
-func (d *Load) Latencies() []time.Duration {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return slices.Sorted(slices.Values(d.latencies))
+func (l *Load) Latencies() []time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return slices.Sorted(slices.Values(l.latencies))
 }
 
 // Counts returns the requests sent, finished and rejected, over all servers.
-func (d *Load) Counts() (asked, finished, rejected int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for name := range d.outcomes {
-		asked += d.sent[name]
-		finished += d.outcomes[name][rpc.ResponseFinished]
-		rejected += d.outcomes[name][rpc.ResponseRejected]
+func (l *Load) Counts() (asked, finished, rejected int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for name := range l.outcomes {
+		asked += l.sent[name]
+		finished += l.outcomes[name][rpc.ResponseFinished]
+		rejected += l.outcomes[name][rpc.ResponseRejected]
 	}
 	return asked, finished, rejected
 }
--- a/internal/bench/faultinjection/loadsender.go
+++ b/internal/bench/faultinjection/loadsender.go
@@ -123,8 +123,8 @@
 
 // forget drops what is unanswered on a connection that closed. What crossed the close of a server
 // that drains was never read, and is its client's to send elsewhere.
-func (d *Load) forget(unanswered map[uint64]time.Time) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (l *Load) forget(unanswered map[uint64]time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	clear(unanswered)
 }
--- a/internal/bench/faultinjection/release_test.go
+++ b/internal/bench/faultinjection/release_test.go
@@ -337,7 +337,7 @@
 	})
 }
 
-// dialBalancer opens a connection to a server, whose answers to tasks come on a channel.
+// dialBalancer opens a connection to a server, whose answers come on a channel.
 func (f *Fleet) dialBalancer(t *testing.T, name string) (*balancer.Conn, <-chan rpc.Response) {
 	t.Helper()
 	answers := make(chan rpc.Response, 64)
@@ -361,7 +361,7 @@
 	defer stop()
 	var callers sync.WaitGroup
 	for _, s := range f.Servers {
-		for range 12 { // each a connection of its own for each task, so that the door meets them
+		for range 12 { // each a connection of its own for each task, so that connection limits apply
 			callers.Go(func() {
 				for n := 0; ctx.Err() == nil; n++ {
 					sendOnce(ctx, s.Addr)
@@ -379,7 +379,7 @@
 	})
 }
 
-// sendOnce asks for one task on a connection of its own, and waits for its end.
+// sendOnce sends one request on a connection of its own, and waits for its end.
 func sendOnce(ctx context.Context, addr string) {
 	done := make(chan struct{}, 1)
 	c, err := balancer.Dial(ctx, addr, func(rpc.Response) {
@@ -443,7 +443,7 @@
 	}
 }
 
-// TestFleet_EventsOfEarlierIncarnationAreIgnored: a holder that was started again is warm, and acts
+// TestFleet_EventsOfEarlierIncarnationAreIgnored: a replica that was restarted has caught up, and acts
 // on a version, once it says so itself; what it said before its end is no word of it.
 func TestFleet_EventsOfEarlierIncarnationAreIgnored(t *testing.T) {
 	f := &Fleet{firstEvent: map[string]int{}}
--- a/internal/bench/simulation/counters.go
+++ b/internal/bench/simulation/counters.go
@@ -207,12 +207,12 @@
 			alive[s.agent.Incarnation()] = true
 		}
 	}
-	for number, life := range c.trueCounts {
-		high += life.counted
+	for number, truth := range c.trueCounts {
+		high += truth.counted
 		if alive[number] {
-			low += life.counted
+			low += truth.counted
 		} else {
-			low += life.acknowledged
+			low += truth.acknowledged
 		}
 	}
 	return low, high
--- a/internal/bench/simulation/server.go
+++ b/internal/bench/simulation/server.go
@@ -110,10 +110,10 @@
 		return
 	}
 	s.isDraining = true
-	life := s.incarnation
+	incarnation := s.incarnation
 	s.addEvent(admission.Event{Kind: admission.DrainStarted, Duration: drainTimeout})
 	s.after(drainTimeout, func() {
-		if s.incarnation != life || !s.alive {
+		if s.incarnation != incarnation || !s.alive {
 			return
 		}
 		for _, t := range s.sortedAttempts() {
@@ -191,12 +191,12 @@
 		return
 	}
 	s.decisionScheduled = true
-	life := s.incarnation
+	incarnation := s.incarnation
 	s.after(0, func() {
 		s.decisionScheduled = false
 		batch := s.batch
 		s.batch = nil
-		if s.alive && s.incarnation == life {
+		if s.alive && s.incarnation == incarnation {
 			s.execute(s.controller.Decide(s.now, batch))
 		}
 	})
