--- a/internal/bench/keyclaims/keyclaims.go
+++ b/internal/bench/keyclaims/keyclaims.go
@@ -47,30 +47,40 @@
 	return nil
 }
 
+// AttemptCounts is what became of the attempts of an experiment.
+type AttemptCounts struct {
+	Attempts        int `json:"tries"`
+	Keys            int `json:"keys"`
+	Finished        int `json:"finished"`
+	Rejected        int `json:"rejected"`
+	Abandoned       int `json:"abandoned"`
+	ConnectionsLost int `json:"cut"` // with no answer
+	Unanswered      int `json:"unanswered"`
+}
+
+// ClaimCost is the latency of requests with and without keys, in microseconds.
+type ClaimCost struct {
+	UnkeyedP50 float64 `json:"plain_p50_us"` // of requests without a key
+	UnkeyedP99 float64 `json:"plain_p99_us"`
+	KeyedP50   float64 `json:"keyed_p50_us"`
+	KeyedP99   float64 `json:"keyed_p99_us"`
+}
+
 // Row is the result of an experiment.
 type Row struct {
-	Seed                 uint64  `json:"seed"`
-	Servers              int     `json:"servers"`
-	Kills                int     `json:"kills"`
-	CrashPointDeaths     int     `json:"deaths_at_points"`
-	Faults               int     `json:"faults"` // other than kills and crashes
-	Attempts             int     `json:"tries"`
-	Keys                 int     `json:"keys"`
-	Finished             int     `json:"finished"`
-	Rejected             int     `json:"rejected"`
-	Abandoned            int     `json:"abandoned"`
-	ConnectionsLost      int     `json:"cut"` // with no answer
-	Unanswered           int     `json:"unanswered"`
-	MaxRunsPerKey        int     `json:"runs_per_key_max"` // within the retention window
-	WrongAnswers         int     `json:"wrong_answers"`
-	LostResults          int     `json:"results_lost_within_promise"`
-	MinorityRuns         int     `json:"minority_ran"`
-	SlotsOutOfSync       int     `json:"differences_left"`
-	HealMillis           float64 `json:"heal_ms"`
-	UnkeyedP50           float64 `json:"plain_p50_us"` // of requests without a key
-	UnkeyedP99           float64 `json:"plain_p99_us"`
-	KeyedP50             float64 `json:"keyed_p50_us"`
-	KeyedP99             float64 `json:"keyed_p99_us"`
+	Seed             uint64 `json:"seed"`
+	Servers          int    `json:"servers"`
+	Kills            int    `json:"kills"`
+	CrashPointDeaths int    `json:"deaths_at_points"`
+	Faults           int    `json:"faults"` // other than kills and crashes
+	AttemptCounts
+	MaxRunsPerKey  int     `json:"runs_per_key_max"` // within the retention window
+	WrongAnswers   int     `json:"wrong_answers"`
+	LostResults    int     `json:"results_lost_within_promise"`
+	MinorityRuns   int     `json:"minority_ran"`
+	SlotsOutOfSync int     `json:"differences_left"`
+	HealMillis     float64 `json:"heal_ms"`
+	ClaimCost
 	GossipBytesPerSecond float64 `json:"talk_bytes_s"` // sent by a server; 0 without relays, which count it
 }
 
