--- a/internal/bench/connflood/flood.go
+++ b/internal/bench/connflood/flood.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"swiftcourse/internal/bench/process"
+	"swiftcourse/internal/bench/timing"
 	"swiftcourse/internal/fake/executor"
 	"swiftcourse/internal/wire/simulator"
 )
@@ -184,7 +185,7 @@
 	return row, nil
 }
 
-func (p *Plan) duration() time.Duration { return time.Duration(p.Seconds * float64(time.Second)) }
+func (p *Plan) duration() time.Duration { return timing.Seconds(p.Seconds) }
 
 func (r *Row) addAttempts(attempts attemptStats) {
 	r.Attempts = attempts.total
--- a/internal/bench/demo/classes.go
+++ b/internal/bench/demo/classes.go
@@ -81,13 +81,13 @@
 	settings := process.BaseSettings(simulatorClasses...)
 	settings.Capabilities.RetryAfter = true
 	settings.Capabilities.MaxRetryAfterMs = 1000
-	own := &settings.Deployment
-	own.ClassCalls = calls
-	own.Downstream = "tier"
-	own.Cores = cores
-	own.MemoryLimitKb = 1e5
-	own.RunningFactor = 2
-	own.Clients = 4
-	own.IdleTimeoutMs = 30_000
+	deployment := &settings.Deployment
+	deployment.ClassCalls = calls
+	deployment.Downstream = "tier"
+	deployment.Cores = cores
+	deployment.MemoryLimitKb = 1e5
+	deployment.RunningFactor = 2
+	deployment.Clients = 4
+	deployment.IdleTimeoutMs = 30_000
 	return settings
 }
--- a/internal/bench/demo/client.go
+++ b/internal/bench/demo/client.go
@@ -6,6 +6,7 @@
 	"sync"
 	"time"
 
+	"swiftcourse/internal/bench/timing"
 	"swiftcourse/internal/fake/balancer"
 	"swiftcourse/internal/wire/rpc"
 )
@@ -83,7 +84,7 @@
 		if attempt == maxAttempts || answer.Metadata.NoFailover || remaining()-backoff <= class.cpuSeconds {
 			return rejected, attempt
 		}
-		time.Sleep(seconds(backoff))
+		time.Sleep(timing.Seconds(backoff))
 	}
 }
 
@@ -111,7 +112,7 @@
 	select {
 	case answer := <-answers:
 		return answer, true
-	case <-time.After(seconds(timeout + answerSlack)):
+	case <-time.After(timing.Seconds(timeout + answerSlack)):
 	case <-ctx.Done():
 	}
 	return rpc.Response{}, false
--- a/internal/bench/demo/play.go
+++ b/internal/bench/demo/play.go
@@ -7,6 +7,8 @@
 	"strings"
 	"sync"
 	"time"
+
+	"swiftcourse/internal/bench/timing"
 )
 
 // part is one of the parts of the demonstration.
@@ -32,7 +34,7 @@
 			break
 		}
 		class := drawClass(random)
-		time.Sleep(time.Until(start.Add(seconds(scheduled))))
+		time.Sleep(time.Until(start.Add(timing.Seconds(scheduled))))
 		client := clients[n%len(clients)]
 		wait.Go(func() {
 			outcome, attempts := client.request(ctx, &classes[class], fmt.Sprintf("%02x%012x", stream, n))
@@ -96,5 +98,3 @@
 	}
 	return t.rows
 }
-
-func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
--- a/internal/bench/faultinjection/shape.go
+++ b/internal/bench/faultinjection/shape.go
@@ -30,37 +30,23 @@
 		Executor: executor.Config{
 			Cores:      pingCores,
 			CPUSeconds: func(string, string) float64 { return PingSeconds },
-			Gauges:     func(busy, _ int) []float64 { return []float64{float64(busy) / pingCores, float64(busy)} },
+			Gauges:     process.RunningGauges(pingCores),
 		},
 	}
 }
 
 // smallSettings returns the simulator's settings for SmallShape.
 func smallSettings() simulator.Settings {
-	var settings simulator.Settings
-	settings.Servers = 5
-	settings.Classes = []simulator.Class{{
+	settings := process.BaseSettings(simulator.Class{
 		Name:           PingClass,
 		Idempotency:    "idempotent",
 		TimeoutMs:      2000,
 		SoftDeadlineMs: 1000,
 		Value:          1,
 		LateValue:      0.5,
-	}}
+	})
+	settings.Servers = 5
 	settings.Capabilities.RetryAfter = true
 	settings.Capabilities.MaxRetryAfterMs = 5000
-	contract := &settings.Contract
-	contract.ConcurrencyPerCore = 8
-	contract.ConcurrencyWindowMs = 1000
-	contract.DrainGraceMs = 500
-	contract.DeadlineToleranceMs = 50
-	deployment := &settings.Deployment
-	deployment.Cores = pingCores
-	deployment.MemoryLimitKb = 1e6
-	deployment.RunningFactor = 1
-	deployment.Clients = 1
-	deployment.DeadlinePropagation = true
-	deployment.Gauges = []string{"cpu_busy", "runnable"}
-	deployment.IdleTimeoutMs = 60_000
 	return settings
 }
--- a/internal/bench/idleconns/expire.go
+++ b/internal/bench/idleconns/expire.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"swiftcourse/internal/bench/loadgen"
+	"swiftcourse/internal/bench/timing"
 )
 
 // PhaseName is a part of a mass expiry.
@@ -113,12 +114,12 @@
 	if err := e.waitClosed(ctx, open); err != nil {
 		return err
 	}
-	sleep(ctx, settleTime) // requests sent meanwhile are answered
+	timing.Sleep(ctx, settleTime) // requests sent meanwhile are answered
 	if err := e.endPhase(PhaseDuring, open); err != nil {
 		return err
 	}
 	e.plan.progress("%d connections: all closed", connections)
-	sleep(ctx, seconds(e.plan.Seconds))
+	timing.Sleep(ctx, timing.Seconds(e.plan.Seconds))
 	if err := e.endPhase(PhaseAfter, 0); err != nil {
 		return err
 	}
@@ -144,12 +145,12 @@
 	}
 	e.plan.progress("%d connections: checked in one burst of %.2f s, %d open",
 		connections, time.Since(burst).Seconds(), open)
-	sleep(ctx, burstSettle)
+	timing.Sleep(ctx, burstSettle)
 	if _, err := e.usage(); err != nil { // the statistics begin anew
 		return 0, err
 	}
 	e.load.TakeStats()
-	sleep(ctx, e.plan.IdleTimeout-time.Since(burst)-calmMargin)
+	timing.Sleep(ctx, e.plan.IdleTimeout-time.Since(burst)-calmMargin)
 	return open, e.endPhase(PhaseCalm, open)
 }
 
@@ -157,7 +158,7 @@
 func (e *expiry) waitClosed(ctx context.Context, open int) error {
 	deadline := time.Now().Add(maxExpirySeconds * time.Second)
 	for open > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
-		sleep(ctx, expiryPoll)
+		timing.Sleep(ctx, expiryPoll)
 		var err error
 		if open, err = e.openIdle(); err != nil {
 			return err
--- a/internal/bench/idleconns/fixture.go
+++ b/internal/bench/idleconns/fixture.go
@@ -6,6 +6,7 @@
 
 	"swiftcourse/internal/bench/loadgen"
 	"swiftcourse/internal/bench/process"
+	"swiftcourse/internal/bench/timing"
 	"swiftcourse/internal/fake/executor"
 	"swiftcourse/internal/wire/simulator"
 )
@@ -93,22 +94,12 @@
 	if err != nil {
 		return loadgen.Stats{}, err
 	}
-	sleep(ctx, loadWarmup)
+	timing.Sleep(ctx, loadWarmup)
 	load.TakeStats()
-	sleep(ctx, seconds(f.plan.Seconds))
+	timing.Sleep(ctx, timing.Seconds(f.plan.Seconds))
 	return load.Stop(), ctx.Err()
 }
 
-// sleep returns after the duration, or when the context ends.
-func sleep(ctx context.Context, duration time.Duration) {
-	select {
-	case <-time.After(duration):
-	case <-ctx.Done():
-	}
-}
-
-func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
-
 // holdIdle opens n idle connections, spread over the servers.
 func (f *fixture) holdIdle(ctx context.Context, n int) error {
 	for i, s := range f.servers {
--- a/internal/bench/idleconns/row.go
+++ b/internal/bench/idleconns/row.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"swiftcourse/internal/bench/loadgen"
+	"swiftcourse/internal/bench/timing"
 )
 
 // BusyLatency is the latency of the busy connections in microseconds, as medians over the rounds.
@@ -100,7 +101,7 @@
 	for round := range p.Rounds {
 		if round > 0 {
 			m.releaseIdle()
-			sleep(ctx, settleTime+seconds(float64(connections)/closeRate))
+			timing.Sleep(ctx, settleTime+timing.Seconds(float64(connections)/closeRate))
 		}
 		if err := m.measureRound(ctx, round); err != nil {
 			return m.row, err
@@ -155,7 +156,7 @@
 
 // measureCost measures what the idle connections take while no request is sent.
 func (m *measurement) measureCost(ctx context.Context) error {
-	sleep(ctx, settleTime)
+	timing.Sleep(ctx, settleTime)
 	with, err := m.usage()
 	if err != nil {
 		return err
@@ -169,7 +170,7 @@
 		return err
 	}
 	start := time.Now()
-	sleep(ctx, quietPeriod)
+	timing.Sleep(ctx, quietPeriod)
 	used, err := m.cpuSeconds()
 	if err != nil {
 		return err
--- a/internal/bench/process/settings.go
+++ b/internal/bench/process/settings.go
@@ -13,14 +13,14 @@
 	contract.ConcurrencyWindowMs = 1000
 	contract.DrainGraceMs = 500
 	contract.DeadlineToleranceMs = 50
-	own := &settings.Deployment
-	own.Cores = 4
-	own.MemoryLimitKb = 1e6
-	own.RunningFactor = 1
-	own.Clients = 1
-	own.DeadlinePropagation = true
-	own.Gauges = []string{"cpu_busy", "runnable"}
-	own.IdleTimeoutMs = 60_000
+	deployment := &settings.Deployment
+	deployment.Cores = 4
+	deployment.MemoryLimitKb = 1e6
+	deployment.RunningFactor = 1
+	deployment.Clients = 1
+	deployment.DeadlinePropagation = true
+	deployment.Gauges = []string{"cpu_busy", "runnable"}
+	deployment.IdleTimeoutMs = 60_000
 	return settings
 }
 
--- a/internal/bench/twolevel/demo.go
+++ b/internal/bench/twolevel/demo.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"swiftcourse/internal/bench/faultinjection"
+	"swiftcourse/internal/bench/timing"
 )
 
 // Demo shows a newcomer two forwarders, three planners and three workers at work, while one after the other of them
@@ -140,7 +141,7 @@
 			}
 			remaining = remaining[1:]
 		}
-		sleep(ctx, time.Second)
+		timing.Sleep(ctx, time.Second)
 		asked, finished, rejected := load.Counts()
 		fmt.Fprintf(d.Progress, "%4d s  sent %3d  finished %3d  rejected %2d  planners %d of %d, last to lead %s\n",
 			second, asked-askedBefore, finished-finishedBefore, rejected-rejectedBefore,
--- a/internal/bench/twolevel/faults.go
+++ b/internal/bench/twolevel/faults.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"swiftcourse/internal/bench/faultinjection"
+	"swiftcourse/internal/bench/timing"
 )
 
 // Log events of the program that the experiment reads.
@@ -17,9 +18,9 @@
 
 // injectFaults lets the plan's seconds pass, with a kill after each interval in the variant with kills.
 func (t *trial) injectFaults(ctx context.Context) error {
-	end := time.Now().Add(seconds(t.plan.Seconds))
+	end := time.Now().Add(timing.Seconds(t.plan.Seconds))
 	for time.Now().Before(end) && ctx.Err() == nil {
-		sleep(ctx, seconds(t.plan.KillInterval))
+		timing.Sleep(ctx, timing.Seconds(t.plan.KillInterval))
 		if t.variant != kills {
 			continue
 		}
@@ -68,7 +69,7 @@
 	if err := t.fleet.Pause(planner); err != nil {
 		return err
 	}
-	sleep(ctx, seconds(1+3*t.random.Float64()))
+	timing.Sleep(ctx, timing.Seconds(1+3*t.random.Float64()))
 	return t.fleet.Resume(planner)
 }
 
--- a/internal/bench/twolevel/plan.go
+++ b/internal/bench/twolevel/plan.go
@@ -8,7 +8,6 @@
 	"fmt"
 	"io"
 	"strings"
-	"time"
 )
 
 // Plan is the experiment for one seed.
@@ -118,13 +117,3 @@
 	}
 	return row, ctx.Err()
 }
-
-// sleep returns after the duration, or when the context ends.
-func sleep(ctx context.Context, duration time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-time.After(duration):
-	}
-}
-
-func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
--- a/internal/bench/twolevel/run.go
+++ b/internal/bench/twolevel/run.go
@@ -10,6 +10,7 @@
 
 	"swiftcourse/internal/bench/faultinjection"
 	"swiftcourse/internal/bench/process"
+	"swiftcourse/internal/bench/timing"
 	"swiftcourse/internal/fake/executor"
 	"swiftcourse/internal/wire/simulator"
 )
@@ -126,7 +127,7 @@
 		}
 	}
 	t.setLoad()
-	sleep(ctx, warmup)
+	timing.Sleep(ctx, warmup)
 	if err := t.measureLoad(ctx); err != nil {
 		return err
 	}
