--- a/cmd/swiftcourse-bench/idle.go
+++ b/cmd/swiftcourse-bench/idle.go
@@ -43,7 +43,6 @@
 		CPU:          c.Core,
 		Statistics:   c.Counts,
 		HealthChecks: c.Checks,
-		Expire:       c.Expire,
 		IdleTimeout:  c.Silent,
 		HonorClose:   c.Heeds,
 		Progress:     os.Stderr,
--- a/internal/bench/idleconns/plan.go
+++ b/internal/bench/idleconns/plan.go
@@ -25,8 +25,7 @@
 	CPU          int     // that all servers share; under 0 for any
 	HealthChecks bool    // the busy connections send health checks in place of requests
 	Statistics   bool    // ask servers for statistics; one that does not know the signal ends
-	Expire       bool
-	IdleTimeout  time.Duration // with Expire: how long a connection may be silent
+	IdleTimeout  time.Duration // for RunExpiry: how long a connection may be silent
 	HonorClose   bool          // idle clients close when they are asked to
 	Progress     io.Writer     // nil for none
 }
