--- a/internal/bench/idleconns/plan.go
+++ b/internal/bench/idleconns/plan.go
@@ -18,13 +18,13 @@
 	Program      string // path of the server's binary
 	Connections  []int  // idle ones over all servers; each number gives a row
 	Servers      int
-	Rate         float64 // busy requests a second, over all servers
-	Busy         int     // busy connections to each server
-	Seconds      float64 // of each measurement
-	Rounds       int     // how often it is measured with and without the idle connections, in turns
-	CPU          int     // that all servers share; under 0 for any
-	HealthChecks bool    // the busy connections send health checks in place of requests
-	Statistics   bool    // ask servers for statistics; one that does not know the signal ends
+	Rate         float64       // busy requests a second, over all servers
+	Busy         int           // busy connections to each server
+	Seconds      float64       // of each measurement
+	Rounds       int           // how often it is measured with and without the idle connections, in turns
+	CPU          int           // that all servers share; under 0 for any
+	HealthChecks bool          // the busy connections send health checks in place of requests
+	Statistics   bool          // ask servers for statistics; one that does not know the signal ends
 	IdleTimeout  time.Duration // for RunExpiry: how long a connection may be silent
 	HonorClose   bool          // idle clients close when they are asked to
 	Progress     io.Writer     // nil for none
