--- a/internal/bench/timing/timing.go
+++ b/internal/bench/timing/timing.go
@@ -1,4 +1,5 @@
-// Package timing holds the helpers for durations that the experiments share.
+// Package timing has the time helpers that the experiments share. Their plans and rows count float seconds, as the
+// command line and the reports do.
 package timing
 
 import (
@@ -6,13 +7,13 @@
 	"time"
 )
 
-// Seconds converts a number of seconds to a duration.
+// Seconds converts a number of seconds.
 func Seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
 
-// Sleep returns after the duration, or when the context ends.
+// Sleep returns after the duration, or as soon as the context ends.
 func Sleep(ctx context.Context, duration time.Duration) {
 	select {
-	case <-ctx.Done():
 	case <-time.After(duration):
+	case <-ctx.Done():
 	}
 }
--- a/internal/bench/timing/timing_test.go
+++ b/internal/bench/timing/timing_test.go
@@ -7,7 +7,12 @@
 )
 
 func TestSeconds(t *testing.T) {
-	tests := map[float64]time.Duration{0: 0, 0.25: 250 * time.Millisecond, 90: 90 * time.Second}
+	tests := map[float64]time.Duration{
+		0:    0,
+		0.25: 250 * time.Millisecond,
+		1.5:  1500 * time.Millisecond,
+		90:   90 * time.Second,
+	}
 	for n, want := range tests {
 		if got := Seconds(n); got != want {
 			t.Errorf("%g seconds are %s, not %s", n, got, want)
