--- a/internal/bench/simulation/balancer.go
+++ b/internal/bench/simulation/balancer.go
@@ -1,10 +1,5 @@
 package simulation
 
-import (
-	"cmp"
-	"slices"
-)
-
 // Balancer is how clients pick a server.
 type Balancer string
 
@@ -78,10 +73,3 @@
 	}
 	return nil
 }
-
-// sortAttempts sorts by arrival, then by ID.
-func sortAttempts(list []*attempt) {
-	slices.SortFunc(list, func(a, b *attempt) int {
-		return cmp.Or(cmp.Compare(a.arrivedAt, b.arrivedAt), cmp.Compare(a.id, b.id))
-	})
-}
--- a/internal/bench/simulation/claims.go
+++ b/internal/bench/simulation/claims.go
@@ -19,7 +19,7 @@
 	replicaZones      = 3
 	// recentKeys is the number of the latest keys from which attempts are drawn.
 	recentKeys = 30
-	// minRunSeconds and meanRunSeconds are of a run that was granted.
+	// A run that was granted takes minRunSeconds and an exponential time of mean meanRunSeconds.
 	minRunSeconds  = 0.02
 	meanRunSeconds = 0.05
 )
@@ -35,18 +35,18 @@
 	WrongResults       int     `json:"wrong"`  // results that no run of the key had
 	ConflictingResults int     `json:"alarms"` // keys with two results at a replica
 	SlotsOutOfSync     int     `json:"differ"` // slots that catch up or are out of sync, once healed
-	ClaimP50           float64 `json:"p50_ms"` // from a claim to its grant
+	ClaimP50           float64 `json:"p50_ms"` // milliseconds from a claim to its grant
 	ClaimP99           float64 `json:"p99_ms"` // the same
 }
 
-// claimLog is what really ran for each key, apart from the fleet's own records.
+// claimLog is what really ran for each key, recorded by the simulation.
 type claimLog struct {
-	row          ClaimsRow
-	placement    *replication.Placement
-	keys         []string
-	runs         map[string][]claimRun
-	attempts     map[string]*claimAttempt
-	grantSeconds []float64
+	row            ClaimsRow
+	placement      *replication.Placement
+	keys           []string
+	runs           map[string][]claimRun
+	attempts       map[string]*claimAttempt
+	grantLatencies []float64
 }
 
 // claimRun is a run that was granted.
@@ -93,29 +93,30 @@
 		MaxBytes:    64 << 20,
 		CatchUpRate: 4 << 20,
 		OnVerdict: func(id string, verdict serving.ClaimVerdict, result []byte) {
-			s.after(0, func() { s.handleVerdict(id, verdict, string(result)) }) // the serving loop takes it later too
+			// As in a server, the serving loop gets it in a later step.
+			s.after(0, func() { s.handleVerdict(id, verdict, string(result)) })
 		},
 	}
 }
 
-// sendClaim sends attempts at random times, half of them of new keys.
-func (t *fleetSim) sendClaim() {
-	log := t.claims
-	if len(log.keys) == 0 || t.random.IntN(2) == 0 {
+// sendClaim sends an attempt, of a new key or of a recent one, and schedules the next attempt.
+func (f *fleetSim) sendClaim() {
+	log := f.claims
+	if len(log.keys) == 0 || f.random.IntN(2) == 0 {
 		log.keys = append(log.keys, fmt.Sprintf("k%d", len(log.keys)))
 	}
-	key := log.keys[max(0, len(log.keys)-1-t.random.IntN(recentKeys))]
-	target := t.nodes[t.random.IntN(len(t.nodes))]
+	key := log.keys[max(0, len(log.keys)-1-f.random.IntN(recentKeys))]
+	target := f.nodes[f.random.IntN(len(f.nodes))]
 	if target.alive && !target.isPaused {
 		log.row.Attempts++
 		id := fmt.Sprintf("t%d", log.row.Attempts)
-		log.attempts[id] = &claimAttempt{key: key, sentAt: t.now, node: target, incarnation: target.agent.Incarnation()}
+		log.attempts[id] = &claimAttempt{key: key, sentAt: f.now, node: target, incarnation: target.agent.Incarnation()}
 		target.sendClaimEvent(fleet.ClaimEvent{ID: id, Class: "s", Key: key, Timeout: maxClaimDuration})
 	}
-	t.after(t.exponential(1/t.plan.KeyRate), t.sendClaim)
+	f.after(f.exponential(1/f.plan.KeyRate), f.sendClaim)
 }
 
-// handleVerdict does what a serving loop does with the verdict on a claim.
+// handleVerdict handles the verdict on a claim as a serving loop does.
 func (s *node) handleVerdict(id string, verdict serving.ClaimVerdict, result string) {
 	log := s.claims
 	attempt := log.attempts[id]
@@ -138,7 +139,7 @@
 // runClaim runs an attempt that was granted, unless its timeout is over.
 func (s *node) runClaim(id string, attempt *claimAttempt) {
 	log := s.claims
-	log.grantSeconds = append(log.grantSeconds, s.now-attempt.sentAt)
+	log.grantLatencies = append(log.grantLatencies, s.now-attempt.sentAt)
 	if s.isPaused || s.now > attempt.sentAt+maxClaimDuration {
 		s.sendClaimEvent(fleet.ClaimEvent{ID: id, Canceled: true})
 		return
@@ -165,24 +166,24 @@
 }
 
 // summarize fills the row once the fleet has healed.
-func (l *claimLog) summarize(t *fleetSim) {
+func (l *claimLog) summarize(sim *fleetSim) {
 	l.row.Keys = len(l.keys)
 	for _, attempt := range l.attempts {
-		if attempt.isOverdue(t.now) {
+		if attempt.isOverdue(sim.now) {
 			l.row.Unanswered++
 		}
 	}
 	l.row.SlotsOutOfSync = 0
 	l.row.ConflictingResults = 0
-	for _, one := range t.nodes {
+	for _, one := range sim.nodes {
 		status := one.agent.ReplicationStatus()
 		l.row.SlotsOutOfSync += status.CatchingUp + status.OutOfSync
 		l.row.ConflictingResults += status.ConflictingResults
 	}
-	slices.Sort(l.grantSeconds)
-	if count := len(l.grantSeconds); count > 0 {
-		l.row.ClaimP50 = 1000 * l.grantSeconds[count/2]
-		l.row.ClaimP99 = 1000 * l.grantSeconds[int(math.Min(float64(count-1), float64(count)*0.99))]
+	slices.Sort(l.grantLatencies)
+	if count := len(l.grantLatencies); count > 0 {
+		l.row.ClaimP50 = 1000 * l.grantLatencies[count/2]
+		l.row.ClaimP99 = 1000 * l.grantLatencies[int(math.Min(float64(count-1), float64(count)*0.99))]
 	}
 }
 
--- a/internal/bench/simulation/clock.go
+++ b/internal/bench/simulation/clock.go
@@ -12,21 +12,21 @@
 	now    float64 // seconds
 	timers timerwheel.Wheel
 	random *rand.Rand
-	events int
+	events int // timers that fired
 }
 
 // newClock makes a clock at time 0, in seconds.
 func newClock(seed uint64) *clock { return &clock{random: rand.New(rand.NewPCG(seed, 1))} }
 
-// after calls do that many seconds from now.
-func (c *clock) after(seconds float64, do func()) timerwheel.Timer {
-	return c.timers.Schedule(c.now+max(0, seconds), do)
+// after schedules a call of callback that many seconds from now.
+func (c *clock) after(seconds float64, callback func()) timerwheel.Timer {
+	return c.timers.Schedule(c.now+max(0, seconds), callback)
 }
 
-// maxTimersPerStep does not bound the timers of an instant.
+// maxTimersPerStep is more than the timers of any instant: all of them fire in one step.
 const maxTimersPerStep = math.MaxInt32 / 64
 
-// run handles the timers until then.
+// run fires the timers up to a time, in seconds, and leaves the clock there.
 func (c *clock) run(until float64) {
 	for {
 		next := c.timers.NextWakeup()
@@ -41,5 +41,13 @@
 	}
 }
 
-// exponential draws a duration of that mean.
+// exponential draws from the exponential distribution with that mean.
 func (c *clock) exponential(mean float64) float64 { return mean * c.random.ExpFloat64() }
+
+// poisson draws from the Poisson distribution with that mean, by counting exponential intervals.
+func (c *clock) poisson(mean float64) (count int) {
+	for at := c.exponential(1); at < mean; at += c.exponential(1) {
+		count++
+	}
+	return count
+}
--- a/internal/bench/simulation/counters.go
+++ b/internal/bench/simulation/counters.go
@@ -35,11 +35,11 @@
 	ClosedRows          int     `json:"closed"` // rows of incarnations that are gone, added up by the voters
 	Requests            uint64  `json:"tasks"`  // that all incarnations counted
 	Unreported          uint64  `json:"tasks_untold"`
-	Overcount           uint64  `json:"count_error_over"`  // counted by nobody; must be 0
+	Overcount           uint64  `json:"count_error_over"`  // in the totals though no server counted it; must be 0
 	Undercount          uint64  `json:"count_error_under"` // acknowledged but missing; must be 0 while most voters live
 	VotersLost          int     `json:"voters_lost"`       // checks at which most voters were dead or recovering
-	Unplaced            uint64  `json:"unplaced"`          // requests that servers had no cell for
-	UnderstatedError    float64 `json:"error_told_apart"`  // of the checks: more missing than reported
+	Unplaced            uint64  `json:"unplaced"`          // requests for which servers had no free cell
+	UnderstatedError    float64 `json:"error_told_apart"`  // share of checks with more missing than reported
 	SettleSeconds       float64 `json:"settled_s"`         // until all was counted, once healed
 	BytesPerSecond      float64 `json:"talk_bytes_s"`      // sent by a server for counters, on average, without faults
 	MaxBytesPerSecond   float64 `json:"talk_bytes_s_most"` // of the server that sends most
@@ -87,27 +87,27 @@
 	settleCheckInterval = 0.5
 )
 
-// trueCount is what one incarnation counted, apart from the fleet's own counters.
+// trueCount is what one incarnation really counted, recorded by the simulation.
 type trueCount struct {
 	counted      uint64
-	acknowledged uint64 // of counted, what most aggregators have
+	acknowledged uint64 // of counted, what a majority of aggregators has
 	unplaced     uint64
 }
 
 // counterSim is one run of a plan.
 type counterSim struct {
 	*fleetSim
-	trueCounts  map[uint64]*trueCount // by incarnation
-	isStopped   bool                  // no more requests come
-	row         CounterRow
-	checks      int
-	understated int
-	reporter    *node
+	trueCounts        map[uint64]*trueCount // by incarnation
+	requestsStopped   bool                  // no more requests come
+	row               CounterRow
+	checks            int
+	understatedChecks int
+	lastReporter      *node
 }
 
 // RunCounters runs the plan.
 func RunCounters(plan *CounterPlan) CounterRow {
-	c := &counterSim{
+	sim := &counterSim{
 		fleetSim: newFleetSim(&RolloutPlan{
 			Servers: plan.Servers,
 			Voters:  plan.Voters,
@@ -117,51 +117,48 @@
 		trueCounts: map[uint64]*trueCount{},
 		row:        CounterRow{Seed: plan.Seed, Servers: plan.Servers},
 	}
-	for _, one := range c.nodes {
+	for _, one := range sim.nodes {
 		one.countersEnabled = true
 	}
-	c.startNodes()
-	c.run(counterPhaseSeconds)
-	baseline := c.measureTraffic(counterPhaseSeconds)
-	for _, s := range c.nodes {
-		c.after(countInterval*c.random.Float64(), func() { c.countRequests(s) })
-	}
-	c.run(c.now + counterPhaseSeconds)
-	measured := c.measureTraffic(counterPhaseSeconds)
-	c.row.BytesPerSecond = measured.meanBytes - baseline.meanBytes
-	c.row.MaxBytesPerSecond = measured.maxBytes - baseline.maxBytes
-	c.row.OtherBytesPerSecond = baseline.meanBytes
-	c.after(0, c.checkTotals)
-	for end := c.now + plan.Seconds; c.now < end; {
-		c.injectFault()
-		c.run(c.now + 0.3 + 1.5*c.random.Float64())
+	sim.startNodes()
+	sim.run(counterPhaseSeconds)
+	baseline := sim.measureTraffic(counterPhaseSeconds)
+	for _, one := range sim.nodes {
+		sim.after(countInterval*sim.random.Float64(), func() { sim.countRequests(one) })
 	}
-	c.heal()
-	c.row.Faults = c.fleetSim.row.Faults
-	c.settle()
-	return c.row
+	sim.run(sim.now + counterPhaseSeconds)
+	measured := sim.measureTraffic(counterPhaseSeconds)
+	sim.row.BytesPerSecond = measured.meanBytes - baseline.meanBytes
+	sim.row.MaxBytesPerSecond = measured.maxBytes - baseline.maxBytes
+	sim.row.OtherBytesPerSecond = baseline.meanBytes
+	sim.after(0, sim.checkTotals)
+	sim.runFaults(plan.Seconds)
+	sim.heal()
+	sim.row.Faults = sim.fleetSim.row.Faults
+	sim.settle()
+	return sim.row
 }
 
 // countRequests has a node's serving loop count its requests, again and again.
-func (c *counterSim) countRequests(s *node) {
-	if s.alive && !s.isPaused {
-		truth := c.trueCountOf(s)
-		status := s.agent.CounterStatus(s.agent.Now())
+func (c *counterSim) countRequests(target *node) {
+	if target.alive && !target.isPaused {
+		truth := c.trueCountOf(target)
+		status := target.agent.CounterStatus(target.agent.Now())
 		truth.unplaced = status.Unplaced
 		if status.Acknowledged {
 			truth.acknowledged = truth.counted
 		}
-		if !c.isStopped {
-			s.agent.ObserveCounts(c.drawRequests(truth))
+		if !c.requestsStopped {
+			target.agent.ObserveCounts(c.drawRequests(truth))
 		}
-		s.tick()
+		target.tick()
 	}
-	c.after(countInterval, func() { c.countRequests(s) })
+	c.after(countInterval, func() { c.countRequests(target) })
 }
 
 // trueCountOf returns the true count of a node's present incarnation.
-func (c *counterSim) trueCountOf(s *node) *trueCount {
-	incarnation := s.agent.Incarnation()
+func (c *counterSim) trueCountOf(target *node) *trueCount {
+	incarnation := target.agent.Incarnation()
 	truth := c.trueCounts[incarnation]
 	if truth == nil {
 		truth = &trueCount{}
@@ -182,14 +179,6 @@
 	return cells
 }
 
-// poisson draws a number with that mean, as the count of exponential intervals.
-func (w *clock) poisson(mean float64) (n int) {
-	for at := w.exponential(1); at < mean; at += w.exponential(1) {
-		n++
-	}
-	return n
-}
-
 // Violations counts what breaks an invariant.
 func (r CounterRow) Violations() int {
 	if r.Overcount > 0 || r.VotersLost == 0 && (r.Undercount > 0 || r.Unplaced > 0) {
@@ -202,14 +191,14 @@
 // counted and what most aggregators acknowledged of the others, at most what all counted.
 func (c *counterSim) bounds() (low, high uint64) {
 	alive := map[uint64]bool{}
-	for _, s := range c.nodes {
-		if s.alive {
-			alive[s.agent.Incarnation()] = true
+	for _, one := range c.nodes {
+		if one.alive {
+			alive[one.agent.Incarnation()] = true
 		}
 	}
-	for number, truth := range c.trueCounts {
+	for incarnation, truth := range c.trueCounts {
 		high += truth.counted
-		if alive[number] {
+		if alive[incarnation] {
 			low += truth.counted
 		} else {
 			low += truth.acknowledged
@@ -229,7 +218,7 @@
 		totals := voter.agent.CounterStatus(voter.agent.Now()).Totals
 		if totals != nil && !totals.Recovering {
 			reporting++
-			c.reporter = voter
+			c.lastReporter = voter
 		}
 	}
 	if reporting <= c.plan.Voters/2 {
@@ -240,19 +229,19 @@
 	c.after(checkInterval, c.checkTotals)
 }
 
-// checkReporter compares the totals of the voter that reported last with the true counts.
+// checkReporter checks that the totals of the last reporter lack no more than they say.
 func (c *counterSim) checkReporter() {
-	voter := c.reporter
+	voter := c.lastReporter
 	if voter == nil || !voter.alive || voter.isPaused {
 		return
 	}
 	totals := voter.agent.CounterStatus(voter.agent.Now()).Totals
 	low, _ := c.bounds()
 	c.checks++
-	// What serving loops have not handed over yet, and what is on the way, is half a second's of
-	// all.
+	// Allowed besides: a second of all requests, for those that serving loops have not handed over
+	// yet and those in messages on their way.
 	if receivedTotal(totals.Total)+2*totals.MaxMissing+requestRate*float64(len(c.nodes)) < float64(low) {
-		c.understated++
+		c.understatedChecks++
 	}
 }
 
@@ -266,13 +255,13 @@
 
 // settle stops the requests, waits until all is counted, and compares it with the true counts.
 func (c *counterSim) settle() {
-	c.isStopped = true
+	c.requestsStopped = true
 	from := c.now
 	for c.now < from+settleTimeout {
 		c.run(c.now + settleCheckInterval)
-		isOpen := c.compareTotals()
+		pending := c.compareTotals()
 		c.row.SettleSeconds = c.now - from
-		if !isOpen && c.row.Overcount == 0 && c.row.Undercount == 0 {
+		if !pending && c.row.Overcount == 0 && c.row.Undercount == 0 {
 			break
 		}
 	}
@@ -284,13 +273,13 @@
 	c.row.Incarnations = len(c.trueCounts)
 	c.row.Unreported = high - low
 	if c.checks > 0 {
-		c.row.UnderstatedError = float64(c.understated) / float64(c.checks)
+		c.row.UnderstatedError = float64(c.understatedChecks) / float64(c.checks)
 	}
 }
 
-// compareTotals compares the totals of all voters with the true counts, and reports whether a voter
-// recovers or has rows of incarnations that are gone.
-func (c *counterSim) compareTotals() (isOpen bool) {
+// compareTotals enters the differences between the voters' totals and the true counts in the row. It
+// reports whether some are pending: a voter recovers, or has open rows of incarnations that are gone.
+func (c *counterSim) compareTotals() (pending bool) {
 	low, high := c.bounds()
 	c.row.Overcount = 0
 	c.row.Undercount = 0
@@ -301,8 +290,8 @@
 		c.row.Undercount = max(c.row.Undercount, low-min(counted, low))
 		c.row.ClosedRows = len(voter.agent.ReleaseLog().ClosedRows)
 		if totals.OpenRows > len(c.nodes) || totals.Recovering {
-			isOpen = true
+			pending = true
 		}
 	}
-	return isOpen
+	return pending
 }
--- a/internal/bench/simulation/doc.go
+++ b/internal/bench/simulation/doc.go
@@ -1,4 +1,5 @@
-// Package simulation simulates fleets in simulated time, decided by the code that serves.
+// Package simulation runs fleets in simulated time. Their decisions are made by the packages that
+// real servers run.
 //
 // Run simulates clients, balancers and servers whose decisions are made by package admission
 // itself, with the failures of a Scenario. RunRollout, RunQuota, RunCounters and RunTwoLevel
--- a/internal/bench/simulation/fleetsim.go
+++ b/internal/bench/simulation/fleetsim.go
@@ -17,15 +17,18 @@
 	startSpread = 2.0
 	// checkInterval is the time, in seconds, between two checks of invariants.
 	checkInterval = 0.1
-	// healTimeout is how long, in seconds, a healed fleet has to agree: some leases, and a
-	// bootstrap.
+	// healTimeout is how long, in seconds, a healed fleet has to agree: enough for several leases
+	// and a bootstrap.
 	healTimeout = 60.0
 	// healCheckInterval is the time, in seconds, between two checks whether the fleet has healed.
 	healCheckInterval = 0.25
 )
 
-// fleetSim is a simulated fleet of nodes and the network between them. Who is a member is known at
-// once and rightly, where the program has it by gossip.
+// releaseWaves are the waves that a release may have, as shares of the fleet; nil is all at once.
+var releaseWaves = [][]float64{nil, {0.01, 0.1, 0.5}}
+
+// fleetSim is a simulated fleet of nodes and the network between them. Membership is exact and known
+// at once, while servers learn it by gossip.
 type fleetSim struct {
 	*clock
 	plan          *RolloutPlan
@@ -33,12 +36,12 @@
 	nodeByName    map[string]*node
 	voters        map[string]string
 	partition     []int // the side of each node; nil without a partition
-	isolated      *node // it receives nothing
-	loss          float64
-	digests       map[release.Epoch]string
-	released      map[release.Epoch]float64 // when each release to all was accepted
+	isolated      *node // receives nothing; nil for none
+	lossShare     float64
+	digestByEpoch map[release.Epoch]string
+	releasedAt    map[release.Epoch]float64 // when each release to all was accepted
 	catchUpMillis []float64
-	newest        *release.Log // of any voter ever: what a leader did that died at once was done all the same
+	newestLog     *release.Log // that any voter ever had, also one that died before it replicated it
 	row           RolloutRow
 	claims        *claimLog // nil where no keys are claimed
 }
@@ -46,13 +49,13 @@
 // newFleetSim makes a fleet whose nodes have not started.
 func newFleetSim(plan *RolloutPlan) *fleetSim {
 	sim := &fleetSim{
-		clock:      newClock(plan.Seed),
-		plan:       plan,
-		nodeByName: map[string]*node{},
-		voters:     map[string]string{},
-		digests:    map[release.Epoch]string{},
-		released:   map[release.Epoch]float64{},
-		row:        RolloutRow{RolloutCounts: report.RolloutCounts{Seed: plan.Seed, Servers: plan.Servers}},
+		clock:         newClock(plan.Seed),
+		plan:          plan,
+		nodeByName:    map[string]*node{},
+		voters:        map[string]string{},
+		digestByEpoch: map[release.Epoch]string{},
+		releasedAt:    map[release.Epoch]float64{},
+		row:           RolloutRow{RolloutCounts: report.RolloutCounts{Seed: plan.Seed, Servers: plan.Servers}},
 	}
 	for i := range plan.Servers {
 		one := &node{
@@ -71,25 +74,25 @@
 }
 
 // startNodes starts all nodes at random times.
-func (t *fleetSim) startNodes() {
-	for _, one := range t.nodes {
-		t.after(startSpread*t.random.Float64(), one.start)
+func (f *fleetSim) startNodes() {
+	for _, one := range f.nodes {
+		f.after(startSpread*f.random.Float64(), one.start)
 	}
 }
 
 // nodeNames lists the nodes.
-func (t *fleetSim) nodeNames() []string {
+func (f *fleetSim) nodeNames() []string {
 	var names []string
-	for _, one := range t.nodes {
+	for _, one := range f.nodes {
 		names = append(names, one.name)
 	}
 	return names
 }
 
-// release submits a release at a node, to all at once or in waves.
-func (t *fleetSim) release(author *node) {
-	text := fmt.Sprintf("door-come-back %gs\n", 1+math.Floor(t.now))
-	waves := [][]float64{nil, {0.01, 0.1, 0.5}}[t.random.IntN(2)]
+// submitRelease submits a release at a node, to all at once or in waves.
+func (f *fleetSim) submitRelease(author *node) {
+	text := fmt.Sprintf("door-come-back %gs\n", 1+math.Floor(f.now))
+	waves := releaseWaves[f.random.IntN(len(releaseWaves))]
 	command := release.Command{
 		Kind:   release.KindRelease,
 		Author: author.name,
@@ -101,18 +104,18 @@
 		if result.RejectReason != "" {
 			return
 		}
-		t.row.Releases++
+		f.row.Releases++
 		if waves == nil {
-			t.released[result.NewestEpoch] = t.now
+			f.releasedAt[result.NewestEpoch] = f.now
 		}
 	})
 	author.tick()
 }
 
-// newestLivingLog returns the newest release log of the living voters. It lacks what a lost
-// majority did that nobody knows of any more.
-func (t *fleetSim) newestLivingLog() (newest *release.Log) {
-	for _, voter := range t.nodes[:t.plan.Voters] {
+// newestLivingLog returns the newest release log of the living voters. It lacks entries that only
+// dead voters had.
+func (f *fleetSim) newestLivingLog() (newest *release.Log) {
+	for _, voter := range f.nodes[:f.plan.Voters] {
 		if voter.alive && (newest == nil || voter.agent.ReleaseLog().NewerThan(newest)) {
 			newest = voter.agent.ReleaseLog()
 		}
@@ -120,29 +123,29 @@
 	return newest
 }
 
-// checkInvariants checks, again and again, that no node serves while it is ejected and that not too
-// many are out of service. Paused nodes are checked too: their serving loop would go by the last
+// checkInvariants checks every checkInterval that no node serves while it is ejected and that not too
+// many are out of service. Paused nodes are checked too: their serving loop would follow the last
 // directive.
-func (t *fleetSim) checkInvariants() {
-	living := t.newestLivingLog()
-	if t.newest != nil && living != nil {
+func (f *fleetSim) checkInvariants() {
+	living := f.newestLivingLog()
+	if f.newestLog != nil && living != nil {
 		unavailable := 0
-		for _, one := range t.nodes {
+		for _, one := range f.nodes {
 			if !one.alive {
 				continue
 			}
-			if one.servesWhileEjected(t.newest, living) {
-				t.row.ServedWhileEjected++
+			if one.servesWhileEjected(f.newestLog, living) {
+				f.row.ServedWhileEjected++
 			}
-			if one.isOutOfServiceMember(t.newest) {
+			if one.isOutOfServiceMember(f.newestLog) {
 				unavailable++
 			}
 		}
-		if unavailable > int(leaseTerms.MaxUnavailable*float64(len(t.nodes))) {
-			t.row.TooManyUnavailable++
+		if unavailable > int(leaseTerms.MaxUnavailable*float64(len(f.nodes))) {
+			f.row.TooManyUnavailable++
 		}
 	}
-	t.after(checkInterval, t.checkInvariants)
+	f.after(checkInterval, f.checkInvariants)
 }
 
 // servesWhileEjected reports whether a node holds a valid lease though its incarnation is ejected,
@@ -163,32 +166,32 @@
 }
 
 // heal ends all faults and waits until all nodes act on the newest version.
-func (t *fleetSim) heal() {
-	t.partition = nil
-	t.isolated = nil
-	t.loss = 0
-	for _, one := range t.nodes {
+func (f *fleetSim) heal() {
+	f.partition = nil
+	f.isolated = nil
+	f.lossShare = 0
+	for _, one := range f.nodes {
 		one.failsToApply = false
 		if !one.alive {
 			one.start()
 		}
 		one.resume(one.agent)
 	}
-	from := t.now
-	for t.now < from+healTimeout {
-		t.run(t.now + healCheckInterval)
-		t.row.Unhealed = t.countUnhealed()
-		if t.row.Unhealed == 0 {
+	from := f.now
+	for f.now < from+healTimeout {
+		f.run(f.now + healCheckInterval)
+		f.row.Unhealed = f.countUnhealed()
+		if f.row.Unhealed == 0 {
 			break
 		}
 	}
-	t.row.HealSeconds = t.now - from
+	f.row.HealSeconds = f.now - from
 }
 
 // countUnhealed counts the nodes that do not act on the newest version.
-func (t *fleetSim) countUnhealed() (count int) {
-	log := t.newestLivingLog()
-	for _, one := range t.nodes {
+func (f *fleetSim) countUnhealed() (count int) {
+	log := f.newestLivingLog()
+	for _, one := range f.nodes {
 		if log == nil || log.Next != nil || one.state != lease.StateLeased || one.activeEpoch != log.Current.Epoch {
 			count++
 		}
--- a/internal/bench/simulation/forwarder.go
+++ b/internal/bench/simulation/forwarder.go
@@ -20,7 +20,7 @@
 	minReportSeconds = 1e-3
 )
 
-// simWorker is a worker: what is queued is done at the speed of its cores, in order.
+// simWorker is a worker. It works off its queue in order, at the speed of all its cores.
 type simWorker struct {
 	name       string
 	cores      float64
@@ -73,7 +73,7 @@
 	return report
 }
 
-// learn has the router learn the workers' capacity, again and again.
+// learn has the router learn the workers' capacity every learnInterval.
 func (f *simForwarder) learn() {
 	f.router.LearnCapacity(learnInterval)
 	f.after(learnInterval, f.learn)
--- a/internal/bench/simulation/machine.go
+++ b/internal/bench/simulation/machine.go
@@ -7,17 +7,17 @@
 )
 
 // machine shares its cores equally among runs: each run has the speed of a core, or its share of
-// all cores if there are more runs than cores. It counts in the work that each run has had since
-// the machine was last empty, so a change costs one step in a heap.
+// all cores if there are more runs than cores. All runs progress at the same rate, so the machine
+// keeps one sum of work per run since it was last empty, and orders runs by the sum at which they end.
 type machine struct {
 	clock       *clock
 	cores       float64
 	speed       float64 // of a core; 1 is normal
 	workPerRun  float64 // seconds of a normal core that each run has had
 	updatedAt   float64 // the time of workPerRun
-	heap        runHeap
+	active      runHeap
 	timer       timerwheel.Timer
-	completeDue func()
+	completeDue func()      // completeRuns, bound once
 	onRunCount  func(n int) // called after each change of the number of runs
 	totalWork   float64     // seconds of a normal core, of all runs
 }
@@ -25,15 +25,15 @@
 // machineRun is a run on a machine.
 type machineRun struct {
 	finish float64 // workPerRun at which it is done
-	order  int     // of equal ones the first goes first
-	index  int
+	order  int     // breaks ties of finish: the run that started first ends first
+	index  int     // in the heap; -1 once it is removed
 	onDone func()
 }
 
 // runHeap orders runs by their end, for package container/heap.
 type runHeap struct {
-	runs  []*machineRun
-	added int
+	runs      []*machineRun
+	pushCount int
 }
 
 // Len returns the number of runs.
@@ -76,26 +76,26 @@
 
 // rate is the work that each run has in a second.
 func (m *machine) rate() float64 {
-	return m.speed * min(1, m.cores/float64(max(1, m.heap.Len())))
+	return m.speed * min(1, m.cores/float64(max(1, m.active.Len())))
 }
 
 // advance brings the work of the runs up to the present.
 func (m *machine) advance() {
 	work := (m.clock.now - m.updatedAt) * m.rate()
-	m.totalWork += work * float64(m.heap.Len())
+	m.totalWork += work * float64(m.active.Len())
 	m.workPerRun += work
 	m.updatedAt = m.clock.now
-	if m.heap.Len() == 0 {
-		m.workPerRun = 0 // it starts again at 0, so that it stays exact
+	if m.active.Len() == 0 {
+		m.workPerRun = 0 // rounding errors do not add up
 	}
 }
 
-// run starts a run of that many seconds of a normal core.
-func (m *machine) run(work float64, done func()) *machineRun {
+// start starts a run of that many seconds of a normal core.
+func (m *machine) start(work float64, done func()) *machineRun {
 	m.advance()
-	m.heap.added++
-	run := &machineRun{finish: m.workPerRun + work, order: m.heap.added, onDone: done}
-	heap.Push(&m.heap, run)
+	m.active.pushCount++
+	run := &machineRun{finish: m.workPerRun + work, order: m.active.pushCount, onDone: done}
+	heap.Push(&m.active, run)
 	m.reschedule()
 	return run
 }
@@ -106,7 +106,7 @@
 		return
 	}
 	m.advance()
-	heap.Remove(&m.heap, run.index)
+	heap.Remove(&m.active, run.index)
 	m.reschedule()
 }
 
@@ -117,11 +117,11 @@
 	m.reschedule()
 }
 
-// clear removes all runs.
+// clear removes all runs without a call of onDone.
 func (m *machine) clear() {
 	m.advance()
-	for m.heap.Len() > 0 {
-		heap.Pop(&m.heap)
+	for m.active.Len() > 0 {
+		heap.Pop(&m.active)
 	}
 	m.reschedule()
 }
@@ -129,28 +129,28 @@
 // reschedule sets the timer for the end of the next run.
 func (m *machine) reschedule() {
 	if m.onRunCount != nil {
-		m.onRunCount(m.heap.Len())
+		m.onRunCount(m.active.Len())
 	}
-	if m.heap.Len() == 0 {
+	if m.active.Len() == 0 {
 		m.clock.timers.Cancel(m.timer)
 		return
 	}
-	when := m.updatedAt + max(0, m.heap.runs[0].finish-m.workPerRun)/m.rate()
+	when := m.updatedAt + max(0, m.active.runs[0].finish-m.workPerRun)/m.rate()
 	if !m.clock.timers.Reschedule(m.timer, when) {
 		m.timer = m.clock.timers.Schedule(when, m.completeDue)
 	}
 }
 
-// workEpsilon is the work that a run may lack and still be done: far under anything reported, far
-// over rounding errors.
+// workEpsilon is the work that a run may lack and still be done: well above rounding errors, and too
+// little to change a reported figure.
 const workEpsilon = 1e-9
 
 // completeRuns ends the runs that are done.
 func (m *machine) completeRuns() {
 	m.advance()
 	var done []*machineRun
-	for m.heap.Len() > 0 && m.heap.runs[0].finish <= m.workPerRun+workEpsilon {
-		done = append(done, heap.Pop(&m.heap).(*machineRun))
+	for m.active.Len() > 0 && m.active.runs[0].finish <= m.workPerRun+workEpsilon {
+		done = append(done, heap.Pop(&m.active).(*machineRun))
 	}
 	m.reschedule()
 	for _, run := range done {
--- a/internal/bench/simulation/machine_test.go
+++ b/internal/bench/simulation/machine_test.go
@@ -30,26 +30,26 @@
 		{"M/M/4", 4, 0.8, false, 1 + erlangC(4, 0.8)/(4*(1-0.8))},
 		{"M/M/16", 16, 0.9, false, 1 + erlangC(16, 0.9)/(16*(1-0.9))},
 	} {
-		w := newClock(7)
-		m := newMachine(w, c.cores)
+		simulated := newClock(7)
+		m := newMachine(simulated, c.cores)
 		const n, batches = 400_000, 20
 		var sums [batches]float64
-		came := 0
+		arrived := 0
 		var arrive func()
 		arrive = func() {
-			if came == n {
+			if arrived == n {
 				return
 			}
-			at, batch, work := w.now, came*batches/n, 1.0
-			came++
+			at, batch, work := simulated.now, arrived*batches/n, 1.0
+			arrived++
 			if !c.exact {
-				work = w.exponential(1)
+				work = simulated.exponential(1)
 			}
-			m.run(work, func() { sums[batch] += w.now - at })
-			w.after(w.exponential(1/(c.rho*float64(c.cores))), arrive)
+			m.start(work, func() { sums[batch] += simulated.now - at })
+			simulated.after(simulated.exponential(1/(c.rho*float64(c.cores))), arrive)
 		}
 		arrive()
-		w.run(math.MaxFloat64)
+		simulated.run(math.MaxFloat64)
 		mean, square := 0.0, 0.0
 		for _, s := range sums {
 			x := s / (n / batches)
--- a/internal/bench/simulation/node.go
+++ b/internal/bench/simulation/node.go
@@ -121,36 +121,36 @@
 	})
 }
 
-// observe takes over what the agent decided, and records what the invariants are about.
+// observe copies the agent's decisions to the node and records what the invariants check.
 func (s *node) observe() {
 	view, active := s.agent.ServingState()
 	s.state = view.State
 	log := s.agent.ReleaseLog()
-	isNewest := s.newest == nil || log.NewerThan(s.newest)
+	isNewest := s.newestLog == nil || log.NewerThan(s.newestLog)
 	if s.number < s.plan.Voters && log.AppliedCount > 0 && isNewest {
-		s.newest = log
+		s.newestLog = log
 	}
 	if active.Epoch == s.activeEpoch {
 		return
 	}
 	s.activeEpoch = active.Epoch
-	if digest, seen := s.digests[active.Epoch]; seen && digest != active.Digest {
+	if digest, seen := s.digestByEpoch[active.Epoch]; seen && digest != active.Digest {
 		s.row.ConflictingDigests++
 	}
-	s.digests[active.Epoch] = active.Digest
-	if releasedAt, known := s.released[active.Epoch]; known && releasedAt > s.disturbedUntil {
+	s.digestByEpoch[active.Epoch] = active.Digest
+	if releasedAt, known := s.releasedAt[active.Epoch]; known && releasedAt > s.disturbedUntil {
 		s.catchUpMillis = append(s.catchUpMillis, 1000*(s.now-releasedAt))
 	}
 }
 
-// pause stops the node for some seconds, as SIGSTOP does. It goes on with what it had.
+// pause stops the node for some seconds, as SIGSTOP does; it keeps its state.
 func (s *node) pause(seconds float64) {
 	s.isPaused = true
 	paused := s.agent
 	s.after(seconds, func() { s.resume(paused) })
 }
 
-// resume ends the pause of an agent, unless the node has started another one since.
+// resume ends the pause of an agent, unless the node has started another agent since.
 func (s *node) resume(paused *fleet.Agent) {
 	if s.agent != paused || !s.isPaused {
 		return
@@ -170,12 +170,12 @@
 	s.after(seconds, s.start)
 }
 
-// Send has a message arrive later, more than once or never.
+// Send delivers a message after a delay, or twice, or not at all.
 func (s *node) Send(addr string, message []byte) {
 	s.messagesSent++
 	s.bytesSent += len(message)
 	to := s.nodeByName[addr]
-	if to == nil || to == s.isolated || s.isPartitioned(to) || s.clock.random.Float64() < s.loss {
+	if to == nil || to == s.isolated || s.isPartitioned(to) || s.clock.random.Float64() < s.lossShare {
 		return
 	}
 	for range 1 + s.clock.random.IntN(duplicateOneIn)/(duplicateOneIn-1) {
--- a/internal/bench/simulation/quota.go
+++ b/internal/bench/simulation/quota.go
@@ -84,6 +84,9 @@
 // minHealedShare is the share of the quota that has to be used once all faults are healed.
 const minHealedShare = 0.95
 
+// wellUsedRatio is the part of an expected use from which on the quota counts as well used.
+const wellUsedRatio = 0.9
+
 // Violations counts what breaks an invariant: use over the quota, and a quota that is not used
 // again once healed.
 func (r QuotaRow) Violations() (count int) {
@@ -98,6 +101,7 @@
 
 const (
 	quotaName          = "tenant/acme"
+	minShare           = 1e-9 // of the quota; less is a rounding error
 	quotaFloorFraction = 0.1
 	quotaDemandRatio   = 1.4  // of all demand, over the quota
 	hotDemandRatio     = 10   // of a hot server's demand over another's
@@ -108,7 +112,7 @@
 	maxShiftSeconds    = 30   // that a shift of demand is waited for
 )
 
-// quotaNode is a server's serving loop, as far as it uses the quota.
+// quotaNode is a node with the part of a serving loop that uses the quota.
 type quotaNode struct {
 	*node
 	allowance serving.Allowance
@@ -126,7 +130,7 @@
 
 // RunQuota runs the plan.
 func RunQuota(plan *QuotaPlan) QuotaRow {
-	s := &quotaSim{
+	sim := &quotaSim{
 		fleetSim: newFleetSim(&RolloutPlan{
 			Servers: plan.Servers,
 			Voters:  plan.Voters,
@@ -137,21 +141,21 @@
 		limit: quotaPerServer * float64(plan.Servers),
 		row:   QuotaRow{Seed: plan.Seed, Servers: plan.Servers},
 	}
-	s.configureQuota()
-	s.concentrateDemand(0)
-	s.startNodes()
-	s.run(s.now + quotaSettleSeconds)
-	baseline := s.measureTraffic(quotaPhaseSeconds)
-	for _, one := range s.quotaNodes {
-		s.after(usageInterval*s.random.Float64(), one.reportUsage)
+	sim.configureQuota()
+	sim.concentrateDemand(0)
+	sim.startNodes()
+	sim.run(sim.now + quotaSettleSeconds)
+	baseline := sim.measureTraffic(quotaPhaseSeconds)
+	for _, one := range sim.quotaNodes {
+		sim.after(usageInterval*sim.random.Float64(), one.reportUsage)
 	}
-	s.after(0, s.checkLimit)
-	s.run(s.now + quotaSettleSeconds)
-	s.measureHealthy(baseline)
-	s.measureShift()
-	s.measurePartition()
-	s.measureFaults()
-	return s.row
+	sim.after(0, sim.checkLimit)
+	sim.run(sim.now + quotaSettleSeconds)
+	sim.measureHealthy(baseline)
+	sim.measureShift()
+	sim.measureWithPartition()
+	sim.measureFaults()
+	return sim.row
 }
 
 // configureQuota has each node share the quota and keep the allowance that it is given.
@@ -198,7 +202,7 @@
 	}
 }
 
-// reportUsage reports the demand to the agent, again and again.
+// reportUsage reports the demand to the agent every usageInterval.
 func (q *quotaNode) reportUsage() {
 	if q.alive && !q.isPaused {
 		usage := fleet.Usage{Name: quotaName, Demand: q.demand, GrantNumber: q.allowance.GrantNumber}
@@ -225,7 +229,7 @@
 			all += one.allowance.LimitAt(s.now)
 		}
 	}
-	if over := all/s.limit - 1; over > 1e-9 {
+	if over := all/s.limit - 1; over > minShare {
 		s.row.MaxOverspend = max(s.row.MaxOverspend, over)
 	}
 	s.after(usageInterval/2, s.checkLimit)
@@ -233,20 +237,20 @@
 
 // usedShare returns the share of the quota that the selected servers use, and the share that they
 // could use if allowances always followed the demand.
-func (s *quotaSim) usedShare(selected func(int) bool) (used, could float64) {
+func (s *quotaSim) usedShare(selected func(int) bool) (used, attainable float64) {
 	floor := quotaFloorFraction * s.limit / float64(len(s.quotaNodes))
 	overFloor := 0.0
 	for i, one := range s.quotaNodes {
 		if selected(i) {
 			used += one.usage()
 			if one.alive && !one.isPaused {
-				could += min(one.demand, floor)
+				attainable += min(one.demand, floor)
 				overFloor += max(0, one.demand-floor)
 			}
 		}
 	}
-	could += min(overFloor, (1-quotaFloorFraction)*s.limit)
-	return used / s.limit, could / s.limit
+	attainable += min(overFloor, (1-quotaFloorFraction)*s.limit)
+	return used / s.limit, attainable / s.limit
 }
 
 // allNodes selects every server.
@@ -263,7 +267,8 @@
 	return sum / n
 }
 
-// measureHealthy measures use and traffic without faults; baseline is the traffic without use.
+// measureHealthy measures use and traffic without faults, and computes the three ways of sharing
+// without leases; baseline is the traffic without use.
 func (s *quotaSim) measureHealthy(baseline traffic) {
 	measured := s.measureTraffic(quotaPhaseSeconds)
 	s.row.BytesPerSecond = measured.meanBytes - baseline.meanBytes
@@ -291,7 +296,7 @@
 	s.concentrateDemand(n / 2)
 	for s.now < from+maxShiftSeconds {
 		s.run(s.now + usageInterval/2)
-		if now, _ := s.usedShare(func(i int) bool { return (i-n/2+n)%n < tenth }); now >= 0.9*before {
+		if now, _ := s.usedShare(func(i int) bool { return (i-n/2+n)%n < tenth }); now >= wellUsedRatio*before {
 			break
 		}
 	}
@@ -299,16 +304,16 @@
 	s.run(s.now + quotaSettleSeconds)
 }
 
-// measurePartition cuts off a third of the fleet, with its demand, for longer than a lease.
-func (s *quotaSim) measurePartition() {
-	third := func(i int) bool { return i >= len(s.quotaNodes)*2/3 }
-	usedBefore, _ := s.usedShare(third)
+// measureWithPartition cuts off a third of the fleet, with its demand, for longer than a lease.
+func (s *quotaSim) measureWithPartition() {
+	isCutOff := func(i int) bool { return i >= len(s.quotaNodes)*2/3 }
+	usedBefore, _ := s.usedShare(isCutOff)
 	s.partition = make([]int, len(s.nodes))
 	demand := 0.0
 	majorityDemand := 0.0
 	for i, one := range s.quotaNodes {
 		demand += one.demand
-		if third(i) {
+		if isCutOff(i) {
 			s.partition[i] = 1
 		} else {
 			majorityDemand += one.demand
@@ -316,8 +321,8 @@
 	}
 	s.run(s.now + 2*leaseTerms.Duration)
 	s.row.UsedShareCut = s.meanUsedShare(quotaPhaseSeconds, allNodes)
-	used, _ := s.usedShare(third)
-	s.row.CutOffService = used / max(usedBefore, 1e-9)
+	used, _ := s.usedShare(isCutOff)
+	s.row.CutOffService = used / max(usedBefore, minShare)
 	s.row.CentralShareCut = min(1, majorityDemand/s.limit)
 	minorityShare := min(1, (demand-majorityDemand)/s.limit)
 	s.row.GossipOverspendCut = max(0, s.row.CentralShareCut+minorityShare-1)
@@ -332,9 +337,9 @@
 			s.concentrateDemand(s.random.IntN(len(s.quotaNodes)))
 		}
 		s.injectFault()
-		for till := s.now + 0.3 + 1.5*s.random.Float64(); s.now < till; {
+		for nextFault := s.drawNextFault(); s.now < nextFault; {
 			s.run(s.now + usageInterval)
-			if used, could := s.usedShare(allNodes); used < 0.9*could {
+			if used, attainable := s.usedShare(allNodes); used < wellUsedRatio*attainable {
 				s.row.UnderusedSeconds += usageInterval
 			}
 		}
--- a/internal/bench/simulation/request.go
+++ b/internal/bench/simulation/request.go
@@ -18,6 +18,13 @@
 	unreachable    // there was no server to try
 )
 
+// attemptResult is what a client learns of the end of an attempt.
+type attemptResult struct {
+	outcome    outcome
+	retryAfter float64 // seconds that the server asks to wait before a retry
+	noFailover bool    // the server says that a retry elsewhere is of no use
+}
+
 // requestSim is one run of a scenario.
 type requestSim struct {
 	*clock
@@ -30,12 +37,12 @@
 	tally          tally
 }
 
-// tally is what a run counts.
+// tally counts the results of a simulation.
 type tally struct {
 	rows           []ClassRow
 	runs           int
 	calls          int
-	wasted         float64 // work without use, in seconds of a core
+	wasted         float64 // work for answers that nobody waited for, in seconds of a core
 	violations     []string
 	violationCount int
 }
@@ -51,16 +58,16 @@
 	}
 }
 
-// request is a client's request.
+// request is a client's request, which may take several attempts.
 type request struct {
 	*requestSim
-	number    int
-	class     int
-	work      float64
-	arrivedAt float64
-	attempts  int
-	isDone    bool
-	current   *attempt
+	number     int
+	classIndex int
+	work       float64
+	arrivedAt  float64
+	attempts   int // made so far
+	isDone     bool
+	current    *attempt
 }
 
 // ClassRow is the result of the requests of a class.
@@ -85,7 +92,7 @@
 	Rows           []ClassRow `json:"stages"`
 	Runs           int        `json:"runs"`
 	Calls          int        `json:"calls"`
-	WastedShare    float64    `json:"wasted_share"` // of all work done, what was of no use
+	WastedShare    float64    `json:"wasted_share"` // of all work done, that for answers that nobody waited for
 	Events         int        `json:"events"`
 	ViolationCount int        `json:"rules_broken"`
 	Violations     []string   `json:"broken"` // the first of them
@@ -115,22 +122,22 @@
 
 // Run simulates a scenario to its end, and until all requests have ended.
 func Run(scenario *Scenario) Report {
-	p := &requestSim{clock: newClock(scenario.Seed), scenario: scenario}
-	p.downstream = newMachine(p.clock, max(1, scenario.Downstream.Cores))
+	sim := &requestSim{clock: newClock(scenario.Seed), scenario: scenario}
+	sim.downstream = newMachine(sim.clock, max(1, scenario.Downstream.Cores))
 	longestTimeout := 0.0
 	for _, class := range scenario.Classes {
-		p.tally.rows = append(p.tally.rows, ClassRow{Class: class.Name})
+		sim.tally.rows = append(sim.tally.rows, ClassRow{Class: class.Name})
 		longestTimeout = max(longestTimeout, class.Timeout)
 	}
 	for i := range scenario.Servers {
-		p.addServer(i)
+		sim.addServer(i)
 	}
 	for _, fault := range scenario.Faults {
-		p.after(fault.At, func() { p.inject(fault) })
+		sim.after(fault.At, func() { sim.inject(fault) })
 	}
-	p.scheduleArrival()
-	p.run(scenario.Seconds + 2*longestTimeout + drainTimeout)
-	return p.buildReport()
+	sim.scheduleArrival()
+	sim.run(scenario.Seconds + 2*longestTimeout + drainTimeout)
+	return sim.buildReport()
 }
 
 // addServer starts a server that balancers know from the beginning.
@@ -167,33 +174,33 @@
 }
 
 // inject starts a fault of the scenario.
-func (p *requestSim) inject(f Fault) {
-	s := p.servers[f.Server]
+func (p *requestSim) inject(fault Fault) {
+	target := p.servers[fault.Server]
 	restart := func() {
-		if !s.alive {
-			s.start(true)
+		if !target.alive {
+			target.start(true)
 		}
 	}
-	switch f.Kind {
+	switch fault.Kind {
 	case faultCrash:
-		s.kill()
-		p.after(f.Duration, restart)
+		target.kill()
+		p.after(fault.Duration, restart)
 	case faultDrain:
-		s.drain()
-		p.after(drainTimeout+f.Duration, restart)
+		target.drain()
+		p.after(drainTimeout+fault.Duration, restart)
 	case faultDownstreamSlow:
-		p.downstream.setSpeed(f.Factor)
-		p.after(f.Duration, func() { p.downstream.setSpeed(1) })
+		p.downstream.setSpeed(fault.Factor)
+		p.after(fault.Duration, func() { p.downstream.setSpeed(1) })
 	case faultDownstreamDead: // it takes calls and answers none
 		p.downstreamDead = true
 		p.downstream.clear()
-		p.after(f.Duration, func() { p.downstreamDead = false })
+		p.after(fault.Duration, func() { p.downstreamDead = false })
 	case faultSlow:
-		s.speedFactor = f.Factor
-		s.setSpeed(1)
-		p.after(f.Duration, func() {
-			s.speedFactor = 1
-			s.setSpeed(1)
+		target.speedFactor = fault.Factor
+		target.setSpeed(1)
+		p.after(fault.Duration, func() {
+			target.speedFactor = 1
+			target.setSpeed(1)
 		})
 	}
 }
@@ -214,16 +221,16 @@
 
 // sendRequest starts a request of a random class.
 func (p *requestSim) sendRequest() {
-	t := &request{requestSim: p, number: p.requestCount, arrivedAt: p.now}
+	created := &request{requestSim: p, number: p.requestCount, arrivedAt: p.now}
 	p.requestCount++
-	t.class = p.drawClass()
-	t.work = p.exponential(t.settings().Work)
-	p.tally.rows[t.class].Received++
-	p.after(t.settings().Timeout, t.timeOut)
-	t.startAttempt()
+	created.classIndex = p.drawClass()
+	created.work = p.exponential(created.class().Work)
+	p.tally.rows[created.classIndex].Received++
+	p.after(created.class().Timeout, created.timeOut)
+	created.startAttempt()
 }
 
-// drawClass draws a class by the classes' shares.
+// drawClass draws the index of a class by the classes' shares.
 func (p *requestSim) drawClass() (class int) {
 	classes := p.scenario.Classes
 	for rest := p.random.Float64(); class < len(classes)-1 && rest >= classes[class].Share; class++ {
@@ -233,95 +240,95 @@
 }
 
 // timeOut ends the request if it has not ended, and tells the server of its attempt.
-func (t *request) timeOut() {
-	if t.isDone {
+func (r *request) timeOut() {
+	if r.isDone {
 		return
 	}
-	if current := t.current; current != nil {
-		t.after(t.drawDelay(), func() { current.server.clientGone(current) })
+	if current := r.current; current != nil {
+		r.after(r.drawDelay(), func() { current.server.handleClientGone(current) })
 	}
-	t.finish(timedOut)
+	r.finish(timedOut)
 }
 
-// settings returns the class of the request.
-func (t *request) settings() *Class { return &t.scenario.Classes[t.class] }
+// class returns the class of the request.
+func (r *request) class() *Class { return &r.scenario.Classes[r.classIndex] }
 
 // startAttempt sends the request to a server.
-func (t *request) startAttempt() {
-	if t.isDone {
+func (r *request) startAttempt() {
+	if r.isDone {
 		return
 	}
-	s := t.pickServer()
-	if s == nil {
-		t.finish(unreachable)
+	picked := r.pickServer()
+	if picked == nil {
+		r.finish(unreachable)
 		return
 	}
-	t.attempts++
+	r.attempts++
 	started := &attempt{
-		id:       fmt.Sprintf("%x-%d", t.number, t.attempts),
-		request:  t,
-		server:   s,
-		deadline: t.arrivedAt + t.settings().Timeout,
-		work:     t.work,
+		id:       fmt.Sprintf("%x-%d", r.number, r.attempts),
+		request:  r,
+		server:   picked,
+		deadline: r.arrivedAt + r.class().Timeout,
+		work:     r.work,
 	}
-	t.current = started
-	s.openAttempts++
-	t.after(t.drawDelay(), func() { s.receive(started) })
+	r.current = started
+	picked.openAttempts++
+	r.after(r.drawDelay(), func() { picked.receive(started) })
 }
 
-// attemptEnded ends the request or retries it after a backoff, unless the server said that a retry
-// is of no use.
-func (t *request) attemptEnded(ended *attempt, how outcome, retryAfter float64, noFailover bool) {
+// handleAttemptEnd ends the request or retries it after a backoff, unless the server said that a
+// retry is of no use.
+func (r *request) handleAttemptEnd(ended *attempt, result attemptResult) {
 	ended.server.openAttempts--
-	if t.isDone {
+	if r.isDone {
 		return
 	}
-	t.current = nil
-	switch how {
+	r.current = nil
+	switch ending := result.outcome; ending {
 	case finished:
-		if t.now-t.arrivedAt > t.settings().SoftDeadline {
-			how = late
+		if r.now-r.arrivedAt > r.class().SoftDeadline {
+			ending = late
 		}
-		t.finish(how)
+		r.finish(ending)
 	case abandoned:
-		t.finish(how)
+		r.finish(ending)
 	default:
-		backoff := max(retryAfter, minBackoff*float64(t.attempts))
-		isTooLate := t.now+backoff-t.arrivedAt >= t.settings().Timeout
-		if noFailover || t.attempts >= t.scenario.MaxAttempts || isTooLate {
-			if how == connectionLost {
-				how = unreachable
+		backoff := max(result.retryAfter, minBackoff*float64(r.attempts))
+		isTooLate := r.now+backoff-r.arrivedAt >= r.class().Timeout
+		if result.noFailover || r.attempts >= r.scenario.MaxAttempts || isTooLate {
+			if ending == connectionLost {
+				ending = unreachable
 			}
-			t.finish(how)
+			r.finish(ending)
 			return
 		}
-		t.after(backoff, t.startAttempt)
+		r.after(backoff, r.startAttempt)
 	}
 }
 
-// minBackoff is the least time, in seconds, that a client waits before a retry, times the attempts
-// made.
+// minBackoff is the shortest backoff, in seconds, of a first retry. That of a later retry is as many
+// times as long as attempts were made.
 const minBackoff = 0.01
 
 // finish ends the request.
-func (t *request) finish(how outcome) {
-	t.isDone = true
-	r := &t.tally.rows[t.class]
-	r.Attempts += t.attempts
-	switch how {
+func (r *request) finish(ending outcome) {
+	r.isDone = true
+	row := &r.tally.rows[r.classIndex]
+	row.Attempts += r.attempts
+	switch ending {
 	case finished:
-		r.Finished++
-		r.totalSeconds += t.now - t.arrivedAt
+		row.Finished++
+		row.totalSeconds += r.now - r.arrivedAt
 	case late:
-		r.Late++
-		r.totalSeconds += t.now - t.arrivedAt
+		row.Late++
+		row.totalSeconds += r.now - r.arrivedAt
 	case rejected:
-		r.Rejected++
+		row.Rejected++
 	case abandoned:
-		r.Abandoned++
+		row.Abandoned++
 	case timedOut:
-		r.TimedOut++
+		row.TimedOut++
 	default:
-		r.Unreachable++
+		row.Unreachable++
 	}
 }
--- a/internal/bench/simulation/rollout.go
+++ b/internal/bench/simulation/rollout.go
@@ -12,7 +12,7 @@
 type RolloutPlan struct {
 	Servers  int
 	Voters   int
-	Seconds  float64 // of releases and faults; then all is healed, and the fleet has a while to agree
+	Seconds  float64 // of releases and faults; then faults end and the fleet has healTimeout to agree
 	Seed     uint64
 	NoFaults bool
 	KeyRate  float64 // requests a second with a key, over all servers; 0 for none
@@ -84,43 +84,34 @@
 
 // RunRollout runs the plan.
 func RunRollout(plan *RolloutPlan) RolloutRow {
-	t := newFleetSim(plan)
+	sim := newFleetSim(plan)
 	if plan.KeyRate > 0 {
-		t.claims = newClaimLog(t.nodeNames())
+		sim.claims = newClaimLog(sim.nodeNames())
 	}
-	t.startNodes()
-	t.run(bootstrapSeconds)
-	if t.claims != nil {
-		t.run(t.now + claimRetention + 2*maxClaimDuration) // replicas can't tell yet what ran before they started
-		t.sendClaim()
+	sim.startNodes()
+	sim.run(bootstrapSeconds)
+	if sim.claims != nil {
+		// Until then replicas do not know what ran before they started.
+		sim.run(sim.now + claimRetention + 2*maxClaimDuration)
+		sim.sendClaim()
 	}
-	t.measureQuiet()
-	t.after(0, t.checkInvariants)
-	for end := t.now + plan.Seconds; t.now < end; {
-		t.injectFault()
-		t.run(t.now + 0.3 + 1.5*t.random.Float64())
+	sim.measureQuiet()
+	sim.after(0, sim.checkInvariants)
+	sim.runFaults(plan.Seconds)
+	sim.heal()
+	if sim.claims != nil {
+		sim.run(sim.now + claimRetention) // records that were lost with most of their replicas have to expire
+		sim.claims.summarize(sim)
+		sim.row.Claims = sim.claims.row
 	}
-	t.heal()
-	if t.claims != nil {
-		t.run(t.now + claimRetention) // what was lost with most of its replicas has to expire
-		t.claims.summarize(t)
-		t.row.Claims = t.claims.row
-	}
-	t.row.CatchUpLatency = report.NewCatchUpLatency(t.catchUpMillis)
-	return t.row
+	sim.row.CatchUpLatency = report.NewCatchUpLatency(sim.catchUpMillis)
+	return sim.row
 }
 
 // measureQuiet measures the traffic while nothing happens.
-func (t *fleetSim) measureQuiet() {
-	messagesBefore, bytesBefore := t.trafficTotals()
-	from := t.now
-	t.run(t.now + quietSeconds)
-	messages, bytes := t.trafficTotals()
-	elapsed := t.now - from
-	count := float64(len(messages))
-	for i := range messages {
-		t.row.MessagesPerSecond += (messages[i] - messagesBefore[i]) / elapsed / count
-		t.row.BytesPerSecond += (bytes[i] - bytesBefore[i]) / elapsed / count
-		t.row.MaxBytesPerSecond = max(t.row.MaxBytesPerSecond, (bytes[i]-bytesBefore[i])/elapsed)
-	}
+func (f *fleetSim) measureQuiet() {
+	measured := f.measureTraffic(quietSeconds)
+	f.row.MessagesPerSecond = measured.meanMessages
+	f.row.BytesPerSecond = measured.meanBytes
+	f.row.MaxBytesPerSecond = measured.maxBytes
 }
--- a/internal/bench/simulation/rollout_test.go
+++ b/internal/bench/simulation/rollout_test.go
@@ -8,15 +8,15 @@
 
 func TestRunRollout_InvariantsHoldUnderFaults(t *testing.T) {
 	for seed := range uint64(12) {
-		v := &RolloutPlan{Servers: 5 + int(seed), Voters: 3, Seconds: 40, Seed: seed}
-		if err := v.Validate(); err != nil {
+		plan := &RolloutPlan{Servers: 5 + int(seed), Voters: 3, Seconds: 40, Seed: seed}
+		if err := plan.Validate(); err != nil {
 			t.Fatal(err)
 		}
-		r := RunRollout(v)
-		if r.ConflictingDigests+r.ServedWhileEjected+r.TooManyUnavailable+r.Unhealed > 0 {
-			t.Errorf("seed %d: %+v", seed, r)
+		row := RunRollout(plan)
+		if row.ConflictingDigests+row.ServedWhileEjected+row.TooManyUnavailable+row.Unhealed > 0 {
+			t.Errorf("seed %d: %+v", seed, row)
 		}
-		if r.Faults == 0 {
+		if row.Faults == 0 {
 			t.Errorf("seed %d played no fault", seed)
 		}
 	}
@@ -25,8 +25,8 @@
 // TestRunRollout_IsDeterministicForASeed: chance comes from the seed alone, the consensus library's
 // too.
 func TestRunRollout_IsDeterministicForASeed(t *testing.T) {
-	v := &RolloutPlan{Servers: 9, Voters: 3, Seconds: 30, Seed: 4}
-	if a, b := RunRollout(v), RunRollout(v); !reflect.DeepEqual(a, b) {
+	plan := &RolloutPlan{Servers: 9, Voters: 3, Seconds: 30, Seed: 4}
+	if a, b := RunRollout(plan), RunRollout(plan); !reflect.DeepEqual(a, b) {
 		t.Errorf("%+v, and again %+v", a, b)
 	}
 }
@@ -34,9 +34,9 @@
 func TestRunRollout_CatchUpIsFastAndTrafficDoesNotGrow(t *testing.T) {
 	small := RunRollout(&RolloutPlan{Servers: 15, Voters: 3, Seconds: 20, Seed: 2, NoFaults: true})
 	large := RunRollout(&RolloutPlan{Servers: 150, Voters: 3, Seconds: 20, Seed: 2, NoFaults: true})
-	for _, r := range []RolloutRow{small, large} {
-		if r.Releases == 0 || r.Unhealed > 0 || r.CatchUpP99 > 2000 {
-			t.Errorf("%+v", r)
+	for _, row := range []RolloutRow{small, large} {
+		if row.Releases == 0 || row.Unhealed > 0 || row.CatchUpP99 > 2000 {
+			t.Errorf("%+v", row)
 		}
 	}
 	if large.BytesPerSecond > small.BytesPerSecond {
@@ -49,11 +49,11 @@
 // told of a run is what it came to.
 func TestRunRollout_ClaimsHoldUnderFaults(t *testing.T) {
 	row := RunRollout(&RolloutPlan{Servers: 12, Voters: 3, Seconds: 40, Seed: 5, KeyRate: 30})
-	k := row.Claims
-	if k.RepeatedRuns+k.WrongResults+k.ConflictingResults+k.Unanswered+k.SlotsOutOfSync > 0 {
-		t.Errorf("%+v", k)
+	claims := row.Claims
+	if claims.RepeatedRuns+claims.WrongResults+claims.ConflictingResults+claims.Unanswered+claims.SlotsOutOfSync > 0 {
+		t.Errorf("%+v", claims)
 	}
-	if k.Runs < 100 || slices.Contains(k.Verdicts[:], 0) || row.Faults == 0 {
+	if claims.Runs < 100 || slices.Contains(claims.Verdicts[:], 0) || row.Faults == 0 {
 		t.Errorf("too little was tried: %+v", row)
 	}
 	if again := RunRollout(&RolloutPlan{Servers: 12, Voters: 3, Seconds: 40, Seed: 5, KeyRate: 30}); again != row {
--- a/internal/bench/simulation/scenario.go
+++ b/internal/bench/simulation/scenario.go
@@ -165,13 +165,14 @@
 }
 
 const (
-	// maxRunsPerCore and overloadWindow are the runs a core that a server survives, and the seconds
-	// over which more count.
+	// A server falls over that has more than maxRunsPerCore runs a core for longer than
+	// overloadWindow seconds.
 	maxRunsPerCore = 8
 	overloadWindow = 1.0
 	// drainTimeout is how long a server has from the start of its drain to its kill.
 	drainTimeout = 3.0
-	// drainGracePeriod is for how long after that start it may still begin what came before.
+	// drainGracePeriod is for how long after that start it may still start runs of requests that
+	// arrived before.
 	drainGracePeriod = 1.0
 	// answerTolerance is how much later than its deadline an answer may come.
 	answerTolerance = 0.05
@@ -183,9 +184,9 @@
 	lateValue = 0.2
 )
 
-// settings are the settings of each server's admission control. A restarted server is slow at
+// admissionSettings are the settings of each server's admission control. A restarted server is slow at
 // first.
-func (s *Scenario) settings(isRestart bool) admission.Settings {
+func (s *Scenario) admissionSettings(isRestart bool) admission.Settings {
 	settings := admission.Settings{
 		Servers:             s.Servers,
 		Clients:             1,
--- a/internal/bench/simulation/scenario_test.go
+++ b/internal/bench/simulation/scenario_test.go
@@ -62,18 +62,20 @@
 func TestRun_IsDeterministicForASeed(t *testing.T) {
 	more := `,"load":1.3,"faults":[{"at":5,"kind":"crash","server":0,"for":3},
 			{"at":7,"kind":"drain","server":1,"for":1}]`
-	tell := func(s *Scenario) string {
+	reportText := func(s *Scenario) string {
 		text, err := json.Marshal(Run(s))
 		if err != nil {
 			t.Fatal(err)
 		}
 		return string(text)
 	}
-	first, again, other := tell(parseScenario(t, more)), tell(parseScenario(t, more)), parseScenario(t, more)
+	first := reportText(parseScenario(t, more))
+	again := reportText(parseScenario(t, more))
+	other := parseScenario(t, more)
 	if first != again {
 		t.Errorf("%s\n%s", first, again)
 	}
-	if other.Seed++; tell(other) == first {
+	if other.Seed++; reportText(other) == first {
 		t.Error("another seed gives the same report")
 	}
 }
@@ -88,19 +90,19 @@
 	at := &attempt{id: "a", request: &request{requestSim: p}, server: s, work: 1, deadline: 0.5}
 	s.attempts["a"], at.incarnation = at, s.incarnation
 	s.startRun(at)
-	at.job = nil
+	at.activeRun = nil
 	s.startRun(at)
-	s.answer("a", rejected, 0, false)
-	s.answer("a", rejected, 0, false)
-	p.run(3) // two runs of one try are on the machine; one that no module knows is never answered
+	s.answer("a", attemptResult{outcome: rejected})
+	s.answer("a", attemptResult{outcome: rejected})
+	p.run(3) // two runs of one attempt are on the machine
 	for range 40 {
-		s.machine.run(100, func() {})
+		s.machine.start(100, func() {})
 	}
-	p.after(2, func() { s.machine.run(100, func() {}) })
+	p.after(2, func() { s.machine.start(100, func() {}) })
 	p.run(10)
 	for _, want := range []string{"run a second time", "answered a second time", "fell over"} {
 		if !strings.Contains(strings.Join(p.tally.violations, "\n"), want) {
-			t.Errorf("%q is not told: %q", want, p.tally.violations)
+			t.Errorf("%q is not reported: %q", want, p.tally.violations)
 		}
 	}
 }
@@ -112,7 +114,7 @@
 		{`,"faults":[{"kind":"flood"}]`, "faults[0]"}, {`,"faults":[{"kind":"crash","server":9}]`,
 			"faults[0]"}, {`,"tries":0`, "tries"},
 		{`,"stages":[]`, "stages"}, {`,"cold_from":0`, "cold_from"}, {`,"colour":1`, "colour"},
-		// the rest is as the first list has it
+		// what the second list lacks keeps its value of the first
 		{`,"stages":[{"part":0.5}]`, "stages"}, {`,"stages":[{"work":-1}]`, "stages[0]"},
 	} {
 		if _, err := ParseScenario([]byte(calmScenario + c.more + "}")); err == nil ||
@@ -122,7 +124,7 @@
 	}
 }
 
-// BenchmarkRun tells how long a simulated second of a large fleet takes.
+// BenchmarkRun measures how long a simulated second of a large fleet takes.
 func BenchmarkRun(b *testing.B) {
 	s, err := ParseScenario([]byte(calmScenario + `,"servers":200,"seconds":2,"load":0.8}`))
 	if err != nil {
--- a/internal/bench/simulation/server.go
+++ b/internal/bench/simulation/server.go
@@ -1,28 +1,31 @@
 package simulation
 
 import (
+	"cmp"
 	"fmt"
+	"slices"
 
 	"swiftcourse/admission"
 )
 
-// server is one server of the fleet: package admission decides, a machine runs.
+// server is one server of the fleet: a controller of package admission decides which attempts run,
+// and a machine runs them.
 type server struct {
 	*requestSim
 	number            int
 	incarnation       int // number of its starts
 	alive             bool
 	isDraining        bool
-	isHealthy         bool // by its controller
-	listed            bool // as balancers know
+	isHealthy         bool // as its controller decided
+	listed            bool // balancers may pick it
 	openAttempts      int  // attempts that balancers have open
 	controller        *admission.Controller
 	machine           *machine
 	attempts          map[string]*attempt
-	overloadedSince   float64 // since when there are more runs than it survives; -1 if there are not
-	batch             []admission.Event
+	overloadedSince   float64           // when it began to have more runs than it survives; -1 if it has not
+	batch             []admission.Event // of the present instant
 	decisionScheduled bool
-	speedFactor       float64
+	speedFactor       float64 // that a slow fault leaves; 1 without one
 }
 
 // attempt is one attempt of a request, at one server.
@@ -34,9 +37,9 @@
 	arrivedAt    float64
 	deadline     float64 // of its answer
 	work         float64
-	job          *machineRun
+	activeRun    *machineRun
 	awaitsCall   bool        // its run waits for a call
-	callCount    int         // calls so far; the end of another than the latest is late
+	callCount    int         // calls so far; only the end of the latest counts
 	pendingCall  *machineRun // the latest call, while it is in flight
 	startedAt    float64
 	isAnswered   bool
@@ -53,7 +56,7 @@
 	s.overloadedSince = -1
 	s.attempts = map[string]*attempt{}
 	seed := int64(s.scenario.Seed) + int64(s.number)*1000 + int64(s.incarnation)
-	s.controller = admission.New(seed, s.scenario.settings(isRestart))
+	s.controller = admission.New(seed, s.scenario.admissionSettings(isRestart))
 	incarnation := s.incarnation
 	if isRestart && s.scenario.SlowStartSeconds > 0 {
 		s.setSpeed(s.scenario.InitialSpeed)
@@ -82,24 +85,26 @@
 	}
 	s.alive = false
 	s.machine.clear()
-	for _, t := range s.sortedAttempts() {
-		s.cancelCall(t)
-		if !t.isAnswered && !t.isClientGone {
-			t.isAnswered = true
-			s.after(s.drawDelay(), func() { t.request.attemptEnded(t, connectionLost, 0, false) })
+	for _, attempt := range s.sortedAttempts() {
+		s.cancelCall(attempt)
+		if !attempt.isAnswered && !attempt.isClientGone {
+			attempt.isAnswered = true
+			s.sendResult(attempt, attemptResult{outcome: connectionLost})
 		}
 	}
 	s.attempts = map[string]*attempt{}
 	s.publishHealth()
 }
 
-// sortedAttempts returns the attempts in the order in which they arrived.
+// sortedAttempts returns the attempts by arrival, then by ID.
 func (s *server) sortedAttempts() []*attempt {
 	list := make([]*attempt, 0, len(s.attempts))
-	for _, t := range s.attempts {
-		list = append(list, t)
+	for _, attempt := range s.attempts {
+		list = append(list, attempt)
 	}
-	sortAttempts(list)
+	slices.SortFunc(list, func(a, b *attempt) int {
+		return cmp.Or(cmp.Compare(a.arrivedAt, b.arrivedAt), cmp.Compare(a.id, b.id))
+	})
 	return list
 }
 
@@ -116,9 +121,9 @@
 		if s.incarnation != incarnation || !s.alive {
 			return
 		}
-		for _, t := range s.sortedAttempts() {
-			if !t.isAnswered && !t.isClientGone {
-				s.reportViolation(t, "not answered when its server was killed after a drain")
+		for _, attempt := range s.sortedAttempts() {
+			if !attempt.isAnswered && !attempt.isClientGone {
+				s.reportViolation(attempt, "not answered when its server was killed after a drain")
 			}
 		}
 		s.kill()
@@ -126,65 +131,66 @@
 }
 
 // receive takes in an attempt.
-func (s *server) receive(t *attempt) {
+func (s *server) receive(attempt *attempt) {
 	if !s.alive {
-		s.after(s.drawDelay(), func() { t.request.attemptEnded(t, unreachable, 0, false) })
+		s.sendResult(attempt, attemptResult{outcome: unreachable})
 		return
 	}
-	t.incarnation = s.incarnation
-	t.arrivedAt = s.now
-	s.attempts[t.id] = t
+	attempt.incarnation = s.incarnation
+	attempt.arrivedAt = s.now
+	s.attempts[attempt.id] = attempt
 	s.addEvent(admission.Event{
 		Kind:      admission.Arrived,
-		RequestID: t.id,
+		RequestID: attempt.id,
 		Request: admission.Request{
-			Class:           t.request.class,
+			Class:           attempt.request.classIndex,
 			Client:          0,
 			Memory:          requestMemory,
-			RemainingBudget: t.deadline - s.now,
+			RemainingBudget: attempt.deadline - s.now,
 		},
 	})
-	s.after(t.deadline-s.now+answerTolerance+workEpsilon, func() {
-		if s.alive && s.incarnation == t.incarnation && !t.isAnswered && !t.isClientGone {
-			s.reportViolation(t, "no answer by its due moment")
+	s.after(attempt.deadline-s.now+answerTolerance+workEpsilon, func() {
+		if s.alive && s.incarnation == attempt.incarnation && !attempt.isAnswered && !attempt.isClientGone {
+			s.reportViolation(attempt, "no answer by its due moment")
 		}
 	})
 }
 
-// clientGone tells the server that nobody waits for an attempt.
-func (s *server) clientGone(t *attempt) {
-	if s.alive && s.incarnation == t.incarnation && !t.isAnswered {
-		t.isClientGone = true
-		s.addEvent(admission.Event{Kind: admission.ClientGone, RequestID: t.id})
-		s.discard(t)
+// handleClientGone tells the server that nobody waits for an attempt.
+func (s *server) handleClientGone(attempt *attempt) {
+	if s.alive && s.incarnation == attempt.incarnation && !attempt.isAnswered {
+		attempt.isClientGone = true
+		s.addEvent(admission.Event{Kind: admission.ClientGone, RequestID: attempt.id})
+		s.discard(attempt)
 	}
 }
 
 // discard forgets an attempt that nobody waits for, unless it is running. A run that waits for a
 // call ends there.
-func (s *server) discard(t *attempt) {
-	if !t.isAnswered && !t.isClientGone || t.job != nil {
+func (s *server) discard(attempt *attempt) {
+	if !attempt.isAnswered && !attempt.isClientGone || attempt.activeRun != nil {
 		return
 	}
-	if t.awaitsCall {
-		t.awaitsCall = false
-		s.cancelCall(t)
-		s.runEnded(t, admission.Cancelled)
+	if attempt.awaitsCall {
+		attempt.awaitsCall = false
+		s.cancelCall(attempt)
+		s.reportRunEnd(attempt, admission.Cancelled)
 	}
-	delete(s.attempts, t.id)
+	delete(s.attempts, attempt.id)
 }
 
-// runEnded tells the controller that a run ended.
-func (s *server) runEnded(t *attempt, outcome admission.Outcome) {
+// reportRunEnd tells the controller that a run ended.
+func (s *server) reportRunEnd(attempt *attempt, outcome admission.Outcome) {
 	s.addEvent(admission.Event{
 		Kind:      admission.RunEnded,
-		RequestID: t.id,
+		RequestID: attempt.id,
 		Outcome:   outcome,
-		Duration:  s.now - t.startedAt,
+		Duration:  s.now - attempt.startedAt,
 	})
 }
 
-// addEvent has the controller decide at the end of this instant, with all events of the instant.
+// addEvent queues an event. The controller decides at the end of this instant, about all events of
+// the instant together.
 func (s *server) addEvent(e admission.Event) {
 	s.batch = append(s.batch, e)
 	if s.decisionScheduled {
@@ -211,30 +217,34 @@
 		case admission.SetTimer:
 			s.setTimer(action.Label, action.Duration)
 		case admission.Reject:
-			s.answer(action.RequestID, rejected, action.Duration, action.NoFailover)
+			s.answer(action.RequestID, attemptResult{
+				outcome:    rejected,
+				retryAfter: action.Duration,
+				noFailover: action.NoFailover,
+			})
 		case admission.Fail:
-			s.answer(action.RequestID, abandoned, 0, false)
+			s.answer(action.RequestID, attemptResult{outcome: abandoned})
 		default:
-			if t := s.attempts[action.RequestID]; t != nil {
-				s.executeRun(t, action)
+			if attempt := s.attempts[action.RequestID]; attempt != nil {
+				s.executeRun(attempt, action)
 			}
 		}
 	}
 }
 
 // executeRun carries out an action about the run of an attempt.
-func (s *server) executeRun(t *attempt, action admission.Action) {
+func (s *server) executeRun(attempt *attempt, action admission.Action) {
 	switch action.Kind {
 	case admission.StartRun:
-		s.startRun(t)
+		s.startRun(attempt)
 	case admission.DispatchCall:
-		if t.awaitsCall && t.pendingCall == nil {
-			s.dispatchCall(t, action.Duration)
+		if attempt.awaitsCall && attempt.pendingCall == nil {
+			s.dispatchCall(attempt, action.Duration)
 		}
 	case admission.Degrade:
-		if t.awaitsCall {
-			s.cancelCall(t)
-			s.resumeRun(t)
+		if attempt.awaitsCall {
+			s.cancelCall(attempt)
+			s.resumeRun(attempt)
 		}
 	}
 }
@@ -257,130 +267,48 @@
 
 // gauges returns the load as a server measures it; memory and connections are not measured.
 func (s *server) gauges() admission.Gauges {
-	runs := float64(s.machine.heap.Len())
+	runs := float64(s.machine.active.Len())
 	return admission.Gauges{Utilization: min(1, runs/s.machine.cores), Runnable: runs, Memory: -1, Connections: -1}
 }
 
-// startRun starts the run of an attempt, up to its call if it makes one.
-func (s *server) startRun(t *attempt) {
-	if t.job != nil || t.isAnswered || t.isClientGone {
-		return
-	}
-	t.runs++
-	if t.runs > 1 {
-		s.reportViolation(t, "run a second time")
-	}
-	s.tally.runs++
-	t.startedAt = s.now
-	if !t.request.settings().CallsDownstream {
-		s.finishRun(t, t.work)
-		return
-	}
-	t.job = s.machine.run(t.work/2, func() {
-		t.job = nil
-		t.awaitsCall = !t.isAnswered && !t.isClientGone
-		if !t.awaitsCall { // it is over at its call
-			s.tally.wasted += t.work / 2
-			s.runEnded(t, admission.Cancelled)
-			s.discard(t)
-			return
-		}
-		s.addEvent(admission.Event{Kind: admission.AwaitingDownstream, RequestID: t.id})
-	})
-}
-
-// finishRun runs the last part of a run and answers.
-func (s *server) finishRun(t *attempt, seconds float64) {
-	t.job = s.machine.run(seconds, func() {
-		t.job = nil
-		if t.isAnswered || t.isClientGone {
-			s.tally.wasted += t.work
-		}
-		s.answer(t.id, finished, 0, false)
-		s.runEnded(t, admission.Finished)
-		s.discard(t)
-	})
-}
-
-// resumeRun continues a run after its call.
-func (s *server) resumeRun(t *attempt) {
-	t.awaitsCall = false
-	s.finishRun(t, t.work/2)
-}
-
-// dispatchCall makes a call downstream, with a timeout in seconds.
-func (s *server) dispatchCall(t *attempt, timeout float64) {
-	t.callCount++
-	s.tally.calls++
-	number := t.callCount
-	incarnation := s.incarnation
-	startedAt := s.now
-	returned := func(outcome admission.Outcome) {
-		isOver := s.incarnation != incarnation || !s.alive
-		if isOver || t.callCount != number || !t.awaitsCall || t.pendingCall == nil {
-			return
-		}
-		s.cancelCall(t)
-		if outcome == admission.Finished {
-			s.resumeRun(t)
-		}
-		s.addEvent(admission.Event{
-			Kind:      admission.CallReturned,
-			RequestID: t.id,
-			Outcome:   outcome,
-			Duration:  s.now - startedAt,
-		})
-	}
-	work := s.exponential(s.scenario.Downstream.Work)
-	t.pendingCall = s.downstream.run(work, func() {
-		s.after(s.drawDelay(), func() { returned(admission.Finished) })
-	})
-	if s.downstreamDead {
-		s.downstream.stop(t.pendingCall)
-	}
-	s.after(timeout, func() { returned(admission.TimedOut) })
-}
-
-// cancelCall cancels the call of an attempt if it is in flight.
-func (s *server) cancelCall(t *attempt) {
-	if t.pendingCall != nil {
-		s.downstream.stop(t.pendingCall)
-		t.pendingCall = nil
-	}
+// sendResult has the client learn the result of an attempt after a delay.
+func (s *server) sendResult(attempt *attempt, result attemptResult) {
+	s.after(s.drawDelay(), func() { attempt.request.handleAttemptEnd(attempt, result) })
 }
 
-// answer gives an attempt its answer.
-func (s *server) answer(id string, how outcome, retryAfter float64, noFailover bool) {
-	t := s.attempts[id]
-	if t == nil || t.isClientGone || t.isAnswered && how == finished { // nobody waits for the end of its run
+// answer answers an attempt, once.
+func (s *server) answer(id string, result attemptResult) {
+	attempt := s.attempts[id]
+	if attempt == nil || attempt.isClientGone || attempt.isAnswered && result.outcome == finished {
+		// Nobody waits for it, or its run went on after the answer.
 		return
 	}
-	if t.isAnswered {
-		s.reportViolation(t, "answered a second time")
+	if attempt.isAnswered {
+		s.reportViolation(attempt, "answered a second time")
 		return
 	}
-	t.isAnswered = true
-	s.after(s.drawDelay(), func() { t.request.attemptEnded(t, how, retryAfter, noFailover) })
-	s.discard(t)
+	attempt.isAnswered = true
+	s.sendResult(attempt, result)
+	s.discard(attempt)
 }
 
 // checkOverload records a violation if there are more runs than the server survives for longer than
 // overloadWindow.
-func (s *server) checkOverload(n int) {
+func (s *server) checkOverload(runs int) {
 	switch {
-	case float64(n) <= maxRunsPerCore*s.machine.cores:
+	case float64(runs) <= maxRunsPerCore*s.machine.cores:
 		s.overloadedSince = -1
 	case s.overloadedSince < 0:
 		s.overloadedSince = s.now
 	case s.now-s.overloadedSince > overloadWindow:
 		s.tally.addViolation(fmt.Sprintf("t=%.6f server=%d fell over: %d runs on %g cores for %g s",
-			s.now, s.number, n, s.machine.cores, overloadWindow))
+			s.now, s.number, runs, s.machine.cores, overloadWindow))
 		s.overloadedSince = s.now
 	}
 }
 
 // reportViolation records a violation by an attempt.
-func (s *server) reportViolation(t *attempt, what string) {
+func (s *server) reportViolation(attempt *attempt, description string) {
 	s.tally.addViolation(fmt.Sprintf("t=%.6f server=%d try=%s came=%.6f due=%.6f %s",
-		s.now, s.number, t.id, t.arrivedAt, t.deadline, what))
+		s.now, s.number, attempt.id, attempt.arrivedAt, attempt.deadline, description))
 }
--- a/internal/bench/simulation/twolevel.go
+++ b/internal/bench/simulation/twolevel.go
@@ -94,6 +94,9 @@
 	weightRatio   = 0.7
 )
 
+// minMeanLoad bounds the divisor where no worker had any load.
+const minMeanLoad = 1e-9
+
 // workerCores are the numbers of cores of workers, in turns.
 var workerCores = []float64{4, 1, 4, 2}
 
@@ -115,7 +118,7 @@
 
 // RunTwoLevel runs the plan.
 func RunTwoLevel(plan *TwoLevelPlan) TwoLevelRow {
-	l := &twoLevelSim{
+	sim := &twoLevelSim{
 		fleetSim: newFleetSim(&RolloutPlan{
 			Servers: plan.Planners + plan.Forwarders,
 			Voters:  plan.Planners,
@@ -127,13 +130,13 @@
 		runCounts:    map[int]int{},
 		workerByName: map[string]*simWorker{},
 	}
-	l.startPlannersAndForwarders(l.addWorkers())
-	l.run(twoLevelSettleSeconds)
-	l.measure()
-	l.row.BusiestOverMean = l.busiestOverMean()
-	l.run(l.now + 2*requestTimeout)
-	l.summarize()
-	return l.row
+	sim.startPlannersAndForwarders(sim.addWorkers())
+	sim.run(twoLevelSettleSeconds)
+	sim.measure()
+	sim.row.BusiestOverMean = sim.busiestOverMean()
+	sim.run(sim.now + 2*requestTimeout)
+	sim.summarize()
+	return sim.row
 }
 
 // addWorkers adds the workers and returns the requests a second that all of them can run.
@@ -147,7 +150,8 @@
 	return capacity
 }
 
-// startPlannersAndForwarders starts planners and forwarders, which share a load of that capacity.
+// startPlannersAndForwarders starts planners and forwarders, and divides the load of the plan among
+// the forwarders; capacity is the requests a second that all workers can run.
 func (l *twoLevelSim) startPlannersAndForwarders(capacity float64) {
 	weights := make([]float64, l.plan.Forwarders)
 	sum := 0.0
@@ -223,7 +227,7 @@
 		busiest = max(busiest, load)
 		mean += load / float64(len(l.workers))
 	}
-	return busiest / max(mean, 1e-9)
+	return busiest / max(mean, minMeanLoad)
 }
 
 // summarize fills the row once every request has ended.
@@ -251,20 +255,23 @@
 type plannerFault int
 
 const (
-	plannersRestart  plannerFault = iota // all of them, without state
-	plannerPause                         // one stops and resumes with its old plans
-	plannerIsolate                       // one receives nothing
-	plannerLoss                          // messages are lost, of all nodes
-	plannerFaultDraw = 6                 // the range that is drawn from; the others restart one planner
+	plannersRestart plannerFault = iota // all of them, without state
+	plannerPause                        // one stops and resumes with its old plans
+	plannerIsolate                      // one receives nothing
+	plannerLoss                         // messages of all nodes are lost
 )
 
+// plannerFaultDraws is the range that faults are drawn from: numbers after plannerLoss restart one
+// planner.
+const plannerFaultDraws = 6
+
 // injectPlannerFault draws a fault among planners.
 func (l *twoLevelSim) injectPlannerFault() {
 	l.row.Faults++
 	planners := l.nodes[:l.plan.Planners]
 	target := planners[l.random.IntN(len(planners))]
 	seconds := 1 + 3*l.random.Float64()
-	switch plannerFault(l.random.IntN(plannerFaultDraw)) {
+	switch plannerFault(l.random.IntN(plannerFaultDraws)) {
 	case plannersRestart:
 		for _, planner := range planners {
 			planner.restartAfter(seconds / 2)
