--- a/cmd/swiftcourse-bench/audit.go
+++ b/cmd/swiftcourse-bench/audit.go
@@ -8,6 +8,7 @@
 	"swiftcourse/internal/bench/rollouts"
 )
 
+// auditCommand compares the audit of a fleet of processes with its logs under faults.
 type auditCommand struct {
 	serverFlags
 	logFlags
--- a/cmd/swiftcourse-bench/counts.go
+++ b/cmd/swiftcourse-bench/counts.go
@@ -6,6 +6,7 @@
 	"swiftcourse/internal/bench/simulation"
 )
 
+// countsCommand simulates the counters of a fleet.
 type countsCommand struct {
 	outputFlags
 	seedFlags
--- a/cmd/swiftcourse-bench/demo.go
+++ b/cmd/swiftcourse-bench/demo.go
@@ -9,6 +9,7 @@
 	"swiftcourse/internal/bench/twolevel"
 )
 
+// demoCommand shows a server, or a fleet of two levels, at work.
 type demoCommand struct {
 	serverFlags
 	logFlags
--- a/cmd/swiftcourse-bench/door.go
+++ b/cmd/swiftcourse-bench/door.go
@@ -8,6 +8,7 @@
 	"swiftcourse/internal/bench/process"
 )
 
+// doorCommand floods a server with connections.
 type doorCommand struct {
 	serverFlags
 	logFlags
--- a/cmd/swiftcourse-bench/emulate.go
+++ b/cmd/swiftcourse-bench/emulate.go
@@ -10,6 +10,7 @@
 	"swiftcourse/internal/bench/simulation"
 )
 
+// emulateCommand simulates a scenario of requests and failures.
 type emulateCommand struct {
 	Scenario string `arg:"" optional:"" help:"The scenario, in JSON; without one, an example with faults." type:"path"`
 	Seed     uint64 `help:"The seed, instead of the scenario's; 0 for that."`
--- a/cmd/swiftcourse-bench/flags.go
+++ b/cmd/swiftcourse-bench/flags.go
@@ -42,10 +42,10 @@
 	maxSimulatedSeeds = 10_000
 )
 
-// checkSeeds returns an error if the number of seeds is not from 1 to most.
-func checkSeeds(seeds, most int) error {
-	if seeds < 1 || seeds > most {
-		return fmt.Errorf("--seeds %d: from 1 to %d", seeds, most)
+// checkSeeds returns an error if the number of seeds is not from 1 to limit.
+func checkSeeds(seeds, limit int) error {
+	if seeds < 1 || seeds > limit {
+		return fmt.Errorf("--seeds %d: from 1 to %d", seeds, limit)
 	}
 	return nil
 }
--- a/cmd/swiftcourse-bench/fleet.go
+++ b/cmd/swiftcourse-bench/fleet.go
@@ -6,6 +6,7 @@
 	"swiftcourse/internal/bench/twolevel"
 )
 
+// fleetCommand runs a fleet of two levels as processes.
 type fleetCommand struct {
 	serverFlags
 	logFlags
--- a/cmd/swiftcourse-bench/hold.go
+++ b/cmd/swiftcourse-bench/hold.go
@@ -8,9 +8,9 @@
 
 // holdCommand is started by the idle experiment: a process that holds idle connections.
 type holdCommand struct {
-	Addr  string `arg:""`
-	N     int    `arg:""`
-	Heeds bool
+	Addr  string `arg:""` // of the server
+	N     int    `arg:""` // connections to hold
+	Heeds bool   // close a connection when the server asks for it
 }
 
 // Run holds connections until its standard input ends.
--- a/cmd/swiftcourse-bench/idle.go
+++ b/cmd/swiftcourse-bench/idle.go
@@ -13,6 +13,7 @@
 // benchGCPercent keeps pauses of the load generator rare: they would be taken for the servers'.
 const benchGCPercent = 400
 
+// idleCommand measures the cost of idle connections.
 type idleCommand struct {
 	serverFlags
 	outputFlags
--- a/cmd/swiftcourse-bench/levels.go
+++ b/cmd/swiftcourse-bench/levels.go
@@ -6,6 +6,7 @@
 	"swiftcourse/internal/bench/simulation"
 )
 
+// levelsCommand simulates a fleet of two levels.
 type levelsCommand struct {
 	outputFlags
 	seedFlags
--- a/cmd/swiftcourse-bench/ready.go
+++ b/cmd/swiftcourse-bench/ready.go
@@ -9,6 +9,7 @@
 	"swiftcourse/internal/bench/readiness"
 )
 
+// readyCommand measures how long restarted servers take to become ready.
 type readyCommand struct {
 	serverFlags
 	outputFlags
--- a/cmd/swiftcourse-bench/replica.go
+++ b/cmd/swiftcourse-bench/replica.go
@@ -8,6 +8,7 @@
 	"swiftcourse/internal/bench/keyclaims"
 )
 
+// replicaCommand has processes claim keys under faults.
 type replicaCommand struct {
 	serverFlags
 	logFlags
--- a/cmd/swiftcourse-bench/rows.go
+++ b/cmd/swiftcourse-bench/rows.go
@@ -19,9 +19,8 @@
 	Violations() int
 }
 
-// writeRows prints the table, writes the JSON file if one is asked for, and returns the first
-// error, which is err where it isn't nil: rows are shown also where an error cut the experiment
-// short.
+// writeRows prints the table and writes the JSON file if one is asked for, also of an experiment that
+// ended early with err. It returns err, or the first error of its own if err is nil.
 func writeRows[R row](output outputFlags, columns []string, rows []R, err error) error {
 	cells := make([][]string, 0, len(rows))
 	for _, one := range rows {
--- a/cmd/swiftcourse-bench/shared.go
+++ b/cmd/swiftcourse-bench/shared.go
@@ -10,6 +10,7 @@
 // faultFromSeed is the value of --fault that draws all kinds of faults.
 const faultFromSeed = "seed"
 
+// sharedCommand shares a quota among simulated servers or processes.
 type sharedCommand struct {
 	outputFlags
 	seedFlags
--- a/cmd/swiftcourse-bench/versions.go
+++ b/cmd/swiftcourse-bench/versions.go
@@ -7,6 +7,7 @@
 	"swiftcourse/internal/bench/simulation"
 )
 
+// versionCommand simulates rollouts of a fleet.
 type versionCommand struct {
 	outputFlags
 	seedFlags
@@ -22,10 +23,10 @@
 	if err := checkSeeds(c.Seeds, maxSimulatedSeeds); err != nil {
 		return err
 	}
-	return runAndWrite(ctx, c.seedFlags, c.outputFlags, simulation.RolloutColumns, c.runSeed)
+	return runAndWrite(ctx, c.seedFlags, c.outputFlags, simulation.RolloutColumns, c.simulate)
 }
 
-func (c *versionCommand) runSeed(seed uint64) (simulation.RolloutRow, error) {
+func (c *versionCommand) simulate(seed uint64) (simulation.RolloutRow, error) {
 	plan := &simulation.RolloutPlan{
 		Servers:  c.Servers,
 		Voters:   c.Voters,
