--- a/internal/bench/demo/classes.go
+++ b/internal/bench/demo/classes.go
@@ -31,6 +31,7 @@
 	maxWorkFactor = 4
 )
 
+// findClass returns the class with the name; false if there is none.
 func findClass(name string) (class, bool) {
 	for _, c := range classes {
 		if c.name == name {
@@ -59,6 +60,7 @@
 	return c.cpuSeconds * min(maxWorkFactor, random.ExpFloat64())
 }
 
+// callsUpstream reports whether the runs of a class call the upstream service.
 func callsUpstream(name, _ string) bool {
 	c, _ := findClass(name)
 	return c.callsUpstream
--- a/internal/bench/process/settings.go
+++ b/internal/bench/process/settings.go
@@ -4,8 +4,8 @@
 	"swiftcourse/internal/wire/simulator"
 )
 
-// BaseSettings returns the settings that the experiments share: what the simulator's contract states, a server that
-// passes its deadline on, and two gauges. Experiments add their caps, cores and idle timeout.
+// BaseSettings returns the settings that the experiments share: what the simulator's contract states, deadline
+// propagation, and two gauges. Experiments add their capabilities, cores and idle timeout.
 func BaseSettings(classes ...simulator.Class) simulator.Settings {
 	settings := simulator.Settings{Servers: 1, Classes: classes}
 	contract := &settings.Contract
--- a/internal/bench/twolevel/faults.go
+++ b/internal/bench/twolevel/faults.go
@@ -31,15 +31,17 @@
 	return nil
 }
 
-// injectFault kills all planners in one of five cases, pauses one in another, and else kills one, as often as not
-// the leader.
+// injectFault injects one random fault: with probability 1/5 it kills and restarts all planners, with probability 1/5
+// it pauses one, and otherwise it kills and restarts one. That one is the latest leader with probability 1/2, and else
+// any planner.
 func (t *trial) injectFault(ctx context.Context) error {
 	planners := t.fleet.PlannerNames()
 	planner := planners[t.random.IntN(len(planners))]
 	switch t.random.IntN(5) {
 	case 0:
 		t.row.Kills += len(planners)
-		return t.killAll(ctx, planners)
+		killPlanners(t.fleet)
+		return restartPlanners(ctx, t.fleet)
 	case 1:
 		t.row.Kills++
 		return t.pause(ctx, planner)
@@ -52,12 +54,20 @@
 	}
 }
 
-func (t *trial) killAll(ctx context.Context, planners []string) error {
-	for _, name := range planners {
-		t.fleet.Server(name).Kill()
+// killPlanners kills all planners and waits until their processes have ended.
+func killPlanners(fleet *faultinjection.Fleet) {
+	for _, name := range fleet.PlannerNames() {
+		fleet.Server(name).Kill()
 	}
-	for _, name := range planners {
-		if err := t.fleet.Restart(ctx, name); err != nil {
+}
+
+// restartPlanners restarts the planners whose processes have ended.
+func restartPlanners(ctx context.Context, fleet *faultinjection.Fleet) error {
+	for _, name := range fleet.PlannerNames() {
+		if fleet.Server(name).Alive() {
+			continue
+		}
+		if err := fleet.Restart(ctx, name); err != nil {
 			return err
 		}
 	}
