--- a/internal/bench/faultinjection/config.go
+++ b/internal/bench/faultinjection/config.go
@@ -39,6 +39,10 @@
 	CallOutcome func(name string, n int, call catalogue.Call) upstream.Response
 }
 
+// VoterCount returns how many of a number of servers vote in an experiment: three, and two more for
+// every fifteen servers.
+func VoterCount(servers int) int { return min(servers, 3+2*(servers/15)) }
+
 // names returns the names of the fleet's processes.
 func (c *Config) names() []string {
 	names := numberedNames("n", c.Servers)
--- a/internal/bench/faultinjection/control.go
+++ b/internal/bench/faultinjection/control.go
@@ -35,6 +35,22 @@
 // Resume continues a paused process with SIGCONT.
 func (f *Fleet) Resume(name string) error { return f.Server(name).Signal(syscall.SIGCONT) }
 
+// CutIncoming cuts all links to a process, which can still send.
+func (f *Fleet) CutIncoming(name string) {
+	for _, from := range f.Names {
+		f.Net.SetLink(from, name, Link{Cut: true})
+	}
+}
+
+// SetAllLinks changes the links between all processes.
+func (f *Fleet) SetAllLinks(link Link) {
+	for _, to := range f.Names {
+		for _, from := range f.Names {
+			f.Net.SetLink(from, to, link)
+		}
+	}
+}
+
 // KillAndRestart kills a process and starts it again without its state.
 func (f *Fleet) KillAndRestart(ctx context.Context, name string) error {
 	f.Server(name).Kill()
--- a/internal/bench/faultinjection/counter_test.go
+++ b/internal/bench/faultinjection/counter_test.go
@@ -13,33 +13,35 @@
 	"swiftcourse/internal/wire/simulator"
 )
 
-// requestCounts is what clients sent and got answered, of the servers named, of all if none is.
-func (l *Load) requestCounts(names ...string) (t serving.RequestCounts) {
+// requestCounts returns what clients sent to the named servers, all if none is named, and how it was
+// answered.
+func (l *Load) requestCounts(names ...string) (total serving.RequestCounts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for name, ends := range l.outcomes {
+	for name, outcomes := range l.outcomes {
 		if len(names) > 0 && !slices.Contains(names, name) {
 			continue
 		}
-		t = t.Add(serving.RequestCounts{Received: uint64(l.sent[name]),
-			Finished: uint64(ends[rpc.ResponseFinished]), Rejected: uint64(ends[rpc.ResponseRejected]),
-			Abandoned: uint64(ends[rpc.ResponseFailed])})
+		total = total.Add(serving.RequestCounts{Received: uint64(l.sent[name]),
+			Finished: uint64(outcomes[rpc.ResponseFinished]), Rejected: uint64(outcomes[rpc.ResponseRejected]),
+			Abandoned: uint64(outcomes[rpc.ResponseFailed])})
 	}
-	return t
+	return total
 }
 
-// countedRequests is what a voter counted for all servers, and its number of open rows.
-func (f *Fleet) countedRequests(name string) (t serving.RequestCounts, rows int) {
-	s, err := fleet.FetchCounters(f.controlAddrs[name])
-	if err != nil || s.Totals == nil {
-		return t, -1
+// countedRequests returns what a voter counted for all servers, and its number of open rows; -1 rows if
+// that is unknown.
+func (f *Fleet) countedRequests(name string) (total serving.RequestCounts, rows int) {
+	counters, err := fleet.FetchCounters(f.controlAddrs[name])
+	if err != nil || counters.Totals == nil {
+		return total, -1
 	}
-	for _, n := range s.Totals.Total {
-		if n.Tenant == "acme" && n.Class == PingClass {
-			t = t.Add(n.RequestCounts)
+	for _, row := range counters.Totals.Total {
+		if row.Tenant == "acme" && row.Class == PingClass {
+			total = total.Add(row.RequestCounts)
 		}
 	}
-	return t, s.Totals.OpenRows
+	return total, counters.Totals.OpenRows
 }
 
 // counterRate is the requests a second at each server of the test below.
@@ -49,18 +51,18 @@
 type counterFleet struct {
 	*Fleet
 	load *Load
-	// unreported is what killed servers may not have reported: what the serving loop and its row
-	// hold back, and some for a busy machine.
+	// unreported is what killed servers may not have reported: what the serving loop and
+	// its row have not sent yet, and a margin for a busy machine.
 	unreported uint64
 	lastState  string
 }
 
-// settle stops the load and waits until all voters know what the clients saw.
+// settle stops the load and waits until the counters of all voters agree with what the clients saw.
 func (c *counterFleet) settle(t *testing.T, phase string) {
 	t.Helper()
 	c.load.SetRate(0, c.Names...)
-	c.await(t, phase+": all voters know what clients saw", func() bool {
-		truth := c.load.requestCounts()
+	c.await(t, phase+": the counters of all voters agree with the clients", func() bool {
+		expected := c.load.requestCounts()
 		missing := serving.RequestCounts{
 			Received:  c.unreported,
 			Finished:  c.unreported,
@@ -69,8 +71,8 @@
 		}
 		for _, name := range []string{"n1", "n2", "n3"} {
 			got, rows := c.countedRequests(name)
-			if rows != len(c.Names) || !truth.Covers(got) || !got.Add(missing).Covers(truth) {
-				c.lastState = fmt.Sprintf("%s knows %+v of %d incarnations, clients %+v", name, got, rows, truth)
+			if rows != len(c.Names) || !expected.Covers(got) || !got.Add(missing).Covers(expected) {
+				c.lastState = fmt.Sprintf("%s counted %+v in %d open rows, clients %+v", name, got, rows, expected)
 				return false
 			}
 		}
@@ -78,8 +80,8 @@
 	})
 }
 
-// ask loads all servers until at least that many more requests are finished.
-func (c *counterFleet) ask(t *testing.T, least uint64) {
+// sendLoad loads all servers until at least that many more requests are finished.
+func (c *counterFleet) sendLoad(t *testing.T, least uint64) {
 	t.Helper()
 	from := c.load.requestCounts().Finished
 	c.load.SetRate(counterRate, c.Names...)
@@ -88,15 +90,15 @@
 	})
 }
 
-// partitionAndPause cuts off n4, with one way open, and pauses n5 for longer than a row has to be
-// quiet to be closed. Nothing is lost, so nothing may be missing.
+// partitionAndPause partitions n4, and pauses n5 for longer than the time after which an idle row is
+// closed. No process dies, so no count may be missing.
 func (c *counterFleet) partitionAndPause(t *testing.T) {
 	t.Helper()
 	c.Net.Partition([]string{"n1", "n2", "n3", "n5"}, []string{"n4"})
-	c.ask(t, 20)
-	c.load.SetRate(0, "n5") // what it would find when it resumes is too old to be a request
+	c.sendLoad(t, 20)
+	c.load.SetRate(0, "n5") // a request that waited during the pause would be past its timeout
 	c.await(t, "all that n5 received is answered", func() bool {
-		counts := c.load.requestCounts("n5") // the others are loaded on: of all some are always open
+		counts := c.load.requestCounts("n5") // of n5 alone: the others are still loaded and have requests in flight
 		return counts.Received == counts.Finished+counts.Rejected+counts.Abandoned
 	})
 	if err := c.Pause("n5"); err != nil {
@@ -125,9 +127,9 @@
 	}
 }
 
-// TestCounters_AgreeWithClientsThroughFaults: five processes count their requests; servers are cut
-// off, paused and killed, the leader among them. Whatever clients saw is counted once, by every
-// voter; of a killed server all but what it had not reported.
+// TestCounters_AgreeWithClientsThroughFaults: servers are partitioned, paused and killed, the leader
+// among them. Every voter counts each request that clients saw once, except those that a killed server
+// had not reported.
 func TestCounters_AgreeWithClientsThroughFaults(t *testing.T) {
 	f := startFleet(t, Config{
 		Servers:       5,
@@ -140,21 +142,21 @@
 	defer c.load.Wait()
 	defer stop()
 	t.Cleanup(func() { t.Log(c.lastState) })
-	c.ask(t, 300)
-	c.settle(t, "well")
+	c.sendLoad(t, 300)
+	c.settle(t, "without faults")
 
 	c.partitionAndPause(t)
-	c.settle(t, "cut and paused")
+	c.settle(t, "partitioned and paused")
 
 	leader := c.leader(t)
-	c.ask(t, 200)
+	c.sendLoad(t, 200)
 	c.kill(t, "n5", leader)
-	c.ask(t, 200)
+	c.sendLoad(t, 200)
 	c.settle(t, "killed")
 
 	before, _ := c.countedRequests("n1")
 	time.Sleep(2 * time.Second)
 	if after, rows := c.countedRequests("n1"); after != before || rows != len(c.Names) {
-		t.Errorf("at rest it counts on: %+v, then %+v of %d", before, after, rows)
+		t.Errorf("without load the counts change: %+v, then %+v in %d open rows", before, after, rows)
 	}
 }
--- a/internal/bench/faultinjection/events.go
+++ b/internal/bench/faultinjection/events.go
@@ -11,11 +11,19 @@
 
 // Log events of the program that experiments look for.
 const (
-	EventFleetStarted         = "fleet_started"
-	EventConfigApplied        = "config_applied"
-	EventCommandFinished      = "command_finished"
-	EventServingModeChanged   = "serving_mode_changed"
-	EventReplicaStatusChanged = "replica_status_changed"
+	EventFleetStarted          = "fleet_started"
+	EventConfigApplied         = "config_applied"
+	EventCommandFinished       = "command_finished"
+	EventServingModeChanged    = "serving_mode_changed"
+	EventReplicaStatusChanged  = "replica_status_changed"
+	EventLeaseStateChanged     = "lease_state_changed"
+	EventCircuitBreakerChanged = "circuit_breaker_changed"
+	EventLoadPlannerStarted    = "load_planner_started"
+	EventLoadPlannerChanged    = "load_planner_changed"
+	EventTrustedClients        = "fleet_trusted_clients"
+	EventFleetAgentPanic       = "fleet_agent_panic"
+	EventForwarderPanic        = "forwarder_panic"
+	EventPanic                 = "panic"
 )
 
 // LogEvent is a line of a process's log, with the time at which it was read.
@@ -33,13 +41,13 @@
 	EventCommandFinished,
 	EventServingModeChanged,
 	EventReplicaStatusChanged,
-	"lease_state_changed",
-	"circuit_breaker_changed",
-	"load_planner_started",
-	"load_planner_changed",
+	EventLeaseStateChanged,
+	EventCircuitBreakerChanged,
+	EventLoadPlannerStarted,
+	EventLoadPlannerChanged,
 	"forwarder_stats",
-	"forwarder_panic",
-	"panic",
+	EventForwarderPanic,
+	EventPanic,
 }
 
 // isRecorded reports whether a log event is kept for experiments.
--- a/internal/bench/faultinjection/fleet.go
+++ b/internal/bench/faultinjection/fleet.go
@@ -45,7 +45,7 @@
 func Start(ctx context.Context, config Config) (*Fleet, error) {
 	f := &Fleet{
 		Config:       config,
-		Net:          NewNet(config.Seed),
+		Net:          NewNetwork(config.Seed),
 		Names:        config.names(),
 		host:         nextHost(),
 		controlAddrs: map[string]string{},
--- /dev/null
+++ b/internal/bench/faultinjection/fleet_test.go
@@ -0,0 +1,145 @@
+package faultinjection
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"swiftcourse/internal/fake/balancer"
+	"swiftcourse/internal/policy/release"
+	"swiftcourse/internal/wire/rpc"
+)
+
+// program is the path of the program under test, which TestMain builds.
+var program string
+
+func TestMain(m *testing.M) {
+	folder, err := os.MkdirTemp("", "swiftcourse-faults-")
+	if err == nil {
+		program = filepath.Join(folder, "swiftcourse")
+		var output []byte
+		output, err = exec.Command("go", "build", "-o", folder+"/", "swiftcourse/cmd/swiftcourse",
+			"swiftcourse/cmd/swiftcourse-fleet").CombinedOutput()
+		os.Stderr.Write(output)
+	}
+	if err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(1)
+	}
+	code := m.Run()
+	_ = os.RemoveAll(folder)
+	os.Exit(code)
+}
+
+// patience is how long a test waits for a condition: far longer than needed, so that a busy machine fails
+// no test.
+const patience = 30 * time.Second
+
+// startFleet starts a fleet with short leases for a parallel test, and waits until all servers apply a
+// first version. After the test no process may have panicked, nor two have logged different digests.
+func startFleet(t *testing.T, config Config) *Fleet {
+	t.Helper()
+	t.Parallel()
+	config.Shape, config.ExtraSettings = SmallShape(program), ShortLeases+config.ExtraSettings
+	if !strings.Contains(config.ExtraSettings, "fleet-wave") {
+		config.ExtraSettings += "fleet-wave 500ms\n"
+	}
+	if config.Voters == 0 {
+		config.Voters = 3
+	}
+	f, err := Start(context.Background(), config)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if epochs := f.ConflictingDigestEpochs(); len(epochs) > 0 {
+			t.Errorf("conflicting digests in epochs %v", epochs)
+		}
+		if panics := append(f.Events("", EventFleetAgentPanic), f.Events("", EventPanic)...); len(panics) > 0 {
+			t.Errorf("panics: %v", panics)
+		}
+		f.Close()
+	})
+	f.await(t, "all apply a first version", func() bool { return f.AllActiveOn(1, f.Names...) })
+	return f
+}
+
+// await fails the test, with what each process applied last, unless a condition holds in time.
+func (f *Fleet) await(t *testing.T, what string, condition func() bool) {
+	t.Helper()
+	if !WaitUntil(patience, condition) {
+		var states strings.Builder
+		for _, name := range f.Names {
+			fmt.Fprintf(&states, "%s on %s", name, f.ActiveEpoch(name))
+			if changes := f.Events(name, EventServingModeChanged); len(changes) > 0 {
+				fmt.Fprintf(&states, ", %s", changes[len(changes)-1].Fields)
+			}
+			states.WriteString("; ")
+		}
+		t.Fatalf("not within %s: %s (%s)", patience, what, states.String())
+	}
+}
+
+// hasLogged returns a condition: that a process has logged an event with that value of a field.
+func (f *Fleet) hasLogged(name, event, key, value string) func() bool {
+	return func() bool {
+		return slices.ContainsFunc(f.Events(name, event), func(s LogEvent) bool { return s.Fields[key] == value })
+	}
+}
+
+// release submits a release at a process until one is accepted, and returns its epoch.
+func (f *Fleet) release(t *testing.T, at, text string, waves ...float64) (epoch release.Epoch) {
+	t.Helper()
+	f.await(t, "a release at "+at+" is accepted", func() bool {
+		var err error
+		epoch, err = f.Release(at, text, waves...)
+		return err == nil
+	})
+	return epoch
+}
+
+// sendOnce sends one request on a connection of its own, and waits for its answer.
+func sendOnce(ctx context.Context, addr string) {
+	done := make(chan struct{}, 1)
+	c, err := balancer.Dial(ctx, addr, func(rpc.Response) {
+		select {
+		case done <- struct{}{}:
+		default:
+		}
+	}, nil)
+	if err != nil {
+		time.Sleep(10 * time.Millisecond)
+		return
+	}
+	defer c.Close()
+	if c.SendRequest(newPing(c.NextNumber(), time.Now())) != nil {
+		return
+	}
+	select {
+	case <-done:
+	case <-ctx.Done():
+	case <-time.After(time.Second):
+	}
+}
+
+// dialBalancer opens a connection to a server, and returns a channel with its answers.
+func (f *Fleet) dialBalancer(t *testing.T, name string) (*balancer.Conn, <-chan rpc.Response) {
+	t.Helper()
+	answers := make(chan rpc.Response, 64)
+	c, err := balancer.Dial(context.Background(), f.Server(name).Addr, func(a rpc.Response) {
+		if a.Kind == rpc.ResponseFinished || a.Kind == rpc.ResponseRejected || a.Kind == rpc.ResponseFailed {
+			answers <- a
+		}
+	}, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	return c, answers
+}
--- a/internal/bench/faultinjection/load.go
+++ b/internal/bench/faultinjection/load.go
@@ -12,7 +12,7 @@
 )
 
 // Load sends requests of one tenant to each server at a rate of its own, and records when each was
-// finished: what a quota let through, apart from what the program says.
+// finished: what a quota admitted, independent of the program's own counters.
 type Load struct {
 	Classes []string // of its requests, in turns; PingClass alone if there are none
 
@@ -195,13 +195,13 @@
 }
 
 // Counts returns the requests sent, finished and rejected, over all servers.
-func (l *Load) Counts() (asked, finished, rejected int) {
+func (l *Load) Counts() (sent, finished, rejected int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name := range l.outcomes {
-		asked += l.sent[name]
+		sent += l.sent[name]
 		finished += l.outcomes[name][rpc.ResponseFinished]
 		rejected += l.outcomes[name][rpc.ResponseRejected]
 	}
-	return asked, finished, rejected
+	return sent, finished, rejected
 }
--- a/internal/bench/faultinjection/network.go
+++ b/internal/bench/faultinjection/network.go
@@ -2,6 +2,7 @@
 
 import (
 	"math/rand/v2"
+	"slices"
 	"sync"
 	"time"
 )
@@ -29,8 +30,8 @@
 	bytesSent map[string]int64 // that each process sent, packets and connections
 }
 
-// NewNet returns a network without relays, whose random draws come from the seed.
-func NewNet(seed uint64) *Network {
+// NewNetwork returns a network without relays, whose random draws come from the seed.
+func NewNetwork(seed uint64) *Network {
 	return &Network{
 		links:     map[direction]Link{},
 		random:    rand.New(rand.NewPCG(seed, 5)),
@@ -69,6 +70,14 @@
 	}
 }
 
+// RandomPartition draws a minority of the processes, and returns it and the others.
+func RandomPartition(random *rand.Rand, names []string) (minority, majority []string) {
+	shuffled := slices.Clone(names)
+	random.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
+	minoritySize := (len(shuffled) - 1) / 2
+	return shuffled[:minoritySize], shuffled[minoritySize:]
+}
+
 // Close ends all relays.
 func (n *Network) Close() {
 	n.mu.Lock()
--- a/internal/bench/faultinjection/relay.go
+++ b/internal/bench/faultinjection/relay.go
@@ -5,6 +5,8 @@
 	"net"
 	"slices"
 	"time"
+
+	"swiftcourse/internal/bench/timing"
 )
 
 const (
@@ -191,7 +193,7 @@
 	planned := n.planTransfer(from, to, len(data))
 	delay := planned.delay
 	if rate := planned.link.BytesPerSecond; rate > 0 {
-		delay += time.Duration(float64(len(data)) / rate * float64(time.Second))
+		delay += timing.Seconds(float64(len(data)) / rate)
 	}
 	select {
 	case <-time.After(delay):
--- a/internal/bench/faultinjection/runlog.go
+++ b/internal/bench/faultinjection/runlog.go
@@ -46,9 +46,9 @@
 func (l *RunLog) RecordResult(id string, body []byte) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := fmt.Sprintf("%s by %s", body, id)
-	l.results[string(body)] = append(l.results[string(body)], r)
-	return []byte(r)
+	result := fmt.Sprintf("%s by %s", body, id)
+	l.results[string(body)] = append(l.results[string(body)], result)
+	return []byte(result)
 }
 
 // CountRepeated counts the keys with a prefix that ran more than once.
@@ -91,8 +91,8 @@
 func (l *RunLog) CountRuns(pass func(id, key string, at time.Time) bool) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id, b := range l.started {
-		if pass(id, b.key, b.at) {
+	for id, run := range l.started {
+		if pass(id, run.key, run.at) {
 			n++
 		}
 	}
--- a/internal/bench/faultinjection/shape.go
+++ b/internal/bench/faultinjection/shape.go
@@ -17,6 +17,9 @@
 	pingCores = 4
 )
 
+// ShortLeases are lines of the operator's file with which leases end within seconds.
+const ShortLeases = "door on\nfleet-lease 2s\nfleet-behind 2s\n"
+
 // SmallShape returns the configuration of the servers of tests and experiments: one idempotent
 // class and no calls.
 func SmallShape(program string) process.Config {
--- a/internal/bench/keyclaims/attempts.go
+++ b/internal/bench/keyclaims/attempts.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"swiftcourse/internal/bench/faultinjection"
+	"swiftcourse/internal/bench/timing"
 )
 
 const (
@@ -32,7 +33,7 @@
 func (r *experiment) sendAttempts(ctx context.Context, stop <-chan struct{}) {
 	random := rand.New(rand.NewPCG(r.Seed, 13))
 	for ctx.Err() == nil {
-		interval := time.Duration(random.ExpFloat64() / r.AttemptRate * float64(time.Second))
+		interval := timing.Seconds(random.ExpFloat64() / r.AttemptRate)
 		select {
 		case <-stop:
 			return
--- a/internal/bench/keyclaims/faults.go
+++ b/internal/bench/keyclaims/faults.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"swiftcourse/internal/bench/faultinjection"
+	"swiftcourse/internal/bench/timing"
 )
 
 // fault is a kind of fault beside kills.
@@ -24,7 +25,7 @@
 // disturbanceMargin is for how long after a fault its effect may last.
 const disturbanceMargin = 2 * time.Second
 
-// lossyLink is what a loss makes of all links.
+// lossyLink is the state of all links during faultLoss.
 var lossyLink = faultinjection.Link{
 	Loss:      0.2,
 	Duplicate: 0.2,
@@ -51,10 +52,10 @@
 // injectFaults kills servers and disturbs them and the network, and ends all faults.
 func (r *experiment) injectFaults(ctx context.Context) {
 	random := rand.New(rand.NewPCG(r.Seed, 17))
-	total := time.Duration(r.Seconds * float64(time.Second))
+	total := timing.Seconds(r.Seconds)
 	step := total
 	if r.Kills > 0 {
-		step = time.Duration(r.Seconds / float64(r.Kills) * float64(time.Second))
+		step = timing.Seconds(r.Seconds / float64(r.Kills))
 	}
 	for end := time.Now().Add(total); time.Now().Before(end) && ctx.Err() == nil; {
 		from := time.Now()
@@ -85,11 +86,7 @@
 	drawn.target = names[random.IntN(len(names))]
 	drawn.fault = fault(random.IntN(faultDraws))
 	drawn.length = time.Duration(300+random.IntN(1500)) * time.Millisecond
-	mixed := slices.Clone(names)
-	random.Shuffle(len(mixed), func(i, j int) { mixed[i], mixed[j] = mixed[j], mixed[i] })
-	half := (len(mixed) - 1) / 2
-	drawn.minority = mixed[:half]
-	drawn.majority = mixed[half:]
+	drawn.minority, drawn.majority = faultinjection.RandomPartition(random, names)
 	return drawn
 }
 
@@ -111,6 +108,7 @@
 	}
 }
 
+// recordKill records that a process was killed or crashed now.
 func (r *experiment) recordKill() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -147,27 +145,12 @@
 		network.Partition(drawn.minority, drawn.majority)
 		r.recordDisturbance(length, drawn.minority)
 	case faultOneWayCut:
-		for _, from := range r.fleet.Names {
-			if from != drawn.target {
-				network.SetLink(from, drawn.target, faultinjection.Link{Cut: true})
-			}
-		}
+		r.fleet.CutIncoming(drawn.target)
 	case faultLoss, faultLossAgain:
-		r.disturbAllLinks()
+		r.fleet.SetAllLinks(lossyLink)
 	default:
 		r.row.Faults--
 	}
 	time.Sleep(length)
 	network.Heal()
 }
-
-// disturbAllLinks makes all links lossy.
-func (r *experiment) disturbAllLinks() {
-	for _, from := range r.fleet.Names {
-		for _, to := range r.fleet.Names {
-			if from != to {
-				r.fleet.Net.SetLink(from, to, lossyLink)
-			}
-		}
-	}
-}
--- a/internal/bench/keyclaims/keyclaims.go
+++ b/internal/bench/keyclaims/keyclaims.go
@@ -115,15 +115,15 @@
 }
 
 const (
-	// retentionWindow is how long keys are kept here: long enough that a key is tried again some
-	// times, short enough that it ends within a run.
+	// retentionWindow is how long keys are kept here: long enough for several attempts of a
+	// key, short enough to end within a run.
 	retentionWindow = 4 * time.Second
 	// callerTimeout is the timeout of an attempt.
 	callerTimeout = time.Second
 	// healTimeout is how long the fleet has to agree after the last fault, and how long a late
 	// answer is waited for.
 	healTimeout = 30 * time.Second
-	// partitionSettle is how long a partition stands before the runs behind it count: what was
+	// partitionSettle is how long a partition lasts before the runs behind it count: what was
 	// granted before may still begin.
 	partitionSettle = callerTimeout + 500*time.Millisecond
 	// crashPointServers is the number of draws of servers with crash points, and maxCrashPasses
@@ -206,7 +206,7 @@
 	r.fleet, err = faultinjection.Start(ctx, faultinjection.Config{
 		Shape:            shape,
 		Servers:          r.Servers,
-		Voters:           min(r.Servers, 3+2*(r.Servers/15)),
+		Voters:           faultinjection.VoterCount(r.Servers),
 		ExtraSettings:    r.replicaSettings(names),
 		Seed:             r.Seed,
 		RunLog:           r.runLog,
@@ -218,8 +218,8 @@
 
 // replicaSettings returns the lines of the operator's file about leases and replication.
 func (r *experiment) replicaSettings(names []string) string {
-	return fmt.Sprintf("door on\nfleet-lease 2s\nfleet-behind 2s\n"+
-		"replica-holders %s\nreplica-copies %d\nreplica-keyed %s\nreplica-window %s\n",
+	return faultinjection.ShortLeases +
+		fmt.Sprintf("replica-holders %s\nreplica-copies %d\nreplica-keyed %s\nreplica-window %s\n",
 		strings.Join(names, " "), r.ReplicationFactor, faultinjection.PingClass, retentionWindow)
 }
 
--- a/internal/bench/quotas/faults.go
+++ b/internal/bench/quotas/faults.go
@@ -3,13 +3,13 @@
 import (
 	"context"
 	"math/rand/v2"
-	"slices"
 	"time"
 
 	"swiftcourse/internal/bench/faultinjection"
+	"swiftcourse/internal/bench/timing"
 )
 
-// lossyLink is what FaultLoss makes of all links.
+// lossyLink is the state of all links during FaultLoss.
 var lossyLink = faultinjection.Link{Loss: 0.3, Duplicate: 0.1, Jitter: 50 * time.Millisecond}
 
 // draw is one draw of a fault.
@@ -24,11 +24,11 @@
 // injectFaults injects faults by the seed, one after the other.
 func (r *experiment) injectFaults(ctx context.Context) {
 	random := rand.New(rand.NewPCG(r.Seed, 23))
-	end := time.Now().Add(time.Duration(r.Seconds * float64(time.Second)))
+	end := time.Now().Add(timing.Seconds(r.Seconds))
 	for time.Now().Before(end) && ctx.Err() == nil {
 		r.row.Faults++
 		r.inject(ctx, r.draw(random))
-		sleep(ctx, time.Duration(200+random.IntN(800))*time.Millisecond)
+		timing.Sleep(ctx, time.Duration(200+random.IntN(800))*time.Millisecond)
 	}
 }
 
@@ -42,10 +42,8 @@
 		fault = r.Fault
 	}
 	length := time.Duration(300+random.IntN(4000)) * time.Millisecond
-	mixed := slices.Clone(names)
-	random.Shuffle(len(mixed), func(i, j int) { mixed[i], mixed[j] = mixed[j], mixed[i] })
-	half := (len(mixed) - 1) / 2
-	return draw{fault: fault, target: target, length: length, minority: mixed[:half], majority: mixed[half:]}
+	minority, majority := faultinjection.RandomPartition(random, names)
+	return draw{fault: fault, target: target, length: length, minority: minority, majority: majority}
 }
 
 // inject injects a fault and ends it. Errors of kills and pauses are not looked at: whether a
@@ -60,13 +58,13 @@
 		r.killVoters(ctx)
 	case FaultPause:
 		_ = r.fleet.Pause(drawn.target)
-		sleep(ctx, drawn.length)
+		timing.Sleep(ctx, drawn.length)
 		_ = r.fleet.Resume(drawn.target)
 	case FaultShift:
 		r.shiftDemand(drawn.target)
 	case FaultCut, FaultOneWay, FaultLoss:
 		r.disturbLinks(drawn)
-		sleep(ctx, drawn.length)
+		timing.Sleep(ctx, drawn.length)
 		r.fleet.Net.Heal()
 	}
 }
@@ -93,23 +91,12 @@
 
 // disturbLinks changes the links between servers.
 func (r *experiment) disturbLinks(drawn draw) {
-	network := r.fleet.Net
 	switch drawn.fault {
 	case FaultCut:
-		network.Partition(drawn.minority, drawn.majority)
+		r.fleet.Net.Partition(drawn.minority, drawn.majority)
 	case FaultOneWay:
-		for _, from := range r.fleet.Names {
-			if from != drawn.target {
-				network.SetLink(from, drawn.target, faultinjection.Link{Cut: true})
-			}
-		}
+		r.fleet.CutIncoming(drawn.target)
 	case FaultLoss:
-		for _, from := range r.fleet.Names {
-			for _, to := range r.fleet.Names {
-				if from != to {
-					network.SetLink(from, to, lossyLink)
-				}
-			}
-		}
+		r.fleet.SetAllLinks(lossyLink)
 	}
 }
--- a/internal/bench/quotas/quotas.go
+++ b/internal/bench/quotas/quotas.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"swiftcourse/internal/bench/faultinjection"
+	"swiftcourse/internal/bench/timing"
 	"swiftcourse/internal/policy/quota"
 	"swiftcourse/internal/wire/simulator"
 )
@@ -253,18 +254,10 @@
 // measureUsedShare returns the share of the quota that is used during that time.
 func (r *experiment) measureUsedShare(ctx context.Context, length time.Duration) float64 {
 	from := time.Now()
-	sleep(ctx, length)
+	timing.Sleep(ctx, length)
 	return r.load.RateBetween(from, time.Now(), r.fleet.Names...) / r.limit
 }
 
-// sleep waits for a time or for the end of the context.
-func sleep(ctx context.Context, length time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-time.After(length):
-	}
-}
-
 // measurePartition cuts off one server with demand, and measures its use once its lease is over.
 func (r *experiment) measurePartition(ctx context.Context) {
 	network := r.fleet.Net
@@ -272,9 +265,9 @@
 	r.load.SetRate(r.limit, name)
 	others := slices.DeleteFunc(slices.Clone(r.fleet.Names), func(other string) bool { return other == name })
 	network.Partition(others, []string{name})
-	sleep(ctx, leaseDuration+time.Second)
+	timing.Sleep(ctx, leaseDuration+time.Second)
 	from := time.Now()
-	sleep(ctx, measurePeriod)
+	timing.Sleep(ctx, measurePeriod)
 	floor := floorFraction * r.limit / float64(r.Servers)
 	r.row.CutOffService = r.load.RateBetween(from, time.Now(), name) / floor
 	network.Heal()
--- a/internal/bench/rollouts/faults.go
+++ b/internal/bench/rollouts/faults.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"swiftcourse/internal/bench/faultinjection"
+	"swiftcourse/internal/bench/timing"
 )
 
 // fault is a kind of fault.
@@ -33,7 +34,7 @@
 	waveShare = 0.4
 )
 
-// lossyLink is what faultLossyLinks makes of all links.
+// lossyLink is the state of all links during faultLossyLinks.
 var lossyLink = faultinjection.Link{
 	Loss:      0.3,
 	Duplicate: 0.2,
@@ -53,7 +54,7 @@
 // injectFaults draws faults and releases again and again. What it draws does not depend on what the
 // servers do, so that a run with the fleet enabled and one without have the same faults.
 func (r *experiment) injectFaults(ctx context.Context, fleetEnabled bool) {
-	end := time.Now().Add(time.Duration(r.Seconds * float64(time.Second)))
+	end := time.Now().Add(timing.Seconds(r.Seconds))
 	for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
 		drawn := r.draw()
 		isRelease := drawn.fault >= faultKindCount
@@ -107,16 +108,10 @@
 		network.Partition(groups[0], groups[1])
 	case faultOneWayCut:
 		r.markDisturbed(drawn.length, r.serverNames...)
-		for _, from := range r.serverNames {
-			network.SetLink(from, drawn.target, faultinjection.Link{Cut: true})
-		}
+		r.fleet.CutIncoming(drawn.target)
 	case faultLossyLinks:
 		r.markDisturbed(drawn.length, r.serverNames...)
-		for _, from := range r.serverNames {
-			for _, to := range r.serverNames {
-				network.SetLink(from, to, lossyLink)
-			}
-		}
+		r.fleet.SetAllLinks(lossyLink)
 	}
 	r.undoAfter(drawn.length, network.Heal)
 }
--- a/internal/bench/rollouts/rollouts.go
+++ b/internal/bench/rollouts/rollouts.go
@@ -94,7 +94,7 @@
 
 const (
 	// shortLeases are settings with which a run of seconds sees leases end.
-	shortLeases = "door on\nfleet-lease 2s\nfleet-behind 2s\nfleet-wave 500ms\n"
+	shortLeases = faultinjection.ShortLeases + "fleet-wave 500ms\n"
 	// otherPrefix is set at the last server alone: it can't apply releases of this setting.
 	otherPrefix = "door-prefix-ipv4 16"
 	// healTimeout is how long a fleet has to agree after the last fault: ten leases.
@@ -168,7 +168,7 @@
 	started, err := faultinjection.Start(ctx, faultinjection.Config{
 		Shape:               shape,
 		Servers:             r.Servers,
-		Voters:              min(r.Servers, 3+2*(r.Servers/15)),
+		Voters:              faultinjection.VoterCount(r.Servers),
 		ExtraSettings:       shortLeases,
 		ExtraSettingsByName: map[string]string{fmt.Sprint("n", r.Servers): otherPrefix},
 		Seed:                r.Seed,
