--- a/internal/bench/keyclaims/keyclaims.go
+++ b/internal/bench/keyclaims/keyclaims.go
@@ -220,7 +220,7 @@
 func (r *experiment) replicaSettings(names []string) string {
 	return faultinjection.ShortLeases +
 		fmt.Sprintf("replica-holders %s\nreplica-copies %d\nreplica-keyed %s\nreplica-window %s\n",
-		strings.Join(names, " "), r.ReplicationFactor, faultinjection.PingClass, retentionWindow)
+			strings.Join(names, " "), r.ReplicationFactor, faultinjection.PingClass, retentionWindow)
 }
 
 // drawCrashPoints draws where servers crash: each time they have passed a trace point some times.
