--- a/internal/bench/idleconns/expire.go
+++ b/internal/bench/idleconns/expire.go
@@ -23,7 +23,7 @@
 	PhaseAfter PhaseName = "after"
 )
 
-// Phase is what the busy connections experienced in one part of a mass expiry.
+// Phase is the latency of the busy connections in one part of a mass expiry.
 type Phase struct {
 	Connections   int       `json:"connections"` // idle ones at its start
 	Phase         PhaseName `json:"phase"`
@@ -146,7 +146,7 @@
 	e.plan.progress("%d connections: checked in one burst of %.2f s, %d open",
 		connections, time.Since(burst).Seconds(), open)
 	timing.Sleep(ctx, burstSettle)
-	if _, err := e.usage(); err != nil { // the statistics begin anew
+	if _, err := e.readUsage(); err != nil { // the statistics begin anew
 		return 0, err
 	}
 	e.load.TakeStats()
@@ -170,10 +170,10 @@
 	return nil
 }
 
-// endPhase takes what came back in a phase.
+// endPhase appends a phase with the statistics since the previous one ended.
 func (e *expiry) endPhase(name PhaseName, connections int) error {
 	stats := e.load.TakeStats()
-	usage, err := e.usage()
+	usage, err := e.readUsage()
 	if err != nil {
 		return err
 	}
--- a/internal/bench/idleconns/fixture.go
+++ b/internal/bench/idleconns/fixture.go
@@ -21,7 +21,7 @@
 
 	requestTimeout = 2 * time.Second
 	requestBytes   = 100
-	// loadWarmup is the start of a load, which is not measured.
+	// loadWarmup is how long a load runs before it is measured.
 	loadWarmup = 300 * time.Millisecond
 )
 
@@ -151,8 +151,8 @@
 	cpuSeconds    float64
 }
 
-// usage asks the servers for their statistics, which begin anew with it, and the system for the rest.
-func (f *fixture) usage() (usage, error) {
+// readUsage asks the servers for their statistics, which begin anew with it, and the system for the rest.
+func (f *fixture) readUsage() (usage, error) {
 	var total usage
 	for _, s := range f.servers {
 		if f.plan.Statistics {
