--- a/internal/replicastore/doc.go
+++ b/internal/replicastore/doc.go
@@ -1,8 +1,8 @@
-// Package replicastore holds the records that one replica keeps of idempotency keys:
-// which attempts claimed a key, and the outcome of each of them.
+// Package replicastore stores one replica's records of idempotency keys. A record lists the
+// attempts that claimed a key and the outcome of each attempt.
 //
-// A Store is a plain in-memory structure, bounded in records and in bytes. It is owned by
-// one goroutine and takes no lock. It keeps a CRC of each record's key and attempts, and
-// checks it before the record is read, to detect memory corruption. Package replication, the
-// only caller that writes, decides which records are stored and how copies are merged.
+// A Store is an in-memory structure with a bounded number of records and bytes. It is owned by
+// one goroutine and has no lock. To detect memory corruption it keeps a CRC of each record's
+// key and attempts, and verifies it before the record is read. Package replication is the only
+// writer; it decides which records are stored and merges copies.
 package replicastore
--- a/internal/replicastore/expiry.go
+++ b/internal/replicastore/expiry.go
@@ -1,6 +1,6 @@
 package replicastore
 
-// expiryHeap orders entries by when they expire, for container/heap.
+// expiryHeap is a min-heap of entries by expiry time, for container/heap.
 type expiryHeap []*entry
 
 // Len implements heap.Interface.
--- a/internal/replicastore/record.go
+++ b/internal/replicastore/record.go
@@ -8,13 +8,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ClaimID identifies one claim of a key. Of two competing claims the one with the lower
-// ClaimID takes precedence. Safety does not depend on clocks: a wrong one only decides which of
-// two competing claims is granted.
+// ClaimID identifies one claim of a key. Of two competing claims the one with the lower ClaimID
+// takes precedence. Safety does not depend on clocks: a wrong clock only affects which of two
+// competing claims is granted.
 type ClaimID struct {
-	UnixMilli   int64  // time of the claim by the coordinator's clock, in milliseconds since 1970
-	Incarnation uint64 // of the coordinator's process
-	Sequence    uint64 // used once by that incarnation
+	UnixMilli   int64  // time of the claim by the coordinator's clock, in ms since 1970
+	Incarnation uint64 // incarnation of the coordinator's process
+	Sequence    uint64 // unique within the incarnation
 }
 
 // Compare orders claims by time, then by incarnation and sequence number.
@@ -26,18 +26,19 @@
 	)
 }
 
-// AttemptState is what is known of an attempt. When copies are merged the higher state wins.
+// AttemptState is the known state of an attempt. Merging copies of an attempt keeps the higher
+// state.
 type AttemptState uint8
 
-// The states of an attempt.
+// States of an attempt.
 const (
-	StateClaimed   AttemptState = iota // it may run, or may have run
+	StateClaimed   AttemptState = iota // it may run or may have run
 	StateWithdrawn                     // it did not run and never will
-	StateFailed                        // it ran and has no result
-	StateFinished                      // it ran and has a result
+	StateFailed                        // it ran without a result
+	StateFinished                      // it ran and returned a result
 )
 
-// String returns the state's name.
+// String returns the name of the state, "unknown" for an undefined value.
 func (s AttemptState) String() string {
 	switch s {
 	case StateClaimed:
@@ -52,18 +53,19 @@
 	return "unknown"
 }
 
-// Blocks reports whether an attempt in this state keeps other claims of its key from being granted.
+// Blocks reports whether an attempt in this state prevents other claims of its key from being
+// granted.
 func (s AttemptState) Blocks() bool { return s != StateWithdrawn }
 
 // Attempt is one claim of a key and its outcome.
 type Attempt struct {
 	ClaimID
 	State          AttemptState
-	ResultChecksum uint64 // of a finished attempt's result; stays when the result is dropped
-	Result         []byte // nil where there is none, or where it was dropped to free memory
+	ResultChecksum uint64 // checksum of a finished attempt's result; kept when the result is dropped
+	Result         []byte // nil if there is none or if it was dropped to free memory
 }
 
-// NewFinishedAttempt returns an attempt that ended with a result, of which it keeps a copy.
+// NewFinishedAttempt returns a finished attempt with a copy of the result.
 func NewFinishedAttempt(id ClaimID, result []byte) Attempt {
 	return Attempt{
 		ClaimID:        id,
@@ -73,31 +75,31 @@
 	}
 }
 
-// Intact reports whether the result, where there is one, matches its checksum.
+// Intact reports whether the result, if present, matches its checksum.
 func (a *Attempt) Intact() bool {
 	return a.State != StateFinished || a.Result == nil || xxhash.Sum64(a.Result) == a.ResultChecksum
 }
 
-// Record is all that is known of a key.
+// Record lists the known attempts of a key.
 type Record struct {
 	Key       Key
-	ExpiresAt float64   // seconds of the replica's own clock
-	Attempts  []Attempt // in the order of their ClaimIDs
+	ExpiresAt float64   // in seconds, by the replica's own clock
+	Attempts  []Attempt // in ascending order of ClaimID
 }
 
-// BlockingAttempt returns the first attempt that blocks other claims, nil if there is none.
+// BlockingAttempt returns the first attempt that blocks other claims, or nil if there is none.
 // It may be called on a nil record.
 func (r *Record) BlockingAttempt() *Attempt {
 	return r.firstAttempt(AttemptState.Blocks)
 }
 
-// FinishedAttempt returns the first attempt that ended with a result, nil if there is none.
+// FinishedAttempt returns the first finished attempt, or nil if there is none.
 // It may be called on a nil record.
 func (r *Record) FinishedAttempt() *Attempt {
 	return r.firstAttempt(func(state AttemptState) bool { return state == StateFinished })
 }
 
-// firstAttempt returns the first attempt whose state matches, nil if there is none.
+// firstAttempt returns the first attempt whose state matches, or nil if there is none.
 func (r *Record) firstAttempt(matches func(AttemptState) bool) *Attempt {
 	if r == nil {
 		return nil
@@ -110,24 +112,25 @@
 	return nil
 }
 
-// Memory in bytes that a record takes in addition to its results, as BenchmarkStore measured it
-// with 100,000 records.
 const (
-	recordOverhead  = 240
-	attemptOverhead = 72
+	// A record takes recordOverheadBytes, plus attemptOverheadBytes for each attempt, plus its
+	// results. The overheads include the store's map and heap; BenchmarkStore reports the memory
+	// allocated.
+	recordOverheadBytes  = 240
+	attemptOverheadBytes = 72
 )
 
-// sizeInBytes returns the memory that the record takes in a store.
+// sizeInBytes returns the estimated memory that the record takes in a store.
 func (r *Record) sizeInBytes() int {
-	size := recordOverhead + attemptOverhead*len(r.Attempts)
+	size := recordOverheadBytes + attemptOverheadBytes*len(r.Attempts)
 	for i := range r.Attempts {
 		size += len(r.Attempts[i].Result)
 	}
 	return size
 }
 
-// appendEncoding appends the part of the record that is equal in all replicas' copies: the key
-// and the attempts, without ExpiresAt and without the results, which a replica may drop.
+// appendEncoding appends the part of the record that is equal in all replicas: the key and the
+// attempts, without ExpiresAt and without the results, which a replica may drop.
 func (r *Record) appendEncoding(buffer []byte) []byte {
 	buffer = append(buffer, r.Key[:]...)
 	for i := range r.Attempts {
@@ -141,12 +144,12 @@
 	return buffer
 }
 
-// checksumOf returns the record's part of its slot's checksum, given its encoding. It is the same
-// for all copies that agree.
+// checksumOf returns the checksum of a record with the given encoding, which is combined into the
+// checksum of its slot. Copies with equal attempts have equal checksums.
 func checksumOf(encoding []byte) uint64 { return xxhash.Sum64(encoding) }
 
-// crcOf returns the CRC by which memory corruption is detected, over the record's encoding and its
-// results. ExpiresAt is not covered.
+// crcOf returns the CRC that detects memory corruption. It covers the record's encoding and its
+// results, but not ExpiresAt.
 func (r *Record) crcOf(encoding []byte) uint32 {
 	crc := crc32.ChecksumIEEE(encoding)
 	for i := range r.Attempts {
--- a/internal/replicastore/store.go
+++ b/internal/replicastore/store.go
@@ -6,20 +6,20 @@
 	"slices"
 )
 
-// maxDropScan bounds how many records are searched for results to drop when a store is full, and
-// with it the cost of one Put.
-const maxDropScan = 256
+// maxDropScanRecords bounds the records that one Put searches for results to drop when the store
+// is full.
+const maxDropScanRecords = 256
 
-// entry is a record as the store holds it.
+// entry is a stored record with its checksums and its position in the expiry queue.
 type entry struct {
 	Record
-	recordCRC uint32 // Record.crcOf, to detect memory corruption
-	checksum  uint64 // the record's part of its slot's checksum
-	size      int    // counted in Store.usedBytes
-	heapIndex int    // in Store.expiryQueue
+	recordCRC uint32 // CRC of the record, to detect memory corruption
+	checksum  uint64 // checksum of the record, combined into that of its slot
+	size      int    // estimated memory in bytes, part of Store.usedBytes
+	heapIndex int    // index in Store.expiryQueue
 }
 
-// Store holds records up to a number of records and a number of bytes.
+// Store holds records, bounded in number and in bytes.
 type Store struct {
 	slots            [SlotCount]map[Key]*entry
 	checksums        [SlotCount]uint64 // XOR of the checksums of each slot's records
@@ -27,20 +27,20 @@
 	usedBytes        int
 	maxRecords       int
 	maxBytes         int
-	scratch          []byte // reused by encode
+	scratch          []byte // buffer of encode
 	droppedResults   int
 	corruptedRecords int
 }
 
-// Stats counts what a Store holds, and what it dropped and removed since it was made.
+// Stats counts the current contents of a Store, and its drops and removals since it was created.
 type Stats struct {
 	Records          int
 	Bytes            int
-	DroppedResults   int // dropped to free memory
-	CorruptedRecords int // failed their CRC, and were removed
+	DroppedResults   int // results dropped to free memory
+	CorruptedRecords int // records removed because their CRC did not match
 }
 
-// NewStore returns an empty store that holds at most maxRecords records, of about maxBytes bytes.
+// NewStore returns an empty store for at most maxRecords records that take about maxBytes bytes.
 // Replacing a record may exceed maxBytes, see Put.
 func NewStore(maxRecords, maxBytes int) *Store {
 	return &Store{maxRecords: maxRecords, maxBytes: maxBytes}
@@ -56,9 +56,9 @@
 	}
 }
 
-// Get returns the record of a key, nil if there is none; the caller must not change it.
-// A record that fails its CRC is removed; then Get returns nil, and intact is false, as the store
-// can't tell which claims of the key it held.
+// Get returns the record of a key, or nil if there is none. The caller must not modify it. If the
+// record fails its CRC check, Get removes it and returns nil and false, because the claims that it
+// held are unknown.
 func (s *Store) Get(key Key) (record *Record, intact bool) {
 	e := s.slots[key.Slot()][key]
 	if e == nil {
@@ -72,10 +72,11 @@
 	return &e.Record, true
 }
 
-// Put stores a record in place of the one with its key, and reports whether it did. Over maxBytes
-// the results that expire soonest are dropped, but never an attempt: a key stays known to have run
-// until its record expires. A new key is refused when the store stays full; a known one is always
-// stored, even over maxBytes.
+// Put stores a record, replacing the one with the same key, and reports whether it stored it. To
+// stay within maxBytes it drops results, about in the order in which their records expire. It
+// never drops attempts, so that a key is known to have run until its record expires. Put refuses
+// a new key if the store is still full. It always stores a known key, even if the store then
+// exceeds maxBytes.
 func (s *Store) Put(record Record) bool {
 	old := s.slots[record.Key.Slot()][record.Key]
 	added := &entry{Record: record, size: record.sizeInBytes()}
@@ -118,24 +119,24 @@
 	heap.Remove(&s.expiryQueue, e.heapIndex)
 }
 
-// encode returns an entry's encoding, which is valid until the next call.
+// encode returns the encoding of an entry's record. It is valid until the next call.
 func (s *Store) encode(e *entry) []byte {
 	s.scratch = e.appendEncoding(s.scratch[:0])
 	return s.scratch
 }
 
-// updateChecksums computes the CRC and the checksum of an entry whose record was set or changed.
+// updateChecksums computes the CRC and the checksum of a new or changed entry.
 func (s *Store) updateChecksums(e *entry) {
 	encoding := s.encode(e)
 	e.recordCRC = e.crcOf(encoding)
 	e.checksum = checksumOf(encoding)
 }
 
-// freeBytes drops results to free a number of bytes, and reports whether it freed that many. It
-// begins with the records that expire soonest, and spares the record of the key exempt.
+// freeBytes drops results until it has freed the needed bytes, and reports whether it freed them. It
+// begins with the records that expire soonest and skips the record of the exempt key.
 func (s *Store) freeBytes(needed int, exempt Key) bool {
-	scanned := s.expiryQueue[:min(len(s.expiryQueue), maxDropScan)]
-	for _, e := range scanned { // a heap's front holds about the earliest, in no exact order
+	scanned := s.expiryQueue[:min(len(s.expiryQueue), maxDropScanRecords)]
+	for _, e := range scanned { // the front of the heap holds about the earliest expiries, not sorted
 		if needed <= 0 {
 			break
 		}
@@ -146,7 +147,7 @@
 	return needed <= 0
 }
 
-// dropResults drops the results of an entry and returns the bytes that this freed.
+// dropResults drops the results of an entry and returns the number of freed bytes.
 func (s *Store) dropResults(e *entry) (freed int) {
 	for i := range e.Attempts {
 		result := e.Attempts[i].Result
@@ -164,7 +165,8 @@
 	return freed
 }
 
-// Expire removes at most limit records that have expired by now, in seconds, and returns how many.
+// Expire removes at most limit records that expired at or before now, and returns how many it
+// removed.
 func (s *Store) Expire(now float64, limit int) (removed int) {
 	for removed < limit && len(s.expiryQueue) > 0 && s.expiryQueue[0].ExpiresAt <= now {
 		s.remove(s.expiryQueue[0])
@@ -173,7 +175,7 @@
 	return removed
 }
 
-// NextExpiry returns when the next record expires, in seconds, +Inf if the store is empty.
+// NextExpiry returns when the next record expires, in seconds, or +Inf if the store is empty.
 func (s *Store) NextExpiry() float64 {
 	if len(s.expiryQueue) == 0 {
 		return math.Inf(1)
@@ -181,20 +183,20 @@
 	return s.expiryQueue[0].ExpiresAt
 }
 
-// Checksum returns a slot's checksum. Stores whose checksums of a slot are equal hold the same
-// attempts of its keys.
+// Checksum returns the checksum of a slot. Two stores with equal checksums of a slot hold the same
+// attempts in it.
 func (s *Store) Checksum(slot int) uint64 { return s.checksums[slot] }
 
 // ScanResult is the result of Scan.
 type ScanResult struct {
-	Records  []*Record // in the order of their keys; the caller must not change them
-	Complete bool      // no record of the slot is left
-	Intact   bool      // no record failed its CRC
+	Records  []*Record // in ascending order of key; the caller must not modify them
+	Complete bool      // no records of the slot follow
+	Intact   bool      // no record failed its CRC check
 }
 
-// Scan lists the records of a slot in the order of their keys, from the first after the key
-// after (nil for all), until they take maxBytes or more. A record that fails its CRC is removed and
-// left out.
+// Scan returns the records of a slot in ascending order of key, starting after the key after, or at
+// the first key if after is nil. It stops once the records take maxBytes or more. Records that fail
+// their CRC check are removed and not returned.
 func (s *Store) Scan(slot int, after *Key, maxBytes int) ScanResult {
 	var keys []Key
 	for key := range s.slots[slot] {
