--- a/internal/policy/replication/bench_test.go
+++ b/internal/policy/replication/bench_test.go
@@ -10,7 +10,7 @@
 
 func BenchmarkGrantAndEnd(b *testing.B) {
 	replica := threeCaughtUpReplicas(b)[0]
-	request := claimRequest(replica.placement, firstAttempt, initialTerms())
+	request := newClaimRequest(replica.placement, firstAttempt, initialTerms())
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
 		now := float64(n) * 1e-4
@@ -24,9 +24,9 @@
 	}
 }
 
-// BenchmarkCatchUp has a restarted replica receive 100,000 records of 100 bytes from two others;
-// BenchmarkPlainCopy copies as many byte slices, of about the size of such a record with its
-// key and attempt.
+// BenchmarkCatchUp measures how long a restarted replica takes to receive 100,000 records with
+// results of 100 bytes from two others. BenchmarkPlainCopy is the baseline: it copies as many byte
+// slices of about the size of such a record.
 func BenchmarkCatchUp(b *testing.B) {
 	const records = 100_000
 	replicas := threeCaughtUpReplicas(b)
@@ -40,8 +40,9 @@
 			CatchUpRate: 1e12,
 		}, 1)
 		catchUpFrom(1, restarted, replicas[1], replicas[2])
-		if count := restarted.store.Stats().Records; restarted.CatchingUp() > 0 || count != records {
-			b.Fatalf("catching up on %d slots with %d records", restarted.CatchingUp(), count)
+		if count := restarted.store.Stats().Records; restarted.CatchingUpSlots() > 0 || count != records {
+			b.Fatalf("still catching up on %d slots, want 0; got %d records, want %d",
+				restarted.CatchingUpSlots(), count, records)
 		}
 	}
 }
@@ -57,7 +58,7 @@
 			to = append(to, slices.Clone(record))
 		}
 		if len(to) != len(from) {
-			b.Fatal("short")
+			b.Fatalf("copied %d records, want %d", len(to), len(from))
 		}
 	}
 }
--- a/internal/policy/replication/catchup.go
+++ b/internal/policy/replication/catchup.go
@@ -7,112 +7,114 @@
 )
 
 const (
-	// maxPullReplyBytes bounds the records in one PullReply: some tens of packets, a millisecond of
-	// the sender's time.
+	// maxPullReplyBytes bounds the estimated size of the records in one PullReply: a few tens of
+	// packets, which take the sender about 1 ms.
 	maxPullReplyBytes = 32 << 10
-	// maxPullSlots bounds the slots of one PullRequest. Empty ones cost little, so that one round
-	// trip does for many.
+	// maxPullSlots bounds the slots of one PullRequest. Empty slots cost little, so one round trip
+	// can cover many of them.
 	maxPullSlots = 64
-	// The size of a record in a PullReply is estimated as these, in bytes, plus its results.
-	recordCopyOverhead  = 64
-	attemptCopyOverhead = 48
-
-	// pullRetryInterval is when a PullRequest without a reply is sent again, in seconds: longer than
-	// almost all delays among servers that hear one another.
-	pullRetryInterval = 0.5
-	// catchingUpRetryInterval is when a peer that was catching up itself is asked again, in seconds.
-	catchingUpRetryInterval = 0.25
+	// The estimated size of a record in a PullReply is recordCopyOverheadBytes, plus
+	// attemptCopyOverheadBytes for each attempt, plus the lengths of the results.
+	recordCopyOverheadBytes  = 64
+	attemptCopyOverheadBytes = 48
+
+	// pullRetryIntervalSeconds is how long a replica waits for the reply to a PullRequest before
+	// it sends the request again. Replies of reachable servers almost always take less.
+	pullRetryIntervalSeconds = 0.5
+	// catchingUpRetryIntervalSeconds is how long a replica waits before it sends the next
+	// PullRequest to a peer that was itself catching up.
+	catchingUpRetryIntervalSeconds = 0.25
 )
 
-// catchUpState tracks which records a replica still has to get from its peers, the members that
-// share a slot with it: those of slots on which it catches up, and of slots whose checksums differ.
+// catchUpState tracks which slots a replica still has to pull from its peers, the members that
+// share a slot with it: slots on which it is catching up and slots whose checksums differ.
 type catchUpState struct {
-	slots             map[int]*slotProgress // on which the replica has not caught up
-	since             float64               // when catching up last began, in seconds
+	slots             map[int]*slotProgress // slots on which the replica is catching up
+	startedAt         float64               // when the latest catch-up began, in seconds
 	peers             map[int]*peerSync     // by member index
-	peerOrder         []int                 // the peers' indexes in ascending order
-	lastSequence      uint64                // of pull requests
-	caughtUpByPeers   int                   // slots on which the replica caught up by hearing enough peers
-	caughtUpByTimeout int                   // slots on which it caught up by waiting
+	sortedPeers       []int                 // member indexes of the peers, ascending
+	lastSequence      uint64                // of the pull requests sent
+	caughtUpByPeers   int                   // slots completed with the records of enough peers
+	caughtUpByTimeout int                   // slots completed by timeout
 }
 
-// slotProgress is how far a replica has caught up on one slot.
+// slotProgress is a replica's progress in catching up on one slot.
 type slotProgress struct {
-	receivedFrom map[int]Term // peers that had caught up themselves and sent all of the slot
+	receivedFrom map[int]Term // by member index: term of each caught-up peer that sent the whole slot
 }
 
-// peerSync tracks the pull requests of a replica to one peer. Times are in seconds.
+// peerSync tracks a replica's pull requests to one peer. Times are in seconds.
 type peerSync struct {
-	wanted      map[int]bool     // slots
-	request     *PullRequest     // the last one
-	afterKey    replicastore.Key // of the last record received of a slot in part
-	resumes     bool             // the first slot of request was received in part, up to afterKey
-	partialTerm Term             // of the peer when it sent that part
-	sentAt      float64          // of the request in flight, 0 if there is none
-	notBefore   float64          // when the next request may be sent
+	wantedSlots   map[int]bool     // slots to pull from the peer
+	lastRequest   *PullRequest     // the latest request
+	afterKey      replicastore.Key // last key received of a partially received slot
+	resumes       bool             // the next request continues a slot after afterKey
+	partialTerm   Term             // the peer's term when it sent the partial slot
+	sentAt        float64          // when the request in flight was sent, 0 if none is
+	nextRequestAt float64          // earliest time of the next request
 }
 
-// abandonRequest forgets the request in flight and that a slot was received in part.
+// abandonRequest discards the request in flight and the position within a partially received slot.
 func (p *peerSync) abandonRequest() {
 	p.sentAt = 0
 	p.resumes = false
 }
 
-// CaughtUp reports whether the replica may answer for a slot.
+// CaughtUp reports whether the replica has caught up on a slot and may grant claims of its keys.
 func (r *Replica) CaughtUp(slot int) bool { return r.catchUp.slots[slot] == nil }
 
-// CatchingUp returns the number of slots for which the replica may not answer yet.
-func (r *Replica) CatchingUp() int { return len(r.catchUp.slots) }
+// CatchingUpSlots returns the number of slots on which the replica has not caught up yet.
+func (r *Replica) CatchingUpSlots() int { return len(r.catchUp.slots) }
 
-// OutOfSync returns the number of slots for which the replica waits for a peer's records.
-func (r *Replica) OutOfSync() int {
+// OutOfSyncSlots returns the number of slots that the replica still has to pull from a peer.
+func (r *Replica) OutOfSyncSlots() int {
 	slots := map[int]bool{}
 	for _, peer := range r.catchUp.peers {
-		maps.Copy(slots, peer.wanted)
+		maps.Copy(slots, peer.wantedSlots)
 	}
 	return len(slots)
 }
 
-// startCatchUp has the replica catch up on slots: it may not answer for them before.
+// startCatchUp makes the replica catch up on slots. It grants no claims of their keys until then.
 func (r *Replica) startCatchUp(now float64, slots []int) {
-	r.catchUp.since = now
+	r.catchUp.startedAt = now
 	for _, slot := range slots {
 		r.catchUp.slots[slot] = &slotProgress{receivedFrom: map[int]Term{}}
 		for _, member := range r.otherReplicas(slot) {
 			peer := r.catchUp.peers[member]
-			peer.wanted[slot] = true
-			peer.abandonRequest() // it was sent under the term before
+			peer.wantedSlots[slot] = true
+			peer.abandonRequest() // it carries the previous term
 		}
 	}
 }
 
-// markCaughtUp ends catching up on a slot.
+// markCaughtUp ends the catch-up on a slot, and the pulls of the slot from peers.
 func (r *Replica) markCaughtUp(slot int) {
 	delete(r.catchUp.slots, slot)
 	for _, member := range r.otherReplicas(slot) {
-		delete(r.catchUp.peers[member].wanted, slot)
+		delete(r.catchUp.peers[member].wantedSlots, slot)
 	}
 }
 
-// catchUpTimeoutAt returns when catching up ends by waiting, in seconds: by then no claim that was
-// granted before the replica's term began counts any more.
+// catchUpTimeoutAt returns when catch-up ends without the peers, in seconds. By then the retention
+// window of every claim that was granted before the replica's term began has passed.
 func (r *Replica) catchUpTimeoutAt() float64 {
-	return r.catchUp.since + r.placement.RetentionWindow + 2*r.placement.MaxClaimDuration
+	return r.catchUp.startedAt + r.placement.RetentionWindow + 2*r.placement.MaxClaimDuration
 }
 
-// maintainCatchUp sends the pull requests that are due, and ends catching up by timeout.
+// maintainCatchUp sends the pull requests that are due and ends a catch-up that timed out.
 func (r *Replica) maintainCatchUp(now float64) {
 	r.endCatchUpByTimeout(now)
-	for _, member := range r.catchUp.peerOrder {
+	for _, member := range r.catchUp.sortedPeers {
 		peer := r.catchUp.peers[member]
-		inFlight := peer.sentAt > 0 && now < peer.sentAt+pullRetryInterval
-		if len(peer.wanted) > 0 && now >= peer.notBefore && !inFlight {
+		inFlight := peer.sentAt > 0 && now < peer.sentAt+pullRetryIntervalSeconds
+		if len(peer.wantedSlots) > 0 && now >= peer.nextRequestAt && !inFlight {
 			r.sendPull(now, member, peer)
 		}
 	}
 }
 
-// endCatchUpByTimeout marks all slots caught up once it is certain without the peers.
+// endCatchUpByTimeout marks all slots as caught up once catchUpTimeoutAt has passed.
 func (r *Replica) endCatchUpByTimeout(now float64) {
 	if now < r.catchUpTimeoutAt() {
 		return
@@ -123,7 +125,7 @@
 	}
 }
 
-// nextCatchUpWakeup returns when maintainCatchUp has something to do, in seconds.
+// nextCatchUpWakeup returns when maintainCatchUp must next be called, in seconds.
 func (r *Replica) nextCatchUpWakeup(now float64) float64 {
 	next := never
 	if len(r.catchUp.slots) > 0 {
@@ -131,11 +133,11 @@
 	}
 	for _, peer := range r.catchUp.peers {
 		switch {
-		case len(peer.wanted) == 0:
+		case len(peer.wantedSlots) == 0:
 		case peer.sentAt > 0:
-			next = min(next, peer.sentAt+pullRetryInterval)
+			next = min(next, peer.sentAt+pullRetryIntervalSeconds)
 		default:
-			next = min(next, max(now, peer.notBefore))
+			next = min(next, max(now, peer.nextRequestAt))
 		}
 	}
 	return next
--- a/internal/policy/replication/catchup_test.go
+++ b/internal/policy/replication/catchup_test.go
@@ -6,8 +6,8 @@
 	"swiftcourse/internal/replicastore"
 )
 
-// TestReplica_LatePullReplyIgnored: a reply to a request of an earlier term, or one that comes
-// twice, does not count for catching up.
+// TestReplica_LatePullReplyIgnored guards against counting a pull reply toward catch-up that
+// answers a request of an earlier term or arrives twice.
 func TestReplica_LatePullReplyIgnored(t *testing.T) {
 	replicas := threeCaughtUpReplicas(t)
 	placement := replicas[0].placement
@@ -17,25 +17,25 @@
 	for _, envelope := range restarted.TakeOutbox() {
 		late = append(late, replicas[envelope.To].HandlePull(1, 0, envelope.Pull))
 	}
-	restarted.observeTerms(1, []int{0}, []Term{{20, 9}}) // another incarnation was taken for it
+	restarted.observeTerms(1, []int{0}, []Term{{20, 9}}) // others know a later term, of another incarnation
 	if number := restarted.ownTerm().Number; number != 21 {
-		t.Fatalf("the new term is %d, want 21", number)
+		t.Fatalf("after observing term 20 of another incarnation the replica is in term %d, want 21", number)
 	}
 	restarted.Maintain(2)
 	if again := restarted.TakeOutbox(); len(again) == 0 || again[0].Pull.Sequence == late[0].Sequence {
-		t.Errorf("in the new term it asks %+v", again)
+		t.Errorf("in the new term the replica sends %+v, want a pull request with a new sequence number", again)
 	}
 	for i, reply := range late {
 		restarted.HandlePullReply(2, i+1, reply, 1)
 		restarted.HandlePullReply(2, i+1, reply, 1)
 	}
-	if slots := len(placement.SlotsOf(0)); restarted.CatchingUp() != slots {
-		t.Errorf("it catches up on %d slots, want %d", restarted.CatchingUp(), slots)
+	if slots := len(placement.SlotsOf(0)); restarted.CatchingUpSlots() != slots {
+		t.Errorf("catching up on %d slots after late replies, want all %d", restarted.CatchingUpSlots(), slots)
 	}
 }
 
-// TestReplica_CatchUpResumesAfterLoss loses every third reply, and has a peer lose a slot in the
-// middle of catching up.
+// TestReplica_CatchUpResumesAfterLoss checks that a replica gets all records although every third
+// pull reply is lost and a peer loses the records of a slot during the catch-up.
 func TestReplica_CatchUpResumesAfterLoss(t *testing.T) {
 	const records = 3000
 	replicas := threeCaughtUpReplicas(t)
@@ -43,7 +43,7 @@
 	restarted := restartedReplica(replicas[0].placement, 10_000, 1<<24)
 	now := 1.0
 	lost := 0
-	for n := 0; restarted.CatchingUp() > 0 && n < 10_000; n++ {
+	for n := 0; restarted.CatchingUpSlots() > 0 && n < 10_000; n++ {
 		restarted.Maintain(now)
 		for _, envelope := range restarted.TakeOutbox() {
 			if envelope.Pull == nil {
@@ -63,21 +63,23 @@
 		now += 0.05
 	}
 	if count := restarted.store.Stats().Records; count != records || lost == 0 {
-		t.Errorf("%d records, want %d; %d replies were lost", count, records, lost)
+		t.Errorf("got %d records, want %d; %d replies were lost, want at least 1", count, records, lost)
 	}
 	for slot := range replicastore.SlotCount {
 		if restarted.Checksum(slot) != replicas[2].Checksum(slot) {
-			t.Fatalf("slot %d differs", slot)
+			t.Fatalf("slot %d has checksum %x, want %x as on the peer",
+				slot, restarted.Checksum(slot), replicas[2].Checksum(slot))
 		}
 	}
 }
 
-// TestReplica_PeerReplacedMidSlotRestartsSlot: a peer's next incarnation may know less than the one
-// that sent the first part of a slot, so the slot is received again from its beginning.
+// TestReplica_PeerReplacedMidSlotRestartsSlot checks that a partially received slot is pulled
+// again from its start if the peer was replaced meanwhile, because the new incarnation may lack
+// records that the previous one had.
 func TestReplica_PeerReplacedMidSlotRestartsSlot(t *testing.T) {
 	replicas := threeCaughtUpReplicas(t)
 	slot := testKey.Slot()
-	for n := range 40 { // too much for one reply
+	for n := range 40 { // too many for one reply
 		key := testKey
 		key[15] = byte(n)
 		id := replicastore.ClaimID{UnixMilli: 1, Incarnation: 1, Sequence: uint64(n)}
@@ -94,19 +96,19 @@
 		envelopes := restarted.TakeOutbox()
 		return replicas[1].HandlePull(1, 0, envelopes[len(envelopes)-1].Pull)
 	}
-	peer.wanted = map[int]bool{slot: true}
+	peer.wantedSlots = map[int]bool{slot: true}
 	pull()
-	reply := pull() // a retry: the reply to either counts
+	reply := pull() // a retry; a reply to either request is accepted
 	restarted.HandlePullReply(1, 1, reply, 1)
 	if restarted.catchUp.lastSequence != 1 {
-		t.Errorf("%d sequence numbers for one request", restarted.catchUp.lastSequence)
+		t.Errorf("a request and its retry used %d sequence numbers, want 1", restarted.catchUp.lastSequence)
 	}
 	if !peer.resumes || reply.Slots[0].Complete {
-		t.Fatal("the slot came in one reply")
+		t.Fatal("the first reply completed the slot, want a part of it")
 	}
 	replicas[1].terms[1] = Term{12, 9}
 	restarted.HandlePullReply(1, 1, pull(), 1)
 	if peer.resumes || len(restarted.catchUp.slots[slot].receivedFrom) > 0 {
-		t.Error("it goes on with the next incarnation where the first one was")
+		t.Error("the replica resumes the partial slot with the peer's next incarnation, want a pull from its start")
 	}
 }
--- a/internal/policy/replication/claim.go
+++ b/internal/policy/replication/claim.go
@@ -6,37 +6,37 @@
 	"swiftcourse/internal/replicastore"
 )
 
-// claimPhase is a claim's place in its life cycle.
+// claimPhase is a state of the state machine of a claim.
 type claimPhase uint8
 
 const (
-	phaseRequesting claimPhase = iota // replicas are asked to grant the claim
-	phaseWaiting                      // another claim of the key takes precedence; its outcome is awaited
-	phaseGranted                      // the request may run
+	phaseRequesting claimPhase = iota // the coordinator asks the replicas to grant the claim
+	phaseWaiting                      // another claim takes precedence; the coordinator queries its outcome
+	phaseGranted                      // a quorum granted the claim; the request may run
 	phaseDone
 )
 
-// claimEvent is what changes a claim's phase.
+// claimEvent is an event that may change the phase of a claim.
 type claimEvent uint8
 
 const (
 	eventQuorum      claimEvent = iota // a quorum of replicas granted the claim
-	eventResultKnown                   // an earlier run's result was found
-	eventRunFailed                     // an earlier run was found that has no result
+	eventResultKnown                   // a replica returned the result of an earlier run
+	eventRunFailed                     // a replica returned an earlier run that failed
 	eventOutranked                     // another claim takes precedence
 	eventUnblocked                     // no other claim blocks the key any more
-	eventTimedOut                      // the time to be granted is over
-	eventCanceled                      // the request ended before it ran
-	eventRunEnded                      // the request's run ended; the claim's attempt has its result
+	eventTimedOut                      // the claim was not granted, or the other claim not resolved, in time
+	eventCanceled                      // the request ended before its run
+	eventRunEnded                      // the request's run ended; the claim's attempt holds the outcome
 )
 
-// transitions is the state machine of a claim. An event without a row for the claim's phase
-// changes nothing.
+// transitions is the state machine of a claim. An event that has no entry for the current phase is
+// ignored.
 var transitions = []struct {
 	from   claimPhase
-	on     claimEvent
+	event  claimEvent
 	to     claimPhase
-	action func(*Coordinator, *pendingClaim, float64) // nil for none; the last argument is now
+	action func(*Coordinator, *pendingClaim, float64) // nil for no action; the last argument is the time
 }{
 	{phaseRequesting, eventQuorum, phaseGranted, (*Coordinator).notifyGranted},
 	{phaseRequesting, eventResultKnown, phaseDone, (*Coordinator).withdrawWithResult},
@@ -53,28 +53,28 @@
 	{phaseGranted, eventRunEnded, phaseDone, (*Coordinator).reportRunEnd},
 }
 
-// pendingClaim is one request's claim of its key. Times are in seconds.
+// pendingClaim is the claim of one request for its key. Times are in seconds.
 type pendingClaim struct {
-	requestID     string
-	key           replicastore.Key
-	replicas      []int // member indexes, in the placement's order
-	phase         claimPhase
-	attempt       replicastore.Attempt
-	startedAt     float64
-	deadline      float64 // when the outcome must be known
-	giveUpAt      float64 // when requesting ends without a quorum
-	retryAt       float64
-	rounds        int  // of requests sent
-	sawOtherClaim bool // another claim of the key was seen
+	requestID      string
+	key            replicastore.Key
+	replicas       []int // member indexes, in ascending order
+	phase          claimPhase
+	attempt        replicastore.Attempt
+	startedAt      float64
+	deadline       float64 // when the request needs the outcome
+	quorumDeadline float64 // when the claim fails if it has no quorum
+	retryAt        float64 // when the next round of requests is sent
+	rounds         int     // rounds of requests sent
+	sawOtherClaim  bool    // a replica reported another claim of the key
 
-	// By replica, in the order of replicas. Grants count only under terms.
-	terms     []Term
-	granted   []bool
-	unclaimed []bool                 // in phaseWaiting: no claim blocks the key there
-	blockedBy []replicastore.ClaimID // the claim that blocks this one there
+	// One element for each replica, in the order of replicas.
+	terms     []Term                 // the terms under which the grants count
+	granted   []bool                 // the replica granted the claim
+	unclaimed []bool                 // in phaseWaiting: no claim blocks the key at the replica
+	blockedBy []replicastore.ClaimID // the claim that blocks this one at the replica
 }
 
-// resetGrants discards what the replicas replied, to count grants under these terms.
+// resetGrants discards all replies received so far and counts grants under new terms.
 func (p *pendingClaim) resetGrants(terms []Term) {
 	p.terms = terms
 	p.granted = make([]bool, len(p.replicas))
@@ -82,8 +82,8 @@
 	p.blockedBy = make([]replicastore.ClaimID, len(p.replicas))
 }
 
-// expects reports whether a reply answers what the claim asks in its present phase.
-func (p *pendingClaim) expects(reply *ClaimReply) bool {
+// expectsReply reports whether a reply answers a request that the claim sends in its current phase.
+func (p *pendingClaim) expectsReply(reply *ClaimReply) bool {
 	if p.key != reply.Key {
 		return false
 	}
@@ -97,7 +97,7 @@
 	}
 }
 
-// blockedCount returns the number of replicas at which another claim blocks this one.
+// blockedCount returns the number of replicas at which the other claim blocks this one.
 func (p *pendingClaim) blockedCount(other replicastore.ClaimID) int {
 	count := 0
 	for _, id := range p.blockedBy {
@@ -108,18 +108,18 @@
 	return count
 }
 
-// outrankedBy reports whether another claim, by which a replica found this one blocked, takes
-// precedence. The earlier claim does, so that one of two claims that each have grants of some
-// replicas reaches a quorum. So does a later one that blocks this claim at so many replicas that
-// no quorum is left: it may have run.
+// outrankedBy reports whether the other claim, which blocks this one at a replica, takes precedence.
+// The claim with the lower ClaimID takes precedence, so that one of two competing claims that each
+// hold some grants reaches a quorum. A claim with a higher ClaimID takes precedence too if it blocks
+// this one at so many replicas that a quorum is impossible, as it may have run.
 func (p *pendingClaim) outrankedBy(other replicastore.ClaimID, quorum int) bool {
 	return other.Compare(p.attempt.ClaimID) < 0 || p.blockedCount(other) > len(p.replicas)-quorum
 }
 
-// sameTerms reports whether grants are counted under these terms.
+// sameTerms reports whether the claim counts grants under the given terms.
 func (p *pendingClaim) sameTerms(terms []Term) bool { return slices.Equal(terms, p.terms) }
 
-// countTrue returns the number of values that are true.
+// countTrue returns the number of true values.
 func countTrue(values []bool) int {
 	count := 0
 	for _, value := range values {
--- a/internal/policy/replication/claim_actions.go
+++ b/internal/policy/replication/claim_actions.go
@@ -5,10 +5,10 @@
 	"swiftcourse/internal/replicastore"
 )
 
-// applyEvent makes the claim's transition on an event, and runs its action.
-func (c *Coordinator) applyEvent(claim *pendingClaim, on claimEvent, now float64) {
+// applyEvent makes the transition of a claim on an event and runs the transition's action.
+func (c *Coordinator) applyEvent(claim *pendingClaim, event claimEvent, now float64) {
 	for _, transition := range transitions {
-		if transition.from != claim.phase || transition.on != on {
+		if transition.from != claim.phase || transition.event != event {
 			continue
 		}
 		claim.phase = transition.to
@@ -23,7 +23,7 @@
 	}
 }
 
-// beginAttempt sends a claim of the key under a new ClaimID.
+// beginAttempt requests the claim from the replicas under a new ClaimID.
 func (c *Coordinator) beginAttempt(claim *pendingClaim, now float64) {
 	delete(c.claimsByID, claim.attempt.ClaimID)
 	c.lastSequence++
@@ -33,12 +33,12 @@
 		Sequence:    c.lastSequence,
 	}}
 	c.claimsByID[claim.attempt.ClaimID] = claim
-	claim.giveUpAt = max(claim.giveUpAt, min(claim.deadline, now+minReplyWait))
+	claim.quorumDeadline = max(claim.quorumDeadline, min(claim.deadline, now+minQuorumWaitSeconds))
 	claim.resetGrants(c.terms.Select(claim.replicas))
 	c.sendRequests(claim, now)
 }
 
-// addOutcome lists the claim's outcome for TakeOutcomes.
+// addOutcome adds the outcome of a claim to the list that TakeOutcomes returns.
 func (c *Coordinator) addOutcome(claim *pendingClaim, verdict serving.ClaimVerdict, now float64) {
 	c.outcomes = append(c.outcomes, Outcome{
 		RequestID: claim.requestID,
@@ -61,8 +61,8 @@
 	c.addOutcome(claim, serving.ClaimOutcomeUnknown, now)
 }
 
-// withdraw reports to the replicas that a claim never ran, so that they don't grant it if its request
-// arrives later.
+// withdraw reports to the replicas that the request of a claim did not run and will not, so that
+// they refuse a ClaimRequest that arrives later.
 func (c *Coordinator) withdraw(claim *pendingClaim, now float64) {
 	withdrawn := replicastore.Attempt{ClaimID: claim.attempt.ClaimID, State: replicastore.StateWithdrawn}
 	c.reports.start(claim, withdrawn, now)
@@ -78,8 +78,8 @@
 	c.notifyMayHaveRun(claim, now)
 }
 
-// withdrawTimedOut ends a claim that got no quorum. If another claim of the key was seen, its request
-// may have run, and the verdict says so.
+// withdrawTimedOut ends a claim that reached no quorum in time. If a replica reported another claim
+// of the key, the verdict is that the other claim may have run.
 func (c *Coordinator) withdrawTimedOut(claim *pendingClaim, now float64) {
 	c.withdraw(claim, now)
 	if claim.sawOtherClaim {
--- a/internal/policy/replication/compare.go
+++ b/internal/policy/replication/compare.go
@@ -1,18 +1,20 @@
 package replication
 
-// compareInterval is how often a replica sends its checksums to a peer, in seconds. The peers take
-// turns: three replicas have compared each pair within a few seconds.
-const compareInterval = 1.0
+// compareIntervalSeconds is the time between two checksum messages of a replica. It sends them to
+// its peers in round-robin order, so three replicas have compared every pair within a few
+// seconds.
+const compareIntervalSeconds = 1.0
 
-// maintainComparison sends the combined checksum to the next peer every compareInterval.
+// maintainComparison sends a combined checksum to the next peer if compareIntervalSeconds has
+// passed.
 func (r *Replica) maintainComparison(now float64) {
-	peers := r.catchUp.peerOrder
+	peers := r.catchUp.sortedPeers
 	if now < r.nextCompareAt || len(peers) == 0 {
 		return
 	}
-	r.nextCompareAt = now + compareInterval
-	r.compareTurn++
-	peer := peers[r.compareTurn%len(peers)]
+	r.nextCompareAt = now + compareIntervalSeconds
+	r.comparisonCount++
+	peer := peers[r.comparisonCount%len(peers)]
 	checksums := r.sharedChecksums(peer)
 	if len(checksums.Slots) == 0 {
 		return
@@ -24,8 +26,9 @@
 	}})
 }
 
-// HandleChecksums compares the checksums of the member with index from with this replica's. It
-// answers a combined checksum that differs with one for each slot, and pulls the slots that differ.
+// HandleChecksums compares the checksums of member from with those of this replica. If a combined
+// checksum differs, the replica replies with its checksum of each slot. If checksums of slots
+// differ, the replica pulls these slots.
 func (r *Replica) HandleChecksums(now float64, from int, received *Checksums) {
 	peer := r.catchUp.peers[from]
 	if peer == nil || received.ConfigDigest != r.placement.ConfigDigest {
@@ -44,13 +47,13 @@
 			break
 		}
 		if r.placement.replicates(r.self, slot) && r.store.Checksum(slot) != received.Values[i] {
-			peer.wanted[slot] = true
+			peer.wantedSlots[slot] = true
 		}
 	}
 }
 
-// sharedChecksums lists the checksums of the slots that this replica has caught up on and
-// that another member replicates too.
+// sharedChecksums returns the checksums of the slots on which this replica has caught up and that
+// the given member also replicates.
 func (r *Replica) sharedChecksums(member int) *Checksums {
 	checksums := &Checksums{ConfigDigest: r.placement.ConfigDigest, Term: r.ownTerm()}
 	for _, slot := range r.placement.SlotsOf(r.self) {
--- a/internal/policy/replication/coordinator.go
+++ b/internal/policy/replication/coordinator.go
@@ -9,42 +9,45 @@
 )
 
 const (
-	// maxClaims bounds the claims under way: at 1 ms a claim that is two million a second.
-	maxClaims = 2048
-	// maxRounds bounds the rounds of requests for one claim, so that replicas that come and go
-	// in great numbers do not cause as many requests.
-	maxRounds = 64
+	// maxActiveClaims bounds the claims under way. At 1 ms for each claim it allows two million a
+	// second.
+	maxActiveClaims = 2048
+	// maxRequestRounds bounds the rounds of requests for one claim, so that many term changes of its
+	// replicas do not cause an unbounded number of requests.
+	maxRequestRounds = 64
 
-	// Replicas are asked again soon for a grant, in case a packet was lost, and more slowly for
-	// the outcome of another claim's run. The interval doubles with each round. In seconds.
-	claimRetryInterval = 0.02
-	queryRetryInterval = 0.05
-	maxRetryInterval   = 0.5
-	maxRetryDoublings  = 5
+	// Requests for a grant are retried soon, in case a packet was lost. Queries for the outcome of
+	// another claim's run are retried less often. The interval doubles with each round, at most
+	// maxRetryDoublings times and up to maxRetryIntervalSeconds.
+	claimRetryIntervalSeconds = 0.02
+	queryRetryIntervalSeconds = 0.05
+	maxRetryIntervalSeconds   = 0.5
+	maxRetryDoublings         = 5
 
-	// A claim waits for a quorum for this multiple of what claims typically take, and for
-	// minReplyWait seconds at least: a request whose replicas do not answer is rejected while
-	// its client has time to go elsewhere.
-	replyWaitFactor = 8
-	minReplyWait    = 0.25
+	// A claim waits for a quorum for quorumWaitFactor times the typical claim latency, but at
+	// least minQuorumWaitSeconds. If the replicas do not answer, the request is rejected while
+	// its client still has time to retry at another server.
+	quorumWaitFactor     = 8
+	minQuorumWaitSeconds = 0.25
 
-	// Claim latencies are remembered for this many buckets of this many seconds.
+	// The typical claim latency is computed over latencyBuckets buckets of latencyBucketSeconds
+	// each.
 	latencyBuckets       = 8
 	latencyBucketSeconds = 1
 )
 
-// never is a time, in seconds, that does not come.
+// never is the wakeup time, in seconds, of something that needs no wakeup.
 const never = 1e18
 
-// Outcome is how a claim ended for the request that made it.
+// Outcome is the outcome of a claim for the request that made it.
 type Outcome struct {
 	RequestID string
 	Verdict   serving.ClaimVerdict
-	Result    []byte  // of the earlier run, where the verdict says that there is one
-	Latency   float64 // seconds since the claim began
+	Result    []byte  // result of the earlier run, if Verdict is ClaimCached
+	Latency   float64 // seconds from the start of the claim to its outcome
 }
 
-// Coordinator claims keys at their replicas for one server's requests.
+// Coordinator claims keys at their replicas on behalf of one server's requests.
 type Coordinator struct {
 	placement    *Placement
 	terms        TermTable
@@ -54,7 +57,7 @@
 
 	claimsByRequest map[string]*pendingClaim
 	claimsByID      map[replicastore.ClaimID]*pendingClaim
-	claimOrder      []*pendingClaim // in the order in which they began, so that runs of a seed repeat
+	claimOrder      []*pendingClaim // in the order of their start, so that simulations are reproducible
 	latencies       *timewindow.Buckets[timewindow.Histogram]
 
 	reports  reporter
@@ -62,9 +65,9 @@
 	outcomes []Outcome
 }
 
-// NewCoordinator returns the coordinator of a server's incarnation. It shares terms with the
-// server's Replica. Function unixTime returns the time of day in seconds, by which competing
-// claims are ordered.
+// NewCoordinator returns the coordinator of one incarnation of a server. It shares terms with the
+// server's Replica. unixTime returns the time of day in seconds since 1970; competing claims are
+// ordered by it.
 func NewCoordinator(
 	placement *Placement, terms TermTable, incarnation uint64, unixTime func() float64, now float64,
 ) *Coordinator {
@@ -86,20 +89,20 @@
 	return c
 }
 
-// TypicalLatency returns the median time that claims lately took to be granted, in seconds, 0
-// if there were none.
+// TypicalLatency returns the median latency of recently granted claims in seconds, or 0 if there
+// are none.
 func (c *Coordinator) TypicalLatency(now float64) float64 {
 	var all timewindow.Histogram
 	c.latencies.ForEach(now, all.Merge)
 	return all.Median()
 }
 
-// StartClaim claims a key for a request whose outcome must be known by the deadline, in seconds.
-// The outcome is ClaimNoQuorum at once when less time is left than claims typically take, or
-// when too many claims are under way.
+// StartClaim claims a key for a request that needs the outcome by the deadline, in seconds. The
+// outcome is ClaimNoQuorum at once if the remaining time does not exceed the typical claim latency,
+// if maxActiveClaims claims are under way, or if the request already has a claim.
 func (c *Coordinator) StartClaim(now float64, requestID string, key replicastore.Key, deadline float64) {
 	typical := c.TypicalLatency(now)
-	if c.claimsByRequest[requestID] != nil || len(c.claimsByRequest) >= maxClaims || deadline-now <= typical {
+	if c.claimsByRequest[requestID] != nil || len(c.claimsByRequest) >= maxActiveClaims || deadline-now <= typical {
 		c.outcomes = append(c.outcomes, Outcome{RequestID: requestID, Verdict: serving.ClaimNoQuorum})
 		return
 	}
@@ -110,20 +113,21 @@
 		startedAt: now,
 		deadline:  min(deadline, now+c.placement.MaxClaimDuration),
 	}
-	claim.giveUpAt = min(claim.deadline, now+max(minReplyWait, replyWaitFactor*typical))
+	claim.quorumDeadline = min(claim.deadline, now+max(minQuorumWaitSeconds, quorumWaitFactor*typical))
 	c.claimsByRequest[requestID] = claim
 	c.claimOrder = append(c.claimOrder, claim)
 	c.beginAttempt(claim, now)
 }
 
-// CancelClaim ends the claim of a request that ended before it ran.
+// CancelClaim ends the claim of a request that ended before its run.
 func (c *Coordinator) CancelClaim(now float64, requestID string) {
 	if claim := c.claimsByRequest[requestID]; claim != nil {
 		c.applyEvent(claim, eventCanceled, now)
 	}
 }
 
-// FinishClaim ends the claim of a request that ran, and reports its result if it succeeded.
+// FinishClaim ends the claim of a request that ran, and reports to the replicas that it failed, or
+// its result if it succeeded.
 func (c *Coordinator) FinishClaim(now float64, requestID string, succeeded bool, result []byte) {
 	claim := c.claimsByRequest[requestID]
 	if claim == nil {
@@ -137,8 +141,7 @@
 	c.applyEvent(claim, eventRunEnded, now)
 }
 
-// Maintain sends requests and reports again that were not answered, and gives up claims whose
-// time is over.
+// Maintain resends unanswered requests and reports, and ends claims that have timed out.
 func (c *Coordinator) Maintain(now float64) {
 	c.claimOrder = slices.DeleteFunc(c.claimOrder, func(claim *pendingClaim) bool {
 		return claim.phase == phaseDone
@@ -146,7 +149,7 @@
 	for _, claim := range c.claimOrder {
 		switch {
 		case claim.phase == phaseGranted || claim.phase == phaseDone:
-		case now >= claim.deadline, claim.phase == phaseRequesting && now >= claim.giveUpAt:
+		case now >= claim.deadline, claim.phase == phaseRequesting && now >= claim.quorumDeadline:
 			c.applyEvent(claim, eventTimedOut, now)
 		case now >= claim.retryAt:
 			terms := c.terms.Select(claim.replicas)
@@ -159,13 +162,13 @@
 	c.reports.maintain(now)
 }
 
-// NextWakeup returns when Maintain is to be called, in seconds.
+// NextWakeup returns when Maintain must next be called, in seconds.
 func (c *Coordinator) NextWakeup() float64 {
 	next := never
 	for _, claim := range c.claimOrder {
 		switch claim.phase {
 		case phaseRequesting:
-			next = min(next, claim.retryAt, claim.giveUpAt)
+			next = min(next, claim.retryAt, claim.quorumDeadline)
 		case phaseWaiting:
 			next = min(next, claim.retryAt, claim.deadline)
 		}
@@ -173,37 +176,38 @@
 	return min(next, c.reports.nextWakeup())
 }
 
-// TakeOutbox returns the messages to send, and forgets them.
+// TakeOutbox returns the messages to send and empties the outbox.
 func (c *Coordinator) TakeOutbox() []Envelope { return c.outbox.take() }
 
-// TakeOutcomes returns the claims that ended since the last call.
+// TakeOutcomes returns the outcomes since the last call.
 func (c *Coordinator) TakeOutcomes() []Outcome {
 	outcomes := c.outcomes
 	c.outcomes = nil
 	return outcomes
 }
 
-// PendingReports returns the number of ended runs that not all replicas have recorded, and that
-// are still reported to them.
+// PendingReports returns the number of reports that not all replicas have recorded and that are
+// still being sent.
 func (c *Coordinator) PendingReports() int { return len(c.reports.pending) }
 
-// ActiveClaims returns the number of claims under way, those of running requests included.
+// ActiveClaims returns the number of claims under way, including those of running requests.
 func (c *Coordinator) ActiveClaims() int { return len(c.claimsByRequest) }
 
-// sendRequests asks the replicas that have not granted the claim; while it waits for another
-// claim it asks all of them for that one's outcome.
+// sendRequests sends one round of requests. In phaseRequesting it asks the replicas that have not
+// granted the claim to do so. In phaseWaiting it queries all replicas for the outcome of the other
+// claim.
 func (c *Coordinator) sendRequests(claim *pendingClaim, now float64) {
 	operation := OpClaim
-	interval := claimRetryInterval
+	interval := claimRetryIntervalSeconds
 	if claim.phase == phaseWaiting {
 		operation = OpQuery
-		interval = queryRetryInterval
+		interval = queryRetryIntervalSeconds
 		clear(claim.unclaimed)
 	}
 	interval *= float64(int(1) << min(claim.rounds, maxRetryDoublings))
-	claim.retryAt = now + min(maxRetryInterval, interval)
+	claim.retryAt = now + min(maxRetryIntervalSeconds, interval)
 	claim.rounds++
-	if claim.rounds > maxRounds {
+	if claim.rounds > maxRequestRounds {
 		claim.retryAt = claim.deadline
 	}
 	for i, member := range claim.replicas {
@@ -220,14 +224,14 @@
 	}
 }
 
-// HandleReply handles the reply of the member with index from.
+// HandleReply handles a reply of member from to a claim, query or report.
 func (c *Coordinator) HandleReply(now float64, from int, reply *ClaimReply) {
 	if reply.Operation == OpReport {
 		c.reports.handleReply(from, reply)
 		return
 	}
 	claim := c.claimsByID[reply.ClaimID]
-	if claim == nil || !claim.expects(reply) {
+	if claim == nil || !claim.expectsReply(reply) {
 		return
 	}
 	replica := slices.Index(claim.replicas, from)
@@ -246,14 +250,14 @@
 		c.recordGrant(claim, replica, now)
 	case reply.Status == ReplyConflict:
 		c.recordConflict(claim, replica, record.BlockingAttempt(), now)
-	case changed && claim.rounds < maxRounds:
+	case changed && claim.rounds < maxRequestRounds:
 		claim.resetGrants(c.terms.Select(claim.replicas))
 		c.sendRequests(claim, now)
 	}
 }
 
-// recordQueryReply records whether the key is unclaimed at one of the claim's replicas, by its index
-// in claim.replicas.
+// recordQueryReply records whether the key is unclaimed at claim.replicas[replica]. The claim is
+// requested again once a quorum reports that no claim blocks the key.
 func (c *Coordinator) recordQueryReply(claim *pendingClaim, replica int, status ReplyStatus, now float64) {
 	claim.unclaimed[replica] = status == ReplyUnclaimed
 	if countTrue(claim.unclaimed) >= c.placement.Quorum {
@@ -261,7 +265,7 @@
 	}
 }
 
-// recordGrant records that one of the claim's replicas granted it.
+// recordGrant records that claim.replicas[replica] granted the claim.
 func (c *Coordinator) recordGrant(claim *pendingClaim, replica int, now float64) {
 	claim.granted[replica] = true
 	if countTrue(claim.granted) >= c.placement.Quorum {
@@ -269,7 +273,7 @@
 	}
 }
 
-// recordConflict records which attempt, nil if there is none, blocks the claim at one of its replicas.
+// recordConflict records the attempt, if not nil, that blocks the claim at claim.replicas[replica].
 func (c *Coordinator) recordConflict(
 	claim *pendingClaim, replica int, blocking *replicastore.Attempt, now float64,
 ) {
@@ -282,8 +286,8 @@
 	}
 }
 
-// resolveByRecord ends a claim if a replica's record shows that the key ran, and reports
-// whether it did.
+// resolveByRecord ends a claim if the record that a replica returned shows that another attempt of
+// the key ran, and reports whether it ended the claim.
 func (c *Coordinator) resolveByRecord(claim *pendingClaim, record *replicastore.Record, now float64) bool {
 	if finished := record.FinishedAttempt(); finished != nil {
 		if finished.Result != nil {
@@ -291,7 +295,7 @@
 			c.applyEvent(claim, eventResultKnown, now)
 			return true
 		}
-		claim.sawOtherClaim = true // the result was dropped there; another replica may have it
+		claim.sawOtherClaim = true // this replica dropped the result; another may still have it
 	}
 	blocking := record.BlockingAttempt()
 	if blocking == nil || blocking.ClaimID == claim.attempt.ClaimID {
--- a/internal/policy/replication/coordinator_test.go
+++ b/internal/policy/replication/coordinator_test.go
@@ -6,9 +6,10 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// TestCoordinator_GrantsCountUnderOneTermList forces this order: one replica grants under the terms
-// before a replica was replaced, two others under the terms after it.
-func TestCoordinator_GrantsCountUnderOneTermList(t *testing.T) {
+// TestCoordinator_CountsGrantsUnderOneTermListOnly guards against a quorum of grants under
+// different terms. Replica 0 grants under the terms known before its replacement, replica 1 under
+// those after it; only when replica 2 also grants under the later terms is there a quorum.
+func TestCoordinator_CountsGrantsUnderOneTermListOnly(t *testing.T) {
 	placement := newTestPlacement(t, testConfig(3, 3))
 	unixTime := func() float64 { return 1 }
 	coordinator := NewCoordinator(placement, make(TermTable, 3), 7, unixTime, 0)
@@ -24,14 +25,14 @@
 	receive(0, ReplyGranted, before)
 	receive(1, ReplyStaleTerm, after)
 	receive(1, ReplyGranted, after)
-	receive(0, ReplyGranted, before) // the replaced replica's grant, once more
+	receive(0, ReplyGranted, before) // duplicate of the replaced replica's grant
 	receive(2, ReplyGranted, before)
 	if outcomes := coordinator.TakeOutcomes(); len(outcomes) > 0 {
-		t.Fatalf("outcomes %v by one grant under each list of terms", outcomes)
+		t.Fatalf("outcomes %v without a quorum of grants under one list of terms, want none", outcomes)
 	}
 	receive(2, ReplyGranted, after)
 	outcomes := coordinator.TakeOutcomes()
 	if len(outcomes) != 1 || outcomes[0].Verdict != serving.ClaimGranted {
-		t.Errorf("outcomes %v, want one that is granted", outcomes)
+		t.Errorf("outcomes %v after a quorum of grants, want one with verdict %s", outcomes, serving.ClaimGranted)
 	}
 }
--- a/internal/policy/replication/grant.go
+++ b/internal/policy/replication/grant.go
@@ -6,7 +6,7 @@
 	"swiftcourse/internal/replicastore"
 )
 
-// HandleClaim answers a coordinator's request.
+// HandleClaim executes a coordinator's request and returns the reply.
 func (r *Replica) HandleClaim(now float64, request *ClaimRequest) ClaimReply {
 	reply := ClaimReply{
 		Key:       request.Key,
@@ -19,7 +19,7 @@
 		return reply
 	}
 	replicas := r.placement.Replicas(slot)
-	r.store.Expire(now, maxExpiredPerCall)
+	r.store.Expire(now, maxExpiredRecordsPerCall)
 	r.observeTerms(now, replicas, request.Terms)
 	record, intact := r.store.Get(request.Key)
 	if !intact {
@@ -33,8 +33,8 @@
 	return reply
 }
 
-// execute carries out a request, given the key's record, nil if there is none. A report is recorded
-// also while the replica catches up, as its reply makes no statement on the key.
+// execute executes a request, given the key's record or nil. Reports are also recorded while the
+// replica is catching up, because the reply to a report says nothing about other claims of the key.
 func (r *Replica) execute(now float64, record *replicastore.Record, request *ClaimRequest) ReplyStatus {
 	slot := request.Key.Slot()
 	switch {
@@ -53,14 +53,14 @@
 	}
 }
 
-// grant grants a claim if no other blocks it. To grant the same claim again has no effect.
+// grant grants a claim if no other claim blocks it. Granting the same claim again has no effect.
 func (r *Replica) grant(now float64, record *replicastore.Record, request *ClaimRequest) ReplyStatus {
 	if record != nil {
 		known := slices.IndexFunc(record.Attempts, func(attempt replicastore.Attempt) bool {
 			return attempt.ClaimID == request.Attempt.ClaimID
 		})
 		switch {
-		case known >= 0 && isOnlyClaim(record, known):
+		case known >= 0 && isOnlyBlockingClaim(record, known):
 			return ReplyGranted
 		case known >= 0 || record.BlockingAttempt() != nil:
 			return ReplyConflict
@@ -78,10 +78,11 @@
 	return ReplyGranted
 }
 
-// withRoomForAttempt returns the record of a key whose attempts are all withdrawn, without the
-// first of them if there are too many.
+// withRoomForAttempt returns a record to which an attempt can be added without exceeding
+// maxAttemptsPerRecord, by removing the first attempt if necessary. All attempts of the given
+// record must be withdrawn.
 func withRoomForAttempt(record *replicastore.Record) *replicastore.Record {
-	if len(record.Attempts) < maxAttempts {
+	if len(record.Attempts) < maxAttemptsPerRecord {
 		return record
 	}
 	shortened := *record
@@ -89,8 +90,9 @@
 	return &shortened
 }
 
-// isOnlyClaim reports whether the attempt with that index is claimed, and no other blocks the key.
-func isOnlyClaim(record *replicastore.Record, index int) bool {
+// isOnlyBlockingClaim reports whether the attempt at index is claimed and no other attempt blocks
+// the key.
+func isOnlyBlockingClaim(record *replicastore.Record, index int) bool {
 	if record.Attempts[index].State != replicastore.StateClaimed {
 		return false
 	}
@@ -102,7 +104,7 @@
 	return true
 }
 
-// recordReport records the outcome of a claim, whichever replicas granted it.
+// recordReport records the outcome of a claim, even if this replica did not grant the claim.
 func (r *Replica) recordReport(now float64, record *replicastore.Record, request *ClaimRequest) ReplyStatus {
 	reported := &replicastore.Record{
 		Key:       request.Key,
@@ -115,8 +117,8 @@
 	return ReplyRecorded
 }
 
-// mergeIntoStore merges a record into the stored one, nil if there is none. It reports false if the
-// store has no room.
+// mergeIntoStore merges a received record with the stored one, which may be nil, and stores the
+// result. It reports whether the store accepted it; a full store refuses new keys.
 func (r *Replica) mergeIntoStore(stored, received *replicastore.Record) bool {
 	merged := *received
 	if stored != nil {
--- a/internal/policy/replication/history_test.go
+++ b/internal/policy/replication/history_test.go
@@ -10,9 +10,10 @@
 	"swiftcourse/internal/replicastore"
 )
 
-// registerModel is what claims of one key look like from outside: a register that one claim at a
-// time may take, that may be released unused, and that keeps its first result. Its state is the
-// ID of the request that took it, "" for none.
+// registerModel is a sequential model of the claims of one key for the linearizability checker.
+// The key is a register that one request at a time can own. The owner may release it without a
+// run; otherwise the register keeps the owner's result. The state is the ID of the owner, "" if
+// there is none.
 var registerModel = porcupine.Model{
 	Partition: partitionByKey,
 	Init:      func() any { return "" },
@@ -28,12 +29,12 @@
 		case outcome.Verdict == serving.ClaimCached:
 			return string(outcome.Result) == "result of "+owner, owner
 		}
-		return true, owner // the outcome is not known
+		return true, owner // other verdicts don't tell the state
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// registerInput is a claim of a key, or the release of one.
+// registerInput is the claim of a key, or the release of a granted claim.
 type registerInput struct {
 	key       replicastore.Key
 	requestID string
@@ -56,23 +57,24 @@
 	return partitions
 }
 
-// TestClaims_HistoriesMatchRegister looks for an order in which the recorded claims could have
-// happened one by one.
-func TestClaims_HistoriesMatchRegister(t *testing.T) {
+// TestClaims_HistoriesAreLinearizable checks that the claims recorded in drawn schedules are
+// linearizable with respect to registerModel.
+func TestClaims_HistoriesAreLinearizable(t *testing.T) {
 	operations := 0
 	rapid.Check(t, func(t *rapid.T) {
-		c := playSchedule(t, rapid.Uint64().Draw(t, "seed"))
+		c := runSchedule(t, rapid.Uint64().Draw(t, "seed"))
 		operations += len(c.history)
 		if !porcupine.CheckOperations(registerModel, c.history) {
-			t.Fatalf("no order of these claims explains their outcomes")
+			t.Fatalf("a history of %d operations is not linearizable", len(c.history))
 		}
 	})
 	if operations < 5000 {
-		t.Errorf("%d operations: too few to show anything", operations)
+		t.Errorf("got %d operations in all histories, want at least 5000", operations)
 	}
 }
 
-// TestRegisterModel_RejectsTwoRuns checks that the model finds a history with a fault.
+// TestRegisterModel_RejectsTwoRuns checks that registerModel rejects a history in which a
+// key runs twice.
 func TestRegisterModel_RejectsTwoRuns(t *testing.T) {
 	granted := func(requestID string, at int64) porcupine.Operation {
 		return porcupine.Operation{
@@ -83,6 +85,6 @@
 		}
 	}
 	if porcupine.CheckOperations(registerModel, []porcupine.Operation{granted("a", 1), granted("b", 3)}) {
-		t.Error("two runs of one key pass")
+		t.Error("a history with two runs of one key is linearizable, want it rejected")
 	}
 }
--- a/internal/policy/replication/merge.go
+++ b/internal/policy/replication/merge.go
@@ -7,15 +7,15 @@
 	"swiftcourse/internal/replicastore"
 )
 
-// maxAttempts bounds the attempts of one key that a replica remembers. A withdrawn attempt is
-// remembered in case its claim arrives late; one that was forgotten and whose claim does arrive
-// blocks the key until the record expires.
-const maxAttempts = 32
+// maxAttemptsPerRecord bounds the attempts in the record of one key. Withdrawn attempts are kept
+// because their ClaimRequest may arrive late: if it arrives after the attempt was removed, it is
+// granted and blocks the key until the record expires.
+const maxAttemptsPerRecord = 32
 
-// Merge returns the union of two copies of a record: all attempts of both, each in its higher
-// state. It is commutative, associative and idempotent. A claim that only one replica granted
-// is kept, as its coordinator may have counted that grant. One of the copies
-// may be nil.
+// Merge returns the union of two copies of a record: the attempts of both, each in the higher of
+// its two states. Merge is commutative, associative and idempotent. A claim that only one replica
+// granted is kept, because its coordinator may have counted that grant. One of the copies may be
+// nil.
 func Merge(a, b *replicastore.Record) replicastore.Record {
 	if a == nil {
 		a = b
@@ -49,9 +49,9 @@
 	return merged
 }
 
-// preferredAttempt returns which of two copies of one attempt wins: the higher state, then a
-// copy that still has its result. A run can't have two results; if a fault gives it
-// two, every replica chooses the same one.
+// preferredAttempt returns the copy of an attempt that Merge keeps: the one in the higher state, or
+// else one that still has its result. One attempt can't have two results; if a fault produces them,
+// the order by checksum and then by bytes makes every replica choose the same one.
 func preferredAttempt(a, b replicastore.Attempt) replicastore.Attempt {
 	switch {
 	case a.State != b.State:
@@ -70,9 +70,9 @@
 	return a
 }
 
-// hasConflictingResults reports whether two attempts of a record finished with different
-// results, which breaks the invariant that no key runs twice. Clients get the first, in the order
-// of claims.
+// hasConflictingResults reports whether two attempts of a record finished with different results,
+// which violates the invariant that no key runs twice. Clients get the result of the attempt with
+// the lowest ClaimID.
 func hasConflictingResults(record *replicastore.Record) bool {
 	first := record.FinishedAttempt()
 	if first == nil {
@@ -83,8 +83,8 @@
 	})
 }
 
-// sameAttempts reports whether two copies of a record agree on all attempts, and on which of
-// the results are there.
+// sameAttempts reports whether two copies of a record have equal attempts and have dropped the same
+// results.
 func sameAttempts(a, b *replicastore.Record) bool {
 	return slices.EqualFunc(a.Attempts, b.Attempts, func(x, y replicastore.Attempt) bool {
 		return x.ClaimID == y.ClaimID &&
--- a/internal/policy/replication/merge_test.go
+++ b/internal/policy/replication/merge_test.go
@@ -9,7 +9,8 @@
 	"swiftcourse/internal/replicastore"
 )
 
-// drawRecord draws a record of some attempts, with few values so that copies meet.
+// drawRecord draws a record with up to 4 attempts. The range of ClaimIDs is small, so that two drawn
+// records often have attempts in common.
 func drawRecord(t *rapid.T, label string) *replicastore.Record {
 	record := &replicastore.Record{ExpiresAt: rapid.Float64Range(0, 9).Draw(t, label+" expiry")}
 	for n := range rapid.IntRange(0, 4).Draw(t, label+" attempts") {
@@ -51,22 +52,23 @@
 			{"with nothing", merge(a, nil), merge(a, a)},
 		} {
 			if !reflect.DeepEqual(law.x, law.y) {
-				t.Fatalf("not %s: %+v, %+v", law.name, law.x, law.y)
+				t.Fatalf("Merge violates %q: %+v and %+v differ", law.name, law.x, law.y)
 			}
 		}
 		for _, merged := range merge(a, b).Attempts {
-			checkNotLowered(t, merged, a)
-			checkNotLowered(t, merged, b)
+			checkStateNotLowered(t, merged, a)
+			checkStateNotLowered(t, merged, b)
 		}
 	})
 }
 
-// checkNotLowered checks that a merged attempt's state is not below that of a copy.
-func checkNotLowered(t *rapid.T, merged replicastore.Attempt, from *replicastore.Record) {
+// checkStateNotLowered checks that the state of a merged attempt is not lower than in the given
+// copy.
+func checkStateNotLowered(t *rapid.T, merged replicastore.Attempt, from *replicastore.Record) {
 	t.Helper()
 	for _, attempt := range from.Attempts {
 		if attempt.ClaimID == merged.ClaimID && attempt.State > merged.State {
-			t.Fatalf("%+v became %+v", attempt, merged)
+			t.Fatalf("state of attempt %v lowered from %s to %s by Merge", attempt.ClaimID, attempt.State, merged.State)
 		}
 	}
 }
--- a/internal/policy/replication/messages.go
+++ b/internal/policy/replication/messages.go
@@ -2,38 +2,38 @@
 
 import "swiftcourse/internal/replicastore"
 
-// Operation is what a coordinator asks of a replica.
+// Operation is the operation that a coordinator requests from a replica.
 type Operation uint8
 
-// The operations of a ClaimRequest. Their values go on the wire.
+// Operations of a ClaimRequest. The values are part of the wire format.
 const (
 	OpClaim  Operation = iota // grant the claim
-	OpQuery                   // return what is known of the key
+	OpQuery                   // return the key's record
 	OpReport                  // record the outcome of the claim
 )
 
-// ClaimRequest goes from a coordinator to a replica.
+// ClaimRequest is a request of a coordinator to a replica.
 type ClaimRequest struct {
-	ConfigDigest uint64 // of the coordinator's Config
+	ConfigDigest uint64 // digest of the coordinator's Config
 	Operation    Operation
 	Key          replicastore.Key
-	Attempt      replicastore.Attempt // the claim, and for OpReport its outcome
-	Terms        []Term               // of the key's replicas as the coordinator knows them, in the placement's order
+	Attempt      replicastore.Attempt // the claim; for OpReport with its outcome
+	Terms        []Term               // terms of the key's replicas known to the coordinator, in replica order
 }
 
-// ReplyStatus is a replica's answer to a ClaimRequest.
+// ReplyStatus is the result of a ClaimRequest.
 type ReplyStatus uint8
 
-// The statuses of a ClaimReply. Their values go on the wire.
+// Statuses of a ClaimReply. The values are part of the wire format.
 const (
-	ReplyGranted    ReplyStatus = iota // the claim is granted, and no other is
-	ReplyConflict                      // other claims block it; the reply has them
+	ReplyGranted    ReplyStatus = iota // the replica grants the claim, and no other claim blocks the key
+	ReplyConflict                      // other claims block the claim; Attempts lists them
 	ReplyUnclaimed                     // no claim blocks the key
-	ReplyRecorded                      // the report is recorded
-	ReplyStaleTerm                     // a replica has begun a later term; the reply has it
-	ReplyCatchingUp                    // the replica has not caught up yet on the key's slot
+	ReplyRecorded                      // the replica recorded the report
+	ReplyStaleTerm                     // a replica of the key has begun a later term; Terms lists it
+	ReplyCatchingUp                    // the replica has not caught up on the key's slot yet
 	ReplyFull                          // the replica's store is full
-	ReplyMisrouted                     // the configs differ, or the replica does not hold the key
+	ReplyMisrouted                     // the Config digests differ, or this member does not replicate the key
 )
 
 var replyStatusNames = [...]string{
@@ -47,7 +47,7 @@
 	ReplyMisrouted:  "misrouted",
 }
 
-// String returns the status's name.
+// String returns the name of the status, "unknown" for an undefined value.
 func (s ReplyStatus) String() string {
 	if int(s) < len(replyStatusNames) {
 		return replyStatusNames[s]
@@ -58,57 +58,57 @@
 // ClaimReply is a replica's reply to a ClaimRequest.
 type ClaimReply struct {
 	Key       replicastore.Key
-	ClaimID   replicastore.ClaimID // of the request
-	Operation Operation            // of the request
+	ClaimID   replicastore.ClaimID // copied from the request
+	Operation Operation            // copied from the request
 	Status    ReplyStatus
-	Terms     []Term                 // of the key's replicas as this replica knows them, in the placement's order
-	Attempts  []replicastore.Attempt // of the key's record, where there is one
+	Terms     []Term                 // terms of the key's replicas known to this replica, in replica order
+	Attempts  []replicastore.Attempt // attempts in the key's record, empty if there is none
 }
 
-// PullRequest asks another replica for its records of some slots, in the order of Slots.
+// PullRequest requests the records of some slots from another replica, in the order of Slots.
 type PullRequest struct {
 	ConfigDigest uint64
-	Sequence     uint64 // used once by the requester; a retry has the same
-	Term         Term   // of the requester
+	Sequence     uint64 // unique for each request of the requester; a retry repeats it
+	Term         Term   // the requester's term
 	Slots        []int
-	AfterKey     replicastore.Key // with Resumes, the last key received of the first slot
-	Resumes      bool
+	AfterKey     replicastore.Key // last key received of the first slot, valid if Resumes is set
+	Resumes      bool             // the first slot continues after AfterKey
 }
 
-// RecordCopy is a record on its way to another replica.
+// RecordCopy is a record that is sent to another replica.
 type RecordCopy struct {
 	Record     *replicastore.Record
-	TimeToLive float64 // seconds until it expires; sent in place of a time, as clocks differ
+	TimeToLive float64 // seconds until the record expires; a duration, because the clocks of servers differ
 }
 
 // SlotRecords are the records of one slot in a PullReply.
 type SlotRecords struct {
 	Slot     int
-	CaughtUp bool // the sender may answer for the slot
+	CaughtUp bool // the sender has caught up on the slot
 	Complete bool // the sender has no more records of the slot
 	Copies   []RecordCopy
 }
 
-// PullReply answers a PullRequest, as far as fits in one reply.
+// PullReply is the reply to a PullRequest, with as many records as fit in one reply.
 type PullReply struct {
 	ConfigDigest  uint64
-	Sequence      uint64 // of the request
-	Term          Term   // of the sender
-	RequesterTerm Term   // as the sender knows it
+	Sequence      uint64 // copied from the request
+	Term          Term   // the sender's term
+	RequesterTerm Term   // the requester's latest term known to the sender
 	Slots         []SlotRecords
 }
 
-// Checksums are a replica's checksums of the slots that it shares with the receiver. Without
-// Slots there is one value, the XOR over all of them; a receiver with another one replies with
-// its own for each slot.
+// Checksums carries a replica's checksums of the slots that it shares with the receiver. If Slots
+// is empty, Values holds one combined checksum, the XOR over all shared slots; a receiver whose
+// combined checksum differs replies with its checksum of each slot.
 type Checksums struct {
 	ConfigDigest uint64
-	Term         Term // of the sender
+	Term         Term // the sender's term
 	Slots        []int
-	Values       []uint64
+	Values       []uint64 // one for each of Slots, or the combined checksum
 }
 
-// Envelope holds one message for the member with index To; the other message fields are nil.
+// Envelope holds one message for member To. Exactly one of the message fields is not nil.
 type Envelope struct {
 	To        int
 	Claim     *ClaimRequest
@@ -116,7 +116,7 @@
 	Checksums *Checksums
 }
 
-// outbox collects envelopes in the order in which they are to be sent.
+// outbox holds the envelopes to send, in order.
 type outbox []Envelope
 
 func (o *outbox) add(envelope Envelope) { *o = append(*o, envelope) }
--- a/internal/policy/replication/node_test.go
+++ b/internal/policy/replication/node_test.go
@@ -15,25 +15,25 @@
 	index       int
 	incarnation uint64
 	up          bool
-	clockOffset float64 // of its time of day, in seconds
+	clockOffset float64 // offset of the node's time of day, in seconds
 	terms       TermTable
 	replica     *Replica
 	coordinator *Coordinator
 	store       *corruptibleStore
-	running     map[string]float64 // when each request's run ends
-	keys        map[string]replicastore.Key
+	runEndTimes map[string]float64          // by request: when its run ends
+	keys        map[string]replicastore.Key // by request: its key
 }
 
-// corruptibleStore is a store in which a test can change a bit of a record.
+// corruptibleStore is a store in which a test can corrupt a record in memory.
 type corruptibleStore struct {
 	*replicastore.Store
-	latest map[replicastore.Key]*replicastore.Record // as the store holds them
+	storedRecords map[replicastore.Key]*replicastore.Record // the records that the store holds, not copies
 }
 
 func newCorruptibleStore(maxEntries, maxBytes int) *corruptibleStore {
 	return &corruptibleStore{
-		Store:  replicastore.NewStore(maxEntries, maxBytes),
-		latest: map[replicastore.Key]*replicastore.Record{},
+		Store:         replicastore.NewStore(maxEntries, maxBytes),
+		storedRecords: map[replicastore.Key]*replicastore.Record{},
 	}
 }
 
@@ -41,20 +41,20 @@
 	if !s.Store.Put(record) {
 		return false
 	}
-	s.latest[record.Key], _ = s.Get(record.Key)
+	s.storedRecords[record.Key], _ = s.Get(record.Key)
 	return true
 }
 
-// flipBit changes a bit of the key's record in memory. A record that the store has removed is
-// changed too, which nobody sees.
+// flipBit flips a bit of the key's record in memory. If the store has removed the record, this
+// has no effect on the store.
 func (s *corruptibleStore) flipBit(key replicastore.Key) {
-	if record := s.latest[key]; record != nil {
+	if record := s.storedRecords[key]; record != nil {
 		record.Attempts = slices.Clone(record.Attempts)
 		record.Attempts[0].State ^= 2
 	}
 }
 
-// start begins an incarnation that knows nothing.
+// start starts a new incarnation of the node with an empty store.
 func (n *node) start() {
 	c := n.cluster
 	c.incarnations++
@@ -72,11 +72,11 @@
 	}, c.now)
 	unixTime := func() float64 { return c.now + n.clockOffset }
 	n.coordinator = NewCoordinator(c.placement, n.terms, n.incarnation, unixTime, c.now)
-	n.running = map[string]float64{}
+	n.runEndTimes = map[string]float64{}
 	n.keys = map[string]replicastore.Key{}
 }
 
-// flush sends what is in a node's outboxes and takes its outcomes.
+// flush sends the messages in the node's outboxes and handles the coordinator's outcomes.
 func (n *node) flush() {
 	for {
 		envelopes := append(n.coordinator.TakeOutbox(), n.replica.TakeOutbox()...)
@@ -84,7 +84,7 @@
 			break
 		}
 		for _, envelope := range envelopes {
-			n.post(envelope)
+			n.sendEnvelope(envelope)
 		}
 	}
 	for _, outcome := range n.coordinator.TakeOutcomes() {
@@ -92,8 +92,8 @@
 	}
 }
 
-// post sends an envelope; one to the node itself is handled at once.
-func (n *node) post(envelope Envelope) {
+// sendEnvelope sends an envelope. An envelope to the node itself is handled at once.
+func (n *node) sendEnvelope(envelope Envelope) {
 	c := n.cluster
 	if envelope.To == n.index {
 		if envelope.Claim != nil {
@@ -106,13 +106,15 @@
 	c.send(sender, envelope.To, func(to *node) { to.receive(sender, incarnation, envelope) })
 }
 
-// cloneReply returns a reply as it comes out of a message.
+// cloneReply copies a reply and its attempts, so that it does not share memory with the sender's
+// store.
 func cloneReply(reply ClaimReply) *ClaimReply {
 	reply.Attempts = slices.Clone(reply.Attempts)
 	return &reply
 }
 
-// reply sends an answer back, which only the incarnation that asked takes.
+// reply sends a reply to a node. The node ignores it unless it is still in the incarnation that sent
+// the request.
 func (n *node) reply(to int, incarnation uint64, deliver func(*node)) {
 	n.cluster.send(n.index, to, func(to *node) {
 		if to.incarnation == incarnation {
@@ -121,7 +123,7 @@
 	})
 }
 
-// receive handles a message of the node from, which sent it in an incarnation.
+// receive handles a message that node from sent in the given incarnation.
 func (n *node) receive(from int, incarnation uint64, envelope Envelope) {
 	c := n.cluster
 	switch {
@@ -140,7 +142,7 @@
 	n.flush()
 }
 
-// clonePullRecords makes a reply's records those of a message, apart from the sender's.
+// clonePullRecords replaces the records of a reply by copies, so that the receiver can modify them.
 func clonePullRecords(reply *PullReply) {
 	for i := range reply.Slots {
 		for j := range reply.Slots[i].Copies {
@@ -150,29 +152,30 @@
 	}
 }
 
-// handleOutcome does what a server does with an outcome, and checks it.
+// handleOutcome checks an outcome and acts on it as a server does.
 func (n *node) handleOutcome(outcome Outcome) {
 	c := n.cluster
 	id := outcome.RequestID
-	if c.now > c.deadlines[id]+outcomeLatency {
-		c.failf("outcome %s of %s comes %.3f s after its deadline", outcome.Verdict, id, c.now-c.deadlines[id])
+	if c.now > c.deadlines[id]+maxOutcomeDelaySeconds {
+		c.failf("outcome %s of request %s is %.3f s after its deadline, want at most %.3f s",
+			outcome.Verdict, id, c.now-c.deadlines[id], maxOutcomeDelaySeconds)
 	}
 	if earlier, twice := c.outcomes[id]; twice {
-		c.failf("%s has the outcome %s, and had %s", id, outcome.Verdict, earlier.Verdict)
+		c.failf("request %s has a second outcome %s after %s, want one", id, outcome.Verdict, earlier.Verdict)
 	}
 	c.outcomes[id] = outcome
 	key := n.keys[id]
-	c.ticks++
+	c.historyTicks++
 	c.history = append(c.history, porcupine.Operation{
 		Input:  registerInput{key: key, requestID: id},
-		Call:   c.calls[id],
+		Call:   c.claimedAtTick[id],
 		Output: outcome,
-		Return: c.ticks,
+		Return: c.historyTicks,
 	})
-	c.logf("node %d request %s key %x: %s %q", n.index, id, key[:2], outcome.Verdict, outcome.Result)
+	c.logEvent("node %d request %s key %x: %s %q", n.index, id, key[:2], outcome.Verdict, outcome.Result)
 	switch outcome.Verdict {
 	case serving.ClaimGranted:
-		if c.random.IntN(8) == 0 { // admission control finds too little time left
+		if c.random.IntN(8) == 0 { // as if admission control found too little time left
 			n.cancel(id)
 			return
 		}
@@ -180,49 +183,50 @@
 	case serving.ClaimCached:
 		ran := func(r run) bool { return r.result == string(outcome.Result) }
 		if !slices.ContainsFunc(c.runs[key], ran) {
-			c.failf("key %x has the result %q, which no run had: %v", key[:2], outcome.Result, c.runs[key])
+			c.failf("result %q of key %x, want that of one of its runs: %v", outcome.Result, key[:2], c.runs[key])
 		}
 	}
 }
 
-// cancel gives a granted claim back unused.
+// cancel releases a granted claim without a run.
 func (n *node) cancel(id string) {
 	c := n.cluster
 	c.history = append(c.history, porcupine.Operation{
 		Input:  registerInput{key: n.keys[id], requestID: id, releases: true},
-		Call:   c.ticks + 1,
+		Call:   c.historyTicks + 1,
 		Output: Outcome{},
-		Return: c.ticks + 2,
+		Return: c.historyTicks + 2,
 	})
-	c.ticks += 2
+	c.historyTicks += 2
 	n.coordinator.CancelClaim(c.now, id)
 }
 
-// run begins a request's run, and checks that no other run of its key is within the window.
+// run starts a request's run, and checks that its key had no other run within the retention window.
 func (n *node) run(id string) {
 	c := n.cluster
 	key := n.keys[id]
 	for _, other := range c.runs[key] {
 		if c.now < other.at+c.placement.RetentionWindow {
-			c.failf("key %x runs at %.3f as %s and again at %.3f as %s", key[:2], other.at, other.requestID, c.now, id)
+			c.failf("key %x ran at %.3f for request %s and again within %g s, at %.3f for request %s",
+				key[:2], other.at, other.requestID, c.placement.RetentionWindow, c.now, id)
 		}
 	}
 	c.runs[key] = append(c.runs[key], run{at: c.now, result: "result of " + id, requestID: id})
-	n.running[id] = c.now + 0.3*c.random.Float64()
+	n.runEndTimes[id] = c.now + 0.3*c.random.Float64()
 }
 
-// finishRuns ends the runs whose time has come, one of ten without a result.
+// finishRuns ends the runs that are due. One in ten of them fails.
 func (n *node) finishRuns() {
 	c := n.cluster
 	var ids []string
-	for id, at := range n.running {
+	for id, at := range n.runEndTimes {
 		if at <= c.now {
 			ids = append(ids, id)
 		}
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		delete(n.running, id)
+		delete(n.runEndTimes, id)
 		succeeded := c.random.IntN(10) > 0
 		n.coordinator.FinishClaim(c.now, id, succeeded, []byte("result of "+id))
 	}
--- a/internal/policy/replication/placement.go
+++ b/internal/policy/replication/placement.go
@@ -11,47 +11,47 @@
 	"swiftcourse/internal/replicastore"
 )
 
-// Bounds of a Config, and with it of the list of terms that each message carries.
+// Bounds of a Config. They also bound the list of terms in each message.
 const (
 	MaxMembers           = 64
 	MaxReplicationFactor = 7
 )
 
-// maxWeight bounds a member's weight.
-const maxWeight = 1000
+// maxMemberWeight is the maximum weight of a member.
+const maxMemberWeight = 1000
 
-// maxLoadFactor bounds the slots of a member, relative to its share by weight. The margin keeps most
-// slots in place when a member is added or removed.
+// maxLoadFactor is the maximum ratio of a member's slots to its share by weight. The margin above 1
+// keeps most slots in place when a member is added or removed.
 const maxLoadFactor = 1.25
 
-// Member is a server that holds replicas, as the operator's settings list it.
+// Member is a server that replicates keys, as listed in the operator's settings.
 type Member struct {
 	Name   string
-	Zone   string  // replicas of a key go to different zones where there are several; "" is a zone too
-	Weight float64 // share of the keys relative to the other members, over 0
+	Zone   string  // a key's replicas are spread over zones; "" is a zone like any other
+	Weight float64 // greater than 0; the share of keys is proportional to it
 }
 
-// Config is what all replicas and coordinators must agree on.
+// Config holds the settings that must be equal on all replicas and coordinators.
 type Config struct {
 	Members           []Member
-	ReplicationFactor int     // replicas of each key
-	RetentionWindow   float64 // seconds that a key is remembered: a repeat within it never runs again
-	MaxClaimDuration  float64 // seconds that a claim may be under way: the longest hard deadline of keyed classes
+	ReplicationFactor int     // number of replicas of each key
+	RetentionWindow   float64 // seconds within which a repeated request does not run again
+	MaxClaimDuration  float64 // seconds; the longest hard deadline of the classes with keys
 }
 
-// ConfigError reports a setting of a Config that NewPlacement does not accept.
+// ConfigError reports an invalid setting of a Config.
 type ConfigError struct {
-	Field  string // the setting's name, for operators
+	Field  string // name of the setting, for operators
 	Value  any
-	Reason string // completes the sentence: FIELD VALUE: must be ...
+	Reason string // the rule that Value violates, such as "must be 1 to 64"
 }
 
-// Error returns the setting, its value and the reason.
+// Error returns "FIELD VALUE: REASON".
 func (e *ConfigError) Error() string {
 	return fmt.Sprintf("%s %v: %s", e.Field, e.Value, e.Reason)
 }
 
-// validate returns a *ConfigError for the first setting that is out of bounds.
+// validate returns a *ConfigError for the first invalid setting, nil if there is none.
 func (c *Config) validate() error {
 	if count := len(c.Members); count == 0 || count > MaxMembers {
 		reason := fmt.Sprintf("must be 1 to %d", MaxMembers)
@@ -62,19 +62,20 @@
 		return &ConfigError{Field: "replication factor", Value: c.ReplicationFactor, Reason: reason}
 	}
 	if !(c.RetentionWindow > 0) {
-		return &ConfigError{Field: "retention window", Value: c.RetentionWindow, Reason: "must be over 0 seconds"}
+		return &ConfigError{Field: "retention window", Value: c.RetentionWindow, Reason: "must be more than 0 seconds"}
 	}
 	if !(c.MaxClaimDuration > 0) {
-		return &ConfigError{Field: "longest claim", Value: c.MaxClaimDuration, Reason: "must be over 0 seconds"}
+		reason := "must be more than 0 seconds"
+		return &ConfigError{Field: "maximum claim duration", Value: c.MaxClaimDuration, Reason: reason}
 	}
 	names := map[string]bool{}
 	for _, member := range c.Members {
 		if member.Name == "" || names[member.Name] {
 			name := fmt.Sprintf("%q", member.Name)
-			return &ConfigError{Field: "member name", Value: name, Reason: "is empty or listed twice"}
+			return &ConfigError{Field: "member name", Value: name, Reason: "must be unique and not empty"}
 		}
-		if !(member.Weight > 0) || member.Weight > maxWeight {
-			reason := fmt.Sprintf("must be over 0 and at most %d", maxWeight)
+		if !(member.Weight > 0) || member.Weight > maxMemberWeight {
+			reason := fmt.Sprintf("must be more than 0 and at most %d", maxMemberWeight)
 			return &ConfigError{Field: "weight of member " + member.Name, Value: member.Weight, Reason: reason}
 		}
 		names[member.Name] = true
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// digest returns a hash that is the same for servers with the same Config.
+// digest returns a hash of the Config; servers compare it to detect different settings.
 func (c *Config) digest() uint64 {
 	text := fmt.Sprintf("%d %g %g", c.ReplicationFactor, c.RetentionWindow, c.MaxClaimDuration)
 	for _, member := range c.Members {
@@ -91,19 +92,19 @@
 	return xxhash.Sum64String(text)
 }
 
-// Placement assigns each slot to the members that replicate it. It is a function of the Config, so
-// all servers with the same Config agree. It is immutable.
+// Placement assigns each slot to the members that replicate it. The assignment depends only on the
+// Config, so servers with equal Configs compute the same one. A Placement is immutable.
 type Placement struct {
 	Config
-	ConfigDigest   uint64 // of the Config; messages with another digest are ignored
-	Quorum         int    // replicas of a key that must grant a claim: a majority
-	CatchUpQuorum  int    // caught-up replicas whose records a replica needs to have every granted claim
+	ConfigDigest   uint64 // digest of the Config; messages with a different one are not processed
+	Quorum         int    // number of replicas that must grant a claim: a majority
+	CatchUpQuorum  int    // number of caught-up replicas whose records together include every granted claim
 	replicasBySlot [replicastore.SlotCount][]int
 	indexByName    map[string]int
 }
 
-// NewPlacement assigns the slots to the members. The order in which the members are listed does
-// not matter. It returns a *ConfigError if the config is invalid.
+// NewPlacement returns the placement for a config, or a *ConfigError if the config is invalid. The
+// order of the members does not matter.
 func NewPlacement(config Config) (*Placement, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -127,7 +128,7 @@
 	return p, nil
 }
 
-// assignSlots selects the replicas of each slot, and keeps members to their maximum load.
+// assignSlots selects the replicas of each slot and limits the load of members by maxLoadFactor.
 func (p *Placement) assignSlots() {
 	totalWeight := 0.0
 	for _, member := range p.Members {
@@ -148,21 +149,23 @@
 	}
 }
 
-// selectionPass is what a member must meet to be selected in one pass over the ranking.
+// selectionPass lists the conditions for selecting a member in one pass over the ranking.
 type selectionPass struct {
-	newZone bool // no replica of the slot is in its zone yet
-	room    bool // it has fewer slots than its capacity
+	newZone      bool // the member's zone has no replica of the slot yet
+	freeCapacity bool // the member has fewer slots than its capacity
 }
 
-// selectionPasses go from strict to lax, so that ReplicationFactor members are always found.
+// selectionPasses are ordered from strict to lax. The last pass has no conditions, so that
+// ReplicationFactor members are always found.
 var selectionPasses = []selectionPass{
-	{newZone: true, room: true},
-	{room: true},
+	{newZone: true, freeCapacity: true},
+	{freeCapacity: true},
 	{},
 }
 
-// selectReplicas returns the replicas of a slot, by index in ascending order: the members that
-// rank first for it, those of different zones with room before others.
+// selectReplicas returns the member indexes of a slot's replicas in ascending order. It takes the
+// members in the order of their rank for the slot and prefers those that meet the stricter
+// conditions of selectionPasses.
 func (p *Placement) selectReplicas(slot int, hasRoom func(member int) bool) []int {
 	ranking := p.rankMembers(slot)
 	usedZones := map[string]bool{}
@@ -175,7 +178,7 @@
 			zone := p.Members[member].Zone
 			if slices.Contains(selected, member) ||
 				require.newZone && usedZones[zone] ||
-				require.room && !hasRoom(member) {
+				require.freeCapacity && !hasRoom(member) {
 				continue
 			}
 			selected = append(selected, member)
@@ -186,7 +189,7 @@
 	return selected
 }
 
-// rankMembers orders the members for a slot by weighted rendezvous hashing.
+// rankMembers returns the member indexes in the order of weighted rendezvous hashing for a slot.
 func (p *Placement) rankMembers(slot int) []int {
 	ranking := make([]int, len(p.Members))
 	score := make([]float64, len(p.Members))
@@ -194,8 +197,8 @@
 		ranking[i] = i
 		hash := xxhash.Sum64String(fmt.Sprintf("%s/%d", member.Name, slot))
 		uniform := (float64(hash>>11) + 0.5) / (1 << 53) // in (0, 1)
-		// An exponential variate with rate Weight: the least one is a member's with a probability in
-		// proportion to its weight.
+		// The score is an exponential variate with rate Weight, so the probability that a member has
+		// the lowest score is proportional to its weight.
 		score[i] = -math.Log(uniform) / member.Weight
 	}
 	slices.SortFunc(ranking, func(a, b int) int {
@@ -204,11 +207,11 @@
 	return ranking
 }
 
-// Replicas returns the indexes of a slot's replicas among the members, in ascending order.
-// The caller must not change it.
+// Replicas returns the member indexes of a slot's replicas in ascending order. The caller must not
+// modify the slice.
 func (p *Placement) Replicas(slot int) []int { return p.replicasBySlot[slot] }
 
-// MemberIndex returns the index of the named server among the members, -1 if it is none.
+// MemberIndex returns the member index of the named server, or -1 if it is not a member.
 func (p *Placement) MemberIndex(name string) int {
 	if i, found := p.indexByName[name]; found {
 		return i
@@ -216,7 +219,7 @@
 	return -1
 }
 
-// SlotsOf lists the slots that a member replicates.
+// SlotsOf returns the slots that a member replicates, in ascending order.
 func (p *Placement) SlotsOf(member int) (slots []int) {
 	for slot, replicas := range p.replicasBySlot {
 		if slices.Contains(replicas, member) {
@@ -226,7 +229,7 @@
 	return slots
 }
 
-// replicates reports whether a member is one of a slot's replicas.
+// replicates reports whether a member is a replica of a slot.
 func (p *Placement) replicates(member, slot int) bool {
 	return slices.Contains(p.replicasBySlot[slot], member)
 }
--- a/internal/policy/replication/placement_test.go
+++ b/internal/policy/replication/placement_test.go
@@ -9,7 +9,7 @@
 	"swiftcourse/internal/replicastore"
 )
 
-// testConfig has some members in three zones, each second one with twice the weight.
+// testConfig returns a config with members in three zones. Weights alternate between 1 and 2.
 func testConfig(members, replicationFactor int) Config {
 	config := Config{ReplicationFactor: replicationFactor, RetentionWindow: 8, MaxClaimDuration: 1}
 	for i := range members {
@@ -31,7 +31,7 @@
 	return placement
 }
 
-// memberNames lists the names of a slot's replicas.
+// memberNames returns the names of a slot's replicas.
 func memberNames(placement *Placement, slot int) []string {
 	var names []string
 	for _, member := range placement.Replicas(slot) {
@@ -45,7 +45,8 @@
 	reversed := testConfig(12, 3)
 	slices.Reverse(reversed.Members)
 	if other := newTestPlacement(t, reversed); other.ConfigDigest != placement.ConfigDigest {
-		t.Error("the digest depends on the order in which members are listed")
+		t.Errorf("digest %x with the members reversed, want %x as in the original order",
+			other.ConfigDigest, placement.ConfigDigest)
 	}
 }
 
@@ -57,12 +58,12 @@
 			zones[placement.Members[member].Zone] = true
 		}
 		if names := memberNames(placement, slot); len(zones) != 3 || len(names) != 3 {
-			t.Errorf("slot %d is on %v, in %d zones", slot, names, len(zones))
+			t.Errorf("slot %d has replicas %v in %d zones, want 3 replicas in 3 zones", slot, names, len(zones))
 		}
 	}
 }
 
-func TestNewPlacement_MovesFewSlotsWhenAMemberLeaves(t *testing.T) {
+func TestNewPlacement_MovesFewSlotsWhenMemberRemoved(t *testing.T) {
 	placement := newTestPlacement(t, testConfig(12, 3))
 	smaller := testConfig(12, 3)
 	smaller.Members = slices.Delete(smaller.Members, 4, 5)
@@ -77,7 +78,8 @@
 		}
 	}
 	if moved > 3*replicastore.SlotCount/10 {
-		t.Errorf("%d of %d replicas moved that did not have to", moved, 3*replicastore.SlotCount)
+		t.Errorf("%d of %d replicas moved from members that stayed, want at most %d",
+			moved, 3*replicastore.SlotCount, 3*replicastore.SlotCount/10)
 	}
 }
 
@@ -88,7 +90,7 @@
 		slots := len(placement.SlotsOf(i))
 		limit := maxLoadFactor*3*replicastore.SlotCount*member.Weight/totalWeight + 1
 		if float64(slots) > limit {
-			t.Errorf("%s, of weight %g, has %d slots, at most %g allowed", member.Name, member.Weight, slots, limit)
+			t.Errorf("member %s with weight %g has %d slots, want at most %g", member.Name, member.Weight, slots, limit)
 		}
 	}
 }
--- a/internal/policy/replication/pull_client.go
+++ b/internal/policy/replication/pull_client.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// sendPull asks a peer for the wanted slots. A request without a reply is sent again under the
-// same sequence number, so that a reply that takes long still counts.
+// sendPull sends a pull request for the wanted slots to a peer. An unanswered request is resent with
+// the same sequence number, so that a late reply to the first copy is still accepted.
 func (r *Replica) sendPull(now float64, member int, peer *peerSync) {
 	if peer.sentAt <= 0 {
-		slots := peer.nextSlots() // first, as it may clear resumes
+		slots := peer.nextSlots() // may clear resumes, so it comes before resumes is read
 		r.catchUp.lastSequence++
-		peer.request = &PullRequest{
+		peer.lastRequest = &PullRequest{
 			ConfigDigest: r.placement.ConfigDigest,
 			Sequence:     r.catchUp.lastSequence,
 			Term:         r.ownTerm(),
@@ -21,13 +21,13 @@
 		}
 	}
 	peer.sentAt = now
-	r.outbox.add(Envelope{To: member, Pull: peer.request})
+	r.outbox.add(Envelope{To: member, Pull: peer.lastRequest})
 }
 
-// nextSlots lists the slots to ask for: the one that was received in part first, the others in
-// ascending order.
+// nextSlots returns the slots of the next request: the partially received slot first, then the
+// others in ascending order.
 func (p *peerSync) nextSlots() []int {
-	slots := slices.Sorted(maps.Keys(p.wanted))
+	slots := slices.Sorted(maps.Keys(p.wantedSlots))
 	if p.resumes {
 		partial := slices.Index(slots, p.afterKey.Slot())
 		if partial >= 0 {
@@ -39,15 +39,15 @@
 	return slots[:min(len(slots), maxPullSlots)]
 }
 
-// HandlePullReply handles the reply of the member with index from; size is that of its message in
-// bytes. A reply to an earlier request is ignored: the peer may have sent it before it knew this
-// replica's term.
+// HandlePullReply handles a pull reply of member from; size is the size of its message in bytes. A
+// reply to an earlier request is ignored, because the peer may have sent it before it observed this
+// replica's current term.
 func (r *Replica) HandlePullReply(now float64, from int, reply *PullReply, size int) {
 	peer := r.catchUp.peers[from]
 	if peer == nil || reply.ConfigDigest != r.placement.ConfigDigest {
 		return
 	}
-	if peer.sentAt == 0 || reply.Sequence != peer.request.Sequence {
+	if peer.sentAt == 0 || reply.Sequence != peer.lastRequest.Sequence {
 		return
 	}
 	if reply.RequesterTerm.Compare(r.ownTerm()) > 0 {
@@ -57,25 +57,26 @@
 	}
 	r.observeTerm(now, from, reply.Term)
 	if peer.resumes && reply.Term != peer.partialTerm {
-		// The peer may have lost records of the slot that was received in part: start it again.
+		// The peer may have lost records of the partially received slot: pull the slot from its
+		// start.
 		peer.abandonRequest()
-		peer.notBefore = now
+		peer.nextRequestAt = now
 		return
 	}
 	peer.sentAt = 0
-	peer.notBefore = now + float64(size)/r.catchUpRate
+	peer.nextRequestAt = now + float64(size)/r.catchUpRate
 	if len(reply.Slots) == 0 {
-		peer.notBefore = now + catchingUpRetryInterval
+		peer.nextRequestAt = now + catchingUpRetryIntervalSeconds
 		return
 	}
 	for i := range reply.Slots {
-		if slices.Contains(peer.request.Slots, reply.Slots[i].Slot) {
+		if slices.Contains(peer.lastRequest.Slots, reply.Slots[i].Slot) {
 			r.acceptSlot(now, from, reply.Term, &reply.Slots[i])
 		}
 	}
 }
 
-// acceptSlot merges the records of one slot that the member with index from sent in a term.
+// acceptSlot merges the records of one slot that member from sent in the given term.
 func (r *Replica) acceptSlot(now float64, from int, term Term, received *SlotRecords) {
 	peer := r.catchUp.peers[from]
 	for _, recordCopy := range received.Copies {
@@ -92,11 +93,11 @@
 	peer.resumes = false
 	progress := r.catchUp.slots[received.Slot]
 	if !received.CaughtUp && progress != nil {
-		// The slot stays wanted: the peer may have caught up when it is asked again.
-		peer.notBefore = max(peer.notBefore, now+catchingUpRetryInterval)
+		// The slot stays wanted: the peer may have caught up by the next request.
+		peer.nextRequestAt = max(peer.nextRequestAt, now+catchingUpRetryIntervalSeconds)
 		return
 	}
-	delete(peer.wanted, received.Slot)
+	delete(peer.wantedSlots, received.Slot)
 	if progress == nil {
 		return
 	}
@@ -107,14 +108,14 @@
 	}
 }
 
-// mergeCopy merges one record that a peer sent.
+// mergeCopy merges one record that a peer sent into the store.
 func (r *Replica) mergeCopy(now float64, slot int, received RecordCopy) {
-	if received.Record.Key.Slot() != slot || !(received.TimeToLive > 0) { // NaN is refused too
+	if received.Record.Key.Slot() != slot || !(received.TimeToLive > 0) { // also true for NaN
 		return
 	}
 	// A copy is kept no longer than a new record, even if the peer sent a wrong TimeToLive.
-	longest := r.placement.MaxClaimDuration + r.placement.RetentionWindow
-	received.Record.ExpiresAt = now + min(received.TimeToLive, longest)
+	maxTimeToLive := r.placement.MaxClaimDuration + r.placement.RetentionWindow
+	received.Record.ExpiresAt = now + min(received.TimeToLive, maxTimeToLive)
 	stored, intact := r.store.Get(received.Record.Key)
 	if !intact {
 		r.resetSlot(now, slot)
--- a/internal/policy/replication/pull_server.go
+++ b/internal/policy/replication/pull_server.go
@@ -2,8 +2,9 @@
 
 import "swiftcourse/internal/replicastore"
 
-// HandlePull answers a pull request of the member with index from, nil if it can't be answered.
-// The requester's term is observed first, so that later grants are made under that term.
+// HandlePull returns the reply to a pull request of member from, or nil if the requester has another
+// Config or is not a member. The requester's term is observed before its records are copied, so that
+// all later grants are made under that term.
 func (r *Replica) HandlePull(now float64, from int, request *PullRequest) *PullReply {
 	if request.ConfigDigest != r.placement.ConfigDigest || from < 0 {
 		return nil
@@ -16,18 +17,18 @@
 		RequesterTerm: r.terms[from],
 	}
 	if reply.RequesterTerm != request.Term {
-		return reply // the requester has begun a later term
+		return reply // the requester has begun a later term: the request is outdated
 	}
 	reply.Slots = r.requestedSlots(now, from, request)
-	reply.Term = r.ownTerm() // a corrupted record may have begun a new one
+	reply.Term = r.ownTerm() // requestedSlots begins a new term if it finds a corrupted record
 	return reply
 }
 
-// requestedSlots copies the records that a pull request asks for, as far as fits in one reply.
+// requestedSlots returns the records for a pull request, as many as fit in one reply.
 func (r *Replica) requestedSlots(now float64, from int, request *PullRequest) (slots []SlotRecords) {
-	left := maxPullReplyBytes
+	remainingBytes := maxPullReplyBytes
 	for i, slot := range request.Slots {
-		if i == maxPullSlots || left <= 0 && i > 0 {
+		if i == maxPullSlots || remainingBytes <= 0 && i > 0 {
 			break
 		}
 		if !r.placement.replicates(r.self, slot) || !r.placement.replicates(from, slot) {
@@ -37,8 +38,8 @@
 		if i == 0 && request.Resumes {
 			after = &request.AfterKey
 		}
-		records, size := r.slotRecords(now, slot, after, left)
-		left -= size
+		records, size := r.slotRecords(now, slot, after, remainingBytes)
+		remainingBytes -= size
 		slots = append(slots, records)
 		if !records.Complete {
 			break
@@ -47,8 +48,8 @@
 	return slots
 }
 
-// slotRecords copies the records of a slot after a key, for about maxBytes, and returns their
-// estimated size in a message.
+// slotRecords returns about maxBytes of the records of a slot, from the first one after the key
+// after (nil for all), and their estimated size in a message.
 func (r *Replica) slotRecords(
 	now float64, slot int, after *replicastore.Key, maxBytes int,
 ) (records SlotRecords, size int) {
@@ -62,7 +63,7 @@
 			Record:     record,
 			TimeToLive: max(0, record.ExpiresAt-now),
 		})
-		size += recordCopyOverhead + attemptCopyOverhead*len(record.Attempts)
+		size += recordCopyOverheadBytes + attemptCopyOverheadBytes*len(record.Attempts)
 		for i := range record.Attempts {
 			size += len(record.Attempts[i].Result)
 		}
--- a/internal/policy/replication/replica.go
+++ b/internal/policy/replication/replica.go
@@ -6,11 +6,11 @@
 	"swiftcourse/internal/replicastore"
 )
 
-// maxExpiredPerCall bounds how many records one call forgets.
-const maxExpiredPerCall = 256
+// maxExpiredRecordsPerCall bounds the expired records that one call removes.
+const maxExpiredRecordsPerCall = 256
 
-// RecordStore holds a replica's records; *replicastore.Store implements it, and documents the
-// methods.
+// RecordStore holds a replica's records. See *replicastore.Store, which implements it, for the
+// contract of each method.
 type RecordStore interface {
 	Get(key replicastore.Key) (record *replicastore.Record, intact bool)
 	Put(record replicastore.Record) bool
@@ -26,12 +26,12 @@
 type ReplicaConfig struct {
 	Placement   *Placement
 	Self        int       // this server's member index
-	Terms       TermTable // shared with the server's Coordinator; holds the replica's own term already
+	Terms       TermTable // shared with the server's Coordinator; must contain the replica's own term
 	Store       RecordStore
-	CatchUpRate float64 // bytes a second of peers' records that it may receive
+	CatchUpRate float64 // limit on the records pulled from each peer, in bytes per second
 }
 
-// Replica holds one server's copies of the keys' records, and grants claims on them.
+// Replica holds one server's copies of the records of keys and grants claims of the keys.
 type Replica struct {
 	placement   *Placement
 	self        int
@@ -41,14 +41,14 @@
 
 	outbox             outbox
 	catchUp            catchUpState
-	nextCompareAt      float64 // seconds
-	compareTurn        int     // counts comparisons, to take the peers in turns
-	repairedRecords    int     // that differed from another replica's
+	nextCompareAt      float64 // when the next checksums are sent, in seconds
+	comparisonCount    int     // number of comparisons, to select the peers in round-robin order
+	repairedRecords    int     // records changed by a copy from a peer after catch-up
 	conflictingResults int     // keys with two results
 }
 
-// NewReplica returns a replica that has just started. It answers for no slot before it has caught up:
-// others may have granted claims that its store does not have.
+// NewReplica returns a replica that is catching up on all its slots. It grants no claims in a slot
+// until it has caught up, because the other replicas may have granted claims that its store lacks.
 func NewReplica(config ReplicaConfig, now float64) *Replica {
 	replica := &Replica{
 		placement:   config.Placement,
@@ -62,17 +62,17 @@
 	for _, slot := range slots {
 		for _, member := range replica.otherReplicas(slot) {
 			if replica.catchUp.peers[member] == nil {
-				replica.catchUp.peers[member] = &peerSync{wanted: map[int]bool{}}
-				replica.catchUp.peerOrder = append(replica.catchUp.peerOrder, member)
+				replica.catchUp.peers[member] = &peerSync{wantedSlots: map[int]bool{}}
+				replica.catchUp.sortedPeers = append(replica.catchUp.sortedPeers, member)
 			}
 		}
 	}
-	slices.Sort(replica.catchUp.peerOrder)
+	slices.Sort(replica.catchUp.sortedPeers)
 	replica.startCatchUp(now, slots)
 	return replica
 }
 
-// otherReplicas lists the replicas of a slot but this one.
+// otherReplicas returns the replicas of a slot except this one.
 func (r *Replica) otherReplicas(slot int) []int {
 	var others []int
 	for _, member := range r.placement.Replicas(slot) {
@@ -83,12 +83,12 @@
 	return others
 }
 
-// ownTerm returns the replica's term.
+// ownTerm returns the replica's current term.
 func (r *Replica) ownTerm() Term { return r.terms[r.self] }
 
-// observeTerms adopts the later terms that a message has. Another server knows a later term of this
-// replica if the replica was replaced, or if its process started with a clock that is behind: then
-// it begins a term above that one, and answers for no slot before it has caught up.
+// observeTerms adopts those terms of a message that are later than the known ones. A message has a
+// later term of this replica if the replica was replaced or if its process started with a clock that
+// is behind. The replica then begins a term above the observed one and catches up on all its slots.
 func (r *Replica) observeTerms(now float64, members []int, terms []Term) {
 	before := r.ownTerm()
 	r.terms.Observe(members, terms)
@@ -98,32 +98,33 @@
 	}
 }
 
-// observeTerm is observeTerms for one member.
+// observeTerm calls observeTerms with the term of one member.
 func (r *Replica) observeTerm(now float64, member int, term Term) {
 	r.observeTerms(now, []int{member}, []Term{term})
 }
 
-// resetSlot discards a slot after a corrupted record and begins a new term, so that coordinators
-// have to ask again for claims that were granted before.
+// resetSlot discards the records of a slot in which a record was corrupted, and begins a new term so
+// that grants of the previous term no longer count.
 func (r *Replica) resetSlot(now float64, slot int) {
 	r.terms[r.self].Number++
 	r.store.ClearSlot(slot)
 	r.startCatchUp(now, []int{slot})
 }
 
-// Maintain asks peers for missing records, compares with them, and forgets expired records.
+// Maintain removes expired records, pulls missing records from peers and compares checksums with
+// them.
 func (r *Replica) Maintain(now float64) {
-	r.store.Expire(now, maxExpiredPerCall)
+	r.store.Expire(now, maxExpiredRecordsPerCall)
 	r.maintainCatchUp(now)
 	r.maintainComparison(now)
 }
 
-// NextWakeup returns when Maintain is to be called, in seconds.
+// NextWakeup returns when Maintain must next be called, in seconds.
 func (r *Replica) NextWakeup(now float64) float64 {
 	return min(r.nextCompareAt, r.store.NextExpiry(), r.nextCatchUpWakeup(now))
 }
 
-// TakeOutbox returns the messages to send, and forgets them.
+// TakeOutbox returns the messages to send and empties the outbox.
 func (r *Replica) TakeOutbox() []Envelope { return r.outbox.take() }
 
 // Checksum returns the replica's checksum of a slot.
--- a/internal/policy/replication/replica_test.go
+++ b/internal/policy/replication/replica_test.go
@@ -13,11 +13,11 @@
 	secondAttempt = replicastore.Attempt{ClaimID: replicastore.ClaimID{UnixMilli: 2, Incarnation: 8, Sequence: 1}}
 )
 
-// initialTerms are those of three replicas, and restartedTerms those after the first restarted.
+// initialTerms returns the terms of three replicas; restartedTerms those after replica 0 restarted.
 func initialTerms() TermTable   { return TermTable{{10, 1}, {10, 2}, {10, 3}} }
 func restartedTerms() TermTable { return TermTable{{11, 4}, {10, 2}, {10, 3}} }
 
-// threeCaughtUpReplicas returns replicas that all hold each slot, each with its own term table.
+// threeCaughtUpReplicas returns three replicas of all slots, each with its own term table.
 func threeCaughtUpReplicas(t testing.TB) []*Replica {
 	t.Helper()
 	placement := newTestPlacement(t, testConfig(3, 3))
@@ -38,7 +38,7 @@
 	return replicas
 }
 
-// restartedReplica returns the first of three replicas as it restarts at time 1 with an empty store.
+// restartedReplica returns replica 0 of three, restarted at time 1 with an empty store.
 func restartedReplica(placement *Placement, maxEntries, maxBytes int) *Replica {
 	return NewReplica(ReplicaConfig{
 		Placement:   placement,
@@ -49,7 +49,7 @@
 	}, 1)
 }
 
-// catchUpFrom has a replica pull from others until it has nothing more to ask.
+// catchUpFrom makes a replica pull from others until it sends no more requests.
 func catchUpFrom(now float64, replica *Replica, others ...*Replica) {
 	for range 100_000 {
 		replica.Maintain(now)
@@ -69,8 +69,8 @@
 	}
 }
 
-// claimRequest asks for a grant of the test key.
-func claimRequest(placement *Placement, attempt replicastore.Attempt, terms []Term) *ClaimRequest {
+// newClaimRequest returns a request to grant a claim of testKey.
+func newClaimRequest(placement *Placement, attempt replicastore.Attempt, terms []Term) *ClaimRequest {
 	return &ClaimRequest{
 		ConfigDigest: placement.ConfigDigest,
 		Operation:    OpClaim,
@@ -80,19 +80,19 @@
 	}
 }
 
-// checkClaim checks the status of a replica's reply to a claim.
+// checkClaim checks the status of a replica's reply to a claim of testKey.
 func checkClaim(
 	t *testing.T, now float64, replica *Replica, attempt replicastore.Attempt, terms []Term, want ReplyStatus,
 ) {
 	t.Helper()
-	reply := replica.HandleClaim(now, claimRequest(replica.placement, attempt, terms))
+	reply := replica.HandleClaim(now, newClaimRequest(replica.placement, attempt, terms))
 	if reply.Status != want {
-		t.Errorf("replica %d answers claim %v under terms %v with %s, want %s",
+		t.Errorf("replica %d: reply to claim %v under terms %v has status %s, want %s",
 			replica.self, attempt.ClaimID, terms, reply.Status, want)
 	}
 }
 
-// fillStores stores records of keys that ran, with results of some size.
+// fillStores stores records of finished attempts with results of resultSize bytes in all replicas.
 func fillStores(replicas []*Replica, records, resultSize int) {
 	for i := range records {
 		id := replicastore.ClaimID{UnixMilli: int64(i), Incarnation: 1, Sequence: uint64(i)}
@@ -107,8 +107,10 @@
 	}
 }
 
-// TestReplica_NewTermFencesEarlierGrants forces this order: a coordinator has the grant of a replica
-// that stops, and asks the next one after the replica has restarted and caught up.
+// TestReplica_NewTermFencesEarlierGrants guards against a quorum that includes a lost grant: a
+// replica grants a claim and restarts without its records; after it has caught up, the
+// coordinator requests the same claim from the other replicas under the terms known before the
+// restart.
 func TestReplica_NewTermFencesEarlierGrants(t *testing.T) {
 	replicas := threeCaughtUpReplicas(t)
 	placement := replicas[0].placement
@@ -117,7 +119,7 @@
 	checkClaim(t, 1, restarted, secondAttempt, restartedTerms(), ReplyCatchingUp)
 	catchUpFrom(1, restarted, replicas[1], replicas[2])
 	if !restarted.CaughtUp(testKey.Slot()) {
-		t.Fatal("the restarted replica has not caught up")
+		t.Fatal("the restarted replica has not caught up on the slot of testKey after pulling from two peers")
 	}
 	for _, replica := range replicas[1:] {
 		checkClaim(t, 1.5, replica, firstAttempt, initialTerms(), ReplyStaleTerm)
@@ -130,20 +132,22 @@
 	}
 }
 
-// TestReplica_CorruptedRecordStartsNewTerm: a replica that lost a record catches up on its slot,
-// and the others fence its earlier grants.
+// TestReplica_CorruptedRecordStartsNewTerm checks that a replica with a corrupted record begins a
+// new term and catches up on that slot only, and that its peers then refuse claims under its
+// earlier term.
 func TestReplica_CorruptedRecordStartsNewTerm(t *testing.T) {
 	replicas := threeCaughtUpReplicas(t)
 	checkClaim(t, 1, replicas[0], firstAttempt, initialTerms(), ReplyGranted)
 	replicas[0].store.(*corruptibleStore).flipBit(testKey)
-	reply := replicas[0].HandleClaim(1.1, claimRequest(replicas[0].placement, secondAttempt, initialTerms()))
+	reply := replicas[0].HandleClaim(1.1, newClaimRequest(replicas[0].placement, secondAttempt, initialTerms()))
 	if reply.Status != ReplyStaleTerm || reply.Terms[0].Number != 11 {
-		t.Fatalf("the reply is %s with terms %v", reply.Status, reply.Terms)
+		t.Fatalf("reply has status %s and terms %v, want %s and term 11 of replica 0",
+			reply.Status, reply.Terms, ReplyStaleTerm)
 	}
 	slot := testKey.Slot()
 	corrupted, other := replicas[0].CaughtUp(slot), replicas[0].CaughtUp(slot^1)
 	if corrupted || !other {
-		t.Fatalf("caught up on the corrupted slot: %t, on another: %t", corrupted, other)
+		t.Fatalf("caught up on the corrupted slot: %t, want false; on another slot: %t, want true", corrupted, other)
 	}
 	catchUpFrom(2, replicas[0], replicas[1], replicas[2])
 	checkClaim(t, 2, replicas[1], firstAttempt, initialTerms(), ReplyStaleTerm)
--- a/internal/policy/replication/reporter.go
+++ b/internal/policy/replication/reporter.go
@@ -7,42 +7,43 @@
 )
 
 const (
-	// maxReports bounds the reports under way.
-	maxReports = 4096
-	// A report is sent again each reportRetryInterval to replicas that have not recorded it, for
-	// reportLifetime, in seconds. After that the replicas that have it pass it on as they compare.
-	reportRetryInterval = 0.1
-	reportLifetime      = 5.0
+	// maxPendingReports bounds the reports that are being sent.
+	maxPendingReports = 4096
+	// A report is resent every reportRetryIntervalSeconds to the replicas that have not recorded
+	// it, until reportLifetimeSeconds has passed. After that those replicas get it from others by
+	// checksum comparison.
+	reportRetryIntervalSeconds = 0.1
+	reportLifetimeSeconds      = 5.0
 )
 
-// pendingReport is the outcome of a claim that is being sent to the claim's replicas. Times are in
-// seconds.
+// pendingReport is a report of a claim's outcome that not all of its replicas have recorded yet.
+// Times are in seconds.
 type pendingReport struct {
 	key        replicastore.Key
 	attempt    replicastore.Attempt
 	replicas   []int  // member indexes
-	recorded   []bool // by replica, in the order of replicas
+	recorded   []bool // one for each of replicas: it has recorded the report
 	retryAt    float64
 	expiresAt  float64
-	replicated bool // a quorum has recorded it
+	replicated bool // a quorum has recorded the report
 }
 
-// reporter sends reports until all replicas have recorded them.
+// reporter sends reports until all their replicas have recorded them.
 type reporter struct {
 	placement *Placement
 	terms     TermTable
 	outbox    *outbox
 	byClaim   map[replicastore.ClaimID]*pendingReport
-	pending   []*pendingReport // the oldest first
+	pending   []*pendingReport // oldest first
 
-	replicatedResults   int // results that a quorum recorded
-	unreplicatedResults int // results that a quorum did not record in time
+	replicatedResults   int // results recorded by a quorum
+	unreplicatedResults int // results not recorded by a quorum in time
 }
 
-// start begins to report the outcome of a claim. When too many reports are under way the oldest is
-// removed: the replicas then keep its claim as one that may have run.
+// start begins to report the outcome of a claim. If maxPendingReports are being sent, the oldest
+// is removed; replicas that have not recorded it treat its claim as one that may have run.
 func (r *reporter) start(claim *pendingClaim, attempt replicastore.Attempt, now float64) {
-	if len(r.pending) >= maxReports {
+	if len(r.pending) >= maxPendingReports {
 		r.remove(r.pending[0])
 	}
 	report := &pendingReport{
@@ -50,7 +51,7 @@
 		attempt:   attempt,
 		replicas:  claim.replicas,
 		recorded:  make([]bool, len(claim.replicas)),
-		expiresAt: now + reportLifetime,
+		expiresAt: now + reportLifetimeSeconds,
 	}
 	r.byClaim[attempt.ClaimID] = report
 	r.pending = append(r.pending, report)
@@ -59,7 +60,7 @@
 
 // send sends a report to the replicas that have not recorded it.
 func (r *reporter) send(report *pendingReport, now float64) {
-	report.retryAt = now + reportRetryInterval
+	report.retryAt = now + reportRetryIntervalSeconds
 	for i, member := range report.replicas {
 		if report.recorded[i] {
 			continue
@@ -74,7 +75,7 @@
 	}
 }
 
-// handleReply handles the reply of the member with index from.
+// handleReply handles the reply of member from to a report.
 func (r *reporter) handleReply(from int, reply *ClaimReply) {
 	report := r.byClaim[reply.ClaimID]
 	if report == nil || reply.Status != ReplyRecorded && reply.Status != ReplyFull {
@@ -98,7 +99,7 @@
 	}
 }
 
-// remove stops sending a report.
+// remove stops sending a report and counts its result if no quorum recorded it.
 func (r *reporter) remove(removed *pendingReport) {
 	if !removed.replicated && removed.attempt.State == replicastore.StateFinished {
 		r.unreplicatedResults++
@@ -107,7 +108,7 @@
 	r.pending = slices.DeleteFunc(r.pending, func(other *pendingReport) bool { return other == removed })
 }
 
-// maintain sends reports again that are due, and removes those whose lifetime is over.
+// maintain resends the reports that are due and removes those whose lifetime is over.
 func (r *reporter) maintain(now float64) {
 	for _, report := range slices.Clone(r.pending) {
 		switch {
@@ -119,7 +120,7 @@
 	}
 }
 
-// nextWakeup returns when maintain has something to do, in seconds.
+// nextWakeup returns when maintain must next be called, in seconds.
 func (r *reporter) nextWakeup() float64 {
 	next := never
 	for _, report := range r.pending {
--- a/internal/policy/replication/schedule_test.go
+++ b/internal/policy/replication/schedule_test.go
@@ -10,11 +10,12 @@
 	"swiftcourse/internal/replicastore"
 )
 
-// TestClaims_NoKeyRunsTwice plays drawn schedules; the cluster itself checks each run.
+// TestClaims_NoKeyRunsTwice simulates drawn schedules. node.run fails the test if a key runs
+// twice within the retention window.
 func TestClaims_NoKeyRunsTwice(t *testing.T) {
 	verdicts := map[serving.ClaimVerdict]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		c := playSchedule(t, rapid.Uint64().Draw(t, "seed"))
+		c := runSchedule(t, rapid.Uint64().Draw(t, "seed"))
 		for _, outcome := range c.outcomes {
 			verdicts[outcome.Verdict]++
 		}
@@ -23,14 +24,14 @@
 		serving.ClaimGranted, serving.ClaimCached, serving.ClaimOutcomeUnknown, serving.ClaimNoQuorum,
 	} {
 		if verdicts[verdict] == 0 {
-			t.Errorf("no request had the verdict %s: %v", verdict, verdicts)
+			t.Errorf("no request had verdict %s, want at least 1; verdicts: %v", verdict, verdicts)
 		}
 	}
 }
 
-func TestReplicas_ConvergeOnceHealed(t *testing.T) {
+func TestReplicas_ConvergeAfterNetworkHeals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := playSchedule(t, rapid.Uint64().Draw(t, "seed"))
+		c := runSchedule(t, rapid.Uint64().Draw(t, "seed"))
 		c.healNetwork()
 		for _, n := range c.nodes {
 			if !n.up {
@@ -44,10 +45,10 @@
 			}
 		}
 		if !c.converged() {
-			t.Fatalf("replicas differ 30 s after the last fault")
+			t.Fatalf("replicas have not converged 30 s after the last fault")
 		}
-		// One claim may still fail for good reason: its request has little time, or a message is an
-		// old one. Five in a row may not.
+		// A single claim may still fail, because its request has little time or because of a message
+		// from before the network healed. Five in a row must not fail.
 		verdict := serving.ClaimNoQuorum
 		for i := 0; i < 5 && verdict != serving.ClaimGranted; i++ {
 			id := c.claim(c.nodes[0], replicastore.KeyOf("ping", fmt.Sprint("fresh", i)))
@@ -55,7 +56,8 @@
 			verdict = c.outcomes[id].Verdict
 		}
 		if verdict != serving.ClaimGranted {
-			t.Fatalf("healed, five new keys in a row are not granted, the last verdict is %s", verdict)
+			t.Fatalf("claims of five new keys in a row failed in a healed network; last verdict %s, want %s",
+				verdict, serving.ClaimGranted)
 		}
 	})
 }
--- a/internal/policy/replication/status.go
+++ b/internal/policy/replication/status.go
@@ -6,38 +6,38 @@
 	"slices"
 )
 
-// Status is the state of one server's replica and of its claims, for operators. The JSON keys
-// are those of the control API.
+// Status is the state of one server's replica and claims, for operators. The control API returns it
+// with these JSON keys.
 type Status struct {
-	ConfigDigest        uint64 `json:"Plan"` // of the server's Config
+	ConfigDigest        uint64 `json:"Plan"` // digest of the server's Config
 	IsReplica           bool   `json:"Holder"`
-	CatchingUp          int    `json:"Cold"`    // slots for which the replica may not answer yet
-	OutOfSync           int    `json:"Differ"`  // slots for which it waits for a peer's records
-	CaughtUpByPeers     int    `json:"Learned"` // slots on which it caught up by hearing enough peers
-	CaughtUpByTimeout   int    `json:"Aged"`    // slots on which it caught up by waiting until earlier grants were over
-	RepairedRecords     int    `json:"Mended"`  // records that differed from a peer's
+	CatchingUp          int    `json:"Cold"`    // slots on which the replica has not caught up yet
+	OutOfSync           int    `json:"Differ"`  // slots that the replica still has to pull from a peer
+	CaughtUpByPeers     int    `json:"Learned"` // slots caught up with the records of enough peers
+	CaughtUpByTimeout   int    `json:"Aged"`    // slots caught up by waiting until earlier grants had expired
+	RepairedRecords     int    `json:"Mended"`  // records changed by a copy from a peer after catch-up
 	ConflictingResults  int    `json:"Alarms"`  // keys with two results
 	Records             int    `json:"Records"`
 	Bytes               int    `json:"Bytes"`
 	DroppedResults      int    `json:"Dropped"`    // results dropped to free memory
-	CorruptedRecords    int    `json:"Flipped"`    // records that changed in memory
-	ActiveClaims        int    `json:"Claims"`     // claims under way, those of running requests included
-	ReplicatedResults   int    `json:"Promised"`   // results that a quorum recorded
-	UnreplicatedResults int    `json:"Unpromised"` // results that a quorum did not record in time
+	CorruptedRecords    int    `json:"Flipped"`    // records removed because their CRC did not match
+	ActiveClaims        int    `json:"Claims"`     // claims under way, including those of running requests
+	ReplicatedResults   int    `json:"Promised"`   // results recorded by a quorum
+	UnreplicatedResults int    `json:"Unpromised"` // results not recorded by a quorum in time
 }
 
-// FillStatus sets the fields that a coordinator knows.
+// FillStatus sets the fields of status that describe the coordinator's claims and reports.
 func (c *Coordinator) FillStatus(status *Status) {
 	status.ActiveClaims = c.ActiveClaims()
 	status.ReplicatedResults = c.reports.replicatedResults
 	status.UnreplicatedResults = c.reports.unreplicatedResults
 }
 
-// FillStatus sets the fields that a replica knows.
+// FillStatus sets the fields of status that describe the replica.
 func (r *Replica) FillStatus(status *Status) {
 	status.IsReplica = true
-	status.CatchingUp = r.CatchingUp()
-	status.OutOfSync = r.OutOfSync()
+	status.CatchingUp = r.CatchingUpSlots()
+	status.OutOfSync = r.OutOfSyncSlots()
 	status.CaughtUpByPeers = r.catchUp.caughtUpByPeers
 	status.CaughtUpByTimeout = r.catchUp.caughtUpByTimeout
 	status.RepairedRecords = r.repairedRecords
@@ -49,13 +49,13 @@
 	status.CorruptedRecords = stats.CorruptedRecords
 }
 
-// Faults lists what is wrong with a fleet's replicas, given the status of each server by name.
-// A server whose config differs from most servers' is listed, as the others ignore its messages.
-// critical reports whether a key has two results, which breaks the package's invariant.
+// Faults describes the faults of a fleet's replicas, given the status of each server by name. It
+// includes servers whose Config differs from that of most servers, because the others ignore their
+// messages. critical reports whether a key has two results, which violates the package's invariant.
 func Faults(statuses map[string]*Status) (faults []string, critical bool) {
-	usual := commonDigest(statuses)
+	common := mostCommonDigest(statuses)
 	for _, name := range slices.Sorted(maps.Keys(statuses)) {
-		for _, fault := range statuses[name].faults(usual) {
+		for _, fault := range statuses[name].faults(common) {
 			faults = append(faults, name+": "+fault)
 		}
 		critical = critical || statuses[name].ConflictingResults > 0
@@ -63,20 +63,20 @@
 	return faults, critical
 }
 
-// commonDigest returns the config digest that most servers have, the least of those that tie.
-func commonDigest(statuses map[string]*Status) uint64 {
-	servers := map[uint64]int{}
+// mostCommonDigest returns the most frequent config digest, the lowest of them in a tie.
+func mostCommonDigest(statuses map[string]*Status) uint64 {
+	serversByDigest := map[uint64]int{}
 	for _, status := range statuses {
-		servers[status.ConfigDigest]++
+		serversByDigest[status.ConfigDigest]++
 	}
-	return slices.MaxFunc(slices.Sorted(maps.Keys(servers)), func(a, b uint64) int {
-		return servers[a] - servers[b]
+	return slices.MaxFunc(slices.Sorted(maps.Keys(serversByDigest)), func(a, b uint64) int {
+		return serversByDigest[a] - serversByDigest[b]
 	})
 }
 
-// faults lists what is wrong with one server.
-func (s *Status) faults(usualDigest uint64) (faults []string) {
-	if s.ConfigDigest != usualDigest {
+// faults describes the faults of one server. commonDigest is the config digest of most servers.
+func (s *Status) faults(commonDigest uint64) (faults []string) {
+	if s.ConfigDigest != commonDigest {
 		faults = append(faults, "its members, replication factor, window or classes are not those of most servers")
 	}
 	if s.CatchingUp > 0 {
--- a/internal/policy/replication/status_test.go
+++ b/internal/policy/replication/status_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestStatus_JSONKeys: programs read these keys from the control API.
+// TestStatus_JSONKeys guards the JSON keys that programs read from the control API.
 func TestStatus_JSONKeys(t *testing.T) {
 	text, err := json.Marshal(Status{ConfigDigest: 1, IsReplica: true, CatchingUp: 2, OutOfSync: 3,
 		CaughtUpByPeers: 4, CaughtUpByTimeout: 5, RepairedRecords: 6, ConflictingResults: 7, Records: 8, Bytes: 9,
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestFaults_ListsEachServer(t *testing.T) {
+func TestFaults_ListsFaultsOfEachServer(t *testing.T) {
 	statuses := map[string]*Status{
 		"n1": {ConfigDigest: 7},
 		"n2": {ConfigDigest: 7, CatchingUp: 2, OutOfSync: 3, CorruptedRecords: 1},
@@ -30,15 +30,15 @@
 	}
 	faults, critical := Faults(statuses)
 	if critical || len(faults) != 4 {
-		t.Errorf("critical: %t, faults: %q", critical, faults)
+		t.Errorf("critical %t, want false; got %d faults, want 4: %q", critical, len(faults), faults)
 	}
 	for _, prefix := range []string{"n2: catching up on 2 slots", "n2: 3 slots", "n2: 1 records", "n3: its members"} {
 		if !slices.ContainsFunc(faults, func(fault string) bool { return strings.HasPrefix(fault, prefix) }) {
-			t.Errorf("no fault begins with %q: %q", prefix, faults)
+			t.Errorf("no fault begins with %q, got %q", prefix, faults)
 		}
 	}
 	statuses["n1"].ConflictingResults = 1
 	if _, critical := Faults(statuses); !critical {
-		t.Error("two results of one key are not critical")
+		t.Error("critical is false with a key that has two results, want true")
 	}
 }
--- a/internal/policy/replication/trust.go
+++ b/internal/policy/replication/trust.go
@@ -9,23 +9,23 @@
 	"swiftcourse/internal/policy/connlimit"
 )
 
-// MaxTrustedClients bounds the clients of one server's trust record, which lists those with most
-// credit there. Few servers have more clients that reconnect during a restart.
+// MaxTrustedClients bounds the clients in one trust record, which lists the clients with the most
+// credit at a server. Few servers have more clients that reconnect during a restart.
 const MaxTrustedClients = 256
 
-// maxTrustServers bounds the servers whose trust records are held.
+// maxTrustServers bounds the trust records in a TrustTable, one for each server.
 const maxTrustServers = 128
 
-// TrustRecord lists the clients that earned a server's trust in connection admission.
+// TrustRecord lists the clients that a server's connection admission trusts.
 type TrustRecord struct {
-	Name        string // of the server
-	Incarnation uint64
-	Sequence    uint64 // grows with each record of a name: milliseconds of its time of day
+	Name        string // name of the server
+	Incarnation uint64 // incarnation of the server
+	Sequence    uint64 // increases with each record of the server: its time of day in milliseconds
 	Clients     []connlimit.TrustedClient
 }
 
-// newerThan reports whether a record replaces another one of the same server, in whatever order they
-// arrive.
+// newerThan reports whether a record replaces another record of the same server. It does not depend
+// on the order in which the records arrive.
 func (t *TrustRecord) newerThan(other *TrustRecord) bool {
 	return cmp.Or(cmp.Compare(t.Sequence, other.Sequence), cmp.Compare(t.Incarnation, other.Incarnation)) > 0
 }
@@ -36,18 +36,19 @@
 	entries   map[string]*trustEntry
 }
 
-// trustEntry is a record and when it was received, in seconds.
+// trustEntry is a record and the time in seconds at which it was received.
 type trustEntry struct {
 	TrustRecord
 	receivedAt float64
 }
 
-// NewTrustTable returns an empty table that keeps a record for retention seconds.
+// NewTrustTable returns an empty table that keeps each record for retention seconds.
 func NewTrustTable(retention float64) *TrustTable {
 	return &TrustTable{retention: retention, entries: map[string]*trustEntry{}}
 }
 
-// Observe stores a record that is newer than the stored one of its server, and reports whether it was.
+// Observe stores a record if it is newer than the stored record of the same server, and reports
+// whether it stored the record.
 func (t *TrustTable) Observe(now float64, record TrustRecord) bool {
 	known := t.entries[record.Name]
 	if known != nil && !record.newerThan(&known.TrustRecord) {
@@ -76,8 +77,8 @@
 	})
 }
 
-// RecordsFor lists at most limit records for a server that has just started: the one of its own name
-// first, then the others by name.
+// RecordsFor returns at most limit records to send to a server that has just started: first the
+// record of that server, then the others in the order of server names.
 func (t *TrustTable) RecordsFor(now float64, name string, limit int) []TrustRecord {
 	t.expire(now)
 	var records []TrustRecord
@@ -92,30 +93,31 @@
 	return records
 }
 
-// MergedClients returns at most limit clients of all records. Those that two servers or more list
-// come first, each with its second highest credit. The places left are divided evenly among the
-// servers, so that one server with a long false list can't displace the others' clients.
+// MergedClients returns at most limit clients of all records. Clients that at least two servers
+// list come first, each with its second highest credit. The remaining entries are divided evenly
+// among the servers, so that a server with a long list of false clients can't displace those of
+// other servers.
 func (t *TrustTable) MergedClients(now float64, limit int) []connlimit.TrustedClient {
 	t.expire(now)
 	credits := t.creditsByClient()
 	clients := confirmedClients(credits)
 	clients = clients[:min(len(clients), limit)]
-	left := limit - len(clients)
+	remaining := limit - len(clients)
 	names := t.names()
 	for i, name := range names {
-		part := left / (len(names) - i)
+		share := remaining / (len(names) - i)
 		for _, client := range t.entries[name].Clients {
-			if part > 0 && len(credits[client.Addr]) == 1 {
+			if share > 0 && len(credits[client.Addr]) == 1 {
 				clients = append(clients, client)
-				part--
-				left--
+				share--
+				remaining--
 			}
 		}
 	}
 	return clients
 }
 
-// creditsByClient returns, for each client, the credits that servers give it.
+// creditsByClient returns the credits of each client in the records that list it.
 func (t *TrustTable) creditsByClient() map[netip.Addr][]float64 {
 	credits := map[netip.Addr][]float64{}
 	for _, name := range t.names() {
@@ -126,14 +128,14 @@
 	return credits
 }
 
-// confirmedClients returns the clients that two servers or more list, with the second highest
-// of their credits, those with most credit first.
+// confirmedClients returns the clients that at least two servers list, each with its second highest
+// credit, in descending order of credit.
 func confirmedClients(credits map[netip.Addr][]float64) []connlimit.TrustedClient {
 	var clients []connlimit.TrustedClient
-	for addr, given := range credits {
-		if len(given) > 1 {
-			slices.Sort(given)
-			clients = append(clients, connlimit.TrustedClient{Addr: addr, Credit: given[len(given)-2]})
+	for addr, clientCredits := range credits {
+		if len(clientCredits) > 1 {
+			slices.Sort(clientCredits)
+			clients = append(clients, connlimit.TrustedClient{Addr: addr, Credit: clientCredits[len(clientCredits)-2]})
 		}
 	}
 	slices.SortFunc(clients, func(a, b connlimit.TrustedClient) int {
--- a/internal/policy/replication/trust_test.go
+++ b/internal/policy/replication/trust_test.go
@@ -30,7 +30,8 @@
 	return records
 }
 
-// TestTrustTable_IndependentOfOrder observes each record once in order, and twice in any order.
+// TestTrustTable_IndependentOfOrder checks that a table that observed each record once in order
+// and one that observed each twice in a drawn order return the same clients.
 func TestTrustTable_IndependentOfOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := drawTrustRecords(t)
@@ -45,21 +46,23 @@
 		limit := rapid.IntRange(0, 20).Draw(t, "limit")
 		a, b := inOrder.MergedClients(3, limit), shuffled.MergedClients(3, limit)
 		if !slices.Equal(a, b) || len(a) > limit {
-			t.Fatalf("%v, %v, at most %d", a, b, limit)
+			t.Fatalf("clients %v in order and %v shuffled, want equal ones and at most %d", a, b, limit)
 		}
 	})
 }
 
-// TestTrustTable_LongFalseListDisplacesNobody also has the records expire.
-func TestTrustTable_LongFalseListDisplacesNobody(t *testing.T) {
+// TestTrustTable_LongFalseListKeepsOtherServersClients guards against a server that
+// displaces the clients of other servers by listing many false clients with high credit. It also
+// checks that records expire.
+func TestTrustTable_LongFalseListKeepsOtherServersClients(t *testing.T) {
 	table := NewTrustTable(60)
 	trusted := netip.MustParseAddr("10.0.0.1")
-	lies := TrustRecord{Name: "liar", Incarnation: 1, Sequence: 1}
+	falseRecord := TrustRecord{Name: "liar", Incarnation: 1, Sequence: 1}
 	for i := range 2 * MaxTrustedClients {
 		addr := netip.AddrFrom4([4]byte{11, 0, byte(i >> 8), byte(i)})
-		lies.Clients = append(lies.Clients, connlimit.TrustedClient{Addr: addr, Credit: 1e9})
+		falseRecord.Clients = append(falseRecord.Clients, connlimit.TrustedClient{Addr: addr, Credit: 1e9})
 	}
-	table.Observe(1, lies)
+	table.Observe(1, falseRecord)
 	table.Observe(1, TrustRecord{
 		Name:        "honest",
 		Incarnation: 1,
@@ -69,9 +72,9 @@
 	clients := table.MergedClients(2, 10)
 	isTrusted := func(client connlimit.TrustedClient) bool { return client.Addr == trusted }
 	if len(clients) != 10 || !slices.ContainsFunc(clients, isTrusted) {
-		t.Errorf("ten clients are %v", clients)
+		t.Errorf("got %d clients %v, want 10 with %s among them", len(clients), clients, trusted)
 	}
 	if len(table.MergedClients(62, 10)) != 0 {
-		t.Error("records of a minute ago still count")
+		t.Error("clients of records older than the retention of 60 s are returned, want none")
 	}
 }
