--- a/internal/policy/replication/merge_test.go
+++ b/internal/policy/replication/merge_test.go
@@ -49,10 +49,10 @@
 			{"commutative", merge(a, b), merge(b, a)},
 			{"associative", merge(a, merge(b, c)), merge(merge(a, b), c)},
 			{"idempotent", merge(a, merge(a, b)), merge(a, b)},
-			{"with nothing", merge(a, nil), merge(a, a)},
+			{"neutral for a nil copy", merge(a, nil), merge(a, a)},
 		} {
 			if !reflect.DeepEqual(law.x, law.y) {
-				t.Fatalf("Merge violates %q: %+v and %+v differ", law.name, law.x, law.y)
+				t.Fatalf("Merge is not %s: %+v and %+v differ", law.name, law.x, law.y)
 			}
 		}
 		for _, merged := range merge(a, b).Attempts {
--- a/internal/policy/replication/placement.go
+++ b/internal/policy/replication/placement.go
@@ -36,7 +36,7 @@
 	Members           []Member
 	ReplicationFactor int     // number of replicas of each key
 	RetentionWindow   float64 // seconds within which a repeated request does not run again
-	MaxClaimDuration  float64 // seconds; the longest hard deadline of the classes with keys
+	MaxClaimDuration  float64 // seconds that a claim may last: the longest hard deadline of keyed classes
 }
 
 // ConfigError reports an invalid setting of a Config.
