--- a/internal/replicastore/record.go
+++ b/internal/replicastore/record.go
@@ -114,8 +114,8 @@
 
 const (
 	// A record takes recordOverheadBytes, plus attemptOverheadBytes for each attempt, plus its
-	// results. The overheads include the store's map and heap; BenchmarkStore reports the memory
-	// allocated.
+	// results. The overheads include the share of the store's map and heap in a store of 100,000
+	// records, as in BenchmarkStore.
 	recordOverheadBytes  = 240
 	attemptOverheadBytes = 72
 )
--- a/internal/replicastore/store.go
+++ b/internal/replicastore/store.go
@@ -7,7 +7,7 @@
 )
 
 // maxDropScanRecords bounds the records that one Put searches for results to drop when the store
-// is full.
+// is full, and so the time that the Put takes.
 const maxDropScanRecords = 256
 
 // entry is a stored record with its checksums and its position in the expiry queue.
@@ -58,7 +58,7 @@
 
 // Get returns the record of a key, or nil if there is none. The caller must not modify it. If the
 // record fails its CRC check, Get removes it and returns nil and false, because the claims that it
-// held are unknown.
+// held can no longer be known.
 func (s *Store) Get(key Key) (record *Record, intact bool) {
 	e := s.slots[key.Slot()][key]
 	if e == nil {
@@ -136,7 +136,7 @@
 // begins with the records that expire soonest and skips the record of the exempt key.
 func (s *Store) freeBytes(needed int, exempt Key) bool {
 	scanned := s.expiryQueue[:min(len(s.expiryQueue), maxDropScanRecords)]
-	for _, e := range scanned { // the front of the heap holds about the earliest expiries, not sorted
+	for _, e := range scanned { // the front of the heap holds roughly the earliest expiries, unsorted
 		if needed <= 0 {
 			break
 		}
@@ -194,8 +194,8 @@
 	Intact   bool      // no record failed its CRC check
 }
 
-// Scan returns the records of a slot in ascending order of key, starting after the key after, or at
-// the first key if after is nil. It stops once the records take maxBytes or more. Records that fail
+// Scan returns the records of a slot in ascending order of key. If after is not nil, it returns only
+// records of keys above *after. It stops once the records take maxBytes or more. Records that fail
 // their CRC check are removed and not returned.
 func (s *Store) Scan(slot int, after *Key, maxBytes int) ScanResult {
 	var keys []Key
--- a/internal/replicastore/store_test.go
+++ b/internal/replicastore/store_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// Limits of TestStore_MatchesModel.
+// Limits of the store and of the drawn results in TestStore_MatchesModel.
 const (
 	testMaxRecords     = 12
 	testMaxBytes       = 8000
@@ -107,11 +107,11 @@
 		finished := NewFinishedAttempt(ClaimID{Sequence: 1}, make([]byte, 400))
 		record := Record{Key: KeyOf("s", fmt.Sprint(i)), ExpiresAt: float64(i), Attempts: []Attempt{finished}}
 		if !store.Put(record) {
-			t.Fatalf("Put refused record %d of 5", i)
+			t.Fatalf("Put refused record %d, want records 0 to 4 stored", i)
 		}
 	}
 	if store.Put(Record{Key: KeyOf("s", "one more"), ExpiresAt: 9}) {
-		t.Error("Put accepted a sixth record, want at most 5")
+		t.Error("Put stored a sixth record, want it refused by a store of at most 5")
 	}
 	results := 0
 	for i := range 5 {
