--- a/internal/policy/replication/bench_test.go
+++ b/internal/policy/replication/bench_test.go
@@ -26,7 +26,7 @@
 
 // BenchmarkCatchUp measures how long a restarted replica takes to receive 100,000 records with
 // results of 100 bytes from two others. BenchmarkPlainCopy is the baseline: it copies as many byte
-// slices of about the size of such a record.
+// slices of 200 bytes, about the size of such a record with its key and attempt.
 func BenchmarkCatchUp(b *testing.B) {
 	const records = 100_000
 	replicas := threeCaughtUpReplicas(b)
--- a/internal/policy/replication/catchup.go
+++ b/internal/policy/replication/catchup.go
@@ -46,7 +46,7 @@
 // peerSync tracks a replica's pull requests to one peer. Times are in seconds.
 type peerSync struct {
 	wantedSlots   map[int]bool     // slots to pull from the peer
-	lastRequest   *PullRequest     // the latest request
+	lastRequest   *PullRequest     // the request in flight, or else the latest one sent
 	afterKey      replicastore.Key // last key received of a partially received slot
 	resumes       bool             // the next request continues a slot after afterKey
 	partialTerm   Term             // the peer's term when it sent the partial slot
@@ -60,7 +60,8 @@
 	p.resumes = false
 }
 
-// CaughtUp reports whether the replica has caught up on a slot and may grant claims of its keys.
+// CaughtUp reports whether the replica has caught up on a slot, so that it may grant claims of the
+// slot's keys and answer queries for them.
 func (r *Replica) CaughtUp(slot int) bool { return r.catchUp.slots[slot] == nil }
 
 // CatchingUpSlots returns the number of slots on which the replica has not caught up yet.
@@ -75,7 +76,8 @@
 	return len(slots)
 }
 
-// startCatchUp makes the replica catch up on slots. It grants no claims of their keys until then.
+// startCatchUp makes the replica catch up on slots. Until then it grants no claims of their keys and
+// answers no queries for them.
 func (r *Replica) startCatchUp(now float64, slots []int) {
 	r.catchUp.startedAt = now
 	for _, slot := range slots {
@@ -83,7 +85,7 @@
 		for _, member := range r.otherReplicas(slot) {
 			peer := r.catchUp.peers[member]
 			peer.wantedSlots[slot] = true
-			peer.abandonRequest() // it carries the previous term
+			peer.abandonRequest() // the request in flight carries the previous term
 		}
 	}
 }
--- a/internal/policy/replication/catchup_test.go
+++ b/internal/policy/replication/catchup_test.go
@@ -6,8 +6,8 @@
 	"swiftcourse/internal/replicastore"
 )
 
-// TestReplica_LatePullReplyIgnored guards against counting a pull reply toward catch-up that
-// answers a request of an earlier term or arrives twice.
+// TestReplica_LatePullReplyIgnored checks that a pull reply does not count for the catch-up if it
+// answers a request of an earlier term, whether it arrives once or twice.
 func TestReplica_LatePullReplyIgnored(t *testing.T) {
 	replicas := threeCaughtUpReplicas(t)
 	placement := replicas[0].placement
@@ -17,7 +17,7 @@
 	for _, envelope := range restarted.TakeOutbox() {
 		late = append(late, replicas[envelope.To].HandlePull(1, 0, envelope.Pull))
 	}
-	restarted.observeTerms(1, []int{0}, []Term{{20, 9}}) // others know a later term, of another incarnation
+	restarted.observeTerms(1, []int{0}, []Term{{20, 9}}) // a later term of the replica, of another incarnation
 	if number := restarted.ownTerm().Number; number != 21 {
 		t.Fatalf("after observing term 20 of another incarnation the replica is in term %d, want 21", number)
 	}
@@ -73,10 +73,10 @@
 	}
 }
 
-// TestReplica_PeerReplacedMidSlotRestartsSlot checks that a partially received slot is pulled
+// TestReplica_PullsPartialSlotAgainWhenPeerReplaced checks that a partially received slot is pulled
 // again from its start if the peer was replaced meanwhile, because the new incarnation may lack
 // records that the previous one had.
-func TestReplica_PeerReplacedMidSlotRestartsSlot(t *testing.T) {
+func TestReplica_PullsPartialSlotAgainWhenPeerReplaced(t *testing.T) {
 	replicas := threeCaughtUpReplicas(t)
 	slot := testKey.Slot()
 	for n := range 40 { // too many for one reply
--- a/internal/policy/replication/claim.go
+++ b/internal/policy/replication/claim.go
@@ -13,7 +13,7 @@
 	phaseRequesting claimPhase = iota // the coordinator asks the replicas to grant the claim
 	phaseWaiting                      // another claim takes precedence; the coordinator queries its outcome
 	phaseGranted                      // a quorum granted the claim; the request may run
-	phaseDone
+	phaseDone                         // the claim has ended
 )
 
 // claimEvent is an event that may change the phase of a claim.
@@ -24,7 +24,7 @@
 	eventResultKnown                   // a replica returned the result of an earlier run
 	eventRunFailed                     // a replica returned an earlier run that failed
 	eventOutranked                     // another claim takes precedence
-	eventUnblocked                     // no other claim blocks the key any more
+	eventUnblocked                     // a quorum reports that no claim blocks the key any more
 	eventTimedOut                      // the claim was not granted, or the other claim not resolved, in time
 	eventCanceled                      // the request ended before its run
 	eventRunEnded                      // the request's run ended; the claim's attempt holds the outcome
@@ -40,14 +40,14 @@
 }{
 	{phaseRequesting, eventQuorum, phaseGranted, (*Coordinator).notifyGranted},
 	{phaseRequesting, eventResultKnown, phaseDone, (*Coordinator).withdrawWithResult},
-	{phaseRequesting, eventRunFailed, phaseDone, (*Coordinator).withdrawMayHaveRun},
+	{phaseRequesting, eventRunFailed, phaseDone, (*Coordinator).withdrawOutcomeUnknown},
 	{phaseRequesting, eventOutranked, phaseWaiting, (*Coordinator).withdraw},
 	{phaseRequesting, eventTimedOut, phaseDone, (*Coordinator).withdrawTimedOut},
 	{phaseRequesting, eventCanceled, phaseDone, (*Coordinator).withdraw},
 	{phaseWaiting, eventResultKnown, phaseDone, (*Coordinator).notifyResultKnown},
-	{phaseWaiting, eventRunFailed, phaseDone, (*Coordinator).notifyMayHaveRun},
+	{phaseWaiting, eventRunFailed, phaseDone, (*Coordinator).notifyOutcomeUnknown},
 	{phaseWaiting, eventUnblocked, phaseRequesting, (*Coordinator).beginAttempt},
-	{phaseWaiting, eventTimedOut, phaseDone, (*Coordinator).notifyMayHaveRun},
+	{phaseWaiting, eventTimedOut, phaseDone, (*Coordinator).notifyOutcomeUnknown},
 	{phaseWaiting, eventCanceled, phaseDone, nil},
 	{phaseGranted, eventCanceled, phaseDone, (*Coordinator).withdraw},
 	{phaseGranted, eventRunEnded, phaseDone, (*Coordinator).reportRunEnd},
@@ -111,7 +111,7 @@
 // outrankedBy reports whether the other claim, which blocks this one at a replica, takes precedence.
 // The claim with the lower ClaimID takes precedence, so that one of two competing claims that each
 // hold some grants reaches a quorum. A claim with a higher ClaimID takes precedence too if it blocks
-// this one at so many replicas that a quorum is impossible, as it may have run.
+// this one at so many replicas that a quorum is impossible, because its request may have run.
 func (p *pendingClaim) outrankedBy(other replicastore.ClaimID, quorum int) bool {
 	return other.Compare(p.attempt.ClaimID) < 0 || p.blockedCount(other) > len(p.replicas)-quorum
 }
--- a/internal/policy/replication/claim_actions.go
+++ b/internal/policy/replication/claim_actions.go
@@ -57,7 +57,7 @@
 	c.addOutcome(claim, serving.ClaimCached, now)
 }
 
-func (c *Coordinator) notifyMayHaveRun(claim *pendingClaim, now float64) {
+func (c *Coordinator) notifyOutcomeUnknown(claim *pendingClaim, now float64) {
 	c.addOutcome(claim, serving.ClaimOutcomeUnknown, now)
 }
 
@@ -73,17 +73,17 @@
 	c.notifyResultKnown(claim, now)
 }
 
-func (c *Coordinator) withdrawMayHaveRun(claim *pendingClaim, now float64) {
+func (c *Coordinator) withdrawOutcomeUnknown(claim *pendingClaim, now float64) {
 	c.withdraw(claim, now)
-	c.notifyMayHaveRun(claim, now)
+	c.notifyOutcomeUnknown(claim, now)
 }
 
 // withdrawTimedOut ends a claim that reached no quorum in time. If a replica reported another claim
-// of the key, the verdict is that the other claim may have run.
+// of the key, the verdict is ClaimOutcomeUnknown, because the request of that claim may have run.
 func (c *Coordinator) withdrawTimedOut(claim *pendingClaim, now float64) {
 	c.withdraw(claim, now)
 	if claim.sawOtherClaim {
-		c.notifyMayHaveRun(claim, now)
+		c.notifyOutcomeUnknown(claim, now)
 		return
 	}
 	c.addOutcome(claim, serving.ClaimNoQuorum, now)
--- a/internal/policy/replication/cluster_test.go
+++ b/internal/policy/replication/cluster_test.go
@@ -87,7 +87,7 @@
 	var err error
 	c.placement, err = NewPlacement(config)
 	if err != nil {
-		t.Fatalf("%v", err)
+		t.Fatalf("NewPlacement: %v", err)
 	}
 	for i := range 4 {
 		c.keys = append(c.keys, replicastore.KeyOf("ping", fmt.Sprint("key", seed, i)))
@@ -134,7 +134,7 @@
 	}
 }
 
-// claim sends a request for a key to a node, which claims the key, and returns the request's ID.
+// claim makes a node claim a key for a new request, and returns the ID of the request.
 func (c *cluster) claim(n *node, key replicastore.Key) string {
 	c.requests++
 	id := fmt.Sprintf("t%d", c.requests)
--- a/internal/policy/replication/coordinator_test.go
+++ b/internal/policy/replication/coordinator_test.go
@@ -7,8 +7,9 @@
 )
 
 // TestCoordinator_CountsGrantsUnderOneTermListOnly guards against a quorum of grants under
-// different terms. Replica 0 grants under the terms known before its replacement, replica 1 under
-// those after it; only when replica 2 also grants under the later terms is there a quorum.
+// different terms. Replicas 0 and 2 grant under the terms from before replica 0 was replaced, and
+// replica 1 under the later terms. There is a quorum only once replica 2 grants under the later
+// terms too.
 func TestCoordinator_CountsGrantsUnderOneTermListOnly(t *testing.T) {
 	placement := newTestPlacement(t, testConfig(3, 3))
 	unixTime := func() float64 { return 1 }
--- a/internal/policy/replication/doc.go
+++ b/internal/policy/replication/doc.go
@@ -8,9 +8,9 @@
 //
 // Replicas keep their records in memory only. A Replica that restarts or detects a corrupted
 // record begins a new Term. Grants of earlier terms then no longer count, and the replica grants
-// no claims in a slot until it has caught up on it from enough other replicas. Replicas compare
-// checksums and repair records that differ. Merge is independent of the order in which copies
-// arrive.
+// no claims and answers no queries in a slot until it has caught up on it from enough other
+// replicas. Replicas compare checksums and repair records that differ. Merge is independent of
+// the order in which copies arrive.
 //
 // TrustTable merges the lists of trusted clients that servers exchange.
 //
--- a/internal/policy/replication/grant.go
+++ b/internal/policy/replication/grant.go
@@ -33,8 +33,9 @@
 	return reply
 }
 
-// execute executes a request, given the key's record or nil. Reports are also recorded while the
-// replica is catching up, because the reply to a report says nothing about other claims of the key.
+// execute executes a request; record is the key's record, nil if there is none. Reports are also
+// recorded while the replica is catching up, because the reply to a report says nothing about other
+// claims of the key.
 func (r *Replica) execute(now float64, record *replicastore.Record, request *ClaimRequest) ReplyStatus {
 	slot := request.Key.Slot()
 	switch {
--- a/internal/policy/replication/history_test.go
+++ b/internal/policy/replication/history_test.go
@@ -29,7 +29,7 @@
 		case outcome.Verdict == serving.ClaimCached:
 			return string(outcome.Result) == "result of "+owner, owner
 		}
-		return true, owner // other verdicts don't tell the state
+		return true, owner // other verdicts allow any owner
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
--- a/internal/policy/replication/merge_test.go
+++ b/internal/policy/replication/merge_test.go
@@ -46,13 +46,13 @@
 			name string
 			x, y *replicastore.Record
 		}{
-			{"commutative", merge(a, b), merge(b, a)},
-			{"associative", merge(a, merge(b, c)), merge(merge(a, b), c)},
-			{"idempotent", merge(a, merge(a, b)), merge(a, b)},
-			{"neutral for a nil copy", merge(a, nil), merge(a, a)},
+			{"commutativity", merge(a, b), merge(b, a)},
+			{"associativity", merge(a, merge(b, c)), merge(merge(a, b), c)},
+			{"idempotence", merge(a, merge(a, b)), merge(a, b)},
+			{"equality of Merge(a, nil) and Merge(a, a)", merge(a, nil), merge(a, a)},
 		} {
 			if !reflect.DeepEqual(law.x, law.y) {
-				t.Fatalf("Merge is not %s: %+v and %+v differ", law.name, law.x, law.y)
+				t.Fatalf("Merge violates %s: got %+v and %+v, want equal records", law.name, law.x, law.y)
 			}
 		}
 		for _, merged := range merge(a, b).Attempts {
@@ -68,7 +68,8 @@
 	t.Helper()
 	for _, attempt := range from.Attempts {
 		if attempt.ClaimID == merged.ClaimID && attempt.State > merged.State {
-			t.Fatalf("state of attempt %v lowered from %s to %s by Merge", attempt.ClaimID, attempt.State, merged.State)
+			t.Fatalf("Merge lowered the state of attempt %+v: got %+v, want state %s or higher",
+				attempt, merged, attempt.State)
 		}
 	}
 }
--- a/internal/policy/replication/placement.go
+++ b/internal/policy/replication/placement.go
@@ -65,8 +65,11 @@
 		return &ConfigError{Field: "retention window", Value: c.RetentionWindow, Reason: "must be more than 0 seconds"}
 	}
 	if !(c.MaxClaimDuration > 0) {
-		reason := "must be more than 0 seconds"
-		return &ConfigError{Field: "maximum claim duration", Value: c.MaxClaimDuration, Reason: reason}
+		return &ConfigError{
+			Field:  "maximum claim duration",
+			Value:  c.MaxClaimDuration,
+			Reason: "must be more than 0 seconds",
+		}
 	}
 	names := map[string]bool{}
 	for _, member := range c.Members {
--- a/internal/policy/replication/pull_client.go
+++ b/internal/policy/replication/pull_client.go
@@ -108,9 +108,9 @@
 	}
 }
 
-// mergeCopy merges one record that a peer sent into the store.
+// mergeCopy merges a record received from a peer into the store.
 func (r *Replica) mergeCopy(now float64, slot int, received RecordCopy) {
-	if received.Record.Key.Slot() != slot || !(received.TimeToLive > 0) { // also true for NaN
+	if received.Record.Key.Slot() != slot || !(received.TimeToLive > 0) { // refuses NaN too
 		return
 	}
 	// A copy is kept no longer than a new record, even if the peer sent a wrong TimeToLive.
--- a/internal/policy/replication/pull_server.go
+++ b/internal/policy/replication/pull_server.go
@@ -48,8 +48,8 @@
 	return slots
 }
 
-// slotRecords returns about maxBytes of the records of a slot, from the first one after the key
-// after (nil for all), and their estimated size in a message.
+// slotRecords returns about maxBytes of the records of a slot, in ascending order of key, and their
+// estimated size in a message. If after is not nil, it returns only records of keys above *after.
 func (r *Replica) slotRecords(
 	now float64, slot int, after *replicastore.Key, maxBytes int,
 ) (records SlotRecords, size int) {
--- a/internal/policy/replication/replica.go
+++ b/internal/policy/replication/replica.go
@@ -47,8 +47,9 @@
 	conflictingResults int     // keys with two results
 }
 
-// NewReplica returns a replica that is catching up on all its slots. It grants no claims in a slot
-// until it has caught up, because the other replicas may have granted claims that its store lacks.
+// NewReplica returns a replica that is catching up on all its slots. It grants no claims and answers
+// no queries in a slot until it has caught up on it, because the other replicas may have granted
+// claims that its store lacks.
 func NewReplica(config ReplicaConfig, now float64) *Replica {
 	replica := &Replica{
 		placement:   config.Placement,
--- a/internal/policy/replication/reporter.go
+++ b/internal/policy/replication/reporter.go
@@ -21,11 +21,11 @@
 type pendingReport struct {
 	key        replicastore.Key
 	attempt    replicastore.Attempt
-	replicas   []int  // member indexes
-	recorded   []bool // one for each of replicas: it has recorded the report
-	retryAt    float64
-	expiresAt  float64
-	replicated bool // a quorum has recorded the report
+	replicas   []int   // member indexes
+	recorded   []bool  // by position in replicas: whether the replica has recorded the report
+	retryAt    float64 // when the report is sent again
+	expiresAt  float64 // when the report is no longer sent
+	replicated bool    // a quorum has recorded the report
 }
 
 // reporter sends reports until all their replicas have recorded them.
--- a/internal/policy/replication/schedule_test.go
+++ b/internal/policy/replication/schedule_test.go
@@ -45,7 +45,7 @@
 			}
 		}
 		if !c.converged() {
-			t.Fatalf("replicas have not converged 30 s after the last fault")
+			t.Fatalf("replicas have not converged 30 s after the last fault, want all caught up with equal checksums")
 		}
 		// A single claim may still fail, because its request has little time or because of a message
 		// from before the network healed. Five in a row must not fail.
--- a/internal/policy/replication/trust.go
+++ b/internal/policy/replication/trust.go
@@ -20,7 +20,7 @@
 type TrustRecord struct {
 	Name        string // name of the server
 	Incarnation uint64 // incarnation of the server
-	Sequence    uint64 // increases with each record of the server: its time of day in milliseconds
+	Sequence    uint64 // the server's time of day in ms, which increases with each of its records
 	Clients     []connlimit.TrustedClient
 }
 
--- a/internal/policy/replication/trust_test.go
+++ b/internal/policy/replication/trust_test.go
@@ -51,10 +51,10 @@
 	})
 }
 
-// TestTrustTable_LongFalseListKeepsOtherServersClients guards against a server that
-// displaces the clients of other servers by listing many false clients with high credit. It also
-// checks that records expire.
-func TestTrustTable_LongFalseListKeepsOtherServersClients(t *testing.T) {
+// TestTrustTable_LongFalseListDoesNotDisplaceOtherClients guards against a server that displaces
+// the clients of other servers by listing many false clients with high credit. It also checks that
+// records expire.
+func TestTrustTable_LongFalseListDoesNotDisplaceOtherClients(t *testing.T) {
 	table := NewTrustTable(60)
 	trusted := netip.MustParseAddr("10.0.0.1")
 	falseRecord := TrustRecord{Name: "liar", Incarnation: 1, Sequence: 1}
