--- a/internal/policy/workercapacity/estimate.go
+++ b/internal/policy/workercapacity/estimate.go
@@ -1,35 +1,35 @@
 // Package workercapacity estimates how many requests per second a worker can finish, from the
-// outcomes of the attempts at it.
+// outcomes of attempts at the worker.
 //
-// A worker that rejects or loses attempts is at its capacity: the estimate moves towards what it
-// finished. One that does not is below it: the estimate rises towards somewhat more than it
-// finished. The planner of the load plan estimates by what all forwarders observed, a forwarder by
-// its own attempts alone. The package has no state, clock or I/O.
+// A worker that rejects or loses attempts is at its capacity, so the estimate moves towards the rate
+// of finished requests. Otherwise the worker is below its capacity, and the estimate rises towards
+// somewhat more than that rate. The planner of the load plan passes the attempts of all forwarders,
+// a forwarder only its own. The package has no state, clock or I/O.
 package workercapacity
 
 const (
-	// Min is the capacity assumed of a worker that has finished nothing yet, in requests per
-	// second, so that it receives some.
+	// Min is the lowest capacity estimate, in requests per second. It is above 0 so that a worker that
+	// has finished nothing still receives requests.
 	Min = 1.0
 
-	// smoothing is the weight of the latest interval in an estimate.
+	// smoothing is the weight of the latest interval in the moving average.
 	smoothing = 0.3
-	// overloadRatio is the ratio of rejected and lost attempts above which a worker is at its
-	// capacity.
+	// overloadRatio is the fraction of rejected and lost attempts above which a worker counts as at
+	// its capacity.
 	overloadRatio = 0.02
-	// headroom is how much more than it finished a worker below its capacity may receive.
+	// headroom is the ratio of the estimate to the finished rate of a worker below its capacity.
 	headroom = 1.25
 )
 
-// AttemptCounts counts attempts at a worker by outcome.
+// AttemptCounts are the attempts at a worker, counted by outcome.
 type AttemptCounts struct {
 	Finished int
 	Rejected int
 	Lost     int // timed out, or the connection broke
 }
 
-// Update returns the estimate that follows previous after an interval in which these attempts ended.
-// An interval without attempts does not change it.
+// Update returns the new estimate, in requests per second, after an interval in which the given
+// attempts ended. An interval without attempts does not change the estimate.
 func Update(previous float64, attempts AttemptCounts, intervalSeconds float64) float64 {
 	total := attempts.Finished + attempts.Rejected + attempts.Lost
 	unfinished := attempts.Rejected + attempts.Lost
