--- a/internal/policy/loadplan/flow.go
+++ b/internal/policy/loadplan/flow.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// maxGroups bounds the groups of forwarders, and those of workers, in the linear program: with
-	// more it takes longer than a plan may.
+	// maxGroups bounds both the forwarder groups and the worker groups in the linear program. With
+	// more groups, solving takes longer than the time available for a plan.
 	maxGroups = 10
 	// simplexTolerance is the tolerance of the linear program's solver.
 	simplexTolerance = 1e-9
 )
 
-// edge connects a forwarder group to a worker group that it reaches, both by index.
+// edge connects a forwarder group to a worker group that it reaches. Both are indexes.
 type edge struct{ forwarder, worker int }
 
-// solveFlows returns how much of each forwarder group's demand goes to each worker group, such that
-// the highest utilization of any worker group is as low as possible. Only the ratios of a forwarder
-// group's flows matter. If the program is too large or was not solved, the flows are the worker
-// groups' capacities.
+// solveFlows returns the flow from each forwarder group to each worker group that minimizes the
+// highest utilization of a worker group. Only the ratios between the flows of a forwarder group are
+// meaningful. If the linear program is too large or could not be solved, the flows are the capacities
+// of the worker groups.
 func solveFlows(forwarders []*forwarderGroup, workers []*workerGroup) (flows [][]float64, solved bool) {
 	edges := reachableEdges(forwarders, workers)
 	flows = make([][]float64, len(forwarders))
@@ -32,7 +32,7 @@
 		flows[e.forwarder][e.worker] = workers[e.worker].capacity
 	}
 	if len(forwarders) == 1 || len(workers) == 1 {
-		return flows, true // in proportion to capacity is the optimum
+		return flows, true // flows in proportion to capacity are optimal
 	}
 	if len(forwarders) > maxGroups || len(workers) > maxGroups {
 		return flows, false
@@ -48,7 +48,7 @@
 	return flows, true
 }
 
-// reachableEdges returns the edges in the order of forwarder groups, then of worker groups.
+// reachableEdges returns the edges, ordered by forwarder group, then by worker group.
 func reachableEdges(forwarders []*forwarderGroup, workers []*workerGroup) []edge {
 	var edges []edge
 	for forwarder := range forwarders {
@@ -61,20 +61,21 @@
 	return edges
 }
 
-// linearProgram is a program in standard form: minimize cost*x where constraints*x = bounds and
-// x >= 0.
+// linearProgram is a linear program in standard form: minimize cost*x subject to
+// constraints*x = bounds and x >= 0.
 type linearProgram struct {
 	cost        []float64
 	constraints *mat.Dense
 	bounds      []float64
 }
 
-// newLinearProgram returns the program that minimizes the highest utilization.
+// newLinearProgram returns the linear program that minimizes the highest utilization of a worker
+// group.
 //
-// Its variables are the flow on each edge, the slack of each worker group, and the highest
-// utilization. Its equations: the flows of a forwarder group add up to its demand; the flows to a
-// worker group and its slack add up to its capacity times the highest utilization. Rates are scaled
-// by the largest demand.
+// The variables are the flow on each edge, the slack of each worker group, and the highest
+// utilization. The constraints are: the flows from a forwarder group add up to its demand; the flows
+// to a worker group plus its slack add up to its capacity times the highest utilization. All rates
+// are divided by the largest demand.
 func newLinearProgram(forwarders []*forwarderGroup, workers []*workerGroup, edges []edge) linearProgram {
 	demandRows := connectedForwarders(edges)
 	scale := 0.0
@@ -107,8 +108,8 @@
 	return program
 }
 
-// connectedForwarders returns the forwarder groups that reach any worker group, in order: the others
-// have no equation.
+// connectedForwarders returns the indexes of the forwarder groups that reach a worker group, in order.
+// The other forwarder groups have no constraint.
 func connectedForwarders(edges []edge) []int {
 	var connected []int
 	for _, e := range edges {
--- a/internal/policy/loadplan/group.go
+++ b/internal/policy/loadplan/group.go
@@ -8,17 +8,17 @@
 	"strings"
 )
 
-// minDemand is the demand assumed of a group of forwarders that has none, so that it gets weights
-// too.
-const minDemand = 1e-9
+// minGroupDemandPerSecond is the lower bound of a forwarder group's demand, in requests per second, so that a group
+// without demand gets weights too.
+const minGroupDemandPerSecond = 1e-9
 
-// workerSet is a set of worker names in a form that can be compared: sorted, each followed by a
-// zero byte.
+// workerSet is a set of worker names, encoded as a comparable string: the sorted names, each followed
+// by a zero byte.
 type workerSet string
 
 const workerSetSeparator = "\x00"
 
-// newWorkerSet returns the set of the names, which it sorts in place.
+// newWorkerSet returns the set of the names. It sorts names in place.
 func newWorkerSet(names []string) workerSet {
 	slices.Sort(names)
 	var text strings.Builder
@@ -29,26 +29,28 @@
 	return workerSet(text.String())
 }
 
-// names returns the names in the set, and one empty name for the empty set.
+// names iterates over the names in the set. For the empty set it yields one empty name.
 func (s workerSet) names() iter.Seq[string] {
 	return strings.SplitSeq(strings.TrimSuffix(string(s), workerSetSeparator), workerSetSeparator)
 }
 
-// groupSet is a set of indexes of forwarder groups in a form that can be compared: one rune for
-// each, in ascending order. There are at most maxForwarders groups.
-type groupSet string
+// forwarderGroupSet is a set of forwarder group indexes, encoded as a comparable string: one rune per index, in
+// ascending order. There are at most maxForwarders groups, so each index fits in a rune.
+type forwarderGroupSet string
 
-// with returns the set with an index added that is higher than all in it.
-func (s groupSet) with(index int) groupSet { return s + groupSet(indexRune(index)) }
+// with returns the set with an index added. The index must be higher than all others in the set.
+func (s forwarderGroupSet) with(index int) forwarderGroupSet {
+	return s + forwarderGroupSet(indexRune(index))
+}
 
-func (s groupSet) contains(index int) bool {
+func (s forwarderGroupSet) contains(index int) bool {
 	return strings.ContainsRune(string(s), indexRune(index))
 }
 
-// indexRune returns the rune for an index, which is never the zero rune.
+// indexRune returns the rune that encodes an index. It is never the zero rune.
 func indexRune(index int) rune { return rune(index + 1) }
 
-// forwarderGroup is the forwarders that are connected to the same workers. They get the same
+// forwarderGroup is a group of forwarders that are connected to the same workers. They get the same
 // weights.
 type forwarderGroup struct {
 	members   []*forwarderState
@@ -56,17 +58,18 @@
 	demand    float64
 }
 
-// workerGroup is the workers that the same forwarder groups are connected to. Within it requests
-// are distributed by capacity.
+// workerGroup is a group of workers that the same forwarder groups are connected to. Within the group,
+// requests are distributed by capacity.
 type workerGroup struct {
 	names       []string
-	reachableBy groupSet
+	reachableBy forwarderGroupSet
 	capacity    float64
 }
 
-// assignWeights sets all forwarders' weights, one forwarder group at a time: the linear program has
-// a variable for each pair of groups, which are few at any size of the fleet. It returns false if
-// the program was not solved and the weights follow from the workers' capacities alone.
+// assignWeights sets the weights of all forwarders. Forwarders and workers are grouped to keep the
+// linear program small: it has a variable for each pair of connected groups, and there are few groups
+// even in a large fleet. assignWeights returns false if the program was not solved; the weights are
+// then based on the workers' capacities alone.
 func (p *Planner) assignWeights() (solved bool) {
 	forwarders := p.groupForwarders()
 	workers := p.groupWorkers(forwarders)
@@ -80,7 +83,8 @@
 	return solved
 }
 
-// groupForwarders returns the groups sorted by the workers that they reach, the members by name.
+// groupForwarders returns the forwarder groups, sorted by the workers that they reach. The members of a
+// group are sorted by name.
 func (p *Planner) groupForwarders() []*forwarderGroup {
 	byWorkers := map[workerSet]*forwarderGroup{}
 	for _, name := range slices.Sorted(maps.Keys(p.forwarders)) {
@@ -96,15 +100,16 @@
 	groups := make([]*forwarderGroup, 0, len(byWorkers))
 	for _, workers := range slices.Sorted(maps.Keys(byWorkers)) {
 		group := byWorkers[workers]
-		group.demand = max(group.demand, minDemand)
+		group.demand = max(group.demand, minGroupDemandPerSecond)
 		groups = append(groups, group)
 	}
 	return groups
 }
 
-// groupWorkers returns the groups sorted by the forwarder groups that reach them, the names sorted.
+// groupWorkers returns the worker groups, sorted by the forwarder groups that reach them. The names in a
+// group are sorted.
 func (p *Planner) groupWorkers(forwarders []*forwarderGroup) []*workerGroup {
-	reachableBy := map[string]groupSet{} // by worker
+	reachableBy := map[string]forwarderGroupSet{} // by worker name
 	for index, group := range forwarders {
 		for name := range group.reachable.names() {
 			if p.workers[name] != nil {
@@ -112,7 +117,7 @@
 			}
 		}
 	}
-	byForwarders := map[groupSet]*workerGroup{}
+	byForwarders := map[forwarderGroupSet]*workerGroup{}
 	for _, name := range slices.Sorted(maps.Keys(reachableBy)) {
 		key := reachableBy[name]
 		group := byForwarders[key]
@@ -130,8 +135,8 @@
 	return groups
 }
 
-// groupWeights returns the weights of the forwarder group with an index, sorted by name, with the
-// sum 1; nil if nothing flows from it.
+// groupWeights returns the worker weights for the forwarder group with an index, sorted by name. Their
+// sum is 1. It returns nil if there is no flow from the group.
 func (p *Planner) groupWeights(index int, workers []*workerGroup, flows []float64) []WorkerWeight {
 	var weights []WorkerWeight
 	sum := 0.0
--- a/internal/policy/loadplan/message.go
+++ b/internal/policy/loadplan/message.go
@@ -1,40 +1,41 @@
 package loadplan
 
 const (
-	// LeaseSeconds is how long an assignment is fresh, from the moment of the report that it
-	// answers; after that the forwarder phases it out over the same time. An election takes less
-	// than two leases.
+	// LeaseSeconds is how long an assignment is fresh, counted from when the report that it answers
+	// was sent. After that the forwarder phases it out over the same time, so an assignment has some
+	// influence for two leases. An election takes less than that.
 	LeaseSeconds = 3.0
-	// ReportIntervalSeconds is how often a forwarder reports.
+	// ReportIntervalSeconds is the interval between the reports of a forwarder.
 	ReportIntervalSeconds = 0.5
-	// maxReportSeconds bounds the time that a report covers.
+	// maxReportSeconds bounds Report.IntervalSeconds.
 	maxReportSeconds = 60
-	// maxRate bounds a reported rate, in requests per second.
-	maxRate = 1e6
+	// maxRequestsPerSecond bounds a reported rate, in requests per second.
+	maxRequestsPerSecond = 1e6
 )
 
-// WorkerStats is what a forwarder observed of one worker since its last report.
+// WorkerStats are a forwarder's observations of one worker since its last report.
 type WorkerStats struct {
 	Name      string
 	Connected bool
-	InFlight  int // requests at the worker now
+	InFlight  int // requests of the forwarder at the worker now
 	Finished  int
 	Rejected  int
 	Lost      int // attempts that timed out or whose connection broke
 }
 
-// TenantRate is a tenant's requests per second at one forwarder: its demand, or the limit on it.
+// TenantRate is a tenant's rate at one forwarder, in requests per second: either its demand or the limit
+// on it.
 type TenantRate struct {
 	Tenant string
 	Rate   float64
 }
 
-// Report is what a forwarder tells the planner.
+// Report is a forwarder's report to the planner.
 type Report struct {
 	Name            string // of the forwarder
 	Incarnation     uint64
-	Sequence        uint64 // unique in an incarnation, ascending
-	IntervalSeconds float64
+	Sequence        uint64  // ascending, unique within an incarnation
+	IntervalSeconds float64 // time that the report covers
 	CurrentVersion  Version // of the plan that the forwarder follows
 	Demand          []TenantRate
 	Workers         []WorkerStats
@@ -53,7 +54,7 @@
 	ReportSequence uint64 // of the report that this answers
 	LeaseSeconds   float64
 	Weights        []WorkerWeight
-	RateLimits     []TenantRate // empty if all demand is admitted
+	RateLimits     []TenantRate // empty if there is no limit
 }
 
 // WeightsByName returns the weights by worker name.
@@ -65,7 +66,7 @@
 	return weights
 }
 
-// valid reports whether the report's numbers are possible. It rejects NaN too.
+// valid reports whether the report has names and its numbers are in range. NaN is out of range.
 func (r *Report) valid() bool {
 	if r.Name == "" || len(r.Workers) > maxWorkers {
 		return false
@@ -74,7 +75,7 @@
 		return false
 	}
 	for _, demand := range r.Demand {
-		if !(demand.Rate >= 0 && demand.Rate <= maxRate) {
+		if !(demand.Rate >= 0 && demand.Rate <= maxRequestsPerSecond) {
 			return false
 		}
 	}
@@ -90,10 +91,10 @@
 	if w.Name == "" || w.Finished < 0 || w.Rejected < 0 || w.Lost < 0 {
 		return false
 	}
-	return float64(w.Finished+w.Rejected+w.Lost) <= maxRate*intervalSeconds
+	return float64(w.Finished+w.Rejected+w.Lost) <= maxRequestsPerSecond*intervalSeconds
 }
 
-// valid reports whether the assignment's lease and weights are in range. It rejects NaN too.
+// valid reports whether the assignment's lease and weights are in range. NaN is out of range.
 func (a *Assignment) valid() bool {
 	if !(a.LeaseSeconds > 0 && a.LeaseSeconds <= LeaseSeconds) {
 		return false
--- a/internal/policy/loadplan/planner.go
+++ b/internal/policy/loadplan/planner.go
@@ -3,36 +3,36 @@
 import "swiftcourse/internal/policy/workercapacity"
 
 const (
-	// warmUpSeconds is how long a new planner collects reports before it answers any: each
-	// forwarder reports twice in it.
+	// warmUpSeconds is how long a new planner collects reports before it answers one. Each forwarder
+	// reports twice in that time.
 	warmUpSeconds = 2*ReportIntervalSeconds + 0.2
-	// expirySeconds is how long a forwarder that does not report, or a worker that no forwarder is
-	// connected to, stays in the plan.
+	// expirySeconds is how long a forwarder stays in the plan without reporting, and a worker without
+	// a connected forwarder.
 	expirySeconds = 2 * LeaseSeconds
-	// solveIntervalSeconds is how often the plan is computed.
+	// solveIntervalSeconds is the minimum interval between plans.
 	solveIntervalSeconds = 0.5
-	// maxForwarders and maxWorkers bound the tables.
+	// maxForwarders and maxWorkers bound the planner's tables of forwarders and workers.
 	maxForwarders = 1024
 	maxWorkers    = 4096
 )
 
 // Planner makes the plans of one leadership term.
 type Planner struct {
-	version    Version // of the latest plan
-	started    float64
-	lastSolved float64
-	hasPlan    bool
-	forwarders map[string]*forwarderState
-	workers    map[string]*workerState
+	version      Version // of the latest plan
+	startedAt    float64
+	lastSolvedAt float64
+	hasPlan      bool
+	forwarders   map[string]*forwarderState
+	workers      map[string]*workerState
 
 	invalidReports int
 	fallbacks      int // plans for which the linear program was not solved
 }
 
-// forwarderState is a forwarder as it last reported, and its share of the plan.
+// forwarderState is a forwarder's last report and its share of the plan.
 type forwarderState struct {
 	Report
-	lastReport     float64 // when it arrived
+	lastReportAt   float64 // when the last report arrived
 	totalDemand    float64
 	demandByTenant map[string]float64
 	reachable      workerSet
@@ -41,27 +41,27 @@
 	rateLimits []TenantRate
 }
 
-// workerState is what the planner knows of a worker.
+// workerState is the planner's state of a worker.
 type workerState struct {
-	capacity      float64
-	lastConnected float64 // when a forwarder was last connected to it
-	observed      workerObservations
+	capacity        float64
+	lastConnectedAt float64 // when a forwarder last reported a connection to it
+	observed        workerObservations
 }
 
-// workerObservations sums what all forwarders observed of a worker since the last plan.
+// workerObservations are all forwarders' observations of a worker since the last plan.
 type workerObservations struct {
 	attempts workercapacity.AttemptCounts
-	seconds  float64 // the longest time that one of the reports covers
+	seconds  float64 // the longest interval of these reports
 }
 
-// New returns the planner of a leadership term that starts at now.
+// New returns the planner for a leadership term that starts at now.
 func New(clusterID uint32, term uint64, now float64) *Planner {
 	return &Planner{
-		version:    Version{ClusterID: clusterID, Term: term},
-		started:    now,
-		lastSolved: now,
-		forwarders: map[string]*forwarderState{},
-		workers:    map[string]*workerState{},
+		version:      Version{ClusterID: clusterID, Term: term},
+		startedAt:    now,
+		lastSolvedAt: now,
+		forwarders:   map[string]*forwarderState{},
+		workers:      map[string]*workerState{},
 	}
 }
 
@@ -70,23 +70,24 @@
 	return p.version.ClusterID, p.version.Term
 }
 
-// HandleReport records a forwarder's report and returns the forwarder's assignment. It returns nil
-// if there is no plan yet, and if the report is invalid, duplicated or late.
+// HandleReport records a forwarder's report and returns the forwarder's assignment. It returns nil if
+// the report is invalid, a duplicate or late, if the table of forwarders is full, while the planner
+// warms up, and if the plan has no worker for the forwarder.
 func (p *Planner) HandleReport(now float64, report *Report) *Assignment {
 	if !report.valid() {
 		p.invalidReports++
 		return nil
 	}
 	forwarder := p.forwarder(report.Name)
-	if forwarder == nil || forwarder.hasSeen(report) {
+	if forwarder == nil || forwarder.hasHandled(report) {
 		return nil
 	}
 	forwarder.update(now, report)
 	forwarder.reachable = newWorkerSet(p.updateWorkers(now, report))
-	if now < p.started+warmUpSeconds {
+	if now < p.startedAt+warmUpSeconds {
 		return nil
 	}
-	if now >= p.lastSolved+solveIntervalSeconds || !p.hasPlan {
+	if now >= p.lastSolvedAt+solveIntervalSeconds || !p.hasPlan {
 		p.solve(now)
 	}
 	if forwarder.weights == nil {
@@ -102,8 +103,8 @@
 	}
 }
 
-// forwarder returns the state of a forwarder, a new one if the name is new, or nil if the table is
-// full.
+// forwarder returns the state of the forwarder with a name, and adds it if there is none. It returns
+// nil if the table is full.
 func (p *Planner) forwarder(name string) *forwarderState {
 	forwarder := p.forwarders[name]
 	if forwarder == nil && len(p.forwarders) < maxForwarders {
@@ -113,18 +114,18 @@
 	return forwarder
 }
 
-// hasSeen reports whether this report, or a later one of the same incarnation, was handled.
-func (f *forwarderState) hasSeen(report *Report) bool {
+// hasHandled reports whether the report, or a later one of the same incarnation, was already handled.
+func (f *forwarderState) hasHandled(report *Report) bool {
 	return f.Incarnation == report.Incarnation && report.Sequence <= f.Sequence
 }
 
-// update replaces the last report. A new incarnation starts without a share of the plan.
+// update stores a report as the last one. A new incarnation starts without a share of the plan.
 func (f *forwarderState) update(now float64, report *Report) {
 	if f.Incarnation != report.Incarnation {
 		*f = forwarderState{}
 	}
 	f.Report = *report
-	f.lastReport = now
+	f.lastReportAt = now
 	f.totalDemand = 0
 	f.demandByTenant = map[string]float64{}
 	for _, demand := range report.Demand {
@@ -143,7 +144,7 @@
 			continue
 		}
 		if stats.Connected {
-			worker.lastConnected = now
+			worker.lastConnectedAt = now
 			connected = append(connected, stats.Name)
 		}
 		worker.observed.add(stats, report.IntervalSeconds)
@@ -151,7 +152,8 @@
 	return connected
 }
 
-// worker returns the state of a worker, a new one if the name is new, or nil if the table is full.
+// worker returns the state of the worker with a name, and adds it if there is none. It returns nil if
+// the table is full.
 func (p *Planner) worker(name string) *workerState {
 	worker := p.workers[name]
 	if worker == nil && len(p.workers) < maxWorkers {
@@ -161,7 +163,7 @@
 	return worker
 }
 
-// add adds a forwarder's observations, which cover the seconds.
+// add adds a forwarder's observations over the given number of seconds.
 func (o *workerObservations) add(stats *WorkerStats, seconds float64) {
 	o.attempts.Finished += stats.Finished
 	o.attempts.Rejected += stats.Rejected
@@ -171,8 +173,8 @@
 
 // solve computes a new plan.
 func (p *Planner) solve(now float64) {
-	sinceLastPlan := max(ReportIntervalSeconds, now-p.lastSolved)
-	p.lastSolved = now
+	sinceLastPlan := max(ReportIntervalSeconds, now-p.lastSolvedAt)
+	p.lastSolvedAt = now
 	p.hasPlan = true
 	p.version.Sequence++
 	p.removeExpired(now)
@@ -191,16 +193,16 @@
 	}
 }
 
-// removeExpired removes the forwarders that stopped reporting and the workers that no forwarder is
-// connected to.
+// removeExpired removes the forwarders that have not reported, and the workers that no forwarder was
+// connected to, for expirySeconds.
 func (p *Planner) removeExpired(now float64) {
 	for name, forwarder := range p.forwarders {
-		if now > forwarder.lastReport+expirySeconds {
+		if now > forwarder.lastReportAt+expirySeconds {
 			delete(p.forwarders, name)
 		}
 	}
 	for name, worker := range p.workers {
-		if now > worker.lastConnected+expirySeconds {
+		if now > worker.lastConnectedAt+expirySeconds {
 			delete(p.workers, name)
 		}
 	}
--- a/internal/policy/loadplan/planner_test.go
+++ b/internal/policy/loadplan/planner_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestPlanner_WeightsFollowCapacity(t *testing.T) {
-	// Of two workers one finishes three times what the other does; a third is reached by one forwarder alone.
+	// Worker fast finishes three times as many requests as slow. Only forwarder b reaches far.
 	planner := New(1, 1, 0)
 	var assignments map[string]*Assignment
 	for round := range 40 {
@@ -32,19 +32,20 @@
 		}
 	}
 	if planner.fallbacks > 0 {
-		t.Errorf("%d plans were not solved", planner.fallbacks)
+		t.Errorf("the linear program of %d plans was not solved, want 0", planner.fallbacks)
 	}
 	a, sumA := assignments["a"].WeightsByName(), weightSum(assignments["a"])
 	b, sumB := assignments["b"].WeightsByName(), weightSum(assignments["b"])
 	if math.Abs(sumA-1) > 1e-6 || math.Abs(sumB-1) > 1e-6 || math.Abs(a["fast"]/a["slow"]-3) > 0.1 || a["far"] != 0 {
-		t.Errorf("a %v, b %v", a, b)
+		t.Errorf("weights of a %v and b %v, want sums of 1, a ratio fast/slow of 3 for a, and no weight of far for a", a, b)
 	}
-	// They finish 240 a second of 200 asked for: asked for evenly, far has 80/240 of it, all from b.
+	// The workers finish 240 requests/s and the demand is 200 requests/s. At equal utilization, far
+	// gets 80/240 of the demand, all of it from b.
 	if far := 100 * b["far"]; math.Abs(far-200.0/3) > 4 {
-		t.Errorf("far is asked for %.1f a second, b %v", far, b)
+		t.Errorf("far gets %.1f requests/s, want %.1f; weights of b %v", far, 200.0/3, b)
 	}
 	if assignments["a"].RateLimits != nil {
-		t.Errorf("all demand fits, and yet a is limited: %v", assignments["a"].RateLimits)
+		t.Errorf("rate limits of a are %v, want none: the demand is below the capacity", assignments["a"].RateLimits)
 	}
 }
 
@@ -56,7 +57,7 @@
 	return sum
 }
 
-func TestPlanner_RateLimitsAreFairAndWithinCapacity(t *testing.T) {
+func TestPlanner_RateLimitsAreMaxMinFairWithinCapacity(t *testing.T) {
 	planner := New(1, 1, 0)
 	demandByForwarder := map[string][]TenantRate{
 		"a": {{"small", 10}, {"large", 200}},
@@ -85,7 +86,8 @@
 	}
 	largeRatio := rates["a/large"] / rates["b/large"]
 	if sum > 100*1.05 || math.Abs(rates["a/small"]-10) > 0.1 || math.Abs(largeRatio-2) > 0.01 {
-		t.Errorf("of 100 a second %.1f are admitted: %v", sum, rates)
+		t.Errorf("rate limits add up to %.1f requests/s: %v; want at most 105, a/small 10, a/large twice b/large",
+			sum, rates)
 	}
 }
 
@@ -101,17 +103,18 @@
 	}
 	for _, report := range reports {
 		if planner.HandleReport(5, &report) != nil {
-			t.Errorf("%+v has an assignment", report)
+			t.Errorf("invalid report %+v was answered with an assignment, want nil", report)
 		}
 	}
 	if planner.invalidReports != len(reports) || len(planner.forwarders) > 0 {
-		t.Errorf("%d rejected, %d kept", planner.invalidReports, len(planner.forwarders))
+		t.Errorf("%d invalid reports counted and %d forwarders stored, want %d and 0",
+			planner.invalidReports, len(planner.forwarders), len(reports))
 	}
 }
 
-// benchmarkPlan computes plans for forwarders that each reach all workers, or with reaches above 1
-// all but one in so many.
-func benchmarkPlan(b *testing.B, forwarders, workers, reaches int) {
+// benchmarkPlan measures the computation of a plan. Each forwarder is connected to all workers or, if
+// unreachableOneIn is above 1, to all but one in that many workers.
+func benchmarkPlan(b *testing.B, forwarders, workers, unreachableOneIn int) {
 	b.Helper()
 	planner := New(1, 1, 0)
 	for f := range forwarders {
@@ -125,23 +128,23 @@
 		for w := range workers {
 			report.Workers = append(report.Workers, WorkerStats{
 				Name:      fmt.Sprint("w", w),
-				Connected: reaches == 1 || w%reaches != f%reaches,
+				Connected: unreachableOneIn == 1 || w%unreachableOneIn != f%unreachableOneIn,
 				Finished:  5 + w%7,
 			})
 		}
 		planner.HandleReport(0, report)
 	}
 	for b.Loop() {
-		planner.solve(planner.lastSolved + 0.5)
+		planner.solve(planner.lastSolvedAt + 0.5)
 		for _, forwarder := range planner.forwarders {
-			forwarder.lastReport = planner.lastSolved
+			forwarder.lastReportAt = planner.lastSolvedAt
 		}
 		for _, worker := range planner.workers {
-			worker.lastConnected = planner.lastSolved
+			worker.lastConnectedAt = planner.lastSolvedAt
 		}
 	}
 	if planner.fallbacks > 0 {
-		b.Error("not solved")
+		b.Errorf("the linear program of %d plans was not solved, want 0", planner.fallbacks)
 	}
 }
 
--- a/internal/policy/loadplan/ratelimit.go
+++ b/internal/policy/loadplan/ratelimit.go
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// minTenantRate is the least divisor for a tenant's demand.
-const minTenantRate = 1e-9
+// minTenantDemandPerSecond is the lower bound of a tenant's demand, in requests per second, where it is a divisor.
+const minTenantDemandPerSecond = 1e-9
 
-// limitRates sets the forwarders' rate limits. If the total demand exceeds the total capacity, the
-// capacity is shared among tenants by max-min fairness, and a tenant's share among forwarders in
-// proportion to its demand at each. Otherwise nothing is limited.
+// limitRates sets the rate limits of all forwarders. If the total demand exceeds the total capacity,
+// the capacity is divided among tenants by max-min fairness, and each tenant's share among forwarders
+// in proportion to the tenant's demand there. Otherwise there are no limits.
 func (p *Planner) limitRates(totalCapacity float64) {
 	demand, totalDemand := p.demandByTenant()
 	if totalDemand <= totalCapacity {
@@ -26,7 +26,7 @@
 	}
 }
 
-// demandByTenant sums the demand over all forwarders.
+// demandByTenant returns the demand of each tenant over all forwarders, and its total.
 func (p *Planner) demandByTenant() (demand map[string]float64, total float64) {
 	demand = map[string]float64{}
 	for _, forwarder := range p.forwarders {
@@ -43,7 +43,7 @@
 	fairRate := maxMinFairRate(demand, capacity)
 	fractions := make(map[string]float64, len(demand))
 	for tenant, rate := range demand {
-		fractions[tenant] = min(1, fairRate/max(rate, minTenantRate))
+		fractions[tenant] = min(1, fairRate/max(rate, minTenantDemandPerSecond))
 	}
 	return fractions
 }
@@ -58,8 +58,8 @@
 	return limits
 }
 
-// maxMinFairRate returns the highest limit per tenant at which the admitted demand of all tenants
-// does not exceed the capacity: max-min fairness. It is infinite if the whole demand fits.
+// maxMinFairRate returns the max-min fair limit: the highest limit per tenant at which the admitted
+// demand of all tenants does not exceed the capacity. It returns +Inf if the whole demand fits.
 func maxMinFairRate(demand map[string]float64, capacity float64) float64 {
 	rates := make([]float64, 0, len(demand))
 	for _, rate := range demand {
@@ -67,8 +67,8 @@
 	}
 	slices.Sort(rates)
 	for index, rate := range rates {
-		unserved := len(rates) - index
-		if fairRate := capacity / float64(unserved); rate >= fairRate {
+		remainingTenants := len(rates) - index
+		if fairRate := capacity / float64(remainingTenants); rate >= fairRate {
 			return fairRate
 		}
 		capacity -= rate
--- a/internal/policy/loadplan/status_test.go
+++ b/internal/policy/loadplan/status_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// The control API's readers find the fields under the keys that they had before the Go names changed.
-func TestStatus_KeepsItsJSONKeys(t *testing.T) {
+// The JSON keys differ from the Go field names. Clients of the control API depend on the keys, so
+// renaming a field must not change them.
+func TestStatus_JSONKeys(t *testing.T) {
 	earlier := Version{ClusterID: 1, Term: 2, Sequence: 2}
 	status := Status{
 		Version:        Version{ClusterID: 1, Term: 2, Sequence: 3},
@@ -25,6 +26,6 @@
 		`"Workers":[{"Name":"w1","Can":4,"Seen":0.5}],` +
 		`"Bound":6,"Fallbacks":7,"Refused":8}`
 	if string(text) != want {
-		t.Errorf("%s\nwant %s", text, want)
+		t.Errorf("status JSON is %s\nwant %s", text, want)
 	}
 }
--- a/internal/policy/loadplan/subscriber.go
+++ b/internal/policy/loadplan/subscriber.go
@@ -1,24 +1,24 @@
 package loadplan
 
-// Subscriber is the forwarder's side: it numbers the reports and accepts assignments that are newer
-// than the current one and whose lease has not expired.
+// Subscriber is the forwarder's side of the plan. It stamps the forwarder's reports, and accepts
+// assignments that are not older than the current one and whose lease has not expired.
 type Subscriber struct {
 	incarnation  uint64
 	lastSequence uint64
-	sentAt       map[uint64]float64 // by sequence number, of the reports that may still be answered
-	current      Version
+	sentAt       map[uint64]float64 // send times of the reports that may still be answered, by sequence number
+	current      Version            // of the last accepted assignment
 
-	// RejectedAssignments counts the assignments that were not accepted.
+	// RejectedAssignments is the number of assignments that were not accepted.
 	RejectedAssignments int
 }
 
-// NewSubscriber returns the subscriber of a forwarder's incarnation. It follows no plan.
+// NewSubscriber returns the subscriber for a forwarder's incarnation. It has no assignment yet.
 func NewSubscriber(incarnation uint64) *Subscriber {
 	return &Subscriber{incarnation: incarnation, sentAt: map[uint64]float64{}}
 }
 
-// StampReport sets the incarnation, sequence number and current version of a report that is sent
-// now.
+// StampReport sets the incarnation, sequence number and current version of a report that is about to
+// be sent.
 func (s *Subscriber) StampReport(now float64, report *Report) {
 	s.lastSequence++
 	for sequence, sent := range s.sentAt {
@@ -32,9 +32,9 @@
 	report.CurrentVersion = s.current
 }
 
-// Accept makes an assignment the current one and returns until when it is fresh, by the clock of
-// the reports. An assignment is not accepted if it is older than the current
-// one, answers no report of this incarnation, is malformed, or its lease has expired.
+// Accept makes an assignment the current one and returns the time until which it is fresh, on the clock
+// that StampReport uses. It does not accept an assignment that is older than the current one, answers
+// no report of this incarnation, is malformed, or has an expired lease.
 func (s *Subscriber) Accept(now float64, assignment *Assignment) (freshUntil float64, accepted bool) {
 	sent, isAnswer := s.sentAt[assignment.ReportSequence]
 	switch {
--- a/internal/policy/loadplan/subscriber_test.go
+++ b/internal/policy/loadplan/subscriber_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// testForwarder is a subscriber with what it last accepted.
+// testForwarder is a subscriber together with the assignment that it last accepted.
 type testForwarder struct {
 	*Subscriber
 	incarnation uint64
@@ -15,7 +15,7 @@
 	freshUntil  float64
 }
 
-// restart gives the forwarder a new incarnation that follows no plan.
+// restart gives the forwarder a new incarnation without an assignment.
 func (f *testForwarder) restart() {
 	f.incarnation++
 	f.Subscriber = NewSubscriber(f.incarnation)
@@ -23,7 +23,8 @@
 	f.freshUntil = 0
 }
 
-// accept offers an assignment, and reports whether it was accepted and whether it may be.
+// accept offers an assignment. It reports whether the assignment was accepted and, if it was, whether
+// that is allowed.
 func (f *testForwarder) accept(now float64, assignment *Assignment) (accepted, allowed bool) {
 	freshUntil, accepted := f.Accept(now, assignment)
 	if !accepted {
@@ -37,18 +38,20 @@
 	return true, allowed
 }
 
-// Planners of several terms answer late, doubled and out of order, and forwarders restart.
+// Answers of planners from several terms arrive late, twice and out of order, and the forwarder
+// restarts. It must never accept an assignment that is older than its current one, expired, or meant
+// for an earlier incarnation.
 func TestSubscriber_NeverAcceptsAnOlderPlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		chance := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
+		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		now := 0.0
 		forwarder := &testForwarder{}
 		forwarder.restart()
 		planners := []*Planner{New(1, 1, now)}
 		var sent []*Assignment
 		for range 300 {
-			now += 0.4 * chance.Float64()
-			switch chance.IntN(10) {
+			now += 0.4 * rng.Float64()
+			switch rng.IntN(10) {
 			case 0:
 				planners = append(planners, New(1, uint64(len(planners)+1), now))
 			case 1:
@@ -57,25 +60,26 @@
 			workers := []WorkerStats{{Name: "w", Connected: true, Finished: 3}}
 			report := &Report{Name: "f", IntervalSeconds: 0.5, Workers: workers}
 			forwarder.StampReport(now, report)
-			planner := planners[chance.IntN(len(planners))]
+			planner := planners[rng.IntN(len(planners))]
 			if assignment := planner.HandleReport(now, report); assignment != nil {
 				sent = append(sent, assignment)
 			}
-			for range chance.IntN(3) {
+			for range rng.IntN(3) {
 				if len(sent) == 0 {
 					break
 				}
 				before := *forwarder
-				assignment := sent[chance.IntN(len(sent))]
+				assignment := sent[rng.IntN(len(sent))]
 				if _, allowed := forwarder.accept(now, assignment); !allowed {
-					t.Fatalf("at %g %+v accepts %+v until %g", now, before, assignment, forwarder.freshUntil)
+					t.Fatalf("at %g s, %+v accepted %+v as fresh until %g s, want it rejected",
+						now, before, assignment, forwarder.freshUntil)
 				}
 			}
 		}
 	})
 }
 
-// step is one step of TestSubscriber_EverySequenceOfSixSteps.
+// step is one step of TestSubscriber_NeverAcceptsWrongAssignmentInAnySixSteps.
 type step int
 
 const (
@@ -83,14 +87,15 @@
 	reportToSecond
 	waitPartOfLease
 	restartForwarder
-	oldestOfFirst // an answer may be delivered again
+	oldestOfFirst // delivers an answer of the first planner; may deliver it again
 	oldestOfSecond
 	latestOfFirst
 	latestOfSecond
-	stepKinds
+	stepCount
 )
 
-// stepRun is a run of two planners that both believe to lead, and of one forwarder.
+// stepRun executes a sequence of steps with one forwarder and two planners, both of which consider
+// themselves the leader.
 type stepRun struct {
 	now       float64
 	planners  [2]*Planner
@@ -105,8 +110,8 @@
 	return run
 }
 
-// play does a step, and returns an assignment that was accepted and must not be, or nil.
-func (r *stepRun) play(s step) *Assignment {
+// execute executes a step. It returns an assignment that was accepted but must not be, or nil.
+func (r *stepRun) execute(s step) *Assignment {
 	switch s {
 	case reportToFirst, reportToSecond:
 		r.report(int(s - reportToFirst))
@@ -149,26 +154,28 @@
 	return nil
 }
 
-func TestSubscriber_EverySequenceOfSixSteps(t *testing.T) {
+// Executes every sequence of six steps. The forwarder must never accept an older or expired assignment,
+// and accepting an assignment again must not extend its lease.
+func TestSubscriber_NeverAcceptsWrongAssignmentInAnySixSteps(t *testing.T) {
 	const steps = 6
 	sequences := 1
 	for range steps {
-		sequences *= int(stepKinds)
+		sequences *= int(stepCount)
 	}
 	accepted := 0
 	for sequence := range sequences {
 		run := newStepRun()
 		rest := sequence
 		for range steps {
-			next := step(rest % int(stepKinds))
-			rest /= int(stepKinds)
-			if wrong := run.play(next); wrong != nil {
-				t.Fatalf("sequence %o: at %g %+v accepts %+v", sequence, run.now, run.forwarder, wrong)
+			next := step(rest % int(stepCount))
+			rest /= int(stepCount)
+			if wrong := run.execute(next); wrong != nil {
+				t.Fatalf("sequence %o: at %g s, %+v accepted %+v, want it rejected", sequence, run.now, run.forwarder, wrong)
 			}
 		}
 		accepted += run.accepted
 	}
 	if accepted < sequences/4 {
-		t.Errorf("of %d sequences only %d assignments are accepted", sequences, accepted)
+		t.Errorf("%d assignments accepted in %d sequences, want at least %d", accepted, sequences, sequences/4)
 	}
 }
