--- a/internal/policy/routing/attempt.go
+++ b/internal/policy/routing/attempt.go
@@ -3,21 +3,21 @@
 import "swiftcourse/internal/policy/workercapacity"
 
 const (
-	// maxAttempts bounds the attempts of a request: a third would mostly end as the second did.
+	// maxAttempts bounds the attempts of a request. A third attempt would mostly end like the second.
 	maxAttempts = 2
-	// retryRatio is how much a first attempt adds to the budget of retries, and maxRetryTokens what
-	// may be saved up. So in an outage there are under 1.1 attempts per request.
+	// retryRatio is the number of tokens that a first attempt adds to the retry budget, and
+	// maxRetryTokens its capacity. So in an outage there are fewer than 1.1 attempts per request.
 	retryRatio     = 0.08
 	maxRetryTokens = 10.0
 )
 
-// retryBudget is a token bucket that first attempts fill and retries empty.
+// retryBudget is a token bucket that first attempts fill and retries drain.
 type retryBudget struct{ tokens float64 }
 
-// addFirstAttempt adds what one first attempt earns.
+// addFirstAttempt adds the tokens for one first attempt.
 func (b *retryBudget) addFirstAttempt() { b.tokens = min(maxRetryTokens, b.tokens+retryRatio) }
 
-// take takes the token of one retry, and returns false if there is none.
+// take takes the token for one retry and reports whether there was one.
 func (b *retryBudget) take() bool {
 	if b.tokens < 1 {
 		return false
@@ -26,7 +26,8 @@
 	return true
 }
 
-// StartAttempt records that a request goes to a worker. The first attempt of a request has number 1.
+// StartAttempt records the start of an attempt at a worker. The first attempt of a request has number
+// 1.
 func (r *Router) StartAttempt(name string, number int) {
 	w := r.byName[name]
 	if w == nil {
@@ -39,8 +40,8 @@
 	}
 }
 
-// FinishAttempt records how an attempt ended and how many seconds it took. The retryAfter is for
-// how many seconds the worker asked for no more requests, 0 if it did not.
+// FinishAttempt records the outcome of an attempt and its latency in seconds. retryAfter is the time,
+// in seconds, for which the worker asked to receive no more requests; 0 if it did not ask.
 func (r *Router) FinishAttempt(now float64, name string, outcome Outcome, latency, retryAfter float64) {
 	w := r.byName[name]
 	if w == nil {
@@ -50,7 +51,7 @@
 	r.decayPenalty(w, now)
 	switch outcome {
 	case Finished:
-		r.latency += overallLatencySmoothing * (latency - r.latency)
+		r.averageLatency += overallLatencySmoothing * (latency - r.averageLatency)
 		w.recordLatency(latency)
 		w.updateCounts(func(counts *workercapacity.AttemptCounts) { counts.Finished++ })
 	case Rejected:
@@ -63,16 +64,17 @@
 	w.breaker.finishAttempt(now, outcome)
 }
 
-// RetryCandidate is a request whose last attempt ended, and that AllowRetry decides about.
+// RetryCandidate describes a request whose last attempt ended, for AllowRetry to decide whether it may
+// be retried.
 type RetryCandidate struct {
 	LastOutcome    Outcome
-	Attempts       int // so far
+	Attempts       int // number of attempts so far
 	IsIdempotent   bool
-	Remaining      float64 // seconds to the request's deadline
-	TypicalLatency float64 // of such requests
+	Remaining      float64 // seconds until the request's deadline
+	TypicalLatency float64 // seconds that an attempt at such a request usually takes
 }
 
-// isEligible reports whether another attempt is safe and has a chance to finish in time.
+// isEligible reports whether another attempt is safe and can be expected to finish in time.
 func (r *RetryCandidate) isEligible() bool {
 	switch r.LastOutcome {
 	case Finished, Failed, TimedOut, Cancelled:
@@ -84,9 +86,9 @@
 	return r.IsIdempotent || r.LastOutcome.KnownNotExecuted()
 }
 
-// AllowRetry reports whether a request may have another attempt, and takes it from the budget of
-// retries if so. A request is not retried if it may have been executed and is not idempotent, or if
-// the remaining time is too short.
+// AllowRetry reports whether a request may be retried and, if so, takes a token from the retry budget.
+// A request is not retried if it may have been executed and is not idempotent, or if the remaining
+// time is too short.
 func (r *Router) AllowRetry(candidate RetryCandidate) bool {
 	return candidate.isEligible() && r.retries.take()
 }
--- a/internal/policy/routing/breaker.go
+++ b/internal/policy/routing/breaker.go
@@ -1,13 +1,13 @@
 package routing
 
-// workerState is the state of the circuit breaker of a worker.
+// workerState is the state of a worker's circuit breaker.
 type workerState uint8
 
 // The states of a worker.
 const (
 	healthy      workerState = iota
-	ejected                  // it lost attempts and receives no requests for a while
-	probing                  // it receives one request at a time, to see whether it has recovered
+	ejected                  // it lost several attempts and receives no requests until the ejection expires
+	probing                  // it receives one request at a time, to find out whether it has recovered
 	disconnected             // there is no connection to it
 	workerStateCount
 )
@@ -17,19 +17,19 @@
 	return [...]string{"healthy", "ejected", "probing", "disconnected", "unknown"}[min(s, workerStateCount)]
 }
 
-// workerEvent is what can change a worker's state.
+// workerEvent is an event that may change a worker's state.
 type workerEvent uint8
 
 const (
-	responded               workerEvent = iota // it answered an attempt, whatever the answer
-	failureThresholdReached                    // it lost several attempts in a row
+	responded               workerEvent = iota // it answered an attempt, with any answer
+	failureThresholdReached                    // it lost maxConsecutiveLosses attempts in a row
 	attemptLost                                // it lost one attempt
 	ejectionExpired
 	connectionClosed
 	connectionOpened
 )
 
-// transitions are all changes of state. An event that is not listed for a state does not change it.
+// transitions is the state table. An event that is not listed for a state does not change it.
 var transitions = [...]struct {
 	state workerState
 	event workerEvent
@@ -46,13 +46,15 @@
 }
 
 const (
-	// maxConsecutiveLosses attempts lost in a row eject a worker: one or two happen to any.
+	// maxConsecutiveLosses is the number of attempts lost in a row that ejects a worker. Healthy
+	// workers occasionally lose one or two.
 	maxConsecutiveLosses = 3
-	// idempotentProbeSeconds is for how long only idempotent requests probe a worker. If none
-	// arrives in that time any request may.
+	// idempotentProbeSeconds is how long a worker is probed only with idempotent requests. After that
+	// any request may probe it.
 	idempotentProbeSeconds = 1.0
-	// minEjectionSeconds is how long the first ejection lasts. Each that follows without an answer
-	// lasts twice as long, up to maxEjectionSeconds. The maximum holds for a Retry-After too.
+	// minEjectionSeconds is the duration of the first ejection. The duration doubles with each further
+	// ejection until the worker answers, up to maxEjectionSeconds, which also bounds a worker's
+	// Retry-After.
 	minEjectionSeconds = 0.25
 	maxEjectionSeconds = 4.0
 )
@@ -67,12 +69,12 @@
 	unavailableUntil    float64 // end of the ejection or of the worker's Retry-After
 }
 
-// newCircuitBreaker returns the breaker of a worker that is not connected.
+// newCircuitBreaker returns the circuit breaker of a worker that is not connected.
 func newCircuitBreaker() circuitBreaker {
 	return circuitBreaker{state: disconnected, nextEjectionSeconds: minEjectionSeconds}
 }
 
-// handle changes the state by the table of transitions.
+// handle applies an event to the state.
 func (b *circuitBreaker) handle(event workerEvent) {
 	for _, transition := range transitions {
 		if transition.state == b.state && transition.event == event {
@@ -82,17 +84,17 @@
 	}
 }
 
-// connect records that there is a connection.
+// connect records that the worker is connected.
 func (b *circuitBreaker) connect() {
 	b.handle(connectionOpened)
 	b.probeInFlight = false
 	b.unavailableUntil = 0
 }
 
-// disconnect records that there is no connection.
+// disconnect records that the worker is not connected.
 func (b *circuitBreaker) disconnect() { b.handle(connectionClosed) }
 
-// expireEjection starts to probe an ejected worker once its time is over.
+// expireEjection starts to probe an ejected worker when its ejection has expired.
 func (b *circuitBreaker) expireEjection(now float64) {
 	if b.state == ejected && now >= b.unavailableUntil {
 		b.handle(ejectionExpired)
@@ -100,7 +102,8 @@
 	}
 }
 
-// available reports whether at least idempotent requests may go to the worker now.
+// available reports whether the worker may receive idempotent requests now. For other requests see
+// acceptsOnlyIdempotent.
 func (b *circuitBreaker) available(now float64) bool {
 	switch b.state {
 	case ejected, disconnected:
@@ -113,24 +116,24 @@
 	return now >= b.unavailableUntil
 }
 
-// acceptsOnlyIdempotent reports whether only idempotent requests may probe the worker still.
+// acceptsOnlyIdempotent reports whether the worker is still probed only with idempotent requests.
 func (b *circuitBreaker) acceptsOnlyIdempotent(now float64) bool {
 	return b.state == probing && now < b.probingSince+idempotentProbeSeconds
 }
 
-// startAttempt records that a request goes to the worker.
+// startAttempt records the start of an attempt at the worker.
 func (b *circuitBreaker) startAttempt() {
 	if b.state == probing {
 		b.probeInFlight = true
 	}
 }
 
-// applyRetryAfter keeps requests away for as long as the worker asked, up to the longest ejection.
+// applyRetryAfter makes the worker unavailable for retryAfter seconds, at most maxEjectionSeconds.
 func (b *circuitBreaker) applyRetryAfter(now, retryAfter float64) {
 	b.unavailableUntil = max(b.unavailableUntil, now+min(retryAfter, maxEjectionSeconds))
 }
 
-// finishAttempt records how an attempt ended.
+// finishAttempt records the outcome of an attempt.
 func (b *circuitBreaker) finishAttempt(now float64, outcome Outcome) {
 	switch outcome {
 	case Finished, Rejected, Failed:
@@ -149,7 +152,7 @@
 	}
 }
 
-// eject keeps requests away for nextEjectionSeconds, and doubles that for the next time.
+// eject ejects the worker for nextEjectionSeconds, and doubles the duration of the next ejection.
 func (b *circuitBreaker) eject(now float64) {
 	b.unavailableUntil = now + b.nextEjectionSeconds
 	b.nextEjectionSeconds = min(maxEjectionSeconds, 2*b.nextEjectionSeconds)
--- a/internal/policy/routing/outcome.go
+++ b/internal/policy/routing/outcome.go
@@ -1,17 +1,17 @@
 package routing
 
-// Outcome is how an attempt at a worker ended.
+// Outcome is the outcome of an attempt at a worker.
 type Outcome uint8
 
 // The outcomes of an attempt.
 const (
-	Finished       Outcome = iota
-	Rejected               // the worker did not execute it
-	Failed                 // the worker executed it and reported a failure
-	NotSent                // it was not sent
-	ConnectionLost         // the connection broke; the worker may have executed it
-	TimedOut               // there was no answer before the deadline
-	Cancelled              // the client no longer waits
+	Finished       Outcome = iota // the worker executed the request successfully
+	Rejected                      // the worker did not execute the request
+	Failed                        // the worker executed the request and reported a failure
+	NotSent                       // the request was not sent
+	ConnectionLost                // the connection broke; the worker may have executed the request
+	TimedOut                      // no answer arrived before the deadline
+	Cancelled                     // the client no longer waits for the result
 	outcomeCount
 )
 
--- a/internal/policy/routing/pick.go
+++ b/internal/policy/routing/pick.go
@@ -5,10 +5,11 @@
 	"slices"
 )
 
-// Pick returns the worker for a request: of two drawn by weight, the one with the lower expected
-// latency. The name is "" if no worker may have the request; retryAfter is then the seconds until
-// one may, 0 if that is unknown. Excluded are the workers that had the request before. A worker that
-// is probed receives only idempotent requests at first.
+// Pick returns the name of the worker for a request. Of two workers drawn by weight, it prefers the
+// one with the lower expected latency. excluded are the workers that already had an attempt at the
+// request. A worker that is being probed receives only idempotent requests at first. If no worker is
+// available, name is empty and retryAfter is the time, in seconds, until one is; 0 if that is
+// unknown.
 func (r *Router) Pick(now float64, isIdempotent bool, excluded ...string) (name string, retryAfter float64) {
 	total := r.sumWeights(now, isIdempotent, excluded)
 	if total <= 0 {
@@ -16,7 +17,8 @@
 	}
 	first := r.workerAt(total * r.random())
 	second := r.workerAt(total * r.random())
-	// A worker in slow start has few requests in flight: preferring it would double its share.
+	// A worker in slow start has few requests in flight. Preferring it for that would double its
+	// share of the requests.
 	isWarm := r.slowStartFactor(second, now) == 1
 	if isWarm && r.expectedLatency(second, now) < r.expectedLatency(first, now) {
 		return second.name, 0
@@ -24,15 +26,15 @@
 	return first.name, 0
 }
 
-// sumWeights sets the cumulative weights of the workers for a request and returns their sum.
+// sumWeights computes the cumulative weights of the workers for a request and returns their sum.
 func (r *Router) sumWeights(now float64, isIdempotent bool, excluded []string) float64 {
 	influence := r.plan.influence(now)
 	total := 0.0
 	r.cumulativeWeights = r.cumulativeWeights[:0]
 	for _, w := range r.workers {
 		weight := r.weight(w, now, influence)
-		isRefused := !isIdempotent && w.breaker.acceptsOnlyIdempotent(now)
-		if isRefused || slices.Contains(excluded, w.name) {
+		isProbeReserved := !isIdempotent && w.breaker.acceptsOnlyIdempotent(now)
+		if isProbeReserved || slices.Contains(excluded, w.name) {
 			weight = 0
 		}
 		total += weight
@@ -41,8 +43,8 @@
 	return total
 }
 
-// nextAvailability returns the seconds until a connected worker is available, 0 if none is waiting
-// for a time to pass. The caller has found that no worker is available now.
+// nextAvailability returns the time, in seconds, until the first ejection or Retry-After of a
+// connected worker ends; 0 if there is none. It is called when no worker is available.
 func (r *Router) nextAvailability(now float64) float64 {
 	next := math.Inf(1)
 	for _, w := range r.workers {
@@ -56,28 +58,29 @@
 	return next
 }
 
-// workerAt returns the worker whose range of the cumulative weights a number falls into.
+// workerAt returns the worker whose range of the cumulative weights contains a position.
 func (r *Router) workerAt(position float64) *worker {
 	index, _ := slices.BinarySearch(r.cumulativeWeights, position)
-	// The end of a range belongs to the next worker; those without weight have an empty range.
+	// A position at the end of a range belongs to the next worker. Workers without weight have an
+	// empty range and are skipped.
 	for index < len(r.cumulativeWeights)-1 && r.cumulativeWeights[index] <= position {
 		index++
 	}
 	return r.workers[min(index, len(r.workers)-1)]
 }
 
-// expectedLatency returns an estimate of how long a request would take at the worker, to compare
-// workers by. It decays the worker's penalty to now first.
+// expectedLatency estimates the latency of a new request at the worker, for comparing workers. It
+// first decays the worker's penalty.
 func (r *Router) expectedLatency(w *worker, now float64) float64 {
 	r.decayPenalty(w, now)
-	latency := w.latency
+	latency := w.averageLatency
 	if latency == 0 {
-		latency = r.latency
+		latency = r.averageLatency
 	}
 	return (float64(w.inFlight) + w.penalty.value + 1) * latency
 }
 
-// decayPenalty decays a worker's penalty with the mean latency of all workers as its time constant.
-// Without the penalty a worker that rejects at once would look as idle as a fast one, and attract
-// all requests.
-func (r *Router) decayPenalty(w *worker, now float64) { w.penalty.decay(now, r.latency) }
+// decayPenalty decays a worker's penalty to its value at now, with the average latency of all workers
+// as the time constant. Without the penalty, a worker that rejects requests immediately would look as
+// idle as a fast worker and attract all requests.
+func (r *Router) decayPenalty(w *worker, now float64) { w.penalty.decay(now, r.averageLatency) }
--- a/internal/policy/routing/router.go
+++ b/internal/policy/routing/router.go
@@ -7,36 +7,37 @@
 	"swiftcourse/internal/policy/workercapacity"
 )
 
-// maxWorkers bounds the workers of a router.
+// maxWorkers bounds the number of workers of a router.
 const maxWorkers = 4096
 
-// Router is a forwarder's table of workers.
+// Router holds the routing state of a forwarder: its workers, plan and retry budget.
 type Router struct {
-	seed      uint64
-	draws     uint64 // random numbers drawn so far
-	workers   []*worker
-	byName    map[string]*worker
-	latency   float64 // moving average of attempts at any worker
-	plan      planPeriod
-	slowStart slowStart
-	retries   retryBudget
+	seed           uint64
+	draws          uint64 // number of random numbers drawn so far
+	workers        []*worker
+	byName         map[string]*worker
+	averageLatency float64 // moving average over attempts at all workers, in seconds
+	plan           planLifetime
+	slowStart      slowStart
+	retries        retryBudget
 
-	cumulativeWeights []float64 // of the workers, reused by Pick
+	cumulativeWeights []float64 // by index in workers; buffer reused by Pick
 }
 
-// New returns a router that has no workers. Routers with different seeds draw differently.
+// New returns a router without workers. The seed determines its random numbers; forwarders should use
+// different seeds.
 func New(seed uint64) *Router {
 	return &Router{
-		seed:      seed,
-		byName:    map[string]*worker{},
-		latency:   initialLatency,
-		slowStart: slowStart{initialSpeed: 1},
-		retries:   retryBudget{tokens: maxRetryTokens},
+		seed:           seed,
+		byName:         map[string]*worker{},
+		averageLatency: initialLatencySeconds,
+		slowStart:      slowStart{initialSpeed: 1},
+		retries:        retryBudget{tokens: maxRetryTokens},
 	}
 }
 
-// AddWorker adds a worker that is not connected. It ignores a name that it has already,
-// and any name once there are maxWorkers.
+// AddWorker adds a worker that is not connected. It does nothing if a worker has that name already or
+// if there are maxWorkers.
 func (r *Router) AddWorker(now float64, name string) {
 	if r.byName[name] != nil || len(r.workers) >= maxWorkers {
 		return
@@ -53,7 +54,7 @@
 	r.byName[name] = added
 }
 
-// SetConnected records whether there is a connection to a worker.
+// SetConnected records whether a worker is connected.
 func (r *Router) SetConnected(now float64, name string, isConnected bool) {
 	w := r.byName[name]
 	if w == nil {
@@ -69,7 +70,7 @@
 	w.breaker.connect()
 }
 
-// ConnectedWorkers returns the number of workers that there is a connection to.
+// ConnectedWorkers returns the number of connected workers.
 func (r *Router) ConnectedWorkers() int {
 	count := 0
 	for _, w := range r.workers {
@@ -80,7 +81,7 @@
 	return count
 }
 
-// random returns the next random number, from 0 up to but not including 1.
+// random returns the next pseudorandom number in [0, 1).
 func (r *Router) random() float64 {
 	r.draws++
 	var input [16]byte
--- a/internal/policy/routing/router_test.go
+++ b/internal/policy/routing/router_test.go
@@ -19,16 +19,16 @@
 	return router
 }
 
-// routerModel drives a router at random, and keeps what was last told to it.
+// routerModel drives a router with random steps and records the state that the router should have.
 type routerModel struct {
 	*rapid.T
-	chance    *rand.Rand
+	rng       *rand.Rand
 	now       float64
 	router    *Router
 	names     []string
 	connected map[string]bool
-	inFlight  map[string][]float64 // by worker, when the attempts started
-	attempts  int                  // first ones
+	inFlight  map[string][]float64 // start times of the attempts in flight, by worker
+	attempts  int                  // first attempts
 	retries   int
 }
 
@@ -36,22 +36,22 @@
 	seed := rapid.Uint64().Draw(t, "seed")
 	m := &routerModel{
 		T:         t,
-		chance:    rand.New(rand.NewPCG(seed, 1)),
+		rng:       rand.New(rand.NewPCG(seed, 1)),
 		router:    New(seed),
 		connected: map[string]bool{},
 		inFlight:  map[string][]float64{},
 	}
-	for i := range 1 + m.chance.IntN(6) {
+	for i := range 1 + m.rng.IntN(6) {
 		m.names = append(m.names, fmt.Sprint("w", i))
 		m.router.AddWorker(m.now, m.names[i])
 	}
 	return m
 }
 
-func (m *routerModel) randomName() string { return m.names[m.chance.IntN(len(m.names))] }
+func (m *routerModel) randomName() string { return m.names[m.rng.IntN(len(m.names))] }
 
 func (m *routerModel) changeConnection(name string) {
-	m.connected[name] = m.chance.IntN(4) > 0
+	m.connected[name] = m.rng.IntN(4) > 0
 	m.router.SetConnected(m.now, name, m.connected[name])
 	if m.connected[name] {
 		return
@@ -63,22 +63,23 @@
 }
 
 func (m *routerModel) pick(name string) {
-	isIdempotent := m.chance.IntN(2) == 0
+	isIdempotent := m.rng.IntN(2) == 0
 	excluded := m.randomName()
 	before := m.router.byName[name].breaker.state
 	picked, retryAfter := m.router.Pick(m.now, isIdempotent, excluded)
 	if picked == "" {
 		if retryAfter < 0 || retryAfter > maxEjectionSeconds {
-			m.Fatalf("no worker, and the next one in %g s", retryAfter)
+			m.Fatalf("no worker available, retry after %g s; want from 0 to %g s", retryAfter, maxEjectionSeconds)
 		}
 		return
 	}
 	breaker := m.router.byName[picked].breaker
-	isKeptAway := breaker.state == ejected || m.now < breaker.unavailableUntil
+	isUnavailable := breaker.state == ejected || m.now < breaker.unavailableUntil
 	isReserved := !isIdempotent && m.now < breaker.probingSince+idempotentProbeSeconds
 	mayNotProbe := breaker.state == probing && (breaker.probeInFlight || isReserved)
-	if picked == excluded || !m.connected[picked] || isKeptAway || mayNotProbe {
-		m.Fatalf("%s is picked: connected %v, %+v (%s was %s)", picked, m.connected[picked], breaker, name, before)
+	if picked == excluded || !m.connected[picked] || isUnavailable || mayNotProbe {
+		m.Fatalf("picked %s, which may not have the request: excluded %s, connected %v, breaker %+v (%s was %s)",
+			picked, excluded, m.connected[picked], breaker, name, before)
 	}
 	m.router.StartAttempt(picked, 1)
 	m.inFlight[picked] = append(m.inFlight[picked], m.now)
@@ -89,10 +90,10 @@
 	if len(m.inFlight[name]) == 0 {
 		return
 	}
-	outcome := []Outcome{Finished, Rejected, Failed, NotSent, TimedOut, Cancelled}[m.chance.IntN(6)]
-	m.router.FinishAttempt(m.now, name, outcome, m.now-m.inFlight[name][0], 0.2*m.chance.Float64())
+	outcome := []Outcome{Finished, Rejected, Failed, NotSent, TimedOut, Cancelled}[m.rng.IntN(6)]
+	m.router.FinishAttempt(m.now, name, outcome, m.now-m.inFlight[name][0], 0.2*m.rng.Float64())
 	m.inFlight[name] = m.inFlight[name][1:]
-	isIdempotent := m.chance.IntN(2) == 0
+	isIdempotent := m.rng.IntN(2) == 0
 	retry := RetryCandidate{
 		LastOutcome:    outcome,
 		Attempts:       1,
@@ -106,31 +107,32 @@
 	m.retries++
 	isUnsafe := !outcome.KnownNotExecuted() && !isIdempotent
 	if isUnsafe || outcome == Finished || outcome == TimedOut || outcome == Failed {
-		m.Fatalf("a retry after %s, idempotent %v", outcome, isIdempotent)
+		m.Fatalf("retry allowed after outcome %q with idempotent %v, want none", outcome, isIdempotent)
 	}
 }
 
 func (m *routerModel) checkInFlight() {
 	for _, name := range m.names {
 		if w := m.router.byName[name]; w.inFlight != len(m.inFlight[name]) {
-			m.Fatalf("%s has %d in flight, not %d", name, w.inFlight, len(m.inFlight[name]))
+			m.Fatalf("%s has %d attempts in flight, want %d", name, w.inFlight, len(m.inFlight[name]))
 		}
 	}
 }
 
-// Workers connect, disconnect, lose and reject; each pick is held against what was last heard.
+// Random connections, disconnections and outcomes of attempts must never lead to a pick of a worker that
+// is disconnected, ejected, excluded or not open to the request while it is probed.
 func TestRouter_PicksNoUnavailableWorker(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newRouterModel(t)
 		for range 400 {
-			m.now += 0.05 * m.chance.ExpFloat64()
+			m.now += 0.05 * m.rng.ExpFloat64()
 			name := m.randomName()
-			switch m.chance.IntN(8) {
+			switch m.rng.IntN(8) {
 			case 0:
 				m.changeConnection(name)
 			case 1:
-				weights := map[string]float64{name: 1, m.names[0]: m.chance.Float64()}
-				m.router.ApplyPlan(m.now, weights, m.now+m.chance.Float64())
+				weights := map[string]float64{name: 1, m.names[0]: m.rng.Float64()}
+				m.router.ApplyPlan(m.now, weights, m.now+m.rng.Float64())
 			case 2, 3, 4:
 				m.pick(name)
 			default:
@@ -139,16 +141,18 @@
 			m.checkInFlight()
 		}
 		if float64(m.retries) > maxRetryTokens+retryRatio*float64(m.attempts) {
-			t.Fatalf("%d retries of %d requests", m.retries, m.attempts)
+			t.Fatalf("%d retries of %d requests, want at most %g + %g per request",
+				m.retries, m.attempts, maxRetryTokens, retryRatio)
 		}
 	})
 }
 
-// One of four workers rejects everything at once, and receives less than its share of the requests.
-func TestRouter_RejectingWorkerAttractsNoHerd(t *testing.T) {
+// A worker that rejects immediately has few requests in flight and so looks idle. It must not attract
+// more than its share of the requests: with four workers it gets at most a fifth.
+func TestRouter_RejectingWorkerGetsLessThanItsShare(t *testing.T) {
 	const (
-		interval = 0.005 // 200 a second
-		duration = 0.1   // so twenty are in flight at a time
+		interval = 0.005 // 200 requests per second
+		duration = 0.1   // so 20 requests are in flight at a time
 	)
 	type attempt struct {
 		worker  string
@@ -173,7 +177,7 @@
 		}
 	}
 	if sent["w0"] > 800 {
-		t.Errorf("the worker that rejects everything received %d of 4000", sent["w0"])
+		t.Errorf("the worker that rejects everything received %d of 4000 requests, want at most 800", sent["w0"])
 	}
 }
 
--- a/internal/policy/routing/stats.go
+++ b/internal/policy/routing/stats.go
@@ -5,8 +5,8 @@
 	"swiftcourse/internal/policy/workercapacity"
 )
 
-// TakeStats returns the statistics of all workers for the planner, in the order in which they were
-// added, and starts their counts anew.
+// TakeStats returns the statistics of all workers for the planner, in the order in which the workers
+// were added, and resets the counts.
 func (r *Router) TakeStats() []loadplan.WorkerStats {
 	var stats []loadplan.WorkerStats
 	for _, w := range r.workers {
@@ -14,11 +14,11 @@
 			Name:      w.name,
 			Connected: w.breaker.state != disconnected,
 			InFlight:  w.inFlight,
-			Finished:  w.reportCounts.Finished,
-			Rejected:  w.reportCounts.Rejected,
-			Lost:      w.reportCounts.Lost,
+			Finished:  w.countsSinceReport.Finished,
+			Rejected:  w.countsSinceReport.Rejected,
+			Lost:      w.countsSinceReport.Lost,
 		})
-		w.reportCounts = workercapacity.AttemptCounts{}
+		w.countsSinceReport = workercapacity.AttemptCounts{}
 	}
 	return stats
 }
--- a/internal/policy/routing/weight.go
+++ b/internal/policy/routing/weight.go
@@ -7,23 +7,25 @@
 )
 
 const (
-	// maxPlanShift is the largest fraction of all weight that one plan may move between workers,
-	// so that a wrong plan is noticed before it has moved everything.
+	// maxPlanShift is the largest fraction of the total weight that one plan may move between workers,
+	// so that a wrong plan is noticed before it has moved all requests.
 	maxPlanShift = 0.25
 	// localWeightSmoothing is the weight of the latest estimate in a worker's local weight.
 	localWeightSmoothing = 0.3
-	// minLearnSeconds is the least divisor for the time since the last estimate.
+	// minLearnSeconds is the lower bound of the time since the last estimate, which rates are divided
+	// by.
 	minLearnSeconds = 1e-3
 )
 
-// planPeriod is when the load plan has influence: all of it until freshUntil, then linearly less.
-type planPeriod struct {
+// planLifetime determines the influence of the load plan on the weights: full influence until
+// freshUntil, then linearly decreasing to none at ignoredFrom.
+type planLifetime struct {
 	freshUntil  float64
-	ignoredFrom float64 // when it has no influence any more
+	ignoredFrom float64
 }
 
-// influence returns the fraction of a weight that the plan determines.
-func (p *planPeriod) influence(now float64) float64 {
+// influence returns the fraction of the weights that the plan determines, from 0 to 1.
+func (p *planLifetime) influence(now float64) float64 {
 	switch {
 	case now <= p.freshUntil:
 		return 1
@@ -33,12 +35,13 @@
 	return (p.ignoredFrom - now) / (p.ignoredFrom - p.freshUntil)
 }
 
-// PlanInfluence returns the fraction of the weights that the load plan determines now.
+// PlanInfluence returns the fraction of the weights that the load plan determines now, from 0 to 1.
 func (r *Router) PlanInfluence(now float64) float64 { return r.plan.influence(now) }
 
-// ApplyPlan moves the workers' weights towards those of a plan. The plan has all influence until
-// freshUntil, and loses it linearly over the same duration after that. A worker without a weight in
-// the plan gets none. A plan whose weights add up to nothing, or that is no longer fresh, is ignored.
+// ApplyPlan moves the workers' weights towards those of a plan. The plan has full influence until
+// freshUntil, and then loses it linearly over as long again. A worker that is not in the plan gets
+// weight 0. A plan is ignored if the sum of its weights is not positive and finite, or if it is no
+// longer fresh.
 func (r *Router) ApplyPlan(now float64, weights map[string]float64, freshUntil float64) {
 	sum := 0.0
 	for _, w := range r.workers {
@@ -63,10 +66,10 @@
 	for _, w := range r.workers {
 		w.planWeight += step * (target(w) - w.planWeight)
 	}
-	r.plan = planPeriod{freshUntil: freshUntil, ignoredFrom: freshUntil + (freshUntil - now)}
+	r.plan = planLifetime{freshUntil: freshUntil, ignoredFrom: freshUntil + (freshUntil - now)}
 }
 
-// weight returns a worker's weight now, 0 if no request may go to it.
+// weight returns a worker's weight now, 0 if the worker is not available.
 func (r *Router) weight(w *worker, now, planInfluence float64) float64 {
 	w.breaker.expireEjection(now)
 	if !w.breaker.available(now) {
@@ -75,13 +78,13 @@
 	return w.blendedWeight(planInfluence) * r.slowStartFactor(w, now)
 }
 
-// LearnCapacity estimates the workers' capacities and local weights from the attempts that ended in
-// the seconds since the last call. The caller calls it periodically.
+// LearnCapacity updates the workers' estimated capacities and local weights from the attempts that
+// ended since the last call. It must be called periodically, with the seconds since the last call.
 func (r *Router) LearnCapacity(seconds float64) {
 	sum := 0.0
 	for _, w := range r.workers {
-		w.capacity = workercapacity.Update(w.capacity, w.learnCounts, max(seconds, minLearnSeconds))
-		w.learnCounts = workercapacity.AttemptCounts{}
+		w.capacity = workercapacity.Update(w.capacity, w.countsSinceLearn, max(seconds, minLearnSeconds))
+		w.countsSinceLearn = workercapacity.AttemptCounts{}
 		sum += w.capacity
 	}
 	for _, w := range r.workers {
--- a/internal/policy/routing/weight_test.go
+++ b/internal/policy/routing/weight_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestRouter_PlanShiftsWeightInSteps(t *testing.T) {
+func TestRouter_LimitsWeightShiftPerPlan(t *testing.T) {
 	const workers = 4
 	router := connectedRouter(1, workers)
 	plan := map[string]float64{"w0": 0.7, "w1": 0.1, "w2": 0.2}
@@ -14,16 +14,18 @@
 		router.ApplyPlan(float64(step)/10, plan, 3)
 		after := router.byName["w0"].planWeight
 		if after < before-1e-9 || after-before > workers*maxPlanShift+1e-9 {
-			t.Errorf("one plan moves w0 from %g to %g", before, after)
+			t.Errorf("plan %d moved the weight of w0 from %g to %g, want a rise of at most %g",
+				step, before, after, workers*maxPlanShift)
 		}
 	}
 	if weight := router.byName["w0"].planWeight; math.Abs(weight-2.8) > 1e-6 {
-		t.Errorf("after eight plans it weighs %g, not 2.8", weight)
+		t.Errorf("weight of w0 after eight plans is %g, want 2.8", weight)
 	}
 }
 
-// The weights move from the plan's to even ones while the plan ages.
-func TestRouter_AgingPlanHasNoCliff(t *testing.T) {
+// While a plan ages, the weights must move gradually from the plan's to the local ones, here equal for
+// all workers.
+func TestRouter_WeightChangesGraduallyAsPlanAges(t *testing.T) {
 	const freshUntil = 3.0
 	router := connectedRouter(1, 4)
 	plan := map[string]float64{"w0": 0.7, "w1": 0.1, "w2": 0.2}
@@ -35,11 +37,11 @@
 	for now := freshUntil; now < 8; now += 0.01 {
 		after := router.weight(w0, now, router.PlanInfluence(now))
 		if after > before+1e-9 || before-after > 0.02 {
-			t.Fatalf("at %g it falls from %g to %g", now, before, after)
+			t.Fatalf("weight of w0 at %g s changed from %g to %g, want a fall of at most 0.02", now, before, after)
 		}
 		before = after
 	}
 	if before != 1 {
-		t.Errorf("without a plan it weighs %g", before)
+		t.Errorf("weight of w0 after the plan lost its influence is %g, want 1", before)
 	}
 }
--- a/internal/policy/routing/worker.go
+++ b/internal/policy/routing/worker.go
@@ -7,45 +7,45 @@
 )
 
 const (
-	// initialLatency is the latency assumed until an attempt has finished, in seconds.
-	initialLatency = 0.05
-	// latencySmoothing is the weight of the latest attempt in a worker's latency: some ten
-	// attempts determine it.
+	// initialLatencySeconds is the latency assumed until an attempt has finished.
+	initialLatencySeconds = 0.05
+	// latencySmoothing is the weight of the latest attempt in the moving average of a worker's
+	// latency, which so reflects about the last ten attempts.
 	latencySmoothing = 0.1
-	// overallLatencySmoothing is that weight in the latency of all workers together.
+	// overallLatencySmoothing is the same weight for the average latency of all workers.
 	overallLatencySmoothing = latencySmoothing / 10
-	// rejectionPenalty is how many requests in flight a rejection counts as: the request needs a
-	// second attempt, which a finished one does not.
+	// rejectionPenalty is the number of requests in flight that a rejection counts as. It is above 1
+	// because a rejected request needs a second attempt.
 	rejectionPenalty = 2.0
-	// minPenaltyDecaySeconds is the shortest time constant by which penalties decay.
+	// minPenaltyDecaySeconds is the shortest time constant of the decay of penalties.
 	minPenaltyDecaySeconds = 0.05
 )
 
-// worker is the state of one worker.
+// worker is a forwarder's state of one worker.
 type worker struct {
-	name        string
-	breaker     circuitBreaker
-	connectedAt float64 // when the worker last changed from disconnected to connected
-	inFlight    int
-	latency     float64 // moving average in seconds, 0 until an attempt has finished
-	penalty     decayingPenalty
+	name           string
+	breaker        circuitBreaker
+	connectedAt    float64 // when the worker last changed from disconnected to connected
+	inFlight       int
+	averageLatency float64 // moving average, in seconds; 0 until an attempt has finished
+	penalty        decayingPenalty
 
-	planWeight  float64 // by the load plan, 1 on average
-	localWeight float64 // by this forwarder's own attempts, 1 on average
-	capacity    float64 // requests per second of this forwarder that it finishes
+	planWeight  float64 // from the load plan; the average over all workers is 1
+	localWeight float64 // from this forwarder's own attempts; the average over all workers is 1
+	capacity    float64 // estimated requests per second of this forwarder that the worker can finish
 
-	learnCounts  workercapacity.AttemptCounts // since the last call of LearnCapacity
-	reportCounts workercapacity.AttemptCounts // since the last call of TakeStats
+	countsSinceLearn  workercapacity.AttemptCounts // attempts since the last call of LearnCapacity
+	countsSinceReport workercapacity.AttemptCounts // attempts since the last call of TakeStats
 }
 
 // decayingPenalty is the number of requests in flight that recent rejections count as. It decays
-// exponentially.
+// exponentially over time.
 type decayingPenalty struct {
 	value     float64
 	updatedAt float64
 }
 
-// decay reduces the penalty by the time since it was updated.
+// decay decays the penalty by the time since its last update.
 func (p *decayingPenalty) decay(now, timeConstant float64) {
 	if now > p.updatedAt {
 		p.value *= math.Exp(-(now - p.updatedAt) / max(minPenaltyDecaySeconds, timeConstant))
@@ -53,21 +53,22 @@
 	}
 }
 
-// updateCounts applies a change to both counts of attempts.
+// updateCounts applies add to both counts of attempts.
 func (w *worker) updateCounts(add func(*workercapacity.AttemptCounts)) {
-	add(&w.learnCounts)
-	add(&w.reportCounts)
+	add(&w.countsSinceLearn)
+	add(&w.countsSinceReport)
 }
 
-// blendedWeight returns the weight with the plan's influence, from 0 to 1.
+// blendedWeight returns the average of the plan weight and the local weight. planInfluence, from 0 to
+// 1, is the proportion of the plan weight.
 func (w *worker) blendedWeight(planInfluence float64) float64 {
 	return planInfluence*w.planWeight + (1-planInfluence)*w.localWeight
 }
 
-// recordLatency adds a finished attempt to the moving average.
+// recordLatency adds the latency of a finished attempt to the moving average.
 func (w *worker) recordLatency(latency float64) {
-	if w.latency == 0 {
-		w.latency = latency
+	if w.averageLatency == 0 {
+		w.averageLatency = latency
 	}
-	w.latency += latencySmoothing * (latency - w.latency)
+	w.averageLatency += latencySmoothing * (latency - w.averageLatency)
 }
