--- a/internal/policy/connlimit/address_table.go
+++ b/internal/policy/connlimit/address_table.go
@@ -7,18 +7,19 @@
 	"net/netip"
 )
 
-// The bits of a whole address.
+// The length of a full address, in bits.
 const (
 	ipv4Bits = 32
 	ipv6Bits = 128
 )
 
-// addressKey is an address, or a prefix of one: an IPv4 one is mapped into IPv6, so that a machine has
-// one key however its address is written.
+// addressKey is an address or an address prefix, with all bits after the prefix cleared. IPv4
+// addresses are stored as IPv4-mapped IPv6 addresses, so both notations of an address have one key.
 type addressKey [16]byte
 
-// newKey returns the key of the leading bits of an address: bitsIPv4 or bitsIPv6 of them, by its family.
-func newKey(addr netip.Addr, bitsIPv4, bitsIPv6 int) addressKey {
+// newAddressKey returns the key of an address prefix. The prefix has bitsIPv4 bits if the address is an
+// IPv4 address and bitsIPv6 bits otherwise.
+func newAddressKey(addr netip.Addr, bitsIPv4, bitsIPv6 int) addressKey {
 	addr = addr.Unmap()
 	bits := bitsIPv6
 	if addr.Is4() {
@@ -36,23 +37,24 @@
 	return key
 }
 
-// address returns the address of a key that has all its bits.
+// address returns the address of a key that was made from a full address.
 func (k addressKey) address() netip.Addr { return netip.AddrFrom16(k).Unmap() }
 
-// addressEntry is the record of an address or a prefix.
+// addressEntry is the table entry of an address or a prefix. Entries refer to other entries and to
+// connections by number: the index plus 1, so that 0 means none.
 type addressEntry struct {
 	key          addressKey
-	nextInBucket int32   // the next entry of its hash bucket, counted from 1
-	prefix       int32   // of an address: the entry of its prefix; -1 before there is one
-	queue        queueID // that it is in
+	nextInBucket int32   // number of the next entry in the same hash bucket, 0 for none
+	prefixIndex  int32   // address entries only: index of the entry of its prefix, -1 if not set yet
+	queue        queueID // the queue that holds this entry
 	queueLinks   links
 
 	connectionCounts
-	evictable linkedList // of an address: its evictable connections, by lastHeard
+	evictable linkedList // address entries only: evictable connections, ordered by lastHeard
 
 	trusted        bool
-	trustedByRule  bool          // its prefix is named in the rules
-	credit         decayingCount // from requests completed on this server
+	trustedByRule  bool          // the address is in one of Rules.TrustedPrefixes
+	credit         decayingCount // credit for requests completed on this server
 	reportedCredit decayingCount // credit that other servers reported
 	rejections     decayingCount
 	arrivals       arrivalTokens
@@ -60,68 +62,70 @@
 
 // connectionCounts counts the connections of an address or a prefix.
 type connectionCounts struct {
-	admitted  int32
-	held      int32 // in the holding area
-	active    int32 // of an address: those admitted that have an open request
-	untrusted int32 // of a prefix: those admitted of untrusted addresses
+	admitted  int32 // admitted connections
+	held      int32 // connections in the holding area
+	active    int32 // address entries only: admitted connections with an open request
+	untrusted int32 // prefix entries only: admitted connections of untrusted addresses
 }
 
-// queueID identifies a queue of entries. Entries with an evictable connection are in the queue of their
-// rank, which is how many connections they hold: from rankQueues on, two for each rank.
+// queueID identifies a queue of entries. An entry with an evictable connection is in a queue of its
+// rank, which is its number of admitted connections. Each rank has two queues, one for untrusted and
+// one for trusted entries; their IDs start at firstRankQueue.
 type queueID int32
 
 // The queues of entries without an evictable connection.
 const (
-	queueFree      queueID = iota // not in use
-	queuePinned                   // with connections, none of which is evictable
-	queueUntrusted                // remembered without a connection
-	queueTrusted                  // remembered without a connection, and trusted
-	rankQueues                    // ID of the first queue by rank
+	queueFree          queueID = iota // entries that are not in use
+	queueNoneEvictable                // entries with connections, none of which is evictable
+	queueUntrusted                    // untrusted entries without a connection
+	queueTrusted                      // trusted entries without a connection
+	firstRankQueue                    // ID of the first rank queue
 )
 
-// The two sets of queues by rank.
+// The sets of rank queues.
 const (
 	untrustedQueues = iota
 	trustedQueues
-	queuesPerRank // number of sets, and so of queues for each rank
+	queuesPerRank // number of sets, which is also the number of queues for each rank
 )
 
-// trustedNumerator / trustedDivisor is the fraction of the remembered entries that may be trusted.
+// trustedNumerator / trustedDivisor is the largest fraction of the remembered entries (those without
+// a connection) that may be trusted.
 const (
 	trustedNumerator = 3
 	trustedDivisor   = 4
 )
 
-// addressTable is a hash table of a fixed number of entries. A full table drops an entry without a
-// connection for a new one: the least recently used untrusted one or, if there is none, trusted
-// one. So a flood of new addresses replaces only untrusted entries while there are any, at a small
-// constant cost each.
+// addressTable is a hash table with a fixed number of entries. To add an entry to a full table, it
+// drops an entry without a connection: the least recently used untrusted one or, if there is none,
+// the least recently used trusted one. So a flood of new addresses replaces only untrusted entries
+// as long as there are any, and each replacement takes constant time.
 type addressTable struct {
 	seed                 maphash.Seed
-	buckets              []int32 // the first entry of each, counted from 1
+	buckets              []int32 // number of the first entry of each bucket, 0 for none
 	entries              []addressEntry
-	queues               [rankQueues]linkedList
-	ranks                [queuesPerRank][]linkedList // of untrusted and trusted entries, by rank
-	highest              [queuesPerRank]int32        // the highest rank that may have an entry
-	maxRememberedTrusted int                         // how many remembered entries may be trusted
+	queues               [firstRankQueue]linkedList
+	queuesByRank         [queuesPerRank][]linkedList // rank queues, by set and rank
+	maxRank              [queuesPerRank]int32        // no entry has a higher rank, by set
+	maxRememberedTrusted int                         // limit on trusted entries without a connection
 }
 
-// newAddressTable returns a table with room for the addresses of the given number of connections
-// and for remembered addresses without one. It allocates all of its memory.
+// newAddressTable returns a table for the addresses of the given number of connections plus the
+// given number of remembered addresses, which have no connection. It allocates all memory up front.
 func newAddressTable(connections, remembered int) *addressTable {
-	places := connections + remembered
+	capacity := connections + remembered
 	buckets := 1
-	for buckets < places {
+	for buckets < capacity {
 		buckets *= 2
 	}
 	table := &addressTable{
 		seed:                 maphash.MakeSeed(),
 		buckets:              make([]int32, buckets),
-		entries:              make([]addressEntry, places),
+		entries:              make([]addressEntry, capacity),
 		maxRememberedTrusted: remembered * trustedNumerator / trustedDivisor,
 	}
-	for row := range table.ranks {
-		table.ranks[row] = make([]linkedList, connections+1)
+	for set := range table.queuesByRank {
+		table.queuesByRank[set] = make([]linkedList, connections+1)
 	}
 	for id := range table.entries {
 		table.enqueue(int32(id), queueFree)
@@ -129,7 +133,7 @@
 	return table
 }
 
-// all returns the entries in use.
+// all iterates over the entries in use, with their index.
 func (t *addressTable) all() iter.Seq2[int32, *addressEntry] {
 	return func(yield func(int32, *addressEntry) bool) {
 		for id := range t.entries {
@@ -146,7 +150,7 @@
 	return &t.buckets[maphash.Bytes(t.seed, key[:])&uint64(len(t.buckets)-1)]
 }
 
-// find returns the entry of a key, -1 where there is none.
+// find returns the index of the entry of a key, -1 if there is none.
 func (t *addressTable) find(key addressKey) int32 {
 	for number := *t.bucket(key); number > 0; number = t.entries[number-1].nextInBucket {
 		if t.entries[number-1].key == key {
@@ -156,13 +160,14 @@
 	return -1
 }
 
-// has reports whether the entry with an id is in use for a key.
-func (t *addressTable) has(id int32, key addressKey) bool {
+// hasKey reports whether id is the index of an entry that is in use and has the key.
+func (t *addressTable) hasKey(id int32, key addressKey) bool {
 	return id >= 0 && t.entries[id].queue != queueFree && t.entries[id].key == key
 }
 
-// findOrAdd returns the entry of a key, and adds one if there is none, if need be in place of
-// another. It returns -1 if every entry has a connection, which the size of the table rules out.
+// findOrAdd returns the index of the entry of a key. If there is none, it adds one, replacing an
+// entry without a connection if the table is full. It returns -1 if every entry has a connection;
+// the table is sized so that this does not happen.
 func (t *addressTable) findOrAdd(key addressKey) (id int32, added bool) {
 	if id = t.find(key); id >= 0 {
 		return id, false
@@ -176,7 +181,7 @@
 	t.entries[id] = addressEntry{
 		key:          key,
 		nextInBucket: *bucket,
-		prefix:       -1,
+		prefixIndex:  -1,
 		arrivals:     arrivalTokens{updatedAt: math.Inf(-1)},
 	}
 	*bucket = id + 1
@@ -184,7 +189,8 @@
 	return id, true
 }
 
-// takeEntry returns a free entry, and drops one if there is none; -1 if none can be dropped.
+// takeEntry returns the index of a free entry. If there is none it drops an entry without a
+// connection, and returns -1 if every entry has one.
 func (t *addressTable) takeEntry() int32 {
 	if free := t.queues[queueFree].first; free > 0 {
 		return free - 1
@@ -198,12 +204,12 @@
 	return -1
 }
 
-// hasRoomForUntrusted reports whether an entry can be added without dropping a trusted one.
+// hasRoomForUntrusted reports whether an entry can be added without dropping a trusted entry.
 func (t *addressTable) hasRoomForUntrusted() bool {
 	return t.queues[queueFree].count+t.queues[queueUntrusted].count > 0
 }
 
-// drop removes an entry from its bucket and makes it free.
+// drop removes an entry from its hash bucket and marks it as free.
 func (t *addressTable) drop(id int32) {
 	link := t.bucket(t.entries[id].key)
 	for *link != id+1 {
@@ -214,17 +220,17 @@
 	t.enqueue(id, queueFree)
 }
 
-// requeue moves an entry to the end of the queue to which it belongs now.
+// requeue moves an entry to the end of the queue for its current connections and trust.
 func (t *addressTable) requeue(id int32) {
 	entry := &t.entries[id]
 	t.dequeue(id)
 	switch {
 	case entry.evictable.first > 0:
-		row := rankQueueSet(entry.trusted)
-		t.enqueue(id, rankQueues+queuesPerRank*queueID(entry.admitted)+queueID(row))
-		t.highest[row] = max(t.highest[row], entry.admitted)
+		set := rankQueueSet(entry.trusted)
+		t.enqueue(id, firstRankQueue+queuesPerRank*queueID(entry.admitted)+queueID(set))
+		t.maxRank[set] = max(t.maxRank[set], entry.admitted)
 	case entry.admitted > 0 || entry.held > 0:
-		t.enqueue(id, queuePinned)
+		t.enqueue(id, queueNoneEvictable)
 	case entry.trusted:
 		t.enqueue(id, queueTrusted)
 		t.limitTrusted()
@@ -233,7 +239,8 @@
 	}
 }
 
-// limitTrusted makes the least recently used remembered trusted entry untrusted if there are too many.
+// limitTrusted makes the least recently used trusted entry without a connection untrusted if there
+// are more than maxRememberedTrusted of them.
 func (t *addressTable) limitTrusted() {
 	queue := &t.queues[queueTrusted]
 	if int(queue.count) <= t.maxRememberedTrusted {
@@ -245,22 +252,22 @@
 	t.enqueue(oldest, queueUntrusted)
 }
 
-// highestRank returns the highest rank of an entry, trusted or not, with an evictable connection; 0
-// if there is none.
+// highestRank returns the highest rank among the trusted or untrusted entries that have an evictable
+// connection, 0 if there is none.
 func (t *addressTable) highestRank(trusted bool) int32 {
-	row := rankQueueSet(trusted)
-	for t.highest[row] > 0 && t.ranks[row][t.highest[row]].first == 0 {
-		t.highest[row]--
+	set := rankQueueSet(trusted)
+	for t.maxRank[set] > 0 && t.queuesByRank[set][t.maxRank[set]].first == 0 {
+		t.maxRank[set]--
 	}
-	return t.highest[row]
+	return t.maxRank[set]
 }
 
-// rankQueue returns the queue of the trusted or untrusted entries of a rank.
+// rankQueue returns the queue of the trusted or untrusted entries with a rank.
 func (t *addressTable) rankQueue(trusted bool, rank int32) *linkedList {
-	return &t.ranks[rankQueueSet(trusted)][rank]
+	return &t.queuesByRank[rankQueueSet(trusted)][rank]
 }
 
-// rankQueueSet returns which set of queues by rank trusted or untrusted entries are in.
+// rankQueueSet returns the index of the set of rank queues for trusted or untrusted entries.
 func rankQueueSet(trusted bool) int {
 	if trusted {
 		return trustedQueues
@@ -268,16 +275,16 @@
 	return untrustedQueues
 }
 
-// queue returns the queue with an id.
+// queue returns the queue with an ID.
 func (t *addressTable) queue(id queueID) *linkedList {
-	if id < rankQueues {
+	if id < firstRankQueue {
 		return &t.queues[id]
 	}
-	rank := (id - rankQueues) / queuesPerRank
-	return &t.ranks[(id-rankQueues)%queuesPerRank][rank]
+	rank := (id - firstRankQueue) / queuesPerRank
+	return &t.queuesByRank[(id-firstRankQueue)%queuesPerRank][rank]
 }
 
-// enqueue puts an entry at the end of a queue.
+// enqueue appends an entry to a queue.
 func (t *addressTable) enqueue(id int32, queueID queueID) {
 	entry := &t.entries[id]
 	entry.queue = queueID
@@ -285,14 +292,14 @@
 	queue.pushBack(id+1, &entry.queueLinks, t.queueLinks(queue.last))
 }
 
-// dequeue takes an entry out of its queue.
+// dequeue removes an entry from its queue.
 func (t *addressTable) dequeue(id int32) {
 	entry := &t.entries[id]
 	node := entry.queueLinks
 	t.queue(entry.queue).remove(node, t.queueLinks(node.prev), t.queueLinks(node.next))
 }
 
-// queueLinks returns the links of an entry, counted from 1, in its queue; nil for 0.
+// queueLinks returns the queue links of the entry with a number, nil for number 0.
 func (t *addressTable) queueLinks(number int32) *links {
 	if number == 0 {
 		return nil
--- a/internal/policy/connlimit/admission.go
+++ b/internal/policy/connlimit/admission.go
@@ -8,24 +8,27 @@
 )
 
 const (
-	// trustedLimitFactor is by how much the limits of a trusted address exceed those of an
-	// untrusted one: many machines may share one gateway.
+	// trustedLimitFactor is the ratio of a trusted address's limits to those of an untrusted one.
+	// Trusted limits are higher because many machines may share the address of one gateway.
 	trustedLimitFactor = 4
-	// reserveLentParts is the number of equal parts of the reserved slots. Untrusted addresses may
-	// use all but one of the parts while they are free, so that trusted ones always find free slots
-	// in the last.
-	reserveLentParts = 8
-	// rejectionHalfLife is the half-life, in seconds, of the count of an address's rejections. Each
-	// doubles the time to retry after, up to the longest.
-	rejectionHalfLife = 5
-	// maxDoublings bounds the exponent of the time to retry after.
+	// reservedSlotParts is the number of equal parts that the reserved slots are divided into.
+	// Untrusted addresses may use free slots of all parts but one, so that trusted addresses always
+	// find free slots in the remaining part.
+	reservedSlotParts = 8
+	// rejectionHalfLifeSeconds is the half-life of an address's rejection count. Each rejection
+	// doubles the retry-after time, up to Rules.MaxRetryAfter.
+	rejectionHalfLifeSeconds = 5
+	// maxDoublings bounds the number of doublings of the retry-after time.
 	maxDoublings = 16
 )
 
-// HandleArrival adds a new connection from an address at a free slot, and returns whether it was
-// admitted. With NoFreeSlot, the caller closes one of its EvictionCandidatesFor and calls Admit or,
-// if there is none, Reject. With HoldingAreaFull, it closes the connection at once. With any other
-// reason the connection is held, and its requests are to be rejected with retryAfter, in seconds.
+// HandleArrival adds a new connection from an address at a free slot and returns Admitted or the
+// reason why it was not admitted. The caller then acts on the reason:
+//
+//   - NoFreeSlot: close one of EvictionCandidatesFor and call Admit, or call Reject if there is no
+//     candidate.
+//   - HoldingAreaFull: close the connection immediately.
+//   - Any other reason: the connection is held; reject its requests with retryAfter, in seconds.
 func (l *Limiter) HandleArrival(slot int32, addr netip.Addr, now float64) (reason RejectReason, retryAfter float64) {
 	policy := l.clientPolicy
 	if policy == nil {
@@ -35,7 +38,7 @@
 	policy.arrivals.count++
 	policy.restoreSlot(now)
 	l.grow(slot)
-	id := policy.addressID(addr)
+	id := policy.findOrAddAddress(addr)
 	if id >= 0 {
 		policy.expireTrust(id, now)
 	}
@@ -57,8 +60,9 @@
 	return Admitted, 0
 }
 
-// holdingAreaFull reports whether no more untrusted connections may be held. The area may exceed
-// its size up to twice for a moment, until the oldest connections are closed.
+// holdingAreaFull reports whether no more connections of untrusted addresses may be held. The
+// holding area may temporarily have up to twice Rules.HoldingSlots connections, until the oldest are
+// closed.
 func (l *Limiter) holdingAreaFull() bool {
 	return l.Count(StateHeld)+l.Count(StateRejected) >= 2*l.clientPolicy.rules.HoldingSlots
 }
@@ -69,19 +73,19 @@
 	l.connections[slot] = connection{lastHeard: now, addressNumber: id + 1}
 	client := &policy.addresses.entries[id]
 	client.held++
-	policy.prefixes.entries[client.prefix].held++
+	policy.prefixes.entries[client.prefixIndex].held++
 	policy.addresses.requeue(id)
-	policy.prefixes.requeue(client.prefix)
+	policy.prefixes.requeue(client.prefixIndex)
 	l.enter(slot, StateHeld, now)
 }
 
-// exceededLimit returns which limit a new connection of an address exceeds, Admitted if none. It
-// takes the tokens of the arrival.
+// exceededLimit returns the reason to reject a new connection of an address because of a limit, or
+// Admitted if it exceeds none. It takes the connection's tokens from the rate limits' buckets.
 func (p *clientPolicy) exceededLimit(client *addressEntry, now float64) RejectReason {
 	if client.trustedByRule {
 		return Admitted
 	}
-	prefix := &p.prefixes.entries[client.prefix]
+	prefix := &p.prefixes.entries[client.prefixIndex]
 	factor := 1.0
 	if client.trusted {
 		factor = trustedLimitFactor
@@ -100,13 +104,13 @@
 	return Admitted
 }
 
-// hasFreeSlot reports whether one more connection of an address can be admitted without an eviction.
+// hasFreeSlot reports whether another connection of an address can be admitted without an eviction.
 func (p *clientPolicy) hasFreeSlot(client *addressEntry) bool {
 	if client.trusted {
 		return p.admitted < p.slots.limit
 	}
-	keptFree := (p.reservedSlots() + reserveLentParts - 1) / reserveLentParts
-	return p.admitted < p.slots.limit-keptFree
+	unavailable := (p.reservedSlots() + reservedSlotParts - 1) / reservedSlotParts
+	return p.admitted < p.slots.limit-unavailable
 }
 
 // Admit admits a held connection.
@@ -126,20 +130,21 @@
 	l.enter(slot, StateNew, now)
 }
 
-// Reject rejects a held connection, and returns the time after which to retry, in seconds: longer
-// with each rejection of its address, and with jitter, so that those rejected together do not
-// return together.
+// Reject counts a rejection of a held connection and returns the retry-after time in seconds. The
+// time doubles with each recent rejection of the address. Jitter spreads the retries of clients that
+// were rejected together.
 func (l *Limiter) Reject(slot int32, reason RejectReason, now float64) (retryAfter float64) {
 	policy := l.clientPolicy
 	policy.rejections[reason]++
 	client, _ := policy.entriesOf(&l.connections[slot])
-	client.rejections.set(client.rejections.at(now, rejectionHalfLife)+1, now)
+	client.rejections.set(client.rejections.valueAt(now, rejectionHalfLifeSeconds)+1, now)
 	doublings := min(client.rejections.value-1, maxDoublings)
 	base := min(policy.rules.MaxRetryAfter/2, policy.rules.MinRetryAfter*math.Exp2(doublings))
 	return base * (1 + policy.drawJitter())
 }
 
-// drawJitter returns the next number, from 0 to 1, of the sequence that the seed determines.
+// drawJitter returns the next pseudorandom number, from 0 to 1, of the sequence determined by
+// Rules.Seed.
 func (p *clientPolicy) drawJitter() float64 {
 	p.jitterDraws++
 	var input [12]byte
@@ -148,14 +153,14 @@
 	return float64(crc32.ChecksumIEEE(input[:])) / math.MaxUint32
 }
 
-// RejectRequest counts a rejected request of an admitted connection for which MayOpenRequest is
-// false, as Reject does, and returns the time after which to retry, in seconds.
+// RejectRequest counts the rejection of a request on an admitted connection for which MayOpenRequest
+// returned false. Like Reject, it returns the retry-after time in seconds.
 func (l *Limiter) RejectRequest(slot int32, now float64) float64 {
 	return l.Reject(slot, NoFreeSlot, now)
 }
 
 // MayOpenRequest reports whether a connection may open a request. Untrusted addresses may not have
-// open requests on reserved slots, as a connection with an open request can't be evicted.
+// open requests on reserved slots, because a connection with an open request can't be evicted.
 func (l *Limiter) MayOpenRequest(slot int32) bool {
 	policy := l.clientPolicy
 	conn := &l.connections[slot]
--- a/internal/policy/connlimit/admission_test.go
+++ b/internal/policy/connlimit/admission_test.go
@@ -16,7 +16,7 @@
 	return netip.MustParseAddr(fmt.Sprintf(network, host)).Unmap()
 }
 
-// drawSlot draws the slot of a connection that the filter keeps.
+// drawSlot draws the slot of one of the connections for which keep returns true.
 func (s *simulation) drawSlot(t *rapid.T, keep func(*simulatedConnection) bool) (slot int32, ok bool) {
 	var slots []int32
 	for slot, c := range s.connections {
@@ -31,7 +31,7 @@
 	return rapid.SampledFrom(slots).Draw(t, "slot"), true
 }
 
-// step takes a drawn step.
+// step executes a randomly drawn step.
 func (s *simulation) step(t *rapid.T) {
 	switch rapid.IntRange(0, 8).Draw(t, "step") {
 	case 0, 1, 2:
@@ -56,47 +56,49 @@
 	}
 }
 
-func TestRules_HoldForDrawnSteps(t *testing.T) {
+func TestLimiter_InvariantsHoldForRandomSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t, rapid.SampledFrom([]float64{0.3, 30}).Draw(t, "idle timeout"))
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			s.step(t)
-			s.maintain()
-			s.check()
+			s.applyDecisions()
+			s.checkInvariants()
 		}
 	})
 }
 
 func TestHandleArrival_TrustedAdmittedWhileUntrustedAtLimit(t *testing.T) {
 	s := defaultSimulation(t)
-	trusted := netip.MustParseAddr("10.9.7.7") // by the rules, from the first moment
+	trusted := netip.MustParseAddr("10.9.7.7") // in TrustedPrefixes, so it need not earn trust
 	for i := range 200 {
 		s.now += 0.01
 		slot, admitted := s.arrive(numberedAddr(i))
 		if admitted && i%2 == 0 {
 			s.openRequest(slot)
 		}
-		s.maintain()
+		s.applyDecisions()
 	}
 	for range s.rules.ReservedSlots {
 		if _, admitted := s.arrive(trusted); !admitted {
-			t.Fatal("a trusted client has no slot")
+			t.Fatalf("connection of trusted client %v was not admitted, want %d reserved slots available",
+				trusted, s.rules.ReservedSlots)
 		}
 	}
 }
 
-func TestHandleArrival_LimitsAndSizeOfHoldingArea(t *testing.T) {
+func TestHandleArrival_EnforcesAddressLimitAndHoldingAreaSize(t *testing.T) {
 	s := defaultSimulation(t)
 	reasons := map[RejectReason]int{}
-	for slot := range int32(1000) { // in one instant, from one address
+	for slot := range int32(1000) { // all at the same time, from one address
 		reason, _ := s.limiter.HandleArrival(slot, netip.MustParseAddr("10.1.1.1"), s.now)
 		reasons[reason]++
 		if held := s.limiter.Count(StateHeld); held > 2*s.rules.HoldingSlots {
-			t.Fatalf("%d held", held)
+			t.Fatalf("%d connections are held, want at most %d", held, 2*s.rules.HoldingSlots)
 		}
 	}
 	if reasons[Admitted] != s.rules.MaxPerAddress || reasons[OverCap] == 0 || reasons[HoldingAreaFull] == 0 {
-		t.Errorf("%v", reasons)
+		t.Errorf("counts by reason are %v, want %d %v and some %v and %v",
+			reasons, s.rules.MaxPerAddress, Admitted, OverCap, HoldingAreaFull)
 	}
 	closed := 0
 	for range 20 {
@@ -109,11 +111,12 @@
 		s.now += 0.001
 	}
 	if closed < s.rules.HoldingSlots || s.limiter.Count(StateHeld) > s.rules.HoldingSlots {
-		t.Errorf("%d closed, %d held", closed, s.limiter.Count(StateHeld))
+		t.Errorf("%d connections closed and %d held, want at least and at most %d",
+			closed, s.limiter.Count(StateHeld), s.rules.HoldingSlots)
 	}
 }
 
-func TestReject_RetryAfterGrowsAndIsSpread(t *testing.T) {
+func TestReject_RetryAfterDoublesWithJitter(t *testing.T) {
 	s := defaultSimulation(t)
 	seen := map[float64]bool{}
 	previous := 0.0
@@ -122,17 +125,19 @@
 		s.limiter.HandleArrival(slot, netip.MustParseAddr("10.1.1.1"), s.now)
 		retryAfter := s.limiter.Reject(slot, NoFreeSlot, s.now)
 		if seen[retryAfter] || i > 0 && i < 5 && retryAfter <= previous*0.99 {
-			t.Errorf("retry after %v, then %v", previous, retryAfter)
+			t.Errorf("rejection %d: retry after %v s, want a new value that is not below the previous %v s",
+				i+1, retryAfter, previous)
 		}
 		seen[retryAfter] = true
 		previous = min(retryAfter, s.rules.MinRetryAfter*float64(int(1)<<(i+1)))
 	}
 	if previous < s.rules.MaxRetryAfter/2 {
-		t.Errorf("retry after ends at %v", previous)
+		t.Errorf("last retry after is %v s, want at least %v s", previous, s.rules.MaxRetryAfter/2)
 	}
 }
 
-// BenchmarkHandleArrival measures what a decision costs with so many addresses that come in turn.
+// BenchmarkHandleArrival measures the cost of an arrival when the given number of addresses connect in
+// turn.
 func BenchmarkHandleArrival(b *testing.B) {
 	for _, addresses := range []int{1000, 1_000_000} {
 		b.Run(fmt.Sprint(addresses), func(b *testing.B) {
@@ -154,7 +159,7 @@
 				n := i % addresses
 				addr := netip.AddrFrom4([4]byte{11, byte(n >> 16), byte(n >> 8), byte(n)})
 				if reason, _ := limiter.HandleArrival(9000, addr, now); reason != Admitted && reason != RateLimited {
-					b.Fatal(reason)
+					b.Fatalf("arrival %d is %v, want %v or %v", i, reason, Admitted, RateLimited)
 				}
 				limiter.HandleEvent(9000, EventRequest, now)
 				limiter.HandleClosed(9000)
--- a/internal/policy/connlimit/doc.go
+++ b/internal/policy/connlimit/doc.go
@@ -1,27 +1,29 @@
-// Package connlimit is the admission control of client connections. It decides which new
-// connections are admitted, which are asked to close, which are closed, and which one is evicted
-// when another needs its slot.
+// Package connlimit implements admission control of client connections. It decides which new
+// connections to admit, which connections to ask the peer to close, which to close, and which to
+// evict when another connection needs the slot.
 //
-// A limiter made without rules only times connections out: one that sends nothing valid in time is
-// closed, and one that is idle is asked to close first, so that no request is lost. A limiter made
-// with rules also tells client addresses apart:
+// A limiter without rules only applies timeouts. A connection that sends nothing valid in time is
+// closed. The peer of an idle connection is first asked to close it, so that no request is lost.
 //
-//   - An address earns trust by requests that complete over some seconds, and loses it by a
-//     half-life. Some slots are reserved for trusted addresses.
-//   - Untrusted addresses have limits on connections and on arrivals, each and by prefix; trusted
-//     ones have higher limits, and the prefixes that the operator names have none.
-//   - A connection over a limit is held for a moment instead of closed, so that its first request is
-//     rejected with a time to retry after, which doubles with each rejection and has jitter.
-//   - When all slots are in use, the address that holds most connections loses one first, so one
-//     address with many connections displaces its own. An untrusted address never displaces a
+// A limiter with rules also distinguishes client addresses:
+//
+//   - An address earns trust by completing requests over several seconds. Its credit for them decays
+//     with a half-life. Some slots are reserved for trusted addresses.
+//   - Untrusted addresses have limits on connections and on the rate of new connections, per address
+//     and per prefix. Trusted addresses have higher limits; the prefixes that the operator configures
+//     as trusted have none.
+//   - A connection over a limit is held for a short time instead of closed, so that its first request
+//     can be rejected with a retry-after time, which doubles with each rejection and has jitter.
+//   - When all slots are in use, the address with the most connections loses one first, so an address
+//     with many connections displaces its own connections. An untrusted address never displaces a
 //     trusted one, and a connection with an open request is never evicted.
 //
-// The invariants are that no more connections are admitted than there are slots, that untrusted
-// addresses can't keep the reserved slots by open requests, and that memory is bounded: a flood of
-// new addresses replaces only untrusted addresses that have no connection.
+// Invariants: there are never more admitted connections than slots; untrusted addresses can't occupy
+// the reserved slots with open requests; and memory is bounded, because a flood of new addresses
+// replaces only untrusted addresses without a connection.
 //
 // The package has no I/O, clock or goroutine. The event loop that accepts connections owns the
-// limiter and is its only caller: it reports what happens with the time, in seconds on a clock that
-// never goes back, and carries out the decisions. A connection is named by its slot, a small number
-// that is used again once the connection is gone.
+// limiter and is its only caller: it reports events with their time, in seconds on a monotonic clock,
+// and carries out the decisions. A connection is identified by its slot, a small number that is
+// reused after the connection is closed.
 package connlimit
--- a/internal/policy/connlimit/eviction.go
+++ b/internal/policy/connlimit/eviction.go
@@ -6,22 +6,26 @@
 )
 
 const (
-	// firstMessageDelay is how soon, in seconds, a balancer's first message follows its connection,
-	// unless the event loop is far behind.
-	firstMessageDelay = 0.1
-	// quietTime is how long, in seconds, a connection must have been silent to be evicted for one
-	// whose address would then have as many connections.
-	quietTime = 0.5
+	// firstMessageDelaySeconds is the time within which a balancer's first message arrives on a new
+	// connection, unless the event loop is far behind.
+	firstMessageDelaySeconds = 0.1
+	// quietSeconds is how long a connection must have been silent to be evicted for a connection
+	// whose address would then have as many connections as the evicted connection's address had.
+	quietSeconds = 0.5
 )
 
-// anySilence is a least silence, in seconds, that every connection meets.
-var anySilence = math.Inf(-1)
+// noMinSilence is a minimum silence, in seconds, that every connection meets.
+var noMinSilence = math.Inf(-1)
 
-// EvictionCandidates returns the connections of which one may go when another needs its slot,
-// without rules. The first to go are new ones that had time to send something; then those without
-// an open request, the one silent for longest first; then newer ones, whose first message may be on
-// its way, the newest last. So a peer that only holds connections keeps nobody out. Connections
-// with an open request are not among them.
+// EvictionCandidates returns, for a limiter without rules, the connections that may be evicted when
+// another connection needs a slot, in the order of eviction:
+//
+//   - new connections that sent nothing although they had the time to;
+//   - other connections without an open request, the one silent for longest first;
+//   - new connections whose first message may still be in transit, the newest last.
+//
+// So a peer can't keep others out by just holding connections. Connections with an open request are
+// never candidates.
 func (l *Limiter) EvictionCandidates(now float64) iter.Seq[int32] {
 	return func(yield func(int32) bool) {
 		slot := l.firstIn(StateNew)
@@ -41,14 +45,15 @@
 	}
 }
 
-// isSilentNew reports whether a new connection had time to send something and did not. It is false
-// for no slot.
+// isSilentNew reports whether the new connection at a slot sent nothing although it had the time to.
+// It returns false for slot -1.
 func (l *Limiter) isSilentNew(slot int32, now float64) bool {
-	return slot >= 0 && now-l.connections[slot].stateSince > firstMessageDelay
+	return slot >= 0 && now-l.connections[slot].stateSince > firstMessageDelaySeconds
 }
 
-// yieldByLastHeard yields the connections without an open request that sent something, the one
-// silent for longest first, by merging the queues of their states. It reports whether to go on.
+// yieldByLastHeard yields the connections without an open request that have sent something, the one
+// silent for longest first, by merging the queues of their states. It reports whether the iteration
+// should continue.
 func (l *Limiter) yieldByLastHeard(yield func(int32) bool) bool {
 	heads := [...]int32{l.firstIn(StateAskedToClose), l.firstIn(StatePartialMessage), l.firstIn(StateIdle)}
 	for {
@@ -68,18 +73,25 @@
 	}
 }
 
-// heardBefore reports whether a connection was last heard before another.
+// heardBefore reports whether data last arrived on a connection earlier than on another.
 func (l *Limiter) heardBefore(slot, other int32) bool {
 	return l.connections[slot].lastHeard < l.connections[other].lastHeard
 }
 
-// EvictionCandidatesFor returns the connections of which one may go for the one at a slot, by
-// rules. The first to go are untrusted ones that sent nothing in time; then those of the address
-// that holds most, the one silent for longest first. An untrusted address takes no slot of a
-// trusted one, and none takes a slot of an address that holds fewer than its own would then: so the
-// shares of all addresses that want more become equal, and one address with many connections loses
-// its own first. Where both would hold as many, one goes that was silent for quietTime. Last come
-// the address's own, which a client that came back after a crash may have left behind.
+// EvictionCandidatesFor returns, for a limiter with rules, the connections that may be evicted for
+// the new connection at a slot, in the order of eviction:
+//
+//   - new connections of untrusted addresses that sent nothing although they had the time to;
+//   - connections of the addresses with the most connections, untrusted addresses first, and for each
+//     address the connection silent for longest first;
+//   - connections of the new connection's own address, which a client that restarted after a crash
+//     may have left behind.
+//
+// An untrusted address never takes a slot of a trusted one. Among equally trusted addresses, an
+// address takes no slot of one that has fewer connections than it would have itself with the new one.
+// So the shares of all addresses that want more slots become equal, and an address with many
+// connections loses its own first. If the other address has as many connections, only those silent
+// for quietSeconds are candidates.
 func (l *Limiter) EvictionCandidatesFor(slot int32, now float64) iter.Seq[int32] {
 	return func(yield func(int32) bool) {
 		client, _ := l.clientPolicy.entriesOf(&l.connections[slot])
@@ -87,23 +99,23 @@
 		if !l.yieldSilentUntrusted(now, yield) {
 			return
 		}
-		untrusted := holders{trusted: false, atLeast: 1}
+		untrusted := addressFilter{trusted: false, minConnections: 1}
 		if !client.trusted {
-			untrusted = holders{trusted: false, atLeast: equalShare, quietIfHolding: equalShare}
+			untrusted = addressFilter{trusted: false, minConnections: equalShare, quietAtCount: equalShare}
 		}
-		if !l.yieldHolders(untrusted, now, yield) {
+		if !l.yieldFromAddresses(untrusted, now, yield) {
 			return
 		}
-		trusted := holders{trusted: true, atLeast: equalShare, quietIfHolding: equalShare}
-		if client.trusted && !l.yieldHolders(trusted, now, yield) {
+		trusted := addressFilter{trusted: true, minConnections: equalShare, quietAtCount: equalShare}
+		if client.trusted && !l.yieldFromAddresses(trusted, now, yield) {
 			return
 		}
-		l.yieldEvictable(client, anySilence, now, yield)
+		l.yieldEvictable(client, noMinSilence, now, yield)
 	}
 }
 
-// yieldSilentUntrusted yields new connections of untrusted addresses that had time to send
-// something. It reports whether to go on.
+// yieldSilentUntrusted yields the new connections of untrusted addresses that sent nothing although
+// they had the time to. It reports whether the iteration should continue.
 func (l *Limiter) yieldSilentUntrusted(now float64, yield func(int32) bool) bool {
 	for slot := l.firstIn(StateNew); l.isSilentNew(slot, now); slot = l.nextInState(slot) {
 		client, _ := l.clientPolicy.entriesOf(&l.connections[slot])
@@ -114,22 +126,23 @@
 	return true
 }
 
-// holders selects addresses by trust and by how many connections they hold. Of those that hold
-// quietIfHolding, only connections that are quiet may go; 0 is none.
-type holders struct {
+// addressFilter selects addresses by trust and by their number of admitted connections.
+type addressFilter struct {
 	trusted        bool
-	atLeast        int32
-	quietIfHolding int32
+	minConnections int32
+	// quietAtCount is the number of connections at which an address loses only connections that were
+	// silent for quietSeconds; 0 for no such restriction.
+	quietAtCount int32
 }
 
-// yieldHolders yields the evictable connections of the selected addresses, of those that hold most
-// first. It reports whether to go on.
-func (l *Limiter) yieldHolders(selected holders, now float64, yield func(int32) bool) bool {
+// yieldFromAddresses yields the evictable connections of the selected addresses, those of the
+// addresses with the most connections first. It reports whether the iteration should continue.
+func (l *Limiter) yieldFromAddresses(selected addressFilter, now float64, yield func(int32) bool) bool {
 	table := l.clientPolicy.addresses
-	for rank := table.highestRank(selected.trusted); rank >= selected.atLeast; rank-- {
-		minSilence := anySilence
-		if rank == selected.quietIfHolding {
-			minSilence = quietTime
+	for rank := table.highestRank(selected.trusted); rank >= selected.minConnections; rank-- {
+		minSilence := noMinSilence
+		if rank == selected.quietAtCount {
+			minSilence = quietSeconds
 		}
 		id := table.rankQueue(selected.trusted, rank).first - 1
 		for ; id >= 0; id = table.entries[id].queueLinks.next - 1 {
@@ -142,11 +155,12 @@
 	return true
 }
 
-// yieldEvictable yields the evictable connections of an address that were silent for minSilence
-// seconds, the one silent for longest first. It reports whether to go on.
+// yieldEvictable yields the evictable connections of an address that were silent for at least
+// minSilence seconds, the one silent for longest first. It reports whether the iteration should
+// continue.
 func (l *Limiter) yieldEvictable(client *addressEntry, minSilence, now float64, yield func(int32) bool) bool {
 	for slot := client.evictable.first - 1; slot >= 0; slot = l.nextOfAddress(slot) {
-		if now-l.connections[slot].lastHeard < minSilence { // the rest was heard later
+		if now-l.connections[slot].lastHeard < minSilence { // the following ones were heard later
 			return true
 		}
 		if !yield(slot) {
@@ -156,7 +170,7 @@
 	return true
 }
 
-// nextOfAddress returns the slot that follows another in the list of their address, -1 after the
+// nextOfAddress returns the slot of the next evictable connection of the same address, -1 after the
 // last.
 func (l *Limiter) nextOfAddress(slot int32) int32 {
 	return l.connections[slot].addressLinks.next - 1
--- a/internal/policy/connlimit/limiter.go
+++ b/internal/policy/connlimit/limiter.go
@@ -2,66 +2,67 @@
 
 import "math"
 
-// connection is the state of one connection. It is kept at 48 bytes, as a server may have a million of them.
+// connection is the state of one connection. Keep it at 48 bytes: a server may have a million of
+// them.
 type connection struct {
-	stateSince    float64 // when the timeout of its state began, s
-	lastHeard     float64 // when data last came over it, s
+	stateSince    float64 // when the timeout of its state started, s
+	lastHeard     float64 // when it was opened, data last arrived or its requests were done, s
 	stateLinks    links   // in the queue of its state
 	addressLinks  links   // in the list of its address
-	addressNumber int32   // of its address's entry in the table, counted from 1; 0 for none
+	addressNumber int32   // index of its address's table entry plus 1, 0 for none
 	state         State
-	closedFrom    State // its state before the decision to close it
-	hasPartial    bool  // part of a message has been received
+	closedFrom    State // the state before the decision to close it
+	hasPartial    bool  // only part of a message was received
 	askedToClose  bool
-	admitted      bool // by rules
+	admitted      bool // always false without rules
 	evictable     bool // in the list of its address's evictable connections
-	countedActive bool // counted as active at its address
+	countedActive bool // counted in the active count of its address
 }
 
-// Limiter is the connection limiter, with the state of every connection. Use New or NewWithRules;
-// the zero value is not ready.
+// Limiter is the connection limiter, with the state of every connection. Create one with New or
+// NewWithRules; the zero value is not usable.
 type Limiter struct {
 	clientPolicy *clientPolicy // nil without rules
 	connections  []connection  // by slot
 	queues       [stateCount]linkedList
-	timeouts     [stateCount]float64 // how long a connection may be in a state, s
+	timeouts     [stateCount]float64 // the longest time that a connection may be in a state, s
 	draining     bool
-	nextBatchAt  float64 // when TakeDecisions may return the next batch, s
+	nextBatchAt  float64 // earliest time of the next batch of decisions, s
 	decisions    []Decision
 }
 
-// New returns a limiter without rules, for connections that may be idle for idleTimeout seconds.
+// New returns a limiter without rules. Connections may be idle for idleTimeout seconds.
 func New(idleTimeout float64) *Limiter {
 	limiter := &Limiter{nextBatchAt: math.Inf(-1)}
 	for state := range limiter.timeouts {
 		limiter.timeouts[state] = math.Inf(1)
 	}
-	limiter.timeouts[StateNew] = firstMessageTimeout
-	limiter.timeouts[StatePartialMessage] = firstMessageTimeout
+	limiter.timeouts[StateNew] = firstMessageTimeoutSeconds
+	limiter.timeouts[StatePartialMessage] = firstMessageTimeoutSeconds
 	limiter.timeouts[StateIdle] = idleTimeout
-	limiter.timeouts[StateAskedToClose] = closeTimeout
-	limiter.timeouts[StateHeld] = heldTimeout
-	limiter.timeouts[StateRejected] = rejectedTimeout
+	limiter.timeouts[StateAskedToClose] = closeTimeoutSeconds
+	limiter.timeouts[StateHeld] = heldTimeoutSeconds
+	limiter.timeouts[StateRejected] = rejectedTimeoutSeconds
 	return limiter
 }
 
-// SetIdleTimeout sets for how many seconds a connection may be idle. It holds for all connections from now
-// on, and has no effect once the server is draining.
+// SetIdleTimeout sets the idle timeout, in seconds, of all existing and future connections. It has no
+// effect while the server drains.
 func (l *Limiter) SetIdleTimeout(idleTimeout float64) {
 	if !l.draining {
 		l.timeouts[StateIdle] = idleTimeout
 	}
 }
 
-// StartDrain begins to drain: every connection, also each new one, is asked to close, and closed
-// soon after its last request is done. It returns the slots of the connections with an open request
-// that were not asked yet; the caller asks these at once.
+// StartDrain starts to drain: the peer of every connection, including new ones, is asked to close it,
+// and the connection is closed soon after its last request is done. StartDrain returns the slots of
+// connections with an open request whose peers were not asked yet; the caller asks them immediately.
 func (l *Limiter) StartDrain() (active []int32) {
 	l.draining = true
 	l.timeouts[StateNew] = 0
 	l.timeouts[StateIdle] = 0
 	l.timeouts[StatePartialMessage] = 0
-	l.timeouts[StateAskedToClose] = drainCloseTimeout
+	l.timeouts[StateAskedToClose] = drainCloseTimeoutSeconds
 	for slot := l.firstIn(StateActive); slot >= 0; slot = l.nextInState(slot) {
 		if conn := &l.connections[slot]; !conn.askedToClose {
 			conn.askedToClose = true
@@ -71,21 +72,21 @@
 	return active
 }
 
-// HandleOpen adds a new connection at a free slot.
+// HandleOpen adds a new connection at a free slot, without applying rules.
 func (l *Limiter) HandleOpen(slot int32, now float64) {
 	l.grow(slot)
 	l.connections[slot] = connection{lastHeard: now}
 	l.enter(slot, StateNew, now)
 }
 
-// grow makes room for a slot.
+// grow extends the connections to include a slot.
 func (l *Limiter) grow(slot int32) {
 	for int(slot) >= len(l.connections) {
 		l.connections = append(l.connections, connection{})
 	}
 }
 
-// HandleClosed frees the slot of a connection that was closed.
+// HandleClosed frees the slot of a closed connection.
 func (l *Limiter) HandleClosed(slot int32) {
 	l.enter(slot, StateClosed, 0)
 	if l.clientPolicy != nil {
@@ -94,7 +95,7 @@
 	l.shrink()
 }
 
-// shrink drops the free slots at the end, and releases memory after many connections were closed.
+// shrink removes free slots at the end, and releases memory after many connections were closed.
 func (l *Limiter) shrink() {
 	const keptSlots = 1024
 	size := len(l.connections)
@@ -142,11 +143,12 @@
 	return l.connections[slot].state
 }
 
-// Count returns how many connections are in a state.
+// Count returns the number of connections in a state.
 func (l *Limiter) Count(state State) int { return int(l.queues[state].count) }
 
-// firstIn returns the slot that has been in a state for longest, -1 if there is none.
+// firstIn returns the slot of the connection that entered a state first, -1 if there is none.
 func (l *Limiter) firstIn(state State) int32 { return l.queues[state].first - 1 }
 
-// nextInState returns the slot that follows another in the queue of their state, -1 after the last.
+// nextInState returns the slot of the next connection in the queue of the same state, -1 after the
+// last.
 func (l *Limiter) nextInState(slot int32) int32 { return l.connections[slot].stateLinks.next - 1 }
--- a/internal/policy/connlimit/model_test.go
+++ b/internal/policy/connlimit/model_test.go
@@ -10,11 +10,11 @@
 	"pgregory.net/rapid"
 )
 
-// modelConnection is a connection as the model knows it: facts, and no queue.
+// modelConnection is a connection in the model, described by facts instead of a state and queues.
 type modelConnection struct {
 	slot         int32
-	order        int // in which the timeout of its state began
-	since        float64
+	timeoutOrder int     // rank among all timeouts by when they were started
+	since        float64 // when the timeout was started
 	lastHeard    float64
 	sentValid    bool
 	hasPartial   bool
@@ -36,19 +36,20 @@
 	return StateIdle
 }
 
-// model is the plain model of a limiter without rules: it looks at all connections each time.
+// model is a simple reference model of a limiter without rules. It examines all connections for each
+// decision.
 type model struct {
 	connections map[int32]*modelConnection
 	idleTimeout float64
 	draining    bool
 	nextBatchAt float64
-	order       int
+	timeouts    int // number of timeouts started so far
 }
 
-// begin begins the timeout of a connection's state.
-func (m *model) begin(c *modelConnection, now float64) {
-	m.order++
-	c.order = m.order
+// startTimeout starts the timeout of a connection's state.
+func (m *model) startTimeout(c *modelConnection, now float64) {
+	m.timeouts++
+	c.timeoutOrder = m.timeouts
 	c.since = now
 }
 
@@ -83,9 +84,9 @@
 	return list
 }
 
-func all(*modelConnection) bool { return true }
+func anyConnection(*modelConnection) bool { return true }
 
-func byOrder(a, b *modelConnection) int { return cmp.Compare(a.order, b.order) }
+func byTimeoutOrder(a, b *modelConnection) int { return cmp.Compare(a.timeoutOrder, b.timeoutOrder) }
 
 func byLastHeard(a, b *modelConnection) int { return cmp.Compare(a.lastHeard, b.lastHeard) }
 
@@ -98,7 +99,7 @@
 	timedOut := m.sorted(
 		func(c *modelConnection) bool { return now >= c.since+m.timeout(c.state()) },
 		func(a, b *modelConnection) int {
-			return cmp.Or(cmp.Compare(rank[a.state()], rank[b.state()]), byOrder(a, b))
+			return cmp.Or(cmp.Compare(rank[a.state()], rank[b.state()]), byTimeoutOrder(a, b))
 		})
 	if now < m.nextBatchAt {
 		return nil
@@ -108,7 +109,7 @@
 		if previous == StateIdle || m.draining && previous != StateAskedToClose {
 			c.askedToClose = true
 			decisions = append(decisions, Decision{c.slot, CommandAskToClose, previous})
-			m.begin(c, now)
+			m.startTimeout(c, now)
 		} else {
 			decisions = append(decisions, Decision{c.slot, CommandClose, previous})
 		}
@@ -119,7 +120,7 @@
 	return decisions
 }
 
-// handleEvent takes on an event by the facts that it changes.
+// handleEvent updates the facts that an event changes.
 func (m *model) handleEvent(c *modelConnection, event Event, now float64) {
 	previous := c.state()
 	switch event {
@@ -142,23 +143,24 @@
 		c.lastHeard = now
 	}
 	if c.state() != previous || c.state() == StateIdle {
-		m.begin(c, now)
+		m.startTimeout(c, now)
 	}
 }
 
-// startDrain returns the slots with an open request that were not asked to close.
+// startDrain returns the slots of connections with an open request whose peers were not asked to close
+// them yet.
 func (m *model) startDrain() (active []int32) {
 	m.draining = true
 	notAsked := func(c *modelConnection) bool { return c.active && !c.askedToClose }
-	for _, c := range m.sorted(notAsked, byOrder) {
+	for _, c := range m.sorted(notAsked, byTimeoutOrder) {
 		c.askedToClose = true
 		active = append(active, c.slot)
 	}
 	return active
 }
 
-// evictionGroup returns 0 for a silent new connection, 1 for one that sent something and 2 for one
-// whose first message may be on its way.
+// evictionGroup returns 0 for a silent new connection, 1 for a connection that sent something and 2
+// for one whose first message may still be in transit.
 func (c *modelConnection) evictionGroup(now float64) int {
 	switch {
 	case c.state() != StateNew:
@@ -169,7 +171,8 @@
 	return 2
 }
 
-// evictionRank is by what candidates are ranked; of equal ones either may go.
+// evictionRank is the key by which candidates are ordered. Candidates with equal keys may come in any
+// order.
 type evictionRank struct {
 	group int
 	time  float64
@@ -190,7 +193,7 @@
 			if a.evictionGroup(now) == 1 && b.evictionGroup(now) == 1 {
 				return byLastHeard(a, b)
 			}
-			return cmp.Or(cmp.Compare(a.evictionGroup(now), b.evictionGroup(now)), byOrder(a, b))
+			return cmp.Or(cmp.Compare(a.evictionGroup(now), b.evictionGroup(now)), byTimeoutOrder(a, b))
 		})
 	for _, c := range candidates {
 		ranks = append(ranks, c.evictionRank(now))
@@ -198,20 +201,20 @@
 	return ranks
 }
 
-// sortedByState reports whether, in each state, who was heard earlier entered it earlier: then the
-// order of the candidates is exact. It is not where connections were asked to close out of turn, or
-// a partial message was followed by more of it.
+// sortedByState reports whether, in each state, the order of entering it is also the order of
+// lastHeard. Only then is the limiter's order of candidates exact. The orders differ if peers were
+// asked to close connections in another order, or if more parts of a partial message arrived.
 func (m *model) sortedByState() bool {
 	for _, state := range timedStates {
 		inState := func(c *modelConnection) bool { return c.state() == state }
-		if !slices.IsSortedFunc(m.sorted(inState, byOrder), byLastHeard) {
+		if !slices.IsSortedFunc(m.sorted(inState, byTimeoutOrder), byLastHeard) {
 			return false
 		}
 	}
 	return true
 }
 
-// modelRun plays drawn steps against the model and a limiter, and compares them.
+// modelRun executes drawn steps on the model and on a limiter, and compares them.
 type modelRun struct {
 	*rapid.T
 	model   *model
@@ -243,16 +246,16 @@
 	})
 }
 
-// pick draws a connection, nil where there is none.
+// pick draws a connection, nil if there is none.
 func (r *modelRun) pick() *modelConnection {
 	if len(r.model.connections) == 0 {
 		return nil
 	}
-	list := r.model.sorted(all, func(a, b *modelConnection) int { return cmp.Compare(a.slot, b.slot) })
+	list := r.model.sorted(anyConnection, func(a, b *modelConnection) int { return cmp.Compare(a.slot, b.slot) })
 	return rapid.SampledFrom(list).Draw(r.T, "connection")
 }
 
-// step takes a drawn step and reports whether it was one.
+// step executes a drawn step and reports whether it was applicable.
 func (r *modelRun) step() bool {
 	switch rapid.IntRange(0, 9).Draw(r.T, "step") {
 	case 0, 1:
@@ -274,14 +277,14 @@
 		if rapid.IntRange(0, 9).Draw(r.T, "drains") == 0 {
 			active := r.model.startDrain()
 			if got := r.limiter.StartDrain(); !slices.Equal(got, active) {
-				r.Fatalf("active %v, want %v", got, active)
+				r.Fatalf("StartDrain returned slots %v, want %v", got, active)
 			}
 		}
 	}
 	return true
 }
 
-// open opens some connections, at the lowest free slots.
+// open opens a drawn number of connections at the lowest free slots.
 func (r *modelRun) open() {
 	for range rapid.SampledFrom([]int{1, 2, 20}).Draw(r.T, "how many") {
 		slot := int32(0)
@@ -289,7 +292,7 @@
 			slot++
 		}
 		c := &modelConnection{slot: slot, lastHeard: r.now}
-		r.model.begin(c, r.now)
+		r.model.startTimeout(c, r.now)
 		r.model.connections[slot] = c
 		r.limiter.HandleOpen(slot, r.now)
 	}
@@ -300,12 +303,13 @@
 	r.limiter.HandleClosed(slot)
 }
 
-// handleEvent has a connection meet a drawn event, and reports whether it was one that can be.
+// handleEvent applies a drawn event to a connection and reports whether the event is possible in its
+// state.
 func (r *modelRun) handleEvent(c *modelConnection) bool {
 	events := []Event{EventRequest, EventMessage, EventPartialMessage, EventRequestOpened, EventRequestsDone}
 	event := rapid.SampledFrom(events).Draw(r.T, "event")
 	if (event == EventRequestsDone) != c.active && (event == EventRequestsDone || event == EventRequestOpened) {
-		return false // nothing is open, or it is already
+		return false // no request is open, or one is open already
 	}
 	r.model.handleEvent(c, event, r.now)
 	r.limiter.HandleEvent(c.slot, event, r.now)
@@ -317,17 +321,17 @@
 	wakeup := r.limiter.NextWakeup()
 	got := slices.Clone(r.limiter.TakeDecisions(r.now))
 	if !reflect.DeepEqual(got, want) && len(got)+len(want) > 0 {
-		r.Fatalf("at %v: %+v, want %+v", r.now, got, want)
+		r.Fatalf("decisions at %v s are %+v, want %+v", r.now, got, want)
 	}
 	if (len(got) > 0) != (wakeup <= r.now) {
-		r.Fatalf("%d decisions at %v, next wakeup was %v", len(got), r.now, wakeup)
+		r.Fatalf("%d decisions at %v s with next wakeup at %v s, want some only from the wakeup on", len(got), r.now, wakeup)
 	}
 	for _, decision := range got {
 		if decision.Command != CommandClose {
 			continue
 		}
 		if rapid.Bool().Draw(r.T, "unread data") {
-			r.model.begin(r.model.connections[decision.Slot], r.now)
+			r.model.startTimeout(r.model.connections[decision.Slot], r.now)
 			r.limiter.HandleEvent(decision.Slot, EventUnreadData, r.now)
 		} else {
 			r.close(decision.Slot)
@@ -340,12 +344,12 @@
 	for slot, c := range r.model.connections {
 		counts[c.state()]++
 		if r.limiter.State(slot) != c.state() {
-			r.Fatalf("%d is %v, want %+v", slot, r.limiter.State(slot), c)
+			r.Fatalf("slot %d is in state %v, want %v: %+v", slot, r.limiter.State(slot), c.state(), c)
 		}
 	}
 	for state := range stateCount {
 		if r.limiter.Count(state) != counts[state] {
-			r.Fatalf("%d in state %v, want %d", r.limiter.Count(state), state, counts[state])
+			r.Fatalf("%d connections in state %v, want %d", r.limiter.Count(state), state, counts[state])
 		}
 	}
 }
@@ -357,7 +361,7 @@
 	}
 	want := r.model.evictionCandidates(r.now)
 	if !r.model.draining && r.model.sortedByState() && !slices.Equal(got, want) {
-		r.Fatalf("candidates %v, want %v", got, want)
+		r.Fatalf("candidates by rank %v, want %v", got, want)
 	}
 	if len(got) != len(want) {
 		r.Fatalf("%d candidates, want %d", len(got), len(want))
--- a/internal/policy/connlimit/pacing.go
+++ b/internal/policy/connlimit/pacing.go
@@ -7,36 +7,37 @@
 )
 
 const (
-	// arrivalBurst is the capacity of the token bucket, in seconds of its rate: after a failure
-	// half of all balancers reconnect within a second.
-	arrivalBurst = 2
-	// initialArrivalCost is the cost of an arrival, in CPU seconds, that is assumed before one was
-	// measured, and the most that is assumed later: twice what one machine took (40 to 60 us).
-	initialArrivalCost = 100e-6
-	// minArrivalCost is the least cost of an arrival that is assumed, in CPU seconds.
-	minArrivalCost = 1e-6
-	// arrivalsPerSample is how many arrivals make a sample of their cost: in a smaller one, other
-	// work of the core would weigh more.
+	// arrivalBurstSeconds is the capacity of the token bucket, as the time in which the rate fills
+	// it. It allows a burst because after a failure half of all balancers reconnect within a second.
+	arrivalBurstSeconds = 2
+	// initialArrivalCPUSeconds is the CPU time of an arrival that is assumed before the first sample,
+	// and its upper bound later: twice the usual cost of 40 to 60 us.
+	initialArrivalCPUSeconds = 100e-6
+	// minArrivalCPUSeconds is the lower bound of the CPU time of an arrival.
+	minArrivalCPUSeconds = 1e-6
+	// arrivalsPerSample is the minimum number of arrivals in a sample of their CPU time. In a smaller
+	// sample, other work on the core would distort the result more.
 	arrivalsPerSample = 50
-	// costBuckets times costBucketWidth, in seconds, is the window of the least cost.
-	costBuckets     = 10
-	costBucketWidth = 1.0
+	// costBuckets buckets of costBucketSeconds each are the window over which the minimum cost is
+	// taken.
+	costBuckets       = 10
+	costBucketSeconds = 1.0
 )
 
-// arrivalTokens is the token bucket of an address's or a prefix's new connections. Each call passes
-// the rate, as that changes with rules and trust.
+// arrivalTokens is the token bucket that limits the rate of new connections of an address or a
+// prefix. The rate is passed with each call, because it changes with the rules and with trust.
 type arrivalTokens struct {
 	tokens    float64
-	updatedAt float64 // when tokens was right, s; before the first arrival -Inf
+	updatedAt float64 // the time for which tokens is valid, s; -Inf before the first arrival
 }
 
-// take takes a token for an arrival, and reports whether there was one. A rate of 0 is no limit.
+// take takes a token for an arrival and reports whether there was one. A rate of 0 means no limit.
 func (b *arrivalTokens) take(now, rate float64) bool {
 	if rate == 0 {
 		return true
 	}
-	capacity := max(1, arrivalBurst*rate)
-	b.tokens = min(capacity, b.tokens+max(0, min(now-b.updatedAt, arrivalBurst))*rate)
+	capacity := max(1, arrivalBurstSeconds*rate)
+	b.tokens = min(capacity, b.tokens+max(0, min(now-b.updatedAt, arrivalBurstSeconds))*rate)
 	if math.IsInf(b.updatedAt, -1) {
 		b.tokens = capacity
 	}
@@ -48,22 +49,22 @@
 	return true
 }
 
-// arrivalCost measures the CPU time of a new connection.
+// arrivalCost measures the CPU time that an arriving connection costs.
 type arrivalCost struct {
 	costs   timewindow.Minimum // CPU seconds per arrival
 	count   int                // arrivals since the last sample
-	cpuTime float64            // of the server at the last sample, s
+	cpuTime float64            // CPU time used by the server at the last sample, s
 }
 
-// ObserveCPUTime records how many CPU seconds the server has used so far. The cost of an arrival is
-// the least CPU time per arrival of the recent samples. It includes other work, of which there is
-// little in a storm of arrivals.
+// ObserveCPUTime records the CPU time, in seconds, that the server has used since it started. The cost
+// of an arrival is estimated as the minimum CPU time per arrival over the recent samples. It includes
+// other work of the server, but little of that is done while many connections arrive.
 func (l *Limiter) ObserveCPUTime(cpuTime, now float64) {
 	arrivals := &l.clientPolicy.arrivals
 	switch {
 	case arrivals.count >= arrivalsPerSample:
 		cost := (cpuTime - arrivals.cpuTime) / float64(arrivals.count)
-		arrivals.costs.Observe(now, max(minArrivalCost, cost))
+		arrivals.costs.Observe(now, max(minArrivalCPUSeconds, cost))
 		arrivals.count = 0
 		arrivals.cpuTime = cpuTime
 	case arrivals.count == 0:
@@ -71,9 +72,9 @@
 	}
 }
 
-// AcceptRate returns how many connections a second may be accepted within the CPU share of the rules.
+// AcceptRate returns how many connections per second the server can accept within Rules.CPUShare.
 func (l *Limiter) AcceptRate(now float64) float64 {
-	cost := initialArrivalCost
+	cost := initialArrivalCPUSeconds
 	if least := l.clientPolicy.arrivals.costs.Value(now); least > 0 {
 		cost = min(cost, least)
 	}
--- a/internal/policy/connlimit/pressure_test.go
+++ b/internal/policy/connlimit/pressure_test.go
@@ -5,7 +5,9 @@
 	"testing"
 )
 
-func TestHandleDescriptorShortage_LeavesAQuarterAndIsRestored(t *testing.T) {
+// Repeated descriptor shortages lower the limit on connections to a quarter of MaxConnections and no
+// further. After the shortage the limit rises again by a slot per second.
+func TestHandleDescriptorShortage_KeepsQuarterOfSlotsThenRestores(t *testing.T) {
 	s := defaultSimulation(t)
 	trusted := netip.MustParseAddr("10.9.1.1")
 	for i := range 30 {
@@ -21,17 +23,19 @@
 		for s.limiter.ExcessCount() > 0 {
 			for slot := range s.limiter.ExcessConnections(s.now) {
 				if s.isTrusted(s.connections[slot].addr) && len(s.connections)-s.admittedTrusted() > 0 {
-					t.Fatal("a trusted one goes before the untrusted")
+					t.Fatalf("connection of trusted address %v is to be closed while untrusted ones are open",
+						s.connections[slot].addr)
 				}
 				s.close(slot)
 				break
 			}
 		}
 		s.rules.MaxConnections = s.limiter.clientPolicy.slots.limit
-		s.check()
+		s.checkInvariants()
 	}
 	if s.limiter.clientPolicy.slots.limit != 10 || s.limiter.clientPolicy.admitted > 10 {
-		t.Errorf("%d slots, %d admitted", s.limiter.clientPolicy.slots.limit, s.limiter.clientPolicy.admitted)
+		t.Errorf("limit %d with %d admitted, want limit 10 with at most 10 admitted",
+			s.limiter.clientPolicy.slots.limit, s.limiter.clientPolicy.admitted)
 	}
 	for range 31 {
 		s.now++
@@ -39,6 +43,6 @@
 		s.rules.MaxConnections = s.limiter.clientPolicy.slots.limit + 1
 	}
 	if s.limiter.clientPolicy.slots.limit != 40 {
-		t.Errorf("%d slots are restored", s.limiter.clientPolicy.slots.limit)
+		t.Errorf("limit is %d after the shortage, want 40", s.limiter.clientPolicy.slots.limit)
 	}
 }
--- a/internal/policy/connlimit/reputation_test.go
+++ b/internal/policy/connlimit/reputation_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-func TestReputation_EarnedByRequestsOverTimeAndForgotten(t *testing.T) {
+func TestReputation_EarnedOverTimeAndExpires(t *testing.T) {
 	s := defaultSimulation(t)
 	gateway := netip.MustParseAddr("10.1.1.1")
 	slot, _ := s.arrive(gateway)
-	for i := range 9 { // health checks, and a burst of requests: neither earns it
+	for i := range 9 { // neither health checks nor a burst of requests earn trust
 		s.limiter.HandleEvent(slot, EventRequest, s.now)
 		s.openRequest(slot)
 		s.completeRequest(slot)
 		if s.isTrusted(gateway) {
-			t.Fatalf("trusted after %d requests at once", i+1)
+			t.Fatalf("%v is trusted after %d requests at the same time", gateway, i+1)
 		}
 	}
 	for range 2 {
@@ -23,26 +23,27 @@
 		s.completeRequest(slot)
 	}
 	if !s.isTrusted(gateway) || !s.isTrusted(netip.MustParseAddr("::ffff:10.1.1.1")) {
-		t.Fatal("not trusted after three seconds of requests, or not as the same address mapped")
+		t.Fatalf("after requests in three seconds, %v or its IPv4-mapped IPv6 form is not trusted", gateway)
 	}
 	s.close(slot)
-	for i := range 100_000 { // a flood from ever new addresses goes through the table
+	for i := range 100_000 { // a flood of new addresses passes through the table
 		s.now += 0.0001
 		s.limiter.HandleArrival(0, netip.AddrFrom4([4]byte{11, byte(i >> 16), byte(i >> 8), byte(i)}), s.now)
 		s.limiter.HandleClosed(0)
 	}
 	if !s.isTrusted(gateway) {
-		t.Error("displaced by untrusted clients")
+		t.Errorf("%v lost its trust to a flood of untrusted addresses", gateway)
 	}
 	s.now += 3000
 	s.arrive(gateway)
 	if s.isTrusted(gateway) {
-		t.Error("trusted for ever")
+		t.Errorf("%v is still trusted after 3000 s without a request", gateway)
 	}
 }
 
-// Reports take no room of those trusted here, are not passed on, and end unless requests are done
-// here.
+// Trust that other servers reported must not be reported on, or servers could keep it alive for each
+// other, and must end after a half-life without requests on this server. Reports must not fill more
+// than half of the table.
 func TestAddTrustedClients_TrustEndsWithoutRequests(t *testing.T) {
 	addr := func(n byte) netip.Addr { return netip.AddrFrom4([4]byte{10, 0, 0, n}) }
 	limiter := NewWithRules(60, Rules{
@@ -59,7 +60,7 @@
 		CPUShare:            1,
 	})
 	if n := limiter.AddTrustedClients([]TrustedClient{{addr(1), 1e9}, {addr(2), 3}, {addr(3), 1}}, 0); n != 2 {
-		t.Fatalf("%d of three were accepted; one has too little", n)
+		t.Fatalf("%d of three clients accepted, want 2: the credit of one is too low", n)
 	}
 	isTrusted := func(now float64, addr netip.Addr) bool {
 		limiter.HandleArrival(0, addr, now)
@@ -67,19 +68,19 @@
 		return limiter.clientPolicy.addresses.entries[limiter.connections[0].addressNumber-1].trusted
 	}
 	if !isTrusted(1, addr(1)) || !isTrusted(1, addr(2)) || isTrusted(1, addr(3)) {
-		t.Error("who is trusted is not who earned it elsewhere")
+		t.Error("want the two clients with enough reported credit trusted, and the third not")
 	}
 	if clients := limiter.TrustedClients(1, 10); len(clients) != 0 {
-		t.Errorf("reports are passed on: %v", clients)
+		t.Errorf("TrustedClients returned %v, want none: they earned no trust on this server", clients)
 	}
 	if isTrusted(101, addr(1)) {
-		t.Error("trusted by reports for more than a half-life")
+		t.Errorf("%v is still trusted one half-life after the report, without a request", addr(1))
 	}
 	var many []TrustedClient
 	for n := range 200 {
 		many = append(many, TrustedClient{netip.AddrFrom4([4]byte{10, 1, 0, byte(n)}), 3})
 	}
 	if n := limiter.AddTrustedClients(many, 102); n != 32 {
-		t.Errorf("%d of 64 places went to reports", n)
+		t.Errorf("%d reported clients accepted, want 32 of the 64 remembered addresses", n)
 	}
 }
--- a/internal/policy/connlimit/rules.go
+++ b/internal/policy/connlimit/rules.go
@@ -7,44 +7,44 @@
 	"swiftcourse/internal/timewindow"
 )
 
-// Rules are the operator's limits on connections. A limit of 0 is none.
+// Rules are the operator's rules for admitting connections. A limit of 0 means no limit.
 type Rules struct {
-	MaxConnections int // connections that are admitted
-	ReservedSlots  int // of these, the ones that untrusted addresses can't keep from trusted ones
+	MaxConnections int // limit on admitted connections
+	ReservedSlots  int // slots of MaxConnections that are reserved for trusted addresses
 
-	// Limits of an untrusted address, of which a trusted one has trustedLimitFactor times as much, and
-	// of all untrusted addresses of a prefix together.
+	// Limits of an untrusted address, and of all untrusted addresses of a prefix together. The
+	// per-address limits of a trusted address are trustedLimitFactor times as high.
 	MaxPerAddress  int     // connections
 	MaxPerPrefix   int     // connections
-	RatePerAddress float64 // new connections a second
-	RatePerPrefix  float64 // new connections a second
+	RatePerAddress float64 // new connections per second
+	RatePerPrefix  float64 // new connections per second
 
-	IPv4PrefixBits  int            // bits of an IPv4 prefix
-	IPv6PrefixBits  int            // bits of an IPv6 prefix
-	TrustedPrefixes []netip.Prefix // always trusted, and without limits
+	IPv4PrefixBits  int            // length of an IPv4 prefix
+	IPv6PrefixBits  int            // length of an IPv6 prefix
+	TrustedPrefixes []netip.Prefix // always trusted, and exempt from the limits above
 
-	HoldingSlots        int     // connections held until their first request is rejected
-	RememberedAddresses int     // addresses, and prefixes, remembered without a connection
-	TrustThreshold      int     // completed requests, one a second at most, that make an address trusted
+	HoldingSlots        int     // connections that may be held until their first request is rejected
+	RememberedAddresses int     // addresses without a connection to remember; as many prefixes
+	TrustThreshold      int     // completed requests, counting one per second, that make an address trusted
 	CreditHalfLife      float64 // half-life of an address's credit, s
 
-	MinRetryAfter float64 // the least time to retry after, s
-	MaxRetryAfter float64 // the greatest, s
+	MinRetryAfter float64 // shortest retry-after time, s
+	MaxRetryAfter float64 // longest retry-after time, s
 
 	CPUShare float64 // fraction of a core that accepting connections may use
-	Seed     int64   // of the jitter of the time to retry after
+	Seed     int64   // seed of the retry-after jitter
 }
 
-// RejectReason is why a connection was not admitted, or Admitted.
+// RejectReason is the reason why a connection was not admitted, or Admitted.
 type RejectReason uint8
 
-// The results of HandleArrival.
+// The reject reasons.
 const (
-	Admitted          RejectReason = iota // it was admitted
-	RateLimited                           // its address or prefix opens connections too often
-	OverCap                               // its address or prefix holds as many as it may
-	NoFreeSlot                            // no slot is free for it without an eviction
-	HoldingAreaFull                       // the holding area is full as well: to be closed at once
+	Admitted          RejectReason = iota // the connection was admitted
+	RateLimited                           // its address or prefix is over its rate of new connections
+	OverCap                               // its address or prefix has reached its limit on connections
+	NoFreeSlot                            // it can't be admitted without an eviction
+	HoldingAreaFull                       // it can't be held either and must be closed immediately
 	rejectReasonCount                     // number of reasons
 )
 
@@ -64,24 +64,24 @@
 	return rejectReasonNames[r]
 }
 
-// clientPolicy is the state of a limiter with rules: what it knows of client addresses and slots.
+// clientPolicy is the additional state of a limiter with rules: the rules, client addresses and slots.
 type clientPolicy struct {
 	rules           Rules
 	addresses       *addressTable
 	prefixes        *addressTable
-	admitted        int // connections
+	admitted        int // admitted connections
 	activeUntrusted int // admitted connections of untrusted addresses with an open request
-	slots           slots
+	slots           slotLimit
 	arrivals        arrivalCost
 	rejections      [rejectReasonCount]int
-	jitterDraws     uint32 // how many times jitter was drawn
-	trustChanged    bool   // since the last call of TrustedAddresses
+	jitterDraws     uint32 // number of jitter values drawn so far
+	trustChanged    bool   // whether trust changed since the last call of TrustedAddresses
 }
 
-// NewWithRules returns a limiter with rules, for connections that may be idle for idleTimeout seconds. It
-// allocates the memory for all of its addresses.
+// NewWithRules returns a limiter with rules. Connections may be idle for idleTimeout seconds. It
+// allocates the memory for all addresses up front.
 func NewWithRules(idleTimeout float64, rules Rules) *Limiter {
-	// Trusted addresses may overflow the holding area for a moment.
+	// Connections of trusted addresses may temporarily exceed the size of the holding area.
 	const heldFactor, spare = 4, 64
 	connections := rules.MaxConnections + heldFactor*rules.HoldingSlots + spare
 	limiter := New(idleTimeout)
@@ -89,8 +89,8 @@
 		rules:     rules,
 		addresses: newAddressTable(connections, rules.RememberedAddresses),
 		prefixes:  newAddressTable(connections, rules.RememberedAddresses),
-		slots:     slots{limit: rules.MaxConnections},
-		arrivals:  arrivalCost{costs: timewindow.NewMinimum(costBuckets, costBucketWidth, 0)},
+		slots:     slotLimit{limit: rules.MaxConnections},
+		arrivals:  arrivalCost{costs: timewindow.NewMinimum(costBuckets, costBucketSeconds, 0)},
 	}
 	return limiter
 }
@@ -98,8 +98,8 @@
 // HasRules reports whether the limiter has rules.
 func (l *Limiter) HasRules() bool { return l.clientPolicy != nil }
 
-// ApplyRules replaces the rules of a limiter that has some. It reports whether all of the new ones
-// apply: table sizes, slots and prefix lengths stay as they are until a restart.
+// ApplyRules replaces the rules of a limiter that was made with rules. It reports whether all of the
+// new rules apply: table sizes, MaxConnections and prefix lengths don't change until a restart.
 func (l *Limiter) ApplyRules(rules Rules) (complete bool) {
 	policy := l.clientPolicy
 	complete = l.CanApply(rules)
@@ -119,7 +119,7 @@
 	return complete
 }
 
-// CanApply reports whether ApplyRules would apply all of the rules.
+// CanApply reports whether ApplyRules would apply all of the given rules.
 func (l *Limiter) CanApply(rules Rules) bool {
 	current := l.clientPolicy.rules
 	return rules.IPv4PrefixBits == current.IPv4PrefixBits &&
@@ -129,7 +129,7 @@
 		rules.MaxConnections == l.clientPolicy.slots.limit
 }
 
-// TrustedPrefixes returns the prefixes that the rules name as trusted, nil without rules.
+// TrustedPrefixes returns Rules.TrustedPrefixes, nil for a limiter without rules.
 func (l *Limiter) TrustedPrefixes() []netip.Prefix {
 	if l.clientPolicy == nil {
 		return nil
--- a/internal/policy/connlimit/simulation_test.go
+++ b/internal/policy/connlimit/simulation_test.go
@@ -31,8 +31,8 @@
 // numberedAddr returns the address of the nth untrusted client; each has its own prefix of 24 bits.
 func numberedAddr(n int) netip.Addr { return netip.AddrFrom4([4]byte{11, byte(n), 0, 1}) }
 
-// simulation plays connections against a limiter with rules, as the server would, and checks what
-// must hold after each step.
+// simulation drives a limiter with rules as the server does, and checks the invariants after each
+// step.
 type simulation struct {
 	fataler
 	limiter     *Limiter
@@ -77,18 +77,19 @@
 	}
 	isHeld := !c.admitted && reason != HoldingAreaFull
 	if isHeld && (retryAfter < s.rules.MinRetryAfter || retryAfter > s.rules.MaxRetryAfter) {
-		s.Fatalf("retry after %v", retryAfter)
+		s.Fatalf("retry after is %v s, want from %v to %v s", retryAfter, s.rules.MinRetryAfter, s.rules.MaxRetryAfter)
 	}
-	s.check()
+	s.checkInvariants()
 	return slot, c.admitted
 }
 
-// evictFor admits a connection in the place of another, or rejects it.
+// evictFor evicts a connection to admit the one at a slot, or rejects that one if there is no
+// candidate.
 func (s *simulation) evictFor(slot int32) (retryAfter float64) {
 	c := s.connections[slot]
-	holding := s.count(c.addr)
+	admittedOfAddress := s.count(c.addr)
 	for victim := range s.limiter.EvictionCandidatesFor(slot, s.now) {
-		s.checkFair(c, holding, victim)
+		s.checkEviction(c, admittedOfAddress, victim)
 		s.close(victim)
 		s.limiter.Admit(slot, s.now)
 		c.admitted = true
@@ -96,31 +97,33 @@
 	}
 	retryAfter = s.limiter.Reject(slot, NoFreeSlot, s.now)
 	if s.isTrusted(c.addr) && s.admittedTrusted() < s.rules.ReservedSlots {
-		s.Fatalf("%v is trusted and has no slot, with %d of %d reserved",
+		s.Fatalf("trusted address %v was rejected while trusted addresses use %d of %d reserved slots",
 			c.addr, s.admittedTrusted(), s.rules.ReservedSlots)
 	}
 	return retryAfter
 }
 
-// checkFair checks that a victim may go for another, whose address holds so many.
-func (s *simulation) checkFair(c *simulatedConnection, holding int, victim int32) {
+// checkEviction checks that a victim may be evicted for c, whose address has the given number of
+// admitted connections.
+func (s *simulation) checkEviction(c *simulatedConnection, admittedOfAddress int, victim int32) {
 	v := s.connections[victim]
 	record := s.limiter.connections[victim]
-	isSilentNew := record.state == StateNew && s.now-record.stateSince > firstMessageDelay
+	isSilentNew := record.state == StateNew && s.now-record.stateSince > firstMessageDelaySeconds
 	trusted := s.isTrusted(v.addr)
 	sameKind := trusted == s.isTrusted(c.addr) && v.addr != c.addr
 	switch {
 	case v.active || !v.admitted:
-		s.Fatalf("%+v goes", v)
+		s.Fatalf("evicted %+v, want an admitted connection without an open request", v)
 	case trusted && !s.isTrusted(c.addr):
-		s.Fatalf("%v, which is trusted, goes for an untrusted one", v.addr)
-	case sameKind && s.count(v.addr) <= holding && (!isSilentNew || trusted):
-		s.Fatalf("%v with %d goes for %v with %d", v.addr, s.count(v.addr), c.addr, holding)
+		s.Fatalf("evicted a connection of trusted address %v for untrusted address %v", v.addr, c.addr)
+	case sameKind && s.count(v.addr) <= admittedOfAddress && (!isSilentNew || trusted):
+		s.Fatalf("evicted a connection of %v, which has %d, for %v, which has %d",
+			v.addr, s.count(v.addr), c.addr, admittedOfAddress)
 	}
 }
 
 func (s *simulation) entry(addr netip.Addr) *addressEntry {
-	id := s.limiter.clientPolicy.addresses.find(newKey(addr, ipv4Bits, ipv6Bits))
+	id := s.limiter.clientPolicy.addresses.find(newAddressKey(addr, ipv4Bits, ipv6Bits))
 	if id < 0 {
 		return nil
 	}
@@ -133,7 +136,7 @@
 }
 
 func (s *simulation) prefixKey(addr netip.Addr) addressKey {
-	return newKey(addr, s.rules.IPv4PrefixBits, s.rules.IPv6PrefixBits)
+	return newAddressKey(addr, s.rules.IPv4PrefixBits, s.rules.IPv6PrefixBits)
 }
 
 func (s *simulation) count(addr netip.Addr) (n int) {
@@ -159,8 +162,9 @@
 	delete(s.connections, slot)
 }
 
-// maintain does what the limiter decides.
-func (s *simulation) maintain() {
+// applyDecisions takes a batch of decisions and closes the connections that the limiter decided to
+// close.
+func (s *simulation) applyDecisions() {
 	for _, decision := range slices.Clone(s.limiter.TakeDecisions(s.now)) {
 		if decision.Command == CommandClose {
 			s.close(decision.Slot)
@@ -168,7 +172,7 @@
 	}
 }
 
-// openRequest has a connection open a request, where it may.
+// openRequest opens a request on a connection if the limiter allows it.
 func (s *simulation) openRequest(slot int32) {
 	c := s.connections[slot]
 	if !s.limiter.MayOpenRequest(slot) {
@@ -179,21 +183,21 @@
 	c.active = true
 	limit := s.rules.MaxConnections - s.rules.ReservedSlots
 	if active := s.limiter.clientPolicy.activeUntrusted; !s.isTrusted(c.addr) && active > limit {
-		s.Fatalf("untrusted clients have %d requests open, %d at most", active, limit)
+		s.Fatalf("%d connections of untrusted addresses have an open request, want at most %d", active, limit)
 	}
-	s.check()
+	s.checkInvariants()
 }
 
-// completeRequest has the open request of a connection done.
+// completeRequest completes the open request of a connection.
 func (s *simulation) completeRequest(slot int32) {
 	s.connections[slot].active = false
 	s.limiter.HandleRequestDone(slot, s.now)
 	s.limiter.HandleEvent(slot, EventRequestsDone, s.now)
-	s.check()
+	s.checkInvariants()
 }
 
-// check recounts all from the facts.
-func (s *simulation) check() {
+// checkInvariants compares the limiter's counts with those of the simulated connections.
+func (s *simulation) checkInvariants() {
 	admitted, activeUntrusted := 0, 0
 	perAddress := map[netip.Addr]int{}
 	untrusted := map[addressKey]int{}
@@ -213,15 +217,16 @@
 	}
 	policy := s.limiter.clientPolicy
 	if admitted != policy.admitted || admitted > s.rules.MaxConnections || activeUntrusted != policy.activeUntrusted {
-		s.Fatalf("%d admitted of %d, %d untrusted active; the limiter has %d and %d",
-			admitted, s.rules.MaxConnections, activeUntrusted, policy.admitted, policy.activeUntrusted)
+		s.Fatalf("limiter counts %d admitted and %d active untrusted connections, want %d (at most %d) and %d",
+			policy.admitted, policy.activeUntrusted, admitted, s.rules.MaxConnections, activeUntrusted)
 	}
 	for addr, n := range perAddress {
 		entry := s.entry(addr)
-		ofPrefix := int(policy.prefixes.entries[entry.prefix].untrusted)
+		ofPrefix := int(policy.prefixes.entries[entry.prefixIndex].untrusted)
 		tooMany := entry.evictable.count+entry.active > entry.admitted
 		if int(entry.admitted) != n || tooMany || ofPrefix != untrusted[s.prefixKey(addr)] {
-			s.Fatalf("%v: %+v, want %d connections", addr, entry, n)
+			s.Fatalf("entry of %v is %+v, with %d untrusted connections of its prefix; want %d connections and %d",
+				addr, entry, ofPrefix, n, untrusted[s.prefixKey(addr)])
 		}
 	}
 }
--- a/internal/policy/connlimit/state.go
+++ b/internal/policy/connlimit/state.go
@@ -7,15 +7,15 @@
 
 // The states of a connection.
 const (
-	StateClosed         State = iota // no connection has the slot
-	StateNew                         // has sent nothing valid yet
-	StateIdle                        // has sent something valid, and has no open request
-	StatePartialMessage              // like StateIdle, and part of a message was received
-	StateActive                      // has an open request
-	StateAskedToClose                // the peer was asked to close it
-	StateClosing                     // the decision to close it was made
-	StateHeld                        // accepted but not admitted: its requests are rejected
-	StateRejected                    // like StateHeld, and its request was rejected: closed next
+	StateClosed         State = iota // the slot is free
+	StateNew                         // the peer has sent nothing valid yet
+	StateIdle                        // the peer has sent something valid; no request is open
+	StatePartialMessage              // like StateIdle, but part of a message was received
+	StateActive                      // a request is open
+	StateAskedToClose                // the peer was asked to close the connection
+	StateClosing                     // the limiter decided to close the connection
+	StateHeld                        // in the holding area: accepted but not admitted, its requests are rejected
+	StateRejected                    // like StateHeld, but a request was rejected: to be closed next
 	stateCount                       // number of states
 )
 
@@ -39,17 +39,17 @@
 	return stateNames[s]
 }
 
-// hasNoRequest reports whether a draining server asks connections in the state to close: they are
-// admitted, have no open request and were not asked yet.
-func (s State) hasNoRequest() bool {
+// canAskToClose reports whether a draining server asks peers to close connections in the state: they
+// are not held, have no open request, and their peers were not asked yet.
+func (s State) canAskToClose() bool {
 	return s == StateNew || s == StatePartialMessage || s == StateIdle
 }
 
-// isHeld reports whether connections in the state are not admitted.
+// isHeld reports whether connections in the state are in the holding area.
 func (s State) isHeld() bool { return s == StateHeld || s == StateRejected }
 
-// isEvictable reports whether a connection in the state may be closed when another needs its slot.
-func (s State) isEvictable() bool { return s.hasNoRequest() || s == StateAskedToClose }
+// isEvictable reports whether connections in the state may be closed when another needs the slot.
+func (s State) isEvictable() bool { return s.canAskToClose() || s == StateAskedToClose }
 
 // Event is an event of a connection.
 type Event uint8
@@ -60,10 +60,10 @@
 	EventMessage                     // another complete message was received
 	EventPartialMessage              // only part of a message was received
 	EventRequestOpened               // a request was opened
-	EventRequestsDone                // its last open request is done
-	EventTimeout                     // the timeout of its state passed
+	EventRequestsDone                // the last open request of the connection is done
+	EventTimeout                     // the timeout of the connection's state passed
 	EventDrain                       // the server is draining
-	EventUnreadData                  // there is unread data, so it can't be closed
+	EventUnreadData                  // the connection can't be closed because it has unread data
 	eventCount                       // number of events
 )
 
@@ -91,8 +91,8 @@
 
 const (
 	effectNone       effect = iota
-	effectAskToClose        // decide to ask the peer to close, unless it was asked before
-	effectClose             // decide to close
+	effectAskToClose        // decide to ask the peer to close, unless it was already asked
+	effectClose             // decide to close the connection
 	effectResume            // return to the state before the decision to close
 )
 
@@ -104,8 +104,8 @@
 	effect effect
 }
 
-// transitions is the state table. An event without a row is ignored. A row restarts the timeout,
-// also if its next state is the same one.
+// transitions is the state table. An event without a row is ignored. Every transition restarts the
+// timeout, even if the state stays the same.
 var transitions = [...]transition{
 	{StateNew, EventRequest, StateIdle, effectNone},
 	{StateNew, EventRequestOpened, StateActive, effectNone},
@@ -125,10 +125,11 @@
 	{StatePartialMessage, EventTimeout, StateClosing, effectClose},
 	{StatePartialMessage, EventDrain, StateAskedToClose, effectAskToClose},
 
-	// HandleEvent then applies a partial message or a drain that came during the request.
+	// HandleEvent then applies a partial message that arrived, or a request to close that was made,
+	// while the request was open.
 	{StateActive, EventRequestsDone, StateIdle, effectNone},
 
-	// The peer sent the request before the message that asked it to close arrived.
+	// The peer sent the request before it received the message that asks it to close.
 	{StateAskedToClose, EventRequestOpened, StateActive, effectNone},
 	{StateAskedToClose, EventTimeout, StateClosing, effectClose},
 
@@ -139,39 +140,39 @@
 	{StateRejected, EventTimeout, StateClosing, effectClose},
 }
 
-// applyEvent carries out the row of the state table for an event, if there is one.
+// applyEvent carries out the transition for an event, if the state table has one.
 func (l *Limiter) applyEvent(slot int32, event Event, now float64) {
 	state := l.connections[slot].state
 	for i := range transitions {
 		row := &transitions[i]
 		if row.from == state && row.event == event {
-			l.carryOut(row, slot, now)
+			l.applyTransition(row, slot, now)
 			return
 		}
 	}
 }
 
-// carryOut carries out one row of the state table.
-func (l *Limiter) carryOut(row *transition, slot int32, now float64) {
+// applyTransition carries out one transition.
+func (l *Limiter) applyTransition(row *transition, slot int32, now float64) {
 	conn := &l.connections[slot]
 	next := row.to
 	switch row.effect {
 	case effectAskToClose:
 		if !conn.askedToClose {
 			conn.askedToClose = true
-			l.decide(slot, CommandAskToClose, row.from)
+			l.addDecision(slot, CommandAskToClose, row.from)
 		}
 	case effectClose:
 		conn.closedFrom = row.from
-		l.decide(slot, CommandClose, row.from)
+		l.addDecision(slot, CommandClose, row.from)
 	case effectResume:
 		next = conn.closedFrom
 	}
 	l.enter(slot, next, now)
 }
 
-// enter moves a connection to a state, at the end of its queue. All connections in a state have the
-// same timeout, so the first in the queue is the first to time out.
+// enter moves a connection to a state and appends it to the state's queue. All connections in a state
+// have the same timeout, so the first in the queue is the first to time out.
 func (l *Limiter) enter(slot int32, state State, now float64) {
 	conn := &l.connections[slot]
 	if conn.state != StateClosed {
@@ -191,7 +192,8 @@
 	queue.pushBack(slot+1, &conn.stateLinks, l.stateLinks(queue.last))
 }
 
-// stateLinks returns the links of a connection, counted from 1, in the queue of its state; nil for 0.
+// stateLinks returns the links, in its state's queue, of the connection with a number (slot plus 1).
+// It returns nil for number 0.
 func (l *Limiter) stateLinks(number int32) *links {
 	if number == 0 {
 		return nil
--- a/internal/policy/connlimit/stats.go
+++ b/internal/policy/connlimit/stats.go
@@ -5,7 +5,7 @@
 	Admitted          int // admitted connections
 	MaxConnections    int // current limit on admitted connections
 	ActiveUntrusted   int // admitted connections of untrusted addresses with an open request
-	KnownAddresses    int // addresses, with and without a connection
+	KnownAddresses    int // addresses in the table, with or without a connection
 	RememberedTrusted int // trusted addresses without a connection
 }
 
@@ -22,7 +22,7 @@
 	}
 }
 
-// RejectedCount returns how many rejections there were for a reason.
+// RejectedCount returns the number of rejections for a reason, 0 for a limiter without rules.
 func (l *Limiter) RejectedCount(reason RejectReason) int {
 	if l.clientPolicy == nil {
 		return 0
