--- a/internal/policy/connlimit/address_table.go
+++ b/internal/policy/connlimit/address_table.go
@@ -17,8 +17,8 @@
 // addresses are stored as IPv4-mapped IPv6 addresses, so both notations of an address have one key.
 type addressKey [16]byte
 
-// newAddressKey returns the key of an address prefix. The prefix has bitsIPv4 bits if the address is an
-// IPv4 address and bitsIPv6 bits otherwise.
+// newAddressKey returns the key of the prefix of addr that has bitsIPv4 bits if addr is an IPv4 address,
+// and bitsIPv6 bits otherwise.
 func newAddressKey(addr netip.Addr, bitsIPv4, bitsIPv6 int) addressKey {
 	addr = addr.Unmap()
 	bits := bitsIPv6
@@ -40,8 +40,8 @@
 // address returns the address of a key that was made from a full address.
 func (k addressKey) address() netip.Addr { return netip.AddrFrom16(k).Unmap() }
 
-// addressEntry is the table entry of an address or a prefix. Entries refer to other entries and to
-// connections by number: the index plus 1, so that 0 means none.
+// addressEntry is the table entry of an address or a prefix. Its links to other entries and to
+// connections are numbers: the index (of a connection, the slot) plus 1, so that 0 means none.
 type addressEntry struct {
 	key          addressKey
 	nextInBucket int32   // number of the next entry in the same hash bucket, 0 for none
--- a/internal/policy/connlimit/eviction.go
+++ b/internal/policy/connlimit/eviction.go
@@ -87,11 +87,11 @@
 //   - connections of the new connection's own address, which a client that restarted after a crash
 //     may have left behind.
 //
-// An untrusted address never takes a slot of a trusted one. Among equally trusted addresses, an
-// address takes no slot of one that has fewer connections than it would have itself with the new one.
-// So the shares of all addresses that want more slots become equal, and an address with many
-// connections loses its own first. If the other address has as many connections, only those silent
-// for quietSeconds are candidates.
+// An untrusted address never takes a slot of a trusted one. If both addresses are trusted or both are
+// not, the other address must have at least as many connections as the new connection's address would
+// have with the new one. If it has exactly as many, only its connections silent for quietSeconds are
+// candidates. So the shares of all addresses that want more slots become equal, and an address with
+// many connections loses its own first.
 func (l *Limiter) EvictionCandidatesFor(slot int32, now float64) iter.Seq[int32] {
 	return func(yield func(int32) bool) {
 		client, _ := l.clientPolicy.entriesOf(&l.connections[slot])
--- a/internal/policy/connlimit/model_test.go
+++ b/internal/policy/connlimit/model_test.go
@@ -324,7 +324,8 @@
 		r.Fatalf("decisions at %v s are %+v, want %+v", r.now, got, want)
 	}
 	if (len(got) > 0) != (wakeup <= r.now) {
-		r.Fatalf("%d decisions at %v s with next wakeup at %v s, want some only from the wakeup on", len(got), r.now, wakeup)
+		r.Fatalf("%d decisions at %v s, next wakeup was %v s; want decisions exactly from the wakeup on",
+			len(got), r.now, wakeup)
 	}
 	for _, decision := range got {
 		if decision.Command != CommandClose {
--- a/internal/policy/connlimit/reputation.go
+++ b/internal/policy/connlimit/reputation.go
@@ -136,8 +136,8 @@
 	return accepted
 }
 
-// addReportedClient trusts an address that earned trust on another server. It reports whether the credit
-// was sufficient and the table had room.
+// addReportedClient trusts an address that earned trust on another server. It reports whether the
+// credit was sufficient and the table had room.
 func (p *clientPolicy) addReportedClient(reported TrustedClient, now float64) bool {
 	if reported.Credit < p.minCredit() {
 		return false
--- a/internal/policy/connlimit/rules.go
+++ b/internal/policy/connlimit/rules.go
@@ -25,7 +25,7 @@
 
 	HoldingSlots        int     // connections that may be held until their first request is rejected
 	RememberedAddresses int     // addresses without a connection to remember; as many prefixes
-	TrustThreshold      int     // completed requests, counting one per second, that make an address trusted
+	TrustThreshold      int     // completed requests, at most one per second, that make an address trusted
 	CreditHalfLife      float64 // half-life of an address's credit, s
 
 	MinRetryAfter float64 // shortest retry-after time, s
--- a/internal/policy/connlimit/state.go
+++ b/internal/policy/connlimit/state.go
@@ -14,7 +14,7 @@
 	StateActive                      // a request is open
 	StateAskedToClose                // the peer was asked to close the connection
 	StateClosing                     // the limiter decided to close the connection
-	StateHeld                        // in the holding area: accepted but not admitted, its requests are rejected
+	StateHeld                        // in the holding area, not admitted; its requests are rejected
 	StateRejected                    // like StateHeld, but a request was rejected: to be closed next
 	stateCount                       // number of states
 )
--- a/internal/policy/loadplan/group.go
+++ b/internal/policy/loadplan/group.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// minGroupDemandPerSecond is the lower bound of a forwarder group's demand, in requests per second, so that a group
-// without demand gets weights too.
+// minGroupDemandPerSecond is the lower bound of a forwarder group's demand, so that a
+// group without demand gets weights too.
 const minGroupDemandPerSecond = 1e-9
 
 // workerSet is a set of worker names, encoded as a comparable string: the sorted names, each followed
@@ -34,8 +34,8 @@
 	return strings.SplitSeq(strings.TrimSuffix(string(s), workerSetSeparator), workerSetSeparator)
 }
 
-// forwarderGroupSet is a set of forwarder group indexes, encoded as a comparable string: one rune per index, in
-// ascending order. There are at most maxForwarders groups, so each index fits in a rune.
+// forwarderGroupSet is a set of forwarder group indexes, encoded as a comparable string: one rune per
+// index, in ascending order. There are at most maxForwarders groups, so each index fits in a rune.
 type forwarderGroupSet string
 
 // with returns the set with an index added. The index must be higher than all others in the set.
--- a/internal/policy/loadplan/planner_test.go
+++ b/internal/policy/loadplan/planner_test.go
@@ -37,7 +37,8 @@
 	a, sumA := assignments["a"].WeightsByName(), weightSum(assignments["a"])
 	b, sumB := assignments["b"].WeightsByName(), weightSum(assignments["b"])
 	if math.Abs(sumA-1) > 1e-6 || math.Abs(sumB-1) > 1e-6 || math.Abs(a["fast"]/a["slow"]-3) > 0.1 || a["far"] != 0 {
-		t.Errorf("weights of a %v and b %v, want sums of 1, a ratio fast/slow of 3 for a, and no weight of far for a", a, b)
+		t.Errorf("weights of a %v (sum %g), of b %v (sum %g); want sums of 1, a[fast] = 3 a[slow], a[far] = 0",
+			a, sumA, b, sumB)
 	}
 	// The workers finish 240 requests/s and the demand is 200 requests/s. At equal utilization, far
 	// gets 80/240 of the demand, all of it from b.
--- a/internal/policy/loadplan/subscriber.go
+++ b/internal/policy/loadplan/subscriber.go
@@ -5,7 +5,7 @@
 type Subscriber struct {
 	incarnation  uint64
 	lastSequence uint64
-	sentAt       map[uint64]float64 // send times of the reports that may still be answered, by sequence number
+	sentAt       map[uint64]float64 // send time by sequence number, of reports that may still be answered
 	current      Version            // of the last accepted assignment
 
 	// RejectedAssignments is the number of assignments that were not accepted.
--- a/internal/policy/loadplan/subscriber_test.go
+++ b/internal/policy/loadplan/subscriber_test.go
@@ -87,7 +87,7 @@
 	reportToSecond
 	waitPartOfLease
 	restartForwarder
-	oldestOfFirst // delivers an answer of the first planner; may deliver it again
+	oldestOfFirst // deliver the oldest answer of the first planner, possibly again
 	oldestOfSecond
 	latestOfFirst
 	latestOfSecond
@@ -170,7 +170,8 @@
 			next := step(rest % int(stepCount))
 			rest /= int(stepCount)
 			if wrong := run.execute(next); wrong != nil {
-				t.Fatalf("sequence %o: at %g s, %+v accepted %+v, want it rejected", sequence, run.now, run.forwarder, wrong)
+				t.Fatalf("sequence %o: at %g s, %+v accepted %+v, want it rejected",
+					sequence, run.now, run.forwarder, wrong)
 			}
 		}
 		accepted += run.accepted
--- a/internal/policy/routing/attempt.go
+++ b/internal/policy/routing/attempt.go
@@ -26,8 +26,8 @@
 	return true
 }
 
-// StartAttempt records the start of an attempt at a worker. The first attempt of a request has number
-// 1.
+// StartAttempt records the start of an attempt at a worker. The first attempt of a request has
+// number 1.
 func (r *Router) StartAttempt(name string, number int) {
 	w := r.byName[name]
 	if w == nil {
--- a/internal/policy/routing/slowstart.go
+++ b/internal/policy/routing/slowstart.go
@@ -12,7 +12,7 @@
 // initialSpeed to the full weight.
 type slowStart struct {
 	initialSpeed    float64 // fraction of the full weight, from 0 to 1
-	durationSeconds float64 // duration; 0 for no slow start
+	durationSeconds float64 // 0 for no slow start
 }
 
 // SetSlowStart sets the fraction of its full weight with which a worker starts, and the time in
--- a/internal/policy/routing/slowstart_test.go
+++ b/internal/policy/routing/slowstart_test.go
@@ -14,8 +14,8 @@
 	forwarders      []*Router
 	workers         int
 	initialSpeed    float64
-	durationSeconds float64 // duration of the slow start
-	windowSeconds   float64 // length, in seconds, of the windows in which requests are counted
+	durationSeconds float64 // of the slow start
+	windowSeconds   float64 // length of the windows in which requests are counted
 	rate            float64 // requests per second of all forwarders together
 }
 
--- a/internal/policy/routing/worker.go
+++ b/internal/policy/routing/worker.go
@@ -27,7 +27,7 @@
 	breaker        circuitBreaker
 	connectedAt    float64 // when the worker last changed from disconnected to connected
 	inFlight       int
-	averageLatency float64 // moving average, in seconds; 0 until an attempt has finished
+	averageLatency float64 // in seconds; 0 until an attempt has finished
 	penalty        decayingPenalty
 
 	planWeight  float64 // from the load plan; the average over all workers is 1
