--- a/internal/policy/connlimit/admission_test.go
+++ b/internal/policy/connlimit/admission_test.go
@@ -36,7 +36,7 @@
 	switch rapid.IntRange(0, 8).Draw(t, "step") {
 	case 0, 1, 2:
 		addr := drawAddr(t)
-		for range rapid.SampledFrom([]int{1, 1, 12}).Draw(t, "how many") {
+		for range rapid.SampledFrom([]int{1, 1, 12}).Draw(t, "connections to open") {
 			s.arrive(addr)
 		}
 	case 3, 4:
@@ -52,7 +52,7 @@
 			s.close(slot)
 		}
 	case 8:
-		s.now += rapid.SampledFrom([]float64{0, 0.001, 0.6, 2, 5000}).Draw(t, "later")
+		s.now += rapid.SampledFrom([]float64{0, 0.001, 0.6, 2, 5000}).Draw(t, "seconds passed")
 	}
 }
 
@@ -111,8 +111,8 @@
 		s.now += 0.001
 	}
 	if closed < s.rules.HoldingSlots || s.limiter.Count(StateHeld) > s.rules.HoldingSlots {
-		t.Errorf("%d connections closed and %d held, want at least and at most %d",
-			closed, s.limiter.Count(StateHeld), s.rules.HoldingSlots)
+		t.Errorf("%d connections closed and %d held, want at least %d closed and at most %d held",
+			closed, s.limiter.Count(StateHeld), s.rules.HoldingSlots, s.rules.HoldingSlots)
 	}
 }
 
@@ -125,8 +125,8 @@
 		s.limiter.HandleArrival(slot, netip.MustParseAddr("10.1.1.1"), s.now)
 		retryAfter := s.limiter.Reject(slot, NoFreeSlot, s.now)
 		if seen[retryAfter] || i > 0 && i < 5 && retryAfter <= previous*0.99 {
-			t.Errorf("rejection %d: retry after %v s, want a new value that is not below the previous %v s",
-				i+1, retryAfter, previous)
+			t.Errorf("rejection %d: retry after %v s, want a time not returned before and, "+
+				"for rejections 2 to 5, over %v s", i+1, retryAfter, previous*0.99)
 		}
 		seen[retryAfter] = true
 		previous = min(retryAfter, s.rules.MinRetryAfter*float64(int(1)<<(i+1)))
--- a/internal/policy/connlimit/decision.go
+++ b/internal/policy/connlimit/decision.go
@@ -10,10 +10,10 @@
 
 // The commands.
 const (
-	// CommandAskToClose: ask the peer to close the connection.
+	// CommandAskToClose tells the server to ask the peer to close the connection.
 	CommandAskToClose Command = iota
-	// CommandClose: close the connection and call HandleClosed. If there is unread data, report
-	// EventUnreadData and read the data instead.
+	// CommandClose tells the server to close the connection and call HandleClosed. If there is unread
+	// data, the server reports EventUnreadData and reads the data instead.
 	CommandClose
 	commandCount // number of commands
 )
--- a/internal/policy/connlimit/doc.go
+++ b/internal/policy/connlimit/doc.go
@@ -7,8 +7,8 @@
 //
 // A limiter with rules also distinguishes client addresses:
 //
-//   - An address earns trust by completing requests over several seconds. Its credit for them decays
-//     with a half-life. Some slots are reserved for trusted addresses.
+//   - An address earns trust by completing requests over several seconds, and loses it as its credit
+//     for them decays with a half-life. Some slots are reserved for trusted addresses.
 //   - Untrusted addresses have limits on connections and on the rate of new connections, per address
 //     and per prefix. Trusted addresses have higher limits; the prefixes that the operator configures
 //     as trusted have none.
--- a/internal/policy/connlimit/eviction.go
+++ b/internal/policy/connlimit/eviction.go
@@ -9,8 +9,8 @@
 	// firstMessageDelaySeconds is the time within which a balancer's first message arrives on a new
 	// connection, unless the event loop is far behind.
 	firstMessageDelaySeconds = 0.1
-	// quietSeconds is how long a connection must have been silent to be evicted for a connection
-	// whose address would then have as many connections as the evicted connection's address had.
+	// quietSeconds is the minimum silence of a connection that is evicted for an address with exactly
+	// one connection less. Such an eviction only swaps the connection counts of the two addresses.
 	quietSeconds = 0.5
 )
 
@@ -20,7 +20,7 @@
 // EvictionCandidates returns, for a limiter without rules, the connections that may be evicted when
 // another connection needs a slot, in the order of eviction:
 //
-//   - new connections that sent nothing although they had the time to;
+//   - new connections that have sent nothing within firstMessageDelaySeconds;
 //   - other connections without an open request, the one silent for longest first;
 //   - new connections whose first message may still be in transit, the newest last.
 //
@@ -45,8 +45,8 @@
 	}
 }
 
-// isSilentNew reports whether the new connection at a slot sent nothing although it had the time to.
-// It returns false for slot -1.
+// isSilentNew reports whether the new connection at a slot has sent nothing within
+// firstMessageDelaySeconds. It returns false for slot -1.
 func (l *Limiter) isSilentNew(slot int32, now float64) bool {
 	return slot >= 0 && now-l.connections[slot].stateSince > firstMessageDelaySeconds
 }
@@ -81,7 +81,8 @@
 // EvictionCandidatesFor returns, for a limiter with rules, the connections that may be evicted for
 // the new connection at a slot, in the order of eviction:
 //
-//   - new connections of untrusted addresses that sent nothing although they had the time to;
+//   - new connections of untrusted addresses that have sent nothing within
+//     firstMessageDelaySeconds;
 //   - connections of the addresses with the most connections, untrusted addresses first, and for each
 //     address the connection silent for longest first;
 //   - connections of the new connection's own address, which a client that restarted after a crash
@@ -114,8 +115,8 @@
 	}
 }
 
-// yieldSilentUntrusted yields the new connections of untrusted addresses that sent nothing although
-// they had the time to. It reports whether the iteration should continue.
+// yieldSilentUntrusted yields the new connections of untrusted addresses that have sent nothing within
+// firstMessageDelaySeconds. It reports whether the iteration should continue.
 func (l *Limiter) yieldSilentUntrusted(now float64, yield func(int32) bool) bool {
 	for slot := l.firstIn(StateNew); l.isSilentNew(slot, now); slot = l.nextInState(slot) {
 		client, _ := l.clientPolicy.entriesOf(&l.connections[slot])
--- a/internal/policy/connlimit/eviction_test.go
+++ b/internal/policy/connlimit/eviction_test.go
@@ -62,8 +62,8 @@
 		s.now += 0.01
 		slot, admitted := s.arrive(other)
 		if !admitted {
-			t.Fatalf("connection %d of the other client was not admitted; the gateway has %d",
-				i+1, s.count(gateway))
+			t.Fatalf("connection %d of the other client was not admitted, want %d admitted; the gateway has %d",
+				i+1, s.rules.MaxConnections/2, s.count(gateway))
 		}
 		s.limiter.HandleEvent(slot, EventRequest, s.now)
 	}
--- a/internal/policy/connlimit/limiter.go
+++ b/internal/policy/connlimit/limiter.go
@@ -6,7 +6,7 @@
 // them.
 type connection struct {
 	stateSince    float64 // when the timeout of its state started, s
-	lastHeard     float64 // when it was opened, data last arrived or its requests were done, s
+	lastHeard     float64 // the last time that it was opened, received data or completed its requests, s
 	stateLinks    links   // in the queue of its state
 	addressLinks  links   // in the list of its address
 	addressNumber int32   // index of its address's table entry plus 1, 0 for none
--- a/internal/policy/connlimit/limiter_test.go
+++ b/internal/policy/connlimit/limiter_test.go
@@ -35,8 +35,8 @@
 		limiter.HandleOpen(slot, 0)
 		limiter.HandleEvent(slot, EventRequest, 0)
 	}
-	if limiter.NextWakeup() != 5 || len(limiter.TakeDecisions(4.999)) != 0 {
-		t.Fatalf("next wakeup is %v, want 5, and no decisions before that", limiter.NextWakeup())
+	if wakeup, early := limiter.NextWakeup(), limiter.TakeDecisions(4.999); wakeup != 5 || len(early) != 0 {
+		t.Fatalf("next wakeup is %v s and %d decisions at 4.999 s, want 5 s and 0", wakeup, len(early))
 	}
 	asked, now := 0, limiter.NextWakeup()
 	for ; asked < connections; now = limiter.NextWakeup() {
@@ -111,8 +111,8 @@
 	}
 	limiter.HandleEvent(0, EventUnreadData, 1.5)
 	limiter.HandleEvent(0, EventRequestOpened, 1.5)
-	if len(limiter.TakeDecisions(100)) != 0 || limiter.State(0) != StateActive {
-		t.Errorf("state %v with an open request, want %v and no decisions", limiter.State(0), StateActive)
+	if got := limiter.TakeDecisions(100); len(got) != 0 || limiter.State(0) != StateActive {
+		t.Errorf("with an open request: decisions %v, state %v; want none, %v", got, limiter.State(0), StateActive)
 	}
 	limiter.HandleEvent(0, EventRequestsDone, 100)
 	if limiter.State(0) != StateAskedToClose || limiter.NextWakeup() != 100.5 {
--- a/internal/policy/connlimit/model_test.go
+++ b/internal/policy/connlimit/model_test.go
@@ -269,12 +269,12 @@
 			return r.handleEvent(c)
 		}
 	case 6:
-		r.now += rapid.SampledFrom([]float64{0, 0.0005, 0.05, 0.6, 2, 1000}).Draw(r.T, "later")
+		r.now += rapid.SampledFrom([]float64{0, 0.0005, 0.05, 0.6, 2, 1000}).Draw(r.T, "seconds passed")
 	case 7:
 		r.model.idleTimeout = rapid.SampledFrom([]float64{0, 0.1, 5}).Draw(r.T, "new idle timeout")
 		r.limiter.SetIdleTimeout(r.model.idleTimeout)
 	case 8:
-		if rapid.IntRange(0, 9).Draw(r.T, "drains") == 0 {
+		if rapid.IntRange(0, 9).Draw(r.T, "starts to drain if 0") == 0 {
 			active := r.model.startDrain()
 			if got := r.limiter.StartDrain(); !slices.Equal(got, active) {
 				r.Fatalf("StartDrain returned slots %v, want %v", got, active)
@@ -286,7 +286,7 @@
 
 // open opens a drawn number of connections at the lowest free slots.
 func (r *modelRun) open() {
-	for range rapid.SampledFrom([]int{1, 2, 20}).Draw(r.T, "how many") {
+	for range rapid.SampledFrom([]int{1, 2, 20}).Draw(r.T, "connections to open") {
 		slot := int32(0)
 		for r.model.connections[slot] != nil {
 			slot++
@@ -324,7 +324,7 @@
 		r.Fatalf("decisions at %v s are %+v, want %+v", r.now, got, want)
 	}
 	if (len(got) > 0) != (wakeup <= r.now) {
-		r.Fatalf("%d decisions at %v s, next wakeup was %v s; want decisions exactly from the wakeup on",
+		r.Fatalf("%d decisions at %v s, next wakeup was %v s; want decisions if and only if the wakeup time has come",
 			len(got), r.now, wakeup)
 	}
 	for _, decision := range got {
@@ -362,7 +362,7 @@
 	}
 	want := r.model.evictionCandidates(r.now)
 	if !r.model.draining && r.model.sortedByState() && !slices.Equal(got, want) {
-		r.Fatalf("candidates by rank %v, want %v", got, want)
+		r.Fatalf("eviction ranks of the candidates are %v, want %v", got, want)
 	}
 	if len(got) != len(want) {
 		r.Fatalf("%d candidates, want %d", len(got), len(want))
--- a/internal/policy/connlimit/pacing.go
+++ b/internal/policy/connlimit/pacing.go
@@ -11,15 +11,14 @@
 	// it. It allows a burst because after a failure half of all balancers reconnect within a second.
 	arrivalBurstSeconds = 2
 	// initialArrivalCPUSeconds is the CPU time of an arrival that is assumed before the first sample,
-	// and its upper bound later: twice the usual cost of 40 to 60 us.
+	// and its upper bound later: twice a cost of 40 to 60 us.
 	initialArrivalCPUSeconds = 100e-6
 	// minArrivalCPUSeconds is the lower bound of the CPU time of an arrival.
 	minArrivalCPUSeconds = 1e-6
 	// arrivalsPerSample is the minimum number of arrivals in a sample of their CPU time. In a smaller
 	// sample, other work on the core would distort the result more.
 	arrivalsPerSample = 50
-	// costBuckets buckets of costBucketSeconds each are the window over which the minimum cost is
-	// taken.
+	// The minimum cost is taken over a window of costBuckets buckets of costBucketSeconds each.
 	costBuckets       = 10
 	costBucketSeconds = 1.0
 )
--- a/internal/policy/connlimit/pressure.go
+++ b/internal/policy/connlimit/pressure.go
@@ -21,7 +21,8 @@
 }
 
 // HandleDescriptorShortage lowers the limit on admitted connections after the server ran out of file
-// descriptors. The caller then closes connections from ExcessConnections.
+// descriptors although it was within the limit. The caller then closes connections from
+// ExcessConnections.
 func (l *Limiter) HandleDescriptorShortage(now float64) {
 	policy := l.clientPolicy
 	wanted := min(policy.slots.limit, policy.admitted-shortageStep)
--- a/internal/policy/connlimit/reputation_test.go
+++ b/internal/policy/connlimit/reputation_test.go
@@ -9,7 +9,7 @@
 	s := defaultSimulation(t)
 	gateway := netip.MustParseAddr("10.1.1.1")
 	slot, _ := s.arrive(gateway)
-	for i := range 9 { // neither health checks nor a burst of requests earn trust
+	for i := range 9 { // neither health checks nor a burst of requests earns trust
 		s.limiter.HandleEvent(slot, EventRequest, s.now)
 		s.openRequest(slot)
 		s.completeRequest(slot)
@@ -22,8 +22,10 @@
 		s.openRequest(slot)
 		s.completeRequest(slot)
 	}
-	if !s.isTrusted(gateway) || !s.isTrusted(netip.MustParseAddr("::ffff:10.1.1.1")) {
-		t.Fatalf("after requests in three seconds, %v or its IPv4-mapped IPv6 form is not trusted", gateway)
+	mapped := netip.MustParseAddr("::ffff:10.1.1.1")
+	if !s.isTrusted(gateway) || !s.isTrusted(mapped) {
+		t.Fatalf("after requests in three seconds, trusted is %v for %v and %v for %v, want true for both",
+			s.isTrusted(gateway), gateway, s.isTrusted(mapped), mapped)
 	}
 	s.close(slot)
 	for i := range 100_000 { // a flood of new addresses passes through the table
@@ -42,8 +44,8 @@
 }
 
 // Trust that other servers reported must not be reported on, or servers could keep it alive for each
-// other, and must end after a half-life without requests on this server. Reports must not fill more
-// than half of the table.
+// other, and must end after a half-life without requests on this server. A call must not accept more
+// reported clients than half of RememberedAddresses.
 func TestAddTrustedClients_TrustEndsWithoutRequests(t *testing.T) {
 	addr := func(n byte) netip.Addr { return netip.AddrFrom4([4]byte{10, 0, 0, n}) }
 	limiter := NewWithRules(60, Rules{
@@ -67,8 +69,10 @@
 		defer limiter.HandleClosed(0)
 		return limiter.clientPolicy.addresses.entries[limiter.connections[0].addressNumber-1].trusted
 	}
-	if !isTrusted(1, addr(1)) || !isTrusted(1, addr(2)) || isTrusted(1, addr(3)) {
-		t.Error("want the two clients with enough reported credit trusted, and the third not")
+	first, second, third := isTrusted(1, addr(1)), isTrusted(1, addr(2)), isTrusted(1, addr(3))
+	if !first || !second || third {
+		t.Errorf("trusted is %v, %v, %v for the three clients, want true, true, false: "+
+			"the credit of the third is too low", first, second, third)
 	}
 	if clients := limiter.TrustedClients(1, 10); len(clients) != 0 {
 		t.Errorf("TrustedClients returned %v, want none: they earned no trust on this server", clients)
--- a/internal/policy/connlimit/rules.go
+++ b/internal/policy/connlimit/rules.go
@@ -10,7 +10,9 @@
 // Rules are the operator's rules for admitting connections. A limit of 0 means no limit.
 type Rules struct {
 	MaxConnections int // limit on admitted connections
-	ReservedSlots  int // slots of MaxConnections that are reserved for trusted addresses
+	// ReservedSlots is how many of the MaxConnections slots are reserved for trusted addresses.
+	// Untrusted addresses may use some of them while they are free, but not with open requests.
+	ReservedSlots int
 
 	// Limits of an untrusted address, and of all untrusted addresses of a prefix together. The
 	// per-address limits of a trusted address are trustedLimitFactor times as high.
@@ -24,7 +26,7 @@
 	TrustedPrefixes []netip.Prefix // always trusted, and exempt from the limits above
 
 	HoldingSlots        int     // connections that may be held until their first request is rejected
-	RememberedAddresses int     // addresses without a connection to remember; as many prefixes
+	RememberedAddresses int     // remembered addresses without a connection; the same number of prefixes
 	TrustThreshold      int     // completed requests, at most one per second, that make an address trusted
 	CreditHalfLife      float64 // half-life of an address's credit, s
 
--- a/internal/policy/connlimit/simulation_test.go
+++ b/internal/policy/connlimit/simulation_test.go
@@ -110,14 +110,14 @@
 	record := s.limiter.connections[victim]
 	isSilentNew := record.state == StateNew && s.now-record.stateSince > firstMessageDelaySeconds
 	trusted := s.isTrusted(v.addr)
-	sameKind := trusted == s.isTrusted(c.addr) && v.addr != c.addr
+	otherOfSameTrust := trusted == s.isTrusted(c.addr) && v.addr != c.addr
 	switch {
 	case v.active || !v.admitted:
 		s.Fatalf("evicted %+v, want an admitted connection without an open request", v)
 	case trusted && !s.isTrusted(c.addr):
 		s.Fatalf("evicted a connection of trusted address %v for untrusted address %v", v.addr, c.addr)
-	case sameKind && s.count(v.addr) <= admittedOfAddress && (!isSilentNew || trusted):
-		s.Fatalf("evicted a connection of %v, which has %d, for %v, which has %d",
+	case otherOfSameTrust && s.count(v.addr) <= admittedOfAddress && (!isSilentNew || trusted):
+		s.Fatalf("evicted a connection of %v, which has %d, for %v, which has %d; want an address with more",
 			v.addr, s.count(v.addr), c.addr, admittedOfAddress)
 	}
 }
@@ -223,9 +223,10 @@
 	for addr, n := range perAddress {
 		entry := s.entry(addr)
 		ofPrefix := int(policy.prefixes.entries[entry.prefixIndex].untrusted)
-		tooMany := entry.evictable.count+entry.active > entry.admitted
-		if int(entry.admitted) != n || tooMany || ofPrefix != untrusted[s.prefixKey(addr)] {
-			s.Fatalf("entry of %v is %+v, with %d untrusted connections of its prefix; want %d connections and %d",
+		overcounted := entry.evictable.count+entry.active > entry.admitted
+		if int(entry.admitted) != n || overcounted || ofPrefix != untrusted[s.prefixKey(addr)] {
+			s.Fatalf("entry of %v is %+v, with %d untrusted connections of its prefix; want %d admitted and %d, "+
+				"and no more evictable and active connections than admitted ones",
 				addr, entry, ofPrefix, n, untrusted[s.prefixKey(addr)])
 		}
 	}
--- a/internal/policy/loadplan/group.go
+++ b/internal/policy/loadplan/group.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// minGroupDemandPerSecond is the lower bound of a forwarder group's demand, so that a
-// group without demand gets weights too.
+// minGroupDemandPerSecond is the lower bound of a forwarder group's demand, so that a group without
+// demand gets weights too.
 const minGroupDemandPerSecond = 1e-9
 
 // workerSet is a set of worker names, encoded as a comparable string: the sorted names, each followed
--- a/internal/policy/loadplan/message.go
+++ b/internal/policy/loadplan/message.go
@@ -3,7 +3,7 @@
 const (
 	// LeaseSeconds is how long an assignment is fresh, counted from when the report that it answers
 	// was sent. After that the forwarder phases it out over the same time, so an assignment has some
-	// influence for two leases. An election takes less than that.
+	// influence for two leases. An election of a new leader takes less than two leases.
 	LeaseSeconds = 3.0
 	// ReportIntervalSeconds is the interval between the reports of a forwarder.
 	ReportIntervalSeconds = 0.5
--- a/internal/policy/loadplan/ratelimit.go
+++ b/internal/policy/loadplan/ratelimit.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// minTenantDemandPerSecond is the lower bound of a tenant's demand where the demand is a
-// divisor.
+// minTenantDemandPerSecond is the lower bound of a tenant's demand where the demand is a divisor, to
+// avoid a division by zero.
 const minTenantDemandPerSecond = 1e-9
 
 // limitRates sets the rate limits of all forwarders. If the total demand exceeds the total capacity,
--- a/internal/policy/loadplan/subscriber.go
+++ b/internal/policy/loadplan/subscriber.go
@@ -1,7 +1,7 @@
 package loadplan
 
-// Subscriber is the forwarder's side of the plan. It stamps the forwarder's reports, and accepts
-// assignments that are not older than the current one and whose lease has not expired.
+// Subscriber is the forwarder's counterpart of the Planner. It stamps the forwarder's reports, and
+// accepts assignments that are not older than the current one and whose lease has not expired.
 type Subscriber struct {
 	incarnation  uint64
 	lastSequence uint64
--- a/internal/policy/loadplan/subscriber_test.go
+++ b/internal/policy/loadplan/subscriber_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// testForwarder is a subscriber together with the assignment that it last accepted.
+// testForwarder is a subscriber together with the version of the assignment that it last accepted and
+// the time until which that assignment is fresh.
 type testForwarder struct {
 	*Subscriber
 	incarnation uint64
@@ -23,8 +24,8 @@
 	f.freshUntil = 0
 }
 
-// accept offers an assignment. It reports whether the assignment was accepted and, if it was, whether
-// that is allowed.
+// accept offers an assignment. It reports whether the assignment was accepted and whether that is
+// allowed. A rejection is always allowed.
 func (f *testForwarder) accept(now float64, assignment *Assignment) (accepted, allowed bool) {
 	freshUntil, accepted := f.Accept(now, assignment)
 	if !accepted {
@@ -140,6 +141,8 @@
 	}
 }
 
+// deliver offers an assignment to the forwarder. It returns the assignment if it was accepted but must
+// not be, nil otherwise.
 func (r *stepRun) deliver(assignment *Assignment) (wrong *Assignment) {
 	before := *r.forwarder
 	accepted, allowed := r.forwarder.accept(r.now, assignment)
@@ -170,8 +173,8 @@
 			next := step(rest % int(stepCount))
 			rest /= int(stepCount)
 			if wrong := run.execute(next); wrong != nil {
-				t.Fatalf("sequence %o: at %g s, %+v accepted %+v, want it rejected",
-					sequence, run.now, run.forwarder, wrong)
+				t.Fatalf("sequence %o (a digit per step, the first step last): "+
+					"at %g s, %+v accepted %+v, want it rejected", sequence, run.now, run.forwarder, wrong)
 			}
 		}
 		accepted += run.accepted
--- a/internal/policy/routing/breaker.go
+++ b/internal/policy/routing/breaker.go
@@ -49,8 +49,8 @@
 	// maxConsecutiveLosses is the number of attempts lost in a row that ejects a worker. Healthy
 	// workers occasionally lose one or two.
 	maxConsecutiveLosses = 3
-	// idempotentProbeSeconds is how long a worker is probed only with idempotent requests. After that
-	// any request may probe it.
+	// idempotentProbeSeconds is how long a worker is probed only with idempotent requests. If none
+	// arrives in that time, any request may probe it.
 	idempotentProbeSeconds = 1.0
 	// minEjectionSeconds is the duration of the first ejection. The duration doubles with each further
 	// ejection until the worker answers, up to maxEjectionSeconds, which also bounds a worker's
--- a/internal/policy/routing/router_test.go
+++ b/internal/policy/routing/router_test.go
@@ -78,7 +78,7 @@
 	isReserved := !isIdempotent && m.now < breaker.probingSince+idempotentProbeSeconds
 	mayNotProbe := breaker.state == probing && (breaker.probeInFlight || isReserved)
 	if picked == excluded || !m.connected[picked] || isUnavailable || mayNotProbe {
-		m.Fatalf("picked %s, which may not have the request: excluded %s, connected %v, breaker %+v (%s was %s)",
+		m.Fatalf("picked %s, want an available worker: excluded %s, connected %v, breaker %+v (before, %s was %s)",
 			picked, excluded, m.connected[picked], breaker, name, before)
 	}
 	m.router.StartAttempt(picked, 1)
--- a/internal/policy/routing/slowstart.go
+++ b/internal/policy/routing/slowstart.go
@@ -28,7 +28,7 @@
 }
 
 // factor returns the fraction of its full weight that a worker has the given number of seconds after
-// it was connected; 1 after the slow start.
+// it was connected, including slowStartMargin; 1 after the slow start.
 func (s *slowStart) factor(sinceConnected float64) float64 {
 	if sinceConnected >= s.durationSeconds {
 		return 1
--- a/internal/policy/routing/weight.go
+++ b/internal/policy/routing/weight.go
@@ -12,8 +12,8 @@
 	maxPlanShift = 0.25
 	// localWeightSmoothing is the weight of the latest estimate in a worker's local weight.
 	localWeightSmoothing = 0.3
-	// minLearnSeconds is the lower bound of the time since the last estimate, which rates are divided
-	// by.
+	// minLearnSeconds is the lower bound of the time since the last estimate, by which counts are
+	// divided to get rates.
 	minLearnSeconds = 1e-3
 )
 
@@ -39,9 +39,9 @@
 func (r *Router) PlanInfluence(now float64) float64 { return r.plan.influence(now) }
 
 // ApplyPlan moves the workers' weights towards those of a plan. The plan has full influence until
-// freshUntil, and then loses it linearly over as long again. A worker that is not in the plan gets
-// weight 0. A plan is ignored if the sum of its weights is not positive and finite, or if it is no
-// longer fresh.
+// freshUntil, and then loses it linearly over another freshUntil-now seconds. A worker that is not in
+// the plan gets weight 0. A plan is ignored if the sum of its weights is not positive and finite, or
+// if it is no longer fresh.
 func (r *Router) ApplyPlan(now float64, weights map[string]float64, freshUntil float64) {
 	sum := 0.0
 	for _, w := range r.workers {
--- a/internal/policy/routing/worker.go
+++ b/internal/policy/routing/worker.go
@@ -10,9 +10,10 @@
 	// initialLatencySeconds is the latency assumed until an attempt has finished.
 	initialLatencySeconds = 0.05
 	// latencySmoothing is the weight of the latest attempt in the moving average of a worker's
-	// latency, which so reflects about the last ten attempts.
+	// latency, which therefore reflects about the last ten attempts.
 	latencySmoothing = 0.1
-	// overallLatencySmoothing is the same weight for the average latency of all workers.
+	// overallLatencySmoothing is the weight of the latest attempt in the average latency of all
+	// workers.
 	overallLatencySmoothing = latencySmoothing / 10
 	// rejectionPenalty is the number of requests in flight that a rejection counts as. It is above 1
 	// because a rejected request needs a second attempt.
@@ -32,7 +33,7 @@
 
 	planWeight  float64 // from the load plan; the average over all workers is 1
 	localWeight float64 // from this forwarder's own attempts; the average over all workers is 1
-	capacity    float64 // estimated requests per second of this forwarder that the worker can finish
+	capacity    float64 // estimate of how many of this forwarder's requests it can finish per second
 
 	countsSinceLearn  workercapacity.AttemptCounts // attempts since the last call of LearnCapacity
 	countsSinceReport workercapacity.AttemptCounts // attempts since the last call of TakeStats
--- a/internal/policy/workercapacity/estimate.go
+++ b/internal/policy/workercapacity/estimate.go
@@ -17,7 +17,8 @@
 	// overloadRatio is the fraction of rejected and lost attempts above which a worker counts as at
 	// its capacity.
 	overloadRatio = 0.02
-	// headroom is the ratio of the estimate to the finished rate of a worker below its capacity.
+	// headroom is the ratio to the finished rate towards which the estimate of a worker below its
+	// capacity rises. It is above 1 so that the worker may receive more requests than it finished.
 	headroom = 1.25
 )
 
