--- a/admission/action.go
+++ b/admission/action.go
@@ -1,38 +1,41 @@
 package admission
 
-// ActionKind names what the server is to do.
+// ActionKind is the kind of an action.
 type ActionKind uint8
 
 const (
-	// StartRun runs a queued request.
+	// StartRun starts the run of a queued request.
 	StartRun ActionKind = iota
-	// CancelRun stops running work.
+	// CancelRun stops a run.
 	CancelRun
-	// Reject sends the final response that a request was rejected before it ran. Sets Duration, the
-	// Retry-After, and NoFailover, which asks the client not to try another server.
+	// Reject sends a final response saying that the request was rejected before it ran. Sets
+	// Duration to the Retry-After, and NoFailover to ask the client not to try another server.
 	Reject
-	// Fail sends the final response that a request failed.
+	// Fail sends a final response saying that the request failed.
 	Fail
-	// DispatchCall lets the downstream call of a request go out. Sets Duration, its timeout.
+	// DispatchCall sends the downstream call of a request. Sets Duration to the timeout of the
+	// call.
 	DispatchCall
-	// Degrade has a run go on without its call.
+	// Degrade continues a run without its downstream call.
 	Degrade
-	// StoreKey puts a request into the key table. Sets Duration, for how long it stays there.
+	// StoreKey adds a request to the key table. Sets Duration to the time for which it stays
+	// there.
 	StoreKey
-	// DeleteKey takes it out of the table.
+	// DeleteKey removes a request from the key table.
 	DeleteKey
 	// ReuseResult responds with the result of the request that this one repeats.
 	ReuseResult
-	// SetHealth sets what health checks are told, which are answered from a stored value. Sets
-	// Healthy.
+	// SetHealth sets the stored value with which health checks are answered. Sets Healthy.
 	SetHealth
-	// ReportLoad reports the load to clients. Sets Load, which they read as Backpressure says.
+	// ReportLoad reports the load to clients. Sets Load, whose meaning depends on
+	// Settings.Backpressure.
 	ReportLoad
-	// SetIdleTimeout closes connections that are silent for so long. Sets Duration.
+	// SetIdleTimeout sets the time after which idle connections are closed. Sets Duration.
 	SetIdleTimeout
-	// SetTimer has a TimerFired event follow. Sets Duration, the time until then, and Label.
+	// SetTimer arms a timer that causes a TimerFired event. Sets Duration to the time until then,
+	// and Label.
 	SetTimer
-	// LogLine writes a line to the log. Sets Label, its text.
+	// LogLine writes a line to the log. Sets Label to its text.
 	LogLine
 )
 
@@ -45,8 +48,8 @@
 	return enumName(names, k)
 }
 
-// Action is one thing to do. The kind tells which of the fields are set; one flat struct for all
-// kinds spares an allocation for each action.
+// Action is something that the server has to do. The comment of its kind states which fields are
+// set. It is one flat struct for all kinds to save an allocation per action.
 type Action struct {
 	Kind      ActionKind
 	RequestID string
--- a/admission/admit.go
+++ b/admission/admit.go
@@ -1,21 +1,22 @@
 package admission
 
 const (
-	// minLateValue is the least LateValue of a class whose late responses are worth the cores. Exception
-	// to the design: below it they would block requests of more value.
+	// minLateValue is the minimum LateValue of a class whose requests may run after their soft
+	// deadline. Exception to the design: late requests of a lower value would occupy cores that
+	// requests of more value need.
 	minLateValue = 0.5
-	// expiryTolerance is how many seconds before its hard deadline a request counts as expired, so that
-	// its response is not late.
-	expiryTolerance = 1e-3
+	// expiryToleranceSeconds is the time in seconds before its hard deadline at which a request
+	// counts as expired, so that its response is not late.
+	expiryToleranceSeconds = 1e-3
 )
 
-// handleArrival queues a request or rejects it at once. From here on only a drain moves its hard
-// deadline.
+// handleArrival queues a request or rejects it at once. Once set here, its hard deadline is moved
+// only by a drain.
 func (c *Controller) handleArrival(e *Event) {
 	arrival := &e.Request
 	r := c.newRequest(e.RequestID, arrival)
 	withinQuota := c.chargeQuota(r, arrival.Tenant)
-	c.load.arrived++
+	c.load.arrivedRequests++
 	c.arrivals.record(c.now, arrival)
 	c.byID[r.id] = r
 	c.requests = append(c.requests, r)
@@ -23,17 +24,17 @@
 	c.decideArrival(r, arrival, withinQuota)
 }
 
-// newRequest returns a queued request with its deadlines and its value.
+// newRequest returns a queued request with its deadlines and value.
 func (c *Controller) newRequest(id string, arrival *Request) *request {
 	class := &c.classes[min(max(arrival.Class, 0), len(c.classes)-1)]
 	queued := &request{
-		id:        id,
-		class:     class,
-		state:     stateQueued,
-		since:     c.now,
-		arrivedAt: c.now - arrival.Age,
-		memory:    arrival.Memory,
-		value:     class.Value,
+		id:         id,
+		class:      class,
+		state:      stateQueued,
+		stateSince: c.now,
+		arrivedAt:  c.now - arrival.Age,
+		memory:     arrival.Memory,
+		value:      class.Value,
 	}
 	queued.hardDeadline = c.hardDeadline(queued.arrivedAt+class.Timeout, arrival)
 	softDeadline := class.SoftDeadline + class.SoftDeadlineStretch*arrival.ExpectedWork
@@ -48,9 +49,9 @@
 	return queued
 }
 
-// hardDeadline returns the time by which a request needs its final response: at the end of its
-// remaining budget, or of the timeout of all attempts together if that is earlier. It is never
-// after a drain's last response.
+// hardDeadline returns the time by which a request needs its final response: the end of its
+// remaining budget, or the end of the client's timeout over all attempts if that is earlier.
+// During a drain it is no later than the last response of the drain.
 func (c *Controller) hardDeadline(timeoutAt float64, arrival *Request) float64 {
 	deadline := timeoutAt
 	if arrival.RemainingBudget > 0 || c.settings.DeadlinePropagation {
@@ -59,22 +60,23 @@
 	return min(max(deadline, c.now), c.drain.lastResponseAt())
 }
 
-// decideArrival rejects a request at once, has it share the result of another, or leaves it in the
-// queue.
+// decideArrival rejects a request, makes it wait for the result of the request that it repeats,
+// or leaves it in the queue.
 func (c *Controller) decideArrival(queued *request, arrival *Request, withinQuota bool) {
 	deduplicated := queued.class.Idempotency == Deduplicated
 	idempotent := queued.class.Idempotency == Idempotent
 	cacheable := c.settings.ResultCacheTTL > 0 && idempotent && !arrival.Write
 	queued.duplicate = arrival.DuplicateOf != "" && deduplicated
 	switch {
-	case c.drain.refuses(queued), c.memory.full():
+	case c.drain.rejectsArrival(queued), c.memory.full():
 		c.step(queued, onOverload)
 	case arrival.DuplicateOf != "" && (deduplicated || cacheable):
 		c.step(queued, onDuplicate)
 	case !withinQuota:
 		c.step(queued, onOverload)
 	case deduplicated && !c.memory.fitsDeduplicationKey():
-		// A repeat of a request whose key is not stored would be taken for a new one and run again.
+		// Without a stored key, a repeat of this request would be taken for a new request and run
+		// again.
 		c.step(queued, onOverload)
 	case deduplicated:
 		c.storeKey(queued, queued.class.DeduplicationWindow)
@@ -83,15 +85,15 @@
 	}
 }
 
-// expireRequests expires requests that are past their hard deadline or can't be of value any more,
-// and rejects queued ones with less time left than a run takes.
+// expireRequests expires requests that are past their hard deadline or whose response would have
+// no value, and rejects queued ones with less time left than their run is expected to take.
 func (c *Controller) expireRequests() {
 	for _, r := range c.requests {
 		worthless := r.class.LateValue == 0 && c.now > r.softDeadline
 		stoppable := c.settings.Preemption != NoPreemption || r.state == stateAwaitingDownstream
 		left := r.valueUntil - c.now
 		switch {
-		case c.now >= r.hardDeadline-expiryTolerance, worthless && stoppable:
+		case c.now >= r.hardDeadline-expiryToleranceSeconds, worthless && stoppable:
 			c.step(r, onExpire)
 		case left < r.class.minServiceTime,
 			left < r.class.minRemainingBudget && c.count(statesOnCore)+1 >= c.concurrency.cores:
@@ -100,7 +102,7 @@
 	}
 }
 
-// rejectExpired rejects a request that has too little time left. It may come back at once.
+// rejectExpired rejects a request that has too little time left. Its client may retry at once.
 func (c *Controller) rejectExpired(r *request) { c.reject(r, 0) }
 
 // rejectOverload rejects a request for lack of capacity, with a Retry-After.
@@ -109,14 +111,15 @@
 	c.reject(r, c.retryAfter())
 }
 
-// reject sends the final response of a request that never ran, with Retry-After in seconds.
+// reject sends the final response of a request that never ran, with Retry-After in seconds. A
+// repeat of a deduplicated request fails instead, as the original may have run.
 func (c *Controller) reject(r *request, retryAfter float64) {
-	if r.duplicate { // its original may have run
+	if r.duplicate {
 		c.fail(r)
 		return
 	}
-	if !r.overQuota { // a rejection for exceeding a quota is no sign of overload
-		c.load.wasted++
+	if !r.overQuota { // exceeding a quota does not indicate overload
+		c.load.wastedRequests++
 	}
 	c.deleteKey(r)
 	c.emit(Action{Kind: Reject, RequestID: r.id, Duration: retryAfter, NoFailover: c.noFailover(r)})
--- a/admission/capacity.go
+++ b/admission/capacity.go
@@ -1,33 +1,33 @@
 package admission
 
 const (
-	// usableConcurrency is the fraction of the survivable concurrency that is used.
+	// usableConcurrency is the fraction of the sustainable concurrency that is used.
 	usableConcurrency = 0.8
-	// slowStartEpsilon is added to the age of a server and is the least duration of its warm-up, in
-	// seconds: their quotient is always defined.
-	slowStartEpsilon = 1e-9
+	// slowStartEpsilonSeconds is added to the age of a server and is the minimum duration of its
+	// warm-up, in seconds, so that their quotient is always defined.
+	slowStartEpsilonSeconds = 1e-9
 
-	// experimentPeriod is for how many seconds armExperiment tries an arm.
-	experimentPeriod = 1
-	// experimentWeight is the weight of the latest period in an arm's moving average of about three
-	// periods.
+	// experimentPeriodSeconds is the time in seconds for which armExperiment tries an arm.
+	experimentPeriodSeconds = 1
+	// experimentWeight is the weight of the latest period in the mean reward of an arm, a moving
+	// average of about three periods.
 	experimentWeight = 0.3
-	// explorationRate is the probability that the arm that seems worse is tried, as it may have become
-	// the better one.
+	// explorationRate is the probability of trying the arm with the lower mean reward, as it may
+	// have become the better one.
 	explorationRate = 0.15
-	// armStep is how many more runnable requests a core the second arm has than the first.
+	// armStep is the difference between the arms, in runnable requests per core.
 	armStep = 0.5
 )
 
 // concurrencyLimiter bounds the requests that run at once.
 type concurrencyLimiter struct {
-	cores             float64
-	survivablePerCore float64 // running requests a core that a warm server survives
-	slowStart         slowStart
-	runLimit          float64 // requests that may be on the cores now
-	// experiment finds how many runnable requests a core serve best.
+	cores              float64
+	sustainablePerCore float64 // running requests per core that a warm server can sustain
+	slowStart          slowStart
+	runLimit           float64 // maximum number of requests on the cores now
+	// experiment finds the number of runnable requests per core that earns the most value.
 	experiment armExperiment
-	gauges     Gauges // the latest; Runnable is set negative once it was used
+	gauges     Gauges // the latest; Runnable is negative once it was used
 }
 
 // slowStart is the warm-up of a server that starts cold.
@@ -36,39 +36,40 @@
 	startedAt float64
 }
 
-// armExperiment is a two-armed bandit: an algorithm that tries two settings in turn and keeps to the one
-// that earns more. The first arm is one runnable request a core, the second is half as many again.
+// armExperiment is a two-armed bandit: it tries two settings in turn and prefers the one with the
+// higher mean reward. The first arm allows one runnable request per core, the second allows
+// armStep more.
 type armExperiment struct {
-	means     [2]float64 // value that each arm earned in a period
-	arm       int        // in use: 0 or 1
+	means     [2]float64 // mean value that each arm earned in a period
+	arm       int        // index of the arm in use: 0 or 1
 	periodEnd float64
-	reward    float64 // value earned in the period at hand
-	hadQueue  bool    // requests were queued in the period at hand
+	reward    float64 // value earned in the current period
+	hadQueue  bool    // whether requests were queued in the current period
 }
 
 func newConcurrencyLimiter(settings *Settings, cores float64) concurrencyLimiter {
 	return concurrencyLimiter{
-		cores:             cores,
-		survivablePerCore: max(1, settings.Concurrency.PerCore),
-		slowStart:         slowStart{SlowStartSettings: settings.SlowStart},
-		runLimit:          cores,
-		gauges:            Gauges{Runnable: -1},
+		cores:              cores,
+		sustainablePerCore: max(1, settings.Concurrency.PerCore),
+		slowStart:          slowStart{SlowStartSettings: settings.SlowStart},
+		runLimit:           cores,
+		gauges:             Gauges{Runnable: -1},
 	}
 }
 
-// speedAt returns the fraction of its speed that the server has.
+// speedAt returns the speed of the server at a time, as a fraction of its full speed.
 func (s *slowStart) speedAt(now float64) float64 {
-	age := now - s.startedAt + slowStartEpsilon
-	return s.InitialSpeed + (1-s.InitialSpeed)*min(1, age/max(s.Duration, slowStartEpsilon))
+	age := now - s.startedAt + slowStartEpsilonSeconds
+	return s.InitialSpeed + (1-s.InitialSpeed)*min(1, age/max(s.Duration, slowStartEpsilonSeconds))
 }
 
-// maxRunning returns how many running requests are allowed: as many as the cores survive at the present
-// speed of the server, less some headroom.
+// maxRunning returns the maximum number of running requests: those that the cores can sustain at
+// the current speed of the server, less some headroom.
 func (l *concurrencyLimiter) maxRunning(now float64) float64 {
-	return max(1, usableConcurrency*l.cores*(1+(l.survivablePerCore-1)*l.slowStart.speedAt(now)))
+	return max(1, usableConcurrency*l.cores*(1+(l.sustainablePerCore-1)*l.slowStart.speedAt(now)))
 }
 
-// nextArm ends a period and chooses the arm of the next one.
+// nextArm ends a period and chooses the arm for the next one.
 func (e *armExperiment) nextArm(now float64, random *randomSource) {
 	if e.hadQueue {
 		e.means[e.arm] += experimentWeight * (e.reward - e.means[e.arm])
@@ -79,23 +80,24 @@
 			e.arm = 1
 		}
 	}
-	e.periodEnd = now + experimentPeriod
+	e.periodEnd = now + experimentPeriodSeconds
 	e.reward = 0
 	e.hadQueue = false
 }
 
-// hasConcurrencyRoom reports whether one more request may run, even if all calls return at once and
-// their requests run on.
+// hasConcurrencyRoom reports whether one more request may run. Requests in a call count as
+// running, as all calls may return at once.
 func (c *Controller) hasConcurrencyRoom() bool {
 	return c.count(statesOnCore|stateCalling)+1 <= c.concurrency.maxRunning(c.now)
 }
 
-// tuneRunLimit raises the run limit at once while cores are free and requests are queued. It lowers it
-// step by step while more requests a core are runnable than the present arm of the experiment allows.
+// tuneRunLimit raises the run limit by the number of free cores while requests are queued. It
+// lowers the limit by one per tick while more requests per core are runnable than the current arm
+// of the experiment allows.
 func (c *Controller) tuneRunLimit() {
 	l := &c.concurrency
 	runnable := l.gauges.Runnable
-	l.gauges.Runnable = -1 // each reading counts once
+	l.gauges.Runnable = -1 // each measurement is used once
 	hasQueue := c.count(stateQueued) > 0
 	l.experiment.hadQueue = l.experiment.hadQueue || hasQueue
 	if c.now >= l.experiment.periodEnd {
--- a/admission/capacity_test.go
+++ b/admission/capacity_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-func TestSlowStart_StartsFewer(t *testing.T) {
+// A server that starts cold sustains fewer running requests than a warm one.
+func TestSlowStart_LimitsRunningRequests(t *testing.T) {
 	for duration, most := range map[float64]int{0: 8, 60: 3} {
 		t.Run(fmt.Sprint(duration, " s"), func(t *testing.T) {
 			settings := Settings{Cores: 2, SlowStart: SlowStartSettings{InitialSpeed: 0.2, Duration: duration}}
@@ -16,8 +17,8 @@
 				m.now += 0.1
 				m.must(t, Event{Kind: TimerFired, Gauges: Gauges{Runnable: 0}})
 			}
-			if n := m.count(placeOnCore); n > most || n < 2 {
-				t.Errorf("%d on 2 cores", n)
+			if n := m.count(modelOnCore); n > most || n < 2 {
+				t.Errorf("%d requests run on 2 cores, want 2 to %d", n, most)
 			}
 		})
 	}
--- a/admission/connections.go
+++ b/admission/connections.go
@@ -1,28 +1,30 @@
 package admission
 
 const (
-	// rareClientInterval is the mean interval between the requests of one client, in seconds, above
-	// which keeping its connection costs more than opening a new one. Where some tens of clients
-	// share a server, both cost about the same near 5 s.
-	rareClientInterval = 8
-	// minIdleTimeout is the shortest timeout that was measured, in seconds, and the best under high load.
-	minIdleTimeout = 0.05
-	// stretchIncrease and stretchDecrease are factors at a tick. The timeout grows from 0.05 s to 5 s in
-	// 2.5 s, the time in which a connection table fills, and shrinks slowly.
+	// infrequentClientIntervalSeconds is the mean interval between the requests of one client, in
+	// seconds, above which keeping its connection open costs more than opening a new one. Where
+	// some tens of clients share a server, both cost about the same near 5 s.
+	infrequentClientIntervalSeconds = 8
+	// minIdleTimeoutSeconds is the idle timeout for clients above that interval, in seconds. It
+	// is the best one under high load.
+	minIdleTimeoutSeconds = 0.05
+	// stretchIncrease and stretchDecrease are the factors by which a tick changes the stretch.
+	// With them the timeout grows from 0.05 s to 5 s in 2.5 s, the time in which a connection
+	// table fills, and shrinks more slowly.
 	stretchIncrease = 1.2
 	stretchDecrease = 1.03
 	maxStretch      = 1000
-	// minIdleChange is the least factor that is worth an action: smaller steps would only add
-	// messages.
+	// minIdleChange is the minimum factor between the old and the new timeout for which an action
+	// is sent. Smaller steps would only add messages.
 	minIdleChange = 1.2
 )
 
-// connectionTuner sets how long silent connections stay open.
+// connectionTuner sets how long idle connections stay open.
 type connectionTuner struct {
 	clients        float64
-	idleTimeout    float64 // in force now
+	idleTimeout    float64 // current value
 	maxIdleTimeout float64
-	stretch        float64 // factor on the timeout, over 1 while or after requests waited unread
+	timeoutStretch float64 // factor on the timeout; over 1 during and shortly after an unread backlog
 }
 
 func newConnectionTuner(settings *Settings) connectionTuner {
@@ -30,29 +32,30 @@
 		clients:        float64(settings.Clients),
 		idleTimeout:    settings.IdleTimeout,
 		maxIdleTimeout: settings.IdleTimeout,
-		stretch:        1,
+		timeoutStretch: 1,
 	}
 }
 
-// tuneIdleTimeout closes silent connections soon where clients come back so seldom that keeping them
-// costs more than opening new ones, and that they fill the connection table.
+// tuneIdleTimeout sets a short idle timeout if clients return so rarely that keeping their
+// connections open costs more than opening new ones and would fill the connection table.
 //
-// While requests wait unread it does the opposite and keeps connections for longer and longer, so that
-// the full table keeps new ones out. A connection that is refused costs this server nothing, but a
-// request that is read and rejected costs a handshake and a read. That helps against storms of
-// retries, bursts and slow cores; it may hurt where the most valuable requests are kept out.
+// While requests stay unread, it lengthens the timeout at each tick instead, so that the
+// connection table stays full and new connections are refused. A refused connection costs this
+// server nothing, but a request that is read and rejected costs a handshake and a read. This
+// helps against retry storms, bursts and slow cores; it may hurt where it keeps out the most
+// valuable requests.
 func (c *Controller) tuneIdleTimeout() {
 	t := &c.connections
 	timeout := t.maxIdleTimeout
-	if c.arrivals.interval*t.clients > rareClientInterval {
-		timeout = minIdleTimeout
+	if c.arrivals.meanInterval*t.clients > infrequentClientIntervalSeconds {
+		timeout = minIdleTimeoutSeconds
 	}
-	if c.arrivals.unreadDelay > c.arrivals.maxUnreadDelay/2 {
-		t.stretch = min(stretchIncrease*t.stretch, maxStretch)
+	if c.arrivals.meanUnreadDelay > c.arrivals.maxUnreadDelay/2 {
+		t.timeoutStretch = min(stretchIncrease*t.timeoutStretch, maxStretch)
 	} else {
-		t.stretch = max(1, t.stretch/stretchDecrease)
+		t.timeoutStretch = max(1, t.timeoutStretch/stretchDecrease)
 	}
-	timeout = min(t.maxIdleTimeout, timeout*t.stretch)
+	timeout = min(t.maxIdleTimeout, timeout*t.timeoutStretch)
 	if timeout > minIdleChange*t.idleTimeout || timeout < t.idleTimeout/minIdleChange {
 		t.idleTimeout = timeout
 		c.emit(Action{Kind: SetIdleTimeout, Duration: timeout})
--- a/admission/connections_test.go
+++ b/admission/connections_test.go
@@ -5,18 +5,18 @@
 	"testing"
 )
 
-// Connections of clients that come back seldom must not fill the table; those of a few busy clients
-// stay. Where each further attempt opens a connection it is asked against, but not where clients
-// may choose servers by subject.
-func TestIdleTimeout_RareClientsAreNotKept(t *testing.T) {
+// Idle connections of clients that return rarely must not fill the connection table; those of a
+// few busy clients stay open. Where each further attempt opens a connection, clients are asked
+// not to try another server, unless they may choose servers by subject.
+func TestIdleTimeout_ShortForInfrequentClients(t *testing.T) {
 	cases := map[string]struct {
 		clients          int
 		subjects         bool
 		kept, noFailover bool
 	}{
-		"a few busy clients":      {clients: 4, kept: true},
-		"many clients":            {clients: 900, noFailover: true},
-		"many, choose by subject": {clients: 901, subjects: true},
+		"a few busy clients":                {clients: 4, kept: true},
+		"many clients":                      {clients: 900, noFailover: true},
+		"many clients, choosing by subject": {clients: 901, subjects: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -27,14 +27,15 @@
 			kept := m.idleTimeout == 0
 			noFailover := m.rejected["b0"].NoFailover
 			if kept != c.kept || noFailover != c.noFailover {
-				t.Errorf("connections closed after %.2f s, asked not to try elsewhere: %v", m.idleTimeout, noFailover)
+				t.Errorf("idle timeout unchanged %t, want %t (timeout %.2f s); NoFailover %t, want %t",
+					kept, c.kept, m.idleTimeout, noFailover, c.noFailover)
 			}
 		})
 	}
 }
 
-// While requests wait unread connections stay for longer, so that a full table keeps some attempts
-// out; once reading gets on they are closed at once again.
+// While requests stay unread, idle connections stay open for longer, so that a full connection
+// table refuses new attempts. Once requests are read in time, the timeout gets short again.
 func TestIdleTimeout_GrowsWhileRequestsWaitUnread(t *testing.T) {
 	classes := []Class{{SoftDeadline: 1.2, Timeout: 4, Value: 1}}
 	m := newLearnedModel(t, Settings{Cores: 8, Clients: 600, Classes: classes})
@@ -45,19 +46,19 @@
 			id := fmt.Sprint("a", n)
 			m.must(t, m.arrive(id, id, Request{Memory: 1, Age: age, RemainingBudget: 3}))
 			m.advance(t, m.now+0.1)
-			m.must(t, m.end(m.requests[id], Finished))
+			m.must(t, m.endRun(m.requests[id], Finished))
 		}
 	}
 	arriveFor(10, 0)
 	if m.idleTimeout > 0.05 {
-		t.Fatalf("rare clients are kept for %.2f s", m.idleTimeout)
+		t.Fatalf("idle timeout for rarely returning clients %.2f s, want at most 0.05 s", m.idleTimeout)
 	}
-	arriveFor(6, 0.3) // a quarter of the soft deadline, unread
+	arriveFor(6, 0.3) // unread for a quarter of the soft deadline
 	if m.idleTimeout < 1 {
-		t.Errorf("with requests unread connections stay for %.2f s", m.idleTimeout)
+		t.Errorf("idle timeout with an unread backlog %.2f s, want at least 1 s", m.idleTimeout)
 	}
 	arriveFor(25, 0)
 	if m.idleTimeout > 0.06 {
-		t.Errorf("reading got on, and connections stay for %.2f s", m.idleTimeout)
+		t.Errorf("idle timeout after the unread backlog ended %.2f s, want at most 0.06 s", m.idleTimeout)
 	}
 }
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -5,18 +5,19 @@
 	"slices"
 )
 
-// tickInterval is the time between two ticks, in seconds. It is short against the windows that are
-// learned from.
-const tickInterval = 0.1
+// tickIntervalSeconds is the time between two ticks, in seconds. It is short compared with the
+// windows over which estimates are learned.
+const tickIntervalSeconds = 0.1
 
-// Controller decides for one server. New makes it; it is not safe for concurrent use.
+// Controller makes the decisions of one server. Create it with New; it is not safe for concurrent
+// use.
 type Controller struct {
 	settings Settings
 
 	started  bool
-	now      float64    // time of the present batch
-	actions  []Action   // of the present batch
-	requests []*request // not done before the present batch, in order of arrival
+	now      float64    // time of the current batch
+	actions  []Action   // of the current batch
+	requests []*request // not done before the current batch, in order of arrival
 	byID     map[string]*request
 	classes  []learnedClass
 
@@ -33,7 +34,7 @@
 	drain       drainState
 }
 
-// New makes the controller of a server that starts now. The seed determines its random draws.
+// New returns the controller of a server that starts now. The seed determines its random draws.
 func New(seed int64, settings Settings) *Controller {
 	cores := max(1, float64(settings.Cores))
 	controller := &Controller{
@@ -42,7 +43,7 @@
 		random:      randomSource{seed: seed},
 		timer:       wakeupTimer{armedFor: math.Inf(1)},
 		arrivals:    newArrivalStats(&settings),
-		progress:    progressMonitor{slowestMeanRun: minSlowestMeanRun},
+		progress:    progressMonitor{slowestMeanRun: minSlowestMeanRunSeconds},
 		concurrency: newConcurrencyLimiter(&settings, cores),
 		memory:      newMemoryBudget(&settings),
 		downstream:  newDownstreamLimiter(&settings, cores),
@@ -58,8 +59,9 @@
 	return controller
 }
 
-// Decide takes the events of one batch, in order, and returns what to do, in order. now is the time
-// in seconds; it never goes back. The returned slice is valid until the next call.
+// Decide handles the events of one batch, in order, and returns the actions to carry out, in
+// order. now is the time in seconds and must not decrease from call to call. The returned slice
+// is valid until the next call.
 func (c *Controller) Decide(now float64, events []Event) []Action {
 	c.now = now
 	c.actions = c.actions[:0]
@@ -72,7 +74,7 @@
 	c.accrueCallCredit()
 	c.memory.keys.Expire(now)
 	c.downstream.abandoned.Expire(now)
-	if now >= c.timer.nextTick-timerTolerance {
+	if now >= c.timer.nextTick-timerToleranceSeconds {
 		c.tick()
 	}
 	c.expireRequests()
@@ -84,8 +86,9 @@
 	return c.actions
 }
 
-// DownstreamCalls returns how many downstream calls are in flight and how many requests wait for
-// theirs to be dispatched.
+// DownstreamCalls returns the number of downstream calls in flight, including abandoned ones that
+// may still occupy the dependency, and the number of requests that wait for their call to be
+// dispatched.
 func (c *Controller) DownstreamCalls() (inFlight, waiting int) {
 	return int(c.callsInFlight()), int(c.count(stateAwaitingDownstream))
 }
@@ -93,19 +96,19 @@
 // start initializes the state that depends on the time of the first batch.
 func (c *Controller) start() {
 	c.started = true
-	c.progress.lastEnd = c.now
-	c.progress.lastTimely = c.now
-	c.arrivals.last = c.now
+	c.progress.lastEndAt = c.now
+	c.progress.lastTimelyAt = c.now
+	c.arrivals.lastArrivalAt = c.now
 	c.concurrency.slowStart.startedAt = c.now
 	c.downstream.creditAt = c.now
-	c.downstream.callTime = newDurationEstimate(c.now, callTimeWindow)
+	c.downstream.callTime = newDurationEstimate(c.now, callTimeWindowSeconds)
 	for i := range c.classes {
-		c.classes[i].runTime = newDurationEstimate(c.now, runTimeWindow)
+		c.classes[i].runTime = newDurationEstimate(c.now, runTimeWindowSeconds)
 	}
 	c.emit(Action{Kind: SetHealth, Healthy: true})
 }
 
-// emit adds an action to those of the present batch.
+// emit appends an action to those of the current batch.
 func (c *Controller) emit(a Action) { c.actions = append(c.actions, a) }
 
 // handle handles one event of the batch.
@@ -121,7 +124,7 @@
 		c.concurrency.gauges = e.Gauges
 		c.timer.fired(c.now)
 	default:
-		if r := c.byID[e.RequestID]; r != nil { // an event of a request that is done is ignored
+		if r := c.byID[e.RequestID]; r != nil { // events of requests that are done are ignored
 			c.handleRequestEvent(r, e)
 		}
 	}
@@ -133,8 +136,8 @@
 	case RunEnded:
 		c.handleRunEnded(r, e)
 	case AwaitingDownstream:
-		c.progress.lastEnd = c.now
-		r.call.lostAttempts = 0 // those of the call before don't count for this one
+		c.progress.lastEndAt = c.now
+		r.call.lostAttempts = 0 // lost attempts are counted per call
 		c.step(r, onAwaitDownstream)
 	case CallReturned:
 		if r.state == stateCalling {
@@ -145,9 +148,9 @@
 	}
 }
 
-// tick refreshes the estimates, and tunes the limits and reports that follow from them.
+// tick refreshes the estimates, then the limits and reports that depend on them.
 func (c *Controller) tick() {
-	c.timer.nextTick = c.now + tickInterval
+	c.timer.nextTick = c.now + tickIntervalSeconds
 	c.checkProgress()
 	c.refreshEstimates()
 	c.tuneCallLimit()
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// lastResponseMargin is how many seconds before the kill a draining server has sent every final
-// response. It allows several iterations of an event loop.
-const lastResponseMargin = 0.03
+// lastResponseMarginSeconds is the time in seconds before the process is killed by which a draining
+// server has sent every final response. It allows for several turns of an event loop.
+const lastResponseMarginSeconds = 0.03
 
-// drainState is that of a server that was told that its process will be killed.
+// drainState is the state of a drain: the server was told that its process will be killed.
 type drainState struct {
-	gracePeriod float64 // seconds after its start for which arrivals are still taken in
-	startedAt   float64 // infinite where there is no drain
-	killAt      float64 // infinite where there is no drain
+	gracePeriod float64 // seconds from startedAt during which new requests are still accepted
+	startedAt   float64 // infinite without a drain
+	killAt      float64 // infinite without a drain
 }
 
 func newDrainState(settings *Settings) drainState {
@@ -24,15 +24,15 @@
 // draining reports whether a drain has started.
 func (d *drainState) draining() bool { return !math.IsInf(d.killAt, 1) }
 
-// lastResponseAt returns when the last final response has to be sent; infinity where there is no
-// drain.
-func (d *drainState) lastResponseAt() float64 { return d.killAt - lastResponseMargin }
+// lastResponseAt returns the time by which the last final response has to be sent; infinity
+// without a drain.
+func (d *drainState) lastResponseAt() float64 { return d.killAt - lastResponseMarginSeconds }
 
-// refuses reports whether a request arrived too late to be taken in.
-func (d *drainState) refuses(r *request) bool { return r.arrivedAt > d.startedAt+d.gracePeriod }
+// rejectsArrival reports whether a request arrived after the grace period and has to be rejected.
+func (d *drainState) rejectsArrival(r *request) bool { return r.arrivedAt > d.startedAt+d.gracePeriod }
 
-// handleDrain takes the server out of service, as its process will be killed in killIn seconds. Hard
-// deadlines after the last response move to it.
+// handleDrain takes the server out of service, as its process will be killed in killIn seconds.
+// It moves later hard deadlines forward to the time of the last response.
 func (c *Controller) handleDrain(killIn float64) {
 	c.drain.startedAt = c.now
 	c.drain.killAt = c.now + killIn
--- a/admission/drain_test.go
+++ b/admission/drain_test.go
@@ -2,7 +2,9 @@
 
 import "testing"
 
-func TestDrain_RejectsLateArrivalsAndAnswersAll(t *testing.T) {
+// In a drain, arrivals after the grace period are rejected at once, and every other request gets
+// its final response before the process is killed.
+func TestDrain_RejectsLateArrivalsAndAnswersOthers(t *testing.T) {
 	m := newLearnedModel(t, Settings{})
 	m.arriveMany(t, "a", 3, Request{Memory: 1, RemainingBudget: 4})
 	m.drainAt = m.now
@@ -11,7 +13,8 @@
 	m.advance(t, m.now+1.2)
 	m.arriveMany(t, "late", 1, Request{Memory: 1, RemainingBudget: 4})
 	if !m.requests["late0"].answered || m.requests["late0"].ran {
-		t.Fatal("an arrival after the grace period was not rejected at once")
+		t.Fatalf("arrival after the grace period: answered %t, ran %t; want it rejected, not run",
+			m.requests["late0"].answered, m.requests["late0"].ran)
 	}
 	m.advance(t, m.killAt)
 	m.must(t)
--- a/admission/enum_test.go
+++ b/admission/enum_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// Every value of an enumeration has a name of its own, and what follows the last has none.
-func TestEnumString_NamesEveryValue(t *testing.T) {
+// Every value of an enumeration has a unique name; a number after the last value is printed as
+// that number.
+func TestEnumString_UniqueNamePerValue(t *testing.T) {
 	cases := map[string]struct {
 		last int
 		name func(value int) fmt.Stringer
@@ -26,12 +27,12 @@
 			for value := 0; value <= c.last; value++ {
 				text := c.name(value).String()
 				if text == strconv.Itoa(value) || seen[text] {
-					t.Errorf("value %d has no name of its own: %q", value, text)
+					t.Errorf("value %d is printed as %q, want a unique name", value, text)
 				}
 				seen[text] = true
 			}
 			if text := c.name(c.last + 1).String(); text != strconv.Itoa(c.last+1) {
-				t.Errorf("a value after the last is called %q", text)
+				t.Errorf("number %d after the last value is printed as %q, want the number", c.last+1, text)
 			}
 		})
 	}
--- a/admission/event.go
+++ b/admission/event.go
@@ -1,28 +1,30 @@
 package admission
 
-// EventKind names what happened.
+// EventKind is the kind of an event.
 type EventKind uint8
 
 const (
-	// Started is the first event of every controller, when the server is up.
+	// Started is the first event of every controller, sent once the server is up.
 	Started EventKind = iota
-	// Arrived tells that a request was read and is queued. Sets Request.
+	// Arrived reports that a request was read and queued. Sets Request.
 	Arrived
-	// RunEnded tells that a run ended. Sets Outcome and Duration, the time that the run took.
+	// RunEnded reports that a run ended. Sets Outcome, and Duration to the time that the run
+	// took.
 	RunEnded
-	// AwaitingDownstream tells that a running request waits for its call to be dispatched.
+	// AwaitingDownstream reports that a running request waits for its downstream call to be
+	// dispatched.
 	AwaitingDownstream
-	// CallReturned tells that a downstream call ended. Sets Outcome and Duration, the time that the
-	// call took.
+	// CallReturned reports that a downstream call ended. Sets Outcome, and Duration to the time
+	// that the call took.
 	CallReturned
-	// ClientGone tells that nobody waits for the request any more.
+	// ClientGone reports that no client waits for the request any more.
 	ClientGone
-	// DrainStarted tells that the process will be killed. Sets Duration, the time until then.
+	// DrainStarted reports that the process will be killed. Sets Duration to the time until then.
 	DrainStarted
-	// TimerFired tells that a timer went off. Sets Gauges, and Label to that of the timer.
+	// TimerFired reports that a timer expired. Sets Gauges, and Label to the label of the timer.
 	TimerFired
-	// AllowanceChanged tells the server's share of a limit that holds for all servers together. Sets
-	// Allowance.
+	// AllowanceChanged reports the server's share of a limit that applies to all servers
+	// together. Sets Allowance.
 	AllowanceChanged
 )
 
@@ -35,26 +37,26 @@
 	return enumName(names, k)
 }
 
-// Outcome is how a run or a call ended.
+// Outcome is how a run or a downstream call ended.
 type Outcome uint8
 
 const (
-	// Finished means that it ended well.
+	// Finished means that it completed successfully.
 	Finished Outcome = iota
 	// Failed means that it ended with an error.
 	Failed
-	// Rejected means that the other side rejected it before it ran.
+	// Rejected means that the dependency rejected the call before running it.
 	Rejected
-	// TimedOut means that this server gave it up.
+	// TimedOut means that this server stopped waiting for it.
 	TimedOut
-	// Unreachable means that it never got to the other side.
+	// Unreachable means that the call did not reach the dependency.
 	Unreachable
-	// Disconnected means that the connection broke midway.
+	// Disconnected means that the connection broke after the call had been sent.
 	Disconnected
-	// Cancelled means that the run was stopped, or its request was done already when it came to a
-	// call.
+	// Cancelled means that the run was stopped, or that its request was already done when the run
+	// reached a downstream call.
 	Cancelled
-	// NeverStarted means that the request was done already before its run began.
+	// NeverStarted means that the request was already done before its run began.
 	NeverStarted
 )
 
@@ -67,58 +69,62 @@
 	return enumName(names, o)
 }
 
-// Event is one thing that happened to a server. The comment of its kind tells which fields are set;
-// RequestID is set in all that concern one request.
+// Event is something that happened to a server. The comment of its kind states which fields are
+// set; RequestID is set in every event that concerns one request.
 type Event struct {
 	Kind      EventKind
 	RequestID string
 	Request   Request
 	Outcome   Outcome
-	// Duration is how many seconds a run or a call took, or how many are left until a draining
-	// process is killed.
+	// Duration is in seconds: the time that a run or a call took, or the time left until a
+	// draining process is killed.
 	Duration  float64
 	Label     string
 	Gauges    Gauges
 	Allowance *Allowance
 }
 
-// Request is what came with a request when it was read.
+// Request holds the properties of a request, as known when it was read.
 type Request struct {
-	// Class, Tenant and Client are indexes; the first two of the settings' lists.
+	// Class and Tenant are indexes into Settings.Classes and Settings.Tenants; Client is the
+	// index of the client.
 	Class, Tenant, Client int
-	// Memory is what it takes while it is queued, in kilobytes.
+	// Memory is the memory of the request while it is queued, in kilobytes.
 	Memory float64
-	// Age is how many seconds ago it reached the machine.
+	// Age is the time in seconds since the request reached the machine.
 	Age float64
-	// ExpectedWork is how long it is expected to run, in seconds of a standard core; 0 where that is
-	// unknown.
+	// ExpectedWork is the expected run time in seconds on a standard core; 0 if unknown.
 	ExpectedWork float64
-	// RemainingBudget is for how many seconds its client still waits; 0 where the client did not send it.
+	// RemainingBudget is the time in seconds that the client will still wait; 0 if the client did
+	// not send it.
 	RemainingBudget float64
 	Priority        float64
-	// Retry tells that it is a later attempt, Write that it changes something, HasSubject that it
-	// names what it is about.
+	// Retry is set for attempts after the first, Write for requests that change data, and
+	// HasSubject for requests that name their subject, by which clients may choose servers.
 	Retry, Write, HasSubject bool
-	// DuplicateOf is the ID of the stored request that this one repeats, empty where it repeats
-	// none.
+	// DuplicateOf is the ID of the request in the key table that this one repeats; empty if none.
 	DuplicateOf string
 }
 
-// Gauges are the server's readings of its own load; a reading that it lacks is negative. Runnable is
-// the number of requests that run or wait for a core. The decisions use no other reading.
+// Gauges are the server's measurements of its own load. A negative value means that the
+// measurement is not available. Runnable is the number of requests that run or wait for a core;
+// the decisions use no other gauge.
 type Gauges struct{ Utilization, Runnable, Memory, Connections float64 }
 
-// CallAllowance is the Tenant of an allowance for downstream calls, which belongs to no tenant.
+// CallAllowance is the value of Allowance.Tenant for an allowance of downstream calls, which
+// belongs to no tenant.
 const CallAllowance = -1
 
-// Allowance is a server's share, from now on, of a limit that holds for all servers together. It takes
-// the place of the server's own estimate and is binding: requests over it are rejected, and calls over
-// it are not dispatched. A server without one decides by its estimate.
+// Allowance is a server's current share of a limit that applies to all servers together. It
+// replaces the server's own estimate of its share and is binding: requests over it are rejected,
+// and calls over it are not dispatched. A server without an allowance uses its estimate.
 type Allowance struct {
-	// Tenant is whose requests it bounds; CallAllowance where it bounds downstream calls.
+	// Tenant is the index of the tenant whose requests are limited, or CallAllowance if
+	// downstream calls are limited.
 	Tenant int
-	// Limit is in requests a second, or in concurrent calls.
+	// Limit is in requests a second for a tenant, or in concurrent calls.
 	Limit float64
-	// BurstDuration is how many seconds of a request rate may be saved up, but at least one request.
+	// BurstDuration bounds the unused requests that a tenant can save up, in seconds of its rate.
+	// The bound is at least one request unless Limit is 0.
 	BurstDuration float64
 }
--- a/admission/helpers_test.go
+++ b/admission/helpers_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// withDefaults fills in what a test leaves open of its settings.
+// withDefaults fills in the settings that a test does not set.
 func withDefaults(settings Settings) Settings {
 	if settings.Classes == nil {
 		settings.Classes = []Class{{SoftDeadline: 2, Timeout: 4, Value: 1, CallsDownstream: true}}
@@ -26,56 +26,56 @@
 	return settings
 }
 
-// newLearnedModel returns a server that has learned runs of 0.5 s of its first class.
+// newLearnedModel returns a server that has learned run times of 0.5 s for its first class.
 func newLearnedModel(t *testing.T, settings Settings) *model {
 	t.Helper()
 	m := newModel(withDefaults(settings), 1, 100)
 	m.must(t, Event{Kind: Started})
 	for i := range 6 {
-		m.run(t, fmt.Sprint("w", i), 0.5, Finished)
+		m.runToEnd(t, fmt.Sprint("w", i), 0.5, Finished)
 	}
 	m.advance(t, m.now+0.2)
 	return m
 }
 
-// run has one request arrive and end so many seconds later.
-func (m *model) run(t *testing.T, id string, seconds float64, outcome Outcome) {
+// runToEnd delivers a request with a remaining budget of 4 s and ends its run after the given time.
+func (m *model) runToEnd(t *testing.T, id string, seconds float64, outcome Outcome) {
 	t.Helper()
 	m.must(t, m.arrive(id, id, Request{Memory: 1, RemainingBudget: 4}))
 	m.advance(t, m.now+seconds)
-	m.must(t, m.end(m.requests[id], outcome))
+	m.must(t, m.endRun(m.requests[id], outcome))
 }
 
-// arriveMany has n requests arrive, each in a batch of its own. Their IDs are the prefix with a
-// number from 0.
-func (m *model) arriveMany(t *testing.T, prefix string, n int, in Request) {
+// arriveMany delivers n requests, each in a batch of its own. Their IDs are the prefix followed
+// by a number, from 0 on.
+func (m *model) arriveMany(t *testing.T, prefix string, n int, request Request) {
 	t.Helper()
 	for i := range n {
 		id := fmt.Sprint(prefix, i)
-		m.must(t, m.arrive(id, id, in))
+		m.must(t, m.arrive(id, id, request))
 	}
 }
 
-// awaitCall has a running request wait for its call.
+// awaitCall makes a running request wait for its downstream call.
 func (m *model) awaitCall(t *testing.T, id string) {
 	t.Helper()
-	m.requests[id].place = placeAwaiting
+	m.requests[id].state = modelAwaitingDownstream
 	m.must(t, Event{Kind: AwaitingDownstream, RequestID: id})
 }
 
-// finishCall has the call of a request end well.
+// finishCall ends the downstream call of a request successfully.
 func (m *model) finishCall(t *testing.T, id string, seconds float64) {
 	t.Helper()
-	m.requests[id].place = placeOnCore
+	m.requests[id].state = modelOnCore
 	m.must(t, Event{Kind: CallReturned, RequestID: id, Outcome: Finished, Duration: seconds})
 }
 
-// callTimeLeft is how long the call of a request may last.
-func (m *model) callTimeLeft(id string) float64 { return m.requests[id].callDeadline - m.now }
+// callTimeout returns the time until the call of a request times out.
+func (m *model) callTimeout(id string) float64 { return m.requests[id].callDeadline - m.now }
 
-// learnCalls has both twins learn eight calls of half a second.
-func (m *model) learnCalls() {
-	for _, c := range []*Controller{m.controller, m.twin} {
+// recordCallTimes records eight calls of 0.5 s with the controller and its replay.
+func (m *model) recordCallTimes() {
+	for _, c := range []*Controller{m.controller, m.replay} {
 		for range 8 {
 			c.downstream.callTime.window.Current(m.now).Add(0.5)
 		}
--- a/admission/lifecycle.go
+++ b/admission/lifecycle.go
@@ -2,34 +2,34 @@
 
 import "slices"
 
-// state is the state of a request. It is a bit, so that a row of the transition table and a count
-// can name a set of states.
+// state is the state of a request. States are bits, so that a row of the transition table and a
+// count can name a set of states.
 type state uint16
 
 const (
 	stateQueued             state = 1 << iota
 	stateCoalesced                // waits for the result of the request that it repeats
-	stateRunning                  // on or near a core
-	stateAwaitingDownstream       // its call is not dispatched yet
+	stateRunning                  // on a core or waiting for one
+	stateAwaitingDownstream       // waits for its call to be dispatched
 	stateCalling                  // its call is in flight
-	stateAnswered                 // needs no response any more, yet its run has not ended
+	stateAnswered                 // needs no response any more, but its run has not ended
 	stateDone
 
 	statesOnCore = stateRunning | stateAnswered
 )
 
-// trigger is what moves a request to another state. It is a bit too.
+// trigger causes a transition of a request to another state. Triggers are bits, as states are.
 type trigger uint16
 
 const (
-	onAdmit      trigger = 1 << iota // decided: it may run
-	onDuplicate                      // decided: the result of another request is its own
-	onTooLate                        // decided: less time is left than a run takes
-	onOverload                       // decided: load, memory, a quota or a drain forbids it
-	onExpire                         // decided: its hard deadline is here, or it has no value any more
-	onDispatch                       // decided: its call may go out
-	onDegrade                        // decided: a response without the call is worth more
-	onClientGone                     // events, from here on
+	onAdmit      trigger = 1 << iota // decision: the request may run
+	onDuplicate                      // decision: the request repeats another one and gets its result
+	onTooLate                        // decision: less time is left than a run is expected to take
+	onOverload                       // decision: load, memory, a quota or a drain forbids it
+	onExpire                         // decision: the hard deadline is reached, or a response has no value
+	onDispatch                       // decision: the call may be dispatched
+	onDegrade                        // decision: a response without the call is preferred
+	onClientGone                     // this and the following triggers are events
 	onAwaitDownstream
 	onCallReturned
 	onCallLost
@@ -37,16 +37,16 @@
 	onRunCancelled
 )
 
-// transition is a row of the state table.
+// transition is a row of the transition table.
 type transition struct {
 	from   state
 	on     trigger
 	to     state
-	effect func(*Controller, *request) // nil for none
+	effect func(*Controller, *request) // nil if there is none
 }
 
-// transitions is the state table of a request. A trigger that no row names for the present state is
-// ignored; where two rows match, the first one applies.
+// transitions is the transition table of requests. A trigger without a row for the present state
+// is ignored; if two rows match, the first one applies.
 var transitions = []transition{
 	{stateQueued, onAdmit, stateRunning, (*Controller).startRun},
 	{stateQueued, onDuplicate, stateCoalesced, (*Controller).reuseResult},
@@ -70,38 +70,41 @@
 	{stateAnswered, onRunCancelled, stateDone, nil},
 }
 
-// request is a request that the server took in, until it is done.
+// request is a request that has arrived and is not done.
 type request struct {
-	id        string
-	class     *learnedClass
-	state     state
-	since     float64 // when it came to its state
-	arrivedAt float64
-	// softDeadline is the time until which its response has its full value.
+	id         string
+	class      *learnedClass
+	state      state
+	stateSince float64 // time at which it entered its state
+	arrivedAt  float64
+	// softDeadline is the time until which the response has its full value.
 	softDeadline float64
-	// hardDeadline is the time at which its client leaves, so that it needs its final response before.
+	// hardDeadline is the time at which the client stops waiting; the final response must be sent
+	// before.
 	hardDeadline float64
-	// valueUntil is the one of the two deadlines until which finishing it is worth the cores.
+	// valueUntil is the time until which the request is worth running: hardDeadline, or the
+	// earlier of the two deadlines if late responses have too little value.
 	valueUntil   float64
-	coreTime     float64 // seconds on or near a core so far, without calls and pauses
-	memory       float64 // while it is queued
-	value        float64 // of its response; less where its tenant is over its quota
+	coreTime     float64 // seconds on a core or waiting for one, without calls and the wait for them
+	memory       float64 // memory while queued, in kilobytes
+	value        float64 // of its response; lowered if over quota
 	overQuota    bool
-	chargedQuota *tenantQuota // the quota that it was charged to while queued; nil for none
-	ran          bool
-	duplicate    bool // repeats a deduplicated request
+	chargedQuota *tenantQuota // quota charged while queued; nil if none
+	started      bool
+	duplicate    bool // whether it repeats a deduplicated request
 	call         callProgress
 }
 
-// callProgress is how far the downstream calls of a request are.
+// callProgress is the progress of the downstream calls of a request.
 type callProgress struct {
-	finishedCalls int     // calls that ended well
-	lostAttempts  int     // attempts of the present call that did not end well
-	backoffUntil  float64 // time before which no attempt is made
-	notExecuted   bool    // the last attempt is known not to have run downstream
+	finishedCalls int     // calls that completed successfully
+	lostAttempts  int     // attempts of the current call that did not complete successfully
+	backoffUntil  float64 // time before which no attempt may be made
+	notExecuted   bool    // whether the last attempt is known not to have run downstream
 }
 
-// step applies a trigger to a request and reports whether a transition matched. r may be nil.
+// step applies a trigger to a request and reports whether a transition matched. r may be nil,
+// which matches none.
 func (c *Controller) step(r *request, on trigger) bool {
 	if r == nil {
 		return false
@@ -116,18 +119,19 @@
 	return false
 }
 
-// apply moves a request along a transition and updates what is accounted by state.
+// apply moves a request along a transition, updates the accounts kept by state and runs the
+// effect.
 func (c *Controller) apply(row *transition, r *request) {
 	c.accrueCallCredit()
 	if r.state == stateQueued {
 		r.settleQuotaCharge(row.to)
 	}
 	if r.state&statesOnCore != 0 {
-		r.coreTime += c.now - r.since
+		r.coreTime += c.now - r.stateSince
 	}
 	c.memory.release(r)
 	r.state = row.to
-	r.since = c.now
+	r.stateSince = c.now
 	if r.state == stateDone {
 		delete(c.byID, r.id)
 	} else {
@@ -138,9 +142,9 @@
 	}
 }
 
-// settleQuotaCharge ends the charge of a request that leaves the queue for another state. It is refunded
-// unless the request runs: a rejection, or the result of another request, uses nothing of the
-// quota.
+// settleQuotaCharge settles the quota charge of a request that leaves the queue. The charge is
+// refunded unless the request runs: a rejection, or the result of another request, uses nothing
+// of the quota.
 func (r *request) settleQuotaCharge(to state) {
 	if r.chargedQuota != nil && to != stateRunning {
 		r.chargedQuota.Refund()
@@ -150,10 +154,11 @@
 
 func (r *request) done() bool { return r.state == stateDone }
 
-// count returns how many requests are in any of the states, as a float64 as the limits are fractional.
-func (c *Controller) count(in state) (n float64) {
+// count returns the number of requests in any of the given states, as a float64 since the limits
+// are fractional.
+func (c *Controller) count(states state) (n float64) {
 	for _, r := range c.requests {
-		if r.state&in != 0 {
+		if r.state&states != 0 {
 			n++
 		}
 	}
@@ -161,14 +166,14 @@
 }
 
 // inState returns a new slice of the requests in a state, in order of arrival.
-func (c *Controller) inState(in state) []*request {
-	isElsewhere := func(r *request) bool { return r.state != in }
-	return slices.DeleteFunc(slices.Clone(c.requests), isElsewhere)
+func (c *Controller) inState(wanted state) []*request {
+	inOtherState := func(r *request) bool { return r.state != wanted }
+	return slices.DeleteFunc(slices.Clone(c.requests), inOtherState)
 }
 
-// handleRunEnded ends a run and learns from it.
+// handleRunEnded handles the end of a run and learns from it.
 func (c *Controller) handleRunEnded(r *request, e *Event) {
-	c.progress.lastEnd = c.now
+	c.progress.lastEndAt = c.now
 	stateBefore := r.state
 	r.class.recordWaste(stateBefore == stateAnswered && c.now >= r.hardDeadline)
 	on := onRunEnded
@@ -176,25 +181,26 @@
 		on = onRunCancelled
 	}
 	c.step(r, on)
-	if r.ran && r.done() && r.informative(e.Outcome) {
+	if r.started && r.done() && r.hasUsefulRunTime(e.Outcome) {
 		r.class.recordRun(c.now, r)
 	}
 	if e.Outcome == Finished && stateBefore != stateAnswered && c.now <= r.softDeadline {
-		c.progress.lastTimely = c.now
+		c.progress.lastTimelyAt = c.now
 		c.concurrency.experiment.reward += r.value
 	}
 }
 
-// informative reports whether the minimum service time may be learned of a run that ended. Quick
-// errors and runs that were cancelled early would make it too low; of a run that was cancelled after
-// the present minimum at least that much is known.
-func (r *request) informative(outcome Outcome) bool {
+// hasUsefulRunTime reports whether the run time of a run that ended may be used to learn the
+// minimum service time. Quick errors and runs cancelled early would lower the minimum too much. A
+// run that was cancelled or failed after the present minimum shows that runs take at least that
+// long.
+func (r *request) hasUsefulRunTime(outcome Outcome) bool {
 	return outcome == Finished || r.coreTime > r.class.minServiceTime
 }
 
-// startRun starts the run of a request that was admitted.
+// startRun starts the run of an admitted request.
 func (c *Controller) startRun(r *request) {
-	r.ran = true
+	r.started = true
 	r.class.admittedFraction += admissionWeight * (1 - r.class.admittedFraction)
 	c.emit(Action{Kind: StartRun, RequestID: r.id})
 }
@@ -204,12 +210,12 @@
 
 // fail sends the final response of a request that may have run.
 func (c *Controller) fail(r *request) {
-	c.load.wasted++
+	c.load.wastedRequests++
 	c.emit(Action{Kind: Fail, RequestID: r.id})
 }
 
-// cancelRun stops a run where runs can be preempted. It leaves deduplicated requests alone: a
-// repeat may still want the result.
+// cancelRun stops a run if runs can be preempted. Runs of deduplicated requests continue, as a
+// repeat may still need the result.
 func (c *Controller) cancelRun(r *request) {
 	if c.settings.Preemption != NoPreemption && r.class.Idempotency != Deduplicated {
 		c.emit(Action{Kind: CancelRun, RequestID: r.id})
--- a/admission/model_test.go
+++ b/admission/model_test.go
@@ -11,64 +11,66 @@
 	"pgregory.net/rapid"
 )
 
-// model is a slow, plain model of what the rules allow one server, fed with the events and actions
-// of a controller. It holds no decision: whatever breaks a rule comes back as an error.
+// model is a simple reference model of what the rules allow one server to do. It is fed with the
+// events and the actions of a controller and makes no decisions; an action that breaks a rule is
+// returned as an error.
 type model struct {
 	settings Settings
-	// controller and twin get the same events and must give the same actions.
-	controller, twin *Controller
+	// controller and replay get the same events and must return the same actions.
+	controller, replay *Controller
 
 	now, startedAt  float64
 	requests        map[string]*modelRequest
-	ids             []string           // of requests, in order of arrival
-	keys            map[string]float64 // until when each key is stored
+	ids             []string           // request IDs, in order of arrival
+	keys            map[string]float64 // expiry time of each stored key
 	timers          []float64
-	abandonedUntil  []float64 // until when abandoned calls may still be held downstream
+	abandonedUntil  []float64 // times until which abandoned calls may still occupy the dependency
 	drainAt, killAt float64
 	rejected        map[string]Action
-	idleTimeout     float64 // as last told, 0 at first
+	idleTimeout     float64 // as last set by an action; 0 if never set
 	callsInFlight   []callSample
-	covered         map[coverage]int // nil where coverage is not wanted
+	covered         map[coverage]int // nil if coverage is not recorded
 }
 
-// callSample is how many calls were in flight from a time on.
+// callSample is the number of calls in flight from a time on.
 type callSample struct{ at, calls float64 }
 
-// place is where the model takes a request to be.
-type place string
+// modelState is the state of a request in the model.
+type modelState string
 
 const (
-	placeQueued    place = "queued"
-	placeCoalesced place = "coalesced"
-	placeOnCore    place = "on a core"
-	placeAwaiting  place = "awaiting downstream"
-	placeCalling   place = "calling"
-	placeDone      place = "done"
+	modelQueued             modelState = "queued"
+	modelCoalesced          modelState = "coalesced"
+	modelOnCore             modelState = "on a core"
+	modelAwaitingDownstream modelState = "awaiting downstream"
+	modelCalling            modelState = "calling"
+	modelDone               modelState = "done"
 )
 
 type modelRequest struct {
-	id, identity    string // identity is what a request and its repeats have in common
+	id, identity    string // a request and its repeats share their identity
 	class           Class
-	place           place
+	state           modelState
 	arrivedAt       float64
 	hardDeadline    float64
 	readAt          float64
 	memory          float64
-	callDeadline    float64 // when its call times out
+	callDeadline    float64 // time at which its call times out
 	answered        bool
 	clientGone      bool
 	ran             bool
 	called          bool
 	cancelPending   bool
-	mayHaveExecuted bool // its call may have had its effect
-	repeats         bool // another request
+	mayHaveExecuted bool // whether its call may have run downstream
+	isRepeat        bool // whether it repeats another request
 }
 
+// newModel returns a model whose server starts at the given time.
 func newModel(settings Settings, seed int64, now float64) *model {
 	return &model{
 		settings:   settings,
 		controller: New(seed, settings),
-		twin:       New(seed, settings),
+		replay:     New(seed, settings),
 		now:        now,
 		startedAt:  now,
 		requests:   map[string]*modelRequest{},
@@ -79,68 +81,69 @@
 	}
 }
 
-func (m *model) count(where place) (n int) {
+// count returns the number of requests in a state.
+func (m *model) count(wanted modelState) (n int) {
 	for _, r := range m.requests {
-		if r.place == where {
+		if r.state == wanted {
 			n++
 		}
 	}
 	return n
 }
 
-// arrive makes the event of a request that reaches the server and puts it into the model.
-func (m *model) arrive(id, identity string, in Request) Event {
-	class := m.settings.Classes[in.Class]
+// arrive adds an arriving request to the model and returns its event.
+func (m *model) arrive(id, identity string, request Request) Event {
+	class := m.settings.Classes[request.Class]
 	r := &modelRequest{
-		id: id, identity: identity, class: class, place: placeQueued,
-		arrivedAt: m.now - in.Age, readAt: m.now, memory: in.Memory,
+		id: id, identity: identity, class: class, state: modelQueued,
+		arrivedAt: m.now - request.Age, readAt: m.now, memory: request.Memory,
 	}
 	r.hardDeadline = max(m.now, r.arrivedAt+class.Timeout)
-	if in.RemainingBudget > 0 {
-		r.hardDeadline = m.now + in.RemainingBudget
+	if request.RemainingBudget > 0 {
+		r.hardDeadline = m.now + request.RemainingBudget
 	}
 	if class.Idempotency == Deduplicated {
-		in.DuplicateOf = m.original(r, in.DuplicateOf)
+		request.DuplicateOf = m.original(r, request.DuplicateOf)
 	}
-	r.repeats = in.DuplicateOf != ""
+	r.isRepeat = request.DuplicateOf != ""
 	m.requests[id] = r
 	m.ids = append(m.ids, id)
-	return Event{Kind: Arrived, RequestID: id, Request: in}
+	return Event{Kind: Arrived, RequestID: id, Request: request}
 }
 
-// original returns the latest request of the same identity that has a key, or came in the same
-// batch; otherwise what is given.
-func (m *model) original(r *modelRequest, otherwise string) string {
+// original returns the ID of the latest request of the same identity that has a stored key or
+// arrived in the same batch; the given default if there is none.
+func (m *model) original(r *modelRequest, defaultID string) string {
 	for _, id := range m.ids {
 		other := m.requests[id]
 		if other.identity != r.identity {
 			continue
 		}
 		known := m.keys[other.id] >= r.arrivedAt || other.readAt == m.now
-		if known && (other.place == placeQueued || other.ran) {
-			otherwise = other.id
+		if known && (other.state == modelQueued || other.ran) {
+			defaultID = other.id
 		}
 	}
-	return otherwise
+	return defaultID
 }
 
-// end makes the event of a run that ends.
-func (m *model) end(r *modelRequest, outcome Outcome) Event {
-	r.place = placeDone
+// endRun marks the run of a request as ended and returns the event.
+func (m *model) endRun(r *modelRequest, outcome Outcome) Event {
+	r.state = modelDone
 	r.answered = r.answered || outcome == Finished || outcome == Failed
 	return Event{Kind: RunEnded, RequestID: r.id, Outcome: outcome, Duration: 0.1}
 }
 
-// decide hands the events to both twins, applies what they answer and checks the rules.
+// decide passes the events to both controllers, applies the actions and checks the rules.
 func (m *model) decide(events ...Event) error {
 	actions := append([]Action(nil), m.controller.Decide(m.now, events)...)
-	twin := m.twin.Decide(m.now, events)
-	if len(actions)+len(twin) > 0 && !reflect.DeepEqual(actions, twin) {
-		return fmt.Errorf("twins differ: %v against %v", actions, twin)
+	replayed := m.replay.Decide(m.now, events)
+	if len(actions)+len(replayed) > 0 && !reflect.DeepEqual(actions, replayed) {
+		return fmt.Errorf("same events gave different actions: %v and %v", actions, replayed)
 	}
 	for _, action := range actions {
 		if err := m.apply(action); err != nil {
-			return fmt.Errorf("%+v at %.3f: %w", action, m.now, err)
+			return fmt.Errorf("action %+v at %.3f s: %w", action, m.now, err)
 		}
 	}
 	return m.checkRules()
@@ -150,19 +153,19 @@
 	switch a.Kind {
 	case SetTimer:
 		m.timers = append(m.timers, m.now+a.Duration)
-		return check(a.Duration >= 0, "timer in the past")
+		return check(a.Duration >= 0, "timer set in the past")
 	case ReportLoad:
-		return check(m.settings.Backpressure != NoBackpressure && a.Load >= 0, "load report not allowed")
+		return check(m.settings.Backpressure != NoBackpressure && a.Load >= 0, "load negative or not to be reported")
 	case SetIdleTimeout:
 		m.idleTimeout = a.Duration
 		inRange := a.Duration >= 0.01 && a.Duration <= m.settings.IdleTimeout
-		return check(inRange, "connections closed too soon or too late")
+		return check(inRange, fmt.Sprintf("idle timeout not within 0.01 to %.3f s", m.settings.IdleTimeout))
 	case SetHealth, LogLine:
 		return nil
 	}
 	r := m.requests[a.RequestID]
 	if r == nil {
-		return errors.New("unknown request")
+		return fmt.Errorf("unknown request %q", a.RequestID)
 	}
 	return m.applyToRequest(a, r)
 }
@@ -174,68 +177,71 @@
 	case Reject, Fail:
 		return m.respond(a, r)
 	case CancelRun:
-		r.cancelPending = r.place == placeOnCore
+		r.cancelPending = r.state == modelOnCore
 		preemptible := m.settings.Preemption != NoPreemption && r.class.Idempotency != Deduplicated
-		return check(preemptible && (r.answered || r.clientGone), "stops what it must not")
+		return check(preemptible && (r.answered || r.clientGone), "cancels a run that must not be cancelled")
 	case DispatchCall:
 		return m.dispatchCall(a, r)
 	case Degrade:
-		allowed := r.place == placeAwaiting && r.class.DegradedValue > 0
-		r.place = placeOnCore
-		return check(allowed, "skips a call it must not")
+		allowed := r.state == modelAwaitingDownstream && r.class.DegradedValue > 0
+		r.state = modelOnCore
+		return check(allowed, "skips a call that the request needs or does not wait for")
 	case StoreKey:
 		m.keys[a.RequestID] = m.now + a.Duration
 	case DeleteKey:
 		delete(m.keys, a.RequestID)
 	case ReuseResult:
-		r.place = placeCoalesced
-		return check(r.repeats, "repeats nothing")
+		r.state = modelCoalesced
+		return check(r.isRepeat, "reuses a result for a request that is no repeat")
 	}
 	return nil
 }
 
 func (m *model) startRun(r *modelRequest) error {
 	switch {
-	case r.place != placeQueued || r.answered || r.clientGone:
-		return fmt.Errorf("starts a request that is %s", r.place)
+	case r.state != modelQueued || r.answered || r.clientGone:
+		return fmt.Errorf("starts a request that is %s, answered %t, client gone %t; want queued, false, false",
+			r.state, r.answered, r.clientGone)
 	case r.arrivedAt > m.drainAt+m.settings.DrainGracePeriod:
-		return errors.New("runs what came after the grace period")
+		return fmt.Errorf("starts a request that arrived at %.3f s, after the grace period of the drain at %.3f s",
+			r.arrivedAt, m.drainAt)
 	case m.hasRunDuplicate(r):
-		return errors.New("runs a second attempt")
+		return errors.New("runs a second attempt of a deduplicated request within its window")
 	}
-	r.place = placeOnCore
+	r.state = modelOnCore
 	r.ran = true
 	return nil
 }
 
-// respond takes a final response: a rejection or a failure.
+// respond applies a final response: a rejection or a failure.
 func (m *model) respond(a Action, r *modelRequest) error {
 	if r.answered || r.clientGone {
-		return errors.New("answers twice")
+		return fmt.Errorf("response not due: answered before %t, client gone %t", r.answered, r.clientGone)
 	}
-	mayHaveRun := r.ran || r.place != placeQueued || r.repeats && m.hasRunDuplicate(r)
+	mayHaveRun := r.ran || r.state != modelQueued || r.isRepeat && m.hasRunDuplicate(r)
 	if a.Kind == Reject && mayHaveRun {
-		return errors.New("rejects what ran")
+		return errors.New("rejects a request that may have run, want it failed")
 	}
 	m.rejected[a.RequestID] = a
 	r.answered = true
-	switch r.place {
-	case placeCalling:
+	switch r.state {
+	case modelCalling:
 		m.abandonCall()
-	case placeQueued, placeCoalesced:
-		r.place = placeDone
+	case modelQueued, modelCoalesced:
+		r.state = modelDone
 	}
 	return nil
 }
 
 func (m *model) dispatchCall(a Action, r *modelRequest) error {
-	if r.place != placeAwaiting || r.answered || a.Duration <= 0 || m.now+a.Duration > r.hardDeadline {
-		return fmt.Errorf("call from %s for %.3f", r.place, a.Duration)
+	if r.state != modelAwaitingDownstream || r.answered || a.Duration <= 0 || m.now+a.Duration > r.hardDeadline {
+		return fmt.Errorf("dispatches a call of a request that is %s, answered %t: timeout %.3f s, %.3f s left",
+			r.state, r.answered, a.Duration, r.hardDeadline-m.now)
 	}
 	if r.called && r.mayHaveExecuted && r.class.Idempotency != Idempotent {
-		return errors.New("repeats a call that may have had its effect")
+		return errors.New("repeats a call that may have run downstream, of a request that is not idempotent")
 	}
-	r.place = placeCalling
+	r.state = modelCalling
 	r.called = true
 	r.mayHaveExecuted = true
 	r.callDeadline = m.now + a.Duration
@@ -246,7 +252,8 @@
 	m.abandonedUntil = append(m.abandonedUntil, m.now+m.settings.Downstream.AbandonedCallLifetime)
 }
 
-// hasRunDuplicate reports whether another attempt of a deduplicated request has run within its window.
+// hasRunDuplicate reports whether another attempt of a deduplicated request ran within its
+// window.
 func (m *model) hasRunDuplicate(r *modelRequest) bool {
 	for _, other := range m.requests {
 		if r.class.Idempotency == Deduplicated && other != r && other.ran && other.identity == r.identity &&
@@ -257,32 +264,34 @@
 	return false
 }
 
-func check(ok bool, fault string) error {
+// check returns an error with the message if ok is false.
+func check(ok bool, message string) error {
 	if !ok {
-		return errors.New(fault)
+		return errors.New(message)
 	}
 	return nil
 }
 
-// checkRules checks what must hold once a batch is answered.
+// checkRules checks the rules that must hold after each batch.
 func (m *model) checkRules() error {
 	for _, id := range m.ids {
 		r := m.requests[id]
 		overdue := m.now > r.hardDeadline+m.settings.DeadlineTolerance || m.now >= m.killAt
 		if !r.answered && !r.clientGone && overdue {
-			return fmt.Errorf("request %s lost: due %.3f, now %.3f", id, r.hardDeadline, m.now)
+			return fmt.Errorf("request %s has no response at %.3f s: hard deadline %.3f s, process killed at %.3f s",
+				id, m.now, r.hardDeadline, m.killAt)
 		}
 	}
 	if memory := m.memory(); memory > m.settings.Memory.Limit {
-		return fmt.Errorf("memory %.0f over %.0f", memory, m.settings.Memory.Limit)
+		return fmt.Errorf("memory use of %.0f kB over the limit of %.0f kB", memory, m.settings.Memory.Limit)
 	}
-	if n := m.count(placeOnCore); float64(n) > m.survivableRuns() {
-		return fmt.Errorf("%d runs are too many for the cores", n)
+	if n := m.count(modelOnCore); float64(n) > m.sustainableRuns() {
+		return fmt.Errorf("%d running requests, the cores sustain %.1f", n, m.sustainableRuns())
 	}
 	return m.checkCalls()
 }
 
-// memory adds up what requests and keys take.
+// memory returns the memory that requests and keys use.
 func (m *model) memory() float64 {
 	memory := 0.0
 	for _, until := range m.keys {
@@ -292,9 +301,9 @@
 	}
 	for _, id := range m.ids {
 		r := m.requests[id]
-		switch r.place {
-		case placeDone:
-		case placeQueued, placeCoalesced:
+		switch r.state {
+		case modelDone:
+		case modelQueued, modelCoalesced:
 			memory += r.memory
 		default:
 			memory += r.memory * m.settings.Memory.RunningFactor
@@ -303,8 +312,9 @@
 	return memory
 }
 
-// survivableRuns is how many runs the cores survive at this moment of the warm-up.
-func (m *model) survivableRuns() float64 {
+// sustainableRuns returns the number of running requests that the cores sustain at this moment of
+// the warm-up.
+func (m *model) sustainableRuns() float64 {
 	slowStart := m.settings.SlowStart
 	speed := 1.0
 	if age := m.now - m.startedAt; age < slowStart.Duration {
@@ -313,13 +323,13 @@
 	return float64(m.settings.Cores) * (1 + (m.settings.Concurrency.PerCore-1)*speed)
 }
 
-// checkCalls checks the mean of calls in flight over the window. What was in flight until the next
-// batch is taken as if it had been so since this one.
+// checkCalls checks the mean number of calls in flight over the window. The number in flight
+// after a batch is taken to hold until the next batch.
 func (m *model) checkCalls() error {
 	window := m.settings.Downstream.CallWindow
 	calls := 0
 	for _, r := range m.requests {
-		if r.place == placeCalling && !r.answered && !r.clientGone { // else it counts as abandoned
+		if r.state == modelCalling && !r.answered && !r.clientGone { // otherwise it counts as abandoned
 			calls++
 		}
 	}
@@ -336,15 +346,16 @@
 		sum += before.calls * (end - max(before.at, m.now-window))
 		end = before.at
 	}
-	// One abandoned call may pass the limit: the rule binds the sum of all servers.
+	// One abandoned call may exceed this server's share: the limit applies to the sum over all
+	// servers.
 	limit := m.settings.Downstream.CallLimit + m.settings.Downstream.AbandonedCallLifetime/window
 	if m.settings.Downstream.Kind == SharedDependency && sum/window > limit {
-		return fmt.Errorf("%.2f calls over the limit", sum/window)
+		return fmt.Errorf("mean of %.2f calls in flight over the last %.1f s, limit %.2f", sum/window, window, limit)
 	}
 	return nil
 }
 
-// must ends the test on a broken rule.
+// must passes events to the controller and fails the test if a rule is broken.
 func (m *model) must(t rapid.TB, events ...Event) {
 	t.Helper()
 	if err := m.decide(events...); err != nil {
@@ -352,7 +363,7 @@
 	}
 }
 
-// advance lets the timers go off up to a time.
+// advance fires the timers that are due up to a time and moves the clock there.
 func (m *model) advance(t *testing.T, to float64) {
 	t.Helper()
 	for m.nextTimer() <= to {
@@ -362,14 +373,14 @@
 	m.now = to
 }
 
-// nextTimer is when the earliest timer goes off.
+// nextTimer returns the time at which the earliest timer fires.
 func (m *model) nextTimer() float64 {
 	return slices.Min(append([]float64{math.Inf(1)}, m.timers...))
 }
 
-// fireTimers takes out the timers that are due and makes their event.
+// fireTimers removes the timers that are due and returns their event.
 func (m *model) fireTimers() Event {
 	m.timers = slices.DeleteFunc(m.timers, func(at float64) bool { return at <= m.now })
-	gauges := Gauges{Utilization: 0.9, Runnable: float64(m.count(placeOnCore))}
+	gauges := Gauges{Utilization: 0.9, Runnable: float64(m.count(modelOnCore))}
 	return Event{Kind: TimerFired, Gauges: gauges}
 }
--- a/admission/progress.go
+++ b/admission/progress.go
@@ -1,23 +1,24 @@
 package admission
 
 const (
-	// stallRuns is the time without progress after which work counts as stalled, in mean runs of
-	// the slowest class.
-	stallRuns = 4
-	// minSlowestMeanRun is the least such mean, in seconds: with less a pause of the cores would look
-	// like a stall where runs are short, or few are known.
-	minSlowestMeanRun = 0.25
-	// maxTimeSinceTimely is the time without a timely response, in seconds, after which backlogged work
-	// counts as stalled.
-	maxTimeSinceTimely = 0.5
+	// stallMeanRuns is the time without the end of a run or call after which work counts as
+	// stalled, as a multiple of the mean run time of the slowest class.
+	stallMeanRuns = 4
+	// minSlowestMeanRunSeconds is the minimum of that mean run time, in seconds. With a lower
+	// one, a pause of the cores would look like a stall where runs are short or few durations are
+	// known.
+	minSlowestMeanRunSeconds = 0.25
+	// maxTimeSinceTimelySeconds is the time without a timely response, in seconds, after which
+	// backlogged work counts as stalled.
+	maxTimeSinceTimelySeconds = 0.5
 )
 
 // progressMonitor detects when work stalls and when it recovers.
 type progressMonitor struct {
 	stalled        bool
-	lastEnd        float64 // when a run or a call last ended
-	lastTimely     float64 // when a request last ended within its soft deadline
-	slowestMeanRun float64 // the longest mean run of a class
+	lastEndAt      float64 // time at which a run or a call last ended
+	lastTimelyAt   float64 // time at which a request last finished within its soft deadline
+	slowestMeanRun float64 // mean run time of the slowest class, in seconds
 }
 
 // checkProgress reports the server unhealthy when work stalls, and healthy when it recovers.
@@ -30,13 +31,13 @@
 	c.progress.stalled = stalled
 }
 
-// workIsStalled reports whether the cores are taken yet nothing ended for a few runs, or arrivals are
-// backlogged and no response was timely. Without the condition on timely responses a plain overload
-// would take all servers out of service together.
+// workIsStalled reports whether all cores are taken and nothing has ended for a few mean runs, or
+// whether arrivals are backlogged and no response was timely lately. Without the condition on
+// timely responses, a plain overload would take all servers out of service at the same time.
 func (c *Controller) workIsStalled() bool {
 	monitor := &c.progress
 	coresTaken := c.count(statesOnCore) >= c.concurrency.cores
-	nothingEnds := c.now-monitor.lastEnd > stallRuns*monitor.slowestMeanRun
-	nothingTimely := c.now-monitor.lastTimely > maxTimeSinceTimely
+	nothingEnds := c.now-monitor.lastEndAt > stallMeanRuns*monitor.slowestMeanRun
+	nothingTimely := c.now-monitor.lastTimelyAt > maxTimeSinceTimelySeconds
 	return coresTaken && nothingEnds || c.arrivals.backlogged() && nothingTimely
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// maxWaitFraction is the fraction of a request's spare time that it may be expected to wait.
-	// Run times vary: after a longer wait requests would end late.
+	// maxWaitFraction is the highest expected wait of a request, as a fraction of its spare time.
+	// Run times vary, so requests that wait longer would often end late.
 	maxWaitFraction = 0.25
-	// minAwaitingCalls is the number of requests awaiting a call that never keeps others from running.
+	// minAwaitingCalls is the number of requests waiting for a call up to which the start of
+	// other requests is not held back.
 	minAwaitingCalls = 2
-	// minCost is the least cost of a request, which is a divisor.
+	// minCost is the minimum cost of a request, which is used as a divisor.
 	minCost = 1e-4
 )
 
-// bySoftDeadline orders requests by soft deadline, with those over their tenant's quota last.
+// bySoftDeadline orders requests by soft deadline. Requests over their tenant's quota come last.
 func bySoftDeadline(a, b *request) int {
 	if a.overQuota != b.overQuota {
 		if a.overQuota {
@@ -26,8 +27,9 @@
 	return cmp.Compare(a.softDeadline, b.softDeadline)
 }
 
-// first returns the first request by the order of those that pass the filter, or nil.
-func (c *Controller) first(filter func(*request) bool, order func(a, b *request) int) *request {
+// firstMatching returns the first request, in the given order, of those that pass the filter, or
+// nil if none does.
+func (c *Controller) firstMatching(filter func(*request) bool, order func(a, b *request) int) *request {
 	var best *request
 	for _, r := range c.requests {
 		if filter(r) && (best == nil || order(r, best) < 0) {
@@ -37,31 +39,32 @@
 	return best
 }
 
-// startQueued starts queued requests by soft deadline while the run limit, the concurrency limit
-// and the memory allow.
+// startQueued starts queued requests by soft deadline as far as the run limit, the concurrency
+// limit and the memory allow.
 func (c *Controller) startQueued() {
 	for c.count(statesOnCore) < c.concurrency.runLimit && c.hasConcurrencyRoom() {
-		if !c.step(c.first(c.startable, bySoftDeadline), onAdmit) {
+		if !c.step(c.firstMatching(c.startable, bySoftDeadline), onAdmit) {
 			return
 		}
 	}
 }
 
-// startable reports whether a request is queued and may start, if there is room on the cores.
+// startable reports whether a request is queued and may start, apart from the run limit and the
+// concurrency limit.
 func (c *Controller) startable(r *request) bool {
 	if r.state != stateQueued {
 		return false
 	}
-	// Where many requests await a call already, a run that can't do without one would only wait too.
-	stuck := r.class.CallsDownstream && r.class.DegradedValue == 0 &&
+	// If many requests already wait for a call, a run that needs one would only wait too.
+	wouldAwaitCall := r.class.CallsDownstream && r.class.DegradedValue == 0 &&
 		c.count(stateAwaitingDownstream) >= max(minAwaitingCalls, c.downstream.limit)
-	// A request over its tenant's quota leaves room on the cores for one that is within its quota: it
-	// can't be preempted when that one comes.
-	leavesRoom := !r.overQuota || c.count(statesOnCore) < max(1, c.concurrency.runLimit-1)
-	return c.memory.fitsRun(r) && !stuck && leavesRoom
+	// A request over its tenant's quota leaves a core free for requests within their quota, as
+	// its run could not be preempted for them.
+	leavesCoreFree := !r.overQuota || c.count(statesOnCore) < max(1, c.concurrency.runLimit-1)
+	return c.memory.fitsRun(r) && !wouldAwaitCall && leavesCoreFree
 }
 
-// work is an amount of work, in seconds of a core and of a downstream call.
+// work is an amount of work, in seconds on a core and in seconds of downstream calls.
 type work struct{ coreTime, callTime float64 }
 
 // plus returns the sum of two amounts of work.
@@ -78,12 +81,14 @@
 type bottleneck uint8
 
 const (
-	coreBottleneck bottleneck = iota
-	callBottleneck
+	bottleneckCores bottleneck = iota
+	bottleneckCalls
 )
 
-// shedQueue goes through the queue by soft deadline. Where cores or calls can't reach a request in
-// time, it rejects the one with the lowest value density of those up to it.
+// shedQueue rejects queued requests that the server has no capacity for. It goes through the
+// queue by soft deadline; if cores or calls are not expected to become available in time for a
+// request, it rejects the one with the lowest value density among this request and those before
+// it.
 func (c *Controller) shedQueue() {
 	queue := c.inState(stateQueued)
 	slices.SortStableFunc(queue, bySoftDeadline)
@@ -104,8 +109,8 @@
 	}
 }
 
-// expectedWork returns what a run of the class is expected to take. Calls don't count for a class
-// whose requests can be degraded.
+// expectedWork returns the work that a run of the class is expected to take. Calls are not
+// counted for a class whose requests can be degraded.
 func (c *Controller) expectedWork(class *learnedClass) work {
 	expected := work{coreTime: class.runTime.mean}
 	if class.DegradedValue <= 0 {
@@ -114,27 +119,27 @@
 	return expected
 }
 
-// expectedWait returns how many seconds a request waits for the work ahead of it, and what it waits
-// for.
+// expectedWait returns how long a request is expected to wait for the work ahead of it, in
+// seconds, and for which resource.
 func (c *Controller) expectedWait(ahead, own work) (wait float64, scarce bottleneck) {
 	wait = ahead.coreTime / c.concurrency.runLimit
 	if own.callTime <= 0 {
-		return wait, coreBottleneck
+		return wait, bottleneckCores
 	}
 	if waitForCalls := ahead.callTime / c.downstream.limit; waitForCalls > wait {
-		return waitForCalls, callBottleneck
+		return waitForCalls, bottleneckCalls
 	}
-	return wait, coreBottleneck
+	return wait, bottleneckCores
 }
 
-// leastValuable returns the index of the request with the lowest value density. Where calls are
-// scarce, requests that need none are passed over, as rejecting them would spare no call; only the
-// last, which is the one that can't be reached in time, is always considered.
+// leastValuable returns the index of the request with the lowest value density. If calls are
+// scarce, requests that need none are skipped, as rejecting them would free no call; the last
+// request, which cannot be served in time, is always considered.
 func (c *Controller) leastValuable(queue []*request, scarce bottleneck) int {
 	least := len(queue) - 1
 	lowest := c.valueDensity(queue[least])
 	for i, r := range queue[:least] {
-		if scarce == callBottleneck && c.expectedWork(r.class).callTime <= 0 {
+		if scarce == bottleneckCalls && c.expectedWork(r.class).callTime <= 0 {
 			continue
 		}
 		if density := c.valueDensity(r); density < lowest {
@@ -145,8 +150,8 @@
 	return least
 }
 
-// valueDensity returns the value of a request per cost in cores and calls. The fewer requests of its
-// class were admitted, the higher it is: otherwise only the least valuable class would be rejected.
+// valueDensity returns the value of a request per cost in cores and calls. It is higher the fewer
+// requests of its class were admitted; otherwise only the least valuable class would be rejected.
 func (c *Controller) valueDensity(r *request) float64 {
 	expected := c.expectedWork(r.class)
 	cost := expected.coreTime/c.concurrency.runLimit + expected.callTime/c.downstream.limit
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -7,23 +7,26 @@
 )
 
 const (
-	// maxTenantImbalance is the ratio of a tenant's traffic at one server to its mean over all servers up
-	// to which it is within its quota, as clients are not spread evenly.
+	// maxTenantImbalance is the ratio of a tenant's traffic at one server to its mean over all
+	// servers up to which the tenant is within its quota. Clients are not spread evenly over the
+	// servers.
 	maxTenantImbalance = 1.5
-	// quotaBurstDuration is how many seconds of its rate a tenant may send at once.
-	quotaBurstDuration = 2
-	// minQuotaBurst is how many requests a tenant may send at once at the least. A tenant of a low rate
-	// that keeps to its quota, with requests at random times, then exceeds it with 1% of them.
+	// quotaBurstSeconds is the burst that a tenant may send at once, in seconds of its rate.
+	quotaBurstSeconds = 2
+	// minQuotaBurst is the minimum burst in requests. With it, a tenant with a low rate that
+	// keeps to its quota on average and sends at random times exceeds the quota with 1% of its
+	// requests.
 	minQuotaBurst = 6
 )
 
-// quotaLimiter holds the quota of each tenant at this server.
+// quotaLimiter holds the quotas of all tenants at this server.
 type quotaLimiter struct{ tenants []tenantQuota }
 
 // tenantQuota is the quota of one tenant at this server.
 type tenantQuota struct {
 	timewindow.TokenBucket
-	// binding tells that the quota was set by an allowance, so that requests over it are rejected.
+	// binding is whether the quota was set by an allowance, so that requests over it are
+	// rejected.
 	binding bool
 }
 
@@ -31,14 +34,15 @@
 	var l quotaLimiter
 	for _, tenant := range settings.Tenants {
 		rate := maxTenantImbalance * tenant.Rate / max(1, float64(settings.Servers))
-		bucket := timewindow.NewTokenBucket(rate, max(minQuotaBurst, quotaBurstDuration*rate))
+		bucket := timewindow.NewTokenBucket(rate, max(minQuotaBurst, quotaBurstSeconds*rate))
 		l.tenants = append(l.tenants, tenantQuota{TokenBucket: bucket})
 	}
 	return l
 }
 
-// chargeQuota charges a request to its tenant's quota, or lowers its value if the quota is used up.
-// withinQuota is false where the request has to be rejected: its quota is used up and binding.
+// chargeQuota charges a request to its tenant's quota. If the quota is used up and not binding,
+// the request is marked as over quota and its value is lowered. withinQuota is false if the quota
+// is used up and binding, so that the request has to be rejected.
 func (c *Controller) chargeQuota(r *request, tenant int) (withinQuota bool) {
 	if tenant < 0 || tenant >= len(c.quota.tenants) {
 		return true
@@ -57,22 +61,23 @@
 }
 
 // handleAllowance replaces the server's own estimate of a limit by an allowance. Exception to the
-// design, in which each server estimates its part of what all servers share.
+// design, in which each server estimates its share of the limits that apply to all servers
+// together.
 func (c *Controller) handleAllowance(a *Allowance) {
 	switch {
-	case a.Tenant < 0: // CallAllowance
+	case a.Tenant < 0: // the allowance is for calls: CallAllowance
 		c.downstream.allowance = max(a.Limit, minCallAllowance)
 	case a.Tenant < len(c.quota.tenants):
 		c.quota.tenants[a.Tenant].bind(c.now, a)
 	}
 }
 
-// bind has the quota follow an allowance from now on.
+// bind makes the quota follow an allowance from now on.
 func (q *tenantQuota) bind(now float64, a *Allowance) {
-	if !q.binding { // requests that were saved up under the server's own estimate are forfeited
+	if !q.binding { // requests saved up under the server's own estimate are forfeited
 		q.TokenBucket = timewindow.NewTokenBucket(0, 0)
 	}
 	q.binding = true
-	minBurst := min(1, math.Ceil(a.Limit)) // 1, or 0 with a limit of 0
+	minBurst := min(1, math.Ceil(a.Limit)) // 1, or 0 if the limit is 0
 	q.SetRate(now, a.Limit, max(minBurst, a.BurstDuration*a.Limit))
 }
--- a/admission/rules_test.go
+++ b/admission/rules_test.go
@@ -10,12 +10,12 @@
 )
 
 func init() {
-	setFlag("rapid.seed", "20261201") // the same verdict every time
-	setFlag("rapid.nofailfile", "true")
-	setFlag("rapid.checks", "1000")
+	mustSetFlag("rapid.seed", "20261201") // the same drawn inputs in every run
+	mustSetFlag("rapid.nofailfile", "true")
+	mustSetFlag("rapid.checks", "1000")
 }
 
-func setFlag(name, value string) {
+func mustSetFlag(name, value string) {
 	if err := flag.Set(name, value); err != nil {
 		panic(err)
 	}
@@ -85,15 +85,15 @@
 	}
 }
 
-// drawCallLimit draws the limit of a shared dependency, in one of five cases none at all.
+// drawCallLimit draws the call limit of a shared dependency. It is 0 in one of five cases.
 func drawCallLimit(t *rapid.T) float64 {
-	anyCalls := min(1, float64(rapid.IntRange(0, 4).Draw(t, "anyCalls")))
-	return anyCalls * rapid.Float64Range(0.1, 1.5).Draw(t, "callLimit")
+	factor := min(1, float64(rapid.IntRange(0, 4).Draw(t, "anyCalls")))
+	return factor * rapid.Float64Range(0.1, 1.5).Draw(t, "callLimit")
 }
 
-// drawRequest draws what comes with a request.
+// drawRequest draws the properties of a request.
 func (m *model) drawRequest(t *rapid.T) Request {
-	in := Request{
+	request := Request{
 		Class:        rapid.IntRange(0, len(m.settings.Classes)-1).Draw(t, "class"),
 		Memory:       rapid.Float64Range(1, 30).Draw(t, "memory"),
 		Age:          rapid.Float64Range(0, 1).Draw(t, "age"),
@@ -102,33 +102,36 @@
 		Write:        rapid.Bool().Draw(t, "write"),
 	}
 	if m.settings.DeadlinePropagation {
-		in.RemainingBudget = rapid.Float64Range(0.001, 8).Draw(t, "remainingBudget")
+		request.RemainingBudget = rapid.Float64Range(0.001, 8).Draw(t, "remainingBudget")
 	}
-	return in
+	return request
 }
 
-// TestDecide_KeepsTheRules plays whatever the wire allows against the model: no request lost, no
-// effect twice, clean drains, nothing over its limits, and the same actions from the same events.
-func TestDecide_KeepsTheRules(t *testing.T) {
+// TestDecide_KeepsModelRules checks the controller against the model with random settings and
+// events, in any order that the protocol allows: every request gets its final response in time,
+// no effect happens twice, drains complete, no limit is exceeded, and the same events give the
+// same actions.
+func TestDecide_KeepsModelRules(t *testing.T) {
 	covered := map[coverage]int{}
 	defer func() { requireFullCoverage(t, covered) }()
 	rapid.Check(t, func(t *rapid.T) {
-		seed := rapid.Int64()
+		seeds := rapid.Int64()
 		settings := drawSettings(t)
-		m := newModel(settings, seed.Draw(t, "seed"), rapid.Float64Range(0, 1e5).Draw(t, "clock"))
+		m := newModel(settings, seeds.Draw(t, "seed"), rapid.Float64Range(0, 1e5).Draw(t, "clock"))
 		m.covered = covered
 		m.must(t, Event{Kind: Started})
 		m.playRandomEvents(t)
-		m.playTimersAlone(t)
+		m.playTimersOnly(t)
 		for _, id := range m.ids {
 			if r := m.requests[id]; !r.answered && !r.clientGone && !math.IsInf(m.nextTimer(), 1) {
-				t.Fatalf("request %s never got its response", id)
+				t.Fatalf("request %s got no response by %.3f s: hard deadline %.3f s", id, m.now, r.hardDeadline)
 			}
 		}
 	})
 }
 
-// playRandomEvents plays some steps, in one of which the server may be told to drain.
+// playRandomEvents plays a random number of batches; in one of them the server may be told to
+// drain.
 func (m *model) playRandomEvents(t *rapid.T) {
 	steps := rapid.IntRange(10, 60).Draw(t, "steps")
 	drainStep := rapid.IntRange(0, 2*steps).Draw(t, "drain")
@@ -140,61 +143,62 @@
 		}
 		events = append(events, m.drawProgress(t)...)
 		if i == drainStep {
-			left := rapid.Float64Range(0.1, 3).Draw(t, "left")
+			killIn := rapid.Float64Range(0.1, 3).Draw(t, "left")
 			m.drainAt = m.now
-			m.killAt = m.now + left
-			events = append(events, Event{Kind: DrainStarted, Duration: left})
+			m.killAt = m.now + killIn
+			events = append(events, Event{Kind: DrainStarted, Duration: killIn})
 		}
 		for range rapid.IntRange(0, 6).Draw(t, "arrivals") {
-			in := m.drawRequest(t)
-			identity := fmt.Sprint(in.Class, rapid.IntRange(0, 5).Draw(t, "identity"))
-			events = append(events, m.arrive(fmt.Sprint("t", len(m.ids)), identity, in))
+			request := m.drawRequest(t)
+			identity := fmt.Sprint(request.Class, rapid.IntRange(0, 5).Draw(t, "identity"))
+			events = append(events, m.arrive(fmt.Sprint("t", len(m.ids)), identity, request))
 		}
 		m.must(t, events...)
 	}
 }
 
-// playTimersAlone has nothing end any more but calls, which keep their timeouts: the timers alone
-// must answer all.
-func (m *model) playTimersAlone(t *rapid.T) {
+// playTimersOnly ends no more runs, only calls at their timeouts. The timers alone must then
+// cause a final response to every request.
+func (m *model) playTimersOnly(t *rapid.T) {
 	for last := m.now + 20; m.nextTimer() <= last && m.now < m.killAt; {
 		m.now = m.nextTimer()
 		events := []Event{m.fireTimers()}
 		for _, id := range m.ids {
 			r := m.requests[id]
-			if r.place == placeCalling && (r.answered || r.callDeadline <= m.now) {
-				events = append(events, m.loseCall(r))
+			if r.state == modelCalling && (r.answered || r.callDeadline <= m.now) {
+				events = append(events, m.endCallOrRun(r))
 			}
 		}
 		m.must(t, events...)
 	}
 }
 
-// coverage is a case that the model has met: how a call ended, of which idempotency, with which
-// preemption.
+// coverage is a combination that the random events have played: how a call ended, for which
+// idempotency and preemption.
 type coverage struct {
 	idempotency Idempotency
 	preemption  Preemption
 	outcome     Outcome
 }
 
-func (m *model) cover(r *modelRequest, outcome Outcome) {
+// recordCoverage counts the end of a call, if coverage is recorded.
+func (m *model) recordCoverage(r *modelRequest, outcome Outcome) {
 	if m.covered != nil {
 		m.covered[coverage{r.class.Idempotency, m.settings.Preemption, outcome}]++
 	}
 }
 
-// requireFullCoverage wants every idempotency with every preemption and every end of a call, some
-// times each.
+// requireFullCoverage fails the test unless every combination of idempotency, preemption and end
+// of a call was played at least five times.
 func requireFullCoverage(t *testing.T, covered map[coverage]int) {
 	t.Helper()
 	callOutcomes := []Outcome{Finished, Failed, Rejected, TimedOut, Unreachable, Disconnected}
 	for _, idempotency := range []Idempotency{Idempotent, Deduplicated, AtMostOnce} {
 		for _, preemption := range []Preemption{NoPreemption, PreemptByDrop, PreemptByPause} {
 			for _, outcome := range callOutcomes {
-				one := coverage{idempotency, preemption, outcome}
-				if n := covered[one]; n < 5 {
-					t.Errorf("%v, preemption %v, a call that is %v: played %d times",
+				combination := coverage{idempotency, preemption, outcome}
+				if n := covered[combination]; n < 5 {
+					t.Errorf("idempotency %v, preemption %v, call outcome %v: played %d times, want at least 5",
 						idempotency, preemption, outcome, n)
 				}
 			}
@@ -202,18 +206,19 @@
 	}
 }
 
-// loseCall is what becomes of a call that runs out of time or whose request has its response.
-func (m *model) loseCall(r *modelRequest) Event {
+// endCallOrRun returns the event of a call that timed out, or the end of the run if its request
+// already has its response.
+func (m *model) endCallOrRun(r *modelRequest) Event {
 	if r.answered {
-		return m.end(r, Cancelled)
+		return m.endRun(r, Cancelled)
 	}
-	r.place = placeAwaiting
-	m.cover(r, TimedOut)
+	r.state = modelAwaitingDownstream
+	m.recordCoverage(r, TimedOut)
 	m.abandonCall()
 	return Event{Kind: CallReturned, RequestID: r.id, Outcome: TimedOut}
 }
 
-// drawProgress lets something happen, or nothing, to each request that is not done.
+// drawProgress draws an event, or none, for each request that is not done.
 func (m *model) drawProgress(t *rapid.T) (events []Event) {
 	const (
 		choices    = 14
@@ -221,13 +226,13 @@
 	)
 	for _, id := range m.ids {
 		r := m.requests[id]
-		if r.place == placeDone {
+		if r.state == modelDone {
 			continue
 		}
 		choice := rapid.IntRange(0, choices).Draw(t, "choice")
 		event, happened := m.progress(r, choice)
 		if !happened && choice == clientGone && !r.answered && !r.clientGone {
-			event = m.leave(r)
+			event = m.clientLeaves(r)
 			happened = true
 		}
 		if happened {
@@ -237,72 +242,74 @@
 	return events
 }
 
-// progress lets a run or a call get on, by the number that was drawn.
+// progress returns the event that the drawn number selects for a run or a call, if any.
 func (m *model) progress(r *modelRequest, choice int) (event Event, happened bool) {
-	over := r.answered || r.clientGone
-	switch r.place {
-	case placeOnCore:
-		return m.progressOnCore(r, choice, over)
-	case placeCalling:
-		return m.progressCall(r, choice, over)
-	case placeAwaiting:
-		if over {
-			return m.end(r, Cancelled), true
+	noResponseDue := r.answered || r.clientGone
+	switch r.state {
+	case modelOnCore:
+		return m.progressOnCore(r, choice, noResponseDue)
+	case modelCalling:
+		return m.progressCall(r, choice, noResponseDue)
+	case modelAwaitingDownstream:
+		if noResponseDue {
+			return m.endRun(r, Cancelled), true
 		}
-	case placeCoalesced:
+	case modelCoalesced:
 		if choice < 2 {
-			return m.end(r, Finished), true
+			return m.endRun(r, Finished), true
 		}
 	}
 	return Event{}, false
 }
 
-func (m *model) progressOnCore(r *modelRequest, choice int, over bool) (event Event, happened bool) {
+// progressOnCore returns the event that the drawn number selects for a running request, if any.
+func (m *model) progressOnCore(r *modelRequest, choice int, noResponseDue bool) (event Event, happened bool) {
 	switch {
-	case r.cancelPending: // the cancellation is confirmed in the batch after
+	case r.cancelPending: // the cancellation is confirmed in the next batch
 		r.cancelPending = false
-		r.place = placeDone
+		r.state = modelDone
 		return Event{Kind: RunEnded, RequestID: r.id, Outcome: Cancelled}, true
-	case choice < 4 && over:
-		return m.end(r, Cancelled), true
+	case choice < 4 && noResponseDue:
+		return m.endRun(r, Cancelled), true
 	case choice < 4:
-		return m.end(r, []Outcome{Finished, Finished, Finished, Failed}[choice]), true
-	case choice < 8 && r.class.CallsDownstream && !over:
-		r.place = placeAwaiting
+		return m.endRun(r, []Outcome{Finished, Finished, Finished, Failed}[choice]), true
+	case choice < 8 && r.class.CallsDownstream && !noResponseDue:
+		r.state = modelAwaitingDownstream
 		r.mayHaveExecuted = false
 		return Event{Kind: AwaitingDownstream, RequestID: r.id}, true
 	}
 	return Event{}, false
 }
 
-func (m *model) progressCall(r *modelRequest, choice int, over bool) (event Event, happened bool) {
+// progressCall returns the event that the drawn number selects for a call in flight, if any.
+func (m *model) progressCall(r *modelRequest, choice int, noResponseDue bool) (event Event, happened bool) {
 	switch {
-	case over || m.now >= r.callDeadline:
+	case noResponseDue || m.now >= r.callDeadline:
 		if r.clientGone {
 			r.answered = true
 		}
-		return m.loseCall(r), true
+		return m.endCallOrRun(r), true
 	case choice < 3:
-		r.place = placeOnCore
-		m.cover(r, Finished)
+		r.state = modelOnCore
+		m.recordCoverage(r, Finished)
 		return Event{Kind: CallReturned, RequestID: r.id, Outcome: Finished, Duration: 0.05}, true
 	case choice < 7:
 		outcome := []Outcome{Rejected, Unreachable, Disconnected, Failed}[choice-3]
-		r.place = placeAwaiting
+		r.state = modelAwaitingDownstream
 		r.mayHaveExecuted = outcome == Disconnected || outcome == Failed
-		m.cover(r, outcome)
+		m.recordCoverage(r, outcome)
 		return Event{Kind: CallReturned, RequestID: r.id, Outcome: outcome, Duration: 0.05}, true
 	}
 	return Event{}, false
 }
 
-// leave makes the event of a client that does not wait any more.
-func (m *model) leave(r *modelRequest) Event {
+// clientLeaves marks the client of a request as gone and returns the event.
+func (m *model) clientLeaves(r *modelRequest) Event {
 	r.clientGone = true
-	switch r.place {
-	case placeQueued, placeCoalesced:
-		r.place = placeDone
-	case placeCalling:
+	switch r.state {
+	case modelQueued, modelCoalesced:
+		r.state = modelDone
+	case modelCalling:
 		m.abandonCall()
 	}
 	return Event{Kind: ClientGone, RequestID: r.id}
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -2,15 +2,16 @@
 
 import "strconv"
 
-// Idempotency tells what running a request twice would do.
+// Idempotency states whether running a request more than once is safe.
 type Idempotency uint8
 
 const (
-	// Idempotent requests may run again.
+	// Idempotent requests may run any number of times.
 	Idempotent Idempotency = iota
-	// Deduplicated requests carry a key by which a repeat is known, and run once within its window.
+	// Deduplicated requests carry a key that identifies their repeats. Requests with the same key
+	// run once within the deduplication window of their class.
 	Deduplicated
-	// AtMostOnce requests must never run twice.
+	// AtMostOnce requests must not run twice.
 	AtMostOnce
 )
 
@@ -19,11 +20,11 @@
 	return enumName([]string{"idempotent", "deduplicated", "at_most_once"}, i)
 }
 
-// Downstream tells what the calls of requests reach.
+// Downstream is the kind of dependency that the calls of requests reach.
 type Downstream uint8
 
 const (
-	// NoDownstream means that requests make no calls.
+	// NoDownstream means that requests make no downstream calls.
 	NoDownstream Downstream = iota
 	// SharedDependency means that calls reach one dependency that all servers share.
 	SharedDependency
@@ -36,13 +37,13 @@
 	return enumName([]string{"none", "shared", "tier"}, d)
 }
 
-// Preemption tells what can be done with running work.
+// Preemption states whether the server can stop a run.
 type Preemption uint8
 
 const (
-	// NoPreemption means that a run goes on to its end.
+	// NoPreemption means that a run cannot be stopped before its end.
 	NoPreemption Preemption = iota
-	// PreemptByDrop means that a run can be stopped and loses its progress.
+	// PreemptByDrop means that a run can be stopped and then loses its progress.
 	PreemptByDrop
 	// PreemptByPause means that a run can be stopped and keeps its progress and its memory.
 	PreemptByPause
@@ -53,18 +54,20 @@
 	return enumName([]string{"none", "drop", "pause"}, p)
 }
 
-// Backpressure tells what clients make of the load that a server reports.
+// Backpressure states how clients interpret the load value that a server reports.
 type Backpressure uint8
 
 const (
-	// NoBackpressure means that no load is reported.
+	// NoBackpressure means that the server reports no load.
 	NoBackpressure Backpressure = iota
-	// BackpressureLevel has clients send nothing whose priority is below the value.
+	// BackpressureLevel makes the value a minimum priority: clients send no request with a lower
+	// one.
 	BackpressureLevel
-	// BackpressureCredit has each client keep at most that many requests open here.
+	// BackpressureCredit makes the value the maximum number of requests that each client may have
+	// open at this server.
 	BackpressureCredit
-	// BackpressureWeight makes the value the probability that a client doesn't pass this server
-	// over.
+	// BackpressureWeight makes the value the probability that a client choosing a server does not
+	// skip this one.
 	BackpressureWeight
 )
 
@@ -73,105 +76,113 @@
 	return enumName([]string{"none", "level", "credit", "weight"}, b)
 }
 
-// Class is a kind of request.
+// Class holds the settings of one class of requests.
 type Class struct {
 	Idempotency Idempotency
-	// SoftDeadline is within how many seconds a response has its full value.
+	// SoftDeadline is the time in seconds after its arrival within which a response to a request
+	// has its full value.
 	SoftDeadline float64
-	// SoftDeadlineStretch is the multiple of a request's expected work by which its soft deadline
-	// is later.
+	// SoftDeadlineStretch is multiplied by the expected work of a request; the product is added
+	// to its soft deadline.
 	SoftDeadlineStretch float64
-	// Timeout is how many seconds a client waits over all attempts.
+	// Timeout is the time in seconds that a client waits for a response, over all of its
+	// attempts.
 	Timeout float64
-	// Value is what a response within the soft deadline is worth.
+	// Value is the value of a response within the soft deadline.
 	Value float64
-	// LateValue is the fraction of Value that a later response has.
+	// LateValue is the value of a response after the soft deadline, as a fraction of Value.
 	LateValue float64
-	// DeduplicationWindow is for how many seconds a repeat of a deduplicated request may follow.
+	// DeduplicationWindow is the time in seconds for which repeats of a deduplicated request are
+	// recognized.
 	DeduplicationWindow float64
-	// CallsDownstream tells whether runs call what is downstream.
+	// CallsDownstream is whether runs of this class make downstream calls.
 	CallsDownstream bool
-	// DegradedValue is the fraction of Value that a response without its call has; 0 where a call
-	// is needed.
+	// DegradedValue is the value of a response without its downstream call, as a fraction of
+	// Value; 0 if the class cannot do without the call.
 	DegradedValue float64
 }
 
-// Tenant is one of those who share the service.
+// Tenant holds the settings of one tenant of the service.
 type Tenant struct {
-	// Rate is how many requests a second are within its quota, over all servers.
+	// Rate is the quota of the tenant over all servers, in requests a second.
 	Rate float64
 }
 
-// Settings are those of a deployment, as one server is told them at its start. Times are seconds
-// and memory is kilobytes.
+// Settings are the settings of a deployment, as given to one server at its start. Times are in
+// seconds and memory is in kilobytes.
 type Settings struct {
 	Classes []Class
 	Tenants []Tenant
-	// OverQuotaValue is the value of what exceeds a tenant's quota, as a fraction.
+	// OverQuotaValue is the factor on the value of requests that exceed their tenant's quota.
 	OverQuotaValue float64
-	// Servers and Clients are how many of each there are.
+	// Servers and Clients are the numbers of servers and of clients in the deployment.
 	Servers, Clients int
 	Cores            int
 	SlowStart        SlowStartSettings
 	Concurrency      ConcurrencySettings
 	Memory           MemorySettings
 	Downstream       DownstreamSettings
-	// DrainGracePeriod is for how long after the notice of a drain arrivals are still taken in.
+	// DrainGracePeriod is the time after the start of a drain during which new requests are still
+	// accepted.
 	DrainGracePeriod float64
-	// DeadlineTolerance is how late a final response may be. Nothing here makes use of it.
+	// DeadlineTolerance is how late a final response may be. The decisions do not use it.
 	DeadlineTolerance float64
 	Preemption        Preemption
 	Backpressure      Backpressure
-	// ResultCacheTTL is for how long the response to a read serves its repeats; 0 where it serves
-	// none.
+	// ResultCacheTTL is the time for which the response to a read is reused for its repeats; 0
+	// disables reuse.
 	ResultCacheTTL float64
-	// DeadlinePropagation tells that clients send their remaining budget with each request.
+	// DeadlinePropagation is whether clients send their remaining budget with each request.
 	DeadlinePropagation bool
-	// MaxRetryAfter is the longest Retry-After that is forwarded to clients; 0 where none is.
+	// MaxRetryAfter is the longest Retry-After sent to clients; 0 if none is sent.
 	MaxRetryAfter float64
-	// IdleTimeout is the longest time for which a silent connection may stay open.
+	// IdleTimeout is the longest time for which an idle connection may stay open.
 	IdleTimeout float64
-	// ValueByWork tells that the value of a request is multiplied by its expected work.
+	// ValueByWork is whether the value of a request is multiplied by its expected work.
 	ValueByWork bool
 }
 
-// SlowStartSettings tell how a server warms up.
+// SlowStartSettings describe the warm-up of a server.
 type SlowStartSettings struct {
-	// InitialSpeed is the fraction of its speed with which it starts.
+	// InitialSpeed is the speed of the server at its start, as a fraction of its full speed.
 	InitialSpeed float64
-	// Duration is how long the warm-up takes; 0 where the server starts warm.
+	// Duration is the length of the warm-up; 0 if the server starts warm.
 	Duration float64
 }
 
-// ConcurrencySettings tell how much runs at once.
+// ConcurrencySettings bound the requests that run concurrently.
 type ConcurrencySettings struct {
-	// PerCore is how many running requests a core of a warm server survives, as a mean over Window.
+	// PerCore is the number of running requests that each core of a warm server can sustain, as a
+	// mean over Window.
 	PerCore float64
-	// Window is in seconds. The decisions keep to PerCore at all times and make no use of it.
+	// Window is the averaging window of PerCore, in seconds. The decisions do not use it: they
+	// keep to PerCore at every moment.
 	Window float64
 }
 
-// MemorySettings tell what memory there is, and what takes it.
+// MemorySettings describe the memory of a server and its use.
 type MemorySettings struct {
+	// Limit is the memory available for requests and for the key table.
 	Limit float64
-	// RunningFactor is the memory of a running request over that of a queued one.
+	// RunningFactor is the ratio of the memory of a running request to that of a queued one.
 	RunningFactor float64
-	// PerKey is what an entry of the key table takes.
+	// PerKey is the memory of one entry of the key table.
 	PerKey float64
 }
 
-// DownstreamSettings tell what the calls of requests reach.
+// DownstreamSettings describe the dependency that the calls of requests reach.
 type DownstreamSettings struct {
 	Kind Downstream
-	// CallLimit is this server's part of the concurrent calls that a shared dependency survives, as
-	// a mean over CallWindow.
+	// CallLimit is this server's share of the concurrent calls that a shared dependency can
+	// sustain, as a mean over CallWindow.
 	CallLimit  float64
 	CallWindow float64
-	// AbandonedCallLifetime is for how long a call that was given up may still count downstream.
+	// AbandonedCallLifetime is how long a call that this server abandoned may still occupy the
+	// dependency.
 	AbandonedCallLifetime float64
 }
 
-// enumName returns the name of an enumeration's value, or its number where it has no name.
+// enumName returns the name of an enumeration's value, or its number if it has no name.
 func enumName[T ~uint8](names []string, value T) string {
 	if int(value) < len(names) {
 		return names[value]
--- a/admission/timer.go
+++ b/admission/timer.go
@@ -3,27 +3,27 @@
 import "math"
 
 const (
-	// timerTolerance is how many seconds early a timer may go off.
-	timerTolerance = 1e-4
-	// wakeupLabel is the label of every timer: there is one purpose, the next wakeup.
+	// timerToleranceSeconds is the time in seconds by which a timer may fire early.
+	timerToleranceSeconds = 1e-4
+	// wakeupLabel is the label of all timers, as they have the same purpose: the next wakeup.
 	wakeupLabel = "next"
 )
 
-// wakeupTimer keeps track of the earliest armed timer.
+// wakeupTimer tracks the next tick and the earliest armed timer.
 type wakeupTimer struct {
 	nextTick float64
-	armedFor float64 // when the earliest timer goes off; infinite where none is armed
+	armedFor float64 // time at which the earliest timer fires; infinite if none is armed
 }
 
-// fired records that a timer went off.
+// fired records that a timer fired.
 func (w *wakeupTimer) fired(now float64) {
-	if now >= w.armedFor-timerTolerance {
+	if now >= w.armedFor-timerToleranceSeconds {
 		w.armedFor = math.Inf(1)
 	}
 }
 
-// setTimer arms a timer for the next tick or the next hard deadline, unless one goes off before
-// that.
+// setTimer arms a timer for the next tick or the next hard deadline, whichever is earlier, unless
+// an armed timer fires before that.
 func (c *Controller) setTimer() {
 	next := c.timer.nextTick
 	for _, r := range c.requests {
