--- a/admission/connections.go
+++ b/admission/connections.go
@@ -5,12 +5,12 @@
 	// seconds, above which keeping its connection open costs more than opening a new one. Where
 	// some tens of clients share a server, both cost about the same near 5 s.
 	infrequentClientIntervalSeconds = 8
-	// minIdleTimeoutSeconds is the idle timeout for clients above that interval, in seconds. It
-	// is the best one under high load.
+	// minIdleTimeoutSeconds is the idle timeout, in seconds, if clients return less often than
+	// that. It is the best timeout under high load.
 	minIdleTimeoutSeconds = 0.05
-	// stretchIncrease and stretchDecrease are the factors by which a tick changes the stretch.
-	// With them the timeout grows from 0.05 s to 5 s in 2.5 s, the time in which a connection
-	// table fills, and shrinks more slowly.
+	// stretchIncrease and stretchDecrease are the factors by which a tick changes timeoutStretch,
+	// up to maxStretch. With them the timeout grows from 0.05 s to 5 s in 2.5 s, the time in
+	// which a connection table fills, and shrinks more slowly.
 	stretchIncrease = 1.2
 	stretchDecrease = 1.03
 	maxStretch      = 1000
--- a/admission/lifecycle.go
+++ b/admission/lifecycle.go
@@ -15,7 +15,7 @@
 	stateAnswered                 // needs no response any more, but its run has not ended
 	stateDone
 
-	statesOnCore = stateRunning | stateAnswered
+	statesOnCore = stateRunning | stateAnswered // the run of an answered request may go on
 )
 
 // trigger causes a transition of a request to another state. Triggers are bits, as states are.
@@ -26,7 +26,7 @@
 	onDuplicate                      // decision: the request repeats another one and gets its result
 	onTooLate                        // decision: less time is left than a run is expected to take
 	onOverload                       // decision: load, memory, a quota or a drain forbids it
-	onExpire                         // decision: the hard deadline is reached, or a response has no value
+	onExpire                         // decision: the hard deadline is reached, or the response is worthless
 	onDispatch                       // decision: the call may be dispatched
 	onDegrade                        // decision: a response without the call is preferred
 	onClientGone                     // this and the following triggers are events
@@ -80,12 +80,12 @@
 	// softDeadline is the time until which the response has its full value.
 	softDeadline float64
 	// hardDeadline is the time at which the client stops waiting; the final response must be sent
-	// before.
+	// before then.
 	hardDeadline float64
 	// valueUntil is the time until which the request is worth running: hardDeadline, or the
 	// earlier of the two deadlines if late responses have too little value.
 	valueUntil   float64
-	coreTime     float64 // seconds on a core or waiting for one, without calls and the wait for them
+	coreTime     float64 // seconds spent in statesOnCore so far
 	memory       float64 // memory while queued, in kilobytes
 	value        float64 // of its response; lowered if over quota
 	overQuota    bool
--- a/admission/model_test.go
+++ b/admission/model_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// model is a simple reference model of what the rules allow one server to do. It is fed with the
-// events and the actions of a controller and makes no decisions; an action that breaks a rule is
-// returned as an error.
+// model is a simple reference model of what one server may do. It follows the events and the
+// actions of a controller but decides nothing itself; an action that breaks a rule is returned as
+// an error.
 type model struct {
 	settings Settings
 	// controller and replay get the same events and must return the same actions.
@@ -47,6 +47,7 @@
 	modelDone               modelState = "done"
 )
 
+// modelRequest is a request as the model knows it.
 type modelRequest struct {
 	id, identity    string // a request and its repeats share their identity
 	class           Class
--- a/admission/progress.go
+++ b/admission/progress.go
@@ -1,8 +1,8 @@
 package admission
 
 const (
-	// stallMeanRuns is the time without the end of a run or call after which work counts as
-	// stalled, as a multiple of the mean run time of the slowest class.
+	// stallMeanRuns is the time without progress after which work counts as stalled, as a
+	// multiple of the mean run time of the slowest class.
 	stallMeanRuns = 4
 	// minSlowestMeanRunSeconds is the minimum of that mean run time, in seconds. With a lower
 	// one, a pause of the cores would look like a stall where runs are short or few durations are
@@ -16,7 +16,7 @@
 // progressMonitor detects when work stalls and when it recovers.
 type progressMonitor struct {
 	stalled        bool
-	lastEndAt      float64 // time at which a run or a call last ended
+	lastEndAt      float64 // time at which a run or a call last ended, or a run last reached a call
 	lastTimelyAt   float64 // time at which a request last finished within its soft deadline
 	slowestMeanRun float64 // mean run time of the slowest class, in seconds
 }
@@ -32,8 +32,9 @@
 }
 
 // workIsStalled reports whether all cores are taken and nothing has ended for a few mean runs, or
-// whether arrivals are backlogged and no response was timely lately. Without the condition on
-// timely responses, a plain overload would take all servers out of service at the same time.
+// whether arrivals are backlogged and no request has finished within its soft deadline lately.
+// Without the condition on timely responses, a plain overload would take all servers out of
+// service at the same time.
 func (c *Controller) workIsStalled() bool {
 	monitor := &c.progress
 	coresTaken := c.count(statesOnCore) >= c.concurrency.cores
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// maxWaitFraction is the highest expected wait of a request, as a fraction of its spare time.
-	// Run times vary, so requests that wait longer would often end late.
+	// maxWaitFraction is the highest accepted expected wait of a request, as a fraction of the
+	// time left beyond its own work. Run times vary, so requests that wait longer would end late.
 	maxWaitFraction = 0.25
 	// minAwaitingCalls is the number of requests waiting for a call up to which the start of
 	// other requests is not held back.
--- a/admission/rules_test.go
+++ b/admission/rules_test.go
@@ -130,8 +130,8 @@
 	})
 }
 
-// playRandomEvents plays a random number of batches; in one of them the server may be told to
-// drain.
+// playRandomEvents plays a random number of batches of random events, among them at most one
+// start of a drain.
 func (m *model) playRandomEvents(t *rapid.T) {
 	steps := rapid.IntRange(10, 60).Draw(t, "steps")
 	drainStep := rapid.IntRange(0, 2*steps).Draw(t, "drain")
@@ -157,8 +157,8 @@
 	}
 }
 
-// playTimersOnly ends no more runs, only calls at their timeouts. The timers alone must then
-// cause a final response to every request.
+// playTimersOnly plays only timers and the timeouts of calls; no more runs end. This must still
+// give every request its final response.
 func (m *model) playTimersOnly(t *rapid.T) {
 	for last := m.now + 20; m.nextTimer() <= last && m.now < m.killAt; {
 		m.now = m.nextTimer()
