--- a/admission/admit_test.go
+++ b/admission/admit_test.go
@@ -14,8 +14,8 @@
 		m.runToEnd(t, fmt.Sprint("e", i), 0.01, Failed)
 	}
 	m.arriveMany(t, "short", 1, Request{Memory: 1, RemainingBudget: 0.3})
-	if a, ok := m.rejected["short0"]; !ok || a.Duration != 0 {
-		t.Fatalf("want a rejection of short0 with Retry-After 0, got rejections %v", m.rejected)
+	if a, ok := m.rejectedOrFailed["short0"]; !ok || a.Duration != 0 {
+		t.Fatalf("want a rejection of short0 with Retry-After 0, got rejections %v", m.rejectedOrFailed)
 	}
 	m.arriveMany(t, "long", 1, Request{Memory: 1, RemainingBudget: 1})
 	if !m.requests["long0"].ran {
@@ -30,11 +30,13 @@
 	m.advance(t, m.now+1.8)
 	m.must(t, m.endRun(m.requests["a0"], Finished))
 	if m.requests["a1"].ran || !m.requests["a1"].answered {
-		t.Fatalf("queued request with 0.2 s left and runs of 0.5 s: ran %t, answered %t; want rejected, not run",
+		t.Fatalf("queued request with 0.2 s left and runs of 0.5 s: ran %t, answered %t; want false, true",
 			m.requests["a1"].ran, m.requests["a1"].answered)
 	}
 }
 
+// A running request gets its final response by its hard deadline, which is never later than the
+// timeout of its class.
 func TestHardDeadline_RunningRequestGetsResponse(t *testing.T) {
 	cases := map[string]struct{ budget, due float64 }{
 		"budget": {budget: 1, due: 1},
--- a/admission/backpressure_test.go
+++ b/admission/backpressure_test.go
@@ -21,7 +21,7 @@
 				}
 			}
 			c := m.controller
-			lastRejection := m.rejected["late59-0"]
+			lastRejection := m.rejectedOrFailed["late59-0"]
 			if c.load.wantedFraction > 0.3 || !lastRejection.NoFailover || c.progress.stalled == someInTime {
 				t.Fatalf("wanted fraction %.2f, want at most 0.3; %+v, want NoFailover; stalled %t, want %t",
 					c.load.wantedFraction, lastRejection, c.progress.stalled, !someInTime)
@@ -35,7 +35,8 @@
 }
 
 // The wanted fraction must fall by the fraction of requests that is wasted: one rejection among
-// 40 requests must not lower it as much as one among two.
+// 40 requests must not lower it as much as one among two. In the case "one of 0", the wasted
+// requests arrived before the tick at which they are counted.
 func TestLoadReport_DecreaseFollowsWastedFraction(t *testing.T) {
 	for arrived, want := range map[float64][2]float64{40: {0.5, 0.7}, 2: {0.2, 0.3}, 0: {0.2, 0.3}} {
 		t.Run(fmt.Sprint("one of ", arrived), func(t *testing.T) {
@@ -46,7 +47,8 @@
 				c.tuneLoadReport()
 			}
 			if c.load.wantedFraction < want[0] || c.load.wantedFraction > want[1] {
-				t.Errorf("wanted fraction %.2f, want %.1f to %.1f", c.load.wantedFraction, want[0], want[1])
+				t.Errorf("wanted fraction %.2f after 20 ticks, want %.1f to %.1f",
+					c.load.wantedFraction, want[0], want[1])
 			}
 		})
 	}
--- a/admission/connections_test.go
+++ b/admission/connections_test.go
@@ -25,7 +25,7 @@
 			m.advance(t, m.now+0.1)
 			m.arriveMany(t, "b", 1, Request{Memory: 1, RemainingBudget: 0.1})
 			kept := m.idleTimeout == 0
-			noFailover := m.rejected["b0"].NoFailover
+			noFailover := m.rejectedOrFailed["b0"].NoFailover
 			if kept != c.kept || noFailover != c.noFailover {
 				t.Errorf("idle timeout unchanged %t, want %t (timeout %.2f s); NoFailover %t, want %t",
 					kept, c.kept, m.idleTimeout, noFailover, c.noFailover)
--- a/admission/downstream_test.go
+++ b/admission/downstream_test.go
@@ -6,8 +6,8 @@
 )
 
 // A call gets the time that is left, less the safety margin. In a large fleet each server's limit
-// of calls to a shared dependency is far below one, but its calls still need a timeout of more
-// than the safety margin to return.
+// of calls to a shared dependency is far below one, which shortens the timeout (maxSharedTimeout),
+// but calls still need more than the safety margin to return.
 func TestCallTimeout_IsTimeLeftLessSafetyMargin(t *testing.T) {
 	wants := map[Downstream][2]float64{ServerTier: {0.98, 0.995}, SharedDependency: {0.1, 0.5}}
 	for kind, want := range wants {
@@ -137,9 +137,9 @@
 	m.arriveMany(t, "out", 1, Request{Memory: 1, RemainingBudget: 40})
 	m.arriveMany(t, "first", 1, Request{Class: 1, Memory: 1, RemainingBudget: 40})
 	m.arriveMany(t, "more", 1, Request{Memory: 1, RemainingBudget: 40})
-	m.awaitCall(t, "out0")
-	m.awaitCall(t, "first0")
-	m.awaitCall(t, "more0")
+	m.awaitCall(t, "out0")   // gets the one call that the limit allows
+	m.awaitCall(t, "first0") // has the earlier soft deadline and can be degraded
+	m.awaitCall(t, "more0")  // has no value without its call
 	m.finishCall(t, "out0", 0.5)
 	m.advance(t, m.now+3)
 	if m.requests["more0"].state != modelCalling || m.requests["first0"].state == modelCalling {
--- a/admission/drain_test.go
+++ b/admission/drain_test.go
@@ -13,9 +13,9 @@
 	m.advance(t, m.now+1.2)
 	m.arriveMany(t, "late", 1, Request{Memory: 1, RemainingBudget: 4})
 	if !m.requests["late0"].answered || m.requests["late0"].ran {
-		t.Fatalf("arrival after the grace period: answered %t, ran %t; want it rejected, not run",
+		t.Fatalf("arrival after the grace period: answered %t, ran %t; want true, false",
 			m.requests["late0"].answered, m.requests["late0"].ran)
 	}
 	m.advance(t, m.killAt)
-	m.must(t)
+	m.must(t) // an empty batch: checks that every request has its response
 }
--- a/admission/estimate_test.go
+++ b/admission/estimate_test.go
@@ -20,15 +20,16 @@
 	m.arriveMany(t, "new", 1, Request{Memory: 1, RemainingBudget: 0.3})
 	c := m.controller
 	minimum := c.classes[0].minServiceTime
-	if !m.wasRejected("new0") || minimum < 0.4 || !c.progress.stalled || c.load.wantedFraction > 0.05 {
+	if !m.wasRejectedOrFailed("new0") || minimum < 0.4 || !c.progress.stalled || c.load.wantedFraction > 0.05 {
 		t.Fatalf("new0 rejected %t, want true; minimum service time %.2f s, want at least 0.4 s; "+
 			"stalled %t, want true; wanted fraction %.2f, want at most 0.05",
-			m.wasRejected("new0"), minimum, c.progress.stalled, c.load.wantedFraction)
+			m.wasRejectedOrFailed("new0"), minimum, c.progress.stalled, c.load.wantedFraction)
 	}
 }
 
 // Requests whose remaining budget exceeds the minimum service time, but is used up before the run
-// ends, must not keep occupying cores that other requests need.
+// ends, must not keep occupying cores that other requests need. While another core is free, they
+// may still run.
 func TestMinRemainingBudget_GrowsWithWastedRuns(t *testing.T) {
 	for cores, ran := range map[int]bool{1: false, 2: true} {
 		t.Run(fmt.Sprint(cores, " cores"), func(t *testing.T) {
--- a/admission/helpers_test.go
+++ b/admission/helpers_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// withDefaults fills in the settings that a test does not set.
+// withDefaults sets the settings that are the same in all tests, and the classes and the number of
+// cores if the test has set none.
 func withDefaults(settings Settings) Settings {
 	if settings.Classes == nil {
 		settings.Classes = []Class{{SoftDeadline: 2, Timeout: 4, Value: 1, CallsDownstream: true}}
@@ -82,8 +83,8 @@
 	}
 }
 
-// wasRejected reports whether a request was rejected or failed.
-func (m *model) wasRejected(id string) bool {
-	_, rejected := m.rejected[id]
+// wasRejectedOrFailed reports whether a request was rejected or failed.
+func (m *model) wasRejectedOrFailed(id string) bool {
+	_, rejected := m.rejectedOrFailed[id]
 	return rejected
 }
--- a/admission/model_test.go
+++ b/admission/model_test.go
@@ -19,17 +19,17 @@
 	// controller and replay get the same events and must return the same actions.
 	controller, replay *Controller
 
-	now, startedAt  float64
-	requests        map[string]*modelRequest
-	ids             []string           // request IDs, in order of arrival
-	keys            map[string]float64 // expiry time of each stored key
-	timers          []float64
-	abandonedUntil  []float64 // times until which abandoned calls may still occupy the dependency
-	drainAt, killAt float64
-	rejected        map[string]Action
-	idleTimeout     float64 // as last set by an action; 0 if never set
-	callsInFlight   []callSample
-	covered         map[coverage]int // nil if coverage is not recorded
+	now, startedAt   float64
+	requests         map[string]*modelRequest
+	ids              []string           // request IDs, in order of arrival
+	keys             map[string]float64 // expiry time of each stored key
+	timers           []float64
+	abandonedUntil   []float64 // times until which abandoned calls may still occupy the dependency
+	drainAt, killAt  float64
+	rejectedOrFailed map[string]Action
+	idleTimeout      float64 // as last set by an action; 0 if never set
+	callsInFlight    []callSample
+	covered          map[coverage]int // nil if coverage is not recorded
 }
 
 // callSample is the number of calls in flight from a time on.
@@ -69,16 +69,16 @@
 // newModel returns a model whose server starts at the given time.
 func newModel(settings Settings, seed int64, now float64) *model {
 	return &model{
-		settings:   settings,
-		controller: New(seed, settings),
-		replay:     New(seed, settings),
-		now:        now,
-		startedAt:  now,
-		requests:   map[string]*modelRequest{},
-		keys:       map[string]float64{},
-		rejected:   map[string]Action{},
-		drainAt:    math.Inf(1),
-		killAt:     math.Inf(1),
+		settings:         settings,
+		controller:       New(seed, settings),
+		replay:           New(seed, settings),
+		now:              now,
+		startedAt:        now,
+		requests:         map[string]*modelRequest{},
+		keys:             map[string]float64{},
+		rejectedOrFailed: map[string]Action{},
+		drainAt:          math.Inf(1),
+		killAt:           math.Inf(1),
 	}
 }
 
@@ -154,13 +154,15 @@
 	switch a.Kind {
 	case SetTimer:
 		m.timers = append(m.timers, m.now+a.Duration)
-		return check(a.Duration >= 0, "timer set in the past")
+		return check(a.Duration >= 0, fmt.Sprintf("timer set to fire in %g s, want at least 0 s", a.Duration))
 	case ReportLoad:
-		return check(m.settings.Backpressure != NoBackpressure && a.Load >= 0, "load negative or not to be reported")
+		return check(m.settings.Backpressure != NoBackpressure && a.Load >= 0,
+			fmt.Sprintf("reports a load of %g with backpressure %v, want at least 0 and a backpressure other than none",
+				a.Load, m.settings.Backpressure))
 	case SetIdleTimeout:
 		m.idleTimeout = a.Duration
 		inRange := a.Duration >= 0.01 && a.Duration <= m.settings.IdleTimeout
-		return check(inRange, fmt.Sprintf("idle timeout not within 0.01 to %.3f s", m.settings.IdleTimeout))
+		return check(inRange, fmt.Sprintf("idle timeout %g s, want 0.01 to %g s", a.Duration, m.settings.IdleTimeout))
 	case SetHealth, LogLine:
 		return nil
 	}
@@ -180,20 +182,25 @@
 	case CancelRun:
 		r.cancelPending = r.state == modelOnCore
 		preemptible := m.settings.Preemption != NoPreemption && r.class.Idempotency != Deduplicated
-		return check(preemptible && (r.answered || r.clientGone), "cancels a run that must not be cancelled")
+		return check(preemptible && (r.answered || r.clientGone),
+			fmt.Sprintf("cancels a run with preemption %v, idempotency %v, answered %t, client gone %t; "+
+				"want preemptible, not deduplicated, and answered or client gone",
+				m.settings.Preemption, r.class.Idempotency, r.answered, r.clientGone))
 	case DispatchCall:
 		return m.dispatchCall(a, r)
 	case Degrade:
 		allowed := r.state == modelAwaitingDownstream && r.class.DegradedValue > 0
+		message := fmt.Sprintf("skips the call of a request that is %s with a degraded value of %g, "+
+			"want awaiting downstream and a value over 0", r.state, r.class.DegradedValue)
 		r.state = modelOnCore
-		return check(allowed, "skips a call that the request needs or does not wait for")
+		return check(allowed, message)
 	case StoreKey:
 		m.keys[a.RequestID] = m.now + a.Duration
 	case DeleteKey:
 		delete(m.keys, a.RequestID)
 	case ReuseResult:
 		r.state = modelCoalesced
-		return check(r.isRepeat, "reuses a result for a request that is no repeat")
+		return check(r.isRepeat, "reuses a result for a request that repeats no other, want a repeat")
 	}
 	return nil
 }
@@ -207,7 +214,8 @@
 		return fmt.Errorf("starts a request that arrived at %.3f s, after the grace period of the drain at %.3f s",
 			r.arrivedAt, m.drainAt)
 	case m.hasRunDuplicate(r):
-		return errors.New("runs a second attempt of a deduplicated request within its window")
+		return fmt.Errorf("runs a second attempt of a deduplicated request within its window of %g s, want one run",
+			r.class.DeduplicationWindow)
 	}
 	r.state = modelOnCore
 	r.ran = true
@@ -217,13 +225,14 @@
 // respond applies a final response: a rejection or a failure.
 func (m *model) respond(a Action, r *modelRequest) error {
 	if r.answered || r.clientGone {
-		return fmt.Errorf("response not due: answered before %t, client gone %t", r.answered, r.clientGone)
+		return fmt.Errorf("sends a response to a request with answered %t, client gone %t; want false, false",
+			r.answered, r.clientGone)
 	}
 	mayHaveRun := r.ran || r.state != modelQueued || r.isRepeat && m.hasRunDuplicate(r)
 	if a.Kind == Reject && mayHaveRun {
 		return errors.New("rejects a request that may have run, want it failed")
 	}
-	m.rejected[a.RequestID] = a
+	m.rejectedOrFailed[a.RequestID] = a
 	r.answered = true
 	switch r.state {
 	case modelCalling:
@@ -236,7 +245,8 @@
 
 func (m *model) dispatchCall(a Action, r *modelRequest) error {
 	if r.state != modelAwaitingDownstream || r.answered || a.Duration <= 0 || m.now+a.Duration > r.hardDeadline {
-		return fmt.Errorf("dispatches a call of a request that is %s, answered %t: timeout %.3f s, %.3f s left",
+		return fmt.Errorf("dispatches a call of a request that is %s, answered %t, timeout %g s, %g s left; "+
+			"want awaiting downstream, false, timeout over 0 and at most the time left",
 			r.state, r.answered, a.Duration, r.hardDeadline-m.now)
 	}
 	if r.called && r.mayHaveExecuted && r.class.Idempotency != Idempotent {
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -7,10 +7,10 @@
 func TestShedQueue_RejectsOverloadWithRetryAfter(t *testing.T) {
 	m := newLearnedModel(t, Settings{MaxRetryAfter: 1})
 	m.arriveMany(t, "a", 40, Request{Memory: 1, RemainingBudget: 4})
-	if n := len(m.rejected); n < 20 || n > 36 {
+	if n := len(m.rejectedOrFailed); n < 20 || n > 36 {
 		t.Fatalf("%d of 40 requests rejected at once on 2 cores, want 20 to 36", n)
 	}
-	for id, a := range m.rejected {
+	for id, a := range m.rejectedOrFailed {
 		if a.Duration <= 0 || a.Duration > 1 {
 			t.Fatalf("%s: Retry-After %.2f s, want over 0 and at most 1 s", id, a.Duration)
 		}
@@ -22,7 +22,7 @@
 	admittedClass.admittedFraction = 1
 	density := m.controller.valueDensity(&request{class: rejectedClass, value: 1})
 	if reference := m.controller.valueDensity(&request{class: &admittedClass, value: 1}); density < 1.3*reference {
-		t.Fatalf("value density %.3g with an admitted fraction of %.2f, want 1.3 times the %.3g at fraction 1",
+		t.Fatalf("value density %.3g with an admitted fraction of %.2f, want at least 1.3 times the %.3g at fraction 1",
 			density, rejectedClass.admittedFraction, reference)
 	}
 }
--- a/admission/quota_test.go
+++ b/admission/quota_test.go
@@ -12,23 +12,25 @@
 	m := newLearnedModel(t, Settings{Cores: 4, Tenants: []Tenant{{Rate: 1e6}, {Rate: 1e6}}})
 	m.must(t, Event{Kind: AllowanceChanged, Allowance: &Allowance{Tenant: 0, Limit: 4, BurstDuration: 0.5}})
 	m.arriveMany(t, "a", 3, Request{Memory: 1, RemainingBudget: 4})
-	if n := len(m.rejected); n != 3 { // requests saved up under the server's own estimate are forfeited
+	// Requests saved up under the server's own estimate are forfeited.
+	if n := len(m.rejectedOrFailed); n != 3 {
 		t.Fatalf("%d requests rejected right after the first allowance, want all 3", n)
 	}
 	m.advance(t, m.now+1)
-	m.arriveMany(t, "b", 1, Request{Memory: 1, RemainingBudget: 0.01}) // too little time left to run, so not charged
+	// b0 has too little time left to run, so it is not charged.
+	m.arriveMany(t, "b", 1, Request{Memory: 1, RemainingBudget: 0.01})
 	m.arriveMany(t, "c", 4, Request{Memory: 1, RemainingBudget: 4})
 	m.arriveMany(t, "other", 4, Request{Tenant: 1, Memory: 1, RemainingBudget: 4})
 	wants := map[string]bool{"b0": true, "c0": false, "c1": false, "c2": true, "c3": true, "other3": false}
 	for id, want := range wants {
-		if got := m.wasRejected(id); got != want {
+		if got := m.wasRejectedOrFailed(id); got != want {
 			t.Errorf("%s rejected: %t, want %t with 4 requests a second and 0.5 s of them saved up", id, got, want)
 		}
 	}
 	m.advance(t, m.now+1)
 	m.must(t, Event{Kind: AllowanceChanged, Allowance: &Allowance{Tenant: 0, Limit: 0, BurstDuration: 0.5}})
 	m.arriveMany(t, "d", 1, Request{Memory: 1, RemainingBudget: 4})
-	if !m.wasRejected("d0") {
+	if !m.wasRejectedOrFailed("d0") {
 		t.Error("request with an allowance of 0: got admitted, want rejected")
 	}
 }
@@ -84,7 +86,7 @@
 	wanted := m.controller.load.wantedFraction
 	m.finishRuns(t) // the other requests over quota run one at a time until too little time is left
 	overQuota := 0
-	for id, a := range m.rejected {
+	for id, a := range m.rejectedOrFailed {
 		if !strings.HasPrefix(id, "over") {
 			continue
 		}
--- a/admission/rules_test.go
+++ b/admission/rules_test.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// playTimersOnly plays only timers and the timeouts of calls; no more runs end. This must still
-// give every request its final response.
+// playTimersOnly plays only timers, the timeouts of calls, and the end of runs that were answered
+// during their call. This must still give every request its final response.
 func (m *model) playTimersOnly(t *rapid.T) {
 	for last := m.now + 20; m.nextTimer() <= last && m.now < m.killAt; {
 		m.now = m.nextTimer()
@@ -173,8 +173,7 @@
 	}
 }
 
-// coverage is a combination that the random events have played: how a call ended, for which
-// idempotency and preemption.
+// coverage is a combination of idempotency, preemption and the way in which a call ended.
 type coverage struct {
 	idempotency Idempotency
 	preemption  Preemption
