--- a/admission/action.go
+++ b/admission/action.go
@@ -8,10 +8,10 @@
 	StartRun ActionKind = iota
 	// CancelRun stops a run.
 	CancelRun
-	// Reject sends a final response saying that the request was rejected before it ran. Sets
+	// Reject sends the final response saying that the request was rejected before it ran. Sets
 	// Duration to the Retry-After, and NoFailover to ask the client not to try another server.
 	Reject
-	// Fail sends a final response saying that the request failed.
+	// Fail sends the final response saying that the request failed.
 	Fail
 	// DispatchCall sends the downstream call of a request. Sets Duration to the timeout of the
 	// call.
--- a/admission/admit.go
+++ b/admission/admit.go
@@ -1,9 +1,9 @@
 package admission
 
 const (
-	// minLateValue is the minimum LateValue of a class whose requests may run after their soft
-	// deadline. Exception to the design: late requests of a lower value would occupy cores that
-	// requests of more value need.
+	// minLateValue is the minimum LateValue of a class whose queued requests may still start if
+	// they are expected to end after their soft deadline. Exception to the design: late requests
+	// of a lower value would occupy cores that requests of more value need.
 	minLateValue = 0.5
 	// expiryToleranceSeconds is the time in seconds before its hard deadline at which a request
 	// counts as expired, so that its response is not late.
@@ -51,7 +51,8 @@
 
 // hardDeadline returns the time by which a request needs its final response: the end of its
 // remaining budget, or the end of the client's timeout over all attempts if that is earlier.
-// During a drain it is no later than the last response of the drain.
+// During a drain it is no later than the last response of the drain. If clients propagate
+// deadlines, a budget of 0 means that no time is left.
 func (c *Controller) hardDeadline(timeoutAt float64, arrival *Request) float64 {
 	deadline := timeoutAt
 	if arrival.RemainingBudget > 0 || c.settings.DeadlinePropagation {
@@ -86,7 +87,8 @@
 }
 
 // expireRequests expires requests that are past their hard deadline or whose response would have
-// no value, and rejects queued ones with less time left than their run is expected to take.
+// no value. It rejects queued ones with less time left than the minimum service time, or than
+// minRemainingBudget if at most one core is free.
 func (c *Controller) expireRequests() {
 	for _, r := range c.requests {
 		worthless := r.class.LateValue == 0 && c.now > r.softDeadline
--- a/admission/arrivals.go
+++ b/admission/arrivals.go
@@ -48,9 +48,9 @@
 // backlogged reports whether requests stay unread for too long.
 func (a *arrivalStats) backlogged() bool { return a.meanUnreadDelay > a.maxUnreadDelay }
 
-// decayUnreadDelay lowers the unread delay at each tick, as only arrivals update it. After
-// unreadDelayExpirySeconds without an arrival the delay is reset to 0, and lastTimelyAt is set to
-// now, as no request could have ended in time.
+// decayUnreadDelay lowers the unread delay at each tick, as it would otherwise change only with
+// arrivals. After unreadDelayExpirySeconds without an arrival the delay is reset to 0, and
+// lastTimelyAt is set to now, as the lack of timely responses then does not show a stall.
 func (c *Controller) decayUnreadDelay() {
 	c.arrivals.meanUnreadDelay *= unreadTickDecay
 	if c.now-c.arrivals.lastArrivalAt > unreadDelayExpirySeconds {
--- a/admission/backpressure.go
+++ b/admission/backpressure.go
@@ -35,8 +35,9 @@
 	fullCredit       float64 // open requests per client when all traffic is wanted
 	wantedFraction   float64 // fraction of the usual traffic that is wanted
 	reportedFraction float64 // wantedFraction, as last reported
-	// arrivedRequests counts the requests since the last tick. wastedRequests counts those since
-	// then that were rejected or failed, except for rejections for exceeding a quota.
+	// arrivedRequests is the number of requests that arrived since the last tick. wastedRequests
+	// is the number that were rejected or failed since then, without rejections of requests that
+	// are marked overQuota.
 	arrivedRequests, wastedRequests float64
 }
 
@@ -69,8 +70,9 @@
 	}
 }
 
-// tuneLoadReport updates the wanted fraction and reports it if it changed: it decreases as soon
-// as requests are rejected or fail, and increases in small steps afterwards.
+// tuneLoadReport updates the wanted fraction and reports it if it changed. The fraction is 0 in a
+// drain and minimal while work is stalled. It decreases as soon as requests are rejected or fail,
+// and increases in small steps otherwise, unless requests stay unread for too long.
 func (c *Controller) tuneLoadReport() {
 	reporter := &c.load
 	switch {
--- a/admission/capacity.go
+++ b/admission/capacity.go
@@ -69,7 +69,8 @@
 	return max(1, usableConcurrency*l.cores*(1+(l.sustainablePerCore-1)*l.slowStart.speedAt(now)))
 }
 
-// nextArm ends a period and chooses the arm for the next one.
+// nextArm ends a period and chooses the arm for the next one. The arm stays the same after a period
+// without queued requests, which shows nothing about it.
 func (e *armExperiment) nextArm(now float64, random *randomSource) {
 	if e.hadQueue {
 		e.means[e.arm] += experimentWeight * (e.reward - e.means[e.arm])
@@ -93,7 +94,8 @@
 
 // tuneRunLimit raises the run limit by the number of free cores while requests are queued. It
 // lowers the limit by one per tick while more requests per core are runnable than the current arm
-// of the experiment allows.
+// of the experiment allows. The limit is at least the number of cores, and otherwise at most
+// maxRunning and the number of requests.
 func (c *Controller) tuneRunLimit() {
 	l := &c.concurrency
 	runnable := l.gauges.Runnable
--- a/admission/connections.go
+++ b/admission/connections.go
@@ -5,8 +5,8 @@
 	// seconds, above which keeping its connection open costs more than opening a new one. Where
 	// some tens of clients share a server, both cost about the same near 5 s.
 	infrequentClientIntervalSeconds = 8
-	// minIdleTimeoutSeconds is the idle timeout, in seconds, if clients return less often than
-	// that. It is the best timeout under high load.
+	// minIdleTimeoutSeconds is the idle timeout, in seconds, for clients that return less often
+	// than every infrequentClientIntervalSeconds. It is the best timeout under high load.
 	minIdleTimeoutSeconds = 0.05
 	// stretchIncrease and stretchDecrease are the factors by which a tick changes timeoutStretch,
 	// up to maxStretch. With them the timeout grows from 0.05 s to 5 s in 2.5 s, the time in
@@ -39,11 +39,11 @@
 // tuneIdleTimeout sets a short idle timeout if clients return so rarely that keeping their
 // connections open costs more than opening new ones and would fill the connection table.
 //
-// While requests stay unread, it lengthens the timeout at each tick instead, so that the
-// connection table stays full and new connections are refused. A refused connection costs this
-// server nothing, but a request that is read and rejected costs a handshake and a read. This
-// helps against retry storms, bursts and slow cores; it may hurt where it keeps out the most
-// valuable requests.
+// While the unread delay exceeds half the backlog threshold, it lengthens the timeout at each tick
+// instead, so that the connection table stays full and new connections are refused. A refused
+// connection costs this server nothing, but a request that is read and rejected costs a handshake
+// and a read. This helps against retry storms, bursts and slow cores; it may hurt where it keeps
+// out the most valuable requests.
 func (c *Controller) tuneIdleTimeout() {
 	t := &c.connections
 	timeout := t.maxIdleTimeout
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -17,7 +17,7 @@
 	started  bool
 	now      float64    // time of the current batch
 	actions  []Action   // of the current batch
-	requests []*request // not done before the current batch, in order of arrival
+	requests []*request // in order of arrival; those done in the current batch are still in it
 	byID     map[string]*request
 	classes  []learnedClass
 
@@ -34,7 +34,7 @@
 	drain       drainState
 }
 
-// New returns the controller of a server that starts now. The seed determines its random draws.
+// New returns the controller of a server that is starting. The seed determines its random draws.
 func New(seed int64, settings Settings) *Controller {
 	cores := max(1, float64(settings.Cores))
 	controller := &Controller{
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -26,8 +26,8 @@
 // # Files
 //
 // settings.go, event.go and action.go are the interface. The decisions, in the order in which a
-// request meets them, are in controller.go (the batch), lifecycle.go (the state table), admit.go
-// (arrival, deadlines and rejection), queue.go (the order of the queue and load shedding),
+// request meets them, are in controller.go (the batch), lifecycle.go (the transition table),
+// admit.go (arrival, deadlines and rejection), queue.go (the order of the queue and load shedding),
 // downstream.go (calls, retries, backoff), capacity.go (limits on concurrency, slow start),
 // memory.go (memory and the key table), quota.go (quotas of tenants), estimate.go (learned service
 // times), arrivals.go (arrival statistics), progress.go (health), backpressure.go (Retry-After and
@@ -39,7 +39,11 @@
 //   - Degraded: a request that continues without its downstream call, for a response of less value.
 //   - Coalesced: a request that waits for the result of the request that it repeats.
 //   - Key table: the requests whose repeats are recognized.
-//   - Run: the work of the server on a request. Its time on the cores excludes downstream calls.
-//   - Unread: a request that has reached the machine and was not read by the server yet.
+//   - Run: the work of the server on a request. Its run time counts the time on a core or waiting
+//     for one; it excludes downstream calls and waiting for them.
+//   - Lost call: an attempt of a downstream call that ended in any way but successfully.
+//   - Abandoned call: a call that the server stopped waiting for, while the dependency may still
+//     work on it.
+//   - Unread: a request that has reached the machine but was not read by the server yet.
 //   - Tick: the periodic refresh of estimates and limits.
 package admission
--- a/admission/downstream.go
+++ b/admission/downstream.go
@@ -31,13 +31,14 @@
 	// Limits on concurrent calls to a shared dependency, as fractions of this server's share of
 	// the calls that it can sustain. The dependency gets slow long before it fails, so a quarter
 	// of the share is used even if calls are slow. The share is never used completely, as calls
-	// of servers that died, and calls that are not known to have ended, also count.
+	// of servers that died, and calls that are not known to have ended, also occupy the
+	// dependency.
 	minSharedCalls     = 0.25
 	initialSharedCalls = 0.5
 	maxSharedCalls     = 0.8
 	// maxSharedTimeout is the longest timeout of a call to a shared dependency, as a fraction of
-	// the call-seconds that the limit allows in its window. If the limit is below one call, calls
-	// must be short to keep the mean over the window within it.
+	// the call-seconds (calls times their duration) that the limit allows in its window. If the
+	// limit is below one call, calls must be short to keep the mean over the window within it.
 	maxSharedTimeout = 0.25
 
 	// callLimitDecrease and callLimitIncrease are the factors by which a tick changes the limit.
@@ -51,15 +52,15 @@
 	// maxLostAttempts is the number of lost attempts of a call above which a response without the
 	// call is preferred.
 	maxLostAttempts = 2
-	// firstAttemptTimeoutFactor is the ratio of the timeout of an attempt that may be repeated to
+	// shortTimeoutFactor is the short timeout of an attempt that may be repeated, as a multiple of
 	// the mean call duration.
-	firstAttemptTimeoutFactor = 4
-	// firstAttemptMinTimeLeftFactor is the multiple of that timeout that must be left for an
-	// attempt to be limited to it.
-	firstAttemptMinTimeLeftFactor = 2
-	// firstAttemptMinCalls is the minimum number of calls in the window for their mean duration
-	// to set a timeout.
-	firstAttemptMinCalls = 20
+	shortTimeoutFactor = 4
+	// shortTimeoutMinTimeLeftFactor is the time that must be left for an attempt to get the short
+	// timeout, as a multiple of it.
+	shortTimeoutMinTimeLeftFactor = 2
+	// shortTimeoutMinCalls is the minimum number of calls in the window for a short timeout to be
+	// derived from their mean duration.
+	shortTimeoutMinCalls = 20
 	// minCallAllowance keeps the limit, which is used as a divisor, above 0. With an allowance
 	// below 1 no call is dispatched.
 	minCallAllowance = 0.01
@@ -101,7 +102,8 @@
 	return limiter
 }
 
-// accrue adds the unused part of the limit since creditAt to the credit.
+// accrue adds the part of the limit that was not used since creditAt to the credit, or subtracts
+// what exceeded the limit. The credit is at most one call-second.
 func (d *downstreamLimiter) accrue(now, inFlight float64) {
 	unused := d.limit - inFlight
 	d.credit = min(d.limit, 1, d.credit+unused*(now-d.creditAt))
@@ -122,24 +124,24 @@
 	return d.callTime.mean > slowCallFactor*d.callTime.lowest.Value(now)
 }
 
-// lossy reports whether more than one call in four is lost. The added constant requires a few
-// lost calls first.
+// lossy reports whether more than one call in four is lost. The added constant keeps a single lost
+// call from counting.
 func (d *downstreamLimiter) lossy() bool {
 	return minCompletedPerLostCall*d.callTime.recent.Untimed > d.callTime.recent.Count+minCompletedPerLostCall
 }
 
 // timeout returns the timeout of a request's call: the time that is left, less the safety margin.
 //
-// Exception to the design: a call to a tier that is not slow, of an idempotent request, gets only
-// a few mean call durations if more than twice that time is left. Otherwise a server of the tier
-// that died unnoticed would hold the call until the deadline, with no time left for a retry.
+// Exception to the design: a call to a tier gets only a few mean call durations if the request is
+// idempotent, calls are not slow and more than twice that time is left. Otherwise a server of the
+// tier that died unnoticed would hold the call until the deadline, with no time left for a retry.
 func (d *downstreamLimiter) timeout(now float64, r *request) float64 {
 	left := min(r.hardDeadline-now-deadlineSafetyMarginSeconds, d.maxTimeout)
-	firstAttempt := firstAttemptTimeoutFactor * d.callTime.mean
+	shortTimeout := shortTimeoutFactor * d.callTime.mean
 	repeatable := d.callsTier && r.class.Idempotency == Idempotent
-	known := d.callTime.recent.Count >= firstAttemptMinCalls
-	if repeatable && known && !d.slow(now) && left > firstAttemptMinTimeLeftFactor*firstAttempt {
-		return firstAttempt
+	known := d.callTime.recent.Count >= shortTimeoutMinCalls
+	if repeatable && known && !d.slow(now) && left > shortTimeoutMinTimeLeftFactor*shortTimeout {
+		return shortTimeout
 	}
 	return left
 }
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// lastResponseMarginSeconds is the time in seconds before the process is killed by which a draining
-// server has sent every final response. It allows for several turns of an event loop.
+// lastResponseMarginSeconds is how many seconds before the process is killed the last final
+// response must be sent. It allows for several turns of the event loop.
 const lastResponseMarginSeconds = 0.03
 
 // drainState is the state of a drain: the server was told that its process will be killed.
@@ -32,7 +32,7 @@
 func (d *drainState) rejectsArrival(r *request) bool { return r.arrivedAt > d.startedAt+d.gracePeriod }
 
 // handleDrain takes the server out of service, as its process will be killed in killIn seconds.
-// It moves later hard deadlines forward to the time of the last response.
+// Hard deadlines after the time of the last response are moved to it.
 func (c *Controller) handleDrain(killIn float64) {
 	c.drain.startedAt = c.now
 	c.drain.killAt = c.now + killIn
--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -16,9 +16,9 @@
 	// compared with the lowest one.
 	minSamples = 4
 
-	// minimumDecay is the fraction by which the minimum service time approaches its lowest value
-	// of the last 30 s at a tick at which fewer than minSamples runs are known. The approach
-	// takes about 2 s.
+	// minimumDecay is the fraction of the difference by which a tick lowers the minimum service
+	// time towards its lowest value of the last 30 s, while fewer than minSamples runs are known.
+	// Coming close to that value takes about 2 s.
 	minimumDecay = 0.05
 	// wasteWeight and callsWeight are the weights of the latest run in moving averages of about
 	// 20 runs.
@@ -36,7 +36,7 @@
 	window *timewindow.Buckets[timewindow.Histogram]
 	recent timewindow.Histogram // the whole window, as of the last refresh
 	mean   float64              // over the window, or the previous mean if the window is empty
-	lowest timewindow.Minimum   // over 30 s, of the medians or means that the owner observes
+	lowest timewindow.Minimum   // over 30 s, of the medians or means passed to Observe
 }
 
 func newDurationEstimate(now, window float64) durationEstimate {
@@ -60,7 +60,7 @@
 	// minServiceTime is the learned minimum service time: the median run time.
 	minServiceTime float64
 	// wastedFraction is the moving average of the fraction of runs that ended after their hard
-	// deadline, when the client had left.
+	// deadline, when no client waited for the response any more.
 	wastedFraction float64
 	// minRemainingBudget is the time in seconds that a request must have left to be started while
 	// cores are scarce.
@@ -71,7 +71,7 @@
 	admittedFraction float64
 }
 
-// recordWaste records whether a run that ended was wasted, as its client had left.
+// recordWaste records whether a run that ended was wasted, as it ended after its hard deadline.
 func (class *learnedClass) recordWaste(wasted bool) {
 	class.wastedFraction *= 1 - wasteWeight
 	if wasted {
@@ -96,10 +96,10 @@
 	} else if !stalled {
 		class.minServiceTime += minimumDecay * min(class.runTime.lowest.Value(now)-class.minServiceTime, 0)
 	}
-	// Exception to the design, for small budgets that exceed the minimum service time and yet run
-	// out during calls or long runs: the larger the fraction of wasted runs, the larger the part
-	// of the mean run time and of the mean time of all calls that must be left in addition. From
-	// one wasted run in three on, it is all of that time.
+	// Exception to the design, for budgets that exceed the minimum service time and still run out
+	// during calls or long runs: a surcharge on the time that must be left. It grows with the
+	// fraction of wasted runs, up to the mean time of a run and of its calls when one run in three
+	// is wasted.
 	surcharge := min(1, wasteSurchargeFactor*class.wastedFraction) * (class.runTime.mean + class.meanCalls*meanCall)
 	class.minRemainingBudget = min(class.minServiceTime+surcharge, class.Timeout/2)
 }
--- a/admission/event.go
+++ b/admission/event.go
@@ -100,7 +100,8 @@
 	RemainingBudget float64
 	Priority        float64
 	// Retry is set for attempts after the first, Write for requests that change data, and
-	// HasSubject for requests that name their subject, by which clients may choose servers.
+	// HasSubject for requests that name the item that they concern, by which clients may choose
+	// servers. The decisions use neither Retry nor Priority.
 	Retry, Write, HasSubject bool
 	// DuplicateOf is the ID of the request in the key table that this one repeats; empty if none.
 	DuplicateOf string
@@ -122,9 +123,9 @@
 	// Tenant is the index of the tenant whose requests are limited, or CallAllowance if
 	// downstream calls are limited.
 	Tenant int
-	// Limit is in requests a second for a tenant, or in concurrent calls.
+	// Limit is in requests a second for a tenant, and in concurrent calls for CallAllowance.
 	Limit float64
-	// BurstDuration bounds the unused requests that a tenant can save up, in seconds of its rate.
-	// The bound is at least one request unless Limit is 0.
+	// BurstDuration times Limit is the number of unused requests that a tenant can save up, but
+	// at least one unless Limit is 0. BurstDuration is in seconds; calls do not use it.
 	BurstDuration float64
 }
--- a/admission/lifecycle.go
+++ b/admission/lifecycle.go
@@ -23,10 +23,10 @@
 
 const (
 	onAdmit      trigger = 1 << iota // decision: the request may run
-	onDuplicate                      // decision: the request repeats another one and gets its result
+	onDuplicate                      // decision: the result of the repeated request is reused
 	onTooLate                        // decision: less time is left than a run is expected to take
 	onOverload                       // decision: load, memory, a quota or a drain forbids it
-	onExpire                         // decision: the hard deadline is reached, or the response is worthless
+	onExpire                         // decision: past the hard deadline, or the response is worthless
 	onDispatch                       // decision: the call may be dispatched
 	onDegrade                        // decision: a response without the call is preferred
 	onClientGone                     // this and the following triggers are events
@@ -85,13 +85,13 @@
 	// valueUntil is the time until which the request is worth running: hardDeadline, or the
 	// earlier of the two deadlines if late responses have too little value.
 	valueUntil   float64
-	coreTime     float64 // seconds spent in statesOnCore so far
+	coreTime     float64 // seconds in statesOnCore so far, without calls and waits for calls
 	memory       float64 // memory while queued, in kilobytes
 	value        float64 // of its response; lowered if over quota
 	overQuota    bool
 	chargedQuota *tenantQuota // quota charged while queued; nil if none
-	started      bool
-	duplicate    bool // whether it repeats a deduplicated request
+	started      bool         // whether its run was started
+	duplicate    bool         // whether it repeats a deduplicated request
 	call         callProgress
 }
 
@@ -103,8 +103,8 @@
 	notExecuted   bool    // whether the last attempt is known not to have run downstream
 }
 
-// step applies a trigger to a request and reports whether a transition matched. r may be nil,
-// which matches none.
+// step applies a trigger to a request and reports whether a transition matched. A nil request
+// matches none.
 func (c *Controller) step(r *request, on trigger) bool {
 	if r == nil {
 		return false
@@ -119,8 +119,8 @@
 	return false
 }
 
-// apply moves a request along a transition, updates the accounts kept by state and runs the
-// effect.
+// apply moves a request along a transition, updates the totals that depend on its state (call
+// credit, quota, core time, memory) and runs the effect.
 func (c *Controller) apply(row *transition, r *request) {
 	c.accrueCallCredit()
 	if r.state == stateQueued {
--- a/admission/memory.go
+++ b/admission/memory.go
@@ -3,7 +3,8 @@
 import "swiftcourse/internal/timewindow"
 
 const (
-	// maxRequestMemory is the fraction of the memory limit up to which requests are admitted.
+	// maxRequestMemory is the fraction of the memory limit up to which requests are admitted
+	// and started.
 	maxRequestMemory = 0.95
 	// maxDeduplicationMemory is the fraction of the memory limit up to which keys of deduplicated
 	// requests are stored.
--- a/admission/progress.go
+++ b/admission/progress.go
@@ -4,7 +4,7 @@
 	// stallMeanRuns is the time without progress after which work counts as stalled, as a
 	// multiple of the mean run time of the slowest class.
 	stallMeanRuns = 4
-	// minSlowestMeanRunSeconds is the minimum of that mean run time, in seconds. With a lower
+	// minSlowestMeanRunSeconds is the minimum value of slowestMeanRun, in seconds. With a lower
 	// one, a pause of the cores would look like a stall where runs are short or few durations are
 	// known.
 	minSlowestMeanRunSeconds = 0.25
@@ -15,9 +15,11 @@
 
 // progressMonitor detects when work stalls and when it recovers.
 type progressMonitor struct {
-	stalled        bool
-	lastEndAt      float64 // time at which a run or a call last ended, or a run last reached a call
-	lastTimelyAt   float64 // time at which a request last finished within its soft deadline
+	stalled   bool
+	lastEndAt float64 // time at which a run or a call last ended, or a run last reached a call
+	// lastTimelyAt is the time at which a request last finished within its soft deadline; it
+	// follows the clock while no request arrives.
+	lastTimelyAt   float64
 	slowestMeanRun float64 // mean run time of the slowest class, in seconds
 }
 
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -6,11 +6,12 @@
 )
 
 const (
-	// maxWaitFraction is the highest accepted expected wait of a request, as a fraction of the
-	// time left beyond its own work. Run times vary, so requests that wait longer would end late.
+	// maxWaitFraction is the longest expected wait that a request is queued for, as a fraction of
+	// its spare time: the time left less its own expected work. Run times vary, so requests that
+	// wait longer would end late.
 	maxWaitFraction = 0.25
-	// minAwaitingCalls is the number of requests waiting for a call up to which the start of
-	// other requests is not held back.
+	// minAwaitingCalls is the number of requests waiting for a call below which the start of
+	// requests that need a call is never held back.
 	minAwaitingCalls = 2
 	// minCost is the minimum cost of a request, which is used as a divisor.
 	minCost = 1e-4
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -8,8 +8,8 @@
 
 const (
 	// maxTenantImbalance is the ratio of a tenant's traffic at one server to its mean over all
-	// servers up to which the tenant is within its quota. Clients are not spread evenly over the
-	// servers.
+	// servers up to which the tenant is within its quota. It exceeds 1 because clients are not
+	// spread evenly over the servers.
 	maxTenantImbalance = 1.5
 	// quotaBurstSeconds is the burst that a tenant may send at once, in seconds of its rate.
 	quotaBurstSeconds = 2
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -61,7 +61,7 @@
 	// NoBackpressure means that the server reports no load.
 	NoBackpressure Backpressure = iota
 	// BackpressureLevel makes the value a minimum priority: clients send no request with a lower
-	// one.
+	// priority.
 	BackpressureLevel
 	// BackpressureCredit makes the value the maximum number of requests that each client may have
 	// open at this server.
@@ -152,8 +152,8 @@
 
 // ConcurrencySettings bound the requests that run concurrently.
 type ConcurrencySettings struct {
-	// PerCore is the number of running requests that each core of a warm server can sustain, as a
-	// mean over Window.
+	// PerCore is the number of running requests that each core of a warm server can sustain
+	// without failing, as a mean over Window.
 	PerCore float64
 	// Window is the averaging window of PerCore, in seconds. The decisions do not use it: they
 	// keep to PerCore at every moment.
@@ -174,7 +174,7 @@
 type DownstreamSettings struct {
 	Kind Downstream
 	// CallLimit is this server's share of the concurrent calls that a shared dependency can
-	// sustain, as a mean over CallWindow.
+	// sustain without failing, as a mean over CallWindow.
 	CallLimit  float64
 	CallWindow float64
 	// AbandonedCallLifetime is how long a call that this server abandoned may still occupy the
--- a/admission/timer.go
+++ b/admission/timer.go
@@ -15,7 +15,7 @@
 	armedFor float64 // time at which the earliest timer fires; infinite if none is armed
 }
 
-// fired records that a timer fired.
+// fired handles a TimerFired event. Once the earliest timer is due, none counts as armed.
 func (w *wakeupTimer) fired(now float64) {
 	if now >= w.armedFor-timerToleranceSeconds {
 		w.armedFor = math.Inf(1)
