--- a/cmd/swiftcourse-bench/main.go
+++ b/cmd/swiftcourse-bench/main.go
@@ -25,6 +25,7 @@
 	Fleet   fleetCommand   `cmd:"" help:"Forwarders, planners and workers as processes, while planners are killed."`
 	Levels  levelsCommand  `cmd:"" help:"Forwarders, planners and workers in simulated time, at large size."`
 	Shared  sharedCommand  `cmd:"" help:"A quota that all servers share, while demand shifts and under faults."`
+	Upgrade upgradeCommand `cmd:"" help:"Two builds in one fleet: servers replaced one by one, forwarders mixed."`
 	Ready   readyCommand   `cmd:"" help:"How long restarted servers take to serve and to be listed."`
 	Hold    holdCommand    `cmd:"" hidden:""`
 }
--- a/internal/bench/faultinjection/config.go
+++ b/internal/bench/faultinjection/config.go
@@ -16,6 +16,7 @@
 	ExtraSettingsByName map[string]string // more lines of one process's file
 	ClockByName         map[string]string // SWIFTCOURSE_TEST_CLOCK of one process
 	BuildByName         map[string]string // SWIFTCOURSE_BUILD of one process
+	ProgramByName       map[string]string // binary of one process, in place of the shape's; see Fleet.SetProgram
 	Seed                uint64
 	RunLog              *RunLog // of the fake executors; nil for none
 	RunSeconds          float64 // of a request; 0 for that of the shape
--- a/internal/bench/faultinjection/control.go
+++ b/internal/bench/faultinjection/control.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"path/filepath"
 	"strings"
 	"syscall"
 	"time"
@@ -72,6 +73,38 @@
 	return nil
 }
 
+// Replace drains a process, and starts it again under its name with another binary.
+func (f *Fleet) Replace(ctx context.Context, name, program string) error {
+	if _, err := f.Server(name).Drain(); err != nil {
+		return fmt.Errorf("drain %s: %w", name, err)
+	}
+	f.SetProgram(name, program)
+	if err := f.Restart(ctx, name); err != nil {
+		return err
+	}
+	return f.CheckFolder(name, program)
+}
+
+// CheckFolder returns an error unless a process runs a binary from the folder of the given one: the
+// program may have replaced itself by another one of its build.
+func (f *Fleet) CheckFolder(name, program string) error {
+	running, err := f.Server(name).Executable()
+	if err != nil {
+		return fmt.Errorf("binary of %s: %w", name, err)
+	}
+	folder, err := filepath.EvalSymlinks(filepath.Dir(program))
+	if err != nil {
+		return err
+	}
+	if folder, err = filepath.Abs(folder); err != nil {
+		return err
+	}
+	if filepath.Dir(running) != folder {
+		return fmt.Errorf("%s runs %s, want a binary from %s", name, running, folder)
+	}
+	return nil
+}
+
 // StartDuplicate starts a second process with a server's name, which listens elsewhere. It gets no
 // lease, so it never becomes healthy.
 func (f *Fleet) StartDuplicate(ctx context.Context, name string) (*process.Server, error) {
--- a/internal/bench/faultinjection/events.go
+++ b/internal/bench/faultinjection/events.go
@@ -23,6 +23,10 @@
 	EventTrustedClients        = "fleet_trusted_clients"
 	EventFleetAgentPanic       = "fleet_agent_panic"
 	EventForwarderPanic        = "forwarder_panic"
+	EventLeaderElected         = "leader_elected"
+	EventMessageRejected       = "fleet_message_rejected"
+	EventProtocolError         = "protocol_error"
+	EventConfigApplyFailed     = "config_apply_failed"
 	EventPanic                 = "panic"
 )
 
@@ -47,6 +51,9 @@
 	EventLoadPlannerChanged,
 	"forwarder_stats",
 	EventForwarderPanic,
+	EventLeaderElected,
+	EventProtocolError,
+	EventConfigApplyFailed,
 	EventPanic,
 }
 
--- a/internal/bench/faultinjection/fleet.go
+++ b/internal/bench/faultinjection/fleet.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"maps"
 	"os"
 	"strings"
 	"sync"
@@ -38,7 +39,8 @@
 
 	mu         sync.Mutex
 	events     []LogEvent
-	firstEvent map[string]int // of a process that was restarted: index in events of its present incarnation's first
+	programs   map[string]string // binary of one process at its next start, in place of the shape's
+	firstEvent map[string]int    // of a process that was restarted: index in events of its present incarnation's first
 }
 
 // Start starts a fleet and waits until every process serves.
@@ -52,6 +54,10 @@
 		gossipAddrs:  map[string]string{},
 		relayRoutes:  map[string]string{},
 		firstEvent:   map[string]int{},
+		programs:     maps.Clone(config.ProgramByName),
+	}
+	if f.programs == nil {
+		f.programs = map[string]string{}
 	}
 	if config.Planners > 0 {
 		f.Voters = config.Planners
@@ -102,6 +108,8 @@
 func (f *Fleet) configureShape() {
 	shape := &f.Shape
 	shape.Override = f.processSettings
+	shape.ProgramOf = f.programOf
+	f.WorkerShape.ProgramOf = f.programOf
 	shape.OnLogLine = f.recordLine
 	shape.Settings.Tenants = f.Tenants
 	if f.CallOutcome != nil {
@@ -122,6 +130,21 @@
 	}
 }
 
+// programOf returns the binary of a process at its next start, "" for that of its shape.
+func (f *Fleet) programOf(name string) string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.programs[name]
+}
+
+// SetProgram sets the binary of a process from its next start on. It stands for an upgrade of one
+// process of a fleet, or for its way back.
+func (f *Fleet) SetProgram(name, path string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.programs[name] = path
+}
+
 // startTwoLevels starts workers, planners and forwarders, and waits until the forwarders serve.
 func (f *Fleet) startTwoLevels(ctx context.Context) (err error) {
 	defer func() {
--- /dev/null
+++ b/internal/bench/faultinjection/upgrade_test.go
@@ -0,0 +1,55 @@
+package faultinjection
+
+import (
+	"context"
+	"io"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+// copyPrograms copies the programs under test into a folder of their own and returns the server's path.
+func copyPrograms(t *testing.T) string {
+	t.Helper()
+	folder := t.TempDir()
+	for _, name := range []string{"swiftcourse", "swiftcourse-fleet"} {
+		source, err := os.Open(filepath.Join(filepath.Dir(program), name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer source.Close()
+		target, err := os.OpenFile(filepath.Join(folder, name), os.O_CREATE|os.O_WRONLY, 0o755)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if _, err := io.Copy(target, source); err != nil {
+			t.Fatal(err)
+		}
+		if err := target.Close(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return filepath.Join(folder, "swiftcourse")
+}
+
+// One process of a fleet starts with another binary, one is replaced by it and goes back: each time the
+// process runs the binary that was asked for, and joins the fleet.
+func TestReplace_StartsTheGivenBinary(t *testing.T) {
+	other := copyPrograms(t)
+	f := startFleet(t, Config{Servers: 3, Seed: 61, ProgramByName: map[string]string{"n3": other}})
+	for name, want := range map[string]string{"n1": program, "n2": program, "n3": other} {
+		if err := f.CheckFolder(name, want); err != nil {
+			t.Error(err)
+		}
+	}
+	if err := f.CheckFolder("n3", program); err == nil {
+		t.Error("n3 runs the other binary, and CheckFolder reports no error for the first one")
+	}
+	for _, path := range []string{other, program} {
+		if err := f.Replace(context.Background(), "n2", path); err != nil {
+			t.Fatal(err)
+		}
+		epoch := f.release(t, "n1", "door-come-back 300ms\n")
+		f.await(t, "all apply the release", func() bool { return f.AllActiveOn(epoch, f.Names...) })
+	}
+}
--- a/internal/bench/process/config.go
+++ b/internal/bench/process/config.go
@@ -16,8 +16,11 @@
 
 // Config is how servers are started.
 type Config struct {
-	Program           string // path of the server's binary
-	CPU               int    // the one that all servers share; negative for no restriction
+	Program string // path of the server's binary
+	// ProgramOf, if it is not nil, is asked at each start of a server for the path of its binary, by the server's name;
+	// "" stands for Program.
+	ProgramOf         func(name string) string
+	CPU               int // the one that all servers share; negative for no restriction
 	Cores             float64
 	MemoryMB          int
 	Descriptors       int    // the descriptor limit in the server's configuration
@@ -44,6 +47,16 @@
 	OnLogLine func(name, line string)
 }
 
+// program returns the path of a server's binary at its next start.
+func (c *Config) program(name string) string {
+	if c.ProgramOf != nil {
+		if path := c.ProgramOf(name); path != "" {
+			return path
+		}
+	}
+	return c.Program
+}
+
 // executorConfig returns the executor's configuration for a server.
 func (c *Config) executorConfig(name string) executor.Config {
 	if c.ExecutorOf == nil {
--- a/internal/bench/process/cpu.go
+++ b/internal/bench/process/cpu.go
@@ -67,6 +67,12 @@
 	return nil
 }
 
+// Executable returns the path of the binary that the process runs, with symbolic links resolved. It is
+// another one than the configured path where that program replaced itself.
+func (s *Server) Executable() (string, error) {
+	return os.Readlink(fmt.Sprintf("/proc/%d/exe", s.command.Process.Pid))
+}
+
 // ResidentBytes returns the process's resident memory.
 func (s *Server) ResidentBytes() (int64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", s.command.Process.Pid))
--- a/internal/bench/process/server.go
+++ b/internal/bench/process/server.go
@@ -127,7 +127,8 @@
 // launch starts the process.
 func (s *Server) launch(ctx context.Context) error {
 	s.exited = make(chan struct{})
-	s.command = exec.CommandContext(ctx, s.config.Program, s.config.Args...)
+	program := s.config.program(s.Name)
+	s.command = exec.CommandContext(ctx, program, s.config.Args...)
 	var err error
 	if s.command.Env, err = s.prepareEnvironment(); err != nil {
 		return err
@@ -137,7 +138,7 @@
 		return err
 	}
 	if err := startOnCPU(s.config.CPU, s.command.Start); err != nil {
-		return fmt.Errorf("%s: %w (make build makes it)", s.config.Program, err)
+		return fmt.Errorf("%s: %w (make build makes it)", program, err)
 	}
 	go s.readLog(s.command, s.exited, stderr)
 	return nil
--- /dev/null
+++ b/internal/bench/rollouts/upgrade.go
@@ -0,0 +1,349 @@
+package rollouts
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"strconv"
+	"sync"
+	"time"
+
+	"swiftcourse/internal/bench/faultinjection"
+	"swiftcourse/internal/bench/report"
+	"swiftcourse/internal/policy/release"
+	"swiftcourse/internal/wire/simulator"
+)
+
+// UpgradePlan is an experiment with two builds in one fleet: all servers start with the old build
+// and are replaced one by one under load, the leader is killed half-way, and one server goes back to
+// the old build at the end. All servers are replicas of claimed keys.
+type UpgradePlan struct {
+	OldProgram  string
+	NewProgram  string
+	Servers     int
+	Seed        uint64
+	RequestRate float64 // requests a second and server
+	Log         io.Writer
+}
+
+// Validate returns an error that names the limits if a value is outside of them.
+func (p *UpgradePlan) Validate() error {
+	if p.Servers < 5 || p.Servers > 15 || p.RequestRate <= 0 || p.RequestRate > 150 {
+		return fmt.Errorf("--servers %d --rate %g: from 5 to 15, and over 0 to 150", p.Servers, p.RequestRate)
+	}
+	return nil
+}
+
+// UpgradeRow is the result of an experiment with two builds.
+type UpgradeRow struct {
+	Seed               uint64 `json:"seed"`
+	Servers            int    `json:"servers"`
+	Replacements       int    `json:"replacements"`
+	Releases           int    `json:"releases"`
+	Sent               int    `json:"sent"`
+	Finished           int    `json:"finished"`
+	Rejected           int    `json:"rejected"`
+	LateAnswers        int    `json:"late_answers"`
+	Unanswered         int    `json:"unanswered"`
+	RepeatedRuns       int    `json:"repeated_runs"` // of at-most-once requests
+	Keys               int    `json:"keys"`
+	KeysFinished       int    `json:"keys_finished"`
+	MaxRunsPerKey      int    `json:"runs_per_key_max"`
+	WrongAnswers       int    `json:"wrong_answers"` // two results of one key
+	DecodeErrors       int    `json:"decode_errors"` // messages, configurations and lines that a process refused
+	Panics             int    `json:"panics"`
+	ConflictingDigests int    `json:"epochs_with_two_digests"`
+	AuditMismatches    int    `json:"audit_mismatches"`
+	AuditGaps          int    `json:"audit_gaps"`
+	Unhealed           int    `json:"unhealed"` // servers not on the newest version at the end
+}
+
+// Violations counts what breaks an invariant.
+func (r UpgradeRow) Violations() int {
+	return r.LateAnswers + r.Unanswered + r.RepeatedRuns + max(0, r.MaxRunsPerKey-1) + r.WrongAnswers +
+		r.DecodeErrors + r.Panics + r.ConflictingDigests + r.AuditMismatches + r.Unhealed
+}
+
+// UpgradeColumns are the heads of the table.
+var UpgradeColumns = []string{
+	"seed", "servers", "replaced", "releases", "sent", "finished", "rejected", "late", "unanswered", "run twice",
+	"keys", "keys finished", "runs max", "wrong", "decode errors", "panics", "two digests", "audit differs", "gaps",
+	"unhealed",
+}
+
+// Cells returns the row for the table.
+func (r UpgradeRow) Cells() []string {
+	cells := []string{strconv.FormatUint(r.Seed, 10)}
+	for _, count := range []int{
+		r.Servers, r.Replacements, r.Releases, r.Sent, r.Finished, r.Rejected, r.LateAnswers, r.Unanswered,
+		r.RepeatedRuns, r.Keys, r.KeysFinished, r.MaxRunsPerKey, r.WrongAnswers, r.DecodeErrors, r.Panics,
+		r.ConflictingDigests, r.AuditMismatches, r.AuditGaps, r.Unhealed,
+	} {
+		cells = append(cells, strconv.Itoa(count))
+	}
+	return cells
+}
+
+const (
+	// loadClass is the class of the load: its requests must never run twice, and have no keys.
+	loadClass = "pay"
+	// keyInterval is the time between two keys. Each is sent to two servers in turn.
+	keyInterval = 40 * time.Millisecond
+	// keyRetention is how long replicas keep keys: longer than both attempts of a key take. Replicas
+	// that all start without records wait that long before they answer.
+	keyRetention = 10 * time.Second
+	// keyTimeout is the timeout of an attempt.
+	keyTimeout = time.Second
+	// keyPatience is how long after its timeout an attempt's answer is waited for.
+	keyPatience = 5 * time.Second
+	// stepTimeout is how long a fleet has to settle after a step.
+	stepTimeout = 30 * time.Second
+	// servingWindow is the time within which a server that was replaced has to finish requests.
+	servingWindow = time.Second
+	// upgradeDescriptors leaves room for a connection an attempt.
+	upgradeDescriptors = 1024
+	// keyStream is the stream of random numbers that draws the servers of keys.
+	keyStream = 17
+)
+
+// upgradeExperiment is one run of an UpgradePlan.
+type upgradeExperiment struct {
+	*UpgradePlan
+	fleet  *faultinjection.Fleet
+	runLog *faultinjection.RunLog
+	load   *faultinjection.Load
+	row    UpgradeRow
+
+	mu   sync.Mutex // guards the row's figures of keys
+	keys sync.WaitGroup
+}
+
+// RunUpgrade runs the plan.
+func RunUpgrade(ctx context.Context, plan *UpgradePlan) (UpgradeRow, error) {
+	e := &upgradeExperiment{
+		UpgradePlan: plan,
+		runLog:      faultinjection.NewRunLog(),
+		row:         UpgradeRow{Seed: plan.Seed, Servers: plan.Servers},
+	}
+	if err := e.run(ctx); err != nil {
+		return e.row, fmt.Errorf("seed %d: %w", plan.Seed, err)
+	}
+	return e.row, nil
+}
+
+func (e *upgradeExperiment) run(ctx context.Context) error {
+	if err := e.start(ctx); err != nil {
+		return err
+	}
+	defer e.fleet.Close()
+	if err := e.settle("all servers start with the old build"); err != nil {
+		return err
+	}
+	loadContext, stopLoad := context.WithCancel(ctx)
+	defer stopLoad()
+	e.load = e.fleet.StartLoad(loadContext, "")
+	e.load.Classes = []string{loadClass}
+	e.load.SetRate(e.RequestRate, e.fleet.Names...)
+	stopKeys := make(chan struct{})
+	e.keys.Go(func() { e.sendKeys(ctx, stopKeys) })
+	err := e.replaceAll(ctx)
+	close(stopKeys)
+	e.keys.Wait()
+	e.load.SetRate(0, e.fleet.Names...)
+	faultinjection.WaitUntil(stepTimeout, func() bool { return e.load.UnansweredCount() == 0 })
+	stopLoad()
+	e.load.Wait()
+	if err != nil {
+		return err
+	}
+	return e.verify(ctx)
+}
+
+// start starts all servers with the old build.
+func (e *upgradeExperiment) start(ctx context.Context) (err error) {
+	shape := faultinjection.SmallShape(e.OldProgram)
+	shape.Log = e.Log
+	shape.Descriptors = upgradeDescriptors
+	shape.Settings.Classes = append(shape.Settings.Classes, simulator.Class{
+		Name:           loadClass,
+		Idempotency:    "at_most_once",
+		TimeoutMs:      2000,
+		SoftDeadlineMs: 1000,
+		Value:          1,
+		LateValue:      0.5,
+	})
+	holders := ""
+	for i := range e.Servers {
+		holders += fmt.Sprintf(" n%d", i+1)
+	}
+	e.fleet, err = faultinjection.Start(ctx, faultinjection.Config{
+		Shape:   shape,
+		Servers: e.Servers,
+		Voters:  faultinjection.VoterCount(e.Servers),
+		Seed:    e.Seed,
+		RunLog:  e.runLog,
+		ExtraSettings: shortLeases + "fleet-counts on\nreplica-callers on\n" +
+			fmt.Sprintf("replica-holders%s\nreplica-keyed %s\nreplica-window %s\n",
+				holders, faultinjection.PingClass, keyRetention),
+	})
+	return err
+}
+
+// replaceAll replaces the servers one by one with the new build, kills the leader half-way, and takes
+// the first server back to the old build. A release follows each step.
+func (e *upgradeExperiment) replaceAll(ctx context.Context) error {
+	for i, name := range e.fleet.Names {
+		if err := e.replace(ctx, name, e.NewProgram); err != nil {
+			return err
+		}
+		if i != len(e.fleet.Names)/2 {
+			continue
+		}
+		if err := e.killLeader(ctx); err != nil {
+			return err
+		}
+	}
+	return e.replace(ctx, e.fleet.Names[0], e.OldProgram)
+}
+
+// replace replaces a server, and releases a version once the fleet has settled.
+func (e *upgradeExperiment) replace(ctx context.Context, name, program string) error {
+	if err := e.fleet.Replace(ctx, name, program); err != nil {
+		return err
+	}
+	e.row.Replacements++
+	if err := e.settle(name + " was replaced"); err != nil {
+		return err
+	}
+	isServing := func() bool { return e.load.Rate(name, servingWindow) > 0 }
+	if !faultinjection.WaitUntil(stepTimeout, isServing) {
+		return fmt.Errorf("%s finishes no request within %s after it was replaced", name, stepTimeout)
+	}
+	return e.release(name)
+}
+
+// killLeader kills the leader and starts it again with the build that it has.
+func (e *upgradeExperiment) killLeader(ctx context.Context) error {
+	elected := e.fleet.Events("", faultinjection.EventLeaderElected)
+	if len(elected) == 0 {
+		return fmt.Errorf("no leader was elected")
+	}
+	leader := elected[len(elected)-1].Name
+	if err := e.fleet.KillAndRestart(ctx, leader); err != nil {
+		return err
+	}
+	if err := e.settle("leader " + leader + " was killed"); err != nil {
+		return err
+	}
+	return e.release(leader)
+}
+
+// settle waits until all servers act on one version and all replicas have caught up.
+func (e *upgradeExperiment) settle(step string) error {
+	isSettled := func() bool {
+		return e.fleet.AllActiveOn(1, e.fleet.Names...) && e.fleet.ReplicasCaughtUp(e.fleet.Names...)
+	}
+	if !faultinjection.WaitUntil(stepTimeout, isSettled) {
+		return fmt.Errorf("%s: not all servers are active and caught up within %s", step, stepTimeout)
+	}
+	return nil
+}
+
+// release releases a version and waits until all servers act on it.
+func (e *upgradeExperiment) release(author string) error {
+	var epoch release.Epoch
+	var err error
+	text := fmt.Sprintf("door-come-back %dms\n", 200+e.row.Releases)
+	isAccepted := func() bool {
+		epoch, err = e.fleet.Release(author, text)
+		return err == nil
+	}
+	if !faultinjection.WaitUntil(stepTimeout, isAccepted) {
+		return fmt.Errorf("release at %s: %w", author, err)
+	}
+	e.row.Releases++
+	isActive := func() bool { return e.fleet.AllActiveOn(epoch, e.fleet.Names...) }
+	if !faultinjection.WaitUntil(stepTimeout, isActive) {
+		return fmt.Errorf("not all servers act on epoch %s within %s", epoch, stepTimeout)
+	}
+	return nil
+}
+
+// sendKeys sends keys until stopped, each to two servers, one attempt after the other.
+func (e *upgradeExperiment) sendKeys(ctx context.Context, stop <-chan struct{}) {
+	random := rand.New(rand.NewPCG(e.Seed, keyStream))
+	for n := 0; ctx.Err() == nil; n++ {
+		select {
+		case <-stop:
+			return
+		case <-time.After(keyInterval):
+		}
+		key := fmt.Sprintf("key-%d-%d", e.Seed, n)
+		first := e.fleet.Names[random.IntN(len(e.fleet.Names))]
+		second := e.fleet.Names[random.IntN(len(e.fleet.Names))]
+		e.keys.Go(func() { e.sendKey(ctx, key, first, second) })
+	}
+}
+
+// sendKey sends attempts with a key to two servers. Both results, where there are two, must be that
+// of the one run.
+func (e *upgradeExperiment) sendKey(ctx context.Context, key, first, second string) {
+	results := map[string]bool{}
+	for _, name := range []string{first, second} {
+		response := e.fleet.SendRequest(ctx, faultinjection.Attempt{
+			Server:   name,
+			ID:       faultinjection.NewRequestID(),
+			Key:      key,
+			Timeout:  keyTimeout,
+			Patience: keyPatience,
+		})
+		if response.Outcome == faultinjection.Finished {
+			results[response.Result] = true
+		}
+	}
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.row.Keys++
+	if len(results) > 0 {
+		e.row.KeysFinished++
+	}
+	e.row.WrongAnswers += max(0, len(results)-1)
+}
+
+// verify counts what went wrong, and compares the audit with the logs.
+func (e *upgradeExperiment) verify(_ context.Context) error {
+	e.row.Sent, e.row.Finished, e.row.Rejected = e.load.Counts()
+	e.row.LateAnswers = e.load.LateCount()
+	e.row.Unanswered = e.load.UnansweredCount()
+	e.row.RepeatedRuns = e.runLog.CountRepeated(loadClass)
+	e.row.MaxRunsPerKey, _ = e.runLog.MaxRunsWithin(keyRetention)
+	for _, event := range []string{
+		faultinjection.EventMessageRejected,
+		faultinjection.EventProtocolError,
+		faultinjection.EventConfigApplyFailed,
+	} {
+		e.row.DecodeErrors += len(e.fleet.Events("", event))
+	}
+	for _, event := range []string{faultinjection.EventFleetAgentPanic, faultinjection.EventPanic} {
+		e.row.Panics += len(e.fleet.Events("", event))
+	}
+	e.row.ConflictingDigests = len(e.fleet.ConflictingDigestEpochs())
+	audited := &experiment{
+		Plan:        &Plan{Servers: e.Servers, Seed: e.Seed},
+		fleet:       e.fleet,
+		serverNames: e.fleet.Names,
+		row:         Row{RolloutCounts: report.RolloutCounts{Seed: e.Seed, Servers: e.Servers}},
+	}
+	if err := audited.waitHealed(); err != nil {
+		return err
+	}
+	e.row.Unhealed = audited.row.Unhealed
+	lastServer := e.fleet.Names[len(e.fleet.Names)-1]
+	status, err := e.fleet.Status(lastServer)
+	if err != nil {
+		return fmt.Errorf("status of %s: %w", lastServer, err)
+	}
+	e.row.AuditMismatches, e.row.AuditGaps = audited.compareAudit(status)
+	return nil
+}
--- /dev/null
+++ b/internal/bench/twolevel/mixed.go
@@ -0,0 +1,166 @@
+package twolevel
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"strconv"
+
+	"swiftcourse/internal/bench/faultinjection"
+	"swiftcourse/internal/bench/timing"
+)
+
+// MixedPlan is an experiment with two builds in a fleet of two levels: forwarders of one build, planners
+// and workers of the other. The leading planner is killed half-way.
+type MixedPlan struct {
+	ForwarderProgram string
+	OtherProgram     string // of planners and workers
+	Direction        string // for the row
+	Seconds          float64
+	Seed             uint64
+	Log              io.Writer
+}
+
+// MixedRow is the result of a MixedPlan.
+type MixedRow struct {
+	Direction     string  `json:"direction"`
+	Seed          uint64  `json:"seed"`
+	Asked         int     `json:"asked"`
+	Service       float64 `json:"service"` // share of the requests that finished
+	PlansApplied  int     `json:"plans_applied"`
+	DoubleEffects int     `json:"double_effects"`
+	LateAnswers   int     `json:"late_answers"`
+	Unanswered    int     `json:"unanswered"`
+	DecodeErrors  int     `json:"decode_errors"` // messages that a process refused
+	Panics        int     `json:"panics"`
+}
+
+// MixedColumns are the heads of the table.
+var MixedColumns = []string{"direction", "seed", "asked", "service", "plans", "twice", "late", "unanswered",
+	"decode errors", "panics"}
+
+// Cells returns the row for the table.
+func (r MixedRow) Cells() []string {
+	cells := []string{r.Direction, strconv.FormatUint(r.Seed, 10), strconv.Itoa(r.Asked),
+		strconv.FormatFloat(r.Service, 'f', 4, 64)}
+	for _, count := range []int{
+		r.PlansApplied, r.DoubleEffects, r.LateAnswers, r.Unanswered, r.DecodeErrors, r.Panics,
+	} {
+		cells = append(cells, strconv.Itoa(count))
+	}
+	return cells
+}
+
+// Violations returns the number of invariants that the run broke.
+func (r MixedRow) Violations() int {
+	n := r.DoubleEffects + r.LateAnswers + r.Unanswered + r.DecodeErrors + r.Panics
+	if r.Asked == 0 || r.Service == 0 || r.PlansApplied == 0 {
+		n++
+	}
+	return n
+}
+
+const (
+	mixedForwarders = 2
+	mixedPlanners   = 3
+	mixedWorkers    = 4
+	mixedLoad       = 0.8 // of what the workers can do
+)
+
+// RunMixed runs a MixedPlan.
+func RunMixed(ctx context.Context, mixed *MixedPlan) (MixedRow, error) {
+	row := MixedRow{Direction: mixed.Direction, Seed: mixed.Seed}
+	plan := mixed.plan()
+	fleet, err := plan.startFleet(ctx)
+	if err != nil {
+		return row, err
+	}
+	defer fleet.Close()
+	if err := mixed.checkPrograms(fleet); err != nil {
+		return row, err
+	}
+	loadContext, stopLoad := context.WithCancel(ctx)
+	defer stopLoad()
+	t := &trial{
+		plan:    plan,
+		variant: noKills,
+		row:     &Row{Seed: mixed.Seed},
+		fleet:   fleet,
+		random:  rand.New(rand.NewPCG(mixed.Seed, faultStream)),
+	}
+	if err := t.preparePlanners(); err != nil {
+		return row, err
+	}
+	t.load = fleet.StartLoad(loadContext, "")
+	t.load.Classes = []string{faultinjection.PingClass, payClass}
+	t.setLoad()
+	timing.Sleep(ctx, timing.Seconds(mixed.Seconds/2))
+	if leader, ok := lastLeader(fleet); ok {
+		if err := fleet.KillAndRestart(ctx, leader); err != nil {
+			return row, err
+		}
+	}
+	if err := t.measureLoad(ctx); err != nil {
+		return row, err
+	}
+	stopLoad()
+	t.load.Wait()
+	row.addCounts(t)
+	return row, nil
+}
+
+// plan returns the plan of one run.
+func (m *MixedPlan) plan() *Plan {
+	plan := &Plan{
+		Program:       m.OtherProgram,
+		ProgramByName: map[string]string{},
+		Forwarders:    mixedForwarders,
+		Planners:      mixedPlanners,
+		Workers:       mixedWorkers,
+		Seconds:       m.Seconds / 2,
+		KillInterval:  1,
+		Load:          mixedLoad,
+		Seed:          m.Seed,
+		Log:           m.Log,
+	}
+	for i := range mixedForwarders {
+		plan.ProgramByName[fmt.Sprintf("f%d", i+1)] = m.ForwarderProgram
+	}
+	return plan
+}
+
+// checkPrograms returns an error unless each process runs the build that it should.
+func (m *MixedPlan) checkPrograms(fleet *faultinjection.Fleet) error {
+	for _, name := range fleet.ForwarderNames() {
+		if err := fleet.CheckFolder(name, m.ForwarderProgram); err != nil {
+			return err
+		}
+	}
+	for _, name := range fleet.PlannerNames() {
+		if err := fleet.CheckFolder(name, m.OtherProgram); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// addCounts sets the row from a run.
+func (r *MixedRow) addCounts(t *trial) {
+	r.Asked = t.row.Asked
+	r.Service = t.row.NoKills
+	r.DoubleEffects = t.row.DoubleEffects
+	r.LateAnswers = t.row.LateAnswers
+	r.Unanswered = t.row.Unanswered
+	r.PlansApplied = len(t.fleet.Events("", planChanged))
+	for _, event := range []string{faultinjection.EventMessageRejected, faultinjection.EventProtocolError} {
+		r.DecodeErrors += len(t.fleet.Events("", event))
+	}
+	for _, event := range []string{
+		faultinjection.EventForwarderPanic,
+		faultinjection.EventFleetAgentPanic,
+		faultinjection.EventPanic,
+	} {
+		r.Panics += len(t.fleet.Events("", event))
+	}
+}
--- a/internal/bench/twolevel/plan.go
+++ b/internal/bench/twolevel/plan.go
@@ -12,16 +12,18 @@
 
 // Plan is the experiment for one seed.
 type Plan struct {
-	Program      string // path of the server's binary
-	Forwarders   int
-	Planners     int
-	Workers      int
-	Seconds      float64 // of each of the three runs
-	KillInterval float64 // seconds between two kills of planners
-	Load         float64 // requested, as a multiple of what the workers can do
-	IdleConns    int     // at the first forwarder while its memory is measured; 0 for no measurement
-	Seed         uint64
-	Log          io.Writer // of the processes; nil for none
+	Program string // path of the server's binary
+	// ProgramByName is the binary of single processes, in place of Program.
+	ProgramByName map[string]string
+	Forwarders    int
+	Planners      int
+	Workers       int
+	Seconds       float64 // of each of the three runs
+	KillInterval  float64 // seconds between two kills of planners
+	Load          float64 // requested, as a multiple of what the workers can do
+	IdleConns     int     // at the first forwarder while its memory is measured; 0 for no measurement
+	Seed          uint64
+	Log           io.Writer // of the processes; nil for none
 }
 
 // Validate returns an error for a number that is out of its range.
--- a/internal/bench/twolevel/run.go
+++ b/internal/bench/twolevel/run.go
@@ -83,6 +83,7 @@
 		Workers:       p.Workers,
 		Seed:          p.Seed,
 		RunLog:        faultinjection.NewRunLog(),
+		ProgramByName: p.ProgramByName,
 		ExtraSettings: experimentSettings,
 	})
 }
