--- a/internal/policy/lease/availability.go
+++ b/internal/policy/lease/availability.go
@@ -2,34 +2,39 @@
 
 import "swiftcourse/internal/policy/release"
 
-// maxUnavailable returns how many servers Config.MaxUnavailable allows to be unavailable.
+// maxUnavailable converts Config.MaxUnavailable, a fraction of the registered servers, to a number
+// of servers, rounded down.
 func (g *Grantor) maxUnavailable(releaseLog *release.Log) int {
 	return int(g.config.MaxUnavailable * float64(len(releaseLog.Members)))
 }
 
-// byOperator reports whether an operator ejected the server. An operator ejects a name; a leader
-// ejects one incarnation, as lagging.
-func byOperator(ejection release.Ejection) bool { return ejection.Incarnation == 0 }
+// isOperatorEjection reports whether an operator ejected the server. An operator's ejection applies
+// to every incarnation of a name, a leader's ejection only to one lagging incarnation.
+func isOperatorEjection(ejection release.Ejection) bool { return ejection.Incarnation == 0 }
 
-// ejectionOf returns the ejection that applies to an incarnation of a server, if there is one.
+// ejectionOf returns the ejection that applies to an incarnation of a server, and whether there is
+// one.
 func ejectionOf(releaseLog *release.Log, name string, incarnation uint64) (release.Ejection, bool) {
 	ejection, found := releaseLog.Ejected[name]
-	ejected := found && (byOperator(ejection) || ejection.Incarnation == incarnation)
+	ejected := found && (isOperatorEjection(ejection) || ejection.Incarnation == incarnation)
 	return ejection, ejected
 }
 
-// missedCatchUp reports whether a server has been lagging for longer than Config.CatchUpTimeout.
-func (g *Grantor) missedCatchUp(now float64, record *serverRecord) bool {
+// catchUpTimedOut reports whether a server has been lagging for longer than Config.CatchUpTimeout.
+func (g *Grantor) catchUpTimedOut(now float64, record *serverRecord) bool {
 	return record.lagging() && now > record.laggingSince+g.config.CatchUpTimeout
 }
 
-// reserveEjection reports whether a lagging server, which is not ejected yet, may be ejected. If so,
-// it counts as unavailable from now on.
+// reserveEjection reports whether a lagging server may be ejected without exceeding the limit on
+// unavailable servers. If it may, the server counts as unavailable from now on, although its
+// ejection is not committed yet.
 func (g *Grantor) reserveEjection(releaseLog *release.Log, name string) bool {
 	record := g.servers[name]
 	if !record.ejectionReserved {
-		atLeastOne := min(1, len(releaseLog.Members)/2) // in any fleet that has another server
-		limit := max(g.maxUnavailable(releaseLog), atLeastOne)
+		// A fleet of two or more servers allows one ejection, even if MaxUnavailable rounds down to
+		// 0.
+		minLimit := min(1, len(releaseLog.Members)/2)
+		limit := max(g.maxUnavailable(releaseLog), minLimit)
 		if g.countUnavailable(releaseLog) >= limit {
 			return false
 		}
@@ -38,11 +43,11 @@
 	return true
 }
 
-// countUnavailable counts the servers that are ejected as lagging or have their ejection reserved.
+// countUnavailable counts the servers that are ejected as lagging or have a reserved ejection.
 func (g *Grantor) countUnavailable(releaseLog *release.Log) int {
 	unavailable := 0
 	for name, ejection := range releaseLog.Ejected {
-		if !byOperator(ejection) && releaseLog.Members[name] == ejection.Incarnation {
+		if !isOperatorEjection(ejection) && releaseLog.Members[name] == ejection.Incarnation {
 			unavailable++
 		}
 	}
@@ -57,8 +62,8 @@
 	return unavailable
 }
 
-// eject proposes to eject a lagging server. It waits for the end of the server's lease, so that no
-// server is listed as ejected while it has a lease.
+// eject proposes to eject a lagging server. It proposes nothing until the server's lease has
+// expired, so that the release log never lists a server as ejected while the server holds a lease.
 func (g *Grantor) eject(now float64, request *Request, record *serverRecord) []release.Command {
 	if now <= record.leaseEnd {
 		return nil
@@ -72,48 +77,48 @@
 	})
 }
 
-// permitCount counts the servers that may have a permit to go out of service: those that have one as
-// far as the grantor knows, and those from which it has had no request in this term.
+// permitCount counts the servers that may have a permit to go out of service: those with a recorded
+// permit, and those that have sent no request in this term and so may have one.
 type permitCount struct {
 	count int
-	// appliedCount is the release log's AppliedCount when the permits were counted, at countedAt.
+	// appliedCount is the release log's AppliedCount at the time of the count, countedAt.
 	appliedCount uint64
 	countedAt    float64
 }
 
 // permitOutOfService reports whether the reply to a request gives a permit to go out of service. A
-// server keeps its permit, also while it sends no requests. A new leader learns of a permit from the
-// server's request, and assumes that each server has one until its first request. So at no time do
-// more than maxUnavailable servers have a permit, as long as the fleet does not shrink meanwhile.
+// server keeps its permit even while it sends no requests. A new leader assumes that each server
+// has a permit until the server's first request says whether it does. Therefore at most
+// maxUnavailable servers have a permit at any time, unless the fleet shrinks.
 func (g *Grantor) permitOutOfService(
 	now float64, releaseLog *release.Log, record *serverRecord, request *Request,
 ) bool {
 	g.countPermits(now, releaseLog)
-	g.learnPermit(record, request)
+	g.updatePermit(record, request)
 	limit := g.maxUnavailable(releaseLog)
-	// A new leader neither gives nor withdraws a permit while servers it has not heard from may have
-	// a lease of an earlier leader.
-	priorLeasesOver := g.priorLeasesOver(now)
+	// A new leader neither gives nor withdraws a permit while a server that has sent it no request
+	// may still hold a lease from an earlier leader.
+	priorLeasesExpired := g.priorLeasesExpired(now)
 	switch {
 	case record.mayGoOutOfService:
-		if withdraw := priorLeasesOver && g.permits.count > limit; withdraw {
+		if withdraw := priorLeasesExpired && g.permits.count > limit; withdraw {
 			return false
 		}
-	case !priorLeasesOver || g.permits.count >= limit:
+	case !priorLeasesExpired || g.permits.count >= limit:
 		return false
 	default:
 		record.mayGoOutOfService = true
 		g.permits.count++
 	}
-	record.permitRequest = request.Number
+	record.permitRequestNumber = request.Number
 	return true
 }
 
 // countPermits recounts the permits when the release log has changed, and otherwise once every
-// maintenanceInterval.
+// maintenanceIntervalSeconds.
 func (g *Grantor) countPermits(now float64, releaseLog *release.Log) {
 	unchanged := g.permits.appliedCount == releaseLog.AppliedCount
-	if unchanged && now <= g.permits.countedAt+maintenanceInterval {
+	if unchanged && now <= g.permits.countedAt+maintenanceIntervalSeconds {
 		return
 	}
 	count := 0
@@ -126,15 +131,16 @@
 	g.permits = permitCount{count: count, appliedCount: releaseLog.AppliedCount, countedAt: now}
 }
 
-// learnPermit updates the record of a server's permit from its request.
-func (g *Grantor) learnPermit(record *serverRecord, request *Request) {
+// updatePermit updates the record of a server's permit from the server's request. The recorded
+// permit is removed only once no reply that gives it can be pending any more.
+func (g *Grantor) updatePermit(record *serverRecord, request *Request) {
 	switch {
 	case request.MayGoOutOfService && !record.mayGoOutOfService:
 		record.mayGoOutOfService = true
-		record.permitRequest = request.Number
+		record.permitRequestNumber = request.Number
 		g.permits.count++
 	case record.mayGoOutOfService && !request.MayGoOutOfService &&
-		request.Number >= record.permitRequest+maxPending: // no reply that gives a permit is pending any more
+		request.Number >= record.permitRequestNumber+maxPending:
 		record.mayGoOutOfService = false
 		g.permits.count--
 	}
--- a/internal/policy/lease/barrier.go
+++ b/internal/policy/lease/barrier.go
@@ -2,8 +2,9 @@
 
 import "swiftcourse/internal/policy/release"
 
-// proposeBarrier proposes a command that changes nothing. Commands are committed in the order in
-// which they are proposed, so its result means that all commands before it are decided.
+// proposeBarrier proposes a command that changes nothing: it registers the name for the incarnation
+// that already owns it. Commands are committed in the order in which they are proposed, so once the
+// barrier's result is known, all earlier commands have been committed or lost.
 func (g *Grantor) proposeBarrier(now float64, request *Request, record *serverRecord) []release.Command {
 	g.lastID++
 	commands := g.commands.propose(now, commandSubject(request.Name), release.Command{
@@ -19,8 +20,8 @@
 	return commands
 }
 
-// HandleCommandResult records that a command, of any author, was applied or refused. It ends the
-// withholding of a lease if the command is the barrier of the server's record.
+// HandleCommandResult records that a command of any author was applied or refused. If the command
+// is the barrier of a server's record, the server may get a lease again.
 func (g *Grantor) HandleCommandResult(command *release.Command) {
 	record := g.servers[command.Name]
 	if record == nil || command.Kind != release.KindRegister || command.Author != commandAuthor {
--- a/internal/policy/lease/challenge.go
+++ b/internal/policy/lease/challenge.go
@@ -1,15 +1,15 @@
 package lease
 
-// challenge is the nonce that an incarnation has to repeat before it may take its name from the
-// owner.
+// challenge is the nonce that an incarnation has to repeat before it may take over its name from
+// the incarnation that owns it.
 type challenge struct {
 	incarnation uint64
 	nonce       uint64
 }
 
-// sharesAddress reports whether a request comes from the address at which the name's owner
-// listened. Only one process can listen there at a time, so one of the two has ended. A new leader
-// knows the voters' addresses only.
+// sharesAddress reports whether a request gives the address at which the owner of the name listens.
+// Only one process can listen at an address, so either the owner or the requesting incarnation has
+// ended. A new leader knows the addresses of the voters only, until the owners' requests arrive.
 func (g *Grantor) sharesAddress(request *Request, owner uint64) bool {
 	addr := g.voterAddrs[request.Name]
 	record := g.servers[request.Name]
@@ -20,8 +20,9 @@
 }
 
 // pendingNonce returns the nonce that the incarnation's next request has to repeat, or 0 if this
-// request repeats it. A delayed request of an incarnation that has ended comes from the same address
-// but can't repeat a new nonce. The exchange costs a successor one more request.
+// request repeats it. It distinguishes a restarted server from a delayed request of an incarnation
+// that has ended: both give the same address, but the delayed request can't repeat a new nonce. The
+// challenge costs the restarted server one more request.
 func (g *Grantor) pendingNonce(request *Request) uint64 {
 	current := g.challenges[request.Name]
 	if current.incarnation != request.Incarnation {
--- a/internal/policy/lease/cluster_test.go
+++ b/internal/policy/lease/cluster_test.go
@@ -11,19 +11,20 @@
 
 var testConfig = Config{Duration: 3, CatchUpTimeout: 5, MaxUnavailable: 0.25, ForgetAfter: 60}
 
-// testVoterAddrs has only the first server, so that the random schedules have servers whose address
-// the leader knows and servers whose address it learns.
+// testVoterAddrs has only the first server. A new leader knows its address from the start and
+// learns the other servers' addresses from their requests, so that the random schedules cover both
+// cases.
 var testVoterAddrs = map[string]string{"n0": "addr0"}
 
-// tick is the step, in seconds, of a cluster's simulated time.
-const tick = 0.02
+// tickSeconds is the step of a cluster's simulated time.
+const tickSeconds = 0.02
 
-// fatalReporter is the part of testing.T and rapid.T that a cluster needs.
+// fatalReporter is the method of testing.T and rapid.T that a cluster uses.
 type fatalReporter interface{ Fatalf(string, ...any) }
 
-// cluster simulates servers and their leader. There is one release log, the one that the voters have
-// committed; a deposed leader keeps a copy of the log as it was then, and goes on deciding until its
-// last confirmation by a majority is too old.
+// cluster simulates servers and their leader. The voters are not simulated: the cluster has one
+// committed release log. A deposed leader keeps a copy of the log from the time of the leader
+// change, and goes on deciding until its last confirmation by a majority is too old.
 type cluster struct {
 	t           fatalReporter
 	random      *rand.Rand
@@ -33,16 +34,16 @@
 	deposed     *leader
 	servers     []*server
 	network     []delivery
-	proposals   []delivery // the leader's pending commands, in its order
-	incarnation uint64     // of the latest server
+	proposals   []delivery // the leader's pending commands, in the order of their proposal
+	incarnation uint64     // incarnation of the latest server
 	lossRate    float64
-	commitDelay float64 // seconds until a command is committed, at most
-	partitioned bool    // no server reaches a leader
+	commitDelay float64 // greatest random part, in seconds, of the time until a command is committed
+	partitioned bool    // no server can reach a leader
 }
 
 type leader struct {
 	grantor        *Grantor
-	releaseLog     *release.Log // nil for the cluster's release log
+	releaseLog     *release.Log // nil if the leader uses the cluster's release log
 	confirmedUntil float64
 }
 
@@ -54,14 +55,15 @@
 	clockRate   float64
 	clockOffset float64
 	paused      bool
-	blocked     bool // it can't apply a new version
+	blocked     bool // the server can't apply a new version
 	active      release.Epoch
 	assigned    release.Epoch
 	isolated    bool
-	snapshot    Snapshot // the latest that its server loop received
+	snapshot    Snapshot // latest snapshot that the server loop received
 }
 
-// delivery is what happens at a later time.
+// delivery is a function that is called at a later time: it delivers a message or commits a
+// command.
 type delivery struct {
 	at      float64
 	deliver func()
@@ -105,11 +107,11 @@
 	return restarted
 }
 
-// clock returns the server's own clock.
+// clock converts the simulated time to the time of the server's own clock.
 func (s *server) clock(now float64) float64 { return s.clockOffset + s.clockRate*now }
 
-// electLeader begins a new term. Of the old leader's proposals some are committed, the rest is
-// lost.
+// electLeader begins a new term. A random number of the old leader's proposals are committed first,
+// the rest are lost.
 func (c *cluster) electLeader() {
 	if c.leader != nil {
 		for _, proposal := range c.proposals[:c.random.IntN(len(c.proposals)+1)] {
@@ -125,7 +127,7 @@
 	c.leader = &leader{grantor: NewGrantor(testConfig, testVoterAddrs, c.now)}
 }
 
-// propose schedules the commit of the leader's commands, in their order.
+// propose schedules the commit of the leader's commands, in the order of the slice.
 func (c *cluster) propose(commands []release.Command) {
 	for _, command := range commands {
 		grantor := c.leader.grantor
@@ -136,7 +138,8 @@
 	}
 }
 
-// send delivers a message later, twice at times, or never.
+// send delivers a message after a random delay. It loses messages at lossRate and duplicates one in
+// eight.
 func (c *cluster) send(deliver func()) {
 	for range 1 + c.random.IntN(8)/7 {
 		if c.random.Float64() >= c.lossRate {
@@ -145,8 +148,8 @@
 	}
 }
 
-// requestLease sends a server's request to the leader or, while it still decides, to the
-// deposed one.
+// requestLease sends a server's request to the leader. While the deposed leader still decides, half
+// of the requests go to the deposed leader.
 func (c *cluster) requestLease(s *server) {
 	request := s.holder.NewRequest(s.clock(c.now))
 	to := c.leader
@@ -182,7 +185,7 @@
 // run advances the simulated time and checks the invariants at each tick.
 func (c *cluster) run(seconds float64) {
 	for end := c.now + seconds; c.now < end; {
-		c.now += tick
+		c.now += tickSeconds
 		c.commitDue()
 		c.deliverDue()
 		policy := release.RolloutPolicy{WaveSeconds: 1, HaltConfidence: 0.9999}
@@ -232,7 +235,10 @@
 	s.snapshot = s.holder.Snapshot()
 }
 
-// checkInvariants checks what each server loop would do now, also where the node agent is paused.
+// checkInvariants checks the mode in which each server loop serves now, including servers whose
+// node agent is paused. It fails the test if two incarnations of a name have a lease, if an ejected
+// server has a lease, or if more servers are out of service for want of a leader than
+// MaxUnavailable allows.
 func (c *cluster) checkInvariants() {
 	leased := map[string]uint64{}
 	outOfService := 0
@@ -240,13 +246,14 @@
 		now := s.clock(c.now)
 		if s.snapshot.State == StateLeased && now < s.snapshot.ChangesAt {
 			if other := leased[s.name]; other != 0 {
-				c.t.Fatalf("%s: incarnations %d and %d both have a lease at %.2f",
+				c.t.Fatalf("%s: incarnations %d and %d both have a lease at %.2f s",
 					s.name, other, s.incarnation, c.now)
 			}
 			leased[s.name] = s.incarnation
 			ejection, ejected := c.releaseLog.Ejected[s.name]
 			if ejected && ejection.Incarnation == s.incarnation {
-				c.t.Fatalf("%s has a lease while it is ejected at %.2f", s.name, c.now)
+				c.t.Fatalf("incarnation %d of %s has a lease while it is ejected, at %.2f s",
+					s.incarnation, s.name, c.now)
 			}
 		}
 		ownsName := c.releaseLog.Members[s.name] == s.incarnation
@@ -257,7 +264,7 @@
 	}
 	members := max(len(c.releaseLog.Members), len(c.servers))
 	if limit := int(testConfig.MaxUnavailable * float64(members)); outOfService > limit {
-		c.t.Fatalf("%d of %d went out of service as no leader was reachable, %d may",
+		c.t.Fatalf("%d of %d servers went out of service because no leader was reachable, want at most %d",
 			outOfService, len(c.servers), limit)
 	}
 }
@@ -278,29 +285,32 @@
 	for _, s := range c.servers {
 		assigned := c.releaseLog.VersionFor(s.name).Epoch
 		if state, reason := s.holder.State(); state != StateLeased || s.active != assigned {
-			t.Errorf("%s is %s on %s, has no lease on %s: %s", s.name, state, s.active, assigned, reason)
+			t.Errorf("%s: state %s (%s) with active epoch %s, want %s with epoch %s",
+				s.name, state, reason, s.active, StateLeased, assigned)
 		}
 	}
 }
 
-// remainingFault describes the first deviation from the state that is due once all faults have ended: one
-// incarnation of each name has a lease and runs its assigned version. It is "" if there is none.
-func (c *cluster) remainingFault() string {
+// findDeviation describes the first deviation from the state that the cluster has to reach once all
+// faults have ended: exactly one incarnation of each name has a lease and runs its assigned
+// version. It returns "" if there is no deviation.
+func (c *cluster) findDeviation() string {
 	leased := map[string]int{}
 	for _, s := range c.servers {
 		assigned := c.releaseLog.VersionFor(s.name).Epoch
 		switch {
 		case s.snapshot.State == StateLeased && s.active != assigned:
-			return fmt.Sprintf("%s acts on %s, not %s", s.name, s.active, assigned)
+			return fmt.Sprintf("%s runs epoch %s, want %s", s.name, s.active, assigned)
 		case s.snapshot.State == StateLeased:
 			leased[s.name]++
 		case s.snapshot.State != StateSuperseded:
-			return fmt.Sprintf("%s is %s: %s", s.name, s.snapshot.State, s.snapshot.Reason)
+			return fmt.Sprintf("%s: state %s (%s), want %s or %s",
+				s.name, s.snapshot.State, s.snapshot.Reason, StateLeased, StateSuperseded)
 		}
 	}
 	for _, s := range c.servers {
 		if leased[s.name] != 1 {
-			return fmt.Sprintf("%d incarnations have a lease as %s", leased[s.name], s.name)
+			return fmt.Sprintf("%d incarnations of %s have a lease, want 1", leased[s.name], s.name)
 		}
 	}
 	return ""
--- a/internal/policy/lease/command.go
+++ b/internal/policy/lease/command.go
@@ -3,19 +3,22 @@
 import "swiftcourse/internal/policy/release"
 
 const (
-	// commandAuthor is the author of the commands that a leader proposes on its own account.
+	// commandAuthor is the author of the commands that a leader proposes without an operator's
+	// order.
 	commandAuthor = "leader"
-	// minCommandInterval is the least time, in seconds, until a command on the same subject is
-	// proposed again, as the first may be lost: a few times what a commit takes.
-	minCommandInterval = 0.5
-	// maxPendingCommands bounds the subjects whose latest command may still be pending.
+	// minCommandIntervalSeconds is the least time between two proposals on the same subject. A lost
+	// proposal is repeated after it; it is a few times as long as a commit takes.
+	minCommandIntervalSeconds = 0.5
+	// maxPendingCommands bounds the number of subjects whose latest command may still be pending.
 	maxPendingCommands = 256
 )
 
-// commandSubject is what a command changes: a server, by its name, or one of the subjects below.
+// commandSubject identifies what a command changes: the name of a server, or one of the subjects
+// below.
 type commandSubject string
 
-// Subjects of commands that concern no single server. The space keeps them apart from most names.
+// Subjects of commands that do not concern a single server. The leading space makes it unlikely
+// that they equal a server's name.
 const (
 	subjectEpoch   commandSubject = " epoch"
 	subjectRelease commandSubject = " release"
@@ -26,12 +29,13 @@
 	proposedAt map[commandSubject]float64
 }
 
-// propose returns a slice with just the command, with its author set. It returns nil if the subject
-// had a command within minCommandInterval or too many are pending.
+// propose sets the command's author and returns a slice with only that command. It returns nil if a
+// command on the subject was proposed within minCommandIntervalSeconds, or if maxPendingCommands
+// subjects have a pending command.
 func (l *commandLimiter) propose(
 	now float64, subject commandSubject, command release.Command,
 ) []release.Command {
-	if at, proposed := l.proposedAt[subject]; proposed && now < at+minCommandInterval {
+	if at, proposed := l.proposedAt[subject]; proposed && now < at+minCommandIntervalSeconds {
 		return nil
 	}
 	if len(l.proposedAt) >= maxPendingCommands {
@@ -45,10 +49,10 @@
 	return []release.Command{command}
 }
 
-// dropExpired forgets the subjects whose next command may be proposed.
+// dropExpired removes the subjects whose latest command is older than minCommandIntervalSeconds.
 func (l *commandLimiter) dropExpired(now float64) {
 	for subject, at := range l.proposedAt {
-		if now >= at+minCommandInterval {
+		if now >= at+minCommandIntervalSeconds {
 			delete(l.proposedAt, subject)
 		}
 	}
--- a/internal/policy/lease/doc.go
+++ b/internal/policy/lease/doc.go
@@ -1,17 +1,19 @@
-// Package lease decides which servers of a fleet may serve requests: each server needs a lease that
-// the leader grants, and one name belongs to one incarnation (one run of a server process) at a time.
+// Package lease decides which servers of a fleet may serve requests. Each server needs a lease from
+// the leader, and each name belongs to one incarnation (one run of a server process) at a time.
 //
-// A Holder is a server's own side. It makes the requests to the leader, handles the replies, and
-// ends its lease by its own clock. A Grantor is the leader's side: it keeps the lease table, answers
-// requests, and proposes the commands that change the release log (registration of names, ejection
-// and readmission of lagging servers, the advance or rollback of a release).
+// A Holder is the server's side of a lease. It makes the requests to the leader, handles the
+// replies, and ends its lease by the server's own clock. A Grantor is the leader's side: it keeps
+// the lease table, answers requests, and proposes the commands that change the release log
+// (registration of names, ejection and readmission of lagging servers, advance or rollback of a
+// release).
 //
-// An epoch is the number of a configuration version in the release log. A server runs its active
-// epoch; the leader assigns the epoch that it has to run. A server whose active epoch differs from
-// the assigned one is lagging.
+// An epoch is the number of a configuration version in the release log. The active epoch of a
+// server is the version that it runs; its assigned epoch is the version that the leader wants it to
+// run. A server whose active epoch differs from its assigned epoch is lagging.
 //
 // A permit, MayGoOutOfService in the messages, allows a server to go out of service when its lease
-// expires because it can't reach a leader. A server without a permit keeps serving by its fallback.
+// expires because it can't reach a leader. A server without a permit keeps serving in its fallback
+// mode.
 //
 // Invariants:
 //   - At no time do two incarnations of one name hold a lease.
@@ -19,9 +21,9 @@
 //   - At most the fraction Config.MaxUnavailable of the fleet goes out of service because no leader
 //     is reachable.
 //
-// A lease starts when its request is made, by the holder's clock, so neither network delay nor a
-// clock offset makes it longer than the grantor assumes. Only a clock that runs slower can, and the
-// grantor allows for that with maxClockDrift.
+// A lease starts when the holder makes the request, by the holder's clock, so neither network delay
+// nor a clock offset makes it longer than the grantor assumes. A holder's clock that runs slower
+// than the grantor's does; the grantor allows for it with maxClockDriftFraction.
 //
 // The package performs no I/O and reads no clock: every call takes the time in seconds of the
 // caller's monotonic clock. Neither type is safe for concurrent use; the fleet's node agent owns
--- a/internal/policy/lease/grantor.go
+++ b/internal/policy/lease/grantor.go
@@ -6,90 +6,92 @@
 	"swiftcourse/internal/policy/release"
 )
 
-// Config is what the operator sets for all leases of the fleet.
+// Config holds the operator's settings for all leases of the fleet.
 type Config struct {
 	// Duration is the length of a lease in seconds.
 	Duration float64
-	// CatchUpTimeout is how long, in seconds, a server may run another version than its assigned
-	// one before it is ejected.
+	// CatchUpTimeout is how long, in seconds, a server may be lagging before it is ejected.
 	CatchUpTimeout float64
-	// MaxUnavailable is the fraction of the fleet that may be ejected as lagging, and likewise the
-	// fraction that may go out of service because no leader is reachable.
+	// MaxUnavailable is the fraction of the fleet that may be ejected as lagging. Independently, it
+	// is also the fraction that may go out of service because no leader is reachable.
 	MaxUnavailable float64
-	// ForgetAfter is for how long, in seconds, a server has to send no request before its name is
+	// ForgetAfter is the time without a request, in seconds, after which a server's name is
 	// unregistered.
 	ForgetAfter float64
 }
 
 const (
-	// LeaderConfirmationWindow is how long ago, in seconds, a majority may have confirmed a leader
-	// that still decides: four times the pause between two confirmations.
+	// LeaderConfirmationWindow is how long, in seconds, a leader may decide after a majority last
+	// confirmed it: four times the interval between two confirmations.
 	LeaderConfirmationWindow = 1.0
-	// maxClockDrift is how much slower than the leader's a server's clock may run, as a fraction:
-	// far more than any crystal's drift, and than the 1% of the simulations.
-	maxClockDrift = 0.02
-	// maxServers bounds the lease table: four times the largest simulated fleet.
+	// maxClockDriftFraction is the fraction by which a server's clock may run slower than the
+	// leader's. It is far above the drift of a quartz clock and above the 1% drift of the
+	// simulations.
+	maxClockDriftFraction = 0.02
+	// maxServers bounds the lease table. It is four times the size of the largest simulated fleet.
 	maxServers = 4096
-	// clusterIDSpread is the size of the range from which bumpEpoch chooses the new cluster ID, by
-	// the incarnation, so that two clusters that do so are unlikely to choose the same.
+	// clusterIDSpread is the size of the range from which bumpEpoch derives the new cluster ID, by
+	// the requesting server's incarnation. The range makes it unlikely that two clusters choose the
+	// same ID.
 	clusterIDSpread = 900
-	// maxIDsPerSecond is how many IDs a grantor may draw each second without reaching those of a
-	// grantor that starts later by the same clock.
+	// maxIDsPerSecond is the number of IDs that a grantor may use each second without overlap with
+	// the IDs of a grantor that starts later by the same clock.
 	maxIDsPerSecond = 1e6
 )
 
-// Grantor is the leader's side: it grants leases and keeps the lease table. It belongs to one term:
-// a new leader makes a new Grantor, which assumes that its predecessor granted every lease that it
-// could have granted.
+// Grantor is the leader's side of the leases: it grants them and keeps the lease table. Each leader
+// makes a new Grantor for its term. A Grantor assumes that the leaders of earlier terms granted
+// every lease that they could have granted.
 type Grantor struct {
 	config Config
-	// voterAddrs are the addresses of voters by name. Only a process that listens at a voter's
-	// address can have its name.
+	// voterAddrs holds the addresses of the voters by name. Only a process that listens at a
+	// voter's address can have the voter's name.
 	voterAddrs map[string]string
 	startedAt  float64
 	servers    map[string]*serverRecord
 
-	permits      permitCount
-	rollout      rolloutProgress
-	commands     commandLimiter
-	challenges   map[string]challenge
-	lastID       uint64 // of barriers and challenges
-	maintainedAt float64
+	permits           permitCount
+	rollout           rolloutProgress
+	commands          commandLimiter
+	challenges        map[string]challenge
+	lastID            uint64 // latest ID of a barrier or challenge
+	lastMaintenanceAt float64
 }
 
 // NewGrantor returns the grantor of a leader whose term begins at now. voterAddrs holds the
 // addresses at which the voters listen, by name.
 //
-// The leader has to append the grantor's commands to its own log, in their order: they must not be
-// forwarded to another leader.
+// The leader has to append the grantor's commands to its own raft log, in the order in which they
+// are returned. They must not be forwarded to another leader.
 func NewGrantor(config Config, voterAddrs map[string]string, now float64) *Grantor {
 	return &Grantor{
-		config:       config,
-		voterAddrs:   voterAddrs,
-		startedAt:    now,
-		servers:      map[string]*serverRecord{},
-		commands:     commandLimiter{proposedAt: map[commandSubject]float64{}},
-		challenges:   map[string]challenge{},
-		lastID:       uint64(now * maxIDsPerSecond),
-		maintainedAt: math.Inf(-1),
+		config:            config,
+		voterAddrs:        voterAddrs,
+		startedAt:         now,
+		servers:           map[string]*serverRecord{},
+		commands:          commandLimiter{proposedAt: map[commandSubject]float64{}},
+		challenges:        map[string]challenge{},
+		lastID:            uint64(now * maxIDsPerSecond),
+		lastMaintenanceAt: math.Inf(-1),
 	}
 }
 
-// leaseBound returns for how long a lease may last by the grantor's clock.
-func (g *Grantor) leaseBound() float64 { return g.config.Duration * (1 + maxClockDrift) }
+// maxLeaseSeconds returns the longest time, in seconds of the grantor's clock, that a lease may
+// last.
+func (g *Grantor) maxLeaseSeconds() float64 { return g.config.Duration * (1 + maxClockDriftFraction) }
 
-// priorLeasesEnd returns when all leases have ended that an earlier leader granted. It granted the
-// last at most LeaderConfirmationWindow after this term began.
-func (g *Grantor) priorLeasesEnd() float64 {
-	return g.startedAt + LeaderConfirmationWindow + g.leaseBound()
+// priorLeasesExpiry returns when all leases that an earlier leader granted have expired. An earlier
+// leader may grant leases for LeaderConfirmationWindow after this term began.
+func (g *Grantor) priorLeasesExpiry() float64 {
+	return g.startedAt + LeaderConfirmationWindow + g.maxLeaseSeconds()
 }
 
-// priorLeasesOver reports whether no lease of an earlier leader is in force.
-func (g *Grantor) priorLeasesOver(now float64) bool { return now > g.priorLeasesEnd() }
+// priorLeasesExpired reports whether all leases from earlier leaders have expired.
+func (g *Grantor) priorLeasesExpired(now float64) bool { return now > g.priorLeasesExpiry() }
 
 // HandleRequest answers a lease request and returns the commands to propose to the voters.
-// confirmed says whether a majority confirmed the leader within LeaderConfirmationWindow; if not, the
-// verdict is VerdictRetry. It is also VerdictRetry where a command has to be committed first.
+// confirmed says whether a majority confirmed the leader within LeaderConfirmationWindow. The
+// verdict is VerdictRetry if it did not, or if a command has to be committed first.
 func (g *Grantor) HandleRequest(
 	now float64, request *Request, releaseLog *release.Log, confirmed bool,
 ) (Reply, []release.Command) {
@@ -111,34 +113,34 @@
 		commands := g.handleNewIncarnation(now, request, releaseLog, &reply)
 		return reply, commands
 	}
-	delete(g.challenges, request.Name) // a later successor gets a new one
-	record := g.observe(now, request, releaseLog)
+	delete(g.challenges, request.Name) // the next restart of the server gets a new challenge
+	record := g.recordRequest(now, request, releaseLog)
 	if record == nil {
 		reply.Reason = reasonTooManyServers
 		return reply, nil
 	}
-	commands := g.decide(now, request, releaseLog, record, &reply)
+	commands := g.decideLease(now, request, releaseLog, record, &reply)
 	return reply, commands
 }
 
-// bumpEpoch proposes that epochs continue above those of a lost cluster, from which a server runs a
-// version.
+// bumpEpoch proposes a cluster ID above that of the request's active epoch. The requesting server
+// runs a version of a lost cluster whose epochs are above those of the present one.
 func (g *Grantor) bumpEpoch(now float64, request *Request, releaseLog *release.Log) []release.Command {
 	clusterID := uint64(request.ActiveEpoch.ClusterID()) + 1 + request.Incarnation%clusterIDSpread
 	return g.commands.propose(now, subjectEpoch, release.Command{
 		Kind:          release.KindBumpEpoch,
 		ExpectedEpoch: releaseLog.NewestEpoch(),
-		Previous:      clusterID, // for this kind Previous is a cluster ID
+		Previous:      clusterID, // KindBumpEpoch uses Previous as the new cluster ID
 	})
 }
 
 // handleNewIncarnation decides whether an incarnation that doesn't own its name may take it, from
-// its owner if it has one. It fills in the reply and returns the commands to propose.
+// the present owner if there is one. It fills in the reply and returns the commands to propose.
 func (g *Grantor) handleNewIncarnation(
 	now float64, request *Request, releaseLog *release.Log, reply *Reply,
 ) []release.Command {
 	owner, owned := releaseLog.Members[request.Name]
-	if owned && !g.leaseOver(now, g.ownerRecord(now, request.Name, owner)) {
+	if owned && !g.ownerLeaseExpired(now, g.ownerRecord(now, request.Name, owner)) {
 		if !g.sharesAddress(request, owner) {
 			reply.Verdict = VerdictNameTaken
 			reply.Reason = reasonNameTaken
@@ -155,22 +157,23 @@
 		Incarnation: request.Incarnation,
 		Previous:    owner,
 	})
-	// If the limiter held the command back, the owner keeps its lease: otherwise the owner's own
-	// barrier might never be proposed while other incarnations compete for the name.
+	// The owner's lease is withheld only if the command limiter let the command through. Otherwise
+	// incarnations that compete for the name could use up the rate limit of the name, so that the
+	// owner's barrier might never be proposed.
 	if owned && commands != nil {
 		g.withholdLease(now, request.Name, owner)
 	}
 	return commands
 }
 
-// decide handles the request of a name's owner. It fills in the reply and returns the commands to
-// propose.
-func (g *Grantor) decide(
+// decideLease handles a request from the owner of the name. It fills in the reply and returns the
+// commands to propose.
+func (g *Grantor) decideLease(
 	now float64, request *Request, releaseLog *release.Log, record *serverRecord, reply *Reply,
 ) []release.Command {
 	ejection, ejected := ejectionOf(releaseLog, request.Name, request.Incarnation)
 	switch {
-	case ejected && byOperator(ejection):
+	case ejected && isOperatorEjection(ejection):
 		reply.Verdict = VerdictEjected
 		reply.Reason = ejection.Reason
 		return nil
@@ -188,7 +191,7 @@
 	case record.leaseWithheld:
 		reply.Reason = reasonChangePending
 		return g.proposeBarrier(now, request, record)
-	case g.missedCatchUp(now, record) && g.reserveEjection(releaseLog, request.Name):
+	case g.catchUpTimedOut(now, record) && g.reserveEjection(releaseLog, request.Name):
 		reply.Verdict = VerdictLagging
 		reply.Reason = record.lagReason()
 		return g.eject(now, request, record)
@@ -196,6 +199,6 @@
 	reply.Verdict = VerdictGranted
 	reply.Duration = g.config.Duration
 	reply.MayGoOutOfService = g.permitOutOfService(now, releaseLog, record, request)
-	record.leaseEnd = now + g.leaseBound()
+	record.leaseEnd = now + g.maxLeaseSeconds()
 	return nil
 }
--- a/internal/policy/lease/grantor_test.go
+++ b/internal/policy/lease/grantor_test.go
@@ -9,13 +9,14 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-func TestGrantor_RolloutReachesAllInWaves(t *testing.T) {
+func TestGrantor_RolloutInWavesReachesAllServers(t *testing.T) {
 	c := newCluster(t, 1, 10, serving.ModeNormal)
 	c.run(3)
 	c.release("x", 0.1, 0.5)
 	c.run(12)
 	if c.releaseLog.Next != nil || c.releaseLog.Current.Text != "x" {
-		t.Errorf("the release is still in progress, wave %d", c.releaseLog.WaveIndex)
+		t.Errorf("rollout in progress: %t at wave %d, current text %q; want it finished with text \"x\"",
+			c.releaseLog.Next != nil, c.releaseLog.WaveIndex, c.releaseLog.Current.Text)
 	}
 	c.requireAllLeased(t)
 }
@@ -29,27 +30,28 @@
 	c.run(testConfig.CatchUpTimeout + 2*testConfig.Duration)
 	state, reason := lagging.holder.State()
 	if state != StateFenced || reason != "it refuses the file" {
-		t.Errorf("it is %s: %q", state, reason)
+		t.Errorf("lagging server: state %s (%q), want %s (\"it refuses the file\")", state, reason, StateFenced)
 	}
 	if mode := lagging.holder.Snapshot().Mode; mode != serving.ModeOutOfService {
-		t.Errorf("it serves in mode %s", mode)
+		t.Errorf("lagging server: mode %s, want %s", mode, serving.ModeOutOfService)
 	}
 	ejection, ejected := ejectionOf(c.releaseLog, lagging.name, lagging.incarnation)
 	if !ejected || ejection.Incarnation != lagging.incarnation || ejection.Reason != "it refuses the file" {
-		t.Errorf("the release log has the ejection %+v, %t", ejection, ejected)
+		t.Errorf("release log: ejected %t, %+v; want ejection of incarnation %d with the server's reason",
+			ejected, ejection, lagging.incarnation)
 	}
 	if assigned := c.releaseLog.VersionFor(lagging.name).Epoch; assigned != c.releaseLog.Current.Epoch {
-		t.Errorf("it is assigned %s, not %s", assigned, c.releaseLog.Current.Epoch)
+		t.Errorf("ejected server: assigned epoch %s, want %s", assigned, c.releaseLog.Current.Epoch)
 	}
 	lagging.blocked = false
 	c.run(3)
 	c.requireAllLeased(t)
 	if len(c.releaseLog.Ejected) != 0 {
-		t.Error("it is still ejected")
+		t.Errorf("after the server caught up: ejected %v, want none", c.releaseLog.Ejected)
 	}
 }
 
-func TestGrantor_LaggingServersStayWithinMaxUnavailable(t *testing.T) {
+func TestGrantor_EjectionsLimitedToMaxUnavailable(t *testing.T) {
 	c := newCluster(t, 3, 8, serving.ModeNormal)
 	c.run(3)
 	for _, s := range c.servers[:6] {
@@ -58,7 +60,7 @@
 	c.release("x")
 	c.run(testConfig.CatchUpTimeout + 5*testConfig.Duration)
 	if n := len(c.releaseLog.Ejected); n != 2 {
-		t.Errorf("%d of 8 are ejected, 2 may be", n)
+		t.Errorf("%d of 8 servers are ejected, want 2", n)
 	}
 }
 
@@ -69,20 +71,21 @@
 	second := c.addServer("n1", "elsewhere", serving.ModeNormal)
 	c.run(5)
 	if state, reason := second.holder.State(); state != StateSuperseded || reason == "" {
-		t.Errorf("the second is %s: %q", state, reason)
+		t.Errorf("second incarnation: state %s (%q), want %s with a reason", state, reason, StateSuperseded)
 	}
 	if state, _ := first.holder.State(); state != StateLeased {
-		t.Errorf("the first is %s", state)
+		t.Errorf("first incarnation: state %s, want %s", state, StateLeased)
 	}
 	first.paused = true // for longer than its lease
 	c.run(3 * testConfig.Duration)
 	if state, _ := second.holder.State(); state != StateLeased {
-		t.Errorf("the first was silent for three leases, and the second is %s", state)
+		t.Errorf("first incarnation paused for three leases: state of the second %s, want %s",
+			state, StateLeased)
 	}
 	first.paused = false
 	c.run(2)
 	if state, _ := first.holder.State(); state != StateSuperseded {
-		t.Errorf("resumed, the first is %s", state)
+		t.Errorf("first incarnation after it resumed: state %s, want %s", state, StateSuperseded)
 	}
 	restarted := c.restartServer(2, serving.ModeNormal)
 	restartedAt := c.now
@@ -90,32 +93,32 @@
 		c.run(0.1)
 	}
 	if took := c.now - restartedAt; took > 2 {
-		t.Errorf("a restarted server has a lease after %.1f s", took)
+		t.Errorf("a restarted server got its lease after %.1f s, want at most 2 s", took)
 	}
 }
 
-// TestGrantor_ServerAheadOfBootstrappedLog: all voters lost their state while a server was
-// isolated, and bootstrapped under a lower cluster identity.
-func TestGrantor_ServerAheadOfBootstrappedLog(t *testing.T) {
+// While a server was isolated, all voters lost their state and bootstrapped with a lower cluster
+// ID. The server never accepts a lower epoch, so the grantor has to raise the cluster ID.
+func TestGrantor_ServerAheadOfLogBumpsEpoch(t *testing.T) {
 	c := newCluster(t, 8, 4, serving.ModeNormal)
 	ahead := c.servers[2]
-	ahead.active = release.NewEpoch(50, 3) // the log's cluster identity is 7
+	ahead.active = release.NewEpoch(50, 3) // the log's cluster ID is 7
 	ahead.assigned = ahead.active
 	c.run(3 * testConfig.Duration)
 	c.requireAllLeased(t)
 	if epoch := c.releaseLog.Current.Epoch; epoch.ClusterID() <= 50 {
-		t.Errorf("epochs go on from %s", epoch)
+		t.Errorf("current epoch %s, want a cluster ID above 50", epoch)
 	}
 	if len(c.releaseLog.Ejected) != 0 {
-		t.Errorf("ejected: %v", c.releaseLog.Ejected)
+		t.Errorf("ejected %v, want none", c.releaseLog.Ejected)
 	}
 }
 
-// TestGrantor_OutOfServicePermitOutlivesLeader: where all may go out of service, a new leader takes
-// the permission from nobody, also not for a moment.
-func TestGrantor_OutOfServicePermitOutlivesLeader(t *testing.T) {
-	restore := testConfig
-	t.Cleanup(func() { testConfig = restore })
+// If all servers may go out of service, no server may lose its permit when the leader changes, not
+// even temporarily.
+func TestGrantor_PermitsKeptOnLeaderChange(t *testing.T) {
+	original := testConfig
+	t.Cleanup(func() { testConfig = original })
 	testConfig.MaxUnavailable = 1
 	for seed := range uint64(20) {
 		c := newCluster(t, seed, 5, serving.ModeOutOfService)
@@ -125,7 +128,7 @@
 			c.run(0.05)
 			for _, s := range c.servers {
 				if !s.holder.MayGoOutOfService() {
-					t.Fatalf("seed %d: %s lost its permission %.2f s after the leader changed",
+					t.Fatalf("seed %d: %s lost its permit %.2f s after the leader changed",
 						seed, s.name, c.now-4*testConfig.Duration)
 				}
 			}
@@ -133,9 +136,9 @@
 	}
 }
 
-// TestGrantor_RestartedServerGetsItsNameFromNewLeader: the new leader knows nothing of the earlier
-// incarnation but, of a voter, where it listened.
-func TestGrantor_RestartedServerGetsItsNameFromNewLeader(t *testing.T) {
+// A server restarts just after the leader changed. The new leader has no record of the earlier
+// incarnation; it knows the address only if the server is a voter, which regains its name sooner.
+func TestGrantor_RestartedServerRegainsNameAfterLeaderChange(t *testing.T) {
 	c := newCluster(t, 11, 3, serving.ModeNormal)
 	c.run(2 * testConfig.Duration)
 	c.electLeader()
@@ -145,15 +148,15 @@
 	}
 	c.run(1.5)
 	if state, reason := c.servers[0].holder.State(); state != StateLeased {
-		t.Errorf("1.5 s after its restart the voter is %s: %s", state, reason)
+		t.Errorf("1.5 s after the restart of the voter: state %s (%s), want %s", state, reason, StateLeased)
 	}
 	c.run(2 * testConfig.Duration)
 	c.requireAllLeased(t)
 }
 
-// TestGrantor_LateRequestOfEndedIncarnation: the request comes from the address at which the
-// successor listens, which has the lease, and must not take the name from it.
-func TestGrantor_LateRequestOfEndedIncarnation(t *testing.T) {
+// A delayed request of an incarnation that has ended gives the address at which the restarted
+// server listens. It must not take the name from the restarted server, which has the lease.
+func TestGrantor_DelayedRequestOfEndedIncarnation(t *testing.T) {
 	for _, leaderChanges := range []bool{false, true} {
 		t.Run(fmt.Sprintf("leader changes %t", leaderChanges), func(t *testing.T) {
 			c := newCluster(t, 12, 3, serving.ModeNormal)
@@ -173,15 +176,15 @@
 					c.run(0.3)
 				}
 				if owner := c.releaseLog.Members[ended.name]; owner != successor.incarnation {
-					t.Errorf("%s: the name went from incarnation %d to %d, which has ended",
-						ended.name, successor.incarnation, owner)
+					t.Errorf("%s: the owner is incarnation %d, which has ended; want %d",
+						ended.name, owner, successor.incarnation)
 				}
 			}
 		})
 	}
 }
 
-func BenchmarkGrantor_HandleRequestOfThousandServers(b *testing.B) {
+func BenchmarkGrantor_HandleRequest1000Servers(b *testing.B) {
 	releaseLog := release.BootstrapLog(&release.Log{}, 7, nil)
 	grantor := NewGrantor(testConfig, testVoterAddrs, 0)
 	for i := range 1000 {
@@ -199,7 +202,7 @@
 	}
 }
 
-// TestServerStatus_JSONKeys: the control API's keys are older than the fields' names and stay.
+// The keys of the control API must not change; they differ from the names of the Go fields.
 func TestServerStatus_JSONKeys(t *testing.T) {
 	status := ServerStatus{
 		Name:              "n1",
@@ -217,6 +220,6 @@
 		`"Stuck":"s","Out":"o","Build":"b","Known":true}`
 	got, err := json.Marshal(status)
 	if err != nil || string(got) != want {
-		t.Errorf("%s, %v; want %s", got, err, want)
+		t.Errorf("got %s, error %v; want %s", got, err, want)
 	}
 }
--- a/internal/policy/lease/holder.go
+++ b/internal/policy/lease/holder.go
@@ -8,32 +8,33 @@
 )
 
 const (
-	// requestIntervalFraction is the time between two requests as a fraction of the lease: two
-	// requests in a row may be lost before the lease ends.
+	// requestIntervalFraction is the time between two requests as a fraction of the lease. With one
+	// third, a lease still gets extended when two requests in a row are lost.
 	requestIntervalFraction = 1.0 / 3
-	// unleasedSpeedup is how many times as often a server without a lease sends requests.
-	unleasedSpeedup = 4
-	// minRequestInterval is the least time, in seconds, before a redirected or failed request is
-	// repeated, so that voters which refer to one another cause no load.
-	minRequestInterval = 0.1
+	// unleasedRequestRateFactor is the factor by which a server without a lease sends requests more
+	// often.
+	unleasedRequestRateFactor = 4
+	// minRequestIntervalSeconds is the least time before a redirected or failed request is
+	// repeated. It limits the load when voters redirect requests to each other.
+	minRequestIntervalSeconds = 0.1
 )
 
-// HolderConfig identifies a server to the leader and sets what it does without a lease.
+// HolderConfig identifies a server to the leader and sets its mode without a lease.
 type HolderConfig struct {
 	Name string
-	// Incarnation is drawn anew with each start of the process.
+	// Incarnation is drawn at random at each start of the process.
 	Incarnation uint64
-	// Addr is where the server listens for its peers.
+	// Addr is the address at which the server listens for its peers.
 	Addr  string
 	Build string
-	// Fallback is the mode while the server has no lease and no leader refuses one. A server that
-	// has no permit for ModeOutOfService falls back to ModeSafeDefaults.
+	// Fallback is the mode while the server has no lease, unless the leader refused the lease. If
+	// it is ModeOutOfService, a server without a permit uses ModeSafeDefaults instead.
 	Fallback serving.Mode
-	// LeaseSeconds is the length of a full lease.
+	// LeaseSeconds is the full length of a lease. A longer grant is cut to it.
 	LeaseSeconds float64
 }
 
-// Holder is a server's own side of its lease. Its zero value is not usable, see NewHolder.
+// Holder is the server's side of its lease. Its zero value is not usable; see NewHolder.
 type Holder struct {
 	config HolderConfig
 
@@ -48,28 +49,30 @@
 	errorTally        release.ErrorTally
 	mayGoOutOfService bool
 
-	requests    requestTracker
-	nextRequest float64
+	requests      requestTracker
+	nextRequestAt float64
 }
 
-// NewHolder returns the holder of a server that starts at now; its first request is due at once.
+// NewHolder returns the holder of a server that starts at now. The first request is due at once.
 func NewHolder(config HolderConfig, now float64) *Holder {
 	return &Holder{
-		config:      config,
-		leaseEnd:    math.Inf(-1),
-		nextRequest: now,
+		config:        config,
+		leaseEnd:      math.Inf(-1),
+		nextRequestAt: now,
 	}
 }
 
-// NextWakeup returns when NewRequest is due. The end of the lease is in Snapshot.
-func (h *Holder) NextWakeup() float64 { return h.nextRequest }
+// NextWakeup returns when NewRequest is due. It does not include the end of the lease, which is in
+// Snapshot.
+func (h *Holder) NextWakeup() float64 { return h.nextRequestAt }
 
-// NewRequest returns the next request, to be sent to Leader or, if that is "", to any voter.
+// NewRequest returns the next request. The caller sends it to Leader, or to any voter if Leader is
+// "".
 func (h *Holder) NewRequest(now float64) Request {
-	number := h.requests.send(now)
-	h.nextRequest = now + h.config.LeaseSeconds*requestIntervalFraction
+	number := h.requests.recordRequest(now)
+	h.nextRequestAt = now + h.config.LeaseSeconds*requestIntervalFraction
 	if h.state != StateLeased {
-		h.nextRequest = now + h.config.LeaseSeconds*requestIntervalFraction/unleasedSpeedup
+		h.nextRequestAt = now + h.config.LeaseSeconds*requestIntervalFraction/unleasedRequestRateFactor
 	}
 	return Request{
 		Name:              h.config.Name,
@@ -86,21 +89,21 @@
 }
 
 // RequestBy makes the next request due at the given time at the latest.
-func (h *Holder) RequestBy(at float64) { h.nextRequest = min(h.nextRequest, at) }
+func (h *Holder) RequestBy(at float64) { h.nextRequestAt = min(h.nextRequestAt, at) }
 
 // Leader returns the name of the voter to send requests to, "" for any voter.
 func (h *Holder) Leader() string { return h.leader }
 
-// HandleLeaderUnreachable forgets the leader after requests to it failed; the next request goes to
-// any voter, after minRequestInterval at the latest.
+// HandleLeaderUnreachable clears the leader after requests to it failed. The next request goes to
+// any voter, within minRequestIntervalSeconds.
 func (h *Holder) HandleLeaderUnreachable(now float64) {
 	h.leader = ""
-	h.RequestBy(now + minRequestInterval)
+	h.RequestBy(now + minRequestIntervalSeconds)
 }
 
-// HandleReply applies a reply and reports whether the holder's state changed. A reply to an earlier
-// incarnation, to a request that is not pending, or to one older than the last decided has no
-// effect.
+// HandleReply applies a reply and reports whether the holder's state changed. It ignores a reply to
+// an earlier incarnation, to a request that is not pending, or to a request older than the latest
+// one with a decision.
 func (h *Holder) HandleReply(now float64, reply *Reply) bool {
 	sentAt, pending := h.requests.sentAt(reply.Number)
 	if reply.Incarnation != h.config.Incarnation || !pending {
@@ -119,7 +122,7 @@
 	before := h.state
 	switch reply.Verdict {
 	case VerdictGranted:
-		h.extend(now, sentAt, reply)
+		h.applyGrant(now, sentAt, reply)
 	case VerdictLagging, VerdictEjected:
 		h.state = nextState(h.state, eventFenced)
 	case VerdictNameTaken:
@@ -129,18 +132,18 @@
 }
 
 // handleRetry follows a redirect: the next request goes to the leader that the reply names, or to
-// another voter if it names none.
+// any voter if it names none.
 func (h *Holder) handleRetry(now, sentAt float64, reply *Reply) {
 	h.requests.lastRetried = max(h.requests.lastRetried, reply.Number)
 	if reply.Nonce != 0 {
 		h.requests.nonce = reply.Nonce
 	}
 	h.leader = reply.Leader
-	h.RequestBy(max(sentAt+minRequestInterval, now))
+	h.RequestBy(max(sentAt+minRequestIntervalSeconds, now))
 }
 
-// extend applies a granted lease, which starts when its request was made.
-func (h *Holder) extend(now, sentAt float64, reply *Reply) {
+// applyGrant applies a granted lease, which starts at the time of its request.
+func (h *Holder) applyGrant(now, sentAt float64, reply *Reply) {
 	h.mayGoOutOfService = reply.MayGoOutOfService
 	h.leaseEnd = max(h.leaseEnd, sentAt+min(reply.Duration, h.config.LeaseSeconds))
 	if now < h.leaseEnd {
@@ -148,7 +151,7 @@
 	}
 }
 
-// Expire ends a lease whose time is over and reports whether there was one.
+// Expire ends the lease if it has expired by now, and reports whether it did.
 func (h *Holder) Expire(now float64) bool {
 	if h.state != StateLeased || now < h.leaseEnd {
 		return false
@@ -158,43 +161,45 @@
 	return true
 }
 
-// SetActiveEpoch records the configuration version that the server runs from now on, and what
-// prevents a newer one, "" for nothing. A change of version is reported to the leader at
-// once.
+// SetActiveEpoch records the configuration version that the server runs from now on, and the reason
+// why it can't run a newer one, "" if nothing prevents it. A change of version makes a request to
+// the leader due at once.
 func (h *Holder) SetActiveEpoch(epoch release.Epoch, blockedBy string) {
 	if epoch != h.activeEpoch {
 		h.errorTally = release.ErrorTally{}
-		h.nextRequest = math.Inf(-1)
+		h.nextRequestAt = math.Inf(-1)
 	}
 	h.activeEpoch = epoch
 	h.blockedBy = blockedBy
 }
 
-// SetErrorTally records the outcome so far of the requests under the active version.
+// SetErrorTally records the tally of the requests that the server completed under the active
+// version.
 func (h *Holder) SetErrorTally(tally release.ErrorTally) { h.errorTally = tally }
 
-// Unanswered returns how many of the latest requests in a row have no valid reply.
+// Unanswered returns the number of requests made since the latest request that has a valid reply.
 func (h *Holder) Unanswered() uint64 {
 	return h.requests.lastSent - max(h.requests.lastDecided, h.requests.lastRetried)
 }
 
-// MayGoOutOfService reports whether the server may go out of service when its lease ends without a
-// reply.
+// MayGoOutOfService reports whether the server has a permit to go out of service when its lease
+// expires.
 func (h *Holder) MayGoOutOfService() bool { return h.mayGoOutOfService }
 
-// AssignedEpoch returns the configuration version that the server has to run, 0 while unknown.
+// AssignedEpoch returns the epoch of the configuration version that the server has to run, 0 while
+// it is unknown.
 func (h *Holder) AssignedEpoch() release.Epoch { return h.assignedEpoch }
 
-// State returns the holder's state and the reason for it.
+// State returns the holder's state and the reason that the leader or the holder gave for it.
 func (h *Holder) State() (state State, reason string) { return h.state, h.reason }
 
-// Snapshot is a holder's state and the directive for the server loop that follows from it.
+// Snapshot is a holder's state and the serving directive that follows from it.
 type Snapshot struct {
 	State State
 	serving.Directive
 }
 
-// Snapshot returns the current state and its directive, without Stats.
+// Snapshot returns the current state and its serving directive. Directive.Stats is not set.
 func (h *Holder) Snapshot() Snapshot {
 	fallback := h.fallback()
 	snapshot := Snapshot{State: h.state, Directive: serving.Directive{
@@ -215,7 +220,7 @@
 	return snapshot
 }
 
-// fallback returns the mode without a lease.
+// fallback returns the mode while the server has no lease and is neither fenced nor superseded.
 func (h *Holder) fallback() serving.Mode {
 	if h.config.Fallback == serving.ModeOutOfService && !h.mayGoOutOfService {
 		return serving.ModeSafeDefaults
--- a/internal/policy/lease/holder_test.go
+++ b/internal/policy/lease/holder_test.go
@@ -26,7 +26,7 @@
 				modes[s.snapshot.ModeAt(s.clock(c.now))]++
 			}
 			if fmt.Sprint(modes) != fmt.Sprint(test.want) {
-				t.Errorf("%v, not %v", modes, test.want)
+				t.Errorf("servers by mode: %v, want %v", modes, test.want)
 			}
 		})
 	}
@@ -38,38 +38,40 @@
 	replyTo := func(request Request, verdict Verdict) *Reply {
 		return &Reply{Incarnation: 9, Number: request.Number, Verdict: verdict, Duration: 3, AssignedEpoch: 5}
 	}
-	toEarlier := replyTo(second, VerdictGranted)
-	toEarlier.Incarnation = 8
-	toNone := replyTo(second, VerdictGranted)
-	toNone.Number = 77
+	toEarlierIncarnation := replyTo(second, VerdictGranted)
+	toEarlierIncarnation.Incarnation = 8
+	toUnknownRequest := replyTo(second, VerdictGranted)
+	toUnknownRequest.Number = 77
 	for _, test := range []struct {
 		name  string
 		reply *Reply
 		at    float64
 		want  State
 	}{
-		{"to an earlier incarnation", toEarlier, 101, StateInitial},
-		{"to no request", toNone, 101, StateInitial},
-		{"that came after its lease had ended", replyTo(second, VerdictGranted), 104, StateInitial},
+		{"to an earlier incarnation", toEarlierIncarnation, 101, StateInitial},
+		{"to an unknown request", toUnknownRequest, 101, StateInitial},
+		{"received after the end of its lease", replyTo(second, VerdictGranted), 104, StateInitial},
 	} {
 		if h.HandleReply(test.at, test.reply); h.state != test.want {
-			t.Errorf("a reply %s: %s", test.name, h.state)
+			t.Errorf("reply %s: state %s, want %s", test.name, h.state, test.want)
 		}
 	}
 	third, fourth := h.NewRequest(105), h.NewRequest(106)
 	if h.HandleReply(106.5, replyTo(fourth, VerdictGranted)); h.state != StateLeased || h.leaseEnd != 109 {
-		t.Errorf("a lease: %s until %g", h.state, h.leaseEnd)
+		t.Errorf("after a grant: state %s, lease end %g, want %s and 109", h.state, h.leaseEnd, StateLeased)
 	}
 	if h.HandleReply(106.6, replyTo(third, VerdictEjected)); h.state != StateLeased {
-		t.Error("an older reply that came later changed its state")
+		t.Errorf("after a late reply to an older request: state %s, want %s", h.state, StateLeased)
 	}
 	if h.HandleReply(106.6, replyTo(first, VerdictEjected)); h.state != StateLeased {
-		t.Error("a reply to a request that is no longer pending changed its state")
+		t.Errorf("after a reply to a request that is no longer pending: state %s, want %s",
+			h.state, StateLeased)
 	}
 	if snapshot := h.Snapshot(); snapshot.ModeAt(108.9) != serving.ModeNormal || snapshot.ChangesAt != 109 {
-		t.Error("it has a lease until 109")
+		t.Errorf("mode %s at 108.9, change at %g; want %s and 109",
+			snapshot.ModeAt(108.9), snapshot.ChangesAt, serving.ModeNormal)
 	}
 	if h.Expire(109); h.state != StateExpired {
-		t.Errorf("after its lease it is %s", h.state)
+		t.Errorf("after the end of the lease: state %s, want %s", h.state, StateExpired)
 	}
 }
--- a/internal/policy/lease/maintain.go
+++ b/internal/policy/lease/maintain.go
@@ -7,29 +7,30 @@
 	"swiftcourse/internal/policy/release"
 )
 
-// maintenanceInterval is the pause, in seconds, between two rounds of a leader's maintenance.
-const maintenanceInterval = 0.25
+// maintenanceIntervalSeconds is the least time between two rounds of a leader's maintenance.
+const maintenanceIntervalSeconds = 0.25
 
-// Maintain returns the commands that are due without any request: names to unregister, a
-// rollout to advance, a release to roll back.
+// Maintain returns the due commands that no lease request triggers: to unregister names, to advance
+// a rollout, or to roll a release back.
 func (g *Grantor) Maintain(
 	now float64, releaseLog *release.Log, policy release.RolloutPolicy,
 ) []release.Command {
-	if now < g.maintainedAt+maintenanceInterval {
+	if now < g.lastMaintenanceAt+maintenanceIntervalSeconds {
 		return nil
 	}
-	g.maintainedAt = now
+	g.lastMaintenanceAt = now
 	g.pruneServers(now, releaseLog)
-	commands := g.unregisterSilent(now, releaseLog)
+	commands := g.unregisterInactive(now, releaseLog)
 	return append(commands, g.advanceRollout(now, releaseLog, policy)...)
 }
 
-// pruneServers drops the records of incarnations that own no name, and frees the ejection
-// reservations of servers that are no longer lagging or have sent no request for long.
+// pruneServers drops the records of incarnations that own no name and have sent no request for
+// Config.ForgetAfter. It also releases the ejection reservations of servers that are no longer
+// lagging, or whose lease expired more than a lease duration ago.
 func (g *Grantor) pruneServers(now float64, releaseLog *release.Log) {
 	for name, record := range g.servers {
 		if releaseLog.Members[name] != record.incarnation {
-			if now > record.heardAt+g.config.ForgetAfter {
+			if now > record.lastRequestAt+g.config.ForgetAfter {
 				delete(g.servers, name)
 			}
 			continue
@@ -41,16 +42,16 @@
 	}
 }
 
-// unregisterSilent returns commands that unregister the servers which sent no request for
+// unregisterInactive returns commands that unregister the servers without a request for
 // Config.ForgetAfter, ordered by name.
-func (g *Grantor) unregisterSilent(now float64, releaseLog *release.Log) []release.Command {
-	if now <= g.startedAt+g.config.ForgetAfter+g.leaseBound() {
+func (g *Grantor) unregisterInactive(now float64, releaseLog *release.Log) []release.Command {
+	if now <= g.startedAt+g.config.ForgetAfter+g.maxLeaseSeconds() {
 		return nil
 	}
 	var commands []release.Command
 	for name, incarnation := range releaseLog.Members {
 		record := g.servers[name]
-		if record != nil && now <= record.heardAt+g.config.ForgetAfter {
+		if record != nil && now <= record.lastRequestAt+g.config.ForgetAfter {
 			continue
 		}
 		unregister := g.commands.propose(now, commandSubject(name), release.Command{
@@ -59,8 +60,10 @@
 			Incarnation: incarnation,
 		})
 		if unregister != nil {
-			heardAt := now - g.config.ForgetAfter - 1 // so that a new record is due to be forgotten too
-			g.withholdLease(heardAt, name, incarnation)
+			// A record that is created here counts as older than ForgetAfter: it is pruned once the
+			// name is unregistered, and a lost command is proposed again.
+			lastRequestAt := now - g.config.ForgetAfter - 1
+			g.withholdLease(lastRequestAt, name, incarnation)
 			commands = append(commands, unregister...)
 		}
 	}
--- a/internal/policy/lease/message.go
+++ b/internal/policy/lease/message.go
@@ -9,12 +9,12 @@
 type Verdict uint8
 
 const (
-	// VerdictRetry means that no decision was made: another process is the leader, no leader is
-	// known, or a command has to be committed first.
+	// VerdictRetry means that no decision was made, because another process is the leader, no
+	// leader is known, or a command has to be committed first.
 	VerdictRetry Verdict = iota
 	// VerdictGranted means that the lease is granted.
 	VerdictGranted
-	// VerdictLagging means that the server gets no lease until it runs its assigned epoch.
+	// VerdictLagging means that the server gets no lease until it runs its assigned version.
 	VerdictLagging
 	// VerdictEjected means that an operator ejected the server.
 	VerdictEjected
@@ -35,18 +35,19 @@
 	Incarnation uint64
 	// Number is the sequence number of the request within the incarnation; the reply repeats it.
 	Number uint64
-	// Addr is where the server listens for its peers. Two processes can't listen on one address.
+	// Addr is the address at which the server listens for its peers. Only one process can listen at
+	// an address.
 	Addr string
 	// ActiveEpoch is the epoch of the configuration version that the server runs.
 	ActiveEpoch release.Epoch
-	// BlockedBy is why the server can't run a newer version, "" if nothing prevents it.
+	// BlockedBy is the reason why the server can't run a newer version, "" if nothing prevents it.
 	BlockedBy string
 	// ErrorTally counts the requests that the server completed under ActiveEpoch.
 	ErrorTally release.ErrorTally
 	Build      string
-	// MayGoOutOfService repeats the permit of the latest reply that granted a lease, see Reply.
+	// MayGoOutOfService repeats the permit in the latest reply that granted a lease; see Reply.
 	MayGoOutOfService bool
-	// Nonce repeats the nonce of the latest reply that had one, see Reply.
+	// Nonce repeats the nonce of the latest reply that had one; see Reply.
 	Nonce uint64
 }
 
@@ -55,17 +56,18 @@
 	Incarnation uint64
 	Number      uint64
 	Verdict     Verdict
-	// Duration is the length of the lease in seconds, from when the request was made.
+	// Duration is the length of the lease in seconds, from the time of the request.
 	Duration float64
 	// AssignedEpoch is the epoch of the configuration version that the server has to run.
 	AssignedEpoch release.Epoch
-	// MayGoOutOfService permits the server to go out of service when its lease ends without a
-	// reply.
+	// MayGoOutOfService permits the server to go out of service when its lease expires because no
+	// reply extended it.
 	MayGoOutOfService bool
-	// Leader is the name of the voter to send the next request to, "" if none is known.
+	// Leader is the name of the voter to which the next request should go, "" if no leader is
+	// known.
 	Leader string
-	// Nonce, if not 0, is a challenge that comes with VerdictRetry: the next request has to repeat
-	// it to prove that its sender is alive.
+	// Nonce, if not 0, is a challenge that comes with VerdictRetry. The next request has to repeat
+	// it, which proves that the incarnation still runs.
 	Nonce  uint64
 	Reason string
 }
--- a/internal/policy/lease/reason.go
+++ b/internal/policy/lease/reason.go
@@ -1,6 +1,6 @@
 package lease
 
-// Reasons that replies and commands carry for operators.
+// Reasons in replies and commands, for operators.
 const (
 	reasonLostCluster    = "the server acts on a version that a lost cluster released"
 	reasonNameTaken      = "the name belongs to another incarnation, which may still have a lease"
--- a/internal/policy/lease/request_tracker.go
+++ b/internal/policy/lease/request_tracker.go
@@ -1,36 +1,37 @@
 package lease
 
-// maxPending bounds the requests that wait for a reply: about those of two leases.
+// maxPending bounds the number of requests that wait for a reply. A holder with a lease sends about
+// as many in the time of two leases.
 const maxPending = 8
 
-// requestTracker matches replies to the requests that they answer.
+// requestTracker matches replies with their requests.
 type requestTracker struct {
-	// lastSent is the number of the newest request.
+	// lastSent is the number of the latest request.
 	lastSent uint64
-	// lastRetried is the newest request that was answered by VerdictRetry.
+	// lastRetried is the number of the latest request whose reply was VerdictRetry.
 	lastRetried uint64
-	// lastDecided is the newest request that was answered by any other verdict.
+	// lastDecided is the number of the latest request whose reply had any other verdict.
 	lastDecided uint64
-	// nonce is the latest that a reply asked to repeat, 0 for none.
+	// nonce is the nonce of the latest reply that had one, 0 for none.
 	nonce   uint64
 	pending [maxPending]pendingRequest
 }
 
-// pendingRequest is a request that may still be answered.
+// pendingRequest is a request whose reply may still arrive.
 type pendingRequest struct {
 	number uint64
 	sentAt float64
 }
 
-// send records a new request and returns its number.
-func (r *requestTracker) send(now float64) uint64 {
+// recordRequest records a new request and returns its number.
+func (r *requestTracker) recordRequest(now float64) uint64 {
 	r.lastSent++
 	r.pending[r.lastSent%maxPending] = pendingRequest{number: r.lastSent, sentAt: now}
 	return r.lastSent
 }
 
-// sentAt returns when a request was made, and whether a reply may still decide it. A request is not
-// pending if it is too old, was never made, or is older than one that is decided already.
+// sentAt returns when a request was made, and whether it is pending. A request is not pending if it
+// was never made, if maxPending newer ones were made, or if it is not newer than lastDecided.
 func (r *requestTracker) sentAt(number uint64) (at float64, pending bool) {
 	request := r.pending[number%maxPending]
 	if number == 0 || request.number != number || number <= r.lastDecided {
--- a/internal/policy/lease/rollout.go
+++ b/internal/policy/lease/rollout.go
@@ -2,28 +2,29 @@
 
 import "swiftcourse/internal/policy/release"
 
-// settledWaveFraction is the fraction of a wave's servers that have to run the release before the
-// next wave begins: not all, as some of a large fleet may be unreachable.
+// settledWaveFraction is the fraction of a wave's servers that have to run the release for the wave
+// to be settled. It is below 1 because some servers of a large fleet may be unreachable.
 const settledWaveFraction = 0.9
 
-// rolloutProgress records since when the current wave of a rollout has been settled.
+// rolloutProgress records the current wave of a rollout and the time since which it has been
+// settled.
 type rolloutProgress struct {
 	epoch        release.Epoch
 	wave         int
 	settledSince float64
 }
 
-// waveStatus summarizes the servers that sent a request within the duration of a lease.
+// waveStatus summarizes the servers that sent a request within the last lease duration.
 type waveStatus struct {
-	assigned int // servers that have to run the next version
-	active   int // those of them that do
-	// next and current tally the requests of the servers on the next and on the current version.
+	assigned int // servers whose assigned version is the next version
+	active   int // servers among them that run the next version
+	// next and current tally the requests of the servers that run the next and the current version.
 	next    release.ErrorTally
 	current release.ErrorTally
 }
 
-// advanceRollout returns the command that moves a rollout to its next wave or rolls the release
-// back, or nil if neither is due.
+// advanceRollout returns the command that rolls the release back or moves the rollout to its next
+// wave, or nil if neither is due. A wave ends once it has been settled for policy.WaveSeconds.
 func (g *Grantor) advanceRollout(
 	now float64, releaseLog *release.Log, policy release.RolloutPolicy,
 ) []release.Command {
@@ -61,7 +62,7 @@
 	next := releaseLog.Next.Epoch
 	var status waveStatus
 	for name, record := range g.servers {
-		if releaseLog.Members[name] != record.incarnation || now > record.heardAt+g.config.Duration {
+		if releaseLog.Members[name] != record.incarnation || now > record.lastRequestAt+g.config.Duration {
 			continue
 		}
 		switch record.activeEpoch {
--- a/internal/policy/lease/schedule_test.go
+++ b/internal/policy/lease/schedule_test.go
@@ -9,8 +9,8 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// Faults of a random schedule. Those that are a state of a server or the cluster end when they are
-// drawn a second time.
+// Faults of a random schedule. Pause, isolation, blocking and partition last until the same fault
+// is drawn again for the same server or the cluster.
 const (
 	faultPause = iota
 	faultIsolate
@@ -26,8 +26,9 @@
 	faultCount
 )
 
-// TestLease_RandomFaultSchedules runs random schedules of faults; checkInvariants checks each tick. Once
-// all faults are healed, each name has one lease, on its assigned version.
+// TestLease_RandomFaultSchedules runs random schedules of faults and checks the invariants at each
+// tick, see checkInvariants. Once all faults have ended, exactly one incarnation of each name has
+// to get a lease and run its assigned version.
 func TestLease_RandomFaultSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fallbacks := []serving.Mode{serving.ModeNormal, serving.ModeSafeDefaults, serving.ModeOutOfService}
@@ -42,20 +43,20 @@
 		}
 		c.heal()
 		c.run(6 * testConfig.Duration)
-		wrong := c.remainingFault()
-		for range 10 { // a few replies in a thousand take over a second, which may cost a lease
-			if wrong != "" {
+		deviation := c.findDeviation()
+		for range 10 { // a few in a thousand replies take over a second, so that a lease may expire
+			if deviation != "" {
 				c.run(1)
-				wrong = c.remainingFault()
+				deviation = c.findDeviation()
 			}
 		}
-		if wrong != "" {
-			t.Fatalf("healed, %s", wrong)
+		if deviation != "" {
+			t.Fatalf("after all faults ended: %s", deviation)
 		}
 	})
 }
 
-// drawFault draws a fault and applies it to the cluster or to the server with the index target.
+// drawFault draws a fault and applies it to the cluster or to the server at index target.
 func drawFault(t *rapid.T, c *cluster, step, target, initialServers int, fallback serving.Mode) {
 	s := c.servers[target]
 	switch rapid.IntRange(0, faultCount-1).Draw(t, "step") {
@@ -76,12 +77,14 @@
 	case faultLossRate:
 		c.lossRate = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "loss rate")
 	case faultSecondProcess:
-		// A second process with a voter's name can't start, as it can't listen at the voter's address.
+		// A second process with a voter's name can't start, as it can't listen at the voter's
+		// address.
 		if len(c.servers) < initialServers+3 && testVoterAddrs[s.name] == "" {
 			c.addServer(s.name, fmt.Sprint("second", step), fallback)
 		}
 	case faultRestart:
-		// The server is replaced in place, so replies to the earlier incarnation reach the new one.
+		// The server is replaced in place, so that replies to the earlier incarnation reach the new
+		// one.
 		*s = *c.addServer(s.name, s.addr, fallback)
 		c.servers = c.servers[:len(c.servers)-1]
 	case faultCommitDelay:
--- a/internal/policy/lease/state.go
+++ b/internal/policy/lease/state.go
@@ -2,11 +2,11 @@
 
 import "swiftcourse/internal/policy/serving"
 
-// State is a holder's state as far as the holder knows it.
+// State is the state of a lease as the holder knows it.
 type State uint8
 
 const (
-	// StateInitial is the state of a holder that has not received any decision from a leader yet.
+	// StateInitial means that the holder has not received a decision from a leader yet.
 	StateInitial State = iota
 	// StateLeased means that the holder has a lease.
 	StateLeased
@@ -18,8 +18,8 @@
 	StateSuperseded
 )
 
-// stateNames are part of the control API. They are older than the names of the constants and have to
-// stay as they are.
+// stateNames are part of the control API and must not change. They differ from the names of the
+// constants, which were renamed later.
 var stateNames = [...]string{"fresh", "acting", "silent", "out", "taken"}
 
 // String returns the name of the state in the control API and the log.
@@ -37,8 +37,8 @@
 	eventSuperseded
 )
 
-// transitions is the whole state machine. An event that is not listed for a state leaves it
-// unchanged: a fenced or superseded server doesn't return to service merely because time passes.
+// transitions is the whole state machine. An event that is not listed for a state leaves the state
+// unchanged. In particular, a fenced or superseded server doesn't return to service by expiry.
 var transitions = [...]struct {
 	from  State
 	event event
@@ -55,10 +55,10 @@
 	{StateExpired, eventSuperseded, StateSuperseded},
 	{StateFenced, eventGranted, StateLeased},
 	{StateFenced, eventSuperseded, StateSuperseded},
-	{StateSuperseded, eventGranted, StateLeased}, // the other incarnation's lease ended
+	{StateSuperseded, eventGranted, StateLeased}, // the other incarnation's lease expired
 }
 
-// nextState returns the state that follows from an event.
+// nextState returns the state after an event.
 func nextState(state State, event event) State {
 	for _, transition := range transitions {
 		if transition.from == state && transition.event == event {
--- a/internal/policy/lease/status.go
+++ b/internal/policy/lease/status.go
@@ -7,24 +7,25 @@
 	"swiftcourse/internal/policy/release"
 )
 
-// ServerStatus is what a leader knows of the owner of one name, for operators. The control API
-// encodes it with the keys of its tags.
+// ServerStatus is a leader's view of the owner of one name, for operators. The control API encodes
+// it with the keys in the tags.
 type ServerStatus struct {
 	Name        string
 	Incarnation uint64 `json:"Life"`
-	// ActiveEpoch is the version that the server runs, AssignedEpoch the one that it has to run.
+	// ActiveEpoch is the version that the server runs, AssignedEpoch the version that it has to
+	// run.
 	ActiveEpoch   release.Epoch `json:"Epoch"`
 	AssignedEpoch release.Epoch `json:"Right"`
 	// SecondsSinceHeard is the age of the server's latest request.
 	SecondsSinceHeard float64 `json:"Heard"`
-	// SecondsBehind is for how long the server has been lagging, 0 if it is not.
+	// SecondsBehind is the time for which the server has been lagging, 0 if it is not lagging.
 	SecondsBehind float64 `json:"Behind"`
 	BlockedBy     string  `json:"Stuck"`
-	// EjectionReason is why the server is ejected, "" if it is not.
+	// EjectionReason is the reason why the server is ejected, "" if it is not ejected.
 	EjectionReason string `json:"Out"`
 	Build          string
-	// Reported says whether the server sent a request in this leader's term. If not, only Name,
-	// Incarnation, AssignedEpoch and EjectionReason are known.
+	// Reported says whether the server sent a request in this leader's term. If it did not, only
+	// Name, Incarnation, AssignedEpoch and EjectionReason are set.
 	Reported bool `json:"Known"`
 }
 
@@ -55,7 +56,7 @@
 	}
 	status.Reported = true
 	status.ActiveEpoch = record.activeEpoch
-	status.SecondsSinceHeard = now - record.heardAt
+	status.SecondsSinceHeard = now - record.lastRequestAt
 	status.BlockedBy = record.blockedBy
 	status.Build = record.build
 	if record.lagging() {
