--- a/internal/policy/consensus/bootstrap.go
+++ b/internal/policy/consensus/bootstrap.go
@@ -10,13 +10,13 @@
 	"swiftcourse/internal/policy/release"
 )
 
-// bootstrapIfReady bootstraps a group once all named voters are heard, all are detached, and each
-// has heard the same incarnations. Only the first voter by name does so, at most once in an
-// incarnation. A voter's incarnation ends when it leaves a group, so no incarnation is ever in two
-// groups. Of two bootstraps with a voter in common, at least one never has a majority, unless most
-// names have two processes each.
+// bootstrapIfReady bootstraps a group once all configured voters send heartbeats, all are detached,
+// and all report the same incarnations. Only the voter whose name sorts first does so, at most once
+// per incarnation. A voter's incarnation ends when the voter leaves a group, so no incarnation is
+// ever in two groups. Of two groups bootstrapped with a voter in common, at least one never has a
+// majority, unless most names have two processes each.
 func (v *Voter) bootstrapIfReady(now float64) {
-	if v.name != v.voterNames[0] || now < v.detachedAt+bootstrapDelay {
+	if v.name != v.voterNames[0] || now < v.detachedAt+bootstrapDelaySeconds {
 		return
 	}
 	voters, ready := v.readyVoters(now)
@@ -41,9 +41,9 @@
 	v.joinBootstrap(now, bootstrap)
 }
 
-// readyVoters returns the names of all voters by incarnation. They are not ready while one of them
-// is not heard, is in a group, or knows a newer release log than this voter. In the last case this
-// voter requests that log.
+// readyVoters returns the names of all voters by incarnation, and whether they are ready for a
+// bootstrap. They are not while one of them sends no heartbeats, is in a group, or has a newer
+// release log than this voter. In the last case this voter requests that log.
 func (v *Voter) readyVoters(now float64) (voters map[uint64]string, ready bool) {
 	voters = map[uint64]string{v.incarnation: v.name}
 	for _, name := range v.voterNames[1:] {
@@ -65,28 +65,28 @@
 	return position.After(v.releaseLog.Position())
 }
 
-// nextClusterID returns a cluster ID above all that are known, and not below the seconds since
-// clusterIDEpoch: if no voter knows the last group's cluster ID any more, the clock still gives a
-// higher one.
+// nextClusterID returns a cluster ID above all known ones and not below the seconds since
+// clusterIDEpochUnixSeconds. If no voter knows the cluster ID of the last group any more, the clock
+// still yields a higher one.
 func (v *Voter) nextClusterID(now float64) uint32 {
-	seconds := uint32(max(1, now+v.clockOffset-clusterIDEpoch))
+	seconds := uint32(max(1, now+v.clockOffset-clusterIDEpochUnixSeconds))
 	return max(v.releaseLog.Current.Epoch.ClusterID()+1, v.highestClusterID+1, seconds)
 }
 
-// joinBootstrap joins the group that a bootstrap creates. Its release log becomes the first snapshot
-// of the raft log.
+// joinBootstrap joins the group that a bootstrap creates. The bootstrap's release log becomes the
+// first snapshot of the raft log.
 func (v *Voter) joinBootstrap(now float64, bootstrap *Bootstrap) {
 	v.releaseLog = bootstrap.ReleaseLog.Clone()
 	index := uint64(1)
 	term := uint64(1)
 	confState := &pb.ConfState{Voters: slices.Sorted(maps.Keys(bootstrap.Voters))}
 	storage := raft.NewMemoryStorage()
-	// Fails only if the storage has a newer snapshot; this one is empty.
+	// Fails only if the storage has a newer snapshot, and this storage is empty.
 	_ = storage.ApplySnapshot(&pb.Snapshot{
 		Data:     v.codec.MarshalLog(v.releaseLog),
 		Metadata: &pb.SnapshotMetadata{ConfState: confState, Index: &index, Term: &term},
 	})
 	hardState := &pb.HardState{Term: &term, Commit: &index, Vote: new(uint64)}
-	_ = storage.SetHardState(hardState) // never fails in memory
+	_ = storage.SetHardState(hardState) // MemoryStorage never returns an error
 	v.joinGroup(now, bootstrap.ClusterID, storage, confState)
 }
--- a/internal/policy/consensus/cluster_test.go
+++ b/internal/policy/consensus/cluster_test.go
@@ -15,7 +15,7 @@
 	"swiftcourse/internal/policy/release"
 )
 
-// jsonCodec is a codec for tests.
+// jsonCodec implements Codec with JSON.
 type jsonCodec struct{}
 
 func (jsonCodec) MarshalCommand(command *release.Command) []byte {
@@ -38,54 +38,54 @@
 	return log, json.Unmarshal(data, log)
 }
 
-// fataler is what a cluster needs of a *testing.T or *rapid.T.
-type fataler interface {
+// fatalReporter has the methods of testing.T and rapid.T that a cluster uses.
+type fatalReporter interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// link is one direction between two voters.
+// link is one direction of the connection between two voters.
 type link struct{ from, to string }
 
-// delivery is a message on its way.
+// delivery is a message in flight and the time of its delivery.
 type delivery struct {
 	at float64
 	link
 	message Message
 }
 
-// simulatedCluster runs voters in simulated time over a network that delays, loses, duplicates and
-// partitions. It fails the test where an epoch has two digests, or one position of the release log
-// two states, whatever any voter ever knew.
+// simulatedCluster runs voters in simulated time over a network that delays, loses and duplicates
+// messages and can be partitioned. It fails the test if any two voters, at any two times, have
+// different digests for one epoch or different states for one position of the release log.
 type simulatedCluster struct {
-	t           fataler
-	random      *rand.Rand
-	now         float64
-	names       []string
-	voters      map[string]*Voter // nil while one is down
-	paused      map[string]bool   // stopped processes, for which messages wait
-	cut         map[link]bool
-	lossRate    float64
-	startCount  int
-	inFlight    []delivery
-	waiting     map[string][]Message // for paused voters
-	digests     map[release.Epoch]string
-	states      map[string]string // release log by position
-	results     map[uint64]error  // by command ID
-	lastCommand uint64            // its ID
+	t             fatalReporter
+	random        *rand.Rand
+	now           float64
+	names         []string
+	voters        map[string]*Voter // nil for a voter that is down
+	paused        map[string]bool   // paused processes, whose messages are queued in waiting
+	disconnected  map[link]bool     // links that lose all messages
+	lossRate      float64
+	startCount    int
+	inFlight      []delivery
+	queued        map[string][]Message // queued messages of paused voters
+	digests       map[release.Epoch]string
+	states        map[string]string // encoded release log by position
+	results       map[uint64]error  // result of each committed command, by command ID
+	lastCommandID uint64            // ID of the latest command from release
 }
 
-func newSimulatedCluster(t fataler, seed uint64, size int) *simulatedCluster {
+func newSimulatedCluster(t fatalReporter, seed uint64, size int) *simulatedCluster {
 	c := &simulatedCluster{
-		t:       t,
-		random:  rand.New(rand.NewPCG(seed, 7)),
-		voters:  map[string]*Voter{},
-		paused:  map[string]bool{},
-		cut:     map[link]bool{},
-		waiting: map[string][]Message{},
-		digests: map[release.Epoch]string{},
-		states:  map[string]string{},
-		results: map[uint64]error{},
+		t:            t,
+		random:       rand.New(rand.NewPCG(seed, 7)),
+		voters:       map[string]*Voter{},
+		paused:       map[string]bool{},
+		disconnected: map[link]bool{},
+		queued:       map[string][]Message{},
+		digests:      map[release.Epoch]string{},
+		states:       map[string]string{},
+		results:      map[uint64]error{},
 	}
 	for i := range size {
 		c.names = append(c.names, fmt.Sprintf("v%d", i+1))
@@ -96,44 +96,45 @@
 	return c
 }
 
-// start starts a voter, or restarts it without its log.
+// start starts a voter, or restarts it with an empty log.
 func (c *simulatedCluster) start(name string) {
 	c.startCount++
 	config := Config{Name: name, Voters: c.names, Seed: int64(c.startCount), Codec: jsonCodec{}}
-	c.voters[name] = NewVoter(config, c.now, clusterIDEpoch+1000+c.now)
-	c.waiting[name] = nil
+	c.voters[name] = NewVoter(config, c.now, clusterIDEpochUnixSeconds+1000+c.now)
+	c.queued[name] = nil
 	c.paused[name] = false
 }
 
-// running returns a voter that is up and not paused, or nil.
-func (c *simulatedCluster) running(name string) *Voter {
+// runningVoter returns the voter with the given name, or nil if it is down or paused.
+func (c *simulatedCluster) runningVoter(name string) *Voter {
 	if c.paused[name] {
 		return nil
 	}
 	return c.voters[name]
 }
 
-// transmitted returns a message as it comes out of the network: it shares no raft message with the
-// sender.
-func transmitted(message Message) Message {
+// copyForReceiver returns the message as its receiver gets it: the raft message is a copy, as the
+// sender may change its own.
+func copyForReceiver(message Message) Message {
 	if message.Raft != nil {
 		message.Raft = proto.Clone(message.Raft).(*pb.Message)
 	}
 	return message
 }
 
-// collect sends what a voter has to send, and takes its results.
-func (c *simulatedCluster) collect(name string) {
+// takeOutput takes the messages and results from a voter, puts the messages on the network, and
+// checks the voter's release log.
+func (c *simulatedCluster) takeOutput(name string) {
 	voter := c.voters[name]
 	for _, envelope := range voter.TakeOutbox() {
-		for range 1 + c.random.IntN(11)/10 { // one in eleven is duplicated
-			if c.cut[link{name, envelope.VoterName}] || c.random.Float64() < c.lossRate {
+		for range 1 + c.random.IntN(11)/10 { // duplicates one message in eleven
+			if c.disconnected[link{name, envelope.VoterName}] || c.random.Float64() < c.lossRate {
 				continue
 			}
 			c.inFlight = append(c.inFlight, delivery{
 				at:      c.now + 0.001 + 0.02*c.random.ExpFloat64(),
 				link:    link{name, envelope.VoterName},
-				message: transmitted(envelope.Message),
+				message: copyForReceiver(envelope.Message),
 			})
 		}
 	}
@@ -145,7 +146,7 @@
 	c.checkAgreement(voter.ReleaseLog())
 }
 
-// checkAgreement compares what a voter knows with all that any voter ever knew.
+// checkAgreement compares a voter's release log with all release logs that were checked before.
 func (c *simulatedCluster) checkAgreement(log *release.Log) {
 	c.t.Helper()
 	for _, version := range []*release.Version{&log.Current, log.Next} {
@@ -153,31 +154,34 @@
 			continue
 		}
 		if digest, seen := c.digests[version.Epoch]; seen && digest != version.Digest {
-			c.t.Fatalf("epoch %s has two digests at %.3f", version.Epoch, c.now)
+			c.t.Fatalf("at %.3f s epoch %s has digest %s, earlier %s",
+				c.now, version.Epoch, version.Digest, digest)
 		}
 		c.digests[version.Epoch] = version.Digest
 	}
 	position := fmt.Sprintf("%d/%d", log.Current.Epoch.ClusterID(), log.AppliedCount)
 	state := string(jsonCodec{}.MarshalLog(log))
 	if other, seen := c.states[position]; seen && other != state {
-		c.t.Fatalf("position %s has two states at %.3f:\n%s\n%s", position, c.now, other, state)
+		c.t.Fatalf("at %.3f s the release log at position %s differs from an earlier one:\n%s\nearlier:\n%s",
+			c.now, position, state, other)
 	}
 	c.states[position] = state
 }
 
-// run lets time pass.
+// run advances the simulated time, delivers messages and ticks the running voters.
 func (c *simulatedCluster) run(seconds float64) {
 	c.t.Helper()
 	for end := c.now + seconds; c.now < end; {
 		c.now += 0.005
 		if len(c.inFlight) > 20000 {
-			c.t.Fatalf("over 20000 messages in flight at %.3f: %s", c.now, c.describe())
+			c.t.Fatalf("%d messages in flight at %.3f s, want at most 20000: %s",
+				len(c.inFlight), c.now, c.describe())
 		}
 		c.deliverDue()
 		for _, name := range c.names {
-			if voter := c.running(name); voter != nil && voter.NextWakeup() <= c.now {
+			if voter := c.runningVoter(name); voter != nil && voter.NextWakeup() <= c.now {
 				voter.Tick(c.now)
-				c.collect(name)
+				c.takeOutput(name)
 			}
 		}
 	}
@@ -195,33 +199,34 @@
 func (c *simulatedCluster) deliver(next delivery) {
 	voter := c.voters[next.to]
 	switch {
-	case voter == nil || c.cut[next.link]:
+	case voter == nil || c.disconnected[next.link]:
 	case c.paused[next.to]:
-		if len(c.waiting[next.to]) < 500 {
-			c.waiting[next.to] = append(c.waiting[next.to], next.message)
+		if len(c.queued[next.to]) < 500 {
+			c.queued[next.to] = append(c.queued[next.to], next.message)
 		}
 	default:
 		voter.HandleMessage(c.now, &next.message)
-		c.collect(next.to)
+		c.takeOutput(next.to)
 	}
 }
 
-// resume lets a paused voter go on with what came meanwhile.
+// resume ends the pause of a voter and delivers its queued messages.
 func (c *simulatedCluster) resume(name string) {
 	c.paused[name] = false
-	for _, message := range c.waiting[name] {
+	for _, message := range c.queued[name] {
 		if voter := c.voters[name]; voter != nil {
 			voter.HandleMessage(c.now, &message)
-			c.collect(name)
+			c.takeOutput(name)
 		}
 	}
-	c.waiting[name] = nil
+	c.queued[name] = nil
 }
 
-// heal starts, resumes and connects all voters, and waits until they agree on a leader.
+// heal starts, resumes and reconnects all voters, and waits until all are in a group and exactly
+// one is the confirmed leader.
 func (c *simulatedCluster) heal() {
 	c.t.Helper()
-	clear(c.cut)
+	clear(c.disconnected)
 	c.lossRate = 0
 	for _, name := range c.names {
 		if c.voters[name] == nil {
@@ -244,7 +249,8 @@
 			return
 		}
 	}
-	c.t.Fatalf("no leader 40 s after all was healed, at %.1f: %s", c.now, c.describe())
+	c.t.Fatalf("no single leader of all voters 40 s after all faults ended, at %.1f s: %s",
+		c.now, c.describe())
 }
 
 func (c *simulatedCluster) describe() string {
@@ -262,7 +268,7 @@
 	return text.String()
 }
 
-// releaseCommand releases a text for all servers at once.
+// releaseCommand returns a command that releases a text to all servers at once.
 func releaseCommand(author, text string, expected release.Epoch) *release.Command {
 	return &release.Command{
 		Kind:          release.KindRelease,
@@ -273,24 +279,25 @@
 	}
 }
 
-// release proposes a release to one voter, based on the newest epoch it knows, until the command is
-// committed or the time is up. It returns whether it was committed, and why it was refused.
+// release proposes a release to one voter, with the newest epoch that the voter knows, and repeats
+// the proposal until the command is committed or the given time has passed. It returns whether the
+// command was committed, and the error with which the release log refused it, if any.
 func (c *simulatedCluster) release(name, text string, seconds float64) (committed bool, refusal error) {
 	c.t.Helper()
-	c.lastCommand++
+	c.lastCommandID++
 	voter := c.voters[name]
 	if voter == nil {
 		return false, nil
 	}
 	command := releaseCommand("operator "+name, text, voter.ReleaseLog().NewestEpoch())
-	command.ID = c.lastCommand
+	command.ID = c.lastCommandID
 	for end := c.now + seconds; c.now < end; c.run(0.3) {
 		if refusal, committed := c.results[command.ID]; committed {
 			return true, refusal
 		}
-		if voter := c.running(name); voter != nil {
+		if voter := c.runningVoter(name); voter != nil {
 			voter.Propose(command)
-			c.collect(name)
+			c.takeOutput(name)
 		}
 	}
 	return false, nil
--- a/internal/policy/consensus/doc.go
+++ b/internal/policy/consensus/doc.go
@@ -1,19 +1,25 @@
-// Package consensus is one voter's part in committing the commands of the fleet's release log, on
-// the raft core of etcd.
+// Package consensus implements one voter of the group that commits the commands of the fleet's
+// release log. It uses the raft core of etcd.
 //
 // A Voter has no I/O, clock or goroutines. One goroutine owns it: it passes in received messages
 // (Voter.HandleMessage) and the time (Voter.Tick), and takes out the messages to send
-// (Voter.TakeOutbox) and the results of committed commands (Voter.TakeResults). Times are seconds of
-// the owner's monotonic clock. Random numbers follow from a seed, so that a run can be replayed.
+// (Voter.TakeOutbox) and the results of committed commands (Voter.TakeResults). Times are seconds
+// of the owner's monotonic clock. Random numbers are generated from a seed, so that a run can be
+// replayed.
 //
-// The raft log is in memory only. A process that ends loses it, so it must not vote again under the
-// identity it had: every start, and every departure from a group, draws a new incarnation, which is
-// the voter's ID in raft. A group replaces an incarnation that has ended by the new one of the same
-// name. If a majority of a group's incarnations has ended, the group can never commit again; once
-// all named voters are heard and none is in a group, the first by name bootstraps a new group from
-// the newest release log that any of them knows. Cluster IDs order the groups.
+// The raft log is kept in memory only. A process that ends loses its log, so it must not vote again
+// with the same raft ID. Therefore the raft ID is the voter's incarnation, which is drawn anew at
+// every start and whenever the voter leaves a group. A group replaces an incarnation that has ended
+// by the new incarnation of the same name.
 //
-// The invariants: no incarnation is ever in two groups; of one cluster ID and raft term there is at
-// most one leader; and a release log changes only by commands that a majority of its group
-// committed, or by a bootstrap.
+// If a majority of a group's incarnations has ended, the group can never commit again. Once all
+// configured voters send heartbeats and none is in a group, the voter whose name sorts first
+// bootstraps a new group from the newest release log that any of them has. A later group has a
+// higher cluster ID.
+//
+// Invariants:
+//   - No incarnation is ever in two groups.
+//   - Each pair of cluster ID and raft term has at most one leader.
+//   - A release log changes only by commands that a majority of its group committed, or by a
+//     bootstrap.
 package consensus
--- a/internal/policy/consensus/group.go
+++ b/internal/policy/consensus/group.go
@@ -10,27 +10,28 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// group is a voter's membership in a group: its raft node and what it knows of the leader.
+// group is the state of a voter that is in a group: its raft node and the known state of the
+// leader.
 type group struct {
 	clusterID      uint32
 	joinedAt       float64
 	node           *raft.RawNode
 	storage        *raft.MemoryStorage
 	confState      *pb.ConfState
-	compactedIndex uint64 // the last index that a snapshot replaced
+	compactedIndex uint64 // index of the last entry that a snapshot replaced
 
-	leader          uint64  // incarnation, 0 if none is known
-	leaderHeardAt   float64 // when the leader was last heard, or this voter last campaigned
-	electionTimeout float64 // how long after leaderHeardAt this voter campaigns
+	leader             uint64  // incarnation of the leader, 0 if none is known
+	electionTimerStart float64 // when a message from the leader last arrived, or this voter last campaigned
+	electionTimeout    float64 // how long after electionTimerStart this voter campaigns
 
-	confirmations map[uint64]float64 // when each confirmation of leadership was requested, by its number
-	confirmedAt   float64            // the latest request that a majority confirmed
+	confirmations map[uint64]float64 // time of each pending request for confirmation, by its number
+	confirmedAt   float64            // time of the latest request that a majority confirmed
 }
 
-// joinGroup starts a raft node on the given storage as a member of a group. confState is nil if it
-// is to come with a snapshot.
+// joinGroup starts a raft node on the given storage as a member of a group. confState is nil if the
+// voter has yet to receive it with a snapshot.
 func (v *Voter) joinGroup(now float64, clusterID uint32, storage *raft.MemoryStorage, confState *pb.ConfState) {
-	first, _ := storage.FirstIndex() // never fails in memory
+	first, _ := storage.FirstIndex() // MemoryStorage never returns an error
 	compactedIndex := first - 1
 	node, err := raft.NewRawNode(&raft.Config{
 		ID:                        v.incarnation,
@@ -60,33 +61,35 @@
 	v.restartElectionTimer(now)
 }
 
-// restartElectionTimer begins another wait for a leader, with a newly drawn timeout.
+// restartElectionTimer restarts the election timer with a newly drawn timeout.
 func (v *Voter) restartElectionTimer(now float64) {
-	v.group.leaderHeardAt = now
-	v.group.electionTimeout = minElectionTimeout + electionJitter*v.random.drawFloat64()
+	v.group.electionTimerStart = now
+	v.group.electionTimeout = minElectionTimeoutSeconds + maxElectionJitterSeconds*v.random.drawFloat64()
 }
 
-// campaignIfDue stands for election if the leader was not heard for the election timeout.
+// campaignIfDue starts an election if no message from a leader arrived within the election timeout.
 func (v *Voter) campaignIfDue(now float64) {
-	if v.leads() || now <= v.group.leaderHeardAt+v.group.electionTimeout {
+	if v.isRaftLeader() || now <= v.group.electionTimerStart+v.group.electionTimeout {
 		return
 	}
 	v.restartElectionTimer(now)
-	// Refused while a membership change is to be applied: the next timeout tries again.
+	// Campaign fails while a committed membership change is not applied yet; the next timeout
+	// retries.
 	_ = v.group.node.Campaign()
 }
 
-// confirmationContextBytes is the size of a confirmation's number in raft's read requests.
+// confirmationContextBytes is the size of the number that identifies a confirmation in raft's read
+// requests.
 const confirmationContextBytes = 8
 
-// requestConfirmation asks a majority whether this voter still leads.
+// requestConfirmation requests that a majority confirm that this voter still leads.
 func (v *Voter) requestConfirmation(now float64) {
-	number := v.random.nextCount()
+	number := v.random.nextNumber()
 	v.group.confirmations[number] = now
 	v.group.node.ReadIndex(binary.BigEndian.AppendUint64(nil, number))
 }
 
-// handleConfirmation records a majority's answer. It confirms all earlier requests too.
+// handleConfirmation records a majority's confirmation, which covers all earlier requests too.
 func (g *group) handleConfirmation(readState raft.ReadState) {
 	if len(readState.RequestCtx) != confirmationContextBytes {
 		return
@@ -96,7 +99,8 @@
 	maps.DeleteFunc(g.confirmations, func(other uint64, _ float64) bool { return other <= number })
 }
 
-// setLeader records who leads by the raft core. Confirmations under another leader do not count.
+// setLeader records the leader that the raft core reports. A change of leader invalidates all
+// confirmations.
 func (g *group) setLeader(leader uint64) {
 	if leader != g.leader {
 		g.confirmedAt = 0
@@ -105,7 +109,7 @@
 	g.leader = leader
 }
 
-// processReady carries out all that the raft core has ready, in the order that it demands: store,
+// processReady handles the raft core's pending output in the order that the core requires: store,
 // send, apply, advance.
 func (v *Voter) processReady(now float64) {
 	for v.group != nil && v.group.node.HasReady() {
@@ -114,13 +118,13 @@
 			v.group.setLeader(ready.Lead)
 		}
 		if ready.HardState != nil {
-			_ = v.group.storage.SetHardState(ready.HardState) // never fails in memory
+			_ = v.group.storage.SetHardState(ready.HardState) // MemoryStorage never returns an error
 		}
 		if !raft.IsEmptySnap(ready.Snapshot) && !v.installSnapshot(ready.Snapshot) {
-			v.detach(now) // the next incarnation is sent another snapshot
+			v.detach(now) // the leader sends another snapshot to the new incarnation
 			return
 		}
-		_ = v.group.storage.Append(ready.Entries) // never fails in memory
+		_ = v.group.storage.Append(ready.Entries) // MemoryStorage never returns an error
 		for _, message := range ready.Messages {
 			v.sendRaft(message)
 		}
@@ -135,8 +139,8 @@
 	}
 }
 
-// installSnapshot replaces the release log by a snapshot, and reports whether it could be read and
-// stored.
+// installSnapshot replaces the release log by the one in a snapshot, and reports whether the
+// snapshot could be decoded and stored.
 func (v *Voter) installSnapshot(snapshot *pb.Snapshot) bool {
 	log, err := v.codec.UnmarshalLog(snapshot.GetData())
 	if err != nil || v.group.storage.ApplySnapshot(snapshot) != nil {
@@ -148,15 +152,16 @@
 	return true
 }
 
-// sendRaft sends a message of the raft core to the voter that has the receiving incarnation, if its
-// name is known.
+// sendRaft sends a message of the raft core to the voter that has the receiving incarnation. It
+// drops the message if the name of that voter is not known.
 func (v *Voter) sendRaft(message *pb.Message) {
 	name := v.releaseLog.Voters[message.GetTo()]
 	if name == "" {
 		name = v.peerName(message.GetTo())
 	}
 	if message.GetType() == pb.MsgSnap {
-		// Reported as sent right away: the raft core sends it again if it was lost.
+		// The snapshot is reported as received right away. The raft core sends it again if it was
+		// lost.
 		v.group.node.ReportSnapshot(message.GetTo(), raft.SnapshotFinish)
 	}
 	if name != "" {
@@ -169,12 +174,12 @@
 	}
 }
 
-// applyEntry carries out a committed entry. An entry that can't be read is dropped, on every copy
-// alike.
+// applyEntry applies a committed entry. An entry that can't be decoded is dropped, which happens on
+// every replica alike.
 func (v *Voter) applyEntry(entry *pb.Entry) {
 	switch entry.GetType() {
 	case pb.EntryConfChange:
-		// never proposed: all changes of members are in the second form
+		// never proposed: all membership changes use ConfChangeV2
 	case pb.EntryConfChangeV2:
 		v.applyConfChange(entry)
 	default:
@@ -202,7 +207,7 @@
 
 func (v *Voter) applyCommand(entry *pb.Entry) {
 	if len(entry.GetData()) == 0 {
-		return // the first entry of a new leader
+		return // a new leader's first entry is empty
 	}
 	command, err := v.codec.UnmarshalCommand(entry.GetData())
 	if err != nil {
@@ -214,8 +219,9 @@
 	v.results = append(v.results, CommandResult{Command: command, Err: err})
 }
 
-// compact replaces the raft log by a snapshot once it is long, and after every change of membership:
-// a new member can only start from a snapshot that has it among the voters.
+// compact replaces the raft log by a snapshot once the log has
+// compactionThresholdEntries entries, and after
+// every membership change: a new member can start only from a snapshot that lists it as a voter.
 func (v *Voter) compact(applied []*pb.Entry) {
 	if len(applied) == 0 {
 		return
@@ -224,7 +230,7 @@
 		return entry.GetType() == pb.EntryConfChangeV2
 	})
 	last := applied[len(applied)-1].GetIndex()
-	if last < v.group.compactedIndex+compactionThreshold && !membershipChanged {
+	if last < v.group.compactedIndex+compactionThresholdEntries && !membershipChanged {
 		return
 	}
 	storage := v.group.storage
--- a/internal/policy/consensus/logger.go
+++ b/internal/policy/consensus/logger.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// discardLogger is a raft.Logger that drops all messages but the fatal ones: the owner of a voter
-// logs what matters to an operator. The raft core calls Fatal and Panic in states that only a bug
-// can lead to, and expects them not to return.
+// discardLogger is a raft.Logger that drops all messages except the fatal ones. The owner of a
+// voter logs the events that matter to an operator. The raft core calls Fatal and Panic only in
+// states that result from a bug, and expects them not to return.
 type discardLogger struct{}
 
 // Debug drops the message.
--- a/internal/policy/consensus/membership.go
+++ b/internal/policy/consensus/membership.go
@@ -6,52 +6,54 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// maintainGroup compares the group with the voters that are heard. It leaves a group that this voter
-// has no place in or that can't commit any more, has the leader add a voter that restarted, and
-// bootstraps a group if this voter is in none.
+// maintainGroup updates the group membership according to the peers' heartbeats. It leaves a group
+// of which this voter is no member or which can't commit any more, adds restarted voters if this
+// voter leads, and bootstraps a group if this voter is in none.
 func (v *Voter) maintainGroup(now float64) {
 	switch {
 	case v.group == nil:
 		v.bootstrapIfReady(now)
-	case v.joinTimedOut(now), v.isReplaced(now), v.quorumIsGone(now):
+	case v.joinTimedOut(now), v.isReplaced(now), v.groupLostQuorum(now):
 		v.detach(now)
 	default:
 		v.addMembersIfDue(now)
 	}
 }
 
-// isMember reports whether the release log has this voter's incarnation among the group's voters.
+// isMember reports whether the release log lists this voter's incarnation as a voter of the group.
 func (v *Voter) isMember() bool {
 	return v.releaseLog.Voters[v.incarnation] == v.name
 }
 
-// joinTimedOut reports whether this voter is still no member of the group it joined. A new member
-// learns of its membership from the snapshot that it is sent.
+// joinTimedOut reports whether this voter is still not a member joinTimeoutSeconds after it joined
+// the group. A new member learns of its membership from the leader's snapshot.
 func (v *Voter) joinTimedOut(now float64) bool {
-	return !v.isMember() && now > v.group.joinedAt+joinTimeout
+	return !v.isMember() && now > v.group.joinedAt+joinTimeoutSeconds
 }
 
-// isReplaced reports whether any peer knows that this voter lost its place in the group.
+// isReplaced reports whether, according to any peer, another incarnation has replaced this voter in
+// the group.
 func (v *Voter) isReplaced(now float64) bool {
 	return v.isMember() && slices.ContainsFunc(v.freshPeers(now), v.isReplacedBy)
 }
 
-// quorumIsGone reports whether the group can never commit again, by what its peers say.
-func (v *Voter) quorumIsGone(now float64) bool {
-	if now <= v.group.joinedAt+deadAfter {
+// groupLostQuorum reports whether the group can never commit again according to the peers'
+// heartbeats.
+func (v *Voter) groupLostQuorum(now float64) bool {
+	if now <= v.group.joinedAt+replacementDelaySeconds {
 		return false
 	}
 	members := incarnationsByName(v.releaseLog.Voters)
-	gone := map[uint64]bool{}
+	left := map[uint64]bool{}
 	for _, peer := range v.freshPeers(now) {
 		if member, isVoter := members[peer.Name]; isVoter && v.hasLeft(member, peer) {
-			gone[member] = true
+			left[member] = true
 		}
 	}
-	return v.majorityGone(gone)
+	return v.cannotReachQuorum(left)
 }
 
-// addMembersIfDue has the leader make detached peers members.
+// addMembersIfDue proposes detached peers as members if this voter leads.
 func (v *Voter) addMembersIfDue(now float64) {
 	members := incarnationsByName(v.releaseLog.Voters)
 	for _, peer := range v.freshPeers(now) {
@@ -60,37 +62,37 @@
 	}
 }
 
-// isReplacedBy reports whether a peer of the same group, which applied more commands, knows another
-// incarnation in this voter's place.
+// isReplacedBy reports whether a peer of the same group that applied more commands lists another
+// incarnation under this voter's name.
 func (v *Voter) isReplacedBy(peer *peer) bool {
 	incarnation := peer.Voters[v.name]
 	return peer.ClusterID == v.group.clusterID && peer.AppliedCount > v.releaseLog.AppliedCount &&
 		incarnation != 0 && incarnation != v.incarnation
 }
 
-// hasLeft reports whether a member's incarnation has ended or is in another group, by the heartbeat
-// of the peer that has its name.
+// hasLeft reports whether a member's incarnation has ended or is in another group, according to the
+// latest heartbeat of the peer with the member's name.
 func (v *Voter) hasLeft(member uint64, peer *peer) bool {
 	return peer.Incarnation != member || !peer.detached() && peer.ClusterID != v.group.clusterID
 }
 
-// addMemberIfDue has the leader make a detached peer a member, for the first time or in place of its
-// name's earlier incarnation, which has ended.
+// addMemberIfDue proposes a detached peer as a member if this voter leads: either as the first
+// member of its name, or as the replacement of an incarnation that has ended.
 func (v *Voter) addMemberIfDue(now float64, peer *peer, member uint64, isVoter bool) {
-	if !peer.detached() || !v.leads() || len(v.group.confState.GetVotersOutgoing()) > 0 {
+	if !peer.detached() || !v.isRaftLeader() || len(v.group.confState.GetVotersOutgoing()) > 0 {
 		return
 	}
 	if !isVoter {
 		v.proposeMember(peer.Name, 0, peer.Incarnation)
 		return
 	}
-	if peer.Incarnation != member && now > peer.firstHeardAt+deadAfter {
+	if peer.Incarnation != member && now > peer.firstHeartbeatAt+replacementDelaySeconds {
 		v.proposeMember(peer.Name, member, peer.Incarnation)
 	}
 }
 
-// proposeMember proposes to make an incarnation a member in place of the one that its name had, 0
-// for none.
+// proposeMember proposes to add an incarnation to the group and to remove the incarnation that it
+// replaces, 0 if it replaces none.
 func (v *Voter) proposeMember(name string, replaced, incarnation uint64) {
 	confChange := &pb.ConfChangeV2{
 		Context: []byte(name),
@@ -100,23 +102,24 @@
 		removal := &pb.ConfChangeSingle{Type: pb.ConfChangeRemoveNode.Enum(), NodeId: &replaced}
 		confChange.Changes = append(confChange.Changes, removal)
 	}
-	// Refused while another change is under way: addMemberIfDue proposes it again later.
+	// Refused while another membership change is in progress. addMemberIfDue proposes it again
+	// later.
 	_ = v.group.node.ProposeConfChange(confChange)
 }
 
-// majorityGone reports whether the group never has a quorum again without the members that are gone.
-// During a change of membership a quorum needs a majority of the old voters too.
-func (v *Voter) majorityGone(gone map[uint64]bool) bool {
+// cannotReachQuorum reports whether the group can never have a quorum again without the members
+// that have left. During a membership change a quorum needs a majority of the old voters too.
+func (v *Voter) cannotReachQuorum(left map[uint64]bool) bool {
 	confState := v.group.confState
-	return v.quorumLost(confState.GetVoters(), gone) || v.quorumLost(confState.GetVotersOutgoing(), gone)
+	return v.lostMajority(confState.GetVoters(), left) || v.lostMajority(confState.GetVotersOutgoing(), left)
 }
 
-// quorumLost reports whether too few of a configuration's voters remain for a majority.
-func (v *Voter) quorumLost(incarnations []uint64, gone map[uint64]bool) bool {
+// lostMajority reports whether too few of the given voters remain for a majority.
+func (v *Voter) lostMajority(incarnations []uint64, left map[uint64]bool) bool {
 	remaining := 0
 	for _, incarnation := range incarnations {
-		// An incarnation that is no voter of the release log any more has ended as well.
-		if v.releaseLog.Voters[incarnation] != "" && !gone[incarnation] {
+		// An incarnation that the release log no longer lists as a voter has ended as well.
+		if v.releaseLog.Voters[incarnation] != "" && !left[incarnation] {
 			remaining++
 		}
 	}
--- a/internal/policy/consensus/message.go
+++ b/internal/policy/consensus/message.go
@@ -6,43 +6,47 @@
 	"swiftcourse/internal/policy/release"
 )
 
-// Heartbeat describes the state of a voter. Each voter sends it to every other one several times a
-// second, in a group or not.
+// Heartbeat describes the state of a voter. Each voter sends it to every other voter several times
+// a second, whether or not it is in a group.
 type Heartbeat struct {
 	Name string
 
-	// Incarnation is drawn at the start and whenever a group is left; it is never used again.
+	// Incarnation is drawn at the start and whenever the voter leaves a group. It is never reused.
 	Incarnation uint64
 
-	ClusterID       uint32 // of the voter's group, 0 while it is detached
-	NewestClusterID uint32 // the position of the newest release log that it knows, see release.Position
+	// ClusterID is that of the voter's group, 0 while the voter is detached.
+	ClusterID uint32
+
+	// NewestClusterID and AppliedCount are the position of the newest release log that the voter
+	// has, see release.Position.
+	NewestClusterID uint32
 	AppliedCount    uint64
 
-	// DetachedVoters has, while the voter is detached, the incarnations of the detached voters that it
-	// heard lately, and its own, by name.
+	// DetachedVoters holds, while the voter is detached, its own incarnation and those of the
+	// detached voters from which it received a recent heartbeat, by name.
 	DetachedVoters map[string]uint64
 
-	// Voters has, while the voter is in a group, the incarnations of that group's voters by name.
+	// Voters holds, while the voter is in a group, the incarnations of the group's voters by name.
 	Voters map[string]uint64
 }
 
 // Bootstrap creates a group: all its voters start from the same release log.
 type Bootstrap struct {
 	ClusterID  uint32
-	Voters     map[uint64]string // incarnation to name
+	Voters     map[uint64]string // names by incarnation
 	ReleaseLog *release.Log
 }
 
-// Message goes between two voters. One of Heartbeat, Bootstrap, RequestReleaseLog, ReleaseLog and
-// Raft is set.
+// Message is a message between two voters. Exactly one of Heartbeat, Bootstrap, RequestReleaseLog,
+// ReleaseLog and Raft is set.
 type Message struct {
-	From              uint64 // incarnation
-	To                uint64 // incarnation, 0 for any
-	ClusterID         uint32 // of the group that Raft is for
+	From              uint64 // incarnation of the sender
+	To                uint64 // incarnation of the receiver, 0 for any
+	ClusterID         uint32 // of the group in which Raft is sent
 	Heartbeat         *Heartbeat
 	Bootstrap         *Bootstrap
 	RequestReleaseLog bool         // asks the receiver for its newest release log
-	ReleaseLog        *release.Log // the reply
+	ReleaseLog        *release.Log // reply to RequestReleaseLog
 	Raft              *pb.Message
 }
 
@@ -52,14 +56,14 @@
 	Message   Message
 }
 
-// CommandResult tells how the release log took a committed command, whoever proposed it.
+// CommandResult is the result of applying a committed command of any author to the release log.
 type CommandResult struct {
 	Command *release.Command
-	Err     error // why the release log refused it, nil if it did not
+	Err     error // why the release log refused the command, nil if it was applied
 }
 
-// Codec encodes the commands and release logs that raft replicates as bytes. The Unmarshal methods
-// return an error for anything out of bounds.
+// Codec encodes commands and release logs to the bytes that raft replicates, and decodes them. The
+// Unmarshal methods return an error for data that is malformed or exceeds a limit.
 type Codec interface {
 	MarshalCommand(*release.Command) []byte
 	UnmarshalCommand([]byte) (*release.Command, error)
--- a/internal/policy/consensus/peers.go
+++ b/internal/policy/consensus/peers.go
@@ -2,22 +2,23 @@
 
 import "slices"
 
-// peer is another voter as its heartbeats show it.
+// peer is the state of another voter according to its heartbeats.
 type peer struct {
-	Heartbeat            // the latest
-	heardAt      float64 // when it came
-	firstHeardAt float64 // when the first one of its incarnation came
+	Heartbeat                // latest one received
+	lastHeartbeatAt  float64 // when the latest heartbeat was received
+	firstHeartbeatAt float64 // when the first heartbeat of the incarnation was received
 }
 
-// fresh reports whether the peer was heard lately; a nil peer was not.
+// fresh reports whether a heartbeat of the peer was received within heartbeatTTLSeconds. It returns
+// false for a nil peer.
 func (p *peer) fresh(now float64) bool {
-	return p != nil && now <= p.heardAt+heartbeatTTL
+	return p != nil && now <= p.lastHeartbeatAt+heartbeatTTLSeconds
 }
 
 // detached reports whether the peer is in no group.
 func (p *peer) detached() bool { return p.ClusterID == 0 }
 
-// freshPeers returns the peers that were heard lately, in the order of their names.
+// freshPeers returns the peers with a heartbeat within heartbeatTTLSeconds, ordered by name.
 func (v *Voter) freshPeers(now float64) []*peer {
 	var peers []*peer
 	for _, name := range v.voterNames {
@@ -49,43 +50,43 @@
 	}
 }
 
-// detachedVoters returns the incarnations of the detached voters that were heard lately, and of
-// this one, by name.
+// detachedVoters returns, by name, the incarnations of this voter and of the detached peers with a
+// heartbeat within heartbeatTTLSeconds.
 func (v *Voter) detachedVoters(now float64) map[string]uint64 {
 	incarnations := map[string]uint64{v.name: v.incarnation}
 	for name, peer := range v.peers {
-		if peer.detached() && now < peer.heardAt+heartbeatTTL {
+		if peer.detached() && now < peer.lastHeartbeatAt+heartbeatTTLSeconds {
 			incarnations[name] = peer.Incarnation
 		}
 	}
 	return incarnations
 }
 
-// handleHeartbeat records a peer's heartbeat, unless another incarnation of its name that is in a
-// group is still heard.
+// handleHeartbeat records a peer's heartbeat. It ignores the heartbeat if another incarnation of
+// the same name is in a group and sent a heartbeat within replacementDelaySeconds.
 func (v *Voter) handleHeartbeat(now float64, heartbeat *Heartbeat) {
 	if heartbeat.Name == v.name || !slices.Contains(v.voterNames, heartbeat.Name) {
-		// Not a voter by the configuration, or a second process of this voter's name, which gets no
-		// lease.
+		// The sender is not a configured voter, or it is a second process with this voter's name,
+		// which gets no lease.
 		return
 	}
 	known := v.peers[heartbeat.Name]
 	switch {
 	case known == nil:
-		known = &peer{firstHeardAt: now}
+		known = &peer{firstHeartbeatAt: now}
 		v.peers[heartbeat.Name] = known
 	case known.Incarnation == heartbeat.Incarnation:
-		// the same process
-	case now < known.heardAt+deadAfter && !known.detached():
+		// no change of incarnation
+	case now < known.lastHeartbeatAt+replacementDelaySeconds && !known.detached():
 		return
 	default:
-		known.firstHeardAt = now
+		known.firstHeartbeatAt = now
 	}
 	known.Heartbeat = *heartbeat
-	known.heardAt = now
+	known.lastHeartbeatAt = now
 }
 
-// peerName returns the name of the peer that has an incarnation, "" if it was not heard.
+// peerName returns the name of the peer with the given incarnation, "" if no peer has it.
 func (v *Voter) peerName(incarnation uint64) string {
 	for name, peer := range v.peers {
 		if peer.Incarnation == incarnation {
@@ -95,7 +96,7 @@
 	return ""
 }
 
-// incarnationsByName inverts a group's voters.
+// incarnationsByName inverts a map from incarnation to name.
 func incarnationsByName(voters map[uint64]string) map[string]uint64 {
 	incarnations := make(map[string]uint64, len(voters))
 	for incarnation, name := range voters {
--- a/internal/policy/consensus/timing.go
+++ b/internal/policy/consensus/timing.go
@@ -1,45 +1,52 @@
 package consensus
 
-// Intervals and timeouts of a voter, in seconds unless said otherwise.
+// Intervals, timeouts and limits of a voter.
 const (
-	// tickInterval is the time between two ticks of the raft core.
-	tickInterval = 0.05
-	// raftHeartbeatTicks is how many ticks there are between a leader's heartbeats in raft: 0.1 s, a
-	// tenth of minElectionTimeout, so that nine in a row have to be lost.
+	// tickIntervalSeconds is the time between two ticks of the raft core.
+	tickIntervalSeconds = 0.05
+	// raftHeartbeatTicks is the number of ticks between a leader's raft heartbeats. They take 0.1
+	// s, a tenth of minElectionTimeoutSeconds, so nine heartbeats in a row have to be lost before
+	// an election.
 	raftHeartbeatTicks = 2
-	// heartbeatInterval is the time between the voters' own heartbeats.
-	heartbeatInterval = 0.2
+	// heartbeatIntervalSeconds is the time between two Heartbeat messages of a voter.
+	heartbeatIntervalSeconds = 0.2
 
-	// minElectionTimeout is how long a leader is silent before anybody campaigns: ten times the
-	// longest pauses measured of a busy process.
-	minElectionTimeout = 1.0
-	// electionJitter bounds the random addition to it, so that two voters seldom campaign at once.
-	electionJitter = 1.0
+	// minElectionTimeoutSeconds is the least time without a message from the leader before a voter
+	// campaigns. It is ten times the longest pause of a busy process.
+	minElectionTimeoutSeconds = 1.0
+	// maxElectionJitterSeconds bounds the random addition to minElectionTimeoutSeconds, which makes
+	// it unlikely that two voters campaign at the same time.
+	maxElectionJitterSeconds = 1.0
 
-	// heartbeatTTL is how long a heartbeat counts; some of those that follow may be lost.
-	heartbeatTTL = 1.5
-	// deadAfter is how long an incarnation is silent before another one of its name may take its
-	// place, so that a second process of the same name can't displace the first. A voter that
-	// restarts waits as long.
-	deadAfter = 2.0
-	// joinTimeout is how long a voter that received a message of a group waits for the snapshot that
-	// makes it a member: three times what the group's leader waits.
-	joinTimeout = 3 * deadAfter
-	// bootstrapDelay is how long a detached voter listens before it bootstraps a group: longer than
-	// heartbeatTTL, so that it hears of any group there is, and over a second, so that two
-	// bootstraps never have the same cluster ID, see nextClusterID.
-	bootstrapDelay = 2.0
-	// confirmInterval is how often a leader has a majority confirm that it still leads.
-	confirmInterval = 0.25
-	// maxConfirmations bounds the confirmations that are requested but not answered.
+	// heartbeatTTLSeconds is how long a peer counts as alive after a heartbeat. It covers several
+	// heartbeat intervals, as some heartbeats may be lost.
+	heartbeatTTLSeconds = 1.5
+	// replacementDelaySeconds is the time without a heartbeat after which another incarnation of
+	// the same name may replace an incarnation. A second process with the same name therefore can't
+	// displace one that still runs. A restarted voter waits this long before it becomes a member
+	// again.
+	replacementDelaySeconds = 2.0
+	// joinTimeoutSeconds is how long a voter that received a raft message of a group waits for the
+	// snapshot that makes it a member. It is three times as long as the group's leader waits before
+	// it adds the voter.
+	joinTimeoutSeconds = 3 * replacementDelaySeconds
+	// bootstrapDelaySeconds is how long a voter is detached before it bootstraps a group. It is
+	// longer than heartbeatTTLSeconds, so that the voter learns of any existing group, and longer
+	// than a second, so that two bootstraps never get the same cluster ID, see nextClusterID.
+	bootstrapDelaySeconds = 2.0
+	// confirmIntervalSeconds is the time between two requests of a leader that a majority confirm
+	// its leadership.
+	confirmIntervalSeconds = 0.25
+	// maxConfirmations bounds the number of requested confirmations without an answer.
 	maxConfirmations = 64
 
-	// compactionThreshold is how many entries the raft log has before a snapshot replaces them: at
-	// most 64 texts of 64 KiB, 4 MB.
-	compactionThreshold = 64
+	// compactionThresholdEntries is the number of entries after which a snapshot replaces the raft
+	// log. With the largest texts, of 64 KiB, the log then takes 4 MB.
+	compactionThresholdEntries = 64
 
-	// clusterIDEpoch is 2026-01-01 in Unix seconds: cluster IDs are at least the seconds since.
-	clusterIDEpoch = 1767225600
+	// clusterIDEpochUnixSeconds is 2026-01-01 in Unix seconds. The cluster ID of a bootstrap is at
+	// least the number of seconds since then.
+	clusterIDEpochUnixSeconds = 1767225600
 )
 
 // Limits of the raft core's buffers.
@@ -47,7 +54,7 @@
 	maxRaftMessageBytes     = 1 << 20
 	maxRaftInflightMessages = 16
 	maxUncommittedBytes     = 8 << 20
-	// noRaftElectionTicks keeps the raft core from elections of its own: this package times them,
-	// see Voter.campaignIfDue.
+	// noRaftElectionTicks is an election timeout that never expires. It disables the raft core's
+	// own election timer, which Voter.campaignIfDue replaces.
 	noRaftElectionTicks = 1 << 30
 )
--- a/internal/policy/consensus/voter.go
+++ b/internal/policy/consensus/voter.go
@@ -10,28 +10,28 @@
 	"swiftcourse/internal/policy/release"
 )
 
-// ErrNotLeader is returned where only the leader of a group can do what is asked.
+// ErrNotLeader is returned for an operation that only the leader of a group can perform.
 var ErrNotLeader = errors.New("this voter does not lead its group")
 
 // Config identifies a voter and its dependencies.
 type Config struct {
-	Name   string   // of this voter
-	Voters []string // names of all voters
-	Seed   int64    // of its random numbers
+	Name   string   // name of this voter
+	Voters []string // names of all voters, including this one
+	Seed   int64    // seed of the voter's random numbers
 	Codec  Codec
 }
 
-// Voter is one of the named voters. It is not safe for concurrent use.
+// Voter is one of the configured voters. It is not safe for concurrent use.
 type Voter struct {
 	name        string
-	voterNames  []string // all of them, sorted
+	voterNames  []string // all configured voters, sorted
 	codec       Codec
 	random      random
 	clockOffset float64 // Unix seconds minus the owner's clock
 
 	incarnation      uint64
-	releaseLog       *release.Log // the newest that is known; replaced, never modified
-	highestClusterID uint32       // the highest on which anybody acts, see ObserveClusterID
+	releaseLog       *release.Log // newest known release log; replaced, never modified
+	highestClusterID uint32       // highest cluster ID seen on any server, see ObserveClusterID
 	peers            map[string]*peer
 	detachedAt       float64
 	group            *group // nil while detached
@@ -44,8 +44,7 @@
 	results []CommandResult
 }
 
-// NewVoter returns a voter that has just started, detached. unixNow is the time in Unix seconds at
-// now.
+// NewVoter returns a detached voter that starts at now. unixNow is the same time in Unix seconds.
 func NewVoter(config Config, now, unixNow float64) *Voter {
 	names := slices.Clone(config.Voters)
 	slices.Sort(names)
@@ -62,36 +61,38 @@
 	return v
 }
 
-// detach leaves the group, if any, and draws a new incarnation. The old one ends: it never votes
-// again, so none of its votes is ever contradicted.
+// detach leaves the group, if any, and draws a new incarnation. The old incarnation never votes
+// again, so no later vote contradicts its votes, although they are not stored.
 func (v *Voter) detach(now float64) {
 	v.incarnation = v.random.drawIncarnation()
 	v.group = nil
 	v.detachedAt = now
 }
 
-// Incarnation returns the voter's present identity.
+// Incarnation returns the voter's present incarnation.
 func (v *Voter) Incarnation() uint64 { return v.incarnation }
 
 // Joined reports whether the voter is in a group.
 func (v *Voter) Joined() bool { return v.group != nil }
 
-// ReleaseLog returns the newest release log that the voter knows. The caller must not change it;
-// the voter itself never does.
+// ReleaseLog returns the newest release log that the voter knows. Neither the caller nor the voter
+// may change it.
 func (v *Voter) ReleaseLog() *release.Log { return v.releaseLog }
 
-// IsLeader reports whether a majority confirmed that this voter led at some moment after since.
+// IsLeader reports whether this voter leads and a majority confirmed that it led at some time after
+// since.
 func (v *Voter) IsLeader(since float64) bool {
-	return v.leads() && v.group.confirmedAt > since
+	return v.isRaftLeader() && v.group.confirmedAt > since
 }
 
-// leads reports whether this voter is the leader by its own raft node, confirmed or not.
-func (v *Voter) leads() bool {
+// isRaftLeader reports whether this voter is the leader according to its own raft node, with or
+// without a confirmation by a majority.
+func (v *Voter) isRaftLeader() bool {
 	return v.group != nil && v.group.leader == v.incarnation
 }
 
-// Term returns the cluster ID of the current version and the raft term, zeros while detached. Each
-// pair has at most one leader.
+// Term returns the cluster ID of the current version and the raft term, both 0 while the voter is
+// detached. Each such pair has at most one leader.
 func (v *Voter) Term() (clusterID uint32, term uint64) {
 	if v.group == nil {
 		return 0, 0
@@ -99,7 +100,7 @@
 	return v.releaseLog.Current.Epoch.ClusterID(), v.group.node.BasicStatus().GetTerm()
 }
 
-// Leader returns the leader's name, "" if it is not known.
+// Leader returns the name of the group's leader, "" if it is not known.
 func (v *Voter) Leader() string {
 	if v.group == nil {
 		return ""
@@ -107,32 +108,33 @@
 	return v.releaseLog.Voters[v.group.leader]
 }
 
-// ObserveReleaseLog gives a detached voter a release log that another server knows: a group is
-// bootstrapped from the newest.
+// ObserveReleaseLog passes in a release log from another server. A detached voter keeps it if it is
+// newer than its own, as a bootstrap starts from the newest known log. A voter in a group ignores
+// it.
 func (v *Voter) ObserveReleaseLog(log *release.Log) {
 	if v.group == nil && log.NewerThan(v.releaseLog) {
 		v.releaseLog = log.Clone()
 	}
 }
 
-// ObserveClusterID tells the voter that some server acts on a version of that cluster ID. The next
-// group gets a higher one.
+// ObserveClusterID tells the voter that a server runs a version with the given cluster ID. The next
+// bootstrapped group gets a higher cluster ID.
 func (v *Voter) ObserveClusterID(clusterID uint32) {
 	v.highestClusterID = max(v.highestClusterID, clusterID)
 }
 
-// Propose proposes a command to the group. The proposal may be lost, so the caller repeats it with
-// the same ID until TakeResults returns it.
+// Propose proposes a command to the group. The proposal may be lost, so the caller has to repeat it
+// with the same ID until TakeResults returns the command.
 func (v *Voter) Propose(command *release.Command) {
 	if v.group == nil || v.group.leader == 0 {
 		return
 	}
-	// Refused during an election: the caller repeats it.
+	// Refused during an election; the caller repeats the proposal.
 	_ = v.group.node.Propose(v.codec.MarshalCommand(command))
 }
 
-// ProposeAsLeader appends a command of the leader's own to the raft log. It returns ErrNotLeader,
-// and proposes nothing, at any other voter.
+// ProposeAsLeader appends a command to the raft log if this voter is the leader. Otherwise it
+// proposes nothing and returns ErrNotLeader.
 func (v *Voter) ProposeAsLeader(command *release.Command) error {
 	if v.group == nil || v.group.node.BasicStatus().RaftState != raft.StateLeader {
 		return ErrNotLeader
@@ -140,7 +142,7 @@
 	return v.group.node.Propose(v.codec.MarshalCommand(command))
 }
 
-// TakeOutbox returns the messages to send, and empties the outbox.
+// TakeOutbox returns the messages to send and empties the outbox.
 func (v *Voter) TakeOutbox() []Envelope {
 	outbox := v.outbox
 	v.outbox = nil
@@ -161,29 +163,30 @@
 // NextWakeup returns when Tick is due.
 func (v *Voter) NextWakeup() float64 { return min(v.nextTick, v.nextHeartbeat) }
 
-// Tick does everything that is due at now: heartbeats, elections, confirmations of leadership.
+// Tick performs all actions that are due at now: heartbeats, group maintenance, elections and
+// confirmations of leadership.
 func (v *Voter) Tick(now float64) {
 	if now >= v.nextHeartbeat {
-		v.nextHeartbeat = now + heartbeatInterval
+		v.nextHeartbeat = now + heartbeatIntervalSeconds
 		v.sendHeartbeats(now)
 		v.maintainGroup(now)
 	}
 	if now >= v.nextTick {
-		v.nextTick = now + tickInterval
+		v.nextTick = now + tickIntervalSeconds
 		if v.group != nil {
 			v.group.node.Tick()
 			v.campaignIfDue(now)
 		}
 	}
-	if v.leads() && now >= v.nextConfirmation && len(v.group.confirmations) < maxConfirmations {
-		v.nextConfirmation = now + confirmInterval
+	if v.isRaftLeader() && now >= v.nextConfirmation && len(v.group.confirmations) < maxConfirmations {
+		v.nextConfirmation = now + confirmIntervalSeconds
 		v.requestConfirmation(now)
 	}
 	v.processReady(now)
 }
 
-// HandleMessage processes a message from another voter. A message for another incarnation is
-// dropped: that incarnation has ended.
+// HandleMessage processes a message from another voter. It drops a message for another incarnation,
+// which has ended.
 func (v *Voter) HandleMessage(now float64, message *Message) {
 	if message.To != 0 && message.To != v.incarnation {
 		return
@@ -208,7 +211,7 @@
 }
 
 // handleRaftMessage passes a message of the group to the raft core. A detached voter that receives
-// one was made a member: it starts with an empty log and is sent a snapshot.
+// such a message has been added to the group: it joins with an empty log and waits for a snapshot.
 func (v *Voter) handleRaftMessage(now float64, message *Message) {
 	if v.group == nil && message.ClusterID != 0 {
 		v.joinGroup(now, message.ClusterID, raft.NewMemoryStorage(), nil)
@@ -218,18 +221,18 @@
 	}
 	switch message.Raft.GetType() {
 	case pb.MsgPreVote:
-		if v.hearsLeader(now) {
-			// Ignored, or a voter that hears no other would force elections again and again.
+		if v.hasRecentLeaderContact(now) {
+			// Otherwise a voter that receives no messages would force one election after another.
 			return
 		}
 	case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap:
-		v.group.leaderHeardAt = now
+		v.group.electionTimerStart = now
 	}
-	_ = v.group.node.Step(message.Raft) // the raft core drops what it can't use
+	_ = v.group.node.Step(message.Raft) // the raft core drops messages that it can't use
 }
 
-// hearsLeader reports whether this voter leads, or heard its leader within the least election
-// timeout.
-func (v *Voter) hearsLeader(now float64) bool {
-	return v.leads() || v.group.leader != 0 && now < v.group.leaderHeardAt+minElectionTimeout
+// hasRecentLeaderContact reports whether this voter leads, or received a message from its leader
+// within minElectionTimeoutSeconds.
+func (v *Voter) hasRecentLeaderContact(now float64) bool {
+	return v.isRaftLeader() || v.group.leader != 0 && now < v.group.electionTimerStart+minElectionTimeoutSeconds
 }
