--- a/internal/policy/release/apply.go
+++ b/internal/policy/release/apply.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Apply carries out one committed command. A refused command changes nothing but AppliedCount, and
-// returns one of the package's errors, the same on every copy.
+// Apply applies one committed command. If it refuses the command, it changes only AppliedCount and
+// returns one of the package's errors, which is the same on every replica.
 func (l *Log) Apply(command *Command) error {
 	l.AppliedCount++
 	if !command.withinBounds() {
@@ -19,7 +19,7 @@
 		return err
 	}
 	if command.ID != 0 {
-		l.rememberCommand(command)
+		l.recordCommandID(command)
 	}
 	return nil
 }
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// applyToVersions carries out a command that changes epochs, provided that its author knew the
-// newest one.
+// applyToVersions applies a command that changes epochs. It refuses the command if its author did
+// not know the newest epoch.
 func (l *Log) applyToVersions(command *Command) error {
 	if command.ExpectedEpoch != l.NewestEpoch() {
 		return ErrStaleEpoch
@@ -60,10 +60,10 @@
 	}
 }
 
-// rememberCommand keeps the command's ID, by which Apply recognises a repetition. Once there are too
-// many authors, the first by name is forgotten: which one hardly matters, as a repetition follows
-// within seconds, but every copy has to choose the same.
-func (l *Log) rememberCommand(command *Command) {
+// recordCommandID stores the command's ID, by which Apply detects a repetition. With more than
+// maxAuthors authors, the ID of the author whose name sorts first is dropped. Any choice would do,
+// as commands are repeated within seconds, but every replica has to make the same choice.
+func (l *Log) recordCommandID(command *Command) {
 	if _, known := l.LastCommandIDs[command.Author]; !known && len(l.LastCommandIDs) >= maxAuthors {
 		delete(l.LastCommandIDs, slices.Min(slices.Collect(maps.Keys(l.LastCommandIDs))))
 	}
--- a/internal/policy/release/command_test.go
+++ b/internal/policy/release/command_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestKind_String: operators find commands in the log by these names.
+// Operators search the log events by these names, so they must not change.
 func TestKind_String(t *testing.T) {
 	names := []string{
 		"release",
@@ -18,7 +18,7 @@
 	}
 	for number, want := range names {
 		if got := Kind(number).String(); got != want {
-			t.Errorf("kind %d is %q, not %q", number, got, want)
+			t.Errorf("kind %d: got %q, want %q", number, got, want)
 		}
 	}
 }
--- a/internal/policy/release/counters.go
+++ b/internal/policy/release/counters.go
@@ -11,11 +11,10 @@
 type CounterRow struct {
 	ID       uint64                `json:"Row"`
 	Sequence uint64                `json:"Number"`
-	Cells    []serving.CounterCell // none in Log.ClosedRows
+	Cells    []serving.CounterCell // nil in Log.ClosedRows
 }
 
-// ClosedRow returns the sequence number under which a counter row was added to the totals, and
-// whether it was.
+// ClosedRow reports whether a counter row was added to the totals, and with which sequence number.
 func (l *Log) ClosedRow(id uint64) (sequence uint64, closed bool) {
 	for i := len(l.ClosedRows) - 1; i >= 0; i-- {
 		if l.ClosedRows[i].ID == id {
@@ -31,14 +30,14 @@
 	}
 }
 
-// closeRow adds a counter row to the totals, once.
+// closeRow adds a counter row to the totals unless a row with the same ID was added before.
 func (l *Log) closeRow(row CounterRow) {
 	if _, closed := l.ClosedRow(row.ID); closed {
 		return
 	}
 	if len(l.ClosedRows) >= maxClosedRows {
-		// A row that is forgotten could be added a second time. Thousands were closed after this one,
-		// so the server that reported it is taken to be gone for good.
+		// A row whose ID is dropped could be added a second time. This does not happen in practice:
+		// maxClosedRows rows were closed later, so the server that reported the row no longer runs.
 		l.ClosedRows = slices.Delete(l.ClosedRows, 0, 1)
 	}
 	l.ClosedRows = append(l.ClosedRows, CounterRow{ID: row.ID, Sequence: row.Sequence})
@@ -47,8 +46,8 @@
 	}
 }
 
-// addToTotals adds one cell to the total of its key. Once there are too many totals, a cell with a
-// new key is added to the total of the zero key.
+// addToTotals adds one cell to the total of its key. Once there are maxCounterCells totals, a cell
+// with a new key is added to the total of the zero key.
 func (l *Log) addToTotals(cell serving.CounterCell) {
 	key := cell.CounterKey
 	index, known := l.findTotal(key)
@@ -62,7 +61,8 @@
 	l.ClosedTotals[index].RequestCounts = l.ClosedTotals[index].Add(cell.RequestCounts)
 }
 
-// findTotal returns the index of a key's total, or the one at which it is to be inserted.
+// findTotal returns the index of a key's total if there is one, otherwise the index at which to
+// insert it.
 func (l *Log) findTotal(key serving.CounterKey) (index int, known bool) {
 	compare := func(total serving.CounterCell, key serving.CounterKey) int {
 		return total.Compare(key)
--- a/internal/policy/release/epoch.go
+++ b/internal/policy/release/epoch.go
@@ -6,18 +6,18 @@
 	"strings"
 )
 
-// Epoch numbers a version of the settings: the cluster ID in the upper half, a count that starts at
-// 1 with that cluster's bootstrap in the lower. A higher epoch is newer. Its text form is the two
-// numbers with a dot between, such as 3.17.
+// Epoch is the number of a version of the settings. The upper 32 bits are the cluster ID, the lower
+// 32 bits a count that starts at 1 with the bootstrap of that cluster. A higher epoch is newer. The
+// text form is the two numbers separated by a dot, such as 3.17.
 type Epoch uint64
 
-// NewEpoch returns the epoch with that cluster ID and count.
+// NewEpoch returns the epoch with the given cluster ID and count.
 func NewEpoch(clusterID, count uint32) Epoch {
 	return Epoch(clusterID)<<32 | Epoch(count)
 }
 
-// ClusterID returns the identity of the voter group that gave out the epoch. A group that is
-// bootstrapped later has a higher one.
+// ClusterID returns the ID of the voter group that assigned the epoch. A group that is bootstrapped
+// later has a higher ID.
 func (e Epoch) ClusterID() uint32 {
 	return uint32(e >> 32)
 }
--- a/internal/policy/release/harm.go
+++ b/internal/policy/release/harm.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// ErrorTally counts the requests that ended at a group of servers since a release began.
+// ErrorTally counts the requests that one or more servers completed under one version.
 type ErrorTally struct {
-	Completed float64 // requests that ended in any way
-	Failed    float64 // of these, the rejected and the abandoned ones
+	Completed float64 // requests that ended, with any outcome
+	Failed    float64 // requests among them that were rejected or abandoned
 }
 
 // Add returns the sum of two tallies.
@@ -14,32 +14,34 @@
 }
 
 const (
-	// minSampleSize is the number of requests on each side from which the normal distribution is a
-	// fair approximation: by the usual rule of ten failures and ten successes, for a rate of 10%.
+	// minSampleSize is the least number of requests in each sample. At a failure rate of 10% it
+	// gives the ten failures and ten successes that the normal approximation usually requires.
 	minSampleSize = 100
-	// minRateIncrease is the least increase of the failure rate that is worth a halt: a smaller one
-	// would halt a release when its servers happen to have the harder requests.
+	// minRateIncrease is the least increase of the failure rate that can halt a rollout. A lower
+	// limit would halt releases whose servers merely receive requests that fail more often.
 	minRateIncrease = 0.02
 )
 
-// HarmConfidence returns the confidence, from 0 to 1, that servers on a version fail more often than
-// those not on it, by a one-sided test of two proportions. It returns 0 if there are too few
-// requests or the difference is not worth a halt. The test can't tell a bad release from one whose
-// first servers get harder requests than the rest. Waves are drawn by server name to make that
-// unlikely, but a wave of one server stays exposed to it.
-func HarmConfidence(on, off ErrorTally) float64 {
-	if on.Completed < minSampleSize || off.Completed < minSampleSize {
+// HarmConfidence returns the confidence, from 0 to 1, that requests fail more often on servers with
+// the next version than on servers with the current one, by a one-sided test of two proportions. It
+// returns 0 if a sample is smaller than minSampleSize or the increase is below minRateIncrease.
+//
+// The test can't distinguish a bad release from a release whose first servers receive requests that
+// fail more often anyway. Waves are selected by a hash of the server name to make that unlikely,
+// but it can still happen with a wave of one server.
+func HarmConfidence(next, current ErrorTally) float64 {
+	if next.Completed < minSampleSize || current.Completed < minSampleSize {
 		return 0
 	}
-	onRate := on.Failed / on.Completed
-	offRate := off.Failed / off.Completed
-	if onRate-offRate < minRateIncrease {
+	nextRate := next.Failed / next.Completed
+	currentRate := current.Failed / current.Completed
+	if nextRate-currentRate < minRateIncrease {
 		return 0
 	}
-	pooledRate := (on.Failed + off.Failed) / (on.Completed + off.Completed)
-	standardError := math.Sqrt(pooledRate * (1 - pooledRate) * (1/on.Completed + 1/off.Completed))
+	pooledRate := (next.Failed + current.Failed) / (next.Completed + current.Completed)
+	standardError := math.Sqrt(pooledRate * (1 - pooledRate) * (1/next.Completed + 1/current.Completed))
 	if standardError == 0 {
 		return 0
 	}
-	return math.Erfc(-(onRate-offRate)/standardError/math.Sqrt2) / 2
+	return math.Erfc(-(nextRate-currentRate)/standardError/math.Sqrt2) / 2
 }
--- a/internal/policy/release/harm_test.go
+++ b/internal/policy/release/harm_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestHarmConfidence_TellsHarmFromNoise(t *testing.T) {
+func TestHarmConfidence_DetectsHigherFailureRate(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	draw := func(requests int, failureRate float64) (tally ErrorTally) {
 		for range requests {
@@ -26,22 +26,23 @@
 		}
 	}
 	if falseAlarms > 3 || detected < 1990 {
-		t.Errorf("of 2000 each, %d good releases and %d bad ones were found harmful", falseAlarms, detected)
+		t.Errorf("of 2000 each, %d harmless and %d harmful releases were detected, want <= 3 and >= 1990",
+			falseAlarms, detected)
 	}
 }
 
 func TestHarmConfidence_TooFewRequests(t *testing.T) {
-	on := ErrorTally{Completed: 99, Failed: 99}
-	off := ErrorTally{Completed: 1000}
-	if confidence := HarmConfidence(on, off); confidence != 0 {
-		t.Errorf("99 requests are enough to be %g sure", confidence)
+	next := ErrorTally{Completed: 99, Failed: 99}
+	current := ErrorTally{Completed: 1000}
+	if confidence := HarmConfidence(next, current); confidence != 0 {
+		t.Errorf("confidence %g with 99 requests, want 0", confidence)
 	}
 }
 
-func TestHarmConfidence_TooSmallADifference(t *testing.T) {
-	on := ErrorTally{Completed: 1e6, Failed: 1.1e5}
-	off := ErrorTally{Completed: 1e6, Failed: 1e5}
-	if confidence := HarmConfidence(on, off); confidence != 0 {
-		t.Errorf("one in a hundred more is %g sure to be worth a halt", confidence)
+func TestHarmConfidence_IncreaseBelowMinimum(t *testing.T) {
+	next := ErrorTally{Completed: 1e6, Failed: 1.1e5}
+	current := ErrorTally{Completed: 1e6, Failed: 1e5}
+	if confidence := HarmConfidence(next, current); confidence != 0 {
+		t.Errorf("confidence %g with an increase of the failure rate from 10%% to 11%%, want 0", confidence)
 	}
 }
--- a/internal/policy/release/json_test.go
+++ b/internal/policy/release/json_test.go
@@ -7,7 +7,8 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// The control API shows logs and takes commands under the keys below, whatever the fields are called.
+// The control API encodes logs and decodes commands with the keys below. They must not change; some
+// differ from the names of the Go fields.
 
 const (
 	versionJSON = `{"Epoch":1,"Digest":"d","Author":"a","At":2,"Text":"t","Build":"b"}`
@@ -26,7 +27,7 @@
 	t.Helper()
 	got, err := json.Marshal(value)
 	if err != nil || string(got) != want {
-		t.Errorf("%v\n%s\nwant\n%s", err, got, want)
+		t.Errorf("got error %v and\n%s\nwant\n%s", err, got, want)
 	}
 }
 
--- a/internal/policy/release/log.go
+++ b/internal/policy/release/log.go
@@ -7,43 +7,43 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// Texts that BootstrapLog and Apply write into the log. They are replicated state: voters of
-// different builds have to write the same ones.
+// Texts that BootstrapLog and Apply write into the log. They are replicated state, so voters of
+// different builds have to write the same texts.
 const (
 	bootstrapAuthor   = "founding"
 	rebootstrapAuthor = "the voters founded their group anew"
 
 	outcomeLostGroup    = "lost with the voters that knew of it"
 	outcomeBumped       = "lifted over what a lost group released"
-	outcomeRolledBack   = "rolled back: " // and the reason
-	outcomeFollowedBy   = "followed by "  // and the epoch
-	outcomeReissuedWith = "again as "     // and the epoch
+	outcomeRolledBack   = "rolled back: " // followed by the reason
+	outcomeFollowedBy   = "followed by "  // followed by the epoch
+	outcomeReissuedWith = "again as "     // followed by the epoch
 )
 
-// Log is the state that results from the committed commands; it does not keep the commands
-// themselves. Copies that applied the same commands are equal.
+// Log is the state that results from the committed commands. It does not keep the commands
+// themselves. Replicas that applied the same commands are equal.
 type Log struct {
-	AppliedCount uint64   `json:"Count"` // commands applied, refused ones too, over all bootstraps
-	Current      Version  `json:"Base"`  // in force for all servers that the rollout did not reach
-	Previous     *Version `json:"Prior"` // in force before Current, for rolling back; nil if none is kept
+	AppliedCount uint64   `json:"Count"` // commands applied or refused, over all bootstraps
+	Current      Version  `json:"Base"`  // version of all servers that the rollout has not reached
+	Previous     *Version `json:"Prior"` // version before Current, for a rollback; nil if none is kept
 
-	Next      *Version  // being rolled out in waves, nil if none is
-	Waves     []float64 // of Next: rising shares of the fleet
-	WaveIndex int       `json:"Wave"` // the wave that Next has reached
-	WaveLimit uint32    `json:"Upto"` // servers whose rollout position is at most this act on Next
+	Next      *Version  // version being rolled out in waves, nil if no rollout is in progress
+	Waves     []float64 // waves of Next as increasing fractions of the fleet
+	WaveIndex int       `json:"Wave"` // index in Waves of the current wave
+	WaveLimit uint32    `json:"Upto"` // greatest rollout position of the servers that run Next
 
-	History        []HistoryEntry        `json:"Past"`  // the latest versions that are no longer in force, oldest first
-	Members        map[string]uint64     `json:"Holds"` // registered servers: name to incarnation
+	History        []HistoryEntry        `json:"Past"`  // latest versions no longer in force, oldest first
+	Members        map[string]uint64     `json:"Holds"` // registered servers: incarnation by name
 	Ejected        map[string]Ejection   `json:"Out"`   // ejected servers by name
-	LastCommandIDs map[string]uint64     `json:"Done"`  // the latest command of each author, see Command.ID
-	Voters         map[uint64]string     `json:"Seats"` // the voter group: incarnation to name
-	ClosedRows     []CounterRow          `json:"Over"`  // the latest closed counter rows, without cells, oldest first
-	ClosedTotals   []serving.CounterCell `json:"Sums"`  // totals of all closed rows, ordered by cell
+	LastCommandIDs map[string]uint64     `json:"Done"`  // latest command ID by author, see Command.ID
+	Voters         map[uint64]string     `json:"Seats"` // voter group: name by incarnation
+	ClosedRows     []CounterRow          `json:"Over"`  // latest closed rows, without cells, oldest first
+	ClosedTotals   []serving.CounterCell `json:"Sums"`  // totals of all closed rows, ordered by key
 }
 
-// BootstrapLog returns the first log of a newly bootstrapped voter group, made from the newest log
-// that any of its voters knows (the zero Log if none has one). An unfinished rollout ends; the
-// current text is in force for all servers again, under a new epoch.
+// BootstrapLog returns the first log of a newly bootstrapped voter group. known is the newest log
+// that any of its voters has, the zero Log if none has one. A rollout in progress ends, and the
+// current text is in force for all servers under a new epoch.
 func BootstrapLog(known *Log, clusterID uint32, voters map[uint64]string) *Log {
 	log := known.Clone()
 	log.Voters = maps.Clone(voters)
@@ -53,9 +53,9 @@
 	}
 	log.reissueCurrent(outcomeLostGroup, rebootstrapAuthor)
 	log.Current.Epoch = NewEpoch(clusterID, 1)
-	// The lost group may have readmitted an ejected incarnation later than the known log tells, and
-	// its server may act. The new group decides anew whether to eject it. An operator's ejection of
-	// every incarnation stays.
+	// The lost group may have readmitted an ejected incarnation after the state of the known log,
+	// so the incarnation may hold a lease. The new group decides again whether to eject it. An
+	// operator's ejection, which applies to every incarnation of a name, stays.
 	maps.DeleteFunc(log.Ejected, func(_ string, ejection Ejection) bool { return ejection.Incarnation != 0 })
 	log.AppliedCount++
 	return log
@@ -93,7 +93,8 @@
 	return maps.Clone(source)
 }
 
-// NewestEpoch returns the epoch of the newest version: the one being rolled out, or the current one.
+// NewestEpoch returns the epoch of the version being rolled out, or of the current version if no
+// rollout is in progress.
 func (l *Log) NewestEpoch() Epoch {
 	if l.Next != nil {
 		return l.Next.Epoch
@@ -101,19 +102,20 @@
 	return l.Current.Epoch
 }
 
-// Position orders the states that logs have been in, over all bootstraps.
+// Position orders the states of the log over time, including over bootstraps.
 type Position struct {
-	ClusterID    uint32 // of the current version
+	ClusterID    uint32 // cluster ID of the current version
 	AppliedCount uint64
 }
 
-// Position returns the position that the log has reached.
+// Position returns the log's present position.
 func (l *Log) Position() Position {
 	return Position{ClusterID: l.Current.Epoch.ClusterID(), AppliedCount: l.AppliedCount}
 }
 
-// After reports whether a log at the position is newer than one at the other: it is of a later
-// bootstrap or epoch bump, or applied more commands.
+// After reports whether a log at position p is newer than a log at the other position. A log with a
+// higher cluster ID, from a later bootstrap or epoch bump, is newer; with the same cluster ID, the
+// log that applied more commands is newer.
 func (p Position) After(other Position) bool {
 	if p.ClusterID != other.ClusterID {
 		return p.ClusterID > other.ClusterID
@@ -121,13 +123,13 @@
 	return p.AppliedCount > other.AppliedCount
 }
 
-// NewerThan reports whether the log is at a later position than another one.
+// NewerThan reports whether the log's position is after that of the other log.
 func (l *Log) NewerThan(other *Log) bool {
 	return l.Position().After(other.Position())
 }
 
-// VersionFor returns the version on which the named server has to act. Its epoch never decreases
-// from one command to the next.
+// VersionFor returns the version that the named server has to run. No command decreases the epoch
+// of a server's version.
 func (l *Log) VersionFor(name string) *Version {
 	if l.Next != nil && rolloutPosition(name, l.Next.Epoch) <= l.WaveLimit {
 		return l.Next
@@ -135,8 +137,8 @@
 	return &l.Current
 }
 
-// FindVersion returns the version with the epoch if it is current or being rolled out, otherwise
-// nil.
+// FindVersion returns the version with the given epoch if it is the current one or the one being
+// rolled out, otherwise nil.
 func (l *Log) FindVersion(epoch Epoch) *Version {
 	switch {
 	case l.Next != nil && l.Next.Epoch == epoch:
--- a/internal/policy/release/members.go
+++ b/internal/policy/release/members.go
@@ -1,16 +1,17 @@
 package release
 
-// Ejection says why a server is ejected.
+// Ejection describes the ejection of a server.
 type Ejection struct {
-	Incarnation uint64  `json:"Life"` // 0 if every incarnation of that name is ejected
+	Incarnation uint64  `json:"Life"` // 0 if every incarnation of the name is ejected
 	Author      string  `json:"By"`
 	Reason      string  `json:"Why"`
-	Epoch       Epoch   `json:"On"` // the newest at that time
+	Epoch       Epoch   `json:"On"` // newest epoch at the time of the ejection
 	EjectedAt   float64 `json:"At"` // Unix seconds by the author's clock
 }
 
-// register gives a name to an incarnation if the name is free, or belongs to that incarnation or to
-// the one in command.Previous.
+// register registers a name for an incarnation if the name is not registered, or is registered for
+// that incarnation or for command.Previous. It ends the ejection of another incarnation of the
+// name.
 func (l *Log) register(command *Command) error {
 	owner, registered := l.Members[command.Name]
 	switch {
@@ -24,7 +25,7 @@
 	l.Members[command.Name] = command.Incarnation
 	ejection, ejected := l.Ejected[command.Name]
 	if ejected && ejection.Incarnation != 0 && ejection.Incarnation != command.Incarnation {
-		delete(l.Ejected, command.Name) // another incarnation was ejected
+		delete(l.Ejected, command.Name)
 	}
 	return nil
 }
@@ -34,7 +35,7 @@
 		return ErrTooManyNames
 	}
 	if command.Incarnation != 0 && l.Members[command.Name] != command.Incarnation {
-		return ErrUnknownName // the name belongs to another incarnation by now
+		return ErrUnknownName // another incarnation has registered the name, or it was unregistered
 	}
 	l.Ejected[command.Name] = Ejection{
 		Incarnation: command.Incarnation,
@@ -54,8 +55,8 @@
 	return nil
 }
 
-// unregister removes a name, and with it an ejection of one incarnation. An ejection of every
-// incarnation stays.
+// unregister removes a name and the ejection of its incarnation. An ejection of every incarnation
+// stays.
 func (l *Log) unregister(command *Command) error {
 	owner, registered := l.Members[command.Name]
 	if !registered || command.Incarnation != 0 && owner != command.Incarnation {
--- a/internal/policy/release/rollout.go
+++ b/internal/policy/release/rollout.go
@@ -6,27 +6,28 @@
 	"slices"
 )
 
-// RolloutPolicy says how a rollout advances and halts without an operator.
+// RolloutPolicy sets when a rollout advances or is rolled back without an operator.
 type RolloutPolicy struct {
-	// WaveSeconds is the least duration of a wave, from when all its servers act on the release.
+	// WaveSeconds is the time for which enough servers of a wave have to run the release before the
+	// next wave begins.
 	WaveSeconds float64
 
-	// HaltConfidence is the HarmConfidence, from 0 to 1, above which a rollout is halted. Above 1,
-	// nothing halts a rollout.
+	// HaltConfidence is the HarmConfidence, from 0 to 1, above which a release is rolled back. With
+	// 1 or more, no release is rolled back automatically.
 	HaltConfidence float64
 }
 
-// rolloutPosition returns a server's position in the rollout of an epoch: a hash, so that the order
-// of the servers differs from one rollout to the next. Those with low positions are in the first
-// waves.
+// rolloutPosition returns a server's position in the rollout of an epoch. Servers with low
+// positions are in the first waves. The position is a hash of epoch and name, so that the order of
+// the servers differs between rollouts.
 func rolloutPosition(name string, epoch Epoch) uint32 {
 	return crc32.ChecksumIEEE([]byte(epoch.String() + " " + name))
 }
 
-// waveLimit returns the highest rollout position in a wave of the given share of the registered
-// servers, rounded up to at least one server. A larger share never has a lower limit.
-func (l *Log) waveLimit(epoch Epoch, share float64) uint32 {
-	if share >= 1 {
+// waveLimit returns the greatest rollout position in a wave of the given fraction of the registered
+// servers, rounded up and at least one server. The limit never decreases with a larger fraction.
+func (l *Log) waveLimit(epoch Epoch, fraction float64) uint32 {
+	if fraction >= 1 {
 		return math.MaxUint32
 	}
 	positions := make([]uint32, 0, len(l.Members))
@@ -34,14 +35,15 @@
 		positions = append(positions, rolloutPosition(name, epoch))
 	}
 	if len(positions) == 0 {
-		return uint32(share * math.MaxUint32)
+		return uint32(fraction * math.MaxUint32)
 	}
 	slices.Sort(positions)
-	waveSize := int(math.Ceil(share * float64(len(positions))))
+	waveSize := int(math.Ceil(fraction * float64(len(positions))))
 	return positions[min(len(positions), max(1, waveSize))-1]
 }
 
-// release starts the rollout of a new version, or puts it in force at once if there are no waves.
+// release starts the rollout of a new version. Without waves it puts the version in force for all
+// servers at once.
 func (l *Log) release(command *Command) error {
 	switch {
 	case l.Next != nil:
@@ -68,7 +70,7 @@
 	return nil
 }
 
-// advanceRollout rolls the next version out to the next wave, and after the last wave puts it in
+// advanceRollout moves the rollout to its next wave. After the last wave it puts the version in
 // force for all servers.
 func (l *Log) advanceRollout() error {
 	if l.Next == nil {
@@ -76,8 +78,8 @@
 	}
 	l.WaveIndex++
 	if l.WaveIndex < len(l.Waves) {
-		// Servers that registered meanwhile may lower the limit of a share. It is kept, because no
-		// server's version goes back.
+		// Servers that registered during the rollout may lower the limit for a fraction. The log
+		// keeps the higher limit, because the epoch of a server's version never decreases.
 		l.WaveLimit = max(l.WaveLimit, l.waveLimit(l.Next.Epoch, l.Waves[l.WaveIndex]))
 		return nil
 	}
@@ -86,8 +88,9 @@
 	return nil
 }
 
-// rollBack returns to the text that was in force before, under a new, higher epoch: epochs never
-// decrease. During a rollout that is the current version; otherwise it is the previous one.
+// rollBack returns to an earlier text: during a rollout to the text of the current version,
+// otherwise to that of the previous version. The text gets a new, higher epoch, as epochs never
+// decrease.
 func (l *Log) rollBack(command *Command) error {
 	outcome := outcomeRolledBack + command.Reason
 	if l.Next == nil {
@@ -98,8 +101,8 @@
 	return nil
 }
 
-// restorePrevious puts the previous version in force again under a new epoch. The current one ends
-// with the given outcome.
+// restorePrevious puts the previous version in force again under a new epoch. The history records
+// the given outcome for the current version.
 func (l *Log) restorePrevious(command *Command, outcome string) error {
 	if l.Previous == nil {
 		return ErrNoRollout
@@ -113,10 +116,10 @@
 	return nil
 }
 
-// bumpEpoch moves the current version to a higher cluster ID. It is for a server that was cut off
-// while all voters lost their state, and that acts on a version of a lost group with a higher
-// cluster ID than the present group has. Since no server's epoch decreases, that server would never
-// take a version of the present group otherwise.
+// bumpEpoch reissues the current version with a higher cluster ID. It is needed if a server was
+// isolated while all voters lost their state, and runs a version of the lost group with a higher
+// cluster ID than the present group has. As a server's epoch never decreases, that server would
+// otherwise never run a version of the present group.
 func (l *Log) bumpEpoch(command *Command) error {
 	if command.Previous <= uint64(l.Current.Epoch.ClusterID()) || command.Previous > math.MaxUint32 {
 		return ErrOutOfBounds
@@ -127,7 +130,7 @@
 	return nil
 }
 
-// promote puts a version in force for all servers.
+// promote puts a version in force for all servers. The current version becomes the previous one.
 func (l *Log) promote(next Version) {
 	l.appendHistory(&l.Current, outcomeFollowedBy+next.Epoch.String())
 	previous := l.Current
@@ -135,8 +138,8 @@
 	l.Current = next
 }
 
-// reissueCurrent puts the current version in force for all servers under the next epoch. A rollout
-// in progress ends with the given outcome.
+// reissueCurrent puts the current version in force for all servers under the next epoch. It ends a
+// rollout in progress and records the given outcome for it in the history.
 func (l *Log) reissueCurrent(rolloutOutcome, author string) {
 	epoch := l.NewestEpoch() + 1
 	if l.Next != nil {
@@ -155,8 +158,8 @@
 	l.WaveLimit = 0
 }
 
-// appendHistory records a version that is no longer in force, in place of the oldest entry once the
-// history is full. The zero epoch is of no version.
+// appendHistory records a version that is no longer in force. If the history is full, it drops the
+// oldest entry. It ignores the zero epoch, which belongs to no version.
 func (l *Log) appendHistory(version *Version, outcome string) {
 	if version.Epoch == 0 {
 		return
