--- a/internal/policy/serving/allowance.go
+++ b/internal/policy/serving/allowance.go
@@ -4,27 +4,27 @@
 type Allowance struct {
 	// Name identifies the quota.
 	Name string
-	// FleetMax is the limit of all servers together.
+	// FleetMax is the limit for all servers together.
 	FleetMax float64
 	// Tenant is the index of the tenant whose request rate is limited, or negative if the quota
 	// limits concurrent downstream calls instead.
 	Tenant int
-	// Guaranteed may be used at all times.
+	// Guaranteed is the part that the server may use at all times.
 	Guaranteed float64
-	// LeasedShare may be used beyond Guaranteed until LeaseExpiry.
+	// LeasedShare is the part that the server may use in addition to Guaranteed until LeaseExpiry.
 	LeasedShare float64
-	// LeaseExpiry is when LeasedShare ends, in seconds of the server loop's clock.
+	// LeaseExpiry is the time at which LeasedShare expires, in seconds of the server loop's clock.
 	LeaseExpiry float64
-	// BurstSeconds is for how many seconds an unused rate accumulates.
+	// BurstSeconds is the time, in seconds, over which an unused rate accumulates.
 	BurstSeconds float64
 	// Capped reports whether Cap bounds the sum of Guaranteed and LeasedShare.
 	Capped bool
 	Cap    float64
-	// ProbeNumber, when not 0, marks Cap as the capacity for one probe call: at most one call is
+	// ProbeNumber, if not 0, means that Cap allows a single probe call. At most one probe call is
 	// made for each number.
 	ProbeNumber int64
-	// GrantNumber identifies the grant behind this allowance. The server loop returns it in its usage
-	// reports.
+	// GrantNumber identifies the grant from which this allowance results. The server loop includes
+	// it in its usage reports.
 	GrantNumber uint64
 }
 
--- a/internal/policy/serving/claim.go
+++ b/internal/policy/serving/claim.go
@@ -7,12 +7,12 @@
 	// ClaimGranted means that a majority of the replicas granted the key: the request may run here
 	// and nowhere else.
 	ClaimGranted ClaimVerdict = iota
-	// ClaimCached means that the request ran before and its result is available.
+	// ClaimCached means that the request has already run and its result is available.
 	ClaimCached
-	// ClaimOutcomeUnknown means that the request ran or may have run, without a known result: it
-	// must not run again within its window.
+	// ClaimOutcomeUnknown means that the request has run or may have run, and its result is not
+	// known. It must not run again within the window of its idempotency key.
 	ClaimOutcomeUnknown
-	// ClaimNoQuorum means that too few replicas answered in time: the request did not run.
+	// ClaimNoQuorum means that too few replicas answered in time. The request did not run.
 	ClaimNoQuorum
 )
 
--- a/internal/policy/serving/counter.go
+++ b/internal/policy/serving/counter.go
@@ -2,8 +2,8 @@
 
 import "cmp"
 
-// CounterKey identifies a counter cell: one tenant's requests of one class. The zero CounterKey
-// identifies the overflow cell, which counts the requests that have no cell of their own.
+// CounterKey identifies a counter cell, which counts one tenant's requests of one class. The zero
+// CounterKey identifies the overflow cell, which counts all requests without a cell of their own.
 type CounterKey struct {
 	Tenant string
 	Class  string `json:"Stage"`
@@ -14,7 +14,7 @@
 	return cmp.Or(cmp.Compare(k.Tenant, other.Tenant), cmp.Compare(k.Class, other.Class))
 }
 
-// RequestCounts counts received requests and how they ended.
+// RequestCounts holds the number of received requests and the number for each outcome.
 type RequestCounts struct {
 	Received  uint64 `json:"Asked"`
 	Finished  uint64
@@ -32,7 +32,7 @@
 	}
 }
 
-// Sub returns the difference of both counts. The receiver must cover other (see Covers), else
+// Sub returns the difference of both counts. The receiver must cover other (see Covers); otherwise
 // the result wraps around.
 func (c RequestCounts) Sub(other RequestCounts) RequestCounts {
 	return RequestCounts{
@@ -51,7 +51,7 @@
 		c.Abandoned >= other.Abandoned
 }
 
-// CounterCell is the counts of one key.
+// CounterCell holds the counts of one key.
 type CounterCell struct {
 	CounterKey
 	RequestCounts
--- a/internal/policy/serving/mode.go
+++ b/internal/policy/serving/mode.go
@@ -4,33 +4,33 @@
 type Mode uint8
 
 const (
-	// ModeNormal applies the settings of the active configuration version.
+	// ModeNormal uses the settings of the active configuration version.
 	ModeNormal Mode = iota
-	// ModeSafeDefaults applies the settings that are compiled in.
+	// ModeSafeDefaults uses the settings that are compiled into the program.
 	ModeSafeDefaults
-	// ModeOutOfService finishes the requests that have started, rejects new ones, and withdraws the
-	// server from the endpoint list.
+	// ModeOutOfService finishes the requests that have started, rejects new requests, and withdraws
+	// the server from the endpoint list.
 	ModeOutOfService
 )
 
 var modeNames = [...]string{"normal", "safe_defaults", "out_of_service"}
 
-// String returns the mode in snake case, as the log shows it.
+// String returns the mode in snake case, as in log events.
 func (m Mode) String() string { return EnumName(modeNames[:], "mode", uint8(m)) }
 
-// Directive sets the mode in which the server loop handles requests. The loop evaluates it by its own clock,
-// also after the node agent that published it has stopped.
+// Directive is the serving directive: it sets the mode in which the server loop handles requests.
+// The loop evaluates it by its own clock, even after the node agent that published it has stopped.
 type Directive struct {
-	// Epoch is the number of the configuration version that is active on the server.
+	// Epoch is the number of the configuration version that the server runs.
 	Epoch uint64
-	// ChangesAt is when NextMode replaces Mode, in seconds of the server loop's clock; +Inf for
-	// never.
+	// ChangesAt is the time at which NextMode replaces Mode, in seconds of the server loop's clock,
+	// or +Inf.
 	ChangesAt float64
 	Mode      Mode
 	NextMode  Mode
 	// Reason explains the mode to operators.
 	Reason string
-	// Stats is where the server loop counts its work under this version.
+	// Stats receives the server loop's counts for this version.
 	Stats *VersionStats
 }
 
--- a/internal/policy/serving/serving_test.go
+++ b/internal/policy/serving/serving_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestCounterCell_JSONKeys: the control API's keys are older than the fields' names and stay.
+// The keys of the control API must not change; they differ from the names of the Go fields.
 func TestCounterCell_JSONKeys(t *testing.T) {
 	cell := CounterCell{
 		CounterKey:    CounterKey{Tenant: "acme", Class: "ping"},
@@ -15,7 +15,7 @@
 	const want = `{"Tenant":"acme","Stage":"ping","Asked":10,"Finished":5,"Rejected":3,"Abandoned":2}`
 	got, err := json.Marshal(cell)
 	if err != nil || string(got) != want {
-		t.Errorf("%s, %v; want %s", got, err, want)
+		t.Errorf("got %s, error %v; want %s", got, err, want)
 	}
 }
 
@@ -27,7 +27,7 @@
 		3:                "mode 3",
 	} {
 		if got := mode.String(); got != want {
-			t.Errorf("%q, want %q", got, want)
+			t.Errorf("mode %d: got %q, want %q", uint8(mode), got, want)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 		math.Inf(1): ModeOutOfService,
 	} {
 		if got := directive.ModeAt(at); got != want {
-			t.Errorf("at %g: %s, want %s", at, got, want)
+			t.Errorf("mode at %g: got %s, want %s", at, got, want)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 		{"below the cap", capped, 10, 2},
 	} {
 		if got := test.allowance.LimitAt(test.at); got != test.want {
-			t.Errorf("%s: %g, want %g", test.name, got, test.want)
+			t.Errorf("%s: limit %g, want %g", test.name, got, test.want)
 		}
 	}
 }
--- a/internal/policy/serving/stats.go
+++ b/internal/policy/serving/stats.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// VersionStats counts the server loop's work under one configuration version. The server loop writes
-// it while the node agent reads it.
+// VersionStats counts the server loop's decision batches and requests under one configuration
+// version. The server loop updates it while the node agent reads it.
 type VersionStats struct {
 	Batches   atomic.Uint64
 	Requests  atomic.Uint64
@@ -12,12 +12,12 @@
 	Failed atomic.Uint64
 }
 
-// CallStats is the outcome of the server loop's downstream calls since its last report.
+// CallStats summarizes the server loop's downstream calls since its last report.
 type CallStats struct {
 	Succeeded int
 	Failed    int
-	// TotalSeconds is the summed duration of the calls that succeeded.
+	// TotalSeconds is the total duration of the calls that succeeded.
 	TotalSeconds float64
-	// InFlight is the number of calls that were open when the report was made.
+	// InFlight is the number of calls in progress at the time of the report.
 	InFlight int
 }
