--- a/internal/policy/audit/account.go
+++ b/internal/policy/audit/account.go
@@ -7,29 +7,29 @@
 	"swiftcourse/internal/policy/release"
 )
 
-// Interval is a period in which a server acted on one version.
+// Interval is a period in which a server ran one version.
 type Interval struct {
 	Index    uint64        `json:"N"` // number of earlier intervals of the same incarnation
-	Epoch    release.Epoch // 0 for the server's own file, before it was assigned a version
+	Epoch    release.Epoch // 0 while the server runs its own settings file, with no version assigned
 	Digest   string
 	From     float64 // Unix seconds
-	To       float64 // Unix seconds; of the latest interval, when it was last known to last
-	Batches  uint64  // decision batches under the version
-	Requests uint64  `json:"Tasks"` // requests read in these batches
+	To       float64 // Unix seconds; for the latest interval, the time of its last update
+	Batches  uint64  // decision batches in the interval
+	Requests uint64  `json:"Tasks"` // requests in these batches
 	Reason   string  `json:"Why"`   // why the interval began
 }
 
-// Account is what one incarnation of a server reports of itself.
+// Account is the report of one incarnation of a server on the versions that it ran.
 type Account struct {
 	Name             string
 	Incarnation      uint64  `json:"Life"`
 	Started          float64 // Unix seconds
-	LastSeen         float64 `json:"Seen"`    // Unix seconds up to which it reports
-	DroppedIntervals uint64  `json:"Dropped"` // older intervals that are not kept
+	LastSeen         float64 `json:"Seen"`    // end of the reported time, in Unix seconds
+	DroppedIntervals uint64  `json:"Dropped"` // number of older intervals that are not included
 	Intervals        []Interval
 }
 
-// latest returns a copy of the account with at most count intervals, the latest ones.
+// latest returns a copy of the account with only the latest intervals, at most count.
 func (a Account) latest(count int) Account {
 	if excess := len(a.Intervals) - count; excess > 0 {
 		a.DroppedIntervals += uint64(excess)
@@ -39,14 +39,14 @@
 	return a
 }
 
-// isOrdered reports whether the intervals are in the order in which they happened.
+// isOrdered reports whether the intervals are ordered by Index.
 func (a Account) isOrdered() bool {
 	return slices.IsSortedFunc(a.Intervals, func(x, y Interval) int { return cmp.Compare(x.Index, y.Index) })
 }
 
-// mergeAccounts combines two reports of one incarnation: every interval that one of them has, as it
-// was reported last. The result does not depend on the order of the reports, nor on how often one
-// of them is merged.
+// mergeAccounts combines two reports of one incarnation. The result has every interval that is in
+// either report, in its latest reported state. It depends neither on the order of the reports nor
+// on how often a report is merged.
 func mergeAccounts(a, b Account) Account {
 	older, newer := a, b
 	if newer.LastSeen < older.LastSeen {
@@ -65,8 +65,8 @@
 	return merged.latest(maxIntervals)
 }
 
-// mergeIntervals merges two ordered lists. Of an interval that both have, the one that ends later
-// is kept, and the newer report's if they end at the same time.
+// mergeIntervals merges two ordered lists. If both lists have an interval, it keeps the one that
+// ends later, or the one from the newer report if both end at the same time.
 func mergeIntervals(older, newer []Interval) []Interval {
 	var merged []Interval
 	for len(older) > 0 && len(newer) > 0 {
@@ -78,11 +78,11 @@
 			merged = append(merged, newer[0])
 			newer = newer[1:]
 		default:
-			longest := newer[0]
-			if older[0].To > longest.To {
-				longest = older[0]
+			latest := newer[0]
+			if older[0].To > latest.To {
+				latest = older[0]
 			}
-			merged = append(merged, longest)
+			merged = append(merged, latest)
 			older = older[1:]
 			newer = newer[1:]
 		}
--- a/internal/policy/audit/digest.go
+++ b/internal/policy/audit/digest.go
@@ -8,11 +8,11 @@
 	"swiftcourse/internal/policy/release"
 )
 
-// logSource is the name under which the release log's own digests are listed.
+// logSource is the source of the digests that the release log itself contains.
 const logSource = "the release log"
 
-// digestTable holds, for each epoch, the digests that were reported and who reported them. An epoch
-// must have only one digest.
+// digestTable holds the sources that reported each digest of each epoch. An epoch must have only
+// one digest.
 type digestTable map[release.Epoch]map[string][]string
 
 func (d digestTable) add(epoch release.Epoch, digest, source string) {
@@ -25,7 +25,8 @@
 	d[epoch][digest] = append(d[epoch][digest], source)
 }
 
-// addLog adds the versions that a release log has in full, and those in its history.
+// addLog adds the digests of a release log's current, next and previous versions and of its
+// history.
 func (d digestTable) addLog(log *release.Log) {
 	for _, version := range []*release.Version{&log.Current, log.Next, log.Previous} {
 		if version != nil {
@@ -43,7 +44,7 @@
 	}
 }
 
-// conflicts returns an alarm for each epoch with more than one digest, in the order of epochs.
+// conflicts returns an alarm for each epoch with more than one digest, ordered by epoch.
 func (d digestTable) conflicts() []string {
 	var alarms []string
 	for _, epoch := range slices.Sorted(maps.Keys(d)) {
--- a/internal/policy/audit/doc.go
+++ b/internal/policy/audit/doc.go
@@ -1,10 +1,10 @@
-// Package audit records which configuration version each server acted on, and reports it.
+// Package audit records which configuration version each server ran, and reports it.
 //
-// A Trail holds the account of its own server and what it received of others. NewReport compares
-// the accounts of a fleet with the release log and the lease table. Where there is no evidence the
-// report has a Gap: nothing is filled in.
+// A Trail holds the account of its own server and the accounts that it received of other servers.
+// NewReport compares the accounts of a fleet with the release log and the lease table. For a period
+// without an account the report has a Gap; it makes no assumption about that period.
 //
-// The package has no I/O and no clock. A Trail belongs to the goroutine of the node agent; reports
-// are values that anybody may keep. Times are Unix seconds by the clock of the server that reports
-// them, so between servers only the order of epochs tells what came first.
+// The package has no I/O and no clock. A Trail belongs to the goroutine of the node agent. Reports
+// share no state with a Trail. Times are Unix seconds by the clock of the server that reports them,
+// so events on different servers can only be ordered by their epochs.
 package audit
--- a/internal/policy/audit/report.go
+++ b/internal/policy/audit/report.go
@@ -10,11 +10,11 @@
 	"swiftcourse/internal/policy/release"
 )
 
-// maxReportAgeSeconds is how old the latest report of a server may be before the server counts as
-// silent: the time of a few lease requests.
+// maxReportAgeSeconds is the age of a server's latest lease request above which the report lists
+// the server as unreachable. Several lease requests are due in that time.
 const maxReportAgeSeconds = 10
 
-// The reasons of gaps and of lagging servers, as operators read them.
+// Reasons in the report for gaps and lagging servers.
 const (
 	reasonNoAccount   = "nobody who answered has its account"
 	reasonSilent      = "nothing was heard of it after this"
@@ -24,46 +24,46 @@
 	ejectedPrefix     = "ejected: "
 )
 
-// Gap is a period for which there is no evidence.
+// Gap is a period for which no account of a server exists.
 type Gap struct {
 	Name        string
-	Incarnation uint64  `json:"Life"` // 0 where no incarnation is known
+	Incarnation uint64  `json:"Life"` // 0 if unknown
 	From        float64 // Unix seconds; 0 for the start of the server
-	To          float64 // Unix seconds; 0 where no end is known
+	To          float64 // Unix seconds; 0 if no end is known
 	Reason      string  `json:"Why"`
 }
 
-// LaggingServer is a server that does not act on its assigned version.
+// LaggingServer is a server that does not run its assigned version, or may not run it.
 type LaggingServer struct {
 	Name          string
 	Incarnation   uint64        `json:"Life"`
 	ActiveEpoch   release.Epoch `json:"On"`
 	AssignedEpoch release.Epoch `json:"Right"`
-	LagSeconds    float64       `json:"For"` // as the leader saw it
+	LagSeconds    float64       `json:"For"` // by the leader's clock
 	Reason        string        `json:"Why"`
-	SilentSeconds float64       `json:"Absent"` // time without a report, where that is the reason
+	SilentSeconds float64       `json:"Absent"` // time since the latest lease request, if Reason is its age
 }
 
 // Report is the result of an audit.
 type Report struct {
 	NewestEpoch release.Epoch   `json:"Newest"`
-	Accounts    []Account       // by name, then by start
+	Accounts    []Account       // ordered by name, then by start
 	Lagging     []LaggingServer `json:"Behind"`
 	Gaps        []Gap           `json:"Holes"`
-	Alarms      []string        // violations of an invariant, such as two digests of one epoch
+	Alarms      []string        // violated invariants, such as two digests for one epoch
 }
 
-// Evidence is what an audit compares.
+// Evidence is the input of NewReport.
 type Evidence struct {
 	Log      *release.Log
-	Servers  []lease.ServerStatus // from the lease table of the leader
+	Servers  []lease.ServerStatus // from the leader's lease table
 	Accounts []Account
-	// Responding holds the incarnations that reported themselves just now.
+	// Responding holds the incarnations that answered the request for their account.
 	Responding map[uint64]bool
 }
 
-// NewReport compares the accounts with the release log and the lease table. Intervals under
-// versions of epochs before since are left out.
+// NewReport compares the accounts with the release log and the lease table. The report omits
+// intervals with an epoch before since.
 func NewReport(evidence Evidence, since release.Epoch) Report {
 	report := Report{NewestEpoch: evidence.Log.NewestEpoch()}
 	trail := NewTrail("", 0, 0)
@@ -74,7 +74,7 @@
 	digests.addLog(evidence.Log)
 	for _, name := range slices.Sorted(maps.Keys(trail.others)) {
 		incarnations := trail.others[name]
-		slices.SortFunc(incarnations, byStart)
+		slices.SortFunc(incarnations, compareByStart)
 		for _, a := range incarnations {
 			digests.addAccount(a)
 		}
@@ -94,8 +94,8 @@
 	return report
 }
 
-// addIncarnations adds the accounts of one server, which are in the order of their start, and their
-// gaps.
+// addIncarnations adds the accounts of one server and their gaps. The accounts must be ordered by
+// start.
 func (r *Report) addIncarnations(accounts []Account, responding map[uint64]bool, since release.Epoch) {
 	for index, a := range accounts {
 		r.addDroppedGap(a)
@@ -106,8 +106,8 @@
 	}
 }
 
-// byStart orders the incarnations of a server.
-func byStart(a, b Account) int {
+// compareByStart orders the accounts of a server by start.
+func compareByStart(a, b Account) int {
 	return cmp.Or(cmp.Compare(a.Started, b.Started), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
@@ -115,7 +115,7 @@
 	return slices.ContainsFunc(accounts, func(a Account) bool { return a.Incarnation == incarnation })
 }
 
-// addDroppedGap adds the time of the intervals that an account does not have any more.
+// addDroppedGap adds a gap for the intervals that were dropped from an account.
 func (r *Report) addDroppedGap(a Account) {
 	if a.DroppedIntervals == 0 {
 		return
@@ -133,8 +133,8 @@
 	})
 }
 
-// addSilentGap adds the time after the last report of an incarnation, up to the start of the first
-// later one.
+// addSilentGap adds a gap from the last report of an incarnation to the start of the next
+// incarnation, or without an end if there is no later one.
 func (r *Report) addSilentGap(a Account, later []Account) {
 	gap := Gap{
 		Name:        a.Name,
@@ -148,14 +148,14 @@
 	r.Gaps = append(r.Gaps, gap)
 }
 
-// addAccount adds an account without its intervals of epochs before since.
+// addAccount adds an account without its intervals with an epoch before since.
 func (r *Report) addAccount(a Account, since release.Epoch) {
 	isBefore := func(interval Interval) bool { return interval.Epoch < since }
 	a.Intervals = slices.DeleteFunc(a.Intervals, isBefore)
 	r.Accounts = append(r.Accounts, a)
 }
 
-// addIfLagging adds a server that does not act on its assigned version, or is not known to.
+// addIfLagging adds a server that does not run its assigned version, or is not known to run it.
 func (r *Report) addIfLagging(server lease.ServerStatus) {
 	lagging := LaggingServer{
 		Name:          server.Name,
--- a/internal/policy/audit/report_test.go
+++ b/internal/policy/audit/report_test.go
@@ -53,7 +53,7 @@
 	}, 0)
 
 	if len(report.Alarms) != 0 || len(report.Accounts) != 3 || report.Accounts[0].Incarnation != 9 {
-		t.Errorf("%+v", report)
+		t.Errorf("report %+v, want no alarms and 3 accounts, the first of incarnation 9", report)
 	}
 	want := []Gap{
 		{Name: "n1", Incarnation: 9, From: 60, To: 100, Reason: "nothing was heard of it after this"},
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestNewReport_TwoDigestsOfAnEpochAreAnAlarm(t *testing.T) {
+func TestNewReport_AlarmOnTwoDigestsForOneEpoch(t *testing.T) {
 	log := testLog(t)
 	interval := Interval{Epoch: log.Current.Epoch, Digest: log.Current.Digest, From: 1, To: 2}
 	conflicting := interval
@@ -83,22 +83,22 @@
 		Accounts: []Account{testAccount("n1", 1, 0, interval), testAccount("n2", 2, 0, conflicting)},
 	}, 0)
 	if len(report.Alarms) != 1 || !strings.Contains(report.Alarms[0], log.Current.Epoch.String()) {
-		t.Errorf("alarms %v", report.Alarms)
+		t.Errorf("alarms %q, want one that names epoch %s", report.Alarms, log.Current.Epoch)
 	}
 }
 
-func TestNewReport_LeavesOutIntervalsBeforeSince(t *testing.T) {
+func TestNewReport_OmitsIntervalsBeforeSince(t *testing.T) {
 	log := testLog(t)
 	interval := Interval{Epoch: log.Current.Epoch, Digest: log.Current.Digest, From: 1, To: 2}
 	evidence := Evidence{Log: log, Accounts: []Account{testAccount("n1", 1, 0, interval)}}
 	report := NewReport(evidence, log.Current.Epoch+1)
 	if len(report.Accounts[0].Intervals) != 0 {
-		t.Errorf("an earlier interval is still there: %+v", report.Accounts[0])
+		t.Errorf("account %+v, want no intervals", report.Accounts[0])
 	}
 }
 
-// The control API's readers find the fields under the keys that they had before the Go names changed.
-func TestReport_KeepsItsJSONKeys(t *testing.T) {
+// The keys of the control API must not change; they differ from the names of the Go fields.
+func TestReport_JSONKeys(t *testing.T) {
 	report := Report{
 		Accounts: []Account{{Intervals: []Interval{{}}}},
 		Lagging:  []LaggingServer{{}},
@@ -114,6 +114,6 @@
 		`"Behind":[{"Name":"","Life":0,"On":0,"Right":0,"For":0,"Why":"","Absent":0}],` +
 		`"Holes":[{"Name":"","Life":0,"From":0,"To":0,"Why":""}],"Alarms":null}`
 	if string(text) != want {
-		t.Errorf("%s\nwant %s", text, want)
+		t.Errorf("got %s\nwant %s", text, want)
 	}
 }
--- a/internal/policy/audit/trail.go
+++ b/internal/policy/audit/trail.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// maxIntervals bounds the intervals kept of an incarnation: two for each release, so thirty
-	// releases. An account says how many older ones were dropped.
+	// maxIntervals bounds the intervals that are kept of an incarnation. A release takes two of
+	// them, so they cover about thirty releases. An account has the number of dropped intervals.
 	maxIntervals = 64
-	// maxIncarnations bounds the incarnations kept of a name: the present one, and enough earlier
-	// ones to see what the last one did.
+	// maxIncarnations bounds the incarnations that are kept of a name: the present one and the
+	// latest earlier ones.
 	maxIncarnations = 4
-	// maxServers bounds the names. The release log has the same bound.
+	// maxServers bounds the number of names. The release log has the same limit.
 	maxServers = 4096
-	// SummaryIntervals is how many intervals a server reports regularly, so that others know on which
-	// versions it acted last if it dies.
+	// SummaryIntervals is the number of latest intervals that a server reports regularly, so that
+	// other servers know which versions it ran last if its process ends.
 	SummaryIntervals = 4
 )
 
-// Trail holds a server's own account and the accounts it received of other servers.
+// Trail holds a server's own account and the accounts that it received of other servers.
 type Trail struct {
 	account Account
-	others  map[string][]Account // by name, one for each incarnation
+	others  map[string][]Account // received accounts by name, one for each incarnation
 }
 
-// NewTrail returns the trail of an incarnation that starts at now.
+// NewTrail returns the trail of an incarnation that starts at now, in Unix seconds.
 func NewTrail(name string, incarnation uint64, now float64) *Trail {
 	return &Trail{
 		account: Account{Name: name, Incarnation: incarnation, Started: now, LastSeen: now},
@@ -35,7 +35,7 @@
 	}
 }
 
-// BeginInterval records that the server acts on a version from now on.
+// BeginInterval records that the server runs a version from now on.
 func (t *Trail) BeginInterval(now float64, epoch release.Epoch, digest, reason string) {
 	t.Record(now, 0, 0)
 	if len(t.account.Intervals) >= maxIntervals {
@@ -52,8 +52,8 @@
 	})
 }
 
-// Record adds decision batches and requests to the current interval. A clock that steps back does
-// not shorten it.
+// Record adds decision batches and requests to the current interval and extends it to now. If the
+// clock stepped back, the end of the interval does not change.
 func (t *Trail) Record(now float64, batches, requests uint64) {
 	t.account.LastSeen = max(t.account.LastSeen, now)
 	count := len(t.account.Intervals)
@@ -66,15 +66,15 @@
 	current.Requests += requests
 }
 
-// Account returns the whole account of this incarnation.
+// Account returns a copy of the server's own account with all kept intervals.
 func (t *Trail) Account() Account { return t.account.latest(maxIntervals) }
 
-// Summary returns the latest part of the account.
+// Summary returns a copy of the server's own account with the latest SummaryIntervals intervals.
 func (t *Trail) Summary() Account { return t.account.latest(SummaryIntervals) }
 
-// Merge adds an account received from its server or from another one that received it. Two reports
-// of one incarnation are combined. An account that is malformed, or for which there is no room, is
-// ignored.
+// Merge adds an account that was received from its server or passed on by another server. It
+// combines reports of the same incarnation. It ignores an account that is malformed or exceeds a
+// limit.
 func (t *Trail) Merge(received Account) {
 	isOwn := received.Name == t.account.Name && received.Incarnation == t.account.Incarnation
 	if isOwn || received.Name == "" || len(received.Intervals) > maxIntervals || !received.isOrdered() {
@@ -99,7 +99,7 @@
 	t.others[received.Name] = append(accounts, received.latest(maxIntervals))
 }
 
-// oldestAccount returns the index of the account that was last seen first, by its own clock.
+// oldestAccount returns the index of the account with the earliest LastSeen.
 func oldestAccount(accounts []Account) int {
 	oldest := 0
 	for index := range accounts {
@@ -110,22 +110,22 @@
 	return oldest
 }
 
-// Accounts returns the accounts received of the named servers, of all incarnations; a nil list of
-// names asks for all.
+// Accounts returns the received accounts of all incarnations of the named servers, or of all
+// servers if names is nil.
 func (t *Trail) Accounts(names []string) []Account {
 	if names == nil {
 		names = slices.Sorted(maps.Keys(t.others))
 	}
-	var list []Account
+	var accounts []Account
 	for _, name := range names {
 		for _, a := range t.others[name] {
-			list = append(list, a.latest(maxIntervals))
+			accounts = append(accounts, a.latest(maxIntervals))
 		}
 	}
-	return list
+	return accounts
 }
 
-// Forget drops the accounts of names that are not registered any more.
+// Forget drops the received accounts of names that are not registered.
 func (t *Trail) Forget(isRegistered func(name string) bool) {
 	maps.DeleteFunc(t.others, func(name string, _ []Account) bool { return !isRegistered(name) })
 }
--- a/internal/policy/audit/trail_test.go
+++ b/internal/policy/audit/trail_test.go
@@ -10,8 +10,8 @@
 	"swiftcourse/internal/policy/release"
 )
 
-// An account that is reported in parts, duplicated and in any order comes to one and the same, with
-// everything that was reported kept or counted as dropped.
+// Reports of one account arrive duplicated and in any order, some with only the latest intervals.
+// The merged account has to equal the original: each interval is kept or counted as dropped.
 func TestTrail_MergeIsIndependentOfOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source := NewTrail("n1", 5, 0)
@@ -31,36 +31,38 @@
 		}
 		received := receiver.Accounts([]string{"n1"})
 		if len(received) != 1 || !reflect.DeepEqual(received[0], source.Account()) {
-			t.Fatalf("received %+v, not %+v", received, source.Account())
+			t.Fatalf("merged accounts %+v, want one equal to %+v", received, source.Account())
 		}
 	})
 }
 
-func TestTrail_IsBounded(t *testing.T) {
+func TestTrail_SizeLimits(t *testing.T) {
 	trail := NewTrail("me", 1, 0)
 	for i := range 3 * maxIntervals {
 		trail.BeginInterval(float64(i), release.Epoch(i+1), "d", "")
 	}
 	own := trail.Account()
 	if len(own.Intervals) != maxIntervals || own.DroppedIntervals != 2*maxIntervals {
-		t.Errorf("%d intervals kept, %d dropped", len(own.Intervals), own.DroppedIntervals)
+		t.Errorf("%d intervals kept and %d dropped, want %d and %d",
+			len(own.Intervals), own.DroppedIntervals, maxIntervals, 2*maxIntervals)
 	}
 	for incarnation := range uint64(10) {
 		trail.Merge(Account{Name: "n", Incarnation: incarnation + 1, LastSeen: float64(incarnation)})
 	}
 	accounts := trail.Accounts(nil)
 	if len(accounts) != maxIncarnations || accounts[len(accounts)-1].Incarnation != 10 {
-		t.Errorf("%d incarnations of one name, %+v", len(accounts), accounts)
+		t.Errorf("%d accounts of one name, want %d and the last of incarnation 10: %+v",
+			len(accounts), maxIncarnations, accounts)
 	}
 	for i := range maxServers + 100 {
 		name := "n" + strings.Repeat("x", i%100) + string(rune('0'+i/100))
 		trail.Merge(Account{Name: name, Incarnation: 1})
 	}
 	if len(trail.others) > maxServers {
-		t.Errorf("%d names", len(trail.others))
+		t.Errorf("accounts of %d names, want at most %d", len(trail.others), maxServers)
 	}
 	trail.Forget(func(name string) bool { return name == "n" })
 	if accounts := trail.Accounts(nil); len(accounts) != maxIncarnations {
-		t.Errorf("%d accounts are left", len(accounts))
+		t.Errorf("%d accounts after Forget, want %d", len(accounts), maxIncarnations)
 	}
 }
