--- a/internal/policy/consensus/bootstrap.go
+++ b/internal/policy/consensus/bootstrap.go
@@ -48,7 +48,7 @@
 	voters = map[uint64]string{v.incarnation: v.name}
 	for _, name := range v.voterNames[1:] {
 		peer := v.peers[name]
-		if !peer.fresh(now) || !peer.detached() {
+		if !peer.isAlive(now) || !peer.detached() {
 			return nil, false
 		}
 		voters[peer.Incarnation] = name
--- a/internal/policy/consensus/cluster_test.go
+++ b/internal/policy/consensus/cluster_test.go
@@ -63,7 +63,7 @@
 	now           float64
 	names         []string
 	voters        map[string]*Voter // nil for a voter that is down
-	paused        map[string]bool   // paused processes, whose messages are queued in waiting
+	paused        map[string]bool   // paused processes, whose messages are kept in queued
 	disconnected  map[link]bool     // links that lose all messages
 	lossRate      float64
 	startCount    int
--- a/internal/policy/consensus/group.go
+++ b/internal/policy/consensus/group.go
@@ -219,9 +219,9 @@
 	v.results = append(v.results, CommandResult{Command: command, Err: err})
 }
 
-// compact replaces the raft log by a snapshot once the log has
-// compactionThresholdEntries entries, and after
-// every membership change: a new member can start only from a snapshot that lists it as a voter.
+// compact replaces the raft log by a snapshot once the log has compactionThresholdEntries entries,
+// and after every membership change: a new member can start only from a snapshot that lists it as a
+// voter.
 func (v *Voter) compact(applied []*pb.Entry) {
 	if len(applied) == 0 {
 		return
--- a/internal/policy/consensus/membership.go
+++ b/internal/policy/consensus/membership.go
@@ -34,7 +34,7 @@
 // isReplaced reports whether, according to any peer, another incarnation has replaced this voter in
 // the group.
 func (v *Voter) isReplaced(now float64) bool {
-	return v.isMember() && slices.ContainsFunc(v.freshPeers(now), v.isReplacedBy)
+	return v.isMember() && slices.ContainsFunc(v.alivePeers(now), v.isReplacedBy)
 }
 
 // groupLostQuorum reports whether the group can never commit again according to the peers'
@@ -45,7 +45,7 @@
 	}
 	members := incarnationsByName(v.releaseLog.Voters)
 	left := map[uint64]bool{}
-	for _, peer := range v.freshPeers(now) {
+	for _, peer := range v.alivePeers(now) {
 		if member, isVoter := members[peer.Name]; isVoter && v.hasLeft(member, peer) {
 			left[member] = true
 		}
@@ -56,7 +56,7 @@
 // addMembersIfDue proposes detached peers as members if this voter leads.
 func (v *Voter) addMembersIfDue(now float64) {
 	members := incarnationsByName(v.releaseLog.Voters)
-	for _, peer := range v.freshPeers(now) {
+	for _, peer := range v.alivePeers(now) {
 		member, isVoter := members[peer.Name]
 		v.addMemberIfDue(now, peer, member, isVoter)
 	}
--- a/internal/policy/consensus/message.go
+++ b/internal/policy/consensus/message.go
@@ -14,7 +14,7 @@
 	// Incarnation is drawn at the start and whenever the voter leaves a group. It is never reused.
 	Incarnation uint64
 
-	// ClusterID is that of the voter's group, 0 while the voter is detached.
+	// ClusterID is the ID of the voter's group, 0 while the voter is detached.
 	ClusterID uint32
 
 	// NewestClusterID and AppliedCount are the position of the newest release log that the voter
@@ -22,8 +22,8 @@
 	NewestClusterID uint32
 	AppliedCount    uint64
 
-	// DetachedVoters holds, while the voter is detached, its own incarnation and those of the
-	// detached voters from which it received a recent heartbeat, by name.
+	// DetachedVoters holds, while the voter is detached, its own incarnation and the incarnations of
+	// the detached voters from which it received a recent heartbeat, by name.
 	DetachedVoters map[string]uint64
 
 	// Voters holds, while the voter is in a group, the incarnations of the group's voters by name.
@@ -42,7 +42,7 @@
 type Message struct {
 	From              uint64 // incarnation of the sender
 	To                uint64 // incarnation of the receiver, 0 for any
-	ClusterID         uint32 // of the group in which Raft is sent
+	ClusterID         uint32 // ID of the group in which Raft is sent
 	Heartbeat         *Heartbeat
 	Bootstrap         *Bootstrap
 	RequestReleaseLog bool         // asks the receiver for its newest release log
--- a/internal/policy/consensus/peers.go
+++ b/internal/policy/consensus/peers.go
@@ -9,20 +9,20 @@
 	firstHeartbeatAt float64 // when the first heartbeat of the incarnation was received
 }
 
-// fresh reports whether a heartbeat of the peer was received within heartbeatTTLSeconds. It returns
+// isAlive reports whether a heartbeat of the peer was received within heartbeatTTLSeconds. It returns
 // false for a nil peer.
-func (p *peer) fresh(now float64) bool {
+func (p *peer) isAlive(now float64) bool {
 	return p != nil && now <= p.lastHeartbeatAt+heartbeatTTLSeconds
 }
 
 // detached reports whether the peer is in no group.
 func (p *peer) detached() bool { return p.ClusterID == 0 }
 
-// freshPeers returns the peers with a heartbeat within heartbeatTTLSeconds, ordered by name.
-func (v *Voter) freshPeers(now float64) []*peer {
+// alivePeers returns the peers with a heartbeat within heartbeatTTLSeconds, ordered by name.
+func (v *Voter) alivePeers(now float64) []*peer {
 	var peers []*peer
 	for _, name := range v.voterNames {
-		if peer := v.peers[name]; peer.fresh(now) {
+		if peer := v.peers[name]; peer.isAlive(now) {
 			peers = append(peers, peer)
 		}
 	}
--- a/internal/policy/consensus/timing.go
+++ b/internal/policy/consensus/timing.go
@@ -4,9 +4,9 @@
 const (
 	// tickIntervalSeconds is the time between two ticks of the raft core.
 	tickIntervalSeconds = 0.05
-	// raftHeartbeatTicks is the number of ticks between a leader's raft heartbeats. They take 0.1
-	// s, a tenth of minElectionTimeoutSeconds, so nine heartbeats in a row have to be lost before
-	// an election.
+	// raftHeartbeatTicks is the number of ticks between a leader's raft heartbeats. The interval is
+	// 0.1 s, a tenth of minElectionTimeoutSeconds, so nine heartbeats in a row have to be lost
+	// before an election.
 	raftHeartbeatTicks = 2
 	// heartbeatIntervalSeconds is the time between two Heartbeat messages of a voter.
 	heartbeatIntervalSeconds = 0.2
--- a/internal/policy/lease/availability.go
+++ b/internal/policy/lease/availability.go
@@ -31,8 +31,7 @@
 func (g *Grantor) reserveEjection(releaseLog *release.Log, name string) bool {
 	record := g.servers[name]
 	if !record.ejectionReserved {
-		// A fleet of two or more servers allows one ejection, even if MaxUnavailable rounds down to
-		// 0.
+		// A fleet of two or more servers allows one ejection even if MaxUnavailable allows none.
 		minLimit := min(1, len(releaseLog.Members)/2)
 		limit := max(g.maxUnavailable(releaseLog), minLimit)
 		if g.countUnavailable(releaseLog) >= limit {
--- a/internal/policy/lease/doc.go
+++ b/internal/policy/lease/doc.go
@@ -22,8 +22,9 @@
 //     is reachable.
 //
 // A lease starts when the holder makes the request, by the holder's clock, so neither network delay
-// nor a clock offset makes it longer than the grantor assumes. A holder's clock that runs slower
-// than the grantor's does; the grantor allows for it with maxClockDriftFraction.
+// nor a clock offset makes it longer than the grantor assumes. Only a holder's
+// clock that runs slower than the grantor's can, and the grantor allows for that with
+// maxClockDriftFraction.
 //
 // The package performs no I/O and reads no clock: every call takes the time in seconds of the
 // caller's monotonic clock. Neither type is safe for concurrent use; the fleet's node agent owns
--- a/internal/policy/lease/grantor.go
+++ b/internal/policy/lease/grantor.go
@@ -81,7 +81,7 @@
 func (g *Grantor) maxLeaseSeconds() float64 { return g.config.Duration * (1 + maxClockDriftFraction) }
 
 // priorLeasesExpiry returns when all leases that an earlier leader granted have expired. An earlier
-// leader may grant leases for LeaderConfirmationWindow after this term began.
+// leader may grant leases for up to LeaderConfirmationWindow after this term began.
 func (g *Grantor) priorLeasesExpiry() float64 {
 	return g.startedAt + LeaderConfirmationWindow + g.maxLeaseSeconds()
 }
@@ -123,8 +123,8 @@
 	return reply, commands
 }
 
-// bumpEpoch proposes a cluster ID above that of the request's active epoch. The requesting server
-// runs a version of a lost cluster whose epochs are above those of the present one.
+// bumpEpoch proposes a cluster ID above the cluster ID of the request's active epoch. The requesting
+// server runs a version of a lost cluster, with a higher epoch than the release log has.
 func (g *Grantor) bumpEpoch(now float64, request *Request, releaseLog *release.Log) []release.Command {
 	clusterID := uint64(request.ActiveEpoch.ClusterID()) + 1 + request.Incarnation%clusterIDSpread
 	return g.commands.propose(now, subjectEpoch, release.Command{
--- a/internal/policy/release/errors.go
+++ b/internal/policy/release/errors.go
@@ -11,7 +11,7 @@
 	// ErrNoRollout refuses to advance when no rollout is in progress, and to roll back when there
 	// is neither a rollout nor a previous version.
 	ErrNoRollout = errors.New("no rollout is in progress, and no previous version is kept")
-	// ErrDigestMismatch refuses a release whose digest is not that of its text and build.
+	// ErrDigestMismatch refuses a release whose digest does not match its text and build.
 	ErrDigestMismatch = errors.New("the digest is not that of the text and build")
 	// ErrNameTaken refuses to register a name that belongs to an incarnation other than
 	// Command.Incarnation and Command.Previous.
--- a/internal/policy/release/log.go
+++ b/internal/policy/release/log.go
@@ -123,7 +123,7 @@
 	return p.AppliedCount > other.AppliedCount
 }
 
-// NewerThan reports whether the log's position is after that of the other log.
+// NewerThan reports whether the log's position is after the other log's position.
 func (l *Log) NewerThan(other *Log) bool {
 	return l.Position().After(other.Position())
 }
