--- a/internal/policy/release/doc.go
+++ b/internal/policy/release/doc.go
@@ -12,6 +12,6 @@
 // The package has no I/O, clock, randomness, goroutines or locks. A Log must not be changed while
 // another goroutine reads it, so commands are applied to a Clone, which is then published.
 //
-// The consensus voter applies commands, the fleet's lease grantor and operators propose them, and
-// all other code only reads the log.
+// The consensus voter applies commands. Operators and the leader's agent, in particular its lease
+// grantor, propose them. All other code only reads the log.
 package release
