--- a/internal/policy/lease/availability.go
+++ b/internal/policy/lease/availability.go
@@ -80,7 +80,7 @@
 // permit, and those that have sent no request in this term and so may have one.
 type permitCount struct {
 	count int
-	// appliedCount is the release log's AppliedCount at the time of the count, countedAt.
+	// appliedCount is the release log's AppliedCount when the permits were counted, at countedAt.
 	appliedCount uint64
 	countedAt    float64
 }
--- a/internal/policy/lease/cluster_test.go
+++ b/internal/policy/lease/cluster_test.go
@@ -246,13 +246,13 @@
 		now := s.clock(c.now)
 		if s.snapshot.State == StateLeased && now < s.snapshot.ChangesAt {
 			if other := leased[s.name]; other != 0 {
-				c.t.Fatalf("%s: incarnations %d and %d both have a lease at %.2f s",
+				c.t.Fatalf("%s: incarnations %d and %d both have a lease at %.2f s, want at most one lease",
 					s.name, other, s.incarnation, c.now)
 			}
 			leased[s.name] = s.incarnation
 			ejection, ejected := c.releaseLog.Ejected[s.name]
 			if ejected && ejection.Incarnation == s.incarnation {
-				c.t.Fatalf("incarnation %d of %s has a lease while it is ejected, at %.2f s",
+				c.t.Fatalf("incarnation %d of %s has a lease while it is ejected, at %.2f s; want none",
 					s.incarnation, s.name, c.now)
 			}
 		}
@@ -269,6 +269,8 @@
 	}
 }
 
+// release applies a release to the cluster's release log at once. The log refuses it while a rollout
+// is in progress.
 func (c *cluster) release(text string, waves ...float64) {
 	_ = c.releaseLog.Apply(&release.Command{
 		Kind:          release.KindRelease,
--- a/internal/policy/lease/doc.go
+++ b/internal/policy/lease/doc.go
@@ -13,7 +13,7 @@
 //
 // A permit, MayGoOutOfService in the messages, allows a server to go out of service when its lease
 // expires because it can't reach a leader. A server without a permit keeps serving in its fallback
-// mode.
+// mode, or with the safe defaults if that mode is out of service.
 //
 // Invariants:
 //   - At no time do two incarnations of one name hold a lease.
@@ -22,11 +22,10 @@
 //     is reachable.
 //
 // A lease starts when the holder makes the request, by the holder's clock, so neither network delay
-// nor a clock offset makes it longer than the grantor assumes. Only a holder's
-// clock that runs slower than the grantor's can, and the grantor allows for that with
-// maxClockDriftFraction.
+// nor a clock offset makes it longer than the grantor assumes. Only a holder's clock that runs
+// slower than the grantor's can, and the grantor allows for that with maxClockDriftFraction.
 //
 // The package performs no I/O and reads no clock: every call takes the time in seconds of the
-// caller's monotonic clock. Neither type is safe for concurrent use; the fleet's node agent owns
-// both and is their only caller.
+// caller's monotonic clock. Neither type is safe for concurrent use; the node agent (package fleet)
+// owns both and is their only caller.
 package lease
--- a/internal/policy/lease/grantor.go
+++ b/internal/policy/lease/grantor.go
@@ -124,7 +124,8 @@
 }
 
 // bumpEpoch proposes a cluster ID above the cluster ID of the request's active epoch. The requesting
-// server runs a version of a lost cluster, with a higher epoch than the release log has.
+// server runs a version that a lost voter group released, with a higher epoch than the release log
+// has. A voter group is lost once a majority of its voters has lost its state.
 func (g *Grantor) bumpEpoch(now float64, request *Request, releaseLog *release.Log) []release.Command {
 	clusterID := uint64(request.ActiveEpoch.ClusterID()) + 1 + request.Incarnation%clusterIDSpread
 	return g.commands.propose(now, subjectEpoch, release.Command{
--- a/internal/policy/lease/grantor_test.go
+++ b/internal/policy/lease/grantor_test.go
@@ -137,7 +137,8 @@
 }
 
 // A server restarts just after the leader changed. The new leader has no record of the earlier
-// incarnation; it knows the address only if the server is a voter, which regains its name sooner.
+// incarnation and knows the addresses of the voters only, so a restarted voter regains its name
+// sooner than another server.
 func TestGrantor_RestartedServerRegainsNameAfterLeaderChange(t *testing.T) {
 	c := newCluster(t, 11, 3, serving.ModeNormal)
 	c.run(2 * testConfig.Duration)
@@ -176,7 +177,7 @@
 					c.run(0.3)
 				}
 				if owner := c.releaseLog.Members[ended.name]; owner != successor.incarnation {
-					t.Errorf("%s: the owner is incarnation %d, which has ended; want %d",
+					t.Errorf("%s: the owner is incarnation %d, want %d, the restarted server",
 						ended.name, owner, successor.incarnation)
 				}
 			}
--- a/internal/policy/lease/holder.go
+++ b/internal/policy/lease/holder.go
@@ -11,8 +11,8 @@
 	// requestIntervalFraction is the time between two requests as a fraction of the lease. With one
 	// third, a lease still gets extended when two requests in a row are lost.
 	requestIntervalFraction = 1.0 / 3
-	// unleasedRequestRateFactor is the factor by which a server without a lease sends requests more
-	// often.
+	// unleasedRequestRateFactor is the request rate of a server without a lease, relative to the
+	// rate of a server with one.
 	unleasedRequestRateFactor = 4
 	// minRequestIntervalSeconds is the least time before a redirected or failed request is
 	// repeated. It limits the load when voters redirect requests to each other.
@@ -102,8 +102,8 @@
 }
 
 // HandleReply applies a reply and reports whether the holder's state changed. It ignores a reply to
-// an earlier incarnation, to a request that is not pending, or to a request older than the latest
-// one with a decision.
+// an earlier incarnation or to a request that is not pending. A request is no longer pending once a
+// decision on it or on a newer request has arrived.
 func (h *Holder) HandleReply(now float64, reply *Reply) bool {
 	sentAt, pending := h.requests.sentAt(reply.Number)
 	if reply.Incarnation != h.config.Incarnation || !pending {
--- a/internal/policy/lease/request_tracker.go
+++ b/internal/policy/lease/request_tracker.go
@@ -1,7 +1,7 @@
 package lease
 
-// maxPending bounds the number of requests that wait for a reply. A holder with a lease sends about
-// as many in the time of two leases.
+// maxPending bounds the number of requests that wait for a reply. It covers the requests of two
+// lease durations: a holder with a lease sends three requests in each.
 const maxPending = 8
 
 // requestTracker matches replies with their requests.
--- a/internal/policy/lease/schedule_test.go
+++ b/internal/policy/lease/schedule_test.go
@@ -44,7 +44,7 @@
 		c.heal()
 		c.run(6 * testConfig.Duration)
 		deviation := c.findDeviation()
-		for range 10 { // a few in a thousand replies take over a second, so that a lease may expire
+		for range 10 { // a few replies in a thousand take over a second, so that a lease may expire
 			if deviation != "" {
 				c.run(1)
 				deviation = c.findDeviation()
--- a/internal/policy/lease/server_record.go
+++ b/internal/policy/lease/server_record.go
@@ -25,9 +25,10 @@
 	ejectionReserved bool
 
 	// leaseWithheld means that a command that ejects this incarnation or takes its name was
-	// proposed. The incarnation gets no lease until the command's result is known, which a barrier
-	// that is committed later shows; see proposeBarrier. A new leader needs no barrier: it knows
-	// the results of all earlier commands before a majority confirms it.
+	// proposed. The incarnation gets no lease until the command's result is known, which is the
+	// case once a barrier that was proposed after the command is committed; see proposeBarrier. A
+	// new leader needs no barrier: it knows the results of all earlier commands before a majority
+	// confirms it.
 	leaseWithheld bool
 	// barrierID is the ID of the pending barrier, 0 for none.
 	barrierID uint64
--- a/internal/policy/lease/state.go
+++ b/internal/policy/lease/state.go
@@ -38,7 +38,8 @@
 )
 
 // transitions is the whole state machine. An event that is not listed for a state leaves the state
-// unchanged. In particular, a fenced or superseded server doesn't return to service by expiry.
+// unchanged. In particular, a fenced or superseded server doesn't return to service when its lease
+// expires.
 var transitions = [...]struct {
 	from  State
 	event event
