--- a/internal/policy/consensus/bootstrap.go
+++ b/internal/policy/consensus/bootstrap.go
@@ -42,7 +42,7 @@
 }
 
 // readyVoters returns the names of all voters by incarnation, and whether they are ready for a
-// bootstrap. They are not while one of them sends no heartbeats, is in a group, or has a newer
+// bootstrap. They are not ready while one of them sends no heartbeats, is in a group, or has a newer
 // release log than this voter. In the last case this voter requests that log.
 func (v *Voter) readyVoters(now float64) (voters map[uint64]string, ready bool) {
 	voters = map[uint64]string{v.incarnation: v.name}
@@ -52,7 +52,7 @@
 			return nil, false
 		}
 		voters[peer.Incarnation] = name
-		if v.knowsNewerLog(peer) {
+		if v.peerHasNewerLog(peer) {
 			v.send(name, Message{From: v.incarnation, To: peer.Incarnation, RequestReleaseLog: true})
 			return nil, false
 		}
@@ -60,7 +60,9 @@
 	return voters, true
 }
 
-func (v *Voter) knowsNewerLog(peer *peer) bool {
+// peerHasNewerLog reports whether a peer has a newer release log than this voter, according to its
+// latest heartbeat.
+func (v *Voter) peerHasNewerLog(peer *peer) bool {
 	position := release.Position{ClusterID: peer.NewestClusterID, AppliedCount: peer.AppliedCount}
 	return position.After(v.releaseLog.Position())
 }
--- a/internal/policy/consensus/cluster_test.go
+++ b/internal/policy/consensus/cluster_test.go
@@ -113,8 +113,8 @@
 	return c.voters[name]
 }
 
-// copyForReceiver returns the message as its receiver gets it: the raft message is a copy, as the
-// sender may change its own.
+// copyForReceiver returns the message with a copy of its raft message, as the sender may still
+// change the original.
 func copyForReceiver(message Message) Message {
 	if message.Raft != nil {
 		message.Raft = proto.Clone(message.Raft).(*pb.Message)
@@ -154,7 +154,7 @@
 			continue
 		}
 		if digest, seen := c.digests[version.Epoch]; seen && digest != version.Digest {
-			c.t.Fatalf("at %.3f s epoch %s has digest %s, earlier %s",
+			c.t.Fatalf("at %.3f s epoch %s has digest %s, want %s as seen earlier",
 				c.now, version.Epoch, version.Digest, digest)
 		}
 		c.digests[version.Epoch] = version.Digest
--- a/internal/policy/consensus/doc.go
+++ b/internal/policy/consensus/doc.go
@@ -13,8 +13,8 @@
 // by the new incarnation of the same name.
 //
 // If a majority of a group's incarnations has ended, the group can never commit again. Once all
-// configured voters send heartbeats and none is in a group, the voter whose name sorts first
-// bootstraps a new group from the newest release log that any of them has. A later group has a
+// configured voters send heartbeats and all are detached (in no group), the voter whose name sorts
+// first bootstraps a new group from the newest release log that any of them has. A later group has a
 // higher cluster ID.
 //
 // Invariants:
--- a/internal/policy/consensus/group.go
+++ b/internal/policy/consensus/group.go
@@ -174,8 +174,8 @@
 	}
 }
 
-// applyEntry applies a committed entry. An entry that can't be decoded is dropped, which happens on
-// every replica alike.
+// applyEntry applies a committed entry. An entry that can't be decoded is dropped. Every replica
+// drops the same entries, so the replicas stay equal.
 func (v *Voter) applyEntry(entry *pb.Entry) {
 	switch entry.GetType() {
 	case pb.EntryConfChange:
@@ -187,6 +187,8 @@
 	}
 }
 
+// applyConfChange applies a committed membership change. Its context is the name of the added voter,
+// see proposeMember.
 func (v *Voter) applyConfChange(entry *pb.Entry) {
 	confChange := &pb.ConfChangeV2{}
 	if proto.Unmarshal(entry.GetData(), confChange) != nil {
--- a/internal/policy/consensus/membership.go
+++ b/internal/policy/consensus/membership.go
@@ -26,7 +26,8 @@
 }
 
 // joinTimedOut reports whether this voter is still not a member joinTimeoutSeconds after it joined
-// the group. A new member learns of its membership from the leader's snapshot.
+// the group. A voter that the leader adds joins with the first raft message that it receives, and
+// becomes a member with the leader's snapshot.
 func (v *Voter) joinTimedOut(now float64) bool {
 	return !v.isMember() && now > v.group.joinedAt+joinTimeoutSeconds
 }
--- a/internal/policy/consensus/peers.go
+++ b/internal/policy/consensus/peers.go
@@ -76,7 +76,7 @@
 		known = &peer{firstHeartbeatAt: now}
 		v.peers[heartbeat.Name] = known
 	case known.Incarnation == heartbeat.Incarnation:
-		// no change of incarnation
+		// the peer still has the same incarnation
 	case now < known.lastHeartbeatAt+replacementDelaySeconds && !known.detached():
 		return
 	default:
--- a/internal/policy/consensus/voter_test.go
+++ b/internal/policy/consensus/voter_test.go
@@ -58,14 +58,14 @@
 	}
 	c.run(4)
 	if committed, _ := c.release("v1", "door-lobby 7", 4); committed {
-		t.Fatal("a release was committed in a partition of two of five voters")
+		t.Fatal("a release was committed in a partition of two of five voters, want none committed")
 	}
 	if committed, err := c.release("v4", "door-lobby 9", 6); err != nil || !committed {
 		t.Fatalf("release in a partition of three of five voters: committed %t, error %v; want true and no error",
 			committed, err)
 	}
 	if c.voters["v1"].IsLeader(c.now - 1.5) {
-		t.Error("a voter in the minority counts as a leader confirmed in the last 1.5 s")
+		t.Error("v1, in the minority, counts as a leader confirmed in the last 1.5 s; want it not to")
 	}
 	c.heal()
 	c.run(2)
@@ -142,7 +142,8 @@
 		c.heal()
 		committed, err := c.release(c.names[0], "door on", 20)
 		if err != nil && !errors.Is(err, release.ErrStaleEpoch) || !committed {
-			t.Fatalf("release after all faults ended: committed %t, error %v: %s", committed, err, c.describe())
+			t.Fatalf("release after all faults ended: committed %t, error %v; want true and nil or %q: %s",
+				committed, err, release.ErrStaleEpoch, c.describe())
 		}
 	})
 }
