--- a/internal/policy/release/errors.go
+++ b/internal/policy/release/errors.go
@@ -2,7 +2,8 @@
 
 import "errors"
 
-// Errors with which Log.Apply refuses a command.
+// Errors with which Log.Apply refuses a command. The texts are for the command's author. They say
+// how to proceed if the author can resolve the conflict.
 var (
 	// ErrStaleEpoch refuses a command whose author did not know the newest epoch.
 	ErrStaleEpoch = errors.New("the newest epoch changed meanwhile; look at it and ask again")
--- a/internal/policy/release/harm_test.go
+++ b/internal/policy/release/harm_test.go
@@ -26,7 +26,8 @@
 		}
 	}
 	if falseAlarms > 3 || detected < 1990 {
-		t.Errorf("of 2000 each, %d harmless and %d harmful releases were detected, want <= 3 and >= 1990",
+		t.Errorf("above the limit: %d of 2000 pairs with equal failure rates, want at most 3; "+
+			"%d of 2000 pairs with a higher rate of the next version, want at least 1990",
 			falseAlarms, detected)
 	}
 }
--- a/internal/policy/release/log.go
+++ b/internal/policy/release/log.go
@@ -23,7 +23,7 @@
 // Log is the state that results from the committed commands. It does not keep the commands
 // themselves. Replicas that applied the same commands are equal.
 type Log struct {
-	AppliedCount uint64   `json:"Count"` // commands applied or refused, over all bootstraps
+	AppliedCount uint64   `json:"Count"` // commands, applied or refused, membership changes and bootstraps
 	Current      Version  `json:"Base"`  // version of all servers that the rollout has not reached
 	Previous     *Version `json:"Prior"` // version before Current, for a rollback; nil if none is kept
 
--- a/internal/policy/release/log_test.go
+++ b/internal/policy/release/log_test.go
@@ -74,7 +74,7 @@
 	t.Helper()
 	for _, version := range versionsInForce(log) {
 		if digest, seen := h.digests[version.Epoch]; seen && digest != version.Digest || !version.DigestMatches() {
-			t.Fatalf("epoch %s: digest %q, earlier %q, matches its text: %t",
+			t.Fatalf("epoch %s: digest %q, earlier %q (\"\" if new), matches its text: %t; want no change and a match",
 				version.Epoch, version.Digest, digest, version.DigestMatches())
 		}
 		h.digests[version.Epoch] = version.Digest
@@ -111,7 +111,7 @@
 			}
 			before.AppliedCount++
 			if err != nil && !reflect.DeepEqual(before, log) {
-				t.Fatalf("a command refused with %q changed the log: %+v", err, command)
+				t.Fatalf("a command refused with %q changed more than AppliedCount: %+v", err, command)
 			}
 			history.check(t, log, command)
 		}
@@ -142,7 +142,7 @@
 }
 
 // apply applies every sequence of depth commands to the log. known holds the newest epoch that each
-// operator knows, digests the digests of all epochs so far.
+// operator knows. digests holds the digest of each epoch so far.
 func (s *sequenceChecker) apply(log *Log, known [2]Epoch, digests map[Epoch]string, depth int) {
 	if depth == 0 {
 		s.applied++
@@ -175,7 +175,7 @@
 	}
 	for _, version := range versionsInForce(after) {
 		if digest, known := seen[version.Epoch]; known && digest != version.Digest {
-			s.t.Fatalf("epoch %s has digest %s, earlier %s", version.Epoch, version.Digest, digest)
+			s.t.Fatalf("epoch %s has digest %s, want %s as before", version.Epoch, version.Digest, digest)
 		}
 		seen[version.Epoch] = version.Digest
 	}
