--- a/internal/policy/serving/doc.go
+++ b/internal/policy/serving/doc.go
@@ -1,6 +1,6 @@
-// Package serving defines the values that the fleet node agent and the server loop exchange: the
-// serving directive, the allowances of shared quotas, the verdicts on idempotency keys, and the
-// counters that the loop reports.
+// Package serving defines the values that the node agent (package fleet) and the server loop, which
+// handles the requests, exchange: the serving directive, the allowances of shared quotas, the
+// verdicts on idempotency keys, and the counters that the loop reports.
 //
 // It is the lowest layer of the policy packages and imports none of them. A server that runs
 // without a fleet therefore links none of their code.
--- a/internal/policy/serving/stats.go
+++ b/internal/policy/serving/stats.go
@@ -3,7 +3,8 @@
 import "sync/atomic"
 
 // VersionStats counts the server loop's decision batches and requests under one configuration
-// version. The server loop updates it while the node agent reads it.
+// version. A decision batch is the set of events that the loop passes to the controller in one turn.
+// The server loop updates the counts while the node agent reads them.
 type VersionStats struct {
 	Batches   atomic.Uint64
 	Requests  atomic.Uint64
