--- a/internal/policy/audit/account.go
+++ b/internal/policy/audit/account.go
@@ -14,7 +14,7 @@
 	Digest   string
 	From     float64 // Unix seconds
 	To       float64 // Unix seconds; for the latest interval, the time of its last update
-	Batches  uint64  // decision batches in the interval
+	Batches  uint64  // decision batches in the interval, see serving.VersionStats
 	Requests uint64  `json:"Tasks"` // requests in these batches
 	Reason   string  `json:"Why"`   // why the interval began
 }
--- a/internal/policy/audit/report.go
+++ b/internal/policy/audit/report.go
@@ -10,16 +10,16 @@
 	"swiftcourse/internal/policy/release"
 )
 
-// maxReportAgeSeconds is the age of a server's latest lease request above which the report lists
+// maxRequestAgeSeconds is the age of a server's latest lease request above which the report lists
 // the server as unreachable. Several lease requests are due in that time.
-const maxReportAgeSeconds = 10
+const maxRequestAgeSeconds = 10
 
 // Reasons in the report for gaps and lagging servers.
 const (
 	reasonNoAccount   = "nobody who answered has its account"
 	reasonSilent      = "nothing was heard of it after this"
 	reasonNotReported = "not heard since this leader leads"
-	reasonNoHeartbeat = "absent or cut off"
+	reasonUnreachable = "absent or cut off"
 	reasonApplying    = "on its way"
 	ejectedPrefix     = "ejected: "
 )
@@ -33,7 +33,7 @@
 	Reason      string  `json:"Why"`
 }
 
-// LaggingServer is a server that does not run its assigned version, or may not run it.
+// LaggingServer is a server that is ejected or is not known to run its assigned version.
 type LaggingServer struct {
 	Name          string
 	Incarnation   uint64        `json:"Life"`
@@ -41,7 +41,8 @@
 	AssignedEpoch release.Epoch `json:"Right"`
 	LagSeconds    float64       `json:"For"` // by the leader's clock
 	Reason        string        `json:"Why"`
-	SilentSeconds float64       `json:"Absent"` // time since the latest lease request, if Reason is its age
+	// SilentSeconds is the time since the latest lease request if Reason is reasonUnreachable, else 0.
+	SilentSeconds float64 `json:"Absent"`
 }
 
 // Report is the result of an audit.
@@ -155,7 +156,7 @@
 	r.Accounts = append(r.Accounts, a)
 }
 
-// addIfLagging adds a server that does not run its assigned version, or is not known to run it.
+// addIfLagging adds a server that is ejected or is not known to run its assigned version.
 func (r *Report) addIfLagging(server lease.ServerStatus) {
 	lagging := LaggingServer{
 		Name:          server.Name,
@@ -170,8 +171,8 @@
 		lagging.Reason = ejectedPrefix + server.EjectionReason
 	case !server.Reported:
 		lagging.Reason = reasonNotReported
-	case server.SecondsSinceHeard > maxReportAgeSeconds:
-		lagging.Reason = reasonNoHeartbeat
+	case server.SecondsSinceHeard > maxRequestAgeSeconds:
+		lagging.Reason = reasonUnreachable
 		lagging.SilentSeconds = server.SecondsSinceHeard
 	case hasLag && server.BlockedBy != "":
 		lagging.Reason = server.BlockedBy
--- a/internal/policy/audit/report_test.go
+++ b/internal/policy/audit/report_test.go
@@ -17,7 +17,7 @@
 	for index, name := range []string{"n1", "n2", "n3"} {
 		register := release.Command{Kind: release.KindRegister, Name: name, Incarnation: uint64(index + 1)}
 		if err := log.Apply(&register); err != nil {
-			t.Fatal(err)
+			t.Fatalf("register %s: error %v, want nil", name, err)
 		}
 	}
 	return log
@@ -106,7 +106,7 @@
 	}
 	text, err := json.Marshal(report)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode the report: error %v, want nil", err)
 	}
 	const want = `{"Newest":0,` +
 		`"Accounts":[{"Name":"","Life":0,"Started":0,"Seen":0,"Dropped":0,` +
--- a/internal/policy/audit/trail.go
+++ b/internal/policy/audit/trail.go
@@ -9,10 +9,10 @@
 
 const (
 	// maxIntervals bounds the intervals that are kept of an incarnation. A release takes two of
-	// them, so they cover about thirty releases. An account has the number of dropped intervals.
+	// them, so they cover about thirty releases. Account.DroppedIntervals counts the older ones.
 	maxIntervals = 64
-	// maxIncarnations bounds the incarnations that are kept of a name: the present one and the
-	// latest earlier ones.
+	// maxIncarnations bounds the incarnations that are kept of a name: the present one and enough
+	// earlier ones to show which versions ran before the restart.
 	maxIncarnations = 4
 	// maxServers bounds the number of names. The release log has the same limit.
 	maxServers = 4096
