--- a/internal/policy/circuitbreaker/breaker.go
+++ b/internal/policy/circuitbreaker/breaker.go
@@ -9,32 +9,34 @@
 // Breaker is one server's circuit breaker for one service.
 type Breaker struct {
 	server, zone string
-	calls        *timewindow.Buckets[Tally] // own calls, over windowSeconds
-	fastestMean  timewindow.Minimum         // the least mean duration of successful calls, s
-	reports      map[string]*receivedReport // by server
-	sequence     uint64                     // of the last own report
+	calls        *timewindow.Buckets[Tally] // results of own calls in the last windowSeconds
+	fastestMean  timewindow.Minimum         // lowest recent mean duration of successful calls, s
+	reports      map[string]*receivedReport // latest report by server
+	sequence     uint64                     // number of the last own report
 
 	state         State
-	stateSince    float64 // when the state began, s
-	usualInFlight float64 // moving average of the calls in flight while the breaker was closed
-	rampLimit     float64 // calls that may be in flight while it is half open
-	rampedAt      float64 // when rampLimit last grew or was set, s
+	stateSince    float64 // when state was entered, s
+	usualInFlight float64 // moving average of calls in flight while the breaker is closed
+	rampLimit     float64 // limit on calls in flight while the breaker is half open
+	rampedAt      float64 // when rampLimit was last set or raised, s
 	lastCallSlot  int64   // the last probe slot in which a call was in flight
 }
 
 const (
-	// throttledFraction is the part of the usual calls in flight that pass while the breaker is throttled.
+	// throttledFraction is the limit while the breaker is throttled, as a fraction of the usual calls
+	// in flight.
 	throttledFraction = 0.25
-	// halfOpenFraction is the part that passes when an open breaker becomes half open. It grows by rampFactor
-	// in each rampSeconds in which calls succeed, to all of them after two and a half seconds.
+	// halfOpenFraction is the initial limit when an open breaker becomes half open, as a fraction of the
+	// usual calls in flight. While calls succeed, the limit is multiplied by rampFactor every
+	// rampSeconds, so it reaches the usual calls after 2.5 s.
 	halfOpenFraction = 0.05
 	rampFactor       = 2.0
 	rampSeconds      = 0.5
-	// usualWeight is the weight of a new value in the moving average of calls in flight.
+	// usualWeight is the weight of a new value in the moving average usualInFlight.
 	usualWeight = 0.1
 )
 
-// New returns a closed breaker without any calls or reports. zone is "" if zones are not used.
+// New returns a closed breaker without calls or reports. zone is "" if zones are not used.
 func New(server, zone string, now float64) *Breaker {
 	b := &Breaker{
 		server:      server,
@@ -47,14 +49,15 @@
 	return b
 }
 
-// forgetCalls drops all calls and reports, as they are from before a change of state.
+// forgetCalls removes all recorded calls and reports, so that those from before a change of state
+// don't count after it.
 func (b *Breaker) forgetCalls(now float64) {
 	b.calls = timewindow.NewBuckets[Tally](windowBuckets, windowSeconds/windowBuckets, now)
 	clear(b.reports)
 }
 
-// RecordCalls records the results of this server's calls since the last call of RecordCalls, and how many are
-// in flight.
+// RecordCalls records the results of this server's calls that ended since the last RecordCalls, and the
+// number of calls in flight now.
 func (b *Breaker) RecordCalls(now float64, ended Tally, inFlight float64) {
 	b.calls.Current(now).add(ended)
 	if ended.Succeeded > 0 {
@@ -68,9 +71,9 @@
 	}
 }
 
-// Decide moves the breaker to its next state. It returns how many calls may be in flight, +Inf for
-// no limit, and whether the state changed. zoneServers returns the servers of this one's zone, with
-// or without itself; it is called only if some of them are to be chosen to send probes.
+// Decide moves the breaker to its next state. It returns the limit on calls in flight, +Inf for none,
+// and whether the state changed. zoneServers returns the servers of this server's zone, with or
+// without this server. It is called only to choose the servers that send probes.
 func (b *Breaker) Decide(now float64, zoneServers func() []string) (maxInFlight float64, changed bool) {
 	input := b.combinedEvidence(now)
 	if b.rampUp(now, input) {
@@ -83,8 +86,8 @@
 	return b.maxInFlight(now, zoneServers), changed
 }
 
-// rampUp raises the limit of a half-open breaker while calls succeed. It reports whether the limit
-// has reached the usual calls in flight.
+// rampUp raises the limit of a half-open breaker every rampSeconds while calls succeed. It reports
+// whether the limit has just reached the usual calls in flight.
 func (b *Breaker) rampUp(now float64, input evidence) bool {
 	succeeding := input == healthy || input == slow
 	if b.state != HalfOpen || !succeeding || now < b.rampedAt+rampSeconds {
@@ -109,7 +112,7 @@
 	b.stateSince = now
 }
 
-// maxInFlight returns how many calls may be in flight in the current state.
+// maxInFlight returns the limit on calls in flight in the current state, +Inf for none.
 func (b *Breaker) maxInFlight(now float64, zoneServers func() []string) float64 {
 	switch b.state {
 	case Throttled:
@@ -122,5 +125,5 @@
 	return math.Inf(1)
 }
 
-// State returns the state, and when it began in seconds.
+// State returns the state and the time, in seconds, at which the breaker entered it.
 func (b *Breaker) State() (state State, since float64) { return b.state, b.stateSince }
--- a/internal/policy/circuitbreaker/breaker_test.go
+++ b/internal/policy/circuitbreaker/breaker_test.go
@@ -6,15 +6,16 @@
 	"testing"
 )
 
-// TestBreaker_OpensProbesAndCloses has a service fail and return: servers that make five calls a second
-// know within a second, few of them probe it, and its return brings no herd.
+// TestBreaker_OpensProbesAndCloses lets a service fail and recover. Servers with five calls a second
+// must detect the failure within 1 s, only a few of them may probe the service, and its recovery must
+// not cause a burst of calls.
 func TestBreaker_OpensProbesAndCloses(t *testing.T) {
 	for _, servers := range []int{20, 150} {
 		t.Run(fmt.Sprint(servers, " servers"), func(t *testing.T) {
 			s := newSimulation(servers, 5)
 			s.run(20)
 			if closed := s.count(Closed); closed != servers {
-				t.Fatalf("%d of %d breakers are closed", closed, servers)
+				t.Fatalf("before the failure %d of %d breakers are closed, want all", closed, servers)
 			}
 			checkOpens(t, s)
 			checkProbes(t, s)
@@ -23,32 +24,33 @@
 	}
 }
 
-// checkOpens has the service fail.
+// checkOpens lets the service fail and checks that the breakers open.
 func checkOpens(t *testing.T, s *simulation) {
 	t.Helper()
 	servers := len(s.breakers)
 	s.outcome = func(int) (bool, float64) { return false, 0.1 }
 	s.run(1)
-	if found := s.count(Open, Throttled); found < servers*9/10 {
-		t.Errorf("after a second %d of %d breakers hold calls back, at five calls a second each", found, servers)
+	if limiting := s.count(Open, Throttled); limiting < servers*9/10 {
+		t.Errorf("1 s after the failure %d of %d breakers are open or throttled, want at least 90%%", limiting, servers)
 	}
 	s.run(2)
 	if open := s.count(Open); open < servers*9/10 {
-		t.Errorf("after three %d of %d breakers are open", open, servers)
+		t.Errorf("3 s after the failure %d of %d breakers are open, want at least 90%%", open, servers)
 	}
 }
 
-// checkProbes counts the probes of ten seconds.
+// checkProbes checks the number of probes in 10 s.
 func checkProbes(t *testing.T, s *simulation) {
 	t.Helper()
 	s.callCount = 0
 	s.run(10)
 	if s.callCount > 10*zoneCount*probeServers*3 || s.callCount < 10 {
-		t.Errorf("%d servers together probe it %d times in 10 s", len(s.breakers), s.callCount)
+		t.Errorf("%d servers together send %d probes in 10 s, want 10 to %d",
+			len(s.breakers), s.callCount, 10*zoneCount*probeServers*3)
 	}
 }
 
-// checkCloses has the service return.
+// checkCloses lets the service recover and checks that the breakers close without a burst of calls.
 func checkCloses(t *testing.T, s *simulation) {
 	t.Helper()
 	servers := len(s.breakers)
@@ -60,16 +62,17 @@
 	s.callCount = 0
 	s.run(0.5)
 	if calls := float64(s.callCount); calls > 0.5*s.callRate*float64(servers)*0.5+2*probeServers {
-		t.Errorf("%d servers make %.0f calls in its first half second", servers, calls)
+		t.Errorf("%d servers make %.0f calls in the first 0.5 s after the recovery, want at most %.0f",
+			servers, calls, 0.5*s.callRate*float64(servers)*0.5+2*probeServers)
 	}
 	s.run(8)
 	if closed := s.count(Closed); closed != servers {
-		t.Errorf("8 s after it came back %d of %d breakers are closed", closed, servers)
+		t.Errorf("8 s later %d of %d breakers are closed, want all", closed, servers)
 	}
 }
 
-// reportFalsely runs the simulation while one server sends everybody the same tally, and others reports
-// that can't be true.
+// reportFalsely runs the simulation while one server sends the same false tally to all breakers, and
+// others send invalid reports.
 func reportFalsely(s *simulation, tally Tally) {
 	for step := range 100 {
 		for _, breaker := range s.breakers {
@@ -91,39 +94,40 @@
 	}
 }
 
-// TestBreaker_OneFalseReporter neither opens the others' breakers nor keeps them closed, nor does one
-// server with a bad link of its own.
+// TestBreaker_OneFalseReporter checks that one server with false reports, and one with a bad link,
+// neither open the breakers of other servers nor keep them closed.
 func TestBreaker_OneFalseReporter(t *testing.T) {
 	s := newSimulation(12, 2)
 	s.run(5)
 	s.outcome = func(server int) (bool, float64) { return server != 3, 0.05 }
 	reportFalsely(s, Tally{Failed: 1e6})
-	if shut := s.count(Open, Throttled); shut > 1 {
-		t.Errorf("one that lies and one with a bad link have %d of 12 hold calls back", shut)
+	if limiting := s.count(Open, Throttled); limiting > 1 {
+		t.Errorf("with one false reporter and one bad link %d of 12 breakers are open or throttled, want at most 1", limiting)
 	}
 	s.outcome = func(int) (bool, float64) { return false, 0.05 }
 	s.run(2)
 	reportFalsely(s, Tally{Succeeded: 1e6, SuccessSeconds: 1e4})
 	if open := s.count(Open); open < 11 {
-		t.Errorf("one that lies keeps breakers closed: %d of 12 are open", open)
+		t.Errorf("with one false reporter and a failed service %d of 12 breakers are open, want at least 11", open)
 	}
 }
 
-// TestBreaker_FailureOfOneZone opens the breakers of that zone only.
+// TestBreaker_FailureOfOneZone checks that breakers open only in the zone in which the service fails.
 func TestBreaker_FailureOfOneZone(t *testing.T) {
 	s := newSimulation(30, 2)
 	s.run(10)
 	s.outcome = func(server int) (bool, float64) { return server%zoneCount != 0, 0.05 }
 	s.run(4)
 	for i, breaker := range s.breakers {
-		holdsBack := breaker.state == Open || breaker.state == Throttled
-		if holdsBack != (i%zoneCount == 0) {
-			t.Errorf("the breaker of %s in zone %s is %s", breaker.server, breaker.zone, breaker.state)
+		limitsCalls := breaker.state == Open || breaker.state == Throttled
+		if limitsCalls != (i%zoneCount == 0) {
+			t.Errorf("the breaker of %s in zone %s is %s, want open or throttled in zone z0 only",
+				breaker.server, breaker.zone, breaker.state)
 		}
 	}
 }
 
-// TestBreaker_WithoutReports goes by its own calls where nobody hears anything.
+// TestBreaker_WithoutReports checks that servers decide by their own calls if no reports arrive.
 func TestBreaker_WithoutReports(t *testing.T) {
 	s := newSimulation(6, 10)
 	s.hears = func(int, int) bool { return false }
@@ -131,28 +135,32 @@
 	s.outcome = func(server int) (bool, float64) { return server != 2, 0.05 }
 	s.run(3)
 	if closed := s.count(Closed); s.breakers[2].state != Open || closed != 5 {
-		t.Errorf("the breaker of the server whose calls fail is %s; %d others are closed", s.breakers[2].state, closed)
+		t.Errorf("the breaker of the server whose calls fail is %s and %d breakers are closed, want open and 5",
+			s.breakers[2].state, closed)
 	}
-	clear(s.zones[:]) // it knows of nobody
+	clear(s.zones[:]) // no server knows any other
 	s.outcome = alwaysSucceeds
 	s.run(6)
 	if closed := s.count(Closed); closed != 6 {
-		t.Errorf("%d of 6 are closed again", closed)
+		t.Errorf("6 s after the recovery %d of 6 breakers are closed, want all", closed)
 	}
 }
 
-// TestBreaker_Degraded holds no calls back where the service is ten times as slow.
+// TestBreaker_Degraded checks that a service that becomes more than ten times slower degrades the
+// breakers but does not limit calls.
 func TestBreaker_Degraded(t *testing.T) {
 	s := newSimulation(10, 20)
 	s.run(10)
 	s.outcome = func(int) (bool, float64) { return true, 0.25 }
 	s.run(4)
 	if degraded := s.count(Degraded); degraded < 9 || !math.IsInf(s.maxInFlight[0], 1) {
-		t.Errorf("%d of 10 are degraded, %g calls may be in flight", degraded, s.maxInFlight[0])
+		t.Errorf("%d of 10 breakers are degraded and the limit on calls in flight is %g, want at least 9 and +Inf",
+			degraded, s.maxInFlight[0])
 	}
 }
 
-// TestBreaker_Flapping has a service fail each other second: breakers don't open and close in turn.
+// TestBreaker_Flapping lets a service fail every other second. The breakers must not change their state
+// at each failure and recovery.
 func TestBreaker_Flapping(t *testing.T) {
 	s := newSimulation(10, 20)
 	s.run(10)
@@ -172,19 +180,21 @@
 			}
 		}
 	}
-	if each := float64(changes) / 10; each > 40 { // closed, throttled, open, half open
-		t.Errorf("a service that fails ten times changes each breaker's state %.0f times", each)
+	// The limit is ten failures with four changes each: throttled, open, half open, closed.
+	if changesPerBreaker := float64(changes) / 10; changesPerBreaker > 40 {
+		t.Errorf("each breaker changes its state %.0f times during ten failures, want at most 40", changesPerBreaker)
 	}
 }
 
-// TestBreaker_NeedsThreeVotes has servers report failures one after the other to one without own calls.
+// TestBreaker_NeedsThreeVotes checks that the breaker of a server without calls of its own opens only
+// with the third report of failures.
 func TestBreaker_NeedsThreeVotes(t *testing.T) {
 	breaker := New("n0", "", 0)
 	noServers := func() []string { return nil }
 	for votes := 1; votes <= minVotes; votes++ {
 		report := Report{Server: fmt.Sprint("n", votes), Incarnation: 1, Sequence: 1, Tally: Tally{Failed: 100}}
 		if !breaker.HandleReport(1, report) {
-			t.Fatalf("report %d doesn't count", votes)
+			t.Fatalf("HandleReport() of report %d = false, want true", votes)
 		}
 		breaker.Decide(1, noServers)
 		want := Closed
@@ -197,8 +207,8 @@
 	}
 }
 
-// TestBreaker_HalfOpenLimit lets a twentieth of the usual calls pass at first after the breaker was open, a
-// quarter after it was throttled, and doubles that each half second.
+// TestBreaker_HalfOpenLimit checks that the limit on calls in flight starts at 5% of the usual calls
+// after the breaker was open and at 25% after it was throttled, and doubles every 0.5 s.
 func TestBreaker_HalfOpenLimit(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -224,14 +234,14 @@
 				now := 3 + float64(i)*rampSeconds
 				breaker.RecordCalls(now, Tally{Succeeded: 100, SuccessSeconds: 1}, 2)
 				if limit, _ := breaker.Decide(now, noServers); limit != want {
-					t.Errorf("after %g s %g calls may be in flight, want %g", now-3, limit, want)
+					t.Errorf("after %g s the limit on calls in flight is %g, want %g", now-3, limit, want)
 				}
 			}
 		})
 	}
 }
 
-// TestState_String names every state.
+// TestState_String checks the name of every state and of invalid values.
 func TestState_String(t *testing.T) {
 	want := map[State]string{
 		Closed:         "closed",
--- a/internal/policy/circuitbreaker/probe.go
+++ b/internal/policy/circuitbreaker/probe.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// probeServers is how many servers of a zone send one probe each, while breakers are open, in each slot
-	// of probeSlotSeconds.
+	// probeServers is the number of servers of a zone that each send one probe in each probe slot while
+	// their breakers are open. A probe slot lasts probeSlotSeconds.
 	probeServers     = 3
 	probeSlotSeconds = 1.0
 )
 
-// slotNumber returns the number of the probe slot at a time.
+// slotNumber returns the number of the probe slot that contains now.
 func slotNumber(now float64) int64 { return int64(now / probeSlotSeconds) }
 
-// ProbeSlot returns a number that identifies the current probe slot, never 0, if the breaker is open, so that
-// only one probe is to be sent in the slot; 0 if it is not open.
+// ProbeSlot returns a number other than 0 that identifies the current probe slot if the breaker is
+// open, and 0 if it is not. With an open breaker, at most one probe may be sent in each slot.
 func (b *Breaker) ProbeSlot(now float64) int64 {
 	if b.state == Open {
 		return slotNumber(now) + 1
@@ -25,9 +25,9 @@
 	return 0
 }
 
-// roundLimit turns a mean limit on calls in flight for each server into a whole number for this one. With a
-// limit under 1, that part of the servers may have one call in flight in the slot, and those that probe may
-// always.
+// roundLimit rounds a limit on calls in flight down to an integer. If the limit is under 1, it selects
+// that fraction of the servers in each probe slot, which may have one call in flight. The servers that
+// send probes may always have one.
 func (b *Breaker) roundLimit(now, limit float64, zoneServers func() []string) float64 {
 	switch {
 	case limit >= 1:
@@ -40,9 +40,10 @@
 	return 0
 }
 
-// sendsProbe reports whether this server is one of the probeServers of its zone in the current slot and, with
-// an open breaker, has made no call in the slot yet. Servers that know the same zone members choose the same
-// ones; a server that knows too few others always probes.
+// sendsProbe reports whether this server is one of the probeServers of its zone in the current slot. If
+// the breaker is open, the server must also have made no call in the slot yet. Servers that know the
+// same members of the zone choose the same ones. A server that knows fewer than probeServers others is
+// always chosen.
 func (b *Breaker) sendsProbe(now float64, zoneServers func() []string) bool {
 	if b.state == Open && b.lastCallSlot == slotNumber(now) {
 		return false
@@ -58,7 +59,7 @@
 	return ahead < probeServers
 }
 
-// slotHash returns the hash by which servers are ranked in the current slot.
+// slotHash returns the hash by which a server is ranked in the probe slot that contains now.
 func slotHash(server string, now float64) uint32 {
 	return crc32.ChecksumIEEE([]byte(strconv.FormatInt(slotNumber(now), 10) + " " + server))
 }
--- a/internal/policy/circuitbreaker/report.go
+++ b/internal/policy/circuitbreaker/report.go
@@ -11,7 +11,7 @@
 type Tally struct {
 	Succeeded      int
 	Failed         int
-	SuccessSeconds float64 // total duration of the successful ones
+	SuccessSeconds float64 // total duration of the successful calls
 }
 
 func (t *Tally) add(other Tally) {
@@ -22,32 +22,33 @@
 
 func (t *Tally) calls() int { return t.Succeeded + t.Failed }
 
-// valid reports whether a tally from another process is plausible.
+// valid reports whether a tally received from another process is plausible.
 func (t *Tally) valid() bool {
 	return t.Succeeded >= 0 && t.Failed >= 0 && t.Succeeded <= maxCalls && t.Failed <= maxCalls &&
 		t.SuccessSeconds >= 0 && !math.IsInf(t.SuccessSeconds, 0)
 }
 
-// Report is a server's report of its calls in the last windowSeconds.
+// Report contains the results of a server's calls in the last windowSeconds.
 type Report struct {
 	Server      string
 	Zone        string // "" if zones are not used
 	Incarnation uint64
-	Sequence    uint64  // grows with each report of an incarnation
-	AgeSeconds  float64 // since it was made, as measured by the servers that relayed it
+	Sequence    uint64  // increases with each report of an incarnation
+	AgeSeconds  float64 // time since it was created: the sum of the times that relaying servers held it
 	Tally       Tally
 }
 
 const (
-	// MaxReports bounds the servers whose reports are held: more votes would not change the result.
+	// MaxReports bounds the reports held, one for each server. More votes would not change the result.
 	MaxReports = 128
-	// maxCalls is the most calls of a plausible report: over a million a second.
+	// maxCalls is the largest plausible number of succeeded or failed calls in a report, more than a
+	// million a second.
 	maxCalls = 2e6
-	// minReportCalls is how many calls a report must count to be sent and to have a vote.
+	// minReportCalls is the smallest number of calls with which a report is sent and has a vote.
 	minReportCalls = 1
 )
 
-// receivedReport is a report of another server, and when it was made by the local clock.
+// receivedReport is another server's report with the time of its creation by the local clock.
 type receivedReport struct {
 	Report
 	madeAt float64
@@ -55,9 +56,9 @@
 
 func (r *receivedReport) expired(now float64) bool { return now > r.madeAt+windowSeconds }
 
-// HandleReport stores another server's report and reports whether it did. It ignores a report that
-// is not plausible or recent, one that is not newer than that held for the server, and one that
-// there is no room for.
+// HandleReport stores another server's report and returns true. It ignores the report and returns false
+// if the report is implausible or too old, is not newer than one held of the same incarnation, or
+// comes from a further server while MaxReports reports are held.
 func (b *Breaker) HandleReport(now float64, report Report) bool {
 	if !b.acceptable(now, &report) {
 		return false
@@ -76,8 +77,8 @@
 	return true
 }
 
-// acceptable reports whether a report is plausible and recent. While the breaker is half open, reports from
-// before that don't count.
+// acceptable reports whether a report is plausible and recent. While the breaker is half open, a report
+// created before it became half open is not acceptable.
 func (b *Breaker) acceptable(now float64, report *Report) bool {
 	if report.Server == "" || report.Server == b.server || !report.Tally.valid() {
 		return false
@@ -88,13 +89,13 @@
 	return b.state != HalfOpen || report.AgeSeconds <= now-b.stateSince
 }
 
-// expireReports drops reports that are too old to count.
+// expireReports removes reports that are too old to count.
 func (b *Breaker) expireReports(now float64) {
 	maps.DeleteFunc(b.reports, func(_ string, report *receivedReport) bool { return report.expired(now) })
 }
 
-// GossipReports returns the reports to send to other servers, at most maxReports of them: this
-// server's own, if it made calls recently, and the newest of others.
+// GossipReports returns the reports to send to other servers, at most maxReports: this server's own
+// report, if calls ended in the window, and the newest reports of other servers.
 func (b *Breaker) GossipReports(now float64, incarnation uint64, maxReports int) []Report {
 	var list []Report
 	if own := b.ownCalls(now); own.calls() >= minReportCalls {
--- a/internal/policy/circuitbreaker/simulation_test.go
+++ b/internal/policy/circuitbreaker/simulation_test.go
@@ -9,19 +9,21 @@
 const (
 	simulationStep = 0.05
 	zoneCount      = 3
-	// gossipFanout servers hear a server's reports each time, of at most gossipReports servers.
+	// Each time a server gossips, it chooses gossipFanout servers and sends each of them the reports of
+	// at most gossipReports servers.
 	gossipFanout  = 3
 	gossipReports = 16
 )
 
-// simulation plays servers that call one service and exchange reports, beside a plain account of the calls.
+// simulation runs servers that call one service and exchange reports, in simulated time, and counts
+// their calls.
 type simulation struct {
 	random      *rand.Rand
 	now         float64
 	breakers    []*Breaker
-	zones       [zoneCount][]string // names of the servers in each
-	hears       func(from, to int) bool
-	callRate    float64 // calls a second that each server wants to make
+	zones       [zoneCount][]string     // names of the servers in each zone
+	hears       func(from, to int) bool // whether reports reach server to from server from
+	callRate    float64                 // calls a second that each server tries to make
 	outcome     func(server int) (succeeds bool, seconds float64)
 	inFlight    [][]call // by server
 	callCount   int
@@ -34,7 +36,7 @@
 	seconds  float64
 }
 
-// alwaysSucceeds is the outcome of calls to a service that is well.
+// alwaysSucceeds is the outcome of calls to a healthy service.
 func alwaysSucceeds(int) (succeeds bool, seconds float64) { return true, 0.02 }
 
 func newSimulation(servers int, callRate float64) *simulation {
@@ -77,7 +79,7 @@
 	}
 }
 
-// endCalls takes out calls that have ended, and tells what became of them.
+// endCalls removes the calls that have ended and returns their results.
 func (s *simulation) endCalls(server int) (ended Tally) {
 	left := s.inFlight[server][:0]
 	for _, call := range s.inFlight[server] {
@@ -117,7 +119,7 @@
 	}
 }
 
-// count tells how many breakers are in one of the states.
+// count returns how many breakers are in one of the states.
 func (s *simulation) count(states ...State) (n int) {
 	for _, breaker := range s.breakers {
 		for _, state := range states {
--- a/internal/policy/circuitbreaker/state.go
+++ b/internal/policy/circuitbreaker/state.go
@@ -3,34 +3,35 @@
 // State is the state of a breaker.
 type State uint8
 
-// The states of a breaker. Closed and Degraded don't limit calls.
+// The states of a breaker. In Closed and Degraded, calls are not limited.
 const (
 	Closed    State = iota
-	Degraded        // calls take far longer than the fastest recent mean
-	Throttled       // half of the calls or more fail: only part of the usual ones may be in flight
+	Degraded        // calls take much longer than the lowest recent mean
+	Throttled       // at least half of the calls fail: a fraction of the usual calls may be in flight
 	Open            // nearly all calls fail: only probes may be in flight
-	HalfOpen        // calls succeed again: the limit is raised in steps
+	HalfOpen        // calls succeed again: the limit on calls in flight is raised in steps
 	stateCount
 )
 
-// String returns the state's name in logs.
+// String returns the state's name as used in logs.
 func (s State) String() string {
 	return [...]string{"closed", "degraded", "throttled", "open", "half_open", "unknown"}[min(s, stateCount)]
 }
 
-// evidence is the condition of a service by its calls, from healthy to worse so that votes have a median.
+// evidence is the condition of a service as inferred from calls. The values are ordered from healthy to
+// down so that votes have a median.
 type evidence uint8
 
 const (
-	insufficient evidence = iota // too few calls to tell
+	insufficient evidence = iota // no calls to decide by
 	healthy
 	slow
 	failing
 	down
-	recovered // healthy, and the limit of a half-open breaker has reached the usual calls; never a vote
+	recovered // the limit of a half-open breaker has reached the usual calls in flight; never a vote
 )
 
-// transitions lists all changes of state. Any other evidence leaves the state as it is.
+// transitions lists all changes of state. With any other evidence the state does not change.
 var transitions = [...]struct {
 	from  State
 	input evidence
@@ -52,7 +53,7 @@
 	{HalfOpen, recovered, Closed},
 }
 
-// next returns the state that follows on the evidence.
+// next returns the state that follows s with the given evidence.
 func (s State) next(input evidence) State {
 	for _, transition := range transitions {
 		if transition.from == s && transition.input == input {
--- a/internal/policy/counter/aggregator.go
+++ b/internal/policy/counter/aggregator.go
@@ -8,28 +8,29 @@
 )
 
 const (
-	// maxRows bounds the rows of an aggregator: one for each server of the largest fleet, and as many of
-	// earlier incarnations. Reports of further rows are refused.
+	// maxRows bounds the rows of an aggregator: one for each server of the largest fleet, and the
+	// same number for earlier incarnations. Reports of further rows are ignored.
 	maxRows = 8192
-	// windowBucketSeconds times windowBuckets is the window of Summary.LastMinute.
+	// windowBucketSeconds times windowBuckets is the length of the window of Summary.LastMinute.
 	windowBucketSeconds = 5.0
 	windowBuckets       = 12
 )
 
-// ClosedRowLookup returns the sequence number under which a row was closed, and whether it was closed.
+// ClosedRowLookup reports whether a row was closed, and returns the sequence number under which it
+// was closed.
 type ClosedRowLookup func(rowID uint64) (sequence uint64, closed bool)
 
-// Aggregator collects the rows of all running servers. Each voter has one.
+// Aggregator collects the rows of all running servers. Each voter runs one.
 type Aggregator struct {
-	names        []string // of all aggregators, in order
-	selfIndex    int      // index in names
+	names        []string // names of all aggregators, sorted
+	selfIndex    int      // index of this aggregator in names
 	incarnations Incarnations
-	majority     int // aggregators, itself among them
+	majority     int // number of aggregators that form a majority, including this one
 	closedRow    ClosedRowLookup
 	rows         map[uint64]*row
 	window       *timewindow.Buckets[cells]
 
-	queryNumber uint64 // of the last query to the others
+	queryNumber uint64 // number of the last query to the other aggregators
 	recovery    recovery
 	closeRound  closeRound
 
@@ -37,9 +38,9 @@
 	incompleteRecoveries int
 }
 
-// NewAggregator returns an aggregator without rows, which recovers those of the others. Its
-// incarnation should be higher than its earlier ones; learnIncarnations corrects one that a clock
-// behind made too low.
+// NewAggregator returns an aggregator without rows, which starts to recover the rows of the other
+// aggregators. incarnation should be higher than those of earlier starts; learnIncarnations raises
+// one that is too low because the clock was behind.
 func NewAggregator(
 	name string, aggregators []string, incarnation uint64, closedRow ClosedRowLookup, now float64,
 ) *Aggregator {
@@ -52,16 +53,16 @@
 		closedRow:    closedRow,
 		rows:         map[uint64]*row{},
 		window:       timewindow.NewBuckets[cells](windowBuckets, windowBucketSeconds, now),
-		queryNumber:  incarnation, // so that no reply to an earlier incarnation is one to this
+		queryNumber:  incarnation, // replies to an earlier incarnation never have this number
 	}
 	a.incarnations[a.selfIndex] = incarnation
 	a.beginRecovery(now)
 	return a
 }
 
-// learnIncarnations merges incarnations of aggregators that a message carried. If they have a later
-// one of this aggregator, it started with a clock that is behind: it takes a higher incarnation and
-// recovers again.
+// learnIncarnations merges the aggregators' incarnations from a received message. If the message
+// has a higher incarnation of this aggregator, this aggregator started with a clock that was behind.
+// It then takes a still higher incarnation and recovers again.
 func (a *Aggregator) learnIncarnations(now float64, received Incarnations) {
 	own := a.incarnations[a.selfIndex]
 	a.incarnations.merge(received)
@@ -71,10 +72,12 @@
 	}
 }
 
-// IncompleteRecoveries returns how many recoveries ended before enough other aggregators had sent their rows.
+// IncompleteRecoveries returns how many recoveries ended before enough other aggregators had sent all
+// of their rows.
 func (a *Aggregator) IncompleteRecoveries() int { return a.incompleteRecoveries }
 
-// HandleReport merges a server's report into its row, unless that is frozen or closed, and returns the reply.
+// HandleReport merges a server's report into its row, unless the row is frozen or closed, and returns
+// the reply.
 func (a *Aggregator) HandleReport(now float64, report *RowReport) RowAck {
 	a.learnIncarnations(now, report.Aggregators)
 	ack := RowAck{RowID: report.RowID, Aggregators: slices.Clone(a.incarnations)}
@@ -93,7 +96,7 @@
 	r.lastHeard = now
 	r.onlyRelayed = false
 	switch {
-	case a.Recovering(): // the row may be frozen at others, which is not known here yet: acknowledge nothing
+	case a.Recovering(): // other aggregators may have frozen the row, so nothing is acknowledged
 	case r.frozen:
 		ack.Sequence = r.frozenSequence
 	default:
@@ -102,8 +105,8 @@
 	return ack
 }
 
-// mergeReport merges a report into its row, if its sequence number is higher than the row's. It returns the
-// row, nil if the row is new and refused.
+// mergeReport merges a report into its row if the report has a higher sequence number. It returns
+// the row, or nil if there is no such row and the report may not add it.
 func (a *Aggregator) mergeReport(now float64, report *RowReport) *row {
 	target := a.rows[report.RowID]
 	if target == nil {
@@ -129,13 +132,13 @@
 	return target
 }
 
-// acceptsRow reports whether a report may add a row that is not known here.
+// acceptsRow reports whether a report may add a row that this aggregator does not have.
 func (a *Aggregator) acceptsRow(report *RowReport) bool {
 	return report.BaseSequence == 0 && report.Sequence != 0 && report.Server != "" &&
 		len(a.rows) < maxRows && len(report.Cells) <= maxReportCells
 }
 
-// currentBucket returns the cells of the window's bucket for now.
+// currentBucket returns the cells of the window's bucket that contains now.
 func (a *Aggregator) currentBucket(now float64) cells {
 	bucket := a.window.Current(now)
 	if *bucket == nil {
@@ -144,14 +147,15 @@
 	return *bucket
 }
 
-// addRow adds an empty row.
+// addRow adds an empty row and returns it.
 func (a *Aggregator) addRow(now float64, rowID uint64) *row {
 	added := newRow(rowID, now)
 	a.rows[rowID] = added
 	return added
 }
 
-// freeze freezes a row at its sequence number here. A row that is not known is added first.
+// freeze freezes a row at this aggregator's sequence number of it. It adds the row first if there is
+// none.
 func (a *Aggregator) freeze(now float64, rowID uint64) *row {
 	r := a.rows[rowID]
 	if r == nil {
@@ -162,8 +166,8 @@
 }
 
 // Maintain does the periodic work: a recovering aggregator queries the others for their rows, and
-// the leader's looks for rows whose servers are gone. It returns the queries to send and, like
-// HandleQueryReply, the rows to close now.
+// the leader's aggregator looks for rows whose servers are gone. It returns the queries to send and,
+// like HandleQueryReply, the rows to close now.
 func (a *Aggregator) Maintain(now float64, isLeader bool, gone ServerGone) (queries []Envelope, toClose []RowReport) {
 	if a.Recovering() {
 		return a.recoveryQueries(now), nil
@@ -186,7 +190,7 @@
 	return closed
 }
 
-// NextWakeup returns when Maintain is to be called, in seconds.
+// NextWakeup returns the time, in seconds, at which Maintain should be called next.
 func (a *Aggregator) NextWakeup() float64 {
 	if a.Recovering() {
 		return min(a.recovery.lastQuery+recoveryQueryInterval, a.recovery.began+maxRecoverySeconds)
@@ -194,7 +198,7 @@
 	return a.closeRound.lastSearch + closeInterval
 }
 
-// otherAggregators returns the names of all aggregators but this one.
+// otherAggregators returns the names of the other aggregators.
 func (a *Aggregator) otherAggregators() []string {
 	return slices.Delete(slices.Clone(a.names), a.selfIndex, a.selfIndex+1)
 }
--- a/internal/policy/counter/cells.go
+++ b/internal/policy/counter/cells.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// maxRowCells bounds the tenants and classes that a row counts apart: there is room for sixty classes of
-	// sixteen tenants. All others share one cell with an empty key.
+	// maxRowCells bounds the pairs of tenant and class that a row counts separately, for example 60
+	// classes of each of 16 tenants. All further pairs share one cell with an empty key.
 	maxRowCells = 1024
-	// maxReportCells is maxRowCells and the shared cell.
+	// maxReportCells is maxRowCells plus the shared cell.
 	maxReportCells = maxRowCells + 1
 )
 
-// cells are counts by tenant and class.
+// cells maps pairs of tenant and class to their request counts.
 type cells map[serving.CounterKey]serving.RequestCounts
 
-// sorted returns the cells in the order of their keys.
+// sorted returns the cells sorted by key.
 func (c cells) sorted() []serving.CounterCell {
 	list := make([]serving.CounterCell, 0, len(c))
 	for key, counts := range c {
@@ -32,14 +32,15 @@
 	c[key] = c[key].Add(counts)
 }
 
-// addAll adds other cells.
+// addAll adds the counts of all cells of other.
 func (c cells) addAll(other cells) {
 	for key, counts := range other {
 		c.add(key, counts)
 	}
 }
 
-// minus returns the cells less other ones, none of which is larger, without those that become zero.
+// minus returns the differences between the cells and those of other, which must not be larger. It
+// omits differences of zero.
 func (c cells) minus(other cells) cells {
 	left := cells{}
 	for key, counts := range c {
@@ -51,7 +52,7 @@
 	return left
 }
 
-// changedSince returns the cells that differ from earlier ones.
+// changedSince returns the cells that differ from those of earlier.
 func (c cells) changedSince(earlier cells) cells {
 	changed := cells{}
 	for key, counts := range c {
--- a/internal/policy/counter/closing.go
+++ b/internal/policy/counter/closing.go
@@ -6,37 +6,39 @@
 )
 
 const (
-	// silentSeconds is how long a row must be without a report before it may be closed: twice
-	// idleReportInterval, at which a running server reports.
+	// silentSeconds is how long no report of a row must have arrived before the row may be closed. It
+	// is twice idleReportInterval, at which a running server reports at least.
 	silentSeconds = 10.0
-	// closeInterval is how often rows to be closed are looked for, in seconds.
+	// closeInterval is the time between searches for rows to close, in seconds.
 	closeInterval = 1.0
-	// maxClosedRows and maxClosedCells bound the rows closed in one round and their cells; the first row may
-	// have more cells.
+	// maxClosedRows and maxClosedCells bound the rows closed in one round and the cells of these rows.
+	// The first row of a round may exceed maxClosedCells.
 	maxClosedRows  = 32
 	maxClosedCells = 2048
-	// The rows of the aggregators' own servers are closed at intervals, as all aggregators may fail at once:
-	// what is in the replicated log survives, because all servers have copies. The log grows with each closed
-	// row. So the interval, in seconds, is renewalPerRow for each row, which bounds the growth for a large
-	// fleet, and at least minRenewal.
+	// The rows of the servers that run the aggregators are closed regularly, and the servers continue
+	// with new rows. If all aggregators fail at the same time, the counts in closed rows survive in
+	// the replicated log, because all servers have copies of it. The log grows with each closed row,
+	// so the interval, in seconds, is renewalPerRow times the number of rows, which bounds the growth
+	// of the log in a large fleet, and at least minRenewal.
 	renewalPerRow = 0.6
 	minRenewal    = 60.0
 )
 
-// ServerGone reports whether an incarnation of a server is over: its name belongs to another one or to none.
+// ServerGone reports whether an incarnation of a server is gone: the server's name belongs to another
+// incarnation or to none.
 type ServerGone func(server string, incarnation uint64) bool
 
-// closeRound is the state of closing rows whose servers are gone, at the leader's aggregator. It queries the
-// others for what they have of the rows, which freezes the rows there.
+// closeRound is the state of one round of closing rows, at the leader's aggregator. In a round, the
+// aggregator queries the others for their copies of the rows, and they freeze these rows.
 type closeRound struct {
-	lastSearch float64
-	rows       []uint64        // IDs of the rows that the others were asked about, nil for none
-	askedUnder Incarnations    // of the aggregators when they were asked
-	confirmed  map[string]bool // the others that have replied
+	lastSearch float64         // when rows to close were last searched for
+	rows       []uint64        // IDs of the rows to close, nil if no round is in progress
+	askedUnder Incarnations    // incarnations of the aggregators when the queries were created
+	confirmed  map[string]bool // by name: the other aggregators that have frozen the rows
 }
 
-// closeRows begins to close the rows that may be closed. It returns the queries to the other aggregators or,
-// if this one is a majority by itself, the rows.
+// closeRows starts a round that closes the rows that may be closed. It returns the queries to the
+// other aggregators or, if this aggregator alone is a majority, the rows to close.
 func (a *Aggregator) closeRows(now float64, gone ServerGone) (queries []Envelope, toClose []RowReport) {
 	query := &RowQuery{Number: a.queryNumber + 1}
 	a.freezeAbandoned(now, gone, query)
@@ -56,7 +58,8 @@
 	return queries, nil
 }
 
-// freezeAbandoned freezes the rows that may be closed, up to maxClosedRows, and adds them to the query.
+// freezeAbandoned freezes the rows that may be closed, up to maxClosedRows and maxClosedCells, and adds
+// them to the round and to the query.
 func (a *Aggregator) freezeAbandoned(now float64, gone ServerGone, query *RowQuery) {
 	cellCount := 0
 	for _, rowID := range slices.Sorted(maps.Keys(a.rows)) {
@@ -74,8 +77,8 @@
 	}
 }
 
-// mayClose reports whether a row is to be closed: it is frozen already, or it is old and its server is an
-// aggregator, or its server is gone.
+// mayClose reports whether a row may be closed: it is frozen already, or it belongs to an aggregator's
+// own server and is old enough to be replaced, or its server is gone.
 func (a *Aggregator) mayClose(now float64, r *row, gone ServerGone) bool {
 	renewal := max(minRenewal, renewalPerRow*float64(len(a.rows)))
 	if r.frozen || now >= r.firstHeard+renewal && slices.Contains(a.names, r.server) {
@@ -85,9 +88,10 @@
 	return silent && gone(r.server, r.incarnation)
 }
 
-// confirmClosing records that another aggregator has frozen the rows to close, and returns them
-// once a majority has. A reply counts only while the incarnations of all aggregators are those of
-// the query: one that restarted since has lost what it acknowledged.
+// confirmClosing records that another aggregator has frozen the rows to close. Once a majority has,
+// it returns the rows. A reply counts only while all aggregators have the incarnations that they had
+// at the time of the query, because an aggregator that restarted has lost the reports that it
+// acknowledged.
 func (a *Aggregator) confirmClosing(from string, reply *RowQueryReply) []RowReport {
 	if reply.Recovering || a.closeRound.rows == nil || !slices.Equal(a.incarnations, a.closeRound.askedUnder) ||
 		!slices.Equal(a.incarnations, reply.Aggregators) {
@@ -100,7 +104,7 @@
 	return a.takeClosing()
 }
 
-// takeClosing ends the round and returns its rows as they are known now.
+// takeClosing ends the round and returns the current content of its rows.
 func (a *Aggregator) takeClosing() []RowReport {
 	var list []RowReport
 	for _, rowID := range a.closeRound.rows {
--- a/internal/policy/counter/counter_test.go
+++ b/internal/policy/counter/counter_test.go
@@ -9,8 +9,8 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// TestAggregator_CountsEachRequestOnce has things go wrong in drawn schedules, heals them, and holds what
-// the aggregators know against the truth.
+// TestAggregator_CountsEachRequestOnce runs simulations with random faults. After the faults are
+// healed, it compares the aggregators' totals with the number of requests that the servers received.
 func TestAggregator_CountsEachRequestOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { checkSchedule(t, rapid.Uint64().Draw(t, "seed")) })
 }
@@ -24,12 +24,12 @@
 	for _, a := range s.aggregators {
 		recovering, rejected := a.aggregator.Recovering(), a.aggregator.rejectedReports
 		if recovering || rejected > 0 {
-			t.Fatalf("%s recovers: %v; it rejected %d reports", a.name, recovering, rejected)
+			t.Fatalf("%s: recovering = %v and %d rejected reports, want false and 0", a.name, recovering, rejected)
 		}
 	}
 	for _, server := range s.servers {
 		if server.reporter.Unaccounted > 0 {
-			t.Fatalf("%s has %d requests unaccounted", server.name, server.reporter.Unaccounted)
+			t.Fatalf("%s has %d unaccounted requests, want 0", server.name, server.reporter.Unaccounted)
 		}
 	}
 	low, high := s.bounds()
@@ -37,12 +37,12 @@
 	for _, a := range s.aggregators {
 		got := sumReceived(a.aggregator.Summary(s.now, a.log.ClosedTotals).Total)
 		if got < low || got > high {
-			t.Fatalf("%s counts %d, the truth is from %d to %d (%d dead)", a.name, got, low, high, len(s.dead))
+			t.Fatalf("the total at %s is %d requests, want %d to %d (%d servers were killed)", a.name, got, low, high, len(s.dead))
 		}
 	}
 }
 
-// received is a count of one cell.
+// received returns a cell with n received requests.
 func received(tenant, class string, n uint64) serving.CounterCell {
 	return serving.CounterCell{
 		CounterKey:    serving.CounterKey{Tenant: tenant, Class: class},
@@ -50,11 +50,12 @@
 	}
 }
 
-// noClosedRow is a log in which no row is closed.
+// noClosedRow is a ClosedRowLookup that finds no closed row.
 func noClosedRow(uint64) (sequence uint64, closed bool) { return 0, false }
 
-// TestReporter_RowClosedWhileAlive forces this order: a row is closed under its first or second number
-// while its server is alive and has more to report. The server goes on with the rest as another row.
+// TestReporter_RowClosedWhileAlive guards against lost or doubly counted requests when a row is closed
+// while its server still runs: the row is closed under its first or second number, and the server must
+// report the remaining requests in a new row.
 func TestReporter_RowClosedWhileAlive(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -81,17 +82,17 @@
 			}
 			report := envelopes[0].Report
 			if report.RowID != 101 || report.Sequence != 1 || sumReceived(report.Cells) != c.want {
-				t.Errorf("it reports %+v, want %d requests in row 101", report, c.want)
+				t.Errorf("the report is %+v, want sequence 1 of row 101 with %d requests", report, c.want)
 			}
 			if reporter.Unaccounted != 0 {
-				t.Errorf("%d requests are unaccounted", reporter.Unaccounted)
+				t.Errorf("%d requests are unaccounted, want 0", reporter.Unaccounted)
 			}
 		})
 	}
 }
 
-// TestAggregator_RejectsImpossibleReports: a row that shrinks, lacks a cell, has one twice or jumps changes
-// nothing.
+// TestAggregator_RejectsImpossibleReports checks that a report does not change the row if one of its
+// counts is smaller than in the row, a cell is missing or repeated, or a count grows too fast.
 func TestAggregator_RejectsImpossibleReports(t *testing.T) {
 	a := NewAggregator("k0", []string{"k0"}, 1, noClosedRow, 0)
 	of := func(class string, n uint64) serving.CounterCell { return received("", class, n) }
@@ -112,32 +113,33 @@
 	}{
 		{"a cell shrinks", []serving.CounterCell{of("x", 9), of("y", 5)}},
 		{"a cell is missing", []serving.CounterCell{of("x", 11)}},
-		{"a cell twice", []serving.CounterCell{of("x", 10), of("x", 10), of("y", 5)}},
+		{"a cell is repeated", []serving.CounterCell{of("x", 10), of("x", 10), of("y", 5)}},
 		{"too many requests", []serving.CounterCell{of("x", 1<<60), of("y", 5)}},
 	}
 	for _, c := range impossible {
 		if ack := a.HandleReport(1, report(2, 0, c.cells...)); ack.Sequence != 1 {
-			t.Errorf("%s: it is accepted", c.name)
+			t.Errorf("%s: sequence %d is acknowledged, want 1", c.name, ack.Sequence)
 		}
 	}
 	if summary := a.Summary(1, nil); sumReceived(summary.Total) != 15 || summary.RejectedReports != 4 {
-		t.Errorf("it knows %+v", summary)
+		t.Errorf("the summary is %+v, want 15 requests in total and 4 rejected reports", summary)
 	}
 	if ack := a.HandleReport(2, report(2, 1, of("y", 6))); ack.Sequence != 2 {
-		t.Errorf("what changed is not accepted: %+v", ack)
+		t.Errorf("a report of the changed cell is answered with %+v, want sequence 2", ack)
 	}
 	summary := a.Summary(14, nil)
 	if sumReceived(summary.Total) != 16 || summary.MaxMissing != 6 {
-		t.Errorf("it knows %+v", summary)
+		t.Errorf("the summary is %+v, want 16 requests in total and 6 missing", summary)
 	}
 	if late := summary.LateReports; len(late) != 1 || late[0].SilentSeconds != 12 {
-		t.Errorf("late are %+v", late)
+		t.Errorf("the late reports are %+v, want one that is silent for 12 s", late)
 	}
 }
 
-// TestAggregator_FrozenRowAcknowledgesNoMore forces this order: an aggregator is asked about a row that is to
-// be closed, another one relays a higher number of the row, then its server reports. The server must not
-// learn that the higher number is there, or it would go on to the next.
+// TestAggregator_FrozenRowAcknowledgesNoMore guards against acknowledging a number higher than that at
+// which a row was frozen. The aggregator freezes a row, another aggregator relays a higher number of
+// the row, and then the row's server reports. If the aggregator acknowledged the higher number, the
+// server could take the next number while the row is being closed.
 func TestAggregator_FrozenRowAcknowledgesNoMore(t *testing.T) {
 	names := []string{"k0", "k1", "k2"}
 	a := NewAggregator("k0", names, 1, noClosedRow, 0)
@@ -145,7 +147,7 @@
 		a.HandleQueryReply(0, from, &RowQueryReply{Number: 1})
 	}
 	if a.Recovering() {
-		t.Fatal("it still recovers")
+		t.Fatal("the aggregator is recovering, want a finished recovery")
 	}
 	report := func(sequence uint64) *RowReport {
 		return &RowReport{
@@ -160,10 +162,10 @@
 	a.HandleQuery(2, &RowQuery{Number: 1, Rows: []RowAck{{RowID: 1}}})
 	a.HandleQueryReply(3, "k1", &RowQueryReply{Number: 1, Rows: []RowReport{*report(2)}})
 	if sequence := a.rows[1].sequence; sequence != 2 {
-		t.Fatalf("the row is here under number %d, want 2", sequence)
+		t.Fatalf("the aggregator has sequence %d of the row, want 2", sequence)
 	}
 	if ack := a.HandleReport(4, report(2)); ack.Sequence != 1 {
-		t.Errorf("number %d is acknowledged, want 1", ack.Sequence)
+		t.Errorf("sequence %d is acknowledged, want 1", ack.Sequence)
 	}
 }
 
--- a/internal/policy/counter/doc.go
+++ b/internal/policy/counter/doc.go
@@ -1,15 +1,16 @@
-// Package counter adds up what all servers of a fleet counted: how many requests of each tenant and
-// class arrived, and how they ended. Each request counts once, whatever messages are lost, late or
-// duplicated, and whoever dies; docs/shared.md has the argument.
+// Package counter adds up the request counts of all servers of a fleet: how many requests of each
+// tenant and class arrived, and how they ended. Each request counts once, whichever messages are
+// lost, late or duplicated and whichever processes fail. docs/shared.md explains why.
 //
-// What a server counted since its start is a row, which only grows. Its Reporter reports the row to
-// the aggregators, the fleet's voters, under sequence numbers that grow by one, and takes the next
-// number only once a majority of the aggregators has acknowledged the last. So a row whose server
-// is gone ended in one of two states, both of which the server knows, should it still live. Such a
-// row is closed: added, once, to the totals in the voters' replicated log, under the highest number
-// that a majority of the aggregators knows. Each of them accepts no more of the row from then on.
-// So the rows that are kept are bounded by the number of running servers, however many have come
-// and gone.
+// The counts of a server since its start form a row, in which counts only grow. The server's
+// Reporter reports the row to the aggregators, which run in the fleet's voters, under consecutive
+// sequence numbers. It takes the next number only after a majority of the aggregators has
+// acknowledged the last one. The final state of a row whose server is gone is therefore that of
+// one of the last two numbers, and the server, if it still runs, has the row's content under
+// both. Such a row is closed: the leader adds it once to the totals in the voters' replicated
+// log, under the highest number that a majority of the aggregators knows, and from then on these
+// aggregators accept no more reports of the row. Closing bounds the number of open rows by the
+// number of running servers, however many servers have started and stopped.
 //
 // The package does no I/O, reads no clock and starts no goroutine. A Reporter and an Aggregator
 // belong to one goroutine, the node agent's (package fleet), which passes the time in seconds of
--- a/internal/policy/counter/query.go
+++ b/internal/policy/counter/query.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// maxReplyCells bounds the cells of one reply, unless its first row has more: some tens of kilobytes.
+// maxReplyCells bounds the cells of one reply, unless its first row has more. It keeps a reply at a few
+// tens of kilobytes.
 const maxReplyCells = 1024
 
 // HandleQuery returns the reply to another aggregator's query.
@@ -25,14 +26,14 @@
 	return reply
 }
 
-// replyBuilder fills a reply up to its size.
+// replyBuilder fills a reply with rows up to maxReplyCells.
 type replyBuilder struct {
 	reply     *RowQueryReply
 	cellsLeft int
 }
 
-// add appends a row and returns true, or notes that there are more and returns false. The first row always
-// has room.
+// add appends a row to the reply and returns true. If there is no room for it, add sets More and
+// returns false. There is always room for the first row.
 func (b *replyBuilder) add(r *row) bool {
 	b.cellsLeft -= 1 + len(r.cells)
 	if b.cellsLeft < 0 && len(b.reply.Rows) > 0 {
@@ -43,7 +44,7 @@
 	return true
 }
 
-// addAllRows adds the rows with IDs greater than after, in order, to a reply.
+// addAllRows adds the rows with IDs greater than after to a reply, in the order of their IDs.
 func (a *Aggregator) addAllRows(builder *replyBuilder, after uint64) {
 	for _, rowID := range slices.Sorted(maps.Keys(a.rows)) {
 		if rowID > after && !builder.add(a.rows[rowID]) {
@@ -52,27 +53,27 @@
 	}
 }
 
-// freezeRows freezes rows that another aggregator is to close, and adds to the reply those of which this one
-// knows more.
+// freezeRows freezes rows that another aggregator wants to close. It adds to the reply the rows of
+// which this aggregator has a higher sequence number.
 func (a *Aggregator) freezeRows(now float64, builder *replyBuilder, rows []RowAck) {
-	for _, asked := range rows {
-		if a.isClosed(asked.RowID) {
+	for _, requestedRow := range rows {
+		if a.isClosed(requestedRow.RowID) {
 			continue
 		}
 		if a.Recovering() || len(a.rows) >= maxRows {
 			builder.reply.Recovering = true
 			continue
 		}
-		r := a.freeze(now, asked.RowID)
-		if r.sequence > asked.Sequence && !builder.add(r) {
-			builder.reply.Recovering = true // rows are missing for lack of room: the sender has to ask again
+		r := a.freeze(now, requestedRow.RowID)
+		if r.sequence > requestedRow.Sequence && !builder.add(r) {
+			builder.reply.Recovering = true // the reply is full and lacks rows, so it must not count as complete
 			return
 		}
 	}
 }
 
-// HandleQueryReply processes another aggregator's reply. It returns the rows to close now, none while too few
-// have replied.
+// HandleQueryReply processes another aggregator's reply. It returns the rows to close now, nil until a
+// majority has frozen them.
 func (a *Aggregator) HandleQueryReply(now float64, from string, reply *RowQueryReply) []RowReport {
 	a.learnIncarnations(now, reply.Aggregators)
 	if reply.Number != a.queryNumber || !slices.Contains(a.names, from) {
@@ -90,7 +91,8 @@
 	return a.confirmClosing(from, reply)
 }
 
-// mergeRelayed merges a row that another aggregator sent, and freezes it if it is frozen there.
+// mergeRelayed merges a row relayed by another aggregator, and freezes it if the other one has frozen
+// it.
 func (a *Aggregator) mergeRelayed(now float64, report *RowReport) {
 	r := a.rows[report.RowID]
 	if report.Sequence > 0 {
--- a/internal/policy/counter/recovery.go
+++ b/internal/policy/counter/recovery.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	// recoveryQueryInterval is how often a recovering aggregator asks the others, in seconds.
+	// recoveryQueryInterval is the time between the queries of a recovering aggregator, in seconds.
 	recoveryQueryInterval = 0.25
-	// maxRecoverySeconds is how long a recovery may take. One that ends by it is incomplete: rows known only
-	// to aggregators that are gone are lost.
+	// maxRecoverySeconds is how long a recovery may take. A recovery that ends because of this limit is
+	// incomplete: rows that only unavailable aggregators had may be missing.
 	maxRecoverySeconds = 30.0
 )
 
-// recovery is the state of an aggregator that learns the rows of the others after its start.
+// recovery is the state of an aggregator that fetches the rows of the others after its start.
 type recovery struct {
 	active    bool
 	began     float64
 	lastQuery float64
 	lastRow   map[string]uint64 // by aggregator: ID of the last row that it has sent
-	finished  map[string]bool   // aggregators that have sent all of their rows; false if they were recovering
+	finished  map[string]bool   // aggregators that have sent all their rows; false if recovering
 }
 
-// beginRecovery starts a recovery and abandons a close round.
+// beginRecovery starts a recovery and cancels the close round, if any.
 func (a *Aggregator) beginRecovery(now float64) {
 	a.recovery = recovery{
 		active:    len(a.names) > 1,
@@ -35,7 +35,7 @@
 	a.closeRound.confirmed = map[string]bool{}
 }
 
-// Recovering reports whether the aggregator may lack rows that a majority had.
+// Recovering reports whether the aggregator may lack rows that a majority has acknowledged.
 func (a *Aggregator) Recovering() bool { return a.recovery.active }
 
 // endIncompleteRecovery ends the recovery before enough others have sent all of their rows.
@@ -44,8 +44,8 @@
 	a.incompleteRecoveries++
 }
 
-// recoveryQueries returns the queries that are due to the aggregators that have not sent all of
-// their rows, and ends a recovery that has taken too long.
+// recoveryQueries returns the queries that are due, one for each aggregator that has not sent all of
+// its rows. It ends a recovery that has lasted maxRecoverySeconds.
 func (a *Aggregator) recoveryQueries(now float64) []Envelope {
 	if now >= a.recovery.began+maxRecoverySeconds {
 		a.endIncompleteRecovery()
@@ -72,8 +72,8 @@
 	return queries
 }
 
-// recordRecoveryReply records how much of its rows another aggregator has sent, and ends the recovery once
-// enough of them have sent all.
+// recordRecoveryReply records which of its rows another aggregator has sent, and ends the recovery once
+// enough aggregators have sent all of their rows.
 func (a *Aggregator) recordRecoveryReply(from string, reply *RowQueryReply) {
 	if reply.More {
 		a.recovery.lastRow[from] = reply.Rows[len(reply.Rows)-1].RowID
@@ -81,17 +81,17 @@
 	}
 	a.recovery.finished[from] = !reply.Recovering
 	complete := 0
-	for _, knewAll := range a.recovery.finished {
-		if knewAll {
+	for _, hadAllRows := range a.recovery.finished {
+		if hadAllRows {
 			complete++
 		}
 	}
-	// Each row that a majority had is at one at least of the complete ones. If all others have sent what they
-	// have, there is nothing more to wait for.
+	// With this number of complete aggregators, at least one of them has each row that a majority had.
+	// If all other aggregators have sent the rows that they have, no more rows can arrive.
 	switch {
 	case complete >= len(a.names)-a.majority+1:
 		a.recovery.active = false
-	case len(a.recovery.finished) == len(a.names)-1: // as at a fleet's first start
+	case len(a.recovery.finished) == len(a.names)-1: // for example at the first start of a fleet
 		a.endIncompleteRecovery()
 	}
 }
--- a/internal/policy/counter/reporter.go
+++ b/internal/policy/counter/reporter.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// reportInterval is the least time between reports of changes, in seconds: each report costs some
-	// hundred bytes to each aggregator.
+	// reportInterval is the shortest time between reports of changes, in seconds. It limits the
+	// traffic: each report takes some hundred bytes to each aggregator.
 	reportInterval = 2.0
-	// minRetryInterval is how soon, in seconds, a report is repeated to aggregators that did not acknowledge
-	// it. The interval doubles each time, up to maxRetryInterval.
+	// minRetryInterval is the time, in seconds, until a report is first repeated to aggregators that
+	// have not acknowledged it. It doubles with each repetition, up to maxRetryInterval.
 	minRetryInterval = 0.4
 	maxRetryInterval = 6.0
-	// idleReportInterval is how often, in seconds, a server reports that nothing changed, so that aggregators
-	// know that they lack nothing.
+	// idleReportInterval is the time, in seconds, between reports while counts don't change. Such
+	// reports tell the aggregators that they have all counts.
 	idleReportInterval = 5.0
-	// never is a time after all others.
+	// never is a time later than any other, in seconds.
 	never = 1e18
 )
 
@@ -28,28 +28,29 @@
 	aggregators []string
 	majority    int
 
-	counted    cells // since the incarnation began
-	closedRows cells // the part of counted that is in closed rows of this incarnation
-	rowCount   uint64
+	counted    cells  // all counts since the incarnation began
+	closedRows cells  // the part of counted that is in closed rows of this incarnation
+	rowCount   uint64 // number of closed rows of this incarnation
 
-	sequence               uint64 // under which the row was reported last
-	reported               cells  // the row as it is under that number
-	previouslyReported     cells  // and under the number before, which a majority had
-	acks                   map[string]RowAck
-	aggregatorIncarnations Incarnations // of the aggregators
-	unreported             bool         // something was counted since
+	sequence               uint64            // number of the last report, 0 before the first one
+	reported               cells             // the row's content under sequence
+	previouslyReported     cells             // the row's content under sequence-1, which a majority had
+	acks                   map[string]RowAck // the last one of each aggregator
+	aggregatorIncarnations Incarnations
+	unreported             bool // whether counts were added after the last report
 
 	nextReport    float64
 	nextRetry     float64
 	retryInterval float64
 
-	// Unaccounted is the most requests that the totals may lack: those in rows that were closed under a
-	// lower number than a majority had acknowledged, as aggregators that restarted had lost the higher one.
+	// Unaccounted is an upper bound on the requests that the totals lack: those in rows that were
+	// closed under a lower number than a majority had acknowledged. This happens if aggregators that
+	// acknowledged the higher number restarted and lost it.
 	Unaccounted uint64
 }
 
-// NewReporter returns the reporter of an incarnation with an empty row. Incarnations must be random, so that
-// rows of two of them never have the same ID.
+// NewReporter returns the reporter of a server's incarnation, with an empty row. Incarnations must be
+// random so that rows of two incarnations never have the same ID.
 func NewReporter(server string, incarnation uint64, aggregators []string, now float64) *Reporter {
 	return &Reporter{
 		server:                 server,
@@ -69,7 +70,7 @@
 // rowID returns the ID of the current row.
 func (r *Reporter) rowID() uint64 { return r.incarnation + r.rowCount }
 
-// Add counts requests.
+// Add adds request counts to the current row.
 func (r *Reporter) Add(counts []serving.CounterCell) {
 	for _, cell := range counts {
 		key := cell.CounterKey
@@ -95,8 +96,8 @@
 	return count >= r.majority
 }
 
-// acknowledgedBy reports whether an aggregator has acknowledged the latest sequence number under the
-// incarnations of the aggregators that are known here.
+// acknowledgedBy reports whether an aggregator has acknowledged the latest sequence number. The
+// acknowledgement counts only if it carries the aggregators' incarnations that this reporter knows.
 func (r *Reporter) acknowledgedBy(aggregator string) bool {
 	ack, found := r.acks[aggregator]
 	return found && ack.Sequence >= r.sequence && slices.Equal(ack.Aggregators, r.aggregatorIncarnations)
@@ -123,7 +124,7 @@
 	return list
 }
 
-// nextSequence takes the next sequence number for the row as it is now.
+// nextSequence assigns the next sequence number to the current content of the row.
 func (r *Reporter) nextSequence(now float64) {
 	r.unreported = false
 	r.nextReport = now + reportInterval
@@ -133,8 +134,8 @@
 	r.retryInterval = minRetryInterval
 }
 
-// reportDueAt returns when the next sequence number is due, provided that a majority has
-// acknowledged the last.
+// reportDueAt returns when a report with the next sequence number is due, provided that a majority
+// has acknowledged the last number.
 func (r *Reporter) reportDueAt() float64 {
 	switch {
 	case r.unreported:
@@ -146,8 +147,8 @@
 }
 
 // report returns the report for an aggregator that has acknowledged the given sequence number, 0
-// for none: the cells that changed since, if it is the last or the one before, or else the whole
-// row.
+// for none. If that is the last number or the one before, the report has the cells that changed
+// between these two; otherwise it has the whole row.
 func (r *Reporter) report(acknowledged uint64) *RowReport {
 	report := &RowReport{
 		Server:      r.server,
@@ -165,8 +166,8 @@
 	return report
 }
 
-// HandleAck processes an aggregator's reply. If the row was closed, another one begins with what was counted
-// beyond the sequence number under which it was closed.
+// HandleAck processes an aggregator's reply. If the row was closed, HandleAck begins a new row with the
+// counts that are not in the closed row.
 func (r *Reporter) HandleAck(now float64, from string, ack *RowAck) {
 	if ack.RowID != r.rowID() || ack.Sequence > r.sequence || !slices.Contains(r.aggregators, from) {
 		return
@@ -179,13 +180,13 @@
 	r.acks[from] = *ack
 }
 
-// beginRow begins another row after the current one was closed under closedSequence.
+// beginRow begins a new row after the current row was closed under closedSequence.
 func (r *Reporter) beginRow(now float64, closedSequence uint64) {
 	closed := r.reported
 	if closedSequence < r.sequence {
 		closed = r.previouslyReported
 	}
-	if closedSequence+1 < r.sequence { // a majority had acknowledged the next one, and lost it
+	if closedSequence+1 < r.sequence { // a majority had acknowledged a higher number that was lost
 		for _, counts := range r.previouslyReported {
 			r.Unaccounted += counts.Received
 		}
@@ -200,7 +201,7 @@
 	clear(r.acks)
 }
 
-// NextWakeup returns when DueReports is to be called, in seconds.
+// NextWakeup returns the time, in seconds, at which DueReports should be called next.
 func (r *Reporter) NextWakeup() float64 {
 	next := never
 	if r.acknowledged() {
@@ -212,7 +213,8 @@
 	return next
 }
 
-// CurrentRow returns what was counted in the current row, and whether a majority has acknowledged all of it.
+// CurrentRow returns the counts in the current row, and whether a majority has acknowledged all of
+// them.
 func (r *Reporter) CurrentRow() (row []serving.CounterCell, acknowledged bool) {
 	return r.counted.minus(r.closedRows).sorted(), r.acknowledged() && !r.unreported
 }
--- a/internal/policy/counter/row.go
+++ b/internal/policy/counter/row.go
@@ -1,11 +1,12 @@
 package counter
 
 const (
-	// maxRequestRate is the most requests that a server may count in a second, and maxRequestBurst the most
-	// beyond that rate: a report of more is refused.
+	// maxRequestRate is the largest plausible rate of a server in requests a second, and
+	// maxRequestBurst the largest plausible number of requests beyond that rate. Reports that exceed
+	// both are rejected.
 	maxRequestRate  = 1e6
 	maxRequestBurst = 1e7
-	// unknownRate stands for a rate that is not known yet.
+	// unknownRate marks a rate that is not known yet.
 	unknownRate = -1.0
 )
 
@@ -13,20 +14,20 @@
 type row struct {
 	id          uint64
 	server      string
-	incarnation uint64 // of the server
-	sequence    uint64 // 0 if no report of it came yet
+	incarnation uint64 // incarnation of the server
+	sequence    uint64 // number of the last merged report, 0 before the first one
 	cells       cells
-	// closing is set once the row is to be closed, which the leader's aggregator does. It may have
-	// been added to the totals already, so no number above frozenSequence is ever acknowledged: its
-	// server can't take the next one.
+	// frozen is set when the leader's aggregator begins to close the row. The row may have been added
+	// to the totals already, so no number above frozenSequence is ever acknowledged. This keeps the
+	// server from taking the next number.
 	frozen         bool
 	frozenSequence uint64
 
-	firstHeard  float64
-	lastHeard   float64 // from its server
-	lastGrowth  float64 // when a higher number came
-	rate        float64 // requests a second then, unknownRate before it is known
-	onlyRelayed bool    // no report came from its server itself
+	firstHeard  float64 // when the row was added here
+	lastHeard   float64 // when its server last sent a report
+	lastGrowth  float64 // when a report with a higher number last arrived
+	rate        float64 // requests a second by the last such report; unknownRate if not known yet
+	onlyRelayed bool    // no report arrived from the server itself, only relayed ones
 }
 
 func newRow(id uint64, now float64) *row {
@@ -56,7 +57,7 @@
 	}
 }
 
-// report returns the row as it is relayed to other aggregators.
+// report returns the report by which the row is relayed to other aggregators.
 func (r *row) report() RowReport {
 	return RowReport{
 		Server:         r.server,
@@ -69,7 +70,8 @@
 	}
 }
 
-// continues reports whether a report can bring the row to a higher sequence number.
+// continues reports whether a report has a higher sequence number than the row and can be merged into
+// it.
 func (r *row) continues(report *RowReport) bool {
 	known := r.sequence > 0
 	if known && (report.Server != r.server || report.Incarnation != r.incarnation) {
@@ -78,15 +80,15 @@
 	return report.Sequence > r.sequence && report.BaseSequence <= r.sequence
 }
 
-// growth is the difference that a report makes to a row.
+// growth is the difference between a report and the row here.
 type growth struct {
 	cells    cells
-	requests uint64 // sum over the cells
+	requests uint64 // requests received, summed over the cells
 }
 
-// growthBy returns what a report adds to the row. The report is invalid if it has a cell twice,
-// lacks a cell of the row, has a smaller count than the row, or more cells or requests than a
-// server can count.
+// growthBy returns the counts that a report adds to the row. The report is invalid if it has the same
+// cell twice, lacks a cell of the row, has a smaller count than the row, or has more cells or
+// requests than a server can count.
 func (r *row) growthBy(now float64, report *RowReport) (added growth, valid bool) {
 	added.cells = cells{}
 	alreadyKnown := 0
@@ -108,12 +110,13 @@
 	return added, !lacksCells && cellCount <= maxReportCells && !tooFast
 }
 
-// maxGrowth returns how many requests a server can have counted since the row last grew.
+// maxGrowth returns the largest plausible number of requests that the server received since the row
+// last grew.
 func (r *row) maxGrowth(now float64) float64 {
 	return maxRequestBurst + maxRequestRate*max(0, now-r.lastGrowth)
 }
 
-// grow adds the growth by a report to the row.
+// grow updates the row with a report and the growth calculated from it.
 func (r *row) grow(now float64, report *RowReport, added growth) {
 	if r.growthIsRecent(report) {
 		r.rate = float64(added.requests) / max(now-r.lastGrowth, reportInterval)
@@ -123,6 +126,6 @@
 	r.lastGrowth = now
 }
 
-// growthIsRecent reports whether what a report adds was counted since the last one here. It is not if the row
-// has grown for a while and is reported here for the first time.
+// growthIsRecent reports whether the counts that a report adds were counted since the last report. That
+// is not known if the first report that arrives here is not the first one of the row.
 func (r *row) growthIsRecent(report *RowReport) bool { return r.sequence > 0 || report.Sequence == 1 }
--- a/internal/policy/counter/simulation_test.go
+++ b/internal/policy/counter/simulation_test.go
@@ -13,9 +13,9 @@
 
 var aggregatorNames = []string{"k0", "k1", "k2", "k3", "k4"}
 
-// simulation plays servers, aggregators and the replicated log, in simulated time: messages are lost,
-// duplicated and late; commands to close rows are committed long after they were proposed, by whoever led
-// then.
+// simulation runs servers, aggregators and the replicated log in simulated time. Messages are lost,
+// duplicated and late. Commands to close rows may be committed long after they were proposed, also
+// those of a former leader.
 type simulation struct {
 	random          *rand.Rand
 	now             float64
@@ -25,11 +25,11 @@
 	dead            []*simulatedServer
 	aggregators     []*simulatedAggregator
 	log             *release.Log
-	proposed        []release.Command // and not committed yet
+	proposed        []release.Command // proposed commands that are not committed yet
 	lastIncarnation uint64
 }
 
-// delivery is a message that arrives at a time.
+// delivery is a message in transit that arrives at the time at.
 type delivery struct {
 	at     float64
 	handle func()
@@ -39,8 +39,8 @@
 	name         string
 	incarnation  uint64
 	reporter     *Reporter
-	counted      uint64 // the truth
-	acknowledged uint64 // of it, that a majority had, as the server knew
+	counted      uint64 // requests received by this incarnation
+	acknowledged uint64 // the part of counted that, as the server knows, a majority has acknowledged
 	partitioned  bool
 	paused       bool
 }
@@ -49,8 +49,8 @@
 	name       string
 	aggregator *Aggregator
 	restarts   int
-	log        *release.Log // may be behind
-	deaf       bool         // to servers
+	log        *release.Log // copy of the log, which may be behind
+	deaf       bool         // receives no reports from servers
 }
 
 func newSimulation(seed uint64, aggregators, servers int) *simulation {
@@ -69,7 +69,7 @@
 	return s
 }
 
-// names lists the aggregators.
+// names returns the names of the aggregators.
 func (s *simulation) names() []string { return aggregatorNames[:len(s.aggregators)] }
 
 func (s *simulation) restartAggregator(a *simulatedAggregator) {
@@ -89,7 +89,7 @@
 	s.log.Members[server.name] = server.incarnation
 }
 
-// send delivers a message never, once or twice, after a drawn delay.
+// send puts a message in transit zero, one or two times, each with a random delay.
 func (s *simulation) send(handle func()) {
 	for range 1 + s.random.IntN(5)/4 {
 		if s.random.Float64() >= s.messageLoss {
@@ -166,8 +166,8 @@
 
 func (s *simulation) runAggregator(a *simulatedAggregator) {
 	gone := func(server string, incarnation uint64) bool { return s.log.Members[server] != incarnation }
-	leads := s.random.IntN(3) > 0 // often more than one believes that it leads
-	queries, toClose := a.aggregator.Maintain(s.now, leads, gone)
+	isLeader := s.random.IntN(3) > 0 // often several aggregators believe that they are the leader's
+	queries, toClose := a.aggregator.Maintain(s.now, isLeader, gone)
 	s.propose(toClose)
 	for _, envelope := range queries {
 		s.sendQuery(a, envelope)
@@ -206,7 +206,7 @@
 	}
 }
 
-// deliver handles the messages that have arrived, in any order.
+// deliver handles the messages that have arrived, in random order.
 func (s *simulation) deliver() {
 	var due []delivery
 	s.inTransit = slices.DeleteFunc(s.inTransit, func(message delivery) bool {
@@ -222,7 +222,7 @@
 	}
 }
 
-// commit applies proposed commands, with faults only some of them.
+// commit applies the proposed commands to the log, a random part of them if faults is true.
 func (s *simulation) commit(faults bool) {
 	s.proposed = slices.DeleteFunc(s.proposed, func(command release.Command) bool {
 		committed := !faults || s.random.IntN(20) == 0
@@ -237,7 +237,7 @@
 	server := s.servers[s.random.IntN(len(s.servers))]
 	a := s.aggregators[s.random.IntN(len(s.aggregators))]
 	switch s.random.IntN(9) {
-	case 0: // it dies, and returns as another incarnation
+	case 0: // the server is killed and restarts with another incarnation
 		dead := *server
 		s.dead = append(s.dead, &dead)
 		server.partitioned = false
@@ -247,7 +247,7 @@
 		server.partitioned = !server.partitioned
 	case 2:
 		server.paused = !server.paused
-	case 3: // its name is taken for nobody's, and it is there again
+	case 3: // the running server is removed from the members, or added again
 		if s.log.Members[server.name] == server.incarnation {
 			delete(s.log.Members, server.name)
 		} else {
@@ -255,7 +255,7 @@
 		}
 	case 4:
 		s.messageLoss = 0.6 * s.random.Float64() * float64(s.random.IntN(2))
-	case 5, 6: // an aggregator restarts, as long as a majority knows all
+	case 5, 6: // an aggregator restarts, provided that a majority remains that is not recovering
 		majority := len(s.aggregators)/2 + 1
 		if s.othersRecovering(a) < len(s.aggregators)-majority {
 			s.restartAggregator(a)
@@ -265,17 +265,17 @@
 	}
 }
 
-// othersRecovering counts the aggregators but one that recover.
-func (s *simulation) othersRecovering(but *simulatedAggregator) (recovering int) {
+// othersRecovering returns how many aggregators other than excluded are recovering.
+func (s *simulation) othersRecovering(excluded *simulatedAggregator) (recovering int) {
 	for _, other := range s.aggregators {
-		if other != but && other.aggregator.Recovering() {
+		if other != excluded && other.aggregator.Recovering() {
 			recovering++
 		}
 	}
 	return recovering
 }
 
-// heal ends all faults but those of messages on the way.
+// heal ends all faults. Messages that are in transit may still be late or duplicated.
 func (s *simulation) heal() {
 	s.messageLoss = 0
 	for _, server := range s.servers {
@@ -287,8 +287,9 @@
 	}
 }
 
-// bounds are what all should be counted as: no less than living servers counted and a majority had of the
-// dead, no more than all counted.
+// bounds returns the bounds of the correct total. The lower bound includes all requests of running
+// servers and, of killed servers, those that a majority has acknowledged. The upper bound includes
+// all requests of both.
 func (s *simulation) bounds() (low, high uint64) {
 	for _, server := range s.servers {
 		low += server.counted
@@ -301,7 +302,7 @@
 	return low, high
 }
 
-// drain has all that was counted reach the aggregators. No more is counted from here on.
+// drain stops the servers from receiving requests and delivers all counts to the aggregators.
 func (s *simulation) drain() {
 	servers := s.servers
 	s.servers = nil
--- a/internal/policy/counter/summary.go
+++ b/internal/policy/counter/summary.go
@@ -9,38 +9,41 @@
 )
 
 const (
-	// lateSeconds is how long a server may report nothing new before a summary lists it.
+	// lateSeconds is how long a row may go without a new report before a summary lists its server as
+	// late.
 	lateSeconds = 2 * idleReportInterval
 	// maxLateReports bounds the late servers that a summary lists.
 	maxLateReports = 64
 )
 
-// LateReport is a server that recently reported nothing. Its JSON keys are part of the control API.
+// LateReport describes a server that has sent no new report for some time. Its JSON keys are part of
+// the control API.
 type LateReport struct {
 	Server            string  `json:"Name"`
 	SilentSeconds     float64 `json:"Silent"`
-	RequestsPerSecond float64 `json:"Rate"` // that it reported before
+	RequestsPerSecond float64 `json:"Rate"` // rate by its last report
 }
 
-// Summary has the totals that an aggregator knows. They are a lower bound; how much they may lack is
-// estimated. Its JSON keys are part of the control API.
+// Summary has the totals that an aggregator knows. They are a lower bound; MaxMissing estimates how
+// many requests they lack. Its JSON keys are part of the control API.
 type Summary struct {
-	Total      []serving.CounterCell // since the fleet was bootstrapped
-	LastMinute []serving.CounterCell `json:"Minute"` // reported in the last minute
-	OpenRows   int                   `json:"Rows"`   // incarnations that reported, and whose rows aren't closed
-	// LateReports are servers last heard of some seconds ago, the longest silent first.
+	Total      []serving.CounterCell // counts since the fleet was bootstrapped
+	LastMinute []serving.CounterCell `json:"Minute"` // counts reported in the last minute
+	OpenRows   int                   `json:"Rows"`   // rows not closed, one per reporting incarnation
+	// LateReports are the servers without a recent report, those silent longest first.
 	LateReports []LateReport `json:"Late"`
-	// MaxMissing is how many requests servers may have counted since their last reports, at their rates.
+	// MaxMissing estimates how many requests the servers counted after their last reports, by the rates
+	// of these reports.
 	MaxMissing float64 `json:"Lacks"`
-	// Recovering is true while the aggregator may lack rows that others have.
+	// Recovering is true while the aggregator may lack rows that other aggregators have.
 	Recovering bool `json:"Cold"`
-	// IncompleteRecoveries is how many recoveries of this aggregator ended before enough others had sent all
-	// of their rows. It is 1 at the fleet's first start.
+	// IncompleteRecoveries is how many recoveries of this aggregator ended before enough other
+	// aggregators had sent all of their rows. It is 1 after the first start of a fleet.
 	IncompleteRecoveries int `json:"Holes"`
-	RejectedReports      int `json:"Refused"` // that no server can have counted
+	RejectedReports      int `json:"Refused"` // reports with implausible counts
 }
 
-// Summary adds up what is known; closedTotals are the sums over closed rows.
+// Summary returns the sums over the open rows and closedTotals, which are the sums over closed rows.
 func (a *Aggregator) Summary(now float64, closedTotals []serving.CounterCell) *Summary {
 	summary := &Summary{
 		Recovering:           a.Recovering(),
@@ -54,7 +57,7 @@
 	missing := missingEstimate{}
 	for _, rowID := range slices.Sorted(maps.Keys(a.rows)) {
 		if a.isClosed(rowID) {
-			continue // it is among the closed totals
+			continue // closedTotals includes it
 		}
 		r := a.rows[rowID]
 		summary.OpenRows++
@@ -74,7 +77,7 @@
 	return summary
 }
 
-// lastMinute returns the sum over the window.
+// lastMinute returns the sum over the window's buckets.
 func (a *Aggregator) lastMinute(now float64) cells {
 	sum := cells{}
 	a.window.ForEach(now, func(bucket *cells) { sum.addAll(*bucket) })
@@ -89,12 +92,12 @@
 	}
 }
 
-// missingEstimate adds up what servers may have counted since their last reports.
+// missingEstimate estimates how many requests servers counted after their last reports.
 type missingEstimate struct {
-	requests       float64 // by rows whose rate is known
+	requests       float64 // estimate for the rows whose rate is known
 	rates          float64 // sum of those rates
-	ratedRows      float64
-	unratedSeconds float64 // since the last reports of all other rows
+	ratedRows      float64 // number of those rows
+	unratedSeconds float64 // times since the last reports of all other rows, added up
 }
 
 func (m *missingEstimate) add(now float64, r *row) {
@@ -108,7 +111,7 @@
 	m.requests += r.rate * seconds
 }
 
-// total returns the estimate; rows without a known rate count with the mean rate of the others.
+// total returns the estimate. Rows without a known rate count with the mean rate of the others.
 func (m *missingEstimate) total() float64 {
 	return m.requests + m.unratedSeconds*m.rates/max(1, m.ratedRows)
 }
--- a/internal/policy/counter/summary_test.go
+++ b/internal/policy/counter/summary_test.go
@@ -7,7 +7,7 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// TestControlAPI_Keys holds the JSON keys that clients of the control API read.
+// TestControlAPI_Keys guards the JSON keys that clients of the control API read.
 func TestControlAPI_Keys(t *testing.T) {
 	summary := Summary{
 		Total:                []serving.CounterCell{received("acme", "ping", 1)},
@@ -23,6 +23,6 @@
 		`"Minute":[],"Rows":2,"Late":[{"Name":"a","Silent":3,"Rate":4}],"Lacks":5,"Cold":true,"Holes":6,"Refused":7}`
 	got, err := json.Marshal(summary)
 	if err != nil || string(got) != want {
-		t.Errorf("JSON is %s, %v, want %s", got, err, want)
+		t.Errorf("json.Marshal() = %s, %v, want %s, nil", got, err, want)
 	}
 }
--- a/internal/policy/quota/allocation.go
+++ b/internal/policy/quota/allocation.go
@@ -5,47 +5,48 @@
 	"slices"
 )
 
-// allocation is what a grantor knows about one holder's use of one limit.
+// allocation is the grantor's record of one holder's use of one limit.
 type allocation struct {
-	requested     float64
-	need          float64 // the part of requested beyond the floor
-	lastHeard     float64
-	requestNumber uint64 // of the latest request
+	requested     float64 // the holder's demand, see Demand
+	need          float64 // the part of requested that exceeds the floor
+	lastHeard     float64 // when the latest request arrived
+	requestNumber uint64  // number of the latest request
 	leases        []lease
-	maxInUse      float64 // for a concurrent limit: the most beyond the floor that may still be in use
-	inUseExpiry   float64 // when the use counted by maxInUse is over by any clock
+	maxInUse      float64 // concurrent limits: upper bound on the units in use beyond the floor
+	inUseExpiry   float64 // after it, no unit counted by maxInUse is in use, even by the slowest clock
 }
 
-// lease is a share that a reply granted, or that a holder said another grantor had granted.
+// lease is a share that this grantor granted in a reply, or that a holder reported as granted by an
+// earlier grantor.
 type lease struct {
-	requestNumber uint64 // of the request whose reply granted it
+	requestNumber uint64 // number of the request whose reply granted the share
 	share         float64
-	expiry        float64 // when it has expired by any clock
+	expiry        float64 // after it, the lease has expired even by the slowest clock
 }
 
 func newAllocation() *allocation { return &allocation{inUseExpiry: math.Inf(-1)} }
 
-// committed returns the most that the holder may be using beyond its floor.
+// committed returns an upper bound on what the holder uses beyond its floor.
 func (a *allocation) committed(now float64) float64 {
-	most := 0.0
+	bound := 0.0
 	for _, held := range a.leases {
 		if now <= held.expiry {
-			most = max(most, held.share)
+			bound = max(bound, held.share)
 		}
 	}
 	if now <= a.inUseExpiry {
-		most = max(most, a.maxInUse)
+		bound = max(bound, a.maxInUse)
 	}
-	return most
+	return bound
 }
 
-// hasLease reports whether the lease granted for the request with that number is recorded.
+// hasLease reports whether a lease granted in reply to the request with this number is recorded.
 func (a *allocation) hasLease(requestNumber uint64) bool {
 	return slices.ContainsFunc(a.leases, func(l lease) bool { return l.requestNumber == requestNumber })
 }
 
-// dropLeasesBefore drops expired leases and those granted for earlier requests than requestNumber, whose
-// lease the holder now applies.
+// dropLeasesBefore removes expired leases, and leases granted for requests before requestNumber.
+// requestNumber is the request whose grant the holder now applies.
 func (a *allocation) dropLeasesBefore(requestNumber uint64, now float64) {
 	a.leases = slices.DeleteFunc(a.leases, func(l lease) bool {
 		return l.requestNumber < requestNumber || now > l.expiry
--- a/internal/policy/quota/config.go
+++ b/internal/policy/quota/config.go
@@ -7,50 +7,54 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Limit is what the whole fleet may use of one resource.
+// Limit is the most that the whole fleet may use of one resource.
 type Limit struct {
 	Name string
-	// Max is in units a second or, if Concurrent, in units in use at a time.
+	// Max is in units a second or, if Concurrent, in units in use at the same time.
 	Max float64
-	// Concurrent is true where a unit stays in use for a while, at most LingerSeconds, rather than being
-	// used up at once.
+	// Concurrent limits the units in use at the same time. A unit stays in use for at most
+	// LingerSeconds. If Concurrent is false, the limit is a rate.
 	Concurrent    bool
 	LingerSeconds float64
 }
 
-// Config is the configuration that all servers share; requests carry its hash.
+// Config is the configuration of the limits. All servers must have the same one; requests carry
+// its hash so that the grantor can check this.
 type Config struct {
 	LeaseSeconds  float64
-	FloorFraction float64 // of each limit, set aside for floors
-	MaxServers    int     // at most so many processes at a time have a floor
+	FloorFraction float64 // fraction of each limit reserved for floors
+	MaxServers    int     // the most server processes that may run at the same time, each with a floor
 	Limits        []Limit
 }
 
 const (
-	// BurstSeconds is the capacity of the token bucket of a rate, in seconds of that rate. It tolerates a
-	// tenth of a second of jitter at a hundred requests a second, and keeps the fleet's burst at half a
-	// second of its limit. The capacity is one unit at least, or a small share would never reach one.
+	// BurstSeconds is the capacity of a rate limit's token bucket, in seconds of the rate. It
+	// tolerates 0.1 s of jitter at 100 requests a second, and bounds the fleet's burst to 0.5 s of its
+	// limit. The capacity is at least one unit; with a smaller one, a small share would never
+	// admit a request.
 	BurstSeconds = 0.5
-	// MaxEntries bounds the demands of a request and the grants of a reply; it keeps a message under 20 KB.
+	// MaxEntries bounds the demands in a request and the grants in a reply. It keeps messages under
+	// 20 KB.
 	MaxEntries = 128
 
-	// maxClockDrift is the fraction by which a holder's clock may run slower than the grantor's: far more
-	// than a quartz clock drifts, and more than the 1% of the simulations.
+	// maxClockDrift is the largest tolerated fraction by which a holder's clock runs slower than the
+	// grantor's. It is far above the drift of quartz clocks and above the 1% of the simulations.
 	maxClockDrift = 0.02
-	// leaderLeaseSeconds is how long a replaced leader may still grant leases. It must equal
-	// lease.LeaderConfirmationWindow, the time for which a majority's confirmation of a leader counts.
+	// leaderLeaseSeconds is how long a leader may still grant leases after it was replaced. It must
+	// equal lease.LeaderConfirmationWindow, the time for which a majority's confirmation of a leader
+	// is valid.
 	leaderLeaseSeconds = 1.0
 	maxLimits          = 16384
 	maxNameLength      = 96
 )
 
-// ConfigError is returned by Config.Validate.
+// ConfigError describes an invalid configuration. Config.Validate returns it.
 type ConfigError struct {
-	Limit  string // name of the invalid limit, "" for an error of the whole configuration
+	Limit  string // name of the invalid limit, "" if the error concerns the whole configuration
 	Reason string
 }
 
-// Error returns the reason, with the name of the limit if there is one.
+// Error returns the reason, preceded by the name of the invalid limit if there is one.
 func (e *ConfigError) Error() string {
 	if e.Limit == "" {
 		return e.Reason
@@ -58,16 +62,16 @@
 	return fmt.Sprintf("limit %q: %s", e.Limit, e.Reason)
 }
 
-// FloorPerServer returns what each server may use of a limit without a lease.
+// FloorPerServer returns the share of a limit that each server may use without a lease.
 func (c *Config) FloorPerServer(limit *Limit) float64 {
 	return c.FloorFraction * limit.Max / float64(max(1, c.MaxServers))
 }
 
-// pool returns the part of a limit that is leased out.
+// pool returns the part of a limit that the grantor leases to servers.
 func (c *Config) pool(limit *Limit) float64 { return (1 - c.FloorFraction) * limit.Max }
 
-// MaxBurst returns how many units the fleet may use in any period beyond Max times its length. It is 0 for a
-// concurrent limit.
+// MaxBurst returns by how many units the fleet's use in any period may exceed Max times the length
+// of the period. It is 0 for a concurrent limit.
 func (c *Config) MaxBurst(limit *Limit) float64 {
 	if limit.Concurrent {
 		return 0
@@ -75,7 +79,7 @@
 	return BurstSeconds*limit.Max + float64(c.MaxServers)
 }
 
-// Hash returns a hash of all fields, by which servers with different configurations are told apart.
+// Hash returns a hash of all fields. Servers compare hashes to detect different configurations.
 func (c *Config) Hash() uint64 {
 	hash := xxhash.New()
 	_, _ = fmt.Fprintln(hash, c.LeaseSeconds, c.FloorFraction, c.MaxServers)
@@ -85,13 +89,16 @@
 	return hash.Sum64()
 }
 
-// Validate returns a *ConfigError for the first error that it finds.
+// Validate returns a *ConfigError for the first error found, nil if the configuration is valid.
 func (c *Config) Validate() error {
 	if len(c.Limits) > maxLimits {
-		return &ConfigError{Reason: fmt.Sprintf("%d limits, at most %d", len(c.Limits), maxLimits)}
+		return &ConfigError{Reason: fmt.Sprintf("too many limits: got %d, want at most %d", len(c.Limits), maxLimits)}
 	}
 	if !(c.LeaseSeconds > 0) || !(c.FloorFraction > 0 && c.FloorFraction < 1) || c.MaxServers < 1 {
-		return &ConfigError{Reason: "limits need a lease, a floor over 0% and under 100%, and the number of servers"}
+		return &ConfigError{Reason: fmt.Sprintf(
+			"want a lease over 0 s, a floor over 0%% and under 100%%, and at least 1 server; "+
+				"got a lease of %g s, a floor of %g%%, and %d servers",
+			c.LeaseSeconds, 100*c.FloorFraction, c.MaxServers)}
 	}
 	seen := map[string]bool{}
 	for i := range c.Limits {
@@ -104,21 +111,22 @@
 	return nil
 }
 
-// limitFault returns why a limit is invalid, "" if it is valid.
+// limitFault returns the reason why a limit is invalid, "" if it is valid.
 func (c *Config) limitFault(limit *Limit, duplicate bool) string {
 	switch {
 	case limit.Name == "":
-		return "a limit has no name"
+		return "a limit has an empty name"
 	case len(limit.Name) > maxNameLength:
-		return fmt.Sprintf("the name is longer than %d bytes", maxNameLength)
+		return fmt.Sprintf("the name has %d bytes, want at most %d", len(limit.Name), maxNameLength)
 	case duplicate:
-		return "the name is used twice"
+		return "more than one limit has this name"
 	case !(limit.Max >= 0) || math.IsInf(limit.Max, 0):
-		return fmt.Sprintf("%g is not a limit", limit.Max)
+		return fmt.Sprintf("the maximum is %g, want a finite number of at least 0", limit.Max)
 	case limit.Concurrent != (limit.LingerSeconds > 0):
-		return fmt.Sprintf("%g: a concurrent limit, and no other, needs the time for which a unit is in use", limit.Max)
+		return fmt.Sprintf("the longest time for which a unit is in use is %g s, "+
+			"want more than 0 s for a concurrent limit and 0 s for a rate", limit.LingerSeconds)
 	case limit.Concurrent && limit.Max > 0 && c.FloorPerServer(limit) < 1:
-		return fmt.Sprintf("the floor, %g%% of %g over %d servers, is under one at a time",
+		return fmt.Sprintf("the floor of each server, %g%% of %g divided by %d servers, is less than one unit",
 			100*c.FloorFraction, limit.Max, c.MaxServers)
 	}
 	return ""
--- a/internal/policy/quota/grantor.go
+++ b/internal/policy/quota/grantor.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// Grantor leases shares of the pools to holders. It runs in the leader of the voters and serves one
-// term; each new leader creates its own.
+// Grantor leases shares of the pools to holders. The leader of the voters runs it for one term; each
+// new leader creates its own Grantor.
 type Grantor struct {
 	id         uint64
 	config     Config
 	configHash uint64
-	started    float64
+	started    float64 // when the term began
 	limits     map[string]*grantorLimit
 }
 
-// maxLeases bounds the leases kept of one allocation. Requests come a tenth of a second apart, so a
-// renewed share never loses a grant that the holder may still take.
+// maxLeases bounds the leases recorded in one allocation. A holder sends requests at least 0.1 s
+// apart, so a grant that the holder may still apply is not refused for lack of room.
 const maxLeases = 64
 
-// NewGrantor returns the grantor of a leader whose term begins now. id must be random, so that no other
-// grantor has it.
+// NewGrantor returns the grantor of a leader whose term begins now. id must be random so that no two
+// grantors have the same one.
 func NewGrantor(config Config, id uint64, now float64) *Grantor {
 	g := &Grantor{id: id, started: now, limits: map[string]*grantorLimit{}}
 	g.ApplyConfig(config)
 	return g
 }
 
-// ApplyConfig replaces the configuration. Shares already leased still count as committed.
+// ApplyConfig replaces the configuration. Shares that are already leased still count as committed.
 func (g *Grantor) ApplyConfig(config Config) {
 	previous := g.limits
 	config.Limits = slices.Clone(config.Limits)
@@ -44,29 +44,30 @@
 	}
 }
 
-// previousGrantorStopped returns the time after which no earlier grantor can grant a lease.
+// previousGrantorStopped returns the time after which no earlier grantor can still grant a lease.
 func (g *Grantor) previousGrantorStopped() float64 {
 	return g.started + leaderLeaseSeconds*(1+maxClockDrift)
 }
 
-// priorLeasesExpired reports whether every lease that a grantor before this one granted has expired, and
-// what was in use under it is over.
+// priorLeasesExpired reports whether all leases granted by earlier grantors have expired and no unit
+// taken under them is still in use.
 func (g *Grantor) priorLeasesExpired(state *grantorLimit, now float64) bool {
 	return now > state.leaseExpiry(g.previousGrantorStopped(), g.config.LeaseSeconds)
 }
 
-// HandleRequest replies to a holder's request. It returns nil where this grantor may not reply: it isn't
-// confirmed as leader, another one may still grant leases, the holder has another configuration, or the
-// request is late. confirmed means that a majority confirmed the leader within the last second.
+// HandleRequest returns the reply to a holder's request. confirmed tells whether a majority of the
+// voters confirmed this leader within the last second. HandleRequest returns nil, and nothing must
+// be sent, if the leader is not confirmed, an earlier grantor may still grant leases, the holder has
+// a different configuration, or the request is late or duplicated.
 func (g *Grantor) HandleRequest(now float64, request *Request, confirmed bool) *Reply {
 	if !confirmed || now <= g.previousGrantorStopped() || !g.accepts(request) {
 		return nil
 	}
 	reply := &Reply{Incarnation: request.Incarnation, Number: request.Number, GrantorID: g.id}
 	if request.GrantorID != g.id {
-		// The holder has no reply of this grantor yet, so the request may be old: the share it
-		// reports may have expired since, and an earlier grantor may have leased it to another
-		// holder.
+		// The holder has not processed a reply of this grantor, so the request may be old. The share
+		// it reports may have expired, and an earlier grantor may have leased it to another holder
+		// since. The reply therefore carries the grantor's ID but no grants.
 		return reply
 	}
 	for i := range request.Demands {
@@ -76,7 +77,9 @@
 			continue
 		}
 		if known := state.allocations[request.Incarnation]; known != nil && request.Number <= known.requestNumber {
-			return nil // late or duplicated: a second reply without grants would be taken for the first
+			// The request is late or duplicated. A reply without grants could reach the holder
+			// before the reply that has them, and the holder would ignore the latter.
+			return nil
 		}
 		if share, granted := g.grant(now, state, request, demand); granted {
 			reply.Grants = append(reply.Grants, Grant{Name: demand.Name, LeasedShare: share})
@@ -85,13 +88,14 @@
 	return reply
 }
 
-// accepts reports whether a request is well-formed and made under this grantor's configuration.
+// accepts reports whether a request is well-formed and its sender has this grantor's configuration.
 func (g *Grantor) accepts(request *Request) bool {
 	return request.Incarnation != 0 && request.Number != 0 &&
 		request.ConfigHash == g.configHash && len(request.Demands) <= MaxEntries
 }
 
-// grant decides which share of one limit a holder gets, and records its lease.
+// grant determines the share of one limit that a holder gets and records the lease. granted is false
+// if there is no room to record it.
 func (g *Grantor) grant(
 	now float64, state *grantorLimit, request *Request, demand *Demand,
 ) (share float64, granted bool) {
@@ -112,7 +116,8 @@
 	}
 	state.releaseUnused(now, allocated, demand)
 	if !priorExpired {
-		// The leases of other holders are not all known yet, so this holder gets no more than it has.
+		// Other holders may have leases from earlier grantors that are not recorded here, so this
+		// holder's share must not grow.
 		available = min(available, allocated.committed(now))
 	}
 	wanted := min(allocated.need, state.division.maxNeed) + state.division.headroom*allocated.requested
@@ -122,9 +127,9 @@
 	return share, granted
 }
 
-// adoptPriorLease records a lease that a holder reports from an earlier grantor, so that it counts until it
-// has expired. It counts for at most what the recorded leases leave of the pool: a holder that claims all of
-// it takes nothing from the others.
+// adoptPriorLease records a lease that a holder reports to have from an earlier grantor, so that its
+// share counts as committed until the lease has expired. The share is capped at available, the part
+// of the pool not committed to other holders, so a holder with a false claim takes nothing from them.
 func (g *Grantor) adoptPriorLease(now float64, state *grantorLimit, a *allocation, demand *Demand, available float64) {
 	if demand.GrantNumber == 0 || !(demand.RemainingSeconds > 0) || a.hasLease(demand.GrantNumber) {
 		return
@@ -137,8 +142,8 @@
 	})
 }
 
-// addLease records a lease of the share under the latest request's number. It returns false where too
-// many unexpired ones are recorded already.
+// addLease records a lease of the share under the number of the latest request. It returns false if
+// maxLeases unexpired leases are recorded already.
 func (g *Grantor) addLease(now float64, state *grantorLimit, a *allocation, share float64) bool {
 	if len(a.leases) >= maxLeases {
 		a.dropLeasesBefore(0, now)
--- a/internal/policy/quota/grantor_limit.go
+++ b/internal/policy/quota/grantor_limit.go
@@ -5,34 +5,35 @@
 	"slices"
 )
 
-// grantorLimit is the state of one limit at the grantor.
+// grantorLimit is the grantor's state of one limit.
 type grantorLimit struct {
 	limit         *Limit
 	pool          float64
-	floor         float64                // of each server
+	floor         float64                // per server
 	allocations   map[uint64]*allocation // by the holder's incarnation
-	committed     float64                // sum over the allocations; leases that expired since dividedAt still count
+	committed     float64                // sum of allocations; counts leases expired after dividedAt
 	division      division
-	dividedAt     float64
-	demandChanged bool // since dividedAt
+	dividedAt     float64 // when division was calculated
+	demandChanged bool    // whether a demand changed after dividedAt
 }
 
-// division is how the pool is divided among the holders.
+// division is the result of dividing the pool among the holders.
 type division struct {
-	maxNeed  float64 // no holder's need counts beyond this
-	headroom float64 // fraction of its demand that each holder gets beyond its need
+	maxNeed  float64 // the most of a holder's need that is met
+	headroom float64 // what each holder gets beyond its need, as a fraction of its demand
 }
 
 const (
-	// maxHeadroom is the most that a holder gets beyond its need, as a fraction of its demand, so that small
-	// changes of the demand take no further request.
+	// maxHeadroom is the most that a holder gets beyond its need, as a fraction of its demand.
+	// Headroom lets demand vary a little without a further request.
 	maxHeadroom = 0.25
-	// divisionSeconds is how long a division is reused: the pool is divided at most 20 times a second where
-	// there are many holders.
+	// divisionSeconds is how long a division is reused. With many holders, the pool is divided at
+	// most 20 times a second.
 	divisionSeconds = 0.05
-	// maxEagerHolders is the most holders for which the pool is divided again at each change of a demand.
+	// maxEagerHolders is the largest number of holders with which the pool is divided again
+	// immediately after each change of a demand.
 	maxEagerHolders = 64
-	// maxHolders bounds the holders of one limit.
+	// maxHolders bounds the allocations of one limit.
 	maxHolders = 4096
 )
 
@@ -46,18 +47,20 @@
 	}
 }
 
-// leaseExpiry returns when a lease that began at start has expired by any clock, and no unit taken
-// under it is still in use.
+// leaseExpiry returns the time after which a lease that began at start has expired even by the
+// slowest clock, and no unit taken under it is still in use.
 func (s *grantorLimit) leaseExpiry(start, leaseSeconds float64) float64 {
 	return s.lingerEnd(start + leaseSeconds*(1+maxClockDrift))
 }
 
-// lingerEnd returns when no unit in use at start is in use any more, by any clock.
+// lingerEnd returns the time after which no unit that was in use at start is still in use, even by
+// the slowest clock.
 func (s *grantorLimit) lingerEnd(start float64) float64 {
 	return start + s.limit.LingerSeconds*(1+maxClockDrift)
 }
 
-// allocationOf returns a holder's allocation and creates it if need be. It returns nil if there are too many.
+// allocationOf returns a holder's allocation and creates it if there is none. It returns nil if it
+// would have to create one and there are already maxHolders.
 func (s *grantorLimit) allocationOf(incarnation uint64, now, leaseSeconds float64) *allocation {
 	if known := s.allocations[incarnation]; known != nil {
 		return known
@@ -73,7 +76,7 @@
 	return added
 }
 
-// setRequested updates a holder's demand.
+// setRequested updates a holder's demand and its need.
 func (s *grantorLimit) setRequested(a *allocation, requested float64) {
 	requested = clamp(requested, s.limit.Max)
 	if requested == a.requested {
@@ -84,9 +87,9 @@
 	s.demandChanged = true
 }
 
-// releaseUnused drops the leases that the holder can't be using any more, by the grant that its
-// demand says it applies. For a concurrent limit, the units reported in use stay committed until
-// they are over.
+// releaseUnused removes the leases that the holder no longer uses: those older than the grant that its
+// demand reports as applied. For a concurrent limit, the units reported in use stay committed until
+// the longest time for which they can be in use has passed.
 func (s *grantorLimit) releaseUnused(now float64, a *allocation, demand *Demand) {
 	committedBefore := a.committed(now)
 	a.dropLeasesBefore(demand.GrantNumber, now)
@@ -97,7 +100,8 @@
 	a.inUseExpiry = s.lingerEnd(now)
 }
 
-// divide adds up the committed shares and divides the pool, unless the last division can be reused.
+// divide recalculates the committed sum and the division of the pool, unless the last division can
+// be reused.
 func (s *grantorLimit) divide(now, leaseSeconds float64) {
 	eager := s.demandChanged && len(s.allocations) <= maxEagerHolders
 	if now < s.dividedAt+divisionSeconds && !eager {
@@ -119,16 +123,16 @@
 	s.division = dividePool(s.pool, needs, requested)
 }
 
-// dividePool returns the max-min fair division: each need is met up to one common level, at which the pool is
-// used up. If all needs are met, what is left becomes headroom in proportion to the sum of the demands,
-// requested. It sorts needs.
+// dividePool returns the max-min fair division: each need is met up to a common maximum, chosen so
+// that the pool is used up. If the pool meets all needs, the remainder becomes headroom, in
+// proportion to requested, the sum of the demands. dividePool sorts needs.
 func dividePool(pool float64, needs []float64, requested float64) division {
 	slices.Sort(needs)
 	remaining := pool
 	for i, need := range needs {
-		even := remaining / float64(len(needs)-i)
-		if need > even {
-			return division{maxNeed: even}
+		evenShare := remaining / float64(len(needs)-i)
+		if need > evenShare {
+			return division{maxNeed: evenShare}
 		}
 		remaining -= need
 	}
@@ -139,8 +143,8 @@
 	return result
 }
 
-// expireAllocations resets the demand of holders not heard for the length of a lease, and removes those that
-// have nothing committed.
+// expireAllocations sets the demand of holders whose last request is older than the expiry of a
+// lease to zero, and removes their allocations if nothing is committed.
 func (s *grantorLimit) expireAllocations(now, leaseSeconds float64) {
 	for incarnation, a := range s.allocations {
 		if now <= s.leaseExpiry(a.lastHeard, leaseSeconds) {
--- a/internal/policy/quota/holder.go
+++ b/internal/policy/quota/holder.go
@@ -6,54 +6,56 @@
 	"slices"
 )
 
-// Holder is the client of a Grantor in each server: it requests leased shares and tells the server what it
-// may use.
+// Holder is the client of the Grantor in each server. It requests leases and provides the
+// allowances that the server loop enforces.
 type Holder struct {
 	config      Config
 	configHash  uint64
 	incarnation uint64
 
 	limits       map[string]*holderLimit
-	names        []string // of the limits, in the order of the configuration
-	nextName     int      // index in names at which the next request starts
+	names        []string // names of the limits, in the order of the configuration
+	nextName     int      // index in names of the first limit to consider for the next request
 	pending      [maxPendingRequests]pendingRequest
 	requestCount uint64
 	latestReply  uint64 // number of the newest reply that was processed
-	grantorID    uint64 // of the grantor that sent it
+	grantorID    uint64 // ID of the grantor that sent that reply
 	nextWakeup   float64
-	changed      bool // whether an allowance changed since TakeChanges
+	changed      bool // whether an allowance changed since the last TakeChanges
 }
 
-// pendingRequest is a request whose reply may still come.
+// pendingRequest is a request whose reply may still arrive.
 type pendingRequest struct {
 	number uint64
 	sentAt float64
 }
 
 const (
-	// maxPendingRequests bounds the requests whose reply may still come.
+	// maxPendingRequests bounds the requests whose replies are still accepted.
 	maxPendingRequests = 16
-	// minRequestInterval is the least time between two demands for one limit, in seconds: a busy server
-	// gets what others give back within a few of them.
+	// minRequestInterval is the shortest time, in seconds, between two requests with a demand for the
+	// same limit. A busy server gets shares that others return within a few of these intervals.
 	minRequestInterval = 0.1
-	// starvedRequestInterval is how often, in seconds, a server asks again while it could use more than it
-	// has: others give back what they don't need a few times a second.
+	// starvedRequestInterval is the time, in seconds, between the requests of a server whose demand
+	// exceeds its allowance. Other servers return unneeded shares a few times a second.
 	starvedRequestInterval = 0.25
-	// renewFraction is the part of a lease after which it is renewed: two requests in a row may be lost.
+	// renewFraction is the fraction of a lease after which the holder requests its renewal. The lease
+	// survives the loss of two requests in a row.
 	renewFraction = 1.0 / 3
-	// reportedChange is the fraction by which a demand must change to be reported before that.
+	// reportedChange is the fraction by which a demand must change to be reported before the renewal
+	// is due.
 	reportedChange = 0.2
 )
 
-// NewHolder returns the holder of a server that has just started: it has the floors.
+// NewHolder returns the holder of a server that has just started. Its allowances are the floors.
 func NewHolder(incarnation uint64, config Config, now float64) *Holder {
 	h := &Holder{incarnation: incarnation}
 	h.ApplyConfig(config, now)
 	return h
 }
 
-// ApplyConfig replaces the configuration. A running lease is kept, with its share cut to the new pool;
-// floors change at once.
+// ApplyConfig replaces the configuration. An unexpired lease is kept, its share reduced to the new
+// pool if it exceeds that. Floors change immediately.
 func (h *Holder) ApplyConfig(config Config, now float64) {
 	previous := h.limits
 	config.Limits = slices.Clone(config.Limits)
@@ -76,10 +78,10 @@
 	h.nextWakeup = now
 }
 
-// RecordUsage records the recent use of a limit by the server loop. requested is in units a second or, for a
-// concurrent limit, the units in use and those rejected; inUse is the units in use; grantNumber is that of
-// the Allowance which the loop enforces. The grantor is told that a share became smaller only after the loop
-// enforces the smaller one.
+// RecordUsage records the server loop's recent use of a limit. requested is the demand in units a
+// second; for a concurrent limit, it is the number of units in use plus those rejected. inUse is the
+// number of units in use. grantNumber is the GrantNumber of the Allowance that the loop enforces: the
+// grantor learns that a share was reduced only after the loop enforces the reduced share.
 func (h *Holder) RecordUsage(now float64, name string, requested, inUse float64, grantNumber uint64) {
 	state := h.limits[name]
 	if state == nil {
@@ -94,7 +96,8 @@
 	}
 }
 
-// NextWakeup is when NextRequest is to be called, in seconds of the holder's clock.
+// NextWakeup returns the time at which NextRequest should be called next, in seconds of the
+// holder's clock.
 func (h *Holder) NextWakeup() float64 { return h.nextWakeup }
 
 // NextRequest returns the request to send to the grantor, nil if none is due.
@@ -119,8 +122,8 @@
 	return request
 }
 
-// takeDue returns the limits for which the next request has a demand, at most MaxEntries, and sets the next
-// wakeup for the rest.
+// takeDue returns the limits for which the next request has a demand, at most MaxEntries, and sets
+// the next wakeup for the other limits.
 func (h *Holder) takeDue(now float64) []*holderLimit {
 	var due []*holderLimit
 	h.nextWakeup = math.Inf(1)
@@ -141,8 +144,8 @@
 	return due
 }
 
-// HandleReply processes a grantor's reply. It ignores a reply to an earlier incarnation or to a request that
-// is no longer pending, and one older than a reply already processed.
+// HandleReply processes a grantor's reply. It ignores replies to another incarnation, to a request
+// that is no longer pending, and to a request older than that of a reply already processed.
 func (h *Holder) HandleReply(now float64, reply *Reply) {
 	pending := h.pending[reply.Number%maxPendingRequests]
 	if reply.Incarnation != h.incarnation || reply.Number == 0 || pending.number != reply.Number ||
@@ -167,8 +170,8 @@
 	}
 }
 
-// followGrantor records a new grantor and makes every leased limit due for a request: a grantor grants
-// nothing before a request carries its ID.
+// followGrantor records the ID of a new grantor and makes a request due for every leased limit,
+// because a grantor grants nothing until a request carries its ID.
 func (h *Holder) followGrantor(now float64, grantorID uint64) {
 	h.grantorID = grantorID
 	h.nextWakeup = now
@@ -179,7 +182,7 @@
 	}
 }
 
-// ActiveLeases returns the allowances of the limits with a lease that runs now.
+// ActiveLeases returns the allowances of the limits whose lease has not expired.
 func (h *Holder) ActiveLeases(now float64) []Allowance {
 	var list []Allowance
 	for _, name := range h.names {
@@ -190,8 +193,8 @@
 	return list
 }
 
-// TakeChanges returns the allowances of all limits in order of their names if any of them changed since the
-// last call, and nil otherwise.
+// TakeChanges returns the allowances of all limits, sorted by name, if any of them changed since the
+// last call; otherwise it returns nil.
 func (h *Holder) TakeChanges() []Allowance {
 	if !h.changed {
 		return nil
--- a/internal/policy/quota/holder_limit.go
+++ b/internal/policy/quota/holder_limit.go
@@ -2,29 +2,30 @@
 
 import "math"
 
-// holderLimit is the state of one limit at a holder.
+// holderLimit is a holder's state of one limit.
 type holderLimit struct {
 	limit   *Limit
 	floor   float64
-	granted receivedGrant // the latest one received
-	applied receivedGrant // the one by which the server loop last reported usage
-	// reductionPending is set from a grant of a smaller share until the server loop applies it, and
-	// reductionUnreported from then until the next request, which tells the grantor.
+	granted receivedGrant // the latest grant received
+	applied receivedGrant // the grant that the server loop enforced when it last reported usage
+	// reductionPending is set when a grant reduces the share, until the server loop enforces the
+	// reduced share. reductionUnreported is set from then until the next request, which tells the
+	// grantor.
 	reductionPending    bool
 	reductionUnreported bool
 
-	requested    float64 // recently, see Demand
+	requested    float64 // recent demand, see Demand
 	inUse        float64
-	starved      bool    // more is requested than may be used now
-	lastRequest  float64 // when a request last had a demand for it, -Inf for never
-	lastReported float64 // requested, as that request said
+	starved      bool    // requested exceeds the current allowance
+	lastRequest  float64 // when a request last had a demand for the limit, -Inf for never
+	lastReported float64 // the value of requested in that request
 }
 
 // receivedGrant is a share that a reply granted.
 type receivedGrant struct {
 	share       float64 // beyond the floor
-	leaseExpiry float64 // -Inf for no lease
-	number      uint64  // of the request that was replied to
+	leaseExpiry float64 // -Inf if there is no lease
+	number      uint64  // number of the request that the reply answered
 }
 
 func newHolderLimit() *holderLimit {
@@ -32,15 +33,15 @@
 	return &holderLimit{granted: none, applied: none, lastRequest: math.Inf(-1)}
 }
 
-// setLimit applies a new configuration of the limit. A running lease is kept, with its share cut to the new
-// pool.
+// setLimit applies a new configuration of the limit. A lease is kept, its share reduced to the new
+// pool if it exceeds that.
 func (s *holderLimit) setLimit(config *Config, limit *Limit) {
 	s.limit = limit
 	s.floor = config.FloorPerServer(limit)
 	s.granted.share = min(s.granted.share, config.pool(limit))
 }
 
-// allowance returns what the server may use under the latest grant.
+// allowance returns the allowance under the latest grant.
 func (s *holderLimit) allowance() Allowance {
 	return Allowance{
 		Name:        s.limit.Name,
@@ -52,19 +53,19 @@
 	}
 }
 
-// limitAt returns what may be used at a time.
+// limitAt returns what the server may use at the time now.
 func (s *holderLimit) limitAt(now float64) float64 {
 	allowance := s.allowance()
 	return allowance.LimitAt(now)
 }
 
-// hasLease reports whether the latest grant has not expired.
+// hasLease reports whether the lease of the latest grant has not expired.
 func (s *holderLimit) hasLease(now float64) bool { return now < s.granted.leaseExpiry }
 
-// wantsLease reports whether more than the floor is requested.
+// wantsLease reports whether the demand exceeds the floor.
 func (s *holderLimit) wantsLease() bool { return s.requested > s.floor }
 
-// setUsage records what the server loop requested and has in use.
+// setUsage records the server loop's demand and units in use.
 func (s *holderLimit) setUsage(now, requested, inUse float64) {
 	s.requested = clamp(requested, s.limit.Max)
 	s.inUse = clamp(inUse, s.limit.Max)
@@ -80,7 +81,7 @@
 	}
 }
 
-// setGranted replaces the grant by a newer one.
+// setGranted replaces the latest grant by a newer one.
 func (s *holderLimit) setGranted(now float64, granted receivedGrant) {
 	if s.hasLease(now) && granted.share < s.granted.share {
 		s.reductionPending = true
@@ -106,26 +107,27 @@
 	return s.hasLease(now) && s.hasSpare(now)
 }
 
-// starvedRequestDue reports whether to ask again for a larger share: some time has passed, or clearly more is
-// requested than was reported.
+// starvedRequestDue reports whether to request a larger share again: starvedRequestInterval has
+// passed, or demand has grown by more than reportedChange since the last request.
 func (s *holderLimit) starvedRequestDue(now float64) bool {
 	return now >= s.lastRequest+starvedRequestInterval || s.requested > (1+reportedChange)*s.lastReported
 }
 
-// hasSpare reports whether demand fell so far that a good part of the leased share should be given back.
+// hasSpare reports whether to return part of the leased share: both the unneeded part of the share
+// and the decrease in demand exceed reportedChange.
 func (s *holderLimit) hasSpare(now float64) bool {
 	spare := s.limitAt(now) - (1+maxHeadroom)*s.requested
 	return s.granted.share > 0 && spare > reportedChange*s.granted.share &&
 		s.requested < (1-reportedChange)*s.lastReported
 }
 
-// renewalTime returns when a demand for the limit is due again after now, unless usage changes.
+// renewalTime returns when the next demand for the limit is due if usage does not change.
 func (s *holderLimit) renewalTime(now, leaseSeconds float64) float64 {
 	return max(now+minRequestInterval, s.lastRequest+renewFraction*leaseSeconds)
 }
 
-// demand returns the entry of a request for the limit. While the server loop may still enforce a larger
-// share than the latest grant, the entry reports the larger one.
+// demand returns the limit's entry in a request. While the server loop may still enforce a larger
+// share than that of the latest grant, the entry reports the larger share.
 func (s *holderLimit) demand(now float64) Demand {
 	demand := Demand{Name: s.limit.Name, Requested: s.requested, InUse: s.inUse}
 	if !s.hasLease(now) {
@@ -140,7 +142,7 @@
 	return demand
 }
 
-// setReported records that a request with the current demand was made.
+// setReported records that a request with the current demand was created at now.
 func (s *holderLimit) setReported(now float64) {
 	s.lastRequest = now
 	s.lastReported = s.requested
--- a/internal/policy/quota/message.go
+++ b/internal/policy/quota/message.go
@@ -1,21 +1,23 @@
 package quota
 
-// Demand is the entry of a Request for one limit.
+// Demand is a Request's entry for one limit.
 type Demand struct {
 	Name             string
-	Requested        float64 // lately, in units a second; for a concurrent limit the units in use and rejected
-	InUse            float64 // units in use now, 0 for a rate
+	Requested        float64 // recent units a second; for a concurrent limit, units in use and rejected
+	InUse            float64 // units in use; 0 for a rate
 	LeasedShare      float64 // beyond the floor
-	RemainingSeconds float64 // of the lease, by the holder's clock
-	GrantNumber      uint64  // number of the request whose reply granted LeasedShare, 0 for none
+	RemainingSeconds float64 // until the lease expires, by the holder's clock
+	// GrantNumber is the number of the request whose reply granted the share that the server loop
+	// enforces, 0 for none.
+	GrantNumber uint64
 }
 
-// Request asks the grantor for shares of some limits.
+// Request asks the grantor for leased shares of some limits.
 type Request struct {
-	Incarnation uint64 // of the holder
-	Number      uint64 // grows with each request of an incarnation
-	ConfigHash  uint64 // of the holder's Config; a grantor with another one doesn't reply
-	GrantorID   uint64 // of the grantor that sent the latest reply, 0 for none
+	Incarnation uint64 // incarnation of the holder
+	Number      uint64 // increases with each request of an incarnation
+	ConfigHash  uint64 // hash of the holder's Config; a grantor with a different Config doesn't reply
+	GrantorID   uint64 // ID of the grantor that sent the latest reply, 0 for none
 	Demands     []Demand
 }
 
@@ -25,8 +27,8 @@
 	LeasedShare float64
 }
 
-// Reply answers the request with the same incarnation and number. Its leases last Config.LeaseSeconds
-// from the moment at which the holder made the request.
+// Reply is the reply to the request with the same incarnation and number. Its leases last
+// Config.LeaseSeconds from the moment at which the holder created the request.
 type Reply struct {
 	Incarnation uint64
 	Number      uint64
@@ -34,7 +36,7 @@
 	Grants      []Grant
 }
 
-// clamp bounds a number from another process to [0, upper]; NaN becomes 0.
+// clamp limits a number that may come from another process to [0, upper]; NaN becomes 0.
 func clamp(x, upper float64) float64 {
 	if !(x > 0) { // true for NaN as well
 		return 0
--- a/internal/policy/quota/quota_test.go
+++ b/internal/policy/quota/quota_test.go
@@ -7,24 +7,26 @@
 	"testing"
 )
 
-// TestHolder_GetsWhatOthersLeave moves the demand from one server to another just after shares were leased.
+// TestHolder_GetsWhatOthersLeave guards against a share that stays with a server after its demand is
+// gone: demand moves from one server to another while the first holds most of the pool.
 func TestHolder_GetsWhatOthersLeave(t *testing.T) {
 	s := newSimulation(t, 1, 6)
 	s.setDemand(1)
 	s.servers[0].demand = 500
 	s.run(8)
 	if got := s.servers[0].limitAt(rateLimit, s.now); got < 80 {
-		t.Errorf("alone, it has %.1f of 100", got)
+		t.Errorf("the only busy server may use %.1f of 100, want at least 80", got)
 	}
 	s.servers[0].demand = 1
 	s.servers[3].demand = 500
 	s.run(1)
 	if got := s.servers[3].limitAt(rateLimit, s.now); got < 80 {
-		t.Errorf("a second after the demand moved it has %.1f of 100", got)
+		t.Errorf("1 s after demand moved to the server it may use %.1f of 100, want at least 80", got)
 	}
 }
 
-// TestHolder_FallsToFloorWhilePartitioned has a third of the servers hear nothing for long.
+// TestHolder_FallsToFloorWhilePartitioned partitions a third of the servers for longer than a lease.
+// They must fall back to their floors, and the other servers must get their shares.
 func TestHolder_FallsToFloorWhilePartitioned(t *testing.T) {
 	s := newSimulation(t, 2, 6)
 	s.setDemand(30)
@@ -37,11 +39,11 @@
 	floor := s.config.FloorPerServer(&s.config.Limits[0])
 	for i, server := range partitioned {
 		if got := server.limitAt(rateLimit, s.now); got != floor {
-			t.Errorf("partitioned server %d may use %.3f, its floor is %.3f", i, got, floor)
+			t.Errorf("partitioned server %d may use %.3f, want its floor %.3f", i, got, floor)
 		}
 	}
 	if used := s.used(rateLimit); used < 80 {
-		t.Errorf("with a third partitioned %.1f of 100 is used", used)
+		t.Errorf("with a third of the servers partitioned %.1f of 100 is used, want at least 80", used)
 	}
 	for _, server := range partitioned {
 		server.partitioned = false
@@ -49,38 +51,41 @@
 	s.run(2)
 	for i, server := range partitioned {
 		if got := server.limitAt(rateLimit, s.now); got < 10 {
-			t.Errorf("heard again, server %d may use %.3f", i, got)
+			t.Errorf("2 s after the partition healed server %d may use %.3f, want at least 10", i, got)
 		}
 	}
 }
 
-// TestConfig_ChangedLimit lowers a limit to half and to nothing while shares are leased, and raises it again.
+// TestConfig_ChangedLimit lowers a limit to half and to zero while shares are leased, and raises it
+// again. One lease later, the allowances must add up to the new limit.
 func TestConfig_ChangedLimit(t *testing.T) {
 	s := newSimulation(t, 3, 6)
 	s.setDemand(30)
 	s.run(8)
-	for _, most := range []float64{50, 0, 100} {
-		s.config.Limits = []Limit{{Name: rateLimit, Max: most}, testLimits[1]}
+	for _, limit := range []float64{50, 0, 100} {
+		s.config.Limits = []Limit{{Name: rateLimit, Max: limit}, testLimits[1]}
 		s.grantor.ApplyConfig(s.config)
 		for _, server := range s.servers {
 			server.holder.ApplyConfig(s.config, server.clock(s.now))
 			server.publish()
 		}
-		s.stillLeased = 100 // what is leased counts on for a lease
+		s.stillLeased = 100 // shares leased before the change remain valid until their leases expire
 		s.run(s.config.LeaseSeconds * (1 + 2*maxClockDrift))
 		s.stillLeased = 0
-		if got := s.usable(rateLimit); got > most*(1+tolerance) || got < 0.95*most {
-			t.Errorf("a lease after it became %.0f, all may use %.3f", most, got)
+		if got := s.usable(rateLimit); got > limit*(1+tolerance) || got < 0.95*limit {
+			t.Errorf("one lease after the limit became %.0f the servers together may use %.3f, want 95%% to 100%% of it",
+				limit, got)
 		}
 		s.run(1)
 	}
 }
 
-// TestGrantor_InvalidDemands has servers ask for, and claim to hold, what can't be.
+// TestGrantor_InvalidDemands sends the grantor NaN, infinite, negative and far too large demands and
+// claimed shares. The other servers must not lose what they need.
 func TestGrantor_InvalidDemands(t *testing.T) {
 	s := newSimulation(t, 4, 4)
 	s.setDemand(10)
-	for round, x := range []float64{math.NaN(), math.Inf(1), -1, 1e300, 1e9} {
+	for round, value := range []float64{math.NaN(), math.Inf(1), -1, 1e300, 1e9} {
 		s.electLeader()
 		for number := uint64(1); number < 60; number++ {
 			request := &Request{
@@ -89,9 +94,9 @@
 				ConfigHash:  s.config.Hash(),
 				GrantorID:   s.grantor.id,
 				Demands: []Demand{
-					{rateLimit, x, x, x, x, number - 1},
-					{concurrentLimit, x, x, x, x, number},
-					{"unknown", x, x, x, x, number},
+					{rateLimit, value, value, value, value, number - 1},
+					{concurrentLimit, value, value, value, value, number},
+					{"unknown", value, value, value, value, number},
 				},
 			}
 			checkGrants(t, s.grantor.HandleRequest(s.now, request, true))
@@ -99,12 +104,12 @@
 		}
 		s.run(0.5)
 		if used := s.used(rateLimit); used < 39 {
-			t.Errorf("%g: the others may use %.1f of the 40 that they ask for", x, used)
+			t.Errorf("demand of %g: the other servers may use %.1f of the 40 they request, want at least 39", value, used)
 		}
 	}
 }
 
-// checkGrants fails where a reply grants a share that is none, or more than the pool.
+// checkGrants fails the test if a reply grants a share that is not a number from 0 to the pool.
 func checkGrants(t *testing.T, reply *Reply) {
 	t.Helper()
 	if reply == nil {
@@ -112,12 +117,13 @@
 	}
 	for _, grant := range reply.Grants {
 		if !(grant.LeasedShare >= 0 && grant.LeasedShare <= 90) {
-			t.Fatalf("granted %g of %s", grant.LeasedShare, grant.Name)
+			t.Fatalf("the grant of %s is %g, want 0 to 90", grant.Name, grant.LeasedShare)
 		}
 	}
 }
 
-// exchange has a holder that wants all of the rate ask a grantor, and takes the reply.
+// exchange sends a request for the whole rate from a holder to a grantor and delivers the reply, both
+// without delay.
 func exchange(holder *Holder, grantor *Grantor, now float64) {
 	holder.RecordUsage(now, rateLimit, 500, 0, holder.limits[rateLimit].granted.number)
 	request := holder.NextRequest(now)
@@ -129,44 +135,46 @@
 	}
 }
 
-// TestGrantor_LateRequestRenewsNoExpiredLease forces this order: a request, sent while its server held a
-// share, reaches the next leader when that share has expired and been leased to another server.
+// TestGrantor_LateRequestRenewsNoExpiredLease guards against leasing the same share twice: a request
+// sent while its server held a share reaches the next leader after that share has expired and was
+// leased to another server.
 func TestGrantor_LateRequestRenewsNoExpiredLease(t *testing.T) {
 	config := Config{LeaseSeconds: 3, FloorFraction: 0.1, MaxServers: 2, Limits: testLimits}
-	first := NewGrantor(config, 1, -100)
-	x := NewHolder(7, config, 0)
-	y := NewHolder(8, config, 0)
+	firstGrantor := NewGrantor(config, 1, -100)
+	firstHolder := NewHolder(7, config, 0)
+	secondHolder := NewHolder(8, config, 0)
 	limitAt := func(holder *Holder, now float64) float64 { return holder.limits[rateLimit].limitAt(now) }
 
-	exchange(x, first, 0) // it hears who grants
-	exchange(x, first, 0.3)
-	if got := limitAt(x, 0.3); got != 95 {
-		t.Fatalf("alone it has %.1f", got)
+	exchange(firstHolder, firstGrantor, 0) // the holder learns the grantor's ID
+	exchange(firstHolder, firstGrantor, 0.3)
+	if got := limitAt(firstHolder, 0.3); got != 95 {
+		t.Fatalf("the only busy server may use %.1f, want 95", got)
 	}
-	x.RecordUsage(3.2, rateLimit, 500, 0, x.limits[rateLimit].granted.number)
-	late := x.NextRequest(3.2)
-	second := NewGrantor(config, 2, 3.2)
-	for now := 3.3; now < 4.1; now += 0.3 { // the first is still believed
-		exchange(y, first, now)
+	firstHolder.RecordUsage(3.2, rateLimit, 500, 0, firstHolder.limits[rateLimit].granted.number)
+	lateRequest := firstHolder.NextRequest(3.2)
+	secondGrantor := NewGrantor(config, 2, 3.2)
+	for now := 3.3; now < 4.1; now += 0.3 { // the first leader's confirmation is still valid
+		exchange(secondHolder, firstGrantor, now)
 	}
-	if got := limitAt(y, 4); got != 95 {
-		t.Fatalf("after the first's lease the second has %.1f", got)
+	if got := limitAt(secondHolder, 4); got != 95 {
+		t.Fatalf("after the first server's lease expired the second may use %.1f, want 95", got)
 	}
-	if reply := second.HandleRequest(4.3, late, true); reply != nil {
-		x.HandleReply(4.3, reply)
+	if reply := secondGrantor.HandleRequest(4.3, lateRequest, true); reply != nil {
+		firstHolder.HandleReply(4.3, reply)
 	}
-	if all := limitAt(x, 4.3) + limitAt(y, 4.3); all > 100 {
-		t.Errorf("all may use %.1f of 100", all)
+	if sum := limitAt(firstHolder, 4.3) + limitAt(secondHolder, 4.3); sum > 100 {
+		t.Errorf("the servers together may use %.1f, want at most 100", sum)
 	}
 }
 
-// TestHolder_LeaseRunsFromRequest takes a reply a second after the request: the grantor may have counted the
-// lease from any moment between the two, so the holder counts it from the first.
+// TestHolder_LeaseRunsFromRequest delivers a reply 1 s after the request. The grantor's lease starts
+// between the two, so the holder must count its lease from the request, or it would outlast the
+// grantor's.
 func TestHolder_LeaseRunsFromRequest(t *testing.T) {
 	config := Config{LeaseSeconds: 3, FloorFraction: 0.1, MaxServers: 2, Limits: testLimits[:1]}
 	grantor := NewGrantor(config, 1, -100)
 	holder := NewHolder(7, config, 0)
-	exchange(holder, grantor, 0) // it hears who grants
+	exchange(holder, grantor, 0) // the holder learns the grantor's ID
 	holder.RecordUsage(0.5, rateLimit, 500, 0, 0)
 	request := holder.NextRequest(0.5)
 	reply := grantor.HandleRequest(1, request, true)
@@ -176,20 +184,21 @@
 	holder.HandleReply(1.5, reply)
 	leases := holder.ActiveLeases(1.5)
 	if len(leases) != 1 || leases[0].LeaseExpiry != 3.5 {
-		t.Errorf("leased are %+v, want one lease until 3.5", leases)
+		t.Errorf("the active leases are %+v, want one that expires at 3.5", leases)
 	}
 }
 
-// TestConfig_Validate has one case for each fault; a fault of one limit names it.
+// TestConfig_Validate has one case for each validation error, and checks that an error about one limit
+// names that limit.
 func TestConfig_Validate(t *testing.T) {
 	valid := Config{LeaseSeconds: 3, FloorFraction: 0.1, MaxServers: 4, Limits: testLimits}
 	if err := valid.Validate(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Validate() of a valid configuration = %v, want nil", err)
 	}
 	longName := fmt.Sprintf("%099d", 1)
 	cases := []struct {
 		name   string
-		limit  string // that the error names
+		limit  string // the name in the error
 		change func(*Config)
 	}{
 		{"no floor", "", func(c *Config) { c.FloorFraction = 0 }},
@@ -200,10 +209,10 @@
 		{"duplicate name", rateLimit, func(c *Config) { c.Limits = append([]Limit{c.Limits[0]}, c.Limits...) }},
 		{"no name", "", func(c *Config) { c.Limits = []Limit{{Max: 1}} }},
 		{"name too long", longName, func(c *Config) { c.Limits = []Limit{{Name: longName, Max: 1}} }},
-		{"negative", "a", func(c *Config) { c.Limits = []Limit{{Name: "a", Max: -1}} }},
-		{"infinite", "a", func(c *Config) { c.Limits = []Limit{{Name: "a", Max: math.Inf(1)}} }},
-		{"no linger time", "a", func(c *Config) { c.Limits = []Limit{{Name: "a", Max: 50, Concurrent: true}} }},
-		{"floor under one", "a", func(c *Config) {
+		{"negative limit", "a", func(c *Config) { c.Limits = []Limit{{Name: "a", Max: -1}} }},
+		{"infinite limit", "a", func(c *Config) { c.Limits = []Limit{{Name: "a", Max: math.Inf(1)}} }},
+		{"concurrent without linger time", "a", func(c *Config) { c.Limits = []Limit{{Name: "a", Max: 50, Concurrent: true}} }},
+		{"floor under one unit", "a", func(c *Config) {
 			c.Limits = []Limit{{Name: "a", Max: 30, Concurrent: true, LingerSeconds: 1}}
 		}},
 	}
--- a/internal/policy/quota/schedule_test.go
+++ b/internal/policy/quota/schedule_test.go
@@ -7,8 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestLimit_HoldsInDrawnSchedules plays drawn faults; simulation.check holds the limits at each step. Once
-// all faults are healed what is wanted is used, and nothing is lost.
+// TestLimit_HoldsInDrawnSchedules runs a simulation with randomly drawn faults. simulation.check
+// fails if a limit is exceeded at any step. After all faults are healed, the servers must be able to
+// use their demand again, up to the limits: no share may be lost.
 func TestLimit_HoldsInDrawnSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 6).Draw(t, "servers"))
@@ -24,17 +25,17 @@
 			server.partitioned = false
 		}
 		s.run(3*s.config.LeaseSeconds + 3*testLimits[1].LingerSeconds)
-		// A late request of a dead incarnation may have taken a share for a lease meanwhile.
+		// A late request of a terminated incarnation may still hold a share for the length of a lease.
 		for tries := 0; s.unused() != ""; tries++ {
 			if tries == 10 {
-				t.Fatalf("healed, %s", s.unused())
+				t.Fatalf("after all faults were healed: %s", s.unused())
 			}
 			s.run(1)
 		}
 	})
 }
 
-// drawFault has something happen to a drawn server or to the network.
+// drawFault injects a randomly drawn fault or change into a server, the network or the leadership.
 func drawFault(t *rapid.T, s *simulation) {
 	server := s.servers[rapid.IntRange(0, len(s.servers)-1).Draw(t, "server")]
 	switch rapid.IntRange(0, 8).Draw(t, "step") {
@@ -46,7 +47,7 @@
 		s.electLeader()
 	case 3:
 		s.leaderless = !s.leaderless
-	case 4: // killed, and restarted
+	case 4: // the server is killed and restarted
 		*server = *s.startServer()
 	case 5:
 		server.demand = rapid.SampledFrom([]float64{0, 0.3, 5, 30, 500}).Draw(t, "demand")
@@ -64,26 +65,27 @@
 // The steps of a short sequence.
 const (
 	firstAsks          = iota // the first server sends a request
-	secondAsks                // the second one does
+	secondAsks                // the second server sends a request
 	oldestToFirst             // the oldest request reaches the first leader
 	newestToFirst             // the newest request reaches the first leader
 	oldestToSecond            // the oldest request reaches the second leader
-	timePasses                // 1.2 s
-	secondLeaderBegins        // the first one is believed for its lease
+	timePasses                // time advances by 1.2 s
+	secondLeaderBegins        // the first leader still replies while its confirmation is valid
 	stepCount
 )
 
-// sequence is one of the short sequences: two servers, two leaders, and their requests.
+// sequence is the state of one short sequence: two servers, two leaders, and the requests in transit.
 type sequence struct {
 	config   Config
 	now      float64
 	grantors [2]*Grantor
 	holders  [2]*Holder
-	replaced float64 // when the second leader began
-	requests []func(grantor int)
+	replaced float64             // when the second leader began
+	requests []func(grantor int) // in transit; each delivers its request to the grantor
 }
 
-// newSequence starts where both servers have heard the first leader, and one has all that there is.
+// newSequence starts with two servers that know the first leader; the first server has leased the
+// whole pool.
 func newSequence(config Config) *sequence {
 	s := &sequence{
 		config:   config,
@@ -101,7 +103,7 @@
 func (s *sequence) ask(server int) {
 	holder := s.holders[server]
 	share := holder.limits[rateLimit]
-	share.lastRequest = math.Inf(-1) // due again, whatever it reported before
+	share.lastRequest = math.Inf(-1) // makes a request due at any time
 	holder.RecordUsage(s.now, rateLimit, 500, 0, share.granted.number)
 	request := holder.NextRequest(s.now)
 	s.requests = append(s.requests, func(to int) {
@@ -121,7 +123,8 @@
 	s.requests = append(s.requests[:request:request], s.requests[request+1:]...)
 }
 
-// possible reports whether a step does anything: where it doesn't the sequence equals a shorter one.
+// possible reports whether a step has an effect. A sequence with a step that has none equals a
+// shorter sequence.
 func (s *sequence) possible(step int) bool {
 	switch step {
 	case oldestToFirst, newestToFirst:
@@ -161,8 +164,9 @@
 	return sum
 }
 
-// TestLimit_HoldsInAllShortSequences plays every order of seven steps of two servers, two leaders and their
-// requests, from a moment at which one server has all and its lease is nearly over.
+// TestLimit_HoldsInAllShortSequences runs every sequence of seven steps of two servers, two leaders
+// and their requests. It starts when one server has leased the whole pool and its lease is about to
+// expire.
 func TestLimit_HoldsInAllShortSequences(t *testing.T) {
 	config := Config{LeaseSeconds: 3, FloorFraction: 0.1, MaxServers: 2, Limits: testLimits[:1]}
 	const length = 7
@@ -180,7 +184,7 @@
 			}
 			s.do(step)
 			if sum := s.usable(); sum > 100*(1+tolerance) {
-				t.Fatalf("sequence %d: all may use %.1f of 100 at %.1f", number, sum, s.now)
+				t.Fatalf("sequence %d: at %.1f s the servers together may use %.1f, want at most 100", number, s.now, sum)
 			}
 		}
 	}
--- a/internal/policy/quota/simulation_test.go
+++ b/internal/policy/quota/simulation_test.go
@@ -5,21 +5,21 @@
 	"math/rand/v2"
 )
 
-// fatalReporter is what a simulation needs of *testing.T and *rapid.T.
+// fatalReporter has the methods of *testing.T and *rapid.T that a simulation needs.
 type fatalReporter interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// simulation plays servers and grantors in simulated time beside a plain account of all that is used,
-// which sees everything.
+// simulation runs servers and grantors in simulated time. It keeps an exact record of all units in
+// use, against which check tests the limits.
 type simulation struct {
 	t               fatalReporter
 	random          *rand.Rand
 	now             float64
 	config          Config
 	grantor         *Grantor
-	previous        *Grantor // its term is over, yet it replies until previousUntil
+	previous        *Grantor // the leader before; it was replaced but replies until previousUntil
 	previousUntil   float64
 	servers         []*simulatedServer
 	inTransit       []delivery
@@ -27,17 +27,17 @@
 	messageLoss     float64 // probability
 	meanDelay       float64
 	leaderless      bool
-	inUse           []unit  // of the concurrent limit
-	stillLeased     float64 // of a rate that was lowered, what may still be leased out
+	inUse           []unit  // units of the concurrent limit
+	stillLeased     float64 // after a rate was lowered, the sum that may still be leased
 }
 
-// delivery is a message that arrives at a time.
+// delivery is a message in transit that arrives at the time at.
 type delivery struct {
 	at     float64
 	handle func()
 }
 
-// unit is in use until it ends, also when its server is gone.
+// unit is one unit of the concurrent limit. It stays in use until ends even if its server terminates.
 type unit struct {
 	owner *simulatedServer
 	ends  float64
@@ -51,8 +51,8 @@
 	paused      bool
 	partitioned bool
 	demand      float64
-	published   map[string]Allowance // to its loop
-	applied     map[string]Allowance // what that goes by
+	published   map[string]Allowance // what the holder has passed to the server loop
+	applied     map[string]Allowance // what the server loop enforces
 }
 
 func (s *simulatedServer) clock(now float64) float64 { return s.clockOffset + s.clockRate*now }
@@ -62,7 +62,7 @@
 	return allowance.LimitAt(s.clock(now))
 }
 
-// publish passes on what the holder says may be used.
+// publish passes the holder's changed allowances to the server loop.
 func (s *simulatedServer) publish() {
 	list := s.holder.TakeChanges()
 	if list == nil {
@@ -78,7 +78,7 @@
 	rateLimit       = "rate"
 	concurrentLimit = "concurrent"
 	simulationStep  = 0.05
-	// tolerance is for rounding in sums.
+	// tolerance allows for rounding errors in sums.
 	tolerance = 1e-9
 )
 
@@ -96,7 +96,7 @@
 		config:    Config{LeaseSeconds: 3, FloorFraction: 0.1, MaxServers: max(servers, 6), Limits: testLimits},
 	}
 	if err := s.config.Validate(); err != nil {
-		t.Fatalf("%v", err)
+		t.Fatalf("Validate() of the simulated configuration = %v, want nil", err)
 	}
 	s.electLeader()
 	for range servers {
@@ -119,7 +119,8 @@
 	return server
 }
 
-// electLeader has another voter lead; the one before replies for as long as its last confirmation counts.
+// electLeader replaces the leader. The previous one still replies while its last confirmation is
+// valid.
 func (s *simulation) electLeader() {
 	if s.grantor != nil {
 		s.previous = s.grantor
@@ -129,7 +130,7 @@
 	s.leaderless = false
 }
 
-// send delivers a message never, once or twice, after a drawn delay.
+// send puts a message in transit zero, one or two times, each with a random delay.
 func (s *simulation) send(handle func()) {
 	for range 1 + s.random.IntN(8)/7 {
 		if s.random.Float64() >= s.messageLoss {
@@ -138,7 +139,7 @@
 	}
 }
 
-// confirmed reports whether a grantor takes itself for a confirmed leader.
+// confirmed reports whether a grantor considers itself the confirmed leader.
 func (s *simulation) confirmed(grantor *Grantor, asPrevious bool) bool {
 	return !asPrevious && !s.leaderless && grantor == s.grantor ||
 		grantor == s.previous && s.now < s.previousUntil
@@ -207,7 +208,7 @@
 
 func (s *simulation) runServer(server *simulatedServer) {
 	now := server.clock(s.now)
-	if s.random.IntN(2) == 0 { // a loop that is busy goes by what it was told before
+	if s.random.IntN(2) == 0 { // a busy loop still enforces the earlier allowances
 		server.applied = server.published
 	}
 	inUse := s.useUnits(server)
@@ -220,7 +221,8 @@
 	server.publish()
 }
 
-// useUnits has a server use as many units of the concurrent limit as it may and wants to.
+// useUnits takes units of the concurrent limit for a server, up to its allowance and its demand. It
+// returns how many the server has in use.
 func (s *simulation) useUnits(server *simulatedServer) (inUse int) {
 	for _, unit := range s.inUse {
 		if unit.owner == server {
@@ -235,19 +237,20 @@
 	return inUse
 }
 
-// check holds the limits against all that all servers may use this moment, and all that is in use.
+// check fails the test if the allowances of all servers add up to more than the rate limit, or more
+// units are in use than the concurrent limit.
 func (s *simulation) check() {
 	s.t.Helper()
 	sum := s.usable(rateLimit)
-	if most := max(s.stillLeased, s.config.Limits[0].Max); sum > most*(1+tolerance) {
-		s.t.Fatalf("at %.2f all may use %.3f of %.0f", s.now, sum, most)
+	if limit := max(s.stillLeased, s.config.Limits[0].Max); sum > limit*(1+tolerance) {
+		s.t.Fatalf("at %.2f s the servers together may use %.3f, want at most %.0f", s.now, sum, limit)
 	}
-	if most := s.config.Limits[1].Max; float64(len(s.inUse)) > most {
-		s.t.Fatalf("at %.2f %d of %.0f are in use", s.now, len(s.inUse), most)
+	if limit := s.config.Limits[1].Max; float64(len(s.inUse)) > limit {
+		s.t.Fatalf("at %.2f s %d units are in use, want at most %.0f", s.now, len(s.inUse), limit)
 	}
 }
 
-// usable is what all servers together may use.
+// usable returns the sum of the allowances of all servers.
 func (s *simulation) usable(name string) (sum float64) {
 	for _, server := range s.servers {
 		sum += server.limitAt(name, s.now)
@@ -255,7 +258,7 @@
 	return sum
 }
 
-// used is what all servers together want and may use.
+// used returns the sum over all servers of what their demand and allowance let them use.
 func (s *simulation) used(name string) (sum float64) {
 	for _, server := range s.servers {
 		sum += min(server.demand, server.limitAt(name, s.now))
@@ -263,7 +266,8 @@
 	return sum
 }
 
-// ideal is what could be used of a rate by one who sees all and keeps the floors.
+// ideal returns what the servers could use together of a limit if the pool were divided with full
+// and immediate knowledge of all demands.
 func (s *simulation) ideal(limit *Limit) float64 {
 	floor := s.config.FloorPerServer(limit)
 	floors, more := 0.0, 0.0
@@ -274,19 +278,19 @@
 	return floors + min(more, s.config.pool(limit))
 }
 
-// unused tells of which limit less is used than could be, "" for none.
+// unused describes a limit of which the servers can use clearly less than ideal, "" if there is none.
 func (s *simulation) unused() string {
 	for i := range s.config.Limits {
 		limit := &s.config.Limits[i]
 		used, ideal := s.used(limit.Name), s.ideal(limit)
 		if used < 0.98*ideal-0.01 {
-			return fmt.Sprintf("%.3f of %s is used, %.3f could be", used, limit.Name, ideal)
+			return fmt.Sprintf("the servers can use %.3f of %s, want about %.3f", used, limit.Name, ideal)
 		}
 	}
 	return ""
 }
 
-// setDemand has all servers want as much.
+// setDemand sets the same demand for all servers.
 func (s *simulation) setDemand(demand float64) {
 	for _, server := range s.servers {
 		server.demand = demand
--- a/internal/policy/quota/status.go
+++ b/internal/policy/quota/status.go
@@ -5,20 +5,21 @@
 	"slices"
 )
 
-// LimitStatus shows operators how the grantor shares one limit. Its JSON keys are part of the control API.
+// LimitStatus tells operators how the grantor divides one limit. Its JSON keys are part of the
+// control API.
 type LimitStatus struct {
 	Name    string
 	Max     float64 `json:"Most"`
-	Leased  float64 `json:"Given"` // committed beyond the floors
-	Pool    float64 // the part of Max that is leased out
-	Servers int     // that hold a share or want one
-	Wanted  float64 // beyond the floors
+	Leased  float64 `json:"Given"` // sum of the committed shares beyond the floors
+	Pool    float64 // the part of Max that is available for leases
+	Servers int     // servers that hold a share or want one
+	Wanted  float64 // sum of the demands beyond the floors
 	// PriorLeasesExpired is true once all leases of earlier grantors have expired.
 	PriorLeasesExpired bool `json:"Known"`
 }
 
-// Status returns, in order of their names, the limits of which any server holds or wants a share, at most
-// maxStatuses of them.
+// Status returns the status of the limits that have allocations, at most maxStatuses of them, sorted
+// by name.
 func (g *Grantor) Status(now float64, maxStatuses int) []LimitStatus {
 	var list []LimitStatus
 	for _, name := range slices.Sorted(maps.Keys(g.limits)) {
--- a/internal/policy/quota/status_test.go
+++ b/internal/policy/quota/status_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestControlAPI_Keys holds the JSON keys that clients of the control API read.
+// TestControlAPI_Keys guards the JSON keys that clients of the control API read.
 func TestControlAPI_Keys(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -27,7 +27,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			got, err := json.Marshal(c.value)
 			if err != nil || string(got) != c.want {
-				t.Errorf("JSON is %s, %v, want %s", got, err, c.want)
+				t.Errorf("json.Marshal() = %s, %v, want %s, nil", got, err, c.want)
 			}
 		})
 	}
