--- a/internal/policy/quota/allocation.go
+++ b/internal/policy/quota/allocation.go
@@ -9,7 +9,7 @@
 type allocation struct {
 	requested     float64 // the holder's demand, see Demand
 	need          float64 // the part of requested that exceeds the floor
-	lastHeard     float64 // when the latest request arrived
+	lastRequestAt float64 // when the latest request arrived
 	requestNumber uint64  // number of the latest request
 	leases        []lease
 	maxInUse      float64 // concurrent limits: upper bound on the units in use beyond the floor
--- a/internal/policy/quota/config.go
+++ b/internal/policy/quota/config.go
@@ -29,20 +29,21 @@
 
 const (
 	// BurstSeconds is the capacity of a rate limit's token bucket, in seconds of the rate. It
-	// tolerates 0.1 s of jitter at 100 requests a second, and bounds the fleet's burst to 0.5 s of its
-	// limit. The capacity is at least one unit; with a smaller one, a small share would never
+	// tolerates 0.1 s of jitter at 100 requests a second, and bounds the fleet's burst to 0.5 s of
+	// its limit. The capacity is at least one unit; with a smaller one, a small share would never
 	// admit a request.
 	BurstSeconds = 0.5
 	// MaxEntries bounds the demands in a request and the grants in a reply. It keeps messages under
 	// 20 KB.
 	MaxEntries = 128
 
-	// maxClockDrift is the largest tolerated fraction by which a holder's clock runs slower than the
-	// grantor's. It is far above the drift of quartz clocks and above the 1% of the simulations.
+	// maxClockDrift is the largest tolerated fraction by which a holder's clock runs slower than
+	// the grantor's. It is far above the drift of quartz clocks and above the 1% of the
+	// simulations.
 	maxClockDrift = 0.02
 	// leaderLeaseSeconds is how long a leader may still grant leases after it was replaced. It must
-	// equal lease.LeaderConfirmationWindow, the time for which a majority's confirmation of a leader
-	// is valid.
+	// equal lease.LeaderConfirmationWindow, the time for which a majority's confirmation of a
+	// leader is valid.
 	leaderLeaseSeconds = 1.0
 	maxLimits          = 16384
 	maxNameLength      = 96
@@ -103,7 +104,7 @@
 	seen := map[string]bool{}
 	for i := range c.Limits {
 		limit := &c.Limits[i]
-		if reason := c.limitFault(limit, seen[limit.Name]); reason != "" {
+		if reason := c.invalidReason(limit, seen[limit.Name]); reason != "" {
 			return &ConfigError{Limit: limit.Name, Reason: reason}
 		}
 		seen[limit.Name] = true
@@ -111,8 +112,8 @@
 	return nil
 }
 
-// limitFault returns the reason why a limit is invalid, "" if it is valid.
-func (c *Config) limitFault(limit *Limit, duplicate bool) string {
+// invalidReason returns the reason why a limit is invalid, "" if it is valid.
+func (c *Config) invalidReason(limit *Limit, duplicate bool) string {
 	switch {
 	case limit.Name == "":
 		return "a limit has an empty name"
--- a/internal/policy/quota/doc.go
+++ b/internal/policy/quota/doc.go
@@ -9,6 +9,7 @@
 // as committed until the holder reports that it applies a later grant, or until the lease has
 // expired even by the slowest clock allowed. docs/shared.md explains why this is safe.
 //
-// The package does no I/O, reads no clock and starts no goroutine. A Grantor and a Holder belong to one
-// goroutine, the node agent's (package fleet), which passes the time in seconds of its monotonic clock.
+// The package does no I/O, reads no clock and starts no goroutine. A Grantor and a Holder belong to
+// one goroutine, the node agent's (package fleet), which passes the time in seconds of its
+// monotonic clock.
 package quota
--- a/internal/policy/quota/grantor.go
+++ b/internal/policy/quota/grantor.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// Grantor leases shares of the pools to holders. The leader of the voters runs it for one term; each
-// new leader creates its own Grantor.
+// Grantor leases shares of the pools to holders. The leader of the voters runs it for one term;
+// each new leader creates its own Grantor.
 type Grantor struct {
 	id         uint64
 	config     Config
 	configHash uint64
-	started    float64 // when the term began
+	startedAt  float64 // when the term began
 	limits     map[string]*grantorLimit
 }
 
@@ -19,10 +19,10 @@
 // apart, so a grant that the holder may still apply is not refused for lack of room.
 const maxLeases = 64
 
-// NewGrantor returns the grantor of a leader whose term begins now. id must be random so that no two
-// grantors have the same one.
+// NewGrantor returns the grantor of a leader whose term begins now. id must be random so that no
+// two grantors have the same one.
 func NewGrantor(config Config, id uint64, now float64) *Grantor {
-	g := &Grantor{id: id, started: now, limits: map[string]*grantorLimit{}}
+	g := &Grantor{id: id, startedAt: now, limits: map[string]*grantorLimit{}}
 	g.ApplyConfig(config)
 	return g
 }
@@ -44,30 +44,30 @@
 	}
 }
 
-// previousGrantorStopped returns the time after which no earlier grantor can still grant a lease.
-func (g *Grantor) previousGrantorStopped() float64 {
-	return g.started + leaderLeaseSeconds*(1+maxClockDrift)
+// previousGrantorStopTime returns the time after which no earlier grantor can still grant a lease.
+func (g *Grantor) previousGrantorStopTime() float64 {
+	return g.startedAt + leaderLeaseSeconds*(1+maxClockDrift)
 }
 
-// priorLeasesExpired reports whether all leases granted by earlier grantors have expired and no unit
-// taken under them is still in use.
+// priorLeasesExpired reports whether all leases granted by earlier grantors have expired and no
+// unit taken under them is still in use.
 func (g *Grantor) priorLeasesExpired(state *grantorLimit, now float64) bool {
-	return now > state.leaseExpiry(g.previousGrantorStopped(), g.config.LeaseSeconds)
+	return now > state.leaseExpiry(g.previousGrantorStopTime(), g.config.LeaseSeconds)
 }
 
 // HandleRequest returns the reply to a holder's request. confirmed tells whether a majority of the
 // voters confirmed this leader within the last second. HandleRequest returns nil, and nothing must
-// be sent, if the leader is not confirmed, an earlier grantor may still grant leases, the holder has
-// a different configuration, or the request is late or duplicated.
+// be sent, if the leader is not confirmed, an earlier grantor may still grant leases, the holder
+// has a different configuration, or the request is late or duplicated.
 func (g *Grantor) HandleRequest(now float64, request *Request, confirmed bool) *Reply {
-	if !confirmed || now <= g.previousGrantorStopped() || !g.accepts(request) {
+	if !confirmed || now <= g.previousGrantorStopTime() || !g.accepts(request) {
 		return nil
 	}
 	reply := &Reply{Incarnation: request.Incarnation, Number: request.Number, GrantorID: g.id}
 	if request.GrantorID != g.id {
-		// The holder has not processed a reply of this grantor, so the request may be old. The share
-		// it reports may have expired, and an earlier grantor may have leased it to another holder
-		// since. The reply therefore carries the grantor's ID but no grants.
+		// The holder has not processed a reply of this grantor, so the request may be old. The
+		// share it reports may have expired, and an earlier grantor may have leased it to another
+		// holder since. The reply therefore carries the grantor's ID but no grants.
 		return reply
 	}
 	for i := range request.Demands {
@@ -94,8 +94,8 @@
 		request.ConfigHash == g.configHash && len(request.Demands) <= MaxEntries
 }
 
-// grant determines the share of one limit that a holder gets and records the lease. granted is false
-// if there is no room to record it.
+// grant determines the share of one limit that a holder gets and records the lease. granted is
+// false if there is no room to record it.
 func (g *Grantor) grant(
 	now float64, state *grantorLimit, request *Request, demand *Demand,
 ) (share float64, granted bool) {
@@ -104,7 +104,7 @@
 		return 0, false
 	}
 	allocated.requestNumber = request.Number
-	allocated.lastHeard = now
+	allocated.lastRequestAt = now
 	state.setRequested(allocated, demand.Requested)
 	state.divide(now, g.config.LeaseSeconds)
 
@@ -127,9 +127,10 @@
 	return share, granted
 }
 
-// adoptPriorLease records a lease that a holder reports to have from an earlier grantor, so that its
-// share counts as committed until the lease has expired. The share is capped at available, the part
-// of the pool not committed to other holders, so a holder with a false claim takes nothing from them.
+// adoptPriorLease records a lease that a holder reports to have from an earlier grantor, so that
+// its share counts as committed until the lease has expired. The share is capped at available, the
+// part of the pool not committed to other holders, so a holder with a false claim takes nothing
+// from them.
 func (g *Grantor) adoptPriorLease(now float64, state *grantorLimit, a *allocation, demand *Demand, available float64) {
 	if demand.GrantNumber == 0 || !(demand.RemainingSeconds > 0) || a.hasLease(demand.GrantNumber) {
 		return
--- a/internal/policy/quota/grantor_limit.go
+++ b/internal/policy/quota/grantor_limit.go
@@ -24,15 +24,15 @@
 }
 
 const (
-	// maxHeadroom is the most that a holder gets beyond its need, as a fraction of its demand.
-	// Headroom lets demand vary a little without a further request.
-	maxHeadroom = 0.25
+	// maxHeadroomFraction is the most that a holder gets beyond its need, as a fraction of its
+	// demand. Headroom lets demand vary a little without a further request.
+	maxHeadroomFraction = 0.25
 	// divisionSeconds is how long a division is reused. With many holders, the pool is divided at
 	// most 20 times a second.
 	divisionSeconds = 0.05
-	// maxEagerHolders is the largest number of holders with which the pool is divided again
-	// immediately after each change of a demand.
-	maxEagerHolders = 64
+	// maxHoldersForImmediateDivision is the largest number of holders with which the pool is
+	// divided again immediately after each change of a demand.
+	maxHoldersForImmediateDivision = 64
 	// maxHolders bounds the allocations of one limit.
 	maxHolders = 4096
 )
@@ -50,12 +50,12 @@
 // leaseExpiry returns the time after which a lease that began at start has expired even by the
 // slowest clock, and no unit taken under it is still in use.
 func (s *grantorLimit) leaseExpiry(start, leaseSeconds float64) float64 {
-	return s.lingerEnd(start + leaseSeconds*(1+maxClockDrift))
+	return s.latestUseEnd(start + leaseSeconds*(1+maxClockDrift))
 }
 
-// lingerEnd returns the time after which no unit that was in use at start is still in use, even by
+// latestUseEnd returns the time after which no unit that was in use at start is still in use, even by
 // the slowest clock.
-func (s *grantorLimit) lingerEnd(start float64) float64 {
+func (s *grantorLimit) latestUseEnd(start float64) float64 {
 	return start + s.limit.LingerSeconds*(1+maxClockDrift)
 }
 
@@ -87,9 +87,9 @@
 	s.demandChanged = true
 }
 
-// releaseUnused removes the leases that the holder no longer uses: those older than the grant that its
-// demand reports as applied. For a concurrent limit, the units reported in use stay committed until
-// the longest time for which they can be in use has passed.
+// releaseUnused removes the leases that the holder no longer uses: those older than the grant that
+// its demand reports as applied. For a concurrent limit, the units reported in use stay committed
+// until the longest time for which they can be in use has passed.
 func (s *grantorLimit) releaseUnused(now float64, a *allocation, demand *Demand) {
 	committedBefore := a.committed(now)
 	a.dropLeasesBefore(demand.GrantNumber, now)
@@ -97,14 +97,14 @@
 		return
 	}
 	a.maxInUse = min(committedBefore, max(0, clamp(demand.InUse, s.limit.Max)-s.floor))
-	a.inUseExpiry = s.lingerEnd(now)
+	a.inUseExpiry = s.latestUseEnd(now)
 }
 
 // divide recalculates the committed sum and the division of the pool, unless the last division can
 // be reused.
 func (s *grantorLimit) divide(now, leaseSeconds float64) {
-	eager := s.demandChanged && len(s.allocations) <= maxEagerHolders
-	if now < s.dividedAt+divisionSeconds && !eager {
+	divideNow := s.demandChanged && len(s.allocations) <= maxHoldersForImmediateDivision
+	if now < s.dividedAt+divisionSeconds && !divideNow {
 		return
 	}
 	s.dividedAt = now
@@ -138,7 +138,7 @@
 	}
 	result := division{maxNeed: pool}
 	if requested > 0 {
-		result.headroom = min(maxHeadroom, remaining/requested)
+		result.headroom = min(maxHeadroomFraction, remaining/requested)
 	}
 	return result
 }
@@ -147,7 +147,7 @@
 // lease to zero, and removes their allocations if nothing is committed.
 func (s *grantorLimit) expireAllocations(now, leaseSeconds float64) {
 	for incarnation, a := range s.allocations {
-		if now <= s.leaseExpiry(a.lastHeard, leaseSeconds) {
+		if now <= s.leaseExpiry(a.lastRequestAt, leaseSeconds) {
 			continue
 		}
 		a.requested = 0
--- a/internal/policy/quota/holder.go
+++ b/internal/policy/quota/holder.go
@@ -33,18 +33,19 @@
 const (
 	// maxPendingRequests bounds the requests whose replies are still accepted.
 	maxPendingRequests = 16
-	// minRequestInterval is the shortest time, in seconds, between two requests with a demand for the
-	// same limit. A busy server gets shares that others return within a few of these intervals.
-	minRequestInterval = 0.1
-	// starvedRequestInterval is the time, in seconds, between the requests of a server whose demand
-	// exceeds its allowance. Other servers return unneeded shares a few times a second.
-	starvedRequestInterval = 0.25
-	// renewFraction is the fraction of a lease after which the holder requests its renewal. The lease
-	// survives the loss of two requests in a row.
-	renewFraction = 1.0 / 3
-	// reportedChange is the fraction by which a demand must change to be reported before the renewal
-	// is due.
-	reportedChange = 0.2
+	// minRequestIntervalSeconds is the shortest time between two requests with a
+	// demand for the same limit. A busy server gets shares that others return within a few of these
+	// intervals.
+	minRequestIntervalSeconds = 0.1
+	// starvedRequestIntervalSeconds is the time between the requests of a server whose
+	// demand exceeds its allowance. Other servers return unneeded shares a few times a second.
+	starvedRequestIntervalSeconds = 0.25
+	// renewalFraction is the fraction of a lease after which the holder requests its renewal. The
+	// lease survives the loss of two requests in a row.
+	renewalFraction = 1.0 / 3
+	// minReportedChangeFraction is the fraction by which a demand must change to be reported before
+	// the renewal is due.
+	minReportedChangeFraction = 0.2
 )
 
 // NewHolder returns the holder of a server that has just started. Its allowances are the floors.
@@ -79,9 +80,10 @@
 }
 
 // RecordUsage records the server loop's recent use of a limit. requested is the demand in units a
-// second; for a concurrent limit, it is the number of units in use plus those rejected. inUse is the
-// number of units in use. grantNumber is the GrantNumber of the Allowance that the loop enforces: the
-// grantor learns that a share was reduced only after the loop enforces the reduced share.
+// second; for a concurrent limit, it is the number of units in use plus those rejected. inUse is
+// the number of units in use. grantNumber is the GrantNumber of the Allowance that the loop
+// enforces: the grantor learns that a share was reduced only after the loop enforces the reduced
+// share.
 func (h *Holder) RecordUsage(now float64, name string, requested, inUse float64, grantNumber uint64) {
 	state := h.limits[name]
 	if state == nil {
@@ -92,7 +94,7 @@
 	}
 	state.setUsage(now, requested, inUse)
 	if state.requestDue(now, h.config.LeaseSeconds) {
-		h.nextWakeup = min(h.nextWakeup, max(now, state.lastRequest+minRequestInterval))
+		h.nextWakeup = min(h.nextWakeup, max(now, state.lastRequestAt+minRequestIntervalSeconds))
 	}
 }
 
@@ -118,7 +120,7 @@
 		request.Demands = append(request.Demands, state.demand(now))
 		state.setReported(now)
 	}
-	h.nextWakeup = min(h.nextWakeup, now+minRequestInterval)
+	h.nextWakeup = min(h.nextWakeup, now+minRequestIntervalSeconds)
 	return request
 }
 
@@ -154,7 +156,7 @@
 	}
 	h.latestReply = reply.Number
 	if reply.GrantorID != h.grantorID {
-		h.followGrantor(now, reply.GrantorID)
+		h.switchGrantor(now, reply.GrantorID)
 	}
 	for _, granted := range reply.Grants {
 		state := h.limits[granted.Name]
@@ -170,14 +172,14 @@
 	}
 }
 
-// followGrantor records the ID of a new grantor and makes a request due for every leased limit,
+// switchGrantor records the ID of a new grantor and makes a request due for every leased limit,
 // because a grantor grants nothing until a request carries its ID.
-func (h *Holder) followGrantor(now float64, grantorID uint64) {
+func (h *Holder) switchGrantor(now float64, grantorID uint64) {
 	h.grantorID = grantorID
 	h.nextWakeup = now
 	for _, state := range h.limits {
 		if state.hasLease(now) {
-			state.lastRequest = math.Inf(-1)
+			state.lastRequestAt = math.Inf(-1)
 		}
 	}
 }
@@ -193,8 +195,8 @@
 	return list
 }
 
-// TakeChanges returns the allowances of all limits, sorted by name, if any of them changed since the
-// last call; otherwise it returns nil.
+// TakeChanges returns the allowances of all limits, sorted by name, if any of them changed since
+// the last call; otherwise it returns nil.
 func (h *Holder) TakeChanges() []Allowance {
 	if !h.changed {
 		return nil
--- a/internal/policy/quota/holder_limit.go
+++ b/internal/policy/quota/holder_limit.go
@@ -14,11 +14,11 @@
 	reductionPending    bool
 	reductionUnreported bool
 
-	requested    float64 // recent demand, see Demand
-	inUse        float64
-	starved      bool    // requested exceeds the current allowance
-	lastRequest  float64 // when a request last had a demand for the limit, -Inf for never
-	lastReported float64 // the value of requested in that request
+	requested              float64 // recent demand, see Demand
+	inUse                  float64
+	demandExceedsAllowance bool    // requested exceeds the current allowance
+	lastRequestAt          float64 // when a request last had a demand for the limit, -Inf for never
+	lastReportedDemand     float64 // the value of requested in that request
 }
 
 // receivedGrant is a share that a reply granted.
@@ -30,7 +30,7 @@
 
 func newHolderLimit() *holderLimit {
 	none := receivedGrant{leaseExpiry: math.Inf(-1)}
-	return &holderLimit{granted: none, applied: none, lastRequest: math.Inf(-1)}
+	return &holderLimit{granted: none, applied: none, lastRequestAt: math.Inf(-1)}
 }
 
 // setLimit applies a new configuration of the limit. A lease is kept, its share reduced to the new
@@ -69,7 +69,7 @@
 func (s *holderLimit) setUsage(now, requested, inUse float64) {
 	s.requested = clamp(requested, s.limit.Max)
 	s.inUse = clamp(inUse, s.limit.Max)
-	s.starved = s.requested > s.limitAt(now)
+	s.demandExceedsAllowance = s.requested > s.limitAt(now)
 }
 
 // setApplied records that the server loop enforces the latest grant.
@@ -87,43 +87,44 @@
 		s.reductionPending = true
 	}
 	s.granted = granted
-	s.starved = s.requested > s.limitAt(now)
+	s.demandExceedsAllowance = s.requested > s.limitAt(now)
 }
 
 // requestDue reports whether the next request should have a demand for the limit.
 func (s *holderLimit) requestDue(now, leaseSeconds float64) bool {
 	switch {
-	case now < s.lastRequest+minRequestInterval:
+	case now < s.lastRequestAt+minRequestIntervalSeconds:
 		return false
 	case s.reductionUnreported:
 		return true
-	case s.starved && s.wantsLease() && s.starvedRequestDue(now):
+	case s.demandExceedsAllowance && s.wantsLease() && s.starvedRequestDue(now):
 		return true
 	case !s.hasLease(now) && !s.wantsLease():
 		return false
-	case now >= s.lastRequest+renewFraction*leaseSeconds:
+	case now >= s.lastRequestAt+renewalFraction*leaseSeconds:
 		return true
 	}
 	return s.hasLease(now) && s.hasSpare(now)
 }
 
-// starvedRequestDue reports whether to request a larger share again: starvedRequestInterval has
-// passed, or demand has grown by more than reportedChange since the last request.
+// starvedRequestDue reports whether to request a larger share again: starvedRequestIntervalSeconds
+// has passed, or demand has grown by more than minReportedChangeFraction since the last request.
 func (s *holderLimit) starvedRequestDue(now float64) bool {
-	return now >= s.lastRequest+starvedRequestInterval || s.requested > (1+reportedChange)*s.lastReported
+	return now >= s.lastRequestAt+starvedRequestIntervalSeconds ||
+		s.requested > (1+minReportedChangeFraction)*s.lastReportedDemand
 }
 
 // hasSpare reports whether to return part of the leased share: both the unneeded part of the share
-// and the decrease in demand exceed reportedChange.
+// and the decrease in demand exceed minReportedChangeFraction.
 func (s *holderLimit) hasSpare(now float64) bool {
-	spare := s.limitAt(now) - (1+maxHeadroom)*s.requested
-	return s.granted.share > 0 && spare > reportedChange*s.granted.share &&
-		s.requested < (1-reportedChange)*s.lastReported
+	spare := s.limitAt(now) - (1+maxHeadroomFraction)*s.requested
+	return s.granted.share > 0 && spare > minReportedChangeFraction*s.granted.share &&
+		s.requested < (1-minReportedChangeFraction)*s.lastReportedDemand
 }
 
 // renewalTime returns when the next demand for the limit is due if usage does not change.
 func (s *holderLimit) renewalTime(now, leaseSeconds float64) float64 {
-	return max(now+minRequestInterval, s.lastRequest+renewFraction*leaseSeconds)
+	return max(now+minRequestIntervalSeconds, s.lastRequestAt+renewalFraction*leaseSeconds)
 }
 
 // demand returns the limit's entry in a request. While the server loop may still enforce a larger
@@ -144,7 +145,7 @@
 
 // setReported records that a request with the current demand was created at now.
 func (s *holderLimit) setReported(now float64) {
-	s.lastRequest = now
-	s.lastReported = s.requested
+	s.lastRequestAt = now
+	s.lastReportedDemand = s.requested
 	s.reductionUnreported = false
 }
--- a/internal/policy/quota/quota_test.go
+++ b/internal/policy/quota/quota_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestHolder_GetsWhatOthersLeave guards against a share that stays with a server after its demand is
-// gone: demand moves from one server to another while the first holds most of the pool.
-func TestHolder_GetsWhatOthersLeave(t *testing.T) {
+// TestGrantor_MovesShareWithDemand guards against a share that stays with a server after its demand
+// is gone: demand moves from one server to another while the first holds most of the pool.
+func TestGrantor_MovesShareWithDemand(t *testing.T) {
 	s := newSimulation(t, 1, 6)
 	s.setDemand(1)
 	s.servers[0].demand = 500
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestHolder_FallsToFloorWhilePartitioned partitions a third of the servers for longer than a lease.
-// They must fall back to their floors, and the other servers must get their shares.
+// TestHolder_FallsToFloorWhilePartitioned partitions a third of the servers for longer than a
+// lease. They must fall back to their floors, and the other servers must get their shares.
 func TestHolder_FallsToFloorWhilePartitioned(t *testing.T) {
 	s := newSimulation(t, 2, 6)
 	s.setDemand(30)
@@ -42,7 +42,7 @@
 			t.Errorf("partitioned server %d may use %.3f, want its floor %.3f", i, got, floor)
 		}
 	}
-	if used := s.used(rateLimit); used < 80 {
+	if used := s.totalUsable(rateLimit); used < 80 {
 		t.Errorf("with a third of the servers partitioned %.1f of 100 is used, want at least 80", used)
 	}
 	for _, server := range partitioned {
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestConfig_ChangedLimit lowers a limit to half and to zero while shares are leased, and raises it
-// again. One lease later, the allowances must add up to the new limit.
-func TestConfig_ChangedLimit(t *testing.T) {
+// TestApplyConfig_LimitLoweredAndRaised lowers a limit to half and to zero while shares are leased,
+// and raises it again. One lease later, the allowances must add up to the new limit.
+func TestApplyConfig_LimitLoweredAndRaised(t *testing.T) {
 	s := newSimulation(t, 3, 6)
 	s.setDemand(30)
 	s.run(8)
@@ -69,19 +69,19 @@
 			server.holder.ApplyConfig(s.config, server.clock(s.now))
 			server.publish()
 		}
-		s.stillLeased = 100 // shares leased before the change remain valid until their leases expire
+		s.maxStillLeased = 100 // shares leased before the change remain valid until their leases expire
 		s.run(s.config.LeaseSeconds * (1 + 2*maxClockDrift))
-		s.stillLeased = 0
-		if got := s.usable(rateLimit); got > limit*(1+tolerance) || got < 0.95*limit {
-			t.Errorf("one lease after the limit became %.0f the servers together may use %.3f, want 95%% to 100%% of it",
+		s.maxStillLeased = 0
+		if got := s.totalAllowance(rateLimit); got > limit*(1+tolerance) || got < 0.95*limit {
+			t.Errorf("one lease after the limit became %.0f all servers may use %.3f, want 95%% to 100%% of it",
 				limit, got)
 		}
 		s.run(1)
 	}
 }
 
-// TestGrantor_InvalidDemands sends the grantor NaN, infinite, negative and far too large demands and
-// claimed shares. The other servers must not lose what they need.
+// TestGrantor_InvalidDemands sends the grantor NaN, infinite, negative and far too large demands
+// and claimed shares. The other servers must not lose what they need.
 func TestGrantor_InvalidDemands(t *testing.T) {
 	s := newSimulation(t, 4, 4)
 	s.setDemand(10)
@@ -103,8 +103,9 @@
 			s.run(0.1)
 		}
 		s.run(0.5)
-		if used := s.used(rateLimit); used < 39 {
-			t.Errorf("demand of %g: the other servers may use %.1f of the 40 they request, want at least 39", value, used)
+		if used := s.totalUsable(rateLimit); used < 39 {
+			t.Errorf("demand of %g: the other servers may use %.1f of the 40 they request, want at least 39",
+				value, used)
 		}
 	}
 }
@@ -122,8 +123,8 @@
 	}
 }
 
-// exchange sends a request for the whole rate from a holder to a grantor and delivers the reply, both
-// without delay.
+// exchange sends a request for the whole rate from a holder to a grantor and delivers the reply,
+// both without delay.
 func exchange(holder *Holder, grantor *Grantor, now float64) {
 	holder.RecordUsage(now, rateLimit, 500, 0, holder.limits[rateLimit].granted.number)
 	request := holder.NextRequest(now)
@@ -135,10 +136,10 @@
 	}
 }
 
-// TestGrantor_LateRequestRenewsNoExpiredLease guards against leasing the same share twice: a request
-// sent while its server held a share reaches the next leader after that share has expired and was
-// leased to another server.
-func TestGrantor_LateRequestRenewsNoExpiredLease(t *testing.T) {
+// TestGrantor_LateRequestDoesNotRenewExpiredLease guards against leasing the same share twice: a
+// request sent while its server held a share reaches the next leader after that share has expired
+// and was leased to another server.
+func TestGrantor_LateRequestDoesNotRenewExpiredLease(t *testing.T) {
 	config := Config{LeaseSeconds: 3, FloorFraction: 0.1, MaxServers: 2, Limits: testLimits}
 	firstGrantor := NewGrantor(config, 1, -100)
 	firstHolder := NewHolder(7, config, 0)
@@ -167,9 +168,9 @@
 	}
 }
 
-// TestHolder_LeaseRunsFromRequest delivers a reply 1 s after the request. The grantor's lease starts
-// between the two, so the holder must count its lease from the request, or it would outlast the
-// grantor's.
+// TestHolder_LeaseRunsFromRequest delivers a reply 1 s after the request. The grantor's lease
+// starts between the two, so the holder must count its lease from the request, or it would outlast
+// the grantor's.
 func TestHolder_LeaseRunsFromRequest(t *testing.T) {
 	config := Config{LeaseSeconds: 3, FloorFraction: 0.1, MaxServers: 2, Limits: testLimits[:1]}
 	grantor := NewGrantor(config, 1, -100)
@@ -188,8 +189,8 @@
 	}
 }
 
-// TestConfig_Validate has one case for each validation error, and checks that an error about one limit
-// names that limit.
+// TestConfig_Validate has one case for each validation error, and checks that an error about one
+// limit names that limit.
 func TestConfig_Validate(t *testing.T) {
 	valid := Config{LeaseSeconds: 3, FloorFraction: 0.1, MaxServers: 4, Limits: testLimits}
 	if err := valid.Validate(); err != nil {
@@ -211,7 +212,9 @@
 		{"name too long", longName, func(c *Config) { c.Limits = []Limit{{Name: longName, Max: 1}} }},
 		{"negative limit", "a", func(c *Config) { c.Limits = []Limit{{Name: "a", Max: -1}} }},
 		{"infinite limit", "a", func(c *Config) { c.Limits = []Limit{{Name: "a", Max: math.Inf(1)}} }},
-		{"concurrent without linger time", "a", func(c *Config) { c.Limits = []Limit{{Name: "a", Max: 50, Concurrent: true}} }},
+		{"concurrent without linger time", "a", func(c *Config) {
+			c.Limits = []Limit{{Name: "a", Max: 50, Concurrent: true}}
+		}},
 		{"floor under one unit", "a", func(c *Config) {
 			c.Limits = []Limit{{Name: "a", Max: 30, Concurrent: true, LingerSeconds: 1}}
 		}},
--- a/internal/policy/quota/schedule_test.go
+++ b/internal/policy/quota/schedule_test.go
@@ -7,10 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestLimit_HoldsInDrawnSchedules runs a simulation with randomly drawn faults. simulation.check
-// fails if a limit is exceeded at any step. After all faults are healed, the servers must be able to
-// use their demand again, up to the limits: no share may be lost.
-func TestLimit_HoldsInDrawnSchedules(t *testing.T) {
+// TestLimit_NotExceededUnderRandomFaults runs a simulation with randomly drawn faults.
+// simulation.check fails if a limit is exceeded at any step. After all faults are healed, the
+// servers must be able to use their demand again, up to the limits: no share may be lost.
+func TestLimit_NotExceededUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 6).Draw(t, "servers"))
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
@@ -25,10 +25,11 @@
 			server.partitioned = false
 		}
 		s.run(3*s.config.LeaseSeconds + 3*testLimits[1].LingerSeconds)
-		// A late request of a terminated incarnation may still hold a share for the length of a lease.
-		for tries := 0; s.unused() != ""; tries++ {
+		// A late request of a terminated incarnation may still hold a share for the length of a
+		// lease.
+		for tries := 0; s.shortfall() != ""; tries++ {
 			if tries == 10 {
-				t.Fatalf("after all faults were healed: %s", s.unused())
+				t.Fatalf("after all faults were healed: %s", s.shortfall())
 			}
 			s.run(1)
 		}
@@ -64,46 +65,47 @@
 
 // The steps of a short sequence.
 const (
-	firstAsks          = iota // the first server sends a request
-	secondAsks                // the second server sends a request
-	oldestToFirst             // the oldest request reaches the first leader
-	newestToFirst             // the newest request reaches the first leader
-	oldestToSecond            // the oldest request reaches the second leader
-	timePasses                // time advances by 1.2 s
-	secondLeaderBegins        // the first leader still replies while its confirmation is valid
+	firstServerRequests   = iota // the first server sends a request
+	secondServerRequests         // the second server sends a request
+	deliverOldestToFirst         // the oldest request reaches the first leader
+	deliverNewestToFirst         // the newest request reaches the first leader
+	deliverOldestToSecond        // the oldest request reaches the second leader
+	advanceTime                  // time advances by 1.2 s
+	startSecondLeader            // the first leader still replies while its confirmation is valid
 	stepCount
 )
 
-// sequence is the state of one short sequence: two servers, two leaders, and the requests in transit.
+// sequence is the state of one short sequence: two servers, two leaders, and the requests in
+// transit.
 type sequence struct {
-	config   Config
-	now      float64
-	grantors [2]*Grantor
-	holders  [2]*Holder
-	replaced float64             // when the second leader began
-	requests []func(grantor int) // in transit; each delivers its request to the grantor
+	config     Config
+	now        float64
+	grantors   [2]*Grantor
+	holders    [2]*Holder
+	replacedAt float64             // when the second leader began
+	requests   []func(grantor int) // in transit; each delivers its request to the grantor
 }
 
 // newSequence starts with two servers that know the first leader; the first server has leased the
 // whole pool.
 func newSequence(config Config) *sequence {
 	s := &sequence{
-		config:   config,
-		grantors: [2]*Grantor{NewGrantor(config, 1, -100), nil},
-		holders:  [2]*Holder{NewHolder(7, config, 0), NewHolder(8, config, 0)},
-		replaced: math.Inf(1),
+		config:     config,
+		grantors:   [2]*Grantor{NewGrantor(config, 1, -100), nil},
+		holders:    [2]*Holder{NewHolder(7, config, 0), NewHolder(8, config, 0)},
+		replacedAt: math.Inf(1),
 	}
 	for _, server := range []int{1, 0, 0} {
-		s.ask(server)
-		s.arrive(0, 0)
+		s.sendRequest(server)
+		s.deliver(0, 0)
 	}
 	return s
 }
 
-func (s *sequence) ask(server int) {
+func (s *sequence) sendRequest(server int) {
 	holder := s.holders[server]
 	share := holder.limits[rateLimit]
-	share.lastRequest = math.Inf(-1) // makes a request due at any time
+	share.lastRequestAt = math.Inf(-1) // makes a request due at any time
 	holder.RecordUsage(s.now, rateLimit, 500, 0, share.granted.number)
 	request := holder.NextRequest(s.now)
 	s.requests = append(s.requests, func(to int) {
@@ -111,63 +113,63 @@
 		if grantor == nil {
 			return
 		}
-		confirmed := to == 1 || s.now < s.replaced+leaderLeaseSeconds
+		confirmed := to == 1 || s.now < s.replacedAt+leaderLeaseSeconds
 		if reply := grantor.HandleRequest(s.now, request, confirmed); reply != nil {
 			holder.HandleReply(s.now, reply)
 		}
 	})
 }
 
-func (s *sequence) arrive(request, grantor int) {
+func (s *sequence) deliver(request, grantor int) {
 	s.requests[request](grantor)
 	s.requests = append(s.requests[:request:request], s.requests[request+1:]...)
 }
 
-// possible reports whether a step has an effect. A sequence with a step that has none equals a
+// hasEffect reports whether a step has an effect. A sequence with a step that has none equals a
 // shorter sequence.
-func (s *sequence) possible(step int) bool {
+func (s *sequence) hasEffect(step int) bool {
 	switch step {
-	case oldestToFirst, newestToFirst:
+	case deliverOldestToFirst, deliverNewestToFirst:
 		return len(s.requests) > 0
-	case oldestToSecond:
+	case deliverOldestToSecond:
 		return len(s.requests) > 0 && s.grantors[1] != nil
-	case secondLeaderBegins:
+	case startSecondLeader:
 		return s.grantors[1] == nil
 	}
 	return true
 }
 
-func (s *sequence) do(step int) {
+func (s *sequence) apply(step int) {
 	switch step {
-	case firstAsks:
-		s.ask(0)
-	case secondAsks:
-		s.ask(1)
-	case oldestToFirst:
-		s.arrive(0, 0)
-	case newestToFirst:
-		s.arrive(len(s.requests)-1, 0)
-	case oldestToSecond:
-		s.arrive(0, 1)
-	case timePasses:
+	case firstServerRequests:
+		s.sendRequest(0)
+	case secondServerRequests:
+		s.sendRequest(1)
+	case deliverOldestToFirst:
+		s.deliver(0, 0)
+	case deliverNewestToFirst:
+		s.deliver(len(s.requests)-1, 0)
+	case deliverOldestToSecond:
+		s.deliver(0, 1)
+	case advanceTime:
 		s.now += 1.2
-	case secondLeaderBegins:
+	case startSecondLeader:
 		s.grantors[1] = NewGrantor(s.config, 2, s.now)
-		s.replaced = s.now
+		s.replacedAt = s.now
 	}
 }
 
-func (s *sequence) usable() (sum float64) {
+func (s *sequence) totalAllowance() (sum float64) {
 	for _, holder := range s.holders {
 		sum += holder.limits[rateLimit].limitAt(s.now)
 	}
 	return sum
 }
 
-// TestLimit_HoldsInAllShortSequences runs every sequence of seven steps of two servers, two leaders
-// and their requests. It starts when one server has leased the whole pool and its lease is about to
-// expire.
-func TestLimit_HoldsInAllShortSequences(t *testing.T) {
+// TestLimit_NotExceededInAnyShortSequence runs every sequence of seven steps of two servers, two
+// leaders and their requests. It starts when one server has leased the whole pool and its lease is
+// about to expire.
+func TestLimit_NotExceededInAnyShortSequence(t *testing.T) {
 	config := Config{LeaseSeconds: 3, FloorFraction: 0.1, MaxServers: 2, Limits: testLimits[:1]}
 	const length = 7
 	sequences := 1
@@ -179,12 +181,13 @@
 		s.now = 2.4
 		for steps := number; steps > 0; steps /= stepCount {
 			step := steps % stepCount
-			if !s.possible(step) {
+			if !s.hasEffect(step) {
 				break
 			}
-			s.do(step)
-			if sum := s.usable(); sum > 100*(1+tolerance) {
-				t.Fatalf("sequence %d: at %.1f s the servers together may use %.1f, want at most 100", number, s.now, sum)
+			s.apply(step)
+			if sum := s.totalAllowance(); sum > 100*(1+tolerance) {
+				t.Fatalf("sequence %d: at %.1f s the servers together may use %.1f, want at most 100",
+					number, s.now, sum)
 			}
 		}
 	}
--- a/internal/policy/quota/simulation_test.go
+++ b/internal/policy/quota/simulation_test.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 )
 
-// fatalReporter has the methods of *testing.T and *rapid.T that a simulation needs.
-type fatalReporter interface {
+// testReporter has the methods of *testing.T and *rapid.T that a simulation needs.
+type testReporter interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
@@ -14,7 +14,7 @@
 // simulation runs servers and grantors in simulated time. It keeps an exact record of all units in
 // use, against which check tests the limits.
 type simulation struct {
-	t               fatalReporter
+	t               testReporter
 	random          *rand.Rand
 	now             float64
 	config          Config
@@ -28,19 +28,20 @@
 	meanDelay       float64
 	leaderless      bool
 	inUse           []unit  // units of the concurrent limit
-	stillLeased     float64 // after a rate was lowered, the sum that may still be leased
+	maxStillLeased  float64 // after a rate was lowered, the sum that may still be leased
 }
 
 // delivery is a message in transit that arrives at the time at.
 type delivery struct {
-	at     float64
-	handle func()
+	arrivesAt float64
+	handle    func()
 }
 
-// unit is one unit of the concurrent limit. It stays in use until ends even if its server terminates.
+// unit is one unit of the concurrent limit. It stays in use until ends even if its server
+// terminates.
 type unit struct {
-	owner *simulatedServer
-	ends  float64
+	owner  *simulatedServer
+	endsAt float64
 }
 
 type simulatedServer struct {
@@ -52,13 +53,13 @@
 	partitioned bool
 	demand      float64
 	published   map[string]Allowance // what the holder has passed to the server loop
-	applied     map[string]Allowance // what the server loop enforces
+	enforced    map[string]Allowance // what the server loop enforces
 }
 
 func (s *simulatedServer) clock(now float64) float64 { return s.clockOffset + s.clockRate*now }
 
 func (s *simulatedServer) limitAt(name string, now float64) float64 {
-	allowance := s.applied[name]
+	allowance := s.enforced[name]
 	return allowance.LimitAt(s.clock(now))
 }
 
@@ -87,7 +88,7 @@
 	{Name: concurrentLimit, Max: 60, Concurrent: true, LingerSeconds: 1.5},
 }
 
-func newSimulation(t fatalReporter, seed uint64, servers int) *simulation {
+func newSimulation(t testReporter, seed uint64, servers int) *simulation {
 	t.Helper()
 	s := &simulation{
 		t:         t,
@@ -115,7 +116,7 @@
 	server.holder = NewHolder(server.incarnation, s.config, server.clock(s.now))
 	server.demand = 40 * s.random.Float64()
 	server.publish()
-	server.applied = server.published
+	server.enforced = server.published
 	return server
 }
 
@@ -188,7 +189,7 @@
 	inTransit := s.inTransit
 	s.inTransit = nil
 	for _, message := range inTransit {
-		if message.at <= s.now {
+		if message.arrivesAt <= s.now {
 			message.handle()
 		} else {
 			s.inTransit = append(s.inTransit, message)
@@ -199,7 +200,7 @@
 func (s *simulation) endUnits() {
 	inUse := s.inUse[:0]
 	for _, unit := range s.inUse {
-		if unit.ends > s.now {
+		if unit.endsAt > s.now {
 			inUse = append(inUse, unit)
 		}
 	}
@@ -209,12 +210,13 @@
 func (s *simulation) runServer(server *simulatedServer) {
 	now := server.clock(s.now)
 	if s.random.IntN(2) == 0 { // a busy loop still enforces the earlier allowances
-		server.applied = server.published
+		server.enforced = server.published
 	}
 	inUse := s.useUnits(server)
 	holder := server.holder
-	holder.RecordUsage(now, rateLimit, server.demand, 0, server.applied[rateLimit].GrantNumber)
-	holder.RecordUsage(now, concurrentLimit, server.demand, float64(inUse), server.applied[concurrentLimit].GrantNumber)
+	holder.RecordUsage(now, rateLimit, server.demand, 0, server.enforced[rateLimit].GrantNumber)
+	holder.RecordUsage(now, concurrentLimit, server.demand, float64(inUse),
+		server.enforced[concurrentLimit].GrantNumber)
 	if holder.NextWakeup() <= now {
 		s.sendRequest(server)
 	}
@@ -241,8 +243,8 @@
 // units are in use than the concurrent limit.
 func (s *simulation) check() {
 	s.t.Helper()
-	sum := s.usable(rateLimit)
-	if limit := max(s.stillLeased, s.config.Limits[0].Max); sum > limit*(1+tolerance) {
+	sum := s.totalAllowance(rateLimit)
+	if limit := max(s.maxStillLeased, s.config.Limits[0].Max); sum > limit*(1+tolerance) {
 		s.t.Fatalf("at %.2f s the servers together may use %.3f, want at most %.0f", s.now, sum, limit)
 	}
 	if limit := s.config.Limits[1].Max; float64(len(s.inUse)) > limit {
@@ -250,25 +252,25 @@
 	}
 }
 
-// usable returns the sum of the allowances of all servers.
-func (s *simulation) usable(name string) (sum float64) {
+// totalAllowance returns the sum of the allowances of all servers.
+func (s *simulation) totalAllowance(name string) (sum float64) {
 	for _, server := range s.servers {
 		sum += server.limitAt(name, s.now)
 	}
 	return sum
 }
 
-// used returns the sum over all servers of what their demand and allowance let them use.
-func (s *simulation) used(name string) (sum float64) {
+// totalUsable returns the sum over all servers of what their demand and allowance let them use.
+func (s *simulation) totalUsable(name string) (sum float64) {
 	for _, server := range s.servers {
 		sum += min(server.demand, server.limitAt(name, s.now))
 	}
 	return sum
 }
 
-// ideal returns what the servers could use together of a limit if the pool were divided with full
-// and immediate knowledge of all demands.
-func (s *simulation) ideal(limit *Limit) float64 {
+// idealUsable returns what the servers could use together of a limit if the pool were divided with
+// full and immediate knowledge of all demands.
+func (s *simulation) idealUsable(limit *Limit) float64 {
 	floor := s.config.FloorPerServer(limit)
 	floors, more := 0.0, 0.0
 	for _, server := range s.servers {
@@ -278,11 +280,12 @@
 	return floors + min(more, s.config.pool(limit))
 }
 
-// unused describes a limit of which the servers can use clearly less than ideal, "" if there is none.
-func (s *simulation) unused() string {
+// shortfall describes a limit of which the servers can use clearly less than idealUsable, "" if
+// there is none.
+func (s *simulation) shortfall() string {
 	for i := range s.config.Limits {
 		limit := &s.config.Limits[i]
-		used, ideal := s.used(limit.Name), s.ideal(limit)
+		used, ideal := s.totalUsable(limit.Name), s.idealUsable(limit)
 		if used < 0.98*ideal-0.01 {
 			return fmt.Sprintf("the servers can use %.3f of %s, want about %.3f", used, limit.Name, ideal)
 		}
--- a/internal/policy/quota/status.go
+++ b/internal/policy/quota/status.go
@@ -18,8 +18,8 @@
 	PriorLeasesExpired bool `json:"Known"`
 }
 
-// Status returns the status of the limits that have allocations, at most maxStatuses of them, sorted
-// by name.
+// Status returns the status of the limits that have allocations, at most maxStatuses of them,
+// sorted by name.
 func (g *Grantor) Status(now float64, maxStatuses int) []LimitStatus {
 	var list []LimitStatus
 	for _, name := range slices.Sorted(maps.Keys(g.limits)) {
