--- a/internal/policy/counter/aggregator.go
+++ b/internal/policy/counter/aggregator.go
@@ -61,8 +61,8 @@
 }
 
 // learnIncarnations merges the aggregators' incarnations from a received message. If the message
-// has a higher incarnation of this aggregator, this aggregator started with a clock that was behind.
-// It then takes a still higher incarnation and recovers again.
+// has a higher incarnation of this aggregator, this aggregator started with a clock that was
+// behind. It then takes a still higher incarnation and recovers again.
 func (a *Aggregator) learnIncarnations(now float64, received Incarnations) {
 	own := a.incarnations[a.selfIndex]
 	a.incarnations.merge(received)
@@ -72,12 +72,12 @@
 	}
 }
 
-// IncompleteRecoveries returns how many recoveries ended before enough other aggregators had sent all
-// of their rows.
+// IncompleteRecoveries returns how many recoveries ended before enough other aggregators had sent
+// all of their rows.
 func (a *Aggregator) IncompleteRecoveries() int { return a.incompleteRecoveries }
 
-// HandleReport merges a server's report into its row, unless the row is frozen or closed, and returns
-// the reply.
+// HandleReport merges a server's report into its row, unless the row is frozen or closed, and
+// returns the reply.
 func (a *Aggregator) HandleReport(now float64, report *RowReport) RowAck {
 	a.learnIncarnations(now, report.Aggregators)
 	ack := RowAck{RowID: report.RowID, Aggregators: slices.Clone(a.incarnations)}
@@ -93,7 +93,7 @@
 	if r == nil {
 		return ack
 	}
-	r.lastHeard = now
+	r.lastReportAt = now
 	r.onlyRelayed = false
 	switch {
 	case a.Recovering(): // other aggregators may have frozen the row, so nothing is acknowledged
@@ -115,7 +115,7 @@
 		}
 		target = a.addRow(now, report.RowID)
 	}
-	if !target.continues(report) {
+	if !target.canMerge(report) {
 		return target
 	}
 	target.server = report.Server
@@ -154,8 +154,8 @@
 	return added
 }
 
-// freeze freezes a row at this aggregator's sequence number of it. It adds the row first if there is
-// none.
+// freeze freezes a row at this aggregator's sequence number of it. It adds the row first if there
+// is none.
 func (a *Aggregator) freeze(now float64, rowID uint64) *row {
 	r := a.rows[rowID]
 	if r == nil {
@@ -166,16 +166,16 @@
 }
 
 // Maintain does the periodic work: a recovering aggregator queries the others for their rows, and
-// the leader's aggregator looks for rows whose servers are gone. It returns the queries to send and,
-// like HandleQueryReply, the rows to close now.
+// the leader's aggregator looks for rows whose servers are gone. It returns the queries to send
+// and, like HandleQueryReply, the rows to close now.
 func (a *Aggregator) Maintain(now float64, isLeader bool, gone ServerGone) (queries []Envelope, toClose []RowReport) {
 	if a.Recovering() {
 		return a.recoveryQueries(now), nil
 	}
-	if now < a.closeRound.lastSearch+closeInterval {
+	if now < a.closeRound.lastSearchAt+closeIntervalSeconds {
 		return nil, nil
 	}
-	a.closeRound.lastSearch = now
+	a.closeRound.lastSearchAt = now
 	maps.DeleteFunc(a.rows, func(rowID uint64, _ *row) bool { return a.isClosed(rowID) })
 	a.closeRound.rows = nil
 	if !isLeader {
@@ -193,9 +193,9 @@
 // NextWakeup returns the time, in seconds, at which Maintain should be called next.
 func (a *Aggregator) NextWakeup() float64 {
 	if a.Recovering() {
-		return min(a.recovery.lastQuery+recoveryQueryInterval, a.recovery.began+maxRecoverySeconds)
+		return min(a.recovery.lastQueryAt+recoveryQueryIntervalSeconds, a.recovery.beganAt+maxRecoverySeconds)
 	}
-	return a.closeRound.lastSearch + closeInterval
+	return a.closeRound.lastSearchAt + closeIntervalSeconds
 }
 
 // otherAggregators returns the names of the other aggregators.
--- a/internal/policy/counter/counter_test.go
+++ b/internal/policy/counter/counter_test.go
@@ -10,7 +10,8 @@
 )
 
 // TestAggregator_CountsEachRequestOnce runs simulations with random faults. After the faults are
-// healed, it compares the aggregators' totals with the number of requests that the servers received.
+// healed, it compares the aggregators' totals with the number of requests that the servers
+// received.
 func TestAggregator_CountsEachRequestOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { checkSchedule(t, rapid.Uint64().Draw(t, "seed")) })
 }
@@ -37,7 +38,8 @@
 	for _, a := range s.aggregators {
 		got := sumReceived(a.aggregator.Summary(s.now, a.log.ClosedTotals).Total)
 		if got < low || got > high {
-			t.Fatalf("the total at %s is %d requests, want %d to %d (%d servers were killed)", a.name, got, low, high, len(s.dead))
+			t.Fatalf("the total at %s is %d requests, want %d to %d (%d servers were killed)",
+				a.name, got, low, high, len(s.killed))
 		}
 	}
 }
@@ -53,10 +55,10 @@
 // noClosedRow is a ClosedRowLookup that finds no closed row.
 func noClosedRow(uint64) (sequence uint64, closed bool) { return 0, false }
 
-// TestReporter_RowClosedWhileAlive guards against lost or doubly counted requests when a row is closed
-// while its server still runs: the row is closed under its first or second number, and the server must
-// report the remaining requests in a new row.
-func TestReporter_RowClosedWhileAlive(t *testing.T) {
+// TestReporter_StartsNewRowWhenRowIsClosed guards against lost or doubly counted requests when a
+// row is closed while its server still runs: the row is closed under its first or second number,
+// and the server must report the remaining requests in a new row.
+func TestReporter_StartsNewRowWhenRowIsClosed(t *testing.T) {
 	cases := []struct {
 		name     string
 		closedAt uint64
@@ -91,8 +93,8 @@
 	}
 }
 
-// TestAggregator_RejectsImpossibleReports checks that a report does not change the row if one of its
-// counts is smaller than in the row, a cell is missing or repeated, or a count grows too fast.
+// TestAggregator_RejectsImpossibleReports checks that a report does not change the row if one of
+// its counts is smaller than in the row, a cell is missing or repeated, or a count grows too fast.
 func TestAggregator_RejectsImpossibleReports(t *testing.T) {
 	a := NewAggregator("k0", []string{"k0"}, 1, noClosedRow, 0)
 	of := func(class string, n uint64) serving.CounterCell { return received("", class, n) }
@@ -136,11 +138,11 @@
 	}
 }
 
-// TestAggregator_FrozenRowAcknowledgesNoMore guards against acknowledging a number higher than that at
-// which a row was frozen. The aggregator freezes a row, another aggregator relays a higher number of
-// the row, and then the row's server reports. If the aggregator acknowledged the higher number, the
-// server could take the next number while the row is being closed.
-func TestAggregator_FrozenRowAcknowledgesNoMore(t *testing.T) {
+// TestAggregator_FrozenRowAcknowledgesNoHigherNumber guards against acknowledging a number higher
+// than that at which a row was frozen. The aggregator freezes a row, another aggregator relays a
+// higher number of the row, and then the row's server reports. If the aggregator acknowledged the
+// higher number, the server could take the next number while the row is being closed.
+func TestAggregator_FrozenRowAcknowledgesNoHigherNumber(t *testing.T) {
 	names := []string{"k0", "k1", "k2"}
 	a := NewAggregator("k0", names, 1, noClosedRow, 0)
 	for _, from := range names[1:] {
--- a/internal/policy/counter/message.go
+++ b/internal/policy/counter/message.go
@@ -9,9 +9,9 @@
 	RowID        uint64
 	Sequence     uint64 // starts at 1
 	BaseSequence uint64 // Cells has the cells that changed after this number; 0: it has all cells
-	// Frozen is set by an aggregator that has frozen the row in order to close it, and acknowledges no
-	// higher number of it. FrozenSequence is then the highest number that this aggregator has ever
-	// acknowledged.
+	// Frozen is set by an aggregator that has frozen the row in order to close it, and acknowledges
+	// no higher number of it. FrozenSequence is then the highest number that this aggregator has
+	// ever acknowledged.
 	Frozen         bool
 	FrozenSequence uint64
 	Aggregators    Incarnations          // incarnations that the sender knows
@@ -55,8 +55,8 @@
 
 // Incarnations are the aggregators' incarnations that one process knows, in the order of the
 // aggregators' names. A higher incarnation of an aggregator is a later one. An aggregator loses its
-// rows when it restarts. Acknowledgements therefore add up to a majority only if they carry the same
-// incarnations, so that none of them comes from an aggregator that has restarted since.
+// rows when it restarts. Acknowledgements therefore add up to a majority only if they carry the
+// same incarnations, so that none of them comes from an aggregator that has restarted since.
 type Incarnations []uint64
 
 // merge raises each incarnation to that in other if that is later. It ignores other if it has a
--- a/internal/policy/counter/query.go
+++ b/internal/policy/counter/query.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// maxReplyCells bounds the cells of one reply, unless its first row has more. It keeps a reply at a few
-// tens of kilobytes.
+// maxReplyCells bounds the cells of one reply, unless its first row has more. It keeps a reply at a
+// few tens of kilobytes.
 const maxReplyCells = 1024
 
 // HandleQuery returns the reply to another aggregator's query.
@@ -66,14 +66,14 @@
 		}
 		r := a.freeze(now, requestedRow.RowID)
 		if r.sequence > requestedRow.Sequence && !builder.add(r) {
-			builder.reply.Recovering = true // the reply is full and lacks rows, so it must not count as complete
+			builder.reply.Recovering = true // the reply is full and lacks rows, so it must not count
 			return
 		}
 	}
 }
 
-// HandleQueryReply processes another aggregator's reply. It returns the rows to close now, nil until a
-// majority has frozen them.
+// HandleQueryReply processes another aggregator's reply. It returns the rows to close now, nil
+// until a majority has frozen them.
 func (a *Aggregator) HandleQueryReply(now float64, from string, reply *RowQueryReply) []RowReport {
 	a.learnIncarnations(now, reply.Aggregators)
 	if reply.Number != a.queryNumber || !slices.Contains(a.names, from) {
@@ -91,8 +91,8 @@
 	return a.confirmClosing(from, reply)
 }
 
-// mergeRelayed merges a row relayed by another aggregator, and freezes it if the other one has frozen
-// it.
+// mergeRelayed merges a row relayed by another aggregator, and freezes it if the other one has
+// frozen it.
 func (a *Aggregator) mergeRelayed(now float64, report *RowReport) {
 	r := a.rows[report.RowID]
 	if report.Sequence > 0 {
--- a/internal/policy/counter/recovery.go
+++ b/internal/policy/counter/recovery.go
@@ -6,30 +6,30 @@
 )
 
 const (
-	// recoveryQueryInterval is the time between the queries of a recovering aggregator, in seconds.
-	recoveryQueryInterval = 0.25
-	// maxRecoverySeconds is how long a recovery may take. A recovery that ends because of this limit is
-	// incomplete: rows that only unavailable aggregators had may be missing.
+	// recoveryQueryIntervalSeconds is the time between the queries of a recovering aggregator.
+	recoveryQueryIntervalSeconds = 0.25
+	// maxRecoverySeconds is how long a recovery may take. A recovery that ends because of this
+	// limit is incomplete: rows that only unavailable aggregators had may be missing.
 	maxRecoverySeconds = 30.0
 )
 
 // recovery is the state of an aggregator that fetches the rows of the others after its start.
 type recovery struct {
-	active    bool
-	began     float64
-	lastQuery float64
-	lastRow   map[string]uint64 // by aggregator: ID of the last row that it has sent
-	finished  map[string]bool   // aggregators that have sent all their rows; false if recovering
+	active      bool
+	beganAt     float64
+	lastQueryAt float64
+	lastRowID   map[string]uint64 // by aggregator: ID of the last row that it has sent
+	finished    map[string]bool   // aggregators that have sent all their rows; false if recovering
 }
 
 // beginRecovery starts a recovery and cancels the close round, if any.
 func (a *Aggregator) beginRecovery(now float64) {
 	a.recovery = recovery{
-		active:    len(a.names) > 1,
-		began:     now,
-		lastQuery: math.Inf(-1),
-		lastRow:   map[string]uint64{},
-		finished:  map[string]bool{},
+		active:      len(a.names) > 1,
+		beganAt:     now,
+		lastQueryAt: math.Inf(-1),
+		lastRowID:   map[string]uint64{},
+		finished:    map[string]bool{},
 	}
 	a.closeRound.rows = nil
 	a.closeRound.confirmed = map[string]bool{}
@@ -44,17 +44,17 @@
 	a.incompleteRecoveries++
 }
 
-// recoveryQueries returns the queries that are due, one for each aggregator that has not sent all of
-// its rows. It ends a recovery that has lasted maxRecoverySeconds.
+// recoveryQueries returns the queries that are due, one for each aggregator that has not sent all
+// of its rows. It ends a recovery that has lasted maxRecoverySeconds.
 func (a *Aggregator) recoveryQueries(now float64) []Envelope {
-	if now >= a.recovery.began+maxRecoverySeconds {
+	if now >= a.recovery.beganAt+maxRecoverySeconds {
 		a.endIncompleteRecovery()
 		return nil
 	}
-	if now < a.recovery.lastQuery+recoveryQueryInterval {
+	if now < a.recovery.lastQueryAt+recoveryQueryIntervalSeconds {
 		return nil
 	}
-	a.recovery.lastQuery = now
+	a.recovery.lastQueryAt = now
 	a.queryNumber++
 	var queries []Envelope
 	for _, name := range a.otherAggregators() {
@@ -64,7 +64,7 @@
 		query := &RowQuery{
 			Number:      a.queryNumber,
 			All:         true,
-			After:       a.recovery.lastRow[name],
+			After:       a.recovery.lastRowID[name],
 			Aggregators: slices.Clone(a.incarnations),
 		}
 		queries = append(queries, Envelope{To: name, Query: query})
@@ -72,11 +72,11 @@
 	return queries
 }
 
-// recordRecoveryReply records which of its rows another aggregator has sent, and ends the recovery once
-// enough aggregators have sent all of their rows.
+// recordRecoveryReply records which of its rows another aggregator has sent, and ends the recovery
+// once enough aggregators have sent all of their rows.
 func (a *Aggregator) recordRecoveryReply(from string, reply *RowQueryReply) {
 	if reply.More {
-		a.recovery.lastRow[from] = reply.Rows[len(reply.Rows)-1].RowID
+		a.recovery.lastRowID[from] = reply.Rows[len(reply.Rows)-1].RowID
 		return
 	}
 	a.recovery.finished[from] = !reply.Recovering
@@ -86,8 +86,8 @@
 			complete++
 		}
 	}
-	// With this number of complete aggregators, at least one of them has each row that a majority had.
-	// If all other aggregators have sent the rows that they have, no more rows can arrive.
+	// With this number of complete aggregators, at least one of them has each row that a majority
+	// had. If all other aggregators have sent the rows that they have, no more rows can arrive.
 	switch {
 	case complete >= len(a.names)-a.majority+1:
 		a.recovery.active = false
--- a/internal/policy/counter/reporter.go
+++ b/internal/policy/counter/reporter.go
@@ -7,21 +7,23 @@
 )
 
 const (
-	// reportInterval is the shortest time between reports of changes, in seconds. It limits the
-	// traffic: each report takes some hundred bytes to each aggregator.
-	reportInterval = 2.0
-	// minRetryInterval is the time, in seconds, until a report is first repeated to aggregators that
-	// have not acknowledged it. It doubles with each repetition, up to maxRetryInterval.
-	minRetryInterval = 0.4
-	maxRetryInterval = 6.0
-	// idleReportInterval is the time, in seconds, between reports while counts don't change. Such
-	// reports tell the aggregators that they have all counts.
-	idleReportInterval = 5.0
-	// never is a time later than any other, in seconds.
-	never = 1e18
+	// reportIntervalSeconds is the shortest time between reports of changes. It limits
+	// the traffic: each report takes some hundred bytes to each aggregator.
+	reportIntervalSeconds = 2.0
+	// minRetryIntervalSeconds is the time until a report is first repeated to
+	// aggregators that have not acknowledged it. It doubles with each repetition, up to
+	// maxRetryIntervalSeconds.
+	minRetryIntervalSeconds = 0.4
+	maxRetryIntervalSeconds = 6.0
+	// idleReportIntervalSeconds is the time between reports while counts don't change.
+	// Such reports tell the aggregators that they have all counts.
+	idleReportIntervalSeconds = 5.0
+	// neverSeconds is a time later than any other.
+	neverSeconds = 1e18
 )
 
-// Reporter counts the requests of a server and reports them to the aggregators. Each server has one.
+// Reporter counts the requests of a server and reports them to the aggregators. Each server has
+// one.
 type Reporter struct {
 	server      string
 	incarnation uint64
@@ -39,18 +41,18 @@
 	aggregatorIncarnations Incarnations
 	unreported             bool // whether counts were added after the last report
 
-	nextReport    float64
-	nextRetry     float64
+	nextReportAt  float64
+	nextRetryAt   float64
 	retryInterval float64
 
 	// Unaccounted is an upper bound on the requests that the totals lack: those in rows that were
-	// closed under a lower number than a majority had acknowledged. This happens if aggregators that
-	// acknowledged the higher number restarted and lost it.
+	// closed under a lower number than a majority had acknowledged. This happens if aggregators
+	// that acknowledged the higher number restarted and lost it.
 	Unaccounted uint64
 }
 
-// NewReporter returns the reporter of a server's incarnation, with an empty row. Incarnations must be
-// random so that rows of two incarnations never have the same ID.
+// NewReporter returns the reporter of a server's incarnation, with an empty row. Incarnations must
+// be random so that rows of two incarnations never have the same ID.
 func NewReporter(server string, incarnation uint64, aggregators []string, now float64) *Reporter {
 	return &Reporter{
 		server:                 server,
@@ -63,7 +65,7 @@
 		previouslyReported:     cells{},
 		acks:                   map[string]RowAck{},
 		aggregatorIncarnations: make(Incarnations, len(aggregators)),
-		nextReport:             now,
+		nextReportAt:           now,
 	}
 }
 
@@ -109,12 +111,12 @@
 	switch {
 	case r.acknowledged() && now >= r.reportDueAt():
 		r.nextSequence(now)
-	case r.sequence > 0 && now >= r.nextRetry:
-		r.retryInterval = min(2*r.retryInterval, maxRetryInterval)
+	case r.sequence > 0 && now >= r.nextRetryAt:
+		r.retryInterval = min(2*r.retryInterval, maxRetryIntervalSeconds)
 	default:
 		return nil
 	}
-	r.nextRetry = now + r.retryInterval
+	r.nextRetryAt = now + r.retryInterval
 	var list []Envelope
 	for _, name := range r.aggregators {
 		if !r.acknowledgedBy(name) {
@@ -127,11 +129,11 @@
 // nextSequence assigns the next sequence number to the current content of the row.
 func (r *Reporter) nextSequence(now float64) {
 	r.unreported = false
-	r.nextReport = now + reportInterval
+	r.nextReportAt = now + reportIntervalSeconds
 	r.previouslyReported = r.reported
 	r.reported = r.counted.minus(r.closedRows)
 	r.sequence++
-	r.retryInterval = minRetryInterval
+	r.retryInterval = minRetryIntervalSeconds
 }
 
 // reportDueAt returns when a report with the next sequence number is due, provided that a majority
@@ -139,11 +141,11 @@
 func (r *Reporter) reportDueAt() float64 {
 	switch {
 	case r.unreported:
-		return r.nextReport
+		return r.nextReportAt
 	case r.sequence > 0:
-		return r.nextReport + idleReportInterval - reportInterval
+		return r.nextReportAt + idleReportIntervalSeconds - reportIntervalSeconds
 	}
-	return never // nothing was counted
+	return neverSeconds // nothing was counted
 }
 
 // report returns the report for an aggregator that has acknowledged the given sequence number, 0
@@ -166,8 +168,8 @@
 	return report
 }
 
-// HandleAck processes an aggregator's reply. If the row was closed, HandleAck begins a new row with the
-// counts that are not in the closed row.
+// HandleAck processes an aggregator's reply. If the row was closed, HandleAck begins a new row with
+// the counts that are not in the closed row.
 func (r *Reporter) HandleAck(now float64, from string, ack *RowAck) {
 	if ack.RowID != r.rowID() || ack.Sequence > r.sequence || !slices.Contains(r.aggregators, from) {
 		return
@@ -197,18 +199,18 @@
 	r.reported = cells{}
 	r.previouslyReported = cells{}
 	r.unreported = true
-	r.nextReport = now
+	r.nextReportAt = now
 	clear(r.acks)
 }
 
 // NextWakeup returns the time, in seconds, at which DueReports should be called next.
 func (r *Reporter) NextWakeup() float64 {
-	next := never
+	next := neverSeconds
 	if r.acknowledged() {
 		next = r.reportDueAt()
 	}
 	if r.sequence > 0 && slices.ContainsFunc(r.aggregators, func(name string) bool { return !r.acknowledgedBy(name) }) {
-		next = min(next, r.nextRetry)
+		next = min(next, r.nextRetryAt)
 	}
 	return next
 }
--- a/internal/policy/counter/row.go
+++ b/internal/policy/counter/row.go
@@ -1,11 +1,11 @@
 package counter
 
 const (
-	// maxRequestRate is the largest plausible rate of a server in requests a second, and
-	// maxRequestBurst the largest plausible number of requests beyond that rate. Reports that exceed
-	// both are rejected.
-	maxRequestRate  = 1e6
-	maxRequestBurst = 1e7
+	// maxRequestsPerSecond is the largest plausible rate of a server in requests a second, and
+	// maxBurstRequests the largest plausible number of requests beyond that rate. Reports that
+	// exceed both are rejected.
+	maxRequestsPerSecond = 1e6
+	maxBurstRequests     = 1e7
 	// unknownRate marks a rate that is not known yet.
 	unknownRate = -1.0
 )
@@ -17,28 +17,28 @@
 	incarnation uint64 // incarnation of the server
 	sequence    uint64 // number of the last merged report, 0 before the first one
 	cells       cells
-	// frozen is set when the leader's aggregator begins to close the row. The row may have been added
-	// to the totals already, so no number above frozenSequence is ever acknowledged. This keeps the
-	// server from taking the next number.
+	// frozen is set when the leader's aggregator begins to close the row. The row may have been
+	// added to the totals already, so no number above frozenSequence is ever acknowledged. This
+	// keeps the server from taking the next number.
 	frozen         bool
 	frozenSequence uint64
 
-	firstHeard  float64 // when the row was added here
-	lastHeard   float64 // when its server last sent a report
-	lastGrowth  float64 // when a report with a higher number last arrived
-	rate        float64 // requests a second by the last such report; unknownRate if not known yet
-	onlyRelayed bool    // no report arrived from the server itself, only relayed ones
+	addedAt      float64 // when the row was added here
+	lastReportAt float64 // when its server last sent a report, addedAt if it has sent none
+	lastGrowthAt float64 // when a report with a higher number last arrived, or addedAt
+	rate         float64 // requests a second by the last such report; unknownRate if not known yet
+	onlyRelayed  bool    // no report arrived from the server itself, only relayed ones
 }
 
 func newRow(id uint64, now float64) *row {
 	return &row{
-		id:          id,
-		cells:       cells{},
-		firstHeard:  now,
-		lastHeard:   now,
-		lastGrowth:  now,
-		rate:        unknownRate,
-		onlyRelayed: true,
+		id:           id,
+		cells:        cells{},
+		addedAt:      now,
+		lastReportAt: now,
+		lastGrowthAt: now,
+		rate:         unknownRate,
+		onlyRelayed:  true,
 	}
 }
 
@@ -70,9 +70,9 @@
 	}
 }
 
-// continues reports whether a report has a higher sequence number than the row and can be merged into
-// it.
-func (r *row) continues(report *RowReport) bool {
+// canMerge reports whether a report has a higher sequence number than the row and can be merged
+// into it.
+func (r *row) canMerge(report *RowReport) bool {
 	known := r.sequence > 0
 	if known && (report.Server != r.server || report.Incarnation != r.incarnation) {
 		return false
@@ -80,14 +80,14 @@
 	return report.Sequence > r.sequence && report.BaseSequence <= r.sequence
 }
 
-// growth is the difference between a report and the row here.
+// growth is the difference between a report and the aggregator's copy of the row.
 type growth struct {
 	cells    cells
 	requests uint64 // requests received, summed over the cells
 }
 
-// growthBy returns the counts that a report adds to the row. The report is invalid if it has the same
-// cell twice, lacks a cell of the row, has a smaller count than the row, or has more cells or
+// growthBy returns the counts that a report adds to the row. The report is invalid if it has the
+// same cell twice, lacks a cell of the row, has a smaller count than the row, or has more cells or
 // requests than a server can count.
 func (r *row) growthBy(now float64, report *RowReport) (added growth, valid bool) {
 	added.cells = cells{}
@@ -113,19 +113,19 @@
 // maxGrowth returns the largest plausible number of requests that the server received since the row
 // last grew.
 func (r *row) maxGrowth(now float64) float64 {
-	return maxRequestBurst + maxRequestRate*max(0, now-r.lastGrowth)
+	return maxBurstRequests + maxRequestsPerSecond*max(0, now-r.lastGrowthAt)
 }
 
 // grow updates the row with a report and the growth calculated from it.
 func (r *row) grow(now float64, report *RowReport, added growth) {
 	if r.growthIsRecent(report) {
-		r.rate = float64(added.requests) / max(now-r.lastGrowth, reportInterval)
+		r.rate = float64(added.requests) / max(now-r.lastGrowthAt, reportIntervalSeconds)
 	}
 	r.cells.addAll(added.cells)
 	r.sequence = report.Sequence
-	r.lastGrowth = now
+	r.lastGrowthAt = now
 }
 
-// growthIsRecent reports whether the counts that a report adds were counted since the last report. That
-// is not known if the first report that arrives here is not the first one of the row.
+// growthIsRecent reports whether the counts that a report adds were counted since the last report.
+// This is not the case if the first report that arrives here is not the first one of the row.
 func (r *row) growthIsRecent(report *RowReport) bool { return r.sequence > 0 || report.Sequence == 1 }
--- a/internal/policy/counter/simulation_test.go
+++ b/internal/policy/counter/simulation_test.go
@@ -22,7 +22,7 @@
 	messageLoss     float64 // probability
 	inTransit       []delivery
 	servers         []*simulatedServer
-	dead            []*simulatedServer
+	killed          []*simulatedServer
 	aggregators     []*simulatedAggregator
 	log             *release.Log
 	proposed        []release.Command // proposed commands that are not committed yet
@@ -31,8 +31,8 @@
 
 // delivery is a message in transit that arrives at the time at.
 type delivery struct {
-	at     float64
-	handle func()
+	arrivesAt float64
+	handle    func()
 }
 
 type simulatedServer struct {
@@ -46,11 +46,11 @@
 }
 
 type simulatedAggregator struct {
-	name       string
-	aggregator *Aggregator
-	restarts   int
-	log        *release.Log // copy of the log, which may be behind
-	deaf       bool         // receives no reports from servers
+	name           string
+	aggregator     *Aggregator
+	restarts       int
+	log            *release.Log // copy of the log, which may be behind
+	ignoresReports bool         // receives no reports from servers
 }
 
 func newSimulation(seed uint64, aggregators, servers int) *simulation {
@@ -133,7 +133,7 @@
 	report, reporter := *envelope.Report, server.reporter
 	s.send(func() {
 		to := s.aggregatorOf(envelope.To)
-		if to.deaf {
+		if to.ignoresReports {
 			return
 		}
 		ack := to.aggregator.HandleReport(s.now, &report)
@@ -210,7 +210,7 @@
 func (s *simulation) deliver() {
 	var due []delivery
 	s.inTransit = slices.DeleteFunc(s.inTransit, func(message delivery) bool {
-		arrived := message.at <= s.now
+		arrived := message.arrivesAt <= s.now
 		if arrived {
 			due = append(due, message)
 		}
@@ -238,8 +238,8 @@
 	a := s.aggregators[s.random.IntN(len(s.aggregators))]
 	switch s.random.IntN(9) {
 	case 0: // the server is killed and restarts with another incarnation
-		dead := *server
-		s.dead = append(s.dead, &dead)
+		killed := *server
+		s.killed = append(s.killed, &killed)
 		server.partitioned = false
 		server.paused = false
 		s.startServer(server)
@@ -261,7 +261,7 @@
 			s.restartAggregator(a)
 		}
 	case 7, 8:
-		a.deaf = !a.deaf
+		a.ignoresReports = !a.ignoresReports
 	}
 }
 
@@ -283,7 +283,7 @@
 		server.paused = false
 	}
 	for _, a := range s.aggregators {
-		a.deaf = false
+		a.ignoresReports = false
 	}
 }
 
@@ -295,7 +295,7 @@
 		low += server.counted
 		high += server.counted
 	}
-	for _, server := range s.dead {
+	for _, server := range s.killed {
 		low += server.acknowledged
 		high += server.counted
 	}
@@ -308,7 +308,7 @@
 	s.servers = nil
 	for range 60 {
 		for _, server := range servers {
-			server.reporter.nextReport = min(server.reporter.nextReport, s.now)
+			server.reporter.nextReportAt = min(server.reporter.nextReportAt, s.now)
 			for _, envelope := range server.reporter.DueReports(s.now) {
 				ack := s.aggregatorOf(envelope.To).aggregator.HandleReport(s.now, envelope.Report)
 				server.reporter.HandleAck(s.now, envelope.To, &ack)
--- a/internal/policy/counter/summary.go
+++ b/internal/policy/counter/summary.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// lateSeconds is how long a row may go without a new report before a summary lists its server as
-	// late.
-	lateSeconds = 2 * idleReportInterval
+	// lateSeconds is how long a row may go without a new report before a summary lists its server
+	// as late.
+	lateSeconds = 2 * idleReportIntervalSeconds
 	// maxLateReports bounds the late servers that a summary lists.
 	maxLateReports = 64
 )
 
-// LateReport describes a server that has sent no new report for some time. Its JSON keys are part of
-// the control API.
+// LateReport describes a server that has sent no new report for some time. Its JSON keys are part
+// of the control API.
 type LateReport struct {
 	Server            string  `json:"Name"`
 	SilentSeconds     float64 `json:"Silent"`
@@ -32,8 +32,8 @@
 	OpenRows   int                   `json:"Rows"`   // rows not closed, one per reporting incarnation
 	// LateReports are the servers without a recent report, those silent longest first.
 	LateReports []LateReport `json:"Late"`
-	// MaxMissing estimates how many requests the servers counted after their last reports, by the rates
-	// of these reports.
+	// MaxMissing estimates how many requests the servers counted after their last reports, by the
+	// rates of these reports.
 	MaxMissing float64 `json:"Lacks"`
 	// Recovering is true while the aggregator may lack rows that other aggregators have.
 	Recovering bool `json:"Cold"`
@@ -43,7 +43,8 @@
 	RejectedReports      int `json:"Refused"` // reports with implausible counts
 }
 
-// Summary returns the sums over the open rows and closedTotals, which are the sums over closed rows.
+// Summary returns the sums over the open rows and closedTotals, which are the sums over closed
+// rows.
 func (a *Aggregator) Summary(now float64, closedTotals []serving.CounterCell) *Summary {
 	summary := &Summary{
 		Recovering:           a.Recovering(),
@@ -63,7 +64,7 @@
 		summary.OpenRows++
 		total.addAll(r.cells)
 		missing.add(now, r)
-		if now > r.lastGrowth+lateSeconds {
+		if now > r.lastGrowthAt+lateSeconds {
 			summary.LateReports = append(summary.LateReports, r.lateReport(now))
 		}
 	}
@@ -87,7 +88,7 @@
 func (r *row) lateReport(now float64) LateReport {
 	return LateReport{
 		Server:            r.server,
-		SilentSeconds:     now - r.lastGrowth,
+		SilentSeconds:     now - r.lastGrowthAt,
 		RequestsPerSecond: max(0, r.rate),
 	}
 }
@@ -101,7 +102,7 @@
 }
 
 func (m *missingEstimate) add(now float64, r *row) {
-	seconds := max(0, now-r.lastGrowth)
+	seconds := max(0, now-r.lastGrowthAt)
 	if r.rate == unknownRate {
 		m.unratedSeconds += seconds
 		return
