--- a/internal/policy/circuitbreaker/breaker.go
+++ b/internal/policy/circuitbreaker/breaker.go
@@ -8,72 +8,72 @@
 
 // Breaker is one server's circuit breaker for one service.
 type Breaker struct {
-	server, zone string
-	calls        *timewindow.Buckets[Tally] // results of own calls in the last windowSeconds
-	fastestMean  timewindow.Minimum         // lowest recent mean duration of successful calls, s
-	reports      map[string]*receivedReport // latest report by server
-	sequence     uint64                     // number of the last own report
+	server, zone      string
+	calls             *timewindow.Buckets[Tally] // results of own calls in the last windowSeconds
+	lowestMeanSeconds timewindow.Minimum         // lowest recent mean duration of successful calls, s
+	reports           map[string]*receivedReport // latest report by server
+	sequence          uint64                     // number of the last own report
 
-	state         State
-	stateSince    float64 // when state was entered, s
-	usualInFlight float64 // moving average of calls in flight while the breaker is closed
-	rampLimit     float64 // limit on calls in flight while the breaker is half open
-	rampedAt      float64 // when rampLimit was last set or raised, s
-	lastCallSlot  int64   // the last probe slot in which a call was in flight
+	state           State
+	stateSince      float64 // when state was entered, s
+	averageInFlight float64 // moving average of calls in flight while the breaker is closed
+	rampLimit       float64 // limit on calls in flight while the breaker is half open
+	lastRampAt      float64 // when rampLimit was last set or raised, s
+	lastCallSlot    int64   // the last probe slot in which a call was in flight
 }
 
 const (
-	// throttledFraction is the limit while the breaker is throttled, as a fraction of the usual calls
-	// in flight.
+	// throttledFraction is the limit while the breaker is throttled, as a fraction of
+	// averageInFlight.
 	throttledFraction = 0.25
-	// halfOpenFraction is the initial limit when an open breaker becomes half open, as a fraction of the
-	// usual calls in flight. While calls succeed, the limit is multiplied by rampFactor every
-	// rampSeconds, so it reaches the usual calls after 2.5 s.
+	// halfOpenFraction is the initial limit when an open breaker becomes half open, as a fraction
+	// of averageInFlight. While calls succeed, the limit is multiplied by rampFactor every
+	// rampSeconds, so it reaches averageInFlight after 2.5 s.
 	halfOpenFraction = 0.05
 	rampFactor       = 2.0
 	rampSeconds      = 0.5
-	// usualWeight is the weight of a new value in the moving average usualInFlight.
-	usualWeight = 0.1
+	// inFlightAverageWeight is the weight of a new value in the moving average averageInFlight.
+	inFlightAverageWeight = 0.1
 )
 
 // New returns a closed breaker without calls or reports. zone is "" if zones are not used.
 func New(server, zone string, now float64) *Breaker {
 	b := &Breaker{
-		server:      server,
-		zone:        zone,
-		fastestMean: timewindow.NewMinimum(baselineBuckets, baselineBucketSeconds, now),
-		reports:     map[string]*receivedReport{},
-		stateSince:  now,
+		server:            server,
+		zone:              zone,
+		lowestMeanSeconds: timewindow.NewMinimum(baselineBuckets, baselineBucketSeconds, now),
+		reports:           map[string]*receivedReport{},
+		stateSince:        now,
 	}
-	b.forgetCalls(now)
+	b.resetEvidence(now)
 	return b
 }
 
-// forgetCalls removes all recorded calls and reports, so that those from before a change of state
+// resetEvidence removes all recorded calls and reports, so that those from before a change of state
 // don't count after it.
-func (b *Breaker) forgetCalls(now float64) {
+func (b *Breaker) resetEvidence(now float64) {
 	b.calls = timewindow.NewBuckets[Tally](windowBuckets, windowSeconds/windowBuckets, now)
 	clear(b.reports)
 }
 
-// RecordCalls records the results of this server's calls that ended since the last RecordCalls, and the
-// number of calls in flight now.
+// RecordCalls records the results of this server's calls that ended since the last RecordCalls, and
+// the number of calls in flight now.
 func (b *Breaker) RecordCalls(now float64, ended Tally, inFlight float64) {
 	b.calls.Current(now).add(ended)
 	if ended.Succeeded > 0 {
-		b.fastestMean.Observe(now, ended.SuccessSeconds/float64(ended.Succeeded))
+		b.lowestMeanSeconds.Observe(now, ended.SuccessSeconds/float64(ended.Succeeded))
 	}
 	if inFlight > 0 || ended.calls() > 0 {
 		b.lastCallSlot = slotNumber(now)
 	}
 	if b.state == Closed {
-		b.usualInFlight += usualWeight * (inFlight - b.usualInFlight)
+		b.averageInFlight += inFlightAverageWeight * (inFlight - b.averageInFlight)
 	}
 }
 
-// Decide moves the breaker to its next state. It returns the limit on calls in flight, +Inf for none,
-// and whether the state changed. zoneServers returns the servers of this server's zone, with or
-// without this server. It is called only to choose the servers that send probes.
+// Decide moves the breaker to its next state. It returns the limit on calls in flight, +Inf for
+// none, and whether the state changed. zoneServers returns the servers of this server's zone, with
+// or without this server. It is called only to choose the servers that send probes.
 func (b *Breaker) Decide(now float64, zoneServers func() []string) (maxInFlight float64, changed bool) {
 	input := b.combinedEvidence(now)
 	if b.rampUp(now, input) {
@@ -87,26 +87,26 @@
 }
 
 // rampUp raises the limit of a half-open breaker every rampSeconds while calls succeed. It reports
-// whether the limit has just reached the usual calls in flight.
+// whether the limit has just reached averageInFlight.
 func (b *Breaker) rampUp(now float64, input evidence) bool {
 	succeeding := input == healthy || input == slow
-	if b.state != HalfOpen || !succeeding || now < b.rampedAt+rampSeconds {
+	if b.state != HalfOpen || !succeeding || now < b.lastRampAt+rampSeconds {
 		return false
 	}
-	b.rampedAt = now
+	b.lastRampAt = now
 	b.rampLimit *= rampFactor
-	return b.rampLimit >= b.usualInFlight
+	return b.rampLimit >= b.averageInFlight
 }
 
 // enter moves the breaker to another state.
 func (b *Breaker) enter(now float64, next State) {
 	if next == HalfOpen {
-		b.rampedAt = now
-		b.rampLimit = halfOpenFraction * b.usualInFlight
+		b.lastRampAt = now
+		b.rampLimit = halfOpenFraction * b.averageInFlight
 		if b.state == Throttled {
-			b.rampLimit = throttledFraction * b.usualInFlight
+			b.rampLimit = throttledFraction * b.averageInFlight
 		}
-		b.forgetCalls(now)
+		b.resetEvidence(now)
 	}
 	b.state = next
 	b.stateSince = now
@@ -116,7 +116,7 @@
 func (b *Breaker) maxInFlight(now float64, zoneServers func() []string) float64 {
 	switch b.state {
 	case Throttled:
-		return b.roundLimit(now, throttledFraction*b.usualInFlight, zoneServers)
+		return b.roundLimit(now, throttledFraction*b.averageInFlight, zoneServers)
 	case Open:
 		return b.roundLimit(now, 0, zoneServers)
 	case HalfOpen:
--- a/internal/policy/circuitbreaker/breaker_test.go
+++ b/internal/policy/circuitbreaker/breaker_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestBreaker_OpensProbesAndCloses lets a service fail and recover. Servers with five calls a second
-// must detect the failure within 1 s, only a few of them may probe the service, and its recovery must
-// not cause a burst of calls.
+// TestBreaker_OpensProbesAndCloses lets a service fail and recover. Servers with five calls a
+// second must detect the failure within 1 s, only a few of them may probe the service, and its
+// recovery must not cause a burst of calls.
 func TestBreaker_OpensProbesAndCloses(t *testing.T) {
 	for _, servers := range []int{20, 150} {
 		t.Run(fmt.Sprint(servers, " servers"), func(t *testing.T) {
@@ -62,17 +62,18 @@
 	s.callCount = 0
 	s.run(0.5)
 	if calls := float64(s.callCount); calls > 0.5*s.callRate*float64(servers)*0.5+2*probeServers {
-		t.Errorf("%d servers make %.0f calls in the first 0.5 s after the recovery, want at most %.0f",
+		t.Errorf("%d servers make %.0f calls in 0.5 s from the first half-open breaker, want at most %.0f",
 			servers, calls, 0.5*s.callRate*float64(servers)*0.5+2*probeServers)
 	}
 	s.run(8)
 	if closed := s.count(Closed); closed != servers {
-		t.Errorf("8 s later %d of %d breakers are closed, want all", closed, servers)
+		t.Errorf("8.5 s after the first breaker became half open %d of %d breakers are closed, want all",
+			closed, servers)
 	}
 }
 
-// reportFalsely runs the simulation while one server sends the same false tally to all breakers, and
-// others send invalid reports.
+// reportFalsely runs the simulation while one server sends the same false tally to all breakers,
+// and others send invalid reports.
 func reportFalsely(s *simulation, tally Tally) {
 	for step := range 100 {
 		for _, breaker := range s.breakers {
@@ -94,15 +95,16 @@
 	}
 }
 
-// TestBreaker_OneFalseReporter checks that one server with false reports, and one with a bad link,
-// neither open the breakers of other servers nor keep them closed.
-func TestBreaker_OneFalseReporter(t *testing.T) {
+// TestBreaker_IgnoresSingleFalseReporter checks that one server with false reports, and one with a
+// bad link, neither open the breakers of other servers nor keep them closed.
+func TestBreaker_IgnoresSingleFalseReporter(t *testing.T) {
 	s := newSimulation(12, 2)
 	s.run(5)
 	s.outcome = func(server int) (bool, float64) { return server != 3, 0.05 }
 	reportFalsely(s, Tally{Failed: 1e6})
 	if limiting := s.count(Open, Throttled); limiting > 1 {
-		t.Errorf("with one false reporter and one bad link %d of 12 breakers are open or throttled, want at most 1", limiting)
+		t.Errorf("with one false reporter and one bad link %d of 12 breakers are open or throttled, want at most 1",
+			limiting)
 	}
 	s.outcome = func(int) (bool, float64) { return false, 0.05 }
 	s.run(2)
@@ -112,8 +114,9 @@
 	}
 }
 
-// TestBreaker_FailureOfOneZone checks that breakers open only in the zone in which the service fails.
-func TestBreaker_FailureOfOneZone(t *testing.T) {
+// TestBreaker_OpensOnlyInFailingZone checks that breakers open only in the zone in which the
+// service fails.
+func TestBreaker_OpensOnlyInFailingZone(t *testing.T) {
 	s := newSimulation(30, 2)
 	s.run(10)
 	s.outcome = func(server int) (bool, float64) { return server%zoneCount != 0, 0.05 }
@@ -127,10 +130,11 @@
 	}
 }
 
-// TestBreaker_WithoutReports checks that servers decide by their own calls if no reports arrive.
-func TestBreaker_WithoutReports(t *testing.T) {
+// TestBreaker_UsesOwnCallsWithoutReports checks that servers decide by their own calls if no
+// reports arrive.
+func TestBreaker_UsesOwnCallsWithoutReports(t *testing.T) {
 	s := newSimulation(6, 10)
-	s.hears = func(int, int) bool { return false }
+	s.reportsReach = func(int, int) bool { return false }
 	s.run(5)
 	s.outcome = func(server int) (bool, float64) { return server != 2, 0.05 }
 	s.run(3)
@@ -146,9 +150,9 @@
 	}
 }
 
-// TestBreaker_Degraded checks that a service that becomes more than ten times slower degrades the
-// breakers but does not limit calls.
-func TestBreaker_Degraded(t *testing.T) {
+// TestBreaker_DegradedDoesNotLimitCalls checks that a service that becomes more than ten times
+// slower degrades the breakers but does not limit calls.
+func TestBreaker_DegradedDoesNotLimitCalls(t *testing.T) {
 	s := newSimulation(10, 20)
 	s.run(10)
 	s.outcome = func(int) (bool, float64) { return true, 0.25 }
@@ -159,9 +163,9 @@
 	}
 }
 
-// TestBreaker_Flapping lets a service fail every other second. The breakers must not change their state
-// at each failure and recovery.
-func TestBreaker_Flapping(t *testing.T) {
+// TestBreaker_FlappingService lets a service fail every other second. The breakers must not change
+// their state at each failure and recovery.
+func TestBreaker_FlappingService(t *testing.T) {
 	s := newSimulation(10, 20)
 	s.run(10)
 	s.outcome = func(int) (bool, float64) { return true, 0.25 }
@@ -186,8 +190,8 @@
 	}
 }
 
-// TestBreaker_NeedsThreeVotes checks that the breaker of a server without calls of its own opens only
-// with the third report of failures.
+// TestBreaker_NeedsThreeVotes checks that the breaker of a server without calls of its own opens
+// only with the third report of failures.
 func TestBreaker_NeedsThreeVotes(t *testing.T) {
 	breaker := New("n0", "", 0)
 	noServers := func() []string { return nil }
@@ -207,8 +211,9 @@
 	}
 }
 
-// TestBreaker_HalfOpenLimit checks that the limit on calls in flight starts at 5% of the usual calls
-// after the breaker was open and at 25% after it was throttled, and doubles every 0.5 s.
+// TestBreaker_HalfOpenLimit checks that the limit on calls in flight starts at 5% of
+// averageInFlight after the breaker was open and at 25% after it was throttled, and doubles every
+// 0.5 s.
 func TestBreaker_HalfOpenLimit(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -223,9 +228,9 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			breaker := New("n0", "", 0)
-			breaker.usualInFlight = 40
+			breaker.averageInFlight = 40
 			breaker.RecordCalls(1, Tally{Succeeded: 100 - c.failed, Failed: c.failed}, 40)
-			breaker.usualInFlight = 40
+			breaker.averageInFlight = 40
 			breaker.Decide(1, noServers)
 			if state, _ := breaker.State(); state != c.state {
 				t.Fatalf("the breaker is %s, want %s", state, c.state)
--- a/internal/policy/circuitbreaker/evidence.go
+++ b/internal/policy/circuitbreaker/evidence.go
@@ -4,11 +4,12 @@
 
 const (
 	// windowSeconds is how long calls and reports count. It is less than 1 s because the fleet must
-	// detect the failure of a service within 1 s. windowBuckets is the number of buckets of the window.
+	// detect the failure of a service within 1 s. windowBuckets is the number of buckets of the
+	// window.
 	windowSeconds = 0.8
 	windowBuckets = 4
-	// minOwnCalls is the number of own calls in the window from which reports are not considered. If
-	// 10% of the calls fail at random, half of 10 calls fail in about 1 of 1000 windows.
+	// minOwnCalls is the number of own calls in the window that suffices to decide without reports.
+	// If 10% of the calls fail at random, half of 10 calls fail in about 1 of 1000 windows.
 	minOwnCalls = 10
 	// minVotes is the number of votes required to decide by the median of the votes.
 	minVotes = 3
@@ -16,8 +17,8 @@
 	// downFraction do.
 	failingFraction = 0.5
 	downFraction    = 0.9
-	// A service is slow if the mean duration of successful calls exceeds slowFactor times the lowest
-	// mean duration of the last 30 s.
+	// A service is slow if the mean duration of successful calls exceeds slowFactor times the
+	// lowest mean duration of the last 30 s.
 	slowFactor = 4.0
 	// baselineBuckets times baselineBucketSeconds is that period of 30 s.
 	baselineBuckets       = 6
@@ -43,17 +44,17 @@
 	case failed >= failingFraction*calls:
 		return failing
 	}
-	fastest := b.fastestMean.Value(now)
+	fastest := b.lowestMeanSeconds.Value(now)
 	if fastest > 0 && tally.SuccessSeconds > slowFactor*fastest*float64(tally.Succeeded) {
 		return slow
 	}
 	return healthy
 }
 
-// combinedEvidence returns the evidence by which the breaker decides: that of own calls if there are
-// enough, else the median vote of the zone's servers, else that of all servers. If there are too few
-// votes, or only votes of other zones while the breaker limits calls, it returns the evidence of the
-// own calls.
+// combinedEvidence returns the evidence by which the breaker decides: that of own calls if there
+// are enough, else the median vote of the zone's servers, else that of all servers. If there are
+// too few votes, or only votes of other zones while the breaker limits calls, it returns the
+// evidence of the own calls.
 func (b *Breaker) combinedEvidence(now float64) evidence {
 	ownCalls := b.ownCalls(now)
 	own := b.evidenceOf(now, &ownCalls)
@@ -79,8 +80,8 @@
 
 func anyServer(*Report) bool { return true }
 
-// votes returns this server's own evidence, unless it is insufficient, and the evidence of each report
-// for which include returns true.
+// votes returns this server's own evidence, unless it is insufficient, and the evidence of each
+// report for which include returns true.
 func (b *Breaker) votes(now float64, own evidence, include func(*Report) bool) []evidence {
 	var votes []evidence
 	if own != insufficient {
@@ -94,8 +95,8 @@
 	return votes
 }
 
-// median returns the middle vote. Of two middle votes it returns the healthier one, because a failed
-// call costs less than a breaker that opens without need. It sorts votes.
+// median returns the middle vote. Of two middle votes it returns the healthier one, because a
+// failed call costs less than a breaker that opens without need. It sorts votes.
 func median(votes []evidence) evidence {
 	slices.Sort(votes)
 	return votes[(len(votes)-1)/2]
--- a/internal/policy/circuitbreaker/probe.go
+++ b/internal/policy/circuitbreaker/probe.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// probeServers is the number of servers of a zone that each send one probe in each probe slot while
-	// their breakers are open. A probe slot lasts probeSlotSeconds.
+	// probeServers is the number of servers of a zone that each send one probe in each probe slot
+	// while their breakers are open. A probe slot lasts probeSlotSeconds.
 	probeServers     = 3
 	probeSlotSeconds = 1.0
 )
@@ -25,9 +25,9 @@
 	return 0
 }
 
-// roundLimit rounds a limit on calls in flight down to an integer. If the limit is under 1, it selects
-// that fraction of the servers in each probe slot, which may have one call in flight. The servers that
-// send probes may always have one.
+// roundLimit rounds a limit on calls in flight down to an integer. If the limit is under 1, it
+// selects that fraction of the servers in each probe slot, which may have one call in flight. The
+// servers that send probes may always have one.
 func (b *Breaker) roundLimit(now, limit float64, zoneServers func() []string) float64 {
 	switch {
 	case limit >= 1:
@@ -40,10 +40,10 @@
 	return 0
 }
 
-// sendsProbe reports whether this server is one of the probeServers of its zone in the current slot. If
-// the breaker is open, the server must also have made no call in the slot yet. Servers that know the
-// same members of the zone choose the same ones. A server that knows fewer than probeServers others is
-// always chosen.
+// sendsProbe reports whether this server is one of the probeServers of its zone in the current
+// slot. If the breaker is open, the server must also have made no call in the slot yet. Servers
+// that know the same members of the zone choose the same ones. A server that knows fewer than
+// probeServers others is always chosen.
 func (b *Breaker) sendsProbe(now float64, zoneServers func() []string) bool {
 	if b.state == Open && b.lastCallSlot == slotNumber(now) {
 		return false
--- a/internal/policy/circuitbreaker/report.go
+++ b/internal/policy/circuitbreaker/report.go
@@ -24,7 +24,7 @@
 
 // valid reports whether a tally received from another process is plausible.
 func (t *Tally) valid() bool {
-	return t.Succeeded >= 0 && t.Failed >= 0 && t.Succeeded <= maxCalls && t.Failed <= maxCalls &&
+	return t.Succeeded >= 0 && t.Failed >= 0 && t.Succeeded <= maxPlausibleCalls && t.Failed <= maxPlausibleCalls &&
 		t.SuccessSeconds >= 0 && !math.IsInf(t.SuccessSeconds, 0)
 }
 
@@ -39,11 +39,12 @@
 }
 
 const (
-	// MaxReports bounds the reports held, one for each server. More votes would not change the result.
+	// MaxReports bounds the reports held, one for each server. More votes would not change the
+	// result.
 	MaxReports = 128
-	// maxCalls is the largest plausible number of succeeded or failed calls in a report, more than a
-	// million a second.
-	maxCalls = 2e6
+	// maxPlausibleCalls is the largest plausible number of succeeded or failed calls in a report,
+	// more than a million a second.
+	maxPlausibleCalls = 2e6
 	// minReportCalls is the smallest number of calls with which a report is sent and has a vote.
 	minReportCalls = 1
 )
@@ -51,14 +52,14 @@
 // receivedReport is another server's report with the time of its creation by the local clock.
 type receivedReport struct {
 	Report
-	madeAt float64
+	createdAt float64
 }
 
-func (r *receivedReport) expired(now float64) bool { return now > r.madeAt+windowSeconds }
+func (r *receivedReport) expired(now float64) bool { return now > r.createdAt+windowSeconds }
 
-// HandleReport stores another server's report and returns true. It ignores the report and returns false
-// if the report is implausible or too old, is not newer than one held of the same incarnation, or
-// comes from a further server while MaxReports reports are held.
+// HandleReport stores another server's report and returns true. It ignores the report and returns
+// false if the report is implausible or too old, is not newer than one held of the same
+// incarnation, or comes from a further server while MaxReports reports are held.
 func (b *Breaker) HandleReport(now float64, report Report) bool {
 	if !b.acceptable(now, &report) {
 		return false
@@ -73,12 +74,12 @@
 			return false
 		}
 	}
-	b.reports[report.Server] = &receivedReport{Report: report, madeAt: now - report.AgeSeconds}
+	b.reports[report.Server] = &receivedReport{Report: report, createdAt: now - report.AgeSeconds}
 	return true
 }
 
-// acceptable reports whether a report is plausible and recent. While the breaker is half open, a report
-// created before it became half open is not acceptable.
+// acceptable reports whether a report is plausible and recent. While the breaker is half open, a
+// report created before it became half open is not acceptable.
 func (b *Breaker) acceptable(now float64, report *Report) bool {
 	if report.Server == "" || report.Server == b.server || !report.Tally.valid() {
 		return false
@@ -110,11 +111,11 @@
 	}
 	b.expireReports(now)
 	others := slices.SortedFunc(maps.Values(b.reports), func(x, y *receivedReport) int {
-		return cmp.Or(cmp.Compare(y.madeAt, x.madeAt), cmp.Compare(x.Server, y.Server))
+		return cmp.Or(cmp.Compare(y.createdAt, x.createdAt), cmp.Compare(x.Server, y.Server))
 	})
 	for _, held := range others[:min(len(others), max(0, maxReports-len(list)))] {
 		report := held.Report
-		report.AgeSeconds = max(0, now-held.madeAt)
+		report.AgeSeconds = max(0, now-held.createdAt)
 		list = append(list, report)
 	}
 	return list
--- a/internal/policy/circuitbreaker/simulation_test.go
+++ b/internal/policy/circuitbreaker/simulation_test.go
@@ -9,8 +9,8 @@
 const (
 	simulationStep = 0.05
 	zoneCount      = 3
-	// Each time a server gossips, it chooses gossipFanout servers and sends each of them the reports of
-	// at most gossipReports servers.
+	// Each time a server gossips, it chooses gossipFanout servers and sends each of them the
+	// reports of at most gossipReports servers.
 	gossipFanout  = 3
 	gossipReports = 16
 )
@@ -18,16 +18,16 @@
 // simulation runs servers that call one service and exchange reports, in simulated time, and counts
 // their calls.
 type simulation struct {
-	random      *rand.Rand
-	now         float64
-	breakers    []*Breaker
-	zones       [zoneCount][]string     // names of the servers in each zone
-	hears       func(from, to int) bool // whether reports reach server to from server from
-	callRate    float64                 // calls a second that each server tries to make
-	outcome     func(server int) (succeeds bool, seconds float64)
-	inFlight    [][]call // by server
-	callCount   int
-	maxInFlight []float64 // by server
+	random       *rand.Rand
+	now          float64
+	breakers     []*Breaker
+	zones        [zoneCount][]string     // names of the servers in each zone
+	reportsReach func(from, to int) bool // whether reports reach server to from server from
+	callRate     float64                 // calls a second that each server tries to make
+	outcome      func(server int) (succeeds bool, seconds float64)
+	inFlight     [][]call // by server
+	callCount    int
+	maxInFlight  []float64 // by server
 }
 
 type call struct {
@@ -41,12 +41,12 @@
 
 func newSimulation(servers int, callRate float64) *simulation {
 	s := &simulation{
-		random:      rand.New(rand.NewPCG(7, 9)),
-		callRate:    callRate,
-		hears:       func(int, int) bool { return true },
-		inFlight:    make([][]call, servers),
-		maxInFlight: make([]float64, servers),
-		outcome:     alwaysSucceeds,
+		random:       rand.New(rand.NewPCG(7, 9)),
+		callRate:     callRate,
+		reportsReach: func(int, int) bool { return true },
+		inFlight:     make([][]call, servers),
+		maxInFlight:  make([]float64, servers),
+		outcome:      alwaysSucceeds,
 	}
 	for i := range servers {
 		name := fmt.Sprint("n", i)
@@ -110,7 +110,7 @@
 func (s *simulation) gossip(from int) {
 	for range gossipFanout {
 		to := s.random.IntN(len(s.breakers))
-		if to == from || !s.hears(from, to) {
+		if to == from || !s.reportsReach(from, to) {
 			continue
 		}
 		for _, report := range s.breakers[from].GossipReports(s.now, uint64(from+1), gossipReports) {
--- a/internal/policy/circuitbreaker/state.go
+++ b/internal/policy/circuitbreaker/state.go
@@ -7,7 +7,7 @@
 const (
 	Closed    State = iota
 	Degraded        // calls take much longer than the lowest recent mean
-	Throttled       // at least half of the calls fail: a fraction of the usual calls may be in flight
+	Throttled       // at least half of the calls fail: only a fraction of averageInFlight may be in flight
 	Open            // nearly all calls fail: only probes may be in flight
 	HalfOpen        // calls succeed again: the limit on calls in flight is raised in steps
 	stateCount
@@ -18,8 +18,8 @@
 	return [...]string{"closed", "degraded", "throttled", "open", "half_open", "unknown"}[min(s, stateCount)]
 }
 
-// evidence is the condition of a service as inferred from calls. The values are ordered from healthy to
-// down so that votes have a median.
+// evidence is the condition of a service as inferred from calls. The values are ordered from
+// healthy to down so that votes have a median.
 type evidence uint8
 
 const (
@@ -28,7 +28,7 @@
 	slow
 	failing
 	down
-	recovered // the limit of a half-open breaker has reached the usual calls in flight; never a vote
+	recovered // the limit of a half-open breaker has reached averageInFlight; never a vote
 )
 
 // transitions lists all changes of state. With any other evidence the state does not change.
