--- a/internal/policy/quota/allocation.go
+++ b/internal/policy/quota/allocation.go
@@ -13,7 +13,7 @@
 	requestNumber uint64  // number of the latest request
 	leases        []lease
 	maxInUse      float64 // concurrent limits: upper bound on the units in use beyond the floor
-	inUseExpiry   float64 // after it, no unit counted by maxInUse is in use, even by the slowest clock
+	inUseExpiry   float64 // when the units counted by maxInUse are surely out of use, by the slowest clock
 }
 
 // lease is a share that this grantor granted in a reply, or that a holder reported as granted by an
@@ -21,12 +21,12 @@
 type lease struct {
 	requestNumber uint64 // number of the request whose reply granted the share
 	share         float64
-	expiry        float64 // after it, the lease has expired even by the slowest clock
+	expiry        float64 // time after which the lease has expired, even by the slowest clock
 }
 
 func newAllocation() *allocation { return &allocation{inUseExpiry: math.Inf(-1)} }
 
-// committed returns an upper bound on what the holder uses beyond its floor.
+// committed returns an upper bound on what the holder may still use beyond its floor.
 func (a *allocation) committed(now float64) float64 {
 	bound := 0.0
 	for _, held := range a.leases {
@@ -46,7 +46,8 @@
 }
 
 // dropLeasesBefore removes expired leases, and leases granted for requests before requestNumber.
-// requestNumber is the request whose grant the holder now applies.
+// requestNumber is the request whose grant the holder now applies, or 0 to remove only expired
+// leases.
 func (a *allocation) dropLeasesBefore(requestNumber uint64, now float64) {
 	a.leases = slices.DeleteFunc(a.leases, func(l lease) bool {
 		return l.requestNumber < requestNumber || now > l.expiry
--- a/internal/policy/quota/allowance.go
+++ b/internal/policy/quota/allowance.go
@@ -8,8 +8,8 @@
 	Floor       float64
 	LeasedShare float64 `json:"Part"` // beyond the floor
 	LeaseExpiry float64 `json:"Till"` // in seconds of the holder's clock; -Inf if there is no lease
-	// GrantNumber is the number of the request whose reply granted the share. The server loop
-	// passes it to Holder.RecordUsage.
+	// GrantNumber is the number of the request whose reply granted the share. The server's
+	// event loop reports it with the usage, see Holder.RecordUsage.
 	GrantNumber uint64 `json:"Answer"`
 }
 
--- a/internal/policy/quota/config.go
+++ b/internal/policy/quota/config.go
@@ -46,7 +46,7 @@
 	// leader is valid.
 	leaderLeaseSeconds = 1.0
 	maxLimits          = 16384
-	maxNameLength      = 96
+	maxNameBytes       = 96
 )
 
 // ConfigError describes an invalid configuration. Config.Validate returns it.
@@ -68,7 +68,7 @@
 	return c.FloorFraction * limit.Max / float64(max(1, c.MaxServers))
 }
 
-// pool returns the part of a limit that the grantor leases to servers.
+// pool returns the part of a limit that the grantor can lease to servers.
 func (c *Config) pool(limit *Limit) float64 { return (1 - c.FloorFraction) * limit.Max }
 
 // MaxBurst returns by how many units the fleet's use in any period may exceed Max times the length
@@ -116,19 +116,21 @@
 func (c *Config) invalidReason(limit *Limit, duplicate bool) string {
 	switch {
 	case limit.Name == "":
-		return "a limit has an empty name"
-	case len(limit.Name) > maxNameLength:
-		return fmt.Sprintf("the name has %d bytes, want at most %d", len(limit.Name), maxNameLength)
+		return fmt.Sprintf("the name of a limit with a maximum of %g is empty, want 1 to %d bytes",
+			limit.Max, maxNameBytes)
+	case len(limit.Name) > maxNameBytes:
+		return fmt.Sprintf("the name has %d bytes, want at most %d", len(limit.Name), maxNameBytes)
 	case duplicate:
 		return "more than one limit has this name"
 	case !(limit.Max >= 0) || math.IsInf(limit.Max, 0):
 		return fmt.Sprintf("the maximum is %g, want a finite number of at least 0", limit.Max)
 	case limit.Concurrent != (limit.LingerSeconds > 0):
-		return fmt.Sprintf("the longest time for which a unit is in use is %g s, "+
-			"want more than 0 s for a concurrent limit and 0 s for a rate", limit.LingerSeconds)
+		return fmt.Sprintf("a unit may stay in use for %g s (maximum %g, concurrent: %t), "+
+			"want more than 0 s for a concurrent limit and 0 s for a rate",
+			limit.LingerSeconds, limit.Max, limit.Concurrent)
 	case limit.Concurrent && limit.Max > 0 && c.FloorPerServer(limit) < 1:
-		return fmt.Sprintf("the floor of each server, %g%% of %g divided by %d servers, is less than one unit",
-			100*c.FloorFraction, limit.Max, c.MaxServers)
+		return fmt.Sprintf("the floor of each server, %g%% of %g divided by %d servers, is %g, want at least 1",
+			100*c.FloorFraction, limit.Max, c.MaxServers, c.FloorPerServer(limit))
 	}
 	return ""
 }
--- a/internal/policy/quota/grantor.go
+++ b/internal/policy/quota/grantor.go
@@ -16,7 +16,8 @@
 }
 
 // maxLeases bounds the leases recorded in one allocation. A holder sends requests at least 0.1 s
-// apart, so a grant that the holder may still apply is not refused for lack of room.
+// apart, so there is room for the grants of 6.4 s, and no grant that the holder may still apply is
+// lost.
 const maxLeases = 64
 
 // NewGrantor returns the grantor of a leader whose term begins now. id must be random so that no
@@ -55,7 +56,7 @@
 	return now > state.leaseExpiry(g.previousGrantorStopTime(), g.config.LeaseSeconds)
 }
 
-// HandleRequest returns the reply to a holder's request. confirmed tells whether a majority of the
+// HandleRequest returns the reply to a holder's request. confirmed is true if a majority of the
 // voters confirmed this leader within the last second. HandleRequest returns nil, and nothing must
 // be sent, if the leader is not confirmed, an earlier grantor may still grant leases, the holder
 // has a different configuration, or the request is late or duplicated.
--- a/internal/policy/quota/grantor_limit.go
+++ b/internal/policy/quota/grantor_limit.go
@@ -11,7 +11,7 @@
 	pool          float64
 	floor         float64                // per server
 	allocations   map[uint64]*allocation // by the holder's incarnation
-	committed     float64                // sum of allocations; counts leases expired after dividedAt
+	committed     float64                // sum over allocations, with leases that expired after dividedAt
 	division      division
 	dividedAt     float64 // when division was calculated
 	demandChanged bool    // whether a demand changed after dividedAt
@@ -19,7 +19,7 @@
 
 // division is the result of dividing the pool among the holders.
 type division struct {
-	maxNeed  float64 // the most of a holder's need that is met
+	maxNeed  float64 // the part of a holder's need beyond it is not met
 	headroom float64 // what each holder gets beyond its need, as a fraction of its demand
 }
 
@@ -53,8 +53,8 @@
 	return s.latestUseEnd(start + leaseSeconds*(1+maxClockDrift))
 }
 
-// latestUseEnd returns the time after which no unit that was in use at start is still in use, even by
-// the slowest clock.
+// latestUseEnd returns the time after which no unit that was in use at start is still in use, even
+// by the slowest clock.
 func (s *grantorLimit) latestUseEnd(start float64) float64 {
 	return start + s.limit.LingerSeconds*(1+maxClockDrift)
 }
@@ -89,7 +89,7 @@
 
 // releaseUnused removes the leases that the holder no longer uses: those older than the grant that
 // its demand reports as applied. For a concurrent limit, the units reported in use stay committed
-// until the longest time for which they can be in use has passed.
+// for as long as they can be in use, see latestUseEnd.
 func (s *grantorLimit) releaseUnused(now float64, a *allocation, demand *Demand) {
 	committedBefore := a.committed(now)
 	a.dropLeasesBefore(demand.GrantNumber, now)
@@ -143,8 +143,9 @@
 	return result
 }
 
-// expireAllocations sets the demand of holders whose last request is older than the expiry of a
-// lease to zero, and removes their allocations if nothing is committed.
+// expireAllocations handles holders whose last request is so old that a lease granted for it has
+// expired: it sets their demand to zero and, if nothing is committed to them, removes their
+// allocations.
 func (s *grantorLimit) expireAllocations(now, leaseSeconds float64) {
 	for incarnation, a := range s.allocations {
 		if now <= s.leaseExpiry(a.lastRequestAt, leaseSeconds) {
--- a/internal/policy/quota/holder.go
+++ b/internal/policy/quota/holder.go
@@ -7,7 +7,7 @@
 )
 
 // Holder is the client of the Grantor in each server. It requests leases and provides the
-// allowances that the server loop enforces.
+// allowances that the server's event loop enforces.
 type Holder struct {
 	config      Config
 	configHash  uint64
@@ -33,18 +33,21 @@
 const (
 	// maxPendingRequests bounds the requests whose replies are still accepted.
 	maxPendingRequests = 16
-	// minRequestIntervalSeconds is the shortest time between two requests with a
-	// demand for the same limit. A busy server gets shares that others return within a few of these
+	// minRequestIntervalSeconds is the shortest time between two requests with a demand for the same
+	// limit. After other servers return shares, a busy server gets them within a few of these
 	// intervals.
 	minRequestIntervalSeconds = 0.1
-	// starvedRequestIntervalSeconds is the time between the requests of a server whose
-	// demand exceeds its allowance. Other servers return unneeded shares a few times a second.
+	// starvedRequestIntervalSeconds is the time between the requests of a server whose demand
+	// exceeds its allowance. Other servers return unneeded shares a few times a second, so it
+	// requests a larger share about as often.
 	starvedRequestIntervalSeconds = 0.25
-	// renewalFraction is the fraction of a lease after which the holder requests its renewal. The
-	// lease survives the loss of two requests in a row.
+	// renewalFraction is the fraction of a lease after which the holder requests its renewal. If no
+	// reply arrives, it repeats the request after the same time: the second request is sent before
+	// the lease expires, and the third one as it expires.
 	renewalFraction = 1.0 / 3
 	// minReportedChangeFraction is the fraction by which a demand must change to be reported before
-	// the renewal is due.
+	// the renewal is due. It is also the least unneeded fraction of a leased share that a holder
+	// returns before then.
 	minReportedChangeFraction = 0.2
 )
 
@@ -79,11 +82,11 @@
 	h.nextWakeup = now
 }
 
-// RecordUsage records the server loop's recent use of a limit. requested is the demand in units a
-// second; for a concurrent limit, it is the number of units in use plus those rejected. inUse is
-// the number of units in use. grantNumber is the GrantNumber of the Allowance that the loop
-// enforces: the grantor learns that a share was reduced only after the loop enforces the reduced
-// share.
+// RecordUsage records the recent use of a limit by the server's event loop. requested is the demand
+// in units a second; for a concurrent limit, it is the number of units in use plus those rejected.
+// inUse is the number of units in use. grantNumber is the GrantNumber of the Allowance that the
+// event loop enforces, so that the holder tells the grantor of a reduced share only after the event
+// loop enforces it.
 func (h *Holder) RecordUsage(now float64, name string, requested, inUse float64, grantNumber uint64) {
 	state := h.limits[name]
 	if state == nil {
--- a/internal/policy/quota/holder_limit.go
+++ b/internal/policy/quota/holder_limit.go
@@ -7,15 +7,15 @@
 	limit   *Limit
 	floor   float64
 	granted receivedGrant // the latest grant received
-	applied receivedGrant // the grant that the server loop enforced when it last reported usage
-	// reductionPending is set when a grant reduces the share, until the server loop enforces the
-	// reduced share. reductionUnreported is set from then until the next request, which tells the
-	// grantor.
+	applied receivedGrant // the grant that the event loop enforced when it last reported usage
+	// reductionPending is true from the arrival of a grant that reduces the share until the event
+	// loop enforces it. reductionUnreported is true from then until the next request, which tells
+	// the grantor that the larger share is no longer used.
 	reductionPending    bool
 	reductionUnreported bool
 
 	requested              float64 // recent demand, see Demand
-	inUse                  float64
+	inUse                  float64 // units in use; 0 for a rate
 	demandExceedsAllowance bool    // requested exceeds the current allowance
 	lastRequestAt          float64 // when a request last had a demand for the limit, -Inf for never
 	lastReportedDemand     float64 // the value of requested in that request
@@ -65,14 +65,14 @@
 // wantsLease reports whether the demand exceeds the floor.
 func (s *holderLimit) wantsLease() bool { return s.requested > s.floor }
 
-// setUsage records the server loop's demand and units in use.
+// setUsage records the event loop's demand and units in use.
 func (s *holderLimit) setUsage(now, requested, inUse float64) {
 	s.requested = clamp(requested, s.limit.Max)
 	s.inUse = clamp(inUse, s.limit.Max)
 	s.demandExceedsAllowance = s.requested > s.limitAt(now)
 }
 
-// setApplied records that the server loop enforces the latest grant.
+// setApplied records that the event loop enforces the latest grant.
 func (s *holderLimit) setApplied() {
 	s.applied = s.granted
 	if s.reductionPending {
@@ -127,7 +127,7 @@
 	return max(now+minRequestIntervalSeconds, s.lastRequestAt+renewalFraction*leaseSeconds)
 }
 
-// demand returns the limit's entry in a request. While the server loop may still enforce a larger
+// demand returns the limit's entry in a request. While the event loop may still enforce a larger
 // share than that of the latest grant, the entry reports the larger share.
 func (s *holderLimit) demand(now float64) Demand {
 	demand := Demand{Name: s.limit.Name, Requested: s.requested, InUse: s.inUse}
--- a/internal/policy/quota/message.go
+++ b/internal/policy/quota/message.go
@@ -7,8 +7,8 @@
 	InUse            float64 // units in use; 0 for a rate
 	LeasedShare      float64 // beyond the floor
 	RemainingSeconds float64 // until the lease expires, by the holder's clock
-	// GrantNumber is the number of the request whose reply granted the share that the server loop
-	// enforces, 0 for none.
+	// GrantNumber is the number of the request whose reply granted the share that the server's
+	// event loop enforces, 0 for none.
 	GrantNumber uint64
 }
 
--- a/internal/policy/quota/quota_test.go
+++ b/internal/policy/quota/quota_test.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// exchange sends a request for the whole rate from a holder to a grantor and delivers the reply,
-// both without delay.
+// exchange sends a request from a holder, whose demand exceeds the rate limit, to a grantor and
+// delivers the reply, both without delay.
 func exchange(holder *Holder, grantor *Grantor, now float64) {
 	holder.RecordUsage(now, rateLimit, 500, 0, holder.limits[rateLimit].granted.number)
 	request := holder.NextRequest(now)
@@ -144,6 +144,7 @@
 	firstGrantor := NewGrantor(config, 1, -100)
 	firstHolder := NewHolder(7, config, 0)
 	secondHolder := NewHolder(8, config, 0)
+	// Each server has a floor of 5; the pool is 90.
 	limitAt := func(holder *Holder, now float64) float64 { return holder.limits[rateLimit].limitAt(now) }
 
 	exchange(firstHolder, firstGrantor, 0) // the holder learns the grantor's ID
@@ -224,12 +225,12 @@
 			config := valid
 			c.change(&config)
 			err := config.Validate()
-			var fault *ConfigError
-			if !errors.As(err, &fault) {
+			var configErr *ConfigError
+			if !errors.As(err, &configErr) {
 				t.Fatalf("Validate() = %v, want a *ConfigError", err)
 			}
-			if fault.Limit != c.limit {
-				t.Errorf("the error names limit %q, want %q: %v", fault.Limit, c.limit, err)
+			if configErr.Limit != c.limit {
+				t.Errorf("the error names limit %q, want %q: %v", configErr.Limit, c.limit, err)
 			}
 		})
 	}
--- a/internal/policy/quota/schedule_test.go
+++ b/internal/policy/quota/schedule_test.go
@@ -18,15 +18,15 @@
 			s.run(rapid.SampledFrom([]float64{0.1, 0.5, 1.2, 4}).Draw(t, "wait"))
 		}
 		s.messageLoss = 0
-		s.meanDelay = 0.02
+		s.meanDelaySeconds = 0.02
 		s.leaderless = false
 		for _, server := range s.servers {
 			server.paused = false
 			server.partitioned = false
 		}
 		s.run(3*s.config.LeaseSeconds + 3*testLimits[1].LingerSeconds)
-		// A late request of a terminated incarnation may still hold a share for the length of a
-		// lease.
+		// A late request of a terminated incarnation may have leased a share, which stays committed
+		// until its lease expires.
 		for tries := 0; s.shortfall() != ""; tries++ {
 			if tries == 10 {
 				t.Fatalf("after all faults were healed: %s", s.shortfall())
@@ -52,14 +52,14 @@
 		*server = *s.startServer()
 	case 5:
 		server.demand = rapid.SampledFrom([]float64{0, 0.3, 5, 30, 500}).Draw(t, "demand")
-	case 6:
+	case 6: // the demands move from server to server
 		for _, other := range s.servers {
 			other.demand, server.demand = server.demand, other.demand
 		}
 	case 7:
 		s.messageLoss = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "loss")
 	case 8:
-		s.meanDelay = rapid.SampledFrom([]float64{0.01, 0.05, 0.5, 1.5}).Draw(t, "delay")
+		s.meanDelaySeconds = rapid.SampledFrom([]float64{0.01, 0.05, 0.5, 1.5}).Draw(t, "delay")
 	}
 }
 
@@ -104,9 +104,9 @@
 
 func (s *sequence) sendRequest(server int) {
 	holder := s.holders[server]
-	share := holder.limits[rateLimit]
-	share.lastRequestAt = math.Inf(-1) // makes a request due at any time
-	holder.RecordUsage(s.now, rateLimit, 500, 0, share.granted.number)
+	limit := holder.limits[rateLimit]
+	limit.lastRequestAt = math.Inf(-1) // makes a request due at any time
+	holder.RecordUsage(s.now, rateLimit, 500, 0, limit.granted.number)
 	request := holder.NextRequest(s.now)
 	s.requests = append(s.requests, func(to int) {
 		grantor := s.grantors[to]
@@ -167,8 +167,8 @@
 }
 
 // TestLimit_NotExceededInAnyShortSequence runs every sequence of seven steps of two servers, two
-// leaders and their requests. It starts when one server has leased the whole pool and its lease is
-// about to expire.
+// leaders and their requests. Each sequence starts when one server has leased the whole pool and
+// its lease is about to expire.
 func TestLimit_NotExceededInAnyShortSequence(t *testing.T) {
 	config := Config{LeaseSeconds: 3, FloorFraction: 0.1, MaxServers: 2, Limits: testLimits[:1]}
 	const length = 7
--- a/internal/policy/quota/simulation_test.go
+++ b/internal/policy/quota/simulation_test.go
@@ -14,30 +14,30 @@
 // simulation runs servers and grantors in simulated time. It keeps an exact record of all units in
 // use, against which check tests the limits.
 type simulation struct {
-	t               testReporter
-	random          *rand.Rand
-	now             float64
-	config          Config
-	grantor         *Grantor
-	previous        *Grantor // the leader before; it was replaced but replies until previousUntil
-	previousUntil   float64
-	servers         []*simulatedServer
-	inTransit       []delivery
-	lastIncarnation uint64
-	messageLoss     float64 // probability
-	meanDelay       float64
-	leaderless      bool
-	inUse           []unit  // units of the concurrent limit
-	maxStillLeased  float64 // after a rate was lowered, the sum that may still be leased
+	t                testReporter
+	random           *rand.Rand
+	now              float64
+	config           Config
+	grantor          *Grantor
+	previous         *Grantor // the replaced leader's grantor, which still replies until previousUntil
+	previousUntil    float64
+	servers          []*simulatedServer
+	inTransit        []delivery
+	lastIncarnation  uint64
+	messageLoss      float64 // probability
+	meanDelaySeconds float64
+	leaderless       bool    // no majority confirms the current leader
+	inUse            []unit  // units of the concurrent limit
+	maxStillLeased   float64 // after a rate was lowered, the sum that may still be leased
 }
 
-// delivery is a message in transit that arrives at the time at.
+// delivery is a message in transit.
 type delivery struct {
 	arrivesAt float64
 	handle    func()
 }
 
-// unit is one unit of the concurrent limit. It stays in use until ends even if its server
+// unit is one unit of the concurrent limit. It stays in use until endsAt even if its server
 // terminates.
 type unit struct {
 	owner  *simulatedServer
@@ -47,13 +47,13 @@
 type simulatedServer struct {
 	holder      *Holder
 	incarnation uint64
-	clockRate   float64
-	clockOffset float64
+	clockRate   float64 // seconds of the server's clock in a second of simulated time
+	clockOffset float64 // the server's clock at simulated time 0
 	paused      bool
 	partitioned bool
 	demand      float64
-	published   map[string]Allowance // what the holder has passed to the server loop
-	enforced    map[string]Allowance // what the server loop enforces
+	published   map[string]Allowance // what the holder has passed to the event loop
+	enforced    map[string]Allowance // what the event loop enforces
 }
 
 func (s *simulatedServer) clock(now float64) float64 { return s.clockOffset + s.clockRate*now }
@@ -63,7 +63,7 @@
 	return allowance.LimitAt(s.clock(now))
 }
 
-// publish passes the holder's changed allowances to the server loop.
+// publish passes the holder's changed allowances to the event loop.
 func (s *simulatedServer) publish() {
 	list := s.holder.TakeChanges()
 	if list == nil {
@@ -76,9 +76,9 @@
 }
 
 const (
-	rateLimit       = "rate"
-	concurrentLimit = "concurrent"
-	simulationStep  = 0.05
+	rateLimit             = "rate"
+	concurrentLimit       = "concurrent"
+	simulationStepSeconds = 0.05
 	// tolerance allows for rounding errors in sums.
 	tolerance = 1e-9
 )
@@ -91,10 +91,10 @@
 func newSimulation(t testReporter, seed uint64, servers int) *simulation {
 	t.Helper()
 	s := &simulation{
-		t:         t,
-		random:    rand.New(rand.NewPCG(seed, 5)),
-		meanDelay: 0.05,
-		config:    Config{LeaseSeconds: 3, FloorFraction: 0.1, MaxServers: max(servers, 6), Limits: testLimits},
+		t:                t,
+		random:           rand.New(rand.NewPCG(seed, 5)),
+		meanDelaySeconds: 0.05,
+		config:           Config{LeaseSeconds: 3, FloorFraction: 0.1, MaxServers: max(servers, 6), Limits: testLimits},
 	}
 	if err := s.config.Validate(); err != nil {
 		t.Fatalf("Validate() of the simulated configuration = %v, want nil", err)
@@ -135,12 +135,13 @@
 func (s *simulation) send(handle func()) {
 	for range 1 + s.random.IntN(8)/7 {
 		if s.random.Float64() >= s.messageLoss {
-			s.inTransit = append(s.inTransit, delivery{s.now + s.meanDelay*s.random.ExpFloat64(), handle})
+			s.inTransit = append(s.inTransit, delivery{s.now + s.meanDelaySeconds*s.random.ExpFloat64(), handle})
 		}
 	}
 }
 
-// confirmed reports whether a grantor considers itself the confirmed leader.
+// confirmed reports whether a grantor considers itself the confirmed leader. asPrevious is true for
+// a request that was sent to the grantor after another leader had replaced it.
 func (s *simulation) confirmed(grantor *Grantor, asPrevious bool) bool {
 	return !asPrevious && !s.leaderless && grantor == s.grantor ||
 		grantor == s.previous && s.now < s.previousUntil
@@ -173,7 +174,7 @@
 func (s *simulation) run(seconds float64) {
 	s.t.Helper()
 	for end := s.now + seconds; s.now < end; {
-		s.now += simulationStep
+		s.now += simulationStepSeconds
 		s.deliver()
 		s.endUnits()
 		for _, server := range s.servers {
@@ -209,7 +210,7 @@
 
 func (s *simulation) runServer(server *simulatedServer) {
 	now := server.clock(s.now)
-	if s.random.IntN(2) == 0 { // a busy loop still enforces the earlier allowances
+	if s.random.IntN(2) == 0 { // a busy event loop still enforces the earlier allowances
 		server.enforced = server.published
 	}
 	inUse := s.useUnits(server)
@@ -233,8 +234,8 @@
 	}
 	for float64(inUse)+1 <= min(server.limitAt(concurrentLimit, s.now), server.demand) {
 		inUse++
-		ends := s.now + (0.05+0.95*s.random.Float64())*s.config.Limits[1].LingerSeconds
-		s.inUse = append(s.inUse, unit{server, ends})
+		endsAt := s.now + (0.05+0.95*s.random.Float64())*s.config.Limits[1].LingerSeconds
+		s.inUse = append(s.inUse, unit{server, endsAt})
 	}
 	return inUse
 }
@@ -280,7 +281,7 @@
 	return floors + min(more, s.config.pool(limit))
 }
 
-// shortfall describes a limit of which the servers can use clearly less than idealUsable, "" if
+// shortfall describes a limit of which the servers can use over 2% less than idealUsable, "" if
 // there is none.
 func (s *simulation) shortfall() string {
 	for i := range s.config.Limits {
--- a/internal/policy/quota/status.go
+++ b/internal/policy/quota/status.go
@@ -5,16 +5,17 @@
 	"slices"
 )
 
-// LimitStatus tells operators how the grantor divides one limit. Its JSON keys are part of the
+// LimitStatus shows operators how much of one limit is leased. Its JSON keys are part of the
 // control API.
 type LimitStatus struct {
 	Name    string
 	Max     float64 `json:"Most"`
 	Leased  float64 `json:"Given"` // sum of the committed shares beyond the floors
 	Pool    float64 // the part of Max that is available for leases
-	Servers int     // servers that hold a share or want one
+	Servers int     // servers that hold a share or recently requested one
 	Wanted  float64 // sum of the demands beyond the floors
-	// PriorLeasesExpired is true once all leases of earlier grantors have expired.
+	// PriorLeasesExpired is true once all leases of earlier grantors have expired and no unit taken
+	// under them is still in use.
 	PriorLeasesExpired bool `json:"Known"`
 }
 
