--- a/internal/policy/counter/closing.go
+++ b/internal/policy/counter/closing.go
@@ -90,10 +90,10 @@
 	return silent && gone(r.server, r.incarnation)
 }
 
-// confirmClosing records that another aggregator has frozen the rows to close. Once a majority has,
-// it returns the rows. A reply counts only while all aggregators have the incarnations that they
-// had at the time of the query, because an aggregator that restarted has lost the reports that it
-// acknowledged.
+// confirmClosing records that another aggregator has frozen the rows to close. Once a majority,
+// including this aggregator, has frozen them, it returns the rows. A reply counts only while all
+// aggregators have the incarnations that they had at the time of the query, because an aggregator
+// that restarted has lost the reports that it acknowledged.
 func (a *Aggregator) confirmClosing(from string, reply *RowQueryReply) []RowReport {
 	if reply.Recovering || a.closeRound.rows == nil ||
 		!slices.Equal(a.incarnations, a.closeRound.queriedIncarnations) ||
--- a/internal/policy/counter/counter_test.go
+++ b/internal/policy/counter/counter_test.go
@@ -16,6 +16,7 @@
 	rapid.Check(t, func(t *rapid.T) { checkSchedule(t, rapid.Uint64().Draw(t, "seed")) })
 }
 
+// checkSchedule runs one simulation. The seed also selects the numbers of aggregators and servers.
 func checkSchedule(t *rapid.T, seed uint64) {
 	t.Helper()
 	s := newSimulation(seed, []int{1, 3, 5, 4}[seed%4], 1+int(seed/4%4))
--- a/internal/policy/counter/message.go
+++ b/internal/policy/counter/message.go
@@ -8,7 +8,7 @@
 	Incarnation  uint64 // incarnation of the server
 	RowID        uint64
 	Sequence     uint64 // starts at 1
-	BaseSequence uint64 // Cells has the cells that changed after this number; 0: it has all cells
+	BaseSequence uint64 // Cells has the cells that changed after this number; all cells if it is 0
 	// Frozen is set by an aggregator that has frozen the row in order to close it, and acknowledges
 	// no higher number of it. FrozenSequence is then the highest number that this aggregator has
 	// ever acknowledged.
--- a/internal/policy/counter/query.go
+++ b/internal/policy/counter/query.go
@@ -54,19 +54,20 @@
 }
 
 // freezeRows freezes rows that another aggregator wants to close. It adds to the reply the rows of
-// which this aggregator has a higher sequence number.
+// which this aggregator has a higher sequence number. If it can't freeze or add all of them, it
+// sets Recovering, so that the other aggregator doesn't count the reply as a confirmation.
 func (a *Aggregator) freezeRows(now float64, builder *replyBuilder, rows []RowAck) {
 	for _, requestedRow := range rows {
 		if a.isClosed(requestedRow.RowID) {
 			continue
 		}
 		if a.Recovering() || len(a.rows) >= maxRows {
-			builder.reply.Recovering = true
+			builder.reply.Recovering = true // this row is not frozen here, so the reply must not count
 			continue
 		}
 		r := a.freeze(now, requestedRow.RowID)
 		if r.sequence > requestedRow.Sequence && !builder.add(r) {
-			builder.reply.Recovering = true // the reply is full and lacks rows, so it must not count
+			builder.reply.Recovering = true // the reply lacks rows: the sender has to ask again
 			return
 		}
 	}
--- a/internal/policy/counter/recovery.go
+++ b/internal/policy/counter/recovery.go
@@ -19,7 +19,7 @@
 	beganAt     float64
 	lastQueryAt float64
 	lastRowID   map[string]uint64 // by aggregator: ID of the last row that it has sent
-	finished    map[string]bool   // aggregators that have sent all their rows; false if recovering
+	finished    map[string]bool   // by aggregator that has sent all its rows: false if it was recovering
 }
 
 // beginRecovery starts a recovery and cancels the close round, if any.
@@ -86,8 +86,9 @@
 			complete++
 		}
 	}
-	// With this number of complete aggregators, at least one of them has each row that a majority
-	// had. If all other aggregators have sent the rows that they have, no more rows can arrive.
+	// This number of complete aggregators includes at least one of any majority, so each row that a
+	// majority had has arrived. If all other aggregators have sent the rows that they have, no more
+	// rows can arrive.
 	switch {
 	case complete >= len(a.names)-a.majority+1:
 		a.recovery.active = false
--- a/internal/policy/counter/reporter.go
+++ b/internal/policy/counter/reporter.go
@@ -7,18 +7,17 @@
 )
 
 const (
-	// reportIntervalSeconds is the shortest time between reports of changes. It limits
-	// the traffic: each report takes some hundred bytes to each aggregator.
+	// reportIntervalSeconds is the shortest time between reports of changes. It limits the traffic:
+	// each report is a few hundred bytes to each aggregator.
 	reportIntervalSeconds = 2.0
-	// minRetryIntervalSeconds is the time until a report is first repeated to
-	// aggregators that have not acknowledged it. It doubles with each repetition, up to
-	// maxRetryIntervalSeconds.
+	// minRetryIntervalSeconds is the time until a report is first repeated to aggregators that have
+	// not acknowledged it. It doubles with each repetition, up to maxRetryIntervalSeconds.
 	minRetryIntervalSeconds = 0.4
 	maxRetryIntervalSeconds = 6.0
-	// idleReportIntervalSeconds is the time between reports while counts don't change.
-	// Such reports tell the aggregators that they have all counts.
+	// idleReportIntervalSeconds is the time between reports while counts don't change. Such reports
+	// tell the aggregators that they have all counts.
 	idleReportIntervalSeconds = 5.0
-	// neverSeconds is a time later than any other.
+	// neverSeconds is the time of an event that is not due at all, later than any other time.
 	neverSeconds = 1e18
 )
 
@@ -36,14 +35,14 @@
 
 	sequence               uint64            // number of the last report, 0 before the first one
 	reported               cells             // the row's content under sequence
-	previouslyReported     cells             // the row's content under sequence-1, which a majority had
-	acks                   map[string]RowAck // the last one of each aggregator
+	previouslyReported     cells             // the row's content under sequence-1, acknowledged by a majority
+	acks                   map[string]RowAck // the last one of each aggregator, by name
 	aggregatorIncarnations Incarnations
 	unreported             bool // whether counts were added after the last report
 
-	nextReportAt  float64
-	nextRetryAt   float64
-	retryInterval float64
+	nextReportAt         float64
+	nextRetryAt          float64
+	retryIntervalSeconds float64
 
 	// Unaccounted is an upper bound on the requests that the totals lack: those in rows that were
 	// closed under a lower number than a majority had acknowledged. This happens if aggregators
@@ -69,7 +68,7 @@
 	}
 }
 
-// rowID returns the ID of the current row.
+// rowID returns the ID of the current row. The rows of an incarnation have consecutive IDs.
 func (r *Reporter) rowID() uint64 { return r.incarnation + r.rowCount }
 
 // Add adds request counts to the current row.
@@ -112,11 +111,11 @@
 	case r.acknowledged() && now >= r.reportDueAt():
 		r.nextSequence(now)
 	case r.sequence > 0 && now >= r.nextRetryAt:
-		r.retryInterval = min(2*r.retryInterval, maxRetryIntervalSeconds)
+		r.retryIntervalSeconds = min(2*r.retryIntervalSeconds, maxRetryIntervalSeconds)
 	default:
 		return nil
 	}
-	r.nextRetryAt = now + r.retryInterval
+	r.nextRetryAt = now + r.retryIntervalSeconds
 	var list []Envelope
 	for _, name := range r.aggregators {
 		if !r.acknowledgedBy(name) {
@@ -133,7 +132,7 @@
 	r.previouslyReported = r.reported
 	r.reported = r.counted.minus(r.closedRows)
 	r.sequence++
-	r.retryInterval = minRetryIntervalSeconds
+	r.retryIntervalSeconds = minRetryIntervalSeconds
 }
 
 // reportDueAt returns when a report with the next sequence number is due, provided that a majority
@@ -149,8 +148,8 @@
 }
 
 // report returns the report for an aggregator that has acknowledged the given sequence number, 0
-// for none. If that is the last number or the one before, the report has the cells that changed
-// between these two; otherwise it has the whole row.
+// for none. If that is r.sequence or r.sequence-1, the report has the cells that changed between
+// these two numbers; otherwise it has the whole row.
 func (r *Reporter) report(acknowledged uint64) *RowReport {
 	report := &RowReport{
 		Server:      r.server,
--- a/internal/policy/counter/row.go
+++ b/internal/policy/counter/row.go
@@ -1,9 +1,9 @@
 package counter
 
 const (
-	// maxRequestsPerSecond is the largest plausible rate of a server in requests a second, and
-	// maxBurstRequests the largest plausible number of requests beyond that rate. Reports that
-	// exceed both are rejected.
+	// maxRequestsPerSecond is the largest plausible request rate of a server, and maxBurstRequests
+	// the largest plausible number of requests beyond that rate. A report by which a row grows by
+	// more than both together is rejected, see maxGrowth.
 	maxRequestsPerSecond = 1e6
 	maxBurstRequests     = 1e7
 	// unknownRate marks a rate that is not known yet.
@@ -70,8 +70,9 @@
 	}
 }
 
-// canMerge reports whether a report has a higher sequence number than the row and can be merged
-// into it.
+// canMerge reports whether a report can be merged into the row: its sequence number is higher than
+// the row's, its base sequence number is not, and any earlier reports of the row came from the same
+// server and incarnation.
 func (r *row) canMerge(report *RowReport) bool {
 	known := r.sequence > 0
 	if known && (report.Server != r.server || report.Incarnation != r.incarnation) {
--- a/internal/policy/counter/simulation_test.go
+++ b/internal/policy/counter/simulation_test.go
@@ -9,7 +9,7 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-const simulationStep = 0.1
+const simulationStepSeconds = 0.1
 
 var aggregatorNames = []string{"k0", "k1", "k2", "k3", "k4"}
 
@@ -29,7 +29,7 @@
 	lastIncarnation uint64
 }
 
-// delivery is a message in transit that arrives at the time at.
+// delivery is a message in transit.
 type delivery struct {
 	arrivesAt float64
 	handle    func()
@@ -188,7 +188,7 @@
 }
 
 func (s *simulation) run(seconds float64, faults bool) {
-	for end := s.now + seconds; s.now < end; s.now += simulationStep {
+	for end := s.now + seconds; s.now < end; s.now += simulationStepSeconds {
 		s.deliver()
 		s.commit(faults)
 		for _, server := range s.servers {
--- a/internal/policy/counter/summary.go
+++ b/internal/policy/counter/summary.go
@@ -16,12 +16,12 @@
 	maxLateReports = 64
 )
 
-// LateReport describes a server that has sent no new report for some time. Its JSON keys are part
-// of the control API.
+// LateReport describes a server that has sent no new report for over lateSeconds. Its JSON keys are
+// part of the control API.
 type LateReport struct {
 	Server            string  `json:"Name"`
-	SilentSeconds     float64 `json:"Silent"`
-	RequestsPerSecond float64 `json:"Rate"` // rate by its last report
+	SilentSeconds     float64 `json:"Silent"` // time since its last new report
+	RequestsPerSecond float64 `json:"Rate"`   // rate by its last report
 }
 
 // Summary has the totals that an aggregator knows. They are a lower bound; MaxMissing estimates how
