--- a/internal/policy/circuitbreaker/breaker.go
+++ b/internal/policy/circuitbreaker/breaker.go
@@ -98,7 +98,8 @@
 	return b.rampLimit >= b.averageInFlight
 }
 
-// enter moves the breaker to another state.
+// enter moves the breaker to another state. When the breaker becomes half open, enter sets the
+// initial limit and removes the evidence from before, which is about the failing service.
 func (b *Breaker) enter(now float64, next State) {
 	if next == HalfOpen {
 		b.lastRampAt = now
--- a/internal/policy/circuitbreaker/breaker_test.go
+++ b/internal/policy/circuitbreaker/breaker_test.go
@@ -57,7 +57,7 @@
 	s.outcome = alwaysSucceeds
 	from := s.now
 	for s.count(HalfOpen) == 0 && s.now < from+10 {
-		s.run(simulationStep)
+		s.run(simulationStepSeconds)
 	}
 	s.callCount = 0
 	s.run(0.5)
@@ -91,7 +91,7 @@
 				Tally:       Tally{Succeeded: -5},
 			})
 		}
-		s.run(simulationStep)
+		s.run(simulationStepSeconds)
 	}
 }
 
@@ -163,8 +163,8 @@
 	}
 }
 
-// TestBreaker_FlappingService lets a service fail every other second. The breakers must not change
-// their state at each failure and recovery.
+// TestBreaker_FlappingService lets a service fail every other second. It guards against breakers
+// that open and close repeatedly during one failure.
 func TestBreaker_FlappingService(t *testing.T) {
 	s := newSimulation(10, 20)
 	s.run(10)
@@ -176,7 +176,7 @@
 	changes := 0
 	s.outcome = func(int) (bool, float64) { return math.Mod(s.now, 2) < 1, 0.05 }
 	for range 400 {
-		s.run(simulationStep)
+		s.run(simulationStepSeconds)
 		for i, breaker := range s.breakers {
 			if breaker.state != states[i] {
 				states[i] = breaker.state
@@ -184,7 +184,8 @@
 			}
 		}
 	}
-	// The limit is ten failures with four changes each: throttled, open, half open, closed.
+	// At most four changes are allowed for each of the ten failures: to throttled, open, half open
+	// and closed.
 	if changesPerBreaker := float64(changes) / 10; changesPerBreaker > 40 {
 		t.Errorf("each breaker changes its state %.0f times during ten failures, want at most 40", changesPerBreaker)
 	}
@@ -217,7 +218,7 @@
 func TestBreaker_HalfOpenLimit(t *testing.T) {
 	cases := []struct {
 		name   string
-		failed int // of a hundred calls
+		failed int // number of 100 calls that fail
 		state  State
 		limits []float64
 	}{
--- a/internal/policy/circuitbreaker/evidence.go
+++ b/internal/policy/circuitbreaker/evidence.go
@@ -44,8 +44,8 @@
 	case failed >= failingFraction*calls:
 		return failing
 	}
-	fastest := b.lowestMeanSeconds.Value(now)
-	if fastest > 0 && tally.SuccessSeconds > slowFactor*fastest*float64(tally.Succeeded) {
+	lowestMean := b.lowestMeanSeconds.Value(now)
+	if lowestMean > 0 && tally.SuccessSeconds > slowFactor*lowestMean*float64(tally.Succeeded) {
 		return slow
 	}
 	return healthy
--- a/internal/policy/circuitbreaker/probe.go
+++ b/internal/policy/circuitbreaker/probe.go
@@ -25,9 +25,9 @@
 	return 0
 }
 
-// roundLimit rounds a limit on calls in flight down to an integer. If the limit is under 1, it
-// selects that fraction of the servers in each probe slot, which may have one call in flight. The
-// servers that send probes may always have one.
+// roundLimit rounds a limit on calls in flight down to an integer. A limit under 1 is the fraction
+// of the servers that may have one call in flight; slotHash selects these servers in each probe
+// slot. The servers that send probes may always have one.
 func (b *Breaker) roundLimit(now, limit float64, zoneServers func() []string) float64 {
 	switch {
 	case limit >= 1:
--- a/internal/policy/circuitbreaker/report.go
+++ b/internal/policy/circuitbreaker/report.go
@@ -42,8 +42,8 @@
 	// MaxReports bounds the reports held, one for each server. More votes would not change the
 	// result.
 	MaxReports = 128
-	// maxPlausibleCalls is the largest plausible number of succeeded or failed calls in a report,
-	// more than a million a second.
+	// maxPlausibleCalls is the largest plausible number of succeeded calls in a report, and that of
+	// failed calls. It corresponds to more than a million calls a second.
 	maxPlausibleCalls = 2e6
 	// minReportCalls is the smallest number of calls with which a report is sent and has a vote.
 	minReportCalls = 1
--- a/internal/policy/circuitbreaker/simulation_test.go
+++ b/internal/policy/circuitbreaker/simulation_test.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	simulationStep = 0.05
-	zoneCount      = 3
+	simulationStepSeconds = 0.05
+	zoneCount             = 3
 	// Each time a server gossips, it chooses gossipFanout servers and sends each of them the
 	// reports of at most gossipReports servers.
 	gossipFanout  = 3
@@ -22,7 +22,7 @@
 	now          float64
 	breakers     []*Breaker
 	zones        [zoneCount][]string     // names of the servers in each zone
-	reportsReach func(from, to int) bool // whether reports reach server to from server from
+	reportsReach func(from, to int) bool // whether reports sent by server from reach server to
 	callRate     float64                 // calls a second that each server tries to make
 	outcome      func(server int) (succeeds bool, seconds float64)
 	inFlight     [][]call // by server
@@ -59,8 +59,8 @@
 }
 
 func (s *simulation) run(seconds float64) {
-	for end := s.now + seconds; s.now < end-simulationStep/2; {
-		s.now += simulationStep
+	for end := s.now + seconds; s.now < end-simulationStepSeconds/2; {
+		s.now += simulationStepSeconds
 		for server := range s.breakers {
 			s.runServer(server)
 		}
@@ -98,7 +98,7 @@
 }
 
 func (s *simulation) beginCalls(server int) {
-	for wanted := s.callRate * simulationStep; wanted > 0; wanted-- {
+	for wanted := s.callRate * simulationStepSeconds; wanted > 0; wanted-- {
 		if s.random.Float64() < wanted && float64(len(s.inFlight[server]))+1 <= s.maxInFlight[server] {
 			succeeds, seconds := s.outcome(server)
 			s.inFlight[server] = append(s.inFlight[server], call{s.now + seconds, succeeds, seconds})
--- a/internal/policy/circuitbreaker/state.go
+++ b/internal/policy/circuitbreaker/state.go
@@ -6,8 +6,8 @@
 // The states of a breaker. In Closed and Degraded, calls are not limited.
 const (
 	Closed    State = iota
-	Degraded        // calls take much longer than the lowest recent mean
-	Throttled       // at least half of the calls fail: only a fraction of averageInFlight may be in flight
+	Degraded        // calls take much longer than their lowest recent mean duration
+	Throttled       // at least half of the calls fail: only a fraction of the usual calls may be in flight
 	Open            // nearly all calls fail: only probes may be in flight
 	HalfOpen        // calls succeed again: the limit on calls in flight is raised in steps
 	stateCount
