--- a/internal/policy/circuitbreaker/simulation_test.go
+++ b/internal/policy/circuitbreaker/simulation_test.go
@@ -7,25 +7,27 @@
 )
 
 const (
-	simulationStep = 0.05
-	zoneCount      = 3
-	// gossipFanout servers hear a server's reports each time, of at most gossipReports servers.
+	simulationStepSeconds = 0.05
+	zoneCount             = 3
+	// Each time a server gossips, it chooses gossipFanout servers and sends each of them the
+	// reports of at most gossipReports servers.
 	gossipFanout  = 3
 	gossipReports = 16
 )
 
-// simulation plays servers that call one service and exchange reports, beside a plain account of the calls.
+// simulation runs servers that call one service and exchange reports, in simulated time, and counts
+// their calls.
 type simulation struct {
-	random      *rand.Rand
-	now         float64
-	breakers    []*Breaker
-	zones       [zoneCount][]string // names of the servers in each
-	hears       func(from, to int) bool
-	callRate    float64 // calls a second that each server wants to make
-	outcome     func(server int) (succeeds bool, seconds float64)
-	inFlight    [][]call // by server
-	callCount   int
-	maxInFlight []float64 // by server
+	random       *rand.Rand
+	now          float64
+	breakers     []*Breaker
+	zones        [zoneCount][]string     // names of the servers in each zone
+	reportsReach func(from, to int) bool // whether reports sent by server from reach server to
+	callRate     float64                 // calls a second that each server tries to make
+	outcome      func(server int) (succeeds bool, seconds float64)
+	inFlight     [][]call // by server
+	callCount    int
+	maxInFlight  []float64 // by server
 }
 
 type call struct {
@@ -34,17 +36,17 @@
 	seconds  float64
 }
 
-// alwaysSucceeds is the outcome of calls to a service that is well.
+// alwaysSucceeds is the outcome of calls to a healthy service.
 func alwaysSucceeds(int) (succeeds bool, seconds float64) { return true, 0.02 }
 
 func newSimulation(servers int, callRate float64) *simulation {
 	s := &simulation{
-		random:      rand.New(rand.NewPCG(7, 9)),
-		callRate:    callRate,
-		hears:       func(int, int) bool { return true },
-		inFlight:    make([][]call, servers),
-		maxInFlight: make([]float64, servers),
-		outcome:     alwaysSucceeds,
+		random:       rand.New(rand.NewPCG(7, 9)),
+		callRate:     callRate,
+		reportsReach: func(int, int) bool { return true },
+		inFlight:     make([][]call, servers),
+		maxInFlight:  make([]float64, servers),
+		outcome:      alwaysSucceeds,
 	}
 	for i := range servers {
 		name := fmt.Sprint("n", i)
@@ -57,8 +59,8 @@
 }
 
 func (s *simulation) run(seconds float64) {
-	for end := s.now + seconds; s.now < end-simulationStep/2; {
-		s.now += simulationStep
+	for end := s.now + seconds; s.now < end-simulationStepSeconds/2; {
+		s.now += simulationStepSeconds
 		for server := range s.breakers {
 			s.runServer(server)
 		}
@@ -77,7 +79,7 @@
 	}
 }
 
-// endCalls takes out calls that have ended, and tells what became of them.
+// endCalls removes the calls that have ended and returns their results.
 func (s *simulation) endCalls(server int) (ended Tally) {
 	left := s.inFlight[server][:0]
 	for _, call := range s.inFlight[server] {
@@ -96,7 +98,7 @@
 }
 
 func (s *simulation) beginCalls(server int) {
-	for wanted := s.callRate * simulationStep; wanted > 0; wanted-- {
+	for wanted := s.callRate * simulationStepSeconds; wanted > 0; wanted-- {
 		if s.random.Float64() < wanted && float64(len(s.inFlight[server]))+1 <= s.maxInFlight[server] {
 			succeeds, seconds := s.outcome(server)
 			s.inFlight[server] = append(s.inFlight[server], call{s.now + seconds, succeeds, seconds})
@@ -108,7 +110,7 @@
 func (s *simulation) gossip(from int) {
 	for range gossipFanout {
 		to := s.random.IntN(len(s.breakers))
-		if to == from || !s.hears(from, to) {
+		if to == from || !s.reportsReach(from, to) {
 			continue
 		}
 		for _, report := range s.breakers[from].GossipReports(s.now, uint64(from+1), gossipReports) {
@@ -117,7 +119,7 @@
 	}
 }
 
-// count tells how many breakers are in one of the states.
+// count returns how many breakers are in one of the states.
 func (s *simulation) count(states ...State) (n int) {
 	for _, breaker := range s.breakers {
 		for _, state := range states {
