--- a/internal/forwarder/config.go
+++ b/internal/forwarder/config.go
@@ -7,7 +7,7 @@
 	"swiftcourse/internal/forwarding"
 )
 
-// Worker is a server that requests may be sent to.
+// Worker is a server to which requests may be forwarded.
 type Worker struct{ Name, Addr string }
 
 // Config configures a Dispatcher.
@@ -15,19 +15,20 @@
 	Workers          []Worker
 	Classes          []admission.Class
 	Seed             int64
-	SlowStartSpeed   float64 // initial speed of a worker, see routing.Router.SetSlowStart
+	SlowStartSpeed   float64 // initial fraction of a worker's speed, see routing.Router.SetSlowStart
 	SlowStartSeconds float64
 
-	// Now returns the server's clock: Unix seconds that never go back.
+	// Now returns the server's clock in Unix seconds. It never decreases.
 	Now func() float64
-	// OnResults receives the results of requests. It must not wait for the dispatcher.
+	// OnResults receives the results of requests, on the event loop's goroutine. It must not wait
+	// for the dispatcher.
 	OnResults func([]forwarding.Result)
-	// OnWorkerAvailable is called once, on a goroutine of its own, when the first worker is connected.
+	// OnWorkerAvailable is called once, on its own goroutine, when the first worker connects.
 	OnWorkerAvailable func()
 }
 
-// SeedFor derives a forwarder's seed from its name and the common seed, so that two forwarders draw
-// different random numbers.
+// SeedFor derives a forwarder's random seed from its name and the common seed, so that forwarders
+// do not all make the same random choices.
 func SeedFor(name string, seed int64) int64 {
 	return seed ^ int64(crc32.ChecksumIEEE([]byte(name)))
 }
--- a/internal/forwarder/connection.go
+++ b/internal/forwarder/connection.go
@@ -12,24 +12,25 @@
 )
 
 const (
-	// maxQueuedMessages bounds the messages that wait to be written to a worker that does not read:
-	// some hundred requests.
+	// maxQueuedMessages limits the messages queued for a worker that does not read, to some hundred
+	// requests.
 	maxQueuedMessages = 256
-	// dialTimeout bounds one dial. The backoff between two dials doubles from minRedialBackoff to
-	// maxRedialBackoff.
+	// dialTimeout limits one attempt to connect. The backoff between attempts doubles from
+	// minRedialBackoff to maxRedialBackoff.
 	dialTimeout      = time.Second
 	minRedialBackoff = 20 * time.Millisecond
 	maxRedialBackoff = 500 * time.Millisecond
-	// maxPartialMessage bounds the bytes of a message that is not complete yet, and readSize those
-	// of one read.
-	maxPartialMessage = 64 << 10
-	readSize          = 16 << 10
+	// maxPartialMessageBytes limits the buffered part of an incomplete message, and readBufferBytes
+	// the size of one read.
+	maxPartialMessageBytes = 64 << 10
+	readBufferBytes        = 16 << 10
 )
 
 var (
-	// errMessageTooLong reports that an incomplete message exceeds maxPartialMessage. It holds
-	// whatever the codec accepts; no input is known to cause it today, so no test does.
-	errMessageTooLong = errors.New("message too long")
+	// errMessageTooLong reports that an incomplete message exceeds maxPartialMessageBytes. The limit
+	// does not depend on the codec. No test covers it, as no input is known that the codec accepts
+	// and that exceeds the limit.
+	errMessageTooLong = fmt.Errorf("incomplete message exceeds %d bytes", maxPartialMessageBytes)
 	// errStopped reports that the dispatcher was stopped.
 	errStopped = errors.New("dispatcher stopped")
 )
@@ -37,8 +38,8 @@
 // connection is one connection to a worker.
 type connection struct {
 	socket   net.Conn
-	messages chan []byte // encoded, to be written
-	closed   chan struct{}
+	messages chan []byte   // encoded messages to be written
+	closed   chan struct{} // closed by serve when the connection has ended
 }
 
 func newConnection(socket net.Conn) *connection {
@@ -49,7 +50,7 @@
 	}
 }
 
-// enqueue queues a message to be written, and reports whether there was room.
+// enqueue queues a message to be written. It returns false, without blocking, if the queue is full.
 func (c *connection) enqueue(message []byte) bool {
 	select {
 	case c.messages <- message:
@@ -59,7 +60,7 @@
 	}
 }
 
-// close closes the socket; the goroutine that reads it ends then.
+// close closes the socket, which ends the goroutine that reads from it.
 func (c *connection) close() { _ = c.socket.Close() }
 
 // write writes the queued messages until the connection is closed.
@@ -69,7 +70,7 @@
 		case <-c.closed:
 			return
 		case batch := <-c.messages:
-			for range len(c.messages) { // one write for all that is queued
+			for range len(c.messages) { // write all queued messages at once
 				batch = append(batch, <-c.messages...)
 			}
 			if _, err := c.socket.Write(batch); err != nil {
@@ -80,8 +81,8 @@
 	}
 }
 
-// keepConnected dials the worker again and again until the dispatcher stops, and reads each
-// connection to its end.
+// keepConnected connects to the worker and serves the connection until it ends, and repeats this
+// until the dispatcher stops.
 func (l *link) keepConnected() {
 	backoff := minRedialBackoff
 	for {
@@ -102,7 +103,7 @@
 	}
 }
 
-// sleep waits for the duration. It returns false at once if the dispatcher stops.
+// sleep waits for the duration and returns true. If the dispatcher stops it returns false at once.
 func (l *link) sleep(duration time.Duration) bool {
 	select {
 	case <-l.dispatcher.stop:
@@ -112,7 +113,7 @@
 	}
 }
 
-// serve uses a connection until it ends, and reports whether the worker responded on it.
+// serve runs a connection until it ends, and reports whether the worker responded on it.
 func (l *link) serve(c *connection) (responded bool) {
 	go c.write()
 	l.dispatcher.post(connectedEvent{link: l, connection: c})
@@ -126,12 +127,12 @@
 	return responded
 }
 
-// read hands the worker's responses to the dispatcher until the connection ends, and reports
-// whether there was any. An error means that the worker violated the protocol: it wraps
-// wire.ErrMalformed or is errMessageTooLong.
+// read passes the worker's responses to the dispatcher until the connection ends, and reports
+// whether it read any. It returns an error only if the worker violated the protocol; the error
+// wraps wire.ErrMalformed or is errMessageTooLong.
 func (l *link) read(socket net.Conn) (responded bool, err error) {
 	var input []byte
-	chunk := make([]byte, readSize)
+	chunk := make([]byte, readBufferBytes)
 	for {
 		size, err := socket.Read(chunk)
 		if err != nil {
@@ -150,15 +151,15 @@
 	}
 }
 
-// deliverResponses hands the complete responses at the start of the input to the dispatcher, and
-// returns how many bytes they take up.
+// deliverResponses passes the complete responses at the start of the input to the dispatcher, and
+// returns the number of bytes consumed.
 func (l *link) deliverResponses(input []byte) (consumed int, err error) {
 	for consumed < len(input) {
 		response, size, err := rpc.ParseResponse(input[consumed:])
 		switch {
 		case err != nil:
-			return consumed, fmt.Errorf("after %d bytes that are read: %w", consumed, err)
-		case size == 0 && len(input)-consumed > maxPartialMessage:
+			return consumed, fmt.Errorf("parse response at byte %d of the input buffer: %w", consumed, err)
+		case size == 0 && len(input)-consumed > maxPartialMessageBytes:
 			return consumed, errMessageTooLong
 		case size == 0:
 			return consumed, nil
--- a/internal/forwarder/connection_test.go
+++ b/internal/forwarder/connection_test.go
@@ -8,35 +8,36 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// What a worker sends that is no answer ends its connection, with an error that says why; what came
-// before is handed on.
-func TestLink_ReadReportsMalformedAnswers(t *testing.T) {
+// A malformed response ends the connection with an error. Valid responses before it are still
+// passed to the dispatcher.
+func TestLinkRead_ReportsMalformedResponses(t *testing.T) {
 	result := string(rpc.AppendResult(nil, 1, []byte("r"), rpc.ResponseMetadata{}))
-	endless := "\x94\x01\x01\xc0\x92\xc6\x7f\xff\xff\xff" + strings.Repeat("x", maxPartialMessage+1)
+	oversized := "\x94\x01\x01\xc0\x92\xc6\x7f\xff\xff\xff" + strings.Repeat("x", maxPartialMessageBytes+1)
 	for name, c := range map[string]struct {
-		bytes       string
-		answers     int
+		input       string
+		responses   int
 		isMalformed bool
 	}{
-		"nothing":             {},
-		"an answer":           {bytes: result, answers: 1},
-		"half of one":         {bytes: result[:len(result)-1]},
-		"no answer":           {bytes: "\xc1", isMalformed: true},
-		"one, then none":      {bytes: result + "\xc1", answers: 1, isMalformed: true},
-		"one that never ends": {bytes: endless, isMalformed: true},
+		"empty input":                    {},
+		"one response":                   {input: result, responses: 1},
+		"incomplete response":            {input: result[:len(result)-1]},
+		"malformed response":             {input: "\xc1", isMalformed: true},
+		"response, then a malformed one": {input: result + "\xc1", responses: 1, isMalformed: true},
+		"response longer than the limit": {input: oversized, isMalformed: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			near, far := net.Pipe()
+			socket, workerSocket := net.Pipe()
 			dispatcher := &Dispatcher{events: make(chan event, 4), stop: make(chan struct{})}
 			l := newLink(dispatcher, Worker{})
 			go func() {
-				_, _ = far.Write([]byte(c.bytes)) // the reader may leave before its end
-				_ = far.Close()
+				_, _ = workerSocket.Write([]byte(c.input)) // fails if the reader closes its end first
+				_ = workerSocket.Close()
 			}()
-			answered, err := l.read(near)
-			_ = near.Close()
-			if (err != nil) != c.isMalformed || answered != (c.answers > 0) || len(dispatcher.events) != c.answers {
-				t.Errorf("answered %t, %d answers, %v", answered, len(dispatcher.events), err)
+			responded, err := l.read(socket)
+			_ = socket.Close()
+			if (err != nil) != c.isMalformed || responded != (c.responses > 0) || len(dispatcher.events) != c.responses {
+				t.Errorf("read returned %t, %v and passed on %d responses, want %d responses and an error: %t",
+					responded, err, len(dispatcher.events), c.responses, c.isMalformed)
 			}
 		})
 	}
--- a/internal/forwarder/deadline.go
+++ b/internal/forwarder/deadline.go
@@ -6,7 +6,7 @@
 // Len returns the number of requests.
 func (h deadlineHeap) Len() int { return len(h) }
 
-// Less reports whether the deadline of i is before that of j.
+// Less reports whether request i has an earlier deadline than request j.
 func (h deadlineHeap) Less(i, j int) bool { return h[i].deadline < h[j].deadline }
 
 // Swap exchanges two requests.
@@ -16,14 +16,14 @@
 	h[j].heapIndex = j
 }
 
-// Push adds a request at the end.
+// Push appends a request.
 func (h *deadlineHeap) Push(x any) {
 	p := x.(*pendingRequest)
 	p.heapIndex = len(*h)
 	*h = append(*h, p)
 }
 
-// Pop removes the request at the end.
+// Pop removes and returns the last request.
 func (h *deadlineHeap) Pop() any {
 	last := len(*h) - 1
 	p := (*h)[last]
--- a/internal/forwarder/dispatcher.go
+++ b/internal/forwarder/dispatcher.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// maxQueuedEvents bounds the events that wait for the event loop. A request for which there is
-	// no room is not dispatched.
+	// maxQueuedEvents limits the events queued for the event loop. A request is not dispatched
+	// while the queue is full.
 	maxQueuedEvents = 8192
-	// reportTimeout bounds how long TakeReport waits for the event loop.
+	// reportTimeout limits how long TakeReport waits for the event loop.
 	reportTimeout = 200 * time.Millisecond
-	// latencyWindows and latencyWindowSeconds are the sliding window in which the typical latency
-	// is measured.
+	// The typical latency is measured in a sliding window of latencyWindows buckets of
+	// latencyWindowSeconds each.
 	latencyWindows       = 8
 	latencyWindowSeconds = 1
 )
@@ -28,7 +28,7 @@
 	events chan event
 	stop   chan struct{}
 
-	// What follows belongs to the event loop.
+	// The fields below are accessed only by the event loop.
 
 	router          *routing.Router
 	links           map[string]*link // by worker name
@@ -36,29 +36,31 @@
 	deadlines       deadlineHeap
 	latencies       []*timewindow.Buckets[timewindow.Histogram] // by class, of finished attempts
 	demand          map[string]float64                          // requests by tenant since the last report
-	results         []forwarding.Result                         // to be returned after this batch of events
+	results         []forwarding.Result                         // passed to Config.OnResults after this batch of events
 	stats           stats
-	workerAvailable bool // a worker has been connected
+	workerAvailable bool // whether any worker has ever connected
 
-	lastReport   float64
-	lastStats    float64
-	lastLearning float64
+	// Times of the last report, log line of statistics and estimate of capacities.
+
+	lastReport           float64
+	lastStats            float64
+	lastCapacityEstimate float64
 }
 
-// Start returns a dispatcher and begins to dial all workers.
+// Start starts a dispatcher, which begins to connect to all workers.
 func Start(config Config) *Dispatcher {
 	now := config.Now()
 	dispatcher := &Dispatcher{
-		config:       config,
-		events:       make(chan event, maxQueuedEvents),
-		stop:         make(chan struct{}),
-		router:       routing.New(uint64(config.Seed)),
-		links:        map[string]*link{},
-		pending:      map[string]*pendingRequest{},
-		demand:       map[string]float64{},
-		lastReport:   now,
-		lastStats:    now,
-		lastLearning: now,
+		config:               config,
+		events:               make(chan event, maxQueuedEvents),
+		stop:                 make(chan struct{}),
+		router:               routing.New(uint64(config.Seed)),
+		links:                map[string]*link{},
+		pending:              map[string]*pendingRequest{},
+		demand:               map[string]float64{},
+		lastReport:           now,
+		lastStats:            now,
+		lastCapacityEstimate: now,
 	}
 	dispatcher.router.SetSlowStart(config.SlowStartSpeed, config.SlowStartSeconds)
 	for range config.Classes {
@@ -75,32 +77,34 @@
 	return dispatcher
 }
 
-// Stop ends the dispatcher. Requests in flight are not returned.
+// Stop ends the dispatcher. Requests in flight get no result.
 func (d *Dispatcher) Stop() { close(d.stop) }
 
-// Dispatch takes a request. It returns false if there is no room: the request was not sent then.
+// Dispatch queues a request for dispatch. It returns false if the queue is full; the request was
+// then not sent.
 func (d *Dispatcher) Dispatch(request forwarding.Request) bool {
 	return d.tryPost(dispatchEvent{request: request})
 }
 
-// Cancel ends a request whose client no longer waits. If there is no room for the event the
-// request's deadline ends it.
+// Cancel cancels a request whose client no longer waits. If the event queue is full, the request
+// runs until its deadline.
 func (d *Dispatcher) Cancel(id string) { d.tryPost(cancelEvent{id: id}) }
 
-// ApplyPlan hands the weights of a load plan to the router. The freshUntil is by Config.Now. If
-// there is no room for the event they are dropped: the next plan comes soon.
+// ApplyPlan passes the weights of a load plan to the router. freshUntil is a time of Config.Now.
+// If the event queue is full the plan is dropped, as the next one follows soon.
 func (d *Dispatcher) ApplyPlan(weights map[string]float64, freshUntil float64) {
 	d.tryPost(planEvent{weights: weights, freshUntil: freshUntil})
 }
 
-// RecordDemand adds the requests that the server received, also those that it rejected itself, to
-// the next report. If there is no room for the event that report shows less demand.
+// RecordDemand adds the requests that the server received, including those that it rejected itself,
+// to the next report. If the event queue is full they are missing from the report.
 func (d *Dispatcher) RecordDemand(received []serving.CounterCell) {
 	d.tryPost(demandEvent{received: received})
 }
 
-// TakeReport returns the report on the time since the last one, without the fields that a
-// loadplan.Subscriber sets. It returns nil if the event loop is busy.
+// TakeReport returns the report on the period since the previous one, without the fields that a
+// loadplan.Subscriber sets. It returns nil if the event queue is full or the event loop does not
+// reply within reportTimeout.
 func (d *Dispatcher) TakeReport() *loadplan.Report {
 	reply := make(chan *loadplan.Report, 1)
 	if !d.tryPost(reportEvent{reply: reply}) {
@@ -114,7 +118,8 @@
 	}
 }
 
-// tryPost queues an event for the event loop, and reports whether there was room.
+// tryPost queues an event for the event loop. It returns false, without blocking, if the queue is
+// full.
 func (d *Dispatcher) tryPost(e event) bool {
 	select {
 	case d.events <- e:
@@ -124,8 +129,8 @@
 	}
 }
 
-// post queues an event for the event loop and waits for room. It returns false if the
-// dispatcher stopped.
+// post queues an event for the event loop, and blocks while the queue is full. It returns false if
+// the dispatcher stopped.
 func (d *Dispatcher) post(e event) bool {
 	select {
 	case d.events <- e:
--- a/internal/forwarder/dispatcher_test.go
+++ b/internal/forwarder/dispatcher_test.go
@@ -17,13 +17,13 @@
 
 const testTimeout = 10 * time.Second
 
-// testWorker is a worker that answers all requests alike.
+// testWorker is a worker that responds to every request in the same way.
 type testWorker struct {
-	answer   func(number uint64) []byte // nil if it closes the connection instead
-	received chan uint64
+	respond  func(number uint64) []byte // returns the encoded response; nil to close the connection instead
+	received chan uint64                // numbers of the received requests
 }
 
-// start listens on loopback and returns the worker's address.
+// start listens on a loopback address and returns it.
 func (w *testWorker) start(t *testing.T) string {
 	t.Helper()
 	w.received = make(chan uint64, 16)
@@ -64,26 +64,29 @@
 				continue
 			}
 			w.received <- message.Number
-			if w.answer == nil {
+			if w.respond == nil {
 				return
 			}
-			if _, err := socket.Write(w.answer(message.Number)); err != nil {
+			if _, err := socket.Write(w.respond(message.Number)); err != nil {
 				return
 			}
 		}
 	}
 }
 
-func finishes(number uint64) []byte {
+func respondFinished(number uint64) []byte {
 	return rpc.AppendResult(nil, number, []byte("done"), rpc.ResponseMetadata{})
 }
-func rejects(number uint64) []byte {
+func respondRejected(number uint64) []byte {
 	return rpc.AppendRejected(nil, number, rpc.ResponseMetadata{RetryAfter: 0.2})
 }
-func fails(number uint64) []byte { return rpc.AppendFailed(nil, number, rpc.ResponseMetadata{}) }
-func ignores(uint64) []byte      { return nil }
+func respondFailed(number uint64) []byte {
+	return rpc.AppendFailed(nil, number, rpc.ResponseMetadata{})
+}
+func respondNothing(uint64) []byte { return nil }
 
-// startTestDispatcher returns a dispatcher whose workers are connected, and its results.
+// startTestDispatcher starts a dispatcher, waits until it is connected to all workers, and returns
+// it with the channel of its results.
 func startTestDispatcher(t *testing.T, workers ...*testWorker) (*Dispatcher, <-chan forwarding.Result) {
 	t.Helper()
 	results := make(chan forwarding.Result, 16)
@@ -107,16 +110,16 @@
 	}
 	dispatcher := Start(config)
 	t.Cleanup(dispatcher.Stop)
-	waitUntil(t, "the workers are connected", func() bool { return connectedWorkers(dispatcher) >= len(workers) })
+	waitUntil(t, "all workers are connected", func() bool { return connectedWorkers(dispatcher) >= len(workers) })
 	return dispatcher, results
 }
 
-func waitUntil(t *testing.T, what string, holds func() bool) {
+func waitUntil(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(testTimeout)
-	for !holds() {
+	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %s: %s", testTimeout, what)
+			t.Fatalf("condition not met within %s: %s", testTimeout, description)
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -151,11 +154,11 @@
 		RemainingSeconds: remainingSeconds,
 	}
 	if !dispatcher.Dispatch(request) {
-		t.Fatal("no room for a request")
+		t.Fatal("Dispatch returned false, want the request queued")
 	}
 }
 
-func await(t *testing.T, results <-chan forwarding.Result) forwarding.Result {
+func awaitResult(t *testing.T, results <-chan forwarding.Result) forwarding.Result {
 	t.Helper()
 	select {
 	case result := <-results:
@@ -166,7 +169,7 @@
 	}
 }
 
-// resultCase is a request at workers, and what becomes of it.
+// resultCase is a request, the workers that it may be sent to, and its expected outcome.
 type resultCase struct {
 	workers          []*testWorker
 	class            int
@@ -178,15 +181,15 @@
 func resultCases() map[string]resultCase {
 	return map[string]resultCase{
 		"finished": {
-			workers: []*testWorker{{answer: finishes}}, class: paymentClass, remainingSeconds: 20,
+			workers: []*testWorker{{respond: respondFinished}}, class: paymentClass, remainingSeconds: 20,
 			want: admission.Finished, wantAttempts: 1,
 		},
-		"failed at the worker": {
-			workers: []*testWorker{{answer: fails}, {answer: fails}}, remainingSeconds: 20,
+		"failed by the worker": {
+			workers: []*testWorker{{respond: respondFailed}, {respond: respondFailed}}, remainingSeconds: 20,
 			want: admission.Failed, wantAttempts: 1,
 		},
-		"rejected by all that may be tried": {
-			workers: []*testWorker{{answer: rejects}, {answer: rejects}, {answer: rejects}},
+		"rejected by all attempted workers": {
+			workers: []*testWorker{{respond: respondRejected}, {respond: respondRejected}, {respond: respondRejected}},
 			class:   paymentClass, remainingSeconds: 20,
 			want: admission.Rejected, wantAttempts: 2,
 		},
@@ -198,40 +201,41 @@
 			workers: []*testWorker{{}, {}, {}}, class: paymentClass, remainingSeconds: 20,
 			want: admission.Failed, wantAttempts: 1,
 		},
-		"no answer before the deadline": {
-			workers: []*testWorker{{answer: ignores}}, remainingSeconds: 0.1,
+		"no response before the deadline": {
+			workers: []*testWorker{{respond: respondNothing}}, remainingSeconds: 0.1,
 			want: admission.Cancelled, wantAttempts: 1,
 		},
-		"no worker": {
+		"no worker configured": {
 			remainingSeconds: 20, want: admission.Rejected,
 		},
 	}
 }
 
-func TestDispatcher_ReturnsOneResult(t *testing.T) {
+func TestDispatcher_ReturnsOneResultPerRequest(t *testing.T) {
 	for name, c := range resultCases() {
 		t.Run(name, func(t *testing.T) {
 			dispatcher, results := startTestDispatcher(t, c.workers...)
 			dispatch(t, dispatcher, c.class, c.remainingSeconds)
-			result := await(t, results)
+			result := awaitResult(t, results)
 			if result.ID != "r1" || result.Outcome != c.want {
-				t.Errorf("%+v, want %s", result, c.want)
+				t.Errorf("got result %+v, want request r1 with outcome %s", result, c.want)
 			}
-			waitUntil(t, "all attempts arrived", func() bool { return countAttempts(c.workers) >= c.wantAttempts })
+			waitUntil(t, "all attempts reached a worker", func() bool { return countAttempts(c.workers) >= c.wantAttempts })
 			if attempts := countAttempts(c.workers); attempts != c.wantAttempts || len(results) > 0 {
-				t.Errorf("%d attempts, want %d; %d more results", attempts, c.wantAttempts, len(results))
+				t.Errorf("got %d attempts and %d further results, want %d attempts and no further result",
+					attempts, len(results), c.wantAttempts)
 			}
 		})
 	}
 }
 
-func TestDispatcher_CancelEndsARequest(t *testing.T) {
-	worker := &testWorker{answer: ignores}
+func TestDispatcher_CancelCompletesRequest(t *testing.T) {
+	worker := &testWorker{respond: respondNothing}
 	dispatcher, results := startTestDispatcher(t, worker)
 	dispatch(t, dispatcher, idempotentClass, 20)
 	<-worker.received
 	dispatcher.Cancel("r1")
-	if result := await(t, results); result.Outcome != admission.Cancelled {
-		t.Errorf("%+v", result)
+	if result := awaitResult(t, results); result.Outcome != admission.Cancelled {
+		t.Errorf("got result %+v, want outcome %s", result, admission.Cancelled)
 	}
 }
--- a/internal/forwarder/doc.go
+++ b/internal/forwarder/doc.go
@@ -1,13 +1,13 @@
 // Package forwarder sends a server's requests to workers and returns their results.
 //
-// The event loop of a Dispatcher is one goroutine. It alone uses the dispatcher's state: the
-// router, the links to the workers and the requests in flight. Everything reaches it as an event.
-// The methods of a Dispatcher may be called from any goroutine and do not wait for room in the queue
-// of events; only TakeReport waits, up to reportTimeout, for its reply. Each link has a goroutine
-// that dials and reads, and each connection one that writes.
+// The event loop of a Dispatcher is one goroutine. Only this goroutine accesses the dispatcher's
+// state: the router, the links to the workers and the requests in flight. Other goroutines send it
+// events. The methods of a Dispatcher may be called from any goroutine and do not block when the
+// event queue is full; only TakeReport waits for a reply, for at most reportTimeout. Each link has
+// a goroutine that dials and reads, and each connection has a goroutine that writes.
 //
 // A request passes through Dispatch, sendToWorker, the link's connection, the worker, a
-// responseEvent, complete and Config.OnResults. An attempt that ends without a result may be
-// followed by another one, as package routing decides. Each request that was dispatched has exactly
-// one result, at the latest shortly after its deadline.
+// responseEvent, complete and Config.OnResults. If an attempt ends without a result, package
+// routing decides whether to retry the request at another worker. Each dispatched request has
+// exactly one result, at the latest deadlineGraceSeconds after its deadline.
 package forwarder
--- a/internal/forwarder/event.go
+++ b/internal/forwarder/event.go
@@ -9,18 +9,18 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// event is something that the event loop of a Dispatcher handles.
+// event is an input to the event loop of a Dispatcher.
 type event interface {
-	// handle changes the dispatcher's state. Only the event loop calls it.
+	// handle applies the event to the dispatcher's state. Only the event loop calls it.
 	handle(d *Dispatcher, now float64)
 }
 
-// dispatchEvent brings a new request.
+// dispatchEvent carries a new request.
 type dispatchEvent struct{ request forwarding.Request }
 
 func (e dispatchEvent) handle(d *Dispatcher, now float64) { d.accept(now, &e.request) }
 
-// cancelEvent tells that a request's client no longer waits.
+// cancelEvent reports that a request's client no longer waits.
 type cancelEvent struct{ id string }
 
 func (e cancelEvent) handle(d *Dispatcher, now float64) {
@@ -29,7 +29,7 @@
 	}
 }
 
-// planEvent brings a load plan's weights.
+// planEvent carries the weights of a load plan.
 type planEvent struct {
 	weights    map[string]float64
 	freshUntil float64
@@ -39,7 +39,7 @@
 	d.router.ApplyPlan(now, e.weights, e.freshUntil)
 }
 
-// demandEvent brings the numbers of requests that the server received.
+// demandEvent carries the counts of requests that the server received.
 type demandEvent struct{ received []serving.CounterCell }
 
 func (e demandEvent) handle(d *Dispatcher, _ float64) {
@@ -48,12 +48,12 @@
 	}
 }
 
-// reportEvent asks for a report.
+// reportEvent requests a load report.
 type reportEvent struct{ reply chan<- *loadplan.Report }
 
 func (e reportEvent) handle(d *Dispatcher, now float64) { e.reply <- d.takeReport(now) }
 
-// connectedEvent brings a new connection to a worker.
+// connectedEvent carries a new connection to a worker.
 type connectedEvent struct {
 	link       *link
 	connection *connection
@@ -63,12 +63,12 @@
 	d.handleConnected(now, e.link, e.connection)
 }
 
-// disconnectedEvent tells that a link's connection ended.
+// disconnectedEvent reports that a link's connection ended.
 type disconnectedEvent struct{ link *link }
 
 func (e disconnectedEvent) handle(d *Dispatcher, now float64) { d.handleDisconnected(now, e.link) }
 
-// responseEvent brings a worker's response.
+// responseEvent carries a worker's response.
 type responseEvent struct {
 	link     *link
 	response rpc.Response
@@ -81,7 +81,7 @@
 	}
 	p := e.link.inFlight[e.response.Number]
 	if p == nil {
-		return // late, or unknown
+		return // the attempt has already ended, or the number is unknown
 	}
 	switch e.response.Kind {
 	case rpc.ResponseFinished:
--- a/internal/forwarder/link.go
+++ b/internal/forwarder/link.go
@@ -7,16 +7,16 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// link keeps a connection to one worker, and replaces it after it ended.
+// link maintains the connection to one worker, and reconnects when it ends.
 type link struct {
 	worker     Worker
 	dispatcher *Dispatcher
 
-	// What follows belongs to the dispatcher's event loop.
+	// The fields below are accessed only by the dispatcher's event loop.
 
-	connection *connection                // nil if there is none
-	isDraining bool                       // the worker wants no new request on this connection
-	lastNumber uint64                     // of a message, across all connections
+	connection *connection                // nil while not connected
+	isDraining bool                       // the worker asked for no new requests on this connection
+	lastNumber uint64                     // number of the last message, across all connections
 	inFlight   map[uint64]*pendingRequest // by message number
 }
 
@@ -24,8 +24,8 @@
 	return &link{worker: worker, dispatcher: d, inFlight: map[uint64]*pendingRequest{}}
 }
 
-// send sends a request and returns the number of its message. It returns 0 if there is no room:
-// nothing was sent then.
+// send sends a request and returns its message number. It returns 0, without sending anything, if
+// the link is disconnected or draining, or if the connection's queue is full.
 func (l *link) send(p *pendingRequest, message *rpc.Message) uint64 {
 	if l.connection == nil || l.isDraining {
 		return 0
@@ -39,16 +39,16 @@
 	return l.lastNumber
 }
 
-// sendCancel tells the worker that nobody waits for the response to a message any more. If there is
-// no room the message's deadline ends it.
+// sendCancel tells the worker that the response to a message is no longer needed. If the queue is
+// full the cancellation is dropped, and the worker continues until the message's deadline.
 func (l *link) sendCancel(number uint64) {
 	if l.connection != nil {
 		l.connection.enqueue(rpc.AppendCancel(nil, number))
 	}
 }
 
-// drain stops sending new requests on the connection, as its worker asked. The connection is closed
-// once all requests on it are answered; keepConnected then dials another one.
+// drain handles the worker's request to stop sending new requests on the connection. The connection
+// is closed once no request on it is in flight; keepConnected then opens a new one.
 func (l *link) drain(now float64) {
 	if l.connection != nil && !l.isDraining {
 		l.isDraining = true
@@ -57,10 +57,10 @@
 	}
 }
 
-// closeIfDrained closes a connection that is draining and has no request in flight.
+// closeIfDrained closes the connection if it is draining and has no request in flight.
 func (l *link) closeIfDrained() {
 	if l.isDraining && l.connection != nil && len(l.inFlight) == 0 {
-		l.connection.close() // read returns then
+		l.connection.close() // makes read return
 	}
 }
 
@@ -76,8 +76,8 @@
 	}
 }
 
-// handleDisconnected ends the attempts on a connection that ended: their requests may have been
-// executed.
+// handleDisconnected finishes the attempts in flight on a connection that ended. Their requests may
+// have been executed.
 func (d *Dispatcher) handleDisconnected(now float64, l *link) {
 	l.connection = nil
 	l.isDraining = false
--- a/internal/forwarder/loop.go
+++ b/internal/forwarder/loop.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// maxBatch bounds the events that are handled before results are returned.
+	// maxBatch limits the events handled before results are passed to Config.OnResults.
 	maxBatch = 256
-	// minWaitSeconds is the shortest time until the loop wakes up without an event.
+	// minWaitSeconds is the shortest timer interval of the loop.
 	minWaitSeconds = 0.001
-	// deadlineGraceSeconds is how long after a request's deadline its response is still waited
-	// for: a safety margin for the network hop.
+	// deadlineGraceSeconds is how long the dispatcher waits for a response after the request's
+	// deadline: a safety margin for the network hop.
 	deadlineGraceSeconds = 0.010
-	// learnIntervalSeconds is how often the workers' capacities are estimated: some tens of
-	// requests at each.
-	learnIntervalSeconds = 0.5
-	// statsIntervalSeconds is how often the statistics are logged.
+	// capacityEstimateIntervalSeconds is the time between two estimates of the workers' capacities,
+	// in which each worker handles some tens of requests.
+	capacityEstimateIntervalSeconds = 0.5
+	// statsIntervalSeconds is the time between two log lines of statistics.
 	statsIntervalSeconds = 10.0
 )
 
@@ -46,7 +46,7 @@
 	}
 }
 
-// handleBatch handles an event and those that are queued behind it.
+// handleBatch handles an event and at most maxBatch of the events queued behind it.
 func (d *Dispatcher) handleBatch(first event) {
 	d.handle(first)
 	for range min(len(d.events), maxBatch) {
@@ -54,8 +54,8 @@
 	}
 }
 
-// handle handles an event and recovers from a panic in it. A request that the panic left without a
-// result is ended by its deadline.
+// handle handles an event and recovers from a panic in its handler. A request that is left without a
+// result by the panic times out at its deadline.
 func (d *Dispatcher) handle(e event) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -65,25 +65,26 @@
 	e.handle(d, d.config.Now())
 }
 
-// nextWakeup returns when maintain has something to do.
+// nextWakeup returns the time at which handleTimers has to run next.
 func (d *Dispatcher) nextWakeup() float64 {
-	next := min(d.lastLearning+learnIntervalSeconds, d.lastStats+statsIntervalSeconds)
+	next := min(d.lastCapacityEstimate+capacityEstimateIntervalSeconds, d.lastStats+statsIntervalSeconds)
 	if len(d.deadlines) > 0 {
 		next = min(next, d.deadlines[0].deadline+deadlineGraceSeconds)
 	}
 	return next
 }
 
-// handleTimers ends the requests whose deadline is over, estimates capacities and logs statistics.
+// handleTimers aborts the requests whose deadline has passed, estimates capacities and logs
+// statistics, each when due.
 func (d *Dispatcher) handleTimers() {
 	now := d.config.Now()
 	for len(d.deadlines) > 0 && now >= d.deadlines[0].deadline+deadlineGraceSeconds {
 		d.stats.timedOut++
 		d.abort(now, d.deadlines[0], routing.TimedOut)
 	}
-	if now >= d.lastLearning+learnIntervalSeconds {
-		d.router.LearnCapacity(now - d.lastLearning)
-		d.lastLearning = now
+	if now >= d.lastCapacityEstimate+capacityEstimateIntervalSeconds {
+		d.router.LearnCapacity(now - d.lastCapacityEstimate)
+		d.lastCapacityEstimate = now
 	}
 	if now >= d.lastStats+statsIntervalSeconds {
 		d.lastStats = now
--- a/internal/forwarder/report.go
+++ b/internal/forwarder/report.go
@@ -6,10 +6,10 @@
 	"swiftcourse/internal/policy/loadplan"
 )
 
-// minReportSeconds guards the division by the time since the last report.
+// minReportSeconds is the shortest report interval, to avoid a division by zero.
 const minReportSeconds = 0.001
 
-// stats counts requests since the last line of statistics in the log.
+// stats counts requests since the last log line of statistics.
 type stats struct {
 	dispatched     int
 	finished       int
@@ -37,7 +37,7 @@
 	d.stats = stats{}
 }
 
-// takeReport returns the demand and the workers' statistics since the last report.
+// takeReport returns the demand and the workers' statistics since the last report, and resets both.
 func (d *Dispatcher) takeReport(now float64) *loadplan.Report {
 	report := &loadplan.Report{IntervalSeconds: max(now-d.lastReport, minReportSeconds)}
 	d.lastReport = now
--- a/internal/forwarder/request.go
+++ b/internal/forwarder/request.go
@@ -9,28 +9,28 @@
 	"swiftcourse/internal/timewindow"
 )
 
-// maxPending bounds the requests that have no result yet.
-const maxPending = 16384
+// maxPendingRequests limits the requests without a result.
+const maxPendingRequests = 16384
 
 // pendingRequest is a request that has no result yet.
 type pendingRequest struct {
-	request   forwarding.Request
-	deadline  float64
-	tried     []string // workers, one for each attempt
-	heapIndex int      // in Dispatcher.deadlines
+	request      forwarding.Request
+	deadline     float64
+	triedWorkers []string // worker names, one for each attempt
+	heapIndex    int      // in Dispatcher.deadlines
 
 	// The attempt in flight.
 
-	link           *link // nil if there is none
+	link           *link // nil if no attempt is in flight
 	messageNumber  uint64
 	attemptStarted float64
 }
 
-// accept makes a new request pending and sends it to a worker. It rejects a request whose ID is
-// pending already, and any once there are maxPending.
+// accept adds a new request to the pending ones and sends it to a worker. It rejects the request if
+// its ID is already pending, or if maxPendingRequests are pending.
 func (d *Dispatcher) accept(now float64, request *forwarding.Request) {
 	d.stats.dispatched++
-	if d.pending[request.ID] != nil || len(d.pending) >= maxPending {
+	if d.pending[request.ID] != nil || len(d.pending) >= maxPendingRequests {
 		d.results = append(d.results, forwarding.Result{ID: request.ID, Outcome: admission.Rejected})
 		return
 	}
@@ -40,11 +40,11 @@
 	d.sendToWorker(now, p, 0)
 }
 
-// sendToWorker sends a request to a worker, or rejects it if none may have it. The retryAfter
-// is that of the worker that rejected it before, 0 if there is none.
+// sendToWorker sends a request to a worker, or rejects it if no worker is available. retryAfter is
+// the value from the worker that rejected the previous attempt, 0 if there is none.
 func (d *Dispatcher) sendToWorker(now float64, p *pendingRequest, retryAfter float64) {
 	for {
-		name, nextAvailable := d.router.Pick(now, d.isIdempotent(p), p.tried...)
+		name, nextAvailable := d.router.Pick(now, d.isIdempotent(p), p.triedWorkers...)
 		if name == "" {
 			d.reject(p, max(retryAfter, nextAvailable))
 			return
@@ -60,13 +60,13 @@
 	}
 }
 
-// startAttempt sends a request over a link. If that has no room it returns false, and the caller has
-// to finish the attempt.
+// startAttempt sends a request over a link. It returns false if the link could not queue the
+// request; the caller then has to finish the attempt.
 func (d *Dispatcher) startAttempt(now float64, p *pendingRequest, l *link) bool {
-	p.tried = append(p.tried, l.worker.Name)
+	p.triedWorkers = append(p.triedWorkers, l.worker.Name)
 	p.link = l
 	p.attemptStarted = now
-	d.router.StartAttempt(l.worker.Name, len(p.tried))
+	d.router.StartAttempt(l.worker.Name, len(p.triedWorkers))
 
 	message := p.request.Message
 	message.ArrivedAt = now
@@ -76,7 +76,7 @@
 	return p.messageNumber > 0
 }
 
-// finishAttempt records how the attempt in flight ended.
+// finishAttempt records the outcome of the attempt in flight. It has no effect if there is none.
 func (d *Dispatcher) finishAttempt(now float64, p *pendingRequest, outcome routing.Outcome, retryAfter float64) {
 	l := p.link
 	if l == nil {
@@ -88,7 +88,7 @@
 	l.closeIfDrained()
 }
 
-// handleFinished returns a worker's result.
+// handleFinished completes a request with the worker's result.
 func (d *Dispatcher) handleFinished(now float64, p *pendingRequest, body []byte) {
 	latency := now - p.attemptStarted
 	d.finishAttempt(now, p, routing.Finished, 0)
@@ -97,7 +97,7 @@
 	d.complete(p, forwarding.Result{Outcome: admission.Finished, Body: body})
 }
 
-// abort ends a request that nobody waits for any more, at its worker too.
+// abort completes a request that was cancelled or has timed out, and cancels it at its worker.
 func (d *Dispatcher) abort(now float64, p *pendingRequest, outcome routing.Outcome) {
 	if p.link != nil {
 		p.link.sendCancel(p.messageNumber)
@@ -106,8 +106,8 @@
 	d.complete(p, forwarding.Result{Outcome: admission.Cancelled})
 }
 
-// retryOrComplete sends a request to another worker after an attempt that had this outcome, or
-// completes it if it may not be retried.
+// retryOrComplete retries a request at another worker after an attempt with this outcome, or
+// completes the request if it may not be retried.
 func (d *Dispatcher) retryOrComplete(now float64, p *pendingRequest, outcome routing.Outcome, retryAfter float64) {
 	switch {
 	case d.allowRetry(now, p, outcome):
@@ -125,20 +125,20 @@
 func (d *Dispatcher) allowRetry(now float64, p *pendingRequest, outcome routing.Outcome) bool {
 	return d.router.AllowRetry(routing.RetryCandidate{
 		LastOutcome:    outcome,
-		Attempts:       len(p.tried),
+		Attempts:       len(p.triedWorkers),
 		IsIdempotent:   d.isIdempotent(p),
 		Remaining:      p.deadline - now,
 		TypicalLatency: d.typicalLatency(now, p.request.Class),
 	})
 }
 
-// reject returns a request that no worker took.
+// reject completes a request that no worker accepted.
 func (d *Dispatcher) reject(p *pendingRequest, retryAfter float64) {
 	d.stats.rejected++
 	d.complete(p, forwarding.Result{Outcome: admission.Rejected, RetryAfterSeconds: retryAfter})
 }
 
-// complete ends a request with a result, of which it sets the ID and the duration.
+// complete removes a request and queues its result, after setting the result's ID and duration.
 func (d *Dispatcher) complete(p *pendingRequest, result forwarding.Result) {
 	delete(d.pending, p.request.ID)
 	heap.Remove(&d.deadlines, p.heapIndex)
--- a/internal/forwarding/forwarding.go
+++ b/internal/forwarding/forwarding.go
@@ -1,5 +1,5 @@
 // Package forwarding holds the messages between a server that forwards its requests and the
-// forwarder that sends them to workers. They are plain values: whoever receives one owns it.
+// forwarder that sends them to workers. They are plain values, owned by the receiver.
 package forwarding
 
 import (
@@ -7,21 +7,21 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// Request is a request for a worker.
+// Request is a request to be forwarded to a worker.
 type Request struct {
 	ID               string
 	Class            int
-	Message          rpc.Message // as it is forwarded; the forwarder sets its number and its times
-	RemainingSeconds float64     // until its result has to be back
+	Message          rpc.Message // the forwarded message; the forwarder sets its number and times
+	RemainingSeconds float64     // remaining budget: the time until the deadline of the result
 }
 
 // Result is the outcome of a forwarded request.
 type Result struct {
 	ID string
-	// Outcome is Finished, Failed, Rejected if no worker took the request, or Cancelled if its
-	// client no longer waits or its deadline has passed.
+	// Outcome is Finished, Failed, Rejected (no worker accepted the request) or Cancelled (the
+	// client no longer waits, or the deadline has passed).
 	Outcome           admission.Outcome
 	Body              []byte
 	Seconds           float64 // since the request was dispatched
-	RetryAfterSeconds float64 // if it was rejected: when to retry; 0 if that is unknown
+	RetryAfterSeconds float64 // for a rejected request, the time until a retry may succeed; 0 if unknown
 }
