--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -11,9 +11,8 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// Agent decides for one process in its fleet. It has no goroutine and no clock of its own: its
-// owner passes it each message, calls Tick when NextWakeup is reached, and never calls two methods
-// at once.
+// Agent takes part in the fleet on behalf of one process. It starts no goroutine: its owner passes it
+// each message and calls Tick at the time that NextWakeup returns. It is not safe for concurrent use.
 type Agent struct {
 	config      Config
 	logger      *slog.Logger
@@ -22,7 +21,7 @@
 	random      *rand.Rand
 	voterNames  []string // sorted
 	handlers    [wire.KindCount]handler
-	components  []component // in the order in which they run
+	components  []component // in the order of their ticks
 
 	voter     *consensus.Voter // nil if this process does not vote
 	lease     leaseState
@@ -31,7 +30,7 @@
 	commands  map[uint64]*pendingCommand // by the command's ID
 	published lease.Snapshot
 
-	// The components; nil for those that are off.
+	// The components; nil if disabled.
 	replication *replicator
 	trust       *trustSharer
 	quotas      *quotaManager
@@ -40,22 +39,22 @@
 	loadPlan    *loadPlanner
 }
 
-// handler handles messages of one kind.
+// handler handles one message.
 type handler func(now float64, message *wire.Envelope)
 
-// component is an optional part of the agent that the configuration enables.
+// component is an optional part of the agent, which the configuration enables.
 type component interface {
-	// nextWakeup returns when tick has something to do.
+	// nextWakeup returns the time at which tick has to run next.
 	nextWakeup(now float64) float64
-	// tick does what is due.
+	// tick performs the work that is due.
 	tick(now float64)
 }
 
-// commandPollInterval is the longest that an agent sleeps while a command, an audit or a release is
-// under way, in seconds.
-const commandPollInterval = 0.1
+// commandPollIntervalSeconds is the longest time between two ticks while a command, an audit or a
+// release is in progress.
+const commandPollIntervalSeconds = 0.1
 
-// NewAgent returns the agent of an incarnation that begins.
+// NewAgent returns the agent for a new incarnation of the process.
 func NewAgent(config Config, incarnation uint64, network Network, random *rand.Rand) *Agent {
 	agent := &Agent{
 		config:      config,
@@ -107,7 +106,7 @@
 	}
 }
 
-// registerHandler sets the handler of some kinds of messages.
+// registerHandler sets the handler for some kinds of messages.
 func (a *Agent) registerHandler(handle handler, kinds ...wire.Kind) {
 	for _, kind := range kinds {
 		a.handlers[kind] = handle
@@ -117,31 +116,31 @@
 // Incarnation returns the number that identifies this start of the process.
 func (a *Agent) Incarnation() uint64 { return a.incarnation }
 
-// Now returns the agent's clock in seconds.
+// Now returns the current time of the agent's clock in seconds.
 func (a *Agent) Now() float64 { return a.config.Clock.Now() }
 
 // unixNow returns the time of day in seconds.
 func (a *Agent) unixNow() float64 { return a.config.Clock.UnixNow() }
 
-// unixMilli returns the time of day in milliseconds, 0 before 1970.
+// unixMilli returns the time of day in milliseconds since 1970, 0 if the clock is before 1970.
 func (a *Agent) unixMilli() uint64 { return uint64(max(0, a.unixNow()*1000)) }
 
-// ReleaseLog returns the release log as this process knows it. It must not be changed.
+// ReleaseLog returns this process's copy of the release log. The caller must not change it.
 func (a *Agent) ReleaseLog() *release.Log { return a.releases.log }
 
-// ServingState returns what was published last, and the active version.
+// ServingState returns the lease snapshot that was published last, and the active version.
 func (a *Agent) ServingState() (lease.Snapshot, release.Version) {
 	return a.published, a.releases.active
 }
 
-// HandleMessage handles one message. Kinds without a handler are dropped.
+// HandleMessage handles one message. A message of a kind without a handler is dropped.
 func (a *Agent) HandleMessage(now float64, message *wire.Envelope) {
 	if handle := a.handlers[message.Kind()]; handle != nil {
 		handle(now, message)
 	}
 }
 
-// NextWakeup returns when Tick is to be called.
+// NextWakeup returns the time at which Tick has to be called next.
 func (a *Agent) NextWakeup() float64 {
 	next := min(a.lease.holder.NextWakeup(), a.published.ChangesAt, a.nextAccountSummary())
 	if a.voter != nil {
@@ -152,7 +151,7 @@
 		next = min(next, c.nextWakeup(now))
 	}
 	if len(a.commands) > 0 || len(a.audits.pending) > 0 || a.isBehind() {
-		next = min(next, a.Now()+commandPollInterval)
+		next = min(next, a.Now()+commandPollIntervalSeconds)
 	}
 	return next
 }
@@ -162,7 +161,7 @@
 	return a.lease.holder.AssignedEpoch() > a.releases.active.Epoch
 }
 
-// Tick does what is due, sends what there is to send, and publishes what changed.
+// Tick performs the work that is due, sends pending messages, and publishes a changed directive.
 func (a *Agent) Tick(now float64) {
 	if a.voter != nil {
 		a.voter.Tick(now)
@@ -176,7 +175,7 @@
 	}
 	a.fetchReleaseLog(now)
 	a.gossipAccount(now)
-	a.forgetAccounts(now)
+	a.removeStaleAccounts(now)
 	a.retryCommands(now)
 	a.expireAudits(now)
 	for _, c := range a.components {
@@ -186,7 +185,7 @@
 	a.publish()
 }
 
-// publish hands the serving loop its directive if that changed.
+// publish passes the directive to the serving loop if it changed.
 func (a *Agent) publish() {
 	snapshot := a.lease.holder.Snapshot()
 	snapshot.Stats = a.releases.stats
--- a/internal/fleet/agent_test.go
+++ b/internal/fleet/agent_test.go
@@ -10,7 +10,7 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-const bootstrapSeconds = 20 // a cluster is bootstrapped, and all have their lease
+const bootstrapSeconds = 20 // enough for a cluster to be bootstrapped and for all servers to get a lease
 
 func TestAgent_AppliesReleaseEverywhere(t *testing.T) {
 	c := newTestCluster(t, 3, 2)
@@ -18,40 +18,42 @@
 	c.leader()
 	result := c.release(c.agents["n1"], "text of the release\n")
 	if result.RejectReason != "" {
-		t.Fatalf("the release was rejected: %s", result.RejectReason)
+		t.Fatalf("release rejected: %q, want it applied", result.RejectReason)
 	}
 	for _, name := range c.names() {
 		a := c.agents[name]
 		snapshot, active := a.ServingState()
 		if active.Epoch != result.NewestEpoch || a.applied[len(a.applied)-1] != "text of the release\n" {
-			t.Errorf("%s serves %s, want %s; it applied %q", name, active.Epoch, result.NewestEpoch, a.applied)
+			t.Errorf("%s: active epoch %s, applied texts %q, want epoch %s and the released text last",
+				name, active.Epoch, a.applied, result.NewestEpoch)
 		}
 		if snapshot.State != lease.StateLeased || a.published != snapshot.Directive {
-			t.Errorf("%s is %s, and published %+v", name, snapshot.State, a.published)
+			t.Errorf("%s: state %s, published %+v, want state %s and %+v",
+				name, snapshot.State, a.published, lease.StateLeased, snapshot.Directive)
 		}
 	}
 }
 
-func TestAgent_ReportsVersionThatCannotBeApplied(t *testing.T) {
+func TestAgent_ReportsAndRetriesFailedApply(t *testing.T) {
 	c := newTestCluster(t, 3, 1)
 	c.run(bootstrapSeconds)
-	behind := c.agents["n1"]
-	_, before := behind.ServingState()
-	behind.applyErr = errors.New("its limits differ")
+	server := c.agents["n1"]
+	_, before := server.ServingState()
+	server.applyErr = errors.New("its limits differ")
 	c.release(c.leader(), "text\n")
-	if _, active := behind.ServingState(); active.Epoch != before.Epoch {
-		t.Fatalf("it serves %s after it could not be applied", active.Epoch)
+	if _, active := server.ServingState(); active.Epoch != before.Epoch {
+		t.Fatalf("active epoch %s after applying the release failed, want %s", active.Epoch, before.Epoch)
 	}
-	for _, server := range c.leader().serverStatuses(c.now) {
-		if server.Name == "n1" && server.BlockedBy != "its limits differ" {
-			t.Errorf("the leader knows of n1: %+v", server)
+	for _, status := range c.leader().serverStatuses(c.now) {
+		if status.Name == "n1" && status.BlockedBy != "its limits differ" {
+			t.Errorf("the leader's status of n1 is %+v, want the error of Apply in BlockedBy", status)
 		}
 	}
-	// Once it can be applied it is, without another release.
-	behind.applyErr = nil
+	// The server retries the version, without another release, until it can be applied.
+	server.applyErr = nil
 	c.run(20)
-	if _, active := behind.ServingState(); active.Epoch == before.Epoch {
-		t.Error("it was never applied")
+	if _, active := server.ServingState(); active.Epoch == before.Epoch {
+		t.Errorf("active epoch is still %s after Apply no longer fails, want the released one", before.Epoch)
 	}
 }
 
@@ -61,12 +63,12 @@
 	c.detached["n1"] = true
 	c.run(10)
 	if snapshot, _ := c.agents["n1"].ServingState(); snapshot.State != lease.StateExpired {
-		t.Errorf("a detached server is %s", snapshot.State)
+		t.Errorf("state of a detached server is %s, want %s", snapshot.State, lease.StateExpired)
 	}
 	delete(c.detached, "n1")
 	c.run(10)
 	if snapshot, _ := c.agents["n1"].ServingState(); snapshot.State != lease.StateLeased {
-		t.Errorf("a server that returned is %s", snapshot.State)
+		t.Errorf("state of a reattached server is %s, want %s", snapshot.State, lease.StateLeased)
 	}
 }
 
@@ -77,10 +79,10 @@
 	c.detached[first.name] = true
 	c.run(20)
 	if first.isConfirmedLeader(c.now) {
-		t.Error("a detached leader is confirmed")
+		t.Errorf("detached leader %s is still the confirmed leader", first.name)
 	}
 	if second := c.leader(); second == first {
-		t.Error("the detached leader leads")
+		t.Errorf("leader is still the detached %s, want another one", first.name)
 	}
 }
 
@@ -92,11 +94,11 @@
 	}
 	result := c.release(c.agents["n1"], "text\n")
 	if result.RejectReason != reasonNoMajority {
-		t.Errorf("rejected for %q, want %q", result.RejectReason, reasonNoMajority)
+		t.Errorf("reject reason %q, want %q", result.RejectReason, reasonNoMajority)
 	}
 }
 
-func TestSubmitCommand_RejectsTooMany(t *testing.T) {
+func TestSubmitCommand_RejectsBeyondMaxPending(t *testing.T) {
 	c := newTestCluster(t, 1, 0)
 	a := c.agents["v1"]
 	var reasons []string
@@ -106,7 +108,7 @@
 		})
 	}
 	if len(reasons) != 1 || reasons[0] != reasonTooManyCommands {
-		t.Errorf("rejected for %q, want one %q", reasons, reasonTooManyCommands)
+		t.Errorf("reject reasons %q, want exactly one %q", reasons, reasonTooManyCommands)
 	}
 }
 
@@ -119,20 +121,21 @@
 	auditor.turn()
 	c.run(1)
 	if len(results) != 1 {
-		t.Fatalf("an audit that all answered ended %d times within a second, want once", len(results))
+		t.Fatalf("audit called done %d times within a second, want once", len(results))
 	}
 	result := results[0]
 	for _, name := range c.names() {
 		if incarnation := c.agents[name].Incarnation(); !result.responding[incarnation] {
-			t.Errorf("%s is not known to be alive", name)
+			t.Errorf("incarnation %x of %s is not among the responding ones", incarnation, name)
 		}
 	}
 	if result.releaseLog == nil || len(result.servers) != len(c.agents) {
-		t.Errorf("release log %v, %d servers", result.releaseLog, len(result.servers))
+		t.Errorf("release log %v and %d server statuses, want a log and %d statuses",
+			result.releaseLog, len(result.servers), len(c.agents))
 	}
 }
 
-func TestStartAudit_EndsWithoutVoters(t *testing.T) {
+func TestStartAudit_EndsAtTimeoutWithoutVoters(t *testing.T) {
 	c := newTestCluster(t, 3, 2)
 	c.run(bootstrapSeconds)
 	for name := range c.voters {
@@ -142,14 +145,13 @@
 	auditor := c.agents["n2"]
 	auditor.startAudit(c.now, func(result *auditResult) { results = append(results, result) })
 	auditor.turn()
-	c.run(auditTimeout + 1)
+	c.run(auditTimeoutSeconds + 1)
 	if len(results) != 1 || results[0].releaseLog != nil {
-		t.Errorf("an audit without voters ended with %+v", results)
+		t.Errorf("audit results %+v, want one without a release log", results)
 	}
 }
 
-// Messages of components that are off, and of consensus at a process that does not vote, change
-// nothing.
+// Messages for disabled components, and empty messages, have no effect.
 func TestHandleMessage_DropsKindsWithoutHandler(t *testing.T) {
 	c := newTestCluster(t, 1, 1)
 	a := c.agents["n1"]
@@ -163,9 +165,10 @@
 		a.HandleMessage(c.now, message)
 	}
 	if len(c.inFlight) != 0 {
-		t.Errorf("%d messages were sent", len(c.inFlight))
+		t.Errorf("%d messages were sent, want none", len(c.inFlight))
 	}
 	if a.ReplicationStatus() != nil || a.CounterStatus(c.now) != nil {
-		t.Error("a component that is off has a status")
+		t.Errorf("replication status %+v, counter status %+v, want nil for disabled components",
+			a.ReplicationStatus(), a.CounterStatus(c.now))
 	}
 }
--- a/internal/fleet/audit.go
+++ b/internal/fleet/audit.go
@@ -8,45 +8,45 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// auditState is the process's record of which versions the servers ran when, the times at which it
-// is gossiped, and the audits that wait for replies.
+// auditState contains the audit trail (which server ran which version when), the times of its gossip,
+// and the pending audits.
 type auditState struct {
-	trail           *audit.Trail
-	lastSummary     float64
-	lastForget      float64
-	urgentSummaries int // summaries still to be sent at urgentSummaryInterval
-	pending         map[uint64]*pendingAudit
-	lastRunID       uint64
+	trail               *audit.Trail
+	lastSummary         float64
+	lastAccountCleanup  float64
+	urgentSummariesLeft int // summaries to be sent at urgentSummaryIntervalSeconds, after a change
+	pending             map[uint64]*pendingAudit
+	lastAuditID         uint64
 }
 
-// pendingAudit is an audit that waits for others' replies.
+// pendingAudit is an audit that waits for replies of other members.
 type pendingAudit struct {
 	deadline float64
-	awaiting map[string]bool // names of members that have not answered
+	awaiting map[string]bool // names of members that have not replied
 	result   auditResult
 	done     func(*auditResult)
 }
 
-// auditResult is what an audit collected.
+// auditResult is the information that an audit collected.
 type auditResult struct {
 	accounts   []audit.Account
-	responding map[uint64]bool // incarnations that answered
-	releaseLog *release.Log    // the newest that any voter knows; nil if no joined voter answered
+	responding map[uint64]bool // incarnations that replied
+	releaseLog *release.Log    // the newest log of any voter; nil if no joined voter replied
 	servers    []lease.ServerStatus
-	replicas   map[string]*replication.Status // of all that keep or claim anything
+	replicas   map[string]*replication.Status // by process name, of the processes with replication enabled
 }
 
 const (
-	summaryInterval       = 2.0  // seconds between two account summaries
-	urgentSummaryInterval = 0.15 // the same after a change
-	// urgentSummaryCount summaries follow a change: with gossipFanout receivers each time, one
-	// process in e^9 learns of it only by its own request.
-	urgentSummaryCount = 3
-	forgetInterval     = 60.0 // seconds between two scans for accounts to be dropped
-	auditTimeout       = 2.0  // seconds that an audit waits for those that don't answer
-	maxAccountsInReply = 500
-	// releaseLogOnly is the request ID of a state request that asks for a newer release log and for
-	// nothing else.
+	summaryIntervalSeconds       = 2.0  // between two account summaries
+	urgentSummaryIntervalSeconds = 0.15 // the same after a change
+	// urgentSummaryCount is the number of summaries that follow a change. As each of them goes to
+	// gossipFanout members, only about one process in e^9 receives none of them and learns of the
+	// change by its own request.
+	urgentSummaryCount            = 3
+	accountCleanupIntervalSeconds = 60.0 // between two scans for stale accounts
+	auditTimeoutSeconds           = 2.0  // how long an audit waits for replies
+	maxAccountsInReply            = 500
+	// releaseLogOnly is the request ID of a state request for nothing but a newer release log.
 	releaseLogOnly = 0
 )
 
@@ -59,21 +59,21 @@
 	a.registerHandler(a.handleStateReply, wire.KindStateReply)
 }
 
-// nextAccountSummary returns when the next account summary is due.
+// nextAccountSummary returns the time at which the next account summary is due.
 func (a *Agent) nextAccountSummary() float64 {
-	if a.audits.urgentSummaries > 0 {
-		return a.audits.lastSummary + urgentSummaryInterval
+	if a.audits.urgentSummariesLeft > 0 {
+		return a.audits.lastSummary + urgentSummaryIntervalSeconds
 	}
-	return a.audits.lastSummary + summaryInterval
+	return a.audits.lastSummary + summaryIntervalSeconds
 }
 
-// gossipAccount sends some others a summary of this process's own account.
+// gossipAccount gossips a summary of this process's own account when it is due.
 func (a *Agent) gossipAccount(now float64) {
 	if now < a.nextAccountSummary() {
 		return
 	}
 	a.audits.lastSummary = now
-	a.audits.urgentSummaries = max(0, a.audits.urgentSummaries-1)
+	a.audits.urgentSummariesLeft = max(0, a.audits.urgentSummariesLeft-1)
 	summary := a.audits.trail.Summary()
 	a.gossip(gossipFanout, &wire.Envelope{AccountSummary: &summary})
 }
@@ -83,24 +83,24 @@
 	a.requestLeaseForNewerEpoch(now, message.AccountSummary)
 }
 
-// forgetAccounts drops the accounts of names that are neither registered nor members.
-func (a *Agent) forgetAccounts(now float64) {
-	if now < a.audits.lastForget+forgetInterval || len(a.releases.log.Members) == 0 {
+// removeStaleAccounts removes the accounts of processes that are neither registered nor members.
+func (a *Agent) removeStaleAccounts(now float64) {
+	if now < a.audits.lastAccountCleanup+accountCleanupIntervalSeconds || len(a.releases.log.Members) == 0 {
 		return
 	}
-	a.audits.lastForget = now
+	a.audits.lastAccountCleanup = now
 	a.audits.trail.Forget(func(name string) bool {
 		_, registered := a.releases.log.Members[name]
 		return registered || a.network.HasMember(name)
 	})
 }
 
-// handleStateRequest answers an audit's request, or one for a newer release log alone.
+// handleStateRequest replies to an audit's request, or to a request for a newer release log only.
 func (a *Agent) handleStateRequest(now float64, message *wire.Envelope) {
 	request := message.StateRequest
 	var reply *wire.StateReply
 	if request.RequestID == releaseLogOnly {
-		log := a.logNewerThan(request)
+		log := a.releaseLogNewerThan(request)
 		if log == nil {
 			return
 		}
@@ -111,8 +111,9 @@
 	a.sendReply(message, &wire.Envelope{StateReply: reply})
 }
 
-// auditReply returns the known accounts and, if this process votes, a newer release log; the leader
-// adds the status of all servers.
+// auditReply returns the reply to an audit's request: the known accounts, the status of replication
+// and, from a voter, the release log if it is newer than the requester's. The leader adds the status
+// of all servers.
 func (a *Agent) auditReply(now float64, request *wire.StateRequest) *wire.StateReply {
 	a.recordVersionStats()
 	accounts := a.accounts(request.Names)
@@ -122,7 +123,7 @@
 		Accounts:    accounts[max(0, len(accounts)-maxAccountsInReply):],
 	}
 	if a.voter != nil {
-		reply.ReleaseLog = a.logNewerThan(request)
+		reply.ReleaseLog = a.releaseLogNewerThan(request)
 	}
 	if a.hasJoinedCluster() {
 		reply.Servers = a.serverStatuses(now)
@@ -130,8 +131,9 @@
 	return reply
 }
 
-// logNewerThan returns this process's release log if it is newer than the requester's, else nil.
-func (a *Agent) logNewerThan(request *wire.StateRequest) *release.Log {
+// releaseLogNewerThan returns this process's release log if it is newer than the requester's, and
+// nil otherwise.
+func (a *Agent) releaseLogNewerThan(request *wire.StateRequest) *release.Log {
 	known := &release.Log{
 		Current:      release.Version{Epoch: release.NewEpoch(request.ClusterID, 0)},
 		AppliedCount: request.AppliedCount,
@@ -142,13 +144,13 @@
 	return a.releases.log
 }
 
-// accounts returns the known accounts of some names, nil for all, and the process's own account as
-// the last.
+// accounts returns the known accounts of the named processes, or all known accounts if names is nil.
+// The process's own account is the last.
 func (a *Agent) accounts(names []string) []audit.Account {
 	return append(a.audits.trail.Accounts(names), a.audits.trail.Account())
 }
 
-// serverStatuses returns the status of all servers, nil unless this process is the leader.
+// serverStatuses returns the status of all servers, or nil if this process is not the leader.
 func (a *Agent) serverStatuses(now float64) []lease.ServerStatus {
 	if a.lease.grantor == nil || !a.isConfirmedLeader(now) {
 		return nil
@@ -167,7 +169,7 @@
 	run.result.add(message)
 }
 
-// add merges one process's reply.
+// add merges the reply of one process into the result.
 func (r *auditResult) add(message *wire.Envelope) {
 	reply := message.StateReply
 	for _, account := range reply.Accounts {
@@ -187,11 +189,12 @@
 	}
 }
 
-// startAudit requests the accounts of all members, and calls done once with what arrived in time.
+// startAudit requests the accounts of all members, and calls done once, with the replies that arrived
+// within auditTimeoutSeconds.
 func (a *Agent) startAudit(now float64, done func(*auditResult)) {
-	a.audits.lastRunID++
+	a.audits.lastAuditID++
 	run := &pendingAudit{
-		deadline: now + auditTimeout,
+		deadline: now + auditTimeoutSeconds,
 		awaiting: map[string]bool{},
 		result: auditResult{
 			responding: map[uint64]bool{a.incarnation: true},
@@ -208,17 +211,17 @@
 		run.result.releaseLog = a.releases.log
 		run.result.servers = a.serverStatuses(now)
 	}
-	a.audits.pending[a.audits.lastRunID] = run
+	a.audits.pending[a.audits.lastAuditID] = run
 	absent := a.absentServers()
 	for name, addr := range a.network.Members() {
 		run.awaiting[name] = true
-		request := &wire.StateRequest{RequestID: a.audits.lastRunID, Names: absent}
+		request := &wire.StateRequest{RequestID: a.audits.lastAuditID, Names: absent}
 		a.send(addr, &wire.Envelope{StateRequest: request})
 	}
 }
 
-// absentServers returns the names of registered servers that are no members, of which the others
-// are asked for accounts.
+// absentServers returns the names of registered servers that are not members. As these cannot reply
+// to an audit, the members are asked for their accounts.
 func (a *Agent) absentServers() []string {
 	var names []string
 	for name := range a.releases.log.Members {
@@ -227,12 +230,13 @@
 		}
 	}
 	if names == nil {
-		return []string{""} // an empty list would request all
+		return []string{""} // an empty list would request all accounts
 	}
 	return names
 }
 
-// expireAudits ends the audits that all members answered, or whose deadline has passed.
+// expireAudits ends the audits that have a release log and the replies of all members, and those
+// whose deadline has passed.
 func (a *Agent) expireAudits(now float64) {
 	for id, run := range a.audits.pending {
 		complete := len(run.awaiting) == 0 && run.result.releaseLog != nil
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -10,14 +10,14 @@
 	"swiftcourse/internal/policy/release"
 )
 
-// maxResponse bounds a response that is read, in bytes: the accounts of a thousand servers.
-const maxResponse = 16 << 20
+// maxResponseBytes limits the size of a response. It has room for the accounts of a thousand servers.
+const maxResponseBytes = 16 << 20
 
-// The functions of this file call a process's control API at addr. An error response of the server
-// is a *ControlError.
+// The functions of this file call the control API of the process at addr. They return an error
+// response of the server as a *ControlError.
 
-// FetchStatus returns what the process knows of the fleet. Versions before the epoch since are left
-// out; "" leaves out none.
+// FetchStatus returns the status of the fleet as known to the process. Versions older than the epoch
+// since are omitted; an empty since omits none.
 func FetchStatus(addr, since string) (*Status, error) {
 	status := &Status{}
 	return status, callControl(addr, http.MethodGet, statusPath+"?since="+url.QueryEscape(since), nil, status)
@@ -29,7 +29,7 @@
 	return status, callControl(addr, http.MethodGet, quotasPath, nil, status)
 }
 
-// FetchCounters returns what the process knows of the fleet's counters.
+// FetchCounters returns the fleet's counters as known to the process.
 func FetchCounters(addr string) (*CounterStatus, error) {
 	status := &CounterStatus{}
 	return status, callControl(addr, http.MethodGet, countersPath, nil, status)
@@ -58,13 +58,13 @@
 	if err != nil {
 		return err
 	}
-	client := &http.Client{Timeout: controlTimeout} // longer than a server waits for the others
+	client := &http.Client{Timeout: controlTimeout} // longer than a server waits for other processes
 	response, err := client.Do(request)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
-	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
--- a/internal/fleet/cluster_test.go
+++ b/internal/fleet/cluster_test.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	testLatency  = 0.001 // seconds that a message takes
+	testLatency  = 0.001 // seconds from sending a message to its delivery
 	testUnixTime = 1.8e9
 	testBuild    = "b1"
 )
 
-// testCluster runs agents in simulated time, over a network that delivers everything in order.
+// testCluster runs agents in simulated time, over a network that delivers messages in order.
 type testCluster struct {
 	t        *testing.T
 	now      float64
 	agents   map[string]*testAgent
 	voters   map[string]string
 	inFlight []delivery
-	detached map[string]bool // agents whose messages go nowhere, and that receive none
+	detached map[string]bool // names of agents whose messages, sent and received, are dropped
 }
 
-// testAgent is one process of it; its name is its address too.
+// testAgent is one process of a testCluster. Its name is also its address.
 type testAgent struct {
 	*Agent
 	cluster   *testCluster
@@ -38,7 +38,7 @@
 	applied   []string
 	applyErr  error
 	published serving.Directive
-	wakeup    float64 // when it is to run again
+	wakeup    float64 // time of its next turn
 }
 
 type delivery struct {
@@ -47,7 +47,7 @@
 	encoded []byte
 }
 
-// newTestCluster makes a cluster of voters v1, v2, ... and further servers n1, n2, ...
+// newTestCluster returns a cluster of voters v1, v2, ... and further servers n1, n2, ...
 func newTestCluster(t *testing.T, voters, servers int) *testCluster {
 	t.Helper()
 	c := &testCluster{
@@ -100,10 +100,10 @@
 	c.agents[name] = a
 }
 
-// names returns the agents' names in the order in which they run.
+// names returns the agents' names in the order of their turns.
 func (c *testCluster) names() []string { return slices.Sorted(maps.Keys(c.agents)) }
 
-// run lets so many seconds pass.
+// run advances the simulated time by seconds.
 func (c *testCluster) run(seconds float64) {
 	c.t.Helper()
 	for end := c.now + seconds; c.now < end; {
@@ -124,13 +124,13 @@
 	}
 }
 
-// turn has the agent do what is due, as its owner does after each message and at each wakeup.
+// turn calls Tick, as the agent's owner does after each message and at each wakeup.
 func (a *testAgent) turn() {
 	a.Tick(a.cluster.now)
 	a.wakeup = max(a.cluster.now+testLatency, a.NextWakeup())
 }
 
-// deliver hands over the messages that have arrived.
+// deliver passes the messages that have arrived to their agents.
 func (c *testCluster) deliver() {
 	c.t.Helper()
 	for len(c.inFlight) > 0 && c.inFlight[0].at <= c.now {
@@ -138,7 +138,7 @@
 		c.inFlight = c.inFlight[1:]
 		message, err := wire.Decode(arrived.encoded)
 		if err != nil {
-			c.t.Fatalf("a message to %s can't be decoded: %v", arrived.to, err)
+			c.t.Fatalf("decode a message to %s: %v", arrived.to, err)
 		}
 		if a := c.agents[arrived.to]; a != nil && !c.detached[arrived.to] {
 			a.HandleMessage(c.now, message)
@@ -147,7 +147,7 @@
 	}
 }
 
-// leader returns the agent that leads, and fails unless there is exactly one.
+// leader returns the leader, and fails the test unless there is exactly one.
 func (c *testCluster) leader() *testAgent {
 	c.t.Helper()
 	var leaders []*testAgent
@@ -157,13 +157,12 @@
 		}
 	}
 	if len(leaders) != 1 {
-		c.t.Fatalf("%d agents lead, want 1", len(leaders))
+		c.t.Fatalf("%d agents are leaders, want 1", len(leaders))
 	}
 	return leaders[0]
 }
 
-// release submits a release of a text at an agent, and returns the result that comes within some
-// seconds.
+// release submits a release of a text at an agent, and returns its result.
 func (c *testCluster) release(a *testAgent, text string) wire.CommandResult {
 	c.t.Helper()
 	var results []wire.CommandResult
@@ -175,9 +174,9 @@
 	}
 	a.SubmitCommand(c.now, command, func(result wire.CommandResult) { results = append(results, result) })
 	a.turn()
-	c.run(commandTimeout + 1)
+	c.run(commandTimeoutSeconds + 1)
 	if len(results) != 1 {
-		c.t.Fatalf("a command ended %d times, want once", len(results))
+		c.t.Fatalf("command called done %d times, want once", len(results))
 	}
 	return results[0]
 }
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -9,7 +9,7 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// pendingCommand is an operator's command whose result is not known yet.
+// pendingCommand is an operator's command without a known result.
 type pendingCommand struct {
 	command     *release.Command
 	nextAttempt float64
@@ -18,13 +18,13 @@
 }
 
 const (
-	maxPendingCommands   = 64   // operators' commands that wait for their result
-	commandTimeout       = 10.0 // seconds that an operator waits for a command
-	commandRetryInterval = 0.5  // seconds
+	maxPendingCommands          = 64   // pending commands of operators, at most
+	commandTimeoutSeconds       = 10.0 // how long an operator's command may be pending
+	commandRetryIntervalSeconds = 0.5
 )
 
-// SubmitCommand submits an operator's command, and calls done once with how it ended. A command
-// that expects no epoch is meant for the newest that this process knows of.
+// SubmitCommand submits an operator's command, and calls done once with its result. A command without
+// an expected epoch expects the newest epoch that this process knows.
 func (a *Agent) SubmitCommand(now float64, command release.Command, done func(wire.CommandResult)) {
 	if len(a.commands) >= maxPendingCommands {
 		done(wire.CommandResult{RejectReason: reasonTooManyCommands})
@@ -35,10 +35,10 @@
 	if command.ExpectedEpoch == 0 {
 		command.ExpectedEpoch = a.releases.log.NewestEpoch()
 	}
-	a.commands[command.ID] = &pendingCommand{command: &command, deadline: now + commandTimeout, done: done}
+	a.commands[command.ID] = &pendingCommand{command: &command, deadline: now + commandTimeoutSeconds, done: done}
 }
 
-// handleCommand accepts an operator's command that another process sent.
+// handleCommand accepts an operator's command that another process forwarded.
 func (a *Agent) handleCommand(now float64, message *wire.Envelope) {
 	command := message.Command
 	if a.commands[command.ID] != nil || command.ID == 0 || len(a.commands) >= maxPendingCommands {
@@ -47,7 +47,7 @@
 	request := *message
 	a.commands[command.ID] = &pendingCommand{
 		command:  command,
-		deadline: now + commandTimeout,
+		deadline: now + commandTimeoutSeconds,
 		done: func(result wire.CommandResult) {
 			a.sendReply(&request, &wire.Envelope{CommandResult: &result})
 		},
@@ -58,7 +58,7 @@
 	a.finishCommand(*message.CommandResult)
 }
 
-// finishCommand ends a pending command.
+// finishCommand removes a pending command and reports its result.
 func (a *Agent) finishCommand(result wire.CommandResult) {
 	if pending := a.commands[result.ID]; pending != nil {
 		delete(a.commands, result.ID)
@@ -66,23 +66,24 @@
 	}
 }
 
-// retryCommands proposes or sends pending commands again until their result is known or their
-// deadline has passed.
+// retryCommands attempts pending commands again at intervals of commandRetryIntervalSeconds, and
+// rejects those whose deadline has passed.
 func (a *Agent) retryCommands(now float64) {
-	for _, id := range slices.Sorted(maps.Keys(a.commands)) { // sorted, so that a simulation repeats itself
+	for _, id := range slices.Sorted(maps.Keys(a.commands)) { // sorted to keep simulations deterministic
 		pending := a.commands[id]
 		switch {
 		case now > pending.deadline:
 			newest := a.releases.log.NewestEpoch()
 			a.finishCommand(wire.CommandResult{ID: id, RejectReason: reasonNoMajority, NewestEpoch: newest})
 		case now >= pending.nextAttempt:
-			pending.nextAttempt = now + commandRetryInterval
+			pending.nextAttempt = now + commandRetryIntervalSeconds
 			a.attemptCommand(pending.command)
 		}
 	}
 }
 
-// attemptCommand proposes a command, or sends it to the leader or some voter.
+// attemptCommand proposes a command if this process is a joined voter. Otherwise it sends the command
+// to the leader, or to a random voter if no leader is known.
 func (a *Agent) attemptCommand(command *release.Command) {
 	if a.hasJoinedCluster() {
 		a.voter.Propose(command)
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -8,13 +8,13 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// Config configures a process's agent. A component whose pointer is nil is off.
+// Config configures a process's agent. A component whose pointer is nil is disabled.
 type Config struct {
 	Name       string
 	ListenAddr string            // for gossip and messages, TCP and UDP
-	Voters     map[string]string // listen addresses of the voters, by their names
-	JoinAddrs  []string          // listen addresses of further members to join by
-	Seed       int64             // of all random draws
+	Voters     map[string]string // listen addresses of the voters, by name
+	JoinAddrs  []string          // listen addresses of further members through which to join
+	Seed       int64             // for all random choices
 	Build      string            // identifies the build of the program
 	Clock      TimeSource
 	Logger     *slog.Logger // nil for slog.Default
@@ -27,30 +27,31 @@
 	Quotas          *QuotaConfig
 	Health          *HealthConfig
 	LoadPlan        *LoadPlanConfig
-	CountersEnabled bool // turns on the counters of the fleet
+	CountersEnabled bool // enables the fleet's counters
 
-	// Apply puts the text of a release into effect, completely or, on an error, not at all. The
-	// agent does nothing else until it returns.
+	// Apply puts the text of a release into effect. If it returns an error, no part of the text is
+	// in effect. The agent is blocked until it returns.
 	Apply func(text string) error
-	// Publish hands the serving loop each new directive.
+	// Publish passes each new directive to the serving loop.
 	Publish func(*serving.Directive)
 
-	// Hooks change how the process reaches others, and observe it; the zero value does neither.
+	// Hooks change the addresses that the process dials, and observe its steps; the zero value does
+	// neither.
 	Hooks Hooks
 }
 
-// LeaseConfig configures the leases of servers.
+// LeaseConfig configures server leases.
 type LeaseConfig struct {
-	Terms    lease.Config // of the leases that the process grants while it leads
-	Fallback serving.Mode // mode of the server after its own lease expired
+	Terms    lease.Config // of the leases that the process grants while it is the leader
+	Fallback serving.Mode // serving mode of the server after its own lease has expired
 }
 
 // Hooks are optional callbacks.
 type Hooks struct {
-	// TranslateAddr returns the address at which to dial a process that listens on addr, where that
-	// is behind a port mapping or a relay.
+	// TranslateAddr returns the address to dial for a process that listens on addr behind a port
+	// mapping or a relay.
 	TranslateAddr func(addr string) string
-	// TracePoint is called at each step of a key claim or of catching up.
+	// TracePoint is called at each step of a key claim or of a replica's catch-up.
 	TracePoint func(TracePoint)
 }
 
--- a/internal/fleet/consensus.go
+++ b/internal/fleet/consensus.go
@@ -10,7 +10,7 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// startVoter starts the voter of a process that votes.
+// startVoter starts the consensus voter if this process is one of the voters.
 func (a *Agent) startVoter(now float64) {
 	if _, votes := a.config.Voters[a.config.Name]; !votes {
 		return
@@ -28,19 +28,21 @@
 	a.voter.HandleMessage(now, message.Consensus)
 }
 
-// isConfirmedLeader reports whether this process leads, and a majority confirmed it lately.
+// isConfirmedLeader reports whether this process is the leader and a majority has confirmed it within
+// the last lease.LeaderConfirmationWindow seconds.
 func (a *Agent) isConfirmedLeader(now float64) bool {
 	return a.voter != nil && a.voter.IsLeader(now-lease.LeaderConfirmationWindow)
 }
 
-// hasJoinedCluster reports whether this process votes in a cluster that was bootstrapped.
+// hasJoinedCluster reports whether this process is a voter of a bootstrapped cluster.
 func (a *Agent) hasJoinedCluster() bool { return a.voter != nil && a.voter.Joined() }
 
-// runVoter adopts the voter's release log and results, and maintains leases while the process leads.
+// runVoter adopts the voter's release log, handles the results of commands, and maintains the leases
+// of servers while this process is the leader.
 func (a *Agent) runVoter(now float64) {
 	a.releases.log = a.voter.ReleaseLog()
 	if newest := a.releases.log.NewestEpoch(); a.isNewEpoch(newest) {
-		a.lease.newestReported = newest
+		a.lease.newestObservedEpoch = newest
 		a.lease.holder.RequestBy(now)
 	}
 	leads := a.isConfirmedLeader(now)
@@ -53,8 +55,8 @@
 	}
 }
 
-// updateLeadership starts and stops what only a leader runs. A leader that lost its confirmation
-// keeps its grantor until it knows that it no longer leads.
+// updateLeadership starts and stops the functions of a leader. A leader whose confirmation has
+// expired keeps its grantor until it knows that it is no longer the leader.
 func (a *Agent) updateLeadership(now float64, leads bool) {
 	switch {
 	case leads && a.lease.grantor == nil:
@@ -72,14 +74,14 @@
 	}
 }
 
-// handleCommandOutcome handles the result of a command that was applied or rejected.
+// handleCommandOutcome handles the outcome of a command that the voters applied or rejected.
 func (a *Agent) handleCommandOutcome(outcome consensus.CommandResult) {
 	command := outcome.Command
 	if a.lease.grantor != nil {
 		a.lease.grantor.HandleCommandResult(command)
 	}
 	failed := outcome.Err != nil && !errors.Is(outcome.Err, release.ErrNameTaken)
-	if failed || command.Kind != release.KindRegister { // servers register all the time
+	if failed || command.Kind != release.KindRegister { // successful registrations are too frequent to log
 		a.logCommandOutcome(outcome)
 	}
 	if command.ID == 0 {
@@ -103,15 +105,15 @@
 		"rejected", fmt.Sprint(outcome.Err))
 }
 
-// propose proposes commands that this process itself issues as the leader.
+// propose proposes commands that this process issues itself as the leader.
 func (a *Agent) propose(commands []release.Command) {
 	for i := range commands {
 		commands[i].IssuedAt = a.unixNow()
-		_ = a.voter.ProposeAsLeader(&commands[i]) // the present leader proposes it again
+		_ = a.voter.ProposeAsLeader(&commands[i]) // on an error the current leader proposes it again
 	}
 }
 
-// sendVoterMessages sends the voter's messages to the other voters.
+// sendVoterMessages sends the voter's queued messages to the other voters.
 func (a *Agent) sendVoterMessages() {
 	if a.voter == nil {
 		return
--- a/internal/fleet/control.go
+++ b/internal/fleet/control.go
@@ -10,12 +10,13 @@
 	"swiftcourse/internal/policy/release"
 )
 
-// Bounds of the control API. It has no authentication, and is meant to listen on a loopback address.
+// Limits of the control API. The API has no authentication and is meant to listen on a loopback
+// address.
 const (
-	controlTimeout     = 20 * time.Second
-	maxControlHeader   = 8 << 10   // bytes
-	maxCommand         = 128 << 10 // bytes of a command
-	maxControlRequests = 8         // at a time
+	controlTimeout        = 20 * time.Second
+	maxControlHeaderBytes = 8 << 10
+	maxCommandBytes       = 128 << 10
+	maxControlRequests    = 8 // concurrent requests
 )
 
 // Paths of the control API.
@@ -27,25 +28,25 @@
 	commandPath  = "/command"
 )
 
-// controlServer answers operators' requests, as JSON over HTTP.
+// controlServer serves the control API: operators' requests, with JSON over HTTP.
 type controlServer struct {
 	node  *Node
-	slots chan struct{} // one entry for each request that is being served
+	slots chan struct{} // semaphore with one entry for each request being served
 }
 
-// commandResponse answers POST /command.
+// commandResponse is the response to POST /command.
 type commandResponse struct {
 	Newest release.Epoch `json:"newest"`
 }
 
-// errorResponse answers a request that failed.
+// errorResponse is the response to a failed request.
 type errorResponse struct {
 	Error string `json:"error"`
 }
 
-// ServeControl starts to answer operators' requests, until the context is done: GET
-// /state?since=EPOCH, /budgets, /counts and /plans, and POST /command. A request that fails has
-// status 409 and an errorResponse.
+// ServeControl starts to serve the control API on addr, and stops when the context is done. The API
+// consists of GET /state?since=EPOCH, /budgets, /counts and /plans, and POST /command. The response
+// to a failed request has status 409 and an errorResponse as its body.
 func (n *Node) ServeControl(ctx context.Context, addr string) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -56,7 +57,7 @@
 		Handler:        control.limit(control.routes()),
 		ReadTimeout:    controlTimeout,
 		WriteTimeout:   controlTimeout,
-		MaxHeaderBytes: maxControlHeader,
+		MaxHeaderBytes: maxControlHeaderBytes,
 	}
 	context.AfterFunc(ctx, func() { _ = server.Close() })
 	go func() { _ = server.Serve(listener) }()
@@ -73,7 +74,7 @@
 	return mux
 }
 
-// queryHandler responds with the result of a query that has no parameters.
+// queryHandler returns a handler that responds with the result of query.
 func queryHandler[T any](query func() (T, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		status, err := query()
@@ -81,7 +82,7 @@
 	}
 }
 
-// limit rejects requests beyond maxControlRequests at a time.
+// limit rejects a request while maxControlRequests others are being served.
 func (c *controlServer) limit(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -110,7 +111,7 @@
 
 func (c *controlServer) command(w http.ResponseWriter, r *http.Request) {
 	var command release.Command
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCommand)).Decode(&command); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCommandBytes)).Decode(&command); err != nil {
 		respondJSON(w, nil, err)
 		return
 	}
@@ -118,12 +119,12 @@
 	respondJSON(w, commandResponse{Newest: newest}, err)
 }
 
-// respondJSON writes a body, or an error if there is one.
+// respondJSON writes the body as JSON, or an errorResponse if err is not nil.
 func respondJSON(w http.ResponseWriter, body any, err error) {
 	w.Header().Set("Content-Type", "application/json")
 	if err != nil {
 		w.WriteHeader(http.StatusConflict)
 		body = errorResponse{Error: err.Error()}
 	}
-	_ = json.NewEncoder(w).Encode(body) // the client is gone where this fails
+	_ = json.NewEncoder(w).Encode(body) // fails only if the client has disconnected
 }
--- a/internal/fleet/control_keys_test.go
+++ b/internal/fleet/control_keys_test.go
@@ -10,9 +10,9 @@
 	"swiftcourse/internal/policy/release"
 )
 
-// The keys of the control API are what operators' programs read: they stay when a Go field is
-// renamed.
-func TestControlAPI_KeysStay(t *testing.T) {
+// Operators' programs depend on the JSON keys of the control API, so renaming a Go field must not
+// change them.
+func TestControlAPI_KeysMatchGoldenFile(t *testing.T) {
 	golden, err := os.ReadFile("testdata/control_api_keys.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -39,17 +39,17 @@
 	slices.Sort(want)
 	for _, key := range want {
 		if _, found := slices.BinarySearch(got, key); !found {
-			t.Errorf("missing: %s", key)
+			t.Errorf("key missing from the control API: %s", key)
 		}
 	}
 	for _, key := range got {
 		if _, found := slices.BinarySearch(want, key); !found {
-			t.Errorf("new: %s", key)
+			t.Errorf("key not in the golden file: %s", key)
 		}
 	}
 }
 
-// collectKeys collects the paths of all JSON values within a type, with their kinds.
+// collectKeys adds the paths and kinds of all JSON values within a type to keys.
 func collectKeys(of reflect.Type, path string, keys map[string]bool) {
 	switch of.Kind() {
 	case reflect.Pointer, reflect.Slice:
@@ -68,7 +68,7 @@
 	}
 }
 
-// fieldPath returns the path of a field's value; that of an embedded struct is the struct's own.
+// fieldPath returns the JSON path of a field. An embedded struct has the path of the struct around it.
 func fieldPath(path string, field reflect.StructField) string {
 	key, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 	if key == "" && field.Anonymous {
--- a/internal/fleet/counters.go
+++ b/internal/fleet/counters.go
@@ -10,32 +10,32 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// leaderAuthor is the author of the leader's own commands.
+// leaderAuthor is the author of commands that the leader issues itself.
 const leaderAuthor = "leader"
 
-// counterManager reports what the serving loop counted to the aggregators, which are the voters,
-// and is an aggregator itself if the process votes. The leader closes the rows of servers that are
-// gone, which adds them to the totals in the release log.
+// counterManager reports the serving loop's counts to the aggregators, and is an aggregator itself if
+// the process is a voter: the voters are the aggregators. The leader closes the rows of servers that
+// have left, which adds their counts to the totals in the release log.
 type counterManager struct {
-	agent            *Agent
-	reporter         *counter.Reporter
-	aggregator       *counter.Aggregator // nil if this process does not vote
-	closedRows       map[uint64]uint64   // sequence at which a row was closed, by row
-	indexedAt        uint64              // AppliedCount of the release log from which closedRows was made
-	incompleteLogged bool                // an incomplete recovery was logged
+	agent                    *Agent
+	reporter                 *counter.Reporter
+	aggregator               *counter.Aggregator // nil if this process does not vote
+	closedRows               map[uint64]uint64   // sequence at which a row was closed, by row ID
+	indexedAppliedCount      uint64              // AppliedCount of the release log from which closedRows was built
+	incompleteRecoveryLogged bool
 }
 
-// newCounterManager starts the row of this incarnation. An earlier incarnation has a row of its own.
+// newCounterManager starts a row for this incarnation. Each incarnation has its own row.
 func newCounterManager(a *Agent, now float64) *counterManager {
 	c := &counterManager{
-		agent:      a,
-		reporter:   counter.NewReporter(a.config.Name, a.incarnation, a.voterNames, now),
-		closedRows: map[uint64]uint64{},
-		indexedAt:  math.MaxUint64,
+		agent:               a,
+		reporter:            counter.NewReporter(a.config.Name, a.incarnation, a.voterNames, now),
+		closedRows:          map[uint64]uint64{},
+		indexedAppliedCount: math.MaxUint64,
 	}
 	a.registerHandler(c.handleAck, wire.KindCounterAck)
 	if a.voter != nil {
-		// The time of the start, made unique by bits of the process's incarnation.
+		// The start time, made unique with the highest 16 bits of the process's incarnation.
 		incarnation := a.unixMilli()<<16 | a.incarnation>>48
 		c.aggregator = counter.NewAggregator(a.config.Name, a.voterNames, incarnation, c.closedRow, now)
 		a.registerHandler(c.handleReport, wire.KindCounterReport)
@@ -45,10 +45,10 @@
 	return c
 }
 
-// closedRow returns the sequence at which a row was closed, if it was.
+// closedRow returns the sequence at which a row was closed, and whether it was closed.
 func (c *counterManager) closedRow(rowID uint64) (sequence uint64, closed bool) {
-	if log := c.agent.releases.log; c.indexedAt != log.AppliedCount {
-		c.indexedAt = log.AppliedCount
+	if log := c.agent.releases.log; c.indexedAppliedCount != log.AppliedCount {
+		c.indexedAppliedCount = log.AppliedCount
 		clear(c.closedRows)
 		for _, row := range log.ClosedRows {
 			c.closedRows[row.ID] = row.Sequence
@@ -58,7 +58,7 @@
 	return sequence, closed
 }
 
-// ObserveCounts adds what the serving loop counted. Without counters it has no effect.
+// ObserveCounts adds the serving loop's counts. It has no effect if counters are disabled.
 func (a *Agent) ObserveCounts(cells []serving.CounterCell) {
 	if a.counters != nil {
 		a.counters.reporter.Add(cells)
@@ -82,8 +82,8 @@
 	}
 }
 
-// maintainAggregator synchronizes the aggregator with the others, and closes the rows of servers
-// that are gone.
+// maintainAggregator synchronizes the aggregator with the other aggregators, and closes the rows of
+// servers that have left.
 func (c *counterManager) maintainAggregator(now float64) {
 	leads := c.agent.lease.grantor != nil && c.agent.isConfirmedLeader(now)
 	isGone := func(name string, incarnation uint64) bool {
@@ -92,15 +92,15 @@
 	outbox, closable := c.aggregator.Maintain(now, leads, isGone)
 	c.deliver(now, outbox)
 	c.closeRows(closable)
-	if gaps := c.aggregator.IncompleteRecoveries(); gaps > 0 && !c.incompleteLogged {
-		c.incompleteLogged = true
+	if gaps := c.aggregator.IncompleteRecoveries(); gaps > 0 && !c.incompleteRecoveryLogged {
+		c.incompleteRecoveryLogged = true
 		c.agent.logger.Info("counter_recovery_incomplete",
 			"incomplete_recoveries", gaps,
 			"reason", "too few aggregators that knew all rows were there when this one started")
 	}
 }
 
-// deliver sends messages to aggregators, of which this process may be one.
+// deliver sends messages to aggregators, including the one of this process.
 func (c *counterManager) deliver(now float64, outbox []counter.Envelope) {
 	for _, outgoing := range outbox {
 		message := &wire.Envelope{CounterReport: outgoing.Report, CounterSyncRequest: outgoing.Query}
@@ -108,8 +108,8 @@
 	}
 }
 
-// closeRows proposes to add rows to the totals. The aggregator returns a row again if the command is
-// lost.
+// closeRows proposes a command that adds rows to the totals. If the command is lost, the aggregator
+// returns the rows again.
 func (c *counterManager) closeRows(reports []counter.RowReport) {
 	if len(reports) == 0 || c.agent.lease.grantor == nil {
 		return
@@ -140,18 +140,18 @@
 	c.closeRows(c.aggregator.HandleQueryReply(now, message.From, message.CounterSyncReply))
 }
 
-// CounterStatus is what a process knows of the fleet's counters.
+// CounterStatus is the state of the fleet's counters as known to one process.
 type CounterStatus struct {
 	Name         string                `json:"Name"`
-	Aggregators  []string              `json:"Keepers"`  // names of the processes that know all counts
-	Incarnation  string                `json:"Life"`     // of this process, hexadecimal
-	Unreported   []serving.CounterCell `json:"Here"`     // counts of this process in rows that are not closed
-	Acknowledged bool                  `json:"Agreed"`   // a majority of the aggregators has all of Unreported
-	Unplaced     uint64                `json:"Unplaced"` // requests that may be missing in the totals
-	Totals       *counter.Summary      `json:"Known"`    // nil if it is no aggregator
+	Aggregators  []string              `json:"Keepers"`  // names of the aggregators
+	Incarnation  string                `json:"Life"`     // of this process, in hexadecimal
+	Unreported   []serving.CounterCell `json:"Here"`     // counts of this process's current row
+	Acknowledged bool                  `json:"Agreed"`   // a majority of the aggregators has acknowledged Unreported
+	Unplaced     uint64                `json:"Unplaced"` // requests that may be missing from the totals
+	Totals       *counter.Summary      `json:"Known"`    // nil if this process is not an aggregator
 }
 
-// CounterStatus returns what is known here of the fleet's counters, nil if nothing is counted.
+// CounterStatus returns the fleet's counters as known to this process, nil if counters are disabled.
 func (a *Agent) CounterStatus(now float64) *CounterStatus {
 	c := a.counters
 	if c == nil {
--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -1,17 +1,17 @@
-// Package fleet is the node agent: it makes one process a member of its fleet, and exchanges
-// messages with the other processes.
+// Package fleet implements the node agent, which makes one process a member of its fleet and
+// exchanges messages with the other processes.
 //
-// An Agent owns all fleet state of the process: the consensus voter, the server lease, the active
+// An Agent owns the fleet state of its process: the consensus voter, the server lease, the active
 // release, and the optional components that the configuration enables (replication, trust records,
-// quotas, health of the downstream service, counters, load plans). It decides with the packages of
-// internal/policy, has no goroutine and no clock, and is driven by messages and by time, so that a
-// simulation can run it as well.
+// quotas, health of the downstream service, counters, load plans). It makes its decisions with the
+// packages of internal/policy. It starts no goroutine and reads the time only from Config.Clock;
+// messages and ticks drive it, so that it also runs in a simulation.
 //
-// A Node runs one Agent on a goroutine of its own and feeds it from the gossip network. The serving
-// loop, which is outside of this package and responds to clients, calls methods of the Node that
-// never block, and receives immutable values by callbacks (Config.Publish and those of the
-// components). It never waits for the agent.
+// A Node runs one Agent on a dedicated goroutine and passes it the messages from the gossip network.
+// The serving loop, which responds to clients and is outside of this package, calls methods of the
+// Node that never block, and receives immutable values through callbacks (Config.Publish and those
+// of the components). It never waits for the agent.
 //
-// State flows one way: a message is decoded by the network's goroutine, handled by the Agent,
-// turned into decisions in Tick, and published.
+// Data flows in one direction: the network's goroutine decodes a message, the Agent handles it,
+// Tick makes the decisions, and the agent publishes the results.
 package fleet
--- a/internal/fleet/errors.go
+++ b/internal/fleet/errors.go
@@ -5,45 +5,44 @@
 	"fmt"
 )
 
-// Errors of the control API and of the Node's queries, to be tested with errors.Is.
+// Errors of the control API and of the Node's queries. Callers test for them with errors.Is.
 var (
-	// ErrAgentBusy means that the agent did not accept a request in time.
+	// ErrAgentBusy means that the agent did not accept a request within requestTimeout.
 	ErrAgentBusy = errors.New("the fleet agent of this process is busy")
-	// ErrAgentDown means that a request was queued for the agent and not answered in time, for
-	// instance as the agent restarts.
+	// ErrAgentDown means that the agent accepted a request but did not answer it in time, for
+	// instance because it is restarting.
 	ErrAgentDown = errors.New("the fleet agent of this process is down")
-	// ErrNoReleaseLog means that no voter that has joined a cluster answered an audit, so that the
-	// release log is unknown.
+	// ErrNoReleaseLog means that the release log is unknown, because no voter of a bootstrapped cluster
+	// replied to the audit.
 	ErrNoReleaseLog = errors.New("no voter of a joined cluster answered: nobody knows the release log")
-	// ErrCountersOff means that counters are off at the process.
+	// ErrCountersOff means that counters are disabled at the process.
 	ErrCountersOff = errors.New("nothing is counted: fleet-counts is off")
-	// ErrTooManyRequests means that the control API serves maxControlRequests already.
+	// ErrTooManyRequests means that the control API is already serving maxControlRequests requests.
 	ErrTooManyRequests = errors.New("too many control requests at once")
 )
 
-// Reasons for which the agent rejects a command without the leader's decision.
+// Reasons with which the agent itself rejects a command, without a decision of the leader.
 const (
 	reasonTooManyCommands = "too many commands are pending"
 	reasonNoMajority      = "no majority of the voters answered in time; it may still be carried out"
 )
 
-// CommandRejectedError is a command that was not carried out, or is not known to have been.
+// CommandRejectedError reports a command that was rejected, or whose result is unknown.
 type CommandRejectedError struct {
-	Reason string // as the leader reported it, or one of the reasons above
+	Reason string // reported by the leader, or one of the reasons above
 }
 
 // Error returns the reason.
 func (e *CommandRejectedError) Error() string { return e.Reason }
 
-// ControlError is a control request that the server answered with an error.
+// ControlError reports a control request to which the server responded with an error.
 type ControlError struct {
 	Addr    string // of the control API
-	Status  string // of HTTP
-	Message string // of the server, "" if it sent none
+	Status  string // HTTP status line
+	Message string // the server's error message, "" if it sent none
 }
 
-// Error returns the server's message if there is one, and otherwise where the request went and its
-// status.
+// Error returns the server's message, or the address and the HTTP status if there is no message.
 func (e *ControlError) Error() string {
 	if e.Message != "" {
 		return e.Message
--- a/internal/fleet/gossip.go
+++ b/internal/fleet/gossip.go
@@ -15,22 +15,22 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// gossipNetwork is a Network on top of memberlist, which finds the members by gossip with indirect
-// probes. A message goes by UDP, or by TCP if it is larger than maxDatagram. Each incarnation is a
-// member of its own, so that a restarted process is never mistaken for its predecessor.
+// gossipNetwork implements Network with memberlist, which maintains the list of members by gossip and
+// indirect probes. It sends a message by UDP, or by TCP if it is larger than maxDatagramBytes. Each
+// incarnation is a separate member, so that a restarted process is never taken for its predecessor.
 type gossipNetwork struct {
 	list       *memberlist.Memberlist
-	memberName string // this process's
+	memberName string // of this process
 
 	mu          sync.Mutex
-	sendsByAddr map[string]int // large messages on their way, by address
-	totalSends  int            // of all addresses
+	sendsByAddr map[string]int // large messages being sent, by address
+	totalSends  int            // large messages being sent to all addresses
 }
 
 const (
-	maxDatagram = 1300 // bytes that fit into one UDP datagram on any path
-	// maxSendsPerAddr large messages are sent to one address at a time, and maxSends to all of them,
-	// so that a peer that does not read doesn't block messages to others.
+	maxDatagramBytes = 1300 // fits into one UDP datagram on any path
+	// maxSendsPerAddr and maxSends limit the large messages being sent to one address and to all
+	// addresses, so that a peer that does not read does not block messages to others.
 	maxSendsPerAddr = 2
 	maxSends        = 64
 
@@ -41,20 +41,21 @@
 	maxJoinInterval     = 2 * time.Second
 )
 
+// memberName returns the name under which an incarnation of a process is a member.
 func memberName(name string, incarnation uint64) string {
 	return fmt.Sprintf("%s/%016x", name, incarnation)
 }
 
-// processName returns the name of the process from that of a member.
+// processName returns the name of a member's process.
 func processName(member string) string {
 	name, _, _ := strings.Cut(member, "/")
 	return name
 }
 
-// receiver handles an encoded message, on the network's goroutines.
+// receiver handles an encoded message. The network calls it on its own goroutines, concurrently.
 type receiver func(message []byte)
 
-// joinGossip starts to listen, and joins the others until the context is done.
+// joinGossip starts to listen, and joins the other members in the background until the context is done.
 func joinGossip(ctx context.Context, config *Config, incarnation uint64, receive receiver) (*gossipNetwork, error) {
 	bindIP, port, err := resolveAddr(config.ListenAddr)
 	if err != nil {
@@ -75,7 +76,7 @@
 	settings.AdvertiseAddr = bindIP.String()
 	settings.AdvertisePort = port
 	settings.TCPTimeout = gossipTCPTimeout
-	settings.EnableCompression = false // messages are short, and a release's text goes once
+	settings.EnableCompression = false // messages are short, and a release's text is sent only once
 	settings.GossipToTheDeadTime = gossipToTheDeadTime
 	settings.LogOutput = io.Discard
 	settings.Logger = nil
@@ -92,8 +93,8 @@
 	return n, nil
 }
 
-// join joins the configured members until more than half as many are there, and again whenever fewer
-// are, so that both sides of a partition try to heal it.
+// join joins the configured members whenever the number of known other members is at most half of
+// theirs, so that both sides of a partition try to heal it.
 func (n *gossipNetwork) join(ctx context.Context, config *Config) {
 	var others []string
 	for _, addr := range config.Voters {
@@ -122,9 +123,9 @@
 	_ = n.list.Shutdown()
 }
 
-// Send sends a message without blocking; it may be lost, as on any network.
+// Send sends a message without blocking. The message may be lost.
 func (n *gossipNetwork) Send(addr string, message []byte) {
-	if len(message) <= maxDatagram {
+	if len(message) <= maxDatagramBytes {
 		_ = n.list.SendToAddress(memberlist.Address{Addr: addr}, message)
 		return
 	}
@@ -138,7 +139,8 @@
 	}()
 }
 
-// acquireSend reports whether one more large message may go to an address, and counts it.
+// acquireSend reports whether another large message may be sent to an address, and counts it if so.
+// The caller then has to call releaseSend.
 func (n *gossipNetwork) acquireSend(addr string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -160,7 +162,7 @@
 	}
 }
 
-// AddrOf returns the address of an incarnation, or fallback if it is no member.
+// AddrOf returns the address of an incarnation, or fallback if it is not a member.
 func (n *gossipNetwork) AddrOf(name string, incarnation uint64, fallback string) string {
 	wanted := memberName(name, incarnation)
 	for _, member := range n.list.Members() {
@@ -171,7 +173,7 @@
 	return fallback
 }
 
-// Members returns the other members' addresses by the processes' names.
+// Members returns the addresses of the other members by process name.
 func (n *gossipNetwork) Members() map[string]string {
 	others := map[string]string{}
 	for _, member := range n.list.Members() {
@@ -205,8 +207,7 @@
 	return addrs
 }
 
-// messageDelegate receives the messages to this member. It uses nothing else of what memberlist's
-// Delegate offers.
+// messageDelegate is a memberlist.Delegate that only receives the messages to this member.
 type messageDelegate struct{ receive receiver }
 
 // NodeMeta returns no metadata.
@@ -221,18 +222,18 @@
 // LocalState returns no state.
 func (messageDelegate) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState drops others' state.
+// MergeRemoteState ignores the state of other members.
 func (messageDelegate) MergeRemoteState([]byte, bool) {}
 
-// membershipLogger logs members that join and leave.
+// membershipLogger logs members when they join and leave.
 type membershipLogger struct{ logger *slog.Logger }
 
-// NotifyJoin logs an incarnation that was found.
+// NotifyJoin logs an incarnation that joined.
 func (l membershipLogger) NotifyJoin(member *memberlist.Node) {
 	l.logger.Info("member_joined", "name", member.Name, "addr", member.Address())
 }
 
-// NotifyLeave logs an incarnation that is gone.
+// NotifyLeave logs an incarnation that left or failed.
 func (l membershipLogger) NotifyLeave(member *memberlist.Node) {
 	l.logger.Info("member_left", "name", member.Name, "addr", member.Address())
 }
@@ -240,7 +241,7 @@
 // NotifyUpdate ignores changes of a member.
 func (membershipLogger) NotifyUpdate(*memberlist.Node) {}
 
-// resolveAddr resolves host and port.
+// resolveAddr resolves an address of the form host:port.
 func resolveAddr(addr string) (ip net.IP, port int, err error) {
 	resolved, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -11,29 +11,30 @@
 // HealthConfig configures the shared circuit breaker for the downstream service, which all servers
 // call.
 type HealthConfig struct {
-	Zone    string          // of this server, "" where zones are not known
-	OnLimit func(CallLimit) // hands the serving loop how many calls may be in flight
+	Zone    string          // of this server, "" if unknown
+	OnLimit func(CallLimit) // passes each new limit to the serving loop
 }
 
-// CallLimit is how many calls to the downstream service may be in flight.
+// CallLimit limits the calls to the downstream service.
 type CallLimit struct {
-	MaxInFlight float64 // +Inf for no limit
-	Probe       int64   // number of the probe to make with the next call, once for each number; 0 for none
+	MaxInFlight float64 // calls that may be in flight, +Inf for no limit
+	Probe       int64   // number of the probe that the next call makes, once for each number; 0 for no probe
 }
 
 const (
-	// healthDecisionInterval is how often the service is judged, in seconds.
-	healthDecisionInterval = 0.1
-	// healthReportInterval is how often reports are gossiped, in seconds: to gossipFanout others,
-	// with the newest reports of maxRelayedReports servers, so that one reaches a thousand servers
-	// within a second and a half.
-	healthReportInterval = 0.25
-	maxRelayedReports    = 16
-	// maxServerZones bounds how many servers' zones are remembered.
+	// healthDecisionIntervalSeconds is the time between two decisions of the circuit breaker.
+	healthDecisionIntervalSeconds = 0.1
+	// healthReportIntervalSeconds is the time between two gossip messages with the newest reports of
+	// up to maxRelayedReports servers, sent to gossipFanout members. A report reaches a thousand
+	// servers within 1.5 seconds.
+	healthReportIntervalSeconds = 0.25
+	maxRelayedReports           = 16
+	// maxServerZones limits the servers whose zones are stored.
 	maxServerZones = 4096
 )
 
-// healthMonitor judges the downstream service by the outcomes of this server's calls and others'.
+// healthMonitor runs the circuit breaker for the downstream service, from the outcomes of this
+// server's calls and the reports of other servers.
 type healthMonitor struct {
 	agent        *Agent
 	config       *HealthConfig
@@ -41,7 +42,7 @@
 	nextDecision float64
 	lastReport   float64
 	limit        CallLimit
-	serverZones  map[string]string // of other servers, by their reports
+	serverZones  map[string]string // zones by server name, from the servers' reports
 }
 
 func newHealthMonitor(a *Agent, now float64) *healthMonitor {
@@ -58,7 +59,8 @@
 	return h
 }
 
-// ObserveCalls records the outcomes of the serving loop's calls. Without health it has no effect.
+// ObserveCalls records the outcomes of the serving loop's calls. It has no effect if the circuit
+// breaker is disabled.
 func (a *Agent) ObserveCalls(now float64, calls serving.CallStats) {
 	if a.health == nil {
 		return
@@ -80,7 +82,7 @@
 	}
 }
 
-// zonePeers returns the members in this server's zone, or all where it has none.
+// zonePeers returns the members in this server's zone, or all members if its zone is unknown.
 func (h *healthMonitor) zonePeers() (names []string) {
 	for name := range h.agent.network.Members() {
 		if h.config.Zone == "" || h.serverZones[name] == h.config.Zone {
@@ -91,21 +93,21 @@
 }
 
 func (h *healthMonitor) nextWakeup(float64) float64 {
-	return min(h.nextDecision, h.lastReport+healthReportInterval)
+	return min(h.nextDecision, h.lastReport+healthReportIntervalSeconds)
 }
 
 func (h *healthMonitor) tick(now float64) {
 	if now >= h.nextDecision {
-		h.nextDecision = now + healthDecisionInterval
+		h.nextDecision = now + healthDecisionIntervalSeconds
 		h.decide(now)
 	}
-	if now >= h.lastReport+healthReportInterval {
+	if now >= h.lastReport+healthReportIntervalSeconds {
 		h.lastReport = now
 		h.report(now)
 	}
 }
 
-// decide judges the service, and hands the serving loop the limit if it changed.
+// decide runs the circuit breaker's decision, and passes the limit to the serving loop if it changed.
 func (h *healthMonitor) decide(now float64) {
 	maxInFlight, changed := h.breaker.Decide(now, h.zonePeers)
 	if changed {
@@ -119,10 +121,10 @@
 	}
 }
 
-// report gossips the newest reports.
+// report gossips the newest reports of this server and others.
 func (h *healthMonitor) report(now float64) {
 	if len(h.serverZones) >= maxServerZones {
-		clear(h.serverZones) // of names that are gone; the present servers report again
+		clear(h.serverZones) // drops servers that have left; present servers report again
 	}
 	if reports := h.breaker.GossipReports(now, h.agent.incarnation, maxRelayedReports); len(reports) > 0 {
 		h.agent.gossip(gossipFanout, &wire.Envelope{HealthReports: reports})
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -7,22 +7,22 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// leaseState is the process's own lease, and the grantor of leases while it leads.
+// leaseState contains the holder of the process's own lease and, at the leader, the grantor of leases.
 type leaseState struct {
-	holder         *lease.Holder
-	grantor        *lease.Grantor // nil unless this process leads
-	nextVoter      int            // index of the voter to ask next while no leader is known
-	newestReported release.Epoch  // newest epoch of which the process has heard
+	holder              *lease.Holder
+	grantor             *lease.Grantor // nil unless this process is the leader
+	nextVoter           int            // index of the voter to ask next while no leader is known
+	newestObservedEpoch release.Epoch  // newest epoch seen in the release log or in gossip
 }
 
 const (
-	// maxUnanswered is how many requests to a leader may be without a reply before other voters are
-	// asked.
-	maxUnanswered = 2
-	// leaseRequestJitter is the range of the random delay of a request after a new release, in
-	// seconds. A thousand servers that learn of one at once then make 5,000 requests a second, a
-	// thousandth of what a leader can answer.
-	leaseRequestJitter = 0.2
+	// maxUnansweredRequests is the number of unanswered requests after which a leader counts as
+	// unreachable and other voters are asked.
+	maxUnansweredRequests = 2
+	// leaseRequestJitterSeconds is the maximum random delay of a request after a new release. A
+	// thousand servers that learn of the release at once then send 5,000 requests a second, a
+	// thousandth of the leader's capacity.
+	leaseRequestJitterSeconds = 0.2
 )
 
 func (a *Agent) startLease(now float64) {
@@ -39,14 +39,14 @@
 	a.registerHandler(a.handleLeaseReply, wire.KindLeaseReply)
 }
 
-// requestLease asks the leader for a lease, or the next voter while none is known.
+// requestLease requests a lease from the leader, or from the next voter if no leader is known.
 func (a *Agent) requestLease(now float64) {
 	holder := a.lease.holder
 	request := holder.NewRequest(now)
 	name := holder.Leader()
 	if _, votes := a.config.Voters[name]; !votes {
 		name = a.nextVoterName()
-	} else if holder.Unanswered() > maxUnanswered {
+	} else if holder.Unanswered() > maxUnansweredRequests {
 		holder.HandleLeaderUnreachable(now)
 	}
 	if name != "" {
@@ -54,7 +54,7 @@
 	}
 }
 
-// nextVoterName returns the voters' names in turn, "" if there are none.
+// nextVoterName returns the voters' names round-robin, "" if there are no voters.
 func (a *Agent) nextVoterName() string {
 	if len(a.voterNames) == 0 {
 		return ""
@@ -64,7 +64,8 @@
 	return name
 }
 
-// handleLeaseRequest answers a request for a lease. A process that does not lead names the leader.
+// handleLeaseRequest replies to a request for a lease. A process that is not the leader returns
+// VerdictRetry and the name of the leader, if known.
 func (a *Agent) handleLeaseRequest(now float64, message *wire.Envelope) {
 	request := message.LeaseRequest
 	reply := lease.Reply{
@@ -98,7 +99,7 @@
 	}
 }
 
-// expireLease lets the process's own lease run out.
+// expireLease expires the process's own lease at its end.
 func (a *Agent) expireLease(now float64) {
 	if a.lease.holder.Expire(now) {
 		a.logLeaseState()
@@ -111,20 +112,20 @@
 		"state", state, "reason", reason, "assigned_epoch", a.lease.holder.AssignedEpoch())
 }
 
-// isNewEpoch reports whether an epoch is newer than the assigned one and all that were reported.
+// isNewEpoch reports whether an epoch is newer than the assigned epoch and newestObservedEpoch.
 func (a *Agent) isNewEpoch(epoch release.Epoch) bool {
-	return epoch > max(a.lease.newestReported, a.lease.holder.AssignedEpoch())
+	return epoch > max(a.lease.newestObservedEpoch, a.lease.holder.AssignedEpoch())
 }
 
-// requestLeaseForNewerEpoch requests a lease soon if another process serves a newer release: once for
-// each epoch, and spread over leaseRequestJitter.
+// requestLeaseForNewerEpoch schedules a lease request if another process serves a newer release: once
+// for each epoch, with a random delay of up to leaseRequestJitterSeconds.
 func (a *Agent) requestLeaseForNewerEpoch(now float64, account *audit.Account) {
 	if len(account.Intervals) == 0 {
 		return
 	}
 	newest := account.Intervals[len(account.Intervals)-1].Epoch
 	if a.isNewEpoch(newest) {
-		a.lease.newestReported = newest
-		a.lease.holder.RequestBy(now + leaseRequestJitter*a.random.Float64())
+		a.lease.newestObservedEpoch = newest
+		a.lease.holder.RequestBy(now + leaseRequestJitterSeconds*a.random.Float64())
 	}
 }
--- a/internal/fleet/loadplan.go
+++ b/internal/fleet/loadplan.go
@@ -7,26 +7,27 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// LoadPlanConfig configures load plans: a forwarder reports to the leader of the planners and
-// follows its assignment.
+// LoadPlanConfig configures load plans. A forwarder reports to the leader of the planners and follows
+// the assignment in its reply.
 type LoadPlanConfig struct {
-	IsPlanner bool // makes plans while it leads
-	// Report returns a forwarder's report, nil while there is none. The function is nil where the
-	// process is no forwarder.
+	IsPlanner bool // whether the process makes plans while it is the leader
+	// Report returns the forwarder's report, nil if there is none yet. The function is nil if the
+	// process is not a forwarder.
 	Report func(now float64) *loadplan.Report
-	// OnAssignment hands the serving loop its assignment, which holds until freshUntil by the
-	// agent's clock.
+	// OnAssignment passes an assignment to the serving loop. It is fresh until freshUntil, a time
+	// of the agent's clock.
 	OnAssignment func(assignment *loadplan.Assignment, freshUntil float64)
 }
 
-// loadPlanner reports for a forwarder, and makes plans while the process leads the planners.
+// loadPlanner sends the reports of a forwarder, and makes plans while the process is the leader of
+// the planners.
 type loadPlanner struct {
 	agent      *Agent
 	config     *LoadPlanConfig
 	subscriber *loadplan.Subscriber
-	planner    *loadplan.Planner // nil unless this process leads
+	planner    *loadplan.Planner // nil unless this process is the leader
 	nextReport float64
-	freshUntil float64 // of the assignment that was accepted last
+	freshUntil float64 // of the last accepted assignment
 }
 
 func newLoadPlanner(a *Agent, now float64) *loadPlanner {
@@ -41,8 +42,8 @@
 	return p
 }
 
-// updateLeadership starts and ends planning with the term in which this process leads: a planner
-// that leads again has another term.
+// updateLeadership starts a planner for each term in which this process is the leader, and removes it
+// when the process is no longer the confirmed leader.
 func (p *loadPlanner) updateLeadership(now float64) {
 	if !p.config.IsPlanner {
 		return
@@ -69,7 +70,7 @@
 	return p.nextReport
 }
 
-// tick sends the forwarder's report to the leader.
+// tick sends the forwarder's report to the leader when it is due.
 func (p *loadPlanner) tick(now float64) {
 	if p.config.Report == nil || now < p.nextReport {
 		return
@@ -84,7 +85,7 @@
 	p.agent.sendToVoter(now, p.agent.lease.holder.Leader(), &wire.Envelope{ForwarderReport: report})
 }
 
-// handleReport answers a forwarder's report with its assignment.
+// handleReport replies to a forwarder's report with the forwarder's assignment.
 func (p *loadPlanner) handleReport(now float64, message *wire.Envelope) {
 	report := message.ForwarderReport
 	if p.planner == nil || !p.agent.isConfirmedLeader(now) {
@@ -98,7 +99,7 @@
 	}
 }
 
-// handleAssignment goes over to a newer assignment.
+// handleAssignment switches to an assignment if the subscriber accepts it.
 func (p *loadPlanner) handleAssignment(now float64, message *wire.Envelope) {
 	freshUntil, accepted := p.subscriber.Accept(now, message.PlanAssignment)
 	if accepted && p.config.OnAssignment != nil {
@@ -107,17 +108,17 @@
 	}
 }
 
-// LoadPlanStatus is the status of load plans at a process.
+// LoadPlanStatus is the status of load plans at one process.
 type LoadPlanStatus struct {
 	Name     string           `json:"Name"`
 	Leader   string           `json:"Leader"`
-	Current  loadplan.Version `json:"Holds"` // of the plan that the forwarder follows, or followed last
-	FreshFor float64          `json:"Till"`  // seconds, negative while it ages
-	Stale    int              `json:"Stale"` // assignments that were too old to be accepted
-	Planner  *loadplan.Status `json:"Makes"` // nil where this process makes no plans
+	Current  loadplan.Version `json:"Holds"` // of the plan that the forwarder follows or followed last
+	FreshFor float64          `json:"Till"`  // seconds until the plan is no longer fresh, negative afterwards
+	Stale    int              `json:"Stale"` // assignments that were rejected as too old
+	Planner  *loadplan.Status `json:"Makes"` // nil if this process does not make plans
 }
 
-// LoadPlanStatus returns the status of load plans here.
+// LoadPlanStatus returns the status of load plans at this process.
 func (a *Agent) LoadPlanStatus(now float64) *LoadPlanStatus {
 	status := &LoadPlanStatus{Name: a.config.Name, Leader: a.lease.holder.Leader()}
 	p := a.loadPlan
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -15,14 +15,15 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// Node runs the agent of one process: one goroutine owns the Agent, and receives what the network and
-// the serving loop send by channels. All methods may be called from any goroutine.
+// Node runs the agent of one process. One goroutine owns the Agent; it receives messages from the
+// network and events from the serving loop through channels. All methods may be called from any
+// goroutine.
 type Node struct {
 	config      Config
 	logger      *slog.Logger
 	gossip      *gossipNetwork
 	random      *rand.Rand
-	agent       *Agent // owned by the goroutine of run
+	agent       *Agent // used only by the goroutine of run
 	incarnation atomic.Uint64
 	cancel      context.CancelFunc
 	done        chan struct{}
@@ -35,31 +36,37 @@
 	callStats      chan serving.CallStats
 	requestCounts  chan []serving.CounterCell
 
-	dropped      atomic.Uint64 // what found no room, and messages that could not be decoded
-	claimBacklog atomic.Int64  // claim events in the channel, and reports that the replicas have not recorded
+	// dropped counts undecodable messages, and the messages and claim events for which the queue was
+	// full.
+	dropped      atomic.Uint64
+	claimBacklog atomic.Int64 // queued claim events, and reports that the replicas have not recorded
 }
 
 const (
-	maxInbox        = 1024 // messages that wait for the agent; more are dropped
-	maxRequests     = 16   // queries and commands that wait for the agent
-	maxTrustedLists = 2    // more are dropped, as a newer list comes soon
-	maxUsageLists   = 4    // likewise
-	maxCallStats    = 16
-	maxCountLists   = 4 // the serving loop keeps what finds no room, and reports it with the next
-
-	// restartDelay is the time from an agent's panic to the start of the next agent, which knows
-	// nothing of it.
+	// Capacities of the agent's queues.
+
+	maxQueuedMessages     = 1024 // further messages are dropped
+	maxQueuedRequests     = 16   // queries and commands
+	maxQueuedTrustedLists = 2    // further lists are dropped, as a newer one follows soon
+	maxQueuedUsageLists   = 4    // likewise
+	maxQueuedCallStats    = 16
+	maxQueuedCountLists   = 4 // if full, the serving loop keeps the counts and adds them to its next report
+
+	// restartDelay is the time from an agent's panic to the start of the next agent, which takes
+	// over no state.
 	restartDelay = time.Second
-	// minWakeup keeps overdue wakeups from making the loop spin.
+	// minWakeup is the shortest timer interval, so that overdue wakeups do not cause a busy loop.
 	minWakeup = time.Millisecond
-	// requestTimeout is how long the agent may take to accept a request, and then to answer it.
+	// requestTimeout limits the time until the agent accepts a request, and then the time until it
+	// answers.
 	requestTimeout = 2 * time.Second
-	// undecodableLogEvery limits the log of messages that can't be decoded to one line in so many.
+	// undecodableLogEvery is the number of dropped messages for each log line about an undecodable
+	// message.
 	undecodableLogEvery = 1000
 )
 
-// Start joins the fleet until the context is done or Stop is called. The random source has the time
-// in its seed, so that a restarted process draws another incarnation.
+// Start joins the fleet, and leaves it when the context is done or Stop is called. The random source
+// is also seeded with the time, so that a restarted process gets a different incarnation.
 func Start(ctx context.Context, config Config) (*Node, error) {
 	random := rand.New(rand.NewPCG(uint64(config.Seed), uint64(time.Now().UnixNano())))
 	n := &Node{
@@ -67,13 +74,13 @@
 		logger:         config.logger(),
 		random:         random,
 		done:           make(chan struct{}),
-		inbox:          make(chan *wire.Envelope, maxInbox),
-		requests:       make(chan func(float64), maxRequests),
-		claimEvents:    make(chan ClaimEvent, maxClaimEvents),
-		trustedClients: make(chan []connlimit.TrustedClient, maxTrustedLists),
-		usage:          make(chan []Usage, maxUsageLists),
-		callStats:      make(chan serving.CallStats, maxCallStats),
-		requestCounts:  make(chan []serving.CounterCell, maxCountLists),
+		inbox:          make(chan *wire.Envelope, maxQueuedMessages),
+		requests:       make(chan func(float64), maxQueuedRequests),
+		claimEvents:    make(chan ClaimEvent, maxQueuedClaimEvents),
+		trustedClients: make(chan []connlimit.TrustedClient, maxQueuedTrustedLists),
+		usage:          make(chan []Usage, maxQueuedUsageLists),
+		callStats:      make(chan serving.CallStats, maxQueuedCallStats),
+		requestCounts:  make(chan []serving.CounterCell, maxQueuedCountLists),
 	}
 	ctx, n.cancel = context.WithCancel(ctx)
 	incarnation := n.newIncarnation()
@@ -87,19 +94,19 @@
 	return n, nil
 }
 
-// Stop leaves the fleet.
+// Stop leaves the fleet, and returns once the agent has ended.
 func (n *Node) Stop() {
 	n.cancel()
 	<-n.done
 }
 
-// Incarnation returns the number of the agent's present incarnation.
+// Incarnation returns the number of the agent's current incarnation.
 func (n *Node) Incarnation() uint64 { return n.incarnation.Load() }
 
-// newIncarnation draws an incarnation, which is never 0.
+// newIncarnation returns a random incarnation number, never 0.
 func (n *Node) newIncarnation() uint64 { return n.random.Uint64() | 1 }
 
-// startAgent starts an agent, without any state of an earlier one.
+// startAgent starts an agent without the state of an earlier one.
 func (n *Node) startAgent(incarnation uint64) {
 	n.incarnation.Store(incarnation)
 	n.agent = NewAgent(n.config, incarnation, n.gossip, n.random)
@@ -109,7 +116,7 @@
 	}
 }
 
-// receive decodes a message and queues it for the agent, on the network's goroutines.
+// receive decodes a message and queues it for the agent. It is called on the network's goroutines.
 func (n *Node) receive(encoded []byte) {
 	message, err := wire.Decode(encoded)
 	if err != nil {
@@ -126,8 +133,8 @@
 	}
 }
 
-// run runs agents until the context is done. One that panics is replaced by another incarnation,
-// and the server keeps serving meanwhile.
+// run runs agents until the context is done. It replaces an agent that panics by one with a new
+// incarnation. The server continues to serve meanwhile.
 func (n *Node) run(ctx context.Context) {
 	defer close(n.done)
 	defer n.gossip.close()
@@ -141,8 +148,8 @@
 	}
 }
 
-// runAgent runs the present agent until the context is done or the agent panics. It reports whether
-// it panicked, so that another one is to be started.
+// runAgent runs the current agent until the context is done or the agent panics. It reports whether
+// the agent panicked and has to be replaced.
 func (n *Node) runAgent(ctx context.Context) (restart bool) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -168,7 +175,7 @@
 		return false
 	case message := <-n.inbox:
 		agent.HandleMessage(agent.Now(), message)
-		for range len(n.inbox) { // also those that wait already, before the next Tick
+		for range len(n.inbox) { // handle all queued messages before the next Tick
 			agent.HandleMessage(agent.Now(), <-n.inbox)
 		}
 	case request := <-n.requests:
@@ -191,10 +198,11 @@
 	return true
 }
 
-// toDuration converts seconds, as the agent uses them, to a Duration.
-func toDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+// toDuration converts seconds to a Duration.
+func toDuration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// runOnAgent runs do on the goroutine that owns the agent, and does not wait for its end.
+// runOnAgent queues do to run on the goroutine that owns the agent, without waiting until it has run.
+// It returns ErrAgentBusy if the queue is full for requestTimeout.
 func (n *Node) runOnAgent(do func(now float64)) error {
 	select {
 	case n.requests <- do:
@@ -204,29 +212,29 @@
 	}
 }
 
-// await returns the result if it comes in time, and ErrAgentDown otherwise.
+// await returns the result, or ErrAgentDown if there is none within the timeout.
 func await[T any](result <-chan T, timeout time.Duration) (T, error) {
 	select {
 	case value := <-result:
 		return value, nil
 	case <-time.After(timeout):
-		var none T
-		return none, ErrAgentDown
+		var zero T
+		return zero, ErrAgentDown
 	}
 }
 
-// query returns the result of read on the goroutine that owns the agent.
+// query calls read on the goroutine that owns the agent, and returns its result.
 func query[T any](n *Node, read func(a *Agent, now float64) T) (T, error) {
 	result := make(chan T, 1)
 	if err := n.runOnAgent(func(now float64) { result <- read(n.agent, now) }); err != nil {
-		var none T
-		return none, err
+		var zero T
+		return zero, err
 	}
 	return await(result, requestTimeout)
 }
 
-// ExecuteCommand submits an operator's command and waits for its result. It returns the newest epoch
-// after it; the error of a command that is rejected is a *CommandRejectedError.
+// ExecuteCommand submits an operator's command, waits for its result, and returns the newest epoch
+// afterwards. If the command is rejected the error is a *CommandRejectedError.
 func (n *Node) ExecuteCommand(command release.Command) (release.Epoch, error) {
 	done := make(chan wire.CommandResult, 1)
 	submit := func(now float64) {
@@ -235,7 +243,7 @@
 	if err := n.runOnAgent(submit); err != nil {
 		return 0, err
 	}
-	result, err := await(done, toDuration(commandTimeout)+requestTimeout)
+	result, err := await(done, toDuration(commandTimeoutSeconds)+requestTimeout)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/fleet/node_reports.go
+++ b/internal/fleet/node_reports.go
@@ -5,29 +5,29 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// The methods of this file are for the serving loop. None of them blocks.
+// The methods in this file are called by the serving loop. None of them blocks.
 
-// Claim asks for the right to run a request that bears an idempotency key;
-// ReplicationConfig.OnVerdict is called within timeout seconds. It returns false if nothing more
-// can be claimed: the request did not run.
+// Claim claims the right to run a request with an idempotency key. ReplicationConfig.OnVerdict is
+// called with the verdict within timeout seconds. Claim returns false, and claims nothing, if the
+// queue of claim events is full.
 func (n *Node) Claim(id, class, key string, timeout float64) bool {
 	return n.enqueueClaim(ClaimEvent{ID: id, Class: class, Key: key, Timeout: timeout})
 }
 
-// ReleaseClaim reports that a request for which Claim was called never ran, and never will.
+// ReleaseClaim reports that a request for which Claim was called has not run and will not run.
 func (n *Node) ReleaseClaim(id string) { n.enqueueClaim(ClaimEvent{ID: id, Canceled: true}) }
 
-// CompleteClaim reports how a request ended whose claim was granted, and that ran.
+// CompleteClaim reports the outcome of a request that ran after its claim was granted.
 func (n *Node) CompleteClaim(id string, succeeded bool, result []byte) {
 	n.enqueueClaim(ClaimEvent{ID: id, Finished: true, Succeeded: succeeded, Result: result})
 }
 
-// UnreportedClaims returns how many claim events are not handled yet, and how many reports of ended
-// requests the replicas have not recorded yet.
+// UnreportedClaims returns the number of claim events that the agent has not handled, plus the number
+// of reports of completed requests that the replicas have not recorded.
 func (n *Node) UnreportedClaims() int { return int(n.claimBacklog.Load()) }
 
-// enqueueClaim queues an event for the agent. One that finds no room is lost: a request that was
-// claimed then counts as one that may have run.
+// enqueueClaim queues an event for the agent. If the queue is full the event is lost; a request whose
+// claim had been queued then counts as possibly executed.
 func (n *Node) enqueueClaim(event ClaimEvent) bool {
 	n.claimBacklog.Add(1)
 	select {
@@ -40,8 +40,8 @@
 	}
 }
 
-// ReportTrusted reports the clients that this server's connection limiter trusts. A list without
-// room is dropped, as a newer one comes soon.
+// ReportTrusted reports the clients that this server's connection limiter trusts. If the queue is full
+// the list is dropped, as a newer one follows soon.
 func (n *Node) ReportTrusted(clients []connlimit.TrustedClient) {
 	select {
 	case n.trustedClients <- clients:
@@ -49,8 +49,8 @@
 	}
 }
 
-// ReportUsage reports what the serving loop used of quotas. A list without room is dropped, as a
-// newer one comes soon.
+// ReportUsage reports the serving loop's usage of quotas. If the queue is full the list is dropped, as
+// a newer one follows soon.
 func (n *Node) ReportUsage(usage []Usage) {
 	select {
 	case n.usage <- usage:
@@ -58,7 +58,8 @@
 	}
 }
 
-// ReportCalls reports the outcomes of the serving loop's calls. Without room they are not counted.
+// ReportCalls reports the outcomes of the serving loop's calls to the downstream service. If the queue
+// is full they are not counted.
 func (n *Node) ReportCalls(calls serving.CallStats) {
 	select {
 	case n.callStats <- calls:
@@ -66,8 +67,8 @@
 	}
 }
 
-// ReportCounts reports what the serving loop counted. It returns false if there is no room, and the
-// loop has to report it again.
+// ReportCounts reports the serving loop's counts. It returns false if the queue is full; the serving
+// loop then has to report them again.
 func (n *Node) ReportCounts(cells []serving.CounterCell) bool {
 	select {
 	case n.requestCounts <- cells:
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -14,7 +14,7 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// freeAddr returns an address of this machine on which nobody listens.
+// freeAddr returns a loopback address on which no process listens.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -25,7 +25,7 @@
 	return listener.Addr().String()
 }
 
-// startNode starts the node of a cluster of one voter, and stops it at the test's end.
+// startNode starts the node of a cluster with one voter, and stops it at the end of the test.
 func startNode(t *testing.T, apply func(text string) error) *Node {
 	t.Helper()
 	addr := freeAddr(t)
@@ -52,23 +52,23 @@
 	return node
 }
 
-// waitUntil waits for a condition, and fails after some seconds.
-func waitUntil(t *testing.T, what string, condition func() bool) {
+// waitUntil waits for a condition, and fails the test if it is not met in time.
+func waitUntil(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	const patience = 20 * time.Second
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+	const timeout = 20 * time.Second
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		if condition() {
 			return
 		}
 	}
-	t.Fatalf("not within %v: %s", patience, what)
+	t.Fatalf("condition not met within %v: %s", timeout, description)
 }
 
-func applyNothing(string) error { return nil }
+func applyNoop(string) error { return nil }
 
-func TestServeControl(t *testing.T) {
+func TestServeControl_AnswersQueriesAndCommands(t *testing.T) {
 	t.Parallel()
-	node := startNode(t, applyNothing)
+	node := startNode(t, applyNoop)
 	addr := freeAddr(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	if err := node.ServeControl(ctx, addr); err != nil {
@@ -81,33 +81,33 @@
 		return err == nil && status.Leader == "v1" && status.ActiveEpoch != 0
 	})
 	if status.Name != "v1" || status.Incarnation != node.Incarnation() || len(status.Servers) != 1 {
-		t.Errorf("the status is %+v", status)
+		t.Errorf("status %+v, want name v1, incarnation %d and one server", status, node.Incarnation())
 	}
 	text := "text\n"
 	command := release.Command{Kind: release.KindRelease, Text: text, Digest: release.Digest(text, "")}
 	newest, err := SendCommand(addr, command)
 	if err != nil || newest <= status.ActiveEpoch {
-		t.Fatalf("the release ended with %s, %v", newest, err)
+		t.Fatalf("release returned %s, %v, want an epoch newer than %s", newest, err, status.ActiveEpoch)
 	}
 	command.ExpectedEpoch = status.ActiveEpoch
 	var failure *ControlError
 	if _, err := SendCommand(addr, command); !errors.As(err, &failure) || failure.Message == "" {
-		t.Errorf("a release on an older epoch ended with %v", err)
+		t.Errorf("release that expects an older epoch returned %v, want a ControlError with a message", err)
 	}
 	if _, err := FetchStatus(addr, "no epoch"); !errors.As(err, &failure) {
-		t.Errorf("a malformed epoch ended with %v", err)
+		t.Errorf("FetchStatus with a malformed epoch returned %v, want a ControlError", err)
 	}
 	if _, err := FetchCounters(addr); !errors.As(err, &failure) || failure.Message != ErrCountersOff.Error() {
-		t.Errorf("counters that are off: %v", err)
+		t.Errorf("FetchCounters with counters disabled returned %v, want %v", err, ErrCountersOff)
 	}
 	if quotas, err := FetchQuotas(addr); err != nil || quotas.Leader != "v1" || quotas.IsLeader {
-		t.Errorf("quotas that are off: %+v, %v", quotas, err)
+		t.Errorf("FetchQuotas with quotas disabled returned %+v, %v, want leader v1 and IsLeader false", quotas, err)
 	}
 	if plan, err := FetchLoadPlan(addr); err != nil || plan.Name != "v1" || plan.Planner != nil {
-		t.Errorf("load plans that are off: %+v, %v", plan, err)
+		t.Errorf("FetchLoadPlan with load plans disabled returned %+v, %v, want name v1 and no planner", plan, err)
 	}
 	cancel()
-	waitUntil(t, "the control API is closed", func() bool {
+	waitUntil(t, "the control API stops responding", func() bool {
 		_, err := FetchQuotas(addr)
 		return err != nil
 	})
@@ -115,7 +115,7 @@
 
 func TestExecuteCommand_ReturnsRejection(t *testing.T) {
 	t.Parallel()
-	node := startNode(t, applyNothing)
+	node := startNode(t, applyNoop)
 	waitUntil(t, "the process leads", func() bool {
 		quotas, err := node.QueryQuotas()
 		return err == nil && quotas.Leader == "v1"
@@ -123,11 +123,11 @@
 	var rejected *CommandRejectedError
 	_, err := node.ExecuteCommand(release.Command{Kind: release.KindRelease, Text: "a", Digest: "another"})
 	if !errors.As(err, &rejected) || rejected.Reason == "" {
-		t.Errorf("a release with a wrong digest ended with %v", err)
+		t.Errorf("release with a wrong digest returned %v, want a CommandRejectedError with a reason", err)
 	}
 }
 
-// A panic in the agent is recovered from, and another incarnation takes its place.
+// The node recovers from a panic in the agent and starts a new incarnation.
 func TestNode_RestartsAgentAfterPanic(t *testing.T) {
 	t.Parallel()
 	var panicked atomic.Bool
@@ -144,7 +144,7 @@
 	})
 }
 
-// Whatever the serving loop reports, it never waits for the agent.
+// The serving loop never waits for the agent: reports return at once while the queues are full.
 func TestNode_ReportsDoNotBlock(t *testing.T) {
 	node := &Node{
 		claimEvents:   make(chan ClaimEvent, 1),
@@ -153,18 +153,18 @@
 		requestCounts: make(chan []serving.CounterCell, 1),
 	}
 	for i := range 3 {
-		hasRoom := i == 0
-		if accepted := node.ReportCounts(nil); accepted != hasRoom {
-			t.Errorf("counts %d: accepted %t", i, accepted)
+		wantAccepted := i == 0
+		if accepted := node.ReportCounts(nil); accepted != wantAccepted {
+			t.Errorf("ReportCounts call %d returned %t, want %t", i+1, accepted, wantAccepted)
 		}
-		if accepted := node.Claim("id", "class", "key", 1); accepted != hasRoom {
-			t.Errorf("claim %d: accepted %t", i, accepted)
+		if accepted := node.Claim("id", "class", "key", 1); accepted != wantAccepted {
+			t.Errorf("Claim call %d returned %t, want %t", i+1, accepted, wantAccepted)
 		}
 		node.ReportUsage(nil)
 		node.ReportCalls(serving.CallStats{})
 		node.ReportTrusted(nil)
 	}
 	if backlog := node.UnreportedClaims(); backlog != 1 {
-		t.Errorf("the backlog is %d, want the one claim that had room", backlog)
+		t.Errorf("UnreportedClaims() = %d, want 1: only one claim fits into the queue", backlog)
 	}
 }
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -6,27 +6,29 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// QuotaConfig configures the quotas that all servers share.
+// QuotaConfig configures the quotas shared by all servers.
 type QuotaConfig struct {
-	Settings func() quota.Config // of the active version
-	// OnAllowances hands the serving loop its allowances; their times are of the agent's clock.
+	Settings func() quota.Config // returns the settings of the active version
+	// OnAllowances passes changed allowances to the serving loop. Their times are of the agent's
+	// clock.
 	OnAllowances func([]quota.Allowance)
 }
 
-// Usage is what the serving loop used of a quota lately.
+// Usage is the serving loop's recent usage of a quota.
 type Usage struct {
 	Name        string
-	Demand      float64 // requests a second, admitted or not
+	Demand      float64 // requests a second, including those that were not admitted
 	InFlight    float64 // calls in flight
-	GrantNumber uint64  // of the allowance that the serving loop applied
+	GrantNumber uint64  // of the allowance that the serving loop applies
 }
 
-// quotaManager leases the process's share of each quota, and grants shares while the process leads.
+// quotaManager leases the process's share of each quota, and grants shares to servers while the
+// process is the leader.
 type quotaManager struct {
 	agent   *Agent
 	config  *QuotaConfig
 	holder  *quota.Holder
-	grantor *quota.Grantor // nil unless this process leads
+	grantor *quota.Grantor // nil unless this process is the leader
 }
 
 func newQuotaManager(a *Agent, now float64) *quotaManager {
@@ -41,7 +43,7 @@
 	return q
 }
 
-// ObserveUsage records what the serving loop used. Without quotas it has no effect.
+// ObserveUsage records the serving loop's usage. It has no effect if quotas are disabled.
 func (a *Agent) ObserveUsage(now float64, usage []Usage) {
 	if a.quotas == nil {
 		return
@@ -51,7 +53,7 @@
 	}
 }
 
-// applyConfig switches to the settings of the version that became active.
+// applyConfig switches to the settings of the version that has become active.
 func (q *quotaManager) applyConfig(now float64) {
 	settings := q.config.Settings()
 	q.holder.ApplyConfig(settings, now)
@@ -81,15 +83,15 @@
 	q.publish()
 }
 
-// publish hands the serving loop the allowances that changed.
+// publish passes changed allowances to the serving loop.
 func (q *quotaManager) publish() {
 	if allowances := q.holder.TakeChanges(); allowances != nil {
 		q.config.OnAllowances(allowances)
 	}
 }
 
-// handleRequest answers a server's request. Only an incarnation that is registered under its name is
-// granted a share; others have at most their guaranteed part.
+// handleRequest replies to a server's request for shares. Only the incarnation registered under its
+// name is granted a share of the pool; others have at most their share of the floor.
 func (q *quotaManager) handleRequest(now float64, message *wire.Envelope) {
 	if q.grantor == nil || q.agent.releases.log.Members[message.From] != message.Incarnation {
 		return
@@ -104,20 +106,20 @@
 	q.holder.HandleReply(now, message.QuotaReply)
 }
 
-// QuotaStatus is the status of quotas at a process.
+// QuotaStatus is the status of quotas at one process.
 type QuotaStatus struct {
-	Now      float64             `json:"Now"` // of the agent's clock
+	Now      float64             `json:"Now"` // time of the agent's clock
 	Leader   string              `json:"Leader"`
 	IsLeader bool                `json:"Leads"`
-	Held     []quota.Allowance   `json:"Here,omitempty"`    // shares that this process holds, by the agent's clock
-	Granted  []quota.LimitStatus `json:"Granted,omitempty"` // at the leader
+	Held     []quota.Allowance   `json:"Here,omitempty"`    // leased shares of this process, by the agent's clock
+	Granted  []quota.LimitStatus `json:"Granted,omitempty"` // shares granted to servers; set only at the leader
 	Epoch    release.Epoch       `json:"Epoch"`
 }
 
-// maxQuotasListed bounds what operators are shown.
+// maxQuotasListed limits the quotas in each list of a QuotaStatus.
 const maxQuotasListed = 1000
 
-// quotaStatus returns the status of quotas here.
+// quotaStatus returns the status of quotas at this process.
 func (a *Agent) quotaStatus(now float64) *QuotaStatus {
 	status := &QuotaStatus{Now: now, Leader: a.lease.holder.Leader(), Epoch: a.releases.active.Epoch}
 	if a.quotas == nil {
--- a/internal/fleet/release.go
+++ b/internal/fleet/release.go
@@ -9,33 +9,37 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// releaseState is the release log as the process knows it, and its active version.
+// releaseState contains the process's copy of the release log, and its active version.
 type releaseState struct {
-	log          *release.Log // a copy, also at processes that don't vote
+	log          *release.Log // a copy; processes that do not vote have one as well
 	lastLogFetch float64
 
 	active           release.Version
-	applyError       string  // why the assigned version could not be applied, "" if none failed
-	lastVersionFetch float64 // time of the last request for the assigned version, or attempt to apply it
+	applyError       string  // error of applying the assigned version, "" if it has not failed
+	lastVersionFetch float64 // time of the last request for the assigned version or attempt to apply it
 
-	stats    *serving.VersionStats // what the serving loop counts under the active version
-	recorded recordedStats         // the part of stats that is in the audit trail
+	stats    *serving.VersionStats // updated by the serving loop while the version is active
+	recorded recordedStats         // the part of stats that has been added to the audit trail
 }
 
-// recordedStats is the part of a version's statistics that the audit trail has already.
+// recordedStats is the part of a version's statistics that has been added to the audit trail.
 type recordedStats struct {
 	batches  uint64
 	requests uint64
 }
 
 const (
-	versionFetchInterval     = 0.3  // seconds between two requests for the assigned version
-	applyRetryInterval       = 1.0  // seconds before a version that failed is applied again
-	logFetchInterval         = 2.0  // seconds between two requests for a newer log, if the process does not vote
-	unjoinedLogFetchInterval = 0.25 // the same for a voter that has not joined, several times before it may bootstrap
-	unjoinedLogFetchFanout   = 4    // how many others receive each request of such a voter
-	leaderSkipOdds           = 4    // one in so many requests for a version goes to any voter, not the leader
-	voterFetchOdds           = 8    // one in so many requests for the log goes to a voter, not any member
+	versionFetchIntervalSeconds = 0.3 // between two requests for the assigned version
+	applyRetryIntervalSeconds   = 1.0 // until a version that could not be applied is applied again
+	logFetchIntervalSeconds     = 2.0 // between two requests for a newer log, at a process that does not vote
+	// A voter that has not joined a cluster requests the log every unjoinedLogFetchIntervalSeconds
+	// from unjoinedLogFetchFanout members, so that it does so several times before it may bootstrap.
+	unjoinedLogFetchIntervalSeconds = 0.25
+	unjoinedLogFetchFanout          = 4
+	// On average, one in leaderSkipOdds requests for a version goes to a random voter instead of the
+	// leader, and one in voterFetchOdds requests for the log to a voter instead of any member.
+	leaderSkipOdds = 4
+	voterFetchOdds = 8
 )
 
 // Reasons in the audit trail and the log.
@@ -64,8 +68,8 @@
 	a.applyVersion(now, message.Version, reasonCaughtUp)
 }
 
-// fetchAssignedVersion applies the version that this server is assigned, or requests it while it is
-// not known here.
+// fetchAssignedVersion applies the version assigned to this server if the process's release log
+// contains it, and requests it from a voter otherwise.
 func (a *Agent) fetchAssignedVersion(now float64) {
 	assigned := a.lease.holder.AssignedEpoch()
 	if assigned <= a.releases.active.Epoch {
@@ -75,12 +79,12 @@
 		a.applyVersion(now, version, reasonReleased)
 		return
 	}
-	if now < a.releases.lastVersionFetch+versionFetchInterval {
+	if now < a.releases.lastVersionFetch+versionFetchIntervalSeconds {
 		return
 	}
 	a.releases.lastVersionFetch = now
 	name := a.lease.holder.Leader()
-	if a.config.Voters[name] == "" || a.random.IntN(leaderSkipOdds) == 0 { // or whoever has it
+	if a.config.Voters[name] == "" || a.random.IntN(leaderSkipOdds) == 0 { // another voter may have it as well
 		name = a.voterNames[a.random.IntN(len(a.voterNames))]
 	}
 	if name != a.config.Name {
@@ -88,14 +92,14 @@
 	}
 }
 
-// applyVersion applies a version and activates it, if it is the assigned one, newer than the active
-// one and undamaged.
+// applyVersion applies and activates a version if it is the assigned one, is newer than the active
+// one and matches its digest.
 func (a *Agent) applyVersion(now float64, version *release.Version, reason string) {
 	state := &a.releases
 	if version.Epoch != a.lease.holder.AssignedEpoch() || !a.isBehind() || !version.DigestMatches() {
 		return
 	}
-	if state.applyError != "" && now < state.lastVersionFetch+applyRetryInterval {
+	if state.applyError != "" && now < state.lastVersionFetch+applyRetryIntervalSeconds {
 		return
 	}
 	state.lastVersionFetch = now
@@ -121,7 +125,7 @@
 	return a.config.Apply(version.Text)
 }
 
-// activate makes a version that was applied the active one, and has it gossiped soon.
+// activate makes an applied version the active one, and schedules urgent account summaries.
 func (a *Agent) activate(now float64, version *release.Version, reason string) {
 	a.recordVersionStats()
 	a.releases.active = *version
@@ -134,13 +138,13 @@
 		a.quotas.applyConfig(now)
 	}
 	a.audits.lastSummary = math.Inf(-1)
-	a.audits.urgentSummaries = urgentSummaryCount
+	a.audits.urgentSummariesLeft = urgentSummaryCount
 	a.logger.Info("config_applied",
 		"epoch", version.Epoch, "digest", version.Digest, "author", version.Author, "reason", reason)
 }
 
-// recordVersionStats adds what the serving loop counted under the active version to the audit
-// trail.
+// recordVersionStats adds the serving loop's counts under the active version to the audit trail, and
+// reports its error tally with the next lease request.
 func (a *Agent) recordVersionStats() {
 	stats := a.releases.stats
 	recorded := &a.releases.recorded
@@ -153,31 +157,31 @@
 	a.lease.holder.SetErrorTally(release.ErrorTally{Completed: float64(completed), Failed: float64(failed)})
 }
 
-// fetchReleaseLog requests a newer release log if the process has not joined the cluster of voters.
-// Its copy tells which servers are registered, and a voter that has not joined may bootstrap a lost
-// cluster from it. A request contains the state of the copy, so that only a newer log is sent.
+// fetchReleaseLog requests a newer release log unless the process is a joined voter. The copy lists
+// the registered servers, and a voter that has not joined may bootstrap a lost cluster from it. The
+// request states how recent the copy is, so that only a newer log is sent.
 func (a *Agent) fetchReleaseLog(now float64) {
 	if a.hasJoinedCluster() || len(a.voterNames) == 0 {
 		return
 	}
 	unjoinedVoter := a.voter != nil
-	interval, fanout := logFetchInterval, 1
+	interval, fanout := logFetchIntervalSeconds, 1
 	if unjoinedVoter {
-		interval, fanout = unjoinedLogFetchInterval, unjoinedLogFetchFanout
+		interval, fanout = unjoinedLogFetchIntervalSeconds, unjoinedLogFetchFanout
 	}
 	if now < a.releases.lastLogFetch+interval {
 		return
 	}
 	a.releases.lastLogFetch = now
 	request := a.releaseLogRequest()
-	if !unjoinedVoter && a.fetchesLogFromVoter() {
+	if !unjoinedVoter && a.shouldFetchLogFromVoter() {
 		a.send(a.config.Voters[a.voterNames[a.random.IntN(len(a.voterNames))]], request)
 		return
 	}
 	a.gossip(fanout, request)
 }
 
-// releaseLogRequest returns a request for a release log that is newer than this process's copy.
+// releaseLogRequest returns a request for a release log newer than this process's copy.
 func (a *Agent) releaseLogRequest() *wire.Envelope {
 	return &wire.Envelope{StateRequest: &wire.StateRequest{
 		RequestID:    releaseLogOnly,
@@ -187,14 +191,14 @@
 	}}
 }
 
-// fetchesLogFromVoter reports whether to request the log from a voter: if a newer one is known to
-// exist, and otherwise at random, now and then.
-func (a *Agent) fetchesLogFromVoter() bool {
-	newsExpected := a.lease.holder.AssignedEpoch() != a.releases.log.NewestEpoch()
-	return newsExpected || a.random.IntN(voterFetchOdds) == 0
+// shouldFetchLogFromVoter reports whether to request the log from a voter. This is the case if the
+// assigned epoch differs from the newest in the log, and otherwise in one of voterFetchOdds calls.
+func (a *Agent) shouldFetchLogFromVoter() bool {
+	logOutdated := a.lease.holder.AssignedEpoch() != a.releases.log.NewestEpoch()
+	return logOutdated || a.random.IntN(voterFetchOdds) == 0
 }
 
-// observeReleaseLog adopts another process's release log if it is newer.
+// observeReleaseLog adopts another process's release log if it is newer. A voter passes it to consensus.
 func (a *Agent) observeReleaseLog(log *release.Log) {
 	switch {
 	case log == nil || !log.NewerThan(a.releases.log):
--- a/internal/fleet/replication.go
+++ b/internal/fleet/replication.go
@@ -10,53 +10,53 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// ReplicationConfig configures the replication of claimed idempotency keys and of their results.
+// ReplicationConfig configures the replication of claimed idempotency keys and their results.
 type ReplicationConfig struct {
 	Placement   *replication.Placement
 	MaxRecords  int
 	MaxBytes    int
-	CatchUpRate float64 // bytes a second that a replica receives while it catches up
-	// OnVerdict hands the serving loop the verdict on a request for which it claimed a key.
+	CatchUpRate float64 // bytes a second that a replica may receive while it catches up
+	// OnVerdict passes the verdict on a claim to the serving loop.
 	OnVerdict func(requestID string, verdict serving.ClaimVerdict, result []byte)
 }
 
-// ClaimEvent is an event of a request with an idempotency key: its key is to be claimed if neither
-// Canceled nor Finished is set.
+// ClaimEvent is an event of a request with an idempotency key. If neither Canceled nor Finished is
+// set, the key is to be claimed.
 type ClaimEvent struct {
 	ID        string // of the request
 	Class     string
 	Key       string
 	Timeout   float64 // seconds within which OnVerdict is called
-	Canceled  bool    // the request never ran, and never will
-	Finished  bool    // the request ran, and ended
-	Succeeded bool    // it ended with Result
+	Canceled  bool    // the request has not run and will not run
+	Finished  bool    // the request has run
+	Succeeded bool    // the request finished with Result
 	Result    []byte
 }
 
 const (
-	// maxClaimEvents is how many events may wait for the agent: two for each claim that the serving
-	// loop may have pending, so that there is always room.
-	maxClaimEvents = 4096
-	// addrLookupInterval is how often the replicas' addresses are looked up, in seconds.
-	addrLookupInterval = 0.5
+	// maxQueuedClaimEvents limits the events queued for the agent. It has room for two events for
+	// each claim that the serving loop may have pending, so that the queue never fills up.
+	maxQueuedClaimEvents = 4096
+	// addrLookupIntervalSeconds is the time between two lookups of the replicas' addresses.
+	addrLookupIntervalSeconds = 0.5
 )
 
-// replicator claims keys for the process's own requests, and runs a replica if the process is a
-// member of the placement.
+// replicator claims keys for the process's requests, and runs a replica if the process is a member of
+// the placement.
 type replicator struct {
-	agent       *Agent
-	config      *ReplicationConfig
-	terms       replication.TermTable
-	coordinator *replication.Coordinator
-	replica     *replication.Replica // nil if this process is no member of the placement
-	selfIndex   int                  // of this process in the placement, negative if it is no member
-	backlog     *atomic.Int64        // Node.claimBacklog, or a counter of the replicator's own
-	unrecorded  int                  // reports that the replicas have not recorded, when last counted
+	agent             *Agent
+	config            *ReplicationConfig
+	terms             replication.TermTable
+	coordinator       *replication.Coordinator
+	replica           *replication.Replica // nil if this process is not a member of the placement
+	selfIndex         int                  // of this process in the placement, negative if it is not a member
+	backlog           *atomic.Int64        // Node.claimBacklog, or a separate counter if there is no Node
+	unrecordedReports int                  // reports that the replicas have not recorded, as last added to backlog
 
-	memberAddrs    map[string]string
-	lastAddrLookup float64
-	reportedAddrs  map[string]string  // replicas' addresses according to their own messages
-	lastLogged     replication.Status // at the last line in the log
+	memberAddrs      map[string]string
+	lastAddrLookup   float64
+	reportedAddrs    map[string]string // replicas' addresses according to their messages
+	lastLoggedStatus replication.Status
 }
 
 func newReplicator(agent *Agent, now float64) *replicator {
@@ -78,7 +78,7 @@
 	return r
 }
 
-// startReplica starts a replica with an empty store, and a term of this incarnation.
+// startReplica starts a replica with an empty store and with a new term for this incarnation.
 func (r *replicator) startReplica(now float64) {
 	number := r.agent.unixMilli()
 	r.terms[r.selfIndex] = replication.Term{Number: number, Incarnation: r.agent.incarnation}
@@ -91,7 +91,7 @@
 	}, now)
 }
 
-// HandleClaimEvent handles an event of the serving loop. Without replication it has no effect.
+// HandleClaimEvent handles an event of the serving loop. It has no effect if replication is disabled.
 func (a *Agent) HandleClaimEvent(now float64, event ClaimEvent) {
 	if a.replication != nil {
 		a.replication.handleEvent(now, event)
@@ -153,7 +153,7 @@
 	}
 }
 
-// handleClaim answers another process's claim of a key, or its report of how a run ended.
+// handleClaim replies to another process's claim of a key, or to its report of the outcome of a run.
 func (r *replicator) handleClaim(now float64, message *wire.Envelope) {
 	decided, replied := TraceGranting, TraceGranted
 	if message.ClaimRequest.Operation == replication.OpReport {
@@ -182,14 +182,14 @@
 	r.logStatus()
 }
 
-// logStatus logs that catching up began or ended, or that a conflicting result or a corrupted record
-// was found.
+// logStatus logs the status when a catch-up has begun or ended, or when a conflicting result or a
+// corrupted record has been found.
 func (r *replicator) logStatus() {
 	status := r.status()
-	if status.IsReplica == r.lastLogged.IsReplica &&
-		(status.CatchingUp == 0) == (r.lastLogged.CatchingUp == 0) &&
-		status.ConflictingResults == r.lastLogged.ConflictingResults &&
-		status.CorruptedRecords == r.lastLogged.CorruptedRecords {
+	if status.IsReplica == r.lastLoggedStatus.IsReplica &&
+		(status.CatchingUp == 0) == (r.lastLoggedStatus.CatchingUp == 0) &&
+		status.ConflictingResults == r.lastLoggedStatus.ConflictingResults &&
+		status.CorruptedRecords == r.lastLoggedStatus.CorruptedRecords {
 		return
 	}
 	r.agent.logger.Info("replica_status_changed",
@@ -199,11 +199,12 @@
 		"records", status.Records,
 		"conflicting_results", status.ConflictingResults,
 		"corrupted_records", status.CorruptedRecords)
-	r.lastLogged = *status
+	r.lastLoggedStatus = *status
 }
 
-// flush sends the messages of coordinator and replica, until delivery to this process itself yields
-// no more, and hands the serving loop the verdicts.
+// flush sends the messages of the coordinator and the replica, and passes the verdicts to the serving
+// loop. It repeats the sending until there are no more messages, as delivery to this process's own
+// replica can produce further ones.
 func (r *replicator) flush(now float64) {
 	for {
 		outbox := r.coordinator.TakeOutbox()
@@ -218,8 +219,8 @@
 		}
 	}
 	pending := r.coordinator.PendingReports()
-	r.backlog.Add(int64(pending - r.unrecorded))
-	r.unrecorded = pending
+	r.backlog.Add(int64(pending - r.unrecordedReports))
+	r.unrecordedReports = pending
 	for _, outcome := range r.coordinator.TakeOutcomes() {
 		r.config.OnVerdict(outcome.RequestID, outcome.Verdict, outcome.Result)
 		if outcome.Verdict == serving.ClaimGranted {
@@ -228,7 +229,7 @@
 	}
 }
 
-// deliver sends a message to its replica, which may be this process's own.
+// deliver sends a message to a replica. It passes a claim for this process's own replica on directly.
 func (r *replicator) deliver(now float64, outgoing replication.Envelope) {
 	if outgoing.To == r.selfIndex {
 		if outgoing.Claim != nil {
@@ -238,7 +239,7 @@
 		return
 	}
 	name := r.config.Placement.Members[outgoing.To].Name
-	if now >= r.lastAddrLookup+addrLookupInterval {
+	if now >= r.lastAddrLookup+addrLookupIntervalSeconds {
 		r.memberAddrs = r.agent.network.Members()
 		r.lastAddrLookup = now
 	}
@@ -250,7 +251,7 @@
 	})
 }
 
-// ReplicationStatus returns the status of replication at this process, nil if it is off.
+// ReplicationStatus returns the status of replication at this process, nil if replication is disabled.
 func (a *Agent) ReplicationStatus() *replication.Status {
 	if a.replication == nil {
 		return nil
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -7,8 +7,8 @@
 	"swiftcourse/internal/policy/replication"
 )
 
-// Status is what an operator is told of a process and of its fleet. The JSON keys are part of the
-// control API, and older than the Go names.
+// Status is the status of a process and its fleet for an operator. The JSON keys are part of the
+// control API and differ from some of the Go names, which are newer.
 type Status struct {
 	Name              string                         `json:"Name"`
 	Incarnation       uint64                         `json:"Life"`
@@ -17,23 +17,23 @@
 	ActiveEpoch       release.Epoch                  `json:"Acts"`
 	AssignedEpoch     release.Epoch                  `json:"Right"`
 	Leader            string                         `json:"Leader"`
-	MayGoOutOfService bool                           `json:"MayLeave"` // once its lease expired, see fleet-silent
+	MayGoOutOfService bool                           `json:"MayLeave"` // once its lease has expired, see fleet-silent
 	DroppedMessages   uint64                         `json:"Lost"`     // see Node.dropped
 	ReleaseLog        *release.Log                   `json:"Order"`
 	Servers           []lease.ServerStatus           `json:"Standings"`
 	Audit             audit.Report                   `json:"Report"`
-	Replicas          map[string]*replication.Status `json:"Copies"` // of all processes with replication that answered
+	Replicas          map[string]*replication.Status `json:"Copies"` // of the responding processes, by name
 }
 
-// QueryStatus audits the fleet, and returns what this process knows of it. Versions before the
-// epoch since are left out.
+// QueryStatus audits the fleet, and returns the status of this process and the fleet. Versions older
+// than the epoch since are omitted.
 func (n *Node) QueryStatus(since release.Epoch) (*Status, error) {
 	done := make(chan *auditResult, 1)
 	start := func(now float64) { n.agent.startAudit(now, func(result *auditResult) { done <- result }) }
 	if err := n.runOnAgent(start); err != nil {
 		return nil, err
 	}
-	result, err := await(done, toDuration(auditTimeout)+requestTimeout)
+	result, err := await(done, toDuration(auditTimeoutSeconds)+requestTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -59,7 +59,7 @@
 	return status, nil
 }
 
-// status returns the status of this process itself.
+// status returns the part of the status that concerns this process itself.
 func (a *Agent) status(float64) *Status {
 	state, reason := a.lease.holder.State()
 	return &Status{
@@ -74,13 +74,13 @@
 	}
 }
 
-// QueryQuotas returns the status of quotas here.
+// QueryQuotas returns the status of quotas at this process.
 func (n *Node) QueryQuotas() (*QuotaStatus, error) { return query(n, (*Agent).quotaStatus) }
 
-// QueryLoadPlan returns the status of load plans here.
+// QueryLoadPlan returns the status of load plans at this process.
 func (n *Node) QueryLoadPlan() (*LoadPlanStatus, error) { return query(n, (*Agent).LoadPlanStatus) }
 
-// QueryCounters returns what is known here of the fleet's counters, or ErrCountersOff.
+// QueryCounters returns the fleet's counters as known to this process, or ErrCountersOff.
 func (n *Node) QueryCounters() (*CounterStatus, error) {
 	status, err := query(n, (*Agent).CounterStatus)
 	if err == nil && status == nil {
--- a/internal/fleet/trace.go
+++ b/internal/fleet/trace.go
@@ -1,27 +1,27 @@
 package fleet
 
-// TracePoint is a step of a key claim, or of a replica's catching up, that Hooks.TracePoint
-// observes.
+// TracePoint is a step of a key claim or of a replica's catch-up, reported to Hooks.TracePoint.
 type TracePoint uint8
 
-// The trace points, in the order in which a claim, and then a slot's records, pass them.
+// The trace points, in the order in which a claim, and then the catch-up of a slot, passes them.
 const (
 	TraceClaiming  TracePoint = iota // the coordinator is about to send a claim
-	TraceClaimed                     // it sent the claim
+	TraceClaimed                     // the coordinator sent the claim
 	TraceGranting                    // a replica decided on a claim
-	TraceGranted                     // it sent its reply
+	TraceGranted                     // the replica sent its reply
 	TraceStarted                     // the serving loop was notified that a request may run
-	TraceFinishing                   // the coordinator sent how a run ended
-	TraceRecording                   // a replica recorded how a run ended
-	TraceRecorded                    // it sent its reply
-	TracePulling                     // a replica received a request for its records
-	TracePulled                      // it sent them
-	TraceMerging                     // a replica received another one's records
-	TraceMerged                      // it merged them
+	TraceFinishing                   // the coordinator sent the outcome of a run
+	TraceRecording                   // a replica recorded the outcome of a run
+	TraceRecorded                    // the replica sent its reply
+	TracePulling                     // a replica handled a request for its records
+	TracePulled                      // the replica sent its records, if any
+	TraceMerging                     // a replica received the records of another one
+	TraceMerged                      // the replica merged the records
 	tracePointCount
 )
 
-// The names are read by programs that observe trace points; some of them differ from the constants'.
+// Programs that observe trace points depend on these names; some differ from the names of the
+// constants.
 var tracePointNames = [tracePointCount]string{
 	"claiming", "asked", "granting", "granted", "begun", "ending",
 	"noting", "noted", "pulling", "pulled", "taking", "taken",
@@ -35,10 +35,10 @@
 	return tracePointNames[p]
 }
 
-// TracePoints are the names of all trace points, in their order.
+// TracePoints contains the names of all trace points, in order.
 var TracePoints = tracePointNames[:]
 
-// trace calls the hook for a step.
+// trace calls Hooks.TracePoint if it is set.
 func (a *Agent) trace(point TracePoint) {
 	if a.config.Hooks.TracePoint != nil {
 		a.config.Hooks.TracePoint(point)
--- a/internal/fleet/trust.go
+++ b/internal/fleet/trust.go
@@ -8,40 +8,42 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// TrustConfig configures how servers share which clients they trust.
+// TrustConfig configures the sharing of trusted clients among servers.
 type TrustConfig struct {
-	Retention  float64 // seconds for which others' trust records are kept
-	MaxClients int     // most clients that a server adopts from others
-	// OnTrusted hands the serving loop clients that other servers trust.
+	Retention  float64 // seconds for which trust records of other servers are kept
+	MaxClients int     // maximum number of clients that a server adopts from others
+	// OnTrusted passes clients that other servers trust to the serving loop.
 	OnTrusted func([]connlimit.TrustedClient)
 }
 
 const (
-	// trustAcceptFor is how long after its start a server adopts others' records, in seconds: by
-	// then its clients have had time to earn trust here, and a false record changes nothing later.
-	trustAcceptFor = 30.0
-	// A new server requests others' records every trustRequestInterval, until it received some or
-	// trustRequestFor has passed; in seconds.
-	trustRequestInterval = 0.2
-	trustRequestFor      = 5.0
-	// trustReportInterval is how often records are gossiped, in seconds, to gossipFanout others: after
-	// two servers died, a fourth of those left knows a client that one of them trusted.
-	trustReportInterval = 4.0
-	// maxTrustRecords go in one reply: 16 lists of 256 clients are 100 KB.
+	// trustAcceptSeconds is how long after its start a server adopts the records of other servers.
+	// Afterwards its clients have had time to earn trust from the server itself, and a false record
+	// has no effect.
+	trustAcceptSeconds = 30.0
+	// A new server requests records every trustRequestIntervalSeconds, until it has received some or
+	// trustRequestSeconds have passed.
+	trustRequestIntervalSeconds = 0.2
+	trustRequestSeconds         = 5.0
+	// trustReportIntervalSeconds is the time between two gossip messages with this server's record,
+	// sent to gossipFanout members. After two servers have failed, a quarter of the remaining ones
+	// know a client that one of the two trusted.
+	trustReportIntervalSeconds = 4.0
+	// maxTrustRecords limits the records in one reply: 16 lists of 256 clients take 100 KB.
 	maxTrustRecords = 16
 )
 
-// trustSharer reports to others which clients this server trusts, and adopts theirs while it is
-// new.
+// trustSharer reports the clients that this server trusts to other servers, and adopts their trusted
+// clients while this server is new.
 type trustSharer struct {
-	agent       *Agent
-	config      *TrustConfig
-	records     *replication.TrustTable // of others
-	own         replication.TrustRecord
-	started     float64
-	lastRequest float64
-	lastReport  float64
-	received    bool // others' records were received, so that no more requests are needed
+	agent           *Agent
+	config          *TrustConfig
+	records         *replication.TrustTable // of other servers
+	own             replication.TrustRecord
+	started         float64
+	lastRequest     float64
+	lastReport      float64
+	receivedRecords bool // whether records were received, so that no more requests are needed
 }
 
 func newTrustSharer(a *Agent, now float64) *trustSharer {
@@ -71,24 +73,24 @@
 	}
 }
 
-// needsRecords reports whether others' records are still to be requested.
+// needsRecords reports whether records still have to be requested from other servers.
 func (t *trustSharer) needsRecords(now float64) bool {
-	return !t.received && now < t.started+trustRequestFor
+	return !t.receivedRecords && now < t.started+trustRequestSeconds
 }
 
 func (t *trustSharer) nextWakeup(now float64) float64 {
 	if t.needsRecords(now) {
-		return t.lastRequest + trustRequestInterval
+		return t.lastRequest + trustRequestIntervalSeconds
 	}
-	return t.lastReport + trustReportInterval
+	return t.lastReport + trustReportIntervalSeconds
 }
 
 func (t *trustSharer) tick(now float64) {
-	if t.needsRecords(now) && now >= t.lastRequest+trustRequestInterval {
+	if t.needsRecords(now) && now >= t.lastRequest+trustRequestIntervalSeconds {
 		t.lastRequest = now
 		t.agent.gossip(gossipFanout, &wire.Envelope{TrustRequest: true})
 	}
-	if now < t.lastReport+trustReportInterval {
+	if now < t.lastReport+trustReportIntervalSeconds {
 		return
 	}
 	t.lastReport = now
@@ -97,7 +99,7 @@
 	}
 }
 
-// handleRequest answers a server that is new.
+// handleRequest replies to a new server with this server's record and those known of other servers.
 func (t *trustSharer) handleRequest(now float64, message *wire.Envelope) {
 	records := t.records.RecordsFor(now, message.From, maxTrustRecords-1)
 	if len(t.own.Clients) > 0 {
@@ -108,7 +110,8 @@
 	}
 }
 
-// handleRecords merges others' records.
+// handleRecords merges records of other servers, and passes the clients to the serving loop while this
+// server is new.
 func (t *trustSharer) handleRecords(now float64, message *wire.Envelope) {
 	changed := false
 	for _, record := range message.TrustRecords {
@@ -116,8 +119,8 @@
 			changed = true
 		}
 	}
-	if changed && now < t.started+trustAcceptFor {
-		t.received = true
+	if changed && now < t.started+trustAcceptSeconds {
+		t.receivedRecords = true
 		t.config.OnTrusted(t.records.MergedClients(now, t.config.MaxClients))
 	}
 }
--- a/internal/forwarder/connection_test.go
+++ b/internal/forwarder/connection_test.go
@@ -35,9 +35,10 @@
 			}()
 			responded, err := l.read(socket)
 			_ = socket.Close()
-			if (err != nil) != c.isMalformed || responded != (c.responses > 0) || len(dispatcher.events) != c.responses {
+			events := len(dispatcher.events)
+			if (err != nil) != c.isMalformed || responded != (c.responses > 0) || events != c.responses {
 				t.Errorf("read returned %t, %v and passed on %d responses, want %d responses and an error: %t",
-					responded, err, len(dispatcher.events), c.responses, c.isMalformed)
+					responded, err, events, c.responses, c.isMalformed)
 			}
 		})
 	}
--- a/internal/forwarder/dispatcher_test.go
+++ b/internal/forwarder/dispatcher_test.go
@@ -220,7 +220,7 @@
 			if result.ID != "r1" || result.Outcome != c.want {
 				t.Errorf("got result %+v, want request r1 with outcome %s", result, c.want)
 			}
-			waitUntil(t, "all attempts reached a worker", func() bool { return countAttempts(c.workers) >= c.wantAttempts })
+			waitUntil(t, "all attempts arrived", func() bool { return countAttempts(c.workers) >= c.wantAttempts })
 			if attempts := countAttempts(c.workers); attempts != c.wantAttempts || len(results) > 0 {
 				t.Errorf("got %d attempts and %d further results, want %d attempts and no further result",
 					attempts, len(results), c.wantAttempts)
