--- a/internal/fleet/audit.go
+++ b/internal/fleet/audit.go
@@ -161,12 +161,12 @@
 func (a *Agent) handleStateReply(_ float64, message *wire.Envelope) {
 	reply := message.StateReply
 	a.observeReleaseLog(reply.ReleaseLog)
-	run := a.audits.pending[reply.RequestID]
-	if run == nil || !run.awaiting[message.From] {
+	pending := a.audits.pending[reply.RequestID]
+	if pending == nil || !pending.awaiting[message.From] {
 		return
 	}
-	delete(run.awaiting, message.From)
-	run.result.add(message)
+	delete(pending.awaiting, message.From)
+	pending.result.add(message)
 }
 
 // add merges the reply of one process into the result.
@@ -193,7 +193,7 @@
 // within auditTimeoutSeconds.
 func (a *Agent) startAudit(now float64, done func(*auditResult)) {
 	a.audits.lastAuditID++
-	run := &pendingAudit{
+	pending := &pendingAudit{
 		deadline: now + auditTimeoutSeconds,
 		awaiting: map[string]bool{},
 		result: auditResult{
@@ -203,18 +203,18 @@
 		done: done,
 	}
 	if own := a.ReplicationStatus(); own != nil {
-		run.result.replicas[a.config.Name] = own
+		pending.result.replicas[a.config.Name] = own
 	}
 	a.recordVersionStats()
-	run.result.accounts = a.accounts(nil)
+	pending.result.accounts = a.accounts(nil)
 	if a.hasJoinedCluster() {
-		run.result.releaseLog = a.releases.log
-		run.result.servers = a.serverStatuses(now)
+		pending.result.releaseLog = a.releases.log
+		pending.result.servers = a.serverStatuses(now)
 	}
-	a.audits.pending[a.audits.lastAuditID] = run
+	a.audits.pending[a.audits.lastAuditID] = pending
 	absent := a.absentServers()
 	for name, addr := range a.network.Members() {
-		run.awaiting[name] = true
+		pending.awaiting[name] = true
 		request := &wire.StateRequest{RequestID: a.audits.lastAuditID, Names: absent}
 		a.send(addr, &wire.Envelope{StateRequest: request})
 	}
@@ -238,11 +238,11 @@
 // expireAudits ends the audits that have a release log and the replies of all members, and those
 // whose deadline has passed.
 func (a *Agent) expireAudits(now float64) {
-	for id, run := range a.audits.pending {
-		complete := len(run.awaiting) == 0 && run.result.releaseLog != nil
-		if now > run.deadline || complete {
+	for id, pending := range a.audits.pending {
+		complete := len(pending.awaiting) == 0 && pending.result.releaseLog != nil
+		if now > pending.deadline || complete {
 			delete(a.audits.pending, id)
-			run.done(&run.result)
+			pending.done(&pending.result)
 		}
 	}
 }
--- a/internal/fleet/clock.go
+++ b/internal/fleet/clock.go
@@ -27,7 +27,7 @@
 	return &Clock{Source: source, Offset: offset, Rate: rate, sourceStart: source(), unixStart: unix}
 }
 
-// Now returns monotonic seconds.
+// Now returns the seconds of this clock, which is monotonic.
 func (c *Clock) Now() float64 { return c.sourceStart + (c.Source()-c.sourceStart)*c.Rate }
 
 // UnixNow returns the time of day in seconds since 1970.
--- a/internal/fleet/consensus.go
+++ b/internal/fleet/consensus.go
@@ -81,7 +81,7 @@
 		a.lease.grantor.HandleCommandResult(command)
 	}
 	failed := outcome.Err != nil && !errors.Is(outcome.Err, release.ErrNameTaken)
-	if failed || command.Kind != release.KindRegister { // successful registrations are too frequent to log
+	if failed || command.Kind != release.KindRegister { // registrations are too frequent to log each
 		a.logCommandOutcome(outcome)
 	}
 	if command.ID == 0 {
--- a/internal/fleet/counters.go
+++ b/internal/fleet/counters.go
@@ -92,10 +92,10 @@
 	outbox, closable := c.aggregator.Maintain(now, leads, isGone)
 	c.deliver(now, outbox)
 	c.closeRows(closable)
-	if gaps := c.aggregator.IncompleteRecoveries(); gaps > 0 && !c.incompleteRecoveryLogged {
+	if incomplete := c.aggregator.IncompleteRecoveries(); incomplete > 0 && !c.incompleteRecoveryLogged {
 		c.incompleteRecoveryLogged = true
 		c.agent.logger.Info("counter_recovery_incomplete",
-			"incomplete_recoveries", gaps,
+			"incomplete_recoveries", incomplete,
 			"reason", "too few aggregators that knew all rows were there when this one started")
 	}
 }
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -18,7 +18,7 @@
 	AssignedEpoch     release.Epoch                  `json:"Right"`
 	Leader            string                         `json:"Leader"`
 	MayGoOutOfService bool                           `json:"MayLeave"` // once its lease has expired, see fleet-silent
-	DroppedMessages   uint64                         `json:"Lost"`     // see Node.dropped
+	DroppedMessages   uint64                         `json:"Lost"`     // and claim events, see Node.dropped
 	ReleaseLog        *release.Log                   `json:"Order"`
 	Servers           []lease.ServerStatus           `json:"Standings"`
 	Audit             audit.Report                   `json:"Report"`
