--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// registerHandler sets the handler for some kinds of messages.
+// registerHandler sets the handler for messages of the given kinds.
 func (a *Agent) registerHandler(handle handler, kinds ...wire.Kind) {
 	for _, kind := range kinds {
 		a.handlers[kind] = handle
@@ -161,7 +161,8 @@
 	return a.lease.holder.AssignedEpoch() > a.releases.active.Epoch
 }
 
-// Tick performs the work that is due, sends pending messages, and publishes a changed directive.
+// Tick performs the work that is due, sends the voter's queued messages, and publishes the directive
+// if it changed.
 func (a *Agent) Tick(now float64) {
 	if a.voter != nil {
 		a.voter.Tick(now)
--- a/internal/fleet/agent_test.go
+++ b/internal/fleet/agent_test.go
@@ -151,7 +151,7 @@
 	}
 }
 
-// Messages for disabled components, and empty messages, have no effect.
+// An empty message and messages for disabled components have no effect.
 func TestHandleMessage_DropsKindsWithoutHandler(t *testing.T) {
 	c := newTestCluster(t, 1, 1)
 	a := c.agents["n1"]
--- a/internal/fleet/audit.go
+++ b/internal/fleet/audit.go
@@ -27,7 +27,7 @@
 	done     func(*auditResult)
 }
 
-// auditResult is the information that an audit collected.
+// auditResult contains the merged replies to an audit.
 type auditResult struct {
 	accounts   []audit.Account
 	responding map[uint64]bool // incarnations that replied
@@ -41,12 +41,13 @@
 	urgentSummaryIntervalSeconds = 0.15 // the same after a change
 	// urgentSummaryCount is the number of summaries that follow a change. As each of them goes to
 	// gossipFanout members, only about one process in e^9 receives none of them and learns of the
-	// change by its own request.
+	// change only from the reply to its next regular lease request.
 	urgentSummaryCount            = 3
 	accountCleanupIntervalSeconds = 60.0 // between two scans for stale accounts
 	auditTimeoutSeconds           = 2.0  // how long an audit waits for replies
-	maxAccountsInReply            = 500
-	// releaseLogOnly is the request ID of a state request for nothing but a newer release log.
+	maxAccountsInReply            = 500  // also limits the names in a request
+	// releaseLogOnly is the request ID of a state request that is not part of an audit and requests only
+	// a newer release log.
 	releaseLogOnly = 0
 )
 
@@ -95,7 +96,8 @@
 	})
 }
 
-// handleStateRequest replies to an audit's request, or to a request for a newer release log only.
+// handleStateRequest replies to an audit's request, or to a request that asks only for a newer
+// release log.
 func (a *Agent) handleStateRequest(now float64, message *wire.Envelope) {
 	request := message.StateRequest
 	var reply *wire.StateReply
@@ -230,7 +232,7 @@
 		}
 	}
 	if names == nil {
-		return []string{""} // an empty list would request all accounts
+		return []string{""} // names no process; an empty list would request all accounts
 	}
 	return names
 }
--- a/internal/fleet/clock.go
+++ b/internal/fleet/clock.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// TimeSource is an agent's clock. Times in published directives are times of Now.
+// TimeSource is an agent's clock. Times in published directives are on the scale of Now.
 type TimeSource interface {
 	// Now returns the seconds of a monotonic clock.
 	Now() float64
@@ -10,8 +10,8 @@
 	UnixNow() float64
 }
 
-// Clock is the clock of a process's agent. To simulate clock errors, a test may offset its time of day
-// or change its rate.
+// Clock is the clock of a process's agent. To simulate clock errors, a test may offset its time of
+// day or change its rate.
 type Clock struct {
 	Source func() float64 // monotonic clock of the process, in seconds
 	Offset float64        // error of the time of day, in seconds
@@ -33,7 +33,7 @@
 // UnixNow returns the time of day in seconds since 1970.
 func (c *Clock) UnixNow() float64 { return c.unixStart + c.Offset + (c.Source()-c.sourceStart)*c.Rate }
 
-// ToSource converts a time of Now to a time of Source.
+// ToSource converts a time on the scale of Now to the scale of Source.
 func (c *Clock) ToSource(at float64) float64 {
 	if math.IsInf(at, 0) {
 		return at
--- a/internal/fleet/cluster_test.go
+++ b/internal/fleet/cluster_test.go
@@ -16,11 +16,11 @@
 
 const (
 	testLatency  = 0.001 // seconds from sending a message to its delivery
-	testUnixTime = 1.8e9
+	testUnixTime = 1.8e9 // time of day at the start, in seconds since 1970
 	testBuild    = "b1"
 )
 
-// testCluster runs agents in simulated time, over a network that delivers messages in order.
+// testCluster runs agents in simulated time, over a network that delivers messages in the order sent.
 type testCluster struct {
 	t        *testing.T
 	now      float64
@@ -41,6 +41,7 @@
 	wakeup    float64 // time of its next turn
 }
 
+// delivery is a message in flight.
 type delivery struct {
 	at      float64
 	to      string
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -9,7 +9,7 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// pendingCommand is an operator's command without a known result.
+// pendingCommand is an operator's command whose result is not yet known.
 type pendingCommand struct {
 	command     *release.Command
 	nextAttempt float64
@@ -18,8 +18,8 @@
 }
 
 const (
-	maxPendingCommands          = 64   // pending commands of operators, at most
-	commandTimeoutSeconds       = 10.0 // how long an operator's command may be pending
+	maxPendingCommands          = 64
+	commandTimeoutSeconds       = 10.0 // after which a pending command is rejected
 	commandRetryIntervalSeconds = 0.5
 )
 
@@ -38,7 +38,8 @@
 	a.commands[command.ID] = &pendingCommand{command: &command, deadline: now + commandTimeoutSeconds, done: done}
 }
 
-// handleCommand accepts an operator's command that another process forwarded.
+// handleCommand accepts an operator's command that another process forwarded. It drops a command that
+// is already pending or exceeds maxPendingCommands.
 func (a *Agent) handleCommand(now float64, message *wire.Envelope) {
 	command := message.Command
 	if a.commands[command.ID] != nil || command.ID == 0 || len(a.commands) >= maxPendingCommands {
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -35,8 +35,7 @@
 	// Publish passes each new directive to the serving loop.
 	Publish func(*serving.Directive)
 
-	// Hooks change the addresses that the process dials, and observe its steps; the zero value does
-	// neither.
+	// Hooks may translate the addresses that the process dials, and observe its trace points.
 	Hooks Hooks
 }
 
--- a/internal/fleet/consensus.go
+++ b/internal/fleet/consensus.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// updateLeadership starts and stops the functions of a leader. A leader whose confirmation has
-// expired keeps its grantor until it knows that it is no longer the leader.
+// updateLeadership starts and stops the grantors and the planner, which only a leader runs. A leader
+// whose confirmation has expired keeps its grantors until it knows that it is no longer the leader.
 func (a *Agent) updateLeadership(now float64, leads bool) {
 	switch {
 	case leads && a.lease.grantor == nil:
--- a/internal/fleet/control_keys_test.go
+++ b/internal/fleet/control_keys_test.go
@@ -39,36 +39,37 @@
 	slices.Sort(want)
 	for _, key := range want {
 		if _, found := slices.BinarySearch(got, key); !found {
-			t.Errorf("key missing from the control API: %s", key)
+			t.Errorf("control API has no key %q, want it as the golden file lists it", key)
 		}
 	}
 	for _, key := range got {
 		if _, found := slices.BinarySearch(want, key); !found {
-			t.Errorf("key not in the golden file: %s", key)
+			t.Errorf("control API has key %q, want only the keys of the golden file", key)
 		}
 	}
 }
 
 // collectKeys adds the paths and kinds of all JSON values within a type to keys.
-func collectKeys(of reflect.Type, path string, keys map[string]bool) {
-	switch of.Kind() {
+func collectKeys(typ reflect.Type, path string, keys map[string]bool) {
+	switch typ.Kind() {
 	case reflect.Pointer, reflect.Slice:
-		collectKeys(of.Elem(), path, keys)
+		collectKeys(typ.Elem(), path, keys)
 	case reflect.Map:
-		collectKeys(of.Elem(), path+".*", keys)
+		collectKeys(typ.Elem(), path+".*", keys)
 	case reflect.Struct:
-		for i := range of.NumField() {
-			field := of.Field(i)
+		for i := range typ.NumField() {
+			field := typ.Field(i)
 			if field.IsExported() {
 				collectKeys(field.Type, fieldPath(path, field), keys)
 			}
 		}
 	default:
-		keys[path+" "+of.Kind().String()] = true
+		keys[path+" "+typ.Kind().String()] = true
 	}
 }
 
-// fieldPath returns the JSON path of a field. An embedded struct has the path of the struct around it.
+// fieldPath returns the JSON path of a field. The path of an embedded struct without a key is that of
+// the enclosing struct.
 func fieldPath(path string, field reflect.StructField) string {
 	key, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 	if key == "" && field.Anonymous {
--- a/internal/fleet/counters.go
+++ b/internal/fleet/counters.go
@@ -31,7 +31,7 @@
 		agent:               a,
 		reporter:            counter.NewReporter(a.config.Name, a.incarnation, a.voterNames, now),
 		closedRows:          map[uint64]uint64{},
-		indexedAppliedCount: math.MaxUint64,
+		indexedAppliedCount: math.MaxUint64, // closedRows has not been built yet
 	}
 	a.registerHandler(c.handleAck, wire.KindCounterAck)
 	if a.voter != nil {
@@ -89,9 +89,9 @@
 	isGone := func(name string, incarnation uint64) bool {
 		return c.agent.releases.log.Members[name] != incarnation
 	}
-	outbox, closable := c.aggregator.Maintain(now, leads, isGone)
-	c.deliver(now, outbox)
-	c.closeRows(closable)
+	queries, closableRows := c.aggregator.Maintain(now, leads, isGone)
+	c.deliver(now, queries)
+	c.closeRows(closableRows)
 	if incomplete := c.aggregator.IncompleteRecoveries(); incomplete > 0 && !c.incompleteRecoveryLogged {
 		c.incompleteRecoveryLogged = true
 		c.agent.logger.Info("counter_recovery_incomplete",
@@ -100,7 +100,7 @@
 	}
 }
 
-// deliver sends messages to aggregators, including the one of this process.
+// deliver sends messages to their aggregators, one of which may run in this process.
 func (c *counterManager) deliver(now float64, outbox []counter.Envelope) {
 	for _, outgoing := range outbox {
 		message := &wire.Envelope{CounterReport: outgoing.Report, CounterSyncRequest: outgoing.Query}
--- a/internal/fleet/gossip.go
+++ b/internal/fleet/gossip.go
@@ -34,11 +34,14 @@
 	maxSendsPerAddr = 2
 	maxSends        = 64
 
-	gossipTCPTimeout    = 2 * time.Second
+	gossipTCPTimeout = 2 * time.Second
+	// gossipToTheDeadTime is how long gossip is still sent to a member that counts as failed, so that
+	// it can refute this.
 	gossipToTheDeadTime = 10 * time.Second
 	leaveTimeout        = 200 * time.Millisecond
-	minJoinInterval     = 100 * time.Millisecond
-	maxJoinInterval     = 2 * time.Second
+	// The interval between two checks whether to join doubles from minJoinInterval to maxJoinInterval.
+	minJoinInterval = 100 * time.Millisecond
+	maxJoinInterval = 2 * time.Second
 )
 
 // memberName returns the name under which an incarnation of a process is a member.
@@ -55,7 +58,8 @@
 // receiver handles an encoded message. The network calls it on its own goroutines, concurrently.
 type receiver func(message []byte)
 
-// joinGossip starts to listen, and joins the other members in the background until the context is done.
+// joinGossip starts to listen, and joins the other members in the background until the context is
+// done.
 func joinGossip(ctx context.Context, config *Config, incarnation uint64, receive receiver) (*gossipNetwork, error) {
 	bindIP, port, err := resolveAddr(config.ListenAddr)
 	if err != nil {
@@ -93,8 +97,8 @@
 	return n, nil
 }
 
-// join joins the configured members whenever the number of known other members is at most half of
-// theirs, so that both sides of a partition try to heal it.
+// join joins the configured members, and does so again whenever it knows at most half as many other
+// members as are configured. Thus both sides of a partition try to heal it.
 func (n *gossipNetwork) join(ctx context.Context, config *Config) {
 	var others []string
 	for _, addr := range config.Voters {
@@ -164,9 +168,9 @@
 
 // AddrOf returns the address of an incarnation, or fallback if it is not a member.
 func (n *gossipNetwork) AddrOf(name string, incarnation uint64, fallback string) string {
-	wanted := memberName(name, incarnation)
+	fullName := memberName(name, incarnation)
 	for _, member := range n.list.Members() {
-		if member.Name == wanted {
+		if member.Name == fullName {
 			return member.Address()
 		}
 	}
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -18,7 +18,9 @@
 // CallLimit limits the calls to the downstream service.
 type CallLimit struct {
 	MaxInFlight float64 // calls that may be in flight, +Inf for no limit
-	Probe       int64   // number of the probe that the next call makes, once for each number; 0 for no probe
+	// Probe is the number of the probe that the next call is to make, 0 for no probe. The serving loop
+	// makes at most one probe for each number.
+	Probe int64
 }
 
 const (
@@ -29,12 +31,12 @@
 	// servers within 1.5 seconds.
 	healthReportIntervalSeconds = 0.25
 	maxRelayedReports           = 16
-	// maxServerZones limits the servers whose zones are stored.
+	// maxServerZones limits the entries of healthMonitor.serverZones.
 	maxServerZones = 4096
 )
 
-// healthMonitor runs the circuit breaker for the downstream service, from the outcomes of this
-// server's calls and the reports of other servers.
+// healthMonitor runs the circuit breaker for the downstream service. The breaker decides by the
+// outcomes of this server's calls and the reports of other servers.
 type healthMonitor struct {
 	agent        *Agent
 	config       *HealthConfig
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -7,7 +7,8 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// leaseState contains the holder of the process's own lease and, at the leader, the grantor of leases.
+// leaseState contains the holder of the process's own lease and, at the leader, the grantor of the
+// leases of all servers.
 type leaseState struct {
 	holder              *lease.Holder
 	grantor             *lease.Grantor // nil unless this process is the leader
@@ -16,8 +17,8 @@
 }
 
 const (
-	// maxUnansweredRequests is the number of unanswered requests after which a leader counts as
-	// unreachable and other voters are asked.
+	// A leader with more than maxUnansweredRequests unanswered requests counts as unreachable, and the
+	// next requests go to other voters.
 	maxUnansweredRequests = 2
 	// leaseRequestJitterSeconds is the maximum random delay of a request after a new release. A
 	// thousand servers that learn of the release at once then send 5,000 requests a second, a
@@ -54,7 +55,7 @@
 	}
 }
 
-// nextVoterName returns the voters' names round-robin, "" if there are no voters.
+// nextVoterName returns the name of the next voter in round-robin order, "" if there are no voters.
 func (a *Agent) nextVoterName() string {
 	if len(a.voterNames) == 0 {
 		return ""
@@ -99,7 +100,7 @@
 	}
 }
 
-// expireLease expires the process's own lease at its end.
+// expireLease ends the process's own lease once it has expired.
 func (a *Agent) expireLease(now float64) {
 	if a.lease.holder.Expire(now) {
 		a.logLeaseState()
--- a/internal/fleet/loadplan.go
+++ b/internal/fleet/loadplan.go
@@ -42,8 +42,9 @@
 	return p
 }
 
-// updateLeadership starts a planner for each term in which this process is the leader, and removes it
-// when the process is no longer the confirmed leader.
+// updateLeadership starts a planner when this process becomes the confirmed leader, and removes it
+// when it no longer is. A process that becomes the leader again has another term and starts a new
+// planner.
 func (p *loadPlanner) updateLeadership(now float64) {
 	if !p.config.IsPlanner {
 		return
--- a/internal/fleet/network.go
+++ b/internal/fleet/network.go
@@ -7,8 +7,8 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// Network sends messages to other processes and lists the members. Messages may be lost, duplicated or
-// delayed.
+// Network sends messages to other processes and lists the members. Messages may be lost, duplicated
+// or delayed, so the agent never blocks to wait for one.
 type Network interface {
 	// Send sends an encoded message without blocking.
 	Send(addr string, message []byte)
@@ -22,8 +22,8 @@
 	HasMember(name string) bool
 }
 
-// gossipFanout is the number of members to which a gossiped message is sent, so that it is not lost if
-// two of them fail.
+// gossipFanout is the number of members to which a gossiped message is sent, so that it is not lost
+// if two of them fail.
 const gossipFanout = 3
 
 // send sends a message to an address. It drops the message if the address is empty.
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -60,13 +60,14 @@
 	// requestTimeout limits the time until the agent accepts a request, and then the time until it
 	// answers.
 	requestTimeout = 2 * time.Second
-	// undecodableLogEvery is the number of dropped messages for each log line about an undecodable
-	// message.
+	// undecodableLogEvery limits the log lines about undecodable messages to one for each
+	// undecodableLogEvery drops that Node.dropped counts.
 	undecodableLogEvery = 1000
 )
 
 // Start joins the fleet, and leaves it when the context is done or Stop is called. The random source
-// is also seeded with the time, so that a restarted process gets a different incarnation.
+// is seeded with the time as well as Config.Seed, so that a restarted process gets a different
+// incarnation.
 func Start(ctx context.Context, config Config) (*Node, error) {
 	random := rand.New(rand.NewPCG(uint64(config.Seed), uint64(time.Now().UnixNano())))
 	n := &Node{
@@ -133,8 +134,8 @@
 	}
 }
 
-// run runs agents until the context is done. It replaces an agent that panics by one with a new
-// incarnation. The server continues to serve meanwhile.
+// run runs agents until the context is done. If an agent panics, run replaces it with an agent of a
+// new incarnation. The server continues to serve meanwhile.
 func (n *Node) run(ctx context.Context) {
 	defer close(n.done)
 	defer n.gossip.close()
--- a/internal/fleet/node_reports.go
+++ b/internal/fleet/node_reports.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// ReportTrusted reports the clients that this server's connection limiter trusts. If the queue is full
-// the list is dropped, as a newer one follows soon.
+// ReportTrusted reports the clients that this server's connection limiter trusts. If the queue is
+// full the list is dropped, as a newer one follows soon.
 func (n *Node) ReportTrusted(clients []connlimit.TrustedClient) {
 	select {
 	case n.trustedClients <- clients:
@@ -49,8 +49,8 @@
 	}
 }
 
-// ReportUsage reports the serving loop's usage of quotas. If the queue is full the list is dropped, as
-// a newer one follows soon.
+// ReportUsage reports the serving loop's usage of quotas. If the queue is full the list is dropped,
+// as a newer one follows soon.
 func (n *Node) ReportUsage(usage []Usage) {
 	select {
 	case n.usage <- usage:
@@ -58,8 +58,8 @@
 	}
 }
 
-// ReportCalls reports the outcomes of the serving loop's calls to the downstream service. If the queue
-// is full they are not counted.
+// ReportCalls reports the outcomes of the serving loop's calls to the downstream service. If the
+// queue is full they are not counted.
 func (n *Node) ReportCalls(calls serving.CallStats) {
 	select {
 	case n.callStats <- calls:
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -52,7 +52,7 @@
 	return node
 }
 
-// waitUntil waits for a condition, and fails the test if it is not met in time.
+// waitUntil waits for a condition, and fails the test if it is not met within the timeout.
 func waitUntil(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	const timeout = 20 * time.Second
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	var status *Status
-	waitUntil(t, "the process leads", func() bool {
+	waitUntil(t, "GET /state reports v1 as the leader, with an active epoch", func() bool {
 		var err error
 		status, err = FetchStatus(addr, "")
 		return err == nil && status.Leader == "v1" && status.ActiveEpoch != 0
@@ -98,7 +98,8 @@
 		t.Errorf("FetchStatus with a malformed epoch returned %v, want a ControlError", err)
 	}
 	if _, err := FetchCounters(addr); !errors.As(err, &failure) || failure.Message != ErrCountersOff.Error() {
-		t.Errorf("FetchCounters with counters disabled returned %v, want %v", err, ErrCountersOff)
+		t.Errorf("FetchCounters with counters disabled returned %v, want a ControlError with message %q",
+			err, ErrCountersOff)
 	}
 	if quotas, err := FetchQuotas(addr); err != nil || quotas.Leader != "v1" || quotas.IsLeader {
 		t.Errorf("FetchQuotas with quotas disabled returned %+v, %v, want leader v1 and IsLeader false", quotas, err)
@@ -116,7 +117,7 @@
 func TestExecuteCommand_ReturnsRejection(t *testing.T) {
 	t.Parallel()
 	node := startNode(t, applyNoop)
-	waitUntil(t, "the process leads", func() bool {
+	waitUntil(t, "v1 is the leader", func() bool {
 		quotas, err := node.QueryQuotas()
 		return err == nil && quotas.Leader == "v1"
 	})
@@ -133,12 +134,12 @@
 	var panicked atomic.Bool
 	node := startNode(t, func(string) error {
 		if !panicked.Swap(true) {
-			panic("for the test")
+			panic("test: simulated panic in Apply")
 		}
 		return nil
 	})
 	first := node.Incarnation()
-	waitUntil(t, "another incarnation runs", func() bool {
+	waitUntil(t, "a new incarnation has an active epoch", func() bool {
 		quotas, err := node.QueryQuotas()
 		return err == nil && quotas.Epoch != 0 && node.Incarnation() != first
 	})
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -19,7 +19,7 @@
 	Name        string
 	Demand      float64 // requests a second, including those that were not admitted
 	InFlight    float64 // calls in flight
-	GrantNumber uint64  // of the allowance that the serving loop applies
+	GrantNumber uint64  // of the quota.Allowance that the serving loop applies
 }
 
 // quotaManager leases the process's share of each quota, and grants shares to servers while the
@@ -91,7 +91,8 @@
 }
 
 // handleRequest replies to a server's request for shares. Only the incarnation registered under its
-// name is granted a share of the pool; others have at most their share of the floor.
+// name is granted a share of the pool. Others get no reply and may use at most their floor; package
+// quota describes both.
 func (q *quotaManager) handleRequest(now float64, message *wire.Envelope) {
 	if q.grantor == nil || q.agent.releases.log.Members[message.From] != message.Incarnation {
 		return
--- a/internal/fleet/release.go
+++ b/internal/fleet/release.go
@@ -12,7 +12,7 @@
 // releaseState contains the process's copy of the release log, and its active version.
 type releaseState struct {
 	log          *release.Log // a copy; processes that do not vote have one as well
-	lastLogFetch float64
+	lastLogFetch float64      // time of the last request for a newer log
 
 	active           release.Version
 	applyError       string  // error of applying the assigned version, "" if it has not failed
@@ -84,7 +84,7 @@
 	}
 	a.releases.lastVersionFetch = now
 	name := a.lease.holder.Leader()
-	if a.config.Voters[name] == "" || a.random.IntN(leaderSkipOdds) == 0 { // another voter may have it as well
+	if a.config.Voters[name] == "" || a.random.IntN(leaderSkipOdds) == 0 { // any voter may have the version
 		name = a.voterNames[a.random.IntN(len(a.voterNames))]
 	}
 	if name != a.config.Name {
@@ -192,13 +192,15 @@
 }
 
 // shouldFetchLogFromVoter reports whether to request the log from a voter. This is the case if the
-// assigned epoch differs from the newest in the log, and otherwise in one of voterFetchOdds calls.
+// assigned epoch differs from the newest in the log, as the log may then be outdated. Otherwise it is
+// the case in one of voterFetchOdds calls on average.
 func (a *Agent) shouldFetchLogFromVoter() bool {
-	logOutdated := a.lease.holder.AssignedEpoch() != a.releases.log.NewestEpoch()
-	return logOutdated || a.random.IntN(voterFetchOdds) == 0
+	mayBeOutdated := a.lease.holder.AssignedEpoch() != a.releases.log.NewestEpoch()
+	return mayBeOutdated || a.random.IntN(voterFetchOdds) == 0
 }
 
-// observeReleaseLog adopts another process's release log if it is newer. A voter passes it to consensus.
+// observeReleaseLog adopts another process's release log if it is newer. A voter passes the log to
+// its consensus.Voter instead, which bootstraps a lost cluster from the newest log.
 func (a *Agent) observeReleaseLog(log *release.Log) {
 	switch {
 	case log == nil || !log.NewerThan(a.releases.log):
--- a/internal/fleet/replication.go
+++ b/internal/fleet/replication.go
@@ -37,7 +37,7 @@
 	// maxQueuedClaimEvents limits the events queued for the agent. It has room for two events for
 	// each claim that the serving loop may have pending, so that the queue never fills up.
 	maxQueuedClaimEvents = 4096
-	// addrLookupIntervalSeconds is the time between two lookups of the replicas' addresses.
+	// addrLookupIntervalSeconds is the shortest time between two lookups of the replicas' addresses.
 	addrLookupIntervalSeconds = 0.5
 )
 
@@ -202,9 +202,9 @@
 	r.lastLoggedStatus = *status
 }
 
-// flush sends the messages of the coordinator and the replica, and passes the verdicts to the serving
-// loop. It repeats the sending until there are no more messages, as delivery to this process's own
-// replica can produce further ones.
+// flush sends the messages of the coordinator and the replica until there are none left, as delivery
+// to this process's own replica can produce further messages. It then passes the verdicts to the
+// serving loop.
 func (r *replicator) flush(now float64) {
 	for {
 		outbox := r.coordinator.TakeOutbox()
@@ -229,7 +229,8 @@
 	}
 }
 
-// deliver sends a message to a replica. It passes a claim for this process's own replica on directly.
+// deliver sends a message to a replica. This process's own replica handles a claim directly, without
+// the network.
 func (r *replicator) deliver(now float64, outgoing replication.Envelope) {
 	if outgoing.To == r.selfIndex {
 		if outgoing.Claim != nil {
@@ -251,7 +252,8 @@
 	})
 }
 
-// ReplicationStatus returns the status of replication at this process, nil if replication is disabled.
+// ReplicationStatus returns the status of replication at this process, nil if replication is
+// disabled.
 func (a *Agent) ReplicationStatus() *replication.Status {
 	if a.replication == nil {
 		return nil
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -8,21 +8,21 @@
 )
 
 // Status is the status of a process and its fleet for an operator. The JSON keys are part of the
-// control API and differ from some of the Go names, which are newer.
+// control API and stay the same when a Go field is renamed.
 type Status struct {
 	Name              string                         `json:"Name"`
 	Incarnation       uint64                         `json:"Life"`
 	LeaseState        string                         `json:"Standing"`
-	Reason            string                         `json:"Why"`
+	Reason            string                         `json:"Why"` // for LeaseState
 	ActiveEpoch       release.Epoch                  `json:"Acts"`
 	AssignedEpoch     release.Epoch                  `json:"Right"`
 	Leader            string                         `json:"Leader"`
-	MayGoOutOfService bool                           `json:"MayLeave"` // once its lease has expired, see fleet-silent
-	DroppedMessages   uint64                         `json:"Lost"`     // and claim events, see Node.dropped
+	MayGoOutOfService bool                           `json:"MayLeave"` // after lease expiry; see setting fleet-silent
+	DroppedMessages   uint64                         `json:"Lost"`     // includes claim events; see Node.dropped
 	ReleaseLog        *release.Log                   `json:"Order"`
 	Servers           []lease.ServerStatus           `json:"Standings"`
 	Audit             audit.Report                   `json:"Report"`
-	Replicas          map[string]*replication.Status `json:"Copies"` // of the responding processes, by name
+	Replicas          map[string]*replication.Status `json:"Copies"` // by process name, of the processes that replied
 }
 
 // QueryStatus audits the fleet, and returns the status of this process and the fleet. Versions older
--- a/internal/fleet/trace.go
+++ b/internal/fleet/trace.go
@@ -9,7 +9,7 @@
 	TraceClaimed                     // the coordinator sent the claim
 	TraceGranting                    // a replica decided on a claim
 	TraceGranted                     // the replica sent its reply
-	TraceStarted                     // the serving loop was notified that a request may run
+	TraceStarted                     // the agent told the serving loop that a request may run
 	TraceFinishing                   // the coordinator sent the outcome of a run
 	TraceRecording                   // a replica recorded the outcome of a run
 	TraceRecorded                    // the replica sent its reply
--- a/internal/fleet/trust.go
+++ b/internal/fleet/trust.go
@@ -26,8 +26,8 @@
 	trustRequestIntervalSeconds = 0.2
 	trustRequestSeconds         = 5.0
 	// trustReportIntervalSeconds is the time between two gossip messages with this server's record,
-	// sent to gossipFanout members. After two servers have failed, a quarter of the remaining ones
-	// know a client that one of the two trusted.
+	// sent to gossipFanout members. If two servers fail, a quarter of the remaining servers then know
+	// a client that one of the two trusted.
 	trustReportIntervalSeconds = 4.0
 	// maxTrustRecords limits the records in one reply: 16 lists of 256 clients take 100 KB.
 	maxTrustRecords = 16
@@ -110,8 +110,8 @@
 	}
 }
 
-// handleRecords merges records of other servers, and passes the clients to the serving loop while this
-// server is new.
+// handleRecords merges records of other servers. While this server is new it passes the merged
+// clients to the serving loop.
 func (t *trustSharer) handleRecords(now float64, message *wire.Envelope) {
 	changed := false
 	for _, record := range message.TrustRecords {
