--- a/internal/forwarder/config.go
+++ b/internal/forwarder/config.go
@@ -14,9 +14,9 @@
 type Config struct {
 	Workers          []Worker
 	Classes          []admission.Class
-	Seed             int64
-	SlowStartSpeed   float64 // initial fraction of a worker's speed, see routing.Router.SetSlowStart
-	SlowStartSeconds float64
+	Seed             int64   // for random choices; see SeedFor
+	SlowStartSpeed   float64 // fraction of its speed at which a worker starts; see routing.Router.SetSlowStart
+	SlowStartSeconds float64 // until a worker has reached its full speed; 0 for no slow start
 
 	// Now returns the server's clock in Unix seconds. It never decreases.
 	Now func() float64
--- a/internal/forwarder/connection.go
+++ b/internal/forwarder/connection.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// maxQueuedMessages limits the messages queued for a worker that does not read, to some hundred
-	// requests.
+	// maxQueuedMessages limits the messages queued on a connection whose worker does not read. The
+	// queue has room for some hundred requests.
 	maxQueuedMessages = 256
 	// dialTimeout limits one attempt to connect. The backoff between attempts doubles from
-	// minRedialBackoff to maxRedialBackoff.
+	// minRedialBackoff to maxRedialBackoff after failed dials, and is reset once a worker has responded.
 	dialTimeout      = time.Second
 	minRedialBackoff = 20 * time.Millisecond
 	maxRedialBackoff = 500 * time.Millisecond
@@ -27,9 +27,9 @@
 )
 
 var (
-	// errMessageTooLong reports that an incomplete message exceeds maxPartialMessageBytes. The limit
-	// does not depend on the codec. No test covers it, as no input is known that the codec accepts
-	// and that exceeds the limit.
+	// errMessageTooLong reports that an incomplete message exceeds maxPartialMessageBytes. The check
+	// does not rely on the codec's own limits. No test covers it, as no input is known that exceeds
+	// maxPartialMessageBytes without the codec rejecting it as malformed.
 	errMessageTooLong = fmt.Errorf("incomplete message exceeds %d bytes", maxPartialMessageBytes)
 	// errStopped reports that the dispatcher was stopped.
 	errStopped = errors.New("dispatcher stopped")
@@ -81,8 +81,8 @@
 	}
 }
 
-// keepConnected connects to the worker and serves the connection until it ends, and repeats this
-// until the dispatcher stops.
+// keepConnected connects to the worker and serves the connection until it ends. It repeats this until
+// the dispatcher stops.
 func (l *link) keepConnected() {
 	backoff := minRedialBackoff
 	for {
--- a/internal/forwarder/connection_test.go
+++ b/internal/forwarder/connection_test.go
@@ -12,7 +12,8 @@
 // passed to the dispatcher.
 func TestLinkRead_ReportsMalformedResponses(t *testing.T) {
 	result := string(rpc.AppendResult(nil, 1, []byte("r"), rpc.ResponseMetadata{}))
-	oversized := "\x94\x01\x01\xc0\x92\xc6\x7f\xff\xff\xff" + strings.Repeat("x", maxPartialMessageBytes+1)
+	// The codec rejects the declared length of the result, before maxPartialMessageBytes applies.
+	tooLong := "\x94\x01\x01\xc0\x92\xc6\x7f\xff\xff\xff" + strings.Repeat("x", maxPartialMessageBytes+1)
 	for name, c := range map[string]struct {
 		input       string
 		responses   int
@@ -23,7 +24,7 @@
 		"incomplete response":            {input: result[:len(result)-1]},
 		"malformed response":             {input: "\xc1", isMalformed: true},
 		"response, then a malformed one": {input: result + "\xc1", responses: 1, isMalformed: true},
-		"response longer than the limit": {input: oversized, isMalformed: true},
+		"response of excessive length":   {input: tooLong, isMalformed: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			socket, workerSocket := net.Pipe()
@@ -37,8 +38,8 @@
 			_ = socket.Close()
 			events := len(dispatcher.events)
 			if (err != nil) != c.isMalformed || responded != (c.responses > 0) || events != c.responses {
-				t.Errorf("read returned %t, %v and passed on %d responses, want %d responses and an error: %t",
-					responded, err, events, c.responses, c.isMalformed)
+				t.Errorf("responded %t, error %v, %d responses passed on; want responded %t, error: %t, %d responses",
+					responded, err, events, c.responses > 0, c.isMalformed, c.responses)
 			}
 		})
 	}
--- a/internal/forwarder/dispatcher_test.go
+++ b/internal/forwarder/dispatcher_test.go
@@ -12,7 +12,7 @@
 
 const (
 	idempotentClass = iota
-	paymentClass
+	atMostOnceClass
 )
 
 const testTimeout = 10 * time.Second
@@ -94,7 +94,7 @@
 	config := Config{
 		Classes: []admission.Class{
 			idempotentClass: {Idempotency: admission.Idempotent},
-			paymentClass:    {Idempotency: admission.AtMostOnce},
+			atMostOnceClass: {Idempotency: admission.AtMostOnce},
 		},
 		Now: func() float64 { return 1000 + time.Since(started).Seconds() },
 		OnResults: func(batch []forwarding.Result) {
@@ -181,7 +181,7 @@
 func resultCases() map[string]resultCase {
 	return map[string]resultCase{
 		"finished": {
-			workers: []*testWorker{{respond: respondFinished}}, class: paymentClass, remainingSeconds: 20,
+			workers: []*testWorker{{respond: respondFinished}}, class: atMostOnceClass, remainingSeconds: 20,
 			want: admission.Finished, wantAttempts: 1,
 		},
 		"failed by the worker": {
@@ -190,7 +190,7 @@
 		},
 		"rejected by all attempted workers": {
 			workers: []*testWorker{{respond: respondRejected}, {respond: respondRejected}, {respond: respondRejected}},
-			class:   paymentClass, remainingSeconds: 20,
+			class:   atMostOnceClass, remainingSeconds: 20,
 			want: admission.Rejected, wantAttempts: 2,
 		},
 		"connection lost, idempotent": {
@@ -198,7 +198,7 @@
 			want: admission.Failed, wantAttempts: 2,
 		},
 		"connection lost, at most once": {
-			workers: []*testWorker{{}, {}, {}}, class: paymentClass, remainingSeconds: 20,
+			workers: []*testWorker{{}, {}, {}}, class: atMostOnceClass, remainingSeconds: 20,
 			want: admission.Failed, wantAttempts: 1,
 		},
 		"no response before the deadline": {
--- a/internal/forwarder/doc.go
+++ b/internal/forwarder/doc.go
@@ -8,6 +8,7 @@
 //
 // A request passes through Dispatch, sendToWorker, the link's connection, the worker, a
 // responseEvent, complete and Config.OnResults. If an attempt ends without a result, package
-// routing decides whether to retry the request at another worker. Each dispatched request has
-// exactly one result, at the latest deadlineGraceSeconds after its deadline.
+// routing decides whether to retry the request at another worker. Unless the dispatcher is stopped,
+// each dispatched request has exactly one result, at the latest shortly after deadlineGraceSeconds
+// beyond its deadline.
 package forwarder
--- a/internal/forwarder/event.go
+++ b/internal/forwarder/event.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// reportEvent requests a load report.
+// reportEvent requests a report for load planning.
 type reportEvent struct{ reply chan<- *loadplan.Report }
 
 func (e reportEvent) handle(d *Dispatcher, now float64) { e.reply <- d.takeReport(now) }
--- a/internal/forwarder/loop.go
+++ b/internal/forwarder/loop.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// maxBatch limits the events handled before results are passed to Config.OnResults.
+	// maxBatch limits the queued events that are handled after the first one, before results are
+	// passed to Config.OnResults.
 	maxBatch = 256
 	// minWaitSeconds is the shortest timer interval of the loop.
 	minWaitSeconds = 0.001
--- a/internal/forwarder/report.go
+++ b/internal/forwarder/report.go
@@ -6,7 +6,7 @@
 	"swiftcourse/internal/policy/loadplan"
 )
 
-// minReportSeconds is the shortest report interval, to avoid a division by zero.
+// minReportSeconds is the shortest interval that a report states, to avoid a division by zero.
 const minReportSeconds = 0.001
 
 // stats counts requests since the last log line of statistics.
--- a/internal/forwarder/request.go
+++ b/internal/forwarder/request.go
@@ -121,7 +121,8 @@
 	}
 }
 
-// allowRetry reports whether the router allows another attempt after one with this outcome.
+// allowRetry reports whether the router allows another attempt after one with this outcome. If so,
+// the router charges the attempt to its retry budget.
 func (d *Dispatcher) allowRetry(now float64, p *pendingRequest, outcome routing.Outcome) bool {
 	return d.router.AllowRetry(routing.RetryCandidate{
 		LastOutcome:    outcome,
--- a/internal/forwarding/forwarding.go
+++ b/internal/forwarding/forwarding.go
@@ -1,4 +1,4 @@
-// Package forwarding holds the messages between a server that forwards its requests and the
+// Package forwarding defines the messages between a server that forwards its requests and the
 // forwarder that sends them to workers. They are plain values, owned by the receiver.
 package forwarding
 
