--- a/internal/timerwheel/advance.go
+++ b/internal/timerwheel/advance.go
@@ -1,13 +1,13 @@
 package timerwheel
 
-// movesPerCallback is how many timers Advance may move to a lower level for each callback of its
-// limit. A move takes some 20 ns and a callback a microsecond or more. It bounds a call that empties
-// a slot of a high level, which may hold the timers of several hours.
+// movesPerCallback is how many timers Advance may move to a lower level for each callback that its
+// limit allows. It bounds the duration of a call that empties a slot of a high level, which may hold
+// the timers of several hours. A move takes about 20 ns, a callback 1 µs or more.
 const movesPerCallback = 32
 
-// Advance calls the callbacks that are due at now, at most limit of them, and reports whether it
-// called all; the rest are the first of the next call. A timer that a callback schedules or
-// reschedules waits for the next call even if it is due.
+// Advance calls the callbacks of the timers that are due at now, at most limit of them. It reports
+// whether it called all of them; the next call begins with the remaining ones. A timer that a callback
+// schedules or reschedules is called by the next Advance at the earliest, even if it is already due.
 func (w *Wheel) Advance(now float64, limit int) (complete bool) {
 	w.advancing = true
 	w.now = now
@@ -20,15 +20,15 @@
 	return complete
 }
 
-// runDue calls the callbacks that are due and reports whether it called all within the limits on
-// callbacks and moves. It empties the slots up to now one by one, and after each calls the timers
-// that are due.
+// runDue calls the callbacks that are due and reports whether it called all of them within the limits
+// on callbacks and moves. It empties the slots up to now in order, and calls the due timers of each
+// slot before it empties the next one.
 func (w *Wheel) runDue(now float64, limit int) (complete bool) {
 	until := tick(now)
 	moves := limit * movesPerCallback
 	for {
 		if w.draining == 0 && !w.hasDue(now) && !w.advanceToNextSlot(until) {
-			return true // no slot and no timer is left
+			return true // no slot up to now and no due timer is left
 		}
 		for w.draining > 0 {
 			if moves == 0 {
@@ -47,25 +47,25 @@
 	}
 }
 
-// hasDue reports whether the first timer of the heap is due.
+// hasDue reports whether the earliest timer of the heap is due at now.
 func (w *Wheel) hasDue(now float64) bool {
 	return len(w.heap) > 0 && w.entries[w.heap[0]].when <= now
 }
 
-// fire calls a timer's callback, and releases its entry unless the callback rescheduled the timer.
+// fire calls a timer's callback and then releases its entry, unless the callback rescheduled the timer.
 func (w *Wheel) fire(index int32) {
 	w.remove(index)
 	e := &w.entries[index]
 	e.slot = inCallback
 	e.callback()
-	e = &w.entries[index] // the callback may have moved the entries
+	e = &w.entries[index] // the callback may have reallocated the entries
 	if e.slot == inCallback {
 		w.release(index)
 	}
 }
 
-// advanceToNextSlot moves elapsed to the start of the next slot with timers, if that is not after
-// until, and marks the slot to be emptied. It reports whether there was such a slot.
+// advanceToNextSlot sets elapsed to the start of the next slot with timers and marks that slot to be
+// emptied, if it starts at or before the tick until. It reports whether there is such a slot.
 func (w *Wheel) advanceToNextSlot(until int64) bool {
 	first, ok := w.firstOccupied()
 	if !ok || first.start > until {
--- a/internal/timerwheel/bench_test.go
+++ b/internal/timerwheel/bench_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// newRandom returns the benchmarks' source of times, the same in each run.
+// newRandom returns the source of the benchmarks' timer times, with a fixed seed.
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// filledWheel returns a wheel of n timers that are up to a minute away.
+// filledWheel returns a wheel with n timers, each due within the next minute, and the timers.
 func filledWheel(n int, random *rand.Rand) (*Wheel, []Timer) {
 	wheel := &Wheel{}
 	timers := make([]Timer, n)
@@ -19,7 +19,8 @@
 	return wheel, timers
 }
 
-// BenchmarkWheel measures one operation among a number of timers that are up to a minute away.
+// BenchmarkWheel measures single operations on wheels with 100 to 1,000,000 timers that are due
+// within the next minute.
 func BenchmarkWheel(b *testing.B) {
 	for _, n := range []int{100, 10_000, 1_000_000} {
 		b.Run(fmt.Sprint("reschedule/", n), func(b *testing.B) { benchmarkReschedule(b, n) })
@@ -48,7 +49,7 @@
 	}
 }
 
-// benchmarkFireAgain has each callback reschedule its timer for up to a minute later.
+// benchmarkFireAgain measures Advance with callbacks that reschedule their timers by up to a minute.
 func benchmarkFireAgain(b *testing.B, n int) {
 	random := newRandom()
 	wheel := &Wheel{}
--- a/internal/timerwheel/heap.go
+++ b/internal/timerwheel/heap.go
@@ -1,10 +1,10 @@
 package timerwheel
 
-// heapArity is the number of children of a node of the heap: with four, which fit a cache line, it is
-// half as deep as a binary heap.
+// heapArity is the number of children of a heap node. Four children fit in one cache line, and the
+// heap is half as deep as a binary one.
 const heapArity = 4
 
-// push adds an entry to the heap.
+// push adds the entry at an index of entries to the heap.
 func (w *Wheel) push(index int32) {
 	node := int32(len(w.heap))
 	w.entries[index].listIndex = node
@@ -23,7 +23,8 @@
 	}
 }
 
-// less reports whether the timer at node i is called before the one at node j.
+// less reports whether the timer at node i is called before the one at node j: by time, and among
+// equal times in the order of scheduling.
 func (w *Wheel) less(i, j int32) bool {
 	a := &w.entries[w.heap[i]]
 	b := &w.entries[w.heap[j]]
--- a/internal/timerwheel/model_test.go
+++ b/internal/timerwheel/model_test.go
@@ -8,13 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-// modelTimer is a timer of the plain model of a Wheel.
+// modelTimer is a timer of the reference model of a Wheel.
 type modelTimer struct {
 	when float64
 	id   int
 }
 
-// sortedList is the plain model of a Wheel: a list in the order of running.
+// sortedList is the reference model of a Wheel: a list of timers in the order of their calls.
 type sortedList struct{ timers []modelTimer }
 
 func (s *sortedList) add(when float64, id int) {
@@ -25,7 +25,7 @@
 	s.timers = slices.Insert(s.timers, i, modelTimer{when, id})
 }
 
-// remove takes a timer out and reports whether it was there.
+// remove removes a timer and reports whether it was in the list.
 func (s *sortedList) remove(id int) bool {
 	before := len(s.timers)
 	s.timers = slices.DeleteFunc(s.timers, func(e modelTimer) bool { return e.id == id })
@@ -43,8 +43,8 @@
 	return ids
 }
 
-// drawTime draws times of every distance, many of them equal, some in the past, and now and then
-// the end of time.
+// drawTime draws a time at any distance from now. Many of the times are equal, some are in the past
+// and some are +Inf.
 func drawTime(t *rapid.T, now float64) float64 {
 	switch rapid.IntRange(0, 9).Draw(t, "distance") {
 	case 0:
@@ -61,19 +61,19 @@
 	return now + float64(rapid.IntRange(0, 40).Draw(t, "steps"))*0.05
 }
 
-// comparison runs a Wheel beside its model.
-type comparison struct {
+// comparison applies the same operations to a Wheel and to its model.
+type wheelComparison struct {
 	*rapid.T
 	wheel  Wheel
 	model  sortedList
 	now    float64
-	timers []Timer // by id
-	called []int   // ids, by the latest Advance
+	timers []Timer // indexed by id
+	called []int   // ids of the timers that the latest Advance called
 }
 
-func TestWheel_DoesAsASortedListDoes(t *testing.T) {
+func TestWheel_MatchesSortedListModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := &comparison{T: t}
+		c := &wheelComparison{T: t}
 		c.now = rapid.SampledFrom([]float64{0, 1.7e9}).Draw(t, "start")
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			c.step(rapid.IntRange(0, 5).Draw(t, "step"))
@@ -83,8 +83,8 @@
 	})
 }
 
-// step does one random operation on both.
-func (c *comparison) step(kind int) {
+// step applies one operation with random arguments to the wheel and the model.
+func (c *wheelComparison) step(kind int) {
 	switch kind {
 	case 0, 1:
 		for range rapid.SampledFrom([]int{1, 1, 3, 100}).Draw(c.T, "how many") {
@@ -108,7 +108,7 @@
 
 // schedule adds a timer whose callback reschedules it chain times, for times that may be in the
 // past.
-func (c *comparison) schedule(when float64, chain int) {
+func (c *wheelComparison) schedule(when float64, chain int) {
 	id := len(c.timers)
 	c.timers = append(c.timers, Timer{})
 	c.timers[id] = c.wheel.Schedule(when, func() {
@@ -123,36 +123,37 @@
 	c.model.add(when, id)
 }
 
-func (c *comparison) reschedule() {
+func (c *wheelComparison) reschedule() {
 	id := rapid.IntRange(0, len(c.timers)-1).Draw(c.T, "moved")
 	when := drawTime(c.T, c.now)
-	there := c.model.remove(id)
-	if there {
+	exists := c.model.remove(id)
+	if exists {
 		c.model.add(when, id)
 	}
-	if c.wheel.Reschedule(c.timers[id], when) != there {
-		c.Fatalf("rescheduling %d: not %t", id, there)
+	if c.wheel.Reschedule(c.timers[id], when) != exists {
+		c.Fatalf("Reschedule of timer %d returned %t, want %t", id, !exists, exists)
 	}
 }
 
-func (c *comparison) cancel() {
+func (c *wheelComparison) cancel() {
 	id := rapid.IntRange(0, len(c.timers)-1).Draw(c.T, "cancelled")
-	there := c.model.remove(id)
-	if c.wheel.Cancel(c.timers[id]) != there || c.wheel.Contains(c.timers[id]) {
-		c.Fatalf("cancelling %d: not %t", id, there)
+	exists := c.model.remove(id)
+	if c.wheel.Cancel(c.timers[id]) != exists || c.wheel.Contains(c.timers[id]) {
+		c.Fatalf("Cancel of timer %d: want result %t and the timer not contained afterwards", id, exists)
 	}
 }
 
-// advance calls Advance once and requires what the model has due, in its order and within the
-// limit.
-func (c *comparison) advance() {
+// advance calls Advance once and requires that it calls the timers that are due in the model, in the
+// model's order and up to the limit.
+func (c *wheelComparison) advance() {
 	limit := rapid.SampledFrom([]int{1, 7, 1000}).Draw(c.T, "limit")
 	c.called = nil
 	want := c.model.due(c.now)
 	complete := c.wheel.Advance(c.now, limit)
 	inOrder := len(c.called) <= limit && slices.Equal(c.called, want[:len(c.called)])
 	if complete != (len(c.called) == len(want)) || !inOrder {
-		c.Fatalf("at %v called %v, complete %t, want %v", c.now, c.called, complete, want)
+		c.Fatalf("at %v with limit %d called timers %v, complete %t; due timers %v",
+			c.now, limit, c.called, complete, want)
 	}
 	for _, id := range c.called {
 		i := indexOf(c.model.timers, id)
@@ -160,21 +161,22 @@
 	}
 }
 
-// checkNext requires the right number of timers, and a wakeup that is not after the first of them.
-func (c *comparison) checkNext() {
+// checkNext requires the model's number of timers, and a NextWakeup that is not after the first of them,
+// or +Inf if there are none.
+func (c *wheelComparison) checkNext() {
 	next := c.wheel.NextWakeup()
 	timers := c.model.timers
 	if len(timers) != c.wheel.Len() || len(timers) > 0 && next > timers[0].when {
-		c.Fatalf("%d timers, next %v; want %+v", c.wheel.Len(), next, timers)
+		c.Fatalf("%d timers, next wakeup at %v; want timers %+v", c.wheel.Len(), next, timers)
 	}
 	if len(timers) == 0 && !math.IsInf(next, 1) {
-		c.Fatalf("next %v of none", next)
+		c.Fatalf("next wakeup at %v without timers, want +Inf", next)
 	}
 }
 
-// finish calls Advance at each NextWakeup, which has to come to every timer's end in a bounded
-// number of calls.
-func (c *comparison) finish() {
+// finish calls Advance at each NextWakeup until all timers with a finite time were called, and requires
+// that this takes a bounded number of calls.
+func (c *wheelComparison) finish() {
 	for calls := 0; len(c.model.timers) > 0 && c.model.timers[0].when < math.Inf(1); calls++ {
 		c.now = max(c.now, c.wheel.NextWakeup())
 		c.called = nil
@@ -183,19 +185,19 @@
 			c.requireNext(id)
 		}
 		if calls > 20*(len(c.timers)+10) {
-			c.Fatalf("stands at %v before %+v", c.now, c.model.timers)
+			c.Fatalf("%d calls of Advance up to time %v, and timers remain: %+v", calls, c.now, c.model.timers)
 		}
 	}
 }
 
-// requireNext takes a timer that was called out of the model, and requires that none before it has
-// an earlier time.
-func (c *comparison) requireNext(id int) {
+// requireNext removes a timer that was called from the model. It requires that the timer was due and
+// that the model has none with an earlier time.
+func (c *wheelComparison) requireNext(id int) {
 	timers := c.model.timers
 	i := indexOf(timers, id)
 	earlier := func(e modelTimer) bool { return e.when < timers[i].when }
 	if timers[i].when > c.now || slices.ContainsFunc(timers[:i], earlier) {
-		c.Fatalf("%d out of order at %v", id, c.now)
+		c.Fatalf("timer %d was called at %v, before its time or before an earlier timer", id, c.now)
 	}
 	c.model.timers = slices.Delete(timers, i, i+1)
 }
--- a/internal/timerwheel/placement.go
+++ b/internal/timerwheel/placement.go
@@ -2,7 +2,7 @@
 
 import "math/bits"
 
-// allocate returns the index of a free entry, after adding one if there is none.
+// allocate returns the index of a free entry, and adds one if there is none.
 func (w *Wheel) allocate() int32 {
 	index := w.firstFree - 1
 	if index >= 0 {
@@ -13,11 +13,11 @@
 	return int32(len(w.entries) - 1)
 }
 
-// release frees an entry, so that its Timer identifies no timer any more. Once there are no timers it
-// drops the memory of a peak.
+// release frees an entry and invalidates its Timer. When the last timer is released, it also frees the
+// memory if there are more than maxSpareEntries entries.
 func (w *Wheel) release(index int32) {
 	e := &w.entries[index]
-	*e = entry{slot: inNone, next: w.firstFree, generation: e.generation + 1}
+	*e = entry{slot: inFreeList, next: w.firstFree, generation: e.generation + 1}
 	w.firstFree = index + 1
 	w.count--
 	if w.count == 0 && len(w.entries) > maxSpareEntries {
@@ -28,8 +28,9 @@
 	}
 }
 
-// insert sets the time of an entry and puts it in its place. An entry that is due while Advance runs
-// is deferred to its end, so that callbacks that schedule due timers can't make Advance run forever.
+// insert sets the time of an entry and places it in the wheel or the heap. While Advance runs, an entry
+// that is already due is placed only at the end of Advance: otherwise callbacks that schedule due
+// timers could keep Advance running forever.
 func (w *Wheel) insert(index int32, when float64) {
 	e := &w.entries[index]
 	w.sequence++
@@ -44,8 +45,8 @@
 	w.place(index)
 }
 
-// place puts an entry into the heap if its tick is not after elapsed, and otherwise into the wheel,
-// on the level of the highest bit in which its tick differs from elapsed.
+// place puts an entry into the heap if its tick is at or before elapsed. Otherwise it puts the entry
+// into the wheel, on the level of the highest bit in which its tick differs from elapsed.
 func (w *Wheel) place(index int32) {
 	e := &w.entries[index]
 	dueTick := tick(e.when)
@@ -61,7 +62,7 @@
 	w.link(index)
 }
 
-// remove takes an entry out of its slot, the heap or the deferred entries.
+// remove removes an entry from its slot, the heap or the deferred entries.
 func (w *Wheel) remove(index int32) {
 	e := &w.entries[index]
 	switch e.slot {
@@ -92,7 +93,7 @@
 	list.last = index + 1
 }
 
-// unlink takes an entry out of the list of its slot.
+// unlink removes an entry from the list of its slot.
 func (w *Wheel) unlink(index int32) {
 	removed := &w.entries[index]
 	list := &w.lists[removed.slot]
--- a/internal/timerwheel/wheel.go
+++ b/internal/timerwheel/wheel.go
@@ -1,12 +1,12 @@
-// Package timerwheel keeps callbacks that are due at a given time.
+// Package timerwheel schedules callbacks, each for a given time.
 //
 // A Wheel is a hierarchical timing wheel (Varghese and Lauck, "Hashed and Hierarchical Timing
-// Wheels", 1987). It starts no goroutine and reads no clock: its owner, one goroutine such as an
-// event loop, passes the time and calls Advance. All times are in seconds, 0 or more, on any clock
+// Wheels", 1987). It starts no goroutine and reads no clock: the goroutine that owns it, such as an
+// event loop, calls Advance with the current time. All times are in seconds, 0 or more, on a clock
 // that the owner chooses.
 //
-// This file has the operations on timers, advance.go calls the callbacks that are due, placement.go
-// decides where a timer is kept, and heap.go orders the timers that are next.
+// This file has the operations on timers. advance.go calls the callbacks that are due, placement.go
+// puts timers into slots, and heap.go sorts the timers that are due next.
 package timerwheel
 
 import (
@@ -14,80 +14,79 @@
 	"math/bits"
 )
 
-// The geometry of the wheel. A level has one slot for each value of six bits of the time in ticks,
-// so that finding the next slot is one instruction on a 64-bit word. Eleven levels cover all 63 bits
-// of a tick, so there is no overflow list.
+// The geometry of the wheel. A level has one slot for each value of six bits of the time in ticks, so
+// a 64-bit word marks its occupied slots and one instruction finds the first. Eleven levels cover all
+// 63 bits of a tick, so no overflow list is needed.
 const (
 	levelBits     = 6
 	slotsPerLevel = 1 << levelBits
 	levels        = 11
-	// ticksPerSecond makes the slots of the lowest level a millisecond wide, the precision with which
-	// the Go runtime wakes an event loop. The timers of such a slot are sorted, by the heap, only
-	// when the slot is next.
+	// ticksPerSecond makes the slots of the lowest level about 1 ms wide, the precision with which the
+	// Go runtime wakes an event loop. The heap sorts the timers of such a slot once the slot is next.
 	ticksPerSecond = 1024
-	// maxExamined bounds how many timers of one slot NextWakeup looks at for the exact time of the
-	// first.
+	// maxExamined is how many timers of a slot NextWakeup examines at most to find the earliest.
 	maxExamined = 64
-	// maxSpareEntries bounds the memory kept for later timers once all timers are gone.
+	// maxSpareEntries is how many entries are kept for later timers once there are no timers.
 	maxSpareEntries = 4096
 )
 
-// Timer identifies a scheduled timer, and never a later one. The zero Timer identifies none.
+// Timer identifies a scheduled timer. It never becomes valid again for a later timer in the same entry.
+// The zero Timer identifies no timer.
 type Timer struct {
-	position   int32 // index of its entry, counted from 1
+	position   int32 // index of the timer's entry, counted from 1
 	generation uint32
 }
 
-// entry holds one timer, and later ones after it is released.
+// entry holds one timer. Once released, it is used for a later timer.
 type entry struct {
 	when       float64
-	sequence   uint64 // order of scheduling, among equal times
+	sequence   uint64 // increases in the order of scheduling; orders timers with equal times
 	callback   func()
-	next, prev int32  // neighbours in the slot's list, or the next free entry; counted from 1, 0 for none
-	slot       int32  // the slot of the wheel, or one of the places below
+	next, prev int32  // neighbours in the slot's list, or the next free entry; indices counted from 1, 0 for none
+	slot       int32  // index in lists, or one of the negative values below
 	listIndex  int32  // index in heap or in deferred
-	generation uint32 // how many timers the entry held before
+	generation uint32 // number of timers that the entry held before
 }
 
-// Places of an entry other than a slot of the wheel.
+// The values of entry.slot for an entry that is in no slot of the wheel.
 const (
-	inNone     int32 = -1 // the entry is free
+	inFreeList int32 = -1 // the entry is free
 	inHeap     int32 = -2 // in the heap
-	inCallback int32 = -3 // its callback is running, which may have cancelled it
-	inDeferred int32 = -4 // scheduled while Advance runs, for a time that is due
+	inCallback int32 = -3 // its callback is running, and may have cancelled the timer
+	inDeferred int32 = -4 // scheduled while Advance runs, for a time that is already due
 )
 
-// Wheel holds timers. Scheduling, rescheduling and cancelling cost the same however many timers
-// there are, and rescheduling allocates nothing. Callbacks run in the order of their times and,
-// among equal times, in the order in which they were scheduled.
+// Wheel holds timers. The cost of scheduling, rescheduling and cancelling does not depend on the number
+// of timers, and rescheduling allocates nothing. Callbacks are called in the order of their times, and
+// for equal times in the order of scheduling.
 //
 // The zero Wheel is empty and ready for use. The time passed to Advance may stay the same or jump
-// ahead. If it goes back, timers that are due after it are not called.
+// ahead. If it goes back, only timers that are due at that earlier time are called.
 type Wheel struct {
 	entries   []entry
-	firstFree int32 // counted from 1, 0 for none
+	firstFree int32 // index of the first free entry, counted from 1, 0 for none
 	count     int
 	sequence  uint64
 
 	elapsed  int64          // the tick up to which slots have been emptied
-	occupied [levels]uint64 // a bit for each slot that is not empty
+	occupied [levels]uint64 // per level, a bit for each slot, set unless the slot is empty
 	lists    [levels * slotsPerLevel]slotList
 	draining int32 // the slot that is being emptied, counted from 1, 0 for none
 
-	heap []int32 // entries whose tick is not after elapsed, a heap in the order of running
+	heap []int32 // indices of the entries with ticks up to elapsed, in heap order
 
 	advancing bool    // Advance is running
-	now       float64 // the time it was called with
-	deferred  []int32 // entries to place once it is over
+	now       float64 // the time passed to Advance
+	deferred  []int32 // indices of the entries to place when Advance ends
 }
 
-// slotList is the doubly linked list of the entries of a slot: positions counted from 1, 0 for none.
+// slotList is the doubly linked list of the entries of a slot: indices counted from 1, 0 for none.
 type slotList struct{ first, last int32 }
 
 // Len returns the number of timers.
 func (w *Wheel) Len() int { return w.count }
 
-// Schedule adds a timer whose callback is called by the first Advance at or after when.
+// Schedule adds a timer whose callback is called by the first Advance with a time at or after when.
 func (w *Wheel) Schedule(when float64, callback func()) Timer {
 	index := w.allocate()
 	e := &w.entries[index]
@@ -97,9 +96,9 @@
 	return Timer{position: index + 1, generation: e.generation}
 }
 
-// Reschedule changes the time of a timer, whose order among equal times is that of a new one. It
-// reports whether there was such a timer. A callback may reschedule its own timer, which keeps its
-// identity.
+// Reschedule changes the time of a timer and reports whether the timer exists. Among timers with equal
+// times it becomes the last, like a new one. A callback may reschedule its own timer; the Timer stays
+// valid.
 func (w *Wheel) Reschedule(timer Timer, when float64) bool {
 	index, ok := w.find(timer)
 	if !ok {
@@ -110,13 +109,13 @@
 	return true
 }
 
-// Cancel removes a timer and reports whether there was such a timer.
+// Cancel removes a timer and reports whether it existed.
 func (w *Wheel) Cancel(timer Timer) bool {
 	index, ok := w.find(timer)
 	if !ok {
 		return false
 	}
-	if w.entries[index].slot == inCallback { // its entry is freed once the callback is over
+	if w.entries[index].slot == inCallback { // fire releases the entry when the callback returns
 		w.entries[index].generation++
 		return true
 	}
@@ -125,15 +124,15 @@
 	return true
 }
 
-// Contains reports whether a timer is still scheduled or its callback is running.
+// Contains reports whether a timer is scheduled or its callback is running.
 func (w *Wheel) Contains(timer Timer) bool {
 	_, ok := w.find(timer)
 	return ok
 }
 
-// NextWakeup returns a time at which Advance should be called: that of the first timer, or an
-// earlier one where that timer is far away or shares its slot with many. It is +Inf where there is
-// no timer.
+// NextWakeup returns the time at which Advance should be called next: the time of the earliest timer,
+// or an earlier time if that timer is in a higher level or shares its slot with more than maxExamined
+// timers. It is +Inf if there are no timers.
 func (w *Wheel) NextWakeup() float64 {
 	next := math.Inf(1)
 	if len(w.heap) > 0 {
@@ -162,8 +161,9 @@
 	start int64 // first tick of the slot
 }
 
-// firstOccupied finds the slot with the earliest timers. Every occupied slot of a level is ahead of
-// elapsed, within one turn of that level, and before those of the levels above.
+// firstOccupied returns the slot with the earliest timers, if any slot is occupied. Every occupied slot
+// of a level lies after elapsed, within the current revolution of that level, and before all occupied
+// slots of the levels above.
 func (w *Wheel) firstOccupied() (first occupiedSlot, ok bool) {
 	for level := range int32(levels) {
 		occupied := w.occupied[level]
@@ -172,18 +172,18 @@
 		}
 		shift := level * levelBits
 		slotInLevel := int64(bits.TrailingZeros64(occupied))
-		turn := w.elapsed >> (shift + levelBits) << (shift + levelBits)
+		revolution := w.elapsed >> (shift + levelBits) << (shift + levelBits) // its first tick
 		return occupiedSlot{
 			level: level,
 			slot:  level*slotsPerLevel + int32(slotInLevel),
-			start: turn | slotInLevel<<shift,
+			start: revolution | slotInLevel<<shift,
 		}, true
 	}
 	return occupiedSlot{}, false
 }
 
-// earliestOf returns the earliest time in a slot, or the slot's start where looking at all its
-// timers would take long.
+// earliestOf returns the earliest time of the timers in a slot, or the slot's start if the slot has more
+// than maxExamined timers.
 func (w *Wheel) earliestOf(slot occupiedSlot) float64 {
 	earliest := math.Inf(1)
 	position := w.lists[slot.slot].first
@@ -205,13 +205,13 @@
 		return 0, false
 	}
 	e := &w.entries[index]
-	if e.generation != timer.generation || e.slot == inNone {
+	if e.generation != timer.generation || e.slot == inFreeList {
 		return 0, false
 	}
 	return index, true
 }
 
-// maxTick is the tick of every time that is later, also of +Inf.
+// maxTick is the tick of all times from that tick on, including +Inf.
 const maxTick = 1 << 62
 
 // tick converts a time in seconds to ticks.
--- a/internal/timerwheel/wheel_test.go
+++ b/internal/timerwheel/wheel_test.go
@@ -11,64 +11,67 @@
 
 func TestMain(m *testing.M) { random.RunSeeded(m, 1000) }
 
-func TestWheel_CallbackMayChangeOtherTimers(t *testing.T) {
+func TestWheel_CallbackModifiesTimers(t *testing.T) {
 	var wheel Wheel
 	var called []string
-	note := func(s string) func() { return func() { called = append(called, s) } }
+	record := func(s string) func() { return func() { called = append(called, s) } }
 	var self Timer
-	later := wheel.Schedule(1, note("cancelled by the first"))
-	moved := wheel.Schedule(1, note("moved by the first"))
+	later := wheel.Schedule(1, record("cancelled before it is due"))
+	moved := wheel.Schedule(1, record("rescheduled by the first"))
 	wheel.Cancel(later)
 	later = Timer{}
 	self = wheel.Schedule(0.5, func() {
 		called = append(called, "first")
 		wheel.Cancel(later)
 		wheel.Reschedule(moved, 2)
-		wheel.Schedule(0, note("added in the past"))
+		wheel.Schedule(0, record("added in the past"))
 		if !wheel.Cancel(self) || wheel.Cancel(self) {
-			t.Error("cancelling itself")
+			t.Error("a callback cancelled its own timer: want true from the first Cancel, false from the second")
 		}
 	})
-	later = wheel.Schedule(0.7, note("never"))
-	wheel.Schedule(1, note("second"))
-	// What is added in the past waits for the next call, after those that were there before.
+	later = wheel.Schedule(0.7, record("cancelled by the first"))
+	wheel.Schedule(1, record("second"))
+	// A timer that a callback schedules for the past is called by the next Advance.
 	if wheel.Advance(1, 100); fmt.Sprint(called) != "[first second]" {
-		t.Errorf("%q", called)
+		t.Errorf("called %q by the first Advance, want the two that were due", called)
 	}
 	if wheel.Advance(1, 100); fmt.Sprint(called) != "[first second added in the past]" || wheel.Len() != 1 {
-		t.Errorf("%q, %d", called, wheel.Len())
+		t.Errorf("called %q by two calls of Advance and %d timers left, want three called and one left",
+			called, wheel.Len())
 	}
 	if wheel.Advance(2, 100); len(called) != 4 || wheel.Len() != 0 || !math.IsInf(wheel.NextWakeup(), 1) {
-		t.Errorf("%q, %d", called, wheel.Len())
+		t.Errorf("called %q and %d timers left, next wakeup at %v; want four called, none left, +Inf",
+			called, wheel.Len(), wheel.NextWakeup())
 	}
 }
 
-func TestWheel_ThousandsOfOneInstantRunInParts(t *testing.T) {
+func TestWheelAdvance_LimitsWorkForEqualTimes(t *testing.T) {
 	var wheel Wheel
-	const n, part = 100_000, 64
-	for _, when := range []float64{3, 500_000} { // near, and so far that they come down level by level
+	const n, limit = 100_000, 64
+	for _, when := range []float64{3, 500_000} { // the second is so far away that its timers move down several levels
 		var called int
 		for i := range n {
 			wheel.Schedule(when, func() {
 				if called != i {
-					t.Fatalf("%d before %d", i, called)
+					t.Fatalf("timer %d was called in position %d, want the order of scheduling", i, called)
 				}
 				called++
 			})
 		}
 		calls := 0
-		for before := 0; !wheel.Advance(when, part); before = called {
-			if called-before > part || wheel.NextWakeup() > when {
-				t.Fatalf("%d called at once, next %v", called-before, wheel.NextWakeup())
+		for before := 0; !wheel.Advance(when, limit); before = called {
+			if called-before > limit || wheel.NextWakeup() > when {
+				t.Fatalf("%d callbacks in one Advance, next wakeup at %v; want at most %d, and a wakeup by %v",
+					called-before, wheel.NextWakeup(), limit, when)
 			}
 			calls++
 		}
-		if most := 2 * (n/part + levels*n/(part*movesPerCallback)); called != n || calls > most {
-			t.Errorf("%d of %d called in %d calls of Advance, %d at most", called, n, calls, most)
+		if maxCalls := 2 * (n/limit + levels*n/(limit*movesPerCallback)); called != n || calls > maxCalls {
+			t.Errorf("%d of %d callbacks in %d calls of Advance, want all in at most %d", called, n, calls, maxCalls)
 		}
 	}
 	if len(wheel.entries) != 0 {
-		t.Errorf("%d entries kept for no timer", len(wheel.entries))
+		t.Errorf("%d entries kept without timers, want 0", len(wheel.entries))
 	}
 }
 
@@ -81,11 +84,11 @@
 		wheel.Reschedule(timer, now+3)
 		wheel.Advance(now, 10)
 	}); n != 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("%v allocations by Reschedule and Advance, want 0", n)
 	}
 }
 
-// indexOf returns the place of a timer in a list of the model, or -1.
+// indexOf returns the index of a timer in a list of the model, or -1.
 func indexOf(list []modelTimer, id int) int {
 	return slices.IndexFunc(list, func(e modelTimer) bool { return e.id == id })
 }
--- a/internal/timewindow/expiring_names.go
+++ b/internal/timewindow/expiring_names.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// ExpiringNames is a list of names, each of which expires at its own time. A name may be in it more
-// than once.
+// ExpiringNames is a list of names, each with its own expiry time. It may contain a name more than
+// once.
 type ExpiringNames []expiringName
 
 type expiringName struct {
@@ -16,12 +16,12 @@
 	*l = append(*l, expiringName{name, expiresAt})
 }
 
-// Expire removes the names that have expired at now.
+// Expire removes the names whose expiry time is now or earlier.
 func (l *ExpiringNames) Expire(now float64) {
 	*l = slices.DeleteFunc(*l, func(e expiringName) bool { return e.expiresAt <= now })
 }
 
-// Remove removes every occurrence of a name and reports whether there was one.
+// Remove removes every occurrence of a name and reports whether there was any.
 func (l *ExpiringNames) Remove(name string) bool {
 	before := len(*l)
 	*l = slices.DeleteFunc(*l, func(e expiringName) bool { return e.name == name })
--- a/internal/timewindow/histogram.go
+++ b/internal/timewindow/histogram.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// The bins of a Histogram: from 1 ms up, three for each doubling, so the last one starts at about
-// 52 s.
+// The bins of a Histogram start at 1 ms, with three bins per doubling of the duration. The last one
+// starts at about 52 s.
 const (
 	binCount        = 48
 	binsPerDoubling = 3
 	firstBinStart   = 0.001 // seconds
-	// minDuration is what a shorter duration counts as, in seconds: the logarithm of 0 is not finite.
+	// minDuration replaces shorter durations, in seconds, as the logarithm of 0 is not finite.
 	minDuration = 1e-6
 )
 
@@ -17,7 +17,7 @@
 type Histogram struct {
 	Count   int
 	Sum     float64 // seconds
-	Untimed int     // events that had no duration; the caller counts them, and no other figure includes them
+	Untimed int     // events without a duration, counted by the caller; not included in any other figure
 	bins    [binCount]uint32
 }
 
@@ -44,7 +44,7 @@
 	}
 }
 
-// Mean returns the mean of the durations, in seconds, or fallback where there are none.
+// Mean returns the mean of the durations, in seconds, or fallback if there are none.
 func (h *Histogram) Mean(fallback float64) float64 {
 	if h.Count == 0 {
 		return fallback
@@ -52,8 +52,8 @@
 	return h.Sum / float64(h.Count)
 }
 
-// Median returns an estimate of the median duration, in seconds: the middle, on a logarithmic scale,
-// of the bin that it is in. It is 0 where there are no durations.
+// Median returns an estimate of the median duration, in seconds: the geometric middle of the bin that
+// contains the median. It is 0 if there are no durations.
 func (h *Histogram) Median() float64 {
 	remaining := h.Count / 2
 	for i, n := range h.bins {
--- a/internal/timewindow/token_bucket.go
+++ b/internal/timewindow/token_bucket.go
@@ -1,9 +1,9 @@
 package timewindow
 
-// TokenBucket limits the rate of events: it gains Rate tokens a second up to Capacity, and each event
-// takes one.
+// TokenBucket limits the rate of events: it gains Rate tokens per second, up to Capacity, and each event
+// takes one token.
 type TokenBucket struct {
-	Rate      float64 // tokens a second
+	Rate      float64 // tokens per second
 	Capacity  float64 // tokens
 	tokens    float64
 	updatedAt float64 // time of the latest refill; 0 before the first
@@ -23,10 +23,10 @@
 	b.tokens = min(b.tokens, capacity)
 }
 
-// Refund returns a token that was taken and not used.
+// Refund puts back a token that was taken and not used.
 func (b *TokenBucket) Refund() { b.tokens = min(b.Capacity, b.tokens+1) }
 
-// Take takes a token and reports whether there was one.
+// Take takes a token, and reports false if there is none.
 func (b *TokenBucket) Take(now float64) bool {
 	b.refill(now)
 	if b.tokens < 1 {
@@ -36,7 +36,7 @@
 	return true
 }
 
-// refill adds the tokens gained since the last call.
+// refill adds the tokens gained since the previous refill.
 func (b *TokenBucket) refill(now float64) {
 	if b.updatedAt > 0 {
 		b.tokens = min(b.Capacity, b.tokens+(now-b.updatedAt)*b.Rate)
