--- a/internal/bufferpool/write_buffer.go
+++ b/internal/bufferpool/write_buffer.go
@@ -1,10 +1,10 @@
 package bufferpool
 
-// maxPooledListCapacity bounds the lists of buffers kept for use again: one that a burst made longer is
-// left to the collector.
+// maxPooledListCapacity is the maximum capacity of a buffer list that is kept for reuse. A list that grew
+// beyond it in a burst is left to the garbage collector.
 const maxPooledListCapacity = 32
 
-// WriteBuffer collects the bytes to be written to one connection, in buffers of a pool. The zero
+// WriteBuffer collects the bytes to be written to a connection, in buffers of a pool. The zero
 // WriteBuffer is empty and ready for use.
 type WriteBuffer struct{ buffers [][]byte }
 
@@ -18,7 +18,7 @@
 	}
 }
 
-// bufferWithSpace returns the last buffer, after adding one if there is none or the last is full.
+// bufferWithSpace returns the last buffer, and adds one first if there is none or the last is full.
 func (w *WriteBuffer) bufferWithSpace(p *Pool) *[]byte {
 	if n := len(p.freeLists); w.buffers == nil && n > 0 {
 		w.buffers = p.freeLists[n-1]
@@ -30,11 +30,11 @@
 	return &w.buffers[len(w.buffers)-1]
 }
 
-// Buffers returns the buffers with all that was appended, in order. They are valid until the next
-// call of a method.
+// Buffers returns the buffers with all appended bytes, in order. They are valid until the next call of a
+// method.
 func (w *WriteBuffer) Buffers() [][]byte { return w.buffers }
 
-// Release returns the buffers and their list to the pool, so that a connection with nothing to write
+// Release returns the buffers and their list to the pool, so that a connection without pending output
 // holds no memory.
 func (w *WriteBuffer) Release(p *Pool) {
 	for i, b := range w.buffers {
--- a/internal/requesttable/list_pool.go
+++ b/internal/requesttable/list_pool.go
@@ -1,13 +1,12 @@
 package requesttable
 
 const (
-	// newListCapacity is the capacity of a new list: few connections have more requests open at a
-	// time.
+	// newListCapacity is the capacity of a new list. Few connections have more open requests at a time.
 	newListCapacity = 4
-	// maxPooledCapacity is the greatest capacity of a list in the pool: one that a burst made longer
-	// is left to the garbage collector.
+	// maxPooledCapacity is the maximum capacity of a list in the pool. A list that grew beyond it in a
+	// burst is left to the garbage collector.
 	maxPooledCapacity = 32
-	// maxFreeLists is how many lists a pool holds at most.
+	// maxFreeLists is the maximum number of lists in a pool.
 	maxFreeLists = 256
 )
 
@@ -25,7 +24,8 @@
 	return list
 }
 
-// Put returns a list to the pool. A nil list is ignored.
+// Put returns a list to the pool. It ignores a nil list, one that is too long and, if the pool is full,
+// any list.
 func (p *ListPool) Put(list []*Request) {
 	if list == nil || cap(list) > maxPooledCapacity || len(p.free) >= maxFreeLists {
 		return
--- a/internal/requesttable/request.go
+++ b/internal/requesttable/request.go
@@ -9,20 +9,20 @@
 // Request is the state of a request. All times are in seconds on the server's clock.
 type Request struct {
 	ID            string
-	Connection    slottable.Handle // on which it arrived
+	Connection    slottable.Handle // connection on which it arrived
 	MessageNumber uint64           // number of its message on that connection
 	Class         int              // index of its class in the settings
 	Tenant        int32            // index of its tenant in the settings
-	Subject       string           // what a read reads, or an idempotency key; "" for none
+	Subject       string           // the object of a read, or an idempotency key; "" for none
 	ArrivedAt     float64
-	Timeout       float64 // seconds from ArrivedAt, as given by the client; 0 for none
+	Timeout       float64 // given by the client, from ArrivedAt; 0 for none
 	Body          []byte  // from the buffer pool
 
-	Answered bool // it was answered, or its client no longer waits for an answer
-	Running  bool // its run was started on the executor and has not ended
+	Answered bool // the request was answered, or its client no longer waits for the answer
+	Running  bool // its run on the executor was started and has not ended
 
-	LastCommand int   // sequence number of the last command for it to the executor
-	CallNotice  int64 // sequence number of the executor's notice that asked for its latest call
+	LastCommand int   // sequence number of the last command sent to the executor for this request
+	CallNotice  int64 // sequence number of the executor's notice that requested the latest call
 	CallBody    []byte
 	CallSettled bool // the latest call has ended, with or without a reply
 	CallReply   []byte
--- a/internal/requesttable/table.go
+++ b/internal/requesttable/table.go
@@ -8,7 +8,7 @@
 	"swiftcourse/internal/bufferpool"
 )
 
-// Table holds requests by their IDs.
+// Table holds requests by ID.
 type Table struct {
 	byID  map[string]*Request
 	added int // number of requests ever added
@@ -17,7 +17,7 @@
 // New returns an empty table.
 func New() *Table { return &Table{byID: map[string]*Request{}} }
 
-// Get returns the request of an ID, or nil.
+// Get returns the request with an ID, or nil if there is none.
 func (t *Table) Get(id string) *Request { return t.byID[id] }
 
 // Add adds a request.
@@ -45,7 +45,7 @@
 // Len returns the number of requests.
 func (t *Table) Len() int { return len(t.byID) }
 
-// Unanswered returns the number of requests that were not answered yet.
+// Unanswered returns the number of requests that have not been answered yet.
 func (t *Table) Unanswered() int {
 	count := 0
 	for _, request := range t.byID {
--- a/internal/requesttable/table_test.go
+++ b/internal/requesttable/table_test.go
@@ -6,7 +6,7 @@
 	"swiftcourse/internal/bufferpool"
 )
 
-func TestTable_RequestStaysUntilAnsweredAndEnded(t *testing.T) {
+func TestTable_KeepsRequestUntilAnsweredAndEnded(t *testing.T) {
 	var pool bufferpool.Pool
 	requests := New()
 	a := &Request{ID: "a", Body: pool.Copy([]byte("x")), Running: true}
@@ -14,13 +14,15 @@
 	requests.Add(&Request{ID: "b"})
 	a.Answered = true
 	if requests.RemoveIfDone(&pool, a); requests.Get("a") == nil || requests.Unanswered() != 1 {
-		t.Error("removed while it runs")
+		t.Errorf("request a: %v, %d unanswered; want a kept while it runs, 1",
+			requests.Get("a"), requests.Unanswered())
 	}
 	a.Running = false
 	if requests.RemoveIfDone(&pool, a); requests.Get("a") != nil || pool.InUse != 0 || requests.Len() != 1 {
-		t.Error("not removed")
+		t.Errorf("request a: %v, %d buffers in use, %d requests; want none, 0, 1",
+			requests.Get("a"), pool.InUse, requests.Len())
 	}
 	if first := requests.InArrivalOrder()[0].ID; first != "b" {
-		t.Errorf("%s is first, want b", first)
+		t.Errorf("first request %s, want b", first)
 	}
 }
--- a/internal/resultcache/cache.go
+++ b/internal/resultcache/cache.go
@@ -1,12 +1,12 @@
-// Package resultcache keeps requests and their results for the requests that repeat them.
+// Package resultcache caches requests and their results, to answer requests that repeat them.
 //
-// A repeat is a request with the class and the subject of an earlier one, the original: the same
-// read, or the same idempotency key. It gets the result of the original, or waits for it, instead of
-// running again. The memory of results is bounded. A request that may run only once stays in the
-// cache for its whole deduplication window, even if its result had to go.
+// A repeat is a request with the same class and subject as an earlier request, the original: the same
+// read, or the same idempotency key. Instead of running, a repeat gets the result of its original, or
+// waits for it. The memory for results is bounded. A request that may run only once stays in the cache
+// for its whole deduplication window, even if its result was evicted.
 //
-// A Cache belongs to the event loop and is not safe for concurrent use. It reads no clock: all times
-// are in seconds on the caller's clock.
+// A Cache belongs to the event loop and is not safe for concurrent use. It reads no clock: all times are
+// in seconds on the caller's clock.
 package resultcache
 
 import (
@@ -16,22 +16,24 @@
 	"swiftcourse/internal/requesttable"
 )
 
-// importedIDPrefix begins the ID of the entry of a request that ran on another server, before that
-// request's own ID.
+// importedIDPrefix, followed by the request's ID, is the ID of the entry of a request that ran on another
+// server.
 const importedIDPrefix = "of "
 
-// Cache holds requests by their IDs, and by the class and subject that their repeats share.
+// Cache holds the entries of requests by request ID, and by the class and subject that a request shares
+// with its repeats.
 type Cache struct {
 	byKey       map[key]*entry
 	byID        map[string]*entry
-	withResults []*entry // entries that hold a result, the oldest result first
-	bytes       int      // size of all results
-	maxBytes    int
+	withResults []*entry // entries with a result, the oldest result first
+	bytes       int      // total size of the results, see sizeOf
+	maxBytes    int      // limit on bytes
 	seed        maphash.Seed
 }
 
-// New returns an empty cache that holds at most maxBytes of results. It evicts the oldest results to
-// make room; what repeats of them get is Missing or, if the request may run only once, Unrepeatable.
+// New returns an empty cache that holds at most maxBytes of results. To stay within the limit it evicts
+// the oldest results. The state of a request whose result is evicted is Missing or, if it may run only
+// once, Unrepeatable.
 func New(maxBytes int) *Cache {
 	return &Cache{
 		byKey:    map[key]*entry{},
@@ -44,10 +46,10 @@
 // Len returns the number of entries.
 func (c *Cache) Len() int { return len(c.byID) }
 
-// Track adds a request as the original of the repeats that arrive until expiresAt, in place of an
-// earlier request with its class and subject. If the request is in the cache already, only its
-// expiry changes. With runsOnce the entry stays until it expires however the request ends, unless it
-// ends without having run. A request without a subject is ignored.
+// Track adds a request as the original of the repeats that arrive until expiresAt. It replaces an earlier
+// request with the same class and subject. If the request is already in the cache, only its expiry
+// changes. With runsOnce the entry stays until it expires, unless the request ends without having run.
+// A request without a subject is ignored.
 func (c *Cache) Track(request *requesttable.Request, expiresAt float64, runsOnce bool) {
 	if request.Subject == "" {
 		return
@@ -65,24 +67,24 @@
 	})
 }
 
-// Import adds the result of a request that ran on another server, for the repeats that arrive until
+// Import adds the result of a request that ran on another server, to answer the repeats that arrive until
 // expiresAt. It returns the ID of the entry.
 func (c *Cache) Import(request *requesttable.Request, result []byte, expiresAt float64) (id string) {
 	e := &entry{
-		key:       keyOf(request),
-		id:        importedIDPrefix + request.ID,
-		expiresAt: expiresAt,
-		freshTo:   expiresAt,
-		bodyHash:  c.hash(request.Body),
-		runsOnce:  true,
+		key:        keyOf(request),
+		id:         importedIDPrefix + request.ID,
+		expiresAt:  expiresAt,
+		freshUntil: expiresAt,
+		bodyHash:   c.hash(request.Body),
+		runsOnce:   true,
 	}
 	c.add(e)
 	c.storeResult(e, result)
 	return e.id
 }
 
-// Remove removes an entry. If other requests wait for its result it takes no more repeats, and stays
-// until Finish.
+// Remove removes an entry. If other requests wait for its result, the entry stays until Finish, but serves
+// no further repeats.
 func (c *Cache) Remove(id string) {
 	e := c.byID[id]
 	if e == nil {
@@ -97,8 +99,8 @@
 	}
 }
 
-// Original returns the ID of the request that a request with this class and subject repeats, or ""
-// if it repeats none.
+// Original returns the ID of the request that a request with this class, subject and arrival time repeats,
+// or "" if it repeats none.
 func (c *Cache) Original(class int, subject string, arrivedAt, now float64) (id string) {
 	e := c.byKey[key{class, subject}]
 	if subject == "" || e == nil || e.state == Missing {
@@ -110,7 +112,7 @@
 	return e.id
 }
 
-// IsConflicting reports whether a request reuses the idempotency key of an earlier one with a
+// IsConflicting reports whether a request reuses the idempotency key of an earlier request, but has a
 // different body.
 func (c *Cache) IsConflicting(class int, subject string, body []byte, arrivedAt float64) bool {
 	e := c.byKey[key{class, subject}]
@@ -120,8 +122,8 @@
 	return e.bodyHash != c.hash(body)
 }
 
-// LookupOrWait returns the result, if there is one, and the state of the request that this one
-// repeats. If that one is pending, this request waits: Finish will return its ID.
+// LookupOrWait returns the result, if available, and the state of the original of a request. If the
+// original is pending, the request is added to those that wait for its result, whose IDs Finish returns.
 func (c *Cache) LookupOrWait(request *requesttable.Request, now float64) ([]byte, State) {
 	e := c.byKey[keyOf(request)]
 	if e == nil || !e.isUsable(now) {
@@ -133,15 +135,15 @@
 	return e.result, e.state
 }
 
-// Outcome is how a request ended.
+// Outcome describes how a request ended.
 type Outcome struct {
-	Ran     bool    // its run began, as far as is known
-	Success bool    // there is a result
+	Ran     bool    // its run started, or may have started
+	Success bool    // the request has a result
 	Result  []byte  // copied by the cache
-	FreshTo float64 // seconds; the time until which the result may answer repeats
+	FreshTo float64 // time in seconds until which the result may answer repeats
 }
 
-// Finish records how a request ended and returns the IDs of the requests that wait for its result.
+// Finish records the outcome of a request and returns the IDs of the requests that wait for its result.
 func (c *Cache) Finish(id string, outcome Outcome) (waiting []string) {
 	finished := c.byID[id]
 	if finished == nil || finished.state != Pending {
@@ -152,22 +154,22 @@
 	finished.state = Missing
 	switch {
 	case outcome.Success:
-		finished.freshTo = outcome.FreshTo
+		finished.freshUntil = outcome.FreshTo
 		c.storeResult(finished, outcome.Result)
 	case finished.runsOnce && outcome.Ran:
 		finished.state = Unrepeatable
-	case finished.runsOnce: // it never ran, so the next try may
+	case finished.runsOnce: // the request did not run, so a repeat may
 		c.Remove(id)
 		return waiting
 	}
-	if c.byKey[finished.key] != finished { // it was removed or replaced while others waited
+	if c.byKey[finished.key] != finished { // removed or replaced while others waited
 		delete(c.byID, id)
 		c.dropResult(finished)
 	}
 	return waiting
 }
 
-// Expire removes the entries whose lifetime has ended.
+// Expire removes the entries whose expiry time has passed.
 func (c *Cache) Expire(now float64) {
 	for id, e := range c.byID {
 		if now > e.expiresAt {
@@ -176,8 +178,8 @@
 	}
 }
 
-// add adds an entry in place of an earlier one of its key. The earlier one stays in byID while other
-// requests wait for it.
+// add adds an entry and replaces an earlier one with the same key. The earlier one stays in byID while
+// other requests wait for its result.
 func (c *Cache) add(e *entry) {
 	if old := c.byKey[e.key]; old != nil && len(old.waiting) == 0 {
 		c.Remove(old.id)
@@ -186,7 +188,8 @@
 	c.byID[e.id] = e
 }
 
-// storeResult stores a copy of an entry's result, and drops the oldest results beyond maxBytes.
+// storeResult stores a copy of an entry's result, then drops the oldest results until the total size is
+// within maxBytes.
 func (c *Cache) storeResult(e *entry, result []byte) {
 	e.state = Available
 	e.result = append(make([]byte, 0, len(result)), result...)
@@ -210,7 +213,7 @@
 	e.state = e.stateWithoutResult()
 }
 
-// sizeOf returns the size of a result as maxBytes counts it: one byte more than its length, so that
+// sizeOf returns the size that counts towards maxBytes: one byte more than the result's length, so that
 // the number of empty results is bounded too.
 func sizeOf(result []byte) int { return len(result) + 1 }
 
--- a/internal/resultcache/entry.go
+++ b/internal/resultcache/entry.go
@@ -8,10 +8,10 @@
 	Pending State = iota
 	// Available is the state of a request whose result is in the cache.
 	Available
-	// Missing is the state of a request that is not in the cache, or that ended and left no result.
-	// Its repeat may run.
+	// Missing is the state of a request that is not in the cache, or that ended without a result. A
+	// repeat of it may run.
 	Missing
-	// Unrepeatable is the state of a request that ran, may not run again and has no result in the
+	// Unrepeatable is the state of a request that ran, must not run again and has no result in the
 	// cache.
 	Unrepeatable
 )
@@ -31,29 +31,29 @@
 	return "unknown"
 }
 
-// key is what a repeat has in common with its original.
+// key is shared by a request and its repeats.
 type key struct {
 	class   int
-	subject string // what a read reads, or an idempotency key
+	subject string // the object of a read, or an idempotency key
 }
 
-// entry is a cached request, the original of the repeats that arrive until it expires.
+// entry is a cached request. It is the original of the repeats that arrive until it expires.
 type entry struct {
-	key       key
-	id        string  // of the request
-	expiresAt float64 // seconds, on the caller's clock
-	state     State
-	result    []byte
-	freshTo   float64  // seconds; the time until which the result may answer repeats
-	waiting   []string // IDs of the requests that wait for the result
-	bodyHash  uint64
-	runsOnce  bool // it may run only once, so the entry outlives its result
+	key        key
+	id         string  // ID of the request; for an imported result with importedIDPrefix
+	expiresAt  float64 // seconds, on the caller's clock
+	state      State
+	result     []byte
+	freshUntil float64  // seconds; time until which the result may answer repeats
+	waiting    []string // IDs of the requests that wait for the result
+	bodyHash   uint64
+	runsOnce   bool // the request may run only once, so the entry is kept without its result
 }
 
-// isUsable reports whether a repeat may use the entry at now: whether its result, if it has one, is
-// fresh or that of a request that runs only once.
+// isUsable reports whether the entry may serve a repeat at now. A result that is no longer fresh may be
+// used only if its request may run only once.
 func (e *entry) isUsable(now float64) bool {
-	return e.state != Available || now <= e.freshTo || e.runsOnce
+	return e.state != Available || now <= e.freshUntil || e.runsOnce
 }
 
 // stateWithoutResult returns the state of an entry whose result was dropped.
--- a/internal/slottable/free_index.go
+++ b/internal/slottable/free_index.go
@@ -2,15 +2,15 @@
 
 import "math/bits"
 
-// The shape of a freeIndex.
+// The dimensions of a freeIndex.
 const (
-	wordBits    = 64 // bits of a word
+	wordBits    = 64 // bits per word
 	indexLevels = 3
 )
 
-// freeIndex is a hierarchical bitmap that finds the first chunk with a free entry. Level 0 has a bit
-// for each chunk, set if it has a free entry; a level above has a bit for each word of the level
-// below, set if that word is not 0.
+// freeIndex is a hierarchical bitmap for finding the first chunk with a free entry. Level 0 has a bit
+// for each chunk, set if the chunk has a free entry. Each level above has a bit for each word of the
+// level below, set if that word is not 0.
 type freeIndex [indexLevels][]uint64
 
 // lowest returns the index of the first chunk with a free entry, if there is one.
--- a/internal/slottable/table.go
+++ b/internal/slottable/table.go
@@ -1,21 +1,22 @@
-// Package slottable provides a table whose entries are found by generational handles.
+// Package slottable provides a table whose entries are identified by generational handles.
 //
-// Entries do not move in memory, so pointers to them are valid until they are removed, and an entry's
-// slot is a small number that other data structures can use as an index. A Table is not safe for
-// concurrent use.
+// Entries do not move in memory, so a pointer to an entry is valid until the entry is removed. The slot
+// of an entry is a small number that other data structures can use as an index. A Table is not safe
+// for concurrent use.
 package slottable
 
 import "math/bits"
 
-// chunkSize is how many entries are allocated together: few enough that a small table wastes little
-// memory, and enough to have the garbage collector scan far fewer objects. It is the number of bits
-// of chunk.occupied.
+// chunkSize is the number of entries allocated together. A small table wastes little memory, and the
+// garbage collector scans far fewer objects than with one allocation per entry. It has to be the
+// number of bits of chunk.occupied.
 const chunkSize = 64
 
 // fullChunk is the value of chunk.occupied for a chunk without a free entry.
 const fullChunk = 1<<chunkSize - 1
 
-// Handle identifies an entry of a table, and never a later one. The zero Handle identifies none.
+// Handle identifies an entry of a table. After the entry is removed, its handle identifies no entry,
+// even if its slot is used again. The zero Handle identifies no entry.
 type Handle uint64
 
 // newHandle packs a slot and the generation of its entry into a handle.
@@ -23,27 +24,27 @@
 	return Handle(uint64(generation)<<32 | uint64(slot))
 }
 
-// Slot returns the entry's index in the table, from 0 up. Once the entry is removed, a later one may
+// Slot returns the entry's index in the table, 0 or more. Once the entry is removed, a later entry may
 // have the same slot.
 func (h Handle) Slot() int32 { return int32(uint32(h)) }
 
-// generation returns the number of the entry among all that were ever added, modulo 2^32.
+// generation returns the number of the entry among all entries ever added, modulo 2^32.
 func (h Handle) generation() uint32 { return uint32(h >> 32) }
 
-// Table holds entries of type T. Adding, finding and removing cost the same however many there are.
-// The lowest free slot is used first and chunks without an entry are dropped, so that the table
+// Table holds entries of type T. The cost of adding, finding and removing does not depend on their
+// number. The lowest free slot is used first and chunks without entries are dropped, so the table
 // shrinks after a peak. The zero Table is empty and ready for use.
 type Table[T any] struct {
 	chunks         []*chunk[T] // nil for a chunk without entries
-	spare          *chunk[T]   // an empty chunk, kept so that none is allocated and dropped again and again
+	spare          *chunk[T]   // an empty chunk, kept to avoid allocating and dropping one repeatedly
 	free           freeIndex
-	lastGeneration uint32 // generation of the entry added last
+	lastGeneration uint32 // generation of the last entry added
 	count          int
 }
 
 // chunk is the memory of chunkSize entries.
 type chunk[T any] struct {
-	occupied    uint64 // a bit for each entry, set unless it is free
+	occupied    uint64 // a bit for each entry, set if it is in use
 	generations [chunkSize]uint32
 	entries     [chunkSize]T
 }
@@ -51,7 +52,7 @@
 // Len returns the number of entries.
 func (t *Table[T]) Len() int { return t.count }
 
-// Add adds an entry, a zero T, and returns its handle and a pointer to it.
+// Add adds an entry with the zero value of T and returns its handle and a pointer to it.
 func (t *Table[T]) Add() (Handle, *T) {
 	chunkIndex, ok := t.free.lowest()
 	if !ok {
@@ -73,7 +74,7 @@
 	return newHandle(chunkIndex*chunkSize+offset, t.lastGeneration), &c.entries[offset]
 }
 
-// allocate puts an empty chunk, the spare one or a new one, at an index of chunks.
+// allocate puts an empty chunk at an index of chunks: the spare one, or else a new one.
 func (t *Table[T]) allocate(chunkIndex int) *chunk[T] {
 	c := t.spare
 	if c == nil {
@@ -94,7 +95,7 @@
 	return &c.entries[offset]
 }
 
-// AtSlot returns the entry that has the slot now, or nil if none has.
+// AtSlot returns the entry that is in a slot, or nil if the slot is free.
 func (t *Table[T]) AtSlot(slot int32) *T {
 	c, offset := t.locate(slot)
 	if c == nil {
@@ -103,7 +104,7 @@
 	return &c.entries[offset]
 }
 
-// locate returns the chunk of an occupied slot and the offset in it, or nil if the slot is free.
+// locate returns the chunk of a slot and the offset in that chunk, or nil if the slot is free.
 func (t *Table[T]) locate(slot int32) (c *chunk[T], offset int) {
 	chunkIndex := int(slot) / chunkSize
 	offset = int(slot) % chunkSize
@@ -117,7 +118,7 @@
 	return c, offset
 }
 
-// Remove removes an entry, if it is in the table. Pointers to it must not be used any more.
+// Remove removes an entry if it is in the table. Pointers to it must not be used afterwards.
 func (t *Table[T]) Remove(handle Handle) {
 	if t.Get(handle) == nil {
 		return
@@ -140,15 +141,15 @@
 // trim removes the nil chunks at the end of the list of chunks.
 func (t *Table[T]) trim() {
 	for n := len(t.chunks); n > 0 && t.chunks[n-1] == nil; n-- {
-		t.free.set(n-1, false) // until it is in the list again
+		t.free.set(n-1, false) // a chunk that is not in the list must not be found; Add appends it again
 		t.chunks = t.chunks[:n-1]
 	}
 }
 
-// ForEach calls visit for every entry, in the order of the slots. The visit may remove the entry that
-// it is called with.
+// ForEach calls visit for every entry, in the order of the slots. visit may remove the entry that it is
+// called with.
 func (t *Table[T]) ForEach(visit func(Handle, *T)) {
-	// The conditions are checked for each entry, as visit may drop the chunk and shorten the list.
+	// The conditions are checked again for each entry, as visit may drop the chunk and shorten the list.
 	for chunkIndex := 0; chunkIndex < len(t.chunks); chunkIndex++ {
 		for offset := 0; chunkIndex < len(t.chunks) && t.chunks[chunkIndex] != nil && offset < chunkSize; offset++ {
 			c := t.chunks[chunkIndex]
--- a/internal/slottable/table_test.go
+++ b/internal/slottable/table_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { random.RunSeeded(m, 1000) }
 
-func TestTable_DoesAsAMapDoes(t *testing.T) {
+func TestTable_MatchesMapModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table[int]
 		model := map[Handle]int{}
@@ -25,30 +25,31 @@
 			if len(handles) > 0 && rapid.IntRange(0, 2).Draw(t, "step") == 0 {
 				handle := rapid.SampledFrom(handles).Draw(t, "removed")
 				table.Remove(handle)
-				table.Remove(handle) // a second time changes nothing
+				table.Remove(handle) // the second call has no effect
 				delete(model, handle)
 				removed = append(removed, handle)
 				continue
 			}
 			handle, p := table.Add()
 			if *p != 0 || table.AtSlot(handle.Slot()) != p {
-				t.Fatalf("%d from the start, or not at its slot", *p)
+				t.Fatalf("new entry has value %d, want 0, or AtSlot(%d) does not return it", *p, handle.Slot())
 			}
 			*p = i + 1
 			model[handle] = i + 1
 			pointers[handle] = p
 		}
 		if table.Len() != len(model) {
-			t.Fatalf("%d entries, not %d", table.Len(), len(model))
+			t.Fatalf("%d entries, want %d", table.Len(), len(model))
 		}
 		for handle, value := range model {
 			if p := table.Get(handle); p == nil || *p != value || p != pointers[handle] {
-				t.Fatalf("%x: %v", handle, p)
+				t.Fatalf("handle %x has entry %v, want value %d at its original address %p",
+					handle, p, value, pointers[handle])
 			}
 		}
 		for _, handle := range removed {
 			if table.Get(handle) != nil {
-				t.Fatalf("%x is still there", handle)
+				t.Fatalf("removed handle %x is still in the table", handle)
 			}
 		}
 		seen := map[Handle]int{}
@@ -57,12 +58,13 @@
 			table.Remove(handle)
 		})
 		if !maps.Equal(seen, model) || table.Len() != 0 || len(table.chunks) > 0 {
-			t.Fatalf("saw %v, want %v; %d left in %d chunks", len(seen), len(model), table.Len(), len(table.chunks))
+			t.Fatalf("visited %d entries, want the %d of the model; %d left in %d chunks, want 0 in 0",
+				len(seen), len(model), table.Len(), len(table.chunks))
 		}
 	})
 }
 
-func TestTable_ShrinksAfterAPeak(t *testing.T) {
+func TestTable_ShrinksAfterRemovals(t *testing.T) {
 	var table Table[[64]byte]
 	var handles []Handle
 	for range 20_000 {
@@ -73,14 +75,14 @@
 		table.Remove(handle)
 	}
 	if len(table.chunks) != 1 {
-		t.Errorf("%d chunks for %d entries", len(table.chunks), table.Len())
+		t.Errorf("%d chunks for %d entries, want 1", len(table.chunks), table.Len())
 	}
 	if handle, _ := table.Add(); handle.Slot() != 10 {
-		t.Errorf("slot %d is used before 10", handle.Slot())
+		t.Errorf("new entry has slot %d, want 10, the lowest free one", handle.Slot())
 	}
 }
 
-// BenchmarkTable measures finding, removing and adding one entry among a number of them.
+// BenchmarkTable measures finding, removing and adding an entry in tables of 100 to 1,000,000 entries.
 func BenchmarkTable(b *testing.B) {
 	for _, n := range []int{100, 10_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -95,7 +97,7 @@
 			for range b.N {
 				i := random.IntN(n)
 				if table.Get(handles[i]) == nil {
-					b.Fatal("lost")
+					b.Fatalf("entry %d is not found", i)
 				}
 				table.Remove(handles[i])
 				handles[i], _ = table.Add()
