--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// maxKnownFailures bounds the lines of the list, of both forms together.
+	// maxKnownFailures is the maximum number of entries in the list, of both forms together.
 	maxKnownFailures = 3
-	// casePrefix begins the line of a known case.
+	// casePrefix is the beginning of a line with a known case.
 	casePrefix = "case:"
-	// caseSeparator separates the fields of a known case; a command may contain commas.
+	// caseSeparator separates the fields of a known case. It is not a comma, as commands may contain commas.
 	caseSeparator = "|"
 	// caseFields is the number of fields of a known case.
 	caseFields = 4
@@ -22,24 +22,24 @@
 	cases    []knownCase
 }
 
-// knownFailure is a line of KNOWN-RED.txt.
+// knownFailure is an entry of KNOWN-RED.txt for a test that fails in CI.
 type knownFailure struct {
 	test  string // package.TestName
 	cause string
-	issue string
+	issue string // number of the issue
 }
 
-// knownCase is a failure that the tests do not show with the seed that CI draws from. It is printed
-// and has no effect on the verdict.
+// knownCase is an entry of KNOWN-RED.txt for a failure that occurs with another seed than CI's. It is
+// printed and has no effect on the result of CI.
 type knownCase struct {
-	command string // shows the failure
+	command string // reproduces the failure
 	seed    string
 	seen    string // what the command reports
 	issue   string
 }
 
-// parseList reads the lines of KNOWN-RED.txt: "package.Test, cause, issue" for a known failure, or
-// "case: command | seed | what was seen | issue" for a known case. Empty lines and lines that begin
+// parseList parses KNOWN-RED.txt. A line has the form "package.Test, cause, issue" for a known failure,
+// or "case: command | seed | what was seen | issue" for a known case. Empty lines and lines that begin
 // with # are skipped.
 func parseList(text string) (knownList, error) {
 	var list knownList
@@ -51,25 +51,26 @@
 		if rest, isCase := strings.CutPrefix(line, casePrefix); isCase {
 			known, ok := parseCase(rest)
 			if !ok {
-				return knownList{}, fmt.Errorf("line %d: %q is not 'case: command | seed | what was seen | issue'",
-					index+1, line)
+				return knownList{}, fmt.Errorf(
+					"line %d: %q is not of the form 'case: command | seed | what was seen | issue'", index+1, line)
 			}
 			list.cases = append(list.cases, known)
 			continue
 		}
 		failure, ok := parseLine(line)
 		if !ok {
-			return knownList{}, fmt.Errorf("line %d: %q is not 'package.Test, cause, issue'", index+1, line)
+			return knownList{}, fmt.Errorf("line %d: %q is not of the form 'package.Test, cause, issue'", index+1, line)
 		}
 		list.failures = append(list.failures, failure)
 	}
 	if count := len(list.failures) + len(list.cases); count > maxKnownFailures {
-		return knownList{}, fmt.Errorf("%d lines, and %d are the most", count, maxKnownFailures)
+		return knownList{}, fmt.Errorf("%d lines with failures or cases, at most %d allowed", count, maxKnownFailures)
 	}
 	return list, nil
 }
 
-// parseCase splits the line of a known case, without its prefix, into fields that are not empty.
+// parseCase parses the line of a known case, without its prefix. It returns false if the number of fields
+// is wrong or a field is empty.
 func parseCase(line string) (knownCase, bool) {
 	fields := strings.Split(line, caseSeparator)
 	if len(fields) != caseFields {
@@ -84,7 +85,8 @@
 	return knownCase{command: fields[0], seed: fields[1], seen: fields[2], issue: fields[3]}, true
 }
 
-// parseLine splits a line at its first and last comma: the cause may contain commas of its own.
+// parseLine parses the line of a known failure. It splits the line at its first and last commas, as the
+// cause may contain commas.
 func parseLine(line string) (knownFailure, bool) {
 	test, rest, _ := strings.Cut(line, ",")
 	lastComma := strings.LastIndex(rest, ",")
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,7 +1,7 @@
-// Command knownred decides whether CI passes on the output of the test command. It passes over the
-// tests that KNOWN-RED.txt lists and prints them; it fails on any other test that failed, on a
-// listed test that passed or did not run, and on more than three lines. A line that begins with
-// "case:" names a failure with another seed than CI's: it is printed and excuses no test.
+// Command knownred decides by the output of the test command whether CI passes. It prints the tests that
+// KNOWN-RED.txt lists and accepts their failure. It fails if any other test failed, if a listed test
+// passed, was skipped or did not run, and if the list has more than three entries. A line that begins
+// with "case:" is a failure with another seed than CI's: it is printed, but no test may fail for it.
 package main
 
 import (
@@ -22,7 +22,8 @@
 	}
 }
 
-// run checks the file with the test output against the list; a list that does not exist is an empty one.
+// run checks the file with the test output against the list of known failures. A missing list file counts
+// as an empty list.
 func run(listFile, outputFile string) error {
 	text, err := os.ReadFile(listFile)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
--- a/internal/knownred/verdict.go
+++ b/internal/knownred/verdict.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// maxOutputLine bounds a line of the test command's output, in bytes.
+// maxOutputLine is the maximum length of a line of the test command's output, in bytes.
 const maxOutputLine = 1 << 24
 
 var (
@@ -16,8 +16,7 @@
 	packageLine = regexp.MustCompile(`^(ok|FAIL)\s+(\S+)`)
 )
 
-// verdict is the outcome of a test as `go test -v` prints it; the empty verdict is that of a test
-// that was not run.
+// verdict is the result of a test as `go test -v` prints it. It is empty for a test that did not run.
 type verdict string
 
 const (
@@ -27,7 +26,7 @@
 	verdictNotRun verdict = ""
 )
 
-// String says what became of the test.
+// String returns the verdict as a participle, for a sentence such as "the test has passed".
 func (v verdict) String() string {
 	switch v {
 	case verdictPass:
@@ -42,27 +41,28 @@
 	return string(v)
 }
 
-// testResult is one test of the package whose output is being read.
+// testResult is the result of one test.
 type testResult struct {
 	name    string
 	verdict verdict
 }
 
-// outputReader collects what is wrong in the output of `go test -v` over several packages.
+// outputReader reads the output of `go test -v` for several packages and collects the reasons for CI to
+// fail.
 type outputReader struct {
 	known    []knownFailure
-	verdicts map[string]verdict // of the known failures, by package.TestName
+	verdicts map[string]verdict // verdicts of the tests in known, by package.TestName
 	problems []error
-	packages int
+	packages int // number of packages read
 
-	// Of the package that is being read; its name stands at the end of its output.
+	// The state of the package that is being read, whose name is known only at the end of its output.
 	results   []testResult
 	panicLine string
 }
 
-// check reads what `go test -v` printed of all packages. It returns an error that joins each test
-// that failed and is not known to, each known failure that passed or did not run, and each package
-// that ended without a failed test.
+// check reads the output of `go test -v` for all packages. The error that it returns joins an error for
+// each failed test that is not a known failure, each known failure that passed, was skipped or did not
+// run, and each package that panicked or that failed without a failed test.
 func check(known []knownFailure, output string) error {
 	reader := outputReader{known: known, verdicts: map[string]verdict{}}
 	lines := bufio.NewScanner(strings.NewReader(output))
@@ -74,7 +74,7 @@
 		reader.problems = append(reader.problems, err)
 	}
 	if reader.packages == 0 {
-		reader.problems = append(reader.problems, errors.New("no package was tested"))
+		reader.problems = append(reader.problems, errors.New("the output has no package: no package was tested"))
 	}
 	reader.checkKnown()
 	return errors.Join(reader.problems...)
@@ -93,7 +93,7 @@
 	}
 }
 
-// endPackage judges the results of a package once its name and verdict are read.
+// endPackage evaluates the results of a package once its name and result are read.
 func (r *outputReader) endPackage(name string, passed bool, line string) {
 	r.packages++
 	failures := 0
@@ -112,9 +112,9 @@
 	switch {
 	case passed:
 	case r.panicLine != "":
-		r.problems = append(r.problems, fmt.Errorf("%s ended before its tests did: %s", name, r.panicLine))
+		r.problems = append(r.problems, fmt.Errorf("%s panicked and ended before its tests did: %s", name, r.panicLine))
 	case failures == 0:
-		r.problems = append(r.problems, fmt.Errorf("%s failed, and none of its tests: %s", name, line))
+		r.problems = append(r.problems, fmt.Errorf("%s failed, but none of its tests did: %s", name, line))
 	}
 	r.results = nil
 	r.panicLine = ""
@@ -129,11 +129,12 @@
 	return false
 }
 
-// checkKnown reports each known failure that did not fail, so that its line is taken out.
+// checkKnown reports each known failure that did not fail, so that its line is removed from the list.
 func (r *outputReader) checkKnown() {
 	for _, failure := range r.known {
 		if found := r.verdicts[failure.test]; found != verdictFail {
-			r.problems = append(r.problems, fmt.Errorf("KNOWN-RED.txt names %s, which has %s", failure.test, found))
+			r.problems = append(r.problems,
+				fmt.Errorf("KNOWN-RED.txt lists %s as failing, but it has %s", failure.test, found))
 		}
 	}
 }
--- a/internal/knownred/verdict_test.go
+++ b/internal/knownred/verdict_test.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	good = "=== RUN   TestA\n--- PASS: TestA (0.00s)\nPASS\nok  \tm/a\t0.1s\n?   \tm/none\t[no test files]\n"
-	bad  = "=== RUN   TestB\n    b_test.go:3: no\n--- FAIL: TestB (0.10s)\n=== RUN   TestC\n--- PASS: TestC (0.00s)\n" +
-		"FAIL\nFAIL\tm/b\t0.1s\nFAIL\n"
+	passing = "=== RUN   TestA\n--- PASS: TestA (0.00s)\nPASS\nok  \tm/a\t0.1s\n?   \tm/none\t[no test files]\n"
+	failing = "=== RUN   TestB\n    b_test.go:3: no\n--- FAIL: TestB (0.10s)\n=== RUN   TestC\n" +
+		"--- PASS: TestC (0.00s)\nFAIL\nFAIL\tm/b\t0.1s\nFAIL\n"
 )
 
-func TestCheck(t *testing.T) {
+func TestCheck_AppliesKnownFailures(t *testing.T) {
 	const knownB = "m/b.TestB, a race, 33"
 	const knownCase = "case: go test -run TestB ./b -rapid.seed=7 | 7 | 1 of 3, 0 may | 42"
-	skipped := strings.ReplaceAll(good, "PASS: ", "SKIP: ")
+	skipped := strings.ReplaceAll(passing, "PASS: ", "SKIP: ")
 	panicked := "--- FAIL: TestB (0.10s)\npanic: no [recovered]\nFAIL\tm/b\t0.1s\n"
 	cases := []struct {
 		name   string
@@ -22,25 +22,26 @@
 		output string
 		want   string // part of the error; empty where CI passes
 	}{
-		{"all pass", "", good, ""},
-		{"one fails", "", good + bad, "m/b.TestB failed"},
-		{"a known one fails", "# why\nm/b.TestB, a race, of two, 33\n", good + bad, ""},
-		{"a known one and another", knownB, good + bad + strings.ReplaceAll(bad, "m/b", "m/d"), "m/d.TestB failed"},
-		{"a known one passes", "m/a.TestA, a race, 33", good, "m/a.TestA, which has passed"},
-		{"a known one is gone", "m/a.TestZ, a race, 33", good, "m/a.TestZ, which has not run"},
-		{"a known one is skipped", "m/a.TestA, a race, 33", skipped, "been skipped"},
-		{"of another package", "m/a.TestB, a race, 33", good + bad, "m/b.TestB failed"},
+		{"all pass", "", passing, ""},
+		{"one test fails", "", passing + failing, "m/b.TestB failed"},
+		{"a known failure fails", "# why\nm/b.TestB, a race, of two, 33\n", passing + failing, ""},
+		{"a known failure and another test fail", knownB,
+			passing + failing + strings.ReplaceAll(failing, "m/b", "m/d"), "m/d.TestB failed"},
+		{"a known failure passes", "m/a.TestA, a race, 33", passing, "m/a.TestA as failing, but it has passed"},
+		{"a known failure does not run", "m/a.TestZ, a race, 33", passing, "m/a.TestZ as failing, but it has not run"},
+		{"a known failure is skipped", "m/a.TestA, a race, 33", skipped, "been skipped"},
+		{"a known test name in another package", "m/a.TestB, a race, 33", passing + failing, "m/b.TestB failed"},
 		{"a panic", knownB, panicked, "ended before its tests did"},
-		{"no build", "", "# m/b\nx.go:1: no\nFAIL\tm/b [build failed]\nFAIL\n", "none of its tests"},
-		{"nothing", "", "", "no package"},
-		{"four lines", strings.Repeat(knownB+"\n", 4), good + bad, "4 lines"},
-		{"a case of another seed", knownCase, good, ""},
-		{"a case excuses no test", knownCase, good + bad, "m/b.TestB failed"},
-		{"a case without an issue", "case: go test ./b | 7 | 1 of 3 |", good, "line 1"},
-		{"a case of too few fields", "case: go test ./b | 7 | 42", good, "line 1"},
-		{"three tests and a case", strings.Repeat(knownB+"\n", 3) + knownCase, good + bad, "4 lines"},
-		{"no issue", "m/b.TestB, a race", good + bad, "line 1"},
-		{"no test", "m/b, a race, 33", good + bad, "line 1"},
+		{"a package does not build", "", "# m/b\nx.go:1: no\nFAIL\tm/b [build failed]\nFAIL\n", "none of its tests"},
+		{"empty output", "", "", "no package"},
+		{"four known failures", strings.Repeat(knownB+"\n", 4), passing + failing, "4 lines"},
+		{"a known case", knownCase, passing, ""},
+		{"a known case does not excuse a test", knownCase, passing + failing, "m/b.TestB failed"},
+		{"a case without an issue", "case: go test ./b | 7 | 1 of 3 |", passing, "line 1"},
+		{"a case with too few fields", "case: go test ./b | 7 | 42", passing, "line 1"},
+		{"three known failures and a case", strings.Repeat(knownB+"\n", 3) + knownCase, passing + failing, "4 lines"},
+		{"a known failure without an issue", "m/b.TestB, a race", passing + failing, "line 1"},
+		{"a known failure without a test", "m/b, a race, 33", passing + failing, "line 1"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -49,10 +50,10 @@
 				err = check(known.failures, c.output)
 			}
 			if (err == nil) != (c.want == "") {
-				t.Fatalf("error %v, want %q", err, c.want)
+				t.Fatalf("error %v, want one with %q (none if empty)", err, c.want)
 			}
 			if err != nil && !strings.Contains(err.Error(), c.want) {
-				t.Errorf("error %v, want %q", err, c.want)
+				t.Errorf("error %v, want one with %q", err, c.want)
 			}
 		})
 	}
--- a/internal/lifecycle/signals.go
+++ b/internal/lifecycle/signals.go
@@ -6,15 +6,15 @@
 	"syscall"
 )
 
-// Signals has the signals that the process has caught and not handled yet.
+// Signals holds the signals that the process has caught but not handled yet.
 type Signals struct {
 	stop   chan os.Signal // SIGTERM and SIGINT
 	reload chan os.Signal // SIGHUP
 	report chan os.Signal // SIGUSR1
 }
 
-// CatchSignals catches the signals from now on, so that none of them ends the process by itself. A
-// signal that arrives while another of its kind is pending is dropped.
+// CatchSignals starts to catch the signals, so that none of them ends the process by default. A signal is
+// dropped if one for the same handler is already pending.
 func CatchSignals() Signals {
 	s := Signals{
 		stop:   make(chan os.Signal, 1),
@@ -27,16 +27,16 @@
 	return s
 }
 
-// Handlers are the functions that signals call. Signals whose handler is nil are ignored.
+// Handlers are the functions to call on signals. A signal whose handler is nil is ignored.
 type Handlers struct {
 	Stop   func() // shut down gracefully
 	Reload func() // read the configuration again
 	Report func() // log the statistics
 }
 
-// Handle starts to call the handlers, for signals that were already caught too, and returns at once.
+// Handle starts to call the handlers, also for signals already caught, and returns immediately.
 func (s Signals) Handle(handlers Handlers) {
-	go func() { // on a goroutine of its own, as Report may wait for the event loop
+	go func() { // on a separate goroutine, as Report may block on the event loop
 		for range s.report {
 			callIfSet(handlers.Report)
 		}
--- a/internal/lifecycle/signals_test.go
+++ b/internal/lifecycle/signals_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-func TestSignals_HangupsNeverEndTheProcess(t *testing.T) {
+func TestSignals_HangupDoesNotEndProcess(t *testing.T) {
 	signals := CatchSignals()
 	self, _ := os.FindProcess(os.Getpid())
-	for range 3 { // before anybody handles them
+	for range 3 { // before the handlers are set
 		_ = self.Signal(syscall.SIGHUP)
 	}
 	_ = self.Signal(syscall.SIGUSR1)
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,7 +1,7 @@
-// Package logging sets up the structured log: lines of key=value pairs, written by log/slog.
+// Package logging sets up the structured log, which log/slog writes as lines of key=value pairs.
 //
-// The message of a log call is the event's name, in snake_case, and has the key "event". Any
-// goroutine may log; only a program's start and tests call SetOutput.
+// The message of a log call is the name of an event, in snake_case, and is written with the key "event".
+// Any goroutine may log. Only the start of a program and tests call SetOutput.
 package logging
 
 import (
@@ -11,17 +11,17 @@
 	"os"
 )
 
-// eventKey is the key of an event's name.
+// eventKey is the key of the event's name in a line.
 const eventKey = "event"
 
-// SetOutput makes slog's default logger write to out. A line has the time in UTC, the level unless
-// it is info, the event's name and its attributes.
+// SetOutput makes slog's default logger write to out. A line has the time in UTC, the level if it is not
+// INFO, the event's name and its attributes.
 func SetOutput(out io.Writer) {
 	options := &slog.HandlerOptions{ReplaceAttr: replaceAttribute}
 	slog.SetDefault(slog.New(slog.NewTextHandler(out, options)))
 }
 
-// replaceAttribute changes the attributes that slog adds to each line, which are in no group.
+// replaceAttribute changes the time, level and message that slog adds to each line. They are in no group.
 func replaceAttribute(groups []string, a slog.Attr) slog.Attr {
 	if len(groups) > 0 {
 		return a
@@ -45,5 +45,5 @@
 	os.Exit(1)
 }
 
-// FormatDecimal formats x with a number of digits after the decimal point.
+// FormatDecimal formats x with the given number of digits after the decimal point.
 func FormatDecimal(x float64, digits int) string { return fmt.Sprintf("%.*f", digits, x) }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestSetOutput_FormOfALine(t *testing.T) {
+func TestSetOutput_LineFormat(t *testing.T) {
 	t.Cleanup(func() { SetOutput(io.Discard) })
 	var out bytes.Buffer
 	SetOutput(&out)
@@ -17,15 +17,15 @@
 		log  func()
 		want string
 	}{
-		{"usual level", func() { slog.Info("started", "name", "n1") }, `^time=\S+Z event=started name=n1\n$`},
-		{"other level", func() { slog.Error("failed") }, `^time=\S+Z level=ERROR event=failed\n$`},
+		{"info level", func() { slog.Info("started", "name", "n1") }, `^time=\S+Z event=started name=n1\n$`},
+		{"error level", func() { slog.Error("failed") }, `^time=\S+Z level=ERROR event=failed\n$`},
 		{"in a group", func() { slog.Info("a", slog.Group("g", "msg", 1)) }, `^time=\S+Z event=a g\.msg=1\n$`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			out.Reset()
 			c.log()
 			if !regexp.MustCompile(c.want).Match(out.Bytes()) {
-				t.Errorf("%q, want %s", out.String(), c.want)
+				t.Errorf("logged %q, want a match of %s", out.String(), c.want)
 			}
 		})
 	}
@@ -33,6 +33,6 @@
 
 func TestFormatDecimal(t *testing.T) {
 	if got := FormatDecimal(1.25, 1) + " " + FormatDecimal(2, 0); got != "1.2 2" {
-		t.Errorf("%s", got)
+		t.Errorf("formatted 1.25 and 2 as %q, want \"1.2 2\"", got)
 	}
 }
