--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -5,11 +5,11 @@
 	"swiftcourse/internal/wire/simulator"
 )
 
-// noDownstream is the value of the settings for a server that calls no other.
+// noDownstream is the settings' value for a server that makes no downstream calls.
 const noDownstream = "none"
 
-// The values that the settings may have for a choice, and what each means. "" is a choice that the
-// settings leave out.
+// The valid values of each enumerated setting and their meanings. "" stands for a setting that is left
+// out.
 var (
 	downstreamKinds = map[string]admission.Downstream{
 		"":           admission.NoDownstream,
@@ -38,11 +38,12 @@
 	}
 )
 
-// valueByWork is the value of the settings for requests that are worth the work that they need.
+// valueByWork is the settings' value for a deployment where the value of a request is multiplied by
+// its expected work.
 const valueByWork = "work"
 
-// AdmissionSettings converts the platform's settings to those of package admission, which counts
-// time in seconds. A choice whose value is unknown becomes the zero value of its type.
+// AdmissionSettings converts the platform's settings to those of package admission, whose times are in
+// seconds. An enumerated setting with an unknown value becomes the zero value of its type.
 func AdmissionSettings(source *simulator.Settings) admission.Settings {
 	deployment := &source.Deployment
 	contract := &source.Contract
@@ -91,7 +92,7 @@
 	return settings
 }
 
-// admissionClass converts the class at an index.
+// admissionClass converts the class at an index of the settings.
 func admissionClass(settings *simulator.Settings, index int) admission.Class {
 	source := &settings.Classes[index]
 	class := admission.Class{
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// FieldError reports a key that is unknown, or whose value is missing, malformed or out of its range.
+// FieldError reports an unknown key, or a key whose value is missing, malformed or out of range.
 type FieldError struct {
-	Source string // operator's file or release that has the key; "" for the platform's configuration
-	Line   int    // of Source, from 1; 0 where the key is on no line
-	Key    string // such as "limits.cores" or "door-reserve"
-	Value  any    // the value that is wrong; nil to leave it out of the message
-	Reason string // what is wrong and, for a key of Source, what is expected
+	Source string // the operator's file or the release with the key; "" for the platform's configuration
+	Line   int    // line number in Source, counted from 1; 0 if the key is on no line
+	Key    string // for example "limits.cores" or "door-reserve"
+	Value  any    // the invalid value; nil to leave it out of the message
+	Reason string // what is wrong and which values are valid
 }
 
-// Error returns the source and line, the key, the value and the reason, on one line.
+// Error returns one line with the source, the line number, the key, the value and the reason.
 func (e *FieldError) Error() string {
 	var text strings.Builder
 	if e.Source != "" {
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -10,8 +10,8 @@
 	"swiftcourse/internal/wire/simulator"
 )
 
-// The defaults of the JSON file: the largest limits that the platform gives to a server, and a time
-// to stop that leaves a second after a grace period of 2 s.
+// The defaults of the JSON file. The limits are the largest that the platform gives to a server. The stop
+// timeout leaves one second after a drain grace period of 2 s.
 const (
 	defaultStopMs   = 3000
 	defaultCores    = 1
@@ -24,7 +24,7 @@
 	bytesPerMb      = 1 << 20
 )
 
-// The keys of the JSON file that errors name.
+// The keys of the JSON file, as named in errors.
 const (
 	nameKey       = "name"
 	listenKey     = "listen"
@@ -48,7 +48,7 @@
 	memoryLimitKey     = deploymentKey + ".memLimitKb"
 )
 
-// jsonFile is the platform's configuration as the JSON file has it.
+// jsonFile is the platform's configuration in the form of the JSON file.
 type jsonFile struct {
 	Name     string  `json:"name"`
 	Listen   string  `json:"listen"`
@@ -65,14 +65,14 @@
 	Settings *simulator.Settings `json:"settings"`
 }
 
-// parseOptions has what a server is told besides the JSON file.
+// parseOptions are the inputs of parse other than the JSON file.
 type parseOptions struct {
-	name      string // RELAY_NAME, or ""
-	listen    string // RELAY_LISTEN, or ""
-	forwarder bool   // the program runs as a forwarder
+	name      string // value of RELAY_NAME, "" if not set
+	listen    string // value of RELAY_LISTEN, "" if not set
+	forwarder bool   // the server runs as a forwarder
 }
 
-// parse decodes the text of the JSON file, validates it and converts it to a Startup.
+// parse decodes and validates the text of the JSON file and converts it to a Startup.
 func parse(text []byte, options parseOptions) (*Startup, error) {
 	file, err := decode(text)
 	if err != nil {
@@ -90,10 +90,10 @@
 	}
 	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
-		return nil, &FieldError{Key: seedKey, Value: file.Seed, Reason: "is not a hexadecimal number"}
+		return nil, &FieldError{Key: seedKey, Value: file.Seed, Reason: "is not a 64-bit hexadecimal number"}
 	}
 	if file.Settings == nil {
-		return nil, &FieldError{Key: settingsKey, Reason: "missing"}
+		return nil, &FieldError{Key: settingsKey, Reason: "required key is missing"}
 	}
 	if options.forwarder {
 		file.dropDependencies()
@@ -111,7 +111,7 @@
 	return startup, nil
 }
 
-// decode decodes the JSON; what it leaves out has its default.
+// decode decodes the JSON. Keys that it leaves out have their default values.
 func decode(text []byte) (*jsonFile, error) {
 	f := &jsonFile{StopMs: defaultStopMs}
 	f.Limits.Cores = defaultCores
@@ -123,16 +123,16 @@
 	case errors.As(err, &mistyped):
 		return nil, &FieldError{
 			Key:    mistyped.Field,
-			Reason: fmt.Sprintf("is a %s, not a %s", mistyped.Value, mistyped.Type),
+			Reason: fmt.Sprintf("is a JSON %s, which can't be decoded as a %s", mistyped.Value, mistyped.Type),
 		}
 	case err != nil:
-		return nil, fmt.Errorf("configuration: %w", err)
+		return nil, fmt.Errorf("decoding the JSON of the configuration: %w", err)
 	}
 	return f, nil
 }
 
-// mergeEnvironment sets the value of a key from an environment variable where the file leaves it
-// out. A value in both that differs is an error.
+// mergeEnvironment sets the value of a key from an environment variable if the file leaves the key out.
+// It returns an error if both have a value and the values differ.
 func mergeEnvironment(key string, value *string, environmentVariable, environmentValue string) error {
 	if *value == "" {
 		*value = environmentValue
@@ -140,12 +140,12 @@
 	if environmentValue == "" || environmentValue == *value {
 		return nil
 	}
-	reason := fmt.Sprintf("differs from %s, which is %q", environmentVariable, environmentValue)
+	reason := fmt.Sprintf("differs from the variable %s, which is %q", environmentVariable, environmentValue)
 	return &FieldError{Key: key, Value: *value, Reason: reason}
 }
 
-// dropDependencies removes the dependencies that a forwarder's file may name although only its
-// workers use them.
+// dropDependencies removes the dependencies that only the workers of a forwarder use. A forwarder's file
+// may name them.
 func (f *jsonFile) dropDependencies() {
 	f.Executor = ""
 	f.Upstream = ""
@@ -157,7 +157,7 @@
 	settings := AdmissionSettings(f.Settings)
 	var unsupported []string
 	if settings.Preemption != admission.NoPreemption {
-		// The executor takes no command to stop a run: it goes on to its end or its next call.
+		// The executor has no command to stop a run: a run goes on to its end or its next call.
 		settings.Preemption = admission.NoPreemption
 		unsupported = append(unsupported, preemptionKey)
 	}
@@ -195,8 +195,8 @@
 	}, nil
 }
 
-// convertToForwarder changes a server's configuration to a forwarder's: the workers warm up and call
-// downstream, the forwarder does neither.
+// convertToForwarder changes a server's configuration to a forwarder's: slow start and downstream calls
+// concern its workers, not the forwarder itself.
 func (s *Startup) convertToForwarder() {
 	s.Forwarder = true
 	s.WorkerSlowStartDuration = s.SlowStartDuration
@@ -206,8 +206,8 @@
 	}
 }
 
-// indexByName returns the index of each name in a list, which the file has under key. A name may be
-// neither empty nor duplicate.
+// indexByName maps each name of a list to its index. It returns an error, with the list's key in the
+// file, if a name is empty or not unique.
 func indexByName(key string, names []string) (map[string]int, error) {
 	index := map[string]int{}
 	for i, name := range names {
@@ -215,7 +215,7 @@
 			return nil, &FieldError{
 				Key:    fmt.Sprintf("%s[%d].name", key, i),
 				Value:  name,
-				Reason: "is empty or duplicate",
+				Reason: "is empty or repeats the name of an earlier entry",
 			}
 		}
 		index[name] = i
--- a/internal/config/operator_load.go
+++ b/internal/config/operator_load.go
@@ -8,12 +8,12 @@
 	"strings"
 )
 
-// operatorFileVariable is the environment variable with the path of the operator's file, for a
-// command line without one.
+// operatorFileVariable is the environment variable with the path of the operator's file. It is used if
+// the command line names no file.
 const operatorFileVariable = "SWIFTCOURSE_CONF"
 
-// OperatorFilePath returns the path of the operator's file: that of the command line's flag, or else
-// that of the environment, or "" for no file.
+// OperatorFilePath returns the path of the operator's file: the value of the command line's flag, or else
+// of the environment variable. It is "" if neither is set.
 func OperatorFilePath(flag string, getenv func(string) string) string {
 	if flag != "" {
 		return flag
@@ -21,12 +21,12 @@
 	return getenv(operatorFileVariable)
 }
 
-// LoadOperatorSettings reads the operator's file. An empty path stands for a file without a key, so
-// it returns the defaults. An error joins a FieldError for each fault of the file, a line each.
+// LoadOperatorSettings reads and validates the operator's file. For an empty path it returns the
+// defaults. The error for an invalid file joins a FieldError for each fault.
 func LoadOperatorSettings(path string) (*OperatorSettings, error) {
 	if path == "" {
-		// The defaults are not validated, so that a server without a file does not hold the
-		// validator in memory. A test validates them.
+		// The defaults are validated by a test instead, so that a server without a file does not
+		// keep the validator in memory.
 		return DefaultOperatorSettings(), nil
 	}
 	text, err := os.ReadFile(path)
@@ -36,15 +36,15 @@
 	return ParseOperatorSettings(path, text)
 }
 
-// ParseOperatorSettings parses the text of the operator's file: a key and its values on each line,
-// where # begins a comment. The source is the FieldError.Source of the errors, which are joined.
+// ParseOperatorSettings parses and validates the text of an operator's file. Each line has a key and its
+// values; # begins a comment. The error joins a FieldError with the given source for each fault.
 func ParseOperatorSettings(source string, text []byte) (*OperatorSettings, error) {
 	settings := DefaultOperatorSettings()
 	err := settings.apply(source, text)
 	return settings, err
 }
 
-// DefaultOperatorSettings returns the settings of a file without a key.
+// DefaultOperatorSettings returns the settings of an empty file.
 func DefaultOperatorSettings() *OperatorSettings {
 	settings := &OperatorSettings{}
 	for _, field := range operatorFields() {
@@ -52,13 +52,13 @@
 			continue
 		}
 		if invalid := setValue(field.valueIn(settings), []string{field.defaultValue}); invalid != nil {
-			panic(fmt.Sprintf("default of %s: %v", field.key, invalid)) // a tag of this package is wrong
+			panic(fmt.Sprintf("default of %s: %v", field.key, invalid)) // a `default` tag in operator.go is invalid
 		}
 	}
 	return settings
 }
 
-// apply parses a text, sets what it names and validates the result.
+// apply parses a text, sets the fields of its keys and validates all settings.
 func (s *OperatorSettings) apply(source string, text []byte) error {
 	p := newOperatorParser(s, source)
 	p.parseLines(text)
@@ -66,21 +66,21 @@
 	return p.err()
 }
 
-// operatorField is a field of OperatorSettings that a key of the file sets.
+// operatorField describes a field of OperatorSettings that a key of the file sets.
 type operatorField struct {
 	key          string
 	index        []int  // for reflect.Value.FieldByIndex
-	path         string // as the validator names it, such as "OperatorSettings.Fleet.Zone"
+	path         string // the validator's name of the field, such as "OperatorSettings.Fleet.Zone"
 	defaultValue string // "" for the zero value
-	isList       bool   // the key may be repeated and have several values
+	isList       bool   // the key may be repeated and may have several values on a line
 }
 
-// valueIn returns the field's value in settings, which can be set.
+// valueIn returns the settable value of the field in settings.
 func (f *operatorField) valueIn(settings *OperatorSettings) reflect.Value {
 	return reflect.ValueOf(settings).Elem().FieldByIndex(f.index)
 }
 
-// operatorFields returns the fields of all keys, in the order of OperatorSettings.
+// operatorFields returns the fields of all keys, in the order of their declaration.
 func operatorFields() []operatorField {
 	settings := reflect.TypeFor[OperatorSettings]()
 	var fields []operatorField
--- a/internal/config/operator_parse.go
+++ b/internal/config/operator_parse.go
@@ -12,15 +12,15 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// commentMark begins a comment, up to the end of the line.
+// commentMark begins a comment, which extends to the end of the line.
 const commentMark = "#"
 
-// operatorParser parses one text into settings and collects all of its faults.
+// operatorParser parses a text into settings and collects all faults of the text.
 type operatorParser struct {
 	settings *OperatorSettings
 	source   string
 	fields   []operatorField
-	lines    map[string]int // line number of each key, the last one of a repeated key
+	lines    map[string]int // line number by key; for a repeated key the last one
 	faults   []error
 }
 
@@ -36,7 +36,7 @@
 // err returns all faults, joined, or nil.
 func (p *operatorParser) err() error { return errors.Join(p.faults...) }
 
-// addFault notes a fault of a key on a line, 0 for none.
+// addFault adds a FieldError for a key on a line, or on no line if the line is 0.
 func (p *operatorParser) addFault(line int, key string, value any, reason string) {
 	p.faults = append(p.faults, &FieldError{
 		Source: p.source,
@@ -47,7 +47,7 @@
 	})
 }
 
-// parseLines sets the fields that the text names.
+// parseLines sets the fields of the keys in the text.
 func (p *operatorParser) parseLines(text []byte) {
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	for number := 1; lines.Scan(); number++ {
@@ -60,11 +60,11 @@
 	}
 }
 
-// parseLine sets the field of one line's key.
+// parseLine sets the field of a key to the values on the key's line.
 func (p *operatorParser) parseLine(number int, key string, values []string) {
 	field := p.fieldOf(key)
 	if field == nil {
-		p.addFault(number, key, nil, "unknown key; the nearest is "+p.nearestKey(key))
+		p.addFault(number, key, nil, "unknown key; the most similar known key is "+p.nearestKey(key))
 		return
 	}
 	expected := "; expected " + expectedValues[key]
@@ -76,7 +76,7 @@
 		p.addFault(number, key, nil, fmt.Sprintf("is already set on line %d", p.lines[key]))
 		return
 	case !field.isList && len(values) > 1:
-		p.addFault(number, key, nil, fmt.Sprintf("has %d values%s", len(values), expected))
+		p.addFault(number, key, nil, fmt.Sprintf("has %d values instead of one%s", len(values), expected))
 		return
 	}
 	p.lines[key] = number
@@ -85,8 +85,8 @@
 	}
 }
 
-// validate checks the rules of all settings, also of those that the text does not name, as some
-// depend on others.
+// validate checks the rules of all settings. Settings that the text does not set are checked too, as
+// their rules may depend on other settings.
 func (p *operatorParser) validate() {
 	err := validator.New().Struct(p.settings)
 	var outOfRange validator.ValidationErrors
@@ -102,7 +102,7 @@
 	}
 }
 
-// fieldOf returns the field that a key sets, or nil.
+// fieldOf returns the field that a key sets, or nil if the key is unknown.
 func (p *operatorParser) fieldOf(key string) *operatorField {
 	i := slices.IndexFunc(p.fields, func(f operatorField) bool { return f.key == key })
 	if i < 0 {
@@ -111,7 +111,7 @@
 	return &p.fields[i]
 }
 
-// keyOfPath returns the key of the field that the validator names by a path, or "".
+// keyOfPath returns the key of the field with a path, or "" if there is none.
 func (p *operatorParser) keyOfPath(path string) string {
 	for _, field := range p.fields {
 		if field.path == path {
--- a/internal/config/operator_values.go
+++ b/internal/config/operator_values.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// invalidValue is a value of the operator's file that can't be parsed, and why.
+// invalidValue is a value of the operator's file that can't be parsed, and the reason.
 type invalidValue struct {
 	text   string
 	reason string
 }
 
-// setValue parses the values of a key and sets its field. They are appended to a list; any other
-// field has one value.
+// setValue parses the values of a key and sets its field. A list field gets all values appended, any
+// other field is set to the first.
 func setValue(field reflect.Value, values []string) *invalidValue {
 	text := values[0]
 	var err error
@@ -42,7 +42,7 @@
 	case *[]netip.Prefix:
 		return appendPrefixes(target, values)
 	default:
-		err = fmt.Errorf("can't be read into a field of type %s", field.Type())
+		err = fmt.Errorf("can't be parsed for a field of type %s", field.Type())
 	}
 	if err != nil {
 		return &invalidValue{text, err.Error()}
@@ -60,7 +60,7 @@
 func parseInteger(text string) (int, error) {
 	n, err := strconv.Atoi(text)
 	if err != nil {
-		return n, errors.New("is not a whole number")
+		return n, errors.New("is not an integer")
 	}
 	return n, nil
 }
@@ -97,14 +97,14 @@
 	for _, value := range values {
 		prefix, err := parsePrefix(value)
 		if err != nil || prefix.Addr().Is4In6() {
-			return &invalidValue{value, "is not an address or prefix"}
+			return &invalidValue{value, "is not an IP address or prefix"}
 		}
 		*target = append(*target, prefix.Masked())
 	}
 	return nil
 }
 
-// parsePrefix parses a prefix, or an address as the prefix of that address alone.
+// parsePrefix parses a prefix, or an address as a prefix that contains only that address.
 func parsePrefix(text string) (netip.Prefix, error) {
 	if address, err := netip.ParseAddr(text); err == nil {
 		return netip.PrefixFrom(address, address.BitLen()), nil
--- a/internal/config/release.go
+++ b/internal/config/release.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// The keys of the lists that a release replaces.
+// The keys of lists that a release replaces instead of extending them.
 const (
 	trustedPrefixesKey = "door-known"
 	quotaLimitsKey     = "budget"
 )
 
-// WithRelease returns a copy of the settings that the text of a release overrides: its values
-// replace those of the file, and so do its trusted prefixes and quota limits as a whole. Errors have
-// the release's name as their Source.
+// WithRelease returns a copy of the settings, overridden by the text of a release. The release's values
+// replace those of the file; its trusted prefixes and quota limits replace the whole list of the file.
+// Errors have the release's name as their Source.
 func (s *OperatorSettings) WithRelease(release, text string) (*OperatorSettings, error) {
 	merged := *s
 	if text == "" {
@@ -26,7 +26,11 @@
 		}
 		switch key := words[0]; {
 		case isLocalKey(key):
-			return nil, &FieldError{Source: release, Key: key, Reason: "belongs to each server's own file"}
+			return nil, &FieldError{
+				Source: release,
+				Key:    key,
+				Reason: "can't be set by a release: it belongs to each server's own file",
+			}
 		case key == trustedPrefixesKey:
 			merged.ConnLimit.TrustedPrefixes = nil
 		case key == quotaLimitsKey:
@@ -37,15 +41,15 @@
 	return &merged, err
 }
 
-// isLocalKey reports whether only a server's own file may set a key, as it is about the server's
-// place in the fleet.
+// isLocalKey reports whether a key may be set only by a server's own file: the keys of the server's
+// membership in the fleet and of replication.
 func isLocalKey(key string) bool {
 	return strings.HasPrefix(key, "fleet") || strings.HasPrefix(key, "replica")
 }
 
-// CanonicalText returns the canonical form of a text of settings, the one that a release has:
-// without comments, with single spaces and the lines sorted by key, so that texts with the same
-// settings have the same digest. The lines of one key keep their order.
+// CanonicalText returns the canonical form of a text of settings, which is the form of a release: no
+// comments, single spaces, and lines sorted by key, so that texts with the same settings have the same
+// digest. The lines of one key keep their order.
 func CanonicalText(text string) string {
 	var lines []string
 	for line := range strings.Lines(text) {
--- a/internal/config/release_test.go
+++ b/internal/config/release_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestWithRelease_TextLiesOverTheFile(t *testing.T) {
+func TestWithRelease_OverridesFile(t *testing.T) {
 	own, err := ParseOperatorSettings("f", []byte("door on\ndoor-known 10.0.0.1\ndoor-earn 5"))
 	if err != nil {
 		t.Fatal(err)
@@ -19,10 +19,10 @@
 	limit := merged.ConnLimit
 	if len(limit.TrustedPrefixes) != 2 || limit.TrustedPrefixes[0].String() != "10.0.0.2/32" ||
 		limit.RequestsToTrust != 5 || limit.MinRetryAfter != time.Second {
-		t.Errorf("%+v", limit)
+		t.Errorf("merged settings %+v, want the release's values and the file's door-earn", limit)
 	}
 	if len(own.ConnLimit.TrustedPrefixes) != 1 || own.ConnLimit.MinRetryAfter != 200*time.Millisecond {
-		t.Errorf("the file itself changed: %+v", own)
+		t.Errorf("file's own settings %+v, want them unchanged", own)
 	}
 }
 
@@ -30,23 +30,23 @@
 	own := DefaultOperatorSettings()
 	_, err := own.WithRelease("3.1", "door maybe")
 	if err == nil || !strings.HasPrefix(err.Error(), "3.1:1: door: ") {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want one that begins with the release, line and key", err)
 	}
 	_, err = own.WithRelease("3.1", "fleet-lease 5s")
 	var fault *FieldError
 	if !errors.As(err, &fault) || fault.Source != "3.1" || fault.Key != "fleet-lease" {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want a FieldError of 3.1 and fleet-lease", err)
 	}
 }
 
-func TestCanonicalText_SameSettingsHaveOneText(t *testing.T) {
+func TestCanonicalText_SameForEqualSettings(t *testing.T) {
 	const want = "door on\ndoor-earn 3\ndoor-known b\ndoor-known a\n"
 	for _, text := range []string{
 		"# x\ndoor   on # y\n\ndoor-earn 3\ndoor-known b\ndoor-known a\n",
 		"door-known b\ndoor-earn 3\ndoor-known a\ndoor on",
 	} {
 		if got := CanonicalText(text); got != want {
-			t.Errorf("%q of %q, want %q", got, text, want)
+			t.Errorf("canonical text of %q is %q, want %q", text, got, want)
 		}
 	}
 }
--- a/internal/config/startup.go
+++ b/internal/config/startup.go
@@ -10,63 +10,63 @@
 	"swiftcourse/internal/lifecycle"
 )
 
-// The environment variables by which the platform passes a server its configuration.
+// The environment variables with which the platform configures a server.
 const (
 	fileVariable   = "RELAY_CONFIG" // path of the JSON file
 	nameVariable   = "RELAY_NAME"
 	listenVariable = "RELAY_LISTEN"
 )
 
-// minSockets is how many sockets a server needs at least to start; clients may use half of them.
+// minSockets is the minimum number of sockets that a server needs to start. Clients may use half of them.
 const minSockets = 64
 
-// Startup is the platform's configuration, validated. Its durations are in seconds, as in package
-// admission. The tag `key` of a field is the key of the JSON file that sets it.
+// Startup is the platform's configuration after validation. Its durations are in seconds, as in package
+// admission. The tag `key` of a field is the top-level key of the JSON file that sets the field.
 type Startup struct {
 	Name   string `key:"name"`
 	Listen string `key:"listen"` // address
 	Addresses
 	Seed        int64   `key:"seed"`
-	StopTimeout float64 `key:"stop_ms"` // from the signal to stop until the platform kills the process
-	Cores       float64 `key:"limits"`  // that this program may use
+	StopTimeout float64 `key:"stop_ms"` // time from the stop signal until the platform kills the process
+	Cores       float64 `key:"limits"`  // that this process may use
 	MemoryBytes int64   `key:"limits"`
 	MaxSockets  int     `key:"limits"`
 
-	// Forwarder is set if the server passes requests on to workers: it has no executor and makes no
-	// calls downstream.
+	// Forwarder is set if the server forwards requests to workers. It then has no executor and makes no
+	// downstream calls.
 	Forwarder bool
 
 	Settings                admission.Settings `key:"settings"`
-	SlowStartDuration       float64            `key:"settings"` // how long a cold executor takes to warm up
-	WorkerSlowStartDuration float64            `key:"settings"` // the same for a forwarder's workers
+	SlowStartDuration       float64            `key:"settings"` // time that a cold executor takes to warm up
+	WorkerSlowStartDuration float64            `key:"settings"` // the same for the workers of a forwarder
 	ClassIndex              map[string]int     `key:"settings"` // into Settings.Classes, by name
 	TenantIndex             map[string]int     `key:"settings"` // into Settings.Tenants, by name
 	ClassNames              []string           `key:"settings"`
-	Gauges                  []string           `key:"settings"` // names of the gauges that the executor is asked for
+	Gauges                  []string           `key:"settings"` // names of the gauges to request from the executor
 
-	// UnsupportedKeys are the keys of settings that are ignored, as the executor's protocol has no
+	// UnsupportedKeys are the keys of settings that are ignored because the executor's protocol has no
 	// message for them.
 	UnsupportedKeys []string `key:"settings"`
 }
 
-// Addresses are the addresses of the server's dependencies, the only part of the configuration that
-// may change while the server runs.
+// Addresses are the addresses of the server's dependencies. No other part of the configuration may change
+// while the server runs.
 type Addresses struct {
 	Executor string // "" for a forwarder
 	Registry string
 	Upstream string // "" on the last tier, which makes no calls
 }
 
-// Load reads the configuration of a server from the environment and the JSON file that it names.
+// Load reads the configuration of a server from the environment variables and the JSON file.
 func Load(getenv func(string) string) (*Startup, error) { return load(getenv, false) }
 
-// LoadForwarder is Load for a forwarder, which needs neither an executor nor an upstream.
+// LoadForwarder is like Load, for a forwarder, which needs neither an executor nor an upstream.
 func LoadForwarder(getenv func(string) string) (*Startup, error) { return load(getenv, true) }
 
 func load(getenv func(string) string, forwarder bool) (*Startup, error) {
 	path := getenv(fileVariable)
 	if path == "" {
-		return nil, &FieldError{Key: fileVariable, Reason: "not set"}
+		return nil, &FieldError{Key: fileVariable, Reason: "environment variable is not set"}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -81,16 +81,16 @@
 		return nil, err
 	}
 	startup.MaxSockets = min(startup.MaxSockets, lifecycle.MaxOpenFiles())
-	if startup.MaxSockets < minSockets { // accept would fail, and end the event loop
+	if startup.MaxSockets < minSockets { // with too few, accept fails and ends the event loop
 		return nil, &FieldError{
 			Key:    socketsKey,
-			Reason: fmt.Sprintf("the system gives %d, under %d", startup.MaxSockets, minSockets),
+			Reason: fmt.Sprintf("the process may open %d files; expected at least %d", startup.MaxSockets, minSockets),
 		}
 	}
 	return startup, nil
 }
 
-// Reload reads the configuration again. It returns the new addresses, and the keys whose new values
+// Reload reads the configuration again. It returns the new addresses, and the keys that have changed but
 // are ignored because they take effect only at a start.
 func (s *Startup) Reload(getenv func(string) string) (addresses Addresses, ignored []string, err error) {
 	next, err := load(getenv, s.Forwarder)
--- a/internal/config/startup_test.go
+++ b/internal/config/startup_test.go
@@ -13,7 +13,7 @@
 	"swiftcourse/internal/wire/simulator"
 )
 
-// validFile is a configuration without a fault.
+// validFile is a valid configuration.
 const validFile = `{"name":"n3","listen":"127.0.0.1:8080","processor":"127.0.0.2:9300","roster":"127.0.0.3:2379",
 "catalog":"127.0.0.4:5432","seed":"8c1f30d27a5be964","stop_ms":3200,
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
@@ -23,12 +23,12 @@
 "familyInfo":{"below":"tier","cores":6,"memLimitKb":5000,"say":"weight","classCalls":[true],
 "gauges":["runnable"]}}}`
 
-// replaceIn returns the valid file with a part replaced, which has to be there.
+// replaceIn returns validFile with a part replaced. It fails the test if the file lacks that part.
 func replaceIn(t *testing.T, old, new string) []byte {
 	t.Helper()
 	text := strings.Replace(validFile, old, new, 1)
 	if text == validFile {
-		t.Fatalf("%s is not there", old)
+		t.Fatalf("validFile does not contain %s", old)
 	}
 	return []byte(text)
 }
@@ -72,16 +72,16 @@
 			}
 			var fault *FieldError
 			if !errors.As(err, &fault) {
-				t.Errorf("%v is no FieldError", err)
+				t.Errorf("error %v, want a *FieldError", err)
 			}
 		})
 	}
 }
 
-func TestLoad_WithoutAFile(t *testing.T) {
+func TestLoad_FileVariableNotSet(t *testing.T) {
 	_, err := Load(func(string) string { return "" })
 	if err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want one that names RELAY_CONFIG", err)
 	}
 }
 
@@ -92,7 +92,7 @@
 	}
 	if s.StopTimeout != 3.2 || s.Seed != -8349901503567500956 || s.SlowStartDuration != 17 || s.ClassIndex["a"] != 0 ||
 		s.TenantIndex["t"] != 0 || s.Settings.MaxRetryAfter != 1 || s.MemoryBytes != 192<<20 {
-		t.Errorf("%+v", s)
+		t.Errorf("startup %+v, want the values of the file", s)
 	}
 	text := strings.NewReplacer(
 		`"stop_ms":3200,`, ``,
@@ -100,19 +100,19 @@
 	).Replace(validFile)
 	s, err = parse([]byte(text), parseOptions{name: "n3"})
 	if err != nil || s.StopTimeout != 3 || s.MaxSockets != 1024 || s.Cores != 1 {
-		t.Errorf("defaults: %+v, %v", s, err)
+		t.Errorf("startup %+v, error %v; want the defaults of stop_ms and limits", s, err)
 	}
 }
 
-// What the settings allow and the protocol has no message for is done without: the program starts,
-// and names it.
-func TestParse_UnsupportedSettingIsNamed(t *testing.T) {
-	for _, word := range []string{"drop", "pause"} {
-		text := replaceIn(t, `"cores":6`, `"cores":6,"preemption":"`+word+`"`)
+// A setting for which the executor's protocol has no message is ignored and listed; it does not keep the
+// server from starting.
+func TestParse_ListsUnsupportedKeys(t *testing.T) {
+	for _, preemption := range []string{"drop", "pause"} {
+		text := replaceIn(t, `"cores":6`, `"cores":6,"preemption":"`+preemption+`"`)
 		s, err := parse(text, parseOptions{name: "n3"})
 		if err != nil || s.Settings.Preemption != admission.NoPreemption ||
 			fmt.Sprint(s.UnsupportedKeys) != "[settings.familyInfo.preemption]" {
-			t.Errorf("%s: %+v, %v", word, s, err)
+			t.Errorf("preemption %s: %+v, error %v; want no preemption, and its key listed", preemption, s, err)
 		}
 	}
 	s, err := parse(replaceIn(t, "idempotent", "deduplicated"), parseOptions{name: "n3"})
@@ -121,28 +121,28 @@
 	}
 	class := s.Settings.Classes[0]
 	if class.Idempotency != admission.Deduplicated || class.DeduplicationWindow != 2 || s.UnsupportedKeys != nil {
-		t.Errorf("%+v", s)
+		t.Errorf("startup %+v, want a deduplicated class with a window of 2 s and no unsupported keys", s)
 	}
 }
 
-func TestAdmissionSettings_Words(t *testing.T) {
-	var given simulator.Settings
+func TestAdmissionSettings_ConvertsChoices(t *testing.T) {
+	var source simulator.Settings
 	text := `{"` + simulator.ClassesKey + `":[{"effect":"deduplicated","windowMs":2000}],"familyInfo":{
 "below":"shared","say":"weight","preemption":"pause","cores":6}}`
-	if err := json.Unmarshal([]byte(text), &given); err != nil {
+	if err := json.Unmarshal([]byte(text), &source); err != nil {
 		t.Fatal(err)
 	}
-	s := AdmissionSettings(&given)
+	s := AdmissionSettings(&source)
 	if s.Downstream.Kind != admission.SharedDependency || s.Backpressure != admission.BackpressureWeight ||
 		s.Preemption != admission.PreemptByPause || s.Cores != 6 || s.SlowStart.Duration != 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("settings %+v, want the choices of the JSON, 6 cores and no slow start", s)
 	}
 	if class := s.Classes[0]; class.Idempotency != admission.Deduplicated || class.DeduplicationWindow != 2 {
-		t.Errorf("%+v", class)
+		t.Errorf("class %+v, want it deduplicated with a window of 2 s", class)
 	}
 }
 
-func TestReload_WhileServing(t *testing.T) {
+func TestReload_ReturnsAddressesAndIgnoredKeys(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	getenv := func(key string) string {
 		if key == "RELAY_CONFIG" {
@@ -174,7 +174,8 @@
 			addresses, ignored, err := startup.Reload(getenv)
 			if addresses.Executor != c.executor || fmt.Sprint(ignored) != c.ignored ||
 				(err != nil) != (c.err != "") || err != nil && !strings.Contains(err.Error(), c.err) {
-				t.Errorf("%+v, %v, %v", addresses, ignored, err)
+				t.Errorf("addresses %+v, ignored keys %v, error %v; want executor %q, ignored %s, error with %q",
+					addresses, ignored, err, c.executor, c.ignored, c.err)
 			}
 		})
 	}
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -3,16 +3,18 @@
 import (
 	"errors"
 	"fmt"
+	"maps"
 	"math"
 	"net"
 	"reflect"
+	"slices"
 	"strconv"
 
 	"swiftcourse/admission"
 	"swiftcourse/internal/wire/simulator"
 )
 
-// The ranges of the JSON file's own numbers.
+// The valid ranges of the numbers at the top level and under limits in the JSON file.
 const (
 	minStopMs   = 100
 	maxStopMs   = 600_000
@@ -21,14 +23,14 @@
 	maxMemoryMb = 1 << 20
 )
 
-// validateAddresses checks that every dependency has an address. The last tier has no upstream, and a
-// forwarder's workers have an executor and an upstream of their own.
+// validateAddresses checks the addresses of the server and its dependencies. The last tier has no
+// upstream. A forwarder uses neither an executor nor an upstream, as its workers have their own.
 func (f *jsonFile) validateAddresses(forwarder bool) error {
 	addresses := []struct {
 		key      string
 		value    string
-		optional bool // may be missing
-		unused   bool // is not checked
+		optional bool // may be left out
+		unused   bool // not checked
 	}{
 		{key: listenKey, value: f.Listen},
 		{key: executorKey, value: f.Executor, unused: forwarder},
@@ -40,13 +42,17 @@
 			continue
 		}
 		if _, err := net.ResolveTCPAddr("tcp", address.value); err != nil || address.value == "" {
-			return &FieldError{Key: address.key, Value: address.value, Reason: "is not an address"}
+			return &FieldError{
+				Key:    address.key,
+				Value:  address.value,
+				Reason: "is not a TCP address such as 127.0.0.1:8080",
+			}
 		}
 	}
 	return nil
 }
 
-// validate checks everything but the addresses and the seed, and returns the first fault.
+// validate checks everything except the addresses and the seed, and returns an error for the first fault.
 func (f *jsonFile) validate() error {
 	if err := f.validateLimits(); err != nil {
 		return err
@@ -61,37 +67,37 @@
 	limits := &f.Limits
 	switch {
 	case f.Name == "":
-		return &FieldError{Key: nameKey, Reason: "missing"}
+		return &FieldError{Key: nameKey, Reason: "required key is missing"}
 	case f.StopMs < minStopMs || f.StopMs > maxStopMs:
 		return &FieldError{
 			Key:    stopKey,
 			Value:  f.StopMs,
-			Reason: fmt.Sprintf("is not from %d to %d", minStopMs, maxStopMs),
+			Reason: fmt.Sprintf("is out of range; expected from %d to %d", minStopMs, maxStopMs),
 		}
 	case limits.Cores <= 0 || limits.Cores > maxCores:
 		return &FieldError{
 			Key:    coresKey,
 			Value:  limits.Cores,
-			Reason: fmt.Sprintf("is not over 0 and at most %d", maxCores),
+			Reason: fmt.Sprintf("is out of range; expected more than 0 and at most %d", maxCores),
 		}
 	case limits.MemoryMb < minMemoryMb || limits.MemoryMb > maxMemoryMb:
 		return &FieldError{
 			Key:    memoryKey,
 			Value:  limits.MemoryMb,
-			Reason: fmt.Sprintf("is not from %d to %d", minMemoryMb, maxMemoryMb),
+			Reason: fmt.Sprintf("is out of range; expected from %d to %d", minMemoryMb, maxMemoryMb),
 		}
 	case limits.Sockets < minSockets:
 		return &FieldError{
 			Key:    socketsKey,
 			Value:  limits.Sockets,
-			Reason: fmt.Sprintf("is under %d", minSockets),
+			Reason: fmt.Sprintf("is out of range; expected at least %d", minSockets),
 		}
 	}
 	return nil
 }
 
-// checkRanges checks that every number in v, the value of key, is from 0 to maximum. The fields of a
-// struct have a maximum of their own. It returns an error for the first number that is not.
+// checkRanges checks that every number in v, the value of key, is from 0 to maximum, and returns an error
+// for the first number that is not. Fields of structs have their own maxima: see checkFieldRanges.
 func checkRanges(key string, v reflect.Value, maximum float64) error {
 	switch v.Kind() {
 	case reflect.Struct:
@@ -104,14 +110,18 @@
 		}
 	case reflect.Int, reflect.Float64:
 		if n := v.Convert(reflect.TypeFor[float64]()).Float(); n < 0 || n > maximum {
-			return &FieldError{Key: key, Value: n, Reason: fmt.Sprintf("is not from 0 to %g", maximum)}
+			return &FieldError{
+				Key:    key,
+				Value:  n,
+				Reason: fmt.Sprintf("is out of range; expected from 0 to %g", maximum),
+			}
 		}
 	}
 	return nil
 }
 
-// checkFieldRanges checks the ranges of the fields of a struct, each from 0 to its tag `most`, or
-// without an upper bound.
+// checkFieldRanges checks that the numbers in the fields of a struct are from 0 to the field's tag `most`,
+// or at least 0 if the field has no such tag.
 func checkFieldRanges(key string, v reflect.Value) error {
 	for i := range v.NumField() {
 		field := v.Type().Field(i)
@@ -126,7 +136,7 @@
 	return nil
 }
 
-// checkSettings checks the choices, the values that are required, and the classes.
+// checkSettings checks the enumerated and the required values of the settings, and the classes.
 func checkSettings(settings *simulator.Settings, upstream string) error {
 	deployment := &settings.Deployment
 	err := errors.Join(
@@ -139,15 +149,23 @@
 	}
 	switch {
 	case len(settings.Classes) == 0:
-		return &FieldError{Key: classesKey, Reason: "empty"}
+		return &FieldError{Key: classesKey, Reason: "is empty; expected at least one class"}
 	case deployment.Cores < 1:
-		return &FieldError{Key: deploymentCoresKey, Reason: "under 1"}
+		return &FieldError{
+			Key:    deploymentCoresKey,
+			Value:  deployment.Cores,
+			Reason: "is out of range; expected at least 1",
+		}
 	case deployment.MemoryLimitKb <= 0:
-		return &FieldError{Key: memoryLimitKey, Reason: "not over 0"}
+		return &FieldError{
+			Key:    memoryLimitKey,
+			Value:  deployment.MemoryLimitKb,
+			Reason: "is out of range; expected more than 0",
+		}
 	case downstreamKinds[deployment.Downstream] != admission.NoDownstream && upstream == "":
 		return &FieldError{
 			Key:    upstreamKey,
-			Reason: fmt.Sprintf("missing, though %s is %q", downstreamKey, deployment.Downstream),
+			Reason: fmt.Sprintf("is missing, but required as %s is %q", downstreamKey, deployment.Downstream),
 		}
 	}
 	for i := range settings.Classes {
@@ -158,15 +176,19 @@
 	return nil
 }
 
-// checkChoice checks that the value of a key is one of its choices.
+// checkChoice checks that the value of a key is one of the valid choices.
 func checkChoice[T any](key, value string, choices map[string]T) error {
 	if _, ok := choices[value]; !ok {
-		return &FieldError{Key: key, Value: value, Reason: "is unknown"}
+		return &FieldError{
+			Key:    key,
+			Value:  value,
+			Reason: fmt.Sprintf("is unknown; expected one of %q", slices.Sorted(maps.Keys(choices))),
+		}
 	}
 	return nil
 }
 
-// checkClass checks one class. Its keys begin with prefix, as in errors.
+// checkClass checks a class. prefix is the beginning of the class's keys in errors.
 func checkClass(prefix string, class *simulator.Class) error {
 	if err := checkChoice(prefix+"effect", class.Idempotency, idempotencyKinds); err != nil {
 		return err
@@ -175,12 +197,21 @@
 	case idempotencyKinds[class.Idempotency] == admission.Deduplicated && class.DeduplicationWindowMs <= 0:
 		return &FieldError{
 			Key:    prefix + "windowMs",
-			Reason: fmt.Sprintf("not over 0, though %seffect is %q", prefix, class.Idempotency),
+			Value:  class.DeduplicationWindowMs,
+			Reason: fmt.Sprintf("is out of range; expected more than 0, as %seffect is %q", prefix, class.Idempotency),
 		}
 	case class.TimeoutMs <= 0:
-		return &FieldError{Key: prefix + "hardLimitMs", Value: class.TimeoutMs, Reason: "is not over 0"}
+		return &FieldError{
+			Key:    prefix + "hardLimitMs",
+			Value:  class.TimeoutMs,
+			Reason: "is out of range; expected more than 0",
+		}
 	case class.SoftDeadlineMs <= 0:
-		return &FieldError{Key: prefix + "objectiveMs", Value: class.SoftDeadlineMs, Reason: "is not over 0"}
+		return &FieldError{
+			Key:    prefix + "objectiveMs",
+			Value:  class.SoftDeadlineMs,
+			Reason: "is out of range; expected more than 0",
+		}
 	}
 	return nil
 }
