--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -9,21 +9,21 @@
 	"swiftcourse/internal/config"
 )
 
-// fleetProgram is the program with a fleet agent. It stands in the folder of the one without.
+// fleetProgram is the program with a fleet agent. It is in the same folder as the one without.
 const fleetProgram = "swiftcourse-fleet"
 
 // commandLine declares the commands.
 type commandLine struct {
-	Serve   serveCommand   `cmd:"" default:"withargs" help:"Serve, as RELAY_CONFIG says: the default."`
+	Serve   serveCommand   `cmd:"" default:"withargs" help:"Serve, configured by RELAY_CONFIG. The default command."`
 	Forward forwardCommand `cmd:"" help:"Forward requests to workers, by load plans and own routing: docs/planners.md."`
-	Plan    planCommand    `cmd:"" help:"Be one of the load planners that forwarders follow."`
-	Check   checkCommand   `cmd:"" help:"Print all faults of an operator's file."`
+	Plan    planCommand    `cmd:"" help:"Run a load planner for forwarders."`
+	Check   checkCommand   `cmd:"" help:"Validate an operator's file and print all its faults."`
 	Fleet   fleetCommand   `cmd:"" passthrough:"" help:"Inspect and operate a fleet: swiftcourse fleet --help."`
 }
 
 // serveCommand serves requests.
 type serveCommand struct {
-	Conf string `help:"The operator's file; SWIFTCOURSE_CONF names it too." type:"path" placeholder:"FILE"`
+	Conf string `help:"The operator's file; default: SWIFTCOURSE_CONF." type:"path" placeholder:"FILE"`
 }
 
 // Run serves until the server is drained.
@@ -42,13 +42,13 @@
 	return serve(proc, c.Conf, config.LoadForwarder)
 }
 
-// planCommand is a load planner.
+// planCommand runs a load planner.
 type planCommand struct {
-	Conf string `help:"The operator's file; SWIFTCOURSE_CONF names it too." type:"path" placeholder:"FILE"`
-	Name string `help:"This planner's name among fleet-voters; RELAY_NAME names it too." env:"RELAY_NAME" required:""`
+	Conf string `help:"The operator's file; default: SWIFTCOURSE_CONF." type:"path" placeholder:"FILE"`
+	Name string `help:"This planner's name in fleet-voters; default: RELAY_NAME." env:"RELAY_NAME" required:""`
 }
 
-// Run plans until a signal stops it.
+// Run runs the planner until a signal stops it.
 func (c *planCommand) Run(proc *process) error {
 	if proc.fleet == nil {
 		return execFleetProgram()
@@ -60,12 +60,12 @@
 	return proc.fleet.RunPlanner(c.Name, operator, proc.signals)
 }
 
-// checkCommand checks an operator's file.
+// checkCommand validates an operator's file.
 type checkCommand struct {
 	File string `arg:"" help:"The operator's file." type:"path"`
 }
 
-// Run returns an error with a line for each fault of the file.
+// Run prints that the file is valid, or returns an error with a line for each fault.
 func (c *checkCommand) Run() error {
 	if _, err := config.LoadOperatorSettings(c.File); err != nil {
 		return err
@@ -74,12 +74,12 @@
 	return nil
 }
 
-// fleetCommand passes its arguments on to the commands that operate a fleet.
+// fleetCommand passes its arguments to the commands that operate a fleet.
 type fleetCommand struct {
 	Args []string `arg:"" optional:""`
 }
 
-// Run runs the command that the arguments name.
+// Run runs the command in the arguments.
 func (c *fleetCommand) Run(proc *process) error {
 	if proc.fleet == nil {
 		return execFleetProgram()
@@ -87,8 +87,8 @@
 	return proc.fleet.RunCommand(c.Args)
 }
 
-// execFleetProgram replaces this program by the one with a fleet agent, which gets the same
-// arguments and environment. It returns only if that failed.
+// execFleetProgram replaces this program by the one with a fleet agent, with the same arguments and
+// environment. It returns only if this fails.
 func execFleetProgram() error {
 	self, err := os.Executable()
 	if err != nil {
--- a/internal/cli/fleetcmd/audit.go
+++ b/internal/cli/fleetcmd/audit.go
@@ -7,13 +7,13 @@
 	"swiftcourse/internal/policy/audit"
 )
 
-// auditCommand shows the versions on which servers acted.
+// auditCommand shows which versions each server acted on, and when.
 type auditCommand struct {
-	Since string `help:"Leave out versions before this epoch."`
-	JSON  bool   `name:"json" help:"As JSON."`
+	Since string `help:"Omit versions before this epoch."`
+	JSON  bool   `name:"json" help:"Print JSON."`
 }
 
-// Run has the server audit the fleet.
+// Run requests the audit from the server and prints it.
 func (c *auditCommand) Run(s *session) error {
 	status, err := fleet.FetchStatus(s.addr, c.Since)
 	if err != nil {
@@ -30,8 +30,8 @@
 	return s.raiseAlarms(status)
 }
 
-// printAudit prints the intervals in which servers acted on a version, the servers that lag, and
-// the gaps in what is known.
+// printAudit prints the intervals in which each server acted on a version, the servers that lag behind
+// their assigned version, and the gaps in the record.
 func printAudit(out io.Writer, result *audit.Report) error {
 	output := &report{out: out}
 	t := output.newTable("server", "incarnation", "epoch", "digest",
--- a/internal/cli/fleetcmd/counters.go
+++ b/internal/cli/fleetcmd/counters.go
@@ -9,12 +9,12 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// countersCommand shows the counters of requests.
+// countersCommand shows the request counters.
 type countersCommand struct {
-	JSON bool `name:"json" help:"As JSON."`
+	JSON bool `name:"json" help:"Print JSON."`
 }
 
-// Run asks the server for the counters.
+// Run requests the counters from the server and prints them.
 func (c *countersCommand) Run(s *session) error {
 	status, err := fleet.FetchCounters(s.addr)
 	if err != nil {
@@ -26,8 +26,8 @@
 	return printCounters(s.out, status)
 }
 
-// printCounters prints the counters of the fleet, or those of the server where it does not know
-// the fleet's, and what may be missing of them.
+// printCounters prints the counters of the fleet and what may be missing from them. If the server does not
+// have the fleet's counters, it prints the server's own.
 func printCounters(out io.Writer, status *fleet.CounterStatus) error {
 	output := &report{out: out}
 	if status.Totals == nil {
@@ -45,10 +45,10 @@
 // secondsPerMinute converts the counts of the last minute to rates.
 const secondsPerMinute = 60
 
-// totalClass stands in the row with the sums of all.
+// totalClass is the class shown in the row of totals.
 const totalClass = "all"
 
-// printCells prints a row for each tenant and class, and one for all.
+// printCells prints a row for each tenant and class, and a row of totals.
 func printCells(output *report, cells, lastMinute []serving.CounterCell) {
 	perMinute := map[serving.CounterKey]uint64{}
 	for _, cell := range lastMinute {
@@ -70,14 +70,14 @@
 	t.end()
 }
 
-// printCell prints the counts of one key, and the rate in requests a second.
+// printCell prints a row with the counts of a tenant and class and their rate in requests per second.
 func printCell(t *table, cell serving.CounterCell, rate float64) {
 	open := int64(cell.Received) - int64(cell.Finished+cell.Rejected+cell.Abandoned)
 	t.rowf("%s\t%s\t%d\t%d\t%d\t%d\t%d\t%.1f",
 		cell.Tenant, cell.Class, cell.Received, cell.Finished, cell.Rejected, cell.Abandoned, open, rate)
 }
 
-// printMissing prints what the totals may lack.
+// printMissing prints what may be missing from the totals.
 func printMissing(output *report, totals *counter.Summary) {
 	output.linef("%d incarnations report; about %.0f requests may have come since their last reports",
 		totals.OpenRows, totals.MaxMissing)
--- a/internal/cli/fleetcmd/demo.go
+++ b/internal/cli/fleetcmd/demo.go
@@ -7,17 +7,17 @@
 	"syscall"
 )
 
-// The programs that stand in the folder of this one: the test bench, and the server that it starts.
+// The programs in the folder of this one: the test bench, and the server that it starts.
 const (
 	benchProgram  = "swiftcourse-bench"
 	serverProgram = "swiftcourse"
 )
 
-// demoCommand shows a fleet of two levels.
+// demoCommand demonstrates a two-level fleet of forwarders and workers.
 type demoCommand struct{}
 
-// Run replaces this program by the test bench, which has the fake dependencies. It returns only if
-// that failed.
+// Run replaces this program by the test bench, which provides the fake dependencies. It returns only if
+// this fails.
 func (c *demoCommand) Run() error {
 	self, err := os.Executable()
 	if err != nil {
--- a/internal/cli/fleetcmd/loadplans.go
+++ b/internal/cli/fleetcmd/loadplans.go
@@ -8,12 +8,12 @@
 	"swiftcourse/internal/policy/loadplan"
 )
 
-// plansCommand shows load plans.
+// plansCommand shows the load plan of a forwarder or a planner.
 type plansCommand struct {
-	JSON bool `name:"json" help:"As JSON."`
+	JSON bool `name:"json" help:"Print JSON."`
 }
 
-// Run asks the process for its load plan.
+// Run requests the load plan from the process and prints it.
 func (c *plansCommand) Run(s *session) error {
 	status, err := fleet.FetchLoadPlan(s.addr)
 	if err != nil {
@@ -28,7 +28,7 @@
 	return printCurrentPlan(s.out, status)
 }
 
-// printPlanner prints what the leading planner knows of forwarders and workers.
+// printPlanner prints the leading planner's state of forwarders, workers and its plan.
 func printPlanner(out io.Writer, name string, planner *loadplan.Status) error {
 	output := &report{out: out}
 	t := output.newTable("forwarder", "heard s ago", "demand a second", "plan")
@@ -49,7 +49,7 @@
 	return output.err
 }
 
-// printCurrentPlan prints the plan of a process that makes none.
+// printCurrentPlan prints the plan that a process follows if it is not the leading planner.
 func printCurrentPlan(out io.Writer, status *fleet.LoadPlanStatus) error {
 	output := &report{out: out}
 	if status.Current != (loadplan.Version{}) {
@@ -60,7 +60,7 @@
 	return output.err
 }
 
-// formatVersion returns the version of a plan as text.
+// formatVersion formats the version of a plan.
 func formatVersion(version loadplan.Version) string {
 	return fmt.Sprintf("%d.%d.%d", version.ClusterID, version.Term, version.Sequence)
 }
--- a/internal/cli/fleetcmd/print_test.go
+++ b/internal/cli/fleetcmd/print_test.go
@@ -19,7 +19,7 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// requireOutput fails unless the lines of the output are as wanted, but for spaces at their ends.
+// requireOutput requires the lines of the output, without trailing spaces, to be equal to want.
 func requireOutput(t *testing.T, output string, want ...string) {
 	t.Helper()
 	var lines []string
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestPrintStatus_NotesOfServers(t *testing.T) {
+func TestPrintStatus_ServerNotes(t *testing.T) {
 	epoch := release.NewEpoch(1, 2)
 	status := &fleet.Status{
 		Name:        "n1",
@@ -101,7 +101,7 @@
 	)
 }
 
-func TestPrintReplicas_FaultsFollowTheTable(t *testing.T) {
+func TestPrintReplicas_FaultsAfterTable(t *testing.T) {
 	result := &replicaReport{
 		Faults: []string{"n2: two results"},
 		Servers: map[string]*replication.Status{
@@ -184,7 +184,7 @@
 	},
 }
 
-func TestPrintCounters_OfAServerAlone(t *testing.T) {
+func TestPrintCounters_SingleServer(t *testing.T) {
 	status := &fleet.CounterStatus{Unreported: testCells, Aggregators: []string{"n1", "n2"}}
 	var out strings.Builder
 	if err := printCounters(&out, status); err != nil {
@@ -200,7 +200,7 @@
 	)
 }
 
-func TestPrintCounters_OfTheFleet(t *testing.T) {
+func TestPrintCounters_Fleet(t *testing.T) {
 	status := &fleet.CounterStatus{Totals: &counter.Summary{
 		Total: testCells,
 		LastMinute: []serving.CounterCell{
@@ -263,8 +263,8 @@
 		status fleet.LoadPlanStatus
 		want   []string
 	}{
-		{"none", fleet.LoadPlanStatus{Leader: "p1"}, []string{"the planners' leader is p1"}},
-		{"one", fleet.LoadPlanStatus{
+		{"no plan", fleet.LoadPlanStatus{Leader: "p1"}, []string{"the planners' leader is p1"}},
+		{"a plan", fleet.LoadPlanStatus{
 			Name:     "f1",
 			Leader:   "p1",
 			Current:  loadplan.Version{ClusterID: 1, Term: 2, Sequence: 3},
@@ -282,11 +282,11 @@
 	}
 }
 
-func TestRaiseAlarms_EndsWithErrAlarm(t *testing.T) {
+func TestRaiseAlarms_ReturnsErrAlarm(t *testing.T) {
 	var alarms strings.Builder
 	s := &session{alarms: &alarms}
 	if err := s.raiseAlarms(&fleet.Status{}); err != nil {
-		t.Errorf("without an alarm: %v", err)
+		t.Errorf("error %v without an alarm, want none", err)
 	}
 	err := s.raiseAlarms(&fleet.Status{Audit: audit.Report{Alarms: []string{"two digests"}}})
 	if !errors.Is(err, cli.ErrAlarm) {
@@ -297,12 +297,12 @@
 
 var errBroken = errors.New("broken pipe")
 
-// brokenWriter is an output that takes nothing.
+// brokenWriter is an output on which every write fails.
 type brokenWriter struct{}
 
 func (brokenWriter) Write([]byte) (int, error) { return 0, errBroken }
 
-func TestPrint_ReturnsTheErrorOfTheOutput(t *testing.T) {
+func TestPrint_ReturnsWriteError(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		print func(out io.Writer) error
@@ -322,7 +322,7 @@
 func TestParseWaves(t *testing.T) {
 	waves, err := parseWaves([]string{"1%", "12.5%", "100%"})
 	if err != nil || !slices.Equal(waves, []float64{0.01, 0.125}) {
-		t.Errorf("%v, %v", waves, err)
+		t.Errorf("waves %v, error %v; want 0.01 and 0.125, none", waves, err)
 	}
 	for _, text := range []string{"1", "%", "half%"} {
 		var flagError *FlagError
--- a/internal/cli/fleetcmd/quotas.go
+++ b/internal/cli/fleetcmd/quotas.go
@@ -6,12 +6,12 @@
 	"swiftcourse/internal/fleet"
 )
 
-// quotasCommand shows the quotas that all servers share.
+// quotasCommand shows the quotas of the fleet.
 type quotasCommand struct {
-	JSON bool `name:"json" help:"As JSON."`
+	JSON bool `name:"json" help:"Print JSON."`
 }
 
-// Run asks the server for its quotas.
+// Run requests the quotas from the server and prints them.
 func (c *quotasCommand) Run(s *session) error {
 	status, err := fleet.FetchQuotas(s.addr)
 	if err != nil {
@@ -23,7 +23,7 @@
 	return printQuotas(s.out, status)
 }
 
-// printQuotas prints the shares that the server holds and, at the leader, those that it granted.
+// printQuotas prints the shares that the server holds and, at the leader, those that it has granted.
 func printQuotas(out io.Writer, status *fleet.QuotaStatus) error {
 	output := &report{out: out}
 	t := output.newTable("held here", "floor", "leased", "for s")
--- a/internal/cli/fleetcmd/release.go
+++ b/internal/cli/fleetcmd/release.go
@@ -11,18 +11,18 @@
 	"swiftcourse/internal/policy/release"
 )
 
-// unknownAuthor is the author of a command if the system does not name its user.
+// unknownAuthor is the author of a command if the name of the user can't be determined.
 const unknownAuthor = "operator"
 
-// releaseCommand releases a version.
+// releaseCommand releases a new version of the settings.
 type releaseCommand struct {
-	File  string   `arg:"" type:"existingfile" help:"Settings for all servers, in the form of the operator's file."`
-	Waves []string `help:"Rising parts of the fleet, such as 1%,10%,50%; all follow after the last." placeholder:"PART"`
-	Build string   `help:"The build of the program that it is meant for."`
-	On    string   `help:"Reject the release unless this epoch is the newest."`
+	File  string   `arg:"" type:"existingfile" help:"Settings for all servers, in the format of the operator's file."`
+	Waves []string `help:"Increasing parts of the fleet, such as 1%,10%,50%; then all servers." placeholder:"PART"`
+	Build string   `help:"The program build that the release is meant for."`
+	On    string   `help:"Reject the release unless this is the newest epoch."`
 }
 
-// Run checks the file and releases it.
+// Run validates the file and releases its settings.
 func (c *releaseCommand) Run(s *session) error {
 	content, err := os.ReadFile(c.File)
 	if err != nil {
@@ -48,8 +48,8 @@
 	return s.send(command)
 }
 
-// parseWaves reads parts of the fleet as fractions. One of 100% and more is left out: all servers
-// follow after the last wave anyway.
+// parseWaves converts percentages of the fleet to fractions. It omits percentages of 100 and more, as all
+// servers follow after the last wave anyway.
 func parseWaves(percentages []string) (waves []float64, err error) {
 	for _, text := range percentages {
 		percentage, err := strconv.ParseFloat(strings.TrimSuffix(text, "%"), 64)
@@ -63,12 +63,12 @@
 	return waves, nil
 }
 
-// rollbackCommand takes the newest version back.
+// rollbackCommand rolls back the newest version.
 type rollbackCommand struct {
 	Reason string `arg:"" name:"why" optional:"" default:"by hand"`
 }
 
-// Run sends the command.
+// Run sends the command to the server.
 func (c *rollbackCommand) Run(s *session) error {
 	return s.send(release.Command{Kind: release.KindRollback, Reason: c.Reason})
 }
@@ -79,7 +79,7 @@
 	Reason string `arg:"" name:"why" optional:"" default:"by hand"`
 }
 
-// Run sends the command.
+// Run sends the command to the server.
 func (c *ejectCommand) Run(s *session) error {
 	return s.send(release.Command{Kind: release.KindEject, Name: c.Name, Reason: c.Reason})
 }
@@ -89,12 +89,13 @@
 	Name string `arg:""`
 }
 
-// Run sends the command.
+// Run sends the command to the server.
 func (c *readmitCommand) Run(s *session) error {
 	return s.send(release.Command{Kind: release.KindReadmit, Name: c.Name})
 }
 
-// send has the fleet carry out a command of the present user, and prints the newest epoch after it.
+// send sends a command to the server, with the current user as its author, and prints the newest epoch
+// after the command.
 func (s *session) send(command release.Command) error {
 	command.Author = author()
 	newest, err := fleet.SendCommand(s.addr, command)
--- a/internal/cli/fleetcmd/replicas.go
+++ b/internal/cli/fleetcmd/replicas.go
@@ -11,22 +11,22 @@
 	"swiftcourse/internal/policy/replication"
 )
 
-// ErrNoReplicas means that no server of the fleet keeps or claims replicated state.
+// ErrNoReplicas is returned if no server of the fleet stores or claims replicated state.
 var ErrNoReplicas = errors.New("no server keeps replicas: replica-holders names none")
 
 // replicasCommand shows the replicas of all servers.
 type replicasCommand struct {
-	JSON bool `name:"json" help:"As JSON."`
+	JSON bool `name:"json" help:"Print JSON."`
 }
 
-// replicaReport is what diff prints as JSON.
+// replicaReport is the JSON output of the diff command.
 type replicaReport struct {
 	Alarm   bool                           `json:"alarm"`
 	Faults  []string                       `json:"faults"`
 	Servers map[string]*replication.Status `json:"servers"`
 }
 
-// Run asks the server for all servers' replicas and compares them.
+// Run requests the status of all replicas from the server, compares them and prints them.
 func (c *replicasCommand) Run(s *session) error {
 	status, err := fleet.FetchStatus(s.addr, "")
 	if err != nil {
@@ -48,7 +48,7 @@
 	return err
 }
 
-// printReplicas prints the state of each server's replica, and the faults.
+// printReplicas prints the state of each server's replica, then the faults.
 func printReplicas(out io.Writer, result *replicaReport) error {
 	output := &report{out: out}
 	t := output.newTable("server", "replica", "catching up", "out of sync",
--- a/internal/cli/fleetcmd/report.go
+++ b/internal/cli/fleetcmd/report.go
@@ -9,8 +9,7 @@
 	"time"
 )
 
-// report prints what a command shows. It keeps the first error of the output, and prints nothing
-// after it.
+// report prints the output of a command. It keeps the first write error and prints nothing after it.
 type report struct {
 	out io.Writer
 	err error
@@ -23,23 +22,23 @@
 	}
 }
 
-// tablePadding is the least space between the columns of a table.
+// tablePadding is the minimum number of spaces between the columns of a table.
 const tablePadding = 2
 
-// table prints lines of cells under headings, in columns that are aligned once it ends.
+// table prints rows of cells under headings. The columns are aligned and printed by end.
 type table struct {
 	report *report
 	writer *tabwriter.Writer
 }
 
-// newTable begins a table.
+// newTable returns a table with the given headings.
 func (r *report) newTable(headings ...string) *table {
 	t := &table{report: r, writer: tabwriter.NewWriter(r.out, 0, 0, tablePadding, ' ', 0)}
 	t.rowf("%s", strings.Join(headings, "\t"))
 	return t
 }
 
-// rowf adds a row, whose cells are divided by tabs.
+// rowf adds a row. Tabs separate its cells.
 func (t *table) rowf(format string, args ...any) {
 	if t.report.err == nil {
 		_, t.report.err = fmt.Fprintf(t.writer, format+"\n", args...)
@@ -53,23 +52,23 @@
 	}
 }
 
-// writeJSON prints a value on one line.
+// writeJSON prints a value as JSON on one line.
 func writeJSON(out io.Writer, value any) error { return json.NewEncoder(out).Encode(value) }
 
-// writeIndentedJSON prints a value for people.
+// writeIndentedJSON prints a value as indented JSON.
 func writeIndentedJSON(out io.Writer, value any) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(value)
 }
 
-// timeFormat shows milliseconds, of UTC.
+// timeFormat is the format of times in UTC, with milliseconds.
 const timeFormat = "2006-01-02T15:04:05.000"
 
-// millisecondsPerSecond converts seconds of the Unix clock for package time.
+// millisecondsPerSecond converts Unix times in seconds for package time.
 const millisecondsPerSecond = 1000
 
-// formatTime returns a time of day for a report; 0 is one that is not known.
+// formatTime formats a Unix time. 0 stands for an unknown time.
 func formatTime(unixSeconds float64) string {
 	if unixSeconds == 0 {
 		return "?"
--- a/internal/cli/fleetcmd/status.go
+++ b/internal/cli/fleetcmd/status.go
@@ -11,10 +11,10 @@
 
 // statusCommand shows the servers of the fleet.
 type statusCommand struct {
-	JSON bool `name:"json" help:"As JSON."`
+	JSON bool `name:"json" help:"Print JSON."`
 }
 
-// Run asks the server for the fleet's status.
+// Run requests the fleet's status from the server and prints it.
 func (c *statusCommand) Run(s *session) error {
 	status, err := fleet.FetchStatus(s.addr, "")
 	if err != nil {
@@ -31,7 +31,7 @@
 	return s.raiseAlarms(status)
 }
 
-// raiseAlarms prints the audit's alarms; the error is cli.ErrAlarm if there are any.
+// raiseAlarms prints the alarms of the audit and returns cli.ErrAlarm if there are any.
 func (s *session) raiseAlarms(status *fleet.Status) error {
 	if len(status.Audit.Alarms) == 0 {
 		return nil
@@ -46,7 +46,7 @@
 	return cli.ErrAlarm
 }
 
-// printStatus prints how the answering server stands, the rollout under way and all servers.
+// printStatus prints the state of the responding server, the rollout in progress and all servers.
 func printStatus(out io.Writer, status *fleet.Status) error {
 	output := &report{out: out}
 	output.linef("%s (incarnation %x): lease state %s, active epoch %s, newest epoch %s, leader %s",
@@ -65,7 +65,7 @@
 	return output.err
 }
 
-// serverNote returns what is unusual about a server, "" for nothing.
+// serverNote returns the note on a server that is ejected, lagging or not heard, "" for any other.
 func serverNote(server *lease.ServerStatus) string {
 	switch {
 	case server.EjectionReason != "":
--- a/internal/cli/reload.go
+++ b/internal/cli/reload.go
@@ -8,15 +8,16 @@
 	"swiftcourse/internal/server"
 )
 
-// reloader reads a server's configuration again while it serves.
+// reloader reloads a server's configuration while the server runs.
 type reloader struct {
-	startup      *config.Startup // as it was at the start
-	operatorPath string          // of the operator's file, "" for none
+	startup      *config.Startup // as read at the start
+	operatorPath string          // path of the operator's file, "" for none
 	server       *server.Server
 	fleet        Fleet // nil where no fleet agent runs
 }
 
-// reload applies both files, or neither where one of them is invalid.
+// reload applies the platform's configuration and the operator's file, or neither if one of them is
+// invalid.
 func (r *reloader) reload() {
 	addresses, ignoredKeys, startupErr := r.startup.Reload(os.Getenv)
 	operator, operatorErr := config.LoadOperatorSettings(r.operatorPath)
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -10,11 +10,11 @@
 	"swiftcourse/internal/server"
 )
 
-// loadStartup reads the platform's configuration by an environment.
+// loadStartup reads the platform's configuration, whose location getenv provides.
 type loadStartup func(getenv func(string) string) (*config.Startup, error)
 
-// serve runs a server until it is drained. A configuration that can't be served ends the process,
-// as does a server that fails.
+// serve runs a server until it is drained. An invalid configuration or a failure of the server ends the
+// process.
 func serve(proc *process, operatorFlag string, load loadStartup) error {
 	startup, err := load(os.Getenv)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// startFleet starts what the configuration asks for of forwarding and of the fleet agent.
+// startFleet enables forwarding and starts the fleet agent, each if the configuration requires it.
 func startFleet(fleet Fleet, startup *config.Startup, operator *config.OperatorSettings, server *server.Server) error {
 	if startup.Forwarder {
 		if err := fleet.EnableForwarding(startup, operator, server); err != nil {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// logStartup logs what was derived from the configuration.
+// logStartup logs the effective configuration.
 func logStartup(startup *config.Startup, operator *config.OperatorSettings, operatorPath string) {
 	slog.Info("server_starting",
 		"name", startup.Name,
