--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,6 @@
-// Command simhost runs the admission controllers of simulated servers: it reads the simulator's
-// batches of events on standard input, has each server's controller decide on its events, and writes
-// the actions to standard output.
+// Command simhost runs the admission controllers of simulated servers. It reads batches of events from the
+// simulator on standard input, passes each event to its server's controller, and writes the controllers'
+// actions to standard output.
 package main
 
 import (
@@ -21,27 +21,27 @@
 	}
 }
 
-// unknownServerError reports an event of a server that was never started.
+// unknownServerError reports an event for a server that was not started or has crashed.
 type unknownServerError struct{ server string }
 
-// Error names the server.
+// Error returns a message with the server's name.
 func (e *unknownServerError) Error() string {
-	return fmt.Sprintf("event for %s, which was never started", e.server)
+	return fmt.Sprintf("event for server %q, which is not running", e.server)
 }
 
 // host holds the simulated servers.
 type host struct {
 	servers map[string]*simulatedServer
-	pending []string // servers with events in this batch, in the order of their first
+	pending []string // names of the servers with events in this batch, in the order of their first event
 }
 
-// simulatedServer is one server's controller and its events in this batch.
+// simulatedServer is a server's controller and the server's events in this batch.
 type simulatedServer struct {
 	controller *admission.Controller
 	events     []admission.Event
 }
 
-// run answers batches until the input ends.
+// run reads batches and writes the actions for each, until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	reader := simulator.NewReader(in)
 	writer := simulator.NewWriter(out)
@@ -66,7 +66,8 @@
 	}
 }
 
-// add has an event wait for the decisions on its batch, or starts or removes its server.
+// add starts or removes the event's server, or adds the event to those on which the server decides at the
+// end of the batch.
 func (h *host) add(event *simulator.Event) error {
 	name := event.Instance
 	switch event.Change {
@@ -92,11 +93,11 @@
 	return nil
 }
 
-// decide has each server with events decide on them.
+// decide writes the actions of each server with events in this batch.
 func (h *host) decide(now float64, writer *simulator.Writer) {
 	for _, name := range h.pending {
 		server := h.servers[name]
-		if server == nil || len(server.events) == 0 { // removed since, or started twice
+		if server == nil || len(server.events) == 0 { // crashed since then, or started twice and already handled
 			continue
 		}
 		server.decide(name, now, writer)
@@ -105,8 +106,8 @@
 	h.pending = h.pending[:0]
 }
 
-// decide writes the controller's actions. A panic of the controller is reported to the simulator in
-// their place.
+// decide writes the controller's actions on the server's events. If the controller panics, the panic is
+// reported to the simulator instead.
 func (s *simulatedServer) decide(name string, now float64, writer *simulator.Writer) {
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/cmd/swiftcourse-fleet/allowances.go
+++ b/cmd/swiftcourse-fleet/allowances.go
@@ -11,32 +11,34 @@
 )
 
 const (
-	// noTenant is the tenant of an allowance that limits concurrent calls to the downstream service.
+	// noTenant is the tenant index of an allowance that limits concurrent calls to the downstream
+	// service.
 	noTenant = -1
-	// unlimited is the value of a rate or number that is not limited.
+	// unlimited is a rate or number without a limit.
 	unlimited = math.MaxInt32
-	// circuitBreakerAllowance is the name of the allowance that only the circuit breaker caps.
+	// circuitBreakerAllowance is the name of the allowance of calls if no quota limits them and only the
+	// circuit breaker does.
 	circuitBreakerAllowance = "below"
 )
 
-// allowanceSet is what the server may use: of quotas, of the load plan, and of the downstream service.
-// Each of the three comes at its own time; all of them are handed to the server whenever one
-// changes.
+// allowanceSet has the server's allowances from three sources: quotas, the load plan and the circuit
+// breaker of the downstream service. Whenever one source changes, the merged allowances are passed to
+// the server.
 type allowanceSet struct {
 	server *server.Server
 
 	mu        sync.Mutex
 	quotas    []serving.Allowance
 	plan      []serving.Allowance
-	callLimit fleet.CallLimit // of the circuit breaker
+	callLimit fleet.CallLimit // from the circuit breaker
 }
 
-// newAllowanceSet returns a set in which nothing is limited.
+// newAllowanceSet returns a set without limits.
 func newAllowanceSet(srv *server.Server) *allowanceSet {
 	return &allowanceSet{server: srv, callLimit: fleet.CallLimit{MaxInFlight: math.Inf(1)}}
 }
 
-// setQuotas sets what may be used of quotas.
+// setQuotas sets the allowances from quotas.
 func (s *allowanceSet) setQuotas(quotas []serving.Allowance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,7 +46,7 @@
 	s.publish()
 }
 
-// setPlan sets the rates that the load plan admits.
+// setPlan sets the allowances from the load plan, which limit the request rates of tenants.
 func (s *allowanceSet) setPlan(plan []serving.Allowance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,7 +54,7 @@
 	s.publish()
 }
 
-// setCallLimit sets how many calls to the downstream service may be in flight.
+// setCallLimit sets the limit on calls in flight to the downstream service.
 func (s *allowanceSet) setCallLimit(limit fleet.CallLimit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,15 +62,16 @@
 	s.publish()
 }
 
-// publish hands the server all allowances. The caller holds the lock.
+// publish passes the merged allowances to the server. The caller holds the lock.
 func (s *allowanceSet) publish() { s.server.SetAllowances(s.merged()) }
 
-// merged returns all allowances.
+// merged returns the allowances of all sources. A tenant's quota takes precedence over its rate in the
+// load plan, and the circuit breaker's limit caps the allowance of calls.
 func (s *allowanceSet) merged() []serving.Allowance {
 	allowances := slices.Clone(s.quotas)
 	for _, planned := range s.plan {
 		hasQuota := func(a serving.Allowance) bool { return a.Tenant == planned.Tenant }
-		if !slices.ContainsFunc(allowances, hasQuota) { // a quota goes before the plan
+		if !slices.ContainsFunc(allowances, hasQuota) { // a quota takes precedence
 			allowances = append(allowances, planned)
 		}
 	}
@@ -78,7 +81,7 @@
 	return allowances
 }
 
-// capCalls caps the allowance of calls to the downstream service, and adds one if there is none.
+// capCalls caps the allowance of calls to the downstream service. If there is none, it adds one.
 func capCalls(allowances []serving.Allowance, limit fleet.CallLimit) []serving.Allowance {
 	limitsCalls := func(a serving.Allowance) bool { return a.Tenant < 0 }
 	index := slices.IndexFunc(allowances, limitsCalls)
--- a/cmd/swiftcourse-fleet/allowances_test.go
+++ b/cmd/swiftcourse-fleet/allowances_test.go
@@ -17,7 +17,7 @@
 	planned := serving.Allowance{Name: "plan/a", Tenant: 1}
 	other := serving.Allowance{Name: "plan/b", Tenant: 2}
 	capped := serving.Allowance{Name: "calls", Tenant: noTenant, Guaranteed: 4, Capped: true, Cap: 3, ProbeNumber: 7}
-	added := serving.Allowance{
+	breakerOnly := serving.Allowance{
 		Name:        "below",
 		Tenant:      noTenant,
 		FleetMax:    unlimited,
@@ -33,9 +33,9 @@
 		set  *allowanceSet
 		want []serving.Allowance
 	}{
-		{"nothing", &allowanceSet{callLimit: closed}, nil},
+		{"no limits", &allowanceSet{callLimit: closed}, nil},
 		{
-			"a quota goes before the plan",
+			"a quota takes precedence over the plan",
 			&allowanceSet{
 				quotas:    []serving.Allowance{tenant},
 				plan:      []serving.Allowance{planned, other},
@@ -48,28 +48,28 @@
 			&allowanceSet{quotas: []serving.Allowance{tenant, calls}, callLimit: breaker},
 			[]serving.Allowance{tenant, capped},
 		},
-		{"the circuit breaker alone", &allowanceSet{callLimit: breaker}, []serving.Allowance{added}},
+		{"only the circuit breaker limits calls", &allowanceSet{callLimit: breaker}, []serving.Allowance{breakerOnly}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			before := slices.Clone(c.set.quotas)
 			if got := c.set.merged(); !slices.Equal(got, c.want) {
-				t.Errorf("%+v, want %+v", got, c.want)
+				t.Errorf("merged allowances %+v, want %+v", got, c.want)
 			}
 			if !slices.Equal(c.set.quotas, before) {
-				t.Error("what quotas allow was changed")
+				t.Errorf("merged changed the quotas' allowances to %+v, want %+v", c.set.quotas, before)
 			}
 		})
 	}
 }
 
-func TestPlanAllowances_LimitUntilTheExpiry(t *testing.T) {
+func TestPlanAllowances_LimitUntilExpiry(t *testing.T) {
 	startup := &config.Startup{TenantIndex: map[string]int{"a": 3}}
 	assignment := &loadplan.Assignment{
 		RateLimits: []loadplan.TenantRate{{Tenant: "other", Rate: 1}, {Tenant: "a", Rate: 20}},
 	}
 	allowances := planAllowances(assignment, startup, 100)
 	if len(allowances) != 1 || allowances[0].Tenant != 3 || allowances[0].Name != "plan/a" {
-		t.Fatalf("%+v", allowances)
+		t.Fatalf("allowances %+v, want plan/a with tenant 3 only", allowances)
 	}
 	if limit := allowances[0].LimitAt(99); limit != 20 {
 		t.Errorf("limit %g before the expiry, want 20", limit)
--- a/cmd/swiftcourse-fleet/config.go
+++ b/cmd/swiftcourse-fleet/config.go
@@ -13,7 +13,7 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// The keys of the fleet in the operator's file.
+// Keys of the operator's file for the fleet.
 const (
 	fleetKey        = "fleet"
 	listenKey       = "fleet-listen"
@@ -21,29 +21,30 @@
 	votersKey       = "fleet-voters"
 )
 
-// invalidAddressReason is what is wrong with an entry of a list of processes by name.
-const invalidAddressReason = "is not name=address, or repeats a name"
+// invalidAddressReason is the error text for an invalid entry in a list of processes.
+const invalidAddressReason = "is not of the form name=address, or repeats an earlier name"
 
 // buildVariable is the environment variable with the identifier of the program's build.
 const buildVariable = "SWIFTCOURSE_BUILD"
 
 const (
-	// revisionSetting is the key of the version control's revision in a program's build information.
+	// revisionSetting is the key of the version control revision in the program's build information.
 	revisionSetting = "vcs.revision"
-	// revisionLength is how many characters of it identify a build.
+	// revisionLength is how many characters of the revision identify a build.
 	revisionLength = 12
-	// unknownBuild is the build of a program without that information.
+	// unknownBuild is the build identifier of a program without build information.
 	unknownBuild = "unknown"
 )
 
-// fallbackModes are what a server does once its lease has expired.
+// fallbackModes maps the operator's setting to the mode of a server whose lease has expired.
 var fallbackModes = map[config.FallbackMode]serving.Mode{
 	config.FallbackNormal:       serving.ModeNormal,
 	config.FallbackSafeDefaults: serving.ModeSafeDefaults,
 	config.FallbackOutOfService: serving.ModeOutOfService,
 }
 
-// commonConfig returns the configuration that the fleet agents of servers and of planners share.
+// commonConfig returns the part of the configuration that is the same for the fleet agents of servers and
+// of planners.
 func commonConfig(name string, operator *config.OperatorSettings, voters map[string]string) *fleet.Config {
 	settings := &operator.Fleet
 	return &fleet.Config{
@@ -66,8 +67,8 @@
 	}
 }
 
-// parseVoters returns the addresses of the voters in the operator's file, by name. The process itself
-// has to listen on the address of its entry.
+// parseVoters returns the voters' addresses in the operator's file, by name. If the process itself is a
+// voter, it has to listen on the address of its entry.
 func parseVoters(self string, operator *config.OperatorSettings) (map[string]string, error) {
 	voters := map[string]string{}
 	for _, text := range operator.Fleet.Voters {
@@ -85,14 +86,14 @@
 	if addr, isVoter := voters[self]; isVoter && addr != listen {
 		return nil, &config.FieldError{
 			Key:    votersKey,
-			Reason: fmt.Sprintf("%s is to listen on %s, but %s says %s", self, addr, listenKey, listen),
+			Reason: fmt.Sprintf("lists %s at %s, but %s is %q", self, addr, listenKey, listen),
 		}
 	}
 	return voters, nil
 }
 
-// build returns the identifier of the program's build: the environment's value, or the revision of
-// the source.
+// build returns the identifier of the program's build: the value of the environment variable, or else the
+// revision of the source.
 func build() string {
 	if given := os.Getenv(buildVariable); given != "" {
 		return given
--- a/cmd/swiftcourse-fleet/counters.go
+++ b/cmd/swiftcourse-fleet/counters.go
@@ -7,22 +7,22 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// connectCounters has the server report its counters, to the fleet agent where the fleet counts and
-// to the dispatcher where requests are forwarded, which measures the demand by them.
+// connectCounters makes the server report its request counters: to the fleet agent if shared counters are
+// on, and to the dispatcher if the server forwards requests, as the dispatcher measures demand by them.
 func (p *fleetProgram) connectCounters(node *fleet.Node, agentConfig *fleet.Config) {
-	counted := agentConfig.CountersEnabled
+	shared := agentConfig.CountersEnabled
 	if p.dispatcher != nil {
 		p.server.ReportCounters(func(cells []serving.CounterCell) bool {
-			if counted && !node.ReportCounts(cells) {
-				return false // the server reports them again
+			if shared && !node.ReportCounts(cells) {
+				return false // the server will report these counts again
 			}
 			p.dispatcher.RecordDemand(cells)
 			return true
 		})
-	} else if counted {
+	} else if shared {
 		p.server.ReportCounters(node.ReportCounts)
 	}
-	if counted {
+	if shared {
 		slog.Info("shared_counters_enabled", "aggregators", len(agentConfig.Voters))
 	}
 }
--- a/cmd/swiftcourse-fleet/forwarding.go
+++ b/cmd/swiftcourse-fleet/forwarding.go
@@ -10,11 +10,12 @@
 	"swiftcourse/internal/server"
 )
 
-// workersKey names the workers in the operator's file.
+// workersKey is the key of the workers in the operator's file.
 const workersKey = "forward-to"
 
-// EnableForwarding has a server forward its requests to the workers of the operator's file. A server that
-// forwards runs nothing itself: its cores are those of the workers, or as many as requests may be in flight.
+// EnableForwarding makes a server forward its requests to the workers of the operator's file. A forwarder
+// runs no requests itself: its number of cores is that of all workers together, or the configured maximum
+// of requests in flight.
 func (p *fleetProgram) EnableForwarding(
 	startup *config.Startup, operator *config.OperatorSettings, srv *server.Server,
 ) error {
@@ -41,10 +42,10 @@
 	return nil
 }
 
-// parseWorkers reads workers, each of which is name=address.
+// parseWorkers parses workers of the form name=address.
 func parseWorkers(texts []string) ([]forwarder.Worker, error) {
 	if len(texts) == 0 {
-		return nil, &config.FieldError{Key: workersKey, Reason: "names no workers"}
+		return nil, &config.FieldError{Key: workersKey, Reason: "lists no workers; expected at least one"}
 	}
 	var workers []forwarder.Worker
 	for _, text := range texts {
--- a/cmd/swiftcourse-fleet/health.go
+++ b/cmd/swiftcourse-fleet/health.go
@@ -8,8 +8,8 @@
 	"swiftcourse/internal/server"
 )
 
-// healthConfig returns the fleet agent's configuration of shared health checks of the downstream
-// service, nil if they are off.
+// healthConfig returns the fleet agent's configuration of shared health checks of the downstream service,
+// or nil if they are off.
 func (p *fleetProgram) healthConfig(operator *config.OperatorSettings) *fleet.HealthConfig {
 	if !operator.Fleet.SharedHealthChecks {
 		return nil
@@ -17,7 +17,7 @@
 	return &fleet.HealthConfig{Zone: operator.Fleet.Zone, OnLimit: p.allowances.setCallLimit}
 }
 
-// connectHealth has the server report its calls to the downstream service.
+// connectHealth makes the server report its calls to the downstream service to the fleet agent.
 func connectHealth(node *fleet.Node, health *fleet.HealthConfig, srv *server.Server) {
 	srv.ReportUpstreamCalls(node.ReportCalls)
 	slog.Info("shared_health_checks_enabled", "zone", health.Zone)
--- a/cmd/swiftcourse-fleet/program.go
+++ b/cmd/swiftcourse-fleet/program.go
@@ -15,24 +15,24 @@
 	"swiftcourse/internal/server"
 )
 
-// agentThreads is how many threads the Go runtime gets beyond those of a server without a fleet, so that the
-// fleet agent's goroutine and the server's event loop don't wait for each other.
+// agentThreads is the number of threads that the Go runtime gets in addition to those of a server without a
+// fleet, so that the fleet agent's goroutine and the server's event loop do not delay each other.
 const agentThreads = 1
 
-// fleetProgram is the process's part in the fleet; it implements cli.Fleet.
+// fleetProgram connects the process's server to its fleet agent. It implements cli.Fleet.
 type fleetProgram struct {
 	startup    *config.Startup
 	server     *server.Server
-	clock      *fleet.Clock // of the fleet agent
+	clock      *fleet.Clock // clock of the fleet agent
 	settings   *liveSettings
 	allowances *allowanceSet
 	dispatcher *forwarder.Dispatcher // nil unless the server forwards its requests
 }
 
-// RunCommand runs the command line that follows "fleet".
+// RunCommand runs the command in the arguments that follow "fleet".
 func (p *fleetProgram) RunCommand(args []string) error { return fleetcmd.Run(args) }
 
-// Start starts the fleet agent of a server, and connects the server to it.
+// Start starts the fleet agent of a server and connects the server to it.
 func (p *fleetProgram) Start(startup *config.Startup, operator *config.OperatorSettings, srv *server.Server) error {
 	runtime.GOMAXPROCS(runtime.GOMAXPROCS(0) + agentThreads)
 	p.startup = startup
@@ -62,15 +62,16 @@
 	return nil
 }
 
-// Reload applies the operator's file of this server after it was read again.
+// Reload applies the settings of this server's operator's file after the file was read again. If they are
+// invalid, it logs the error and changes nothing.
 func (p *fleetProgram) Reload(operator *config.OperatorSettings) {
 	if err := p.settings.reload(operator); err != nil {
 		slog.Info("reload_rejected", "err", err)
 	}
 }
 
-// agentConfig returns the configuration of a server's fleet agent. An error names the key of the
-// operator's file that is at fault.
+// agentConfig returns the configuration of a server's fleet agent. An error names the invalid key of the
+// operator's file.
 func (p *fleetProgram) agentConfig(operator *config.OperatorSettings) (*fleet.Config, error) {
 	voters, err := parseVoters(p.startup.Name, operator)
 	if err != nil {
@@ -107,14 +108,15 @@
 	return agentConfig, nil
 }
 
-// publish hands the server its directive, which the agent gives in its own time.
+// publish passes a directive to the server, with its time converted from the agent's clock to the
+// server's.
 func (p *fleetProgram) publish(directive *serving.Directive) {
 	converted := *directive
 	converted.ChangesAt = p.clock.ToSource(directive.ChangesAt)
 	p.server.SetDirective(&converted)
 }
 
-// connect has the server report to the agent what the configured concerns need.
+// connect makes the server report to the agent the data that the configured features need.
 func (p *fleetProgram) connect(node *fleet.Node, agentConfig *fleet.Config, operator *config.OperatorSettings) {
 	if agentConfig.Replication != nil {
 		connectReplication(node, agentConfig.Replication, operator, p.server)
@@ -134,7 +136,7 @@
 	}
 }
 
-// serveControl serves the control API where the operator's file asks for it.
+// serveControl serves the control API if the operator's file has an address for it.
 func serveControl(ctx context.Context, node *fleet.Node, operator *config.OperatorSettings) error {
 	if operator.Fleet.ControlAddress == "" {
 		return nil
--- a/cmd/swiftcourse-fleet/quota.go
+++ b/cmd/swiftcourse-fleet/quota.go
@@ -13,25 +13,25 @@
 	"swiftcourse/internal/server"
 )
 
-// The names of quotas in the operator's file.
+// Names of quotas in the operator's file.
 const (
 	callsQuota        = "calls"   // limits the concurrent calls to the downstream service
-	tenantQuotaPrefix = "tenant/" // begins the names of tenants' quotas, which limit request rates
+	tenantQuotaPrefix = "tenant/" // followed by the tenant's name; limits the tenant's request rate
 )
 
-// The keys of quotas in the operator's file.
+// Keys of the operator's file for quotas.
 const (
 	limitKey      = "budget"
 	maxServersKey = "budget-servers"
 )
 
-// errQuotasOff rejects a release that has quotas for a server that started without them.
+// errQuotasOff is returned for a release with quotas if the server started without quotas.
 var errQuotasOff = &config.FieldError{
 	Key:    maxServersKey,
-	Reason: "quotas are off in this server's own file, and can't be switched on while serving",
+	Reason: "can't turn quotas on while the server runs; they are off in the server's own file",
 }
 
-// parseQuotas reads the quotas of the operator's file; there are none without budget-servers.
+// parseQuotas parses the quotas of the operator's file. There are none unless budget-servers is set.
 func parseQuotas(operator *config.OperatorSettings, startup *config.Startup) (quota.Config, error) {
 	quotas := quota.Config{
 		LeaseSeconds:  operator.Fleet.LeaseDuration.Seconds(),
@@ -40,7 +40,7 @@
 	}
 	if operator.Quota.MaxServers == 0 {
 		if len(operator.Quota.Limits) > 0 {
-			return quotas, &config.FieldError{Key: limitKey, Reason: "needs " + maxServersKey}
+			return quotas, &config.FieldError{Key: limitKey, Reason: "requires " + maxServersKey + " to be at least 1"}
 		}
 		return quotas, nil
 	}
@@ -57,19 +57,19 @@
 	return quotas, nil
 }
 
-// parseLimit reads tenant/NAME=RATE or calls=NUMBER.
+// parseLimit parses a quota of the form tenant/NAME=RATE or calls=NUMBER.
 func parseLimit(text string, startup *config.Startup) (quota.Limit, error) {
 	name, number, hasNumber := strings.Cut(text, "=")
-	most, err := strconv.ParseFloat(number, 64)
+	limitMax, err := strconv.ParseFloat(number, 64)
 	isKnown := name == callsQuota || strings.HasPrefix(name, tenantQuotaPrefix)
 	if !hasNumber || err != nil || !isKnown {
 		return quota.Limit{}, &config.FieldError{
 			Key:    limitKey,
 			Value:  text,
-			Reason: "is neither tenant/NAME=RATE nor calls=NUMBER",
+			Reason: "is not of the form tenant/NAME=RATE or calls=NUMBER",
 		}
 	}
-	limit := quota.Limit{Name: name, Max: most}
+	limit := quota.Limit{Name: name, Max: limitMax}
 	if name == callsQuota {
 		limit.Concurrent = true
 		limit.LingerSeconds = maxCallSeconds(startup)
@@ -77,8 +77,8 @@
 	return limit, nil
 }
 
-// maxCallSeconds returns how long a call may be in flight downstream: it ends with its request, and
-// an abandoned one lingers for as long as the platform says.
+// maxCallSeconds returns the maximum time that a call may be in flight downstream: the longest timeout of
+// a request, plus the time for which the platform says that an abandoned call goes on.
 func maxCallSeconds(startup *config.Startup) float64 {
 	longest := 0.0
 	for _, class := range startup.Settings.Classes {
@@ -87,7 +87,7 @@
 	return longest + startup.Settings.Downstream.AbandonedCallLifetime
 }
 
-// quotaConfig returns the fleet agent's configuration of quotas, nil if there are none.
+// quotaConfig returns the fleet agent's configuration of quotas, or nil if quotas are off.
 func (p *fleetProgram) quotaConfig(operator *config.OperatorSettings) *fleet.QuotaConfig {
 	if operator.Quota.MaxServers == 0 {
 		return nil
@@ -98,8 +98,8 @@
 	}
 }
 
-// convertAllowances returns what this server may use in the serving loop's terms and time. Quotas
-// of tenants that this server does not have are left out.
+// convertAllowances converts allowances to the server's type, tenant indices and clock. It omits those of
+// tenants that this server does not have.
 func (p *fleetProgram) convertAllowances(held []quota.Allowance) []serving.Allowance {
 	converted := make([]serving.Allowance, 0, len(held))
 	for _, allowance := range held {
@@ -125,7 +125,7 @@
 	return converted
 }
 
-// fleetUsage converts what the server used of its allowances.
+// fleetUsage converts the server's usage of its allowances to the fleet agent's type.
 func fleetUsage(used []server.QuotaUsage) []fleet.Usage {
 	converted := make([]fleet.Usage, len(used))
 	for i, usage := range used {
@@ -134,7 +134,7 @@
 	return converted
 }
 
-// logQuotas logs that quotas are on.
+// logQuotas logs that quotas are on, and their settings.
 func logQuotas(operator *config.OperatorSettings) {
 	slog.Info("quotas_enabled",
 		"limits", len(operator.Quota.Limits),
--- a/cmd/swiftcourse-fleet/replication.go
+++ b/cmd/swiftcourse-fleet/replication.go
@@ -13,28 +13,28 @@
 	"swiftcourse/internal/server"
 )
 
-// The keys of replication in the operator's file.
+// Keys of the operator's file for replication.
 const (
 	replicasKey     = "replica-holders"
 	keyedClassesKey = "replica-keyed"
 )
 
-// minMaxClaimSeconds is the least value of the longest claim. Replicas that serve no keyed class
-// themselves have it too, as the value has to be the same on all: see docs/replication.md.
+// minMaxClaimSeconds is the minimum of the maximum claim duration. The duration has to be the same on all
+// replicas, also on those that serve no keyed class: see docs/replication.md.
 const minMaxClaimSeconds = 1
 
-// bytesPerKB converts the rate of catching up.
+// bytesPerKB converts the catch-up rate.
 const bytesPerKB = 1024
 
-// replicationConfig returns the fleet agent's configuration of replicated state, nil if the
-// operator's file names no replicas.
+// replicationConfig returns the fleet agent's configuration of replicated state, or nil if the operator's
+// file lists no replicas.
 func replicationConfig(
 	startup *config.Startup, operator *config.OperatorSettings, srv *server.Server,
 ) (*fleet.ReplicationConfig, error) {
 	settings := &operator.Replication
 	if len(settings.Replicas) == 0 {
 		if len(settings.KeyedClasses) > 0 {
-			return nil, &config.FieldError{Key: keyedClassesKey, Reason: "needs " + replicasKey}
+			return nil, &config.FieldError{Key: keyedClassesKey, Reason: "requires " + replicasKey + " to be set"}
 		}
 		return nil, nil
 	}
@@ -64,7 +64,7 @@
 	}, nil
 }
 
-// parseMembers reads the replicas, each of which is name/zone/weight.
+// parseMembers parses replicas of the form name/zone/weight. Zone and weight are optional.
 func parseMembers(replicas []string) ([]replication.Member, error) {
 	var members []replication.Member
 	for _, text := range replicas {
@@ -76,7 +76,11 @@
 		if len(parts) > 2 {
 			weight, err := strconv.ParseFloat(parts[2], 64)
 			if err != nil || len(parts) > 3 {
-				return nil, &config.FieldError{Key: replicasKey, Value: text, Reason: "is not name/zone/weight"}
+				return nil, &config.FieldError{
+					Key:    replicasKey,
+					Value:  text,
+					Reason: "is not of the form name/zone/weight",
+				}
 			}
 			member.Weight = weight
 		}
@@ -85,7 +89,8 @@
 	return members, nil
 }
 
-// maxClaimSeconds returns how long a claim may last: as long as a request of the keyed classes.
+// maxClaimSeconds returns the maximum duration of a claim: the longest timeout of the keyed classes, but at
+// least minMaxClaimSeconds.
 func maxClaimSeconds(keyedClasses []string, startup *config.Startup) (float64, error) {
 	longest := 0.0
 	for _, name := range keyedClasses {
@@ -98,7 +103,7 @@
 	return max(longest, minMaxClaimSeconds), nil
 }
 
-// connectReplication has the server claim the idempotency keys of its requests.
+// connectReplication makes the server claim the idempotency keys of its requests with the replicas.
 func connectReplication(
 	node *fleet.Node, replicas *fleet.ReplicationConfig, operator *config.OperatorSettings, srv *server.Server,
 ) {
--- a/cmd/swiftcourse-fleet/settings.go
+++ b/cmd/swiftcourse-fleet/settings.go
@@ -8,22 +8,22 @@
 	"swiftcourse/internal/server"
 )
 
-// releaseSource is the name that errors have for the text of a release.
+// releaseSource is the source that errors name for the text of a release.
 const releaseSource = "released"
 
-// liveSettings are the settings that the server acts on: its own operator's file, and over it what
-// the fleet released. The fleet agent and the process's signals change them.
+// liveSettings has the settings in effect: the server's own operator's file, overridden by the fleet's
+// release. The fleet agent and the process's signal handlers change them concurrently.
 type liveSettings struct {
 	startup *config.Startup
 	server  *server.Server
 
 	mu       sync.Mutex
-	operator *config.OperatorSettings // this server's file
-	release  string                   // the text that is released
-	quotas   quota.Config             // by both
+	operator *config.OperatorSettings // settings of this server's own file
+	release  string                   // text of the release
+	quotas   quota.Config             // from the file and the release
 }
 
-// newLiveSettings returns the settings of a server that has heard of no release.
+// newLiveSettings returns the settings of a server that has received no release yet.
 func newLiveSettings(
 	startup *config.Startup, operator *config.OperatorSettings, srv *server.Server,
 ) (*liveSettings, error) {
@@ -34,8 +34,8 @@
 	return &liveSettings{startup: startup, server: srv, operator: operator, quotas: quotas}, nil
 }
 
-// apply has the server act on a released text over its own file, or returns an error and changes
-// nothing.
+// apply makes the server use its own file overridden by the text of a release. If it returns an error,
+// nothing has changed.
 func (s *liveSettings) apply(release string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// reload has the server act on its own file anew, under what is released, or returns an error and
-// changes nothing.
+// reload makes the server use a new version of its own file, overridden by the release. If it returns an
+// error, nothing has changed.
 func (s *liveSettings) reload(operator *config.OperatorSettings) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// quotaConfig returns the quotas in force.
+// quotaConfig returns the quotas in effect.
 func (s *liveSettings) quotaConfig() quota.Config {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cmd/swiftcourse-fleet/settings_test.go
+++ b/cmd/swiftcourse-fleet/settings_test.go
@@ -12,16 +12,16 @@
 	"swiftcourse/internal/policy/replication"
 )
 
-// requireFieldError fails unless err is a *config.FieldError of the key.
+// requireFieldError requires err to be a *config.FieldError for a key.
 func requireFieldError(t *testing.T, err error, key string) {
 	t.Helper()
 	var fieldError *config.FieldError
 	if !errors.As(err, &fieldError) || fieldError.Key != key {
-		t.Errorf("error %v, want a *config.FieldError of %s", err, key)
+		t.Errorf("error %v, want a *config.FieldError for %s", err, key)
 	}
 }
 
-// startupWith returns a configuration with one class, "pay", of the timeout, in seconds.
+// startupWith returns a configuration with one class, "pay", which has the given timeout in seconds.
 func startupWith(timeout float64) *config.Startup {
 	startup := &config.Startup{Name: "n1", ClassNames: []string{"pay"}}
 	startup.Settings.Classes = []admission.Class{{Timeout: timeout}}
@@ -29,7 +29,7 @@
 	return startup
 }
 
-func TestParseQuotas_LimitsOfRatesAndCalls(t *testing.T) {
+func TestParseQuotas_RatesAndCalls(t *testing.T) {
 	operator := config.DefaultOperatorSettings()
 	operator.Quota.MaxServers = 4
 	operator.Quota.Limits = []string{"tenant/a=100", "calls=400"}
@@ -42,7 +42,7 @@
 		{Name: "calls", Max: 400, Concurrent: true, LingerSeconds: 5},
 	}
 	if !slices.Equal(quotas.Limits, want) || quotas.MaxServers != 4 {
-		t.Errorf("%+v, want limits %+v", quotas, want)
+		t.Errorf("quotas %+v, want 4 servers and limits %+v", quotas, want)
 	}
 }
 
@@ -74,9 +74,9 @@
 	voters, err := parseVoters("n1", operator)
 	want := map[string]string{"n1": "10.0.0.1:1", "n2": "10.0.0.2:1"}
 	if err != nil || !maps.Equal(voters, want) {
-		t.Errorf("%v, %v, want %v", voters, err, want)
+		t.Errorf("voters %v, error %v, want %v", voters, err, want)
 	}
-	_, err = parseVoters("n2", operator) // listens elsewhere than its entry says
+	_, err = parseVoters("n2", operator) // the listen address is not that of the entry
 	requireFieldError(t, err, votersKey)
 	for _, voter := range []string{"n3", "=10.0.0.3:1", "n1=10.0.0.3:1"} {
 		invalid := *operator
@@ -94,7 +94,7 @@
 		{Name: "n3", Zone: "west", Weight: 2.5},
 	}
 	if err != nil || !slices.Equal(members, want) {
-		t.Errorf("%+v, %v, want %+v", members, err, want)
+		t.Errorf("members %+v, error %v, want %+v", members, err, want)
 	}
 	for _, text := range []string{"n1/east/much", "n1/east/1/2"} {
 		_, err := parseMembers([]string{text})
@@ -109,14 +109,14 @@
 		classes []string
 		want    float64
 	}{
-		{"as long as a request", 3, []string{"pay"}, 3},
-		{"a short request", 0.2, []string{"pay"}, minMaxClaimSeconds},
-		{"no keyed class here", 3, nil, minMaxClaimSeconds},
+		{"timeout of the class", 3, []string{"pay"}, 3},
+		{"timeout below the minimum", 0.2, []string{"pay"}, minMaxClaimSeconds},
+		{"no keyed class", 3, nil, minMaxClaimSeconds},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, err := maxClaimSeconds(c.classes, startupWith(c.timeout))
 			if err != nil || got != c.want {
-				t.Errorf("%g, %v, want %g", got, err, c.want)
+				t.Errorf("maximum claim %g s, error %v, want %g s", got, err, c.want)
 			}
 		})
 	}
@@ -127,7 +127,7 @@
 func TestParseWorkers(t *testing.T) {
 	workers, err := parseWorkers([]string{"w1=10.0.0.1:1", "w2=10.0.0.2:1"})
 	if err != nil || len(workers) != 2 || workers[1].Name != "w2" || workers[1].Addr != "10.0.0.2:1" {
-		t.Errorf("%+v, %v", workers, err)
+		t.Errorf("workers %+v, error %v; want w1 at 10.0.0.1:1 and w2 at 10.0.0.2:1", workers, err)
 	}
 	for _, texts := range [][]string{nil, {"w1"}, {"w1="}, {"=10.0.0.1:1"}, {"w1=10.0.0.1:1", "w1=10.0.0.2:1"}} {
 		_, err := parseWorkers(texts)
--- a/cmd/swiftcourse-fleet/testhooks.go
+++ b/cmd/swiftcourse-fleet/testhooks.go
@@ -12,31 +12,30 @@
 	"swiftcourse/internal/fleet"
 )
 
-// The environment variables by which fault tests disturb a process that they start. No deployment
-// sets them.
+// The environment variables with which fault tests inject faults into a process that they start. They are
+// not set in deployments.
 const (
-	// testClockVariable is OFFSET,RATE: the agent's time of day is wrong by OFFSET seconds, and its
-	// clock runs RATE seconds for each second of the process's.
+	// testClockVariable has the form OFFSET,RATE: the agent's time of day is off by OFFSET seconds, and
+	// its clock advances by RATE seconds per second of the process's clock.
 	testClockVariable = "SWIFTCOURSE_TEST_CLOCK"
-	// testRelaysVariable is ADDRESS=RELAY,...: the process reaches others through relays, which can
-	// cut it off from them.
+	// testRelaysVariable has the form ADDRESS=RELAY,...: the process connects to each ADDRESS through a
+	// RELAY, which can cut the connection.
 	testRelaysVariable = "SWIFTCOURSE_TEST_VIA"
-	// testKillVariable is POINT,N,SECONDS: the process kills itself when it passes the
-	// fleet.TracePoint of that name for the Nth time after its first seconds. Another form of value
-	// has no effect.
+	// testKillVariable has the form POINT,N,SECONDS: the process kills itself when it passes the
+	// fleet.TracePoint named POINT for the Nth time, not counting its first SECONDS seconds. A value of
+	// another form has no effect.
 	testKillVariable = "SWIFTCOURSE_TEST_DIE"
 )
 
-// testHooks are the disturbances of a process under test; without the variables there are none.
+// testHooks are the faults to inject into a process under test. Without the variables there are none.
 type testHooks struct {
 	clockOffset float64 // seconds
 	clockRate   float64
-	relays      map[string]string      // by the address of the process behind them
+	relays      map[string]string      // relay by the address that it connects to
 	tracePoint  func(fleet.TracePoint) // nil for none
 }
 
-// loadTestHooks reads the environment. It returns a *config.FieldError for a clock that can't be
-// read.
+// loadTestHooks reads the environment variables. It returns a *config.FieldError for an invalid clock.
 func loadTestHooks() (*testHooks, error) {
 	hooks := &testHooks{
 		clockRate:  1,
@@ -52,17 +51,21 @@
 	hooks.clockOffset, offsetErr = strconv.ParseFloat(offset, 64)
 	hooks.clockRate, rateErr = strconv.ParseFloat(rate, 64)
 	if errors.Join(offsetErr, rateErr) != nil || hooks.clockRate <= 0 {
-		return nil, &config.FieldError{Key: testClockVariable, Value: text, Reason: "is not OFFSET,RATE"}
+		return nil, &config.FieldError{
+			Key:    testClockVariable,
+			Value:  text,
+			Reason: "is not of the form OFFSET,RATE with a RATE over 0",
+		}
 	}
 	return hooks, nil
 }
 
-// newClock returns the agent's clock, which starts with the process's.
+// newClock returns the agent's clock, which starts at the present time of the process's clock now.
 func (h *testHooks) newClock(now func() float64) *fleet.Clock {
 	return fleet.NewClock(now, now(), h.clockOffset, h.clockRate)
 }
 
-// translateAddr returns the relay before an address, or the address itself if there is none.
+// translateAddr returns the address of the relay for an address, or the address itself if it has none.
 func (h *testHooks) translateAddr(addr string) string {
 	if relay, found := h.relays[addr]; found {
 		return relay
@@ -70,7 +73,7 @@
 	return addr
 }
 
-// parseRelays reads the relays by address.
+// parseRelays parses the value of testRelaysVariable into a map from addresses to relays.
 func parseRelays(text string) map[string]string {
 	relays := map[string]string{}
 	if text == "" {
@@ -83,7 +86,8 @@
 	return relays
 }
 
-// killAtTracePoint returns a hook that kills the process, nil if the text does not ask for it.
+// killAtTracePoint returns the hook that kills the process as described by text, the value of
+// testKillVariable, or nil if the text has another form.
 func killAtTracePoint(text string, started time.Time) func(fleet.TracePoint) {
 	parts := strings.Split(text, ",")
 	if len(parts) != 3 {
@@ -101,7 +105,7 @@
 		}
 		passes--
 		if passes == 0 {
-			_ = syscall.Kill(os.Getpid(), syscall.SIGKILL) // it can't fail for the process itself
+			_ = syscall.Kill(os.Getpid(), syscall.SIGKILL) // a process may always signal itself
 		}
 	}
 }
--- a/cmd/swiftcourse-fleet/testhooks_test.go
+++ b/cmd/swiftcourse-fleet/testhooks_test.go
@@ -10,13 +10,13 @@
 func TestLoadTestHooks_NoneByDefault(t *testing.T) {
 	hooks, err := loadTestHooks()
 	if err != nil || hooks.tracePoint != nil || hooks.translateAddr("10.0.0.1:1") != "10.0.0.1:1" {
-		t.Fatalf("%+v, %v", hooks, err)
+		t.Fatalf("hooks %+v, error %v; want no trace point and no relays", hooks, err)
 	}
 	now := 50.0
 	clock := hooks.newClock(func() float64 { return now })
 	now = 60
 	if clock.Now() != 60 || clock.UnixNow() != 60 {
-		t.Errorf("clock at %g and %g, want 60", clock.Now(), clock.UnixNow())
+		t.Errorf("clock %g and Unix time %g, want 60 for both", clock.Now(), clock.UnixNow())
 	}
 }
 
@@ -31,13 +31,13 @@
 	clock := hooks.newClock(func() float64 { return now })
 	now = 60
 	if clock.Now() != 70 || clock.UnixNow() != 67 {
-		t.Errorf("clock at %g and %g, want 70 and 67", clock.Now(), clock.UnixNow())
+		t.Errorf("clock %g and Unix time %g, want 70 and 67", clock.Now(), clock.UnixNow())
 	}
 	if relay := hooks.translateAddr("10.0.0.2:1"); relay != "127.0.0.1:8" {
-		t.Errorf("reached by %s", relay)
+		t.Errorf("10.0.0.2:1 translated to %s, want the relay 127.0.0.1:8", relay)
 	}
 	if addr := hooks.translateAddr("10.0.0.3:1"); addr != "10.0.0.3:1" {
-		t.Errorf("without a relay reached by %s", addr)
+		t.Errorf("10.0.0.3:1 translated to %s, want it unchanged", addr)
 	}
 }
 
@@ -49,12 +49,12 @@
 	}
 }
 
-// TestKillAtTracePoint_OtherPointsPass: only what must not kill the process is tried here; the fault
-// tests try the rest.
-func TestKillAtTracePoint_OtherPointsPass(t *testing.T) {
+// TestKillAtTracePoint_DoesNotKillAtOtherPoints checks only cases in which the process must not be killed.
+// The fault tests check the kill itself.
+func TestKillAtTracePoint_DoesNotKillAtOtherPoints(t *testing.T) {
 	for _, text := range []string{"", "claiming,1", "claiming,one,0", "claiming,1,late"} {
 		if killAtTracePoint(text, time.Now()) != nil {
-			t.Errorf("%q gives a hook", text)
+			t.Errorf("%q gives a hook, want none", text)
 		}
 	}
 	other := killAtTracePoint(fleet.TraceClaimed.String()+",1,0", time.Now())
--- a/cmd/swiftcourse-fleet/trust.go
+++ b/cmd/swiftcourse-fleet/trust.go
@@ -7,21 +7,21 @@
 	"swiftcourse/internal/server"
 )
 
-// sharedTrustKey is the key of shared trusted clients in the operator's file.
+// sharedTrustKey is the key of the operator's file for sharing trusted clients.
 const sharedTrustKey = "replica-callers"
 
-// trustedClientsDivisor keeps the clients that other servers trust to a quarter of the addresses
-// that the server remembers.
+// trustedClientsDivisor limits the clients trusted by other servers to a quarter of the addresses that
+// this server remembers.
 const trustedClientsDivisor = 4
 
-// trustConfig returns the fleet agent's configuration of clients that other servers trust, nil if
-// they are not shared.
+// trustConfig returns the fleet agent's configuration of clients that other servers trust, or nil if
+// sharing is off.
 func trustConfig(operator *config.OperatorSettings, srv *server.Server) (*fleet.TrustConfig, error) {
 	if !operator.Replication.SharedTrust {
 		return nil, nil
 	}
 	if !operator.ConnLimit.Enabled {
-		return nil, &config.FieldError{Key: sharedTrustKey, Reason: "needs door on"}
+		return nil, &config.FieldError{Key: sharedTrustKey, Reason: "requires door to be on"}
 	}
 	return &fleet.TrustConfig{
 		Retention:  operator.ConnLimit.ReputationHalfLife.Seconds(),
@@ -30,7 +30,7 @@
 	}, nil
 }
 
-// connectTrust has the server report the clients that it trusts.
+// connectTrust makes the server report the clients that it trusts to the fleet agent.
 func connectTrust(node *fleet.Node, srv *server.Server) {
 	srv.ReportTrustedClients(node.ReportTrusted, replication.MaxTrustedClients)
 }
