--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,6 @@
-// Command simhost runs the admission controllers of simulated servers. It reads batches of events from the
-// simulator on standard input, passes each event to its server's controller, and writes the controllers'
-// actions to standard output.
+// Command simhost runs the admission controllers of simulated servers. It reads batches of events
+// from the simulator on standard input, passes each event to its server's controller, and writes
+// the controllers' actions to standard output.
 package main
 
 import (
@@ -66,8 +66,8 @@
 	}
 }
 
-// add starts or removes the event's server, or adds the event to those on which the server decides at the
-// end of the batch.
+// add starts or removes the event's server, or adds the event to those on which the server decides
+// at the end of the batch.
 func (h *host) add(event *simulator.Event) error {
 	name := event.Instance
 	switch event.Change {
@@ -106,8 +106,8 @@
 	h.pending = h.pending[:0]
 }
 
-// decide writes the controller's actions on the server's events. If the controller panics, the panic is
-// reported to the simulator instead.
+// decide writes the controller's actions on the server's events. If the controller panics, the
+// panic is reported to the simulator instead.
 func (s *simulatedServer) decide(name string, now float64, writer *simulator.Writer) {
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/cmd/swiftcourse-fleet/allowances.go
+++ b/cmd/swiftcourse-fleet/allowances.go
@@ -16,14 +16,14 @@
 	noTenant = -1
 	// unlimited is a rate or number without a limit.
 	unlimited = math.MaxInt32
-	// circuitBreakerAllowance is the name of the allowance of calls if no quota limits them and only the
-	// circuit breaker does.
+	// circuitBreakerAllowance is the name of the allowance of calls if no quota limits them and
+	// only the circuit breaker does.
 	circuitBreakerAllowance = "below"
 )
 
-// allowanceSet has the server's allowances from three sources: quotas, the load plan and the circuit
-// breaker of the downstream service. Whenever one source changes, the merged allowances are passed to
-// the server.
+// allowanceSet has the server's allowances from three sources: quotas, the load plan and the
+// circuit breaker of the downstream service. Whenever one source changes, the merged allowances are
+// passed to the server.
 type allowanceSet struct {
 	server *server.Server
 
@@ -65,8 +65,8 @@
 // publish passes the merged allowances to the server. The caller holds the lock.
 func (s *allowanceSet) publish() { s.server.SetAllowances(s.merged()) }
 
-// merged returns the allowances of all sources. A tenant's quota takes precedence over its rate in the
-// load plan, and the circuit breaker's limit caps the allowance of calls.
+// merged returns the allowances of all sources. A tenant's quota takes precedence over its rate in
+// the load plan, and the circuit breaker's limit caps the allowance of calls.
 func (s *allowanceSet) merged() []serving.Allowance {
 	allowances := slices.Clone(s.quotas)
 	for _, planned := range s.plan {
--- a/cmd/swiftcourse-fleet/config.go
+++ b/cmd/swiftcourse-fleet/config.go
@@ -43,8 +43,8 @@
 	config.FallbackOutOfService: serving.ModeOutOfService,
 }
 
-// commonConfig returns the part of the configuration that is the same for the fleet agents of servers and
-// of planners.
+// commonConfig returns the part of the configuration that is the same for the fleet agents of
+// servers and of planners.
 func commonConfig(name string, operator *config.OperatorSettings, voters map[string]string) *fleet.Config {
 	settings := &operator.Fleet
 	return &fleet.Config{
@@ -67,8 +67,8 @@
 	}
 }
 
-// parseVoters returns the voters' addresses in the operator's file, by name. If the process itself is a
-// voter, it has to listen on the address of its entry.
+// parseVoters returns the voters' addresses in the operator's file, by name. If the process itself
+// is a voter, it has to listen on the address of its entry.
 func parseVoters(self string, operator *config.OperatorSettings) (map[string]string, error) {
 	voters := map[string]string{}
 	for _, text := range operator.Fleet.Voters {
@@ -92,8 +92,8 @@
 	return voters, nil
 }
 
-// build returns the identifier of the program's build: the value of the environment variable, or else the
-// revision of the source.
+// build returns the identifier of the program's build: the value of the environment variable, or
+// else the revision of the source.
 func build() string {
 	if given := os.Getenv(buildVariable); given != "" {
 		return given
--- a/cmd/swiftcourse-fleet/counters.go
+++ b/cmd/swiftcourse-fleet/counters.go
@@ -7,8 +7,9 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// connectCounters makes the server report its request counters: to the fleet agent if shared counters are
-// on, and to the dispatcher if the server forwards requests, as the dispatcher measures demand by them.
+// connectCounters makes the server report its request counters: to the fleet agent if shared
+// counters are on, and to the dispatcher if the server forwards requests, as the dispatcher
+// measures demand by them.
 func (p *fleetProgram) connectCounters(node *fleet.Node, agentConfig *fleet.Config) {
 	shared := agentConfig.CountersEnabled
 	if p.dispatcher != nil {
--- a/cmd/swiftcourse-fleet/forwarding.go
+++ b/cmd/swiftcourse-fleet/forwarding.go
@@ -13,9 +13,9 @@
 // workersKey is the key of the workers in the operator's file.
 const workersKey = "forward-to"
 
-// EnableForwarding makes a server forward its requests to the workers of the operator's file. A forwarder
-// runs no requests itself: its number of cores is that of all workers together, or the configured maximum
-// of requests in flight.
+// EnableForwarding makes a server forward its requests to the workers of the operator's file. A
+// forwarder runs no requests itself: its number of cores is that of all workers together, or the
+// configured maximum of requests in flight.
 func (p *fleetProgram) EnableForwarding(
 	startup *config.Startup, operator *config.OperatorSettings, srv *server.Server,
 ) error {
--- a/cmd/swiftcourse-fleet/health.go
+++ b/cmd/swiftcourse-fleet/health.go
@@ -8,8 +8,8 @@
 	"swiftcourse/internal/server"
 )
 
-// healthConfig returns the fleet agent's configuration of shared health checks of the downstream service,
-// or nil if they are off.
+// healthConfig returns the fleet agent's configuration of shared health checks of the downstream
+// service, or nil if they are off.
 func (p *fleetProgram) healthConfig(operator *config.OperatorSettings) *fleet.HealthConfig {
 	if !operator.Fleet.SharedHealthChecks {
 		return nil
--- a/cmd/swiftcourse-fleet/loadplan.go
+++ b/cmd/swiftcourse-fleet/loadplan.go
@@ -13,8 +13,8 @@
 // planAllowancePrefix, followed by the tenant's name, is the name of an allowance from a load plan.
 const planAllowancePrefix = "plan/"
 
-// loadPlanConfig returns the fleet agent's configuration of load plans, or nil if the server does not
-// forward its requests.
+// loadPlanConfig returns the fleet agent's configuration of load plans, or nil if the server does
+// not forward its requests.
 func (p *fleetProgram) loadPlanConfig() *fleet.LoadPlanConfig {
 	if p.dispatcher == nil {
 		return nil
@@ -26,14 +26,15 @@
 	}
 }
 
-// planFollower applies the load plan's assignments to a forwarder. The fleet agent's goroutine owns it.
+// planFollower applies the load plan's assignments to a forwarder. The fleet agent's goroutine owns
+// it.
 type planFollower struct {
 	program *fleetProgram
 	current loadplan.Version
 }
 
-// follow makes the dispatcher and the server apply an assignment until freshUntil, a time on the agent's
-// clock.
+// follow makes the dispatcher and the server apply an assignment until freshUntil, a time on the
+// agent's clock.
 func (f *planFollower) follow(assignment *loadplan.Assignment, freshUntil float64) {
 	version := assignment.Version
 	if version.ClusterID != f.current.ClusterID || version.Term != f.current.Term {
@@ -51,10 +52,10 @@
 	f.program.allowances.setPlan(planAllowances(assignment, f.program.startup, expiry))
 }
 
-// planAllowances returns the allowances for an assignment's rate limits of tenants. After the expiry
-// nothing is limited, as workers reject requests beyond their capacity. The limit of an allowance is the
-// sum of the guaranteed rate and, until the expiry, the leased share. As the guaranteed rate is
-// unlimited here, the leased share is negative.
+// planAllowances returns the allowances for an assignment's rate limits of tenants. After the
+// expiry nothing is limited, as workers reject requests beyond their capacity. The limit of an
+// allowance is the sum of the guaranteed rate and, until the expiry, the leased share. As the
+// guaranteed rate is unlimited here, the leased share is negative.
 func planAllowances(
 	assignment *loadplan.Assignment, startup *config.Startup, expiry float64,
 ) (allowances []serving.Allowance) {
--- a/cmd/swiftcourse-fleet/planner.go
+++ b/cmd/swiftcourse-fleet/planner.go
@@ -12,7 +12,8 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// RunPlanner runs a load planner, a voter of the fleet that serves no requests, until a signal stops it.
+// RunPlanner runs a load planner, a voter of the fleet that serves no requests, until a signal
+// stops it.
 func (p *fleetProgram) RunPlanner(name string, operator *config.OperatorSettings, signals lifecycle.Signals) error {
 	started := time.Now()
 	agentConfig, err := plannerConfig(name, operator, started)
@@ -43,8 +44,8 @@
 	return nil
 }
 
-// plannerConfig returns the configuration of a planner's fleet agent. A planner validates releases but
-// does not apply them.
+// plannerConfig returns the configuration of a planner's fleet agent. A planner validates releases
+// but does not apply them.
 func plannerConfig(name string, operator *config.OperatorSettings, started time.Time) (*fleet.Config, error) {
 	if !operator.Fleet.Enabled {
 		return nil, &config.FieldError{Key: fleetKey, Reason: "is off; a planner requires it to be on"}
@@ -77,8 +78,8 @@
 	return agentConfig, nil
 }
 
-// unixClock returns a monotonic clock of Unix time, in seconds: the time of day at its start plus the time
-// elapsed since then.
+// unixClock returns a monotonic clock of Unix time, in seconds: the time of day at its start plus
+// the time elapsed since then.
 func unixClock(started time.Time) func() float64 {
 	unix := float64(started.UnixMicro()) / 1e6
 	return func() float64 { return unix + time.Since(started).Seconds() }
--- a/cmd/swiftcourse-fleet/program.go
+++ b/cmd/swiftcourse-fleet/program.go
@@ -15,8 +15,9 @@
 	"swiftcourse/internal/server"
 )
 
-// agentThreads is the number of threads that the Go runtime gets in addition to those of a server without a
-// fleet, so that the fleet agent's goroutine and the server's event loop do not delay each other.
+// agentThreads is the number of threads that the Go runtime gets in addition to those of a server
+// without a fleet, so that the fleet agent's goroutine and the server's event loop do not delay
+// each other.
 const agentThreads = 1
 
 // fleetProgram connects the process's server to its fleet agent. It implements cli.Fleet.
@@ -62,16 +63,16 @@
 	return nil
 }
 
-// Reload applies the settings of this server's operator's file after the file was read again. If they are
-// invalid, it logs the error and changes nothing.
+// Reload applies the settings of this server's operator's file after the file was read again. If
+// they are invalid, it logs the error and changes nothing.
 func (p *fleetProgram) Reload(operator *config.OperatorSettings) {
 	if err := p.settings.reload(operator); err != nil {
 		slog.Info("reload_rejected", "err", err)
 	}
 }
 
-// agentConfig returns the configuration of a server's fleet agent. An error names the invalid key of the
-// operator's file.
+// agentConfig returns the configuration of a server's fleet agent. An error names the invalid key
+// of the operator's file.
 func (p *fleetProgram) agentConfig(operator *config.OperatorSettings) (*fleet.Config, error) {
 	voters, err := parseVoters(p.startup.Name, operator)
 	if err != nil {
--- a/cmd/swiftcourse-fleet/quota.go
+++ b/cmd/swiftcourse-fleet/quota.go
@@ -77,8 +77,8 @@
 	return limit, nil
 }
 
-// maxCallSeconds returns the maximum time that a call may be in flight downstream: the longest timeout of
-// a request, plus the time for which the platform says that an abandoned call goes on.
+// maxCallSeconds returns the maximum time that a call may be in flight downstream: the longest
+// timeout of a request, plus the time for which the platform says that an abandoned call goes on.
 func maxCallSeconds(startup *config.Startup) float64 {
 	longest := 0.0
 	for _, class := range startup.Settings.Classes {
@@ -98,8 +98,8 @@
 	}
 }
 
-// convertAllowances converts allowances to the server's type, tenant indices and clock. It omits those of
-// tenants that this server does not have.
+// convertAllowances converts allowances to the server's type, tenant indices and clock. It omits
+// those of tenants that this server does not have.
 func (p *fleetProgram) convertAllowances(held []quota.Allowance) []serving.Allowance {
 	converted := make([]serving.Allowance, 0, len(held))
 	for _, allowance := range held {
--- a/cmd/swiftcourse-fleet/replication.go
+++ b/cmd/swiftcourse-fleet/replication.go
@@ -19,15 +19,15 @@
 	keyedClassesKey = "replica-keyed"
 )
 
-// minMaxClaimSeconds is the minimum of the maximum claim duration. The duration has to be the same on all
-// replicas, also on those that serve no keyed class: see docs/replication.md.
+// minMaxClaimSeconds is the minimum of the maximum claim duration. The duration has to be the same
+// on all replicas, also on those that serve no keyed class: see docs/replication.md.
 const minMaxClaimSeconds = 1
 
 // bytesPerKB converts the catch-up rate.
 const bytesPerKB = 1024
 
-// replicationConfig returns the fleet agent's configuration of replicated state, or nil if the operator's
-// file lists no replicas.
+// replicationConfig returns the fleet agent's configuration of replicated state, or nil if the
+// operator's file lists no replicas.
 func replicationConfig(
 	startup *config.Startup, operator *config.OperatorSettings, srv *server.Server,
 ) (*fleet.ReplicationConfig, error) {
@@ -89,8 +89,8 @@
 	return members, nil
 }
 
-// maxClaimSeconds returns the maximum duration of a claim: the longest timeout of the keyed classes, but at
-// least minMaxClaimSeconds.
+// maxClaimSeconds returns the maximum duration of a claim: the longest timeout of the keyed
+// classes, but at least minMaxClaimSeconds.
 func maxClaimSeconds(keyedClasses []string, startup *config.Startup) (float64, error) {
 	longest := 0.0
 	for _, name := range keyedClasses {
--- a/cmd/swiftcourse-fleet/settings.go
+++ b/cmd/swiftcourse-fleet/settings.go
@@ -11,8 +11,8 @@
 // releaseSource is the source that errors name for the text of a release.
 const releaseSource = "released"
 
-// liveSettings has the settings in effect: the server's own operator's file, overridden by the fleet's
-// release. The fleet agent and the process's signal handlers change them concurrently.
+// liveSettings has the settings in effect: the server's own operator's file, overridden by the
+// fleet's release. The fleet agent and the process's signal handlers change them concurrently.
 type liveSettings struct {
 	startup *config.Startup
 	server  *server.Server
@@ -34,8 +34,8 @@
 	return &liveSettings{startup: startup, server: srv, operator: operator, quotas: quotas}, nil
 }
 
-// apply makes the server use its own file overridden by the text of a release. If it returns an error,
-// nothing has changed.
+// apply makes the server use its own file overridden by the text of a release. If it returns an
+// error, nothing has changed.
 func (s *liveSettings) apply(release string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// reload makes the server use a new version of its own file, overridden by the release. If it returns an
-// error, nothing has changed.
+// reload makes the server use a new version of its own file, overridden by the release. If it
+// returns an error, nothing has changed.
 func (s *liveSettings) reload(operator *config.OperatorSettings) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cmd/swiftcourse-fleet/testhooks.go
+++ b/cmd/swiftcourse-fleet/testhooks.go
@@ -12,22 +12,23 @@
 	"swiftcourse/internal/fleet"
 )
 
-// The environment variables with which fault tests inject faults into a process that they start. They are
-// not set in deployments.
+// The environment variables with which fault tests inject faults into a process that they start.
+// They are not set in deployments.
 const (
-	// testClockVariable has the form OFFSET,RATE: the agent's time of day is off by OFFSET seconds, and
-	// its clock advances by RATE seconds per second of the process's clock.
+	// testClockVariable has the form OFFSET,RATE: the agent's time of day is off by OFFSET seconds,
+	// and its clock advances by RATE seconds per second of the process's clock.
 	testClockVariable = "SWIFTCOURSE_TEST_CLOCK"
-	// testRelaysVariable has the form ADDRESS=RELAY,...: the process connects to each ADDRESS through a
-	// RELAY, which can cut the connection.
+	// testRelaysVariable has the form ADDRESS=RELAY,...: the process connects to each ADDRESS
+	// through a RELAY, which can cut the connection.
 	testRelaysVariable = "SWIFTCOURSE_TEST_VIA"
 	// testKillVariable has the form POINT,N,SECONDS: the process kills itself when it passes the
-	// fleet.TracePoint named POINT for the Nth time, not counting its first SECONDS seconds. A value of
-	// another form has no effect.
+	// fleet.TracePoint named POINT for the Nth time, not counting its first SECONDS seconds. A
+	// value of another form has no effect.
 	testKillVariable = "SWIFTCOURSE_TEST_DIE"
 )
 
-// testHooks are the faults to inject into a process under test. Without the variables there are none.
+// testHooks are the faults to inject into a process under test. Without the variables there are
+// none.
 type testHooks struct {
 	clockOffset float64 // seconds
 	clockRate   float64
@@ -35,7 +36,8 @@
 	tracePoint  func(fleet.TracePoint) // nil for none
 }
 
-// loadTestHooks reads the environment variables. It returns a *config.FieldError for an invalid clock.
+// loadTestHooks reads the environment variables. It returns a *config.FieldError for an invalid
+// clock.
 func loadTestHooks() (*testHooks, error) {
 	hooks := &testHooks{
 		clockRate:  1,
@@ -65,7 +67,8 @@
 	return fleet.NewClock(now, now(), h.clockOffset, h.clockRate)
 }
 
-// translateAddr returns the address of the relay for an address, or the address itself if it has none.
+// translateAddr returns the address of the relay for an address, or the address itself if it has
+// none.
 func (h *testHooks) translateAddr(addr string) string {
 	if relay, found := h.relays[addr]; found {
 		return relay
--- a/cmd/swiftcourse-fleet/testhooks_test.go
+++ b/cmd/swiftcourse-fleet/testhooks_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestKillAtTracePoint_DoesNotKillAtOtherPoints checks only cases in which the process must not be killed.
-// The fault tests check the kill itself.
+// TestKillAtTracePoint_DoesNotKillAtOtherPoints checks only cases in which the process must not be
+// killed. The fault tests check the kill itself.
 func TestKillAtTracePoint_DoesNotKillAtOtherPoints(t *testing.T) {
 	for _, text := range []string{"", "claiming,1", "claiming,one,0", "claiming,1,late"} {
 		if killAtTracePoint(text, time.Now()) != nil {
--- a/cmd/swiftcourse-fleet/trust.go
+++ b/cmd/swiftcourse-fleet/trust.go
@@ -10,8 +10,8 @@
 // sharedTrustKey is the key of the operator's file for sharing trusted clients.
 const sharedTrustKey = "replica-callers"
 
-// trustedClientsDivisor limits the clients trusted by other servers to a quarter of the addresses that
-// this server remembers.
+// trustedClientsDivisor limits the clients trusted by other servers to a quarter of the addresses
+// that this server remembers.
 const trustedClientsDivisor = 4
 
 // trustConfig returns the fleet agent's configuration of clients that other servers trust, or nil if
--- a/internal/bufferpool/pool.go
+++ b/internal/bufferpool/pool.go
@@ -1,15 +1,15 @@
 // Package bufferpool provides a pool of byte buffers of equal capacity.
 //
-// A Pool has no lock and is used by one goroutine only, the event loop. The owner of a buffer returns it
-// to the pool once, with Put or WriteBuffer.Release, and must not use it afterwards.
+// A Pool has no lock and is used by one goroutine only, the event loop. The owner of a buffer
+// returns it to the pool once, with Put or WriteBuffer.Release, and must not use it afterwards.
 package bufferpool
 
-// Size is the capacity of every buffer, in bytes. A request's body fits, and so does a line with a result
-// of 4 KiB in base64.
+// Size is the capacity of every buffer, in bytes. A request's body fits, and so does a line with a
+// result of 4 KiB in base64.
 const Size = 8 << 10
 
-// maxFree is the maximum number of free buffers in a pool, which take 2 MiB: about as much as a burst of
-// 200 requests needs.
+// maxFree is the maximum number of free buffers in a pool, which take 2 MiB: about as much as a
+// burst of 200 requests needs.
 const maxFree = 256
 
 // Pool is a pool of buffers. The zero Pool is empty and ready for use.
@@ -33,8 +33,8 @@
 	return b
 }
 
-// Put returns a buffer to the pool. It ignores a slice whose capacity is not Size, such as nil or a copy
-// of more than Size bytes.
+// Put returns a buffer to the pool. It ignores a slice whose capacity is not Size, such as nil or a
+// copy of more than Size bytes.
 func (p *Pool) Put(b []byte) {
 	if cap(b) != Size {
 		return
@@ -45,7 +45,8 @@
 	}
 }
 
-// Copy returns a copy of b, in a buffer from the pool if b fits into one, else in newly allocated memory.
+// Copy returns a copy of b, in a buffer from the pool if b fits into one, else in newly allocated
+// memory.
 func (p *Pool) Copy(b []byte) []byte {
 	if len(b) > Size {
 		return append(make([]byte, 0, len(b)), b...)
--- a/internal/bufferpool/write_buffer.go
+++ b/internal/bufferpool/write_buffer.go
@@ -1,7 +1,7 @@
 package bufferpool
 
-// maxPooledListCapacity is the maximum capacity of a buffer list that is kept for reuse. A list that grew
-// beyond it in a burst is left to the garbage collector.
+// maxPooledListCapacity is the maximum capacity of a buffer list that is kept for reuse. A list
+// that grew beyond it in a burst is left to the garbage collector.
 const maxPooledListCapacity = 32
 
 // WriteBuffer collects the bytes to be written to a connection, in buffers of a pool. The zero
@@ -30,12 +30,12 @@
 	return &w.buffers[len(w.buffers)-1]
 }
 
-// Buffers returns the buffers with all appended bytes, in order. They are valid until the next call of a
-// method.
+// Buffers returns the buffers with all appended bytes, in order. They are valid until the next call
+// of a method.
 func (w *WriteBuffer) Buffers() [][]byte { return w.buffers }
 
-// Release returns the buffers and their list to the pool, so that a connection without pending output
-// holds no memory.
+// Release returns the buffers and their list to the pool, so that a connection without pending
+// output holds no memory.
 func (w *WriteBuffer) Release(p *Pool) {
 	for i, b := range w.buffers {
 		p.Put(b)
--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -23,7 +23,7 @@
 
 // serveCommand serves requests.
 type serveCommand struct {
-	Conf string `help:"The operator's file; default: SWIFTCOURSE_CONF." type:"path" placeholder:"FILE"`
+	Conf string `help:"The operator's file; default: the value of SWIFTCOURSE_CONF." type:"path" placeholder:"FILE"`
 }
 
 // Run serves until the server is drained.
@@ -44,8 +44,8 @@
 
 // planCommand runs a load planner.
 type planCommand struct {
-	Conf string `help:"The operator's file; default: SWIFTCOURSE_CONF." type:"path" placeholder:"FILE"`
-	Name string `help:"This planner's name in fleet-voters; default: RELAY_NAME." env:"RELAY_NAME" required:""`
+	Conf string `help:"The operator's file; default: the value of SWIFTCOURSE_CONF." type:"path" placeholder:"FILE"`
+	Name string `help:"Name of this planner in fleet-voters; default: RELAY_NAME's value." env:"RELAY_NAME" required:""`
 }
 
 // Run runs the planner until a signal stops it.
--- a/internal/cli/fleetcmd/audit.go
+++ b/internal/cli/fleetcmd/audit.go
@@ -30,8 +30,8 @@
 	return s.raiseAlarms(status)
 }
 
-// printAudit prints the intervals in which each server acted on a version, the servers that lag behind
-// their assigned version, and the gaps in the record.
+// printAudit prints the intervals in which each server acted on a version, the servers that lag
+// behind their assigned version, and the gaps in the record.
 func printAudit(out io.Writer, result *audit.Report) error {
 	output := &report{out: out}
 	t := output.newTable("server", "incarnation", "epoch", "digest",
--- a/internal/cli/fleetcmd/counters.go
+++ b/internal/cli/fleetcmd/counters.go
@@ -26,8 +26,8 @@
 	return printCounters(s.out, status)
 }
 
-// printCounters prints the counters of the fleet and what may be missing from them. If the server does not
-// have the fleet's counters, it prints the server's own.
+// printCounters prints the counters of the fleet and what may be missing from them. If the server
+// does not have the fleet's counters, it prints the server's own.
 func printCounters(out io.Writer, status *fleet.CounterStatus) error {
 	output := &report{out: out}
 	if status.Totals == nil {
@@ -70,7 +70,8 @@
 	t.end()
 }
 
-// printCell prints a row with the counts of a tenant and class and their rate in requests per second.
+// printCell prints a row with the counts of a tenant and class and their rate in requests per
+// second.
 func printCell(t *table, cell serving.CounterCell, rate float64) {
 	open := int64(cell.Received) - int64(cell.Finished+cell.Rejected+cell.Abandoned)
 	t.rowf("%s\t%s\t%d\t%d\t%d\t%d\t%d\t%.1f",
--- a/internal/cli/fleetcmd/release.go
+++ b/internal/cli/fleetcmd/release.go
@@ -48,8 +48,8 @@
 	return s.send(command)
 }
 
-// parseWaves converts percentages of the fleet to fractions. It omits percentages of 100 and more, as all
-// servers follow after the last wave anyway.
+// parseWaves converts percentages of the fleet to fractions. It omits percentages of 100 and more,
+// as all servers follow after the last wave anyway.
 func parseWaves(percentages []string) (waves []float64, err error) {
 	for _, text := range percentages {
 		percentage, err := strconv.ParseFloat(strings.TrimSuffix(text, "%"), 64)
@@ -94,8 +94,8 @@
 	return s.send(release.Command{Kind: release.KindReadmit, Name: c.Name})
 }
 
-// send sends a command to the server, with the current user as its author, and prints the newest epoch
-// after the command.
+// send sends a command to the server, with the current user as its author, and prints the newest
+// epoch after the command.
 func (s *session) send(command release.Command) error {
 	command.Author = author()
 	newest, err := fleet.SendCommand(s.addr, command)
--- a/internal/cli/reload.go
+++ b/internal/cli/reload.go
@@ -13,7 +13,7 @@
 	startup      *config.Startup // as read at the start
 	operatorPath string          // path of the operator's file, "" for none
 	server       *server.Server
-	fleet        Fleet // nil where no fleet agent runs
+	fleet        Fleet // nil if no fleet agent runs
 }
 
 // reload applies the platform's configuration and the operator's file, or neither if one of them is
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -10,11 +10,12 @@
 	"swiftcourse/internal/server"
 )
 
-// loadStartup reads the platform's configuration, whose location getenv provides.
+// loadStartup reads the platform's configuration. getenv returns the value of an environment
+// variable.
 type loadStartup func(getenv func(string) string) (*config.Startup, error)
 
-// serve runs a server until it is drained. An invalid configuration or a failure of the server ends the
-// process.
+// serve runs a server until it is drained. An invalid configuration or a failure of the server ends
+// the process.
 func serve(proc *process, operatorFlag string, load loadStartup) error {
 	startup, err := load(os.Getenv)
 	if err != nil {
--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -8,8 +8,8 @@
 // noDownstream is the settings' value for a server that makes no downstream calls.
 const noDownstream = "none"
 
-// The valid values of each enumerated setting and their meanings. "" stands for a setting that is left
-// out.
+// The valid values of each enumerated setting and their meanings. "" stands for a setting that is
+// left out.
 var (
 	downstreamKinds = map[string]admission.Downstream{
 		"":           admission.NoDownstream,
@@ -42,8 +42,8 @@
 // its expected work.
 const valueByWork = "work"
 
-// AdmissionSettings converts the platform's settings to those of package admission, whose times are in
-// seconds. An enumerated setting with an unknown value becomes the zero value of its type.
+// AdmissionSettings converts the platform's settings to those of package admission, whose times are
+// in seconds. An enumerated setting with an unknown value becomes the zero value of its type.
 func AdmissionSettings(source *simulator.Settings) admission.Settings {
 	deployment := &source.Deployment
 	contract := &source.Contract
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -10,8 +10,8 @@
 	"swiftcourse/internal/wire/simulator"
 )
 
-// The defaults of the JSON file. The limits are the largest that the platform gives to a server. The stop
-// timeout leaves one second after a drain grace period of 2 s.
+// The defaults of the JSON file. The limits are the largest that the platform gives to a server.
+// The stop timeout leaves one second after a drain grace period of 2 s.
 const (
 	defaultStopMs   = 3000
 	defaultCores    = 1
@@ -131,8 +131,8 @@
 	return f, nil
 }
 
-// mergeEnvironment sets the value of a key from an environment variable if the file leaves the key out.
-// It returns an error if both have a value and the values differ.
+// mergeEnvironment sets the value of a key from an environment variable if the file leaves the key
+// out. It returns an error if both have a value and the values differ.
 func mergeEnvironment(key string, value *string, environmentVariable, environmentValue string) error {
 	if *value == "" {
 		*value = environmentValue
@@ -144,8 +144,8 @@
 	return &FieldError{Key: key, Value: *value, Reason: reason}
 }
 
-// dropDependencies removes the dependencies that only the workers of a forwarder use. A forwarder's file
-// may name them.
+// dropDependencies removes the dependencies that only the workers of a forwarder use. A forwarder's
+// file may name them.
 func (f *jsonFile) dropDependencies() {
 	f.Executor = ""
 	f.Upstream = ""
@@ -195,8 +195,8 @@
 	}, nil
 }
 
-// convertToForwarder changes a server's configuration to a forwarder's: slow start and downstream calls
-// concern its workers, not the forwarder itself.
+// convertToForwarder changes a server's configuration to a forwarder's: slow start and downstream
+// calls concern its workers, not the forwarder itself.
 func (s *Startup) convertToForwarder() {
 	s.Forwarder = true
 	s.WorkerSlowStartDuration = s.SlowStartDuration
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -8,9 +8,9 @@
 // OperatorSettings has the settings of the operator's file. A key that the file leaves out has its
 // default value, or the zero value if it has no default: off, empty or unlimited.
 //
-// The tags of each field are `key`, its key in the file; `default`, its default value in the format of
-// the file; and `validate`, the rule that the validator checks. Errors describe the valid values with
-// the key's text in expectedValues.
+// The tags of each field are `key`, its key in the file; `default`, its default value in the format
+// of the file; and `validate`, the rule that the validator checks. Errors describe the valid values
+// with the key's text in expectedValues.
 type OperatorSettings struct {
 	ConnLimit   ConnLimitSettings
 	Fleet       FleetSettings
@@ -28,12 +28,13 @@
 	// TrustedReserve is the fraction of the connection slots that is reserved for trusted clients.
 	TrustedReserve Fraction `key:"door-reserve" default:"25%" validate:"gte=0,lte=0.9"`
 
-	// The limits on open connections, 0 for no limit. They are four times as high for a trusted address.
+	// The limits on open connections, 0 for no limit. They are four times as high for a trusted
+	// address.
 	MaxPerAddress int `key:"door-per-address" default:"0" validate:"gte=0,lte=1000000"`
 	MaxPerPrefix  int `key:"door-per-prefix" default:"0" validate:"gte=0,lte=1000000"`
 
-	// The limits on new connections per second, 0 for no limit. They are four times as high for a trusted
-	// address.
+	// The limits on new connections per second, 0 for no limit. They are four times as high for a
+	// trusted address.
 	ArrivalsPerAddress float64 `key:"door-arrivals-per-address" default:"50" validate:"gte=0,lte=1000000"`
 	ArrivalsPerPrefix  float64 `key:"door-arrivals-per-prefix" default:"0" validate:"gte=0,lte=1000000"`
 
@@ -41,19 +42,20 @@
 	PrefixBitsIPv4 int `key:"door-prefix-ipv4" default:"24" validate:"gte=8,lte=32"`
 	PrefixBitsIPv6 int `key:"door-prefix-ipv6" default:"56" validate:"gte=16,lte=128"`
 
-	// HoldingSlots is how many rejected connections are kept open until their first message is answered.
+	// HoldingSlots is how many rejected connections are kept open until their first message is
+	// answered.
 	HoldingSlots int `key:"door-lobby" default:"16" validate:"gte=1,lte=1024"`
 	// RememberedAddresses is how many addresses without a connection are remembered.
 	RememberedAddresses int `key:"door-remember" default:"4096" validate:"gte=64,lte=1000000"`
 
-	// RequestsToTrust is how many requests of an address have to complete before it is trusted. At most
-	// one request per second counts.
+	// RequestsToTrust is how many requests of an address have to complete before it is trusted. At
+	// most one request per second counts.
 	RequestsToTrust int `key:"door-earn" default:"3" validate:"gte=1,lte=60"`
 	// ReputationHalfLife is the half-life of an address's credit for its completed requests.
 	ReputationHalfLife time.Duration `key:"door-forget" default:"10m" validate:"gte=1s,lte=24h"`
 
-	// The bounds of the retry delay sent to a rejected client. The delay doubles from the minimum to the
-	// maximum.
+	// The bounds of the retry delay sent to a rejected client. The delay doubles from the minimum
+	// to the maximum.
 	MinRetryAfter time.Duration `key:"door-come-back" default:"200ms" validate:"gte=1ms,lte=1h"`
 	MaxRetryAfter time.Duration `key:"door-come-back-most" default:"10s" validate:"gtefield=MinRetryAfter,lte=1h"`
 
@@ -67,23 +69,24 @@
 	// ListenAddress is where the other servers connect, ControlAddress where operators do.
 	ListenAddress  string `key:"fleet-listen" validate:"required_if=Enabled true,omitempty,tcp_addr"`
 	ControlAddress string `key:"fleet-control" validate:"omitempty,tcp_addr"`
-	// Voters are the voting members of the fleet, each as name=address. The list has to be the same on all
-	// servers.
+	// Voters are the voting members of the fleet, each as name=address. The list has to be the same
+	// on all servers.
 	Voters []string `key:"fleet-voters" validate:"required_if=Enabled true,max=15"`
 	// JoinAddresses are addresses of other servers through which this server finds the fleet.
 	JoinAddresses []string `key:"fleet-join" validate:"max=256,dive,tcp_addr"`
 
 	// LeaseDuration is how long a server may act without a message from the leader.
 	LeaseDuration time.Duration `key:"fleet-lease" default:"6s" validate:"gte=1s,lte=10m"`
-	// CatchUpTimeout is how long a server may run outdated settings of the fleet before it is fenced.
+	// CatchUpTimeout is how long a server may run outdated settings of the fleet before it is
+	// fenced.
 	CatchUpTimeout time.Duration `key:"fleet-behind" default:"10s" validate:"gte=1s,lte=1h"`
 	// FallbackMode is what a server does once its lease has expired.
 	FallbackMode FallbackMode `key:"fleet-silent" default:"keep" validate:"oneof=keep shield leave"`
-	// MaxUnavailable is the maximum fraction of the fleet that may be out of service because of expired
-	// leases or outdated settings.
+	// MaxUnavailable is the maximum fraction of the fleet that may be out of service because of
+	// expired leases or outdated settings.
 	MaxUnavailable Fraction `key:"fleet-most-out" default:"25%" validate:"gte=0,lte=1"`
-	// ForgetAfter is how long a server may be silent before its registration is removed and its name may
-	// be used by another server.
+	// ForgetAfter is how long a server may be silent before its registration is removed and its
+	// name may be used by another server.
 	ForgetAfter time.Duration `key:"fleet-forget" default:"10m" validate:"gtefield=LeaseDuration,lte=24h"`
 
 	// WaveDuration is the minimum duration of each wave of a release's rollout.
@@ -111,8 +114,8 @@
 	FallbackOutOfService FallbackMode = "leave"
 )
 
-// ReplicationSettings are the settings of the state that is replicated among servers of a fleet. They
-// have to be the same on all servers.
+// ReplicationSettings are the settings of the state that is replicated among servers of a fleet.
+// They have to be the same on all servers.
 type ReplicationSettings struct {
 	// Replicas are the servers that store the state, each as name/zone/weight. Zone and weight are
 	// optional.
@@ -120,7 +123,8 @@
 	// KeyedClasses are the classes whose requests have an idempotency key as their subject.
 	KeyedClasses []string `key:"replica-keyed" validate:"max=64"`
 
-	// ReplicationFactor is how many replicas store each key. A majority of them has to grant a claim of it.
+	// ReplicationFactor is how many replicas store each key. A majority of them has to grant a
+	// claim of it.
 	ReplicationFactor int `key:"replica-copies" default:"3" validate:"gte=1,lte=7"`
 	// RetentionWindow is how long a key is kept. Until then a repeat of its request does not run.
 	RetentionWindow time.Duration `key:"replica-window" default:"1m" validate:"gte=1s,lte=24h"`
@@ -130,18 +134,19 @@
 	// SharedTrust shares the trusted client addresses among the servers and preserves them across
 	// restarts.
 	SharedTrust bool `key:"replica-callers"`
-	// CatchUpRateKB is the maximum rate, in kilobytes per second, at which a replica receives state to
-	// catch up.
+	// CatchUpRateKB is the maximum rate, in kilobytes per second, at which a replica receives state
+	// to catch up.
 	CatchUpRateKB int `key:"replica-rate-kb" default:"4096" validate:"gte=16,lte=1048576"`
 }
 
-// QuotaSettings are the quotas of the whole fleet, of which each server leases a share. A release may
-// override them.
+// QuotaSettings are the quotas of the whole fleet, of which each server leases a share. A release
+// may override them.
 type QuotaSettings struct {
-	// Limits are the quotas: tenant/NAME=RATE limits requests per second, calls=NUMBER concurrent calls.
+	// Limits are the quotas: tenant/NAME=RATE limits requests per second, calls=NUMBER concurrent
+	// calls.
 	Limits []string `key:"budget" validate:"max=16384"`
-	// FloorFraction is the fraction of each quota that is split evenly among the servers and that a server
-	// may use without a lease.
+	// FloorFraction is the fraction of each quota that is split evenly among the servers and that a
+	// server may use without a lease.
 	FloorFraction Fraction `key:"budget-floor" default:"10%" validate:"gte=0.01,lte=0.9"`
 	// MaxServers is the maximum number of servers in the fleet at a time; 0 turns quotas off.
 	MaxServers int `key:"budget-servers" default:"0" validate:"gte=0,lte=4096"`
--- a/internal/config/operator_load.go
+++ b/internal/config/operator_load.go
@@ -8,12 +8,12 @@
 	"strings"
 )
 
-// operatorFileVariable is the environment variable with the path of the operator's file. It is used if
-// the command line names no file.
+// operatorFileVariable is the environment variable with the path of the operator's file. It is used
+// if the command line names no file.
 const operatorFileVariable = "SWIFTCOURSE_CONF"
 
-// OperatorFilePath returns the path of the operator's file: the value of the command line's flag, or else
-// of the environment variable. It is "" if neither is set.
+// OperatorFilePath returns the path of the operator's file: the value of the command line's flag,
+// or else of the environment variable. It is "" if neither is set.
 func OperatorFilePath(flag string, getenv func(string) string) string {
 	if flag != "" {
 		return flag
@@ -36,8 +36,9 @@
 	return ParseOperatorSettings(path, text)
 }
 
-// ParseOperatorSettings parses and validates the text of an operator's file. Each line has a key and its
-// values; # begins a comment. The error joins a FieldError with the given source for each fault.
+// ParseOperatorSettings parses and validates the text of an operator's file. Each line has a key
+// and its values; # begins a comment. The error joins a FieldError with the given source for each
+// fault.
 func ParseOperatorSettings(source string, text []byte) (*OperatorSettings, error) {
 	settings := DefaultOperatorSettings()
 	err := settings.apply(source, text)
--- a/internal/config/release.go
+++ b/internal/config/release.go
@@ -11,9 +11,9 @@
 	quotaLimitsKey     = "budget"
 )
 
-// WithRelease returns a copy of the settings, overridden by the text of a release. The release's values
-// replace those of the file; its trusted prefixes and quota limits replace the whole list of the file.
-// Errors have the release's name as their Source.
+// WithRelease returns a copy of the settings, overridden by the text of a release. The release's
+// values replace those of the file; its trusted prefixes and quota limits replace the whole list of
+// the file. Errors have the release's name as their Source.
 func (s *OperatorSettings) WithRelease(release, text string) (*OperatorSettings, error) {
 	merged := *s
 	if text == "" {
@@ -47,9 +47,9 @@
 	return strings.HasPrefix(key, "fleet") || strings.HasPrefix(key, "replica")
 }
 
-// CanonicalText returns the canonical form of a text of settings, which is the form of a release: no
-// comments, single spaces, and lines sorted by key, so that texts with the same settings have the same
-// digest. The lines of one key keep their order.
+// CanonicalText returns the canonical form of a text of settings, which is the form of a release:
+// no comments, single spaces, and lines sorted by key, so that texts with the same settings have
+// the same digest. The lines of one key keep their order.
 func CanonicalText(text string) string {
 	var lines []string
 	for line := range strings.Lines(text) {
--- a/internal/config/startup.go
+++ b/internal/config/startup.go
@@ -17,11 +17,13 @@
 	listenVariable = "RELAY_LISTEN"
 )
 
-// minSockets is the minimum number of sockets that a server needs to start. Clients may use half of them.
+// minSockets is the minimum number of sockets that a server needs to start. Clients may use half of
+// them.
 const minSockets = 64
 
-// Startup is the platform's configuration after validation. Its durations are in seconds, as in package
-// admission. The tag `key` of a field is the top-level key of the JSON file that sets the field.
+// Startup is the platform's configuration after validation. Its durations are in seconds, as in
+// package admission. The tag `key` of a field is the top-level key of the JSON file that sets the
+// field.
 type Startup struct {
 	Name   string `key:"name"`
 	Listen string `key:"listen"` // address
@@ -32,8 +34,8 @@
 	MemoryBytes int64   `key:"limits"`
 	MaxSockets  int     `key:"limits"`
 
-	// Forwarder is set if the server forwards requests to workers. It then has no executor and makes no
-	// downstream calls.
+	// Forwarder is set if the server forwards requests to workers. It then has no executor and
+	// makes no downstream calls.
 	Forwarder bool
 
 	Settings                admission.Settings `key:"settings"`
@@ -44,13 +46,13 @@
 	ClassNames              []string           `key:"settings"`
 	Gauges                  []string           `key:"settings"` // names of the gauges to request from the executor
 
-	// UnsupportedKeys are the keys of settings that are ignored because the executor's protocol has no
-	// message for them.
+	// UnsupportedKeys are the keys of settings that are ignored because the executor's protocol has
+	// no message for them.
 	UnsupportedKeys []string `key:"settings"`
 }
 
-// Addresses are the addresses of the server's dependencies. No other part of the configuration may change
-// while the server runs.
+// Addresses are the addresses of the server's dependencies. No other part of the configuration may
+// change while the server runs.
 type Addresses struct {
 	Executor string // "" for a forwarder
 	Registry string
@@ -90,8 +92,8 @@
 	return startup, nil
 }
 
-// Reload reads the configuration again. It returns the new addresses, and the keys that have changed but
-// are ignored because they take effect only at a start.
+// Reload reads the configuration again. It returns the new addresses, and the keys that have
+// changed but are ignored because they take effect only at a start.
 func (s *Startup) Reload(getenv func(string) string) (addresses Addresses, ignored []string, err error) {
 	next, err := load(getenv, s.Forwarder)
 	if err != nil {
--- a/internal/config/startup_test.go
+++ b/internal/config/startup_test.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// A setting for which the executor's protocol has no message is ignored and listed; it does not keep the
-// server from starting.
+// A setting for which the executor's protocol has no message is ignored and listed; it does not
+// keep the server from starting.
 func TestParse_ListsUnsupportedKeys(t *testing.T) {
 	for _, preemption := range []string{"drop", "pause"} {
 		text := replaceIn(t, `"cores":6`, `"cores":6,"preemption":"`+preemption+`"`)
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -52,7 +52,8 @@
 	return nil
 }
 
-// validate checks everything except the addresses and the seed, and returns an error for the first fault.
+// validate checks everything except the addresses and the seed, and returns an error for the first
+// fault.
 func (f *jsonFile) validate() error {
 	if err := f.validateLimits(); err != nil {
 		return err
@@ -96,8 +97,9 @@
 	return nil
 }
 
-// checkRanges checks that every number in v, the value of key, is from 0 to maximum, and returns an error
-// for the first number that is not. Fields of structs have their own maxima: see checkFieldRanges.
+// checkRanges checks that every number in v, the value of key, is from 0 to maximum, and returns an
+// error for the first number that is not. Fields of structs have their own maxima: see
+// checkFieldRanges.
 func checkRanges(key string, v reflect.Value, maximum float64) error {
 	switch v.Kind() {
 	case reflect.Struct:
@@ -120,8 +122,8 @@
 	return nil
 }
 
-// checkFieldRanges checks that the numbers in the fields of a struct are from 0 to the field's tag `most`,
-// or at least 0 if the field has no such tag.
+// checkFieldRanges checks that the numbers in the fields of a struct are from 0 to the field's tag
+// `most`, or at least 0 if the field has no such tag.
 func checkFieldRanges(key string, v reflect.Value) error {
 	for i := range v.NumField() {
 		field := v.Type().Field(i)
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -10,7 +10,8 @@
 	maxKnownFailures = 3
 	// casePrefix is the beginning of a line with a known case.
 	casePrefix = "case:"
-	// caseSeparator separates the fields of a known case. It is not a comma, as commands may contain commas.
+	// caseSeparator separates the fields of a known case. It is not a comma, as commands may
+	// contain commas.
 	caseSeparator = "|"
 	// caseFields is the number of fields of a known case.
 	caseFields = 4
@@ -29,8 +30,8 @@
 	issue string // number of the issue
 }
 
-// knownCase is an entry of KNOWN-RED.txt for a failure that occurs with another seed than CI's. It is
-// printed and has no effect on the result of CI.
+// knownCase is an entry of KNOWN-RED.txt for a failure that occurs with another seed than CI's. It
+// is printed and has no effect on the result of CI.
 type knownCase struct {
 	command string // reproduces the failure
 	seed    string
@@ -38,9 +39,9 @@
 	issue   string
 }
 
-// parseList parses KNOWN-RED.txt. A line has the form "package.Test, cause, issue" for a known failure,
-// or "case: command | seed | what was seen | issue" for a known case. Empty lines and lines that begin
-// with # are skipped.
+// parseList parses KNOWN-RED.txt. A line has the form "package.Test, cause, issue" for a known
+// failure, or "case: command | seed | what was seen | issue" for a known case. Empty lines and
+// lines that begin with # are skipped.
 func parseList(text string) (knownList, error) {
 	var list knownList
 	for index, line := range strings.Split(text, "\n") {
@@ -69,8 +70,8 @@
 	return list, nil
 }
 
-// parseCase parses the line of a known case, without its prefix. It returns false if the number of fields
-// is wrong or a field is empty.
+// parseCase parses the line of a known case, without its prefix. It returns false if the number of
+// fields is wrong or a field is empty.
 func parseCase(line string) (knownCase, bool) {
 	fields := strings.Split(line, caseSeparator)
 	if len(fields) != caseFields {
@@ -85,8 +86,8 @@
 	return knownCase{command: fields[0], seed: fields[1], seen: fields[2], issue: fields[3]}, true
 }
 
-// parseLine parses the line of a known failure. It splits the line at its first and last commas, as the
-// cause may contain commas.
+// parseLine parses the line of a known failure. It splits the line at its first and last commas, as
+// the cause may contain commas.
 func parseLine(line string) (knownFailure, bool) {
 	test, rest, _ := strings.Cut(line, ",")
 	lastComma := strings.LastIndex(rest, ",")
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,7 +1,8 @@
-// Command knownred decides by the output of the test command whether CI passes. It prints the tests that
-// KNOWN-RED.txt lists and accepts their failure. It fails if any other test failed, if a listed test
-// passed, was skipped or did not run, and if the list has more than three entries. A line that begins
-// with "case:" is a failure with another seed than CI's: it is printed, but no test may fail for it.
+// Command knownred decides by the output of the test command whether CI passes. It prints the tests
+// that KNOWN-RED.txt lists and accepts their failure. It fails if any other test failed, if a
+// listed test passed, was skipped or did not run, and if the list has more than three entries. A
+// line that begins with "case:" is a failure with another seed than CI's: it is printed, but no
+// test may fail for it.
 package main
 
 import (
@@ -22,8 +23,8 @@
 	}
 }
 
-// run checks the file with the test output against the list of known failures. A missing list file counts
-// as an empty list.
+// run checks the file with the test output against the list of known failures. A missing list file
+// counts as an empty list.
 func run(listFile, outputFile string) error {
 	text, err := os.ReadFile(listFile)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
--- a/internal/knownred/verdict.go
+++ b/internal/knownred/verdict.go
@@ -16,7 +16,8 @@
 	packageLine = regexp.MustCompile(`^(ok|FAIL)\s+(\S+)`)
 )
 
-// verdict is the result of a test as `go test -v` prints it. It is empty for a test that did not run.
+// verdict is the result of a test as `go test -v` prints it. It is empty for a test that did not
+// run.
 type verdict string
 
 const (
@@ -47,22 +48,23 @@
 	verdict verdict
 }
 
-// outputReader reads the output of `go test -v` for several packages and collects the reasons for CI to
-// fail.
+// outputReader reads the output of `go test -v` for several packages and collects the reasons for
+// CI to fail.
 type outputReader struct {
 	known    []knownFailure
 	verdicts map[string]verdict // verdicts of the tests in known, by package.TestName
 	problems []error
 	packages int // number of packages read
 
-	// The state of the package that is being read, whose name is known only at the end of its output.
+	// The state of the package that is being read, whose name is known only at the end of its
+	// output.
 	results   []testResult
 	panicLine string
 }
 
-// check reads the output of `go test -v` for all packages. The error that it returns joins an error for
-// each failed test that is not a known failure, each known failure that passed, was skipped or did not
-// run, and each package that panicked or that failed without a failed test.
+// check reads the output of `go test -v` for all packages. The error that it returns joins an error
+// for each failed test that is not a known failure, each known failure that passed, was skipped or
+// did not run, and each package that panicked or that failed without a failed test.
 func check(known []knownFailure, output string) error {
 	reader := outputReader{known: known, verdicts: map[string]verdict{}}
 	lines := bufio.NewScanner(strings.NewReader(output))
@@ -129,7 +131,8 @@
 	return false
 }
 
-// checkKnown reports each known failure that did not fail, so that its line is removed from the list.
+// checkKnown reports each known failure that did not fail, so that its line is removed from the
+// list.
 func (r *outputReader) checkKnown() {
 	for _, failure := range r.known {
 		if found := r.verdicts[failure.test]; found != verdictFail {
--- a/internal/lifecycle/signals.go
+++ b/internal/lifecycle/signals.go
@@ -13,8 +13,8 @@
 	report chan os.Signal // SIGUSR1
 }
 
-// CatchSignals starts to catch the signals, so that none of them ends the process by default. A signal is
-// dropped if one for the same handler is already pending.
+// CatchSignals starts to catch the signals, so that none of them ends the process by default. A
+// signal is dropped if one for the same handler is already pending.
 func CatchSignals() Signals {
 	s := Signals{
 		stop:   make(chan os.Signal, 1),
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,7 +1,7 @@
 // Package logging sets up the structured log, which log/slog writes as lines of key=value pairs.
 //
-// The message of a log call is the name of an event, in snake_case, and is written with the key "event".
-// Any goroutine may log. Only the start of a program and tests call SetOutput.
+// The message of a log call is the name of an event, in snake_case, and is written with the key
+// "event". Any goroutine may log. Only the start of a program and tests call SetOutput.
 package logging
 
 import (
@@ -14,14 +14,15 @@
 // eventKey is the key of the event's name in a line.
 const eventKey = "event"
 
-// SetOutput makes slog's default logger write to out. A line has the time in UTC, the level if it is not
-// INFO, the event's name and its attributes.
+// SetOutput makes slog's default logger write to out. A line has the time in UTC, the level if it
+// is not INFO, the event's name and its attributes.
 func SetOutput(out io.Writer) {
 	options := &slog.HandlerOptions{ReplaceAttr: replaceAttribute}
 	slog.SetDefault(slog.New(slog.NewTextHandler(out, options)))
 }
 
-// replaceAttribute changes the time, level and message that slog adds to each line. They are in no group.
+// replaceAttribute changes the time, level and message that slog adds to each line. They are in no
+// group.
 func replaceAttribute(groups []string, a slog.Attr) slog.Attr {
 	if len(groups) > 0 {
 		return a
--- a/internal/requesttable/list_pool.go
+++ b/internal/requesttable/list_pool.go
@@ -1,10 +1,11 @@
 package requesttable
 
 const (
-	// newListCapacity is the capacity of a new list. Few connections have more open requests at a time.
+	// newListCapacity is the capacity of a new list. Few connections have more open requests at a
+	// time.
 	newListCapacity = 4
-	// maxPooledCapacity is the maximum capacity of a list in the pool. A list that grew beyond it in a
-	// burst is left to the garbage collector.
+	// maxPooledCapacity is the maximum capacity of a list in the pool. A list that grew beyond it
+	// in a burst is left to the garbage collector.
 	maxPooledCapacity = 32
 	// maxFreeLists is the maximum number of lists in a pool.
 	maxFreeLists = 256
@@ -24,8 +25,8 @@
 	return list
 }
 
-// Put returns a list to the pool. It ignores a nil list, one that is too long and, if the pool is full,
-// any list.
+// Put returns a list to the pool. It ignores a nil list, one that is too long and, if the pool is
+// full, any list.
 func (p *ListPool) Put(list []*Request) {
 	if list == nil || cap(list) > maxPooledCapacity || len(p.free) >= maxFreeLists {
 		return
--- a/internal/resultcache/cache.go
+++ b/internal/resultcache/cache.go
@@ -1,12 +1,12 @@
 // Package resultcache caches requests and their results, to answer requests that repeat them.
 //
-// A repeat is a request with the same class and subject as an earlier request, the original: the same
-// read, or the same idempotency key. Instead of running, a repeat gets the result of its original, or
-// waits for it. The memory for results is bounded. A request that may run only once stays in the cache
-// for its whole deduplication window, even if its result was evicted.
+// A repeat is a request with the same class and subject as an earlier request, the original: the
+// same read, or the same idempotency key. Instead of running, a repeat gets the result of its
+// original, or waits for it. The memory for results is bounded. A request that may run only once
+// stays in the cache for its whole deduplication window, even if its result was evicted.
 //
-// A Cache belongs to the event loop and is not safe for concurrent use. It reads no clock: all times are
-// in seconds on the caller's clock.
+// A Cache belongs to the event loop and is not safe for concurrent use. It reads no clock: all
+// times are in seconds on the caller's clock.
 package resultcache
 
 import (
@@ -16,12 +16,12 @@
 	"swiftcourse/internal/requesttable"
 )
 
-// importedIDPrefix, followed by the request's ID, is the ID of the entry of a request that ran on another
-// server.
+// importedIDPrefix, followed by the request's ID, is the ID of the entry of a request that ran on
+// another server.
 const importedIDPrefix = "of "
 
-// Cache holds the entries of requests by request ID, and by the class and subject that a request shares
-// with its repeats.
+// Cache holds the entries of requests by request ID, and by the class and subject that a request
+// shares with its repeats.
 type Cache struct {
 	byKey       map[key]*entry
 	byID        map[string]*entry
@@ -31,9 +31,9 @@
 	seed        maphash.Seed
 }
 
-// New returns an empty cache that holds at most maxBytes of results. To stay within the limit it evicts
-// the oldest results. The state of a request whose result is evicted is Missing or, if it may run only
-// once, Unrepeatable.
+// New returns an empty cache that holds at most maxBytes of results. To stay within the limit it
+// evicts the oldest results. The state of a request whose result is evicted is Missing or, if it
+// may run only once, Unrepeatable.
 func New(maxBytes int) *Cache {
 	return &Cache{
 		byKey:    map[key]*entry{},
@@ -46,10 +46,10 @@
 // Len returns the number of entries.
 func (c *Cache) Len() int { return len(c.byID) }
 
-// Track adds a request as the original of the repeats that arrive until expiresAt. It replaces an earlier
-// request with the same class and subject. If the request is already in the cache, only its expiry
-// changes. With runsOnce the entry stays until it expires, unless the request ends without having run.
-// A request without a subject is ignored.
+// Track adds a request as the original of the repeats that arrive until expiresAt. It replaces an
+// earlier request with the same class and subject. If the request is already in the cache, only its
+// expiry changes. With runsOnce the entry stays until it expires, unless the request ends without
+// having run. A request without a subject is ignored.
 func (c *Cache) Track(request *requesttable.Request, expiresAt float64, runsOnce bool) {
 	if request.Subject == "" {
 		return
@@ -67,8 +67,8 @@
 	})
 }
 
-// Import adds the result of a request that ran on another server, to answer the repeats that arrive until
-// expiresAt. It returns the ID of the entry.
+// Import adds the result of a request that ran on another server, to answer the repeats that arrive
+// until expiresAt. It returns the ID of the entry.
 func (c *Cache) Import(request *requesttable.Request, result []byte, expiresAt float64) (id string) {
 	e := &entry{
 		key:        keyOf(request),
@@ -83,8 +83,8 @@
 	return e.id
 }
 
-// Remove removes an entry. If other requests wait for its result, the entry stays until Finish, but serves
-// no further repeats.
+// Remove removes an entry. If other requests wait for its result, the entry stays until Finish, but
+// serves no further repeats.
 func (c *Cache) Remove(id string) {
 	e := c.byID[id]
 	if e == nil {
@@ -99,8 +99,8 @@
 	}
 }
 
-// Original returns the ID of the request that a request with this class, subject and arrival time repeats,
-// or "" if it repeats none.
+// Original returns the ID of the request that a request with this class, subject and arrival time
+// repeats, or "" if it repeats none.
 func (c *Cache) Original(class int, subject string, arrivedAt, now float64) (id string) {
 	e := c.byKey[key{class, subject}]
 	if subject == "" || e == nil || e.state == Missing {
@@ -112,8 +112,8 @@
 	return e.id
 }
 
-// IsConflicting reports whether a request reuses the idempotency key of an earlier request, but has a
-// different body.
+// IsConflicting reports whether a request reuses the idempotency key of an earlier request, but has
+// a different body.
 func (c *Cache) IsConflicting(class int, subject string, body []byte, arrivedAt float64) bool {
 	e := c.byKey[key{class, subject}]
 	if e == nil || !e.runsOnce || arrivedAt > e.expiresAt || e.state == Missing {
@@ -123,7 +123,8 @@
 }
 
 // LookupOrWait returns the result, if available, and the state of the original of a request. If the
-// original is pending, the request is added to those that wait for its result, whose IDs Finish returns.
+// original is pending, the request is added to those that wait for its result, whose IDs Finish
+// returns.
 func (c *Cache) LookupOrWait(request *requesttable.Request, now float64) ([]byte, State) {
 	e := c.byKey[keyOf(request)]
 	if e == nil || !e.isUsable(now) {
@@ -143,7 +144,8 @@
 	FreshTo float64 // time in seconds until which the result may answer repeats
 }
 
-// Finish records the outcome of a request and returns the IDs of the requests that wait for its result.
+// Finish records the outcome of a request and returns the IDs of the requests that wait for its
+// result.
 func (c *Cache) Finish(id string, outcome Outcome) (waiting []string) {
 	finished := c.byID[id]
 	if finished == nil || finished.state != Pending {
@@ -178,8 +180,8 @@
 	}
 }
 
-// add adds an entry and replaces an earlier one with the same key. The earlier one stays in byID while
-// other requests wait for its result.
+// add adds an entry and replaces an earlier one with the same key. The earlier one stays in byID
+// while other requests wait for its result.
 func (c *Cache) add(e *entry) {
 	if old := c.byKey[e.key]; old != nil && len(old.waiting) == 0 {
 		c.Remove(old.id)
@@ -188,8 +190,8 @@
 	c.byID[e.id] = e
 }
 
-// storeResult stores a copy of an entry's result, then drops the oldest results until the total size is
-// within maxBytes.
+// storeResult stores a copy of an entry's result, then drops the oldest results until the total
+// size is within maxBytes.
 func (c *Cache) storeResult(e *entry, result []byte) {
 	e.state = Available
 	e.result = append(make([]byte, 0, len(result)), result...)
@@ -213,8 +215,8 @@
 	e.state = e.stateWithoutResult()
 }
 
-// sizeOf returns the size that counts towards maxBytes: one byte more than the result's length, so that
-// the number of empty results is bounded too.
+// sizeOf returns the size that counts towards maxBytes: one byte more than the result's length, so
+// that the number of empty results is bounded too.
 func sizeOf(result []byte) int { return len(result) + 1 }
 
 func (c *Cache) hash(body []byte) uint64 { return maphash.Bytes(c.seed, body) }
--- a/internal/resultcache/entry.go
+++ b/internal/resultcache/entry.go
@@ -50,8 +50,8 @@
 	runsOnce   bool // the request may run only once, so the entry is kept without its result
 }
 
-// isUsable reports whether the entry may serve a repeat at now. A result that is no longer fresh may be
-// used only if its request may run only once.
+// isUsable reports whether the entry may serve a repeat at now. A result that is no longer fresh
+// may be used only if its request may run only once.
 func (e *entry) isUsable(now float64) bool {
 	return e.state != Available || now <= e.freshUntil || e.runsOnce
 }
--- a/internal/slottable/free_index.go
+++ b/internal/slottable/free_index.go
@@ -8,9 +8,9 @@
 	indexLevels = 3
 )
 
-// freeIndex is a hierarchical bitmap for finding the first chunk with a free entry. Level 0 has a bit
-// for each chunk, set if the chunk has a free entry. Each level above has a bit for each word of the
-// level below, set if that word is not 0.
+// freeIndex is a hierarchical bitmap for finding the first chunk with a free entry. Level 0 has a
+// bit for each chunk, set if the chunk has a free entry. Each level above has a bit for each word
+// of the level below, set if that word is not 0.
 type freeIndex [indexLevels][]uint64
 
 // lowest returns the index of the first chunk with a free entry, if there is one.
--- a/internal/slottable/table.go
+++ b/internal/slottable/table.go
@@ -1,8 +1,8 @@
 // Package slottable provides a table whose entries are identified by generational handles.
 //
-// Entries do not move in memory, so a pointer to an entry is valid until the entry is removed. The slot
-// of an entry is a small number that other data structures can use as an index. A Table is not safe
-// for concurrent use.
+// Entries do not move in memory, so a pointer to an entry is valid until the entry is removed. The
+// slot of an entry is a small number that other data structures can use as an index. A Table is not
+// safe for concurrent use.
 package slottable
 
 import "math/bits"
@@ -24,8 +24,8 @@
 	return Handle(uint64(generation)<<32 | uint64(slot))
 }
 
-// Slot returns the entry's index in the table, 0 or more. Once the entry is removed, a later entry may
-// have the same slot.
+// Slot returns the entry's index in the table, 0 or more. Once the entry is removed, a later entry
+// may have the same slot.
 func (h Handle) Slot() int32 { return int32(uint32(h)) }
 
 // generation returns the number of the entry among all entries ever added, modulo 2^32.
@@ -146,10 +146,11 @@
 	}
 }
 
-// ForEach calls visit for every entry, in the order of the slots. visit may remove the entry that it is
-// called with.
+// ForEach calls visit for every entry, in the order of the slots. visit may remove the entry that
+// it is called with.
 func (t *Table[T]) ForEach(visit func(Handle, *T)) {
-	// The conditions are checked again for each entry, as visit may drop the chunk and shorten the list.
+	// The conditions are checked again for each entry, as visit may drop the chunk and shorten the
+	// list.
 	for chunkIndex := 0; chunkIndex < len(t.chunks); chunkIndex++ {
 		for offset := 0; chunkIndex < len(t.chunks) && t.chunks[chunkIndex] != nil && offset < chunkSize; offset++ {
 			c := t.chunks[chunkIndex]
--- a/internal/slottable/table_test.go
+++ b/internal/slottable/table_test.go
@@ -82,7 +82,8 @@
 	}
 }
 
-// BenchmarkTable measures finding, removing and adding an entry in tables of 100 to 1,000,000 entries.
+// BenchmarkTable measures finding, removing and adding an entry in tables of 100 to 1,000,000
+// entries.
 func BenchmarkTable(b *testing.B) {
 	for _, n := range []int{100, 10_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/timerwheel/advance.go
+++ b/internal/timerwheel/advance.go
@@ -6,8 +6,9 @@
 const movesPerCallback = 32
 
 // Advance calls the callbacks of the timers that are due at now, at most limit of them. It reports
-// whether it called all of them; the next call begins with the remaining ones. A timer that a callback
-// schedules or reschedules is called by the next Advance at the earliest, even if it is already due.
+// whether it called all of them; the next call begins with the remaining ones. A timer that a
+// callback schedules or reschedules is called by the next Advance at the earliest, even if it is
+// already due.
 func (w *Wheel) Advance(now float64, limit int) (complete bool) {
 	w.advancing = true
 	w.now = now
@@ -20,9 +21,9 @@
 	return complete
 }
 
-// runDue calls the callbacks that are due and reports whether it called all of them within the limits
-// on callbacks and moves. It empties the slots up to now in order, and calls the due timers of each
-// slot before it empties the next one.
+// runDue calls the callbacks that are due and reports whether it called all of them within the
+// limits on callbacks and moves. It empties the slots up to now in order, and calls the due timers
+// of each slot before it empties the next one.
 func (w *Wheel) runDue(now float64, limit int) (complete bool) {
 	until := tick(now)
 	moves := limit * movesPerCallback
@@ -52,7 +53,8 @@
 	return len(w.heap) > 0 && w.entries[w.heap[0]].when <= now
 }
 
-// fire calls a timer's callback and then releases its entry, unless the callback rescheduled the timer.
+// fire calls a timer's callback and then releases its entry, unless the callback rescheduled the
+// timer.
 func (w *Wheel) fire(index int32) {
 	w.remove(index)
 	e := &w.entries[index]
--- a/internal/timerwheel/model_test.go
+++ b/internal/timerwheel/model_test.go
@@ -161,8 +161,8 @@
 	}
 }
 
-// checkNext requires the model's number of timers, and a NextWakeup that is not after the first of them,
-// or +Inf if there are none.
+// checkNext requires the model's number of timers, and a NextWakeup that is not after the first of
+// them, or +Inf if there are none.
 func (c *wheelComparison) checkNext() {
 	next := c.wheel.NextWakeup()
 	timers := c.model.timers
@@ -174,8 +174,8 @@
 	}
 }
 
-// finish calls Advance at each NextWakeup until all timers with a finite time were called, and requires
-// that this takes a bounded number of calls.
+// finish calls Advance at each NextWakeup until all timers with a finite time were called, and
+// requires that this takes a bounded number of calls.
 func (c *wheelComparison) finish() {
 	for calls := 0; len(c.model.timers) > 0 && c.model.timers[0].when < math.Inf(1); calls++ {
 		c.now = max(c.now, c.wheel.NextWakeup())
--- a/internal/timerwheel/placement.go
+++ b/internal/timerwheel/placement.go
@@ -13,8 +13,8 @@
 	return int32(len(w.entries) - 1)
 }
 
-// release frees an entry and invalidates its Timer. When the last timer is released, it also frees the
-// memory if there are more than maxSpareEntries entries.
+// release frees an entry and invalidates its Timer. When the last timer is released, it also frees
+// the memory if there are more than maxSpareEntries entries.
 func (w *Wheel) release(index int32) {
 	e := &w.entries[index]
 	*e = entry{slot: inFreeList, next: w.firstFree, generation: e.generation + 1}
@@ -28,9 +28,9 @@
 	}
 }
 
-// insert sets the time of an entry and places it in the wheel or the heap. While Advance runs, an entry
-// that is already due is placed only at the end of Advance: otherwise callbacks that schedule due
-// timers could keep Advance running forever.
+// insert sets the time of an entry and places it in the wheel or the heap. While Advance runs, an
+// entry that is already due is placed only at the end of Advance: otherwise callbacks that schedule
+// due timers could keep Advance running forever.
 func (w *Wheel) insert(index int32, when float64) {
 	e := &w.entries[index]
 	w.sequence++
--- a/internal/timerwheel/wheel.go
+++ b/internal/timerwheel/wheel.go
@@ -14,15 +14,16 @@
 	"math/bits"
 )
 
-// The geometry of the wheel. A level has one slot for each value of six bits of the time in ticks, so
-// a 64-bit word marks its occupied slots and one instruction finds the first. Eleven levels cover all
-// 63 bits of a tick, so no overflow list is needed.
+// The geometry of the wheel. A level has one slot for each value of six bits of the time in ticks,
+// so a 64-bit word marks its occupied slots and one instruction finds the first. Eleven levels
+// cover all 63 bits of a tick, so no overflow list is needed.
 const (
 	levelBits     = 6
 	slotsPerLevel = 1 << levelBits
 	levels        = 11
-	// ticksPerSecond makes the slots of the lowest level about 1 ms wide, the precision with which the
-	// Go runtime wakes an event loop. The heap sorts the timers of such a slot once the slot is next.
+	// ticksPerSecond makes the slots of the lowest level about 1 ms wide, the precision with which
+	// the Go runtime wakes an event loop. The heap sorts the timers of such a slot once the slot is
+	// next.
 	ticksPerSecond = 1024
 	// maxExamined is how many timers of a slot NextWakeup examines at most to find the earliest.
 	maxExamined = 64
@@ -30,8 +31,8 @@
 	maxSpareEntries = 4096
 )
 
-// Timer identifies a scheduled timer. It never becomes valid again for a later timer in the same entry.
-// The zero Timer identifies no timer.
+// Timer identifies a scheduled timer. It never becomes valid again for a later timer in the same
+// entry. The zero Timer identifies no timer.
 type Timer struct {
 	position   int32 // index of the timer's entry, counted from 1
 	generation uint32
@@ -56,9 +57,9 @@
 	inDeferred int32 = -4 // scheduled while Advance runs, for a time that is already due
 )
 
-// Wheel holds timers. The cost of scheduling, rescheduling and cancelling does not depend on the number
-// of timers, and rescheduling allocates nothing. Callbacks are called in the order of their times, and
-// for equal times in the order of scheduling.
+// Wheel holds timers. The cost of scheduling, rescheduling and cancelling does not depend on the
+// number of timers, and rescheduling allocates nothing. Callbacks are called in the order of their
+// times, and for equal times in the order of scheduling.
 //
 // The zero Wheel is empty and ready for use. The time passed to Advance may stay the same or jump
 // ahead. If it goes back, only timers that are due at that earlier time are called.
@@ -96,9 +97,9 @@
 	return Timer{position: index + 1, generation: e.generation}
 }
 
-// Reschedule changes the time of a timer and reports whether the timer exists. Among timers with equal
-// times it becomes the last, like a new one. A callback may reschedule its own timer; the Timer stays
-// valid.
+// Reschedule changes the time of a timer and reports whether the timer exists. Among timers with
+// equal times it becomes the last, like a new one. A callback may reschedule its own timer; the
+// Timer stays valid.
 func (w *Wheel) Reschedule(timer Timer, when float64) bool {
 	index, ok := w.find(timer)
 	if !ok {
@@ -130,9 +131,9 @@
 	return ok
 }
 
-// NextWakeup returns the time at which Advance should be called next: the time of the earliest timer,
-// or an earlier time if that timer is in a higher level or shares its slot with more than maxExamined
-// timers. It is +Inf if there are no timers.
+// NextWakeup returns the time at which Advance should be called next: the time of the earliest
+// timer, or an earlier time if that timer is in a higher level or shares its slot with more than
+// maxExamined timers. It is +Inf if there are no timers.
 func (w *Wheel) NextWakeup() float64 {
 	next := math.Inf(1)
 	if len(w.heap) > 0 {
@@ -161,9 +162,9 @@
 	start int64 // first tick of the slot
 }
 
-// firstOccupied returns the slot with the earliest timers, if any slot is occupied. Every occupied slot
-// of a level lies after elapsed, within the current revolution of that level, and before all occupied
-// slots of the levels above.
+// firstOccupied returns the slot with the earliest timers, if any slot is occupied. Every occupied
+// slot of a level lies after elapsed, within the current revolution of that level, and before all
+// occupied slots of the levels above.
 func (w *Wheel) firstOccupied() (first occupiedSlot, ok bool) {
 	for level := range int32(levels) {
 		occupied := w.occupied[level]
@@ -182,8 +183,8 @@
 	return occupiedSlot{}, false
 }
 
-// earliestOf returns the earliest time of the timers in a slot, or the slot's start if the slot has more
-// than maxExamined timers.
+// earliestOf returns the earliest time of the timers in a slot, or the slot's start if the slot has
+// more than maxExamined timers.
 func (w *Wheel) earliestOf(slot occupiedSlot) float64 {
 	earliest := math.Inf(1)
 	position := w.lists[slot.slot].first
--- a/internal/timewindow/buckets.go
+++ b/internal/timewindow/buckets.go
@@ -1,8 +1,8 @@
 // Package timewindow provides data structures for measurements over time: sliding windows of
 // buckets, sliding minima, histograms of durations, token buckets, and lists of names that expire.
 //
-// The package reads no clock: callers pass the current time as now, in seconds, 0 or more, and must not
-// let it decrease. No type is safe for concurrent use.
+// The package reads no clock: callers pass the current time as now, in seconds, 0 or more, and must
+// not let it decrease. No type is safe for concurrent use.
 package timewindow
 
 // Buckets is a sliding time window of buckets of equal width, kept in a ring.
@@ -12,7 +12,8 @@
 	newest  int64 // number of the newest bucket; bucket 0 starts at time 0
 }
 
-// NewBuckets returns a window of n zero buckets, each width seconds wide. The newest one contains now.
+// NewBuckets returns a window of n zero buckets, each width seconds wide. The newest one contains
+// now.
 func NewBuckets[T any](n int, width, now float64) *Buckets[T] {
 	return &Buckets[T]{
 		width:   width,
@@ -21,8 +22,8 @@
 	}
 }
 
-// Current advances the window to now and returns the bucket that contains now. Buckets that enter the
-// window are reset to zero.
+// Current advances the window to now and returns the bucket that contains now. Buckets that enter
+// the window are reset to zero.
 func (b *Buckets[T]) Current(now float64) *T {
 	number := int64(now / b.width)
 	size := int64(len(b.buckets))
--- a/internal/timewindow/histogram.go
+++ b/internal/timewindow/histogram.go
@@ -52,8 +52,8 @@
 	return h.Sum / float64(h.Count)
 }
 
-// Median returns an estimate of the median duration, in seconds: the geometric middle of the bin that
-// contains the median. It is 0 if there are no durations.
+// Median returns an estimate of the median duration, in seconds: the geometric middle of the bin
+// that contains the median. It is 0 if there are no durations.
 func (h *Histogram) Median() float64 {
 	remaining := h.Count / 2
 	for i, n := range h.bins {
--- a/internal/timewindow/token_bucket.go
+++ b/internal/timewindow/token_bucket.go
@@ -1,7 +1,7 @@
 package timewindow
 
-// TokenBucket limits the rate of events: it gains Rate tokens per second, up to Capacity, and each event
-// takes one token.
+// TokenBucket limits the rate of events: it gains Rate tokens per second, up to Capacity, and each
+// event takes one token.
 type TokenBucket struct {
 	Rate      float64 // tokens per second
 	Capacity  float64 // tokens
