--- a/internal/bufferpool/pool.go
+++ b/internal/bufferpool/pool.go
@@ -4,8 +4,8 @@
 // returns it to the pool once, with Put or WriteBuffer.Release, and must not use it afterwards.
 package bufferpool
 
-// Size is the capacity of every buffer, in bytes. A request's body fits, and so does a line with a
-// result of 4 KiB in base64.
+// Size is the capacity of every buffer, in bytes. It is enough for a request's body, and for a line
+// with a result of 4 KiB in base64.
 const Size = 8 << 10
 
 // maxFree is the maximum number of free buffers in a pool, which take 2 MiB: about as much as a
--- a/internal/requesttable/list_pool.go
+++ b/internal/requesttable/list_pool.go
@@ -25,8 +25,8 @@
 	return list
 }
 
-// Put returns a list to the pool. It ignores a nil list, one that is too long and, if the pool is
-// full, any list.
+// Put returns a list to the pool. It ignores a nil list, a list whose capacity exceeds
+// maxPooledCapacity and, if the pool is full, any list.
 func (p *ListPool) Put(list []*Request) {
 	if list == nil || cap(list) > maxPooledCapacity || len(p.free) >= maxFreeLists {
 		return
--- a/internal/requesttable/request.go
+++ b/internal/requesttable/request.go
@@ -21,11 +21,11 @@
 	Answered bool // the request was answered, or its client no longer waits for the answer
 	Running  bool // its run on the executor was started and has not ended
 
-	LastCommand int   // sequence number of the last command sent to the executor for this request
-	CallNotice  int64 // sequence number of the executor's notice that requested the latest call
-	CallBody    []byte
-	CallSettled bool // the latest call has ended, with or without a reply
-	CallReply   []byte
+	LastCommand int    // sequence number of the last command sent to the executor for this request
+	CallNotice  int64  // sequence number of the executor's notice that requested the latest call
+	CallBody    []byte // body of the latest call
+	CallSettled bool   // the latest call has ended, with or without a reply
+	CallReply   []byte // reply to the latest call, if it has one
 
 	sequence int // increases in the order of arrival
 }
--- a/internal/resultcache/cache.go
+++ b/internal/resultcache/cache.go
@@ -122,9 +122,8 @@
 	return e.bodyHash != c.hash(body)
 }
 
-// LookupOrWait returns the result, if available, and the state of the original of a request. If the
-// original is pending, the request is added to those that wait for its result, whose IDs Finish
-// returns.
+// LookupOrWait returns the state of the original of a request, and its result if available. If the
+// original is pending, the request waits: Finish returns its ID once the original has ended.
 func (c *Cache) LookupOrWait(request *requesttable.Request, now float64) ([]byte, State) {
 	e := c.byKey[keyOf(request)]
 	if e == nil || !e.isUsable(now) {
@@ -141,7 +140,7 @@
 	Ran     bool    // its run started, or may have started
 	Success bool    // the request has a result
 	Result  []byte  // copied by the cache
-	FreshTo float64 // time in seconds until which the result may answer repeats
+	FreshTo float64 // seconds; time until which the result may answer repeats
 }
 
 // Finish records the outcome of a request and returns the IDs of the requests that wait for its
--- a/internal/resultcache/cache_test.go
+++ b/internal/resultcache/cache_test.go
@@ -16,14 +16,15 @@
 		t.Errorf("%d entries, want 1, the request with a subject", c.Len())
 	}
 	if c.Original(0, "row", 1, 1) != "a" || c.Original(1, "row", 1, 1) != "" || c.Original(0, "", 1, 1) != "" {
-		t.Error("Original has to return a for its class and subject, and nothing for another class or no subject")
+		t.Errorf("originals %q with the same class and subject, %q with another class, %q without a subject; "+
+			"want a, none, none", c.Original(0, "row", 1, 1), c.Original(1, "row", 1, 1), c.Original(0, "", 1, 1))
 	}
 	if _, state := c.LookupOrWait(b, 1); state != Pending {
 		t.Errorf("state %v before the original ended, want pending", state)
 	}
 	waiting := c.Finish("a", Outcome{Ran: true, Success: true, Result: []byte("r"), FreshTo: 5})
 	if len(waiting) != 1 || waiting[0] != "b" {
-		t.Errorf("requests %v wait for the result, want b", waiting)
+		t.Errorf("requests %v wait for the result, want [b]", waiting)
 	}
 	if result, state := c.LookupOrWait(b, 5); state != Available || string(result) != "r" {
 		t.Errorf("result %q, state %v; want r, available", result, state)
@@ -50,7 +51,7 @@
 	_, _ = c.LookupOrWait(b, 12)
 	c.Remove("a")
 	if waiting := c.Finish("a", Outcome{Ran: true}); len(waiting) != 1 || c.Len() != 0 {
-		t.Errorf("requests %v wait for the removed entry, %d entries left; want b, 0", waiting, c.Len())
+		t.Errorf("requests %v wait for the removed entry, %d entries left; want [b], 0", waiting, c.Len())
 	}
 }
 
--- a/internal/resultcache/entry.go
+++ b/internal/resultcache/entry.go
@@ -40,14 +40,14 @@
 // entry is a cached request. It is the original of the repeats that arrive until it expires.
 type entry struct {
 	key        key
-	id         string  // ID of the request; for an imported result with importedIDPrefix
+	id         string  // ID of the request, after importedIDPrefix if it ran on another server
 	expiresAt  float64 // seconds, on the caller's clock
 	state      State
 	result     []byte
 	freshUntil float64  // seconds; time until which the result may answer repeats
 	waiting    []string // IDs of the requests that wait for the result
 	bodyHash   uint64
-	runsOnce   bool // the request may run only once, so the entry is kept without its result
+	runsOnce   bool // the request may run only once, so the entry is kept even if its result is evicted
 }
 
 // isUsable reports whether the entry may serve a repeat at now. A result that is no longer fresh
--- a/internal/slottable/table.go
+++ b/internal/slottable/table.go
@@ -141,7 +141,7 @@
 // trim removes the nil chunks at the end of the list of chunks.
 func (t *Table[T]) trim() {
 	for n := len(t.chunks); n > 0 && t.chunks[n-1] == nil; n-- {
-		t.free.set(n-1, false) // a chunk that is not in the list must not be found; Add appends it again
+		t.free.set(n-1, false) // the index must not contain chunks beyond the list's end
 		t.chunks = t.chunks[:n-1]
 	}
 }
--- a/internal/slottable/table_test.go
+++ b/internal/slottable/table_test.go
@@ -32,7 +32,8 @@
 			}
 			handle, p := table.Add()
 			if *p != 0 || table.AtSlot(handle.Slot()) != p {
-				t.Fatalf("new entry has value %d, want 0, or AtSlot(%d) does not return it", *p, handle.Slot())
+				t.Fatalf("new entry at %p has value %d, AtSlot(%d) returned %p; want value 0 and the entry",
+					p, *p, handle.Slot(), table.AtSlot(handle.Slot()))
 			}
 			*p = i + 1
 			model[handle] = i + 1
@@ -43,7 +44,7 @@
 		}
 		for handle, value := range model {
 			if p := table.Get(handle); p == nil || *p != value || p != pointers[handle] {
-				t.Fatalf("handle %x has entry %v, want value %d at its original address %p",
+				t.Fatalf("handle %x has its entry at %p, want value %d at its original address %p",
 					handle, p, value, pointers[handle])
 			}
 		}
--- a/internal/timerwheel/advance.go
+++ b/internal/timerwheel/advance.go
@@ -66,8 +66,9 @@
 	}
 }
 
-// advanceToNextSlot sets elapsed to the start of the next slot with timers and marks that slot to be
-// emptied, if it starts at or before the tick until. It reports whether there is such a slot.
+// advanceToNextSlot looks for the next slot with timers that starts at the tick until or earlier, and
+// reports whether there is one. If so, it sets elapsed to that start and marks the slot to be
+// emptied; otherwise it advances elapsed to until.
 func (w *Wheel) advanceToNextSlot(until int64) bool {
 	first, ok := w.firstOccupied()
 	if !ok || first.start > until {
--- a/internal/timerwheel/bench_test.go
+++ b/internal/timerwheel/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// newRandom returns the source of the benchmarks' timer times, with a fixed seed.
+// newRandom returns the random source for the times of the benchmarks' timers. Its seed is fixed.
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
 // filledWheel returns a wheel with n timers, each due within the next minute, and the timers.
--- a/internal/timerwheel/model_test.go
+++ b/internal/timerwheel/model_test.go
@@ -61,7 +61,7 @@
 	return now + float64(rapid.IntRange(0, 40).Draw(t, "steps"))*0.05
 }
 
-// comparison applies the same operations to a Wheel and to its model.
+// wheelComparison applies the same operations to a Wheel and to its model.
 type wheelComparison struct {
 	*rapid.T
 	wheel  Wheel
@@ -139,7 +139,8 @@
 	id := rapid.IntRange(0, len(c.timers)-1).Draw(c.T, "cancelled")
 	exists := c.model.remove(id)
 	if c.wheel.Cancel(c.timers[id]) != exists || c.wheel.Contains(c.timers[id]) {
-		c.Fatalf("Cancel of timer %d: want result %t and the timer not contained afterwards", id, exists)
+		c.Fatalf("after Cancel of timer %d Contains returns %t; want true from Cancel if the timer exists (%t), "+
+			"false from Contains", id, c.wheel.Contains(c.timers[id]), exists)
 	}
 }
 
@@ -152,7 +153,7 @@
 	complete := c.wheel.Advance(c.now, limit)
 	inOrder := len(c.called) <= limit && slices.Equal(c.called, want[:len(c.called)])
 	if complete != (len(c.called) == len(want)) || !inOrder {
-		c.Fatalf("at %v with limit %d called timers %v, complete %t; due timers %v",
+		c.Fatalf("at %v with limit %d called timers %v, complete %t; want the first timers of %v, all if complete",
 			c.now, limit, c.called, complete, want)
 	}
 	for _, id := range c.called {
@@ -167,7 +168,8 @@
 	next := c.wheel.NextWakeup()
 	timers := c.model.timers
 	if len(timers) != c.wheel.Len() || len(timers) > 0 && next > timers[0].when {
-		c.Fatalf("%d timers, next wakeup at %v; want timers %+v", c.wheel.Len(), next, timers)
+		c.Fatalf("%d timers, next wakeup at %v; want %d timers, and a wakeup not after the first of %+v",
+			c.wheel.Len(), next, len(timers), timers)
 	}
 	if len(timers) == 0 && !math.IsInf(next, 1) {
 		c.Fatalf("next wakeup at %v without timers, want +Inf", next)
@@ -185,7 +187,7 @@
 			c.requireNext(id)
 		}
 		if calls > 20*(len(c.timers)+10) {
-			c.Fatalf("%d calls of Advance up to time %v, and timers remain: %+v", calls, c.now, c.model.timers)
+			c.Fatalf("%d calls of Advance up to time %v; want no timers left, got %+v", calls, c.now, c.model.timers)
 		}
 	}
 }
@@ -197,7 +199,7 @@
 	i := indexOf(timers, id)
 	earlier := func(e modelTimer) bool { return e.when < timers[i].when }
 	if timers[i].when > c.now || slices.ContainsFunc(timers[:i], earlier) {
-		c.Fatalf("timer %d was called at %v, before its time or before an earlier timer", id, c.now)
+		c.Fatalf("timer %d was called at %v; want it due, and no earlier timer in %+v", id, c.now, timers)
 	}
 	c.model.timers = slices.Delete(timers, i, i+1)
 }
--- a/internal/timerwheel/wheel.go
+++ b/internal/timerwheel/wheel.go
@@ -25,14 +25,16 @@
 	// the Go runtime wakes an event loop. The heap sorts the timers of such a slot once the slot is
 	// next.
 	ticksPerSecond = 1024
-	// maxExamined is how many timers of a slot NextWakeup examines at most to find the earliest.
+	// maxExamined is the maximum number of timers of a slot that NextWakeup examines to find the
+	// earliest.
 	maxExamined = 64
-	// maxSpareEntries is how many entries are kept for later timers once there are no timers.
+	// maxSpareEntries is the maximum number of entries that are kept for later timers once there
+	// are no timers.
 	maxSpareEntries = 4096
 )
 
-// Timer identifies a scheduled timer. It never becomes valid again for a later timer in the same
-// entry. The zero Timer identifies no timer.
+// Timer identifies a scheduled timer. It does not identify a later timer that reuses the same entry.
+// The zero Timer identifies no timer.
 type Timer struct {
 	position   int32 // index of the timer's entry, counted from 1
 	generation uint32
@@ -43,7 +45,7 @@
 	when       float64
 	sequence   uint64 // increases in the order of scheduling; orders timers with equal times
 	callback   func()
-	next, prev int32  // neighbours in the slot's list, or the next free entry; indices counted from 1, 0 for none
+	next, prev int32  // neighbours in the slot's list, or next free entry; counted from 1, 0 for none
 	slot       int32  // index in lists, or one of the negative values below
 	listIndex  int32  // index in heap or in deferred
 	generation uint32 // number of timers that the entry held before
@@ -72,7 +74,7 @@
 	elapsed  int64          // the tick up to which slots have been emptied
 	occupied [levels]uint64 // per level, a bit for each slot, set unless the slot is empty
 	lists    [levels * slotsPerLevel]slotList
-	draining int32 // the slot that is being emptied, counted from 1, 0 for none
+	draining int32 // index in lists of the slot that is being emptied, counted from 1, 0 for none
 
 	heap []int32 // indices of the entries with ticks up to elapsed, in heap order
 
@@ -132,8 +134,8 @@
 }
 
 // NextWakeup returns the time at which Advance should be called next: the time of the earliest
-// timer, or an earlier time if that timer is in a higher level or shares its slot with more than
-// maxExamined timers. It is +Inf if there are no timers.
+// timer, or an earlier time if that timer is on a level above the lowest, its slot is being emptied,
+// or its slot has more than maxExamined timers. It is +Inf if there are no timers.
 func (w *Wheel) NextWakeup() float64 {
 	next := math.Inf(1)
 	if len(w.heap) > 0 {
@@ -212,7 +214,7 @@
 	return index, true
 }
 
-// maxTick is the tick of all times from that tick on, including +Inf.
+// maxTick is the largest tick. All later times, including +Inf, have this tick too.
 const maxTick = 1 << 62
 
 // tick converts a time in seconds to ticks.
--- a/internal/timerwheel/wheel_test.go
+++ b/internal/timerwheel/wheel_test.go
@@ -26,21 +26,22 @@
 		wheel.Reschedule(moved, 2)
 		wheel.Schedule(0, record("added in the past"))
 		if !wheel.Cancel(self) || wheel.Cancel(self) {
-			t.Error("a callback cancelled its own timer: want true from the first Cancel, false from the second")
+			t.Error("a callback cancelled its own timer twice: want true from the first Cancel, false from the second")
 		}
 	})
 	later = wheel.Schedule(0.7, record("cancelled by the first"))
 	wheel.Schedule(1, record("second"))
-	// A timer that a callback schedules for the past is called by the next Advance.
+	// A timer that a callback schedules for the past is called by the next Advance, not by the one
+	// that called the callback.
 	if wheel.Advance(1, 100); fmt.Sprint(called) != "[first second]" {
-		t.Errorf("called %q by the first Advance, want the two that were due", called)
+		t.Errorf("called %q by the first Advance, want [first second]", called)
 	}
 	if wheel.Advance(1, 100); fmt.Sprint(called) != "[first second added in the past]" || wheel.Len() != 1 {
-		t.Errorf("called %q by two calls of Advance and %d timers left, want three called and one left",
+		t.Errorf("called %q by two calls of Advance, %d timers left; want [first second added in the past], 1 left",
 			called, wheel.Len())
 	}
 	if wheel.Advance(2, 100); len(called) != 4 || wheel.Len() != 0 || !math.IsInf(wheel.NextWakeup(), 1) {
-		t.Errorf("called %q and %d timers left, next wakeup at %v; want four called, none left, +Inf",
+		t.Errorf("called %q by three calls of Advance, %d timers left, next wakeup %v; want four called, 0 left, +Inf",
 			called, wheel.Len(), wheel.NextWakeup())
 	}
 }
@@ -48,7 +49,7 @@
 func TestWheelAdvance_LimitsWorkForEqualTimes(t *testing.T) {
 	var wheel Wheel
 	const n, limit = 100_000, 64
-	for _, when := range []float64{3, 500_000} { // the second is so far away that its timers move down several levels
+	for _, when := range []float64{3, 500_000} { // timers at 500,000 s move down several levels
 		var called int
 		for i := range n {
 			wheel.Schedule(when, func() {
--- a/internal/timewindow/histogram.go
+++ b/internal/timewindow/histogram.go
@@ -5,11 +5,11 @@
 // The bins of a Histogram start at 1 ms, with three bins per doubling of the duration. The last one
 // starts at about 52 s.
 const (
-	binCount        = 48
-	binsPerDoubling = 3
-	firstBinStart   = 0.001 // seconds
-	// minDuration replaces shorter durations, in seconds, as the logarithm of 0 is not finite.
-	minDuration = 1e-6
+	binCount             = 48
+	binsPerDoubling      = 3
+	firstBinStartSeconds = 0.001
+	// minDurationSeconds replaces shorter durations, as the logarithm of 0 is not finite.
+	minDurationSeconds = 1e-6
 )
 
 // Histogram counts durations in bins whose width grows exponentially, and sums them. The zero
@@ -17,7 +17,7 @@
 type Histogram struct {
 	Count   int
 	Sum     float64 // seconds
-	Untimed int     // events without a duration, counted by the caller; not included in any other figure
+	Untimed int     // events without a duration, counted by the caller and in no other figure
 	bins    [binCount]uint32
 }
 
@@ -30,7 +30,7 @@
 
 // binOf returns the bin of a duration.
 func binOf(duration float64) int {
-	bin := int(binsPerDoubling * math.Log2(max(duration, minDuration)/firstBinStart))
+	bin := int(binsPerDoubling * math.Log2(max(duration, minDurationSeconds)/firstBinStartSeconds))
 	return min(max(bin, 0), binCount-1)
 }
 
@@ -59,7 +59,7 @@
 	for i, n := range h.bins {
 		remaining -= int(n)
 		if remaining < 0 {
-			return firstBinStart * math.Exp2((float64(i)+0.5)/binsPerDoubling)
+			return firstBinStartSeconds * math.Exp2((float64(i)+0.5)/binsPerDoubling)
 		}
 	}
 	return 0
--- a/internal/timewindow/timewindow_test.go
+++ b/internal/timewindow/timewindow_test.go
@@ -19,7 +19,7 @@
 		now  float64
 		want int
 	}{
-		{11.9, 7}, // the window has four buckets, and all values are in it
+		{11.9, 7}, // the window starts at 10, so it contains all values
 		{12.1, 6},
 		{12.6, 4},
 		{13.6, 0},
@@ -47,7 +47,7 @@
 		t.Errorf("%d durations, %d untimed, mean %v; want 4, 1, 250.05", h.Count, h.Untimed, h.Mean(0))
 	}
 	if median := h.Median(); median < 0.1/1.3 || median > 0.1*1.3 {
-		t.Errorf("median %v, want about 0.1", median)
+		t.Errorf("median %v, want 0.1, or at most 1.3 times more or less", median)
 	}
 }
 
@@ -99,9 +99,9 @@
 	names.Add("c", 3)
 	names.Expire(1)
 	if len(names) != 2 || names.Remove("a") {
-		t.Errorf("names %v after the expiry of a, want b and c", names)
+		t.Errorf("names %v after the expiry of a, want b and c; Remove has to return false for a", names)
 	}
 	if !names.Remove("b") || names.Remove("b") || len(names) != 1 {
-		t.Errorf("names %v after two removals of b, want c; only the first removal returns true", names)
+		t.Errorf("names %v after two removals of b, want c; only the first Remove has to return true", names)
 	}
 }
