--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -7,7 +7,7 @@
 
 // FieldError reports an unknown key, or a key whose value is missing, malformed or out of range.
 type FieldError struct {
-	Source string // the operator's file or the release with the key; "" for the platform's configuration
+	Source string // name of the operator's file or release; "" for the platform's configuration
 	Line   int    // line number in Source, counted from 1; 0 if the key is on no line
 	Key    string // for example "limits.cores" or "door-reserve"
 	Value  any    // the invalid value; nil to leave it out of the message
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -123,7 +123,7 @@
 	case errors.As(err, &mistyped):
 		return nil, &FieldError{
 			Key:    mistyped.Field,
-			Reason: fmt.Sprintf("is a JSON %s, which can't be decoded as a %s", mistyped.Value, mistyped.Type),
+			Reason: fmt.Sprintf("is a JSON %s; expected a value for the Go type %s", mistyped.Value, mistyped.Type),
 		}
 	case err != nil:
 		return nil, fmt.Errorf("decoding the JSON of the configuration: %w", err)
@@ -140,7 +140,7 @@
 	if environmentValue == "" || environmentValue == *value {
 		return nil
 	}
-	reason := fmt.Sprintf("differs from the variable %s, which is %q", environmentVariable, environmentValue)
+	reason := fmt.Sprintf("differs from environment variable %s, which is %q", environmentVariable, environmentValue)
 	return &FieldError{Key: key, Value: *value, Reason: reason}
 }
 
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -42,10 +42,11 @@
 	PrefixBitsIPv4 int `key:"door-prefix-ipv4" default:"24" validate:"gte=8,lte=32"`
 	PrefixBitsIPv6 int `key:"door-prefix-ipv6" default:"56" validate:"gte=16,lte=128"`
 
-	// HoldingSlots is how many rejected connections are kept open until their first message is
-	// answered.
+	// HoldingSlots is the maximum number of rejected connections that are kept open until their
+	// first message is answered.
 	HoldingSlots int `key:"door-lobby" default:"16" validate:"gte=1,lte=1024"`
-	// RememberedAddresses is how many addresses without a connection are remembered.
+	// RememberedAddresses is the maximum number of addresses without a connection that are
+	// remembered.
 	RememberedAddresses int `key:"door-remember" default:"4096" validate:"gte=64,lte=1000000"`
 
 	// RequestsToTrust is how many requests of an address have to complete before it is trusted. At
@@ -66,7 +67,8 @@
 // FleetSettings are the settings of a server that is a member of a fleet.
 type FleetSettings struct {
 	Enabled bool `key:"fleet"`
-	// ListenAddress is where the other servers connect, ControlAddress where operators do.
+	// ListenAddress is the address to which the other servers connect, ControlAddress the address of
+	// the control API for operators.
 	ListenAddress  string `key:"fleet-listen" validate:"required_if=Enabled true,omitempty,tcp_addr"`
 	ControlAddress string `key:"fleet-control" validate:"omitempty,tcp_addr"`
 	// Voters are the voting members of the fleet, each as name=address. The list has to be the same
@@ -97,8 +99,9 @@
 	// SharedHealthChecks makes the servers share their observations of the upstream's health.
 	SharedHealthChecks bool `key:"fleet-below"`
 	// SharedCounters turns on counters of the requests of the whole fleet, by tenant and class.
-	SharedCounters bool   `key:"fleet-counts"`
-	Zone           string `key:"fleet-zone" validate:"max=64"`
+	SharedCounters bool `key:"fleet-counts"`
+	// Zone is the name of this server's zone, "" if zones are not used.
+	Zone string `key:"fleet-zone" validate:"max=64"`
 }
 
 // FallbackMode is what a server does once its lease has expired because it can't reach the leader.
@@ -128,14 +131,16 @@
 	ReplicationFactor int `key:"replica-copies" default:"3" validate:"gte=1,lte=7"`
 	// RetentionWindow is how long a key is kept. Until then a repeat of its request does not run.
 	RetentionWindow time.Duration `key:"replica-window" default:"1m" validate:"gte=1s,lte=24h"`
-	MaxRecords      int           `key:"replica-records" default:"100000" validate:"gte=1000,lte=10000000"`
-	MaxMemoryMB     int           `key:"replica-memory-mb" default:"64" validate:"gte=1,lte=65536"`
+	// MaxRecords is the maximum number of keys that a replica stores, and MaxMemoryMB the approximate
+	// limit on the memory that they and their results take.
+	MaxRecords  int `key:"replica-records" default:"100000" validate:"gte=1000,lte=10000000"`
+	MaxMemoryMB int `key:"replica-memory-mb" default:"64" validate:"gte=1,lte=65536"`
 
 	// SharedTrust shares the trusted client addresses among the servers and preserves them across
 	// restarts.
 	SharedTrust bool `key:"replica-callers"`
-	// CatchUpRateKB is the maximum rate, in kilobytes per second, at which a replica receives state
-	// to catch up.
+	// CatchUpRateKB is the maximum rate, in kilobytes per second, at which a replica that is behind
+	// receives the missing state.
 	CatchUpRateKB int `key:"replica-rate-kb" default:"4096" validate:"gte=16,lte=1048576"`
 }
 
--- a/internal/config/operator_load.go
+++ b/internal/config/operator_load.go
@@ -53,7 +53,8 @@
 			continue
 		}
 		if invalid := setValue(field.valueIn(settings), []string{field.defaultValue}); invalid != nil {
-			panic(fmt.Sprintf("default of %s: %v", field.key, invalid)) // a `default` tag in operator.go is invalid
+			// A `default` tag in operator.go is invalid.
+			panic(fmt.Sprintf("default of %s: %q %s", field.key, invalid.text, invalid.reason))
 		}
 	}
 	return settings
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -10,9 +10,9 @@
 
 func TestParseOperatorSettings_ValuesAndDefaults(t *testing.T) {
 	settings, err := ParseOperatorSettings("f", []byte(`
-# connection limits
+# who is let in
 door on
-door-known 10.1.0.0/16 10.2.0.1   # and more
+door-known 10.1.0.0/16 10.2.0.1   # and
 door-known 2001:db8::/32
 door-reserve 12.5%
 door-forget 30s
@@ -23,10 +23,10 @@
 	limit := settings.ConnLimit
 	if !limit.Enabled || len(limit.TrustedPrefixes) != 3 || limit.TrustedPrefixes[1].String() != "10.2.0.1/32" ||
 		limit.TrustedReserve != 0.125 || limit.ReputationHalfLife != 30*time.Second {
-		t.Errorf("settings %+v, want the values of the text", limit)
+		t.Errorf("settings %+v, want door on, the three prefixes, a reserve of 0.125 and a half-life of 30 s", limit)
 	}
 	if limit.PrefixBitsIPv4 != 24 || limit.MaxRetryAfter != 10*time.Second || limit.CoreShare != 0.1 {
-		t.Errorf("settings %+v, want the defaults of the other keys", limit)
+		t.Errorf("settings %+v, want the defaults 24 bits, 10 s and a core share of 0.1", limit)
 	}
 }
 
@@ -78,7 +78,7 @@
 		t.Run(text, func(t *testing.T) {
 			_, err := ParseOperatorSettings("f", []byte(text))
 			if err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("error %v, want one with %s", err, want)
+				t.Errorf("error %v, want one that contains %s", err, want)
 			}
 		})
 	}
--- a/internal/config/operator_values.go
+++ b/internal/config/operator_values.go
@@ -17,8 +17,8 @@
 	reason string
 }
 
-// setValue parses the values of a key and sets its field. A list field gets all values appended, any
-// other field is set to the first.
+// setValue parses the values of a key and sets its field: it appends all values to a list, and sets
+// any other field to the first value.
 func setValue(field reflect.Value, values []string) *invalidValue {
 	text := values[0]
 	var err error
--- a/internal/config/release_test.go
+++ b/internal/config/release_test.go
@@ -19,7 +19,7 @@
 	limit := merged.ConnLimit
 	if len(limit.TrustedPrefixes) != 2 || limit.TrustedPrefixes[0].String() != "10.0.0.2/32" ||
 		limit.RequestsToTrust != 5 || limit.MinRetryAfter != time.Second {
-		t.Errorf("merged settings %+v, want the release's values and the file's door-earn", limit)
+		t.Errorf("merged settings %+v, want two prefixes and 1 s from the release, door-earn 5 from the file", limit)
 	}
 	if len(own.ConnLimit.TrustedPrefixes) != 1 || own.ConnLimit.MinRetryAfter != 200*time.Millisecond {
 		t.Errorf("file's own settings %+v, want them unchanged", own)
@@ -30,12 +30,12 @@
 	own := DefaultOperatorSettings()
 	_, err := own.WithRelease("3.1", "door maybe")
 	if err == nil || !strings.HasPrefix(err.Error(), "3.1:1: door: ") {
-		t.Errorf("error %v, want one that begins with the release, line and key", err)
+		t.Errorf("error %v, want one that begins with 3.1:1: door:", err)
 	}
 	_, err = own.WithRelease("3.1", "fleet-lease 5s")
 	var fault *FieldError
 	if !errors.As(err, &fault) || fault.Source != "3.1" || fault.Key != "fleet-lease" {
-		t.Errorf("error %v, want a FieldError of 3.1 and fleet-lease", err)
+		t.Errorf("error %v, want a *FieldError with source 3.1 and key fleet-lease", err)
 	}
 }
 
--- a/internal/config/startup.go
+++ b/internal/config/startup.go
@@ -29,8 +29,8 @@
 	Listen string `key:"listen"` // address
 	Addresses
 	Seed        int64   `key:"seed"`
-	StopTimeout float64 `key:"stop_ms"` // time from the stop signal until the platform kills the process
-	Cores       float64 `key:"limits"`  // that this process may use
+	StopTimeout float64 `key:"stop_ms"` // from the stop signal until the platform kills the process
+	Cores       float64 `key:"limits"`  // number of cores that this process may use
 	MemoryBytes int64   `key:"limits"`
 	MaxSockets  int     `key:"limits"`
 
@@ -39,12 +39,12 @@
 	Forwarder bool
 
 	Settings                admission.Settings `key:"settings"`
-	SlowStartDuration       float64            `key:"settings"` // time that a cold executor takes to warm up
-	WorkerSlowStartDuration float64            `key:"settings"` // the same for the workers of a forwarder
+	SlowStartDuration       float64            `key:"settings"` // warm-up time of a cold executor
+	WorkerSlowStartDuration float64            `key:"settings"` // the same, for a forwarder's workers
 	ClassIndex              map[string]int     `key:"settings"` // into Settings.Classes, by name
 	TenantIndex             map[string]int     `key:"settings"` // into Settings.Tenants, by name
 	ClassNames              []string           `key:"settings"`
-	Gauges                  []string           `key:"settings"` // names of the gauges to request from the executor
+	Gauges                  []string           `key:"settings"` // gauges to request from the executor
 
 	// UnsupportedKeys are the keys of settings that are ignored because the executor's protocol has
 	// no message for them.
--- a/internal/config/startup_test.go
+++ b/internal/config/startup_test.go
@@ -68,7 +68,7 @@
 			text := replaceIn(t, c.old, c.new)
 			_, err := parse(text, parseOptions{name: "n3", listen: "127.0.0.1:8080"})
 			if err == nil || !strings.Contains(err.Error(), c.key) {
-				t.Errorf("error %v does not name %s", err, c.key)
+				t.Errorf("error %v, want one that names %s", err, c.key)
 			}
 			var fault *FieldError
 			if !errors.As(err, &fault) {
@@ -92,7 +92,7 @@
 	}
 	if s.StopTimeout != 3.2 || s.Seed != -8349901503567500956 || s.SlowStartDuration != 17 || s.ClassIndex["a"] != 0 ||
 		s.TenantIndex["t"] != 0 || s.Settings.MaxRetryAfter != 1 || s.MemoryBytes != 192<<20 {
-		t.Errorf("startup %+v, want the values of the file", s)
+		t.Errorf("startup %+v, want the values of validFile", s)
 	}
 	text := strings.NewReplacer(
 		`"stop_ms":3200,`, ``,
@@ -100,7 +100,7 @@
 	).Replace(validFile)
 	s, err = parse([]byte(text), parseOptions{name: "n3"})
 	if err != nil || s.StopTimeout != 3 || s.MaxSockets != 1024 || s.Cores != 1 {
-		t.Errorf("startup %+v, error %v; want the defaults of stop_ms and limits", s, err)
+		t.Errorf("startup %+v, error %v; want the defaults: a stop timeout of 3 s, 1024 sockets, 1 core", s, err)
 	}
 }
 
@@ -167,7 +167,7 @@
 		{"limit", `"memory_mb":192`, `"memory_mb":64`, "127.0.0.2:9300", "[limits]", ""},
 		{"settings", `"lateWorth":0.2`, `"lateWorth":0.3`, "127.0.0.2:9300", "[settings]", ""},
 		{"wrong address", "127.0.0.3:2379", "nowhere", "", "[]", "roster"},
-		{"no JSON", `{`, ``, "", "[]", "configuration"},
+		{"invalid JSON", `{`, ``, "", "[]", "configuration"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			write(c.old, c.new)
