--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -32,7 +32,7 @@
 // host holds the simulated servers.
 type host struct {
 	servers map[string]*simulatedServer
-	pending []string // names of the servers with events in this batch, in the order of their first event
+	pending []string // names of servers with events in this batch, in the order of the first event
 }
 
 // simulatedServer is a server's controller and the server's events in this batch.
@@ -97,7 +97,7 @@
 func (h *host) decide(now float64, writer *simulator.Writer) {
 	for _, name := range h.pending {
 		server := h.servers[name]
-		if server == nil || len(server.events) == 0 { // crashed since then, or started twice and already handled
+		if server == nil || len(server.events) == 0 { // crashed, or started twice and already handled
 			continue
 		}
 		server.decide(name, now, writer)
--- a/cmd/swiftcourse-fleet/allowances.go
+++ b/cmd/swiftcourse-fleet/allowances.go
@@ -14,7 +14,7 @@
 	// noTenant is the tenant index of an allowance that limits concurrent calls to the downstream
 	// service.
 	noTenant = -1
-	// unlimited is a rate or number without a limit.
+	// unlimited stands for the absence of a limit, in fields for rates and for numbers of calls.
 	unlimited = math.MaxInt32
 	// circuitBreakerAllowance is the name of the allowance of calls if no quota limits them and
 	// only the circuit breaker does.
--- a/cmd/swiftcourse-fleet/program.go
+++ b/cmd/swiftcourse-fleet/program.go
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// Reload applies the settings of this server's operator's file after the file was read again. If
+// Reload applies operator, the settings of this server's own file, after the file was read again. If
 // they are invalid, it logs the error and changes nothing.
 func (p *fleetProgram) Reload(operator *config.OperatorSettings) {
 	if err := p.settings.reload(operator); err != nil {
@@ -109,7 +109,7 @@
 	return agentConfig, nil
 }
 
-// publish passes a directive to the server, with its time converted from the agent's clock to the
+// publish passes a directive to the server, with ChangesAt converted from the agent's clock to the
 // server's.
 func (p *fleetProgram) publish(directive *serving.Directive) {
 	converted := *directive
--- a/cmd/swiftcourse-fleet/quota.go
+++ b/cmd/swiftcourse-fleet/quota.go
@@ -60,7 +60,7 @@
 // parseLimit parses a quota of the form tenant/NAME=RATE or calls=NUMBER.
 func parseLimit(text string, startup *config.Startup) (quota.Limit, error) {
 	name, number, hasNumber := strings.Cut(text, "=")
-	limitMax, err := strconv.ParseFloat(number, 64)
+	maximum, err := strconv.ParseFloat(number, 64)
 	isKnown := name == callsQuota || strings.HasPrefix(name, tenantQuotaPrefix)
 	if !hasNumber || err != nil || !isKnown {
 		return quota.Limit{}, &config.FieldError{
@@ -69,7 +69,7 @@
 			Reason: "is not of the form tenant/NAME=RATE or calls=NUMBER",
 		}
 	}
-	limit := quota.Limit{Name: name, Max: limitMax}
+	limit := quota.Limit{Name: name, Max: maximum}
 	if name == callsQuota {
 		limit.Concurrent = true
 		limit.LingerSeconds = maxCallSeconds(startup)
--- a/cmd/swiftcourse-fleet/replication.go
+++ b/cmd/swiftcourse-fleet/replication.go
@@ -19,11 +19,11 @@
 	keyedClassesKey = "replica-keyed"
 )
 
-// minMaxClaimSeconds is the minimum of the maximum claim duration. The duration has to be the same
-// on all replicas, also on those that serve no keyed class: see docs/replication.md.
+// minMaxClaimSeconds is the lower bound of the maximum duration of a claim. The maximum has to be the
+// same on all replicas, also on those that serve no keyed class: see docs/replication.md.
 const minMaxClaimSeconds = 1
 
-// bytesPerKB converts the catch-up rate.
+// bytesPerKB converts the catch-up rate from kilobytes to bytes per second.
 const bytesPerKB = 1024
 
 // replicationConfig returns the fleet agent's configuration of replicated state, or nil if the
@@ -79,7 +79,7 @@
 				return nil, &config.FieldError{
 					Key:    replicasKey,
 					Value:  text,
-					Reason: "is not of the form name/zone/weight",
+					Reason: "is not of the form name/zone/weight with a number as weight",
 				}
 			}
 			member.Weight = weight
--- a/cmd/swiftcourse-fleet/settings.go
+++ b/cmd/swiftcourse-fleet/settings.go
@@ -8,7 +8,7 @@
 	"swiftcourse/internal/server"
 )
 
-// releaseSource is the source that errors name for the text of a release.
+// releaseSource is the source in error messages about the text of a release.
 const releaseSource = "released"
 
 // liveSettings has the settings in effect: the server's own operator's file, overridden by the
--- a/cmd/swiftcourse-fleet/settings_test.go
+++ b/cmd/swiftcourse-fleet/settings_test.go
@@ -76,7 +76,7 @@
 	if err != nil || !maps.Equal(voters, want) {
 		t.Errorf("voters %v, error %v, want %v", voters, err, want)
 	}
-	_, err = parseVoters("n2", operator) // the listen address is not that of the entry
+	_, err = parseVoters("n2", operator) // the listen address differs from the address of n2's entry
 	requireFieldError(t, err, votersKey)
 	for _, voter := range []string{"n3", "=10.0.0.3:1", "n1=10.0.0.3:1"} {
 		invalid := *operator
--- a/cmd/swiftcourse-fleet/testhooks.go
+++ b/cmd/swiftcourse-fleet/testhooks.go
@@ -32,7 +32,7 @@
 type testHooks struct {
 	clockOffset float64 // seconds
 	clockRate   float64
-	relays      map[string]string      // relay by the address that it connects to
+	relays      map[string]string      // address of the relay, by the address to which it connects
 	tracePoint  func(fleet.TracePoint) // nil for none
 }
 
@@ -62,7 +62,7 @@
 	return hooks, nil
 }
 
-// newClock returns the agent's clock, which starts at the present time of the process's clock now.
+// newClock returns the agent's clock. It starts at the current time of now, the process's clock.
 func (h *testHooks) newClock(now func() float64) *fleet.Clock {
 	return fleet.NewClock(now, now(), h.clockOffset, h.clockRate)
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -31,7 +31,7 @@
 	EnableForwarding(startup *config.Startup, operator *config.OperatorSettings, server *server.Server) error
 	// RunPlanner runs a load planner with the given name until a signal stops it.
 	RunPlanner(name string, operator *config.OperatorSettings, signals lifecycle.Signals) error
-	// Reload applies the settings of this server's operator's file after the file was read again.
+	// Reload applies operator, the settings of this server's own file, after the file was read again.
 	Reload(operator *config.OperatorSettings)
 	// RunCommand runs the command in the arguments that follow "fleet".
 	RunCommand(args []string) error
--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -87,8 +87,8 @@
 	return proc.fleet.RunCommand(c.Args)
 }
 
-// execFleetProgram replaces this program by the one with a fleet agent, with the same arguments and
-// environment. It returns only if this fails.
+// execFleetProgram executes the program with a fleet agent in place of this one, with the same
+// arguments and environment. It returns only if this fails.
 func execFleetProgram() error {
 	self, err := os.Executable()
 	if err != nil {
--- a/internal/cli/fleetcmd/audit.go
+++ b/internal/cli/fleetcmd/audit.go
@@ -31,7 +31,7 @@
 }
 
 // printAudit prints the intervals in which each server acted on a version, the servers that lag
-// behind their assigned version, and the gaps in the record.
+// behind their assigned version, and the gaps, for which the audit has no evidence.
 func printAudit(out io.Writer, result *audit.Report) error {
 	output := &report{out: out}
 	t := output.newTable("server", "incarnation", "epoch", "digest",
--- a/internal/cli/fleetcmd/demo.go
+++ b/internal/cli/fleetcmd/demo.go
@@ -16,8 +16,8 @@
 // demoCommand demonstrates a two-level fleet of forwarders and workers.
 type demoCommand struct{}
 
-// Run replaces this program by the test bench, which provides the fake dependencies. It returns
-// only if this fails.
+// Run executes the test bench, which provides the fake dependencies, in place of this program. It
+// returns only if this fails.
 func (c *demoCommand) Run() error {
 	self, err := os.Executable()
 	if err != nil {
--- a/internal/cli/fleetcmd/print_test.go
+++ b/internal/cli/fleetcmd/print_test.go
@@ -322,12 +322,12 @@
 func TestParseWaves(t *testing.T) {
 	waves, err := parseWaves([]string{"1%", "12.5%", "100%"})
 	if err != nil || !slices.Equal(waves, []float64{0.01, 0.125}) {
-		t.Errorf("waves %v, error %v; want 0.01 and 0.125, none", waves, err)
+		t.Errorf("waves %v, error %v; want [0.01 0.125], no error", waves, err)
 	}
 	for _, text := range []string{"1", "%", "half%"} {
 		var flagError *FlagError
 		if _, err := parseWaves([]string{text}); !errors.As(err, &flagError) || flagError.Value != text {
-			t.Errorf("%q: error %v, want a *FlagError", text, err)
+			t.Errorf("error %v, want a *FlagError with the value %q", err, text)
 		}
 	}
 }
--- a/internal/cli/fleetcmd/status.go
+++ b/internal/cli/fleetcmd/status.go
@@ -65,7 +65,8 @@
 	return output.err
 }
 
-// serverNote returns the note on a server that is ejected, lagging or not heard, "" for any other.
+// serverNote returns the note on a server that is ejected, lags or has not reported yet, and "" for
+// any other server.
 func serverNote(server *lease.ServerStatus) string {
 	switch {
 	case server.EjectionReason != "":
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -33,10 +33,10 @@
 // knownCase is an entry of KNOWN-RED.txt for a failure that occurs with another seed than CI's. It
 // is printed and has no effect on the result of CI.
 type knownCase struct {
-	command string // reproduces the failure
-	seed    string
-	seen    string // what the command reports
-	issue   string
+	command  string // reproduces the failure
+	seed     string
+	observed string // what the command reports
+	issue    string
 }
 
 // parseList parses KNOWN-RED.txt. A line has the form "package.Test, cause, issue" for a known
@@ -83,7 +83,7 @@
 			return knownCase{}, false
 		}
 	}
-	return knownCase{command: fields[0], seed: fields[1], seen: fields[2], issue: fields[3]}, true
+	return knownCase{command: fields[0], seed: fields[1], observed: fields[2], issue: fields[3]}, true
 }
 
 // parseLine parses the line of a known failure. It splits the line at its first and last commas, as
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,8 +1,8 @@
 // Command knownred decides by the output of the test command whether CI passes. It prints the tests
 // that KNOWN-RED.txt lists and accepts their failure. It fails if any other test failed, if a
 // listed test passed, was skipped or did not run, and if the list has more than three entries. A
-// line that begins with "case:" is a failure with another seed than CI's: it is printed, but no
-// test may fail for it.
+// line that begins with "case:" describes a failure with another seed than CI's: it is printed, but
+// does not make CI accept the failure of any test.
 package main
 
 import (
@@ -43,7 +43,7 @@
 	}
 	for _, failing := range known.cases {
 		fmt.Printf("known to fail with seed %s, not run here: %s: %s (issue %s)\n",
-			failing.seed, failing.command, failing.seen, failing.issue)
+			failing.seed, failing.command, failing.observed, failing.issue)
 	}
 	return check(known.failures, string(output))
 }
--- a/internal/knownred/verdict.go
+++ b/internal/knownred/verdict.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// maxOutputLine is the maximum length of a line of the test command's output, in bytes.
-const maxOutputLine = 1 << 24
+// maxOutputLineBytes is the maximum length of a line of the test command's output.
+const maxOutputLineBytes = 1 << 24
 
 var (
 	testLine    = regexp.MustCompile(`^--- (PASS|FAIL|SKIP): (\S+) `)
@@ -68,7 +68,7 @@
 func check(known []knownFailure, output string) error {
 	reader := outputReader{known: known, verdicts: map[string]verdict{}}
 	lines := bufio.NewScanner(strings.NewReader(output))
-	lines.Buffer(nil, maxOutputLine)
+	lines.Buffer(nil, maxOutputLineBytes)
 	for lines.Scan() {
 		reader.readLine(lines.Text())
 	}
@@ -76,7 +76,7 @@
 		reader.problems = append(reader.problems, err)
 	}
 	if reader.packages == 0 {
-		reader.problems = append(reader.problems, errors.New("the output has no package: no package was tested"))
+		reader.problems = append(reader.problems, errors.New("the test output names no package: no package was tested"))
 	}
 	reader.checkKnown()
 	return errors.Join(reader.problems...)
--- a/internal/knownred/verdict_test.go
+++ b/internal/knownred/verdict_test.go
@@ -50,10 +50,10 @@
 				err = check(known.failures, c.output)
 			}
 			if (err == nil) != (c.want == "") {
-				t.Fatalf("error %v, want one with %q (none if empty)", err, c.want)
+				t.Fatalf("error %v, want one that contains %q, or none if that is empty", err, c.want)
 			}
 			if err != nil && !strings.Contains(err.Error(), c.want) {
-				t.Errorf("error %v, want one with %q", err, c.want)
+				t.Errorf("error %v, want one that contains %q", err, c.want)
 			}
 		})
 	}
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -21,8 +21,8 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(out, options)))
 }
 
-// replaceAttribute changes the time, level and message that slog adds to each line. They are in no
-// group.
+// replaceAttribute changes the time, level and message that slog adds to each line. These are in no
+// group, so it leaves attributes in groups unchanged even if their keys are the same.
 func replaceAttribute(groups []string, a slog.Attr) slog.Attr {
 	if len(groups) > 0 {
 		return a
