--- a/internal/timewindow/histogram.go
+++ b/internal/timewindow/histogram.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// The bins of a Histogram: from 1 ms up, three for each doubling, so the last one starts at about
-// 52 s.
+// The bins of a Histogram start at 1 ms, with three bins per doubling of the duration. The last one
+// starts at about 52 s.
 const (
-	binCount        = 48
-	binsPerDoubling = 3
-	firstBinStart   = 0.001 // seconds
-	// minDuration is what a shorter duration counts as, in seconds: the logarithm of 0 is not finite.
-	minDuration = 1e-6
+	binCount             = 48
+	binsPerDoubling      = 3
+	firstBinStartSeconds = 0.001
+	// minDurationSeconds replaces shorter durations, as the logarithm of 0 is not finite.
+	minDurationSeconds = 1e-6
 )
 
 // Histogram counts durations in bins whose width grows exponentially, and sums them. The zero
@@ -17,7 +17,7 @@
 type Histogram struct {
 	Count   int
 	Sum     float64 // seconds
-	Untimed int     // events that had no duration; the caller counts them, and no other figure includes them
+	Untimed int     // events without a duration, counted by the caller and in no other figure
 	bins    [binCount]uint32
 }
 
@@ -30,7 +30,7 @@
 
 // binOf returns the bin of a duration.
 func binOf(duration float64) int {
-	bin := int(binsPerDoubling * math.Log2(max(duration, minDuration)/firstBinStart))
+	bin := int(binsPerDoubling * math.Log2(max(duration, minDurationSeconds)/firstBinStartSeconds))
 	return min(max(bin, 0), binCount-1)
 }
 
@@ -44,7 +44,7 @@
 	}
 }
 
-// Mean returns the mean of the durations, in seconds, or fallback where there are none.
+// Mean returns the mean of the durations, in seconds, or fallback if there are none.
 func (h *Histogram) Mean(fallback float64) float64 {
 	if h.Count == 0 {
 		return fallback
@@ -52,14 +52,14 @@
 	return h.Sum / float64(h.Count)
 }
 
-// Median returns an estimate of the median duration, in seconds: the middle, on a logarithmic scale,
-// of the bin that it is in. It is 0 where there are no durations.
+// Median returns an estimate of the median duration, in seconds: the geometric middle of the bin
+// that contains the median. It is 0 if there are no durations.
 func (h *Histogram) Median() float64 {
 	remaining := h.Count / 2
 	for i, n := range h.bins {
 		remaining -= int(n)
 		if remaining < 0 {
-			return firstBinStart * math.Exp2((float64(i)+0.5)/binsPerDoubling)
+			return firstBinStartSeconds * math.Exp2((float64(i)+0.5)/binsPerDoubling)
 		}
 	}
 	return 0
