--- a/internal/fake/balancer/balancer_test.go
+++ b/internal/fake/balancer/balancer_test.go
@@ -12,17 +12,18 @@
 
 const testTimeout = 5 * time.Second
 
-// startServer starts a server that answers health checks and, for the second one on a connection, asks to close it.
+// startServer starts a server that answers the first health check on a connection with the given
+// health, and each further one with a go-away message.
 func startServer(t *testing.T, healthy bool) string {
 	t.Helper()
 	listener, err := tcpserver.Start("127.0.0.1:0", func(conn net.Conn) {
-		piece := make([]byte, 1024)
+		chunk := make([]byte, 1024)
 		for checks := 1; ; checks++ {
-			n, err := conn.Read(piece)
+			n, err := conn.Read(chunk)
 			if err != nil {
 				return
 			}
-			message, size, err := rpc.ParseMessage(piece[:n])
+			message, size, err := rpc.ParseMessage(chunk[:n])
 			if err != nil || size != n || message.Kind != rpc.KindHealthCheck {
 				return
 			}
@@ -42,11 +43,11 @@
 	return listener.Addr().String()
 }
 
-func await(t *testing.T, what string, condition func() bool) {
+func await(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("not so:", what)
+			t.Fatalf("%s: still false after %s", description, testTimeout)
 		}
 	}
 }
@@ -54,34 +55,34 @@
 func TestIsHealthy(t *testing.T) {
 	for _, healthy := range []bool{true, false} {
 		if got := IsHealthy(startServer(t, healthy), testTimeout); got != healthy {
-			t.Errorf("%t of a server whose health is %t", got, healthy)
+			t.Errorf("IsHealthy returned %t for a server that answers %t", got, healthy)
 		}
 	}
 }
 
-func TestConn_NumbersMessagesFromOneAndReportsItsEnd(t *testing.T) {
+func TestConn_MessageNumbersAndOnClose(t *testing.T) {
 	closed := make(chan error, 1)
 	c, err := Dial(context.Background(), startServer(t, true), func(rpc.Response) {}, func(err error) { closed <- err })
 	if err != nil {
 		t.Fatal(err)
 	}
 	if first, second := c.NextNumber(), c.NextNumber(); first != 1 || second != 2 {
-		t.Errorf("%d, %d", first, second)
+		t.Errorf("the first message numbers are %d and %d, want 1 and 2", first, second)
 	}
-	if err := c.SendCancel(1); err != nil { // the server ends the connection
+	if err := c.SendCancel(1); err != nil { // this server closes the connection on a cancellation
 		t.Fatal(err)
 	}
 	select {
 	case err := <-closed:
 		if err == nil {
-			t.Error("no error")
+			t.Error("onClose was called with a nil error")
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("the end was not reported")
+		t.Fatalf("onClose was not called within %s", testTimeout)
 	}
 }
 
-func TestIdleConns_CloseRequests(t *testing.T) {
+func TestIdleConns_GoAway(t *testing.T) {
 	const n = 5
 	for _, honorClose := range []bool{true, false} {
 		idle, err := OpenIdle(startServer(t, true), n, honorClose)
@@ -90,17 +91,17 @@
 		}
 		t.Cleanup(idle.Close)
 		if idle.Len() != n {
-			t.Fatalf("%d open", idle.Len())
+			t.Fatalf("%d connections are open, want %d", idle.Len(), n)
 		}
 		idle.SendHealthChecks()
-		await(t, "all are asked to close", func() bool { return idle.GoAways.Load() == n })
+		await(t, "all connections received a go-away message", func() bool { return idle.GoAways.Load() == n })
 		if honorClose {
-			await(t, "all are closed", func() bool { return idle.Len() == 0 })
+			await(t, "all connections are closed", func() bool { return idle.Len() == 0 })
 			if idle.Closed.Load() != n {
-				t.Errorf("%d closed", idle.Closed.Load())
+				t.Errorf("%d connections counted as closed, want %d", idle.Closed.Load(), n)
 			}
 		} else if idle.Len() != n || idle.Closed.Load() != 0 {
-			t.Errorf("%d open, %d closed", idle.Len(), idle.Closed.Load())
+			t.Errorf("%d connections open and %d closed, want %d and 0", idle.Len(), idle.Closed.Load(), n)
 		}
 	}
 }
--- a/internal/fake/balancer/conn.go
+++ b/internal/fake/balancer/conn.go
@@ -1,5 +1,5 @@
-// Package balancer is a fake of the load balancers that connect to a server. Conn sends requests and health checks
-// and reports the answers; IdleConns holds many connections that send nothing.
+// Package balancer is a fake of the load balancers that connect to a server. Conn sends requests
+// and health checks and passes the answers to a callback; IdleConns holds many idle connections.
 package balancer
 
 import (
@@ -12,21 +12,22 @@
 )
 
 const (
-	// dialTimeout bounds one dial; a server that many clients dial at once may take a while to accept.
-	dialTimeout = 10 * time.Second
-	readSize    = 8 << 10
+	// dialTimeout is long because a server that many clients dial at once accepts them slowly.
+	dialTimeout    = 10 * time.Second
+	readBufferSize = 8 << 10
 )
 
-// Conn is a connection to a server. Its methods may be called from any goroutine.
+// Conn is a connection of a load balancer to a server. Its methods may be called from any
+// goroutine.
 type Conn struct {
 	net.Conn
 	mu           sync.Mutex // serializes writes
-	output       []byte     // buffer of send, reused
-	latestNumber uint64     // of the latest message
+	output       []byte     // buffer that send reuses
+	latestNumber uint64     // number of the latest message
 }
 
-// Dial opens a connection. One goroutine of the connection calls onAnswer for each message received and, if onClose
-// is not nil, calls it once with the error that ended the connection.
+// Dial opens a connection. The connection's goroutine calls onAnswer for each message received and,
+// unless onClose is nil, calls onClose once with the error that ended the connection.
 func Dial(ctx context.Context, address string, onAnswer func(rpc.Response), onClose func(error)) (*Conn, error) {
 	raw, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -43,16 +44,16 @@
 	return c, nil
 }
 
-// receive reads until the connection ends or sends something that is not a message.
+// receive reads messages until the connection ends or sends an invalid message.
 func (c *Conn) receive(onAnswer func(rpc.Response)) error {
 	var buffered []byte
-	piece := make([]byte, readSize)
+	chunk := make([]byte, readBufferSize)
 	for {
-		n, err := c.Read(piece)
+		n, err := c.Read(chunk)
 		if err != nil {
 			return err
 		}
-		buffered = append(buffered, piece[:n]...)
+		buffered = append(buffered, chunk[:n]...)
 		consumed := 0
 		for consumed < len(buffered) {
 			answer, size, err := rpc.ParseResponse(buffered[consumed:])
@@ -69,7 +70,7 @@
 	}
 }
 
-// NextNumber returns the number for the next message; the first is 1.
+// NextNumber returns the number for the next message. Numbers count from 1.
 func (c *Conn) NextNumber() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,20 +78,20 @@
 	return c.latestNumber
 }
 
-// SendRequest sends a request, whose Number is from NextNumber.
+// SendRequest sends a request. Its Number must be from NextNumber.
 func (c *Conn) SendRequest(request *rpc.Message) error {
 	return c.send(func(b []byte) []byte { return rpc.AppendRequest(b, request) })
 }
 
-// SendCancel tells the server that the client no longer waits for the message with the given number.
+// SendCancel cancels the request with the given number.
 func (c *Conn) SendCancel(number uint64) error {
 	return c.send(func(b []byte) []byte { return rpc.AppendCancel(b, number) })
 }
 
-// SendHealthCheck sends a health check.
+// SendHealthCheck sends a health check under the next number.
 func (c *Conn) SendHealthCheck() error { return c.SendHealthCheckAs(c.NextNumber()) }
 
-// SendHealthCheckAs sends a health check under a number from NextNumber.
+// SendHealthCheckAs sends a health check under the given number, which must be from NextNumber.
 func (c *Conn) SendHealthCheckAs(number uint64) error {
 	return c.send(func(b []byte) []byte { return rpc.AppendHealthCheck(b, number) })
 }
@@ -103,8 +104,8 @@
 	return err
 }
 
-// IsHealthy opens a connection, sends a health check, and reports whether the server answers within the timeout that
-// it is healthy.
+// IsHealthy opens a connection, sends a health check, and reports whether the server answers within
+// the timeout that it is healthy. The timeout does not include the dial.
 func IsHealthy(address string, timeout time.Duration) bool {
 	health := make(chan bool, 1)
 	c, err := Dial(context.Background(), address, func(answer rpc.Response) {
--- a/internal/fake/balancer/idle.go
+++ b/internal/fake/balancer/idle.go
@@ -11,33 +11,35 @@
 )
 
 const (
-	// concurrentDials is how many idle connections are opened at a time.
+	// concurrentDials is the number of goroutines that open idle connections.
 	concurrentDials = 64
-	// maxShortMessage bounds the messages read on idle connections. Each connection has a goroutine, so the buffer is
-	// small enough for the goroutine's initial stack.
-	maxShortMessage = 96
+	// maxShortMessageBytes bounds, in bytes, the messages read on idle connections. Each connection
+	// has a goroutine, so the buffer has to fit into a goroutine's initial stack.
+	maxShortMessageBytes = 96
 )
 
-// errUnexpectedMessage reports a message of another kind than the awaited one.
-var errUnexpectedMessage = errors.New("unexpected message")
+// errUnexpectedMessage is returned for a message of another kind than expected, or one that is
+// longer than maxShortMessageBytes.
+var errUnexpectedMessage = errors.New("server sent a message of an unexpected kind or size")
 
 var healthCheck = rpc.AppendHealthCheck(nil, 1)
 
-// IdleConns is a number of connections that were used once and send nothing. Its methods may be called from any
-// goroutine.
+// IdleConns is a set of connections that have sent one health check and are idle since. Its methods
+// may be called from any goroutine.
 type IdleConns struct {
 	honorClose bool
 	mu         sync.Mutex
 	conns      map[net.Conn]bool
 
-	// GoAways counts the go-away messages, by which the server asks the client to close.
+	// GoAways counts the go-away messages, by which the server asks clients to close a connection.
 	GoAways atomic.Int64
-	// Closed counts the connections that ended before Close, by the server or at its request.
+	// Closed counts the connections that the server closed, or that were closed at its request.
 	Closed atomic.Int64
 }
 
-// OpenIdle opens n connections to a server and waits for the answer to a health check on each. With honorClose a
-// connection is closed at the server's go-away message; without, it stays open until the server closes it.
+// OpenIdle opens n connections to a server and waits for the answer to a health check on each. If
+// honorClose is set, a connection is closed on the server's go-away message; otherwise it stays
+// open until the server closes it.
 func OpenIdle(address string, n int, honorClose bool) (*IdleConns, error) {
 	idle := &IdleConns{honorClose: honorClose, conns: map[net.Conn]bool{}}
 	var wait sync.WaitGroup
@@ -64,7 +66,7 @@
 	}
 }
 
-// open adds one connection.
+// open opens a connection, exchanges a health check on it and adds it to the set.
 func (c *IdleConns) open(address string) error {
 	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
@@ -91,9 +93,10 @@
 	return err
 }
 
-// readMessage reads one message and returns errUnexpectedMessage if it is not of the wanted kind.
+// readMessage reads one message. It returns errUnexpectedMessage if the message is not of the
+// wanted kind or does not fit into the buffer.
 func readMessage(conn net.Conn, want rpc.ResponseKind) error {
-	var buffer [maxShortMessage]byte
+	var buffer [maxShortMessageBytes]byte
 	for filled := 0; filled < len(buffer); {
 		n, err := conn.Read(buffer[filled:])
 		if err != nil {
@@ -115,12 +118,13 @@
 	return errUnexpectedMessage
 }
 
-// watch counts the go-away messages on a connection until it ends, and closes it at the first with honorClose.
+// watch counts the go-away messages on a connection until it ends. If honorClose is set, it closes
+// the connection on the first.
 func (c *IdleConns) watch(conn net.Conn) {
 	for {
 		err := readMessage(conn, rpc.ResponseGoAway)
 		if errors.Is(err, errUnexpectedMessage) {
-			continue // the answer to SendHealthChecks
+			continue // the answer to a check from SendHealthChecks
 		}
 		if err == nil {
 			c.GoAways.Add(1)
@@ -134,7 +138,7 @@
 	}
 }
 
-// countClosed removes a connection that ended and counts it, unless Close removed it before.
+// countClosed removes a closed connection and counts it, unless Close has removed it already.
 func (c *IdleConns) countClosed(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,8 +155,9 @@
 	return len(c.conns)
 }
 
-// SendHealthChecks sends a health check on every connection in one burst, so that all of their idle timers restart
-// at the same time. Write errors are ignored: a connection that closes meanwhile needs no check.
+// SendHealthChecks sends a health check on every connection in one burst, which restarts all idle
+// timers at about the same time. Write errors are ignored: a connection that is being closed needs
+// no health check.
 func (c *IdleConns) SendHealthChecks() {
 	for _, conn := range c.snapshot() {
 		_, _ = conn.Write(healthCheck)
--- a/internal/fake/executor/connection.go
+++ b/internal/fake/executor/connection.go
@@ -11,14 +11,14 @@
 
 const readBufferSize = 64 << 10
 
-// notice is a line for the server that is sent again on a new connection, unless the server has read it. Serials count
-// notices from 1.
+// notice is a line for the server. It is kept and sent again on a new connection, unless the server
+// has read it. Serials count notices from 1.
 type notice struct {
 	serial int64
 	line   []byte
 }
 
-// serve handles one connection until it ends or sends something that is not a command.
+// serve handles a connection until it ends or sends an invalid command.
 func (s *Server) serve(conn net.Conn) {
 	in := bufio.NewReaderSize(conn, readBufferSize)
 	for {
@@ -28,13 +28,14 @@
 		}
 		command, err := processor.ParseCommand(bytes.TrimSuffix(line, []byte("\n")))
 		if err != nil {
-			return // the protocol has the executor close the connection
+			return // the protocol requires the executor to close the connection
 		}
 		s.handle(conn, &command)
 	}
 }
 
-// handle executes a command. Only CommandResume is accepted from a connection other than the current one.
+// handle executes a command. From a connection other than the current one, it ignores every command
+// but CommandResume.
 func (s *Server) handle(conn net.Conn, command *processor.Command) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,7 +46,8 @@
 	}
 }
 
-// resume makes conn the current connection and sends the notices again that follow the last one the server has read.
+// resume makes conn the current connection and sends again all kept notices after the one with the
+// serial lastRead, the last that the server has read.
 func (s *Server) resume(conn net.Conn, lastRead int64) {
 	if s.conn != nil && s.conn != conn {
 		_ = s.conn.Close()
@@ -76,18 +78,20 @@
 	}
 }
 
-// notify sends a notice and keeps it, up to the protocol's bound, for connections on which the server resumes.
+// notify sends a notice and keeps it for connections that resume. At least the latest
+// minKeptNotices notices are kept.
 func (s *Server) notify(appendLine func(b []byte, serial int64) []byte) {
 	s.latestSerial++
 	line := appendLine(nil, s.latestSerial)
-	if len(s.notices) >= 2*maxNotices {
-		s.notices = append([]notice(nil), s.notices[maxNotices:]...)
+	if len(s.notices) >= 2*minKeptNotices {
+		s.notices = append([]notice(nil), s.notices[minKeptNotices:]...)
 	}
 	s.notices = append(s.notices, notice{s.latestSerial, line})
 	s.write(line)
 }
 
-// write queues a line. A goroutine of its own writes the queue, as the caller holds the lock.
+// write queues a line for the current connection, if there is one. A separate goroutine writes the
+// queue, because the caller holds the mutex.
 func (s *Server) write(line []byte) {
 	if s.conn == nil {
 		return
@@ -99,8 +103,8 @@
 	}
 }
 
-// flush writes until the queue is empty. Write errors are ignored: a server whose connection broke resumes with
-// another one and asks for the notices again.
+// flush writes until the queue is empty. Write errors are ignored: a server that has lost its
+// connection resumes on a new one, on which the unread notices are sent again.
 func (s *Server) flush() {
 	for {
 		s.mu.Lock()
--- a/internal/fake/executor/server_test.go
+++ b/internal/fake/executor/server_test.go
@@ -23,16 +23,17 @@
 	return s
 }
 
-// testLink is a connection as a server's, after its first line.
-type testLink struct {
+// testConn is a connection to the executor on which the resume handshake is done.
+type testConn struct {
 	*testing.T
 	conn   net.Conn
 	lines  *bufio.Reader
 	parser processor.NoticeParser
 }
 
-// connect resumes after a notice and checks that the executor answers so.
-func connect(t *testing.T, s *Server, lastRead int64) *testLink {
+// connect opens a connection, resumes after the notice with the serial lastRead and checks that the
+// executor answers with a hello.
+func connect(t *testing.T, s *Server, lastRead int64) *testConn {
 	t.Helper()
 	conn, err := net.Dial("tcp", s.Addr())
 	if err != nil {
@@ -40,37 +41,37 @@
 	}
 	t.Cleanup(func() { _ = conn.Close() })
 	_ = conn.SetDeadline(time.Now().Add(testTimeout))
-	l := &testLink{T: t, conn: conn, lines: bufio.NewReader(conn)}
+	l := &testConn{T: t, conn: conn, lines: bufio.NewReader(conn)}
 	l.send(processor.AppendResume(nil, lastRead))
 	l.expect(processor.NoticeHello, "")
 	return l
 }
 
-func (l *testLink) send(line []byte) {
+func (l *testConn) send(line []byte) {
 	l.Helper()
 	if _, err := l.conn.Write(line); err != nil {
 		l.Fatal(err)
 	}
 }
 
-// expect reads the next notice and checks its kind and id.
-func (l *testLink) expect(kind processor.NoticeKind, id string) processor.Notice {
+// expect reads the next notice and checks its kind and the id of its run.
+func (l *testConn) expect(kind processor.NoticeKind, id string) processor.Notice {
 	l.Helper()
 	line, err := l.lines.ReadBytes('\n')
 	if err != nil {
-		l.Fatalf("no %s: %v", kind, err)
+		l.Fatalf("read a notice of kind %s: %v", kind, err)
 	}
 	notice, err := l.parser.Parse(bytes.TrimSuffix(line, []byte("\n")))
 	if err != nil {
 		l.Fatal(err)
 	}
 	if notice.Kind != kind || notice.ID != id {
-		l.Fatalf("%s of %q, not %s of %q", notice.Kind, notice.ID, kind, id)
+		l.Fatalf("got notice %s of run %q, want %s of run %q", notice.Kind, notice.ID, kind, id)
 	}
 	return notice
 }
 
-func always(string, string) bool { return true }
+func alwaysCallsUpstream(string, string) bool { return true }
 
 func TestServer_RunReturnsResult(t *testing.T) {
 	s := startServer(t, Config{Result: func(id string, body []byte) []byte { return []byte(id + " " + string(body)) }})
@@ -78,14 +79,15 @@
 	l.send(processor.AppendStart(nil, "1", "ping", []byte("x")))
 	ended := l.expect(processor.NoticeRunEnded, "1")
 	if ended.Outcome != admission.Finished || string(ended.Body) != "1 x" {
-		t.Errorf("%s %q", ended.Outcome, ended.Body)
+		t.Errorf("run ended with outcome %s and result %q, want %s and %q",
+			ended.Outcome, ended.Body, admission.Finished, "1 x")
 	}
 	if stats := s.Stats(); stats != (Stats{Started: 1, Ended: 1, Resumed: 1}) {
-		t.Errorf("%+v", stats)
+		t.Errorf("got %+v, want 1 run started and ended, and 1 connection resumed", stats)
 	}
 }
 
-func TestServer_RepeatedIDIsCounted(t *testing.T) {
+func TestServer_CountsRepeatedRunIDs(t *testing.T) {
 	s := startServer(t, Config{})
 	l := connect(t, s, 0)
 	for range 2 {
@@ -93,13 +95,13 @@
 		l.expect(processor.NoticeRunEnded, "1")
 	}
 	if stats := s.Stats(); stats.Started != 2 || stats.Repeated != 1 {
-		t.Errorf("%+v", stats)
+		t.Errorf("got %+v, want 2 runs started, 1 of them repeated", stats)
 	}
 }
 
-func TestServer_RunsWaitForACore(t *testing.T) {
+func TestServer_RunsQueueForFreeCore(t *testing.T) {
 	started := time.Now()
-	const work = 0.1 // seconds; long enough for all commands to be read during the first run
+	const work = 0.1 // seconds; long enough for the executor to read all commands during the first run
 	s := startServer(t, Config{Cores: 1, CPUSeconds: func(string, string) float64 { return work },
 		Gauges: func(busy, waiting int) []float64 { return []float64{float64(busy), float64(waiting)} }})
 	l := connect(t, s, 0)
@@ -111,40 +113,41 @@
 	l.send(processor.AppendReadGauges(commands, "g"))
 	gauges := l.expect(processor.NoticeGauges, "")
 	if busy, waiting := gauges.Gauges[0], gauges.Gauges[1]; busy != 1 || waiting != 1 {
-		t.Errorf("%g busy, %g waiting", busy, waiting)
+		t.Errorf("got %g busy cores and %g waiting runs, want 1 and 1", busy, waiting)
 	}
 	for _, id := range ids {
 		l.expect(processor.NoticeRunEnded, id)
 	}
 	if took := time.Since(started).Seconds(); took < 2*work {
-		t.Errorf("two runs on one core took %g s", took)
+		t.Errorf("two runs on one core took %g s, want at least %g s", took, 2*work)
 	}
 }
 
-func TestServer_UpstreamCallParksTheRun(t *testing.T) {
-	s := startServer(t, Config{CallsUpstream: always})
+func TestServer_RunWaitsForUpstreamReply(t *testing.T) {
+	s := startServer(t, Config{CallsUpstream: alwaysCallsUpstream})
 	l := connect(t, s, 0)
 	l.send(processor.AppendStart(nil, "1", "ping", []byte("x")))
 	call := l.expect(processor.NoticeAwaitingCall, "1")
-	l.send(processor.AppendSkipCall(nil, "1", call.Serial+1)) // of another call
+	l.send(processor.AppendSkipCall(nil, "1", call.Serial+1)) // the serial of another call
 	l.expect(processor.NoticeRejected, "1")
 	l.send(processor.AppendReply(nil, "1", []byte("reply")))
 	l.expect(processor.NoticeRunEnded, "1")
-	l.send(processor.AppendReply(nil, "1", []byte("reply"))) // the run is over
+	l.send(processor.AppendReply(nil, "1", []byte("reply"))) // the run has ended
 	l.expect(processor.NoticeRejected, "1")
 }
 
 func TestServer_CallTimeoutCancelsTheRun(t *testing.T) {
-	s := startServer(t, Config{CallsUpstream: always, CallTimeout: 0.02})
+	s := startServer(t, Config{CallsUpstream: alwaysCallsUpstream, CallTimeout: 0.02})
 	l := connect(t, s, 0)
 	l.send(processor.AppendStart(nil, "1", "ping", nil))
 	l.expect(processor.NoticeAwaitingCall, "1")
 	if ended := l.expect(processor.NoticeRunEnded, "1"); ended.Outcome != admission.Cancelled {
-		t.Errorf("%s", ended.Outcome)
+		t.Errorf("run ended with outcome %s, want %s", ended.Outcome, admission.Cancelled)
 	}
 }
 
-// A run ends while the link is down: the next link is told of it, and only of what was not read.
+// A run ends while the connection is down: the next connection receives its end notice, and none of
+// the notices that the server has read.
 func TestServer_ResumeRepeatsUnreadNotices(t *testing.T) {
 	s := startServer(t, Config{CPUSeconds: func(_, id string) float64 {
 		if id == "slow" {
@@ -155,13 +158,13 @@
 	first := connect(t, s, 0)
 	first.send(processor.AppendStart(nil, "fast", "ping", nil))
 	read := first.expect(processor.NoticeRunEnded, "fast")
-	// The answer about the gauges shows that the start was read.
+	// The gauges notice shows that the executor has read the start command before it.
 	first.send(processor.AppendReadGauges(processor.AppendStart(nil, "slow", "ping", nil), "g"))
 	first.expect(processor.NoticeGauges, "")
 	s.Disconnect()
 	for deadline := time.Now().Add(testTimeout); s.Stats().Ended < 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the run did not end")
+			t.Fatalf("run %q did not end within %s", "slow", testTimeout)
 		}
 	}
 	second := connect(t, s, read.Serial)
--- a/internal/fake/random/random.go
+++ b/internal/fake/random/random.go
@@ -1,4 +1,5 @@
-// Package random makes property tests repeatable: it fixes the seed and the number of cases of the rapid library.
+// Package random fixes the seed and the number of cases of rapid property tests, which makes their
+// runs repeatable.
 package random
 
 import (
@@ -12,12 +13,12 @@
 
 const (
 	rapidSeed = "20261201"
-	// exitUsage is the status of a test binary whose flags could not be set.
+	// exitUsage is the exit status if the flags of the rapid library cannot be set.
 	exitUsage = 2
 )
 
-// RunSeeded runs the tests of a package with a fixed seed and the given number of cases for each property, and exits
-// the process. TestMain calls it.
+// RunSeeded runs the tests of a package with a fixed seed and the given number of cases for each
+// property, and then exits the process. It is to be called by TestMain.
 func RunSeeded(m *testing.M, checks int) {
 	flag.Parse()
 	err := errors.Join(
@@ -26,7 +27,7 @@
 		flag.Set("rapid.checks", strconv.Itoa(checks)),
 	)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, err)
+		fmt.Fprintln(os.Stderr, "set the flags of the rapid library:", err)
 		os.Exit(exitUsage)
 	}
 	os.Exit(m.Run())
--- a/internal/fake/registry/server.go
+++ b/internal/fake/registry/server.go
@@ -1,5 +1,5 @@
-// Package registry is a fake of the service registry: it receives the servers' load reports, and closes connections
-// when the test tells it to.
+// Package registry is a fake of the service registry that receives the servers' load reports. The
+// test decides for each report whether it is acknowledged and whether the connection is closed.
 package registry
 
 import (
@@ -12,11 +12,11 @@
 	"swiftcourse/internal/wire/roster"
 )
 
-// Response is what the fake does with a load report.
+// Response tells the fake how to respond to a load report.
 type Response uint8
 
 const (
-	// KeepAlive acknowledges the report and keeps the connection.
+	// KeepAlive acknowledges the report and keeps the connection open.
 	KeepAlive Response = iota
 	// CloseAfterReply acknowledges the report and closes the connection.
 	CloseAfterReply
@@ -24,7 +24,6 @@
 	CloseWithoutReply
 )
 
-// String returns the response's name.
 func (r Response) String() string {
 	switch r {
 	case KeepAlive:
@@ -38,22 +37,23 @@
 	}
 }
 
-// maxReports bounds the reports that nobody has received from Reports yet; further ones are not delivered.
+// maxReports is the capacity of the channel returned by Reports. Reports that arrive while it is
+// full are recorded but not sent on it.
 const maxReports = 1000
 
-// Server is a running fake. Its methods may be called from any goroutine.
+// Server is a running fake registry. Its methods may be called from any goroutine.
 type Server struct {
 	listener net.Listener
 	respond  func(n int) Response
 	reports  chan roster.Report
 
 	mu        sync.Mutex
-	accepting map[string]bool // by server name, of its latest report
+	accepting map[string]bool // by server name, from its latest report
 	received  int
 }
 
-// Start listens on a TCP address. It calls respond to decide about the nth report, counted from 1; a nil respond
-// keeps all connections.
+// Start starts a registry that listens on a TCP address. It calls respond for each report; n is the
+// number of the report, counted from 1. If respond is nil, the response is always KeepAlive.
 func Start(address string, respond func(n int) Response) (*Server, error) {
 	s := &Server{respond: respond, reports: make(chan roster.Report, maxReports), accepting: map[string]bool{}}
 	listener, err := tcpserver.Start(address, s.serve)
@@ -67,13 +67,13 @@
 // Addr returns the address on which the server listens.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Close stops listening. Open connections go on until the other side closes them.
+// Close stops listening. Open connections are served until the server under test closes them.
 func (s *Server) Close() { _ = s.listener.Close() }
 
-// Reports returns the channel of the received reports, in order.
+// Reports returns a channel with the received reports, in order of arrival.
 func (s *Server) Reports() <-chan roster.Report { return s.reports }
 
-// Accepting reports whether the latest report of the named server said that it accepts requests.
+// Accepting reports whether the named server accepts requests, according to its latest report.
 func (s *Server) Accepting(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +101,7 @@
 	}
 }
 
-// record stores a report and returns its number.
+// record records a report and returns its number, counted from 1.
 func (s *Server) record(report roster.Report) int {
 	s.mu.Lock()
 	s.received++
--- a/internal/fake/registry/server_test.go
+++ b/internal/fake/registry/server_test.go
@@ -12,8 +12,8 @@
 
 func TestServer_Responses(t *testing.T) {
 	tests := []struct {
-		response       Response
-		replied, stays bool
+		response          Response
+		replied, keptOpen bool
 	}{
 		{KeepAlive, true, true},
 		{CloseAfterReply, true, false},
@@ -34,22 +34,22 @@
 			_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
 			in := bufio.NewReader(conn)
 			if got := report(t, conn, in, true); got != test.replied {
-				t.Errorf("first report: reply %t", got)
+				t.Errorf("first report: acknowledged: %t, want %t", got, test.replied)
 			}
 			if !s.Accepting("a") || !(<-s.Reports()).Accepting {
-				t.Error("the report is not recorded")
+				t.Error("the first report, which accepts requests, was not recorded as such")
 			}
-			if got := report(t, conn, in, false); got != test.stays {
-				t.Errorf("second report: reply %t", got)
+			if got := report(t, conn, in, false); got != test.keptOpen {
+				t.Errorf("second report: acknowledged: %t, want %t", got, test.keptOpen)
 			}
-			if s.Accepting("a") == test.stays {
-				t.Errorf("accepting is %t after the second report", s.Accepting("a"))
+			if s.Accepting("a") == test.keptOpen {
+				t.Errorf("after the second report: accepting is %t, want %t", s.Accepting("a"), !test.keptOpen)
 			}
 		})
 	}
 }
 
-// report sends a load report and tells whether it was acknowledged.
+// report sends a load report and returns whether it was acknowledged.
 func report(t *testing.T, conn net.Conn, in *bufio.Reader, accepting bool) bool {
 	t.Helper()
 	if _, err := conn.Write(roster.AppendReport(nil, "registry", "a", accepting)); err != nil {
@@ -60,7 +60,7 @@
 		return false
 	}
 	if string(reply) != roster.ReportAccepted {
-		t.Fatalf("reply %q", reply)
+		t.Fatalf("got reply %q, want %q", reply, roster.ReportAccepted)
 	}
 	return true
 }
--- a/internal/fake/upstream/server.go
+++ b/internal/fake/upstream/server.go
@@ -1,5 +1,5 @@
-// Package upstream is a fake of the service that a server's requests call. A test decides for each call whether it
-// is answered, how late, and whether its connection breaks.
+// Package upstream is a fake of the upstream service that runs call. The test decides for each call
+// whether it gets a reply, after which delay, or whether the connection is closed instead.
 package upstream
 
 import (
@@ -13,26 +13,26 @@
 	"swiftcourse/internal/wire/catalogue"
 )
 
-const readSize = 16 << 10
+const readBufferSize = 16 << 10
 
-// Response is what the fake does with a call.
+// Response tells the fake how to respond to a call.
 type Response struct {
 	Delay      time.Duration
 	Outcome    admission.Outcome
 	Body       []byte
-	Disconnect bool // close the connection instead of answering
-	NoReply    bool // never answer
+	Disconnect bool // close the connection instead of replying
+	NoReply    bool // send no reply and keep the connection open
 }
 
-// Server is a running fake. Its methods may be called from any goroutine.
+// Server is a running fake upstream service. Its methods may be called from any goroutine.
 type Server struct {
 	listener net.Listener
 	respond  func(n int, call catalogue.Call) Response
 	calls    atomic.Int64
 }
 
-// Start listens on a TCP address. It calls respond, from the goroutine of the connection, to decide about the nth
-// call, counted from 1 over all connections.
+// Start listens on a TCP address. For each call it runs respond in the connection's goroutine; n is
+// the number of the call, counted from 1 over all connections.
 func Start(address string, respond func(n int, call catalogue.Call) Response) (*Server, error) {
 	s := &Server{respond: respond}
 	listener, err := tcpserver.Start(address, s.serve)
@@ -49,10 +49,10 @@
 // Calls returns the number of calls received.
 func (s *Server) Calls() int { return int(s.calls.Load()) }
 
-// Close stops listening. Open connections go on until the other side closes them.
+// Close stops listening. Open connections are served until the client closes them.
 func (s *Server) Close() { _ = s.listener.Close() }
 
-// connection is one client connection; replies that were delayed write to it from timers.
+// connection is a client connection. Delayed replies are written to it by timer goroutines.
 type connection struct {
 	net.Conn
 	mu sync.Mutex // serializes writes
@@ -61,13 +61,13 @@
 func (s *Server) serve(raw net.Conn) {
 	conn := &connection{Conn: raw}
 	var buffered []byte
-	piece := make([]byte, readSize)
+	chunk := make([]byte, readBufferSize)
 	for {
-		n, err := conn.Read(piece)
+		n, err := conn.Read(chunk)
 		if err != nil {
 			return
 		}
-		buffered = append(buffered, piece[:n]...)
+		buffered = append(buffered, chunk[:n]...)
 		for {
 			call, size, err := catalogue.ParseCall(buffered)
 			if err != nil {
@@ -87,7 +87,7 @@
 // handle responds to a call and reports whether the connection stays open.
 func (s *Server) handle(conn *connection, call catalogue.Call) bool {
 	if call.Cancelled {
-		return true // the protocol lets a reply that is on its way go unread
+		return true // a delayed reply needs no stopping: clients discard replies to cancelled calls
 	}
 	response := s.respond(int(s.calls.Add(1)), call)
 	if response.Disconnect {
@@ -105,7 +105,8 @@
 	return true
 }
 
-// send writes a reply. A client that has closed the connection no longer needs it, so a write error is ignored.
+// send writes a reply. A client that has closed the connection no longer needs it, so a write error
+// is ignored.
 func (c *connection) send(reply []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fake/upstream/server_test.go
+++ b/internal/fake/upstream/server_test.go
@@ -11,7 +11,7 @@
 	"swiftcourse/internal/wire/catalogue"
 )
 
-func dial(t *testing.T, respond func(n int, call catalogue.Call) Response) (*Server, net.Conn) {
+func startAndDial(t *testing.T, respond func(n int, call catalogue.Call) Response) (*Server, net.Conn) {
 	t.Helper()
 	s, err := Start("127.0.0.1:0", respond)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return s, conn
 }
 
-func send(t *testing.T, conn net.Conn, calls []byte) {
+func sendCalls(t *testing.T, conn net.Conn, calls []byte) {
 	t.Helper()
 	if _, err := conn.Write(calls); err != nil {
 		t.Fatal(err)
@@ -45,42 +45,43 @@
 		if size > 0 {
 			return reply
 		}
-		piece := make([]byte, 1)
-		if _, err := conn.Read(piece); err != nil {
+		chunk := make([]byte, 1)
+		if _, err := conn.Read(chunk); err != nil {
 			t.Fatal(err)
 		}
-		buffered = append(buffered, piece...)
+		buffered = append(buffered, chunk...)
 	}
 }
 
-// The first call is answered late, the second at once, the third never.
+// Replies are matched by call id, not by order: the first call gets a delayed reply, the second an
+// immediate one, the third none.
 func TestServer_RepliesOutOfOrder(t *testing.T) {
 	responses := []Response{
 		{Delay: 200 * time.Millisecond, Outcome: admission.Finished, Body: []byte("late")},
 		{Outcome: admission.Finished, Body: []byte("early")},
 		{NoReply: true},
 	}
-	s, conn := dial(t, func(n int, _ catalogue.Call) Response { return responses[n-1] })
+	s, conn := startAndDial(t, func(n int, _ catalogue.Call) Response { return responses[n-1] })
 	ids := []string{"00000001", "00000002", "00000003"}
 	var calls []byte
 	for _, id := range ids {
 		calls = catalogue.AppendCall(calls, id, 1, []byte("x"))
 	}
-	send(t, conn, calls)
+	sendCalls(t, conn, calls)
 	for _, want := range []struct{ id, body string }{{ids[1], "early"}, {ids[0], "late"}} {
 		if reply := readReply(t, conn); reply.ID != want.id || string(reply.Body) != want.body {
-			t.Errorf("reply %q to %s, not %q to %s", reply.Body, reply.ID, want.body, want.id)
+			t.Errorf("got reply %q to call %s, want %q to call %s", reply.Body, reply.ID, want.body, want.id)
 		}
 	}
 	if s.Calls() != 3 {
-		t.Errorf("%d calls", s.Calls())
+		t.Errorf("server counted %d calls, want 3", s.Calls())
 	}
 }
 
 func TestServer_Disconnect(t *testing.T) {
-	_, conn := dial(t, func(int, catalogue.Call) Response { return Response{Disconnect: true} })
-	send(t, conn, catalogue.AppendCall(nil, "00000001", 1, []byte("x")))
+	_, conn := startAndDial(t, func(int, catalogue.Call) Response { return Response{Disconnect: true} })
+	sendCalls(t, conn, catalogue.AppendCall(nil, "00000001", 1, []byte("x")))
 	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("%v, not a closed connection", err)
+		t.Errorf("read after a call with response Disconnect: got error %v, want %v", err, io.EOF)
 	}
 }
