--- a/internal/bench/loadgen/generator.go
+++ b/internal/bench/loadgen/generator.go
@@ -1,6 +1,6 @@
-// Package loadgen generates an open-loop load: requests are sent on schedule, whether or not earlier ones were
-// answered, and latency counts from the scheduled time. A server that stalls therefore shows its full delay
-// (coordinated omission is avoided).
+// Package loadgen generates an open-loop load: requests are sent on schedule, whether or not
+// earlier ones were answered, and latency is measured from the scheduled time. This avoids
+// coordinated omission: the delays of a server that stalls are measured in full.
 package loadgen
 
 import (
@@ -16,45 +16,45 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// Config describes the load.
+// Config describes a load.
 type Config struct {
-	Addresses      []string // of the servers; connections are spread over them evenly
+	Addresses      []string // of the servers, over which the connections are spread evenly
 	ConnsPerServer int
-	Rate           float64 // requests a second over all servers, as a Poisson process
+	Rate           float64 // requests per second over all servers; arrivals are a Poisson process
 	Class          string
 	Timeout        time.Duration // of each request
-	HealthChecks   bool          // send health checks, which do not reach the executor, in place of requests
-	Keyed          bool          // give each request an idempotency key of its own
+	HealthChecks   bool          // send health checks, which do not reach the executor, instead of requests
+	Keyed          bool          // give each request a unique idempotency key
 	BodyBytes      int
 	Seed           uint64
 }
 
-// ErrInvalidConfig is returned by Start for a load without a rate, a connection or a server.
-var ErrInvalidConfig = errors.New("load needs a rate, a connection and a server")
+// ErrInvalidConfig is returned by Start for a load without a rate, connections or servers.
+var ErrInvalidConfig = errors.New("load generator: rate, connections per server and number of servers must be over 0")
 
 const (
-	// maxInFlight is how many requests the protocol allows in flight on one connection.
+	// maxInFlight is the number of requests that the protocol allows in flight on a connection.
 	maxInFlight = 32
-	// drainPoll is how often Stop looks whether all answers have come.
-	drainPoll = time.Millisecond
+	// drainPollInterval is the interval at which Stop checks whether all answers have arrived.
+	drainPollInterval = time.Millisecond
 
 	requestMemory   = 1
 	requestPriority = 0.5
 )
 
-// Generator is a running load. Its methods may be called from any goroutine.
+// Generator is a running load generator. Its methods may be called from any goroutine.
 type Generator struct {
 	config Config
 	stop   chan struct{}
 	done   chan struct{}
 	conns  []*conn
 
-	mu    sync.Mutex
-	stats Stats
-	since time.Time // when the period of stats began
+	mu          sync.Mutex
+	stats       Stats
+	periodStart time.Time // start of the period of stats
 }
 
-// conn is a connection to a server with its requests in flight.
+// conn is a connection to a server and its requests in flight.
 type conn struct {
 	*balancer.Conn
 	generator *Generator
@@ -62,7 +62,7 @@
 	inFlight  map[uint64]time.Time // scheduled time by message number
 }
 
-// Start opens the connections and begins to send.
+// Start opens the connections and starts the load.
 func Start(ctx context.Context, config Config) (*Generator, error) {
 	if config.Rate <= 0 || config.ConnsPerServer < 1 || len(config.Addresses) == 0 {
 		return nil, ErrInvalidConfig
@@ -83,24 +83,25 @@
 	return g, nil
 }
 
-// TakeStats returns the statistics of the period since the last call and starts a new period.
+// TakeStats returns the statistics since the previous call, or since Start, and starts a new
+// period.
 func (g *Generator) TakeStats() Stats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	stats := g.stats
-	stats.Elapsed = time.Since(g.since)
+	stats.Elapsed = time.Since(g.periodStart)
 	g.stats = Stats{Latency: NewHistogram()}
-	g.since = time.Now()
+	g.periodStart = time.Now()
 	return stats
 }
 
-// Stop ends the load, waits up to the requests' timeout for outstanding answers, and returns the statistics since the
-// last TakeStats. It must be called once.
+// Stop stops the load, waits up to the request timeout for outstanding answers, and returns the
+// statistics since the last TakeStats. It must be called only once.
 func (g *Generator) Stop() Stats {
 	close(g.stop)
 	<-g.done
 	for deadline := time.Now().Add(g.config.Timeout); g.inFlight() > 0 && time.Now().Before(deadline); {
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 	stats := g.TakeStats()
 	stats.Unanswered = g.inFlight()
@@ -108,7 +109,7 @@
 	return stats
 }
 
-// inFlight returns the number of requests without an answer, over all connections.
+// inFlight returns the number of requests in flight, over all connections.
 func (g *Generator) inFlight() int {
 	n := 0
 	for _, c := range g.conns {
@@ -125,8 +126,8 @@
 	}
 }
 
-// send sends on schedule. It spins on a thread of its own instead of sleeping: a sleep ends up to a millisecond
-// late, which would count as the server's latency.
+// send sends requests on schedule. It spins on its own thread instead of sleeping, because a sleep
+// ends up to a millisecond late, which would be measured as latency of the server.
 func (g *Generator) send() {
 	defer close(g.done)
 	runtime.LockOSThread()
@@ -144,7 +145,8 @@
 	}
 }
 
-// spinUntil returns at the given time, or false once the generator is stopped.
+// spinUntil spins until the given time and returns true, or returns false as soon as the generator
+// is stopped.
 func (g *Generator) spinUntil(scheduled time.Time) bool {
 	for {
 		select {
@@ -158,7 +160,7 @@
 	}
 }
 
-// recordSend counts a scheduled request, and how late it was sent.
+// recordSend counts a scheduled request and records its send delay.
 func (g *Generator) recordSend(sent bool, delay time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -170,10 +172,10 @@
 	}
 }
 
-// sendMessage sends the nth request, or a health check in its place, and reports whether it was sent.
+// sendMessage sends the nth request, or a health check instead, and reports whether it was sent.
 func (c *conn) sendMessage(n int, scheduled time.Time, body []byte) bool {
 	number := c.NextNumber()
-	if !c.reserve(number, scheduled) {
+	if !c.addInFlight(number, scheduled) {
 		return false
 	}
 	config := &c.generator.config
@@ -196,8 +198,9 @@
 	return c.SendRequest(&request) == nil
 }
 
-// reserve records a message as in flight. It returns false if the connection has maxInFlight already.
-func (c *conn) reserve(number uint64, scheduled time.Time) bool {
+// addInFlight records a message as in flight. It returns false if maxInFlight messages are in
+// flight already.
+func (c *conn) addInFlight(number uint64, scheduled time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.inFlight) >= maxInFlight {
@@ -207,7 +210,8 @@
 	return true
 }
 
-// onAnswer counts the outcome of a request in flight. Answers without one, or to no such request, are ignored.
+// onAnswer counts the outcome of a request in flight. Messages that contain no outcome, and answers
+// to requests that are not in flight, are ignored.
 func (c *conn) onAnswer(answer rpc.Response) {
 	if answer.Kind == rpc.ResponseGoAway || answer.Kind == rpc.ResponseOther {
 		return
@@ -234,7 +238,7 @@
 	}
 }
 
-// onClose counts a connection that ended before Stop.
+// onClose counts a connection that was closed before Stop.
 func (c *conn) onClose(error) {
 	select {
 	case <-c.generator.stop:
--- a/internal/bench/loadgen/generator_test.go
+++ b/internal/bench/loadgen/generator_test.go
@@ -11,18 +11,19 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// startResponder starts a server that answers each request as respond tells; nil is no answer.
+// startResponder starts a server that answers each request with the bytes that respond returns, or
+// not at all if they are nil.
 func startResponder(t *testing.T, respond func(message rpc.Message) []byte) string {
 	t.Helper()
 	listener, err := tcpserver.Start("127.0.0.1:0", func(conn net.Conn) {
 		var buffered []byte
-		piece := make([]byte, 4096)
+		chunk := make([]byte, 4096)
 		for {
-			n, err := conn.Read(piece)
+			n, err := conn.Read(chunk)
 			if err != nil {
 				return
 			}
-			buffered = append(buffered, piece[:n]...)
+			buffered = append(buffered, chunk[:n]...)
 			for {
 				message, size, err := rpc.ParseMessage(buffered)
 				if err != nil || size == 0 {
@@ -59,7 +60,7 @@
 		{ConnsPerServer: 1, Rate: 1},
 	} {
 		if _, err := Start(context.Background(), config); !errors.Is(err, ErrInvalidConfig) {
-			t.Errorf("%+v: %v", config, err)
+			t.Errorf("%+v: got error %v, want %v", config, err, ErrInvalidConfig)
 		}
 	}
 }
@@ -79,24 +80,26 @@
 	time.Sleep(200 * time.Millisecond)
 	stats := g.Stop()
 	if stats.Sent == 0 || stats.Sent != stats.Finished+stats.Rejected+stats.Abandoned {
-		t.Errorf("%+v", stats)
+		t.Errorf("got %+v, want requests sent, each with an outcome", stats)
 	}
 	if stats.Finished == 0 || stats.Rejected == 0 || stats.Abandoned == 0 || stats.Unanswered != 0 {
-		t.Errorf("%+v", stats)
+		t.Errorf("got %+v, want requests with each of the three outcomes, and none unanswered", stats)
 	}
 	if stats.Latency.TotalCount() != int64(stats.Finished) {
-		t.Errorf("%d latencies of %d finished", stats.Latency.TotalCount(), stats.Finished)
+		t.Errorf("got %d latencies, want one for each of %d finished requests",
+			stats.Latency.TotalCount(), stats.Finished)
 	}
 }
 
-// A server that answers nothing has as many requests in flight as the protocol allows; the rest stay unsent.
-func TestGenerator_SilentServerKeepsTheSchedule(t *testing.T) {
+// If a server answers no request, the generator sends as many requests as the protocol allows in
+// flight, and counts the rest as unsent.
+func TestGenerator_UnansweredRequestsFillInFlightLimit(t *testing.T) {
 	address := startResponder(t, func(rpc.Message) []byte { return nil })
 	g := startLoad(t, address, 50*time.Millisecond)
 	time.Sleep(300 * time.Millisecond)
 	stats := g.Stop()
 	if stats.Sent != maxInFlight || stats.Unanswered != maxInFlight || stats.Unsent == 0 {
-		t.Errorf("%+v", stats)
+		t.Errorf("got %+v, want %d requests sent and unanswered, and further ones unsent", stats, maxInFlight)
 	}
 }
 
@@ -109,9 +112,10 @@
 	total.Merge(first)
 	total.Merge(second)
 	if total.Sent != 3 || total.MaxSendDelay != 2 || total.Elapsed != 2*time.Second || total.Unanswered != 1 {
-		t.Errorf("%+v", total)
+		t.Errorf("got %+v, want 3 sent, a send delay of 2 ns, 2 s elapsed and 1 unanswered", total)
 	}
 	if total.Latency.TotalCount() != 2 || total.Quantile(100) < 59e6 {
-		t.Errorf("%d latencies, the longest %g us", total.Latency.TotalCount(), total.Quantile(100))
+		t.Errorf("got %d latencies, the longest %g us; want 2, the longest at least 59e6 us",
+			total.Latency.TotalCount(), total.Quantile(100))
 	}
 }
--- a/internal/bench/loadgen/stats.go
+++ b/internal/bench/loadgen/stats.go
@@ -6,39 +6,40 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Latencies are recorded in microseconds, from one microsecond to one minute, to three significant digits: a
-// histogram of 200 KB.
+// Latencies are recorded in microseconds, from one microsecond to one minute, with three
+// significant digits. A histogram takes 200 KB.
 const (
 	minMicros         = 1
 	maxMicros         = 60e6
 	significantDigits = 3
 )
 
-// Stats counts the outcomes of the requests of a period.
+// Stats are the outcomes and latencies of the requests of a period.
 type Stats struct {
 	Latency      *hdrhistogram.Histogram // of finished requests, in microseconds
 	Sent         int
 	Finished     int
 	Rejected     int
 	Abandoned    int
-	Unsent       int           // not sent: the connection had maxInFlight requests in flight, or writing failed
-	Unanswered   int           // when Stop returned
-	MaxSendDelay time.Duration // how far behind its schedule the sender was at most
-	Disconnects  int           // connections that ended before Stop
-	Elapsed      time.Duration
+	Unsent       int           // not sent: maxInFlight requests were in flight on the connection, or a write failed
+	Unanswered   int           // still in flight when Stop returned
+	MaxSendDelay time.Duration // maximum time between the scheduled and the actual send time
+	Disconnects  int           // connections that were closed before Stop
+	Elapsed      time.Duration // length of the period
 }
 
-// NewHistogram returns an empty histogram of microseconds.
+// NewHistogram returns an empty histogram of latencies in microseconds.
 func NewHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(minMicros, maxMicros, significantDigits)
 }
 
-// record adds a finished request's latency; latencies outside the histogram's range count as its bounds.
+// record adds the latency of a finished request. A latency outside the histogram's range is
+// recorded as the nearest bound.
 func (s *Stats) record(latency time.Duration) {
 	_ = s.Latency.RecordValue(max(minMicros, min(latency.Microseconds(), maxMicros)))
 }
 
-// Merge adds another period to s.
+// Merge adds the statistics of another period to s.
 func (s *Stats) Merge(other Stats) {
 	if s.Latency == nil {
 		s.Latency = NewHistogram()
@@ -55,5 +56,5 @@
 	s.Elapsed += other.Elapsed
 }
 
-// Quantile returns the latency in microseconds within which the given percentage of the finished requests stayed.
+// Quantile returns the given percentile of the latencies of finished requests, in microseconds.
 func (s *Stats) Quantile(percent float64) float64 { return float64(s.Latency.ValueAtQuantile(percent)) }
--- a/internal/bench/process/config.go
+++ b/internal/bench/process/config.go
@@ -14,40 +14,43 @@
 	"swiftcourse/internal/wire/simulator"
 )
 
-// Config is how servers are started.
+// Config describes how servers are started.
 type Config struct {
 	Program string // path of the server's binary
-	// ProgramOf, if it is not nil, is asked at each start of a server for the path of its binary, by the server's name;
-	// "" stands for Program.
+	// ProgramOf, unless it is nil, is called at each start of a server and returns the path of the
+	// server's binary; if it returns "", Program is used.
 	ProgramOf         func(name string) string
-	CPU               int // the one that all servers share; negative for no restriction
+	CPU               int // the CPU that all servers run on; negative for any
 	Cores             float64
 	MemoryMB          int
-	Descriptors       int    // the descriptor limit in the server's configuration
-	ActualDescriptors int    // the limit set by the system once the server is healthy; 0 for no change
-	OperatorFile      string // content of the operator's configuration file; "" for none
+	Descriptors       int    // descriptor limit in the server's configuration
+	ActualDescriptors int    // descriptor limit that Start sets for a healthy process; 0 for no change
+	OperatorFile      string // content of the operator's configuration file; "" for no file
 	StopTimeout       time.Duration
 	Settings          simulator.Settings
-	Args              []string // on the command line; none to serve
+	Args              []string // command-line arguments; empty to serve
 
 	Executor executor.Config
-	// ExecutorOf, if it is not nil, replaces Executor by server name; OnStart and Result stay those of Executor.
+	// ExecutorOf, unless it is nil, returns the executor configuration of a server, which replaces
+	// Executor except for OnStart and Result.
 	ExecutorOf func(name string) executor.Config
-	// Upstream responds to the servers' upstream calls; with neither it nor UpstreamOf there is no upstream service.
+	// Upstream responds to the servers' upstream calls. If both it and UpstreamOf are nil, there is
+	// no upstream service.
 	Upstream func(n int, call catalogue.Call) upstream.Response
-	// UpstreamOf, if it is not nil, replaces Upstream and also receives the calling server's name.
+	// UpstreamOf, unless it is nil, replaces Upstream and also receives the name of the calling
+	// server.
 	UpstreamOf func(name string, n int, call catalogue.Call) upstream.Response
 
-	// Override, if it is not nil, returns the content of a server's operator file, which replaces OperatorFile, and
-	// variables to add to its environment.
+	// Override, unless it is nil, returns the content of a server's operator file, which replaces
+	// OperatorFile, and environment variables to add.
 	Override func(name string) (operatorFile string, env []string)
-	// Log receives the servers' logs, each line after the server's name; nil discards them.
+	// Log receives the servers' logs, each line prefixed with the server's name; nil discards them.
 	Log io.Writer
-	// OnLogLine, if it is not nil, is called for every line of a server's log as it comes.
+	// OnLogLine, unless it is nil, is called for each line of a server's log when it is written.
 	OnLogLine func(name, line string)
 }
 
-// program returns the path of a server's binary at its next start.
+// program returns the path of the binary for the next start of a server.
 func (c *Config) program(name string) string {
 	if c.ProgramOf != nil {
 		if path := c.ProgramOf(name); path != "" {
@@ -57,7 +60,7 @@
 	return c.Program
 }
 
-// executorConfig returns the executor's configuration for a server.
+// executorConfig returns the configuration of a server's executor.
 func (c *Config) executorConfig(name string) executor.Config {
 	if c.ExecutorOf == nil {
 		return c.Executor
@@ -68,7 +71,8 @@
 	return config
 }
 
-// upstreamResponder returns the function that responds to a server's upstream calls; nil if it has no upstream service.
+// upstreamResponder returns the function that responds to a server's upstream calls, or nil if
+// there is no upstream service.
 func (c *Config) upstreamResponder(name string) func(n int, call catalogue.Call) upstream.Response {
 	if c.UpstreamOf == nil {
 		return c.Upstream
@@ -76,7 +80,7 @@
 	return func(n int, call catalogue.Call) upstream.Response { return c.UpstreamOf(name, n, call) }
 }
 
-// serverFile is the JSON configuration that a server reads at its start.
+// serverFile is the JSON configuration file that a server reads at startup.
 type serverFile struct {
 	Name        string             `json:"name"`
 	Listen      string             `json:"listen"`
@@ -96,14 +100,14 @@
 }
 
 const (
-	// serverSeed is the seed of every server's random choices.
+	// serverSeed seeds the random choices of every server.
 	serverSeed       = "8c1f30d27a5be964"
 	filePermissions  = 0o600
 	serverFileName   = "config.json"
 	operatorFileName = "swiftcourse.conf"
 )
 
-// writeServerFile writes the server's JSON configuration into its folder.
+// writeServerFile writes the server's JSON configuration file.
 func (s *Server) writeServerFile() error {
 	file := serverFile{
 		Name:        s.Name,
@@ -124,15 +128,16 @@
 	}
 	text, err := json.Marshal(file)
 	if err != nil {
-		return fmt.Errorf("encode the configuration of %s: %w", s.Name, err)
+		return fmt.Errorf("encode the configuration of server %s: %w", s.Name, err)
 	}
-	s.path = filepath.Join(s.folder, serverFileName)
-	return os.WriteFile(s.path, text, filePermissions)
+	s.configPath = filepath.Join(s.dir, serverFileName)
+	return os.WriteFile(s.configPath, text, filePermissions)
 }
 
-// prepareEnvironment writes the operator's file, if there is one, and returns the environment for the process.
+// prepareEnvironment writes the operator's file, if it has any content, and returns the environment
+// for the process.
 func (s *Server) prepareEnvironment() ([]string, error) {
-	env := append(os.Environ(), "RELAY_NAME="+s.Name, "RELAY_LISTEN="+s.Addr, "RELAY_CONFIG="+s.path)
+	env := append(os.Environ(), "RELAY_NAME="+s.Name, "RELAY_LISTEN="+s.Addr, "RELAY_CONFIG="+s.configPath)
 	text := s.config.OperatorFile
 	if s.config.Override != nil {
 		var extra []string
@@ -142,7 +147,7 @@
 	if text == "" {
 		return env, nil
 	}
-	path := filepath.Join(s.folder, operatorFileName)
+	path := filepath.Join(s.dir, operatorFileName)
 	if err := os.WriteFile(path, []byte(text), filePermissions); err != nil {
 		return nil, err
 	}
--- a/internal/bench/process/logfields.go
+++ b/internal/bench/process/logfields.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// statisticsMark is in the log lines with a server's statistics.
-const statisticsMark = "event=statistics "
+// statisticsMarker occurs in every log line with a server's statistics.
+const statisticsMarker = "event=statistics "
 
 // LogFields are the key=value fields of a log line.
 type LogFields map[string]string
 
-// ParseFields reads the fields of a log line; other words are skipped.
+// ParseFields returns the key=value fields of a log line and skips all other words.
 func ParseFields(line string) LogFields {
 	fields := LogFields{}
 	for _, word := range strings.Fields(line) {
@@ -22,7 +22,7 @@
 	return fields
 }
 
-// Number returns a field as a number, or 0 where it is absent or not a number.
+// Number returns the numeric value of a field, or 0 if the field is absent or not a number.
 func (f LogFields) Number(key string) float64 {
 	n, err := strconv.ParseFloat(f[key], 64)
 	if err != nil {
--- a/internal/bench/process/server.go
+++ b/internal/bench/process/server.go
@@ -1,7 +1,9 @@
-// Package process starts real servers as processes on loopback, each with fakes of the services that it talks to.
+// Package process starts real servers as processes on loopback, each with fakes of the services
+// that it depends on.
 //
-// The caller owns the servers that it starts and ends them with CloseAll. A Server's methods may be called from any
-// goroutine, except Restart, which must not run at the same time as any other method of that server.
+// The caller owns the servers that it starts and ends them with CloseAll. A Server's methods may be
+// called from any goroutine, except Restart, which must not run concurrently with any other method
+// of that server.
 package process
 
 import (
@@ -26,44 +28,45 @@
 	"swiftcourse/internal/fake/upstream"
 )
 
-// Server is one server process with its fakes.
+// Server is a server process with its fakes.
 type Server struct {
 	Name     string
 	Addr     string
 	Executor *executor.Server
-	Upstream *upstream.Server // nil where the server makes no upstream calls
+	Upstream *upstream.Server // nil if no upstream service is configured
 	Registry *registry.Server
 
 	config     Config
-	path       string // of the JSON configuration
-	folder     string // of the server's files
+	configPath string // path of the JSON configuration
+	dir        string // directory of the server's files
 	command    *exec.Cmd
-	exited     chan struct{} // closed once the process has ended and exitErr is set
+	exited     chan struct{} // closed after the process has ended and exitErr is set
 	exitErr    error
-	statistics chan LogFields // the latest statistics that Statistics has not returned
+	statistics chan LogFields // the latest statistics not yet returned by Statistics
 
 	mu        sync.Mutex
 	recentLog []string
 }
 
 const (
-	// timeout is how long a server may take to become healthy, to log its statistics or to drain.
-	timeout        = 20 * time.Second
-	healthTimeout  = time.Second
-	healthPoll     = 20 * time.Millisecond
-	folderPattern  = "swiftcourse-bench-"
-	maxLogLine     = 1 << 20
-	maxRecentLines = 20 // of the log, for the error of a server that ends unexpectedly
+	// serverTimeout bounds the time in which a server becomes healthy, logs its statistics or drains.
+	serverTimeout      = 20 * time.Second
+	healthTimeout      = time.Second
+	healthPollInterval = 20 * time.Millisecond
+	dirPattern         = "swiftcourse-bench-"
+	maxLogLineBytes    = 1 << 20
+	maxRecentLogLines  = 20 // latest log lines kept for error messages
 
-	// The fakes and the servers listen on different loopback addresses. Outgoing connections use 127.0.0.1, so none
-	// can take a port that freeAddress found free for a server.
+	// The fakes and the servers listen on different loopback addresses. Outgoing connections use
+	// 127.0.0.1, so none can take a port that freeAddress has chosen for a server.
 	executorAddress = "127.0.0.2:0"
 	registryAddress = "127.0.0.3:0"
 	upstreamAddress = "127.0.0.4:0"
 	serverAddress   = "127.0.0.9:0"
 )
 
-// Start starts n servers, named n1 and so on, and waits until they are healthy. It ends all of them on an error.
+// Start starts n servers, named n1, n2 and so on, and waits until they are healthy. On an error it
+// closes all of them.
 func Start(ctx context.Context, n int, config Config) (servers []*Server, err error) {
 	defer func() {
 		if err != nil {
@@ -88,12 +91,12 @@
 	return servers, nil
 }
 
-// Launch starts one server under a name and returns without waiting for it to become healthy.
+// Launch starts one server with the given name. It does not wait for the server to become healthy.
 func Launch(ctx context.Context, name string, config Config) (*Server, error) {
 	s := &Server{Name: name, config: config, statistics: make(chan LogFields, 1)}
 	if err := s.prepare(); err != nil {
 		s.close()
-		return nil, fmt.Errorf("prepare %s: %w", name, err)
+		return nil, fmt.Errorf("prepare server %s: %w", name, err)
 	}
 	if err := s.launch(ctx); err != nil {
 		s.close()
@@ -102,7 +105,7 @@
 	return s, nil
 }
 
-// prepare starts the fakes, chooses an address and writes the configuration.
+// prepare starts the fakes, chooses an address for the server and writes its configuration.
 func (s *Server) prepare() (err error) {
 	if s.Executor, err = executor.Start(executorAddress, s.config.executorConfig(s.Name)); err != nil {
 		return err
@@ -118,7 +121,7 @@
 	if s.Addr, err = freeAddress(); err != nil {
 		return err
 	}
-	if s.folder, err = os.MkdirTemp("", folderPattern); err != nil {
+	if s.dir, err = os.MkdirTemp("", dirPattern); err != nil {
 		return err
 	}
 	return s.writeServerFile()
@@ -138,42 +141,43 @@
 		return err
 	}
 	if err := startOnCPU(s.config.CPU, s.command.Start); err != nil {
-		return fmt.Errorf("%s: %w (make build makes it)", program, err)
+		return fmt.Errorf("start server %s from %s: %w (run make build to build it)", s.Name, program, err)
 	}
 	go s.readLog(s.command, s.exited, stderr)
 	return nil
 }
 
-// lowerDescriptorLimit lowers the process's descriptor limit while it serves, so that the limit in its configuration is
-// too high.
+// lowerDescriptorLimit sets the process's descriptor limit to ActualDescriptors, so that the limit
+// in the server's configuration is wrong.
 func (s *Server) lowerDescriptorLimit() error {
 	if s.config.ActualDescriptors <= 0 {
 		return nil
 	}
 	limit := unix.Rlimit{Cur: uint64(s.config.ActualDescriptors), Max: uint64(s.config.ActualDescriptors)}
 	if err := unix.Prlimit(s.command.Process.Pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
-		return fmt.Errorf("limit the descriptors of %s: %w", s.Name, err)
+		return fmt.Errorf("set the descriptor limit of server %s to %d: %w", s.Name, s.config.ActualDescriptors, err)
 	}
 	return nil
 }
 
-// Signal sends the process a signal.
+// Signal sends a signal to the process.
 func (s *Server) Signal(signal syscall.Signal) error { return s.command.Process.Signal(signal) }
 
 // Kill kills the process and waits until it has ended.
 func (s *Server) Kill() {
-	_ = s.command.Process.Kill() // fails only where the process has ended
+	_ = s.command.Process.Kill() // fails only if the process has ended
 	<-s.exited
 }
 
-// Restart starts the server again under its name and at its address, with none of its state. The process must have
-// ended.
+// Restart starts the server again with the same name and address, but without its state. The
+// previous process must have ended.
 func (s *Server) Restart(ctx context.Context) error { return s.launch(ctx) }
 
-// assignedAddresses holds what freeAddress returned, so that servers that start at once get different addresses.
+// assignedAddresses are the addresses that freeAddress has returned. A server may not have started
+// to listen on its address yet when the next one is chosen.
 var assignedAddresses sync.Map
 
-// freeAddress returns an address on which nobody listens.
+// freeAddress returns an address on which no process listens and that no server was given before.
 func freeAddress() (string, error) {
 	for {
 		listener, err := net.Listen("tcp", serverAddress)
@@ -188,10 +192,10 @@
 	}
 }
 
-// readLog reads the log until the process ends.
+// readLog reads the log until the process ends, and then sets exitErr and closes exited.
 func (s *Server) readLog(command *exec.Cmd, exited chan struct{}, stderr io.Reader) {
 	lines := bufio.NewScanner(stderr)
-	lines.Buffer(nil, maxLogLine)
+	lines.Buffer(nil, maxLogLineBytes)
 	for lines.Scan() {
 		s.handleLogLine(lines.Text())
 	}
@@ -199,7 +203,8 @@
 	close(exited)
 }
 
-// handleLogLine passes a line to the configured receivers and keeps it in the recent log.
+// handleLogLine passes a line to Config.Log and Config.OnLogLine, adds it to the recent log, and
+// parses it if it has statistics.
 func (s *Server) handleLogLine(line string) {
 	if s.config.Log != nil {
 		fmt.Fprintf(s.config.Log, "%s %s\n", s.Name, line)
@@ -208,18 +213,18 @@
 		s.config.OnLogLine(s.Name, line)
 	}
 	s.mu.Lock()
-	if len(s.recentLog) == maxRecentLines {
+	if len(s.recentLog) == maxRecentLogLines {
 		s.recentLog = s.recentLog[1:]
 	}
 	s.recentLog = append(s.recentLog, line)
 	s.mu.Unlock()
-	if strings.Contains(line, statisticsMark) {
+	if strings.Contains(line, statisticsMarker) {
 		s.discardStatistics()
 		s.statistics <- ParseFields(line)
 	}
 }
 
-// discardStatistics drops statistics that were logged before they were asked for.
+// discardStatistics drops statistics that have not been returned by Statistics.
 func (s *Server) discardStatistics() {
 	select {
 	case <-s.statistics:
@@ -227,43 +232,43 @@
 	}
 }
 
-// WaitHealthy waits until the server reports that it is healthy.
+// WaitHealthy waits until the server answers a health check as healthy.
 func (s *Server) WaitHealthy(ctx context.Context) error {
-	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); {
+	for deadline := time.Now().Add(serverTimeout); time.Now().Before(deadline); {
 		if balancer.IsHealthy(s.Addr, healthTimeout) {
 			return nil
 		}
 		select {
 		case <-s.exited:
-			return fmt.Errorf("%s ended before it was healthy: %w\n%s",
+			return fmt.Errorf("server %s exited before it was healthy: %w\n%s",
 				s.Name, errors.Join(s.exitErr, ctx.Err()), s.RecentLog())
-		case <-time.After(healthPoll):
+		case <-time.After(healthPollInterval):
 		}
 	}
-	return fmt.Errorf("%s was not healthy within %s\n%s", s.Name, timeout, s.RecentLog())
+	return fmt.Errorf("server %s did not become healthy within %s\n%s", s.Name, serverTimeout, s.RecentLog())
 }
 
-// RecentLog returns the latest lines of the server's log.
+// RecentLog returns the latest lines of the server's log, at most maxRecentLogLines.
 func (s *Server) RecentLog() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return strings.Join(s.recentLog, "\n")
 }
 
-// Statistics has the server log its statistics, by SIGUSR1, and returns them. They cover the time since the previous
-// ones.
+// Statistics makes the server log its statistics, with SIGUSR1, and returns them. They cover the
+// time since the previous statistics.
 func (s *Server) Statistics() (LogFields, error) {
 	s.discardStatistics()
 	if err := s.Signal(syscall.SIGUSR1); err != nil {
-		return nil, fmt.Errorf("ask %s for statistics: %w", s.Name, err)
+		return nil, fmt.Errorf("request statistics of server %s: %w", s.Name, err)
 	}
 	select {
 	case statistics := <-s.statistics:
 		return statistics, nil
 	case <-s.exited:
-		return nil, fmt.Errorf("%s ended: %w", s.Name, s.exitErr)
-	case <-time.After(timeout):
-		return nil, fmt.Errorf("%s logged no statistics within %s", s.Name, timeout)
+		return nil, fmt.Errorf("server %s exited before it logged its statistics: %w", s.Name, s.exitErr)
+	case <-time.After(serverTimeout):
+		return nil, fmt.Errorf("server %s logged no statistics within %s", s.Name, serverTimeout)
 	}
 }
 
@@ -277,18 +282,18 @@
 	}
 }
 
-// Drain sends SIGTERM, on which the server drains, and waits until the process ends. It returns how long that took, and
-// an error if the process failed or did not end in time.
+// Drain drains the server with SIGTERM and waits until the process exits. It returns the time that
+// this took, or an error if the process failed or did not exit in time.
 func (s *Server) Drain() (time.Duration, error) {
 	start := time.Now()
 	if err := s.Signal(syscall.SIGTERM); err != nil {
-		return 0, fmt.Errorf("drain %s: %w", s.Name, err)
+		return 0, fmt.Errorf("drain server %s: %w", s.Name, err)
 	}
 	select {
 	case <-s.exited:
 		return time.Since(start), s.exitErr
-	case <-time.After(timeout):
-		return 0, fmt.Errorf("%s did not end within %s", s.Name, timeout)
+	case <-time.After(serverTimeout):
+		return 0, fmt.Errorf("server %s did not exit within %s of SIGTERM", s.Name, serverTimeout)
 	}
 }
 
@@ -306,8 +311,8 @@
 	if s.Registry != nil {
 		s.Registry.Close()
 	}
-	if s.folder != "" {
-		_ = os.RemoveAll(s.folder)
+	if s.dir != "" {
+		_ = os.RemoveAll(s.dir)
 	}
 }
 
--- a/internal/bench/process/settings.go
+++ b/internal/bench/process/settings.go
@@ -4,8 +4,9 @@
 	"swiftcourse/internal/wire/simulator"
 )
 
-// BaseSettings returns the settings that the experiments share: what the simulator's contract states, deadline
-// propagation, and two gauges. Experiments add their capabilities, cores and idle timeout.
+// BaseSettings returns the settings common to the experiments: the values of the simulator's
+// contract, deadline propagation, and two gauges. Experiments change capabilities, cores and idle
+// timeout as they need.
 func BaseSettings(classes ...simulator.Class) simulator.Settings {
 	settings := simulator.Settings{Servers: 1, Classes: classes}
 	contract := &settings.Contract
@@ -24,15 +25,16 @@
 	return settings
 }
 
-// RunningGauges returns gauges for an executor of so many cores: the share of them that is busy, and the runs that
-// proceed.
+// RunningGauges returns the gauges of an executor with the given number of cores: the fraction of
+// cores that are busy, and the number of runs in execution.
 func RunningGauges(cores int) func(busy, waiting int) []float64 {
 	return func(busy, _ int) []float64 {
 		return []float64{float64(busy) / float64(cores), float64(busy)}
 	}
 }
 
-// RunnableGauges is like RunningGauges, but the second gauge counts the runs that wait for a core too.
+// RunnableGauges is like RunningGauges, but the second gauge includes the runs that wait for a
+// core.
 func RunnableGauges(cores int) func(busy, waiting int) []float64 {
 	return func(busy, waiting int) []float64 {
 		return []float64{float64(busy) / float64(cores), float64(busy + waiting)}
--- a/internal/bench/report/report_test.go
+++ b/internal/bench/report/report_test.go
@@ -14,7 +14,7 @@
 	}
 	want := "   name    n\n      a    1\n  bcdef  100\n"
 	if out.String() != want {
-		t.Errorf("%q, not %q", out.String(), want)
+		t.Errorf("got table %q, want %q", out.String(), want)
 	}
 }
 
@@ -37,7 +37,7 @@
 			}
 			text, err := os.ReadFile(path)
 			if err != nil || string(text) != test.want {
-				t.Errorf("%q %v", text, err)
+				t.Errorf("got file content %q and error %v, want content %q", text, err, test.want)
 			}
 		})
 	}
@@ -46,6 +46,6 @@
 func TestWriteJSON_ErrorNamesPath(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "missing", "rows.json")
 	if err := WriteJSON(path, []int{1}); err == nil || !strings.Contains(err.Error(), path) {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want one that contains %s", err, path)
 	}
 }
--- a/internal/bench/report/rollout.go
+++ b/internal/bench/report/rollout.go
@@ -4,26 +4,26 @@
 	"slices"
 )
 
-// RolloutCounts is what every experiment with rollouts counts, simulated or with processes. It is
-// embedded in their rows.
+// RolloutCounts are the counts common to all experiments with rollouts, both simulated and with
+// processes. It is embedded in their rows.
 type RolloutCounts struct {
 	Seed               uint64 `json:"seed"`
 	Servers            int    `json:"servers"`
 	Releases           int    `json:"releases"`
 	Faults             int    `json:"faults"`
-	ConflictingDigests int    `json:"epochs_with_two_digests"`
+	ConflictingDigests int    `json:"epochs_with_two_digests"` // epochs with more than one digest
 	ServedWhileEjected int    `json:"acted_while_shut_out"`
 }
 
-// CatchUpLatency is how long after a release to all the servers applied it, in milliseconds. It is
-// embedded in the rows of experiments with rollouts.
+// CatchUpLatency summarizes the times, in milliseconds, from a release to all servers until the
+// servers applied it. It is embedded in the rows of experiments with rollouts.
 type CatchUpLatency struct {
 	CatchUpP50 float64 `json:"catch_up_p50_ms"`
 	CatchUpP99 float64 `json:"catch_up_p99_ms"`
 	CatchUpMax float64 `json:"catch_up_max_ms"`
 }
 
-// NewCatchUpLatency sorts samples, in milliseconds, and returns their quantiles, zeros where there
+// NewCatchUpLatency sorts samples in milliseconds and returns their quantiles, or zeros if there
 // are no samples.
 func NewCatchUpLatency(samples []float64) CatchUpLatency {
 	slices.Sort(samples)
--- a/internal/bench/report/rollout_test.go
+++ b/internal/bench/report/rollout_test.go
@@ -4,7 +4,7 @@
 
 func TestNewCatchUpLatency(t *testing.T) {
 	if empty := NewCatchUpLatency(nil); empty != (CatchUpLatency{}) {
-		t.Errorf("without samples: %+v", empty)
+		t.Errorf("without samples: got %+v, want zeros", empty)
 	}
 	samples := make([]float64, 200)
 	for i := range samples {
@@ -12,6 +12,6 @@
 	}
 	want := CatchUpLatency{CatchUpP50: 101, CatchUpP99: 199, CatchUpMax: 200}
 	if got := NewCatchUpLatency(samples); got != want {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
--- a/internal/bench/timing/timing.go
+++ b/internal/bench/timing/timing.go
@@ -1,5 +1,5 @@
-// Package timing has the time helpers that the experiments share. Their plans and rows count float seconds, as the
-// command line and the reports do.
+// Package timing has time helpers for the experiments, whose plans and reports state durations as
+// floating-point seconds.
 package timing
 
 import (
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Seconds converts a number of seconds.
+// Seconds converts a number of seconds to a duration.
 func Seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
 
-// Sleep returns after the duration, or as soon as the context ends.
+// Sleep returns after the duration, or earlier if the context ends.
 func Sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-time.After(duration):
--- a/internal/bench/timing/timing_test.go
+++ b/internal/bench/timing/timing_test.go
@@ -15,7 +15,7 @@
 	}
 	for n, want := range tests {
 		if got := Seconds(n); got != want {
-			t.Errorf("%g seconds are %s, not %s", n, got, want)
+			t.Errorf("%g seconds: got %s, want %s", n, got, want)
 		}
 	}
 }
@@ -26,7 +26,7 @@
 	start := time.Now()
 	Sleep(ctx, time.Minute)
 	if slept := time.Since(start); slept > 10*time.Second {
-		t.Errorf("slept %s after the context ended", slept)
+		t.Errorf("slept %s with an ended context, want at most 10s", slept)
 	}
 }
 
@@ -35,6 +35,6 @@
 	start := time.Now()
 	Sleep(context.Background(), duration)
 	if slept := time.Since(start); slept < duration {
-		t.Errorf("slept %s, not %s", slept, duration)
+		t.Errorf("slept %s, want at least %s", slept, duration)
 	}
 }
