--- a/cmd/swiftcourse-bench/audit.go
+++ b/cmd/swiftcourse-bench/audit.go
@@ -8,20 +8,20 @@
 	"swiftcourse/internal/bench/rollouts"
 )
 
-// auditCommand compares the audit of a fleet of processes with its logs under faults.
+// auditCommand compares the audit of a fleet of processes with the servers' logs, under faults.
 type auditCommand struct {
 	serverFlags
 	logFlags
 	outputFlags
 	seedFlags
-	Servers int     `help:"Processes." default:"5"`
-	Seconds float64 `help:"How long releases and faults go on." default:"8"`
-	Rate    float64 `help:"Requests a second and server." default:"40"`
-	Faults  bool    `help:"Faults; --no-faults has releases alone." default:"true" negatable:""`
+	Servers int     `help:"Server processes." default:"5"`
+	Seconds float64 `help:"Seconds during which versions are released and faults are injected." default:"8"`
+	Rate    float64 `help:"Requests per second to each server." default:"40"`
+	Faults  bool    `help:"Inject faults; --no-faults only releases versions." default:"true" negatable:""`
 }
 
-// Run releases configurations to a fleet of processes under faults. Violations are printed but are
-// no error.
+// Run releases configurations to a fleet of processes under faults. It prints violations but
+// returns no error for them.
 func (c *auditCommand) Run(ctx context.Context) error {
 	if err := checkSeeds(c.Seeds, maxProcessSeeds); err != nil {
 		return err
@@ -48,7 +48,7 @@
 		return result, err
 	}
 	if violations := result.Violations(); violations > 0 {
-		fmt.Fprintf(os.Stderr, "seed %d: %d violations; to see it again: "+
+		fmt.Fprintf(os.Stderr, "seed %d: %d invariant violations; to reproduce: "+
 			"swiftcourse-bench audit --servers %d --seconds %g --seed %d --log\n",
 			seed, violations, c.Servers, c.Seconds, seed)
 	}
--- a/cmd/swiftcourse-bench/counts.go
+++ b/cmd/swiftcourse-bench/counts.go
@@ -6,16 +6,16 @@
 	"swiftcourse/internal/bench/simulation"
 )
 
-// countsCommand simulates the counters of a fleet.
+// countsCommand simulates the fleet-wide counters.
 type countsCommand struct {
 	outputFlags
 	seedFlags
-	Servers int     `help:"Servers." default:"20"`
-	Voters  int     `help:"Of these, voters." default:"5"`
-	Seconds float64 `help:"How long faults go on." default:"60"`
+	Servers int     `help:"Simulated servers." default:"20"`
+	Voters  int     `help:"Number of the servers that are voters." default:"5"`
+	Seconds float64 `help:"Simulated seconds during which faults are injected." default:"60"`
 }
 
-// Run simulates the counters of a fleet.
+// Run simulates the counters for each seed.
 func (c *countsCommand) Run(ctx context.Context) error {
 	if err := checkSeeds(c.Seeds, maxSimulatedSeeds); err != nil {
 		return err
--- a/cmd/swiftcourse-bench/demo.go
+++ b/cmd/swiftcourse-bench/demo.go
@@ -9,30 +9,30 @@
 	"swiftcourse/internal/bench/twolevel"
 )
 
-// demoCommand shows a server, or a fleet of two levels, at work.
+// demoCommand demonstrates a server or a two-level fleet.
 type demoCommand struct {
 	serverFlags
 	logFlags
 	outputFlags
-	Seconds float64 `help:"Seconds of each part." default:"10"`
-	Over    float64 `help:"What is asked in the second part, over what the cores can do." default:"1.5"`
-	Levels  bool    `help:"Instead, forwarders and planners while they are killed; half a minute."`
+	Seconds  float64 `help:"Duration of each of the two parts, in seconds." default:"10"`
+	Overload float64 `name:"over" help:"Load of the second part, as a multiple of the capacity." default:"1.5"`
+	TwoLevel bool    `name:"levels" help:"Run forwarders and planners that are killed instead; takes half a minute."`
 }
 
-// Run shows a server under normal load and overload, or a fleet of two levels.
+// Run runs a server under normal load and then overload, or a two-level fleet.
 func (c *demoCommand) Run(ctx context.Context) error {
-	if c.Levels {
+	if c.TwoLevel {
 		plan := &twolevel.Demo{Program: c.Server, Progress: os.Stdout, Log: c.writer()}
 		return plan.Run(ctx)
 	}
-	if c.Seconds < 0.5 || c.Seconds > 600 || c.Over <= 0 || c.Over > 20 {
-		return fmt.Errorf("--seconds %g --over %g: from 0.5 to 600 s, and over 0 and at most 20 times",
-			c.Seconds, c.Over)
+	if c.Seconds < 0.5 || c.Seconds > 600 || c.Overload <= 0 || c.Overload > 20 {
+		return fmt.Errorf("--seconds %g --over %g: must be from 0.5 to 600, and over 0 and at most 20",
+			c.Seconds, c.Overload)
 	}
 	plan := &demo.Plan{
 		Program:  c.Server,
 		Seconds:  c.Seconds,
-		Overload: c.Over,
+		Overload: c.Overload,
 		Progress: os.Stderr,
 		Log:      c.writer(),
 	}
--- a/cmd/swiftcourse-bench/door.go
+++ b/cmd/swiftcourse-bench/door.go
@@ -8,37 +8,38 @@
 	"swiftcourse/internal/bench/process"
 )
 
-// doorCommand floods a server with connections.
+// doorCommand floods a server with connections of untrusted clients.
 type doorCommand struct {
 	serverFlags
 	logFlags
 	outputFlags
-	Strangers float64 `help:"Untrusted clients a second; each does a health check and stays." default:"5000"`
-	Known     int     `help:"Trusted clients, whose requests finished before." default:"20"`
-	Seconds   float64 `help:"How long the untrusted clients come." default:"10"`
-	Sockets   int     `help:"Descriptors that the server is told." default:"128"`
-	Real      int     `help:"Descriptors that it really has, so that accept fails; 0 for as many as told." default:"0"`
-	Core      int     `help:"The server's core; -1 for any." default:"1"`
-	Restart   bool    `help:"A server of a fleet of three restarts among them, with replica-callers off and on."`
+	UntrustedRate float64 `name:"strangers" help:"Untrusted clients per second that stay connected." default:"5000"`
+	Trusted       int     `name:"known" help:"Trusted clients, which were served before the flood." default:"20"`
+	Seconds       float64 `help:"Duration of the flood, in seconds." default:"10"`
+	Descriptors   int     `name:"sockets" help:"Descriptor limit in the server's configuration." default:"128"`
+	// An ActualDescriptors below Descriptors makes the server's accept fail.
+	ActualDescriptors int  `name:"real" help:"Actual descriptor limit of the process; 0 for --sockets." default:"0"`
+	CPU               int  `name:"core" help:"CPU core of the server; -1 for any." default:"1"`
+	Restart           bool `help:"Restart one of three servers in the flood, with replica-callers off and on."`
 }
 
-// Run floods a server with connections of untrusted clients.
+// Run measures service to trusted clients during the flood.
 func (c *doorCommand) Run(ctx context.Context) error {
 	plan := &connflood.Plan{
 		Program:           c.Server,
-		UntrustedRate:     c.Strangers,
-		Trusted:           c.Known,
+		UntrustedRate:     c.UntrustedRate,
+		Trusted:           c.Trusted,
 		Seconds:           c.Seconds,
-		Descriptors:       c.Sockets,
-		ActualDescriptors: c.Real,
-		CPU:               c.Core,
+		Descriptors:       c.Descriptors,
+		ActualDescriptors: c.ActualDescriptors,
+		CPU:               c.CPU,
 		Progress:          os.Stderr,
 		Log:               c.writer(),
 	}
 	if err := plan.Validate(); err != nil {
 		return err
 	}
-	if err := process.AvoidCPU(c.Core); err != nil {
+	if err := process.AvoidCPU(c.CPU); err != nil {
 		return err
 	}
 	if c.Restart {
--- a/cmd/swiftcourse-bench/emulate.go
+++ b/cmd/swiftcourse-bench/emulate.go
@@ -10,15 +10,15 @@
 	"swiftcourse/internal/bench/simulation"
 )
 
-// emulateCommand simulates a scenario of requests and failures.
+// emulateCommand simulates a fleet with the requests and failures of a scenario.
 type emulateCommand struct {
-	Scenario string `arg:"" optional:"" help:"The scenario, in JSON; without one, an example with faults." type:"path"`
-	Seed     uint64 `help:"The seed, instead of the scenario's; 0 for that."`
-	Seeds    int    `help:"How many seeds are run, one after the other." default:"1"`
-	JSON     string `name:"json" help:"File for the reports, as an array." type:"path"`
+	Scenario string `arg:"" optional:"" help:"JSON file of the scenario; default: an example with faults." type:"path"`
+	Seed     uint64 `help:"Seed that replaces the scenario's; 0 to use the scenario's."`
+	Seeds    int    `help:"Number of consecutive seeds to run." default:"1"`
+	JSON     string `name:"json" help:"File to which the reports are written, as a JSON array." type:"path"`
 }
 
-// Run simulates a scenario for each seed.
+// Run simulates the scenario for each seed.
 func (c *emulateCommand) Run(ctx context.Context) error {
 	if err := checkSeeds(c.Seeds, maxProcessSeeds); err != nil {
 		return err
@@ -47,7 +47,7 @@
 		}
 	}
 	if violations > 0 {
-		return fmt.Errorf("%d rules broken", violations)
+		return fmt.Errorf("%d invariant violations over all seeds", violations)
 	}
 	return nil
 }
@@ -70,8 +70,8 @@
 	return scenario, nil
 }
 
-// simulateAndPrint runs a scenario once. The report goes to standard output, which is the same for
-// the same seed; the speed of the simulation goes to standard error.
+// simulateAndPrint runs a scenario once. It writes the report to standard output, which depends
+// only on the scenario and its seed, and the speed of the simulation to standard error.
 func simulateAndPrint(scenario *simulation.Scenario) (simulation.Report, error) {
 	started := time.Now()
 	result := simulation.Run(scenario)
@@ -79,12 +79,12 @@
 	if err := writeRows(outputFlags{}, simulation.ClassColumns, result.Rows, nil); err != nil {
 		return result, err
 	}
-	fmt.Printf("seed %d: %d runs, %.3f of the work for nobody, %d rules broken\n",
+	fmt.Printf("seed %d: %d runs, %.3f of the work wasted, %d invariant violations\n",
 		result.Seed, result.Runs, result.WastedShare, result.ViolationCount)
 	for _, violation := range result.Violations {
 		fmt.Println("  " + violation)
 	}
-	fmt.Fprintf(os.Stderr, "%d events in %.2f s: %.1f simulated seconds a second\n",
+	fmt.Fprintf(os.Stderr, "%d events in %.2f s: %.1f simulated seconds per second\n",
 		result.Events, elapsed, scenario.Seconds/elapsed)
 	return result, nil
 }
--- a/cmd/swiftcourse-bench/flags.go
+++ b/cmd/swiftcourse-bench/flags.go
@@ -6,17 +6,17 @@
 	"os"
 )
 
-// serverFlags name the program under test.
+// serverFlags select the server binary under test.
 type serverFlags struct {
-	Server string `help:"The server's program." default:"bin/swiftcourse" type:"path"`
+	Server string `help:"Path of the server binary." default:"bin/swiftcourse" type:"path"`
 }
 
-// logFlags choose whether the logs of the processes under test are shown.
+// logFlags select whether the logs of the processes under test are shown.
 type logFlags struct {
-	Log bool `help:"Show the logs of the processes too."`
+	Log bool `help:"Write the logs of the processes to standard error."`
 }
 
-// writer returns where the logs go, nil for nowhere.
+// writer returns the destination of the logs, or nil to discard them.
 func (f logFlags) writer() io.Writer {
 	if f.Log {
 		return os.Stderr
@@ -24,28 +24,28 @@
 	return nil
 }
 
-// outputFlags choose where rows go beside the table.
+// outputFlags select the output in addition to the table on standard output.
 type outputFlags struct {
-	JSON string `name:"json" help:"File for the rows, as an array." type:"path"`
+	JSON string `name:"json" help:"File to which the rows are written, as a JSON array." type:"path"`
 }
 
-// seedFlags choose the seeds of an experiment.
+// seedFlags select the seeds of an experiment.
 type seedFlags struct {
-	Seed  uint64 `help:"The first seed." default:"1"`
-	Seeds int    `help:"How many seeds are run, one after the other." default:"1"`
+	Seed  uint64 `help:"First seed." default:"1"`
+	Seeds int    `help:"Number of consecutive seeds to run." default:"1"`
 }
 
 const (
-	// maxProcessSeeds bounds the seeds of experiments with real processes.
+	// maxProcessSeeds bounds the number of seeds of an experiment with real processes.
 	maxProcessSeeds = 1000
-	// maxSimulatedSeeds bounds the seeds of experiments in simulated time.
+	// maxSimulatedSeeds bounds the number of seeds of a simulation.
 	maxSimulatedSeeds = 10_000
 )
 
-// checkSeeds returns an error if the number of seeds is not from 1 to limit.
+// checkSeeds returns an error unless the number of seeds is from 1 to limit.
 func checkSeeds(seeds, limit int) error {
 	if seeds < 1 || seeds > limit {
-		return fmt.Errorf("--seeds %d: from 1 to %d", seeds, limit)
+		return fmt.Errorf("--seeds %d: must be from 1 to %d", seeds, limit)
 	}
 	return nil
 }
--- a/cmd/swiftcourse-bench/fleet.go
+++ b/cmd/swiftcourse-bench/fleet.go
@@ -6,22 +6,22 @@
 	"swiftcourse/internal/bench/twolevel"
 )
 
-// fleetCommand runs a fleet of two levels as processes.
+// fleetCommand runs a two-level fleet of forwarders and workers, with planners, as processes.
 type fleetCommand struct {
 	serverFlags
 	logFlags
 	outputFlags
 	seedFlags
-	Forwarders int     `help:"Forwarders." default:"3"`
-	Planners   int     `help:"Planners." default:"3"`
-	Workers    int     `help:"Workers." default:"4"`
-	Seconds    float64 `help:"How long each of the three runs of a seed is." default:"12"`
-	KillEvery  float64 `help:"Seconds between two kills." default:"2"`
-	Load       float64 `help:"Requested load, over what the workers can do." default:"0.8"`
-	Crowd      int     `help:"Idle connections at a forwarder whose memory is measured; 0 for none." default:"0"`
+	Forwarders   int     `help:"Forwarder processes." default:"3"`
+	Planners     int     `help:"Planner processes." default:"3"`
+	Workers      int     `help:"Worker processes." default:"4"`
+	Seconds      float64 `help:"Seconds of each of the three runs per seed." default:"12"`
+	KillInterval float64 `name:"kill-every" help:"Seconds between two kills of planners." default:"2"`
+	Load         float64 `help:"Load, as a multiple of the workers' capacity." default:"0.8"`
+	IdleConns    int     `name:"crowd" help:"Idle connections whose memory at a forwarder is measured." default:"0"`
 }
 
-// Run runs a fleet of two levels while planners are killed.
+// Run runs a two-level fleet while planners are killed.
 func (c *fleetCommand) Run(ctx context.Context) error {
 	return runAndWrite(ctx, c.seedFlags, c.outputFlags, twolevel.Columns, func(seed uint64) (twolevel.Row, error) {
 		plan := &twolevel.Plan{
@@ -30,9 +30,9 @@
 			Planners:     c.Planners,
 			Workers:      c.Workers,
 			Seconds:      c.Seconds,
-			KillInterval: c.KillEvery,
+			KillInterval: c.KillInterval,
 			Load:         c.Load,
-			IdleConns:    c.Crowd,
+			IdleConns:    c.IdleConns,
 			Seed:         seed,
 			Log:          c.writer(),
 		}
--- a/cmd/swiftcourse-bench/hold.go
+++ b/cmd/swiftcourse-bench/hold.go
@@ -6,14 +6,15 @@
 	"swiftcourse/internal/bench/idleconns"
 )
 
-// holdCommand is started by the idle experiment: a process that holds idle connections.
+// holdCommand is the command of a process that holds idle connections, which the experiment with
+// idle connections starts.
 type holdCommand struct {
-	Addr  string `arg:""` // of the server
-	N     int    `arg:""` // connections to hold
-	Heeds bool   // close a connection when the server asks for it
+	Addr        string `arg:"" name:"addr"` // of the server
+	Connections int    `arg:"" name:"n"`    // number of connections
+	HonorClose  bool   `name:"heeds"`       // close a connection on a go-away message
 }
 
 // Run holds connections until its standard input ends.
 func (c *holdCommand) Run() error {
-	return idleconns.ServeHolder(os.Stdin, os.Stdout, c.Addr, c.N, c.Heeds)
+	return idleconns.ServeHolder(os.Stdin, os.Stdout, c.Addr, c.Connections, c.HonorClose)
 }
--- a/cmd/swiftcourse-bench/idle.go
+++ b/cmd/swiftcourse-bench/idle.go
@@ -10,25 +10,26 @@
 	"swiftcourse/internal/bench/process"
 )
 
-// benchGCPercent keeps pauses of the load generator rare: they would be taken for the servers'.
+// benchGCPercent makes garbage collections of this process rare, because their pauses would be
+// measured as latency of the servers.
 const benchGCPercent = 400
 
 // idleCommand measures the cost of idle connections.
 type idleCommand struct {
 	serverFlags
 	outputFlags
-	Connections []int         `help:"Numbers of idle connections, a row each." default:"0,1000,10000"`
-	Servers     int           `help:"Server processes to spread them over." default:"1"`
-	Rate        float64       `help:"Busy requests a second, over all servers." default:"1000"`
-	Busy        int           `help:"Busy connections to each server." default:"8"`
-	Checks      bool          `help:"Busy calls are health checks instead of requests."`
-	Seconds     float64       `help:"Seconds of each measurement." default:"2"`
-	Rounds      int           `help:"How often both are measured, in turns; the median ratio counts." default:"5"`
-	Core        int           `help:"The core that all servers share; -1 for any." default:"1"`
-	Expire      bool          `help:"Have all idle connections time out in the same instant."`
-	Silent      time.Duration `help:"With --expire: how long a connection may be idle." default:"6s"`
-	Heeds       bool          `help:"With --expire: peers close when asked to." default:"true" negatable:""`
-	Counts      bool          `help:"Ask servers for statistics by SIGUSR1." default:"true" negatable:""`
+	Connections  []int         `help:"Numbers of idle connections; each gives a row." default:"0,1000,10000"`
+	Servers      int           `help:"Server processes, over which the connections are spread." default:"1"`
+	Rate         float64       `help:"Requests per second on the busy connections, over all servers." default:"1000"`
+	Busy         int           `help:"Busy connections to each server." default:"8"`
+	HealthChecks bool          `name:"checks" help:"Send health checks instead of requests on the busy connections."`
+	Seconds      float64       `help:"Duration of each measurement, in seconds." default:"2"`
+	Rounds       int           `help:"Measurement pairs without and with idle connections; medians count." default:"5"`
+	CPU          int           `name:"core" help:"CPU core that all servers run on; -1 for any." default:"1"`
+	MassExpiry   bool          `name:"expire" help:"Measure the effect of all idle timeouts at the same time."`
+	IdleTimeout  time.Duration `name:"silent" help:"Idle timeout of connections, with --expire." default:"6s"`
+	HonorClose   bool          `name:"heeds" help:"Idle clients close on go-away messages." default:"true" negatable:""`
+	Statistics   bool          `name:"counts" help:"Read server statistics with SIGUSR1." default:"true" negatable:""`
 }
 
 // Run measures the cost of idle connections.
@@ -38,24 +39,24 @@
 		Connections:  c.Connections,
 		Servers:      c.Servers,
 		Rate:         c.Rate,
-		Busy:         c.Busy,
+		BusyConns:    c.Busy,
 		Seconds:      c.Seconds,
 		Rounds:       c.Rounds,
-		CPU:          c.Core,
-		Statistics:   c.Counts,
-		HealthChecks: c.Checks,
-		IdleTimeout:  c.Silent,
-		HonorClose:   c.Heeds,
+		CPU:          c.CPU,
+		Statistics:   c.Statistics,
+		HealthChecks: c.HealthChecks,
+		IdleTimeout:  c.IdleTimeout,
+		HonorClose:   c.HonorClose,
 		Progress:     os.Stderr,
 	}
 	if err := plan.Validate(); err != nil {
 		return err
 	}
-	if err := process.AvoidCPU(c.Core); err != nil {
+	if err := process.AvoidCPU(c.CPU); err != nil {
 		return err
 	}
 	debug.SetGCPercent(benchGCPercent)
-	if c.Expire {
+	if c.MassExpiry {
 		phases, err := idleconns.RunExpiry(ctx, plan)
 		return writeRows(c.outputFlags, idleconns.PhaseColumns, phases, err)
 	}
--- a/cmd/swiftcourse-bench/main.go
+++ b/cmd/swiftcourse-bench/main.go
@@ -1,5 +1,5 @@
-// Command swiftcourse-bench is the project's test bench: it starts the real server with fakes of
-// everything it talks to, on loopback, or simulates a fleet, and reports what it measured.
+// Command swiftcourse-bench runs the project's experiments. It starts real servers on loopback,
+// with fakes of all services that they depend on, or simulates a fleet, and reports measurements.
 package main
 
 import (
@@ -12,22 +12,22 @@
 	"github.com/alecthomas/kong"
 )
 
-// program is the command line: one field per command, each in a file of its own.
+// program is the command line. It has one field per command.
 type program struct {
-	Demo    demoCommand    `cmd:"" help:"The real server at work: normal load, then overload."`
-	Idle    idleCommand    `cmd:"" help:"What idle connections cost, and how they affect the busy ones."`
-	Door    doorCommand    `cmd:"" help:"How trusted clients fare while untrusted ones take every descriptor."`
-	Emulate emulateCommand `cmd:"" help:"A fleet in simulated time, with failures from a scenario."`
-	Audit   auditCommand   `cmd:"" help:"A fleet's rollouts under faults: the audit compared with the logs."`
-	Version versionCommand `cmd:"" name:"versions" help:"A fleet's rollouts in simulated time, at large size."`
-	Replica replicaCommand `cmd:"" help:"Keys claimed by several servers while they are killed and partitioned."`
-	Counts  countsCommand  `cmd:"" help:"What all servers count, in simulated time, compared with the truth."`
-	Fleet   fleetCommand   `cmd:"" help:"Forwarders, planners and workers as processes, while planners are killed."`
-	Levels  levelsCommand  `cmd:"" help:"Forwarders, planners and workers in simulated time, at large size."`
-	Shared  sharedCommand  `cmd:"" help:"A quota that all servers share, while demand shifts and under faults."`
-	Upgrade upgradeCommand `cmd:"" help:"Two builds in one fleet: servers replaced one by one, forwarders mixed."`
-	Ready   readyCommand   `cmd:"" help:"How long restarted servers take to serve and to be listed."`
-	Hold    holdCommand    `cmd:"" hidden:""`
+	Demo    demoCommand     `cmd:"" help:"Run the real server under normal load and then under overload."`
+	Idle    idleCommand     `cmd:"" help:"Measure the cost of idle connections and their effect on busy ones."`
+	Door    doorCommand     `cmd:"" help:"Measure trusted clients while untrusted ones use up all descriptors."`
+	Emulate emulateCommand  `cmd:"" help:"Simulate a fleet, with failures from a scenario."`
+	Audit   auditCommand    `cmd:"" help:"Compare the audit of rollouts under faults with the servers' logs."`
+	Version versionsCommand `cmd:"" name:"versions" help:"Simulate rollouts in a large fleet."`
+	Replica replicaCommand  `cmd:"" help:"Check claims of keys by several servers that are killed and partitioned."`
+	Counts  countsCommand   `cmd:"" help:"Simulate the fleet-wide counters and compare them with the exact counts."`
+	Fleet   fleetCommand    `cmd:"" help:"Run forwarders, planners and workers as processes while planners are killed."`
+	Levels  levelsCommand   `cmd:"" help:"Simulate a large fleet of forwarders, planners and workers."`
+	Shared  sharedCommand   `cmd:"" help:"Check a quota that all servers share, while demand shifts and under faults."`
+	Upgrade upgradeCommand  `cmd:"" help:"Run two builds in one fleet: rolling replacement, then mixed levels."`
+	Ready   readyCommand    `cmd:"" help:"Measure how long restarted servers take to become healthy and listed."`
+	Hold    holdCommand     `cmd:"" hidden:""`
 }
 
 func main() {
--- a/cmd/swiftcourse-bench/ready.go
+++ b/cmd/swiftcourse-bench/ready.go
@@ -2,32 +2,33 @@
 
 import (
 	"context"
-	"errors"
+	"fmt"
 	"os"
 	"time"
 
 	"swiftcourse/internal/bench/readiness"
 )
 
-// readyCommand measures how long restarted servers take to become ready.
+// readyCommand measures how long restarted servers take to become healthy and listed.
 type readyCommand struct {
 	serverFlags
 	outputFlags
-	Servers int           `help:"Servers that restart together." default:"30"`
-	Rounds  int           `help:"How often, for each case." default:"5"`
-	Late    time.Duration `help:"How long after the start the late dependency is there." default:"5s"`
+	Servers int           `help:"Servers, which restart at the same time." default:"30"`
+	Rounds  int           `help:"Restarts for each set of late dependencies." default:"5"`
+	Delay   time.Duration `name:"late" help:"Time from the servers' start until late dependencies start." default:"5s"`
 }
 
-// Run measures how long restarted servers take to become ready.
+// Run measures how long restarted servers take with different late dependencies.
 func (c *readyCommand) Run(ctx context.Context) error {
-	if c.Servers < 1 || c.Servers > 200 || c.Rounds < 1 || c.Rounds > 100 || c.Late <= 0 || c.Late > 20*time.Second {
-		return errors.New("servers are 1 to 200, rounds 1 to 100, late over 0 and up to 20s")
+	if c.Servers < 1 || c.Servers > 200 || c.Rounds < 1 || c.Rounds > 100 || c.Delay <= 0 || c.Delay > 20*time.Second {
+		return fmt.Errorf("--servers %d --rounds %d --late %s: "+
+			"must be from 1 to 200, from 1 to 100, and over 0s and at most 20s", c.Servers, c.Rounds, c.Delay)
 	}
 	plan := &readiness.Plan{
 		Program:  c.Server,
 		Servers:  c.Servers,
 		Rounds:   c.Rounds,
-		Delay:    c.Late,
+		Delay:    c.Delay,
 		Progress: os.Stderr,
 	}
 	rows, err := plan.Run(ctx)
--- a/cmd/swiftcourse-bench/replica.go
+++ b/cmd/swiftcourse-bench/replica.go
@@ -8,23 +8,23 @@
 	"swiftcourse/internal/bench/keyclaims"
 )
 
-// replicaCommand has processes claim keys under faults.
+// replicaCommand measures claims of idempotency keys by server processes under faults.
 type replicaCommand struct {
 	serverFlags
 	logFlags
 	outputFlags
 	seedFlags
-	Servers int     `help:"Processes; all of them are replicas." default:"5"`
-	Copies  int     `help:"Replicas of each key." default:"3"`
-	Kills   int     `help:"Kills, each with a restart." default:"5"`
-	Seconds float64 `help:"How long faults go on." default:"10"`
-	Rate    float64 `help:"Attempts a second, over all servers." default:"60"`
-	Faults  bool    `help:"Pauses, partitions and losses too; --no-faults has kills alone." default:"true" negatable:""`
-	Points  bool    `help:"Two servers crash again and again at trace points that the seed draws."`
-	Cost    bool    `help:"Measure first what claims add to latency."`
+	Servers           int     `help:"Server processes, all of them replicas." default:"5"`
+	ReplicationFactor int     `name:"copies" help:"Replicas of each key." default:"3"`
+	Kills             int     `help:"Kills, each followed by a restart." default:"5"`
+	Seconds           float64 `help:"Seconds during which faults are injected." default:"10"`
+	Rate              float64 `help:"Attempts per second, over all servers." default:"60"`
+	Faults            bool    `help:"Inject pauses, partitions and loss, not only kills." default:"true" negatable:""`
+	CrashPoints       bool    `name:"points" help:"Two servers crash repeatedly, at trace points drawn from the seed."`
+	MeasureCost       bool    `name:"cost" help:"First measure the latency that claims add to a request."`
 }
 
-// Run sends attempts of the same keys to several servers under faults.
+// Run sends attempts with the same keys to several servers under faults.
 func (c *replicaCommand) Run(ctx context.Context) error {
 	if err := checkSeeds(c.Seeds, maxProcessSeeds); err != nil {
 		return err
@@ -40,13 +40,13 @@
 	plan := &keyclaims.Plan{
 		Program:           c.Server,
 		Servers:           c.Servers,
-		ReplicationFactor: c.Copies,
+		ReplicationFactor: c.ReplicationFactor,
 		Kills:             c.Kills,
 		Seconds:           c.Seconds,
 		Seed:              seed,
 		KillsOnly:         !c.Faults,
-		CrashPoints:       c.Points,
-		MeasureCost:       c.Cost,
+		CrashPoints:       c.CrashPoints,
+		MeasureCost:       c.MeasureCost,
 		AttemptRate:       c.Rate,
 		Log:               c.writer(),
 	}
@@ -58,9 +58,9 @@
 		return result, err
 	}
 	if violations := result.Violations(); violations > 0 {
-		fmt.Fprintf(os.Stderr, "seed %d: %d violations; to see it again: "+
+		fmt.Fprintf(os.Stderr, "seed %d: %d invariant violations; to reproduce: "+
 			"swiftcourse-bench replica --servers %d --copies %d --kills %d --seconds %g --seed %d --log\n",
-			seed, violations, c.Servers, c.Copies, c.Kills, c.Seconds, seed)
+			seed, violations, c.Servers, c.ReplicationFactor, c.Kills, c.Seconds, seed)
 	}
 	return result, nil
 }
--- a/cmd/swiftcourse-bench/rows.go
+++ b/cmd/swiftcourse-bench/rows.go
@@ -13,18 +13,18 @@
 	Cells() []string
 }
 
-// seedRow is the result of one seed, which counts its violations.
+// seedRow is the result of an experiment with one seed.
 type seedRow interface {
 	row
-	Violations() int
+	Violations() int // number of violated invariants
 }
 
-// writeRows prints the table and writes the JSON file if one is asked for, also of an experiment that
-// ended early with err. It returns err, or the first error of its own if err is nil.
+// writeRows prints the table and, if output.JSON is set, writes the JSON file, even if the
+// experiment ended early with err. It returns err, or if that is nil, the first error of its own.
 func writeRows[R row](output outputFlags, columns []string, rows []R, err error) error {
 	cells := make([][]string, 0, len(rows))
-	for _, one := range rows {
-		cells = append(cells, one.Cells())
+	for _, r := range rows {
+		cells = append(cells, r.Cells())
 	}
 	if tableErr := report.WriteTable(os.Stdout, columns, cells); err == nil {
 		err = tableErr
@@ -38,8 +38,8 @@
 	return err
 }
 
-// runSeeds runs an experiment for each seed and returns the rows of those that ended without an
-// error. It stops after the seed at which the context ended.
+// runSeeds runs an experiment for each seed and returns their rows. It stops at the first error,
+// and after the seed during which the context ended.
 func runSeeds[R seedRow](ctx context.Context, seeds seedFlags, run func(seed uint64) (R, error)) ([]R, error) {
 	var rows []R
 	for i := range seeds.Seeds {
@@ -55,20 +55,20 @@
 	return rows, nil
 }
 
-// violationError returns an error if any row has violations.
+// violationError returns an error if any row has violated invariants.
 func violationError[R seedRow](rows []R) error {
 	violations := 0
-	for _, one := range rows {
-		violations += one.Violations()
+	for _, r := range rows {
+		violations += r.Violations()
 	}
 	if violations > 0 {
-		return fmt.Errorf("%d violations", violations)
+		return fmt.Errorf("%d invariant violations over all seeds", violations)
 	}
 	return nil
 }
 
-// runAndWrite runs all seeds, prints their rows, and returns an error if there are violations.
-// Nothing is printed if a seed could not be run.
+// runAndWrite runs all seeds, writes their rows, and returns an error if there are violations. If
+// the experiment fails for a seed, no rows are written.
 func runAndWrite[R seedRow](ctx context.Context, seeds seedFlags, output outputFlags, columns []string,
 	run func(seed uint64) (R, error)) error {
 	rows, err := runSeeds(ctx, seeds, run)
--- a/cmd/swiftcourse-bench/rows_test.go
+++ b/cmd/swiftcourse-bench/rows_test.go
@@ -29,7 +29,7 @@
 		{"quotas", quotas.Columns, quotas.Row{}},
 	} {
 		if got := len(c.row.Cells()); got != len(c.columns) {
-			t.Errorf("%s: %d cells for %d columns", c.name, got, len(c.columns))
+			t.Errorf("%s: got %d cells, want %d, one per column", c.name, got, len(c.columns))
 		}
 	}
 }
@@ -40,13 +40,13 @@
 		valid bool
 	}{{0, false}, {1, true}, {1000, true}, {1001, false}, {-1, false}} {
 		if err := checkSeeds(c.seeds, maxProcessSeeds); (err == nil) != c.valid {
-			t.Errorf("%d seeds: %v", c.seeds, err)
+			t.Errorf("%d seeds: got error %v, want valid %t", c.seeds, err, c.valid)
 		}
 	}
 }
 
-func TestRunSeeds_ReturnsRowsBeforeAnError(t *testing.T) {
-	failure := errors.New("no fleet")
+func TestRunSeeds_ReturnsRowsOnError(t *testing.T) {
+	failure := errors.New("fleet did not start")
 	run := func(seed uint64) (simulation.CounterRow, error) {
 		if seed == 7 {
 			return simulation.CounterRow{}, failure
@@ -55,11 +55,11 @@
 	}
 	rows, err := runSeeds(context.Background(), seedFlags{Seed: 5, Seeds: 4}, run)
 	if !errors.Is(err, failure) || len(rows) != 2 || rows[0].Seed != 5 || rows[1].Seed != 6 {
-		t.Errorf("%+v, %v", rows, err)
+		t.Errorf("got rows %+v and error %v, want the rows of seeds 5 and 6 and error %v", rows, err, failure)
 	}
 }
 
-func TestRunSeeds_StopsAtTheEndOfTheContext(t *testing.T) {
+func TestRunSeeds_StopsWhenContextEnds(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	rows, err := runSeeds(ctx, seedFlags{Seed: 1, Seeds: 9}, func(seed uint64) (simulation.CounterRow, error) {
 		if seed == 2 {
@@ -68,27 +68,27 @@
 		return simulation.CounterRow{Seed: seed}, nil
 	})
 	if err != nil || len(rows) != 2 {
-		t.Errorf("%+v, %v", rows, err)
+		t.Errorf("got rows %+v and error %v, want 2 rows and no error", rows, err)
 	}
 }
 
 func TestViolationError(t *testing.T) {
 	if err := violationError([]simulation.CounterRow{{}, {}}); err != nil {
-		t.Errorf("without violations: %v", err)
+		t.Errorf("rows without violations: got error %v, want none", err)
 	}
 	if err := violationError([]simulation.CounterRow{{}, {Overcount: 3}}); err == nil {
-		t.Error("a violation is no error")
+		t.Error("a row with violations: got no error")
 	}
 }
 
-func TestWriteRows_KeepsTheFirstErrorAndWritesTheFile(t *testing.T) {
-	failure := errors.New("cut short")
+func TestWriteRows_ReturnsExperimentErrorAndWritesFile(t *testing.T) {
+	failure := errors.New("experiment ended early")
 	path := filepath.Join(t.TempDir(), "rows.json")
 	rows := []simulation.CounterRow{{Seed: 3}}
 	if err := writeRows(outputFlags{JSON: path}, simulation.CounterColumns, rows, failure); !errors.Is(err, failure) {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want %v", err, failure)
 	}
 	if text, err := os.ReadFile(path); err != nil || len(text) == 0 {
-		t.Errorf("%q, %v", text, err)
+		t.Errorf("JSON file: got content %q and error %v, want rows", text, err)
 	}
 }
--- a/cmd/swiftcourse-bench/shared.go
+++ b/cmd/swiftcourse-bench/shared.go
@@ -7,21 +7,21 @@
 	"swiftcourse/internal/bench/simulation"
 )
 
-// faultFromSeed is the value of --fault that draws all kinds of faults.
+// faultFromSeed is the value of --fault with which faults of all kinds are drawn from the seed.
 const faultFromSeed = "seed"
 
-// sharedCommand shares a quota among simulated servers or processes.
+// sharedCommand runs a fleet whose servers, simulated or processes, share a quota.
 type sharedCommand struct {
 	outputFlags
 	seedFlags
-	Program string  `name:"server" help:"The server's program, to run processes; at most 30 servers." type:"path"`
+	Program string  `name:"server" help:"Path of the server binary, to run up to 30 processes instead." type:"path"`
 	Fault   string  `help:"With --server: kill, leader, stop, cut, one-way, loss, jump, voters or seed." default:"seed"`
-	Servers int     `help:"Servers." default:"100"`
-	Voters  int     `help:"Of these, voters." default:"5"`
-	Seconds float64 `help:"How long faults go on." default:"60"`
+	Servers int     `help:"Servers of the fleet." default:"100"`
+	Voters  int     `help:"Number of the servers that are voters, without --server." default:"5"`
+	Seconds float64 `help:"Seconds during which faults are injected." default:"60"`
 }
 
-// Run shares a quota among simulated servers, or among processes where a program is given.
+// Run runs the experiment with processes if --server is given, and a simulation otherwise.
 func (c *sharedCommand) Run(ctx context.Context) error {
 	if err := checkSeeds(c.Seeds, maxSimulatedSeeds); err != nil {
 		return err
--- a/cmd/swiftcourse-bench/upgrade.go
+++ b/cmd/swiftcourse-bench/upgrade.go
@@ -7,19 +7,19 @@
 	"swiftcourse/internal/bench/twolevel"
 )
 
-// upgradeCommand runs two builds of the program in one fleet.
+// upgradeCommand runs two builds of the server in one fleet.
 type upgradeCommand struct {
 	serverFlags
 	logFlags
 	seedFlags
-	Old     string  `help:"The server's program of the earlier build." required:"" type:"path"`
-	Servers int     `help:"Processes, replaced one by one." default:"5"`
-	Rate    float64 `help:"Requests a second and server." default:"20"`
-	Seconds float64 `help:"How long each mix of forwarders and planners has load." default:"10"`
+	OldServer string  `name:"old" help:"Path of the server binary of the earlier build." required:"" type:"path"`
+	Servers   int     `help:"Server processes, which are replaced one by one." default:"5"`
+	Rate      float64 `help:"Requests per second to each server." default:"20"`
+	Seconds   float64 `help:"Seconds of load for each mix of builds." default:"10"`
 }
 
-// Run replaces the servers of a fleet one by one, then runs forwarders of one build with planners and
-// workers of the other, both ways.
+// Run replaces the servers of a fleet one by one. It then runs forwarders of each build with
+// planners and workers of the other build.
 func (c *upgradeCommand) Run(ctx context.Context) error {
 	if err := checkSeeds(c.Seeds, maxProcessSeeds); err != nil {
 		return err
@@ -29,8 +29,8 @@
 		return err
 	}
 	for _, plan := range []twolevel.MixedPlan{
-		{Direction: "old-forwarders", ForwarderProgram: c.Old, OtherProgram: c.Server},
-		{Direction: "new-forwarders", ForwarderProgram: c.Server, OtherProgram: c.Old},
+		{Direction: "old-forwarders", ForwarderProgram: c.OldServer, OtherProgram: c.Server},
+		{Direction: "new-forwarders", ForwarderProgram: c.Server, OtherProgram: c.OldServer},
 	} {
 		run := func(seed uint64) (twolevel.MixedRow, error) {
 			plan.Seconds = c.Seconds
@@ -45,10 +45,10 @@
 	return nil
 }
 
-// replaceServers runs a fleet whose servers are replaced one by one.
+// replaceServers runs a fleet of the earlier build whose servers are replaced one by one.
 func (c *upgradeCommand) replaceServers(ctx context.Context, seed uint64) (rollouts.UpgradeRow, error) {
 	plan := &rollouts.UpgradePlan{
-		OldProgram:  c.Old,
+		OldProgram:  c.OldServer,
 		NewProgram:  c.Server,
 		Servers:     c.Servers,
 		Seed:        seed,
--- a/internal/bench/connflood/client.go
+++ b/internal/bench/connflood/client.go
@@ -12,32 +12,33 @@
 )
 
 const (
-	// clientTimeout is how long a trusted client waits for its connection and the answer to its first request.
+	// clientTimeout bounds the time from a client's dial to the answer to its first request.
 	clientTimeout = time.Second
-	// requestInterval is the pause between a client's requests while it earns trust.
+	// requestInterval is the pause between the requests by which a client earns trust.
 	requestInterval = 200 * time.Millisecond
-	// reconnectInterval is the pause between a client's attempts to connect in the flood.
+	// reconnectInterval is the pause between a client's attempts during the flood.
 	reconnectInterval = 300 * time.Millisecond
-	// maxAnswer bounds what is buffered of a server's messages.
-	maxAnswer = 512
+	// maxAnswerBytes bounds, in bytes, a message from the server.
+	maxAnswerBytes = 512
 )
 
 var (
-	errNotFinished = errors.New("request was answered but not finished")
-	errLongMessage = errors.New("message is too long")
+	errNotFinished = errors.New("request was answered with an outcome other than finished")
+	errLongMessage = errors.New("message from the server does not fit into the read buffer")
 )
 
-// client is a trusted client with an address of its own. It has at most one connection.
+// client is a trusted client with its own IP address and at most one connection.
 type client struct {
-	server  string
-	address net.IP
-	number  int
-	conn    net.Conn // nil while there is none
-	sent    uint64   // messages on the connection
-	nextID  int
+	server       string
+	address      net.IP
+	number       int
+	conn         net.Conn // nil if there is none
+	sentMessages uint64   // messages sent on the connection
+	nextID       int
 }
 
-// earnTrust connects the trusted clients, each from an address of its own, and has them served for a period.
+// earnTrust connects the trusted clients, each from its own address, and sends requests on all of
+// them for a period.
 func (p *Plan) earnTrust(ctx context.Context, server string, period time.Duration) ([]*client, error) {
 	var clients []*client
 	for i := range p.Trusted {
@@ -50,22 +51,23 @@
 	for end := time.Now().Add(period); time.Now().Before(end); time.Sleep(requestInterval) {
 		var wait sync.WaitGroup
 		for _, c := range clients {
-			wait.Go(func() { _ = c.request(clientTimeout) }) // a request that is not finished earns nothing
+			wait.Go(func() { _ = c.request(clientTimeout) }) // a request that fails earns no trust
 		}
 		wait.Wait()
 	}
 	return clients, nil
 }
 
-// attemptStats counts the attempts of clients that connect anew for each request.
+// attemptStats are the attempts of clients that reconnect for each request.
 type attemptStats struct {
 	total     int
 	failed    int
-	latencies []float64 // of those that did not fail, in milliseconds, from the dial to the answer
+	latencies []float64 // of successful attempts, in milliseconds, from the dial to the answer
 }
 
-// reconnect has each client connect anew for each of its requests until the end. It starts a goroutine of the group
-// for each client and waits for the whole group, goroutines of the caller included.
+// reconnect has each client make attempts until the end, each on a new connection. It adds a
+// goroutine for each client to the group and waits for the whole group, including goroutines that
+// the caller has added.
 func reconnect(ctx context.Context, clients []*client, end time.Time, group *sync.WaitGroup) attemptStats {
 	var mu sync.Mutex
 	var stats attemptStats
@@ -90,7 +92,7 @@
 	return stats
 }
 
-// attempt connects, sends one request, waits for its answer and closes the connection.
+// attempt opens a connection, sends one request, waits for its answer and closes the connection.
 func (c *client) attempt(ctx context.Context) error {
 	defer c.close()
 	start := time.Now()
@@ -100,10 +102,11 @@
 	return c.request(clientTimeout - time.Since(start))
 }
 
-// requestUntil sends requests one after the other until the end, and returns false as soon as one has no answer.
+// requestUntil sends one request after the other until the end. It returns false as soon as a
+// request fails.
 func (c *client) requestUntil(ctx context.Context, end time.Time) bool {
 	for time.Now().Before(end) && ctx.Err() == nil {
-		if c.request(openTimeout) != nil {
+		if c.request(keptConnTimeout) != nil {
 			return false
 		}
 	}
@@ -111,13 +114,13 @@
 }
 
 func (c *client) dial(ctx context.Context) error {
-	c.sent = 0
+	c.sentMessages = 0
 	conn, err := dialFrom(ctx, c.address, c.server)
 	c.conn = conn
 	return err
 }
 
-// dialFrom connects to a server from an address of loopback.
+// dialFrom connects to a server from a given loopback address.
 func dialFrom(ctx context.Context, address net.IP, server string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: clientTimeout, LocalAddr: &net.TCPAddr{IP: address}}
 	return dialer.DialContext(ctx, "tcp", server)
@@ -130,17 +133,17 @@
 	}
 }
 
-// request sends one request and waits for its answer. The error is errNotFinished if the request was answered with
-// another outcome than finished; any other error means that no valid answer came.
+// request sends one request and waits for its answer. It returns errNotFinished for an outcome
+// other than finished; any other error means that no valid answer arrived.
 func (c *client) request(timeout time.Duration) error {
 	if c.conn == nil {
 		return net.ErrClosed
 	}
-	c.sent++
+	c.sentMessages++
 	c.nextID++
 	_ = c.conn.SetDeadline(time.Now().Add(timeout))
 	message := rpc.Message{
-		Number:    c.sent,
+		Number:    c.sentMessages,
 		ID:        fmt.Sprintf("%04x%012x", c.number, c.nextID),
 		Class:     className,
 		ArrivedAt: float64(time.Now().UnixMilli()) / 1000,
@@ -153,7 +156,7 @@
 	if _, err := c.conn.Write(rpc.AppendRequest(nil, &message)); err != nil {
 		return err
 	}
-	answer, err := readAnswer(c.conn, c.sent)
+	answer, err := readAnswer(c.conn, c.sentMessages)
 	if err != nil {
 		return err
 	}
@@ -163,9 +166,9 @@
 	return nil
 }
 
-// readAnswer reads up to the answer to the message with the given number.
+// readAnswer reads messages until the answer to the message with the given number.
 func readAnswer(conn net.Conn, number uint64) (rpc.Response, error) {
-	var storage [maxAnswer]byte
+	var storage [maxAnswerBytes]byte
 	buffered := storage[:0]
 	for len(buffered) < cap(buffered) {
 		n, err := conn.Read(buffered[len(buffered):cap(buffered)])
--- a/internal/bench/connflood/flood.go
+++ b/internal/bench/connflood/flood.go
@@ -1,5 +1,6 @@
-// Package connflood measures how trusted clients fare at a server while untrusted ones take every descriptor: with
-// the server's connection limiting off and on, and at a server of a fleet that restarts in the flood.
+// Package connflood measures whether a server still serves its trusted clients, and how fast, while
+// untrusted clients use up its file descriptors: with connection limiting (the setting door) off
+// and on, and after a restart of one server of a fleet during the flood.
 package connflood
 
 import (
@@ -19,59 +20,59 @@
 	"swiftcourse/internal/wire/simulator"
 )
 
-// Plan is the experiment.
+// Plan describes an experiment.
 type Plan struct {
 	Program           string  // path of the server's binary
-	UntrustedRate     float64 // untrusted clients a second, each from an address of its own as far as loopback has them
-	Trusted           int     // clients that were served before the untrusted ones came
-	Seconds           float64 // for which the untrusted ones come
-	Descriptors       int     // that the server is told it may use
-	ActualDescriptors int     // that it really has; 0 for as many
-	CPU               int     // the server's; under 0 for any
+	UntrustedRate     float64 // untrusted clients per second, each from its own address while there are unused ones
+	Trusted           int     // clients that were served before the flood
+	Seconds           float64 // duration of the flood
+	Descriptors       int     // descriptor limit in the server's configuration
+	ActualDescriptors int     // descriptor limit of the process; 0 for the same as Descriptors
+	CPU               int     // the CPU that the server runs on; negative for any
 	Progress          io.Writer
-	Log               io.Writer // of the server; nil for none
+	Log               io.Writer // receives the server's log; nil discards it
 }
 
-// Row is how the clients fared with connection limiting on or off.
+// Row is the result with connection limiting either off or on.
 type Row struct {
 	ConnLimit    string  `json:"door"`
 	Trusted      int     `json:"known"`
 	Attempts     int     `json:"known_tries"`
-	P50          float64 `json:"known_connect_p50_ms"` // from the dial to the answer of the first request
+	P50          float64 `json:"known_connect_p50_ms"` // of successful attempts, from the dial to the answer
 	Max          float64 `json:"known_connect_max_ms"`
-	Failed       int     `json:"known_failed"` // no answer within the timeout, or one other than finished
-	LostRequests int     `json:"open_tasks_lost"`
+	Failed       int     `json:"known_failed"`    // attempts without an answer in time, or not finished
+	LostRequests int     `json:"open_tasks_lost"` // failed requests on connections that were open before the flood
 	Untrusted    int     `json:"strangers"`
-	Answered     float64 `json:"strangers_answered_share"` // of the untrusted ones, whatever the answer was
+	Answered     float64 `json:"strangers_answered_share"` // share of untrusted clients, by any answer
 	Alive        bool    `json:"alive"`
 	CPU          float64 `json:"cpu_share"`
 	Resident     float64 `json:"rss_max_bytes"`
 }
 
-// Columns are the names of the columns of Row.Cells.
+// Columns are the column heads for Row.Cells.
 var Columns = []string{"door", "known", "tries", "p50 ms", "max ms", "failed", "tasks lost", "strangers", "answered",
 	"alive", "cpu", "rss MB"}
 
-// Cells returns the row's cells in the table.
+// Cells returns the row's table cells, in the order of Columns.
 func (r Row) Cells() []string {
 	return strings.Fields(fmt.Sprintf("%s %d %d %.2f %.1f %d %d %d %.3f %t %.3f %.1f",
 		r.ConnLimit, r.Trusted, r.Attempts, r.P50, r.Max, r.Failed, r.LostRequests, r.Untrusted, r.Answered,
 		r.Alive, r.CPU, r.Resident/(1<<20)))
 }
 
-// Validate returns an error for a number that is out of its range.
+// Validate returns an error for a value that is out of range.
 func (p *Plan) Validate() error {
 	switch {
 	case p.UntrustedRate < 0 || p.UntrustedRate > 50_000:
-		return fmt.Errorf("--strangers %g: from 0 to 50000 a second", p.UntrustedRate)
+		return fmt.Errorf("--strangers %g: must be from 0 to 50000 clients per second", p.UntrustedRate)
 	case p.Trusted < 1 || p.Trusted > 200:
-		return fmt.Errorf("--known %d: from 1 to 200", p.Trusted)
+		return fmt.Errorf("--known %d: must be from 1 to 200", p.Trusted)
 	case p.Seconds < 2 || p.Seconds > 120:
-		return fmt.Errorf("--seconds %g: from 2 to 120", p.Seconds)
+		return fmt.Errorf("--seconds %g: must be from 2 to 120", p.Seconds)
 	case p.Descriptors < 64 || p.Descriptors > 20_000:
-		return fmt.Errorf("--sockets %d: from 64 to 20000", p.Descriptors)
+		return fmt.Errorf("--sockets %d: must be from 64 to 20000", p.Descriptors)
 	case p.ActualDescriptors != 0 && p.ActualDescriptors < 48:
-		return fmt.Errorf("--real %d: 48 at least, or 0", p.ActualDescriptors)
+		return fmt.Errorf("--real %d: must be 0, or at least 48", p.ActualDescriptors)
 	}
 	return nil
 }
@@ -79,27 +80,29 @@
 const (
 	className     = "ping"
 	executorCores = 4
-	// requestSeconds is how long a request runs, so that some are in flight at each moment.
+	// requestSeconds is the CPU time of a request: long enough that some are in flight at any time.
 	requestSeconds = 0.02
-	// trustPeriod is how long the trusted clients are served before the untrusted ones come: longer than the three
-	// seconds by which trust is earned.
+	// trustPeriod is how long the trusted clients are served before the flood. A client earns trust
+	// within three seconds.
 	trustPeriod = 4500 * time.Millisecond
-	// floodLead is how long the untrusted clients have to take all descriptors before the trusted ones are measured.
-	floodLead = 500 * time.Millisecond
-	// openTimeout is how long the client of an open connection waits before its request counts as lost.
-	openTimeout    = 5 * time.Second
-	resourcePoll   = 100 * time.Millisecond
-	serverMemoryMB = 64
-	stopTimeout    = 3 * time.Second
+	// floodLeadTime is the time from the start of the flood to the start of the measurement, in
+	// which the untrusted clients use up the descriptors.
+	floodLeadTime = 500 * time.Millisecond
+	// keptConnTimeout is the time after which a request on a connection that was open before the
+	// flood counts as lost.
+	keptConnTimeout      = 5 * time.Second
+	resourcePollInterval = 100 * time.Millisecond
+	serverMemoryMB       = 64
+	stopTimeout          = 3 * time.Second
 )
 
-// Run measures with connection limiting off, and on.
+// Run measures with connection limiting off and then on.
 func Run(ctx context.Context, p *Plan) ([]Row, error) {
 	var rows []Row
 	for _, limit := range []toggle{toggleOff, toggleOn} {
 		row, err := p.measure(ctx, limit)
 		if err != nil {
-			return rows, fmt.Errorf("with the door %s: %w", limit, err)
+			return rows, fmt.Errorf("experiment with door %s: %w", limit, err)
 		}
 		rows = append(rows, row)
 	}
@@ -134,7 +137,7 @@
 	}
 }
 
-// toggle is the value of a setting that is on or off, as it stands in the operator's file and in reports.
+// toggle is the value of an on/off setting, as written in the operator's file and in reports.
 type toggle string
 
 const (
@@ -142,7 +145,7 @@
 	toggleOn  toggle = "on"
 )
 
-// measure measures one row: it has the clients earn trust, and then measures them in the flood.
+// measure measures one row: it lets the trusted clients earn trust and then starts the flood.
 func (p *Plan) measure(ctx context.Context, connLimit toggle) (Row, error) {
 	row := Row{ConnLimit: string(connLimit), Trusted: p.Trusted}
 	servers, err := process.Start(ctx, 1, p.serverConfig(connLimit))
@@ -152,7 +155,7 @@
 	defer process.CloseAll(servers)
 	server := servers[0]
 
-	fmt.Fprintf(p.Progress, "door %s: %d clients earn trust\n", connLimit, p.Trusted)
+	fmt.Fprintf(p.Progress, "door %s: %d clients send requests to earn trust\n", connLimit, p.Trusted)
 	clients, err := p.earnTrust(ctx, server.Addr, trustPeriod)
 	if err != nil {
 		return row, err
@@ -161,8 +164,8 @@
 	return row, err
 }
 
-// measureFlood starts the flood and measures the trusted clients in it. A quarter of them keep their connections and
-// always have a request in flight; the others connect again for each request.
+// measureFlood starts the flood and measures the trusted clients during it. A quarter of them keep
+// their connections and always have a request in flight; the others reconnect for each request.
 func (p *Plan) measureFlood(ctx context.Context, server *process.Server, clients []*client, row *Row) error {
 	open := clients[:max(1, len(clients)/4)]
 	reconnecting := clients[len(open):]
@@ -170,7 +173,7 @@
 		trusted.close()
 	}
 
-	fmt.Fprintf(p.Progress, "door %s: %g untrusted clients a second for %g s\n",
+	fmt.Fprintf(p.Progress, "door %s: flood of %g untrusted clients per second for %g s\n",
 		row.ConnLimit, p.UntrustedRate, p.Seconds)
 	usage, err := startUsage(server)
 	if err != nil {
@@ -187,7 +190,7 @@
 			}
 		})
 	}
-	time.Sleep(floodLead)
+	time.Sleep(floodLeadTime)
 	wait.Go(func() { usage.watch(ctx, flood.end) })
 	attempts := reconnect(ctx, reconnecting, flood.end, &wait)
 
@@ -213,12 +216,13 @@
 }
 
 func (r *Row) addFlood(flood *flood) {
-	r.Untrusted = int(flood.arrived.Load())
-	share := float64(flood.answered.Load()) / float64(max(1, r.Untrusted))
+	r.Untrusted = int(flood.startedClients.Load())
+	share := float64(flood.answeredClients.Load()) / float64(max(1, r.Untrusted))
 	r.Answered = math.Round(1000*share) / 1000
 }
 
-// usage is what a server uses during the flood. One goroutine writes it in watch; it is read after that has ended.
+// usage measures a server's resources during the flood. Only the goroutine that runs watch writes
+// it, and it is read after watch has returned.
 type usage struct {
 	server      *process.Server
 	start       time.Time
@@ -236,11 +240,11 @@
 	return &usage{server: server, start: time.Now(), cpuBefore: used}, nil
 }
 
-// watch samples the memory until the end and then takes the CPU share.
+// watch samples the resident memory until the end and then computes the CPU share.
 func (u *usage) watch(ctx context.Context, end time.Time) {
 	for time.Now().Before(end) && ctx.Err() == nil {
-		time.Sleep(resourcePoll)
-		if resident, err := u.server.ResidentBytes(); err == nil { // a server that is gone has none
+		time.Sleep(resourcePollInterval)
+		if resident, err := u.server.ResidentBytes(); err == nil { // reading fails once the process has ended
 			u.maxResident = max(u.maxResident, float64(resident))
 		}
 	}
--- a/internal/bench/connflood/restart.go
+++ b/internal/bench/connflood/restart.go
@@ -10,42 +10,45 @@
 	"swiftcourse/internal/bench/faultinjection"
 )
 
-// RestartRow is how trusted clients fared at a server that restarted in a flood, with and without the trust records
-// of its fleet.
+// RestartRow is the result for trusted clients of a server that restarts during a flood, with the
+// setting replica-callers either off or on. If it is on, the server learns the trusted clients from
+// its fleet.
 type RestartRow struct {
 	ReplicaCallers string `json:"replica_callers"`
 	Trusted        int    `json:"known"`
 	Attempts       int    `json:"known_tries"`
-	Failed         int    `json:"known_failed"` // no answer within the timeout, or one other than finished
+	Failed         int    `json:"known_failed"` // attempts without an answer in time, or not finished
 	Untrusted      int    `json:"strangers"`
 }
 
-// RestartColumns are the names of the columns of RestartRow.Cells.
+// RestartColumns are the column heads for RestartRow.Cells.
 var RestartColumns = []string{"replica-callers", "known", "tries", "failed", "strangers"}
 
-// Cells returns the row's cells in the table.
+// Cells returns the row's table cells, in the order of RestartColumns.
 func (r RestartRow) Cells() []string {
 	return strings.Fields(fmt.Sprintf("%s %d %d %d %d",
 		r.ReplicaCallers, r.Trusted, r.Attempts, r.Failed, r.Untrusted))
 }
 
 const (
-	fleetSize   = 3
-	restartName = "n1"
-	// trustSpread is how long the clients are served after they have earned trust: by then the other servers have
-	// been told of them.
-	trustSpread = 7 * time.Second
-	// trustTimeout is how long the restarted server may take to learn the trusted clients from its fleet.
+	fleetSize       = 3
+	restartedServer = "n1"
+	// trustSpreadPeriod is how long the clients are served after they have earned trust, so that
+	// their trust records reach the other servers.
+	trustSpreadPeriod = 7 * time.Second
+	// trustTimeout bounds the time in which the restarted server has to learn the trusted clients
+	// from its fleet.
 	trustTimeout = time.Second
 )
 
-// RunRestart measures a restart of one server of a fleet, with the setting replica-callers off and on.
+// RunRestart measures a restart of one server of a fleet, with the setting replica-callers off and
+// then on.
 func RunRestart(ctx context.Context, p *Plan) ([]RestartRow, error) {
 	var rows []RestartRow
 	for _, replicaCallers := range []toggle{toggleOff, toggleOn} {
 		row, err := p.measureRestart(ctx, replicaCallers)
 		if err != nil {
-			return rows, fmt.Errorf("with replica-callers %s: %w", replicaCallers, err)
+			return rows, fmt.Errorf("experiment with replica-callers %s: %w", replicaCallers, err)
 		}
 		rows = append(rows, row)
 	}
@@ -59,32 +62,33 @@
 		return row, err
 	}
 	defer fleet.Close()
-	address := fleet.Server(restartName).Addr
-	fmt.Fprintf(p.Progress, "replica-callers %s: %d clients earn trust\n", replicaCallers, p.Trusted)
-	clients, err := p.earnTrust(ctx, address, trustPeriod+trustSpread)
+	address := fleet.Server(restartedServer).Addr
+	fmt.Fprintf(p.Progress, "replica-callers %s: %d clients send requests to earn trust\n", replicaCallers, p.Trusted)
+	clients, err := p.earnTrust(ctx, address, trustPeriod+trustSpreadPeriod)
 	if err != nil {
 		return row, err
 	}
 	for _, c := range clients {
 		c.close()
 	}
-	if err := fleet.KillAndRestart(ctx, restartName); err != nil {
+	if err := fleet.KillAndRestart(ctx, restartedServer); err != nil {
 		return row, err
 	}
-	trusted := func() bool { return len(fleet.Events(restartName, "fleet_trusted_clients")) > 0 }
+	trusted := func() bool { return len(fleet.Events(restartedServer, "fleet_trusted_clients")) > 0 }
 	if replicaCallers == toggleOn && !faultinjection.WaitUntil(trustTimeout, trusted) {
-		return row, fmt.Errorf("%s learned no trusted clients within %s", restartName, trustTimeout)
+		return row, fmt.Errorf("%s logged no fleet_trusted_clients event within %s of its restart",
+			restartedServer, trustTimeout)
 	}
-	fmt.Fprintf(p.Progress, "replica-callers %s: %s has restarted; %g untrusted clients a second for %g s\n",
-		replicaCallers, restartName, p.UntrustedRate, p.Seconds)
+	fmt.Fprintf(p.Progress, "replica-callers %s: %s has restarted; flood of %g untrusted clients per second for %g s\n",
+		replicaCallers, restartedServer, p.UntrustedRate, p.Seconds)
 	flood := newFlood(address, p.duration())
 	var wait sync.WaitGroup
 	wait.Go(func() { flood.run(ctx, p.UntrustedRate) })
-	time.Sleep(floodLead)
+	time.Sleep(floodLeadTime)
 	attempts := reconnect(ctx, clients, flood.end, &wait)
 	row.Attempts = attempts.total
 	row.Failed = attempts.failed
-	row.Untrusted = int(flood.arrived.Load())
+	row.Untrusted = int(flood.startedClients.Load())
 	return row, nil
 }
 
--- a/internal/bench/demo/classes.go
+++ b/internal/bench/demo/classes.go
@@ -8,30 +8,36 @@
 	"swiftcourse/internal/wire/simulator"
 )
 
-// class is one of the two classes of requests.
+// class describes one of the two request classes.
 type class struct {
-	name          string
-	share         float64 // of the requests
-	cpuSeconds    float64 // mean
-	callsUpstream bool
-	softDeadline  float64 // seconds
-	hardDeadline  float64 // seconds
-	value         float64
+	name                string
+	requestShare        float64 // fraction of all requests
+	meanCPUSeconds      float64 // of a run
+	callsUpstream       bool
+	softDeadlineSeconds float64
+	hardDeadlineSeconds float64
+	value               float64
 }
 
 var classes = []class{
-	{name: "lookup", share: 0.7, cpuSeconds: 0.010, softDeadline: 0.5, hardDeadline: 1.5, value: 1},
-	{name: "price", share: 0.3, cpuSeconds: 0.040, callsUpstream: true, softDeadline: 1.5, hardDeadline: 4, value: 3},
+	{
+		name: "lookup", requestShare: 0.7, meanCPUSeconds: 0.010,
+		softDeadlineSeconds: 0.5, hardDeadlineSeconds: 1.5, value: 1,
+	},
+	{
+		name: "price", requestShare: 0.3, meanCPUSeconds: 0.040, callsUpstream: true,
+		softDeadlineSeconds: 1.5, hardDeadlineSeconds: 4, value: 3,
+	},
 }
 
 const (
 	cores = 2
 	seed  = 20261201
-	// maxWorkFactor bounds a run's drawn work, as a multiple of its class's mean.
+	// maxWorkFactor bounds the CPU time drawn for a run, as a multiple of the mean of its class.
 	maxWorkFactor = 4
 )
 
-// findClass returns the class with the name; false if there is none.
+// findClass returns the class with the given name, or false if there is none.
 func findClass(name string) (class, bool) {
 	for _, c := range classes {
 		if c.name == name {
@@ -41,23 +47,24 @@
 	return class{}, false
 }
 
-// capacity returns how many requests a second the cores can do.
+// capacity returns the number of requests per second that the executor's cores can run.
 func capacity() float64 {
 	mean := 0.0
 	for _, c := range classes {
-		mean += c.share * c.cpuSeconds
+		mean += c.requestShare * c.meanCPUSeconds
 	}
 	return cores / mean
 }
 
-// drawCPUSeconds draws how long a run takes from its id, so that a repeated run takes as long.
+// drawCPUSeconds draws the CPU time of a run. The random numbers depend only on the id, so a
+// repeated run takes the same time.
 func drawCPUSeconds(name, id string) float64 {
 	c, ok := findClass(name)
 	if !ok {
 		return 0
 	}
 	random := rand.New(rand.NewPCG(seed, uint64(crc32.ChecksumIEEE([]byte(id)))))
-	return c.cpuSeconds * min(maxWorkFactor, random.ExpFloat64())
+	return c.meanCPUSeconds * min(maxWorkFactor, random.ExpFloat64())
 }
 
 // callsUpstream reports whether the runs of a class call the upstream service.
@@ -73,8 +80,8 @@
 		simulatorClasses = append(simulatorClasses, simulator.Class{
 			Name:           c.name,
 			Idempotency:    "idempotent",
-			SoftDeadlineMs: c.softDeadline * 1000,
-			TimeoutMs:      c.hardDeadline * 1000,
+			SoftDeadlineMs: c.softDeadlineSeconds * 1000,
+			TimeoutMs:      c.hardDeadlineSeconds * 1000,
 			Value:          c.value,
 			LateValue:      0.2,
 		})
--- a/internal/bench/demo/client.go
+++ b/internal/bench/demo/client.go
@@ -11,7 +11,7 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// outcome is how a request ended for its client.
+// outcome is the outcome of a request from the client's point of view.
 type outcome uint8
 
 const (
@@ -25,20 +25,22 @@
 const (
 	clientCount = 16
 	maxAttempts = 3
-	// minBackoff is multiplied by the number of attempts made.
-	minBackoff = 0.02 // seconds
-	// answerSlack is how long past its hard deadline a client waits for an answer.
-	answerSlack = 0.1 // seconds
+	// minBackoffSeconds is the minimum backoff after the first attempt; it grows linearly with the
+	// number of attempts.
+	minBackoffSeconds = 0.02
+	// answerGraceSeconds is how long a client waits for an answer after the hard deadline of its
+	// request.
+	answerGraceSeconds = 0.1
 
 	requestMemory   = 10
 	requestPriority = 0.5
 )
 
-// client is a connection on which requests are sent. Its methods may be called from any goroutine.
+// client sends requests on one connection. Its methods may be called from any goroutine.
 type client struct {
 	*balancer.Conn
 	mu       sync.Mutex
-	inFlight map[uint64]chan rpc.Response
+	inFlight map[uint64]chan rpc.Response // by message number; each channel has a buffer of one
 }
 
 func dialClients(ctx context.Context, address string) ([]*client, error) {
@@ -59,36 +61,37 @@
 	defer c.mu.Unlock()
 	if answers := c.inFlight[answer.Number]; answers != nil {
 		delete(c.inFlight, answer.Number)
-		answers <- answer // the channel has room for one
+		answers <- answer // does not block: the channel has a buffer of one
 	}
 }
 
-// request makes up to maxAttempts attempts before the hard deadline and backs off as long as Retry-After says. It
-// returns the outcome and the number of attempts.
+// request makes up to maxAttempts attempts before the hard deadline, with a backoff of at least the
+// retry-after time of the answer. It returns the outcome and the number of attempts.
 func (c *client) request(ctx context.Context, requested *class, id string) (result outcome, attempts int) {
 	start := time.Now()
-	remaining := func() float64 { return requested.hardDeadline - time.Since(start).Seconds() }
+	remaining := func() float64 { return requested.hardDeadlineSeconds - time.Since(start).Seconds() }
 	for attempt := 1; ; attempt++ {
 		answer, ok := c.attempt(ctx, requested, fmt.Sprintf("%s%02x", id, attempt), remaining())
 		switch {
 		case !ok:
 			return unanswered, attempt
-		case answer.Kind == rpc.ResponseFinished && time.Since(start).Seconds() <= requested.softDeadline:
+		case answer.Kind == rpc.ResponseFinished && time.Since(start).Seconds() <= requested.softDeadlineSeconds:
 			return finished, attempt
 		case answer.Kind == rpc.ResponseFinished:
 			return late, attempt
 		case answer.Kind == rpc.ResponseFailed:
 			return abandoned, attempt
 		}
-		backoff := max(answer.Metadata.RetryAfter, minBackoff*float64(attempt))
-		if attempt == maxAttempts || answer.Metadata.NoFailover || remaining()-backoff <= requested.cpuSeconds {
+		backoff := max(answer.Metadata.RetryAfter, minBackoffSeconds*float64(attempt))
+		if attempt == maxAttempts || answer.Metadata.NoFailover || remaining()-backoff <= requested.meanCPUSeconds {
 			return rejected, attempt
 		}
 		time.Sleep(timing.Seconds(backoff))
 	}
 }
 
-// attempt sends a request once and waits for its answer. It returns false if none came in time.
+// attempt sends a request once and waits for its answer. It returns false if no answer arrives in
+// time.
 func (c *client) attempt(ctx context.Context, requested *class, id string, timeout float64) (rpc.Response, bool) {
 	number := c.NextNumber()
 	answers := make(chan rpc.Response, 1)
@@ -112,7 +115,7 @@
 	select {
 	case answer := <-answers:
 		return answer, true
-	case <-time.After(timing.Seconds(timeout + answerSlack)):
+	case <-time.After(timing.Seconds(timeout + answerGraceSeconds)):
 	case <-ctx.Done():
 	}
 	return rpc.Response{}, false
--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo shows a newcomer the real server at work: first under a load that its cores can serve, then under
-// overload.
+// Package demo demonstrates the real server: first under a load that its executor's cores can
+// serve, then under overload.
 package demo
 
 import (
@@ -16,43 +16,43 @@
 	"swiftcourse/internal/wire/catalogue"
 )
 
-// Plan is the demonstration.
+// Plan describes the demonstration.
 type Plan struct {
 	Program  string  // path of the server's binary
 	Seconds  float64 // of each of the two parts
-	Overload float64 // requested in the second part, as a multiple of what the cores can do
+	Overload float64 // load of the second part, as a multiple of the capacity of the cores
 	Progress io.Writer
-	Log      io.Writer // of the server; nil for none
+	Log      io.Writer // receives the server's log; nil discards it
 }
 
-// Row is what became of the requests of a class in one part.
+// Row counts the outcomes of the requests of a class in one part.
 type Row struct {
 	Part               string  `json:"part"`
 	Class              string  `json:"stage"`
-	Asked              int     `json:"asked"`
+	Requests           int     `json:"asked"`
 	Finished           int     `json:"finished"` // within the soft deadline
 	Late               int     `json:"late"`     // finished after the soft deadline
 	Rejected           int     `json:"rejected"`
 	Abandoned          int     `json:"abandoned"`
-	Unanswered         int     `json:"lost"` // within the hard deadline and some slack
+	Unanswered         int     `json:"lost"` // no answer by the hard deadline plus answerGraceSeconds
 	Attempts           int     `json:"attempts"`
 	AttemptsPerRequest float64 `json:"attempts_per_task"`
 }
 
-// Columns are the names of the columns of Row.Cells.
+// Columns are the column heads for Row.Cells.
 var Columns = []string{"part", "stage", "asked", "finished", "late", "rejected", "abandoned", "lost", "attempts",
 	"a task"}
 
-// Cells returns the row's cells in the table.
+// Cells returns the row's table cells, in the order of Columns.
 func (r Row) Cells() []string {
 	return strings.Fields(fmt.Sprintf("%s %s %d %d %d %d %d %d %d %.2f",
-		r.Part, r.Class, r.Asked, r.Finished, r.Late, r.Rejected, r.Abandoned, r.Unanswered, r.Attempts,
+		r.Part, r.Class, r.Requests, r.Finished, r.Late, r.Rejected, r.Abandoned, r.Unanswered, r.Attempts,
 		r.AttemptsPerRequest))
 }
 
-// count counts a request.
+// count counts a request with its outcome and number of attempts.
 func (r *Row) count(result outcome, attempts int) {
-	r.Asked++
+	r.Requests++
 	r.Attempts += attempts
 	switch result {
 	case finished:
@@ -69,12 +69,12 @@
 }
 
 const (
-	// calmLoad is the load of the first part, as a share of what the cores can do.
-	calmLoad       = 0.6
-	upstreamDelay  = 20 * time.Millisecond
-	serverMemoryMB = 64
-	descriptors    = 512
-	stopTimeout    = 5 * time.Second
+	// normalLoadFactor is the load of the first part, as a fraction of the capacity of the cores.
+	normalLoadFactor = 0.6
+	upstreamDelay    = 20 * time.Millisecond
+	serverMemoryMB   = 64
+	descriptors      = 512
+	stopTimeout      = 5 * time.Second
 )
 
 func (p *Plan) serverConfig() process.Config {
@@ -99,7 +99,7 @@
 	}
 }
 
-// Run runs both parts and returns a row for each class of each of them.
+// Run runs both parts and returns a row for each class in each part.
 func Run(ctx context.Context, plan *Plan) ([]Row, error) {
 	servers, err := process.Start(ctx, 1, plan.serverConfig())
 	if err != nil {
@@ -107,15 +107,15 @@
 	}
 	defer process.CloseAll(servers)
 	server := servers[0]
-	fmt.Fprintf(plan.Progress, "a server with %d cores listens on %s; it can do %.0f requests a second\n",
+	fmt.Fprintf(plan.Progress, "a server with %d cores listens on %s; its capacity is %.0f requests per second\n",
 		cores, server.Addr, capacity())
 	clients, err := dialClients(ctx, server.Addr)
 	if err != nil {
 		return nil, err
 	}
 	var rows []Row
-	for i, next := range []part{{"calm", calmLoad * capacity()}, {"overload", plan.Overload * capacity()}} {
-		fmt.Fprintf(plan.Progress, "%s: %.0f requests a second for %g s\n", next.name, next.rate, plan.Seconds)
+	for i, next := range []part{{"calm", normalLoadFactor * capacity()}, {"overload", plan.Overload * capacity()}} {
+		fmt.Fprintf(plan.Progress, "%s: %.0f requests per second for %g s\n", next.name, next.rate, plan.Seconds)
 		rows = append(rows, plan.runPart(ctx, clients, next, uint64(i))...)
 		if ctx.Err() != nil {
 			return rows, ctx.Err()
@@ -123,10 +123,10 @@
 	}
 	took, err := server.Drain()
 	if err != nil {
-		return rows, fmt.Errorf("the server's end: %w", err)
+		return rows, fmt.Errorf("drain the server: %w", err)
 	}
 	stats := server.Executor.Stats()
-	fmt.Fprintf(plan.Progress, "told to drain, the server answered all and ended in %.2f s; "+
-		"%d runs, %d of them repeated\n", took.Seconds(), stats.Started, stats.Repeated)
+	fmt.Fprintf(plan.Progress, "after SIGTERM, the server drained and exited within %.2f s; "+
+		"the executor started %d runs, %d of them repeated\n", took.Seconds(), stats.Started, stats.Repeated)
 	return rows, nil
 }
--- a/internal/bench/demo/part.go
+++ b/internal/bench/demo/part.go
@@ -11,23 +11,24 @@
 	"swiftcourse/internal/bench/timing"
 )
 
-// part is one of the parts of the demonstration.
+// part is a part of the demonstration, with a constant request rate.
 type part struct {
 	name string
-	rate float64 // requests a second
+	rate float64 // requests per second
 }
 
-// progressInterval is the time between two lines of progress.
+// progressInterval is the time between two progress lines.
 const progressInterval = 2 * time.Second
 
-// runPart sends requests at the part's rate and waits until all of them have an outcome.
+// runPart sends requests as a Poisson process of the part's rate and waits until all of them have
+// an outcome. The stream selects the sequence of random numbers.
 func (p *Plan) runPart(ctx context.Context, clients []*client, current part, stream uint64) []Row {
 	random := rand.New(rand.NewPCG(seed, stream))
 	t := newTally(current.name)
 	var wait sync.WaitGroup
 	start := time.Now()
 	reported := start
-	scheduled := 0.0 // seconds from the start
+	scheduled := 0.0 // seconds since the start
 	for n := 0; scheduled < p.Seconds && ctx.Err() == nil; n++ {
 		scheduled += random.ExpFloat64() / current.rate
 		if scheduled >= p.Seconds {
@@ -49,15 +50,15 @@
 	return t.finalRows()
 }
 
-// drawClass draws the index of a request's class.
+// drawClass draws the class of a request and returns its index in classes.
 func drawClass(random *rand.Rand) int {
-	if random.Float64() >= classes[0].share {
+	if random.Float64() >= classes[0].requestShare {
 		return 1
 	}
 	return 0
 }
 
-// tally counts the outcomes of a part, in a row for each class.
+// tally counts the outcomes of the requests of a part, in one row per class.
 type tally struct {
 	mu   sync.Mutex
 	rows []Row
@@ -83,18 +84,18 @@
 	defer t.mu.Unlock()
 	var parts []string
 	for _, r := range t.rows {
-		parts = append(parts, fmt.Sprintf("%s %d finished, %d late, %d rejected",
+		parts = append(parts, fmt.Sprintf("%s %d finished, %d late, %d rejected or abandoned",
 			r.Class, r.Finished, r.Late, r.Rejected+r.Abandoned))
 	}
 	return strings.Join(parts, "; ")
 }
 
-// finalRows returns the rows once all requests are counted.
+// finalRows returns the rows. It must be called after all requests are counted.
 func (t *tally) finalRows() []Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := range t.rows {
-		t.rows[i].AttemptsPerRequest = float64(t.rows[i].Attempts) / float64(max(1, t.rows[i].Asked))
+		t.rows[i].AttemptsPerRequest = float64(t.rows[i].Attempts) / float64(max(1, t.rows[i].Requests))
 	}
 	return t.rows
 }
--- a/internal/bench/idleconns/fixture.go
+++ b/internal/bench/idleconns/fixture.go
@@ -16,25 +16,25 @@
 	executorCores  = 4
 	serverMemoryMB = 192
 	stopTimeout    = 5 * time.Second
-	// maxDescriptors bounds what a server is told it may use, whatever the system allows.
+	// maxDescriptors bounds the descriptor limit in the configuration of a server.
 	maxDescriptors = 1 << 20
 
 	requestTimeout = 2 * time.Second
 	requestBytes   = 100
-	// loadWarmup is how long a load runs before it is measured.
+	// loadWarmup is the time between the start of the load and the start of the measurement.
 	loadWarmup = 300 * time.Millisecond
 )
 
-// fixture is the servers of one measurement with the processes that hold idle connections to them.
+// fixture holds the servers of one measurement and the processes with idle connections to them.
 type fixture struct {
 	plan      *Plan
 	servers   []*process.Server
 	addresses []string
 	holders   []*Holder
-	seed      uint64 // of the latest load
+	seed      uint64 // seed of the latest load
 }
 
-// settings are those of one cheap class and no tenants.
+// settings returns settings with one class and no tenants.
 func settings(idleTimeout time.Duration) simulator.Settings {
 	settings := process.BaseSettings(simulator.Class{Name: className, Idempotency: "idempotent", TimeoutMs: 5000,
 		SoftDeadlineMs: 2000, Value: 1, LateValue: 0.5})
@@ -42,8 +42,8 @@
 	return settings
 }
 
-// start starts the servers.
-func (p *Plan) start(ctx context.Context, idleTimeout time.Duration) (*fixture, error) {
+// startFixture starts the servers.
+func (p *Plan) startFixture(ctx context.Context, idleTimeout time.Duration) (*fixture, error) {
 	limit, err := descriptorLimit()
 	if err != nil {
 		return nil, err
@@ -69,16 +69,16 @@
 }
 
 func (f *fixture) close() {
-	f.releaseIdle()
+	f.closeIdleConns()
 	process.CloseAll(f.servers)
 }
 
-// startLoad starts the busy connections.
+// startLoad starts the load on the busy connections.
 func (f *fixture) startLoad(ctx context.Context) (*loadgen.Generator, error) {
 	f.seed++
 	return loadgen.Start(ctx, loadgen.Config{
 		Addresses:      f.addresses,
-		ConnsPerServer: f.plan.Busy,
+		ConnsPerServer: f.plan.BusyConns,
 		Rate:           f.plan.Rate,
 		Class:          className,
 		Timeout:        requestTimeout,
@@ -88,8 +88,9 @@
 	})
 }
 
-// measure runs the busy connections for the plan's seconds, after a start that is not measured.
-func (f *fixture) measure(ctx context.Context) (loadgen.Stats, error) {
+// measureLoad runs the load for the plan's Seconds, after a warm-up, and returns its statistics
+// without the warm-up.
+func (f *fixture) measureLoad(ctx context.Context) (loadgen.Stats, error) {
 	load, err := f.startLoad(ctx)
 	if err != nil {
 		return loadgen.Stats{}, err
@@ -100,8 +101,8 @@
 	return load.Stop(), ctx.Err()
 }
 
-// holdIdle opens n idle connections, spread over the servers.
-func (f *fixture) holdIdle(ctx context.Context, n int) error {
+// openIdleConns opens n idle connections, spread evenly over the servers.
+func (f *fixture) openIdleConns(ctx context.Context, n int) error {
 	for i, s := range f.servers {
 		share := (n + i) / len(f.servers)
 		if share == 0 {
@@ -121,16 +122,16 @@
 	return nil
 }
 
-// releaseIdle closes the idle connections.
-func (f *fixture) releaseIdle() {
+// closeIdleConns closes the idle connections.
+func (f *fixture) closeIdleConns() {
 	for _, holder := range f.holders {
 		holder.Close()
 	}
 	f.holders = nil
 }
 
-// openIdle returns how many idle connections are open.
-func (f *fixture) openIdle() (int, error) {
+// countOpenIdle returns the number of open idle connections.
+func (f *fixture) countOpenIdle() (int, error) {
 	open := 0
 	for _, holder := range f.holders {
 		counts, err := holder.Counts()
@@ -142,16 +143,17 @@
 	return open, nil
 }
 
-// usage is what all servers use together.
+// usage is the resource usage of all servers together.
 type usage struct {
 	resident      float64 // bytes
 	heap          float64 // bytes
 	timers        float64
-	longestTurnMs float64 // of any server's event loop, since the usage before
+	longestTurnMs float64 // longest turn of any server's event loop since the previous usage was read
 	cpuSeconds    float64
 }
 
-// readUsage asks the servers for their statistics, which begin anew with it, and the system for the rest.
+// readUsage reads the servers' statistics, which resets them, and the usage of their processes as
+// reported by the system.
 func (f *fixture) readUsage() (usage, error) {
 	var total usage
 	for _, s := range f.servers {
@@ -175,7 +177,7 @@
 	return total, err
 }
 
-// cpuSeconds returns the CPU time that all servers have used.
+// cpuSeconds returns the CPU time that all servers have used together.
 func (f *fixture) cpuSeconds() (float64, error) {
 	total := 0.0
 	for _, s := range f.servers {
--- a/internal/bench/idleconns/idleconns_test.go
+++ b/internal/bench/idleconns/idleconns_test.go
@@ -18,14 +18,14 @@
 	}
 	for _, test := range tests {
 		if got := median(test.values); got != test.want {
-			t.Errorf("median of %v is %g, not %g", test.values, got, test.want)
+			t.Errorf("median of %v: got %g, want %g", test.values, got, test.want)
 		}
 	}
 }
 
-func TestMedianRatio_PairsRounds(t *testing.T) {
+func TestMedianRatio_UsesRatioOfEachRound(t *testing.T) {
 	if got := medianRatio([]float64{2, 30, 4}, []float64{1, 10, 4}); got != 2 {
-		t.Errorf("%g", got)
+		t.Errorf("got median ratio %g, want 2", got)
 	}
 }
 
@@ -34,11 +34,11 @@
 	if err := ServeHolder(strings.NewReader("touch\ncounts\n"), &out, "", 0, false); err != nil {
 		t.Fatal(err)
 	}
-	if out.String() != "ready\ntouched\ncounts 0 0 0\n" {
-		t.Errorf("%q", out.String())
+	if want := "ready\ntouched\ncounts 0 0 0\n"; out.String() != want {
+		t.Errorf("got replies %q, want %q", out.String(), want)
 	}
 	err := ServeHolder(strings.NewReader("other\n"), io.Discard, "", 0, false)
 	if err == nil || !strings.Contains(err.Error(), `"other"`) {
-		t.Errorf("%v", err)
+		t.Errorf("unknown command: got error %v, want one that names the command %q", err, "other")
 	}
 }
--- a/internal/bench/idleconns/plan.go
+++ b/internal/bench/idleconns/plan.go
@@ -1,5 +1,6 @@
-// Package idleconns measures what idle connections cost a server: memory, CPU time, and latency of the busy
-// connections as the number of idle ones grows; and what happens when all of them reach their idle timeout at once.
+// Package idleconns measures the cost of idle connections for a server: memory, CPU time, and the
+// latency of busy connections as a function of the number of idle ones. It also measures the effect
+// of a mass expiry, in which all idle connections reach their idle timeout at the same time.
 package idleconns
 
 import (
@@ -13,30 +14,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// Plan is the experiment.
+// Plan describes an experiment.
 type Plan struct {
 	Program      string // path of the server's binary
-	Connections  []int  // idle ones over all servers; each number gives a row
+	Connections  []int  // numbers of idle connections, over all servers; each gives a row
 	Servers      int
-	Rate         float64       // busy requests a second, over all servers
-	Busy         int           // busy connections to each server
-	Seconds      float64       // of each measurement
-	Rounds       int           // how often it is measured with and without the idle connections, in turns
-	CPU          int           // that all servers share; under 0 for any
-	HealthChecks bool          // the busy connections send health checks in place of requests
-	Statistics   bool          // ask servers for statistics; one that does not know the signal ends
-	IdleTimeout  time.Duration // for RunExpiry: how long a connection may be silent
-	HonorClose   bool          // idle clients close when they are asked to
-	Progress     io.Writer     // nil for none
+	Rate         float64       // requests per second on the busy connections, over all servers
+	BusyConns    int           // busy connections to each server
+	Seconds      float64       // duration of each measurement
+	Rounds       int           // pairs of measurements without and with the idle connections
+	CPU          int           // the CPU that all servers run on; negative for any
+	HealthChecks bool          // send health checks instead of requests on the busy connections
+	Statistics   bool          // read statistics by SIGUSR1, which ends a server that does not handle it
+	IdleTimeout  time.Duration // idle timeout of the servers, for RunExpiry
+	HonorClose   bool          // idle clients close their connection on a go-away message
+	Progress     io.Writer     // nil discards progress messages
 }
 
-// spareDescriptors is how many descriptors a server needs in addition to those of its clients' connections.
-const spareDescriptors = 400
+// reservedDescriptors is the number of descriptors that a server needs in addition to one per
+// client connection.
+const reservedDescriptors = 400
 
-// ErrNoConnections is returned by Validate for a plan without numbers of idle connections.
-var ErrNoConnections = errors.New("--connections: none given")
+// ErrNoConnections is returned by Validate for a plan whose Connections are empty.
+var ErrNoConnections = errors.New("--connections: at least one number of idle connections is required")
 
-// Validate returns an error for numbers that are out of range, or that this machine can't serve.
+// Validate returns an error for values that are out of range or exceed the limits of this machine.
 func (p *Plan) Validate() error {
 	if err := p.validateRanges(); err != nil {
 		return err
@@ -45,7 +47,7 @@
 		return err
 	}
 	if _, err := os.Stat(p.Program); err != nil {
-		return fmt.Errorf("--server %s: %w; make build makes it", p.Program, err)
+		return fmt.Errorf("--server %s: %w; run make build to build it", p.Program, err)
 	}
 	return nil
 }
@@ -53,28 +55,29 @@
 func (p *Plan) validateRanges() error {
 	switch {
 	case p.Servers < 1 || p.Servers > 64:
-		return fmt.Errorf("--servers %d: from 1 to 64", p.Servers)
+		return fmt.Errorf("--servers %d: must be from 1 to 64", p.Servers)
 	case p.Rate <= 0 || p.Rate > 50_000:
-		return fmt.Errorf("--rate %g: over 0 and at most 50000 tasks a second", p.Rate)
+		return fmt.Errorf("--rate %g: must be over 0 and at most 50000 requests per second", p.Rate)
 	case p.Seconds < 0.5 || p.Seconds > 600:
-		return fmt.Errorf("--seconds %g: from 0.5 to 600", p.Seconds)
+		return fmt.Errorf("--seconds %g: must be from 0.5 to 600", p.Seconds)
 	case p.Rounds < 1 || p.Rounds > 20:
-		return fmt.Errorf("--rounds %d: from 1 to 20", p.Rounds)
-	case p.Busy < 1 || p.Busy > 256:
-		return fmt.Errorf("--busy %d: from 1 to 256", p.Busy)
+		return fmt.Errorf("--rounds %d: must be from 1 to 20", p.Rounds)
+	case p.BusyConns < 1 || p.BusyConns > 256:
+		return fmt.Errorf("--busy %d: must be from 1 to 256", p.BusyConns)
 	case len(p.Connections) == 0:
 		return ErrNoConnections
 	}
 	return nil
 }
 
-// validateConnections compares the numbers of idle connections with the limits on descriptors and ports.
+// validateConnections checks the numbers of idle connections against the limits on descriptors and
+// ports.
 func (p *Plan) validateConnections() error {
 	maxDescriptors, err := descriptorLimit()
 	if err != nil {
 		return err
 	}
-	perServer := int(min(maxDescriptors, math.MaxInt32)) - spareDescriptors - p.Busy
+	perServer := int(min(maxDescriptors, math.MaxInt32)) - reservedDescriptors - p.BusyConns
 	ports, err := ephemeralPorts()
 	if err != nil {
 		return err
@@ -83,29 +86,30 @@
 		share := (n + p.Servers - 1) / p.Servers
 		switch {
 		case n < 0:
-			return fmt.Errorf("--connections %d: under 0", n)
+			return fmt.Errorf("--connections %d: must not be negative", n)
 		case share > perServer:
-			return fmt.Errorf("--connections %d: a process may hold %d descriptors here, so %d servers take %d; "+
-				"at least %d servers are needed",
+			return fmt.Errorf("--connections %d: with a limit of %d descriptors per process, %d servers take at most "+
+				"%d connections; at least %d servers are needed",
 				n, maxDescriptors, p.Servers, p.Servers*perServer, (n+perServer-1)/perServer)
 		case share > ports:
-			return fmt.Errorf("--connections %d: loopback has %d ports to one server's address; "+
+			return fmt.Errorf("--connections %d: the system has %d ephemeral ports for connections to one server; "+
 				"more servers are needed", n, ports)
 		}
 	}
 	return nil
 }
 
-// descriptorLimit returns how many descriptors a process may raise its limit to.
+// descriptorLimit returns the hard limit on descriptors per process.
 func descriptorLimit() (uint64, error) {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
-		return 0, fmt.Errorf("read the limit on descriptors: %w", err)
+		return 0, fmt.Errorf("read the limit on descriptors per process: %w", err)
 	}
 	return limit.Max, nil
 }
 
-// ephemeralPorts returns how many connections may go from one address to one address and port.
+// ephemeralPorts returns the number of ephemeral ports, which bounds the connections from one
+// address to one server.
 func ephemeralPorts() (int, error) {
 	text, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	if err != nil {
@@ -113,7 +117,7 @@
 	}
 	var first, last int
 	if _, err := fmt.Sscan(string(text), &first, &last); err != nil {
-		return 0, fmt.Errorf("read the range of ports: %w", err)
+		return 0, fmt.Errorf("parse the range of ephemeral ports %q: %w", text, err)
 	}
 	return last - first + 1, nil
 }
--- a/internal/bench/idleconns/row.go
+++ b/internal/bench/idleconns/row.go
@@ -11,97 +11,99 @@
 	"swiftcourse/internal/bench/timing"
 )
 
-// BusyLatency is the latency of the busy connections in microseconds, as medians over the rounds.
+// BusyLatency is the latency of the busy connections in microseconds. Each value is the median over
+// the rounds.
 type BusyLatency struct {
-	P50      float64 `json:"busy_p50_us"`
-	P99      float64 `json:"busy_p99_us"`
-	P999     float64 `json:"busy_p999_us"`
-	NoneP50  float64 `json:"none_p50_us"` // with no idle connection, in the same run
-	NoneP99  float64 `json:"none_p99_us"`
-	AddedP50 float64 `json:"added_p50"` // median of the rounds' ratios of P50 over NoneP50
-	AddedP99 float64 `json:"added_p99"`
+	P50         float64 `json:"busy_p50_us"`
+	P99         float64 `json:"busy_p99_us"`
+	P999        float64 `json:"busy_p999_us"`
+	BaselineP50 float64 `json:"none_p50_us"` // without idle connections, in the same run
+	BaselineP99 float64 `json:"none_p99_us"`
+	AddedP50    float64 `json:"added_p50"` // median over the rounds of the ratio of P50 to BaselineP50
+	AddedP99    float64 `json:"added_p99"`
 }
 
-// Row is what was measured with a number of idle connections.
+// Row is the result for a number of idle connections.
 type Row struct {
-	Connections int     `json:"connections"`
-	Servers     int     `json:"servers"`
-	Resident    float64 `json:"rss_bytes_per_connection"`
-	Heap        float64 `json:"heap_bytes_per_connection"`
-	Timers      float64 `json:"timers"`
+	Connections     int     `json:"connections"`
+	Servers         int     `json:"servers"`
+	ResidentPerConn float64 `json:"rss_bytes_per_connection"`
+	HeapPerConn     float64 `json:"heap_bytes_per_connection"`
+	Timers          float64 `json:"timers"`
 	BusyLatency
-	CPUShare       float64 `json:"idle_cpu_share"` // of a core, all servers together, with no request sent
+	CPUShare       float64 `json:"idle_cpu_share"` // fraction of a core, over all servers, without requests
 	LongestTurnMs  float64 `json:"longest_turn_ms"`
 	Finished       int     `json:"finished"`
 	Rejected       int     `json:"rejected"`
 	Abandoned      int     `json:"abandoned"`
 	Unanswered     int     `json:"lost"`
 	MaxSendDelayMs float64 `json:"sender_late_ms"`
-	DrainSeconds   float64 `json:"leave_s"` // of the slowest server, with the idle connections open
+	DrainSeconds   float64 `json:"leave_s"` // drain time of the slowest server, with the idle connections open
 	OpenSeconds    float64 `json:"opened_s"`
 }
 
-// Columns are the names of the columns of Row.Cells.
+// Columns are the column heads for Row.Cells.
 var Columns = []string{"connections", "servers", "rss B/conn", "heap B/conn", "timers", "p50 us", "p99 us",
 	"p99.9 us", "added p50", "added p99", "idle cpu", "longest turn ms", "lost", "leave s"}
 
-// Cells returns the row's cells in the table.
+// Cells returns the row's table cells, in the order of Columns.
 func (r Row) Cells() []string {
 	return strings.Fields(fmt.Sprintf("%d %d %.0f %.0f %.0f %.0f %.0f %.0f %.3f %.3f %.4f %.2f %d %.2f",
-		r.Connections, r.Servers, r.Resident, r.Heap, r.Timers, r.P50, r.P99, r.P999, r.AddedP50, r.AddedP99,
-		r.CPUShare, r.LongestTurnMs, r.Unanswered, r.DrainSeconds))
+		r.Connections, r.Servers, r.ResidentPerConn, r.HeapPerConn, r.Timers, r.P50, r.P99, r.P999, r.AddedP50,
+		r.AddedP99, r.CPUShare, r.LongestTurnMs, r.Unanswered, r.DrainSeconds))
 }
 
 const (
-	// neverIdle is an idle timeout that no connection reaches during a measurement.
-	neverIdle = time.Hour
-	// quietPeriod is for how long nothing is sent, to see what idle connections cost by themselves.
-	quietPeriod = 2 * time.Second
-	// settleTime is the pause after the idle connections are opened, or after the last reply.
+	// longIdleTimeout is an idle timeout longer than any measurement.
+	longIdleTimeout = time.Hour
+	// noLoadPeriod is the time without requests in which the CPU cost of the idle connections is
+	// measured.
+	noLoadPeriod = 2 * time.Second
+	// settleTime is the pause after idle connections are opened or closed.
 	settleTime = 500 * time.Millisecond
-	// closeRate is a lower bound of how many connections close in a second.
-	closeRate = 50_000
+	// minCloseRate is a lower bound of the number of connections that close per second.
+	minCloseRate = 50_000
 )
 
-// Run measures a row for each number of connections of the plan.
+// Run measures one row for each number of connections of the plan.
 func Run(ctx context.Context, p *Plan) ([]Row, error) {
 	var rows []Row
 	for _, n := range p.Connections {
-		row, err := p.run(ctx, n)
+		row, err := p.measureRow(ctx, n)
 		if err != nil {
-			return rows, fmt.Errorf("with %d connections: %w", n, err)
+			return rows, fmt.Errorf("experiment with %d idle connections: %w", n, err)
 		}
 		rows = append(rows, row)
 	}
 	return rows, nil
 }
 
-// measurement is the state while one row is measured.
+// measurement is the state of the measurement of one row.
 type measurement struct {
 	*fixture
-	row     Row
-	before  usage // with no idle connection
-	with    loadgen.Stats
-	latency quantiles
+	row      Row
+	baseline usage // before the idle connections are opened
+	withIdle loadgen.Stats
+	latency  quantiles
 }
 
-func (p *Plan) run(ctx context.Context, connections int) (Row, error) {
+func (p *Plan) measureRow(ctx context.Context, connections int) (Row, error) {
 	current := &measurement{row: Row{Connections: connections, Servers: p.Servers}}
 	var err error
-	if current.fixture, err = p.start(ctx, neverIdle); err != nil {
+	if current.fixture, err = p.startFixture(ctx, longIdleTimeout); err != nil {
 		return current.row, err
 	}
 	defer current.close()
-	if _, err := current.measure(ctx); err != nil { // warms up, and allocates the buffers that are kept
+	if _, err := current.measureLoad(ctx); err != nil { // warms up the servers, which then keep their buffers
 		return current.row, err
 	}
-	if current.before, err = current.readUsage(); err != nil {
+	if current.baseline, err = current.readUsage(); err != nil {
 		return current.row, err
 	}
 	for round := range p.Rounds {
 		if round > 0 {
-			current.releaseIdle()
-			timing.Sleep(ctx, settleTime+timing.Seconds(float64(connections)/closeRate))
+			current.closeIdleConns()
+			timing.Sleep(ctx, settleTime+timing.Seconds(float64(connections)/minCloseRate))
 		}
 		if err := current.measureRound(ctx, round); err != nil {
 			return current.row, err
@@ -118,11 +120,11 @@
 	return current.row, ctx.Err()
 }
 
-// measureRound measures without the idle connections, opens them and measures with them.
+// measureRound measures without idle connections, opens them and measures again.
 func (m *measurement) measureRound(ctx context.Context, round int) error {
 	connections := m.row.Connections
-	m.plan.progress("%d connections, round %d of %d: without", connections, round+1, m.plan.Rounds)
-	without, err := m.measure(ctx)
+	m.plan.progress("%d idle connections, round %d of %d: measuring without them", connections, round+1, m.plan.Rounds)
+	without, err := m.measureLoad(ctx)
 	if err != nil {
 		return err
 	}
@@ -130,47 +132,48 @@
 	m.latency.without.add(&without)
 
 	start := time.Now()
-	if err := m.holdIdle(ctx, connections); err != nil {
+	if err := m.openIdleConns(ctx, connections); err != nil {
 		return err
 	}
 	opened := time.Since(start).Seconds()
-	m.plan.progress("%d connections, round %d of %d: with, opened in %.1f s",
+	m.plan.progress("%d idle connections, round %d of %d: opened in %.1f s, measuring with them",
 		connections, round+1, m.plan.Rounds, opened)
 	if round == 0 {
 		m.row.OpenSeconds = opened
-		if err := m.measureCost(ctx); err != nil {
+		if err := m.measureIdleCost(ctx); err != nil {
 			return err
 		}
 	}
 
-	with, err := m.measure(ctx)
+	with, err := m.measureLoad(ctx)
 	if err != nil {
 		return err
 	}
-	m.with.Merge(with)
+	m.withIdle.Merge(with)
 	m.latency.with.add(&with)
 	delay := max(without.MaxSendDelay, with.MaxSendDelay)
 	m.row.MaxSendDelayMs = max(m.row.MaxSendDelayMs, float64(delay.Microseconds())/1000)
 	return nil
 }
 
-// measureCost measures what the idle connections take while no request is sent.
-func (m *measurement) measureCost(ctx context.Context) error {
+// measureIdleCost measures the memory, timers and CPU time of the idle connections while no
+// requests are sent.
+func (m *measurement) measureIdleCost(ctx context.Context) error {
 	timing.Sleep(ctx, settleTime)
 	with, err := m.readUsage()
 	if err != nil {
 		return err
 	}
 	if n := float64(m.row.Connections); n > 0 {
-		m.row.Resident = (with.resident - m.before.resident) / n
-		m.row.Heap = (with.heap - m.before.heap) / n
+		m.row.ResidentPerConn = (with.resident - m.baseline.resident) / n
+		m.row.HeapPerConn = (with.heap - m.baseline.heap) / n
 	}
 	m.row.Timers = with.timers
-	if with, err = m.readUsage(); err != nil { // the first one's own cost does not count
+	if with, err = m.readUsage(); err != nil { // excludes the CPU time that the first call took
 		return err
 	}
 	start := time.Now()
-	timing.Sleep(ctx, quietPeriod)
+	timing.Sleep(ctx, noLoadPeriod)
 	used, err := m.cpuSeconds()
 	if err != nil {
 		return err
@@ -179,24 +182,24 @@
 	return ctx.Err()
 }
 
-// summarize sets the columns of the row that cover all rounds.
+// summarize sets the fields of the row that summarize all rounds.
 func (m *measurement) summarize(after usage) {
 	row := &m.row
 	row.LongestTurnMs = after.longestTurnMs
 	row.P50 = median(m.latency.with.p50)
 	row.P99 = median(m.latency.with.p99)
 	row.P999 = median(m.latency.with.p999)
-	row.NoneP50 = median(m.latency.without.p50)
-	row.NoneP99 = median(m.latency.without.p99)
+	row.BaselineP50 = median(m.latency.without.p50)
+	row.BaselineP99 = median(m.latency.without.p99)
 	row.AddedP50 = medianRatio(m.latency.with.p50, m.latency.without.p50)
 	row.AddedP99 = medianRatio(m.latency.with.p99, m.latency.without.p99)
-	row.Finished = m.with.Finished
-	row.Rejected = m.with.Rejected
-	row.Abandoned = m.with.Abandoned
-	row.Unanswered += m.with.Unanswered
+	row.Finished = m.withIdle.Finished
+	row.Rejected = m.withIdle.Rejected
+	row.Abandoned = m.withIdle.Abandoned
+	row.Unanswered += m.withIdle.Unanswered
 }
 
-// drain has all servers drain while the idle connections are open.
+// drain drains the servers one after the other while the idle connections are open.
 func (m *measurement) drain() error {
 	for _, s := range m.servers {
 		took, err := s.Drain()
@@ -208,10 +211,10 @@
 	return nil
 }
 
-// quantiles are the latencies without and with the idle connections.
+// quantiles are the latency quantiles without and with idle connections.
 type quantiles struct{ without, with roundQuantiles }
 
-// roundQuantiles are latencies in microseconds, one of each round.
+// roundQuantiles are latency quantiles in microseconds, one value per round.
 type roundQuantiles struct{ p50, p99, p999 []float64 }
 
 func (q *roundQuantiles) add(stats *loadgen.Stats) {
@@ -220,8 +223,9 @@
 	q.p999 = append(q.p999, max(1, stats.Quantile(99.9)))
 }
 
-// medianRatio returns the median over the rounds of the ratio of the latency with idle connections to the one without
-// them. The median is robust against single rounds that other processes on the machine disturb.
+// medianRatio returns the median over the rounds of the ratio of the latency with idle connections
+// to the latency without them. The median is robust against rounds disturbed by other processes on
+// the machine.
 func medianRatio(with, without []float64) float64 {
 	var ratios []float64
 	for round := range with {
@@ -230,7 +234,7 @@
 	return median(ratios)
 }
 
-// median returns the median of the values, of which there must be one at least.
+// median returns the median of the values. There must be at least one.
 func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	n := len(sorted)
--- a/internal/bench/quotas/faults.go
+++ b/internal/bench/quotas/faults.go
@@ -12,29 +12,29 @@
 // lossyLink is the state of all links during FaultLoss.
 var lossyLink = faultinjection.Link{Loss: 0.3, Duplicate: 0.1, Jitter: 50 * time.Millisecond}
 
-// draw is one draw of a fault.
-type draw struct {
+// faultDraw is a drawn fault with its parameters.
+type faultDraw struct {
 	fault    Fault
 	target   string
 	length   time.Duration
-	minority []string // of a random partition
-	majority []string
+	minority []string // servers on one side of a random partition
+	majority []string // servers on the other side
 }
 
-// injectFaults injects faults by the seed, one after the other.
+// injectFaults injects faults drawn from the seed, one after the other.
 func (r *experiment) injectFaults(ctx context.Context) {
 	random := rand.New(rand.NewPCG(r.Seed, 23))
 	end := time.Now().Add(timing.Seconds(r.Seconds))
 	for time.Now().Before(end) && ctx.Err() == nil {
 		r.row.Faults++
-		r.inject(ctx, r.draw(random))
+		r.inject(ctx, r.drawFault(random))
 		timing.Sleep(ctx, time.Duration(200+random.IntN(800))*time.Millisecond)
 	}
 }
 
-// draw draws a fault. All parts are drawn whatever it is, so that the plan's own fault has the same
-// draws.
-func (r *experiment) draw(random *rand.Rand) draw {
+// drawFault draws a fault. All parameters are drawn for every kind of fault, so that a plan with a
+// fixed kind draws the same parameters as one without.
+func (r *experiment) drawFault(random *rand.Rand) faultDraw {
 	names := r.fleet.Names
 	target := names[random.IntN(len(names))]
 	fault := FaultKinds[random.IntN(len(FaultKinds))]
@@ -43,33 +43,34 @@
 	}
 	length := time.Duration(300+random.IntN(4000)) * time.Millisecond
 	minority, majority := faultinjection.RandomPartition(random, names)
-	return draw{fault: fault, target: target, length: length, minority: minority, majority: majority}
+	return faultDraw{fault: fault, target: target, length: length, minority: minority, majority: majority}
 }
 
-// inject injects a fault and ends it. Errors of kills and pauses are not looked at: whether a
-// process is back shows in what is used once all is healed.
-func (r *experiment) inject(ctx context.Context, drawn draw) {
+// inject injects a fault and ends it. Errors of kills and pauses are ignored: a process that did
+// not come back shows in the used share after all faults are healed.
+func (r *experiment) inject(ctx context.Context, drawn faultDraw) {
 	switch drawn.fault {
-	case FaultLeader:
+	case FaultKillLeader:
 		r.killLeader(ctx, drawn.target)
-	case FaultKill:
+	case FaultKillServer:
 		_ = r.fleet.KillAndRestart(ctx, drawn.target)
-	case FaultVoters:
+	case FaultKillVoters:
 		r.killVoters(ctx)
 	case FaultPause:
 		_ = r.fleet.Pause(drawn.target)
 		timing.Sleep(ctx, drawn.length)
 		_ = r.fleet.Resume(drawn.target)
-	case FaultShift:
+	case FaultDemandShift:
 		r.shiftDemand(drawn.target)
-	case FaultCut, FaultOneWay, FaultLoss:
+	case FaultPartition, FaultCutIncoming, FaultLoss:
 		r.disturbLinks(drawn)
 		timing.Sleep(ctx, drawn.length)
 		r.fleet.Net.Heal()
 	}
 }
 
-// killLeader restarts the leader, as one server knows it, or that server if it knows none.
+// killLeader kills and restarts the leader that the named server knows, or the named server itself
+// if it knows none.
 func (r *experiment) killLeader(ctx context.Context, name string) {
 	status, err := r.fleet.Status(name)
 	if err == nil && r.fleet.Server(status.Leader) != nil {
@@ -78,7 +79,7 @@
 	_ = r.fleet.KillAndRestart(ctx, name)
 }
 
-// killVoters kills all voters before it restarts them.
+// killVoters kills all voters and then restarts them.
 func (r *experiment) killVoters(ctx context.Context) {
 	voterNames := r.fleet.Names[:r.fleet.Voters]
 	for _, name := range voterNames {
@@ -89,12 +90,12 @@
 	}
 }
 
-// disturbLinks changes the links between servers.
-func (r *experiment) disturbLinks(drawn draw) {
+// disturbLinks injects a fault of the links between servers.
+func (r *experiment) disturbLinks(drawn faultDraw) {
 	switch drawn.fault {
-	case FaultCut:
+	case FaultPartition:
 		r.fleet.Net.Partition(drawn.minority, drawn.majority)
-	case FaultOneWay:
+	case FaultCutIncoming:
 		r.fleet.CutIncoming(drawn.target)
 	case FaultLoss:
 		r.fleet.SetAllLinks(lossyLink)
--- a/internal/bench/quotas/quotas.go
+++ b/internal/bench/quotas/quotas.go
@@ -1,9 +1,9 @@
-// Package quotas is an experiment on a quota that all servers of a fleet share: processes of the
-// real program get more demand than it allows, here and there, while they are killed, paused and
-// partitioned by a seed. The finished requests, counted by their clients, are compared with the
-// quota.
+// Package quotas is an experiment on a quota that all servers of a fleet share. Real server
+// processes receive more demand than the quota allows, at changing servers, while they are killed,
+// paused and partitioned as drawn from a seed. The finished requests, as counted by their clients,
+// are compared with the quota.
 //
-// Run owns the processes of an experiment; it may be called by one goroutine at a time.
+// Run owns the processes of an experiment and must not be called concurrently.
 package quotas
 
 import (
@@ -20,42 +20,43 @@
 	"swiftcourse/internal/wire/simulator"
 )
 
-// Fault is a kind of fault.
+// Fault names a kind of fault.
 type Fault string
 
 // The kinds of faults.
 const (
-	FaultKill   Fault = "kill"    // a server restarts
-	FaultLeader Fault = "leader"  // the leader restarts
-	FaultPause  Fault = "stop"    // a server is paused
-	FaultCut    Fault = "cut"     // a minority is partitioned
-	FaultOneWay Fault = "one-way" // a server receives nothing
-	FaultLoss   Fault = "loss"    // all links lose and duplicate
-	FaultShift  Fault = "jump"    // the demand moves to another server
-	FaultVoters Fault = "voters"  // all voters restart together
-	anyFault    Fault = ""        // drawn among the kinds
+	FaultKillServer  Fault = "kill"    // a server is killed and restarted
+	FaultKillLeader  Fault = "leader"  // the leader is killed and restarted
+	FaultPause       Fault = "stop"    // a server is paused for a while
+	FaultPartition   Fault = "cut"     // a minority of the servers is partitioned from the others
+	FaultCutIncoming Fault = "one-way" // a server receives no messages from other servers
+	FaultLoss        Fault = "loss"    // all links lose and duplicate messages
+	FaultDemandShift Fault = "jump"    // most of the demand moves to another server
+	FaultKillVoters  Fault = "voters"  // all voters are killed and then restarted
+	anyFault         Fault = ""        // each fault is drawn from FaultKinds
 )
 
-// FaultKinds are all kinds of faults.
+// FaultKinds lists all kinds of faults.
 var FaultKinds = []Fault{
-	FaultKill, FaultLeader, FaultPause, FaultCut, FaultOneWay, FaultLoss, FaultShift, FaultVoters,
+	FaultKillServer, FaultKillLeader, FaultPause, FaultPartition, FaultCutIncoming, FaultLoss, FaultDemandShift,
+	FaultKillVoters,
 }
 
-// Plan is one experiment.
+// Plan describes an experiment.
 type Plan struct {
 	Program string
 	Servers int
-	Seconds float64 // of faults
-	Fault   Fault   // one of FaultKinds, again and again; "" draws among them
+	Seconds float64 // how long faults are injected
+	Fault   Fault   // the only kind of fault to inject; "" draws each from FaultKinds
 	Seed    uint64
 	Log     io.Writer
 }
 
-// Validate returns an error that names the limits if a value is outside of them.
+// Validate returns an error if a value is out of range.
 func (p *Plan) Validate() error {
 	if p.Servers < 3 || p.Servers > 30 || p.Seconds < 2 || p.Seconds > 600 ||
 		p.Fault != anyFault && !slices.Contains(FaultKinds, p.Fault) {
-		return fmt.Errorf("--servers %d --seconds %g --fault %q: from 3 to 30, 2 to 600, and one of %v",
+		return fmt.Errorf("--servers %d --seconds %g --fault %q: must be from 3 to 30, from 2 to 600, and one of %v",
 			p.Servers, p.Seconds, p.Fault, FaultKinds)
 	}
 	return nil
@@ -68,21 +69,21 @@
 	Faults               int     `json:"faults"`
 	Requests             int     `json:"asked"`
 	Finished             int     `json:"finished"`
-	MaxExcess            float64 `json:"overspend_max"` // requests in any interval over its quota
-	AllowedExcess        float64 `json:"slack"`         // what MaxExcess may be
-	UsedShare            float64 `json:"used_of_budget"`
-	ShiftMillis          float64 `json:"hot_share_after_ms"` // until the new hot server used half of the quota
-	CutOffService        float64 `json:"silent_service"`     // of a server cut off for over a lease, over its floor
-	UsedShareHealed      float64 `json:"used_of_budget_after"`
-	GossipBytesPerSecond float64 `json:"talk_bytes_s"` // sent by a server, of all gossip, without faults
+	MaxExcess            float64 `json:"overspend_max"`        // finished requests over the quota, in any interval
+	AllowedExcess        float64 `json:"slack"`                // upper bound of MaxExcess that the quota guarantees
+	UsedShare            float64 `json:"used_of_budget"`       // used share of the quota, without faults
+	DemandShiftMillis    float64 `json:"hot_share_after_ms"`   // time until a new hot server uses half of the quota
+	PartitionedService   float64 `json:"silent_service"`       // rate of a partitioned server, relative to its floor
+	UsedShareAfterHeal   float64 `json:"used_of_budget_after"` // used share of the quota after all faults
+	GossipBytesPerSecond float64 `json:"talk_bytes_s"`         // gossip sent per server, without faults
 }
 
-// Columns are the heads of the table.
+// Columns are the column heads for Row.Cells.
 var Columns = []string{
 	"seed", "servers", "faults", "asked", "finished", "over", "slack", "used", "hot ms", "silent", "after", "B/s",
 }
 
-// Cells returns the row for the table.
+// Cells returns the row's table cells, in the order of Columns.
 func (r Row) Cells() []string {
 	return []string{
 		strconv.FormatUint(r.Seed, 10),
@@ -93,25 +94,25 @@
 		fmt.Sprintf("%.1f", r.MaxExcess),
 		fmt.Sprintf("%.0f", r.AllowedExcess),
 		fmt.Sprintf("%.3f", r.UsedShare),
-		fmt.Sprintf("%.0f", r.ShiftMillis),
-		fmt.Sprintf("%.2f", r.CutOffService),
-		fmt.Sprintf("%.3f", r.UsedShareHealed),
+		fmt.Sprintf("%.0f", r.DemandShiftMillis),
+		fmt.Sprintf("%.2f", r.PartitionedService),
+		fmt.Sprintf("%.3f", r.UsedShareAfterHeal),
 		fmt.Sprintf("%.0f", r.GossipBytesPerSecond),
 	}
 }
 
-// minHealedShare is the share of the quota that has to be used once all faults are healed.
+// minHealedShare is the share of the quota that must be used after all faults are healed.
 const minHealedShare = 0.8
 
-// Violations counts what breaks an invariant: use over the quota, a server cut off that serves
-// nothing, and a quota that is not used again.
+// Violations returns the number of violated invariants: the quota is not exceeded by more than
+// AllowedExcess, a partitioned server keeps serving, and the quota is used again after the faults.
 func (r Row) Violations() (count int) {
-	for _, broken := range []bool{
+	for _, violated := range []bool{
 		r.MaxExcess > r.AllowedExcess,
-		r.CutOffService == 0,
-		r.UsedShareHealed < minHealedShare,
+		r.PartitionedService == 0,
+		r.UsedShareAfterHeal < minHealedShare,
 	} {
-		if broken {
+		if violated {
 			count++
 		}
 	}
@@ -119,16 +120,16 @@
 }
 
 const (
-	tenantName     = "acme"
-	limitPerServer = 12.0 // requests a second of the quota, for each server
-	floorFraction  = 0.1
-	leaseDuration  = 2 * time.Second
-	voters         = 3
-	hotDemandRatio = 4.0 // of the demand at the hot server, over the quota
-	idleDemand     = limitPerServer / 3
-	settleTimeout  = 30 * time.Second // for the quota to be used
-	measurePeriod  = 6 * time.Second
-	rateWindow     = 2 * time.Second
+	tenantName          = "acme"
+	limitPerServer      = 12.0 // requests per second that each server adds to the quota
+	floorFraction       = 0.1
+	leaseDuration       = 2 * time.Second
+	voters              = 3
+	hotDemandFactor     = 4.0 // demand at the hot server, as a multiple of the quota
+	baseDemandPerServer = limitPerServer / 3
+	settleTimeout       = 30 * time.Second // bounds the wait until servers use the quota
+	measurePeriod       = 6 * time.Second
+	rateWindow          = 2 * time.Second
 )
 
 // experiment is one run of a plan.
@@ -136,12 +137,12 @@
 	*Plan
 	fleet     *faultinjection.Fleet
 	load      *faultinjection.Load
-	limit     float64 // of the quota, requests a second
+	limit     float64 // the quota, in requests per second
 	hotServer string
 	row       Row
 }
 
-// Run runs the plan.
+// Run runs the experiment.
 func Run(ctx context.Context, plan *Plan) (Row, error) {
 	limit := limitPerServer * float64(plan.Servers)
 	settings := quota.Config{
@@ -180,7 +181,7 @@
 	return r.row, ctx.Err()
 }
 
-// startFleet starts the processes.
+// startFleet starts the server processes.
 func (r *experiment) startFleet(ctx context.Context) (err error) {
 	shape := faultinjection.SmallShape(r.Program)
 	shape.Log = r.Log
@@ -196,12 +197,13 @@
 	return err
 }
 
-// measureHealthy waits until the quota is used, and measures use and gossip without faults.
+// measureHealthy waits until most of the quota is used, and then measures the used share and the
+// gossip traffic without faults.
 func (r *experiment) measureHealthy(ctx context.Context) error {
 	names := r.fleet.Names
 	r.shiftDemand(names[len(names)-1])
 	if !r.waitForRate(0.8 * r.limit) {
-		return fmt.Errorf("the quota is not used after %s: %.1f of %.0f a second",
+		return fmt.Errorf("the servers do not use the quota after %s: %.1f of %.0f requests per second",
 			settleTimeout, r.finishRate(rateWindow), r.limit)
 	}
 	sentBefore := r.fleet.BytesSent()
@@ -212,53 +214,55 @@
 	return nil
 }
 
-// measureShift moves the demand, and measures how soon the quota follows.
+// measureShift moves the demand to another server and measures how soon the quota follows it.
 func (r *experiment) measureShift() {
 	from := time.Now()
 	r.shiftDemand(r.fleet.Names[0])
 	faultinjection.WaitUntil(settleTimeout, func() bool { return r.load.Rate(r.hotServer, time.Second) > r.limit/2 })
-	r.row.ShiftMillis = float64(time.Since(from).Milliseconds())
+	r.row.DemandShiftMillis = float64(time.Since(from).Milliseconds())
 }
 
-// measureHealed measures use once all faults are healed.
+// measureHealed heals all links and measures the used share of the quota.
 func (r *experiment) measureHealed(ctx context.Context) {
 	names := r.fleet.Names
 	r.fleet.Net.Heal()
 	r.shiftDemand(names[len(names)-1])
 	r.waitForRate(0.9 * r.limit)
-	r.row.UsedShareHealed = r.measureUsedShare(ctx, measurePeriod)
+	r.row.UsedShareAfterHeal = r.measureUsedShare(ctx, measurePeriod)
 }
 
-// waitForRate waits until all servers together finish more requests a second, and reports whether
-// they did in time.
+// waitForRate waits until all servers together finish more requests per second than the given rate,
+// and reports whether they did within settleTimeout.
 func (r *experiment) waitForRate(rate float64) bool {
 	return faultinjection.WaitUntil(settleTimeout, func() bool { return r.finishRate(rateWindow) > rate })
 }
 
-// shiftDemand gives one server far more demand than the quota, and the others less than an even
-// share.
+// shiftDemand gives one server, the hot one, far more demand than the quota, and each other server
+// less than its even share of the quota.
 func (r *experiment) shiftDemand(to string) {
 	r.hotServer = to
-	r.load.SetRate(idleDemand, r.fleet.Names...)
-	r.load.SetRate(hotDemandRatio*r.limit, to)
+	r.load.SetRate(baseDemandPerServer, r.fleet.Names...)
+	r.load.SetRate(hotDemandFactor*r.limit, to)
 }
 
-// finishRate returns the requests a second that all servers finished in the last time.
-func (r *experiment) finishRate(lately time.Duration) (sum float64) {
+// finishRate returns the requests per second that all servers together finished during the latest
+// window.
+func (r *experiment) finishRate(window time.Duration) (sum float64) {
 	for _, name := range r.fleet.Names {
-		sum += r.load.Rate(name, lately)
+		sum += r.load.Rate(name, window)
 	}
 	return sum
 }
 
-// measureUsedShare returns the share of the quota that is used during that time.
+// measureUsedShare returns the share of the quota that is used from now on for the given duration.
 func (r *experiment) measureUsedShare(ctx context.Context, length time.Duration) float64 {
 	from := time.Now()
 	timing.Sleep(ctx, length)
 	return r.load.RateBetween(from, time.Now(), r.fleet.Names...) / r.limit
 }
 
-// measurePartition cuts off one server with demand, and measures its use once its lease is over.
+// measurePartition partitions one server that has demand from all others, and measures its rate
+// after its lease has expired.
 func (r *experiment) measurePartition(ctx context.Context) {
 	network := r.fleet.Net
 	name := r.fleet.Names[len(r.fleet.Names)-2]
@@ -269,7 +273,7 @@
 	from := time.Now()
 	timing.Sleep(ctx, measurePeriod)
 	floor := floorFraction * r.limit / float64(r.Servers)
-	r.row.CutOffService = r.load.RateBetween(from, time.Now(), name) / floor
+	r.row.PartitionedService = r.load.RateBetween(from, time.Now(), name) / floor
 	network.Heal()
-	r.load.SetRate(idleDemand, name)
+	r.load.SetRate(baseDemandPerServer, name)
 }
--- a/internal/bench/readiness/plan.go
+++ b/internal/bench/readiness/plan.go
@@ -1,5 +1,6 @@
-// Package readiness measures how long servers take from their start until they are healthy and registered, when all
-// servers of a fleet start at once and the executors and registries run already, or start later than the servers.
+// Package readiness measures the time from a server's start until it is healthy and until its
+// registry lists it as accepting requests. All servers of a fleet start at once; their executors
+// and registries run already, or start later than the servers.
 package readiness
 
 import (
@@ -15,22 +16,23 @@
 	"swiftcourse/internal/bench/process"
 )
 
-// Plan is the experiment.
+// Plan describes an experiment.
 type Plan struct {
 	Program  string // path of the server's binary
 	Servers  int
-	Rounds   int           // restarts of all servers at once, for each case
-	Delay    time.Duration // after the servers' start, until a late dependency starts
+	Rounds   int           // simultaneous restarts of all servers, for each row
+	Delay    time.Duration // time from the servers' start until the late dependencies start
 	Progress io.Writer
 }
 
-// Row is what was measured with some dependencies late, over all servers and rounds. Times are in seconds.
+// Row is the result for one set of late dependencies, over all servers and rounds. Times are in
+// seconds.
 type Row struct {
-	Late         string  `json:"late"` // which dependencies; "" for none
-	DelaySeconds float64 `json:"late_s"`
-	Starts       int     `json:"starts"`
-	Ready        Spread  `json:"ready_s"`  // from the start until a health check succeeds
-	Listed       Spread  `json:"listed_s"` // from the start until the registry knows that the server accepts requests
+	LateDependencies string  `json:"late"` // the late dependencies; "" for none
+	DelaySeconds     float64 `json:"late_s"`
+	Starts           int     `json:"starts"`
+	Ready            Spread  `json:"ready_s"`  // from the start until a health check succeeds
+	Listed           Spread  `json:"listed_s"` // from the start until the registry knows that it accepts requests
 }
 
 // Spread summarizes a distribution by the median, the 90th percentile and the maximum.
@@ -40,7 +42,7 @@
 	Max float64 `json:"max"`
 }
 
-// newSpread sorts the values, of which there must be one at least.
+// newSpread sorts the values and summarizes them. There must be at least one.
 func newSpread(values []float64) Spread {
 	slices.Sort(values)
 	quantile := func(fraction float64) float64 {
@@ -49,10 +51,10 @@
 	return Spread{P50: quantile(0.5), P90: quantile(0.9), Max: values[len(values)-1]}
 }
 
-// Columns are the names of the columns of Row.Cells.
+// Columns are the column heads for Row.Cells.
 var Columns = []string{"late", "by s", "starts", "ready p50", "p90", "max", "listed p50", "p90", "max"}
 
-// Cells returns the row's cells in the table.
+// Cells returns the row's table cells, in the order of Columns.
 func (r Row) Cells() []string {
 	cells := []string{r.lateName(), fmt.Sprintf("%.1f", r.DelaySeconds), fmt.Sprint(r.Starts)}
 	for _, s := range []Spread{r.Ready, r.Listed} {
@@ -62,13 +64,13 @@
 }
 
 func (r Row) lateName() string {
-	if r.Late == "" {
+	if r.LateDependencies == "" {
 		return "nobody"
 	}
-	return r.Late
+	return r.LateDependencies
 }
 
-// lateDependencies is a case of the experiment. Its text is the name in reports.
+// lateDependencies names the dependencies that start late, as written in reports.
 type lateDependencies string
 
 const (
@@ -78,7 +80,7 @@
 	lateBoth     lateDependencies = "processor and roster"
 )
 
-// dependencies returns the dependencies that are late in this case.
+// dependencies returns the dependencies that l names.
 func (l lateDependencies) dependencies() dependencies {
 	return dependencies{
 		executor: l == lateExecutor || l == lateBoth,
@@ -86,15 +88,16 @@
 	}
 }
 
-// dependencies is a subset of the services on which a server depends.
+// dependencies is a set of services on which a server depends.
 type dependencies struct{ executor, registry bool }
 
-// others returns the dependencies that are not in d.
-func (d dependencies) others() dependencies {
+// complement returns the set of dependencies that are not in d.
+func (d dependencies) complement() dependencies {
 	return dependencies{executor: !d.executor, registry: !d.registry}
 }
 
-// Run measures with no dependency late, then the executors, the registries, and both.
+// Run measures one row each with no late dependencies, late executors, late registries, and both
+// late.
 func (p *Plan) Run(ctx context.Context) ([]Row, error) {
 	config := faultinjection.SmallShape(p.Program)
 	servers, err := process.Start(ctx, p.Servers, config)
@@ -106,7 +109,7 @@
 	for _, late := range []lateDependencies{lateNone, lateExecutor, lateRegistry, lateBoth} {
 		row, err := p.measure(ctx, servers, config, late)
 		if err != nil {
-			return rows, fmt.Errorf("with %s late: %w", row.lateName(), err)
+			return rows, fmt.Errorf("experiment with late dependencies %q: %w", row.LateDependencies, err)
 		}
 		rows = append(rows, row)
 		fmt.Fprintln(p.Progress, strings.Join(row.Cells(), "  "))
@@ -114,11 +117,11 @@
 	return rows, nil
 }
 
-// measure measures one row: it restarts all servers in each round and summarizes their times.
+// measure measures one row: it restarts all servers in each round and summarizes their start times.
 func (p *Plan) measure(
 	ctx context.Context, servers []*process.Server, config process.Config, late lateDependencies,
 ) (Row, error) {
-	row := Row{Late: string(late), Starts: p.Servers * p.Rounds}
+	row := Row{LateDependencies: string(late), Starts: p.Servers * p.Rounds}
 	if late != lateNone {
 		row.DelaySeconds = p.Delay.Seconds()
 	}
@@ -138,7 +141,7 @@
 	return row, nil
 }
 
-// restartAll restarts all servers at once, and waits until each is healthy and listed.
+// restartAll kills all servers, starts them at once, and waits until each is healthy and listed.
 func (p *Plan) restartAll(
 	ctx context.Context, servers []*process.Server, config process.Config, late lateDependencies,
 ) ([]startTimes, error) {
@@ -163,7 +166,7 @@
 	wait.Wait()
 	for i, err := range failures {
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", servers[i].Name, err)
+			return nil, fmt.Errorf("restart server %s: %w", servers[i].Name, err)
 		}
 	}
 	return times, nil
--- a/internal/bench/readiness/plan_test.go
+++ b/internal/bench/readiness/plan_test.go
@@ -9,33 +9,33 @@
 	"time"
 )
 
-// TestRun_LateDependencyDelaysReadiness: no server is ready before its executor has started, nor listed before its
-// registry has; and all are in the end.
+// A server must not report that it is healthy before its executor has started, nor be listed before
+// its registry has started. All servers must become ready and listed in the end.
 func TestRun_LateDependencyDelaysReadiness(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "swiftcourse")
 	build := exec.Command("go", "build", "-o", program, "swiftcourse/cmd/swiftcourse")
 	if output, err := build.CombinedOutput(); err != nil {
-		t.Fatalf("%v\n%s", err, output)
+		t.Fatalf("build the server: %v\n%s", err, output)
 	}
 	const delay = 300 * time.Millisecond
 	plan := &Plan{Program: program, Servers: 3, Rounds: 1, Delay: delay, Progress: io.Discard}
 	rows, err := plan.Run(context.Background())
 	if err != nil || len(rows) != 4 {
-		t.Fatal(rows, err)
+		t.Fatalf("got %d rows and error %v, want 4 rows: %+v", len(rows), err, rows)
 	}
 	for _, row := range rows {
-		first := row.Ready.P50 // of three
+		first := row.Ready.P50 // the P50 of three values
 		if row.Starts != 3 || first <= 0 || row.Ready.Max < row.Ready.P90 || row.Listed.Max < row.Listed.P50 {
-			t.Errorf("%+v", row)
+			t.Errorf("got row %+v, want 3 starts, times over 0 and ascending quantiles", row)
 		}
-		switch row.Late {
+		switch row.LateDependencies {
 		case "processor", "processor and roster":
 			if first < delay.Seconds() || row.Listed.P50 < delay.Seconds() {
-				t.Errorf("ready before the executor: %+v", row)
+				t.Errorf("ready or listed before the executor started, %s late: %+v", delay, row)
 			}
 		case "roster":
 			if row.Listed.P50 < delay.Seconds() {
-				t.Errorf("listed before the registry: %+v", row)
+				t.Errorf("listed before the registry started, %s late: %+v", delay, row)
 			}
 		}
 	}
@@ -47,6 +47,6 @@
 		times = append(times, float64(9-i))
 	}
 	if s := newSpread(times); s != (Spread{5, 9, 9}) {
-		t.Errorf("%+v", s)
+		t.Errorf("got %+v, want P50 5, P90 9 and Max 9", s)
 	}
 }
--- a/internal/bench/readiness/restart.go
+++ b/internal/bench/readiness/restart.go
@@ -14,36 +14,36 @@
 )
 
 const (
-	// startTimeout is how long a server may take to be healthy and listed.
+	// startTimeout bounds the time from the start of a server until it is healthy and listed.
 	startTimeout  = 30 * time.Second
 	pollInterval  = 5 * time.Millisecond
 	healthTimeout = time.Second
-	// addressTimeout is how long the system may hold the address of a dependency that was closed.
-	addressTimeout = time.Second
-	addressRetry   = time.Millisecond
+	// addressTimeout bounds the time for which the address of a closed dependency may stay in use.
+	addressTimeout       = time.Second
+	addressRetryInterval = time.Millisecond
 )
 
-// startTimes are how long a server took from its start, in seconds.
+// startTimes are times in seconds from the start of a server.
 type startTimes struct {
 	ready  float64 // until a health check succeeded
-	listed float64 // until the registry knew that it accepts requests
+	listed float64 // until the registry had a report that the server accepts requests
 }
 
-// restart is the restart of one server, with new dependencies at the old addresses.
+// restart restarts one server, with new dependencies at the previous addresses.
 type restart struct {
 	server          *process.Server
 	executorAddress string
 	registryAddress string
 	config          process.Config
 	late            lateDependencies
-	delay           time.Duration // until the late dependencies start
+	delay           time.Duration // time from the start of the server to that of the late dependencies
 }
 
 // run replaces the dependencies, restarts the server and waits until it is healthy and listed.
 func (r *restart) run(ctx context.Context) (startTimes, error) {
 	r.server.Executor.Close()
 	r.server.Registry.Close()
-	if err := r.startDependencies(r.late.dependencies().others()); err != nil {
+	if err := r.startDependencies(r.late.dependencies().complement()); err != nil {
 		return startTimes{}, err
 	}
 	start := time.Now()
@@ -57,13 +57,13 @@
 		}
 		lateStarted <- r.startDependencies(r.late.dependencies())
 	}()
-	return r.await(start, lateStarted)
+	return r.waitReady(start, lateStarted)
 }
 
-// startDependencies starts the given dependencies of the server at their addresses.
+// startDependencies starts the given dependencies at their previous addresses.
 func (r *restart) startDependencies(started dependencies) error {
 	if started.executor {
-		err := retryAddress(func() (err error) {
+		err := retryWhileAddressInUse(func() (err error) {
 			r.server.Executor, err = executor.Start(r.executorAddress, r.config.Executor)
 			return err
 		})
@@ -72,7 +72,7 @@
 		}
 	}
 	if started.registry {
-		return retryAddress(func() (err error) {
+		return retryWhileAddressInUse(func() (err error) {
 			r.server.Registry, err = registry.Start(r.registryAddress, nil)
 			return err
 		})
@@ -80,12 +80,13 @@
 	return nil
 }
 
-// await waits until the server is healthy, the late dependencies have started, and the server is listed.
-func (r *restart) await(start time.Time, lateStarted <-chan error) (startTimes, error) {
+// waitReady waits until the server is healthy, the late dependencies have started, and the server
+// is listed.
+func (r *restart) waitReady(start time.Time, lateStarted <-chan error) (startTimes, error) {
 	var times startTimes
 	healthy := func() bool { return balancer.IsHealthy(r.server.Addr, healthTimeout) }
 	if !poll(start, healthy) {
-		return times, fmt.Errorf("not ready within %s\n%s", startTimeout, r.server.RecentLog())
+		return times, fmt.Errorf("not healthy within %s of its start\n%s", startTimeout, r.server.RecentLog())
 	}
 	times.ready = time.Since(start).Seconds()
 	if err := <-lateStarted; err != nil {
@@ -93,13 +94,14 @@
 	}
 	listed := func() bool { return r.server.Registry.Accepting(r.server.Name) }
 	if !poll(start, listed) {
-		return times, fmt.Errorf("not listed within %s\n%s", startTimeout, r.server.RecentLog())
+		return times, fmt.Errorf("not listed by the registry within %s of its start\n%s",
+			startTimeout, r.server.RecentLog())
 	}
 	times.listed = time.Since(start).Seconds()
 	return times, nil
 }
 
-// poll reports whether the condition became true within the timeout from the server's start.
+// poll reports whether the condition became true within startTimeout of the server's start.
 func poll(start time.Time, condition func() bool) bool {
 	for !condition() {
 		if time.Since(start) > startTimeout {
@@ -110,10 +112,11 @@
 	return true
 }
 
-// retryAddress starts a dependency at an address that the system may hold for a moment after it was closed there.
-func retryAddress(start func() error) error {
+// retryWhileAddressInUse starts a dependency and retries while its address is in use: the system
+// may keep the address in use for a moment after the previous listener was closed.
+func retryWhileAddressInUse(start func() error) error {
 	var err error
-	for deadline := time.Now().Add(addressTimeout); time.Now().Before(deadline); time.Sleep(addressRetry) {
+	for deadline := time.Now().Add(addressTimeout); time.Now().Before(deadline); time.Sleep(addressRetryInterval) {
 		if err = start(); !errors.Is(err, syscall.EADDRINUSE) {
 			break
 		}
