--- a/internal/fake/balancer/balancer_test.go
+++ b/internal/fake/balancer/balancer_test.go
@@ -13,7 +13,8 @@
 const testTimeout = 5 * time.Second
 
 // startServer starts a server that answers the first health check on a connection with the given
-// health, and each further one with a go-away message.
+// health, and each further one with a go-away message. It closes the connection on any other
+// message.
 func startServer(t *testing.T, healthy bool) string {
 	t.Helper()
 	listener, err := tcpserver.Start("127.0.0.1:0", func(conn net.Conn) {
@@ -47,7 +48,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: still false after %s", description, testTimeout)
+			t.Fatalf("not true within %s: %s", testTimeout, description)
 		}
 	}
 }
@@ -55,7 +56,7 @@
 func TestIsHealthy(t *testing.T) {
 	for _, healthy := range []bool{true, false} {
 		if got := IsHealthy(startServer(t, healthy), testTimeout); got != healthy {
-			t.Errorf("IsHealthy returned %t for a server that answers %t", got, healthy)
+			t.Errorf("got IsHealthy %t for a server that answers %t, want the same", got, healthy)
 		}
 	}
 }
@@ -69,20 +70,20 @@
 	if first, second := c.NextNumber(), c.NextNumber(); first != 1 || second != 2 {
 		t.Errorf("the first message numbers are %d and %d, want 1 and 2", first, second)
 	}
-	if err := c.SendCancel(1); err != nil { // this server closes the connection on a cancellation
+	if err := c.SendCancel(1); err != nil { // the server closes the connection on a cancellation
 		t.Fatal(err)
 	}
 	select {
 	case err := <-closed:
 		if err == nil {
-			t.Error("onClose was called with a nil error")
+			t.Error("onClose was called with a nil error, want the error that ended the connection")
 		}
 	case <-time.After(testTimeout):
 		t.Fatalf("onClose was not called within %s", testTimeout)
 	}
 }
 
-func TestIdleConns_GoAway(t *testing.T) {
+func TestIdleConns_GoAwayClosesIfHonored(t *testing.T) {
 	const n = 5
 	for _, honorClose := range []bool{true, false} {
 		idle, err := OpenIdle(startServer(t, true), n, honorClose)
@@ -98,10 +99,11 @@
 		if honorClose {
 			await(t, "all connections are closed", func() bool { return idle.Len() == 0 })
 			if idle.Closed.Load() != n {
-				t.Errorf("%d connections counted as closed, want %d", idle.Closed.Load(), n)
+				t.Errorf("honorClose true: %d connections counted as closed, want %d", idle.Closed.Load(), n)
 			}
 		} else if idle.Len() != n || idle.Closed.Load() != 0 {
-			t.Errorf("%d connections open and %d closed, want %d and 0", idle.Len(), idle.Closed.Load(), n)
+			t.Errorf("honorClose false: %d connections open and %d closed, want %d and 0",
+				idle.Len(), idle.Closed.Load(), n)
 		}
 	}
 }
--- a/internal/fake/balancer/conn.go
+++ b/internal/fake/balancer/conn.go
@@ -44,7 +44,7 @@
 	return c, nil
 }
 
-// receive reads messages until the connection ends or sends an invalid message.
+// receive reads messages until the connection ends or the server sends an invalid message.
 func (c *Conn) receive(onAnswer func(rpc.Response)) error {
 	var buffered []byte
 	chunk := make([]byte, readBufferSize)
--- a/internal/fake/balancer/idle.go
+++ b/internal/fake/balancer/idle.go
@@ -18,8 +18,8 @@
 	maxShortMessageBytes = 96
 )
 
-// errUnexpectedMessage is returned for a message of another kind than expected, or one that is
-// longer than maxShortMessageBytes.
+// errUnexpectedMessage is returned by readMessage for a message of another kind than expected, or
+// one that is longer than maxShortMessageBytes.
 var errUnexpectedMessage = errors.New("server sent a message of an unexpected kind or size")
 
 var healthCheck = rpc.AppendHealthCheck(nil, 1)
@@ -119,7 +119,7 @@
 }
 
 // watch counts the go-away messages on a connection until it ends. If honorClose is set, it closes
-// the connection on the first.
+// the connection on the first one.
 func (c *IdleConns) watch(conn net.Conn) {
 	for {
 		err := readMessage(conn, rpc.ResponseGoAway)
--- a/internal/fake/executor/connection.go
+++ b/internal/fake/executor/connection.go
@@ -18,7 +18,7 @@
 	line   []byte
 }
 
-// serve handles a connection until it ends or sends an invalid command.
+// serve handles a connection until it ends or the server sends an invalid command.
 func (s *Server) serve(conn net.Conn) {
 	in := bufio.NewReaderSize(conn, readBufferSize)
 	for {
--- a/internal/fake/executor/server.go
+++ b/internal/fake/executor/server.go
@@ -26,7 +26,8 @@
 	// Gauges returns the load gauges, in the order of the server's settings, for the numbers of
 	// busy cores and waiting runs. The default is no gauges.
 	Gauges func(busy, waiting int) []float64
-	// ColdStart makes each hello tell the server that the executor started cold.
+	// ColdStart is sent in the hello, the first line on each connection: whether the executor was
+	// cold when it started.
 	ColdStart bool
 	// CallTimeout is the number of seconds that a run waits for the reply to its upstream call
 	// before it is cancelled; 0 means no timeout.
@@ -54,12 +55,12 @@
 
 	mu           sync.Mutex
 	stats        Stats
-	conn         net.Conn // the connection that sent the latest resume command; nil if there is none
-	output       []byte   // lines not yet written to conn
-	flushing     bool     // whether a goroutine runs flush
-	latestSerial int64    // serial of the latest notice
-	notices      []notice // the latest ones, by serial
-	runs         map[string]*run
+	conn         net.Conn        // the connection that sent the latest resume command; nil if there is none
+	output       []byte          // lines not yet written to conn
+	flushing     bool            // set while a goroutine runs flush
+	latestSerial int64           // serial of the latest notice
+	notices      []notice        // the latest notices, ordered by serial
+	runs         map[string]*run // runs in progress, by id
 	endedIDs     map[string]bool // ids of ended runs; at most maxEndedIDs
 	waitingRuns  []*run          // runs whose next part waits for a core, in order
 	busyCores    int
--- a/internal/fake/executor/server_test.go
+++ b/internal/fake/executor/server_test.go
@@ -41,32 +41,32 @@
 	}
 	t.Cleanup(func() { _ = conn.Close() })
 	_ = conn.SetDeadline(time.Now().Add(testTimeout))
-	l := &testConn{T: t, conn: conn, lines: bufio.NewReader(conn)}
-	l.send(processor.AppendResume(nil, lastRead))
-	l.expect(processor.NoticeHello, "")
-	return l
+	c := &testConn{T: t, conn: conn, lines: bufio.NewReader(conn)}
+	c.send(processor.AppendResume(nil, lastRead))
+	c.expect(processor.NoticeHello, "")
+	return c
 }
 
-func (l *testConn) send(line []byte) {
-	l.Helper()
-	if _, err := l.conn.Write(line); err != nil {
-		l.Fatal(err)
+func (c *testConn) send(line []byte) {
+	c.Helper()
+	if _, err := c.conn.Write(line); err != nil {
+		c.Fatalf("send the command %q: %v", line, err)
 	}
 }
 
 // expect reads the next notice and checks its kind and the id of its run.
-func (l *testConn) expect(kind processor.NoticeKind, id string) processor.Notice {
-	l.Helper()
-	line, err := l.lines.ReadBytes('\n')
+func (c *testConn) expect(kind processor.NoticeKind, id string) processor.Notice {
+	c.Helper()
+	line, err := c.lines.ReadBytes('\n')
 	if err != nil {
-		l.Fatalf("read a notice of kind %s: %v", kind, err)
+		c.Fatalf("read a notice, want %s of run %q: %v", kind, id, err)
 	}
-	notice, err := l.parser.Parse(bytes.TrimSuffix(line, []byte("\n")))
+	notice, err := c.parser.Parse(bytes.TrimSuffix(line, []byte("\n")))
 	if err != nil {
-		l.Fatal(err)
+		c.Fatalf("parse the notice %q: %v", line, err)
 	}
 	if notice.Kind != kind || notice.ID != id {
-		l.Fatalf("got notice %s of run %q, want %s of run %q", notice.Kind, notice.ID, kind, id)
+		c.Fatalf("got notice %s of run %q, want %s of run %q", notice.Kind, notice.ID, kind, id)
 	}
 	return notice
 }
@@ -75,9 +75,9 @@
 
 func TestServer_RunReturnsResult(t *testing.T) {
 	s := startServer(t, Config{Result: func(id string, body []byte) []byte { return []byte(id + " " + string(body)) }})
-	l := connect(t, s, 0)
-	l.send(processor.AppendStart(nil, "1", "ping", []byte("x")))
-	ended := l.expect(processor.NoticeRunEnded, "1")
+	c := connect(t, s, 0)
+	c.send(processor.AppendStart(nil, "1", "ping", []byte("x")))
+	ended := c.expect(processor.NoticeRunEnded, "1")
 	if ended.Outcome != admission.Finished || string(ended.Body) != "1 x" {
 		t.Errorf("run ended with outcome %s and result %q, want %s and %q",
 			ended.Outcome, ended.Body, admission.Finished, "1 x")
@@ -89,10 +89,10 @@
 
 func TestServer_CountsRepeatedRunIDs(t *testing.T) {
 	s := startServer(t, Config{})
-	l := connect(t, s, 0)
+	c := connect(t, s, 0)
 	for range 2 {
-		l.send(processor.AppendStart(nil, "1", "ping", nil))
-		l.expect(processor.NoticeRunEnded, "1")
+		c.send(processor.AppendStart(nil, "1", "ping", nil))
+		c.expect(processor.NoticeRunEnded, "1")
 	}
 	if stats := s.Stats(); stats.Started != 2 || stats.Repeated != 1 {
 		t.Errorf("got %+v, want 2 runs started, 1 of them repeated", stats)
@@ -104,19 +104,19 @@
 	const work = 0.1 // seconds; long enough for the executor to read all commands during the first run
 	s := startServer(t, Config{Cores: 1, CPUSeconds: func(string, string) float64 { return work },
 		Gauges: func(busy, waiting int) []float64 { return []float64{float64(busy), float64(waiting)} }})
-	l := connect(t, s, 0)
+	c := connect(t, s, 0)
 	ids := []string{"1", "2"}
 	var commands []byte
 	for _, id := range ids {
 		commands = processor.AppendStart(commands, id, "ping", nil)
 	}
-	l.send(processor.AppendReadGauges(commands, "g"))
-	gauges := l.expect(processor.NoticeGauges, "")
+	c.send(processor.AppendReadGauges(commands, "g"))
+	gauges := c.expect(processor.NoticeGauges, "")
 	if busy, waiting := gauges.Gauges[0], gauges.Gauges[1]; busy != 1 || waiting != 1 {
 		t.Errorf("got %g busy cores and %g waiting runs, want 1 and 1", busy, waiting)
 	}
 	for _, id := range ids {
-		l.expect(processor.NoticeRunEnded, id)
+		c.expect(processor.NoticeRunEnded, id)
 	}
 	if took := time.Since(started).Seconds(); took < 2*work {
 		t.Errorf("two runs on one core took %g s, want at least %g s", took, 2*work)
@@ -125,23 +125,23 @@
 
 func TestServer_RunWaitsForUpstreamReply(t *testing.T) {
 	s := startServer(t, Config{CallsUpstream: alwaysCallsUpstream})
-	l := connect(t, s, 0)
-	l.send(processor.AppendStart(nil, "1", "ping", []byte("x")))
-	call := l.expect(processor.NoticeAwaitingCall, "1")
-	l.send(processor.AppendSkipCall(nil, "1", call.Serial+1)) // the serial of another call
-	l.expect(processor.NoticeRejected, "1")
-	l.send(processor.AppendReply(nil, "1", []byte("reply")))
-	l.expect(processor.NoticeRunEnded, "1")
-	l.send(processor.AppendReply(nil, "1", []byte("reply"))) // the run has ended
-	l.expect(processor.NoticeRejected, "1")
+	c := connect(t, s, 0)
+	c.send(processor.AppendStart(nil, "1", "ping", []byte("x")))
+	call := c.expect(processor.NoticeAwaitingCall, "1")
+	c.send(processor.AppendSkipCall(nil, "1", call.Serial+1)) // the serial of another call
+	c.expect(processor.NoticeRejected, "1")
+	c.send(processor.AppendReply(nil, "1", []byte("reply")))
+	c.expect(processor.NoticeRunEnded, "1")
+	c.send(processor.AppendReply(nil, "1", []byte("reply"))) // the run has ended
+	c.expect(processor.NoticeRejected, "1")
 }
 
 func TestServer_CallTimeoutCancelsTheRun(t *testing.T) {
 	s := startServer(t, Config{CallsUpstream: alwaysCallsUpstream, CallTimeout: 0.02})
-	l := connect(t, s, 0)
-	l.send(processor.AppendStart(nil, "1", "ping", nil))
-	l.expect(processor.NoticeAwaitingCall, "1")
-	if ended := l.expect(processor.NoticeRunEnded, "1"); ended.Outcome != admission.Cancelled {
+	c := connect(t, s, 0)
+	c.send(processor.AppendStart(nil, "1", "ping", nil))
+	c.expect(processor.NoticeAwaitingCall, "1")
+	if ended := c.expect(processor.NoticeRunEnded, "1"); ended.Outcome != admission.Cancelled {
 		t.Errorf("run ended with outcome %s, want %s", ended.Outcome, admission.Cancelled)
 	}
 }
--- a/internal/fake/registry/server.go
+++ b/internal/fake/registry/server.go
@@ -38,7 +38,7 @@
 }
 
 // maxReports is the capacity of the channel returned by Reports. Reports that arrive while it is
-// full are recorded but not sent on it.
+// full still update Accepting but are not sent on the channel.
 const maxReports = 1000
 
 // Server is a running fake registry. Its methods may be called from any goroutine.
--- a/internal/fake/registry/server_test.go
+++ b/internal/fake/registry/server_test.go
@@ -34,16 +34,16 @@
 			_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
 			in := bufio.NewReader(conn)
 			if got := report(t, conn, in, true); got != test.replied {
-				t.Errorf("first report: acknowledged: %t, want %t", got, test.replied)
+				t.Errorf("first report: got acknowledged %t, want %t", got, test.replied)
 			}
 			if !s.Accepting("a") || !(<-s.Reports()).Accepting {
-				t.Error("the first report, which accepts requests, was not recorded as such")
+				t.Error("first report: got Accepting or the report from Reports not accepting, want both accepting")
 			}
 			if got := report(t, conn, in, false); got != test.keptOpen {
-				t.Errorf("second report: acknowledged: %t, want %t", got, test.keptOpen)
+				t.Errorf("second report: got acknowledged %t, want %t", got, test.keptOpen)
 			}
 			if s.Accepting("a") == test.keptOpen {
-				t.Errorf("after the second report: accepting is %t, want %t", s.Accepting("a"), !test.keptOpen)
+				t.Errorf("after the second report: got accepting %t, want %t", s.Accepting("a"), !test.keptOpen)
 			}
 		})
 	}
--- a/internal/fake/upstream/server.go
+++ b/internal/fake/upstream/server.go
@@ -1,5 +1,5 @@
-// Package upstream is a fake of the upstream service that runs call. The test decides for each call
-// whether it gets a reply, after which delay, or whether the connection is closed instead.
+// Package upstream is a fake of the upstream service. The test decides for each call whether it is
+// answered, after which delay, and whether the connection is closed instead.
 package upstream
 
 import (
@@ -17,7 +17,7 @@
 
 // Response tells the fake how to respond to a call.
 type Response struct {
-	Delay      time.Duration
+	Delay      time.Duration // time until the reply is sent
 	Outcome    admission.Outcome
 	Body       []byte
 	Disconnect bool // close the connection instead of replying
--- a/internal/fake/upstream/server_test.go
+++ b/internal/fake/upstream/server_test.go
@@ -30,7 +30,7 @@
 func sendCalls(t *testing.T, conn net.Conn, calls []byte) {
 	t.Helper()
 	if _, err := conn.Write(calls); err != nil {
-		t.Fatal(err)
+		t.Fatalf("send calls: %v", err)
 	}
 }
 
@@ -40,14 +40,14 @@
 	for {
 		reply, size, err := catalogue.ParseReply(buffered)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("parse the reply %q: %v", buffered, err)
 		}
 		if size > 0 {
 			return reply
 		}
 		chunk := make([]byte, 1)
 		if _, err := conn.Read(chunk); err != nil {
-			t.Fatal(err)
+			t.Fatalf("read a reply, got %q so far: %v", buffered, err)
 		}
 		buffered = append(buffered, chunk...)
 	}
