--- a/internal/bench/connflood/flood.go
+++ b/internal/bench/connflood/flood.go
@@ -22,31 +22,31 @@
 
 // Plan describes an experiment.
 type Plan struct {
-	Program           string  // path of the server's binary
-	UntrustedRate     float64 // untrusted clients per second, each from its own address while there are unused ones
-	Trusted           int     // clients that were served before the flood
-	Seconds           float64 // duration of the flood
-	Descriptors       int     // descriptor limit in the server's configuration
-	ActualDescriptors int     // descriptor limit of the process; 0 for the same as Descriptors
-	CPU               int     // the CPU that the server runs on; negative for any
-	Progress          io.Writer
+	Program           string    // path of the server's binary
+	UntrustedRate     float64   // untrusted clients per second, each from its own address while there are unused ones
+	Trusted           int       // clients that were served before the flood
+	Seconds           float64   // duration of the flood
+	Descriptors       int       // descriptor limit in the server's configuration
+	ActualDescriptors int       // descriptor limit of the process; 0 for the same as Descriptors
+	CPU               int       // the CPU that the server runs on; negative for any
+	Progress          io.Writer // receives progress messages
 	Log               io.Writer // receives the server's log; nil discards it
 }
 
-// Row is the result with connection limiting either off or on.
+// Row is the result for one value of the setting door.
 type Row struct {
 	ConnLimit    string  `json:"door"`
 	Trusted      int     `json:"known"`
 	Attempts     int     `json:"known_tries"`
 	P50          float64 `json:"known_connect_p50_ms"` // of successful attempts, from the dial to the answer
 	Max          float64 `json:"known_connect_max_ms"`
-	Failed       int     `json:"known_failed"`    // attempts without an answer in time, or not finished
+	Failed       int     `json:"known_failed"`    // attempts without an answer in time, or not answered with finished
 	LostRequests int     `json:"open_tasks_lost"` // failed requests on connections that were open before the flood
 	Untrusted    int     `json:"strangers"`
-	Answered     float64 `json:"strangers_answered_share"` // share of untrusted clients, by any answer
-	Alive        bool    `json:"alive"`
-	CPU          float64 `json:"cpu_share"`
-	Resident     float64 `json:"rss_max_bytes"`
+	Answered     float64 `json:"strangers_answered_share"` // share of untrusted clients that got any answer
+	Alive        bool    `json:"alive"`                    // whether the server process runs at the end of the flood
+	CPU          float64 `json:"cpu_share"`                // used during the flood, as a fraction of one core
+	Resident     float64 `json:"rss_max_bytes"`            // maximum resident memory during the flood
 }
 
 // Columns are the column heads for Row.Cells.
@@ -167,8 +167,8 @@
 // measureFlood starts the flood and measures the trusted clients during it. A quarter of them keep
 // their connections and always have a request in flight; the others reconnect for each request.
 func (p *Plan) measureFlood(ctx context.Context, server *process.Server, clients []*client, row *Row) error {
-	open := clients[:max(1, len(clients)/4)]
-	reconnecting := clients[len(open):]
+	kept := clients[:max(1, len(clients)/4)]
+	reconnecting := clients[len(kept):]
 	for _, trusted := range reconnecting {
 		trusted.close()
 	}
@@ -183,7 +183,7 @@
 	var wait sync.WaitGroup
 	wait.Go(func() { flood.run(ctx, p.UntrustedRate) })
 	var lost atomic.Int64
-	for _, trusted := range open {
+	for _, trusted := range kept {
 		wait.Go(func() {
 			if !trusted.requestUntil(ctx, flood.end) {
 				lost.Add(1)
@@ -228,7 +228,7 @@
 	start       time.Time
 	cpuBefore   float64 // seconds
 	alive       bool
-	cpuShare    float64
+	cpuShare    float64 // fraction of one core
 	maxResident float64 // bytes
 }
 
--- a/internal/bench/connflood/restart.go
+++ b/internal/bench/connflood/restart.go
@@ -10,14 +10,13 @@
 	"swiftcourse/internal/bench/faultinjection"
 )
 
-// RestartRow is the result for trusted clients of a server that restarts during a flood, with the
-// setting replica-callers either off or on. If it is on, the server learns the trusted clients from
-// its fleet.
+// RestartRow counts the attempts of trusted clients at a server that has restarted, during a flood.
+// If the setting replica-callers is on, the server has learned the trusted clients from its fleet.
 type RestartRow struct {
 	ReplicaCallers string `json:"replica_callers"`
 	Trusted        int    `json:"known"`
 	Attempts       int    `json:"known_tries"`
-	Failed         int    `json:"known_failed"` // attempts without an answer in time, or not finished
+	Failed         int    `json:"known_failed"` // attempts without an answer in time, or not answered with finished
 	Untrusted      int    `json:"strangers"`
 }
 
--- a/internal/bench/demo/classes.go
+++ b/internal/bench/demo/classes.go
@@ -73,6 +73,7 @@
 	return c.callsUpstream
 }
 
+// settings returns the server's settings for the two classes.
 func settings() simulator.Settings {
 	var simulatorClasses []simulator.Class
 	var calls []bool
--- a/internal/bench/demo/client.go
+++ b/internal/bench/demo/client.go
@@ -15,10 +15,10 @@
 type outcome uint8
 
 const (
-	finished outcome = iota
-	late
-	rejected
-	abandoned
+	finished  outcome = iota // within the soft deadline
+	late                     // finished after the soft deadline
+	rejected                 // by the last attempt
+	abandoned                // the server answered that the request failed
 	unanswered
 )
 
--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -18,10 +18,10 @@
 
 // Plan describes the demonstration.
 type Plan struct {
-	Program  string  // path of the server's binary
-	Seconds  float64 // of each of the two parts
-	Overload float64 // load of the second part, as a multiple of the capacity of the cores
-	Progress io.Writer
+	Program  string    // path of the server's binary
+	Seconds  float64   // of each of the two parts
+	Overload float64   // load of the second part, as a multiple of the capacity of the cores
+	Progress io.Writer // receives progress messages
 	Log      io.Writer // receives the server's log; nil discards it
 }
 
--- a/internal/bench/idleconns/expire.go
+++ b/internal/bench/idleconns/expire.go
@@ -32,8 +32,8 @@
 	P99           float64   `json:"busy_p99_us"`
 	P999          float64   `json:"busy_p999_us"`
 	Max           float64   `json:"busy_max_us"`
-	LongestTurnMs float64   `json:"longest_turn_ms"`
-	P99Ratio      float64   `json:"p99_over_calm"`
+	LongestTurnMs float64   `json:"longest_turn_ms"` // of any server's event loop
+	P99Ratio      float64   `json:"p99_over_calm"`   // P99 as a multiple of that of PhaseBefore
 	Finished      int       `json:"finished"`
 	Disconnects   int       `json:"broken"` // busy connections that were closed
 	Closed        int       `json:"closed"` // idle connections that were closed
@@ -76,10 +76,10 @@
 	return all, nil
 }
 
-// expiry is the state of a mass expiry while the busy connections have load.
+// expiry is the state of the measurement of one mass expiry.
 type expiry struct {
 	*fixture
-	load   *loadgen.Generator
+	load   *loadgen.Generator // load on the busy connections
 	phases []Phase
 }
 
--- a/internal/bench/idleconns/fixture.go
+++ b/internal/bench/idleconns/fixture.go
@@ -152,8 +152,8 @@
 	cpuSeconds    float64
 }
 
-// readUsage reads the servers' statistics, which resets them, and the usage of their processes as
-// reported by the system.
+// readUsage reads the servers' statistics, which resets them, and the memory and CPU time of their
+// processes from the operating system.
 func (f *fixture) readUsage() (usage, error) {
 	var total usage
 	for _, s := range f.servers {
--- a/internal/bench/idleconns/plan.go
+++ b/internal/bench/idleconns/plan.go
@@ -22,7 +22,7 @@
 	Rate         float64       // requests per second on the busy connections, over all servers
 	BusyConns    int           // busy connections to each server
 	Seconds      float64       // duration of each measurement
-	Rounds       int           // pairs of measurements without and with the idle connections
+	Rounds       int           // number of pairs of measurements, without and with the idle connections
 	CPU          int           // the CPU that all servers run on; negative for any
 	HealthChecks bool          // send health checks instead of requests on the busy connections
 	Statistics   bool          // read statistics by SIGUSR1, which ends a server that does not handle it
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	perServer := int(min(maxDescriptors, math.MaxInt32)) - reservedDescriptors - p.BusyConns
+	maxPerServer := int(min(maxDescriptors, math.MaxInt32)) - reservedDescriptors - p.BusyConns
 	ports, err := ephemeralPorts()
 	if err != nil {
 		return err
@@ -87,10 +87,10 @@
 		switch {
 		case n < 0:
 			return fmt.Errorf("--connections %d: must not be negative", n)
-		case share > perServer:
+		case share > maxPerServer:
 			return fmt.Errorf("--connections %d: with a limit of %d descriptors per process, %d servers take at most "+
 				"%d connections; at least %d servers are needed",
-				n, maxDescriptors, p.Servers, p.Servers*perServer, (n+perServer-1)/perServer)
+				n, maxDescriptors, p.Servers, p.Servers*maxPerServer, (n+maxPerServer-1)/maxPerServer)
 		case share > ports:
 			return fmt.Errorf("--connections %d: the system has %d ephemeral ports for connections to one server; "+
 				"more servers are needed", n, ports)
--- a/internal/bench/idleconns/row.go
+++ b/internal/bench/idleconns/row.go
@@ -20,7 +20,7 @@
 	BaselineP50 float64 `json:"none_p50_us"` // without idle connections, in the same run
 	BaselineP99 float64 `json:"none_p99_us"`
 	AddedP50    float64 `json:"added_p50"` // median over the rounds of the ratio of P50 to BaselineP50
-	AddedP99    float64 `json:"added_p99"`
+	AddedP99    float64 `json:"added_p99"` // the same for P99 and BaselineP99
 }
 
 // Row is the result for a number of idle connections.
@@ -29,17 +29,17 @@
 	Servers         int     `json:"servers"`
 	ResidentPerConn float64 `json:"rss_bytes_per_connection"`
 	HeapPerConn     float64 `json:"heap_bytes_per_connection"`
-	Timers          float64 `json:"timers"`
+	Timers          float64 `json:"timers"` // timers of all servers, with the idle connections open
 	BusyLatency
-	CPUShare       float64 `json:"idle_cpu_share"` // fraction of a core, over all servers, without requests
-	LongestTurnMs  float64 `json:"longest_turn_ms"`
-	Finished       int     `json:"finished"`
+	CPUShare       float64 `json:"idle_cpu_share"`  // fraction of a core, over all servers, without requests
+	LongestTurnMs  float64 `json:"longest_turn_ms"` // of any server's event loop
+	Finished       int     `json:"finished"`        // these three count requests sent with the idle connections open
 	Rejected       int     `json:"rejected"`
 	Abandoned      int     `json:"abandoned"`
-	Unanswered     int     `json:"lost"`
-	MaxSendDelayMs float64 `json:"sender_late_ms"`
-	DrainSeconds   float64 `json:"leave_s"` // drain time of the slowest server, with the idle connections open
-	OpenSeconds    float64 `json:"opened_s"`
+	Unanswered     int     `json:"lost"`           // requests sent with or without idle connections
+	MaxSendDelayMs float64 `json:"sender_late_ms"` // maximum time by which a request was sent after its schedule
+	DrainSeconds   float64 `json:"leave_s"`        // drain time of the slowest server, with the idle connections open
+	OpenSeconds    float64 `json:"opened_s"`       // time to open the idle connections in the first round
 }
 
 // Columns are the column heads for Row.Cells.
@@ -61,8 +61,8 @@
 	noLoadPeriod = 2 * time.Second
 	// settleTime is the pause after idle connections are opened or closed.
 	settleTime = 500 * time.Millisecond
-	// minCloseRate is a lower bound of the number of connections that close per second.
-	minCloseRate = 50_000
+	// minClosesPerSecond is a lower bound of the number of connections that close per second.
+	minClosesPerSecond = 50_000
 )
 
 // Run measures one row for each number of connections of the plan.
@@ -82,8 +82,8 @@
 type measurement struct {
 	*fixture
 	row      Row
-	baseline usage // before the idle connections are opened
-	withIdle loadgen.Stats
+	baseline usage         // before the idle connections are opened
+	withIdle loadgen.Stats // with the idle connections open, merged over all rounds
 	latency  quantiles
 }
 
@@ -103,7 +103,7 @@
 	for round := range p.Rounds {
 		if round > 0 {
 			current.closeIdleConns()
-			timing.Sleep(ctx, settleTime+timing.Seconds(float64(connections)/minCloseRate))
+			timing.Sleep(ctx, settleTime+timing.Seconds(float64(connections)/minClosesPerSecond))
 		}
 		if err := current.measureRound(ctx, round); err != nil {
 			return current.row, err
--- a/internal/bench/loadgen/generator.go
+++ b/internal/bench/loadgen/generator.go
@@ -25,8 +25,8 @@
 	Timeout        time.Duration // of each request
 	HealthChecks   bool          // send health checks, which do not reach the executor, instead of requests
 	Keyed          bool          // give each request a unique idempotency key
-	BodyBytes      int
-	Seed           uint64
+	BodyBytes      int           // size of a request's body
+	Seed           uint64        // seed of the arrival times, and part of the request ids
 }
 
 // ErrInvalidConfig is returned by Start for a load without a rate, connections or servers.
@@ -210,8 +210,8 @@
 	return true
 }
 
-// onAnswer counts the outcome of a request in flight. Messages that contain no outcome, and answers
-// to requests that are not in flight, are ignored.
+// onAnswer counts the outcome of a request in flight. It ignores go-away and other messages without
+// an outcome, and answers to requests that are not in flight.
 func (c *conn) onAnswer(answer rpc.Response) {
 	if answer.Kind == rpc.ResponseGoAway || answer.Kind == rpc.ResponseOther {
 		return
--- a/internal/bench/process/config.go
+++ b/internal/bench/process/config.go
@@ -20,15 +20,15 @@
 	// ProgramOf, unless it is nil, is called at each start of a server and returns the path of the
 	// server's binary; if it returns "", Program is used.
 	ProgramOf         func(name string) string
-	CPU               int // the CPU that all servers run on; negative for any
-	Cores             float64
+	CPU               int     // the CPU that all servers run on; negative for any
+	Cores             float64 // Cores and MemoryMB are the limits in the server's configuration
 	MemoryMB          int
-	Descriptors       int    // descriptor limit in the server's configuration
-	ActualDescriptors int    // descriptor limit that Start sets for a healthy process; 0 for no change
-	OperatorFile      string // content of the operator's configuration file; "" for no file
-	StopTimeout       time.Duration
+	Descriptors       int           // descriptor limit in the server's configuration
+	ActualDescriptors int           // descriptor limit that Start sets for a healthy process; 0 for no change
+	OperatorFile      string        // content of the operator's configuration file; "" for no file
+	StopTimeout       time.Duration // stop_ms in the server's configuration: from SIGTERM to the kill
 	Settings          simulator.Settings
-	Args              []string // command-line arguments; empty to serve
+	Args              []string // command-line arguments; without any, the program serves requests
 
 	Executor executor.Config
 	// ExecutorOf, unless it is nil, returns the executor configuration of a server, which replaces
--- a/internal/bench/process/server.go
+++ b/internal/bench/process/server.go
@@ -98,7 +98,7 @@
 		s.close()
 		return nil, fmt.Errorf("prepare server %s: %w", name, err)
 	}
-	if err := s.launch(ctx); err != nil {
+	if err := s.startProcess(ctx); err != nil {
 		s.close()
 		return nil, err
 	}
@@ -127,8 +127,8 @@
 	return s.writeServerFile()
 }
 
-// launch starts the process.
-func (s *Server) launch(ctx context.Context) error {
+// startProcess starts the server process and the reading of its log.
+func (s *Server) startProcess(ctx context.Context) error {
 	s.exited = make(chan struct{})
 	program := s.config.program(s.Name)
 	s.command = exec.CommandContext(ctx, program, s.config.Args...)
@@ -148,7 +148,7 @@
 }
 
 // lowerDescriptorLimit sets the process's descriptor limit to ActualDescriptors, so that the limit
-// in the server's configuration is wrong.
+// in the server's configuration is too high.
 func (s *Server) lowerDescriptorLimit() error {
 	if s.config.ActualDescriptors <= 0 {
 		return nil
@@ -171,7 +171,7 @@
 
 // Restart starts the server again with the same name and address, but without its state. The
 // previous process must have ended.
-func (s *Server) Restart(ctx context.Context) error { return s.launch(ctx) }
+func (s *Server) Restart(ctx context.Context) error { return s.startProcess(ctx) }
 
 // assignedAddresses are the addresses that freeAddress has returned. A server may not have started
 // to listen on its address yet when the next one is chosen.
@@ -203,8 +203,8 @@
 	close(exited)
 }
 
-// handleLogLine passes a line to Config.Log and Config.OnLogLine, adds it to the recent log, and
-// parses it if it has statistics.
+// handleLogLine passes a line to Config.Log and Config.OnLogLine and adds it to the recent log. If
+// the line has statistics, it makes them available to Statistics.
 func (s *Server) handleLogLine(line string) {
 	if s.config.Log != nil {
 		fmt.Fprintf(s.config.Log, "%s %s\n", s.Name, line)
@@ -232,7 +232,7 @@
 	}
 }
 
-// WaitHealthy waits until the server answers a health check as healthy.
+// WaitHealthy waits until the server answers a health check that it is healthy.
 func (s *Server) WaitHealthy(ctx context.Context) error {
 	for deadline := time.Now().Add(serverTimeout); time.Now().Before(deadline); {
 		if balancer.IsHealthy(s.Addr, healthTimeout) {
--- a/internal/bench/process/settings.go
+++ b/internal/bench/process/settings.go
@@ -4,9 +4,9 @@
 	"swiftcourse/internal/wire/simulator"
 )
 
-// BaseSettings returns the settings common to the experiments: the values of the simulator's
-// contract, deadline propagation, and two gauges. Experiments change capabilities, cores and idle
-// timeout as they need.
+// BaseSettings returns the settings that the experiments share: the values that the simulator's
+// contract states, deadline propagation, and two gauges. Experiments set capabilities and change
+// cores and idle timeout as needed.
 func BaseSettings(classes ...simulator.Class) simulator.Settings {
 	settings := simulator.Settings{Servers: 1, Classes: classes}
 	contract := &settings.Contract
--- a/internal/bench/quotas/faults.go
+++ b/internal/bench/quotas/faults.go
@@ -15,10 +15,10 @@
 // faultDraw is a drawn fault with its parameters.
 type faultDraw struct {
 	fault    Fault
-	target   string
-	length   time.Duration
-	minority []string // servers on one side of a random partition
-	majority []string // servers on the other side
+	target   string        // name of the server that the fault affects
+	length   time.Duration // duration of a pause or a fault of the links
+	minority []string      // servers on one side of a random partition
+	majority []string      // servers on the other side
 }
 
 // injectFaults injects faults drawn from the seed, one after the other.
@@ -69,8 +69,8 @@
 	}
 }
 
-// killLeader kills and restarts the leader that the named server knows, or the named server itself
-// if it knows none.
+// killLeader kills and restarts the leader that the named server reports, or the named server
+// itself if it reports none.
 func (r *experiment) killLeader(ctx context.Context, name string) {
 	status, err := r.fleet.Status(name)
 	if err == nil && r.fleet.Server(status.Leader) != nil {
--- a/internal/bench/quotas/quotas.go
+++ b/internal/bench/quotas/quotas.go
@@ -56,24 +56,29 @@
 func (p *Plan) Validate() error {
 	if p.Servers < 3 || p.Servers > 30 || p.Seconds < 2 || p.Seconds > 600 ||
 		p.Fault != anyFault && !slices.Contains(FaultKinds, p.Fault) {
-		return fmt.Errorf("--servers %d --seconds %g --fault %q: must be from 3 to 30, from 2 to 600, and one of %v",
-			p.Servers, p.Seconds, p.Fault, FaultKinds)
+		return fmt.Errorf("--servers %d --seconds %g --fault %q: must be from 3 to 30, from 2 to 600, "+
+			"and empty or one of %v", p.Servers, p.Seconds, p.Fault, FaultKinds)
 	}
 	return nil
 }
 
 // Row is the result of an experiment.
 type Row struct {
-	Seed                 uint64  `json:"seed"`
-	Servers              int     `json:"servers"`
-	Faults               int     `json:"faults"`
-	Requests             int     `json:"asked"`
-	Finished             int     `json:"finished"`
-	MaxExcess            float64 `json:"overspend_max"`        // finished requests over the quota, in any interval
-	AllowedExcess        float64 `json:"slack"`                // upper bound of MaxExcess that the quota guarantees
-	UsedShare            float64 `json:"used_of_budget"`       // used share of the quota, without faults
-	DemandShiftMillis    float64 `json:"hot_share_after_ms"`   // time until a new hot server uses half of the quota
-	PartitionedService   float64 `json:"silent_service"`       // rate of a partitioned server, relative to its floor
+	Seed     uint64 `json:"seed"`
+	Servers  int    `json:"servers"`
+	Faults   int    `json:"faults"`
+	Requests int    `json:"asked"`
+	Finished int    `json:"finished"`
+	// MaxExcess is the maximum, over all intervals, of the finished requests beyond the quota.
+	MaxExcess     float64 `json:"overspend_max"`
+	AllowedExcess float64 `json:"slack"`          // upper bound of MaxExcess that the quota guarantees
+	UsedShare     float64 `json:"used_of_budget"` // used share of the quota, without faults
+	// DemandShiftMillis is the time from a shift of most of the demand to another server until that
+	// server uses half of the quota.
+	DemandShiftMillis float64 `json:"hot_share_after_ms"`
+	// PartitionedService is the rate of a server that has been partitioned for longer than a lease,
+	// as a multiple of its floor.
+	PartitionedService   float64 `json:"silent_service"`
 	UsedShareAfterHeal   float64 `json:"used_of_budget_after"` // used share of the quota after all faults
 	GossipBytesPerSecond float64 `json:"talk_bytes_s"`         // gossip sent per server, without faults
 }
@@ -138,7 +143,7 @@
 	fleet     *faultinjection.Fleet
 	load      *faultinjection.Load
 	limit     float64 // the quota, in requests per second
-	hotServer string
+	hotServer string  // server that has most of the demand
 	row       Row
 }
 
--- a/internal/bench/readiness/plan.go
+++ b/internal/bench/readiness/plan.go
@@ -31,8 +31,9 @@
 	LateDependencies string  `json:"late"` // the late dependencies; "" for none
 	DelaySeconds     float64 `json:"late_s"`
 	Starts           int     `json:"starts"`
-	Ready            Spread  `json:"ready_s"`  // from the start until a health check succeeds
-	Listed           Spread  `json:"listed_s"` // from the start until the registry knows that it accepts requests
+	Ready            Spread  `json:"ready_s"` // from the start until a health check succeeds
+	// Listed is the time from the start until the registry knows that the server accepts requests.
+	Listed Spread `json:"listed_s"`
 }
 
 // Spread summarizes a distribution by the median, the 90th percentile and the maximum.
@@ -63,6 +64,7 @@
 	return cells
 }
 
+// lateName returns the name of the late dependencies in tables and errors.
 func (r Row) lateName() string {
 	if r.LateDependencies == "" {
 		return "nobody"
@@ -80,8 +82,8 @@
 	lateBoth     lateDependencies = "processor and roster"
 )
 
-// dependencies returns the dependencies that l names.
-func (l lateDependencies) dependencies() dependencies {
+// set returns the set of dependencies that l names.
+func (l lateDependencies) set() dependencies {
 	return dependencies{
 		executor: l == lateExecutor || l == lateBoth,
 		registry: l == lateRegistry || l == lateBoth,
@@ -109,7 +111,7 @@
 	for _, late := range []lateDependencies{lateNone, lateExecutor, lateRegistry, lateBoth} {
 		row, err := p.measure(ctx, servers, config, late)
 		if err != nil {
-			return rows, fmt.Errorf("experiment with late dependencies %q: %w", row.LateDependencies, err)
+			return rows, fmt.Errorf("experiment with late dependencies: %s: %w", row.lateName(), err)
 		}
 		rows = append(rows, row)
 		fmt.Fprintln(p.Progress, strings.Join(row.Cells(), "  "))
--- a/internal/bench/readiness/plan_test.go
+++ b/internal/bench/readiness/plan_test.go
@@ -24,18 +24,19 @@
 		t.Fatalf("got %d rows and error %v, want 4 rows: %+v", len(rows), err, rows)
 	}
 	for _, row := range rows {
-		first := row.Ready.P50 // the P50 of three values
-		if row.Starts != 3 || first <= 0 || row.Ready.Max < row.Ready.P90 || row.Listed.Max < row.Listed.P50 {
-			t.Errorf("got row %+v, want 3 starts, times over 0 and ascending quantiles", row)
+		readyP50 := row.Ready.P50 // the median of the three servers
+		if row.Starts != 3 || readyP50 <= 0 || row.Ready.Max < row.Ready.P90 || row.Listed.Max < row.Listed.P50 {
+			t.Errorf("got row %+v, want 3 starts, ready P50 over 0 and ascending quantiles", row)
 		}
 		switch row.LateDependencies {
 		case "processor", "processor and roster":
-			if first < delay.Seconds() || row.Listed.P50 < delay.Seconds() {
-				t.Errorf("ready or listed before the executor started, %s late: %+v", delay, row)
+			if readyP50 < delay.Seconds() || row.Listed.P50 < delay.Seconds() {
+				t.Errorf("got %+v, want medians of ready and listed of at least %s: the executor starts then",
+					row, delay)
 			}
 		case "roster":
 			if row.Listed.P50 < delay.Seconds() {
-				t.Errorf("listed before the registry started, %s late: %+v", delay, row)
+				t.Errorf("got %+v, want a median of listed of at least %s: the registry starts then", row, delay)
 			}
 		}
 	}
--- a/internal/bench/readiness/restart.go
+++ b/internal/bench/readiness/restart.go
@@ -43,7 +43,7 @@
 func (r *restart) run(ctx context.Context) (startTimes, error) {
 	r.server.Executor.Close()
 	r.server.Registry.Close()
-	if err := r.startDependencies(r.late.dependencies().complement()); err != nil {
+	if err := r.startDependencies(r.late.set().complement()); err != nil {
 		return startTimes{}, err
 	}
 	start := time.Now()
@@ -55,7 +55,7 @@
 		if r.late != lateNone {
 			time.Sleep(r.delay)
 		}
-		lateStarted <- r.startDependencies(r.late.dependencies())
+		lateStarted <- r.startDependencies(r.late.set())
 	}()
 	return r.waitReady(start, lateStarted)
 }
--- a/internal/bench/report/rollout.go
+++ b/internal/bench/report/rollout.go
@@ -12,11 +12,11 @@
 	Releases           int    `json:"releases"`
 	Faults             int    `json:"faults"`
 	ConflictingDigests int    `json:"epochs_with_two_digests"` // epochs with more than one digest
-	ServedWhileEjected int    `json:"acted_while_shut_out"`
+	ServedWhileEjected int    `json:"acted_while_shut_out"`    // violations: an ejected server kept serving
 }
 
-// CatchUpLatency summarizes the times, in milliseconds, from a release to all servers until the
-// servers applied it. It is embedded in the rows of experiments with rollouts.
+// CatchUpLatency summarizes the times, in milliseconds, from the release of a version to all
+// servers until each server applied it. It is embedded in the rows of experiments with rollouts.
 type CatchUpLatency struct {
 	CatchUpP50 float64 `json:"catch_up_p50_ms"`
 	CatchUpP99 float64 `json:"catch_up_p99_ms"`
