--- a/cmd/swiftcourse-bench/demo.go
+++ b/cmd/swiftcourse-bench/demo.go
@@ -16,7 +16,7 @@
 	outputFlags
 	Seconds  float64 `help:"Duration of each of the two parts, in seconds." default:"10"`
 	Overload float64 `name:"over" help:"Load of the second part, as a multiple of the capacity." default:"1.5"`
-	TwoLevel bool    `name:"levels" help:"Run forwarders and planners that are killed instead; takes half a minute."`
+	TwoLevel bool    `name:"levels" help:"Instead, run forwarders and planners that are killed; takes half a minute."`
 }
 
 // Run runs a server under normal load and then overload, or a two-level fleet.
@@ -26,8 +26,8 @@
 		return plan.Run(ctx)
 	}
 	if c.Seconds < 0.5 || c.Seconds > 600 || c.Overload <= 0 || c.Overload > 20 {
-		return fmt.Errorf("--seconds %g --over %g: must be from 0.5 to 600, and over 0 and at most 20",
-			c.Seconds, c.Overload)
+		return fmt.Errorf("--seconds %g --over %g: must be from 0.5 to 600 s, and over 0 and at most 20 times "+
+			"the capacity", c.Seconds, c.Overload)
 	}
 	plan := &demo.Plan{
 		Program:  c.Server,
--- a/cmd/swiftcourse-bench/door.go
+++ b/cmd/swiftcourse-bench/door.go
@@ -13,14 +13,13 @@
 	serverFlags
 	logFlags
 	outputFlags
-	UntrustedRate float64 `name:"strangers" help:"Untrusted clients per second that stay connected." default:"5000"`
-	Trusted       int     `name:"known" help:"Trusted clients, which were served before the flood." default:"20"`
-	Seconds       float64 `help:"Duration of the flood, in seconds." default:"10"`
-	Descriptors   int     `name:"sockets" help:"Descriptor limit in the server's configuration." default:"128"`
-	// An ActualDescriptors below Descriptors makes the server's accept fail.
-	ActualDescriptors int  `name:"real" help:"Actual descriptor limit of the process; 0 for --sockets." default:"0"`
-	CPU               int  `name:"core" help:"CPU core of the server; -1 for any." default:"1"`
-	Restart           bool `help:"Restart one of three servers in the flood, with replica-callers off and on."`
+	UntrustedRate     float64 `name:"strangers" help:"Untrusted clients per second that stay connected." default:"5000"`
+	Trusted           int     `name:"known" help:"Trusted clients, which were served before the flood." default:"20"`
+	Seconds           float64 `help:"Duration of the flood, in seconds." default:"10"`
+	Descriptors       int     `name:"sockets" help:"Descriptor limit in the server's configuration." default:"128"`
+	ActualDescriptors int     `name:"real" help:"Actual limit, so that accept fails; 0 for --sockets." default:"0"`
+	CPU               int     `name:"core" help:"CPU core of the server; -1 for any." default:"1"`
+	Restart           bool    `help:"Restart one of three servers in the flood, with replica-callers off and on."`
 }
 
 // Run measures service to trusted clients during the flood.
--- a/cmd/swiftcourse-bench/flags.go
+++ b/cmd/swiftcourse-bench/flags.go
@@ -36,9 +36,10 @@
 }
 
 const (
-	// maxProcessSeeds bounds the number of seeds of an experiment with real processes.
+	// maxProcessSeeds bounds the number of seeds of an experiment with real processes, and of the
+	// command emulate.
 	maxProcessSeeds = 1000
-	// maxSimulatedSeeds bounds the number of seeds of a simulation.
+	// maxSimulatedSeeds bounds the number of seeds of the other simulations.
 	maxSimulatedSeeds = 10_000
 )
 
--- a/cmd/swiftcourse-bench/fleet.go
+++ b/cmd/swiftcourse-bench/fleet.go
@@ -18,7 +18,7 @@
 	Seconds      float64 `help:"Seconds of each of the three runs per seed." default:"12"`
 	KillInterval float64 `name:"kill-every" help:"Seconds between two kills of planners." default:"2"`
 	Load         float64 `help:"Load, as a multiple of the workers' capacity." default:"0.8"`
-	IdleConns    int     `name:"crowd" help:"Idle connections whose memory at a forwarder is measured." default:"0"`
+	IdleConns    int     `name:"crowd" help:"Idle connections to measure a forwarder's memory; 0 for none." default:"0"`
 }
 
 // Run runs a two-level fleet while planners are killed.
--- a/cmd/swiftcourse-bench/hold.go
+++ b/cmd/swiftcourse-bench/hold.go
@@ -6,8 +6,7 @@
 	"swiftcourse/internal/bench/idleconns"
 )
 
-// holdCommand is the command of a process that holds idle connections, which the experiment with
-// idle connections starts.
+// holdCommand holds idle connections. The idle experiment starts it as a separate process.
 type holdCommand struct {
 	Addr        string `arg:"" name:"addr"` // of the server
 	Connections int    `arg:"" name:"n"`    // number of connections
--- a/cmd/swiftcourse-bench/idle.go
+++ b/cmd/swiftcourse-bench/idle.go
@@ -24,9 +24,9 @@
 	Busy         int           `help:"Busy connections to each server." default:"8"`
 	HealthChecks bool          `name:"checks" help:"Send health checks instead of requests on the busy connections."`
 	Seconds      float64       `help:"Duration of each measurement, in seconds." default:"2"`
-	Rounds       int           `help:"Measurement pairs without and with idle connections; medians count." default:"5"`
+	Rounds       int           `help:"Measurement pairs, with and without idle connections; gives medians." default:"5"`
 	CPU          int           `name:"core" help:"CPU core that all servers run on; -1 for any." default:"1"`
-	MassExpiry   bool          `name:"expire" help:"Measure the effect of all idle timeouts at the same time."`
+	MassExpiry   bool          `name:"expire" help:"Let all idle connections time out at once, and measure the effect."`
 	IdleTimeout  time.Duration `name:"silent" help:"Idle timeout of connections, with --expire." default:"6s"`
 	HonorClose   bool          `name:"heeds" help:"Idle clients close on go-away messages." default:"true" negatable:""`
 	Statistics   bool          `name:"counts" help:"Read server statistics with SIGUSR1." default:"true" negatable:""`
--- a/cmd/swiftcourse-bench/main.go
+++ b/cmd/swiftcourse-bench/main.go
@@ -16,16 +16,16 @@
 type program struct {
 	Demo    demoCommand     `cmd:"" help:"Run the real server under normal load and then under overload."`
 	Idle    idleCommand     `cmd:"" help:"Measure the cost of idle connections and their effect on busy ones."`
-	Door    doorCommand     `cmd:"" help:"Measure trusted clients while untrusted ones use up all descriptors."`
+	Door    doorCommand     `cmd:"" help:"Measure service to trusted clients while untrusted ones use all descriptors."`
 	Emulate emulateCommand  `cmd:"" help:"Simulate a fleet, with failures from a scenario."`
 	Audit   auditCommand    `cmd:"" help:"Compare the audit of rollouts under faults with the servers' logs."`
 	Version versionsCommand `cmd:"" name:"versions" help:"Simulate rollouts in a large fleet."`
-	Replica replicaCommand  `cmd:"" help:"Check claims of keys by several servers that are killed and partitioned."`
+	Replica replicaCommand  `cmd:"" help:"Check key claims by several servers while they are killed and partitioned."`
 	Counts  countsCommand   `cmd:"" help:"Simulate the fleet-wide counters and compare them with the exact counts."`
 	Fleet   fleetCommand    `cmd:"" help:"Run forwarders, planners and workers as processes while planners are killed."`
 	Levels  levelsCommand   `cmd:"" help:"Simulate a large fleet of forwarders, planners and workers."`
 	Shared  sharedCommand   `cmd:"" help:"Check a quota that all servers share, while demand shifts and under faults."`
-	Upgrade upgradeCommand  `cmd:"" help:"Run two builds in one fleet: rolling replacement, then mixed levels."`
+	Upgrade upgradeCommand  `cmd:"" help:"Run two builds in one fleet: replaced one by one, then mixed by level."`
 	Ready   readyCommand    `cmd:"" help:"Measure how long restarted servers take to become healthy and listed."`
 	Hold    holdCommand     `cmd:"" hidden:""`
 }
--- a/cmd/swiftcourse-bench/rows_test.go
+++ b/cmd/swiftcourse-bench/rows_test.go
@@ -40,7 +40,7 @@
 		valid bool
 	}{{0, false}, {1, true}, {1000, true}, {1001, false}, {-1, false}} {
 		if err := checkSeeds(c.seeds, maxProcessSeeds); (err == nil) != c.valid {
-			t.Errorf("%d seeds: got error %v, want valid %t", c.seeds, err, c.valid)
+			t.Errorf("%d seeds: got error %v, want valid %t with limit %d", c.seeds, err, c.valid, maxProcessSeeds)
 		}
 	}
 }
@@ -77,7 +77,7 @@
 		t.Errorf("rows without violations: got error %v, want none", err)
 	}
 	if err := violationError([]simulation.CounterRow{{}, {Overcount: 3}}); err == nil {
-		t.Error("a row with violations: got no error")
+		t.Error("a row with violations: got no error, want one")
 	}
 }
 
--- a/cmd/swiftcourse-bench/shared.go
+++ b/cmd/swiftcourse-bench/shared.go
@@ -14,7 +14,7 @@
 type sharedCommand struct {
 	outputFlags
 	seedFlags
-	Program string  `name:"server" help:"Path of the server binary, to run up to 30 processes instead." type:"path"`
+	Program string  `name:"server" help:"Server binary, to run up to 30 processes instead of simulating." type:"path"`
 	Fault   string  `help:"With --server: kill, leader, stop, cut, one-way, loss, jump, voters or seed." default:"seed"`
 	Servers int     `help:"Servers of the fleet." default:"100"`
 	Voters  int     `help:"Number of the servers that are voters, without --server." default:"5"`
--- a/cmd/swiftcourse-bench/upgrade.go
+++ b/cmd/swiftcourse-bench/upgrade.go
@@ -18,8 +18,8 @@
 	Seconds   float64 `help:"Seconds of load for each mix of builds." default:"10"`
 }
 
-// Run replaces the servers of a fleet one by one. It then runs forwarders of each build with
-// planners and workers of the other build.
+// Run replaces the servers of a fleet one by one. Then, for each of the two builds, it runs
+// forwarders of that build with planners and workers of the other one.
 func (c *upgradeCommand) Run(ctx context.Context) error {
 	if err := checkSeeds(c.Seeds, maxProcessSeeds); err != nil {
 		return err
