--- a/internal/wire/fleet/audit.go
+++ b/internal/wire/fleet/audit.go
@@ -9,27 +9,27 @@
 )
 
 func encodeAccountSummary(m *Envelope) (isPacket_Body, error) {
-	return &Packet_Brief{encodeAccount(m.AccountSummary)}, nil
+	return &Packet_AccountSummary{encodeAccount(m.AccountSummary)}, nil
 }
 
 func encodeAccount(account *audit.Account) *Account {
 	encoded := &Account{
-		Name:    account.Name,
-		Life:    account.Incarnation,
-		Started: account.Started,
-		Seen:    account.LastSeen,
-		Dropped: account.DroppedIntervals,
+		Name:             account.Name,
+		Incarnation:      account.Incarnation,
+		Started:          account.Started,
+		LastSeen:         account.LastSeen,
+		DroppedIntervals: account.DroppedIntervals,
 	}
 	for _, interval := range account.Intervals {
 		encoded.Intervals = append(encoded.Intervals, &Interval{
-			N:       interval.Index,
-			Epoch:   uint64(interval.Epoch),
-			Digest:  interval.Digest,
-			From:    interval.From,
-			To:      interval.To,
-			Batches: interval.Batches,
-			Tasks:   interval.Requests,
-			Why:     truncate(interval.Reason),
+			Index:    interval.Index,
+			Epoch:    uint64(interval.Epoch),
+			Digest:   interval.Digest,
+			From:     interval.From,
+			To:       interval.To,
+			Batches:  interval.Batches,
+			Requests: interval.Requests,
+			Reason:   truncate(interval.Reason),
 		})
 	}
 	return encoded
@@ -41,24 +41,24 @@
 	}
 	account := &audit.Account{
 		Name:             encoded.GetName(),
-		Incarnation:      encoded.GetLife(),
+		Incarnation:      encoded.GetIncarnation(),
 		Started:          encoded.GetStarted(),
-		LastSeen:         encoded.GetSeen(),
-		DroppedIntervals: encoded.GetDropped(),
+		LastSeen:         encoded.GetLastSeen(),
+		DroppedIntervals: encoded.GetDroppedIntervals(),
 	}
 	err := errors.Join(checkNames(account.Name), checkFinite(account.Started), checkFinite(account.LastSeen))
 	for _, interval := range encoded.GetIntervals() {
-		err = errors.Join(err, checkNames(interval.Digest, interval.Why),
+		err = errors.Join(err, checkNames(interval.Digest, interval.Reason),
 			checkFinite(interval.From), checkFinite(interval.To))
 		account.Intervals = append(account.Intervals, audit.Interval{
-			Index:    interval.N,
+			Index:    interval.Index,
 			Epoch:    release.Epoch(interval.Epoch),
 			Digest:   interval.Digest,
 			From:     interval.From,
 			To:       interval.To,
 			Batches:  interval.Batches,
-			Requests: interval.Tasks,
-			Reason:   interval.Why,
+			Requests: interval.Requests,
+			Reason:   interval.Reason,
 		})
 	}
 	return account, err
@@ -66,48 +66,48 @@
 
 func encodeStateRequest(m *Envelope) (isPacket_Body, error) {
 	request := m.StateRequest
-	return &Packet_Accounts{&Accounts{
-		Number:   request.RequestID,
-		Names:    request.Names,
-		Founding: request.ClusterID,
-		Count:    request.AppliedCount,
+	return &Packet_StateRequest{&StateRequestBody{
+		RequestId:    request.RequestID,
+		Names:        request.Names,
+		ClusterId:    request.ClusterID,
+		AppliedCount: request.AppliedCount,
 	}}, nil
 }
 
-func decodeStateRequest(encoded *Accounts) (*StateRequest, error) {
+func decodeStateRequest(encoded *StateRequestBody) (*StateRequest, error) {
 	if len(encoded.Names) > maxMapEntries {
 		return nil, ErrTooLarge
 	}
 	request := &StateRequest{
-		RequestID:    encoded.Number,
+		RequestID:    encoded.RequestId,
 		Names:        encoded.Names,
-		ClusterID:    encoded.Founding,
-		AppliedCount: encoded.Count,
+		ClusterID:    encoded.ClusterId,
+		AppliedCount: encoded.AppliedCount,
 	}
 	return request, checkNames(request.Names...)
 }
 
 func encodeStateReply(m *Envelope) (isPacket_Body, error) {
 	reply := m.StateReply
-	encoded := &Telling{
-		Number: reply.RequestID,
-		Order:  encodeReleaseLog(reply.ReleaseLog),
-		Copies: encodeReplicationStatus(reply.Replication),
+	encoded := &StateReplyBody{
+		RequestId:   reply.RequestID,
+		ReleaseLog:  encodeReleaseLog(reply.ReleaseLog),
+		Replication: encodeReplicationStatus(reply.Replication),
 	}
 	for i := range reply.Accounts {
 		encoded.Accounts = append(encoded.Accounts, encodeAccount(&reply.Accounts[i]))
 	}
 	for i := range reply.Servers {
-		encoded.Standings = append(encoded.Standings, encodeServerStatus(&reply.Servers[i]))
+		encoded.Servers = append(encoded.Servers, encodeServerStatus(&reply.Servers[i]))
 	}
-	return &Packet_Told{encoded}, nil
+	return &Packet_StateReply{encoded}, nil
 }
 
-func decodeStateReply(encoded *Telling) (*StateReply, error) {
-	if len(encoded.Accounts) > maxMapEntries || len(encoded.Standings) > maxMapEntries {
+func decodeStateReply(encoded *StateReplyBody) (*StateReply, error) {
+	if len(encoded.Accounts) > maxMapEntries || len(encoded.Servers) > maxMapEntries {
 		return nil, ErrTooLarge
 	}
-	reply := &StateReply{RequestID: encoded.Number}
+	reply := &StateReply{RequestID: encoded.RequestId}
 	for _, encodedAccount := range encoded.Accounts {
 		account, err := decodeAccount(encodedAccount)
 		if err != nil {
@@ -115,51 +115,51 @@
 		}
 		reply.Accounts = append(reply.Accounts, *account)
 	}
-	for _, encodedServer := range encoded.Standings {
+	for _, encodedServer := range encoded.Servers {
 		server, err := decodeServerStatus(encodedServer)
 		if err != nil {
 			return nil, err
 		}
 		reply.Servers = append(reply.Servers, server)
 	}
-	if encoded.Copies != nil {
-		reply.Replication = decodeReplicationStatus(encoded.Copies)
+	if encoded.Replication != nil {
+		reply.Replication = decodeReplicationStatus(encoded.Replication)
 	}
 	var err error
-	if encoded.Order != nil {
-		reply.ReleaseLog, err = decodeReleaseLog(encoded.Order)
+	if encoded.ReleaseLog != nil {
+		reply.ReleaseLog, err = decodeReleaseLog(encoded.ReleaseLog)
 	}
 	return reply, err
 }
 
-func encodeServerStatus(status *lease.ServerStatus) *Standing {
-	return &Standing{
-		Name:   status.Name,
-		Life:   status.Incarnation,
-		Epoch:  uint64(status.ActiveEpoch),
-		Right:  uint64(status.AssignedEpoch),
-		Heard:  status.SecondsSinceHeard,
-		Behind: status.SecondsBehind,
-		Stuck:  truncate(status.BlockedBy),
-		Out:    truncate(status.EjectionReason),
-		Build:  status.Build,
-		Known:  status.Reported,
+func encodeServerStatus(status *lease.ServerStatus) *ServerStatus {
+	return &ServerStatus{
+		Name:              status.Name,
+		Incarnation:       status.Incarnation,
+		ActiveEpoch:       uint64(status.ActiveEpoch),
+		AssignedEpoch:     uint64(status.AssignedEpoch),
+		SecondsSinceHeard: status.SecondsSinceHeard,
+		SecondsBehind:     status.SecondsBehind,
+		BlockedBy:         truncate(status.BlockedBy),
+		EjectionReason:    truncate(status.EjectionReason),
+		Build:             status.Build,
+		Reported:          status.Reported,
 	}
 }
 
-func decodeServerStatus(encoded *Standing) (lease.ServerStatus, error) {
+func decodeServerStatus(encoded *ServerStatus) (lease.ServerStatus, error) {
 	status := lease.ServerStatus{
 		Name:              encoded.Name,
-		Incarnation:       encoded.Life,
-		ActiveEpoch:       release.Epoch(encoded.Epoch),
-		AssignedEpoch:     release.Epoch(encoded.Right),
-		SecondsSinceHeard: encoded.Heard,
-		SecondsBehind:     encoded.Behind,
-		BlockedBy:         encoded.Stuck,
-		EjectionReason:    encoded.Out,
+		Incarnation:       encoded.Incarnation,
+		ActiveEpoch:       release.Epoch(encoded.ActiveEpoch),
+		AssignedEpoch:     release.Epoch(encoded.AssignedEpoch),
+		SecondsSinceHeard: encoded.SecondsSinceHeard,
+		SecondsBehind:     encoded.SecondsBehind,
+		BlockedBy:         encoded.BlockedBy,
+		EjectionReason:    encoded.EjectionReason,
 		Build:             encoded.Build,
-		Reported:          encoded.Known,
+		Reported:          encoded.Reported,
 	}
-	return status, errors.Join(checkNames(encoded.Name, encoded.Stuck, encoded.Out, encoded.Build),
-		checkFinite(encoded.Heard), checkFinite(encoded.Behind))
+	return status, errors.Join(checkNames(encoded.Name, encoded.BlockedBy, encoded.EjectionReason, encoded.Build),
+		checkFinite(encoded.SecondsSinceHeard), checkFinite(encoded.SecondsBehind))
 }
--- a/internal/wire/fleet/body.go
+++ b/internal/wire/fleet/body.go
@@ -24,18 +24,18 @@
 // decodeMembershipBody decodes messages of consensus, leases and audits.
 func decodeMembershipBody(m *Envelope, packet *Packet) (known bool, err error) {
 	switch body := packet.Body.(type) {
-	case *Packet_Voting:
-		m.Consensus, err = decodeConsensus(body.Voting)
-	case *Packet_Question:
-		m.LeaseRequest, err = decodeLeaseRequest(body.Question)
-	case *Packet_Answer:
-		m.LeaseReply, err = decodeLeaseReply(body.Answer)
-	case *Packet_Brief:
-		m.AccountSummary, err = decodeAccount(body.Brief)
-	case *Packet_Accounts:
-		m.StateRequest, err = decodeStateRequest(body.Accounts)
-	case *Packet_Told:
-		m.StateReply, err = decodeStateReply(body.Told)
+	case *Packet_Consensus:
+		m.Consensus, err = decodeConsensus(body.Consensus)
+	case *Packet_LeaseRequest:
+		m.LeaseRequest, err = decodeLeaseRequest(body.LeaseRequest)
+	case *Packet_LeaseReply:
+		m.LeaseReply, err = decodeLeaseReply(body.LeaseReply)
+	case *Packet_AccountSummary:
+		m.AccountSummary, err = decodeAccount(body.AccountSummary)
+	case *Packet_StateRequest:
+		m.StateRequest, err = decodeStateRequest(body.StateRequest)
+	case *Packet_StateReply:
+		m.StateReply, err = decodeStateReply(body.StateReply)
 	default:
 		return false, nil
 	}
@@ -45,14 +45,14 @@
 // decodeReleaseBody decodes messages about releases and operators' commands.
 func decodeReleaseBody(m *Envelope, packet *Packet) (known bool, err error) {
 	switch body := packet.Body.(type) {
-	case *Packet_Want:
-		m.VersionRequest, err = decodeVersionRequest(body.Want)
+	case *Packet_VersionRequest:
+		m.VersionRequest, err = decodeVersionRequest(body.VersionRequest)
 	case *Packet_Version:
 		m.Version, err = decodeVersion(body.Version)
-	case *Packet_Do:
-		m.Command, err = decodeCommand(body.Do.GetCommand())
-	case *Packet_Done:
-		m.CommandResult, err = decodeCommandResult(body.Done)
+	case *Packet_Command:
+		m.Command, err = decodeCommand(body.Command.GetCommand())
+	case *Packet_CommandResult:
+		m.CommandResult, err = decodeCommandResult(body.CommandResult)
 	default:
 		return false, nil
 	}
@@ -62,16 +62,16 @@
 // decodeReplicationBody decodes messages between coordinators and replicas.
 func decodeReplicationBody(m *Envelope, packet *Packet) (known bool, err error) {
 	switch body := packet.Body.(type) {
-	case *Packet_Claiming:
-		m.ClaimRequest, err = decodeClaimRequest(body.Claiming)
-	case *Packet_Claimed:
-		m.ClaimReply, err = decodeClaimReply(body.Claimed)
-	case *Packet_Pulling:
-		m.PullRequest, err = decodePullRequest(body.Pulling)
-	case *Packet_Slice:
-		m.PullReply, err = decodePullReply(body.Slice)
-	case *Packet_Sums:
-		m.Checksums, err = decodeChecksums(body.Sums)
+	case *Packet_ClaimRequest:
+		m.ClaimRequest, err = decodeClaimRequest(body.ClaimRequest)
+	case *Packet_ClaimReply:
+		m.ClaimReply, err = decodeClaimReply(body.ClaimReply)
+	case *Packet_PullRequest:
+		m.PullRequest, err = decodePullRequest(body.PullRequest)
+	case *Packet_PullReply:
+		m.PullReply, err = decodePullReply(body.PullReply)
+	case *Packet_Checksums:
+		m.Checksums, err = decodeChecksums(body.Checksums)
 	default:
 		return false, nil
 	}
@@ -82,16 +82,16 @@
 // the health of the downstream service.
 func decodeSharedBody(m *Envelope, packet *Packet) (known bool, err error) {
 	switch body := packet.Body.(type) {
-	case *Packet_AskCallers:
+	case *Packet_TrustRequest:
 		m.TrustRequest = true
-	case *Packet_Vouchers:
-		m.TrustRecords, err = decodeTrustRecords(body.Vouchers)
-	case *Packet_Wishing:
-		m.QuotaRequest, err = decodeQuotaRequest(body.Wishing, packet.Life)
-	case *Packet_Granting:
-		m.QuotaReply, err = decodeQuotaReply(body.Granting)
-	case *Packet_Healths:
-		m.HealthReports, err = decodeHealthReports(body.Healths)
+	case *Packet_TrustRecords:
+		m.TrustRecords, err = decodeTrustRecords(body.TrustRecords)
+	case *Packet_QuotaRequest:
+		m.QuotaRequest, err = decodeQuotaRequest(body.QuotaRequest, packet.Incarnation)
+	case *Packet_QuotaReply:
+		m.QuotaReply, err = decodeQuotaReply(body.QuotaReply)
+	case *Packet_HealthReports:
+		m.HealthReports, err = decodeHealthReports(body.HealthReports)
 	default:
 		return false, nil
 	}
@@ -101,14 +101,14 @@
 // decodeCounterBody decodes messages between counter reporters and aggregators.
 func decodeCounterBody(m *Envelope, packet *Packet) (known bool, err error) {
 	switch body := packet.Body.(type) {
-	case *Packet_Row:
-		m.CounterReport, err = decodeCounterRow(body.Row)
-	case *Packet_RowHeard:
-		m.CounterAck, err = decodeCounterAckBody(body.RowHeard)
-	case *Packet_AskRows:
-		m.CounterSyncRequest, err = decodeCounterSyncRequest(body.AskRows)
-	case *Packet_Rows:
-		m.CounterSyncReply, err = decodeCounterSyncReply(body.Rows)
+	case *Packet_CounterReport:
+		m.CounterReport, err = decodeCounterRow(body.CounterReport)
+	case *Packet_CounterAck:
+		m.CounterAck, err = decodeCounterAckBody(body.CounterAck)
+	case *Packet_CounterSyncRequest:
+		m.CounterSyncRequest, err = decodeCounterSyncRequest(body.CounterSyncRequest)
+	case *Packet_CounterSyncReply:
+		m.CounterSyncReply, err = decodeCounterSyncReply(body.CounterSyncReply)
 	default:
 		return false, nil
 	}
@@ -118,10 +118,10 @@
 // decodeLoadPlanBody decodes messages between forwarders and planners.
 func decodeLoadPlanBody(m *Envelope, packet *Packet) (known bool, err error) {
 	switch body := packet.Body.(type) {
-	case *Packet_PlanReport:
-		m.ForwarderReport, err = decodeForwarderReport(body.PlanReport)
-	case *Packet_PlanPart:
-		m.PlanAssignment, err = decodePlanAssignment(body.PlanPart)
+	case *Packet_ForwarderReport:
+		m.ForwarderReport, err = decodeForwarderReport(body.ForwarderReport)
+	case *Packet_PlanAssignment:
+		m.PlanAssignment, err = decodePlanAssignment(body.PlanAssignment)
 	default:
 		return false, nil
 	}
--- a/internal/wire/fleet/codec.go
+++ b/internal/wire/fleet/codec.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, err
 	}
-	packet := &Packet{From: m.From, Life: m.Incarnation, Addr: m.Addr, Body: body}
+	packet := &Packet{From: m.From, Incarnation: m.Incarnation, Addr: m.Addr, Body: body}
 	encoded, err := proto.Marshal(packet)
 	if err == nil && len(encoded) > MaxEncodedSize {
 		return nil, ErrTooLarge
@@ -85,7 +85,7 @@
 	if err := checkNames(packet.From, packet.Addr); err != nil {
 		return nil, err
 	}
-	m := &Envelope{From: packet.From, Incarnation: packet.Life, Addr: packet.Addr}
+	m := &Envelope{From: packet.From, Incarnation: packet.Incarnation, Addr: packet.Addr}
 	if err := m.decodeBody(packet); err != nil {
 		return nil, &DecodeError{From: packet.From, Err: err}
 	}
--- a/internal/wire/fleet/consensus.go
+++ b/internal/wire/fleet/consensus.go
@@ -9,21 +9,21 @@
 
 func encodeConsensus(m *Envelope) (isPacket_Body, error) {
 	message := m.Consensus
-	encoded := &Voting{
-		From:     message.From,
-		To:       message.To,
-		Founding: message.ClusterID,
-		Ask:      message.RequestReleaseLog,
-		Tell:     encodeReleaseLog(message.ReleaseLog),
+	encoded := &ConsensusMessage{
+		From:              message.From,
+		To:                message.To,
+		ClusterId:         message.ClusterID,
+		RequestReleaseLog: message.RequestReleaseLog,
+		ReleaseLog:        encodeReleaseLog(message.ReleaseLog),
 	}
 	if h := message.Heartbeat; h != nil {
-		encoded.Beacon = encodeHeartbeat(h)
+		encoded.Heartbeat = encodeHeartbeat(h)
 	}
 	if b := message.Bootstrap; b != nil {
-		encoded.Found = &Foundation{
-			Founding: b.ClusterID,
-			Seats:    b.Voters,
-			Order:    encodeReleaseLog(b.ReleaseLog),
+		encoded.Bootstrap = &Bootstrap{
+			ClusterId:  b.ClusterID,
+			Voters:     b.Voters,
+			ReleaseLog: encodeReleaseLog(b.ReleaseLog),
 		}
 	}
 	if message.Raft != nil {
@@ -32,30 +32,30 @@
 			return nil, err
 		}
 	}
-	return &Packet_Voting{encoded}, nil
+	return &Packet_Consensus{encoded}, nil
 }
 
 // decodeConsensus decodes a message between voters; one without any content is ErrUnknownBody.
-func decodeConsensus(encoded *Voting) (*consensus.Message, error) {
+func decodeConsensus(encoded *ConsensusMessage) (*consensus.Message, error) {
 	message := &consensus.Message{
 		From:              encoded.From,
 		To:                encoded.To,
-		ClusterID:         encoded.Founding,
-		RequestReleaseLog: encoded.Ask,
+		ClusterID:         encoded.ClusterId,
+		RequestReleaseLog: encoded.RequestReleaseLog,
 	}
 	var err error
-	if encoded.Beacon != nil {
-		if message.Heartbeat, err = decodeHeartbeat(encoded.Beacon); err != nil {
+	if encoded.Heartbeat != nil {
+		if message.Heartbeat, err = decodeHeartbeat(encoded.Heartbeat); err != nil {
 			return nil, err
 		}
 	}
-	if encoded.Found != nil {
-		if message.Bootstrap, err = decodeBootstrap(encoded.Found); err != nil {
+	if encoded.Bootstrap != nil {
+		if message.Bootstrap, err = decodeBootstrap(encoded.Bootstrap); err != nil {
 			return nil, err
 		}
 	}
-	if encoded.Tell != nil {
-		if message.ReleaseLog, err = decodeReleaseLog(encoded.Tell); err != nil {
+	if encoded.ReleaseLog != nil {
+		if message.ReleaseLog, err = decodeReleaseLog(encoded.ReleaseLog); err != nil {
 			return nil, err
 		}
 	}
@@ -71,47 +71,47 @@
 	return message, nil
 }
 
-func encodeHeartbeat(heartbeat *consensus.Heartbeat) *Beacon {
-	return &Beacon{
-		Name:     heartbeat.Name,
-		Life:     heartbeat.Incarnation,
-		Founding: heartbeat.ClusterID,
-		Known:    heartbeat.NewestClusterID,
-		Count:    heartbeat.AppliedCount,
-		Heard:    heartbeat.DetachedVoters,
-		Seats:    heartbeat.Voters,
+func encodeHeartbeat(heartbeat *consensus.Heartbeat) *Heartbeat {
+	return &Heartbeat{
+		Name:            heartbeat.Name,
+		Incarnation:     heartbeat.Incarnation,
+		ClusterId:       heartbeat.ClusterID,
+		NewestClusterId: heartbeat.NewestClusterID,
+		AppliedCount:    heartbeat.AppliedCount,
+		DetachedVoters:  heartbeat.DetachedVoters,
+		Voters:          heartbeat.Voters,
 	}
 }
 
-func decodeHeartbeat(encoded *Beacon) (*consensus.Heartbeat, error) {
-	if len(encoded.Heard) > maxListEntries || len(encoded.Seats) > maxListEntries || len(encoded.Name) > maxName {
+func decodeHeartbeat(encoded *Heartbeat) (*consensus.Heartbeat, error) {
+	if len(encoded.DetachedVoters) > maxListEntries || len(encoded.Voters) > maxListEntries || len(encoded.Name) > maxName {
 		return nil, ErrTooLarge
 	}
 	return &consensus.Heartbeat{
 		Name:            encoded.Name,
-		Incarnation:     encoded.Life,
-		ClusterID:       encoded.Founding,
-		NewestClusterID: encoded.Known,
-		AppliedCount:    encoded.Count,
-		DetachedVoters:  encoded.Heard,
-		Voters:          encoded.Seats,
+		Incarnation:     encoded.Incarnation,
+		ClusterID:       encoded.ClusterId,
+		NewestClusterID: encoded.NewestClusterId,
+		AppliedCount:    encoded.AppliedCount,
+		DetachedVoters:  encoded.DetachedVoters,
+		Voters:          encoded.Voters,
 	}, nil
 }
 
-func decodeBootstrap(encoded *Foundation) (*consensus.Bootstrap, error) {
-	if len(encoded.Seats) > maxListEntries || encoded.Order == nil || encoded.Founding == 0 {
+func decodeBootstrap(encoded *Bootstrap) (*consensus.Bootstrap, error) {
+	if len(encoded.Voters) > maxListEntries || encoded.ReleaseLog == nil || encoded.ClusterId == 0 {
 		return nil, ErrTooLarge
 	}
-	log, err := decodeReleaseLog(encoded.Order)
+	log, err := decodeReleaseLog(encoded.ReleaseLog)
 	if err != nil {
 		return nil, err
 	}
-	return &consensus.Bootstrap{ClusterID: encoded.Founding, Voters: encoded.Seats, ReleaseLog: log}, nil
+	return &consensus.Bootstrap{ClusterID: encoded.ClusterId, Voters: encoded.Voters, ReleaseLog: log}, nil
 }
 
 // decodeRaft decodes the Raft library's own message. Its sender and receiver must be those of the
 // message around it.
-func decodeRaft(encoded *Voting) (*raftpb.Message, error) {
+func decodeRaft(encoded *ConsensusMessage) (*raftpb.Message, error) {
 	message := &raftpb.Message{}
 	if err := proto.Unmarshal(encoded.Raft, message); err != nil {
 		return nil, err
--- a/internal/wire/fleet/counters.go
+++ b/internal/wire/fleet/counters.go
@@ -8,12 +8,12 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-func encodeCounts(cells []serving.CounterCell) (encoded []*Count) {
+func encodeCounts(cells []serving.CounterCell) (encoded []*CounterCell) {
 	for _, cell := range cells {
-		encoded = append(encoded, &Count{
+		encoded = append(encoded, &CounterCell{
 			Tenant:    cell.Tenant,
-			Stage:     cell.Class,
-			Asked:     cell.Received,
+			Class:     cell.Class,
+			Received:  cell.Received,
 			Finished:  cell.Finished,
 			Rejected:  cell.Rejected,
 			Abandoned: cell.Abandoned,
@@ -23,7 +23,7 @@
 }
 
 // decodeCounts decodes cells, and rejects a list that is not sorted by key or repeats one.
-func decodeCounts(encoded []*Count) (cells []serving.CounterCell, err error) {
+func decodeCounts(encoded []*CounterCell) (cells []serving.CounterCell, err error) {
 	if len(encoded) > maxMapEntries+1 {
 		return nil, ErrTooLarge
 	}
@@ -40,11 +40,11 @@
 	return cells, nil
 }
 
-func decodeCounterCell(encoded *Count) serving.CounterCell {
+func decodeCounterCell(encoded *CounterCell) serving.CounterCell {
 	return serving.CounterCell{
-		CounterKey: serving.CounterKey{Tenant: encoded.GetTenant(), Class: encoded.GetStage()},
+		CounterKey: serving.CounterKey{Tenant: encoded.GetTenant(), Class: encoded.GetClass()},
 		RequestCounts: serving.RequestCounts{
-			Received:  encoded.GetAsked(),
+			Received:  encoded.GetReceived(),
 			Finished:  encoded.GetFinished(),
 			Rejected:  encoded.GetRejected(),
 			Abandoned: encoded.GetAbandoned(),
@@ -53,33 +53,33 @@
 }
 
 func encodeCounterReport(m *Envelope) (isPacket_Body, error) {
-	return &Packet_Row{encodeCounterRow(m.CounterReport)}, nil
+	return &Packet_CounterReport{encodeCounterRow(m.CounterReport)}, nil
 }
 
-func encodeCounterRow(row *counter.RowReport) *Row {
-	return &Row{
-		Name:   row.Server,
-		Life:   row.Incarnation,
-		Row:    row.RowID,
-		Number: row.Sequence,
-		Base:   row.BaseSequence,
-		Closes: row.Frozen,
-		Stands: row.FrozenSequence,
-		Cells:  encodeCounts(row.Cells),
-		Sits:   row.Aggregators,
+func encodeCounterRow(row *counter.RowReport) *CounterRow {
+	return &CounterRow{
+		Server:         row.Server,
+		Incarnation:    row.Incarnation,
+		RowId:          row.RowID,
+		Sequence:       row.Sequence,
+		BaseSequence:   row.BaseSequence,
+		Frozen:         row.Frozen,
+		FrozenSequence: row.FrozenSequence,
+		Cells:          encodeCounts(row.Cells),
+		Aggregators:    row.Aggregators,
 	}
 }
 
-func decodeCounterRow(encoded *Row) (*counter.RowReport, error) {
+func decodeCounterRow(encoded *CounterRow) (*counter.RowReport, error) {
 	row := &counter.RowReport{
-		Server:         encoded.GetName(),
-		Incarnation:    encoded.GetLife(),
-		RowID:          encoded.GetRow(),
-		Sequence:       encoded.GetNumber(),
-		BaseSequence:   encoded.GetBase(),
-		Frozen:         encoded.GetCloses(),
-		FrozenSequence: encoded.GetStands(),
-		Aggregators:    encoded.GetSits(),
+		Server:         encoded.GetServer(),
+		Incarnation:    encoded.GetIncarnation(),
+		RowID:          encoded.GetRowId(),
+		Sequence:       encoded.GetSequence(),
+		BaseSequence:   encoded.GetBaseSequence(),
+		Frozen:         encoded.GetFrozen(),
+		FrozenSequence: encoded.GetFrozenSequence(),
+		Aggregators:    encoded.GetAggregators(),
 	}
 	if err := errors.Join(checkNames(row.Server), checkAggregatorCount(row.Aggregators)); err != nil {
 		return nil, err
@@ -95,14 +95,14 @@
 }
 
 // encodeClosedRows encodes closed rows, which the release log and its commands carry.
-func encodeClosedRows(rows []release.CounterRow) (encoded []*Row) {
+func encodeClosedRows(rows []release.CounterRow) (encoded []*CounterRow) {
 	for _, row := range rows {
-		encoded = append(encoded, &Row{Row: row.ID, Number: row.Sequence, Cells: encodeCounts(row.Cells)})
+		encoded = append(encoded, &CounterRow{RowId: row.ID, Sequence: row.Sequence, Cells: encodeCounts(row.Cells)})
 	}
 	return encoded
 }
 
-func decodeClosedRows(encoded []*Row) (rows []release.CounterRow, err error) {
+func decodeClosedRows(encoded []*CounterRow) (rows []release.CounterRow, err error) {
 	if len(encoded) > maxMapEntries {
 		return nil, ErrTooLarge
 	}
@@ -117,24 +117,24 @@
 }
 
 func encodeCounterAckBody(m *Envelope) (isPacket_Body, error) {
-	return &Packet_RowHeard{encodeCounterAck(*m.CounterAck)}, nil
+	return &Packet_CounterAck{encodeCounterAck(*m.CounterAck)}, nil
 }
 
-func decodeCounterAckBody(encoded *RowHeard) (*counter.RowAck, error) {
+func decodeCounterAckBody(encoded *CounterAck) (*counter.RowAck, error) {
 	ack := decodeCounterAck(encoded)
 	return &ack, checkAggregatorCount(ack.Aggregators)
 }
 
-func encodeCounterAck(a counter.RowAck) *RowHeard {
-	return &RowHeard{Row: a.RowID, Number: a.Sequence, Over: a.Closed, Sits: a.Aggregators}
+func encodeCounterAck(a counter.RowAck) *CounterAck {
+	return &CounterAck{RowId: a.RowID, Sequence: a.Sequence, Closed: a.Closed, Aggregators: a.Aggregators}
 }
 
-func decodeCounterAck(encoded *RowHeard) counter.RowAck {
+func decodeCounterAck(encoded *CounterAck) counter.RowAck {
 	return counter.RowAck{
-		RowID:       encoded.GetRow(),
-		Sequence:    encoded.GetNumber(),
-		Closed:      encoded.GetOver(),
-		Aggregators: encoded.GetSits(),
+		RowID:       encoded.GetRowId(),
+		Sequence:    encoded.GetSequence(),
+		Closed:      encoded.GetClosed(),
+		Aggregators: encoded.GetAggregators(),
 	}
 }
 
@@ -148,14 +148,14 @@
 
 func encodeCounterSyncRequest(m *Envelope) (isPacket_Body, error) {
 	query := m.CounterSyncRequest
-	encoded := &AskRows{Number: query.Number, All: query.All, After: query.After, Sits: query.Aggregators}
+	encoded := &CounterSyncRequest{Number: query.Number, All: query.All, After: query.After, Aggregators: query.Aggregators}
 	for _, row := range query.Rows {
 		encoded.Rows = append(encoded.Rows, encodeCounterAck(row))
 	}
-	return &Packet_AskRows{encoded}, nil
+	return &Packet_CounterSyncRequest{encoded}, nil
 }
 
-func decodeCounterSyncRequest(encoded *AskRows) (*counter.RowQuery, error) {
+func decodeCounterSyncRequest(encoded *CounterSyncRequest) (*counter.RowQuery, error) {
 	if len(encoded.Rows) > maxListEntries {
 		return nil, ErrTooLarge
 	}
@@ -163,7 +163,7 @@
 		Number:      encoded.Number,
 		All:         encoded.All,
 		After:       encoded.After,
-		Aggregators: encoded.Sits,
+		Aggregators: encoded.Aggregators,
 	}
 	for _, row := range encoded.Rows {
 		query.Rows = append(query.Rows, decodeCounterAck(row))
@@ -173,15 +173,15 @@
 
 func encodeCounterSyncReply(m *Envelope) (isPacket_Body, error) {
 	reply := m.CounterSyncReply
-	encoded := &Rows{Number: reply.Number, Cold: reply.Recovering, More: reply.More, Sits: reply.Aggregators}
+	encoded := &CounterSyncReply{Number: reply.Number, Recovering: reply.Recovering, More: reply.More, Aggregators: reply.Aggregators}
 	for i := range reply.Rows {
 		encoded.Rows = append(encoded.Rows, encodeCounterRow(&reply.Rows[i]))
 	}
-	return &Packet_Rows{encoded}, nil
+	return &Packet_CounterSyncReply{encoded}, nil
 }
 
-func decodeCounterSyncReply(encoded *Rows) (*counter.RowQueryReply, error) {
-	if len(encoded.Sits) > maxListEntries || len(encoded.Rows) > maxMapEntries {
+func decodeCounterSyncReply(encoded *CounterSyncReply) (*counter.RowQueryReply, error) {
+	if len(encoded.Aggregators) > maxListEntries || len(encoded.Rows) > maxMapEntries {
 		return nil, ErrTooLarge
 	}
 	if encoded.More && len(encoded.Rows) == 0 {
@@ -189,9 +189,9 @@
 	}
 	reply := &counter.RowQueryReply{
 		Number:      encoded.Number,
-		Recovering:  encoded.Cold,
+		Recovering:  encoded.Recovering,
 		More:        encoded.More,
-		Aggregators: encoded.Sits,
+		Aggregators: encoded.Aggregators,
 	}
 	for _, encodedRow := range encoded.Rows {
 		row, err := decodeCounterRow(encodedRow)
--- a/internal/wire/fleet/health.go
+++ b/internal/wire/fleet/health.go
@@ -7,45 +7,45 @@
 )
 
 func encodeHealthReports(m *Envelope) (isPacket_Body, error) {
-	encoded := &Healths{}
+	encoded := &HealthReports{}
 	for _, report := range m.HealthReports {
-		encoded.Words = append(encoded.Words, &Health{
-			Name:   report.Server,
-			Zone:   report.Zone,
-			Life:   report.Incarnation,
-			Number: report.Sequence,
-			Age:    report.AgeSeconds,
-			Well:   uint32(report.Tally.Succeeded),
-			Lost:   uint32(report.Tally.Failed),
-			Took:   report.Tally.SuccessSeconds,
+		encoded.Reports = append(encoded.Reports, &HealthReport{
+			Server:         report.Server,
+			Zone:           report.Zone,
+			Incarnation:    report.Incarnation,
+			Sequence:       report.Sequence,
+			AgeSeconds:     report.AgeSeconds,
+			Succeeded:      uint32(report.Tally.Succeeded),
+			Failed:         uint32(report.Tally.Failed),
+			SuccessSeconds: report.Tally.SuccessSeconds,
 		})
 	}
-	return &Packet_Healths{encoded}, nil
+	return &Packet_HealthReports{encoded}, nil
 }
 
 // decodeHealthReports decodes servers' reports. The list is never nil, so that Envelope.Kind
 // recognizes a message with an empty one.
-func decodeHealthReports(encoded *Healths) ([]circuitbreaker.Report, error) {
-	if len(encoded.Words) > circuitbreaker.MaxReports {
+func decodeHealthReports(encoded *HealthReports) ([]circuitbreaker.Report, error) {
+	if len(encoded.Reports) > circuitbreaker.MaxReports {
 		return nil, ErrTooLarge
 	}
 	reports := []circuitbreaker.Report{}
-	for _, report := range encoded.Words {
-		err := errors.Join(checkNames(report.Name, report.Zone),
-			checkNonNegative(report.Age), checkNonNegative(report.Took))
+	for _, report := range encoded.Reports {
+		err := errors.Join(checkNames(report.Server, report.Zone),
+			checkNonNegative(report.AgeSeconds), checkNonNegative(report.SuccessSeconds))
 		if err != nil {
 			return nil, err
 		}
 		reports = append(reports, circuitbreaker.Report{
-			Server:      report.Name,
+			Server:      report.Server,
 			Zone:        report.Zone,
-			Incarnation: report.Life,
-			Sequence:    report.Number,
-			AgeSeconds:  report.Age,
+			Incarnation: report.Incarnation,
+			Sequence:    report.Sequence,
+			AgeSeconds:  report.AgeSeconds,
 			Tally: circuitbreaker.Tally{
-				Succeeded:      int(report.Well),
-				Failed:         int(report.Lost),
-				SuccessSeconds: report.Took,
+				Succeeded:      int(report.Succeeded),
+				Failed:         int(report.Failed),
+				SuccessSeconds: report.SuccessSeconds,
 			},
 		})
 	}
--- a/internal/wire/fleet/lease.go
+++ b/internal/wire/fleet/lease.go
@@ -10,64 +10,64 @@
 
 func encodeLeaseRequest(m *Envelope) (isPacket_Body, error) {
 	request := m.LeaseRequest
-	return &Packet_Question{&Question{
-		Name:     request.Name,
-		Life:     request.Incarnation,
-		Number:   request.Number,
-		Addr:     request.Addr,
-		Epoch:    uint64(request.ActiveEpoch),
-		Stuck:    truncate(request.BlockedBy),
-		Ended:    request.ErrorTally.Completed,
-		Harmed:   request.ErrorTally.Failed,
-		Build:    request.Build,
-		MayLeave: request.MayGoOutOfService,
-		Proof:    request.Nonce,
+	return &Packet_LeaseRequest{&LeaseRequest{
+		Name:              request.Name,
+		Incarnation:       request.Incarnation,
+		Number:            request.Number,
+		Addr:              request.Addr,
+		ActiveEpoch:       uint64(request.ActiveEpoch),
+		BlockedBy:         truncate(request.BlockedBy),
+		Completed:         request.ErrorTally.Completed,
+		Failed:            request.ErrorTally.Failed,
+		Build:             request.Build,
+		MayGoOutOfService: request.MayGoOutOfService,
+		Nonce:             request.Nonce,
 	}}, nil
 }
 
-func decodeLeaseRequest(encoded *Question) (*lease.Request, error) {
+func decodeLeaseRequest(encoded *LeaseRequest) (*lease.Request, error) {
 	request := &lease.Request{
 		Name:              encoded.Name,
-		Incarnation:       encoded.Life,
+		Incarnation:       encoded.Incarnation,
 		Number:            encoded.Number,
 		Addr:              encoded.Addr,
-		ActiveEpoch:       release.Epoch(encoded.Epoch),
-		BlockedBy:         encoded.Stuck,
-		ErrorTally:        release.ErrorTally{Completed: encoded.Ended, Failed: encoded.Harmed},
+		ActiveEpoch:       release.Epoch(encoded.ActiveEpoch),
+		BlockedBy:         encoded.BlockedBy,
+		ErrorTally:        release.ErrorTally{Completed: encoded.Completed, Failed: encoded.Failed},
 		Build:             encoded.Build,
-		MayGoOutOfService: encoded.MayLeave,
-		Nonce:             encoded.Proof,
+		MayGoOutOfService: encoded.MayGoOutOfService,
+		Nonce:             encoded.Nonce,
 	}
-	return request, errors.Join(checkNames(encoded.Name, encoded.Addr, encoded.Stuck, encoded.Build),
-		checkNonNegative(encoded.Ended), checkNonNegative(encoded.Harmed), checkNotAbove(encoded.Harmed, encoded.Ended))
+	return request, errors.Join(checkNames(encoded.Name, encoded.Addr, encoded.BlockedBy, encoded.Build),
+		checkNonNegative(encoded.Completed), checkNonNegative(encoded.Failed), checkNotAbove(encoded.Failed, encoded.Completed))
 }
 
 func encodeLeaseReply(m *Envelope) (isPacket_Body, error) {
 	reply := m.LeaseReply
-	return &Packet_Answer{&Answer{
-		Life:     reply.Incarnation,
-		Number:   reply.Number,
-		Verdict:  uint32(reply.Verdict),
-		For:      reply.Duration,
-		Right:    uint64(reply.AssignedEpoch),
-		MayLeave: reply.MayGoOutOfService,
-		Leader:   reply.Leader,
-		Why:      truncate(reply.Reason),
-		Proof:    reply.Nonce,
+	return &Packet_LeaseReply{&LeaseReply{
+		Incarnation:       reply.Incarnation,
+		Number:            reply.Number,
+		Verdict:           uint32(reply.Verdict),
+		Duration:          reply.Duration,
+		AssignedEpoch:     uint64(reply.AssignedEpoch),
+		MayGoOutOfService: reply.MayGoOutOfService,
+		Leader:            reply.Leader,
+		Reason:            truncate(reply.Reason),
+		Nonce:             reply.Nonce,
 	}}, nil
 }
 
-func decodeLeaseReply(encoded *Answer) (*lease.Reply, error) {
+func decodeLeaseReply(encoded *LeaseReply) (*lease.Reply, error) {
 	reply := &lease.Reply{
-		Incarnation:       encoded.Life,
+		Incarnation:       encoded.Incarnation,
 		Number:            encoded.Number,
 		Verdict:           lease.Verdict(min(encoded.Verdict, math.MaxUint8)),
-		Duration:          encoded.For,
-		AssignedEpoch:     release.Epoch(encoded.Right),
-		MayGoOutOfService: encoded.MayLeave,
+		Duration:          encoded.Duration,
+		AssignedEpoch:     release.Epoch(encoded.AssignedEpoch),
+		MayGoOutOfService: encoded.MayGoOutOfService,
 		Leader:            encoded.Leader,
-		Reason:            encoded.Why,
-		Nonce:             encoded.Proof,
+		Reason:            encoded.Reason,
+		Nonce:             encoded.Nonce,
 	}
-	return reply, errors.Join(checkNames(encoded.Leader, encoded.Why), checkNonNegative(encoded.For))
+	return reply, errors.Join(checkNames(encoded.Leader, encoded.Reason), checkNonNegative(encoded.Duration))
 }
--- a/internal/wire/fleet/loadplan.go
+++ b/internal/wire/fleet/loadplan.go
@@ -6,22 +6,22 @@
 	"swiftcourse/internal/policy/loadplan"
 )
 
-func encodePlanVersion(v loadplan.Version) *PlanNumber {
-	return &PlanNumber{Founding: v.ClusterID, Term: v.Term, Seq: v.Sequence}
+func encodePlanVersion(v loadplan.Version) *PlanVersion {
+	return &PlanVersion{ClusterId: v.ClusterID, Term: v.Term, Sequence: v.Sequence}
 }
 
-func decodePlanVersion(encoded *PlanNumber) loadplan.Version {
-	return loadplan.Version{ClusterID: encoded.GetFounding(), Term: encoded.GetTerm(), Sequence: encoded.GetSeq()}
+func decodePlanVersion(encoded *PlanVersion) loadplan.Version {
+	return loadplan.Version{ClusterID: encoded.GetClusterId(), Term: encoded.GetTerm(), Sequence: encoded.GetSequence()}
 }
 
-func encodeRates(rates []loadplan.TenantRate) (encoded []*PlanDemand) {
+func encodeRates(rates []loadplan.TenantRate) (encoded []*TenantRate) {
 	for _, r := range rates {
-		encoded = append(encoded, &PlanDemand{Tenant: r.Tenant, Rate: r.Rate})
+		encoded = append(encoded, &TenantRate{Tenant: r.Tenant, Rate: r.Rate})
 	}
 	return encoded
 }
 
-func decodeRates(encoded []*PlanDemand) (rates []loadplan.TenantRate, err error) {
+func decodeRates(encoded []*TenantRate) (rates []loadplan.TenantRate, err error) {
 	if len(encoded) > maxMapEntries {
 		return nil, ErrTooLarge
 	}
@@ -36,37 +36,37 @@
 
 func encodeForwarderReport(m *Envelope) (isPacket_Body, error) {
 	report := m.ForwarderReport
-	encoded := &PlanReport{
-		Name:   report.Name,
-		Life:   report.Incarnation,
-		Number: report.Sequence,
-		For:    report.IntervalSeconds,
-		Holds:  encodePlanVersion(report.CurrentVersion),
-		Demand: encodeRates(report.Demand),
+	encoded := &ForwarderReport{
+		Name:            report.Name,
+		Incarnation:     report.Incarnation,
+		Sequence:        report.Sequence,
+		IntervalSeconds: report.IntervalSeconds,
+		CurrentVersion:  encodePlanVersion(report.CurrentVersion),
+		Demand:          encodeRates(report.Demand),
 	}
 	for _, worker := range report.Workers {
-		encoded.Workers = append(encoded.Workers, &PlanSeen{
-			Name:     worker.Name,
-			Linked:   worker.Connected,
-			Open:     uint32(worker.InFlight),
-			Finished: uint32(worker.Finished),
-			Rejected: uint32(worker.Rejected),
-			Lost:     uint32(worker.Lost),
+		encoded.Workers = append(encoded.Workers, &WorkerStats{
+			Name:      worker.Name,
+			Connected: worker.Connected,
+			InFlight:  uint32(worker.InFlight),
+			Finished:  uint32(worker.Finished),
+			Rejected:  uint32(worker.Rejected),
+			Lost:      uint32(worker.Lost),
 		})
 	}
-	return &Packet_PlanReport{encoded}, nil
+	return &Packet_ForwarderReport{encoded}, nil
 }
 
-func decodeForwarderReport(encoded *PlanReport) (*loadplan.Report, error) {
+func decodeForwarderReport(encoded *ForwarderReport) (*loadplan.Report, error) {
 	if len(encoded.Workers) > maxMapEntries {
 		return nil, ErrTooLarge
 	}
 	report := &loadplan.Report{
 		Name:            encoded.Name,
-		Incarnation:     encoded.Life,
-		Sequence:        encoded.Number,
-		IntervalSeconds: encoded.For,
-		CurrentVersion:  decodePlanVersion(encoded.Holds),
+		Incarnation:     encoded.Incarnation,
+		Sequence:        encoded.Sequence,
+		IntervalSeconds: encoded.IntervalSeconds,
+		CurrentVersion:  decodePlanVersion(encoded.CurrentVersion),
 	}
 	for _, worker := range encoded.Workers {
 		if err := checkNames(worker.Name); err != nil {
@@ -74,8 +74,8 @@
 		}
 		report.Workers = append(report.Workers, loadplan.WorkerStats{
 			Name:      worker.Name,
-			Connected: worker.Linked,
-			InFlight:  int(worker.Open),
+			Connected: worker.Connected,
+			InFlight:  int(worker.InFlight),
 			Finished:  int(worker.Finished),
 			Rejected:  int(worker.Rejected),
 			Lost:      int(worker.Lost),
@@ -88,37 +88,37 @@
 
 func encodePlanAssignment(m *Envelope) (isPacket_Body, error) {
 	assignment := m.PlanAssignment
-	encoded := &PlanPart{
-		Number:  encodePlanVersion(assignment.Version),
-		For:     assignment.Incarnation,
-		Answers: assignment.ReportSequence,
-		Lease:   assignment.LeaseSeconds,
-		Rates:   encodeRates(assignment.RateLimits),
+	encoded := &PlanAssignment{
+		Version:        encodePlanVersion(assignment.Version),
+		Incarnation:    assignment.Incarnation,
+		ReportSequence: assignment.ReportSequence,
+		LeaseSeconds:   assignment.LeaseSeconds,
+		RateLimits:     encodeRates(assignment.RateLimits),
 	}
 	for _, weight := range assignment.Weights {
-		encoded.Weights = append(encoded.Weights, &PlanWeight{Name: weight.Name, Part: float32(weight.Weight)})
+		encoded.Weights = append(encoded.Weights, &WorkerWeight{Name: weight.Name, Weight: float32(weight.Weight)})
 	}
-	return &Packet_PlanPart{encoded}, nil
+	return &Packet_PlanAssignment{encoded}, nil
 }
 
-func decodePlanAssignment(encoded *PlanPart) (*loadplan.Assignment, error) {
+func decodePlanAssignment(encoded *PlanAssignment) (*loadplan.Assignment, error) {
 	if len(encoded.Weights) > maxMapEntries {
 		return nil, ErrTooLarge
 	}
 	assignment := &loadplan.Assignment{
-		Version:        decodePlanVersion(encoded.Number),
-		Incarnation:    encoded.For,
-		ReportSequence: encoded.Answers,
-		LeaseSeconds:   encoded.Lease,
+		Version:        decodePlanVersion(encoded.Version),
+		Incarnation:    encoded.Incarnation,
+		ReportSequence: encoded.ReportSequence,
+		LeaseSeconds:   encoded.LeaseSeconds,
 	}
 	for _, weight := range encoded.Weights {
-		if err := errors.Join(checkNames(weight.Name), checkNonNegative(float64(weight.Part))); err != nil {
+		if err := errors.Join(checkNames(weight.Name), checkNonNegative(float64(weight.Weight))); err != nil {
 			return nil, err
 		}
-		decoded := loadplan.WorkerWeight{Name: weight.Name, Weight: float64(weight.Part)}
+		decoded := loadplan.WorkerWeight{Name: weight.Name, Weight: float64(weight.Weight)}
 		assignment.Weights = append(assignment.Weights, decoded)
 	}
 	var err error
-	assignment.RateLimits, err = decodeRates(encoded.Rates)
+	assignment.RateLimits, err = decodeRates(encoded.RateLimits)
 	return assignment, errors.Join(err, checkNonNegative(assignment.LeaseSeconds))
 }
--- a/internal/wire/fleet/quota.go
+++ b/internal/wire/fleet/quota.go
@@ -8,46 +8,46 @@
 
 func encodeQuotaRequest(m *Envelope) (isPacket_Body, error) {
 	request := m.QuotaRequest
-	encoded := &Wishing{Number: request.Number, Terms: request.ConfigHash, Granter: request.GrantorID}
+	encoded := &QuotaRequest{Number: request.Number, ConfigHash: request.ConfigHash, GrantorId: request.GrantorID}
 	for _, demand := range request.Demands {
-		encoded.Wishes = append(encoded.Wishes, &Wish{
-			Name:   demand.Name,
-			Demand: demand.Requested,
-			Open:   demand.InUse,
-			Part:   demand.LeasedShare,
-			Left:   demand.RemainingSeconds,
-			Answer: demand.GrantNumber,
+		encoded.Demands = append(encoded.Demands, &QuotaDemand{
+			Name:             demand.Name,
+			Requested:        demand.Requested,
+			InUse:            demand.InUse,
+			LeasedShare:      demand.LeasedShare,
+			RemainingSeconds: demand.RemainingSeconds,
+			GrantNumber:      demand.GrantNumber,
 		})
 	}
-	return &Packet_Wishing{encoded}, nil
+	return &Packet_QuotaRequest{encoded}, nil
 }
 
 // decodeQuotaRequest decodes the request of a server's incarnation, which the packet names and the
 // body doesn't. The grantor limits the demands; only numbers that can't be valid are rejected here.
-func decodeQuotaRequest(encoded *Wishing, incarnation uint64) (*quota.Request, error) {
-	if len(encoded.Wishes) > quota.MaxEntries {
+func decodeQuotaRequest(encoded *QuotaRequest, incarnation uint64) (*quota.Request, error) {
+	if len(encoded.Demands) > quota.MaxEntries {
 		return nil, ErrTooLarge
 	}
 	request := &quota.Request{
 		Incarnation: incarnation,
 		Number:      encoded.Number,
-		ConfigHash:  encoded.Terms,
-		GrantorID:   encoded.Granter,
+		ConfigHash:  encoded.ConfigHash,
+		GrantorID:   encoded.GrantorId,
 	}
-	for _, demand := range encoded.Wishes {
+	for _, demand := range encoded.Demands {
 		err := errors.Join(checkNames(demand.Name),
-			checkNonNegative(demand.Demand), checkNonNegative(demand.Open),
-			checkNonNegative(demand.Part), checkNonNegative(demand.Left))
+			checkNonNegative(demand.Requested), checkNonNegative(demand.InUse),
+			checkNonNegative(demand.LeasedShare), checkNonNegative(demand.RemainingSeconds))
 		if err != nil {
 			return nil, err
 		}
 		request.Demands = append(request.Demands, quota.Demand{
 			Name:             demand.Name,
-			Requested:        demand.Demand,
-			InUse:            demand.Open,
-			LeasedShare:      demand.Part,
-			RemainingSeconds: demand.Left,
-			GrantNumber:      demand.Answer,
+			Requested:        demand.Requested,
+			InUse:            demand.InUse,
+			LeasedShare:      demand.LeasedShare,
+			RemainingSeconds: demand.RemainingSeconds,
+			GrantNumber:      demand.GrantNumber,
 		})
 	}
 	return request, nil
@@ -55,23 +55,23 @@
 
 func encodeQuotaReply(m *Envelope) (isPacket_Body, error) {
 	reply := m.QuotaReply
-	encoded := &Granting{Life: reply.Incarnation, Number: reply.Number, Granter: reply.GrantorID}
+	encoded := &QuotaReply{Incarnation: reply.Incarnation, Number: reply.Number, GrantorId: reply.GrantorID}
 	for _, grant := range reply.Grants {
-		encoded.Grants = append(encoded.Grants, &Grant{Name: grant.Name, Part: grant.LeasedShare})
+		encoded.Grants = append(encoded.Grants, &QuotaGrant{Name: grant.Name, LeasedShare: grant.LeasedShare})
 	}
-	return &Packet_Granting{encoded}, nil
+	return &Packet_QuotaReply{encoded}, nil
 }
 
-func decodeQuotaReply(encoded *Granting) (*quota.Reply, error) {
+func decodeQuotaReply(encoded *QuotaReply) (*quota.Reply, error) {
 	if len(encoded.Grants) > quota.MaxEntries {
 		return nil, ErrTooLarge
 	}
-	reply := &quota.Reply{Incarnation: encoded.Life, Number: encoded.Number, GrantorID: encoded.Granter}
+	reply := &quota.Reply{Incarnation: encoded.Incarnation, Number: encoded.Number, GrantorID: encoded.GrantorId}
 	for _, grant := range encoded.Grants {
-		if err := errors.Join(checkNames(grant.Name), checkNonNegative(grant.Part)); err != nil {
+		if err := errors.Join(checkNames(grant.Name), checkNonNegative(grant.LeasedShare)); err != nil {
 			return nil, err
 		}
-		reply.Grants = append(reply.Grants, quota.Grant{Name: grant.Name, LeasedShare: grant.Part})
+		reply.Grants = append(reply.Grants, quota.Grant{Name: grant.Name, LeasedShare: grant.LeasedShare})
 	}
 	return reply, nil
 }
--- a/internal/wire/fleet/release.go
+++ b/internal/wire/fleet/release.go
@@ -10,10 +10,10 @@
 )
 
 func encodeVersionRequest(m *Envelope) (isPacket_Body, error) {
-	return &Packet_Want{&Want{Epoch: uint64(m.VersionRequest)}}, nil
+	return &Packet_VersionRequest{&VersionRequest{Epoch: uint64(m.VersionRequest)}}, nil
 }
 
-func decodeVersionRequest(encoded *Want) (release.Epoch, error) {
+func decodeVersionRequest(encoded *VersionRequest) (release.Epoch, error) {
 	if encoded.Epoch == 0 {
 		return 0, ErrOutOfRange
 	}
@@ -29,12 +29,12 @@
 		return nil
 	}
 	return &Version{
-		Epoch:  uint64(version.Epoch),
-		Digest: version.Digest,
-		Author: version.Author,
-		At:     version.ReleasedAt,
-		Text:   version.Text,
-		Build:  version.Build,
+		Epoch:      uint64(version.Epoch),
+		Digest:     version.Digest,
+		Author:     version.Author,
+		ReleasedAt: version.ReleasedAt,
+		Text:       version.Text,
+		Build:      version.Build,
 	}
 }
 
@@ -46,80 +46,80 @@
 		Epoch:      release.Epoch(encoded.Epoch),
 		Digest:     encoded.Digest,
 		Author:     encoded.Author,
-		ReleasedAt: encoded.At,
+		ReleasedAt: encoded.ReleasedAt,
 		Text:       encoded.Text,
 		Build:      encoded.Build,
 	}
-	return version, errors.Join(checkNames(encoded.Digest, encoded.Author, encoded.Build), checkFinite(encoded.At))
+	return version, errors.Join(checkNames(encoded.Digest, encoded.Author, encoded.Build), checkFinite(encoded.ReleasedAt))
 }
 
-func encodeReleaseLog(log *release.Log) *Order {
+func encodeReleaseLog(log *release.Log) *ReleaseLog {
 	if log == nil {
 		return nil
 	}
-	encoded := &Order{
-		Count: log.AppliedCount,
-		Base:  encodeVersion(&log.Current),
-		Prior: encodeVersion(log.Previous),
-		Next:  encodeVersion(log.Next),
-		Waves: log.Waves,
-		Wave:  uint32(log.WaveIndex),
-		Upto:  log.WaveLimit,
-		Holds: log.Members,
-		Done:  log.LastCommandIDs,
-		Seats: log.Voters,
-		Out:   map[string]*Outed{},
-		Over:  encodeClosedRows(log.ClosedRows),
-		Sums:  encodeCounts(log.ClosedTotals),
+	encoded := &ReleaseLog{
+		AppliedCount:   log.AppliedCount,
+		Current:        encodeVersion(&log.Current),
+		Previous:       encodeVersion(log.Previous),
+		Next:           encodeVersion(log.Next),
+		Waves:          log.Waves,
+		WaveIndex:      uint32(log.WaveIndex),
+		WaveLimit:      log.WaveLimit,
+		Members:        log.Members,
+		LastCommandIds: log.LastCommandIDs,
+		Voters:         log.Voters,
+		Ejected:        map[string]*Ejection{},
+		ClosedRows:     encodeClosedRows(log.ClosedRows),
+		ClosedTotals:   encodeCounts(log.ClosedTotals),
 	}
 	for _, entry := range log.History {
-		encoded.Past = append(encoded.Past, &Mark{
-			Epoch:  uint64(entry.Epoch),
-			Digest: entry.Digest,
-			Author: entry.Author,
-			At:     entry.ReleasedAt,
-			Fate:   truncate(entry.Outcome),
+		encoded.History = append(encoded.History, &HistoryEntry{
+			Epoch:      uint64(entry.Epoch),
+			Digest:     entry.Digest,
+			Author:     entry.Author,
+			ReleasedAt: entry.ReleasedAt,
+			Outcome:    truncate(entry.Outcome),
 		})
 	}
 	for name, entry := range log.Ejected {
-		encoded.Out[name] = &Outed{
-			Life: entry.Incarnation,
-			By:   entry.Author,
-			Why:  entry.Reason,
-			On:   uint64(entry.Epoch),
-			At:   entry.EjectedAt,
+		encoded.Ejected[name] = &Ejection{
+			Incarnation: entry.Incarnation,
+			Author:      entry.Author,
+			Reason:      entry.Reason,
+			Epoch:       uint64(entry.Epoch),
+			EjectedAt:   entry.EjectedAt,
 		}
 	}
 	return encoded
 }
 
-func decodeReleaseLog(encoded *Order) (*release.Log, error) {
+func decodeReleaseLog(encoded *ReleaseLog) (*release.Log, error) {
 	if err := checkReleaseLog(encoded); err != nil {
 		return nil, err
 	}
 	log := (&release.Log{
-		AppliedCount:   encoded.Count,
+		AppliedCount:   encoded.AppliedCount,
 		Waves:          encoded.Waves,
-		WaveIndex:      int(encoded.Wave),
-		WaveLimit:      encoded.Upto,
-		Members:        encoded.Holds,
-		LastCommandIDs: encoded.Done,
-		Voters:         encoded.Seats,
+		WaveIndex:      int(encoded.WaveIndex),
+		WaveLimit:      encoded.WaveLimit,
+		Members:        encoded.Members,
+		LastCommandIDs: encoded.LastCommandIds,
+		Voters:         encoded.Voters,
 	}).Clone()
 	if err := decodeVersions(log, encoded); err != nil {
 		return nil, err
 	}
 	var err error
-	if log.History, err = decodeHistory(encoded.Past); err != nil {
+	if log.History, err = decodeHistory(encoded.History); err != nil {
 		return nil, err
 	}
-	if log.ClosedRows, err = decodeClosedRows(encoded.Over); err != nil {
+	if log.ClosedRows, err = decodeClosedRows(encoded.ClosedRows); err != nil {
 		return nil, err
 	}
-	if log.ClosedTotals, err = decodeCounts(encoded.Sums); err != nil {
+	if log.ClosedTotals, err = decodeCounts(encoded.ClosedTotals); err != nil {
 		return nil, err
 	}
-	for name, out := range encoded.Out {
+	for name, out := range encoded.Ejected {
 		if log.Ejected[name], err = decodeEjection(name, out); err != nil {
 			return nil, err
 		}
@@ -129,13 +129,13 @@
 
 // checkReleaseLog checks that a release log has a current version, and that its parts and its
 // members' names are within their bounds.
-func checkReleaseLog(encoded *Order) error {
-	lists := max(len(encoded.Waves), len(encoded.Past), len(encoded.Done), len(encoded.Seats))
-	maps := max(len(encoded.Holds), len(encoded.Out))
-	if lists > maxListEntries || maps > maxMapEntries || encoded.Base == nil || encoded.Wave > maxListEntries {
+func checkReleaseLog(encoded *ReleaseLog) error {
+	lists := max(len(encoded.Waves), len(encoded.History), len(encoded.LastCommandIds), len(encoded.Voters))
+	maps := max(len(encoded.Members), len(encoded.Ejected))
+	if lists > maxListEntries || maps > maxMapEntries || encoded.Current == nil || encoded.WaveIndex > maxListEntries {
 		return ErrTooLarge
 	}
-	for name := range encoded.Holds {
+	for name := range encoded.Members {
 		if err := checkNames(name); err != nil {
 			return err
 		}
@@ -145,14 +145,14 @@
 
 // decodeVersions decodes the current version of a release log, and the previous and next ones if
 // there are any.
-func decodeVersions(log *release.Log, encoded *Order) error {
-	current, err := decodeVersion(encoded.Base)
+func decodeVersions(log *release.Log, encoded *ReleaseLog) error {
+	current, err := decodeVersion(encoded.Current)
 	if err != nil {
 		return err
 	}
 	log.Current = *current
-	if encoded.Prior != nil {
-		if log.Previous, err = decodeVersion(encoded.Prior); err != nil {
+	if encoded.Previous != nil {
+		if log.Previous, err = decodeVersion(encoded.Previous); err != nil {
 			return err
 		}
 	}
@@ -162,9 +162,9 @@
 	return err
 }
 
-func decodeHistory(encoded []*Mark) (history []release.HistoryEntry, err error) {
+func decodeHistory(encoded []*HistoryEntry) (history []release.HistoryEntry, err error) {
 	for _, entry := range encoded {
-		err := errors.Join(checkNames(entry.Digest, entry.Author, entry.Fate), checkFinite(entry.At))
+		err := errors.Join(checkNames(entry.Digest, entry.Author, entry.Outcome), checkFinite(entry.ReleasedAt))
 		if err != nil {
 			return nil, err
 		}
@@ -172,44 +172,44 @@
 			Epoch:      release.Epoch(entry.Epoch),
 			Digest:     entry.Digest,
 			Author:     entry.Author,
-			ReleasedAt: entry.At,
-			Outcome:    entry.Fate,
+			ReleasedAt: entry.ReleasedAt,
+			Outcome:    entry.Outcome,
 		})
 	}
 	return history, nil
 }
 
-func decodeEjection(name string, encoded *Outed) (release.Ejection, error) {
+func decodeEjection(name string, encoded *Ejection) (release.Ejection, error) {
 	ejection := release.Ejection{
-		Incarnation: encoded.GetLife(),
-		Author:      encoded.GetBy(),
-		Reason:      encoded.GetWhy(),
-		Epoch:       release.Epoch(encoded.GetOn()),
-		EjectedAt:   encoded.GetAt(),
+		Incarnation: encoded.GetIncarnation(),
+		Author:      encoded.GetAuthor(),
+		Reason:      encoded.GetReason(),
+		Epoch:       release.Epoch(encoded.GetEpoch()),
+		EjectedAt:   encoded.GetEjectedAt(),
 	}
 	return ejection, errors.Join(checkNames(name, ejection.Author, ejection.Reason), checkFinite(ejection.EjectedAt))
 }
 
 func encodeCommandBody(m *Envelope) (isPacket_Body, error) {
-	return &Packet_Do{&Do{Command: encodeCommand(m.Command)}}, nil
+	return &Packet_Command{&CommandRequest{Command: encodeCommand(m.Command)}}, nil
 }
 
 func encodeCommand(command *release.Command) *Command {
 	return &Command{
-		Kind:   uint32(command.Kind),
-		Id:     command.ID,
-		Author: command.Author,
-		At:     command.IssuedAt,
-		On:     uint64(command.ExpectedEpoch),
-		Text:   command.Text,
-		Build:  command.Build,
-		Digest: command.Digest,
-		Waves:  command.Waves,
-		Name:   command.Name,
-		Life:   command.Incarnation,
-		Was:    command.Previous,
-		Why:    truncate(command.Reason),
-		Rows:   encodeClosedRows(command.CounterRows),
+		Kind:          uint32(command.Kind),
+		Id:            command.ID,
+		Author:        command.Author,
+		IssuedAt:      command.IssuedAt,
+		ExpectedEpoch: uint64(command.ExpectedEpoch),
+		Text:          command.Text,
+		Build:         command.Build,
+		Digest:        command.Digest,
+		Waves:         command.Waves,
+		Name:          command.Name,
+		Incarnation:   command.Incarnation,
+		Previous:      command.Previous,
+		Reason:        truncate(command.Reason),
+		CounterRows:   encodeClosedRows(command.CounterRows),
 	}
 }
 
@@ -220,7 +220,7 @@
 	if len(encoded.Text) > maxText || len(encoded.Waves) > maxListEntries {
 		return nil, ErrTooLarge
 	}
-	rows, err := decodeClosedRows(encoded.Rows)
+	rows, err := decodeClosedRows(encoded.CounterRows)
 	if err != nil {
 		return nil, err
 	}
@@ -228,16 +228,16 @@
 		Kind:          release.Kind(min(encoded.Kind, math.MaxUint8)),
 		ID:            encoded.Id,
 		Author:        encoded.Author,
-		IssuedAt:      encoded.At,
-		ExpectedEpoch: release.Epoch(encoded.On),
+		IssuedAt:      encoded.IssuedAt,
+		ExpectedEpoch: release.Epoch(encoded.ExpectedEpoch),
 		Text:          encoded.Text,
 		Build:         encoded.Build,
 		Digest:        encoded.Digest,
 		Waves:         encoded.Waves,
 		Name:          encoded.Name,
-		Incarnation:   encoded.Life,
-		Previous:      encoded.Was,
-		Reason:        encoded.Why,
+		Incarnation:   encoded.Incarnation,
+		Previous:      encoded.Previous,
+		Reason:        encoded.Reason,
 		CounterRows:   rows,
 	}
 	nameErr := checkNames(command.Author, command.Build, command.Digest, command.Name, command.Reason)
@@ -246,20 +246,20 @@
 
 func encodeCommandResult(m *Envelope) (isPacket_Body, error) {
 	result := m.CommandResult
-	return &Packet_Done{&Ended{
-		Id:      result.ID,
-		Refused: truncate(result.RejectReason),
-		Newest:  uint64(result.NewestEpoch),
+	return &Packet_CommandResult{&CommandResultBody{
+		Id:           result.ID,
+		RejectReason: truncate(result.RejectReason),
+		NewestEpoch:  uint64(result.NewestEpoch),
 	}}, nil
 }
 
-func decodeCommandResult(encoded *Ended) (*CommandResult, error) {
+func decodeCommandResult(encoded *CommandResultBody) (*CommandResult, error) {
 	result := &CommandResult{
 		ID:           encoded.Id,
-		RejectReason: encoded.Refused,
-		NewestEpoch:  release.Epoch(encoded.Newest),
+		RejectReason: encoded.RejectReason,
+		NewestEpoch:  release.Epoch(encoded.NewestEpoch),
 	}
-	return result, checkNames(encoded.Refused)
+	return result, checkNames(encoded.RejectReason)
 }
 
 // ReleaseCodec encodes commands and release logs for the consensus log.
@@ -288,7 +288,7 @@
 
 // UnmarshalLog decodes a release log and checks its bounds.
 func (ReleaseCodec) UnmarshalLog(encoded []byte) (*release.Log, error) {
-	p := &Order{}
+	p := &ReleaseLog{}
 	if err := proto.Unmarshal(encoded, p); err != nil {
 		return nil, err
 	}
--- a/internal/wire/fleet/replication.go
+++ b/internal/wire/fleet/replication.go
@@ -17,20 +17,20 @@
 	maxRecords  = 4096 // in one reply
 )
 
-func encodeTerm(t replication.Term) *Sitting { return &Sitting{N: t.Number, Life: t.Incarnation} }
+func encodeTerm(t replication.Term) *Term { return &Term{Number: t.Number, Incarnation: t.Incarnation} }
 
-func decodeTerm(encoded *Sitting) replication.Term {
-	return replication.Term{Number: encoded.GetN(), Incarnation: encoded.GetLife()}
+func decodeTerm(encoded *Term) replication.Term {
+	return replication.Term{Number: encoded.GetNumber(), Incarnation: encoded.GetIncarnation()}
 }
 
-func encodeTerms(terms []replication.Term) (encoded []*Sitting) {
+func encodeTerms(terms []replication.Term) (encoded []*Term) {
 	for _, t := range terms {
 		encoded = append(encoded, encodeTerm(t))
 	}
 	return encoded
 }
 
-func decodeTerms(encoded []*Sitting) (terms []replication.Term, err error) {
+func decodeTerms(encoded []*Term) (terms []replication.Term, err error) {
 	if len(encoded) > replication.MaxReplicationFactor {
 		return nil, ErrTooLarge
 	}
@@ -40,18 +40,18 @@
 	return terms, nil
 }
 
-func encodeAttempt(attempt *replicastore.Attempt) *Try {
-	return &Try{
-		At:     attempt.UnixMilli,
-		Who:    attempt.Incarnation,
-		N:      attempt.Sequence,
-		State:  uint32(attempt.State),
-		Sum:    attempt.ResultChecksum,
-		Result: attempt.Result,
+func encodeAttempt(attempt *replicastore.Attempt) *Attempt {
+	return &Attempt{
+		UnixMilli:      attempt.UnixMilli,
+		Incarnation:    attempt.Incarnation,
+		Sequence:       attempt.Sequence,
+		State:          uint32(attempt.State),
+		ResultChecksum: attempt.ResultChecksum,
+		Result:         attempt.Result,
 	}
 }
 
-func encodeAttempts(attempts []replicastore.Attempt) (encoded []*Try) {
+func encodeAttempts(attempts []replicastore.Attempt) (encoded []*Attempt) {
 	for i := range attempts {
 		encoded = append(encoded, encodeAttempt(&attempts[i]))
 	}
@@ -59,14 +59,14 @@
 }
 
 // decodeAttempt decodes an attempt. A result that does not match its checksum is rejected.
-func decodeAttempt(encoded *Try) (attempt replicastore.Attempt, err error) {
+func decodeAttempt(encoded *Attempt) (attempt replicastore.Attempt, err error) {
 	if encoded == nil {
 		return attempt, ErrUnknownBody
 	}
 	attempt = replicastore.Attempt{
 		ClaimID:        decodeClaimID(encoded),
 		State:          replicastore.AttemptState(min(encoded.State, math.MaxUint8)),
-		ResultChecksum: encoded.Sum,
+		ResultChecksum: encoded.ResultChecksum,
 		Result:         encoded.Result,
 	}
 	finished := attempt.State == replicastore.StateFinished
@@ -82,12 +82,12 @@
 	return attempt, err
 }
 
-func decodeClaimID(encoded *Try) replicastore.ClaimID {
-	return replicastore.ClaimID{UnixMilli: encoded.At, Incarnation: encoded.Who, Sequence: encoded.N}
+func decodeClaimID(encoded *Attempt) replicastore.ClaimID {
+	return replicastore.ClaimID{UnixMilli: encoded.UnixMilli, Incarnation: encoded.Incarnation, Sequence: encoded.Sequence}
 }
 
 // decodeAttempts decodes a record's attempts, which are sorted by claim.
-func decodeAttempts(encoded []*Try) (attempts []replicastore.Attempt, err error) {
+func decodeAttempts(encoded []*Attempt) (attempts []replicastore.Attempt, err error) {
 	if len(encoded) > maxAttempts {
 		return nil, ErrTooLarge
 	}
@@ -134,24 +134,24 @@
 
 func encodeClaimRequest(m *Envelope) (isPacket_Body, error) {
 	request := m.ClaimRequest
-	return &Packet_Claiming{&Claiming{
-		Plan: request.ConfigDigest,
-		Verb: uint32(request.Operation),
-		Key:  request.Key[:],
-		Try:  encodeAttempt(&request.Attempt),
-		Sits: encodeTerms(request.Terms),
+	return &Packet_ClaimRequest{&ClaimRequest{
+		ConfigDigest: request.ConfigDigest,
+		Operation:    uint32(request.Operation),
+		Key:          request.Key[:],
+		Attempt:      encodeAttempt(&request.Attempt),
+		Terms:        encodeTerms(request.Terms),
 	}}, nil
 }
 
-func decodeClaimRequest(encoded *Claiming) (request *replication.ClaimRequest, err error) {
-	if encoded.Verb > uint32(replication.OpReport) {
+func decodeClaimRequest(encoded *ClaimRequest) (request *replication.ClaimRequest, err error) {
+	if encoded.Operation > uint32(replication.OpReport) {
 		return nil, ErrOutOfRange
 	}
-	request = &replication.ClaimRequest{ConfigDigest: encoded.Plan, Operation: replication.Operation(encoded.Verb)}
+	request = &replication.ClaimRequest{ConfigDigest: encoded.ConfigDigest, Operation: replication.Operation(encoded.Operation)}
 	if request.Key, err = decodeKey(encoded.Key); err != nil {
 		return nil, err
 	}
-	if request.Attempt, err = decodeAttempt(encoded.Try); err != nil {
+	if request.Attempt, err = decodeAttempt(encoded.Attempt); err != nil {
 		return nil, err
 	}
 	reports := request.Operation == replication.OpReport
@@ -159,97 +159,97 @@
 	if reports == claims { // a report carries a finished attempt, a claim or query an unfinished one
 		return nil, ErrOutOfRange
 	}
-	request.Terms, err = decodeTerms(encoded.Sits)
+	request.Terms, err = decodeTerms(encoded.Terms)
 	return request, err
 }
 
 func encodeClaimReply(m *Envelope) (isPacket_Body, error) {
 	reply := m.ClaimReply
-	return &Packet_Claimed{&Claimed{
-		Key:     reply.Key[:],
-		Claim:   encodeAttempt(&replicastore.Attempt{ClaimID: reply.ClaimID}),
-		Verb:    uint32(reply.Operation),
-		Verdict: uint32(reply.Status),
-		Sits:    encodeTerms(reply.Terms),
-		Tries:   encodeAttempts(reply.Attempts),
+	return &Packet_ClaimReply{&ClaimReply{
+		Key:       reply.Key[:],
+		ClaimId:   encodeAttempt(&replicastore.Attempt{ClaimID: reply.ClaimID}),
+		Operation: uint32(reply.Operation),
+		Status:    uint32(reply.Status),
+		Terms:     encodeTerms(reply.Terms),
+		Attempts:  encodeAttempts(reply.Attempts),
 	}}, nil
 }
 
-func decodeClaimReply(encoded *Claimed) (reply *replication.ClaimReply, err error) {
-	if encoded.Verb > uint32(replication.OpReport) || encoded.Verdict > uint32(replication.ReplyMisrouted) {
+func decodeClaimReply(encoded *ClaimReply) (reply *replication.ClaimReply, err error) {
+	if encoded.Operation > uint32(replication.OpReport) || encoded.Status > uint32(replication.ReplyMisrouted) {
 		return nil, ErrOutOfRange
 	}
-	if encoded.Claim == nil {
+	if encoded.ClaimId == nil {
 		return nil, ErrOutOfRange
 	}
 	reply = &replication.ClaimReply{
-		ClaimID:   decodeClaimID(encoded.Claim),
-		Operation: replication.Operation(encoded.Verb),
-		Status:    replication.ReplyStatus(encoded.Verdict),
+		ClaimID:   decodeClaimID(encoded.ClaimId),
+		Operation: replication.Operation(encoded.Operation),
+		Status:    replication.ReplyStatus(encoded.Status),
 	}
 	if reply.Key, err = decodeKey(encoded.Key); err != nil {
 		return nil, err
 	}
-	if reply.Terms, err = decodeTerms(encoded.Sits); err != nil {
+	if reply.Terms, err = decodeTerms(encoded.Terms); err != nil {
 		return nil, err
 	}
-	reply.Attempts, err = decodeAttempts(encoded.Tries)
+	reply.Attempts, err = decodeAttempts(encoded.Attempts)
 	return reply, err
 }
 
 func encodePullRequest(m *Envelope) (isPacket_Body, error) {
 	request := m.PullRequest
-	encoded := &Pulling{
-		Plan:   request.ConfigDigest,
-		Number: request.Sequence,
-		Sit:    encodeTerm(request.Term),
-		Slots:  encodeSlots(request.Slots),
+	encoded := &PullRequest{
+		ConfigDigest: request.ConfigDigest,
+		Sequence:     request.Sequence,
+		Term:         encodeTerm(request.Term),
+		Slots:        encodeSlots(request.Slots),
 	}
 	if request.Resumes {
-		encoded.After = request.AfterKey[:]
+		encoded.AfterKey = request.AfterKey[:]
 	}
-	return &Packet_Pulling{encoded}, nil
+	return &Packet_PullRequest{encoded}, nil
 }
 
-func decodePullRequest(encoded *Pulling) (request *replication.PullRequest, err error) {
+func decodePullRequest(encoded *PullRequest) (request *replication.PullRequest, err error) {
 	request = &replication.PullRequest{
-		ConfigDigest: encoded.Plan,
-		Sequence:     encoded.Number,
-		Term:         decodeTerm(encoded.Sit),
+		ConfigDigest: encoded.ConfigDigest,
+		Sequence:     encoded.Sequence,
+		Term:         decodeTerm(encoded.Term),
 	}
 	if request.Slots, err = decodeSlots(encoded.Slots); err != nil {
 		return nil, err
 	}
-	if encoded.After != nil {
+	if encoded.AfterKey != nil {
 		request.Resumes = true
-		request.AfterKey, err = decodeKey(encoded.After)
+		request.AfterKey, err = decodeKey(encoded.AfterKey)
 	}
 	return request, err
 }
 
 func encodePullReply(m *Envelope) (isPacket_Body, error) {
 	reply := m.PullReply
-	encoded := &Slice{
-		Plan:   reply.ConfigDigest,
-		Number: reply.Sequence,
-		Sit:    encodeTerm(reply.Term),
-		Yours:  encodeTerm(reply.RequesterTerm),
+	encoded := &PullReply{
+		ConfigDigest:  reply.ConfigDigest,
+		Sequence:      reply.Sequence,
+		Term:          encodeTerm(reply.Term),
+		RequesterTerm: encodeTerm(reply.RequesterTerm),
 	}
 	for i := range reply.Slots {
-		encoded.Parts = append(encoded.Parts, encodeSlotRecords(&reply.Slots[i]))
+		encoded.Slots = append(encoded.Slots, encodeSlotRecords(&reply.Slots[i]))
 	}
-	return &Packet_Slice{encoded}, nil
+	return &Packet_PullReply{encoded}, nil
 }
 
-func encodeSlotRecords(slot *replication.SlotRecords) *SlotPart {
-	encoded := &SlotPart{Slot: uint32(slot.Slot), Warm: slot.CaughtUp, All: slot.Complete}
+func encodeSlotRecords(slot *replication.SlotRecords) *SlotRecords {
+	encoded := &SlotRecords{Slot: uint32(slot.Slot), CaughtUp: slot.CaughtUp, Complete: slot.Complete}
 	for _, copied := range slot.Copies {
 		record := &Record{
-			Key:   copied.Record.Key[:],
-			Left:  copied.TimeToLive,
-			Tries: encodeAttempts(copied.Record.Attempts),
+			Key:        copied.Record.Key[:],
+			TimeToLive: copied.TimeToLive,
+			Attempts:   encodeAttempts(copied.Record.Attempts),
 		}
-		record.Check = recordChecksum(record)
+		record.Checksum = recordChecksum(record)
 		encoded.Records = append(encoded.Records, record)
 	}
 	return encoded
@@ -258,8 +258,8 @@
 // recordChecksum returns the checksum of a record without its remaining time to live.
 func recordChecksum(record *Record) uint32 {
 	content := append([]byte(nil), record.Key...)
-	for _, t := range record.Tries {
-		content = fmt.Appendf(content, " %d %d %d %d %d ", t.At, t.Who, t.N, t.State, t.Sum)
+	for _, t := range record.Attempts {
+		content = fmt.Appendf(content, " %d %d %d %d %d ", t.UnixMilli, t.Incarnation, t.Sequence, t.State, t.ResultChecksum)
 		content = append(content, t.Result...)
 	}
 	return crc32.ChecksumIEEE(content)
@@ -267,23 +267,23 @@
 
 // decodePullReply decodes a reply. One corrupted record invalidates all of it: the requester would
 // otherwise take the missing record for one that nobody has.
-func decodePullReply(encoded *Slice) (*replication.PullReply, error) {
-	if len(encoded.Parts) > maxSlots {
+func decodePullReply(encoded *PullReply) (*replication.PullReply, error) {
+	if len(encoded.Slots) > maxSlots {
 		return nil, ErrTooLarge
 	}
 	reply := &replication.PullReply{
-		ConfigDigest:  encoded.Plan,
-		Sequence:      encoded.Number,
-		Term:          decodeTerm(encoded.Sit),
-		RequesterTerm: decodeTerm(encoded.Yours),
+		ConfigDigest:  encoded.ConfigDigest,
+		Sequence:      encoded.Sequence,
+		Term:          decodeTerm(encoded.Term),
+		RequesterTerm: decodeTerm(encoded.RequesterTerm),
 	}
 	records := 0
-	for _, part := range encoded.Parts {
+	for _, part := range encoded.Slots {
 		records += len(part.Records)
 		if part.Slot >= maxSlots || records > maxRecords {
 			return nil, ErrTooLarge
 		}
-		slot := replication.SlotRecords{Slot: int(part.Slot), CaughtUp: part.Warm, Complete: part.All}
+		slot := replication.SlotRecords{Slot: int(part.Slot), CaughtUp: part.CaughtUp, Complete: part.Complete}
 		for _, record := range part.Records {
 			decoded, err := decodeRecord(record)
 			if err != nil {
@@ -301,39 +301,39 @@
 	if err != nil {
 		return copied, err
 	}
-	if encoded.Check != recordChecksum(encoded) {
+	if encoded.Checksum != recordChecksum(encoded) {
 		return copied, fmt.Errorf("record %x is not as its replica had it: %w", key[:4], ErrOutOfRange)
 	}
-	attempts, err := decodeAttempts(encoded.Tries)
+	attempts, err := decodeAttempts(encoded.Attempts)
 	if err != nil {
 		return copied, err
 	}
 	record := &replicastore.Record{Key: key, Attempts: attempts}
-	return replication.RecordCopy{Record: record, TimeToLive: encoded.Left}, checkNonNegative(encoded.Left)
+	return replication.RecordCopy{Record: record, TimeToLive: encoded.TimeToLive}, checkNonNegative(encoded.TimeToLive)
 }
 
 func encodeChecksums(m *Envelope) (isPacket_Body, error) {
 	checksums := m.Checksums
-	return &Packet_Sums{&Sums{
-		Plan:  checksums.ConfigDigest,
-		Sit:   encodeTerm(checksums.Term),
-		Slots: encodeSlots(checksums.Slots),
-		Sums:  checksums.Values,
+	return &Packet_Checksums{&Checksums{
+		ConfigDigest: checksums.ConfigDigest,
+		Term:         encodeTerm(checksums.Term),
+		Slots:        encodeSlots(checksums.Slots),
+		Values:       checksums.Values,
 	}}, nil
 }
 
-func decodeChecksums(encoded *Sums) (*replication.Checksums, error) {
+func decodeChecksums(encoded *Checksums) (*replication.Checksums, error) {
 	slots, err := decodeSlots(encoded.Slots)
 	if err != nil {
 		return nil, err
 	}
-	if len(encoded.Sums) != max(1, len(slots)) {
+	if len(encoded.Values) != max(1, len(slots)) {
 		return nil, ErrTooLarge
 	}
 	return &replication.Checksums{
-		ConfigDigest: encoded.Plan,
-		Term:         decodeTerm(encoded.Sit),
+		ConfigDigest: encoded.ConfigDigest,
+		Term:         decodeTerm(encoded.Term),
 		Slots:        slots,
-		Values:       encoded.Sums,
+		Values:       encoded.Values,
 	}, nil
 }
--- a/internal/wire/fleet/trust.go
+++ b/internal/wire/fleet/trust.go
@@ -8,34 +8,34 @@
 )
 
 func encodeTrustRequest(*Envelope) (isPacket_Body, error) {
-	return &Packet_AskCallers{&AskCallers{}}, nil
+	return &Packet_TrustRequest{&TrustRequest{}}, nil
 }
 
 func encodeTrustRecords(m *Envelope) (isPacket_Body, error) {
-	encoded := &Vouchers{}
+	encoded := &TrustRecords{}
 	for i := range m.TrustRecords {
-		encoded.Vouchers = append(encoded.Vouchers, encodeTrustRecord(&m.TrustRecords[i]))
+		encoded.Records = append(encoded.Records, encodeTrustRecord(&m.TrustRecords[i]))
 	}
-	return &Packet_Vouchers{encoded}, nil
+	return &Packet_TrustRecords{encoded}, nil
 }
 
-func encodeTrustRecord(record *replication.TrustRecord) *Voucher {
-	encoded := &Voucher{Name: record.Name, Life: record.Incarnation, Number: record.Sequence}
+func encodeTrustRecord(record *replication.TrustRecord) *TrustRecord {
+	encoded := &TrustRecord{Name: record.Name, Incarnation: record.Incarnation, Sequence: record.Sequence}
 	for _, client := range record.Clients {
 		addr := client.Addr.As16()
-		encoded.Callers = append(encoded.Callers, &Caller{Addr: addr[:], Credit: float32(client.Credit)})
+		encoded.Clients = append(encoded.Clients, &TrustedClient{Addr: addr[:], Credit: float32(client.Credit)})
 	}
 	return encoded
 }
 
 // decodeTrustRecords decodes servers' trust records. The list is never nil, so that Envelope.Kind
 // recognizes a message with an empty one.
-func decodeTrustRecords(encoded *Vouchers) ([]replication.TrustRecord, error) {
-	if len(encoded.Vouchers) > maxListEntries {
+func decodeTrustRecords(encoded *TrustRecords) ([]replication.TrustRecord, error) {
+	if len(encoded.Records) > maxListEntries {
 		return nil, ErrTooLarge
 	}
 	records := []replication.TrustRecord{}
-	for _, encodedRecord := range encoded.Vouchers {
+	for _, encodedRecord := range encoded.Records {
 		record, err := decodeTrustRecord(encodedRecord)
 		if err != nil {
 			return nil, err
@@ -45,12 +45,12 @@
 	return records, nil
 }
 
-func decodeTrustRecord(encoded *Voucher) (record replication.TrustRecord, err error) {
-	if len(encoded.Callers) > replication.MaxTrustedClients {
+func decodeTrustRecord(encoded *TrustRecord) (record replication.TrustRecord, err error) {
+	if len(encoded.Clients) > replication.MaxTrustedClients {
 		return record, ErrTooLarge
 	}
-	record = replication.TrustRecord{Name: encoded.Name, Incarnation: encoded.Life, Sequence: encoded.Number}
-	for _, client := range encoded.Callers {
+	record = replication.TrustRecord{Name: encoded.Name, Incarnation: encoded.Incarnation, Sequence: encoded.Sequence}
+	for _, client := range encoded.Clients {
 		var addr [16]byte
 		if len(client.Addr) != len(addr) {
 			return record, ErrTooLarge
