--- a/internal/wire/fleet/audit.go
+++ b/internal/wire/fleet/audit.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 
 	"swiftcourse/internal/policy/audit"
 	"swiftcourse/internal/policy/lease"
@@ -37,7 +38,8 @@
 
 func decodeAccount(encoded *Account) (*audit.Account, error) {
 	if len(encoded.GetIntervals()) > maxListEntries {
-		return nil, ErrTooLarge
+		return nil, fmt.Errorf("%w: %d intervals of an account, limit %d",
+			ErrTooLarge, len(encoded.GetIntervals()), maxListEntries)
 	}
 	account := &audit.Account{
 		Name:             encoded.GetName(),
@@ -76,7 +78,8 @@
 
 func decodeStateRequest(encoded *StateRequestBody) (*StateRequest, error) {
 	if len(encoded.Names) > maxMapEntries {
-		return nil, ErrTooLarge
+		return nil, fmt.Errorf("%w: %d names in a state request, limit %d",
+			ErrTooLarge, len(encoded.Names), maxMapEntries)
 	}
 	request := &StateRequest{
 		RequestID:    encoded.RequestId,
@@ -105,7 +108,8 @@
 
 func decodeStateReply(encoded *StateReplyBody) (*StateReply, error) {
 	if len(encoded.Accounts) > maxMapEntries || len(encoded.Servers) > maxMapEntries {
-		return nil, ErrTooLarge
+		return nil, fmt.Errorf("%w: state reply with %d accounts and %d servers, limit %d each",
+			ErrTooLarge, len(encoded.Accounts), len(encoded.Servers), maxMapEntries)
 	}
 	reply := &StateReply{RequestID: encoded.RequestId}
 	for _, encodedAccount := range encoded.Accounts {
--- a/internal/wire/fleet/body.go
+++ b/internal/wire/fleet/body.go
@@ -1,7 +1,7 @@
 package fleet
 
-// bodyDecoders are tried in their order. Each decodes the bodies of one group of messages into m, and
-// reports whether the packet's body belongs to its group.
+// bodyDecoders are tried in order. Each decodes the bodies of one group of kinds into m and reports
+// whether the packet's body belongs to that group.
 var bodyDecoders = [...]func(m *Envelope, packet *Packet) (known bool, err error){
 	decodeMembershipBody,
 	decodeReleaseBody,
@@ -11,7 +11,7 @@
 	decodeLoadPlanBody,
 }
 
-// decodeBody decodes the packet's body into m.
+// decodeBody decodes the packet's body into m. An unknown one is ErrUnknownBody.
 func (m *Envelope) decodeBody(packet *Packet) error {
 	for _, decode := range bodyDecoders {
 		if known, err := decode(m, packet); known {
@@ -42,7 +42,7 @@
 	return true, err
 }
 
-// decodeReleaseBody decodes messages about releases and operators' commands.
+// decodeReleaseBody decodes messages about versions and commands.
 func decodeReleaseBody(m *Envelope, packet *Packet) (known bool, err error) {
 	switch body := packet.Body.(type) {
 	case *Packet_VersionRequest:
@@ -78,8 +78,8 @@
 	return true, err
 }
 
-// decodeSharedBody decodes messages about what servers share: trusted clients, quotas, and
-// the health of the downstream service.
+// decodeSharedBody decodes messages about state that servers share: trusted clients, quotas, and the
+// health of the downstream service.
 func decodeSharedBody(m *Envelope, packet *Packet) (known bool, err error) {
 	switch body := packet.Body.(type) {
 	case *Packet_TrustRequest:
--- a/internal/wire/fleet/codec.go
+++ b/internal/wire/fleet/codec.go
@@ -6,24 +6,24 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// MaxEncodedSize bounds an encoded message, in bytes. The largest is a snapshot of the consensus
-// library with a release log that has reached all of its bounds.
+// MaxEncodedSize is the largest size of an encoded message, in bytes. The largest message is a
+// snapshot of the Raft library with a release log that has reached all of its bounds.
 const MaxEncodedSize = 4 << 20
 
-// DecodeError is a message that can't be decoded. It matches ErrUnknownBody, ErrTooLarge or
-// ErrOutOfRange where its content is at fault.
+// DecodeError reports a body that can't be decoded. It matches ErrUnknownBody, ErrTooLarge or
+// ErrOutOfRange if the body's content is at fault.
 type DecodeError struct {
 	From string // name of the sender
 	Err  error
 }
 
-// Error returns the sender and the cause.
-func (e *DecodeError) Error() string { return fmt.Sprintf("from %q: %v", e.From, e.Err) }
+// Error names the sender and the cause.
+func (e *DecodeError) Error() string { return fmt.Sprintf("message from %q: %v", e.From, e.Err) }
 
 // Unwrap returns the cause.
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-// encoders encode the bodies of envelopes, by their kind.
+// encoders holds, by kind, the function that encodes the body of an envelope.
 var encoders = [KindCount]func(m *Envelope) (isPacket_Body, error){
 	KindConsensus:          encodeConsensus,
 	KindLeaseRequest:       encodeLeaseRequest,
@@ -53,8 +53,8 @@
 	KindPlanAssignment:     encodePlanAssignment,
 }
 
-// Encode encodes a message. One that carries nothing is ErrUnknownBody, one over MaxPacket
-// ErrTooLarge.
+// Encode encodes a message. It returns ErrUnknownBody for a message without a body, and ErrTooLarge
+// for one over MaxEncodedSize.
 func Encode(m *Envelope) ([]byte, error) {
 	encodeBody := encoders[m.Kind()]
 	if encodeBody == nil {
@@ -67,20 +67,20 @@
 	packet := &Packet{From: m.From, Incarnation: m.Incarnation, Addr: m.Addr, Body: body}
 	encoded, err := proto.Marshal(packet)
 	if err == nil && len(encoded) > MaxEncodedSize {
-		return nil, ErrTooLarge
+		return nil, fmt.Errorf("%w: encoded message of %d bytes, limit %d", ErrTooLarge, len(encoded), MaxEncodedSize)
 	}
 	return encoded, err
 }
 
-// Decode decodes a message and checks all of its bounds. An error in the body is a *DecodeError,
-// which names the sender.
+// Decode decodes a message and checks all of its bounds. For an error in the body it returns a
+// *DecodeError, which names the sender.
 func Decode(encoded []byte) (*Envelope, error) {
 	if len(encoded) > MaxEncodedSize {
-		return nil, ErrTooLarge
+		return nil, fmt.Errorf("%w: encoded message of %d bytes, limit %d", ErrTooLarge, len(encoded), MaxEncodedSize)
 	}
 	packet := &Packet{}
 	if err := proto.Unmarshal(encoded, packet); err != nil {
-		return nil, fmt.Errorf("no packet: %w", err)
+		return nil, fmt.Errorf("invalid packet encoding: %w", err)
 	}
 	if err := checkNames(packet.From, packet.Addr); err != nil {
 		return nil, err
--- a/internal/wire/fleet/codec_test.go
+++ b/internal/wire/fleet/codec_test.go
@@ -28,27 +28,29 @@
 			m.Incarnation = 77
 			encoded, err := Encode(m)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("Encode: %v", err)
 			}
 			decoded, err := Decode(encoded)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("Decode: %v", err)
 			}
 			if m.Consensus != nil && m.Consensus.Raft != nil {
 				if !proto.Equal(m.Consensus.Raft, decoded.Consensus.Raft) {
-					t.Errorf("the library's own message differs: %v", decoded.Consensus.Raft)
+					t.Errorf("Raft message: got %v, want %v", decoded.Consensus.Raft, m.Consensus.Raft)
 				}
 				return
 			}
 			if !reflect.DeepEqual(m, decoded) {
-				t.Errorf("%+v is not %+v", decoded, m)
+				t.Errorf("got %+v, want %+v", decoded, m)
 			}
 		})
 	}
 }
 
-// The bytes on the wire are those of earlier releases: servers of two releases talk to one another.
-func TestEncode_BytesStay(t *testing.T) {
+// Servers of different releases exchange messages, so a message has to be encoded to the same bytes as
+// by earlier releases. testdata/envelopes.hex has the bytes of each sample as an earlier release
+// encoded them.
+func TestEncode_SameBytesAsEarlierReleases(t *testing.T) {
 	golden, err := os.ReadFile("testdata/envelopes.hex")
 	if err != nil {
 		t.Fatal(err)
@@ -56,7 +58,7 @@
 	lines := strings.Fields(string(golden))
 	samples := sampleEnvelopes(t)
 	if len(lines) != len(samples) {
-		t.Fatalf("%d samples, %d golden lines", len(samples), len(lines))
+		t.Fatalf("%d samples, but %d lines in testdata/envelopes.hex", len(samples), len(lines))
 	}
 	for i, m := range samples {
 		t.Run(m.Kind().String(), func(t *testing.T) {
@@ -74,7 +76,7 @@
 	}
 }
 
-// sortMaps encodes a packet again with its maps in order.
+// sortMaps encodes a packet again with its maps sorted by key, since Encode has them in random order.
 func sortMaps(t *testing.T, encoded []byte) []byte {
 	t.Helper()
 	packet := &Packet{}
@@ -88,7 +90,7 @@
 	return sorted
 }
 
-func TestKind_IsKnownForEverySample(t *testing.T) {
+func TestKind_EachHasNameEncoderAndSample(t *testing.T) {
 	seen := map[Kind]bool{}
 	for _, m := range sampleEnvelopes(t) {
 		seen[m.Kind()] = true
@@ -97,21 +99,22 @@
 	for kind := KindNone; kind < KindCount; kind++ {
 		names[kind.String()] = true
 		if kind != KindNone && !seen[kind] {
-			t.Errorf("no sample is a %s", kind)
+			t.Errorf("no sample envelope of kind %s", kind)
 		}
 		if (encoders[kind] != nil) != (kind != KindNone) {
-			t.Errorf("%s: encoder %t", kind, encoders[kind] != nil)
+			t.Errorf("kind %s: has an encoder: %t, want %t", kind, encoders[kind] != nil, kind != KindNone)
 		}
 	}
 	if len(names) != int(KindCount) || names[""] || KindCount.String() != "unknown" {
-		t.Errorf("the kinds' names are %v", names)
+		t.Errorf("kind names %v: want %d different ones, none empty; name after the last kind: got %q, want unknown",
+			names, KindCount, KindCount)
 	}
 	if kind := (&Envelope{}).Kind(); kind != KindNone {
-		t.Errorf("an empty envelope is a %s", kind)
+		t.Errorf("kind of an empty envelope: got %s, want %s", kind, KindNone)
 	}
 }
 
-// boundCase is a message that can be encoded and must not be decoded.
+// boundCase is a message that Encode accepts and Decode must reject with the error want.
 type boundCase struct {
 	name     string
 	envelope *Envelope
@@ -127,7 +130,7 @@
 			}
 			decoded, err := Decode(encoded)
 			if !errors.Is(err, test.want) {
-				t.Errorf("it was decoded to %+v, %v; want %v", decoded, err, test.want)
+				t.Errorf("Decode: got %+v, error %v; want error %v", decoded, err, test.want)
 			}
 		})
 	}
@@ -161,10 +164,10 @@
 	raft := &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: new(uint64(9)), To: new(uint64(2))}
 	grant := quota.Grant{Name: "calls", LeasedShare: math.NaN()}
 	return []boundCase{
-		{"tally NaN", tallyRequest(math.NaN(), 0), ErrOutOfRange},
-		{"tally above whole", tallyRequest(1, 2), ErrOutOfRange},
-		{"tally negative", tallyRequest(-1, -1), ErrOutOfRange},
-		{"endless lease", &Envelope{LeaseReply: &lease.Reply{Duration: math.Inf(1)}}, ErrOutOfRange},
+		{"NaN of completed requests", tallyRequest(math.NaN(), 0), ErrOutOfRange},
+		{"more failed than completed requests", tallyRequest(1, 2), ErrOutOfRange},
+		{"negative number of requests", tallyRequest(-1, -1), ErrOutOfRange},
+		{"infinite lease", &Envelope{LeaseReply: &lease.Reply{Duration: math.Inf(1)}}, ErrOutOfRange},
 		{"command time", &Envelope{Command: &release.Command{IssuedAt: math.Inf(-1)}}, ErrOutOfRange},
 		{"demand negative", demandRequest(quota.Demand{Name: "calls", Requested: -1}), ErrOutOfRange},
 		{"grant NaN", &Envelope{QuotaReply: &quota.Reply{Grants: []quota.Grant{grant}}}, ErrOutOfRange},
@@ -188,29 +191,30 @@
 
 func TestDecode_RejectsLargePacket(t *testing.T) {
 	if _, err := Decode(make([]byte, MaxEncodedSize+1)); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("a packet over the bound: %v", err)
+		t.Errorf("Decode of %d bytes: got error %v, want %v", MaxEncodedSize+1, err, ErrTooLarge)
 	}
 }
 
-func TestDecode_NamesTheSender(t *testing.T) {
+func TestDecode_ErrorNamesSender(t *testing.T) {
 	encoded, err := Encode(&Envelope{From: "n9", LeaseReply: &lease.Reply{Duration: -1}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, err = Decode(encoded)
-	var failure *DecodeError
-	if !errors.As(err, &failure) || failure.From != "n9" {
-		t.Errorf("the error is %v", err)
+	var decodeError *DecodeError
+	if !errors.As(err, &decodeError) || decodeError.From != "n9" {
+		t.Errorf("got error %v, want a DecodeError with sender n9", err)
 	}
 }
 
 func TestEncode_RejectsEmptyEnvelope(t *testing.T) {
 	if _, err := Encode(&Envelope{}); !errors.Is(err, ErrUnknownBody) {
-		t.Errorf("an envelope that carries nothing: %v", err)
+		t.Errorf("Encode of an empty envelope: got error %v, want %v", err, ErrUnknownBody)
 	}
 }
 
-// FuzzDecode checks that any bytes are rejected, or decoded to what can be encoded and decoded again.
+// FuzzDecode checks that Decode either rejects its input or returns an envelope that can be encoded and
+// decoded again.
 func FuzzDecode(f *testing.F) {
 	for _, m := range sampleEnvelopes(f) {
 		encoded, err := Encode(m)
@@ -226,10 +230,10 @@
 		}
 		encoded, err := Encode(m)
 		if err != nil {
-			t.Fatalf("%+v was decoded and can't be encoded: %v", m, err)
+			t.Fatalf("Encode of the decoded %+v: %v", m, err)
 		}
 		if _, err := Decode(encoded); err != nil {
-			t.Fatalf("%+v was decoded, and not again: %v", m, err)
+			t.Fatalf("second Decode of %+v: %v", m, err)
 		}
 	})
 }
--- a/internal/wire/fleet/consensus.go
+++ b/internal/wire/fleet/consensus.go
@@ -1,6 +1,8 @@
 package fleet
 
 import (
+	"fmt"
+
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
@@ -35,7 +37,7 @@
 	return &Packet_Consensus{encoded}, nil
 }
 
-// decodeConsensus decodes a message between voters; one without any content is ErrUnknownBody.
+// decodeConsensus decodes a message between voters. One without any content is ErrUnknownBody.
 func decodeConsensus(encoded *ConsensusMessage) (*consensus.Message, error) {
 	message := &consensus.Message{
 		From:              encoded.From,
@@ -84,8 +86,11 @@
 }
 
 func decodeHeartbeat(encoded *Heartbeat) (*consensus.Heartbeat, error) {
-	if len(encoded.DetachedVoters) > maxListEntries || len(encoded.Voters) > maxListEntries || len(encoded.Name) > maxName {
-		return nil, ErrTooLarge
+	if len(encoded.DetachedVoters) > maxListEntries || len(encoded.Voters) > maxListEntries ||
+		len(encoded.Name) > maxName {
+		return nil, fmt.Errorf("%w: heartbeat with %d detached voters and %d voters, limit %d each, "+
+			"and a name of %d bytes, limit %d", ErrTooLarge,
+			len(encoded.DetachedVoters), len(encoded.Voters), maxListEntries, len(encoded.Name), maxName)
 	}
 	return &consensus.Heartbeat{
 		Name:            encoded.Name,
@@ -100,7 +105,8 @@
 
 func decodeBootstrap(encoded *Bootstrap) (*consensus.Bootstrap, error) {
 	if len(encoded.Voters) > maxListEntries || encoded.ReleaseLog == nil || encoded.ClusterId == 0 {
-		return nil, ErrTooLarge
+		return nil, fmt.Errorf("%w: bootstrap of cluster %d with %d voters, limit %d, and a release log present: %t",
+			ErrTooLarge, encoded.ClusterId, len(encoded.Voters), maxListEntries, encoded.ReleaseLog != nil)
 	}
 	log, err := decodeReleaseLog(encoded.ReleaseLog)
 	if err != nil {
@@ -109,15 +115,16 @@
 	return &consensus.Bootstrap{ClusterID: encoded.ClusterId, Voters: encoded.Voters, ReleaseLog: log}, nil
 }
 
-// decodeRaft decodes the Raft library's own message. Its sender and receiver must be those of the
-// message around it.
+// decodeRaft decodes the message of the Raft library. Its sender and receiver must be the same as
+// those of the consensus message that contains it.
 func decodeRaft(encoded *ConsensusMessage) (*raftpb.Message, error) {
 	message := &raftpb.Message{}
 	if err := proto.Unmarshal(encoded.Raft, message); err != nil {
 		return nil, err
 	}
 	if message.Type == nil || message.GetFrom() != encoded.From || message.GetTo() != encoded.To {
-		return nil, ErrOutOfRange
+		return nil, fmt.Errorf("%w: Raft message from %d to %d, type present: %t, in a message from %d to %d",
+			ErrOutOfRange, message.GetFrom(), message.GetTo(), message.Type != nil, encoded.From, encoded.To)
 	}
 	return message, nil
 }
--- a/internal/wire/fleet/counters.go
+++ b/internal/wire/fleet/counters.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 
 	"swiftcourse/internal/policy/counter"
 	"swiftcourse/internal/policy/release"
@@ -22,10 +23,10 @@
 	return encoded
 }
 
-// decodeCounts decodes cells, and rejects a list that is not sorted by key or repeats one.
+// decodeCounts decodes cells. It rejects a list that is not sorted by key or repeats a key.
 func decodeCounts(encoded []*CounterCell) (cells []serving.CounterCell, err error) {
 	if len(encoded) > maxMapEntries+1 {
-		return nil, ErrTooLarge
+		return nil, fmt.Errorf("%w: %d counter cells, limit %d", ErrTooLarge, len(encoded), maxMapEntries+1)
 	}
 	for i, encodedCell := range encoded {
 		cell := decodeCounterCell(encodedCell)
@@ -33,7 +34,7 @@
 			return nil, err
 		}
 		if i > 0 && cells[i-1].Compare(cell.CounterKey) >= 0 {
-			return nil, ErrOutOfRange
+			return nil, fmt.Errorf("%w: counter cells are not sorted by key or repeat one", ErrOutOfRange)
 		}
 		cells = append(cells, cell)
 	}
@@ -89,12 +90,13 @@
 		return nil, err
 	}
 	if row.BaseSequence > row.Sequence || row.FrozenSequence > row.Sequence {
-		return nil, ErrOutOfRange
+		return nil, fmt.Errorf("%w: counter row at sequence number %d with base %d, frozen at %d",
+			ErrOutOfRange, row.Sequence, row.BaseSequence, row.FrozenSequence)
 	}
 	return row, nil
 }
 
-// encodeClosedRows encodes closed rows, which the release log and its commands carry.
+// encodeClosedRows encodes the closed rows of a release log or command.
 func encodeClosedRows(rows []release.CounterRow) (encoded []*CounterRow) {
 	for _, row := range rows {
 		encoded = append(encoded, &CounterRow{RowId: row.ID, Sequence: row.Sequence, Cells: encodeCounts(row.Cells)})
@@ -104,7 +106,7 @@
 
 func decodeClosedRows(encoded []*CounterRow) (rows []release.CounterRow, err error) {
 	if len(encoded) > maxMapEntries {
-		return nil, ErrTooLarge
+		return nil, fmt.Errorf("%w: %d closed counter rows, limit %d", ErrTooLarge, len(encoded), maxMapEntries)
 	}
 	for _, encodedRow := range encoded {
 		row, err := decodeCounterRow(encodedRow)
@@ -138,17 +140,22 @@
 	}
 }
 
-// checkAggregatorCount checks that a list of aggregators' incarnations is within its bound.
+// checkAggregatorCount checks that a list of aggregators has at most maxListEntries incarnations.
 func checkAggregatorCount(aggregators counter.Incarnations) error {
 	if len(aggregators) > maxListEntries {
-		return ErrTooLarge
+		return fmt.Errorf("%w: %d aggregators, limit %d", ErrTooLarge, len(aggregators), maxListEntries)
 	}
 	return nil
 }
 
 func encodeCounterSyncRequest(m *Envelope) (isPacket_Body, error) {
 	query := m.CounterSyncRequest
-	encoded := &CounterSyncRequest{Number: query.Number, All: query.All, After: query.After, Aggregators: query.Aggregators}
+	encoded := &CounterSyncRequest{
+		Number:      query.Number,
+		All:         query.All,
+		After:       query.After,
+		Aggregators: query.Aggregators,
+	}
 	for _, row := range query.Rows {
 		encoded.Rows = append(encoded.Rows, encodeCounterAck(row))
 	}
@@ -157,7 +164,8 @@
 
 func decodeCounterSyncRequest(encoded *CounterSyncRequest) (*counter.RowQuery, error) {
 	if len(encoded.Rows) > maxListEntries {
-		return nil, ErrTooLarge
+		return nil, fmt.Errorf("%w: %d rows in a counter sync request, limit %d",
+			ErrTooLarge, len(encoded.Rows), maxListEntries)
 	}
 	query := &counter.RowQuery{
 		Number:      encoded.Number,
@@ -173,7 +181,12 @@
 
 func encodeCounterSyncReply(m *Envelope) (isPacket_Body, error) {
 	reply := m.CounterSyncReply
-	encoded := &CounterSyncReply{Number: reply.Number, Recovering: reply.Recovering, More: reply.More, Aggregators: reply.Aggregators}
+	encoded := &CounterSyncReply{
+		Number:      reply.Number,
+		Recovering:  reply.Recovering,
+		More:        reply.More,
+		Aggregators: reply.Aggregators,
+	}
 	for i := range reply.Rows {
 		encoded.Rows = append(encoded.Rows, encodeCounterRow(&reply.Rows[i]))
 	}
@@ -182,10 +195,11 @@
 
 func decodeCounterSyncReply(encoded *CounterSyncReply) (*counter.RowQueryReply, error) {
 	if len(encoded.Aggregators) > maxListEntries || len(encoded.Rows) > maxMapEntries {
-		return nil, ErrTooLarge
+		return nil, fmt.Errorf("%w: counter sync reply with %d aggregators, limit %d, and %d rows, limit %d",
+			ErrTooLarge, len(encoded.Aggregators), maxListEntries, len(encoded.Rows), maxMapEntries)
 	}
 	if encoded.More && len(encoded.Rows) == 0 {
-		return nil, ErrTooLarge
+		return nil, fmt.Errorf("%w: counter sync reply announces more rows but has none", ErrTooLarge)
 	}
 	reply := &counter.RowQueryReply{
 		Number:      encoded.Number,
--- a/internal/wire/fleet/envelope.go
+++ b/internal/wire/fleet/envelope.go
@@ -12,17 +12,17 @@
 	"swiftcourse/internal/policy/replication"
 )
 
-// Envelope is one message. Exactly one of the fields between Addr and Size is set; Kind tells
-// which.
+// Envelope is one message. Exactly one of the fields between Addr and Size, the body, is set; Kind
+// tells which.
 type Envelope struct {
-	From        string // name of the process that sent it
+	From        string // name of the sending process
 	Incarnation uint64 // of that process
-	Addr        string // where that process listens
+	Addr        string // address at which that process listens
 
 	Consensus          *consensus.Message
 	LeaseRequest       *lease.Request
 	LeaseReply         *lease.Reply
-	VersionRequest     release.Epoch // requests the version of that epoch
+	VersionRequest     release.Epoch // requests the version of this epoch
 	Version            *release.Version
 	Command            *release.Command
 	CommandResult      *CommandResult
@@ -46,26 +46,27 @@
 	ForwarderReport    *loadplan.Report
 	PlanAssignment     *loadplan.Assignment
 
-	Size int // bytes of the encoded message, set by who received it
+	Size int // bytes of the encoded message; set by the receiver
 }
 
-// CommandResult is how a command ended, as the leader saw it.
+// CommandResult is the leader's reply to a command.
 type CommandResult struct {
 	ID           uint64
-	RejectReason string // "" if it was carried out
-	NewestEpoch  release.Epoch
+	RejectReason string        // "" if the command was applied
+	NewestEpoch  release.Epoch // newest epoch that the leader knows
 }
 
-// StateRequest requests a process's own account, those that it knows of some other names, and its
-// release log if that is newer than the sender's. A RequestID of 0 requests the release log alone.
+// StateRequest requests the receiver's own account, the accounts that it has of the servers in Names,
+// and its release log if that is newer than the sender's. A RequestID of 0 requests the release log
+// alone.
 type StateRequest struct {
 	RequestID    uint64
 	Names        []string // nil for all
-	ClusterID    uint32   // of the release log that the sender has
-	AppliedCount uint64   // of that log
+	ClusterID    uint32   // cluster ID of the sender's release log
+	AppliedCount uint64   // applied count of the sender's release log
 }
 
-// StateReply answers a StateRequest. Only a leader's reply to an audit lists the servers.
+// StateReply is the reply to a StateRequest. Only a leader lists the servers, in a reply to an audit.
 type StateReply struct {
 	RequestID   uint64
 	Accounts    []audit.Account
--- a/internal/wire/fleet/health.go
+++ b/internal/wire/fleet/health.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 
 	"swiftcourse/internal/policy/circuitbreaker"
 )
@@ -23,11 +24,12 @@
 	return &Packet_HealthReports{encoded}, nil
 }
 
-// decodeHealthReports decodes servers' reports. The list is never nil, so that Envelope.Kind
-// recognizes a message with an empty one.
+// decodeHealthReports decodes the reports of servers. It never returns a nil list without an error,
+// because Envelope.Kind has to recognize a message with an empty list.
 func decodeHealthReports(encoded *HealthReports) ([]circuitbreaker.Report, error) {
 	if len(encoded.Reports) > circuitbreaker.MaxReports {
-		return nil, ErrTooLarge
+		return nil, fmt.Errorf("%w: %d health reports, limit %d",
+			ErrTooLarge, len(encoded.Reports), circuitbreaker.MaxReports)
 	}
 	reports := []circuitbreaker.Report{}
 	for _, report := range encoded.Reports {
--- a/internal/wire/fleet/kind.go
+++ b/internal/wire/fleet/kind.go
@@ -1,9 +1,9 @@
 package fleet
 
-// Kind is what an Envelope carries.
+// Kind is the kind of the body of an Envelope.
 type Kind uint8
 
-// The kinds of envelopes. KindNone is an envelope that carries nothing.
+// The kinds of bodies. KindNone is the kind of an envelope without a body.
 const (
 	KindNone Kind = iota
 	KindConsensus
@@ -73,9 +73,9 @@
 	return kindNames[k]
 }
 
-// Kind returns what the envelope carries.
+// Kind returns the kind of the body that the envelope has.
 func (m *Envelope) Kind() Kind {
-	carried := [KindCount]bool{
+	hasBody := [KindCount]bool{
 		KindConsensus:          m.Consensus != nil,
 		KindLeaseRequest:       m.LeaseRequest != nil,
 		KindLeaseReply:         m.LeaseReply != nil,
@@ -103,7 +103,7 @@
 		KindForwarderReport:    m.ForwarderReport != nil,
 		KindPlanAssignment:     m.PlanAssignment != nil,
 	}
-	for kind, present := range carried {
+	for kind, present := range hasBody {
 		if present {
 			return Kind(kind)
 		}
--- a/internal/wire/fleet/lease.go
+++ b/internal/wire/fleet/lease.go
@@ -39,7 +39,8 @@
 		Nonce:             encoded.Nonce,
 	}
 	return request, errors.Join(checkNames(encoded.Name, encoded.Addr, encoded.BlockedBy, encoded.Build),
-		checkNonNegative(encoded.Completed), checkNonNegative(encoded.Failed), checkNotAbove(encoded.Failed, encoded.Completed))
+		checkNonNegative(encoded.Completed), checkNonNegative(encoded.Failed),
+		checkNotAbove(encoded.Failed, encoded.Completed))
 }
 
 func encodeLeaseReply(m *Envelope) (isPacket_Body, error) {
--- a/internal/wire/fleet/loadplan.go
+++ b/internal/wire/fleet/loadplan.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 
 	"swiftcourse/internal/policy/loadplan"
 )
@@ -23,7 +24,7 @@
 
 func decodeRates(encoded []*TenantRate) (rates []loadplan.TenantRate, err error) {
 	if len(encoded) > maxMapEntries {
-		return nil, ErrTooLarge
+		return nil, fmt.Errorf("%w: %d tenant rates, limit %d", ErrTooLarge, len(encoded), maxMapEntries)
 	}
 	for _, encodedRate := range encoded {
 		if err := errors.Join(checkNames(encodedRate.Tenant), checkNonNegative(encodedRate.Rate)); err != nil {
@@ -59,7 +60,7 @@
 
 func decodeForwarderReport(encoded *ForwarderReport) (*loadplan.Report, error) {
 	if len(encoded.Workers) > maxMapEntries {
-		return nil, ErrTooLarge
+		return nil, fmt.Errorf("%w: %d workers, limit %d", ErrTooLarge, len(encoded.Workers), maxMapEntries)
 	}
 	report := &loadplan.Report{
 		Name:            encoded.Name,
@@ -103,7 +104,7 @@
 
 func decodePlanAssignment(encoded *PlanAssignment) (*loadplan.Assignment, error) {
 	if len(encoded.Weights) > maxMapEntries {
-		return nil, ErrTooLarge
+		return nil, fmt.Errorf("%w: %d worker weights, limit %d", ErrTooLarge, len(encoded.Weights), maxMapEntries)
 	}
 	assignment := &loadplan.Assignment{
 		Version:        decodePlanVersion(encoded.Version),
--- a/internal/wire/fleet/quota.go
+++ b/internal/wire/fleet/quota.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 
 	"swiftcourse/internal/policy/quota"
 )
@@ -22,11 +23,12 @@
 	return &Packet_QuotaRequest{encoded}, nil
 }
 
-// decodeQuotaRequest decodes the request of a server's incarnation, which the packet names and the
-// body doesn't. The grantor limits the demands; only numbers that can't be valid are rejected here.
+// decodeQuotaRequest decodes a request of a server. The server's incarnation is passed separately
+// because only the packet, not the body, holds it. Invalid numbers are rejected here; limiting the
+// demands is up to the grantor.
 func decodeQuotaRequest(encoded *QuotaRequest, incarnation uint64) (*quota.Request, error) {
 	if len(encoded.Demands) > quota.MaxEntries {
-		return nil, ErrTooLarge
+		return nil, fmt.Errorf("%w: %d quota demands, limit %d", ErrTooLarge, len(encoded.Demands), quota.MaxEntries)
 	}
 	request := &quota.Request{
 		Incarnation: incarnation,
@@ -64,7 +66,7 @@
 
 func decodeQuotaReply(encoded *QuotaReply) (*quota.Reply, error) {
 	if len(encoded.Grants) > quota.MaxEntries {
-		return nil, ErrTooLarge
+		return nil, fmt.Errorf("%w: %d quota grants, limit %d", ErrTooLarge, len(encoded.Grants), quota.MaxEntries)
 	}
 	reply := &quota.Reply{Incarnation: encoded.Incarnation, Number: encoded.Number, GrantorID: encoded.GrantorId}
 	for _, grant := range encoded.Grants {
--- a/internal/wire/fleet/release.go
+++ b/internal/wire/fleet/release.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"math"
 
 	"google.golang.org/protobuf/proto"
@@ -15,7 +16,7 @@
 
 func decodeVersionRequest(encoded *VersionRequest) (release.Epoch, error) {
 	if encoded.Epoch == 0 {
-		return 0, ErrOutOfRange
+		return 0, fmt.Errorf("%w: version request for epoch 0", ErrOutOfRange)
 	}
 	return release.Epoch(encoded.Epoch), nil
 }
@@ -40,7 +41,7 @@
 
 func decodeVersion(encoded *Version) (*release.Version, error) {
 	if len(encoded.Text) > maxText {
-		return nil, ErrTooLarge
+		return nil, fmt.Errorf("%w: version text of %d bytes, limit %d", ErrTooLarge, len(encoded.Text), maxText)
 	}
 	version := &release.Version{
 		Epoch:      release.Epoch(encoded.Epoch),
@@ -50,7 +51,8 @@
 		Text:       encoded.Text,
 		Build:      encoded.Build,
 	}
-	return version, errors.Join(checkNames(encoded.Digest, encoded.Author, encoded.Build), checkFinite(encoded.ReleasedAt))
+	return version, errors.Join(checkNames(encoded.Digest, encoded.Author, encoded.Build),
+		checkFinite(encoded.ReleasedAt))
 }
 
 func encodeReleaseLog(log *release.Log) *ReleaseLog {
@@ -119,21 +121,23 @@
 	if log.ClosedTotals, err = decodeCounts(encoded.ClosedTotals); err != nil {
 		return nil, err
 	}
-	for name, out := range encoded.Ejected {
-		if log.Ejected[name], err = decodeEjection(name, out); err != nil {
+	for name, ejection := range encoded.Ejected {
+		if log.Ejected[name], err = decodeEjection(name, ejection); err != nil {
 			return nil, err
 		}
 	}
 	return log, nil
 }
 
-// checkReleaseLog checks that a release log has a current version, and that its parts and its
-// members' names are within their bounds.
+// checkReleaseLog checks that a release log has a current version and that its lists, maps and the
+// names of its members are within their bounds.
 func checkReleaseLog(encoded *ReleaseLog) error {
 	lists := max(len(encoded.Waves), len(encoded.History), len(encoded.LastCommandIds), len(encoded.Voters))
 	maps := max(len(encoded.Members), len(encoded.Ejected))
 	if lists > maxListEntries || maps > maxMapEntries || encoded.Current == nil || encoded.WaveIndex > maxListEntries {
-		return ErrTooLarge
+		return fmt.Errorf("%w: release log: current version present: %t; longest list has %d entries, limit %d; "+
+			"largest map has %d, limit %d; wave index %d", ErrTooLarge, encoded.Current != nil,
+			lists, maxListEntries, maps, maxMapEntries, encoded.WaveIndex)
 	}
 	for name := range encoded.Members {
 		if err := checkNames(name); err != nil {
@@ -143,8 +147,8 @@
 	return nil
 }
 
-// decodeVersions decodes the current version of a release log, and the previous and next ones if
-// there are any.
+// decodeVersions decodes the current version of a release log, and the previous and the next version
+// if there are any.
 func decodeVersions(log *release.Log, encoded *ReleaseLog) error {
 	current, err := decodeVersion(encoded.Current)
 	if err != nil {
@@ -218,7 +222,8 @@
 		return nil, ErrUnknownBody
 	}
 	if len(encoded.Text) > maxText || len(encoded.Waves) > maxListEntries {
-		return nil, ErrTooLarge
+		return nil, fmt.Errorf("%w: command with a text of %d bytes, limit %d, and %d waves, limit %d",
+			ErrTooLarge, len(encoded.Text), maxText, len(encoded.Waves), maxListEntries)
 	}
 	rows, err := decodeClosedRows(encoded.CounterRows)
 	if err != nil {
@@ -267,30 +272,30 @@
 
 // MarshalCommand encodes a command.
 func (ReleaseCodec) MarshalCommand(c *release.Command) []byte {
-	encoded, _ := proto.Marshal(encodeCommand(c)) // no error: all strings are checked
+	encoded, _ := proto.Marshal(encodeCommand(c)) // no error: all strings were checked for UTF-8
 	return encoded
 }
 
 // UnmarshalCommand decodes a command and checks its bounds.
 func (ReleaseCodec) UnmarshalCommand(encoded []byte) (*release.Command, error) {
-	p := &Command{}
-	if err := proto.Unmarshal(encoded, p); err != nil {
+	command := &Command{}
+	if err := proto.Unmarshal(encoded, command); err != nil {
 		return nil, err
 	}
-	return decodeCommand(p)
+	return decodeCommand(command)
 }
 
 // MarshalLog encodes a release log.
 func (ReleaseCodec) MarshalLog(l *release.Log) []byte {
-	encoded, _ := proto.Marshal(encodeReleaseLog(l)) // no error: all strings are checked
+	encoded, _ := proto.Marshal(encodeReleaseLog(l)) // no error: all strings were checked for UTF-8
 	return encoded
 }
 
 // UnmarshalLog decodes a release log and checks its bounds.
 func (ReleaseCodec) UnmarshalLog(encoded []byte) (*release.Log, error) {
-	p := &ReleaseLog{}
-	if err := proto.Unmarshal(encoded, p); err != nil {
+	log := &ReleaseLog{}
+	if err := proto.Unmarshal(encoded, log); err != nil {
 		return nil, err
 	}
-	return decodeReleaseLog(p)
+	return decodeReleaseLog(log)
 }
--- a/internal/wire/fleet/replication.go
+++ b/internal/wire/fleet/replication.go
@@ -12,9 +12,9 @@
 // Bounds of replication messages.
 const (
 	maxResult   = 64 << 10 // bytes of a result
-	maxAttempts = 256      // of a record, merged from all of its replicas
+	maxAttempts = 256      // attempts of a record, merged from all of its replicas
 	maxSlots    = replicastore.SlotCount
-	maxRecords  = 4096 // in one reply
+	maxRecords  = 4096 // records in one reply
 )
 
 func encodeTerm(t replication.Term) *Term { return &Term{Number: t.Number, Incarnation: t.Incarnation} }
@@ -32,7 +32,7 @@
 
 func decodeTerms(encoded []*Term) (terms []replication.Term, err error) {
 	if len(encoded) > replication.MaxReplicationFactor {
-		return nil, ErrTooLarge
+		return nil, fmt.Errorf("%w: %d terms, limit %d", ErrTooLarge, len(encoded), replication.MaxReplicationFactor)
 	}
 	for _, encodedTerm := range encoded {
 		terms = append(terms, decodeTerm(encodedTerm))
@@ -61,7 +61,7 @@
 // decodeAttempt decodes an attempt. A result that does not match its checksum is rejected.
 func decodeAttempt(encoded *Attempt) (attempt replicastore.Attempt, err error) {
 	if encoded == nil {
-		return attempt, ErrUnknownBody
+		return attempt, fmt.Errorf("%w: attempt is missing", ErrUnknownBody)
 	}
 	attempt = replicastore.Attempt{
 		ClaimID:        decodeClaimID(encoded),
@@ -73,23 +73,27 @@
 	hasResult := attempt.Result != nil || attempt.ResultChecksum != 0
 	switch {
 	case len(encoded.Result) > maxResult:
-		err = ErrTooLarge
+		err = fmt.Errorf("%w: attempt result of %d bytes, limit %d", ErrTooLarge, len(encoded.Result), maxResult)
 	case attempt.State > replicastore.StateFinished, !finished && hasResult:
-		err = ErrOutOfRange
+		err = fmt.Errorf("%w: attempt in state %d with a result present: %t", ErrOutOfRange, encoded.State, hasResult)
 	case !attempt.Intact():
-		err = fmt.Errorf("attempt result that is not the one that was recorded: %w", ErrOutOfRange)
+		err = fmt.Errorf("attempt result does not match its checksum %016x: %w", encoded.ResultChecksum, ErrOutOfRange)
 	}
 	return attempt, err
 }
 
 func decodeClaimID(encoded *Attempt) replicastore.ClaimID {
-	return replicastore.ClaimID{UnixMilli: encoded.UnixMilli, Incarnation: encoded.Incarnation, Sequence: encoded.Sequence}
+	return replicastore.ClaimID{
+		UnixMilli:   encoded.UnixMilli,
+		Incarnation: encoded.Incarnation,
+		Sequence:    encoded.Sequence,
+	}
 }
 
-// decodeAttempts decodes a record's attempts, which are sorted by claim.
+// decodeAttempts decodes the attempts of a record, which must be sorted by claim ID.
 func decodeAttempts(encoded []*Attempt) (attempts []replicastore.Attempt, err error) {
 	if len(encoded) > maxAttempts {
-		return nil, ErrTooLarge
+		return nil, fmt.Errorf("%w: %d attempts of a record, limit %d", ErrTooLarge, len(encoded), maxAttempts)
 	}
 	for i, encodedAttempt := range encoded {
 		attempt, err := decodeAttempt(encodedAttempt)
@@ -97,7 +101,7 @@
 			return nil, err
 		}
 		if i > 0 && attempts[i-1].Compare(attempt.ClaimID) >= 0 {
-			return nil, ErrOutOfRange
+			return nil, fmt.Errorf("%w: attempts are not sorted by claim ID or repeat one", ErrOutOfRange)
 		}
 		attempts = append(attempts, attempt)
 	}
@@ -106,7 +110,7 @@
 
 func decodeKey(encoded []byte) (key replicastore.Key, err error) {
 	if len(encoded) != len(key) {
-		return key, ErrTooLarge
+		return key, fmt.Errorf("%w: key of %d bytes, want %d", ErrTooLarge, len(encoded), len(key))
 	}
 	copy(key[:], encoded)
 	return key, nil
@@ -121,11 +125,11 @@
 
 func decodeSlots(encoded []uint32) (slots []int, err error) {
 	if len(encoded) > maxSlots {
-		return nil, ErrTooLarge
+		return nil, fmt.Errorf("%w: %d slots, limit %d", ErrTooLarge, len(encoded), maxSlots)
 	}
 	for _, slot := range encoded {
 		if slot >= maxSlots {
-			return nil, ErrOutOfRange
+			return nil, fmt.Errorf("%w: slot %d, there are %d slots", ErrOutOfRange, slot, maxSlots)
 		}
 		slots = append(slots, int(slot))
 	}
@@ -145,9 +149,12 @@
 
 func decodeClaimRequest(encoded *ClaimRequest) (request *replication.ClaimRequest, err error) {
 	if encoded.Operation > uint32(replication.OpReport) {
-		return nil, ErrOutOfRange
+		return nil, fmt.Errorf("%w: unknown claim operation %d", ErrOutOfRange, encoded.Operation)
+	}
+	request = &replication.ClaimRequest{
+		ConfigDigest: encoded.ConfigDigest,
+		Operation:    replication.Operation(encoded.Operation),
 	}
-	request = &replication.ClaimRequest{ConfigDigest: encoded.ConfigDigest, Operation: replication.Operation(encoded.Operation)}
 	if request.Key, err = decodeKey(encoded.Key); err != nil {
 		return nil, err
 	}
@@ -156,8 +163,9 @@
 	}
 	reports := request.Operation == replication.OpReport
 	claims := request.Attempt.State == replicastore.StateClaimed
-	if reports == claims { // a report carries a finished attempt, a claim or query an unfinished one
-		return nil, ErrOutOfRange
+	if reports == claims { // a report needs a finished attempt, a claim or query an unfinished one
+		return nil, fmt.Errorf("%w: claim operation %d with an attempt in state %d",
+			ErrOutOfRange, encoded.Operation, encoded.Attempt.State)
 	}
 	request.Terms, err = decodeTerms(encoded.Terms)
 	return request, err
@@ -177,10 +185,11 @@
 
 func decodeClaimReply(encoded *ClaimReply) (reply *replication.ClaimReply, err error) {
 	if encoded.Operation > uint32(replication.OpReport) || encoded.Status > uint32(replication.ReplyMisrouted) {
-		return nil, ErrOutOfRange
+		return nil, fmt.Errorf("%w: claim reply with operation %d and status %d",
+			ErrOutOfRange, encoded.Operation, encoded.Status)
 	}
 	if encoded.ClaimId == nil {
-		return nil, ErrOutOfRange
+		return nil, fmt.Errorf("%w: claim reply without a claim ID", ErrOutOfRange)
 	}
 	reply = &replication.ClaimReply{
 		ClaimID:   decodeClaimID(encoded.ClaimId),
@@ -243,11 +252,11 @@
 
 func encodeSlotRecords(slot *replication.SlotRecords) *SlotRecords {
 	encoded := &SlotRecords{Slot: uint32(slot.Slot), CaughtUp: slot.CaughtUp, Complete: slot.Complete}
-	for _, copied := range slot.Copies {
+	for _, recordCopy := range slot.Copies {
 		record := &Record{
-			Key:        copied.Record.Key[:],
-			TimeToLive: copied.TimeToLive,
-			Attempts:   encodeAttempts(copied.Record.Attempts),
+			Key:        recordCopy.Record.Key[:],
+			TimeToLive: recordCopy.TimeToLive,
+			Attempts:   encodeAttempts(recordCopy.Record.Attempts),
 		}
 		record.Checksum = recordChecksum(record)
 		encoded.Records = append(encoded.Records, record)
@@ -255,21 +264,22 @@
 	return encoded
 }
 
-// recordChecksum returns the checksum of a record without its remaining time to live.
+// recordChecksum returns the CRC-32 of a record without its remaining time to live.
 func recordChecksum(record *Record) uint32 {
 	content := append([]byte(nil), record.Key...)
-	for _, t := range record.Attempts {
-		content = fmt.Appendf(content, " %d %d %d %d %d ", t.UnixMilli, t.Incarnation, t.Sequence, t.State, t.ResultChecksum)
-		content = append(content, t.Result...)
+	for _, attempt := range record.Attempts {
+		content = fmt.Appendf(content, " %d %d %d %d %d ", attempt.UnixMilli, attempt.Incarnation, attempt.Sequence,
+			attempt.State, attempt.ResultChecksum)
+		content = append(content, attempt.Result...)
 	}
 	return crc32.ChecksumIEEE(content)
 }
 
-// decodePullReply decodes a reply. One corrupted record invalidates all of it: the requester would
-// otherwise take the missing record for one that nobody has.
+// decodePullReply decodes a reply to a pull request. One corrupted record invalidates the whole reply,
+// since the requester would otherwise conclude from the missing record that no replica has it.
 func decodePullReply(encoded *PullReply) (*replication.PullReply, error) {
 	if len(encoded.Slots) > maxSlots {
-		return nil, ErrTooLarge
+		return nil, fmt.Errorf("%w: %d slots in a pull reply, limit %d", ErrTooLarge, len(encoded.Slots), maxSlots)
 	}
 	reply := &replication.PullReply{
 		ConfigDigest:  encoded.ConfigDigest,
@@ -278,13 +288,18 @@
 		RequesterTerm: decodeTerm(encoded.RequesterTerm),
 	}
 	records := 0
-	for _, part := range encoded.Slots {
-		records += len(part.Records)
-		if part.Slot >= maxSlots || records > maxRecords {
-			return nil, ErrTooLarge
+	for _, encodedSlot := range encoded.Slots {
+		records += len(encodedSlot.Records)
+		if encodedSlot.Slot >= maxSlots || records > maxRecords {
+			return nil, fmt.Errorf("%w: pull reply with slot %d of %d and at least %d records, limit %d",
+				ErrTooLarge, encodedSlot.Slot, maxSlots, records, maxRecords)
+		}
+		slot := replication.SlotRecords{
+			Slot:     int(encodedSlot.Slot),
+			CaughtUp: encodedSlot.CaughtUp,
+			Complete: encodedSlot.Complete,
 		}
-		slot := replication.SlotRecords{Slot: int(part.Slot), CaughtUp: part.CaughtUp, Complete: part.Complete}
-		for _, record := range part.Records {
+		for _, record := range encodedSlot.Records {
 			decoded, err := decodeRecord(record)
 			if err != nil {
 				return nil, err
@@ -296,17 +311,18 @@
 	return reply, nil
 }
 
-func decodeRecord(encoded *Record) (copied replication.RecordCopy, err error) {
+func decodeRecord(encoded *Record) (recordCopy replication.RecordCopy, err error) {
 	key, err := decodeKey(encoded.Key)
 	if err != nil {
-		return copied, err
+		return recordCopy, err
 	}
 	if encoded.Checksum != recordChecksum(encoded) {
-		return copied, fmt.Errorf("record %x is not as its replica had it: %w", key[:4], ErrOutOfRange)
+		return recordCopy, fmt.Errorf("record %x does not match its checksum %08x: %w",
+			key[:4], encoded.Checksum, ErrOutOfRange)
 	}
 	attempts, err := decodeAttempts(encoded.Attempts)
 	if err != nil {
-		return copied, err
+		return recordCopy, err
 	}
 	record := &replicastore.Record{Key: key, Attempts: attempts}
 	return replication.RecordCopy{Record: record, TimeToLive: encoded.TimeToLive}, checkNonNegative(encoded.TimeToLive)
@@ -328,7 +344,7 @@
 		return nil, err
 	}
 	if len(encoded.Values) != max(1, len(slots)) {
-		return nil, ErrTooLarge
+		return nil, fmt.Errorf("%w: %d checksums for %d slots", ErrTooLarge, len(encoded.Values), len(slots))
 	}
 	return &replication.Checksums{
 		ConfigDigest: encoded.ConfigDigest,
--- a/internal/wire/fleet/samples_test.go
+++ b/internal/wire/fleet/samples_test.go
@@ -20,7 +20,8 @@
 	"swiftcourse/internal/replicastore"
 )
 
-// sampleEnvelopes returns messages of each kind, with all of their fields set.
+// sampleEnvelopes returns at least one message of each kind; together they have all fields set.
+// testdata/envelopes.hex has their encoded form in the same order.
 func sampleEnvelopes(tb testing.TB) []*Envelope {
 	tb.Helper()
 	log := sampleReleaseLog(tb)
@@ -33,7 +34,7 @@
 	return append(samples, sampleShared()...)
 }
 
-// sampleReleaseLog returns a release log with something in each of its parts.
+// sampleReleaseLog returns a release log with closed counter rows, an ejection and a rollout.
 func sampleReleaseLog(tb testing.TB) *release.Log {
 	tb.Helper()
 	log := release.BootstrapLog(&release.Log{}, 7, map[uint64]string{1: "v1", 2: "v2"})
@@ -131,7 +132,7 @@
 	}
 }
 
-// sampleControl returns messages of leases, releases and audits.
+// sampleControl returns messages about leases, releases and audits.
 func sampleControl(log *release.Log) []*Envelope {
 	account := sampleAccount()
 	return []*Envelope{
@@ -333,7 +334,7 @@
 	}
 }
 
-// sampleShared returns messages of trust, quotas and health.
+// sampleShared returns messages about trusted clients, quotas and the health of the downstream service.
 func sampleShared() []*Envelope {
 	client := connlimit.TrustedClient{Addr: netip.MustParseAddr("10.0.0.1"), Credit: 3}
 	return []*Envelope{
