--- a/internal/wire/catalogue/frame.go
+++ b/internal/wire/catalogue/frame.go
@@ -36,9 +36,9 @@
 var (
 	errUnterminatedLine = errors.New("a line without end")
 	errUnterminatedBody = errors.New("a body without its end")
-	errReplyHead        = errors.New("a line without id and word")
+	errReplyLine        = errors.New("a line without id and word")
 	errReplyLength      = errors.New("a reply without a length")
-	errCallHead         = errors.New("a call without its timeout or length")
+	errCallLine         = errors.New("a call without its timeout or length")
 )
 
 // malformed returns the error for a message whose first offset bytes could be read.
--- a/internal/wire/catalogue/proxy.go
+++ b/internal/wire/catalogue/proxy.go
@@ -38,7 +38,7 @@
 	milliseconds, timeoutErr := strconv.Atoi(string(tokens[2]))
 	size, sizeValid := parseBodySize(tokens[3])
 	if timeoutErr != nil || milliseconds < 0 || !sizeValid {
-		return Call{}, 0, malformed(0, errCallHead)
+		return Call{}, 0, malformed(0, errCallLine)
 	}
 	body, length, err := parseBody(data, lineLength, size)
 	if length == 0 {
--- a/internal/wire/catalogue/reply.go
+++ b/internal/wire/catalogue/reply.go
@@ -32,7 +32,7 @@
 	}
 	tokens := bytes.Fields(line)
 	if len(tokens) < 2 {
-		return Reply{}, 0, malformed(0, errReplyHead)
+		return Reply{}, 0, malformed(0, errReplyLine)
 	}
 	outcome, known := outcomes[string(tokens[1])]
 	if !known {
--- a/internal/wire/error.go
+++ b/internal/wire/error.go
@@ -5,18 +5,18 @@
 	"fmt"
 )
 
-// ErrMalformed is matched by every ProtocolError: the input can't be a message, so what follows it on the
-// connection can't be parsed either.
+// ErrMalformed is matched by every ProtocolError. It means that the input is not a message of the protocol, so
+// that the rest of the connection's input can't be parsed either.
 var ErrMalformed = errors.New("malformed message")
 
-// ProtocolError reports input that isn't a message of the protocol. It matches ErrMalformed and its cause.
+// ProtocolError reports input that is not a message of the protocol. It matches ErrMalformed and its cause.
 type ProtocolError struct {
-	Protocol string // the codec's name
-	Offset   int    // bytes of the message that were read before the fault was found
-	Err      error  // what is wrong
+	Protocol string // name of the codec
+	Offset   int    // number of bytes of the message that were parsed before the error
+	Err      error  // cause
 }
 
-// Error names the protocol, the place and the cause.
+// Error names the protocol, the offset and the cause.
 func (e *ProtocolError) Error() string {
 	return fmt.Sprintf("%s: %v at byte %d: %v", e.Protocol, ErrMalformed, e.Offset, e.Err)
 }
--- a/internal/wire/processor/errors.go
+++ b/internal/wire/processor/errors.go
@@ -8,9 +8,9 @@
 
 // Causes of a malformed line.
 var (
-	errNotObject = errors.New("line is not a JSON object")
-	errBlob      = errors.New("blob is not base64")
-	errNoID      = errors.New("a command about no request")
+	errNotObject    = errors.New("line is not a JSON object")
+	errBlobEncoding = errors.New("blob is not base64")
+	errMissingID    = errors.New("a command about no request")
 )
 
 // malformed returns the error for a line. Its offset is 0, as a line is parsed as a whole.
--- a/internal/wire/processor/executor.go
+++ b/internal/wire/processor/executor.go
@@ -69,7 +69,7 @@
 	case CommandResume, CommandReadGauges:
 	case CommandStart, CommandReply, CommandSkipCall:
 		if command.ID == "" {
-			return command, malformed(errNoID)
+			return command, malformed(errMissingID)
 		}
 	default:
 		return command, malformed(fmt.Errorf("unknown command %.20q", object.Msg))
@@ -91,7 +91,7 @@
 // AppendRunEnded appends the notice that a run is over: its serial number, id, outcome, duration and body,
 // which is the result of a run that finished.
 func AppendRunEnded(b []byte, run Notice) []byte {
-	end := wireName(outcomes, run.Outcome, endCrashed)
+	end := wireName(outcomes, run.Outcome, outcomeCrashed)
 	b = fmt.Appendf(b, `{"msg":%q,"serial":%d,"call":%q,"how":%q,"duration":%g`,
 		messageComplete, run.Serial, run.ID, end, run.Duration*wire.MillisecondsPerSecond)
 	return appendBlob(b, run.Body)
--- a/internal/wire/processor/notice.go
+++ b/internal/wire/processor/notice.go
@@ -90,7 +90,7 @@
 	if encoded := object.GetStringBytes("blob"); encoded != nil {
 		p.blob, err = base64.StdEncoding.AppendDecode(p.blob[:0], encoded)
 		if err != nil {
-			return notice, malformed(errBlob)
+			return notice, malformed(errBlobEncoding)
 		}
 		notice.Body = p.blob
 	}
--- a/internal/wire/processor/protocol.go
+++ b/internal/wire/processor/protocol.go
@@ -29,18 +29,18 @@
 
 // The values of key how in the notice that a run ended.
 const (
-	endDone    = "done"
-	endCrashed = "crashed"
-	endAborted = "aborted"
-	endStale   = "stale"
+	outcomeDone    = "done"
+	outcomeCrashed = "crashed"
+	outcomeAborted = "aborted"
+	outcomeStale   = "stale"
 )
 
 // outcomes are the outcomes of a run by their names on the wire.
 var outcomes = map[string]admission.Outcome{
-	endDone:    admission.Finished,
-	endCrashed: admission.Failed,
-	endAborted: admission.Cancelled,
-	endStale:   admission.NeverStarted,
+	outcomeDone:    admission.Finished,
+	outcomeCrashed: admission.Failed,
+	outcomeAborted: admission.Cancelled,
+	outcomeStale:   admission.NeverStarted,
 }
 
 // wireName returns the name of a value on the wire, or fallback if it has none.
--- a/internal/wire/roster/protocol.go
+++ b/internal/wire/roster/protocol.go
@@ -21,8 +21,8 @@
 	headEnd = lineEnd + lineEnd
 )
 
-// maxLength bounds a head, and a body, in bytes: far over any that the registry sends.
-const maxLength = 8 << 10
+// maxPartLength bounds a head, and a body, in bytes: far over any that the registry sends.
+const maxPartLength = 8 << 10
 
 // Causes of a malformed response or report.
 var (
@@ -30,8 +30,8 @@
 	errStatusLine       = errors.New("no status line")
 	errStatus           = errors.New("no status")
 	errBodyLength       = errors.New("no length of the body")
-	errChunked          = errors.New("a body in chunks")
-	errDuty             = errors.New("report: neither on nor off")
+	errChunkedBody      = errors.New("a body in chunks")
+	errUnknownDuty      = errors.New("report: neither on nor off")
 )
 
 // malformed returns the error for a message. Its offset is 0, as a head is parsed as a whole.
--- a/internal/wire/roster/registry.go
+++ b/internal/wire/roster/registry.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return Report{}, err
 	}
-	body, err := io.ReadAll(io.LimitReader(request.Body, maxLength))
+	body, err := io.ReadAll(io.LimitReader(request.Body, maxPartLength))
 	if err != nil {
 		return Report{}, err
 	}
@@ -38,7 +38,7 @@
 		return Report{}, malformed(fmt.Errorf("report: %w", err))
 	}
 	if content.Duty != dutyOn && content.Duty != dutyOff {
-		return Report{}, malformed(errDuty)
+		return Report{}, malformed(errUnknownDuty)
 	}
 	return Report{Name: name, Accepting: content.Duty == dutyOn, Body: string(body)}, nil
 }
--- a/internal/wire/roster/report_test.go
+++ b/internal/wire/roster/report_test.go
@@ -46,7 +46,7 @@
 		"HTTP/1.1 x\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: z\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
-		string(make([]byte, maxLength+1)),
+		string(make([]byte, maxPartLength+1)),
 	} {
 		if a, n, err := ParseResponse([]byte(text)); !errors.Is(err, wire.ErrMalformed) {
 			t.Errorf("%q: %+v, %d without error", text, a, n)
--- a/internal/wire/roster/response.go
+++ b/internal/wire/roster/response.go
@@ -16,7 +16,7 @@
 func ParseResponse(data []byte) (response Response, length int, err error) {
 	end := bytes.Index(data, []byte(headEnd))
 	if end < 0 {
-		if len(data) > maxLength {
+		if len(data) > maxPartLength {
 			return Response{}, 0, malformed(errUnterminatedHead)
 		}
 		return Response{}, 0, nil
@@ -74,11 +74,11 @@
 	switch string(bytes.ToLower(key)) {
 	case "content-length":
 		h.bodyLength, err = strconv.Atoi(text)
-		if err != nil || h.bodyLength < 0 || h.bodyLength > maxLength {
+		if err != nil || h.bodyLength < 0 || h.bodyLength > maxPartLength {
 			return errBodyLength
 		}
 	case "transfer-encoding":
-		return errChunked
+		return errChunkedBody
 	case "connection":
 		h.response.Close = h.response.Close || text == "close"
 	}
--- a/internal/wire/rpc/client.go
+++ b/internal/wire/rpc/client.go
@@ -7,13 +7,15 @@
 	"swiftcourse/internal/wire"
 )
 
-// This file and client_response.go are the client's side of the protocol: what a load balancer writes and reads.
+// This file and client_response.go are the client's side of the protocol: a load balancer appends requests and
+// parses responses.
 
-// fixedDecimals is the number of decimals with which memory and priority are written.
+// fixedDecimals is the number of decimal places of memory and priority on the wire.
 const fixedDecimals = 6
 
-// AppendRequest appends a request, which ParseMessage reads as a KindRequest. Times are written as
-// whole milliseconds, memory and priority with six decimals; optional fields that aren't set are left out.
+// AppendRequest appends a request, which ParseMessage parses as a KindRequest. The arrival time and the timeout
+// are rounded to whole milliseconds, memory and priority to six decimal places. Optional fields that are not set
+// are omitted.
 func AppendRequest(b []byte, message *Message) []byte {
 	b = appendRequestHead(b, message.Number)
 	b = appendString(b, message.Class)
@@ -51,7 +53,7 @@
 	return strconv.FormatFloat(math.Round(seconds*wire.MillisecondsPerSecond), 'f', -1, 64)
 }
 
-// AppendCancel appends the notification that the client doesn't wait for the response to a request any more.
+// AppendCancel appends the notification that the client no longer waits for the response to a request.
 func AppendCancel(b []byte, number uint64) []byte {
 	b = appendNotificationHead(b, methodCancel)
 	return appendNumber(append(b, formatFixArray|1), number)
@@ -60,5 +62,6 @@
 // AppendHealthCheck appends a health check.
 func AppendHealthCheck(b []byte, number uint64) []byte {
 	b = appendRequestHead(b, number)
-	return append(appendString(b, methodCheck), formatFixArray|1, formatFixMap) // an empty map of fields and no body
+	// The parameters are an empty map of fields and no body.
+	return append(appendString(b, methodHealthCheck), formatFixArray|1, formatFixMap)
 }
--- a/internal/wire/rpc/client_response.go
+++ b/internal/wire/rpc/client_response.go
@@ -5,17 +5,17 @@
 	"fmt"
 )
 
-// ResponseKind tells what a message from a server says.
+// ResponseKind is the kind of a message from a server.
 type ResponseKind uint8
 
 // The kinds of a message from a server.
 const (
-	ResponseFinished ResponseKind = iota // the request finished, with a result
+	ResponseFinished ResponseKind = iota // the request finished and has a result
 	ResponseRejected                     // the request never ran
 	ResponseFailed                       // any other error
 	ResponseHealth                       // the response to a health check
-	ResponseGoAway                       // no response: no new request is wanted on the connection
-	ResponseOther                        // another message, to be ignored
+	ResponseGoAway                       // not a response: the server wants no new requests on the connection
+	ResponseOther                        // any other message; it is to be ignored
 )
 
 // String returns the kind's name, for logs and tests.
@@ -38,26 +38,27 @@
 	}
 }
 
-// Response is one whole message from a server; its result is a view of the input.
+// Response is one complete message from a server. Its result is a slice of the input.
 type Response struct {
 	Kind      ResponseKind
-	Number    uint64 // of the request
+	Number    uint64 // number of the request
 	Result    []byte
-	Healthy   bool   // with ResponseHealth
-	ErrorName string // the error's name, "" if there is none
+	Healthy   bool   // set with ResponseHealth only
+	ErrorName string // name of the error on the wire, "" if there is none
 	Metadata  ResponseMetadata
 }
 
-// maxResponse bounds one response: a result of 4 KiB and its fields.
-const maxResponse = 16 << 10
+// maxResponseFrame is the largest size of a response in bytes: a result of 4 KiB and its fields, with room to
+// spare.
+const maxResponseFrame = 16 << 10
 
-// ParseResponse reads the message at the start of b and returns its length, or 0 if b holds only a part of it.
-// An error matches wire.ErrMalformed and means that nothing of b can be parsed.
+// ParseResponse parses the message at the start of b and returns its length, or 0 if b holds only a part of it.
+// An error matches wire.ErrMalformed and means that the rest of b can't be parsed either.
 func ParseResponse(b []byte) (response Response, length int, err error) {
 	input := decoder{data: b}
 	response = parseServerMessage(&input)
 	switch {
-	case errors.Is(input.err, errShort) && len(b) < maxResponse:
+	case errors.Is(input.err, errTruncated) && len(b) < maxResponseFrame:
 		return Response{}, 0, nil
 	case input.err != nil:
 		return Response{}, 0, malformed(input.offset, input.err)
@@ -65,15 +66,15 @@
 	return response, input.offset, nil
 }
 
-// parseServerMessage reads one message; what it returns counts only if the decoder has no error.
+// parseServerMessage parses one message. Its result is valid only if the decoder has no error.
 func parseServerMessage(input *decoder) Response {
 	frame := input.read()
 	if input.err == nil && frame.kind != kindArray {
-		input.err = errFrame
+		input.err = errMessageShape
 	}
 	messageType := input.read()
 	if input.err == nil && messageType.kind != kindInteger {
-		input.err = errFrame
+		input.err = errMessageShape
 	}
 	switch {
 	case input.err != nil:
@@ -87,7 +88,7 @@
 	return Response{}
 }
 
-// parseServerNotification reads what follows the type of a notification.
+// parseServerNotification parses the elements of a notification after its type.
 func parseServerNotification(input *decoder) Response {
 	method := input.read()
 	input.readRaw()
@@ -97,23 +98,23 @@
 	return Response{Kind: ResponseOther}
 }
 
-// parseResponse reads what follows the type of a response: number, error and result.
+// parseResponse parses the elements of a response after its type: number, error and result.
 func parseResponse(input *decoder) Response {
 	response := Response{Number: uint64(input.read().number)}
-	fault := input.readRaw()
-	result := input.readRaw()
+	rawError := input.readRaw()
+	rawResult := input.readRaw()
 	if input.err != nil {
 		return response
 	}
-	if fault[0] != formatNil {
-		input.err = response.parseError(&decoder{data: fault})
+	if rawError[0] != formatNil {
+		input.err = response.parseError(&decoder{data: rawError})
 	} else {
-		input.err = response.parseResult(&decoder{data: result})
+		input.err = response.parseResult(&decoder{data: rawResult})
 	}
 	return response
 }
 
-// parseError reads the error of a response: its name and fields.
+// parseError parses the error of a response: its name and fields.
 func (r *Response) parseError(input *decoder) (err error) {
 	list := input.read()
 	name := input.read()
@@ -129,7 +130,7 @@
 	return err
 }
 
-// parseResult reads the result of a response: bytes or a health check's bool, and fields.
+// parseResult parses the result of a response: a body, or the bool of a health check, and fields.
 func (r *Response) parseResult(input *decoder) (err error) {
 	list := input.read()
 	var format byte
@@ -153,7 +154,7 @@
 	return err
 }
 
-// parseMetadata reads the fields of a response. Unknown ones, and those that aren't strings, are ignored.
+// parseMetadata parses the fields of a response. It ignores unknown fields and those that are not strings.
 func parseMetadata(input *decoder) (metadata ResponseMetadata, err error) {
 	fields := input.read()
 	if input.err != nil || fields.kind != kindMap {
@@ -163,7 +164,7 @@
 		name := input.read()
 		content := input.read()
 		if input.err != nil {
-			return metadata, errFieldsCutShort
+			return metadata, errFieldsTruncated
 		}
 		if name.kind != kindString || content.kind != kindString {
 			continue
--- a/internal/wire/rpc/client_test.go
+++ b/internal/wire/rpc/client_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { random.RunSeeded(m, 500) }
 
-func TestParseMessage_ReadsWhatClientAppends(t *testing.T) {
+func TestParseMessage_ParsesMessagesOfClient(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := Message{
 			Kind:         KindRequest,
@@ -43,11 +43,11 @@
 			got.Body = []byte{}
 		}
 		if err != nil || n != len(b) || !reflect.DeepEqual(got, m) {
-			t.Fatalf("%+v, %d of %d, %v; want %+v", got, n, len(b), err, m)
+			t.Fatalf("got %+v, length %d, error %v; want %+v, length %d", got, n, err, m, len(b))
 		}
 		cut := rapid.IntRange(0, len(b)-1).Draw(t, "cut")
 		if _, n, err := ParseMessage(b[:cut]); n != 0 || err != nil {
-			t.Fatalf("cut at %d: %d, %v", cut, n, err)
+			t.Fatalf("first %d of %d bytes: got length %d, error %v; want 0, no error", cut, len(b), n, err)
 		}
 		for _, c := range []struct {
 			message []byte
@@ -58,13 +58,13 @@
 		} {
 			got, n, err := ParseMessage(c.message)
 			if err != nil || n != len(c.message) || !reflect.DeepEqual(got, c.want) {
-				t.Fatalf("%+v, %d of %d, %v; want %+v", got, n, len(c.message), err, c.want)
+				t.Fatalf("got %+v, length %d, error %v; want %+v, length %d", got, n, err, c.want, len(c.message))
 			}
 		}
 	})
 }
 
-func TestParseResponse_ReadsWhatServerAppends(t *testing.T) {
+func TestParseResponse_ParsesMessagesOfServer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		number := rapid.Uint64().Draw(t, "number")
 		metadata := ResponseMetadata{
@@ -93,17 +93,18 @@
 				got.Result = []byte{}
 			}
 			if err != nil || n != len(c.b) || !reflect.DeepEqual(got, c.want) {
-				t.Fatalf("%d: %+v, %d of %d, %v; want %+v", i, got, n, len(c.b), err, c.want)
+				t.Fatalf("case %d: got %+v, length %d, error %v; want %+v, length %d", i, got, n, err, c.want, len(c.b))
 			}
 			cut := rapid.IntRange(0, len(c.b)-1).Draw(t, "cut")
 			if _, n, err := ParseResponse(c.b[:cut]); n != 0 || err != nil {
-				t.Fatalf("%d cut at %d: %d, %v", i, cut, n, err)
+				t.Fatalf("case %d, first %d of %d bytes: got length %d, error %v; want 0, no error",
+					i, cut, len(c.b), n, err)
 			}
 		}
 	})
 }
 
-func TestParseResponse_RefusesMalformed(t *testing.T) {
+func TestParseResponse_RejectsMalformed(t *testing.T) {
 	for _, bad := range []string{
 		"\x01",
 		"\x94\x00\x01\xa0\x90",
@@ -115,8 +116,8 @@
 		strings.Repeat("\xdd\x00\x01\x00\x00", 20),
 		"\x94\x01\x01\x92\xa4Busy\x81\xa8pushback\xa1x\xc0",
 	} {
-		if a, n, err := ParseResponse([]byte(bad)); !errors.Is(err, wire.ErrMalformed) {
-			t.Errorf("%q: %+v, %d", bad, a, n)
+		if response, n, err := ParseResponse([]byte(bad)); !errors.Is(err, wire.ErrMalformed) {
+			t.Errorf("%q: got %+v, length %d, error %v; want error %v", bad, response, n, err, wire.ErrMalformed)
 		}
 	}
 }
@@ -136,7 +137,7 @@
 		for len(b) > 0 {
 			_, n, err := ParseMessage(b)
 			if n < 0 || n > len(b) || n > MaxFrame || err != nil && n != 0 {
-				t.Fatalf("%d of %d, %v", n, len(b), err)
+				t.Fatalf("got length %d of %d bytes, error %v", n, len(b), err)
 			}
 			if n == 0 {
 				return
@@ -150,9 +151,9 @@
 	f.Add(AppendResult(nil, 7, []byte("x"), ResponseMetadata{LoadReport: "1", RetryAfter: 1, NoFailover: true}))
 	f.Add(AppendRejected(AppendGoAway(nil), 1<<40, ResponseMetadata{}))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		a, n, err := ParseResponse(b)
-		if n < 0 || n > len(b) || err != nil && n != 0 || len(a.Result) > n {
-			t.Fatalf("%+v, %d of %d, %v", a, n, len(b), err)
+		response, n, err := ParseResponse(b)
+		if n < 0 || n > len(b) || err != nil && n != 0 || len(response.Result) > n {
+			t.Fatalf("got %+v, length %d of %d bytes, error %v", response, n, len(b), err)
 		}
 	})
 }
--- a/internal/wire/rpc/decoder.go
+++ b/internal/wire/rpc/decoder.go
@@ -3,9 +3,10 @@
 import (
 	"encoding/binary"
 	"errors"
+	"fmt"
 )
 
-// valueKind is the type of a MessagePack value, whatever width it was sent in.
+// valueKind is the type of a MessagePack value, without the width of its encoding.
 type valueKind uint8
 
 const (
@@ -17,57 +18,58 @@
 	kindMap
 )
 
-// The format bytes with which MessagePack values start, by its specification. Of a range, the first is named.
+// The format bytes of MessagePack, with which a value starts. A constant for a range is its first byte.
 const (
-	formatFixMap   = 0x80
-	formatFixArray = 0x90
-	formatFixStr   = 0xa0
-	formatNil      = 0xc0
-	formatFalse    = 0xc2
-	formatTrue     = 0xc3
-	formatBin8     = 0xc4
-	formatBin16    = 0xc5
-	formatBin32    = 0xc6
-	formatExt8     = 0xc7
-	formatExt32    = 0xc9
-	formatFloat32  = 0xca
-	formatFloat64  = 0xcb
-	formatUint8    = 0xcc
-	formatUint32   = 0xce
-	formatUint64   = 0xcf
-	formatInt8     = 0xd0
-	formatInt64    = 0xd3
-	formatFixExt1  = 0xd4
-	formatFixExt16 = 0xd8
-	formatStr8     = 0xd9
-	formatStr32    = 0xdb
-	formatArray16  = 0xdc
-	formatArray32  = 0xdd
-	formatMap16    = 0xde
-	formatMap32    = 0xdf
-	formatFixNeg   = 0xe0
+	formatFixMap      = 0x80
+	formatFixArray    = 0x90
+	formatFixStr      = 0xa0
+	formatNil         = 0xc0
+	formatFalse       = 0xc2
+	formatTrue        = 0xc3
+	formatBin8        = 0xc4
+	formatBin16       = 0xc5
+	formatBin32       = 0xc6
+	formatExt8        = 0xc7
+	formatExt32       = 0xc9
+	formatFloat32     = 0xca
+	formatFloat64     = 0xcb
+	formatUint8       = 0xcc
+	formatUint32      = 0xce
+	formatUint64      = 0xcf
+	formatInt8        = 0xd0
+	formatInt64       = 0xd3
+	formatFixExt1     = 0xd4
+	formatFixExt16    = 0xd8
+	formatStr8        = 0xd9
+	formatStr32       = 0xdb
+	formatArray16     = 0xdc
+	formatArray32     = 0xdd
+	formatMap16       = 0xde
+	formatMap32       = 0xdf
+	formatFixNegative = 0xe0
 )
 
-// maxDepth is deeper than any message nests; it guards the stack.
+// maxDepth limits the nesting of values, which bounds the recursion on malicious input. Valid messages nest less
+// deeply.
 const maxDepth = 16
 
-// value is one MessagePack value; an array or map is without its elements.
+// value is one MessagePack value. An array or map does not include its elements.
 type value struct {
 	kind   valueKind
-	number int64  // of an integer
-	length int    // of an array or map: how many elements or pairs follow
-	data   []byte // of a string or binary
+	number int64  // value of an integer
+	length int    // number of elements of an array or of pairs of a map
+	data   []byte // content of a string or binary
 }
 
-// Causes of a value that can't be decoded. Only after errShort can more input help.
+// Causes of a value that can't be decoded. errTruncated is the only one that more input can resolve.
 var (
-	errShort = errors.New("cut short")
-	errSize  = errors.New("a value over the bound")
-	errDepth = errors.New("nested too deep")
-	errByte  = errors.New("a byte that starts no value")
+	errTruncated     = errors.New("input ends inside a value")
+	errValueTooLong  = fmt.Errorf("value of more than %d bytes", MaxFrame)
+	errNestedTooDeep = fmt.Errorf("values nested more than %d levels deep", maxDepth)
+	errInvalidFormat = errors.New("invalid format byte")
 )
 
-// decoder reads values one after another and keeps the first error.
+// decoder reads consecutive values and keeps the first error.
 type decoder struct {
 	data   []byte
 	offset int
@@ -80,10 +82,10 @@
 	case d.err != nil:
 		return nil
 	case length > MaxFrame:
-		d.err = errSize
+		d.err = errValueTooLong
 		return nil
 	case length > len(d.data)-d.offset:
-		d.err = errShort
+		d.err = errTruncated
 		return nil
 	}
 	d.offset += length
@@ -103,10 +105,10 @@
 	return int64(d.uint(width)<<unused) >> unused
 }
 
-// length reads a big-endian length. One that is over MaxFrame is returned as MaxFrame+1, which take refuses.
+// length reads a big-endian length. It returns MaxFrame+1 for lengths above MaxFrame, which take rejects.
 func (d *decoder) length(width int) int { return int(min(d.uint(width), MaxFrame+1)) }
 
-// read reads one value; of an array or map only its length, so that its elements come next.
+// read reads one value. For an array or map it reads only the length; the next reads return the elements.
 func (d *decoder) read() value {
 	first := d.take(1)
 	if d.err != nil {
@@ -121,21 +123,21 @@
 		return value{kind: kindArray, length: int(format - formatFixArray)}
 	case format < formatNil:
 		return value{kind: kindString, data: d.take(int(format - formatFixStr))}
-	case format >= formatFixNeg:
+	case format >= formatFixNegative:
 		return value{kind: kindInteger, number: int64(int8(format))}
 	default:
 		return d.readWide(format)
 	}
 }
 
-// readWide reads the rest of a value whose length or number follows its format byte, rather than being part of it.
+// readWide reads the rest of a value whose length or number follows the format byte.
 func (d *decoder) readWide(format byte) value {
 	switch {
 	case format == formatNil, format == formatFalse, format == formatTrue:
 		return value{}
 	case format >= formatBin8 && format <= formatBin32:
 		return value{kind: kindBinary, data: d.take(d.length(1 << (format - formatBin8)))}
-	case format >= formatExt8 && format <= formatExt32: // a type byte stands before the data
+	case format >= formatExt8 && format <= formatExt32: // the data follows a type byte
 		d.take(1 + d.length(1<<(format-formatExt8)))
 		return value{}
 	case format == formatFloat32, format == formatFloat64:
@@ -155,11 +157,11 @@
 	case format == formatMap16, format == formatMap32:
 		return value{kind: kindMap, length: d.length(2 << (format - formatMap16))}
 	}
-	d.err = errByte
+	d.err = errInvalidFormat
 	return value{}
 }
 
-// readRaw skips one value with all that is nested in it, and returns its encoded bytes.
+// readRaw skips one value and all values nested in it, and returns its encoded bytes.
 func (d *decoder) readRaw() []byte {
 	start := d.offset
 	d.skip(0)
@@ -169,10 +171,10 @@
 	return d.data[start:d.offset]
 }
 
-// skip skips one value, which is nested depth levels deep, with all that is nested in it.
+// skip skips one value at nesting level depth and all values nested in it.
 func (d *decoder) skip(depth int) {
 	if depth > maxDepth && d.err == nil {
-		d.err = errDepth
+		d.err = errNestedTooDeep
 	}
 	skipped := d.read()
 	elements := skipped.length
--- a/internal/wire/rpc/doc.go
+++ b/internal/wire/rpc/doc.go
@@ -1,7 +1,7 @@
 // Package rpc is the codec of the MessagePack-RPC link between load balancers, which are its clients, and
-// servers: it parses requests out of bytes and appends responses to bytes.
+// servers: it parses requests and appends responses to a byte slice.
 //
-// It is stateless. What it returns of a message's bytes are views of the input, good until the caller reuses
+// It is stateless. Bodies and results that it returns are slices of the input, valid until the caller reuses
 // the buffer. The server's side is in request.go and response.go; the client's side, which the forwarder,
 // the test bench and the fake balancer use, is in client.go and client_response.go.
 //
@@ -17,5 +17,5 @@
 //	load      ResponseMetadata.LoadReport    pushback  ResponseMetadata.RetryAfter, ms
 //	stop      ResponseMetadata.NoFailover
 //	Busy      ResponseRejected               Failed    ResponseFailed
-//	Invalid   ResponseFailed: it can't be taken as a request
+//	Invalid   ResponseFailed, for a message that is not a valid request
 package rpc
--- a/internal/wire/rpc/encoder.go
+++ b/internal/wire/rpc/encoder.go
@@ -2,8 +2,8 @@
 
 import "encoding/binary"
 
-// maxString is the longest string that is written; what is over is cut off.
-const maxString = 255
+// maxWrittenString is the largest length of an encoded string in bytes. Longer strings are truncated.
+const maxWrittenString = 255
 
 // appendNumber appends an integer.
 func appendNumber(b []byte, number uint64) []byte {
@@ -16,18 +16,18 @@
 	return binary.BigEndian.AppendUint64(append(b, formatUint64), number)
 }
 
-// appendString appends a string of at most maxString bytes.
+// appendString appends a string, truncated to maxWrittenString bytes.
 func appendString(b []byte, text string) []byte {
 	if len(text) < formatNil-formatFixStr {
 		b = append(b, formatFixStr|byte(len(text)))
 		return append(b, text...)
 	}
-	text = text[:min(len(text), maxString)]
+	text = text[:min(len(text), maxWrittenString)]
 	b = append(b, formatStr8, byte(len(text)))
 	return append(b, text...)
 }
 
-// appendBinary appends bytes.
+// appendBinary appends a binary value.
 func appendBinary(b, data []byte) []byte {
 	switch length := len(data); {
 	case length < 1<<8:
@@ -40,13 +40,13 @@
 	return append(b, data...)
 }
 
-// fieldEncoder appends a map of at most 15 strings to strings.
+// fieldEncoder appends a map from strings to strings with at most 15 entries.
 type fieldEncoder struct {
 	buffer []byte
-	head   int // where the map's head is
+	head   int // index in buffer of the map's format byte, which holds the number of entries
 }
 
-// newFieldEncoder starts an empty map at the end of b.
+// newFieldEncoder appends an empty map to b.
 func newFieldEncoder(b []byte) fieldEncoder {
 	return fieldEncoder{buffer: append(b, formatFixMap), head: len(b)}
 }
--- a/internal/wire/rpc/errors.go
+++ b/internal/wire/rpc/errors.go
@@ -9,35 +9,36 @@
 
 // Causes of a malformed message.
 var (
-	errFrame          = errors.New("not an array of type and contents")
-	errRequestHead    = errors.New("wrong type of message id or method")
-	errTooLong        = fmt.Errorf("over %d bytes", MaxFrame)
-	errNotResponse    = errors.New("neither a response nor a notification")
-	errErrorShape     = errors.New("an error without name and fields")
-	errResultShape    = errors.New("a result without body and fields")
-	errResultType     = errors.New("a result that is no bytes")
-	errNoFields       = errors.New("no fields")
-	errFieldsCutShort = errors.New("fields are cut short")
+	errMessageShape    = errors.New("message is not an array that starts with a message type")
+	errRequestHead     = errors.New("message id is not an integer or method is not a string")
+	errMessageTooLong  = fmt.Errorf("message of more than %d bytes", MaxFrame)
+	errNotResponse     = errors.New("message is neither a response nor a notification")
+	errErrorShape      = errors.New("error of the response is not an array of name and fields")
+	errResultShape     = errors.New("result of the response is not an array of body and fields")
+	errResultType      = errors.New("result of the response is neither bytes nor a health state")
+	errNoFields        = errors.New("fields of the response are not a map")
+	errFieldsTruncated = errors.New("fields are incomplete")
 )
 
-// What makes a whole request invalid, beside a FieldError.
+// Causes of an invalid request, in addition to FieldError.
 var (
-	errParameters   = errors.New("parameters are not fields and body")
-	errMissingField = errors.New("a field is missing")
-	errBodyType     = errors.New("the body is not bytes")
-	errBodyTooLong  = fmt.Errorf("the body has over %d bytes", maxBody)
+	errParameters   = errors.New("parameters are not an array of fields and body")
+	errMissingField = fmt.Errorf("a required field is missing; required are %s, %s and %s",
+		fieldID, fieldArrivedAt, fieldMemory)
+	errBodyType     = errors.New("body is not bytes")
+	errBodyTooLong  = fmt.Errorf("body of more than %d bytes", maxBody)
 )
 
 // Causes of a FieldError.
 var (
-	errNotString = errors.New("not a string")
-	errNotID     = errors.New("not an id")
-	errNegative  = errors.New("under 0")
+	errNotString = errors.New("value is not a string")
+	errInvalidID = fmt.Errorf("id is not 1 to %d letters, digits, hyphens or underscores", maxID)
+	errNegative  = errors.New("value is negative")
 )
 
-// FieldError reports a field of a message whose value can't be taken.
+// FieldError reports a field with an invalid value.
 type FieldError struct {
-	Field string // its name on the wire
+	Field string // name of the field on the wire
 	Err   error
 }
 
@@ -47,7 +48,7 @@
 // Unwrap returns the cause.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// malformed returns the error for a message whose first offset bytes could be read.
+// malformed returns the error for a message of which the first offset bytes were parsed.
 func malformed(offset int, cause error) error {
 	return &wire.ProtocolError{Protocol: "rpc", Offset: offset, Err: cause}
 }
--- a/internal/wire/rpc/fields.go
+++ b/internal/wire/rpc/fields.go
@@ -8,21 +8,21 @@
 	"swiftcourse/internal/wire"
 )
 
-// Bounds of a request's fields. A number is below its maximum.
+// Bounds of a request's fields. A number must be less than its maximum.
 const (
 	maxID               = 64   // bytes
-	maxKey              = 128  // bytes; twice an id, as a key is remembered for its whole window
-	maxUnixMilliseconds = 1e15 // ms since 1970
-	maxMilliseconds     = 1e12 // of a duration
+	maxKey              = 128  // bytes; twice maxID, a bound because a key is kept for the whole deduplication window
+	maxUnixMilliseconds = 1e15 // ms since the Unix epoch
+	maxMilliseconds     = 1e12 // ms, for durations
 	minMemory           = 1e-9 // KiB
 	maxMemory           = 2000 // KiB
 	maxPriority         = 1
 )
 
-// fieldSet has a bit for each required field that a request bears.
+// fieldSet has a bit for each required field that is present in a request.
 type fieldSet uint8
 
-// The fields without which a request can't be decided on in any deployment.
+// The fields that a request needs in every deployment.
 const (
 	hasID fieldSet = 1 << iota
 	hasArrivedAt
@@ -31,8 +31,8 @@
 	requiredFields = hasID | hasArrivedAt | hasMemory
 )
 
-// parseField sets the field called name and returns its bit if it's a required one. An unknown field is ignored,
-// whatever its content.
+// parseField sets the named field and returns its bit if it is required. Unknown fields are ignored, whatever
+// their content.
 func (m *Message) parseField(name string, content value) (fieldSet, error) {
 	switch name {
 	case fieldID, fieldArrivedAt, fieldClient, fieldTenant, fieldTimeout, fieldMemory, fieldPriority,
@@ -46,14 +46,14 @@
 	return m.setField(name, string(content.data))
 }
 
-// setField sets a known field from its text.
+// setField parses text and sets a known field to it. It returns the bit of a required field.
 func (m *Message) setField(name, text string) (required fieldSet, err error) {
 	switch name {
 	case fieldID:
 		m.ID = text
 		required = hasID
 		if !isID(text) {
-			err = errNotID
+			err = errInvalidID
 		}
 	case fieldArrivedAt:
 		m.ArrivedAt, err = parseMilliseconds(text, 0, maxUnixMilliseconds)
@@ -78,7 +78,7 @@
 	case fieldKey:
 		m.Key = text
 		if len(text) > maxKey {
-			err = fmt.Errorf("over %d bytes", maxKey)
+			err = fmt.Errorf("key of %d bytes, limit %d", len(text), maxKey)
 		}
 	case fieldRetry:
 		m.Retry = text != "" && text != "0"
@@ -88,22 +88,22 @@
 	return required, err
 }
 
-// parseMilliseconds parses a number of milliseconds, as parseNumber does, and returns it in seconds.
+// parseMilliseconds parses a number of milliseconds like parseNumber and returns it in seconds.
 func parseMilliseconds(text string, minimum, limit float64) (float64, error) {
 	milliseconds, err := parseNumber(text, minimum, limit)
 	return milliseconds / wire.MillisecondsPerSecond, err
 }
 
-// parseNumber parses a number that is at least minimum and below limit.
+// parseNumber parses a number that must be at least minimum and less than limit.
 func parseNumber(text string, minimum, limit float64) (float64, error) {
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(number) || number < minimum || number >= limit {
-		return 0, fmt.Errorf("%.20q is not a number from %g to under %g", text, minimum, limit)
+		return 0, fmt.Errorf("%.20q is not a number of at least %g and less than %g", text, minimum, limit)
 	}
 	return number, nil
 }
 
-// isID tells whether text is an id that the text protocols of the other links can carry.
+// isID reports whether text is a valid id. The text protocols of the other links allow no other characters.
 func isID(text string) bool {
 	for _, char := range []byte(text) {
 		switch {
--- a/internal/wire/rpc/protocol.go
+++ b/internal/wire/rpc/protocol.go
@@ -1,31 +1,31 @@
 package rpc
 
-// The types of a message, the first element of its array.
+// The message types. The type is the first element of a message.
 const (
 	typeRequest      = 0
 	typeResponse     = 1
 	typeNotification = 2
 )
 
-// How many elements a message of each type has.
+// The number of elements of a message, by type.
 const (
 	requestLength      = 4
 	responseLength     = 4
 	notificationLength = 3
 )
 
-// How many elements the arrays inside a message have.
+// The number of elements of the arrays inside a message.
 const (
 	parametersLength = 2 // fields and body
 	errorLength      = 2 // name and fields
-	resultLength     = 2 // body or health, and fields
+	resultLength     = 2 // body or health state, and fields
 )
 
-// The methods that have a meaning of their own. Any other method of a request is its class.
+// The methods with a special meaning. Any other method of a request is the name of its class.
 const (
-	methodCheck  = "isWell"
-	methodCancel = "forget"
-	methodGoAway = "goaway"
+	methodHealthCheck = "isWell"
+	methodCancel      = "forget"
+	methodGoAway      = "goaway"
 )
 
 // The fields of a request.
@@ -50,10 +50,10 @@
 	fieldNoFailover = "stop"
 )
 
-// flagSet is the value of a field that is a flag, where it's written.
+// flagSet is the value of a flag that is set. A flag that is not set is omitted.
 const flagSet = "1"
 
-// The names of a response's error.
+// The names of errors in responses.
 const (
 	errorRejected = "Busy"
 	errorFailed   = "Failed"
--- a/internal/wire/rpc/request.go
+++ b/internal/wire/rpc/request.go
@@ -5,20 +5,20 @@
 	"fmt"
 )
 
-// MaxFrame bounds one message: a body of 2 KiB, its fields, and room for fields not known yet.
+// MaxFrame is the largest size of a message in bytes: a body of 2 KiB, its fields, and room for future fields.
 const MaxFrame = 16 << 10
 
-// maxBody bounds the body of a request.
+// maxBody is the largest size of a request body in bytes.
 const maxBody = 2 << 10
 
-// Kind tells what a message is.
+// Kind is the kind of a message from a client.
 type Kind uint8
 
 // The kinds of a message.
 const (
 	KindOther       Kind = iota // a message that is ignored
 	KindRequest                 // a client sends a request
-	KindCancel                  // a client cancels a request: it doesn't wait for the response any more
+	KindCancel                  // a client no longer waits for the response to a request
 	KindHealthCheck             // a health check
 )
 
@@ -38,44 +38,44 @@
 	}
 }
 
-// Message is one whole message; its body is a view of the input.
+// Message is one complete message. Its body is a slice of the input.
 type Message struct {
 	Kind         Kind
-	Number       uint64 // the message id of MessagePack-RPC, which the response repeats
-	ID           string // the request's id, on all links
+	Number       uint64 // message id of MessagePack-RPC, which the response repeats
+	ID           string // id of the request, the same on all links
 	Class        string
 	Tenant       string
 	Subject      string  // "" if it names none
-	Key          string  // the idempotency key that all attempts of one request share, "" if it has none
-	Retry        bool    // a further attempt, if clients mark those
-	ExpectedWork float64 // work that is expected, in seconds of a standard core; 0 if it isn't known
-	ArrivedAt    float64 // when the request came to the client, in seconds of the Unix clock
-	Timeout      float64 // how long the client waits from ArrivedAt, in seconds; 0 with NoTimeout
-	NoTimeout    bool    // the request does not say how long the client waits
+	Key          string  // idempotency key, shared by all attempts of a request; "" if there is none
+	Retry        bool    // this attempt is a retry, if clients mark retries
+	ExpectedWork float64 // expected work in seconds of a standard core, 0 if unknown
+	ArrivedAt    float64 // Unix time in seconds at which the request reached the client
+	Timeout      float64 // seconds from ArrivedAt for which the client waits, 0 with NoTimeout
+	NoTimeout    bool    // the request has no timeout
 	Client       int
-	Memory       float64 // that the request needs, in KiB
-	Priority     float64 // from 0 to under 1
+	Memory       float64 // memory that the request needs, in KiB
+	Priority     float64 // at least 0 and less than 1
 	Body         []byte
-	Invalid      error // why a whole message that is owed a response can't be taken, or nil
+	Invalid      error // why a complete request, which still needs a response, is invalid; nil if it is valid
 }
 
-// ParseMessage reads the message at the start of b and returns its length, or 0 if b holds only a part of it.
-// An error matches wire.ErrMalformed and means that nothing of b can be parsed.
+// ParseMessage parses the message at the start of b and returns its length, or 0 if b holds only a part of it.
+// An error matches wire.ErrMalformed and means that the rest of b can't be parsed either.
 func ParseMessage(b []byte) (message Message, length int, err error) {
 	input := decoder{data: b}
 	message = parseMessage(&input)
 	switch {
-	case errors.Is(input.err, errShort) && len(b) < MaxFrame:
+	case errors.Is(input.err, errTruncated) && len(b) < MaxFrame:
 		return Message{}, 0, nil
 	case input.err != nil:
 		return Message{}, 0, malformed(input.offset, input.err)
 	case input.offset > MaxFrame:
-		return Message{}, 0, malformed(input.offset, errTooLong)
+		return Message{}, 0, malformed(input.offset, errMessageTooLong)
 	}
 	return message, input.offset, nil
 }
 
-// parseMessage reads one message; what it returns counts only if the decoder has no error.
+// parseMessage parses one message. Its result is valid only if the decoder has no error.
 func parseMessage(input *decoder) Message {
 	frame := input.read()
 	messageType := input.read()
@@ -84,7 +84,7 @@
 	}
 	if frame.kind != kindArray || messageType.kind != kindInteger ||
 		frame.length < notificationLength || frame.length > requestLength {
-		input.err = errFrame
+		input.err = errMessageShape
 		return Message{}
 	}
 	switch {
@@ -92,7 +92,7 @@
 		return parseRequest(input)
 	case messageType.number == typeNotification && frame.length == notificationLength:
 		return parseNotification(input)
-	case messageType.number == typeResponse && frame.length == responseLength: // nothing was asked
+	case messageType.number == typeResponse && frame.length == responseLength: // ignored: a server sends no requests
 		for range responseLength - 1 {
 			input.readRaw()
 		}
@@ -102,7 +102,7 @@
 	return Message{}
 }
 
-// parseRequest reads what follows the type of a request or health check.
+// parseRequest parses the elements of a request or health check after its type.
 func parseRequest(input *decoder) Message {
 	number := input.read()
 	method := input.read()
@@ -114,7 +114,7 @@
 		return Message{}
 	}
 	message := Message{Kind: KindHealthCheck, Number: uint64(number.number)}
-	if string(method.data) == methodCheck {
+	if string(method.data) == methodHealthCheck {
 		return message
 	}
 	message.Kind = KindRequest
@@ -123,7 +123,7 @@
 	return message
 }
 
-// parseNotification reads what follows the type of a notification. An unknown one is ignored.
+// parseNotification parses the elements of a notification after its type. Unknown notifications are ignored.
 func parseNotification(input *decoder) Message {
 	method := input.read()
 	parameters := input.readRaw()
@@ -139,7 +139,7 @@
 	return Message{Kind: KindCancel, Number: uint64(number.number)}
 }
 
-// parseParameters reads a request's fields and body.
+// parseParameters parses the fields and the body of a request.
 func (m *Message) parseParameters(input *decoder) error {
 	list := input.read()
 	fields := input.read()
@@ -152,7 +152,7 @@
 		name := input.read()
 		raw := input.readRaw()
 		if input.err != nil {
-			return errFieldsCutShort
+			return errFieldsTruncated
 		}
 		if name.kind != kindString {
 			continue
@@ -170,7 +170,7 @@
 	return m.parseBody(input)
 }
 
-// parseBody reads a request's body.
+// parseBody parses the body of a request.
 func (m *Message) parseBody(input *decoder) error {
 	body := input.read()
 	if input.err != nil || body.kind != kindBinary && body.kind != kindString {
--- a/internal/wire/rpc/request_test.go
+++ b/internal/wire/rpc/request_test.go
@@ -16,7 +16,7 @@
 
 func init() {
 	err := errors.Join(
-		flag.Set("rapid.seed", "20261201"), // the same verdict every time
+		flag.Set("rapid.seed", "20261201"), // the same inputs in every run
 		flag.Set("rapid.nofailfile", "true"),
 	)
 	if err != nil {
@@ -24,11 +24,11 @@
 	}
 }
 
-// Put together by hand from MessagePack's public specification.
+// Messages in hex, encoded by hand from the MessagePack specification.
 const (
 	fieldsHex = "87" + "a463616c6c" + "b039623166303361613563376532643431" + // call, fixstr of 16
 		"a472656376" + "d90d31373634353736303030313233" + // recv, str8
-		"a3747463" + "c0" + // a field not known, nil
+		"a3747463" + "c0" + // an unknown field with value nil
 		"a374746c" + "da0003343830" + // ttl, str16
 		"a468656170" + "db0000000432342e35" + // heap, str32
 		"a463726974" + "a6302e36323530" + // crit
@@ -47,7 +47,7 @@
 	return b
 }
 
-func TestParseMessage_CutAnywhere(t *testing.T) {
+func TestParseMessage_IncompleteInput(t *testing.T) {
 	for _, c := range []struct {
 		text string
 		want Message
@@ -66,72 +66,75 @@
 		}},
 		{cancelHex, Message{Kind: KindCancel, Number: 7}},
 		{healthCheckHex, Message{Kind: KindHealthCheck, Number: 256}},
-		{"94 01 05 c0 91 c3", Message{}},                            // a response to nothing
-		{"93 02 a3 6e6577 92 cb4000000000000000 d40102", Message{}}, // a notification not known
+		{"94 01 05 c0 91 c3", Message{}},                            // a response without a request
+		{"93 02 a3 6e6577 92 cb4000000000000000 d40102", Message{}}, // an unknown notification
 	} {
-		whole := append(decodeHex(t, c.text), 0x94) // and the start of the next
+		whole := append(decodeHex(t, c.text), 0x94) // followed by the first byte of another message
 		for cut := range len(whole) - 1 {
 			if m, n, err := ParseMessage(whole[:cut]); n != 0 || err != nil {
-				t.Fatalf("%s cut at %d: %+v, %d, %v", c.text, cut, m, n, err)
+				t.Fatalf("first %d bytes of %s: got %+v, length %d, error %v; want length 0, no error",
+					cut, c.text, m, n, err)
 			}
 		}
 		m, n, err := ParseMessage(whole)
 		if err != nil || n != len(whole)-1 || !reflect.DeepEqual(m, c.want) {
-			t.Errorf("got %+v, %d, %v\nwant %+v", m, n, err, c.want)
+			t.Errorf("got %+v, length %d, error %v\nwant %+v, length %d", m, n, err, c.want, len(whole)-1)
 		}
 	}
 }
 
-func TestParseMessage_EveryWidthOfNumbersAndBytes(t *testing.T) {
+func TestParseMessage_NumberAndBodyOfEveryWidth(t *testing.T) {
 	for _, id := range []string{"07", "cc07", "cd0007", "ce00000007", "cf0000000000000007", "d007", "d10007",
 		"d200000007", "d30000000000000007"} {
 		for _, body := range []string{"c40161", "c5000161", "c60000000161", "a161"} {
 			text := strings.Replace(strings.Replace(requestHex, "940007", "9400"+id, 1), "c403000aff", body, 1)
 			m, n, err := ParseMessage(decodeHex(t, text))
 			if err != nil || n == 0 || m.Number != 7 || string(m.Body) != "a" || m.Invalid != nil {
-				t.Errorf("id %s, body %s: %+v, %d, %v", id, body, m, n, err)
+				t.Errorf("number %s, body %s: got %+v, length %d, error %v; want number 7, body a, no Invalid",
+					id, body, m, n, err)
 			}
 		}
 	}
 }
 
-func TestParseMessage_InvalidRequestIsOwedResponse(t *testing.T) {
+func TestParseMessage_InvalidRequestKeepsNumberForResponse(t *testing.T) {
 	for _, c := range []struct{ name, old, new string }{
-		{"parameters no array", "92" + fieldsHex + "c403000aff", "c0"},
-		{"fields no map", fieldsHex, "c0"},
-		{"a value no string", "da0003343830", "07"},
-		{"a missing id", "a463616c6c", "a463616c6d"},
-		{"a missing time", "a472656376", "a472656377"},
-		{"a missing memory", "a468656170", "a468656171"},
-		{"not a number", "a6302e36323530", "a6302e36323578"},
-		{"out of range", "db0000000432342e35", "db0000000439393939"},
-		{"a priority of one", "a6302e36323530", "a6312e30303030"},
-		{"no memory", "db0000000432342e35", "db0000000430303030"},
-		{"a client under 0", "a134", "a22d34"},
-		{"an id with a space", "b039", "b020"},
-		{"no body", "c403000aff", "c0"},
-		{"a long body", "c403000aff", "c50801" + strings.Repeat("61", 2049)},
+		{"parameters are not an array", "92" + fieldsHex + "c403000aff", "c0"},
+		{"fields are not a map", fieldsHex, "c0"},
+		{"field value is not a string", "da0003343830", "07"},
+		{"missing id", "a463616c6c", "a463616c6d"},
+		{"missing arrival time", "a472656376", "a472656377"},
+		{"missing memory", "a468656170", "a468656171"},
+		{"priority is not a number", "a6302e36323530", "a6302e36323578"},
+		{"memory out of range", "db0000000432342e35", "db0000000439393939"},
+		{"priority of 1", "a6302e36323530", "a6312e30303030"},
+		{"memory of 0", "db0000000432342e35", "db0000000430303030"},
+		{"negative client", "a134", "a22d34"},
+		{"id with a space", "b039", "b020"},
+		{"body is nil", "c403000aff", "c0"},
+		{"body too long", "c403000aff", "c50801" + strings.Repeat("61", 2049)},
 	} {
 		text := strings.Replace(requestHex, c.old, c.new, 1)
 		m, n, err := ParseMessage(decodeHex(t, text))
 		if text == requestHex {
-			t.Fatalf("%s: nothing replaced", c.name)
+			t.Fatalf("%s: %s is not in the request", c.name, c.old)
 		}
 		if err != nil || n != len(text)/2 || m.Invalid == nil || m.Number != 7 || m.Kind != KindRequest {
-			t.Errorf("%s: %+v, %d, %v", c.name, m, n, err)
+			t.Errorf("%s: got %+v, length %d, error %v; want an invalid request with number 7, length %d, no error",
+				c.name, m, n, err, len(text)/2)
 		}
 	}
 }
 
-// In some deployments clients don't tell their timeout; whether that may be is for the server to decide.
-func TestParseMessage_TimeoutMayBeMissing(t *testing.T) {
+// In some deployments clients send no timeout. The server decides whether to accept such a request, not the codec.
+func TestParseMessage_AcceptsMissingTimeout(t *testing.T) {
 	m, _, err := ParseMessage(decodeHex(t, strings.Replace(requestHex, "a374746c", "a374746d", 1)))
 	if err != nil || m.Invalid != nil || !m.NoTimeout || m.Timeout != 0 {
-		t.Errorf("%+v, %v", m, err)
+		t.Errorf("got %+v, error %v; want a valid request without timeout", m, err)
 	}
 }
 
-func TestParseMessage_RefusesMalformed(t *testing.T) {
+func TestParseMessage_RejectsMalformed(t *testing.T) {
 	for _, text := range []string{
 		"c1",
 		"07",
@@ -146,7 +149,7 @@
 	} {
 		input := append(decodeHex(t, text), make([]byte, MaxFrame)...)
 		if m, n, err := ParseMessage(input); !errors.Is(err, wire.ErrMalformed) {
-			t.Errorf("%s: %+v, %d, %v", text, m, n, err)
+			t.Errorf("%s: got %+v, length %d, error %v; want error %v", text, m, n, err, wire.ErrMalformed)
 		}
 	}
 }
@@ -163,7 +166,7 @@
 			b = append(changed, b...)
 		}
 		if _, n, err := ParseMessage(b); n > len(b) || n < 0 || err != nil && n != 0 {
-			t.Fatalf("read %d of %d, %v", n, len(b), err)
+			t.Fatalf("got length %d of %d bytes, error %v", n, len(b), err)
 		}
 	})
 }
@@ -196,6 +199,6 @@
 	message, _, err := ParseMessage(decodeHex(t, strings.Replace(requestHex, "a6302e36323530", "a6302e36323578", 1)))
 	var fieldError *FieldError
 	if err != nil || !errors.As(message.Invalid, &fieldError) || fieldError.Field != "crit" {
-		t.Errorf("%v, %v", message.Invalid, err)
+		t.Errorf("got Invalid %v, error %v; want a FieldError for crit and no error", message.Invalid, err)
 	}
 }
--- a/internal/wire/rpc/response.go
+++ b/internal/wire/rpc/response.go
@@ -7,14 +7,14 @@
 	"swiftcourse/internal/wire"
 )
 
-// ResponseMetadata is what a response carries beside its result.
+// ResponseMetadata holds the fields of a response.
 type ResponseMetadata struct {
-	LoadReport string  // the load report, "" if none is set
-	RetryAfter float64 // after how many seconds the client should retry; 0 without advice
-	NoFailover bool    // the client should not retry at another server
+	LoadReport string  // load report, "" for none
+	RetryAfter float64 // seconds after which the client should retry, 0 for no advice
+	NoFailover bool    // the client should not retry on another server
 }
 
-// append appends the map of the fields that are set.
+// append appends a map of the fields that are set.
 func (m ResponseMetadata) append(b []byte) []byte {
 	fields := newFieldEncoder(b)
 	if m.LoadReport != "" {
@@ -30,24 +30,24 @@
 	return fields.buffer
 }
 
-// AppendResult appends the response to the request numbered number, which finished.
+// AppendResult appends the response to a request that finished, with its result.
 func AppendResult(b []byte, number uint64, result []byte, metadata ResponseMetadata) []byte {
 	b = appendResponseHead(b, number)
 	b = append(b, formatNil, formatFixArray|resultLength)
 	return metadata.append(appendBinary(b, result))
 }
 
-// AppendRejected appends the response to a request that was rejected and never ran.
+// AppendRejected appends the response to a request that was rejected and did not run.
 func AppendRejected(b []byte, number uint64, metadata ResponseMetadata) []byte {
 	return appendError(b, number, errorRejected, metadata)
 }
 
-// AppendFailed appends the response to a request that failed or was given up.
+// AppendFailed appends the response to a request that failed or was abandoned.
 func AppendFailed(b []byte, number uint64, metadata ResponseMetadata) []byte {
 	return appendError(b, number, errorFailed, metadata)
 }
 
-// AppendInvalid appends the response to a message that can't be taken as a request.
+// AppendInvalid appends the response to an invalid request.
 func AppendInvalid(b []byte, number uint64, metadata ResponseMetadata) []byte {
 	return appendError(b, number, errorInvalid, metadata)
 }
@@ -62,13 +62,13 @@
 	return metadata.append(append(b, formatNil, formatFixArray|resultLength, format))
 }
 
-// AppendGoAway appends the notification that no new request is wanted on the connection.
+// AppendGoAway appends the notification that the server wants no new requests on the connection.
 func AppendGoAway(b []byte) []byte {
 	b = appendNotificationHead(b, methodGoAway)
 	return append(b, formatFixArray)
 }
 
-// appendError appends a response whose error is an array of a name and fields.
+// appendError appends a response with an error, which is an array of a name and fields.
 func appendError(b []byte, number uint64, name string, metadata ResponseMetadata) []byte {
 	b = appendResponseHead(b, number)
 	b = appendString(append(b, formatFixArray|errorLength), name)
--- a/internal/wire/simulator/batch.go
+++ b/internal/wire/simulator/batch.go
@@ -88,7 +88,7 @@
 	r.batch.Events = r.batch.Events[:0]
 	for i, entry := range inbox.GetArray() {
 		if entry.Type() != fastjson.TypeArray {
-			return nil, malformed(&EventError{Index: i, Err: errNotArray})
+			return nil, malformed(&EventError{Index: i, Err: errEventNotArray})
 		}
 		if err := r.readEvent(entry.GetArray()); err != nil {
 			return nil, malformed(&EventError{Index: i, Err: err})
--- a/internal/wire/simulator/batch_test.go
+++ b/internal/wire/simulator/batch_test.go
@@ -109,7 +109,7 @@
 	line := `{"timeMs":1,"inbox":[["CRASH_NOW","server/1"],["BORN","server/1",1]]}`
 	_, err := NewReader(strings.NewReader(line)).ReadBatch()
 	var eventError *EventError
-	if !errors.As(err, &eventError) || eventError.Index != 1 || !errors.Is(err, errSettingsLack) {
+	if !errors.As(err, &eventError) || eventError.Index != 1 || !errors.Is(err, errMissingSettings) {
 		t.Errorf("error %v", err)
 	}
 }
--- a/internal/wire/simulator/errors.go
+++ b/internal/wire/simulator/errors.go
@@ -9,10 +9,10 @@
 
 // Causes of a malformed batch.
 var (
-	errBatchHead    = errors.New("batch lacks timeMs or inbox")
-	errNotArray     = errors.New("not an array")
-	errEventHead    = errors.New("lacks a name or an instance")
-	errSettingsLack = errors.New("BORN lacks its settings")
+	errBatchHead       = errors.New("batch lacks timeMs or inbox")
+	errEventNotArray   = errors.New("not an array")
+	errEventHead       = errors.New("lacks a name or an instance")
+	errMissingSettings = errors.New("BORN lacks its settings")
 )
 
 // EventError reports an event of a batch that can't be read.
--- a/internal/wire/simulator/event.go
+++ b/internal/wire/simulator/event.go
@@ -130,7 +130,7 @@
 // readStart reads the seed and settings of a new instance.
 func (r *Reader) readStart(entry *Event, elements []*fastjson.Value) error {
 	if len(elements) <= indexSettings {
-		return errSettingsLack
+		return errMissingSettings
 	}
 	entry.Change = ChangeStarted
 	entry.Seed = elements[indexSeed].GetInt64()
