--- a/internal/wire/catalogue/call.go
+++ b/internal/wire/catalogue/call.go
@@ -7,8 +7,8 @@
 	"swiftcourse/internal/wire"
 )
 
-// AppendCall appends a call that times out after so many seconds, of which whole milliseconds are written, at
-// least one.
+// AppendCall appends a call with its timeout in seconds. On the wire, the timeout is rounded down to whole
+// milliseconds and is at least one.
 func AppendCall(b []byte, id string, timeout float64, body []byte) []byte {
 	milliseconds := max(1, math.Floor(timeout*wire.MillisecondsPerSecond))
 	b = append(b, commandFetch+" "...)
@@ -18,7 +18,7 @@
 	return appendBody(b, body)
 }
 
-// appendBody ends the line before and appends a body and its end.
+// appendBody appends the end of the current line, the body and the end of the body.
 func appendBody(b, body []byte) []byte {
 	b = append(b, lineEnd...)
 	b = append(b, body...)
--- a/internal/wire/catalogue/frame.go
+++ b/internal/wire/catalogue/frame.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"errors"
+	"fmt"
 	"strconv"
 
 	"swiftcourse/internal/wire"
@@ -10,20 +11,20 @@
 
 // Bounds of a message.
 const (
-	maxLine = 256      // bytes of a line: an id, a name and a length
-	maxBody = 16 << 10 // bytes, four times a result's bound; a length beyond it is a broken stream
+	maxLine = 256      // bytes of a line, which has an id, a word and two numbers at most
+	maxBody = 16 << 10 // bytes of a body, four times the limit of a result; a greater length means a broken stream
 )
 
 // lineEnd ends each line and each body.
 const lineEnd = "\r\n"
 
-// The commands of a server, the first token of its lines.
+// The commands of a server, which are the first token of its lines.
 const (
 	commandFetch = "FETCH"
 	commandQuit  = "QUIT"
 )
 
-// The statuses of the proxy's replies, the second token of its lines.
+// The statuses in the proxy's replies, which are the second token of its lines.
 const (
 	statusData    = "DATA"
 	statusLater   = "LATER"
@@ -34,20 +35,20 @@
 
 // Causes of a malformed message.
 var (
-	errUnterminatedLine = errors.New("a line without end")
-	errUnterminatedBody = errors.New("a body without its end")
-	errReplyLine        = errors.New("a line without id and word")
-	errReplyLength      = errors.New("a reply without a length")
-	errCallLine         = errors.New("a call without its timeout or length")
+	errUnterminatedLine = fmt.Errorf("no line end within %d bytes", maxLine)
+	errUnterminatedBody = errors.New("body is not followed by a line end")
+	errReplyLine        = errors.New("reply line without id and status")
+	errReplyLength      = fmt.Errorf("reply without a body length from 0 to %d", maxBody)
+	errCallLine         = fmt.Errorf("call without a non-negative timeout and a body length from 0 to %d", maxBody)
 )
 
-// malformed returns the error for a message whose first offset bytes could be read.
+// malformed returns the error for a message of which the first offset bytes were parsed.
 func malformed(offset int, cause error) error {
 	return &wire.ProtocolError{Protocol: "catalogue", Offset: offset, Err: cause}
 }
 
-// parseLine returns the line at the start of data and its length including its end, or 0 if data holds only a
-// part of the line.
+// parseLine returns the line at the start of data without its line end, and its length with the line end, or 0 if
+// data holds only a part of the line.
 func parseLine(data []byte) (line []byte, length int, err error) {
 	end := bytes.Index(data[:min(len(data), maxLine)], []byte(lineEnd))
 	if end >= 0 {
@@ -59,14 +60,14 @@
 	return nil, 0, nil
 }
 
-// parseBodySize parses the size of a body; valid is false for one that no message has.
+// parseBodySize parses the size of a body. valid is false unless it is from 0 to maxBody.
 func parseBodySize(token []byte) (size int, valid bool) {
 	size, err := strconv.Atoi(string(token))
 	return size, err == nil && size >= 0 && size <= maxBody
 }
 
-// parseBody returns the body of size bytes that starts at offset and the length of the whole message, or 0 if
-// data holds only a part of it.
+// parseBody returns the body of size bytes at offset, and the length of the whole message, or 0 if data holds only
+// a part of the message.
 func parseBody(data []byte, offset, size int) (body []byte, length int, err error) {
 	end := offset + size
 	length = end + len(lineEnd)
--- a/internal/wire/catalogue/proxy.go
+++ b/internal/wire/catalogue/proxy.go
@@ -9,10 +9,10 @@
 	"swiftcourse/internal/wire"
 )
 
-// This file is the proxy's side of the protocol: what the proxy reads and writes.
+// This file is the proxy's side of the protocol: the proxy parses calls and appends replies.
 
-// Call is what a server sent: a call or, if Cancelled is set, the cancellation of the call ID. Its body is a view
-// of the input.
+// Call is a call from a server or, if Cancelled is set, the cancellation of the call with this ID. Its body is a
+// slice of the input.
 type Call struct {
 	Cancelled bool
 	ID        string
@@ -20,9 +20,8 @@
 	Body      []byte
 }
 
-// ParseCall reads the line and body at the start of data and returns their length, or 0 if data holds only a part
-// of them.
-// An error matches wire.ErrMalformed and means that nothing of data can be parsed.
+// ParseCall parses the line and body at the start of data and returns their length, or 0 if data holds only a part
+// of them. An error matches wire.ErrMalformed and means that the rest of data can't be parsed either.
 func ParseCall(data []byte) (call Call, length int, err error) {
 	line, lineLength, err := parseLine(data)
 	if lineLength == 0 {
@@ -33,7 +32,8 @@
 	case len(tokens) == 2 && string(tokens[0]) == commandQuit:
 		return Call{Cancelled: true, ID: string(tokens[1])}, lineLength, nil
 	case len(tokens) != 4 || string(tokens[0]) != commandFetch:
-		return Call{}, 0, malformed(0, fmt.Errorf("unknown line %.20q", line))
+		return Call{}, 0, malformed(0, fmt.Errorf("line is neither %s with three arguments nor %s with one: %.20q",
+			commandFetch, commandQuit, line))
 	}
 	milliseconds, timeoutErr := strconv.Atoi(string(tokens[2]))
 	size, sizeValid := parseBodySize(tokens[3])
@@ -52,7 +52,7 @@
 	return call, length, nil
 }
 
-// AppendReply appends how a call ended; only one that finished has a body.
+// AppendReply appends the outcome of a call, and the body if the call finished.
 func AppendReply(b []byte, id string, outcome admission.Outcome, body []byte) []byte {
 	b = append(append(b, id...), ' ')
 	switch outcome {
--- a/internal/wire/catalogue/reply.go
+++ b/internal/wire/catalogue/reply.go
@@ -7,7 +7,7 @@
 	"swiftcourse/admission"
 )
 
-// outcomes are the outcomes of calls by status. Only LATER and NOUSE prove that the call never ran.
+// outcomes holds the outcomes of calls by status. Only LATER and NOUSE prove that the call did not run.
 var outcomes = map[string]admission.Outcome{
 	statusData:    admission.Finished,
 	statusLater:   admission.Rejected,
@@ -16,15 +16,15 @@
 	statusTooSlow: admission.TimedOut,
 }
 
-// Reply tells how a call ended; its body is a view of the input.
+// Reply is the outcome of a call. Its body is a slice of the input.
 type Reply struct {
 	ID      string
 	Outcome admission.Outcome
 	Body    []byte
 }
 
-// ParseReply reads the reply at the start of data and returns its length, or 0 if data holds only a part of it.
-// An error matches wire.ErrMalformed and means that nothing of data can be parsed.
+// ParseReply parses the reply at the start of data and returns its length, or 0 if data holds only a part of it.
+// An error matches wire.ErrMalformed and means that the rest of data can't be parsed either.
 func ParseReply(data []byte) (reply Reply, length int, err error) {
 	line, lineLength, err := parseLine(data)
 	if lineLength == 0 {
@@ -36,7 +36,7 @@
 	}
 	outcome, known := outcomes[string(tokens[1])]
 	if !known {
-		return Reply{}, 0, malformed(0, fmt.Errorf("unknown word %.20q", tokens[1]))
+		return Reply{}, 0, malformed(0, fmt.Errorf("unknown status %.20q", tokens[1]))
 	}
 	reply = Reply{ID: string(tokens[0]), Outcome: outcome}
 	if outcome != admission.Finished {
--- a/internal/wire/catalogue/reply_test.go
+++ b/internal/wire/catalogue/reply_test.go
@@ -15,7 +15,7 @@
 
 func init() {
 	err := errors.Join(
-		flag.Set("rapid.seed", "20261201"), // the same verdict every time
+		flag.Set("rapid.seed", "20261201"), // the same inputs in every run
 		flag.Set("rapid.nofailfile", "true"),
 	)
 	if err != nil {
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestParseReply_CutAnywhere(t *testing.T) {
+func TestParseReply_CompleteIncompleteAndMalformedInput(t *testing.T) {
 	for text, want := range map[string]Reply{
 		"a DATA 4\r\n\r\nxy\r\n": {"a", admission.Finished, []byte("\r\nxy")},
 		"a DATA 0\r\n\r\n":       {"a", admission.Finished, []byte{}},
@@ -34,33 +34,34 @@
 	} {
 		for cut := range text {
 			if r, n, err := ParseReply([]byte(text[:cut])); n != 0 || err != nil {
-				t.Fatalf("%q cut at %d: %+v, %d, %v", text, cut, r, n, err)
+				t.Fatalf("first %d bytes of %q: got %+v, length %d, error %v; want length 0, no error",
+					cut, text, r, n, err)
 			}
 		}
 		r, n, err := ParseReply([]byte(text + "b LA"))
 		if err != nil || n != len(text) || !reflect.DeepEqual(r, want) {
-			t.Errorf("%q: %+v, %d, %v", text, r, n, err)
+			t.Errorf("%q: got %+v, length %d, error %v; want %+v, length %d", text, r, n, err, want, len(text))
 		}
 	}
 	for _, text := range []string{"\r\n", "a\r\n", "a MAYBE\r\n", "a DATA\r\n", "a DATA x\r\n", "a DATA -1\r\n",
 		"a DATA 16385\r\n", "a DATA 1\r\nxyz", strings.Repeat("a", 300)} {
 		if r, n, err := ParseReply([]byte(text)); !errors.Is(err, wire.ErrMalformed) {
-			t.Errorf("%q: %+v, %d without error", text, r, n)
+			t.Errorf("%q: got %+v, length %d, error %v; want error %v", text, r, n, err, wire.ErrMalformed)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		b := []byte(rapid.StringMatching(`[a-c\r\n]{0,3} (DATA|LATER)? ?-?[0-9]{0,3}(\r\n)?[xy\r\n]{0,9}`).Draw(t, "b"))
 		if _, n, _ := ParseReply(b); n < 0 || n > len(b) {
-			t.Fatalf("read %d of %q", n, b)
+			t.Fatalf("%q: got length %d of %d bytes", b, n, len(b))
 		}
 	})
 }
 
 func TestAppendCall_Bytes(t *testing.T) {
 	if got := string(AppendCall(nil, "a", 0.2509, []byte("xy"))); got != "FETCH a 250 2\r\nxy\r\n" {
-		t.Errorf("%q", got)
+		t.Errorf("timeout of 0.2509 s: got %q, want 250 ms and body xy", got)
 	}
 	if got := string(AppendCall(nil, "a", -1, nil)); got != "FETCH a 1 0\r\n\r\n" {
-		t.Errorf("%q", got)
+		t.Errorf("negative timeout: got %q, want 1 ms and an empty body", got)
 	}
 }
--- a/internal/wire/processor/encoder.go
+++ b/internal/wire/processor/encoder.go
@@ -6,16 +6,16 @@
 	"strconv"
 )
 
-// lineEnd ends a message that doesn't end in a blob.
+// lineEnd ends a message that does not end with a blob.
 const lineEnd = "}\n"
 
-// appendHead appends the start of a message up to the value of its first key after msg.
+// appendHead appends the start of a message up to, but without, the value of the key that follows msg.
 func appendHead(b []byte, message, key string) []byte {
 	b = append(append(b, `{"msg":"`...), message...)
 	return appendKey(append(b, '"'), key)
 }
 
-// appendKey appends what stands between the value before and the value of key.
+// appendKey appends the separator from the previous value, the key and the colon.
 func appendKey(b []byte, key string) []byte {
 	b = append(append(b, `,"`...), key...)
 	return append(b, `":`...)
@@ -27,12 +27,12 @@
 	return append(b, quoted...)
 }
 
-// appendSerial appends the value of key serial and ends the message.
+// appendSerial appends a serial number as the last value and ends the message.
 func appendSerial(b []byte, serial int64) []byte {
 	return append(strconv.AppendInt(b, serial, 10), lineEnd...)
 }
 
-// appendBlob appends the key blob and ends the message.
+// appendBlob appends the key blob and its value, and ends the message.
 func appendBlob(b, blob []byte) []byte {
 	b = append(appendKey(b, "blob"), '"')
 	b = base64.StdEncoding.AppendEncode(b, blob)
--- a/internal/wire/processor/errors.go
+++ b/internal/wire/processor/errors.go
@@ -10,8 +10,8 @@
 var (
 	errNotObject    = errors.New("line is not a JSON object")
 	errBlobEncoding = errors.New("blob is not base64")
-	errMissingID    = errors.New("a command about no request")
+	errMissingID    = errors.New("command has no request id")
 )
 
-// malformed returns the error for a line. Its offset is 0, as a line is parsed as a whole.
+// malformed returns the error for a line. Its offset is 0 because a line is parsed as a whole.
 func malformed(cause error) error { return &wire.ProtocolError{Protocol: "processor", Err: cause} }
--- a/internal/wire/processor/executor.go
+++ b/internal/wire/processor/executor.go
@@ -8,21 +8,21 @@
 	"swiftcourse/internal/wire"
 )
 
-// This file is the executor's side of the protocol: what an executor reads and writes.
+// This file is the executor's side of the protocol: an executor parses commands and appends notices.
 
-// CommandKind tells what a command from a server asks for.
+// CommandKind is the kind of a command from a server.
 type CommandKind uint8
 
 // The kinds of a command.
 const (
-	CommandResume     CommandKind = iota + 1 // the first line on a link; Serial is of the last notice read
+	CommandResume     CommandKind = iota + 1 // the first line of a link; Serial is that of the last notice read
 	CommandStart                             // run a request
-	CommandReply                             // the reply to the call that a run waits for
-	CommandSkipCall                          // go on without the call that notice Serial asked for
-	CommandReadGauges                        // the gauges are asked for
+	CommandReply                             // the reply to the call for which a run waits
+	CommandSkipCall                          // continue without the call that the notice with this Serial asked for
+	CommandReadGauges                        // report the gauges
 )
 
-// commandKinds are the kinds of a command by their names on the wire.
+// commandKinds holds the kinds of commands by their names on the wire.
 var commandKinds = map[string]CommandKind{
 	messageHello:   CommandResume,
 	messageBegin:   CommandStart,
@@ -44,7 +44,8 @@
 	Body   []byte
 }
 
-// ParseCommand reads one line without its end. An error matches wire.ErrMalformed and ends the link.
+// ParseCommand parses one line without its line end. After an error, which matches wire.ErrMalformed, the link
+// has to be closed.
 func ParseCommand(line []byte) (command Command, err error) {
 	var object struct {
 		Msg     string
@@ -55,7 +56,7 @@
 		Blob    []byte // encoding/json decodes base64
 	}
 	if err := json.Unmarshal(line, &object); err != nil {
-		return command, malformed(fmt.Errorf("no command: %w", err))
+		return command, malformed(fmt.Errorf("line is not a JSON command: %w", err))
 	}
 	command = Command{
 		Kind:   commandKinds[object.Msg],
@@ -77,8 +78,8 @@
 	return command, nil
 }
 
-// AppendHello appends the answer to the first line: whether the executor started cold, and how many seconds
-// ago it started.
+// AppendHello appends the notice that answers the first line: whether the executor was cold when it started, and
+// the number of seconds since then.
 func AppendHello(b []byte, cold bool, sinceStart float64) []byte {
 	state := stateSeasoned
 	if cold {
@@ -88,16 +89,16 @@
 		messageHi, state, sinceStart*wire.MillisecondsPerSecond)
 }
 
-// AppendRunEnded appends the notice that a run is over: its serial number, id, outcome, duration and body,
-// which is the result of a run that finished.
+// AppendRunEnded appends the notice that a run ended: its serial number, id, outcome, duration and body. The body
+// is the result of a run that finished.
 func AppendRunEnded(b []byte, run Notice) []byte {
-	end := wireName(outcomes, run.Outcome, outcomeCrashed)
+	outcome := wireName(outcomes, run.Outcome, outcomeCrashed)
 	b = fmt.Appendf(b, `{"msg":%q,"serial":%d,"call":%q,"how":%q,"duration":%g`,
-		messageComplete, run.Serial, run.ID, end, run.Duration*wire.MillisecondsPerSecond)
+		messageComplete, run.Serial, run.ID, outcome, run.Duration*wire.MillisecondsPerSecond)
 	return appendBlob(b, run.Body)
 }
 
-// AppendAwaitingCall appends the notice that a run waits for a call.
+// AppendAwaitingCall appends the notice that a run waits for a call with this body.
 func AppendAwaitingCall(b []byte, serial int64, id string, body []byte) []byte {
 	b = fmt.Appendf(b, `{"msg":%q,"serial":%d,"call":%q`, messageAsk, serial, id)
 	return appendBlob(b, body)
@@ -116,7 +117,7 @@
 	return append(b, "]}\n"...)
 }
 
-// AppendRejected appends the notice that a command wasn't carried out.
+// AppendRejected appends the notice that a command was not carried out.
 func AppendRejected(b []byte, command CommandKind, id string) []byte {
 	return fmt.Appendf(b, `{"msg":%q,"how":%q,"call":%q}`+"\n", messageReject, command, id)
 }
--- a/internal/wire/processor/executor_test.go
+++ b/internal/wire/processor/executor_test.go
@@ -9,7 +9,7 @@
 	"swiftcourse/internal/wire"
 )
 
-func TestParseCommand_ReadsWhatServerAppends(t *testing.T) {
+func TestParseCommand_ParsesCommandsOfServer(t *testing.T) {
 	for _, c := range []struct {
 		line []byte
 		want Command
@@ -22,7 +22,7 @@
 		{AppendReadGauges(nil, "9"), Command{Kind: CommandReadGauges, Tag: "9"}},
 	} {
 		if got, err := ParseCommand(c.line[:len(c.line)-1]); err != nil || !reflect.DeepEqual(got, c.want) {
-			t.Errorf("%s: %+v, %v", c.line, got, err)
+			t.Errorf("%s: got %+v, error %v; want %+v", c.line, got, err, c.want)
 		}
 	}
 	for _, bad := range []string{
@@ -33,12 +33,12 @@
 		`{"msg":"begin","call":"a","blob":"?"}`,
 	} {
 		if c, err := ParseCommand([]byte(bad)); !errors.Is(err, wire.ErrMalformed) {
-			t.Errorf("%q: %+v", bad, c)
+			t.Errorf("%q: got %+v, error %v; want error %v", bad, c, err, wire.ErrMalformed)
 		}
 	}
 }
 
-func TestNoticeParser_ReadsWhatExecutorAppends(t *testing.T) {
+func TestNoticeParser_ParsesNoticesOfExecutor(t *testing.T) {
 	var r NoticeParser
 	finished := Notice{
 		Kind:     NoticeRunEnded,
@@ -77,7 +77,7 @@
 			got.Body, c.want.Body = nil, nil
 		}
 		if err != nil || !reflect.DeepEqual(got, c.want) {
-			t.Errorf("%s: %+v, %v", c.line, got, err)
+			t.Errorf("%s: got %+v, error %v; want %+v", c.line, got, err, c.want)
 		}
 	}
 }
--- a/internal/wire/processor/notice.go
+++ b/internal/wire/processor/notice.go
@@ -10,24 +10,24 @@
 	"swiftcourse/internal/wire"
 )
 
-// MaxLine bounds a line read: a result of 4 KiB in base64 takes under 6 KiB.
+// MaxLine is the largest length of a line in bytes. A result of 4 KiB takes less than 6 KiB in base64.
 const MaxLine = 64 << 10
 
-// NoticeKind tells what a notice says.
+// NoticeKind is the kind of a notice from an executor.
 type NoticeKind uint8
 
 // The kinds of a notice.
 const (
-	NoticeOther        NoticeKind = iota // of an unknown name
-	NoticeHello                          // the answer to the first line of a link
-	NoticeRunEnded                       // a run is over
-	NoticeAwaitingCall                   // a run waits for a call to the tier below
+	NoticeOther        NoticeKind = iota // a notice with an unknown name
+	NoticeHello                          // the answer to the first line of a link; it has Cold and Duration
+	NoticeRunEnded                       // a run ended
+	NoticeAwaitingCall                   // a run waits for a call to the downstream service
 	NoticeGauges                         // the gauges
-	NoticeRejected                       // a command wasn't carried out
-	NoticeRemark                         // a remark, which asks for nothing
+	NoticeRejected                       // a command was not carried out
+	NoticeRemark                         // a remark, which needs no reaction
 )
 
-// noticeKinds are the kinds of a notice by their names on the wire.
+// noticeKinds holds the kinds of notices by their names on the wire.
 var noticeKinds = map[string]NoticeKind{
 	messageHi:       NoticeHello,
 	messageComplete: NoticeRunEnded,
@@ -40,28 +40,29 @@
 // String returns the kind's name on the wire, for logs and tests.
 func (k NoticeKind) String() string { return wireName(noticeKinds, k, "other") }
 
-// Notice is one line from the executor.
+// Notice is one line from an executor.
 type Notice struct {
 	Kind     NoticeKind
-	Serial   int64 // 0 if the line has none
+	Serial   int64 // serial number, 0 if the line has none
 	ID       string
-	Outcome  admission.Outcome // of a run
+	Outcome  admission.Outcome // with NoticeRunEnded: outcome of the run
 	Cold     bool              // with NoticeHello: the executor was cold when it started
-	Detail   string            // the name of the state, outcome or command, as received
-	Duration float64           // seconds
+	Detail   string            // name of the state, outcome or command on the wire
+	Duration float64           // in seconds: of the run, or since the start of the executor
 	Body     []byte
 	Tag      string
 	Gauges   []float64 // in the order of the settings
 }
 
-// NoticeParser reads notices; what it returns is good until the next call.
+// NoticeParser parses notices. A notice is valid until the next call of Parse.
 type NoticeParser struct {
 	parser fastjson.Parser
 	blob   []byte
 	gauges []float64
 }
 
-// Parse reads one line without its end. An error matches wire.ErrMalformed and ends the link.
+// Parse parses one line without its line end. After an error, which matches wire.ErrMalformed, the link has to be
+// closed.
 func (p *NoticeParser) Parse(line []byte) (notice Notice, err error) {
 	object, err := p.parser.ParseBytes(line)
 	if err != nil || object.Type() != fastjson.TypeObject {
@@ -80,7 +81,7 @@
 	case NoticeHello:
 		notice.Cold = notice.Detail == stateFresh
 		if !notice.Cold && notice.Detail != stateSeasoned {
-			return notice, malformed(fmt.Errorf("%s with unknown state %.20q", messageHi, notice.Detail))
+			return notice, malformed(fmt.Errorf("message %s has unknown state %.20q", messageHi, notice.Detail))
 		}
 	case NoticeRunEnded:
 		notice.Outcome = outcomeOf(notice.Detail)
@@ -97,7 +98,8 @@
 	return notice, nil
 }
 
-// outcomeOf returns the outcome of a name on the wire. An unknown one proves nothing, as a failure does.
+// outcomeOf returns the outcome with a name on the wire. Nothing is known about a run with an unknown outcome, as
+// with a failed run, so it is admission.Failed.
 func outcomeOf(name string) admission.Outcome {
 	if outcome, known := outcomes[name]; known {
 		return outcome
@@ -105,7 +107,7 @@
 	return admission.Failed
 }
 
-// readGauges reads the gauges into the parser's buffer.
+// readGauges parses the gauges into the parser's buffer.
 func (p *NoticeParser) readGauges(object *fastjson.Value) []float64 {
 	p.gauges = p.gauges[:0]
 	for _, gauge := range object.GetArray("stats") {
--- a/internal/wire/processor/notice_test.go
+++ b/internal/wire/processor/notice_test.go
@@ -14,7 +14,7 @@
 
 func init() {
 	err := errors.Join(
-		flag.Set("rapid.seed", "20261201"), // the same verdict every time
+		flag.Set("rapid.seed", "20261201"), // the same inputs in every run
 		flag.Set("rapid.nofailfile", "true"),
 	)
 	if err != nil {
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestNoticeParser_Lines(t *testing.T) {
+func TestNoticeParser_ParsesLines(t *testing.T) {
 	var r NoticeParser
 	for line, want := range map[string]Notice{
 		`{"msg":"hi","how":"fresh","duration":1500}`:  {Kind: NoticeHello, Cold: true, Detail: "fresh", Duration: 1.5},
@@ -48,12 +48,12 @@
 			got.Body = nil
 		}
 		if err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s:\ngot  %+v, %v\nwant %+v", line, got, err, want)
+			t.Errorf("%s:\ngot  %+v, error %v\nwant %+v", line, got, err, want)
 		}
 	}
 	for _, line := range []string{"", "{", "[]", `{"msg":"hi","how":"odd"}`, `{"msg":"ask","blob":"%"}`} {
 		if n, err := r.Parse([]byte(line)); !errors.Is(err, wire.ErrMalformed) {
-			t.Errorf("%s: %+v without error", line, n)
+			t.Errorf("%q: got %+v, error %v; want error %v", line, n, err, wire.ErrMalformed)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/wire/processor/protocol.go
+++ b/internal/wire/processor/protocol.go
@@ -21,13 +21,13 @@
 	messageRemark   = "remark"
 )
 
-// The values of key how in the notice that answers hello.
+// The values of key how in the notice hi, which answers hello.
 const (
 	stateFresh    = "fresh"
 	stateSeasoned = "seasoned"
 )
 
-// The values of key how in the notice that a run ended.
+// The values of key how in the notice complete, which reports the end of a run.
 const (
 	outcomeDone    = "done"
 	outcomeCrashed = "crashed"
@@ -35,7 +35,7 @@
 	outcomeStale   = "stale"
 )
 
-// outcomes are the outcomes of a run by their names on the wire.
+// outcomes holds the outcomes of runs by their names on the wire.
 var outcomes = map[string]admission.Outcome{
 	outcomeDone:    admission.Finished,
 	outcomeCrashed: admission.Failed,
@@ -43,7 +43,7 @@
 	outcomeStale:   admission.NeverStarted,
 }
 
-// wireName returns the name of a value on the wire, or fallback if it has none.
+// wireName returns the name of a value on the wire, or fallback if the value has no name.
 func wireName[V comparable](names map[string]V, value V, fallback string) string {
 	for name, named := range names {
 		if named == value {
--- a/internal/wire/roster/protocol.go
+++ b/internal/wire/roster/protocol.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 
 	"swiftcourse/internal/wire"
 )
@@ -15,24 +16,24 @@
 	dutyOff = "off"
 )
 
-// What ends the lines and the head of an HTTP message.
+// The ends of the lines and of the head of an HTTP message.
 const (
 	lineEnd = "\r\n"
 	headEnd = lineEnd + lineEnd
 )
 
-// maxPartLength bounds a head, and a body, in bytes: far over any that the registry sends.
+// maxPartLength is the largest length of a head and of a body in bytes, far above those that the registry sends.
 const maxPartLength = 8 << 10
 
 // Causes of a malformed response or report.
 var (
-	errUnterminatedHead = errors.New("a head without end")
-	errStatusLine       = errors.New("no status line")
-	errStatus           = errors.New("no status")
-	errBodyLength       = errors.New("no length of the body")
-	errChunkedBody      = errors.New("a body in chunks")
-	errUnknownDuty      = errors.New("report: neither on nor off")
+	errUnterminatedHead = fmt.Errorf("no end of the head within %d bytes", maxPartLength)
+	errStatusLine       = errors.New("first line is not an HTTP/1 status line")
+	errStatus           = errors.New("status is not a number")
+	errBodyLength       = fmt.Errorf("content length is not a number from 0 to %d", maxPartLength)
+	errChunkedBody      = errors.New("transfer encoding of the body is not supported")
+	errUnknownDuty      = fmt.Errorf("duty of the report is neither %q nor %q", dutyOn, dutyOff)
 )
 
-// malformed returns the error for a message. Its offset is 0, as a head is parsed as a whole.
+// malformed returns the error for a message. Its offset is 0 because a head is parsed as a whole.
 func malformed(cause error) error { return &wire.ProtocolError{Protocol: "roster", Err: cause} }
--- a/internal/wire/roster/registry.go
+++ b/internal/wire/roster/registry.go
@@ -9,17 +9,17 @@
 	"strings"
 )
 
-// This file is the registry's side of the protocol: what a registry reads and writes.
+// This file is the registry's side of the protocol: a registry reads reports and writes responses.
 
-// Report is what a server says of itself.
+// Report is a server's report of its own state.
 type Report struct {
 	Name      string
-	Accepting bool   // it accepts requests
-	Body      string // as received
+	Accepting bool   // the server accepts requests
+	Body      string // request body as received
 }
 
-// ReadReport reads one report. An error of the connection, or of what isn't HTTP, is returned as it is; one of an
-// HTTP request that isn't a report matches wire.ErrMalformed.
+// ReadReport reads one report. It returns an error of the connection or of the HTTP syntax unchanged. The error for
+// an HTTP request that is not a report matches wire.ErrMalformed.
 func ReadReport(in *bufio.Reader) (Report, error) {
 	request, err := http.ReadRequest(in)
 	if err != nil {
@@ -31,11 +31,11 @@
 	}
 	name, found := strings.CutPrefix(request.URL.Path, pathPrefix)
 	if request.Method != http.MethodPut || !found || name == "" {
-		return Report{}, malformed(fmt.Errorf("no report: %s %.40q", request.Method, request.URL.Path))
+		return Report{}, malformed(fmt.Errorf("not a report: %s %.40q", request.Method, request.URL.Path))
 	}
 	var content struct{ Duty string }
 	if err := json.Unmarshal(body, &content); err != nil {
-		return Report{}, malformed(fmt.Errorf("report: %w", err))
+		return Report{}, malformed(fmt.Errorf("body of the report: %w", err))
 	}
 	if content.Duty != dutyOn && content.Duty != dutyOff {
 		return Report{}, malformed(errUnknownDuty)
@@ -43,5 +43,5 @@
 	return Report{Name: name, Accepting: content.Duty == dutyOn, Body: string(body)}, nil
 }
 
-// ReportAccepted is the response to a report that was accepted.
+// ReportAccepted is the registry's response to an accepted report.
 const ReportAccepted = "HTTP/1.1 204 No Content\r\n\r\n"
--- a/internal/wire/roster/registry_test.go
+++ b/internal/wire/roster/registry_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-func TestReadReport_ReadsWhatServerAppends(t *testing.T) {
+func TestReadReport_ReadsReportsOfServer(t *testing.T) {
 	in := bufio.NewReader(bytes.NewReader(AppendReport(AppendReport(nil, "h", "n 3", true), "h", "n3", false)))
 	for _, want := range []Report{{"n 3", true, `{"duty":"on"}`}, {"n3", false, `{"duty":"off"}`}} {
 		if got, err := ReadReport(in); err != nil || got != want {
-			t.Errorf("%+v, %v", got, err)
+			t.Errorf("got %+v, error %v; want %+v", got, err, want)
 		}
 	}
 	if a, n, err := ParseResponse([]byte(ReportAccepted)); err != nil || n != len(ReportAccepted) || a.Status != 204 {
-		t.Errorf("%+v, %d, %v", a, n, err)
+		t.Errorf("%q: got %+v, length %d, error %v; want status 204", ReportAccepted, a, n, err)
 	}
 	for _, bad := range []string{
 		"GET /roster/n3 HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -24,7 +24,7 @@
 		"nonsense\r\n\r\n",
 	} {
 		if r, err := ReadReport(bufio.NewReader(strings.NewReader(bad))); err == nil {
-			t.Errorf("%q: %+v", bad, r)
+			t.Errorf("%q: got %+v without an error", bad, r)
 		}
 	}
 }
--- a/internal/wire/roster/response.go
+++ b/internal/wire/roster/response.go
@@ -8,11 +8,11 @@
 // Response is the registry's response to one report.
 type Response struct {
 	Status int
-	Close  bool // the connection takes no further report
+	Close  bool // the registry closes the connection after this response
 }
 
-// ParseResponse reads the response at the start of data and returns its length, or 0 if data holds only a part of it.
-// An error matches wire.ErrMalformed and means that nothing of data can be parsed.
+// ParseResponse parses the response at the start of data and returns its length, or 0 if data holds only a part of
+// it. An error matches wire.ErrMalformed and means that the rest of data can't be parsed either.
 func ParseResponse(data []byte) (response Response, length int, err error) {
 	end := bytes.Index(data, []byte(headEnd))
 	if end < 0 {
@@ -32,13 +32,13 @@
 	return head.response, length, nil
 }
 
-// responseHead is what the head of a response tells.
+// responseHead is the parsed head of a response.
 type responseHead struct {
 	response   Response
 	bodyLength int
 }
 
-// parseHead reads the status line and the headers.
+// parseHead parses the status line and the headers.
 func parseHead(text []byte) (head responseHead, err error) {
 	lines := bytes.Split(text, []byte(lineEnd))
 	head.response, err = parseStatusLine(lines[0])
@@ -53,7 +53,7 @@
 	return head, nil
 }
 
-// parseStatusLine reads the protocol version and the status.
+// parseStatusLine parses the protocol version and the status. Connections of HTTP/1.0 are closed after a response.
 func parseStatusLine(line []byte) (response Response, err error) {
 	words := bytes.Fields(line)
 	if len(words) < 2 || !bytes.HasPrefix(words[0], []byte("HTTP/1.")) {
@@ -67,7 +67,7 @@
 	return response, nil
 }
 
-// parseHeader reads one header. Those that matter neither to the response nor to the body's length are ignored.
+// parseHeader parses one header. It ignores headers that affect neither the response nor the length of its body.
 func (h *responseHead) parseHeader(line []byte) (err error) {
 	key, value, _ := bytes.Cut(line, []byte(":"))
 	text := string(bytes.ToLower(bytes.TrimSpace(value)))
--- a/internal/wire/rpc/errors.go
+++ b/internal/wire/rpc/errors.go
@@ -25,8 +25,8 @@
 	errParameters   = errors.New("parameters are not an array of fields and body")
 	errMissingField = fmt.Errorf("a required field is missing; required are %s, %s and %s",
 		fieldID, fieldArrivedAt, fieldMemory)
-	errBodyType     = errors.New("body is not bytes")
-	errBodyTooLong  = fmt.Errorf("body of more than %d bytes", maxBody)
+	errBodyType    = errors.New("body is not bytes")
+	errBodyTooLong = fmt.Errorf("body of more than %d bytes", maxBody)
 )
 
 // Causes of a FieldError.
--- a/internal/wire/simulator/batch.go
+++ b/internal/wire/simulator/batch.go
@@ -12,17 +12,17 @@
 	"swiftcourse/internal/wire"
 )
 
-// readBuffer holds most lines, in bytes; a longer one is assembled in Reader.longLine.
+// readBuffer is the size of a Reader's buffer in bytes. Longer lines are assembled in Reader.longLine.
 const readBuffer = 1 << 20
 
-// Change tells what an event means for the lifecycle of its instance.
+// Change is the change that an event means for the lifecycle of its instance.
 type Change uint8
 
-// The changes of an instance.
+// The lifecycle changes of an instance.
 const (
-	ChangeNone    Change = iota // the instance goes on; Event holds what happened
-	ChangeStarted               // a new instance, with Seed and Settings
-	ChangeCrashed               // the process crashed
+	ChangeNone    Change = iota // no change; the field Event of the entry is set
+	ChangeStarted               // the instance started, with Seed and Settings
+	ChangeCrashed               // the process of the instance crashed
 )
 
 // String returns the change's name, for logs and tests.
@@ -39,28 +39,28 @@
 	}
 }
 
-// Event is one entry of a batch.
+// Event is one entry of a batch. Its field Event is valid with ChangeNone only.
 type Event struct {
-	Instance string // the name of the simulated server
+	Instance string // name of the simulated server
 	Change   Change
 	Seed     int64     // with ChangeStarted
 	Settings *Settings // with ChangeStarted
 	Event    admission.Event
 }
 
-// Batch is what the simulator sends at one moment.
+// Batch holds the events that the simulator sends at one time.
 type Batch struct {
-	Now    float64 // seconds
+	Now    float64 // time of the simulation in seconds
 	Events []Event
 }
 
-// Reader reads batches, one a line.
+// Reader reads batches, one per line.
 type Reader struct {
 	in       *bufio.Reader
 	longLine []byte
 	parser   fastjson.Parser
 	batch    Batch
-	gauges   map[string][]string // the gauges of each instance, in the order in which they come
+	gauges   map[string][]string // names of the gauges of each instance, in the order in which events have them
 }
 
 // NewReader returns a reader of batches from in.
@@ -68,8 +68,9 @@
 	return &Reader{in: bufio.NewReaderSize(in, readBuffer), gauges: map[string][]string{}}
 }
 
-// ReadBatch returns the next batch, good until the call after, or io.EOF at the end of input. An error that isn't
-// of the input matches wire.ErrMalformed; one of an event is an EventError.
+// ReadBatch returns the next batch, which is valid until the next call, or io.EOF at the end of the input. The error
+// for a line that is not a valid batch matches wire.ErrMalformed, and wraps an EventError if one event is invalid.
+// Other errors are those of the underlying reader.
 func (r *Reader) ReadBatch() (*Batch, error) {
 	line, err := r.readLine()
 	if err != nil {
@@ -97,7 +98,7 @@
 	return &r.batch, nil
 }
 
-// readLine returns the next line that isn't blank, without its end.
+// readLine returns the next line that is not blank, without trailing white space.
 func (r *Reader) readLine() ([]byte, error) {
 	for {
 		line, err := r.readRawLine()
@@ -111,7 +112,7 @@
 	}
 }
 
-// readRawLine returns what there is up to the next line end or error; a line that overruns the buffer is
+// readRawLine returns the input up to the next line end or error. A line that is longer than the buffer is
 // assembled in longLine.
 func (r *Reader) readRawLine() ([]byte, error) {
 	r.longLine = r.longLine[:0]
@@ -127,7 +128,7 @@
 	return r.longLine, err
 }
 
-// trimRight cuts off spaces and control characters at the end.
+// trimRight removes trailing spaces and control characters.
 func trimRight(line []byte) []byte {
 	for len(line) > 0 && line[len(line)-1] <= ' ' {
 		line = line[:len(line)-1]
--- a/internal/wire/simulator/batch_test.go
+++ b/internal/wire/simulator/batch_test.go
@@ -22,21 +22,21 @@
 func TestReader_ReadsStartOfInstance(t *testing.T) {
 	b, err := NewReader(strings.NewReader(startBatch + "\n")).ReadBatch()
 	if err != nil || len(b.Events) != 1 || b.Events[0].Change != ChangeStarted || b.Events[0].Seed != 7 {
-		t.Fatalf("%+v, %v", b, err)
+		t.Fatalf("got %+v, error %v; want one start of an instance with seed 7", b, err)
 	}
 	settings := b.Events[0].Settings
 	if settings.Deployment.Downstream != "shared" || settings.Deployment.Cores != 6 || settings.Servers != 9 {
-		t.Fatalf("%+v", settings)
+		t.Fatalf("got deployment and servers of %+v; want shared, 6 cores and 9 servers", settings)
 	}
 	if len(settings.Classes) != 1 || settings.Classes[0].Idempotency != "deduplicated" ||
 		settings.Classes[0].DeduplicationWindowMs != 2000 {
-		t.Fatalf("%+v", settings)
+		t.Fatalf("got classes of %+v; want one, deduplicated in a window of 2000 ms", settings)
 	}
 }
 
 func TestReader_ReadsBatches(t *testing.T) {
 	r := NewReader(strings.NewReader(startBatch + "\n\n" + batch + "\n"))
-	if _, err := r.ReadBatch(); err != nil { // the gauges of the batch after are in the order of these settings
+	if _, err := r.ReadBatch(); err != nil { // sets the order of the gauges in the next batch
 		t.Fatal(err)
 	}
 	b, err := r.ReadBatch()
@@ -65,7 +65,7 @@
 		},
 	}
 	if err != nil || b.Now != 2.5005 || len(b.Events) != 3 {
-		t.Fatalf("%+v, %v", b, err)
+		t.Fatalf("got %+v, error %v; want 3 events at 2.5005 s", b, err)
 	}
 	for i, e := range b.Events {
 		if !reflect.DeepEqual(e.Event, want[i]) {
@@ -73,7 +73,7 @@
 		}
 	}
 	if _, err := r.ReadBatch(); !errors.Is(err, io.EOF) {
-		t.Fatalf("end of input: %v", err)
+		t.Fatalf("end of input: got error %v, want %v", err, io.EOF)
 	}
 }
 
@@ -86,11 +86,11 @@
 	})
 	if err := w.Flush(); err != nil || out.String() !=
 		`{"cmds":[["BUSY","server/3","id",250.000,true],["STATUS","server/3",false,true]]}`+"\n" {
-		t.Fatalf("%q, %v", out.String(), err)
+		t.Fatalf("got %q, error %v; want commands BUSY and STATUS in one reply", out.String(), err)
 	}
 }
 
-func TestReader_RefusesMalformed(t *testing.T) {
+func TestReader_RejectsMalformed(t *testing.T) {
 	for _, in := range []string{
 		"{",
 		`{"timeMs":1}`,
@@ -100,7 +100,7 @@
 	} {
 		_, err := NewReader(strings.NewReader(in)).ReadBatch()
 		if !errors.Is(err, wire.ErrMalformed) || errors.Is(err, io.EOF) {
-			t.Errorf("%s: error %v", in, err)
+			t.Errorf("%s: got error %v, want %v and not %v", in, err, wire.ErrMalformed, io.EOF)
 		}
 	}
 }
@@ -110,6 +110,6 @@
 	_, err := NewReader(strings.NewReader(line)).ReadBatch()
 	var eventError *EventError
 	if !errors.As(err, &eventError) || eventError.Index != 1 || !errors.Is(err, errMissingSettings) {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want %v in event 1", err, errMissingSettings)
 	}
 }
--- a/internal/wire/simulator/doc.go
+++ b/internal/wire/simulator/doc.go
@@ -1,9 +1,9 @@
-// Package simulator is the codec of shale-6a31, the protocol of the simulator: it reads batches of
-// events, one a line, appends replies and maps the names on the wire to the types of package
+// Package simulator is the codec of shale-6a31, the protocol of the simulator. It reads batches of
+// events, one per line, writes replies, and maps the names on the wire to the types of package
 // admission.
 //
-// Nothing is decided here. A Reader has the state that parsing needs: its buffers, and which gauges
-// each instance was started with. A Writer has the reply that is being written.
+// It makes no decisions. The state of a Reader is what parsing needs: its buffers and the names of
+// the gauges of each instance. The state of a Writer is the reply that is being written.
 //
 // The names on the wire and the Go names:
 //
@@ -17,5 +17,5 @@
 //	STATUS      SetHealth             HINT_OUT      ReportLoad         REAP_AFTER  SetIdleTimeout
 //	SCHEDULE    SetTimer              LOG           LogLine            PANIC       Writer.AddPanic
 //
-// The settings' keys stand at the fields of Settings.
+// The keys of the settings are in the tags of type Settings.
 package simulator
--- a/internal/wire/simulator/event.go
+++ b/internal/wire/simulator/event.go
@@ -23,7 +23,7 @@
 	eventDeadlineHit = "DEADLINE_HIT"
 )
 
-// The indexes of the elements of an event. What is at 2 and after depends on the event.
+// The indexes of the elements of an event. Elements from index 2 on depend on the event.
 const (
 	indexName      = 0
 	indexInstance  = 1
@@ -67,10 +67,10 @@
 	gaugeConnections = "sockets"
 )
 
-// unknownGauge is the value of a gauge that isn't reported.
+// unknownGauge is the value of a gauge that is not reported.
 const unknownGauge = -1
 
-// outcomes are the outcomes of runs and calls by their names on the wire.
+// outcomes holds the outcomes of runs and calls by their names on the wire.
 var outcomes = map[string]admission.Outcome{
 	"ok":             admission.Finished,
 	"error":          admission.Failed,
@@ -82,7 +82,7 @@
 	"moot":           admission.NeverStarted,
 }
 
-// readEvent appends one entry to the batch. Events of unknown names are ignored.
+// readEvent parses one event and appends it to the batch. Events with unknown names are ignored.
 func (r *Reader) readEvent(elements []*fastjson.Value) error {
 	name := text(elements, indexName)
 	instance := text(elements, indexInstance)
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// readStart reads the seed and settings of a new instance.
+// readStart parses the seed and settings of a new instance.
 func (r *Reader) readStart(entry *Event, elements []*fastjson.Value) error {
 	if len(elements) <= indexSettings {
 		return errMissingSettings
@@ -136,13 +136,13 @@
 	entry.Seed = elements[indexSeed].GetInt64()
 	entry.Settings = new(Settings)
 	if err := json.Unmarshal(elements[indexSettings].MarshalTo(nil), entry.Settings); err != nil {
-		return fmt.Errorf("BORN settings: %w", err)
+		return fmt.Errorf("settings of event BORN: %w", err)
 	}
 	r.gauges[entry.Instance] = entry.Settings.Deployment.Gauges
 	return nil
 }
 
-// readRequest reads the request of an arrival.
+// readRequest parses the request of an arrival.
 func readRequest(elements []*fastjson.Value) admission.Request {
 	flags := int(number(elements, indexFlags))
 	request := admission.Request{
@@ -165,7 +165,8 @@
 	return request
 }
 
-// readOutcome reads how a run or call ended. An unknown outcome proves nothing, as a failure does.
+// readOutcome parses the outcome and duration of a run or call. Nothing is known about a run or call with an unknown
+// outcome, as with a failed one, so it is admission.Failed.
 func readOutcome(event *admission.Event, elements []*fastjson.Value) {
 	outcome, known := outcomes[text(elements, indexOutcome)]
 	if !known {
@@ -175,7 +176,7 @@
 	event.Duration = seconds(elements, indexDuration)
 }
 
-// readGauges reads the gauges that an instance was started with, in this order.
+// readGauges parses the gauges with the given names, which are in the order of the event. Others are unknownGauge.
 func readGauges(names []string, elements []*fastjson.Value) admission.Gauges {
 	gauges := admission.Gauges{
 		Utilization: unknownGauge,
@@ -186,16 +187,16 @@
 	if len(elements) <= indexGauges || elements[indexGauges].Type() != fastjson.TypeArray {
 		return gauges
 	}
-	row := elements[indexGauges].GetArray()
+	values := elements[indexGauges].GetArray()
 	for i, name := range names {
-		if i < len(row) && row[i].Type() == fastjson.TypeNumber {
-			SetGauge(&gauges, name, number(row, i))
+		if i < len(values) && values[i].Type() == fastjson.TypeNumber {
+			SetGauge(&gauges, name, number(values, i))
 		}
 	}
 	return gauges
 }
 
-// SetGauge sets the gauge that the settings call name. An unknown one is ignored.
+// SetGauge sets the gauge with this name in the settings. An unknown name is ignored.
 func SetGauge(gauges *admission.Gauges, name string, value float64) {
 	switch name {
 	case gaugeUtilization:
@@ -209,7 +210,7 @@
 	}
 }
 
-// text returns the string at index, or "" for what is absent, null or of another type.
+// text returns the string at index, or "" if it is absent, null or of another type.
 func text(elements []*fastjson.Value, index int) string {
 	if index >= len(elements) {
 		return ""
@@ -217,7 +218,7 @@
 	return string(elements[index].GetStringBytes())
 }
 
-// number returns the number at index, or 0 for what is absent, null or of another type.
+// number returns the number at index, or 0 if it is absent, null or of another type.
 func number(elements []*fastjson.Value, index int) float64 {
 	if index >= len(elements) {
 		return 0
@@ -225,7 +226,7 @@
 	return elements[index].GetFloat64()
 }
 
-// seconds returns the number of milliseconds at index in seconds.
+// seconds returns the duration at index, which is in milliseconds, in seconds.
 func seconds(elements []*fastjson.Value, index int) float64 {
 	return number(elements, index) / wire.MillisecondsPerSecond
 }
--- a/internal/wire/simulator/writer.go
+++ b/internal/wire/simulator/writer.go
@@ -11,7 +11,7 @@
 	"swiftcourse/internal/wire"
 )
 
-// writeBuffer is the size of a Writer's buffer, in bytes.
+// writeBuffer is the size of a Writer's buffer in bytes.
 const writeBuffer = 1 << 16
 
 // The start and end of a reply.
@@ -20,10 +20,10 @@
 	replyEnd   = "]}\n"
 )
 
-// commandPanic reports that an instance's decisions panicked.
+// commandPanic is the name of the command that reports a panic in an instance.
 const commandPanic = "PANIC"
 
-// commands are the names of actions.
+// commands holds the names of actions on the wire.
 var commands = map[admission.ActionKind]string{
 	admission.StartRun:       "BEGIN",
 	admission.CancelRun:      "TAKE_OFF",
@@ -85,14 +85,14 @@
 	w.end()
 }
 
-// AddPanic adds that the instance's decisions panicked, and the value of the panic.
+// AddPanic adds the report that the decisions of an instance panicked, with the value of the panic.
 func (w *Writer) AddPanic(instance, value string) {
 	w.begin(commandPanic, instance)
 	w.appendText(value)
 	w.end()
 }
 
-// Flush ends the reply and sends it.
+// Flush ends the reply, writes it and starts the next one.
 func (w *Writer) Flush() error {
 	w.reply = append(w.reply, replyEnd...)
 	_, err := w.out.Write(w.reply)
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// begin starts a command, which is an array of its name, the instance and arguments.
+// begin starts a command, which is an array of its name, the instance and its arguments.
 func (w *Writer) begin(name, instance string) {
 	if w.reply[len(w.reply)-1] == ']' {
 		w.reply = append(w.reply, ',')
@@ -127,12 +127,12 @@
 	w.reply = append(w.reply, quoted...)
 }
 
-// appendMilliseconds appends a duration that is given in seconds.
+// appendMilliseconds appends a duration in seconds as an argument in milliseconds.
 func (w *Writer) appendMilliseconds(seconds float64) {
 	w.reply = strconv.AppendFloat(append(w.reply, ','), seconds*wire.MillisecondsPerSecond, 'f', 3, 64)
 }
 
-// appendBool appends a flag.
+// appendBool appends a bool argument.
 func (w *Writer) appendBool(flag bool) {
 	w.reply = strconv.AppendBool(append(w.reply, ','), flag)
 }
