--- a/internal/wire/processor/notice.go
+++ b/internal/wire/processor/notice.go
@@ -46,7 +46,7 @@
 	Serial   int64 // serial number, 0 if the line has none
 	ID       string
 	Outcome  admission.Outcome // with NoticeRunEnded: outcome of the run
-	Cold     bool              // with NoticeHello: the executor was cold when it started
+	Cold     bool              // with NoticeHello: the executor was cold at its start
 	Detail   string            // name of the state, outcome or command on the wire
 	Duration float64           // in seconds: of the run, or since the start of the executor
 	Body     []byte
--- a/internal/wire/rpc/fields.go
+++ b/internal/wire/rpc/fields.go
@@ -11,7 +11,7 @@
 // Bounds of a request's fields. A number must be less than its maximum.
 const (
 	maxID               = 64   // bytes
-	maxKey              = 128  // bytes; twice maxID, a bound because a key is kept for the whole deduplication window
+	maxKey              = 128  // bytes; bounded because a key is stored for the deduplication window
 	maxUnixMilliseconds = 1e15 // ms since the Unix epoch
 	maxMilliseconds     = 1e12 // ms, for durations
 	minMemory           = 1e-9 // KiB
--- a/internal/wire/rpc/request.go
+++ b/internal/wire/rpc/request.go
@@ -92,7 +92,7 @@
 		return parseRequest(input)
 	case messageType.number == typeNotification && frame.length == notificationLength:
 		return parseNotification(input)
-	case messageType.number == typeResponse && frame.length == responseLength: // ignored: a server sends no requests
+	case messageType.number == typeResponse && frame.length == responseLength: // ignored: servers send no requests
 		for range responseLength - 1 {
 			input.readRaw()
 		}
