--- a/internal/wire/rpc/client.go
+++ b/internal/wire/rpc/client.go
@@ -7,15 +7,15 @@
 	"swiftcourse/internal/wire"
 )
 
-// This file and client_response.go are the client's side of the protocol: a load balancer appends requests and
-// parses responses.
+// This file and client_response.go are the client's side of the protocol: a load balancer appends
+// requests and parses responses.
 
 // fixedDecimals is the number of decimal places of memory and priority on the wire.
 const fixedDecimals = 6
 
-// AppendRequest appends a request, which ParseMessage parses as a KindRequest. The arrival time and the timeout
-// are rounded to whole milliseconds, memory and priority to six decimal places. Optional fields that are not set
-// are omitted.
+// AppendRequest appends a request, which ParseMessage parses as a KindRequest. The arrival time and
+// the timeout are rounded to whole milliseconds, memory and priority to six decimal places.
+// Optional fields that are not set are omitted.
 func AppendRequest(b []byte, message *Message) []byte {
 	b = appendRequestHead(b, message.Number)
 	b = appendString(b, message.Class)
@@ -53,7 +53,8 @@
 	return strconv.FormatFloat(math.Round(seconds*wire.MillisecondsPerSecond), 'f', -1, 64)
 }
 
-// AppendCancel appends the notification that the client no longer waits for the response to a request.
+// AppendCancel appends the notification that the client no longer waits for the response to a
+// request.
 func AppendCancel(b []byte, number uint64) []byte {
 	b = appendNotificationHead(b, methodCancel)
 	return appendNumber(append(b, formatFixArray|1), number)
--- a/internal/wire/rpc/client_response.go
+++ b/internal/wire/rpc/client_response.go
@@ -15,7 +15,7 @@
 	ResponseFailed                       // any other error
 	ResponseHealth                       // the response to a health check
 	ResponseGoAway                       // not a response: the server wants no new requests on the connection
-	ResponseOther                        // any other message; it is to be ignored
+	ResponseOther                        // any other message, which clients ignore
 )
 
 // String returns the kind's name, for logs and tests.
@@ -43,17 +43,18 @@
 	Kind      ResponseKind
 	Number    uint64 // number of the request
 	Result    []byte
-	Healthy   bool   // set with ResponseHealth only
+	Healthy   bool   // result of the health check, valid with ResponseHealth only
 	ErrorName string // name of the error on the wire, "" if there is none
 	Metadata  ResponseMetadata
 }
 
-// maxResponseFrame is the largest size of a response in bytes: a result of 4 KiB and its fields, with room to
-// spare.
+// maxResponseFrame is the largest size of a response in bytes: a result of 4 KiB and its fields,
+// with room to spare.
 const maxResponseFrame = 16 << 10
 
-// ParseResponse parses the message at the start of b and returns its length, or 0 if b holds only a part of it.
-// An error matches wire.ErrMalformed and means that the rest of b can't be parsed either.
+// ParseResponse parses the message at the start of b and returns its length, or 0 if b holds only a
+// part of it. An error matches wire.ErrMalformed and means that the rest of b can't be parsed
+// either.
 func ParseResponse(b []byte) (response Response, length int, err error) {
 	input := decoder{data: b}
 	response = parseServerMessage(&input)
@@ -84,7 +85,7 @@
 	case messageType.number == typeResponse && frame.length == responseLength:
 		return parseResponse(input)
 	}
-	input.err = errNotResponse
+	input.err = fmt.Errorf("%w: type %d, %d elements", errNotResponse, messageType.number, frame.length)
 	return Response{}
 }
 
@@ -154,11 +155,12 @@
 	return err
 }
 
-// parseMetadata parses the fields of a response. It ignores unknown fields and those that are not strings.
+// parseMetadata parses the fields of a response. It ignores unknown fields and those that are not
+// strings.
 func parseMetadata(input *decoder) (metadata ResponseMetadata, err error) {
 	fields := input.read()
 	if input.err != nil || fields.kind != kindMap {
-		return metadata, errNoFields
+		return metadata, errFieldsType
 	}
 	for range fields.length {
 		name := input.read()
--- a/internal/wire/rpc/client_test.go
+++ b/internal/wire/rpc/client_test.go
@@ -137,7 +137,8 @@
 		for len(b) > 0 {
 			_, n, err := ParseMessage(b)
 			if n < 0 || n > len(b) || n > MaxFrame || err != nil && n != 0 {
-				t.Fatalf("got length %d of %d bytes, error %v", n, len(b), err)
+				t.Fatalf("got length %d of %d bytes, error %v; want a length within the input and MaxFrame (%d), "+
+					"0 after an error", n, len(b), err, MaxFrame)
 			}
 			if n == 0 {
 				return
@@ -153,7 +154,8 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		response, n, err := ParseResponse(b)
 		if n < 0 || n > len(b) || err != nil && n != 0 || len(response.Result) > n {
-			t.Fatalf("got %+v, length %d of %d bytes, error %v", response, n, len(b), err)
+			t.Fatalf("got %+v, length %d of %d bytes, error %v; want a length within the input, 0 after an error, "+
+				"and no result longer than the message", response, n, len(b), err)
 		}
 	})
 }
--- a/internal/wire/rpc/decoder.go
+++ b/internal/wire/rpc/decoder.go
@@ -18,7 +18,8 @@
 	kindMap
 )
 
-// The format bytes of MessagePack, with which a value starts. A constant for a range is its first byte.
+// The format bytes of MessagePack, with which a value starts. A constant for a range is its first
+// byte.
 const (
 	formatFixMap      = 0x80
 	formatFixArray    = 0x90
@@ -49,8 +50,8 @@
 	formatFixNegative = 0xe0
 )
 
-// maxDepth limits the nesting of values, which bounds the recursion on malicious input. Valid messages nest less
-// deeply.
+// maxDepth limits the nesting of values, which bounds the recursion on malicious input. Valid
+// messages nest less deeply.
 const maxDepth = 16
 
 // value is one MessagePack value. An array or map does not include its elements.
@@ -61,7 +62,8 @@
 	data   []byte // content of a string or binary
 }
 
-// Causes of a value that can't be decoded. errTruncated is the only one that more input can resolve.
+// Causes of a value that can't be decoded. errTruncated is the only one that more input can
+// resolve.
 var (
 	errTruncated     = errors.New("input ends inside a value")
 	errValueTooLong  = fmt.Errorf("value of more than %d bytes", MaxFrame)
@@ -76,7 +78,7 @@
 	err    error
 }
 
-// take consumes the next bytes and returns them, or nil after an error.
+// take consumes and returns the next length bytes, or returns nil after an error.
 func (d *decoder) take(length int) []byte {
 	switch {
 	case d.err != nil:
@@ -105,10 +107,12 @@
 	return int64(d.uint(width)<<unused) >> unused
 }
 
-// length reads a big-endian length. It returns MaxFrame+1 for lengths above MaxFrame, which take rejects.
+// length reads a big-endian length. It returns MaxFrame+1 for lengths above MaxFrame, which take
+// rejects.
 func (d *decoder) length(width int) int { return int(min(d.uint(width), MaxFrame+1)) }
 
-// read reads one value. For an array or map it reads only the length; the next reads return the elements.
+// read reads one value. For an array or map it reads only the length; the next reads return the
+// elements.
 func (d *decoder) read() value {
 	first := d.take(1)
 	if d.err != nil {
@@ -157,7 +161,7 @@
 	case format == formatMap16, format == formatMap32:
 		return value{kind: kindMap, length: d.length(2 << (format - formatMap16))}
 	}
-	d.err = errInvalidFormat
+	d.err = fmt.Errorf("%w %#x", errInvalidFormat, format)
 	return value{}
 }
 
--- a/internal/wire/rpc/encoder.go
+++ b/internal/wire/rpc/encoder.go
@@ -2,8 +2,9 @@
 
 import "encoding/binary"
 
-// maxWrittenString is the largest length of an encoded string in bytes. Longer strings are truncated.
-const maxWrittenString = 255
+// maxEncodedString is the largest length of an encoded string in bytes. Longer strings are
+// truncated.
+const maxEncodedString = 255
 
 // appendNumber appends an integer.
 func appendNumber(b []byte, number uint64) []byte {
@@ -16,13 +17,13 @@
 	return binary.BigEndian.AppendUint64(append(b, formatUint64), number)
 }
 
-// appendString appends a string, truncated to maxWrittenString bytes.
+// appendString appends a string, truncated to maxEncodedString bytes.
 func appendString(b []byte, text string) []byte {
-	if len(text) < formatNil-formatFixStr {
+	if len(text) < formatNil-formatFixStr { // the length fits into the format byte
 		b = append(b, formatFixStr|byte(len(text)))
 		return append(b, text...)
 	}
-	text = text[:min(len(text), maxWrittenString)]
+	text = text[:min(len(text), maxEncodedString)]
 	b = append(b, formatStr8, byte(len(text)))
 	return append(b, text...)
 }
--- a/internal/wire/rpc/errors.go
+++ b/internal/wire/rpc/errors.go
@@ -9,24 +9,25 @@
 
 // Causes of a malformed message.
 var (
-	errMessageShape    = errors.New("message is not an array that starts with a message type")
-	errRequestHead     = errors.New("message id is not an integer or method is not a string")
-	errMessageTooLong  = fmt.Errorf("message of more than %d bytes", MaxFrame)
-	errNotResponse     = errors.New("message is neither a response nor a notification")
+	errMessageShape = fmt.Errorf("message is not an array of %d or %d elements that starts with an integer type",
+		notificationLength, requestLength)
+	errRequestHead    = errors.New("message id is not an integer or method is not a string")
+	errMessageTooLong = fmt.Errorf("message of more than %d bytes", MaxFrame)
+	errNotResponse    = fmt.Errorf("message is neither a response (type %d) nor a notification (type %d)",
+		typeResponse, typeNotification)
 	errErrorShape      = errors.New("error of the response is not an array of name and fields")
 	errResultShape     = errors.New("result of the response is not an array of body and fields")
-	errResultType      = errors.New("result of the response is neither bytes nor a health state")
-	errNoFields        = errors.New("fields of the response are not a map")
+	errResultType      = errors.New("result of the response is neither binary, string nor bool")
+	errFieldsType      = errors.New("fields of the response are not a map")
 	errFieldsTruncated = errors.New("fields are incomplete")
 )
 
 // Causes of an invalid request, in addition to FieldError.
 var (
 	errParameters   = errors.New("parameters are not an array of fields and body")
-	errMissingField = fmt.Errorf("a required field is missing; required are %s, %s and %s",
-		fieldID, fieldArrivedAt, fieldMemory)
-	errBodyType    = errors.New("body is not bytes")
-	errBodyTooLong = fmt.Errorf("body of more than %d bytes", maxBody)
+	errMissingField = errors.New("a required field is missing")
+	errBodyType     = errors.New("body is neither binary nor a string")
+	errBodyTooLong  = fmt.Errorf("body of more than %d bytes", maxBody)
 )
 
 // Causes of a FieldError.
--- a/internal/wire/rpc/fields.go
+++ b/internal/wire/rpc/fields.go
@@ -11,10 +11,10 @@
 // Bounds of a request's fields. A number must be less than its maximum.
 const (
 	maxID               = 64   // bytes
-	maxKey              = 128  // bytes; bounded because a key is stored for the deduplication window
+	maxKey              = 128  // bytes, twice maxID; bounded because a key is stored for its deduplication window
 	maxUnixMilliseconds = 1e15 // ms since the Unix epoch
 	maxMilliseconds     = 1e12 // ms, for durations
-	minMemory           = 1e-9 // KiB
+	minMemory           = 1e-9 // KiB; excludes 0
 	maxMemory           = 2000 // KiB
 	maxPriority         = 1
 )
@@ -22,7 +22,7 @@
 // fieldSet has a bit for each required field that is present in a request.
 type fieldSet uint8
 
-// The fields that a request needs in every deployment.
+// The required fields: without one of them, no deployment can decide on a request.
 const (
 	hasID fieldSet = 1 << iota
 	hasArrivedAt
@@ -31,8 +31,8 @@
 	requiredFields = hasID | hasArrivedAt | hasMemory
 )
 
-// parseField sets the named field and returns its bit if it is required. Unknown fields are ignored, whatever
-// their content.
+// parseField sets the named field and returns its bit if it is required. Unknown fields are
+// ignored, whatever their content.
 func (m *Message) parseField(name string, content value) (fieldSet, error) {
 	switch name {
 	case fieldID, fieldArrivedAt, fieldClient, fieldTenant, fieldTimeout, fieldMemory, fieldPriority,
@@ -53,7 +53,7 @@
 		m.ID = text
 		required = hasID
 		if !isID(text) {
-			err = errInvalidID
+			err = fmt.Errorf("%w: %.20q", errInvalidID, text)
 		}
 	case fieldArrivedAt:
 		m.ArrivedAt, err = parseMilliseconds(text, 0, maxUnixMilliseconds)
@@ -67,7 +67,7 @@
 	case fieldClient:
 		m.Client, err = strconv.Atoi(text)
 		if m.Client < 0 {
-			err = errNegative
+			err = fmt.Errorf("%w: %.20q", errNegative, text)
 		}
 	case fieldPriority:
 		m.Priority, err = parseNumber(text, 0, maxPriority)
@@ -103,7 +103,8 @@
 	return number, nil
 }
 
-// isID reports whether text is a valid id. The text protocols of the other links allow no other characters.
+// isID reports whether text is a valid id. The text protocols of the other links allow no other
+// characters.
 func isID(text string) bool {
 	for _, char := range []byte(text) {
 		switch {
--- a/internal/wire/rpc/request.go
+++ b/internal/wire/rpc/request.go
@@ -5,7 +5,8 @@
 	"fmt"
 )
 
-// MaxFrame is the largest size of a message in bytes: a body of 2 KiB, its fields, and room for future fields.
+// MaxFrame is the largest size of a message in bytes: a body of 2 KiB, its fields, and room for
+// future fields.
 const MaxFrame = 16 << 10
 
 // maxBody is the largest size of a request body in bytes.
@@ -45,22 +46,23 @@
 	ID           string // id of the request, the same on all links
 	Class        string
 	Tenant       string
-	Subject      string  // "" if it names none
+	Subject      string  // subject of the request, "" if there is none
 	Key          string  // idempotency key, shared by all attempts of a request; "" if there is none
 	Retry        bool    // this attempt is a retry, if clients mark retries
 	ExpectedWork float64 // expected work in seconds of a standard core, 0 if unknown
 	ArrivedAt    float64 // Unix time in seconds at which the request reached the client
 	Timeout      float64 // seconds from ArrivedAt for which the client waits, 0 with NoTimeout
 	NoTimeout    bool    // the request has no timeout
-	Client       int
+	Client       int     // index of the client
 	Memory       float64 // memory that the request needs, in KiB
 	Priority     float64 // at least 0 and less than 1
 	Body         []byte
-	Invalid      error // why a complete request, which still needs a response, is invalid; nil if it is valid
+	Invalid      error // why the request is invalid, nil if it is valid; an invalid request needs a response too
 }
 
-// ParseMessage parses the message at the start of b and returns its length, or 0 if b holds only a part of it.
-// An error matches wire.ErrMalformed and means that the rest of b can't be parsed either.
+// ParseMessage parses the message at the start of b and returns its length, or 0 if b holds only a
+// part of it. An error matches wire.ErrMalformed and means that the rest of b can't be parsed
+// either.
 func ParseMessage(b []byte) (message Message, length int, err error) {
 	input := decoder{data: b}
 	message = parseMessage(&input)
@@ -98,7 +100,7 @@
 		}
 		return Message{}
 	}
-	input.err = fmt.Errorf("unknown message type %d", messageType.number)
+	input.err = fmt.Errorf("no message has type %d and %d elements", messageType.number, frame.length)
 	return Message{}
 }
 
@@ -123,7 +125,8 @@
 	return message
 }
 
-// parseNotification parses the elements of a notification after its type. Unknown notifications are ignored.
+// parseNotification parses the elements of a notification after its type. Unknown notifications are
+// ignored.
 func parseNotification(input *decoder) Message {
 	method := input.read()
 	parameters := input.readRaw()
@@ -165,7 +168,8 @@
 		present |= field
 	}
 	if present != requiredFields {
-		return errMissingField
+		return fmt.Errorf("%w: present are %s: %t, %s: %t, %s: %t", errMissingField, fieldID, present&hasID != 0,
+			fieldArrivedAt, present&hasArrivedAt != 0, fieldMemory, present&hasMemory != 0)
 	}
 	return m.parseBody(input)
 }
@@ -177,7 +181,7 @@
 		return errBodyType
 	}
 	if len(body.data) > maxBody {
-		return errBodyTooLong
+		return fmt.Errorf("%w: %d bytes", errBodyTooLong, len(body.data))
 	}
 	m.Body = body.data
 	return nil
--- a/internal/wire/rpc/request_test.go
+++ b/internal/wire/rpc/request_test.go
@@ -47,7 +47,7 @@
 	return b
 }
 
-func TestParseMessage_IncompleteInput(t *testing.T) {
+func TestParseMessage_CompleteAndIncompleteInput(t *testing.T) {
 	for _, c := range []struct {
 		text string
 		want Message
@@ -78,7 +78,7 @@
 		}
 		m, n, err := ParseMessage(whole)
 		if err != nil || n != len(whole)-1 || !reflect.DeepEqual(m, c.want) {
-			t.Errorf("got %+v, length %d, error %v\nwant %+v, length %d", m, n, err, c.want, len(whole)-1)
+			t.Errorf("got  %+v, length %d, error %v\nwant %+v, length %d", m, n, err, c.want, len(whole)-1)
 		}
 	}
 }
@@ -126,7 +126,8 @@
 	}
 }
 
-// In some deployments clients send no timeout. The server decides whether to accept such a request, not the codec.
+// In some deployments clients send no timeout. The server decides whether to accept such a request,
+// not the codec.
 func TestParseMessage_AcceptsMissingTimeout(t *testing.T) {
 	m, _, err := ParseMessage(decodeHex(t, strings.Replace(requestHex, "a374746c", "a374746d", 1)))
 	if err != nil || m.Invalid != nil || !m.NoTimeout || m.Timeout != 0 {
@@ -154,11 +155,11 @@
 	}
 }
 
-func TestParseMessage_NoInputPanics(t *testing.T) {
+func TestParseMessage_NeverPanics(t *testing.T) {
 	whole := decodeHex(t, requestHex)
 	rapid.Check(t, func(t *rapid.T) {
 		b := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "bytes")
-		if rapid.Bool().Draw(t, "near") { // a message with a few bytes changed
+		if rapid.Bool().Draw(t, "changed message") { // a message with a few bytes changed
 			changed := bytes.Clone(whole)
 			for range rapid.IntRange(1, 4).Draw(t, "changes") {
 				changed[rapid.IntRange(0, len(changed)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
@@ -166,12 +167,13 @@
 			b = append(changed, b...)
 		}
 		if _, n, err := ParseMessage(b); n > len(b) || n < 0 || err != nil && n != 0 {
-			t.Fatalf("got length %d of %d bytes, error %v", n, len(b), err)
+			t.Fatalf("got length %d of %d bytes, error %v; want a length within the input, 0 after an error",
+				n, len(b), err)
 		}
 	})
 }
 
-func TestAppendResponses_Bytes(t *testing.T) {
+func TestAppendResponses_ExactBytes(t *testing.T) {
 	metadata := ResponseMetadata{LoadReport: "0.5", RetryAfter: 0.2501, NoFailover: true}
 	for _, c := range []struct {
 		got  []byte
