--- a/internal/wire/fleet/audit.go
+++ b/internal/wire/fleet/audit.go
@@ -37,9 +37,9 @@
 }
 
 func decodeAccount(encoded *Account) (*audit.Account, error) {
-	if len(encoded.GetIntervals()) > maxListEntries {
+	if len(encoded.GetIntervals()) > maxShortListEntries {
 		return nil, fmt.Errorf("%w: %d intervals of an account, limit %d",
-			ErrTooLarge, len(encoded.GetIntervals()), maxListEntries)
+			ErrInvalidSize, len(encoded.GetIntervals()), maxShortListEntries)
 	}
 	account := &audit.Account{
 		Name:             encoded.GetName(),
@@ -77,9 +77,9 @@
 }
 
 func decodeStateRequest(encoded *StateRequestBody) (*StateRequest, error) {
-	if len(encoded.Names) > maxMapEntries {
+	if len(encoded.Names) > maxLongListEntries {
 		return nil, fmt.Errorf("%w: %d names in a state request, limit %d",
-			ErrTooLarge, len(encoded.Names), maxMapEntries)
+			ErrInvalidSize, len(encoded.Names), maxLongListEntries)
 	}
 	request := &StateRequest{
 		RequestID:    encoded.RequestId,
@@ -107,9 +107,9 @@
 }
 
 func decodeStateReply(encoded *StateReplyBody) (*StateReply, error) {
-	if len(encoded.Accounts) > maxMapEntries || len(encoded.Servers) > maxMapEntries {
+	if len(encoded.Accounts) > maxLongListEntries || len(encoded.Servers) > maxLongListEntries {
 		return nil, fmt.Errorf("%w: state reply with %d accounts and %d servers, limit %d each",
-			ErrTooLarge, len(encoded.Accounts), len(encoded.Servers), maxMapEntries)
+			ErrInvalidSize, len(encoded.Accounts), len(encoded.Servers), maxLongListEntries)
 	}
 	reply := &StateReply{RequestID: encoded.RequestId}
 	for _, encodedAccount := range encoded.Accounts {
--- a/internal/wire/fleet/body.go
+++ b/internal/wire/fleet/body.go
@@ -11,7 +11,7 @@
 	decodeLoadPlanBody,
 }
 
-// decodeBody decodes the packet's body into m. An unknown one is ErrUnknownBody.
+// decodeBody decodes the packet's body into m. For an unknown body it returns ErrUnknownBody.
 func (m *Envelope) decodeBody(packet *Packet) error {
 	for _, decode := range bodyDecoders {
 		if known, err := decode(m, packet); known {
@@ -78,8 +78,8 @@
 	return true, err
 }
 
-// decodeSharedBody decodes messages about state that servers share: trusted clients, quotas, and the
-// health of the downstream service.
+// decodeSharedBody decodes messages about state that servers share: trusted clients, quotas, and
+// the health of the downstream service.
 func decodeSharedBody(m *Envelope, packet *Packet) (known bool, err error) {
 	switch body := packet.Body.(type) {
 	case *Packet_TrustRequest:
--- a/internal/wire/fleet/codec.go
+++ b/internal/wire/fleet/codec.go
@@ -10,11 +10,11 @@
 // snapshot of the Raft library with a release log that has reached all of its bounds.
 const MaxEncodedSize = 4 << 20
 
-// DecodeError reports a body that can't be decoded. It matches ErrUnknownBody, ErrTooLarge or
+// DecodeError reports a body that can't be decoded. It matches ErrUnknownBody, ErrInvalidSize or
 // ErrOutOfRange if the body's content is at fault.
 type DecodeError struct {
 	From string // name of the sender
-	Err  error
+	Err  error  // cause, whose text starts with the type of the body
 }
 
 // Error names the sender and the cause.
@@ -53,7 +53,7 @@
 	KindPlanAssignment:     encodePlanAssignment,
 }
 
-// Encode encodes a message. It returns ErrUnknownBody for a message without a body, and ErrTooLarge
+// Encode encodes a message. It returns ErrUnknownBody for a message without a body, and ErrInvalidSize
 // for one over MaxEncodedSize.
 func Encode(m *Envelope) ([]byte, error) {
 	encodeBody := encoders[m.Kind()]
@@ -67,7 +67,8 @@
 	packet := &Packet{From: m.From, Incarnation: m.Incarnation, Addr: m.Addr, Body: body}
 	encoded, err := proto.Marshal(packet)
 	if err == nil && len(encoded) > MaxEncodedSize {
-		return nil, fmt.Errorf("%w: encoded message of %d bytes, limit %d", ErrTooLarge, len(encoded), MaxEncodedSize)
+		return nil, fmt.Errorf("%w: encoded message of %d bytes, limit %d",
+			ErrInvalidSize, len(encoded), MaxEncodedSize)
 	}
 	return encoded, err
 }
@@ -76,7 +77,8 @@
 // *DecodeError, which names the sender.
 func Decode(encoded []byte) (*Envelope, error) {
 	if len(encoded) > MaxEncodedSize {
-		return nil, fmt.Errorf("%w: encoded message of %d bytes, limit %d", ErrTooLarge, len(encoded), MaxEncodedSize)
+		return nil, fmt.Errorf("%w: encoded message of %d bytes, limit %d",
+			ErrInvalidSize, len(encoded), MaxEncodedSize)
 	}
 	packet := &Packet{}
 	if err := proto.Unmarshal(encoded, packet); err != nil {
@@ -87,7 +89,7 @@
 	}
 	m := &Envelope{From: packet.From, Incarnation: packet.Incarnation, Addr: packet.Addr}
 	if err := m.decodeBody(packet); err != nil {
-		return nil, &DecodeError{From: packet.From, Err: err}
+		return nil, &DecodeError{From: packet.From, Err: fmt.Errorf("body %T: %w", packet.Body, err)}
 	}
 	return m, nil
 }
--- a/internal/wire/fleet/codec_test.go
+++ b/internal/wire/fleet/codec_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// Servers of different releases exchange messages, so a message has to be encoded to the same bytes as
-// by earlier releases. testdata/envelopes.hex has the bytes of each sample as an earlier release
+// Servers of different releases exchange messages, so a message has to be encoded to the same bytes
+// as by earlier releases. testdata/envelopes.hex has the bytes of each sample as an earlier release
 // encoded them.
 func TestEncode_SameBytesAsEarlierReleases(t *testing.T) {
 	golden, err := os.ReadFile("testdata/envelopes.hex")
@@ -76,7 +76,8 @@
 	}
 }
 
-// sortMaps encodes a packet again with its maps sorted by key, since Encode has them in random order.
+// sortMaps encodes a packet again with its maps sorted by key, since Encode has them in random
+// order.
 func sortMaps(t *testing.T, encoded []byte) []byte {
 	t.Helper()
 	packet := &Packet{}
@@ -139,24 +140,36 @@
 func tooLargeCases() []boundCase {
 	long := strings.Repeat("x", maxName+1)
 	many := map[string]uint64{}
-	for i := range maxListEntries + 1 {
+	for i := range maxShortListEntries + 1 {
 		many[strings.Repeat("y", i%200)+string(rune('a'+i%26))+strings.Repeat("z", i/200)] = 1
 	}
 	detached := &consensus.Heartbeat{Name: "v", DetachedVoters: many}
-	intervals := make([]audit.Interval, maxListEntries+1)
+	intervals := make([]audit.Interval, maxShortListEntries+1)
 	demands := make([]quota.Demand, quota.MaxEntries+1)
 	reports := make([]circuitbreaker.Report, circuitbreaker.MaxReports+1)
 	return []boundCase{
-		{"sender", &Envelope{From: long, VersionRequest: 3}, ErrTooLarge},
-		{"server name", &Envelope{LeaseRequest: &lease.Request{Name: long}}, ErrTooLarge},
-		{"text", &Envelope{Version: &release.Version{Text: strings.Repeat("t", maxText+1)}}, ErrTooLarge},
-		{"waves", &Envelope{Command: &release.Command{Waves: make([]float64, maxListEntries+1)}}, ErrTooLarge},
-		{"intervals", &Envelope{AccountSummary: &audit.Account{Intervals: intervals}}, ErrTooLarge},
-		{"names", &Envelope{StateRequest: &StateRequest{Names: make([]string, maxMapEntries+1)}}, ErrTooLarge},
-		{"detached voters", &Envelope{Consensus: &consensus.Message{Heartbeat: detached}}, ErrTooLarge},
-		{"demands", &Envelope{QuotaRequest: &quota.Request{Demands: demands}}, ErrTooLarge},
-		{"demand name", demandRequest(quota.Demand{Name: long}), ErrTooLarge},
-		{"health reports", &Envelope{HealthReports: reports}, ErrTooLarge},
+		{"long sender name", &Envelope{From: long, VersionRequest: 3}, ErrInvalidSize},
+		{"long server name", &Envelope{LeaseRequest: &lease.Request{Name: long}}, ErrInvalidSize},
+		{
+			"long version text",
+			&Envelope{Version: &release.Version{Text: strings.Repeat("t", maxText+1)}},
+			ErrInvalidSize,
+		},
+		{
+			"many waves",
+			&Envelope{Command: &release.Command{Waves: make([]float64, maxShortListEntries+1)}},
+			ErrInvalidSize,
+		},
+		{"many intervals", &Envelope{AccountSummary: &audit.Account{Intervals: intervals}}, ErrInvalidSize},
+		{
+			"many names",
+			&Envelope{StateRequest: &StateRequest{Names: make([]string, maxLongListEntries+1)}},
+			ErrInvalidSize,
+		},
+		{"many detached voters", &Envelope{Consensus: &consensus.Message{Heartbeat: detached}}, ErrInvalidSize},
+		{"many demands", &Envelope{QuotaRequest: &quota.Request{Demands: demands}}, ErrInvalidSize},
+		{"long demand name", demandRequest(quota.Demand{Name: long}), ErrInvalidSize},
+		{"many health reports", &Envelope{HealthReports: reports}, ErrInvalidSize},
 	}
 }
 
@@ -168,12 +181,12 @@
 		{"more failed than completed requests", tallyRequest(1, 2), ErrOutOfRange},
 		{"negative number of requests", tallyRequest(-1, -1), ErrOutOfRange},
 		{"infinite lease", &Envelope{LeaseReply: &lease.Reply{Duration: math.Inf(1)}}, ErrOutOfRange},
-		{"command time", &Envelope{Command: &release.Command{IssuedAt: math.Inf(-1)}}, ErrOutOfRange},
-		{"demand negative", demandRequest(quota.Demand{Name: "calls", Requested: -1}), ErrOutOfRange},
-		{"grant NaN", &Envelope{QuotaReply: &quota.Reply{Grants: []quota.Grant{grant}}}, ErrOutOfRange},
-		{"health age", &Envelope{HealthReports: []circuitbreaker.Report{{AgeSeconds: -1}}}, ErrOutOfRange},
+		{"infinite command time", &Envelope{Command: &release.Command{IssuedAt: math.Inf(-1)}}, ErrOutOfRange},
+		{"negative demand", demandRequest(quota.Demand{Name: "calls", Requested: -1}), ErrOutOfRange},
+		{"NaN grant", &Envelope{QuotaReply: &quota.Reply{Grants: []quota.Grant{grant}}}, ErrOutOfRange},
+		{"negative report age", &Envelope{HealthReports: []circuitbreaker.Report{{AgeSeconds: -1}}}, ErrOutOfRange},
 		{
-			"raft message of another voter",
+			"Raft message from another voter",
 			&Envelope{Consensus: &consensus.Message{From: 1, To: 2, Raft: raft}},
 			ErrOutOfRange,
 		},
@@ -190,8 +203,8 @@
 }
 
 func TestDecode_RejectsLargePacket(t *testing.T) {
-	if _, err := Decode(make([]byte, MaxEncodedSize+1)); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("Decode of %d bytes: got error %v, want %v", MaxEncodedSize+1, err, ErrTooLarge)
+	if _, err := Decode(make([]byte, MaxEncodedSize+1)); !errors.Is(err, ErrInvalidSize) {
+		t.Errorf("Decode of %d bytes: got error %v, want %v", MaxEncodedSize+1, err, ErrInvalidSize)
 	}
 }
 
@@ -213,8 +226,8 @@
 	}
 }
 
-// FuzzDecode checks that Decode either rejects its input or returns an envelope that can be encoded and
-// decoded again.
+// FuzzDecode checks that Decode either rejects its input or returns an envelope that can be encoded
+// and decoded again.
 func FuzzDecode(f *testing.F) {
 	for _, m := range sampleEnvelopes(f) {
 		encoded, err := Encode(m)
@@ -230,10 +243,10 @@
 		}
 		encoded, err := Encode(m)
 		if err != nil {
-			t.Fatalf("Encode of the decoded %+v: %v", m, err)
+			t.Fatalf("Encode of the decoded %+v: got error %v, want none", m, err)
 		}
 		if _, err := Decode(encoded); err != nil {
-			t.Fatalf("second Decode of %+v: %v", m, err)
+			t.Fatalf("second Decode of %+v: got error %v, want none", m, err)
 		}
 	})
 }
--- a/internal/wire/fleet/consensus.go
+++ b/internal/wire/fleet/consensus.go
@@ -37,7 +37,8 @@
 	return &Packet_Consensus{encoded}, nil
 }
 
-// decodeConsensus decodes a message between voters. One without any content is ErrUnknownBody.
+// decodeConsensus decodes a message between voters. For a message without any content it returns
+// ErrUnknownBody.
 func decodeConsensus(encoded *ConsensusMessage) (*consensus.Message, error) {
 	message := &consensus.Message{
 		From:              encoded.From,
@@ -68,7 +69,7 @@
 	}
 	empty := message.Heartbeat == nil && message.Bootstrap == nil && message.ReleaseLog == nil && message.Raft == nil
 	if empty && !message.RequestReleaseLog {
-		return nil, ErrUnknownBody
+		return nil, fmt.Errorf("%w: consensus message without content", ErrUnknownBody)
 	}
 	return message, nil
 }
@@ -86,11 +87,11 @@
 }
 
 func decodeHeartbeat(encoded *Heartbeat) (*consensus.Heartbeat, error) {
-	if len(encoded.DetachedVoters) > maxListEntries || len(encoded.Voters) > maxListEntries ||
+	if len(encoded.DetachedVoters) > maxShortListEntries || len(encoded.Voters) > maxShortListEntries ||
 		len(encoded.Name) > maxName {
 		return nil, fmt.Errorf("%w: heartbeat with %d detached voters and %d voters, limit %d each, "+
-			"and a name of %d bytes, limit %d", ErrTooLarge,
-			len(encoded.DetachedVoters), len(encoded.Voters), maxListEntries, len(encoded.Name), maxName)
+			"and a name of %d bytes, limit %d", ErrInvalidSize,
+			len(encoded.DetachedVoters), len(encoded.Voters), maxShortListEntries, len(encoded.Name), maxName)
 	}
 	return &consensus.Heartbeat{
 		Name:            encoded.Name,
@@ -104,9 +105,9 @@
 }
 
 func decodeBootstrap(encoded *Bootstrap) (*consensus.Bootstrap, error) {
-	if len(encoded.Voters) > maxListEntries || encoded.ReleaseLog == nil || encoded.ClusterId == 0 {
-		return nil, fmt.Errorf("%w: bootstrap of cluster %d with %d voters, limit %d, and a release log present: %t",
-			ErrTooLarge, encoded.ClusterId, len(encoded.Voters), maxListEntries, encoded.ReleaseLog != nil)
+	if len(encoded.Voters) > maxShortListEntries || encoded.ReleaseLog == nil || encoded.ClusterId == 0 {
+		return nil, fmt.Errorf("%w: bootstrap of cluster %d (0 is invalid) with %d voters, limit %d; release log: %t",
+			ErrInvalidSize, encoded.ClusterId, len(encoded.Voters), maxShortListEntries, encoded.ReleaseLog != nil)
 	}
 	log, err := decodeReleaseLog(encoded.ReleaseLog)
 	if err != nil {
@@ -120,7 +121,7 @@
 func decodeRaft(encoded *ConsensusMessage) (*raftpb.Message, error) {
 	message := &raftpb.Message{}
 	if err := proto.Unmarshal(encoded.Raft, message); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("invalid encoding of the Raft message: %w", err)
 	}
 	if message.Type == nil || message.GetFrom() != encoded.From || message.GetTo() != encoded.To {
 		return nil, fmt.Errorf("%w: Raft message from %d to %d, type present: %t, in a message from %d to %d",
--- a/internal/wire/fleet/counters.go
+++ b/internal/wire/fleet/counters.go
@@ -25,8 +25,8 @@
 
 // decodeCounts decodes cells. It rejects a list that is not sorted by key or repeats a key.
 func decodeCounts(encoded []*CounterCell) (cells []serving.CounterCell, err error) {
-	if len(encoded) > maxMapEntries+1 {
-		return nil, fmt.Errorf("%w: %d counter cells, limit %d", ErrTooLarge, len(encoded), maxMapEntries+1)
+	if len(encoded) > maxLongListEntries+1 { // one more for the overflow cell, see serving.CounterKey
+		return nil, fmt.Errorf("%w: %d counter cells, limit %d", ErrInvalidSize, len(encoded), maxLongListEntries+1)
 	}
 	for i, encodedCell := range encoded {
 		cell := decodeCounterCell(encodedCell)
@@ -34,7 +34,8 @@
 			return nil, err
 		}
 		if i > 0 && cells[i-1].Compare(cell.CounterKey) >= 0 {
-			return nil, fmt.Errorf("%w: counter cells are not sorted by key or repeat one", ErrOutOfRange)
+			return nil, fmt.Errorf("%w: counter cells %d and %d are not in ascending order of their keys",
+				ErrOutOfRange, i-1, i)
 		}
 		cells = append(cells, cell)
 	}
@@ -90,7 +91,7 @@
 		return nil, err
 	}
 	if row.BaseSequence > row.Sequence || row.FrozenSequence > row.Sequence {
-		return nil, fmt.Errorf("%w: counter row at sequence number %d with base %d, frozen at %d",
+		return nil, fmt.Errorf("%w: counter row at sequence number %d with a higher base %d or frozen at a higher %d",
 			ErrOutOfRange, row.Sequence, row.BaseSequence, row.FrozenSequence)
 	}
 	return row, nil
@@ -105,8 +106,8 @@
 }
 
 func decodeClosedRows(encoded []*CounterRow) (rows []release.CounterRow, err error) {
-	if len(encoded) > maxMapEntries {
-		return nil, fmt.Errorf("%w: %d closed counter rows, limit %d", ErrTooLarge, len(encoded), maxMapEntries)
+	if len(encoded) > maxLongListEntries {
+		return nil, fmt.Errorf("%w: %d closed counter rows, limit %d", ErrInvalidSize, len(encoded), maxLongListEntries)
 	}
 	for _, encodedRow := range encoded {
 		row, err := decodeCounterRow(encodedRow)
@@ -140,10 +141,11 @@
 	}
 }
 
-// checkAggregatorCount checks that a list of aggregators has at most maxListEntries incarnations.
+// checkAggregatorCount checks that a list of aggregators has at most maxShortListEntries
+// incarnations.
 func checkAggregatorCount(aggregators counter.Incarnations) error {
-	if len(aggregators) > maxListEntries {
-		return fmt.Errorf("%w: %d aggregators, limit %d", ErrTooLarge, len(aggregators), maxListEntries)
+	if len(aggregators) > maxShortListEntries {
+		return fmt.Errorf("%w: %d aggregators, limit %d", ErrInvalidSize, len(aggregators), maxShortListEntries)
 	}
 	return nil
 }
@@ -163,9 +165,9 @@
 }
 
 func decodeCounterSyncRequest(encoded *CounterSyncRequest) (*counter.RowQuery, error) {
-	if len(encoded.Rows) > maxListEntries {
+	if len(encoded.Rows) > maxShortListEntries {
 		return nil, fmt.Errorf("%w: %d rows in a counter sync request, limit %d",
-			ErrTooLarge, len(encoded.Rows), maxListEntries)
+			ErrInvalidSize, len(encoded.Rows), maxShortListEntries)
 	}
 	query := &counter.RowQuery{
 		Number:      encoded.Number,
@@ -194,12 +196,12 @@
 }
 
 func decodeCounterSyncReply(encoded *CounterSyncReply) (*counter.RowQueryReply, error) {
-	if len(encoded.Aggregators) > maxListEntries || len(encoded.Rows) > maxMapEntries {
+	if len(encoded.Aggregators) > maxShortListEntries || len(encoded.Rows) > maxLongListEntries {
 		return nil, fmt.Errorf("%w: counter sync reply with %d aggregators, limit %d, and %d rows, limit %d",
-			ErrTooLarge, len(encoded.Aggregators), maxListEntries, len(encoded.Rows), maxMapEntries)
+			ErrInvalidSize, len(encoded.Aggregators), maxShortListEntries, len(encoded.Rows), maxLongListEntries)
 	}
 	if encoded.More && len(encoded.Rows) == 0 {
-		return nil, fmt.Errorf("%w: counter sync reply announces more rows but has none", ErrTooLarge)
+		return nil, fmt.Errorf("%w: counter sync reply announces more rows but has none", ErrInvalidSize)
 	}
 	reply := &counter.RowQueryReply{
 		Number:      encoded.Number,
--- a/internal/wire/fleet/doc.go
+++ b/internal/wire/fleet/doc.go
@@ -1,10 +1,10 @@
 // Package fleet is the codec of the messages between processes of one fleet: protocol buffers
 // with a bound on every size. It is stateless and does no I/O.
 //
-// An Envelope is one decoded message, Encode and Decode convert it, and body.go lists which types of
-// body there are. The types generated from fleet.proto are not used outside this package: the rest
-// of the program has the types of internal/policy, which fleet.proto follows in its message and
-// field names. Names that differ:
+// An Envelope is one decoded message, Encode and Decode convert it, and body.go lists which types
+// of body there are. The types generated from fleet.proto are not used outside this package: the
+// rest of the program has the types of internal/policy, which fleet.proto follows in its message
+// and field names. Messages whose Go type is named differently:
 //
 //	fleet.proto                         Go
 //	Packet                              Envelope
@@ -16,7 +16,10 @@
 //	CounterSyncRequest                  counter.RowQuery
 //	CounterSyncReply                    counter.RowQueryReply
 //	ForwarderReport, PlanAssignment     loadplan.Report, loadplan.Assignment
+//	PlanVersion                         loadplan.Version
+//	HealthReport                        circuitbreaker.Report
+//	Record                              replication.RecordCopy
 //
-// The encoded form has field numbers but no names, so that the names can change between releases,
-// and the numbers and types can't.
+// The encoded form has field numbers but no names: names can change between releases, field numbers
+// and types can't.
 package fleet
--- a/internal/wire/fleet/envelope.go
+++ b/internal/wire/fleet/envelope.go
@@ -56,9 +56,9 @@
 	NewestEpoch  release.Epoch // newest epoch that the leader knows
 }
 
-// StateRequest requests the receiver's own account, the accounts that it has of the servers in Names,
-// and its release log if that is newer than the sender's. A RequestID of 0 requests the release log
-// alone.
+// StateRequest requests the receiver's own account, the accounts that it has of the servers in
+// Names, and its release log if that is newer than the sender's. A RequestID of 0 requests the
+// release log alone.
 type StateRequest struct {
 	RequestID    uint64
 	Names        []string // nil for all
@@ -66,7 +66,8 @@
 	AppliedCount uint64   // applied count of the sender's release log
 }
 
-// StateReply is the reply to a StateRequest. Only a leader lists the servers, in a reply to an audit.
+// StateReply is the reply to a StateRequest. Only a leader lists the servers, in a reply to an
+// audit.
 type StateReply struct {
 	RequestID   uint64
 	Accounts    []audit.Account
--- a/internal/wire/fleet/health.go
+++ b/internal/wire/fleet/health.go
@@ -29,7 +29,7 @@
 func decodeHealthReports(encoded *HealthReports) ([]circuitbreaker.Report, error) {
 	if len(encoded.Reports) > circuitbreaker.MaxReports {
 		return nil, fmt.Errorf("%w: %d health reports, limit %d",
-			ErrTooLarge, len(encoded.Reports), circuitbreaker.MaxReports)
+			ErrInvalidSize, len(encoded.Reports), circuitbreaker.MaxReports)
 	}
 	reports := []circuitbreaker.Report{}
 	for _, report := range encoded.Reports {
--- a/internal/wire/fleet/lease.go
+++ b/internal/wire/fleet/lease.go
@@ -62,7 +62,7 @@
 	reply := &lease.Reply{
 		Incarnation:       encoded.Incarnation,
 		Number:            encoded.Number,
-		Verdict:           lease.Verdict(min(encoded.Verdict, math.MaxUint8)),
+		Verdict:           lease.Verdict(min(encoded.Verdict, math.MaxUint8)), // no wrap-around to a known verdict
 		Duration:          encoded.Duration,
 		AssignedEpoch:     release.Epoch(encoded.AssignedEpoch),
 		MayGoOutOfService: encoded.MayGoOutOfService,
--- a/internal/wire/fleet/loadplan.go
+++ b/internal/wire/fleet/loadplan.go
@@ -23,8 +23,8 @@
 }
 
 func decodeRates(encoded []*TenantRate) (rates []loadplan.TenantRate, err error) {
-	if len(encoded) > maxMapEntries {
-		return nil, fmt.Errorf("%w: %d tenant rates, limit %d", ErrTooLarge, len(encoded), maxMapEntries)
+	if len(encoded) > maxLongListEntries {
+		return nil, fmt.Errorf("%w: %d tenant rates, limit %d", ErrInvalidSize, len(encoded), maxLongListEntries)
 	}
 	for _, encodedRate := range encoded {
 		if err := errors.Join(checkNames(encodedRate.Tenant), checkNonNegative(encodedRate.Rate)); err != nil {
@@ -59,8 +59,8 @@
 }
 
 func decodeForwarderReport(encoded *ForwarderReport) (*loadplan.Report, error) {
-	if len(encoded.Workers) > maxMapEntries {
-		return nil, fmt.Errorf("%w: %d workers, limit %d", ErrTooLarge, len(encoded.Workers), maxMapEntries)
+	if len(encoded.Workers) > maxLongListEntries {
+		return nil, fmt.Errorf("%w: %d workers, limit %d", ErrInvalidSize, len(encoded.Workers), maxLongListEntries)
 	}
 	report := &loadplan.Report{
 		Name:            encoded.Name,
@@ -103,8 +103,9 @@
 }
 
 func decodePlanAssignment(encoded *PlanAssignment) (*loadplan.Assignment, error) {
-	if len(encoded.Weights) > maxMapEntries {
-		return nil, fmt.Errorf("%w: %d worker weights, limit %d", ErrTooLarge, len(encoded.Weights), maxMapEntries)
+	if len(encoded.Weights) > maxLongListEntries {
+		return nil, fmt.Errorf("%w: %d worker weights, limit %d",
+			ErrInvalidSize, len(encoded.Weights), maxLongListEntries)
 	}
 	assignment := &loadplan.Assignment{
 		Version:        decodePlanVersion(encoded.Version),
--- a/internal/wire/fleet/quota.go
+++ b/internal/wire/fleet/quota.go
@@ -28,7 +28,7 @@
 // demands is up to the grantor.
 func decodeQuotaRequest(encoded *QuotaRequest, incarnation uint64) (*quota.Request, error) {
 	if len(encoded.Demands) > quota.MaxEntries {
-		return nil, fmt.Errorf("%w: %d quota demands, limit %d", ErrTooLarge, len(encoded.Demands), quota.MaxEntries)
+		return nil, fmt.Errorf("%w: %d quota demands, limit %d", ErrInvalidSize, len(encoded.Demands), quota.MaxEntries)
 	}
 	request := &quota.Request{
 		Incarnation: incarnation,
@@ -66,7 +66,7 @@
 
 func decodeQuotaReply(encoded *QuotaReply) (*quota.Reply, error) {
 	if len(encoded.Grants) > quota.MaxEntries {
-		return nil, fmt.Errorf("%w: %d quota grants, limit %d", ErrTooLarge, len(encoded.Grants), quota.MaxEntries)
+		return nil, fmt.Errorf("%w: %d quota grants, limit %d", ErrInvalidSize, len(encoded.Grants), quota.MaxEntries)
 	}
 	reply := &quota.Reply{Incarnation: encoded.Incarnation, Number: encoded.Number, GrantorID: encoded.GrantorId}
 	for _, grant := range encoded.Grants {
--- a/internal/wire/fleet/release.go
+++ b/internal/wire/fleet/release.go
@@ -41,7 +41,7 @@
 
 func decodeVersion(encoded *Version) (*release.Version, error) {
 	if len(encoded.Text) > maxText {
-		return nil, fmt.Errorf("%w: version text of %d bytes, limit %d", ErrTooLarge, len(encoded.Text), maxText)
+		return nil, fmt.Errorf("%w: version text of %d bytes, limit %d", ErrInvalidSize, len(encoded.Text), maxText)
 	}
 	version := &release.Version{
 		Epoch:      release.Epoch(encoded.Epoch),
@@ -132,12 +132,14 @@
 // checkReleaseLog checks that a release log has a current version and that its lists, maps and the
 // names of its members are within their bounds.
 func checkReleaseLog(encoded *ReleaseLog) error {
-	lists := max(len(encoded.Waves), len(encoded.History), len(encoded.LastCommandIds), len(encoded.Voters))
-	maps := max(len(encoded.Members), len(encoded.Ejected))
-	if lists > maxListEntries || maps > maxMapEntries || encoded.Current == nil || encoded.WaveIndex > maxListEntries {
-		return fmt.Errorf("%w: release log: current version present: %t; longest list has %d entries, limit %d; "+
-			"largest map has %d, limit %d; wave index %d", ErrTooLarge, encoded.Current != nil,
-			lists, maxListEntries, maps, maxMapEntries, encoded.WaveIndex)
+	shortLists := max(len(encoded.Waves), len(encoded.History), len(encoded.LastCommandIds), len(encoded.Voters))
+	longLists := max(len(encoded.Members), len(encoded.Ejected))
+	if shortLists > maxShortListEntries || longLists > maxLongListEntries || encoded.Current == nil ||
+		encoded.WaveIndex > maxShortListEntries {
+		return fmt.Errorf("%w: release log: current version present: %t; longest of waves, history, command IDs and "+
+			"voters: %d entries, limit %d; longer of members and ejected: %d, limit %d; wave index %d, limit %d",
+			ErrInvalidSize, encoded.Current != nil, shortLists, maxShortListEntries, longLists, maxLongListEntries,
+			encoded.WaveIndex, maxShortListEntries)
 	}
 	for name := range encoded.Members {
 		if err := checkNames(name); err != nil {
@@ -147,8 +149,8 @@
 	return nil
 }
 
-// decodeVersions decodes the current version of a release log, and the previous and the next version
-// if there are any.
+// decodeVersions decodes the current version of a release log, and the previous and the next
+// version if there are any.
 func decodeVersions(log *release.Log, encoded *ReleaseLog) error {
 	current, err := decodeVersion(encoded.Current)
 	if err != nil {
@@ -219,18 +221,18 @@
 
 func decodeCommand(encoded *Command) (*release.Command, error) {
 	if encoded == nil {
-		return nil, ErrUnknownBody
+		return nil, fmt.Errorf("%w: command is missing", ErrUnknownBody)
 	}
-	if len(encoded.Text) > maxText || len(encoded.Waves) > maxListEntries {
+	if len(encoded.Text) > maxText || len(encoded.Waves) > maxShortListEntries {
 		return nil, fmt.Errorf("%w: command with a text of %d bytes, limit %d, and %d waves, limit %d",
-			ErrTooLarge, len(encoded.Text), maxText, len(encoded.Waves), maxListEntries)
+			ErrInvalidSize, len(encoded.Text), maxText, len(encoded.Waves), maxShortListEntries)
 	}
 	rows, err := decodeClosedRows(encoded.CounterRows)
 	if err != nil {
 		return nil, err
 	}
 	command := &release.Command{
-		Kind:          release.Kind(min(encoded.Kind, math.MaxUint8)),
+		Kind:          release.Kind(min(encoded.Kind, math.MaxUint8)), // no wrap-around to a known kind
 		ID:            encoded.Id,
 		Author:        encoded.Author,
 		IssuedAt:      encoded.IssuedAt,
--- a/internal/wire/fleet/replication.go
+++ b/internal/wire/fleet/replication.go
@@ -32,7 +32,7 @@
 
 func decodeTerms(encoded []*Term) (terms []replication.Term, err error) {
 	if len(encoded) > replication.MaxReplicationFactor {
-		return nil, fmt.Errorf("%w: %d terms, limit %d", ErrTooLarge, len(encoded), replication.MaxReplicationFactor)
+		return nil, fmt.Errorf("%w: %d terms, limit %d", ErrInvalidSize, len(encoded), replication.MaxReplicationFactor)
 	}
 	for _, encodedTerm := range encoded {
 		terms = append(terms, decodeTerm(encodedTerm))
@@ -65,7 +65,7 @@
 	}
 	attempt = replicastore.Attempt{
 		ClaimID:        decodeClaimID(encoded),
-		State:          replicastore.AttemptState(min(encoded.State, math.MaxUint8)),
+		State:          replicastore.AttemptState(min(encoded.State, math.MaxUint8)), // no wrap-around to a known state
 		ResultChecksum: encoded.ResultChecksum,
 		Result:         encoded.Result,
 	}
@@ -73,9 +73,9 @@
 	hasResult := attempt.Result != nil || attempt.ResultChecksum != 0
 	switch {
 	case len(encoded.Result) > maxResult:
-		err = fmt.Errorf("%w: attempt result of %d bytes, limit %d", ErrTooLarge, len(encoded.Result), maxResult)
+		err = fmt.Errorf("%w: attempt result of %d bytes, limit %d", ErrInvalidSize, len(encoded.Result), maxResult)
 	case attempt.State > replicastore.StateFinished, !finished && hasResult:
-		err = fmt.Errorf("%w: attempt in state %d with a result present: %t", ErrOutOfRange, encoded.State, hasResult)
+		err = fmt.Errorf("%w: attempt in state %d; result present: %t", ErrOutOfRange, encoded.State, hasResult)
 	case !attempt.Intact():
 		err = fmt.Errorf("attempt result does not match its checksum %016x: %w", encoded.ResultChecksum, ErrOutOfRange)
 	}
@@ -93,7 +93,7 @@
 // decodeAttempts decodes the attempts of a record, which must be sorted by claim ID.
 func decodeAttempts(encoded []*Attempt) (attempts []replicastore.Attempt, err error) {
 	if len(encoded) > maxAttempts {
-		return nil, fmt.Errorf("%w: %d attempts of a record, limit %d", ErrTooLarge, len(encoded), maxAttempts)
+		return nil, fmt.Errorf("%w: %d attempts of a record, limit %d", ErrInvalidSize, len(encoded), maxAttempts)
 	}
 	for i, encodedAttempt := range encoded {
 		attempt, err := decodeAttempt(encodedAttempt)
@@ -101,7 +101,8 @@
 			return nil, err
 		}
 		if i > 0 && attempts[i-1].Compare(attempt.ClaimID) >= 0 {
-			return nil, fmt.Errorf("%w: attempts are not sorted by claim ID or repeat one", ErrOutOfRange)
+			return nil, fmt.Errorf("%w: attempts %d and %d are not in ascending order of their claim IDs",
+				ErrOutOfRange, i-1, i)
 		}
 		attempts = append(attempts, attempt)
 	}
@@ -110,7 +111,7 @@
 
 func decodeKey(encoded []byte) (key replicastore.Key, err error) {
 	if len(encoded) != len(key) {
-		return key, fmt.Errorf("%w: key of %d bytes, want %d", ErrTooLarge, len(encoded), len(key))
+		return key, fmt.Errorf("%w: key of %d bytes, want %d", ErrInvalidSize, len(encoded), len(key))
 	}
 	copy(key[:], encoded)
 	return key, nil
@@ -125,11 +126,11 @@
 
 func decodeSlots(encoded []uint32) (slots []int, err error) {
 	if len(encoded) > maxSlots {
-		return nil, fmt.Errorf("%w: %d slots, limit %d", ErrTooLarge, len(encoded), maxSlots)
+		return nil, fmt.Errorf("%w: %d slots, limit %d", ErrInvalidSize, len(encoded), maxSlots)
 	}
 	for _, slot := range encoded {
 		if slot >= maxSlots {
-			return nil, fmt.Errorf("%w: slot %d, there are %d slots", ErrOutOfRange, slot, maxSlots)
+			return nil, fmt.Errorf("%w: slot %d, want less than %d", ErrOutOfRange, slot, maxSlots)
 		}
 		slots = append(slots, int(slot))
 	}
@@ -275,11 +276,12 @@
 	return crc32.ChecksumIEEE(content)
 }
 
-// decodePullReply decodes a reply to a pull request. One corrupted record invalidates the whole reply,
-// since the requester would otherwise conclude from the missing record that no replica has it.
+// decodePullReply decodes a reply to a pull request. One corrupted record invalidates the whole
+// reply, since the requester would otherwise conclude from the missing record that no replica has
+// it.
 func decodePullReply(encoded *PullReply) (*replication.PullReply, error) {
 	if len(encoded.Slots) > maxSlots {
-		return nil, fmt.Errorf("%w: %d slots in a pull reply, limit %d", ErrTooLarge, len(encoded.Slots), maxSlots)
+		return nil, fmt.Errorf("%w: %d slots in a pull reply, limit %d", ErrInvalidSize, len(encoded.Slots), maxSlots)
 	}
 	reply := &replication.PullReply{
 		ConfigDigest:  encoded.ConfigDigest,
@@ -291,8 +293,8 @@
 	for _, encodedSlot := range encoded.Slots {
 		records += len(encodedSlot.Records)
 		if encodedSlot.Slot >= maxSlots || records > maxRecords {
-			return nil, fmt.Errorf("%w: pull reply with slot %d of %d and at least %d records, limit %d",
-				ErrTooLarge, encodedSlot.Slot, maxSlots, records, maxRecords)
+			return nil, fmt.Errorf("%w: pull reply with slot %d, want less than %d, and at least %d records, limit %d",
+				ErrInvalidSize, encodedSlot.Slot, maxSlots, records, maxRecords)
 		}
 		slot := replication.SlotRecords{
 			Slot:     int(encodedSlot.Slot),
@@ -344,7 +346,8 @@
 		return nil, err
 	}
 	if len(encoded.Values) != max(1, len(slots)) {
-		return nil, fmt.Errorf("%w: %d checksums for %d slots", ErrTooLarge, len(encoded.Values), len(slots))
+		return nil, fmt.Errorf("%w: %d checksums for %d slots, want %d",
+			ErrInvalidSize, len(encoded.Values), len(slots), max(1, len(slots)))
 	}
 	return &replication.Checksums{
 		ConfigDigest: encoded.ConfigDigest,
--- a/internal/wire/fleet/samples_test.go
+++ b/internal/wire/fleet/samples_test.go
@@ -334,7 +334,8 @@
 	}
 }
 
-// sampleShared returns messages about trusted clients, quotas and the health of the downstream service.
+// sampleShared returns messages about trusted clients, quotas and the health of the downstream
+// service.
 func sampleShared() []*Envelope {
 	client := connlimit.TrustedClient{Addr: netip.MustParseAddr("10.0.0.1"), Credit: 3}
 	return []*Envelope{
--- a/internal/wire/fleet/trust.go
+++ b/internal/wire/fleet/trust.go
@@ -32,8 +32,9 @@
 // decodeTrustRecords decodes the trust records of servers. It never returns a nil list without an
 // error, because Envelope.Kind has to recognize a message with an empty list.
 func decodeTrustRecords(encoded *TrustRecords) ([]replication.TrustRecord, error) {
-	if len(encoded.Records) > maxListEntries {
-		return nil, fmt.Errorf("%w: %d trust records, limit %d", ErrTooLarge, len(encoded.Records), maxListEntries)
+	if len(encoded.Records) > maxShortListEntries {
+		return nil, fmt.Errorf("%w: %d trust records, limit %d",
+			ErrInvalidSize, len(encoded.Records), maxShortListEntries)
 	}
 	records := []replication.TrustRecord{}
 	for _, encodedRecord := range encoded.Records {
@@ -49,14 +50,14 @@
 func decodeTrustRecord(encoded *TrustRecord) (record replication.TrustRecord, err error) {
 	if len(encoded.Clients) > replication.MaxTrustedClients {
 		return record, fmt.Errorf("%w: %d trusted clients, limit %d",
-			ErrTooLarge, len(encoded.Clients), replication.MaxTrustedClients)
+			ErrInvalidSize, len(encoded.Clients), replication.MaxTrustedClients)
 	}
 	record = replication.TrustRecord{Name: encoded.Name, Incarnation: encoded.Incarnation, Sequence: encoded.Sequence}
 	for _, client := range encoded.Clients {
 		var addr [16]byte
 		if len(client.Addr) != len(addr) {
 			return record, fmt.Errorf("%w: client address of %d bytes, want %d",
-				ErrTooLarge, len(client.Addr), len(addr))
+				ErrInvalidSize, len(client.Addr), len(addr))
 		}
 		if err := checkNonNegative(float64(client.Credit)); err != nil {
 			return record, err
