--- a/internal/wire/catalogue/call.go
+++ b/internal/wire/catalogue/call.go
@@ -7,8 +7,8 @@
 	"swiftcourse/internal/wire"
 )
 
-// AppendCall appends a call with its timeout in seconds. On the wire, the timeout is rounded down to whole
-// milliseconds and is at least one.
+// AppendCall appends a call with its timeout in seconds. On the wire, the timeout is rounded down
+// to whole milliseconds and is at least one.
 func AppendCall(b []byte, id string, timeout float64, body []byte) []byte {
 	milliseconds := max(1, math.Floor(timeout*wire.MillisecondsPerSecond))
 	b = append(b, commandFetch+" "...)
--- a/internal/wire/catalogue/frame.go
+++ b/internal/wire/catalogue/frame.go
@@ -11,7 +11,7 @@
 
 // Bounds of a message.
 const (
-	maxLine = 256      // bytes of a line, which has an id, a word and two numbers at most
+	maxLine = 256      // bytes of a line: a command or status, an id and at most two numbers
 	maxBody = 16 << 10 // bytes of a body, four times the limit of a result; a greater length means a broken stream
 )
 
@@ -38,8 +38,8 @@
 	errUnterminatedLine = fmt.Errorf("no line end within %d bytes", maxLine)
 	errUnterminatedBody = errors.New("body is not followed by a line end")
 	errReplyLine        = errors.New("reply line without id and status")
-	errReplyLength      = fmt.Errorf("reply without a body length from 0 to %d", maxBody)
-	errCallLine         = fmt.Errorf("call without a non-negative timeout and a body length from 0 to %d", maxBody)
+	errReplyLength      = fmt.Errorf("reply line without a body length from 0 to %d", maxBody)
+	errCallLine         = fmt.Errorf("call line without a timeout >= 0 and a body length from 0 to %d", maxBody)
 )
 
 // malformed returns the error for a message of which the first offset bytes were parsed.
@@ -47,8 +47,8 @@
 	return &wire.ProtocolError{Protocol: "catalogue", Offset: offset, Err: cause}
 }
 
-// parseLine returns the line at the start of data without its line end, and its length with the line end, or 0 if
-// data holds only a part of the line.
+// parseLine returns the line at the start of data without its line end, and its length with the
+// line end, or 0 if data holds only a part of the line.
 func parseLine(data []byte) (line []byte, length int, err error) {
 	end := bytes.Index(data[:min(len(data), maxLine)], []byte(lineEnd))
 	if end >= 0 {
@@ -66,8 +66,8 @@
 	return size, err == nil && size >= 0 && size <= maxBody
 }
 
-// parseBody returns the body of size bytes at offset, and the length of the whole message, or 0 if data holds only
-// a part of the message.
+// parseBody returns the body of size bytes at offset, and the length of the whole message, or 0 if
+// data holds only a part of the message.
 func parseBody(data []byte, offset, size int) (body []byte, length int, err error) {
 	end := offset + size
 	length = end + len(lineEnd)
--- a/internal/wire/catalogue/proxy.go
+++ b/internal/wire/catalogue/proxy.go
@@ -11,8 +11,8 @@
 
 // This file is the proxy's side of the protocol: the proxy parses calls and appends replies.
 
-// Call is a call from a server or, if Cancelled is set, the cancellation of the call with this ID. Its body is a
-// slice of the input.
+// Call is a call from a server or, if Cancelled is set, the cancellation of the call with this ID.
+// Its body is a slice of the input.
 type Call struct {
 	Cancelled bool
 	ID        string
@@ -20,8 +20,9 @@
 	Body      []byte
 }
 
-// ParseCall parses the line and body at the start of data and returns their length, or 0 if data holds only a part
-// of them. An error matches wire.ErrMalformed and means that the rest of data can't be parsed either.
+// ParseCall parses the line and body at the start of data and returns their length, or 0 if data
+// holds only a part of them. An error matches wire.ErrMalformed and means that the rest of data
+// can't be parsed either.
 func ParseCall(data []byte) (call Call, length int, err error) {
 	line, lineLength, err := parseLine(data)
 	if lineLength == 0 {
@@ -38,7 +39,7 @@
 	milliseconds, timeoutErr := strconv.Atoi(string(tokens[2]))
 	size, sizeValid := parseBodySize(tokens[3])
 	if timeoutErr != nil || milliseconds < 0 || !sizeValid {
-		return Call{}, 0, malformed(0, errCallLine)
+		return Call{}, 0, malformed(0, fmt.Errorf("%w: %.40q", errCallLine, line))
 	}
 	body, length, err := parseBody(data, lineLength, size)
 	if length == 0 {
--- a/internal/wire/catalogue/reply.go
+++ b/internal/wire/catalogue/reply.go
@@ -7,7 +7,8 @@
 	"swiftcourse/admission"
 )
 
-// outcomes holds the outcomes of calls by status. Only LATER and NOUSE prove that the call did not run.
+// outcomes holds the outcomes of calls by status. Only LATER and NOUSE prove that the call did not
+// run.
 var outcomes = map[string]admission.Outcome{
 	statusData:    admission.Finished,
 	statusLater:   admission.Rejected,
@@ -23,8 +24,9 @@
 	Body    []byte
 }
 
-// ParseReply parses the reply at the start of data and returns its length, or 0 if data holds only a part of it.
-// An error matches wire.ErrMalformed and means that the rest of data can't be parsed either.
+// ParseReply parses the reply at the start of data and returns its length, or 0 if data holds only
+// a part of it. An error matches wire.ErrMalformed and means that the rest of data can't be parsed
+// either.
 func ParseReply(data []byte) (reply Reply, length int, err error) {
 	line, lineLength, err := parseLine(data)
 	if lineLength == 0 {
@@ -32,7 +34,7 @@
 	}
 	tokens := bytes.Fields(line)
 	if len(tokens) < 2 {
-		return Reply{}, 0, malformed(0, errReplyLine)
+		return Reply{}, 0, malformed(0, fmt.Errorf("%w: %.40q", errReplyLine, line))
 	}
 	outcome, known := outcomes[string(tokens[1])]
 	if !known {
@@ -43,11 +45,11 @@
 		return reply, lineLength, nil
 	}
 	if len(tokens) != 3 {
-		return Reply{}, 0, malformed(0, errReplyLength)
+		return Reply{}, 0, malformed(0, fmt.Errorf("%w: %.40q", errReplyLength, line))
 	}
 	size, sizeValid := parseBodySize(tokens[2])
 	if !sizeValid {
-		return Reply{}, 0, malformed(0, errReplyLength)
+		return Reply{}, 0, malformed(0, fmt.Errorf("%w: %.40q", errReplyLength, line))
 	}
 	reply.Body, length, err = parseBody(data, lineLength, size)
 	if length == 0 {
--- a/internal/wire/catalogue/reply_test.go
+++ b/internal/wire/catalogue/reply_test.go
@@ -52,12 +52,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		b := []byte(rapid.StringMatching(`[a-c\r\n]{0,3} (DATA|LATER)? ?-?[0-9]{0,3}(\r\n)?[xy\r\n]{0,9}`).Draw(t, "b"))
 		if _, n, _ := ParseReply(b); n < 0 || n > len(b) {
-			t.Fatalf("%q: got length %d of %d bytes", b, n, len(b))
+			t.Fatalf("%q: got length %d, want one from 0 to %d", b, n, len(b))
 		}
 	})
 }
 
-func TestAppendCall_Bytes(t *testing.T) {
+func TestAppendCall_ExactBytes(t *testing.T) {
 	if got := string(AppendCall(nil, "a", 0.2509, []byte("xy"))); got != "FETCH a 250 2\r\nxy\r\n" {
 		t.Errorf("timeout of 0.2509 s: got %q, want 250 ms and body xy", got)
 	}
--- a/internal/wire/error.go
+++ b/internal/wire/error.go
@@ -5,11 +5,12 @@
 	"fmt"
 )
 
-// ErrMalformed is matched by every ProtocolError. It means that the input is not a message of the protocol, so
-// that the rest of the connection's input can't be parsed either.
+// ErrMalformed is matched by every ProtocolError. It means that the input is not a message of the
+// protocol, so that the rest of the connection's input can't be parsed either.
 var ErrMalformed = errors.New("malformed message")
 
-// ProtocolError reports input that is not a message of the protocol. It matches ErrMalformed and its cause.
+// ProtocolError reports input that is not a message of the protocol. It matches ErrMalformed and
+// its cause.
 type ProtocolError struct {
 	Protocol string // name of the codec
 	Offset   int    // number of bytes of the message that were parsed before the error
--- a/internal/wire/processor/command.go
+++ b/internal/wire/processor/command.go
@@ -2,7 +2,8 @@
 
 // This file has the commands that a server sends to its executor.
 
-// AppendResume appends the first line of a link: the serial number of the last notice that the server read.
+// AppendResume appends the first line of a link: the serial number of the last notice that the
+// server read.
 func AppendResume(b []byte, serial int64) []byte {
 	return appendSerial(appendHead(b, messageHello, "serial"), serial)
 }
@@ -20,8 +21,8 @@
 	return appendBlob(b, reply)
 }
 
-// AppendSkipCall appends the command to continue a run without the call for which it waits. serial is the serial
-// number of the notice that asked for the call.
+// AppendSkipCall appends the command to continue a run without the call for which it waits. serial
+// is the serial number of the notice that asked for the call.
 func AppendSkipCall(b []byte, id string, serial int64) []byte {
 	b = appendText(appendHead(b, messageWithout, "call"), id)
 	return appendSerial(appendKey(b, "serial"), serial)
--- a/internal/wire/processor/doc.go
+++ b/internal/wire/processor/doc.go
@@ -1,7 +1,9 @@
-// Package processor is the codec of the link between a server and its executor: JSON objects, one per line.
+// Package processor is the codec of the link between a server and its executor: JSON objects, one
+// per line.
 //
-// A server appends commands (command.go) and parses notices (notice.go). The executor's side, which the fake
-// executor uses, is in executor.go. Only a NoticeParser has state: the buffers of the notice that it parsed last.
+// A server appends commands (command.go) and parses notices (notice.go). The executor's side, which
+// the fake executor uses, is in executor.go. Only a NoticeParser has state: the buffers of the
+// notice that it parsed last.
 //
 // The names on the wire and the Go names:
 //
--- a/internal/wire/processor/encoder.go
+++ b/internal/wire/processor/encoder.go
@@ -9,7 +9,8 @@
 // lineEnd ends a message that does not end with a blob.
 const lineEnd = "}\n"
 
-// appendHead appends the start of a message up to, but without, the value of the key that follows msg.
+// appendHead appends the start of a message: the key msg with its value, and the next key without
+// its value.
 func appendHead(b []byte, message, key string) []byte {
 	b = append(append(b, `{"msg":"`...), message...)
 	return appendKey(append(b, '"'), key)
--- a/internal/wire/processor/executor.go
+++ b/internal/wire/processor/executor.go
@@ -8,7 +8,8 @@
 	"swiftcourse/internal/wire"
 )
 
-// This file is the executor's side of the protocol: an executor parses commands and appends notices.
+// This file is the executor's side of the protocol: an executor parses commands and appends
+// notices.
 
 // CommandKind is the kind of a command from a server.
 type CommandKind uint8
@@ -40,12 +41,12 @@
 	ID     string
 	Class  string
 	Serial int64
-	Tag    string
+	Tag    string // with CommandReadGauges: tag that the answer repeats
 	Body   []byte
 }
 
-// ParseCommand parses one line without its line end. After an error, which matches wire.ErrMalformed, the link
-// has to be closed.
+// ParseCommand parses one line without its line end. After an error, which matches
+// wire.ErrMalformed, the link has to be closed.
 func ParseCommand(line []byte) (command Command, err error) {
 	var object struct {
 		Msg     string
@@ -70,7 +71,7 @@
 	case CommandResume, CommandReadGauges:
 	case CommandStart, CommandReply, CommandSkipCall:
 		if command.ID == "" {
-			return command, malformed(errMissingID)
+			return command, malformed(fmt.Errorf("%w: %s", errMissingID, object.Msg))
 		}
 	default:
 		return command, malformed(fmt.Errorf("unknown command %.20q", object.Msg))
@@ -78,8 +79,8 @@
 	return command, nil
 }
 
-// AppendHello appends the notice that answers the first line: whether the executor was cold when it started, and
-// the number of seconds since then.
+// AppendHello appends the notice that answers the first line: whether the executor was cold when it
+// started, and the number of seconds since then.
 func AppendHello(b []byte, cold bool, sinceStart float64) []byte {
 	state := stateSeasoned
 	if cold {
@@ -89,8 +90,8 @@
 		messageHi, state, sinceStart*wire.MillisecondsPerSecond)
 }
 
-// AppendRunEnded appends the notice that a run ended: its serial number, id, outcome, duration and body. The body
-// is the result of a run that finished.
+// AppendRunEnded appends the notice that a run ended: its serial number, id, outcome, duration and
+// body. The body is the result of a run that finished.
 func AppendRunEnded(b []byte, run Notice) []byte {
 	outcome := wireName(outcomes, run.Outcome, outcomeCrashed)
 	b = fmt.Appendf(b, `{"msg":%q,"serial":%d,"call":%q,"how":%q,"duration":%g`,
@@ -104,7 +105,7 @@
 	return appendBlob(b, body)
 }
 
-// AppendGauges appends the gauges, in the order of the settings.
+// AppendGauges appends the gauges, which are in the order in which the settings name them.
 func AppendGauges(b []byte, tag string, gauges []float64) []byte {
 	b = appendText(appendHead(b, messageUsed, "cookie"), tag)
 	b = append(appendKey(b, "stats"), '[')
--- a/internal/wire/processor/notice.go
+++ b/internal/wire/processor/notice.go
@@ -10,7 +10,8 @@
 	"swiftcourse/internal/wire"
 )
 
-// MaxLine is the largest length of a line in bytes. A result of 4 KiB takes less than 6 KiB in base64.
+// MaxLine is the largest length of a line in bytes. A result of 4 KiB takes less than 6 KiB in
+// base64.
 const MaxLine = 64 << 10
 
 // NoticeKind is the kind of a notice from an executor.
@@ -50,8 +51,8 @@
 	Detail   string            // name of the state, outcome or command on the wire
 	Duration float64           // in seconds: of the run, or since the start of the executor
 	Body     []byte
-	Tag      string
-	Gauges   []float64 // in the order of the settings
+	Tag      string    // with NoticeGauges: tag of the command that it answers
+	Gauges   []float64 // in the order in which the settings name them
 }
 
 // NoticeParser parses notices. A notice is valid until the next call of Parse.
@@ -61,12 +62,12 @@
 	gauges []float64
 }
 
-// Parse parses one line without its line end. After an error, which matches wire.ErrMalformed, the link has to be
-// closed.
+// Parse parses one line without its line end. After an error, which matches wire.ErrMalformed, the
+// link has to be closed.
 func (p *NoticeParser) Parse(line []byte) (notice Notice, err error) {
 	object, err := p.parser.ParseBytes(line)
 	if err != nil || object.Type() != fastjson.TypeObject {
-		return notice, malformed(errNotObject)
+		return notice, malformed(fmt.Errorf("%w: %.20q", errNotObject, line))
 	}
 	text := func(key string) string { return string(object.GetStringBytes(key)) }
 	notice = Notice{
@@ -91,15 +92,15 @@
 	if encoded := object.GetStringBytes("blob"); encoded != nil {
 		p.blob, err = base64.StdEncoding.AppendDecode(p.blob[:0], encoded)
 		if err != nil {
-			return notice, malformed(errBlobEncoding)
+			return notice, malformed(fmt.Errorf("%w: %w", errBlobEncoding, err))
 		}
 		notice.Body = p.blob
 	}
 	return notice, nil
 }
 
-// outcomeOf returns the outcome with a name on the wire. Nothing is known about a run with an unknown outcome, as
-// with a failed run, so it is admission.Failed.
+// outcomeOf returns the outcome with this name on the wire. An unknown name becomes
+// admission.Failed: like a failure, it proves nothing about what the run did.
 func outcomeOf(name string) admission.Outcome {
 	if outcome, known := outcomes[name]; known {
 		return outcome
--- a/internal/wire/processor/notice_test.go
+++ b/internal/wire/processor/notice_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestNoticeParser_ParsesLines(t *testing.T) {
+func TestNoticeParser_ValidAndMalformedLines(t *testing.T) {
 	var r NoticeParser
 	for line, want := range map[string]Notice{
 		`{"msg":"hi","how":"fresh","duration":1500}`:  {Kind: NoticeHello, Cold: true, Detail: "fresh", Duration: 1.5},
@@ -61,7 +61,7 @@
 	})
 }
 
-func TestAppendCommands_Bytes(t *testing.T) {
+func TestAppendCommands_ExactBytes(t *testing.T) {
 	for _, c := range []struct {
 		got  []byte
 		want string
--- a/internal/wire/roster/protocol.go
+++ b/internal/wire/roster/protocol.go
@@ -22,7 +22,8 @@
 	headEnd = lineEnd + lineEnd
 )
 
-// maxPartLength is the largest length of a head and of a body in bytes, far above those that the registry sends.
+// maxPartLength is the largest length of a head and of a body in bytes, far above those that the
+// registry sends.
 const maxPartLength = 8 << 10
 
 // Causes of a malformed response or report.
@@ -31,7 +32,7 @@
 	errStatusLine       = errors.New("first line is not an HTTP/1 status line")
 	errStatus           = errors.New("status is not a number")
 	errBodyLength       = fmt.Errorf("content length is not a number from 0 to %d", maxPartLength)
-	errChunkedBody      = errors.New("transfer encoding of the body is not supported")
+	errTransferEncoding = errors.New("unsupported transfer encoding of the body")
 	errUnknownDuty      = fmt.Errorf("duty of the report is neither %q nor %q", dutyOn, dutyOff)
 )
 
--- a/internal/wire/roster/registry.go
+++ b/internal/wire/roster/registry.go
@@ -18,8 +18,8 @@
 	Body      string // request body as received
 }
 
-// ReadReport reads one report. It returns an error of the connection or of the HTTP syntax unchanged. The error for
-// an HTTP request that is not a report matches wire.ErrMalformed.
+// ReadReport reads one report. It returns an error of the connection or of the HTTP syntax
+// unchanged. The error for an HTTP request that is not a report matches wire.ErrMalformed.
 func ReadReport(in *bufio.Reader) (Report, error) {
 	request, err := http.ReadRequest(in)
 	if err != nil {
@@ -38,7 +38,7 @@
 		return Report{}, malformed(fmt.Errorf("body of the report: %w", err))
 	}
 	if content.Duty != dutyOn && content.Duty != dutyOff {
-		return Report{}, malformed(errUnknownDuty)
+		return Report{}, malformed(fmt.Errorf("%w: %.20q", errUnknownDuty, content.Duty))
 	}
 	return Report{Name: name, Accepting: content.Duty == dutyOn, Body: string(body)}, nil
 }
--- a/internal/wire/roster/registry_test.go
+++ b/internal/wire/roster/registry_test.go
@@ -15,7 +15,8 @@
 		}
 	}
 	if a, n, err := ParseResponse([]byte(ReportAccepted)); err != nil || n != len(ReportAccepted) || a.Status != 204 {
-		t.Errorf("%q: got %+v, length %d, error %v; want status 204", ReportAccepted, a, n, err)
+		t.Errorf("%q: got %+v, length %d, error %v; want status 204, length %d",
+			ReportAccepted, a, n, err, len(ReportAccepted))
 	}
 	for _, bad := range []string{
 		"GET /roster/n3 HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -24,7 +25,7 @@
 		"nonsense\r\n\r\n",
 	} {
 		if r, err := ReadReport(bufio.NewReader(strings.NewReader(bad))); err == nil {
-			t.Errorf("%q: got %+v without an error", bad, r)
+			t.Errorf("%q: got %+v, want an error", bad, r)
 		}
 	}
 }
--- a/internal/wire/roster/report.go
+++ b/internal/wire/roster/report.go
@@ -5,8 +5,8 @@
 	"net/url"
 )
 
-// AppendReport appends the report to the registry at host that the named server accepts requests or, if accepts is
-// false, does not.
+// AppendReport appends the report to the registry at host that the named server accepts requests
+// or, if accepts is false, does not.
 func AppendReport(b []byte, host, name string, accepts bool) []byte {
 	duty := dutyOff
 	if accepts {
--- a/internal/wire/roster/response.go
+++ b/internal/wire/roster/response.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"fmt"
 	"strconv"
 )
 
@@ -11,8 +12,9 @@
 	Close  bool // the registry closes the connection after this response
 }
 
-// ParseResponse parses the response at the start of data and returns its length, or 0 if data holds only a part of
-// it. An error matches wire.ErrMalformed and means that the rest of data can't be parsed either.
+// ParseResponse parses the response at the start of data and returns its length, or 0 if data holds
+// only a part of it. An error matches wire.ErrMalformed and means that the rest of data can't be
+// parsed either.
 func ParseResponse(data []byte) (response Response, length int, err error) {
 	end := bytes.Index(data, []byte(headEnd))
 	if end < 0 {
@@ -53,21 +55,23 @@
 	return head, nil
 }
 
-// parseStatusLine parses the protocol version and the status. Connections of HTTP/1.0 are closed after a response.
+// parseStatusLine parses the protocol version and the status. Connections of HTTP/1.0 are closed
+// after a response.
 func parseStatusLine(line []byte) (response Response, err error) {
 	words := bytes.Fields(line)
 	if len(words) < 2 || !bytes.HasPrefix(words[0], []byte("HTTP/1.")) {
-		return Response{}, errStatusLine
+		return Response{}, fmt.Errorf("%w: %.40q", errStatusLine, line)
 	}
 	response.Status, err = strconv.Atoi(string(words[1]))
 	if err != nil {
-		return Response{}, errStatus
+		return Response{}, fmt.Errorf("%w: %.20q", errStatus, words[1])
 	}
 	response.Close = string(words[0]) == "HTTP/1.0"
 	return response, nil
 }
 
-// parseHeader parses one header. It ignores headers that affect neither the response nor the length of its body.
+// parseHeader parses one header. It ignores headers that affect neither the response nor the length
+// of its body.
 func (h *responseHead) parseHeader(line []byte) (err error) {
 	key, value, _ := bytes.Cut(line, []byte(":"))
 	text := string(bytes.ToLower(bytes.TrimSpace(value)))
@@ -75,10 +79,10 @@
 	case "content-length":
 		h.bodyLength, err = strconv.Atoi(text)
 		if err != nil || h.bodyLength < 0 || h.bodyLength > maxPartLength {
-			return errBodyLength
+			return fmt.Errorf("%w: %.20q", errBodyLength, text)
 		}
 	case "transfer-encoding":
-		return errChunkedBody
+		return fmt.Errorf("%w: %.20q", errTransferEncoding, text)
 	case "connection":
 		h.response.Close = h.response.Close || text == "close"
 	}
--- a/internal/wire/simulator/batch.go
+++ b/internal/wire/simulator/batch.go
@@ -12,10 +12,11 @@
 	"swiftcourse/internal/wire"
 )
 
-// readBuffer is the size of a Reader's buffer in bytes. Longer lines are assembled in Reader.longLine.
+// readBuffer is the size of a Reader's buffer in bytes. Longer lines are assembled in
+// Reader.longLine.
 const readBuffer = 1 << 20
 
-// Change is the change that an event means for the lifecycle of its instance.
+// Change is the effect of an event on the lifecycle of its instance.
 type Change uint8
 
 // The lifecycle changes of an instance.
@@ -68,9 +69,9 @@
 	return &Reader{in: bufio.NewReaderSize(in, readBuffer), gauges: map[string][]string{}}
 }
 
-// ReadBatch returns the next batch, which is valid until the next call, or io.EOF at the end of the input. The error
-// for a line that is not a valid batch matches wire.ErrMalformed, and wraps an EventError if one event is invalid.
-// Other errors are those of the underlying reader.
+// ReadBatch returns the next batch, which is valid until the next call, or io.EOF at the end of the
+// input. The error for a line that is not a valid batch matches wire.ErrMalformed, and wraps an
+// EventError if one event is invalid. Other errors are those of the underlying reader.
 func (r *Reader) ReadBatch() (*Batch, error) {
 	line, err := r.readLine()
 	if err != nil {
@@ -112,8 +113,8 @@
 	}
 }
 
-// readRawLine returns the input up to the next line end or error. A line that is longer than the buffer is
-// assembled in longLine.
+// readRawLine returns the input up to the next line end or error. A line that is longer than the
+// buffer is assembled in longLine.
 func (r *Reader) readRawLine() ([]byte, error) {
 	r.longLine = r.longLine[:0]
 	part, err := r.in.ReadSlice('\n')
--- a/internal/wire/simulator/batch_test.go
+++ b/internal/wire/simulator/batch_test.go
@@ -69,7 +69,7 @@
 	}
 	for i, e := range b.Events {
 		if !reflect.DeepEqual(e.Event, want[i]) {
-			t.Errorf("got %+v\nwant %+v", e.Event, want[i])
+			t.Errorf("event %d:\ngot  %+v\nwant %+v", i, e.Event, want[i])
 		}
 	}
 	if _, err := r.ReadBatch(); !errors.Is(err, io.EOF) {
@@ -84,9 +84,9 @@
 		{Kind: admission.Reject, RequestID: "id", Duration: 0.25, NoFailover: true},
 		{Kind: admission.SetHealth},
 	})
-	if err := w.Flush(); err != nil || out.String() !=
-		`{"cmds":[["BUSY","server/3","id",250.000,true],["STATUS","server/3",false,true]]}`+"\n" {
-		t.Fatalf("got %q, error %v; want commands BUSY and STATUS in one reply", out.String(), err)
+	const want = `{"cmds":[["BUSY","server/3","id",250.000,true],["STATUS","server/3",false,true]]}` + "\n"
+	if err := w.Flush(); err != nil || out.String() != want {
+		t.Fatalf("got %q, error %v; want %q", out.String(), err, want)
 	}
 }
 
--- a/internal/wire/simulator/errors.go
+++ b/internal/wire/simulator/errors.go
@@ -9,7 +9,7 @@
 
 // Causes of a malformed batch.
 var (
-	errBatchHead       = errors.New("batch has no number timeMs or no array inbox")
+	errBatchHead       = errors.New("batch has no key timeMs with a number or no key inbox with an array")
 	errEventNotArray   = errors.New("event is not an array")
 	errEventHead       = errors.New("event has no name or no instance")
 	errMissingSettings = errors.New("event BORN has no settings")
--- a/internal/wire/simulator/event.go
+++ b/internal/wire/simulator/event.go
@@ -165,8 +165,8 @@
 	return request
 }
 
-// readOutcome parses the outcome and duration of a run or call. Nothing is known about a run or call with an unknown
-// outcome, as with a failed one, so it is admission.Failed.
+// readOutcome parses the outcome and duration of a run or call. An unknown outcome becomes
+// admission.Failed: like a failure, it proves nothing about what the run or call did.
 func readOutcome(event *admission.Event, elements []*fastjson.Value) {
 	outcome, known := outcomes[text(elements, indexOutcome)]
 	if !known {
@@ -176,7 +176,8 @@
 	event.Duration = seconds(elements, indexDuration)
 }
 
-// readGauges parses the gauges with the given names, which are in the order of the event. Others are unknownGauge.
+// readGauges parses the gauges of an event, which are in the order of names. Gauges that the event
+// lacks are unknownGauge.
 func readGauges(names []string, elements []*fastjson.Value) admission.Gauges {
 	gauges := admission.Gauges{
 		Utilization: unknownGauge,
@@ -226,7 +227,7 @@
 	return elements[index].GetFloat64()
 }
 
-// seconds returns the duration at index, which is in milliseconds, in seconds.
+// seconds returns the duration at index, converted from milliseconds to seconds.
 func seconds(elements []*fastjson.Value, index int) float64 {
 	return number(elements, index) / wire.MillisecondsPerSecond
 }
--- a/internal/wire/units.go
+++ b/internal/wire/units.go
@@ -1,4 +1,5 @@
 package wire
 
-// MillisecondsPerSecond converts between the milliseconds of the protocols and the seconds of the Go types.
+// MillisecondsPerSecond converts between the milliseconds of the protocols and the seconds of the
+// Go types.
 const MillisecondsPerSecond = 1000
