--- a/internal/wire/catalogue/reply.go
+++ b/internal/wire/catalogue/reply.go
@@ -7,7 +7,8 @@
 	"swiftcourse/admission"
 )
 
-// outcomes are the outcomes of calls by status. Only LATER and NOUSE prove that the call never ran.
+// outcomes holds the outcomes of calls by status. Only LATER and NOUSE prove that the call did not
+// run.
 var outcomes = map[string]admission.Outcome{
 	statusData:    admission.Finished,
 	statusLater:   admission.Rejected,
@@ -16,15 +17,16 @@
 	statusTooSlow: admission.TimedOut,
 }
 
-// Reply tells how a call ended; its body is a view of the input.
+// Reply is the outcome of a call. Its body is a slice of the input.
 type Reply struct {
 	ID      string
 	Outcome admission.Outcome
 	Body    []byte
 }
 
-// ParseReply reads the reply at the start of data and returns its length, or 0 if data holds only a part of it.
-// An error matches wire.ErrMalformed and means that nothing of data can be parsed.
+// ParseReply parses the reply at the start of data and returns its length, or 0 if data holds only
+// a part of it. An error matches wire.ErrMalformed and means that the rest of data can't be parsed
+// either.
 func ParseReply(data []byte) (reply Reply, length int, err error) {
 	line, lineLength, err := parseLine(data)
 	if lineLength == 0 {
@@ -32,22 +34,22 @@
 	}
 	tokens := bytes.Fields(line)
 	if len(tokens) < 2 {
-		return Reply{}, 0, malformed(0, errReplyHead)
+		return Reply{}, 0, malformed(0, fmt.Errorf("%w: %.40q", errReplyLine, line))
 	}
 	outcome, known := outcomes[string(tokens[1])]
 	if !known {
-		return Reply{}, 0, malformed(0, fmt.Errorf("unknown word %.20q", tokens[1]))
+		return Reply{}, 0, malformed(0, fmt.Errorf("unknown status %.20q", tokens[1]))
 	}
 	reply = Reply{ID: string(tokens[0]), Outcome: outcome}
 	if outcome != admission.Finished {
 		return reply, lineLength, nil
 	}
 	if len(tokens) != 3 {
-		return Reply{}, 0, malformed(0, errReplyLength)
+		return Reply{}, 0, malformed(0, fmt.Errorf("%w: %.40q", errReplyLength, line))
 	}
 	size, sizeValid := parseBodySize(tokens[2])
 	if !sizeValid {
-		return Reply{}, 0, malformed(0, errReplyLength)
+		return Reply{}, 0, malformed(0, fmt.Errorf("%w: %.40q", errReplyLength, line))
 	}
 	reply.Body, length, err = parseBody(data, lineLength, size)
 	if length == 0 {
--- a/internal/wire/fleet/consensus.go
+++ b/internal/wire/fleet/consensus.go
@@ -1,6 +1,8 @@
 package fleet
 
 import (
+	"fmt"
+
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
@@ -9,21 +11,21 @@
 
 func encodeConsensus(m *Envelope) (isPacket_Body, error) {
 	message := m.Consensus
-	encoded := &Voting{
-		From:     message.From,
-		To:       message.To,
-		Founding: message.ClusterID,
-		Ask:      message.RequestReleaseLog,
-		Tell:     encodeReleaseLog(message.ReleaseLog),
+	encoded := &ConsensusMessage{
+		From:              message.From,
+		To:                message.To,
+		ClusterId:         message.ClusterID,
+		RequestReleaseLog: message.RequestReleaseLog,
+		ReleaseLog:        encodeReleaseLog(message.ReleaseLog),
 	}
 	if h := message.Heartbeat; h != nil {
-		encoded.Beacon = encodeHeartbeat(h)
+		encoded.Heartbeat = encodeHeartbeat(h)
 	}
 	if b := message.Bootstrap; b != nil {
-		encoded.Found = &Foundation{
-			Founding: b.ClusterID,
-			Seats:    b.Voters,
-			Order:    encodeReleaseLog(b.ReleaseLog),
+		encoded.Bootstrap = &Bootstrap{
+			ClusterId:  b.ClusterID,
+			Voters:     b.Voters,
+			ReleaseLog: encodeReleaseLog(b.ReleaseLog),
 		}
 	}
 	if message.Raft != nil {
@@ -32,30 +34,31 @@
 			return nil, err
 		}
 	}
-	return &Packet_Voting{encoded}, nil
+	return &Packet_Consensus{encoded}, nil
 }
 
-// decodeConsensus decodes a message between voters; one without any content is ErrUnknownBody.
-func decodeConsensus(encoded *Voting) (*consensus.Message, error) {
+// decodeConsensus decodes a message between voters. For a message without any content it returns
+// ErrUnknownBody.
+func decodeConsensus(encoded *ConsensusMessage) (*consensus.Message, error) {
 	message := &consensus.Message{
 		From:              encoded.From,
 		To:                encoded.To,
-		ClusterID:         encoded.Founding,
-		RequestReleaseLog: encoded.Ask,
+		ClusterID:         encoded.ClusterId,
+		RequestReleaseLog: encoded.RequestReleaseLog,
 	}
 	var err error
-	if encoded.Beacon != nil {
-		if message.Heartbeat, err = decodeHeartbeat(encoded.Beacon); err != nil {
+	if encoded.Heartbeat != nil {
+		if message.Heartbeat, err = decodeHeartbeat(encoded.Heartbeat); err != nil {
 			return nil, err
 		}
 	}
-	if encoded.Found != nil {
-		if message.Bootstrap, err = decodeBootstrap(encoded.Found); err != nil {
+	if encoded.Bootstrap != nil {
+		if message.Bootstrap, err = decodeBootstrap(encoded.Bootstrap); err != nil {
 			return nil, err
 		}
 	}
-	if encoded.Tell != nil {
-		if message.ReleaseLog, err = decodeReleaseLog(encoded.Tell); err != nil {
+	if encoded.ReleaseLog != nil {
+		if message.ReleaseLog, err = decodeReleaseLog(encoded.ReleaseLog); err != nil {
 			return nil, err
 		}
 	}
@@ -66,58 +69,63 @@
 	}
 	empty := message.Heartbeat == nil && message.Bootstrap == nil && message.ReleaseLog == nil && message.Raft == nil
 	if empty && !message.RequestReleaseLog {
-		return nil, ErrUnknownBody
+		return nil, fmt.Errorf("%w: consensus message without content", ErrUnknownBody)
 	}
 	return message, nil
 }
 
-func encodeHeartbeat(heartbeat *consensus.Heartbeat) *Beacon {
-	return &Beacon{
-		Name:     heartbeat.Name,
-		Life:     heartbeat.Incarnation,
-		Founding: heartbeat.ClusterID,
-		Known:    heartbeat.NewestClusterID,
-		Count:    heartbeat.AppliedCount,
-		Heard:    heartbeat.DetachedVoters,
-		Seats:    heartbeat.Voters,
+func encodeHeartbeat(heartbeat *consensus.Heartbeat) *Heartbeat {
+	return &Heartbeat{
+		Name:            heartbeat.Name,
+		Incarnation:     heartbeat.Incarnation,
+		ClusterId:       heartbeat.ClusterID,
+		NewestClusterId: heartbeat.NewestClusterID,
+		AppliedCount:    heartbeat.AppliedCount,
+		DetachedVoters:  heartbeat.DetachedVoters,
+		Voters:          heartbeat.Voters,
 	}
 }
 
-func decodeHeartbeat(encoded *Beacon) (*consensus.Heartbeat, error) {
-	if len(encoded.Heard) > maxListEntries || len(encoded.Seats) > maxListEntries || len(encoded.Name) > maxName {
-		return nil, ErrTooLarge
+func decodeHeartbeat(encoded *Heartbeat) (*consensus.Heartbeat, error) {
+	if len(encoded.DetachedVoters) > maxShortListEntries || len(encoded.Voters) > maxShortListEntries ||
+		len(encoded.Name) > maxName {
+		return nil, fmt.Errorf("%w: heartbeat with %d detached voters and %d voters, limit %d each, "+
+			"and a name of %d bytes, limit %d", ErrInvalidSize,
+			len(encoded.DetachedVoters), len(encoded.Voters), maxShortListEntries, len(encoded.Name), maxName)
 	}
 	return &consensus.Heartbeat{
 		Name:            encoded.Name,
-		Incarnation:     encoded.Life,
-		ClusterID:       encoded.Founding,
-		NewestClusterID: encoded.Known,
-		AppliedCount:    encoded.Count,
-		DetachedVoters:  encoded.Heard,
-		Voters:          encoded.Seats,
+		Incarnation:     encoded.Incarnation,
+		ClusterID:       encoded.ClusterId,
+		NewestClusterID: encoded.NewestClusterId,
+		AppliedCount:    encoded.AppliedCount,
+		DetachedVoters:  encoded.DetachedVoters,
+		Voters:          encoded.Voters,
 	}, nil
 }
 
-func decodeBootstrap(encoded *Foundation) (*consensus.Bootstrap, error) {
-	if len(encoded.Seats) > maxListEntries || encoded.Order == nil || encoded.Founding == 0 {
-		return nil, ErrTooLarge
+func decodeBootstrap(encoded *Bootstrap) (*consensus.Bootstrap, error) {
+	if len(encoded.Voters) > maxShortListEntries || encoded.ReleaseLog == nil || encoded.ClusterId == 0 {
+		return nil, fmt.Errorf("%w: bootstrap of cluster %d (0 is invalid) with %d voters, limit %d; release log: %t",
+			ErrInvalidSize, encoded.ClusterId, len(encoded.Voters), maxShortListEntries, encoded.ReleaseLog != nil)
 	}
-	log, err := decodeReleaseLog(encoded.Order)
+	log, err := decodeReleaseLog(encoded.ReleaseLog)
 	if err != nil {
 		return nil, err
 	}
-	return &consensus.Bootstrap{ClusterID: encoded.Founding, Voters: encoded.Seats, ReleaseLog: log}, nil
+	return &consensus.Bootstrap{ClusterID: encoded.ClusterId, Voters: encoded.Voters, ReleaseLog: log}, nil
 }
 
-// decodeRaft decodes the Raft library's own message. Its sender and receiver must be those of the
-// message around it.
-func decodeRaft(encoded *Voting) (*raftpb.Message, error) {
+// decodeRaft decodes the message of the Raft library. Its sender and receiver must be the same as
+// those of the consensus message that contains it.
+func decodeRaft(encoded *ConsensusMessage) (*raftpb.Message, error) {
 	message := &raftpb.Message{}
 	if err := proto.Unmarshal(encoded.Raft, message); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("invalid encoding of the Raft message: %w", err)
 	}
 	if message.Type == nil || message.GetFrom() != encoded.From || message.GetTo() != encoded.To {
-		return nil, ErrOutOfRange
+		return nil, fmt.Errorf("%w: Raft message from %d to %d, type present: %t, in a message from %d to %d",
+			ErrOutOfRange, message.GetFrom(), message.GetTo(), message.Type != nil, encoded.From, encoded.To)
 	}
 	return message, nil
 }
--- a/internal/wire/processor/protocol.go
+++ b/internal/wire/processor/protocol.go
@@ -21,29 +21,29 @@
 	messageRemark   = "remark"
 )
 
-// The values of key how in the notice that answers hello.
+// The values of key how in the notice hi, which answers hello.
 const (
 	stateFresh    = "fresh"
 	stateSeasoned = "seasoned"
 )
 
-// The values of key how in the notice that a run ended.
+// The values of key how in the notice complete, which reports the end of a run.
 const (
-	endDone    = "done"
-	endCrashed = "crashed"
-	endAborted = "aborted"
-	endStale   = "stale"
+	outcomeDone    = "done"
+	outcomeCrashed = "crashed"
+	outcomeAborted = "aborted"
+	outcomeStale   = "stale"
 )
 
-// outcomes are the outcomes of a run by their names on the wire.
+// outcomes holds the outcomes of runs by their names on the wire.
 var outcomes = map[string]admission.Outcome{
-	endDone:    admission.Finished,
-	endCrashed: admission.Failed,
-	endAborted: admission.Cancelled,
-	endStale:   admission.NeverStarted,
+	outcomeDone:    admission.Finished,
+	outcomeCrashed: admission.Failed,
+	outcomeAborted: admission.Cancelled,
+	outcomeStale:   admission.NeverStarted,
 }
 
-// wireName returns the name of a value on the wire, or fallback if it has none.
+// wireName returns the name of a value on the wire, or fallback if the value has no name.
 func wireName[V comparable](names map[string]V, value V, fallback string) string {
 	for name, named := range names {
 		if named == value {
