--- a/internal/server/accept.go
+++ b/internal/server/accept.go
@@ -18,60 +18,59 @@
 
 const (
 	// minAcceptBackoff is the pause after a failed accept; it doubles up to maxAcceptBackoff. Both
-	// are short compared with the second in which trusted clients are to be admitted, and long
+	// are short compared with the one second within which trusted clients must be admitted, and long
 	// compared with the cost of an attempt.
 	minAcceptBackoff = 2 * time.Millisecond
 	maxAcceptBackoff = 50 * time.Millisecond
-	// maxPendingAccepts bounds the connections between the acceptor and the loop where the
-	// connection limiter has no holding area: each takes up to three of the reserved descriptors
-	// there.
+	// maxPendingAccepts bounds the accepted connections that the loop has not received yet, if the
+	// connection limiter has no holding area. Each of them takes up to three reserved descriptors.
 	maxPendingAccepts = 4
 	// acceptFailureLogInterval is the least time between two log lines about failed accepts.
 	acceptFailureLogInterval = time.Second
-	// maxEvictionRounds bounds how often other connections are evicted for the sake of one.
+	// maxEvictionRounds bounds the rounds of eviction that make room for one accepted connection.
 	maxEvictionRounds = 5
 )
 
-// acceptor accepts connections and hands them to the loop. gnet's own accept stops the engine when
-// it fails for want of a descriptor or of memory, and its listener lives as long as the engine;
-// this one retries, and closes on its own. Its goroutine makes no decision but when to wait; what
-// the loop shares with it is atomic.
+// acceptor accepts connections and registers them on the loop. It replaces gnet's own acceptor,
+// which stops the engine if accept fails for lack of descriptors or memory, and can't close its
+// listener before the engine stops; this one retries after failures, and can be closed separately.
+// It runs on its own goroutine and shares only atomic fields and channels with the loop.
 type acceptor struct {
 	server   *Server
 	listener net.Listener
-	fd       int           // the listener's
-	accept   acceptFunc    // acceptBlocking
-	pending  chan struct{} // has a place for each connection on its way to the loop
+	fd       int           // the listener's descriptor
+	accept   acceptFunc    // acceptBlocking, or a test's wrapper of it
+	pending  chan struct{} // a semaphore: one element for each connection the loop has yet to receive
 
 	closeRequested atomic.Bool
-	wakeFD         int           // an event descriptor that wakes it for closeRequested
-	done           chan struct{} // closed once the listener is
+	wakeFD         int           // an eventfd that wakes the acceptor when closeRequested is set
+	done           chan struct{} // closed once the listener is closed
 
-	spareFile       *os.File // a descriptor to give up when there is none left
+	spareFile       *os.File // holds a spare descriptor, which is released when descriptors run out
 	failureLoggedAt time.Time
 	failures        atomic.Int64 // failed accepts
 
-	// untrustedRate is how many untrusted clients a second may be accepted, by the connection
-	// limiter, as the bits of a float64.
+	// untrustedRate is how many untrusted clients may be accepted per second, as the bits of a
+	// float64. The connection limiter sets it.
 	untrustedRate atomic.Uint64
-	trusted       atomic.Pointer[trustedClients] // exempt from the rate, from the limiter
-	rateLimited   atomic.Int64                   // untrusted clients that were refused
+	trusted       atomic.Pointer[trustedClients] // clients exempt from the rate; the limiter sets them
+	rateLimited   atomic.Int64                   // untrusted clients refused for the rate
 	sampledAt     float64                        // when the loop last sampled the CPU time
 }
 
-// acceptFunc waits for a connection. It returns net.ErrClosed once the acceptor is to close and no
-// connection is waiting.
+// acceptFunc waits for a connection and accepts it. It returns net.ErrClosed once a close of the
+// acceptor was requested and no connection is waiting.
 type acceptFunc func() (acceptedSocket, error)
 
-// acceptedSocket is an accepted connection as its bare descriptor: most of them in a flood are
-// closed at once, and wrapping each in a net.Conn would be half of the cost.
+// acceptedSocket is an accepted connection as a bare descriptor. In a flood most connections are
+// closed at once, and wrapping each in a net.Conn would make up half of the cost.
 type acceptedSocket struct {
 	fd     int
 	remote netip.Addr
 }
 
-// newAcceptor opens the server's listener. Like gnet's, it sets SO_REUSEPORT, so that a successor
-// can listen on the address.
+// newAcceptor opens the server's listener. Like gnet it sets SO_REUSEPORT, so that the process that
+// replaces this one can listen on the same address.
 func newAcceptor(address string) (*acceptor, error) {
 	listenConfig := net.ListenConfig{KeepAlive: -1, Control: reusePort}
 	listener, err := listenConfig.Listen(context.Background(), "tcp", address)
@@ -82,7 +81,7 @@
 	a.accept = a.acceptBlocking
 	raw, err := listener.(*net.TCPListener).SyscallConn()
 	if err == nil {
-		err = raw.Control(func(fd uintptr) { a.fd = int(fd) }) // it stays open as long as the listener does
+		err = raw.Control(func(fd uintptr) { a.fd = int(fd) }) // valid as long as the listener is open
 	}
 	if err == nil {
 		a.wakeFD, err = unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK)
@@ -103,8 +102,8 @@
 	return errors.Join(controlErr, optionErr)
 }
 
-// attach takes the rate limit and the trusted clients from a server's connection limiter. It is
-// called before run.
+// attach connects the acceptor to a server, and copies the rate limit and the trusted prefixes from
+// the server's connection limiter. It must be called before run.
 func (a *acceptor) attach(s *Server) {
 	a.server = s
 	maxPending := maxPendingAccepts
@@ -120,18 +119,18 @@
 	a.trusted.Store(trusted)
 }
 
-// run accepts until the listener closes. Every connection is accepted at once, as trusted clients
-// wait in the same system queue as others; untrusted ones over the rate are refused here, at about
-// half of the cost that the loop would have.
+// run accepts connections until the listener closes. It accepts all of them without delay, because
+// trusted clients wait in the same system queue as others. It refuses untrusted clients over the
+// rate itself, at about half of what that would cost on the loop.
 func (a *acceptor) run() {
 	defer close(a.done)
 	defer a.release()
 	select {
-	case <-a.server.loop.ready: // the first dialed connection starts it
+	case <-a.server.loop.ready: // closed when the first dialed connection opens
 	case <-a.server.lifetime.stopped:
 		return
 	}
-	bucket := tokenBucket{tokens: math.Inf(1), at: time.Now()} // full
+	bucket := tokenBucket{tokens: math.Inf(1), at: time.Now()} // starts full
 	backoff := minAcceptBackoff
 	for {
 		socket, err := a.accept()
@@ -142,12 +141,12 @@
 			continue
 		case errors.Is(err, net.ErrClosed):
 			return
-		case errors.Is(err, syscall.ECONNABORTED): // it went away while it waited
+		case errors.Is(err, syscall.ECONNABORTED): // the client closed the connection while it was queued
 			continue
-		case errors.Is(err, syscall.EINTR): // a signal came
+		case errors.Is(err, syscall.EINTR): // interrupted by a signal
 			continue
 		}
-		if a.closeRequested.Load() { // those that still wait can't be accepted
+		if a.closeRequested.Load() { // connections still in the queue can't be accepted
 			return
 		}
 		a.handleFailure(err)
@@ -156,8 +155,8 @@
 	}
 }
 
-// handleAccepted hands a connection to the loop, or refuses it if it is untrusted and over the
-// rate.
+// handleAccepted registers a connection on the loop, or refuses it if its client is untrusted and
+// over the rate.
 func (a *acceptor) handleAccepted(socket acceptedSocket, bucket *tokenBucket) {
 	bucket.refill(math.Float64frombits(a.untrustedRate.Load()))
 	if !a.trusted.Load().contains(socket.remote) && !bucket.take() {
@@ -169,7 +168,8 @@
 	a.handOver(socket)
 }
 
-// handleFailure logs a failed accept and, if descriptors ran out, makes room for the next one.
+// handleFailure handles a failed accept: it logs it and, if descriptors ran out, evicts connections
+// and rejects one waiting connection with the spare descriptor.
 func (a *acceptor) handleFailure(err error) {
 	a.failures.Add(1)
 	if time.Since(a.failureLoggedAt) > acceptFailureLogInterval {
@@ -189,15 +189,16 @@
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// reserveSpare opens the spare descriptor if there is none.
+// reserveSpare opens the spare descriptor if it is not open.
 func (a *acceptor) reserveSpare() {
 	if a.spareFile == nil {
-		a.spareFile, _ = os.Open(os.DevNull) // if it fails, the next accept tries again
+		a.spareFile, _ = os.Open(os.DevNull) // if this fails, it is tried again after the next accept
 	}
 }
 
-// acceptWithSpare accepts with the spare descriptor if descriptors ran out: otherwise the
-// connection that waits for longest would wait for ever, and the listener would always be ready.
+// acceptWithSpare accepts a connection with the spare descriptor if descriptors ran out. Otherwise
+// the oldest waiting connection would get no answer while descriptors are short, and the listener
+// would stay readable.
 func (a *acceptor) acceptWithSpare(err error) (acceptedSocket, bool) {
 	if a.spareFile == nil || !lacksDescriptor(err) {
 		a.reserveSpare()
@@ -206,21 +207,21 @@
 	_ = a.spareFile.Close()
 	a.spareFile = nil
 	socket, err := a.acceptNonblocking()
-	if err != nil { // the system reports a lack of descriptors even if no connection waits
+	if err != nil { // none may be waiting: EMFILE and ENFILE are reported even then
 		a.reserveSpare()
 	}
 	return socket, err == nil
 }
 
-// acceptBlocking waits for a connection, and blocks a thread meanwhile: what it accepts is a bare
-// descriptor, and the listener's own way to wait returns none.
+// acceptBlocking waits for a connection and accepts it; it blocks a thread meanwhile. It polls the
+// descriptors itself because net.Listener can wait only for a net.Conn, not for a bare descriptor.
 func (a *acceptor) acceptBlocking() (acceptedSocket, error) {
 	for {
 		socket, err := a.acceptNonblocking()
 		if !errors.Is(err, unix.EAGAIN) {
 			return socket, err
 		}
-		if a.closeRequested.Load() { // and no connection waits
+		if a.closeRequested.Load() { // no connection is waiting either
 			return socket, net.ErrClosed
 		}
 		_, _ = unix.Poll([]unix.PollFd{
@@ -246,8 +247,8 @@
 	return socket, nil
 }
 
-// handOver gives a connection to the loop, where OnOpen receives it. If there is no descriptor for
-// that, other connections are evicted first.
+// handOver registers a connection on the loop, which calls OnOpen with it. That takes another
+// descriptor; if none is left, other connections are evicted first.
 func (a *acceptor) handOver(socket acceptedSocket) {
 	a.reserveSpare()
 	conn, err := duplicateConn(socket)
@@ -269,19 +270,19 @@
 		return
 	}
 	go func() {
-		if result := <-registered; result.Err != nil { // it never reached OnOpen
+		if result := <-registered; result.Err != nil { // OnOpen was not called for it
 			<-a.pending
 		}
 	}()
 }
 
-// evictForDescriptors has the loop evict connections, and waits until they are closed.
+// evictForDescriptors makes the loop evict connections, and waits until they are closed.
 func (a *acceptor) evictForDescriptors() {
 	s := a.server
 	evicted := make(chan struct{})
 	err := s.loop.execute(func() {
 		s.evictUnderPressure()
-		// gnet closes them in the order of its queue; this comes after the last.
+		// gnet closes connections in the order of its queue, so this runs after the last close.
 		_ = s.loop.execute(func() { close(evicted) })
 	})
 	if err != nil {
@@ -289,14 +290,14 @@
 	}
 	select {
 	case <-evicted:
-	case <-time.After(maxAcceptBackoff): // the server ends, or the loop is stalled
+	case <-time.After(maxAcceptBackoff): // the server is stopping, or the loop is stalled
 	}
 }
 
-// duplicateConn makes a net.Conn of a duplicate of the descriptor, so that the original is still
-// open if that fails.
+// duplicateConn makes a net.Conn from a duplicate of the descriptor; the original stays open in any
+// case.
 func duplicateConn(socket acceptedSocket) (net.Conn, error) {
-	_ = unix.SetsockoptInt(socket.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // an error only costs latency
+	_ = unix.SetsockoptInt(socket.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // without it, only latency suffers
 	fd, err := unix.FcntlInt(uintptr(socket.fd), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
 		return nil, err
@@ -306,17 +307,18 @@
 	return net.FileConn(file)
 }
 
-// close has the acceptor accept the connections that already wait, and then close the listener:
-// from then on the system refuses connections, which proves to clients that nothing ran. It returns
-// at once; the channel done is closed afterwards. Any goroutine may call it.
+// close makes the acceptor accept the connections that are already waiting, and then close the
+// listener. From then on the system refuses connections, so a client knows that its request did not
+// run. close returns at once; the channel done is closed after the listener. Any goroutine may call
+// it.
 func (a *acceptor) close() {
 	a.closeRequested.Store(true)
 	one := [8]byte{1}
 	_, _ = unix.Write(a.wakeFD, one[:])
 }
 
-// drained reports whether no further connection can come: the listener is closed, and the loop has
-// received all accepted connections.
+// drained reports whether no further connection can arrive: the listener is closed, and the loop
+// has received all accepted connections.
 func (a *acceptor) drained() bool {
 	select {
 	case <-a.done:
--- a/internal/server/accept_rate.go
+++ b/internal/server/accept_rate.go
@@ -12,18 +12,18 @@
 // This file limits the rate at which the acceptor accepts untrusted clients.
 
 const (
-	// acceptBurst is the burst of the rate limit, in seconds of the rate: half of all clients may
-	// reconnect together, and none of them is trusted after a restart.
+	// acceptBurst is the burst of the rate limit, in seconds of the rate. After a restart half of
+	// all clients may reconnect at the same moment, and none of them is trusted yet.
 	acceptBurst = 1.0
-	// cpuSampleInterval is how often, in seconds, the CPU time spent is read: a system call of a
-	// microsecond.
+	// cpuSampleInterval is how often, in seconds, the process's CPU time is read, by a system call
+	// that takes about a microsecond.
 	cpuSampleInterval = 0.05
 )
 
 // trustedClients are the clients that the acceptor exempts from the rate limit.
 type trustedClients struct {
-	prefixes  []netip.Prefix      // by the operator's settings
-	addresses map[netip.Addr]bool // of clients that earned it by their requests
+	prefixes  []netip.Prefix      // from the operator's settings
+	addresses map[netip.Addr]bool // of clients that earned trust by their requests
 }
 
 func (t *trustedClients) contains(addr netip.Addr) bool {
@@ -31,14 +31,14 @@
 	return t.addresses[addr] || slices.ContainsFunc(t.prefixes, containsAddr)
 }
 
-// tokenBucket counts the untrusted clients that may be accepted now.
+// tokenBucket limits the rate of accepted untrusted clients; each takes a token.
 type tokenBucket struct {
 	tokens float64
-	at     time.Time // when it was last filled
+	at     time.Time // of the last refill
 }
 
-// refill adds the tokens since the last refill, at a rate per second; an infinite rate leaves the
-// bucket as it is.
+// refill adds the tokens that are due since the last refill, at a rate per second. With an infinite
+// rate the number of tokens stays the same.
 func (b *tokenBucket) refill(rate float64) {
 	now := time.Now()
 	if !math.IsInf(rate, 1) {
@@ -56,7 +56,8 @@
 	return true
 }
 
-// sampleCPU updates the rate limit from the CPU time that arrivals cost. It runs on the loop.
+// sampleCPU passes the process's CPU time to the connection limiter, and copies the resulting rate
+// limit and trusted clients to the acceptor. It runs on the loop.
 func (a *acceptor) sampleCPU(now float64) {
 	if now < a.sampledAt+cpuSampleInterval {
 		return
--- a/internal/server/claims.go
+++ b/internal/server/claims.go
@@ -9,47 +9,48 @@
 	"swiftcourse/internal/requesttable"
 )
 
-// This file claims the idempotency keys of requests: the fleet grants a key before the controller
-// receives the request, so that the request has no effect twice, on whichever servers its retries
-// arrive. Waiting for the grant counts as time unread: the controller goes by what is left of the
-// client's timeout.
+// This file claims the idempotency keys of requests: the controller receives a request only after the
+// fleet has granted its key, so that the request takes effect at most once, whichever servers its
+// retries reach. The time spent waiting for the grant is part of the request's age: the controller
+// uses what remains of the client's timeout.
 
 const (
-	// maxPendingClaims bounds the requests that are claimed at a time: at 1 ms each that is a
-	// million a second, and 4 MB of bodies at most.
+	// maxPendingClaims bounds the claims without a verdict. At 1 ms per claim it allows a million
+	// claims per second, with at most 4 MB of request bodies.
 	maxPendingClaims = 1024
-	// claimSafetyMargin is the part of a request's timeout, in seconds, that is kept for its
-	// answer.
+	// claimSafetyMargin is the part of a request's timeout, in seconds, that is reserved for its
+	// answer; the claim must be decided before.
 	claimSafetyMargin = 0.02
-	// claimTimeoutGrace is how long, in seconds, after the claim's timeout its outcome is taken as
-	// unknown: the claim may have been granted.
+	// claimTimeoutGrace is how long, in seconds, after the timeout of a claim without a verdict its
+	// outcome is treated as unknown: it may have been granted.
 	claimTimeoutGrace = 0.01
 )
 
-// KeyClaimer claims idempotency keys from the fleet. Its verdicts come by
-// Server.HandleClaimVerdict; nothing here waits.
+// KeyClaimer claims idempotency keys from the fleet. It delivers its verdicts by calling
+// Server.HandleClaimVerdict. None of its methods waits.
 type KeyClaimer interface {
-	// Claim asks for the right to run a request; the verdict is due within timeout seconds. It
-	// returns false if no further claim can be made.
+	// Claim requests the right to run a request; the verdict is due within timeout seconds. It
+	// returns false if no further claim can be made now.
 	Claim(id, class, key string, timeout float64) bool
-	// ReleaseClaim reports that a request is over and never ran.
+	// ReleaseClaim reports that a request has ended and never ran.
 	ReleaseClaim(id string)
 	// CompleteClaim reports how the run of a request ended, and its result.
 	CompleteClaim(id string, succeeded bool, result []byte)
-	// UnreportedClaims counts the finished requests whose end the replicas have not acknowledged.
+	// UnreportedClaims returns the number of finished requests whose outcome the replicas have not
+	// acknowledged.
 	UnreportedClaims() int
 }
 
 // keyClaims is the state of the requests whose keys are claimed.
 type keyClaims struct {
 	claimer      KeyClaimer
-	classClaimed []bool                     // by class: whether its requests are claimed
-	waiting      map[string]admission.Event // arrivals that the controller has not received, by request
-	granted      map[string]bool            // requests that may run and have not ended
+	classClaimed []bool                     // whether the keys of a class are claimed, by class
+	waiting      map[string]admission.Event // arrivals held back until the claim's verdict, by request ID
+	granted      map[string]bool            // IDs of requests that may run and have not ended
 }
 
-// EnableKeyClaims has the requests of some classes claimed by their subject before they run;
-// repeats are recognised for a window in seconds. It is called before Run.
+// EnableKeyClaims enables claims for the named classes: a request's key is claimed before it runs,
+// and its repeats are recognised for a window in seconds. It must be called before Run.
 func (s *Server) EnableKeyClaims(claimer KeyClaimer, classes []string, window float64) {
 	claims := &keyClaims{
 		claimer:      claimer,
@@ -67,8 +68,8 @@
 	s.fleet.claims = claims
 }
 
-// claimKey claims the key of a request if its class requires that, and reports whether it took over
-// the request: then the controller receives the arrival once the claim is granted.
+// claimKey claims the key of a request if its class requires that. If it returns true, the caller
+// must not queue the arrival: it was rejected, or the verdict on the claim decides about it.
 func (s *Server) claimKey(request *requesttable.Request, arrival *admission.Event, now float64) bool {
 	claims := s.fleet.claims
 	if claims == nil || !claims.classClaimed[request.Class] || request.Subject == "" {
@@ -91,13 +92,13 @@
 	claims.waiting[request.ID] = *arrival
 	id := request.ID
 	s.loop.timers.Schedule(now+max(0, remaining)+claimTimeoutGrace, func() {
-		s.resolveClaim(id, serving.ClaimOutcomeUnknown, nil) // no effect if it is resolved by then
+		s.resolveClaim(id, serving.ClaimOutcomeUnknown, nil) // no effect if a verdict was received before
 	})
 	return true
 }
 
-// HandleClaimVerdict receives the fleet's verdict on a claim, and the result if that is cached. Any
-// goroutine but the loop's may call it; it waits until the loop has started.
+// HandleClaimVerdict receives the fleet's verdict on a claim, and the request's result if the fleet
+// has it cached. Any goroutine but the loop's may call it; it waits until the loop has started.
 func (s *Server) HandleClaimVerdict(id string, verdict serving.ClaimVerdict, result []byte) {
 	s.loop.waitAndExecute(context.Background(), func() { s.resolveClaim(id, verdict, result) })
 }
@@ -105,7 +106,7 @@
 func (s *Server) resolveClaim(id string, verdict serving.ClaimVerdict, result []byte) {
 	claims := s.fleet.claims
 	arrival, isWaiting := claims.waiting[id]
-	if !isWaiting { // it is over, and the fleet was notified
+	if !isWaiting { // the request has ended, and the fleet was notified
 		return
 	}
 	delete(claims.waiting, id)
@@ -132,13 +133,13 @@
 		s.statistics.claimsFailed++
 		s.reject(request, s.retryAfterOutOfService())
 	default:
-		claims.claimer.ReleaseClaim(id) // it may have been granted all the same
+		claims.claimer.ReleaseClaim(id) // the claim may have been granted
 		s.statistics.claimsFailed++
 		s.fail(request)
 	}
 }
 
-// releaseClaim reports to the fleet that a claimed request is over and never ran.
+// releaseClaim reports to the fleet that a claimed request has ended and never ran.
 func (s *Server) releaseClaim(request *requesttable.Request) {
 	claims := s.fleet.claims
 	if claims == nil {
@@ -161,13 +162,13 @@
 	}
 }
 
-// hasUnreportedClaims reports whether a draining server should stay for a moment: the outcome of a
-// request that its replicas don't know yet would be unknown to a client that retries.
+// hasUnreportedClaims reports whether a draining server should wait for the replicas to receive the
+// outcomes of finished requests: otherwise a client that retries would find the outcome unknown.
 func (s *Server) hasUnreportedClaims() bool {
 	return s.fleet.claims != nil && s.fleet.claims.claimer.UnreportedClaims() > 0
 }
 
-// resultLifetime is how long, in seconds, a class's result may serve repeats.
+// resultLifetime returns how long, in seconds, a result of a class may be reused for repeats.
 func (s *Server) resultLifetime(class int) float64 {
 	if claims := s.fleet.claims; claims != nil && claims.classClaimed[class] {
 		return s.startup.Settings.Classes[class].DeduplicationWindow
--- a/internal/server/client.go
+++ b/internal/server/client.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"fmt"
 	"slices"
 
 	"github.com/panjf2000/gnet/v2"
@@ -11,31 +12,31 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// maxRequestsPerConn is how many requests may be open on one connection, by the protocol.
+// maxRequestsPerConn is how many requests the protocol allows to be open on one connection.
 const maxRequestsPerConn = 32
 
 // clientTable is the state of all clients' connections.
 type clientTable struct {
 	conns                  slottable.Table[clientConn]
 	limiter                *connlimit.Limiter
-	configuredHoldingSlots int // size of the holding area by the operator's settings
+	configuredHoldingSlots int // size of the holding area in the operator's settings
 	requestLists           requesttable.ListPool
 	muted                  []mutedConn
 	lingering              []*lingeringConn // in order of their deadlines
 }
 
-// clientConn is a client's connection. It holds nothing that an idle connection doesn't need: its
-// requests and its output are in buffers that come from a pool and go back to it.
+// clientConn is a client's connection. It is small, as most connections are idle: the lists of its
+// requests and the buffers of its output are taken from pools only while they are needed.
 type clientConn struct {
 	bufferedConn
 	server     *Server
-	id         slottable.Handle        // in the table; the slot identifies the connection to the limiter
-	requests   []*requesttable.Request // the open ones, from requestLists, nil for none
-	retryAfter float64                 // seconds, if it was not admitted
+	id         slottable.Handle        // in clientTable.conns; the limiter knows the connection by its slot
+	requests   []*requesttable.Request // open requests, in a list from requestLists; nil if none
+	retryAfter float64                 // in seconds, if the connection was not admitted
 	state      connState
 }
 
-// addClient makes the handler of a client's new connection.
+// addClient creates the handler of a client's new connection.
 func (s *Server) addClient(conn gnet.Conn) *clientConn {
 	if a, accepted := conn.Context().(*acceptor); accepted {
 		<-a.pending
@@ -47,7 +48,7 @@
 	return client
 }
 
-// slot identifies the connection to the connection limiter.
+// slot returns the number that identifies the connection to the connection limiter.
 func (c *clientConn) slot() int32 { return c.id.Slot() }
 
 func (c *clientConn) handleOpen(conn gnet.Conn, _ string) error {
@@ -67,11 +68,13 @@
 		return nil
 	}
 	c.closeNow()
-	return errNoDescriptor
+	limit := s.maxClients()
+	return fmt.Errorf("%w: limit %d, by %s", errNoDescriptor, limit.conns, limit.bound)
 }
 
-// closeNow closes a connection. Its slot is free at once, and nothing more is read: gnet closes the
-// descriptor a little later, and a request read until then would run without an answer.
+// closeNow closes the connection without waiting for answers. Its slot is free at once, and no
+// further input is handled: gnet closes the descriptor only after the turn, and a request that was
+// read until then would run without being answered.
 func (c *clientConn) closeNow() {
 	conn := c.conn
 	c.handleClose(nil)
@@ -86,7 +89,7 @@
 	}
 }
 
-// leaveTable frees the connection's slot, and cancels its open requests.
+// leaveTable removes the connection from the table and the limiter, and cancels its open requests.
 func (c *clientConn) leaveTable() {
 	s := c.server
 	requests := c.requests
@@ -97,7 +100,7 @@
 	}
 	c.release(&s.output.buffers)
 	s.clients.limiter.HandleClosed(c.slot())
-	s.clients.conns.Remove(c.id) // from here on c may be the entry of another connection
+	s.clients.conns.Remove(c.id) // from here on c may be reused for another connection
 	for _, request := range requests {
 		s.cancelByClient(request)
 	}
@@ -126,8 +129,8 @@
 	return n, nil
 }
 
-// handleMessage handles one whole message. An error means that the rest of the input can't be
-// parsed.
+// handleMessage handles one complete message. An error means that the rest of the input can't be
+// handled.
 func (c *clientConn) handleMessage(message *rpc.Message, now float64) error {
 	s := c.server
 	switch message.Kind {
@@ -150,7 +153,7 @@
 	return nil
 }
 
-// observe reports an event of the connection to the connection limiter.
+// observe passes an event of the connection to the connection limiter.
 func (c *clientConn) observe(input connlimit.Event, now float64) {
 	c.server.clients.limiter.HandleEvent(c.slot(), input, now)
 }
@@ -158,7 +161,7 @@
 // writeScratch writes the message in the server's scratch buffer.
 func (c *clientConn) writeScratch() { c.server.write(&c.bufferedConn, c.server.output.scratch) }
 
-// findRequest returns the open request of a message, or nil.
+// findRequest returns the open request with a message ID, or nil.
 func (c *clientConn) findRequest(number uint64) *requesttable.Request {
 	for _, request := range c.requests {
 		if request.MessageNumber == number {
--- a/internal/server/client_state.go
+++ b/internal/server/client_state.go
@@ -1,50 +1,51 @@
 package server
 
-// A client's connection goes through the states below. What the connection limiter knows of it
-// beyond that (untrusted, idle, busy, asked to close) is a state of package connlimit.
+// A client's connection goes through the states below. The connection limiter keeps further state
+// about each connection (untrusted, idle, busy, asked to close) in package connlimit.
 //
-// gnet closes the descriptor only after the turn in which that is asked for. So each state has a
-// handler of the connection, and a rule for events that gnet reports late.
+// gnet closes a descriptor only after the turn in which the close was requested, and may report
+// events of the connection until then. The table shows the handler and the effect of events in each
+// state:
 //
-//	state      handler          bytes that arrive          close by the peer    a late event of gnet
-//	closed     none             the connection is closed   ignored              ignored: owns reports false
-//	reading    clientConn       are read                   the requests cancel  -
-//	muted      clientConn       are discarded              the requests cancel  -
-//	lingering  lingeringConn    are discarded              ends the lingering   -
+//	state      handler        input                  close by the peer      late event from gnet
+//	closed     none           closes the connection  ignored                ignored, see owns
+//	reading    clientConn     is handled             cancels open requests  -
+//	muted      clientConn     is discarded           cancels open requests  -
+//	lingering  lingeringConn  is discarded           ends the lingering     -
 //
-// A close with bytes unread resets the connection, and what the peer has not taken yet may go with
-// it. So the server shuts its own side first, after all answers, and reads the input to its end.
-// Requests that it discards there were sent before the client saw the close: they never ran, and the
-// client sends them once more.
+// Closing a connection with unread input resets it, and the peer may lose answers that it has not
+// read yet. Therefore the server shuts down its own side first, after all answers, and reads the
+// input until the peer closes. Requests that it discards meanwhile were sent before the client saw
+// the close: they never ran, and the client sends them again.
 
 // connState is the state of a client's connection.
 type connState uint8
 
 const (
-	connClosed    connState = iota // the zero value: it has no handler
+	connClosed    connState = iota // the zero value: the connection has no handler
 	connReading                    // messages are read and answered
-	connMuted                      // it sent malformed input: nothing more is read, pending answers are still sent
-	connLingering                  // the server's side is shut, and the peer's end is awaited
+	connMuted                      // after malformed input: further input is discarded, pending answers are sent
+	connLingering                  // the server's side is shut down, and the peer has yet to close
 	connStateCount
 )
 
-// String returns the state's name in log lines.
+// String returns the state's name.
 func (s connState) String() string {
 	return [...]string{"closed", "reading", "muted", "lingering", "unknown"}[min(s, connStateCount)]
 }
 
-// connEvent is what moves a client's connection from one state to the next.
+// connEvent is an event that changes the state of a client's connection.
 type connEvent uint8
 
 const (
-	connOpened        connEvent = iota // gnet has the connection
-	connProtocolError                  // it sent malformed input
-	connGracefulClose                  // nothing is pending either way: the server's side is shut
+	connOpened        connEvent = iota // gnet reported the open connection
+	connProtocolError                  // the client sent malformed input
+	connGracefulClose                  // with nothing pending, the server shuts down its side
 	connEnded                          // the peer closed or reset it, or the server closes it at once
 	connEventCount
 )
 
-// String returns the event's name in log lines.
+// String returns the event's name.
 func (e connEvent) String() string {
 	return [...]string{"opened", "protocol_error", "graceful_close", "ended", "unknown"}[min(e, connEventCount)]
 }
@@ -75,7 +76,7 @@
 	},
 }
 
-// advance moves to the state that follows an event, and reports whether the event was legal.
+// advance changes to the state that follows an event, and reports whether the event was legal.
 func (s *connState) advance(event connEvent) bool {
 	transition := connTransitions[*s][event]
 	if transition.legal {
--- a/internal/server/conn.go
+++ b/internal/server/conn.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"fmt"
 	"log/slog"
 
 	"github.com/panjf2000/gnet/v2"
@@ -9,44 +10,43 @@
 )
 
 const (
-	// maxClientBacklog bounds the bytes that wait for a client that does not read: 32 results of 4
-	// KiB and their framing. All clients together may leave an eighth of the memory unread, see
-	// closeLargestBacklog.
+	// maxClientBacklog bounds the bytes that a client may leave unread: 32 results of 4 KiB with
+	// their framing. See closeLargestBacklog for the bound on all clients together.
 	maxClientBacklog = 136 << 10
-	// maxDialedBacklog is the bound for connections that the server dialed: the commands for some
-	// hundred requests, as after a pause of the other side, which a new connection would only have
-	// to repeat.
+	// maxDialedBacklog is the bound for connections that the server dialed. It holds the commands
+	// for some hundred requests, which may gather while the other side pauses: closing the
+	// connection would only make the server send them again on a new one.
 	maxDialedBacklog = 1 << 20
 )
 
 // connHandler handles the events of one connection on the loop.
 type connHandler interface {
-	// handleOpen takes over the open connection. The address is the dialed one, or "" if a client
-	// opened the connection. An error closes it.
+	// handleOpen is called when the connection is open. The address is the dialed one, or "" if a
+	// client opened the connection. The connection is closed if it returns an error.
 	handleOpen(conn gnet.Conn, address string) error
-	// handleData consumes whole messages from the start of data, and returns how many bytes they
-	// took. An error is a violation of the protocol.
+	// handleData handles the complete messages at the start of data, and returns their length in
+	// bytes. An error means that the peer violated the protocol.
 	handleData(data []byte) (int, error)
-	// handleClose gives up the connection, which closed with err, nil for an orderly close.
+	// handleClose is called when the connection has closed; err is nil after an orderly close.
 	handleClose(err error)
-	// owns reports whether conn is the handler's present connection, rather than one that it gave
-	// up.
+	// owns reports whether conn is the handler's present connection. It is false for a connection
+	// that the handler has released.
 	owns(conn gnet.Conn) bool
 }
 
-// bufferedConn is an open connection and the output that waits to be written on it.
+// bufferedConn is a connection and its pending output.
 type bufferedConn struct {
-	conn      gnet.Conn // nil once it is closed or given up
+	conn      gnet.Conn // nil once it is closed or released
 	out       bufferpool.WriteBuffer
-	unflushed bool // it is in output.unflushed
-	dialed    bool // by the server
-	lagging   bool // it is in output.lagging
+	unflushed bool // the connection is in output.unflushed
+	dialed    bool // the server dialed the connection
+	lagging   bool // the connection is in output.lagging
 }
 
 func (c *bufferedConn) owns(conn gnet.Conn) bool { return c.conn == conn }
 
-// release gives up the connection. It drops the pending output, which must not reach the next
-// connection.
+// release detaches the connection, and drops the pending output so that it is not sent on the next
+// connection of the same handler.
 func (c *bufferedConn) release(pool *bufferpool.Pool) {
 	c.conn = nil
 	c.out.Release(pool)
@@ -58,7 +58,7 @@
 	address string
 }
 
-// attach takes over an open connection.
+// attach sets the open connection and its dialed address.
 func (c *dialedConn) attach(conn gnet.Conn, address string) {
 	c.conn = conn
 	c.address = address
@@ -69,7 +69,7 @@
 type output struct {
 	buffers   bufferpool.Pool
 	scratch   []byte          // for the message that is being encoded
-	unflushed []*bufferedConn // with output for the end of the turn
+	unflushed []*bufferedConn // connections to flush at the end of the turn
 	lagging   []*bufferedConn // clients' connections that may have a backlog
 }
 
@@ -86,7 +86,7 @@
 	}
 }
 
-// flush writes the pending output, with one write per connection.
+// flush writes the pending output of all connections, with one write for each.
 func (s *Server) flush() {
 	unflushed := s.output.unflushed
 	s.output.unflushed = nil
@@ -117,7 +117,8 @@
 	}
 	switch {
 	case backlog > limit:
-		slog.Info("connection_closed", "peer", conn.RemoteAddr(), "err", errBacklog)
+		slog.Info("connection_closed", "peer", conn.RemoteAddr(),
+			"err", fmt.Errorf("%w: %d bytes, limit %d bytes", errBacklog, backlog, limit))
 		_ = conn.Close()
 	case backlog > 0 && !buffered.dialed && !buffered.lagging:
 		buffered.lagging = true
--- a/internal/server/connlimit.go
+++ b/internal/server/connlimit.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"fmt"
 	"log/slog"
 	"net"
 	"net/netip"
@@ -11,7 +12,8 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// newConnLimiter creates the connection limiter by the operator's settings.
+// newConnLimiter creates the connection limiter. It enforces limits only if the operator's settings
+// enable it.
 func (s *Server) newConnLimiter(operator *config.OperatorSettings) *connlimit.Limiter {
 	if operator == nil || !operator.ConnLimit.Enabled {
 		return connlimit.New(s.startup.Settings.IdleTimeout)
@@ -23,14 +25,14 @@
 const (
 	// holdingAreaShare is the divisor of the clients' descriptors that bounds the holding area.
 	holdingAreaShare = 16
-	// descriptorsPerHoldingSlot is how many descriptors are set aside for each place of the holding
-	// area: two for the connection there, and two for one on its way to the loop.
+	// descriptorsPerHoldingSlot is how many descriptors are reserved for each slot of the holding
+	// area: two for the connection in the slot, and two for one that the loop has yet to receive.
 	descriptorsPerHoldingSlot = 4
 )
 
-// holdingSlots is the size of the holding area: the operator's setting, but at most a sixteenth of
-// the clients' descriptors. As many connections may be on their way to the loop, each with two
-// descriptors for a moment.
+// holdingSlots returns the size of the holding area: the operator's setting, but at most a
+// sixteenth of the clients' descriptors. It also bounds the accepted connections that the loop has
+// yet to receive, each of which briefly takes two descriptors.
 func (s *Server) holdingSlots() int {
 	return max(1, min(s.clients.configuredHoldingSlots, s.maxClients().conns/holdingAreaShare))
 }
@@ -61,8 +63,8 @@
 	}
 }
 
-// ReloadConfig applies the operator's file after it was read again. Any goroutine may call it; it
-// returns at once. Keys that can't change while serving are logged and ignored.
+// ReloadConfig applies the settings of an operator's file that was read again. Any goroutine may
+// call it; it returns at once. Changes that can't be made while serving are logged and ignored.
 func (s *Server) ReloadConfig(operator *config.OperatorSettings) {
 	s.loop.executeWhenReady(func() {
 		if operator.ConnLimit.Enabled != s.clients.limiter.HasRules() {
@@ -73,8 +75,8 @@
 	})
 }
 
-// applyConnRules applies the operator's settings to the connection limiter, as far as they can
-// change while serving.
+// applyConnRules applies the operator's settings for the connection limiter that can change while
+// serving.
 func (s *Server) applyConnRules(operator *config.OperatorSettings) {
 	if !operator.ConnLimit.Enabled {
 		return
@@ -90,20 +92,20 @@
 	}
 }
 
-// requestAdmission asks the connection limiter about a new connection. One that is not admitted
-// stays in the holding area for a moment, so that its first request gets an answer.
+// requestAdmission asks the connection limiter to admit a new connection. A connection that is not
+// admitted stays in the holding area for a short time, so that its first request is answered.
 func (c *clientConn) requestAdmission() error {
 	s := c.server
 	limiter := s.clients.limiter
 	now := s.now()
 	cause, retryAfter := limiter.HandleArrival(c.slot(), remoteIP(c.conn.RemoteAddr()), now)
-	s.scheduleTurn() // the holding area may have to make room
+	s.scheduleTurn() // the limiter may have to free slots of the holding area
 	switch cause {
 	case connlimit.Admitted:
 		return nil
 	case connlimit.HoldingAreaFull:
 		c.closeNow()
-		return errHoldingAreaFull
+		return fmt.Errorf("%w: all %d slots are taken", errHoldingAreaFull, s.holdingSlots())
 	case connlimit.NoFreeSlot:
 		if victim := s.firstEvictable(limiter.EvictionCandidatesFor(c.slot(), now), c); victim != nil {
 			s.statistics.evicted++
@@ -117,7 +119,7 @@
 	return nil
 }
 
-// remoteIP is the address of a connection's peer; all connections without one share an address.
+// remoteIP returns the address of a connection's peer, or the unspecified address if it has none.
 func remoteIP(addr net.Addr) netip.Addr {
 	if tcp, ok := addr.(*net.TCPAddr); ok {
 		return tcp.AddrPort().Addr()
@@ -125,14 +127,14 @@
 	return netip.IPv6Unspecified()
 }
 
-// rejectAtLimit rejects a request of a connection that is over a limit; the request never ran. The
-// Retry-After is bounded by the deployment's settings.
+// rejectAtLimit rejects a request because the connection limiter does not let its connection open
+// one; the request never ran. The deployment's settings bound the Retry-After.
 func (c *clientConn) rejectAtLimit(number uint64, now float64) {
 	s := c.server
 	s.statistics.rejectedAtLimit++
 	s.countOutcome(answerRejected)
 	retryAfter := c.retryAfter
-	if retryAfter == 0 { // it is admitted, and may not have a request open
+	if retryAfter == 0 { // the connection is admitted, but may not open a request now
 		retryAfter = s.clients.limiter.RejectRequest(c.slot(), now)
 	}
 	report := s.health.loadReport
@@ -140,7 +142,7 @@
 	c.rejectMessage(number, report, now)
 }
 
-// rejectMessage rejects a message that never became a request.
+// rejectMessage rejects a request message for which no request was created.
 func (c *clientConn) rejectMessage(number uint64, report rpc.ResponseMetadata, now float64) {
 	c.observe(connlimit.EventRequest, now)
 	c.server.output.scratch = rpc.AppendRejected(c.server.output.scratch[:0], number, report)
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -5,23 +5,24 @@
 	"swiftcourse/internal/requesttable"
 )
 
-// This file counts requests for the fleet, by tenant and class, and how they ended.
+// This file counts requests and their outcomes for the fleet, by tenant and class.
 
-// counterReportInterval is how often, in seconds, counters are reported: more often than they are
-// passed on to others.
+// counterReportInterval is how often, in seconds, counters are reported to the fleet agent: more
+// often than the agent passes them on.
 const counterReportInterval = 0.5
 
-// requestCounters is what was counted since the last report.
+// requestCounters holds the counts since the last report.
 type requestCounters struct {
 	classes int
-	counts  []serving.RequestCounts // of each tenant and class, see countsFor
-	keys    []serving.CounterKey    // tenant and class of each of the counts
-	changed bool
+	counts  []serving.RequestCounts // by tenant and class, see countsFor
+	keys    []serving.CounterKey    // the tenant and class of each element of counts
+	changed bool                    // since the last report
 	report  func([]serving.CounterCell) bool
 }
 
-// ReportCounters has requests counted by tenant and class, and reports the counts on the loop. If
-// report returns false, they are added to the next report. It is called before Run.
+// ReportCounters enables counting by tenant and class; report is called on the loop with the counts
+// since the last report. If it returns false, the counts are kept for the next report.
+// ReportCounters must be called before Run.
 func (s *Server) ReportCounters(report func([]serving.CounterCell) bool) {
 	tenants := make([]string, max(1, len(s.startup.Settings.Tenants)))
 	for name, i := range s.startup.TenantIndex {
@@ -55,13 +56,13 @@
 	}
 }
 
-// countsFor returns the counts of a tenant's requests of a class, which the caller changes.
+// countsFor returns the counts of a tenant and class for the caller to change.
 func (c *requestCounters) countsFor(kind requestKind) *serving.RequestCounts {
 	c.changed = true
 	return &c.counts[kind.tenant*c.classes+kind.class]
 }
 
-// countReceived counts a request that was taken in.
+// countReceived counts a request that was accepted for a decision by the controller.
 func (s *Server) countReceived(kind requestKind) {
 	s.statistics.received++
 	s.countQuotaDemand(kind.tenant)
@@ -73,7 +74,7 @@
 	}
 }
 
-// countRejectedAtOnce counts a request that rejectAtOnce rejected.
+// countRejectedAtOnce counts a request that was rejected by rejectAtOnce.
 func (s *Server) countRejectedAtOnce(kind requestKind) {
 	if c := s.fleet.counters; c != nil {
 		counts := c.countsFor(kind)
@@ -101,8 +102,8 @@
 	}
 }
 
-// countOutcome counts the end of a request under the present configuration version: as failed
-// unless it was finished.
+// countOutcome counts a completed request for the present configuration version; any outcome but
+// finished counts as failed.
 func (s *Server) countOutcome(kind answerKind) {
 	directive := s.fleet.directive.Load()
 	if directive == nil {
--- a/internal/server/dial.go
+++ b/internal/server/dial.go
@@ -14,13 +14,13 @@
 	"swiftcourse/internal/config"
 )
 
-// attemptProgress is how far an attempt had come when it ended.
+// attemptProgress is how far an attempt had progressed when it ended.
 type attemptProgress uint8
 
 const (
-	notSent    attemptProgress = iota // nothing left this server: it never ran
-	sent                              // it left, and the connection broke before the answer
-	mayHaveRun                        // it left, and the other side had its time to run it
+	notSent    attemptProgress = iota // nothing was sent: it never ran
+	sent                              // sent, and the connection broke before the answer
+	mayHaveRun                        // sent, and the other side had the full timeout to run it
 	attemptProgressCount
 )
 
@@ -29,7 +29,7 @@
 	return [...]string{"not_sent", "sent", "may_have_run", "unknown"}[min(p, attemptProgressCount)]
 }
 
-// outcome is the outcome that is reported to the controller for a call that got so far.
+// outcome returns the outcome that the controller receives for a call that ended at this point.
 func (p attemptProgress) outcome() admission.Outcome {
 	switch p {
 	case notSent:
@@ -40,8 +40,8 @@
 	return admission.TimedOut
 }
 
-// attemptError is the end of an attempt that got no answer. A nil cause is an orderly close by the
-// other side.
+// attemptError is the failure of an attempt that received no answer. A nil cause stands for an
+// orderly close by the other side.
 type attemptError struct {
 	progress attemptProgress
 	cause    error
@@ -61,20 +61,22 @@
 }
 
 const (
-	// dialTimeout bounds one dial: on one machine or in its network the answer takes far less.
+	// dialTimeout bounds one dial. Within a machine or a local network a connection is established
+	// far sooner.
 	dialTimeout = time.Second
-	// dialBackoffStep is how much each failure adds to the backoff, up to maxDialBackoff: a link is
-	// up again as soon as the other side is, at a negligible cost.
+	// dialBackoffStep is how much each failure adds to the backoff, up to maxDialBackoff. The
+	// backoffs are short so that a link is restored soon after the other side is back; the attempts
+	// cost next to nothing.
 	dialBackoffStep = 30 * time.Millisecond
 	maxDialBackoff  = 300 * time.Millisecond
-	// dialFailuresLogged is the number of failures that is logged: the first few happen while the
-	// other side starts.
+	// dialFailuresLogged is the number of failures after which one line is logged. Fewer failures
+	// are normal while the other side starts.
 	dialFailuresLogged = 5
 )
 
-// dialBackoff is the pause before a dial after so many failures. Half of it is jitter that is drawn
-// from the server's seed, so that servers that lost the same party at once don't return to it in
-// step.
+// dialBackoff returns the pause before a dial after a number of failures. Up to half of it is jitter
+// derived from the server's seed, so that servers that lose the same peer at the same time do not
+// all dial it again at the same moment.
 func dialBackoff(seed int64, failures int) time.Duration {
 	if failures <= 0 {
 		return 0
@@ -84,8 +86,8 @@
 	return time.Duration(float64(longest) * (1 + jitter) / 2)
 }
 
-// endpoints are the addresses of the other parties. The context ends, with the dials under way,
-// when they change.
+// endpoints are the addresses of the processes that the server dials. When they change, the context
+// is cancelled, and with it the dials in progress.
 type endpoints struct {
 	config.Addresses
 	context context.Context
@@ -98,22 +100,23 @@
 	return e
 }
 
-// addressFunc selects one party's address.
+// addressFunc selects one of the addresses.
 type addressFunc func(*endpoints) string
 
 func executorAddress(e *endpoints) string { return e.Executor }
 func upstreamAddress(e *endpoints) string { return e.Upstream }
 func registryAddress(e *endpoints) string { return e.Registry }
 
-// SetEndpoints changes the addresses of the other parties. Any goroutine may call it; it returns at
-// once. New calls and links use the new addresses; calls in flight may still end at the old ones.
+// SetEndpoints changes the addresses that the server dials. Any goroutine may call it; it returns at
+// once. New calls and links use the new addresses; calls in flight may still complete at the old
+// ones.
 func (s *Server) SetEndpoints(addresses config.Addresses) {
 	s.endpoints.Swap(newEndpoints(s.lifetime.context, addresses)).cancel()
 	go s.loop.waitAndExecute(s.lifetime.context, s.replaceMovedConns)
 }
 
-// replaceMovedConns closes the connections to addresses that are no longer those of their parties.
-// The links are dialed again, and the upstream's connections as calls need them.
+// replaceMovedConns closes the connections to addresses that have changed. The executor and the
+// registry are dialed again at once, the upstream when a call needs a connection.
 func (s *Server) replaceMovedConns() {
 	current := s.endpoints.Load()
 	if e := s.executor; e.conn != nil && e.address != current.Executor {
@@ -129,25 +132,26 @@
 	}
 }
 
-// dialTarget is a party to dial, and the handler of the connection.
+// dialTarget is an address to dial, and the handler of the connection.
 type dialTarget struct {
 	addressOf addressFunc
 	handler   connHandler
-	failures  int  // of the dials before
-	once      bool // dialed once; the handler's handleClose reports a failure
+	failures  int  // number of previous failed attempts
+	once      bool // one attempt only; if it fails, the handler's handleClose is called
 }
 
-// dialed is a connection that the server opened, until the loop takes it over.
+// dialed is the gnet context of a dialed connection until OnOpen passes it to its handler.
 type dialed struct {
 	dialTarget
 	address string
 }
 
-// registerFunc hands a connection, wrapped in a context of gnet's, to the loop.
+// registerFunc registers a connection, given in a context made by gnet, on the loop.
 type registerFunc func(context.Context) (<-chan gnet.RegisteredResult, error)
 
-// dial opens a connection and hands it to the loop, which passes it to the target's handler. It
-// retries until it succeeds or the server stops; the returned function cancels it.
+// dial opens a connection and registers it on the loop, which passes it to the target's handler.
+// Unless the target allows one attempt only, dial retries until it succeeds or the server stops. It
+// returns at once; the returned function cancels it.
 func (s *Server) dial(target dialTarget) (cancel context.CancelFunc) {
 	loop := s.loop.handle
 	return s.dialWith(func(ctx context.Context) (<-chan gnet.RegisteredResult, error) {
@@ -156,8 +160,9 @@
 	}, target)
 }
 
-// dialWith is dial with a given way to hand the connection to the loop, for the first one: it is
-// dialed before the loop is known. (gnet's Client.Register is not safe for two callers at once.)
+// dialWith is dial with a given function to register the connection; the first connection needs
+// its own, as it is dialed before the loop is known. (gnet's Client.Register is not safe for
+// concurrent use.)
 func (s *Server) dialWith(register registerFunc, target dialTarget) (cancel context.CancelFunc) {
 	ctx, cancel := context.WithCancel(s.lifetime.context)
 	go func() {
@@ -167,7 +172,8 @@
 	return cancel
 }
 
-// dialUntilDone is dialWith on the caller's goroutine, until ctx ends.
+// dialUntilDone implements dialWith on the caller's goroutine. It returns when the connection is
+// registered, the only allowed attempt has failed, or ctx ends.
 func (s *Server) dialUntilDone(ctx context.Context, register registerFunc, target dialTarget) {
 	for failures := target.failures; ; failures++ {
 		select {
@@ -188,7 +194,7 @@
 		case ctx.Err() != nil: // cancelled
 			return
 		case current.context.Err() != nil:
-			failures-- // it moved: the new address did not fail
+			failures-- // the address changed: this is no failure of the new one
 			continue
 		}
 		if target.once {
@@ -201,7 +207,7 @@
 	}
 }
 
-// handOver gives an open connection to the loop, and closes it where that fails.
+// handOver registers an open connection on the loop, and closes it if that fails.
 func handOver(conn net.Conn, register registerFunc, d *dialed) error {
 	ctx := gnet.NewContext(gnet.NewNetConnContext(context.Background(), conn), d)
 	_, err := register(ctx)
@@ -216,7 +222,7 @@
 	s.loop.waitAndExecute(ctx, func() { handler.handleClose(&attemptError{notSent, err}) })
 }
 
-// dialAddress dials until either context ends.
+// dialAddress dials an address; the end of either context cancels it.
 func dialAddress(ctx, other context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/server/directive.go
+++ b/internal/server/directive.go
@@ -9,17 +9,19 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// This file applies the fleet's directive: whether the server may serve, and by which settings.
+// This file applies the fleet's serving directive: whether the server may serve, and with which
+// settings.
 
 const (
-	// outOfServiceRetryAfter is the Retry-After, in seconds, of a server that is out of service: it
-	// renews its lease a few times a second.
+	// outOfServiceRetryAfter is the Retry-After, in seconds, of a server that is out of service. The
+	// server tries to renew its lease several times per second, so this is long enough.
 	outOfServiceRetryAfter = 1.0
-	// applyTimeout is how long ApplyConfig waits for the loop.
+	// applyTimeout is how long ApplyConfig waits for the loop to start, and again for it to apply
+	// the settings.
 	applyTimeout = 2 * time.Second
 )
 
-// fixedConnLimitKeys are the operator's keys that can't change while a connection limiter is on.
+// fixedConnLimitKeys are the operator's keys that can't change while the connection limiter is on.
 const fixedConnLimitKeys = "door-prefix-ipv4, door-prefix-ipv6, door-lobby, door-remember"
 
 // SetDirective sets the fleet's directive. Any goroutine may call it; it returns at once, and the
@@ -27,25 +29,26 @@
 func (s *Server) SetDirective(directive *serving.Directive) {
 	previous := s.fleet.directive.Swap(directive)
 	if previous != nil && previous.Mode == directive.Mode && previous.NextMode == directive.NextMode {
-		return // a renewed lease, or another version: the next batch is early enough
+		return // only the lease or the version changed: no turn is needed before the next batch
 	}
 	s.loop.requestTurn()
 }
 
-// outOfServiceAt reports whether the server may admit no request at this moment. It goes by the
-// clock and not by the last turn: a server that was stopped for longer than its lease reads
-// requests before its first turn.
+// outOfServiceAt reports whether the directive forbids admitting requests at a time. It does not
+// rely on the mode set in the last turn: a server whose process was suspended for longer than its
+// lease reads requests before its next turn.
 func (s *Server) outOfServiceAt(now float64) bool {
 	directive := s.fleet.directive.Load()
 	return directive != nil && directive.ModeAt(now) == serving.ModeOutOfService
 }
 
-// isHealthy is the health that is reported: the controller's, unless the server is out of service.
+// isHealthy returns the health to report: what the controller decided, but false while the server is
+// out of service.
 func (s *Server) isHealthy() bool {
 	return s.health.healthy && s.fleet.mode != serving.ModeOutOfService
 }
 
-// applyDirective applies a change of the serving mode, before the batch is decided.
+// applyDirective applies a change of the serving mode. It is called before the batch is decided.
 func (s *Server) applyDirective(directive *serving.Directive, now float64) {
 	mode := directive.ModeAt(now)
 	previous := s.fleet.mode
@@ -68,13 +71,13 @@
 	s.registry.report()
 }
 
-// rejectAllQueued rejects every request that has not started. Running requests are finished.
+// rejectAllQueued rejects every request that has not started to run. Running requests continue.
 func (s *Server) rejectAllQueued() {
 	for _, request := range s.requests.InArrivalOrder() {
 		if request.Answered || request.Running {
 			continue
 		}
-		// The controller drops it, as nobody waits for it any more.
+		// ClientGone makes the controller drop the request.
 		s.queueEvent(admission.Event{Kind: admission.ClientGone, RequestID: request.ID})
 		s.reject(request, s.retryAfterOutOfService())
 	}
@@ -84,7 +87,8 @@
 	return min(outOfServiceRetryAfter, s.startup.Settings.MaxRetryAfter)
 }
 
-// rejectOutOfService rejects a request that came while the server is out of service: it never ran.
+// rejectOutOfService rejects a request that arrived while the server is out of service; it never
+// ran.
 func (c *clientConn) rejectOutOfService(number uint64, now float64) {
 	s := c.server
 	s.statistics.rejectedOutOfService++
@@ -93,8 +97,8 @@
 	c.rejectMessage(number, report, now)
 }
 
-// withSafeDefaults returns the default settings, but for what a connection limiter that is on can't
-// change.
+// withSafeDefaults returns the default settings, except that the settings which can't change while
+// the connection limiter is on keep their present values.
 func withSafeDefaults(operator *config.OperatorSettings) *config.OperatorSettings {
 	safe := config.DefaultOperatorSettings()
 	safe.ConnLimit.Enabled = operator.ConnLimit.Enabled
@@ -105,8 +109,8 @@
 	return safe
 }
 
-// ApplyConfig applies settings, either all of them or none. Any goroutine but the loop's may call
-// it; it waits for the loop, and returns ErrLoopBusy if that does not respond in time.
+// ApplyConfig applies either all of the settings or none. Any goroutine but the loop's may call it;
+// it waits for the loop, and returns ErrLoopBusy if the loop does not respond within applyTimeout.
 func (s *Server) ApplyConfig(operator *config.OperatorSettings) error {
 	select {
 	case <-s.loop.ready:
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -9,32 +9,31 @@
 )
 
 const (
-	// signalDelayMargin is how much later, in seconds, a signal to drain may be handled than it was
-	// sent, as it waits for the process to be scheduled. Of 314 signals on the bench's clock that
-	// could be compared with others of the same moment, one came 30 and one 80 ms late; this is
-	// twice the latter. The cost is the work that would end in the last moments of a drain.
+	// signalDelayMargin is how late, in seconds, the signal to drain may be handled while the
+	// process waits to be scheduled: twice the longest known delay of 80 ms. Work that
+	// would complete within this margin at the end of a drain is lost.
 	signalDelayMargin = 0.16
-	// signalDelayShare is the divisor of the stop timeout that bounds the margin.
+	// signalDelayShare is the divisor of the stop timeout that bounds signalDelayMargin.
 	signalDelayShare = 10
 	// exitCheckInterval is how often, in seconds, a draining server checks whether it can exit.
 	exitCheckInterval = 0.02
-	// exitMargin is how long, in seconds, before the kill the process exits whatever is open; the
-	// controller has answered every request 30 ms before it.
+	// exitMargin is how long, in seconds, before the kill the process exits even if requests or
+	// connections are open. The controller has answered every request 30 ms before the kill.
 	exitMargin = 0.015
-	// halfCloseMargin is how long, in seconds, before the kill the server shuts its side of the
-	// open connections: after the controller's last answers, and 10 ms before the exit, which is
-	// the time that a close takes to cross a machine.
+	// halfCloseMargin is how long, in seconds, before the kill the server shuts down its side of
+	// the open connections: after the controller's last answers, and 10 ms before the exit, the
+	// time that a close takes to reach a client on the same machine.
 	halfCloseMargin = 0.025
-	// gracefulCloseMargin leaves time, in seconds, to ask all clients to close, and to close the
-	// connections of those that do not: five times the 50 ms in which a message may cross that
-	// request.
+	// gracefulCloseMargin is how long, in seconds, before the kill clients are asked to close at the
+	// latest, so that the connections of those that do not close can be closed in time. It is five
+	// times the 50 ms for which a client's messages may still arrive after it was asked.
 	gracefulCloseMargin = 0.25
-	// gracePeriodMargin is how long, in seconds, after the grace period all clients are asked to
-	// close.
+	// gracePeriodMargin is how long, in seconds, after the end of the grace period all clients are
+	// asked to close.
 	gracePeriodMargin = 0.1
 )
 
-// exitCause is why a server exits, as logged.
+// exitCause is the reason for a server's exit in the log.
 type exitCause string
 
 const (
@@ -45,23 +44,23 @@
 
 // drainState is the progress of a drain.
 type drainState struct {
-	startedAt float64 // +Inf before it
+	startedAt float64 // +Inf before the drain
 	killAt    float64 // when the process will be killed
-	closing   bool    // all connections are asked to close, and the listener is closed
+	closing   bool    // all clients were asked to close, and the listener closes
 }
 
 func newDrainState() drainState {
 	return drainState{startedAt: math.Inf(1), killAt: math.Inf(1)}
 }
 
-// started reports whether the server is draining.
+// started reports whether the drain has started.
 func (d *drainState) started() bool { return d.startedAt < d.killAt }
 
-// Drain starts a drain: the process will be killed after its stop timeout. Any goroutine may call
-// it; it returns at once, and Run returns when the server has drained.
+// Drain starts a drain, after which the process will be killed when its stop timeout has passed. Any
+// goroutine may call it; it returns at once, and Run returns when the server has drained.
 func (s *Server) Drain() {
 	at := s.now()
-	if !s.loop.isReady() { // no connection yet, so nothing to answer
+	if !s.loop.isReady() { // no connection was ever open, so there is nothing to answer
 		slog.Info("exit", "cause", string(exitNeverConnected))
 		s.stop()
 		return
@@ -69,7 +68,7 @@
 	_ = s.loop.execute(func() { s.startDrain(at) })
 }
 
-// startDrain starts a drain that was requested at a time.
+// startDrain starts a drain that was requested at the given time.
 func (s *Server) startDrain(at float64) {
 	if s.drain.started() {
 		slog.Info("drain_already_started")
@@ -80,16 +79,17 @@
 	s.drain.killAt = at + timeout - min(signalDelayMargin, timeout/signalDelayShare)
 	killIn := s.drain.killAt - s.now()
 	slog.Info("drain_started", "kill_in_s", logging.FormatDecimal(killIn, 3), "open", s.requests.Unanswered())
-	if s.decisions.controller != nil { // else see startController
+	if s.decisions.controller != nil { // without a controller, startController checks drain.started
 		s.queueEvent(admission.Event{Kind: admission.DrainStarted, Duration: s.drain.killAt - s.now()})
 	}
 	s.tryExit()
 }
 
-// tryExit exits once every request is answered and nothing more can come. As soon as nothing new
-// may run, even if requests are open, it asks clients to send nothing more and closes the listener:
-// requests that cross this are sent again elsewhere, and a refused connection proves that nothing
-// ran. So nothing is on its way here when the last answers are written, just before the kill.
+// tryExit exits once every request is answered and none can arrive any more; until then it schedules
+// itself again. As soon as no new request may run, even if others are still open, it asks clients to
+// send nothing more and closes the listener. A client sends requests that arrive after that to
+// another server, and knows from a refused connection that its request did not run. Therefore no
+// request is in transit when the last answers are written, just before the kill.
 func (s *Server) tryExit() {
 	now := s.now()
 	if now >= s.gracefulCloseAt() && !s.drain.closing {
@@ -120,7 +120,8 @@
 	s.acceptor.close()
 }
 
-// gracefulCloseAt is when nothing new may run: at once if the controller never started.
+// gracefulCloseAt returns when clients are asked to close, as no new request may run from then on. If
+// the controller never started, that is at the start of the drain.
 func (s *Server) gracefulCloseAt() float64 {
 	if s.decisions.controller == nil {
 		return s.drain.startedAt
@@ -129,13 +130,13 @@
 	return min(graceEnd, s.drain.killAt-gracefulCloseMargin)
 }
 
-// isDrained reports whether every request is answered and nothing more can come.
+// isDrained reports whether every request is answered and none can arrive any more.
 func (s *Server) isDrained() bool {
 	return s.drain.closing && s.acceptor.drained() && s.requests.Unanswered() == 0 && s.clients.conns.Len() == 0 &&
 		len(s.clients.lingering) == 0 && !s.hasUnreportedClaims()
 }
 
-// nextExitCheck is when tryExit runs again.
+// nextExitCheck returns when tryExit runs again.
 func (s *Server) nextExitCheck(now float64) float64 {
 	next := now + exitCheckInterval
 	for _, at := range []float64{s.drain.killAt - halfCloseMargin, s.drain.killAt - exitMargin} {
--- a/internal/server/errors.go
+++ b/internal/server/errors.go
@@ -5,44 +5,46 @@
 	"fmt"
 )
 
-// ErrLoopBusy is returned if the loop does not get to a change of settings in time.
-var ErrLoopBusy = errors.New("the server is too busy to change its settings now")
+// ErrLoopBusy is returned if the event loop does not apply new settings within applyTimeout.
+var ErrLoopBusy = fmt.Errorf("the event loop did not apply the settings within %v", applyTimeout)
 
-// Why settings can't be applied while serving.
+// Reasons why new settings can't be applied while serving.
 var (
-	errConnLimitToggled = errors.New("door: can't be switched while serving")
-	errFixedKey         = errors.New(fixedConnLimitKeys + ": can't be changed while serving")
+	errConnLimitToggled = errors.New("door: can't be switched while serving; turning it on or off takes a restart")
+	errFixedKey         = errors.New(fixedConnLimitKeys + ": can't be changed while serving; a change takes a restart")
 )
 
-// Why a client's connection was refused or closed.
+// Reasons why a client's connection was refused, or any connection closed for its backlog. The
+// callers add counts and limits.
 var (
-	errBacklog         = errors.New("it does not read")
-	errHoldingAreaFull = errors.New("no place, not even in the holding area")
-	errNoDescriptor    = errors.New("no descriptor left for it")
+	errBacklog         = errors.New("the peer left too much output unread")
+	errHoldingAreaFull = errors.New("the connection was not admitted, and the holding area is full")
+	errNoDescriptor    = errors.New("the connection limit is reached, and no other connection can be evicted")
 )
 
-// Why a request is invalid, see also invalidFieldError, duplicateMessageError and clockSkewError.
+// Reasons why a request is invalid; see also invalidFieldError, duplicateMessageError and
+// clockSkewError.
 var (
-	errUnknownName     = errors.New("unknown")
-	errMissingTimeout  = errors.New("its timeout is missing")
-	errTooManyOpen     = fmt.Errorf("over %d requests open on its connection", maxRequestsPerConn)
-	errDuplicateID     = errors.New("its id is that of another request")
-	errMissingKey      = errors.New("its class needs an idempotency key")
-	errConflictingBody = errors.New("its idempotency key is that of a request with another body")
+	errUnknownName     = errors.New("not a configured name")
+	errMissingTimeout  = errors.New("the timeout is missing, but this deployment propagates deadlines")
+	errTooManyOpen     = fmt.Errorf("the connection already has %d open requests, the most allowed", maxRequestsPerConn)
+	errDuplicateID     = errors.New("another request with this ID is known")
+	errMissingKey      = errors.New("requests of this class need an idempotency key, and this one has none")
+	errConflictingBody = errors.New("another request with the same idempotency key has a different body")
 )
 
-// Why a connection that the server dialed ended.
+// Reasons why a connection that the server dialed ended. The callers add sizes and times.
 var (
-	errAddressMoved      = errors.New("the other side has a new address")
-	errCallTimeout       = errors.New("its time is up")
-	errNoPendingCall     = errors.New("no call is left for it")
-	errUnexpectedReply   = errors.New("more than was asked for")
-	errReportUnanswered  = errors.New("the last report was not answered")
-	errUnterminatedLine  = errors.New("a line without end")
+	errAddressMoved      = errors.New("the other side's address changed")
+	errCallTimeout       = errors.New("the upstream call timed out")
+	errNoPendingCall     = errors.New("the upstream call ended before its connection was open")
+	errUnexpectedReply   = errors.New("the upstream sent data that answers no call")
+	errReportUnanswered  = errors.New("the registry has not answered the last report")
+	errUnterminatedLine  = errors.New("the executor's line is too long")
 	errClosedByOtherSide = errors.New("the other side closed the connection")
 )
 
-// invalidFieldError is a request's field with an invalid value.
+// invalidFieldError is an invalid value in a field of a request.
 type invalidFieldError struct {
 	field  string
 	value  string
@@ -57,19 +59,21 @@
 	return fmt.Sprintf("%s %.40q: %s", e.field, e.value, e.reason)
 }
 
-// clockSkewError is a request's time of arrival that is too many seconds away from now.
+// clockSkewError is the difference in seconds between a request's arrival time and the server's
+// clock, where it exceeds maxClockSkew.
 type clockSkewError float64
 
-// Error tells how far away it is.
+// Error tells the difference and the limit.
 func (e clockSkewError) Error() string {
-	return fmt.Sprintf("it came %.0f s from now", float64(e))
+	return fmt.Sprintf("the arrival time differs from the server's clock by %.0f s; the limit is %d s",
+		float64(e), maxClockSkew)
 }
 
-// duplicateMessageError is a message ID that is already open on its connection, where an answer
-// would be taken for the other request's.
+// duplicateMessageError is the message ID of a request that is already open on the same connection.
+// The client could not tell the answers to the two requests apart.
 type duplicateMessageError struct{ number uint64 }
 
 // Error names the message ID.
 func (e *duplicateMessageError) Error() string {
-	return fmt.Sprintf("message id %d is open already", e.number)
+	return fmt.Sprintf("message ID %d belongs to a request that is still open on this connection", e.number)
 }
--- a/internal/server/evict.go
+++ b/internal/server/evict.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// reservedDescriptors are the descriptors that neither clients nor upstream connections may
-	// take: for the links, the listener, the runtime, and the second descriptor that each of some
-	// dials has while the loop takes them over.
+	// reservedDescriptors is the number of descriptors that neither clients nor upstream connections
+	// may take: for the links, the listener, the runtime, and the second descriptor that a dialed
+	// connection has while it is being registered on the loop.
 	reservedDescriptors = 32
-	// idleConnBytes is the measured memory of an idle connection, see docs/idle.md.
+	// idleConnBytes is the memory that an idle connection takes, see docs/idle.md.
 	idleConnBytes = 1300
-	// idleMemoryShare is the divisor of the memory that idle connections may take.
+	// idleMemoryShare is the divisor of the memory limit that bounds idle connections.
 	idleMemoryShare = 4
 	// maxEvictionCandidates bounds how many connections are examined for one eviction.
 	maxEvictionCandidates = 16
 )
 
-// clientBound is the resource that bounds the number of clients' connections, as logged.
+// clientBound names the resource that limits the number of clients' connections in the log.
 type clientBound string
 
 const (
@@ -34,8 +34,9 @@
 	bound clientBound
 }
 
-// maxClients is the limit on clients' connections: by the descriptors that are left, which are over
-// half, as clients may open that many; or by memory.
+// maxClients returns the limit on clients' connections. It is set by memory, or else by the
+// descriptors that are left; these are more than half of all, the share that clients are entitled
+// to.
 func (s *Server) maxClients() clientLimit {
 	byDescriptors := s.startup.MaxSockets - reservedDescriptors - s.maxUpstreamConns()
 	inMemory := int(s.startup.MemoryBytes / idleMemoryShare / idleConnBytes)
@@ -45,22 +46,23 @@
 	return clientLimit{byDescriptors, boundByDescriptors}
 }
 
-// evictionCandidate is the connection to evict for a newcomer, nil for none: the limiter's first
-// choice that has nothing to write or to read.
-func (s *Server) evictionCandidate(newcomer *clientConn) *clientConn {
-	return s.firstEvictable(s.clients.limiter.EvictionCandidates(s.now()), newcomer)
+// evictionCandidate returns the connection to evict for an arriving one, nil for none: the limiter's
+// first choice without unread input or pending output.
+func (s *Server) evictionCandidate(arriving *clientConn) *clientConn {
+	return s.firstEvictable(s.clients.limiter.EvictionCandidates(s.now()), arriving)
 }
 
-// firstEvictable is the first connection of the slots that has nothing to write or to read, nil for
-// none.
-func (s *Server) firstEvictable(slots iter.Seq[int32], newcomer *clientConn) *clientConn {
+// firstEvictable returns the connection of the first of the slots, other than the arriving one's,
+// that has no unread input and no pending output. It returns nil if there is none among the first
+// maxEvictionCandidates.
+func (s *Server) firstEvictable(slots iter.Seq[int32], arriving *clientConn) *clientConn {
 	tried := 0
 	for slot := range slots {
 		client := s.clients.conns.AtSlot(slot)
 		if tried == maxEvictionCandidates {
 			break
 		}
-		if client == newcomer {
+		if client == arriving {
 			continue
 		}
 		tried++
@@ -72,20 +74,21 @@
 }
 
 // hasQueuedBytes reports whether a connection has unread input, or output that its peer has not
-// acknowledged. It protects a request that arrives in the turn that would close its connection, and
-// a client that reads slowly, as a close with unread input drops the unacknowledged output. It
-// costs two system calls per close.
+// acknowledged. Such a connection must not be closed: unread input may be a request that arrived in
+// the same turn, and closing with unread input drops unacknowledged output, which a client that
+// reads slowly still needs. The check costs two system calls for each close.
 func hasQueuedBytes(conn gnet.Conn) bool {
 	return conn.OutboundBuffered() > 0 || queueHoldsBytes(conn, unix.TIOCINQ) || queueHoldsBytes(conn, unix.TIOCOUTQ)
 }
 
-// queueHoldsBytes reports whether one of the system's queues of a connection holds anything.
+// queueHoldsBytes reports whether a system queue of a connection, selected by the ioctl request, is
+// not empty.
 func queueHoldsBytes(conn gnet.Conn, queue uint) bool {
 	n, err := unix.IoctlGetInt(conn.Fd(), queue)
 	return err == nil && n > 0
 }
 
-// evictUnderPressure closes some connections, as there are fewer descriptors than the server was
+// evictUnderPressure evicts connections when the system has fewer descriptors than the server was
 // configured for.
 func (s *Server) evictUnderPressure() {
 	if !s.clients.limiter.HasRules() {
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -9,8 +9,8 @@
 	"swiftcourse/internal/resultcache"
 )
 
-// gaugeLead is how long, in seconds, before a timer the gauges are requested: a few turns, so that
-// the reading is there when the timer fires, and still fresh.
+// gaugeLead is how long, in seconds, before a timer event the gauges are requested. It covers a few
+// turns, so that a fresh reading is available when the timer fires.
 const gaugeLead = 0.004
 
 // executeActions carries out the controller's actions, in order.
@@ -47,7 +47,8 @@
 	return true
 }
 
-// setTimer schedules a timer event in so many seconds, with fresh gauges.
+// setTimer schedules a timer event after the given seconds, and a request for fresh gauges just
+// before it.
 func (s *Server) setTimer(label string, seconds, now float64) {
 	s.loop.timers.Schedule(now+max(0, seconds-gaugeLead), s.executor.requestGaugesFunc)
 	s.loop.timers.Schedule(now+seconds, func() {
@@ -55,8 +56,8 @@
 	})
 }
 
-// executeOnRequest carries out an action that concerns a request. For a request that is over, only
-// its key is left to be deleted.
+// executeOnRequest carries out an action that concerns a request. For a request that is no longer in
+// the table, only the deletion of its key has an effect.
 func (s *Server) executeOnRequest(action *admission.Action, now float64) {
 	request := s.requests.Get(action.RequestID)
 	if request == nil {
@@ -85,7 +86,8 @@
 	}
 }
 
-// answerFromCache answers a repeat with the result of its original, now or when that ends.
+// answerFromCache answers a repeat with the result of its original request, now or when the original
+// ends.
 func (s *Server) answerFromCache(request *requesttable.Request, now float64) {
 	switch result, state := s.results.LookupOrWait(request, now); state {
 	case resultcache.Available:
@@ -95,8 +97,8 @@
 	}
 }
 
-// answerShared answers a repeat, nil for one that is over, with the outcome of its original, which
-// took so many seconds.
+// answerShared answers a repeat with the outcome of its original request, which ran for the given
+// seconds. It does nothing if the repeat is nil or was already answered.
 func (s *Server) answerShared(
 	request *requesttable.Request, result []byte, outcome admission.Outcome, seconds float64,
 ) {
@@ -117,7 +119,7 @@
 	})
 }
 
-// setHealthy sets the health that the controller decided.
+// setHealthy sets the health that the controller decided, and reports it to the registry.
 func (s *Server) setHealthy(healthy bool) {
 	if s.health.healthy != healthy {
 		slog.Info("health_changed", "healthy", healthy)
@@ -126,7 +128,7 @@
 	s.registry.report()
 }
 
-// setLoadReport sets the free capacity that goes with every answer.
+// setLoadReport sets the free capacity that is reported with every answer.
 func (s *Server) setLoadReport(free float64) {
 	s.health.loadReport.LoadReport = strconv.FormatFloat(free, 'f', -1, 64)
 }
--- a/internal/server/executor.go
+++ b/internal/server/executor.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"fmt"
 	"log/slog"
 	"math"
 	"strconv"
@@ -15,19 +16,20 @@
 	"swiftcourse/internal/wire/simulator"
 )
 
-// silenceTimeout is how long, in seconds, a gauge request may go unanswered until the link is
-// replaced, as the other end may be gone without a close. It is longer than any pause of a machine,
-// and a new link repeats what the old one may have lost.
+// silenceTimeout is how long, in seconds, a gauge request may stay unanswered before the link is
+// replaced, because the other end may have gone without closing it. It is longer than any pause of a
+// machine. Messages that the old link may have lost are sent again on the new one.
 const silenceTimeout = 5
 
-// resumeTagPrefix begins executorLink.resumeTag, and tells it from the tags of other gauge requests,
-// which are numbers of commands.
+// resumeTagPrefix starts the value of executorLink.resumeTag, to distinguish it from the tags of
+// other gauge requests, which are command numbers.
 const resumeTagPrefix = "fence-"
 
-// executorLink is the link to the executor, the process that runs requests. It is up after the
-// executor's first message. After a break the executor repeats the notices that were missed. The
-// server then asks for the gauges with a tag of its own, resumeTag; as replies come in order, the
-// link is up again when that reply arrives.
+// executorLink is the link to the executor, the process that runs requests. The first link is up
+// after the executor's first message. On each further link the executor first repeats the notices
+// that the server missed. The server requests the gauges with a unique tag, resumeTag: as the
+// executor answers in order, all missed notices have been read, and the link is up, when the reply
+// with that tag arrives.
 type executorLink struct {
 	dialedConn
 	server            *Server
@@ -35,11 +37,11 @@
 	parser            processor.NoticeParser
 	lastNotice        int64   // number of the last notice read
 	up                bool    // commands may be sent
-	resumeTag         string  // of the gauge request whose reply ends the repeated notices, "" for none
-	failedLinks       int     // in a row on which the executor sent no first message
-	commandsSent      int     // over all links
-	acknowledged      int     // number of the latest command that the executor is known to have received
-	unansweredSince   float64 // when the unanswered gauge request was sent, 0 for none
+	resumeTag         string  // tag of the gauge request whose reply follows the repeated notices, "" for none
+	failedLinks       int     // consecutive links on which the executor sent no first message
+	commandsSent      int     // number of commands on all links
+	acknowledged      int     // number of the last command that the executor has confirmed
+	unansweredSince   float64 // when the oldest unanswered gauge request was sent, 0 for none
 }
 
 func newExecutorLink(s *Server) *executorLink {
@@ -66,7 +68,7 @@
 	l.failedLinks++
 }
 
-// reconnect replaces the link; what was sent on this one and not acknowledged is repeated.
+// reconnect replaces the link. Commands that were not acknowledged are sent again on the new one.
 func (l *executorLink) reconnect() {
 	_ = l.conn.Close()
 	l.failedLinks = 0
@@ -75,8 +77,8 @@
 
 func (l *executorLink) write(data []byte) { l.server.write(&l.bufferedConn, data) }
 
-// sendCommand numbers a command and sends it, encoded by put, if the link is up. Otherwise the
-// command is sent by resend.
+// sendCommand returns the number of a new command and, if the link is up, sends the command as
+// encoded by encode. Otherwise resend sends it once the link is up.
 func (l *executorLink) sendCommand(encode func(b []byte) []byte) int {
 	l.commandsSent++
 	if l.up {
@@ -91,7 +93,8 @@
 		end := bytes.IndexByte(data[n:], '\n')
 		if end < 0 {
 			if len(data)-n > processor.MaxLine {
-				return n, errUnterminatedLine
+				return n, fmt.Errorf("%w: %d bytes without a line feed, limit %d bytes",
+					errUnterminatedLine, len(data)-n, processor.MaxLine)
 			}
 			return n, nil
 		}
@@ -101,7 +104,7 @@
 		}
 		n += end + 1
 		if notice.Serial > 0 && notice.Serial <= l.lastNotice {
-			continue // read before the break
+			continue // already read on an earlier link
 		}
 		l.lastNotice = max(l.lastNotice, notice.Serial)
 		l.handleNotice(&notice)
@@ -131,8 +134,8 @@
 	}
 }
 
-// handleHello starts the controller at the executor's first message. After a break it requests the
-// reply behind which all missed notices have been read.
+// handleHello handles the executor's first message on a link. On the first link it starts the
+// controller; on a later one it sends the gauge request whose reply follows the missed notices.
 func (l *executorLink) handleHello(notice *processor.Notice) {
 	l.failedLinks = 0
 	if l.server.decisions.controller == nil {
@@ -144,14 +147,14 @@
 	l.write(processor.AppendReadGauges(nil, l.resumeTag))
 }
 
-// handleRejection handles a command that the executor did not carry out.
+// handleRejection handles the notice that the executor did not carry out a command.
 func (l *executorLink) handleRejection(notice *processor.Notice, request *requesttable.Request) {
 	s := l.server
 	s.statistics.commandsRejected++
-	if s.allowPeerFaultLog() { // requests that no client sent cause hundreds of these
+	if s.allowPeerFaultLog() { // forged requests can cause hundreds of rejections
 		slog.Info("command_rejected", "command", notice.Detail, "request", notice.ID)
 	}
-	if request != nil && request.Running && request.CallNotice == 0 { // only its start can be meant: it never ran
+	if request != nil && request.Running && request.CallNotice == 0 { // only its start can have been rejected: it never ran
 		s.releaseClaim(request)
 		s.reportRunEnded(request, admission.NeverStarted, 0)
 	}
@@ -168,7 +171,7 @@
 	s.finishRun(request, notice.Outcome, notice.Body, notice.Duration)
 }
 
-// handleCall handles a run that waits for an upstream call.
+// handleCall handles the notice that a run waits for an upstream call.
 func (l *executorLink) handleCall(notice *processor.Notice, request *requesttable.Request) {
 	s := l.server
 	s.output.buffers.Put(request.CallBody)
@@ -202,11 +205,11 @@
 	}
 }
 
-// resend repeats every command that the executor has not acknowledged. Repeating the start of a
-// request that still runs has no effect. One that ended is known to have ended, as all missed
-// notices were read, unless it ends just now: so a start is not repeated if the request must not
-// run twice. Such a request waits for a notice of its run, and fails at its soft deadline if none
-// comes.
+// resend sends every command again that the executor has not acknowledged. The executor ignores a
+// second start of a request that is still running. The server knows which runs have ended, as it has
+// read all missed notices, except for runs that end at this moment; therefore the start of a request
+// that must not run twice is not sent again. Such a request waits for a notice of its run, and fails
+// at its soft deadline if none arrives.
 func (l *executorLink) resend() {
 	s := l.server
 	for _, request := range s.requests.InArrivalOrder() {
@@ -221,7 +224,8 @@
 	}
 }
 
-// requestGauges requests the gauges, and replaces a link that has been silent for too long.
+// requestGauges requests the gauges. If an earlier request has been unanswered for longer than
+// silenceTimeout, it replaces the link instead.
 func (l *executorLink) requestGauges() {
 	if !l.up {
 		return
@@ -258,7 +262,7 @@
 	return request.CallNotice != 0 && !request.CallSettled
 }
 
-// reply ends the call that a run waits for with its reply.
+// reply sends the reply of the call that a run waits for.
 func (l *executorLink) reply(request *requesttable.Request, body []byte) {
 	if awaitsCall(request) {
 		request.CallSettled = true
@@ -267,7 +271,7 @@
 	}
 }
 
-// skipCall has a run go on without the call that it waits for.
+// skipCall tells the executor to continue a run without the call that it waits for.
 func (l *executorLink) skipCall(request *requesttable.Request) {
 	if awaitsCall(request) {
 		request.CallSettled = true
@@ -275,7 +279,7 @@
 	}
 }
 
-// sendReply sends the reply of a call that has ended, or that the run goes on without one.
+// sendReply sends the reply of a settled call or, if it has none, that the run continues without it.
 func (l *executorLink) sendReply(request *requesttable.Request) {
 	request.LastCommand = l.sendCommand(func(b []byte) []byte {
 		if request.CallReply == nil {
@@ -287,14 +291,14 @@
 
 // executorStart describes when and how the executor started.
 type executorStart struct {
-	cold       bool // it has to warm up
-	secondsAgo float64
+	cold       bool    // the executor has to warm up
+	secondsAgo float64 // how long ago it started
 }
 
-// startController creates the admission controller. Its slow start begins with a cold executor's own
-// start.
+// startController creates the admission controller. If the executor started cold, the controller's
+// slow start counts from the executor's start.
 func (s *Server) startController(start executorStart) {
-	if s.drain.started() { // it drains before it could run anything, and starts nothing now
+	if s.drain.started() { // the server drains without having run a request, and starts none now
 		slog.Info("controller_not_started", "slow_start", start.cold, "draining", true)
 		return
 	}
@@ -302,13 +306,13 @@
 	settings := s.startup.Settings
 	settings.SlowStart.Duration = 0
 	at := s.now()
-	if start.cold { // when a warm one started is irrelevant
+	if start.cold { // a warm executor needs no slow start
 		settings.SlowStart.Duration = s.startup.SlowStartDuration
 		at -= min(start.secondsAgo, settings.SlowStart.Duration)
 	}
 	s.decisions.controller = admission.New(s.startup.Seed, settings)
 	if s.fleet.quotas != nil {
-		s.fleet.quotas.allowances = nil // the controller has to be notified of all of them
+		s.fleet.quotas.allowances = nil // so that the controller is notified of all of them
 	}
 	s.executeActions(s.decisions.controller.Decide(at, []admission.Event{{Kind: admission.Started}}), at)
 	s.sweep()
--- a/internal/server/forwarding.go
+++ b/internal/server/forwarding.go
@@ -10,30 +10,32 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// This file is the server as a forwarder: a run is a request's way to a worker and back, in place
-// of one at an executor. All else is as it is for a server: the controller decides what is admitted
-// and when, by the learned typical run, which is that through the fleet.
+// This file makes the server a forwarder: instead of running at an executor, a request is sent to a
+// worker and its result is returned. Everything else is the same as for a server: the controller
+// decides which requests are admitted and when, based on the learned typical run time, which here is
+// the round trip through the fleet.
 
-// forwardSafetyMargin is how much less, in seconds, than the time that remains for a request is left
-// to the worker: the way back takes some.
+// forwardSafetyMargin is the part of a request's remaining time, in seconds, that is reserved for
+// returning the result; the worker gets the rest.
 const forwardSafetyMargin = 0.010
 
 // forwardingState is the state of a server that forwards its requests.
 type forwardingState struct {
-	messages map[string]*rpc.Message // of the requests that are not over, by ID, without their bodies
+	messages map[string]*rpc.Message // of the unanswered requests, by request ID, without bodies
 	dispatch func(forwarding.Request) bool
 	cancel   func(id string)
 }
 
-// EnableForwarding has requests run by dispatch instead of an executor; it returns false for a
-// request that was never sent. The function cancel is called for a request whose client is gone.
-// EnableForwarding is called before Run.
+// EnableForwarding makes the server forward requests by calling dispatch, instead of running them at
+// an executor; dispatch returns false for a request that was not sent. The function cancel is called
+// for a request that was answered while it ran, as when its client is gone. EnableForwarding must be
+// called before Run.
 func (s *Server) EnableForwarding(dispatch func(forwarding.Request) bool, cancel func(id string)) {
 	s.fleet.forwarding = &forwardingState{messages: map[string]*rpc.Message{}, dispatch: dispatch, cancel: cancel}
 	s.executor.requestGaugesFunc = func() {} // there are no gauges: workers report their capacity
 }
 
-// HandleWorkerAvailable reports that there is a worker; the server serves from then on. Any
+// HandleWorkerAvailable reports that a worker is available; the server serves from then on. Any
 // goroutine but the loop's may call it; it waits until the loop has started.
 func (s *Server) HandleWorkerAvailable() {
 	s.loop.waitAndExecute(context.Background(), func() {
@@ -43,8 +45,8 @@
 	})
 }
 
-// HandleForwardResults returns forwarded requests. Any goroutine may call it once the loop has
-// started; it returns at once.
+// HandleForwardResults receives the results of forwarded requests. Any goroutine may call it once
+// the loop has started; it returns at once.
 func (s *Server) HandleForwardResults(results []forwarding.Result) {
 	_ = s.loop.execute(func() {
 		for i := range results {
@@ -53,7 +55,7 @@
 	})
 }
 
-// keepForForwarding keeps a request's message, which is forwarded with it.
+// keepForForwarding saves a request's message, to be forwarded when the request runs.
 func (s *Server) keepForForwarding(request *requesttable.Request, message *rpc.Message) {
 	f := s.fleet.forwarding
 	if f == nil {
@@ -61,12 +63,13 @@
 	}
 	kept := *message
 	kept.Number = 0
-	kept.Body = nil // the request has it
+	kept.Body = nil // requesttable.Request holds the body
 	kept.Invalid = nil
 	f.messages[request.ID] = &kept
 }
 
-// startRun runs a request: at a worker, or at the executor.
+// startRun starts the run of a request, at a worker if the server is a forwarder, else at the
+// executor.
 func (s *Server) startRun(request *requesttable.Request) {
 	state := s.fleet.forwarding
 	if state == nil {
@@ -87,7 +90,7 @@
 		Message:          *state.messages[request.ID],
 		RemainingSeconds: request.ArrivedAt + timeout - s.now() - forwardSafetyMargin,
 	}
-	// A copy, as request.Body may go back to its pool before the fleet retries.
+	// A copy, because request.Body may be returned to its pool before the request is forwarded again.
 	forwarded.Message.Body = append([]byte(nil), request.Body...)
 	if forwarded.RemainingSeconds <= 0 || !state.dispatch(forwarded) {
 		s.handleForwardResult(&forwarding.Result{
@@ -98,7 +101,8 @@
 	}
 }
 
-// cancelForward cancels a forwarded request whose client is gone.
+// cancelForward drops the message of an answered request, and cancels the request if it is still
+// running at a worker.
 func (s *Server) cancelForward(request *requesttable.Request) {
 	f := s.fleet.forwarding
 	if f == nil {
@@ -110,7 +114,7 @@
 	}
 }
 
-// handleForwardResult ends a forwarded run.
+// handleForwardResult answers a forwarded request and ends its run.
 func (s *Server) handleForwardResult(result *forwarding.Result) {
 	request := s.requests.Get(result.ID)
 	if request == nil || !request.Running {
--- a/internal/server/graceful.go
+++ b/internal/server/graceful.go
@@ -13,31 +13,32 @@
 
 const (
 	// lingerTimeout is how long, in seconds, the peer of a half-closed connection has to close its
-	// side: twice the 50 ms in which a message may cross a close.
+	// side: twice the 50 ms for which messages sent before the peer saw the close may still arrive.
 	lingerTimeout = 0.1
-	// mutedFlushTimeout is how long, in seconds, a muted connection may leave its answers unread.
+	// mutedFlushTimeout is how long, in seconds, the client of a muted connection may leave its
+	// answers unread.
 	mutedFlushTimeout = 1.0
-	// maxLingering bounds the descriptors of lingering connections: half of the reserved ones.
-	// Beyond it the oldest is closed at once, which at worst resets it; a draining server needs no
-	// descriptors for others.
+	// maxLingering bounds the number of lingering connections to half of the reserved descriptors.
+	// Over the limit the oldest is closed at once, which may reset it. A draining server does not
+	// apply the limit, as it needs no descriptors for other connections.
 	maxLingering = reservedDescriptors / 2
 )
 
-// lingeringConn is a connection that has left the table of clients, and whose peer has yet to close
-// its side.
+// lingeringConn is a half-closed connection: it was removed from the table of clients, and its peer
+// has yet to close its side.
 type lingeringConn struct {
 	server   *Server
 	conn     gnet.Conn
 	state    connState
-	deadline float64 // when it is closed whatever its peer does
+	deadline float64 // when the server closes it, even if the peer has not
 }
 
 func (c *lingeringConn) handleOpen(gnet.Conn, string) error { return nil }
 
 func (c *lingeringConn) owns(conn gnet.Conn) bool { return c.conn == conn }
 
-// handleData discards what crossed the close.
-func (c *lingeringConn) handleData(data []byte) (int, error) { //nolint:unparam // as connHandler says
+// handleData discards input that the peer sent before it saw the close.
+func (c *lingeringConn) handleData(data []byte) (int, error) { //nolint:unparam // implements connHandler
 	return len(data), nil
 }
 
@@ -58,8 +59,8 @@
 	_ = conn.Close()
 }
 
-// closeGracefully half-closes a connection that has no open request and no output. Its slot is free
-// at once.
+// closeGracefully half-closes a connection that has no open request and no pending output. Its slot
+// is free at once.
 func (c *clientConn) closeGracefully() {
 	s := c.server
 	conn := c.conn
@@ -69,7 +70,7 @@
 	if conn == nil || !lingers {
 		return
 	}
-	if err := unix.Shutdown(conn.Fd(), unix.SHUT_WR); err != nil { // its peer was quicker
+	if err := unix.Shutdown(conn.Fd(), unix.SHUT_WR); err != nil { // the peer has closed it already
 		_ = conn.Close()
 		return
 	}
@@ -89,8 +90,8 @@
 	}
 }
 
-// expireLingering closes the connections whose deadline has passed; they are in order of their
-// deadlines.
+// expireLingering closes the lingering connections whose deadline has passed. The list is in order
+// of deadlines.
 func (s *Server) expireLingering() {
 	now := s.now()
 	for len(s.clients.lingering) > 0 && s.clients.lingering[0].deadline <= now {
@@ -101,14 +102,14 @@
 	}
 }
 
-// mutedConn is a muted connection of a client.
+// mutedConn is an entry of the list of muted connections.
 type mutedConn struct {
 	id       slottable.Handle
-	deadline float64 // until when its answers may lie unread; 0 while a request of it is open
+	deadline float64 // when it is closed even if answers are unread; 0 while requests are open
 }
 
-// mute stops reading from a connection after a protocol error, as the next message can't be found.
-// Requests that were read before are answered.
+// mute discards all further input of a connection after a protocol error, as the start of the next
+// message can't be found. Requests that were read before are answered.
 func (c *clientConn) mute() {
 	if !c.state.advance(connProtocolError) {
 		return
@@ -126,7 +127,7 @@
 	s.clients.muted = slices.DeleteFunc(s.clients.muted, func(muted mutedConn) bool {
 		return s.clients.conns.Get(muted.id) == nil
 	})
-	for i := range s.clients.muted { // those that end here leave the list in the next turn
+	for i := range s.clients.muted { // connections closed here are removed from the list in the next turn
 		muted := &s.clients.muted[i]
 		client := s.clients.conns.Get(muted.id)
 		switch {
@@ -142,7 +143,8 @@
 	}
 }
 
-// applyLimiterDecisions carries out the connection limiter's decisions: a few in each turn.
+// applyLimiterDecisions carries out the connection limiter's decisions to close connections; the
+// limiter returns a few in each turn.
 func (s *Server) applyLimiterDecisions(now float64) {
 	for _, decision := range s.clients.limiter.TakeDecisions(now) {
 		client := s.clients.conns.AtSlot(decision.Slot)
@@ -160,16 +162,16 @@
 	}
 }
 
-// askToClose asks a client to close a connection: the client sends nothing new from then on, so
-// nothing can be lost.
+// askToClose asks a client to close its connection. The client then sends no new requests on it, so
+// none is lost when the connection closes.
 func (s *Server) askToClose(client *clientConn) {
 	s.output.scratch = rpc.AppendGoAway(s.output.scratch[:0])
 	client.writeScratch()
 	s.statistics.askedToClose++
 }
 
-// closeAllGracefully half-closes, just before the kill, every connection without an open request or
-// output.
+// closeAllGracefully half-closes every connection without an open request or pending output. It is
+// called just before the kill.
 func (s *Server) closeAllGracefully() {
 	s.flush()
 	s.clients.conns.ForEach(func(_ slottable.Handle, client *clientConn) {
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -14,19 +14,19 @@
 	"swiftcourse/internal/timerwheel"
 )
 
-// eventLoop is gnet's loop, the timers that run on it, and the timer that wakes it when the next of
-// them is due.
+// eventLoop is gnet's loop, the timers that run on it, and the system timer that wakes the loop
+// when the next of them is due.
 type eventLoop struct {
 	handle        gnet.EventLoop // nil until the first connection is open
 	ready         chan struct{}  // closed once handle is set
-	registerFirst registerFunc   // hands the first connection to the loop
-	ticked        bool           // by gnet's ticker, whose goroutine alone uses it
+	registerFirst registerFunc   // registers the first connection, before handle is set
+	ticked        bool           // OnTick has dialed; only the goroutine of gnet's ticker uses it
 
 	timers        timerwheel.Wheel
-	turn          gnet.Runnable // runTurn of the server
+	turn          gnet.Runnable // calls the server's runTurn
 	turnScheduled bool
 	wakeup        *time.Timer
-	wakeupAt      float64 // when wakeup goes off, +Inf for never
+	wakeupAt      float64 // when wakeup fires, +Inf for never
 }
 
 func newEventLoop(s *Server) eventLoop {
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// execute queues f on the loop, which must be ready. It fails only if the engine is stopped, and
-// then there is nothing left to do.
+// execute queues f on the loop, which must be ready. It returns an error only if the engine is
+// stopped; callers may ignore it, as a stopped server needs nothing more done.
 func (l *eventLoop) execute(f loopFunc) error {
 	return l.handle.Execute(context.Background(), f)
 }
@@ -62,15 +62,16 @@
 	}
 }
 
-// requestTurn schedules a turn. Any goroutine may call it. A loop that has not started does
-// nothing: its first turn sees what is new.
+// requestTurn queues a turn on the loop. Any goroutine may call it. Before the loop has started the
+// call has no effect: the loop's first turn finds the changes.
 func (l *eventLoop) requestTurn() {
 	if l.isReady() {
 		_ = l.handle.Execute(context.Background(), l.turn)
 	}
 }
 
-// waitAndExecute waits until the loop has started, and queues f on it. It gives up when ctx ends.
+// waitAndExecute waits until the loop has started, and queues f on it. It returns without doing so
+// if ctx ends first.
 func (l *eventLoop) waitAndExecute(ctx context.Context, f loopFunc) {
 	select {
 	case <-l.ready:
@@ -79,12 +80,13 @@
 	}
 }
 
-// executeWhenReady queues f on the loop once that has started. It returns at once.
+// executeWhenReady queues f on the loop once the loop has started. It returns at once.
 func (l *eventLoop) executeWhenReady(f loopFunc) {
 	go l.waitAndExecute(context.Background(), f)
 }
 
-// every calls f on the loop at each interval, in seconds; the first call is one interval from now.
+// every calls f on the loop repeatedly, at an interval in seconds; the first call is one interval
+// from now.
 func (s *Server) every(interval float64, f func()) {
 	var tick func()
 	tick = func() {
@@ -94,8 +96,8 @@
 	s.loop.timers.Schedule(s.now()+interval, tick)
 }
 
-// OnTick opens the first dialed connection. gnet calls it on a goroutine of its own once the loop
-// is there; before that, nothing can be registered on it.
+// OnTick dials the first connection. gnet calls it on a separate goroutine once the loop exists;
+// before that no connection can be registered.
 func (s *Server) OnTick() (time.Duration, gnet.Action) {
 	if !s.loop.ticked {
 		s.loop.ticked = true
@@ -108,7 +110,7 @@
 	return time.Hour, gnet.None
 }
 
-// OnOpen takes over a new connection: one that the server dialed, or a client's.
+// OnOpen passes a new connection, dialed by the server or opened by a client, to its handler.
 func (s *Server) OnOpen(conn gnet.Conn) (_ []byte, action gnet.Action) {
 	defer s.recoverPanic(conn, &action)
 	if s.loop.handle == nil {
@@ -116,14 +118,14 @@
 	}
 	var handler connHandler
 	address := ""
-	if dialed, ok := conn.Context().(*dialed); ok {
-		conn.SetContext(dialed.handler)
-		if dialed.addressOf(s.endpoints.Load()) != dialed.address { // moved meanwhile
-			s.dial(dialed.dialTarget)
+	if result, ok := conn.Context().(*dialed); ok {
+		conn.SetContext(result.handler)
+		if result.addressOf(s.endpoints.Load()) != result.address { // the address changed meanwhile
+			s.dial(result.dialTarget)
 			return nil, gnet.Close
 		}
-		handler = dialed.handler
-		address = dialed.address
+		handler = result.handler
+		address = result.address
 	} else {
 		handler = s.addClient(conn)
 	}
@@ -136,7 +138,7 @@
 	return nil, gnet.None
 }
 
-// startLoop takes over gnet's loop when that has its first connection.
+// startLoop starts using gnet's loop, which is known once its first connection is open.
 func (s *Server) startLoop(loop gnet.EventLoop) {
 	s.loop.handle = loop
 	s.loop.wakeup = time.AfterFunc(time.Hour, func() {
@@ -162,7 +164,7 @@
 	}
 	n, err := handler.handleData(data)
 	if n > 0 {
-		_, _ = conn.Discard(n) // n is no more than what is there
+		_, _ = conn.Discard(n) // can't fail: n is at most len(data)
 	}
 	if err == nil {
 		return gnet.None
@@ -179,7 +181,7 @@
 	return gnet.Close
 }
 
-// OnClose reports a closed connection to its handler.
+// OnClose tells the handler of a connection that it closed.
 func (s *Server) OnClose(conn gnet.Conn, err error) (action gnet.Action) {
 	defer s.recoverPanic(conn, &action)
 	if handler, ok := conn.Context().(connHandler); ok && handler.owns(conn) {
@@ -188,7 +190,8 @@
 	return gnet.None
 }
 
-// recoverPanic confines a panic to the connection whose event raised it, which is closed.
+// recoverPanic recovers from a panic in a connection's handler, logs it, and closes only that
+// connection.
 func (s *Server) recoverPanic(conn gnet.Conn, action *gnet.Action) {
 	if cause := recover(); cause != nil {
 		slog.Info("panic", "peer", conn.RemoteAddr(), "cause", fmt.Sprint(cause), "stack", debug.Stack())
@@ -215,7 +218,7 @@
 	slog.Info("network_library", "level", "error", "text", fmt.Sprintf(format, args...))
 }
 
-// Fatalf logs an error after which gnet can't go on, and ends the process.
+// Fatalf logs an error that gnet can't recover from, and ends the process.
 func (gnetLogger) Fatalf(format string, args ...any) {
 	logging.Fatal("network_library", "level", "fatal", "text", fmt.Sprintf(format, args...))
 }
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -8,46 +8,46 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// This file applies leased shares of quotas: the controller is notified of a change at the head of
-// the next batch. The loop itself checks when a lease expires, so that a share ends in time even if
-// the goroutine that renews the lease does not run.
+// This file applies leased shares of quotas. A changed limit is passed to the controller as the first
+// event of the next batch. The loop itself checks the expiry of leases, so that a share ends in time
+// even if the goroutine that renews the lease does not run.
 
 const (
 	// usageInterval is how often, in seconds, usage is measured and reported.
 	usageInterval = 0.1
-	// usageWeight is the weight of the latest measurement in the moving average, which covers half
-	// a second or so. With a weight of 0.3, swings of small demands took 1.5% of a quota from the
-	// large one.
+	// usageWeight is the weight of the latest measurement in the moving average, which covers about
+	// half a second. With a weight of 0.3, fluctuations of small demands took 1.5% of a quota away
+	// from the large demand.
 	usageWeight = 0.2
-	// minUsageRate is the rate, in requests per second, below which a rate counts as 0.
+	// minUsageRate is the least rate, in requests per second, that does not count as 0.
 	minUsageRate = 0.01
 )
 
 // QuotaUsage is the recent use of a quota.
 type QuotaUsage struct {
 	Name        string
-	Demand      float64 // a tenant's requests per second, or the upstream calls in flight and waiting
-	InFlight    float64 // upstream calls
-	GrantNumber uint64  // of the grant that the loop applies
+	Demand      float64 // a tenant's requests per second, or the number of upstream calls in flight and waiting
+	InFlight    float64 // number of upstream calls in flight
+	GrantNumber uint64  // number of the grant that the loop applies
 }
 
 // quotas is the state of the quotas that the fleet shares.
 type quotas struct {
 	allowances []serving.Allowance
-	applied    []float64 // the limit of each that the controller knows, negative for none
-	received   []int     // requests by tenant, since the last count
-	rates      []float64 // by tenant, of the last half second or so
+	applied    []float64 // last limit passed to the controller for each allowance, negative for none
+	received   []int     // requests since the last measurement, by tenant
+	rates      []float64 // moving average of requests per second, by tenant
 	nextExpiry float64   // when the next lease expires; -Inf after invalidateLimits
 	report     func([]QuotaUsage)
 
 	reportCalls func(serving.CallStats) // nil without a circuit breaker
-	calls       serving.CallStats       // since the last count
-	probe       int64                   // number of the probing call that may be made, 0 for none
-	usedProbe   int64                   // number of the latest one that was made
+	calls       serving.CallStats       // since the last report
+	probe       int64                   // number of the probe call that may be made, 0 for none
+	usedProbe   int64                   // number of the last probe call that was made
 }
 
-// EnableQuota has leased shares of quotas bind from the first request on, and reports their usage
-// on the loop. It is called before Run.
+// EnableQuota enforces leased shares of quotas from the first request on; report is called on the
+// loop with their usage. EnableQuota must be called before Run.
 func (s *Server) EnableQuota(report func([]QuotaUsage)) {
 	tenants := len(s.startup.Settings.Tenants)
 	s.fleet.quotas = &quotas{
@@ -59,19 +59,19 @@
 	s.every(usageInterval, s.reportQuotaUsage)
 }
 
-// ReportUpstreamCalls reports the outcomes of upstream calls, on the loop. It is called after
-// EnableQuota and before Run.
+// ReportUpstreamCalls makes the server report the outcomes of upstream calls, by calling report on
+// the loop. It must be called after EnableQuota and before Run.
 func (s *Server) ReportUpstreamCalls(report func(serving.CallStats)) {
 	s.fleet.quotas.reportCalls = report
 }
 
-// countUpstreamCall counts the outcome of a call that took so many seconds.
+// countUpstreamCall counts the outcome and the duration of an upstream call.
 func (s *Server) countUpstreamCall(outcome admission.Outcome, seconds float64) {
 	q := s.fleet.quotas
 	if q == nil {
 		return
 	}
-	if q.probe != 0 { // it was made: no other is, also before its outcome is reported
+	if q.probe != 0 { // this call was the probe: allow no other call before its outcome is reported
 		q.usedProbe = q.probe
 		q.probe = 0
 		q.invalidateLimits()
@@ -84,14 +84,14 @@
 	}
 }
 
-// SetAllowances sets what the server may use of all quotas. Any goroutine may call it; it returns
-// at once, and the loop applies the allowances from its next batch on.
+// SetAllowances sets the server's allowances of all quotas. Any goroutine may call it; it returns at
+// once, and the loop applies the allowances from its next batch on.
 func (s *Server) SetAllowances(allowances []serving.Allowance) {
 	s.fleet.allowances.Store(&allowances)
 	s.loop.requestTurn()
 }
 
-// applyAllowances puts events about changed limits at the head of the batch.
+// applyAllowances inserts events for changed limits at the start of the batch.
 func (s *Server) applyAllowances(now float64) {
 	q := s.fleet.quotas
 	latest := s.fleet.allowances.Load()
@@ -113,19 +113,19 @@
 	}
 }
 
-// invalidateLimits has the limits computed again for the next batch, before a lease expires.
+// invalidateLimits makes the next batch compute the limits again, even if no lease has expired.
 func (q *quotas) invalidateLimits() { q.nextExpiry = math.Inf(-1) }
 
 func (q *quotas) limitsInvalid() bool { return math.IsInf(q.nextExpiry, -1) }
 
-// isSameSlice reports whether both are the same slice of the same array: every new list of
-// allowances is a new array.
+// isSameSlice reports whether a and b share the same array and length. That is enough to detect a
+// new list of allowances, as each list has its own array.
 func isSameSlice(a, b []serving.Allowance) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// replaceAllowances takes a new list. If its quotas are not the same as before, the controller has
-// to be notified of every one again.
+// replaceAllowances sets a new list of allowances. If the list names other quotas than before, the
+// controller has to be notified of all limits again.
 func (s *Server) replaceAllowances(allowances []serving.Allowance) {
 	q := s.fleet.quotas
 	sameName := func(a, b serving.Allowance) bool { return a.Name == b.Name }
@@ -139,8 +139,8 @@
 	q.allowances = allowances
 }
 
-// updateLimits returns events for the limits that differ from what the controller knows, and sets
-// the time of the next expiry.
+// updateLimits returns events for the limits that changed since the controller was last notified, and
+// sets the time of the next expiry.
 func (q *quotas) updateLimits(now float64) (events []admission.Event) {
 	q.nextExpiry = math.Inf(1)
 	q.probe = 0
@@ -163,8 +163,8 @@
 	return events
 }
 
-// removeAllowances notifies the controller of quotas that no longer exist, by a limit that never
-// binds.
+// removeAllowances lifts the limits of quotas that no longer exist, by setting them so high that they
+// never apply.
 func (s *Server) removeAllowances(previous, next []serving.Allowance) {
 	for _, removed := range previous {
 		sameTenant := func(a serving.Allowance) bool { return a.Tenant == removed.Tenant }
@@ -182,14 +182,14 @@
 	}
 }
 
-// countQuotaDemand counts a request of a tenant.
+// countQuotaDemand counts a request in its tenant's demand.
 func (s *Server) countQuotaDemand(tenant int) {
 	if q := s.fleet.quotas; q != nil && tenant < len(q.received) {
 		q.received[tenant]++
 	}
 }
 
-// reportQuotaUsage reports the demand and use of all quotas.
+// reportQuotaUsage reports the demand and usage of the quotas that are in demand, in use or leased.
 func (s *Server) reportQuotaUsage() {
 	quotas := s.fleet.quotas
 	quotas.updateRates()
@@ -214,14 +214,14 @@
 	}
 }
 
-// updateRates updates each tenant's rate with the requests since the last measurement.
+// updateRates updates each tenant's average rate with the requests since the last measurement.
 func (q *quotas) updateRates() {
 	for _, allowance := range q.allowances {
 		if allowance.Tenant < 0 {
 			continue
 		}
-		// More than the whole quota tells nothing, and would take long to be forgotten once demand
-		// is elsewhere.
+		// The rate is capped at the whole quota: a higher one has no meaning, and the average would
+		// take long to fall after the demand has moved to other servers.
 		rate := &q.rates[allowance.Tenant]
 		latest := min(float64(q.received[allowance.Tenant])/usageInterval, allowance.FleetMax)
 		*rate += usageWeight * (latest - *rate)
@@ -232,8 +232,8 @@
 	clear(q.received)
 }
 
-// usageOf is the use of a quota: a tenant's rate of requests, or the upstream calls in flight and
-// waiting.
+// usageOf returns the usage of a quota: the rate of a tenant's requests, or the number of upstream
+// calls in flight and waiting.
 func (s *Server) usageOf(allowance *serving.Allowance) QuotaUsage {
 	usage := QuotaUsage{Name: allowance.Name, GrantNumber: allowance.GrantNumber}
 	if allowance.Tenant >= 0 {
@@ -243,7 +243,7 @@
 	inFlight, waiting := s.decisions.controller.DownstreamCalls()
 	usage.Demand = float64(inFlight + waiting)
 	usage.InFlight = float64(inFlight)
-	if allowance.Capped { // it can't use more
+	if allowance.Capped { // the server can't use more than the cap
 		usage.Demand = min(usage.Demand, allowance.Cap)
 	}
 	return usage
--- a/internal/server/refuse.go
+++ b/internal/server/refuse.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// refusalReadTimeout is how long a connection that was accepted with the spare descriptor has
-	// for its first message.
+	// refusalReadTimeout is how long the acceptor waits for the first message on a connection that
+	// was accepted with the spare descriptor.
 	refusalReadTimeout = 10 * time.Millisecond
-	// maxRefusedReads bounds the reads, of refusalBufferSize each, for which a refused connection
-	// may hold up the acceptor: twice what 32 requests with bodies of 2 KiB take.
+	// maxRefusedReads bounds how long one refused connection occupies the acceptor, in reads of
+	// refusalBufferSize each: twice what 32 requests with bodies of 2 KiB need.
 	maxRefusedReads   = 32
 	refusalBufferSize = 4 << 10
 )
@@ -23,14 +23,14 @@
 	socket     acceptedSocket
 	deadline   time.Time // for the first message; the zero time for none
 	buffer     [refusalBufferSize]byte
-	buffered   int  // bytes of the buffer that are no whole message yet
-	answered   bool // something was written
-	discarding bool // the input is malformed or a message too long: the rest is discarded
+	buffered   int  // number of bytes in buffer, the start of an incomplete message
+	answered   bool // an answer was written
+	discarding bool // after malformed input or too long a message: the rest is discarded
 }
 
-// refuse answers the messages that have arrived on a connection that can't be admitted, or arrive
-// within a timeout, and closes it. Requests are rejected: they never ran. The rest of the input is
-// read too, as a close with unread input would reset the connection and drop the answers.
+// refuse answers the messages on a connection that can't be admitted, and closes it. It waits up to
+// timeout for the first message. Requests are rejected: they never ran. All input is read before the
+// close, as closing with unread input would reset the connection and drop the answers.
 func refuse(socket acceptedSocket, timeout time.Duration) {
 	defer func() { _ = unix.Close(socket.fd) }()
 	r := refusal{socket: socket}
@@ -44,8 +44,8 @@
 	}
 }
 
-// waitForInput waits for the first message until the deadline, if there is one, and reports whether
-// there may be input.
+// waitForInput waits for the first message until the deadline, if one is set. It returns false if
+// there is no input.
 func (r *refusal) waitForInput() bool {
 	if r.deadline.IsZero() || r.answered {
 		return true
@@ -55,7 +55,8 @@
 	return n > 0
 }
 
-// read reads once and answers the whole messages so far; it returns false at the end of the input.
+// read reads once and answers the complete messages so far. It returns false if there is no more
+// input.
 func (r *refusal) read() bool {
 	n, err := unix.Read(r.socket.fd, r.buffer[r.buffered:])
 	if err != nil || n <= 0 {
@@ -65,19 +66,20 @@
 		return true
 	}
 	answers, rest, err := refusalsFor(r.buffer[:r.buffered+n])
-	if len(answers) > 0 { // a fresh connection takes so little at once, or its peer is gone
+	if len(answers) > 0 { // so little fits a new connection's send buffer; an error means that the peer is gone
 		_, _ = unix.Write(r.socket.fd, answers)
 		r.answered = true
 	}
 	r.buffered = copy(r.buffer[:], rest)
-	if err != nil || r.buffered == len(r.buffer) { // malformed, or too long a message
+	if err != nil || r.buffered == len(r.buffer) { // malformed input, or a message longer than the buffer
 		r.buffered = 0
 		r.discarding = true
 	}
 	return true
 }
 
-// refusalsFor returns the answers to the whole messages at the start of data, and the rest of data.
+// refusalsFor returns the answers to the complete messages at the start of data, and the rest of
+// data.
 func refusalsFor(data []byte) (answers, rest []byte, err error) {
 	for {
 		message, size, err := rpc.ParseMessage(data)
--- a/internal/server/registry.go
+++ b/internal/server/registry.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"fmt"
 	"log/slog"
 	"net/http"
 
@@ -10,11 +11,12 @@
 )
 
 const (
-	// reportInterval is the interval of reports, in seconds; a registry entry lapses after three. A
-	// report without a reply by the next one may be lost or not: the next goes over a new link, at
-	// once if health changed.
+	// reportInterval is the interval of reports, in seconds; a registry entry expires after three
+	// intervals. If a report is unanswered when the next one is due, it may have been lost: the next
+	// report goes over a new link. If health changes, the next report is due at once.
 	reportInterval = 1
-	// reportTolerance is how much earlier, in seconds, than its interval a report may be sent.
+	// reportTolerance is how much earlier, in seconds, than after the full interval a report may be
+	// sent.
 	reportTolerance = 0.05
 )
 
@@ -22,11 +24,11 @@
 type registryLink struct {
 	dialedConn
 	server          *Server
-	awaitingReply   bool    // to a report
-	reportedHealthy bool    // what the last report said
-	reportedAt      float64 // when it was sent
-	ticking         bool    // reports are due again and again
-	failedLinks     int     // in a row on which no report was answered
+	awaitingReply   bool    // the last report has not been answered
+	reportedHealthy bool    // the health in the last report
+	reportedAt      float64 // when the last report was sent
+	ticking         bool    // periodic reports are scheduled
+	failedLinks     int     // consecutive links on which no report was answered
 }
 
 func (r *registryLink) handleOpen(conn gnet.Conn, address string) error {
@@ -41,13 +43,13 @@
 	slog.Info("link_lost", "link", "registry", "err", &attemptError{sent, err})
 	r.release(&r.server.output.buffers)
 	if r.awaitingReply {
-		r.reportedAt = 0 // the report may be lost: it is repeated on the next link
+		r.reportedAt = 0 // the report may be lost: send it again on the next link
 	}
 	r.server.dial(dialTarget{addressOf: registryAddress, handler: r, failures: r.failedLinks})
 	r.failedLinks++
 }
 
-// reconnect has the reports go over a new link.
+// reconnect replaces the link; err is the reason for the log.
 func (r *registryLink) reconnect(err error) {
 	_ = r.conn.Close()
 	r.failedLinks = 0
@@ -59,7 +61,7 @@
 	server := r.server
 	now := server.now()
 	if server.decisions.controller == nil {
-		return // listed only once the executor is up
+		return // the server must not be listed before the executor is up
 	}
 	if !r.ticking {
 		r.ticking = true
@@ -72,8 +74,8 @@
 		return
 	case r.reportedHealthy == healthy && !due:
 		return
-	case r.awaitingReply: // the reply may never come, and a change of health must not wait for it
-		r.reconnect(errReportUnanswered)
+	case r.awaitingReply: // the reply may never arrive, and a change of health must not wait for it
+		r.reconnect(fmt.Errorf("%w, sent %.3f s ago", errReportUnanswered, now-r.reportedAt))
 		return
 	}
 	r.awaitingReply = true
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -10,15 +10,16 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// maxClockSkew is how far, in seconds, a request's time of arrival may be from now: more than any
-// pause of a machine, as the controller learns from ages.
+// maxClockSkew is how much, in seconds, a request's arrival time may differ from the server's clock.
+// It is longer than any pause of a machine. A limit is needed as the controller learns from the ages
+// of requests.
 const maxClockSkew = 60
 
-// requestKind is a request's class and tenant, as indexes into the deployment's settings.
+// requestKind is the class and tenant of a request, as indexes into the deployment's settings.
 type requestKind struct{ class, tenant int }
 
-// handleRequest takes in a request, or answers at once a message that can't be one. An error means
-// that the connection can't go on.
+// handleRequest creates a request and queues its arrival for the controller, unless it is invalid or
+// must be rejected before that. An error means that the connection can't be used any more.
 func (c *clientConn) handleRequest(message *rpc.Message, now float64) error {
 	server := c.server
 	if c.findRequest(message.Number) != nil {
@@ -51,7 +52,7 @@
 	return nil
 }
 
-// validate returns a request's class and tenant, or what is invalid about it.
+// validate returns the class and tenant of a request, and an error if it is invalid.
 func (c *clientConn) validate(message *rpc.Message, now float64) (requestKind, error) {
 	server := c.server
 	class, classKnown := server.startup.ClassIndex[message.Class]
@@ -71,13 +72,13 @@
 	case math.Abs(message.ArrivedAt-now) > maxClockSkew:
 		return kind, clockSkewError(message.ArrivedAt - now)
 	case server.requests.Get(message.ID) != nil:
-		return kind, errDuplicateID
+		return kind, &invalidFieldError{"request ID", message.ID, errDuplicateID}
 	}
 	return kind, server.validateKey(class, message)
 }
 
-// validateKey returns what is invalid about the idempotency key of a request that may run at most
-// once.
+// validateKey returns an error if the class of a request requires an idempotency key, and the key is
+// missing or belongs to a request with a different body.
 func (s *Server) validateKey(class int, message *rpc.Message) error {
 	if !s.runsAtMostOnce(class) {
 		return nil
@@ -85,16 +86,16 @@
 	subject := s.subjectOf(class, message)
 	switch {
 	case subject == "":
-		// No repeat of it could be recognised, so it may not run.
+		// Its repeats could not be recognised, so it must not run.
 		return &invalidFieldError{"class", message.Class, errMissingKey}
 	case s.results.IsConflicting(class, subject, message.Body, message.ArrivedAt):
-		// Otherwise it would receive the result of another request.
-		return errConflictingBody
+		// It must not receive the result of another request.
+		return &invalidFieldError{"request ID", message.ID, errConflictingBody}
 	}
 	return nil
 }
 
-// rejectInvalid answers a message that can't be a request.
+// rejectInvalid answers a message that is not a valid request.
 func (c *clientConn) rejectInvalid(number uint64, err error, now float64) {
 	s := c.server
 	s.statistics.invalid++
@@ -106,11 +107,11 @@
 	c.writeScratch()
 }
 
-// rejectAtOnce rejects a request that must not reach the controller, and reports whether it did.
+// rejectAtOnce rejects a request that must not reach the controller, and reports whether it did so.
 func (c *clientConn) rejectAtOnce(number uint64, kind requestKind, now float64) bool {
 	s := c.server
 	switch {
-	case s.decisions.controller == nil: // no executor yet: it can't have run
+	case s.decisions.controller == nil: // the executor is not up yet, so the request can't run
 		s.countRejectedAtOnce(kind)
 		c.rejectMessage(number, s.health.loadReport, now)
 	case s.outOfServiceAt(now):
@@ -125,7 +126,8 @@
 	return true
 }
 
-// queueArrival queues the event of a request's arrival, unless its key has to be claimed first.
+// queueArrival queues the event of a request's arrival for the controller, unless the request's key
+// has to be claimed first.
 func (s *Server) queueArrival(request *requesttable.Request, message *rpc.Message, now float64) {
 	original := s.results.Original(request.Class, request.Subject, message.ArrivedAt, now)
 	arrival := admission.Event{
@@ -147,22 +149,23 @@
 		return
 	}
 	if s.runsAtMostOnce(request.Class) && original == "" {
-		// A repeat may come in this very turn, before the controller stores this one.
+		// A repeat may arrive in the same turn, before the controller stores the key.
 		window := s.startup.Settings.Classes[request.Class].DeduplicationWindow
 		s.results.Track(request, request.ArrivedAt+window, true)
 	}
 	s.queueEvent(arrival)
 }
 
-// runsAtMostOnce reports whether repeats of a class's requests must be recognised.
+// runsAtMostOnce reports whether a class requires that repeats of its requests are recognised and not
+// run again.
 func (s *Server) runsAtMostOnce(class int) bool {
 	classes := s.startup.Settings.Classes
 	return class < len(classes) && classes[class].Idempotency == admission.Deduplicated
 }
 
-// maxReadDelay is how long, in seconds, past its window a request that may run once is remembered:
-// a repeat that arrived in time may be read later, as after a pause, but not after its client has
-// left.
+// maxReadDelay returns how long, in seconds, after its deduplication window a request is still
+// remembered. A repeat that arrived within the window may be read after it, for example after a
+// pause, but not later than its own timeout, when its client no longer waits.
 func (s *Server) maxReadDelay() (longest float64) {
 	for i, class := range s.startup.Settings.Classes {
 		if s.runsAtMostOnce(i) {
@@ -172,9 +175,9 @@
 	return longest
 }
 
-// subjectOf is what a request has in common with its repeats: the idempotency key if its class
-// requires one, else its subject. If an operator names the keyed classes, of a protocol without
-// such keys, the subject is the key.
+// subjectOf returns the value by which the repeats of a request are recognised: the idempotency key
+// if the class requires one and the message has one, else the subject. The protocol may have no
+// idempotency keys; in classes for which the operator requires them, the subject is then the key.
 func (s *Server) subjectOf(class int, message *rpc.Message) string {
 	if s.runsAtMostOnce(class) && message.Key != "" {
 		return message.Key
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -12,17 +12,17 @@
 
 const (
 	answerFinished answerKind = iota // a result
-	answerFailed                     // an error: it ran, or may have
-	answerRejected                   // it never ran
+	answerFailed                     // an error: the request ran, or may have run
+	answerRejected                   // the request never ran
 	answerKindCount
 )
 
-// String returns the answer's name.
+// String returns the kind's name.
 func (a answerKind) String() string {
 	return [...]string{"finished", "failed", "rejected", "unknown"}[min(a, answerKindCount)]
 }
 
-// respond sends a request's final answer, encoded by put. Only the first answer counts.
+// respond sends a request's final answer, as encoded by encode. Calls after the first have no effect.
 func (s *Server) respond(request *requesttable.Request, kind answerKind, encode func(b []byte, number uint64) []byte) {
 	if request.Answered {
 		return
@@ -53,13 +53,13 @@
 	})
 }
 
-// reject answers that a request never ran. The client may retry after so many seconds, and may
+// reject answers that a request never ran. The client may retry after retryAfter seconds, and may
 // try another server.
 func (s *Server) reject(request *requesttable.Request, retryAfter float64) {
 	s.rejectWith(request, retryAfter, false)
 }
 
-// rejectWith is reject, and with noFailover asks the client not to try another server.
+// rejectWith is reject, but with noFailover it asks the client not to try another server.
 func (s *Server) rejectWith(request *requesttable.Request, retryAfter float64, noFailover bool) {
 	report := s.health.loadReport
 	report.RetryAfter = retryAfter
@@ -69,13 +69,14 @@
 	})
 }
 
-// settle marks a request as answered, and cancels what is under way for its answer: the upstream
-// call and, if it did not run, the claim of its key and the repeats that wait for its result.
+// settle marks a request as answered and cancels its upstream call or forwarded run. If the request
+// is not running, settle also releases the claim of its key and fails the repeats that wait for its
+// result.
 func (s *Server) settle(request *requesttable.Request) {
 	request.Answered = true
 	s.cancelCall(request)
 	s.cancelForward(request)
-	if !request.Running { // there is no result for the repeats that wait for it
+	if !request.Running { // there will be no result for the waiting repeats
 		s.releaseClaim(request)
 		for _, id := range s.results.Finish(request.ID, resultcache.Outcome{}) {
 			s.answerShared(s.requests.Get(id), nil, admission.Failed, 0)
@@ -84,8 +85,8 @@
 	s.requests.RemoveIfDone(&s.output.buffers, request)
 }
 
-// cancelByClient ends a request whose client cancelled it or is gone, and reports that to the
-// controller.
+// cancelByClient ends a request that its client cancelled, or whose client is gone, and reports that
+// to the controller.
 func (s *Server) cancelByClient(request *requesttable.Request) {
 	if request.Answered {
 		return
@@ -95,8 +96,8 @@
 	s.settle(request)
 }
 
-// finishRun reports the end of a run, which took so many seconds, to all that wait for it: repeats,
-// the fleet and the controller.
+// finishRun reports the outcome and duration of a run to the waiting repeats, the fleet and the
+// controller.
 func (s *Server) finishRun(request *requesttable.Request, outcome admission.Outcome, body []byte, seconds float64) {
 	succeeded := outcome == admission.Finished
 	waiting := s.results.Finish(request.ID, resultcache.Outcome{
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -19,8 +19,8 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// Server is one server, from its first connection until it has drained. The loop owns all of it but
-// the atomic fields.
+// Server is a server, from New until it has drained. Apart from the atomic fields, all of its state
+// belongs to the event loop.
 type Server struct {
 	gnet.BuiltinEventEngine
 
@@ -29,7 +29,7 @@
 	clock     clock
 	loop      eventLoop
 	lifetime  lifetime
-	endpoints atomic.Pointer[endpoints] // for the goroutines that dial too
+	endpoints atomic.Pointer[endpoints] // also read by the goroutines that dial
 
 	decisions decisions
 	requests  *requesttable.Table
@@ -48,11 +48,11 @@
 	statistics statistics
 }
 
-// clock is a Unix clock that never jumps: it reads the system's clock once, and goes on with the
-// monotonic clock.
+// clock is a Unix clock without jumps: it reads the system's clock once, and adds the time that has
+// passed since then on the monotonic clock.
 type clock struct {
 	anchor time.Time
-	unix   float64 // seconds at anchor
+	unix   float64 // the Unix time at anchor, in seconds
 }
 
 func newClock() clock {
@@ -62,11 +62,11 @@
 
 func (c *clock) now() float64 { return c.unix + time.Since(c.anchor).Seconds() }
 
-// lifetime is the span from New until the server has exited.
+// lifetime ends the server's goroutines when the server stops.
 type lifetime struct {
-	context context.Context // for dials
+	context context.Context // of the dials
 	cancel  context.CancelFunc
-	stopped chan struct{} // closed at the end, for Run and the acceptor
+	stopped chan struct{} // closed by stop; Run and the acceptor wait for it
 	once    sync.Once
 }
 
@@ -75,40 +75,39 @@
 	l.context, l.cancel = context.WithCancel(context.Background())
 }
 
-// decisions is the admission controller, the events for its next decision, and the gauges that they
-// carry.
+// decisions is the admission controller, the events for its next decision, and the executor's
+// gauges, which timer events carry.
 type decisions struct {
 	controller *admission.Controller // nil until the executor is up
-	pending    []admission.Event     // for the next batch
-	spare      []admission.Event     // the last batch, to be used again
-	gauges     admission.Gauges      // the latest
-	gaugesAt   float64               // when they were read
+	pending    []admission.Event     // the next batch
+	spare      []admission.Event     // the previous batch, whose memory is reused
+	gauges     admission.Gauges      // the latest reading
+	gaugesAt   float64               // when the latest reading was received
 }
 
-// health is what the server reports about itself.
+// health is the server's health and load, as reported to the registry and to clients.
 type health struct {
-	healthy    bool                 // by the controller's decision
-	loadReport rpc.ResponseMetadata // goes with every answer
+	healthy    bool                 // as decided by the controller
+	loadReport rpc.ResponseMetadata // part of every answer
 }
 
-// fleetState is what the fleet asks of the server. What other goroutines set is atomic.
+// fleetState is the state of the features that a fleet uses. Other goroutines set the atomic fields.
 type fleetState struct {
-	operator   *config.OperatorSettings          // with what was released; nil without an operator's file
+	operator   *config.OperatorSettings          // including released settings; nil without an operator's file
 	directive  atomic.Pointer[serving.Directive] // nil without a fleet
 	mode       serving.Mode
 	allowances atomic.Pointer[[]serving.Allowance]
-	quotas     *quotas          // nil where none are shared
-	claims     *keyClaims       // nil where no class's keys are claimed
-	counters   *requestCounters // nil where nothing is counted for a fleet
-	forwarding *forwardingState // nil where requests run at an executor
+	quotas     *quotas          // nil unless the fleet shares quotas
+	claims     *keyClaims       // nil unless the keys of some class are claimed
+	counters   *requestCounters // nil unless requests are counted for the fleet
+	forwarding *forwardingState // nil unless the server is a forwarder
 }
 
-// resultCacheShare is the divisor of the memory that cached results may take: as much as the
-// answers that clients leave unread.
+// resultCacheShare is the divisor of the memory limit that bounds cached results: an eighth, the
+// same as for output that clients leave unread.
 const resultCacheShare = 8
 
-// New creates a server that has not started. The operator's settings are nil without an operator's
-// file.
+// New creates a server; Run starts it. The operator's settings are nil without an operator's file.
 func New(startup *config.Startup, operator *config.OperatorSettings) *Server {
 	server := &Server{
 		startup:  startup,
@@ -130,13 +129,14 @@
 	return server
 }
 
-// Now is the server's clock, in seconds since the Unix epoch. Any goroutine may call it.
+// Now returns the time on the server's clock, in seconds since the Unix epoch. Any goroutine may
+// call it.
 func (s *Server) Now() float64 { return s.now() }
 
 func (s *Server) now() float64 { return s.clock.now() }
 
-// Run serves until the server has drained. It returns an error if it can't listen or the loop can't
-// run.
+// Run serves until the server has drained. It returns an error if the server can't listen or the
+// loop can't run.
 func (s *Server) Run() error {
 	acceptor, err := newAcceptor(s.startup.Listen)
 	if err != nil {
@@ -145,7 +145,7 @@
 	return s.runWith(acceptor)
 }
 
-// runWith is Run with a listening acceptor.
+// runWith is Run with an acceptor that already listens.
 func (s *Server) runWith(acceptor *acceptor) error {
 	acceptor.attach(s)
 	s.acceptor = acceptor
@@ -154,7 +154,7 @@
 	if err != nil {
 		return err
 	}
-	// The engine's own Register needs a listener of its own.
+	// The engine's Register can't be used: it needs a listener of the engine.
 	s.loop.registerFirst = func(ctx context.Context) (<-chan gnet.RegisteredResult, error) {
 		conn, _ := gnet.FromNetConnContext(ctx)
 		_, err := engine.EnrollContext(conn, gnet.FromContext(ctx))
@@ -171,7 +171,7 @@
 	return engine.Stop()
 }
 
-// stop ends Run, and the dials under way. Any goroutine may call it, more than once.
+// stop ends Run and cancels all dials. Any goroutine may call it, more than once.
 func (s *Server) stop() {
 	s.lifetime.once.Do(func() {
 		close(s.lifetime.stopped)
--- a/internal/server/statistics.go
+++ b/internal/server/statistics.go
@@ -13,19 +13,20 @@
 )
 
 const (
-	// statisticsInterval is how often, in seconds, statistics are logged: rarely enough for people
-	// to read.
+	// statisticsInterval is how often, in seconds, statistics are logged: rarely enough for people to
+	// read them.
 	statisticsInterval = 10
-	// peerFaultLogInterval is the least time, in seconds, between two log lines about faulty input.
+	// peerFaultLogInterval is the least time, in seconds, between two log lines about faults of
+	// peers.
 	peerFaultLogInterval = 1
 )
 
-// statistics is what happened since statistics were last logged.
+// statistics holds the counts and measurements since they were last logged.
 type statistics struct {
 	requestStatistics
 	connStatistics
 	loopStatistics
-	peerFaultLoggedAt float64 // when a line about what a peer sent was last written; outlives the line of statistics
+	peerFaultLoggedAt float64 // when a peer's fault was last logged; not reset with the statistics
 }
 
 // requestStatistics counts requests and calls.
@@ -38,10 +39,10 @@
 	invalid              int
 	calls                int
 	commandsRejected     int // commands that the executor did not carry out
-	rejectedAtLimit      int // by the connection limiter
-	rejectedOutOfService int // as the fleet does not let this server serve
-	claimsFailed         int // requests rejected or failed as the fleet did not grant their keys
-	quotaExpired         int // leases of quotas that ran out, as nobody renewed them
+	rejectedAtLimit      int // requests rejected by the connection limiter
+	rejectedOutOfService int // requests rejected because the server was out of service
+	claimsFailed         int // requests rejected or failed because the fleet did not grant their keys
+	quotaExpired         int // times that leases of quotas expired without being renewed
 }
 
 // countAnswer counts a request's final answer.
@@ -59,8 +60,8 @@
 // connStatistics counts connections.
 type connStatistics struct {
 	malformed    int // muted or closed after a protocol error
-	evicted      int // closed to make room for another
-	silent       int // closed as they sent nothing in time
+	evicted      int // closed to make room for other connections
+	silent       int // closed because they sent nothing in time
 	askedToClose int
 }
 
@@ -68,14 +69,14 @@
 type loopStatistics struct {
 	turns               int
 	longestTurn         float64
-	unreadSeconds       float64 // that requests waited unread, all together
-	longestUnread       float64
-	oldestGauges        float64 // the oldest reading that a timer came with
+	unreadSeconds       float64 // total time that requests waited between their arrival and the decision
+	longestUnread       float64 // the longest of these times
+	oldestGauges        float64 // greatest age of the gauges in a timer event
 	timersWithoutGauges int
 }
 
-// allowPeerFaultLog reports whether a line about faulty input may be logged now, and counts it as
-// logged: one a second may be. The statistics count all faults.
+// allowPeerFaultLog reports whether a fault of a peer may be logged now, and if so records the time.
+// At most one line per peerFaultLogInterval is allowed; the statistics count all faults.
 func (s *Server) allowPeerFaultLog() bool {
 	now := s.now()
 	if now < s.statistics.peerFaultLoggedAt+peerFaultLogInterval {
@@ -85,9 +86,8 @@
 	return true
 }
 
-// LogStatistics logs the statistics after a garbage collection, so that the heap's figures are
-// those of live memory. Any goroutine but the loop's may call it; it waits until the loop has
-// started.
+// LogStatistics runs a garbage collection and logs the statistics, so that the heap size covers live
+// memory only. Any goroutine but the loop's may call it; it waits until the loop has started.
 func (s *Server) LogStatistics() {
 	runtime.GC()
 	s.loop.waitAndExecute(context.Background(), s.logStatistics)
@@ -157,7 +157,7 @@
 	return logging.FormatDecimal(1000*seconds, digits)
 }
 
-// residentKB is the resident memory of the process, 0 if the system does not tell.
+// residentKB returns the resident memory of the process in KiB, or 0 if it can't be read.
 func residentKB() (kb int) {
 	text, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
@@ -170,7 +170,7 @@
 	return resident * os.Getpagesize() / 1024
 }
 
-// liveHeapKB is the heap that was live at the latest garbage collection.
+// liveHeapKB returns the memory in KiB that was live at the last garbage collection.
 func liveHeapKB() uint64 {
 	live := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
 	metrics.Read(live)
--- a/internal/server/sweep.go
+++ b/internal/server/sweep.go
@@ -5,12 +5,13 @@
 const (
 	// sweepInterval is how often, in seconds, sweep runs.
 	sweepInterval = 0.5
-	// unreadMemoryShare is the divisor of the memory that clients may leave unread.
+	// unreadMemoryShare is the divisor of the memory limit that bounds the output which all clients
+	// together may leave unread.
 	unreadMemoryShare = 8
 )
 
-// sweep drops expired cached results, closes idle upstream connections, and bounds the output that
-// clients leave unread.
+// sweep drops expired cached results, closes upstream connections that have been idle for too long,
+// and bounds the output that clients leave unread.
 func (s *Server) sweep() {
 	now := s.now()
 	s.closeLargestBacklog()
@@ -18,8 +19,8 @@
 	s.results.Expire(now - s.maxReadDelay())
 }
 
-// closeLargestBacklog closes the connection with the largest backlog if all backlogs together are
-// too large.
+// closeLargestBacklog closes the connection with the largest backlog if the total of all backlogs
+// exceeds the limit.
 func (s *Server) closeLargestBacklog() {
 	unread := 0
 	largest := 0
--- a/internal/server/trust.go
+++ b/internal/server/trust.go
@@ -6,23 +6,23 @@
 	"swiftcourse/internal/policy/connlimit"
 )
 
-// This file exchanges trusted clients with the connection limiters of other servers in the fleet,
-// so that a server knows them after a restart.
+// This file exchanges the addresses of trusted clients with the other servers of the fleet, so that a
+// restarted server trusts them without delay.
 
-// trustReportInterval is how often, in seconds, trusted clients are reported: trust takes three
-// seconds to earn and lasts for minutes.
+// trustReportInterval is how often, in seconds, trusted clients are reported. It can be long: a
+// client takes three seconds to earn trust and keeps it for minutes.
 const trustReportInterval = 2.0
 
-// ReportTrustedClients reports the clients that are trusted here, up to a number, at each interval.
-// It is called before Run.
+// ReportTrustedClients makes the server call report periodically with the clients that it trusts, at
+// most limit of them. It must be called before Run.
 func (s *Server) ReportTrustedClients(report func([]connlimit.TrustedClient), limit int) {
 	s.every(trustReportInterval, func() {
 		report(s.clients.limiter.TrustedClients(s.now(), limit))
 	})
 }
 
-// AddTrustedClients has the connection limiter trust clients that earned it at other servers. Any
-// goroutine may call it; it returns at once, and takes effect when the loop has started.
+// AddTrustedClients makes the connection limiter trust clients that earned trust at other servers.
+// Any goroutine may call it; it returns at once, and takes effect when the loop has started.
 func (s *Server) AddTrustedClients(clients []connlimit.TrustedClient) {
 	s.loop.executeWhenReady(func() {
 		if added := s.clients.limiter.AddTrustedClients(clients, s.now()); added > 0 {
--- a/internal/server/turn.go
+++ b/internal/server/turn.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// maxTimersPerTurn bounds the timers of one turn, so that thousands that are due at one instant
-	// delay no answer: at 1 to 3 us each they take less than a fifth of a millisecond. The rest
-	// follow in the next turns, each after reading new input: therefore by the wakeup timer and not
-	// by scheduleTurn, as gnet runs what is queued on its loop before it polls for input.
+	// maxTimersPerTurn bounds the timers that run in one turn, so that thousands of timers due at
+	// the same instant do not delay answers: at 1 to 3 us each, 64 timers take under 0.2 ms. The
+	// rest run in later turns, after new input was read. The wakeup timer starts those turns, not
+	// scheduleTurn, because gnet runs the functions queued on its loop before it polls for input.
 	maxTimersPerTurn = 64
-	// gaugeMaxAge is how long, in seconds, a reading of the gauges is valid: one is requested just
-	// before each timer, so an older one means that the executor did not answer, which says nothing
-	// about its load.
+	// gaugeMaxAge is how long, in seconds, a reading of the gauges is valid. A reading is requested
+	// just before each timer, so an older one means that the executor did not answer; its load is
+	// then unknown.
 	gaugeMaxAge = 0.1
 )
 
@@ -27,15 +27,17 @@
 	s.scheduleTurn()
 }
 
-// scheduleTurn has a turn follow as soon as all input that is ready has been read.
+// scheduleTurn queues a turn, which runs once all input that is ready has been read. Only the loop
+// calls it.
 func (s *Server) scheduleTurn() {
 	if !s.loop.turnScheduled && s.loop.handle != nil {
 		s.loop.turnScheduled = true
-		_ = s.loop.handle.Execute(context.Background(), s.loop.turn) // fails only where the engine is down
+		_ = s.loop.handle.Execute(context.Background(), s.loop.turn) // fails only if the engine is stopped
 	}
 }
 
-// runTurn is one turn of the loop: one batch of events, the actions that follow, and the output.
+// runTurn runs one turn of the loop: it decides about one batch of events, carries out the actions
+// and writes the output.
 func (s *Server) runTurn() error {
 	s.loop.turnScheduled = false
 	now := s.now()
@@ -61,7 +63,7 @@
 	return nil
 }
 
-// decideBatch has the controller decide about all pending events, and carries out its actions.
+// decideBatch passes all pending events to the controller, and carries out its actions.
 func (s *Server) decideBatch(directive *serving.Directive, now float64) {
 	d := &s.decisions
 	if len(d.pending) == 0 || d.controller == nil {
@@ -80,7 +82,8 @@
 	d.spare = batch
 }
 
-// nextWakeup is when the next turn is due if no input comes before. The present turn began at now.
+// nextWakeup returns when the next turn is due if no input arrives before. The present turn began
+// at now.
 func (s *Server) nextWakeup(directive *serving.Directive, now float64, timersLeft bool) float64 {
 	next := min(s.loop.timers.NextWakeup(), s.clients.limiter.NextWakeup())
 	if directive != nil && now < directive.ChangesAt {
@@ -95,7 +98,7 @@
 	return next
 }
 
-// wakeAt arms the timer for the next turn, unless it goes off earlier anyway.
+// wakeAt sets the wakeup timer for the next turn, unless it is already set to an earlier time.
 func (s *Server) wakeAt(next float64) {
 	if next < s.loop.wakeupAt {
 		s.loop.wakeupAt = next
@@ -103,12 +106,12 @@
 	}
 }
 
-// unknownGauges are the gauges of a timer without a valid reading.
+// unknownGauges returns the gauges of a timer event without a valid reading.
 func unknownGauges() admission.Gauges {
 	return admission.Gauges{Utilization: -1, Runnable: -1, Memory: -1, Connections: -1}
 }
 
-// refreshEvent updates what an event says about the present.
+// refreshEvent updates the fields of an event that depend on the time of the decision.
 func (s *Server) refreshEvent(event *admission.Event, now float64) {
 	switch event.Kind {
 	case admission.Arrived:
@@ -133,7 +136,7 @@
 	}
 }
 
-// refreshTimer sets the gauges of a timer event.
+// refreshTimer sets the gauges of a timer event: the latest reading, or unknown if it is too old.
 func (s *Server) refreshTimer(event *admission.Event, now float64) {
 	age := now - s.decisions.gaugesAt
 	if age > gaugeMaxAge {
--- a/internal/server/upstream.go
+++ b/internal/server/upstream.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"fmt"
 	"log/slog"
 	"slices"
 
@@ -12,47 +13,47 @@
 )
 
 const (
-	// maxCallsPerConn bounds the calls that a connection remembers; the cost of a dial for every
-	// 32nd call is negligible.
+	// maxCallsPerConn bounds the calls made over one connection, and so the request IDs that the
+	// connection remembers. The cost of a dial for every 32nd call is negligible.
 	maxCallsPerConn = 32
-	// upstreamIdleTimeout is how long, in seconds, an idle connection is kept: the other side may
-	// forget it, and then the next call is cut. The upstream closes idle connections after 10 s;
-	// under load the latest ones are reused within a tenth of a second.
+	// upstreamIdleTimeout is how long, in seconds, an idle connection is kept. It is short because
+	// the upstream may drop an idle connection, which breaks the next call on it; the upstream closes
+	// them after 10 s. Under load the most recently used ones are reused within 0.1 s.
 	upstreamIdleTimeout = 1.0
-	// maxUpstream is the number of connections of a server with 1,024 descriptors: one core never
-	// has more calls in flight.
+	// maxUpstream bounds the upstream connections of a server with 1,024 descriptors or more. One
+	// core never has more calls in flight.
 	maxUpstream = 256
-	// upstreamShare is the divisor of the descriptors that upstream connections may take, as
-	// clients may open half of them.
+	// upstreamShare is the divisor of the descriptors that bounds upstream connections; clients are
+	// entitled to half of all descriptors.
 	upstreamShare = 4
 	// lossLogInterval is the least time, in seconds, between two log lines about lost connections.
 	lossLogInterval = 1
 )
 
-// upstreamPool is the connections to the upstream and the calls in flight there.
+// upstreamPool holds the connections to the upstream, and the calls in flight or waiting.
 type upstreamPool struct {
 	all          []*upstreamConn
-	idle         []*upstreamConn          // the latest comes last, and is used first
-	waiting      []*upstreamCall          // for a connection, when there are as many as may be
-	calls        map[string]*upstreamCall // by the request they are made for
-	lossLoggedAt float64                  // when it was last logged that a connection broke
+	idle         []*upstreamConn          // a stack: the most recently used one is last and is reused first
+	waiting      []*upstreamCall          // calls without a connection, as the pool is at its limit
+	calls        map[string]*upstreamCall // by request ID
+	lossLoggedAt float64                  // when a broken connection was last logged
 }
 
-// upstreamConn is a connection to the upstream. It carries one call at a time, so that a reply that
-// is malformed, late or missing affects that call alone; and no two calls of one request, so that a
-// duplicate of a reply is never taken for the reply to the request's next call.
+// upstreamConn is a connection to the upstream. It carries one call at a time, so that a malformed,
+// late or missing reply affects only that call. It never carries two calls of the same request, so
+// that a duplicate of the first reply is not mistaken for the second.
 type upstreamConn struct {
 	dialedConn
 	server     *Server
-	call       *upstreamCall // sent over it, or waiting for it to open
-	requestIDs []string      // of the requests whose calls were sent over it
+	call       *upstreamCall // in flight, or waiting for the connection to open; nil for none
+	requestIDs []string      // of the requests whose calls were assigned to it
 	idleSince  float64
-	idleFor    float64 // how long it had been idle, in seconds, when its call went out
-	retired    bool    // takes no further call
-	cancelDial func()  // ends its dial, where that is still under way
+	idleFor    float64 // how long, in seconds, it had been idle when the present call was assigned
+	retired    bool    // gets no further call
+	cancelDial func()  // cancels the dial if it is still in progress
 }
 
-// maxUpstreamConns is the limit on upstream connections.
+// maxUpstreamConns returns the limit on upstream connections.
 func (s *Server) maxUpstreamConns() int { return min(s.startup.MaxSockets/upstreamShare, maxUpstream) }
 
 // assignCall assigns a call to an idle connection or to a new one; at the limit the call waits.
@@ -62,7 +63,7 @@
 		conn.assign(call)
 		return
 	}
-	if len(pool.all) >= s.maxUpstreamConns() && len(pool.idle) > 0 { // none of them will do
+	if len(pool.all) >= s.maxUpstreamConns() && len(pool.idle) > 0 { // no idle connection can be used for this call
 		pool.idle[0].retire()
 	}
 	if len(pool.all) >= s.maxUpstreamConns() {
@@ -75,9 +76,9 @@
 	conn.cancelDial = s.dial(dialTarget{addressOf: upstreamAddress, handler: conn, once: true})
 }
 
-// takeIdle takes an idle connection for a call out of the pool, nil for none. A call that must not
-// run twice gets none: an idle connection may break in a way that does not show whether the call
-// was received.
+// takeIdle removes an idle connection that can be used for a call from the pool, and returns it, or
+// nil if there is none. A call that must not run twice always needs a new connection: if an idle one
+// breaks, it is unknown whether the upstream received the call.
 func (s *Server) takeIdle(call *upstreamCall) *upstreamConn {
 	class := &s.startup.Settings.Classes[call.request.Class]
 	if class.Idempotency != admission.Idempotent || call.retried {
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// assignWaitingCall assigns the first call that waits.
+// assignWaitingCall assigns the first waiting call to a connection.
 func (s *Server) assignWaitingCall() {
 	pool := &s.upstream
 	for len(pool.waiting) > 0 {
@@ -109,7 +110,7 @@
 	}
 }
 
-// closeIdleUpstream closes connections that have been idle for too long.
+// closeIdleUpstream closes connections that have been idle for longer than upstreamIdleTimeout.
 func (s *Server) closeIdleUpstream(now float64) {
 	for _, conn := range slices.Clone(s.upstream.idle) {
 		if now-conn.idleSince > upstreamIdleTimeout {
@@ -137,7 +138,7 @@
 	s.write(&c.bufferedConn, s.output.scratch)
 }
 
-// retire excludes a connection from further calls, and closes it if it has none.
+// retire excludes a connection from further calls, and closes it if no call is in flight on it.
 func (c *upstreamConn) retire() {
 	c.retired = true
 	if c.call != nil {
@@ -147,11 +148,11 @@
 	if c.conn != nil {
 		_ = c.conn.Close()
 	} else if c.cancelDial != nil {
-		c.cancelDial() // a dial that hangs would hold a descriptor, which nobody counts any more
+		c.cancelDial() // a dial that hangs would hold a descriptor that the pool no longer counts
 	}
 }
 
-// remove takes a connection out of the pool, and lets a waiting call have its place.
+// remove removes a connection from the pool, which lets a waiting call use a new one.
 func (c *upstreamConn) remove() {
 	s := c.server
 	pool := &s.upstream
@@ -186,9 +187,9 @@
 	end := &attemptError{call.progress, err}
 	c.logLoss(call, end)
 	call.conn = nil
-	// A connection that had been idle and breaks before its reply was most likely forgotten on the
-	// other side. Only calls that may run twice go over such connections, so the call goes out once
-	// more, over a new one.
+	// If a reused connection breaks before the reply, the upstream had most likely dropped it while
+	// it was idle. Only calls that may run twice are sent over reused connections, so the call is sent
+	// once more, over a new connection.
 	if c.idleFor > 0 && !call.retried {
 		call.retried = true
 		call.progress = notSent
@@ -198,7 +199,7 @@
 	server.failCall(call, end)
 }
 
-// logLoss logs that a connection broke with a call on it.
+// logLoss logs that a connection broke during a call, at most once per lossLogInterval.
 func (c *upstreamConn) logLoss(call *upstreamCall, err error) {
 	s := c.server
 	now := s.now()
@@ -217,21 +218,22 @@
 			return n, err
 		}
 		n += size
-		ours := reply.ID == c.call.request.ID
-		if !ours || n < len(data) {
-			c.retired = true // it brought more than the reply to its call: not used again
+		matches := reply.ID == c.call.request.ID
+		if !matches || n < len(data) {
+			c.retired = true // not reused, as it delivered data other than the reply to its call
 		}
-		if ours {
+		if matches {
 			c.handleReply(c.call, reply)
 		}
 	}
 	if n < len(data) && !c.retired {
-		return n, errUnexpectedReply
+		return n, fmt.Errorf("%w: %d bytes", errUnexpectedReply, len(data)-n)
 	}
 	return len(data), nil
 }
 
-// handleReply ends a call with its reply and makes the connection idle.
+// handleReply completes a call with its reply, and makes the connection available for further calls
+// unless it is retired.
 func (c *upstreamConn) handleReply(call *upstreamCall, reply catalogue.Reply) {
 	s := c.server
 	call.done = true
--- a/internal/server/upstream_call.go
+++ b/internal/server/upstream_call.go
@@ -5,22 +5,22 @@
 	"swiftcourse/internal/requesttable"
 )
 
-// callTimeoutGrace is how much longer, in seconds, than its timeout a call is waited for: the
-// upstream's own timeout reply says as much and should come first.
+// callTimeoutGrace is how long, in seconds, after a call's timeout the server gives up waiting: the
+// upstream reports the timeout itself, and its reply should arrive first.
 const callTimeoutGrace = 0.005
 
 // upstreamCall is a call in flight or waiting for a connection.
 type upstreamCall struct {
 	request   *requesttable.Request
-	conn      *upstreamConn // nil while it waits for one
+	conn      *upstreamConn // nil while the call waits for a connection
 	startedAt float64
 	deadline  float64
 	progress  attemptProgress
-	retried   bool // it was sent a second time, as its connection had been idle and broke
+	retried   bool // the call was sent again after a reused connection broke
 	done      bool
 }
 
-// startCall sends a request's upstream call, with a timeout in seconds.
+// startCall starts the upstream call that a request waits for, with a timeout in seconds.
 func (s *Server) startCall(request *requesttable.Request, timeout float64) {
 	if !awaitsCall(request) || request.Answered {
 		return
@@ -45,7 +45,7 @@
 	s.failCall(call, &attemptError{progress, errCallTimeout})
 }
 
-// failCall ends a call without a reply, and reports to the controller how far it had come.
+// failCall ends a call that got no reply, and reports to the controller how far it had progressed.
 func (s *Server) failCall(call *upstreamCall, err *attemptError) {
 	s.dropCall(call)
 	s.reportCallDone(call, err.progress.outcome())
@@ -63,8 +63,8 @@
 	})
 }
 
-// dropCall removes a call without a reply. Its connection is closed, which cancels the call on the
-// other side: a connection that still owes a reply may be dead.
+// dropCall removes a call that got no reply and closes its connection. The close cancels the call at
+// the upstream; the connection can't be reused, as it may be dead or still deliver the reply.
 func (s *Server) dropCall(call *upstreamCall) {
 	call.done = true
 	delete(s.upstream.calls, call.request.ID)
@@ -74,7 +74,7 @@
 	}
 }
 
-// cancelCall cancels the call of a request that no longer needs it, without an event.
+// cancelCall cancels the call of a request that no longer needs it. The controller gets no event.
 func (s *Server) cancelCall(request *requesttable.Request) {
 	if call := s.upstream.calls[request.ID]; call != nil {
 		s.dropCall(call)
