--- a/internal/server/accept.go
+++ b/internal/server/accept.go
@@ -130,7 +130,7 @@
 	case <-a.server.lifetime.stopped:
 		return
 	}
-	bucket := tokenBucket{tokens: math.Inf(1), at: time.Now()} // starts full
+	bucket := tokenBucket{tokens: math.Inf(1), refilledAt: time.Now()} // starts full
 	backoff := minAcceptBackoff
 	for {
 		socket, err := a.accept()
--- a/internal/server/accept_rate.go
+++ b/internal/server/accept_rate.go
@@ -12,12 +12,13 @@
 // This file limits the rate at which the acceptor accepts untrusted clients.
 
 const (
-	// acceptBurst is the burst of the rate limit, in seconds of the rate. After a restart half of
-	// all clients may reconnect at the same moment, and none of them is trusted yet.
-	acceptBurst = 1.0
-	// cpuSampleInterval is how often, in seconds, the process's CPU time is read, by a system call
+	// acceptBurstSeconds is the burst of the rate limit, as the time in which the rate refills it.
+	// After a restart half of all clients may reconnect at the same moment, and none of them is
+	// trusted yet.
+	acceptBurstSeconds = 1.0
+	// cpuSampleIntervalSeconds is how often the process's CPU time is read, by a system call
 	// that takes about a microsecond.
-	cpuSampleInterval = 0.05
+	cpuSampleIntervalSeconds = 0.05
 )
 
 // trustedClients are the clients that the acceptor exempts from the rate limit.
@@ -33,8 +34,8 @@
 
 // tokenBucket limits the rate of accepted untrusted clients; each takes a token.
 type tokenBucket struct {
-	tokens float64
-	at     time.Time // of the last refill
+	tokens     float64
+	refilledAt time.Time // of the last refill
 }
 
 // refill adds the tokens that are due since the last refill, at a rate per second. With an infinite
@@ -42,9 +43,9 @@
 func (b *tokenBucket) refill(rate float64) {
 	now := time.Now()
 	if !math.IsInf(rate, 1) {
-		b.tokens = min(max(1, rate*acceptBurst), b.tokens+now.Sub(b.at).Seconds()*rate)
+		b.tokens = min(max(1, rate*acceptBurstSeconds), b.tokens+now.Sub(b.refilledAt).Seconds()*rate)
 	}
-	b.at = now
+	b.refilledAt = now
 }
 
 // take takes a token, and reports whether there was one.
@@ -59,7 +60,7 @@
 // sampleCPU passes the process's CPU time to the connection limiter, and copies the resulting rate
 // limit and trusted clients to the acceptor. It runs on the loop.
 func (a *acceptor) sampleCPU(now float64) {
-	if now < a.sampledAt+cpuSampleInterval {
+	if now < a.sampledAt+cpuSampleIntervalSeconds {
 		return
 	}
 	a.sampledAt = now
--- a/internal/server/claims.go
+++ b/internal/server/claims.go
@@ -18,12 +18,12 @@
 	// maxPendingClaims bounds the claims without a verdict. At 1 ms per claim it allows a million
 	// claims per second, with at most 4 MB of request bodies.
 	maxPendingClaims = 1024
-	// claimSafetyMargin is the part of a request's timeout, in seconds, that is reserved for its
+	// claimSafetyMarginSeconds is the part of a request's timeout that is reserved for its
 	// answer; the claim must be decided before.
-	claimSafetyMargin = 0.02
-	// claimTimeoutGrace is how long, in seconds, after the timeout of a claim without a verdict its
+	claimSafetyMarginSeconds = 0.02
+	// claimTimeoutGraceSeconds is how long after the timeout of a claim without a verdict its
 	// outcome is treated as unknown: it may have been granted.
-	claimTimeoutGrace = 0.01
+	claimTimeoutGraceSeconds = 0.01
 )
 
 // KeyClaimer claims idempotency keys from the fleet. It delivers its verdicts by calling
@@ -82,7 +82,7 @@
 	if request.Timeout != 0 {
 		timeout = min(timeout, request.Timeout)
 	}
-	remaining := timeout - max(0, now-request.ArrivedAt) - claimSafetyMargin
+	remaining := timeout - max(0, now-request.ArrivedAt) - claimSafetyMarginSeconds
 	class := s.startup.ClassNames[request.Class]
 	full := len(claims.waiting) >= maxPendingClaims
 	if full || !claims.claimer.Claim(request.ID, class, request.Subject, remaining) {
@@ -91,7 +91,7 @@
 	}
 	claims.waiting[request.ID] = *arrival
 	id := request.ID
-	s.loop.timers.Schedule(now+max(0, remaining)+claimTimeoutGrace, func() {
+	s.loop.timers.Schedule(now+max(0, remaining)+claimTimeoutGraceSeconds, func() {
 		s.resolveClaim(id, serving.ClaimOutcomeUnknown, nil) // no effect if a verdict was received before
 	})
 	return true
--- a/internal/server/client.go
+++ b/internal/server/client.go
@@ -69,7 +69,7 @@
 	}
 	c.closeNow()
 	limit := s.maxClients()
-	return fmt.Errorf("%w: limit %d, by %s", errNoDescriptor, limit.conns, limit.bound)
+	return fmt.Errorf("%w: limit %d, by %s", errConnLimitReached, limit.conns, limit.bound)
 }
 
 // closeNow closes the connection without waiting for answers. Its slot is free at once, and no
--- a/internal/server/client_state_test.go
+++ b/internal/server/client_state_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Every event in every state: what is not listed here is illegal and changes nothing.
+// Checks every event in every state. Pairs that are not listed are illegal and leave the state as it
+// is.
 func TestConnState_Transitions(t *testing.T) {
 	legal := map[string]connState{
 		"closed opened":          connReading,
@@ -32,6 +33,6 @@
 		}
 	}
 	if connStateCount.String() != "unknown" || connEventCount.String() != "unknown" {
-		t.Error("a value that is none has a name")
+		t.Errorf("out of range values are named %q and %q, want \"unknown\"", connStateCount, connEventCount)
 	}
 }
--- a/internal/server/conn.go
+++ b/internal/server/conn.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// maxClientBacklog bounds the bytes that a client may leave unread: 32 results of 4 KiB with
+	// maxClientBacklogBytes bounds the bytes that a client may leave unread: 32 results of 4 KiB with
 	// their framing. See closeLargestBacklog for the bound on all clients together.
-	maxClientBacklog = 136 << 10
-	// maxDialedBacklog is the bound for connections that the server dialed. It holds the commands
+	maxClientBacklogBytes = 136 << 10
+	// maxDialedBacklogBytes is the bound for connections that the server dialed. It holds the commands
 	// for some hundred requests, which may gather while the other side pauses: closing the
 	// connection would only make the server send them again on a new one.
-	maxDialedBacklog = 1 << 20
+	maxDialedBacklogBytes = 1 << 20
 )
 
 // connHandler handles the events of one connection on the loop.
@@ -111,14 +111,14 @@
 	if err != nil {
 		return
 	}
-	limit := maxClientBacklog
+	limit := maxClientBacklogBytes
 	if buffered.dialed {
-		limit = maxDialedBacklog
+		limit = maxDialedBacklogBytes
 	}
 	switch {
 	case backlog > limit:
 		slog.Info("connection_closed", "peer", conn.RemoteAddr(),
-			"err", fmt.Errorf("%w: %d bytes, limit %d bytes", errBacklog, backlog, limit))
+			"err", fmt.Errorf("%w: %d bytes, limit %d bytes", errBacklogTooLarge, backlog, limit))
 		_ = conn.Close()
 	case backlog > 0 && !buffered.dialed && !buffered.lagging:
 		buffered.lagging = true
--- a/internal/server/conn_test.go
+++ b/internal/server/conn_test.go
@@ -9,8 +9,8 @@
 	"swiftcourse/internal/config"
 )
 
-// Nothing is held back by the system: TCP_NODELAY is set on all that the server accepted or
-// dialled.
+// TCP_NODELAY must be set on every connection that the server accepted or dialed, or the system
+// delays small messages.
 func TestConnections_NoDelaySet(t *testing.T) {
 	f, _ := startRunningRequest(t, nil)
 	f.executor.sendCall(1, "a1", "c")
@@ -23,7 +23,7 @@
 		}
 		for name, conn := range conns {
 			if on, err := unix.GetsockoptInt(conn.Fd(), unix.IPPROTO_TCP, unix.TCP_NODELAY); on == 0 || err != nil {
-				t.Errorf("%s: %d, %v", name, on, err)
+				t.Errorf("%s: TCP_NODELAY is %d, error %v; want it set", name, on, err)
 			}
 		}
 	})
@@ -31,13 +31,13 @@
 
 func TestFlush_BacklogLimits(t *testing.T) {
 	s := New(&config.Startup{}, nil)
-	s.loop.handle = idleLoop{}
-	for _, to := range []string{"", "127.0.0.9:1"} {
-		c := &fakeUnread{}
-		l := &bufferedConn{conn: c, dialed: to != ""}
+	s.loop.handle = discardingLoop{}
+	for _, dialedAddress := range []string{"", "127.0.0.9:1"} {
+		c := &fakeLaggingConn{}
+		l := &bufferedConn{conn: c, dialed: dialedAddress != ""}
 		s.write(l, []byte("x"))
-		if s.flush(); c.closed != (to == "") {
-			t.Errorf("to %q: closed %v", to, c.closed)
+		if s.flush(); c.closed != (dialedAddress == "") {
+			t.Errorf("dialed address %q: closed %v, want %v", dialedAddress, c.closed, dialedAddress == "")
 		}
 	}
 }
--- a/internal/server/connlimit.go
+++ b/internal/server/connlimit.go
@@ -23,8 +23,8 @@
 }
 
 const (
-	// holdingAreaShare is the divisor of the clients' descriptors that bounds the holding area.
-	holdingAreaShare = 16
+	// holdingAreaDivisor is the divisor of the clients' descriptors that bounds the holding area.
+	holdingAreaDivisor = 16
 	// descriptorsPerHoldingSlot is how many descriptors are reserved for each slot of the holding
 	// area: two for the connection in the slot, and two for one that the loop has yet to receive.
 	descriptorsPerHoldingSlot = 4
@@ -34,7 +34,7 @@
 // sixteenth of the clients' descriptors. It also bounds the accepted connections that the loop has
 // yet to receive, each of which briefly takes two descriptors.
 func (s *Server) holdingSlots() int {
-	return max(1, min(s.clients.configuredHoldingSlots, s.maxClients().conns/holdingAreaShare))
+	return max(1, min(s.clients.configuredHoldingSlots, s.maxClients().conns/holdingAreaDivisor))
 }
 
 // connRules translates the operator's settings for the connection limiter.
--- a/internal/server/connlimit_test.go
+++ b/internal/server/connlimit_test.go
@@ -14,8 +14,9 @@
 )
 
 func TestConnLimit_TrustedAdmittedDuringFlood(t *testing.T) {
-	f := startServerWith(t, func(s *config.Startup) { s.MaxSockets = 128 }, guardedConfig(t, "door-known 127.7.0.0/16"))
-	busy, err := f.dialFrom("127.8.0.1") // an untrusted client whose request is open all the while
+	f := startServerWith(t, func(s *config.Startup) { s.MaxSockets = 128 },
+		connLimitConfig(t, "door-known 127.7.0.0/16"))
+	busy, err := f.dialFrom("127.8.0.1") // an untrusted client whose request stays open
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,14 +24,14 @@
 	f.executor.expectCommand("begin", "b1")
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	tries := f.floodWithConnections(ctx, "127.6")
-	for tries.Load() < 500 {
+	attempts := f.floodWithConnections(ctx, "127.6")
+	for attempts.Load() < 500 {
 		time.Sleep(time.Millisecond)
 	}
 	for i := range 20 {
 		client, err := f.dialFrom(fmt.Sprintf("127.7.0.%d", i+1))
 		if err != nil {
-			t.Fatalf("known one %d: %v", i, err)
+			t.Fatalf("dial of trusted client %d: %v", i, err)
 		}
 		id := fmt.Sprint("k", i)
 		client.send("%s", requestFrame(1, id, "x"))
@@ -46,7 +47,7 @@
 
 func TestConnLimit_RejectedClientGetsAnswer(t *testing.T) {
 	change := func(s *config.Startup) { s.Settings.MaxRetryAfter = 5 }
-	f := startServerWith(t, change, guardedConfig(t, "door-per-address 1"))
+	f := startServerWith(t, change, connLimitConfig(t, "door-per-address 1"))
 	first, err := f.dialFrom("127.6.0.1")
 	if err != nil {
 		t.Fatal(err)
@@ -59,20 +60,20 @@
 	}
 	second.send("%s", requestFrame(1, "a1", "x"))
 	if got := second.expect("Busy"); !strings.HasPrefix(got, answerPrefix(1)) {
-		t.Errorf("%q", got)
+		t.Errorf("got %q, want an answer to message 1", got)
 	}
 	second.expect("pushback")
-	if _, err := io.ReadAll(second.in); err != nil { // and then its close
-		t.Error(err)
+	if _, err := io.ReadAll(second.in); err != nil {
+		t.Errorf("error %v after the rejection; want the connection closed", err)
 	}
-	silent, err := f.dialFrom("127.6.0.1") // sends nothing: closed all the same
+	silent, err := f.dialFrom("127.6.0.1") // sends nothing, and is closed too
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.ReadAll(silent.in); err != nil {
-		t.Error(err)
+		t.Errorf("error %v on a connection without a request; want it closed", err)
 	}
-	first.send("%s", requestFrame(2, "a2", "x")) // the one that is in goes on
+	first.send("%s", requestFrame(2, "a2", "x")) // the admitted connection is still served
 	f.executor.expectCommand("begin", "a2")
 	f.executor.sendCompletion(1, "a2", "done", "r")
 	first.expect(answerPrefix(2) + resultPrefix + "\x01r\x80")
@@ -84,38 +85,38 @@
 
 func TestConnLimit_MassReconnect(t *testing.T) {
 	const n = 200
-	f := startServerWith(t, func(s *config.Startup) { s.MaxSockets = 1024 }, guardedConfig(t, ""))
+	f := startServerWith(t, func(s *config.Startup) { s.MaxSockets = 1024 }, connLimitConfig(t, ""))
 	for range 2 {
-		crowd, err := balancer.OpenIdle(f.server.startup.Listen, n, true)
+		idleConns, err := balancer.OpenIdle(f.server.startup.Listen, n, true)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if crowd.Len() != n {
-			t.Errorf("%d of %d connections are open", crowd.Len(), n)
+		if idleConns.Len() != n {
+			t.Errorf("%d connections are open, want %d", idleConns.Len(), n)
 		}
-		crowd.Close()
+		idleConns.Close()
 		waitUntil(f, 0, clientCount)
 	}
-	tally := query(f, func(s *Server) connlimit.Stats { return s.clients.limiter.Stats() })
-	if tally.Admitted != 0 || tally.ActiveUntrusted != 0 {
-		t.Errorf("%+v", tally)
+	stats := query(f, func(s *Server) connlimit.Stats { return s.clients.limiter.Stats() })
+	if stats.Admitted != 0 || stats.ActiveUntrusted != 0 {
+		t.Errorf("limiter statistics after all clients left: %+v; want no connection admitted or active", stats)
 	}
 }
 
 func TestConnLimit_RulesReloaded(t *testing.T) {
-	f := startServerWith(t, nil, guardedConfig(t, "door-per-address 1"))
-	in := func() bool {
+	f := startServerWith(t, nil, connLimitConfig(t, "door-per-address 1"))
+	admitted := func() bool {
 		client, err := f.dialFrom("127.6.0.1")
 		if err != nil {
 			t.Fatal(err)
 		}
 		client.send("%s", requestFrame(1, "a1", "x"))
 		waitUntil(f, true, func(s *Server) bool { return s.requests.Len() > 0 || s.statistics.rejectedAtLimit > 0 })
-		is := query(f, func(s *Server) bool { return s.requests.Len() > 0 })
-		if is {
+		ok := query(f, func(s *Server) bool { return s.requests.Len() > 0 })
+		if ok {
 			f.executor.expectCommand("begin", "a1")
 		}
-		return is
+		return ok
 	}
 	first, err := f.dialFrom("127.6.0.1")
 	if err != nil {
@@ -123,13 +124,13 @@
 	}
 	first.send("%s", healthCheck(1))
 	first.expect("\xc3\x80")
-	if in() {
-		t.Error("over its cap")
+	if admitted() {
+		t.Error("a second connection of an address was admitted, but the cap per address is 1")
 	}
-	f.server.ReloadConfig(guardedConfig(t, "door-known 127.6.0.0/16\ndoor-remember 128"))
+	f.server.ReloadConfig(connLimitConfig(t, "door-known 127.6.0.0/16\ndoor-remember 128"))
 	waitUntil(f, true, func(s *Server) bool { return len(s.clients.limiter.TrustedPrefixes()) > 0 })
 	query(f, func(s *Server) bool { s.statistics.rejectedAtLimit = 0; return true })
-	if !in() {
-		t.Error("a client of a trusted prefix was not admitted")
+	if !admitted() {
+		t.Error("a client of a trusted prefix was not admitted after the reload")
 	}
 }
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -7,9 +7,9 @@
 
 // This file counts requests and their outcomes for the fleet, by tenant and class.
 
-// counterReportInterval is how often, in seconds, counters are reported to the fleet agent: more
+// counterReportIntervalSeconds is how often counters are reported to the fleet agent: more
 // often than the agent passes them on.
-const counterReportInterval = 0.5
+const counterReportIntervalSeconds = 0.5
 
 // requestCounters holds the counts since the last report.
 type requestCounters struct {
@@ -36,7 +36,7 @@
 	}
 	counters.counts = make([]serving.RequestCounts, len(counters.keys))
 	s.fleet.counters = counters
-	s.every(counterReportInterval, counters.flush)
+	s.scheduleEvery(counterReportIntervalSeconds, counters.flush)
 }
 
 // flush reports the counts.
@@ -74,8 +74,8 @@
 	}
 }
 
-// countRejectedAtOnce counts a request that was rejected by rejectAtOnce.
-func (s *Server) countRejectedAtOnce(kind requestKind) {
+// countRejectedEarly counts a request that was rejected by rejectEarly.
+func (s *Server) countRejectedEarly(kind requestKind) {
 	if c := s.fleet.counters; c != nil {
 		counts := c.countsFor(kind)
 		counts.Received++
--- a/internal/server/dial.go
+++ b/internal/server/dial.go
@@ -55,7 +55,7 @@
 // Unwrap returns the cause, which is never nil.
 func (e *attemptError) Unwrap() error {
 	if e.cause == nil {
-		return errClosedByOtherSide
+		return errClosedByPeer
 	}
 	return e.cause
 }
@@ -112,18 +112,18 @@
 // ones.
 func (s *Server) SetEndpoints(addresses config.Addresses) {
 	s.endpoints.Swap(newEndpoints(s.lifetime.context, addresses)).cancel()
-	go s.loop.waitAndExecute(s.lifetime.context, s.replaceMovedConns)
+	go s.loop.waitAndExecute(s.lifetime.context, s.replaceOutdatedConns)
 }
 
-// replaceMovedConns closes the connections to addresses that have changed. The executor and the
+// replaceOutdatedConns closes the connections to addresses that have changed. The executor and the
 // registry are dialed again at once, the upstream when a call needs a connection.
-func (s *Server) replaceMovedConns() {
+func (s *Server) replaceOutdatedConns() {
 	current := s.endpoints.Load()
 	if e := s.executor; e.conn != nil && e.address != current.Executor {
 		e.reconnect()
 	}
 	if r := s.registry; r.conn != nil && r.address != current.Registry {
-		r.reconnect(errAddressMoved)
+		r.reconnect(errAddressChanged)
 	}
 	for _, conn := range slices.Clone(s.upstream.all) {
 		if conn.conn != nil && conn.address != current.Upstream {
@@ -134,14 +134,14 @@
 
 // dialTarget is an address to dial, and the handler of the connection.
 type dialTarget struct {
-	addressOf addressFunc
-	handler   connHandler
-	failures  int  // number of previous failed attempts
-	once      bool // one attempt only; if it fails, the handler's handleClose is called
+	addressOf     addressFunc
+	handler       connHandler
+	failures      int  // number of previous failed attempts
+	singleAttempt bool // one attempt only; if it fails, the handler's handleClose is called
 }
 
-// dialed is the gnet context of a dialed connection until OnOpen passes it to its handler.
-type dialed struct {
+// dialResult is the gnet context of a dialed connection until OnOpen passes it to its handler.
+type dialResult struct {
 	dialTarget
 	address string
 }
@@ -188,7 +188,7 @@
 		conn, err := dialAddress(ctx, current.context, address)
 		switch {
 		case err == nil:
-			if err = handOver(conn, register, &dialed{target, address}); err == nil {
+			if err = handOver(conn, register, &dialResult{target, address}); err == nil {
 				return
 			}
 		case ctx.Err() != nil: // cancelled
@@ -197,7 +197,7 @@
 			failures-- // the address changed: this is no failure of the new one
 			continue
 		}
-		if target.once {
+		if target.singleAttempt {
 			s.reportDialFailure(ctx, target.handler, err)
 			return
 		}
@@ -208,7 +208,7 @@
 }
 
 // handOver registers an open connection on the loop, and closes it if that fails.
-func handOver(conn net.Conn, register registerFunc, d *dialed) error {
+func handOver(conn net.Conn, register registerFunc, d *dialResult) error {
 	ctx := gnet.NewContext(gnet.NewNetConnContext(context.Background(), conn), d)
 	_, err := register(ctx)
 	if err != nil {
--- a/internal/server/directive.go
+++ b/internal/server/directive.go
@@ -13,9 +13,9 @@
 // settings.
 
 const (
-	// outOfServiceRetryAfter is the Retry-After, in seconds, of a server that is out of service. The
+	// outOfServiceRetryAfterSeconds is the Retry-After of a server that is out of service. The
 	// server tries to renew its lease several times per second, so this is long enough.
-	outOfServiceRetryAfter = 1.0
+	outOfServiceRetryAfterSeconds = 1.0
 	// applyTimeout is how long ApplyConfig waits for the loop to start, and again for it to apply
 	// the settings.
 	applyTimeout = 2 * time.Second
@@ -84,7 +84,7 @@
 }
 
 func (s *Server) retryAfterOutOfService() float64 {
-	return min(outOfServiceRetryAfter, s.startup.Settings.MaxRetryAfter)
+	return min(outOfServiceRetryAfterSeconds, s.startup.Settings.MaxRetryAfter)
 }
 
 // rejectOutOfService rejects a request that arrived while the server is out of service; it never
@@ -135,7 +135,7 @@
 	}
 	holdingAreaKept := settings.HoldingSlots == s.clients.configuredHoldingSlots
 	if settings.Enabled && (!holdingAreaKept || !limiter.CanApply(s.connRules(operator))) {
-		return errFixedKey
+		return errConnLimitKeyFixed
 	}
 	s.fleet.operator = operator
 	if s.fleet.mode != serving.ModeSafeDefaults {
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// signalDelayMargin is how late, in seconds, the signal to drain may be handled while the
-	// process waits to be scheduled: twice the longest known delay of 80 ms. Work that
-	// would complete within this margin at the end of a drain is lost.
-	signalDelayMargin = 0.16
-	// signalDelayShare is the divisor of the stop timeout that bounds signalDelayMargin.
-	signalDelayShare = 10
-	// exitCheckInterval is how often, in seconds, a draining server checks whether it can exit.
-	exitCheckInterval = 0.02
-	// exitMargin is how long, in seconds, before the kill the process exits even if requests or
+	// signalDelayMarginSeconds is how late the signal to drain may be handled while the process
+	// waits to be scheduled: twice the longest known delay of 80 ms. Work that would complete within
+	// this margin at the end of a drain is lost.
+	signalDelayMarginSeconds = 0.16
+	// signalDelayDivisor is the divisor of the stop timeout that bounds signalDelayMarginSeconds.
+	signalDelayDivisor = 10
+	// exitCheckIntervalSeconds is how often a draining server checks whether it can exit.
+	exitCheckIntervalSeconds = 0.02
+	// exitMarginSeconds is how long before the kill the process exits even if requests or
 	// connections are open. The controller has answered every request 30 ms before the kill.
-	exitMargin = 0.015
-	// halfCloseMargin is how long, in seconds, before the kill the server shuts down its side of
+	exitMarginSeconds = 0.015
+	// halfCloseMarginSeconds is how long before the kill the server shuts down its side of
 	// the open connections: after the controller's last answers, and 10 ms before the exit, the
 	// time that a close takes to reach a client on the same machine.
-	halfCloseMargin = 0.025
-	// gracefulCloseMargin is how long, in seconds, before the kill clients are asked to close at the
+	halfCloseMarginSeconds = 0.025
+	// gracefulCloseMarginSeconds is how long before the kill clients are asked to close at the
 	// latest, so that the connections of those that do not close can be closed in time. It is five
 	// times the 50 ms for which a client's messages may still arrive after it was asked.
-	gracefulCloseMargin = 0.25
-	// gracePeriodMargin is how long, in seconds, after the end of the grace period all clients are
+	gracefulCloseMarginSeconds = 0.25
+	// gracePeriodMarginSeconds is how long after the end of the grace period all clients are
 	// asked to close.
-	gracePeriodMargin = 0.1
+	gracePeriodMarginSeconds = 0.1
 )
 
 // exitCause is the reason for a server's exit in the log.
@@ -76,7 +76,7 @@
 	}
 	timeout := s.startup.StopTimeout
 	s.drain.startedAt = at
-	s.drain.killAt = at + timeout - min(signalDelayMargin, timeout/signalDelayShare)
+	s.drain.killAt = at + timeout - min(signalDelayMarginSeconds, timeout/signalDelayDivisor)
 	killIn := s.drain.killAt - s.now()
 	slog.Info("drain_started", "kill_in_s", logging.FormatDecimal(killIn, 3), "open", s.requests.Unanswered())
 	if s.decisions.controller != nil { // without a controller, startController checks drain.started
@@ -95,13 +95,13 @@
 	if now >= s.gracefulCloseAt() && !s.drain.closing {
 		s.startGracefulClose(now)
 	}
-	if now >= s.drain.killAt-halfCloseMargin {
+	if now >= s.drain.killAt-halfCloseMarginSeconds {
 		s.closeAllGracefully()
 	}
 	switch {
 	case s.isDrained():
 		s.exit(exitAllClosed)
-	case now >= s.drain.killAt-exitMargin:
+	case now >= s.drain.killAt-exitMarginSeconds:
 		s.exit(exitDeadlineReached)
 	default:
 		s.loop.timers.Schedule(s.nextExitCheck(now), s.tryExit)
@@ -126,8 +126,8 @@
 	if s.decisions.controller == nil {
 		return s.drain.startedAt
 	}
-	graceEnd := s.drain.startedAt + s.startup.Settings.DrainGracePeriod + gracePeriodMargin
-	return min(graceEnd, s.drain.killAt-gracefulCloseMargin)
+	graceEnd := s.drain.startedAt + s.startup.Settings.DrainGracePeriod + gracePeriodMarginSeconds
+	return min(graceEnd, s.drain.killAt-gracefulCloseMarginSeconds)
 }
 
 // isDrained reports whether every request is answered and none can arrive any more.
@@ -138,8 +138,8 @@
 
 // nextExitCheck returns when tryExit runs again.
 func (s *Server) nextExitCheck(now float64) float64 {
-	next := now + exitCheckInterval
-	for _, at := range []float64{s.drain.killAt - halfCloseMargin, s.drain.killAt - exitMargin} {
+	next := now + exitCheckIntervalSeconds
+	for _, at := range []float64{s.drain.killAt - halfCloseMarginSeconds, s.drain.killAt - exitMarginSeconds} {
 		if now < at {
 			next = min(next, at)
 		}
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -12,36 +12,40 @@
 	"swiftcourse/internal/logging"
 )
 
-// Just before the kill our side of what is owed nothing is shut, so that nothing unread resets it
-// as the process ends; what is owed an answer stays.
+// Just before the kill the server must half-close the connections without an open request or pending
+// output: if it did not, input that is unread when the process ends would reset them. Connections
+// with pending answers must stay open.
 func TestDrain_HalfClosesBeforeKill(t *testing.T) {
 	logging.SetOutput(io.Discard)
 	s := newServerWithoutLoop(30)
 	s.acceptor = &acceptor{done: make(chan struct{}), wakeFD: -1}
-	_, rests, restsFar := addLinkedClient(t, s)
-	_, unread, unreadFar := addLinkedClient(t, s)
-	unread.unsent = 100
-	_, owed, owedFar := addLinkedClient(t, s)
-	owed.bytes = requestFrame(1, "a1", "x")
-	s.OnTraffic(owed)
+	_, idle, idlePeer := addClientWithPeer(t, s)
+	_, unread, unreadPeer := addClientWithPeer(t, s)
+	unread.outboundBytes = 100
+	_, active, activePeer := addClientWithPeer(t, s)
+	active.bytes = requestFrame(1, "a1", "x")
+	s.OnTraffic(active)
 	at := s.now()
-	s.drain.startedAt, s.drain.killAt = at-1, at+(halfCloseMargin+exitMargin)/2 // between the two
+	// The time is now between the half-close and the exit.
+	s.drain.startedAt, s.drain.killAt = at-1, at+(halfCloseMarginSeconds+exitMarginSeconds)/2
 	s.tryExit()
-	restsShut, unreadShut, owedShut := peerShutDown(restsFar), peerShutDown(unreadFar), peerShutDown(owedFar)
-	if !restsShut || unreadShut || owedShut || rests.closed || owed.closed || unread.closed {
-		t.Errorf("at rest %t, with an answer under way %t, owed one %t", restsShut, unreadShut, owedShut)
+	idleShut, unreadShut, activeShut := peerShutDown(idlePeer), peerShutDown(unreadPeer), peerShutDown(activePeer)
+	if !idleShut || unreadShut || activeShut || idle.closed || active.closed || unread.closed {
+		t.Errorf("half-closed: idle %t, with unread output %t, with an open request %t; want true, false, false; "+
+			"closed: %t, %t, %t; want none",
+			idleShut, unreadShut, activeShut, idle.closed, unread.closed, active.closed)
 	}
 	select {
 	case <-s.lifetime.stopped:
-		t.Error("it ended before its time")
+		t.Error("the server exited before the exit margin")
 	default:
 	}
-	s.drain.killAt = s.now() + exitMargin/2
+	s.drain.killAt = s.now() + exitMarginSeconds/2
 	s.tryExit()
 	<-s.lifetime.stopped
 }
 
-// Accept fails for good as the server is told to drain: it ends all the same.
+// The server must exit in time even if every accept fails during the drain.
 func TestDrain_WhileAcceptFails(t *testing.T) {
 	f := startServerWith(t, func(s *config.Startup) { s.StopTimeout = 10 }, nil, func(f *fixture) {
 		f.wrapAccept = func(acceptFunc) acceptFunc {
@@ -53,13 +57,13 @@
 		t.Error(err)
 	}
 	if left := f.server.drain.killAt - f.server.now(); left < 1 {
-		t.Errorf("it ended %.3f s before the kill", left)
+		t.Errorf("the server exited %.3f s before the kill, want at least 1 s", left)
 	}
 	f.runResult <- nil
 }
 
-func TestDrain_DuringFlood(t *testing.T) {
-	f := startServerWith(t, func(s *config.Startup) { s.MaxSockets, s.StopTimeout = 256, 8 }, guardedConfig(t, ""))
+func TestDrain_DuringConnectionFlood(t *testing.T) {
+	f := startServerWith(t, func(s *config.Startup) { s.MaxSockets, s.StopTimeout = 256, 8 }, connLimitConfig(t, ""))
 	client := f.dialClient()
 	client.send("%s", requestFrame(1, "a1", "x"))
 	f.executor.expectCommand("begin", "a1")
@@ -73,7 +77,7 @@
 		t.Error(err)
 	}
 	if f.server.drain.killAt-f.server.now() < 0 {
-		t.Error("after the kill")
+		t.Error("the server exited after the time of the kill")
 	}
 	f.runResult <- nil
 }
@@ -81,7 +85,7 @@
 func TestDrain_ThousandsOfIdleConnections(t *testing.T) {
 	const n = 3000
 	f := startServer(t, func(s *config.Startup) { s.MaxSockets, s.StopTimeout = 8000, 15 })
-	crowd := f.holdClients(n, false) // which heeds nothing
+	idleConns := f.openIdleClients(n, false) // the clients ignore requests to close
 	client := f.dialClient()
 	client.send("%s", requestFrame(1, "a1", "x"))
 	f.executor.expectCommand("begin", "a1")
@@ -92,22 +96,23 @@
 		t.Error(err)
 	}
 	if left := f.server.drain.killAt - f.server.now(); left < 1 || f.server.clients.conns.Len() != 0 {
-		t.Errorf("it ended %.3f s before the kill with %d connections", left, f.server.clients.conns.Len())
+		t.Errorf("the server exited %.3f s before the kill with %d connections; want at least 1 s, 0",
+			left, f.server.clients.conns.Len())
 	}
-	if crowd.GoAways.Load() != n {
-		t.Errorf("%d of %d were asked to close", crowd.GoAways.Load(), n)
+	if idleConns.GoAways.Load() != n {
+		t.Errorf("%d clients were asked to close, want %d", idleConns.GoAways.Load(), n)
 	}
 	f.runResult <- nil
 }
 
-// Tasks are open until the very end; that must not keep the connections open for new ones until
-// then.
+// Even if requests run until the kill, clients must be asked early to send no new ones, and the
+// listener must close early.
 func TestDrain_AsksToCloseWhileRequestsRun(t *testing.T) {
 	f, client := startRunningRequest(t, func(s *config.Startup) { s.StopTimeout = 10 })
 	f.server.Drain()
-	client.expect(closeRequest) // its request still runs
+	client.expect(closeRequest) // while its request still runs
 	f.waitUntilRefused()
-	client.send("%s", requestFrame(2, "a2", "x")) // crossed that
+	client.send("%s", requestFrame(2, "a2", "x")) // sent before the client saw the request to close
 	client.expect(answerPrefix(2) + rejectedPayload)
 	f.executor.sendCompletion(1, "a1", "done", "r")
 	client.expect(answerPrefix(1) + resultPrefix + "\x01r")
@@ -116,12 +121,13 @@
 		t.Error(err)
 	}
 	if left := f.server.drain.killAt - f.server.now(); left < 1 {
-		t.Errorf("it ended %.3f s before the kill", left)
+		t.Errorf("the server exited %.3f s before the kill, want at least 1 s", left)
 	}
 	f.runResult <- nil
 }
 
-// Connections lie in the system's queue, with requests on them, as the listener is to close.
+// Connections that wait in the system's queue when the listener is about to close must be accepted,
+// and the requests on them answered.
 func TestDrain_ConnectionsInBacklogAnswered(t *testing.T) {
 	gate := make(chan struct{}, 1)
 	f := startServerWith(t, func(s *config.Startup) { s.StopTimeout, s.Settings.Cores = 20, 4 }, nil, func(f *fixture) {
@@ -140,13 +146,13 @@
 	other.send("%s", requestFrame(1, "a2", "x"))
 	third.send("%s%s", requestFrame(1, "a3", "x"), healthCheck(1))
 	f.server.Drain()
-	client.expect(closeRequest) // the acceptor was told to close by then, and takes nobody yet
+	client.expect(closeRequest) // by now the acceptor was told to close, but accept is still blocked
 	close(gate)
-	third.expect("\xc0\x92\xc2") // not well
+	third.expect("\xc0\x92\xc2") // unhealthy
 	one, two := f.executor.readCommand(false), f.executor.readCommand(false)
 	messages, calls := fmt.Sprint(one["msg"], " ", two["msg"]), fmt.Sprint(one["call"], " ", two["call"])
-	if messages != "begin begin" || calls != "a2 a3" && calls != "a3 a2" { // they came before the signal
-		t.Fatal(one, two)
+	if messages != "begin begin" || calls != "a2 a3" && calls != "a3 a2" { // they arrived before the signal
+		t.Fatalf("commands %v and %v, want the starts of a2 and a3", one, two)
 	}
 	f.waitUntilRefused()
 	for i, e := range []*testConn{client, other, third} {
@@ -162,15 +168,16 @@
 	f.runResult <- nil
 }
 
-// The executor comes up after the signal: nothing begins, and the server ends at once.
+// If the executor comes up only after the signal, no request must start, and the server must exit at
+// once.
 func TestDrain_BeforeExecutorIsUp(t *testing.T) {
-	f := startUnready(t, func(s *config.Startup) { s.StopTimeout, s.Settings.DrainGracePeriod = 20, 10 }, nil)
+	f := startBeforeExecutorUp(t, func(s *config.Startup) { s.StopTimeout, s.Settings.DrainGracePeriod = 20, 10 }, nil)
 	client := f.dialClient()
 	client.send("%s", requestFrame(1, "a1", "x"))
 	client.expect(answerPrefix(1) + rejectedPayload)
 	f.server.Drain()
 	client.expect(closeRequest)
-	f.executor.sendUp("fresh", 1)
+	f.executor.sendFirstMessage("fresh", 1)
 	client.send("%s", requestFrame(2, "a2", "x"))
 	client.expect(answerPrefix(2) + rejectedPayload)
 	_ = client.Close()
@@ -178,14 +185,14 @@
 		t.Error(err)
 	}
 	if left := f.server.drain.killAt - f.server.now(); left < 10 {
-		t.Errorf("it ended %.3f s before the kill", left)
+		t.Errorf("the server exited %.3f s before the kill, want at least 10 s", left)
 	}
 	f.runResult <- nil
 }
 
-// The kill comes so long after the signal was sent, which may be heard late: the server and its
-// controller go by an earlier one.
-func TestDrain_LateSignal(t *testing.T) {
+// The stop timeout counts from the moment the signal was sent, but the server may handle the signal
+// late. The server and its controller must therefore expect the kill early enough.
+func TestDrain_SignalHandledLate(t *testing.T) {
 	const late = 0.12
 	for _, stop := range []float64{0.5, 4.5} {
 		s := New(&config.Startup{StopTimeout: stop}, nil)
@@ -195,13 +202,14 @@
 		events := s.decisions.pending
 		if s.drain.killAt > sent+stop || len(events) != 1 || events[0].Kind != admission.DrainStarted ||
 			s.now()+events[0].Duration > sent+stop {
-			t.Errorf("stop %g: kill at %.3f, events %+v, sent at %.3f", stop, s.drain.killAt, events, sent)
+			t.Errorf("stop timeout %g s: kill expected at %.3f, events %+v; want DrainStarted, and the kill by %.3f",
+				stop, s.drain.killAt, events, sent+stop)
 		}
 	}
 }
 
-// Told to drain before the executor has even accepted its link: there is nothing to answer, and
-// the server ends.
+// If the server is drained before the executor has accepted its link, there is nothing to answer, and
+// the server must exit.
 func TestDrain_BeforeAnyConnection(t *testing.T) {
 	listener := listenLoopback(t)
 	addr := listener.Addr().String()
@@ -228,10 +236,10 @@
 		}
 	}
 	f.executorListener = listenLoopback(t)
-	f.server.SetEndpoints(f.addresses()) // while leaving
+	f.server.SetEndpoints(f.addresses()) // during the drain
 	f.executor = acceptConn(t, f.executorListener)
 	f.executor.readCommand(false)
-	f.executor.sendUp("seasoned", 1)
+	f.executor.sendFirstMessage("seasoned", 1)
 	f.executor.readCommand(true)
 	f.executor.sendCompletion(1, "a1", "done", "r")
 	client.expect(answerPrefix(1) + resultPrefix + "\x01r")
@@ -243,7 +251,7 @@
 	f.runResult <- nil
 }
 
-func TestDrain_SecondNoticeChangesNothing(t *testing.T) {
+func TestDrain_SecondSignalIgnored(t *testing.T) {
 	s := New(&config.Startup{StopTimeout: 5}, nil)
 	s.decisions.controller = admission.New(1, admission.Settings{})
 	s.startDrain(s.now())
@@ -251,6 +259,7 @@
 	s.startDrain(s.now() + 1)
 	events := s.decisions.pending
 	if len(events) != 1 || events[0].Kind != admission.DrainStarted || s.drain.killAt != killAt {
-		t.Errorf("%+v, kill at %g, then %g", events, killAt, s.drain.killAt)
+		t.Errorf("events %+v, kill at %g after the first signal and %g after the second; "+
+			"want one DrainStarted, the same time", events, killAt, s.drain.killAt)
 	}
 }
--- a/internal/server/errors.go
+++ b/internal/server/errors.go
@@ -10,24 +10,24 @@
 
 // Reasons why new settings can't be applied while serving.
 var (
-	errConnLimitToggled = errors.New("door: can't be switched while serving; turning it on or off takes a restart")
-	errFixedKey         = errors.New(fixedConnLimitKeys + ": can't be changed while serving; a change takes a restart")
+	errConnLimitToggled  = errors.New("door: can't be switched while serving; turning it on or off takes a restart")
+	errConnLimitKeyFixed = errors.New(fixedConnLimitKeys + ": can't be changed while serving; a change takes a restart")
 )
 
 // Reasons why a client's connection was refused, or any connection closed for its backlog. The
 // callers add counts and limits.
 var (
-	errBacklog         = errors.New("the peer left too much output unread")
-	errHoldingAreaFull = errors.New("the connection was not admitted, and the holding area is full")
-	errNoDescriptor    = errors.New("the connection limit is reached, and no other connection can be evicted")
+	errBacklogTooLarge  = errors.New("the peer left too much output unread")
+	errHoldingAreaFull  = errors.New("the connection was not admitted, and the holding area is full")
+	errConnLimitReached = errors.New("the connection limit is reached, and no other connection can be evicted")
 )
 
 // Reasons why a request is invalid; see also invalidFieldError, duplicateMessageError and
 // clockSkewError.
 var (
-	errUnknownName     = errors.New("not a configured name")
+	errNotConfigured   = errors.New("not a configured name")
 	errMissingTimeout  = errors.New("the timeout is missing, but this deployment propagates deadlines")
-	errTooManyOpen     = fmt.Errorf("the connection already has %d open requests, the most allowed", maxRequestsPerConn)
+	errTooManyRequests = fmt.Errorf("the connection already has %d open requests, the most allowed", maxRequestsPerConn)
 	errDuplicateID     = errors.New("another request with this ID is known")
 	errMissingKey      = errors.New("requests of this class need an idempotency key, and this one has none")
 	errConflictingBody = errors.New("another request with the same idempotency key has a different body")
@@ -35,13 +35,13 @@
 
 // Reasons why a connection that the server dialed ended. The callers add sizes and times.
 var (
-	errAddressMoved      = errors.New("the other side's address changed")
-	errCallTimeout       = errors.New("the upstream call timed out")
-	errNoPendingCall     = errors.New("the upstream call ended before its connection was open")
-	errUnexpectedReply   = errors.New("the upstream sent data that answers no call")
-	errReportUnanswered  = errors.New("the registry has not answered the last report")
-	errUnterminatedLine  = errors.New("the executor's line is too long")
-	errClosedByOtherSide = errors.New("the other side closed the connection")
+	errAddressChanged   = errors.New("the other side's address changed")
+	errCallTimeout      = errors.New("the upstream call timed out")
+	errCallEnded        = errors.New("the upstream call ended before its connection was open")
+	errUnexpectedData   = errors.New("the upstream sent data that answers no call")
+	errReportUnanswered = errors.New("the registry has not answered the last report")
+	errUnterminatedLine = errors.New("the executor's line is too long")
+	errClosedByPeer     = errors.New("the other side closed the connection")
 )
 
 // invalidFieldError is an invalid value in a field of a request.
@@ -60,13 +60,13 @@
 }
 
 // clockSkewError is the difference in seconds between a request's arrival time and the server's
-// clock, where it exceeds maxClockSkew.
+// clock, where it exceeds maxClockSkewSeconds.
 type clockSkewError float64
 
 // Error tells the difference and the limit.
 func (e clockSkewError) Error() string {
 	return fmt.Sprintf("the arrival time differs from the server's clock by %.0f s; the limit is %d s",
-		float64(e), maxClockSkew)
+		float64(e), maxClockSkewSeconds)
 }
 
 // duplicateMessageError is the message ID of a request that is already open on the same connection.
--- a/internal/server/evict.go
+++ b/internal/server/evict.go
@@ -14,8 +14,8 @@
 	reservedDescriptors = 32
 	// idleConnBytes is the memory that an idle connection takes, see docs/idle.md.
 	idleConnBytes = 1300
-	// idleMemoryShare is the divisor of the memory limit that bounds idle connections.
-	idleMemoryShare = 4
+	// idleMemoryDivisor is the divisor of the memory limit that bounds idle connections.
+	idleMemoryDivisor = 4
 	// maxEvictionCandidates bounds how many connections are examined for one eviction.
 	maxEvictionCandidates = 16
 )
@@ -39,7 +39,7 @@
 // to.
 func (s *Server) maxClients() clientLimit {
 	byDescriptors := s.startup.MaxSockets - reservedDescriptors - s.maxUpstreamConns()
-	inMemory := int(s.startup.MemoryBytes / idleMemoryShare / idleConnBytes)
+	inMemory := int(s.startup.MemoryBytes / idleMemoryDivisor / idleConnBytes)
 	if s.startup.MemoryBytes > 0 && inMemory < byDescriptors {
 		return clientLimit{inMemory, boundByMemory}
 	}
--- a/internal/server/evict_test.go
+++ b/internal/server/evict_test.go
@@ -22,19 +22,20 @@
 	} {
 		s := New(&config.Startup{MaxSockets: c.sockets, MemoryBytes: c.memory}, nil)
 		if limit := s.maxClients(); limit != (clientLimit{c.want, c.bound}) {
-			t.Errorf("%d descriptors, %d bytes: %d by %s", c.sockets, c.memory, limit.conns, limit.bound)
+			t.Errorf("%d descriptors, %d bytes: limit %d by %s, want %d by %s",
+				c.sockets, c.memory, limit.conns, limit.bound, c.want, c.bound)
 		}
 	}
 }
 
-func TestEviction_SilentConnectionsMakeRoom(t *testing.T) {
+func TestEviction_SilentConnectionsEvictedForNewOnes(t *testing.T) {
 	f := startServer(t, func(s *config.Startup) { s.MaxSockets = 64 })
 	check := healthCheck(1)
 	busy := f.dialClient()
 	busy.send("%s", requestFrame(1, "a1", "x"))
 	f.executor.expectCommand("begin", "a1")
-	most := f.server.maxClients().conns
-	for range most {
+	limit := f.server.maxClients().conns
+	for range limit {
 		f.dialClient()
 		late := f.dialClient()
 		late.send("%s", check)
@@ -45,22 +46,22 @@
 	busy.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
 }
 
-func TestEviction_SparesConnectionsWithPendingAnswers(t *testing.T) {
+func TestEviction_SkipsConnectionsWithPendingAnswers(t *testing.T) {
 	s := New(&config.Startup{Settings: admission.Settings{IdleTimeout: 30}}, nil)
-	add := func(unsent bool) *clientConn {
+	add := func(unflushed bool) *clientConn {
 		id, client := s.clients.conns.Add()
-		client.server, client.id, client.conn, client.unflushed = s, id, brokenConn{}, unsent
+		client.server, client.id, client.conn, client.unflushed = s, id, panickingConn{}, unflushed
 		s.clients.limiter.HandleOpen(id.Slot(), 0)
 		s.clients.limiter.HandleEvent(id.Slot(), connlimit.EventRequest, 0)
 		return client
 	}
-	answered, silent, late := add(true), add(false), add(false)
+	answered, silent, arriving := add(true), add(false), add(false)
 	s.clients.limiter.HandleEvent(silent.id.Slot(), connlimit.EventRequest, 1)
-	if client := s.evictionCandidate(late); client != silent { // an answer is on its way out to the first
-		t.Errorf("%+v goes", client)
+	if client := s.evictionCandidate(arriving); client != silent { // the answer to the first is not written yet
+		t.Errorf("candidate %+v, want the connection without a pending answer %+v", client, silent)
 	}
 	s.clients.limiter.HandleEvent(silent.id.Slot(), connlimit.EventRequestOpened, 2)
-	if client := s.evictionCandidate(late); client != nil {
-		t.Errorf("%+v goes, %+v", client, answered)
+	if client := s.evictionCandidate(arriving); client != nil {
+		t.Errorf("candidate %+v, want none; the connection with a pending answer is %+v", client, answered)
 	}
 }
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -9,9 +9,9 @@
 	"swiftcourse/internal/resultcache"
 )
 
-// gaugeLead is how long, in seconds, before a timer event the gauges are requested. It covers a few
+// gaugeLeadSeconds is how long before a timer event the gauges are requested. It covers a few
 // turns, so that a fresh reading is available when the timer fires.
-const gaugeLead = 0.004
+const gaugeLeadSeconds = 0.004
 
 // executeActions carries out the controller's actions, in order.
 func (s *Server) executeActions(actions []admission.Action, now float64) {
@@ -50,7 +50,7 @@
 // setTimer schedules a timer event after the given seconds, and a request for fresh gauges just
 // before it.
 func (s *Server) setTimer(label string, seconds, now float64) {
-	s.loop.timers.Schedule(now+max(0, seconds-gaugeLead), s.executor.requestGaugesFunc)
+	s.loop.timers.Schedule(now+max(0, seconds-gaugeLeadSeconds), s.executor.requestGaugesFunc)
 	s.loop.timers.Schedule(now+seconds, func() {
 		s.queueEvent(admission.Event{Kind: admission.TimerFired, Label: label})
 	})
--- a/internal/server/executor.go
+++ b/internal/server/executor.go
@@ -16,10 +16,10 @@
 	"swiftcourse/internal/wire/simulator"
 )
 
-// silenceTimeout is how long, in seconds, a gauge request may stay unanswered before the link is
+// silenceTimeoutSeconds is how long a gauge request may stay unanswered before the link is
 // replaced, because the other end may have gone without closing it. It is longer than any pause of a
 // machine. Messages that the old link may have lost are sent again on the new one.
-const silenceTimeout = 5
+const silenceTimeoutSeconds = 5
 
 // resumeTagPrefix starts the value of executorLink.resumeTag, to distinguish it from the tags of
 // other gauge requests, which are command numbers.
@@ -72,7 +72,7 @@
 func (l *executorLink) reconnect() {
 	_ = l.conn.Close()
 	l.failedLinks = 0
-	l.handleClose(errAddressMoved)
+	l.handleClose(errAddressChanged)
 }
 
 func (l *executorLink) write(data []byte) { l.server.write(&l.bufferedConn, data) }
@@ -154,7 +154,8 @@
 	if s.allowPeerFaultLog() { // forged requests can cause hundreds of rejections
 		slog.Info("command_rejected", "command", notice.Detail, "request", notice.ID)
 	}
-	if request != nil && request.Running && request.CallNotice == 0 { // only its start can have been rejected: it never ran
+	// Without a call, only the start of the request can have been rejected: it never ran.
+	if request != nil && request.Running && request.CallNotice == 0 {
 		s.releaseClaim(request)
 		s.reportRunEnded(request, admission.NeverStarted, 0)
 	}
@@ -225,13 +226,13 @@
 }
 
 // requestGauges requests the gauges. If an earlier request has been unanswered for longer than
-// silenceTimeout, it replaces the link instead.
+// silenceTimeoutSeconds, it replaces the link instead.
 func (l *executorLink) requestGauges() {
 	if !l.up {
 		return
 	}
 	now := l.server.now()
-	if l.unansweredSince > 0 && now > l.unansweredSince+silenceTimeout {
+	if l.unansweredSince > 0 && now > l.unansweredSince+silenceTimeoutSeconds {
 		slog.Info("link_timed_out", "link", "executor", "for_s", logging.FormatDecimal(now-l.unansweredSince, 3))
 		l.reconnect()
 		return
@@ -316,6 +317,6 @@
 	}
 	s.executeActions(s.decisions.controller.Decide(at, []admission.Event{{Kind: admission.Started}}), at)
 	s.sweep()
-	s.every(sweepInterval, s.sweep)
+	s.scheduleEvery(sweepIntervalSeconds, s.sweep)
 	s.scheduleTurn()
 }
--- a/internal/server/executor_test.go
+++ b/internal/server/executor_test.go
@@ -7,29 +7,29 @@
 	"swiftcourse/internal/config"
 )
 
-func TestExecutorLink_Resumes(t *testing.T) {
+func TestExecutorLink_ResumesAfterBreak(t *testing.T) {
 	f, client := startRunningRequest(t, nil)
 	client.send("%s", requestFrame(2, "a2", "x"))
 	f.executor.expectCommand("begin", "a2")
 	f.executor.sendCall(1, "a1", "c")
-	below := acceptConn(t, f.upstreamListener)
-	below.expect("\r\nc\r\n") // so notice 1 was read
+	upstreamPeer := acceptConn(t, f.upstreamListener)
+	upstreamPeer.expect("\r\nc\r\n") // shows that notice 1 was read
 	_ = f.executor.Close()
-	below.send("a1 DATA 1\r\nd\r\n") // while the link is down
+	upstreamPeer.send("a1 DATA 1\r\nd\r\n") // while the link is down
 	executor := acceptConn(t, f.executorListener)
 	if hello := executor.readCommand(false); hello["msg"] != "hello" || hello["serial"] != 1.0 {
-		t.Fatal(hello)
+		t.Fatalf("first message %v, want hello with serial 1", hello)
 	}
 	client.send("%s%s", requestFrame(3, "a3", "x"), healthCheck(4))
-	client.expect(answerPrefix(4)) // so the request was read too, but no command goes out yet
-	executor.sendUp("seasoned", 3600000)
-	executor.sendCall(1, "a1", "again")           // read before
-	executor.sendCompletion(2, "a2", "done", "r") // missed
+	client.expect(answerPrefix(4)) // shows that the request was read; no command is sent yet
+	executor.sendFirstMessage("seasoned", 3600000)
+	executor.sendCall(1, "a1", "again")           // a notice that was already read
+	executor.sendCompletion(2, "a2", "done", "r") // a missed notice
 	if command := executor.readCommand(true); command["msg"] != "usage" {
-		t.Fatalf("%v before the reply that ends the missed notices", command)
+		t.Fatalf("command %v before the reply that follows the missed notices, want usage", command)
 	}
 	if command := executor.expectCommand("answer", "a1"); command["blob"] != "ZA==" {
-		t.Fatal(command)
+		t.Fatalf("command %v, want blob ZA==", command)
 	}
 	executor.expectCommand("begin", "a3")
 	client.expect(answerPrefix(2) + resultPrefix + "\x01r\x80")
@@ -39,22 +39,22 @@
 
 func TestExecutorLink_ResendsStart(t *testing.T) {
 	f, client := startRunningRequest(t, nil)
-	_ = f.executor.Close() // before anything shows that the command was read
+	_ = f.executor.Close() // before the command is acknowledged
 	executor := acceptConn(t, f.executorListener)
 	executor.readCommand(false)
-	executor.sendUp("seasoned", 1)
+	executor.sendFirstMessage("seasoned", 1)
 	executor.readCommand(true)
 	executor.expectCommand("begin", "a1")
-	executor.send(`{"msg":"reject","how":"begin","call":"a1"}` + "\n") // it never ran, so the controller gives it up
+	executor.send(`{"msg":"reject","how":"begin","call":"a1"}` + "\n") // it never ran, so the controller ends it
 	client.expect(answerPrefix(1) + failedPayload)
 }
 
-// Whether a begin that has no proof was read nobody can tell, and where running twice is ruled out
-// it is not sent again.
+// If a link breaks before the start of a run was acknowledged, the server can't know whether the
+// executor received it. In classes whose requests must not run twice, it must not send it again.
 func TestExecutorLink_DoesNotResendNonIdempotentStart(t *testing.T) {
-	for _, effect := range []admission.Idempotency{admission.AtMostOnce, admission.Deduplicated} {
+	for _, idempotency := range []admission.Idempotency{admission.AtMostOnce, admission.Deduplicated} {
 		f := startServer(t, func(s *config.Startup) {
-			s.Settings.Classes[0].Idempotency, s.Settings.Classes[0].DeduplicationWindow = effect, 20
+			s.Settings.Classes[0].Idempotency, s.Settings.Classes[0].DeduplicationWindow = idempotency, 20
 		})
 		client := f.dialClient()
 		client.send("%s%s", requestFrame(1, "a1", "x", withTimeout(2), withKey("k")),
@@ -64,32 +64,33 @@
 		_ = f.executor.Close()
 		executor := acceptConn(t, f.executorListener)
 		executor.readCommand(false)
-		executor.sendUp("seasoned", 1)
+		executor.sendFirstMessage("seasoned", 1)
 		executor.readCommand(true)
-		executor.sendCompletion(1, "a2", "done", "r") // it ran all the same
+		executor.sendCompletion(1, "a2", "done", "r") // the executor had received its start
 		client.expect(answerPrefix(2) + resultPrefix + "\x01r\x80")
 		client.send("%s", requestFrame(3, "a3", "x", withKey("m")))
-		executor.expectCommand("begin", "a3") // and none before it
+		executor.expectCommand("begin", "a3") // the first command on the new link
 		client.expect(answerPrefix(1) + failedPayload)
 	}
 }
 
-// The other end of the executor's link is gone without a word: nothing comes, and nothing breaks.
+// If the executor's machine is gone without closing the link, the link stays open but silent, and the
+// server must replace it.
 func TestExecutorLink_SilentLinkReplaced(t *testing.T) {
 	f, client := startRunningRequest(t, nil)
-	waitUntil(f, true, func(s *Server) bool { // a question is open, which nobody answers here
+	waitUntil(f, true, func(s *Server) bool { // leaves a gauge request unanswered
 		s.executor.requestGauges()
 		return s.executor.unansweredSince > 0
 	})
 	f.onLoop(func(s *Server) {
-		s.executor.unansweredSince -= silenceTimeout
+		s.executor.unansweredSince -= silenceTimeoutSeconds
 		s.executor.requestGauges()
 	})
 	executor := acceptConn(t, f.executorListener)
 	if hello := executor.readCommand(false); hello["msg"] != "hello" {
-		t.Fatal(hello)
+		t.Fatalf("first message %v, want hello", hello)
 	}
-	executor.sendUp("seasoned", 1)
+	executor.sendFirstMessage("seasoned", 1)
 	executor.readCommand(true)
 	executor.expectCommand("begin", "a1")
 	executor.sendCompletion(1, "a1", "done", "r")
--- a/internal/server/fakes_test.go
+++ b/internal/server/fakes_test.go
@@ -14,61 +14,61 @@
 	"swiftcourse/internal/policy/connlimit"
 )
 
-// fakeSender is a connection on which a request has come.
-type fakeSender struct {
-	brokenConn
+// fakeInputConn is a connection with unread input.
+type fakeInputConn struct {
+	panickingConn
 	context any
 	bytes   string
 }
 
-func (c *fakeSender) Context() any { return c.context }
+func (c *fakeInputConn) Context() any { return c.context }
 
-func (c *fakeSender) Peek(int) ([]byte, error) { return []byte(c.bytes), nil }
+func (c *fakeInputConn) Peek(int) ([]byte, error) { return []byte(c.bytes), nil }
 
-func (*fakeSender) Discard(int) (int, error) { return 0, nil }
+func (*fakeInputConn) Discard(int) (int, error) { return 0, nil }
 
-// fakeUnread is a connection whose other side lags by more than a client may.
-type fakeUnread struct {
-	brokenConn
+// fakeLaggingConn is a connection whose peer left more output unread than a client may.
+type fakeLaggingConn struct {
+	panickingConn
 	closed bool
 }
 
-func (*fakeUnread) Writev([][]byte) (int, error) { return 0, nil }
+func (*fakeLaggingConn) Writev([][]byte) (int, error) { return 0, nil }
 
-func (*fakeUnread) OutboundBuffered() int { return maxClientBacklog + 1 }
+func (*fakeLaggingConn) OutboundBuffered() int { return maxClientBacklogBytes + 1 }
 
-func (c *fakeUnread) Close() error { c.closed = true; return nil }
+func (c *fakeLaggingConn) Close() error { c.closed = true; return nil }
 
-// brokenConn is a connection whose handling panics.
-type brokenConn struct{ gnet.Conn }
+// panickingConn is a connection whose handler panics on input.
+type panickingConn struct{ gnet.Conn }
 
-func (brokenConn) Context() any { return brokenConn{} }
+func (panickingConn) Context() any { return panickingConn{} }
 
-func (brokenConn) Peek(int) ([]byte, error) { return []byte("x"), nil }
+func (panickingConn) Peek(int) ([]byte, error) { return []byte("x"), nil }
 
-func (brokenConn) Close() error { return nil }
+func (panickingConn) Close() error { return nil }
 
-func (brokenConn) Fd() int { return -1 }
+func (panickingConn) Fd() int { return -1 }
 
-func (brokenConn) OutboundBuffered() int { return 0 }
+func (panickingConn) OutboundBuffered() int { return 0 }
 
-func (brokenConn) RemoteAddr() net.Addr { return &net.TCPAddr{} }
+func (panickingConn) RemoteAddr() net.Addr { return &net.TCPAddr{} }
 
-func (brokenConn) handleOpen(gnet.Conn, string) error { return nil }
+func (panickingConn) handleOpen(gnet.Conn, string) error { return nil }
 
-func (brokenConn) owns(gnet.Conn) bool { return true }
+func (panickingConn) owns(gnet.Conn) bool { return true }
 
-func (brokenConn) handleData([]byte) (int, error) { panic("by the test") }
+func (panickingConn) handleData([]byte) (int, error) { panic("raised by the test") }
 
-func (brokenConn) handleClose(error) {}
+func (panickingConn) handleClose(error) {}
 
-// fakeSocket is a connection of which only the descriptor is real.
+// fakeSocket is a fake connection with a real descriptor.
 type fakeSocket struct {
-	brokenConn
-	fakeSender
-	fd     int
-	closed bool
-	unsent int
+	panickingConn
+	fakeInputConn
+	fd            int
+	closed        bool
+	outboundBytes int // number of bytes in the outbound buffer
 }
 
 func (c *fakeSocket) Context() any { return c.context }
@@ -77,7 +77,7 @@
 
 func (c *fakeSocket) Discard(int) (int, error) { return 0, nil }
 
-func (c *fakeSocket) OutboundBuffered() int { return c.unsent }
+func (c *fakeSocket) OutboundBuffered() int { return c.outboundBytes }
 
 func (c *fakeSocket) Fd() int { return c.fd }
 
@@ -87,8 +87,8 @@
 
 func (c *fakeSocket) SetContext(context any) { c.context = context }
 
-// peerShutDown tells whether the other end of a connection is read to its end: our side of it is
-// shut, or it is closed.
+// peerShutDown reads all input of a descriptor, and reports whether the other end has shut down its
+// side or closed.
 func peerShutDown(fd int) bool {
 	_ = unix.SetNonblock(fd, true)
 	for b := make([]byte, 4096); ; {
@@ -98,8 +98,8 @@
 	}
 }
 
-// addLinkedClient adds a client's connection whose far end is in the test's hands.
-func addLinkedClient(t *testing.T, s *Server) (client *clientConn, socket *fakeSocket, far int) {
+// addClientWithPeer adds a client's connection, and returns the descriptor of the client's end.
+func addClientWithPeer(t *testing.T, s *Server) (client *clientConn, socket *fakeSocket, peer int) {
 	t.Helper()
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM, 0)
 	if err != nil {
@@ -117,20 +117,20 @@
 	return client, socket, pair[1]
 }
 
-// idleLoop runs nothing.
-type idleLoop struct{ gnet.EventLoop }
+// discardingLoop is an event loop that discards the functions queued on it.
+type discardingLoop struct{ gnet.EventLoop }
 
-func (idleLoop) Execute(context.Context, gnet.Runnable) error { return nil }
+func (discardingLoop) Execute(context.Context, gnet.Runnable) error { return nil }
 
-// newServerWithoutLoop is a server without a loop, whose turns the test takes.
-func newServerWithoutLoop(idle float64) *Server {
+// newServerWithoutLoop returns a server whose turns the test runs itself.
+func newServerWithoutLoop(idleTimeout float64) *Server {
 	s := New(&config.Startup{
 		MaxSockets:  1000,
 		ClassIndex:  map[string]int{"quote": 0},
 		TenantIndex: map[string]int{"acme": 0},
-		Settings:    admission.Settings{IdleTimeout: idle},
+		Settings:    admission.Settings{IdleTimeout: idleTimeout},
 	}, nil)
-	s.loop.handle, s.decisions.controller = idleLoop{}, admission.New(1, admission.Settings{})
+	s.loop.handle, s.decisions.controller = discardingLoop{}, admission.New(1, admission.Settings{})
 	s.loop.wakeup = time.AfterFunc(time.Hour, func() {})
 	return s
 }
--- a/internal/server/fixture_test.go
+++ b/internal/server/fixture_test.go
@@ -20,8 +20,8 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// fixture is a server on loopback with fakes of all that it speaks with, written from the
-// protocols' pages.
+// fixture is a server on a loopback address, with fakes of all its peers, which implement the
+// protocols as documented.
 type fixture struct {
 	*testing.T
 	server           *Server
@@ -30,27 +30,27 @@
 	upstreamListener net.Listener
 	registry         *registry.Server
 	executor         *testConn
-	wrapAccept       func(acceptFunc) acceptFunc // where it is set, the acceptor accepts by what it returns
+	wrapAccept       func(acceptFunc) acceptFunc // wraps the acceptor's accept, nil for no wrapper
 }
 
-// startServer starts a server; change alters what it is told.
+// startServer starts a server whose executor is up; change may modify its startup settings.
 func startServer(t *testing.T, change func(*config.Startup)) *fixture {
 	return startServerWith(t, change, nil)
 }
 
-// startServerWith is build with an operator's file.
+// startServerWith is startServer with an operator's settings, and functions to prepare the fixture.
 func startServerWith(t *testing.T, change func(*config.Startup), operator *config.OperatorSettings,
 	prepare ...func(*fixture)) *fixture {
-	f := startUnready(t, change, operator, prepare...)
-	f.executor.sendUp("seasoned", 3600000)
+	f := startBeforeExecutorUp(t, change, operator, prepare...)
+	f.executor.sendFirstMessage("seasoned", 3600000)
 	if report := <-f.registry.Reports(); !report.Accepting {
-		t.Fatalf("first report %+v", report)
+		t.Fatalf("first report %+v, want accepting", report)
 	}
 	return f
 }
 
-// startUnready starts a server whose executor has accepted its link and is not up yet.
-func startUnready(t *testing.T, change func(*config.Startup), operator *config.OperatorSettings,
+// startBeforeExecutorUp starts a server whose executor has accepted the link but sent no first message.
+func startBeforeExecutorUp(t *testing.T, change func(*config.Startup), operator *config.OperatorSettings,
 	prepare ...func(*fixture)) *fixture {
 	logging.SetOutput(t.Output())
 	f := &fixture{
@@ -71,7 +71,7 @@
 	go func() { f.runResult <- f.run() }()
 	f.executor = acceptConn(t, f.executorListener)
 	if hello := f.executor.readCommand(false); hello["msg"] != "hello" || hello["serial"] != 0.0 {
-		t.Fatalf("first line %v", hello)
+		t.Fatalf("first message %v, want hello with serial 0", hello)
 	}
 	t.Cleanup(func() {
 		f.server.stop()
@@ -83,7 +83,7 @@
 	return f
 }
 
-// testStartup is what a server of the tests is told where a test says nothing else.
+// testStartup returns the default startup settings of the tests' servers.
 func testStartup(t *testing.T, addresses config.Addresses) *config.Startup {
 	front := listenLoopback(t)
 	address := front.Addr().String()
@@ -118,7 +118,7 @@
 	}
 }
 
-// run runs the server, with what stands in for its accept.
+// run runs the server, with wrapAccept if it is set.
 func (f *fixture) run() error {
 	if f.wrapAccept == nil {
 		return f.server.Run()
@@ -131,8 +131,8 @@
 	return f.server.runWith(a)
 }
 
-// startRunningRequest is a server on which a client's request a1, message 1 of its connection,
-// runs.
+// startRunningRequest starts a server with a running request: a1, which is message 1 of the returned
+// client.
 func startRunningRequest(t *testing.T, change func(*config.Startup)) (*fixture, *testConn) {
 	f := startServer(t, change)
 	client := f.dialClient()
@@ -146,7 +146,8 @@
 		Upstream: f.upstreamListener.Addr().String()}
 }
 
-// newFakeRegistry hangs up after each report, at times before its answer.
+// newFakeRegistry starts a registry that closes the connection after each report, every second time
+// without a reply.
 func newFakeRegistry(t *testing.T) *registry.Server {
 	fake, err := registry.Start("127.0.0.9:0", func(n int) registry.Response {
 		return []registry.Response{registry.CloseAfterReply, registry.CloseWithoutReply}[n%2]
@@ -167,41 +168,43 @@
 	return newTestConn(f.T, conn)
 }
 
-// onLoop has the server's loop do something, and waits until it has.
-func (f *fixture) onLoop(do func(s *Server)) {
+// onLoop runs a function on the server's loop, and waits until it has returned.
+func (f *fixture) onLoop(run func(s *Server)) {
 	done := make(chan struct{})
 	_ = f.server.loop.execute(func() {
-		do(f.server)
+		run(f.server)
 		close(done)
 	})
 	<-done
 }
 
-// query runs a question on the server's loop.
-func query[T any](f *fixture, question func(*Server) T) T {
+// query runs a function on the server's loop and returns its result.
+func query[T any](f *fixture, get func(*Server) T) T {
 	f.Helper()
 	answer := make(chan T, 1)
-	_ = f.server.loop.execute(func() { answer <- question(f.server) })
+	_ = f.server.loop.execute(func() { answer <- get(f.server) })
 	return <-answer
 }
 
-// waitUntil waits until an answer is what it should be.
-func waitUntil[T comparable](f *fixture, want T, question func(*Server) T) {
+// waitUntil repeats a query until its result is the wanted one.
+func waitUntil[T comparable](f *fixture, want T, get func(*Server) T) {
 	f.Helper()
 	var got T
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if got = query(f, question); got == want {
+		if got = query(f, get); got == want {
 			return
 		}
 	}
-	f.Fatalf("%v, not %v", got, want)
+	f.Fatalf("got %v after %v, want %v", got, testTimeout, want)
 }
 
 func clientCount(s *Server) int { return s.clients.conns.Len() }
 
-func (f *fixture) holdClients(n int, heeds bool) *balancer.IdleConns {
+// openIdleClients opens idle connections of clients; closesWhenAsked is whether the clients close them
+// when the server asks for it.
+func (f *fixture) openIdleClients(n int, closesWhenAsked bool) *balancer.IdleConns {
 	f.Helper()
-	c, err := balancer.OpenIdle(f.server.startup.Listen, n, heeds)
+	c, err := balancer.OpenIdle(f.server.startup.Listen, n, closesWhenAsked)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -209,7 +212,7 @@
 	return c
 }
 
-// dialFrom dials the server from an address of loopback.
+// dialFrom dials the server from a loopback address.
 func (f *fixture) dialFrom(addr string) (*testConn, error) {
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(addr)}, Timeout: testTimeout}
 	conn, err := dialer.Dial("tcp", f.server.startup.Listen)
@@ -219,8 +222,8 @@
 	return newTestConn(f.T, conn), nil
 }
 
-// waitUntilRefused dials until the system refuses a connection: the listener closes a moment after
-// the connections are asked to.
+// waitUntilRefused dials until the system refuses a connection, as the listener closes shortly after
+// the clients are asked to close.
 func (f *fixture) waitUntilRefused() {
 	f.Helper()
 	for {
@@ -230,46 +233,47 @@
 		}
 		if err == nil {
 			_ = conn.Close()
-		} else if !errors.Is(err, syscall.ECONNRESET) { // it lay in the queue as the listener closed, and nothing ran
+		} else if !errors.Is(err, syscall.ECONNRESET) { // it was queued when the listener closed, so nothing ran
 			f.Fatal(err)
 		}
 	}
 }
 
-func (f *fixture) setDirective(now serving.Mode, until float64, then serving.Mode) *serving.VersionStats {
-	stamp := &serving.VersionStats{}
+func (f *fixture) setDirective(mode serving.Mode, changesAt float64, next serving.Mode) *serving.VersionStats {
+	stats := &serving.VersionStats{}
 	f.server.SetDirective(&serving.Directive{
 		Epoch:     3,
-		Mode:      now,
-		ChangesAt: until,
-		NextMode:  then,
+		Mode:      mode,
+		ChangesAt: changesAt,
+		NextMode:  next,
 		Reason:    "a test",
-		Stats:     stamp,
+		Stats:     stats,
 	})
-	return stamp
+	return stats
 }
 
-// waitForReport waits for a report that says so.
-func (f *fixture) waitForReport(takes bool) {
+// waitForReport waits for a report to the registry with the given value of Accepting.
+func (f *fixture) waitForReport(accepting bool) {
 	f.Helper()
 	for report := range f.registry.Reports() {
-		if report.Accepting == takes {
+		if report.Accepting == accepting {
 			return
 		}
 	}
 }
 
-// runRequests runs what is begun: it tells of each begin, and ends them all once finish is closed.
-func (f *fixture) runRequests(begun chan<- string, finish <-chan struct{}) {
-	ends := make(chan string, cap(begun))
-	go func() { // notices go in the order of their numbers
+// runRequests acts as the executor: it sends the ID of each started request to started, and completes
+// all of them once finish is closed.
+func (f *fixture) runRequests(started chan<- string, finish <-chan struct{}) {
+	notices := make(chan string, cap(started))
+	go func() { // one goroutine sends all notices, in the order of their numbers
 		<-finish
-		for end := range ends {
-			_, _ = io.WriteString(f.executor, end) // the test ends where this fails
+		for notice := range notices {
+			_, _ = io.WriteString(f.executor, notice) // if this fails, the test fails at its next step
 		}
 	}()
 	go func() {
-		defer close(ends)
+		defer close(notices)
 		serial := 0
 		for {
 			line, err := f.executor.in.ReadString('\n')
@@ -284,21 +288,23 @@
 			case "usage":
 				_, _ = fmt.Fprintf(f.executor, `{"msg":"used","cookie":"%s","stats":[0.5,1]}`+"\n", m.Cookie)
 			case "begin":
-				begun <- m.Call
+				started <- m.Call
 				serial++
-				ends <- fmt.Sprintf(completionLine, serial, m.Call, "done", "eQ==")
+				notices <- fmt.Sprintf(completionLine, serial, m.Call, "done", "eQ==")
 			}
 		}
 	}()
 }
 
-// deduplicateOnlyClass makes the only class one whose requests bear a key and may run once in a
-// window of 20 s.
-func deduplicateOnlyClass(s *config.Startup) {
+// requireIdempotencyKeys makes the requests of the only class require idempotency keys, with a
+// deduplication window of 20 s.
+func requireIdempotencyKeys(s *config.Startup) {
 	s.Settings.Classes[0].Idempotency, s.Settings.Classes[0].DeduplicationWindow = admission.Deduplicated, 20
 }
 
-func guardedConfig(t *testing.T, text string) *config.OperatorSettings {
+// connLimitConfig returns an operator's settings with the connection limiter on and no rate limit per
+// address.
+func connLimitConfig(t *testing.T, text string) *config.OperatorSettings {
 	c, err := config.ParseOperatorSettings("test", []byte("door on\ndoor-arrivals-per-address 0\n"+text))
 	if err != nil {
 		t.Fatal(err)
@@ -306,10 +312,10 @@
 	return c
 }
 
-// floodWithConnections has untrusted clients hold connections and do a health check on each, from
-// ever new addresses, until it is stopped.
+// floodWithConnections opens connections from changing untrusted addresses, sends a health check on
+// each and holds them open, until ctx ends. It returns the number of dials.
 func (f *fixture) floodWithConnections(ctx context.Context, prefix string) *atomic.Int64 {
-	var tries atomic.Int64
+	var dials atomic.Int64
 	for i := range 8 {
 		go func() {
 			var held []net.Conn
@@ -317,7 +323,7 @@
 				from := net.ParseIP(fmt.Sprintf("%s.%d.%d", prefix, i, n%250+1))
 				dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: from}, Timeout: time.Second}
 				conn, err := dialer.DialContext(ctx, "tcp", f.server.startup.Listen)
-				tries.Add(1)
+				dials.Add(1)
 				if err != nil {
 					continue
 				}
@@ -332,5 +338,5 @@
 			}
 		}()
 	}
-	return &tries
+	return &dials
 }
--- a/internal/server/forwarding.go
+++ b/internal/server/forwarding.go
@@ -15,9 +15,9 @@
 // decides which requests are admitted and when, based on the learned typical run time, which here is
 // the round trip through the fleet.
 
-// forwardSafetyMargin is the part of a request's remaining time, in seconds, that is reserved for
+// forwardSafetyMarginSeconds is the part of a request's remaining time that is reserved for
 // returning the result; the worker gets the rest.
-const forwardSafetyMargin = 0.010
+const forwardSafetyMarginSeconds = 0.010
 
 // forwardingState is the state of a server that forwards its requests.
 type forwardingState struct {
@@ -55,17 +55,17 @@
 	})
 }
 
-// keepForForwarding saves a request's message, to be forwarded when the request runs.
-func (s *Server) keepForForwarding(request *requesttable.Request, message *rpc.Message) {
+// saveForForwarding saves a request's message, to be forwarded when the request runs.
+func (s *Server) saveForForwarding(request *requesttable.Request, message *rpc.Message) {
 	f := s.fleet.forwarding
 	if f == nil {
 		return
 	}
-	kept := *message
-	kept.Number = 0
-	kept.Body = nil // requesttable.Request holds the body
-	kept.Invalid = nil
-	f.messages[request.ID] = &kept
+	saved := *message
+	saved.Number = 0
+	saved.Body = nil // requesttable.Request holds the body
+	saved.Invalid = nil
+	f.messages[request.ID] = &saved
 }
 
 // startRun starts the run of a request, at a worker if the server is a forwarder, else at the
@@ -88,7 +88,7 @@
 		ID:               request.ID,
 		Class:            request.Class,
 		Message:          *state.messages[request.ID],
-		RemainingSeconds: request.ArrivedAt + timeout - s.now() - forwardSafetyMargin,
+		RemainingSeconds: request.ArrivedAt + timeout - s.now() - forwardSafetyMarginSeconds,
 	}
 	// A copy, because request.Body may be returned to its pool before the request is forwarded again.
 	forwarded.Message.Body = append([]byte(nil), request.Body...)
--- a/internal/server/graceful.go
+++ b/internal/server/graceful.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// lingerTimeout is how long, in seconds, the peer of a half-closed connection has to close its
+	// lingerTimeoutSeconds is how long the peer of a half-closed connection has to close its
 	// side: twice the 50 ms for which messages sent before the peer saw the close may still arrive.
-	lingerTimeout = 0.1
-	// mutedFlushTimeout is how long, in seconds, the client of a muted connection may leave its
+	lingerTimeoutSeconds = 0.1
+	// mutedFlushTimeoutSeconds is how long the client of a muted connection may leave its
 	// answers unread.
-	mutedFlushTimeout = 1.0
+	mutedFlushTimeoutSeconds = 1.0
 	// maxLingering bounds the number of lingering connections to half of the reserved descriptors.
 	// Over the limit the oldest is closed at once, which may reset it. A draining server does not
 	// apply the limit, as it needs no descriptors for other connections.
@@ -74,7 +74,7 @@
 		_ = conn.Close()
 		return
 	}
-	lingering := &lingeringConn{server: s, conn: conn, state: state, deadline: s.now() + lingerTimeout}
+	lingering := &lingeringConn{server: s, conn: conn, state: state, deadline: s.now() + lingerTimeoutSeconds}
 	conn.SetContext(lingering)
 	s.addLingering(lingering)
 }
@@ -135,7 +135,7 @@
 		case !client.unflushed && client.conn.OutboundBuffered() == 0:
 			client.closeGracefully()
 		case muted.deadline == 0:
-			muted.deadline = now + mutedFlushTimeout
+			muted.deadline = now + mutedFlushTimeoutSeconds
 			s.loop.timers.Schedule(muted.deadline, s.scheduleTurn)
 		case now >= muted.deadline:
 			client.closeNow()
--- a/internal/server/idle_bench_test.go
+++ b/internal/server/idle_bench_test.go
@@ -14,14 +14,13 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// BenchmarkIdleHeap tells from a heap profile what a connection that was known once and says
-// nothing keeps: what gnet keeps of it, what the server keeps, and of the former what each place
-// allocates. Run it alone:
+// BenchmarkIdleHeap measures the heap memory of an idle connection from a heap profile, by the
+// function of gnet or of the server that allocated it. Run it alone:
 //
 //	go test -run '^$' -bench IdleHeap -benchtime 1x -memprofilerate 1 ./internal/server
 func BenchmarkIdleHeap(b *testing.B) {
 	if runtime.MemProfileRate != 1 {
-		b.Skip("it needs -memprofilerate 1")
+		b.Skip("needs -memprofilerate 1")
 	}
 	logging.SetOutput(io.Discard)
 	const n = 4000
@@ -40,9 +39,9 @@
 	s.clients.limiter.SetIdleTimeout(1e9)
 	done := make(chan error, 1)
 	go func() { done <- s.Run() }()
-	open := holdChecked(b, addr, n)
-	for whose, bytes := range heapByOwner() {
-		b.ReportMetric(bytes/n, whose+"_B/conn")
+	open := openCheckedConns(b, addr, n)
+	for owner, bytes := range heapByOwner() {
+		b.ReportMetric(bytes/n, owner+"_B/conn")
 	}
 	b.ReportMetric(0, "ns/op")
 	for _, conn := range open {
@@ -54,14 +53,14 @@
 	}
 }
 
-// holdChecked opens connections, each with one health check that is answered.
-func holdChecked(b *testing.B, addr string, n int) (open []net.Conn) {
+// openCheckedConns opens connections, and waits for the answer to a health check on each.
+func openCheckedConns(b *testing.B, addr string, n int) (open []net.Conn) {
 	b.Helper()
 	for len(open) < n {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			if len(open) == 0 {
-				continue // it does not listen yet
+				continue // the server does not listen yet
 			}
 			b.Fatal(err)
 		}
@@ -74,36 +73,36 @@
 	return open
 }
 
-// heapByOwner is the heap in use, in bytes, that was allocated on the server's loop, by whose it
-// is.
+// heapByOwner returns the bytes of heap in use that were allocated on the server's loop, by owner as
+// allocationOwner names it.
 func heapByOwner() map[string]float64 {
 	runtime.GC()
-	runtime.GC() // the profile is that of the collection before the last
+	runtime.GC() // the profile describes the heap at the collection before the last one
 	records := make([]runtime.MemProfileRecord, 20000)
 	count, _ := runtime.MemProfile(records, false)
 	kept := map[string]float64{}
 	for _, r := range records[:count] {
-		if whose := allocationOwner(r.Stack()); whose != "" {
-			kept[whose] += float64(r.InUseBytes())
+		if owner := allocationOwner(r.Stack()); owner != "" {
+			kept[owner] += float64(r.InUseBytes())
 		}
 	}
 	return kept
 }
 
-// allocationOwner tells whose an allocation on the server's loop is: that of the innermost function
-// that is gnet's or the server's.
+// allocationOwner names the innermost function of gnet or of the server on the stack of an allocation.
+// It returns "" for an allocation that was not made on the server's loop.
 func allocationOwner(stack []uintptr) string {
-	var whose string
+	var owner string
 	onLoop := false
 	for frames := runtime.CallersFrames(stack); ; {
 		f, more := frames.Next()
 		name := f.Function
 		onLoop = onLoop || strings.Contains(name, "gnet/v2.(*eventloop)")
-		if whose == "" && strings.Contains(name, "gnet/v2") {
-			whose = "gnet_" + name[strings.LastIndex(name, ".")+1:]
+		if owner == "" && strings.Contains(name, "gnet/v2") {
+			owner = "gnet_" + name[strings.LastIndex(name, ".")+1:]
 		}
-		if whose == "" && strings.HasPrefix(name, "swiftcourse/") {
-			whose = "server_" + name[strings.LastIndex(name, ".")+1:]
+		if owner == "" && strings.HasPrefix(name, "swiftcourse/") {
+			owner = "server_" + name[strings.LastIndex(name, ".")+1:]
 		}
 		if !more {
 			break
@@ -112,7 +111,7 @@
 	if !onLoop {
 		return ""
 	}
-	return whose
+	return owner
 }
 
 var _ gnet.EventHandler = (*Server)(nil)
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -17,10 +17,10 @@
 // eventLoop is gnet's loop, the timers that run on it, and the system timer that wakes the loop
 // when the next of them is due.
 type eventLoop struct {
-	handle        gnet.EventLoop // nil until the first connection is open
-	ready         chan struct{}  // closed once handle is set
-	registerFirst registerFunc   // registers the first connection, before handle is set
-	ticked        bool           // OnTick has dialed; only the goroutine of gnet's ticker uses it
+	handle           gnet.EventLoop // nil until the first connection is open
+	ready            chan struct{}  // closed once handle is set
+	registerFirst    registerFunc   // registers the first connection, before handle is set
+	firstDialStarted bool           // OnTick has dialed; only the goroutine of gnet's ticker uses it
 
 	timers        timerwheel.Wheel
 	turn          gnet.Runnable // calls the server's runTurn
@@ -85,9 +85,9 @@
 	go l.waitAndExecute(context.Background(), f)
 }
 
-// every calls f on the loop repeatedly, at an interval in seconds; the first call is one interval
-// from now.
-func (s *Server) every(interval float64, f func()) {
+// scheduleEvery calls f on the loop repeatedly, at an interval in seconds. The first call is one
+// interval from now.
+func (s *Server) scheduleEvery(interval float64, f func()) {
 	var tick func()
 	tick = func() {
 		f()
@@ -99,8 +99,8 @@
 // OnTick dials the first connection. gnet calls it on a separate goroutine once the loop exists;
 // before that no connection can be registered.
 func (s *Server) OnTick() (time.Duration, gnet.Action) {
-	if !s.loop.ticked {
-		s.loop.ticked = true
+	if !s.loop.firstDialStarted {
+		s.loop.firstDialStarted = true
 		if s.fleet.forwarding != nil {
 			s.dialWith(s.loop.registerFirst, dialTarget{addressOf: registryAddress, handler: s.registry})
 		} else {
@@ -118,7 +118,7 @@
 	}
 	var handler connHandler
 	address := ""
-	if result, ok := conn.Context().(*dialed); ok {
+	if result, ok := conn.Context().(*dialResult); ok {
 		conn.SetContext(result.handler)
 		if result.addressOf(s.endpoints.Load()) != result.address { // the address changed meanwhile
 			s.dial(result.dialTarget)
@@ -144,7 +144,7 @@
 	s.loop.wakeup = time.AfterFunc(time.Hour, func() {
 		_ = loop.Execute(context.Background(), s.loop.turn)
 	})
-	s.every(statisticsInterval, s.logStatistics)
+	s.scheduleEvery(statisticsIntervalSeconds, s.logStatistics)
 	if s.fleet.forwarding == nil {
 		s.dial(dialTarget{addressOf: registryAddress, handler: s.registry})
 	}
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -13,14 +13,14 @@
 // even if the goroutine that renews the lease does not run.
 
 const (
-	// usageInterval is how often, in seconds, usage is measured and reported.
-	usageInterval = 0.1
+	// usageIntervalSeconds is how often usage is measured and reported.
+	usageIntervalSeconds = 0.1
 	// usageWeight is the weight of the latest measurement in the moving average, which covers about
 	// half a second. With a weight of 0.3, fluctuations of small demands took 1.5% of a quota away
 	// from the large demand.
 	usageWeight = 0.2
-	// minUsageRate is the least rate, in requests per second, that does not count as 0.
-	minUsageRate = 0.01
+	// minUsageRatePerSecond is the least rate, in requests per second, that does not count as 0.
+	minUsageRatePerSecond = 0.01
 )
 
 // QuotaUsage is the recent use of a quota.
@@ -56,7 +56,7 @@
 		nextExpiry: math.Inf(1),
 		report:     report,
 	}
-	s.every(usageInterval, s.reportQuotaUsage)
+	s.scheduleEvery(usageIntervalSeconds, s.reportQuotaUsage)
 }
 
 // ReportUpstreamCalls makes the server report the outcomes of upstream calls, by calling report on
@@ -201,16 +201,16 @@
 		quotas.reportCalls(quotas.calls)
 		quotas.calls = serving.CallStats{}
 	}
-	var used []QuotaUsage
+	var usages []QuotaUsage
 	for i := range quotas.allowances {
 		allowance := &quotas.allowances[i]
 		usage := s.usageOf(allowance)
 		if usage.Demand > 0 || usage.InFlight > 0 || allowance.LeaseExpiry > s.now() {
-			used = append(used, usage)
+			usages = append(usages, usage)
 		}
 	}
-	if used != nil {
-		quotas.report(used)
+	if usages != nil {
+		quotas.report(usages)
 	}
 }
 
@@ -223,9 +223,9 @@
 		// The rate is capped at the whole quota: a higher one has no meaning, and the average would
 		// take long to fall after the demand has moved to other servers.
 		rate := &q.rates[allowance.Tenant]
-		latest := min(float64(q.received[allowance.Tenant])/usageInterval, allowance.FleetMax)
+		latest := min(float64(q.received[allowance.Tenant])/usageIntervalSeconds, allowance.FleetMax)
 		*rate += usageWeight * (latest - *rate)
-		if *rate < minUsageRate {
+		if *rate < minUsageRatePerSecond {
 			*rate = 0
 		}
 	}
--- a/internal/server/quota_test.go
+++ b/internal/server/quota_test.go
@@ -8,7 +8,7 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// usageReports collects what the loop reports of its quotas.
+// usageReports collects the quota usage that the loop reports.
 type usageReports chan QuotaUsage
 
 func (r usageReports) add(list []QuotaUsage) {
@@ -20,23 +20,24 @@
 	}
 }
 
-// await waits for a report that matches.
-func (r usageReports) await(t *testing.T, what string, matches func(QuotaUsage) bool) {
+// await waits for a usage that matches; description names it in the failure message.
+func (r usageReports) await(t *testing.T, description string, matches func(QuotaUsage) bool) {
 	t.Helper()
-	for late := time.After(10 * time.Second); ; {
+	for timeout := time.After(10 * time.Second); ; {
 		select {
 		case usage := <-r:
 			if matches(usage) {
 				return
 			}
-		case <-late:
-			t.Fatalf("the loop does not report %s", what)
+		case <-timeout:
+			t.Fatalf("the loop did not report %s within 10 s", description)
 		}
 	}
 }
 
-// Nobody tells the loop when a leased share expires, and it reports by which grant it goes.
-func TestQuota_BindsByLoopClock(t *testing.T) {
+// The loop must apply each list of allowances, and report the usage of each quota with the number of
+// the grant that it applies.
+func TestQuota_AppliesAllowancesAndReportsUsage(t *testing.T) {
 	reports := make(usageReports, 256)
 	f := startServerWith(t, nil, nil, func(f *fixture) {
 		f.server.EnableQuota(reports.add)
@@ -53,7 +54,7 @@
 			},
 		})
 	})
-	reports.await(t, "by which grant it goes", func(u QuotaUsage) bool {
+	reports.await(t, "grant 7 of acme", func(u QuotaUsage) bool {
 		return u.Name == "acme" && u.GrantNumber == 7
 	})
 	client := f.dialClient()
@@ -63,34 +64,35 @@
 	f.executor.sendCall(1, "a1", "c")
 	acceptConn(t, f.upstreamListener).expect("FETCH a1 ")
 	f.executor.sendCall(2, "a2", "c")
-	reports.await(t, "that one call is out and another waits", func(u QuotaUsage) bool {
+	reports.await(t, "one call in flight and another waiting", func(u QuotaUsage) bool {
 		return u.Name == "calls" && u.InFlight == 1 && u.Demand == 2 && u.GrantNumber == 3
 	})
 	expiry := f.server.Now() + 60
 	f.server.SetAllowances([]serving.Allowance{
 		{Name: "calls", Tenant: -1, Guaranteed: 1, LeasedShare: 1, LeaseExpiry: expiry, GrantNumber: 4},
-		{Name: "acme", FleetMax: 1000, Tenant: 0, GrantNumber: 8}, // its lease expired, and nothing is guaranteed
+		{Name: "acme", FleetMax: 1000, Tenant: 0, GrantNumber: 8}, // no leased and no guaranteed share
 	})
 	acceptConn(t, f.upstreamListener).expect("FETCH a2 ")
 	client.send("%s", requestFrame(3, "a3", "x"))
 	if answer := client.readAnswer(); answer.Number != 3 || answer.Kind != rpc.ResponseRejected {
-		t.Errorf("with nothing allowed request %d ends as %v", answer.Number, answer.Kind)
+		t.Errorf("answer to message %d without an allowance is %v, want message 3 rejected",
+			answer.Number, answer.Kind)
 	}
-	reports.await(t, "what was asked for", func(u QuotaUsage) bool {
+	reports.await(t, "a demand of acme under grant 8", func(u QuotaUsage) bool {
 		return u.Name == "acme" && u.Demand > 0 && u.GrantNumber == 8
 	})
-	f.server.SetAllowances(nil) // the quotas are no more
+	f.server.SetAllowances(nil) // the quotas no longer exist
 	for n := byte(4); n < 9; n++ {
-		// The first may be read in the same instant, in which nothing is saved up yet.
+		// The first request may be read at the moment of the change, before any allowance has accrued.
 		client.send("%s", requestFrame(n, "b"+string(rune('a'+n)), "x"))
 		time.Sleep(20 * time.Millisecond)
 	}
 	if command := f.executor.readCommand(false); command["msg"] != "begin" {
-		t.Errorf("without quotas: %v", command)
+		t.Errorf("command %v after the quotas were removed, want begin", command)
 	}
 }
 
-// The loop's own clock ends a leased share.
+// A leased share must end by the loop's clock, without any call from outside.
 func TestQuota_LeasedShareExpiresWithoutNotice(t *testing.T) {
 	f := startServerWith(t, nil, nil, func(f *fixture) {
 		s := f.server
@@ -100,10 +102,11 @@
 			{Name: "acme", Tenant: 0, LeasedShare: 1e6, LeaseExpiry: expiry, BurstSeconds: 0.5},
 		})
 	})
-	time.Sleep(600 * time.Millisecond) // past its end
+	time.Sleep(600 * time.Millisecond) // until after the expiry
 	client := f.dialClient()
 	client.send("%s", requestFrame(1, "a1", "x"))
 	if answer := client.readAnswer(); answer.Number != 1 || answer.Kind != rpc.ResponseRejected {
-		t.Errorf("a request after the end of the lease ends as %v", answer.Kind)
+		t.Errorf("answer to message %d after the lease expired is %v, want message 1 rejected",
+			answer.Number, answer.Kind)
 	}
 }
--- a/internal/server/refuse.go
+++ b/internal/server/refuse.go
@@ -13,16 +13,16 @@
 	// was accepted with the spare descriptor.
 	refusalReadTimeout = 10 * time.Millisecond
 	// maxRefusedReads bounds how long one refused connection occupies the acceptor, in reads of
-	// refusalBufferSize each: twice what 32 requests with bodies of 2 KiB need.
-	maxRefusedReads   = 32
-	refusalBufferSize = 4 << 10
+	// refusalBufferBytes each: twice what 32 requests with bodies of 2 KiB need.
+	maxRefusedReads    = 32
+	refusalBufferBytes = 4 << 10
 )
 
 // refusal is a connection that is being refused.
 type refusal struct {
 	socket     acceptedSocket
 	deadline   time.Time // for the first message; the zero time for none
-	buffer     [refusalBufferSize]byte
+	buffer     [refusalBufferBytes]byte
 	buffered   int  // number of bytes in buffer, the start of an incomplete message
 	answered   bool // an answer was written
 	discarding bool // after malformed input or too long a message: the rest is discarded
--- a/internal/server/registry.go
+++ b/internal/server/registry.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// reportInterval is the interval of reports, in seconds; a registry entry expires after three
+	// reportIntervalSeconds is the interval of reports; a registry entry expires after three
 	// intervals. If a report is unanswered when the next one is due, it may have been lost: the next
 	// report goes over a new link. If health changes, the next report is due at once.
-	reportInterval = 1
-	// reportTolerance is how much earlier, in seconds, than after the full interval a report may be
+	reportIntervalSeconds = 1
+	// reportToleranceSeconds is how much earlier than after the full interval a report may be
 	// sent.
-	reportTolerance = 0.05
+	reportToleranceSeconds = 0.05
 )
 
 // registryLink reports the server's health to the registry, one report at a time.
 type registryLink struct {
 	dialedConn
-	server          *Server
-	awaitingReply   bool    // the last report has not been answered
-	reportedHealthy bool    // the health in the last report
-	reportedAt      float64 // when the last report was sent
-	ticking         bool    // periodic reports are scheduled
-	failedLinks     int     // consecutive links on which no report was answered
+	server           *Server
+	awaitingReply    bool    // the last report has not been answered
+	reportedHealthy  bool    // the health in the last report
+	reportedAt       float64 // when the last report was sent
+	reportsScheduled bool    // periodic reports are scheduled
+	failedLinks      int     // consecutive links on which no report was answered
 }
 
 func (r *registryLink) handleOpen(conn gnet.Conn, address string) error {
@@ -63,12 +63,12 @@
 	if server.decisions.controller == nil {
 		return // the server must not be listed before the executor is up
 	}
-	if !r.ticking {
-		r.ticking = true
-		server.every(reportInterval, r.report)
+	if !r.reportsScheduled {
+		r.reportsScheduled = true
+		server.scheduleEvery(reportIntervalSeconds, r.report)
 	}
 	healthy := server.isHealthy()
-	due := now > r.reportedAt+reportInterval-reportTolerance
+	due := now > r.reportedAt+reportIntervalSeconds-reportToleranceSeconds
 	switch {
 	case r.conn == nil:
 		return
--- a/internal/server/registry_test.go
+++ b/internal/server/registry_test.go
@@ -11,12 +11,12 @@
 	"swiftcourse/internal/logging"
 )
 
-// A registry answers with nonsense, without end, or in pieces: the server goes on reporting, over a
-// new link where it has to.
+// The server must go on reporting if the registry's replies are malformed, endless or sent in pieces.
+// After a malformed or endless reply it must use a new link.
 func TestRegistryLink_MalformedReplies(t *testing.T) {
 	reports := listenLoopback(t)
-	f := startUnready(t, func(s *config.Startup) { s.Registry = reports.Addr().String() }, nil)
-	f.executor.sendUp("seasoned", 3600000)
+	f := startBeforeExecutorUp(t, func(s *config.Startup) { s.Registry = reports.Addr().String() }, nil)
+	f.executor.sendFirstMessage("seasoned", 3600000)
 	malformed := []string{
 		"nonsense\r\n\r\n",
 		"HTTP/1.1 204 " + strings.Repeat("x", 20<<10),
@@ -28,7 +28,7 @@
 		r.expect(`{"duty":"on"}`)
 		r.send("%s", answer)
 		if _, err := r.in.ReadByte(); err == nil {
-			t.Errorf("after %.20q it goes on over the same link", answer)
+			t.Errorf("after the reply %.20q the server went on over the same link, want a new one", answer)
 		}
 	}
 	r := acceptConn(t, reports)
@@ -36,14 +36,14 @@
 	for _, piece := range []string{"HT", "TP/1.1 204 No Con", "tent\r\nContent-Length: 2\r", "\n\r\n", "o", "k"} {
 		r.send("%s", piece)
 	}
-	r.expect(`{"duty":"on"}`) // the next one, over the same link
+	r.expect(`{"duty":"on"}`) // the next report, over the same link
 }
 
-// A registry that is down from the start keeps nobody from being served, and is reported to once it
-// is there.
+// If the registry is down when the server starts, clients must still be served, and reports must
+// begin once the registry is up.
 func TestRegistryLink_DownAtStart(t *testing.T) {
-	f := startUnready(t, func(s *config.Startup) { s.Registry = "127.0.0.9:1" }, nil)
-	f.executor.sendUp("seasoned", 3600000)
+	f := startBeforeExecutorUp(t, func(s *config.Startup) { s.Registry = "127.0.0.9:1" }, nil)
+	f.executor.sendFirstMessage("seasoned", 3600000)
 	waitUntil(f, true, func(s *Server) bool { return s.decisions.controller != nil })
 	client := f.dialClient()
 	client.send("%s", requestFrame(1, "a1", "x"))
@@ -52,42 +52,41 @@
 	client.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
 	client.send("%s", healthCheck(1))
 	client.expect("\xc3\x80")
-	to := f.addresses()
-	f.server.SetEndpoints(to)
+	f.server.SetEndpoints(f.addresses())
 	if report := <-f.registry.Reports(); !report.Accepting {
-		t.Errorf("%+v", report)
+		t.Errorf("first report %+v, want accepting", report)
 	}
 }
 
 func TestRegistryLink_ReportsHealthChangeAtOnce(t *testing.T) {
 	logging.SetOutput(io.Discard)
 	s := New(&config.Startup{Addresses: config.Addresses{Registry: "127.0.0.9:1"}}, nil)
-	s.loop.handle = idleLoop{}
+	s.loop.handle = discardingLoop{}
 	s.decisions.controller = admission.New(1, admission.Settings{})
-	s.registry.conn = brokenConn{}
+	s.registry.conn = panickingConn{}
 	reports := func() int { return bytes.Count(bytes.Join(s.registry.out.Buffers(), nil), []byte("PUT ")) }
 	s.setHealthy(true)
-	s.setHealthy(true) // nothing new
+	s.setHealthy(true) // unchanged
 	if reports() != 1 {
-		t.Errorf("%d reports", reports())
+		t.Errorf("%d reports, want 1", reports())
 	}
 	if n, err := s.registry.handleData([]byte("HTTP/1.1 204 No Content\r\n\r\n")); n != 27 || err != nil {
-		t.Errorf("%d, %v", n, err)
+		t.Errorf("handled %d bytes, error %v; want 27, nil", n, err)
 	}
-	off := func(n int) {
+	expectUnhealthy := func(n int) {
 		t.Helper()
 		text := string(bytes.Join(s.registry.out.Buffers(), nil))
 		if reports() != n || !strings.HasSuffix(text, `{"duty":"off"}`) {
-			t.Errorf("%q", text)
+			t.Errorf("pending output %q, want %d reports, the last one of duty off", text, n)
 		}
 	}
 	s.setHealthy(false)
-	off(2)
-	s.setHealthy(true) // while the answer may never come: over a new link
+	expectUnhealthy(2)
+	s.setHealthy(true) // while a report is unanswered: the change must go over a new link
 	s.setHealthy(false)
 	if s.registry.conn != nil {
-		t.Error("waits for an answer")
+		t.Error("the link with an unanswered report was kept, want a new one")
 	}
-	_ = s.registry.handleOpen(brokenConn{}, "")
-	off(1)
+	_ = s.registry.handleOpen(panickingConn{}, "")
+	expectUnhealthy(1)
 }
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -10,10 +10,10 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// maxClockSkew is how much, in seconds, a request's arrival time may differ from the server's clock.
+// maxClockSkewSeconds is how much a request's arrival time may differ from the server's clock.
 // It is longer than any pause of a machine. A limit is needed as the controller learns from the ages
 // of requests.
-const maxClockSkew = 60
+const maxClockSkewSeconds = 60
 
 // requestKind is the class and tenant of a request, as indexes into the deployment's settings.
 type requestKind struct{ class, tenant int }
@@ -30,7 +30,7 @@
 		c.rejectInvalid(message.Number, err, now)
 		return nil
 	}
-	if c.rejectAtOnce(message.Number, kind, now) {
+	if c.rejectEarly(message.Number, kind, now) {
 		return nil
 	}
 	request := &requesttable.Request{
@@ -47,7 +47,7 @@
 	c.addRequest(request, now)
 	server.requests.Add(request)
 	server.countReceived(kind)
-	server.keepForForwarding(request, message)
+	server.saveForForwarding(request, message)
 	server.queueArrival(request, message, now)
 	return nil
 }
@@ -62,14 +62,14 @@
 	case message.Invalid != nil:
 		return kind, message.Invalid
 	case !classKnown:
-		return kind, &invalidFieldError{"class", message.Class, errUnknownName}
+		return kind, &invalidFieldError{"class", message.Class, errNotConfigured}
 	case !tenantKnown && len(server.startup.TenantIndex) > 0:
-		return kind, &invalidFieldError{"tenant", message.Tenant, errUnknownName}
+		return kind, &invalidFieldError{"tenant", message.Tenant, errNotConfigured}
 	case message.NoTimeout && server.startup.Settings.DeadlinePropagation:
 		return kind, errMissingTimeout
 	case len(c.requests) >= maxRequestsPerConn:
-		return kind, errTooManyOpen
-	case math.Abs(message.ArrivedAt-now) > maxClockSkew:
+		return kind, errTooManyRequests
+	case math.Abs(message.ArrivedAt-now) > maxClockSkewSeconds:
 		return kind, clockSkewError(message.ArrivedAt - now)
 	case server.requests.Get(message.ID) != nil:
 		return kind, &invalidFieldError{"request ID", message.ID, errDuplicateID}
@@ -107,18 +107,18 @@
 	c.writeScratch()
 }
 
-// rejectAtOnce rejects a request that must not reach the controller, and reports whether it did so.
-func (c *clientConn) rejectAtOnce(number uint64, kind requestKind, now float64) bool {
+// rejectEarly rejects a request that must not reach the controller, and reports whether it did so.
+func (c *clientConn) rejectEarly(number uint64, kind requestKind, now float64) bool {
 	s := c.server
 	switch {
 	case s.decisions.controller == nil: // the executor is not up yet, so the request can't run
-		s.countRejectedAtOnce(kind)
+		s.countRejectedEarly(kind)
 		c.rejectMessage(number, s.health.loadReport, now)
 	case s.outOfServiceAt(now):
-		s.countRejectedAtOnce(kind)
+		s.countRejectedEarly(kind)
 		c.rejectOutOfService(number, now)
 	case !s.clients.limiter.MayOpenRequest(c.slot()):
-		s.countRejectedAtOnce(kind)
+		s.countRejectedEarly(kind)
 		c.rejectAtLimit(number, now)
 	default:
 		return false
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -78,11 +78,11 @@
 // decisions is the admission controller, the events for its next decision, and the executor's
 // gauges, which timer events carry.
 type decisions struct {
-	controller *admission.Controller // nil until the executor is up
-	pending    []admission.Event     // the next batch
-	spare      []admission.Event     // the previous batch, whose memory is reused
-	gauges     admission.Gauges      // the latest reading
-	gaugesAt   float64               // when the latest reading was received
+	controller    *admission.Controller // nil until the executor is up
+	pending       []admission.Event     // the next batch
+	previousBatch []admission.Event     // the previous batch, whose memory is reused
+	gauges        admission.Gauges      // the latest reading
+	gaugesAt      float64               // when the latest reading was received
 }
 
 // health is the server's health and load, as reported to the registry and to clients.
@@ -103,9 +103,9 @@
 	forwarding *forwardingState // nil unless the server is a forwarder
 }
 
-// resultCacheShare is the divisor of the memory limit that bounds cached results: an eighth, the
-// same as for output that clients leave unread.
-const resultCacheShare = 8
+// resultCacheMemoryDivisor is the divisor of the memory limit that bounds cached results: an eighth,
+// the same as for output that clients leave unread.
+const resultCacheMemoryDivisor = 8
 
 // New creates a server; Run starts it. The operator's settings are nil without an operator's file.
 func New(startup *config.Startup, operator *config.OperatorSettings) *Server {
@@ -113,7 +113,7 @@
 		startup:  startup,
 		clock:    newClock(),
 		requests: requesttable.New(),
-		results:  resultcache.New(int(startup.MemoryBytes / resultCacheShare)),
+		results:  resultcache.New(int(startup.MemoryBytes / resultCacheMemoryDivisor)),
 		drain:    newDrainState(),
 	}
 	server.lifetime.begin()
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -11,15 +11,15 @@
 
 func TestServer_TablesReturnToEmpty(t *testing.T) {
 	f := startServer(t, nil)
-	below, err := upstream.Start("127.0.0.9:0", func(n int, _ wirecatalogue.Call) upstream.Response {
+	fakeUpstream, err := upstream.Start("127.0.0.9:0", func(n int, _ wirecatalogue.Call) upstream.Response {
 		return upstream.Response{Body: []byte("d"), Disconnect: n%5 == 0} // every fifth call breaks its connection
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer below.Close()
+	defer fakeUpstream.Close()
 	addresses := f.addresses()
-	addresses.Upstream = below.Addr()
+	addresses.Upstream = fakeUpstream.Addr()
 	f.server.SetEndpoints(addresses)
 	serial := 0
 	next := func() int { serial++; return serial }
@@ -27,7 +27,7 @@
 		client, id := f.dialClient(), fmt.Sprint("t", i)
 		client.send("%s", requestFrame(1, id, "x", withTimeout(3), withSubject(id)))
 		f.executor.expectCommand("begin", id)
-		if i%3 == 0 { // the client leaves; its run ends all the same
+		if i%3 == 0 { // the client leaves, and its run ends after that
 			_ = client.Close()
 			f.executor.sendCompletion(next(), id, "aborted", "")
 			continue
@@ -41,11 +41,11 @@
 			_ = f.executor.Close()
 			f.executor = acceptConn(t, f.executorListener)
 			f.executor.readCommand(false)
-			f.executor.sendUp("seasoned", 1)
+			f.executor.sendFirstMessage("seasoned", 1)
 			f.executor.readCommand(true)
 		}
 	}
-	go func() { // goes on giving gauges, so that nothing waits for them
+	go func() { // reads the executor's commands, so that the server's output does not block
 		for {
 			if _, err := f.executor.in.ReadByte(); err != nil {
 				return
@@ -58,14 +58,14 @@
 		got = query(f, sizesOf)
 	}
 	if got != want {
-		t.Errorf("%+v", got)
+		t.Errorf("table sizes %+v, want all 0", got)
 	}
 }
 
-// tableSizes is what a server keeps.
+// tableSizes holds the sizes of a server's tables.
 type tableSizes struct {
 	requests, results, calls, upstreamConns, clients, buffers, events int
-	extraTimers                                                       int // over ten, which are always there
+	extraTimers                                                       int // above the ten that are always scheduled
 }
 
 func sizesOf(s *Server) tableSizes {
--- a/internal/server/statistics.go
+++ b/internal/server/statistics.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// statisticsInterval is how often, in seconds, statistics are logged: rarely enough for people to
+	// statisticsIntervalSeconds is how often statistics are logged: rarely enough for people to
 	// read them.
-	statisticsInterval = 10
-	// peerFaultLogInterval is the least time, in seconds, between two log lines about faults of
+	statisticsIntervalSeconds = 10
+	// peerFaultLogIntervalSeconds is the least time between two log lines about faults of
 	// peers.
-	peerFaultLogInterval = 1
+	peerFaultLogIntervalSeconds = 1
 )
 
 // statistics holds the counts and measurements since they were last logged.
@@ -76,10 +76,10 @@
 }
 
 // allowPeerFaultLog reports whether a fault of a peer may be logged now, and if so records the time.
-// At most one line per peerFaultLogInterval is allowed; the statistics count all faults.
+// At most one line per peerFaultLogIntervalSeconds is allowed; the statistics count all faults.
 func (s *Server) allowPeerFaultLog() bool {
 	now := s.now()
-	if now < s.statistics.peerFaultLoggedAt+peerFaultLogInterval {
+	if now < s.statistics.peerFaultLoggedAt+peerFaultLogIntervalSeconds {
 		return false
 	}
 	s.statistics.peerFaultLoggedAt = now
--- a/internal/server/sweep.go
+++ b/internal/server/sweep.go
@@ -3,11 +3,11 @@
 import "slices"
 
 const (
-	// sweepInterval is how often, in seconds, sweep runs.
-	sweepInterval = 0.5
-	// unreadMemoryShare is the divisor of the memory limit that bounds the output which all clients
+	// sweepIntervalSeconds is how often sweep runs.
+	sweepIntervalSeconds = 0.5
+	// unreadMemoryDivisor is the divisor of the memory limit that bounds the output which all clients
 	// together may leave unread.
-	unreadMemoryShare = 8
+	unreadMemoryDivisor = 8
 )
 
 // sweep drops expired cached results, closes upstream connections that have been idle for too long,
@@ -22,23 +22,23 @@
 // closeLargestBacklog closes the connection with the largest backlog if the total of all backlogs
 // exceeds the limit.
 func (s *Server) closeLargestBacklog() {
-	unread := 0
+	total := 0
 	largest := 0
-	var worst *bufferedConn
+	var largestConn *bufferedConn
 	s.output.lagging = slices.DeleteFunc(s.output.lagging, func(c *bufferedConn) bool {
 		backlog := c.conn.OutboundBuffered()
-		unread += backlog
+		total += backlog
 		if backlog > largest {
 			largest = backlog
-			worst = c
+			largestConn = c
 		}
 		c.lagging = backlog > 0
 		return backlog == 0
 	})
-	if worst == nil || unread <= int(s.startup.MemoryBytes/unreadMemoryShare) {
+	if largestConn == nil || total <= int(s.startup.MemoryBytes/unreadMemoryDivisor) {
 		return
 	}
-	if client, ok := worst.conn.Context().(*clientConn); ok {
+	if client, ok := largestConn.conn.Context().(*clientConn); ok {
 		client.closeNow()
 	}
 }
--- a/internal/server/testconn_test.go
+++ b/internal/server/testconn_test.go
@@ -14,11 +14,11 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// testTimeout is how long the tests wait for what must come; nothing is asserted of how soon it
-// does.
+// testTimeout is how long the tests wait for expected events. The tests do not check how soon within
+// it an event occurs.
 const testTimeout = 20 * time.Second
 
-// testConn is the stand-in's end of a connection.
+// testConn is the test's end of a connection to the server.
 type testConn struct {
 	t *testing.T
 	net.Conn
@@ -26,7 +26,8 @@
 }
 
 func listenLoopback(t *testing.T) net.Listener {
-	listener, err := net.Listen("tcp", "127.0.0.9:0") // not where dials come from, whose ports could clash
+	// Not 127.0.0.1, where the ports of outgoing connections could clash.
+	listener, err := net.Listen("tcp", "127.0.0.9:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,14 +60,14 @@
 	}
 }
 
-// expect reads up to and with the text.
+// expect reads up to the end of a text, and returns everything it read.
 func (e *testConn) expect(text string) string {
 	e.t.Helper()
 	var got []byte
 	for !bytes.HasSuffix(got, []byte(text)) {
 		b, err := e.in.ReadByte()
 		if err != nil {
-			e.t.Fatalf("%v; got %q, not yet %q", err, got, text)
+			e.t.Fatalf("error %v after %q, want %q", err, got, text)
 		}
 		got = append(got, b)
 	}
@@ -96,12 +97,12 @@
 	e.t.Helper()
 	command := e.readCommand(false)
 	if command["msg"] != msg || command["call"] != call {
-		e.t.Fatalf("got %v, want %s %s", command, msg, call)
+		e.t.Fatalf("got command %v, want %s for request %s", command, msg, call)
 	}
 	return command
 }
 
-// requestFrame is a request as a client writes it.
+// requestFrame returns an encoded request.
 func requestFrame(number byte, call, body string, change ...func(*rpc.Message)) string {
 	message := &rpc.Message{
 		Number:    uint64(number),
@@ -125,8 +126,8 @@
 	return func(message *rpc.Message) { message.Timeout = seconds }
 }
 
-func withSubject(row string) func(*rpc.Message) {
-	return func(message *rpc.Message) { message.Subject = row }
+func withSubject(subject string) func(*rpc.Message) {
+	return func(message *rpc.Message) { message.Subject = subject }
 }
 
 func withArrival(at float64) func(*rpc.Message) {
@@ -137,7 +138,7 @@
 
 const resultPrefix = "\xc0\x92\xc4" // no error, and a result of under 256 bytes
 
-// What follows answerPrefix.
+// The starts of answers after answerPrefix.
 const (
 	failedPayload   = "\x92\xa6Failed"
 	rejectedPayload = "\x92\xa4Busy"
@@ -150,20 +151,20 @@
 
 func answerPrefix(number byte) string { return string([]byte{0x94, 1, number}) }
 
-// completionLine is the notice that a run ended: its number, its call, how it ended and its result
-// in base64.
+// completionLine is the format of the notice that a run ended. Its arguments are the notice's number,
+// the request ID, the outcome and the result in base64.
 const completionLine = `{"msg":"complete","serial":%d,"call":"%s","how":"%s","duration":5,"blob":"%s"}` + "\n"
 
-func (e *testConn) sendCompletion(serial int, call, how, result string) {
+func (e *testConn) sendCompletion(serial int, call, outcome, result string) {
 	e.t.Helper()
-	e.send(completionLine, serial, call, how, base64.StdEncoding.EncodeToString([]byte(result)))
+	e.send(completionLine, serial, call, outcome, base64.StdEncoding.EncodeToString([]byte(result)))
 }
 
-// sendUp is the executor's first word: whether it is fresh or seasoned, and how long ago it
-// started.
-func (e *testConn) sendUp(how string, milliseconds int) {
+// sendFirstMessage sends the executor's first message: its state, fresh or seasoned, and how long
+// ago it started.
+func (e *testConn) sendFirstMessage(state string, milliseconds int) {
 	e.t.Helper()
-	e.send(`{"msg":"hi","how":"%s","duration":%d}`+"\n", how, milliseconds)
+	e.send(`{"msg":"hi","how":"%s","duration":%d}`+"\n", state, milliseconds)
 }
 
 func (e *testConn) sendCall(serial int, call, body string) {
@@ -172,7 +173,7 @@
 		base64.StdEncoding.EncodeToString([]byte(body)))
 }
 
-// readAnswer reads the next answer that a client gets.
+// readAnswer reads the next answer to a client.
 func (e *testConn) readAnswer() rpc.Response {
 	e.t.Helper()
 	var got []byte
@@ -192,7 +193,7 @@
 	}
 }
 
-// healthCheck is a health check as a client sends it.
+// healthCheck returns an encoded health check.
 func healthCheck(number byte) string {
 	return "\x94\x00" + string([]byte{number}) + "\xa6isWell\x91\x80"
 }
--- a/internal/server/trust.go
+++ b/internal/server/trust.go
@@ -9,14 +9,14 @@
 // This file exchanges the addresses of trusted clients with the other servers of the fleet, so that a
 // restarted server trusts them without delay.
 
-// trustReportInterval is how often, in seconds, trusted clients are reported. It can be long: a
+// trustReportIntervalSeconds is how often trusted clients are reported. It can be long: a
 // client takes three seconds to earn trust and keeps it for minutes.
-const trustReportInterval = 2.0
+const trustReportIntervalSeconds = 2.0
 
 // ReportTrustedClients makes the server call report periodically with the clients that it trusts, at
 // most limit of them. It must be called before Run.
 func (s *Server) ReportTrustedClients(report func([]connlimit.TrustedClient), limit int) {
-	s.every(trustReportInterval, func() {
+	s.scheduleEvery(trustReportIntervalSeconds, func() {
 		report(s.clients.limiter.TrustedClients(s.now(), limit))
 	})
 }
--- a/internal/server/turn.go
+++ b/internal/server/turn.go
@@ -15,10 +15,10 @@
 	// rest run in later turns, after new input was read. The wakeup timer starts those turns, not
 	// scheduleTurn, because gnet runs the functions queued on its loop before it polls for input.
 	maxTimersPerTurn = 64
-	// gaugeMaxAge is how long, in seconds, a reading of the gauges is valid. A reading is requested
+	// gaugeMaxAgeSeconds is how long a reading of the gauges is valid. A reading is requested
 	// just before each timer, so an older one means that the executor did not answer; its load is
 	// then unknown.
-	gaugeMaxAge = 0.1
+	gaugeMaxAgeSeconds = 0.1
 )
 
 // queueEvent appends an event to the next batch.
@@ -71,7 +71,7 @@
 	}
 	s.statistics.turns++
 	batch := d.pending
-	d.pending = d.spare[:0]
+	d.pending = d.previousBatch[:0]
 	for i := range batch {
 		s.refreshEvent(&batch[i], now)
 	}
@@ -79,7 +79,7 @@
 		directive.Stats.Batches.Add(1)
 	}
 	s.executeActions(d.controller.Decide(now, batch), now)
-	d.spare = batch
+	d.previousBatch = batch
 }
 
 // nextWakeup returns when the next turn is due if no input arrives before. The present turn began
@@ -139,7 +139,7 @@
 // refreshTimer sets the gauges of a timer event: the latest reading, or unknown if it is too old.
 func (s *Server) refreshTimer(event *admission.Event, now float64) {
 	age := now - s.decisions.gaugesAt
-	if age > gaugeMaxAge {
+	if age > gaugeMaxAgeSeconds {
 		event.Gauges = unknownGauges()
 		s.statistics.timersWithoutGauges++
 		return
--- a/internal/server/upstream.go
+++ b/internal/server/upstream.go
@@ -16,18 +16,18 @@
 	// maxCallsPerConn bounds the calls made over one connection, and so the request IDs that the
 	// connection remembers. The cost of a dial for every 32nd call is negligible.
 	maxCallsPerConn = 32
-	// upstreamIdleTimeout is how long, in seconds, an idle connection is kept. It is short because
-	// the upstream may drop an idle connection, which breaks the next call on it; the upstream closes
+	// upstreamIdleTimeoutSeconds is how long an idle connection is kept. It is short because the
+	// upstream may drop an idle connection, which breaks the next call on it; the upstream closes
 	// them after 10 s. Under load the most recently used ones are reused within 0.1 s.
-	upstreamIdleTimeout = 1.0
-	// maxUpstream bounds the upstream connections of a server with 1,024 descriptors or more. One
-	// core never has more calls in flight.
-	maxUpstream = 256
-	// upstreamShare is the divisor of the descriptors that bounds upstream connections; clients are
-	// entitled to half of all descriptors.
-	upstreamShare = 4
-	// lossLogInterval is the least time, in seconds, between two log lines about lost connections.
-	lossLogInterval = 1
+	upstreamIdleTimeoutSeconds = 1.0
+	// upstreamConnLimit bounds the upstream connections of a server with 1,024 descriptors or more.
+	// One core never has more calls in flight.
+	upstreamConnLimit = 256
+	// upstreamDescriptorDivisor is the divisor of the descriptors that bounds upstream connections;
+	// clients are entitled to half of all descriptors.
+	upstreamDescriptorDivisor = 4
+	// lossLogIntervalSeconds is the least time between two log lines about lost connections.
+	lossLogIntervalSeconds = 1
 )
 
 // upstreamPool holds the connections to the upstream, and the calls in flight or waiting.
@@ -54,7 +54,9 @@
 }
 
 // maxUpstreamConns returns the limit on upstream connections.
-func (s *Server) maxUpstreamConns() int { return min(s.startup.MaxSockets/upstreamShare, maxUpstream) }
+func (s *Server) maxUpstreamConns() int {
+	return min(s.startup.MaxSockets/upstreamDescriptorDivisor, upstreamConnLimit)
+}
 
 // assignCall assigns a call to an idle connection or to a new one; at the limit the call waits.
 func (s *Server) assignCall(call *upstreamCall) {
@@ -73,7 +75,7 @@
 	conn := &upstreamConn{server: s}
 	pool.all = append(pool.all, conn)
 	conn.assign(call)
-	conn.cancelDial = s.dial(dialTarget{addressOf: upstreamAddress, handler: conn, once: true})
+	conn.cancelDial = s.dial(dialTarget{addressOf: upstreamAddress, handler: conn, singleAttempt: true})
 }
 
 // takeIdle removes an idle connection that can be used for a call from the pool, and returns it, or
@@ -88,7 +90,7 @@
 	pool := &s.upstream
 	for i := len(pool.idle) - 1; i >= 0; i-- {
 		conn := pool.idle[i]
-		if now-conn.idleSince <= upstreamIdleTimeout && !slices.Contains(conn.requestIDs, call.request.ID) {
+		if now-conn.idleSince <= upstreamIdleTimeoutSeconds && !slices.Contains(conn.requestIDs, call.request.ID) {
 			pool.idle = slices.Delete(pool.idle, i, i+1)
 			conn.idleFor = now - conn.idleSince
 			return conn
@@ -110,10 +112,10 @@
 	}
 }
 
-// closeIdleUpstream closes connections that have been idle for longer than upstreamIdleTimeout.
+// closeIdleUpstream closes connections that have been idle for longer than upstreamIdleTimeoutSeconds.
 func (s *Server) closeIdleUpstream(now float64) {
 	for _, conn := range slices.Clone(s.upstream.idle) {
-		if now-conn.idleSince > upstreamIdleTimeout {
+		if now-conn.idleSince > upstreamIdleTimeoutSeconds {
 			conn.retire()
 		}
 	}
@@ -168,7 +170,7 @@
 func (c *upstreamConn) handleOpen(conn gnet.Conn, address string) error {
 	c.attach(conn, address)
 	if c.call == nil {
-		return errNoPendingCall
+		return errCallEnded
 	}
 	c.sendCall()
 	return nil
@@ -199,11 +201,11 @@
 	server.failCall(call, end)
 }
 
-// logLoss logs that a connection broke during a call, at most once per lossLogInterval.
+// logLoss logs that a connection broke during a call, at most once per lossLogIntervalSeconds.
 func (c *upstreamConn) logLoss(call *upstreamCall, err error) {
 	s := c.server
 	now := s.now()
-	if now <= s.upstream.lossLoggedAt+lossLogInterval {
+	if now <= s.upstream.lossLoggedAt+lossLogIntervalSeconds {
 		return
 	}
 	s.upstream.lossLoggedAt = now
@@ -227,7 +229,7 @@
 		}
 	}
 	if n < len(data) && !c.retired {
-		return n, fmt.Errorf("%w: %d bytes", errUnexpectedReply, len(data)-n)
+		return n, fmt.Errorf("%w: %d bytes", errUnexpectedData, len(data)-n)
 	}
 	return len(data), nil
 }
--- a/internal/server/upstream_call.go
+++ b/internal/server/upstream_call.go
@@ -5,9 +5,9 @@
 	"swiftcourse/internal/requesttable"
 )
 
-// callTimeoutGrace is how long, in seconds, after a call's timeout the server gives up waiting: the
+// callTimeoutGraceSeconds is how long after a call's timeout the server gives up waiting: the
 // upstream reports the timeout itself, and its reply should arrive first.
-const callTimeoutGrace = 0.005
+const callTimeoutGraceSeconds = 0.005
 
 // upstreamCall is a call in flight or waiting for a connection.
 type upstreamCall struct {
@@ -29,7 +29,7 @@
 	call := &upstreamCall{request: request, startedAt: now, deadline: now + timeout}
 	s.statistics.calls++
 	s.upstream.calls[request.ID] = call
-	s.loop.timers.Schedule(call.deadline+callTimeoutGrace, func() { s.expireCall(call) })
+	s.loop.timers.Schedule(call.deadline+callTimeoutGraceSeconds, func() { s.expireCall(call) })
 	s.assignCall(call)
 }
 
