--- a/internal/fleet/control_keys_test.go
+++ b/internal/fleet/control_keys_test.go
@@ -10,9 +10,9 @@
 	"swiftcourse/internal/policy/release"
 )
 
-// The keys of the control API are what operators' programs read: they stay when a Go field is
-// renamed.
-func TestControlAPI_KeysStay(t *testing.T) {
+// Operators' programs depend on the JSON keys of the control API, so renaming a Go field must not
+// change them.
+func TestControlAPI_KeysMatchGoldenFile(t *testing.T) {
 	golden, err := os.ReadFile("testdata/control_api_keys.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -39,36 +39,37 @@
 	slices.Sort(want)
 	for _, key := range want {
 		if _, found := slices.BinarySearch(got, key); !found {
-			t.Errorf("missing: %s", key)
+			t.Errorf("control API has no key %q, want it as the golden file lists it", key)
 		}
 	}
 	for _, key := range got {
 		if _, found := slices.BinarySearch(want, key); !found {
-			t.Errorf("new: %s", key)
+			t.Errorf("control API has key %q, want only the keys of the golden file", key)
 		}
 	}
 }
 
-// collectKeys collects the paths of all JSON values within a type, with their kinds.
-func collectKeys(of reflect.Type, path string, keys map[string]bool) {
-	switch of.Kind() {
+// collectKeys adds the paths and kinds of all JSON values within a type to keys.
+func collectKeys(typ reflect.Type, path string, keys map[string]bool) {
+	switch typ.Kind() {
 	case reflect.Pointer, reflect.Slice:
-		collectKeys(of.Elem(), path, keys)
+		collectKeys(typ.Elem(), path, keys)
 	case reflect.Map:
-		collectKeys(of.Elem(), path+".*", keys)
+		collectKeys(typ.Elem(), path+".*", keys)
 	case reflect.Struct:
-		for i := range of.NumField() {
-			field := of.Field(i)
+		for i := range typ.NumField() {
+			field := typ.Field(i)
 			if field.IsExported() {
 				collectKeys(field.Type, fieldPath(path, field), keys)
 			}
 		}
 	default:
-		keys[path+" "+of.Kind().String()] = true
+		keys[path+" "+typ.Kind().String()] = true
 	}
 }
 
-// fieldPath returns the path of a field's value; that of an embedded struct is the struct's own.
+// fieldPath returns the JSON path of a field. The path of an embedded struct without a key is that of
+// the enclosing struct.
 func fieldPath(path string, field reflect.StructField) string {
 	key, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 	if key == "" && field.Anonymous {
--- a/internal/policy/quota/simulation_test.go
+++ b/internal/policy/quota/simulation_test.go
@@ -5,64 +5,65 @@
 	"math/rand/v2"
 )
 
-// fatalReporter is what a simulation needs of *testing.T and *rapid.T.
-type fatalReporter interface {
+// testReporter has the methods of *testing.T and *rapid.T that a simulation needs.
+type testReporter interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// simulation plays servers and grantors in simulated time beside a plain account of all that is used,
-// which sees everything.
+// simulation runs servers and grantors in simulated time. It keeps an exact record of all units in
+// use, against which check tests the limits.
 type simulation struct {
-	t               fatalReporter
-	random          *rand.Rand
-	now             float64
-	config          Config
-	grantor         *Grantor
-	previous        *Grantor // its term is over, yet it replies until previousUntil
-	previousUntil   float64
-	servers         []*simulatedServer
-	inTransit       []delivery
-	lastIncarnation uint64
-	messageLoss     float64 // probability
-	meanDelay       float64
-	leaderless      bool
-	inUse           []unit  // of the concurrent limit
-	stillLeased     float64 // of a rate that was lowered, what may still be leased out
+	t                testReporter
+	random           *rand.Rand
+	now              float64
+	config           Config
+	grantor          *Grantor
+	previous         *Grantor // the replaced leader's grantor, which still replies until previousUntil
+	previousUntil    float64
+	servers          []*simulatedServer
+	inTransit        []delivery
+	lastIncarnation  uint64
+	messageLoss      float64 // probability
+	meanDelaySeconds float64
+	leaderless       bool    // no majority confirms the current leader
+	inUse            []unit  // units of the concurrent limit
+	maxStillLeased   float64 // after a rate was lowered, the sum that may still be leased
 }
 
-// delivery is a message that arrives at a time.
+// delivery is a message in transit.
 type delivery struct {
-	at     float64
-	handle func()
+	arrivesAt float64
+	handle    func()
 }
 
-// unit is in use until it ends, also when its server is gone.
+// unit is one unit of the concurrent limit. It stays in use until endsAt even if its server
+// terminates.
 type unit struct {
-	owner *simulatedServer
-	ends  float64
+	owner  *simulatedServer
+	endsAt float64
 }
 
 type simulatedServer struct {
 	holder      *Holder
 	incarnation uint64
-	clockRate   float64
-	clockOffset float64
+	clockRate   float64 // seconds of the server's clock in a second of simulated time
+	clockOffset float64 // the server's clock at simulated time 0
 	paused      bool
 	partitioned bool
 	demand      float64
-	published   map[string]Allowance // to its loop
-	applied     map[string]Allowance // what that goes by
+	published   map[string]Allowance // what the holder has passed to the event loop
+	enforced    map[string]Allowance // what the event loop enforces
 }
 
 func (s *simulatedServer) clock(now float64) float64 { return s.clockOffset + s.clockRate*now }
 
 func (s *simulatedServer) limitAt(name string, now float64) float64 {
-	allowance := s.applied[name]
+	allowance := s.enforced[name]
 	return allowance.LimitAt(s.clock(now))
 }
 
-// publish passes on what the holder says may be used.
+// publish passes the holder's changed allowances to the event loop.
 func (s *simulatedServer) publish() {
 	list := s.holder.TakeChanges()
 	if list == nil {
@@ -75,10 +76,10 @@
 }
 
 const (
-	rateLimit       = "rate"
-	concurrentLimit = "concurrent"
-	simulationStep  = 0.05
-	// tolerance is for rounding in sums.
+	rateLimit             = "rate"
+	concurrentLimit       = "concurrent"
+	simulationStepSeconds = 0.05
+	// tolerance allows for rounding errors in sums.
 	tolerance = 1e-9
 )
 
@@ -87,16 +88,16 @@
 	{Name: concurrentLimit, Max: 60, Concurrent: true, LingerSeconds: 1.5},
 }
 
-func newSimulation(t fatalReporter, seed uint64, servers int) *simulation {
+func newSimulation(t testReporter, seed uint64, servers int) *simulation {
 	t.Helper()
 	s := &simulation{
-		t:         t,
-		random:    rand.New(rand.NewPCG(seed, 5)),
-		meanDelay: 0.05,
-		config:    Config{LeaseSeconds: 3, FloorFraction: 0.1, MaxServers: max(servers, 6), Limits: testLimits},
+		t:                t,
+		random:           rand.New(rand.NewPCG(seed, 5)),
+		meanDelaySeconds: 0.05,
+		config:           Config{LeaseSeconds: 3, FloorFraction: 0.1, MaxServers: max(servers, 6), Limits: testLimits},
 	}
 	if err := s.config.Validate(); err != nil {
-		t.Fatalf("%v", err)
+		t.Fatalf("Validate() of the simulated configuration = %v, want nil", err)
 	}
 	s.electLeader()
 	for range servers {
@@ -115,11 +116,12 @@
 	server.holder = NewHolder(server.incarnation, s.config, server.clock(s.now))
 	server.demand = 40 * s.random.Float64()
 	server.publish()
-	server.applied = server.published
+	server.enforced = server.published
 	return server
 }
 
-// electLeader has another voter lead; the one before replies for as long as its last confirmation counts.
+// electLeader replaces the leader. The previous one still replies while its last confirmation is
+// valid.
 func (s *simulation) electLeader() {
 	if s.grantor != nil {
 		s.previous = s.grantor
@@ -129,16 +131,17 @@
 	s.leaderless = false
 }
 
-// send delivers a message never, once or twice, after a drawn delay.
+// send puts a message in transit zero, one or two times, each with a random delay.
 func (s *simulation) send(handle func()) {
 	for range 1 + s.random.IntN(8)/7 {
 		if s.random.Float64() >= s.messageLoss {
-			s.inTransit = append(s.inTransit, delivery{s.now + s.meanDelay*s.random.ExpFloat64(), handle})
+			s.inTransit = append(s.inTransit, delivery{s.now + s.meanDelaySeconds*s.random.ExpFloat64(), handle})
 		}
 	}
 }
 
-// confirmed reports whether a grantor takes itself for a confirmed leader.
+// confirmed reports whether a grantor considers itself the confirmed leader. asPrevious is true for
+// a request that was sent to the grantor after another leader had replaced it.
 func (s *simulation) confirmed(grantor *Grantor, asPrevious bool) bool {
 	return !asPrevious && !s.leaderless && grantor == s.grantor ||
 		grantor == s.previous && s.now < s.previousUntil
@@ -171,7 +174,7 @@
 func (s *simulation) run(seconds float64) {
 	s.t.Helper()
 	for end := s.now + seconds; s.now < end; {
-		s.now += simulationStep
+		s.now += simulationStepSeconds
 		s.deliver()
 		s.endUnits()
 		for _, server := range s.servers {
@@ -187,7 +190,7 @@
 	inTransit := s.inTransit
 	s.inTransit = nil
 	for _, message := range inTransit {
-		if message.at <= s.now {
+		if message.arrivesAt <= s.now {
 			message.handle()
 		} else {
 			s.inTransit = append(s.inTransit, message)
@@ -198,7 +201,7 @@
 func (s *simulation) endUnits() {
 	inUse := s.inUse[:0]
 	for _, unit := range s.inUse {
-		if unit.ends > s.now {
+		if unit.endsAt > s.now {
 			inUse = append(inUse, unit)
 		}
 	}
@@ -207,20 +210,22 @@
 
 func (s *simulation) runServer(server *simulatedServer) {
 	now := server.clock(s.now)
-	if s.random.IntN(2) == 0 { // a loop that is busy goes by what it was told before
-		server.applied = server.published
+	if s.random.IntN(2) == 0 { // a busy event loop still enforces the earlier allowances
+		server.enforced = server.published
 	}
 	inUse := s.useUnits(server)
 	holder := server.holder
-	holder.RecordUsage(now, rateLimit, server.demand, 0, server.applied[rateLimit].GrantNumber)
-	holder.RecordUsage(now, concurrentLimit, server.demand, float64(inUse), server.applied[concurrentLimit].GrantNumber)
+	holder.RecordUsage(now, rateLimit, server.demand, 0, server.enforced[rateLimit].GrantNumber)
+	holder.RecordUsage(now, concurrentLimit, server.demand, float64(inUse),
+		server.enforced[concurrentLimit].GrantNumber)
 	if holder.NextWakeup() <= now {
 		s.sendRequest(server)
 	}
 	server.publish()
 }
 
-// useUnits has a server use as many units of the concurrent limit as it may and wants to.
+// useUnits takes units of the concurrent limit for a server, up to its allowance and its demand. It
+// returns how many the server has in use.
 func (s *simulation) useUnits(server *simulatedServer) (inUse int) {
 	for _, unit := range s.inUse {
 		if unit.owner == server {
@@ -229,42 +234,44 @@
 	}
 	for float64(inUse)+1 <= min(server.limitAt(concurrentLimit, s.now), server.demand) {
 		inUse++
-		ends := s.now + (0.05+0.95*s.random.Float64())*s.config.Limits[1].LingerSeconds
-		s.inUse = append(s.inUse, unit{server, ends})
+		endsAt := s.now + (0.05+0.95*s.random.Float64())*s.config.Limits[1].LingerSeconds
+		s.inUse = append(s.inUse, unit{server, endsAt})
 	}
 	return inUse
 }
 
-// check holds the limits against all that all servers may use this moment, and all that is in use.
+// check fails the test if the allowances of all servers add up to more than the rate limit, or more
+// units are in use than the concurrent limit.
 func (s *simulation) check() {
 	s.t.Helper()
-	sum := s.usable(rateLimit)
-	if most := max(s.stillLeased, s.config.Limits[0].Max); sum > most*(1+tolerance) {
-		s.t.Fatalf("at %.2f all may use %.3f of %.0f", s.now, sum, most)
+	sum := s.totalAllowance(rateLimit)
+	if limit := max(s.maxStillLeased, s.config.Limits[0].Max); sum > limit*(1+tolerance) {
+		s.t.Fatalf("at %.2f s the servers together may use %.3f, want at most %.0f", s.now, sum, limit)
 	}
-	if most := s.config.Limits[1].Max; float64(len(s.inUse)) > most {
-		s.t.Fatalf("at %.2f %d of %.0f are in use", s.now, len(s.inUse), most)
+	if limit := s.config.Limits[1].Max; float64(len(s.inUse)) > limit {
+		s.t.Fatalf("at %.2f s %d units are in use, want at most %.0f", s.now, len(s.inUse), limit)
 	}
 }
 
-// usable is what all servers together may use.
-func (s *simulation) usable(name string) (sum float64) {
+// totalAllowance returns the sum of the allowances of all servers.
+func (s *simulation) totalAllowance(name string) (sum float64) {
 	for _, server := range s.servers {
 		sum += server.limitAt(name, s.now)
 	}
 	return sum
 }
 
-// used is what all servers together want and may use.
-func (s *simulation) used(name string) (sum float64) {
+// totalUsable returns the sum over all servers of what their demand and allowance let them use.
+func (s *simulation) totalUsable(name string) (sum float64) {
 	for _, server := range s.servers {
 		sum += min(server.demand, server.limitAt(name, s.now))
 	}
 	return sum
 }
 
-// ideal is what could be used of a rate by one who sees all and keeps the floors.
-func (s *simulation) ideal(limit *Limit) float64 {
+// idealUsable returns what the servers could use together of a limit if the pool were divided with
+// full and immediate knowledge of all demands.
+func (s *simulation) idealUsable(limit *Limit) float64 {
 	floor := s.config.FloorPerServer(limit)
 	floors, more := 0.0, 0.0
 	for _, server := range s.servers {
@@ -274,19 +281,20 @@
 	return floors + min(more, s.config.pool(limit))
 }
 
-// unused tells of which limit less is used than could be, "" for none.
-func (s *simulation) unused() string {
+// shortfall describes a limit of which the servers can use over 2% less than idealUsable, "" if
+// there is none.
+func (s *simulation) shortfall() string {
 	for i := range s.config.Limits {
 		limit := &s.config.Limits[i]
-		used, ideal := s.used(limit.Name), s.ideal(limit)
+		used, ideal := s.totalUsable(limit.Name), s.idealUsable(limit)
 		if used < 0.98*ideal-0.01 {
-			return fmt.Sprintf("%.3f of %s is used, %.3f could be", used, limit.Name, ideal)
+			return fmt.Sprintf("the servers can use %.3f of %s, want about %.3f", used, limit.Name, ideal)
 		}
 	}
 	return ""
 }
 
-// setDemand has all servers want as much.
+// setDemand sets the same demand for all servers.
 func (s *simulation) setDemand(demand float64) {
 	for _, server := range s.servers {
 		server.demand = demand
