--- a/internal/server/accept.go
+++ b/internal/server/accept.go
@@ -120,8 +120,8 @@
 }
 
 // run accepts connections until the listener closes. It accepts all of them without delay, because
-// trusted clients wait in the same system queue as others. It refuses untrusted clients over the
-// rate itself, at about half of what that would cost on the loop.
+// trusted clients wait in the same system queue as others. Untrusted clients over the rate are
+// refused here, at about half of what their refusal would cost on the loop.
 func (a *acceptor) run() {
 	defer close(a.done)
 	defer a.release()
@@ -165,7 +165,7 @@
 		return
 	}
 	a.pending <- struct{}{}
-	a.handOver(socket)
+	a.register(socket)
 }
 
 // handleFailure handles a failed accept: it logs it and, if descriptors ran out, evicts connections
@@ -247,9 +247,9 @@
 	return socket, nil
 }
 
-// handOver registers a connection on the loop, which calls OnOpen with it. That takes another
+// register registers a connection on the loop, which calls OnOpen with it. That takes another
 // descriptor; if none is left, other connections are evicted first.
-func (a *acceptor) handOver(socket acceptedSocket) {
+func (a *acceptor) register(socket acceptedSocket) {
 	a.reserveSpare()
 	conn, err := duplicateConn(socket)
 	for round := 0; err != nil; round++ {
--- a/internal/server/accept_rate.go
+++ b/internal/server/accept_rate.go
@@ -12,9 +12,9 @@
 // This file limits the rate at which the acceptor accepts untrusted clients.
 
 const (
-	// acceptBurstSeconds is the burst of the rate limit, as the time in which the rate refills it.
-	// After a restart half of all clients may reconnect at the same moment, and none of them is
-	// trusted yet.
+	// acceptBurstSeconds is the burst of the rate limit, in seconds' worth of tokens. It has to cover
+	// a restart, after which half of all clients may reconnect at the same moment, and none of them
+	// is trusted yet.
 	acceptBurstSeconds = 1.0
 	// cpuSampleIntervalSeconds is how often the process's CPU time is read, by a system call
 	// that takes about a microsecond.
@@ -35,7 +35,7 @@
 // tokenBucket limits the rate of accepted untrusted clients; each takes a token.
 type tokenBucket struct {
 	tokens     float64
-	refilledAt time.Time // of the last refill
+	refilledAt time.Time
 }
 
 // refill adds the tokens that are due since the last refill, at a rate per second. With an infinite
--- a/internal/server/claims.go
+++ b/internal/server/claims.go
@@ -18,11 +18,11 @@
 	// maxPendingClaims bounds the claims without a verdict. At 1 ms per claim it allows a million
 	// claims per second, with at most 4 MB of request bodies.
 	maxPendingClaims = 1024
-	// claimSafetyMarginSeconds is the part of a request's timeout that is reserved for its
-	// answer; the claim must be decided before.
+	// claimSafetyMarginSeconds is the part of a request's timeout that is reserved for its answer:
+	// the verdict on the claim is due this long before the timeout.
 	claimSafetyMarginSeconds = 0.02
-	// claimTimeoutGraceSeconds is how long after the timeout of a claim without a verdict its
-	// outcome is treated as unknown: it may have been granted.
+	// claimTimeoutGraceSeconds is how long after its timeout the server stops waiting for a claim's
+	// verdict. The claim may have been granted, so its outcome is then unknown.
 	claimTimeoutGraceSeconds = 0.01
 )
 
--- a/internal/server/client.go
+++ b/internal/server/client.go
@@ -161,7 +161,7 @@
 // writeScratch writes the message in the server's scratch buffer.
 func (c *clientConn) writeScratch() { c.server.write(&c.bufferedConn, c.server.output.scratch) }
 
-// findRequest returns the open request with a message ID, or nil.
+// findRequest returns the connection's open request with the given message ID, or nil.
 func (c *clientConn) findRequest(number uint64) *requesttable.Request {
 	for _, request := range c.requests {
 		if request.MessageNumber == number {
--- a/internal/server/connlimit.go
+++ b/internal/server/connlimit.go
@@ -119,7 +119,8 @@
 	return nil
 }
 
-// remoteIP returns the address of a connection's peer, or the unspecified address if it has none.
+// remoteIP returns the address of a connection's peer. All connections without one share the
+// unspecified address, and so its limits.
 func remoteIP(addr net.Addr) netip.Addr {
 	if tcp, ok := addr.(*net.TCPAddr); ok {
 		return tcp.AddrPort().Addr()
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -62,7 +62,7 @@
 	return &c.counts[kind.tenant*c.classes+kind.class]
 }
 
-// countReceived counts a request that was accepted for a decision by the controller.
+// countReceived counts a valid request that was not rejected early.
 func (s *Server) countReceived(kind requestKind) {
 	s.statistics.received++
 	s.countQuotaDemand(kind.tenant)
--- a/internal/server/dial.go
+++ b/internal/server/dial.go
@@ -160,8 +160,8 @@
 	}, target)
 }
 
-// dialWith is dial with a given function to register the connection; the first connection needs
-// its own, as it is dialed before the loop is known. (gnet's Client.Register is not safe for
+// dialWith is dial with a given function to register the connection. The first connection needs a
+// different one, as it is dialed before the loop is known. (gnet's Client.Register is not safe for
 // concurrent use.)
 func (s *Server) dialWith(register registerFunc, target dialTarget) (cancel context.CancelFunc) {
 	ctx, cancel := context.WithCancel(s.lifetime.context)
@@ -188,7 +188,7 @@
 		conn, err := dialAddress(ctx, current.context, address)
 		switch {
 		case err == nil:
-			if err = handOver(conn, register, &dialResult{target, address}); err == nil {
+			if err = registerDialed(conn, register, &dialResult{target, address}); err == nil {
 				return
 			}
 		case ctx.Err() != nil: // cancelled
@@ -207,8 +207,8 @@
 	}
 }
 
-// handOver registers an open connection on the loop, and closes it if that fails.
-func handOver(conn net.Conn, register registerFunc, d *dialResult) error {
+// registerDialed registers an open connection on the loop, and closes it if that fails.
+func registerDialed(conn net.Conn, register registerFunc, d *dialResult) error {
 	ctx := gnet.NewContext(gnet.NewNetConnContext(context.Background(), conn), d)
 	_, err := register(ctx)
 	if err != nil {
@@ -222,10 +222,11 @@
 	s.loop.waitAndExecute(ctx, func() { handler.handleClose(&attemptError{notSent, err}) })
 }
 
-// dialAddress dials an address; the end of either context cancels it.
-func dialAddress(ctx, other context.Context, address string) (net.Conn, error) {
+// dialAddress dials an address. The end of either context cancels the dial: that of the dial itself,
+// and that of the endpoints which the address belongs to.
+func dialAddress(ctx, addressesCtx context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(other, cancel)()
+	defer context.AfterFunc(addressesCtx, cancel)()
 	return (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", address)
 }
--- a/internal/server/directive.go
+++ b/internal/server/directive.go
@@ -34,8 +34,8 @@
 	s.loop.requestTurn()
 }
 
-// outOfServiceAt reports whether the directive forbids admitting requests at a time. It does not
-// rely on the mode set in the last turn: a server whose process was suspended for longer than its
+// outOfServiceAt reports whether the directive forbids admitting requests at the given time. It does
+// not rely on the mode set in the last turn: a server whose process was suspended for longer than its
 // lease reads requests before its next turn.
 func (s *Server) outOfServiceAt(now float64) bool {
 	directive := s.fleet.directive.Load()
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -33,7 +33,7 @@
 	gracePeriodMarginSeconds = 0.1
 )
 
-// exitCause is the reason for a server's exit in the log.
+// exitCause is the reason for a server's exit, as it is logged.
 type exitCause string
 
 const (
@@ -46,7 +46,7 @@
 type drainState struct {
 	startedAt float64 // +Inf before the drain
 	killAt    float64 // when the process will be killed
-	closing   bool    // all clients were asked to close, and the listener closes
+	closing   bool    // all clients were asked to close, and the acceptor was told to close
 }
 
 func newDrainState() drainState {
@@ -87,9 +87,10 @@
 
 // tryExit exits once every request is answered and none can arrive any more; until then it schedules
 // itself again. As soon as no new request may run, even if others are still open, it asks clients to
-// send nothing more and closes the listener. A client sends requests that arrive after that to
-// another server, and knows from a refused connection that its request did not run. Therefore no
-// request is in transit when the last answers are written, just before the kill.
+// send nothing more and closes the listener. Requests that clients sent before they saw this are
+// rejected, and the clients send them to another server; a refused connection also proves to a client
+// that its request did not run. Therefore no request is in transit when the last answers are
+// written, just before the kill.
 func (s *Server) tryExit() {
 	now := s.now()
 	if now >= s.gracefulCloseAt() && !s.drain.closing {
@@ -120,8 +121,8 @@
 	s.acceptor.close()
 }
 
-// gracefulCloseAt returns when clients are asked to close, as no new request may run from then on. If
-// the controller never started, that is at the start of the drain.
+// gracefulCloseAt returns when clients are asked to close. From then on no new request may run. If
+// the controller never started, no request ever ran, and this is the start of the drain.
 func (s *Server) gracefulCloseAt() float64 {
 	if s.decisions.controller == nil {
 		return s.drain.startedAt
--- a/internal/server/errors.go
+++ b/internal/server/errors.go
@@ -5,7 +5,8 @@
 	"fmt"
 )
 
-// ErrLoopBusy is returned if the event loop does not apply new settings within applyTimeout.
+// ErrLoopBusy is returned if the event loop does not apply new settings within applyTimeout. The loop
+// may still apply them later.
 var ErrLoopBusy = fmt.Errorf("the event loop did not apply the settings within %v", applyTimeout)
 
 // Reasons why new settings can't be applied while serving.
--- a/internal/server/evict.go
+++ b/internal/server/evict.go
@@ -20,7 +20,7 @@
 	maxEvictionCandidates = 16
 )
 
-// clientBound names the resource that limits the number of clients' connections in the log.
+// clientBound is the resource that limits the number of clients' connections, as it is logged.
 type clientBound string
 
 const (
@@ -34,9 +34,9 @@
 	bound clientBound
 }
 
-// maxClients returns the limit on clients' connections. It is set by memory, or else by the
-// descriptors that are left; these are more than half of all, the share that clients are entitled
-// to.
+// maxClients returns the limit on clients' connections: the number of descriptors that are left for
+// them, or fewer if memory suffices only for fewer. More than half of all descriptors are left, as
+// clients are entitled to half.
 func (s *Server) maxClients() clientLimit {
 	byDescriptors := s.startup.MaxSockets - reservedDescriptors - s.maxUpstreamConns()
 	inMemory := int(s.startup.MemoryBytes / idleMemoryDivisor / idleConnBytes)
@@ -52,9 +52,9 @@
 	return s.firstEvictable(s.clients.limiter.EvictionCandidates(s.now()), arriving)
 }
 
-// firstEvictable returns the connection of the first of the slots, other than the arriving one's,
-// that has no unread input and no pending output. It returns nil if there is none among the first
-// maxEvictionCandidates.
+// firstEvictable returns the first connection, in the order of the slots, that has no unread input
+// and no pending output. It skips the arriving connection, and returns nil if the first
+// maxEvictionCandidates others all have some.
 func (s *Server) firstEvictable(slots iter.Seq[int32], arriving *clientConn) *clientConn {
 	tried := 0
 	for slot := range slots {
@@ -103,7 +103,7 @@
 	for s.clients.limiter.ExcessCount() > 0 {
 		victim := s.firstEvictable(s.clients.limiter.ExcessConnections(now), nil)
 		if victim == nil {
-			return // all have requests open
+			return // no other connection can be closed now
 		}
 		s.statistics.evicted++
 		victim.closeNow()
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// executeOnServer carries out an action that concerns the whole server, and reports whether it was
-// one.
+// executeOnServer carries out an action that concerns the whole server. It returns false, and does
+// nothing, for an action that concerns a request.
 func (s *Server) executeOnServer(action *admission.Action, now float64) bool {
 	switch action.Kind {
 	case admission.SetHealth:
--- a/internal/server/executor.go
+++ b/internal/server/executor.go
@@ -17,7 +17,7 @@
 )
 
 // silenceTimeoutSeconds is how long a gauge request may stay unanswered before the link is
-// replaced, because the other end may have gone without closing it. It is longer than any pause of a
+// replaced, because the other end may have failed without closing it. It is longer than any pause of a
 // machine. Messages that the old link may have lost are sent again on the new one.
 const silenceTimeoutSeconds = 5
 
@@ -39,7 +39,7 @@
 	up                bool    // commands may be sent
 	resumeTag         string  // tag of the gauge request whose reply follows the repeated notices, "" for none
 	failedLinks       int     // consecutive links on which the executor sent no first message
-	commandsSent      int     // number of commands on all links
+	commandCount      int     // number of commands so far, on all links; includes those not sent yet
 	acknowledged      int     // number of the last command that the executor has confirmed
 	unansweredSince   float64 // when the oldest unanswered gauge request was sent, 0 for none
 }
@@ -80,12 +80,12 @@
 // sendCommand returns the number of a new command and, if the link is up, sends the command as
 // encoded by encode. Otherwise resend sends it once the link is up.
 func (l *executorLink) sendCommand(encode func(b []byte) []byte) int {
-	l.commandsSent++
+	l.commandCount++
 	if l.up {
 		l.server.output.scratch = encode(l.server.output.scratch[:0])
 		l.write(l.server.output.scratch)
 	}
-	return l.commandsSent
+	return l.commandCount
 }
 
 func (l *executorLink) handleData(data []byte) (n int, err error) {
@@ -143,7 +143,7 @@
 		l.server.startController(executorStart{cold: notice.Cold, secondsAgo: notice.Duration})
 		return
 	}
-	l.resumeTag = resumeTagPrefix + strconv.Itoa(l.commandsSent)
+	l.resumeTag = resumeTagPrefix + strconv.Itoa(l.commandCount)
 	l.write(processor.AppendReadGauges(nil, l.resumeTag))
 }
 
@@ -154,7 +154,7 @@
 	if s.allowPeerFaultLog() { // forged requests can cause hundreds of rejections
 		slog.Info("command_rejected", "command", notice.Detail, "request", notice.ID)
 	}
-	// Without a call, only the start of the request can have been rejected: it never ran.
+	// Before a run's first call, its start is the only command that can be rejected: it never ran.
 	if request != nil && request.Running && request.CallNotice == 0 {
 		s.releaseClaim(request)
 		s.reportRunEnded(request, admission.NeverStarted, 0)
@@ -241,7 +241,7 @@
 		l.unansweredSince = now
 	}
 	scratch := l.server.output.scratch[:0]
-	l.server.output.scratch = processor.AppendReadGauges(scratch, strconv.Itoa(l.commandsSent))
+	l.server.output.scratch = processor.AppendReadGauges(scratch, strconv.Itoa(l.commandCount))
 	l.write(l.server.output.scratch)
 }
 
@@ -307,7 +307,7 @@
 	settings := s.startup.Settings
 	settings.SlowStart.Duration = 0
 	at := s.now()
-	if start.cold { // a warm executor needs no slow start
+	if start.cold { // a warm executor needs no slow start, whenever it started
 		settings.SlowStart.Duration = s.startup.SlowStartDuration
 		at -= min(start.secondsAgo, settings.SlowStart.Duration)
 	}
--- a/internal/server/graceful.go
+++ b/internal/server/graceful.go
@@ -105,7 +105,7 @@
 // mutedConn is an entry of the list of muted connections.
 type mutedConn struct {
 	id       slottable.Handle
-	deadline float64 // when it is closed even if answers are unread; 0 while requests are open
+	deadline float64 // when it is closed even if answers are unread; 0 until all its requests are answered
 }
 
 // mute discards all further input of a connection after a protocol error, as the start of the next
@@ -118,8 +118,8 @@
 	c.server.scheduleTurn()
 }
 
-// closeMuted closes muted connections that have received all their answers. It is called after
-// the turn's writes.
+// closeMuted closes the muted connections whose answers were all sent, or whose deadline has passed.
+// It is called after the turn's writes.
 func (s *Server) closeMuted(now float64) {
 	if len(s.clients.muted) == 0 {
 		return
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -14,8 +14,8 @@
 	"swiftcourse/internal/timerwheel"
 )
 
-// eventLoop is gnet's loop, the timers that run on it, and the system timer that wakes the loop
-// when the next of them is due.
+// eventLoop is gnet's loop, the timers that run on it, and the Go timer that wakes the loop when the
+// next of them is due.
 type eventLoop struct {
 	handle           gnet.EventLoop // nil until the first connection is open
 	ready            chan struct{}  // closed once handle is set
--- a/internal/server/refuse.go
+++ b/internal/server/refuse.go
@@ -25,7 +25,7 @@
 	buffer     [refusalBufferBytes]byte
 	buffered   int  // number of bytes in buffer, the start of an incomplete message
 	answered   bool // an answer was written
-	discarding bool // after malformed input or too long a message: the rest is discarded
+	discarding bool // after malformed input or an overlong message, all further input is discarded
 }
 
 // refuse answers the messages on a connection that can't be admitted, and closes it. It waits up to
--- a/internal/server/registry.go
+++ b/internal/server/registry.go
@@ -12,11 +12,11 @@
 
 const (
 	// reportIntervalSeconds is the interval of reports; a registry entry expires after three
-	// intervals. If a report is unanswered when the next one is due, it may have been lost: the next
-	// report goes over a new link. If health changes, the next report is due at once.
+	// intervals. A change of health makes the next report due at once. If a report is still
+	// unanswered when the next one is due, it may have been lost, and the next one goes over a new
+	// link.
 	reportIntervalSeconds = 1
-	// reportToleranceSeconds is how much earlier than after the full interval a report may be
-	// sent.
+	// reportToleranceSeconds is how long before the end of the interval a report may be sent.
 	reportToleranceSeconds = 0.05
 )
 
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -11,8 +11,8 @@
 )
 
 // maxClockSkewSeconds is how much a request's arrival time may differ from the server's clock.
-// It is longer than any pause of a machine. A limit is needed as the controller learns from the ages
-// of requests.
+// It is longer than any pause of a machine. A limit is needed because the controller learns from the
+// ages of requests, and a wrong arrival time gives a wrong age.
 const maxClockSkewSeconds = 60
 
 // requestKind is the class and tenant of a request, as indexes into the deployment's settings.
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -19,7 +19,7 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// Server is a server, from New until it has drained. Apart from the atomic fields, all of its state
+// Server is the state of one server from New until it has drained. All of it but the atomic fields
 // belongs to the event loop.
 type Server struct {
 	gnet.BuiltinEventEngine
@@ -154,7 +154,7 @@
 	if err != nil {
 		return err
 	}
-	// The engine's Register can't be used: it needs a listener of the engine.
+	// The engine's Register can't be used, as it works only if the engine itself listens.
 	s.loop.registerFirst = func(ctx context.Context) (<-chan gnet.RegisteredResult, error) {
 		conn, _ := gnet.FromNetConnContext(ctx)
 		_, err := engine.EnrollContext(conn, gnet.FromContext(ctx))
--- a/internal/server/turn.go
+++ b/internal/server/turn.go
@@ -16,8 +16,8 @@
 	// scheduleTurn, because gnet runs the functions queued on its loop before it polls for input.
 	maxTimersPerTurn = 64
 	// gaugeMaxAgeSeconds is how long a reading of the gauges is valid. A reading is requested
-	// just before each timer, so an older one means that the executor did not answer; its load is
-	// then unknown.
+	// just before each timer, so an older one means that the executor did not answer, and its load
+	// is unknown.
 	gaugeMaxAgeSeconds = 0.1
 )
 
--- a/internal/server/upstream.go
+++ b/internal/server/upstream.go
@@ -18,7 +18,8 @@
 	maxCallsPerConn = 32
 	// upstreamIdleTimeoutSeconds is how long an idle connection is kept. It is short because the
 	// upstream may drop an idle connection, which breaks the next call on it; the upstream closes
-	// them after 10 s. Under load the most recently used ones are reused within 0.1 s.
+	// them after 10 s. It is long enough because under load the most recently used connections are
+	// reused within 0.1 s.
 	upstreamIdleTimeoutSeconds = 1.0
 	// upstreamConnLimit bounds the upstream connections of a server with 1,024 descriptors or more.
 	// One core never has more calls in flight.
@@ -48,7 +49,7 @@
 	call       *upstreamCall // in flight, or waiting for the connection to open; nil for none
 	requestIDs []string      // of the requests whose calls were assigned to it
 	idleSince  float64
-	idleFor    float64 // how long, in seconds, it had been idle when the present call was assigned
+	idleFor    float64 // how long, in seconds, it had been idle when the present call was assigned; 0 if new
 	retired    bool    // gets no further call
 	cancelDial func()  // cancels the dial if it is still in progress
 }
@@ -79,8 +80,8 @@
 }
 
 // takeIdle removes an idle connection that can be used for a call from the pool, and returns it, or
-// nil if there is none. A call that must not run twice always needs a new connection: if an idle one
-// breaks, it is unknown whether the upstream received the call.
+// nil if there is none. A call that must not run twice, or that is retried, always needs a new
+// connection: if an idle one breaks, it is unknown whether the upstream received the call.
 func (s *Server) takeIdle(call *upstreamCall) *upstreamConn {
 	class := &s.startup.Settings.Classes[call.request.Class]
 	if class.Idempotency != admission.Idempotent || call.retried {
--- a/internal/server/upstream_call.go
+++ b/internal/server/upstream_call.go
@@ -5,8 +5,8 @@
 	"swiftcourse/internal/requesttable"
 )
 
-// callTimeoutGraceSeconds is how long after a call's timeout the server gives up waiting: the
-// upstream reports the timeout itself, and its reply should arrive first.
+// callTimeoutGraceSeconds is how long after a call's timeout the server still waits for the reply:
+// the upstream reports a timeout itself, and its report should arrive first.
 const callTimeoutGraceSeconds = 0.005
 
 // upstreamCall is a call in flight or waiting for a connection.
