--- a/internal/server/accept_test.go
+++ b/internal/server/accept_test.go
@@ -42,7 +42,7 @@
 	err       error
 	failing   atomic.Bool
 	failures  atomic.Int64
-	recovered chan struct{} // receives once accept is called again after failures
+	recovered chan struct{} // a value is sent when accept is called again after failures
 }
 
 func (a *failingAccept) wrap(accept acceptFunc) acceptFunc {
@@ -119,7 +119,8 @@
 		got, err := io.ReadAll(e.in)
 		rejected, sentRequest := strings.Contains(string(got), "Busy"), strings.Contains(first, "quote")
 		if err != nil || rejected != sentRequest || (len(got) > 0) != (first != "") {
-			t.Errorf("%q got %q, error %v; want requests rejected, any message answered", first, got, err)
+			t.Errorf("input %q got the answer %q, error %v; want a request rejected, any message answered",
+				first, got, err)
 		}
 		a.reserveSpare()
 	}
--- a/internal/server/client_test.go
+++ b/internal/server/client_test.go
@@ -44,24 +44,24 @@
 
 func TestProtocolError_AffectsOnlyItsConnection(t *testing.T) {
 	f := startServer(t, nil)
-	good, bad, odd := f.dialClient(), f.dialClient(), f.dialClient()
+	good, bad, invalid := f.dialClient(), f.dialClient(), f.dialClient()
 	good.send("%s", requestFrame(1, "a1", "x")[:40])
 	bad.send("\xc1")
 	if _, err := io.ReadAll(bad.in); err != nil {
 		t.Errorf("after a malformed frame: %v; want the connection closed", err)
 	}
-	odd.send("%s", strings.Replace(requestFrame(1, "b1", "x"), "quote", "quite", 1))
-	odd.expect(answerPrefix(1) + invalidPayload)
-	odd.send("%s", strings.Replace(requestFrame(2, "b2", "x"), "acme", "acne", 1))
-	odd.expect(answerPrefix(2) + invalidPayload)
-	odd.send("%s", requestFrame(3, "b3", "x"))
+	invalid.send("%s", strings.Replace(requestFrame(1, "b1", "x"), "quote", "quite", 1))
+	invalid.expect(answerPrefix(1) + invalidPayload)
+	invalid.send("%s", strings.Replace(requestFrame(2, "b2", "x"), "acme", "acne", 1))
+	invalid.expect(answerPrefix(2) + invalidPayload)
+	invalid.send("%s", requestFrame(3, "b3", "x"))
 	f.executor.expectCommand("begin", "b3")
-	odd.send("%s", requestFrame(4, "b3", "x")) // the request ID of another request
-	odd.expect(answerPrefix(4) + invalidPayload)
-	odd.send("%s", requestFrame(3, "b4", "x")) // a message ID whose request is open
+	invalid.send("%s", requestFrame(4, "b3", "x")) // the request ID of another request
+	invalid.expect(answerPrefix(4) + invalidPayload)
+	invalid.send("%s", requestFrame(3, "b4", "x")) // a message ID whose request is open
 	f.executor.sendCompletion(1, "b3", "done", "r")
-	odd.expect(answerPrefix(3) + resultPrefix + "\x01r") // the request read before the error is answered
-	if _, err := io.ReadAll(odd.in); err != nil {
+	invalid.expect(answerPrefix(3) + resultPrefix + "\x01r") // the request read before the error is answered
+	if _, err := io.ReadAll(invalid.in); err != nil {
 		t.Errorf("after a message ID that was still open: %v; want the connection closed", err)
 	}
 	good.send("%s", requestFrame(1, "a1", "x")[40:])
@@ -72,13 +72,13 @@
 
 func TestClientConn_ClosedWithoutValidMessage(t *testing.T) {
 	f := startServer(t, nil)
-	silent, half, odd, good := f.dialClient(), f.dialClient(), f.dialClient(), f.dialClient()
+	silent, half, invalid, good := f.dialClient(), f.dialClient(), f.dialClient(), f.dialClient()
 	half.send("%s", requestFrame(1, "a1", "x")[:40])
-	odd.send("%s", requestFrame(1, "a2", "x", withArrival(1))) // an arrival time decades ago: out of range
-	odd.expect(answerPrefix(1) + invalidPayload)
+	invalid.send("%s", requestFrame(1, "a2", "x", withArrival(1))) // an arrival time decades ago: out of range
+	invalid.expect(answerPrefix(1) + invalidPayload)
 	good.send("%s", healthCheck(1))
 	good.expect("\xc3\x80")
-	for _, bad := range []*testConn{silent, half, odd} {
+	for _, bad := range []*testConn{silent, half, invalid} {
 		if _, err := io.ReadAll(bad.in); err != nil {
 			t.Errorf("error %v; want the connection closed", err)
 		}
@@ -142,7 +142,7 @@
 	closed.closeNow()
 	next, nextSocket, _ := addClientWithPeer(t, s)
 	if closed != next {
-		t.Fatal("the slot was not reused for the second connection")
+		t.Fatalf("the connections have slots %d and %d, want the slot reused", closed.slot(), next.slot())
 	}
 	closedSocket.bytes = requestFrame(1, "a1", "x")
 	if action := s.OnTraffic(closedSocket); action != gnet.Close || s.requests.Len() != 0 {
--- a/internal/server/connlimit_test.go
+++ b/internal/server/connlimit_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestConnLimit_MassReconnect(t *testing.T) {
+func TestConnLimit_CountsResetAfterMassReconnect(t *testing.T) {
 	const n = 200
 	f := startServerWith(t, func(s *config.Startup) { s.MaxSockets = 1024 }, connLimitConfig(t, ""))
 	for range 2 {
--- a/internal/server/dial_test.go
+++ b/internal/server/dial_test.go
@@ -42,7 +42,8 @@
 			t.Fatalf("seed %d: backoff %v, want the same each time, from 150 to 300 ms", seed, backoff)
 		}
 		if dialBackoff(seed, 0) != 0 || dialBackoff(seed, -1) != 0 {
-			t.Fatalf("seed %d: there is a backoff before the first dial", seed)
+			t.Fatalf("seed %d: backoffs after 0 and -1 failures are %v and %v, want 0", seed,
+				dialBackoff(seed, 0), dialBackoff(seed, -1))
 		}
 		perTenth[backoff/(15*time.Millisecond)]++
 	}
@@ -69,7 +70,7 @@
 	executor.sendFirstMessage("seasoned", 1)
 	executor.readCommand(true)
 	if command := executor.expectCommand("answer", "a1"); command["blob"] != "ZA==" {
-		t.Error(command)
+		t.Errorf("command %v, want blob ZA==", command)
 	}
 	executor.sendCompletion(2, "a1", "done", "r")
 	client.expect(answerPrefix(1) + resultPrefix + "\x01r\x80")
@@ -87,7 +88,7 @@
 	}
 	f.executor = acceptConn(t, f.executorListener)
 	if hello := f.executor.readCommand(false); hello["msg"] != "hello" || hello["serial"] != 1.0 {
-		t.Fatal(hello)
+		t.Fatalf("first message %v, want hello with serial 1", hello)
 	}
 	f.executor.sendFirstMessage("seasoned", 3600000)
 	f.executor.readCommand(true)
@@ -106,7 +107,7 @@
 	for _, listener := range []net.Listener{before.executorListener, before.upstreamListener} {
 		_ = listener.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Millisecond))
 		if _, err := listener.Accept(); err == nil {
-			t.Error("the server dialed an old address")
+			t.Errorf("the server dialed the old address %s", listener.Addr())
 		}
 	}
 	if report := <-f.registry.Reports(); !report.Accepting {
@@ -150,10 +151,10 @@
 
 func TestDialBackoff_GrowsUpToLimit(t *testing.T) {
 	if dialBackoff(7, -1) > 0 || dialBackoff(7, 0) != 0 {
-		t.Error("there is a backoff before the first dial")
+		t.Errorf("backoffs after -1 and 0 failures are %v and %v, want 0", dialBackoff(7, -1), dialBackoff(7, 0))
 	}
 	if dialBackoff(7, 1) <= 0 || dialBackoff(7, 2) <= dialBackoff(7, 1) || dialBackoff(7, 1000) != dialBackoff(7, 100) {
-		t.Errorf("backoffs after 1, 2, 100 and 1000 failures are %v, %v, %v and %v; want growth up to a bound",
+		t.Errorf("backoffs after 1, 2, 100 and 1000 failures are %v, %v, %v and %v; want growth up to a limit",
 			dialBackoff(7, 1), dialBackoff(7, 2), dialBackoff(7, 100), dialBackoff(7, 1000))
 	}
 	f := startServer(t, nil)
--- a/internal/server/directive_test.go
+++ b/internal/server/directive_test.go
@@ -13,7 +13,7 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-func TestReload_KeepsIdleConnections(t *testing.T) {
+func TestSetEndpoints_KeepsIdleConnections(t *testing.T) {
 	const n = 500
 	f := startServer(t, func(s *config.Startup) { s.MaxSockets = 4000 })
 	idleConns := f.openIdleClients(n, true)
@@ -85,7 +85,8 @@
 	n, m := before.Completed.Load(), stats.Completed.Load()
 	if n+m > requests || m == 0 || int(n+m) < requests-byDirective {
 		t.Errorf("%d completed requests are counted before the change and %d after it, "+
-			"of %d requests, %d rejected by the directive", n, m, requests, byDirective)
+			"of %d requests, %d rejected by the directive; want at least 1 after the change, and all requests "+
+			"but at most those rejected by the directive in total", n, m, requests, byDirective)
 	}
 	f.setDirective(serving.ModeNormal, math.Inf(1), serving.ModeNormal)
 	f.waitForReport(true)
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -54,7 +54,7 @@
 	})
 	f.server.Drain()
 	if err := <-f.runResult; err != nil {
-		t.Error(err)
+		t.Errorf("Run returned error %v, want nil", err)
 	}
 	if left := f.server.drain.killAt - f.server.now(); left < 1 {
 		t.Errorf("the server exited %.3f s before the kill, want at least 1 s", left)
@@ -74,10 +74,11 @@
 	f.executor.sendCompletion(1, "a1", "done", "r")
 	client.expect(answerPrefix(1) + resultPrefix + "\x01r")
 	if err := <-f.runResult; err != nil {
-		t.Error(err)
+		t.Errorf("Run returned error %v, want nil", err)
 	}
 	if f.server.drain.killAt-f.server.now() < 0 {
-		t.Error("the server exited after the time of the kill")
+		t.Errorf("the server exited %.3f s after the time of the kill, want before it",
+			f.server.now()-f.server.drain.killAt)
 	}
 	f.runResult <- nil
 }
@@ -93,7 +94,7 @@
 	f.executor.sendCompletion(1, "a1", "done", "r")
 	client.expect(answerPrefix(1) + resultPrefix + "\x01r")
 	if err := <-f.runResult; err != nil {
-		t.Error(err)
+		t.Errorf("Run returned error %v, want nil", err)
 	}
 	if left := f.server.drain.killAt - f.server.now(); left < 1 || f.server.clients.conns.Len() != 0 {
 		t.Errorf("the server exited %.3f s before the kill with %d connections; want at least 1 s, 0",
@@ -118,7 +119,7 @@
 	client.expect(answerPrefix(1) + resultPrefix + "\x01r")
 	_ = client.Close()
 	if err := <-f.runResult; err != nil {
-		t.Error(err)
+		t.Errorf("Run returned error %v, want nil", err)
 	}
 	if left := f.server.drain.killAt - f.server.now(); left < 1 {
 		t.Errorf("the server exited %.3f s before the kill, want at least 1 s", left)
@@ -163,7 +164,7 @@
 		_ = e.Close()
 	}
 	if err := <-f.runResult; err != nil {
-		t.Error(err)
+		t.Errorf("Run returned error %v, want nil", err)
 	}
 	f.runResult <- nil
 }
@@ -182,7 +183,7 @@
 	client.expect(answerPrefix(2) + rejectedPayload)
 	_ = client.Close()
 	if err := <-f.runResult; err != nil {
-		t.Error(err)
+		t.Errorf("Run returned error %v, want nil", err)
 	}
 	if left := f.server.drain.killAt - f.server.now(); left < 10 {
 		t.Errorf("the server exited %.3f s before the kill, want at least 10 s", left)
@@ -223,7 +224,7 @@
 	go func() { ended <- s.Run() }()
 	s.Drain()
 	if err := <-ended; err != nil {
-		t.Error(err)
+		t.Errorf("Run returned error %v, want nil", err)
 	}
 }
 
@@ -246,7 +247,7 @@
 	client.expect(closeRequest)
 	_ = client.Close()
 	if err := <-f.runResult; err != nil {
-		t.Error(err)
+		t.Errorf("Run returned error %v, want nil", err)
 	}
 	f.runResult <- nil
 }
--- a/internal/server/duplicate_test.go
+++ b/internal/server/duplicate_test.go
@@ -103,7 +103,7 @@
 // A request with the key of another request but a different body must be answered as invalid, both
 // while the other request runs and afterwards. It must not learn the result, nor end the other
 // request.
-func TestDuplicate_ConflictingBodyRejected(t *testing.T) {
+func TestDuplicate_ConflictingBodyInvalid(t *testing.T) {
 	f := startServer(t, requireIdempotencyKeys)
 	client, other := f.dialClient(), f.dialClient()
 	client.send("%s", requestFrame(1, "a1", "x", withKey("k")))
--- a/internal/server/executor_test.go
+++ b/internal/server/executor_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// If the executor's machine is gone without closing the link, the link stays open but silent, and the
+// If the executor's machine fails without closing the link, the link stays open but silent, and the
 // server must replace it.
 func TestExecutorLink_SilentLinkReplaced(t *testing.T) {
 	f, client := startRunningRequest(t, nil)
--- a/internal/server/fakes_test.go
+++ b/internal/server/fakes_test.go
@@ -98,7 +98,8 @@
 	}
 }
 
-// addClientWithPeer adds a client's connection, and returns the descriptor of the client's end.
+// addClientWithPeer adds a client's connection. It returns its handler, the server's end of the
+// connection and the descriptor of the client's end.
 func addClientWithPeer(t *testing.T, s *Server) (client *clientConn, socket *fakeSocket, peer int) {
 	t.Helper()
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM, 0)
--- a/internal/server/fixture_test.go
+++ b/internal/server/fixture_test.go
@@ -76,7 +76,7 @@
 	t.Cleanup(func() {
 		f.server.stop()
 		if err := <-f.runResult; err != nil {
-			t.Error(err)
+			t.Errorf("Run returned error %v, want nil", err)
 		}
 		logging.SetOutput(io.Discard)
 	})
@@ -85,9 +85,9 @@
 
 // testStartup returns the default startup settings of the tests' servers.
 func testStartup(t *testing.T, addresses config.Addresses) *config.Startup {
-	front := listenLoopback(t)
-	address := front.Addr().String()
-	_ = front.Close()
+	listener := listenLoopback(t) // finds a free port for the server
+	address := listener.Addr().String()
+	_ = listener.Close()
 	return &config.Startup{
 		Name:        "n1",
 		Listen:      address,
--- a/internal/server/graceful_test.go
+++ b/internal/server/graceful_test.go
@@ -148,7 +148,7 @@
 			}
 			s.clients.lingering[0].deadline = 0
 			if s.expireLingering(); !socket.closed {
-				t.Error("not closed after the deadline")
+				t.Error("the lingering connection was not closed after its deadline")
 			}
 		}
 		if action := s.OnTraffic(socket); sendsRequest != (action == gnet.None && s.requests.Len() == 1) {
@@ -212,7 +212,7 @@
 		s.applyLimiterDecisions(at)
 	}
 	if !peerShutDown(peer) {
-		t.Error("not closed within 3 s after the answer was read")
+		t.Error("the connection was not half-closed within 3 s after the answer was read")
 	}
 }
 
--- a/internal/server/idle_bench_test.go
+++ b/internal/server/idle_bench_test.go
@@ -24,12 +24,12 @@
 	}
 	logging.SetOutput(io.Discard)
 	const n = 4000
-	front, err := net.Listen("tcp", "127.0.0.9:0")
+	listener, err := net.Listen("tcp", "127.0.0.9:0") // finds a free port for the server
 	if err != nil {
 		b.Fatal(err)
 	}
-	addr := front.Addr().String()
-	_ = front.Close()
+	addr := listener.Addr().String()
+	_ = listener.Close()
 	s := New(&config.Startup{
 		Listen:      addr,
 		MaxSockets:  3 * n,
@@ -49,7 +49,7 @@
 	}
 	s.stop()
 	if err := <-done; err != nil {
-		b.Error(err)
+		b.Errorf("Run returned error %v, want nil", err)
 	}
 }
 
--- a/internal/server/request_test.go
+++ b/internal/server/request_test.go
@@ -9,7 +9,7 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-func TestRequest_WithoutIdempotencyKeyRejected(t *testing.T) {
+func TestRequest_WithoutIdempotencyKeyInvalid(t *testing.T) {
 	f := startServer(t, requireIdempotencyKeys)
 	client := f.dialClient()
 	client.send("%s%s", requestFrame(1, "a1", "x"), requestFrame(2, "a2", "x", withKey(strings.Repeat("k", 300))))
--- a/internal/server/testconn_test.go
+++ b/internal/server/testconn_test.go
@@ -74,8 +74,9 @@
 	return string(got)
 }
 
-// readCommand reads the executor's next command. It answers the gauge requests that come before it;
-// with untilResumeTag the first one whose tag is a resume tag is returned as the command.
+// readCommand returns the next command to the executor other than a gauge request, and answers the
+// gauge requests before it. With untilResumeTag it also returns at the first gauge request with a
+// resume tag, after answering it.
 func (e *testConn) readCommand(untilResumeTag bool) map[string]any {
 	e.t.Helper()
 	for {
--- a/internal/server/upstream_test.go
+++ b/internal/server/upstream_test.go
@@ -49,12 +49,12 @@
 	second.expect("FETCH a2 ")
 	second.expect("\r\nc\r\n")
 	first.send("\x00\xff noise\r\n")
-	first = acceptConn(t, f.upstreamListener) // the controller makes the call again
+	first = acceptConn(t, f.upstreamListener) // the controller dispatches the call again
 	first.expect("FETCH a1 ")
 	first.expect("\r\nc\r\n")
 	second.send("a2 DATA 1\r\nd\r\n") // not affected
 	if command := f.executor.expectCommand("answer", "a2"); command["blob"] != "ZA==" {
-		t.Error(command)
+		t.Errorf("command %v, want blob ZA==", command)
 	}
 	f.executor.sendCall(3, "a2", "e")
 	// Not over the idle connection, where a duplicate of the first reply may still arrive.
@@ -66,7 +66,7 @@
 	}
 	again.send("zz DATA 1\r\nz\r\na2 DATA 1\r\nf\r\n")
 	if command := f.executor.expectCommand("answer", "a2"); command["blob"] != "Zg==" {
-		t.Error(command)
+		t.Errorf("command %v, want blob Zg==", command)
 	}
 	if _, err := io.ReadAll(again.in); err != nil {
 		t.Errorf("error %v after a reply with an unknown ID; want the connection closed", err)
