--- a/internal/bench/simulation/claims.go
+++ b/internal/bench/simulation/claims.go
@@ -10,66 +10,67 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// Settings of the keys that a simulated fleet claims beside its rollouts.
+// Settings of the key claims in a simulated rollout.
 const (
-	claimRetention    = 20.0 // seconds
-	maxClaimDuration  = 1.0  // seconds
-	maxReplicas       = 48   // the first servers are the replicas
-	replicationFactor = 3
-	replicaZones      = 3
+	claimRetentionSeconds = 20.0 // seconds that replicas keep keys
+	maxClaimSeconds       = 1.0  // seconds
+	maxReplicas           = 48   // up to that many servers, from the first on, are replicas
+	replicationFactor     = 3
+	replicaZones          = 3
 	// recentKeys is the number of the latest keys from which attempts are drawn.
 	recentKeys = 30
-	// A run that was granted takes minRunSeconds and an exponential time of mean meanRunSeconds.
+	// A granted run takes minRunSeconds plus an exponentially distributed time with mean
+	// meanRunSeconds.
 	minRunSeconds  = 0.02
 	meanRunSeconds = 0.05
 )
 
-// ClaimsRow is the result of the claims of a run.
+// ClaimsRow is the part of a run's result about claims.
 type ClaimsRow struct {
 	Attempts           int     `json:"tries"`
 	Keys               int     `json:"keys"`
 	Runs               int     `json:"runs"`
-	Verdicts           [4]int  `json:"told"`   // by serving.ClaimVerdict
-	Unanswered         int     `json:"untold"` // attempts without a verdict at servers that lived on
-	RepeatedRuns       int     `json:"twice"`  // runs within the retention window of another
-	WrongResults       int     `json:"wrong"`  // results that no run of the key had
-	ConflictingResults int     `json:"alarms"` // keys with two results at a replica
-	SlotsOutOfSync     int     `json:"differ"` // slots that catch up or are out of sync, once healed
+	Verdicts           [4]int  `json:"told"`   // verdicts by serving.ClaimVerdict
+	Unanswered         int     `json:"untold"` // attempts without a verdict at servers that were not restarted
+	RepeatedRuns       int     `json:"twice"`  // runs within the retention window of another run of the key
+	WrongResults       int     `json:"wrong"`  // returned results that no run of the key had
+	ConflictingResults int     `json:"alarms"` // keys for which a replica has two results
+	SlotsOutOfSync     int     `json:"differ"` // slots that are catching up or out of sync after healing
 	ClaimP50           float64 `json:"p50_ms"` // milliseconds from a claim to its grant
-	ClaimP99           float64 `json:"p99_ms"` // the same
+	ClaimP99           float64 `json:"p99_ms"` // likewise
 }
 
-// claimLog is what really ran for each key, recorded by the simulation.
+// claimLog is the simulation's own record of the runs of each key.
 type claimLog struct {
 	row            ClaimsRow
 	placement      *replication.Placement
 	keys           []string
-	runs           map[string][]claimRun
-	attempts       map[string]*claimAttempt
-	grantLatencies []float64
+	runs           map[string][]claimRun    // by key
+	attempts       map[string]*claimAttempt // by request ID
+	grantLatencies []float64                // seconds
 }
 
-// claimRun is a run that was granted.
+// claimRun is a run of a key.
 type claimRun struct {
 	startedAt float64
 	result    string
 }
 
-// claimAttempt is an attempt of a key at a node.
+// claimAttempt is an attempt with a key at a node.
 type claimAttempt struct {
 	key         string
 	sentAt      float64
 	node        *node
-	incarnation uint64
-	answered    bool
+	incarnation uint64 // of the node
+	isAnswered  bool   // the verdict has come
 }
 
-// newClaimLog makes an empty log for the servers of a fleet.
+// newClaimLog returns an empty log for a fleet with the named servers.
 func newClaimLog(names []string) *claimLog {
 	settings := replication.Config{
 		ReplicationFactor: replicationFactor,
-		RetentionWindow:   claimRetention,
-		MaxClaimDuration:  maxClaimDuration,
+		RetentionWindow:   claimRetentionSeconds,
+		MaxClaimDuration:  maxClaimSeconds,
 	}
 	for i, name := range names[:min(len(names), maxReplicas)] {
 		member := replication.Member{Name: name, Zone: fmt.Sprint(i % replicaZones), Weight: 1}
@@ -77,12 +78,12 @@
 	}
 	placement, err := replication.NewPlacement(settings)
 	if err != nil {
-		panic(err) // the settings are this file's own
+		panic(err) // the settings are constants of this file
 	}
 	return &claimLog{placement: placement, runs: map[string][]claimRun{}, attempts: map[string]*claimAttempt{}}
 }
 
-// replicationConfig returns the settings of a node's replication, nil where no keys are claimed.
+// replicationConfig returns a node's replication settings, nil if the simulation has no keys.
 func (s *node) replicationConfig() *fleet.ReplicationConfig {
 	if s.claims == nil {
 		return nil
@@ -93,13 +94,13 @@
 		MaxBytes:    64 << 20,
 		CatchUpRate: 4 << 20,
 		OnVerdict: func(id string, verdict serving.ClaimVerdict, result []byte) {
-			// As in a server, the serving loop gets it in a later step.
+			// As in a server, the serving loop handles the verdict in a later step.
 			s.after(0, func() { s.handleVerdict(id, verdict, string(result)) })
 		},
 	}
 }
 
-// sendClaim sends an attempt, of a new key or of a recent one, and schedules the next attempt.
+// sendClaim sends an attempt with a new key or a recent one, and schedules the next attempt.
 func (f *fleetSim) sendClaim() {
 	log := f.claims
 	if len(log.keys) == 0 || f.random.IntN(2) == 0 {
@@ -111,19 +112,19 @@
 		log.row.Attempts++
 		id := fmt.Sprintf("t%d", log.row.Attempts)
 		log.attempts[id] = &claimAttempt{key: key, sentAt: f.now, node: target, incarnation: target.agent.Incarnation()}
-		target.sendClaimEvent(fleet.ClaimEvent{ID: id, Class: "s", Key: key, Timeout: maxClaimDuration})
+		target.sendClaimEvent(fleet.ClaimEvent{ID: id, Class: "s", Key: key, Timeout: maxClaimSeconds})
 	}
 	f.after(f.exponential(1/f.plan.KeyRate), f.sendClaim)
 }
 
-// handleVerdict handles the verdict on a claim as a serving loop does.
+// handleVerdict handles the verdict on a claim like a server's serving loop.
 func (s *node) handleVerdict(id string, verdict serving.ClaimVerdict, result string) {
 	log := s.claims
 	attempt := log.attempts[id]
 	if !s.alive || attempt == nil || attempt.incarnation != s.agent.Incarnation() {
 		return
 	}
-	attempt.answered = true
+	attempt.isAnswered = true
 	log.row.Verdicts[verdict]++
 	switch verdict {
 	case serving.ClaimGranted:
@@ -136,17 +137,18 @@
 	}
 }
 
-// runClaim runs an attempt that was granted, unless its timeout is over.
+// runClaim runs a granted attempt. If the node is paused or the attempt has timed out, it cancels
+// the claim instead.
 func (s *node) runClaim(id string, attempt *claimAttempt) {
 	log := s.claims
 	log.grantLatencies = append(log.grantLatencies, s.now-attempt.sentAt)
-	if s.isPaused || s.now > attempt.sentAt+maxClaimDuration {
+	if s.isPaused || s.now > attempt.sentAt+maxClaimSeconds {
 		s.sendClaimEvent(fleet.ClaimEvent{ID: id, Canceled: true})
 		return
 	}
 	log.row.Runs++
 	for _, run := range log.runs[attempt.key] {
-		if s.now < run.startedAt+claimRetention {
+		if s.now < run.startedAt+claimRetentionSeconds {
 			log.row.RepeatedRuns++
 		}
 	}
@@ -159,13 +161,13 @@
 	})
 }
 
-// sendClaimEvent hands an event of a claim to the agent.
+// sendClaimEvent passes an event of a claim to the agent.
 func (s *node) sendClaimEvent(event fleet.ClaimEvent) {
 	s.agent.HandleClaimEvent(s.agent.Now(), event)
 	s.tick()
 }
 
-// summarize fills the row once the fleet has healed.
+// summarize sets the remaining fields of the row after the fleet has healed.
 func (l *claimLog) summarize(sim *fleetSim) {
 	l.row.Keys = len(l.keys)
 	for _, attempt := range l.attempts {
@@ -187,8 +189,9 @@
 	}
 }
 
-// isOverdue reports whether an attempt should have its verdict, since its node lives on.
+// isOverdue reports whether the verdict on an attempt is missing although its node was not
+// restarted and twice maxClaimSeconds has passed.
 func (a *claimAttempt) isOverdue(now float64) bool {
 	livesOn := a.node.alive && a.node.agent.Incarnation() == a.incarnation
-	return !a.answered && livesOn && now > a.sentAt+2*maxClaimDuration
+	return !a.isAnswered && livesOn && now > a.sentAt+2*maxClaimSeconds
 }
--- a/internal/bench/simulation/clock.go
+++ b/internal/bench/simulation/clock.go
@@ -7,26 +7,27 @@
 	"swiftcourse/internal/timerwheel"
 )
 
-// clock is simulated time and the source of random draws.
+// clock is the simulated time with its timers and the source of random numbers.
 type clock struct {
 	now    float64 // seconds
 	timers timerwheel.Wheel
 	random *rand.Rand
-	events int // timers that fired
+	events int // number of timers fired
 }
 
-// newClock makes a clock at time 0, in seconds.
+// newClock returns a clock at time 0.
 func newClock(seed uint64) *clock { return &clock{random: rand.New(rand.NewPCG(seed, 1))} }
 
-// after schedules a call of callback that many seconds from now.
+// after schedules a call of callback in the given number of seconds.
 func (c *clock) after(seconds float64, callback func()) timerwheel.Timer {
 	return c.timers.Schedule(c.now+max(0, seconds), callback)
 }
 
-// maxTimersPerStep is more than the timers of any instant: all of them fire in one step.
+// maxTimersPerStep is more than the number of timers due at any instant, so that all of them fire
+// in one step.
 const maxTimersPerStep = math.MaxInt32 / 64
 
-// run fires the timers up to a time, in seconds, and leaves the clock there.
+// run advances the clock to a time, in seconds, and fires the timers that are due by then.
 func (c *clock) run(until float64) {
 	for {
 		next := c.timers.NextWakeup()
@@ -41,10 +42,11 @@
 	}
 }
 
-// exponential draws from the exponential distribution with that mean.
+// exponential draws from the exponential distribution with the given mean.
 func (c *clock) exponential(mean float64) float64 { return mean * c.random.ExpFloat64() }
 
-// poisson draws from the Poisson distribution with that mean, by counting exponential intervals.
+// poisson draws from the Poisson distribution with the given mean, by counting exponential
+// intervals.
 func (c *clock) poisson(mean float64) (count int) {
 	for at := c.exponential(1); at < mean; at += c.exponential(1) {
 		count++
--- a/internal/bench/simulation/counters.go
+++ b/internal/bench/simulation/counters.go
@@ -7,52 +7,63 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-// CounterPlan is a fleet that counts its requests, in simulated time: the agents of package fleet
-// under faults by the seed, compared with what each incarnation really counted.
+// CounterPlan is a simulation of the fleet-wide request counters: agents of package fleet run under
+// faults drawn from the seed, and their totals are compared with the true count of each
+// incarnation.
 type CounterPlan struct {
 	Servers int
 	Voters  int
-	Seconds float64 // of faults
+	Seconds float64 // duration of the faults
 	Seed    uint64
 }
 
-// Validate returns an error that names the limits if a value is outside of them.
+// Validate returns an error with the values and their limits if one is out of range.
 func (p *CounterPlan) Validate() error {
 	if p.Servers < 1 || p.Servers > 5000 || p.Voters < 1 || p.Voters > min(15, p.Servers) ||
 		p.Seconds < 0 || p.Seconds > 3600 {
-		return fmt.Errorf("--servers %d --voters %d --seconds %g: from 1 to 5000, from 1 to 15, and up to 3600",
-			p.Servers, p.Voters, p.Seconds)
+		return fmt.Errorf("--servers %d --voters %d --seconds %g: want servers from 1 to 5000, "+
+			"voters from 1 to %d, seconds from 0 to 3600", p.Servers, p.Voters, p.Seconds, min(15, max(1, p.Servers)))
 	}
 	return nil
 }
 
-// CounterRow is the result of a run.
+// CounterRow is the result of a CounterPlan.
 type CounterRow struct {
-	Seed                uint64  `json:"seed"`
-	Servers             int     `json:"servers"`
-	Faults              int     `json:"faults"`
-	Incarnations        int     `json:"lives"`
-	ClosedRows          int     `json:"closed"` // rows of incarnations that are gone, added up by the voters
-	Requests            uint64  `json:"tasks"`  // that all incarnations counted
-	Unreported          uint64  `json:"tasks_untold"`
-	Overcount           uint64  `json:"count_error_over"`  // in the totals though no server counted it; must be 0
-	Undercount          uint64  `json:"count_error_under"` // acknowledged but missing; must be 0 while most voters live
-	VotersLost          int     `json:"voters_lost"`       // checks at which most voters were dead or recovering
-	Unplaced            uint64  `json:"unplaced"`          // requests for which servers had no free cell
-	UnderstatedError    float64 `json:"error_told_apart"`  // share of checks with more missing than reported
-	SettleSeconds       float64 `json:"settled_s"`         // until all was counted, once healed
-	BytesPerSecond      float64 `json:"talk_bytes_s"`      // sent by a server for counters, on average, without faults
-	MaxBytesPerSecond   float64 `json:"talk_bytes_s_most"` // of the server that sends most
-	OtherBytesPerSecond float64 `json:"talk_bytes_s_without"`
+	Seed         uint64 `json:"seed"`
+	Servers      int    `json:"servers"`
+	Faults       int    `json:"faults"`
+	Incarnations int    `json:"lives"`
+	// ClosedRows is the number of rows of ended incarnations that the voters have closed.
+	ClosedRows int    `json:"closed"`
+	Requests   uint64 `json:"tasks"` // true count of all incarnations
+	// Unreported is the number of requests that ended incarnations counted and that were not
+	// acknowledged.
+	Unreported uint64 `json:"tasks_untold"`
+	// Overcount is the excess of the totals over the true counts. It must be 0.
+	Overcount uint64 `json:"count_error_over"`
+	// Undercount is the number of acknowledged requests that the totals lack. It must be 0 if VotersLost
+	// is 0.
+	Undercount uint64 `json:"count_error_under"`
+	// VotersLost is the number of checks without a majority of voters that are alive and recovered.
+	VotersLost int `json:"voters_lost"`
+	// Unplaced is the number of requests for which servers had no free cell.
+	Unplaced uint64 `json:"unplaced"`
+	// UnderstatedError is the share of checks in which more was missing than reported.
+	UnderstatedError float64 `json:"error_told_apart"`
+	// SettleSeconds is the time from healing until the totals were complete.
+	SettleSeconds       float64 `json:"settled_s"`
+	BytesPerSecond      float64 `json:"talk_bytes_s"`         // sent per server for counters, without faults
+	MaxBytesPerSecond   float64 `json:"talk_bytes_s_most"`    // by the server that sent most
+	OtherBytesPerSecond float64 `json:"talk_bytes_s_without"` // sent per server without requests
 }
 
-// CounterColumns are the heads of the table.
+// CounterColumns are the column heads of the table.
 var CounterColumns = []string{
 	"seed", "servers", "faults", "lives", "closed", "tasks", "untold", "over", "under", "voters lost", "unplaced",
 	"short of said", "settled s", "B/s", "most B/s", "other B/s",
 }
 
-// Cells returns the row for the table.
+// Cells returns the row's table cells, in the order of CounterColumns.
 func (r CounterRow) Cells() []string {
 	return []string{
 		strconv.FormatUint(r.Seed, 10),
@@ -75,37 +86,38 @@
 }
 
 const (
-	countInterval = 0.5  // seconds between two counts that a serving loop hands over
-	requestRate   = 28.0 // requests a second of a server
-	counterCells  = 20   // cells that they fall on
-	// settleTimeout is how long, in seconds, all may take to be counted once healed: a row closes
-	// after ten seconds, and all voters may have to recover.
-	settleTimeout = 60.0
-	// counterPhaseSeconds is how long the fleet runs before each measurement, and how long that is.
+	countIntervalSeconds = 0.5  // seconds between two reports of a serving loop to its agent
+	requestsPerSecond    = 28.0 // requests per second of a server
+	counterCells         = 20   // number of counter cells over which the requests are spread
+	// settleTimeoutSeconds is how long, in seconds, the totals may take to become complete after
+	// healing: a row is closed after ten seconds, and all voters may have to recover.
+	settleTimeoutSeconds = 60.0
+	// counterPhaseSeconds is the duration of each measurement and of the time before it.
 	counterPhaseSeconds = 20
-	// settleCheckInterval is the time, in seconds, between two checks whether all is counted.
-	settleCheckInterval = 0.5
+	// settleCheckIntervalSeconds is the time, in seconds, between two checks whether the totals are
+	// complete.
+	settleCheckIntervalSeconds = 0.5
 )
 
-// trueCount is what one incarnation really counted, recorded by the simulation.
+// trueCount is the simulation's own record of the requests that one incarnation counted.
 type trueCount struct {
 	counted      uint64
-	acknowledged uint64 // of counted, what a majority of aggregators has
-	unplaced     uint64
+	acknowledged uint64 // part of counted that a majority of aggregators has acknowledged
+	unplaced     uint64 // part of counted for which there was no free cell
 }
 
-// counterSim is one run of a plan.
+// counterSim is one run of a CounterPlan.
 type counterSim struct {
 	*fleetSim
 	trueCounts        map[uint64]*trueCount // by incarnation
-	requestsStopped   bool                  // no more requests come
+	requestsStopped   bool                  // no more requests arrive
 	row               CounterRow
-	checks            int
-	understatedChecks int
-	lastReporter      *node
+	checks            int   // comparisons of reported with true missing counts
+	understatedChecks int   // checks in which more was missing than reported
+	lastReporter      *node // the last voter with recovered totals
 }
 
-// RunCounters runs the plan.
+// RunCounters runs a CounterPlan and returns its result.
 func RunCounters(plan *CounterPlan) CounterRow {
 	sim := &counterSim{
 		fleetSim: newFleetSim(&RolloutPlan{
@@ -124,7 +136,7 @@
 	sim.run(counterPhaseSeconds)
 	baseline := sim.measureTraffic(counterPhaseSeconds)
 	for _, one := range sim.nodes {
-		sim.after(countInterval*sim.random.Float64(), func() { sim.countRequests(one) })
+		sim.after(countIntervalSeconds*sim.random.Float64(), func() { sim.countRequests(one) })
 	}
 	sim.run(sim.now + counterPhaseSeconds)
 	measured := sim.measureTraffic(counterPhaseSeconds)
@@ -139,7 +151,8 @@
 	return sim.row
 }
 
-// countRequests has a node's serving loop count its requests, again and again.
+// countRequests draws the requests of a node and reports them to its agent, every
+// countIntervalSeconds.
 func (c *counterSim) countRequests(target *node) {
 	if target.alive && !target.isPaused {
 		truth := c.trueCountOf(target)
@@ -153,10 +166,10 @@
 		}
 		target.tick()
 	}
-	c.after(countInterval, func() { c.countRequests(target) })
+	c.after(countIntervalSeconds, func() { c.countRequests(target) })
 }
 
-// trueCountOf returns the true count of a node's present incarnation.
+// trueCountOf returns the true count of a node's present incarnation, and creates it if needed.
 func (c *counterSim) trueCountOf(target *node) *trueCount {
 	incarnation := target.agent.Incarnation()
 	truth := c.trueCounts[incarnation]
@@ -167,9 +180,9 @@
 	return truth
 }
 
-// drawRequests draws the requests of one interval and enters them in the true count.
+// drawRequests draws the requests of one interval and adds them to the true count.
 func (c *counterSim) drawRequests(truth *trueCount) (cells []serving.CounterCell) {
-	for range c.poisson(requestRate * countInterval) {
+	for range c.poisson(requestsPerSecond * countIntervalSeconds) {
 		truth.counted++
 		cells = append(cells, serving.CounterCell{
 			CounterKey:    serving.CounterKey{Tenant: "acme", Class: fmt.Sprint(c.random.IntN(counterCells))},
@@ -179,7 +192,7 @@
 	return cells
 }
 
-// Violations counts what breaks an invariant.
+// Violations returns 1 if an invariant is violated, else 0.
 func (r CounterRow) Violations() int {
 	if r.Overcount > 0 || r.VotersLost == 0 && (r.Undercount > 0 || r.Unplaced > 0) {
 		return 1
@@ -187,9 +200,10 @@
 	return 0
 }
 
-// bounds returns the least and the most that may be counted: at least what the living incarnations
-// counted and what most aggregators acknowledged of the others, at most what all counted.
-func (c *counterSim) bounds() (low, high uint64) {
+// totalBounds returns the minimum and maximum of the totals. The minimum is the count of the living
+// incarnations plus the acknowledged count of the ended ones, the maximum is the count of all
+// incarnations.
+func (c *counterSim) totalBounds() (low, high uint64) {
 	alive := map[uint64]bool{}
 	for _, one := range c.nodes {
 		if one.alive {
@@ -207,8 +221,8 @@
 	return low, high
 }
 
-// checkTotals checks, again and again, whether most voters live, and whether what one of them
-// reports lacks no more than it says.
+// checkTotals checks every checkIntervalSeconds whether a majority of the voters has recovered
+// totals. While that has always been so, it also checks the reported maximum of missing requests.
 func (c *counterSim) checkTotals() {
 	reporting := 0
 	for _, voter := range c.nodes[:c.plan.Voters] {
@@ -226,39 +240,41 @@
 	} else if c.row.VotersLost == 0 {
 		c.checkReporter()
 	}
-	c.after(checkInterval, c.checkTotals)
+	c.after(checkIntervalSeconds, c.checkTotals)
 }
 
-// checkReporter checks that the totals of the last reporter lack no more than they say.
+// checkReporter checks that the totals of the last reporter lack no more requests than it reports
+// as missing.
 func (c *counterSim) checkReporter() {
 	voter := c.lastReporter
 	if voter == nil || !voter.alive || voter.isPaused {
 		return
 	}
 	totals := voter.agent.CounterStatus(voter.agent.Now()).Totals
-	low, _ := c.bounds()
+	low, _ := c.totalBounds()
 	c.checks++
-	// Allowed besides: a second of all requests, for those that serving loops have not handed over
-	// yet and those in messages on their way.
-	if receivedTotal(totals.Total)+2*totals.MaxMissing+requestRate*float64(len(c.nodes)) < float64(low) {
+	// The tolerance of one second of all requests covers those that serving loops have not reported
+	// to their agents yet and those in undelivered messages.
+	if receivedTotal(totals.Total)+2*totals.MaxMissing+requestsPerSecond*float64(len(c.nodes)) < float64(low) {
 		c.understatedChecks++
 	}
 }
 
-// receivedTotal sums the received requests of all cells.
-func receivedTotal(list []serving.CounterCell) (n float64) {
-	for _, one := range list {
-		n += float64(one.Received)
+// receivedTotal returns the sum of the received requests of all cells.
+func receivedTotal(cells []serving.CounterCell) (total float64) {
+	for _, cell := range cells {
+		total += float64(cell.Received)
 	}
-	return n
+	return total
 }
 
-// settle stops the requests, waits until all is counted, and compares it with the true counts.
+// settle stops the requests, waits until the totals agree with the true counts or
+// settleTimeoutSeconds has passed, and sets the row.
 func (c *counterSim) settle() {
 	c.requestsStopped = true
 	from := c.now
-	for c.now < from+settleTimeout {
-		c.run(c.now + settleCheckInterval)
+	for c.now < from+settleTimeoutSeconds {
+		c.run(c.now + settleCheckIntervalSeconds)
 		pending := c.compareTotals()
 		c.row.SettleSeconds = c.now - from
 		if !pending && c.row.Overcount == 0 && c.row.Undercount == 0 {
@@ -269,7 +285,7 @@
 		c.row.Requests += truth.counted
 		c.row.Unplaced += truth.unplaced
 	}
-	low, high := c.bounds()
+	low, high := c.totalBounds()
 	c.row.Incarnations = len(c.trueCounts)
 	c.row.Unreported = high - low
 	if c.checks > 0 {
@@ -277,10 +293,11 @@
 	}
 }
 
-// compareTotals enters the differences between the voters' totals and the true counts in the row. It
-// reports whether some are pending: a voter recovers, or has open rows of incarnations that are gone.
+// compareTotals sets the differences between the voters' totals and the true counts in the row. It
+// reports whether the totals may still change, because a voter is recovering or has open rows of
+// ended incarnations.
 func (c *counterSim) compareTotals() (pending bool) {
-	low, high := c.bounds()
+	low, high := c.totalBounds()
 	c.row.Overcount = 0
 	c.row.Undercount = 0
 	for _, voter := range c.nodes[:c.plan.Voters] {
--- a/internal/bench/simulation/example.go
+++ b/internal/bench/simulation/example.go
@@ -2,8 +2,8 @@
 
 import _ "embed"
 
-// ExampleScenario is a scenario to begin with: a small fleet at nine tenths of what it can do, with
-// a crash, a drain and a slow server.
+// ExampleScenario is an example of a scenario: a small fleet at nine tenths of its capacity, with a
+// crash, a drain and a slow server.
 //
 //go:embed example.json
 var ExampleScenario []byte
--- a/internal/bench/simulation/fleetsim.go
+++ b/internal/bench/simulation/fleetsim.go
@@ -13,40 +13,42 @@
 )
 
 const (
-	// startSpread is the time, in seconds, over which the nodes of a fleet start.
-	startSpread = 2.0
-	// checkInterval is the time, in seconds, between two checks of invariants.
-	checkInterval = 0.1
-	// healTimeout is how long, in seconds, a healed fleet has to agree: enough for several leases
-	// and a bootstrap.
-	healTimeout = 60.0
-	// healCheckInterval is the time, in seconds, between two checks whether the fleet has healed.
-	healCheckInterval = 0.25
+	// startSpreadSeconds is the time, in seconds, over which the nodes of a fleet start.
+	startSpreadSeconds = 2.0
+	// checkIntervalSeconds is the time, in seconds, between two checks of invariants.
+	checkIntervalSeconds = 0.1
+	// healTimeoutSeconds is how long, in seconds, all nodes may take to apply the newest version
+	// after the last fault: enough for several leases and a bootstrap.
+	healTimeoutSeconds = 60.0
+	// healCheckIntervalSeconds is the time, in seconds, between two checks whether the fleet has
+	// healed.
+	healCheckIntervalSeconds = 0.25
 )
 
-// releaseWaves are the waves that a release may have, as shares of the fleet; nil is all at once.
+// releaseWaves are the waves from which those of a release are drawn, as shares of the fleet; nil
+// means no waves.
 var releaseWaves = [][]float64{nil, {0.01, 0.1, 0.5}}
 
-// fleetSim is a simulated fleet of nodes and the network between them. Membership is exact and known
-// at once, while servers learn it by gossip.
+// fleetSim is a simulated fleet of nodes and the network between them. Unlike in real servers,
+// which learn it by gossip, membership is always exact and up to date.
 type fleetSim struct {
 	*clock
 	plan          *RolloutPlan
 	nodes         []*node
 	nodeByName    map[string]*node
-	voters        map[string]string
-	partition     []int // the side of each node; nil without a partition
-	isolated      *node // receives nothing; nil for none
-	lossShare     float64
+	voters        map[string]string // addresses by name
+	partition     []int             // the side of each node; nil without a partition
+	isolated      *node             // node that receives nothing; nil for none
+	lossShare     float64           // share of messages that are lost
 	digestByEpoch map[release.Epoch]string
-	releasedAt    map[release.Epoch]float64 // when each release to all was accepted
+	releasedAt    map[release.Epoch]float64 // when each release without waves was accepted
 	catchUpMillis []float64
-	newestLog     *release.Log // that any voter ever had, also one that died before it replicated it
+	newestLog     *release.Log // newest log that any voter ever had, even if it ended before replicating it
 	row           RolloutRow
-	claims        *claimLog // nil where no keys are claimed
+	claims        *claimLog // nil without key claims
 }
 
-// newFleetSim makes a fleet whose nodes have not started.
+// newFleetSim returns a fleet whose nodes have not started.
 func newFleetSim(plan *RolloutPlan) *fleetSim {
 	sim := &fleetSim{
 		clock:         newClock(plan.Seed),
@@ -73,14 +75,14 @@
 	return sim
 }
 
-// startNodes starts all nodes at random times.
+// startNodes schedules the start of all nodes at random times within startSpreadSeconds.
 func (f *fleetSim) startNodes() {
 	for _, one := range f.nodes {
-		f.after(startSpread*f.random.Float64(), one.start)
+		f.after(startSpreadSeconds*f.random.Float64(), one.start)
 	}
 }
 
-// nodeNames lists the nodes.
+// nodeNames returns the names of all nodes.
 func (f *fleetSim) nodeNames() []string {
 	var names []string
 	for _, one := range f.nodes {
@@ -89,7 +91,7 @@
 	return names
 }
 
-// submitRelease submits a release at a node, to all at once or in waves.
+// submitRelease submits a release at a node, at random with or without waves.
 func (f *fleetSim) submitRelease(author *node) {
 	text := fmt.Sprintf("door-come-back %gs\n", 1+math.Floor(f.now))
 	waves := releaseWaves[f.random.IntN(len(releaseWaves))]
@@ -112,9 +114,9 @@
 	author.tick()
 }
 
-// newestLivingLog returns the newest release log of the living voters. It lacks entries that only
-// dead voters had.
-func (f *fleetSim) newestLivingLog() (newest *release.Log) {
+// newestLogOfLivingVoters returns the newest release log of the living voters. It lacks entries
+// that only voters had that are not alive.
+func (f *fleetSim) newestLogOfLivingVoters() (newest *release.Log) {
 	for _, voter := range f.nodes[:f.plan.Voters] {
 		if voter.alive && (newest == nil || voter.agent.ReleaseLog().NewerThan(newest)) {
 			newest = voter.agent.ReleaseLog()
@@ -123,11 +125,11 @@
 	return newest
 }
 
-// checkInvariants checks every checkInterval that no node serves while it is ejected and that not too
-// many are out of service. Paused nodes are checked too: their serving loop would follow the last
-// directive.
+// checkInvariants checks every checkIntervalSeconds that no node serves while it is ejected and
+// that no more nodes than allowed are out of service. Paused nodes are checked too, because their
+// serving loop would follow the last directive.
 func (f *fleetSim) checkInvariants() {
-	living := f.newestLivingLog()
+	living := f.newestLogOfLivingVoters()
 	if f.newestLog != nil && living != nil {
 		unavailable := 0
 		for _, one := range f.nodes {
@@ -145,11 +147,11 @@
 			f.row.TooManyUnavailable++
 		}
 	}
-	f.after(checkInterval, f.checkInvariants)
+	f.after(checkIntervalSeconds, f.checkInvariants)
 }
 
-// servesWhileEjected reports whether a node holds a valid lease though its incarnation is ejected,
-// by the newest log and by that of the living voters.
+// servesWhileEjected reports whether a node holds a valid lease although its incarnation is
+// ejected, both in the newest log and in the newest log of the living voters.
 func (s *node) servesWhileEjected(newest, living *release.Log) bool {
 	hasLease := s.state == lease.StateLeased && s.now < s.directive.ChangesAt
 	ejected, isEjected := newest.Ejected[s.name]
@@ -157,15 +159,16 @@
 		living.Ejected[s.name].Incarnation == ejected.Incarnation
 }
 
-// isOutOfServiceMember reports whether a member's lease is over and it went out of service for
-// that.
+// isOutOfServiceMember reports whether a node is a member and out of service because its lease has
+// expired.
 func (s *node) isOutOfServiceMember(newest *release.Log) bool {
 	isExpired := s.state == lease.StateExpired || s.state == lease.StateLeased && s.now >= s.directive.ChangesAt
 	return isExpired && s.directive.ModeAt(s.now) == serving.ModeOutOfService &&
 		newest.Members[s.name] == s.agent.Incarnation()
 }
 
-// heal ends all faults and waits until all nodes act on the newest version.
+// heal ends all faults and waits until all nodes have applied the newest version or
+// healTimeoutSeconds has passed.
 func (f *fleetSim) heal() {
 	f.partition = nil
 	f.isolated = nil
@@ -178,8 +181,8 @@
 		one.resume(one.agent)
 	}
 	from := f.now
-	for f.now < from+healTimeout {
-		f.run(f.now + healCheckInterval)
+	for f.now < from+healTimeoutSeconds {
+		f.run(f.now + healCheckIntervalSeconds)
 		f.row.Unhealed = f.countUnhealed()
 		if f.row.Unhealed == 0 {
 			break
@@ -188,9 +191,10 @@
 	f.row.HealSeconds = f.now - from
 }
 
-// countUnhealed counts the nodes that do not act on the newest version.
+// countUnhealed counts the nodes that hold no lease or have not applied the newest version; all
+// nodes while a release is in progress.
 func (f *fleetSim) countUnhealed() (count int) {
-	log := f.newestLivingLog()
+	log := f.newestLogOfLivingVoters()
 	for _, one := range f.nodes {
 		if log == nil || log.Next != nil || one.state != lease.StateLeased || one.activeEpoch != log.Current.Epoch {
 			count++
--- a/internal/bench/simulation/forwarder.go
+++ b/internal/bench/simulation/forwarder.go
@@ -7,29 +7,32 @@
 )
 
 const (
-	// maxWorkerWait is the queueing time, in seconds, from which on a worker rejects: a quarter of
-	// the remaining budget.
-	maxWorkerWait = 0.25
+	// maxWorkerWaitSeconds is the queueing time, in seconds, above which a worker rejects: a
+	// quarter of the request timeout.
+	maxWorkerWaitSeconds = 0.25
 	// hopSeconds is the delay between a forwarder and a worker, one way.
 	hopSeconds = 0.0003
-	// rejectRetryAfter is the Retry-After, in seconds, of a worker that rejects.
-	rejectRetryAfter = 0.2
-	// learnInterval is the time, in seconds, between two updates of the workers' learned capacity.
-	learnInterval = 0.5
-	// minReportSeconds is the shortest time that a demand report is about.
+	// rejectRetryAfterSeconds is the Retry-After, in seconds, of a worker's rejections.
+	rejectRetryAfterSeconds = 0.2
+	// learnIntervalSeconds is the time, in seconds, between two updates of the workers' learned
+	// capacity.
+	learnIntervalSeconds = 0.5
+	// minReportSeconds is the minimum interval that a demand report covers, so that rates stay
+	// finite.
 	minReportSeconds = 1e-3
 )
 
-// simWorker is a worker. It works off its queue in order, at the speed of all its cores.
+// simWorker is a worker with a first-in-first-out queue that is processed at the joint speed of its
+// cores.
 type simWorker struct {
 	name       string
 	cores      float64
-	queuedWork float64 // seconds of a core, at updatedAt
+	queuedWork float64 // core-seconds, at updatedAt
 	updatedAt  float64
-	attempts   int
+	attempts   int // received during the measurement
 }
 
-// advance works off what the cores did since the last update.
+// advance subtracts the work done since the last update from the queue.
 func (w *simWorker) advance(now float64) {
 	w.queuedWork = max(0, w.queuedWork-(now-w.updatedAt)*w.cores)
 	w.updatedAt = now
@@ -40,13 +43,13 @@
 	*node
 	sim        *twoLevelSim
 	router     *routing.Router
-	rate       float64 // requests a second
-	received   int     // since the last report
+	rate       float64 // requests per second
+	received   int     // requests since the last report
 	reportedAt float64
 	version    loadplan.Version // of the plan in use
 }
 
-// loadPlanSettings connects the agent with the router.
+// loadPlanSettings returns agent settings that connect the agent with the router.
 func (f *simForwarder) loadPlanSettings(nodeClock *fleet.Clock) *fleet.LoadPlanConfig {
 	return &fleet.LoadPlanConfig{
 		Report: f.reportDemand,
@@ -73,13 +76,13 @@
 	return report
 }
 
-// learn has the router learn the workers' capacity every learnInterval.
-func (f *simForwarder) learn() {
-	f.router.LearnCapacity(learnInterval)
-	f.after(learnInterval, f.learn)
+// learnCapacity updates the router's estimate of the workers' capacity every learnIntervalSeconds.
+func (f *simForwarder) learnCapacity() {
+	f.router.LearnCapacity(learnIntervalSeconds)
+	f.after(learnIntervalSeconds, f.learnCapacity)
 }
 
-// generateLoad receives a request and schedules the next one.
+// generateLoad receives a client's request and schedules the next one.
 func (f *simForwarder) generateLoad() {
 	f.received++
 	f.sim.sendRequest(f)
@@ -93,7 +96,7 @@
 	isIdempotent bool
 	arrivedAt    float64
 	triedWorkers []string
-	isMeasured   bool
+	isMeasured   bool // arrived during the measurement
 	isDone       bool
 }
 
@@ -104,7 +107,7 @@
 	startedAt float64
 }
 
-// sendRequest starts a request; every second one is idempotent.
+// sendRequest starts a request. Every second request is idempotent.
 func (l *twoLevelSim) sendRequest(forwarder *simForwarder) {
 	l.requestCount++
 	request := &forwardedRequest{
@@ -120,7 +123,7 @@
 	l.startAttempt(request)
 }
 
-// finishRequest ends a request, once.
+// finishRequest ends a request, unless it has already ended.
 func (l *twoLevelSim) finishRequest(request *forwardedRequest, finished bool) {
 	if request.isDone {
 		return
@@ -130,12 +133,12 @@
 		return
 	}
 	l.settledCount++
-	if latency := l.now - request.arrivedAt; finished && latency <= requestTimeout {
+	if latency := l.now - request.arrivedAt; finished && latency <= requestTimeoutSeconds {
 		l.latencies = append(l.latencies, latency)
 	}
 }
 
-// startAttempt sends a request to a worker, as a forwarder does.
+// startAttempt sends a request to a worker that the router picks, as a forwarder does.
 func (l *twoLevelSim) startAttempt(request *forwardedRequest) {
 	router := request.forwarder.router
 	name, _ := router.Pick(l.now, request.isIdempotent, request.triedWorkers...)
@@ -159,8 +162,8 @@
 	if l.measuring {
 		worker.attempts++
 	}
-	if worker.queuedWork/worker.cores > maxWorkerWait {
-		l.after(hopSeconds, func() { l.endAttempt(attempt, routing.Rejected, rejectRetryAfter) })
+	if worker.queuedWork/worker.cores > maxWorkerWaitSeconds {
+		l.after(hopSeconds, func() { l.endAttempt(attempt, routing.Rejected, rejectRetryAfterSeconds) })
 		return
 	}
 	if !attempt.request.isIdempotent {
@@ -172,7 +175,7 @@
 	l.after(wait+work+hopSeconds, func() { l.endAttempt(attempt, routing.Finished, 0) })
 }
 
-// endAttempt finishes the request or retries it, as a forwarder does.
+// endAttempt ends the request or retries it, as a forwarder does.
 func (l *twoLevelSim) endAttempt(attempt *forwardedAttempt, outcome routing.Outcome, retryAfter float64) {
 	request := attempt.request
 	router := request.forwarder.router
@@ -185,7 +188,7 @@
 		LastOutcome:    outcome,
 		Attempts:       len(request.triedWorkers),
 		IsIdempotent:   request.isIdempotent,
-		Remaining:      request.arrivedAt + requestTimeout - l.now,
+		Remaining:      request.arrivedAt + requestTimeoutSeconds - l.now,
 		TypicalLatency: workerRunSeconds,
 	}
 	if router.AllowRetry(retry) {
--- a/internal/bench/simulation/machine.go
+++ b/internal/bench/simulation/machine.go
@@ -6,31 +6,32 @@
 	"swiftcourse/internal/timerwheel"
 )
 
-// machine shares its cores equally among runs: each run has the speed of a core, or its share of
-// all cores if there are more runs than cores. All runs progress at the same rate, so the machine
-// keeps one sum of work per run since it was last empty, and orders runs by the sum at which they end.
+// machine is a processor-sharing queue: each run progresses at the speed of a core, or at its equal
+// share of all cores if there are more runs than cores. All runs progress at the same rate, so the
+// machine keeps one counter of the work per run since it was last idle, and orders runs by the
+// counter value at which they end.
 type machine struct {
 	clock       *clock
 	cores       float64
 	speed       float64 // of a core; 1 is normal
-	workPerRun  float64 // seconds of a normal core that each run has had
-	updatedAt   float64 // the time of workPerRun
+	workPerRun  float64 // work done for each run since the machine was last idle, in seconds of a normal core
+	updatedAt   float64 // time at which workPerRun was updated
 	active      runHeap
-	timer       timerwheel.Timer
-	completeDue func()      // completeRuns, bound once
-	onRunCount  func(n int) // called after each change of the number of runs
-	totalWork   float64     // seconds of a normal core, of all runs
+	timer       timerwheel.Timer // fires when the next run ends
+	completeDue func()           // completeRuns as a function value, created once
+	onRunCount  func(n int)      // called after each change of the number of runs
+	totalWork   float64          // work done for all runs, in seconds of a normal core
 }
 
 // machineRun is a run on a machine.
 type machineRun struct {
-	finish float64 // workPerRun at which it is done
+	finish float64 // value of workPerRun at which the run ends
 	order  int     // breaks ties of finish: the run that started first ends first
-	index  int     // in the heap; -1 once it is removed
+	index  int     // in the heap; -1 after removal
 	onDone func()
 }
 
-// runHeap orders runs by their end, for package container/heap.
+// runHeap is a heap of runs ordered by their end, for package container/heap.
 type runHeap struct {
 	runs      []*machineRun
 	pushCount int
@@ -67,40 +68,41 @@
 	return run
 }
 
-// newMachine makes an idle machine.
+// newMachine returns an idle machine.
 func newMachine(c *clock, cores int) *machine {
 	m := &machine{clock: c, cores: float64(cores), speed: 1}
 	m.completeDue = m.completeRuns
 	return m
 }
 
-// rate is the work that each run has in a second.
+// rate returns the work done for each run per second.
 func (m *machine) rate() float64 {
 	return m.speed * min(1, m.cores/float64(max(1, m.active.Len())))
 }
 
-// advance brings the work of the runs up to the present.
+// advance updates the work counters to the present time.
 func (m *machine) advance() {
 	work := (m.clock.now - m.updatedAt) * m.rate()
 	m.totalWork += work * float64(m.active.Len())
 	m.workPerRun += work
 	m.updatedAt = m.clock.now
 	if m.active.Len() == 0 {
-		m.workPerRun = 0 // rounding errors do not add up
+		m.workPerRun = 0 // keeps rounding errors from accumulating
 	}
 }
 
-// start starts a run of that many seconds of a normal core.
-func (m *machine) start(work float64, done func()) *machineRun {
+// start starts a run with the given work, in seconds of a normal core, and calls onDone when it
+// ends.
+func (m *machine) start(work float64, onDone func()) *machineRun {
 	m.advance()
 	m.active.pushCount++
-	run := &machineRun{finish: m.workPerRun + work, order: m.active.pushCount, onDone: done}
+	run := &machineRun{finish: m.workPerRun + work, order: m.active.pushCount, onDone: onDone}
 	heap.Push(&m.active, run)
 	m.reschedule()
 	return run
 }
 
-// stop removes a run, if it has not ended.
+// stop removes a run that has not ended, without calling its onDone.
 func (m *machine) stop(run *machineRun) {
 	if run.index < 0 {
 		return
@@ -117,7 +119,7 @@
 	m.reschedule()
 }
 
-// clear removes all runs without a call of onDone.
+// clear removes all runs without calling their onDone.
 func (m *machine) clear() {
 	m.advance()
 	for m.active.Len() > 0 {
@@ -141,8 +143,8 @@
 	}
 }
 
-// workEpsilon is the work that a run may lack and still be done: well above rounding errors, and too
-// little to change a reported figure.
+// workEpsilon is the remaining work, in seconds, at which a run counts as done: well above rounding
+// errors, and too small to change a reported figure.
 const workEpsilon = 1e-9
 
 // completeRuns ends the runs that are done.
--- a/internal/bench/simulation/machine_test.go
+++ b/internal/bench/simulation/machine_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// erlangC is the part of arrivals that wait in a queue with c servers of which each is busy for rho
-// of the time.
+// erlangC returns the probability that an arrival has to wait in an M/M/c queue with utilization
+// rho.
 func erlangC(c int, rho float64) float64 {
 	a, sum, term := float64(c)*rho, 0.0, 1.0
 	for k := range c {
@@ -22,11 +22,11 @@
 		name  string
 		cores int
 		rho   float64
-		exact bool // every run takes the same
+		exact bool // all runs have the same work
 		want  float64
 	}{
 		{"M/M/1, processor sharing", 1, 0.7, false, 1 / (1 - 0.7)},
-		{"M/D/1, processor sharing", 1, 0.7, true, 1 / (1 - 0.7)}, // it does not depend on the distribution
+		{"M/D/1, processor sharing", 1, 0.7, true, 1 / (1 - 0.7)}, // mean independent of the distribution
 		{"M/M/4", 4, 0.8, false, 1 + erlangC(4, 0.8)/(4*(1-0.8))},
 		{"M/M/16", 16, 0.9, false, 1 + erlangC(16, 0.9)/(16*(1-0.9))},
 	} {
@@ -56,13 +56,15 @@
 			mean += x / batches
 			square += x * x / batches
 		}
-		// Half of the 99% interval, by batches: Student's t of 19 degrees.
+		// Half width of the 99% confidence interval of the batch means: Student's t with 19 degrees
+		// of freedom.
 		half := 2.86 * math.Sqrt((square-mean*mean)/(batches-1))
 		if math.Abs(mean-c.want) > half || half > 0.1*c.want {
-			t.Errorf("%s: %.4f +- %.4f, by theory %.4f", c.name, mean, half, c.want)
+			t.Errorf("%s: mean latency %.4f +- %.4f, want %.4f and a half width of at most a tenth of that",
+				c.name, mean, half, c.want)
 		}
 		if math.Abs(m.totalWork/float64(n)-1) > 0.02 {
-			t.Errorf("%s: work of %.4f each", c.name, m.totalWork/float64(n))
+			t.Errorf("%s: mean work of a run %.4f, want 1", c.name, m.totalWork/float64(n))
 		}
 	}
 }
--- a/internal/bench/simulation/node.go
+++ b/internal/bench/simulation/node.go
@@ -13,25 +13,27 @@
 	wire "swiftcourse/internal/wire/fleet"
 )
 
-// leaseTerms of simulated fleets are the defaults of the operator's file.
+// leaseTerms are the lease settings of simulated fleets: the defaults of the operator's file.
 var leaseTerms = lease.Config{Duration: 6, CatchUpTimeout: 10, MaxUnavailable: 0.25, ForgetAfter: 600}
 
 const (
-	// simulationEpoch is the Unix time, in seconds, at which the simulation begins.
-	simulationEpoch = 1.8e9
-	// minTickInterval is the shortest time, in seconds, between two ticks of a node.
-	minTickInterval = 0.001
-	// maxHeldMessages is how many messages wait for a paused node, as in a socket's buffer.
+	// simulationStartUnixSeconds is the Unix time, in seconds, at which the simulation begins.
+	simulationStartUnixSeconds = 1.8e9
+	// minTickIntervalSeconds is the shortest time, in seconds, between two ticks of a node.
+	minTickIntervalSeconds = 0.001
+	// maxHeldMessages is the number of messages that are held for a paused node, like a socket
+	// buffer.
 	maxHeldMessages = 200
-	// duplicateOneIn is the mean number of messages of which one arrives twice.
+	// duplicateOneIn is the mean number of messages per duplicated message.
 	duplicateOneIn = 50
-	// minMessageDelay and meanMessageDelay are of a message between nodes, in seconds.
-	minMessageDelay  = 0.0002
-	meanMessageDelay = 0.001
+	// The delay of a message between nodes is minMessageDelaySeconds plus an exponentially
+	// distributed time with mean meanMessageDelaySeconds, in seconds.
+	minMessageDelaySeconds  = 0.0002
+	meanMessageDelaySeconds = 0.001
 )
 
-// node is one server of a simulated fleet: the real agent, over the simulated network. It
-// implements the transport and the membership of its agent.
+// node is one server of a simulated fleet: a real agent on the simulated network. It implements the
+// transport and the membership of its agent.
 type node struct {
 	*fleetSim
 	name            string
@@ -45,17 +47,17 @@
 	timerSet        bool
 	directive       serving.Directive
 	state           lease.State
-	failsToApply    bool // it can't apply what is released
+	failsToApply    bool // the node can't apply releases
 	activeEpoch     release.Epoch
 	messagesSent    int
 	bytesSent       int
-	disturbedUntil  float64                               // a fault may delay it until then
-	quotaConfig     func(*fleet.Clock) *fleet.QuotaConfig // nil without quotas
+	disturbedUntil  float64                               // time until which a fault may delay the node
+	quotaConfig     func(*fleet.Clock) *fleet.QuotaConfig // nil if quotas are not simulated
 	countersEnabled bool
-	loadPlanConfig  func(*fleet.Clock) *fleet.LoadPlanConfig // nil without load plans
+	loadPlanConfig  func(*fleet.Clock) *fleet.LoadPlanConfig // nil if load plans are not simulated
 }
 
-// start starts a new incarnation with no state.
+// start starts a new incarnation without state.
 func (s *node) start() {
 	s.alive = true
 	s.isPaused = false
@@ -63,7 +65,7 @@
 	s.activeEpoch = 0
 	rate := 0.99 + 0.02*s.random.Float64()
 	offset := 7200*s.random.Float64() - 3600
-	nodeClock := fleet.NewClock(func() float64 { return s.now }, simulationEpoch+s.now, offset, rate)
+	nodeClock := fleet.NewClock(func() float64 { return s.now }, simulationStartUnixSeconds+s.now, offset, rate)
 	var quotas *fleet.QuotaConfig
 	if s.quotaConfig != nil {
 		quotas = s.quotaConfig(nodeClock)
@@ -94,15 +96,15 @@
 	s.tick()
 }
 
-// apply applies a released configuration, whose text does not matter here.
+// apply applies a released configuration. Its text has no effect in the simulation.
 func (s *node) apply(string) error {
 	if s.failsToApply {
-		return errors.New("its limits differ")
+		return errors.New("simulated error: release can't be applied")
 	}
 	return nil
 }
 
-// tick lets the agent do what is due, and schedules the next tick.
+// tick runs the agent's due work and schedules the next tick.
 func (s *node) tick() {
 	if !s.alive || s.isPaused {
 		return
@@ -110,7 +112,7 @@
 	now := s.agent.Now()
 	s.agent.Tick(now)
 	s.observe()
-	wait := max(minTickInterval, s.agent.NextWakeup()-now)
+	wait := max(minTickIntervalSeconds, s.agent.NextWakeup()-now)
 	if s.timerSet {
 		s.timers.Cancel(s.timer)
 	}
@@ -121,7 +123,8 @@
 	})
 }
 
-// observe copies the agent's decisions to the node and records what the invariants check.
+// observe copies the agent's serving state to the node, and records conflicting digests and
+// catch-up times.
 func (s *node) observe() {
 	view, active := s.agent.ServingState()
 	s.state = view.State
@@ -143,14 +146,14 @@
 	}
 }
 
-// pause stops the node for some seconds, as SIGSTOP does; it keeps its state.
+// pause stops the node for the given seconds, like SIGSTOP. The node keeps its state.
 func (s *node) pause(seconds float64) {
 	s.isPaused = true
 	paused := s.agent
 	s.after(seconds, func() { s.resume(paused) })
 }
 
-// resume ends the pause of an agent, unless the node has started another agent since.
+// resume ends the pause of an agent, unless the node has restarted since with another agent.
 func (s *node) resume(paused *fleet.Agent) {
 	if s.agent != paused || !s.isPaused {
 		return
@@ -164,13 +167,13 @@
 	}
 }
 
-// restartAfter kills the node and starts it again some seconds later.
+// restartAfter kills the node and restarts it after the given seconds.
 func (s *node) restartAfter(seconds float64) {
 	s.alive = false
 	s.after(seconds, s.start)
 }
 
-// Send delivers a message after a delay, or twice, or not at all.
+// Send sends a message, which may be delayed, duplicated or lost.
 func (s *node) Send(addr string, message []byte) {
 	s.messagesSent++
 	s.bytesSent += len(message)
@@ -179,16 +182,16 @@
 		return
 	}
 	for range 1 + s.clock.random.IntN(duplicateOneIn)/(duplicateOneIn-1) {
-		s.after(minMessageDelay+s.exponential(meanMessageDelay), func() { to.receive(message) })
+		s.after(minMessageDelaySeconds+s.exponential(meanMessageDelaySeconds), func() { to.receive(message) })
 	}
 }
 
-// isPartitioned reports whether a partition is between two nodes.
+// isPartitioned reports whether a partition separates two nodes.
 func (s *node) isPartitioned(other *node) bool {
 	return s.partition != nil && s.partition[s.number] != s.partition[other.number]
 }
 
-// receive handles a message, or holds it while the node is paused.
+// receive handles a message, or holds it for later while the node is paused.
 func (s *node) receive(message []byte) {
 	if !s.alive {
 		return
@@ -219,9 +222,9 @@
 	return all
 }
 
-// Sample draws the addresses of at most that many living nodes, which may repeat.
-func (s *node) Sample(most int, random *rand.Rand) (addrs []string) {
-	for range most {
+// Sample draws the addresses of at most maxCount living nodes, with replacement.
+func (s *node) Sample(maxCount int, random *rand.Rand) (addrs []string) {
+	for range maxCount {
 		if other := s.nodes[random.IntN(len(s.nodes))]; other != s && other.alive {
 			addrs = append(addrs, other.name)
 		}
@@ -229,7 +232,7 @@
 	return addrs
 }
 
-// HasMember reports whether a node is alive.
+// HasMember reports whether the named node is alive.
 func (s *node) HasMember(name string) bool {
 	member := s.nodeByName[name]
 	return member != nil && member.alive
--- a/internal/bench/simulation/request.go
+++ b/internal/bench/simulation/request.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// outcome is how an attempt or a request ended.
+// outcome is the outcome of an attempt or a request.
 type outcome uint8
 
 const (
@@ -13,16 +13,16 @@
 	late             // finished after the soft deadline
 	rejected
 	abandoned
-	timedOut       // the caller's timeout passed
-	connectionLost // the server died
-	unreachable    // there was no server to try
+	timedOut       // not answered within the client's timeout
+	connectionLost // the server ended before it answered
+	unreachable    // no server was available, or the picked one was down
 )
 
-// attemptResult is what a client learns of the end of an attempt.
+// attemptResult is the response to an attempt as the client receives it.
 type attemptResult struct {
 	outcome    outcome
-	retryAfter float64 // seconds that the server asks to wait before a retry
-	noFailover bool    // the server says that a retry elsewhere is of no use
+	retryAfter float64 // minimum delay, in seconds, that the server requests before a retry
+	noFailover bool    // the server asks not to retry at another server
 }
 
 // requestSim is one run of a scenario.
@@ -32,7 +32,7 @@
 	servers        []*server
 	downstream     *machine
 	downstreamDead bool
-	nextServer     int // of the round-robin balancer
+	nextServer     int // position of the round-robin balancer
 	requestCount   int
 	tally          tally
 }
@@ -42,12 +42,12 @@
 	rows           []ClassRow
 	runs           int
 	calls          int
-	wasted         float64 // work for answers that nobody waited for, in seconds of a core
+	wasted         float64 // work for answers that no client waited for, in core-seconds
 	violations     []string
 	violationCount int
 }
 
-// maxViolations bounds the violations that are listed.
+// maxViolations is the maximum number of violations that are listed.
 const maxViolations = 20
 
 // addViolation counts a violation and lists it, up to maxViolations.
@@ -65,12 +65,12 @@
 	classIndex int
 	work       float64
 	arrivedAt  float64
-	attempts   int // made so far
+	attempts   int // number of attempts so far
 	isDone     bool
 	current    *attempt
 }
 
-// ClassRow is the result of the requests of a class.
+// ClassRow counts the requests of a class by outcome.
 type ClassRow struct {
 	Class        string  `json:"stage"`
 	Received     int     `json:"asked"`
@@ -79,9 +79,9 @@
 	Rejected     int     `json:"rejected"`
 	Abandoned    int     `json:"abandoned"`
 	TimedOut     int     `json:"timed_out"`
-	Unreachable  int     `json:"unreachable"` // no server was left to try, or it died
+	Unreachable  int     `json:"unreachable"` // no server was available, or the server ended
 	Attempts     int     `json:"attempts"`
-	Mean         float64 `json:"mean_s"` // latency of those finished
+	Mean         float64 `json:"mean_s"` // mean latency of finished and late requests
 	totalSeconds float64
 }
 
@@ -92,18 +92,18 @@
 	Rows           []ClassRow `json:"stages"`
 	Runs           int        `json:"runs"`
 	Calls          int        `json:"calls"`
-	WastedShare    float64    `json:"wasted_share"` // of all work done, that for answers that nobody waited for
+	WastedShare    float64    `json:"wasted_share"` // share of the work that was for answers no client waited for
 	Events         int        `json:"events"`
 	ViolationCount int        `json:"rules_broken"`
-	Violations     []string   `json:"broken"` // the first of them
+	Violations     []string   `json:"broken"` // the first maxViolations of them
 }
 
-// ClassColumns are the heads of the table.
+// ClassColumns are the column heads of the table.
 var ClassColumns = []string{
 	"stage", "asked", "finished", "late", "rejected", "abandoned", "timed out", "unreachable", "a task", "mean s",
 }
 
-// Cells returns the row for the table.
+// Cells returns the row's table cells, in the order of ClassColumns.
 func (r ClassRow) Cells() []string {
 	attemptsPerRequest := float64(r.Attempts) / float64(max(1, r.Received))
 	return []string{
@@ -120,7 +120,7 @@
 	}
 }
 
-// Run simulates a scenario to its end, and until all requests have ended.
+// Run simulates a scenario until its end and until all its requests have ended.
 func Run(scenario *Scenario) Report {
 	sim := &requestSim{clock: newClock(scenario.Seed), scenario: scenario}
 	sim.downstream = newMachine(sim.clock, max(1, scenario.Downstream.Cores))
@@ -136,20 +136,20 @@
 		sim.after(fault.At, func() { sim.inject(fault) })
 	}
 	sim.scheduleArrival()
-	sim.run(scenario.Seconds + 2*longestTimeout + drainTimeout)
+	sim.run(scenario.Seconds + 2*longestTimeout + drainTimeoutSeconds)
 	return sim.buildReport()
 }
 
-// addServer starts a server that balancers know from the beginning.
+// addServer starts a server and lists it at the balancers immediately.
 func (p *requestSim) addServer(number int) {
 	added := &server{requestSim: p, number: number, machine: newMachine(p.clock, p.scenario.Cores), speedFactor: 1}
 	added.machine.onRunCount = added.checkOverload
 	p.servers = append(p.servers, added)
 	added.start(false)
-	added.listed = true
+	added.isListed = true
 }
 
-// buildReport sums up the run.
+// buildReport returns the report of the run.
 func (p *requestSim) buildReport() Report {
 	totalWork := 0.0
 	for _, s := range p.servers {
@@ -173,7 +173,7 @@
 	}
 }
 
-// inject starts a fault of the scenario.
+// inject starts a fault of the scenario and schedules its end.
 func (p *requestSim) inject(fault Fault) {
 	target := p.servers[fault.Server]
 	restart := func() {
@@ -187,11 +187,11 @@
 		p.after(fault.Duration, restart)
 	case faultDrain:
 		target.drain()
-		p.after(drainTimeout+fault.Duration, restart)
+		p.after(drainTimeoutSeconds+fault.Duration, restart)
 	case faultDownstreamSlow:
 		p.downstream.setSpeed(fault.Factor)
 		p.after(fault.Duration, func() { p.downstream.setSpeed(1) })
-	case faultDownstreamDead: // it takes calls and answers none
+	case faultDownstreamDead: // the dependency accepts calls and answers none
 		p.downstreamDead = true
 		p.downstream.clear()
 		p.after(fault.Duration, func() { p.downstreamDead = false })
@@ -205,7 +205,7 @@
 	}
 }
 
-// drawDelay draws the delay of a message, one way.
+// drawDelay draws the one-way delay of a message.
 func (p *requestSim) drawDelay() float64 { return p.exponential(p.scenario.Delay) }
 
 // scheduleArrival schedules the next request.
@@ -239,7 +239,7 @@
 	return class
 }
 
-// timeOut ends the request if it has not ended, and tells the server of its attempt.
+// timeOut ends the request if it has not ended, and informs the server of its current attempt.
 func (r *request) timeOut() {
 	if r.isDone {
 		return
@@ -253,7 +253,7 @@
 // class returns the class of the request.
 func (r *request) class() *Class { return &r.scenario.Classes[r.classIndex] }
 
-// startAttempt sends the request to a server.
+// startAttempt picks a server and sends the request to it.
 func (r *request) startAttempt() {
 	if r.isDone {
 		return
@@ -276,8 +276,9 @@
 	r.after(r.drawDelay(), func() { picked.receive(started) })
 }
 
-// handleAttemptEnd ends the request or retries it after a backoff, unless the server said that a
-// retry is of no use.
+// handleAttemptEnd handles the response to an attempt. It retries after a backoff if the attempt
+// was rejected or its connection failed, the server allows a retry, and attempts and time are left.
+// Otherwise it ends the request.
 func (r *request) handleAttemptEnd(ended *attempt, result attemptResult) {
 	ended.server.openAttempts--
 	if r.isDone {
@@ -293,7 +294,7 @@
 	case abandoned:
 		r.finish(ending)
 	default:
-		backoff := max(result.retryAfter, minBackoff*float64(r.attempts))
+		backoff := max(result.retryAfter, minBackoffSeconds*float64(r.attempts))
 		isTooLate := r.now+backoff-r.arrivedAt >= r.class().Timeout
 		if result.noFailover || r.attempts >= r.scenario.MaxAttempts || isTooLate {
 			if ending == connectionLost {
@@ -306,11 +307,11 @@
 	}
 }
 
-// minBackoff is the shortest backoff, in seconds, of a first retry. That of a later retry is as many
-// times as long as attempts were made.
-const minBackoff = 0.01
+// minBackoffSeconds is the minimum backoff, in seconds, before the first retry. The minimum grows
+// linearly with the number of attempts.
+const minBackoffSeconds = 0.01
 
-// finish ends the request.
+// finish ends the request and counts its outcome.
 func (r *request) finish(ending outcome) {
 	r.isDone = true
 	row := &r.tally.rows[r.classIndex]
--- a/internal/bench/simulation/rollout.go
+++ b/internal/bench/simulation/rollout.go
@@ -7,54 +7,55 @@
 	"swiftcourse/internal/bench/report"
 )
 
-// RolloutPlan is a fleet whose servers roll out releases, in simulated time: the agents of package
-// fleet themselves, over a network that delays, loses, duplicates and partitions.
+// RolloutPlan is a simulation of rollouts: agents of package fleet run on a network that delays,
+// loses and duplicates messages and is partitioned at times.
 type RolloutPlan struct {
 	Servers  int
 	Voters   int
-	Seconds  float64 // of releases and faults; then faults end and the fleet has healTimeout to agree
+	Seconds  float64 // duration of releases and faults
 	Seed     uint64
 	NoFaults bool
-	KeyRate  float64 // requests a second with a key, over all servers; 0 for none
+	KeyRate  float64 // requests with a key per second, over all servers; 0 for none
 }
 
-// Validate returns an error that names the limits if a value is outside of them.
+// Validate returns an error with the values and their limits if one is out of range.
 func (p *RolloutPlan) Validate() error {
 	if p.Servers < 1 || p.Servers > 5000 || p.Voters < 1 || p.Voters > min(15, p.Servers) ||
 		p.Seconds < 1 || p.Seconds > 3600 || p.KeyRate < 0 || p.KeyRate > 10_000 {
-		return fmt.Errorf("--servers %d --voters %d --seconds %g: from 1 to 5000, from 1 to 15, and from 1 to 3600",
-			p.Servers, p.Voters, p.Seconds)
+		return fmt.Errorf("--servers %d --voters %d --seconds %g --keys %g: want servers from 1 to 5000, "+
+			"voters from 1 to %d, seconds from 1 to 3600, keys from 0 to 10000",
+			p.Servers, p.Voters, p.Seconds, p.KeyRate, min(15, max(1, p.Servers)))
 	}
 	return nil
 }
 
-// RolloutRow is the result of a run.
+// RolloutRow is the result of a RolloutPlan.
 type RolloutRow struct {
 	report.RolloutCounts
-	TooManyUnavailable int     `json:"too_many_left"` // checks that found more servers out of service than allowed
+	TooManyUnavailable int     `json:"too_many_left"` // checks with more servers out of service than allowed
 	Unhealed           int     `json:"unhealed"`      // servers not on the newest version at the end
-	HealSeconds        float64 `json:"heal_s"`        // until all acted on the newest version, after the last fault
+	HealSeconds        float64 `json:"heal_s"`        // from the last fault until all servers had the newest version
 	report.CatchUpLatency
-	MessagesPerSecond float64   `json:"messages_s"`      // sent by a server, on average
-	BytesPerSecond    float64   `json:"bytes_s"`         // sent by a server, on average
-	MaxBytesPerSecond float64   `json:"bytes_s_at_most"` // of the server that sent most
+	MessagesPerSecond float64   `json:"messages_s"`      // sent per server, on average
+	BytesPerSecond    float64   `json:"bytes_s"`         // sent per server, on average
+	MaxBytesPerSecond float64   `json:"bytes_s_at_most"` // by the server that sent most
 	Claims            ClaimsRow `json:"claimed"`
 }
 
-// Violations counts what breaks an invariant, of rollouts and of claims.
+// Violations returns the number of violated invariants of rollouts and claims.
 func (r RolloutRow) Violations() int {
 	claims := r.Claims.Unanswered + r.Claims.RepeatedRuns + r.Claims.WrongResults + r.Claims.ConflictingResults +
 		r.Claims.SlotsOutOfSync
 	return claims + r.ConflictingDigests + r.ServedWhileEjected + r.TooManyUnavailable + r.Unhealed
 }
 
-// RolloutColumns are the heads of the table.
+// RolloutColumns are the column heads of the table.
 var RolloutColumns = []string{
 	"seed", "servers", "releases", "faults", "two digests", "acted out", "too many left", "unhealed",
 	"heal s", "p50 ms", "p99 ms", "max ms", "msg/s", "B/s", "most B/s",
 }
 
-// Cells returns the row for the table.
+// Cells returns the row's table cells, in the order of RolloutColumns.
 func (r RolloutRow) Cells() []string {
 	return []string{
 		strconv.FormatUint(r.Seed, 10),
@@ -76,13 +77,13 @@
 }
 
 const (
-	// bootstrapSeconds is how long a fleet has to bootstrap and to grant all leases.
+	// bootstrapSeconds is the time for a fleet to bootstrap and to grant all leases.
 	bootstrapSeconds = 20
-	// quietSeconds is how long the traffic of a fleet is measured in which nothing happens.
-	quietSeconds = 10
+	// idleTrafficSeconds is how long the traffic is measured without releases and faults.
+	idleTrafficSeconds = 10
 )
 
-// RunRollout runs the plan.
+// RunRollout runs a RolloutPlan and returns its result.
 func RunRollout(plan *RolloutPlan) RolloutRow {
 	sim := newFleetSim(plan)
 	if plan.KeyRate > 0 {
@@ -91,16 +92,16 @@
 	sim.startNodes()
 	sim.run(bootstrapSeconds)
 	if sim.claims != nil {
-		// Until then replicas do not know what ran before they started.
-		sim.run(sim.now + claimRetention + 2*maxClaimDuration)
+		// Until then replicas can't know which keys ran before they started.
+		sim.run(sim.now + claimRetentionSeconds + 2*maxClaimSeconds)
 		sim.sendClaim()
 	}
-	sim.measureQuiet()
+	sim.measureIdleTraffic()
 	sim.after(0, sim.checkInvariants)
 	sim.runFaults(plan.Seconds)
 	sim.heal()
 	if sim.claims != nil {
-		sim.run(sim.now + claimRetention) // records that were lost with most of their replicas have to expire
+		sim.run(sim.now + claimRetentionSeconds) // until records whose replicas were mostly lost have expired
 		sim.claims.summarize(sim)
 		sim.row.Claims = sim.claims.row
 	}
@@ -108,9 +109,9 @@
 	return sim.row
 }
 
-// measureQuiet measures the traffic while nothing happens.
-func (f *fleetSim) measureQuiet() {
-	measured := f.measureTraffic(quietSeconds)
+// measureIdleTraffic measures the traffic without releases and faults.
+func (f *fleetSim) measureIdleTraffic() {
+	measured := f.measureTraffic(idleTrafficSeconds)
 	f.row.MessagesPerSecond = measured.meanMessages
 	f.row.BytesPerSecond = measured.meanBytes
 	f.row.MaxBytesPerSecond = measured.maxBytes
--- a/internal/bench/simulation/scenario.go
+++ b/internal/bench/simulation/scenario.go
@@ -3,54 +3,54 @@
 import (
 	"bytes"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"slices"
 
 	"swiftcourse/admission"
 )
 
-// Scenario is what Run simulates. Times are in seconds.
+// Scenario is the input of Run. Times are in seconds.
 type Scenario struct {
 	Name             string     `json:"name"`
 	Seed             uint64     `json:"seed"`
 	Seconds          float64    `json:"seconds"`
 	Servers          int        `json:"servers"`
-	Cores            int        `json:"cores"` // of each server
-	Load             float64    `json:"load"`  // requested, over what all cores can do
+	Cores            int        `json:"cores"` // per server
+	Load             float64    `json:"load"`  // offered load relative to the capacity of all cores
 	Balancer         Balancer   `json:"balancer"`
-	MaxAttempts      int        `json:"tries"`    // of a request
-	Delay            float64    `json:"delay"`    // of a message, one way, on average
-	HealthDelay      float64    `json:"lag"`      // until balancers know that a server's health changed
-	SlowStartSeconds float64    `json:"cold_for"` // for which a restarted server is slow
-	InitialSpeed     float64    `json:"cold_from"`
+	MaxAttempts      int        `json:"tries"`     // per request
+	Delay            float64    `json:"delay"`     // mean one-way delay of a message
+	HealthDelay      float64    `json:"lag"`       // from a change of a server's health until balancers know it
+	SlowStartSeconds float64    `json:"cold_for"`  // slow start of a restarted server
+	InitialSpeed     float64    `json:"cold_from"` // share of the normal speed during the slow start
 	Classes          []Class    `json:"stages"`
 	Faults           []Fault    `json:"faults"`
 	Downstream       Downstream `json:"below"`
 }
 
-// Downstream is the dependency that all servers share. Without cores there is none, and no class
-// may call it.
+// Downstream is the dependency that all servers share. With 0 cores there is none, and no class may
+// call it.
 type Downstream struct {
 	Cores int     `json:"cores"`
-	Work  float64 `json:"work"` // of a core, for a call, on average
+	Work  float64 `json:"work"` // mean core-seconds of a call
 }
 
 // Class is a class of requests.
 type Class struct {
 	Name            string  `json:"name"`
-	Share           float64 `json:"part"` // of all requests; the shares add up to 1
-	Work            float64 `json:"work"` // of a core, on average; it is drawn exponentially
+	Share           float64 `json:"part"` // share of all requests; the shares add up to 1
+	Work            float64 `json:"work"` // mean core-seconds; exponentially distributed
 	SoftDeadline    float64 `json:"due"`
 	Timeout         float64 `json:"limit"`
 	Value           float64 `json:"utility"`
-	CallsDownstream bool    `json:"calls"` // halfway through its work
+	CallsDownstream bool    `json:"calls"` // each request makes a call halfway through its work
 }
 
 // FaultKind is a kind of fault of a scenario.
 type FaultKind string
 
-// The kinds of faults. A server that crashed or drained restarts after the fault's duration.
+// The kinds of faults. A crashed server restarts after the fault's duration, a drained one that
+// long after its drain.
 const (
 	faultCrash          FaultKind = "crash"
 	faultSlow           FaultKind = "slow"
@@ -61,7 +61,7 @@
 
 var faultKinds = []FaultKind{faultCrash, faultSlow, faultDrain, faultDownstreamSlow, faultDownstreamDead}
 
-// needsFactor reports whether a kind changes a speed.
+// needsFactor reports whether a fault of the kind has a speed factor.
 func (k FaultKind) needsFactor() bool { return k == faultSlow || k == faultDownstreamSlow }
 
 // Fault is a fault of a server or of the dependency.
@@ -70,10 +70,10 @@
 	Kind     FaultKind `json:"kind"`
 	Server   int       `json:"server"`
 	Duration float64   `json:"for"`
-	Factor   float64   `json:"factor"` // of slow kinds: what is left of the speed
+	Factor   float64   `json:"factor"` // remaining share of the speed, for the slow kinds
 }
 
-// ParseScenario parses a scenario. The error names the first key that is wrong.
+// ParseScenario parses a scenario from JSON. The error names the first invalid key.
 func ParseScenario(text []byte) (*Scenario, error) {
 	scenario := &Scenario{Balancer: RoundRobin, MaxAttempts: 3, Delay: 0.0005, HealthDelay: 1, InitialSpeed: 1}
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -84,7 +84,7 @@
 	return scenario, scenario.validate()
 }
 
-// validate returns an error that names the first key that is wrong.
+// validate returns an error that names the first invalid key.
 func (s *Scenario) validate() error {
 	for _, check := range []func() error{s.validateClasses, s.validateDownstream, s.validateFaults, s.validateLimits} {
 		if err := check(); err != nil {
@@ -98,8 +98,8 @@
 	for i, class := range s.Classes {
 		if class.Name == "" || class.Share <= 0 || class.Work <= 0 || class.SoftDeadline <= 0 ||
 			class.Timeout < class.SoftDeadline || class.Value <= 0 {
-			return fmt.Errorf("stages[%d]: needs a name, part, work, due and utility over 0, "+
-				"and a limit from due on", i)
+			return fmt.Errorf("stages[%d]: want a name; part, work, due and utility over 0; "+
+				"and limit at least due", i)
 		}
 	}
 	return nil
@@ -108,10 +108,11 @@
 func (s *Scenario) validateDownstream() error {
 	calls := slices.IndexFunc(s.Classes, func(class Class) bool { return class.CallsDownstream })
 	if calls >= 0 && s.Downstream.Cores == 0 {
-		return fmt.Errorf("stages[%d].calls: there is nothing below", calls)
+		return fmt.Errorf("stages[%d].calls: the scenario has no dependency to call: below.cores is 0", calls)
 	}
 	if s.Downstream.Cores < 0 || s.Downstream.Cores > 0 && s.Downstream.Work <= 0 {
-		return errors.New("below: needs work over 0, and cores from 0 on")
+		return fmt.Errorf("below: cores %d, work %g: want cores at least 0, and work over 0 if there are cores",
+			s.Downstream.Cores, s.Downstream.Work)
 	}
 	return nil
 }
@@ -120,8 +121,8 @@
 	for i, fault := range s.Faults {
 		if !slices.Contains(faultKinds, fault.Kind) || fault.Server < 0 || fault.Server >= s.Servers || fault.At < 0 ||
 			fault.Duration < 0 || fault.Kind.needsFactor() && (fault.Factor <= 0 || fault.Factor > 1) {
-			return fmt.Errorf("faults[%d]: needs a kind of %v, a server from 0 to %d, times from 0 on, "+
-				"and for slow a factor over 0 and at most 1", i, faultKinds, s.Servers-1)
+			return fmt.Errorf("faults[%d]: want a kind of %v, a server from 0 to %d, at and for at least 0, "+
+				"and for the slow kinds a factor over 0 and at most 1", i, faultKinds, s.Servers-1)
 		}
 	}
 	return nil
@@ -134,28 +135,29 @@
 	}
 	switch {
 	case s.Seconds <= 0 || s.Seconds > 86400:
-		return fmt.Errorf("seconds: %g is not over 0 and at most 86400", s.Seconds)
+		return fmt.Errorf("seconds: %g, want over 0 and at most 86400", s.Seconds)
 	case s.Servers < 1 || s.Servers > 10_000:
-		return fmt.Errorf("servers: %d is not from 1 to 10000", s.Servers)
+		return fmt.Errorf("servers: %d, want from 1 to 10000", s.Servers)
 	case s.Cores < 1 || s.Cores > 256:
-		return fmt.Errorf("cores: %d is not from 1 to 256", s.Cores)
+		return fmt.Errorf("cores: %d, want from 1 to 256", s.Cores)
 	case s.Load <= 0 || s.Load > 100:
-		return fmt.Errorf("load: %g is not over 0 and at most 100", s.Load)
+		return fmt.Errorf("load: %g, want over 0 and at most 100", s.Load)
 	case !slices.Contains(balancers, s.Balancer):
-		return fmt.Errorf("balancer: %q is none of %v", s.Balancer, balancers)
+		return fmt.Errorf("balancer: %q, want one of %v", s.Balancer, balancers)
 	case s.MaxAttempts < 1 || s.MaxAttempts > 100:
-		return fmt.Errorf("tries: %d is not from 1 to 100", s.MaxAttempts)
+		return fmt.Errorf("tries: %d, want from 1 to 100", s.MaxAttempts)
 	case s.Delay < 0 || s.HealthDelay < 0 || s.SlowStartSeconds < 0:
-		return errors.New("delay, lag, cold_for: not under 0")
+		return fmt.Errorf("delay %g, lag %g, cold_for %g: want at least 0", s.Delay, s.HealthDelay, s.SlowStartSeconds)
 	case s.InitialSpeed <= 0 || s.InitialSpeed > 1:
-		return fmt.Errorf("cold_from: %g is not over 0 and at most 1", s.InitialSpeed)
+		return fmt.Errorf("cold_from: %g, want over 0 and at most 1", s.InitialSpeed)
 	case len(s.Classes) == 0 || shares < 0.999 || shares > 1.001:
-		return fmt.Errorf("stages: their parts add up to %g, not to 1", shares)
+		return fmt.Errorf("stages: the parts of %d stages add up to %g, want at least one stage and a sum of 1",
+			len(s.Classes), shares)
 	}
 	return nil
 }
 
-// arrivalRate is the number of requests a second.
+// arrivalRate returns the number of requests per second that results in the scenario's load.
 func (s *Scenario) arrivalRate() float64 {
 	meanWork := 0.0
 	for _, class := range s.Classes {
@@ -165,36 +167,36 @@
 }
 
 const (
-	// A server falls over that has more than maxRunsPerCore runs a core for longer than
-	// overloadWindow seconds.
-	maxRunsPerCore = 8
-	overloadWindow = 1.0
-	// drainTimeout is how long a server has from the start of its drain to its kill.
-	drainTimeout = 3.0
-	// drainGracePeriod is for how long after that start it may still start runs of requests that
-	// arrived before.
-	drainGracePeriod = 1.0
-	// answerTolerance is how much later than its deadline an answer may come.
-	answerTolerance = 0.05
-	// requestMemory is what a request takes while it is held, in KB, and serverMemory what a server
-	// has.
-	requestMemory = 10
-	serverMemory  = 1e6
+	// A server is overloaded if it has more than maxRunsPerCore runs per core for longer than
+	// overloadWindowSeconds seconds, which is a violation.
+	maxRunsPerCore        = 8
+	overloadWindowSeconds = 1.0
+	// drainTimeoutSeconds is the time, in seconds, from the start of a server's drain to its kill.
+	drainTimeoutSeconds = 3.0
+	// drainGraceSeconds is how long, in seconds, a draining server may still start runs of requests
+	// that arrived before the drain.
+	drainGraceSeconds = 1.0
+	// answerToleranceSeconds is how many seconds after its deadline an answer may come.
+	answerToleranceSeconds = 0.05
+	// requestMemoryKB is the memory of a request until it is answered, and serverMemoryKB the
+	// memory limit of a server, in KB.
+	requestMemoryKB = 10
+	serverMemoryKB  = 1e6
 	// lateValue is the value of an answer after the soft deadline.
 	lateValue = 0.2
 )
 
-// admissionSettings are the settings of each server's admission control. A restarted server is slow at
-// first.
+// admissionSettings returns the settings of a server's admission control. They include a slow start
+// if the server is restarted.
 func (s *Scenario) admissionSettings(isRestart bool) admission.Settings {
 	settings := admission.Settings{
 		Servers:             s.Servers,
 		Clients:             1,
 		Cores:               s.Cores,
-		DrainGracePeriod:    drainGracePeriod,
-		DeadlineTolerance:   answerTolerance,
-		Concurrency:         admission.ConcurrencySettings{PerCore: maxRunsPerCore, Window: overloadWindow},
-		Memory:              admission.MemorySettings{Limit: serverMemory, RunningFactor: 1},
+		DrainGracePeriod:    drainGraceSeconds,
+		DeadlineTolerance:   answerToleranceSeconds,
+		Concurrency:         admission.ConcurrencySettings{PerCore: maxRunsPerCore, Window: overloadWindowSeconds},
+		Memory:              admission.MemorySettings{Limit: serverMemoryKB, RunningFactor: 1},
 		DeadlinePropagation: true,
 		MaxRetryAfter:       1,
 		IdleTimeout:         60,
--- a/internal/bench/simulation/scenario_test.go
+++ b/internal/bench/simulation/scenario_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const calmScenario = `{"name":"test","seed":3,"seconds":20,"servers":6,"cores":2,"load":0.6,
+const baseScenario = `{"name":"test","seed":3,"seconds":20,"servers":6,"cores":2,"load":0.6,
 "balancer":"two-choices","lag":0.5,"cold_for":2,"cold_from":0.3,
 "stages":[{"name":"lookup","part":0.7,"work":0.01,"due":0.5,"limit":1.5,"utility":1},
 {"name":"price","part":0.3,"work":0.04,"due":1.5,"limit":4,"utility":3}]`
@@ -14,52 +14,52 @@
 const callsSettings = `,"below":{"cores":6,"work":0.01},"stages":[{},{"calls":true}]`
 
 func parseScenario(t *testing.T, more string) *Scenario {
-	s, err := ParseScenario([]byte(calmScenario + more + "}"))
+	s, err := ParseScenario([]byte(baseScenario + more + "}"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-func TestRun_NoViolationsAndEveryRequestEnds(t *testing.T) {
+func TestRun_NoViolationsAndAllRequestsEnd(t *testing.T) {
 	for name, more := range map[string]string{
-		"calm":     ``,
-		"overload": `,"load":2`,
+		"no faults": ``,
+		"overload":  `,"load":2`,
 		"crash": `,"faults":[{"at":5,"kind":"crash","server":0,"for":3},
 			{"at":6,"kind":"crash","server":1,"for":3}]`,
 		"slow": `,"load":0.8,
 			"faults":[{"at":5,"kind":"slow","server":2,"for":8,"factor":0.2}]`,
 		"drain": `,"faults":[{"at":4,"kind":"drain","server":3,"for":1},
 			{"at":9,"kind":"drain","server":4,"for":1}]`,
-		"all down": `,"servers":1,"faults":[{"at":5,"kind":"crash","server":0,"for":4}]`,
-		"calls":    callsSettings,
-		"below slow": callsSettings + `,
+		"only server crashes": `,"servers":1,"faults":[{"at":5,"kind":"crash","server":0,"for":4}]`,
+		"downstream calls":    callsSettings,
+		"slow dependency": callsSettings + `,
 			"faults":[{"at":5,"kind":"below-slow","for":6,"factor":0.1}]`,
-		"below dead, and a crash": callsSettings + `,"load":1.2,"faults":[{"at":5,"kind":"below-dead","for":4},
+		"dead dependency and a crash": callsSettings + `,"load":1.2,"faults":[{"at":5,"kind":"below-dead","for":4},
 			{"at":6,"kind":"crash","server":1,"for":2}]`,
-		"crash in overload, by open tasks": `,"load":1.5,"balancer":"least-open",
+		"crash in overload with the least-open balancer": `,"load":1.5,"balancer":"least-open",
 			"faults":[{"at":5,"kind":"crash","server":0,"for":3}]`,
 	} {
 		r := Run(parseScenario(t, more))
 		if (r.Calls > 100) != strings.Contains(more, "below") {
-			t.Errorf("%s: %d calls", name, r.Calls)
+			t.Errorf("%s: %d downstream calls, want over 100 only if classes make calls", name, r.Calls)
 		}
 		if r.ViolationCount != 0 {
-			t.Errorf("%s: %d rules broken: %s", name, r.ViolationCount, strings.Join(r.Violations, "\n"))
+			t.Errorf("%s: %d violations, want none: %s", name, r.ViolationCount, strings.Join(r.Violations, "\n"))
 		}
 		for _, row := range r.Rows {
 			if row.Received < 100 ||
 				row.Received != row.Finished+row.Late+row.Rejected+row.Abandoned+row.TimedOut+row.Unreachable {
-				t.Errorf("%s: %+v", name, row)
+				t.Errorf("%s: want at least 100 requests, each with one outcome: %+v", name, row)
 			}
-			if name == "calm" && float64(row.Finished) < 0.99*float64(row.Received) {
-				t.Errorf("calm: %+v", row)
+			if name == "no faults" && float64(row.Finished) < 0.99*float64(row.Received) {
+				t.Errorf("%s: want at least 99%% of the requests finished: %+v", name, row)
 			}
 		}
 	}
 }
 
-func TestRun_IsDeterministicForASeed(t *testing.T) {
+func TestRun_IsDeterministicForSeed(t *testing.T) {
 	more := `,"load":1.3,"faults":[{"at":5,"kind":"crash","server":0,"for":3},
 			{"at":7,"kind":"drain","server":1,"for":1}]`
 	reportText := func(s *Scenario) string {
@@ -73,10 +73,10 @@
 	again := reportText(parseScenario(t, more))
 	other := parseScenario(t, more)
 	if first != again {
-		t.Errorf("%s\n%s", first, again)
+		t.Errorf("two runs of a seed differ:\n%s\n%s", first, again)
 	}
 	if other.Seed++; reportText(other) == first {
-		t.Error("another seed gives the same report")
+		t.Error("a run of another seed gives the same report, want a different one")
 	}
 }
 
@@ -94,7 +94,7 @@
 	s.startRun(at)
 	s.answer("a", attemptResult{outcome: rejected})
 	s.answer("a", attemptResult{outcome: rejected})
-	p.run(3) // two runs of one attempt are on the machine
+	p.run(3) // the machine has two runs of the attempt
 	for range 40 {
 		s.machine.start(100, func() {})
 	}
@@ -102,31 +102,31 @@
 	p.run(10)
 	for _, want := range []string{"run a second time", "answered a second time", "fell over"} {
 		if !strings.Contains(strings.Join(p.tally.violations, "\n"), want) {
-			t.Errorf("%q is not reported: %q", want, p.tally.violations)
+			t.Errorf("no violation %q in %q", want, p.tally.violations)
 		}
 	}
 }
 
-func TestParseScenario_NamesTheInvalidKey(t *testing.T) {
+func TestParseScenario_ErrorNamesInvalidKey(t *testing.T) {
 	for _, c := range []struct{ more, want string }{
 		{`,"servers":0`, "servers"}, {`,"load":0`, "load"}, {`,"balancer":"best"`, "balancer"},
 		{`,"seconds":-1`, "seconds"},
 		{`,"faults":[{"kind":"flood"}]`, "faults[0]"}, {`,"faults":[{"kind":"crash","server":9}]`,
 			"faults[0]"}, {`,"tries":0`, "tries"},
 		{`,"stages":[]`, "stages"}, {`,"cold_from":0`, "cold_from"}, {`,"colour":1`, "colour"},
-		// what the second list lacks keeps its value of the first
+		// fields missing in the second list keep their values of the first
 		{`,"stages":[{"part":0.5}]`, "stages"}, {`,"stages":[{"work":-1}]`, "stages[0]"},
 	} {
-		if _, err := ParseScenario([]byte(calmScenario + c.more + "}")); err == nil ||
+		if _, err := ParseScenario([]byte(baseScenario + c.more + "}")); err == nil ||
 			!strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v", c.more, err)
+			t.Errorf("%s: error is %v, want one that names %s", c.more, err, c.want)
 		}
 	}
 }
 
-// BenchmarkRun measures how long a simulated second of a large fleet takes.
+// BenchmarkRun measures the simulation of two seconds of a fleet of 200 servers.
 func BenchmarkRun(b *testing.B) {
-	s, err := ParseScenario([]byte(calmScenario + `,"servers":200,"seconds":2,"load":0.8}`))
+	s, err := ParseScenario([]byte(baseScenario + `,"servers":200,"seconds":2,"load":0.8}`))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/bench/simulation/server.go
+++ b/internal/bench/simulation/server.go
@@ -8,46 +8,46 @@
 	"swiftcourse/admission"
 )
 
-// server is one server of the fleet: a controller of package admission decides which attempts run,
+// server is one server of the fleet. A controller of package admission decides which attempts run,
 // and a machine runs them.
 type server struct {
 	*requestSim
 	number            int
-	incarnation       int // number of its starts
+	incarnation       int // number of starts
 	alive             bool
 	isDraining        bool
-	isHealthy         bool // as its controller decided
-	listed            bool // balancers may pick it
-	openAttempts      int  // attempts that balancers have open
+	isHealthy         bool // the controller's latest decision
+	isListed          bool // balancers may pick the server
+	openAttempts      int  // attempts without a response to the client
 	controller        *admission.Controller
 	machine           *machine
 	attempts          map[string]*attempt
-	overloadedSince   float64           // when it began to have more runs than it survives; -1 if it has not
-	batch             []admission.Event // of the present instant
+	overloadedSince   float64           // when the number of runs exceeded maxRunsPerCore; -1 if it does not
+	batch             []admission.Event // events of the present instant
 	decisionScheduled bool
-	speedFactor       float64 // that a slow fault leaves; 1 without one
+	speedFactor       float64 // share of the speed that a slow fault leaves; 1 without a fault
 }
 
-// attempt is one attempt of a request, at one server.
+// attempt is one attempt of a request at a server.
 type attempt struct {
 	id           string
 	request      *request
 	server       *server
-	incarnation  int
+	incarnation  int // of the server
 	arrivedAt    float64
-	deadline     float64 // of its answer
+	deadline     float64 // of the answer
 	work         float64
 	activeRun    *machineRun
-	awaitsCall   bool        // its run waits for a call
-	callCount    int         // calls so far; only the end of the latest counts
+	awaitsCall   bool        // the run waits for a downstream call
+	callCount    int         // calls so far; only the latest one is waited for
 	pendingCall  *machineRun // the latest call, while it is in flight
 	startedAt    float64
 	isAnswered   bool
-	isClientGone bool // nobody waits for it any more
-	runs         int
+	isClientGone bool // the client no longer waits
+	runs         int  // number of starts
 }
 
-// start starts an incarnation; one that is a restart is slow at first.
+// start starts an incarnation. A restarted server has a slow start.
 func (s *server) start(isRestart bool) {
 	s.incarnation++
 	s.alive = true
@@ -70,15 +70,15 @@
 	s.publishHealth()
 }
 
-// setSpeed sets the share of the normal speed that is left, apart from a slow fault.
+// setSpeed sets the machine's speed as a share of the speed that a slow fault leaves.
 func (s *server) setSpeed(share float64) { s.machine.setSpeed(share * s.speedFactor) }
 
-// publishHealth tells balancers the present health, after the health delay.
+// publishHealth updates whether balancers may pick the server, after the health delay.
 func (s *server) publishHealth() {
-	s.after(s.scenario.HealthDelay, func() { s.listed = s.alive && s.isHealthy })
+	s.after(s.scenario.HealthDelay, func() { s.isListed = s.alive && s.isHealthy })
 }
 
-// kill ends the server with all its attempts.
+// kill ends the server and closes the connections of its unanswered attempts.
 func (s *server) kill() {
 	if !s.alive {
 		return
@@ -96,7 +96,7 @@
 	s.publishHealth()
 }
 
-// sortedAttempts returns the attempts by arrival, then by ID.
+// sortedAttempts returns the attempts sorted by arrival, then by ID.
 func (s *server) sortedAttempts() []*attempt {
 	list := make([]*attempt, 0, len(s.attempts))
 	for _, attempt := range s.attempts {
@@ -108,16 +108,16 @@
 	return list
 }
 
-// drain announces that the server will be killed after drainTimeout, and checks then that
-// everything is answered.
+// drain starts a drain, and kills the server after drainTimeoutSeconds. Attempts that are
+// unanswered by then are violations.
 func (s *server) drain() {
 	if !s.alive || s.isDraining {
 		return
 	}
 	s.isDraining = true
 	incarnation := s.incarnation
-	s.addEvent(admission.Event{Kind: admission.DrainStarted, Duration: drainTimeout})
-	s.after(drainTimeout, func() {
+	s.addEvent(admission.Event{Kind: admission.DrainStarted, Duration: drainTimeoutSeconds})
+	s.after(drainTimeoutSeconds, func() {
 		if s.incarnation != incarnation || !s.alive {
 			return
 		}
@@ -130,7 +130,7 @@
 	})
 }
 
-// receive takes in an attempt.
+// receive passes a new attempt to the controller. A late answer is a violation.
 func (s *server) receive(attempt *attempt) {
 	if !s.alive {
 		s.sendResult(attempt, attemptResult{outcome: unreachable})
@@ -145,18 +145,18 @@
 		Request: admission.Request{
 			Class:           attempt.request.classIndex,
 			Client:          0,
-			Memory:          requestMemory,
+			Memory:          requestMemoryKB,
 			RemainingBudget: attempt.deadline - s.now,
 		},
 	})
-	s.after(attempt.deadline-s.now+answerTolerance+workEpsilon, func() {
+	s.after(attempt.deadline-s.now+answerToleranceSeconds+workEpsilon, func() {
 		if s.alive && s.incarnation == attempt.incarnation && !attempt.isAnswered && !attempt.isClientGone {
 			s.reportViolation(attempt, "no answer by its due moment")
 		}
 	})
 }
 
-// handleClientGone tells the server that nobody waits for an attempt.
+// handleClientGone handles that the client no longer waits for an attempt.
 func (s *server) handleClientGone(attempt *attempt) {
 	if s.alive && s.incarnation == attempt.incarnation && !attempt.isAnswered {
 		attempt.isClientGone = true
@@ -165,8 +165,8 @@
 	}
 }
 
-// discard forgets an attempt that nobody waits for, unless it is running. A run that waits for a
-// call ends there.
+// discard removes an attempt that is answered or whose client is gone, unless it is running. If its
+// run waits for a downstream call, the run is cancelled.
 func (s *server) discard(attempt *attempt) {
 	if !attempt.isAnswered && !attempt.isClientGone || attempt.activeRun != nil {
 		return
@@ -179,7 +179,7 @@
 	delete(s.attempts, attempt.id)
 }
 
-// reportRunEnd tells the controller that a run ended.
+// reportRunEnd informs the controller of the end of a run.
 func (s *server) reportRunEnd(attempt *attempt, outcome admission.Outcome) {
 	s.addEvent(admission.Event{
 		Kind:      admission.RunEnded,
@@ -189,8 +189,8 @@
 	})
 }
 
-// addEvent queues an event. The controller decides at the end of this instant, about all events of
-// the instant together.
+// addEvent queues an event for the controller, which decides about all events of an instant
+// together, at its end.
 func (s *server) addEvent(e admission.Event) {
 	s.batch = append(s.batch, e)
 	if s.decisionScheduled {
@@ -232,7 +232,7 @@
 	}
 }
 
-// executeRun carries out an action about the run of an attempt.
+// executeRun carries out an action that concerns the run of an attempt.
 func (s *server) executeRun(attempt *attempt, action admission.Action) {
 	switch action.Kind {
 	case admission.StartRun:
@@ -265,22 +265,22 @@
 	})
 }
 
-// gauges returns the load as a server measures it; memory and connections are not measured.
+// gauges returns the load gauges of the server. Memory and connections are not simulated.
 func (s *server) gauges() admission.Gauges {
 	runs := float64(s.machine.active.Len())
 	return admission.Gauges{Utilization: min(1, runs/s.machine.cores), Runnable: runs, Memory: -1, Connections: -1}
 }
 
-// sendResult has the client learn the result of an attempt after a delay.
+// sendResult sends the result of an attempt to the client.
 func (s *server) sendResult(attempt *attempt, result attemptResult) {
 	s.after(s.drawDelay(), func() { attempt.request.handleAttemptEnd(attempt, result) })
 }
 
-// answer answers an attempt, once.
+// answer answers an attempt. A second answer is a violation.
 func (s *server) answer(id string, result attemptResult) {
 	attempt := s.attempts[id]
 	if attempt == nil || attempt.isClientGone || attempt.isAnswered && result.outcome == finished {
-		// Nobody waits for it, or its run went on after the answer.
+		// The client is gone, or the run continued after the answer.
 		return
 	}
 	if attempt.isAnswered {
@@ -292,17 +292,17 @@
 	s.discard(attempt)
 }
 
-// checkOverload records a violation if there are more runs than the server survives for longer than
-// overloadWindow.
+// checkOverload records a violation if the server has more than maxRunsPerCore runs per core for
+// longer than overloadWindowSeconds.
 func (s *server) checkOverload(runs int) {
 	switch {
 	case float64(runs) <= maxRunsPerCore*s.machine.cores:
 		s.overloadedSince = -1
 	case s.overloadedSince < 0:
 		s.overloadedSince = s.now
-	case s.now-s.overloadedSince > overloadWindow:
+	case s.now-s.overloadedSince > overloadWindowSeconds:
 		s.tally.addViolation(fmt.Sprintf("t=%.6f server=%d fell over: %d runs on %g cores for %g s",
-			s.now, s.number, runs, s.machine.cores, overloadWindow))
+			s.now, s.number, runs, s.machine.cores, overloadWindowSeconds))
 		s.overloadedSince = s.now
 	}
 }
--- a/internal/bench/simulation/serverrun.go
+++ b/internal/bench/simulation/serverrun.go
@@ -2,7 +2,8 @@
 
 import "swiftcourse/admission"
 
-// startRun starts the run of an attempt, up to its call if it makes one.
+// startRun starts the run of an attempt. If its class makes a downstream call, the first half of
+// the work runs before the call.
 func (s *server) startRun(attempt *attempt) {
 	if attempt.activeRun != nil || attempt.isAnswered || attempt.isClientGone {
 		return
@@ -20,7 +21,7 @@
 	attempt.activeRun = s.machine.start(attempt.work/2, func() {
 		attempt.activeRun = nil
 		attempt.awaitsCall = !attempt.isAnswered && !attempt.isClientGone
-		if !attempt.awaitsCall { // nobody waits for the result of the call
+		if !attempt.awaitsCall { // the client does not wait for the result
 			s.tally.wasted += attempt.work / 2
 			s.reportRunEnd(attempt, admission.Cancelled)
 			s.discard(attempt)
@@ -30,7 +31,7 @@
 	})
 }
 
-// finishRun runs the last part of a run and answers.
+// finishRun runs the remaining work of an attempt and answers it.
 func (s *server) finishRun(attempt *attempt, seconds float64) {
 	attempt.activeRun = s.machine.start(seconds, func() {
 		attempt.activeRun = nil
@@ -43,13 +44,13 @@
 	})
 }
 
-// resumeRun continues a run after its call.
+// resumeRun continues a run after its downstream call.
 func (s *server) resumeRun(attempt *attempt) {
 	attempt.awaitsCall = false
 	s.finishRun(attempt, attempt.work/2)
 }
 
-// dispatchCall makes a call downstream, with a timeout in seconds.
+// dispatchCall makes a downstream call with a timeout in seconds.
 func (s *server) dispatchCall(attempt *attempt, timeout float64) {
 	attempt.callCount++
 	s.tally.calls++
@@ -82,7 +83,7 @@
 	s.after(timeout, func() { returned(admission.TimedOut) })
 }
 
-// cancelCall cancels the call of an attempt if it is in flight.
+// cancelCall cancels the downstream call of an attempt if one is in flight.
 func (s *server) cancelCall(attempt *attempt) {
 	if attempt.pendingCall != nil {
 		s.downstream.stop(attempt.pendingCall)
--- a/internal/bench/simulation/traffic.go
+++ b/internal/bench/simulation/traffic.go
@@ -1,14 +1,14 @@
 package simulation
 
-// traffic is what the nodes of a fleet sent a second, on average over a measurement.
+// traffic is the traffic per second that the nodes of a fleet sent during a measurement.
 type traffic struct {
-	meanBytes    float64 // of a node
-	maxBytes     float64 // of the node that sent most
-	meanMessages float64 // of a node
-	messages     float64 // of all nodes
+	meanBytes    float64 // per node
+	maxBytes     float64 // by the node that sent most
+	meanMessages float64 // per node
+	messages     float64 // by all nodes
 }
 
-// trafficTotals returns the messages and the bytes that each node has sent so far.
+// trafficTotals returns the numbers of messages and bytes that each node has sent.
 func (f *fleetSim) trafficTotals() (messages, bytes []float64) {
 	for _, one := range f.nodes {
 		messages = append(messages, float64(one.messagesSent))
@@ -17,7 +17,7 @@
 	return messages, bytes
 }
 
-// measureTraffic lets some seconds pass and returns what was sent meanwhile.
+// measureTraffic advances the clock by the given seconds and returns the traffic during that time.
 func (f *fleetSim) measureTraffic(seconds float64) (measured traffic) {
 	messagesBefore, bytesBefore := f.trafficTotals()
 	f.run(f.now + seconds)
--- a/internal/bench/simulation/twolevel.go
+++ b/internal/bench/simulation/twolevel.go
@@ -10,59 +10,61 @@
 	"swiftcourse/internal/policy/routing"
 )
 
-// TwoLevelPlan is a fleet of two levels in simulated time: the planners' and forwarders' agents of
-// package fleet, the routers of package routing, and workers that run requests on a number of cores
-// and reject what would wait for too long. Load is uneven over forwarders, and workers differ.
+// TwoLevelPlan is a simulation of a fleet of two levels: agents of package fleet as planners and
+// forwarders, routers of package routing, and workers that run requests on their cores and reject
+// requests that would wait too long. The load is uneven over the forwarders, and the workers differ
+// in size.
 type TwoLevelPlan struct {
 	Forwarders    int
 	Planners      int
 	Workers       int
 	Seconds       float64
-	Load          float64 // requested, over what all workers can do
+	Load          float64 // offered load relative to the workers' capacity
 	FaultInterval float64 // seconds between two faults among planners; 0 for none
 	NoPlanners    bool    // no planner starts
-	PartialReach  bool    // a third of the forwarders reaches half of the workers
+	PartialReach  bool    // a third of the forwarders is connected to half of the workers only
 	Seed          uint64
 }
 
-// Validate returns an error that names the limits if a value is outside of them.
+// Validate returns an error with the values and their limits if one is out of range.
 func (p *TwoLevelPlan) Validate() error {
 	if p.Forwarders < 1 || p.Forwarders > 500 || p.Planners < 1 || p.Planners > 15 ||
 		p.Workers < 2 || p.Workers > 4000 || p.Seconds < 1 || p.Seconds > 3600 || p.Load <= 0 || p.Load > 5 {
 		return fmt.Errorf("--forwarders %d --planners %d --workers %d --seconds %g --load %g: "+
-			"from 1 to 500, 1 to 15, 2 to 4000, 1 to 3600, and up to 5",
+			"want forwarders from 1 to 500, planners from 1 to 15, workers from 2 to 4000, "+
+			"seconds from 1 to 3600, load over 0 and at most 5",
 			p.Forwarders, p.Planners, p.Workers, p.Seconds, p.Load)
 	}
 	return nil
 }
 
-// TwoLevelRow is the result of a run.
+// TwoLevelRow is the result of a TwoLevelPlan.
 type TwoLevelRow struct {
 	Seed               uint64  `json:"seed"`
 	Requests           int     `json:"asked"`
 	Faults             int     `json:"faults"`
-	FinishedShare      float64 `json:"service"` // of the requests, in time
+	FinishedShare      float64 `json:"service"` // share of requests finished within the timeout
 	AttemptsPerRequest float64 `json:"tries_per_task"`
 	StalePlansApplied  int     `json:"stale_plans_applied"`
 	Unanswered         int     `json:"unanswered"`
-	RepeatedRuns       int     `json:"double_effects"` // requests that must not run twice and did
+	RepeatedRuns       int     `json:"double_effects"` // at-most-once requests that ran more than once
 	P50                float64 `json:"p50_ms"`
 	P99                float64 `json:"p99_ms"`
-	BusiestOverMean    float64 `json:"busiest_over_mean"` // of workers, by their attempts over what they can do
-	BytesPerSecond     float64 `json:"talk_bytes_s"`      // sent by a forwarder, on average
+	BusiestOverMean    float64 `json:"busiest_over_mean"` // load of the busiest worker relative to the mean load
+	BytesPerSecond     float64 `json:"talk_bytes_s"`      // sent per forwarder, on average
 	StalePlansRejected int     `json:"stale_refused"`
 }
 
-// Violations counts what breaks an invariant.
+// Violations returns the number of violated invariants.
 func (r TwoLevelRow) Violations() int { return r.StalePlansApplied + r.Unanswered + r.RepeatedRuns }
 
-// TwoLevelColumns are the heads of the table.
+// TwoLevelColumns are the column heads of the table.
 var TwoLevelColumns = []string{
 	"seed", "asked", "faults", "service", "tries", "stale", "untold", "twice", "p50 ms", "p99 ms", "uneven", "B/s",
 	"refused",
 }
 
-// Cells returns the row for the table.
+// Cells returns the row's table cells, in the order of TwoLevelColumns.
 func (r TwoLevelRow) Cells() []string {
 	return []string{
 		strconv.FormatUint(r.Seed, 10),
@@ -82,25 +84,27 @@
 }
 
 const (
-	// workerRunSeconds is the mean time of a core that a request takes.
+	// workerRunSeconds is the mean CPU time of a request.
 	workerRunSeconds = 0.02
-	// requestTimeout is how long, in seconds, a caller waits.
-	requestTimeout = 1.0
-	// twoLevelSettleSeconds is how long the fleet runs before it is measured.
+	// requestTimeoutSeconds is the clients' timeout in seconds.
+	requestTimeoutSeconds = 1.0
+	// twoLevelSettleSeconds is how long the fleet runs before the measurement.
 	twoLevelSettleSeconds = 15.0
-	// busiestWeight and weightRatio shape the uneven load: a forwarder gets weightRatio of what the
-	// one before it gets, from busiestWeight down to 1.
+	// The load is distributed over the forwarders by weights that begin at busiestWeight and are
+	// multiplied by weightRatio from one forwarder to the next, down to 1.
 	busiestWeight = 8
 	weightRatio   = 0.7
 )
 
-// minMeanLoad bounds the divisor where no worker had any load.
+// minMeanLoad is a lower bound for the mean load, which avoids a division by zero if no worker had
+// any load.
 const minMeanLoad = 1e-9
 
-// workerCores are the numbers of cores of workers, in turns.
+// workerCores are the numbers of cores of the workers, used in rotation.
 var workerCores = []float64{4, 1, 4, 2}
 
-// twoLevelSim is one run of a plan. The first nodes are the planners, the others the forwarders.
+// twoLevelSim is one run of a TwoLevelPlan. The first nodes are the planners, the others the
+// forwarders.
 type twoLevelSim struct {
 	*fleetSim
 	plan         *TwoLevelPlan
@@ -108,15 +112,15 @@
 	workerByName map[string]*simWorker
 	forwarders   []*simForwarder
 	row          TwoLevelRow
-	latencies    []float64 // of the requests that finished in time, in seconds
+	latencies    []float64 // of the requests finished within the timeout, in seconds
 	measuring    bool
-	runCounts    map[int]int // by number, of requests that must not run twice
+	runCounts    map[int]int // runs of at-most-once requests, by request number
 	requestCount int
-	attemptCount int
-	settledCount int
+	attemptCount int // attempts of measured requests
+	settledCount int // measured requests that have ended
 }
 
-// RunTwoLevel runs the plan.
+// RunTwoLevel runs a TwoLevelPlan and returns its result.
 func RunTwoLevel(plan *TwoLevelPlan) TwoLevelRow {
 	sim := &twoLevelSim{
 		fleetSim: newFleetSim(&RolloutPlan{
@@ -134,12 +138,12 @@
 	sim.run(twoLevelSettleSeconds)
 	sim.measure()
 	sim.row.BusiestOverMean = sim.busiestOverMean()
-	sim.run(sim.now + 2*requestTimeout)
+	sim.run(sim.now + 2*requestTimeoutSeconds)
 	sim.summarize()
 	return sim.row
 }
 
-// addWorkers adds the workers and returns the requests a second that all of them can run.
+// addWorkers adds the workers and returns their joint capacity in requests per second.
 func (l *twoLevelSim) addWorkers() (capacity float64) {
 	for i := range l.plan.Workers {
 		worker := &simWorker{name: fmt.Sprint("w", i), cores: workerCores[i%len(workerCores)]}
@@ -150,8 +154,8 @@
 	return capacity
 }
 
-// startPlannersAndForwarders starts planners and forwarders, and divides the load of the plan among
-// the forwarders; capacity is the requests a second that all workers can run.
+// startPlannersAndForwarders starts the planners and forwarders, and distributes the load over the
+// forwarders. capacity is the joint capacity of the workers in requests per second.
 func (l *twoLevelSim) startPlannersAndForwarders(capacity float64) {
 	weights := make([]float64, l.plan.Forwarders)
 	sum := 0.0
@@ -167,17 +171,17 @@
 			l.addForwarder(one, forwarder, l.plan.Load*capacity*weights[forwarder]/sum)
 		}
 		if !l.plan.NoPlanners || forwarder >= 0 {
-			l.after(startSpread*l.random.Float64(), one.start)
+			l.after(startSpreadSeconds*l.random.Float64(), one.start)
 		}
 	}
 }
 
-// plannerSettings makes a planner of a node.
+// plannerSettings returns agent settings that make a node a planner.
 func plannerSettings(*fleet.Clock) *fleet.LoadPlanConfig {
 	return &fleet.LoadPlanConfig{IsPlanner: true}
 }
 
-// addForwarder makes a forwarder of a node, with that many requests a second.
+// addForwarder makes a node a forwarder that receives rate requests per second.
 func (l *twoLevelSim) addForwarder(one *node, number int, rate float64) {
 	forwarder := &simForwarder{
 		node:   one,
@@ -194,11 +198,11 @@
 	}
 	l.forwarders = append(l.forwarders, forwarder)
 	one.loadPlanConfig = forwarder.loadPlanSettings
-	l.after(learnInterval*l.random.Float64(), forwarder.learn)
+	l.after(learnIntervalSeconds*l.random.Float64(), forwarder.learnCapacity)
 	l.after(twoLevelSettleSeconds/2+l.exponential(1/forwarder.rate), forwarder.generateLoad)
 }
 
-// measure runs the measured time, with faults among planners, and measures the forwarders' traffic.
+// measure runs the measurement with faults of planners, and measures the forwarders' traffic.
 func (l *twoLevelSim) measure() {
 	l.measuring = true
 	_, bytesBefore := l.trafficTotals()
@@ -218,7 +222,7 @@
 	l.measuring = false
 }
 
-// busiestOverMean returns the load of the busiest worker over the mean.
+// busiestOverMean returns the load of the busiest worker relative to the mean load.
 func (l *twoLevelSim) busiestOverMean() float64 {
 	busiest := 0.0
 	mean := 0.0
@@ -230,7 +234,7 @@
 	return busiest / max(mean, minMeanLoad)
 }
 
-// summarize fills the row once every request has ended.
+// summarize sets the remaining fields of the row after all requests have ended.
 func (l *twoLevelSim) summarize() {
 	for _, count := range l.runCounts {
 		if count > 1 {
@@ -251,21 +255,21 @@
 	}
 }
 
-// plannerFault is a kind of fault among planners.
+// plannerFault is a kind of fault of planners.
 type plannerFault int
 
 const (
-	plannersRestart plannerFault = iota // all of them, without state
-	plannerPause                        // one stops and resumes with its old plans
-	plannerIsolate                      // one receives nothing
-	plannerLoss                         // messages of all nodes are lost
+	plannersRestart    plannerFault = iota // all planners restart without state
+	plannerPause                           // a planner is paused and resumes with its old plans
+	plannerIsolate                         // a planner receives nothing, but can send
+	plannerMessageLoss                     // a share of the messages of all nodes is lost
 )
 
-// plannerFaultDraws is the range that faults are drawn from: numbers after plannerLoss restart one
-// planner.
+// plannerFaultDraws is the number of values that are drawn. Values after plannerMessageLoss restart
+// a single planner.
 const plannerFaultDraws = 6
 
-// injectPlannerFault draws a fault among planners.
+// injectPlannerFault draws a fault of planners and injects it.
 func (l *twoLevelSim) injectPlannerFault() {
 	l.row.Faults++
 	planners := l.nodes[:l.plan.Planners]
@@ -280,7 +284,7 @@
 		target.pause(seconds)
 	case plannerIsolate:
 		l.isolate(target, seconds)
-	case plannerLoss:
+	case plannerMessageLoss:
 		l.loseMessages(seconds)
 	default:
 		target.restartAfter(seconds / 2)
