--- a/internal/bench/faultinjection/claim_test.go
+++ b/internal/bench/faultinjection/claim_test.go
@@ -13,11 +13,11 @@
 	"swiftcourse/internal/fleet"
 )
 
-// retentionWindow is how long keys are kept in these tests.
+// retentionWindow is how long replicas keep keys in these tests.
 const retentionWindow = 3 * time.Second
 
-// startKeyedFleet starts a fleet whose requests have keys, with the named replicas, and waits until
-// the replicas have caught up.
+// startKeyedFleet starts a fleet with keyed requests and the named replicas, and waits until the
+// replicas have caught up. After the test no key may have run twice within the retention window.
 func startKeyedFleet(t *testing.T, config Config, replicationFactor int, replicas ...string) (*Fleet, *RunLog) {
 	t.Helper()
 	config.ExtraSettings += fmt.Sprintf("replica-holders %s\nreplica-copies %d\nreplica-keyed %s\n",
@@ -36,25 +36,27 @@
 	f.await(t, "the replicas have caught up", func() bool { return f.ReplicasCaughtUp(names...) })
 	t.Cleanup(func() {
 		if n, key := runLog.MaxRunsWithin(retentionWindow); n > 1 {
-			t.Errorf("%s ran %d times", key, n)
+			t.Errorf("key %s ran %d times within %s, want at most once", key, n, retentionWindow)
 		}
 	})
 	return f, runLog
 }
 
-// sendRequest sends an attempt and returns its outcome, with the result if it is finished: "finished
-// RESULT", "rejected" or "abandoned".
+// sendRequest sends an attempt and returns its outcome, followed by the result if it is finished:
+// "finished RESULT", "rejected" or "abandoned".
 func (f *Fleet) sendRequest(t *testing.T, name, key string, timeout time.Duration) string {
 	t.Helper()
 	response := f.SendRequest(context.Background(), Attempt{Server: name, ID: NewRequestID(), Key: key,
-		Timeout: timeout, Patience: patience})
+		Timeout: timeout, AnswerGrace: awaitTimeout})
 	if response.Lateness > time.Second || response.Outcome == Unanswered {
-		t.Errorf("%s at %s is %s, %s after its timeout", key, name, response.Outcome, response.Lateness)
+		t.Errorf("attempt with key %q at %s: %s %s after its timeout, want an answer within 1s",
+			key, name, response.Outcome, response.Lateness)
 	}
 	return strings.TrimSpace(string(response.Outcome) + " " + response.Result)
 }
 
-// finishesWithFirstResult reports whether an attempt is finished with the result of the key's first run.
+// finishesWithFirstResult sends an attempt and reports whether it is finished with the result of
+// the key's first run.
 func (f *Fleet) finishesWithFirstResult(t *testing.T, name, key string, log *RunLog) bool {
 	t.Helper()
 	return f.sendRequest(t, name, key, 2*time.Second) == "finished "+log.FirstResult(key)
@@ -66,43 +68,44 @@
 		key := fmt.Sprint("key", i)
 		var attempts sync.WaitGroup
 		answers := make([]string, len(f.Names))
-		for j, name := range f.Names { // together, each at another server
+		for j, name := range f.Names { // concurrent attempts, one at each server
 			attempts.Go(func() { answers[j] = f.sendRequest(t, name, key, 2*time.Second) })
 		}
 		attempts.Wait()
-		f.await(t, key+" is finished at each server", func() bool {
+		f.await(t, key+" finishes with the first result", func() bool {
 			return f.finishesWithFirstResult(t, f.Names[i%5], key, runLog)
 		})
-		for _, a := range answers { // on a busy machine some are rejected
+		for _, a := range answers { // on a busy machine some may be rejected
 			if strings.HasPrefix(a, "finished") && a != "finished "+runLog.FirstResult(key) {
-				t.Errorf("%s: answers %q, but the first result is %q", key, answers, runLog.FirstResult(key))
+				t.Errorf("key %s: answers %q, want the first result %q", key, answers, runLog.FirstResult(key))
 			}
 		}
 		if runLog.RunCount(key) != 1 {
-			t.Errorf("%s ran %d times", key, runLog.RunCount(key))
+			t.Errorf("key %s ran %d times, want once", key, runLog.RunCount(key))
 		}
 	}
 }
 
-func TestClaims_MinorityRunsNothing(t *testing.T) {
+func TestClaims_NoRunsInMinority(t *testing.T) {
 	f, runLog := startKeyedFleet(t, Config{Servers: 5, Seed: 22}, 3, "n1", "n2", "n3")
 	f.Net.Partition([]string{"n1", "n4"}, []string{"n2", "n3", "n5"})
 	for i := range 5 {
 		key := fmt.Sprint("cut", i)
 		if a := f.sendRequest(t, "n4", key, 1500*time.Millisecond); strings.HasPrefix(a, "finished") ||
 			runLog.RunCount(key) != 0 {
-			t.Errorf("without a quorum of its replicas, %s is %s and ran %d times", key, a, runLog.RunCount(key))
+			t.Errorf("key %s without a quorum of its replicas: answer %q, %d runs, want no result and no run",
+				key, a, runLog.RunCount(key))
 		}
-		f.await(t, key+" is finished on the side of the quorum", func() bool {
+		f.await(t, key+" finishes on the majority side", func() bool {
 			return f.finishesWithFirstResult(t, "n5", key, runLog)
 		})
 	}
 	f.Net.Heal()
-	f.await(t, "the diff command reports no difference", func() bool {
+	f.await(t, "fleet diff lists five servers without a difference", func() bool {
 		out, err := exec.Command(program, "fleet", "--at", f.controlAddrs["n3"], "diff").CombinedOutput()
 		return err == nil && strings.Count(string(out), "\nn") == 5 && !strings.Contains(string(out), ": ")
 	})
-	f.await(t, "the minority knows the result of a key", func() bool {
+	f.await(t, "a server of the former minority returns the result", func() bool {
 		return f.finishesWithFirstResult(t, "n4", "cut0", runLog)
 	})
 }
@@ -110,25 +113,25 @@
 func TestReplicas_RestartOneByOne(t *testing.T) {
 	f, runLog := startKeyedFleet(t, Config{Servers: 4, Seed: 23, ExtraSettings: "replica-window 15s\n"}, 3,
 		"n1", "n2", "n3")
-	f.await(t, "the key is finished", func() bool { return f.finishesWithFirstResult(t, "n4", "kept", runLog) })
-	for _, name := range []string{"n1", "n2", "n3"} { // at the end no process is left that granted the claim
+	f.await(t, "the key finishes", func() bool { return f.finishesWithFirstResult(t, "n4", "kept", runLog) })
+	for _, name := range []string{"n1", "n2", "n3"} { // afterwards no process is left that granted the claim
 		if err := f.KillAndRestart(context.Background(), name); err != nil {
 			t.Fatal(err)
 		}
 		f.await(t, name+" has caught up", func() bool { return f.ReplicasCaughtUp(name) })
 		if s := f.Events(name, EventReplicaStatusChanged); s[len(s)-1].Fields["caught_up_by_peers"] == "0" {
-			t.Errorf("%s caught up no slot from its peers: %v", name, s[len(s)-1].Fields)
+			t.Errorf("%s caught up no slot from its peers, want at least one: %v", name, s[len(s)-1].Fields)
 		}
 	}
 	f.await(t, "the result is retained", func() bool { return f.finishesWithFirstResult(t, "n4", "kept", runLog) })
 	if n := runLog.RunCount("kept"); n != 1 {
-		t.Errorf("the key ran %d times", n)
+		t.Errorf("the key ran %d times, want once", n)
 	}
 }
 
 func TestReplicas_ThreeOfFiveRestartTogether(t *testing.T) {
 	f, runLog := startKeyedFleet(t, Config{Servers: 5, Seed: 24}, 5, "n1", "n2", "n3", "n4", "n5")
-	f.await(t, "the key is finished", func() bool { return f.finishesWithFirstResult(t, "n5", "before", runLog) })
+	f.await(t, "the key finishes", func() bool { return f.finishesWithFirstResult(t, "n5", "before", runLog) })
 	var restarts sync.WaitGroup
 	for _, name := range []string{"n1", "n2", "n3"} {
 		f.Server(name).Kill()
@@ -142,19 +145,20 @@
 		})
 	}
 	restarts.Wait()
-	for time.Since(killedAt) < retentionWindow-time.Second { // no replica knows which keys ran, so none may run
+	for time.Since(killedAt) < retentionWindow-time.Second { // the replicas lost their records, so no key may run
 		for _, key := range []string{"before", "new"} {
 			a := f.sendRequest(t, "n4", key, 500*time.Millisecond)
 			if runLog.RunCount("new") > 0 || strings.HasPrefix(a, "finished") &&
 				a != "finished "+runLog.FirstResult(key) {
-				t.Errorf("%s is %s before the end of the retention window", key, a)
+				t.Errorf("key %s before the end of the retention window: answer %q, %d runs of a new key, want no run",
+					key, a, runLog.RunCount("new"))
 			}
 		}
 	}
 	f.await(t, "the replicas have caught up by timeout", func() bool { return f.ReplicasCaughtUp("n1", "n2", "n3") })
 	for _, name := range []string{"n1", "n2", "n3"} {
 		if s := f.Events(name, EventReplicaStatusChanged); s[len(s)-1].Fields["caught_up_by_timeout"] == "0" {
-			t.Errorf("%s caught up no slot by timeout: %v", name, s[len(s)-1].Fields)
+			t.Errorf("%s caught up no slot by timeout, want at least one: %v", name, s[len(s)-1].Fields)
 		}
 	}
 	f.await(t, "a new key runs", func() bool { return f.finishesWithFirstResult(t, "n4", "after", runLog) })
@@ -164,10 +168,10 @@
 	f, runLog := startKeyedFleet(t, Config{Servers: 4, Seed: 25, RunSeconds: 0.5,
 		ExtraSettings: "replica-window 15s\n"}, 3, "n1", "n2", "n3")
 	go f.sendRequest(t, "n4", "half", 2*time.Second)
-	f.await(t, "the key runs", func() bool { return runLog.RunCount("half") == 1 })
+	f.await(t, "the run of the key starts", func() bool { return runLog.RunCount("half") == 1 })
 	f.Server("n4").Kill()
 	for _, name := range []string{"n1", "n2", "n3"} {
-		f.await(t, "the key, which may have run, is abandoned at "+name, func() bool {
+		f.await(t, "the key with an unknown outcome is abandoned at "+name, func() bool {
 			return f.sendRequest(t, name, "half", time.Second) == "abandoned"
 		})
 	}
@@ -177,22 +181,23 @@
 	f.await(t, "n4 serves", func() bool {
 		return strings.HasPrefix(f.sendRequest(t, "n4", "other", time.Second), "finished")
 	})
-	f.await(t, "the key is abandoned at n4 too", func() bool {
+	f.await(t, "the key is abandoned at the restarted n4", func() bool {
 		return f.sendRequest(t, "n4", "half", time.Second) == "abandoned"
 	})
 	if n := runLog.RunCount("half"); n != 1 {
-		t.Errorf("the key ran %d times", n)
+		t.Errorf("the key ran %d times, want once", n)
 	}
 }
 
-// TestClaims_ProcessesCrashAtEachTracePoint has six of seven servers crash repeatedly, each at
-// a trace point of its own of claims and replication, while keys are attempted several times.
+// Each of six servers crashes repeatedly at a different trace point of claims and replication,
+// while every key is attempted three times. A crash between two steps must not lead to a second
+// run.
 func TestClaims_ProcessesCrashAtEachTracePoint(t *testing.T) {
 	for half := range 2 {
 		t.Run(fmt.Sprint(half), func(t *testing.T) {
 			crashPoints := map[string]string{}
 			for i := range 6 {
-				// from 8 seconds after the start on: the first start is not tested
+				// active from 8 seconds after the start: the first start is not tested
 				crashPoints[fmt.Sprint("n", i+2)] = fleet.TracePoints[6*half+i] + ",3,8"
 			}
 			f, runLog := startKeyedFleet(t, Config{Servers: 7, Seed: 26 + uint64(half),
@@ -210,14 +215,14 @@
 				deaths += f.restartDead(t)
 			}
 			if deaths < 4 || finished == 0 {
-				t.Errorf("%d deaths, %d requests finished: too few for a test", deaths, finished)
+				t.Errorf("%d crashes and %d finished requests, want at least 4 and 1", deaths, finished)
 			}
 		})
 	}
 }
 
-// finishesWithKnownResult reports whether an attempt is finished, and fails the test if its result is
-// not that of the key's first run.
+// finishesWithKnownResult sends an attempt and reports whether it is finished. It fails the test if
+// the result is not that of the key's first run.
 func (f *Fleet) finishesWithKnownResult(t *testing.T, name, key string, log *RunLog) bool {
 	t.Helper()
 	answer := f.sendRequest(t, name, key, time.Second)
@@ -225,12 +230,12 @@
 		return false
 	}
 	if answer != "finished "+log.FirstResult(key) {
-		t.Errorf("%s: %s, not %s", key, answer, log.FirstResult(key))
+		t.Errorf("key %s: answer %q, want the first result %q", key, answer, log.FirstResult(key))
 	}
 	return true
 }
 
-// restartDead restarts the processes that have died, and counts them.
+// restartDead restarts the processes that have crashed, and returns their number.
 func (f *Fleet) restartDead(t *testing.T) (deaths int) {
 	t.Helper()
 	for _, server := range f.Servers {
@@ -245,13 +250,12 @@
 	return deaths
 }
 
-// TestTrust_RestartedServerLearnsTrustedClients: the peers of a restarted server tell it the trusted
-// clients before these connect again.
+// A restarted server must receive the trusted clients from its peers, before the clients reconnect.
 func TestTrust_RestartedServerLearnsTrustedClients(t *testing.T) {
 	f := startFleet(t, Config{Servers: 3, Seed: 28, ExtraSettings: "replica-callers on\n"})
-	for range 5 { // at most one request a second counts towards trust
+	for range 5 { // at most one request per second counts towards trust
 		if a := f.sendRequest(t, "n1", "", time.Second); !strings.HasPrefix(a, "finished") {
-			t.Fatalf("a request is %s", a)
+			t.Fatalf("answer %q, want a finished request", a)
 		}
 		time.Sleep(time.Second)
 	}
@@ -266,16 +270,16 @@
 		return len(f.Events("n1", EventTrustedClients)) > before
 	})
 	if events := f.Events("n1", EventTrustedClients); events[len(events)-1].Fields["clients"] != "1" {
-		t.Errorf("n1 learned %v", events)
+		t.Errorf("events of n1 %v, want clients=1 in the last", events)
 	}
 }
 
-// TestClaims_DrainingServerReplicatesFirst: the request is answered, but the replicas are unreachable
-// for most of the drain.
-func TestClaims_DrainingServerReplicatesFirst(t *testing.T) {
+// A draining server must not exit before the result of a finished key is replicated, even if the
+// replicas are unreachable for most of the drain.
+func TestClaims_DrainWaitsForReplication(t *testing.T) {
 	f, runLog := startKeyedFleet(t, Config{Servers: 4, Seed: 29, RunSeconds: 0.3}, 3, "n1", "n2", "n3")
 	go f.sendRequest(t, "n4", "last", 2*time.Second)
-	f.await(t, "the key runs", func() bool { return runLog.RunCount("last") == 1 })
+	f.await(t, "the run of the key starts", func() bool { return runLog.RunCount("last") == 1 })
 	f.Net.Partition([]string{"n4"}, []string{"n1", "n2", "n3"})
 	heal := time.AfterFunc(1500*time.Millisecond, f.Net.Heal)
 	defer heal.Stop()
@@ -283,7 +287,7 @@
 		t.Fatal(err)
 	}
 	f.Net.Heal()
-	f.await(t, "another server has the result", func() bool {
+	f.await(t, "another server returns the result", func() bool {
 		return f.finishesWithFirstResult(t, "n1", "last", runLog) && runLog.RunCount("last") == 1
 	})
 }
--- a/internal/bench/faultinjection/control.go
+++ b/internal/bench/faultinjection/control.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// restartTimeout is how long a process may take to start.
+	// restartTimeout is how long a restarted process may take to join the fleet.
 	restartTimeout = 20 * time.Second
 	// waitInterval is the time between two checks of WaitUntil.
 	waitInterval = 50 * time.Millisecond
 )
 
-// WaitUntil waits until a condition holds, and reports whether it did in time.
+// WaitUntil waits until a condition holds, and reports whether it held within the timeout.
 func WaitUntil(timeout time.Duration, condition func() bool) bool {
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(waitInterval) {
 		if condition() {
@@ -36,14 +36,14 @@
 // Resume continues a paused process with SIGCONT.
 func (f *Fleet) Resume(name string) error { return f.Server(name).Signal(syscall.SIGCONT) }
 
-// CutIncoming cuts all links to a process, which can still send.
+// CutIncoming cuts all links to a process. It can still send.
 func (f *Fleet) CutIncoming(name string) {
 	for _, from := range f.Names {
 		f.Net.SetLink(from, name, Link{Cut: true})
 	}
 }
 
-// SetAllLinks changes the links between all processes.
+// SetAllLinks sets the links between all processes.
 func (f *Fleet) SetAllLinks(link Link) {
 	for _, to := range f.Names {
 		for _, from := range f.Names {
@@ -52,28 +52,28 @@
 	}
 }
 
-// KillAndRestart kills a process and starts it again without its state.
+// KillAndRestart kills a process and restarts it without its state.
 func (f *Fleet) KillAndRestart(ctx context.Context, name string) error {
 	f.Server(name).Kill()
 	return f.Restart(ctx, name)
 }
 
-// Restart starts a process that has ended, and waits until it logs that it joins the fleet.
+// Restart starts a process that has ended, and waits until it logs EventFleetStarted.
 func (f *Fleet) Restart(ctx context.Context, name string) error {
 	f.mu.Lock()
-	f.firstEvent[name] = len(f.events) // it has ended, and all of its log is read
+	f.firstEventIndex[name] = len(f.events) // the process has ended, and its log has been read to the end
 	f.mu.Unlock()
 	if err := f.Server(name).Restart(ctx); err != nil {
-		return fmt.Errorf("%s: %w", name, err)
+		return fmt.Errorf("restart %s: %w", name, err)
 	}
 	hasStarted := func() bool { return f.LastEvent(name, EventFleetStarted).Event != "" }
 	if !WaitUntil(restartTimeout, hasStarted) {
-		return fmt.Errorf("%s does not log that it started within %s", name, restartTimeout)
+		return fmt.Errorf("%s did not log %s within %s of its restart", name, EventFleetStarted, restartTimeout)
 	}
 	return nil
 }
 
-// Replace drains a process, and starts it again under its name with another binary.
+// Replace drains a process and restarts it under the same name with another binary.
 func (f *Fleet) Replace(ctx context.Context, name, program string) error {
 	if _, err := f.Server(name).Drain(); err != nil {
 		return fmt.Errorf("drain %s: %w", name, err)
@@ -85,8 +85,8 @@
 	return f.CheckFolder(name, program)
 }
 
-// CheckFolder returns an error unless a process runs a binary from the folder of the given one: the
-// program may have replaced itself by another one of its build.
+// CheckFolder returns an error unless a process runs a binary from the folder of the given program.
+// Only the folder is compared, since the program may have executed another binary of its build.
 func (f *Fleet) CheckFolder(name, program string) error {
 	running, err := f.Server(name).Executable()
 	if err != nil {
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// StartDuplicate starts a second process with a server's name, which listens elsewhere. It gets no
+// StartDuplicate starts a second process with the name of a server and other addresses. It gets no
 // lease, so it never becomes healthy.
 func (f *Fleet) StartDuplicate(ctx context.Context, name string) (*process.Server, error) {
 	shape := f.Shape
@@ -119,17 +119,17 @@
 	return process.Launch(ctx, name, shape)
 }
 
-// Status asks a process for its view of the fleet.
+// Status returns a process's view of the fleet.
 func (f *Fleet) Status(name string) (*fleet.Status, error) {
 	return fleet.FetchStatus(f.controlAddrs[name], "")
 }
 
-// SendCommand submits a command at a process and returns the newest epoch after it.
+// SendCommand submits a command at a process and returns the newest epoch after the command.
 func (f *Fleet) SendCommand(name string, command release.Command) (release.Epoch, error) {
 	return fleet.SendCommand(f.controlAddrs[name], command)
 }
 
-// Release submits a release at a process, in waves if there are any, and returns its epoch.
+// Release submits a release at a process, in the given waves if any, and returns its epoch.
 func (f *Fleet) Release(name, text string, waves ...float64) (release.Epoch, error) {
 	return f.SendCommand(name, release.Command{
 		Kind:   release.KindRelease,
--- a/internal/bench/faultinjection/counter_test.go
+++ b/internal/bench/faultinjection/counter_test.go
@@ -13,8 +13,8 @@
 	"swiftcourse/internal/wire/simulator"
 )
 
-// requestCounts returns what clients sent to the named servers, all if none is named, and how it was
-// answered.
+// requestCounts returns the requests that clients sent to the named servers, or to all if no name
+// is given, by outcome.
 func (l *Load) requestCounts(names ...string) (total serving.RequestCounts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -29,8 +29,8 @@
 	return total
 }
 
-// countedRequests returns what a voter counted for all servers, and its number of open rows; -1 rows if
-// that is unknown.
+// countedRequests returns a voter's totals over all servers and its number of open rows, -1 if they
+// are unavailable.
 func (f *Fleet) countedRequests(name string) (total serving.RequestCounts, rows int) {
 	counters, err := fleet.FetchCounters(f.controlAddrs[name])
 	if err != nil || counters.Totals == nil {
@@ -44,20 +44,20 @@
 	return total, counters.Totals.OpenRows
 }
 
-// counterRate is the requests a second at each server of the test below.
+// counterRate is the load of each server in requests per second.
 const counterRate = 40
 
-// counterFleet is a fleet under load whose counters are compared with what the clients saw.
+// counterFleet is a fleet under load whose counters are compared with the clients' counts.
 type counterFleet struct {
 	*Fleet
 	load *Load
-	// unreported is what killed servers may not have reported: what the serving loop and
-	// its row have not sent yet, and a margin for a busy machine.
+	// unreported is the maximum number of requests that killed servers may have counted but not
+	// reported, with a margin for a busy machine.
 	unreported uint64
-	lastState  string
+	lastState  string // describes the latest difference, for the test log
 }
 
-// settle stops the load and waits until the counters of all voters agree with what the clients saw.
+// settle stops the load and waits until the counters of all voters agree with the clients' counts.
 func (c *counterFleet) settle(t *testing.T, phase string) {
 	t.Helper()
 	c.load.SetRate(0, c.Names...)
@@ -80,32 +80,33 @@
 	})
 }
 
-// sendLoad loads all servers until at least that many more requests are finished.
-func (c *counterFleet) sendLoad(t *testing.T, least uint64) {
+// sendLoad loads all servers until at least count more requests are finished. The load continues
+// after that.
+func (c *counterFleet) sendLoad(t *testing.T, count uint64) {
 	t.Helper()
 	from := c.load.requestCounts().Finished
 	c.load.SetRate(counterRate, c.Names...)
-	c.await(t, fmt.Sprint(least, " requests are finished"), func() bool {
-		return c.load.requestCounts().Finished >= from+least
+	c.await(t, fmt.Sprint(count, " more requests are finished"), func() bool {
+		return c.load.requestCounts().Finished >= from+count
 	})
 }
 
-// partitionAndPause partitions n4, and pauses n5 for longer than the time after which an idle row is
-// closed. No process dies, so no count may be missing.
+// partitionAndPause partitions n4, and pauses n5 for longer than the time after which an idle row
+// is closed. No process ends, so no request may be missing from the counters.
 func (c *counterFleet) partitionAndPause(t *testing.T) {
 	t.Helper()
 	c.Net.Partition([]string{"n1", "n2", "n3", "n5"}, []string{"n4"})
 	c.sendLoad(t, 20)
-	c.load.SetRate(0, "n5") // a request that waited during the pause would be past its timeout
-	c.await(t, "all that n5 received is answered", func() bool {
-		counts := c.load.requestCounts("n5") // of n5 alone: the others are still loaded and have requests in flight
+	c.load.SetRate(0, "n5") // requests received before the pause would time out during it
+	c.await(t, "n5 has answered all its requests", func() bool {
+		counts := c.load.requestCounts("n5") // the other servers are still loaded
 		return counts.Received == counts.Finished+counts.Rejected+counts.Abandoned
 	})
 	if err := c.Pause("n5"); err != nil {
 		t.Fatal(err)
 	}
 	c.load.SetRate(counterRate, "n1", "n2", "n3", "n4")
-	c.await(t, "the others have served for a while", func() bool {
+	c.await(t, "n1 has served for 12 s", func() bool {
 		return c.load.Rate("n1", 12*time.Second) > 0.8*counterRate
 	})
 	if err := c.Resume("n5"); err != nil {
@@ -114,7 +115,7 @@
 	c.Net.Heal()
 }
 
-// kill restarts servers under load.
+// kill kills and restarts servers under load.
 func (c *counterFleet) kill(t *testing.T, names ...string) {
 	t.Helper()
 	for _, name := range names {
@@ -127,10 +128,9 @@
 	}
 }
 
-// TestCounters_AgreeWithClientsThroughFaults: servers are partitioned, paused and killed, the leader
-// among them. Every voter counts each request that clients saw once, except those that a killed server
-// had not reported.
-func TestCounters_AgreeWithClientsThroughFaults(t *testing.T) {
+// Servers, the leader among them, are partitioned, paused and killed. Every voter must count each
+// request of the clients exactly once, except those that a killed server had not reported.
+func TestCounters_AgreeWithClientsUnderFaults(t *testing.T) {
 	f := startFleet(t, Config{
 		Servers:       5,
 		Seed:          41,
@@ -157,6 +157,7 @@
 	before, _ := c.countedRequests("n1")
 	time.Sleep(2 * time.Second)
 	if after, rows := c.countedRequests("n1"); after != before || rows != len(c.Names) {
-		t.Errorf("without load the counts change: %+v, then %+v in %d open rows", before, after, rows)
+		t.Errorf("counts without load: %+v, 2 s later %+v in %d open rows, want no change and %d rows",
+			before, after, rows, len(c.Names))
 	}
 }
--- a/internal/bench/faultinjection/events.go
+++ b/internal/bench/faultinjection/events.go
@@ -9,7 +9,7 @@
 	"swiftcourse/internal/policy/release"
 )
 
-// Log events of the program that experiments look for.
+// Log events of the program that tests and experiments look for.
 const (
 	EventFleetStarted          = "fleet_started"
 	EventConfigApplied         = "config_applied"
@@ -32,14 +32,14 @@
 
 // LogEvent is a line of a process's log, with the time at which it was read.
 type LogEvent struct {
-	Name   string // of the process
+	Name   string // name of the process
 	Time   time.Time
 	Event  string
 	Fields map[string]string
 }
 
-// recordedEvents are the log events that are kept, beside those with a prefix that isRecorded
-// names.
+// recordedEvents are the log events that are recorded in addition to those with the prefixes in
+// isRecorded.
 var recordedEvents = []string{
 	EventConfigApplied,
 	EventCommandFinished,
@@ -57,13 +57,13 @@
 	EventPanic,
 }
 
-// isRecorded reports whether a log event is kept for experiments.
+// isRecorded reports whether log events with this name are recorded.
 func isRecorded(event string) bool {
 	return strings.HasPrefix(event, "fleet") || strings.HasPrefix(event, "worker_") ||
 		slices.Contains(recordedEvents, event)
 }
 
-// recordLine keeps a line of a process's log if experiments may look for it.
+// recordLine records the event of a process's log line if isRecorded selects it.
 func (f *Fleet) recordLine(name, line string) {
 	fields := process.ParseFields(line)
 	event := fields["event"]
@@ -75,7 +75,8 @@
 	f.events = append(f.events, LogEvent{Name: name, Time: time.Now(), Event: event, Fields: fields})
 }
 
-// Events returns the log events of a process with that event; "" for all processes, or all events.
+// Events returns the recorded log events of a process with the given event name. An empty name
+// selects all processes, an empty event all events.
 func (f *Fleet) Events(name, event string) (list []LogEvent) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -87,13 +88,13 @@
 	return list
 }
 
-// LastEvent returns the last log event of a process's present incarnation with that event, the zero
-// LogEvent if there is none. What an earlier incarnation logged says nothing about what the present
-// one knows.
+// LastEvent returns the latest log event with the given event name that the present incarnation of
+// a process logged, or the zero LogEvent. Events of earlier incarnations are ignored, since they
+// say nothing about the present incarnation's state.
 func (f *Fleet) LastEvent(name, event string) LogEvent {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, logged := range slices.Backward(f.events[f.firstEvent[name]:]) {
+	for _, logged := range slices.Backward(f.events[f.firstEventIndex[name]:]) {
 		if logged.Name == name && logged.Event == event {
 			return logged
 		}
@@ -101,8 +102,8 @@
 	return LogEvent{}
 }
 
-// ActiveEpoch returns the epoch that a process last logged, since its start, to have applied; 0 if
-// it logged none.
+// ActiveEpoch returns the latest epoch that the present incarnation of a process logged to have
+// applied, or 0.
 func (f *Fleet) ActiveEpoch(name string) release.Epoch {
 	epoch, err := release.ParseEpoch(f.LastEvent(name, EventConfigApplied).Fields["epoch"])
 	if err != nil {
@@ -111,7 +112,7 @@
 	return epoch
 }
 
-// AllActiveOn reports whether the named processes act on an epoch or on a newer one.
+// AllActiveOn reports whether all named processes have applied the epoch or a newer one.
 func (f *Fleet) AllActiveOn(epoch release.Epoch, names ...string) bool {
 	for _, name := range names {
 		if f.ActiveEpoch(name) < epoch {
@@ -121,8 +122,8 @@
 	return true
 }
 
-// ReplicasCaughtUp reports whether the named replicas last logged, since their start, that no slot
-// is catching up.
+// ReplicasCaughtUp reports whether the present incarnation of each named replica last logged that
+// no slot is catching up.
 func (f *Fleet) ReplicasCaughtUp(names ...string) bool {
 	for _, name := range names {
 		if f.LastEvent(name, EventReplicaStatusChanged).Fields["catching_up"] != "0" {
@@ -132,7 +133,7 @@
 	return true
 }
 
-// ConflictingDigestEpochs returns the epochs for which processes logged more than one digest.
+// ConflictingDigestEpochs returns the epochs that were logged with more than one digest.
 func (f *Fleet) ConflictingDigestEpochs() (epochs []string) {
 	digests := map[string]string{}
 	for _, applied := range f.Events("", EventConfigApplied) {
--- a/internal/bench/faultinjection/fleet.go
+++ b/internal/bench/faultinjection/fleet.go
@@ -13,48 +13,48 @@
 )
 
 const (
-	// plannerPrefix is that of the planners' names.
+	// plannerPrefix is the prefix of the planners' names.
 	plannerPrefix = "p"
-	// firstPort is the first port of a fleet; those of gossip and of control addresses follow one
-	// another.
+	// firstPort is the port before the first one that a fleet uses. Gossip and control addresses
+	// take alternate ports.
 	firstPort = 7001
-	// abandonedCallMs is how long calls of requests that are over may still take upstream, in
-	// milliseconds.
+	// abandonedCallMs is how long, in milliseconds, a downstream call may take after its request
+	// has ended.
 	abandonedCallMs = 300
 )
 
-// Fleet is processes of the real program with relays between them.
+// Fleet is a set of real processes with relays between them.
 type Fleet struct {
 	Config
 	Net           *Network
-	Servers       []*process.Server
+	Servers       []*process.Server // without workers
 	WorkerServers []*process.Server
-	Names         []string
+	Names         []string // of Servers
 
-	host         string
+	host         string // loopback address of the fleet
 	portsUsed    int
-	controlAddrs map[string]string // by process
-	gossipAddrs  map[string]string // by process
-	relayRoutes  map[string]string // SWIFTCOURSE_TEST_VIA by process
+	controlAddrs map[string]string // by process name
+	gossipAddrs  map[string]string // by process name
+	relayRoutes  map[string]string // SWIFTCOURSE_TEST_VIA by process name
 
-	mu         sync.Mutex
-	events     []LogEvent
-	programs   map[string]string // binary of one process at its next start, in place of the shape's
-	firstEvent map[string]int    // of a process that was restarted: index in events of its present incarnation's first
+	mu              sync.Mutex
+	events          []LogEvent
+	programs        map[string]string // binary for the next start, by process name; absent for the shape's binary
+	firstEventIndex map[string]int    // index in events from which on a restarted process's present incarnation logs
 }
 
-// Start starts a fleet and waits until every process serves.
+// Start starts a fleet and waits until its processes serve.
 func Start(ctx context.Context, config Config) (*Fleet, error) {
 	f := &Fleet{
-		Config:       config,
-		Net:          NewNetwork(config.Seed),
-		Names:        config.names(),
-		host:         nextHost(),
-		controlAddrs: map[string]string{},
-		gossipAddrs:  map[string]string{},
-		relayRoutes:  map[string]string{},
-		firstEvent:   map[string]int{},
-		programs:     maps.Clone(config.ProgramByName),
+		Config:          config,
+		Net:             NewNetwork(config.Seed),
+		Names:           config.names(),
+		host:            nextHost(),
+		controlAddrs:    map[string]string{},
+		gossipAddrs:     map[string]string{},
+		relayRoutes:     map[string]string{},
+		firstEventIndex: map[string]int{},
+		programs:        maps.Clone(config.ProgramByName),
 	}
 	if f.programs == nil {
 		f.programs = map[string]string{}
@@ -82,7 +82,7 @@
 	return f, nil
 }
 
-// addRelays adds a relay for each direction between two processes.
+// addRelays adds a relay for each ordered pair of processes.
 func (f *Fleet) addRelays() error {
 	if f.NoRelays {
 		return nil
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// configureShape adds to the shape of the processes what the fleet's configuration says.
+// configureShape completes the process configuration from the fleet's configuration.
 func (f *Fleet) configureShape() {
 	shape := &f.Shape
 	shape.Override = f.processSettings
@@ -130,15 +130,15 @@
 	}
 }
 
-// programOf returns the binary of a process at its next start, "" for that of its shape.
+// programOf returns the binary for the next start of a process, "" for the binary of its shape.
 func (f *Fleet) programOf(name string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.programs[name]
 }
 
-// SetProgram sets the binary of a process from its next start on. It stands for an upgrade of one
-// process of a fleet, or for its way back.
+// SetProgram sets the binary that a process runs from its next start on, to upgrade or downgrade
+// one process of a fleet.
 func (f *Fleet) SetProgram(name, path string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// Close ends all processes and relays.
+// Close ends all processes and closes all relays.
 func (f *Fleet) Close() {
 	process.CloseAll(f.Servers)
 	process.CloseAll(f.WorkerServers)
@@ -193,7 +193,7 @@
 // PlannerNames returns the names of the planners.
 func (f *Fleet) PlannerNames() []string { return f.Names[:f.Planners] }
 
-// Server returns the process with a name, nil if there is none.
+// Server returns the process with the given name, or nil.
 func (f *Fleet) Server(name string) *process.Server {
 	for _, server := range f.Servers {
 		if server.Name == name {
@@ -203,7 +203,7 @@
 	return nil
 }
 
-// BytesSent returns the bytes that all processes sent to one another.
+// BytesSent returns the bytes that all processes have sent over the relays.
 func (f *Fleet) BytesSent() (total int64) {
 	for _, name := range f.Names {
 		total += f.Net.BytesSent(name)
@@ -211,7 +211,7 @@
 	return total
 }
 
-// numberedNames returns prefix1, prefix2 and so on.
+// numberedNames returns prefix1, prefix2 and so on, up to the count.
 func numberedNames(prefix string, count int) (names []string) {
 	for i := range count {
 		names = append(names, fmt.Sprintf("%s%d", prefix, i+1))
@@ -219,11 +219,12 @@
 	return names
 }
 
-// fleetCount counts the fleets of this process.
+// fleetCount is the number of fleets that this process has started.
 var fleetCount atomic.Int32
 
-// nextHost returns a loopback address for one fleet, by this process's ID and the fleet's number.
-// Nobody else has ports there, so that addresses can be configured before anybody listens.
+// nextHost returns a loopback address for a fleet, made of this process's ID and the fleet's
+// number. No other process uses ports of it, so addresses can be assigned before the processes
+// listen.
 func nextHost() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 64+pid%128, pid/128%256, 1+fleetCount.Add(1)%250)
@@ -235,7 +236,8 @@
 	return fmt.Sprintf("%s:%d", f.host, firstPort+f.portsUsed)
 }
 
-// processSettings returns the operator's file of a process and what is added to its environment.
+// processSettings returns the operator's file of a process and its additional environment
+// variables.
 func (f *Fleet) processSettings(name string) (settings string, environment []string) {
 	if f.FleetDisabled {
 		return "door on\n", nil
--- a/internal/bench/faultinjection/fleet_test.go
+++ b/internal/bench/faultinjection/fleet_test.go
@@ -37,12 +37,13 @@
 	os.Exit(code)
 }
 
-// patience is how long a test waits for a condition: far longer than needed, so that a busy machine fails
-// no test.
-const patience = 30 * time.Second
+// awaitTimeout is how long a test waits for a condition: far longer than needed, so that tests do
+// not fail on a busy machine.
+const awaitTimeout = 30 * time.Second
 
-// startFleet starts a fleet with short leases for a parallel test, and waits until all servers apply a
-// first version. After the test no process may have panicked, nor two have logged different digests.
+// startFleet starts a fleet with short leases for a parallel test, and waits until all servers have
+// applied an initial version. After the test no process may have panicked, and no epoch may have
+// been logged with different digests.
 func startFleet(t *testing.T, config Config) *Fleet {
 	t.Helper()
 	t.Parallel()
@@ -59,41 +60,43 @@
 	}
 	t.Cleanup(func() {
 		if epochs := f.ConflictingDigestEpochs(); len(epochs) > 0 {
-			t.Errorf("conflicting digests in epochs %v", epochs)
+			t.Errorf("epochs with more than one digest: %v, want none", epochs)
 		}
 		if panics := append(f.Events("", EventFleetAgentPanic), f.Events("", EventPanic)...); len(panics) > 0 {
-			t.Errorf("panics: %v", panics)
+			t.Errorf("panics: %v, want none", panics)
 		}
 		f.Close()
 	})
-	f.await(t, "all apply a first version", func() bool { return f.AllActiveOn(1, f.Names...) })
+	f.await(t, "all servers apply an initial version", func() bool { return f.AllActiveOn(1, f.Names...) })
 	return f
 }
 
-// await fails the test, with what each process applied last, unless a condition holds in time.
-func (f *Fleet) await(t *testing.T, what string, condition func() bool) {
+// await waits until a condition holds. If it does not within awaitTimeout, await fails the test and
+// reports the state of each process.
+func (f *Fleet) await(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	if !WaitUntil(patience, condition) {
+	if !WaitUntil(awaitTimeout, condition) {
 		var states strings.Builder
 		for _, name := range f.Names {
-			fmt.Fprintf(&states, "%s on %s", name, f.ActiveEpoch(name))
+			fmt.Fprintf(&states, "%s on epoch %s", name, f.ActiveEpoch(name))
 			if changes := f.Events(name, EventServingModeChanged); len(changes) > 0 {
 				fmt.Fprintf(&states, ", %s", changes[len(changes)-1].Fields)
 			}
 			states.WriteString("; ")
 		}
-		t.Fatalf("not within %s: %s (%s)", patience, what, states.String())
+		t.Fatalf("condition not met within %s: %s (%s)", awaitTimeout, description, states.String())
 	}
 }
 
-// hasLogged returns a condition: that a process has logged an event with that value of a field.
+// hasLogged returns a condition that holds once a process has logged an event with the given field
+// value.
 func (f *Fleet) hasLogged(name, event, key, value string) func() bool {
 	return func() bool {
 		return slices.ContainsFunc(f.Events(name, event), func(s LogEvent) bool { return s.Fields[key] == value })
 	}
 }
 
-// release submits a release at a process until one is accepted, and returns its epoch.
+// release submits a release at a process until it is accepted, and returns its epoch.
 func (f *Fleet) release(t *testing.T, at, text string, waves ...float64) (epoch release.Epoch) {
 	t.Helper()
 	f.await(t, "a release at "+at+" is accepted", func() bool {
@@ -104,7 +107,7 @@
 	return epoch
 }
 
-// sendOnce sends one request on a connection of its own, and waits for its answer.
+// sendOnce sends one request on a new connection and waits for its answer.
 func sendOnce(ctx context.Context, addr string) {
 	done := make(chan struct{}, 1)
 	c, err := balancer.Dial(ctx, addr, func(rpc.Response) {
@@ -128,7 +131,8 @@
 	}
 }
 
-// dialBalancer opens a connection to a server, and returns a channel with its answers.
+// dialBalancer opens a connection to a server and returns it with a channel that receives the
+// answers.
 func (f *Fleet) dialBalancer(t *testing.T, name string) (*balancer.Conn, <-chan rpc.Response) {
 	t.Helper()
 	answers := make(chan rpc.Response, 64)
--- a/internal/bench/faultinjection/forwarder_test.go
+++ b/internal/bench/faultinjection/forwarder_test.go
@@ -13,19 +13,20 @@
 	"swiftcourse/internal/wire/simulator"
 )
 
-// forwarderRate is the requests a second at each forwarder.
+// forwarderRate is the load of each forwarder in requests per second.
 const forwarderRate = 60
 
-// payClass is a class whose requests must never run twice.
-const payClass = "pay"
+// atMostOnceClass is a class of at-most-once requests.
+const atMostOnceClass = "pay"
 
-// startTwoLevelFleet starts forwarders, planners and workers, one of which is slow, under a load
-// that is within their joint capacity.
+// startTwoLevelFleet starts forwarders, planners and workers, and a load whose rates are 0. After
+// the test every request must have been answered in time, no at-most-once request may have run
+// twice, and no process may have panicked.
 func startTwoLevelFleet(t *testing.T, config Config) (*Fleet, *Load) {
 	t.Helper()
 	t.Parallel()
 	config.Shape, config.ExtraSettings = SmallShape(program), ShortLeases
-	config.Shape.Settings.Classes = append(config.Shape.Settings.Classes, simulator.Class{Name: payClass,
+	config.Shape.Settings.Classes = append(config.Shape.Settings.Classes, simulator.Class{Name: atMostOnceClass,
 		Idempotency: "at_most_once", TimeoutMs: 2000, SoftDeadlineMs: 1000, Value: 3, LateValue: 0.5})
 	config.Shape.Settings.Deployment.Cores, config.Shape.Descriptors = 4, 512
 	config.WorkerShape, config.RunLog = config.Shape, NewRunLog()
@@ -41,35 +42,35 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	load := f.StartLoad(ctx, "")
-	load.Classes = []string{PingClass, payClass}
+	load.Classes = []string{PingClass, atMostOnceClass}
 	t.Cleanup(func() {
 		load.SetRate(0, f.Names...)
-		if !WaitUntil(patience, func() bool { return load.UnansweredCount() == 0 }) {
-			t.Errorf("%d requests are never answered: %s", load.UnansweredCount(), load.DescribeUnanswered())
+		if !WaitUntil(awaitTimeout, func() bool { return load.UnansweredCount() == 0 }) {
+			t.Errorf("%d unanswered requests, want none: %s", load.UnansweredCount(), load.DescribeUnanswered())
 		}
 		stop()
 		load.Wait()
 		sent, finished, rejected := load.Counts()
 		t.Logf("sent %d, finished %d, rejected %d, late %d", sent, finished, rejected, load.LateCount())
 		if load.LateCount() > 0 {
-			t.Errorf("%d answers came after their timeout", load.LateCount())
+			t.Errorf("%d answers after their timeout, want none", load.LateCount())
 		}
-		if n := f.RunLog.CountRepeated(payClass); n > 0 {
-			t.Errorf("%d at-most-once requests ran more than once", n)
+		if n := f.RunLog.CountRepeated(atMostOnceClass); n > 0 {
+			t.Errorf("%d at-most-once requests ran more than once, want none", n)
 		}
 		if n := len(f.Events("", EventForwarderPanic)) + len(f.Events("", EventFleetAgentPanic)); n > 0 {
-			t.Errorf("%d panics", n)
+			t.Errorf("%d panics, want none", n)
 		}
 		f.Close()
 	})
 	return f, load
 }
 
-// awaitServed waits until both forwarders finish most of the requests sent to them.
-func (f *Fleet) awaitServed(t *testing.T, load *Load, what string) {
+// awaitServed waits until each forwarder has finished nine tenths of its load for two seconds.
+func (f *Fleet) awaitServed(t *testing.T, load *Load, description string) {
 	t.Helper()
 	from := time.Now()
-	f.await(t, what, func() bool {
+	f.await(t, description, func() bool {
 		for _, name := range f.ForwarderNames() {
 			if time.Since(from) < 2*time.Second || load.Rate(name, 2*time.Second) < 0.9*forwarderRate {
 				return false
@@ -79,8 +80,9 @@
 	})
 }
 
-// TestForwarders_ServeWhilePlannersDie: the planners are restarted one by one, then all are killed.
-func TestForwarders_ServeWhilePlannersDie(t *testing.T) {
+// Forwarders must keep serving while the planners are restarted one by one and after all are
+// killed.
+func TestForwarders_ServeWithoutPlanners(t *testing.T) {
 	f, load := startTwoLevelFleet(t, Config{Seed: 51})
 	load.SetRate(forwarderRate, f.ForwarderNames()...)
 	f.awaitServed(t, load, "forwarders serve without faults")
@@ -99,13 +101,13 @@
 	f.awaitServed(t, load, "forwarders serve without planners")
 	sent, finished, _ := load.Counts()
 	if float64(finished) < 0.95*float64(sent) {
-		t.Errorf("of %d requests %d were finished", sent, finished)
+		t.Errorf("%d of %d requests finished, want at least 95%%", finished, sent)
 	}
 }
 
-// TestForwarders_WorkerDiesWithRequestsInFlight: one worker is killed and restarted; another is paused
-// for longer than the timeout of its requests.
-func TestForwarders_WorkerDiesWithRequestsInFlight(t *testing.T) {
+// Forwarders must keep serving while one worker is killed and restarted under load, and another is
+// paused for longer than the timeout of its requests.
+func TestForwarders_WorkerCrashAndPauseUnderLoad(t *testing.T) {
 	f, load := startTwoLevelFleet(t, Config{Seed: 52})
 	load.SetRate(forwarderRate, f.ForwarderNames()...)
 	f.awaitServed(t, load, "forwarders serve without faults")
@@ -124,23 +126,23 @@
 	f.awaitServed(t, load, "forwarders serve with the resumed worker")
 	if s, err := fleet.FetchLoadPlan(f.controlAddrs[f.ForwarderNames()[0]]); err != nil ||
 		s.Current.Sequence == 0 || s.FreshFor <= 0 || s.Leader == "" {
-		t.Errorf("the load plan is %+v, %v", s, err)
+		t.Errorf("load plan %+v, error %v, want a fresh plan with a sequence number and a leader", s, err)
 	}
 	startedBefore := f.WorkerServers[0].Executor.Stats().Started
 	f.await(t, "the restarted worker runs requests again", func() bool {
 		return f.WorkerServers[0].Executor.Stats().Started > startedBefore+20
 	})
-	for what, s := range map[string]*process.Server{"a worker": f.WorkerServers[2], "a forwarder": f.Server("f2")} {
+	for role, s := range map[string]*process.Server{"worker": f.WorkerServers[2], "forwarder": f.Server("f2")} {
 		if _, err := s.Drain(); err != nil {
-			t.Errorf("%s does not drain under load: %v", what, err)
+			t.Errorf("drain of a %s under load: %v", role, err)
 		}
 	}
 	load.SetRate(0, "f2")
 }
 
-// TestForwarders_ResumedPlannerHasStalePlans: a leader is paused, replaced and resumed, while a
-// forwarder is partitioned from all planners.
-func TestForwarders_ResumedPlannerHasStalePlans(t *testing.T) {
+// The leading planner is paused, succeeded by another and resumed while a forwarder is partitioned
+// from all planners. No forwarder may apply a plan of an earlier term from the resumed planner.
+func TestForwarders_StalePlansOfResumedPlanner(t *testing.T) {
 	f, load := startTwoLevelFleet(t, Config{Seed: 53})
 	load.SetRate(forwarderRate, f.ForwarderNames()...)
 	f.awaitServed(t, load, "forwarders serve without faults")
@@ -176,7 +178,8 @@
 		for _, s := range f.Events(name, EventLoadPlannerChanged) {
 			next, err := strconv.Atoi(s.Fields["term"])
 			if err != nil || next < term {
-				t.Errorf("%s goes from term %d to %s", name, term, s.Fields["term"])
+				t.Errorf("%s changed from a plan of term %d to term %s, want increasing terms",
+					name, term, s.Fields["term"])
 			}
 			term = next
 		}
--- a/internal/bench/faultinjection/lease_test.go
+++ b/internal/bench/faultinjection/lease_test.go
@@ -13,12 +13,12 @@
 	f := startFleet(t, Config{Servers: 4, Seed: 6, ClockByName: map[string]string{"n1": "3600,1",
 		"n2": "-3600,1.01", "n3": "0,0.99"}})
 	epoch := f.release(t, "n2", "door-come-back 300ms\n")
-	f.await(t, "all apply it", func() bool { return f.AllActiveOn(epoch, f.Names...) })
+	f.await(t, "all servers apply the release", func() bool { return f.AllActiveOn(epoch, f.Names...) })
 	time.Sleep(3 * time.Second) // longer than a lease
 	for _, name := range f.Names {
 		for _, s := range f.Events(name, EventLeaseStateChanged) {
 			if s.Fields["state"] != "acting" {
-				t.Errorf("%s was %s: %s", name, s.Fields["state"], s.Fields["reason"])
+				t.Errorf("lease state of %s is %s (%s), want acting only", name, s.Fields["state"], s.Fields["reason"])
 			}
 		}
 	}
@@ -27,26 +27,28 @@
 		t.Fatal(err)
 	}
 	defer duplicate.Kill()
-	f.await(t, "the second process logs that its name is taken", f.hasLogged("n4", EventLeaseStateChanged,
+	f.await(t, "the duplicate process logs that its name is taken", f.hasLogged("n4", EventLeaseStateChanged,
 		"state", "taken"))
 	if s, err := f.Status("n4"); err != nil || s.LeaseState != "acting" {
-		t.Errorf("the first process: %+v, %v", s, err)
+		t.Errorf("status of the original process %+v, error %v, want lease state acting", s, err)
 	}
 }
 
-// TestLease_PausedServerResumesAfterExpiry: a server with an old version is paused, and requests are sent
-// to it. When it resumes it sees that its lease has expired before it has received anything: it rejects
-// requests that have not started, and admits none until it hears its leader again, which is after all of
-// them are answered.
+// A server is paused for longer than its lease while a release is rolled out and requests are sent
+// to it. When it resumes, partitioned, it must notice that its lease has expired before it handles
+// the requests, and reject all of them instead of running them on the old version.
 func TestLease_PausedServerResumesAfterExpiry(t *testing.T) {
 	f := startFleet(t, Config{Servers: 5, Seed: 9, ExtraSettings: "fleet-silent leave\nfleet-most-out 100%\n"})
-	f.await(t, "n5 may leave", func() bool { s, err := f.Status("n5"); return err == nil && s.MayGoOutOfService })
+	f.await(t, "n5 may go out of service", func() bool {
+		s, err := f.Status("n5")
+		return err == nil && s.MayGoOutOfService
+	})
 	c, answers := f.dialBalancer(t, "n5")
 	if err := f.Pause("n5"); err != nil {
 		t.Fatal(err)
 	}
 	epoch := f.release(t, "n1", "door-come-back 300ms\n")
-	f.await(t, "the others apply it", func() bool { return f.AllActiveOn(epoch, "n1", "n2", "n3", "n4") })
+	f.await(t, "the others apply the release", func() bool { return f.AllActiveOn(epoch, "n1", "n2", "n3", "n4") })
 	time.Sleep(3 * time.Second) // longer than a lease
 	const requests = 8
 	for i := range requests {
@@ -68,12 +70,12 @@
 			if a.Kind == rpc.ResponseRejected {
 				rejected++
 			}
-		case <-time.After(patience):
-			t.Fatal("a request has no answer")
+		case <-time.After(awaitTimeout):
+			t.Fatalf("request without an answer after %s", awaitTimeout)
 		}
 	}
 	if rejected != requests {
-		t.Errorf("resumed, n5 admitted %d of %d requests on the old version", requests-rejected, requests)
+		t.Errorf("n5 resumed after its lease and admitted %d of %d requests, want none", requests-rejected, requests)
 	}
 	f.await(t, "n5 logs that it was out of service",
 		f.hasLogged("n5", EventServingModeChanged, "mode", "out_of_service"))
--- a/internal/bench/faultinjection/load.go
+++ b/internal/bench/faultinjection/load.go
@@ -11,23 +11,23 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// Load sends requests of one tenant to each server at a rate of its own, and records when each was
-// finished: what a quota admitted, independent of the program's own counters.
+// Load sends requests of one tenant to each server, at a separate rate for each, and records the
+// responses. It shows which requests a quota admitted, independently of the program's own counters.
 type Load struct {
-	Classes []string // of its requests, in turns; PingClass alone if there are none
+	Classes []string // classes of the requests, used in rotation; PingClass if empty
 
 	fleet  *Fleet
 	tenant string
 	wg     sync.WaitGroup
 
 	mu          sync.Mutex
-	rates       map[string]float64                  // requests a second, by server
+	rates       map[string]float64                  // requests per second, by server
 	finishTimes map[string][]time.Time              // by server
 	outcomes    map[string]map[rpc.ResponseKind]int // by server
 	sent        map[string]int                      // by server
-	lateCount   int                                 // answers after their timeout
-	unanswered  map[string]map[uint64]time.Time     // send times by server and request number
-	latencies   []time.Duration                     // of the finished requests
+	lateCount   int                                 // answers more than answerToleranceSeconds after the timeout
+	unanswered  map[string]map[uint64]time.Time     // send times, by server and request number
+	latencies   []time.Duration                     // of finished requests
 }
 
 const (
@@ -35,13 +35,14 @@
 	loadInterval = 10 * time.Millisecond
 	// loadTimeoutSeconds is the timeout of a request.
 	loadTimeoutSeconds = 1.0
-	// loadDialTimeout is how long a connection may take.
+	// loadDialTimeout is the timeout for opening a connection.
 	loadDialTimeout = time.Second
-	// maxBacklogSeconds bounds what is sent at once after this process was stopped itself.
+	// maxBacklogSeconds bounds the requests that are sent at once after this process was suspended,
+	// as seconds of the rate.
 	maxBacklogSeconds = 0.5
 )
 
-// StartLoad starts a load with rates of 0 that goes on until the context ends.
+// StartLoad starts a load that runs until the context ends. All rates are 0 at first.
 func (f *Fleet) StartLoad(ctx context.Context, tenant string) *Load {
 	l := &Load{
 		fleet:       f,
@@ -60,10 +61,10 @@
 	return l
 }
 
-// Wait returns once the load has ended.
+// Wait waits until the load has ended.
 func (l *Load) Wait() { l.wg.Wait() }
 
-// SetRate sets the requests a second of servers.
+// SetRate sets the requests per second for each of the named servers.
 func (l *Load) SetRate(rate float64, names ...string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,17 +73,18 @@
 	}
 }
 
-// rate returns the requests a second of a server.
+// rate returns the requests per second for a server.
 func (l *Load) rate(name string) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rates[name]
 }
 
-// answerTolerance is how many seconds an answer may come after its timeout on a busy machine.
-const answerTolerance = 0.3
+// answerToleranceSeconds is how many seconds after its timeout an answer may arrive, to allow for a
+// busy machine.
+const answerToleranceSeconds = 0.3
 
-// handleAnswer records the answer to a request that was sent on a connection.
+// handleAnswer records an answer. sent has the send times of the connection's unanswered requests.
 func (l *Load) handleAnswer(name string, sent map[uint64]time.Time, response rpc.Response) {
 	if response.Kind == rpc.ResponseGoAway {
 		return
@@ -92,7 +94,7 @@
 	l.outcomes[name][response.Kind]++
 	latency := time.Since(sent[response.Number])
 	delete(sent, response.Number)
-	if latency.Seconds() > loadTimeoutSeconds+answerTolerance {
+	if latency.Seconds() > loadTimeoutSeconds+answerToleranceSeconds {
 		l.lateCount++
 	}
 	if response.Kind == rpc.ResponseFinished {
@@ -101,19 +103,20 @@
 	}
 }
 
-// Rate returns the requests a second that a server finished in the last time.
-func (l *Load) Rate(name string, lately time.Duration) float64 {
+// Rate returns the requests per second that a server finished within the latest window.
+func (l *Load) Rate(name string, window time.Duration) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	from := time.Now().Add(-lately)
+	from := time.Now().Add(-window)
 	n := 0
 	for i := len(l.finishTimes[name]) - 1; i >= 0 && l.finishTimes[name][i].After(from); i-- {
 		n++
 	}
-	return float64(n) / lately.Seconds()
+	return float64(n) / window.Seconds()
 }
 
-// RateBetween returns the requests a second that servers finished between two times.
+// RateBetween returns the requests per second that the named servers finished together between two
+// times.
 func (l *Load) RateBetween(from, to time.Time, names ...string) float64 {
 	n := 0
 	for _, at := range l.sortedFinishTimes(names) {
@@ -124,7 +127,8 @@
 	return float64(n) / to.Sub(from).Seconds()
 }
 
-// sortedFinishTimes returns when servers finished requests, in order.
+// sortedFinishTimes returns the times at which the named servers finished requests, in ascending
+// order.
 func (l *Load) sortedFinishTimes(names []string) (all []time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -135,31 +139,32 @@
 	return all
 }
 
-// MaxExcess returns the most requests that servers finished in any interval over that rate times
-// its length.
-func (l *Load) MaxExcess(rate float64, names ...string) (most float64) {
+// MaxExcess returns by how many requests the named servers together exceeded the rate: the maximum,
+// over all intervals, of the requests finished in it minus the rate times its length.
+func (l *Load) MaxExcess(rate float64, names ...string) (excess float64) {
 	all := l.sortedFinishTimes(names)
 	if len(all) == 0 {
 		return 0
 	}
-	// With x(i) = i - rate*t(i) it is the largest x(j) - x(i) + 1, i before j.
-	least := 0.0
+	// With x(i) = i - rate*t(i), the excess is the maximum of x(j) - x(i) + 1 over all i <= j.
+	lowest := 0.0
 	for i, at := range all {
 		x := float64(i) - rate*at.Sub(all[0]).Seconds()
-		least = min(least, x)
-		most = max(most, x-least+1)
+		lowest = min(lowest, x)
+		excess = max(excess, x-lowest+1)
 	}
-	return most
+	return excess
 }
 
-// LateCount returns the number of answers that came after their timeout.
+// LateCount returns the number of answers that came more than answerToleranceSeconds after their
+// timeout.
 func (l *Load) LateCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lateCount
 }
 
-// UnansweredCount returns the number of requests without an answer on open connections.
+// UnansweredCount returns the number of unanswered requests on open connections.
 func (l *Load) UnansweredCount() (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -169,8 +174,8 @@
 	return n
 }
 
-// DescribeUnanswered says of each server how many requests are unanswered, and for how long the
-// oldest.
+// DescribeUnanswered returns a text with the number of unanswered requests of each server and the
+// age of the oldest.
 func (l *Load) DescribeUnanswered() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -181,7 +186,7 @@
 			oldest = max(oldest, time.Since(at))
 		}
 		if len(sent) > 0 {
-			all = append(all, fmt.Sprintf("%s %d, the oldest for %s", name, len(sent), oldest))
+			all = append(all, fmt.Sprintf("%s: %d unanswered, the oldest for %s", name, len(sent), oldest))
 		}
 	}
 	return strings.Join(all, "; ")
@@ -194,7 +199,7 @@
 	return slices.Sorted(slices.Values(l.latencies))
 }
 
-// Counts returns the requests sent, finished and rejected, over all servers.
+// Counts returns the numbers of requests sent, finished and rejected, over all servers.
 func (l *Load) Counts() (sent, finished, rejected int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/bench/faultinjection/loadsender.go
+++ b/internal/bench/faultinjection/loadsender.go
@@ -9,25 +9,25 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// loadSender sends the requests of a Load to one server, over one connection that it opens again
-// after it closed. All of it but the connection's callbacks runs in one goroutine.
+// loadSender sends the requests of a Load to one server over one connection, which it reopens after
+// a close. Except for the connection's callbacks it runs in one goroutine.
 type loadSender struct {
-	load   *Load
-	name   string
-	count  int
-	conn   *loadConn // nil if there is none
-	owed   float64   // requests that are due
-	lastAt time.Time
+	load         *Load
+	name         string    // of the server
+	count        int       // requests created
+	conn         *loadConn // nil if no connection is open
+	dueRequests  float64   // requests that are due and not yet sent
+	dueUpdatedAt time.Time // when dueRequests was last updated
 }
 
-// loadConn is an open connection with what is unanswered on it.
+// loadConn is a connection with the send times of its unanswered requests.
 type loadConn struct {
 	*balancer.Conn
 	closed     atomic.Bool
 	unanswered map[uint64]time.Time // guarded by the load's mutex
 }
 
-// run sends what is due until the context ends.
+// run sends due requests every loadInterval until the context ends.
 func (s *loadSender) run(ctx context.Context) {
 	defer func() {
 		if s.conn != nil {
@@ -36,7 +36,7 @@
 	}()
 	ticker := time.NewTicker(loadInterval)
 	defer ticker.Stop()
-	s.lastAt = time.Now()
+	s.dueUpdatedAt = time.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -47,26 +47,26 @@
 	}
 }
 
-// sendDue sends the requests that became due since the last call.
+// sendDue sends the requests that are due.
 func (s *loadSender) sendDue(ctx context.Context, now time.Time) {
 	rate := s.load.rate(s.name)
-	s.owed = min(s.owed+rate*now.Sub(s.lastAt).Seconds(), rate*maxBacklogSeconds+1)
-	s.lastAt = now
-	if s.owed < 1 {
+	s.dueRequests = min(s.dueRequests+rate*now.Sub(s.dueUpdatedAt).Seconds(), rate*maxBacklogSeconds+1)
+	s.dueUpdatedAt = now
+	if s.dueRequests < 1 {
 		return
 	}
 	if s.conn == nil && s.dial(ctx) != nil {
-		return // the server is down: the next tick dials again
+		return // the server is down; the next tick dials again
 	}
-	for ; s.owed >= 1; s.owed-- {
-		if err := s.send(now); err != nil { // the server is gone, and comes back at the same address
+	for ; s.dueRequests >= 1; s.dueRequests-- {
+		if err := s.send(now); err != nil { // the server has ended; a restarted one has the same address
 			s.dropConn()
 			return
 		}
 	}
 }
 
-// dial opens a connection. What is unanswered on it is forgotten once it closes.
+// dial opens a connection. Its unanswered requests are forgotten when it closes.
 func (s *loadSender) dial(ctx context.Context) error {
 	dialCtx, cancel := context.WithTimeout(ctx, loadDialTimeout)
 	defer cancel()
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// dropConn closes the connection and forgets what is unanswered on it.
+// dropConn closes the connection and forgets its unanswered requests.
 func (s *loadSender) dropConn() {
 	_ = s.conn.Close()
 	s.load.forget(s.conn.unanswered)
@@ -112,7 +112,8 @@
 	if err := s.conn.SendRequest(message); err != nil {
 		return err
 	}
-	if s.conn.closed.Load() { // it closed meanwhile, and its requests were forgotten before this one was added
+	// If the connection closed before this request was added, onClose did not forget it.
+	if s.conn.closed.Load() {
 		s.load.forget(s.conn.unanswered)
 	}
 	s.load.mu.Lock()
@@ -121,8 +122,9 @@
 	return nil
 }
 
-// forget drops what is unanswered on a connection that closed. What crossed the close of a server
-// that drains was never read, and is its client's to send elsewhere.
+// forget removes the unanswered requests of a closed connection. A draining server does not read
+// requests that arrive while it closes the connection; their client has to send them to another
+// server.
 func (l *Load) forget(unanswered map[uint64]time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/bench/faultinjection/network.go
+++ b/internal/bench/faultinjection/network.go
@@ -7,30 +7,31 @@
 	"time"
 )
 
-// Link is the state of one direction between two processes. The zero Link passes everything on.
+// Link is the state of one direction between two processes. The zero Link forwards everything
+// unchanged.
 type Link struct {
-	Cut            bool // nothing passes; connections stay half open
-	Loss           float64
-	Duplicate      float64
-	Delay          time.Duration
-	Jitter         time.Duration // at most, drawn for each packet, so that packets are reordered
-	BytesPerSecond float64       // of a connection; 0 for no limit
+	Cut            bool          // nothing is forwarded; connections stay half open
+	Loss           float64       // probability that a packet is lost
+	Duplicate      float64       // probability that a packet is sent twice
+	Delay          time.Duration // minimum delay
+	Jitter         time.Duration // maximum additional delay, drawn for each packet, so that packets are reordered
+	BytesPerSecond float64       // maximum rate of a connection; 0 for no limit
 }
 
-// direction is from one process to another, by their names.
+// direction is an ordered pair of process names.
 type direction struct{ from, to string }
 
-// Network is the relays of a fleet. Its methods may be called from any goroutine.
+// Network is the set of relays of a fleet. Its methods may be called from any goroutine.
 type Network struct {
 	mu        sync.Mutex
 	links     map[direction]Link
 	random    *rand.Rand
 	closed    chan struct{}
 	closers   []interface{ Close() error }
-	bytesSent map[string]int64 // that each process sent, packets and connections
+	bytesSent map[string]int64 // by sending process, in packets and on connections
 }
 
-// NewNetwork returns a network without relays, whose random draws come from the seed.
+// NewNetwork returns a network without relays. Its random decisions come from the seed.
 func NewNetwork(seed uint64) *Network {
 	return &Network{
 		links:     map[direction]Link{},
@@ -40,7 +41,7 @@
 	}
 }
 
-// SetLink changes one direction.
+// SetLink sets the link from one process to another.
 func (n *Network) SetLink(from, to string, l Link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -70,7 +71,7 @@
 	}
 }
 
-// RandomPartition draws a minority of the processes, and returns it and the others.
+// RandomPartition divides the processes randomly into a minority and a majority.
 func RandomPartition(random *rand.Rand, names []string) (minority, majority []string) {
 	shuffled := slices.Clone(names)
 	random.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
@@ -78,7 +79,7 @@
 	return shuffled[:minoritySize], shuffled[minoritySize:]
 }
 
-// Close ends all relays.
+// Close closes all relays.
 func (n *Network) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -88,7 +89,7 @@
 	}
 }
 
-// BytesSent returns the bytes that a process sent so far.
+// BytesSent returns the bytes that a process has sent.
 func (n *Network) BytesSent(name string) int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/bench/faultinjection/relay.go
+++ b/internal/bench/faultinjection/relay.go
@@ -10,34 +10,36 @@
 )
 
 const (
-	// relayHost is where relays listen.
+	// relayHost is the address on which relays listen, with a port chosen by the system.
 	relayHost = "127.0.0.8:0"
-	// maxRelayBinds bounds the attempts to find a port that is free for TCP and UDP.
+	// maxRelayBinds is the number of attempts to find a port that is free for both TCP and UDP.
 	maxRelayBinds = 20
-	// relayDialTimeout is how long a relayed connection may take to open.
+	// relayDialTimeout is the timeout for opening a relayed connection.
 	relayDialTimeout = 5 * time.Second
-	// maxHalfOpen is how long a connection stays half open in a cut before the relay closes it, as
-	// a host's own timeout does.
+	// maxHalfOpen is how long a connection over a cut link stays half open before the relay closes
+	// it, like the TCP timeout of a host.
 	maxHalfOpen = 30 * time.Second
-	// cutCheckInterval is the time between two checks whether a cut is over.
+	// cutCheckInterval is the time between two checks whether a link is still cut.
 	cutCheckInterval = 20 * time.Millisecond
-	// maxPacket and streamBuffer are the bytes read at once.
-	maxPacket    = 1 << 16
-	streamBuffer = 4096
-	// readsPerSecond is the least number of reads a second of a connection with a limited rate.
-	readsPerSecond = 10
+	// maxPacketBytes and streamBufferBytes are the buffer sizes, in bytes, for packets and
+	// connections.
+	maxPacketBytes    = 1 << 16
+	streamBufferBytes = 4096
+	// minReadsPerSecond is the minimum number of reads per second on a connection with a limited
+	// rate, so that its bytes are spread over time.
+	minReadsPerSecond = 10
 )
 
-// transfer is what happens to bytes on a link.
-type transfer struct {
+// transfer is the treatment of a packet or a piece of a stream.
+type treatment struct {
 	link        Link
 	isLost      bool
 	isDuplicate bool
 	delay       time.Duration
 }
 
-// planTransfer counts bytes that a process sends, and draws what happens to them.
-func (n *Network) planTransfer(from, to string, size int) transfer {
+// drawTreatment counts the bytes that a process sends, and draws their loss, duplication and delay.
+func (n *Network) drawTreatment(from, to string, size int) treatment {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.bytesSent[from] += int64(size)
@@ -48,11 +50,11 @@
 	}
 	isLost := link.Cut || n.random.Float64() < link.Loss
 	isDuplicate := n.random.Float64() < link.Duplicate
-	return transfer{link: link, isLost: isLost, isDuplicate: isDuplicate, delay: delay}
+	return treatment{link: link, isLost: isLost, isDuplicate: isDuplicate, delay: delay}
 }
 
-// AddRelay relays TCP and UDP from one process to the address where another listens, and returns
-// the address to use instead.
+// AddRelay starts a relay for TCP and UDP from one process to the address on which another listens,
+// and returns the relay's address, which the first process has to use instead.
 func (n *Network) AddRelay(from, to, addr string) (string, error) {
 	listener, packets, err := listenBoth()
 	if err != nil {
@@ -83,18 +85,18 @@
 		}
 		_ = listener.Close()
 	}
-	return nil, nil, fmt.Errorf("no port is free for TCP and UDP: %w", err)
+	return nil, nil, fmt.Errorf("no port free for both TCP and UDP in %d attempts: %w", maxRelayBinds, err)
 }
 
 // relayPackets relays UDP packets until the relay is closed.
 func (n *Network) relayPackets(from, to string, in net.PacketConn, out net.Conn) {
-	buffer := make([]byte, maxPacket)
+	buffer := make([]byte, maxPacketBytes)
 	for {
 		size, _, err := in.ReadFrom(buffer)
 		if err != nil {
 			return
 		}
-		planned := n.planTransfer(from, to, size)
+		planned := n.drawTreatment(from, to, size)
 		if planned.isLost {
 			continue
 		}
@@ -106,8 +108,7 @@
 	}
 }
 
-// sendPacket sends a packet after a delay. An error is no fault of the relay: the other side may be
-// down.
+// sendPacket sends a packet after a delay. Errors are ignored, since the receiver may be down.
 func sendPacket(out net.Conn, packet []byte, delay time.Duration) {
 	if delay == 0 {
 		_, _ = out.Write(packet)
@@ -127,11 +128,11 @@
 	}
 }
 
-// relayConnection relays one connection until one side ends. An error of its ends is no fault of
-// the relay.
+// relayConnection relays one connection until one side closes it. Errors are ignored, since either
+// side may be down.
 func (n *Network) relayConnection(from, to string, in net.Conn, addr string) {
 	defer func() { _ = in.Close() }()
-	if !n.waitUncut(from, to) {
+	if !n.waitWhileCut(from, to) {
 		return
 	}
 	out, err := net.DialTimeout("tcp", addr, relayDialTimeout)
@@ -151,11 +152,11 @@
 	<-done
 }
 
-// waitUncut waits until a direction is not cut, and reports whether that came before maxHalfOpen
-// and the close of the relays.
-func (n *Network) waitUncut(from, to string) bool {
+// waitWhileCut waits while the link is cut. It returns false if the link is cut for maxHalfOpen or
+// the network is closed.
+func (n *Network) waitWhileCut(from, to string) bool {
 	for end := time.Now().Add(maxHalfOpen); time.Now().Before(end); {
-		if !n.planTransfer(from, to, 0).link.Cut {
+		if !n.drawTreatment(from, to, 0).link.Cut {
 			return true
 		}
 		select {
@@ -167,13 +168,13 @@
 	return false
 }
 
-// copyStream copies one direction of a connection, with the delay and the rate of its link.
+// copyStream copies one direction of a connection with the delay and the rate of its link.
 func (n *Network) copyStream(from, to string, in, out net.Conn) {
-	buffer := make([]byte, streamBuffer)
+	buffer := make([]byte, streamBufferBytes)
 	for {
 		piece := buffer
-		if rate := n.planTransfer(from, to, 0).link.BytesPerSecond; rate > 0 {
-			piece = buffer[:max(1, min(len(buffer), int(rate/readsPerSecond)))]
+		if rate := n.drawTreatment(from, to, 0).link.BytesPerSecond; rate > 0 {
+			piece = buffer[:max(1, min(len(buffer), int(rate/minReadsPerSecond)))]
 		}
 		size, err := in.Read(piece)
 		if size > 0 && !n.forward(from, to, piece[:size], out) {
@@ -185,12 +186,12 @@
 	}
 }
 
-// forward writes what was read, after its delay, and reports whether the connection goes on.
+// forward writes data after its delay, and reports whether the connection can continue.
 func (n *Network) forward(from, to string, data []byte, out net.Conn) bool {
-	if !n.waitUncut(from, to) {
+	if !n.waitWhileCut(from, to) {
 		return false
 	}
-	planned := n.planTransfer(from, to, len(data))
+	planned := n.drawTreatment(from, to, len(data))
 	delay := planned.delay
 	if rate := planned.link.BytesPerSecond; rate > 0 {
 		delay += timing.Seconds(float64(len(data)) / rate)
--- a/internal/bench/faultinjection/request.go
+++ b/internal/bench/faultinjection/request.go
@@ -11,7 +11,7 @@
 	"swiftcourse/internal/wire/rpc"
 )
 
-// Outcome is how an attempt ended, as its client saw it.
+// Outcome is the outcome of an attempt as seen by its client.
 type Outcome string
 
 // The outcomes of attempts.
@@ -24,7 +24,7 @@
 	Unanswered     Outcome = "unanswered"
 )
 
-// outcomeOf returns the outcome of a response that is an answer.
+// outcomeOf returns the outcome for a kind of final response, "" for other kinds.
 func outcomeOf(kind rpc.ResponseKind) Outcome {
 	switch kind {
 	case rpc.ResponseFinished:
@@ -38,20 +38,20 @@
 	}
 }
 
-// Response is the end of an attempt.
+// Response is the outcome of an attempt with its result and time.
 type Response struct {
 	Outcome  Outcome
 	Result   string
-	Lateness time.Duration // after the client's timeout; negative before it
+	Lateness time.Duration // time from the client's timeout to the response; negative if it came before
 }
 
 const (
-	// pingMemory and pingPriority are of every request of this package.
+	// pingMemory and pingPriority are the memory and priority of every request.
 	pingMemory   = 1
 	pingPriority = 0.5
 )
 
-// newPing makes a request of PingClass that arrived at a time.
+// newPing returns a request of PingClass with the given arrival time.
 func newPing(number uint64, arrivedAt time.Time) *rpc.Message {
 	return &rpc.Message{
 		Number:    number,
@@ -65,18 +65,18 @@
 	}
 }
 
-// Attempt is one attempt to send a request.
+// Attempt is one attempt of a request.
 type Attempt struct {
-	Server  string
+	Server  string // name of the server
 	ID      string
-	Key     string // "" for none; it is the body too, by which a RunLog knows it
+	Key     string // "" for none; also sent as the body, so that a RunLog can record it
 	Timeout time.Duration
-	// Patience is how long after the timeout the response is waited for: a server that is paused
-	// answers when it resumes.
-	Patience time.Duration
+	// AnswerGrace is how long after the timeout SendRequest still waits for a response: a paused
+	// server answers only when it resumes.
+	AnswerGrace time.Duration
 }
 
-// SendRequest sends an attempt on a connection of its own, and waits for its response.
+// SendRequest sends an attempt on a new connection and waits for its response.
 func (f *Fleet) SendRequest(ctx context.Context, attempt Attempt) Response {
 	responses := make(chan rpc.Response, 1)
 	closed := make(chan struct{})
@@ -87,7 +87,7 @@
 		response.Result = slices.Clone(response.Result)
 		select {
 		case responses <- response:
-		default: // a second response to one request shows in the run log
+		default: // drop a repeated response; a second run is in the run log
 		}
 	}
 	conn, err := balancer.Dial(ctx, f.Server(attempt.Server).Addr, onResponse, func(error) { close(closed) })
@@ -113,16 +113,16 @@
 		}
 	case <-closed:
 		return Response{Outcome: ConnectionLost}
-	case <-time.After(attempt.Timeout + attempt.Patience):
+	case <-time.After(attempt.Timeout + attempt.AnswerGrace):
 		return Response{Outcome: Unanswered}
 	}
 }
 
-// closeQuietly closes a connection that is not needed any more, whose error says nothing.
+// closeQuietly closes a connection that is no longer needed and ignores the error.
 func closeQuietly(conn *balancer.Conn) { _ = conn.Close() }
 
-// MeasureSequential sends requests to an address on one connection, the next one once the last is
-// finished, and returns their latencies in ascending order.
+// MeasureSequential sends requests to an address on one connection, each after the response to the
+// previous one, and returns their latencies in ascending order.
 func (f *Fleet) MeasureSequential(ctx context.Context, addr string, count int) (latencies []time.Duration, err error) {
 	responses := make(chan rpc.Response, 1)
 	onResponse := func(response rpc.Response) {
@@ -143,11 +143,11 @@
 		select {
 		case response := <-responses:
 			if response.Kind != rpc.ResponseFinished {
-				return nil, fmt.Errorf("%s: a single request is not finished", addr)
+				return nil, fmt.Errorf("%s: response to a ping has kind %v, want finished", addr, response.Kind)
 			}
 			latencies = append(latencies, time.Since(startedAt))
 		case <-time.After(5 * loadTimeoutSeconds * time.Second):
-			return nil, fmt.Errorf("%s: a single request has no response", addr)
+			return nil, fmt.Errorf("%s: no response to a ping within %g s", addr, 5*loadTimeoutSeconds)
 		}
 	}
 	slices.Sort(latencies)
--- a/internal/bench/faultinjection/runlog.go
+++ b/internal/bench/faultinjection/runlog.go
@@ -8,32 +8,32 @@
 	"time"
 )
 
-// RunLog is what the fake executors of a fleet know of the runs of each key, apart from the
+// RunLog records the runs of each key at the fake executors of a fleet, independently of the
 // program's own records. The body of a request is its key.
 type RunLog struct {
 	mu      sync.Mutex
-	runs    map[string][]time.Time
-	results map[string][]string // of each key, in order
-	started map[string]startedRun
+	runs    map[string][]time.Time // start times by key
+	results map[string][]string    // by key, in order of completion
+	started map[string]startedRun  // latest run by request ID
 }
 
-// startedRun is a run that was started.
+// startedRun is the key and the start time of a run.
 type startedRun struct {
 	key string
 	at  time.Time
 }
 
-// NewRunLog returns an empty log. A fleet with it in its Config calls RecordStart and RecordResult.
+// NewRunLog returns an empty run log. The fake executors of a fleet with the log in its Config call
+// RecordStart and RecordResult.
 func NewRunLog() *RunLog {
 	return &RunLog{runs: map[string][]time.Time{}, results: map[string][]string{}, started: map[string]startedRun{}}
 }
 
-// RecordStart records that a run was started. Requests without a body have no key and are not
-// recorded.
+// RecordStart records the start of a run. Requests without a body have no key and are not recorded.
 func (l *RunLog) RecordStart(id string, body []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(body) == 0 { // of a load without keys
+	if len(body) == 0 {
 		return
 	}
 	now := time.Now()
@@ -41,8 +41,8 @@
 	l.started[id] = startedRun{string(body), now}
 }
 
-// RecordResult returns the result of a run, which differs for each run, so that a second run shows
-// in the answers too.
+// RecordResult records and returns the result of a run. It contains the request ID, so that a
+// second run of a key by another attempt also shows in the answers.
 func (l *RunLog) RecordResult(id string, body []byte) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -51,7 +51,7 @@
 	return []byte(result)
 }
 
-// CountRepeated counts the keys with a prefix that ran more than once.
+// CountRepeated counts the keys with the prefix that ran more than once.
 func (l *RunLog) CountRepeated(prefix string) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,7 +70,7 @@
 	return len(l.runs[key])
 }
 
-// FirstResult returns the result of a key's first run that ended, "" if none did.
+// FirstResult returns the result of the first completed run of a key, or "".
 func (l *RunLog) FirstResult(key string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,39 +80,41 @@
 	return ""
 }
 
-// HasResult reports whether a run of a key had that result.
+// HasResult reports whether a run of the key had the result.
 func (l *RunLog) HasResult(key, result string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Contains(l.results[key], result)
 }
 
-// CountRuns counts the runs for which a condition on request ID, key and start holds.
-func (l *RunLog) CountRuns(pass func(id, key string, at time.Time) bool) (n int) {
+// CountRuns counts the runs for which match returns true, given the request ID, the key and the
+// start time.
+func (l *RunLog) CountRuns(match func(id, key string, at time.Time) bool) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, run := range l.started {
-		if pass(id, run.key, run.at) {
+		if match(id, run.key, run.at) {
 			n++
 		}
 	}
 	return n
 }
 
-// MaxRunsWithin returns the largest number of runs that any key had within that time, and the key.
-func (l *RunLog) MaxRunsWithin(within time.Duration) (most int, key string) {
+// MaxRunsWithin returns the maximum number of runs of a key that started within a window of the
+// given length, and the key.
+func (l *RunLog) MaxRunsWithin(window time.Duration) (maxRuns int, key string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for k, times := range l.runs {
 		for i := range times {
 			n := 1
-			for j := i + 1; j < len(times) && times[j].Sub(times[i]) < within; j++ {
+			for j := i + 1; j < len(times) && times[j].Sub(times[i]) < window; j++ {
 				n++
 			}
-			if n > most {
-				most, key = n, k
+			if n > maxRuns {
+				maxRuns, key = n, k
 			}
 		}
 	}
-	return most, key
+	return maxRuns, key
 }
--- a/internal/bench/faultinjection/shape.go
+++ b/internal/bench/faultinjection/shape.go
@@ -11,17 +11,17 @@
 const (
 	// PingClass is the class of the requests of SmallShape.
 	PingClass = "ping"
-	// PingSeconds is how long their runs take.
+	// PingSeconds is the CPU time of such a request.
 	PingSeconds = 0.02
-	// pingCores are the cores of the executor that runs them.
+	// pingCores is the number of cores of the executor.
 	pingCores = 4
 )
 
-// ShortLeases are lines of the operator's file with which leases end within seconds.
+// ShortLeases are settings in the operator's file under which leases expire within seconds.
 const ShortLeases = "door on\nfleet-lease 2s\nfleet-behind 2s\n"
 
-// SmallShape returns the configuration of the servers of tests and experiments: one idempotent
-// class and no calls.
+// SmallShape returns the process configuration of tests and experiments: one idempotent class
+// without downstream calls.
 func SmallShape(program string) process.Config {
 	return process.Config{
 		Program:     program,
--- a/internal/bench/faultinjection/upgrade_test.go
+++ b/internal/bench/faultinjection/upgrade_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// copyPrograms copies the programs under test into a folder of their own and returns the server's path.
+// copyPrograms copies the programs under test into a temporary folder and returns the path of the
+// server.
 func copyPrograms(t *testing.T) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -32,9 +33,9 @@
 	return filepath.Join(folder, "swiftcourse")
 }
 
-// One process of a fleet starts with another binary, one is replaced by it and goes back: each time the
-// process runs the binary that was asked for, and joins the fleet.
-func TestReplace_StartsTheGivenBinary(t *testing.T) {
+// One process of a fleet starts with another binary, and a second one is replaced by that binary
+// and back. Each time the process must run the requested binary and join the fleet.
+func TestReplace_RunsRequestedBinary(t *testing.T) {
 	other := copyPrograms(t)
 	f := startFleet(t, Config{Servers: 3, Seed: 61, ProgramByName: map[string]string{"n3": other}})
 	for name, want := range map[string]string{"n1": program, "n2": program, "n3": other} {
@@ -43,13 +44,13 @@
 		}
 	}
 	if err := f.CheckFolder("n3", program); err == nil {
-		t.Error("n3 runs the other binary, and CheckFolder reports no error for the first one")
+		t.Error("CheckFolder returned no error for a binary that n3 does not run")
 	}
 	for _, path := range []string{other, program} {
 		if err := f.Replace(context.Background(), "n2", path); err != nil {
 			t.Fatal(err)
 		}
 		epoch := f.release(t, "n1", "door-come-back 300ms\n")
-		f.await(t, "all apply the release", func() bool { return f.AllActiveOn(epoch, f.Names...) })
+		f.await(t, "all servers apply the release", func() bool { return f.AllActiveOn(epoch, f.Names...) })
 	}
 }
--- a/internal/bench/keyclaims/attempts.go
+++ b/internal/bench/keyclaims/attempts.go
@@ -13,23 +13,23 @@
 const (
 	// recentKeys is the number of the latest keys from which attempts are drawn.
 	recentKeys = 20
-	// resultMargin is how long before its answer a result may have been lost by a kill, and after
-	// which it is promised.
+	// resultMargin is the time around a result's first answer in which a kill may still have
+	// destroyed copies of the result; attempts sent later must receive it.
 	resultMargin = time.Second
 )
 
-// claimedKey is what callers know of a key.
+// claimedKey is a key with the first result that a caller received for it.
 type claimedKey struct {
 	name       string
-	finishedAt time.Time // of the first answer with a result; zero for none
-	result     string    // of that answer
+	finishedAt time.Time // when the first answer with a result came; zero if there was none
+	result     string    // the result in that answer
 }
 
-// isFinished reports whether a caller has a result.
+// isFinished reports whether any caller has received a result.
 func (k *claimedKey) isFinished() bool { return !k.finishedAt.IsZero() }
 
-// sendAttempts sends attempts until stopped: half of them of new keys, the others of recent keys,
-// most of those at other servers.
+// sendAttempts sends attempts at random servers until stop is closed. Half of them have new keys,
+// the others repeat recent keys.
 func (r *experiment) sendAttempts(ctx context.Context, stop <-chan struct{}) {
 	random := rand.New(rand.NewPCG(r.Seed, 13))
 	for ctx.Err() == nil {
@@ -45,7 +45,7 @@
 	}
 }
 
-// drawKey draws a new key or a recent one.
+// drawKey returns a new key or a random recent one, with equal probability.
 func (r *experiment) drawKey(random *rand.Rand) *claimedKey {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,7 +55,7 @@
 	return r.keys[max(0, len(r.keys)-1-random.IntN(recentKeys))]
 }
 
-// sendAttempt sends one attempt and records its end.
+// sendAttempt sends one attempt and records its outcome.
 func (r *experiment) sendAttempt(ctx context.Context, key *claimedKey, name string) {
 	id := faultinjection.NewRequestID()
 	r.mu.Lock()
@@ -64,11 +64,11 @@
 	r.mu.Unlock()
 	startedAt := time.Now()
 	response := r.fleet.SendRequest(ctx, faultinjection.Attempt{
-		Server:   name,
-		ID:       id,
-		Key:      key.name,
-		Timeout:  callerTimeout,
-		Patience: healTimeout,
+		Server:      name,
+		ID:          id,
+		Key:         key.name,
+		Timeout:     callerTimeout,
+		AnswerGrace: healTimeout,
 	})
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,8 +90,8 @@
 	}
 }
 
-// recordResult checks a result against the run log and against what callers got before. The mutex
-// is held.
+// recordResult checks a result against the run log and against the result that earlier callers
+// received within the retention window. The mutex is held.
 func (r *experiment) recordResult(key *claimedKey, result string, startedAt time.Time) {
 	isRetained := key.isFinished() && startedAt.Before(key.finishedAt.Add(retentionWindow))
 	if !r.runLog.HasResult(key.name, result) || isRetained && result != key.result {
@@ -103,8 +103,9 @@
 	}
 }
 
-// isPromised reports whether a key's result has to be known: a caller had it for a while, and since
-// then most of its replicas were not killed and no fault hindered them. The mutex is held.
+// isPromised reports whether an attempt must receive the key's result: a caller received it at
+// least resultMargin before the attempt, the retention window has not ended, and since then no
+// majority of its replicas was killed and no other fault disturbed the replicas. The mutex is held.
 func (r *experiment) isPromised(key *claimedKey, startedAt, now time.Time) bool {
 	if !key.isFinished() || !startedAt.After(key.finishedAt.Add(resultMargin)) {
 		return false
@@ -116,7 +117,7 @@
 	return kills <= r.ReplicationFactor/2 && !r.wasDisturbed(key.finishedAt, now)
 }
 
-// killsSince counts the kills since a time. The mutex is held.
+// killsSince counts the kills after a time. The mutex is held.
 func (r *experiment) killsSince(since time.Time) (count int) {
 	for _, at := range r.kills {
 		if at.After(since) {
--- a/internal/bench/keyclaims/faults.go
+++ b/internal/bench/keyclaims/faults.go
@@ -10,19 +10,20 @@
 	"swiftcourse/internal/bench/timing"
 )
 
-// fault is a kind of fault beside kills.
+// fault is a kind of fault other than a kill.
 type fault int
 
 const (
 	faultPause fault = iota
 	faultPartition
-	faultOneWayCut // a server receives nothing
+	faultOneWayCut // a server receives nothing, but can send
 	faultLoss
-	faultLossAgain // so that it is drawn twice as often
-	faultDraws     = 6
+	faultLossRepeated // also message loss, which is thereby drawn twice as often
+	// faultDraws is the number of values that are drawn; those without a constant are no fault.
+	faultDraws = 6
 )
 
-// disturbanceMargin is for how long after a fault its effect may last.
+// disturbanceMargin is how long the effect of a fault may outlast it.
 const disturbanceMargin = 2 * time.Second
 
 // lossyLink is the state of all links during faultLoss.
@@ -33,23 +34,24 @@
 	Jitter:    60 * time.Millisecond,
 }
 
-// disturbance is a time in which a fault hindered replicas.
+// disturbance is a period in which a fault may have delayed or disconnected replicas.
 type disturbance struct {
-	minority []string // that was partitioned; nil for another fault
+	minority []string // the partitioned servers; nil if the fault is no partition
 	from     time.Time
 	to       time.Time
 }
 
-// draw is one draw of a fault.
+// draw is a randomly drawn fault.
 type draw struct {
 	fault    fault
 	target   string
 	length   time.Duration
-	minority []string // of a random partition
+	minority []string // the two sides of a random partition
 	majority []string
 }
 
-// injectFaults kills servers and disturbs them and the network, and ends all faults.
+// injectFaults kills servers and injects other faults for the plan's duration. At the end it heals
+// the network and resumes or restarts all servers.
 func (r *experiment) injectFaults(ctx context.Context) {
 	random := rand.New(rand.NewPCG(r.Seed, 17))
 	total := timing.Seconds(r.Seconds)
@@ -75,12 +77,13 @@
 	for _, name := range r.fleet.Names {
 		_ = r.fleet.Resume(name)
 		if !r.fleet.Server(name).Alive() {
-			_ = r.fleet.Restart(ctx, name) // whether it is back shows in whether the replicas agree
+			_ = r.fleet.Restart(ctx, name) // a server that fails to restart shows up as replicas that do not agree
 		}
 	}
 }
 
-// draw draws a fault. All parts are drawn whatever it is.
+// draw draws a fault. It draws all fields for each kind of fault, so that the sequence of random
+// numbers does not depend on the kind.
 func (r *experiment) draw(random *rand.Rand) (drawn draw) {
 	names := r.fleet.Names
 	drawn.target = names[random.IntN(len(names))]
@@ -100,7 +103,7 @@
 	}
 }
 
-// kill restarts a server without its state.
+// kill kills a server and restarts it without its state.
 func (r *experiment) kill(ctx context.Context, name string) {
 	r.recordKill()
 	if r.fleet.KillAndRestart(ctx, name) == nil {
@@ -108,14 +111,15 @@
 	}
 }
 
-// recordKill records that a process was killed or crashed now.
+// recordKill records that a process was killed or crashed just now.
 func (r *experiment) recordKill() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.kills = append(r.kills, time.Now())
 }
 
-// recordDisturbance records that a fault begins, of a minority if it is a partition.
+// recordDisturbance records that a fault begins now. minority is nil unless the fault is a
+// partition.
 func (r *experiment) recordDisturbance(length time.Duration, minority []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -123,14 +127,13 @@
 	r.disturbances = append(r.disturbances, disturbance{minority: minority, from: now, to: now.Add(length)})
 }
 
-// wasDisturbed reports whether a fault hindered replicas at some time in between. The mutex is
-// held.
+// wasDisturbed reports whether a disturbance overlaps the period. The mutex is held.
 func (r *experiment) wasDisturbed(from, to time.Time) bool {
 	overlaps := func(d disturbance) bool { return d.from.Before(to) && d.to.After(from) }
 	return slices.ContainsFunc(r.disturbances, overlaps)
 }
 
-// inject injects a fault, waits, and ends it. Draws that are no fault just wait.
+// inject injects a fault, waits for its duration, and ends it. A draw without a fault only waits.
 func (r *experiment) inject(drawn draw) {
 	network := r.fleet.Net
 	length := drawn.length
@@ -146,7 +149,7 @@
 		r.recordDisturbance(length, drawn.minority)
 	case faultOneWayCut:
 		r.fleet.CutIncoming(drawn.target)
-	case faultLoss, faultLossAgain:
+	case faultLoss, faultLossRepeated:
 		r.fleet.SetAllLinks(lossyLink)
 	default:
 		r.row.Faults--
--- a/internal/bench/keyclaims/keyclaims.go
+++ b/internal/bench/keyclaims/keyclaims.go
@@ -1,6 +1,6 @@
-// Package keyclaims is an experiment on the key claims and the replication of a fleet: processes of
-// the real program get attempts of the same keys at different servers while they are killed, paused
-// and partitioned by a seed. A run log at their executors counts the runs of each key.
+// Package keyclaims tests key claims and replication with a fleet of real processes: attempts with
+// the same key are sent to different servers while faults drawn from a seed kill, pause and
+// partition the servers. A run log kept by the fake executors counts the runs of each key.
 //
 // Run owns the processes of an experiment; it may be called by one goroutine at a time.
 package keyclaims
@@ -29,38 +29,39 @@
 	Kills             int
 	Seconds           float64
 	Seed              uint64
-	KillsOnly         bool    // no other faults
-	CrashPoints       bool    // two servers crash at trace points that the seed draws, again and again
-	MeasureCost       bool    // measure what claims add to latency, before the faults
-	AttemptRate       float64 // attempts a second, over all servers
+	KillsOnly         bool    // inject no faults other than kills
+	CrashPoints       bool    // two servers repeatedly crash at trace points drawn from the seed
+	MeasureCost       bool    // before the faults, measure the latency that claims add
+	AttemptRate       float64 // attempts per second, over all servers
 	Log               io.Writer
 }
 
-// Validate returns an error that names the limits if a value is outside of them.
+// Validate returns an error with the values and their limits if one is out of range.
 func (p *Plan) Validate() error {
 	if p.Servers < 3 || p.Servers > 30 || p.ReplicationFactor < 1 || p.ReplicationFactor > 7 ||
 		p.Kills < 0 || p.Kills > 1000 || p.Seconds < 2 || p.Seconds > 600 || p.AttemptRate <= 0 || p.AttemptRate > 500 {
 		return fmt.Errorf("--servers %d --copies %d --kills %d --seconds %g --rate %g: "+
-			"from 3 to 30, 1 to 7, 0 to 1000, 2 to 600, and over 0 to 500",
+			"want servers from 3 to 30, copies from 1 to 7, kills from 0 to 1000, "+
+			"seconds from 2 to 600, rate over 0 and at most 500",
 			p.Servers, p.ReplicationFactor, p.Kills, p.Seconds, p.AttemptRate)
 	}
 	return nil
 }
 
-// AttemptCounts is what became of the attempts of an experiment.
+// AttemptCounts counts the attempts of an experiment by outcome.
 type AttemptCounts struct {
 	Attempts        int `json:"tries"`
 	Keys            int `json:"keys"`
 	Finished        int `json:"finished"`
 	Rejected        int `json:"rejected"`
 	Abandoned       int `json:"abandoned"`
-	ConnectionsLost int `json:"cut"` // with no answer
+	ConnectionsLost int `json:"cut"` // the connection could not be opened, or closed before an answer
 	Unanswered      int `json:"unanswered"`
 }
 
 // ClaimCost is the latency of requests with and without keys, in microseconds.
 type ClaimCost struct {
-	UnkeyedP50 float64 `json:"plain_p50_us"` // of requests without a key
+	UnkeyedP50 float64 `json:"plain_p50_us"` // requests without a key
 	UnkeyedP99 float64 `json:"plain_p99_us"`
 	KeyedP50   float64 `json:"keyed_p50_us"`
 	KeyedP99   float64 `json:"keyed_p99_us"`
@@ -74,24 +75,24 @@
 	CrashPointDeaths int    `json:"deaths_at_points"`
 	Faults           int    `json:"faults"` // other than kills and crashes
 	AttemptCounts
-	MaxRunsPerKey  int     `json:"runs_per_key_max"` // within the retention window
+	MaxRunsPerKey  int     `json:"runs_per_key_max"` // most runs of one key within the retention window
 	WrongAnswers   int     `json:"wrong_answers"`
 	LostResults    int     `json:"results_lost_within_promise"`
 	MinorityRuns   int     `json:"minority_ran"`
 	SlotsOutOfSync int     `json:"differences_left"`
 	HealMillis     float64 `json:"heal_ms"`
 	ClaimCost
-	GossipBytesPerSecond float64 `json:"talk_bytes_s"` // sent by a server; 0 without relays, which count it
+	GossipBytesPerSecond float64 `json:"talk_bytes_s"` // sent per server; 0 without relays, which count the bytes
 }
 
-// Columns are the heads of the table.
+// Columns are the column heads of the table.
 var Columns = []string{
 	"seed", "servers", "kills", "points", "faults", "tries", "keys", "finished", "rejected", "abandoned", "cut",
 	"unanswered", "runs max", "wrong", "lost", "minority", "differ", "heal ms", "plain p50", "p99 us", "keyed p50",
 	"p99 us", "talk B/s",
 }
 
-// Cells returns the row for the table.
+// Cells returns the row's table cells, in the order of Columns.
 func (r Row) Cells() []string {
 	cells := []string{strconv.FormatUint(r.Seed, 10)}
 	for _, count := range []int{
@@ -109,35 +110,35 @@
 	return cells
 }
 
-// Violations counts what breaks an invariant.
+// Violations returns the number of violated invariants.
 func (r Row) Violations() int {
 	return max(0, r.MaxRunsPerKey-1) + r.WrongAnswers + r.LostResults + r.MinorityRuns + r.SlotsOutOfSync + r.Unanswered
 }
 
 const (
-	// retentionWindow is how long keys are kept here: long enough for several attempts of a
-	// key, short enough to end within a run.
+	// retentionWindow is how long replicas keep keys: long enough for several attempts with a key,
+	// short enough to end within an experiment.
 	retentionWindow = 4 * time.Second
 	// callerTimeout is the timeout of an attempt.
 	callerTimeout = time.Second
-	// healTimeout is how long the fleet has to agree after the last fault, and how long a late
-	// answer is waited for.
+	// healTimeout is how long replicas may take to agree after the last fault, and how long after
+	// its timeout an attempt still waits for an answer.
 	healTimeout = 30 * time.Second
-	// partitionSettle is how long a partition lasts before the runs behind it count: what was
-	// granted before may still begin.
+	// partitionSettle is how long a partition must have lasted before runs in its minority count as
+	// violations: runs granted before the partition may still start.
 	partitionSettle = callerTimeout + 500*time.Millisecond
-	// crashPointServers is the number of draws of servers with crash points, and maxCrashPasses
-	// bounds the passes of a point.
+	// crashPointServers is how many times a server with a crash point is drawn, and maxCrashPasses
+	// is the maximum number of passes of the point until the crash.
 	crashPointServers = 2
 	maxCrashPasses    = 30
-	// crashPointDelay is how many seconds after the retention window crash points count: the first
-	// start is not tested.
-	crashPointDelay = 6
-	// costRounds and costRoundTime are of the measurement of latencies, at costRate requests a
-	// second and server.
-	costRounds    = 6
-	costRoundTime = 2 * time.Second
-	costRate      = 60
+	// crashPointDelaySeconds is how many seconds after the retention window the crash points become
+	// active. Before that the servers start for the first time, which is not tested.
+	crashPointDelaySeconds = 6
+	// costRounds is the number of rounds of the latency measurement, costRoundTime the duration of
+	// a round, and costRequestRate the requests per second and server.
+	costRounds      = 6
+	costRoundTime   = 2 * time.Second
+	costRequestRate = 60
 )
 
 // experiment is one run of a plan.
@@ -156,7 +157,7 @@
 	disturbances    []disturbance
 }
 
-// Run runs the plan.
+// Run runs the experiment and returns its result.
 func Run(ctx context.Context, plan *Plan) (Row, error) {
 	r := &experiment{
 		Plan:            plan,
@@ -170,7 +171,7 @@
 	defer r.fleet.Close()
 	isReady := func() bool { return r.fleet.ReplicasCaughtUp(r.fleet.Names...) }
 	if !faultinjection.WaitUntil(healTimeout, isReady) {
-		return r.row, fmt.Errorf("seed %d: replicas still catch up after %s", plan.Seed, healTimeout)
+		return r.row, fmt.Errorf("seed %d: not all replicas caught up within %s", plan.Seed, healTimeout)
 	}
 	if plan.MeasureCost {
 		if err := r.measureCost(ctx); err != nil {
@@ -186,7 +187,7 @@
 	return r.row, nil
 }
 
-// startFleet starts the processes, all of which are replicas.
+// startFleet starts the servers, all of which are replicas.
 func (r *experiment) startFleet(ctx context.Context) (err error) {
 	shape := faultinjection.SmallShape(r.Program)
 	shape.Log = r.Log
@@ -216,14 +217,15 @@
 	return err
 }
 
-// replicaSettings returns the lines of the operator's file about leases and replication.
+// replicaSettings returns the lease and replication settings of the operator's file.
 func (r *experiment) replicaSettings(names []string) string {
 	return faultinjection.ShortLeases +
 		fmt.Sprintf("replica-holders %s\nreplica-copies %d\nreplica-keyed %s\nreplica-window %s\n",
 			strings.Join(names, " "), r.ReplicationFactor, faultinjection.PingClass, retentionWindow)
 }
 
-// drawCrashPoints draws where servers crash: each time they have passed a trace point some times.
+// drawCrashPoints draws trace points by server name. A server crashes each time it has passed its
+// trace point a drawn number of times.
 func (r *experiment) drawCrashPoints(names []string) map[string]string {
 	if !r.CrashPoints {
 		return nil
@@ -234,13 +236,13 @@
 		point := fleet.TracePoints[random.IntN(len(fleet.TracePoints))]
 		name := names[random.IntN(len(names))]
 		passes := 1 + random.IntN(maxCrashPasses)
-		crashPoints[name] = fmt.Sprintf("%s,%d,%g", point, passes, retentionWindow.Seconds()+crashPointDelay)
+		crashPoints[name] = fmt.Sprintf("%s,%d,%g", point, passes, retentionWindow.Seconds()+crashPointDelaySeconds)
 	}
 	return crashPoints
 }
 
-// measureCost measures requests without keys and with them, in turns, at a rate that leaves the
-// servers mostly idle.
+// measureCost measures the latency of requests without and with keys in alternating rounds, at a
+// rate that leaves the servers mostly idle.
 func (r *experiment) measureCost(ctx context.Context) error {
 	var addrs []string
 	for _, server := range r.fleet.Servers {
@@ -252,7 +254,7 @@
 		load, err := loadgen.Start(ctx, loadgen.Config{
 			Addresses:      addrs,
 			ConnsPerServer: 2,
-			Rate:           costRate * float64(r.Servers),
+			Rate:           costRequestRate * float64(r.Servers),
 			Class:          faultinjection.PingClass,
 			Timeout:        callerTimeout,
 			Keyed:          isKeyed,
--- a/internal/bench/keyclaims/verify.go
+++ b/internal/bench/keyclaims/verify.go
@@ -8,7 +8,7 @@
 	"swiftcourse/internal/replicastore"
 )
 
-// verify waits until all replicas agree, and counts what breaks an invariant.
+// verify waits until all replicas agree, and counts the violated invariants.
 func (r *experiment) verify() {
 	from := time.Now()
 	healed := faultinjection.WaitUntil(healTimeout, func() bool {
@@ -25,8 +25,8 @@
 	}
 }
 
-// countMinorityRuns counts the runs in a partitioned minority that had no quorum of the key's
-// replicas.
+// countMinorityRuns counts the runs that servers in a partitioned minority started although the
+// minority had no quorum of the key's replicas.
 func (r *experiment) countMinorityRuns(partition disturbance) int {
 	settledAt := partition.from.Add(partitionSettle)
 	return r.runLog.CountRuns(func(id, key string, at time.Time) bool {
@@ -35,7 +35,7 @@
 	})
 }
 
-// replicasAmong counts the replicas of a key among some servers.
+// replicasAmong counts the replicas of a key among the named servers.
 func (r *experiment) replicasAmong(key string, names []string) (count int) {
 	slot := replicastore.KeyOf(faultinjection.PingClass, key).Slot()
 	for _, i := range r.placement.Replicas(slot) {
@@ -46,8 +46,8 @@
 	return count
 }
 
-// slotsOutOfSync counts the slots of all replicas that catch up or are known to be out of sync; 1
-// if that is unknown.
+// slotsOutOfSync counts, over all replicas, the slots that are catching up or out of sync. It
+// returns 1 if the status is unavailable or incomplete.
 func (r *experiment) slotsOutOfSync() (count int) {
 	status, err := r.fleet.Status(r.fleet.Names[0])
 	if err != nil || len(status.Replicas) < len(r.fleet.Names) {
--- a/internal/bench/rollouts/faults.go
+++ b/internal/bench/rollouts/faults.go
@@ -16,19 +16,20 @@
 	faultPause fault = iota
 	faultKill
 	faultPartition
-	faultOneWayCut // a server receives nothing
+	faultOneWayCut // a server receives nothing, but can send
 	faultLossyLinks
 	faultKindCount
 
-	// faultDraws is the range that faults are drawn from: numbers from faultKindCount on are
-	// releases.
+	// faultDraws is the number of values that are drawn. Values from faultKindCount on stand for a
+	// release instead of a fault.
 	faultDraws = 10
 )
 
 const (
-	// restartDisturbance is how long a restart may delay a server.
+	// restartDisturbance is how long a restart may delay a server's catch-up.
 	restartDisturbance = 5 * time.Second
-	// disturbanceMargin is for how long before and after a fault a server may be delayed: a lease.
+	// disturbanceMargin is how long before and after a fault a server may be delayed: the duration
+	// of a lease.
 	disturbanceMargin = 2 * time.Second
 	// waveShare is the share of the servers in the first wave of a release in waves.
 	waveShare = 0.4
@@ -42,17 +43,18 @@
 	Jitter:    80 * time.Millisecond,
 }
 
-// draw is one draw of a fault or a release.
+// draw is a randomly drawn fault or release.
 type draw struct {
 	fault  fault
-	target string // of the fault
-	author string // of the release
+	target string // server that the fault hits
+	author string // server at which the release is submitted
 	length time.Duration
-	sides  uint64 // a bit for each server: its side of a partition
+	sides  uint64 // one bit per server: its side of a partition
 }
 
-// injectFaults draws faults and releases again and again. What it draws does not depend on what the
-// servers do, so that a run with the fleet enabled and one without have the same faults.
+// injectFaults draws and injects faults and releases for the plan's duration. The draws do not
+// depend on what the servers do, so that the runs with the fleet enabled and disabled have the same
+// faults.
 func (r *experiment) injectFaults(ctx context.Context, fleetEnabled bool) {
 	end := time.Now().Add(timing.Seconds(r.Seconds))
 	for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
@@ -73,8 +75,8 @@
 	}
 }
 
-// draw draws a fault or a release. All parts are drawn whatever it is, so that runs stay
-// comparable.
+// draw draws a fault or a release. It draws all fields for each kind of fault, so that the sequence
+// of random numbers does not depend on the kind and runs stay comparable.
 func (r *experiment) draw() (drawn draw) {
 	pick := func() string { return r.serverNames[r.random.IntN(len(r.serverNames))] }
 	drawn.fault = fault(r.random.IntN(faultDraws))
@@ -85,14 +87,14 @@
 	return drawn
 }
 
-// inject starts a fault, which ends by itself.
+// inject starts a fault and schedules its end.
 func (r *experiment) inject(ctx context.Context, drawn draw) {
 	network := r.fleet.Net
 	switch drawn.fault {
 	case faultPause:
 		r.markDisturbed(drawn.length, drawn.target)
 		if r.fleet.Pause(drawn.target) == nil {
-			r.undoAfter(drawn.length, func() { _ = r.fleet.Resume(drawn.target) })
+			r.endFaultAfter(drawn.length, func() { _ = r.fleet.Resume(drawn.target) })
 		}
 		return
 	case faultKill:
@@ -113,10 +115,11 @@
 		r.markDisturbed(drawn.length, r.serverNames...)
 		r.fleet.SetAllLinks(lossyLink)
 	}
-	r.undoAfter(drawn.length, network.Heal)
+	r.endFaultAfter(drawn.length, network.Heal)
 }
 
-// kill restarts a server without its state. Whether it is back shows in what is verified.
+// kill kills a server and restarts it without its state. If the restart fails, verify counts the
+// server as not healed.
 func (r *experiment) kill(ctx context.Context, name string) {
 	r.markDisturbed(restartDisturbance, name)
 	r.mu.Lock()
@@ -125,7 +128,8 @@
 	_ = r.fleet.KillAndRestart(ctx, name)
 }
 
-// markDisturbed records that a fault may delay servers, until a lease after its end.
+// markDisturbed records that a fault that starts now may delay the named servers. The recorded
+// period extends disturbanceMargin before and after the fault.
 func (r *experiment) markDisturbed(length time.Duration, names ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,8 +140,8 @@
 	}
 }
 
-// undoAfter ends a fault after a time.
-func (r *experiment) undoAfter(length time.Duration, undo func()) {
+// endFaultAfter schedules the end of a fault.
+func (r *experiment) endFaultAfter(length time.Duration, undo func()) {
 	done := make(chan struct{})
 	time.AfterFunc(length, func() {
 		r.mu.Lock()
@@ -145,10 +149,11 @@
 		r.mu.Unlock()
 		close(done)
 	})
-	r.pendingUndo = append(r.pendingUndo, func() { <-done })
+	r.pendingFaultEnds = append(r.pendingFaultEnds, func() { <-done })
 }
 
-// release submits a release. One that fails is not counted: its server may be cut off.
+// release submits a release and counts it if it is accepted. A failure is not an error, since a
+// fault may have cut the server off.
 func (r *experiment) release(author, text string, waves []float64) {
 	epoch, err := r.fleet.Release(author, text, waves...)
 	if err != nil {
--- a/internal/bench/rollouts/rollouts.go
+++ b/internal/bench/rollouts/rollouts.go
@@ -1,6 +1,6 @@
-// Package rollouts is an experiment on a fleet's configuration rollouts: processes of the real
-// program under load, with releases and faults drawn from a seed. The fleet's audit is compared
-// with what the processes logged as they did it.
+// Package rollouts tests the configuration rollouts of a fleet of real processes under load, with
+// releases and faults drawn from a seed. It compares the fleet's audit with the log events of the
+// processes.
 //
 // Run owns the processes of an experiment; it may be called by one goroutine at a time.
 package rollouts
@@ -27,15 +27,16 @@
 	Seconds     float64
 	Seed        uint64
 	NoFaults    bool
-	RequestRate float64 // requests a second and server
+	RequestRate float64 // requests per second and server
 	Log         io.Writer
 }
 
-// Validate returns an error that names the limits if a value is outside of them.
+// Validate returns an error with the values and their limits if one is out of range.
 func (p *Plan) Validate() error {
 	if p.Servers < 1 || p.Servers > 30 || p.Seconds < 2 || p.Seconds > 600 ||
 		p.RequestRate <= 0 || p.RequestRate > 150 {
-		return fmt.Errorf("--servers %d --seconds %g --rate %g: from 1 to 30, from 2 to 600, and over 0 to 150",
+		return fmt.Errorf("--servers %d --seconds %g --rate %g: "+
+			"want servers from 1 to 30, seconds from 2 to 600, rate over 0 and at most 150",
 			p.Servers, p.Seconds, p.RequestRate)
 	}
 	return nil
@@ -44,31 +45,31 @@
 // Row is the result of an experiment.
 type Row struct {
 	report.RolloutCounts
-	AuditMismatches int `json:"audit_disagrees"` // intervals that only the audit or only the servers' logs have
-	AuditGaps       int `json:"audit_holes"`     // intervals that the audit says it may lack
+	AuditMismatches int `json:"audit_disagrees"` // intervals only in the audit or only in the logs
+	AuditGaps       int `json:"audit_holes"`     // logged intervals in gaps that the audit reports
 	Unhealed        int `json:"unhealed"`        // servers not on the newest version at the end
 	report.CatchUpLatency
-	CatchUps             int     `json:"catch_ups"`         // samples of the latency
+	CatchUps             int     `json:"catch_ups"`         // number of latency samples
 	EjectedAfterMillis   float64 `json:"shut_out_after_ms"` // of a server that can't apply a release; -1 for never
-	FinishedShare        float64 `json:"service"`           // of the requests that were due
-	FinishedShareAlone   float64 `json:"service_alone"`     // the same seed with the fleet disabled
-	GossipBytesPerSecond float64 `json:"talk_bytes_s"`      // sent by a server
-	CPU                  float64 `json:"cpu_share"`         // of a core, for a server
-	CPUAlone             float64 `json:"cpu_share_alone"`
+	FinishedShare        float64 `json:"service"`           // finished requests over scheduled requests
+	FinishedShareNoFleet float64 `json:"service_alone"`     // the same with the fleet disabled
+	GossipBytesPerSecond float64 `json:"talk_bytes_s"`      // sent per server
+	CPU                  float64 `json:"cpu_share"`         // cores used per server
+	CPUNoFleet           float64 `json:"cpu_share_alone"`
 }
 
-// Violations counts what breaks an invariant.
+// Violations returns the number of violated invariants.
 func (r Row) Violations() int {
 	return r.ConflictingDigests + r.ServedWhileEjected + r.AuditMismatches + r.Unhealed
 }
 
-// Columns are the heads of the table.
+// Columns are the column heads of the table.
 var Columns = []string{
 	"seed", "servers", "releases", "faults", "two digests", "acted out", "disagrees", "holes", "unhealed",
 	"p50 ms", "p99 ms", "max ms", "out ms", "service", "alone", "talk B/s", "cpu", "alone",
 }
 
-// Cells returns the row for the table.
+// Cells returns the row's table cells, in the order of Columns.
 func (r Row) Cells() []string {
 	return []string{
 		strconv.FormatUint(r.Seed, 10),
@@ -85,58 +86,61 @@
 		fmt.Sprintf("%.0f", r.CatchUpMax),
 		fmt.Sprintf("%.0f", r.EjectedAfterMillis),
 		fmt.Sprintf("%.4f", r.FinishedShare),
-		fmt.Sprintf("%.4f", r.FinishedShareAlone),
+		fmt.Sprintf("%.4f", r.FinishedShareNoFleet),
 		fmt.Sprintf("%.0f", r.GossipBytesPerSecond),
 		fmt.Sprintf("%.4f", r.CPU),
-		fmt.Sprintf("%.4f", r.CPUAlone),
+		fmt.Sprintf("%.4f", r.CPUNoFleet),
 	}
 }
 
 const (
-	// shortLeases are settings with which a run of seconds sees leases end.
+	// shortLeases are settings under which leases expire during an experiment of some seconds.
 	shortLeases = faultinjection.ShortLeases + "fleet-wave 500ms\n"
-	// otherPrefix is set at the last server alone: it can't apply releases of this setting.
-	otherPrefix = "door-prefix-ipv4 16"
-	// healTimeout is how long a fleet has to agree after the last fault: ten leases.
+	// conflictingPrefixSetting is a setting of the last server only. The server can't apply
+	// releases with another value, because the setting can't be changed while serving.
+	conflictingPrefixSetting = "door-prefix-ipv4 16"
+	// healTimeout is how long all servers may take to apply the newest version after the last
+	// fault: ten leases.
 	healTimeout = 20 * time.Second
-	// requestTimeout is that of the load's requests.
+	// requestTimeout is the timeout of the load's requests.
 	requestTimeout = 1500 * time.Millisecond
 )
 
-// Run runs the plan twice, with the fleet enabled and disabled.
+// Run runs the experiment twice, with the fleet enabled and disabled, and returns the combined
+// result.
 func Run(ctx context.Context, plan *Plan) (Row, error) {
 	row, err := runOnce(ctx, plan, true)
 	if err != nil {
 		return row, fmt.Errorf("seed %d: %w", plan.Seed, err)
 	}
 	alone, err := runOnce(ctx, plan, false)
-	row.FinishedShareAlone = alone.FinishedShare
-	row.CPUAlone = alone.CPU
+	row.FinishedShareNoFleet = alone.FinishedShare
+	row.CPUNoFleet = alone.CPU
 	return row, err
 }
 
-// period is a time in which a fault may have delayed a server.
+// period is a time span in which a fault may have delayed a server.
 type period struct{ from, to time.Time }
 
-// contains reports whether a time is in the period.
+// contains reports whether a time is within the period.
 func (p period) contains(at time.Time) bool { return at.After(p.from) && at.Before(p.to) }
 
-// experiment is one of a plan's two runs.
+// experiment is one of the two runs of a plan.
 type experiment struct {
 	*Plan
-	fleet       *faultinjection.Fleet
-	random      *rand.Rand
-	serverNames []string
-	row         Row
-	pendingUndo []func()       // each waits for the end of a fault
-	releasing   sync.WaitGroup // of the releases that are submitted
+	fleet            *faultinjection.Fleet
+	random           *rand.Rand
+	serverNames      []string
+	row              Row
+	pendingFaultEnds []func()       // each returns once its fault has ended
+	releasing        sync.WaitGroup // for the submissions of releases
 
 	mu        sync.Mutex
 	disturbed map[string][]period         // by server
-	released  map[release.Epoch]time.Time // when each release to all was accepted
+	released  map[release.Epoch]time.Time // when each release without waves was accepted
 }
 
-// runOnce runs the plan once.
+// runOnce runs the experiment once.
 func runOnce(ctx context.Context, plan *Plan, fleetEnabled bool) (Row, error) {
 	r := &experiment{
 		Plan:      plan,
@@ -152,7 +156,7 @@
 	if err := r.measureLoad(ctx, fleetEnabled); err != nil {
 		return r.row, err
 	}
-	for _, undo := range r.pendingUndo {
+	for _, undo := range r.pendingFaultEnds {
 		undo()
 	}
 	if !fleetEnabled {
@@ -161,7 +165,7 @@
 	return r.row, r.verify()
 }
 
-// startFleet starts the processes and waits until all have applied a first version.
+// startFleet starts the processes and waits until all have applied an initial version.
 func (r *experiment) startFleet(ctx context.Context, fleetEnabled bool) error {
 	shape := faultinjection.SmallShape(r.Program)
 	shape.Log = r.Log
@@ -170,7 +174,7 @@
 		Servers:             r.Servers,
 		Voters:              faultinjection.VoterCount(r.Servers),
 		ExtraSettings:       shortLeases,
-		ExtraSettingsByName: map[string]string{fmt.Sprint("n", r.Servers): otherPrefix},
+		ExtraSettingsByName: map[string]string{fmt.Sprint("n", r.Servers): conflictingPrefixSetting},
 		Seed:                r.Seed,
 		FleetDisabled:       !fleetEnabled,
 	})
@@ -182,12 +186,13 @@
 	isReady := func() bool { return started.AllActiveOn(1, started.Names...) }
 	if fleetEnabled && !faultinjection.WaitUntil(healTimeout, isReady) {
 		started.Close()
-		return fmt.Errorf("no first version within %s", healTimeout)
+		return fmt.Errorf("not all servers applied an initial version within %s", healTimeout)
 	}
 	return nil
 }
 
-// measureLoad injects faults under load, and measures service and cost.
+// measureLoad injects faults under load, and measures the share of finished requests, the CPU time
+// and the gossip traffic.
 func (r *experiment) measureLoad(ctx context.Context, fleetEnabled bool) error {
 	var addrs []string
 	for _, server := range r.fleet.Servers {
@@ -216,8 +221,8 @@
 	return nil
 }
 
-// processorSeconds returns the processor time of all processes. It is too low after a kill: a
-// killed process takes its own along.
+// processorSeconds returns the CPU time of all running processes. It lacks the CPU time of killed
+// processes.
 func (r *experiment) processorSeconds() (total float64) {
 	for _, server := range r.fleet.Servers {
 		if seconds, err := server.CPUSeconds(); err == nil {
--- a/internal/bench/rollouts/upgrade.go
+++ b/internal/bench/rollouts/upgrade.go
@@ -15,22 +15,23 @@
 	"swiftcourse/internal/wire/simulator"
 )
 
-// UpgradePlan is an experiment with two builds in one fleet: all servers start with the old build
-// and are replaced one by one under load, the leader is killed half-way, and one server goes back to
-// the old build at the end. All servers are replicas of claimed keys.
+// UpgradePlan is an experiment with two builds in one fleet. All servers start with the old build
+// and are upgraded one by one under load; the leader is killed half-way; at the end one server is
+// downgraded to the old build. All servers are replicas of claimed keys.
 type UpgradePlan struct {
 	OldProgram  string
 	NewProgram  string
 	Servers     int
 	Seed        uint64
-	RequestRate float64 // requests a second and server
+	RequestRate float64 // requests per second and server
 	Log         io.Writer
 }
 
-// Validate returns an error that names the limits if a value is outside of them.
+// Validate returns an error with the values and their limits if one is out of range.
 func (p *UpgradePlan) Validate() error {
 	if p.Servers < 5 || p.Servers > 15 || p.RequestRate <= 0 || p.RequestRate > 150 {
-		return fmt.Errorf("--servers %d --rate %g: from 5 to 15, and over 0 to 150", p.Servers, p.RequestRate)
+		return fmt.Errorf("--servers %d --rate %g: want servers from 5 to 15, rate over 0 and at most 150",
+			p.Servers, p.RequestRate)
 	}
 	return nil
 }
@@ -46,12 +47,12 @@
 	Rejected           int    `json:"rejected"`
 	LateAnswers        int    `json:"late_answers"`
 	Unanswered         int    `json:"unanswered"`
-	RepeatedRuns       int    `json:"repeated_runs"` // of at-most-once requests
+	RepeatedRuns       int    `json:"repeated_runs"` // at-most-once requests that ran more than once
 	Keys               int    `json:"keys"`
 	KeysFinished       int    `json:"keys_finished"`
 	MaxRunsPerKey      int    `json:"runs_per_key_max"`
-	WrongAnswers       int    `json:"wrong_answers"` // two results of one key
-	DecodeErrors       int    `json:"decode_errors"` // messages, configurations and lines that a process refused
+	WrongAnswers       int    `json:"wrong_answers"` // keys with two different results
+	DecodeErrors       int    `json:"decode_errors"` // messages, configurations and lines that a process rejected
 	Panics             int    `json:"panics"`
 	ConflictingDigests int    `json:"epochs_with_two_digests"`
 	AuditMismatches    int    `json:"audit_mismatches"`
@@ -59,20 +60,20 @@
 	Unhealed           int    `json:"unhealed"` // servers not on the newest version at the end
 }
 
-// Violations counts what breaks an invariant.
+// Violations returns the number of violated invariants.
 func (r UpgradeRow) Violations() int {
 	return r.LateAnswers + r.Unanswered + r.RepeatedRuns + max(0, r.MaxRunsPerKey-1) + r.WrongAnswers +
 		r.DecodeErrors + r.Panics + r.ConflictingDigests + r.AuditMismatches + r.Unhealed
 }
 
-// UpgradeColumns are the heads of the table.
+// UpgradeColumns are the column heads of the table.
 var UpgradeColumns = []string{
 	"seed", "servers", "replaced", "releases", "sent", "finished", "rejected", "late", "unanswered", "run twice",
 	"keys", "keys finished", "runs max", "wrong", "decode errors", "panics", "two digests", "audit differs", "gaps",
 	"unhealed",
 }
 
-// Cells returns the row for the table.
+// Cells returns the row's table cells, in the order of UpgradeColumns.
 func (r UpgradeRow) Cells() []string {
 	cells := []string{strconv.FormatUint(r.Seed, 10)}
 	for _, count := range []int{
@@ -86,24 +87,26 @@
 }
 
 const (
-	// loadClass is the class of the load: its requests must never run twice, and have no keys.
+	// loadClass is the class of the load. Its requests are at-most-once and have no keys.
 	loadClass = "pay"
-	// keyInterval is the time between two keys. Each is sent to two servers in turn.
+	// keyInterval is the time between two keys. Each key is sent to two servers, one after the
+	// other.
 	keyInterval = 40 * time.Millisecond
-	// keyRetention is how long replicas keep keys: longer than both attempts of a key take. Replicas
-	// that all start without records wait that long before they answer.
+	// keyRetention is how long replicas keep keys: longer than both attempts with a key take. If
+	// all replicas start without records, they wait that long before they answer.
 	keyRetention = 10 * time.Second
-	// keyTimeout is the timeout of an attempt.
+	// keyTimeout is the timeout of an attempt with a key.
 	keyTimeout = time.Second
-	// keyPatience is how long after its timeout an attempt's answer is waited for.
-	keyPatience = 5 * time.Second
-	// stepTimeout is how long a fleet has to settle after a step.
+	// keyAnswerGrace is how long after its timeout an attempt still waits for an answer.
+	keyAnswerGrace = 5 * time.Second
+	// stepTimeout is how long the fleet may take to settle after a step.
 	stepTimeout = 30 * time.Second
-	// servingWindow is the time within which a server that was replaced has to finish requests.
+	// servingWindow is the latest time span in which a replaced server must have finished a
+	// request.
 	servingWindow = time.Second
-	// upgradeDescriptors leaves room for a connection an attempt.
+	// upgradeDescriptors allows for one connection per attempt.
 	upgradeDescriptors = 1024
-	// keyStream is the stream of random numbers that draws the servers of keys.
+	// keyStream is the random stream from which the servers of keys are drawn.
 	keyStream = 17
 )
 
@@ -115,11 +118,11 @@
 	load   *faultinjection.Load
 	row    UpgradeRow
 
-	mu   sync.Mutex // guards the row's figures of keys
+	mu   sync.Mutex // guards the row's counts of keys
 	keys sync.WaitGroup
 }
 
-// RunUpgrade runs the plan.
+// RunUpgrade runs an UpgradePlan and returns its result.
 func RunUpgrade(ctx context.Context, plan *UpgradePlan) (UpgradeRow, error) {
 	e := &upgradeExperiment{
 		UpgradePlan: plan,
@@ -137,7 +140,7 @@
 		return err
 	}
 	defer e.fleet.Close()
-	if err := e.settle("all servers start with the old build"); err != nil {
+	if err := e.settle("start of all servers with the old build"); err != nil {
 		return err
 	}
 	loadContext, stopLoad := context.WithCancel(ctx)
@@ -190,8 +193,8 @@
 	return err
 }
 
-// replaceAll replaces the servers one by one with the new build, kills the leader half-way, and takes
-// the first server back to the old build. A release follows each step.
+// replaceAll upgrades the servers one by one, kills the leader half-way, and downgrades the first
+// server at the end. It releases a version after each step.
 func (e *upgradeExperiment) replaceAll(ctx context.Context) error {
 	for i, name := range e.fleet.Names {
 		if err := e.replace(ctx, name, e.NewProgram); err != nil {
@@ -207,50 +210,52 @@
 	return e.replace(ctx, e.fleet.Names[0], e.OldProgram)
 }
 
-// replace replaces a server, and releases a version once the fleet has settled.
+// replace restarts a server with another binary, and releases a version once the fleet has settled.
 func (e *upgradeExperiment) replace(ctx context.Context, name, program string) error {
 	if err := e.fleet.Replace(ctx, name, program); err != nil {
 		return err
 	}
 	e.row.Replacements++
-	if err := e.settle(name + " was replaced"); err != nil {
+	if err := e.settle("replacement of " + name); err != nil {
 		return err
 	}
 	isServing := func() bool { return e.load.Rate(name, servingWindow) > 0 }
 	if !faultinjection.WaitUntil(stepTimeout, isServing) {
-		return fmt.Errorf("%s finishes no request within %s after it was replaced", name, stepTimeout)
+		return fmt.Errorf("%s finished no request within %s of its replacement", name, stepTimeout)
 	}
 	return e.release(name)
 }
 
-// killLeader kills the leader and starts it again with the build that it has.
+// killLeader kills the leader and restarts it with its present build.
 func (e *upgradeExperiment) killLeader(ctx context.Context) error {
 	elected := e.fleet.Events("", faultinjection.EventLeaderElected)
 	if len(elected) == 0 {
-		return fmt.Errorf("no leader was elected")
+		return fmt.Errorf("no server has logged %s", faultinjection.EventLeaderElected)
 	}
 	leader := elected[len(elected)-1].Name
 	if err := e.fleet.KillAndRestart(ctx, leader); err != nil {
 		return err
 	}
-	if err := e.settle("leader " + leader + " was killed"); err != nil {
+	if err := e.settle("kill of leader " + leader); err != nil {
 		return err
 	}
 	return e.release(leader)
 }
 
-// settle waits until all servers act on one version and all replicas have caught up.
+// settle waits until all servers have applied a version and all replicas have caught up. The error
+// names the step after which this failed.
 func (e *upgradeExperiment) settle(step string) error {
 	isSettled := func() bool {
 		return e.fleet.AllActiveOn(1, e.fleet.Names...) && e.fleet.ReplicasCaughtUp(e.fleet.Names...)
 	}
 	if !faultinjection.WaitUntil(stepTimeout, isSettled) {
-		return fmt.Errorf("%s: not all servers are active and caught up within %s", step, stepTimeout)
+		return fmt.Errorf("after %s: not all servers applied a version and caught up within %s", step, stepTimeout)
 	}
 	return nil
 }
 
-// release releases a version and waits until all servers act on it.
+// release submits a release at a server until it is accepted, and waits until all servers have
+// applied it.
 func (e *upgradeExperiment) release(author string) error {
 	var epoch release.Epoch
 	var err error
@@ -265,12 +270,12 @@
 	e.row.Releases++
 	isActive := func() bool { return e.fleet.AllActiveOn(epoch, e.fleet.Names...) }
 	if !faultinjection.WaitUntil(stepTimeout, isActive) {
-		return fmt.Errorf("not all servers act on epoch %s within %s", epoch, stepTimeout)
+		return fmt.Errorf("not all servers applied epoch %s within %s", epoch, stepTimeout)
 	}
 	return nil
 }
 
-// sendKeys sends keys until stopped, each to two servers, one attempt after the other.
+// sendKeys sends a new key every keyInterval until stop is closed, each to two random servers.
 func (e *upgradeExperiment) sendKeys(ctx context.Context, stop <-chan struct{}) {
 	random := rand.New(rand.NewPCG(e.Seed, keyStream))
 	for n := 0; ctx.Err() == nil; n++ {
@@ -286,17 +291,17 @@
 	}
 }
 
-// sendKey sends attempts with a key to two servers. Both results, where there are two, must be that
-// of the one run.
+// sendKey sends an attempt with the key to one server and then to another. If both finish, both
+// must return the result of the key's only run.
 func (e *upgradeExperiment) sendKey(ctx context.Context, key, first, second string) {
 	results := map[string]bool{}
 	for _, name := range []string{first, second} {
 		response := e.fleet.SendRequest(ctx, faultinjection.Attempt{
-			Server:   name,
-			ID:       faultinjection.NewRequestID(),
-			Key:      key,
-			Timeout:  keyTimeout,
-			Patience: keyPatience,
+			Server:      name,
+			ID:          faultinjection.NewRequestID(),
+			Key:         key,
+			Timeout:     keyTimeout,
+			AnswerGrace: keyAnswerGrace,
 		})
 		if response.Outcome == faultinjection.Finished {
 			results[response.Result] = true
@@ -311,7 +316,7 @@
 	e.row.WrongAnswers += max(0, len(results)-1)
 }
 
-// verify counts what went wrong, and compares the audit with the logs.
+// verify counts the violated invariants, and compares the audit with the logs.
 func (e *upgradeExperiment) verify(_ context.Context) error {
 	e.row.Sent, e.row.Finished, e.row.Rejected = e.load.Counts()
 	e.row.LateAnswers = e.load.LateCount()
@@ -344,6 +349,6 @@
 	if err != nil {
 		return fmt.Errorf("status of %s: %w", lastServer, err)
 	}
-	e.row.AuditMismatches, e.row.AuditGaps = audited.compareAudit(status)
+	e.row.AuditMismatches, e.row.AuditGaps = audited.compareAuditWithLogs(status)
 	return nil
 }
--- a/internal/bench/rollouts/verify.go
+++ b/internal/bench/rollouts/verify.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// logDelay is how much later than it happened a log line may be read.
-	logDelay = 200 * time.Millisecond
-	// neverEjected is EjectedAfterMillis of a server that was not ejected.
+	// maxLogDelay is the maximum time between an event and the reading of its log line.
+	maxLogDelay = 200 * time.Millisecond
+	// neverEjected is the value of EjectedAfterMillis if the server was not ejected.
 	neverEjected = -1
 )
 
-// Values of the program's log events.
+// Values of fields in the program's log events.
 const (
 	noError          = "<nil>"
 	modeNormal       = "normal"
@@ -34,18 +34,19 @@
 		return err
 	}
 	lastServer := r.serverNames[len(r.serverNames)-1]
-	status, err := r.fleet.Status(lastServer) // the audit as another server knows it
+	status, err := r.fleet.Status(lastServer) // not from the server that waitHealed asks
 	if err != nil {
 		return fmt.Errorf("status of %s: %w", lastServer, err)
 	}
 	r.row.ConflictingDigests = len(r.fleet.ConflictingDigestEpochs())
 	r.row.ServedWhileEjected = r.countServedWhileEjected()
-	r.row.AuditMismatches, r.row.AuditGaps = r.compareAudit(status)
+	r.row.AuditMismatches, r.row.AuditGaps = r.compareAuditWithLogs(status)
 	r.measureCatchUp()
 	return r.measureEjection()
 }
 
-// waitHealed waits until all servers act on the newest version, and counts those that don't.
+// waitHealed waits until all servers have applied the newest version, and counts those that have
+// not.
 func (r *experiment) waitHealed() error {
 	var status *fleet.Status
 	var err error
@@ -73,13 +74,14 @@
 	return nil
 }
 
-// measureEjection releases what the last server can't apply, and measures how long after that it is
-// ejected.
+// measureEjection releases a setting that the last server can't apply, and measures the time from
+// the release to the server's ejection.
 func (r *experiment) measureEjection() error {
 	last := r.serverNames[len(r.serverNames)-1]
 	r.row.EjectedAfterMillis = neverEjected
 	before := len(r.fleet.Events("", faultinjection.EventCommandFinished))
-	if _, err := r.fleet.Release(r.serverNames[0], "door-prefix-ipv4 24\n"); err != nil { // the others' setting
+	// The other servers already have this value.
+	if _, err := r.fleet.Release(r.serverNames[0], "door-prefix-ipv4 24\n"); err != nil {
 		return err
 	}
 	from := time.Now()
@@ -95,19 +97,18 @@
 	return nil
 }
 
-// isAccepted reports whether a command of that kind finished without an error.
+// isAccepted reports whether the log event is of a command of that kind that was not rejected.
 func isAccepted(finished faultinjection.LogEvent, kind release.Kind) bool {
 	return finished.Fields["command"] == kind.String() && finished.Fields["rejected"] == noError
 }
 
-// incarnation is what one incarnation of a server logged.
+// incarnation is an incarnation of a server with the configurations that it logged to have applied.
 type incarnation struct {
 	id      uint64
 	applied []faultinjection.LogEvent
 }
 
-// incarnations splits the applied configurations of a server by its incarnations, identified as in
-// the audit.
+// incarnations returns the incarnations of a server in order, with their IDs as in the audit.
 func incarnations(f *faultinjection.Fleet, name string) (list []incarnation) {
 	for _, event := range f.Events(name, "") {
 		switch event.Event {
@@ -124,15 +125,15 @@
 	return list
 }
 
-// compareAudit counts where the audit differs from the logs: an interval that no log has, or one
-// that is in a log but neither in the audit nor in one of its gaps. Intervals in gaps are counted
-// apart.
-func (r *experiment) compareAudit(status *fleet.Status) (mismatches, gaps int) {
+// compareAuditWithLogs counts the differences between the audit and the logs: intervals in the
+// audit that were not logged, and logged intervals that are missing from the audit. Missing
+// intervals for which the audit reports a gap are counted as gaps instead.
+func (r *experiment) compareAuditWithLogs(status *fleet.Status) (mismatches, gaps int) {
 	for _, name := range r.serverNames {
 		list := incarnations(r.fleet, name)
 		for i, one := range list {
 			audited := auditedIntervals(status, name, one.id)
-			// What an earlier incarnation did last may be known to nobody.
+			// An earlier incarnation may have ended before it reported its last intervals.
 			mayLack := hasGap(status, name, one.id) || i < len(list)-1
 			for _, applied := range one.applied {
 				key := intervalKey(applied.Fields["epoch"], applied.Fields["digest"])
@@ -151,11 +152,11 @@
 	return mismatches, gaps
 }
 
-// intervalKey identifies an interval of an incarnation by what was active in it.
+// intervalKey identifies an interval of an incarnation by the active epoch and digest.
 func intervalKey(epoch, digest string) string { return epoch + " " + digest }
 
-// auditedIntervals returns the intervals that the audit has of an incarnation, but those before its
-// first version.
+// auditedIntervals returns the keys of the intervals that the audit has of an incarnation, without
+// the interval before its first version.
 func auditedIntervals(status *fleet.Status, name string, id uint64) map[string]bool {
 	intervals := map[string]bool{}
 	for _, account := range status.Audit.Accounts {
@@ -171,15 +172,15 @@
 	return intervals
 }
 
-// hasGap reports whether the audit says that it may lack intervals of an incarnation.
+// hasGap reports whether the audit has a gap for an incarnation.
 func hasGap(status *fleet.Status, name string, id uint64) bool {
 	return slices.ContainsFunc(status.Audit.Gaps, func(gap audit.Gap) bool {
 		return gap.Name == name && gap.Incarnation == id
 	})
 }
 
-// countServedWhileEjected counts ejections of servers that had not logged by then that they are out
-// of service.
+// countServedWhileEjected counts the ejections of servers that had not logged the out-of-service
+// mode by then.
 func (r *experiment) countServedWhileEjected() (count int) {
 	ejectedAt := map[string]time.Time{}
 	for _, finished := range r.fleet.Events("", faultinjection.EventCommandFinished) {
@@ -198,18 +199,19 @@
 	return count
 }
 
-// modeAt returns the serving mode that a server had logged by a time.
+// modeAt returns the serving mode that a server had last logged by a time, with maxLogDelay allowed
+// for.
 func (r *experiment) modeAt(name string, at time.Time) string {
 	mode := modeNormal
 	for _, changed := range r.fleet.Events(name, faultinjection.EventServingModeChanged) {
-		if changed.Time.Before(at.Add(logDelay)) {
+		if changed.Time.Before(at.Add(maxLogDelay)) {
 			mode = changed.Fields["mode"]
 		}
 	}
 	return mode
 }
 
-// measureCatchUp measures how soon the servers that no fault delayed applied each release to all.
+// measureCatchUp measures how long undisturbed servers took to apply each release without waves.
 func (r *experiment) measureCatchUp() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -229,7 +231,7 @@
 	r.row.CatchUpLatency = report.NewCatchUpLatency(samples)
 }
 
-// firstAppliedAt returns when a server first logged that it applied an epoch or a newer one.
+// firstAppliedAt returns when a server first logged that it applied the epoch or a newer one.
 func (r *experiment) firstAppliedAt(name string, epoch release.Epoch) (at time.Time, ok bool) {
 	for _, applied := range r.fleet.Events(name, faultinjection.EventConfigApplied) {
 		if active, err := release.ParseEpoch(applied.Fields["epoch"]); err == nil && active >= epoch {
