--- a/internal/bench/twolevel/demo.go
+++ b/internal/bench/twolevel/demo.go
@@ -10,25 +10,26 @@
 	"swiftcourse/internal/bench/timing"
 )
 
-// Demo shows a newcomer two forwarders, three planners and three workers at work, while one after the other of them
-// is killed.
+// Demo runs two forwarders, three planners and three workers under load, kills planners and a
+// worker one after the other, and prints the counts of each second.
 type Demo struct {
 	Program  string // path of the server's binary
 	Progress io.Writer
-	Log      io.Writer // of the processes; nil for none
+	Log      io.Writer // receives the logs of the processes; nil for none
 }
 
 const (
 	demoForwarders = 2
 	demoPlanners   = 3
 	demoWorkers    = 3
-	// demoRate is the load of each forwarder in requests a second; the workers can do three times the sum.
+	// demoRate is the load of each forwarder in requests per second. The workers' capacity is three
+	// times the load of both forwarders.
 	demoRate     = 60
 	demoSeconds  = 30
 	demoSettings = "door on\nfleet-lease 2s\n"
 )
 
-// step is something that happens in a second of the demonstration.
+// step is an action at a given second of the demonstration.
 type step struct {
 	second      int
 	description string
@@ -36,11 +37,11 @@
 }
 
 var steps = []step{
-	{4, "the planner that leads is killed", killLeader},
-	{9, "it restarts", restartPlanners},
-	{12, "all planners are killed", killAllPlanners},
-	{20, "a worker is killed with requests in flight", killWorker},
-	{24, "all of them restart", restartAll},
+	{4, "kill the leading planner", killLeader},
+	{9, "restart the killed planner", restartPlanners},
+	{12, "kill all planners", killAllPlanners},
+	{20, "kill a worker with requests in flight", killWorker},
+	{24, "restart the killed worker and all planners", restartAll},
 }
 
 func killLeader(_ context.Context, f *faultinjection.Fleet) error {
@@ -65,7 +66,7 @@
 	return restartPlanners(ctx, f)
 }
 
-// leader returns the planner that led last, or the first where none has led.
+// leader returns the planner that became leader last, or the first planner if none has.
 func leader(f *faultinjection.Fleet) string {
 	if name, ok := lastLeader(f); ok {
 		return name
@@ -73,7 +74,7 @@
 	return f.PlannerNames()[0]
 }
 
-// Run runs the demonstration, which takes some thirty seconds.
+// Run runs the demonstration, which takes demoSeconds and the start of the processes.
 func (d *Demo) Run(ctx context.Context) error {
 	fleet, err := d.startFleet(ctx)
 	if err != nil {
@@ -85,15 +86,15 @@
 	load := fleet.StartLoad(loadContext, "")
 	load.SetRate(demoRate, fleet.ForwarderNames()...)
 	fmt.Fprintf(d.Progress, "two forwarders, three planners and three workers on loopback; "+
-		"each forwarder receives %d requests a second\n", demoRate)
+		"each forwarder receives %d requests per second\n", demoRate)
 	if err := d.runSteps(ctx, fleet, load); err != nil {
 		return err
 	}
 	load.SetRate(0, fleet.Names...)
 	faultinjection.WaitUntil(answerTimeout, func() bool { return load.UnansweredCount() == 0 })
 	asked, finished, rejected := load.Counts()
-	fmt.Fprintf(d.Progress, "of %d requests %d were finished, %d rejected with Retry-After, "+
-		"%d answers came late, %d requests have none\n",
+	fmt.Fprintf(d.Progress, "%d requests: %d finished, %d rejected with Retry-After, "+
+		"%d answered after the timeout, %d unanswered\n",
 		asked, finished, rejected, load.LateCount(), load.UnansweredCount())
 	stopLoad()
 	load.Wait()
@@ -114,7 +115,7 @@
 	})
 }
 
-// runSteps runs the steps at their seconds and prints a line a second.
+// runSteps runs each step at its second and prints the counts of every second.
 func (d *Demo) runSteps(ctx context.Context, fleet *faultinjection.Fleet, load *faultinjection.Load) error {
 	askedBefore, finishedBefore, rejectedBefore := 0, 0, 0
 	remaining := steps
@@ -128,7 +129,7 @@
 		}
 		timing.Sleep(ctx, time.Second)
 		asked, finished, rejected := load.Counts()
-		fmt.Fprintf(d.Progress, "%4d s  sent %3d  finished %3d  rejected %2d  planners %d of %d, last to lead %s\n",
+		fmt.Fprintf(d.Progress, "%4d s  sent %3d  finished %3d  rejected %2d  planners %d of %d, latest leader %s\n",
 			second, asked-askedBefore, finished-finishedBefore, rejected-rejectedBefore,
 			alivePlanners(fleet), demoPlanners, leader(fleet))
 		askedBefore, finishedBefore, rejectedBefore = asked, finished, rejected
--- a/internal/bench/twolevel/faults.go
+++ b/internal/bench/twolevel/faults.go
@@ -16,7 +16,8 @@
 	plannerStarted = "load_planner_started"
 )
 
-// injectFaults lets the plan's seconds pass, with a kill after each interval in the variant with kills.
+// injectFaults waits for the plan's duration. In the variant with kills it injects a fault after
+// every KillInterval.
 func (t *trial) injectFaults(ctx context.Context) error {
 	end := time.Now().Add(timing.Seconds(t.plan.Seconds))
 	for time.Now().Before(end) && ctx.Err() == nil {
@@ -31,9 +32,9 @@
 	return nil
 }
 
-// injectFault injects one random fault: with probability 1/5 it kills and restarts all planners, with probability 1/5
-// it pauses one, and otherwise it kills and restarts one. That one is the latest leader with probability 1/2, and else
-// any planner.
+// injectFault injects one random fault. With probability 1/5 it kills and restarts all planners,
+// with probability 1/5 it pauses a random planner, and otherwise it kills and restarts one planner:
+// the latest leader with probability 1/2, else a random one.
 func (t *trial) injectFault(ctx context.Context) error {
 	planners := t.fleet.PlannerNames()
 	planner := planners[t.random.IntN(len(planners))]
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// pause stops a planner for some seconds; it goes on with the state that it had.
+// pause stops a planner for one to four seconds. It keeps its state.
 func (t *trial) pause(ctx context.Context, planner string) error {
 	if err := t.fleet.Pause(planner); err != nil {
 		return err
@@ -83,7 +84,7 @@
 	return t.fleet.Resume(planner)
 }
 
-// lastLeader returns the planner that logged last that it leads; false where none did.
+// lastLeader returns the planner that last logged that it became the leader, and false if none has.
 func lastLeader(fleet *faultinjection.Fleet) (string, bool) {
 	events := fleet.Events("", plannerStarted)
 	if len(events) == 0 {
@@ -92,7 +93,8 @@
 	return events[len(events)-1].Name, true
 }
 
-// planTerm identifies the leadership under which a plan was made.
+// planTerm identifies the planner leadership under which a plan was made. Cluster IDs increase when
+// planners form a new cluster, terms increase within a cluster.
 type planTerm struct {
 	clusterID uint64
 	term      uint64
@@ -102,8 +104,8 @@
 	return t.clusterID < other.clusterID || t.clusterID == other.clusterID && t.term < other.term
 }
 
-// countStalePlans counts how often a forwarder applied a plan of an earlier term than the one it had, by the lines
-// that it logs with each new term.
+// countStalePlans counts how often forwarders switched to a plan of an earlier term than their
+// present plan. A forwarder logs an event each time the term of its plan changes.
 func (t *trial) countStalePlans() (int, error) {
 	stale := 0
 	for _, name := range t.fleet.ForwarderNames() {
--- a/internal/bench/twolevel/measure.go
+++ b/internal/bench/twolevel/measure.go
@@ -12,7 +12,8 @@
 	bytesPerMB  = 1 << 20
 )
 
-// measureHop measures requests one at a time, at a worker and through a forwarder.
+// measureHop measures the latency that a forwarder adds: it sends sequential requests directly to a
+// worker and through a forwarder, and subtracts the percentiles.
 func (t *trial) measureHop(ctx context.Context) error {
 	direct, err := t.fleet.MeasureSequential(ctx, t.fleet.WorkerServers[0].Addr, hopRequests)
 	if err != nil {
@@ -32,7 +33,8 @@
 	return nil
 }
 
-// measureMemory measures the first forwarder's memory, without and with idle connections.
+// measureMemory measures the resident memory of the first forwarder without and with idle
+// connections.
 func (t *trial) measureMemory() error {
 	forwarder := t.fleet.Server(t.fleet.ForwarderNames()[0])
 	before, err := forwarder.ResidentBytes()
@@ -55,12 +57,12 @@
 	}
 	t.row.ForwarderIdleMB = float64(after) / bytesPerMB
 	if open := idle.Len(); open < n*9/10 {
-		return fmt.Errorf("of %d idle connections %d are open", n, open)
+		return fmt.Errorf("%d of %d idle connections are open, want at least nine tenths", open, n)
 	}
 	return nil
 }
 
-// forwarderCPUSeconds returns the CPU time that all forwarders have used; one that has ended counts as 0.
+// forwarderCPUSeconds returns the CPU time used by all running forwarders.
 func (t *trial) forwarderCPUSeconds() float64 {
 	total := 0.0
 	for _, name := range t.fleet.ForwarderNames() {
--- a/internal/bench/twolevel/mixed.go
+++ b/internal/bench/twolevel/mixed.go
@@ -11,15 +11,15 @@
 	"swiftcourse/internal/bench/timing"
 )
 
-// MixedPlan is an experiment with two builds in a fleet of two levels: forwarders of one build, planners
-// and workers of the other. The leading planner is killed half-way.
+// MixedPlan is an experiment with two builds in a fleet of two levels: forwarders run one build,
+// planners and workers the other. The leading planner is killed half-way.
 type MixedPlan struct {
 	ForwarderProgram string
-	OtherProgram     string // of planners and workers
-	Direction        string // for the row
+	OtherProgram     string // binary of planners and workers
+	Direction        string // label of the row: old-forwarders or new-forwarders
 	Seconds          float64
 	Seed             uint64
-	Log              io.Writer
+	Log              io.Writer // receives the logs of the processes; nil for none
 }
 
 // MixedRow is the result of a MixedPlan.
@@ -27,20 +27,20 @@
 	Direction     string  `json:"direction"`
 	Seed          uint64  `json:"seed"`
 	Asked         int     `json:"asked"`
-	Service       float64 `json:"service"` // share of the requests that finished
+	Service       float64 `json:"service"` // share of the requests that were finished
 	PlansApplied  int     `json:"plans_applied"`
 	DoubleEffects int     `json:"double_effects"`
 	LateAnswers   int     `json:"late_answers"`
 	Unanswered    int     `json:"unanswered"`
-	DecodeErrors  int     `json:"decode_errors"` // messages that a process refused
+	DecodeErrors  int     `json:"decode_errors"` // messages that a process rejected as malformed
 	Panics        int     `json:"panics"`
 }
 
-// MixedColumns are the heads of the table.
+// MixedColumns are the column heads of the table.
 var MixedColumns = []string{"direction", "seed", "asked", "service", "plans", "twice", "late", "unanswered",
 	"decode errors", "panics"}
 
-// Cells returns the row for the table.
+// Cells returns the row's table cells, in the order of MixedColumns.
 func (r MixedRow) Cells() []string {
 	cells := []string{r.Direction, strconv.FormatUint(r.Seed, 10), strconv.Itoa(r.Asked),
 		strconv.FormatFloat(r.Service, 'f', 4, 64)}
@@ -52,7 +52,8 @@
 	return cells
 }
 
-// Violations returns the number of invariants that the run broke.
+// Violations returns the number of violated invariants. A run without requests, finished requests
+// or plans counts as one.
 func (r MixedRow) Violations() int {
 	n := r.DoubleEffects + r.LateAnswers + r.Unanswered + r.DecodeErrors + r.Panics
 	if r.Asked == 0 || r.Service == 0 || r.PlansApplied == 0 {
@@ -65,10 +66,10 @@
 	mixedForwarders = 2
 	mixedPlanners   = 3
 	mixedWorkers    = 4
-	mixedLoad       = 0.8 // of what the workers can do
+	mixedLoad       = 0.8 // share of the workers' capacity
 )
 
-// RunMixed runs a MixedPlan.
+// RunMixed runs a MixedPlan and returns its result.
 func RunMixed(ctx context.Context, mixed *MixedPlan) (MixedRow, error) {
 	row := MixedRow{Direction: mixed.Direction, Seed: mixed.Seed}
 	plan := mixed.plan()
@@ -93,7 +94,7 @@
 		return row, err
 	}
 	t.load = fleet.StartLoad(loadContext, "")
-	t.load.Classes = []string{faultinjection.PingClass, payClass}
+	t.load.Classes = []string{faultinjection.PingClass, atMostOnceClass}
 	t.setLoad()
 	timing.Sleep(ctx, timing.Seconds(mixed.Seconds/2))
 	if leader, ok := lastLeader(fleet); ok {
@@ -110,7 +111,7 @@
 	return row, nil
 }
 
-// plan returns the plan of one run.
+// plan returns the Plan of the fleet and its load.
 func (m *MixedPlan) plan() *Plan {
 	plan := &Plan{
 		Program:       m.OtherProgram,
@@ -130,7 +131,7 @@
 	return plan
 }
 
-// checkPrograms returns an error unless each process runs the build that it should.
+// checkPrograms returns an error if a forwarder or planner does not run its configured build.
 func (m *MixedPlan) checkPrograms(fleet *faultinjection.Fleet) error {
 	for _, name := range fleet.ForwarderNames() {
 		if err := fleet.CheckFolder(name, m.ForwarderProgram); err != nil {
@@ -145,10 +146,10 @@
 	return nil
 }
 
-// addCounts sets the row from a run.
+// addCounts copies the results of a run to the row and counts its log events.
 func (r *MixedRow) addCounts(t *trial) {
 	r.Asked = t.row.Asked
-	r.Service = t.row.NoKills
+	r.Service = t.row.ServiceNoKills
 	r.DoubleEffects = t.row.DoubleEffects
 	r.LateAnswers = t.row.LateAnswers
 	r.Unanswered = t.row.Unanswered
--- a/internal/bench/twolevel/plan.go
+++ b/internal/bench/twolevel/plan.go
@@ -1,6 +1,6 @@
-// Package twolevel is an experiment on a fleet of two levels: forwarders, load planners and workers as processes of
-// the real program, under a load that is uneven over the forwarders, on workers of uneven size, while planners are
-// killed. Each seed runs it three times: with no kills, with kills, and with no planner at all.
+// Package twolevel tests a fleet of two levels with real processes: forwarders and load planners,
+// and workers behind them. The load is uneven over the forwarders, and the workers differ in size.
+// Each seed has three runs: without kills, with kills of planners, and without planners.
 package twolevel
 
 import (
@@ -13,20 +13,20 @@
 // Plan is the experiment for one seed.
 type Plan struct {
 	Program string // path of the server's binary
-	// ProgramByName is the binary of single processes, in place of Program.
+	// ProgramByName has the binaries of processes that do not run Program, by process name.
 	ProgramByName map[string]string
 	Forwarders    int
 	Planners      int
 	Workers       int
-	Seconds       float64 // of each of the three runs
+	Seconds       float64 // duration of each of the three runs
 	KillInterval  float64 // seconds between two kills of planners
-	Load          float64 // requested, as a multiple of what the workers can do
-	IdleConns     int     // at the first forwarder while its memory is measured; 0 for no measurement
+	Load          float64 // offered load, as a multiple of the workers' capacity
+	IdleConns     int     // idle connections at the first forwarder for a memory measurement; 0 for none
 	Seed          uint64
-	Log           io.Writer // of the processes; nil for none
+	Log           io.Writer // receives the logs of the processes; nil for none
 }
 
-// Validate returns an error for a number that is out of its range.
+// Validate returns an error with the values and their limits if one is out of range.
 func (p *Plan) Validate() error {
 	inRange := p.Forwarders >= 1 && p.Forwarders <= 8 &&
 		p.Planners >= 1 && p.Planners <= 7 &&
@@ -39,57 +39,60 @@
 		return nil
 	}
 	return fmt.Errorf("--forwarders %d --planners %d --workers %d --seconds %g --kill-every %g --load %g --crowd %d: "+
-		"from 1 to 8, 1 to 7, 2 to 16, 3 to 600, 1 on, up to 3, and up to 20000",
+		"want forwarders from 1 to 8, planners from 1 to 7, workers from 2 to 16, seconds from 3 to 600, "+
+		"kill-every at least 1, load over 0 and at most 3, crowd from 0 to 20000",
 		p.Forwarders, p.Planners, p.Workers, p.Seconds, p.KillInterval, p.Load, p.IdleConns)
 }
 
-// Row is the result of a seed. Service is the share of the requests that were finished.
+// Row is the result of the three runs of a seed. Service, ServiceNoKills and ServiceLocalOnly are
+// the shares of finished requests in the runs with kills, without kills and without planners.
 type Row struct {
 	Seed               uint64  `json:"seed"`
 	Asked              int     `json:"asked"`
 	Kills              int     `json:"kills"`
 	Service            float64 `json:"service"`
-	NoKills            float64 `json:"service_no_kills"`
-	LocalOnly          float64 `json:"service_local_only"`
-	StalePlans         int     `json:"stale_plans_applied"` // a forwarder went back to an earlier term, by its log
+	ServiceNoKills     float64 `json:"service_no_kills"`
+	ServiceLocalOnly   float64 `json:"service_local_only"`
+	StalePlans         int     `json:"stale_plans_applied"` // switches of a forwarder to a plan of an earlier term
 	LateAnswers        int     `json:"late_answers"`
 	DoubleEffects      int     `json:"double_effects"`
 	Unanswered         int     `json:"unanswered"`
-	HopP50             float64 `json:"hop_p50_us"` // added by a forwarder to a request, one at a time
+	HopP50             float64 `json:"hop_p50_us"` // latency that a forwarder adds to sequential requests
 	HopP99             float64 `json:"hop_p99_us"`
-	Terms              int     `json:"terms"` // in which a planner led
+	Terms              int     `json:"terms"` // number of elections of a leading planner
 	P99                float64 `json:"p99_ms"`
 	P99NoKills         float64 `json:"p99_no_kills_ms"`
 	P99LocalOnly       float64 `json:"p99_local_only_ms"`
-	ForwarderCPUMicros float64 `json:"forwarder_core_us"` // for each request, with no kills
-	ForwarderMB        float64 `json:"forwarder_mb"`      // of the first forwarder, before its load
+	ForwarderCPUMicros float64 `json:"forwarder_core_us"` // CPU time per request, without kills
+	ForwarderMB        float64 `json:"forwarder_mb"`      // resident memory of the first forwarder before the load
 	ForwarderIdleMB    float64 `json:"forwarder_crowd_mb"`
 }
 
-// Columns are the names of the columns of Row.Cells.
+// Columns are the column heads of the table.
 var Columns = []string{"seed", "asked", "kills", "service", "no kills", "local only", "stale", "late", "twice",
 	"unanswered", "hop p50 us", "hop p99 us", "terms", "p99 ms", "no kills", "local only", "core us", "MB", "crowd MB"}
 
-// Cells returns the row's cells in the table.
+// Cells returns the row's table cells, in the order of Columns.
 func (r Row) Cells() []string {
 	return strings.Fields(fmt.Sprintf(
 		"%d %d %d %.4f %.4f %.4f %d %d %d %d %.0f %.0f %d %.0f %.0f %.0f %.0f %.1f %.1f",
-		r.Seed, r.Asked, r.Kills, r.Service, r.NoKills, r.LocalOnly, r.StalePlans, r.LateAnswers, r.DoubleEffects,
-		r.Unanswered, r.HopP50, r.HopP99, r.Terms, r.P99, r.P99NoKills, r.P99LocalOnly, r.ForwarderCPUMicros,
-		r.ForwarderMB, r.ForwarderIdleMB))
+		r.Seed, r.Asked, r.Kills, r.Service, r.ServiceNoKills, r.ServiceLocalOnly, r.StalePlans, r.LateAnswers,
+		r.DoubleEffects, r.Unanswered, r.HopP50, r.HopP99, r.Terms, r.P99, r.P99NoKills, r.P99LocalOnly,
+		r.ForwarderCPUMicros, r.ForwarderMB, r.ForwarderIdleMB))
 }
 
-// minServiceRatio is the least service with kills, as a share of the service without.
+// minServiceRatio is the minimum share of finished requests with kills, relative to the share
+// without.
 const minServiceRatio = 0.95
 
-// Violations returns the number of invariants that the run broke.
+// Violations returns the number of violated invariants.
 func (r Row) Violations() int {
 	broken := []bool{
 		r.StalePlans > 0,
 		r.LateAnswers > 0,
 		r.DoubleEffects > 0,
 		r.Unanswered > 0,
-		r.Service < minServiceRatio*r.NoKills,
+		r.Service < minServiceRatio*r.ServiceNoKills,
 	}
 	n := 0
 	for _, violated := range broken {
--- a/internal/bench/twolevel/run.go
+++ b/internal/bench/twolevel/run.go
@@ -16,30 +16,30 @@
 )
 
 const (
-	// payClass is a class whose requests must never run twice.
-	payClass       = "pay"
-	requestSeconds = 0.02 // of a worker's core
-	descriptors    = 512
-	// idleConnsMemoryMB is a forwarder's memory limit where idle connections are measured.
+	// atMostOnceClass is a class of at-most-once requests.
+	atMostOnceClass = "pay"
+	requestSeconds  = 0.02 // CPU time of a request on a worker
+	maxDescriptors  = 512
+	// idleConnsMemoryMB is the memory limit of a forwarder that holds idle connections.
 	idleConnsMemoryMB = 192
 
-	planTimeout   = 20 * time.Second // until all forwarders have a load plan
-	warmup        = 3 * time.Second  // of load before it is measured
+	planTimeout   = 20 * time.Second // for all forwarders to receive a load plan
+	warmupTime    = 3 * time.Second  // load before the measurement starts
 	answerTimeout = 5 * time.Second  // for the requests in flight at the end
 
-	// faultStream is the stream of random numbers from which faults are drawn.
+	// faultStream is the random stream from which faults are drawn.
 	faultStream = 9
-	// firstForwarderShare is the share of the load that the first of several forwarders has.
+	// firstForwarderShare is the first forwarder's share of the load if there are several.
 	firstForwarderShare = 0.5
 
 	experimentSettings = "fleet-lease 2s\nfleet-behind 2s\n"
 )
 
-// workerCores returns the number of cores of the worker with the given number, counted from 1. Of four workers in
-// succession two have 4 cores, one has 2 and one has 1.
+// workerCores returns the number of cores of a worker by its number, counted from 1. Of four
+// consecutive workers two have 4 cores, one has 2 and one has 1.
 func workerCores(number int) int { return []int{4, 1, 4, 2}[number%4] }
 
-// capacity returns how many requests a second the workers can do.
+// capacity returns the joint capacity of the workers in requests per second.
 func (p *Plan) capacity() float64 {
 	total := 0.0
 	for i := range p.Workers {
@@ -48,11 +48,11 @@
 	return total
 }
 
-// workerExecutor returns the configuration of a worker's executor by the worker's name.
+// workerExecutor returns the executor configuration of the worker with the given name.
 func workerExecutor(name string) executor.Config {
 	number, err := strconv.Atoi(strings.TrimLeft(name, "n"))
 	if err != nil {
-		panic(fmt.Sprintf("worker %q has no number in its name", name))
+		panic(fmt.Sprintf("worker name %q is not n and a number", name))
 	}
 	cores := workerCores(number)
 	return executor.Config{
@@ -66,9 +66,9 @@
 func (p *Plan) startFleet(ctx context.Context) (*faultinjection.Fleet, error) {
 	shape := faultinjection.SmallShape(p.Program)
 	shape.Log = p.Log
-	shape.Settings.Classes = append(shape.Settings.Classes, simulator.Class{Name: payClass,
+	shape.Settings.Classes = append(shape.Settings.Classes, simulator.Class{Name: atMostOnceClass,
 		Idempotency: "at_most_once", TimeoutMs: 2000, SoftDeadlineMs: 1000, Value: 3, LateValue: 0.5})
-	shape.Descriptors = descriptors
+	shape.Descriptors = maxDescriptors
 	workerShape := shape
 	workerShape.ExecutorOf = workerExecutor
 	if p.IdleConns > 0 {
@@ -118,7 +118,7 @@
 		return err
 	}
 	t.load = fleet.StartLoad(loadContext, "")
-	t.load.Classes = []string{faultinjection.PingClass, payClass}
+	t.load.Classes = []string{faultinjection.PingClass, atMostOnceClass}
 	if v == noKills {
 		if err := t.measureHop(ctx); err != nil {
 			return err
@@ -128,7 +128,7 @@
 		}
 	}
 	t.setLoad()
-	timing.Sleep(ctx, warmup)
+	timing.Sleep(ctx, warmupTime)
 	if err := t.measureLoad(ctx); err != nil {
 		return err
 	}
@@ -137,7 +137,8 @@
 	return nil
 }
 
-// preparePlanners kills the planners of a run without any, or waits until all forwarders have a plan.
+// preparePlanners kills all planners in the local-only variant. In the others it waits until all
+// forwarders have a plan.
 func (t *trial) preparePlanners() error {
 	if t.variant == localOnly {
 		killPlanners(t.fleet)
@@ -145,7 +146,7 @@
 	}
 	planned := func() bool { return len(t.fleet.Events("", planChanged)) >= t.plan.Forwarders }
 	if !faultinjection.WaitUntil(planTimeout, planned) {
-		return fmt.Errorf("forwarders have no plan after %s", planTimeout)
+		return fmt.Errorf("not all forwarders received a load plan within %s", planTimeout)
 	}
 	return nil
 }
@@ -159,7 +160,7 @@
 	}
 }
 
-// forwarderShare returns the share of the load that one of n forwarders has.
+// forwarderShare returns the share of the load of the forwarder at an index, of n forwarders.
 func forwarderShare(index, n int) float64 {
 	switch {
 	case n == 1:
@@ -171,11 +172,12 @@
 	}
 }
 
-// measureLoad measures the load for the plan's seconds and adds the results to the row.
+// measureLoad injects faults for the plan's duration, waits for the requests in flight, and adds
+// the results to the row.
 func (t *trial) measureLoad(ctx context.Context) error {
 	cpuBefore := t.forwarderCPUSeconds()
 	askedBefore, finishedBefore, _ := t.load.Counts()
-	askedBefore -= t.load.UnansweredCount() // requests in flight count from here on
+	askedBefore -= t.load.UnansweredCount() // requests in flight belong to the measurement
 	if err := t.injectFaults(ctx); err != nil {
 		return err
 	}
@@ -188,18 +190,18 @@
 	t.row.Asked += asked
 	t.row.LateAnswers += t.load.LateCount()
 	t.row.Unanswered += t.load.UnansweredCount()
-	t.row.DoubleEffects += t.fleet.RunLog.CountRepeated(payClass)
+	t.row.DoubleEffects += t.fleet.RunLog.CountRepeated(atMostOnceClass)
 	service := float64(finishedNow) / float64(max(1, asked-askedBefore))
 	cpuMicros := 1e6 * cpuUsed / float64(max(1, finishedNow))
 	return t.addResults(service, t.p99Millis(), cpuMicros)
 }
 
-// addResults sets the row's columns of this variant.
+// addResults sets the fields of the row that belong to this variant.
 func (t *trial) addResults(service, p99, cpuMicros float64) error {
 	row := t.row
 	switch t.variant {
 	case noKills:
-		row.NoKills = service
+		row.ServiceNoKills = service
 		row.P99NoKills = p99
 		row.ForwarderCPUMicros = cpuMicros
 	case kills:
@@ -212,7 +214,7 @@
 		}
 		row.StalePlans = stale
 	case localOnly:
-		row.LocalOnly = service
+		row.ServiceLocalOnly = service
 		row.P99LocalOnly = p99
 	}
 	return nil
--- a/internal/bench/twolevel/twolevel_test.go
+++ b/internal/bench/twolevel/twolevel_test.go
@@ -22,7 +22,7 @@
 	}
 	for _, test := range tests {
 		if got := test.first.before(test.then); got != test.before {
-			t.Errorf("%s: %t", test.name, got)
+			t.Errorf("%s: before is %t, want %t", test.name, got, test.before)
 		}
 	}
 }
@@ -31,13 +31,13 @@
 	fields := map[string]string{"cluster_id": "7", "term": "3"}
 	term, err := parsePlanTerm(faultinjection.LogEvent{Fields: fields})
 	if err != nil || term != (planTerm{7, 3}) {
-		t.Errorf("%v %v", term, err)
+		t.Errorf("term is %v, error %v, want {7 3} and no error", term, err)
 	}
 	for _, key := range []string{"cluster_id", "term"} {
 		incomplete := map[string]string{"cluster_id": "7", "term": "3"}
 		delete(incomplete, key)
 		if _, err := parsePlanTerm(faultinjection.LogEvent{Fields: incomplete}); !errors.Is(err, strconv.ErrSyntax) {
-			t.Errorf("without %s: %v", key, err)
+			t.Errorf("without %s: error is %v, want %v", key, err, strconv.ErrSyntax)
 		}
 	}
 }
@@ -49,18 +49,18 @@
 			sum += forwarderShare(i, n)
 		}
 		if sum < 0.999 || sum > 1.001 {
-			t.Errorf("%d forwarders have %g", n, sum)
+			t.Errorf("the shares of %d forwarders add up to %g, want 1", n, sum)
 		}
 	}
 }
 
 func TestRow_Violations(t *testing.T) {
-	good := Row{Service: 0.96, NoKills: 1}
+	good := Row{Service: 0.96, ServiceNoKills: 1}
 	if n := good.Violations(); n != 0 {
-		t.Errorf("%d", n)
+		t.Errorf("%d violations of a row without any", n)
 	}
-	bad := Row{StalePlans: 1, LateAnswers: 2, DoubleEffects: 3, Unanswered: 4, Service: 0.9, NoKills: 1}
+	bad := Row{StalePlans: 1, LateAnswers: 2, DoubleEffects: 3, Unanswered: 4, Service: 0.9, ServiceNoKills: 1}
 	if n := bad.Violations(); n != 5 {
-		t.Errorf("%d", n)
+		t.Errorf("%d violations, want 5", n)
 	}
 }
