--- a/internal/bench/faultinjection/loadsender.go
+++ b/internal/bench/faultinjection/loadsender.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// dial opens a connection. Its unanswered requests are forgotten when it closes.
+// dial opens a connection. Its unanswered requests are removed when it closes.
 func (s *loadSender) dial(ctx context.Context) error {
 	dialCtx, cancel := context.WithTimeout(ctx, loadDialTimeout)
 	defer cancel()
@@ -74,7 +74,7 @@
 	onResponse := func(response rpc.Response) { s.load.handleAnswer(s.name, opened.unanswered, response) }
 	onClose := func(error) {
 		opened.closed.Store(true)
-		s.load.forget(opened.unanswered)
+		s.load.clearUnanswered(opened.unanswered)
 	}
 	conn, err := balancer.Dial(dialCtx, s.load.fleet.Server(s.name).Addr, onResponse, onClose)
 	if err != nil {
@@ -88,10 +88,10 @@
 	return nil
 }
 
-// dropConn closes the connection and forgets its unanswered requests.
+// dropConn closes the connection and removes its unanswered requests.
 func (s *loadSender) dropConn() {
 	_ = s.conn.Close()
-	s.load.forget(s.conn.unanswered)
+	s.load.clearUnanswered(s.conn.unanswered)
 	s.conn = nil
 }
 
@@ -112,9 +112,9 @@
 	if err := s.conn.SendRequest(message); err != nil {
 		return err
 	}
-	// If the connection closed before this request was added, onClose did not forget it.
+	// If the connection closed before this request was added, onClose did not remove it.
 	if s.conn.closed.Load() {
-		s.load.forget(s.conn.unanswered)
+		s.load.clearUnanswered(s.conn.unanswered)
 	}
 	s.load.mu.Lock()
 	s.load.sent[s.name]++
@@ -122,10 +122,10 @@
 	return nil
 }
 
-// forget removes the unanswered requests of a closed connection. A draining server does not read
-// requests that arrive while it closes the connection; their client has to send them to another
-// server.
-func (l *Load) forget(unanswered map[uint64]time.Time) {
+// clearUnanswered removes the unanswered requests of a closed connection. A draining server does
+// not read requests that arrive while it closes the connection; their client has to send them to
+// another server.
+func (l *Load) clearUnanswered(unanswered map[uint64]time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	clear(unanswered)
--- a/internal/bench/faultinjection/quota_test.go
+++ b/internal/bench/faultinjection/quota_test.go
@@ -37,8 +37,8 @@
 		stop()
 		load.Wait()
 		if over := load.MaxExcess(quotaRate, f.Names...); over > quotaSlack+burstTolerance {
-			t.Errorf("%.0f requests over the quota, want at most %.0f and a burst of %.0f", over, quotaSlack,
-				burstTolerance)
+			t.Errorf("%.0f requests over the quota, want at most %.0f and a burst of %.0f",
+				over, quotaSlack, burstTolerance)
 		}
 		sent, finished, rejected := load.Counts()
 		t.Logf("sent %d, finished %d, rejected %d; at most %.1f over the quota", sent, finished, rejected,
--- a/internal/bench/faultinjection/request.go
+++ b/internal/bench/faultinjection/request.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return Response{Outcome: Unreachable}
 	}
-	defer closeQuietly(conn)
+	defer closeIgnoringError(conn)
 	startedAt := time.Now()
 	message := newPing(conn.NextNumber(), startedAt)
 	message.ID = attempt.ID
@@ -118,8 +118,8 @@
 	}
 }
 
-// closeQuietly closes a connection that is no longer needed and ignores the error.
-func closeQuietly(conn *balancer.Conn) { _ = conn.Close() }
+// closeIgnoringError closes a connection that is no longer needed and ignores the error.
+func closeIgnoringError(conn *balancer.Conn) { _ = conn.Close() }
 
 // MeasureSequential sends requests to an address on one connection, each after the response to the
 // previous one, and returns their latencies in ascending order.
@@ -134,7 +134,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer closeQuietly(conn)
+	defer closeIgnoringError(conn)
 	for range count {
 		startedAt := time.Now()
 		if err := conn.SendRequest(newPing(conn.NextNumber(), startedAt)); err != nil {
--- a/internal/bench/simulation/claims.go
+++ b/internal/bench/simulation/claims.go
@@ -12,9 +12,9 @@
 
 // Settings of the key claims in a simulated rollout.
 const (
-	claimRetentionSeconds = 20.0 // seconds that replicas keep keys
-	maxClaimSeconds       = 1.0  // seconds
-	maxReplicas           = 48   // up to that many servers, from the first on, are replicas
+	claimRetentionSeconds = 20.0 // time that replicas keep keys
+	maxClaimSeconds       = 1.0
+	maxReplicas           = 48 // the first maxReplicas servers are replicas
 	replicationFactor     = 3
 	replicaZones          = 3
 	// recentKeys is the number of the latest keys from which attempts are drawn.
--- a/internal/bench/simulation/counters.go
+++ b/internal/bench/simulation/counters.go
@@ -41,8 +41,8 @@
 	Unreported uint64 `json:"tasks_untold"`
 	// Overcount is the excess of the totals over the true counts. It must be 0.
 	Overcount uint64 `json:"count_error_over"`
-	// Undercount is the number of acknowledged requests that the totals lack. It must be 0 if VotersLost
-	// is 0.
+	// Undercount is the number of requests that the totals lack although a living incarnation
+	// counted them or they were acknowledged. It must be 0 if VotersLost is 0.
 	Undercount uint64 `json:"count_error_under"`
 	// VotersLost is the number of checks without a majority of voters that are alive and recovered.
 	VotersLost int `json:"voters_lost"`
@@ -89,13 +89,12 @@
 	countIntervalSeconds = 0.5  // seconds between two reports of a serving loop to its agent
 	requestsPerSecond    = 28.0 // requests per second of a server
 	counterCells         = 20   // number of counter cells over which the requests are spread
-	// settleTimeoutSeconds is how long, in seconds, the totals may take to become complete after
-	// healing: a row is closed after ten seconds, and all voters may have to recover.
+	// settleTimeoutSeconds is how long the totals may take to become complete after healing: a row
+	// is closed after ten seconds, and all voters may have to recover.
 	settleTimeoutSeconds = 60.0
 	// counterPhaseSeconds is the duration of each measurement and of the time before it.
 	counterPhaseSeconds = 20
-	// settleCheckIntervalSeconds is the time, in seconds, between two checks whether the totals are
-	// complete.
+	// settleCheckIntervalSeconds is the time between two checks whether the totals are complete.
 	settleCheckIntervalSeconds = 0.5
 )
 
--- a/internal/bench/simulation/fleetfault.go
+++ b/internal/bench/simulation/fleetfault.go
@@ -24,17 +24,17 @@
 	restartShare = 0.1
 	// votersRestartOneIn is the mean number of draws of faultRestartVoters per restart.
 	votersRestartOneIn = 4
-	// disturbedMarginSeconds is how long, in seconds, the effect of a fault may outlast it.
+	// disturbedMarginSeconds is how long the effect of a fault may outlast it.
 	disturbedMarginSeconds = 2
-	// minFaultGapSeconds is the minimum time, in seconds, from one fault to the next, and
-	// faultGapSpreadSeconds the range of the random time that is added to it.
+	// minFaultGapSeconds is the minimum time from one fault to the next, and faultGapSpreadSeconds
+	// the range of the random time that is added to it.
 	minFaultGapSeconds    = 0.3
 	faultGapSpreadSeconds = 1.5
 	// extraApplyErrorSeconds is how much longer faultApplyError lasts than other faults, and
-	// applyErrorDisturbanceSeconds how much longer, in seconds, it may delay its node.
+	// applyErrorDisturbanceSeconds how much longer it may delay its node.
 	extraApplyErrorSeconds       = 15
 	applyErrorDisturbanceSeconds = 20
-	// restartDisturbanceSeconds is how long, in seconds, a restart may delay a node, and
+	// restartDisturbanceSeconds is how long a restart may delay a node, and
 	// votersRestartDisturbanceSeconds how long a restart of all voters may delay the fleet.
 	restartDisturbanceSeconds       = 5
 	votersRestartDisturbanceSeconds = 15
--- a/internal/bench/simulation/fleetsim.go
+++ b/internal/bench/simulation/fleetsim.go
@@ -13,15 +13,14 @@
 )
 
 const (
-	// startSpreadSeconds is the time, in seconds, over which the nodes of a fleet start.
+	// startSpreadSeconds is the time over which the nodes of a fleet start.
 	startSpreadSeconds = 2.0
-	// checkIntervalSeconds is the time, in seconds, between two checks of invariants.
+	// checkIntervalSeconds is the time between two checks of invariants.
 	checkIntervalSeconds = 0.1
-	// healTimeoutSeconds is how long, in seconds, all nodes may take to apply the newest version
-	// after the last fault: enough for several leases and a bootstrap.
+	// healTimeoutSeconds is how long all nodes may take to apply the newest version after the last
+	// fault: enough for several leases and a bootstrap.
 	healTimeoutSeconds = 60.0
-	// healCheckIntervalSeconds is the time, in seconds, between two checks whether the fleet has
-	// healed.
+	// healCheckIntervalSeconds is the time between two checks whether the fleet has healed.
 	healCheckIntervalSeconds = 0.25
 )
 
--- a/internal/bench/simulation/forwarder.go
+++ b/internal/bench/simulation/forwarder.go
@@ -7,15 +7,14 @@
 )
 
 const (
-	// maxWorkerWaitSeconds is the queueing time, in seconds, above which a worker rejects: a
-	// quarter of the request timeout.
+	// maxWorkerWaitSeconds is the queueing time above which a worker rejects: a quarter of the
+	// request timeout.
 	maxWorkerWaitSeconds = 0.25
 	// hopSeconds is the delay between a forwarder and a worker, one way.
 	hopSeconds = 0.0003
-	// rejectRetryAfterSeconds is the Retry-After, in seconds, of a worker's rejections.
+	// rejectRetryAfterSeconds is the Retry-After of a worker's rejections.
 	rejectRetryAfterSeconds = 0.2
-	// learnIntervalSeconds is the time, in seconds, between two updates of the workers' learned
-	// capacity.
+	// learnIntervalSeconds is the time between two updates of the workers' learned capacity.
 	learnIntervalSeconds = 0.5
 	// minReportSeconds is the minimum interval that a demand report covers, so that rates stay
 	// finite.
--- a/internal/bench/simulation/node.go
+++ b/internal/bench/simulation/node.go
@@ -17,9 +17,9 @@
 var leaseTerms = lease.Config{Duration: 6, CatchUpTimeout: 10, MaxUnavailable: 0.25, ForgetAfter: 600}
 
 const (
-	// simulationStartUnixSeconds is the Unix time, in seconds, at which the simulation begins.
+	// simulationStartUnixSeconds is the Unix time at which the simulation begins.
 	simulationStartUnixSeconds = 1.8e9
-	// minTickIntervalSeconds is the shortest time, in seconds, between two ticks of a node.
+	// minTickIntervalSeconds is the shortest time between two ticks of a node.
 	minTickIntervalSeconds = 0.001
 	// maxHeldMessages is the number of messages that are held for a paused node, like a socket
 	// buffer.
@@ -27,7 +27,7 @@
 	// duplicateOneIn is the mean number of messages per duplicated message.
 	duplicateOneIn = 50
 	// The delay of a message between nodes is minMessageDelaySeconds plus an exponentially
-	// distributed time with mean meanMessageDelaySeconds, in seconds.
+	// distributed time with mean meanMessageDelaySeconds.
 	minMessageDelaySeconds  = 0.0002
 	meanMessageDelaySeconds = 0.001
 )
--- a/internal/bench/simulation/quota.go
+++ b/internal/bench/simulation/quota.go
@@ -35,8 +35,8 @@
 	Seed    uint64 `json:"seed"`
 	Servers int    `json:"servers"`
 	Faults  int    `json:"faults"`
-	// MaxOverspend is the maximum excess of all servers' allowances together over the quota. It must
-	// be 0.
+	// MaxOverspend is the maximum excess of all servers' allowances together over the quota. It
+	// must be 0.
 	MaxOverspend float64 `json:"overspend_max"`
 	// UsedShare is the share used without faults, while a tenth of the servers is hot.
 	UsedShare float64 `json:"used_of_budget"`
@@ -44,31 +44,33 @@
 	// lease, and CutOffService the usage of that third relative to its usage before.
 	UsedShareCut  float64 `json:"used_of_budget_cut"`
 	CutOffService float64 `json:"silent_service"`
-	// ShiftMillis is the time until new hot servers use minUsedRatio of what the previous ones used.
+	// ShiftMillis is the time until new hot servers use minUsedRatio of what the previous ones
+	// used.
 	ShiftMillis float64 `json:"hot_share_after_ms"`
 	// UsedShareHealed is the share used after all faults have ended.
 	UsedShareHealed float64 `json:"used_of_budget_after"`
 	// EvenSplitShare is the share that would be used if the quota were divided evenly.
 	EvenSplitShare float64 `json:"divided_used"`
 	// CentralShare is the share that would be used with a request to a central counter for each
-	// request, and CentralShareCut the same during the partition, where servers that can't reach the
-	// counter reject.
+	// request, and CentralShareCut the same during the partition, where servers that can't reach
+	// the counter reject.
 	CentralShare    float64 `json:"central_used"`
 	CentralShareCut float64 `json:"central_used_cut"`
-	// GossipShare is the share that would be used if each server took its part of the demand known by
-	// gossip, and GossipOverspendCut the excess of both sides during the partition.
+	// GossipShare is the share that would be used if each server took its part of the demand known
+	// by gossip, and GossipOverspendCut the excess of both sides during the partition.
 	GossipShare        float64 `json:"gossip_used"`
 	GossipOverspendCut float64 `json:"gossip_overspend_cut"`
-	// BytesPerSecond is sent per server for quotas without faults, MaxBytesPerSecond by the server that
-	// sent most, and OtherBytesPerSecond per server for all other gossip.
+	// BytesPerSecond is sent per server for quotas without faults, MaxBytesPerSecond by the server
+	// that sent most, and OtherBytesPerSecond per server for all other gossip.
 	BytesPerSecond      float64 `json:"talk_bytes_s"`
 	MaxBytesPerSecond   float64 `json:"talk_bytes_s_leader"`
 	OtherBytesPerSecond float64 `json:"talk_bytes_s_without"`
-	// CentralMessages and LeaseMessages are the messages per second, over all servers, that a central
-	// counter and leased shares need.
+	// CentralMessages and LeaseMessages are the messages per second, over all servers, that a
+	// central counter and leased shares need.
 	CentralMessages float64 `json:"central_messages_s"`
 	LeaseMessages   float64 `json:"part_messages_s"`
-	// UnderusedSeconds is the time during faults with usage under minUsedRatio of the attainable share.
+	// UnderusedSeconds is the time during faults with usage under minUsedRatio of the attainable
+	// share.
 	UnderusedSeconds float64 `json:"seconds_under_nine_parts"`
 }
 
--- a/internal/bench/simulation/request.go
+++ b/internal/bench/simulation/request.go
@@ -307,8 +307,8 @@
 	}
 }
 
-// minBackoffSeconds is the minimum backoff, in seconds, before the first retry. The minimum grows
-// linearly with the number of attempts.
+// minBackoffSeconds is the minimum backoff before the first retry. The minimum grows linearly with
+// the number of attempts.
 const minBackoffSeconds = 0.01
 
 // finish ends the request and counts its outcome.
--- a/internal/bench/simulation/scenario.go
+++ b/internal/bench/simulation/scenario.go
@@ -21,7 +21,7 @@
 	MaxAttempts      int        `json:"tries"`     // per request
 	Delay            float64    `json:"delay"`     // mean one-way delay of a message
 	HealthDelay      float64    `json:"lag"`       // from a change of a server's health until balancers know it
-	SlowStartSeconds float64    `json:"cold_for"`  // slow start of a restarted server
+	SlowStartSeconds float64    `json:"cold_for"`  // duration of the slow start of a restarted server
 	InitialSpeed     float64    `json:"cold_from"` // share of the normal speed during the slow start
 	Classes          []Class    `json:"stages"`
 	Faults           []Fault    `json:"faults"`
@@ -168,13 +168,13 @@
 
 const (
 	// A server is overloaded if it has more than maxRunsPerCore runs per core for longer than
-	// overloadWindowSeconds seconds, which is a violation.
+	// overloadWindowSeconds, which is a violation.
 	maxRunsPerCore        = 8
 	overloadWindowSeconds = 1.0
-	// drainTimeoutSeconds is the time, in seconds, from the start of a server's drain to its kill.
+	// drainTimeoutSeconds is the time from the start of a server's drain to its kill.
 	drainTimeoutSeconds = 3.0
-	// drainGraceSeconds is how long, in seconds, a draining server may still start runs of requests
-	// that arrived before the drain.
+	// drainGraceSeconds is how long a draining server may still start runs of requests that arrived
+	// before the drain.
 	drainGraceSeconds = 1.0
 	// answerToleranceSeconds is how many seconds after its deadline an answer may come.
 	answerToleranceSeconds = 0.05
--- a/internal/bench/simulation/server.go
+++ b/internal/bench/simulation/server.go
@@ -156,7 +156,7 @@
 	})
 }
 
-// handleClientGone handles that the client no longer waits for an attempt.
+// handleClientGone informs the controller that the client no longer waits for an attempt.
 func (s *server) handleClientGone(attempt *attempt) {
 	if s.alive && s.incarnation == attempt.incarnation && !attempt.isAnswered {
 		attempt.isClientGone = true
