--- a/internal/bench/simulation/doc.go
+++ b/internal/bench/simulation/doc.go
@@ -7,6 +7,6 @@
 // and forwarders with planners.
 //
 // The simulation uses no goroutines and no real clock, and all random numbers come from the seed of
-// a run, so the same plan always gives the same result. One goroutine owns a run and all its state;
+// a run, so the same plan gives the same result. One goroutine owns a run and all its state;
 // the Run functions may be called concurrently for different runs.
 package simulation
