--- a/admission/admit.go
+++ b/admission/admit.go
@@ -1,7 +1,7 @@
 package admission
 
 const (
-	// minLateValue is the minimum LateValue of a class whose queued requests may still start if
+	// minLateValue is the minimum LateValueFraction of a class whose queued requests may still start if
 	// they are expected to end after their soft deadline. Exception to the design: late requests
 	// of a lower value would occupy cores that requests of more value need.
 	minLateValue = 0.5
@@ -40,10 +40,10 @@
 	softDeadline := class.SoftDeadline + class.SoftDeadlineStretch*arrival.ExpectedWork
 	queued.softDeadline = queued.arrivedAt + min(softDeadline, class.Timeout)
 	queued.valueUntil = queued.hardDeadline
-	if class.LateValue < minLateValue {
+	if class.LateValueFraction < minLateValue {
 		queued.valueUntil = min(queued.softDeadline, queued.hardDeadline)
 	}
-	if c.settings.ValueByWork && arrival.ExpectedWork > 0 {
+	if c.settings.ScaleValueByWork && arrival.ExpectedWork > 0 {
 		queued.value *= arrival.ExpectedWork
 	}
 	return queued
@@ -91,7 +91,7 @@
 // minRemainingBudget if at most one core is free.
 func (c *Controller) expireRequests() {
 	for _, r := range c.requests {
-		worthless := r.class.LateValue == 0 && c.now > r.softDeadline
+		worthless := r.class.LateValueFraction == 0 && c.now > r.softDeadline
 		stoppable := c.settings.Preemption != NoPreemption || r.state == stateAwaitingDownstream
 		left := r.valueUntil - c.now
 		switch {
--- a/admission/capacity.go
+++ b/admission/capacity.go
@@ -50,7 +50,7 @@
 func newConcurrencyLimiter(settings *Settings, cores float64) concurrencyLimiter {
 	return concurrencyLimiter{
 		cores:              cores,
-		sustainablePerCore: max(1, settings.Concurrency.PerCore),
+		sustainablePerCore: max(1, settings.Concurrency.RunsPerCore),
 		slowStart:          slowStart{SlowStartSettings: settings.SlowStart},
 		runLimit:           cores,
 		gauges:             Gauges{Runnable: -1},
--- a/admission/downstream.go
+++ b/admission/downstream.go
@@ -199,11 +199,11 @@
 // from the call.
 func (c *Controller) reviewAwaiting(r *request) {
 	late := c.now+c.downstream.callTime.mean/2 > r.valueUntil
-	degradedValue := r.class.DegradedValue
+	degradedValue := r.class.DegradedValueFraction
 	blocked := !r.mayCall()
 	degradedIsBetter := blocked || r.call.lostAttempts > maxLostAttempts ||
-		late && degradedValue > r.class.LateValue
-	callIsUseless := blocked || late && (c.downstream.slow(c.now) || r.class.LateValue == 0)
+		late && degradedValue > r.class.LateValueFraction
+	callIsUseless := blocked || late && (c.downstream.slow(c.now) || r.class.LateValueFraction == 0)
 	noTimeLeft := r.hardDeadline-c.now <= deadlineSafetyMarginSeconds
 	switch {
 	case degradedValue > 0 && degradedIsBetter && c.hasConcurrencyRoom():
@@ -225,7 +225,7 @@
 }
 
 // callGain returns the value that the downstream call adds to the response.
-func (r *request) callGain() float64 { return r.value * (1 - r.class.DegradedValue) }
+func (r *request) callGain() float64 { return r.value * (1 - r.class.DegradedValueFraction) }
 
 // byCallGain orders requests by the value that their call adds, highest first.
 func byCallGain(a, b *request) int {
@@ -242,7 +242,7 @@
 	for i, r := range awaiting {
 		wait := float64(i+1) * mean / c.downstream.limit
 		tooLong := wait > maxWaitFraction*(r.valueUntil-c.now-mean)
-		if r.class.DegradedValue > 0 && tooLong && c.hasConcurrencyRoom() {
+		if r.class.DegradedValueFraction > 0 && tooLong && c.hasConcurrencyRoom() {
 			c.step(r, onDegrade)
 		}
 	}
--- a/admission/downstream_test.go
+++ b/admission/downstream_test.go
@@ -95,7 +95,7 @@
 		Downstream: DownstreamSettings{Kind: SharedDependency, CallLimit: 1},
 		Classes: []Class{
 			{SoftDeadline: 2, Timeout: 4, Value: 1, CallsDownstream: true},
-			{SoftDeadline: 2, Timeout: 4, Value: 1, CallsDownstream: true, DegradedValue: 0.5},
+			{SoftDeadline: 2, Timeout: 4, Value: 1, CallsDownstream: true, DegradedValueFraction: 0.5},
 		},
 	})
 	m.recordCallTimes()
@@ -126,7 +126,7 @@
 		Downstream: DownstreamSettings{Kind: SharedDependency, CallLimit: 1},
 		Classes: []Class{
 			{SoftDeadline: 30, Timeout: 40, Value: 1, CallsDownstream: true},
-			{SoftDeadline: 20, Timeout: 40, Value: 1, CallsDownstream: true, DegradedValue: 0.5},
+			{SoftDeadline: 20, Timeout: 40, Value: 1, CallsDownstream: true, DegradedValueFraction: 0.5},
 		},
 	})
 	for _, c := range []*Controller{m.controller, m.replay} {
--- a/admission/helpers_test.go
+++ b/admission/helpers_test.go
@@ -17,8 +17,8 @@
 	settings.Memory.Limit = 1e6
 	settings.IdleTimeout = 30
 	settings.Memory.RunningFactor = 4
-	settings.Concurrency.PerCore = 4
-	settings.Concurrency.Window = 2
+	settings.Concurrency.RunsPerCore = 4
+	settings.Concurrency.AveragingWindow = 2
 	settings.DeadlineTolerance = 0.05
 	settings.DeadlinePropagation = true
 	settings.DrainGracePeriod = 1
--- a/admission/memory.go
+++ b/admission/memory.go
@@ -30,7 +30,7 @@
 	return memoryBudget{
 		limit:         settings.Memory.Limit,
 		runningFactor: max(1, settings.Memory.RunningFactor),
-		keyMemory:     settings.Memory.PerKey,
+		keyMemory:     settings.Memory.KeyEntryMemory,
 	}
 }
 
--- a/admission/model_test.go
+++ b/admission/model_test.go
@@ -189,9 +189,9 @@
 	case DispatchCall:
 		return m.dispatchCall(a, r)
 	case Degrade:
-		allowed := r.state == modelAwaitingDownstream && r.class.DegradedValue > 0
+		allowed := r.state == modelAwaitingDownstream && r.class.DegradedValueFraction > 0
 		message := fmt.Sprintf("skips the call of a request that is %s with a degraded value of %g, "+
-			"want awaiting downstream and a value over 0", r.state, r.class.DegradedValue)
+			"want awaiting downstream and a value over 0", r.state, r.class.DegradedValueFraction)
 		r.state = modelOnCore
 		return check(allowed, message)
 	case StoreKey:
@@ -307,7 +307,7 @@
 	memory := 0.0
 	for _, until := range m.keys {
 		if until >= m.now {
-			memory += m.settings.Memory.PerKey
+			memory += m.settings.Memory.KeyEntryMemory
 		}
 	}
 	for _, id := range m.ids {
@@ -331,7 +331,7 @@
 	if age := m.now - m.startedAt; age < slowStart.Duration {
 		speed = slowStart.InitialSpeed + (1-slowStart.InitialSpeed)*age/slowStart.Duration
 	}
-	return float64(m.settings.Cores) * (1 + (m.settings.Concurrency.PerCore-1)*speed)
+	return float64(m.settings.Cores) * (1 + (m.settings.Concurrency.RunsPerCore-1)*speed)
 }
 
 // checkCalls checks the mean number of calls in flight over the window. The number in flight
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -57,7 +57,7 @@
 		return false
 	}
 	// If many requests already wait for a call, a run that needs one would only wait too.
-	wouldAwaitCall := r.class.CallsDownstream && r.class.DegradedValue == 0 &&
+	wouldAwaitCall := r.class.CallsDownstream && r.class.DegradedValueFraction == 0 &&
 		c.count(stateAwaitingDownstream) >= max(minAwaitingCalls, c.downstream.limit)
 	// A request over its tenant's quota leaves a core free for requests within their quota, as
 	// its run could not be preempted for them.
@@ -114,7 +114,7 @@
 // counted for a class whose requests can be degraded.
 func (c *Controller) expectedWork(class *learnedClass) work {
 	expected := work{coreTime: class.runTime.mean}
-	if class.DegradedValue <= 0 {
+	if class.DegradedValueFraction <= 0 {
 		expected.callTime = class.meanCalls * c.downstream.callTime.mean
 	}
 	return expected
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -55,7 +55,7 @@
 		return false
 	default:
 		r.overQuota = true
-		r.value *= c.settings.OverQuotaValue
+		r.value *= c.settings.OverQuotaValueFactor
 	}
 	return true
 }
--- a/admission/quota_test.go
+++ b/admission/quota_test.go
@@ -63,7 +63,7 @@
 // are not charged.
 func TestQuota_OverQuotaRequestsLeaveCoreFree(t *testing.T) {
 	m := newLearnedModel(t, Settings{
-		Cores: 2, Backpressure: BackpressureWeight, MaxRetryAfter: 1, OverQuotaValue: 0.05, Servers: 10,
+		Cores: 2, Backpressure: BackpressureWeight, MaxRetryAfter: 1, OverQuotaValueFactor: 0.05, Servers: 10,
 		Tenants: []Tenant{{Rate: 0.01}, {Rate: 0.01}},
 	}) // the six runs of newLearnedModel use up the burst of the first tenant
 	m.arriveMany(t, "over", 8, Request{Memory: 1, RemainingBudget: 4})
--- a/admission/rules_test.go
+++ b/admission/rules_test.go
@@ -40,11 +40,11 @@
 		},
 		DrainGracePeriod:  float("gracePeriod", 0, 2),
 		DeadlineTolerance: 0.06,
-		Concurrency:       ConcurrencySettings{PerCore: float("concurrency", 2, 8), Window: 2},
+		Concurrency:       ConcurrencySettings{RunsPerCore: float("concurrency", 2, 8), AveragingWindow: 2},
 		Memory: MemorySettings{
-			Limit:         float("memory", 300, 5000),
-			RunningFactor: float("memoryFactor", 1, 16),
-			PerKey:        float("keyMemory", 1, 60),
+			Limit:          float("memory", 300, 5000),
+			RunningFactor:  float("memoryFactor", 1, 16),
+			KeyEntryMemory: float("keyMemory", 1, 60),
 		},
 		Downstream: DownstreamSettings{
 			Kind:                  Downstream(integer("downstream", 0, 2)),
@@ -52,13 +52,13 @@
 			CallWindow:            5,
 			AbandonedCallLifetime: 0.2,
 		},
-		Preemption:          Preemption(integer("preemption", 0, 2)),
-		Backpressure:        Backpressure(integer("backpressure", 0, 3)),
-		ResultCacheTTL:      float64(integer("resultCache", 0, 1)),
-		DeadlinePropagation: rapid.Bool().Draw(t, "deadlinePropagation"),
-		MaxRetryAfter:       float64(integer("retryAfter", 0, 1)),
-		OverQuotaValue:      0.1,
-		ValueByWork:         rapid.Bool().Draw(t, "valueByWork"),
+		Preemption:           Preemption(integer("preemption", 0, 2)),
+		Backpressure:         Backpressure(integer("backpressure", 0, 3)),
+		ResultCacheTTL:       float64(integer("resultCache", 0, 1)),
+		DeadlinePropagation:  rapid.Bool().Draw(t, "deadlinePropagation"),
+		MaxRetryAfter:        float64(integer("retryAfter", 0, 1)),
+		OverQuotaValueFactor: 0.1,
+		ScaleValueByWork:     rapid.Bool().Draw(t, "valueByWork"),
 	}
 	for i := range integer("tenants", 0, 2) {
 		settings.Tenants = append(settings.Tenants, Tenant{Rate: float64(10 * (i + 1))})
@@ -74,14 +74,14 @@
 func drawClass(t *rapid.T, callsDownstream bool) Class {
 	timeout := rapid.Float64Range(0.5, 6).Draw(t, "timeout")
 	return Class{
-		Idempotency:         Idempotency(rapid.IntRange(0, 2).Draw(t, "idempotency")),
-		Timeout:             timeout,
-		SoftDeadline:        rapid.Float64Range(0.2, timeout).Draw(t, "softDeadline"),
-		Value:               float64(rapid.IntRange(1, 3).Draw(t, "value")),
-		LateValue:           rapid.Float64Range(0, 1).Draw(t, "lateValue"),
-		DeduplicationWindow: rapid.Float64Range(0.5, 4).Draw(t, "window"),
-		CallsDownstream:     callsDownstream,
-		DegradedValue:       0.5 * float64(rapid.IntRange(0, 1).Draw(t, "degradedValue")),
+		Idempotency:           Idempotency(rapid.IntRange(0, 2).Draw(t, "idempotency")),
+		Timeout:               timeout,
+		SoftDeadline:          rapid.Float64Range(0.2, timeout).Draw(t, "softDeadline"),
+		Value:                 float64(rapid.IntRange(1, 3).Draw(t, "value")),
+		LateValueFraction:     rapid.Float64Range(0, 1).Draw(t, "lateValue"),
+		DeduplicationWindow:   rapid.Float64Range(0.5, 4).Draw(t, "window"),
+		CallsDownstream:       callsDownstream,
+		DegradedValueFraction: 0.5 * float64(rapid.IntRange(0, 1).Draw(t, "degradedValue")),
 	}
 }
 
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -90,16 +90,16 @@
 	Timeout float64
 	// Value is the value of a response within the soft deadline.
 	Value float64
-	// LateValue is the value of a response after the soft deadline, as a fraction of Value.
-	LateValue float64
+	// LateValueFraction is the value of a response after the soft deadline, as a fraction of Value.
+	LateValueFraction float64
 	// DeduplicationWindow is the time in seconds for which repeats of a deduplicated request are
 	// recognized.
 	DeduplicationWindow float64
 	// CallsDownstream is whether runs of this class make downstream calls.
 	CallsDownstream bool
-	// DegradedValue is the value of a response without its downstream call, as a fraction of
+	// DegradedValueFraction is the value of a response without its downstream call, as a fraction of
 	// Value; 0 if the class cannot do without the call.
-	DegradedValue float64
+	DegradedValueFraction float64
 }
 
 // Tenant holds the settings of one tenant of the service.
@@ -113,8 +113,8 @@
 type Settings struct {
 	Classes []Class
 	Tenants []Tenant
-	// OverQuotaValue is the factor on the value of requests that exceed their tenant's quota.
-	OverQuotaValue float64
+	// OverQuotaValueFactor is the factor on the value of requests that exceed their tenant's quota.
+	OverQuotaValueFactor float64
 	// Servers and Clients are the numbers of servers and of clients in the deployment.
 	Servers, Clients int
 	Cores            int
@@ -138,8 +138,8 @@
 	MaxRetryAfter float64
 	// IdleTimeout is the longest time for which an idle connection may stay open.
 	IdleTimeout float64
-	// ValueByWork is whether the value of a request is multiplied by its expected work.
-	ValueByWork bool
+	// ScaleValueByWork is whether the value of a request is multiplied by its expected work.
+	ScaleValueByWork bool
 }
 
 // SlowStartSettings describe the warm-up of a server.
@@ -152,12 +152,12 @@
 
 // ConcurrencySettings bound the requests that run concurrently.
 type ConcurrencySettings struct {
-	// PerCore is the number of running requests that each core of a warm server can sustain
-	// without failing, as a mean over Window.
-	PerCore float64
-	// Window is the averaging window of PerCore, in seconds. The decisions do not use it: they
-	// keep to PerCore at every moment.
-	Window float64
+	// RunsPerCore is the number of running requests that each core of a warm server can sustain
+	// without failing, as a mean over AveragingWindow.
+	RunsPerCore float64
+	// AveragingWindow is the averaging window of RunsPerCore, in seconds. The decisions do not use it: they
+	// keep to RunsPerCore at every moment.
+	AveragingWindow float64
 }
 
 // MemorySettings describe the memory of a server and its use.
@@ -166,8 +166,8 @@
 	Limit float64
 	// RunningFactor is the ratio of the memory of a running request to that of a queued one.
 	RunningFactor float64
-	// PerKey is the memory of one entry of the key table.
-	PerKey float64
+	// KeyEntryMemory is the memory of one entry of the key table.
+	KeyEntryMemory float64
 }
 
 // DownstreamSettings describe the dependency that the calls of requests reach.
--- a/cmd/swiftcourse-bench/levels.go
+++ b/cmd/swiftcourse-bench/levels.go
@@ -27,15 +27,15 @@
 
 func (c *levelsCommand) simulate(seed uint64) (simulation.TwoLevelRow, error) {
 	plan := &simulation.TwoLevelPlan{
-		Forwarders:    c.Forwarders,
-		Planners:      c.Planners,
-		Workers:       c.Workers,
-		Seconds:       c.Seconds,
-		FaultInterval: c.FaultInterval,
-		NoPlanners:    c.NoPlanners,
-		PartialReach:  c.PartialReach,
-		Load:          c.Load,
-		Seed:          seed,
+		Forwarders:          c.Forwarders,
+		Planners:            c.Planners,
+		Workers:             c.Workers,
+		Seconds:             c.Seconds,
+		FaultInterval:       c.FaultInterval,
+		NoPlanners:          c.NoPlanners,
+		PartialConnectivity: c.PartialReach,
+		Load:                c.Load,
+		Seed:                seed,
 	}
 	if err := plan.Validate(); err != nil {
 		return simulation.TwoLevelRow{}, err
--- a/cmd/swiftcourse-fleet/allowances.go
+++ b/cmd/swiftcourse-fleet/allowances.go
@@ -97,6 +97,6 @@
 	calls := &allowances[index]
 	calls.Capped = true
 	calls.Cap = limit.MaxInFlight
-	calls.ProbeNumber = limit.Probe
+	calls.ProbeNumber = limit.ProbeNumber
 	return allowances
 }
--- a/cmd/swiftcourse-fleet/allowances_test.go
+++ b/cmd/swiftcourse-fleet/allowances_test.go
@@ -26,7 +26,7 @@
 		Cap:         3,
 		ProbeNumber: 7,
 	}
-	breaker := fleet.CallLimit{MaxInFlight: 3, Probe: 7}
+	breaker := fleet.CallLimit{MaxInFlight: 3, ProbeNumber: 7}
 	closed := fleet.CallLimit{MaxInFlight: math.Inf(1)}
 	for _, c := range []struct {
 		name string
--- a/cmd/swiftcourse-fleet/config.go
+++ b/cmd/swiftcourse-fleet/config.go
@@ -54,10 +54,10 @@
 		JoinAddrs:  settings.JoinAddresses,
 		Build:      build(),
 		Lease: fleet.LeaseConfig{Terms: lease.Config{
-			Duration:       settings.LeaseDuration.Seconds(),
-			CatchUpTimeout: settings.CatchUpTimeout.Seconds(),
-			MaxUnavailable: float64(settings.MaxUnavailable),
-			ForgetAfter:    settings.ForgetAfter.Seconds(),
+			LeaseSeconds:           settings.LeaseDuration.Seconds(),
+			CatchUpTimeoutSeconds:  settings.CatchUpTimeout.Seconds(),
+			MaxUnavailableFraction: float64(settings.MaxUnavailable),
+			UnregisterAfterSeconds: settings.ForgetAfter.Seconds(),
 		}},
 		Rollout: release.RolloutPolicy{
 			WaveSeconds:    settings.WaveDuration.Seconds(),
--- a/cmd/swiftcourse-fleet/quota.go
+++ b/cmd/swiftcourse-fleet/quota.go
@@ -72,7 +72,7 @@
 	limit := quota.Limit{Name: name, Max: maximum}
 	if name == callsQuota {
 		limit.Concurrent = true
-		limit.LingerSeconds = maxCallSeconds(startup)
+		limit.MaxUseSeconds = maxCallSeconds(startup)
 	}
 	return limit, nil
 }
--- a/cmd/swiftcourse-fleet/replication.go
+++ b/cmd/swiftcourse-fleet/replication.go
@@ -56,11 +56,11 @@
 		return nil, fmt.Errorf("%s: %w", replicasKey, err)
 	}
 	return &fleet.ReplicationConfig{
-		Placement:   placement,
-		MaxRecords:  settings.MaxRecords,
-		MaxBytes:    settings.MaxMemoryMB << 20,
-		CatchUpRate: float64(settings.CatchUpRateKB) * bytesPerKB,
-		OnVerdict:   srv.HandleClaimVerdict,
+		Placement:             placement,
+		MaxRecords:            settings.MaxRecords,
+		MaxBytes:              settings.MaxMemoryMB << 20,
+		CatchUpBytesPerSecond: float64(settings.CatchUpRateKB) * bytesPerKB,
+		OnVerdict:             srv.HandleClaimVerdict,
 	}, nil
 }
 
--- a/cmd/swiftcourse-fleet/settings_test.go
+++ b/cmd/swiftcourse-fleet/settings_test.go
@@ -39,7 +39,7 @@
 	}
 	want := []quota.Limit{
 		{Name: "tenant/a", Max: 100},
-		{Name: "calls", Max: 400, Concurrent: true, LingerSeconds: 5},
+		{Name: "calls", Max: 400, Concurrent: true, MaxUseSeconds: 5},
 	}
 	if !slices.Equal(quotas.Limits, want) || quotas.MaxServers != 4 {
 		t.Errorf("quotas %+v, want 4 servers and limits %+v", quotas, want)
--- a/cmd/swiftcourse-fleet/trust.go
+++ b/cmd/swiftcourse-fleet/trust.go
@@ -24,9 +24,9 @@
 		return nil, &config.FieldError{Key: sharedTrustKey, Reason: "requires door to be on"}
 	}
 	return &fleet.TrustConfig{
-		Retention:  operator.ConnLimit.ReputationHalfLife.Seconds(),
-		MaxClients: operator.ConnLimit.RememberedAddresses / trustedClientsDivisor,
-		OnTrusted:  srv.AddTrustedClients,
+		RetentionSeconds: operator.ConnLimit.ReputationHalfLife.Seconds(),
+		MaxClients:       operator.ConnLimit.RememberedAddresses / trustedClientsDivisor,
+		OnTrusted:        srv.AddTrustedClients,
 	}, nil
 }
 
--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -127,6 +127,6 @@
 	}
 	stats := server.Executor.Stats()
 	fmt.Fprintf(plan.Progress, "after SIGTERM, the server drained and exited within %.2f s; "+
-		"the executor started %d runs, %d of them repeated\n", took.Seconds(), stats.Started, stats.Repeated)
+		"the executor started %d runs, %d of them repeated\n", took.Seconds(), stats.Started, stats.RepeatedRuns)
 	return rows, nil
 }
--- a/internal/bench/faultinjection/control.go
+++ b/internal/bench/faultinjection/control.go
@@ -111,12 +111,12 @@
 	shape := f.Shape
 	gossipAddr := f.nextAddr()
 	controlAddr := f.nextAddr()
-	shape.Override = func(string) (string, []string) {
+	shape.OverrideFor = func(string) (string, []string) {
 		settings, environment := f.processSettings(name)
 		settings = strings.ReplaceAll(settings, "fleet-listen "+f.gossipAddrs[name], "fleet-listen "+gossipAddr)
 		return strings.ReplaceAll(settings, f.controlAddrs[name], controlAddr), environment
 	}
-	return process.Launch(ctx, name, shape)
+	return process.StartOne(ctx, name, shape)
 }
 
 // Status returns a process's view of the fleet.
--- a/internal/bench/faultinjection/events.go
+++ b/internal/bench/faultinjection/events.go
@@ -65,7 +65,7 @@
 
 // recordLine records the event of a process's log line if isRecorded selects it.
 func (f *Fleet) recordLine(name, line string) {
-	fields := process.ParseFields(line)
+	fields := process.ParseLogFields(line)
 	event := fields["event"]
 	if !isRecorded(event) {
 		return
--- a/internal/bench/faultinjection/fleet.go
+++ b/internal/bench/faultinjection/fleet.go
@@ -107,15 +107,15 @@
 // configureShape completes the process configuration from the fleet's configuration.
 func (f *Fleet) configureShape() {
 	shape := &f.Shape
-	shape.Override = f.processSettings
-	shape.ProgramOf = f.programOf
-	f.WorkerShape.ProgramOf = f.programOf
+	shape.OverrideFor = f.processSettings
+	shape.ProgramFor = f.programOf
+	f.WorkerShape.ProgramFor = f.programOf
 	shape.OnLogLine = f.recordLine
 	shape.Settings.Tenants = f.Tenants
 	if f.CallOutcome != nil {
-		shape.UpstreamOf = f.CallOutcome
+		shape.UpstreamFor = f.CallOutcome
 		shape.Executor.CallsUpstream = func(string, string) bool { return true }
-		shape.Executor.CallTimeout = loadTimeoutSeconds
+		shape.Executor.CallTimeoutSeconds = loadTimeoutSeconds
 		deployment := &shape.Settings.Deployment
 		deployment.Downstream = "tier"
 		deployment.ClassCalls = []bool{true}
@@ -166,7 +166,7 @@
 		if strings.HasPrefix(name, plannerPrefix) {
 			shape.Args = []string{"plan"}
 		}
-		started, err := process.Launch(ctx, name, shape)
+		started, err := process.StartOne(ctx, name, shape)
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
--- a/internal/bench/faultinjection/forwarder_test.go
+++ b/internal/bench/faultinjection/forwarder_test.go
@@ -125,7 +125,7 @@
 	}
 	f.awaitServed(t, load, "forwarders serve with the resumed worker")
 	if s, err := fleet.FetchLoadPlan(f.controlAddrs[f.ForwarderNames()[0]]); err != nil ||
-		s.Current.Sequence == 0 || s.FreshFor <= 0 || s.Leader == "" {
+		s.Current.Sequence == 0 || s.FreshSeconds <= 0 || s.Leader == "" {
 		t.Errorf("load plan %+v, error %v, want a fresh plan with a sequence number and a leader", s, err)
 	}
 	startedBefore := f.WorkerServers[0].Executor.Stats().Started
@@ -152,7 +152,7 @@
 			return err == nil && condition(s)
 		}
 	}
-	f.await(t, "f1 has a plan", hasPlan("f1", func(s *fleet.LoadPlanStatus) bool { return s.FreshFor > 0 }))
+	f.await(t, "f1 has a plan", hasPlan("f1", func(s *fleet.LoadPlanStatus) bool { return s.FreshSeconds > 0 }))
 	leader := f.leaderOf(t, "f1")
 	if err := f.Pause(leader); err != nil {
 		t.Fatal(err)
@@ -162,17 +162,19 @@
 		t.Fatal(err)
 	}
 	f.await(t, "another planner leads", hasPlan("f1", func(s *fleet.LoadPlanStatus) bool {
-		return s.FreshFor > 0 && s.Current.Term > before.Current.Term
+		return s.FreshSeconds > 0 && s.Current.Term > before.Current.Term
 	}))
 	f.Net.Partition(f.PlannerNames(), []string{"f1"})
 	if err := f.Resume(leader); err != nil {
 		t.Fatal(err)
 	}
 	f.awaitServed(t, load, "forwarders serve while f1 is partitioned from the planners")
-	f.await(t, "the plan of f1 is stale", hasPlan("f1", func(s *fleet.LoadPlanStatus) bool { return s.FreshFor < -3 }))
+	f.await(t, "the plan of f1 is stale", hasPlan("f1", func(s *fleet.LoadPlanStatus) bool {
+		return s.FreshSeconds < -3
+	}))
 	f.awaitServed(t, load, "forwarders serve while the plan of f1 is stale")
 	f.Net.Heal()
-	f.await(t, "f1 has a plan again", hasPlan("f1", func(s *fleet.LoadPlanStatus) bool { return s.FreshFor > 0 }))
+	f.await(t, "f1 has a plan again", hasPlan("f1", func(s *fleet.LoadPlanStatus) bool { return s.FreshSeconds > 0 }))
 	for _, name := range f.ForwarderNames() {
 		term := 0
 		for _, s := range f.Events(name, EventLoadPlannerChanged) {
--- a/internal/bench/keyclaims/keyclaims.go
+++ b/internal/bench/keyclaims/keyclaims.go
@@ -257,7 +257,7 @@
 			Rate:           costRequestRate * float64(r.Servers),
 			Class:          faultinjection.PingClass,
 			Timeout:        callerTimeout,
-			Keyed:          isKeyed,
+			UniqueKeys:     isKeyed,
 			Seed:           r.Seed<<8 + uint64(round),
 		})
 		if err != nil {
--- a/internal/bench/loadgen/generator.go
+++ b/internal/bench/loadgen/generator.go
@@ -24,7 +24,7 @@
 	Class          string
 	Timeout        time.Duration // of each request
 	HealthChecks   bool          // send health checks, which do not reach the executor, instead of requests
-	Keyed          bool          // give each request a unique idempotency key
+	UniqueKeys     bool          // give each request a unique idempotency key
 	BodyBytes      int           // size of a request's body
 	Seed           uint64        // seed of the arrival times, and part of the request ids
 }
@@ -192,7 +192,7 @@
 		Priority:  requestPriority,
 		Body:      body,
 	}
-	if config.Keyed {
+	if config.UniqueKeys {
 		request.Subject = request.ID
 	}
 	return c.SendRequest(&request) == nil
--- a/internal/bench/process/config.go
+++ b/internal/bench/process/config.go
@@ -17,9 +17,9 @@
 // Config describes how servers are started.
 type Config struct {
 	Program string // path of the server's binary
-	// ProgramOf, unless it is nil, is called at each start of a server and returns the path of the
+	// ProgramFor, unless it is nil, is called at each start of a server and returns the path of the
 	// server's binary; if it returns "", Program is used.
-	ProgramOf         func(name string) string
+	ProgramFor        func(name string) string
 	CPU               int     // the CPU that all servers run on; negative for any
 	Cores             float64 // Cores and MemoryMB are the limits in the server's configuration
 	MemoryMB          int
@@ -31,19 +31,19 @@
 	Args              []string // command-line arguments; without any, the program serves requests
 
 	Executor executor.Config
-	// ExecutorOf, unless it is nil, returns the executor configuration of a server, which replaces
+	// ExecutorFor, unless it is nil, returns the executor configuration of a server, which replaces
 	// Executor except for OnStart and Result.
-	ExecutorOf func(name string) executor.Config
-	// Upstream responds to the servers' upstream calls. If both it and UpstreamOf are nil, there is
+	ExecutorFor func(name string) executor.Config
+	// Upstream responds to the servers' upstream calls. If both it and UpstreamFor are nil, there is
 	// no upstream service.
 	Upstream func(n int, call catalogue.Call) upstream.Response
-	// UpstreamOf, unless it is nil, replaces Upstream and also receives the name of the calling
+	// UpstreamFor, unless it is nil, replaces Upstream and also receives the name of the calling
 	// server.
-	UpstreamOf func(name string, n int, call catalogue.Call) upstream.Response
+	UpstreamFor func(name string, n int, call catalogue.Call) upstream.Response
 
-	// Override, unless it is nil, returns the content of a server's operator file, which replaces
+	// OverrideFor, unless it is nil, returns the content of a server's operator file, which replaces
 	// OperatorFile, and environment variables to add.
-	Override func(name string) (operatorFile string, env []string)
+	OverrideFor func(name string) (operatorFile string, env []string)
 	// Log receives the servers' logs, each line prefixed with the server's name; nil discards them.
 	Log io.Writer
 	// OnLogLine, unless it is nil, is called for each line of a server's log when it is written.
@@ -52,8 +52,8 @@
 
 // program returns the path of the binary for the next start of a server.
 func (c *Config) program(name string) string {
-	if c.ProgramOf != nil {
-		if path := c.ProgramOf(name); path != "" {
+	if c.ProgramFor != nil {
+		if path := c.ProgramFor(name); path != "" {
 			return path
 		}
 	}
@@ -62,10 +62,10 @@
 
 // executorConfig returns the configuration of a server's executor.
 func (c *Config) executorConfig(name string) executor.Config {
-	if c.ExecutorOf == nil {
+	if c.ExecutorFor == nil {
 		return c.Executor
 	}
-	config := c.ExecutorOf(name)
+	config := c.ExecutorFor(name)
 	config.OnStart = c.Executor.OnStart
 	config.Result = c.Executor.Result
 	return config
@@ -74,10 +74,10 @@
 // upstreamResponder returns the function that responds to a server's upstream calls, or nil if
 // there is no upstream service.
 func (c *Config) upstreamResponder(name string) func(n int, call catalogue.Call) upstream.Response {
-	if c.UpstreamOf == nil {
+	if c.UpstreamFor == nil {
 		return c.Upstream
 	}
-	return func(n int, call catalogue.Call) upstream.Response { return c.UpstreamOf(name, n, call) }
+	return func(n int, call catalogue.Call) upstream.Response { return c.UpstreamFor(name, n, call) }
 }
 
 // serverFile is the JSON configuration file that a server reads at startup.
@@ -139,9 +139,9 @@
 func (s *Server) prepareEnvironment() ([]string, error) {
 	env := append(os.Environ(), "RELAY_NAME="+s.Name, "RELAY_LISTEN="+s.Addr, "RELAY_CONFIG="+s.configPath)
 	text := s.config.OperatorFile
-	if s.config.Override != nil {
+	if s.config.OverrideFor != nil {
 		var extra []string
-		text, extra = s.config.Override(s.Name)
+		text, extra = s.config.OverrideFor(s.Name)
 		env = append(env, extra...)
 	}
 	if text == "" {
--- a/internal/bench/process/logfields.go
+++ b/internal/bench/process/logfields.go
@@ -11,8 +11,8 @@
 // LogFields are the key=value fields of a log line.
 type LogFields map[string]string
 
-// ParseFields returns the key=value fields of a log line and skips all other words.
-func ParseFields(line string) LogFields {
+// ParseLogFields returns the key=value fields of a log line and skips all other words.
+func ParseLogFields(line string) LogFields {
 	fields := LogFields{}
 	for _, word := range strings.Fields(line) {
 		if key, value, ok := strings.Cut(word, "="); ok {
--- a/internal/bench/process/logfields_test.go
+++ b/internal/bench/process/logfields_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestParseFields(t *testing.T) {
-	fields := ParseFields("time=2026 event=statistics  timers=5 turn_ms=0.25 word mode=normal empty=")
+	fields := ParseLogFields("time=2026 event=statistics  timers=5 turn_ms=0.25 word mode=normal empty=")
 	if fields["event"] != "statistics" || fields["mode"] != "normal" || len(fields) != 6 {
 		t.Errorf("got fields %v, want 6 with event=statistics and mode=normal", fields)
 	}
--- a/internal/bench/process/server.go
+++ b/internal/bench/process/server.go
@@ -74,7 +74,7 @@
 		}
 	}()
 	for i := range n {
-		s, err := Launch(ctx, fmt.Sprintf("n%d", i+1), config)
+		s, err := StartOne(ctx, fmt.Sprintf("n%d", i+1), config)
 		if err != nil {
 			return servers, err
 		}
@@ -91,8 +91,8 @@
 	return servers, nil
 }
 
-// Launch starts one server with the given name. It does not wait for the server to become healthy.
-func Launch(ctx context.Context, name string, config Config) (*Server, error) {
+// StartOne starts one server with the given name. It does not wait for the server to become healthy.
+func StartOne(ctx context.Context, name string, config Config) (*Server, error) {
 	s := &Server{Name: name, config: config, statistics: make(chan LogFields, 1)}
 	if err := s.prepare(); err != nil {
 		s.close()
@@ -220,7 +220,7 @@
 	s.mu.Unlock()
 	if strings.Contains(line, statisticsMarker) {
 		s.discardStatistics()
-		s.statistics <- ParseFields(line)
+		s.statistics <- ParseLogFields(line)
 	}
 }
 
--- a/internal/bench/simulation/claims.go
+++ b/internal/bench/simulation/claims.go
@@ -89,10 +89,10 @@
 		return nil
 	}
 	return &fleet.ReplicationConfig{
-		Placement:   s.claims.placement,
-		MaxRecords:  100_000,
-		MaxBytes:    64 << 20,
-		CatchUpRate: 4 << 20,
+		Placement:             s.claims.placement,
+		MaxRecords:            100_000,
+		MaxBytes:              64 << 20,
+		CatchUpBytesPerSecond: 4 << 20,
 		OnVerdict: func(id string, verdict serving.ClaimVerdict, result []byte) {
 			// As in a server, the serving loop handles the verdict in a later step.
 			s.after(0, func() { s.handleVerdict(id, verdict, string(result)) })
@@ -112,7 +112,7 @@
 		log.row.Attempts++
 		id := fmt.Sprintf("t%d", log.row.Attempts)
 		log.attempts[id] = &claimAttempt{key: key, sentAt: f.now, node: target, incarnation: target.agent.Incarnation()}
-		target.sendClaimEvent(fleet.ClaimEvent{ID: id, Class: "s", Key: key, Timeout: maxClaimSeconds})
+		target.sendClaimEvent(fleet.ClaimEvent{ID: id, Class: "s", Key: key, TimeoutSeconds: maxClaimSeconds})
 	}
 	f.after(f.exponential(1/f.plan.KeyRate), f.sendClaim)
 }
--- a/internal/bench/simulation/counters.go
+++ b/internal/bench/simulation/counters.go
@@ -156,7 +156,7 @@
 	if target.alive && !target.isPaused {
 		truth := c.trueCountOf(target)
 		status := target.agent.CounterStatus(target.agent.Now())
-		truth.unplaced = status.Unplaced
+		truth.unplaced = status.Unaccounted
 		if status.Acknowledged {
 			truth.acknowledged = truth.counted
 		}
@@ -254,7 +254,7 @@
 	c.checks++
 	// The tolerance of one second of all requests covers those that serving loops have not reported
 	// to their agents yet and those in undelivered messages.
-	if receivedTotal(totals.Total)+2*totals.MaxMissing+requestsPerSecond*float64(len(c.nodes)) < float64(low) {
+	if receivedTotal(totals.Total)+2*totals.EstimatedMissing+requestsPerSecond*float64(len(c.nodes)) < float64(low) {
 		c.understatedChecks++
 	}
 }
--- a/internal/bench/simulation/fleetsim.go
+++ b/internal/bench/simulation/fleetsim.go
@@ -142,7 +142,7 @@
 				unavailable++
 			}
 		}
-		if unavailable > int(leaseTerms.MaxUnavailable*float64(len(f.nodes))) {
+		if unavailable > int(leaseTerms.MaxUnavailableFraction*float64(len(f.nodes))) {
 			f.row.TooManyUnavailable++
 		}
 	}
--- a/internal/bench/simulation/forwarder.go
+++ b/internal/bench/simulation/forwarder.go
@@ -184,11 +184,11 @@
 		return
 	}
 	retry := routing.RetryCandidate{
-		LastOutcome:    outcome,
-		Attempts:       len(request.triedWorkers),
-		IsIdempotent:   request.isIdempotent,
-		Remaining:      request.arrivedAt + requestTimeoutSeconds - l.now,
-		TypicalLatency: workerRunSeconds,
+		LastOutcome:           outcome,
+		Attempts:              len(request.triedWorkers),
+		IsIdempotent:          request.isIdempotent,
+		RemainingSeconds:      request.arrivedAt + requestTimeoutSeconds - l.now,
+		TypicalLatencySeconds: workerRunSeconds,
 	}
 	if router.AllowRetry(retry) {
 		l.startAttempt(request)
--- a/internal/bench/simulation/node.go
+++ b/internal/bench/simulation/node.go
@@ -14,7 +14,12 @@
 )
 
 // leaseTerms are the lease settings of simulated fleets: the defaults of the operator's file.
-var leaseTerms = lease.Config{Duration: 6, CatchUpTimeout: 10, MaxUnavailable: 0.25, ForgetAfter: 600}
+var leaseTerms = lease.Config{
+	LeaseSeconds:           6,
+	CatchUpTimeoutSeconds:  10,
+	MaxUnavailableFraction: 0.25,
+	UnregisterAfterSeconds: 600,
+}
 
 const (
 	// simulationStartUnixSeconds is the Unix time at which the simulation begins.
--- a/internal/bench/simulation/quota.go
+++ b/internal/bench/simulation/quota.go
@@ -182,7 +182,7 @@
 // configureQuota makes each node share the quota and store the allowances that its agent receives.
 func (s *quotaSim) configureQuota() {
 	settings := quota.Config{
-		LeaseSeconds:  leaseTerms.Duration,
+		LeaseSeconds:  leaseTerms.LeaseSeconds,
 		FloorFraction: quotaFloorFraction,
 		MaxServers:    s.plan.Servers,
 		Limits:        []quota.Limit{{Name: quotaName, Max: s.limit}},
@@ -344,7 +344,7 @@
 			majorityDemand += one.demand
 		}
 	}
-	s.run(s.now + 2*leaseTerms.Duration)
+	s.run(s.now + 2*leaseTerms.LeaseSeconds)
 	s.row.UsedShareCut = s.meanUsedShare(quotaPhaseSeconds, allNodes)
 	used, _ := s.usedShare(isCutOff)
 	s.row.CutOffService = used / max(usedBefore, shareEpsilon)
--- a/internal/bench/simulation/scenario.go
+++ b/internal/bench/simulation/scenario.go
@@ -190,12 +190,15 @@
 // if the server is restarted.
 func (s *Scenario) admissionSettings(isRestart bool) admission.Settings {
 	settings := admission.Settings{
-		Servers:             s.Servers,
-		Clients:             1,
-		Cores:               s.Cores,
-		DrainGracePeriod:    drainGraceSeconds,
-		DeadlineTolerance:   answerToleranceSeconds,
-		Concurrency:         admission.ConcurrencySettings{PerCore: maxRunsPerCore, Window: overloadWindowSeconds},
+		Servers:           s.Servers,
+		Clients:           1,
+		Cores:             s.Cores,
+		DrainGracePeriod:  drainGraceSeconds,
+		DeadlineTolerance: answerToleranceSeconds,
+		Concurrency: admission.ConcurrencySettings{
+			RunsPerCore:     maxRunsPerCore,
+			AveragingWindow: overloadWindowSeconds,
+		},
 		Memory:              admission.MemorySettings{Limit: serverMemoryKB, RunningFactor: 1},
 		DeadlinePropagation: true,
 		MaxRetryAfter:       1,
@@ -212,11 +215,11 @@
 	}
 	for _, class := range s.Classes {
 		settings.Classes = append(settings.Classes, admission.Class{
-			SoftDeadline:    class.SoftDeadline,
-			Timeout:         class.Timeout,
-			Value:           class.Value,
-			LateValue:       lateValue,
-			CallsDownstream: class.CallsDownstream,
+			SoftDeadline:      class.SoftDeadline,
+			Timeout:           class.Timeout,
+			Value:             class.Value,
+			LateValueFraction: lateValue,
+			CallsDownstream:   class.CallsDownstream,
 		})
 	}
 	return settings
--- a/internal/bench/simulation/twolevel.go
+++ b/internal/bench/simulation/twolevel.go
@@ -15,15 +15,15 @@
 // requests that would wait too long. The load is uneven over the forwarders, and the workers differ
 // in size.
 type TwoLevelPlan struct {
-	Forwarders    int
-	Planners      int
-	Workers       int
-	Seconds       float64
-	Load          float64 // offered load relative to the workers' capacity
-	FaultInterval float64 // seconds between two faults among planners; 0 for none
-	NoPlanners    bool    // no planner starts
-	PartialReach  bool    // a third of the forwarders is connected to half of the workers only
-	Seed          uint64
+	Forwarders          int
+	Planners            int
+	Workers             int
+	Seconds             float64
+	Load                float64 // offered load relative to the workers' capacity
+	FaultInterval       float64 // seconds between two faults among planners; 0 for none
+	NoPlanners          bool    // no planner starts
+	PartialConnectivity bool    // a third of the forwarders is connected to half of the workers only
+	Seed                uint64
 }
 
 // Validate returns an error with the values and their limits if one is out of range.
@@ -189,7 +189,7 @@
 		rate:   rate,
 		router: routing.New(l.plan.Seed ^ uint64(number)),
 	}
-	reachesHalf := l.plan.PartialReach && number%3 == 0
+	reachesHalf := l.plan.PartialConnectivity && number%3 == 0
 	for i, worker := range l.workers {
 		forwarder.router.AddWorker(0, worker.name)
 		if !reachesHalf || i%2 == 0 {
@@ -242,7 +242,7 @@
 		}
 	}
 	for _, forwarder := range l.forwarders {
-		l.row.StalePlansRejected += forwarder.agent.LoadPlanStatus(forwarder.agent.Now()).Stale
+		l.row.StalePlansRejected += forwarder.agent.LoadPlanStatus(forwarder.agent.Now()).RejectedAssignments
 	}
 	requests := float64(max(1, l.row.Requests))
 	l.row.Unanswered = l.row.Requests - l.settledCount
--- a/internal/bench/twolevel/run.go
+++ b/internal/bench/twolevel/run.go
@@ -70,7 +70,7 @@
 		Idempotency: "at_most_once", TimeoutMs: 2000, SoftDeadlineMs: 1000, Value: 3, LateValue: 0.5})
 	shape.Descriptors = maxDescriptors
 	workerShape := shape
-	workerShape.ExecutorOf = workerExecutor
+	workerShape.ExecutorFor = workerExecutor
 	if p.IdleConns > 0 {
 		shape.Descriptors += 2 * p.IdleConns
 		shape.MemoryMB = idleConnsMemoryMB
--- a/internal/cli/fleetcmd/counters.go
+++ b/internal/cli/fleetcmd/counters.go
@@ -31,7 +31,7 @@
 func printCounters(out io.Writer, status *fleet.CounterStatus) error {
 	output := &report{out: out}
 	if status.Totals == nil {
-		printCells(output, status.Unreported, nil)
+		printCells(output, status.CurrentRow, nil)
 		output.linef("counted by this server since its start")
 		output.linef("the counters of all servers are known to %s", strings.Join(status.Aggregators, ", "))
 		return output.err
@@ -81,7 +81,7 @@
 // printMissing prints what may be missing from the totals.
 func printMissing(output *report, totals *counter.Summary) {
 	output.linef("%d incarnations report; about %.0f requests may have come since their last reports",
-		totals.OpenRows, totals.MaxMissing)
+		totals.OpenRows, totals.EstimatedMissing)
 	for _, late := range totals.LateReports {
 		output.linef("%s has not reported for %.0f s; it received %.1f requests a second",
 			late.Server, late.SilentSeconds, late.RequestsPerSecond)
--- a/internal/cli/fleetcmd/loadplans.go
+++ b/internal/cli/fleetcmd/loadplans.go
@@ -54,7 +54,7 @@
 	output := &report{out: out}
 	if status.Current != (loadplan.Version{}) {
 		output.linef("%s follows plan %s, fresh for %.1f s; %d assignments were stale",
-			status.Name, formatVersion(status.Current), status.FreshFor, status.Stale)
+			status.Name, formatVersion(status.Current), status.FreshSeconds, status.RejectedAssignments)
 	}
 	output.linef("the planners' leader is %s", status.Leader)
 	return output.err
--- a/internal/cli/fleetcmd/print_test.go
+++ b/internal/cli/fleetcmd/print_test.go
@@ -42,9 +42,9 @@
 		ReleaseLog:  &release.Log{},
 		Audit:       audit.Report{NewestEpoch: epoch},
 		Servers: []lease.ServerStatus{
-			{Name: "n1", Incarnation: 0x1f, SecondsSinceHeard: 0.5, Build: "b", Reported: true},
-			{Name: "n2", Incarnation: 0x2f, EjectionReason: "by hand", SecondsBehind: 9},
-			{Name: "n3", Incarnation: 0x3f, SecondsBehind: 3, BlockedBy: "its limits"},
+			{Name: "n1", Incarnation: 0x1f, SecondsSinceRequest: 0.5, Build: "b", Reported: true},
+			{Name: "n2", Incarnation: 0x2f, EjectionReason: "by hand", LaggingSeconds: 9},
+			{Name: "n3", Incarnation: 0x3f, LaggingSeconds: 3, BlockedBy: "its limits"},
 			{Name: "n4", Incarnation: 0x4f},
 		},
 	}
@@ -185,7 +185,7 @@
 }
 
 func TestPrintCounters_SingleServer(t *testing.T) {
-	status := &fleet.CounterStatus{Unreported: testCells, Aggregators: []string{"n1", "n2"}}
+	status := &fleet.CounterStatus{CurrentRow: testCells, Aggregators: []string{"n1", "n2"}}
 	var out strings.Builder
 	if err := printCounters(&out, status); err != nil {
 		t.Fatal(err)
@@ -208,7 +208,7 @@
 			{CounterKey: testCells[1].CounterKey, RequestCounts: serving.RequestCounts{Received: 30}},
 		},
 		OpenRows:             3,
-		MaxMissing:           7,
+		EstimatedMissing:     7,
 		LateReports:          []counter.LateReport{{Server: "n3", SilentSeconds: 5, RequestsPerSecond: 1.5}},
 		Recovering:           true,
 		IncompleteRecoveries: 2,
@@ -265,11 +265,11 @@
 	}{
 		{"no plan", fleet.LoadPlanStatus{Leader: "p1"}, []string{"the planners' leader is p1"}},
 		{"a plan", fleet.LoadPlanStatus{
-			Name:     "f1",
-			Leader:   "p1",
-			Current:  loadplan.Version{ClusterID: 1, Term: 2, Sequence: 3},
-			FreshFor: -1.5,
-			Stale:    2,
+			Name:                "f1",
+			Leader:              "p1",
+			Current:             loadplan.Version{ClusterID: 1, Term: 2, Sequence: 3},
+			FreshSeconds:        -1.5,
+			RejectedAssignments: 2,
 		}, []string{"f1 follows plan 1.2.3, fresh for -1.5 s; 2 assignments were stale", "the planners' leader is p1"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/cli/fleetcmd/status.go
+++ b/internal/cli/fleetcmd/status.go
@@ -59,7 +59,7 @@
 	for i := range status.Servers {
 		server := &status.Servers[i]
 		t.rowf("%s\t%x\t%s\t%s\t%.1f\t%s\t%s", server.Name, server.Incarnation, server.ActiveEpoch,
-			server.AssignedEpoch, server.SecondsSinceHeard, server.Build, serverNote(server))
+			server.AssignedEpoch, server.SecondsSinceRequest, server.Build, serverNote(server))
 	}
 	t.end()
 	return output.err
@@ -71,8 +71,8 @@
 	switch {
 	case server.EjectionReason != "":
 		return "ejected: " + server.EjectionReason
-	case server.SecondsBehind > 0:
-		return fmt.Sprintf("lagging for %.1f s %s", server.SecondsBehind, server.BlockedBy)
+	case server.LaggingSeconds > 0:
+		return fmt.Sprintf("lagging for %.1f s %s", server.LaggingSeconds, server.BlockedBy)
 	case !server.Reported:
 		return "not heard"
 	default:
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -93,8 +93,8 @@
 			"soft_deadline_s", class.SoftDeadline,
 			"hard_deadline_s", class.Timeout,
 			"value", class.Value,
-			"late_value", class.LateValue,
-			"degraded_value", class.DegradedValue,
+			"late_value", class.LateValueFraction,
+			"degraded_value", class.DegradedValueFraction,
 			"calls_downstream", class.CallsDownstream,
 		)
 	}
--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -48,21 +48,21 @@
 	deployment := &source.Deployment
 	contract := &source.Contract
 	settings := admission.Settings{
-		OverQuotaValue:    source.OverQuotaValue,
-		Servers:           source.Servers,
-		Clients:           deployment.Clients,
-		Cores:             deployment.Cores,
-		SlowStart:         admission.SlowStartSettings{InitialSpeed: contract.SlowStartSpeed},
-		DrainGracePeriod:  contract.DrainGraceMs / millisPerSecond,
-		DeadlineTolerance: contract.DeadlineToleranceMs / millisPerSecond,
+		OverQuotaValueFactor: source.OverQuotaValue,
+		Servers:              source.Servers,
+		Clients:              deployment.Clients,
+		Cores:                deployment.Cores,
+		SlowStart:            admission.SlowStartSettings{InitialSpeed: contract.SlowStartSpeed},
+		DrainGracePeriod:     contract.DrainGraceMs / millisPerSecond,
+		DeadlineTolerance:    contract.DeadlineToleranceMs / millisPerSecond,
 		Concurrency: admission.ConcurrencySettings{
-			PerCore: contract.ConcurrencyPerCore,
-			Window:  contract.ConcurrencyWindowMs / millisPerSecond,
+			RunsPerCore:     contract.ConcurrencyPerCore,
+			AveragingWindow: contract.ConcurrencyWindowMs / millisPerSecond,
 		},
 		Memory: admission.MemorySettings{
-			Limit:         deployment.MemoryLimitKb,
-			RunningFactor: deployment.RunningFactor,
-			PerKey:        deployment.MemoryPerKeyKb,
+			Limit:          deployment.MemoryLimitKb,
+			RunningFactor:  deployment.RunningFactor,
+			KeyEntryMemory: deployment.MemoryPerKeyKb,
 		},
 		Downstream: admission.DownstreamSettings{
 			Kind:                  downstreamKinds[deployment.Downstream],
@@ -75,7 +75,7 @@
 		ResultCacheTTL:      deployment.ResultCacheMs / millisPerSecond,
 		DeadlinePropagation: deployment.DeadlinePropagation,
 		IdleTimeout:         deployment.IdleTimeoutMs / millisPerSecond,
-		ValueByWork:         source.ValueBy == valueByWork,
+		ScaleValueByWork:    source.ValueBy == valueByWork,
 	}
 	if deployment.Cold {
 		settings.SlowStart.Duration = contract.SlowStartMs / millisPerSecond
@@ -101,14 +101,14 @@
 		SoftDeadlineStretch: source.SoftDeadlineStretch,
 		Timeout:             source.TimeoutMs / millisPerSecond,
 		Value:               source.Value,
-		LateValue:           source.LateValue,
+		LateValueFraction:   source.LateValue,
 		DeduplicationWindow: source.DeduplicationWindowMs / millisPerSecond,
 	}
 	if index < len(settings.Deployment.ClassCalls) {
 		class.CallsDownstream = settings.Deployment.ClassCalls[index]
 	}
 	if index < len(settings.Deployment.DegradedValues) {
-		class.DegradedValue = settings.Deployment.DegradedValues[index]
+		class.DegradedValueFraction = settings.Deployment.DegradedValues[index]
 	}
 	return class
 }
--- a/internal/fake/executor/run.go
+++ b/internal/fake/executor/run.go
@@ -25,7 +25,7 @@
 	}
 	s.stats.Started++
 	if s.endedIDs[command.ID] {
-		s.stats.Repeated++
+		s.stats.RepeatedRuns++
 	}
 	r := &run{id: command.ID, class: command.Class, body: command.Body, partsLeft: 1, startedAt: time.Now()}
 	if s.config.CPUSeconds != nil {
@@ -97,18 +97,18 @@
 }
 
 // callUpstream asks the server to make the run's upstream call, and cancels the run if there is no
-// reply within CallTimeout.
+// reply within CallTimeoutSeconds.
 func (s *Server) callUpstream(r *run) {
-	s.stats.Calls++
+	s.stats.UpstreamCalls++
 	s.notify(func(b []byte, serial int64) []byte {
 		r.awaitedCallSerial = serial
 		return processor.AppendAwaitingCall(b, serial, r.id, r.body)
 	})
-	if s.config.CallTimeout <= 0 {
+	if s.config.CallTimeoutSeconds <= 0 {
 		return
 	}
 	call := r.awaitedCallSerial
-	time.AfterFunc(seconds(s.config.CallTimeout), func() {
+	time.AfterFunc(seconds(s.config.CallTimeoutSeconds), func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.runs[r.id] == r && r.awaitedCallSerial == call {
--- a/internal/fake/executor/server.go
+++ b/internal/fake/executor/server.go
@@ -29,9 +29,9 @@
 	// ColdStart is sent in the hello, the first line on each connection: whether the executor was
 	// cold when it started.
 	ColdStart bool
-	// CallTimeout is the number of seconds that a run waits for the reply to its upstream call
+	// CallTimeoutSeconds is the number of seconds that a run waits for the reply to its upstream call
 	// before it is cancelled; 0 means no timeout.
-	CallTimeout float64
+	CallTimeoutSeconds float64
 	// OnStart is called at the start of each run. The default does nothing.
 	OnStart func(id string, body []byte)
 	// Result returns the result of a run. The default is the request's body.
@@ -40,11 +40,11 @@
 
 // Stats are an executor's counters since its start.
 type Stats struct {
-	Started  int
-	Ended    int
-	Calls    int // upstream calls requested
-	Resumed  int // resume commands received, including that of the first connection
-	Repeated int // runs started under the id of a run that had ended: duplicate executions
+	Started       int
+	Ended         int
+	UpstreamCalls int // upstream calls requested
+	Resumed       int // resume commands received, including that of the first connection
+	RepeatedRuns  int // runs started under the id of a run that had ended: duplicate executions
 }
 
 // Server is a running fake executor. Its methods may be called from any goroutine.
--- a/internal/fake/executor/server_test.go
+++ b/internal/fake/executor/server_test.go
@@ -94,7 +94,7 @@
 		c.send(processor.AppendStart(nil, "1", "ping", nil))
 		c.expect(processor.NoticeRunEnded, "1")
 	}
-	if stats := s.Stats(); stats.Started != 2 || stats.Repeated != 1 {
+	if stats := s.Stats(); stats.Started != 2 || stats.RepeatedRuns != 1 {
 		t.Errorf("got %+v, want 2 runs started, 1 of them repeated", stats)
 	}
 }
@@ -137,7 +137,7 @@
 }
 
 func TestServer_CallTimeoutCancelsTheRun(t *testing.T) {
-	s := startServer(t, Config{CallsUpstream: alwaysCallsUpstream, CallTimeout: 0.02})
+	s := startServer(t, Config{CallsUpstream: alwaysCallsUpstream, CallTimeoutSeconds: 0.02})
 	c := connect(t, s, 0)
 	c.send(processor.AppendStart(nil, "1", "ping", nil))
 	c.expect(processor.NoticeAwaitingCall, "1")
--- a/internal/fleet/audit.go
+++ b/internal/fleet/audit.go
@@ -90,7 +90,7 @@
 		return
 	}
 	a.audits.lastAccountCleanup = now
-	a.audits.trail.Forget(func(name string) bool {
+	a.audits.trail.RemoveUnregistered(func(name string) bool {
 		_, registered := a.releases.log.Members[name]
 		return registered || a.network.HasMember(name)
 	})
--- a/internal/fleet/cluster_test.go
+++ b/internal/fleet/cluster_test.go
@@ -83,7 +83,12 @@
 		Clock:      clock,
 		Logger:     slog.New(slog.DiscardHandler),
 		Lease: LeaseConfig{
-			Terms:    lease.Config{Duration: 6, CatchUpTimeout: 10, MaxUnavailable: 0.25, ForgetAfter: 600},
+			Terms: lease.Config{
+				LeaseSeconds:           6,
+				CatchUpTimeoutSeconds:  10,
+				MaxUnavailableFraction: 0.25,
+				UnregisterAfterSeconds: 600,
+			},
 			Fallback: serving.ModeNormal,
 		},
 		Rollout: release.RolloutPolicy{WaveSeconds: 1, HaltConfidence: 1},
--- a/internal/fleet/consensus.go
+++ b/internal/fleet/consensus.go
@@ -16,10 +16,10 @@
 		return
 	}
 	a.voter = consensus.NewVoter(consensus.Config{
-		Name:   a.config.Name,
-		Voters: a.voterNames,
-		Seed:   int64(a.random.Uint64() >> 1),
-		Codec:  wire.ReleaseCodec{},
+		Name:       a.config.Name,
+		VoterNames: a.voterNames,
+		Seed:       int64(a.random.Uint64() >> 1),
+		Codec:      wire.ReleaseCodec{},
 	}, now, a.unixNow())
 	a.registerHandler(a.handleConsensus, wire.KindConsensus)
 }
@@ -29,9 +29,9 @@
 }
 
 // isConfirmedLeader reports whether this process is the leader and a majority has confirmed it within
-// the last lease.LeaderConfirmationWindow seconds.
+// the last lease.LeaderConfirmationWindowSeconds seconds.
 func (a *Agent) isConfirmedLeader(now float64) bool {
-	return a.voter != nil && a.voter.IsLeader(now-lease.LeaderConfirmationWindow)
+	return a.voter != nil && a.voter.IsLeader(now-lease.LeaderConfirmationWindowSeconds)
 }
 
 // hasJoinedCluster reports whether this process is a voter of a bootstrapped cluster.
@@ -43,7 +43,7 @@
 	a.releases.log = a.voter.ReleaseLog()
 	if newest := a.releases.log.NewestEpoch(); a.isNewEpoch(newest) {
 		a.lease.newestObservedEpoch = newest
-		a.lease.holder.RequestBy(now)
+		a.lease.holder.ScheduleRequestBy(now)
 	}
 	leads := a.isConfirmedLeader(now)
 	a.updateLeadership(now, leads)
--- a/internal/fleet/counters.go
+++ b/internal/fleet/counters.go
@@ -145,9 +145,9 @@
 	Name         string                `json:"Name"`
 	Aggregators  []string              `json:"Keepers"`  // names of the aggregators
 	Incarnation  string                `json:"Life"`     // of this process, in hexadecimal
-	Unreported   []serving.CounterCell `json:"Here"`     // counts of this process's current row
+	CurrentRow   []serving.CounterCell `json:"Here"`     // counts of this process's current row
 	Acknowledged bool                  `json:"Agreed"`   // a majority of the aggregators has acknowledged Unreported
-	Unplaced     uint64                `json:"Unplaced"` // requests that may be missing from the totals
+	Unaccounted  uint64                `json:"Unplaced"` // requests that may be missing from the totals
 	Totals       *counter.Summary      `json:"Known"`    // nil if this process is not an aggregator
 }
 
@@ -161,9 +161,9 @@
 		Name:        a.config.Name,
 		Aggregators: a.voterNames,
 		Incarnation: strconv.FormatUint(a.incarnation, 16),
-		Unplaced:    c.reporter.Unaccounted,
+		Unaccounted: c.reporter.UnaccountedRequests,
 	}
-	status.Unreported, status.Acknowledged = c.reporter.CurrentRow()
+	status.CurrentRow, status.Acknowledged = c.reporter.CurrentRow()
 	if c.aggregator != nil {
 		status.Totals = c.aggregator.Summary(now, a.releases.log.ClosedTotals)
 	}
--- a/internal/fleet/errors.go
+++ b/internal/fleet/errors.go
@@ -9,14 +9,14 @@
 var (
 	// ErrAgentBusy means that the agent did not accept a request within requestTimeout.
 	ErrAgentBusy = errors.New("the fleet agent of this process is busy")
-	// ErrAgentDown means that the agent accepted a request but did not answer it in time, for
+	// ErrAgentNotResponding means that the agent accepted a request but did not answer it in time, for
 	// instance because it is restarting.
-	ErrAgentDown = errors.New("the fleet agent of this process is down")
+	ErrAgentNotResponding = errors.New("the fleet agent of this process is down")
 	// ErrNoReleaseLog means that the release log is unknown, because no voter of a bootstrapped cluster
 	// replied to the audit.
 	ErrNoReleaseLog = errors.New("no voter of a joined cluster answered: nobody knows the release log")
-	// ErrCountersOff means that counters are disabled at the process.
-	ErrCountersOff = errors.New("nothing is counted: fleet-counts is off")
+	// ErrCountersDisabled means that counters are disabled at the process.
+	ErrCountersDisabled = errors.New("nothing is counted: fleet-counts is off")
 	// ErrTooManyRequests means that the control API is already serving maxControlRequests requests.
 	ErrTooManyRequests = errors.New("too many control requests at once")
 )
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -18,9 +18,9 @@
 // CallLimit limits the calls to the downstream service.
 type CallLimit struct {
 	MaxInFlight float64 // calls that may be in flight, +Inf for no limit
-	// Probe is the number of the probe that the next call is to make, 0 for no probe. The serving loop
+	// ProbeNumber is the number of the probe that the next call is to make, 0 for no probe. The serving loop
 	// makes at most one probe for each number.
-	Probe int64
+	ProbeNumber int64
 }
 
 const (
@@ -116,7 +116,7 @@
 		state, _ := h.breaker.State()
 		h.agent.logger.Info("circuit_breaker_changed", "state", state, "max_in_flight", maxInFlight)
 	}
-	limit := CallLimit{MaxInFlight: maxInFlight, Probe: h.breaker.ProbeSlot(now)}
+	limit := CallLimit{MaxInFlight: maxInFlight, ProbeNumber: h.breaker.ProbeSlot(now)}
 	if limit != h.limit {
 		h.limit = limit
 		h.config.OnLimit(limit)
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -34,7 +34,7 @@
 		Addr:         c.ListenAddr,
 		Build:        c.Build,
 		Fallback:     c.Lease.Fallback,
-		LeaseSeconds: c.Lease.Terms.Duration,
+		LeaseSeconds: c.Lease.Terms.LeaseSeconds,
 	}, now)
 	a.registerHandler(a.handleLeaseRequest, wire.KindLeaseRequest)
 	a.registerHandler(a.handleLeaseReply, wire.KindLeaseReply)
@@ -47,7 +47,7 @@
 	name := holder.Leader()
 	if _, votes := a.config.Voters[name]; !votes {
 		name = a.nextVoterName()
-	} else if holder.Unanswered() > maxUnansweredRequests {
+	} else if holder.UnansweredRequests() > maxUnansweredRequests {
 		holder.HandleLeaderUnreachable(now)
 	}
 	if name != "" {
@@ -127,6 +127,6 @@
 	newest := account.Intervals[len(account.Intervals)-1].Epoch
 	if a.isNewEpoch(newest) {
 		a.lease.newestObservedEpoch = newest
-		a.lease.holder.RequestBy(now + leaseRequestJitterSeconds*a.random.Float64())
+		a.lease.holder.ScheduleRequestBy(now + leaseRequestJitterSeconds*a.random.Float64())
 	}
 }
--- a/internal/fleet/loadplan.go
+++ b/internal/fleet/loadplan.go
@@ -111,12 +111,12 @@
 
 // LoadPlanStatus is the status of load plans at one process.
 type LoadPlanStatus struct {
-	Name     string           `json:"Name"`
-	Leader   string           `json:"Leader"`
-	Current  loadplan.Version `json:"Holds"` // of the plan that the forwarder follows or followed last
-	FreshFor float64          `json:"Till"`  // seconds until the plan is no longer fresh, negative afterwards
-	Stale    int              `json:"Stale"` // assignments that were rejected as too old
-	Planner  *loadplan.Status `json:"Makes"` // nil if this process does not make plans
+	Name                string           `json:"Name"`
+	Leader              string           `json:"Leader"`
+	Current             loadplan.Version `json:"Holds"` // of the plan that the forwarder follows or followed last
+	FreshSeconds        float64          `json:"Till"`  // seconds until the plan is stale, negative afterwards
+	RejectedAssignments int              `json:"Stale"` // assignments that were rejected as too old
+	Planner             *loadplan.Status `json:"Makes"` // nil if this process does not make plans
 }
 
 // LoadPlanStatus returns the status of load plans at this process.
@@ -127,8 +127,8 @@
 		return status
 	}
 	status.Current = p.subscriber.Version()
-	status.Stale = p.subscriber.RejectedAssignments
-	status.FreshFor = p.freshUntil - now
+	status.RejectedAssignments = p.subscriber.RejectedAssignments
+	status.FreshSeconds = p.freshUntil - now
 	if p.planner != nil && a.isConfirmedLeader(now) {
 		status.Planner = p.planner.Status(now)
 	}
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -213,14 +213,14 @@
 	}
 }
 
-// await returns the result, or ErrAgentDown if there is none within the timeout.
+// await returns the result, or ErrAgentNotResponding if there is none within the timeout.
 func await[T any](result <-chan T, timeout time.Duration) (T, error) {
 	select {
 	case value := <-result:
 		return value, nil
 	case <-time.After(timeout):
 		var zero T
-		return zero, ErrAgentDown
+		return zero, ErrAgentNotResponding
 	}
 }
 
--- a/internal/fleet/node_reports.go
+++ b/internal/fleet/node_reports.go
@@ -11,11 +11,11 @@
 // called with the verdict within timeout seconds. Claim returns false, and claims nothing, if the
 // queue of claim events is full.
 func (n *Node) Claim(id, class, key string, timeout float64) bool {
-	return n.enqueueClaim(ClaimEvent{ID: id, Class: class, Key: key, Timeout: timeout})
+	return n.enqueueClaim(ClaimEvent{ID: id, Class: class, Key: key, TimeoutSeconds: timeout})
 }
 
-// ReleaseClaim reports that a request for which Claim was called has not run and will not run.
-func (n *Node) ReleaseClaim(id string) { n.enqueueClaim(ClaimEvent{ID: id, Canceled: true}) }
+// CancelClaim reports that a request for which Claim was called has not run and will not run.
+func (n *Node) CancelClaim(id string) { n.enqueueClaim(ClaimEvent{ID: id, Canceled: true}) }
 
 // CompleteClaim reports the outcome of a request that ran after its claim was granted.
 func (n *Node) CompleteClaim(id string, succeeded bool, result []byte) {
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -39,7 +39,12 @@
 		Clock:      NewClock(source, testUnixTime, 0, 1),
 		Logger:     slog.New(slog.DiscardHandler),
 		Lease: LeaseConfig{
-			Terms: lease.Config{Duration: 6, CatchUpTimeout: 10, MaxUnavailable: 0.25, ForgetAfter: 600},
+			Terms: lease.Config{
+				LeaseSeconds:           6,
+				CatchUpTimeoutSeconds:  10,
+				MaxUnavailableFraction: 0.25,
+				UnregisterAfterSeconds: 600,
+			},
 		},
 		Rollout: release.RolloutPolicy{WaveSeconds: 1, HaltConfidence: 1},
 		Apply:   apply,
@@ -97,9 +102,9 @@
 	if _, err := FetchStatus(addr, "no epoch"); !errors.As(err, &failure) {
 		t.Errorf("FetchStatus with a malformed epoch returned %v, want a ControlError", err)
 	}
-	if _, err := FetchCounters(addr); !errors.As(err, &failure) || failure.Message != ErrCountersOff.Error() {
+	if _, err := FetchCounters(addr); !errors.As(err, &failure) || failure.Message != ErrCountersDisabled.Error() {
 		t.Errorf("FetchCounters with counters disabled returned %v, want a ControlError with message %q",
-			err, ErrCountersOff)
+			err, ErrCountersDisabled)
 	}
 	if quotas, err := FetchQuotas(addr); err != nil || quotas.Leader != "v1" || quotas.IsLeader {
 		t.Errorf("FetchQuotas with quotas disabled returned %+v, %v, want leader v1 and IsLeader false", quotas, err)
--- a/internal/fleet/replication.go
+++ b/internal/fleet/replication.go
@@ -12,10 +12,10 @@
 
 // ReplicationConfig configures the replication of claimed idempotency keys and their results.
 type ReplicationConfig struct {
-	Placement   *replication.Placement
-	MaxRecords  int
-	MaxBytes    int
-	CatchUpRate float64 // bytes a second that a replica may receive while it catches up
+	Placement             *replication.Placement
+	MaxRecords            int
+	MaxBytes              int
+	CatchUpBytesPerSecond float64 // bytes a second that a replica may receive while it catches up
 	// OnVerdict passes the verdict on a claim to the serving loop.
 	OnVerdict func(requestID string, verdict serving.ClaimVerdict, result []byte)
 }
@@ -23,14 +23,14 @@
 // ClaimEvent is an event of a request with an idempotency key. If neither Canceled nor Finished is
 // set, the key is to be claimed.
 type ClaimEvent struct {
-	ID        string // of the request
-	Class     string
-	Key       string
-	Timeout   float64 // seconds within which OnVerdict is called
-	Canceled  bool    // the request has not run and will not run
-	Finished  bool    // the request has run
-	Succeeded bool    // the request finished with Result
-	Result    []byte
+	ID             string // of the request
+	Class          string
+	Key            string
+	TimeoutSeconds float64 // seconds within which OnVerdict is called
+	Canceled       bool    // the request has not run and will not run
+	Finished       bool    // the request has run
+	Succeeded      bool    // the request finished with Result
+	Result         []byte
 }
 
 const (
@@ -87,7 +87,7 @@
 		Self:        r.selfIndex,
 		Terms:       r.terms,
 		Store:       replicastore.NewStore(r.config.MaxRecords, r.config.MaxBytes),
-		CatchUpRate: r.config.CatchUpRate,
+		CatchUpRate: r.config.CatchUpBytesPerSecond,
 	}, now)
 }
 
@@ -106,7 +106,7 @@
 		r.coordinator.CancelClaim(now, event.ID)
 	default:
 		r.agent.trace(TraceClaiming)
-		r.coordinator.StartClaim(now, event.ID, replicastore.KeyOf(event.Class, event.Key), now+event.Timeout)
+		r.coordinator.StartClaim(now, event.ID, replicastore.KeyOf(event.Class, event.Key), now+event.TimeoutSeconds)
 	}
 	r.flush(now)
 	r.backlog.Add(-1)
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -80,11 +80,11 @@
 // QueryLoadPlan returns the status of load plans at this process.
 func (n *Node) QueryLoadPlan() (*LoadPlanStatus, error) { return query(n, (*Agent).LoadPlanStatus) }
 
-// QueryCounters returns the fleet's counters as known to this process, or ErrCountersOff.
+// QueryCounters returns the fleet's counters as known to this process, or ErrCountersDisabled.
 func (n *Node) QueryCounters() (*CounterStatus, error) {
 	status, err := query(n, (*Agent).CounterStatus)
 	if err == nil && status == nil {
-		err = ErrCountersOff
+		err = ErrCountersDisabled
 	}
 	return status, err
 }
--- a/internal/fleet/trust.go
+++ b/internal/fleet/trust.go
@@ -10,8 +10,8 @@
 
 // TrustConfig configures the sharing of trusted clients among servers.
 type TrustConfig struct {
-	Retention  float64 // seconds for which trust records of other servers are kept
-	MaxClients int     // maximum number of clients that a server adopts from others
+	RetentionSeconds float64 // seconds for which trust records of other servers are kept
+	MaxClients       int     // maximum number of clients that a server adopts from others
 	// OnTrusted passes clients that other servers trust to the serving loop.
 	OnTrusted func([]connlimit.TrustedClient)
 }
@@ -50,7 +50,7 @@
 	t := &trustSharer{
 		agent:       a,
 		config:      a.config.Trust,
-		records:     replication.NewTrustTable(a.config.Trust.Retention),
+		records:     replication.NewTrustTable(a.config.Trust.RetentionSeconds),
 		started:     now,
 		lastRequest: math.Inf(-1),
 		lastReport:  now,
--- a/internal/forwarder/request.go
+++ b/internal/forwarder/request.go
@@ -125,11 +125,11 @@
 // the router charges the attempt to its retry budget.
 func (d *Dispatcher) allowRetry(now float64, p *pendingRequest, outcome routing.Outcome) bool {
 	return d.router.AllowRetry(routing.RetryCandidate{
-		LastOutcome:    outcome,
-		Attempts:       len(p.triedWorkers),
-		IsIdempotent:   d.isIdempotent(p),
-		Remaining:      p.deadline - now,
-		TypicalLatency: d.typicalLatency(now, p.request.Class),
+		LastOutcome:           outcome,
+		Attempts:              len(p.triedWorkers),
+		IsIdempotent:          d.isIdempotent(p),
+		RemainingSeconds:      p.deadline - now,
+		TypicalLatencySeconds: d.typicalLatency(now, p.request.Class),
 	})
 }
 
--- a/internal/policy/audit/report.go
+++ b/internal/policy/audit/report.go
@@ -163,7 +163,7 @@
 		Incarnation:   server.Incarnation,
 		ActiveEpoch:   server.ActiveEpoch,
 		AssignedEpoch: server.AssignedEpoch,
-		LagSeconds:    server.SecondsBehind,
+		LagSeconds:    server.LaggingSeconds,
 	}
 	hasLag := server.ActiveEpoch != server.AssignedEpoch
 	switch {
@@ -171,9 +171,9 @@
 		lagging.Reason = ejectedPrefix + server.EjectionReason
 	case !server.Reported:
 		lagging.Reason = reasonNotReported
-	case server.SecondsSinceHeard > maxRequestAgeSeconds:
+	case server.SecondsSinceRequest > maxRequestAgeSeconds:
 		lagging.Reason = reasonUnreachable
-		lagging.SilentSeconds = server.SecondsSinceHeard
+		lagging.SilentSeconds = server.SecondsSinceRequest
 	case hasLag && server.BlockedBy != "":
 		lagging.Reason = server.BlockedBy
 	case hasLag:
--- a/internal/policy/audit/trail.go
+++ b/internal/policy/audit/trail.go
@@ -125,7 +125,7 @@
 	return accounts
 }
 
-// Forget drops the received accounts of names that are not registered.
-func (t *Trail) Forget(isRegistered func(name string) bool) {
+// RemoveUnregistered drops the received accounts of names that are not registered.
+func (t *Trail) RemoveUnregistered(isRegistered func(name string) bool) {
 	maps.DeleteFunc(t.others, func(name string, _ []Account) bool { return !isRegistered(name) })
 }
--- a/internal/policy/audit/trail_test.go
+++ b/internal/policy/audit/trail_test.go
@@ -61,7 +61,7 @@
 	if len(trail.others) > maxServers {
 		t.Errorf("accounts of %d names, want at most %d", len(trail.others), maxServers)
 	}
-	trail.Forget(func(name string) bool { return name == "n" })
+	trail.RemoveUnregistered(func(name string) bool { return name == "n" })
 	if accounts := trail.Accounts(nil); len(accounts) != maxIncarnations {
 		t.Errorf("%d accounts after Forget, want %d", len(accounts), maxIncarnations)
 	}
--- a/internal/policy/connlimit/admission.go
+++ b/internal/policy/connlimit/admission.go
@@ -16,7 +16,7 @@
 	// find free slots in the remaining part.
 	reservedSlotParts = 8
 	// rejectionHalfLifeSeconds is the half-life of an address's rejection count. Each rejection
-	// doubles the retry-after time, up to Rules.MaxRetryAfter.
+	// doubles the retry-after time, up to Rules.MaxRetryAfterSeconds.
 	rejectionHalfLifeSeconds = 5
 	// maxDoublings bounds the number of doublings of the retry-after time.
 	maxDoublings = 16
@@ -97,9 +97,9 @@
 	case !client.trusted && !prefix.arrivals.take(now, p.rules.RatePerPrefix):
 		return RateLimited
 	case p.rules.MaxPerAddress > 0 && float64(client.admitted) >= maxConnections:
-		return OverCap
+		return OverConnectionLimit
 	case !client.trusted && p.rules.MaxPerPrefix > 0 && int(prefix.untrusted) >= p.rules.MaxPerPrefix:
-		return OverCap
+		return OverConnectionLimit
 	}
 	return Admitted
 }
@@ -139,7 +139,7 @@
 	client, _ := policy.entriesOf(&l.connections[slot])
 	client.rejections.set(client.rejections.valueAt(now, rejectionHalfLifeSeconds)+1, now)
 	doublings := min(client.rejections.value-1, maxDoublings)
-	base := min(policy.rules.MaxRetryAfter/2, policy.rules.MinRetryAfter*math.Exp2(doublings))
+	base := min(policy.rules.MaxRetryAfterSeconds/2, policy.rules.MinRetryAfterSeconds*math.Exp2(doublings))
 	return base * (1 + policy.drawJitter())
 }
 
--- a/internal/policy/connlimit/admission_test.go
+++ b/internal/policy/connlimit/admission_test.go
@@ -96,9 +96,10 @@
 			t.Fatalf("%d connections are held, want at most %d", held, 2*s.rules.HoldingSlots)
 		}
 	}
-	if reasons[Admitted] != s.rules.MaxPerAddress || reasons[OverCap] == 0 || reasons[HoldingAreaFull] == 0 {
+	if reasons[Admitted] != s.rules.MaxPerAddress || reasons[OverConnectionLimit] == 0 ||
+		reasons[HoldingAreaFull] == 0 {
 		t.Errorf("counts by reason are %v, want %d %v and some %v and %v",
-			reasons, s.rules.MaxPerAddress, Admitted, OverCap, HoldingAreaFull)
+			reasons, s.rules.MaxPerAddress, Admitted, OverConnectionLimit, HoldingAreaFull)
 	}
 	closed := 0
 	for range 20 {
@@ -129,10 +130,10 @@
 				"for rejections 2 to 5, over %v s", i+1, retryAfter, previous*0.99)
 		}
 		seen[retryAfter] = true
-		previous = min(retryAfter, s.rules.MinRetryAfter*float64(int(1)<<(i+1)))
+		previous = min(retryAfter, s.rules.MinRetryAfterSeconds*float64(int(1)<<(i+1)))
 	}
-	if previous < s.rules.MaxRetryAfter/2 {
-		t.Errorf("last retry after is %v s, want at least %v s", previous, s.rules.MaxRetryAfter/2)
+	if previous < s.rules.MaxRetryAfterSeconds/2 {
+		t.Errorf("last retry after is %v s, want at least %v s", previous, s.rules.MaxRetryAfterSeconds/2)
 	}
 }
 
--- a/internal/policy/connlimit/reputation.go
+++ b/internal/policy/connlimit/reputation.go
@@ -42,7 +42,7 @@
 // TrustedClient is a client address that earned trust, with its credit.
 type TrustedClient struct {
 	Addr   netip.Addr
-	Credit float64 // completed requests, at most one per second, decaying with Rules.CreditHalfLife
+	Credit float64 // completed requests, at most one per second, decaying with Rules.CreditHalfLifeSeconds
 }
 
 // HandleRequestDone adds credit to the address of a connection that completed a request.
@@ -56,7 +56,7 @@
 	if client.credit.value > 0 && now-client.credit.updatedAt < creditIntervalSeconds {
 		return
 	}
-	client.credit.set(min(maxCredit, client.credit.valueAt(now, policy.rules.CreditHalfLife)+1), now)
+	client.credit.set(min(maxCredit, client.credit.valueAt(now, policy.rules.CreditHalfLifeSeconds)+1), now)
 	if !client.trusted && client.credit.value >= float64(policy.rules.TrustThreshold)-creditTolerance {
 		policy.setTrusted(id, true)
 	}
@@ -71,8 +71,8 @@
 	if !client.trusted || client.trustedByRule {
 		return
 	}
-	own := client.credit.valueAt(now, p.rules.CreditHalfLife)
-	reported := client.reportedCredit.valueAt(now, p.rules.CreditHalfLife)
+	own := client.credit.valueAt(now, p.rules.CreditHalfLifeSeconds)
+	reported := client.reportedCredit.valueAt(now, p.rules.CreditHalfLifeSeconds)
 	if own < p.minCredit() && reported < p.minCredit() {
 		p.setTrusted(id, false)
 	}
@@ -108,7 +108,7 @@
 		return nil
 	}
 	for _, client := range policy.addresses.all() {
-		credit := client.credit.valueAt(now, policy.rules.CreditHalfLife)
+		credit := client.credit.valueAt(now, policy.rules.CreditHalfLifeSeconds)
 		if client.trusted && credit >= policy.minCredit() {
 			clients = append(clients, TrustedClient{client.key.address(), credit})
 		}
--- a/internal/policy/connlimit/reputation_test.go
+++ b/internal/policy/connlimit/reputation_test.go
@@ -49,17 +49,17 @@
 func TestAddTrustedClients_TrustEndsWithoutRequests(t *testing.T) {
 	addr := func(n byte) netip.Addr { return netip.AddrFrom4([4]byte{10, 0, 0, n}) }
 	limiter := NewWithRules(60, Rules{
-		MaxConnections:      4,
-		ReservedSlots:       2,
-		IPv4PrefixBits:      24,
-		IPv6PrefixBits:      56,
-		HoldingSlots:        1,
-		RememberedAddresses: 64,
-		TrustThreshold:      3,
-		CreditHalfLife:      100,
-		MinRetryAfter:       0.1,
-		MaxRetryAfter:       1,
-		CPUShare:            1,
+		MaxConnections:        4,
+		ReservedSlots:         2,
+		IPv4PrefixBits:        24,
+		IPv6PrefixBits:        56,
+		HoldingSlots:          1,
+		RememberedAddresses:   64,
+		TrustThreshold:        3,
+		CreditHalfLifeSeconds: 100,
+		MinRetryAfterSeconds:  0.1,
+		MaxRetryAfterSeconds:  1,
+		CPUShare:              1,
 	})
 	if n := limiter.AddTrustedClients([]TrustedClient{{addr(1), 1e9}, {addr(2), 3}, {addr(3), 1}}, 0); n != 2 {
 		t.Fatalf("%d of three clients accepted, want 2: the credit of one is too low", n)
--- a/internal/policy/connlimit/rules.go
+++ b/internal/policy/connlimit/rules.go
@@ -25,13 +25,13 @@
 	IPv6PrefixBits  int            // length of an IPv6 prefix
 	TrustedPrefixes []netip.Prefix // always trusted, and exempt from the limits above
 
-	HoldingSlots        int     // connections that may be held until their first request is rejected
-	RememberedAddresses int     // remembered addresses without a connection; the same number of prefixes
-	TrustThreshold      int     // completed requests, at most one per second, that make an address trusted
-	CreditHalfLife      float64 // half-life of an address's credit, s
+	HoldingSlots          int     // connections that may be held until their first request is rejected
+	RememberedAddresses   int     // remembered addresses without a connection; the same number of prefixes
+	TrustThreshold        int     // completed requests, at most one per second, that make an address trusted
+	CreditHalfLifeSeconds float64 // half-life of an address's credit, s
 
-	MinRetryAfter float64 // shortest retry-after time, s
-	MaxRetryAfter float64 // longest retry-after time, s
+	MinRetryAfterSeconds float64 // shortest retry-after time, s
+	MaxRetryAfterSeconds float64 // longest retry-after time, s
 
 	CPUShare float64 // fraction of a core that accepting connections may use
 	Seed     int64   // seed of the retry-after jitter
@@ -42,20 +42,20 @@
 
 // The reject reasons.
 const (
-	Admitted          RejectReason = iota // the connection was admitted
-	RateLimited                           // its address or prefix is over its rate of new connections
-	OverCap                               // its address or prefix has reached its limit on connections
-	NoFreeSlot                            // it can't be admitted without an eviction
-	HoldingAreaFull                       // it can't be held either and must be closed immediately
-	rejectReasonCount                     // number of reasons
+	Admitted            RejectReason = iota // the connection was admitted
+	RateLimited                             // its address or prefix is over its rate of new connections
+	OverConnectionLimit                     // its address or prefix has reached its limit on connections
+	NoFreeSlot                              // it can't be admitted without an eviction
+	HoldingAreaFull                         // it can't be held either and must be closed immediately
+	rejectReasonCount                       // number of reasons
 )
 
 var rejectReasonNames = [rejectReasonCount]string{
-	Admitted:        "admitted",
-	RateLimited:     "rate_limited",
-	OverCap:         "over_cap",
-	NoFreeSlot:      "no_free_slot",
-	HoldingAreaFull: "holding_area_full",
+	Admitted:            "admitted",
+	RateLimited:         "rate_limited",
+	OverConnectionLimit: "over_cap",
+	NoFreeSlot:          "no_free_slot",
+	HoldingAreaFull:     "holding_area_full",
 }
 
 // String returns the name of the reason.
--- a/internal/policy/connlimit/simulation_test.go
+++ b/internal/policy/connlimit/simulation_test.go
@@ -8,23 +8,23 @@
 
 func testRules() Rules {
 	return Rules{
-		MaxConnections:      40,
-		ReservedSlots:       16,
-		MaxPerAddress:       10,
-		MaxPerPrefix:        18,
-		RatePerAddress:      200,
-		RatePerPrefix:       400,
-		IPv4PrefixBits:      24,
-		IPv6PrefixBits:      64,
-		TrustedPrefixes:     []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")},
-		HoldingSlots:        8,
-		RememberedAddresses: 64,
-		TrustThreshold:      3,
-		CreditHalfLife:      600,
-		MinRetryAfter:       0.2,
-		MaxRetryAfter:       10,
-		CPUShare:            0.2,
-		Seed:                7,
+		MaxConnections:        40,
+		ReservedSlots:         16,
+		MaxPerAddress:         10,
+		MaxPerPrefix:          18,
+		RatePerAddress:        200,
+		RatePerPrefix:         400,
+		IPv4PrefixBits:        24,
+		IPv6PrefixBits:        64,
+		TrustedPrefixes:       []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")},
+		HoldingSlots:          8,
+		RememberedAddresses:   64,
+		TrustThreshold:        3,
+		CreditHalfLifeSeconds: 600,
+		MinRetryAfterSeconds:  0.2,
+		MaxRetryAfterSeconds:  10,
+		CPUShare:              0.2,
+		Seed:                  7,
 	}
 }
 
@@ -76,8 +76,9 @@
 		retryAfter = s.evictFor(slot)
 	}
 	isHeld := !c.admitted && reason != HoldingAreaFull
-	if isHeld && (retryAfter < s.rules.MinRetryAfter || retryAfter > s.rules.MaxRetryAfter) {
-		s.Fatalf("retry after is %v s, want from %v to %v s", retryAfter, s.rules.MinRetryAfter, s.rules.MaxRetryAfter)
+	if isHeld && (retryAfter < s.rules.MinRetryAfterSeconds || retryAfter > s.rules.MaxRetryAfterSeconds) {
+		s.Fatalf("retry after is %v s, want from %v to %v s",
+			retryAfter, s.rules.MinRetryAfterSeconds, s.rules.MaxRetryAfterSeconds)
 	}
 	s.checkInvariants()
 	return slot, c.admitted
--- a/internal/policy/consensus/cluster_test.go
+++ b/internal/policy/consensus/cluster_test.go
@@ -99,7 +99,7 @@
 // start starts a voter, or restarts it with an empty log.
 func (c *simulatedCluster) start(name string) {
 	c.startCount++
-	config := Config{Name: name, Voters: c.names, Seed: int64(c.startCount), Codec: jsonCodec{}}
+	config := Config{Name: name, VoterNames: c.names, Seed: int64(c.startCount), Codec: jsonCodec{}}
 	c.voters[name] = NewVoter(config, c.now, clusterIDEpochUnixSeconds+1000+c.now)
 	c.queued[name] = nil
 	c.paused[name] = false
--- a/internal/policy/consensus/voter.go
+++ b/internal/policy/consensus/voter.go
@@ -15,10 +15,10 @@
 
 // Config identifies a voter and its dependencies.
 type Config struct {
-	Name   string   // name of this voter
-	Voters []string // names of all voters, including this one
-	Seed   int64    // seed of the voter's random numbers
-	Codec  Codec
+	Name       string   // name of this voter
+	VoterNames []string // names of all voters, including this one
+	Seed       int64    // seed of the voter's random numbers
+	Codec      Codec
 }
 
 // Voter is one of the configured voters. It is not safe for concurrent use.
@@ -46,7 +46,7 @@
 
 // NewVoter returns a detached voter that starts at now. unixNow is the same time in Unix seconds.
 func NewVoter(config Config, now, unixNow float64) *Voter {
-	names := slices.Clone(config.Voters)
+	names := slices.Clone(config.VoterNames)
 	slices.Sort(names)
 	v := &Voter{
 		name:        config.Name,
--- a/internal/policy/counter/counter_test.go
+++ b/internal/policy/counter/counter_test.go
@@ -30,8 +30,8 @@
 		}
 	}
 	for _, server := range s.servers {
-		if server.reporter.Unaccounted > 0 {
-			t.Fatalf("%s has %d unaccounted requests, want 0", server.name, server.reporter.Unaccounted)
+		if server.reporter.UnaccountedRequests > 0 {
+			t.Fatalf("%s has %d unaccounted requests, want 0", server.name, server.reporter.UnaccountedRequests)
 		}
 	}
 	low, high := s.bounds()
@@ -87,8 +87,8 @@
 			if report.RowID != 101 || report.Sequence != 1 || sumReceived(report.Cells) != c.want {
 				t.Errorf("the report is %+v, want sequence 1 of row 101 with %d requests", report, c.want)
 			}
-			if reporter.Unaccounted != 0 {
-				t.Errorf("%d requests are unaccounted, want 0", reporter.Unaccounted)
+			if reporter.UnaccountedRequests != 0 {
+				t.Errorf("%d requests are unaccounted, want 0", reporter.UnaccountedRequests)
 			}
 		})
 	}
@@ -131,7 +131,7 @@
 		t.Errorf("a report of the changed cell is answered with %+v, want sequence 2", ack)
 	}
 	summary := a.Summary(14, nil)
-	if sumReceived(summary.Total) != 16 || summary.MaxMissing != 6 {
+	if sumReceived(summary.Total) != 16 || summary.EstimatedMissing != 6 {
 		t.Errorf("the summary is %+v, want 16 requests in total and 6 missing", summary)
 	}
 	if late := summary.LateReports; len(late) != 1 || late[0].SilentSeconds != 12 {
--- a/internal/policy/counter/message.go
+++ b/internal/policy/counter/message.go
@@ -31,8 +31,8 @@
 type RowQuery struct {
 	Number      uint64
 	Rows        []RowAck // rows to be closed, each with the sequence number that the sender has
-	All         bool     // asks for all rows with IDs greater than After, instead of Rows
-	After       uint64
+	AllRows     bool     // asks for all rows with IDs greater than AfterRowID, instead of Rows
+	AfterRowID  uint64
 	Aggregators Incarnations
 }
 
--- a/internal/policy/counter/query.go
+++ b/internal/policy/counter/query.go
@@ -18,8 +18,8 @@
 		Aggregators: slices.Clone(a.incarnations),
 	}
 	builder := &replyBuilder{reply: reply, cellsLeft: maxReplyCells}
-	if query.All {
-		a.addAllRows(builder, query.After)
+	if query.AllRows {
+		a.addAllRows(builder, query.AfterRowID)
 	} else {
 		a.freezeRows(now, builder, query.Rows)
 	}
--- a/internal/policy/counter/recovery.go
+++ b/internal/policy/counter/recovery.go
@@ -63,8 +63,8 @@
 		}
 		query := &RowQuery{
 			Number:      a.queryNumber,
-			All:         true,
-			After:       a.recovery.lastRowID[name],
+			AllRows:     true,
+			AfterRowID:  a.recovery.lastRowID[name],
 			Aggregators: slices.Clone(a.incarnations),
 		}
 		queries = append(queries, Envelope{To: name, Query: query})
--- a/internal/policy/counter/reporter.go
+++ b/internal/policy/counter/reporter.go
@@ -44,10 +44,10 @@
 	nextRetryAt          float64
 	retryIntervalSeconds float64
 
-	// Unaccounted is an upper bound on the requests that the totals lack: those in rows that were
+	// UnaccountedRequests is an upper bound on the requests that the totals lack: those in rows that were
 	// closed under a lower number than a majority had acknowledged. This happens if aggregators
 	// that acknowledged the higher number restarted and lost it.
-	Unaccounted uint64
+	UnaccountedRequests uint64
 }
 
 // NewReporter returns the reporter of a server's incarnation, with an empty row. Incarnations must
@@ -189,7 +189,7 @@
 	}
 	if closedSequence+1 < r.sequence { // a majority had acknowledged a higher number that was lost
 		for _, counts := range r.previouslyReported {
-			r.Unaccounted += counts.Received
+			r.UnaccountedRequests += counts.Received
 		}
 	}
 	r.closedRows.addAll(closed)
--- a/internal/policy/counter/summary.go
+++ b/internal/policy/counter/summary.go
@@ -24,7 +24,7 @@
 	RequestsPerSecond float64 `json:"Rate"`   // rate by its last report
 }
 
-// Summary has the totals that an aggregator knows. They are a lower bound; MaxMissing estimates how
+// Summary has the totals that an aggregator knows. They are a lower bound; EstimatedMissing estimates how
 // many requests they lack. Its JSON keys are part of the control API.
 type Summary struct {
 	Total      []serving.CounterCell // counts since the fleet was bootstrapped
@@ -32,9 +32,9 @@
 	OpenRows   int                   `json:"Rows"`   // rows not closed, one per reporting incarnation
 	// LateReports are the servers without a recent report, those silent longest first.
 	LateReports []LateReport `json:"Late"`
-	// MaxMissing estimates how many requests the servers counted after their last reports, by the
+	// EstimatedMissing estimates how many requests the servers counted after their last reports, by the
 	// rates of these reports.
-	MaxMissing float64 `json:"Lacks"`
+	EstimatedMissing float64 `json:"Lacks"`
 	// Recovering is true while the aggregator may lack rows that other aggregators have.
 	Recovering bool `json:"Cold"`
 	// IncompleteRecoveries is how many recoveries of this aggregator ended before enough other
@@ -72,7 +72,7 @@
 		return cmp.Compare(y.SilentSeconds, x.SilentSeconds)
 	})
 	summary.LateReports = summary.LateReports[:min(len(summary.LateReports), maxLateReports)]
-	summary.MaxMissing = missing.total()
+	summary.EstimatedMissing = missing.total()
 	summary.Total = total.sorted()
 	summary.LastMinute = a.lastMinute(now).sorted()
 	return summary
--- a/internal/policy/counter/summary_test.go
+++ b/internal/policy/counter/summary_test.go
@@ -14,7 +14,7 @@
 		LastMinute:           []serving.CounterCell{},
 		OpenRows:             2,
 		LateReports:          []LateReport{{Server: "a", SilentSeconds: 3, RequestsPerSecond: 4}},
-		MaxMissing:           5,
+		EstimatedMissing:     5,
 		Recovering:           true,
 		IncompleteRecoveries: 6,
 		RejectedReports:      7,
--- a/internal/policy/lease/availability.go
+++ b/internal/policy/lease/availability.go
@@ -2,10 +2,10 @@
 
 import "swiftcourse/internal/policy/release"
 
-// maxUnavailable converts Config.MaxUnavailable, a fraction of the registered servers, to a number
+// maxUnavailable converts Config.MaxUnavailableFraction, a fraction of the registered servers, to a number
 // of servers, rounded down.
 func (g *Grantor) maxUnavailable(releaseLog *release.Log) int {
-	return int(g.config.MaxUnavailable * float64(len(releaseLog.Members)))
+	return int(g.config.MaxUnavailableFraction * float64(len(releaseLog.Members)))
 }
 
 // isOperatorEjection reports whether an operator ejected the server. An operator's ejection applies
@@ -20,9 +20,9 @@
 	return ejection, ejected
 }
 
-// catchUpTimedOut reports whether a server has been lagging for longer than Config.CatchUpTimeout.
+// catchUpTimedOut reports whether a server has been lagging for longer than Config.CatchUpTimeoutSeconds.
 func (g *Grantor) catchUpTimedOut(now float64, record *serverRecord) bool {
-	return record.lagging() && now > record.laggingSince+g.config.CatchUpTimeout
+	return record.lagging() && now > record.laggingSince+g.config.CatchUpTimeoutSeconds
 }
 
 // reserveEjection reports whether a lagging server may be ejected without exceeding the limit on
@@ -31,7 +31,7 @@
 func (g *Grantor) reserveEjection(releaseLog *release.Log, name string) bool {
 	record := g.servers[name]
 	if !record.ejectionReserved {
-		// A fleet of two or more servers allows one ejection even if MaxUnavailable allows none.
+		// A fleet of two or more servers allows one ejection even if MaxUnavailableFraction allows none.
 		minLimit := min(1, len(releaseLog.Members)/2)
 		limit := max(g.maxUnavailable(releaseLog), minLimit)
 		if g.countUnavailable(releaseLog) >= limit {
--- a/internal/policy/lease/cluster_test.go
+++ b/internal/policy/lease/cluster_test.go
@@ -9,7 +9,12 @@
 	"swiftcourse/internal/policy/serving"
 )
 
-var testConfig = Config{Duration: 3, CatchUpTimeout: 5, MaxUnavailable: 0.25, ForgetAfter: 60}
+var testConfig = Config{
+	LeaseSeconds:           3,
+	CatchUpTimeoutSeconds:  5,
+	MaxUnavailableFraction: 0.25,
+	UnregisterAfterSeconds: 60,
+}
 
 // testVoterAddrs has only the first server. A new leader knows its address from the start and
 // learns the other servers' addresses from their requests, so that the random schedules cover both
@@ -93,7 +98,7 @@
 		Incarnation:  s.incarnation,
 		Addr:         addr,
 		Fallback:     fallback,
-		LeaseSeconds: testConfig.Duration,
+		LeaseSeconds: testConfig.LeaseSeconds,
 	}, s.clock(c.now))
 	c.servers = append(c.servers, s)
 	return s
@@ -121,7 +126,7 @@
 		c.deposed = &leader{
 			grantor:        c.leader.grantor,
 			releaseLog:     c.releaseLog.Clone(),
-			confirmedUntil: c.now + LeaderConfirmationWindow,
+			confirmedUntil: c.now + LeaderConfirmationWindowSeconds,
 		}
 	}
 	c.leader = &leader{grantor: NewGrantor(testConfig, testVoterAddrs, c.now)}
@@ -238,7 +243,7 @@
 // checkInvariants checks the mode in which each server loop serves now, including servers whose
 // node agent is paused. It fails the test if two incarnations of a name have a lease, if an ejected
 // server has a lease, or if more servers are out of service for want of a leader than
-// MaxUnavailable allows.
+// MaxUnavailableFraction allows.
 func (c *cluster) checkInvariants() {
 	leased := map[string]uint64{}
 	outOfService := 0
@@ -263,7 +268,7 @@
 		}
 	}
 	members := max(len(c.releaseLog.Members), len(c.servers))
-	if limit := int(testConfig.MaxUnavailable * float64(members)); outOfService > limit {
+	if limit := int(testConfig.MaxUnavailableFraction * float64(members)); outOfService > limit {
 		c.t.Fatalf("%d of %d servers went out of service because no leader was reachable, want at most %d",
 			outOfService, len(c.servers), limit)
 	}
--- a/internal/policy/lease/doc.go
+++ b/internal/policy/lease/doc.go
@@ -18,7 +18,7 @@
 // Invariants:
 //   - At no time do two incarnations of one name hold a lease.
 //   - No server holds a lease while the release log lists it as ejected.
-//   - At most the fraction Config.MaxUnavailable of the fleet goes out of service because no leader
+//   - At most the fraction Config.MaxUnavailableFraction of the fleet goes out of service because no leader
 //     is reachable.
 //
 // A lease starts when the holder makes the request, by the holder's clock, so neither network delay
--- a/internal/policy/lease/grantor.go
+++ b/internal/policy/lease/grantor.go
@@ -8,22 +8,22 @@
 
 // Config holds the operator's settings for all leases of the fleet.
 type Config struct {
-	// Duration is the length of a lease in seconds.
-	Duration float64
-	// CatchUpTimeout is how long, in seconds, a server may be lagging before it is ejected.
-	CatchUpTimeout float64
-	// MaxUnavailable is the fraction of the fleet that may be ejected as lagging. Independently, it
+	// LeaseSeconds is the length of a lease in seconds.
+	LeaseSeconds float64
+	// CatchUpTimeoutSeconds is how long, in seconds, a server may be lagging before it is ejected.
+	CatchUpTimeoutSeconds float64
+	// MaxUnavailableFraction is the fraction of the fleet that may be ejected as lagging. Independently, it
 	// is also the fraction that may go out of service because no leader is reachable.
-	MaxUnavailable float64
-	// ForgetAfter is the time without a request, in seconds, after which a server's name is
+	MaxUnavailableFraction float64
+	// UnregisterAfterSeconds is the time without a request, in seconds, after which a server's name is
 	// unregistered.
-	ForgetAfter float64
+	UnregisterAfterSeconds float64
 }
 
 const (
-	// LeaderConfirmationWindow is how long, in seconds, a leader may decide after a majority last
+	// LeaderConfirmationWindowSeconds is how long, in seconds, a leader may decide after a majority last
 	// confirmed it: four times the interval between two confirmations.
-	LeaderConfirmationWindow = 1.0
+	LeaderConfirmationWindowSeconds = 1.0
 	// maxClockDriftFraction is the fraction by which a server's clock may run slower than the
 	// leader's. It is far above the drift of a quartz clock and above the 1% drift of the
 	// simulations.
@@ -78,19 +78,21 @@
 
 // maxLeaseSeconds returns the longest time, in seconds of the grantor's clock, that a lease may
 // last.
-func (g *Grantor) maxLeaseSeconds() float64 { return g.config.Duration * (1 + maxClockDriftFraction) }
+func (g *Grantor) maxLeaseSeconds() float64 {
+	return g.config.LeaseSeconds * (1 + maxClockDriftFraction)
+}
 
 // priorLeasesExpiry returns when all leases that an earlier leader granted have expired. An earlier
-// leader may grant leases for up to LeaderConfirmationWindow after this term began.
+// leader may grant leases for up to LeaderConfirmationWindowSeconds after this term began.
 func (g *Grantor) priorLeasesExpiry() float64 {
-	return g.startedAt + LeaderConfirmationWindow + g.maxLeaseSeconds()
+	return g.startedAt + LeaderConfirmationWindowSeconds + g.maxLeaseSeconds()
 }
 
 // priorLeasesExpired reports whether all leases from earlier leaders have expired.
 func (g *Grantor) priorLeasesExpired(now float64) bool { return now > g.priorLeasesExpiry() }
 
 // HandleRequest answers a lease request and returns the commands to propose to the voters.
-// confirmed says whether a majority confirmed the leader within LeaderConfirmationWindow. The
+// confirmed says whether a majority confirmed the leader within LeaderConfirmationWindowSeconds. The
 // verdict is VerdictRetry if it did not, or if a command has to be committed first.
 func (g *Grantor) HandleRequest(
 	now float64, request *Request, releaseLog *release.Log, confirmed bool,
@@ -198,7 +200,7 @@
 		return g.eject(now, request, record)
 	}
 	reply.Verdict = VerdictGranted
-	reply.Duration = g.config.Duration
+	reply.LeaseSeconds = g.config.LeaseSeconds
 	reply.MayGoOutOfService = g.permitOutOfService(now, releaseLog, record, request)
 	record.leaseEnd = now + g.maxLeaseSeconds()
 	return nil
--- a/internal/policy/lease/grantor_test.go
+++ b/internal/policy/lease/grantor_test.go
@@ -27,7 +27,7 @@
 	lagging := c.servers[3]
 	lagging.blocked = true
 	c.release("x")
-	c.run(testConfig.CatchUpTimeout + 2*testConfig.Duration)
+	c.run(testConfig.CatchUpTimeoutSeconds + 2*testConfig.LeaseSeconds)
 	state, reason := lagging.holder.State()
 	if state != StateFenced || reason != "it refuses the file" {
 		t.Errorf("lagging server: state %s (%q), want %s (\"it refuses the file\")", state, reason, StateFenced)
@@ -58,7 +58,7 @@
 		s.blocked = true
 	}
 	c.release("x")
-	c.run(testConfig.CatchUpTimeout + 5*testConfig.Duration)
+	c.run(testConfig.CatchUpTimeoutSeconds + 5*testConfig.LeaseSeconds)
 	if n := len(c.releaseLog.Ejected); n != 2 {
 		t.Errorf("%d of 8 servers are ejected, want 2", n)
 	}
@@ -77,7 +77,7 @@
 		t.Errorf("first incarnation: state %s, want %s", state, StateLeased)
 	}
 	first.paused = true // for longer than its lease
-	c.run(3 * testConfig.Duration)
+	c.run(3 * testConfig.LeaseSeconds)
 	if state, _ := second.holder.State(); state != StateLeased {
 		t.Errorf("first incarnation paused for three leases: state of the second %s, want %s",
 			state, StateLeased)
@@ -89,7 +89,7 @@
 	}
 	restarted := c.restartServer(2, serving.ModeNormal)
 	restartedAt := c.now
-	for c.now < restartedAt+testConfig.Duration && restarted.snapshot.State != StateLeased {
+	for c.now < restartedAt+testConfig.LeaseSeconds && restarted.snapshot.State != StateLeased {
 		c.run(0.1)
 	}
 	if took := c.now - restartedAt; took > 2 {
@@ -104,7 +104,7 @@
 	ahead := c.servers[2]
 	ahead.active = release.NewEpoch(50, 3) // the log's cluster ID is 7
 	ahead.assigned = ahead.active
-	c.run(3 * testConfig.Duration)
+	c.run(3 * testConfig.LeaseSeconds)
 	c.requireAllLeased(t)
 	if epoch := c.releaseLog.Current.Epoch; epoch.ClusterID() <= 50 {
 		t.Errorf("current epoch %s, want a cluster ID above 50", epoch)
@@ -119,17 +119,17 @@
 func TestGrantor_PermitsKeptOnLeaderChange(t *testing.T) {
 	original := testConfig
 	t.Cleanup(func() { testConfig = original })
-	testConfig.MaxUnavailable = 1
+	testConfig.MaxUnavailableFraction = 1
 	for seed := range uint64(20) {
 		c := newCluster(t, seed, 5, serving.ModeOutOfService)
-		c.run(4 * testConfig.Duration)
+		c.run(4 * testConfig.LeaseSeconds)
 		c.electLeader()
 		for range 100 {
 			c.run(0.05)
 			for _, s := range c.servers {
 				if !s.holder.MayGoOutOfService() {
 					t.Fatalf("seed %d: %s lost its permit %.2f s after the leader changed",
-						seed, s.name, c.now-4*testConfig.Duration)
+						seed, s.name, c.now-4*testConfig.LeaseSeconds)
 				}
 			}
 		}
@@ -141,7 +141,7 @@
 // sooner than another server.
 func TestGrantor_RestartedServerRegainsNameAfterLeaderChange(t *testing.T) {
 	c := newCluster(t, 11, 3, serving.ModeNormal)
-	c.run(2 * testConfig.Duration)
+	c.run(2 * testConfig.LeaseSeconds)
 	c.electLeader()
 	c.run(0.5)
 	for i := range 2 { // the first is a voter
@@ -151,7 +151,7 @@
 	if state, reason := c.servers[0].holder.State(); state != StateLeased {
 		t.Errorf("1.5 s after the restart of the voter: state %s (%s), want %s", state, reason, StateLeased)
 	}
-	c.run(2 * testConfig.Duration)
+	c.run(2 * testConfig.LeaseSeconds)
 	c.requireAllLeased(t)
 }
 
@@ -161,12 +161,12 @@
 	for _, leaderChanges := range []bool{false, true} {
 		t.Run(fmt.Sprintf("leader changes %t", leaderChanges), func(t *testing.T) {
 			c := newCluster(t, 12, 3, serving.ModeNormal)
-			c.run(testConfig.Duration)
+			c.run(testConfig.LeaseSeconds)
 			for i := range 2 { // the first is a voter
 				ended := c.servers[i]
 				late := ended.holder.NewRequest(ended.clock(c.now))
 				successor := c.restartServer(i, serving.ModeNormal)
-				c.run(testConfig.Duration)
+				c.run(testConfig.LeaseSeconds)
 				if leaderChanges {
 					c.electLeader()
 					c.run(0.5)
@@ -206,16 +206,16 @@
 // The keys of the control API must not change; they differ from the names of the Go fields.
 func TestServerStatus_JSONKeys(t *testing.T) {
 	status := ServerStatus{
-		Name:              "n1",
-		Incarnation:       5,
-		ActiveEpoch:       3,
-		AssignedEpoch:     4,
-		SecondsSinceHeard: 1.5,
-		SecondsBehind:     2.5,
-		BlockedBy:         "s",
-		EjectionReason:    "o",
-		Build:             "b",
-		Reported:          true,
+		Name:                "n1",
+		Incarnation:         5,
+		ActiveEpoch:         3,
+		AssignedEpoch:       4,
+		SecondsSinceRequest: 1.5,
+		LaggingSeconds:      2.5,
+		BlockedBy:           "s",
+		EjectionReason:      "o",
+		Build:               "b",
+		Reported:            true,
 	}
 	const want = `{"Name":"n1","Life":5,"Epoch":3,"Right":4,"Heard":1.5,"Behind":2.5,` +
 		`"Stuck":"s","Out":"o","Build":"b","Known":true}`
--- a/internal/policy/lease/holder.go
+++ b/internal/policy/lease/holder.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// RequestBy makes the next request due at the given time at the latest.
-func (h *Holder) RequestBy(at float64) { h.nextRequestAt = min(h.nextRequestAt, at) }
+// ScheduleRequestBy makes the next request due at the given time at the latest.
+func (h *Holder) ScheduleRequestBy(at float64) { h.nextRequestAt = min(h.nextRequestAt, at) }
 
 // Leader returns the name of the voter to send requests to, "" for any voter.
 func (h *Holder) Leader() string { return h.leader }
@@ -98,7 +98,7 @@
 // any voter, within minRequestIntervalSeconds.
 func (h *Holder) HandleLeaderUnreachable(now float64) {
 	h.leader = ""
-	h.RequestBy(now + minRequestIntervalSeconds)
+	h.ScheduleRequestBy(now + minRequestIntervalSeconds)
 }
 
 // HandleReply applies a reply and reports whether the holder's state changed. It ignores a reply to
@@ -139,13 +139,13 @@
 		h.requests.nonce = reply.Nonce
 	}
 	h.leader = reply.Leader
-	h.RequestBy(max(sentAt+minRequestIntervalSeconds, now))
+	h.ScheduleRequestBy(max(sentAt+minRequestIntervalSeconds, now))
 }
 
 // applyGrant applies a granted lease, which starts at the time of its request.
 func (h *Holder) applyGrant(now, sentAt float64, reply *Reply) {
 	h.mayGoOutOfService = reply.MayGoOutOfService
-	h.leaseEnd = max(h.leaseEnd, sentAt+min(reply.Duration, h.config.LeaseSeconds))
+	h.leaseEnd = max(h.leaseEnd, sentAt+min(reply.LeaseSeconds, h.config.LeaseSeconds))
 	if now < h.leaseEnd {
 		h.state = nextState(h.state, eventGranted)
 	}
@@ -177,8 +177,8 @@
 // version.
 func (h *Holder) SetErrorTally(tally release.ErrorTally) { h.errorTally = tally }
 
-// Unanswered returns the number of requests made since the latest request that has a valid reply.
-func (h *Holder) Unanswered() uint64 {
+// UnansweredRequests returns the number of requests made since the latest request that has a valid reply.
+func (h *Holder) UnansweredRequests() uint64 {
 	return h.requests.lastSent - max(h.requests.lastDecided, h.requests.lastRetried)
 }
 
--- a/internal/policy/lease/holder_test.go
+++ b/internal/policy/lease/holder_test.go
@@ -18,9 +18,9 @@
 	} {
 		t.Run(test.fallback.String(), func(t *testing.T) {
 			c := newCluster(t, 5, 8, test.fallback)
-			c.run(3 * testConfig.Duration)
+			c.run(3 * testConfig.LeaseSeconds)
 			c.partitioned = true
-			c.run(3 * testConfig.Duration)
+			c.run(3 * testConfig.LeaseSeconds)
 			modes := map[serving.Mode]int{}
 			for _, s := range c.servers {
 				modes[s.snapshot.ModeAt(s.clock(c.now))]++
@@ -36,7 +36,7 @@
 	h := NewHolder(HolderConfig{Name: "n", Incarnation: 9, Addr: "a", LeaseSeconds: 3}, 100)
 	first, second := h.NewRequest(100), h.NewRequest(101)
 	replyTo := func(request Request, verdict Verdict) *Reply {
-		return &Reply{Incarnation: 9, Number: request.Number, Verdict: verdict, Duration: 3, AssignedEpoch: 5}
+		return &Reply{Incarnation: 9, Number: request.Number, Verdict: verdict, LeaseSeconds: 3, AssignedEpoch: 5}
 	}
 	toEarlierIncarnation := replyTo(second, VerdictGranted)
 	toEarlierIncarnation.Incarnation = 8
--- a/internal/policy/lease/maintain.go
+++ b/internal/policy/lease/maintain.go
@@ -25,17 +25,17 @@
 }
 
 // pruneServers drops the records of incarnations that own no name and have sent no request for
-// Config.ForgetAfter. It also releases the ejection reservations of servers that are no longer
+// Config.UnregisterAfterSeconds. It also releases the ejection reservations of servers that are no longer
 // lagging, or whose lease expired more than a lease duration ago.
 func (g *Grantor) pruneServers(now float64, releaseLog *release.Log) {
 	for name, record := range g.servers {
 		if releaseLog.Members[name] != record.incarnation {
-			if now > record.lastRequestAt+g.config.ForgetAfter {
+			if now > record.lastRequestAt+g.config.UnregisterAfterSeconds {
 				delete(g.servers, name)
 			}
 			continue
 		}
-		absent := now > record.leaseEnd+g.config.Duration
+		absent := now > record.leaseEnd+g.config.LeaseSeconds
 		if !record.lagging() || absent {
 			record.ejectionReserved = false
 		}
@@ -43,15 +43,15 @@
 }
 
 // unregisterInactive returns commands that unregister the servers without a request for
-// Config.ForgetAfter, ordered by name.
+// Config.UnregisterAfterSeconds, ordered by name.
 func (g *Grantor) unregisterInactive(now float64, releaseLog *release.Log) []release.Command {
-	if now <= g.startedAt+g.config.ForgetAfter+g.maxLeaseSeconds() {
+	if now <= g.startedAt+g.config.UnregisterAfterSeconds+g.maxLeaseSeconds() {
 		return nil
 	}
 	var commands []release.Command
 	for name, incarnation := range releaseLog.Members {
 		record := g.servers[name]
-		if record != nil && now <= record.lastRequestAt+g.config.ForgetAfter {
+		if record != nil && now <= record.lastRequestAt+g.config.UnregisterAfterSeconds {
 			continue
 		}
 		unregister := g.commands.propose(now, commandSubject(name), release.Command{
@@ -60,9 +60,9 @@
 			Incarnation: incarnation,
 		})
 		if unregister != nil {
-			// A record that is created here counts as older than ForgetAfter: it is pruned once the
+			// A record that is created here counts as older than UnregisterAfterSeconds: it is pruned once the
 			// name is unregistered, and a lost command is proposed again.
-			lastRequestAt := now - g.config.ForgetAfter - 1
+			lastRequestAt := now - g.config.UnregisterAfterSeconds - 1
 			g.withholdLease(lastRequestAt, name, incarnation)
 			commands = append(commands, unregister...)
 		}
--- a/internal/policy/lease/message.go
+++ b/internal/policy/lease/message.go
@@ -56,8 +56,8 @@
 	Incarnation uint64
 	Number      uint64
 	Verdict     Verdict
-	// Duration is the length of the lease in seconds, from the time of the request.
-	Duration float64
+	// LeaseSeconds is the length of the lease in seconds, from the time of the request.
+	LeaseSeconds float64
 	// AssignedEpoch is the epoch of the configuration version that the server has to run.
 	AssignedEpoch release.Epoch
 	// MayGoOutOfService permits the server to go out of service when its lease expires because no
--- a/internal/policy/lease/rollout.go
+++ b/internal/policy/lease/rollout.go
@@ -37,7 +37,7 @@
 		g.rollout = rolloutProgress{epoch: epoch, wave: releaseLog.WaveIndex, settledSince: now}
 	}
 	status := g.currentWaveStatus(now, releaseLog)
-	if release.HarmConfidence(status.next, status.current) > policy.HaltConfidence {
+	if release.RegressionConfidence(status.next, status.current) > policy.HaltConfidence {
 		return g.commands.propose(now, subjectRelease, release.Command{
 			Kind:          release.KindRollback,
 			ExpectedEpoch: epoch,
@@ -62,7 +62,7 @@
 	next := releaseLog.Next.Epoch
 	var status waveStatus
 	for name, record := range g.servers {
-		if releaseLog.Members[name] != record.incarnation || now > record.lastRequestAt+g.config.Duration {
+		if releaseLog.Members[name] != record.incarnation || now > record.lastRequestAt+g.config.LeaseSeconds {
 			continue
 		}
 		switch record.activeEpoch {
--- a/internal/policy/lease/schedule_test.go
+++ b/internal/policy/lease/schedule_test.go
@@ -42,7 +42,7 @@
 			c.run(rapid.SampledFrom([]float64{0.1, 1, 4}).Draw(t, "wait"))
 		}
 		c.heal()
-		c.run(6 * testConfig.Duration)
+		c.run(6 * testConfig.LeaseSeconds)
 		deviation := c.findDeviation()
 		for range 10 { // a few replies in a thousand take over a second, so that a lease may expire
 			if deviation != "" {
--- a/internal/policy/lease/server_record.go
+++ b/internal/policy/lease/server_record.go
@@ -20,7 +20,7 @@
 	// laggingSince is the time of the first request in which the active version was not the
 	// assigned one, or notLagging.
 	laggingSince float64
-	// ejectionReserved means that the server counts toward Config.MaxUnavailable while its ejection
+	// ejectionReserved means that the server counts toward Config.MaxUnavailableFraction while its ejection
 	// is not committed yet.
 	ejectionReserved bool
 
--- a/internal/policy/lease/status.go
+++ b/internal/policy/lease/status.go
@@ -16,11 +16,11 @@
 	// run.
 	ActiveEpoch   release.Epoch `json:"Epoch"`
 	AssignedEpoch release.Epoch `json:"Right"`
-	// SecondsSinceHeard is the age of the server's latest request.
-	SecondsSinceHeard float64 `json:"Heard"`
-	// SecondsBehind is the time for which the server has been lagging, 0 if it is not lagging.
-	SecondsBehind float64 `json:"Behind"`
-	BlockedBy     string  `json:"Stuck"`
+	// SecondsSinceRequest is the age of the server's latest request.
+	SecondsSinceRequest float64 `json:"Heard"`
+	// LaggingSeconds is the time for which the server has been lagging, 0 if it is not lagging.
+	LaggingSeconds float64 `json:"Behind"`
+	BlockedBy      string  `json:"Stuck"`
 	// EjectionReason is the reason why the server is ejected, "" if it is not ejected.
 	EjectionReason string `json:"Out"`
 	Build          string
@@ -56,11 +56,11 @@
 	}
 	status.Reported = true
 	status.ActiveEpoch = record.activeEpoch
-	status.SecondsSinceHeard = now - record.lastRequestAt
+	status.SecondsSinceRequest = now - record.lastRequestAt
 	status.BlockedBy = record.blockedBy
 	status.Build = record.build
 	if record.lagging() {
-		status.SecondsBehind = now - record.laggingSince
+		status.LaggingSeconds = now - record.laggingSince
 	}
 	return status
 }
--- a/internal/policy/loadplan/planner.go
+++ b/internal/policy/loadplan/planner.go
@@ -157,7 +157,7 @@
 func (p *Planner) worker(name string) *workerState {
 	worker := p.workers[name]
 	if worker == nil && len(p.workers) < maxWorkers {
-		worker = &workerState{capacity: workercapacity.Min}
+		worker = &workerState{capacity: workercapacity.MinRequestsPerSecond}
 		p.workers[name] = worker
 	}
 	return worker
--- a/internal/policy/quota/config.go
+++ b/internal/policy/quota/config.go
@@ -13,9 +13,9 @@
 	// Max is in units a second or, if Concurrent, in units in use at the same time.
 	Max float64
 	// Concurrent limits the units in use at the same time. A unit stays in use for at most
-	// LingerSeconds. If Concurrent is false, the limit is a rate.
+	// MaxUseSeconds. If Concurrent is false, the limit is a rate.
 	Concurrent    bool
-	LingerSeconds float64
+	MaxUseSeconds float64
 }
 
 // Config is the configuration of the limits. All servers must have the same one; requests carry
@@ -42,7 +42,7 @@
 	// simulations.
 	maxClockDrift = 0.02
 	// leaderLeaseSeconds is how long a leader may still grant leases after it was replaced. It must
-	// equal lease.LeaderConfirmationWindow, the time for which a majority's confirmation of a
+	// equal lease.LeaderConfirmationWindowSeconds, the time for which a majority's confirmation of a
 	// leader is valid.
 	leaderLeaseSeconds = 1.0
 	maxLimits          = 16384
@@ -85,7 +85,7 @@
 	hash := xxhash.New()
 	_, _ = fmt.Fprintln(hash, c.LeaseSeconds, c.FloorFraction, c.MaxServers)
 	for _, limit := range c.Limits {
-		_, _ = fmt.Fprintln(hash, limit.Name, limit.Max, limit.Concurrent, limit.LingerSeconds)
+		_, _ = fmt.Fprintln(hash, limit.Name, limit.Max, limit.Concurrent, limit.MaxUseSeconds)
 	}
 	return hash.Sum64()
 }
@@ -124,10 +124,10 @@
 		return "more than one limit has this name"
 	case !(limit.Max >= 0) || math.IsInf(limit.Max, 0):
 		return fmt.Sprintf("the maximum is %g, want a finite number of at least 0", limit.Max)
-	case limit.Concurrent != (limit.LingerSeconds > 0):
+	case limit.Concurrent != (limit.MaxUseSeconds > 0):
 		return fmt.Sprintf("a unit may stay in use for %g s (maximum %g, concurrent: %t), "+
 			"want more than 0 s for a concurrent limit and 0 s for a rate",
-			limit.LingerSeconds, limit.Max, limit.Concurrent)
+			limit.MaxUseSeconds, limit.Max, limit.Concurrent)
 	case limit.Concurrent && limit.Max > 0 && c.FloorPerServer(limit) < 1:
 		return fmt.Sprintf("the floor of each server, %g%% of %g divided by %d servers, is %g, want at least 1",
 			100*c.FloorFraction, limit.Max, c.MaxServers, c.FloorPerServer(limit))
--- a/internal/policy/quota/grantor_limit.go
+++ b/internal/policy/quota/grantor_limit.go
@@ -56,7 +56,7 @@
 // latestUseEnd returns the time after which no unit that was in use at start is still in use, even
 // by the slowest clock.
 func (s *grantorLimit) latestUseEnd(start float64) float64 {
-	return start + s.limit.LingerSeconds*(1+maxClockDrift)
+	return start + s.limit.MaxUseSeconds*(1+maxClockDrift)
 }
 
 // allocationOf returns a holder's allocation and creates it if there is none. It returns nil if it
--- a/internal/policy/quota/quota_test.go
+++ b/internal/policy/quota/quota_test.go
@@ -217,7 +217,7 @@
 			c.Limits = []Limit{{Name: "a", Max: 50, Concurrent: true}}
 		}},
 		{"floor under one unit", "a", func(c *Config) {
-			c.Limits = []Limit{{Name: "a", Max: 30, Concurrent: true, LingerSeconds: 1}}
+			c.Limits = []Limit{{Name: "a", Max: 30, Concurrent: true, MaxUseSeconds: 1}}
 		}},
 	}
 	for _, c := range cases {
--- a/internal/policy/quota/schedule_test.go
+++ b/internal/policy/quota/schedule_test.go
@@ -24,7 +24,7 @@
 			server.paused = false
 			server.partitioned = false
 		}
-		s.run(3*s.config.LeaseSeconds + 3*testLimits[1].LingerSeconds)
+		s.run(3*s.config.LeaseSeconds + 3*testLimits[1].MaxUseSeconds)
 		// A late request of a terminated incarnation may have leased a share, which stays committed
 		// until its lease expires.
 		for tries := 0; s.shortfall() != ""; tries++ {
--- a/internal/policy/quota/simulation_test.go
+++ b/internal/policy/quota/simulation_test.go
@@ -85,7 +85,7 @@
 
 var testLimits = []Limit{
 	{Name: rateLimit, Max: 100},
-	{Name: concurrentLimit, Max: 60, Concurrent: true, LingerSeconds: 1.5},
+	{Name: concurrentLimit, Max: 60, Concurrent: true, MaxUseSeconds: 1.5},
 }
 
 func newSimulation(t testReporter, seed uint64, servers int) *simulation {
@@ -234,7 +234,7 @@
 	}
 	for float64(inUse)+1 <= min(server.limitAt(concurrentLimit, s.now), server.demand) {
 		inUse++
-		endsAt := s.now + (0.05+0.95*s.random.Float64())*s.config.Limits[1].LingerSeconds
+		endsAt := s.now + (0.05+0.95*s.random.Float64())*s.config.Limits[1].MaxUseSeconds
 		s.inUse = append(s.inUse, unit{server, endsAt})
 	}
 	return inUse
--- a/internal/policy/release/harm.go
+++ b/internal/policy/release/regression.go
@@ -22,14 +22,14 @@
 	minRateIncrease = 0.02
 )
 
-// HarmConfidence returns the confidence, from 0 to 1, that requests fail more often on servers with
+// RegressionConfidence returns the confidence, from 0 to 1, that requests fail more often on servers with
 // the next version than on servers with the current one, by a one-sided test of two proportions. It
 // returns 0 if a sample is smaller than minSampleSize or the increase is below minRateIncrease.
 //
 // The test can't distinguish a bad release from a release whose first servers receive requests that
 // fail more often anyway. Waves are selected by a hash of the server name to make that unlikely,
 // but it can still happen with a wave of one server.
-func HarmConfidence(next, current ErrorTally) float64 {
+func RegressionConfidence(next, current ErrorTally) float64 {
 	if next.Completed < minSampleSize || current.Completed < minSampleSize {
 		return 0
 	}
--- a/internal/policy/release/harm_test.go
+++ b/internal/policy/release/regression_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestHarmConfidence_DetectsHigherFailureRate(t *testing.T) {
+func TestRegressionConfidence_DetectsHigherFailureRate(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	draw := func(requests int, failureRate float64) (tally ErrorTally) {
 		for range requests {
@@ -18,10 +18,10 @@
 	}
 	falseAlarms, detected := 0, 0
 	for range 2000 {
-		if HarmConfidence(draw(300, 0.10), draw(3000, 0.10)) > 0.9999 {
+		if RegressionConfidence(draw(300, 0.10), draw(3000, 0.10)) > 0.9999 {
 			falseAlarms++
 		}
-		if HarmConfidence(draw(300, 0.30), draw(3000, 0.10)) > 0.9999 {
+		if RegressionConfidence(draw(300, 0.30), draw(3000, 0.10)) > 0.9999 {
 			detected++
 		}
 	}
@@ -32,18 +32,18 @@
 	}
 }
 
-func TestHarmConfidence_TooFewRequests(t *testing.T) {
+func TestRegressionConfidence_TooFewRequests(t *testing.T) {
 	next := ErrorTally{Completed: 99, Failed: 99}
 	current := ErrorTally{Completed: 1000}
-	if confidence := HarmConfidence(next, current); confidence != 0 {
+	if confidence := RegressionConfidence(next, current); confidence != 0 {
 		t.Errorf("confidence %g with 99 requests, want 0", confidence)
 	}
 }
 
-func TestHarmConfidence_IncreaseBelowMinimum(t *testing.T) {
+func TestRegressionConfidence_IncreaseBelowMinimum(t *testing.T) {
 	next := ErrorTally{Completed: 1e6, Failed: 1.1e5}
 	current := ErrorTally{Completed: 1e6, Failed: 1e5}
-	if confidence := HarmConfidence(next, current); confidence != 0 {
+	if confidence := RegressionConfidence(next, current); confidence != 0 {
 		t.Errorf("confidence %g with an increase of the failure rate from 10%% to 11%%, want 0", confidence)
 	}
 }
--- a/internal/policy/release/rollout.go
+++ b/internal/policy/release/rollout.go
@@ -12,7 +12,7 @@
 	// next wave begins.
 	WaveSeconds float64
 
-	// HaltConfidence is the HarmConfidence, from 0 to 1, above which a release is rolled back. With
+	// HaltConfidence is the RegressionConfidence, from 0 to 1, above which a release is rolled back. With
 	// 1 or more, no release is rolled back automatically.
 	HaltConfidence float64
 }
--- a/internal/policy/replication/messages.go
+++ b/internal/policy/replication/messages.go
@@ -72,7 +72,7 @@
 	Term         Term   // the requester's term
 	Slots        []int
 	AfterKey     replicastore.Key // last key received of the first slot, valid if Resumes is set
-	Resumes      bool             // the first slot continues after AfterKey
+	HasAfterKey  bool             // the first slot continues after AfterKey
 }
 
 // RecordCopy is a record that is sent to another replica.
--- a/internal/policy/replication/pull_client.go
+++ b/internal/policy/replication/pull_client.go
@@ -17,7 +17,7 @@
 			Term:         r.ownTerm(),
 			Slots:        slots,
 			AfterKey:     peer.afterKey,
-			Resumes:      peer.resumes,
+			HasAfterKey:  peer.resumes,
 		}
 	}
 	peer.sentAt = now
--- a/internal/policy/replication/pull_server.go
+++ b/internal/policy/replication/pull_server.go
@@ -35,7 +35,7 @@
 			continue
 		}
 		var after *replicastore.Key
-		if i == 0 && request.Resumes {
+		if i == 0 && request.HasAfterKey {
 			after = &request.AfterKey
 		}
 		records, size := r.slotRecords(now, slot, after, remainingBytes)
--- a/internal/policy/routing/attempt.go
+++ b/internal/policy/routing/attempt.go
@@ -67,11 +67,11 @@
 // RetryCandidate describes a request whose last attempt ended, for AllowRetry to decide whether it may
 // be retried.
 type RetryCandidate struct {
-	LastOutcome    Outcome
-	Attempts       int // number of attempts so far
-	IsIdempotent   bool
-	Remaining      float64 // seconds until the request's deadline
-	TypicalLatency float64 // seconds that an attempt at such a request usually takes
+	LastOutcome           Outcome
+	Attempts              int // number of attempts so far
+	IsIdempotent          bool
+	RemainingSeconds      float64 // seconds until the request's deadline
+	TypicalLatencySeconds float64 // seconds that an attempt at such a request usually takes
 }
 
 // isEligible reports whether another attempt is safe and can be expected to finish in time.
@@ -80,7 +80,7 @@
 	case Finished, Failed, TimedOut, Cancelled:
 		return false
 	}
-	if r.Attempts >= maxAttempts || r.Remaining <= r.TypicalLatency {
+	if r.Attempts >= maxAttempts || r.RemainingSeconds <= r.TypicalLatencySeconds {
 		return false
 	}
 	return r.IsIdempotent || r.LastOutcome.KnownNotExecuted()
--- a/internal/policy/routing/router.go
+++ b/internal/policy/routing/router.go
@@ -48,7 +48,7 @@
 		penalty:     decayingPenalty{updatedAt: now},
 		planWeight:  1,
 		localWeight: 1,
-		capacity:    workercapacity.Min,
+		capacity:    workercapacity.MinRequestsPerSecond,
 	}
 	r.workers = append(r.workers, added)
 	r.byName[name] = added
--- a/internal/policy/routing/router_test.go
+++ b/internal/policy/routing/router_test.go
@@ -95,11 +95,11 @@
 	m.inFlight[name] = m.inFlight[name][1:]
 	isIdempotent := m.rng.IntN(2) == 0
 	retry := RetryCandidate{
-		LastOutcome:    outcome,
-		Attempts:       1,
-		IsIdempotent:   isIdempotent,
-		Remaining:      1,
-		TypicalLatency: 0.1,
+		LastOutcome:           outcome,
+		Attempts:              1,
+		IsIdempotent:          isIdempotent,
+		RemainingSeconds:      1,
+		TypicalLatencySeconds: 0.1,
 	}
 	if !m.router.AllowRetry(retry) {
 		return
--- a/internal/policy/workercapacity/estimate.go
+++ b/internal/policy/workercapacity/estimate.go
@@ -8,9 +8,9 @@
 package workercapacity
 
 const (
-	// Min is the lowest capacity estimate, in requests per second. It is above 0 so that a worker that
+	// MinRequestsPerSecond is the lowest capacity estimate, in requests per second. It is above 0 so that a worker that
 	// has finished nothing still receives requests.
-	Min = 1.0
+	MinRequestsPerSecond = 1.0
 
 	// smoothing is the weight of the latest interval in the moving average.
 	smoothing = 0.3
@@ -37,7 +37,7 @@
 	rate := float64(attempts.Finished) / intervalSeconds
 	switch {
 	case float64(unfinished) > overloadRatio*float64(total):
-		return previous + smoothing*(max(Min, rate)-previous)
+		return previous + smoothing*(max(MinRequestsPerSecond, rate)-previous)
 	case rate*headroom > previous:
 		return previous + smoothing*(rate*headroom-previous)
 	}
--- a/internal/policy/workercapacity/estimate_test.go
+++ b/internal/policy/workercapacity/estimate_test.go
@@ -17,7 +17,7 @@
 		"at capacity by rejections":    {100, AttemptCounts{Finished: 10, Rejected: 1}, 100 + 0.3*(20-100)},
 		"at capacity by lost attempts": {100, AttemptCounts{Finished: 10, Lost: 1}, 100 + 0.3*(20-100)},
 		"few rejections":               {100, AttemptCounts{Finished: 99, Rejected: 1}, 100 + 0.3*(247.5-100)},
-		"nothing finished":             {2, AttemptCounts{Rejected: 5}, 2 + 0.3*(Min-2)},
+		"nothing finished":             {2, AttemptCounts{Rejected: 5}, 2 + 0.3*(MinRequestsPerSecond-2)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := Update(c.previous, c.attempts, 0.5); math.Abs(got-c.want) > 1e-12 {
--- a/internal/replicastore/record.go
+++ b/internal/replicastore/record.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// Intact reports whether the result, if present, matches its checksum.
-func (a *Attempt) Intact() bool {
+// ResultMatchesChecksum reports whether the result, if present, matches its checksum.
+func (a *Attempt) ResultMatchesChecksum() bool {
 	return a.State != StateFinished || a.Result == nil || xxhash.Sum64(a.Result) == a.ResultChecksum
 }
 
--- a/internal/resultcache/cache.go
+++ b/internal/resultcache/cache.go
@@ -137,10 +137,10 @@
 
 // Outcome describes how a request ended.
 type Outcome struct {
-	Ran     bool    // its run started, or may have started
-	Success bool    // the request has a result
-	Result  []byte  // copied by the cache
-	FreshTo float64 // seconds; time until which the result may answer repeats
+	Ran        bool    // its run started, or may have started
+	Success    bool    // the request has a result
+	Result     []byte  // copied by the cache
+	FreshUntil float64 // seconds; time until which the result may answer repeats
 }
 
 // Finish records the outcome of a request and returns the IDs of the requests that wait for its
@@ -155,7 +155,7 @@
 	finished.state = Missing
 	switch {
 	case outcome.Success:
-		finished.freshUntil = outcome.FreshTo
+		finished.freshUntil = outcome.FreshUntil
 		c.storeResult(finished, outcome.Result)
 	case finished.runsOnce && outcome.Ran:
 		finished.state = Unrepeatable
--- a/internal/resultcache/cache_test.go
+++ b/internal/resultcache/cache_test.go
@@ -22,7 +22,7 @@
 	if _, state := c.LookupOrWait(b, 1); state != Pending {
 		t.Errorf("state %v before the original ended, want pending", state)
 	}
-	waiting := c.Finish("a", Outcome{Ran: true, Success: true, Result: []byte("r"), FreshTo: 5})
+	waiting := c.Finish("a", Outcome{Ran: true, Success: true, Result: []byte("r"), FreshUntil: 5})
 	if len(waiting) != 1 || waiting[0] != "b" {
 		t.Errorf("requests %v wait for the result, want [b]", waiting)
 	}
--- a/internal/server/claims.go
+++ b/internal/server/claims.go
@@ -32,8 +32,8 @@
 	// Claim requests the right to run a request; the verdict is due within timeout seconds. It
 	// returns false if no further claim can be made now.
 	Claim(id, class, key string, timeout float64) bool
-	// ReleaseClaim reports that a request has ended and never ran.
-	ReleaseClaim(id string)
+	// CancelClaim reports that a request has ended and never ran.
+	CancelClaim(id string)
 	// CompleteClaim reports how the run of a request ended, and its result.
 	CompleteClaim(id string, succeeded bool, result []byte)
 	// UnreportedClaims returns the number of finished requests whose outcome the replicas have not
@@ -112,7 +112,7 @@
 	delete(claims.waiting, id)
 	request := s.requests.Get(id)
 	if request == nil || request.Answered {
-		claims.claimer.ReleaseClaim(id)
+		claims.claimer.CancelClaim(id)
 		return
 	}
 	now := s.now()
@@ -133,7 +133,7 @@
 		s.statistics.claimsFailed++
 		s.reject(request, s.retryAfterOutOfService())
 	default:
-		claims.claimer.ReleaseClaim(id) // the claim may have been granted
+		claims.claimer.CancelClaim(id) // the claim may have been granted
 		s.statistics.claimsFailed++
 		s.fail(request)
 	}
@@ -149,7 +149,7 @@
 	if isWaiting || claims.granted[request.ID] {
 		delete(claims.waiting, request.ID)
 		delete(claims.granted, request.ID)
-		claims.claimer.ReleaseClaim(request.ID)
+		claims.claimer.CancelClaim(request.ID)
 	}
 }
 
--- a/internal/server/connlimit_test.go
+++ b/internal/server/connlimit_test.go
@@ -77,7 +77,7 @@
 	f.executor.expectCommand("begin", "a2")
 	f.executor.sendCompletion(1, "a2", "done", "r")
 	first.expect(answerPrefix(2) + resultPrefix + "\x01r\x80")
-	rejected := query(f, func(s *Server) int { return s.clients.limiter.RejectedCount(connlimit.OverCap) })
+	rejected := query(f, func(s *Server) int { return s.clients.limiter.RejectedCount(connlimit.OverConnectionLimit) })
 	if rejected != 2 {
 		t.Errorf("%d rejected over the cap, want 2", rejected)
 	}
--- a/internal/server/duplicate_test.go
+++ b/internal/server/duplicate_test.go
@@ -119,7 +119,7 @@
 }
 
 func TestResultCache_RepeatsShareResult(t *testing.T) {
-	f := startServer(t, func(s *config.Startup) { s.Settings.ResultCacheTTL, s.Settings.Memory.PerKey = 60, 1 })
+	f := startServer(t, func(s *config.Startup) { s.Settings.ResultCacheTTL, s.Settings.Memory.KeyEntryMemory = 60, 1 })
 	client := f.dialClient()
 	client.send("%s", requestFrame(1, "a1", "x", withSubject("k")))
 	f.executor.expectCommand("begin", "a1")
--- a/internal/server/fixture_test.go
+++ b/internal/server/fixture_test.go
@@ -103,7 +103,7 @@
 			Cores:               2,
 			Servers:             1,
 			Clients:             1,
-			Concurrency:         admission.ConcurrencySettings{PerCore: 8, Window: 1},
+			Concurrency:         admission.ConcurrencySettings{RunsPerCore: 8, AveragingWindow: 1},
 			Memory:              admission.MemorySettings{Limit: 1e6, RunningFactor: 1},
 			Downstream:          admission.DownstreamSettings{Kind: admission.ServerTier},
 			DeadlinePropagation: true,
@@ -112,7 +112,7 @@
 			DeadlineTolerance:   0.05,
 			Tenants:             []admission.Tenant{{Rate: 1000}},
 			Classes: []admission.Class{
-				{SoftDeadline: 30, Timeout: 60, Value: 1, LateValue: 1, CallsDownstream: true},
+				{SoftDeadline: 30, Timeout: 60, Value: 1, LateValueFraction: 1, CallsDownstream: true},
 			},
 		},
 	}
--- a/internal/server/forwarding.go
+++ b/internal/server/forwarding.go
@@ -64,7 +64,7 @@
 	saved := *message
 	saved.Number = 0
 	saved.Body = nil // requesttable.Request holds the body
-	saved.Invalid = nil
+	saved.ValidationError = nil
 	f.messages[request.ID] = &saved
 }
 
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -59,8 +59,8 @@
 	tenant, tenantKnown := server.startup.TenantIndex[message.Tenant]
 	kind := requestKind{class, tenant}
 	switch {
-	case message.Invalid != nil:
-		return kind, message.Invalid
+	case message.ValidationError != nil:
+		return kind, message.ValidationError
 	case !classKnown:
 		return kind, &invalidFieldError{"class", message.Class, errNotConfigured}
 	case !tenantKnown && len(server.startup.TenantIndex) > 0:
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -101,10 +101,10 @@
 func (s *Server) finishRun(request *requesttable.Request, outcome admission.Outcome, body []byte, seconds float64) {
 	succeeded := outcome == admission.Finished
 	waiting := s.results.Finish(request.ID, resultcache.Outcome{
-		Ran:     outcome != admission.NeverStarted,
-		Success: succeeded,
-		Result:  body,
-		FreshTo: s.now() + s.resultLifetime(request.Class),
+		Ran:        outcome != admission.NeverStarted,
+		Success:    succeeded,
+		Result:     body,
+		FreshUntil: s.now() + s.resultLifetime(request.Class),
 	})
 	for _, id := range waiting {
 		s.answerShared(s.requests.Get(id), body, outcome, seconds)
--- a/internal/wire/fleet/audit.go
+++ b/internal/wire/fleet/audit.go
@@ -142,8 +142,8 @@
 		Incarnation:       status.Incarnation,
 		ActiveEpoch:       uint64(status.ActiveEpoch),
 		AssignedEpoch:     uint64(status.AssignedEpoch),
-		SecondsSinceHeard: status.SecondsSinceHeard,
-		SecondsBehind:     status.SecondsBehind,
+		SecondsSinceHeard: status.SecondsSinceRequest,
+		SecondsBehind:     status.LaggingSeconds,
 		BlockedBy:         truncate(status.BlockedBy),
 		EjectionReason:    truncate(status.EjectionReason),
 		Build:             status.Build,
@@ -153,16 +153,16 @@
 
 func decodeServerStatus(encoded *ServerStatus) (lease.ServerStatus, error) {
 	status := lease.ServerStatus{
-		Name:              encoded.Name,
-		Incarnation:       encoded.Incarnation,
-		ActiveEpoch:       release.Epoch(encoded.ActiveEpoch),
-		AssignedEpoch:     release.Epoch(encoded.AssignedEpoch),
-		SecondsSinceHeard: encoded.SecondsSinceHeard,
-		SecondsBehind:     encoded.SecondsBehind,
-		BlockedBy:         encoded.BlockedBy,
-		EjectionReason:    encoded.EjectionReason,
-		Build:             encoded.Build,
-		Reported:          encoded.Reported,
+		Name:                encoded.Name,
+		Incarnation:         encoded.Incarnation,
+		ActiveEpoch:         release.Epoch(encoded.ActiveEpoch),
+		AssignedEpoch:       release.Epoch(encoded.AssignedEpoch),
+		SecondsSinceRequest: encoded.SecondsSinceHeard,
+		LaggingSeconds:      encoded.SecondsBehind,
+		BlockedBy:           encoded.BlockedBy,
+		EjectionReason:      encoded.EjectionReason,
+		Build:               encoded.Build,
+		Reported:            encoded.Reported,
 	}
 	return status, errors.Join(checkNames(encoded.Name, encoded.BlockedBy, encoded.EjectionReason, encoded.Build),
 		checkFinite(encoded.SecondsSinceHeard), checkFinite(encoded.SecondsBehind))
--- a/internal/wire/fleet/codec_test.go
+++ b/internal/wire/fleet/codec_test.go
@@ -180,7 +180,7 @@
 		{"NaN of completed requests", tallyRequest(math.NaN(), 0), ErrOutOfRange},
 		{"more failed than completed requests", tallyRequest(1, 2), ErrOutOfRange},
 		{"negative number of requests", tallyRequest(-1, -1), ErrOutOfRange},
-		{"infinite lease", &Envelope{LeaseReply: &lease.Reply{Duration: math.Inf(1)}}, ErrOutOfRange},
+		{"infinite lease", &Envelope{LeaseReply: &lease.Reply{LeaseSeconds: math.Inf(1)}}, ErrOutOfRange},
 		{"infinite command time", &Envelope{Command: &release.Command{IssuedAt: math.Inf(-1)}}, ErrOutOfRange},
 		{"negative demand", demandRequest(quota.Demand{Name: "calls", Requested: -1}), ErrOutOfRange},
 		{"NaN grant", &Envelope{QuotaReply: &quota.Reply{Grants: []quota.Grant{grant}}}, ErrOutOfRange},
@@ -209,7 +209,7 @@
 }
 
 func TestDecode_ErrorNamesSender(t *testing.T) {
-	encoded, err := Encode(&Envelope{From: "n9", LeaseReply: &lease.Reply{Duration: -1}})
+	encoded, err := Encode(&Envelope{From: "n9", LeaseReply: &lease.Reply{LeaseSeconds: -1}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/fleet/counters.go
+++ b/internal/wire/fleet/counters.go
@@ -154,8 +154,8 @@
 	query := m.CounterSyncRequest
 	encoded := &CounterSyncRequest{
 		Number:      query.Number,
-		All:         query.All,
-		After:       query.After,
+		All:         query.AllRows,
+		After:       query.AfterRowID,
 		Aggregators: query.Aggregators,
 	}
 	for _, row := range query.Rows {
@@ -171,8 +171,8 @@
 	}
 	query := &counter.RowQuery{
 		Number:      encoded.Number,
-		All:         encoded.All,
-		After:       encoded.After,
+		AllRows:     encoded.All,
+		AfterRowID:  encoded.After,
 		Aggregators: encoded.Aggregators,
 	}
 	for _, row := range encoded.Rows {
--- a/internal/wire/fleet/lease.go
+++ b/internal/wire/fleet/lease.go
@@ -49,7 +49,7 @@
 		Incarnation:       reply.Incarnation,
 		Number:            reply.Number,
 		Verdict:           uint32(reply.Verdict),
-		Duration:          reply.Duration,
+		Duration:          reply.LeaseSeconds,
 		AssignedEpoch:     uint64(reply.AssignedEpoch),
 		MayGoOutOfService: reply.MayGoOutOfService,
 		Leader:            reply.Leader,
@@ -63,7 +63,7 @@
 		Incarnation:       encoded.Incarnation,
 		Number:            encoded.Number,
 		Verdict:           lease.Verdict(min(encoded.Verdict, math.MaxUint8)), // no wrap-around to a known verdict
-		Duration:          encoded.Duration,
+		LeaseSeconds:      encoded.Duration,
 		AssignedEpoch:     release.Epoch(encoded.AssignedEpoch),
 		MayGoOutOfService: encoded.MayGoOutOfService,
 		Leader:            encoded.Leader,
--- a/internal/wire/fleet/replication.go
+++ b/internal/wire/fleet/replication.go
@@ -76,7 +76,7 @@
 		err = fmt.Errorf("%w: attempt result of %d bytes, limit %d", ErrInvalidSize, len(encoded.Result), maxResult)
 	case attempt.State > replicastore.StateFinished, !finished && hasResult:
 		err = fmt.Errorf("%w: attempt in state %d; result present: %t", ErrOutOfRange, encoded.State, hasResult)
-	case !attempt.Intact():
+	case !attempt.ResultMatchesChecksum():
 		err = fmt.Errorf("attempt result does not match its checksum %016x: %w", encoded.ResultChecksum, ErrOutOfRange)
 	}
 	return attempt, err
@@ -215,7 +215,7 @@
 		Term:         encodeTerm(request.Term),
 		Slots:        encodeSlots(request.Slots),
 	}
-	if request.Resumes {
+	if request.HasAfterKey {
 		encoded.AfterKey = request.AfterKey[:]
 	}
 	return &Packet_PullRequest{encoded}, nil
@@ -231,7 +231,7 @@
 		return nil, err
 	}
 	if encoded.AfterKey != nil {
-		request.Resumes = true
+		request.HasAfterKey = true
 		request.AfterKey, err = decodeKey(encoded.AfterKey)
 	}
 	return request, err
--- a/internal/wire/fleet/samples_test.go
+++ b/internal/wire/fleet/samples_test.go
@@ -151,7 +151,7 @@
 			Incarnation:       5,
 			Number:            8,
 			Verdict:           lease.VerdictLagging,
-			Duration:          6,
+			LeaseSeconds:      6,
 			AssignedEpoch:     4,
 			MayGoOutOfService: true,
 			Leader:            "v1",
@@ -181,16 +181,16 @@
 
 func sampleServerStatus() lease.ServerStatus {
 	return lease.ServerStatus{
-		Name:              "n1",
-		Incarnation:       5,
-		ActiveEpoch:       3,
-		AssignedEpoch:     4,
-		SecondsSinceHeard: 1,
-		SecondsBehind:     2,
-		BlockedBy:         "s",
-		EjectionReason:    "o",
-		Build:             "b",
-		Reported:          true,
+		Name:                "n1",
+		Incarnation:         5,
+		ActiveEpoch:         3,
+		AssignedEpoch:       4,
+		SecondsSinceRequest: 1,
+		LaggingSeconds:      2,
+		BlockedBy:           "s",
+		EjectionReason:      "o",
+		Build:               "b",
+		Reported:            true,
 	}
 }
 
@@ -261,8 +261,8 @@
 		{CounterSyncRequest: &counter.RowQuery{
 			Number:      2,
 			Rows:        []counter.RowAck{{RowID: 6, Sequence: 1}},
-			All:         true,
-			After:       7,
+			AllRows:     true,
+			AfterRowID:  7,
 			Aggregators: []uint64{7, 9},
 		}},
 		{CounterSyncReply: &counter.RowQueryReply{
@@ -309,7 +309,7 @@
 			Term:         term,
 			Slots:        []int{0, 255},
 			AfterKey:     key,
-			Resumes:      true,
+			HasAfterKey:  true,
 		}},
 		{PullReply: &replication.PullReply{
 			ConfigDigest:  3,
--- a/internal/wire/rpc/request.go
+++ b/internal/wire/rpc/request.go
@@ -41,23 +41,23 @@
 
 // Message is one complete message. Its body is a slice of the input.
 type Message struct {
-	Kind         Kind
-	Number       uint64 // message id of MessagePack-RPC, which the response repeats
-	ID           string // id of the request, the same on all links
-	Class        string
-	Tenant       string
-	Subject      string  // subject of the request, "" if there is none
-	Key          string  // idempotency key, shared by all attempts of a request; "" if there is none
-	Retry        bool    // this attempt is a retry, if clients mark retries
-	ExpectedWork float64 // expected work in seconds of a standard core, 0 if unknown
-	ArrivedAt    float64 // Unix time in seconds at which the request reached the client
-	Timeout      float64 // seconds from ArrivedAt for which the client waits, 0 with NoTimeout
-	NoTimeout    bool    // the request has no timeout
-	Client       int     // index of the client
-	Memory       float64 // memory that the request needs, in KiB
-	Priority     float64 // at least 0 and less than 1
-	Body         []byte
-	Invalid      error // why the request is invalid, nil if it is valid; an invalid request needs a response too
+	Kind            Kind
+	Number          uint64 // message id of MessagePack-RPC, which the response repeats
+	ID              string // id of the request, the same on all links
+	Class           string
+	Tenant          string
+	Subject         string  // subject of the request, "" if there is none
+	Key             string  // idempotency key, shared by all attempts of a request; "" if there is none
+	Retry           bool    // this attempt is a retry, if clients mark retries
+	ExpectedWork    float64 // expected work in seconds of a standard core, 0 if unknown
+	ArrivedAt       float64 // Unix time in seconds at which the request reached the client
+	Timeout         float64 // seconds from ArrivedAt for which the client waits, 0 with NoTimeout
+	NoTimeout       bool    // the request has no timeout
+	Client          int     // index of the client
+	Memory          float64 // memory that the request needs, in KiB
+	Priority        float64 // at least 0 and less than 1
+	Body            []byte
+	ValidationError error // why the request is invalid, nil if it is valid; an invalid request needs a response too
 }
 
 // ParseMessage parses the message at the start of b and returns its length, or 0 if b holds only a
@@ -121,7 +121,7 @@
 	}
 	message.Kind = KindRequest
 	message.Class = string(method.data)
-	message.Invalid = message.parseParameters(&decoder{data: parameters})
+	message.ValidationError = message.parseParameters(&decoder{data: parameters})
 	return message
 }
 
--- a/internal/wire/rpc/request_test.go
+++ b/internal/wire/rpc/request_test.go
@@ -89,7 +89,7 @@
 		for _, body := range []string{"c40161", "c5000161", "c60000000161", "a161"} {
 			text := strings.Replace(strings.Replace(requestHex, "940007", "9400"+id, 1), "c403000aff", body, 1)
 			m, n, err := ParseMessage(decodeHex(t, text))
-			if err != nil || n == 0 || m.Number != 7 || string(m.Body) != "a" || m.Invalid != nil {
+			if err != nil || n == 0 || m.Number != 7 || string(m.Body) != "a" || m.ValidationError != nil {
 				t.Errorf("number %s, body %s: got %+v, length %d, error %v; want number 7, body a, no Invalid",
 					id, body, m, n, err)
 			}
@@ -119,7 +119,7 @@
 		if text == requestHex {
 			t.Fatalf("%s: %s is not in the request", c.name, c.old)
 		}
-		if err != nil || n != len(text)/2 || m.Invalid == nil || m.Number != 7 || m.Kind != KindRequest {
+		if err != nil || n != len(text)/2 || m.ValidationError == nil || m.Number != 7 || m.Kind != KindRequest {
 			t.Errorf("%s: got %+v, length %d, error %v; want an invalid request with number 7, length %d, no error",
 				c.name, m, n, err, len(text)/2)
 		}
@@ -130,7 +130,7 @@
 // not the codec.
 func TestParseMessage_AcceptsMissingTimeout(t *testing.T) {
 	m, _, err := ParseMessage(decodeHex(t, strings.Replace(requestHex, "a374746c", "a374746d", 1)))
-	if err != nil || m.Invalid != nil || !m.NoTimeout || m.Timeout != 0 {
+	if err != nil || m.ValidationError != nil || !m.NoTimeout || m.Timeout != 0 {
 		t.Errorf("got %+v, error %v; want a valid request without timeout", m, err)
 	}
 }
@@ -200,7 +200,7 @@
 func TestParseMessage_NamesFieldInError(t *testing.T) {
 	message, _, err := ParseMessage(decodeHex(t, strings.Replace(requestHex, "a6302e36323530", "a6302e36323578", 1)))
 	var fieldError *FieldError
-	if err != nil || !errors.As(message.Invalid, &fieldError) || fieldError.Field != "crit" {
-		t.Errorf("got Invalid %v, error %v; want a FieldError for crit and no error", message.Invalid, err)
+	if err != nil || !errors.As(message.ValidationError, &fieldError) || fieldError.Field != "crit" {
+		t.Errorf("got Invalid %v, error %v; want a FieldError for crit and no error", message.ValidationError, err)
 	}
 }
