--- a/internal/bench/keyclaims/attempts.go
+++ b/internal/bench/keyclaims/attempts.go
@@ -13,8 +13,8 @@
 const (
 	// recentKeys is the number of the latest keys from which attempts are drawn.
 	recentKeys = 20
-	// resultMargin is the time around a result's first answer in which a kill may still have
-	// destroyed copies of the result; attempts sent later must receive it.
+	// resultMargin is how long before the first answer with a result a kill may have destroyed
+	// copies of the result, and how long after that answer an attempt may still fail to receive it.
 	resultMargin = time.Second
 )
 
--- a/internal/bench/keyclaims/faults.go
+++ b/internal/bench/keyclaims/faults.go
@@ -19,7 +19,8 @@
 	faultOneWayCut // a server receives nothing, but can send
 	faultLoss
 	faultLossRepeated // also message loss, which is thereby drawn twice as often
-	// faultDraws is the number of values that are drawn; those without a constant are no fault.
+	// faultDraws is the number of values from which a fault is drawn. Values without a constant
+	// inject no fault.
 	faultDraws = 6
 )
 
@@ -41,8 +42,8 @@
 	to       time.Time
 }
 
-// draw is a randomly drawn fault.
-type draw struct {
+// drawnFault is a randomly drawn fault with its parameters.
+type drawnFault struct {
 	fault    fault
 	target   string
 	length   time.Duration
@@ -61,7 +62,7 @@
 	}
 	for end := time.Now().Add(total); time.Now().Before(end) && ctx.Err() == nil; {
 		from := time.Now()
-		drawn := r.draw(random)
+		drawn := r.drawFault(random)
 		if !r.KillsOnly {
 			r.inject(drawn)
 		}
@@ -82,9 +83,9 @@
 	}
 }
 
-// draw draws a fault. It draws all fields for each kind of fault, so that the sequence of random
+// drawFault draws a fault. It draws all fields for each kind of fault, so that the sequence of random
 // numbers does not depend on the kind.
-func (r *experiment) draw(random *rand.Rand) (drawn draw) {
+func (r *experiment) drawFault(random *rand.Rand) (drawn drawnFault) {
 	names := r.fleet.Names
 	drawn.target = names[random.IntN(len(names))]
 	drawn.fault = fault(random.IntN(faultDraws))
@@ -133,8 +134,8 @@
 	return slices.ContainsFunc(r.disturbances, overlaps)
 }
 
-// inject injects a fault, waits for its duration, and ends it. A draw without a fault only waits.
-func (r *experiment) inject(drawn draw) {
+// inject injects a fault, waits for its duration, and ends it. If the drawn value is no fault, it only waits.
+func (r *experiment) inject(drawn drawnFault) {
 	network := r.fleet.Net
 	length := drawn.length
 	r.recordDisturbance(length+disturbanceMargin, nil)
--- a/internal/bench/rollouts/faults.go
+++ b/internal/bench/rollouts/faults.go
@@ -20,8 +20,8 @@
 	faultLossyLinks
 	faultKindCount
 
-	// faultDraws is the number of values that are drawn. Values from faultKindCount on stand for a
-	// release instead of a fault.
+	// faultDraws is the number of values from which a fault is drawn. Values from faultKindCount on
+	// stand for a release instead of a fault.
 	faultDraws = 10
 )
 
@@ -43,8 +43,8 @@
 	Jitter:    80 * time.Millisecond,
 }
 
-// draw is a randomly drawn fault or release.
-type draw struct {
+// drawnAction is a randomly drawn fault or release with its parameters.
+type drawnAction struct {
 	fault  fault
 	target string // server that the fault hits
 	author string // server at which the release is submitted
@@ -58,7 +58,7 @@
 func (r *experiment) injectFaults(ctx context.Context, fleetEnabled bool) {
 	end := time.Now().Add(timing.Seconds(r.Seconds))
 	for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
-		drawn := r.draw()
+		drawn := r.drawAction()
 		isRelease := drawn.fault >= faultKindCount
 		if isRelease || r.NoFaults {
 			if fleetEnabled && isRelease {
@@ -75,9 +75,9 @@
 	}
 }
 
-// draw draws a fault or a release. It draws all fields for each kind of fault, so that the sequence
+// drawAction draws a fault or a release. It draws all fields for each kind of fault, so that the sequence
 // of random numbers does not depend on the kind and runs stay comparable.
-func (r *experiment) draw() (drawn draw) {
+func (r *experiment) drawAction() (drawn drawnAction) {
 	pick := func() string { return r.serverNames[r.random.IntN(len(r.serverNames))] }
 	drawn.fault = fault(r.random.IntN(faultDraws))
 	drawn.target = pick()
@@ -88,7 +88,7 @@
 }
 
 // inject starts a fault and schedules its end.
-func (r *experiment) inject(ctx context.Context, drawn draw) {
+func (r *experiment) inject(ctx context.Context, drawn drawnAction) {
 	network := r.fleet.Net
 	switch drawn.fault {
 	case faultPause:
@@ -141,11 +141,11 @@
 }
 
 // endFaultAfter schedules the end of a fault.
-func (r *experiment) endFaultAfter(length time.Duration, undo func()) {
+func (r *experiment) endFaultAfter(length time.Duration, endFault func()) {
 	done := make(chan struct{})
 	time.AfterFunc(length, func() {
 		r.mu.Lock()
-		undo()
+		endFault()
 		r.mu.Unlock()
 		close(done)
 	})
--- a/internal/bench/rollouts/rollouts.go
+++ b/internal/bench/rollouts/rollouts.go
@@ -113,9 +113,9 @@
 	if err != nil {
 		return row, fmt.Errorf("seed %d: %w", plan.Seed, err)
 	}
-	alone, err := runOnce(ctx, plan, false)
-	row.FinishedShareNoFleet = alone.FinishedShare
-	row.CPUNoFleet = alone.CPU
+	withoutFleet, err := runOnce(ctx, plan, false)
+	row.FinishedShareNoFleet = withoutFleet.FinishedShare
+	row.CPUNoFleet = withoutFleet.CPU
 	return row, err
 }
 
@@ -156,8 +156,8 @@
 	if err := r.measureLoad(ctx, fleetEnabled); err != nil {
 		return r.row, err
 	}
-	for _, undo := range r.pendingFaultEnds {
-		undo()
+	for _, waitForEnd := range r.pendingFaultEnds {
+		waitForEnd()
 	}
 	if !fleetEnabled {
 		return r.row, nil
@@ -198,7 +198,7 @@
 	for _, server := range r.fleet.Servers {
 		addrs = append(addrs, server.Addr)
 	}
-	cpuBefore := r.processorSeconds()
+	cpuBefore := r.cpuSeconds()
 	sentBefore := r.fleet.BytesSent()
 	from := time.Now()
 	load, err := loadgen.Start(ctx, loadgen.Config{
@@ -216,14 +216,14 @@
 	stats := load.Stop()
 	seconds := time.Since(from).Seconds()
 	r.row.FinishedShare = float64(stats.Finished) / float64(max(1, stats.Sent+stats.Unsent))
-	r.row.CPU = (r.processorSeconds() - cpuBefore) / seconds / float64(r.Servers)
+	r.row.CPU = (r.cpuSeconds() - cpuBefore) / seconds / float64(r.Servers)
 	r.row.GossipBytesPerSecond = float64(r.fleet.BytesSent()-sentBefore) / seconds / float64(r.Servers)
 	return nil
 }
 
-// processorSeconds returns the CPU time of all running processes. It lacks the CPU time of killed
+// cpuSeconds returns the CPU time of all running processes. It lacks the CPU time of killed
 // processes.
-func (r *experiment) processorSeconds() (total float64) {
+func (r *experiment) cpuSeconds() (total float64) {
 	for _, server := range r.fleet.Servers {
 		if seconds, err := server.CPUSeconds(); err == nil {
 			total += seconds
--- a/internal/bench/rollouts/upgrade.go
+++ b/internal/bench/rollouts/upgrade.go
@@ -38,26 +38,28 @@
 
 // UpgradeRow is the result of an experiment with two builds.
 type UpgradeRow struct {
-	Seed               uint64 `json:"seed"`
-	Servers            int    `json:"servers"`
-	Replacements       int    `json:"replacements"`
-	Releases           int    `json:"releases"`
-	Sent               int    `json:"sent"`
-	Finished           int    `json:"finished"`
-	Rejected           int    `json:"rejected"`
-	LateAnswers        int    `json:"late_answers"`
-	Unanswered         int    `json:"unanswered"`
-	RepeatedRuns       int    `json:"repeated_runs"` // at-most-once requests that ran more than once
-	Keys               int    `json:"keys"`
-	KeysFinished       int    `json:"keys_finished"`
-	MaxRunsPerKey      int    `json:"runs_per_key_max"`
-	WrongAnswers       int    `json:"wrong_answers"` // keys with two different results
-	DecodeErrors       int    `json:"decode_errors"` // messages, configurations and lines that a process rejected
-	Panics             int    `json:"panics"`
-	ConflictingDigests int    `json:"epochs_with_two_digests"`
-	AuditMismatches    int    `json:"audit_mismatches"`
-	AuditGaps          int    `json:"audit_gaps"`
-	Unhealed           int    `json:"unhealed"` // servers not on the newest version at the end
+	Seed          uint64 `json:"seed"`
+	Servers       int    `json:"servers"`
+	Replacements  int    `json:"replacements"`
+	Releases      int    `json:"releases"`
+	Sent          int    `json:"sent"`
+	Finished      int    `json:"finished"`
+	Rejected      int    `json:"rejected"`
+	LateAnswers   int    `json:"late_answers"`
+	Unanswered    int    `json:"unanswered"`
+	RepeatedRuns  int    `json:"repeated_runs"` // at-most-once requests that ran more than once
+	Keys          int    `json:"keys"`
+	KeysFinished  int    `json:"keys_finished"`
+	MaxRunsPerKey int    `json:"runs_per_key_max"`
+	WrongAnswers  int    `json:"wrong_answers"` // keys with two different results
+	// DecodeErrors is the number of rejected fleet messages, protocol errors and configurations that
+	// could not be applied.
+	DecodeErrors       int `json:"decode_errors"`
+	Panics             int `json:"panics"`
+	ConflictingDigests int `json:"epochs_with_two_digests"`
+	AuditMismatches    int `json:"audit_mismatches"`
+	AuditGaps          int `json:"audit_gaps"`
+	Unhealed           int `json:"unhealed"` // servers not on the newest version at the end
 }
 
 // Violations returns the number of violated invariants.
@@ -101,10 +103,11 @@
 	keyAnswerGrace = 5 * time.Second
 	// stepTimeout is how long the fleet may take to settle after a step.
 	stepTimeout = 30 * time.Second
-	// servingWindow is the latest time span in which a replaced server must have finished a
-	// request.
+	// A replaced server counts as serving when it has finished a request within the latest
+	// servingWindow.
 	servingWindow = time.Second
-	// upgradeDescriptors allows for one connection per attempt.
+	// upgradeDescriptors is the file descriptor limit of a server. It allows for one connection per
+	// attempt with a key.
 	upgradeDescriptors = 1024
 	// keyStream is the random stream from which the servers of keys are drawn.
 	keyStream = 17
@@ -118,7 +121,7 @@
 	load   *faultinjection.Load
 	row    UpgradeRow
 
-	mu   sync.Mutex // guards the row's counts of keys
+	mu   sync.Mutex // guards Keys, KeysFinished and WrongAnswers of the row
 	keys sync.WaitGroup
 }
 
@@ -176,9 +179,9 @@
 		Value:          1,
 		LateValue:      0.5,
 	})
-	holders := ""
+	replicaNames := ""
 	for i := range e.Servers {
-		holders += fmt.Sprintf(" n%d", i+1)
+		replicaNames += fmt.Sprintf(" n%d", i+1)
 	}
 	e.fleet, err = faultinjection.Start(ctx, faultinjection.Config{
 		Shape:   shape,
@@ -188,7 +191,7 @@
 		RunLog:  e.runLog,
 		ExtraSettings: shortLeases + "fleet-counts on\nreplica-callers on\n" +
 			fmt.Sprintf("replica-holders%s\nreplica-keyed %s\nreplica-window %s\n",
-				holders, faultinjection.PingClass, keyRetention),
+				replicaNames, faultinjection.PingClass, keyRetention),
 	})
 	return err
 }
@@ -230,7 +233,7 @@
 func (e *upgradeExperiment) killLeader(ctx context.Context) error {
 	elected := e.fleet.Events("", faultinjection.EventLeaderElected)
 	if len(elected) == 0 {
-		return fmt.Errorf("no server has logged %s", faultinjection.EventLeaderElected)
+		return fmt.Errorf("no server has logged %s, want a leader to kill", faultinjection.EventLeaderElected)
 	}
 	leader := elected[len(elected)-1].Name
 	if err := e.fleet.KillAndRestart(ctx, leader); err != nil {
@@ -265,7 +268,7 @@
 		return err == nil
 	}
 	if !faultinjection.WaitUntil(stepTimeout, isAccepted) {
-		return fmt.Errorf("release at %s: %w", author, err)
+		return fmt.Errorf("release at %s not accepted within %s: %w", author, stepTimeout, err)
 	}
 	e.row.Releases++
 	isActive := func() bool { return e.fleet.AllActiveOn(epoch, e.fleet.Names...) }
--- a/internal/bench/simulation/claims.go
+++ b/internal/bench/simulation/claims.go
@@ -192,6 +192,6 @@
 // isOverdue reports whether the verdict on an attempt is missing although its node was not
 // restarted and twice maxClaimSeconds has passed.
 func (a *claimAttempt) isOverdue(now float64) bool {
-	livesOn := a.node.alive && a.node.agent.Incarnation() == a.incarnation
-	return !a.isAnswered && livesOn && now > a.sentAt+2*maxClaimSeconds
+	isSameIncarnation := a.node.alive && a.node.agent.Incarnation() == a.incarnation
+	return !a.isAnswered && isSameIncarnation && now > a.sentAt+2*maxClaimSeconds
 }
--- a/internal/bench/simulation/counters.go
+++ b/internal/bench/simulation/counters.go
@@ -221,7 +221,8 @@
 }
 
 // checkTotals checks every checkIntervalSeconds whether a majority of the voters has recovered
-// totals. While that has always been so, it also checks the reported maximum of missing requests.
+// totals. As long as every check has found such a majority, it also checks the number of missing
+// requests that a voter reports.
 func (c *counterSim) checkTotals() {
 	reporting := 0
 	for _, voter := range c.nodes[:c.plan.Voters] {
--- a/internal/bench/simulation/fleetfault.go
+++ b/internal/bench/simulation/fleetfault.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// fleetFaultDraws is the number of values that are drawn. Values from fleetFaultCount on stand
+	// fleetFaultDraws is the number of values from which a fault is drawn. Values from fleetFaultCount on stand
 	// for a release instead of a fault.
 	fleetFaultDraws = 12
 	// faultLossShare is the share of messages that faultMessageLoss loses.
--- a/internal/bench/simulation/fleetsim.go
+++ b/internal/bench/simulation/fleetsim.go
@@ -24,12 +24,12 @@
 	healCheckIntervalSeconds = 0.25
 )
 
-// releaseWaves are the waves from which those of a release are drawn, as shares of the fleet; nil
-// means no waves.
+// releaseWaves are the choices for the waves of a release, as shares of the fleet; nil means no
+// waves.
 var releaseWaves = [][]float64{nil, {0.01, 0.1, 0.5}}
 
-// fleetSim is a simulated fleet of nodes and the network between them. Unlike in real servers,
-// which learn it by gossip, membership is always exact and up to date.
+// fleetSim is a simulated fleet of nodes and the network between them. Its membership is always
+// exact and up to date, while real servers learn theirs by gossip.
 type fleetSim struct {
 	*clock
 	plan          *RolloutPlan
@@ -42,7 +42,7 @@
 	digestByEpoch map[release.Epoch]string
 	releasedAt    map[release.Epoch]float64 // when each release without waves was accepted
 	catchUpMillis []float64
-	newestLog     *release.Log // newest log that any voter ever had, even if it ended before replicating it
+	newestLog     *release.Log // newest log that any voter ever had, even if that voter ended before replicating it
 	row           RolloutRow
 	claims        *claimLog // nil without key claims
 }
--- a/internal/bench/simulation/rollout.go
+++ b/internal/bench/simulation/rollout.go
@@ -12,7 +12,7 @@
 type RolloutPlan struct {
 	Servers  int
 	Voters   int
-	Seconds  float64 // duration of releases and faults
+	Seconds  float64 // duration of releases and faults; then the fleet has healTimeoutSeconds to heal
 	Seed     uint64
 	NoFaults bool
 	KeyRate  float64 // requests with a key per second, over all servers; 0 for none
--- a/internal/bench/simulation/rollout_test.go
+++ b/internal/bench/simulation/rollout_test.go
@@ -14,7 +14,7 @@
 		}
 		row := RunRollout(plan)
 		if row.ConflictingDigests+row.ServedWhileEjected+row.TooManyUnavailable+row.Unhealed > 0 {
-			t.Errorf("seed %d: violated invariants: %+v", seed, row)
+			t.Errorf("seed %d: want no violated invariants: %+v", seed, row)
 		}
 		if row.Faults == 0 {
 			t.Errorf("seed %d: no faults, want at least one", seed)
@@ -50,7 +50,7 @@
 	row := RunRollout(&RolloutPlan{Servers: 12, Voters: 3, Seconds: 40, Seed: 5, KeyRate: 30})
 	claims := row.Claims
 	if claims.RepeatedRuns+claims.WrongResults+claims.ConflictingResults+claims.Unanswered+claims.SlotsOutOfSync > 0 {
-		t.Errorf("violated invariants of claims: %+v", claims)
+		t.Errorf("want no violated invariants of claims: %+v", claims)
 	}
 	if claims.Runs < 100 || slices.Contains(claims.Verdicts[:], 0) || row.Faults == 0 {
 		t.Errorf("want at least 100 runs, every kind of verdict and a fault: %+v", row)
--- a/internal/bench/simulation/scenario.go
+++ b/internal/bench/simulation/scenario.go
@@ -98,8 +98,9 @@
 	for i, class := range s.Classes {
 		if class.Name == "" || class.Share <= 0 || class.Work <= 0 || class.SoftDeadline <= 0 ||
 			class.Timeout < class.SoftDeadline || class.Value <= 0 {
-			return fmt.Errorf("stages[%d]: want a name; part, work, due and utility over 0; "+
-				"and limit at least due", i)
+			return fmt.Errorf("stages[%d]: name %q, part %g, work %g, due %g, limit %g, utility %g: "+
+				"want a name; part, work, due and utility over 0; and limit at least due",
+				i, class.Name, class.Share, class.Work, class.SoftDeadline, class.Timeout, class.Value)
 		}
 	}
 	return nil
@@ -121,8 +122,10 @@
 	for i, fault := range s.Faults {
 		if !slices.Contains(faultKinds, fault.Kind) || fault.Server < 0 || fault.Server >= s.Servers || fault.At < 0 ||
 			fault.Duration < 0 || fault.Kind.needsFactor() && (fault.Factor <= 0 || fault.Factor > 1) {
-			return fmt.Errorf("faults[%d]: want a kind of %v, a server from 0 to %d, at and for at least 0, "+
-				"and for the slow kinds a factor over 0 and at most 1", i, faultKinds, s.Servers-1)
+			return fmt.Errorf("faults[%d]: kind %q, server %d, at %g, for %g, factor %g: "+
+				"want a kind of %v, a server from 0 to %d, at and for at least 0, "+
+				"and for the slow kinds a factor over 0 and at most 1",
+				i, fault.Kind, fault.Server, fault.At, fault.Duration, fault.Factor, faultKinds, s.Servers-1)
 		}
 	}
 	return nil
--- a/internal/bench/simulation/scenario_test.go
+++ b/internal/bench/simulation/scenario_test.go
@@ -102,7 +102,7 @@
 	p.run(10)
 	for _, want := range []string{"run a second time", "answered a second time", "fell over"} {
 		if !strings.Contains(strings.Join(p.tally.violations, "\n"), want) {
-			t.Errorf("no violation %q in %q", want, p.tally.violations)
+			t.Errorf("violations are %q, want one with %q", p.tally.violations, want)
 		}
 	}
 }
--- a/internal/bench/simulation/serverrun.go
+++ b/internal/bench/simulation/serverrun.go
@@ -58,8 +58,8 @@
 	incarnation := s.incarnation
 	startedAt := s.now
 	returned := func(outcome admission.Outcome) {
-		isOver := s.incarnation != incarnation || !s.alive
-		if isOver || attempt.callCount != number || !attempt.awaitsCall || attempt.pendingCall == nil {
+		hasServerEnded := s.incarnation != incarnation || !s.alive
+		if hasServerEnded || attempt.callCount != number || !attempt.awaitsCall || attempt.pendingCall == nil {
 			return
 		}
 		s.cancelCall(attempt)
--- a/internal/bench/simulation/twolevel.go
+++ b/internal/bench/simulation/twolevel.go
@@ -265,8 +265,8 @@
 	plannerMessageLoss                     // a share of the messages of all nodes is lost
 )
 
-// plannerFaultDraws is the number of values that are drawn. Values after plannerMessageLoss restart
-// a single planner.
+// plannerFaultDraws is the number of values from which a fault is drawn. Values after
+// plannerMessageLoss restart a single planner.
 const plannerFaultDraws = 6
 
 // injectPlannerFault draws a fault of planners and injects it.
