--- a/internal/bench/faultinjection/claim_test.go
+++ b/internal/bench/faultinjection/claim_test.go
@@ -49,7 +49,7 @@
 	response := f.SendRequest(context.Background(), Attempt{Server: name, ID: NewRequestID(), Key: key,
 		Timeout: timeout, AnswerGrace: awaitTimeout})
 	if response.Lateness > time.Second || response.Outcome == Unanswered {
-		t.Errorf("attempt with key %q at %s: %s %s after its timeout, want an answer within 1s",
+		t.Errorf("attempt with key %q at %s: %s %s after its timeout, want an answer at most 1s after it",
 			key, name, response.Outcome, response.Lateness)
 	}
 	return strings.TrimSpace(string(response.Outcome) + " " + response.Result)
@@ -191,7 +191,7 @@
 
 // Each of six servers crashes repeatedly at a different trace point of claims and replication,
 // while every key is attempted three times. A crash between two steps must not lead to a second
-// run.
+// run. Each of the two subtests covers six trace points.
 func TestClaims_ProcessesCrashAtEachTracePoint(t *testing.T) {
 	for half := range 2 {
 		t.Run(fmt.Sprint(half), func(t *testing.T) {
--- a/internal/bench/faultinjection/config.go
+++ b/internal/bench/faultinjection/config.go
@@ -18,7 +18,7 @@
 	BuildByName         map[string]string // SWIFTCOURSE_BUILD by process name
 	ProgramByName       map[string]string // binaries that replace the shape's, by process name; see Fleet.SetProgram
 	Seed                uint64
-	RunLog              *RunLog // records the runs of the fake executors; nil for none
+	RunLog              *RunLog // records the runs of the fake executors; nil to record none
 	RunSeconds          float64 // CPU time of a request; 0 for the shape's
 	// CrashPointByName is SWIFTCOURSE_TEST_DIE by process name. With POINT,N or POINT,N,S the
 	// process crashes when it passes the trace point for the Nth time, counted from S seconds after
--- a/internal/bench/faultinjection/control.go
+++ b/internal/bench/faultinjection/control.go
@@ -82,12 +82,13 @@
 	if err := f.Restart(ctx, name); err != nil {
 		return err
 	}
-	return f.CheckFolder(name, program)
+	return f.CheckProgramFolder(name, program)
 }
 
-// CheckFolder returns an error unless a process runs a binary from the folder of the given program.
-// Only the folder is compared, since the program may have executed another binary of its build.
-func (f *Fleet) CheckFolder(name, program string) error {
+// CheckProgramFolder returns an error unless a process runs a binary from the folder of the given
+// program. Only the folders are compared, since the program may have executed another binary of its
+// build.
+func (f *Fleet) CheckProgramFolder(name, program string) error {
 	running, err := f.Server(name).Executable()
 	if err != nil {
 		return fmt.Errorf("binary of %s: %w", name, err)
--- a/internal/bench/faultinjection/counter_test.go
+++ b/internal/bench/faultinjection/counter_test.go
@@ -51,8 +51,8 @@
 type counterFleet struct {
 	*Fleet
 	load *Load
-	// unreported is the maximum number of requests that killed servers may have counted but not
-	// reported, with a margin for a busy machine.
+	// unreported is the maximum number of requests that killed servers may have counted but not yet
+	// sent from their serving loop and their row, with a margin for a busy machine.
 	unreported uint64
 	lastState  string // describes the latest difference, for the test log
 }
--- a/internal/bench/faultinjection/lease_test.go
+++ b/internal/bench/faultinjection/lease_test.go
@@ -35,8 +35,9 @@
 }
 
 // A server is paused for longer than its lease while a release is rolled out and requests are sent
-// to it. When it resumes, partitioned, it must notice that its lease has expired before it handles
-// the requests, and reject all of them instead of running them on the old version.
+// to it. It resumes partitioned, so that it can't renew the lease. It must notice that the lease has
+// expired before it handles the requests, and reject all of them instead of running them on the old
+// version.
 func TestLease_PausedServerResumesAfterExpiry(t *testing.T) {
 	f := startFleet(t, Config{Servers: 5, Seed: 9, ExtraSettings: "fleet-silent leave\nfleet-most-out 100%\n"})
 	f.await(t, "n5 may go out of service", func() bool {
--- a/internal/bench/faultinjection/quota_test.go
+++ b/internal/bench/faultinjection/quota_test.go
@@ -136,7 +136,7 @@
 	if err := f.Resume("n5"); err != nil {
 		t.Fatal(err)
 	}
-	f.await(t, "n5 has served for 5 s", func() bool { return time.Since(resumedAt) > 5*time.Second })
+	f.await(t, "5 s have passed since n5 resumed", func() bool { return time.Since(resumedAt) > 5*time.Second })
 	if r := load.RateBetween(resumedAt, time.Now(), "n5"); r > quotaFloor+2 {
 		t.Errorf("n5 resumed after its lease and finished %.1f requests per second, want at most its floor %.1f plus 2",
 			r, quotaFloor)
--- a/internal/bench/faultinjection/relay.go
+++ b/internal/bench/faultinjection/relay.go
@@ -30,16 +30,17 @@
 	minReadsPerSecond = 10
 )
 
-// transfer is the treatment of a packet or a piece of a stream.
-type treatment struct {
+// impairment is what a link does to one packet or one piece of a stream.
+type impairment struct {
 	link        Link
 	isLost      bool
 	isDuplicate bool
 	delay       time.Duration
 }
 
-// drawTreatment counts the bytes that a process sends, and draws their loss, duplication and delay.
-func (n *Network) drawTreatment(from, to string, size int) treatment {
+// drawImpairment counts the bytes that a process sends, and draws their loss, duplication and delay
+// by the present state of the link.
+func (n *Network) drawImpairment(from, to string, size int) impairment {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.bytesSent[from] += int64(size)
@@ -50,7 +51,7 @@
 	}
 	isLost := link.Cut || n.random.Float64() < link.Loss
 	isDuplicate := n.random.Float64() < link.Duplicate
-	return treatment{link: link, isLost: isLost, isDuplicate: isDuplicate, delay: delay}
+	return impairment{link: link, isLost: isLost, isDuplicate: isDuplicate, delay: delay}
 }
 
 // AddRelay starts a relay for TCP and UDP from one process to the address on which another listens,
@@ -96,14 +97,14 @@
 		if err != nil {
 			return
 		}
-		planned := n.drawTreatment(from, to, size)
-		if planned.isLost {
+		drawn := n.drawImpairment(from, to, size)
+		if drawn.isLost {
 			continue
 		}
 		packet := slices.Clone(buffer[:size])
-		sendPacket(out, packet, planned.delay)
-		if planned.isDuplicate {
-			sendPacket(out, packet, planned.delay)
+		sendPacket(out, packet, drawn.delay)
+		if drawn.isDuplicate {
+			sendPacket(out, packet, drawn.delay)
 		}
 	}
 }
@@ -156,7 +157,7 @@
 // the network is closed.
 func (n *Network) waitWhileCut(from, to string) bool {
 	for end := time.Now().Add(maxHalfOpen); time.Now().Before(end); {
-		if !n.drawTreatment(from, to, 0).link.Cut {
+		if !n.drawImpairment(from, to, 0).link.Cut {
 			return true
 		}
 		select {
@@ -173,7 +174,7 @@
 	buffer := make([]byte, streamBufferBytes)
 	for {
 		piece := buffer
-		if rate := n.drawTreatment(from, to, 0).link.BytesPerSecond; rate > 0 {
+		if rate := n.drawImpairment(from, to, 0).link.BytesPerSecond; rate > 0 {
 			piece = buffer[:max(1, min(len(buffer), int(rate/minReadsPerSecond)))]
 		}
 		size, err := in.Read(piece)
@@ -191,9 +192,9 @@
 	if !n.waitWhileCut(from, to) {
 		return false
 	}
-	planned := n.drawTreatment(from, to, len(data))
-	delay := planned.delay
-	if rate := planned.link.BytesPerSecond; rate > 0 {
+	drawn := n.drawImpairment(from, to, len(data))
+	delay := drawn.delay
+	if rate := drawn.link.BytesPerSecond; rate > 0 {
 		delay += timing.Seconds(float64(len(data)) / rate)
 	}
 	select {
--- a/internal/bench/faultinjection/runlog.go
+++ b/internal/bench/faultinjection/runlog.go
@@ -9,7 +9,8 @@
 )
 
 // RunLog records the runs of each key at the fake executors of a fleet, independently of the
-// program's own records. The body of a request is its key.
+// program's own records. The body of a request is its key; a Load sends the class and the request ID
+// as the body.
 type RunLog struct {
 	mu      sync.Mutex
 	runs    map[string][]time.Time // start times by key
@@ -51,7 +52,8 @@
 	return []byte(result)
 }
 
-// CountRepeated counts the keys with the prefix that ran more than once.
+// CountRepeated counts the keys with the prefix that ran more than once. For a Load the prefix
+// selects a class.
 func (l *RunLog) CountRepeated(prefix string) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/bench/faultinjection/upgrade_test.go
+++ b/internal/bench/faultinjection/upgrade_test.go
@@ -33,18 +33,18 @@
 	return filepath.Join(folder, "swiftcourse")
 }
 
-// One process of a fleet starts with another binary, and a second one is replaced by that binary
-// and back. Each time the process must run the requested binary and join the fleet.
+// n3 starts with another binary than n1 and n2. n2 is then upgraded to that binary and downgraded
+// again. Each time the process must run the requested binary and join the fleet.
 func TestReplace_RunsRequestedBinary(t *testing.T) {
 	other := copyPrograms(t)
 	f := startFleet(t, Config{Servers: 3, Seed: 61, ProgramByName: map[string]string{"n3": other}})
 	for name, want := range map[string]string{"n1": program, "n2": program, "n3": other} {
-		if err := f.CheckFolder(name, want); err != nil {
+		if err := f.CheckProgramFolder(name, want); err != nil {
 			t.Error(err)
 		}
 	}
-	if err := f.CheckFolder("n3", program); err == nil {
-		t.Error("CheckFolder returned no error for a binary that n3 does not run")
+	if err := f.CheckProgramFolder("n3", program); err == nil {
+		t.Error("CheckProgramFolder returned no error for a program that n3 does not run, want one")
 	}
 	for _, path := range []string{other, program} {
 		if err := f.Replace(context.Background(), "n2", path); err != nil {
--- a/internal/bench/twolevel/demo.go
+++ b/internal/bench/twolevel/demo.go
@@ -92,10 +92,10 @@
 	}
 	load.SetRate(0, fleet.Names...)
 	faultinjection.WaitUntil(answerTimeout, func() bool { return load.UnansweredCount() == 0 })
-	asked, finished, rejected := load.Counts()
+	sent, finished, rejected := load.Counts()
 	fmt.Fprintf(d.Progress, "%d requests: %d finished, %d rejected with Retry-After, "+
 		"%d answered after the timeout, %d unanswered\n",
-		asked, finished, rejected, load.LateCount(), load.UnansweredCount())
+		sent, finished, rejected, load.LateCount(), load.UnansweredCount())
 	stopLoad()
 	load.Wait()
 	return ctx.Err()
@@ -117,7 +117,7 @@
 
 // runSteps runs each step at its second and prints the counts of every second.
 func (d *Demo) runSteps(ctx context.Context, fleet *faultinjection.Fleet, load *faultinjection.Load) error {
-	askedBefore, finishedBefore, rejectedBefore := 0, 0, 0
+	sentBefore, finishedBefore, rejectedBefore := 0, 0, 0
 	remaining := steps
 	for second := 1; second <= demoSeconds && ctx.Err() == nil; second++ {
 		if len(remaining) > 0 && remaining[0].second == second {
@@ -128,11 +128,11 @@
 			remaining = remaining[1:]
 		}
 		timing.Sleep(ctx, time.Second)
-		asked, finished, rejected := load.Counts()
+		sent, finished, rejected := load.Counts()
 		fmt.Fprintf(d.Progress, "%4d s  sent %3d  finished %3d  rejected %2d  planners %d of %d, latest leader %s\n",
-			second, asked-askedBefore, finished-finishedBefore, rejected-rejectedBefore,
+			second, sent-sentBefore, finished-finishedBefore, rejected-rejectedBefore,
 			alivePlanners(fleet), demoPlanners, leader(fleet))
-		askedBefore, finishedBefore, rejectedBefore = asked, finished, rejected
+		sentBefore, finishedBefore, rejectedBefore = sent, finished, rejected
 	}
 	return nil
 }
--- a/internal/bench/twolevel/mixed.go
+++ b/internal/bench/twolevel/mixed.go
@@ -26,13 +26,13 @@
 type MixedRow struct {
 	Direction     string  `json:"direction"`
 	Seed          uint64  `json:"seed"`
-	Asked         int     `json:"asked"`
-	Service       float64 `json:"service"` // share of the requests that were finished
+	Requests      int     `json:"asked"`
+	FinishedShare float64 `json:"service"` // share of the requests that were finished
 	PlansApplied  int     `json:"plans_applied"`
-	DoubleEffects int     `json:"double_effects"`
+	RepeatedRuns  int     `json:"double_effects"`
 	LateAnswers   int     `json:"late_answers"`
 	Unanswered    int     `json:"unanswered"`
-	DecodeErrors  int     `json:"decode_errors"` // messages that a process rejected as malformed
+	DecodeErrors  int     `json:"decode_errors"` // rejected fleet messages and protocol errors
 	Panics        int     `json:"panics"`
 }
 
@@ -42,10 +42,10 @@
 
 // Cells returns the row's table cells, in the order of MixedColumns.
 func (r MixedRow) Cells() []string {
-	cells := []string{r.Direction, strconv.FormatUint(r.Seed, 10), strconv.Itoa(r.Asked),
-		strconv.FormatFloat(r.Service, 'f', 4, 64)}
+	cells := []string{r.Direction, strconv.FormatUint(r.Seed, 10), strconv.Itoa(r.Requests),
+		strconv.FormatFloat(r.FinishedShare, 'f', 4, 64)}
 	for _, count := range []int{
-		r.PlansApplied, r.DoubleEffects, r.LateAnswers, r.Unanswered, r.DecodeErrors, r.Panics,
+		r.PlansApplied, r.RepeatedRuns, r.LateAnswers, r.Unanswered, r.DecodeErrors, r.Panics,
 	} {
 		cells = append(cells, strconv.Itoa(count))
 	}
@@ -55,8 +55,8 @@
 // Violations returns the number of violated invariants. A run without requests, finished requests
 // or plans counts as one.
 func (r MixedRow) Violations() int {
-	n := r.DoubleEffects + r.LateAnswers + r.Unanswered + r.DecodeErrors + r.Panics
-	if r.Asked == 0 || r.Service == 0 || r.PlansApplied == 0 {
+	n := r.RepeatedRuns + r.LateAnswers + r.Unanswered + r.DecodeErrors + r.Panics
+	if r.Requests == 0 || r.FinishedShare == 0 || r.PlansApplied == 0 {
 		n++
 	}
 	return n
@@ -111,7 +111,8 @@
 	return row, nil
 }
 
-// plan returns the Plan of the fleet and its load.
+// plan returns the Plan of the fleet and its load. Its Seconds are the half of the run after the
+// kill of the leading planner.
 func (m *MixedPlan) plan() *Plan {
 	plan := &Plan{
 		Program:       m.OtherProgram,
@@ -131,15 +132,16 @@
 	return plan
 }
 
-// checkPrograms returns an error if a forwarder or planner does not run its configured build.
+// checkPrograms returns an error unless each forwarder and each planner runs a binary from the
+// folder of its configured program.
 func (m *MixedPlan) checkPrograms(fleet *faultinjection.Fleet) error {
 	for _, name := range fleet.ForwarderNames() {
-		if err := fleet.CheckFolder(name, m.ForwarderProgram); err != nil {
+		if err := fleet.CheckProgramFolder(name, m.ForwarderProgram); err != nil {
 			return err
 		}
 	}
 	for _, name := range fleet.PlannerNames() {
-		if err := fleet.CheckFolder(name, m.OtherProgram); err != nil {
+		if err := fleet.CheckProgramFolder(name, m.OtherProgram); err != nil {
 			return err
 		}
 	}
@@ -148,9 +150,9 @@
 
 // addCounts copies the results of a run to the row and counts its log events.
 func (r *MixedRow) addCounts(t *trial) {
-	r.Asked = t.row.Asked
-	r.Service = t.row.ServiceNoKills
-	r.DoubleEffects = t.row.DoubleEffects
+	r.Requests = t.row.Requests
+	r.FinishedShare = t.row.FinishedShareNoKills
+	r.RepeatedRuns = t.row.RepeatedRuns
 	r.LateAnswers = t.row.LateAnswers
 	r.Unanswered = t.row.Unanswered
 	r.PlansApplied = len(t.fleet.Events("", planChanged))
--- a/internal/bench/twolevel/plan.go
+++ b/internal/bench/twolevel/plan.go
@@ -19,7 +19,7 @@
 	Planners      int
 	Workers       int
 	Seconds       float64 // duration of each of the three runs
-	KillInterval  float64 // seconds between two kills of planners
+	KillInterval  float64 // seconds between two faults of planners
 	Load          float64 // offered load, as a multiple of the workers' capacity
 	IdleConns     int     // idle connections at the first forwarder for a memory measurement; 0 for none
 	Seed          uint64
@@ -44,28 +44,29 @@
 		p.Forwarders, p.Planners, p.Workers, p.Seconds, p.KillInterval, p.Load, p.IdleConns)
 }
 
-// Row is the result of the three runs of a seed. Service, ServiceNoKills and ServiceLocalOnly are
-// the shares of finished requests in the runs with kills, without kills and without planners.
+// Row is the result of the three runs of a seed. FinishedShare, FinishedShareNoKills and
+// FinishedShareLocalOnly are the shares of finished requests in the runs with kills, without kills
+// and without planners.
 type Row struct {
-	Seed               uint64  `json:"seed"`
-	Asked              int     `json:"asked"`
-	Kills              int     `json:"kills"`
-	Service            float64 `json:"service"`
-	ServiceNoKills     float64 `json:"service_no_kills"`
-	ServiceLocalOnly   float64 `json:"service_local_only"`
-	StalePlans         int     `json:"stale_plans_applied"` // switches of a forwarder to a plan of an earlier term
-	LateAnswers        int     `json:"late_answers"`
-	DoubleEffects      int     `json:"double_effects"`
-	Unanswered         int     `json:"unanswered"`
-	HopP50             float64 `json:"hop_p50_us"` // latency that a forwarder adds to sequential requests
-	HopP99             float64 `json:"hop_p99_us"`
-	Terms              int     `json:"terms"` // number of elections of a leading planner
-	P99                float64 `json:"p99_ms"`
-	P99NoKills         float64 `json:"p99_no_kills_ms"`
-	P99LocalOnly       float64 `json:"p99_local_only_ms"`
-	ForwarderCPUMicros float64 `json:"forwarder_core_us"` // CPU time per request, without kills
-	ForwarderMB        float64 `json:"forwarder_mb"`      // resident memory of the first forwarder before the load
-	ForwarderIdleMB    float64 `json:"forwarder_crowd_mb"`
+	Seed                   uint64  `json:"seed"`
+	Requests               int     `json:"asked"`
+	Kills                  int     `json:"kills"` // kills and pauses of planners
+	FinishedShare          float64 `json:"service"`
+	FinishedShareNoKills   float64 `json:"service_no_kills"`
+	FinishedShareLocalOnly float64 `json:"service_local_only"`
+	StalePlans             int     `json:"stale_plans_applied"` // switches of a forwarder to a plan of an earlier term
+	LateAnswers            int     `json:"late_answers"`
+	RepeatedRuns           int     `json:"double_effects"`
+	Unanswered             int     `json:"unanswered"`
+	HopP50                 float64 `json:"hop_p50_us"` // latency that a forwarder adds to sequential requests
+	HopP99                 float64 `json:"hop_p99_us"`
+	Terms                  int     `json:"terms"` // number of elections of a leading planner
+	P99                    float64 `json:"p99_ms"`
+	P99NoKills             float64 `json:"p99_no_kills_ms"`
+	P99LocalOnly           float64 `json:"p99_local_only_ms"`
+	ForwarderCPUMicros     float64 `json:"forwarder_core_us"` // CPU time per request, without kills
+	ForwarderMB            float64 `json:"forwarder_mb"`      // resident memory of the first forwarder before the load
+	ForwarderIdleMB        float64 `json:"forwarder_crowd_mb"`
 }
 
 // Columns are the column heads of the table.
@@ -76,8 +77,8 @@
 func (r Row) Cells() []string {
 	return strings.Fields(fmt.Sprintf(
 		"%d %d %d %.4f %.4f %.4f %d %d %d %d %.0f %.0f %d %.0f %.0f %.0f %.0f %.1f %.1f",
-		r.Seed, r.Asked, r.Kills, r.Service, r.ServiceNoKills, r.ServiceLocalOnly, r.StalePlans, r.LateAnswers,
-		r.DoubleEffects, r.Unanswered, r.HopP50, r.HopP99, r.Terms, r.P99, r.P99NoKills, r.P99LocalOnly,
+		r.Seed, r.Requests, r.Kills, r.FinishedShare, r.FinishedShareNoKills, r.FinishedShareLocalOnly, r.StalePlans,
+		r.LateAnswers, r.RepeatedRuns, r.Unanswered, r.HopP50, r.HopP99, r.Terms, r.P99, r.P99NoKills, r.P99LocalOnly,
 		r.ForwarderCPUMicros, r.ForwarderMB, r.ForwarderIdleMB))
 }
 
@@ -90,9 +91,9 @@
 	broken := []bool{
 		r.StalePlans > 0,
 		r.LateAnswers > 0,
-		r.DoubleEffects > 0,
+		r.RepeatedRuns > 0,
 		r.Unanswered > 0,
-		r.Service < minServiceRatio*r.ServiceNoKills,
+		r.FinishedShare < minServiceRatio*r.FinishedShareNoKills,
 	}
 	n := 0
 	for _, violated := range broken {
--- a/internal/bench/twolevel/run.go
+++ b/internal/bench/twolevel/run.go
@@ -176,22 +176,22 @@
 // the results to the row.
 func (t *trial) measureLoad(ctx context.Context) error {
 	cpuBefore := t.forwarderCPUSeconds()
-	askedBefore, finishedBefore, _ := t.load.Counts()
-	askedBefore -= t.load.UnansweredCount() // requests in flight belong to the measurement
+	sentBefore, finishedBefore, _ := t.load.Counts()
+	sentBefore -= t.load.UnansweredCount() // requests in flight belong to the measurement
 	if err := t.injectFaults(ctx); err != nil {
 		return err
 	}
 	t.load.SetRate(0, t.fleet.Names...)
 	faultinjection.WaitUntil(answerTimeout, func() bool { return t.load.UnansweredCount() == 0 })
 	cpuUsed := t.forwarderCPUSeconds() - cpuBefore
-	asked, finished, _ := t.load.Counts()
+	sent, finished, _ := t.load.Counts()
 	finishedNow := finished - finishedBefore
 
-	t.row.Asked += asked
+	t.row.Requests += sent
 	t.row.LateAnswers += t.load.LateCount()
 	t.row.Unanswered += t.load.UnansweredCount()
-	t.row.DoubleEffects += t.fleet.RunLog.CountRepeated(atMostOnceClass)
-	service := float64(finishedNow) / float64(max(1, asked-askedBefore))
+	t.row.RepeatedRuns += t.fleet.RunLog.CountRepeated(atMostOnceClass)
+	service := float64(finishedNow) / float64(max(1, sent-sentBefore))
 	cpuMicros := 1e6 * cpuUsed / float64(max(1, finishedNow))
 	return t.addResults(service, t.p99Millis(), cpuMicros)
 }
@@ -201,11 +201,11 @@
 	row := t.row
 	switch t.variant {
 	case noKills:
-		row.ServiceNoKills = service
+		row.FinishedShareNoKills = service
 		row.P99NoKills = p99
 		row.ForwarderCPUMicros = cpuMicros
 	case kills:
-		row.Service = service
+		row.FinishedShare = service
 		row.P99 = p99
 		row.Terms = len(t.fleet.Events("", plannerStarted))
 		stale, err := t.countStalePlans()
@@ -214,7 +214,7 @@
 		}
 		row.StalePlans = stale
 	case localOnly:
-		row.ServiceLocalOnly = service
+		row.FinishedShareLocalOnly = service
 		row.P99LocalOnly = p99
 	}
 	return nil
--- a/internal/bench/twolevel/twolevel_test.go
+++ b/internal/bench/twolevel/twolevel_test.go
@@ -55,11 +55,12 @@
 }
 
 func TestRow_Violations(t *testing.T) {
-	good := Row{Service: 0.96, ServiceNoKills: 1}
+	good := Row{FinishedShare: 0.96, FinishedShareNoKills: 1}
 	if n := good.Violations(); n != 0 {
-		t.Errorf("%d violations of a row without any", n)
+		t.Errorf("%d violations of a good row, want 0", n)
 	}
-	bad := Row{StalePlans: 1, LateAnswers: 2, DoubleEffects: 3, Unanswered: 4, Service: 0.9, ServiceNoKills: 1}
+	bad := Row{StalePlans: 1, LateAnswers: 2, RepeatedRuns: 3, Unanswered: 4,
+		FinishedShare: 0.9, FinishedShareNoKills: 1}
 	if n := bad.Violations(); n != 5 {
 		t.Errorf("%d violations, want 5", n)
 	}
