--- a/internal/bench/connflood/restart.go
+++ b/internal/bench/connflood/restart.go
@@ -92,11 +92,11 @@
 }
 
 func (p *Plan) startFleet(ctx context.Context, replicaCallers toggle) (*faultinjection.Fleet, error) {
-	shape := faultinjection.SmallShape(p.Program)
-	shape.Descriptors = p.Descriptors
-	shape.Log = p.Log
+	processConfig := faultinjection.SmallProcessConfig(p.Program)
+	processConfig.Descriptors = p.Descriptors
+	processConfig.Log = p.Log
 	return faultinjection.Start(ctx, faultinjection.Config{
-		Shape:         shape,
+		ProcessConfig: processConfig,
 		Servers:       fleetSize,
 		Voters:        fleetSize,
 		ExtraSettings: "door on\nfleet-lease 2s\nreplica-callers " + string(replicaCallers) + "\n",
--- a/internal/bench/faultinjection/config.go
+++ b/internal/bench/faultinjection/config.go
@@ -9,17 +9,17 @@
 
 // Config is the configuration of a Fleet.
 type Config struct {
-	Shape               process.Config
+	ProcessConfig       process.Config
 	Servers             int
 	Voters              int
 	ExtraSettings       string            // additional lines of every process's operator file
 	ExtraSettingsByName map[string]string // additional lines of the operator file, by process name
 	ClockByName         map[string]string // SWIFTCOURSE_TEST_CLOCK by process name
 	BuildByName         map[string]string // SWIFTCOURSE_BUILD by process name
-	ProgramByName       map[string]string // binaries that replace the shape's, by process name; see Fleet.SetProgram
+	ProgramByName       map[string]string // binaries in place of ProcessConfig.Program, by process name
 	Seed                uint64
 	RunLog              *RunLog // records the runs of the fake executors; nil to record none
-	RunSeconds          float64 // CPU time of a request; 0 for the shape's
+	RunSeconds          float64 // CPU time of a request; 0 for that of ProcessConfig
 	// CrashPointByName is SWIFTCOURSE_TEST_DIE by process name. With POINT,N or POINT,N,S the
 	// process crashes when it passes the trace point for the Nth time, counted from S seconds after
 	// its start.
@@ -30,11 +30,11 @@
 
 	// If Forwarders is over 0, the fleet consists of planners (p1, p2 and so on), which are the
 	// voters, and forwarders (f1, f2 and so on) instead of servers. The workers behind the
-	// forwarders are single servers with WorkerShape.
-	Planners    int
-	Forwarders  int
-	Workers     int
-	WorkerShape process.Config
+	// forwarders are single servers with WorkerConfig.
+	Planners     int
+	Forwarders   int
+	Workers      int
+	WorkerConfig process.Config
 
 	// CallOutcome returns the response to the nth downstream call of a process. If it is nil,
 	// requests make no calls.
--- a/internal/bench/faultinjection/control.go
+++ b/internal/bench/faultinjection/control.go
@@ -109,15 +109,15 @@
 // StartDuplicate starts a second process with the name of a server and other addresses. It gets no
 // lease, so it never becomes healthy.
 func (f *Fleet) StartDuplicate(ctx context.Context, name string) (*process.Server, error) {
-	shape := f.Shape
+	processConfig := f.ProcessConfig
 	gossipAddr := f.nextAddr()
 	controlAddr := f.nextAddr()
-	shape.OverrideFor = func(string) (string, []string) {
+	processConfig.OverrideFor = func(string) (string, []string) {
 		settings, environment := f.processSettings(name)
 		settings = strings.ReplaceAll(settings, "fleet-listen "+f.gossipAddrs[name], "fleet-listen "+gossipAddr)
 		return strings.ReplaceAll(settings, f.controlAddrs[name], controlAddr), environment
 	}
-	return process.StartOne(ctx, name, shape)
+	return process.StartOne(ctx, name, processConfig)
 }
 
 // Status returns a process's view of the fleet.
--- a/internal/bench/faultinjection/fleet.go
+++ b/internal/bench/faultinjection/fleet.go
@@ -39,7 +39,7 @@
 
 	mu              sync.Mutex
 	events          []LogEvent
-	programs        map[string]string // binary for the next start, by process name; absent for the shape's binary
+	programs        map[string]string // binary for the next start, by process name; absent for that of ProcessConfig
 	firstEventIndex map[string]int    // index in events from which on a restarted process's present incarnation logs
 }
 
@@ -69,11 +69,11 @@
 	if err := f.addRelays(); err != nil {
 		return nil, err
 	}
-	f.configureShape()
+	f.completeProcessConfig()
 	if config.Forwarders > 0 {
 		return f, f.startTwoLevels(ctx)
 	}
-	servers, err := process.Start(ctx, config.Servers, f.Shape)
+	servers, err := process.Start(ctx, config.Servers, f.ProcessConfig)
 	if err != nil {
 		f.Net.Close()
 		return nil, err
@@ -104,33 +104,33 @@
 	return nil
 }
 
-// configureShape completes the process configuration from the fleet's configuration.
-func (f *Fleet) configureShape() {
-	shape := &f.Shape
-	shape.OverrideFor = f.processSettings
-	shape.ProgramFor = f.programOf
-	f.WorkerShape.ProgramFor = f.programOf
-	shape.OnLogLine = f.recordLine
-	shape.Settings.Tenants = f.Tenants
+// completeProcessConfig completes the process configuration from the fleet's configuration.
+func (f *Fleet) completeProcessConfig() {
+	processConfig := &f.ProcessConfig
+	processConfig.OverrideFor = f.processSettings
+	processConfig.ProgramFor = f.programOf
+	f.WorkerConfig.ProgramFor = f.programOf
+	processConfig.OnLogLine = f.recordLine
+	processConfig.Settings.Tenants = f.Tenants
 	if f.CallOutcome != nil {
-		shape.UpstreamFor = f.CallOutcome
-		shape.Executor.CallsUpstream = func(string, string) bool { return true }
-		shape.Executor.CallTimeoutSeconds = loadTimeoutSeconds
-		deployment := &shape.Settings.Deployment
+		processConfig.UpstreamFor = f.CallOutcome
+		processConfig.Executor.CallsUpstream = func(string, string) bool { return true }
+		processConfig.Executor.CallTimeoutSeconds = loadTimeoutSeconds
+		deployment := &processConfig.Settings.Deployment
 		deployment.Downstream = "tier"
 		deployment.ClassCalls = []bool{true}
 		deployment.AbandonedCallMs = abandonedCallMs
 	}
 	if log := f.RunLog; log != nil {
-		shape.Executor.OnStart = log.RecordStart
-		shape.Executor.Result = log.RecordResult
+		processConfig.Executor.OnStart = log.RecordStart
+		processConfig.Executor.Result = log.RecordResult
 	}
 	if f.RunSeconds > 0 {
-		shape.Executor.CPUSeconds = func(string, string) float64 { return f.RunSeconds }
+		processConfig.Executor.CPUSeconds = func(string, string) float64 { return f.RunSeconds }
 	}
 }
 
-// programOf returns the binary for the next start of a process, "" for the binary of its shape.
+// programOf returns the binary for the next start of a process, "" for that of its process configuration.
 func (f *Fleet) programOf(name string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -152,21 +152,21 @@
 			f.Close()
 		}
 	}()
-	f.WorkerShape.Settings.Tenants = f.Tenants
+	f.WorkerConfig.Settings.Tenants = f.Tenants
 	if log := f.RunLog; log != nil {
-		f.WorkerShape.Executor.OnStart = log.RecordStart
-		f.WorkerShape.Executor.Result = log.RecordResult
+		f.WorkerConfig.Executor.OnStart = log.RecordStart
+		f.WorkerConfig.Executor.Result = log.RecordResult
 	}
-	if f.WorkerServers, err = process.Start(ctx, f.Workers, f.WorkerShape); err != nil {
+	if f.WorkerServers, err = process.Start(ctx, f.Workers, f.WorkerConfig); err != nil {
 		return fmt.Errorf("workers: %w", err)
 	}
 	for _, name := range f.Names {
-		shape := f.Shape
-		shape.Args = []string{"forward"}
+		processConfig := f.ProcessConfig
+		processConfig.Args = []string{"forward"}
 		if strings.HasPrefix(name, plannerPrefix) {
-			shape.Args = []string{"plan"}
+			processConfig.Args = []string{"plan"}
 		}
-		started, err := process.StartOne(ctx, name, shape)
+		started, err := process.StartOne(ctx, name, processConfig)
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
--- a/internal/bench/faultinjection/fleet_test.go
+++ b/internal/bench/faultinjection/fleet_test.go
@@ -47,7 +47,7 @@
 func startFleet(t *testing.T, config Config) *Fleet {
 	t.Helper()
 	t.Parallel()
-	config.Shape, config.ExtraSettings = SmallShape(program), ShortLeases+config.ExtraSettings
+	config.ProcessConfig, config.ExtraSettings = SmallProcessConfig(program), ShortLeases+config.ExtraSettings
 	if !strings.Contains(config.ExtraSettings, "fleet-wave") {
 		config.ExtraSettings += "fleet-wave 500ms\n"
 	}
--- a/internal/bench/faultinjection/forwarder_test.go
+++ b/internal/bench/faultinjection/forwarder_test.go
@@ -25,15 +25,16 @@
 func startTwoLevelFleet(t *testing.T, config Config) (*Fleet, *Load) {
 	t.Helper()
 	t.Parallel()
-	config.Shape, config.ExtraSettings = SmallShape(program), ShortLeases
-	config.Shape.Settings.Classes = append(config.Shape.Settings.Classes, simulator.Class{Name: atMostOnceClass,
-		Idempotency: "at_most_once", TimeoutMs: 2000, SoftDeadlineMs: 1000, Value: 3, LateValue: 0.5})
-	config.Shape.Settings.Deployment.Cores, config.Shape.Descriptors = 4, 512
-	config.WorkerShape, config.RunLog = config.Shape, NewRunLog()
-	config.WorkerShape.Executor = executor.Config{
+	config.ProcessConfig, config.ExtraSettings = SmallProcessConfig(program), ShortLeases
+	config.ProcessConfig.Settings.Classes = append(config.ProcessConfig.Settings.Classes, simulator.Class{
+		Name: atMostOnceClass, Idempotency: "at_most_once", TimeoutMs: 2000, SoftDeadlineMs: 1000,
+		Value: 3, LateValue: 0.5})
+	config.ProcessConfig.Settings.Deployment.Cores, config.ProcessConfig.Descriptors = 4, 512
+	config.WorkerConfig, config.RunLog = config.ProcessConfig, NewRunLog()
+	config.WorkerConfig.Executor = executor.Config{
 		Cores:      4,
 		CPUSeconds: func(string, string) float64 { return PingSeconds },
-		Gauges:     config.Shape.Executor.Gauges,
+		Gauges:     config.ProcessConfig.Executor.Gauges,
 	}
 	config.Planners, config.Forwarders, config.Workers = 3, 2, 4
 	f, err := Start(context.Background(), config)
--- a/internal/bench/faultinjection/shape.go
+++ b/internal/bench/faultinjection/shape.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// PingClass is the class of the requests of SmallShape.
+	// PingClass is the class of the requests of SmallProcessConfig.
 	PingClass = "ping"
 	// PingSeconds is the CPU time of such a request.
 	PingSeconds = 0.02
@@ -20,9 +20,9 @@
 // ShortLeases are settings in the operator's file under which leases expire within seconds.
 const ShortLeases = "door on\nfleet-lease 2s\nfleet-behind 2s\n"
 
-// SmallShape returns the process configuration of tests and experiments: one idempotent class
+// SmallProcessConfig returns the process configuration of tests and experiments: one idempotent class
 // without downstream calls.
-func SmallShape(program string) process.Config {
+func SmallProcessConfig(program string) process.Config {
 	return process.Config{
 		Program:     program,
 		CPU:         -1,
@@ -39,7 +39,7 @@
 	}
 }
 
-// smallSettings returns the simulator's settings for SmallShape.
+// smallSettings returns the simulator's settings for SmallProcessConfig.
 func smallSettings() simulator.Settings {
 	settings := process.BaseSettings(simulator.Class{
 		Name:           PingClass,
--- a/internal/bench/keyclaims/keyclaims.go
+++ b/internal/bench/keyclaims/keyclaims.go
@@ -189,12 +189,12 @@
 
 // startFleet starts the servers, all of which are replicas.
 func (r *experiment) startFleet(ctx context.Context) (err error) {
-	shape := faultinjection.SmallShape(r.Program)
-	shape.Log = r.Log
+	processConfig := faultinjection.SmallProcessConfig(r.Program)
+	processConfig.Log = r.Log
 	settings := replication.Config{
 		ReplicationFactor: r.ReplicationFactor,
 		RetentionWindow:   retentionWindow.Seconds(),
-		MaxClaimDuration:  shape.Settings.Classes[0].TimeoutMs / 1000,
+		MaxClaimDuration:  processConfig.Settings.Classes[0].TimeoutMs / 1000,
 	}
 	names := make([]string, r.Servers)
 	for i := range names {
@@ -205,7 +205,7 @@
 		return err
 	}
 	r.fleet, err = faultinjection.Start(ctx, faultinjection.Config{
-		Shape:            shape,
+		ProcessConfig:    processConfig,
 		Servers:          r.Servers,
 		Voters:           faultinjection.VoterCount(r.Servers),
 		ExtraSettings:    r.replicaSettings(names),
--- a/internal/bench/quotas/quotas.go
+++ b/internal/bench/quotas/quotas.go
@@ -188,14 +188,14 @@
 
 // startFleet starts the server processes.
 func (r *experiment) startFleet(ctx context.Context) (err error) {
-	shape := faultinjection.SmallShape(r.Program)
-	shape.Log = r.Log
+	processConfig := faultinjection.SmallProcessConfig(r.Program)
+	processConfig.Log = r.Log
 	r.fleet, err = faultinjection.Start(ctx, faultinjection.Config{
-		Shape:   shape,
-		Servers: r.Servers,
-		Voters:  voters,
-		Seed:    r.Seed,
-		Tenants: []simulator.Tenant{{Name: tenantName, RatePerS: 1e6}},
+		ProcessConfig: processConfig,
+		Servers:       r.Servers,
+		Voters:        voters,
+		Seed:          r.Seed,
+		Tenants:       []simulator.Tenant{{Name: tenantName, RatePerS: 1e6}},
 		ExtraSettings: fmt.Sprintf("door on\nfleet-lease %s\nfleet-behind 2s\nbudget tenant/%s=%g\nbudget-servers %d\n",
 			leaseDuration, tenantName, r.limit, r.Servers),
 	})
--- a/internal/bench/readiness/plan.go
+++ b/internal/bench/readiness/plan.go
@@ -101,7 +101,7 @@
 // Run measures one row each with no late dependencies, late executors, late registries, and both
 // late.
 func (p *Plan) Run(ctx context.Context) ([]Row, error) {
-	config := faultinjection.SmallShape(p.Program)
+	config := faultinjection.SmallProcessConfig(p.Program)
 	servers, err := process.Start(ctx, p.Servers, config)
 	if err != nil {
 		return nil, err
--- a/internal/bench/rollouts/rollouts.go
+++ b/internal/bench/rollouts/rollouts.go
@@ -167,10 +167,10 @@
 
 // startFleet starts the processes and waits until all have applied an initial version.
 func (r *experiment) startFleet(ctx context.Context, fleetEnabled bool) error {
-	shape := faultinjection.SmallShape(r.Program)
-	shape.Log = r.Log
+	processConfig := faultinjection.SmallProcessConfig(r.Program)
+	processConfig.Log = r.Log
 	started, err := faultinjection.Start(ctx, faultinjection.Config{
-		Shape:               shape,
+		ProcessConfig:       processConfig,
 		Servers:             r.Servers,
 		Voters:              faultinjection.VoterCount(r.Servers),
 		ExtraSettings:       shortLeases,
--- a/internal/bench/rollouts/upgrade.go
+++ b/internal/bench/rollouts/upgrade.go
@@ -163,15 +163,15 @@
 	if err != nil {
 		return err
 	}
-	return e.verify(ctx)
+	return e.verify()
 }
 
 // start starts all servers with the old build.
 func (e *upgradeExperiment) start(ctx context.Context) (err error) {
-	shape := faultinjection.SmallShape(e.OldProgram)
-	shape.Log = e.Log
-	shape.Descriptors = upgradeDescriptors
-	shape.Settings.Classes = append(shape.Settings.Classes, simulator.Class{
+	processConfig := faultinjection.SmallProcessConfig(e.OldProgram)
+	processConfig.Log = e.Log
+	processConfig.Descriptors = upgradeDescriptors
+	processConfig.Settings.Classes = append(processConfig.Settings.Classes, simulator.Class{
 		Name:           loadClass,
 		Idempotency:    "at_most_once",
 		TimeoutMs:      2000,
@@ -184,11 +184,11 @@
 		replicaNames += fmt.Sprintf(" n%d", i+1)
 	}
 	e.fleet, err = faultinjection.Start(ctx, faultinjection.Config{
-		Shape:   shape,
-		Servers: e.Servers,
-		Voters:  faultinjection.VoterCount(e.Servers),
-		Seed:    e.Seed,
-		RunLog:  e.runLog,
+		ProcessConfig: processConfig,
+		Servers:       e.Servers,
+		Voters:        faultinjection.VoterCount(e.Servers),
+		Seed:          e.Seed,
+		RunLog:        e.runLog,
 		ExtraSettings: shortLeases + "fleet-counts on\nreplica-callers on\n" +
 			fmt.Sprintf("replica-holders%s\nreplica-keyed %s\nreplica-window %s\n",
 				replicaNames, faultinjection.PingClass, keyRetention),
@@ -320,7 +320,7 @@
 }
 
 // verify counts the violated invariants, and compares the audit with the logs.
-func (e *upgradeExperiment) verify(_ context.Context) error {
+func (e *upgradeExperiment) verify() error {
 	e.row.Sent, e.row.Finished, e.row.Rejected = e.load.Counts()
 	e.row.LateAnswers = e.load.LateCount()
 	e.row.Unanswered = e.load.UnansweredCount()
--- a/internal/bench/twolevel/demo.go
+++ b/internal/bench/twolevel/demo.go
@@ -102,11 +102,11 @@
 }
 
 func (d *Demo) startFleet(ctx context.Context) (*faultinjection.Fleet, error) {
-	shape := faultinjection.SmallShape(d.Program)
-	shape.Log = d.Log
+	processConfig := faultinjection.SmallProcessConfig(d.Program)
+	processConfig.Log = d.Log
 	return faultinjection.Start(ctx, faultinjection.Config{
-		Shape:         shape,
-		WorkerShape:   shape,
+		ProcessConfig: processConfig,
+		WorkerConfig:  processConfig,
 		Planners:      demoPlanners,
 		Forwarders:    demoForwarders,
 		Workers:       demoWorkers,
--- a/internal/bench/twolevel/run.go
+++ b/internal/bench/twolevel/run.go
@@ -64,20 +64,20 @@
 
 // startFleet starts the processes.
 func (p *Plan) startFleet(ctx context.Context) (*faultinjection.Fleet, error) {
-	shape := faultinjection.SmallShape(p.Program)
-	shape.Log = p.Log
-	shape.Settings.Classes = append(shape.Settings.Classes, simulator.Class{Name: atMostOnceClass,
+	processConfig := faultinjection.SmallProcessConfig(p.Program)
+	processConfig.Log = p.Log
+	processConfig.Settings.Classes = append(processConfig.Settings.Classes, simulator.Class{Name: atMostOnceClass,
 		Idempotency: "at_most_once", TimeoutMs: 2000, SoftDeadlineMs: 1000, Value: 3, LateValue: 0.5})
-	shape.Descriptors = maxDescriptors
-	workerShape := shape
-	workerShape.ExecutorFor = workerExecutor
+	processConfig.Descriptors = maxDescriptors
+	workerConfig := processConfig
+	workerConfig.ExecutorFor = workerExecutor
 	if p.IdleConns > 0 {
-		shape.Descriptors += 2 * p.IdleConns
-		shape.MemoryMB = idleConnsMemoryMB
+		processConfig.Descriptors += 2 * p.IdleConns
+		processConfig.MemoryMB = idleConnsMemoryMB
 	}
 	return faultinjection.Start(ctx, faultinjection.Config{
-		Shape:         shape,
-		WorkerShape:   workerShape,
+		ProcessConfig: processConfig,
+		WorkerConfig:  workerConfig,
 		Planners:      p.Planners,
 		Forwarders:    p.Forwarders,
 		Workers:       p.Workers,
