--- a/internal/fake/registry/server.go
+++ b/internal/fake/registry/server.go
@@ -24,6 +24,7 @@
 	CloseWithoutReply
 )
 
+// String returns the name of the response, as test names show it.
 func (r Response) String() string {
 	switch r {
 	case KeepAlive:
--- a/internal/server/client.go
+++ b/internal/server/client.go
@@ -52,23 +52,23 @@
 func (c *clientConn) slot() int32 { return c.id.Slot() }
 
 func (c *clientConn) handleOpen(conn gnet.Conn, _ string) error {
-	s := c.server
+	server := c.server
 	c.conn = conn
 	c.state.advance(connOpened)
-	if s.clients.limiter.HasRules() {
+	if server.clients.limiter.HasRules() {
 		return c.requestAdmission()
 	}
-	s.clients.limiter.HandleOpen(c.slot(), s.now())
-	if s.clients.conns.Len() <= s.maxClients().conns {
+	server.clients.limiter.HandleOpen(c.slot(), server.now())
+	if server.clients.conns.Len() <= server.maxClients().conns {
 		return nil
 	}
-	s.statistics.evicted++
-	if victim := s.evictionCandidate(c); victim != nil {
+	server.statistics.evicted++
+	if victim := server.evictionCandidate(c); victim != nil {
 		victim.closeNow()
 		return nil
 	}
 	c.closeNow()
-	limit := s.maxClients()
+	limit := server.maxClients()
 	return fmt.Errorf("%w: limit %d, by %s", errConnLimitReached, limit.conns, limit.bound)
 }
 
